--- /dev/null
+++ b/src/test/java/ochretiller/fleet/copies/MarkGoldenTest.java
@@ -0,0 +1,72 @@
+package ochretiller.fleet.copies;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.ByteBuffer;
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import ochretiller.fleet.epochs.Layout;
+import ochretiller.golden.GoldenFile;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Marks, digests and sketches of what keepers have: several releases compare them. A mark is
+ * made from texts of claims, as {@link ClaimId#toString} gives them, in the order of their names.
+ */
+class MarkGoldenTest {
+    private static final GoldenFile MARKS = new GoldenFile("entry-marks");
+    private static final String TOKEN = "a token";
+    private static final ClaimId FIRST = new ClaimId("s", -7, 3);
+    private static final ClaimId SECOND = new ClaimId("t", 8, 1);
+
+    private static Entry entry(Map<ClaimId, String> claims, Set<ClaimId> released,
+                               Map<ClaimId, Outcome> outcomes) {
+        return new Entry(new TreeMap<>(claims), new TreeSet<>(released), new TreeMap<>(outcomes),
+            Duration.ofSeconds(60));
+    }
+
+    private static Map<String, Entry> entries() {
+        Outcome outcome = new Outcome(true, "body", "caf\u00e9");
+        Map<String, Entry> all = new LinkedHashMap<>();
+        all.put("claimed", entry(Map.of(FIRST, "body"), Set.of(), Map.of()));
+        all.put("claimed-twice", entry(Map.of(FIRST, "body", SECOND, "b"), Set.of(), Map.of()));
+        all.put("released", entry(Map.of(FIRST, "body"), Set.of(FIRST, SECOND), Map.of()));
+        all.put("ended", entry(Map.of(FIRST, "body"), Set.of(), Map.of(FIRST, outcome)));
+        all.put("ended-elsewhere", entry(Map.of(FIRST, "body"), Set.of(),
+            Map.of(FIRST, Outcome.apart("body", "r".repeat(9_000)).with(false))));
+        return all;
+    }
+
+    private static byte[] bytes(long number) {
+        return ByteBuffer.allocate(Long.BYTES).putLong(number).array();
+    }
+
+    @Test
+    void marksDigestsAndSketchesAreTheGoldenOnes() {
+        Map<String, byte[]> made = new LinkedHashMap<>();
+        for (Map.Entry<String, Entry> each : entries().entrySet()) {
+            Stock stock = new Stock();
+            stock.put(TOKEN, each.getValue(), 1);
+            made.put("mark-of-" + each.getKey(), bytes(stock.mark(TOKEN)));
+        }
+        Stock stock = new Stock();
+        int range = Layout.range(TOKEN);
+        for (int i = 0; i < 1_000; i++) {
+            stock.put("token " + i, entries().get("claimed"), 1);
+        }
+        stock.put(TOKEN, entries().get("ended"), 1);
+        made.put("digest-of-range", bytes(stock.digest(range)));
+        made.put("sketch-of-range", stock.sketch(range, 6).bytes());
+        MARKS.assertHolds(made);
+    }
+
+    @Test
+    void aGoldenSketchIsReadBack() {
+        byte[] bytes = MARKS.bytes("sketch-of-range");
+        assertThat(Sketch.of(bytes).bytes()).isEqualTo(bytes);
+    }
+}
