--- a/src/main/java/ochretiller/audit/Timeline.java
+++ b/src/main/java/ochretiller/audit/Timeline.java
@@ -22,11 +22,22 @@
     /** How well a stretch is known. */
     public enum Known {
         /** It acted on this version. */
-        ACTED,
+        ACTED("ACTED"),
         /** Keyed work was shut out there. */
-        SHUT_OUT,
+        SHUT_OUT("SHUT_OUT"),
         /** Nothing was recorded: the process was away, or its records are lost. */
-        UNKNOWN
+        UNKNOWN("UNKNOWN");
+
+        private final String externalName;
+
+        Known(String externalName) {
+            this.externalName = externalName;
+        }
+
+        /** The word by which JSON names it; it stays whatever the constant is called. */
+        public String externalName() {
+            return externalName;
+        }
     }
 
     /** A run of a token, as one server has it. */
--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -41,9 +41,9 @@
     static final class What {
         @Parameters(paramLabel = "NAME=FOLDER", arity = "1..*", description = "A server's name and the folder of its audit, a copy of it is as good.")
         private Map<String, Path> folders;
-        @Option(names = "--from", description = "As 2026-01-31T08:00:00Z, or Unix milliseconds; the beginning by default.")
+        @Option(names = "--from", paramLabel = "<from>", description = "As 2026-01-31T08:00:00Z, or Unix milliseconds; the beginning by default.")
         private String from;
-        @Option(names = "--until", description = "The same; the end by default.")
+        @Option(names = "--until", paramLabel = "<until>", description = "The same; the end by default.")
         private String until;
         @Option(names = "--json", description = "JSON instead of text.")
         private boolean json;
@@ -126,7 +126,7 @@
         PrintWriter out = spec.commandLine().getOut();
         if (what.json) {
             ObjectNode all = JSON.createObjectNode();
-            who.forEach((name, known) -> all.put(name, known.name()));
+            who.forEach((name, known) -> all.put(name, known.externalName()));
             out.println(all);
         } else {
             who.forEach((name, known) -> out.println(name + ' ' + switch (known) {
@@ -157,7 +157,7 @@
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode array = JSON.createArrayNode();
         for (Timeline.Stretch each : all) {
-            array.addObject().put("server", each.server()).put("from", each.fromMs()).put("until", each.toMs()).put("known", each.known().name()).put("version", each.version()).put("text", each.text());
+            array.addObject().put("server", each.server()).put("from", each.fromMs()).put("until", each.toMs()).put("known", each.known().externalName()).put("version", each.version()).put("text", each.text());
             if (what.json) continue;
             String acted = switch (each.known()) {
                 case ACTED -> "version " + each.version();
--- a/src/main/java/ochretiller/commands/CopiesCommand.java
+++ b/src/main/java/ochretiller/commands/CopiesCommand.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import ochretiller.fleet.members.State;
 import ochretiller.fleet.peers.FleetClient;
 import ochretiller.settings.MalformedException;
 import picocli.CommandLine;
@@ -124,7 +125,7 @@
         try (FleetClient client = whom.dial()) {
             Map<String, String> all = new HashMap<>();
             for (JsonNode each : JSON.readTree(client.ask("view")).get("members")) {
-                if (each.get("state").asText().equals("HERE")) all.put(each.get("name").asText(), each.get("address").asText());
+                if (each.get("state").asText().equals(State.HERE.externalName())) all.put(each.get("name").asText(), each.get("address").asText());
             }
             return all;
         }
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -13,6 +13,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
+import ochretiller.fleet.epochs.Rollout;
 import ochretiller.fleet.members.Address;
 import ochretiller.fleet.peers.FleetClient;
 import ochretiller.fleet.peers.FleetKeys;
@@ -30,13 +31,15 @@
     /** Between two looks at a server that leaves. */
     private static final int LOOK_MS = 250;
     private static final int FAILED = 1;
+    private static final String DONE = Rollout.State.DONE.externalName();
+    private static final String HALTED = Rollout.State.HALTED.externalName();
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     /** Whom to ask. */
     static final class Whom {
-        @Option(names = "--operator", required = true, description = "An operators' file of this fleet: its name, its keys, and the server to ask.")
+        @Option(names = "--operator", paramLabel = "<operator>", required = true, description = "An operators' file of this fleet: its name, its keys, and the server to ask.")
         Path operator;
         @Option(names = "--at", paramLabel = "ADDRESS", description = "Ask the server at this address of the fleet instead.")
         String at;
@@ -205,12 +208,12 @@
             }
             long version = told.get("version").asLong();
             String state = told.get("state").asText();
-            boolean over = version > number || version == number && (state.equals("DONE") || state.equals("HALTED"));
+            boolean over = version > number || version == number && (state.equals(DONE) || state.equals(HALTED));
             String line = version < number ? "not agreed on yet" : "version " + version + ", " + (over ? state : "stage " + told.get("stage").asInt() + ", " + state);
             if (!line.equals(last)) System.err.println(line);
             last = line;
             if (!over) continue;
-            boolean good = version == number && state.equals("DONE");
+            boolean good = version == number && state.equals(DONE);
             show(whom, told, good ? "version " + number + " is in force" : "version " + number + " is not: " + told.get("halted").asText() + told.get("why").asText());
             return good ? 0 : FAILED;
         }
--- a/src/main/java/ochretiller/commands/StoreCommand.java
+++ b/src/main/java/ochretiller/commands/StoreCommand.java
@@ -110,7 +110,7 @@
             if (common.json) {
                 ObjectNode line = JSON.createObjectNode();
                 if (mark != null) {
-                    line.put("token", mark.token()).put("state", mark.state().name()).put("operation", mark.operation())
+                    line.put("token", mark.token()).put("state", mark.state().externalName()).put("operation", mark.operation())
                         .put("rid", mark.rid()).put("until", mark.until());
                 } else {
                     String about = KeeperDisk.about(item.key());
@@ -122,7 +122,7 @@
                 String about = KeeperDisk.about(item.key());
                 say((about == null ? "a key of " + item.key().length + " bytes that is no mark" : about) + ", in " + item.file() + " at " + item.at());
             } else {
-                say(mark.token() + " " + mark.state() + " " + mark.operation() + " run " + mark.rid() + ", " + item.bytes()
+                say(mark.token() + " " + mark.state().externalName() + " " + mark.operation() + " run " + mark.rid() + ", " + item.bytes()
                     + " bytes in " + item.file());
             }
         });
--- a/src/main/java/ochretiller/commands/TryCommand.java
+++ b/src/main/java/ochretiller/commands/TryCommand.java
@@ -33,7 +33,7 @@
     @Option(names = "--remember", paramLabel = "DIR",
         description = "Keep results in this folder, so that a repeat is answered from it behind a kill.")
     private Path folder;
-    @Option(names = "--port", description = "Where to listen; a free port by default.")
+    @Option(names = "--port", paramLabel = "<port>", description = "Where to listen; a free port by default.")
     private int port;
     @Option(names = "--once", description = "End behind the two answers.")
     private boolean once;
--- a/src/main/java/ochretiller/fleet/copies/Modes.java
+++ b/src/main/java/ochretiller/fleet/copies/Modes.java
@@ -12,9 +12,30 @@
     /** How a token is guarded. */
     public enum Mode {
         /** It runs once in the fleet. */
-        FLEET,
+        FLEET("fleet"),
         /** It runs once on each server, as without a fleet. */
-        SERVER
+        SERVER("server");
+
+        private final String externalName;
+
+        Mode(String externalName) {
+            this.externalName = externalName;
+        }
+
+        /** The word of the operators' file; it stays whatever the constant is called. */
+        public String externalName() {
+            return externalName;
+        }
+
+        /** The mode of this word of the operators' file, in whatever case. */
+        public static Mode fromExternalName(String word) {
+            for (Mode mode : values()) {
+                if (mode.externalName.equalsIgnoreCase(word)) {
+                    return mode;
+                }
+            }
+            throw new IllegalArgumentException("no mode: '" + word + "'");
+        }
     }
 
     /** What is to be done before a run. */
--- a/src/main/java/ochretiller/fleet/epochs/Layout.java
+++ b/src/main/java/ochretiller/fleet/epochs/Layout.java
@@ -155,7 +155,7 @@
 
     @Override
     public String toString() {
-        String versions = rollout.to().number() == 0 ? "" : ", version " + rollout.to().number() + (rollout.over() ? "" : " at stage " + rollout.stage() + ' ' + rollout.state());
+        String versions = rollout.to().number() == 0 ? "" : ", version " + rollout.to().number() + (rollout.over() ? "" : " at stage " + rollout.stage() + ' ' + rollout.state().externalName());
         return "epoch " + epoch + " of " + servers.stream().map(Server::name).toList() + versions;
     }
 }
--- a/src/main/java/ochretiller/fleet/epochs/Rollout.java
+++ b/src/main/java/ochretiller/fleet/epochs/Rollout.java
@@ -14,13 +14,24 @@
     /** How it goes on. */
     public enum State {
         /** It goes on by itself. */
-        RUNS,
+        RUNS("RUNS"),
         /** A person has stopped it, and lets it go on or takes it back. */
-        PAUSED,
+        PAUSED("PAUSED"),
         /** It was stopped by itself, for what was seen of it. */
-        HALTED,
+        HALTED("HALTED"),
         /** All servers are to act on it. */
-        DONE
+        DONE("DONE");
+
+        private final String externalName;
+
+        State(String externalName) {
+            this.externalName = externalName;
+        }
+
+        /** The word by which JSON, log lines and the audit name it; it stays whatever the constant is called. */
+        public String externalName() {
+            return externalName;
+        }
     }
 
     /**
--- a/src/main/java/ochretiller/fleet/peers/Door.java
+++ b/src/main/java/ochretiller/fleet/peers/Door.java
@@ -76,7 +76,7 @@
             try {
                 word = Sealed.open(codec.keys(), all);
             } catch (RefusedException e) {
-                throw new BadInputException("a frame at the fleet's door is refused: " + e.why());
+                throw new BadInputException("a frame at the fleet's door is refused: " + e.why().externalName());
             }
             Answer answer = words.get(word.word());
             if (!word.fleet().equals(codec.fleet()) || !word.challenge().equals(challenge) || answer == null) {
--- a/src/main/java/ochretiller/fleet/peers/Fleet.java
+++ b/src/main/java/ochretiller/fleet/peers/Fleet.java
@@ -7,7 +7,6 @@
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.logging.Logger;
@@ -125,7 +124,7 @@
 
     private void figures(Metrics metrics) {
         for (State state : State.values()) {
-            String name = state.name().toLowerCase(Locale.ROOT);
+            String name = state.lowerCaseName();
             metrics.gauge("fleet_members_" + name, "Members that are seen as " + name + ", this server among them",
                 () -> sizesNow[state.ordinal()]);
         }
@@ -148,7 +147,7 @@
         metrics.counted("fleet_read_packets_total", "Packets read, refused ones among them", socket.readPackets::sum);
         metrics.counted("fleet_read_bytes_total", "Bytes read, refused ones among them", socket.readBytes::sum);
         for (Refused why : Refused.values()) {
-            metrics.counted("fleet_refused_" + why.name().toLowerCase(Locale.ROOT) + "_total", "Packets refused: " + why, () -> socket.refused(why));
+            metrics.counted("fleet_refused_" + why.lowerCaseName() + "_total", "Packets refused: " + why.externalName(), () -> socket.refused(why));
         }
     }
 
@@ -241,7 +240,7 @@
         if (!line()) return;
         switch (change.kind()) {
             case STATE -> {
-                if (state != State.SUSPECT) LOG.info(() -> "fleet: " + member.id() + " at " + member.address() + " is " + state);
+                if (state != State.SUSPECT) LOG.info(() -> "fleet: " + member.id() + " at " + member.address() + " is " + state.externalName());
             }
             case TWIN -> {
                 // Two keepers by one name would be counted as one: this one says nothing more until its operators have seen to it.
--- a/src/main/java/ochretiller/fleet/peers/RefusedException.java
+++ b/src/main/java/ochretiller/fleet/peers/RefusedException.java
@@ -6,7 +6,7 @@
     private final Refused why;
 
     RefusedException(Refused why) {
-        super(why.name(), null, false, false);
+        super(why.externalName(), null, false, false);
         this.why = why;
     }
 
--- a/src/main/java/ochretiller/fleet/peers/Versions.java
+++ b/src/main/java/ochretiller/fleet/peers/Versions.java
@@ -197,7 +197,7 @@
         doorkeeper.become(next, schedule.now());
         Rollout rollout = next.rollout();
         if (!rollout.equals(before)) {
-            String text = "version " + rollout.to().number() + (rollout.over() ? " is in force" : " comes to stage " + rollout.stage() + ", " + rollout.state());
+            String text = "version " + rollout.to().number() + (rollout.over() ? " is in force" : " comes to stage " + rollout.stage() + ", " + rollout.state().externalName());
             LOG.info("fleet: " + text + ": " + rollout.to().why());
             acts.told(What.ROLLOUT, rollout.to(), text);
         }
@@ -456,7 +456,7 @@
             case "take-back" -> rollout.to().number() == 0 || rollout.from().equals(rollout.to()) ? null : rollout.back(by, "taken back by " + by);
             default -> null;
         };
-        if (next == null) return refusal("there is nothing to " + word + ": " + rollout.state() + " at version " + rollout.to().number());
+        if (next == null) return refusal("there is nothing to " + word + ": " + rollout.state().externalName() + " at version " + rollout.to().number());
         wish(next);
         return JsonText.object(to -> to.writeStringField("wished", word));
     }
@@ -472,7 +472,7 @@
             to.writeNumberField("before", rollout.from().number());
             to.writeStringField("why", rollout.to().why());
             to.writeStringField("by", rollout.to().by());
-            to.writeStringField("state", rollout.state().name());
+            to.writeStringField("state", rollout.state().externalName());
             to.writeNumberField("stage", rollout.stage());
             to.writeStringField("halted", rollouts.halted());
             to.writeBooleanField("may", may());
--- a/src/main/java/ochretiller/fleet/peers/Views.java
+++ b/src/main/java/ochretiller/fleet/peers/Views.java
@@ -1,6 +1,5 @@
 package ochretiller.fleet.peers;
 
-import java.util.Locale;
 import ochretiller.fleet.members.Members;
 import ochretiller.fleet.members.Seen;
 
@@ -19,7 +18,7 @@
             to.writeNumberField("read_bytes", socket.readBytes.sum());
             to.writeObjectFieldStart("refused");
             for (Refused why : Refused.values()) {
-                if (socket.refused(why) > 0) to.writeNumberField(why.name().toLowerCase(Locale.ROOT), socket.refused(why));
+                if (socket.refused(why) > 0) to.writeNumberField(why.lowerCaseName(), socket.refused(why));
             }
             to.writeEndObject();
             to.writeArrayFieldStart("members");
@@ -27,7 +26,7 @@
                 to.writeStartObject();
                 to.writeStringField("name", seen.member().id().name());
                 to.writeStringField("start", Long.toHexString(seen.member().start()));
-                to.writeStringField("state", seen.member().state().name());
+                to.writeStringField("state", seen.member().state().externalName());
                 to.writeStringField("address", seen.member().address().toString());
                 to.writeStringField("zone", seen.member().zone());
                 to.writeStringField("build", seen.member().build());
--- a/src/main/java/ochretiller/model/RunEnd.java
+++ b/src/main/java/ochretiller/model/RunEnd.java
@@ -11,12 +11,23 @@
 public record RunEnd(Result result, Duration took) {
     /** What came of a run. */
     public enum Result {
-        SUCCEEDED, ERRORED,
+        SUCCEEDED("SUCCEEDED"), ERRORED("ERRORED"),
         /** It was stopped, or ended at a call because its answer had been given or its caller was gone. */
-        STOPPED,
+        STOPPED("STOPPED"),
         /** It never started: it was over already. */
-        NOTHING,
+        NOTHING("NOTHING"),
         /** It is proven not to have begun: its mark could not be made durable in time, or no worker could take it. */
-        NOT_BEGUN
+        NOT_BEGUN("NOT_BEGUN");
+
+        private final String externalName;
+
+        Result(String externalName) {
+            this.externalName = externalName;
+        }
+
+        /** The word by which log lines name it; it stays whatever the constant is called. */
+        public String externalName() {
+            return externalName;
+        }
     }
 }
--- a/src/main/java/ochretiller/net/Network.java
+++ b/src/main/java/ochretiller/net/Network.java
@@ -128,7 +128,7 @@
 
     /** The one line that each connection leaves. */
     private static void ended(String kind, Object peer, CloseCode code) {
-        LOG.info(() -> "connection " + kind + ' ' + peer + " ended: " + code);
+        LOG.info(() -> "connection " + kind + ' ' + peer + " ended: " + code.externalName());
     }
 
     void after(Duration span, Runnable work) {
--- a/src/main/java/ochretiller/node/Auditor.java
+++ b/src/main/java/ochretiller/node/Auditor.java
@@ -62,7 +62,19 @@
         // A span is of one kind all through: what was acted on before stands in a span of its own.
         if (what == Versions.What.CHANGED) spans.begin(version, hash, unixMs.getAsLong(), schedule.now()).ifPresent(writer::add);
         else if (what == Versions.What.SHUT_OUT || what == Versions.What.LET_IN) writer.add(spans.end(unixMs.getAsLong(), schedule.now()));
-        event(Entry.Kind.valueOf(what.name()), version, text);
+        event(kind(what), version, text);
+    }
+
+    private static Entry.Kind kind(Versions.What what) {
+        return switch (what) {
+            case CHANGED -> Entry.Kind.CHANGED;
+            case REFUSED -> Entry.Kind.REFUSED;
+            case SHUT_OUT -> Entry.Kind.SHUT_OUT;
+            case LET_IN -> Entry.Kind.LET_IN;
+            case PUBLISHED -> Entry.Kind.PUBLISHED;
+            case ROLLOUT -> Entry.Kind.ROLLOUT;
+            case WITNESSED -> Entry.Kind.WITNESSED;
+        };
     }
 
     void answered(Try inv, Ending how) {
--- a/src/main/java/ochretiller/node/Host.java
+++ b/src/main/java/ochretiller/node/Host.java
@@ -132,7 +132,7 @@
             adopted.remove(mark.rid());
             // Guards against a second effect: this run was begun, whatever the processor still knows of it.
             RunEnd.Result known = end == RunEnd.Result.NOTHING ? RunEnd.Result.ERRORED : end;
-            LOG.info(() -> "the run " + mark.rid() + " of a former process has ended: " + end);
+            LOG.info(() -> "the run " + mark.rid() + " of a former process has ended: " + end.externalName());
             recall.settled(mark, operation, known, result, () -> {
                 keys.ended(kept, true, known == RunEnd.Result.SUCCEEDED ? result : null, now());
                 choice.restored(kept, until, known).act(this);
--- a/src/main/java/ochretiller/node/Recall.java
+++ b/src/main/java/ochretiller/node/Recall.java
@@ -146,7 +146,7 @@
         Memory.Disk disk = memory.disk(now);
         if (disk != said) {
             if (said == Memory.Disk.WELL) stalls.add();
-            LOG.warning("the store's disk is " + disk.name().toLowerCase() + (disk == Memory.Disk.SICK
+            LOG.warning("the store's disk is " + disk.externalName() + (disk == Memory.Disk.SICK
                 ? ": " + store.stats().fault() : "") + (disk == Memory.Disk.WELL ? " again" : "; new keyed work is throttled"));
             said = disk;
         }
--- a/src/main/java/ochretiller/operator/OperatorFile.java
+++ b/src/main/java/ochretiller/operator/OperatorFile.java
@@ -8,7 +8,6 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
@@ -130,7 +129,7 @@
     }
 
     private static Modes.Mode mode(String text) {
-        return Modes.Mode.valueOf(text.toUpperCase(Locale.ROOT));
+        return Modes.Mode.fromExternalName(text);
     }
 
     private static Address fleetAddress(JsonNode node) {
--- a/src/main/java/ochretiller/pools/End.java
+++ b/src/main/java/ochretiller/pools/End.java
@@ -3,15 +3,26 @@
 /** How a request to a worker ended, as far as its pool must know. */
 public enum End {
     /** It answered, whatever the answer said of the request itself. */
-    ANSWERED,
+    ANSWERED("ANSWERED"),
     /** It answered that it failed, or spoilt its answer: the request may have run. */
-    FAILED,
+    FAILED("FAILED"),
     /** Nothing came in time: the request may have run. */
-    SILENT,
+    SILENT("SILENT"),
     /** Its caller stopped waiting for it before its time was over: it may have run. */
-    GIVEN_UP,
+    GIVEN_UP("GIVEN_UP"),
     /** The connection was refused, or nothing of the request was written: it is proven not to have begun. */
-    NEVER_BEGUN;
+    NEVER_BEGUN("NEVER_BEGUN");
+
+    private final String externalName;
+
+    End(String externalName) {
+        this.externalName = externalName;
+    }
+
+    /** The word by which log lines name it; it stays whatever the constant is called. */
+    public String externalName() {
+        return externalName;
+    }
 
     /** Whether the request may be tried elsewhere; one that may have run never is. */
     public boolean mayGoElsewhere() {
--- a/src/main/java/ochretiller/remembered/Mark.java
+++ b/src/main/java/ochretiller/remembered/Mark.java
@@ -19,11 +19,22 @@
     /** How far one is known to have come. */
     public enum State {
         /** Its run may have begun; its end is unknown. */
-        MARKED,
+        MARKED("MARKED"),
         /** It has succeeded, and its result is kept. */
-        SUCCEEDED,
+        SUCCEEDED("SUCCEEDED"),
         /** It has ended without a result, and may have had its effect. */
-        LOST
+        LOST("LOST");
+
+        private final String externalName;
+
+        State(String externalName) {
+            this.externalName = externalName;
+        }
+
+        /** The word by which {@code store list} names it; it stays whatever the constant is called. */
+        public String externalName() {
+            return externalName;
+        }
     }
 
     /** Longest names, in bytes, that fit what a store holds in memory for each. */
--- a/src/main/java/ochretiller/remembered/Memory.java
+++ b/src/main/java/ochretiller/remembered/Memory.java
@@ -21,11 +21,22 @@
 
     /** How the disk does. */
     public enum Disk {
-        WELL,
+        WELL("well"),
         /** The oldest append waits longer than a disk may take. */
-        STALLED,
+        STALLED("stalled"),
         /** It has failed, and nothing is written until a try finds it well. */
-        SICK
+        SICK("sick");
+
+        private final String externalName;
+
+        Disk(String externalName) {
+            this.externalName = externalName;
+        }
+
+        /** The word by which log lines name it; it stays whatever the constant is called. */
+        public String externalName() {
+            return externalName;
+        }
     }
 
     /** What becomes of what a restart has found under a token. */
--- a/src/main/java/ochretiller/workers/Crew.java
+++ b/src/main/java/ochretiller/workers/Crew.java
@@ -103,7 +103,7 @@
         freeAt = null;
         boolean in = pool.in(id);
         pool.ended(id, end, took, now);
-        if (in && !pool.in(id)) LOG.warning("pool " + name + " leaves out worker " + id + ", last end: " + end);
+        if (in && !pool.in(id)) LOG.warning("pool " + name + " leaves out worker " + id + ", last end: " + end.externalName());
         if (!in && pool.in(id)) LOG.info("pool " + name + " lets worker " + id + " in again");
         places(now);
     }
