--- /dev/null
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -0,0 +1,110 @@
+package ochretiller.golden;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.logging.Formatter;
+import java.util.logging.Handler;
+import java.util.logging.Level;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
+import java.util.regex.Pattern;
+import ochretiller.node.Logs;
+import ochretiller.standin.Gateways;
+import ochretiller.standin.Wire;
+import ochretiller.store.ForgetfulDisk;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Lines of the log that pages name, and the forms of a line. */
+class LogLinesTest {
+    @TempDir
+    private Path folder;
+
+    private static void expect(WholeServer server, String... patterns) throws Exception {
+        for (String pattern : patterns) {
+            try {
+                WholeServer.until(() -> server.logged(pattern));
+            } catch (AssertionError e) {
+                throw new AssertionError("no '" + pattern + "' among " + server.log, e);
+            }
+        }
+    }
+
+    @Test
+    void codesInTheTableOfTheReadmeAreThoseOfConnections() throws Exception {
+        String readme = Files.readString(Path.of("README.md"));
+        String table = readme.substring(readme.indexOf("| code | meaning |"));
+        assertThat(Pattern.compile("^\\| `([A-Z_]+)` \\|", Pattern.MULTILINE).matcher(table)
+            .results().map(row -> row.group(1))).containsExactly(
+                "PEER_CLOSED", "BROKEN", "REFUSED", "IDLE", "BAD_INPUT", "SILENT", "FLOOD",
+                "NOT_READING", "TOO_MANY", "MOVED", "GIVEN_UP", "ANSWERED", "LEAVING");
+    }
+
+    @Test
+    void startReloadAndDrainLeaveTheLinesThatPagesName() throws Exception {
+        WholeServer server = new WholeServer(folder);
+        try (server) {
+            expect(server, "n1 listens on /127\\.0\\.0\\.1:\\d+",
+                "remembers 0 keyed invocations, the ends of 0 unknown, read in .*",
+                "the processor is up, warm, started \\d+ ms ago",
+                "n1/[0-9a-f]+ takes part in fleet parts at 127\\.0\\.0\\.1:\\d+",
+                "fleet: joined, with 0 others", "fleet: epoch 1 of \\[n1\\] is in force");
+            try (Wire gateway = server.dial()) {
+                gateway.send(Gateways.message(1, "read", "{}")).line();
+                expect(server, "bad input from gateway /127\\.0\\.0\\.1:\\d+: -32602 .*");
+            }
+            expect(server, "connection gateway /127\\.0\\.0\\.1:\\d+ ended: [A-Z_]+");
+            server.node.reload();
+            expect(server, "takes the addresses of its configuration again");
+            Files.writeString(server.config, "[]");
+            server.node.reload();
+            expect(server, "stays with its configuration: .*");
+        }
+        expect(server, "leaves", "ends", "connection link /127\\.0\\.0\\.1:\\d+ ended: LEAVING");
+    }
+
+    @Test
+    void aSickDiskIsNamedSoAndSoIsItsRecovery() throws Exception {
+        ForgetfulDisk disk = new ForgetfulDisk();
+        try (WholeServer server = new WholeServer(folder, disk)) {
+            server.ran("5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+            disk.script = ForgetfulDisk.fails("force", "Input/output error");
+            try (Wire gateway = server.dial()) {
+                server.order(gateway, "5c0f6e1a2b3d4c59a8b7c6d5e4f30212");
+            }
+            expect(server, "the store's disk is sick: Input/output error; "
+                + "new keyed work is throttled");
+            disk.script = (operation, name) -> { };
+            expect(server, "the store's disk is well again");
+        }
+    }
+
+    @Test
+    void aLineOfJsonHasItsMembers() throws Exception {
+        Logger root = Logger.getLogger("");
+        Map<Handler, Formatter> before = new LinkedHashMap<>();
+        for (Handler each : root.getHandlers()) {
+            before.put(each, each.getFormatter());
+        }
+        LogRecord entry = new LogRecord(Level.WARNING, "a message");
+        entry.setLoggerName("a.package.Part");
+        entry.setThrown(new IllegalStateException("a fault"));
+        JsonNode line;
+        try {
+            Logs.json();
+            line = new ObjectMapper().readTree(root.getHandlers()[0].getFormatter().format(entry));
+        } finally {
+            before.forEach(Handler::setFormatter);
+        }
+        assertThat(Cli.members(line)).isEqualTo(List.of("at", "level", "part", "message", "trace"));
+        assertThat(line.get("level").asText()).isEqualTo("WARNING");
+        assertThat(line.get("part").asText()).isEqualTo("Part");
+    }
+}
