--- a/src/main/java/ochretiller/front/Callers.java
+++ b/src/main/java/ochretiller/front/Callers.java
@@ -100,7 +100,13 @@
      */
     private void makeRoom(Peer newcomer) {
         // Guards against newcomers that are dropped unread for the sake of those that were told and have not gone yet.
-        if (accepted.get() > limit) going.stream().filter(peer -> peer.hurry(longest)).findFirst();
+        if (accepted.get() > limit) {
+            for (Peer peer : going) {
+                if (peer.hurry(longest)) {
+                    break;
+                }
+            }
+        }
         boolean full = staying.size() > limit;
         if (silent.size() > limit / NEWCOMERS || full) {
             Peer oldest = silent.stream().filter(this::quiet).findFirst().orElse(null);
