--- a/checks/CheckExceptions.java
+++ b/checks/CheckExceptions.java
@@ -14,14 +14,16 @@
 /**
  * Holds Checkstyle's report against the list of exceptions, which can only shrink.
  *
- * <p>Run from the root: {@code java checks/CheckExceptions.java [--write] [REPORT LIST ROOT]}. A line of the list is {@code
- * CheckName path count}: so often the file at the path, seen from the root, may break the check. The program fails where a
- * file breaks a check more often than that, and also where it does so less often: then the line is to be lowered or dropped.
- * {@code --write} writes the list anew from the report; it is meant for a clean-up only.
+ * <p>Run from the root: {@code java checks/CheckExceptions.java [--write] [REPORT LIST ROOT]}. A
+ * line of the list is {@code CheckName path count}: so often the file at the path, seen from the
+ * root, may break the check. The program fails where a file breaks a check more often than that,
+ * and also where it does so less often: then the line is to be lowered or dropped. {@code --write}
+ * writes the list anew from the report; it is meant for a clean-up only.
  */
 public final class CheckExceptions {
     private static final String HEAD =
-            "# What does not meet a rule of checkstyle.xml yet: check, file, how often. Lines only go or get lower.\n";
+            "# What does not meet a rule of checkstyle.xml yet: check, file, how often. Lines only"
+                    + " go or get lower.\n";
 
     /** What the list is kept by: a check and a file. */
     private record Place(String check, String path) implements Comparable<Place> {
@@ -49,7 +51,8 @@
     private CheckExceptions() {}
 
     /**
-     * Exits with 0 where report and list agree, 1 where they don't, 2 where one of them can't be used.
+     * Exits with 0 where report and list agree, 1 where they don't, 2 where one of them can't be
+     * used.
      *
      * @param words {@code --write} or nothing, then nothing or the paths of report, list and root
      */
@@ -60,18 +63,21 @@
             left = List.of("target/checks/checkstyle.xml", "checks/exceptions.txt", ".");
         }
         if (left.size() != 3) {
-            System.err.println("usage: java checks/CheckExceptions.java [--write] [REPORT LIST ROOT]");
+            System.err.println(
+                    "usage: java checks/CheckExceptions.java [--write] [REPORT LIST ROOT]");
             System.exit(2);
         }
         try {
-            System.exit(run(write, Path.of(left.get(0)), Path.of(left.get(1)), Path.of(left.get(2))));
+            System.exit(
+                    run(write, Path.of(left.get(0)), Path.of(left.get(1)), Path.of(left.get(2))));
         } catch (Unusable e) {
             System.err.println(e.getMessage());
             System.exit(2);
         }
     }
 
-    private static int run(boolean write, Path report, Path list, Path root) throws IOException, Unusable {
+    private static int run(boolean write, Path report, Path list, Path root)
+            throws IOException, Unusable {
         Map<Place, List<String>> found = found(report, root.toRealPath());
         if (write) {
             StringBuilder text = new StringBuilder(HEAD);
@@ -84,12 +90,15 @@
         System.out.println(
                 faults.isEmpty()
                         ? "lint: nothing beyond the exceptions listed in " + list
-                        : "lint: mend what is named above; " + list + " lists what may stay for now");
+                        : "lint: mend what is named above; "
+                                + list
+                                + " lists what may stay for now");
         return faults.isEmpty() ? 0 : 1;
     }
 
     /** What differs between what was found and what is listed, one line each. */
-    private static List<String> compare(Map<Place, List<String>> found, Map<Place, Integer> listed) {
+    private static List<String> compare(
+            Map<Place, List<String>> found, Map<Place, Integer> listed) {
         List<String> faults = new ArrayList<>();
         found.forEach(
                 (place, lines) -> {
@@ -130,7 +139,8 @@
     }
 
     /** Reads the report: for each check and file a line for each violation. */
-    private static Map<Place, List<String>> found(Path report, Path root) throws IOException, Unusable {
+    private static Map<Place, List<String>> found(Path report, Path root)
+            throws IOException, Unusable {
         Map<Place, List<String>> found = new TreeMap<>();
         int files = 0;
         try (InputStream in = Files.newInputStream(report)) {
--- a/drill/src/main/java/ochretiller/drill/Disks.java
+++ b/drill/src/main/java/ochretiller/drill/Disks.java
@@ -15,16 +15,20 @@
 final class Disks {
     /** Bytes that are lost at the end of a disk that is cut: some records. */
     private static final long CUT = 700;
+
     /** A folder that changes while it is copied is copied again, so often. */
     private static final int TRIES = 5;
 
-    private Disks() {
-    }
+    private Disks() {}
 
     static void delete(Path folder) throws IOException {
-        if (!Files.exists(folder)) return;
+        if (!Files.exists(folder)) {
+            return;
+        }
         try (Stream<Path> all = Files.walk(folder)) {
-            for (Path each : all.sorted(Comparator.reverseOrder()).toList()) Files.deleteIfExists(each);
+            for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
+                Files.deleteIfExists(each);
+            }
         }
     }
 
@@ -32,11 +36,18 @@
         for (int tries = 0; ; tries++) {
             try {
                 Files.createDirectories(to);
-                // Later files are written later: the oldest first, so that the copy is how the disk was at some moment before its end.
-                for (Path each : files(from)) if (!each.getFileName().toString().equals("LOCK")) Files.copy(each, to.resolve(each.getFileName()));
+                // Later files are written later: the oldest first, so that the copy is how the disk
+                // was at some moment before its end.
+                for (Path each : files(from)) {
+                    if (!each.getFileName().toString().equals("LOCK")) {
+                        Files.copy(each, to.resolve(each.getFileName()));
+                    }
+                }
                 return;
             } catch (NoSuchFileException | UncheckedIOException e) {
-                if (tries == TRIES) throw e; // a file was dropped meanwhile
+                if (tries == TRIES) {
+                    throw e; // a file was dropped meanwhile
+                }
                 delete(to);
             }
         }
@@ -44,7 +55,8 @@
 
     /** Takes the last bytes of the newest file that has any records. */
     static void cut(Path folder) throws IOException {
-        List<Path> logs = files(folder).stream().filter(each -> each.toString().endsWith(".log")).toList();
+        List<Path> logs =
+                files(folder).stream().filter(each -> each.toString().endsWith(".log")).toList();
         for (int i = logs.size() - 1; i >= 0; i--) {
             long size = Files.size(logs.get(i));
             // What a hint tells of a file that is cut is no use: the start reads the file itself.
--- a/drill/src/main/java/ochretiller/drill/History.java
+++ b/drill/src/main/java/ochretiller/drill/History.java
@@ -12,7 +12,9 @@
 
 /** All that happened, in the order in which it was seen; a checker reads nothing else. */
 final class History {
-    private static final ObjectMapper JSON = new ObjectMapper().setDefaultPropertyInclusion(JsonInclude.Include.NON_NULL);
+    private static final ObjectMapper JSON =
+            new ObjectMapper().setDefaultPropertyInclusion(JsonInclude.Include.NON_NULL);
+
     /** Events of one run: a quarter of an hour of a large fleet under load. */
     private static final int MOST = 4_000_000;
 
@@ -21,14 +23,22 @@
         /** A process takes part in the fleet, under this start. */
         STARTED,
         /** A process was told something, or has ended. */
-        KILLED, PAUSED, RESUMED, LEAVES, ENDED,
+        KILLED,
+        PAUSED,
+        RESUMED,
+        LEAVES,
+        ENDED,
         /** What a server sees, where that has changed: states by start. */
         VIEW,
         /** A request was sent to a server, and its one end. */
-        ASKED, ANSWERED,
+        ASKED,
+        ANSWERED,
         /** A stand-in was told to run one. */
         RAN,
-        /** What a server keeps at the end, by range: how many entries, a digest of them, whether it is whole. */
+        /**
+         * What a server keeps at the end, by range: how many entries, a digest of them, whether it
+         * is whole.
+         */
         COPIES,
         /** The script could not be carried out as it is written. */
         VOID,
@@ -39,11 +49,11 @@
     /**
      * One.
      *
-     * @param id   of a request, or the start of a process
+     * @param id of a request, or the start of a process
      * @param text more, as its kind has it
      */
-    record Event(double atS, What what, int slot, String id, String text, Map<String, String> view) {
-    }
+    record Event(
+            double atS, What what, int slot, String id, String text, Map<String, String> view) {}
 
     private final List<Event> events = new ArrayList<>();
     private final long zero;
@@ -66,7 +76,9 @@
     }
 
     synchronized void put(Event event) {
-        if (events.size() < MOST) events.add(event);
+        if (events.size() < MOST) {
+            events.add(event);
+        }
     }
 
     synchronized List<Event> all() {
@@ -75,13 +87,17 @@
 
     void write(Path file) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            for (Event event : all()) out.append(JSON.writeValueAsString(event)).append('\n');
+            for (Event event : all()) {
+                out.append(JSON.writeValueAsString(event)).append('\n');
+            }
         }
     }
 
     static List<Event> read(Path file) throws IOException {
         List<Event> all = new ArrayList<>();
-        for (String line : Files.readAllLines(file)) all.add(JSON.readValue(line, Event.class));
+        for (String line : Files.readAllLines(file)) {
+            all.add(JSON.readValue(line, Event.class));
+        }
         return all;
     }
 }
--- a/drill/src/main/java/ochretiller/drill/Links.java
+++ b/drill/src/main/java/ochretiller/drill/Links.java
@@ -20,13 +20,15 @@
 import ochretiller.emulator.fleet.Faults;
 
 /**
- * What lies between servers: whoever is told a server's address is told a relay's, and the relay does to each packet what the
- * script says for its sender and its receiver.
+ * What lies between servers: whoever is told a server's address is told a relay's, and the relay
+ * does to each packet what the script says for its sender and its receiver.
  */
 final class Links implements AutoCloseable {
     private static final int LONGEST = 64 * 1024;
+
     /** Packets that are under way at once. */
     private static final int MOST = 100_000;
+
     /** Packets of each address that are kept to be replayed. */
     private static final int KEPT = 256;
 
@@ -35,16 +37,18 @@
     private final Selector selector = Selector.open();
     private final Map<Integer, Relay> relays = new ConcurrentHashMap<>();
     private final Map<Integer, Integer> byPort = new ConcurrentHashMap<>();
-    private final PriorityQueue<Late> late = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final PriorityQueue<Late> late =
+            new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private final Map<Integer, Integer> slots = new ConcurrentHashMap<>();
     private final List<byte[]> kept = new ArrayList<>();
+
     /** Servers that are cut off from all others, beside what the script says. */
     private volatile Set<Integer> apart = Set.of();
+
     final AtomicLong passed = new AtomicLong();
     final AtomicLong dropped = new AtomicLong();
 
-    private record Late(long at, Relay relay, byte[] bytes) {
-    }
+    private record Late(long at, Relay relay, byte[] bytes) {}
 
     /** One address, and the server behind it. */
     private static final class Relay {
@@ -69,7 +73,11 @@
         DatagramChannel channel = DatagramChannel.open();
         channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         channel.configureBlocking(false);
-        Relay relay = new Relay(address, channel, new InetSocketAddress(InetAddress.getLoopbackAddress(), realPort));
+        Relay relay =
+                new Relay(
+                        address,
+                        channel,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), realPort));
         relays.put(address, relay);
         byPort.put(realPort, address);
         selector.wakeup();
@@ -98,15 +106,23 @@
         ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
         try {
             while (selector.isOpen()) {
-                long wait = late.isEmpty() ? 50 : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
+                long wait =
+                        late.isEmpty()
+                                ? 50
+                                : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
                 selector.select(Math.min(wait, 50));
                 for (SelectionKey key : selector.selectedKeys()) {
                     Relay relay = (Relay) key.attachment();
                     InetSocketAddress from;
-                    while ((from = (InetSocketAddress) relay.channel.receive(buffer.clear())) != null) pass(relay, from, buffer.flip());
+                    while ((from = (InetSocketAddress) relay.channel.receive(buffer.clear()))
+                            != null) {
+                        pass(relay, from, buffer.flip());
+                    }
                 }
                 selector.selectedKeys().clear();
-                while (!late.isEmpty() && late.peek().at <= System.nanoTime()) send(late.poll());
+                while (!late.isEmpty() && late.peek().at <= System.nanoTime()) {
+                    send(late.poll());
+                }
             }
         } catch (ClosedSelectorException | ClosedChannelException e) {
             // the drill is over
@@ -120,14 +136,18 @@
         byte[] bytes = new byte[packet.remaining()];
         packet.get(bytes);
         synchronized (kept) {
-            if (kept.size() == KEPT) kept.remove(0);
+            if (kept.size() == KEPT) {
+                kept.remove(0);
+            }
             kept.add(bytes);
         }
         int fromSlot = sender == null ? 0 : slots.getOrDefault(sender, 0);
         int toSlot = slots.getOrDefault(relay.address, 0);
         boolean cut = apart.contains(fromSlot) != apart.contains(toSlot);
         List<Faults.Copy> fate = cut ? List.of() : faults.fate(fromSlot, toSlot, now.getAsDouble());
-        if (fate.isEmpty()) dropped.incrementAndGet();
+        if (fate.isEmpty()) {
+            dropped.incrementAndGet();
+        }
         for (Faults.Copy copy : fate) {
             byte[] sent = bytes;
             if (copy.spoilt()) {
@@ -135,8 +155,11 @@
                 sent[(int) (passed.get() % sent.length)] ^= 0x20;
             }
             passed.incrementAndGet();
-            if (copy.delayMs() <= 0) send(new Late(0, relay, sent));
-            else if (late.size() < MOST) late.add(new Late(System.nanoTime() + (long) (copy.delayMs() * 1e6), relay, sent));
+            if (copy.delayMs() <= 0) {
+                send(new Late(0, relay, sent));
+            } else if (late.size() < MOST) {
+                late.add(new Late(System.nanoTime() + (long) (copy.delayMs() * 1e6), relay, sent));
+            }
         }
     }
 
@@ -158,6 +181,8 @@
     @Override
     public void close() throws IOException {
         selector.close();
-        for (Relay relay : relays.values()) relay.channel.close();
+        for (Relay relay : relays.values()) {
+            relay.channel.close();
+        }
     }
 }
--- a/drill/src/main/java/ochretiller/drill/Stage.java
+++ b/drill/src/main/java/ochretiller/drill/Stage.java
@@ -28,21 +28,34 @@
 import ochretiller.fleet.peers.FleetClient;
 import ochretiller.standin.Daemon;
 
-/** Plays a script on processes: starts them, puts the faults on, watches, and ends with all faults healed. */
+/**
+ * Plays a script on processes: starts them, puts the faults on, watches, and ends with all faults
+ * healed.
+ */
 final class Stage implements AutoCloseable {
     /** A fault that comes later than this behind its time makes the run void. */
     private static final double LATE_S = 1.5;
+
     /** Views that stay equal and right for so long have settled. */
     private static final double STAYS_S = 2.5;
+
     /** Burners for each step of a crowd's strength, and that step in milliseconds of lateness. */
     private static final double CROWD_STEP = 50;
+
     private static final int WATCH_MS = 100;
+
     /** They come in one by one, each within this. */
     private static final int KEEPERS_S = 10;
+
     /** Ranges are whole so soon behind an epoch. */
     private static final double SETTLED_S = 1.5;
-    /** Copies are the same so soon behind a comparison of all of them; and how often that is looked at. */
+
+    /**
+     * Copies are the same so soon behind a comparison of all of them; and how often that is looked
+     * at.
+     */
     private static final double COPIES_S = 25;
+
     private static final int COMPARE_MS = 250;
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -63,18 +76,28 @@
     private final long seed;
     private History history;
     private volatile boolean over;
+
     /** Whether servers are told one another's own addresses, and nothing lies between them. */
     private boolean direct;
+
     private boolean forLoad;
     private String more;
 
     /**
      * A stage with nobody on it yet.
      *
-     * @param viewOn   whether the servers take part in a fleet; without it the same is played for what callers get
+     * @param viewOn whether the servers take part in a fleet; without it the same is played for
+     *     what callers get
      * @param copiesOn whether they keep copies, where the script has them
      */
-    Stage(FleetScript script, long seed, Path folder, boolean viewOn, boolean copiesOn, Consumer<String> progress) throws IOException {
+    Stage(
+            FleetScript script,
+            long seed,
+            Path folder,
+            boolean viewOn,
+            boolean copiesOn,
+            Consumer<String> progress)
+            throws IOException {
         this.script = script;
         this.seed = seed;
         this.plan = Plan.of(script);
@@ -91,28 +114,70 @@
 
     /** Plays it; the history of all that happened. */
     History play() throws IOException, InterruptedException {
-        // Script time begins when the members of the script are there; before it they start as they can.
+        // Script time begins when the members of the script are there; before it they start as they
+        // can.
         history = new History(System.nanoTime() + 3_600_000_000_000L);
-        for (Plan.Slot slot : plan.slots()) box(slot, this::ran);
+        for (Plan.Slot slot : plan.slots()) {
+            box(slot, this::ran);
+        }
         links.start();
-        for (Plan.Action action : plan.actions()) if (first(action)) start(action);
         for (Plan.Action action : plan.actions()) {
-            if (first(action) && !boxes.get(action.slot()).awaitPart()) throw new IOException("server " + action.slot() + " did not start");
+            if (first(action)) {
+                start(action);
+            }
+        }
+        for (Plan.Action action : plan.actions()) {
+            if (first(action) && !boxes.get(action.slot()).awaitPart()) {
+                throw new IOException("server " + action.slot() + " did not start");
+            }
         }
         History begun = new History(System.nanoTime() - (long) (script.startS() * 1e9));
-        for (History.Event event : history.all()) begun.put(new History.Event(script.startS(), event.what(), event.slot(), event.id(), event.text(), null));
+        for (History.Event event : history.all()) {
+            begun.put(
+                    new History.Event(
+                            script.startS(),
+                            event.what(),
+                            event.slot(),
+                            event.id(),
+                            event.text(),
+                            null));
+        }
         become(begun);
         progress.accept(script.members() + " servers are there");
-        if (copiesOn) awaitKeepers();
-        Load load = new Load(history, List.copyOf(boxes.values()), script.load().perSecond(), seed, script.copies());
+        if (copiesOn) {
+            awaitKeepers();
+        }
+        Load load =
+                new Load(
+                        history,
+                        List.copyOf(boxes.values()),
+                        script.load().perSecond(),
+                        seed,
+                        script.copies());
         load.start();
-        for (Plan.Fault fault : plan.faults()) put(fault);
+        for (Plan.Fault fault : plan.faults()) {
+            put(fault);
+        }
         for (Plan.Action action : plan.actions()) {
-            if (first(action)) continue;
+            if (first(action)) {
+                continue;
+            }
             until(action.atS());
             double late = history.now() - action.atS();
-            if (late > LATE_S) history.add(History.What.VOID, action.slot(), "", String.format(Locale.ROOT, "%s came %.1f s late", action.act(), late));
-            progress.accept(String.format(Locale.ROOT, "%.1f s: %s %d", history.now(), action.act(), action.slot()));
+            if (late > LATE_S) {
+                history.add(
+                        History.What.VOID,
+                        action.slot(),
+                        "",
+                        String.format(Locale.ROOT, "%s came %.1f s late", action.act(), late));
+            }
+            progress.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "%.1f s: %s %d",
+                            history.now(),
+                            action.act(),
+                            action.slot()));
             act(action);
         }
         until(plan.lastS());
@@ -124,15 +189,22 @@
         }
         double last = history.now();
         progress.accept(String.format(Locale.ROOT, "%.1f s: all faults are over", last));
-        double bound = Math.max(script.seconds(), last + Math.max(script.expect().settledS(), 5) + STAYS_S);
+        double bound =
+                Math.max(
+                        script.seconds(), last + Math.max(script.expect().settledS(), 5) + STAYS_S);
         settle(bound, last);
         load.end();
-        if (copiesOn) compare();
+        if (copiesOn) {
+            compare();
+        }
         history.add(History.What.OVER, 0, "", "");
         return history;
     }
 
-    /** Servers speak to one another without links between: for measurements of what they do themselves. */
+    /**
+     * Servers speak to one another without links between: for measurements of what they do
+     * themselves.
+     */
     Stage direct() {
         direct = true;
         return this;
@@ -144,19 +216,35 @@
         return this;
     }
 
-    /** Servers have room for what they are measured with: else it would be the bounds on what is kept that are measured. */
+    /**
+     * Servers have room for what they are measured with: else it would be the bounds on what is
+     * kept that are measured.
+     */
     Stage forLoad() {
         forLoad = true;
         return this;
     }
 
-    /** Starts all servers of the script, and tells of each run that is begun; nothing else is played. */
+    /**
+     * Starts all servers of the script, and tells of each run that is begun; nothing else is
+     * played.
+     */
     void raise(BiConsumer<Integer, String> ran) throws IOException, InterruptedException {
-        for (Plan.Slot slot : plan.slots()) box(slot, ran);
+        for (Plan.Slot slot : plan.slots()) {
+            box(slot, ran);
+        }
         links.start();
-        for (Plan.Action action : plan.actions()) start(action);
-        for (Box box : boxes.values()) if (!box.awaitPart()) throw new IOException("server " + box.slot.number() + " did not start");
-        if (copiesOn) awaitKeepers();
+        for (Plan.Action action : plan.actions()) {
+            start(action);
+        }
+        for (Box box : boxes.values()) {
+            if (!box.awaitPart()) {
+                throw new IOException("server " + box.slot.number() + " did not start");
+            }
+        }
+        if (copiesOn) {
+            awaitKeepers();
+        }
     }
 
     /** From now on these are cut off from all others. */
@@ -170,7 +258,11 @@
 
     /** Starts a server again, with the disk that it has. */
     void again(int number) throws IOException, InterruptedException {
-        for (Plan.Action action : plan.actions()) if (action.slot() == number && action.act() == Plan.Act.START) start(action);
+        for (Plan.Action action : plan.actions()) {
+            if (action.slot() == number && action.act() == Plan.Act.START) {
+                start(action);
+            }
+        }
     }
 
     /** From here on all that is noted has its time from the script's beginning. */
@@ -178,40 +270,73 @@
         history = begun;
         Map<Integer, Box> there = new TreeMap<>(boxes);
         there.forEach((number, box) -> box.become(begun));
-        for (Box box : boxes.values()) if (viewOn) watch(box);
+        for (Box box : boxes.values()) {
+            if (viewOn) {
+                watch(box);
+            }
+        }
     }
 
-    /** Keyed work is throttled until the fleet has agreed on who keeps it: the script begins once all its members do. */
+    /**
+     * Keyed work is throttled until the fleet has agreed on who keeps it: the script begins once
+     * all its members do.
+     */
     private void awaitKeepers() throws InterruptedException, IOException {
         // All of them, in whatever epoch that comes to be.
         String wanted = "of \\[" + "[^, ]+, ".repeat(script.members() - 1) + "[^, ]+\\]";
         for (Box box : boxes.values()) {
-            if (box.slot.number() <= script.members() && !box.awaitLine(Pattern.compile(wanted), KEEPERS_S * script.members())) throw new IOException("no keepers were agreed on at server " + box.slot.number());
+            if (box.slot.number() <= script.members()
+                    && !box.awaitLine(Pattern.compile(wanted), KEEPERS_S * script.members())) {
+                throw new IOException("no keepers were agreed on at server " + box.slot.number());
+            }
         }
         Thread.sleep((long) (SETTLED_S * 1000));
         History begun = new History(System.nanoTime() - (long) (script.startS() * 1e9));
         for (History.Event event : history.all()) {
-            if (event.what() == History.What.STARTED) begun.put(new History.Event(script.startS(), event.what(), event.slot(), event.id(), event.text(), null));
+            if (event.what() == History.What.STARTED) {
+                begun.put(
+                        new History.Event(
+                                script.startS(),
+                                event.what(),
+                                event.slot(),
+                                event.id(),
+                                event.text(),
+                                null));
+            }
+        }
+        for (Watch watch : watches) {
+            watch.become(begun);
         }
-        for (Watch watch : watches) watch.become(begun);
         history = begun;
         boxes.forEach((number, box) -> box.become(begun));
     }
 
     private boolean first(Plan.Action action) {
-        return action.act() == Plan.Act.START && action.slot() <= script.members() && action.atS() <= script.startS() && !repeated(action);
+        return action.act() == Plan.Act.START
+                && action.slot() <= script.members()
+                && action.atS() <= script.startS()
+                && !repeated(action);
     }
 
     private boolean repeated(Plan.Action action) {
         for (Plan.Action each : plan.actions()) {
-            if (each == action) return false;
-            if (each.slot() == action.slot() && each.act() == Plan.Act.START) return true;
+            if (each == action) {
+                return false;
+            }
+            if (each.slot() == action.slot() && each.act() == Plan.Act.START) {
+                return true;
+            }
         }
         return false;
     }
 
     private void box(Plan.Slot slot, BiConsumer<Integer, String> ran) throws IOException {
-        Box box = new Box(slot, folder, history, (rid, operation, body) -> ran.accept(slot.number(), body));
+        Box box =
+                new Box(
+                        slot,
+                        folder,
+                        history,
+                        (rid, operation, body) -> ran.accept(slot.number(), body));
         box.forLoad = forLoad;
         box.versions = more != null;
         box.more = more == null ? "" : more;
@@ -224,7 +349,9 @@
 
     private int real(int address) throws IOException {
         Integer port = real.get(address);
-        if (port != null) return port;
+        if (port != null) {
+            return port;
+        }
         int fresh = Box.freePort();
         real.put(address, fresh);
         relayed.put(address, links.open(address, fresh));
@@ -249,22 +376,33 @@
             real(i);
             seeds.add(told(i));
         }
-        box.start(listen, told(action.address()), seeds, script.probeMs(), viewOn,
-            clock(action), copiesOn ? Math.min(3, script.members()) : 0, stores);
+        box.start(
+                listen,
+                told(action.address()),
+                seeds,
+                script.probeMs(),
+                viewOn,
+                clock(action),
+                copiesOn ? Math.min(3, script.members()) : 0,
+                stores);
     }
 
     private double clock(Plan.Action action) {
         double back = 0;
         for (Plan.Fault fault : plan.faults()) {
             boolean on = action.atS() >= fault.atS() && action.atS() <= fault.untilS();
-            if (fault.what() == Plan.Link.CLOCK && on && fault.to().contains(action.slot())) back += fault.strength();
+            if (fault.what() == Plan.Link.CLOCK && on && fault.to().contains(action.slot())) {
+                back += fault.strength();
+            }
         }
         return back;
     }
 
     private void watch(Box box) {
         Integer address = addressOf.get(box.slot.number());
-        if (address == null) return;
+        if (address == null) {
+            return;
+        }
         watches.add(new Watch(box, real.get(address), history, WATCH_MS));
     }
 
@@ -274,12 +412,18 @@
             case START -> {
                 Integer before = addressOf.get(action.slot());
                 box.awaitEnd();
-                if (stores) box.disk(action.disk());
+                if (stores) {
+                    box.disk(action.disk());
+                }
                 start(action);
-                if (viewOn && (before == null || before != action.address())) watch(box);
+                if (viewOn && (before == null || before != action.address())) {
+                    watch(box);
+                }
             }
             case IMAGE -> {
-                if (stores) box.takeImage();
+                if (stores) {
+                    box.takeImage();
+                }
             }
             case KILL -> box.kill();
             case PAUSE -> box.pause();
@@ -289,20 +433,45 @@
         }
     }
 
-    /** All copies are compared at all servers' doors, until they are the same or the bound has come; how they are is noted. */
+    /**
+     * All copies are compared at all servers' doors, until they are the same or the bound has come;
+     * how they are is noted.
+     */
     private void compare() throws InterruptedException {
-        compared().forEach((slot, digests) -> history.add(History.What.COPIES, slot, boxes.get(slot).start, digests == null ? "none" : digests.get("ranges").toString()));
+        compared()
+                .forEach(
+                        (slot, digests) ->
+                                history.add(
+                                        History.What.COPIES,
+                                        slot,
+                                        boxes.get(slot).start,
+                                        digests == null
+                                                ? "none"
+                                                : digests.get("ranges").toString()));
     }
 
-    /** What each server keeps, by range, once all have compared all of it; whether or not it has become the same. */
+    /**
+     * What each server keeps, by range, once all have compared all of it; whether or not it has
+     * become the same.
+     */
     Map<Integer, JsonNode> compared() throws InterruptedException {
         double bound = history.now() + COPIES_S;
         Map<Integer, JsonNode> told = new TreeMap<>();
-        for (Box box : boxes.values()) if (box.up) door(box, "copies-repair");
+        for (Box box : boxes.values()) {
+            if (box.up) {
+                door(box, "copies-repair");
+            }
+        }
         while (history.now() < bound) {
             told.clear();
-            for (Box box : boxes.values()) if (box.up) told.put(box.slot.number(), door(box, "copies-digests"));
-            if (!told.containsValue(null) && same(told.values())) break;
+            for (Box box : boxes.values()) {
+                if (box.up) {
+                    told.put(box.slot.number(), door(box, "copies-digests"));
+                }
+            }
+            if (!told.containsValue(null) && same(told.values())) {
+                break;
+            }
             Thread.sleep(COMPARE_MS);
         }
         return told;
@@ -315,7 +484,11 @@
 
     JsonNode door(Box box, String word, String with) {
         Integer address = addressOf.get(box.slot.number());
-        try (FleetClient client = new FleetClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), real.get(address)), "drill", Watch.KEYS)) {
+        try (FleetClient client =
+                new FleetClient(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), real.get(address)),
+                        "drill",
+                        Watch.KEYS)) {
             return JSON.readTree(client.ask(word, with));
         } catch (IOException e) {
             progress.accept("server " + box.slot.number() + " cannot be asked: " + e.getMessage());
@@ -328,7 +501,10 @@
         for (JsonNode each : told) {
             for (Map.Entry<String, JsonNode> range : each.get("ranges").properties()) {
                 JsonNode before = first.putIfAbsent(range.getKey(), range.getValue());
-                if (before != null && !before.equals(range.getValue()) || !range.getValue().get(2).asBoolean()) return false;
+                if (before != null && !before.equals(range.getValue())
+                        || !range.getValue().get(2).asBoolean()) {
+                    return false;
+                }
             }
         }
         return true;
@@ -337,24 +513,34 @@
     /** Faults that are not the links' own: crowds on the cores, floods at a port. */
     private void put(Plan.Fault fault) {
         if (fault.what() == Plan.Link.CROWD) {
-            Daemon.start(() -> {
-                until(fault.atS());
-                int count = (int) Math.ceil(fault.strength() / CROWD_STEP) * Runtime.getRuntime().availableProcessors();
-                List<Process> mine = new ArrayList<>();
-                for (int i = 0; i < count; i++) mine.add(new ProcessBuilder("sh", "-c", "while :; do :; done").start());
-                synchronized (burners) {
-                    burners.addAll(mine);
-                }
-                until(fault.untilS());
-                mine.forEach(Process::destroyForcibly);
-            });
+            Daemon.start(
+                    () -> {
+                        until(fault.atS());
+                        int count =
+                                (int) Math.ceil(fault.strength() / CROWD_STEP)
+                                        * Runtime.getRuntime().availableProcessors();
+                        List<Process> mine = new ArrayList<>();
+                        for (int i = 0; i < count; i++) {
+                            mine.add(new ProcessBuilder("sh", "-c", "while :; do :; done").start());
+                        }
+                        synchronized (burners) {
+                            burners.addAll(mine);
+                        }
+                        until(fault.untilS());
+                        mine.forEach(Process::destroyForcibly);
+                    });
         } else if (fault.what() == Plan.Link.FULL || fault.what() == Plan.Link.STALL) {
-            Daemon.start(() -> {
-                until(fault.atS());
-                for (int slot : fault.to()) boxes.get(slot).diskIs(fault.what().name().toLowerCase(Locale.ROOT));
-                until(fault.untilS());
-                for (int slot : fault.to()) boxes.get(slot).diskIs(null);
-            });
+            Daemon.start(
+                    () -> {
+                        until(fault.atS());
+                        for (int slot : fault.to()) {
+                            boxes.get(slot).diskIs(fault.what().name().toLowerCase(Locale.ROOT));
+                        }
+                        until(fault.untilS());
+                        for (int slot : fault.to()) {
+                            boxes.get(slot).diskIs(null);
+                        }
+                    });
         } else if (fault.what() == Plan.Link.FLOOD) {
             for (int slot : fault.to()) {
                 Daemon.start(() -> flood(fault, slot));
@@ -380,19 +566,29 @@
                     mine.nextBytes(bytes);
                     if (!heard.isEmpty() && i % 3 != 0) {
                         bytes = heard.get(mine.nextInt(heard.size())).clone();
-                        if (i % 3 == 1) bytes[mine.nextInt(bytes.length)] ^= 0x11;
+                        if (i % 3 == 1) {
+                            bytes[mine.nextInt(bytes.length)] ^= 0x11;
+                        }
                     }
-                    socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), port));
+                    socket.send(
+                            new DatagramPacket(
+                                    bytes, bytes.length, InetAddress.getLoopbackAddress(), port));
                     sent++;
                 }
-                long ahead = (long) (sent / Math.max(1, fault.strength()) * 1e9) - (System.nanoTime() - began);
-                if (ahead > 0) Thread.sleep(ahead / 1_000_000, (int) (ahead % 1_000_000));
+                long ahead =
+                        (long) (sent / Math.max(1, fault.strength()) * 1e9)
+                                - (System.nanoTime() - began);
+                if (ahead > 0) {
+                    Thread.sleep(ahead / 1_000_000, (int) (ahead % 1_000_000));
+                }
             }
         }
     }
 
     private void until(double at) throws InterruptedException {
-        for (double left = at - history.now(); left > 0; left = at - history.now()) Thread.sleep((long) Math.ceil(Math.min(left, 1) * 1000));
+        for (double left = at - history.now(); left > 0; left = at - history.now()) {
+            Thread.sleep((long) Math.ceil(Math.min(left, 1) * 1000));
+        }
     }
 
     /** Until all views have been equal and right for some time, or the bound has come. */
@@ -400,27 +596,48 @@
         double since = Double.NaN;
         while (history.now() < bound) {
             boolean right = !viewOn || right();
-            if (!right) since = Double.NaN;
-            else if (Double.isNaN(since)) since = history.now();
-            if (right && history.now() - since > STAYS_S && history.now() >= script.seconds()) return;
-            if (right && history.now() - since > STAYS_S && script.expect().settledS() > 0 && history.now() > last + STAYS_S) return;
+            if (!right) {
+                since = Double.NaN;
+            } else if (Double.isNaN(since)) {
+                since = history.now();
+            }
+            if (right && history.now() - since > STAYS_S && history.now() >= script.seconds()) {
+                return;
+            }
+            if (right
+                    && history.now() - since > STAYS_S
+                    && script.expect().settledS() > 0
+                    && history.now() > last + STAYS_S) {
+                return;
+            }
             Thread.sleep(WATCH_MS);
         }
     }
 
     private boolean right() {
         Set<String> there = new TreeSet<>();
-        for (Box box : boxes.values()) if (box.up && !box.leaves) there.add(box.start);
+        for (Box box : boxes.values()) {
+            if (box.up && !box.leaves) {
+                there.add(box.start);
+            }
+        }
         String digest = null;
         Set<String> looked = new TreeSet<>();
         for (Watch watch : watches) {
-            if (watch.start == null || !there.contains(watch.start)) continue;
+            if (watch.start == null || !there.contains(watch.start)) {
+                continue;
+            }
             looked.add(watch.start);
             Set<String> live = new TreeSet<>();
-            watch.states.forEach((start, state) -> {
-                if (state.equals("HERE")) live.add(start);
-            });
-            if (!live.equals(there) || digest != null && !digest.equals(watch.digest)) return false;
+            watch.states.forEach(
+                    (start, state) -> {
+                        if (state.equals("HERE")) {
+                            live.add(start);
+                        }
+                    });
+            if (!live.equals(there) || digest != null && !digest.equals(watch.digest)) {
+                return false;
+            }
             digest = watch.digest;
         }
         return looked.equals(there);
@@ -433,11 +650,15 @@
     @Override
     public void close() throws IOException {
         over = true;
-        for (Watch watch : watches) watch.end();
+        for (Watch watch : watches) {
+            watch.end();
+        }
         synchronized (burners) {
             burners.forEach(Process::destroyForcibly);
         }
-        for (Box box : boxes.values()) box.close();
+        for (Box box : boxes.values()) {
+            box.close();
+        }
         links.close();
     }
 }
--- a/drill/src/main/java/ochretiller/drill/Steps.java
+++ b/drill/src/main/java/ochretiller/drill/Steps.java
@@ -25,31 +25,44 @@
 import ochretiller.standin.Wire;
 
 /**
- * One keyed invocation at a time in a fleet of three servers with disks: its owner is killed, paused or cut off at a step of it, by
- * what is seen of that step and not by the clock, and its repeats go to each server, at once and later. Each case says what has to
- * come out.
+ * One keyed invocation at a time in a fleet of three servers with disks: its owner is killed,
+ * paused or cut off at a step of it, by what is seen of that step and not by the clock, and its
+ * repeats go to each server, at once and later. Each case says what has to come out.
  */
 final class Steps implements AutoCloseable {
-    /** Long enough for a start under load, for what has to come to do so, and for a window that keepers have of a token. */
+    /**
+     * Long enough for a start under load, for what has to come to do so, and for a window that
+     * keepers have of a token.
+     */
     private static final long WITHIN_S = 40;
+
     /** A repeat that is told to come again does so after this. */
     private static final long AGAIN_MS = 200;
 
     private final Stage stage;
     private final Consumer<String> progress;
     private final AtomicInteger numbers = new AtomicInteger();
+
     /** Runs that were begun, by what was asked for: of all but one case that is the token. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
+
     private final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
     private final List<String> broken = new ArrayList<>();
+
     /** Lets the run that was begun last end. */
     private Runnable end;
 
-    /** @param copiesOn without it each server is for itself, and the steps have to be seen to break */
+    /**
+     * @param copiesOn without it each server is for itself, and the steps have to be seen to break
+     */
     Steps(Path folder, boolean copiesOn, Consumer<String> progress) throws IOException {
         this.progress = progress;
-        FleetScript script = FleetScriptFile.of("""
-            { name: 'steps', seconds: 1, members: 3, zones: 3, seeds: 3, copies: true, store: true }""", "steps");
+        FleetScript script =
+                FleetScriptFile.of(
+                        """
+                        { name: 'steps', seconds: 1, members: 3, zones: 3, seeds: 3, copies: true, store: true }\
+                        """,
+                        "steps");
         stage = new Stage(script, 1, folder, true, copiesOn, progress);
     }
 
@@ -71,12 +84,16 @@
         return broken;
     }
 
-    /** A keyed request at one server, which is then killed, and its repeat at another, shown as they happen; whether they were alike. */
+    /**
+     * A keyed request at one server, which is then killed, and its repeat at another, shown as they
+     * happen; whether they were alike.
+     */
     boolean example(Consumer<String> out) throws Exception {
-        stage.raise((slot, body) -> {
-            ran(body);
-            out.accept("m" + slot + "'s processor runs " + body);
-        });
+        stage.raise(
+                (slot, body) -> {
+                    ran(body);
+                    out.accept("m" + slot + "'s processor runs " + body);
+                });
         String token = token("example");
         String first = until(1, token, token, how -> how.startsWith("succeeded"));
         out.accept("m1 answers: " + plain(first));
@@ -90,23 +107,37 @@
 
     private static String plain(String how) {
         int space = how.indexOf(' ');
-        return space < 0 ? how : how.substring(0, space) + ", " + new String(Base64.getDecoder().decode(how.substring(space + 1)), StandardCharsets.ISO_8859_1);
+        return space < 0
+                ? how
+                : how.substring(0, space)
+                        + ", "
+                        + new String(
+                                Base64.getDecoder().decode(how.substring(space + 1)),
+                                StandardCharsets.ISO_8859_1);
     }
 
     // ---- the cases
 
-    /** The keepers hear of its claim only when it is gone; once it is back its disk proves that nothing was begun. */
+    /**
+     * The keepers hear of its claim only when it is gone; once it is back its disk proves that
+     * nothing was begun.
+     */
     private void killedWithItsClaimOnTheWay() throws Exception {
         String token = token("claim on the way");
         stage.box(2).pause();
         stage.box(3).pause();
         ask(1, token, token);
-        Thread.sleep(AGAIN_MS / 4); // the claim is in the keepers' sockets by then, or it is not: both have to come out well
+        Thread.sleep(
+                AGAIN_MS / 4); // the claim is in the keepers' sockets by then, or it is not: both
+        // have to come out well
         stage.box(1).kill();
         stage.box(2).resume();
         stage.box(3).resume();
         String first = answer(ask(2, token, token));
-        need(token, !first.startsWith("succeeded") || runs(token) == 1, "the repeat elsewhere: " + first);
+        need(
+                token,
+                !first.startsWith("succeeded") || runs(token) == 1,
+                "the repeat elsewhere: " + first);
         restart(1);
         String second = until(2, token, token, how -> how.startsWith("succeeded"));
         need(token, second.startsWith("succeeded"), "once the owner is back: " + second);
@@ -132,13 +163,18 @@
         String first = until(1, token, token, how -> how.startsWith("succeeded"));
         need(token, first.startsWith("succeeded"), "the first: " + first);
         stage.box(1).kill();
-        for (int slot : new int[] {2, 3}) same(token, first, slot);
+        for (int slot : new int[] {2, 3}) {
+            same(token, first, slot);
+        }
         restart(1);
         same(token, first, 1);
         need(token, runs(token) == 1, "runs: " + runs(token));
     }
 
-    /** Killed in the moment in which its run ends: whatever it had told of that, all repeats are answered alike. */
+    /**
+     * Killed in the moment in which its run ends: whatever it had told of that, all repeats are
+     * answered alike.
+     */
     private void killedAsItEnds() throws Exception {
         String token = token("ends");
         begunAt(1, token);
@@ -148,7 +184,10 @@
         restart(1);
         for (int slot : new int[] {1, 2, 3}) {
             String how = until(slot, token, token, each -> !each.equals("throttled"));
-            need(token, how.equals(second) || !second.startsWith("succeeded"), "the repeat at " + slot + ": " + how + ", and before " + second);
+            need(
+                    token,
+                    how.equals(second) || !second.startsWith("succeeded"),
+                    "the repeat at " + slot + ": " + how + ", and before " + second);
         }
         need(token, runs(token) == 1, "runs: " + runs(token));
     }
@@ -162,7 +201,10 @@
         end.run();
         stage.box(1).resume();
         String late = answer(first);
-        need(token, !late.equals("throttled"), "the owner's own answer: " + late); // in time or not: it ran
+        need(
+                token,
+                !late.equals("throttled"),
+                "the owner's own answer: " + late); // in time or not: it ran
         String second = until(3, token, token, how -> how.startsWith("succeeded"));
         need(token, second.startsWith("succeeded"), "once it was let go: " + second);
         need(token, runs(token) == 1, "runs: " + runs(token));
@@ -175,10 +217,18 @@
         String first = answer(one);
         String second = answer(two);
         if (otherBody) {
-            need(token, !(first.startsWith("succeeded") && second.startsWith("succeeded")), "two bodies: " + first + ", " + second);
+            need(
+                    token,
+                    !(first.startsWith("succeeded") && second.startsWith("succeeded")),
+                    "two bodies: " + first + ", " + second);
         } else {
             String last = until(1, token, token, how -> how.startsWith("succeeded"));
-            for (String each : new String[] {first, second}) need(token, !each.startsWith("succeeded") || each.equals(last), "two at once: " + each + ", then " + last);
+            for (String each : new String[] {first, second}) {
+                need(
+                        token,
+                        !each.startsWith("succeeded") || each.equals(last),
+                        "two at once: " + each + ", then " + last);
+            }
             need(token, runs(token) == 1, "runs: " + runs(token));
         }
     }
@@ -189,7 +239,10 @@
         stage.box(1).longer = 60_000;
         String first = until(1, token, token, how -> how.startsWith("succeeded"));
         stage.box(1).longer = 0;
-        need(token, first.startsWith("succeeded") && first.length() > 60_000, "the first: " + first.length() + " characters");
+        need(
+                token,
+                first.startsWith("succeeded") && first.length() > 60_000,
+                "the first: " + first.length() + " characters");
         same(token, first, 2);
         stage.box(1).kill();
         same(token, first, 3);
@@ -197,34 +250,52 @@
         need(token, runs(token) == 1, "runs: " + runs(token));
     }
 
-    /** What is past its window when a cut heals is not brought back to life by the side that heard of it last. */
+    /**
+     * What is past its window when a cut heals is not brought back to life by the side that heard
+     * of it last.
+     */
     private void windowEndsInACut() throws Exception {
         String token = token("window ends in a cut");
         String first = until(1, token, token, how -> how.startsWith("succeeded"));
-        for (int slot : new int[] {1, 2, 3}) need(token, keeps(slot, token, true), "not kept at " + slot);
+        for (int slot : new int[] {1, 2, 3}) {
+            need(token, keeps(slot, token, true), "not kept at " + slot);
+        }
         stage.cut(Set.of(3));
-        for (int slot : new int[] {1, 2, 3}) need(token, keeps(slot, token, false), "kept past its window at " + slot);
+        for (int slot : new int[] {1, 2, 3}) {
+            need(token, keeps(slot, token, false), "kept past its window at " + slot);
+        }
         stage.cut(Set.of());
         stage.compared();
-        for (int slot : new int[] {1, 2, 3}) need(token, !keeps(slot, token), "back to life at " + slot);
+        for (int slot : new int[] {1, 2, 3}) {
+            need(token, !keeps(slot, token), "back to life at " + slot);
+        }
         need(token, runs(token) == 1, "runs: " + runs(token));
     }
 
     /** Within a bounded time: whether a server keeps something of the token, or no longer does. */
     private boolean keeps(int slot, String token, boolean wanted) throws Exception {
-        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L; System.nanoTime() < until; Thread.sleep(AGAIN_MS)) {
-            if (keeps(slot, token) == wanted) return true;
+        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L;
+                System.nanoTime() < until;
+                Thread.sleep(AGAIN_MS)) {
+            if (keeps(slot, token) == wanted) {
+                return true;
+            }
         }
         return false;
     }
 
     private boolean keeps(int slot, String token) {
         JsonNode told = stage.door(stage.box(slot), "copies-show", token);
-        if (told == null) broken.add(token + ": server " + slot + " did not tell what it keeps");
+        if (told == null) {
+            broken.add(token + ": server " + slot + " did not tell what it keeps");
+        }
         return told != null && told.path("claims").size() + told.path("ends").size() > 0;
     }
 
-    /** One server is to claim no more, and others still do: tokens of the fleet stay the fleet's there, and nothing runs unclaimed. */
+    /**
+     * One server is to claim no more, and others still do: tokens of the fleet stay the fleet's
+     * there, and nothing runs unclaimed.
+     */
     private void serverMode() throws Exception {
         String before = token("server mode, a token of the fleet");
         String first = until(1, before, before, how -> how.startsWith("succeeded"));
@@ -249,7 +320,10 @@
         String unsure = token("server mode, keepers that do not answer");
         stage.cut(Set.of(3));
         String apart = answer(ask(3, unsure, unsure));
-        need(unsure, apart.equals("throttled") && runs(unsure) == 0, "cut off from the keepers: " + apart);
+        need(
+                unsure,
+                apart.equals("throttled") && runs(unsure) == 0,
+                "cut off from the keepers: " + apart);
         stage.cut(Set.of());
         stage.box(3).kill();
         stage.box(3).mode = "fleet";
@@ -257,7 +331,10 @@
         until(3, token("server mode, over"), "over", each -> each.startsWith("succeeded"));
     }
 
-    /** A keeper's disk is full: the other two are a majority, and what the full one has said before is true behind it. */
+    /**
+     * A keeper's disk is full: the other two are a majority, and what the full one has said before
+     * is true behind it.
+     */
     private void diskFillsAsItRuns() throws Exception {
         String token = token("a keeper's disk is full");
         begunAt(1, token);
@@ -277,10 +354,18 @@
         String token = token("all killed");
         String first = until(1, token, token, how -> how.startsWith("succeeded"));
         need(token, first.startsWith("succeeded"), "the first: " + first);
-        for (int slot : new int[] {1, 2, 3}) stage.box(slot).kill();
-        for (int slot : new int[] {1, 2, 3}) stage.again(slot);
-        for (int slot : new int[] {1, 2, 3}) stage.box(slot).awaitPart();
-        for (int slot : new int[] {3, 2, 1}) same(token, first, slot);
+        for (int slot : new int[] {1, 2, 3}) {
+            stage.box(slot).kill();
+        }
+        for (int slot : new int[] {1, 2, 3}) {
+            stage.again(slot);
+        }
+        for (int slot : new int[] {1, 2, 3}) {
+            stage.box(slot).awaitPart();
+        }
+        for (int slot : new int[] {3, 2, 1}) {
+            same(token, first, slot);
+        }
         need(token, runs(token) == 1, "runs: " + runs(token));
     }
 
@@ -292,7 +377,9 @@
     }
 
     private void need(String token, boolean good, String what) {
-        if (!good) broken.add(token + ": " + what);
+        if (!good) {
+            broken.add(token + ": " + what);
+        }
     }
 
     private void ran(String token) {
@@ -308,30 +395,49 @@
         held.clear();
         stage.box(slot).ends = held::add;
         BlockingQueue<String> answer = ask(slot, token, token);
-        // A server that has just come back may throttle the first: nothing was begun then, and it is asked again.
-        for (int i = 0; i < WITHIN_S && (end = held.poll(1, TimeUnit.SECONDS)) == null; i++) if (!answer.isEmpty()) answer = ask(slot, token, token);
+        // A server that has just come back may throttle the first: nothing was begun then, and it
+        // is asked again.
+        for (int i = 0; i < WITHIN_S && (end = held.poll(1, TimeUnit.SECONDS)) == null; i++) {
+            if (!answer.isEmpty()) {
+                answer = ask(slot, token, token);
+            }
+        }
         stage.box(slot).ends = Runnable::run;
-        if (end == null) throw new IOException("nothing was begun");
+        if (end == null) {
+            throw new IOException("nothing was begun");
+        }
         return answer;
     }
 
     private void restart(int slot) throws Exception {
         stage.again(slot);
-        if (!stage.box(slot).awaitPart()) throw new IOException("server " + slot + " did not start");
+        if (!stage.box(slot).awaitPart()) {
+            throw new IOException("server " + slot + " did not start");
+        }
     }
 
     private void same(String token, String first, int slot) throws Exception {
         String how = until(slot, token, token, each -> each.startsWith("succeeded"));
-        need(token, how.equals(first), "the repeat at " + slot + ": " + (how.length() > 200 ? how.length() + " characters" : how));
+        need(
+                token,
+                how.equals(first),
+                "the repeat at "
+                        + slot
+                        + ": "
+                        + (how.length() > 200 ? how.length() + " characters" : how));
     }
 
     /** Asks again and again until an answer is as it has to become. */
-    private String until(int slot, String token, String body, Predicate<String> enough) throws Exception {
+    private String until(int slot, String token, String body, Predicate<String> enough)
+            throws Exception {
         String how = "nothing";
-        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L; System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L;
+                System.nanoTime() < until; ) {
             try {
                 how = answer(ask(slot, token, body));
-                if (enough.test(how)) return how;
+                if (enough.test(how)) {
+                    return how;
+                }
             } catch (IOException e) {
                 how = "no connection";
             }
@@ -349,18 +455,32 @@
         BlockingQueue<String> answer = new LinkedBlockingQueue<>();
         int number = numbers.incrementAndGet();
         Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), stage.box(slot).serves));
-        wire.send(Gateways.message(number, "order", Gateways.params(String.format("%016x", number), token, body)));
-        Thread reader = new Thread(() -> {
-            try (wire) {
-                String line = wire.line();
-                int at = line == null ? -1 : line.indexOf("\"data\":\"");
-                if (line == null) answer.add("broken");
-                else if (line.contains("\"result\"")) answer.add("succeeded " + line.substring(at + 8, line.indexOf('"', at + 8)));
-                else answer.add(line.contains("-32014") ? "throttled" : "errored");
-            } catch (IOException e) {
-                answer.add("broken");
-            }
-        }, "ask");
+        wire.send(
+                Gateways.message(
+                        number,
+                        "order",
+                        Gateways.params(String.format("%016x", number), token, body)));
+        Thread reader =
+                new Thread(
+                        () -> {
+                            try (wire) {
+                                String line = wire.line();
+                                int at = line == null ? -1 : line.indexOf("\"data\":\"");
+                                if (line == null) {
+                                    answer.add("broken");
+                                } else if (line.contains("\"result\"")) {
+                                    answer.add(
+                                            "succeeded "
+                                                    + line.substring(
+                                                            at + 8, line.indexOf('"', at + 8)));
+                                } else {
+                                    answer.add(line.contains("-32014") ? "throttled" : "errored");
+                                }
+                            } catch (IOException e) {
+                                answer.add("broken");
+                            }
+                        },
+                        "ask");
         reader.setDaemon(true);
         reader.start();
         return answer;
--- a/drill/src/main/java/ochretiller/drill/Watch.java
+++ b/drill/src/main/java/ochretiller/drill/Watch.java
@@ -14,6 +14,7 @@
 final class Watch {
     /** Asks on one connection, fewer than the server answers there. */
     private static final int ASKS = 90;
+
     private static final ObjectMapper JSON = new ObjectMapper();
     static final FleetKeys KEYS = FleetKeys.of("a key that only drills have");
 
@@ -53,7 +54,11 @@
                     Thread.sleep(everyMs);
                     continue;
                 }
-                try (FleetClient client = new FleetClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), "drill", KEYS)) {
+                try (FleetClient client =
+                        new FleetClient(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                                "drill",
+                                KEYS)) {
                     for (int i = 0; i < ASKS && !over && box.up && !box.paused; i++) {
                         look(JSON.readTree(client.ask("view")));
                         Thread.sleep(everyMs);
@@ -72,10 +77,14 @@
         String self = null;
         for (JsonNode each : view.get("members")) {
             next.put(each.get("start").asText(), each.get("state").asText());
-            if (each.get("self").asBoolean()) self = each.get("start").asText();
+            if (each.get("self").asBoolean()) {
+                self = each.get("start").asText();
+            }
         }
         String nextDigest = view.get("digest").asText();
-        if (next.equals(states) && nextDigest.equals(digest) && self.equals(start)) return;
+        if (next.equals(states) && nextDigest.equals(digest) && self.equals(start)) {
+            return;
+        }
         states = next;
         digest = nextDigest;
         start = self;
--- a/drill/src/test/java/ochretiller/drill/CheckerTest.java
+++ b/drill/src/test/java/ochretiller/drill/CheckerTest.java
@@ -13,17 +13,24 @@
 
 /** The checker finds each planted fault, and none where there is none. */
 class CheckerTest {
-    private final FleetScript script = FleetScriptFile.of("""
-        { seconds: 20, members: 3, incidents: [ { at_s: 4, what: 'kill', who: '3' } ],
-          expect: { settled_s: 8, false_verdicts: 0, changes_each: 1, value_share: 0.9 } }""", "s");
+    private final FleetScript script =
+            FleetScriptFile.of(
+                    """
+                    { seconds: 20, members: 3, incidents: [ { at_s: 4, what: 'kill', who: '3' } ],
+                      expect: { settled_s: 8, false_verdicts: 0, changes_each: 1, value_share: 0.9 } }\
+                    """,
+                    "s");
 
     private static Map<String, String> view(String... words) {
         Map<String, String> view = new TreeMap<>();
-        for (int i = 0; i < words.length; i += 2) view.put(words[i], words[i + 1]);
+        for (int i = 0; i < words.length; i += 2) {
+            view.put(words[i], words[i + 1]);
+        }
         return view;
     }
 
-    private static History.Event event(double at, History.What what, int slot, String id, String text) {
+    private static History.Event event(
+            double at, History.What what, int slot, String id, String text) {
         return new History.Event(at, what, slot, id, text, null);
     }
 
@@ -33,15 +40,21 @@
 
     private static List<History.Event> good() {
         List<History.Event> all = new ArrayList<>();
-        for (int i = 1; i <= 3; i++) all.add(event(1, History.What.STARTED, i, "s" + i, "m" + i));
-        for (int i = 1; i <= 3; i++) all.add(sees(1.5, i, "d1", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
+        for (int i = 1; i <= 3; i++) {
+            all.add(event(1, History.What.STARTED, i, "s" + i, "m" + i));
+        }
+        for (int i = 1; i <= 3; i++) {
+            all.add(sees(1.5, i, "d1", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
+        }
         for (int i = 1; i <= 10; i++) {
             all.add(event(2, History.What.ASKED, 1, "r" + i, "body" + i));
             all.add(event(2.1, History.What.RAN, 1, "body" + i, ""));
             all.add(event(2.2, History.What.ANSWERED, 1, "r" + i, "succeeded"));
         }
         all.add(event(4, History.What.KILLED, 3, "s3", ""));
-        for (int i = 1; i <= 2; i++) all.add(sees(6, i, "d2", "s1", "HERE", "s2", "HERE", "s3", "SILENT"));
+        for (int i = 1; i <= 2; i++) {
+            all.add(sees(6, i, "d2", "s1", "HERE", "s2", "HERE", "s3", "SILENT"));
+        }
         all.add(event(12, History.What.OVER, 0, "", ""));
         return all;
     }
@@ -50,7 +63,9 @@
         List<History.Event> events = good();
         plant.accept(events);
         events.sort(java.util.Comparator.comparingDouble(History.Event::atS));
-        assertThat(new Checker(script, events).broken()).as(rule).anyMatch(line -> line.startsWith(rule));
+        assertThat(new Checker(script, events).broken())
+                .as(rule)
+                .anyMatch(line -> line.startsWith(rule));
     }
 
     @Test
@@ -65,23 +80,62 @@
     @Test
     void eachPlantedFaultIsFound() {
         finds("settled", all -> all.removeIf(each -> each.atS() == 6 && each.slot() == 2));
-        finds("settled", all -> all.add(sees(11, 1, "d3", "s1", "HERE", "s2", "HERE", "s3", "SILENT")));
-        finds("settled", all -> all.add(sees(7, 2, "d2", "s1", "HERE", "s2", "HERE", "s3", "HERE")));
-        finds("verdicts", all -> all.add(sees(3, 1, "d3", "s1", "HERE", "s2", "SILENT", "s3", "HERE")));
-        finds("changes", all -> {
-            all.add(sees(3, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
-            all.add(sees(3.2, 1, "d", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
-            all.add(sees(3.4, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
-        });
+        finds(
+                "settled",
+                all -> all.add(sees(11, 1, "d3", "s1", "HERE", "s2", "HERE", "s3", "SILENT")));
+        finds(
+                "settled",
+                all -> all.add(sees(7, 2, "d2", "s1", "HERE", "s2", "HERE", "s3", "HERE")));
+        finds(
+                "verdicts",
+                all -> all.add(sees(3, 1, "d3", "s1", "HERE", "s2", "SILENT", "s3", "HERE")));
+        finds(
+                "changes",
+                all -> {
+                    all.add(sees(3, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
+                    all.add(sees(3.2, 1, "d", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
+                    all.add(sees(3.4, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
+                });
         finds("answers", all -> all.add(event(3, History.What.ANSWERED, 1, "r1", "throttled")));
-        finds("answers", all -> all.removeIf(each -> each.what() == History.What.ANSWERED && each.id().equals("r4")));
+        finds(
+                "answers",
+                all ->
+                        all.removeIf(
+                                each ->
+                                        each.what() == History.What.ANSWERED
+                                                && each.id().equals("r4")));
         finds("answers", all -> all.add(event(3, History.What.ANSWERED, 1, "r99", "succeeded")));
-        finds("answers", all -> all.replaceAll(each -> each.what() == History.What.ANSWERED && each.id().equals("r4")
-            ? event(9, each.what(), 1, "r4", "errored") : each));
+        finds(
+                "answers",
+                all ->
+                        all.replaceAll(
+                                each ->
+                                        each.what() == History.What.ANSWERED
+                                                        && each.id().equals("r4")
+                                                ? event(9, each.what(), 1, "r4", "errored")
+                                                : each));
         finds("twice", all -> all.add(event(3, History.What.RAN, 1, "body2", "")));
-        finds("explained", all -> all.removeIf(each -> each.what() == History.What.RAN && each.id().equals("body3")));
-        finds("value", all -> all.replaceAll(each -> each.what() == History.What.ANSWERED && each.id().compareTo("r5") > 0
-            ? event(each.atS(), each.what(), 1, each.id(), "throttled") : each));
+        finds(
+                "explained",
+                all ->
+                        all.removeIf(
+                                each ->
+                                        each.what() == History.What.RAN
+                                                && each.id().equals("body3")));
+        finds(
+                "value",
+                all ->
+                        all.replaceAll(
+                                each ->
+                                        each.what() == History.What.ANSWERED
+                                                        && each.id().compareTo("r5") > 0
+                                                ? event(
+                                                        each.atS(),
+                                                        each.what(),
+                                                        1,
+                                                        each.id(),
+                                                        "throttled")
+                                                : each));
     }
 
     @Test
--- a/drill/src/test/java/ochretiller/drill/DrillTest.java
+++ b/drill/src/test/java/ochretiller/drill/DrillTest.java
@@ -10,17 +10,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Short drills of packaged servers, with fixed seeds; their ends are seen in the views, not waited for by the clock. */
+/**
+ * Short drills of packaged servers, with fixed seeds; their ends are seen in the views, not waited
+ * for by the clock.
+ */
 class DrillTest {
-    private static final Path SCRIPTS = Path.of(System.getProperty("drill.root"), "emulator", "scripts", "fleet");
+    private static final Path SCRIPTS =
+            Path.of(System.getProperty("drill.root"), "emulator", "scripts", "fleet");
+
     /** A machine that is too busy to carry a script out is no verdict: it is played again. */
     private static final int TRIES = 3;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @ParameterizedTest
-    @ValueSource(strings = {"cut-heals", "returns", "while-healing", "copies/owner-killed", "copies/disks"})
+    @ValueSource(
+            strings = {
+                "cut-heals",
+                "returns",
+                "while-healing",
+                "copies/owner-killed",
+                "copies/disks"
+            })
     void comesOutAsTheScriptExpects(String name) throws Exception {
         FleetScript script = FleetScriptFile.read(SCRIPTS.resolve(name + ".json5"));
         Checker checker = null;
--- a/drill/src/test/java/ochretiller/drill/LoadTest.java
+++ b/drill/src/test/java/ochretiller/drill/LoadTest.java
@@ -21,35 +21,52 @@
 class LoadTest {
     private static final int SLOW_MS = 700;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
-    /** Every other connection is answered late, so that some are left behind by newer ones with requests still open. */
+    /**
+     * Every other connection is answered late, so that some are left behind by newer ones with
+     * requests still open.
+     */
     private static void answers(ServerSocket server) {
         AtomicInteger connections = new AtomicInteger();
-        Daemon.start(() -> {
-            while (!server.isClosed()) {
-                Socket socket = server.accept();
-                boolean slow = connections.getAndIncrement() % 2 == 0;
-                Daemon.start(() -> {
-                    try (Wire wire = new Wire(socket)) {
-                        for (String line = wire.line(); line != null; line = wire.line()) {
-                            int at = line.indexOf("\"id\":") + 5;
-                            String id = line.substring(at, line.indexOf(',', at));
-                            if (slow) Thread.sleep(SLOW_MS / 24);
-                            wire.send("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":{\"data\":\"\"}}\n");
-                        }
+        Daemon.start(
+                () -> {
+                    while (!server.isClosed()) {
+                        Socket socket = server.accept();
+                        boolean slow = connections.getAndIncrement() % 2 == 0;
+                        Daemon.start(
+                                () -> {
+                                    try (Wire wire = new Wire(socket)) {
+                                        for (String line = wire.line();
+                                                line != null;
+                                                line = wire.line()) {
+                                            int at = line.indexOf("\"id\":") + 5;
+                                            String id = line.substring(at, line.indexOf(',', at));
+                                            if (slow) {
+                                                Thread.sleep(SLOW_MS / 24);
+                                            }
+                                            wire.send(
+                                                    "{\"jsonrpc\":\"2.0\",\"id\":"
+                                                            + id
+                                                            + ",\"result\":{\"data\":\"\"}}\n");
+                                        }
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
     @Test
     void allThatWasAskedHasItsEndNoted() throws Exception {
         History history = new History(System.nanoTime());
-        Box box = new Box(new Plan.Slot(1, "m1", 1, 1), folder, history, (rid, operation, body) -> { });
-        try (ServerSocket server = new ServerSocket(box.serves, 50, InetAddress.getLoopbackAddress())) {
+        Box box =
+                new Box(
+                        new Plan.Slot(1, "m1", 1, 1),
+                        folder,
+                        history,
+                        (rid, operation, body) -> {});
+        try (ServerSocket server =
+                new ServerSocket(box.serves, 50, InetAddress.getLoopbackAddress())) {
             answers(server);
             box.up = true;
             for (int i = 0; i < 4; i++) {
@@ -64,8 +81,12 @@
         List<String> asked = new ArrayList<>();
         List<String> answered = new ArrayList<>();
         for (History.Event event : history.all()) {
-            if (event.what() == History.What.ASKED) asked.add(event.id());
-            if (event.what() == History.What.ANSWERED && event.text().startsWith("succeeded")) answered.add(event.id());
+            if (event.what() == History.What.ASKED) {
+                asked.add(event.id());
+            }
+            if (event.what() == History.What.ANSWERED && event.text().startsWith("succeeded")) {
+                answered.add(event.id());
+            }
         }
         assertThat(asked).hasSizeGreaterThan(100);
         assertThat(answered).hasSameSizeAs(asked);
--- a/drill/src/test/java/ochretiller/drill/StepsTest.java
+++ b/drill/src/test/java/ochretiller/drill/StepsTest.java
@@ -8,12 +8,11 @@
 
 /** Servers that are killed and paused at each step of an invocation. */
 class StepsTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @Test
     void eachStepComesOutAsItHasTo() throws Exception {
-        try (Steps steps = new Steps(folder, true, line -> { })) {
+        try (Steps steps = new Steps(folder, true, line -> {})) {
             assertThat(steps.play()).isEmpty();
         }
     }
--- a/drill/src/test/java/ochretiller/drill/VersionStepsTest.java
+++ b/drill/src/test/java/ochretiller/drill/VersionStepsTest.java
@@ -8,12 +8,11 @@
 
 /** Versions brought out to packaged servers, with a fault at a step of each. */
 class VersionStepsTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @Test
     void eachVersionComesOutAsItHasTo() throws Exception {
-        try (VersionSteps steps = new VersionSteps(folder, line -> { })) {
+        try (VersionSteps steps = new VersionSteps(folder, line -> {})) {
             assertThat(steps.play()).isEmpty();
         }
     }
--- a/emulator/src/main/java/ochretiller/emulator/Rehearse.java
+++ b/emulator/src/main/java/ochretiller/emulator/Rehearse.java
@@ -28,26 +28,45 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The rehearsal's command line. Exit codes: 0 good, 1 an expectation was missed or a rule broken, 2 wrong words or script. */
-@Command(name = "rehearse", mixinStandardHelpOptions = true, subcommands = FleetCommands.class, description = "Play incidents in virtual time round the server's decisions.")
+/**
+ * The rehearsal's command line. Exit codes: 0 good, 1 an expectation was missed or a rule broken, 2
+ * wrong words or script.
+ */
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        subcommands = FleetCommands.class,
+        description = "Play incidents in virtual time round the server's decisions.")
 final class Rehearse implements Runnable {
     private static final int MISSED = 1;
     private static final int WRONG = 2;
     private static final String SCRIPT = "The script, in JSON5.";
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** What all experiments share. */
     static final class Shared {
-        @Option(names = "--seed", defaultValue = "1", description = "First seed; ${DEFAULT-VALUE} by default.")
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "First seed; ${DEFAULT-VALUE} by default.")
         long seed;
-        @Option(names = "--seeds", defaultValue = "10", description = "Most seeds; ${DEFAULT-VALUE} by default.")
+
+        @Option(
+                names = "--seeds",
+                defaultValue = "10",
+                description = "Most seeds; ${DEFAULT-VALUE} by default.")
         int seeds;
-        @Option(names = "--within", defaultValue = "0", description = "Stop once half the interval of the value share is no wider.")
+
+        @Option(
+                names = "--within",
+                defaultValue = "0",
+                description = "Stop once half the interval of the value share is no wider.")
         double within;
+
         @Option(names = "--cores", description = "Runs at once; by default one a core.")
         Integer cores;
+
         @Option(names = "--out", description = "A folder for the report.")
         Path out;
 
@@ -61,23 +80,42 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Read a script and say whether it is good.")
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = "Read a script and say whether it is good.")
     int check(@Parameters(description = SCRIPT) Path script) {
         System.out.println("the script " + ScriptFile.read(script).name() + " is good");
         return 0;
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Play a script with some seeds.")
-    int run(@Parameters(description = SCRIPT) Path script, @CommandLine.Mixin Shared shared) throws Exception {
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Play a script with some seeds.")
+    int run(@Parameters(description = SCRIPT) Path script, @CommandLine.Mixin Shared shared)
+            throws Exception {
         return experiment(List.of("as written"), List.of(ScriptFile.read(script)), shared);
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true,
-        description = "Play a script beside others, or beside itself with other settings, on the same seeds.")
-    int compare(@Parameters(description = SCRIPT) Path script,
-                @Option(names = "--with", description = "What a variant has: fleet.cores=4,familyInfo.advert=window; may be given often.") List<String> with,
-                @Option(names = "--beside", description = "Another script; may be given often.") List<Path> beside,
-                @CommandLine.Mixin Shared shared) throws Exception {
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Play a script beside others, or beside itself with other settings, on the same"
+                            + " seeds.")
+    int compare(
+            @Parameters(description = SCRIPT) Path script,
+            @Option(
+                            names = "--with",
+                            description =
+                                    "What a variant has: fleet.cores=4,familyInfo.advert=window;"
+                                            + " may be given often.")
+                    List<String> with,
+            @Option(names = "--beside", description = "Another script; may be given often.")
+                    List<Path> beside,
+            @CommandLine.Mixin Shared shared)
+            throws Exception {
         Script first = ScriptFile.read(script);
         List<String> names = new ArrayList<>(List.of(first.name()));
         List<Script> scripts = new ArrayList<>(List.of(first));
@@ -89,15 +127,28 @@
             scripts.add(ScriptFile.read(other));
             names.add(scripts.get(scripts.size() - 1).name());
         }
-        if (scripts.size() < 2) throw new MalformedException("nothing to compare with: --with or --beside");
+        if (scripts.size() < 2) {
+            throw new MalformedException("nothing to compare with: --with or --beside");
+        }
         return experiment(names, scripts, shared);
     }
 
-    @Command(name = "sweep", mixinStandardHelpOptions = true, description = "Play a script with several values of one setting.")
-    int sweep(@Parameters(description = SCRIPT) Path script,
-              @Option(names = "--setting", required = true, description = "Its name: gateways.choice, or one of the server's settings.") String setting,
-              @Option(names = "--values", required = true, split = ",", description = "Its values.") List<String> values,
-              @CommandLine.Mixin Shared shared) throws Exception {
+    @Command(
+            name = "sweep",
+            mixinStandardHelpOptions = true,
+            description = "Play a script with several values of one setting.")
+    int sweep(
+            @Parameters(description = SCRIPT) Path script,
+            @Option(
+                            names = "--setting",
+                            required = true,
+                            description =
+                                    "Its name: gateways.choice, or one of the server's settings.")
+                    String setting,
+            @Option(names = "--values", required = true, split = ",", description = "Its values.")
+                    List<String> values,
+            @CommandLine.Mixin Shared shared)
+            throws Exception {
         List<String> names = new ArrayList<>();
         List<Script> scripts = new ArrayList<>();
         for (String value : values) {
@@ -107,31 +158,62 @@
         return experiment(names, scripts, shared);
     }
 
-    private static int experiment(List<String> names, List<Script> scripts, Shared shared) throws Exception {
-        Experiment experiment = new Experiment(scripts, shared.seed, shared.seeds, shared.within, Outcome::valueShare);
+    private static int experiment(List<String> names, List<Script> scripts, Shared shared)
+            throws Exception {
+        Experiment experiment =
+                new Experiment(
+                        scripts, shared.seed, shared.seeds, shared.within, Outcome::valueShare);
         long began = System.nanoTime();
         try (Runs runs = new Runs(shared.cores())) {
             int round = Math.max(1, shared.cores() / scripts.size());
-            experiment.play(runs, round, said -> {
-                double spent = (System.nanoTime() - began) / 1e9;
-                double left = spent / Math.max(1, experiment.seeds()) * (shared.seeds - experiment.seeds());
-                System.err.printf(Locale.ROOT, "%s, %.0f s spent, at most %.0f s left%n", said, spent, left);
-            });
+            experiment.play(
+                    runs,
+                    round,
+                    said -> {
+                        double spent = (System.nanoTime() - began) / 1e9;
+                        double left =
+                                spent
+                                        / Math.max(1, experiment.seeds())
+                                        * (shared.seeds - experiment.seeds());
+                        System.err.printf(
+                                Locale.ROOT,
+                                "%s, %.0f s spent, at most %.0f s left%n",
+                                said,
+                                spent,
+                                left);
+                    });
         }
         int missed = 0;
-        for (int v = 0; v < names.size(); v++) missed += tell(System.out, experiment, names, v, shared.seed);
-        if (shared.out != null) new Report(shared.out, experiment, names, scripts, shared.seed).write();
+        for (int v = 0; v < names.size(); v++) {
+            missed += tell(System.out, experiment, names, v, shared.seed);
+        }
+        if (shared.out != null) {
+            new Report(shared.out, experiment, names, scripts, shared.seed).write();
+        }
         return missed == 0 ? 0 : MISSED;
     }
 
-    private static int tell(PrintStream out, Experiment experiment, List<String> names, int variant, long seed) {
+    private static int tell(
+            PrintStream out, Experiment experiment, List<String> names, int variant, long seed) {
         out.println(names.get(variant));
-        Report.FIGURES.forEach((name, figure) -> {
-            Estimate difference = variant == 0 ? null : experiment.difference(variant, figure);
-            out.printf(Locale.ROOT, "  %-14s %s%s%n", name, experiment.estimate(variant, figure), difference == null ? ""
-                : String.format(Locale.ROOT, "   difference %+.4f ± %.4f, chance %.3f", difference.mean(), difference.half(),
-                    experiment.chance(variant, figure)));
-        });
+        Report.FIGURES.forEach(
+                (name, figure) -> {
+                    Estimate difference =
+                            variant == 0 ? null : experiment.difference(variant, figure);
+                    out.printf(
+                            Locale.ROOT,
+                            "  %-14s %s%s%n",
+                            name,
+                            experiment.estimate(variant, figure),
+                            difference == null
+                                    ? ""
+                                    : String.format(
+                                            Locale.ROOT,
+                                            "   difference %+.4f ± %.4f, chance %.3f",
+                                            difference.mean(),
+                                            difference.half(),
+                                            experiment.chance(variant, figure)));
+                });
         int missed = 0;
         for (int i = 0; i < experiment.seeds(); i++) {
             for (String line : experiment.outcomes(variant).get(i).missed()) {
@@ -142,49 +224,104 @@
         return missed;
     }
 
-    @Command(name = "replay", mixinStandardHelpOptions = true, description = "Play one seed and tell all that it shows.")
-    int replay(@Parameters(description = SCRIPT) Path file, @Option(names = "--seed", required = true) long seed) {
+    @Command(
+            name = "replay",
+            mixinStandardHelpOptions = true,
+            description = "Play one seed and tell all that it shows.")
+    int replay(
+            @Parameters(description = SCRIPT) Path file,
+            @Option(names = "--seed", required = true) long seed) {
         Script script = ScriptFile.read(file);
         long began = System.nanoTime();
         Outcome outcome = new World(script, seed).play();
         double spent = (System.nanoTime() - began) / 1e9;
-        Report.FIGURES.forEach((name, figure) -> System.out.printf(Locale.ROOT, "%-14s %.4f%n", name, figure.applyAsDouble(outcome)));
-        outcome.byOperation().forEach((name, all) -> System.out.printf(Locale.ROOT,
-            "%-14s asked %d, succeeded %d, throttled %d, errored %d, timed out %d, value %.3f%n", name, all.asked, all.succeeded,
-            all.throttled, all.errored, all.timedOut, all.offered == 0 ? 1 : all.earned / all.offered));
-        System.out.printf(Locale.ROOT, "read %d, answered %d, run %d; calls %d, falls of the records service %d%n", outcome.rules().reads(),
-            outcome.rules().answers(), outcome.rules().runs(), outcome.calls(), outcome.falls());
-        System.out.printf(Locale.ROOT, "%d events, %.0f times real time%n", outcome.events(), script.seconds() / spent);
+        Report.FIGURES.forEach(
+                (name, figure) ->
+                        System.out.printf(
+                                Locale.ROOT, "%-14s %.4f%n", name, figure.applyAsDouble(outcome)));
+        outcome.byOperation()
+                .forEach(
+                        (name, all) ->
+                                System.out.printf(
+                                        Locale.ROOT,
+                                        "%-14s asked %d, succeeded %d, throttled %d, errored %d,"
+                                                + " timed out %d, value %.3f%n",
+                                        name,
+                                        all.asked,
+                                        all.succeeded,
+                                        all.throttled,
+                                        all.errored,
+                                        all.timedOut,
+                                        all.offered == 0 ? 1 : all.earned / all.offered));
+        System.out.printf(
+                Locale.ROOT,
+                "read %d, answered %d, run %d; calls %d, falls of the records service %d%n",
+                outcome.rules().reads(),
+                outcome.rules().answers(),
+                outcome.rules().runs(),
+                outcome.calls(),
+                outcome.falls());
+        System.out.printf(
+                Locale.ROOT,
+                "%d events, %.0f times real time%n",
+                outcome.events(),
+                script.seconds() / spent);
         outcome.rules().broken().forEach(System.out::println);
         return outcome.missed().isEmpty() ? 0 : MISSED;
     }
 
-    @Command(name = "hunt", mixinStandardHelpOptions = true,
-        description = "Draw incidents round a script's fleet, hunt for broken rules and the greatest loss, cut the find down.")
-    int hunt(@Parameters(description = SCRIPT) Path file, @Option(names = "--seed", defaultValue = "1") long seed,
-             @Option(names = "--tries", defaultValue = "100") int tries,
-             @Option(names = "--cores", description = "Runs at once; by default one a core.") Integer atOnce,
-             @Option(names = "--save", description = "Where the found script goes.") Path save) throws Exception {
+    @Command(
+            name = "hunt",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Draw incidents round a script's fleet, hunt for broken rules and the greatest"
+                            + " loss, cut the find down.")
+    int hunt(
+            @Parameters(description = SCRIPT) Path file,
+            @Option(names = "--seed", defaultValue = "1") long seed,
+            @Option(names = "--tries", defaultValue = "100") int tries,
+            @Option(names = "--cores", description = "Runs at once; by default one a core.")
+                    Integer atOnce,
+            @Option(names = "--save", description = "Where the found script goes.") Path save)
+            throws Exception {
         Script base = ScriptFile.read(file);
         int cores = atOnce == null ? Runtime.getRuntime().availableProcessors() : atOnce;
         try (Runs runs = new Runs(cores)) {
             Hunt hunt = new Hunt(runs, base, seed);
             Hunt.Find found = hunt.search(tries, cores * 2, System.err::println);
             Hunt.Find cut = hunt.cut(found, System.err::println);
-            System.out.printf(Locale.ROOT, "%s, seed %d, value %.4f%n", cut.broken() ? "a rule is broken: " + cut.line() : "greatest loss", cut.seed(),
-                cut.value());
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s, seed %d, value %.4f%n",
+                    cut.broken() ? "a rule is broken: " + cut.line() : "greatest loss",
+                    cut.seed(),
+                    cut.value());
             for (Script.Incident each : cut.script().incidents()) {
-                System.out.printf(Locale.ROOT, "  { at_s: %s, for_s: %s, what: '%s', share: %s, strength: %s },%n", each.atS(), each.forS(),
-                    each.what(), each.share(), each.strength());
+                System.out.printf(
+                        Locale.ROOT,
+                        "  { at_s: %s, for_s: %s, what: '%s', share: %s, strength: %s },%n",
+                        each.atS(),
+                        each.forS(),
+                        each.what(),
+                        each.share(),
+                        each.strength());
+            }
+            if (save != null) {
+                save(file, cut, save);
             }
-            if (save != null) save(file, cut, save);
             return cut.broken() ? MISSED : 0;
         }
     }
 
-    @Command(name = "sizes", mixinStandardHelpOptions = true,
-        description = "Events a second and memory by the size of the fleet, on one core; as CSV.")
-    int sizes(@Parameters(description = SCRIPT) Path file, @Option(names = "--boxes", split = ",", defaultValue = "10,100,1000") List<Integer> boxes) {
+    @Command(
+            name = "sizes",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Events a second and memory by the size of the fleet, on one core; as CSV.")
+    int sizes(
+            @Parameters(description = SCRIPT) Path file,
+            @Option(names = "--boxes", split = ",", defaultValue = "10,100,1000")
+                    List<Integer> boxes) {
         Script base = ScriptFile.read(file);
         System.out.println("boxes,events,events a second,times real time,MB");
         for (int pass = 0; pass < 2; pass++) { // the first makes the code warm
@@ -197,18 +334,31 @@
                 System.gc();
                 long used = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
                 if (pass > 0) {
-                    System.out.printf(Locale.ROOT, "%d,%d,%.0f,%.2f,%d%n", count, outcome.events(), outcome.events() / spent, script.seconds() / spent,
-                        used >> 20);
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%d,%d,%.0f,%.2f,%d%n",
+                            count,
+                            outcome.events(),
+                            outcome.events() / spent,
+                            script.seconds() / spent,
+                            used >> 20);
+                }
+                if (world.time() < script.seconds()) {
+                    throw new IllegalStateException(
+                            "it ended early"); // keeps the world alive to here
                 }
-                if (world.time() < script.seconds()) throw new IllegalStateException("it ended early"); // keeps the world alive to here
             }
         }
         return 0;
     }
 
-    /** The script as it stands in its file, with the incidents that were found in the place of its own. */
+    /**
+     * The script as it stands in its file, with the incidents that were found in the place of its
+     * own.
+     */
     private static void save(Path file, Hunt.Find found, Path to) throws IOException {
-        ObjectMapper mapper = JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
+        ObjectMapper mapper =
+                JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
         Map<String, Object> root = ScriptFile.members(file);
         List<Object> incidents = new ArrayList<>();
         for (Script.Incident each : found.script().incidents()) {
@@ -221,20 +371,32 @@
             incidents.add(incident);
         }
         root.put("incidents", incidents);
-        Files.writeString(to, "// Found by a hunt; replay with --seed " + found.seed() + ".\n" + mapper.writeValueAsString(root) + "\n");
+        Files.writeString(
+                to,
+                "// Found by a hunt; replay with --seed "
+                        + found.seed()
+                        + ".\n"
+                        + mapper.writeValueAsString(root)
+                        + "\n");
     }
 
     /** The exit code; what went wrong is told in one line. */
     static int execute(String... words) {
         CommandLine line = new CommandLine(new Rehearse());
-        line.setExecutionExceptionHandler((fault, command, parsed) -> told(fault, () -> {
-            throw fault;
-        }));
+        line.setExecutionExceptionHandler(
+                (fault, command, parsed) ->
+                        told(
+                                fault,
+                                () -> {
+                                    throw fault;
+                                }));
         return line.execute(words);
     }
 
     private static int told(Exception fault, Callable<Integer> otherwise) throws Exception {
-        if (!(fault instanceof MalformedException)) return otherwise.call();
+        if (!(fault instanceof MalformedException)) {
+            return otherwise.call();
+        }
         System.err.println("rehearse: " + fault.getMessage());
         return WRONG;
     }
--- a/emulator/src/main/java/ochretiller/emulator/core/Events.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/Events.java
@@ -3,7 +3,9 @@
 import java.time.Duration;
 import java.util.PriorityQueue;
 
-/** What is to happen, in the order of its time and, at one time, in the order in which it was said. */
+/**
+ * What is to happen, in the order of its time and, at one time, in the order in which it was said.
+ */
 public final class Events {
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
     private long numbers;
@@ -66,7 +68,9 @@
         long until = (long) (untilSeconds * 1e9);
         while (!queue.isEmpty() && queue.peek().at <= until) {
             Event event = queue.poll();
-            if (event.work == null) continue;
+            if (event.work == null) {
+                continue;
+            }
             now = event.at;
             done++;
             event.work.run();
--- a/emulator/src/main/java/ochretiller/emulator/core/Seeds.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/Seeds.java
@@ -2,11 +2,17 @@
 
 import java.util.SplittableRandom;
 
-/** Chance for each part by its name: one part more, or one that draws more often, changes nothing for the others. */
+/**
+ * Chance for each part by its name: one part more, or one that draws more often, changes nothing
+ * for the others.
+ */
 public record Seeds(long seed) {
     public SplittableRandom of(String part) {
-        long hash = 0xcbf29ce484222325L; // FNV-1a: names that differ in one character are far apart behind the mixing below
-        for (int i = 0; i < part.length(); i++) hash = (hash ^ part.charAt(i)) * 0x100000001b3L;
+        long hash = 0xcbf29ce484222325L; // FNV-1a: names that differ in one character are far apart
+        // behind the mixing below
+        for (int i = 0; i < part.length(); i++) {
+            hash = (hash ^ part.charAt(i)) * 0x100000001b3L;
+        }
         return new SplittableRandom(new SplittableRandom(seed ^ hash).nextLong());
     }
 
@@ -17,8 +23,11 @@
 
     /** Log-normal by its mean and the spread of its logarithm; no spread, no chance. */
     public static double around(SplittableRandom chance, double mean, double spread) {
-        if (spread == 0) return mean;
-        // Box and Muller's polar form, one of its two; drawn anew each time so that draws do not depend on one another.
+        if (spread == 0) {
+            return mean;
+        }
+        // Box and Muller's polar form, one of its two; drawn anew each time so that draws do not
+        // depend on one another.
         double x;
         double square;
         do {
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Estimate.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Estimate.java
@@ -17,18 +17,27 @@
         SummaryStatistics sums = new SummaryStatistics();
         values.forEach(sums::addValue);
         long n = sums.getN();
-        if (n < 2) return new Estimate(n == 0 ? Double.NaN : sums.getMean(), Double.POSITIVE_INFINITY, n);
+        if (n < 2) {
+            return new Estimate(n == 0 ? Double.NaN : sums.getMean(), Double.POSITIVE_INFINITY, n);
+        }
         double t = new TDistribution(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2);
         return new Estimate(sums.getMean(), t * sums.getStandardDeviation() / Math.sqrt(n), n);
     }
 
-    /** Chance of so large a mean of paired differences, or a larger one, where there is none; two-sided. */
+    /**
+     * Chance of so large a mean of paired differences, or a larger one, where there is none;
+     * two-sided.
+     */
     public static double chance(List<Double> differences) {
         SummaryStatistics sums = new SummaryStatistics();
         differences.forEach(sums::addValue);
         long n = sums.getN();
-        if (n < 2) return 1;
-        if (sums.getStandardDeviation() == 0) return sums.getMean() == 0 ? 1 : 0;
+        if (n < 2) {
+            return 1;
+        }
+        if (sums.getStandardDeviation() == 0) {
+            return sums.getMean() == 0 ? 1 : 0;
+        }
         double t = sums.getMean() / (sums.getStandardDeviation() / Math.sqrt(n));
         return 2 * new TDistribution(n - 1).cumulativeProbability(-Math.abs(t));
     }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
@@ -8,8 +8,8 @@
 import ochretiller.emulator.world.Outcome;
 
 /**
- * Variants of a script on the same seeds, so that the same chance meets each, until the differences from the first are known
- * well enough or the seeds are spent.
+ * Variants of a script on the same seeds, so that the same chance meets each, until the differences
+ * from the first are known well enough or the seeds are spent.
  */
 public final class Experiment {
     /** Seeds that are played before the interval is looked at: fewer make it too narrow by luck. */
@@ -26,29 +26,43 @@
      * An experiment that has not begun.
      *
      * @param halfWidth half of an interval's width that is narrow enough; zero to play all seeds
-     * @param figure    what is compared, for stopping
+     * @param figure what is compared, for stopping
      */
-    public Experiment(List<Script> variants, long firstSeed, int mostSeeds, double halfWidth, ToDoubleFunction<Outcome> figure) {
+    public Experiment(
+            List<Script> variants,
+            long firstSeed,
+            int mostSeeds,
+            double halfWidth,
+            ToDoubleFunction<Outcome> figure) {
         this.variants = List.copyOf(variants);
         this.firstSeed = firstSeed;
         this.mostSeeds = mostSeeds;
         this.halfWidth = halfWidth;
         this.figure = figure;
-        for (int i = 0; i < variants.size(); i++) outcomes.add(new ArrayList<>());
+        for (int i = 0; i < variants.size(); i++) {
+            outcomes.add(new ArrayList<>());
+        }
     }
 
     /**
-     * Plays rounds of as many seeds as there are cores for. The number of seeds that count follows from their outcomes alone:
-     * whether to go on is asked after each seed in turn, whatever was played beyond it.
+     * Plays rounds of as many seeds as there are cores for. The number of seeds that count follows
+     * from their outcomes alone: whether to go on is asked after each seed in turn, whatever was
+     * played beyond it.
      */
     public void play(Runs runs, int round, Consumer<String> progress) throws InterruptedException {
-        for (int seeds = 0; seeds < mostSeeds;) {
+        for (int seeds = 0; seeds < mostSeeds; ) {
             int more = Math.min(round, mostSeeds - seeds);
             List<Runs.Run> next = new ArrayList<>();
-            for (int i = 0; i < more; i++) for (Script variant : variants) next.add(new Runs.Run(variant, firstSeed + seeds + i));
+            for (int i = 0; i < more; i++) {
+                for (Script variant : variants) {
+                    next.add(new Runs.Run(variant, firstSeed + seeds + i));
+                }
+            }
             List<Outcome> played = runs.play(next);
             for (int i = 0; i < more; i++) {
-                for (int v = 0; v < variants.size(); v++) outcomes.get(v).add(played.get(i * variants.size() + v));
+                for (int v = 0; v < variants.size(); v++) {
+                    outcomes.get(v).add(played.get(i * variants.size() + v));
+                }
                 seeds++;
                 if (narrow(seeds)) {
                     progress.accept(seeds + " seeds: narrow enough");
@@ -60,9 +74,17 @@
     }
 
     private boolean narrow(int seeds) {
-        if (halfWidth <= 0 || seeds < FEWEST) return false;
-        if (variants.size() == 1) return estimate(0, figure).half() <= halfWidth;
-        for (int v = 1; v < variants.size(); v++) if (difference(v, figure).half() > halfWidth) return false;
+        if (halfWidth <= 0 || seeds < FEWEST) {
+            return false;
+        }
+        if (variants.size() == 1) {
+            return estimate(0, figure).half() <= halfWidth;
+        }
+        for (int v = 1; v < variants.size(); v++) {
+            if (difference(v, figure).half() > halfWidth) {
+                return false;
+            }
+        }
         return true;
     }
 
@@ -75,13 +97,16 @@
     }
 
     public Estimate estimate(int variant, ToDoubleFunction<Outcome> of) {
-        return Estimate.of(outcomes.get(variant).stream().map(each -> of.applyAsDouble(each)).toList());
+        return Estimate.of(
+                outcomes.get(variant).stream().map(each -> of.applyAsDouble(each)).toList());
     }
 
     private List<Double> differences(int variant, ToDoubleFunction<Outcome> of) {
         List<Double> differences = new ArrayList<>();
         for (int i = 0; i < seeds(); i++) {
-            differences.add(of.applyAsDouble(outcomes.get(variant).get(i)) - of.applyAsDouble(outcomes.get(0).get(i)));
+            differences.add(
+                    of.applyAsDouble(outcomes.get(variant).get(i))
+                            - of.applyAsDouble(outcomes.get(0).get(i)));
         }
         return differences;
     }
@@ -97,7 +122,11 @@
 
     /** The seed of the first run of a variant that broke a rule, or null. */
     public Long broken(int variant) {
-        for (int i = 0; i < seeds(); i++) if (outcomes.get(variant).get(i).rules().count() > 0) return firstSeed + i;
+        for (int i = 0; i < seeds(); i++) {
+            if (outcomes.get(variant).get(i).rules().count() > 0) {
+                return firstSeed + i;
+            }
+        }
         return null;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Runs.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Runs.java
@@ -10,31 +10,41 @@
 import ochretiller.emulator.world.Outcome;
 import ochretiller.emulator.world.World;
 
-/** Plays scripts on cores of their own. A run shares nothing with another, so that order and number of threads change nothing. */
+/**
+ * Plays scripts on cores of their own. A run shares nothing with another, so that order and number
+ * of threads change nothing.
+ */
 public final class Runs implements AutoCloseable {
     private final ExecutorService threads;
 
     public Runs(int cores) {
-        threads = Executors.newFixedThreadPool(cores, work -> {
-            Thread thread = new Thread(work, "run");
-            thread.setDaemon(true);
-            return thread;
-        });
+        threads =
+                Executors.newFixedThreadPool(
+                        cores,
+                        work -> {
+                            Thread thread = new Thread(work, "run");
+                            thread.setDaemon(true);
+                            return thread;
+                        });
     }
 
     /** One run. */
-    public record Run(Script script, long seed) {
-    }
+    public record Run(Script script, long seed) {}
 
     /** The outcomes of all, in the order of the runs. */
     public List<Outcome> play(List<Run> runs) throws InterruptedException {
         List<Future<Outcome>> playing = new ArrayList<>();
-        for (Run run : runs) playing.add(threads.submit(() -> new World(run.script, run.seed).play()));
+        for (Run run : runs) {
+            playing.add(threads.submit(() -> new World(run.script, run.seed).play()));
+        }
         List<Outcome> outcomes = new ArrayList<>();
         try {
-            for (Future<Outcome> each : playing) outcomes.add(each.get());
+            for (Future<Outcome> each : playing) {
+                outcomes.add(each.get());
+            }
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run has failed: seed " + runs.get(outcomes.size()).seed, e.getCause());
+            throw new IllegalStateException(
+                    "a run has failed: seed " + runs.get(outcomes.size()).seed, e.getCause());
         }
         return outcomes;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ClaimsModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ClaimsModel.java
@@ -15,25 +15,33 @@
 import ochretiller.fleet.epochs.Layout;
 
 /**
- * Two servers that are asked for one token at once, three keepers, and a change of epoch that puts a fourth in the place of one.
- * Any message may come at any time or never; any server may learn of the epoch at any time, be ended for good, and a keeper may
- * come back with its disk or without it. At most one run is ever begun, and all that is said to have ended has ended so.
+ * Two servers that are asked for one token at once, three keepers, and a change of epoch that puts
+ * a fourth in the place of one. Any message may come at any time or never; any server may learn of
+ * the epoch at any time, be ended for good, and a keeper may come back with its disk or without it.
+ * At most one run is ever begun, and all that is said to have ended has ended so.
  */
 public final class ClaimsModel implements Model {
     private static final String TOKEN = "token";
     private static final Duration WINDOW = Duration.ofSeconds(60);
     private static final Duration DUE = Duration.ofSeconds(10);
+
     /** One look at the clock: a question is said again by then. */
     private static final Duration STEP = Duration.ofMillis(310);
+
     private static final int SERVERS = 2;
     private static final int KEEPERS = 4;
+
     /** Messages under way at once; what comes on top is lost. */
     private static final int UNDER_WAY = 14;
+
     private static final int SETTLES = 60;
     private static final List<Layout.Server> THREE = List.of(server(0), server(1), server(2));
+
     /** Reckoned once: each path is played anew. */
     private static final Layout FIRST = new Layout(1, THREE, List.of(), 3);
-    private static final Layout SECOND = new Layout(2, List.of(server(0), server(1), server(3)), THREE, 3);
+
+    private static final Layout SECOND =
+            new Layout(2, List.of(server(0), server(1), server(3)), THREE, 3);
 
     private final int crashes;
     private final boolean planted;
@@ -49,24 +57,42 @@
     private int crashed;
     private String broken;
 
-    private record Sent(String from, String to, CopyMessage message) {
-    }
+    private record Sent(String from, String to, CopyMessage message) {}
 
     /**
      * @param crashes ends of servers and returns of keepers, at most
-     * @param planted whether keepers forget what they granted when they come back, which has to be found
+     * @param planted whether keepers forget what they granted when they come back, which has to be
+     *     found
      */
     public ClaimsModel(int crashes, boolean planted) {
         this.crashes = crashes;
         this.planted = planted;
-        for (int i = 0; i < KEEPERS; i++) keepers[i] = new Keeper("k" + i, new Keeper.Disk(FIRST, Map.of()), FIRST, 100, WINDOW, Duration.ZERO);
-        for (int i = 0; i < clocks.length; i++) clocks[i] = Duration.ZERO;
+        for (int i = 0; i < KEEPERS; i++) {
+            keepers[i] =
+                    new Keeper(
+                            "k" + i,
+                            new Keeper.Disk(FIRST, Map.of()),
+                            FIRST,
+                            100,
+                            WINDOW,
+                            Duration.ZERO);
+        }
+        for (int i = 0; i < clocks.length; i++) {
+            clocks[i] = Duration.ZERO;
+        }
         for (int i = 0; i < SERVERS; i++) {
             int server = i;
             servers[i] = new Claims("s" + i, 1, FIRST, new Fixed());
             running.add(null);
             verdicts.add("");
-            servers[i].claim(TOKEN, "body", false, DUE, WINDOW, Duration.ZERO, verdict -> told(server, verdict));
+            servers[i].claim(
+                    TOKEN,
+                    "body",
+                    false,
+                    DUE,
+                    WINDOW,
+                    Duration.ZERO,
+                    verdict -> told(server, verdict));
             take(i);
         }
     }
@@ -79,18 +105,28 @@
         verdicts.set(server, verdict.what().name());
         if (verdict.what() == Verdict.What.RUN) {
             running.set(server, verdict);
-            if (++runs > 1) broken = "two runs";
-        } else if (verdict.what() == Verdict.What.REPLAY && !results.contains(verdict.outcome().result())) {
+            if (++runs > 1) {
+                broken = "two runs";
+            }
+        } else if (verdict.what() == Verdict.What.REPLAY
+                && !results.contains(verdict.outcome().result())) {
             broken = "replayed what never was: " + verdict.outcome();
         }
     }
 
     private void take(int node) {
         String name = node < SERVERS ? "s" + node : "k" + (node - SERVERS);
-        for (Keeper.Out out : node < SERVERS ? servers[node].outs() : keepers[node - SERVERS].outs()) {
-            // Only the first keeper that is asked for a range that nobody has changed matters here: other ranges stay empty.
-            if (out.message() instanceof CopyMessage.Fetch fetch && fetch.range() != Layout.range(TOKEN)) continue;
-            if (underWay.size() < UNDER_WAY) underWay.add(new Sent(name, out.to(), out.message()));
+        for (Keeper.Out out :
+                node < SERVERS ? servers[node].outs() : keepers[node - SERVERS].outs()) {
+            // Only the first keeper that is asked for a range that nobody has changed matters here:
+            // other ranges stay empty.
+            if (out.message() instanceof CopyMessage.Fetch fetch
+                    && fetch.range() != Layout.range(TOKEN)) {
+                continue;
+            }
+            if (underWay.size() < UNDER_WAY) {
+                underWay.add(new Sent(name, out.to(), out.message()));
+            }
         }
     }
 
@@ -98,8 +134,13 @@
         Sent sent = underWay.remove(which);
         int number = sent.to.charAt(1) - '0';
         if (sent.to.charAt(0) == 's') {
-            if (dead[number]) return;
-            if (sent.message instanceof CopyMessage.Answer answer && answer.word() == CopyMessage.Word.STALE) servers[number].become(SECOND, clocks[number]);
+            if (dead[number]) {
+                return;
+            }
+            if (sent.message instanceof CopyMessage.Answer answer
+                    && answer.word() == CopyMessage.Word.STALE) {
+                servers[number].become(SECOND, clocks[number]);
+            }
             servers[number].received(sent.from, sent.message, clocks[number]);
             take(number);
         } else {
@@ -110,14 +151,20 @@
 
     private void time(int node) {
         clocks[node] = clocks[node].plus(STEP);
-        if (node < SERVERS) servers[node].tick(clocks[node]);
-        else keepers[node - SERVERS].tick(clocks[node]);
+        if (node < SERVERS) {
+            servers[node].tick(clocks[node]);
+        } else {
+            keepers[node - SERVERS].tick(clocks[node]);
+        }
         take(node);
     }
 
     private void learn(int node) {
-        if (node < SERVERS) servers[node].become(SECOND, clocks[node]);
-        else keepers[node - SERVERS].become(SECOND, clocks[node]);
+        if (node < SERVERS) {
+            servers[node].become(SECOND, clocks[node]);
+        } else {
+            keepers[node - SERVERS].become(SECOND, clocks[node]);
+        }
         take(node);
     }
 
@@ -125,51 +172,77 @@
         Verdict verdict = running.set(server, null);
         String result = "by s" + server;
         results.add(result);
-        servers[server].ended(verdict.claim(), new Outcome(true, "body", result), null, DUE, WINDOW, clocks[server], kept -> verdicts.set(server, "ENDED " + kept));
+        servers[server].ended(
+                verdict.claim(),
+                new Outcome(true, "body", result),
+                null,
+                DUE,
+                WINDOW,
+                clocks[server],
+                kept -> verdicts.set(server, "ENDED " + kept));
         take(server);
     }
 
-    /** In this order: time of each, what each learns, ends of runs, crashes and returns, messages. */
+    /**
+     * In this order: time of each, what each learns, ends of runs, crashes and returns, messages.
+     */
     @Override
     public boolean act(int action) {
         int nodes = SERVERS + KEEPERS;
         int rest = action;
         if (rest < nodes) {
-            if (rest < SERVERS && dead[rest] || rest >= SERVERS && keepers[rest - SERVERS].behind() == 0) return false;
+            if (rest < SERVERS && dead[rest]
+                    || rest >= SERVERS && keepers[rest - SERVERS].behind() == 0) {
+                return false;
+            }
             time(rest);
             return true;
         }
         rest -= nodes;
         if (rest < nodes) {
-            long epoch = rest < SERVERS ? servers[rest].layout().epoch() : keepers[rest - SERVERS].layout().epoch();
-            if (epoch == 2 || rest < SERVERS && dead[rest]) return false;
+            long epoch =
+                    rest < SERVERS
+                            ? servers[rest].layout().epoch()
+                            : keepers[rest - SERVERS].layout().epoch();
+            if (epoch == 2 || rest < SERVERS && dead[rest]) {
+                return false;
+            }
             learn(rest);
             return true;
         }
         rest -= nodes;
         if (rest < SERVERS) {
-            if (dead[rest] || running.get(rest) == null) return false;
+            if (dead[rest] || running.get(rest) == null) {
+                return false;
+            }
             finish(rest);
             return true;
         }
         rest -= SERVERS;
         if (rest < SERVERS) {
-            if (dead[rest] || crashed == crashes) return false;
+            if (dead[rest] || crashed == crashes) {
+                return false;
+            }
             crashed++;
             dead[rest] = true;
             return true;
         }
         rest -= SERVERS;
         if (rest < KEEPERS) {
-            if (crashed == crashes) return false;
+            if (crashed == crashes) {
+                return false;
+            }
             crashed++;
             Layout layout = keepers[rest].layout();
             Keeper.Disk kept = planted ? new Keeper.Disk(layout, Map.of()) : null;
-            keepers[rest] = new Keeper("k" + rest, kept, layout, 100, WINDOW, clocks[SERVERS + rest]);
+            keepers[rest] =
+                    new Keeper("k" + rest, kept, layout, 100, WINDOW, clocks[SERVERS + rest]);
             return true;
         }
         rest -= KEEPERS;
-        if (rest >= underWay.size()) return false;
+        if (rest >= underWay.size()) {
+            return false;
+        }
         deliver(rest);
         return true;
     }
@@ -182,9 +255,17 @@
     @Override
     public long fingerprint() {
         StringBuilder text = new StringBuilder(2048);
-        for (int i = 0; i < SERVERS; i++) text.append(dead[i] ? "dead" : servers[i].state(clocks[i]) + DUE.minus(clocks[i])).append(verdicts.get(i)).append(running.get(i) != null);
-        for (int i = 0; i < KEEPERS; i++) text.append(keepers[i].state(clocks[SERVERS + i]));
-        text.append(underWay.stream().map(Sent::toString).sorted().toList()).append(crashed).append(runs);
+        for (int i = 0; i < SERVERS; i++) {
+            text.append(dead[i] ? "dead" : servers[i].state(clocks[i]) + DUE.minus(clocks[i]))
+                    .append(verdicts.get(i))
+                    .append(running.get(i) != null);
+        }
+        for (int i = 0; i < KEEPERS; i++) {
+            text.append(keepers[i].state(clocks[SERVERS + i]));
+        }
+        text.append(underWay.stream().map(Sent::toString).sorted().toList())
+                .append(crashed)
+                .append(runs);
         return LongHashFunction.xx3().hashChars(text);
     }
 
@@ -198,10 +279,20 @@
     public int settles() {
         for (int i = 0; i < SETTLES; i++) {
             boolean open = false;
-            for (int s = 0; s < SERVERS; s++) open |= !dead[s] && verdicts.get(s).isEmpty();
-            if (!open) return broken == null ? i : -1;
-            for (int s = 0; s < SERVERS; s++) if (!dead[s]) time(s);
-            while (!underWay.isEmpty()) deliver(0);
+            for (int s = 0; s < SERVERS; s++) {
+                open |= !dead[s] && verdicts.get(s).isEmpty();
+            }
+            if (!open) {
+                return broken == null ? i : -1;
+            }
+            for (int s = 0; s < SERVERS; s++) {
+                if (!dead[s]) {
+                    time(s);
+                }
+            }
+            while (!underWay.isEmpty()) {
+                deliver(0);
+            }
         }
         return -1;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/CopiesWorld.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/CopiesWorld.java
@@ -39,8 +39,8 @@
 import ochretiller.fleet.peers.FleetKeys;
 
 /**
- * A fleet that keeps claims and results for one another, in virtual time: voters, keepers and the way of keyed invocations are
- * the server's own decisions; callers bring repeats to any server.
+ * A fleet that keeps claims and results for one another, in virtual time: voters, keepers and the
+ * way of keyed invocations are the server's own decisions; callers bring repeats to any server.
  */
 public final class CopiesWorld {
     private static final int FACTOR = 3;
@@ -50,28 +50,45 @@
     private static final int MOST = 100_000;
     private static final Duration TICK = Duration.ofMillis(20);
     private static final Duration SPEAKS = Duration.ofMillis(500);
+
     /** Servers that each voter tells of the epoch each time. */
     private static final int TELLS = 4;
+
     private static final Duration CALM = Duration.ofSeconds(2);
+
     /** A token's window, the longest that there is, and the due time of a try. */
     private static final Duration WINDOW = Duration.ofSeconds(20);
+
     private static final Duration DUE = Duration.ofSeconds(4);
+
     /** The view knows of what has come or gone so much later. */
     private static final double SEES_S = 1.5;
+
     /** A socket's room for a paused process. */
     private static final int ROOM = 5_000;
-    /** A force of the disk, seconds, at least and by chance on top; and how long one that has failed stays so. */
+
+    /**
+     * A force of the disk, seconds, at least and by chance on top; and how long one that has failed
+     * stays so.
+     */
     private static final double FORCE_S = 0.0005;
+
     private static final double FORCE_MORE_S = 0.002;
     private static final double SICK_S = 4;
+
     /** Images of disks are taken this often, and so many are kept: some of them are put back. */
     private static final double IMAGES_S = 3;
+
     private static final int IMAGES = 4;
+
     /** Every so many tokens have a result that goes by pieces. */
     private static final int LONG_RESULTS = 8;
+
     /** Behind a change of mode: all have come to run without claims by then, and go on. */
     private static final double SWITCHES_S = 75;
-    private static final Keeper.Bounds BOUNDS = new Keeper.Bounds(MOST, Long.MAX_VALUE, 2 << 20, WINDOW.plusSeconds(10));
+
+    private static final Keeper.Bounds BOUNDS =
+            new Keeper.Bounds(MOST, Long.MAX_VALUE, 2 << 20, WINDOW.plusSeconds(10));
 
     private final FleetScript script;
     private final Plan plan;
@@ -102,30 +119,41 @@
         public long messages;
         public int conflicts;
         public int oldFound;
+
         /** Runs without a claim. */
         public int unclaimed;
+
         /** Second runs of tokens whose keepers, a majority of them, had lost their disks. */
         public int excused;
+
         public int oldPutBack;
         public long unsaid;
         public long fetchedBytes;
+
         /** Milliseconds from a claim to its majority. */
         public final List<Double> claimMs = new ArrayList<>();
+
         public final List<String> broken = new ArrayList<>();
 
         public double claimMs(double percentile) {
-            if (claimMs.isEmpty()) return Double.NaN;
+            if (claimMs.isEmpty()) {
+                return Double.NaN;
+            }
             claimMs.sort(null);
-            return claimMs.get((int) Math.min(claimMs.size() - 1, claimMs.size() * percentile / 100));
+            return claimMs.get(
+                    (int) Math.min(claimMs.size() - 1, claimMs.size() * percentile / 100));
         }
     }
 
     private static final class Token {
         final String body;
         final List<Double> ranAt = new ArrayList<>();
+
         /** Who kept it as it ran, as the server that ran it knew. */
         final List<List<String>> keptBy = new ArrayList<>();
+
         final Set<String> results = new HashSet<>();
+
         /** Whether its first run within the window had a claim of a server that claims for good. */
         boolean claimed;
 
@@ -134,32 +162,58 @@
         }
 
         void claimed(boolean forGood, double now) {
-            if (ranAt.isEmpty() || now - ranAt.get(ranAt.size() - 1) >= WINDOW.toSeconds()) claimed = forGood;
+            if (ranAt.isEmpty() || now - ranAt.get(ranAt.size() - 1) >= WINDOW.toSeconds()) {
+                claimed = forGood;
+            }
         }
     }
 
-    private record Sent(String from, Object message) {
-    }
+    private record Sent(String from, Object message) {}
 
     /** What of a keeper is on its disk. */
-    private record Image(Keeper.Disk place, Map<String, Long> heard, Map<String, Entry> entries, Map<String, Long> numbers, Map<String, String> results) {
+    private record Image(
+            Keeper.Disk place,
+            Map<String, Long> heard,
+            Map<String, Entry> entries,
+            Map<String, Long> numbers,
+            Map<String, String> results) {
         static Image none() {
             return new Image(null, Map.of(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
         }
 
         Image copy(Keeper.Disk now) {
-            return new Image(now, heard, new TreeMap<>(entries), new TreeMap<>(numbers), new TreeMap<>(results));
+            return new Image(
+                    now,
+                    heard,
+                    new TreeMap<>(entries),
+                    new TreeMap<>(numbers),
+                    new TreeMap<>(results));
         }
 
         /** As a start reads it. */
         Keeper.Disk disk(Duration now) {
-            if (place == null) return null;
+            if (place == null) {
+                return null;
+            }
             Map<String, Entry> live = new TreeMap<>();
-            entries.forEach((token, entry) -> {
-                if (entry.until().compareTo(now) > 0) live.put(token, entry);
-            });
-            long number = Math.max(place.number(), numbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
-            return new Keeper.Disk(place.layout(), live, place.behind(), place.forgot(), place.lost(), number, true);
+            entries.forEach(
+                    (token, entry) -> {
+                        if (entry.until().compareTo(now) > 0) {
+                            live.put(token, entry);
+                        }
+                    });
+            long number =
+                    Math.max(
+                            place.number(),
+                            numbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
+            return new Keeper.Disk(
+                    place.layout(),
+                    live,
+                    place.behind(),
+                    place.forgot(),
+                    place.lost(),
+                    number,
+                    true);
         }
     }
 
@@ -208,11 +262,21 @@
             life++;
             waits.clear();
             local.clear();
-            modes = new Modes(switched() ? SERVERS : Modes.Told.FLEET, BOUNDS.longest(), events.now());
+            modes =
+                    new Modes(
+                            switched() ? SERVERS : Modes.Told.FLEET,
+                            BOUNDS.longest(),
+                            events.now());
             boolean first = !everUp;
             everUp = true;
             if (first && formed != null) {
-                disk = new Image(new Keeper.Disk(formed, Map.of()), Map.of(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
+                disk =
+                        new Image(
+                                new Keeper.Disk(formed, Map.of()),
+                                Map.of(),
+                                new TreeMap<>(),
+                                new TreeMap<>(),
+                                new TreeMap<>());
                 voterDisk = new Voter.Promised(formed, Ballot.NONE, Ballot.NONE, null, 0);
             }
             if (!keepsDisk) {
@@ -228,27 +292,52 @@
             }
             if (number <= VOTERS) {
                 Set<String> names = new HashSet<>();
-                for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) names.add("m" + i);
-                voter = new Voter(name, names, voterDisk, FACTOR, first && formed == null, chance.nextLong());
+                for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
+                    names.add("m" + i);
+                }
+                voter =
+                        new Voter(
+                                name,
+                                names,
+                                voterDisk,
+                                FACTOR,
+                                first && formed == null,
+                                chance.nextLong());
             }
             Keeper.Disk found = disk.disk(events.now());
-            Layout known = found != null ? found.layout() : voter != null ? voter.agreed() : Layout.none(FACTOR);
-            // Without its disk it knows of no epoch: the first that it is told of, it takes as one that it may have been in.
-            keeper = found != null ? new Keeper(name, found, null, BOUNDS, 0, events.now()) : first ? new Keeper(name, null, known, BOUNDS, 1, events.now()) : null;
+            Layout known =
+                    found != null
+                            ? found.layout()
+                            : voter != null ? voter.agreed() : Layout.none(FACTOR);
+            // Without its disk it knows of no epoch: the first that it is told of, it takes as one
+            // that it may have been in.
+            keeper =
+                    found != null
+                            ? new Keeper(name, found, null, BOUNDS, 0, events.now())
+                            : first ? new Keeper(name, null, known, BOUNDS, 1, events.now()) : null;
             commit = new Commit(chance.split());
-            if (sickDisks && chance.nextInt(6) == 0) sickUntilS = events.seconds() + 30 * chance.nextDouble() + SICK_S;
+            if (sickDisks && chance.nextInt(6) == 0) {
+                sickUntilS = events.seconds() + 30 * chance.nextDouble() + SICK_S;
+            }
             own = new Claims(name, life, known, chance.split());
             own.remember(disk.heard);
             wish = new Wish(CALM, BOUNDS.longest(), FACTOR);
-            if (voter != null && known.epoch() > 0) voter.received(name, new EpochMessage.Agreed(known));
+            if (voter != null && known.epoch() > 0) {
+                voter.received(name, new EpochMessage.Agreed(known));
+            }
             tick(life);
             speak(life);
         }
 
-        /** What was written and not acknowledged may be there or not: the disk takes some of it, in its order. */
+        /**
+         * What was written and not acknowledged may be there or not: the disk takes some of it, in
+         * its order.
+         */
         void end() {
             for (Runnable each : underWay) {
-                if (chance.nextInt(2) == 0) break;
+                if (chance.nextInt(2) == 0) {
+                    break;
+                }
                 each.run();
             }
             underWay.clear();
@@ -265,21 +354,32 @@
 
         /** One write at a time: a force takes a while, and may fail. */
         private void force(long mine, Runnable written, java.util.function.Consumer<Boolean> then) {
-            double at = Math.max(events.seconds(), forcedS) + FORCE_S + FORCE_MORE_S * chance.nextDouble();
-            if (forcedS > events.seconds()) at = forcedS; // it goes out with the force that is under way
+            double at =
+                    Math.max(events.seconds(), forcedS)
+                            + FORCE_S
+                            + FORCE_MORE_S * chance.nextDouble();
+            if (forcedS > events.seconds()) {
+                at = forcedS; // it goes out with the force that is under way
+            }
             forcedS = at;
             underWay.add(written);
-            events.after(at - events.seconds(), () -> {
-                if (life != mine || !up) return;
-                underWay.remove(written);
-                if (sick()) {
-                    if (chance.nextInt(2) == 0) written.run();
-                    then.accept(false);
-                } else {
-                    written.run();
-                    then.accept(true);
-                }
-            });
+            events.after(
+                    at - events.seconds(),
+                    () -> {
+                        if (life != mine || !up) {
+                            return;
+                        }
+                        underWay.remove(written);
+                        if (sick()) {
+                            if (chance.nextInt(2) == 0) {
+                                written.run();
+                            }
+                            then.accept(false);
+                        } else {
+                            written.run();
+                            then.accept(true);
+                        }
+                    });
         }
 
         private void write(Commit.Write write) {
@@ -291,133 +391,221 @@
             Entry entry = token == null ? null : of.entry(token);
             Map<String, Long> heard = token == null ? own.heard() : Map.of();
             long numbered = token == null ? 0 : of.number(token);
-            force(mine, () -> {
-                if (token == null) {
-                    disk = new Image(place, heard, image.entries, image.numbers, image.results);
-                } else {
-                    disk.entries.put(token, entry);
-                    disk.numbers.put(token, numbered);
-                }
-            }, durable -> {
-                for (Keeper.Out out : commit.acked(write, durable, events.now())) send(number(out.to()), out.message());
-            });
+            force(
+                    mine,
+                    () -> {
+                        if (token == null) {
+                            disk =
+                                    new Image(
+                                            place,
+                                            heard,
+                                            image.entries,
+                                            image.numbers,
+                                            image.results);
+                        } else {
+                            disk.entries.put(token, entry);
+                            disk.numbers.put(token, numbered);
+                        }
+                    },
+                    durable -> {
+                        for (Keeper.Out out : commit.acked(write, durable, events.now())) {
+                            send(number(out.to()), out.message());
+                        }
+                    });
         }
 
         private void keep() {
             for (Pieces.Whole whole : keeper.wholes()) {
                 long mine = life;
-                force(mine, () -> disk.results.put(whole.token() + whole.id(), whole.result()), durable -> {
-                    if (!durable) return;
-                    keeper.shelved(whole);
-                    carryOut();
-                });
+                force(
+                        mine,
+                        () -> disk.results.put(whole.token() + whole.id(), whole.result()),
+                        durable -> {
+                            if (!durable) {
+                                return;
+                            }
+                            keeper.shelved(whole);
+                            carryOut();
+                        });
             }
         }
 
         private void tick(long mine) {
-            if (!up || life != mine) return;
+            if (!up || life != mine) {
+                return;
+            }
             if (!paused) {
                 Duration now = events.now();
                 own.tick(now);
                 if (keeper != null) {
                     keeper.tick(now);
-                    if (chance.nextInt(25) == 0) keeper.compare(chance);
-                    if (chance.nextInt(25) == 0) keeper.there(seen());
+                    if (chance.nextInt(25) == 0) {
+                        keeper.compare(chance);
+                    }
+                    if (chance.nextInt(25) == 0) {
+                        keeper.there(seen());
+                    }
                     commit.tick(now).forEach(this::write);
                     if (events.seconds() - imagedS > IMAGES_S) {
                         imagedS = events.seconds();
                         images.add(disk.copy(disk.place));
-                        if (images.size() > IMAGES) images.poll();
+                        if (images.size() > IMAGES) {
+                            images.poll();
+                        }
                     }
                     outcomes.behind = Math.max(outcomes.behind, keeper.behind());
                 }
-                if (voter != null) vote(now);
+                if (voter != null) {
+                    vote(now);
+                }
                 carryOut();
             }
-            events.after(TICK.plus(Duration.ofNanos((long) (faults.lateMs(number, played()) * 1e6))), () -> tick(mine));
+            events.after(
+                    TICK.plus(Duration.ofNanos((long) (faults.lateMs(number, played()) * 1e6))),
+                    () -> tick(mine));
         }
 
         private Set<String> seen() {
             Set<String> live = new HashSet<>();
-            for (Host each : hosts.values()) if (each.up && !each.paused) live.add(each.name);
+            for (Host each : hosts.values()) {
+                if (each.up && !each.paused) {
+                    live.add(each.name);
+                }
+            }
             return live;
         }
 
         private void vote(Duration now) {
             if (voter.blank()) {
-                if (chance.nextInt(10) == 0) voter.ask();
+                if (chance.nextInt(10) == 0) {
+                    voter.ask();
+                }
                 return;
             }
             Map<String, Boolean> view = new HashMap<>();
             List<Layout.Server> servers = new ArrayList<>();
             for (Host each : hosts.values()) {
-                if (!each.everUp) continue;
+                if (!each.everUp) {
+                    continue;
+                }
                 boolean is = each.up && !each.paused;
                 boolean lately = events.seconds() - each.changedS < SEES_S;
                 view.put(each.name, lately ? !is : is);
                 servers.add(each.server);
             }
             wish.seen(view, now);
-            if (voter.attempting() && events.done() - attempted < 2_000 || chance.nextInt(10) != 0) return;
-            wish.next(voter.agreed(), servers, now).ifPresent(layout -> {
-                attempted = events.done();
-                voter.attempt(layout);
-            });
+            if (voter.attempting() && events.done() - attempted < 2_000
+                    || chance.nextInt(10) != 0) {
+                return;
+            }
+            wish.next(voter.agreed(), servers, now)
+                    .ifPresent(
+                            layout -> {
+                                attempted = events.done();
+                                voter.attempt(layout);
+                            });
         }
 
         private void speak(long mine) {
-            if (!up || life != mine) return;
+            if (!up || life != mine) {
+                return;
+            }
             if (!paused && voter != null && !voter.blank() && voter.agreed().epoch() > 0) {
                 for (int i = 0; i < TELLS; i++) {
                     int to = 1 + chance.nextInt(hosts.size());
-                    if (to != number) send(to, new EpochMessage.Agreed(voter.agreed()));
+                    if (to != number) {
+                        send(to, new EpochMessage.Agreed(voter.agreed()));
+                    }
                 }
             }
-            if (!paused) stand();
+            if (!paused) {
+                stand();
+            }
             events.after(SPEAKS, () -> speak(mine));
         }
 
         private void stand() {
             boolean keeps = keeper != null && own.layout().has(name);
             int behind = !keeps ? 0 : keeper.returning() ? Layout.RANGES : keeper.behind();
-            EpochMessage.Standing standing = new EpochMessage.Standing(own.layout().epoch(), behind);
+            EpochMessage.Standing standing =
+                    new EpochMessage.Standing(own.layout().epoch(), behind);
             int voters = Math.min(VOTERS, script.members());
-            if (!keeps) send(1 + chance.nextInt(voters), standing);
-            else for (int i = 1; i <= voters; i++) send(i, standing);
+            if (!keeps) {
+                send(1 + chance.nextInt(voters), standing);
+            } else {
+                for (int i = 1; i <= voters; i++) {
+                    send(i, standing);
+                }
+            }
         }
 
         void take(Sent sent) {
-            if (!up) return;
+            if (!up) {
+                return;
+            }
             if (traced != null && sent.message.toString().contains("token=" + traced + ",")) {
-                System.out.printf(Locale.ROOT, "%9.4f %s -> %s%s (epoch %d): %s%n", played(), sent.from, name, paused ? " (paused)" : "",
-                    keeper == null ? 0 : keeper.layout().epoch(), sent.message);
+                System.out.printf(
+                        Locale.ROOT,
+                        "%9.4f %s -> %s%s (epoch %d): %s%n",
+                        played(),
+                        sent.from,
+                        name,
+                        paused ? " (paused)" : "",
+                        keeper == null ? 0 : keeper.layout().epoch(),
+                        sent.message);
             }
             if (paused) {
-                if (waits.size() < ROOM) waits.add(sent);
+                if (waits.size() < ROOM) {
+                    waits.add(sent);
+                }
                 return;
             }
             Duration now = events.now();
             if (sent.message instanceof EpochMessage message) {
-                if (voter != null) voter.received(sent.from, message);
+                if (voter != null) {
+                    voter.received(sent.from, message);
+                }
                 if (message instanceof EpochMessage.Standing standing) {
                     wish.told(sent.from, standing);
-                    boolean missed = voter != null && !voter.blank() && standing.epoch() < voter.agreed().epoch();
-                    if (missed && !sent.from.equals(name)) send(number(sent.from), new EpochMessage.Agreed(voter.agreed()));
+                    boolean missed =
+                            voter != null
+                                    && !voter.blank()
+                                    && standing.epoch() < voter.agreed().epoch();
+                    if (missed && !sent.from.equals(name)) {
+                        send(number(sent.from), new EpochMessage.Agreed(voter.agreed()));
+                    }
+                }
+                if (message instanceof EpochMessage.Agreed agreed) {
+                    learn(agreed.layout());
                 }
-                if (message instanceof EpochMessage.Agreed agreed) learn(agreed.layout());
                 long mine = own.layout().epoch();
-                boolean asks = message instanceof EpochMessage.WhatIsOpen || message instanceof EpochMessage.Agreed agreed && agreed.layout().epoch() < mine;
-                if (asks && mine > 0 && number(sent.from) <= VOTERS && !sent.from.equals(name)) send(number(sent.from), new EpochMessage.Agreed(own.layout()));
+                boolean asks =
+                        message instanceof EpochMessage.WhatIsOpen
+                                || message instanceof EpochMessage.Agreed agreed
+                                        && agreed.layout().epoch() < mine;
+                if (asks && mine > 0 && number(sent.from) <= VOTERS && !sent.from.equals(name)) {
+                    send(number(sent.from), new EpochMessage.Agreed(own.layout()));
+                }
             } else if (sent.message instanceof CopyMessage message) {
-                if (message instanceof CopyMessage.Claim claim && !sent.from.equals(name)) modes.claimed(OPERATION, claim.leaves(), now);
-                if (message instanceof CopyMessage.Fetch fetch && fetch.layout() != null) learn(fetch.layout());
+                if (message instanceof CopyMessage.Claim claim && !sent.from.equals(name)) {
+                    modes.claimed(OPERATION, claim.leaves(), now);
+                }
+                if (message instanceof CopyMessage.Fetch fetch && fetch.layout() != null) {
+                    learn(fetch.layout());
+                }
                 if (message instanceof CopyMessage.Want want) {
                     String result = own.result(want.id());
-                    if (result == null) result = disk.results.get(want.token() + want.id());
+                    if (result == null) {
+                        result = disk.results.get(want.token() + want.id());
+                    }
                     CopyMessage.Piece piece = result == null ? null : Pieces.cut(want, result);
-                    if (piece != null) send(number(sent.from), piece);
+                    if (piece != null) {
+                        send(number(sent.from), piece);
+                    }
+                }
+                if (keeper != null) {
+                    keeper.received(sent.from, message, now);
                 }
-                if (keeper != null) keeper.received(sent.from, message, now);
                 own.received(sent.from, message, now);
             }
             carryOut();
@@ -425,8 +613,18 @@
 
         private void learn(Layout layout) {
             // Numbers of later lives are higher, as those from a clock are.
-            if (keeper == null) keeper = new Keeper(name, null, layout, BOUNDS, events.now().toNanos() / 1000, events.now());
-            else keeper.become(layout, events.now());
+            if (keeper == null) {
+                keeper =
+                        new Keeper(
+                                name,
+                                null,
+                                layout,
+                                BOUNDS,
+                                events.now().toNanos() / 1000,
+                                events.now());
+            } else {
+                keeper.become(layout, events.now());
+            }
             own.become(layout, events.now());
             outcomes.epochs = (int) Math.max(outcomes.epochs, layout.epoch());
         }
@@ -435,8 +633,15 @@
             if (voter != null) {
                 learnOwn();
                 for (Voter.Out out : voter.outs()) {
-                    if (out.to().isPresent()) send(number(out.to().get()), out.message());
-                    else for (Host each : hosts.values()) if (each != this) send(each.number, out.message());
+                    if (out.to().isPresent()) {
+                        send(number(out.to().get()), out.message());
+                    } else {
+                        for (Host each : hosts.values()) {
+                            if (each != this) {
+                                send(each.number, out.message());
+                            }
+                        }
+                    }
                 }
             }
             if (keeper != null) {
@@ -449,17 +654,24 @@
                 }
                 List<Keeper.Out> say = new ArrayList<>();
                 commit.changed(tokens, place, keeper.outs(), say).forEach(this::write);
-                for (Keeper.Out out : say) send(number(out.to()), out.message());
+                for (Keeper.Out out : say) {
+                    send(number(out.to()), out.message());
+                }
                 outcomes.oldFound = (int) Math.max(outcomes.oldFound, keeper.oldDisks());
                 outcomes.unsaid = Math.max(outcomes.unsaid, commit.unsaid());
                 outcomes.fetchedBytes = Math.max(outcomes.fetchedBytes, keeper.fetchedBytes());
                 outcomes.conflicts = (int) Math.max(outcomes.conflicts, keeper.conflicts());
             }
-            for (Keeper.Out out : own.outs()) send(number(out.to()), out.message());
+            for (Keeper.Out out : own.outs()) {
+                send(number(out.to()), out.message());
+            }
         }
 
         private void learnOwn() {
-            if (voter.agreed().epoch() > 0 && (keeper == null || keeper.layout().epoch() < voter.agreed().epoch() || own.layout().epoch() < voter.agreed().epoch())) {
+            if (voter.agreed().epoch() > 0
+                    && (keeper == null
+                            || keeper.layout().epoch() < voter.agreed().epoch()
+                            || own.layout().epoch() < voter.agreed().epoch())) {
                 learn(voter.agreed());
             }
         }
@@ -470,13 +682,28 @@
 
         private void send(int to, Object message) {
             outcomes.messages++;
-            if (to != number && counts != null) counts.sent(number, played(), message);
+            if (to != number && counts != null) {
+                counts.sent(number, played(), message);
+            }
             Host at = hosts.get(to);
-            if (at == null) return;
-            List<Faults.Copy> copies = to == number ? List.of(new Faults.Copy(0, false)) : faults.fate(number, to, played());
+            if (at == null) {
+                return;
+            }
+            List<Faults.Copy> copies =
+                    to == number
+                            ? List.of(new Faults.Copy(0, false))
+                            : faults.fate(number, to, played());
             for (Faults.Copy copy : copies) {
-                if (copy.spoilt()) continue;
-                double ms = to == number ? 0 : script.delayMs() + script.jitterMs() * links.nextDouble() + copy.delayMs() + faults.lateMs(to, played());
+                if (copy.spoilt()) {
+                    continue;
+                }
+                double ms =
+                        to == number
+                                ? 0
+                                : script.delayMs()
+                                        + script.jitterMs() * links.nextDouble()
+                                        + copy.delayMs()
+                                        + faults.lateMs(to, played());
                 events.after(ms / 1e3, () -> hosts.get(to).take(new Sent(name, message)));
             }
         }
@@ -484,11 +711,18 @@
 
     /**
      * @param lostDisks share of kills that take the disk along
-     * @param oldDisks  share of starts with a disk that find an image of some seconds ago in its place
+     * @param oldDisks share of starts with a disk that find an image of some seconds ago in its
+     *     place
      * @param sickDisks whether disks fail for some seconds now and then
-     * @param claims    whether a run is claimed; without it each server knows of its own runs alone
+     * @param claims whether a run is claimed; without it each server knows of its own runs alone
      */
-    public CopiesWorld(FleetScript script, long seed, double lostDisks, double oldDisks, boolean sickDisks, boolean claims) {
+    public CopiesWorld(
+            FleetScript script,
+            long seed,
+            double lostDisks,
+            double oldDisks,
+            boolean sickDisks,
+            boolean claims) {
         this.script = script;
         this.plan = Plan.of(script);
         Seeds seeds = new Seeds(seed);
@@ -501,12 +735,20 @@
         this.claims = claims;
     }
 
-    /** Plays it: the fleet forms, then callers ask while the script's faults come and go, and some time after. */
+    /**
+     * Plays it: the fleet forms, then callers ask while the script's faults come and go, and some
+     * time after.
+     */
     public Outcomes play(int tokenCount, double forms) {
         faultsShift = forms;
-        for (Plan.Slot slot : plan.slots()) hosts.put(slot.number(), new Host(slot.number()));
+        for (Plan.Slot slot : plan.slots()) {
+            hosts.put(slot.number(), new Host(slot.number()));
+        }
         for (Plan.Action action : plan.actions()) {
-            double at = action.act() == Plan.Act.START && action.atS() <= script.startS() ? action.atS() : action.atS() + forms;
+            double at =
+                    action.act() == Plan.Act.START && action.atS() <= script.startS()
+                            ? action.atS()
+                            : action.atS() + forms;
             events.after(at, () -> act(action));
         }
         double span = Math.max(plan.lastS(), switchS + SWITCHES_S) + 8;
@@ -517,38 +759,61 @@
             tokens.put(token, known);
             int times = 1 + chance.nextInt(4);
             for (int t = 0; t < times; t++) {
-                double later = t == 0 ? 0 : switch (chance.nextInt(3)) {
-                    case 0 -> 0.001 * chance.nextDouble();
-                    case 1 -> chance.nextDouble();
-                    default -> 12 * chance.nextDouble();
-                };
+                double later =
+                        t == 0
+                                ? 0
+                                : switch (chance.nextInt(3)) {
+                                    case 0 -> 0.001 * chance.nextDouble();
+                                    case 1 -> chance.nextDouble();
+                                    default -> 12 * chance.nextDouble();
+                                };
                 String body = chance.nextInt(20) == 0 ? "other" : known.body;
                 events.after(at + later, () -> ask(token, body));
             }
         }
-        if (counts != null) events.after(forms, this::lookBehind);
+        if (counts != null) {
+            events.after(forms, this::lookBehind);
+        }
         events.run(forms + span + 25);
         return outcomes;
     }
 
-    /** What servers send, by server and second, and when their ranges are whole; for measurements. */
+    /**
+     * What servers send, by server and second, and when their ranges are whole; for measurements.
+     */
     static final class Counts {
         private static final double LOOK_S = 0.05;
 
-        private final Codec codec = new Codec("emulated", FleetKeys.of("a key of the emulator's own"));
-        private final Member sender = new Member(new MemberId("m1000", 1), new Address("10.0.0.1", 4200), "z1", "build-1", null, 1, State.HERE);
+        private final Codec codec =
+                new Codec("emulated", FleetKeys.of("a key of the emulator's own"));
+        private final Member sender =
+                new Member(
+                        new MemberId("m1000", 1),
+                        new Address("10.0.0.1", 4200),
+                        "z1",
+                        "build-1",
+                        null,
+                        1,
+                        State.HERE);
         final Map<Integer, Map<Integer, long[]>> bySecond = new TreeMap<>();
+
         /** Times at which some range was not whole. */
         final List<Double> behindAt = new ArrayList<>();
+
         final List<double[]> behind = new ArrayList<>();
 
         void sent(int from, double atS, Object message) {
-            long[] both = bySecond.computeIfAbsent((int) Math.floor(atS), ignored -> new HashMap<>()).computeIfAbsent(from, ignored -> new long[2]);
+            long[] both =
+                    bySecond.computeIfAbsent((int) Math.floor(atS), ignored -> new HashMap<>())
+                            .computeIfAbsent(from, ignored -> new long[2]);
             both[0]++;
             both[1] += codec.seal(sender, message, 1L << 40).length;
         }
 
-        /** Of one server in a second: packets (0) or bytes (1), on the mean and at most, between two times. */
+        /**
+         * Of one server in a second: packets (0) or bytes (1), on the mean and at most, between two
+         * times.
+         */
         double[] each(int which, int fromS, int untilS, int servers) {
             double sum = 0;
             double most = 0;
@@ -572,12 +837,17 @@
 
     private void lookBehind() {
         int behind = behind();
-        if (behind > 0) counts.behindAt.add(played());
+        if (behind > 0) {
+            counts.behindAt.add(played());
+        }
         counts.behind.add(new double[] {played(), behind});
         events.after(Counts.LOOK_S, this::lookBehind);
     }
 
-    /** A fleet that has formed long ago: its keepers are agreed on, as many as a layout takes, and keep nothing yet. */
+    /**
+     * A fleet that has formed long ago: its keepers are agreed on, as many as a layout takes, and
+     * keep nothing yet.
+     */
     CopiesWorld formed() {
         List<Layout.Server> servers = new ArrayList<>();
         int members = script.members();
@@ -608,7 +878,10 @@
 
     private String traced;
 
-    /** From then on the servers claim no more, one after the other; it is played until long behind that. */
+    /**
+     * From then on the servers claim no more, one after the other; it is played until long behind
+     * that.
+     */
     public CopiesWorld switching(double atS, double eachS) {
         switchS = atS;
         switchEachS = eachS;
@@ -620,14 +893,20 @@
 
     private void act(Plan.Action action) {
         Host host = hosts.get(action.slot());
-        if (traced != null) System.out.printf(Locale.ROOT, "%9.4f %s %s%n", played(), action.act(), host.name);
+        if (traced != null) {
+            System.out.printf(Locale.ROOT, "%9.4f %s %s%n", played(), action.act(), host.name);
+        }
         switch (action.act()) {
             case START -> {
-                if (!host.up) host.start(host.everUp && chance.nextDouble() >= lostDisks || !host.everUp);
+                if (!host.up) {
+                    host.start(host.everUp && chance.nextDouble() >= lostDisks || !host.everUp);
+                }
             }
-            case IMAGE -> { }
+            case IMAGE -> {}
             case KILL, LEAVE -> {
-                if (host.up) host.end();
+                if (host.up) {
+                    host.end();
+                }
             }
             case PAUSE -> {
                 if (host.up) {
@@ -636,12 +915,16 @@
                 }
             }
             case RESUME -> {
-                if (!host.up || !host.paused) return;
+                if (!host.up || !host.paused) {
+                    return;
+                }
                 host.paused = false;
                 host.changedS = events.seconds();
                 host.own.tick(events.now());
                 host.carryOut();
-                while (!host.waits.isEmpty() && host.up) host.take(host.waits.poll());
+                while (!host.waits.isEmpty() && host.up) {
+                    host.take(host.waits.poll());
+                }
             }
             default -> throw new IllegalStateException();
         }
@@ -649,82 +932,127 @@
 
     private void ask(String token, String body) {
         List<Host> open = new ArrayList<>();
-        for (Host each : hosts.values()) if (each.up && !each.paused) open.add(each);
-        if (open.isEmpty()) return;
+        for (Host each : hosts.values()) {
+            if (each.up && !each.paused) {
+                open.add(each);
+            }
+        }
+        if (open.isEmpty()) {
+            return;
+        }
         Host host = open.get(chance.nextInt(open.size()));
         long life = host.life;
         outcomes.tries++;
         double at = events.seconds();
         Duration due = events.now().plus(DUE);
         boolean[] answered = {false};
-        // What has no end by its due time is errored then, whatever becomes of it, by a server that is there to say so.
-        events.after(DUE, () -> {
-            if (answered[0]) return;
-            answered[0] = true;
-            if (host.life != life || !host.up || host.paused) outcomes.unanswered++;
-            else outcomes.errored++;
-        });
-        if (claims && host.switched() && host.modes.before(OPERATION, events.now()) == Modes.Before.CLAIM) {
+        // What has no end by its due time is errored then, whatever becomes of it, by a server that
+        // is there to say so.
+        events.after(
+                DUE,
+                () -> {
+                    if (answered[0]) {
+                        return;
+                    }
+                    answered[0] = true;
+                    if (host.life != life || !host.up || host.paused) {
+                        outcomes.unanswered++;
+                    } else {
+                        outcomes.errored++;
+                    }
+                });
+        if (claims
+                && host.switched()
+                && host.modes.before(OPERATION, events.now()) == Modes.Before.CLAIM) {
             host.modes = new Modes(SERVERS, BOUNDS.longest(), events.now());
         }
-        Modes.Before before = claims ? host.modes.before(OPERATION, events.now()) : Modes.Before.NOTHING;
+        Modes.Before before =
+                claims ? host.modes.before(OPERATION, events.now()) : Modes.Before.NOTHING;
         // What it runs without a claim each server knows of by itself.
         if (before == Modes.Before.NOTHING || host.local.containsKey(token)) {
             String kept = host.local.putIfAbsent(token, "");
             if (kept != null) {
                 answered[0] = true;
-                if (kept.isEmpty()) outcomes.errored++;
-                else if (kept.startsWith(body + " by ")) succeeded(token, body, kept);
-                else outcomes.otherBody++;
+                if (kept.isEmpty()) {
+                    outcomes.errored++;
+                } else if (kept.startsWith(body + " by ")) {
+                    succeeded(token, body, kept);
+                } else {
+                    outcomes.otherBody++;
+                }
                 return;
             }
             run(host, life, token, body, null, due, answered);
             return;
         }
-        Consumer<Verdict> then = verdict -> {
-            if (answered[0]) {
-                // Its caller has been answered: nothing may begin for it.
-                if (verdict.what() == Verdict.What.RUN) host.own.neverRan(verdict.claim(), events.now().plus(WINDOW), events.now());
-                return;
-            }
-            switch (verdict.what()) {
-                case RUN -> {
-                    outcomes.claimMs.add((events.seconds() - at) * 1e3);
-                    tokens.get(token).claimed(before == Modes.Before.CLAIM, events.seconds());
-                    run(host, life, token, body, verdict, due, answered);
-                }
-                case REPLAY -> {
-                    answered[0] = true;
-                    outcomes.replayed++;
-                    succeeded(token, body, verdict.outcome().result());
-                }
-                case THROTTLED -> {
-                    answered[0] = true;
-                    outcomes.throttled++;
-                }
-                case OTHER_BODY -> {
-                    answered[0] = true;
-                    outcomes.otherBody++;
-                }
-                default -> {
-                    answered[0] = true;
-                    outcomes.errored++;
-                }
-            }
-        };
-        host.own.claim(token, body, before == Modes.Before.CLAIM_STILL, due.minusMillis(500), events.now().plus(WINDOW), events.now(), then);
+        Consumer<Verdict> then =
+                verdict -> {
+                    if (answered[0]) {
+                        // Its caller has been answered: nothing may begin for it.
+                        if (verdict.what() == Verdict.What.RUN) {
+                            host.own.neverRan(
+                                    verdict.claim(), events.now().plus(WINDOW), events.now());
+                        }
+                        return;
+                    }
+                    switch (verdict.what()) {
+                        case RUN -> {
+                            outcomes.claimMs.add((events.seconds() - at) * 1e3);
+                            tokens.get(token)
+                                    .claimed(before == Modes.Before.CLAIM, events.seconds());
+                            run(host, life, token, body, verdict, due, answered);
+                        }
+                        case REPLAY -> {
+                            answered[0] = true;
+                            outcomes.replayed++;
+                            succeeded(token, body, verdict.outcome().result());
+                        }
+                        case THROTTLED -> {
+                            answered[0] = true;
+                            outcomes.throttled++;
+                        }
+                        case OTHER_BODY -> {
+                            answered[0] = true;
+                            outcomes.otherBody++;
+                        }
+                        default -> {
+                            answered[0] = true;
+                            outcomes.errored++;
+                        }
+                    }
+                };
+        host.own.claim(
+                token,
+                body,
+                before == Modes.Before.CLAIM_STILL,
+                due.minusMillis(500),
+                events.now().plus(WINDOW),
+                events.now(),
+                then);
         host.carryOut();
     }
 
-    private void run(Host host, long life, String token, String body, Verdict verdict, Duration due, boolean[] answered) {
+    private void run(
+            Host host,
+            long life,
+            String token,
+            String body,
+            Verdict verdict,
+            Duration due,
+            boolean[] answered) {
         Token known = tokens.get(token);
         outcomes.runs++;
         for (int i = 0; i < known.ranAt.size(); i++) {
             double before = known.ranAt.get(i);
             // A token whose first run was no fleet's stays so.
-            if (events.seconds() - before >= WINDOW.toSeconds() || claims && !known.claimed) continue;
-            if (forgotten(known.keptBy.get(i), before)) outcomes.excused++;
-            else broken(token + " was run again by " + host.name + ", " + verdict);
+            if (events.seconds() - before >= WINDOW.toSeconds() || claims && !known.claimed) {
+                continue;
+            }
+            if (forgotten(known.keptBy.get(i), before)) {
+                outcomes.excused++;
+            } else {
+                broken(token + " was run again by " + host.name + ", " + verdict);
+            }
         }
         if (verdict == null && claims) {
             known.claimed(false, events.seconds());
@@ -734,42 +1062,84 @@
         known.keptBy.add(host.own.layout().keepers(Layout.range(token)));
         double work = chance.nextInt(8) == 0 ? 3 * chance.nextDouble() : 0.05 * chance.nextDouble();
         String result = body + " by " + host.name + " " + life + " " + outcomes.runs;
-        if (token.hashCode() % LONG_RESULTS == 0) result += ".".repeat(Outcome.INLINE + chance.nextInt(20_000));
+        if (token.hashCode() % LONG_RESULTS == 0) {
+            result += ".".repeat(Outcome.INLINE + chance.nextInt(20_000));
+        }
         String whole = result;
         events.after(work, () -> finish(host, life, token, body, whole, verdict, due, answered));
     }
 
-    /** Whether a majority of these, or of all voters, has lost its disks since: nothing is promised beyond that. */
+    /**
+     * Whether a majority of these, or of all voters, has lost its disks since: nothing is promised
+     * beyond that.
+     */
     private boolean forgotten(List<String> keepers, double sinceS) {
-        return lost(keepers, sinceS) || lost(hosts.values().stream().filter(each -> each.number <= VOTERS).map(each -> each.name).toList(), sinceS);
+        return lost(keepers, sinceS)
+                || lost(
+                        hosts.values().stream()
+                                .filter(each -> each.number <= VOTERS)
+                                .map(each -> each.name)
+                                .toList(),
+                        sinceS);
     }
 
     private boolean lost(List<String> names, double sinceS) {
-        long lost = hosts.values().stream().filter(each -> names.contains(each.name) && each.lostS.stream().anyMatch(at -> at >= sinceS)).count();
+        long lost =
+                hosts.values().stream()
+                        .filter(
+                                each ->
+                                        names.contains(each.name)
+                                                && each.lostS.stream().anyMatch(at -> at >= sinceS))
+                        .count();
         return !names.isEmpty() && lost >= Layout.majority(names.size());
     }
 
-    private void finish(Host host, long life, String token, String body, String result, Verdict verdict, Duration due, boolean[] answered) {
-        if (!host.up || host.life != life) return;
+    private void finish(
+            Host host,
+            long life,
+            String token,
+            String body,
+            String result,
+            Verdict verdict,
+            Duration due,
+            boolean[] answered) {
+        if (!host.up || host.life != life) {
+            return;
+        }
         if (host.paused) {
-            events.after(0.1, () -> finish(host, life, token, body, result, verdict, due, answered));
+            events.after(
+                    0.1, () -> finish(host, life, token, body, result, verdict, due, answered));
             return;
         }
         if (verdict == null) {
             host.local.put(token, result);
-            if (answered[0]) return;
+            if (answered[0]) {
+                return;
+            }
             answered[0] = true;
             succeeded(token, body, result);
             return;
         }
         boolean big = result.length() > Outcome.INLINE;
-        host.own.ended(verdict.claim(), big ? Outcome.apart(body, result) : new Outcome(true, body, result), big ? result : null, due, events.now().plus(WINDOW), events.now(), kept -> {
-            if (answered[0]) return;
-            answered[0] = true;
-            // Not kept by a majority in time: nothing is claimed that could be lost.
-            if (kept) succeeded(token, body, result);
-            else outcomes.errored++;
-        });
+        host.own.ended(
+                verdict.claim(),
+                big ? Outcome.apart(body, result) : new Outcome(true, body, result),
+                big ? result : null,
+                due,
+                events.now().plus(WINDOW),
+                events.now(),
+                kept -> {
+                    if (answered[0]) {
+                        return;
+                    }
+                    answered[0] = true;
+                    // Not kept by a majority in time: nothing is claimed that could be lost.
+                    if (kept) {
+                        succeeded(token, body, result);
+                    } else {
+                        outcomes.errored++;
+                    }
+                });
         host.carryOut();
     }
 
@@ -777,22 +1147,37 @@
         outcomes.succeeded++;
         Token known = tokens.get(token);
         known.results.add(result);
-        if (known.results.size() > 1 && (known.claimed || !claims) && !(known.ranAt.size() > 1 && forgotten(known.keptBy.get(0), known.ranAt.get(0)))) broken(token + " was answered with two results " + known.results);
-        if (!result.startsWith(body + " by ")) broken(token + " was answered with another body's result");
+        if (known.results.size() > 1
+                && (known.claimed || !claims)
+                && !(known.ranAt.size() > 1
+                        && forgotten(known.keptBy.get(0), known.ranAt.get(0)))) {
+            broken(token + " was answered with two results " + known.results);
+        }
+        if (!result.startsWith(body + " by ")) {
+            broken(token + " was answered with another body's result");
+        }
     }
 
     private void broken(String text) {
-        if (outcomes.broken.size() < 20) outcomes.broken.add(String.format(Locale.ROOT, "%.3f s: %s", events.seconds() - faultsShift, text));
+        if (outcomes.broken.size() < 20) {
+            outcomes.broken.add(
+                    String.format(Locale.ROOT, "%.3f s: %s", events.seconds() - faultsShift, text));
+        }
     }
 
     /** The layout that most servers know of at the end. */
     public Optional<Layout> layout() {
-        return hosts.values().stream().filter(each -> each.up && each.keeper != null).map(each -> each.keeper.layout())
-            .max((a, b) -> Long.compare(a.epoch(), b.epoch()));
+        return hosts.values().stream()
+                .filter(each -> each.up && each.keeper != null)
+                .map(each -> each.keeper.layout())
+                .max((a, b) -> Long.compare(a.epoch(), b.epoch()));
     }
 
     /** Ranges that are not whole at servers that are up. */
     public int behind() {
-        return hosts.values().stream().filter(each -> each.up && each.keeper != null).mapToInt(each -> each.keeper.behind()).sum();
+        return hosts.values().stream()
+                .filter(each -> each.up && each.keeper != null)
+                .mapToInt(each -> each.keeper.behind())
+                .sum();
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Drawn.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/Drawn.java
@@ -7,15 +7,38 @@
 
 /** Scripts drawn by chance: 5 to 50 members, up to six faults that overlap as they like. */
 public final class Drawn {
-    private static final List<String> KINDS = List.of("kill", "kill", "move", "take", "pause", "pause", "leave", "release", "join", "cut", "cut",
-        "deaf", "mute", "one-way", "one-way", "loss", "loss", "delay", "duplicate", "reorder", "crowd", "twin");
+    private static final List<String> KINDS =
+            List.of(
+                    "kill",
+                    "kill",
+                    "move",
+                    "take",
+                    "pause",
+                    "pause",
+                    "leave",
+                    "release",
+                    "join",
+                    "cut",
+                    "cut",
+                    "deaf",
+                    "mute",
+                    "one-way",
+                    "one-way",
+                    "loss",
+                    "loss",
+                    "delay",
+                    "duplicate",
+                    "reorder",
+                    "crowd",
+                    "twin");
+
     /** Faults begin within so many seconds, and last no longer. */
     private static final double BEGIN_S = 12;
+
     private static final double LONGEST_S = 10;
     private static final int SEEDS = 3;
 
-    private Drawn() {
-    }
+    private Drawn() {}
 
     /** The script of this number. */
     public static FleetScript script(long seed, double settledS) {
@@ -24,15 +47,46 @@
         int zones = 1 + chance.nextInt(4);
         List<FleetScript.Incident> incidents = new ArrayList<>();
         int count = 1 + chance.nextInt(6);
-        for (int i = 0; i < count; i++) incidents.add(incident(chance, members));
-        FleetScript free = new FleetScript("drawn-" + seed, 1, members, zones, SEEDS, 3 * chance.nextDouble(), 100, 0.3, 0.3, false, false,
-            new FleetScript.Load(0, 0), incidents, FleetScript.Expect.NOTHING);
+        for (int i = 0; i < count; i++) {
+            incidents.add(incident(chance, members));
+        }
+        FleetScript free =
+                new FleetScript(
+                        "drawn-" + seed,
+                        1,
+                        members,
+                        zones,
+                        SEEDS,
+                        3 * chance.nextDouble(),
+                        100,
+                        0.3,
+                        0.3,
+                        false,
+                        false,
+                        new FleetScript.Load(0, 0),
+                        incidents,
+                        FleetScript.Expect.NOTHING);
         double last = Plan.of(free).lastS();
-        return new FleetScript(free.name(), last + settledS + 15, members, zones, SEEDS, free.startS(), 100, 0.3, 0.3, false, false, free.load(), incidents,
-            new FleetScript.Expect(settledS, -1, -1, 0));
+        return new FleetScript(
+                free.name(),
+                last + settledS + 15,
+                members,
+                zones,
+                SEEDS,
+                free.startS(),
+                100,
+                0.3,
+                0.3,
+                false,
+                false,
+                free.load(),
+                incidents,
+                new FleetScript.Expect(settledS, -1, -1, 0));
     }
 
-    /** A script for a fleet that keeps copies: 3 to 9 members, faults of what lasts and comes back. */
+    /**
+     * A script for a fleet that keeps copies: 3 to 9 members, faults of what lasts and comes back.
+     */
     public static FleetScript copies(long seed) {
         SplittableRandom chance = new Seeds(seed).of("copies");
         int members = 3 + chance.nextInt(7);
@@ -41,12 +95,41 @@
         int count = chance.nextInt(7);
         while (incidents.size() < count) {
             FleetScript.Incident each = incident(chance, members);
-            boolean plays = List.of("kill", "pause", "leave", "release", "cut", "deaf", "mute", "one-way", "loss", "delay", "duplicate", "reorder",
-                "crowd").contains(each.what());
-            if (plays && (each.forS() > 0 || !each.what().equals("leave"))) incidents.add(each);
+            boolean plays =
+                    List.of(
+                                    "kill",
+                                    "pause",
+                                    "leave",
+                                    "release",
+                                    "cut",
+                                    "deaf",
+                                    "mute",
+                                    "one-way",
+                                    "loss",
+                                    "delay",
+                                    "duplicate",
+                                    "reorder",
+                                    "crowd")
+                            .contains(each.what());
+            if (plays && (each.forS() > 0 || !each.what().equals("leave"))) {
+                incidents.add(each);
+            }
         }
-        return new FleetScript("copies-" + seed, 100, members, zones, 2, 1, 100, 0.3, 0.3, true, true, new FleetScript.Load(0, 0), incidents,
-            FleetScript.Expect.NOTHING);
+        return new FleetScript(
+                "copies-" + seed,
+                100,
+                members,
+                zones,
+                2,
+                1,
+                100,
+                0.3,
+                0.3,
+                true,
+                true,
+                new FleetScript.Load(0, 0),
+                incidents,
+                FleetScript.Expect.NOTHING);
     }
 
     private static FleetScript.Incident incident(SplittableRandom chance, int members) {
@@ -57,7 +140,8 @@
         String who = who(chance, members);
         switch (what) {
             case "kill" -> {
-                // Who stays dead is no seed: a fleet whose seeds are all gone for good takes nobody in.
+                // Who stays dead is no seed: a fleet whose seeds are all gone for good takes nobody
+                // in.
                 if (chance.nextInt(3) == 0) {
                     span = 0;
                     int first = Math.min(members, SEEDS + 1);
@@ -65,17 +149,23 @@
                 }
             }
             case "move", "take", "twin", "leave" -> {
-                who = "" + (Math.min(members, SEEDS + 1) + chance.nextInt(Math.max(1, members - SEEDS)));
-                if (what.equals("leave") && chance.nextBoolean()) span = 0;
+                who =
+                        ""
+                                + (Math.min(members, SEEDS + 1)
+                                        + chance.nextInt(Math.max(1, members - SEEDS)));
+                if (what.equals("leave") && chance.nextBoolean()) {
+                    span = 0;
+                }
             }
             case "join" -> strength = 1 + chance.nextInt(20);
             case "loss" -> strength = 0.05 + 0.35 * chance.nextDouble();
             case "delay" -> strength = 5 + 60 * chance.nextDouble();
             case "duplicate", "reorder" -> strength = 0.5 * chance.nextDouble();
             case "crowd" -> strength = 10 + 150 * chance.nextDouble();
-            default -> { }
+            default -> {}
         }
-        return new FleetScript.Incident(at, span, what, who, who(chance, members), who(chance, members), strength);
+        return new FleetScript.Incident(
+                at, span, what, who, who(chance, members), who(chance, members), strength);
     }
 
     private static String who(SplittableRandom chance, int members) {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Explore.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/Explore.java
@@ -14,15 +14,15 @@
 import java.util.function.Supplier;
 
 /**
- * Goes through all orders of events of a {@link Model} to a depth, breadth first. States that go on alike are one. In each state
- * no rule may be broken, and from each all has to become well once nothing more goes wrong.
+ * Goes through all orders of events of a {@link Model} to a depth, breadth first. States that go on
+ * alike are one. In each state no rule may be broken, and from each all has to become well once
+ * nothing more goes wrong.
  */
 public final class Explore {
     private final Supplier<Model> models;
 
     /** What came of it. */
-    public record Found(int depth, long states, long edges, int worstSettles, String broken) {
-    }
+    public record Found(int depth, long states, long edges, int worstSettles, String broken) {}
 
     public Explore(Supplier<Model> models) {
         this.models = models;
@@ -30,19 +30,22 @@
 
     private Model replay(byte[] path) {
         Model fleet = models.get();
-        for (byte action : path) fleet.act(action);
+        for (byte action : path) {
+            fleet.act(action);
+        }
         return fleet;
     }
 
     /** One state that was reached: what of it is kept. */
-    private record Reached(long fingerprint, byte[] path, String broken) {
-    }
+    private record Reached(long fingerprint, byte[] path, String broken) {}
 
     private List<Reached> expand(byte[] path, int actions) {
         List<Reached> all = new ArrayList<>();
         for (int action = 0; action < actions; action++) {
             Model fleet = replay(path);
-            if (!fleet.act(action)) continue;
+            if (!fleet.act(action)) {
+                continue;
+            }
             byte[] next = Arrays.copyOf(path, path.length + 1);
             next[path.length] = (byte) action;
             long fingerprint = fleet.fingerprint();
@@ -51,7 +54,10 @@
         return all;
     }
 
-    /** Explores breadth first, each depth whole, until a depth would bring more states than are wanted. */
+    /**
+     * Explores breadth first, each depth whole, until a depth would bring more states than are
+     * wanted.
+     */
     public Found explore(int depth, long mostStates, Consumer<String> progress) throws Exception {
         Set<Long> known = new HashSet<>();
         List<byte[]> front = List.of(new byte[0]);
@@ -59,37 +65,67 @@
         long edges = 0;
         int worst = 0;
         int done = 0;
-        ExecutorService threads = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors(), work -> {
-            Thread thread = new Thread(work, "explore");
-            thread.setDaemon(true);
-            return thread;
-        });
+        ExecutorService threads =
+                Executors.newFixedThreadPool(
+                        Runtime.getRuntime().availableProcessors(),
+                        work -> {
+                            Thread thread = new Thread(work, "explore");
+                            thread.setDaemon(true);
+                            return thread;
+                        });
         try {
             for (int level = 1; level <= depth; level++) {
                 List<Callable<List<Reached>>> work = new ArrayList<>();
-                for (byte[] path : front) work.add(() -> expand(path, replay(path).actions()));
+                for (byte[] path : front) {
+                    work.add(() -> expand(path, replay(path).actions()));
+                }
                 List<byte[]> next = new ArrayList<>();
                 for (Future<List<Reached>> each : threads.invokeAll(work)) {
                     for (Reached reached : each.get()) {
                         edges++;
-                        if (reached.broken != null) return new Found(level, known.size(), edges, worst, reached.broken + " by " + Arrays.toString(reached.path));
-                        if (known.add(reached.fingerprint)) next.add(reached.path);
+                        if (reached.broken != null) {
+                            return new Found(
+                                    level,
+                                    known.size(),
+                                    edges,
+                                    worst,
+                                    reached.broken + " by " + Arrays.toString(reached.path));
+                        }
+                        if (known.add(reached.fingerprint)) {
+                            next.add(reached.path);
+                        }
                     }
                 }
                 List<Callable<Integer>> heals = new ArrayList<>();
-                for (byte[] path : next) heals.add(() -> replay(path).settles());
+                for (byte[] path : next) {
+                    heals.add(() -> replay(path).settles());
+                }
                 int index = 0;
                 for (Future<Integer> each : threads.invokeAll(heals)) {
                     if (each.get() < 0) {
-                        return new Found(level, known.size(), edges, worst, "does not settle, by " + Arrays.toString(next.get(index)));
+                        return new Found(
+                                level,
+                                known.size(),
+                                edges,
+                                worst,
+                                "does not settle, by " + Arrays.toString(next.get(index)));
                     }
                     worst = Math.max(worst, each.get());
                     index++;
                 }
                 done = level;
-                progress.accept(String.format(Locale.ROOT, "depth %d: %d states, %d steps, settles within %d looks", level, known.size(), edges, worst));
+                progress.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "depth %d: %d states, %d steps, settles within %d looks",
+                                level,
+                                known.size(),
+                                edges,
+                                worst));
                 front = next;
-                if (front.isEmpty() || known.size() > mostStates) break;
+                if (front.isEmpty() || known.size() > mostStates) {
+                    break;
+                }
             }
         } finally {
             threads.shutdownNow();
