--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScriptFile.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScriptFile.java
@@ -10,10 +10,10 @@
 
 /** Reads scripts of fleets; each fault is told with its place. */
 public final class FleetScriptFile {
-    private static final Json5 FILE = new Json5(FleetScriptFile.class, "/ochretiller/emulator/fleet.schema.json");
+    private static final Json5 FILE =
+            new Json5(FleetScriptFile.class, "/ochretiller/emulator/fleet.schema.json");
 
-    private FleetScriptFile() {
-    }
+    private FleetScriptFile() {}
 
     public static FleetScript read(Path file) {
         return script(FILE.read(file, "the script"), Json5.name(file));
@@ -28,20 +28,52 @@
         JsonNode load = root.path("load");
         JsonNode expect = root.path("expect");
         List<FleetScript.Incident> incidents = new ArrayList<>();
-        root.path("incidents").forEach(each -> incidents.add(new FleetScript.Incident(each.path("at_s").asDouble(), each.path("for_s").asDouble(0),
-            each.path("what").asText(), each.path("who").asText(""), each.path("from").asText(""), each.path("to").asText(""),
-            each.path("strength").asDouble(1), FleetScript.Disk.valueOf(each.path("disk").asText("kept").toUpperCase(Locale.ROOT)))));
+        root.path("incidents")
+                .forEach(
+                        each ->
+                                incidents.add(
+                                        new FleetScript.Incident(
+                                                each.path("at_s").asDouble(),
+                                                each.path("for_s").asDouble(0),
+                                                each.path("what").asText(),
+                                                each.path("who").asText(""),
+                                                each.path("from").asText(""),
+                                                each.path("to").asText(""),
+                                                each.path("strength").asDouble(1),
+                                                FleetScript.Disk.valueOf(
+                                                        each.path("disk")
+                                                                .asText("kept")
+                                                                .toUpperCase(Locale.ROOT)))));
         int members = root.path("members").asInt();
-        FleetScript script = new FleetScript(root.path("name").asText(file), root.path("seconds").asDouble(), members,
-            root.path("zones").asInt(1), Math.min(members, root.path("seeds").asInt(2)), root.path("start_s").asDouble(1),
-            root.path("probe_ms").asInt(100), net.path("delay_ms").asDouble(0.3), net.path("jitter_ms").asDouble(0.3), root.path("copies").asBoolean(false),
-            root.path("store").asBoolean(false),
-            new FleetScript.Load(load.path("per_second").asDouble(0), load.path("work_ms").asDouble(5)), List.copyOf(incidents),
-            new FleetScript.Expect(expect.path("settled_s").asDouble(0), expect.path("false_verdicts").asInt(-1),
-                expect.path("changes_each").asInt(-1), expect.path("value_share").asDouble(0)));
+        FleetScript script =
+                new FleetScript(
+                        root.path("name").asText(file),
+                        root.path("seconds").asDouble(),
+                        members,
+                        root.path("zones").asInt(1),
+                        Math.min(members, root.path("seeds").asInt(2)),
+                        root.path("start_s").asDouble(1),
+                        root.path("probe_ms").asInt(100),
+                        net.path("delay_ms").asDouble(0.3),
+                        net.path("jitter_ms").asDouble(0.3),
+                        root.path("copies").asBoolean(false),
+                        root.path("store").asBoolean(false),
+                        new FleetScript.Load(
+                                load.path("per_second").asDouble(0),
+                                load.path("work_ms").asDouble(5)),
+                        List.copyOf(incidents),
+                        new FleetScript.Expect(
+                                expect.path("settled_s").asDouble(0),
+                                expect.path("false_verdicts").asInt(-1),
+                                expect.path("changes_each").asInt(-1),
+                                expect.path("value_share").asDouble(0)));
         Plan plan = Plan.of(script);
         if (plan.lastS() > script.seconds()) {
-            throw new MalformedException(script.name() + ": its last fault ends at " + plan.lastS() + " s, behind its end");
+            throw new MalformedException(
+                    script.name()
+                            + ": its last fault ends at "
+                            + plan.lastS()
+                            + " s, behind its end");
         }
         return script;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Heartbeats.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/Heartbeats.java
@@ -7,12 +7,14 @@
 import ochretiller.emulator.core.Seeds;
 
 /**
- * What is measured beside: each server tells all others that it is there, and whoever was not heard for a fixed time counts as
- * silent. It plays the same plans over the same links; kills, pauses, cuts, losses and crowds are all that it knows.
+ * What is measured beside: each server tells all others that it is there, and whoever was not heard
+ * for a fixed time counts as silent. It plays the same plans over the same links; kills, pauses,
+ * cuts, losses and crowds are all that it knows.
  */
 final class Heartbeats {
     /** Half a second between two words, and three of them missed. */
     private static final double EVERY_S = 0.5;
+
     private static final double SILENT_S = 1.5;
     private static final double LOOK_S = 0.1;
 
@@ -51,7 +53,9 @@
             events.after(seeds.of("look " + i).nextDouble() * LOOK_S, () -> look(host));
         }
         for (Plan.Action action : plan.actions()) {
-            if (action.act() != Plan.Act.START) events.after(action.atS(), () -> act(action));
+            if (action.act() != Plan.Act.START) {
+                events.after(action.atS(), () -> act(action));
+            }
         }
     }
 
@@ -82,14 +86,20 @@
     }
 
     private void say(int from) {
-        if (!hosts[from].up) return;
+        if (!hosts[from].up) {
+            return;
+        }
         if (!hosts[from].paused) {
             for (int to = 0; to < hosts.length; to++) {
-                if (to == from) continue;
+                if (to == from) {
+                    continue;
+                }
                 outcome.packets++;
                 int receiver = to;
                 for (Faults.Copy copy : faults.fate(from + 1, to + 1, events.seconds())) {
-                    events.after((script.delayMs() + copy.delayMs()) / 1e3 + late(to), () -> hear(receiver, from));
+                    events.after(
+                            (script.delayMs() + copy.delayMs()) / 1e3 + late(to),
+                            () -> hear(receiver, from));
                 }
             }
         }
@@ -97,17 +107,23 @@
     }
 
     private void hear(int to, int from) {
-        if (!hosts[to].up || hosts[to].paused) return;
+        if (!hosts[to].up || hosts[to].paused) {
+            return;
+        }
         hosts[to].heard[from] = events.seconds();
         hosts[to].silent[from] = false;
     }
 
     private void look(int who) {
         Host host = hosts[who];
-        if (!host.up) return;
+        if (!host.up) {
+            return;
+        }
         double now = events.seconds();
         for (int of = 0; of < hosts.length && !host.paused; of++) {
-            if (of == who || host.silent[of] || now - host.heard[of] < SILENT_S) continue;
+            if (of == who || host.silent[of] || now - host.heard[of] < SILENT_S) {
+                continue;
+            }
             host.silent[of] = true;
             outcome.verdicts++;
             if (!hosts[of].up) {
@@ -117,8 +133,13 @@
             Set<Integer> unheard = plan.unheard(now);
             unheard.addAll(plan.unheard(Math.max(0, now - 1)));
             List<Integer> both = List.of(who + 1, of + 1);
-            boolean excused = hosts[of].paused || now - hosts[of].resumedS < 1 || both.stream().anyMatch(unheard::contains);
-            if (!excused) outcome.falseVerdicts++;
+            boolean excused =
+                    hosts[of].paused
+                            || now - hosts[of].resumedS < 1
+                            || both.stream().anyMatch(unheard::contains);
+            if (!excused) {
+                outcome.falseVerdicts++;
+            }
         }
         events.after(LOOK_S + late(who), () -> look(who));
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembersModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembersModel.java
@@ -15,17 +15,28 @@
 import ochretiller.fleet.members.State;
 
 /**
- * Delivery, loss, passing time and crash in a fleet of a few, round the decisions themselves. In each state nobody knows a member
- * by a number that the member never had, and nobody is said to have left who did not; from each state, with the faults gone, all
- * views become equal and right within a bound.
+ * Delivery, loss, passing time and crash in a fleet of a few, round the decisions themselves. In
+ * each state nobody knows a member by a number that the member never had, and nobody is said to
+ * have left who did not; from each state, with the faults gone, all views become equal and right
+ * within a bound.
  */
 public final class MembersModel implements Model {
-    /** One look at the clock a probe, and suspicion as short as it can be: verdicts come within the depth. */
-    private static final Pace PACE = new Pace(Duration.ofMillis(100), Duration.ofHours(1), 100, 1, 0.72);
-    /** Packets on one way from one to another; one more pushes the oldest out, which is a loss like any other. */
+    /**
+     * One look at the clock a probe, and suspicion as short as it can be: verdicts come within the
+     * depth.
+     */
+    private static final Pace PACE =
+            new Pace(Duration.ofMillis(100), Duration.ofHours(1), 100, 1, 0.72);
+
+    /**
+     * Packets on one way from one to another; one more pushes the oldest out, which is a loss like
+     * any other.
+     */
     private static final int ON_A_WAY = 2;
+
     /** Looks at the clock within which a fleet without faults has settled. */
     private static final int SETTLES = 120;
+
     private static final int CALM = 40;
 
     private final int members;
@@ -52,12 +63,24 @@
         left = new boolean[members];
         for (int i = 0; i < members; i++) {
             List<Address> seeds = i == 0 ? List.of() : List.of(address(0));
-            Member self = new Member(new MemberId("m" + i, i + 1), address(i), "z", "b", null, 1, State.JOINING);
+            Member self =
+                    new Member(
+                            new MemberId("m" + i, i + 1),
+                            address(i),
+                            "z",
+                            "b",
+                            null,
+                            1,
+                            State.JOINING);
             clocks[i] = Duration.ZERO;
             all[i] = new Members(self, seeds, PACE, new Fixed(), Duration.ZERO);
         }
-        for (int i = 0; i < members * members; i++) ways.add(new ArrayList<>());
-        for (int i = 0; i < CALM; i++) round();
+        for (int i = 0; i < members * members; i++) {
+            ways.add(new ArrayList<>());
+        }
+        for (int i = 0; i < CALM; i++) {
+            round();
+        }
     }
 
     private Address address(int i) {
@@ -67,12 +90,18 @@
     private void take(int from) {
         for (Send send : all[from].sends()) {
             List<Send> way = ways.get(from * members + send.to().port() - 1);
-            if (way.size() == ON_A_WAY) way.remove(0);
+            if (way.size() == ON_A_WAY) {
+                way.remove(0);
+            }
             way.add(send);
         }
         for (Change change : all[from].changes()) {
             int of = (int) change.member().start() - 1;
-            if (change.kind() == Change.Kind.STATE && change.member().state() == State.LEFT && !left[of]) broken = "said to have left: " + change;
+            if (change.kind() == Change.Kind.STATE
+                    && change.member().state() == State.LEFT
+                    && !left[of]) {
+                broken = "said to have left: " + change;
+            }
         }
     }
 
@@ -85,17 +114,25 @@
     private void deliver(int way, int which) {
         int to = way % members;
         Send send = ways.get(way).remove(which);
-        if (dead[to]) return;
+        if (dead[to]) {
+            return;
+        }
         // A planted fault, to see that it is found: a member that never answers what is said of it.
-        if (planted && to == members - 1 && send.packet().from().start() == 1) return;
+        if (planted && to == members - 1 && send.packet().from().start() == 1) {
+            return;
+        }
         all[to].received(send.packet(), clocks[to]);
         take(to);
     }
 
     /** One calm look at the clock by each, and all packets delivered in order. */
     private void round() {
-        for (int i = 0; i < members; i++) if (!dead[i]) time(i);
-        for (boolean more = true; more;) {
+        for (int i = 0; i < members; i++) {
+            if (!dead[i]) {
+                time(i);
+            }
+        }
+        for (boolean more = true; more; ) {
             more = false;
             for (int way = 0; way < ways.size(); way++) {
                 while (!ways.get(way).isEmpty()) {
@@ -106,18 +143,25 @@
         }
     }
 
-    /** Numbered from 0: first the clocks, then crashes, then deliveries and losses of what is on its way. */
+    /**
+     * Numbered from 0: first the clocks, then crashes, then deliveries and losses of what is on its
+     * way.
+     */
     @Override
     public boolean act(int action) {
         int rest = action;
         if (rest < members) {
-            if (dead[rest]) return false;
+            if (dead[rest]) {
+                return false;
+            }
             time(rest);
             return true;
         }
         rest -= members;
         if (rest < members) {
-            if (dead[rest] || deadCount == crashes) return false;
+            if (dead[rest] || deadCount == crashes) {
+                return false;
+            }
             dead[rest] = true;
             deadCount++;
             return true;
@@ -126,8 +170,11 @@
         for (int way = 0; way < ways.size(); way++) {
             int size = ways.get(way).size();
             if (rest < 2 * size) {
-                if (rest % 2 == 0) deliver(way, rest / 2);
-                else ways.get(way).remove(rest / 2);
+                if (rest % 2 == 0) {
+                    deliver(way, rest / 2);
+                } else {
+                    ways.get(way).remove(rest / 2);
+                }
                 return true;
             }
             rest -= 2 * size;
@@ -138,15 +185,23 @@
     @Override
     public int actions() {
         int count = 2 * members;
-        for (List<Send> way : ways) count += 2 * way.size();
+        for (List<Send> way : ways) {
+            count += 2 * way.size();
+        }
         return count;
     }
 
     @Override
     public long fingerprint() {
         StringBuilder text = new StringBuilder(1024);
-        for (int i = 0; i < members; i++) text.append(dead[i] ? "dead" : all[i].state()).append(all[i].next().minus(clocks[i])).append('\n');
-        for (List<Send> way : ways) text.append(way.stream().map(send -> told(send)).toList());
+        for (int i = 0; i < members; i++) {
+            text.append(dead[i] ? "dead" : all[i].state())
+                    .append(all[i].next().minus(clocks[i]))
+                    .append('\n');
+        }
+        for (List<Send> way : ways) {
+            text.append(way.stream().map(send -> told(send)).toList());
+        }
         return LongHashFunction.xx3().hashChars(text);
     }
 
@@ -157,10 +212,14 @@
     @Override
     public String broken() {
         for (int i = 0; i < members && broken == null; i++) {
-            if (dead[i]) continue;
+            if (dead[i]) {
+                continue;
+            }
             for (Seen seen : all[i].view()) {
                 int of = (int) seen.member().start() - 1;
-                if (seen.member().number() > all[of].self().number()) broken = "a number that " + of + " never had: " + seen;
+                if (seen.member().number() > all[of].self().number()) {
+                    broken = "a number that " + of + " never had: " + seen;
+                }
             }
         }
         return broken;
@@ -170,10 +229,20 @@
         long digest = 0;
         boolean first = true;
         for (int i = 0; i < members; i++) {
-            if (dead[i]) continue;
-            if (all[i].live() != members - deadCount - 1 || all[i].self().state() != State.HERE) return false;
-            for (Seen seen : all[i].view()) if (dead[(int) seen.member().start() - 1] && seen.member().state().live()) return false;
-            if (!first && digest != all[i].digest()) return false;
+            if (dead[i]) {
+                continue;
+            }
+            if (all[i].live() != members - deadCount - 1 || all[i].self().state() != State.HERE) {
+                return false;
+            }
+            for (Seen seen : all[i].view()) {
+                if (dead[(int) seen.member().start() - 1] && seen.member().state().live()) {
+                    return false;
+                }
+            }
+            if (!first && digest != all[i].digest()) {
+                return false;
+            }
             digest = all[i].digest();
             first = false;
         }
@@ -184,7 +253,9 @@
     @Override
     public int settles() {
         for (int i = 0; i <= SETTLES; i++) {
-            if (right()) return i;
+            if (right()) {
+                return i;
+            }
             round();
         }
         return -1;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Plan.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/Plan.java
@@ -9,37 +9,62 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * A script as what is done when: to processes, and to links between them. Played alike on virtual servers and on processes.
+ * A script as what is done when: to processes, and to links between them. Played alike on virtual
+ * servers and on processes.
  *
- * @param slots   all servers that are ever started, newcomers among them
+ * @param slots all servers that are ever started, newcomers among them
  * @param actions in the order of their times
- * @param lastS   when the last fault is over
+ * @param lastS when the last fault is over
  */
 public record Plan(List<Slot> slots, List<Action> actions, List<Fault> faults, double lastS) {
     /** What is done to a process. */
-    public enum Act { START, KILL, PAUSE, RESUME, LEAVE, IMAGE }
+    public enum Act {
+        START,
+        KILL,
+        PAUSE,
+        RESUME,
+        LEAVE,
+        IMAGE
+    }
 
     /** What a link does. */
-    public enum Link { CUT, LOSS, DELAY, DUPLICATE, REORDER, CORRUPT, CROWD, FLOOD, CLOCK, FULL, STALL }
+    public enum Link {
+        CUT,
+        LOSS,
+        DELAY,
+        DUPLICATE,
+        REORDER,
+        CORRUPT,
+        CROWD,
+        FLOOD,
+        CLOCK,
+        FULL,
+        STALL
+    }
 
     /**
      * A server that is started at some time.
      *
-     * @param number  from 1; those of the script come first
+     * @param number from 1; those of the script come first
      * @param address a number for each address, shared by servers that have it one after the other
      */
-    public record Slot(int number, String name, int zone, int address) {
-    }
+    public record Slot(int number, String name, int zone, int address) {}
 
     /**
      * @param address where a {@link Act#START} has it listen
-     * @param disk    what a {@link Act#START} finds; for an old one an {@link Act#IMAGE} was taken before
+     * @param disk what a {@link Act#START} finds; for an old one an {@link Act#IMAGE} was taken
+     *     before
      */
-    public record Action(double atS, Act act, int slot, int address, FleetScript.Disk disk) {
-    }
+    public record Action(double atS, Act act, int slot, int address, FleetScript.Disk disk) {}
 
     /** A fault of links, from senders to receivers, or of servers ({@code to}). */
-    public record Fault(double atS, double untilS, Link what, Set<Integer> from, Set<Integer> to, double strength) {
+    public record Fault(
+            double atS,
+            double untilS,
+            Link what,
+            Set<Integer> from,
+            Set<Integer> to,
+            double strength) {
         boolean on(double seconds) {
             return seconds >= atS && seconds < untilS;
         }
@@ -79,8 +104,11 @@
             last = Math.max(last, at);
         }
 
-        private void fault(FleetScript.Incident each, Link what, Set<Integer> from, Set<Integer> to) {
-            faults.add(new Fault(each.atS(), each.atS() + each.forS(), what, from, to, each.strength()));
+        private void fault(
+                FleetScript.Incident each, Link what, Set<Integer> from, Set<Integer> to) {
+            faults.add(
+                    new Fault(
+                            each.atS(), each.atS() + each.forS(), what, from, to, each.strength()));
             last = Math.max(last, each.atS() + each.forS());
         }
 
@@ -93,10 +121,20 @@
         Plan build() {
             for (int i = 1; i <= script.members(); i++) {
                 slot("m" + i, script.zone(i), ++addresses);
-                actions.add(new Action(script.members() == 1 ? 0 : script.startS() * (i - 1) / (script.members() - 1), Act.START, i, i, FleetScript.Disk.KEPT));
+                actions.add(
+                        new Action(
+                                script.members() == 1
+                                        ? 0
+                                        : script.startS() * (i - 1) / (script.members() - 1),
+                                Act.START,
+                                i,
+                                i,
+                                FleetScript.Disk.KEPT));
                 last = script.startS();
             }
-            for (FleetScript.Incident each : script.incidents()) expand(each);
+            for (FleetScript.Incident each : script.incidents()) {
+                expand(each);
+            }
             actions.sort(Comparator.comparingDouble(Action::atS));
             return new Plan(List.copyOf(slots), List.copyOf(actions), List.copyOf(faults), last);
         }
@@ -108,47 +146,86 @@
             Set<Integer> from = script.members(each.from());
             Set<Integer> to = script.members(each.to());
             switch (each.what()) {
-                case "kill" -> who.forEach(i -> {
-                    if (each.disk() == FleetScript.Disk.OLD) act(Math.max(0, at - each.strength()), Act.IMAGE, i, i);
-                    act(at, Act.KILL, i, i);
-                    if (each.forS() > 0) act(end, Act.START, i, i, each.disk());
-                });
-                case "move" -> who.forEach(i -> {
-                    act(at, Act.KILL, i, i);
-                    act(end, Act.START, i, ++addresses);
-                });
-                case "take" -> who.forEach(i -> {
-                    act(at, Act.KILL, i, i);
-                    act(end, Act.START, slot("x" + i, script.zone(i), i).number(), i);
-                });
-                case "pause" -> who.forEach(i -> {
-                    act(at, Act.PAUSE, i, i);
-                    act(end, Act.RESUME, i, i);
-                });
-                case "leave" -> who.forEach(i -> {
-                    act(at, Act.LEAVE, i, i);
-                    if (each.forS() > 0) act(Math.max(end, at + LEAVES_S + 0.1), Act.START, i, i);
-                });
+                case "kill" ->
+                        who.forEach(
+                                i -> {
+                                    if (each.disk() == FleetScript.Disk.OLD) {
+                                        act(Math.max(0, at - each.strength()), Act.IMAGE, i, i);
+                                    }
+                                    act(at, Act.KILL, i, i);
+                                    if (each.forS() > 0) {
+                                        act(end, Act.START, i, i, each.disk());
+                                    }
+                                });
+                case "move" ->
+                        who.forEach(
+                                i -> {
+                                    act(at, Act.KILL, i, i);
+                                    act(end, Act.START, i, ++addresses);
+                                });
+                case "take" ->
+                        who.forEach(
+                                i -> {
+                                    act(at, Act.KILL, i, i);
+                                    act(
+                                            end,
+                                            Act.START,
+                                            slot("x" + i, script.zone(i), i).number(),
+                                            i);
+                                });
+                case "pause" ->
+                        who.forEach(
+                                i -> {
+                                    act(at, Act.PAUSE, i, i);
+                                    act(end, Act.RESUME, i, i);
+                                });
+                case "leave" ->
+                        who.forEach(
+                                i -> {
+                                    act(at, Act.LEAVE, i, i);
+                                    if (each.forS() > 0) {
+                                        act(Math.max(end, at + LEAVES_S + 0.1), Act.START, i, i);
+                                    }
+                                });
                 case "release" -> {
                     double each1 = who.isEmpty() ? 0 : each.forS() / who.size();
                     int n = 0;
                     for (int i : who) {
                         act(at + each1 * n, Act.LEAVE, i, i);
-                        act(at + each1 * n++ + Math.max(each1, LEAVES_S + 0.1), Act.START, i, i, each.disk());
+                        act(
+                                at + each1 * n++ + Math.max(each1, LEAVES_S + 0.1),
+                                Act.START,
+                                i,
+                                i,
+                                each.disk());
                     }
                 }
                 case "join" -> {
                     int count = (int) each.strength();
                     for (int i = 0; i < count; i++) {
-                        int zone = script.zone(1 + i * script.members() / Math.max(1, count) % script.members());
-                        act(at + each.forS() * i / Math.max(1, count), Act.START, slot("j" + (slots.size() + 1), zone, ++addresses).number(), addresses);
+                        int zone =
+                                script.zone(
+                                        1
+                                                + i
+                                                        * script.members()
+                                                        / Math.max(1, count)
+                                                        % script.members());
+                        act(
+                                at + each.forS() * i / Math.max(1, count),
+                                Act.START,
+                                slot("j" + (slots.size() + 1), zone, ++addresses).number(),
+                                addresses);
                     }
                 }
-                case "twin" -> who.forEach(i -> {
-                    Slot twin = slot("m" + i, script.zone(i), ++addresses);
-                    act(at, Act.START, twin.number(), addresses);
-                    if (each.forS() > 0) act(end, Act.KILL, twin.number(), addresses);
-                });
+                case "twin" ->
+                        who.forEach(
+                                i -> {
+                                    Slot twin = slot("m" + i, script.zone(i), ++addresses);
+                                    act(at, Act.START, twin.number(), addresses);
+                                    if (each.forS() > 0) {
+                                        act(end, Act.KILL, twin.number(), addresses);
+                                    }
+                                });
                 case "cut" -> {
                     fault(each, Link.CUT, who, others(who));
                     fault(each, Link.CUT, others(who), who);
@@ -171,11 +248,16 @@
         }
     }
 
-    /** Slots for which something is wrong now that others cannot tell from silence: what they think of them is no fault of theirs. */
+    /**
+     * Slots for which something is wrong now that others cannot tell from silence: what they think
+     * of them is no fault of theirs.
+     */
     public Set<Integer> unheard(double seconds) {
         Set<Integer> all = new HashSet<>();
         for (Fault fault : faults) {
-            if (!fault.on(seconds)) continue;
+            if (!fault.on(seconds)) {
+                continue;
+            }
             if (fault.what == Link.CUT) {
                 all.addAll(fault.from);
                 all.addAll(fault.to);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/VersionsWorld.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/VersionsWorld.java
@@ -30,8 +30,9 @@
 import ochretiller.fleet.versions.VersionMessage;
 
 /**
- * A fleet to which versions are brought out, in virtual time: voters, rollouts, leases and the way of the bytes are the server's own
- * decisions; some versions do harm. It notes on what each keyed run acted, and holds that against what was agreed on.
+ * A fleet to which versions are brought out, in virtual time: voters, rollouts, leases and the way
+ * of the bytes are the server's own decisions; some versions do harm. It notes on what each keyed
+ * run acted, and holds that against what was agreed on.
  */
 public final class VersionsWorld {
     private static final int VOTERS = 3;
@@ -42,11 +43,18 @@
     private static final Duration GRACE = Duration.ofSeconds(3);
     private static final Duration WATCH = Duration.ofSeconds(4);
     private static final Duration PATIENCE = Duration.ofSeconds(6);
-    /** What is in force for a server is so at a voter by then: an epoch's way, a report's, and that of the doubt whether it is late. */
+
+    /**
+     * What is in force for a server is so at a voter by then: an epoch's way, a report's, and that
+     * of the doubt whether it is late.
+     */
     private static final double SLACK_S = 2.5;
+
     private static final double READ_EVERY_S = 0.05;
+
     /** Shares of answers that are errored: usually, and where a version does harm. */
     private static final double USUAL = 0.02;
+
     private static final double HARM = 0.25;
     private static final int SIZE = 3 * Gather.PIECE - 100;
     private static final int ROOM = 2_000;
@@ -59,8 +67,10 @@
     private final SplittableRandom chance;
     private final Map<Integer, Host> hosts = new TreeMap<>();
     private final Set<Long> harmful = new HashSet<>();
+
     /** When each epoch was first known to be agreed on. */
     private final TreeMap<Double, Layout> agreed = new TreeMap<>();
+
     private final Outcomes outcomes = new Outcomes();
     private final Layout first;
     private final boolean leases;
@@ -73,22 +83,30 @@
         public int harmlessStopped;
         public int harmfulOnes;
         public int harmfulStopped;
+
         /** Of those: stopped before all servers acted on them. */
         public int stoppedEarly;
+
         public long runs;
         public long refusedRuns;
         public long messages;
-        /** From the last fault, or the last word, until all live servers act on what is in force; infinite where they do not come to. */
+
+        /**
+         * From the last fault, or the last word, until all live servers act on what is in force;
+         * infinite where they do not come to.
+         */
         public double settledS = Double.POSITIVE_INFINITY;
+
         /** From each publication until it was in force everywhere. */
         public final List<Double> rolloutS = new ArrayList<>();
+
         public final List<String> broken = new ArrayList<>();
+
         /** What kept a fleet from settling. */
         public final List<String> notes = new ArrayList<>();
     }
 
-    private record Sent(String from, Object message) {
-    }
+    private record Sent(String from, Object message) {}
 
     private final class Host {
         final int number;
@@ -109,9 +127,12 @@
         Gather gather;
         final Map<String, Report> reports = new HashMap<>();
         Rollout wished;
+
         /** When this process came to know of epochs. */
         final TreeMap<Long, Double> knew = new TreeMap<>();
+
         double attemptedS = -10;
+
         /** When it was last seen to act on something else than what is in force for it. */
         double lateS = Double.NEGATIVE_INFINITY;
 
@@ -129,8 +150,13 @@
             reports.clear();
             wished = null;
             Set<String> names = new HashSet<>();
-            for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) names.add("m" + i);
-            voter = names.contains(name) ? new Voter(name, names, disk, FACTOR, false, chance.nextLong()) : null;
+            for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
+                names.add("m" + i);
+            }
+            voter =
+                    names.contains(name)
+                            ? new Voter(name, names, disk, FACTOR, false, chance.nextLong())
+                            : null;
             layout = voter != null ? voter.agreed() : layout;
             knew.clear();
             knew.put(layout.epoch(), events.seconds());
@@ -144,55 +170,108 @@
         }
 
         void end() {
-            if (voter != null) disk = voter.promised();
+            if (voter != null) {
+                disk = voter.promised();
+            }
             up = false;
         }
 
         private void tick(long mine) {
-            if (!up || life != mine) return;
+            if (!up || life != mine) {
+                return;
+            }
             if (!paused) {
                 Duration now = events.now();
-                for (Gather.Ask ask : gather.tick(sources(), now)) send(ask.to(), ask.message());
-                if (voter != null) vote();
+                for (Gather.Ask ask : gather.tick(sources(), now)) {
+                    send(ask.to(), ask.message());
+                }
+                if (voter != null) {
+                    vote();
+                }
             }
-            events.after(TICK.plus(Duration.ofNanos((long) (faults.lateMs(number, events.seconds()) * 1e6))), () -> tick(mine));
+            events.after(
+                    TICK.plus(
+                            Duration.ofNanos(
+                                    (long) (faults.lateMs(number, events.seconds()) * 1e6))),
+                    () -> tick(mine));
         }
 
         private List<String> sources() {
             List<String> all = new ArrayList<>();
-            if (gather.waits()) for (Host each : hosts.values()) if (each.up && each != this && (each.voter != null || Stages.on(layout, each.name))) all.add(each.name);
+            if (gather.waits()) {
+                for (Host each : hosts.values()) {
+                    if (each.up
+                            && each != this
+                            && (each.voter != null || Stages.on(layout, each.name))) {
+                        all.add(each.name);
+                    }
+                }
+            }
             return all;
         }
 
         private void vote() {
             Set<String> live = new HashSet<>();
-            for (Host each : hosts.values()) if (each.up && !each.paused) live.add(each.name);
+            for (Host each : hosts.values()) {
+                if (each.up && !each.paused) {
+                    live.add(each.name);
+                }
+            }
             reports.keySet().retainAll(live);
-            if (voter.attempting() && events.seconds() - attemptedS < 1 || chance.nextInt(10) != 0) return;
+            if (voter.attempting() && events.seconds() - attemptedS < 1
+                    || chance.nextInt(10) != 0) {
+                return;
+            }
             Layout now = voter.agreed();
-            Rollout next = wished != null ? wished : rollouts.next(now, live, events.now()).orElse(null);
-            if (next == null) return;
+            Rollout next =
+                    wished != null ? wished : rollouts.next(now, live, events.now()).orElse(null);
+            if (next == null) {
+                return;
+            }
             attemptedS = events.seconds();
             voter.attempt(now.with(next));
             carryOut();
         }
 
         private void speak(long mine) {
-            if (!up || life != mine) return;
-            if (!agreed.isEmpty() && acting.number() != Stages.target(agreed.lastEntry().getValue(), name).number()) lateS = events.seconds();
+            if (!up || life != mine) {
+                return;
+            }
+            if (!agreed.isEmpty()
+                    && acting.number()
+                            != Stages.target(agreed.lastEntry().getValue(), name).number()) {
+                lateS = events.seconds();
+            }
             if (!paused) {
                 Rollout rollout = layout.rollout();
-                Counts before = rollout.from().number() == rollout.to().number() ? Counts.NONE : counts.getOrDefault(rollout.from().number(), Counts.NONE);
-                Report report = new Report(acting.number(), acting.hash(), 0, "", rollout.to().number(), counts.getOrDefault(rollout.to().number(), Counts.NONE), before);
-                VersionMessage.Tell tell = new VersionMessage.Tell(lease.ask(events.now()), report, 0, "");
+                Counts before =
+                        rollout.from().number() == rollout.to().number()
+                                ? Counts.NONE
+                                : counts.getOrDefault(rollout.from().number(), Counts.NONE);
+                Report report =
+                        new Report(
+                                acting.number(),
+                                acting.hash(),
+                                0,
+                                "",
+                                rollout.to().number(),
+                                counts.getOrDefault(rollout.to().number(), Counts.NONE),
+                                before);
+                VersionMessage.Tell tell =
+                        new VersionMessage.Tell(lease.ask(events.now()), report, 0, "");
                 for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
-                    if (i == number) received(name, tell);
-                    else send("m" + i, tell);
+                    if (i == number) {
+                        received(name, tell);
+                    } else {
+                        send("m" + i, tell);
+                    }
                 }
                 if (voter != null) {
                     for (int i = 0; i < 4; i++) {
                         Host to = hosts.get(1 + chance.nextInt(hosts.size()));
-                        if (to != this) send(to.name, new EpochMessage.Agreed(voter.agreed()));
+                        if (to != this) {
+                            send(to.name, new EpochMessage.Agreed(voter.agreed()));
+                        }
                     }
                 }
             }
@@ -201,11 +280,16 @@
 
         /** A keyed invocation is read, and begun if this server may. */
         private void read(long mine) {
-            if (!up || life != mine) return;
+            if (!up || life != mine) {
+                return;
+            }
             if (!paused) {
                 boolean may = !leases || lease.holds(events.now());
-                if (may) ran();
-                else outcomes.refusedRuns++;
+                if (may) {
+                    ran();
+                } else {
+                    outcomes.refusedRuns++;
+                }
             }
             events.after(READ_EVERY_S * (0.5 + chance.nextDouble()), () -> read(mine));
         }
@@ -213,15 +297,25 @@
         private void ran() {
             outcomes.runs++;
             boolean bad = chance.nextDouble() < (harmful.contains(acting.number()) ? HARM : USUAL);
-            counts.merge(acting.number(), new Counts(1, 0, bad ? 1 : 0, 0, bad ? 0 : 1, 1), Counts::plus);
+            counts.merge(
+                    acting.number(),
+                    new Counts(1, 0, bad ? 1 : 0, 0, bad ? 0 : 1, 1),
+                    Counts::plus);
             String wrong = wrong(this);
-            if (wrong != null && outcomes.broken.size() < 20) outcomes.broken.add(String.format(Locale.ROOT, "%.3f s: %s", events.seconds(), wrong));
+            if (wrong != null && outcomes.broken.size() < 20) {
+                outcomes.broken.add(
+                        String.format(Locale.ROOT, "%.3f s: %s", events.seconds(), wrong));
+            }
         }
 
         void take(Sent sent) {
-            if (!up) return;
+            if (!up) {
+                return;
+            }
             if (paused) {
-                if (waits.size() < ROOM) waits.add(sent);
+                if (waits.size() < ROOM) {
+                    waits.add(sent);
+                }
                 return;
             }
             received(sent.from, sent.message);
@@ -230,58 +324,99 @@
         private void received(String from, Object message) {
             Duration now = events.now();
             if (message instanceof EpochMessage word) {
-                if (voter != null) voter.received(from, word);
-                if (word instanceof EpochMessage.Agreed told) learn(told.layout());
+                if (voter != null) {
+                    voter.received(from, word);
+                }
+                if (word instanceof EpochMessage.Agreed told) {
+                    learn(told.layout());
+                }
             } else if (message instanceof VersionMessage.Tell tell) {
                 rollouts.told(from, tell.report());
                 reports.put(from, tell.report());
                 boolean may = door.renews(layout, from, reports, now);
                 if (from.equals(name)) {
-                    if (may) lease.granted(name, tell.question());
+                    if (may) {
+                        lease.granted(name, tell.question());
+                    }
                 } else {
                     send(from, new VersionMessage.Renewed(tell.question(), may));
                     // As a standing does: who reports on an older version has missed the epoch.
-                    if (tell.report().about() < layout.rollout().to().number()) send(from, new EpochMessage.Agreed(layout));
+                    if (tell.report().about() < layout.rollout().to().number()) {
+                        send(from, new EpochMessage.Agreed(layout));
+                    }
                 }
             } else if (message instanceof VersionMessage.Renewed renewed) {
-                if (renewed.may()) lease.granted(from, renewed.question());
+                if (renewed.may()) {
+                    lease.granted(from, renewed.question());
+                }
             } else if (message instanceof VersionMessage.WantBytes want) {
-                if (bytes.contains(want.hash())) Gather.cut(want, new byte[SIZE]).ifPresent(piece -> send(from, piece));
+                if (bytes.contains(want.hash())) {
+                    Gather.cut(want, new byte[SIZE]).ifPresent(piece -> send(from, piece));
+                }
             } else if (message instanceof VersionMessage.Bytes piece) {
-                gather.received(piece, now).ifPresent(all -> {
-                    bytes.add(piece.hash());
-                    follow();
-                });
-                for (Gather.Ask ask : gather.tick(sources(), now)) send(ask.to(), ask.message());
+                gather.received(piece, now)
+                        .ifPresent(
+                                all -> {
+                                    bytes.add(piece.hash());
+                                    follow();
+                                });
+                for (Gather.Ask ask : gather.tick(sources(), now)) {
+                    send(ask.to(), ask.message());
+                }
             }
             carryOut();
         }
 
         private void learn(Layout next) {
-            if (next.epoch() <= layout.epoch()) return;
+            if (next.epoch() <= layout.epoch()) {
+                return;
+            }
             layout = next;
             door.become(next, events.now());
             knew.put(next.epoch(), events.seconds());
-            if (next.rollout().equals(wished)) wished = null;
+            if (next.rollout().equals(wished)) {
+                wished = null;
+            }
             follow();
         }
 
         private void follow() {
             Rollout.Version target = Stages.target(layout, name);
-            if (target.number() == acting.number()) return;
-            if (!target.own() && !bytes.contains(target.hash())) gather.want(target, events.now());
-            else acting = target;
+            if (target.number() == acting.number()) {
+                return;
+            }
+            if (!target.own() && !bytes.contains(target.hash())) {
+                gather.want(target, events.now());
+            } else {
+                acting = target;
+            }
         }
 
         void carryOut() {
-            if (voter == null) return;
-            if (voter.agreed().epoch() > layout.epoch()) learn(voter.agreed());
-            // A majority may have accepted it before anybody knows: what is agreed on is so from the first that does.
+            if (voter == null) {
+                return;
+            }
+            if (voter.agreed().epoch() > layout.epoch()) {
+                learn(voter.agreed());
+            }
+            // A majority may have accepted it before anybody knows: what is agreed on is so from
+            // the first that does.
             Layout known = voter.agreed();
-            if (agreed.isEmpty() || known.epoch() > agreed.lastEntry().getValue().epoch()) agreedOn(known);
+            if (agreed.isEmpty() || known.epoch() > agreed.lastEntry().getValue().epoch()) {
+                agreedOn(known);
+            }
             for (Voter.Out out : voter.outs()) {
-                if (out.to().isPresent()) send(out.to().get(), out.message());
-                else for (Host each : hosts.values()) if (each != this && (each.voter != null || out.message() instanceof EpochMessage.Agreed)) send(each.name, out.message());
+                if (out.to().isPresent()) {
+                    send(out.to().get(), out.message());
+                } else {
+                    for (Host each : hosts.values()) {
+                        if (each != this
+                                && (each.voter != null
+                                        || out.message() instanceof EpochMessage.Agreed)) {
+                            send(each.name, out.message());
+                        }
+                    }
+                }
             }
         }
 
@@ -289,14 +424,22 @@
             outcomes.messages++;
             int other = Integer.parseInt(to.substring(1));
             for (Faults.Copy copy : faults.fate(number, other, events.seconds())) {
-                if (copy.spoilt()) continue;
-                double ms = script.delayMs() + script.jitterMs() * links.nextDouble() + copy.delayMs() + faults.lateMs(other, events.seconds());
+                if (copy.spoilt()) {
+                    continue;
+                }
+                double ms =
+                        script.delayMs()
+                                + script.jitterMs() * links.nextDouble()
+                                + copy.delayMs()
+                                + faults.lateMs(other, events.seconds());
                 events.after(ms / 1e3, () -> hosts.get(other).take(new Sent(name, message)));
             }
         }
     }
 
-    /** @param leases whether servers heed them; without, stragglers are to be seen */
+    /**
+     * @param leases whether servers heed them; without, stragglers are to be seen
+     */
     public VersionsWorld(FleetScript script, long seed, boolean leases) {
         this.script = script;
         this.plan = Plan.of(script);
@@ -306,7 +449,9 @@
         this.links = seeds.of("links");
         this.chance = seeds.of("versions");
         List<Layout.Server> servers = new ArrayList<>();
-        for (int i = 1; i <= Math.min(script.members(), Layout.MOST); i++) servers.add(new Layout.Server("m" + i, "z" + script.zone(i)));
+        for (int i = 1; i <= Math.min(script.members(), Layout.MOST); i++) {
+            servers.add(new Layout.Server("m" + i, "z" + script.zone(i)));
+        }
         servers.sort(Comparator.comparing(Layout.Server::name));
         this.first = new Layout(1, servers, servers, FACTOR);
     }
@@ -315,34 +460,60 @@
         Rollout before = agreed.isEmpty() ? Rollout.NONE : agreed.lastEntry().getValue().rollout();
         Rollout now = layout.rollout();
         agreed.put(events.seconds(), layout);
-        boolean back = now.over() && now.to().number() == before.to().number() + 1 && !before.over();
+        boolean back =
+                now.over() && now.to().number() == before.to().number() + 1 && !before.over();
         if (back || now.state() == Rollout.State.HALTED && before.state() == Rollout.State.RUNS) {
             boolean harm = harmful.contains(before.to().number());
-            if (!harm) outcomes.harmlessStopped++;
-            else outcomes.harmfulStopped++;
-            if (harm && before.stage() < Stages.ALL) outcomes.stoppedEarly++;
+            if (!harm) {
+                outcomes.harmlessStopped++;
+            } else {
+                outcomes.harmfulStopped++;
+            }
+            if (harm && before.stage() < Stages.ALL) {
+                outcomes.stoppedEarly++;
+            }
+        }
+        if (now.over() && !before.over() && !back) {
+            outcomes.rolloutS.add(events.seconds() - startedS);
         }
-        if (now.over() && !before.over() && !back) outcomes.rolloutS.add(events.seconds() - startedS);
     }
 
     private double startedS;
 
     /** Plays it, with so many publications spread over its faults and somewhat behind them. */
     public Outcomes play(int count, double harmShare) {
-        for (Plan.Slot slot : plan.slots()) hosts.put(slot.number(), new Host(slot.number()));
-        for (Plan.Action action : plan.actions()) events.after(action.atS(), () -> act(action));
+        for (Plan.Slot slot : plan.slots()) {
+            hosts.put(slot.number(), new Host(slot.number()));
+        }
+        for (Plan.Action action : plan.actions()) {
+            events.after(action.atS(), () -> act(action));
+        }
         double lastFault = plan.lastS();
-        for (int i = 0; i < count; i++) events.after(3 + 24.0 * i, () -> publish(chance.nextDouble() < harmShare, 40));
+        for (int i = 0; i < count; i++) {
+            events.after(3 + 24.0 * i, () -> publish(chance.nextDouble() < harmShare, 40));
+        }
         double words = 3 + 24.0 * count;
         double end = Math.max(lastFault, words) + 60;
         events.after(Math.max(lastFault, words), this::look);
         lastWordS = Math.max(lastFault, words);
         events.run(end);
         if (Double.isInfinite(outcomes.settledS)) {
-            StringBuilder text = new StringBuilder("unsettled: " + (agreed.isEmpty() ? first : agreed.lastEntry().getValue()));
+            StringBuilder text =
+                    new StringBuilder(
+                            "unsettled: "
+                                    + (agreed.isEmpty() ? first : agreed.lastEntry().getValue()));
             for (Host each : hosts.values()) {
-                text.append("; ").append(each.name).append(each.up ? each.paused ? " paused" : "" : " down").append(" epoch ").append(each.layout.epoch()).append(" acts ").append(each.acting.number())
-                    .append(each.lease != null && each.lease.holds(events.now()) ? "" : " no lease");
+                text.append("; ")
+                        .append(each.name)
+                        .append(each.up ? each.paused ? " paused" : "" : " down")
+                        .append(" epoch ")
+                        .append(each.layout.epoch())
+                        .append(" acts ")
+                        .append(each.acting.number())
+                        .append(
+                                each.lease != null && each.lease.holds(events.now())
+                                        ? ""
+                                        : " no lease");
             }
             outcomes.notes.add(text.toString());
         }
@@ -355,7 +526,11 @@
         Layout now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
         boolean settled = now.rollout().over() || now.rollout().state() == Rollout.State.HALTED;
         for (Host each : hosts.values()) {
-            if (each.up && !each.paused) settled &= each.acting.number() == Stages.target(now, each.name).number() && each.lease.holds(events.now());
+            if (each.up && !each.paused) {
+                settled &=
+                        each.acting.number() == Stages.target(now, each.name).number()
+                                && each.lease.holds(events.now());
+            }
         }
         if (settled) {
             outcomes.settledS = events.seconds() - lastWordS;
@@ -366,18 +541,30 @@
 
     private void publish(boolean harm, int tries) {
         List<Host> open = new ArrayList<>();
-        for (Host each : hosts.values()) if (each.up && !each.paused && each.voter != null) open.add(each);
-        boolean halted = open.stream().anyMatch(each -> each.layout.rollout().state() == Rollout.State.HALTED);
+        for (Host each : hosts.values()) {
+            if (each.up && !each.paused && each.voter != null) {
+                open.add(each);
+            }
+        }
+        boolean halted =
+                open.stream()
+                        .anyMatch(each -> each.layout.rollout().state() == Rollout.State.HALTED);
         Host at = open.isEmpty() ? null : open.get(chance.nextInt(open.size()));
         if (at == null || !at.layout.rollout().over() || at.wished != null) {
             // People come back; one that was halted they take back.
-            if (at != null && halted && at.wished == null) at.wished = at.layout.rollout().back("person", "halted");
-            if (tries > 0) events.after(1, () -> publish(harm, tries - 1));
+            if (at != null && halted && at.wished == null) {
+                at.wished = at.layout.rollout().back("person", "halted");
+            }
+            if (tries > 0) {
+                events.after(1, () -> publish(harm, tries - 1));
+            }
             return;
         }
         long number = at.layout.rollout().to().number() + 1;
         publications++;
-        Rollout.Version next = new Rollout.Version(number, String.format("%064x", publications), SIZE, "", "person", "why");
+        Rollout.Version next =
+                new Rollout.Version(
+                        number, String.format("%064x", publications), SIZE, "", "person", "why");
         // Its bytes are at a majority of voters before it is wished for.
         int have = 0;
         for (Host each : open) {
@@ -385,67 +572,136 @@
             have++;
         }
         if (have < Layout.majority(Math.min(VOTERS, script.members()))) {
-            if (tries > 0) events.after(1, () -> publish(harm, tries - 1));
+            if (tries > 0) {
+                events.after(1, () -> publish(harm, tries - 1));
+            }
             return;
         }
-        if (harm) harmful.add(number);
+        if (harm) {
+            harmful.add(number);
+        }
         outcomes.published++;
-        if (harm) outcomes.harmfulOnes++;
-        else outcomes.harmless++;
+        if (harm) {
+            outcomes.harmfulOnes++;
+        } else {
+            outcomes.harmless++;
+        }
         startedS = events.seconds();
         Rollout wish = at.layout.rollout().begins(next);
         at.wished = wish;
-        events.after(10, () -> {
-            if (wish.equals(at.wished)) at.wished = null;
-        });
+        events.after(
+                10,
+                () -> {
+                    if (wish.equals(at.wished)) {
+                        at.wished = null;
+                    }
+                });
     }
 
     private void act(Plan.Action action) {
         Host host = hosts.get(action.slot());
         switch (action.act()) {
             case START -> {
-                if (!host.up) host.start();
+                if (!host.up) {
+                    host.start();
+                }
             }
             case KILL, LEAVE -> {
-                if (host.up) host.end();
+                if (host.up) {
+                    host.end();
+                }
             }
             case PAUSE -> {
-                if (host.up) host.paused = true;
+                if (host.up) {
+                    host.paused = true;
+                }
             }
             case RESUME -> {
-                if (!host.up || !host.paused) return;
+                if (!host.up || !host.paused) {
+                    return;
+                }
                 host.paused = false;
                 // It acts once more before it reads anything.
                 boolean may = !leases || host.lease.holds(events.now());
-                if (may) host.ran();
-                while (!host.waits.isEmpty() && host.up) host.take(host.waits.poll());
+                if (may) {
+                    host.ran();
+                }
+                while (!host.waits.isEmpty() && host.up) {
+                    host.take(host.waits.poll());
+                }
             }
-            default -> { }
+            default -> {}
         }
     }
 
-    /** Whether what a server acts on now was in force for it within the stated bound; what is wrong, or null. */
+    /**
+     * Whether what a server acts on now was in force for it within the stated bound; what is wrong,
+     * or null.
+     */
     private String wrong(Host host) {
         double bound = LEASE.toSeconds() + GRACE.toSeconds() + SLACK_S;
         double from = events.seconds() - bound;
         List<Layout> all = new ArrayList<>();
         all.add(first);
         for (Layout each : agreed.values()) {
-            // From when a majority of voters knows, each since its start, a majority of them renews no lease by an older one.
-            long know = hosts.values().stream().filter(voter -> voter.voter != null && voter.up && voter.knew.tailMap(each.epoch()).values().stream().anyMatch(at -> at <= from)).count();
-            if (know >= Layout.majority(Math.min(VOTERS, script.members()))) all.clear();
+            // From when a majority of voters knows, each since its start, a majority of them renews
+            // no lease by an older one.
+            long know =
+                    hosts.values().stream()
+                            .filter(
+                                    voter ->
+                                            voter.voter != null
+                                                    && voter.up
+                                                    && voter
+                                                            .knew
+                                                            .tailMap(each.epoch())
+                                                            .values()
+                                                            .stream()
+                                                            .anyMatch(at -> at <= from))
+                            .count();
+            if (know >= Layout.majority(Math.min(VOTERS, script.members()))) {
+                all.clear();
+            }
             all.add(each);
         }
-        for (Layout each : all) if (Stages.target(each, host.name).number() == host.acting.number()) return null;
-        // Where too many are behind nobody is shut out, by rule, and what was renewed then lasts for a lease.
+        for (Layout each : all) {
+            if (Stages.target(each, host.name).number() == host.acting.number()) {
+                return null;
+            }
+        }
+        // Where too many are behind nobody is shut out, by rule, and what was renewed then lasts
+        // for a lease.
         Layout now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
         long live = hosts.values().stream().filter(each -> each.up).count();
-        long late = hosts.values().stream().filter(each -> events.seconds() - each.lateS < LEASE.toSeconds() + SLACK_S).count();
-        if (late > 0.25 * live) return null;
+        long late =
+                hosts.values().stream()
+                        .filter(each -> events.seconds() - each.lateS < LEASE.toSeconds() + SLACK_S)
+                        .count();
+        if (late > 0.25 * live) {
+            return null;
+        }
         StringBuilder voters = new StringBuilder();
         for (Host each : hosts.values()) {
-            if (each.voter != null) voters.append(' ').append(each.name).append(each.up ? each.paused ? " paused" : "" : " down").append(" epoch ").append(each.layout.epoch());
+            if (each.voter != null) {
+                voters.append(' ')
+                        .append(each.name)
+                        .append(each.up ? each.paused ? " paused" : "" : " down")
+                        .append(" epoch ")
+                        .append(each.layout.epoch());
+            }
         }
-        return host.name + " ran on version " + host.acting.number() + ", which was not in force for it in the last " + bound + " s; now it is " + Stages.target(now, host.name).number() + ", in epoch " + now.epoch() + " of " + agreed.lastKey() + " s, voters:" + voters;
+        return host.name
+                + " ran on version "
+                + host.acting.number()
+                + ", which was not in force for it in the last "
+                + bound
+                + " s; now it is "
+                + Stages.target(now, host.name).number()
+                + ", in epoch "
+                + now.epoch()
+                + " of "
+                + agreed.lastKey()
+                + " s, voters:"
+                + voters;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/hunt/Hunt.java
+++ b/emulator/src/main/java/ochretiller/emulator/hunt/Hunt.java
@@ -28,16 +28,16 @@
      * What was found.
      *
      * @param broken a rule is broken; else it is the greatest loss
-     * @param value  share of the billed value that was left
+     * @param value share of the billed value that was left
      */
-    public record Find(Script script, long seed, boolean broken, double value, String line) {
-    }
+    public record Find(Script script, long seed, boolean broken, double value, String line) {}
 
     /** The first time line that breaks a rule, or else the one with the least value. */
-    public Find search(int tries, int round, Consumer<String> progress) throws InterruptedException {
+    public Find search(int tries, int round, Consumer<String> progress)
+            throws InterruptedException {
         SplittableRandom chance = new SplittableRandom(seed);
         Find worst = null;
-        for (int done = 0; done < tries;) {
+        for (int done = 0; done < tries; ) {
             List<Runs.Run> next = new ArrayList<>();
             for (int i = 0; i < Math.min(round, tries - done); i++) {
                 next.add(new Runs.Run(base.with(Incidents.draw(base, chance)), seed + done + i));
@@ -45,23 +45,45 @@
             List<Outcome> outcomes = runs.play(next);
             for (int i = 0; i < next.size(); i++) {
                 Find find = find(next.get(i), outcomes.get(i));
-                if (worst == null || find.broken && !worst.broken || find.broken == worst.broken && find.value < worst.value) worst = find;
+                if (worst == null
+                        || find.broken && !worst.broken
+                        || find.broken == worst.broken && find.value < worst.value) {
+                    worst = find;
+                }
             }
             done += next.size();
-            progress.accept(done + " of " + tries + ": " + (worst.broken ? "a broken rule: " + worst.line : "least value " + worst.value));
-            if (worst.broken) break;
+            progress.accept(
+                    done
+                            + " of "
+                            + tries
+                            + ": "
+                            + (worst.broken
+                                    ? "a broken rule: " + worst.line
+                                    : "least value " + worst.value));
+            if (worst.broken) {
+                break;
+            }
         }
         return worst;
     }
 
     private static Find find(Runs.Run run, Outcome outcome) {
         boolean broken = outcome.rules().count() > 0;
-        return new Find(run.script(), run.seed(), broken, outcome.valueShare(), broken ? outcome.rules().broken().get(0) : "");
+        return new Find(
+                run.script(),
+                run.seed(),
+                broken,
+                outcome.valueShare(),
+                broken ? outcome.rules().broken().get(0) : "");
     }
 
-    /** A smaller time line that still breaks a rule, or still loses nine tenths of what this one loses. */
+    /**
+     * A smaller time line that still breaks a rule, or still loses nine tenths of what this one
+     * loses.
+     */
     public Find cut(Find found, Consumer<String> progress) throws InterruptedException {
-        Predicate<Find> still = found.broken ? Find::broken : find -> 1 - find.value >= 0.9 * (1 - found.value);
+        Predicate<Find> still =
+                found.broken ? Find::broken : find -> 1 - find.value >= 0.9 * (1 - found.value);
         Find best = found;
         for (int round = 0; round < ROUNDS; round++) {
             List<Runs.Run> next = new ArrayList<>();
@@ -72,9 +94,13 @@
             Find smaller = null;
             for (int i = 0; i < next.size() && smaller == null; i++) {
                 Find each = find(next.get(i), outcomes.get(i));
-                if (still.test(each)) smaller = each;
+                if (still.test(each)) {
+                    smaller = each;
+                }
+            }
+            if (smaller == null) {
+                return best;
             }
-            if (smaller == null) return best;
             best = smaller;
             progress.accept("cut down to " + best.script.incidents().size() + " incidents");
         }
--- a/emulator/src/main/java/ochretiller/emulator/hunt/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/hunt/package-info.java
@@ -1,2 +1,5 @@
-/** Random incidents within stated ranges, hunted for broken rules and for the worst loss; what is found is cut down. Pure. */
+/**
+ * Random incidents within stated ranges, hunted for broken rules and for the worst loss; what is
+ * found is cut down. Pure.
+ */
 package ochretiller.emulator.hunt;
--- a/emulator/src/main/java/ochretiller/emulator/script/ScriptFile.java
+++ b/emulator/src/main/java/ochretiller/emulator/script/ScriptFile.java
@@ -19,14 +19,18 @@
 import ochretiller.json5.Json5;
 import ochretiller.settings.MalformedException;
 
-/** Reads scripts; each fault is told with its place, or in one line where the parts do not fit one another. */
+/**
+ * Reads scripts; each fault is told with its place, or in one line where the parts do not fit one
+ * another.
+ */
 public final class ScriptFile {
-    private static final Json5 FILE = new Json5(ScriptFile.class, "/ochretiller/emulator/script.schema.json");
+    private static final Json5 FILE =
+            new Json5(ScriptFile.class, "/ochretiller/emulator/script.schema.json");
 
-    private static final Set<String> MEMBERS = Set.of("fleet", "network", "gateways", "ledger", "traffic");
+    private static final Set<String> MEMBERS =
+            Set.of("fleet", "network", "gateways", "ledger", "traffic");
 
-    private ScriptFile() {
-    }
+    private ScriptFile() {}
 
     public static Script read(Path file) {
         return script(FILE.read(file, "the script"), Json5.name(file));
@@ -38,12 +42,16 @@
 
     /** A script's members as they are written, for one that is to be written again with others. */
     public static Map<String, Object> members(Path file) {
-        return new ObjectMapper().convertValue(FILE.read(file, "the script"), new TypeReference<LinkedHashMap<String, Object>>() { });
+        return new ObjectMapper()
+                .convertValue(
+                        FILE.read(file, "the script"),
+                        new TypeReference<LinkedHashMap<String, Object>>() {});
     }
 
     /**
-     * The script with other values, as {@code name=value,name=value}: of a member where the name begins with one of the script's
-     * ({@code gateways.choice=least}), else of the server's settings.
+     * The script with other values, as {@code name=value,name=value}: of a member where the name
+     * begins with one of the script's ({@code gateways.choice=least}), else of the server's
+     * settings.
      */
     public static Script variant(Path file, String told) {
         JsonNode root = FILE.read(file, "the script");
@@ -51,10 +59,13 @@
         for (String each : told.split(",")) {
             int at = each.indexOf('=');
             int dot = each.indexOf('.');
-            if (at < 1 || dot < 1 || dot > at) throw new MalformedException("no change: '" + each + "'; part.name=value is one");
+            if (at < 1 || dot < 1 || dot > at) {
+                throw new MalformedException("no change: '" + each + "'; part.name=value is one");
+            }
             boolean member = MEMBERS.contains(each.substring(0, dot));
             JsonNode value = value(each.substring(at + 1));
-            changed.withObjectProperty(member ? each.substring(0, dot) : "settings").set(member ? each.substring(dot + 1, at) : each.substring(0, at), value);
+            changed.withObjectProperty(member ? each.substring(0, dot) : "settings")
+                    .set(member ? each.substring(dot + 1, at) : each.substring(0, at), value);
         }
         String name = file.getFileName() + " with " + told;
         return script(FILE.of(changed.toString(), name), file.getFileName().toString());
@@ -62,9 +73,13 @@
 
     /** As JSON would have it written: a number, a truth or a text. */
     private static JsonNode value(String text) {
-        if (text.equals("true") || text.equals("false")) return BooleanNode.valueOf(Boolean.parseBoolean(text));
+        if (text.equals("true") || text.equals("false")) {
+            return BooleanNode.valueOf(Boolean.parseBoolean(text));
+        }
         try {
-            return text.matches("-?\\d{1,9}") ? IntNode.valueOf(Integer.parseInt(text)) : DoubleNode.valueOf(Double.parseDouble(text));
+            return text.matches("-?\\d{1,9}")
+                    ? IntNode.valueOf(Integer.parseInt(text))
+                    : DoubleNode.valueOf(Double.parseDouble(text));
         } catch (NumberFormatException e) {
             return TextNode.valueOf(text);
         }
@@ -80,57 +95,124 @@
         List<Script.Operation> operations = new ArrayList<>();
         root.path("operations").forEach(each -> operations.add(operation(each)));
         List<Script.Incident> incidents = new ArrayList<>();
-        root.path("incidents").forEach(each -> incidents.add(new Script.Incident(each.path("at_s").asDouble(),
-            each.path("for_s").asDouble(0), each.path("what").asText(), each.path("share").asDouble(1),
-            each.path("strength").asDouble(2))));
+        root.path("incidents")
+                .forEach(
+                        each ->
+                                incidents.add(
+                                        new Script.Incident(
+                                                each.path("at_s").asDouble(),
+                                                each.path("for_s").asDouble(0),
+                                                each.path("what").asText(),
+                                                each.path("share").asDouble(1),
+                                                each.path("strength").asDouble(2))));
         Map<String, String> settings = new TreeMap<>();
-        root.path("settings").properties().forEach(each -> settings.put(each.getKey(), each.getValue().asText()));
-        Script script = new Script(root.path("name").asText(file), root.path("seconds").asDouble(),
-            new Script.Fleet(fleet.path("boxes").asInt(), fleet.path("cores").asInt(2), fleet.path("memory_kb").asDouble(200_000),
-                fleet.path("run_factor").asDouble(4), fleet.path("key_kb").asDouble(4), fleet.path("crowd").asDouble(2),
-                fleet.path("loss").asDouble(0.15), fleet.path("falls_at").asDouble(60), fleet.path("cold_share").asDouble(0.4),
-                fleet.path("cold_s").asDouble(20), fleet.path("boot_s").asDouble(5), fleet.path("read_ms").asDouble(0.3),
-                fleet.path("grace_s").asDouble(2), fleet.path("stop_s").asDouble(8), fleet.path("remembers").asBoolean(false),
-                fleet.path("force_ms").asDouble(2)),
-            new Script.Network(net.path("delay_ms").asDouble(1), net.path("jitter_ms").asDouble(1)),
-            new Script.Gateways(gateways.path("count").asInt(8), gateways.path("choice").asText("two"),
-                gateways.path("tries").asInt(3), gateways.path("try_ms").asDouble(0), gateways.path("pause_ms").asDouble(20),
-                gateways.path("heeds").asDouble(0.5), gateways.path("list_s").asDouble(2), gateways.path("health_ms").asDouble(250)),
-            new Script.Ledger(ledger.path("slots").asInt(64), ledger.path("work_ms").asDouble(20), ledger.path("waits").asInt(256),
-                ledger.path("falls_at").asInt(0), ledger.path("down_s").asDouble(5)),
-            List.copyOf(operations),
-            new Script.Traffic(traffic.path("per_second").asDouble(), traffic.path("callers").asInt(100),
-                traffic.path("skew").asDouble(0)),
-            List.copyOf(incidents), new Script.Expect(expect.path("value_share").asDouble(0), expect.path("p99_ms").asDouble(0),
-                expect.path("rules").asBoolean(true)), Map.copyOf(settings));
+        root.path("settings")
+                .properties()
+                .forEach(each -> settings.put(each.getKey(), each.getValue().asText()));
+        Script script =
+                new Script(
+                        root.path("name").asText(file),
+                        root.path("seconds").asDouble(),
+                        new Script.Fleet(
+                                fleet.path("boxes").asInt(),
+                                fleet.path("cores").asInt(2),
+                                fleet.path("memory_kb").asDouble(200_000),
+                                fleet.path("run_factor").asDouble(4),
+                                fleet.path("key_kb").asDouble(4),
+                                fleet.path("crowd").asDouble(2),
+                                fleet.path("loss").asDouble(0.15),
+                                fleet.path("falls_at").asDouble(60),
+                                fleet.path("cold_share").asDouble(0.4),
+                                fleet.path("cold_s").asDouble(20),
+                                fleet.path("boot_s").asDouble(5),
+                                fleet.path("read_ms").asDouble(0.3),
+                                fleet.path("grace_s").asDouble(2),
+                                fleet.path("stop_s").asDouble(8),
+                                fleet.path("remembers").asBoolean(false),
+                                fleet.path("force_ms").asDouble(2)),
+                        new Script.Network(
+                                net.path("delay_ms").asDouble(1),
+                                net.path("jitter_ms").asDouble(1)),
+                        new Script.Gateways(
+                                gateways.path("count").asInt(8),
+                                gateways.path("choice").asText("two"),
+                                gateways.path("tries").asInt(3),
+                                gateways.path("try_ms").asDouble(0),
+                                gateways.path("pause_ms").asDouble(20),
+                                gateways.path("heeds").asDouble(0.5),
+                                gateways.path("list_s").asDouble(2),
+                                gateways.path("health_ms").asDouble(250)),
+                        new Script.Ledger(
+                                ledger.path("slots").asInt(64),
+                                ledger.path("work_ms").asDouble(20),
+                                ledger.path("waits").asInt(256),
+                                ledger.path("falls_at").asInt(0),
+                                ledger.path("down_s").asDouble(5)),
+                        List.copyOf(operations),
+                        new Script.Traffic(
+                                traffic.path("per_second").asDouble(),
+                                traffic.path("callers").asInt(100),
+                                traffic.path("skew").asDouble(0)),
+                        List.copyOf(incidents),
+                        new Script.Expect(
+                                expect.path("value_share").asDouble(0),
+                                expect.path("p99_ms").asDouble(0),
+                                expect.path("rules").asBoolean(true)),
+                        Map.copyOf(settings));
         check(script);
         return script;
     }
 
     private static Script.Operation operation(JsonNode node) {
         String effect = node.path("effect").asText("idempotent");
-        return new Script.Operation(node.path("name").asText(), node.path("share").asDouble(1), effect,
-            node.path("work_ms").asDouble(), node.path("spread").asDouble(0.5), node.path("calls").asBoolean(false),
-            node.path("objective_ms").asDouble(), node.path("timeout_ms").asDouble(), node.path("value").asDouble(1),
-            node.path("late_share").asDouble(0), node.path("window_ms").asDouble(effect.equals("tokened") ? 20_000 : 0),
-            node.path("kb").asDouble(20), node.path("repeats").asDouble(0), node.path("back_s").asDouble(5));
+        return new Script.Operation(
+                node.path("name").asText(),
+                node.path("share").asDouble(1),
+                effect,
+                node.path("work_ms").asDouble(),
+                node.path("spread").asDouble(0.5),
+                node.path("calls").asBoolean(false),
+                node.path("objective_ms").asDouble(),
+                node.path("timeout_ms").asDouble(),
+                node.path("value").asDouble(1),
+                node.path("late_share").asDouble(0),
+                node.path("window_ms").asDouble(effect.equals("tokened") ? 20_000 : 0),
+                node.path("kb").asDouble(20),
+                node.path("repeats").asDouble(0),
+                node.path("back_s").asDouble(5));
     }
 
     /** What no schema can say: whether the parts fit one another. */
     private static void check(Script script) {
         Set<String> names = new HashSet<>();
         for (Script.Operation each : script.operations()) {
-            if (!names.add(each.name())) throw new MalformedException(script.name() + ": two operations " + each.name());
+            if (!names.add(each.name())) {
+                throw new MalformedException(script.name() + ": two operations " + each.name());
+            }
             if (each.objectiveMs() > each.timeoutMs()) {
-                throw new MalformedException(script.name() + ": the objective of " + each.name() + " is behind its timeout");
+                throw new MalformedException(
+                        script.name()
+                                + ": the objective of "
+                                + each.name()
+                                + " is behind its timeout");
             }
             if (each.effect().equals("tokened") == (each.windowMs() == 0)) {
-                throw new MalformedException(script.name() + ": " + each.name() + " needs a window if, and only if, it is tokened");
+                throw new MalformedException(
+                        script.name()
+                                + ": "
+                                + each.name()
+                                + " needs a window if, and only if, it is tokened");
             }
         }
         for (Script.Incident each : script.incidents()) {
             if (each.atS() >= script.seconds()) {
-                throw new MalformedException(script.name() + ": " + each.what() + " at " + each.atS() + " s is behind the end");
+                throw new MalformedException(
+                        script.name()
+                                + ": "
+                                + each.what()
+                                + " at "
+                                + each.atS()
+                                + " s is behind the end");
             }
         }
         if (script.fleet().graceS() >= script.fleet().stopS()) {
--- a/emulator/src/main/java/ochretiller/emulator/script/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/script/package-info.java
@@ -1,2 +1,5 @@
-/** Scripts of rehearsals: JSON5, checked against a schema and as a whole, and read into plain values. */
+/**
+ * Scripts of rehearsals: JSON5, checked against a schema and as a whole, and read into plain
+ * values.
+ */
 package ochretiller.emulator.script;
--- a/emulator/src/main/java/ochretiller/emulator/world/Ask.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/Ask.java
@@ -7,7 +7,12 @@
 /** What one caller wants, over all its tries. */
 final class Ask {
     /** How it ended for the caller. */
-    enum End { SUCCEEDED, THROTTLED, ERRORED, TIMED_OUT }
+    enum End {
+        SUCCEEDED,
+        THROTTLED,
+        ERRORED,
+        TIMED_OUT
+    }
 
     final Script.Operation plan;
     final Operation operation;
@@ -21,11 +26,20 @@
     int throttled;
     boolean over;
     Box at;
+
     /** Where the last try failed: the next goes elsewhere where there is a choice. */
     Box not;
+
     Message message;
 
-    Ask(Script.Operation plan, Operation operation, String token, long caller, double work, double askedAt, Consumer<End> then) {
+    Ask(
+            Script.Operation plan,
+            Operation operation,
+            String token,
+            long caller,
+            double work,
+            double askedAt,
+            Consumer<End> then) {
         this.plan = plan;
         this.operation = operation;
         this.token = token;
@@ -37,7 +51,9 @@
     }
 
     void ends(End end) {
-        if (over) return;
+        if (over) {
+            return;
+        }
         over = true;
         then.accept(end);
     }
--- a/emulator/src/main/java/ochretiller/emulator/world/Cores.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/Cores.java
@@ -5,8 +5,8 @@
 import ochretiller.emulator.core.Events;
 
 /**
- * Cores that all work on them shares evenly. Past a crowd a part of the speed is lost, as caches and locks take it; a cold box
- * is slower and warms up; it may be slowed or stand still.
+ * Cores that all work on them shares evenly. Past a crowd a part of the speed is lost, as caches
+ * and locks take it; a cold box is slower and warms up; it may be slowed or stand still.
  */
 final class Cores {
     /** How often the speed of a warming box is looked at, seconds. */
@@ -19,10 +19,15 @@
     private final double coldShare;
     private final double coldS;
     private final double startedAt;
-    private final PriorityQueue<Job> jobs = new PriorityQueue<>(Comparator.comparingDouble((Job job) -> job.ends).thenComparing(job -> job.number));
+    private final PriorityQueue<Job> jobs =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble((Job job) -> job.ends)
+                            .thenComparing(job -> job.number));
     private long numbers;
+
     /** Work that each job has had since the start, seconds on a whole core. */
     private double served;
+
     private double servedAt;
     private double speed;
     private double slower = 1;
@@ -44,7 +49,14 @@
         }
     }
 
-    Cores(Events events, int cores, double crowd, double loss, double coldShare, double coldS, boolean cold) {
+    Cores(
+            Events events,
+            int cores,
+            double crowd,
+            double loss,
+            double coldShare,
+            double coldS,
+            boolean cold) {
         this.events = events;
         this.cores = cores;
         this.crowd = crowd;
@@ -52,12 +64,16 @@
         this.coldShare = coldShare;
         this.coldS = cold ? coldS : 0;
         this.startedAt = servedAt = lookedAt = events.seconds();
-        if (this.coldS > 0) warm();
+        if (this.coldS > 0) {
+            warm();
+        }
     }
 
     private void warm() {
-        change(() -> { });
-        if (events.seconds() < startedAt + coldS) events.after(WARMS, this::warm);
+        change(() -> {});
+        if (events.seconds() < startedAt + coldS) {
+            events.after(WARMS, this::warm);
+        }
     }
 
     /** Adds work of so many seconds. */
@@ -90,10 +106,15 @@
     /** Speed of one job, in whole cores. */
     private double speed() {
         int n = jobs.size();
-        if (n == 0 || paused) return 0;
+        if (n == 0 || paused) {
+            return 0;
+        }
         double lost = Math.max(0, (double) n / cores / crowd - 1) * loss;
         double warmth = coldS == 0 ? 1 : Math.min(1, (events.seconds() - startedAt) / coldS);
-        return Math.min(1, (double) cores / n) / (1 + lost) * (coldShare + (1 - coldShare) * warmth) / slower;
+        return Math.min(1, (double) cores / n)
+                / (1 + lost)
+                * (coldShare + (1 - coldShare) * warmth)
+                / slower;
     }
 
     private void advance() {
@@ -107,8 +128,14 @@
         advance();
         what.run();
         speed = speed();
-        if (next != null) next.cancel();
-        next = jobs.isEmpty() || speed == 0 ? null : events.after(Math.max(0, (jobs.peek().ends - served) / speed) + 1e-9, this::end);
+        if (next != null) {
+            next.cancel();
+        }
+        next =
+                jobs.isEmpty() || speed == 0
+                        ? null
+                        : events.after(
+                                Math.max(0, (jobs.peek().ends - served) / speed) + 1e-9, this::end);
     }
 
     private void end() {
@@ -116,8 +143,10 @@
         advance();
         // A little room for what rounding leaves.
         Job over = !jobs.isEmpty() && jobs.peek().ends <= served + 1e-9 ? jobs.poll() : null;
-        change(() -> { });
-        if (over != null) over.then.run();
+        change(() -> {});
+        if (over != null) {
+            over.then.run();
+        }
     }
 
     /** Share of the cores that was busy since the last look. */
--- a/emulator/src/main/java/ochretiller/emulator/world/Disk.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/Disk.java
@@ -7,14 +7,20 @@
 import ochretiller.emulator.core.Events;
 import ochretiller.remembered.Mark;
 
-/** What outlives a box where results are remembered: marks and results by token, durable once forced. */
+/**
+ * What outlives a box where results are remembered: marks and results by token, durable once
+ * forced.
+ */
 final class Disk {
     private final Events events;
     private final double forceS;
+
     /** What is durable, by token; times of marks are milliseconds since the start of all. */
     final Map<String, Mark> kept = new HashMap<>();
+
     private final List<Runnable> stalled = new ArrayList<>();
     private boolean stalls;
+
     /** Writes of a box that has died do not become durable. */
     private long epoch;
 
@@ -26,16 +32,25 @@
     /** Once the write is durable. */
     void write(Runnable durable) {
         long mine = epoch;
-        events.after(forceS, () -> {
-            if (mine != epoch) return;
-            if (stalls) stalled.add(durable);
-            else durable.run();
-        });
+        events.after(
+                forceS,
+                () -> {
+                    if (mine != epoch) {
+                        return;
+                    }
+                    if (stalls) {
+                        stalled.add(durable);
+                    } else {
+                        durable.run();
+                    }
+                });
     }
 
     void stall(boolean now) {
         stalls = now;
-        if (now) return;
+        if (now) {
+            return;
+        }
         List<Runnable> waiting = new ArrayList<>(stalled);
         stalled.clear();
         waiting.forEach(Runnable::run);
--- a/emulator/src/main/java/ochretiller/emulator/world/Known.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/Known.java
@@ -5,7 +5,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Which boxes there are, as a gateway may know it, and who owns which key: a change moves only keys of the places that change. */
+/**
+ * Which boxes there are, as a gateway may know it, and who owns which key: a change moves only keys
+ * of the places that change.
+ */
 final class Known {
     /** Points of a place on the ring: with these the parts of places differ by a few tenths. */
     private static final int POINTS = 32;
@@ -17,13 +20,18 @@
         this.boxes = List.copyOf(boxes);
         for (Box box : boxes) {
             SplittableRandom points = new SplittableRandom(box.place);
-            for (int i = 0; i < POINTS; i++) ring.put(points.nextLong(), box);
+            for (int i = 0; i < POINTS; i++) {
+                ring.put(points.nextLong(), box);
+            }
         }
     }
 
     Box owner(String token) {
-        if (ring.isEmpty()) return null;
-        Map.Entry<Long, Box> next = ring.ceilingEntry(new SplittableRandom(token.hashCode()).nextLong());
+        if (ring.isEmpty()) {
+            return null;
+        }
+        Map.Entry<Long, Box> next =
+                ring.ceilingEntry(new SplittableRandom(token.hashCode()).nextLong());
         return (next == null ? ring.firstEntry() : next).getValue();
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/world/Ledger.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/Ledger.java
@@ -8,7 +8,10 @@
 import ochretiller.emulator.script.Script;
 import ochretiller.model.CallEnd;
 
-/** The records service: some slots, some that wait, the rest turned away; where too many wait it falls over. */
+/**
+ * The records service: some slots, some that wait, the rest turned away; where too many wait it
+ * falls over.
+ */
 final class Ledger {
     private final Events events;
     private final Script.Ledger plan;
@@ -29,10 +32,15 @@
 
     void call(Consumer<CallEnd.Result> then) {
         calls++;
-        if (events.seconds() < downUntil) then.accept(CallEnd.Result.NOT_REACHED);
-        else if (busy < plan.slots()) serve(then);
-        else if (waiting.size() >= plan.waits()) then.accept(CallEnd.Result.TURNED_AWAY);
-        else waiting.add(then);
+        if (events.seconds() < downUntil) {
+            then.accept(CallEnd.Result.NOT_REACHED);
+        } else if (busy < plan.slots()) {
+            serve(then);
+        } else if (waiting.size() >= plan.waits()) {
+            then.accept(CallEnd.Result.TURNED_AWAY);
+        } else {
+            waiting.add(then);
+        }
         if (plan.fallsAt() > 0 && waiting.size() >= plan.fallsAt()) {
             falls++;
             down(plan.downS());
@@ -42,19 +50,27 @@
     private void serve(Consumer<CallEnd.Result> then) {
         busy++;
         long mine = epoch;
-        events.after(Seeds.exponential(chance, plan.workMs() / 1e3) * slower, () -> {
-            if (mine != epoch) return; // it fell over meanwhile
-            busy--;
-            if (!waiting.isEmpty()) serve(waiting.poll());
-            then.accept(CallEnd.Result.SUCCEEDED);
-        });
+        events.after(
+                Seeds.exponential(chance, plan.workMs() / 1e3) * slower,
+                () -> {
+                    if (mine != epoch) {
+                        return; // it fell over meanwhile
+                    }
+                    busy--;
+                    if (!waiting.isEmpty()) {
+                        serve(waiting.poll());
+                    }
+                    then.accept(CallEnd.Result.SUCCEEDED);
+                });
     }
 
     void slow(double times) {
         slower = times;
     }
 
-    /** What is at work in it breaks off; what only waited never ran, but who asked cannot know that. */
+    /**
+     * What is at work in it breaks off; what only waited never ran, but who asked cannot know that.
+     */
     void down(double seconds) {
         downUntil = Math.max(downUntil, events.seconds() + seconds);
         epoch++;
--- a/emulator/src/main/java/ochretiller/emulator/world/Message.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/Message.java
@@ -7,7 +7,12 @@
 /** One try on its way to a box and back. */
 final class Message {
     /** What its caller's side hears. */
-    enum Answer { SUCCEEDED, ERRORED, THROTTLED, RESET }
+    enum Answer {
+        SUCCEEDED,
+        ERRORED,
+        THROTTLED,
+        RESET
+    }
 
     /** Who hears of its end. */
     @FunctionalInterface
@@ -16,7 +21,7 @@
          * The end.
          *
          * @param backoff when to come back, zero for no word
-         * @param last    no other box should be tried
+         * @param last no other box should be tried
          */
         void answer(Answer answer, Duration backoff, boolean last);
     }
@@ -26,19 +31,31 @@
     final String token;
     final long caller;
     final double kb;
+
     /** Core time that its run takes, seconds. */
     final double work;
+
     final boolean resent;
     final Heard heard;
+
     /** On the box's clock. */
     Duration arrived;
+
     boolean answered;
     boolean running;
     boolean gone;
     boolean called;
     Cores.Job job;
 
-    Message(long id, Operation operation, String token, long caller, double kb, double work, boolean resent, Heard heard) {
+    Message(
+            long id,
+            Operation operation,
+            String token,
+            long caller,
+            double kb,
+            double work,
+            boolean resent,
+            Heard heard) {
         this.id = new InvId(id);
         this.operation = operation;
         this.token = token;
--- a/emulator/src/main/java/ochretiller/emulator/world/Outcome.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/Outcome.java
@@ -12,8 +12,13 @@
 public final class Outcome {
     /** Time between two looks at the fleet, seconds. */
     static final double SAMPLE_S = 0.5;
+
     private static final double BUCKET_S = 1;
-    /** Longest time that is told apart, microseconds: beyond any client timeout that a script may have is counted as this. */
+
+    /**
+     * Longest time that is told apart, microseconds: beyond any client timeout that a script may
+     * have is counted as this.
+     */
     private static final long LONGEST_US = 3_600_000_000L;
 
     /** One second of arrivals: what they could earn, what they earned, and how they ended. */
@@ -29,8 +34,7 @@
     }
 
     /** A look at the fleet. */
-    public record Look(double at, int boxes, int held, int running, int ledger) {
-    }
+    public record Look(double at, int boxes, int held, int running, int ledger) {}
 
     private final Script script;
     private final List<Second> seconds = new ArrayList<>();
@@ -47,8 +51,12 @@
 
     Outcome(Script script) {
         this.script = script;
-        for (int i = 0; i <= script.seconds() / BUCKET_S; i++) seconds.add(new Second());
-        for (Script.Operation each : script.operations()) byOperation.put(each.name(), new Second());
+        for (int i = 0; i <= script.seconds() / BUCKET_S; i++) {
+            seconds.add(new Second());
+        }
+        for (Script.Operation each : script.operations()) {
+            byOperation.put(each.name(), new Second());
+        }
     }
 
     private Second at(double askedAt) {
@@ -61,19 +69,38 @@
     }
 
     void asked(Script.Operation plan, long caller, double at, boolean first) {
-        if (!first) return;
+        if (!first) {
+            return;
+        }
         for (Second each : List.of(at(at), byOperation.get(plan.name()), side(caller))) {
             each.asked++;
             each.offered += plan.value();
         }
     }
 
-    /** A caller's part is over; only what it asked first earns, a return under the same key only shows what became of it. */
-    void ended(Script.Operation plan, long caller, double askedAt, double now, Ask.End end, int tries, boolean first) {
-        if (!first) return;
+    /**
+     * A caller's part is over; only what it asked first earns, a return under the same key only
+     * shows what became of it.
+     */
+    void ended(
+            Script.Operation plan,
+            long caller,
+            double askedAt,
+            double now,
+            Ask.End end,
+            int tries,
+            boolean first) {
+        if (!first) {
+            return;
+        }
         double spent = now - askedAt;
-        double worth = end != Ask.End.SUCCEEDED ? 0 : spent <= plan.objectiveMs() / 1e3 ? 1 : plan.lateShare();
-        if (end == Ask.End.SUCCEEDED) took.recordValue(Math.min(LONGEST_US, Math.max(1, (long) (spent * 1e6))));
+        double worth =
+                end != Ask.End.SUCCEEDED
+                        ? 0
+                        : spent <= plan.objectiveMs() / 1e3 ? 1 : plan.lateShare();
+        if (end == Ask.End.SUCCEEDED) {
+            took.recordValue(Math.min(LONGEST_US, Math.max(1, (long) (spent * 1e6))));
+        }
         for (Second each : List.of(at(askedAt), byOperation.get(plan.name()), side(caller))) {
             each.earned += worth * plan.value();
             each.tries += tries;
@@ -108,7 +135,9 @@
         return offered == 0 ? 1 : seconds.stream().mapToDouble(each -> each.earned).sum() / offered;
     }
 
-    /** The same of the first tenth of the callers, to whom {@code skew} gives more than their part. */
+    /**
+     * The same of the first tenth of the callers, to whom {@code skew} gives more than their part.
+     */
     public double loudShare() {
         return loud.offered == 0 ? 1 : loud.earned / loud.offered;
     }
@@ -128,7 +157,9 @@
                 offered += each.offered;
                 earned += each.earned;
             }
-            if (offered > 0) worst = Math.min(worst, earned / offered);
+            if (offered > 0) {
+                worst = Math.min(worst, earned / offered);
+            }
         }
         return worst;
     }
@@ -187,12 +218,24 @@
     public List<String> missed() {
         List<String> missed = new ArrayList<>();
         if (valueShare() < script.expect().valueShare()) {
-            missed.add(String.format(java.util.Locale.ROOT, "value share %.3f under %.3f", valueShare(), script.expect().valueShare()));
+            missed.add(
+                    String.format(
+                            java.util.Locale.ROOT,
+                            "value share %.3f under %.3f",
+                            valueShare(),
+                            script.expect().valueShare()));
         }
         if (script.expect().p99Ms() > 0 && tookMs(99) > script.expect().p99Ms()) {
-            missed.add(String.format(java.util.Locale.ROOT, "p99 of %.0f ms over %.0f", tookMs(99), script.expect().p99Ms()));
+            missed.add(
+                    String.format(
+                            java.util.Locale.ROOT,
+                            "p99 of %.0f ms over %.0f",
+                            tookMs(99),
+                            script.expect().p99Ms()));
+        }
+        if (script.expect().rules() && rules.count() > 0) {
+            missed.add(rules.count() + " broken rules, first " + rules.broken().get(0));
         }
-        if (script.expect().rules() && rules.count() > 0) missed.add(rules.count() + " broken rules, first " + rules.broken().get(0));
         return missed;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/world/World.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/World.java
@@ -17,9 +17,15 @@
 import ochretiller.model.Operation;
 import ochretiller.settings.Lookup;
 
-/** All of one run: what there is, and what befalls it. One thread; the same script and seed give the same run. */
+/**
+ * All of one run: what there is, and what befalls it. One thread; the same script and seed give the
+ * same run.
+ */
 public final class World {
-    /** Time behind the last arrival in which all must come to its end: beyond the longest client timeout. */
+    /**
+     * Time behind the last arrival in which all must come to its end: beyond the longest client
+     * timeout.
+     */
     private static final double AFTER_S = 2;
 
     final Events events = new Events();
@@ -40,8 +46,10 @@
     private final Map<Box, boolean[]> seen = new HashMap<>();
     private final Outcome outcome;
     private double rate = 1;
+
     /** Boxes of lower place are cut off. */
     private int cut;
+
     private long ids;
     private long tokens;
 
@@ -55,8 +63,18 @@
         this.arrivals = seeds.of("arrivals");
         this.returns = seeds.of("returns");
         for (Script.Operation each : script.operations()) {
-            operations.put(each.name(), new Operation(each.name(), effect(each.effect()), millis(each.objectiveMs()),
-                millis(each.timeoutMs()), each.value(), each.lateShare(), millis(each.windowMs()), each.calls(), 0));
+            operations.put(
+                    each.name(),
+                    new Operation(
+                            each.name(),
+                            effect(each.effect()),
+                            millis(each.objectiveMs()),
+                            millis(each.timeoutMs()),
+                            each.value(),
+                            each.lateShare(),
+                            millis(each.windowMs()),
+                            each.calls(),
+                            0));
         }
         this.settings = settings();
     }
@@ -73,7 +91,10 @@
         return Duration.ofNanos((long) (value * 1e6));
     }
 
-    /** What an installation of this kind would have in its configuration, and over it what the script says. */
+    /**
+     * What an installation of this kind would have in its configuration, and over it what the
+     * script says.
+     */
     private Lookup settings() {
         Script.Fleet fleet = script.fleet();
         Map<String, String> values = new HashMap<>();
@@ -105,11 +126,16 @@
     public Outcome play() {
         int places = script.fleet().boxes();
         for (int place = 0; place < places; place++) {
-            disks.add(script.fleet().remembers() ? new Disk(events, script.fleet().forceMs() / 1e3) : null);
+            disks.add(
+                    script.fleet().remembers()
+                            ? new Disk(events, script.fleet().forceMs() / 1e3)
+                            : null);
             boxes.add(box(place, false));
         }
         Known first = new Known(boxes);
-        for (int i = 0; i < script.gateways().count(); i++) gateways.add(new Gateway(this, i, first));
+        for (int i = 0; i < script.gateways().count(); i++) {
+            gateways.add(new Gateway(this, i, first));
+        }
         look();
         for (int i = 0; i < script.incidents().size(); i++) {
             Script.Incident incident = script.incidents().get(i);
@@ -118,8 +144,14 @@
         }
         arrives();
         sample();
-        double longest = script.operations().stream().mapToDouble(Script.Operation::timeoutMs).max().orElse(0) / 1e3;
-        double back = script.operations().stream().mapToDouble(Script.Operation::backS).max().orElse(0);
+        double longest =
+                script.operations().stream()
+                                .mapToDouble(Script.Operation::timeoutMs)
+                                .max()
+                                .orElse(0)
+                        / 1e3;
+        double back =
+                script.operations().stream().mapToDouble(Script.Operation::backS).max().orElse(0);
         events.run(script.seconds() + 2 * longest + back + AFTER_S + script.fleet().stopS());
         rules.over(events.seconds());
         outcome.over(rules, events.done(), ledger.calls(), ledger.falls());
@@ -135,16 +167,27 @@
         return ++ids;
     }
 
-    /** Something goes from a gateway to a box or back; what is cut off comes late or never, as a lost packet's sender sees it. */
+    /**
+     * Something goes from a gateway to a box or back; what is cut off comes late or never, as a
+     * lost packet's sender sees it.
+     */
     void travel(Box box, Runnable then) {
-        double span = (script.network().delayMs() + script.network().jitterMs() * delays.nextDouble()) / 1e3;
-        if (box.place < cut) return;
+        double span =
+                (script.network().delayMs() + script.network().jitterMs() * delays.nextDouble())
+                        / 1e3;
+        if (box.place < cut) {
+            return;
+        }
         events.after(span, then);
     }
 
     void toLedger(Consumer<CallEnd.Result> then) {
-        double there = (script.network().delayMs() + script.network().jitterMs() * ledgerDelays.nextDouble()) / 1e3;
-        events.after(there, () -> ledger.call(result -> events.after(there, () -> then.accept(result))));
+        double there =
+                (script.network().delayMs()
+                                + script.network().jitterMs() * ledgerDelays.nextDouble())
+                        / 1e3;
+        events.after(
+                there, () -> ledger.call(result -> events.after(there, () -> then.accept(result))));
     }
 
     /** Health as it was last looked at. */
@@ -154,7 +197,10 @@
     }
 
     private void look() {
-        for (Box box : boxes) seen.computeIfAbsent(box, b -> new boolean[1])[0] = box.state == Box.State.UP && box.healthy && box.place >= cut;
+        for (Box box : boxes) {
+            seen.computeIfAbsent(box, b -> new boolean[1])[0] =
+                    box.state == Box.State.UP && box.healthy && box.place >= cut;
+        }
         seen.keySet().retainAll(boxes);
         events.after(script.gateways().healthMs() / 1e3, this::look);
     }
@@ -163,19 +209,25 @@
 
     private void arrives() {
         double gap = Seeds.exponential(arrivals, 1 / script.traffic().perSecond());
-        // A burst draws no more chance than a calm spell does, so that two runs differ by the burst alone.
-        events.after(gap / rate, () -> {
-            if (events.seconds() >= script.seconds()) return;
-            ask();
-            arrives();
-        });
+        // A burst draws no more chance than a calm spell does, so that two runs differ by the burst
+        // alone.
+        events.after(
+                gap / rate,
+                () -> {
+                    if (events.seconds() >= script.seconds()) {
+                        return;
+                    }
+                    ask();
+                    arrives();
+                });
     }
 
     private void ask() {
         Script.Operation plan = script.at(arrivals.nextDouble());
         int callers = script.traffic().callers();
         boolean loud = arrivals.nextDouble() < script.traffic().skew();
-        long caller = loud ? arrivals.nextInt(Math.max(1, callers / 10)) : arrivals.nextInt(callers);
+        long caller =
+                loud ? arrivals.nextInt(Math.max(1, callers / 10)) : arrivals.nextInt(callers);
         double work = Seeds.around(arrivals, plan.workMs() / 1e3, plan.spread());
         boolean comesBack = arrivals.nextDouble() < plan.repeats();
         double back = arrivals.nextDouble() * plan.backS();
@@ -184,15 +236,36 @@
         send(plan, operation, token, caller, work, comesBack ? back : -1, true);
     }
 
-    private void send(Script.Operation plan, Operation operation, String token, long caller, double work, double back, boolean first) {
+    private void send(
+            Script.Operation plan,
+            Operation operation,
+            String token,
+            long caller,
+            double work,
+            double back,
+            boolean first) {
         double at = events.seconds();
         Ask[] made = new Ask[1];
-        made[0] = new Ask(plan, operation, token, caller, work, at, end -> {
-            outcome.ended(plan, caller, at, events.seconds(), end, made[0].tries, first);
-            if (end != Ask.End.SUCCEEDED && token != null && back >= 0) {
-                events.after(back, () -> send(plan, operation, token, caller, work, -1, false));
-            }
-        });
+        made[0] =
+                new Ask(
+                        plan,
+                        operation,
+                        token,
+                        caller,
+                        work,
+                        at,
+                        end -> {
+                            outcome.ended(
+                                    plan, caller, at, events.seconds(), end, made[0].tries, first);
+                            if (end != Ask.End.SUCCEEDED && token != null && back >= 0) {
+                                events.after(
+                                        back,
+                                        () ->
+                                                send(
+                                                        plan, operation, token, caller, work, -1,
+                                                        false));
+                            }
+                        });
         outcome.asked(plan, caller, at, first);
         gateways.get((int) (caller % gateways.size())).send(made[0]);
     }
@@ -215,23 +288,47 @@
         List<Box> some = some(incident.share(), chance);
         switch (incident.what()) {
             case "die" -> some.forEach(box -> dies(box, incident.forS()));
-            case "pause" -> during(incident, () -> some.forEach(box -> box.pause(true)), () -> some.forEach(box -> box.pause(false)));
-            case "slow" -> during(incident, () -> some.forEach(box -> box.slow(incident.strength())),
-                () -> some.forEach(box -> box.slow(1)));
-            case "fail" -> during(incident, () -> some.forEach(box -> box.fail(Math.min(1, incident.strength()))),
-                () -> some.forEach(box -> box.fail(0)));
+            case "pause" ->
+                    during(
+                            incident,
+                            () -> some.forEach(box -> box.pause(true)),
+                            () -> some.forEach(box -> box.pause(false)));
+            case "slow" ->
+                    during(
+                            incident,
+                            () -> some.forEach(box -> box.slow(incident.strength())),
+                            () -> some.forEach(box -> box.slow(1)));
+            case "fail" ->
+                    during(
+                            incident,
+                            () -> some.forEach(box -> box.fail(Math.min(1, incident.strength()))),
+                            () -> some.forEach(box -> box.fail(0)));
             case "release" -> {
                 for (int i = 0; i < some.size(); i++) {
                     Box box = some.get(i);
                     events.after(incident.forS() * i / some.size(), () -> release(box));
                 }
             }
-            case "burst" -> during(incident, () -> rate *= incident.strength(), () -> rate /= incident.strength());
-            case "ledger-slow" -> during(incident, () -> ledger.slow(incident.strength()), () -> ledger.slow(1));
+            case "burst" ->
+                    during(
+                            incident,
+                            () -> rate *= incident.strength(),
+                            () -> rate /= incident.strength());
+            case "ledger-slow" ->
+                    during(incident, () -> ledger.slow(incident.strength()), () -> ledger.slow(1));
             case "ledger-down" -> ledger.down(incident.forS());
-            case "cut" -> during(incident, () -> cut = (int) Math.ceil(incident.share() * script.fleet().boxes()), () -> cut = 0);
-            case "disk-stall" -> during(incident, () -> some.forEach(box -> stall(box, true)), () -> some.forEach(box -> stall(box, false)));
-            case "retry-storm" -> during(incident, () -> storm(incident.share(), true), () -> storm(1, false));
+            case "cut" ->
+                    during(
+                            incident,
+                            () -> cut = (int) Math.ceil(incident.share() * script.fleet().boxes()),
+                            () -> cut = 0);
+            case "disk-stall" ->
+                    during(
+                            incident,
+                            () -> some.forEach(box -> stall(box, true)),
+                            () -> some.forEach(box -> stall(box, false)));
+            case "retry-storm" ->
+                    during(incident, () -> storm(incident.share(), true), () -> storm(1, false));
             default -> throw new IllegalStateException(incident.what());
         }
     }
@@ -242,12 +339,16 @@
     }
 
     private void stall(Box box, boolean now) {
-        if (disks.get(box.place) != null) disks.get(box.place).stall(now);
+        if (disks.get(box.place) != null) {
+            disks.get(box.place).stall(now);
+        }
     }
 
     private void storm(double share, boolean now) {
         int count = (int) Math.ceil(share * gateways.size());
-        for (int i = 0; i < count; i++) gateways.get(i).storms = now;
+        for (int i = 0; i < count; i++) {
+            gateways.get(i).storms = now;
+        }
     }
 
     void dies(Box box) {
@@ -256,14 +357,18 @@
 
     /** It dies at once, and its successor comes up cold; gateways hear of both late. */
     private void dies(Box box, double away) {
-        if (box.state == Box.State.DEAD) return;
+        if (box.state == Box.State.DEAD) {
+            return;
+        }
         outcome.died(events.seconds());
         box.die();
         succeeds(box, away + script.fleet().bootS());
     }
 
     private void release(Box box) {
-        if (box.state != Box.State.UP) return;
+        if (box.state != Box.State.UP) {
+            return;
+        }
         box.leave();
         succeeds(box, script.fleet().stopS() + script.fleet().bootS());
     }
@@ -271,18 +376,22 @@
     private void succeeds(Box box, double later) {
         boxes.remove(box);
         tell();
-        events.after(later, () -> {
-            // Whoever still has the place (a drain that took its whole time) has ended by now.
-            box.die();
-            boxes.add(box(box.place, true));
-            tell();
-        });
+        events.after(
+                later,
+                () -> {
+                    // Whoever still has the place (a drain that took its whole time) has ended by
+                    // now.
+                    box.die();
+                    boxes.add(box(box.place, true));
+                    tell();
+                });
     }
 
     private void tell() {
         Known now = new Known(boxes);
         for (Gateway gateway : gateways) {
-            events.after(script.gateways().listS() * delays.nextDouble(), () -> gateway.learns(now));
+            events.after(
+                    script.gateways().listS() * delays.nextDouble(), () -> gateway.learns(now));
         }
     }
 
@@ -296,6 +405,8 @@
             running += box.running();
         }
         outcome.sample(events.seconds(), boxes.size(), held, running, ledger.inUse());
-        if (events.seconds() < script.seconds()) events.after(Outcome.SAMPLE_S, this::sample);
+        if (events.seconds() < script.seconds()) {
+            events.after(Outcome.SAMPLE_S, this::sample);
+        }
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/world/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/world/package-info.java
@@ -1,2 +1,5 @@
-/** Models of what is round the decisions: boxes with their cores, the ledger, the network, gateways and callers. */
+/**
+ * Models of what is round the decisions: boxes with their cores, the ledger, the network, gateways
+ * and callers.
+ */
 package ochretiller.emulator.world;
--- a/emulator/src/test/java/ochretiller/emulator/CoreTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/CoreTest.java
@@ -17,10 +17,12 @@
     void eventsComeByTimeAndThenInTheOrderInWhichTheyWereSaid() {
         events.after(2.0, () -> happened.add("c"));
         events.after(1.0, () -> happened.add("a"));
-        events.after(1.0, () -> {
-            happened.add("b");
-            events.after(0.0, () -> happened.add("at once"));
-        });
+        events.after(
+                1.0,
+                () -> {
+                    happened.add("b");
+                    events.after(0.0, () -> happened.add("at once"));
+                });
         events.run(1.5);
         assertThat(happened).containsExactly("a", "b", "at once");
         assertThat(events.seconds()).isEqualTo(1.5);
@@ -39,8 +41,10 @@
     @Test
     void partsHaveChanceOfTheirOwn() {
         Seeds seeds = new Seeds(7);
-        assertThat(seeds.of("box 1").nextLong()).isEqualTo(seeds.of("box 1").nextLong())
-            .isNotEqualTo(seeds.of("box 2").nextLong()).isNotEqualTo(new Seeds(8).of("box 1").nextLong());
+        assertThat(seeds.of("box 1").nextLong())
+                .isEqualTo(seeds.of("box 1").nextLong())
+                .isNotEqualTo(seeds.of("box 2").nextLong())
+                .isNotEqualTo(new Seeds(8).of("box 1").nextLong());
     }
 
     @Test
--- a/emulator/src/test/java/ochretiller/emulator/FleetTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/FleetTest.java
@@ -16,8 +16,8 @@
 import ochretiller.emulator.fleet.FleetScript;
 import ochretiller.emulator.fleet.FleetScriptFile;
 import ochretiller.emulator.fleet.FleetWorld;
-import ochretiller.emulator.fleet.VersionsWorld;
 import ochretiller.emulator.fleet.MembersModel;
+import ochretiller.emulator.fleet.VersionsWorld;
 import ochretiller.settings.MalformedException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -39,7 +39,9 @@
     void eachScriptComesOutAsItExpects(Path file) {
         FleetScript script = FleetScriptFile.read(file);
         for (long seed = 1; seed <= 3; seed++) {
-            assertThat(new FleetWorld(script, seed).play().missed(script.expect())).as("seed " + seed).isEmpty();
+            assertThat(new FleetWorld(script, seed).play().missed(script.expect()))
+                    .as("seed " + seed)
+                    .isEmpty();
         }
     }
 
@@ -47,7 +49,9 @@
     void drawnSchedulesSettleWithinTheBound() {
         for (long seed = 1; seed <= 120; seed++) {
             FleetOutcome outcome = new FleetWorld(Drawn.script(seed, SETTLED_S), seed).play();
-            assertThat(outcome.settledS).as("seed " + seed + ": " + outcome.notes).isLessThanOrEqualTo(SETTLED_S);
+            assertThat(outcome.settledS)
+                    .as("seed " + seed + ": " + outcome.notes)
+                    .isLessThanOrEqualTo(SETTLED_S);
         }
     }
 
@@ -63,38 +67,87 @@
 
     @Test
     void aFaultThatNeverEndsIsSeenToLeaveViewsWrong() {
-        FleetScript script = FleetScriptFile.of("{ seconds: 40, members: 6, zones: 2, incidents: [ { at_s: 5, for_s: 5, what: 'cut', who: 'z1' } ] }", "cut");
+        FleetScript script =
+                FleetScriptFile.of(
+                        "{ seconds: 40, members: 6, zones: 2, incidents: [ { at_s: 5, for_s: 5,"
+                                + " what: 'cut', who: 'z1' } ] }",
+                        "cut");
         assertThat(new FleetWorld(script, 1).play().settledS).isFinite();
-        FleetScript never = new FleetScript("never", 40, 6, 2, 2, 1, 100, 0.3, 0.3, false, false, script.load(),
-            List.of(new FleetScript.Incident(5, 100, "cut", "z1", "", "", 1)), new FleetScript.Expect(SETTLED_S, 0, 0, 0));
-        assertThat(new FleetWorld(never, 1).play().missed(never.expect())).anyMatch(line -> line.startsWith("settled"))
-            .anyMatch(line -> line.contains("changes of verdict"));
+        FleetScript never =
+                new FleetScript(
+                        "never",
+                        40,
+                        6,
+                        2,
+                        2,
+                        1,
+                        100,
+                        0.3,
+                        0.3,
+                        false,
+                        false,
+                        script.load(),
+                        List.of(new FleetScript.Incident(5, 100, "cut", "z1", "", "", 1)),
+                        new FleetScript.Expect(SETTLED_S, 0, 0, 0));
+        assertThat(new FleetWorld(never, 1).play().missed(never.expect()))
+                .anyMatch(line -> line.startsWith("settled"))
+                .anyMatch(line -> line.contains("changes of verdict"));
     }
 
     @Test
     void allOrdersOfEventsAreExploredAndAPlantedFaultIsFound() throws Exception {
-        assertThat(new Explore(() -> new MembersModel(2, 1, false)).explore(7, 10_000, line -> { }).broken()).isNull();
-        assertThat(new Explore(() -> new MembersModel(3, 1, false)).explore(5, 10_000, line -> { }).broken()).isNull();
-        assertThat(new Explore(() -> new MembersModel(3, 1, true)).explore(3, 10_000, line -> { }).broken()).contains("does not settle");
+        assertThat(
+                        new Explore(() -> new MembersModel(2, 1, false))
+                                .explore(7, 10_000, line -> {})
+                                .broken())
+                .isNull();
+        assertThat(
+                        new Explore(() -> new MembersModel(3, 1, false))
+                                .explore(5, 10_000, line -> {})
+                                .broken())
+                .isNull();
+        assertThat(
+                        new Explore(() -> new MembersModel(3, 1, true))
+                                .explore(3, 10_000, line -> {})
+                                .broken())
+                .contains("does not settle");
     }
 
     @Test
     void noTokenIsRunTwiceInDrawnSchedulesWithCopies() {
         int replayed = 0;
         for (long seed = 1; seed <= 16; seed++) {
-            CopiesWorld.Outcomes outcome = new CopiesWorld(Drawn.copies(seed), seed, seed % 3 * 0.4, seed / 3 % 2 * 0.3, seed % 4 == 0, true).play(60, 25);
+            CopiesWorld.Outcomes outcome =
+                    new CopiesWorld(
+                                    Drawn.copies(seed),
+                                    seed,
+                                    seed % 3 * 0.4,
+                                    seed / 3 % 2 * 0.3,
+                                    seed % 4 == 0,
+                                    true)
+                            .play(60, 25);
             assertThat(outcome.broken).as("seed " + seed).isEmpty();
             assertThat(outcome.conflicts).as("seed " + seed).isZero();
             replayed += outcome.replayed;
         }
         assertThat(replayed).isPositive();
-        assertThat(new CopiesWorld(Drawn.copies(1), 1, 0, 0, false, false).play(60, 25).broken).as("each server for itself").anyMatch(line -> line.contains("run again"));
+        assertThat(new CopiesWorld(Drawn.copies(1), 1, 0, 0, false, false).play(60, 25).broken)
+                .as("each server for itself")
+                .anyMatch(line -> line.contains("run again"));
     }
 
     @Test
     void claimsAreExploredAndKeepersThatForgetAreFound() throws Exception {
-        assertThat(new Explore(() -> new ClaimsModel(1, false)).explore(3, 100_000, line -> { }).broken()).isNull();
-        assertThat(new Explore(() -> new ClaimsModel(1, true)).explore(3, 100_000, line -> { }).broken()).isNotNull();
+        assertThat(
+                        new Explore(() -> new ClaimsModel(1, false))
+                                .explore(3, 100_000, line -> {})
+                                .broken())
+                .isNull();
+        assertThat(
+                        new Explore(() -> new ClaimsModel(1, true))
+                                .explore(3, 100_000, line -> {})
+                                .broken())
+                .isNotNull();
     }
 
     @Test
@@ -102,23 +155,42 @@
         int harmful = 0;
         int stopped = 0;
         for (long seed = 1; seed <= 80; seed++) {
-            VersionsWorld.Outcomes outcome = new VersionsWorld(Drawn.copies(seed), seed, true).play(3, 0.3);
+            VersionsWorld.Outcomes outcome =
+                    new VersionsWorld(Drawn.copies(seed), seed, true).play(3, 0.3);
             assertThat(outcome.broken).as("seed " + seed).isEmpty();
             assertThat(outcome.settledS).as("seed " + seed + ": " + outcome.notes).isFinite();
             harmful += outcome.harmfulOnes;
             stopped += outcome.harmfulStopped;
         }
         assertThat(stopped).isGreaterThan(harmful * 3 / 4);
-        assertThat(new VersionsWorld(Drawn.copies(290), 290, false).play(3, 0.3).broken).as("without leases").isNotEmpty();
+        assertThat(new VersionsWorld(Drawn.copies(290), 290, false).play(3, 0.3).broken)
+                .as("without leases")
+                .isNotEmpty();
     }
 
     @Test
     void aScriptThatCannotBePlayedIsToldSo() {
-        assertThatThrownBy(() -> FleetScriptFile.of("{ seconds: 5, members: 3, incidents: [ { at_s: 1, for_s: 9, what: 'cut', who: '1' } ] }", "s"))
-            .isInstanceOf(MalformedException.class).hasMessageContaining("behind its end");
-        assertThatThrownBy(() -> FleetScriptFile.of("{ seconds: 5, members: 3, incidents: [ { at_s: 1, what: 'kill', who: '7' } ] }", "s"))
-            .hasMessageContaining("no members '7'");
-        assertThatThrownBy(() -> FleetScriptFile.of("{ seconds: 5, members: 3, incidents: [ { at_s: 1, what: 'burn' } ] }", "s"))
-            .hasMessageContaining("what");
+        assertThatThrownBy(
+                        () ->
+                                FleetScriptFile.of(
+                                        "{ seconds: 5, members: 3, incidents: [ { at_s: 1, for_s:"
+                                                + " 9, what: 'cut', who: '1' } ] }",
+                                        "s"))
+                .isInstanceOf(MalformedException.class)
+                .hasMessageContaining("behind its end");
+        assertThatThrownBy(
+                        () ->
+                                FleetScriptFile.of(
+                                        "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
+                                                + " 'kill', who: '7' } ] }",
+                                        "s"))
+                .hasMessageContaining("no members '7'");
+        assertThatThrownBy(
+                        () ->
+                                FleetScriptFile.of(
+                                        "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
+                                                + " 'burn' } ] }",
+                                        "s"))
+                .hasMessageContaining("what");
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/ScriptTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/ScriptTest.java
@@ -26,28 +26,46 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ScriptTest {
-    private static final String SMALL = """
-        { seconds: 8, fleet: { boxes: 3, boot_s: 1, cold_s: 2 }, gateways: { count: 3, list_s: 0.5 },
-          operations: [ { name: 'read', work_ms: 20, objective_ms: 500, timeout_ms: 1500 },
-            { name: 'order', effect: 'tokened', work_ms: 30, calls: true, objective_ms: 1000, timeout_ms: 3000, value: 5,
-              window_ms: 8000, repeats: 1, back_s: 3 } ],
-          traffic: { per_second: 60, callers: 20 }, incidents: [ %s ] }""";
+    private static final String SMALL =
+            """
+            { seconds: 8, fleet: { boxes: 3, boot_s: 1, cold_s: 2 }, gateways: { count: 3, list_s: 0.5 },
+              operations: [ { name: 'read', work_ms: 20, objective_ms: 500, timeout_ms: 1500 },
+                { name: 'order', effect: 'tokened', work_ms: 30, calls: true, objective_ms: 1000, timeout_ms: 3000, value: 5,
+                  window_ms: 8000, repeats: 1, back_s: 3 } ],
+              traffic: { per_second: 60, callers: 20 }, incidents: [ %s ] }\
+            """;
 
     private static Script small(String incidents) {
         return ScriptFile.of(SMALL.formatted(incidents), "small");
     }
 
     private static String told(Outcome outcome) {
-        StringBuilder told = new StringBuilder().append(outcome.valueShare()).append(' ').append(outcome.events());
-        outcome.seconds().forEach(each -> told.append(' ').append(each.succeeded).append('/').append(each.tries));
+        StringBuilder told =
+                new StringBuilder()
+                        .append(outcome.valueShare())
+                        .append(' ')
+                        .append(outcome.events());
+        outcome.seconds()
+                .forEach(
+                        each ->
+                                told.append(' ')
+                                        .append(each.succeeded)
+                                        .append('/')
+                                        .append(each.tries));
         return told.toString();
     }
 
     @Test
     void sameSeedGivesTheSameRunByOneThreadAndByMany() throws Exception {
-        Script script = small("{ at_s: 3, what: 'die', share: 0.4 }, { at_s: 4, what: 'burst', for_s: 2 }");
-        List<Runs.Run> all = Stream.iterate(1L, seed -> seed + 1).limit(12).map(seed -> new Runs.Run(script, seed)).toList();
-        try (Runs one = new Runs(1); Runs many = new Runs(8)) {
+        Script script =
+                small("{ at_s: 3, what: 'die', share: 0.4 }, { at_s: 4, what: 'burst', for_s: 2 }");
+        List<Runs.Run> all =
+                Stream.iterate(1L, seed -> seed + 1)
+                        .limit(12)
+                        .map(seed -> new Runs.Run(script, seed))
+                        .toList();
+        try (Runs one = new Runs(1);
+                Runs many = new Runs(8)) {
             List<String> alone = one.play(all).stream().map(ScriptTest::told).toList();
             assertThat(many.play(all).stream().map(ScriptTest::told).toList()).isEqualTo(alone);
             assertThat(alone).doesNotHaveDuplicates();
@@ -56,15 +74,21 @@
 
     @Test
     void incidentThatTakesNobodyChangesNothing() {
-        assertThat(told(new World(small("{ at_s: 3, what: 'slow', share: 0, for_s: 3 }"), 5).play()).replaceAll(" \\d+ ", " "))
-            .isEqualTo(told(new World(small(""), 5).play()).replaceAll(" \\d+ ", " "));
+        assertThat(
+                        told(new World(small("{ at_s: 3, what: 'slow', share: 0, for_s: 3 }"), 5)
+                                        .play())
+                                .replaceAll(" \\d+ ", " "))
+                .isEqualTo(told(new World(small(""), 5).play()).replaceAll(" \\d+ ", " "));
     }
 
     static Stream<Path> scripts() throws IOException {
         return Files.list(Path.of("scripts")).filter(Files::isRegularFile).sorted();
     }
 
-    /** The short rehearsal of CI: each script of the folder, cut to its first incidents, with a fixed seed. */
+    /**
+     * The short rehearsal of CI: each script of the folder, cut to its first incidents, with a
+     * fixed seed.
+     */
     @ParameterizedTest
     @MethodSource("scripts")
     void rulesHoldInEachScript(Path file) {
@@ -78,10 +102,15 @@
     void incidentsCostValueAndItComesBack() {
         Outcome calm = new World(small(""), 1).play();
         assertThat(calm.valueShare()).isGreaterThan(0.95);
-        for (String incident : List.of("{ at_s: 2, what: 'pause', share: 1, for_s: 2 }", "{ at_s: 2, what: 'cut', share: 1, for_s: 2 }",
-            "{ at_s: 2, what: 'die', share: 1, for_s: 1 }", "{ at_s: 2, what: 'fail', share: 1, for_s: 2, strength: 1 }",
-            "{ at_s: 2, what: 'slow', share: 1, for_s: 2, strength: 8 }", "{ at_s: 2, what: 'ledger-down', for_s: 2 }",
-            "{ at_s: 2, what: 'ledger-slow', for_s: 2, strength: 200 }")) {
+        for (String incident :
+                List.of(
+                        "{ at_s: 2, what: 'pause', share: 1, for_s: 2 }",
+                        "{ at_s: 2, what: 'cut', share: 1, for_s: 2 }",
+                        "{ at_s: 2, what: 'die', share: 1, for_s: 1 }",
+                        "{ at_s: 2, what: 'fail', share: 1, for_s: 2, strength: 1 }",
+                        "{ at_s: 2, what: 'slow', share: 1, for_s: 2, strength: 8 }",
+                        "{ at_s: 2, what: 'ledger-down', for_s: 2 }",
+                        "{ at_s: 2, what: 'ledger-slow', for_s: 2, strength: 200 }")) {
             Outcome hit = new World(small(incident), 1).play();
             assertThat(hit.valueShare()).as(incident).isLessThan(calm.valueShare() - 0.02);
             assertThat(hit.seconds().get(7).succeeded).as(incident).isPositive();
@@ -90,24 +119,42 @@
 
     @Test
     void keyedRepeatsBehindARestartAreAnsweredFromWhatIsRemembered() {
-        String incidents = "{ at_s: 2, what: 'die', share: 0.4 }, { at_s: 4, what: 'die', share: 0.4 }";
-        Script remembers = ScriptFile.of(SMALL.formatted(incidents).replace("boxes: 3", "boxes: 3, remembers: true"), "small");
+        String incidents =
+                "{ at_s: 2, what: 'die', share: 0.4 }, { at_s: 4, what: 'die', share: 0.4 }";
+        Script remembers =
+                ScriptFile.of(
+                        SMALL.formatted(incidents).replace("boxes: 3", "boxes: 3, remembers: true"),
+                        "small");
         Outcome outcome = new World(remembers, 2).play();
         assertThat(outcome.deaths()).isEqualTo(4);
         assertThat(outcome.rules().broken()).isEmpty();
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{ seconds: 8 }", "{ at_s: 1, what: 'flood' }", "{ at_s: 1, what: 'die', share: 2 }"})
+    @ValueSource(
+            strings = {
+                "{ seconds: 8 }",
+                "{ at_s: 1, what: 'flood' }",
+                "{ at_s: 1, what: 'die', share: 2 }"
+            })
     void faultIsToldWithItsPlace(String fault) {
         String text = fault.startsWith("{ seconds") ? fault : SMALL.formatted(fault);
-        assertThatThrownBy(() -> ScriptFile.of(text, "x")).isInstanceOf(MalformedException.class).hasMessageMatching("(?s)x:\\d+:\\d+: .*");
+        assertThatThrownBy(() -> ScriptFile.of(text, "x"))
+                .isInstanceOf(MalformedException.class)
+                .hasMessageMatching("(?s)x:\\d+:\\d+: .*");
     }
 
     @Test
     void partsThatDoNotFitAreTold() {
-        assertThatThrownBy(() -> small("{ at_s: 9, what: 'die' }")).hasMessageContaining("behind the end");
-        assertThatThrownBy(() -> ScriptFile.of(SMALL.formatted("").replace("name: 'order'", "name: 'read'"), "x")).hasMessageContaining("two operations");
+        assertThatThrownBy(() -> small("{ at_s: 9, what: 'die' }"))
+                .hasMessageContaining("behind the end");
+        assertThatThrownBy(
+                        () ->
+                                ScriptFile.of(
+                                        SMALL.formatted("")
+                                                .replace("name: 'order'", "name: 'read'"),
+                                        "x"))
+                .hasMessageContaining("two operations");
     }
 
     @Test
@@ -122,23 +169,29 @@
         }
         try (Runs runs = new Runs(4)) {
             Hunt hunt = new Hunt(runs, base, 1);
-            Hunt.Find found = hunt.search(8, 8, said -> { });
-            Hunt.Find cut = hunt.cut(found, said -> { });
-            assertThat(cut.script().incidents().size()).isLessThanOrEqualTo(found.script().incidents().size());
-            assertThat(new World(cut.script(), cut.seed()).play().valueShare()).isEqualTo(cut.value());
+            Hunt.Find found = hunt.search(8, 8, said -> {});
+            Hunt.Find cut = hunt.cut(found, said -> {});
+            assertThat(cut.script().incidents().size())
+                    .isLessThanOrEqualTo(found.script().incidents().size());
+            assertThat(new World(cut.script(), cut.seed()).play().valueShare())
+                    .isEqualTo(cut.value());
         }
     }
 
     @Test
     void variantsChangeMembersOrSettings(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("small.json5"), SMALL.formatted(""));
-        Script variant = ScriptFile.variant(file, "gateways.choice=least,fleet.cores=4,familyInfo.advert=window");
+        Script variant =
+                ScriptFile.variant(
+                        file, "gateways.choice=least,fleet.cores=4,familyInfo.advert=window");
         assertThat(variant.gateways().choice()).isEqualTo("least");
         assertThat(variant.fleet().cores()).isEqualTo(4);
         assertThat(variant.settings()).containsEntry("familyInfo.advert", "window");
         assertThat(variant.operations()).isEqualTo(ScriptFile.read(file).operations());
-        assertThatThrownBy(() -> ScriptFile.variant(file, "gateways.choice=best")).hasMessageContaining("choice");
-        assertThatThrownBy(() -> ScriptFile.variant(file, "nothing")).hasMessageContaining("no change");
+        assertThatThrownBy(() -> ScriptFile.variant(file, "gateways.choice=best"))
+                .hasMessageContaining("choice");
+        assertThatThrownBy(() -> ScriptFile.variant(file, "nothing"))
+                .hasMessageContaining("no change");
     }
 
     @Test
@@ -147,10 +200,12 @@
         List<Integer> seeds = new java.util.ArrayList<>();
         for (int cores : new int[] {1, 4}) {
             try (Runs runs = new Runs(cores)) {
-                Experiment experiment = new Experiment(List.of(script), 1, 30, 0.01, Outcome::valueShare);
-                experiment.play(runs, cores * 2, said -> { });
+                Experiment experiment =
+                        new Experiment(List.of(script), 1, 30, 0.01, Outcome::valueShare);
+                experiment.play(runs, cores * 2, said -> {});
                 seeds.add(experiment.seeds());
-                assertThat(experiment.estimate(0, Outcome::valueShare).half()).isLessThanOrEqualTo(0.01);
+                assertThat(experiment.estimate(0, Outcome::valueShare).half())
+                        .isLessThanOrEqualTo(0.01);
             }
         }
         assertThat(seeds.get(0)).isBetween(5, 29).isEqualTo(seeds.get(1));
@@ -160,7 +215,8 @@
     void estimatesAreStudents() {
         Estimate estimate = Estimate.of(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
         assertThat(estimate.mean()).isEqualTo(3);
-        assertThat(estimate.half()).isBetween(1.962, 1.964); // 2.776 times 1.5811 over the root of 5
+        assertThat(estimate.half())
+                .isBetween(1.962, 1.964); // 2.776 times 1.5811 over the root of 5
         assertThat(Estimate.chance(List.of(1.0, 2.0, 3.0, 4.0, 5.0))).isBetween(0.0130, 0.0135);
         assertThat(Estimate.of(List.of(1.0)).half()).isInfinite();
     }
@@ -169,12 +225,27 @@
     void commandLineTellsFaultsByItsExitCode(@TempDir Path folder) throws Exception {
         Path script = Files.writeString(folder.resolve("small.json5"), SMALL.formatted(""));
         assertThat(Rehearse.execute("check", script.toString())).isZero();
-        assertThat(Rehearse.execute("run", script.toString(), "--seeds", "2", "--out", folder.resolve("out").toString())).isZero();
+        assertThat(
+                        Rehearse.execute(
+                                "run",
+                                script.toString(),
+                                "--seeds",
+                                "2",
+                                "--out",
+                                folder.resolve("out").toString()))
+                .isZero();
         assertThat(folder.resolve("out/report.html")).isNotEmptyFile();
         assertThat(Files.readAllLines(folder.resolve("out/runs.csv"))).hasSize(3);
-        assertThat(Rehearse.execute("check", Files.writeString(folder.resolve("bad.json5"), "{").toString())).isEqualTo(2);
-        Path strict = Files.writeString(folder.resolve("strict.json5"),
-            SMALL.formatted("{ at_s: 1, what: 'die' }").replace("seconds: 8", "seconds: 8, expect: { value_share: 1 }"));
+        assertThat(
+                        Rehearse.execute(
+                                "check",
+                                Files.writeString(folder.resolve("bad.json5"), "{").toString()))
+                .isEqualTo(2);
+        Path strict =
+                Files.writeString(
+                        folder.resolve("strict.json5"),
+                        SMALL.formatted("{ at_s: 1, what: 'die' }")
+                                .replace("seconds: 8", "seconds: 8, expect: { value_share: 1 }"));
         assertThat(Rehearse.execute("run", strict.toString(), "--seeds", "1")).isEqualTo(1);
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/world/TheoryTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/world/TheoryTest.java
@@ -16,18 +16,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The models of cores and records service against what queueing theory has for them. Seeds are fixed: the verdict is, too. */
+/**
+ * The models of cores and records service against what queueing theory has for them. Seeds are
+ * fixed: the verdict is, too.
+ */
 class TheoryTest {
     private static final int BATCHES = 30;
+
     /** Enough that intervals are under three hundredths at loads of 0.9. */
     private static final int COUNT = 4_000_000;
+
     private static final double NARROW = 0.03;
     private final Events events = new Events();
 
     /** Mean of batches of times, and half of its 99 % interval. */
     private record Mean(double mean, double half) {
         private void holds(double theory) {
-            assertThat(theory).as("theory beside %.4f ± %.4f", mean, half).isBetween(mean - half, mean + half);
+            assertThat(theory)
+                    .as("theory beside %.4f ± %.4f", mean, half)
+                    .isBetween(mean - half, mean + half);
             assertThat(half / mean).as("an interval that can tell").isLessThan(NARROW);
         }
     }
@@ -48,7 +55,9 @@
         int size = (times.count - first) / BATCHES;
         for (int batch = 0; batch < BATCHES; batch++) {
             double sum = 0;
-            for (int i = first + batch * size; i < first + (batch + 1) * size; i++) sum += times.all[i];
+            for (int i = first + batch * size; i < first + (batch + 1) * size; i++) {
+                sum += times.all[i];
+            }
             batches.addValue(sum / size);
         }
         double t = new TDistribution(BATCHES - 1).inverseCumulativeProbability(0.995);
@@ -56,33 +65,57 @@
     }
 
     private void arrive(int count, double rate, SplittableRandom chance, Runnable each) {
-        if (count == 0) return;
-        events.after(Seeds.exponential(chance, 1 / rate), () -> {
-            each.run();
-            arrive(count - 1, rate, chance, each);
-        });
+        if (count == 0) {
+            return;
+        }
+        events.after(
+                Seeds.exponential(chance, 1 / rate),
+                () -> {
+                    each.run();
+                    arrive(count - 1, rate, chance, each);
+                });
     }
 
     /** Times in the system of jobs on shared cores. */
     private Mean sojourn(int cores, double load, DoubleSupplier work) {
         Cores shared = new Cores(events, cores, 1e9, 0, 1, 0, false);
         Times times = new Times();
-        arrive(COUNT, load * cores, new SplittableRandom(1), () -> {
-            double began = events.seconds();
-            shared.add(work.getAsDouble(), () -> times.add(events.seconds() - began));
-        });
+        arrive(
+                COUNT,
+                load * cores,
+                new SplittableRandom(1),
+                () -> {
+                    double began = events.seconds();
+                    shared.add(work.getAsDouble(), () -> times.add(events.seconds() - began));
+                });
         events.run(1e8);
         assertThat(times.count).isEqualTo(COUNT);
         return mean(times);
     }
 
-    /** Shared by turns without loss, the mean time depends on the mean of the work alone: 1 over 1 less the load. */
+    /**
+     * Shared by turns without loss, the mean time depends on the mean of the work alone: 1 over 1
+     * less the load.
+     */
     @ParameterizedTest
-    @CsvSource({"exponential, 0.3", "exponential, 0.6", "exponential, 0.9", "fixed, 0.3", "fixed, 0.6", "fixed, 0.9", "spread, 0.3", "spread, 0.8"})
+    @CsvSource({
+        "exponential, 0.3",
+        "exponential, 0.6",
+        "exponential, 0.9",
+        "fixed, 0.3",
+        "fixed, 0.6",
+        "fixed, 0.9",
+        "spread, 0.3",
+        "spread, 0.8"
+    })
     void oneSharedCore(String kind, double load) {
         SplittableRandom chance = new SplittableRandom(2);
-        DoubleSupplier work = kind.equals("fixed") ? () -> 1 : kind.equals("spread") ? () -> Seeds.around(chance, 1, 1)
-            : () -> Seeds.exponential(chance, 1);
+        DoubleSupplier work =
+                kind.equals("fixed")
+                        ? () -> 1
+                        : kind.equals("spread")
+                                ? () -> Seeds.around(chance, 1, 1)
+                                : () -> Seeds.exponential(chance, 1);
         sojourn(1, load, work).holds(1 / (1 - load));
     }
 
@@ -90,7 +123,9 @@
     private static double waits(int servers, double offered) {
         double term = 1;
         double sum = 1;
-        for (int i = 1; i < servers; i++) sum += term *= offered / i;
+        for (int i = 1; i < servers; i++) {
+            sum += term *= offered / i;
+        }
         double last = term * offered / servers * servers / (servers - offered);
         return last / (sum + last);
     }
@@ -99,25 +134,38 @@
     @ValueSource(doubles = {0.3, 0.6, 0.9})
     void fourSharedCores(double load) {
         SplittableRandom chance = new SplittableRandom(3);
-        // As many are there as with four servers and one queue, and so, by Little, the mean time is the same.
-        sojourn(4, load, () -> Seeds.exponential(chance, 1)).holds(1 + waits(4, 4 * load) / (4 * (1 - load)));
+        // As many are there as with four servers and one queue, and so, by Little, the mean time is
+        // the same.
+        sojourn(4, load, () -> Seeds.exponential(chance, 1))
+                .holds(1 + waits(4, 4 * load) / (4 * (1 - load)));
     }
 
-    private record Called(Times times, int turnedAway) {
-    }
+    private record Called(Times times, int turnedAway) {}
 
     private Called calls(int slots, double load, int waits) {
-        Ledger ledger = new Ledger(events, new Script.Ledger(slots, 1_000, waits, 0, 0), new SplittableRandom(4));
+        Ledger ledger =
+                new Ledger(
+                        events,
+                        new Script.Ledger(slots, 1_000, waits, 0, 0),
+                        new SplittableRandom(4));
         Times times = new Times();
         int[] away = {0};
-        arrive(COUNT, load * slots, new SplittableRandom(5), () -> {
-            double began = events.seconds();
-            Consumer<CallEnd.Result> then = result -> {
-                if (result == CallEnd.Result.TURNED_AWAY) away[0]++;
-                else times.add(events.seconds() - began);
-            };
-            ledger.call(then);
-        });
+        arrive(
+                COUNT,
+                load * slots,
+                new SplittableRandom(5),
+                () -> {
+                    double began = events.seconds();
+                    Consumer<CallEnd.Result> then =
+                            result -> {
+                                if (result == CallEnd.Result.TURNED_AWAY) {
+                                    away[0]++;
+                                } else {
+                                    times.add(events.seconds() - began);
+                                }
+                            };
+                    ledger.call(then);
+                });
         events.run(1e8);
         return new Called(times, away[0]);
     }
@@ -135,7 +183,9 @@
         double offered = 3 * 0.9;
         double term = 1;
         double sum = 1;
-        for (int i = 1; i <= slots + waits; i++) sum += term *= offered / Math.min(i, slots);
+        for (int i = 1; i <= slots + waits; i++) {
+            sum += term *= offered / Math.min(i, slots);
+        }
         double lost = calls(slots, 0.9, waits).turnedAway / (double) COUNT;
         assertThat(lost).isBetween(term / sum * 0.98, term / sum * 1.02);
     }
@@ -145,7 +195,9 @@
         int[] happened = {0};
         for (int i = 0; i < 300_000; i++) {
             Events.Event off = events.after(i * 1e-5, () -> happened[0]++);
-            if (i % 100 != 0) off.cancel();
+            if (i % 100 != 0) {
+                off.cancel();
+            }
         }
         events.run(10);
         assertThat(happened[0]).isEqualTo(3_000);
@@ -158,12 +210,18 @@
         double[] ended = new double[3];
         cold.add(0.25, () -> ended[0] = events.seconds());
         events.run(20);
-        assertThat(ended[0]).as("at a quarter of its speed, and a little more").isBetween(0.85, 1.0);
+        assertThat(ended[0])
+                .as("at a quarter of its speed, and a little more")
+                .isBetween(0.85, 1.0);
         Cores crowded = new Cores(events, 1, 2, 0.5, 1, 0, false);
         double from = events.seconds();
-        for (int i = 0; i < 4; i++) crowded.add(1, () -> ended[1] = events.seconds() - from);
+        for (int i = 0; i < 4; i++) {
+            crowded.add(1, () -> ended[1] = events.seconds() - from);
+        }
         events.run(60);
-        assertThat(ended[1]).as("four on one core, past a crowd of two: a third of the speed is lost").isBetween(5.99, 6.01);
+        assertThat(ended[1])
+                .as("four on one core, past a crowd of two: a third of the speed is lost")
+                .isBetween(5.99, 6.01);
         Cores stands = new Cores(events, 1, 2, 0, 1, 0, false);
         double then = events.seconds();
         stands.add(1, () -> ended[2] = events.seconds() - then);
--- a/src/main/java/ochretiller/Main.java
+++ b/src/main/java/ochretiller/Main.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.function.Supplier;
-import ochretiller.commands.ContractCommand;
 import ochretiller.commands.AuditCommand;
+import ochretiller.commands.ContractCommand;
 import ochretiller.commands.CopiesCommand;
 import ochretiller.commands.FleetCommand;
 import ochretiller.commands.StoreCommand;
@@ -27,29 +27,44 @@
 import picocli.CommandLine.Option;
 
 /** The program's entry: hands over to the part that the first word names. */
-@Command(name = "ochretiller", description = "Admission and scheduling for servers behind other people's balancers.",
-    mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    subcommands = {StoreCommand.class, TryCommand.class, ContractCommand.class, FleetCommand.class, CopiesCommand.class, AuditCommand.class})
+@Command(
+        name = "ochretiller",
+        description = "Admission and scheduling for servers behind other people's balancers.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        subcommands = {
+            StoreCommand.class,
+            TryCommand.class,
+            ContractCommand.class,
+            FleetCommand.class,
+            CopiesCommand.class,
+            AuditCommand.class
+        })
 public final class Main implements Runnable {
     private static final int FAILED = 1;
     private static final int WRONG = 2;
-    private static final String CONFIG = "The configuration; by default the file that EDGE_CONFIG names.";
+    private static final String CONFIG =
+            "The configuration; by default the file that EDGE_CONFIG names.";
     private static final String OPERATOR = "The operators' file; without one all in it is off.";
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
-        // Guards against a start that takes its core from other servers: the command line's classes come too old for
+        // Guards against a start that takes its core from other servers: the command line's classes
+        // come too old for
         // class-data sharing and cost as much as all the rest.
-        if (args.length == 1 && args[0].equals("serve")) System.exit(told(() -> serve(null, null)));
+        if (args.length == 1 && args[0].equals("serve")) {
+            System.exit(told(() -> serve(null, null)));
+        }
         CommandLine line = new CommandLine(new Main());
-        line.setExecutionExceptionHandler((fault, command, parsed) -> told(() -> {
-            throw fault;
-        }));
+        line.setExecutionExceptionHandler(
+                (fault, command, parsed) ->
+                        told(
+                                () -> {
+                                    throw fault;
+                                }));
         System.exit(line.execute(args));
     }
 
@@ -79,14 +94,20 @@
 
     private static Path configuration(Path file) {
         String told = file != null ? file.toString() : System.getenv("EDGE_CONFIG");
-        if (told == null) throw new MalformedException("no configuration: EDGE_CONFIG is not set");
+        if (told == null) {
+            throw new MalformedException("no configuration: EDGE_CONFIG is not set");
+        }
         return Path.of(told);
     }
 
-    @Command(name = "serve", description = "Serve as one server until SIGTERM and the drain that follows.",
-        mixinStandardHelpOptions = true)
-    static int serve(@Option(names = "--config", description = CONFIG) Path file,
-                     @Option(names = "--operator", description = OPERATOR) Path operatorFile) throws IOException {
+    @Command(
+            name = "serve",
+            description = "Serve as one server until SIGTERM and the drain that follows.",
+            mixinStandardHelpOptions = true)
+    static int serve(
+            @Option(names = "--config", description = CONFIG) Path file,
+            @Option(names = "--operator", description = OPERATOR) Path operatorFile)
+            throws IOException {
         Logs.install();
         Lifecycle lifecycle = Lifecycle.install();
         try {
@@ -102,24 +123,38 @@
     }
 
     private static Node node(Path file, Path operatorFile) throws IOException {
-        Supplier<Operator> read = () -> operatorFile == null ? Operator.NONE : OperatorFile.read(operatorFile);
+        Supplier<Operator> read =
+                () -> operatorFile == null ? Operator.NONE : OperatorFile.read(operatorFile);
         Operator operator = read.get();
-        if (operator.jsonLog()) Logs.json();
-        Node node = new Node(configuration(file), operator, read,
-            operator.remember().map(remember -> disk(operator, remember.folder())).orElse(null));
+        if (operator.jsonLog()) {
+            Logs.json();
+        }
+        Node node =
+                new Node(
+                        configuration(file),
+                        operator,
+                        read,
+                        operator.remember()
+                                .map(remember -> disk(operator, remember.folder()))
+                                .orElse(null));
         node.prepare();
         return node;
     }
 
     private static Disk disk(Operator operator, Path folder) {
         Disk disk = new RealDisk(folder);
-        return operator.drill().diskFault() == null ? disk : new FaultyDisk(disk, operator.drill().diskFault());
+        return operator.drill().diskFault() == null
+                ? disk
+                : new FaultyDisk(disk, operator.drill().diskFault());
     }
 
-    @Command(name = "check", description = "Check a configuration as serve does, without listening.",
-        mixinStandardHelpOptions = true)
-    static int check(@Option(names = "--config", description = CONFIG) Path file,
-                     @Option(names = "--operator", description = OPERATOR) Path operatorFile) {
+    @Command(
+            name = "check",
+            description = "Check a configuration as serve does, without listening.",
+            mixinStandardHelpOptions = true)
+    static int check(
+            @Option(names = "--config", description = CONFIG) Path file,
+            @Option(names = "--operator", description = OPERATOR) Path operatorFile) {
         Operator operator = operatorFile == null ? null : OperatorFile.read(operatorFile);
         boolean alone = operator != null && file == null && System.getenv("EDGE_CONFIG") == null;
         Configuration configuration = alone ? null : Configuration.read(configuration(file));
@@ -132,12 +167,16 @@
             operator.fleet().ifPresent(fleet -> FleetKeys.read(fleet.keyFile()));
             System.out.println("the operators' file " + operatorFile + " is good");
         }
-        if (!alone) System.out.println("the configuration of " + configuration.name() + " is good");
+        if (!alone) {
+            System.out.println("the configuration of " + configuration.name() + " is good");
+        }
         return 0;
     }
 
-    @Command(name = "simhost", description = "Serve the simulator's wire on standard input and output.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "simhost",
+            description = "Serve the simulator's wire on standard input and output.",
+            mixinStandardHelpOptions = true)
     static int simhost() throws IOException {
         return SimHost.serve(System.in, System.out, System.err);
     }
--- a/src/main/java/ochretiller/audit/Chain.java
+++ b/src/main/java/ochretiller/audit/Chain.java
@@ -9,12 +9,13 @@
 import java.util.List;
 
 /**
- * A chain of records: each has the hash of the one before and its own, over its number, that hash and its bytes. Whoever knows a later
- * hash knows whether all before it is as it was.
+ * A chain of records: each has the hash of the one before and its own, over its number, that hash
+ * and its bytes. Whoever knows a later hash knows whether all before it is as it was.
  */
 public final class Chain {
     /** Bytes of a hash. */
     public static final int HASH = 32;
+
     private static final byte[] NOTHING = new byte[HASH];
 
     private long number;
@@ -33,13 +34,14 @@
         public static final Head NONE = new Head(0, "");
 
         public Head {
-            if (number < 0 || !hash.isEmpty() && hash.length() != 2 * HASH) throw new IllegalArgumentException("no head");
+            if (number < 0 || !hash.isEmpty() && hash.length() != 2 * HASH) {
+                throw new IllegalArgumentException("no head");
+            }
         }
     }
 
     /** What is wrong with a chain, from the record of this number on. */
-    public record Fault(long number, String text) {
-    }
+    public record Fault(long number, String text) {}
 
     private Chain(long number, byte[] last) {
         this.number = number;
@@ -87,16 +89,25 @@
     /**
      * Holds records against one another and against what others know of the chain.
      *
-     * @param links as they were found, oldest first; aged ones before them are gone by rule, so the first may have any number
+     * @param links as they were found, oldest first; aged ones before them are gone by rule, so the
+     *     first may have any number
      * @param known heads that others were told of, in any order
      */
     public static List<Fault> verify(List<Link> links, List<Head> known) {
         List<Fault> faults = new ArrayList<>();
         Link before = null;
         for (Link link : links) {
-            if (!link.whole()) faults.add(new Fault(link.number, "is not what its hash says"));
+            if (!link.whole()) {
+                faults.add(new Fault(link.number, "is not what its hash says"));
+            }
             if (before != null && link.number != before.number + 1) {
-                faults.add(new Fault(before.number + 1, link.number <= before.number ? "is out of its place" : (link.number - before.number - 1) + " records are missing"));
+                faults.add(
+                        new Fault(
+                                before.number + 1,
+                                link.number <= before.number
+                                        ? "is out of its place"
+                                        : (link.number - before.number - 1)
+                                                + " records are missing"));
             } else if (before != null && !Arrays.equals(link.before, before.hash)) {
                 faults.add(new Fault(link.number, "does not follow the one before it"));
             } else if (before == null && link.number == 1 && !Arrays.equals(link.before, NOTHING)) {
@@ -108,10 +119,25 @@
         long first = links.isEmpty() ? 0 : links.get(0).number;
         for (Head head : known) {
             if (head.number() > last) {
-                faults.add(new Fault(last + 1, "the last " + (head.number() - last) + " records are lost: others know of number " + head.number()));
+                faults.add(
+                        new Fault(
+                                last + 1,
+                                "the last "
+                                        + (head.number() - last)
+                                        + " records are lost: others know of number "
+                                        + head.number()));
             } else if (head.number() >= first && head.number() > 0) {
-                boolean same = links.stream().anyMatch(each -> each.number == head.number() && HexFormat.of().formatHex(each.hash).equals(head.hash()));
-                if (!same) faults.add(new Fault(head.number(), "others know it otherwise"));
+                boolean same =
+                        links.stream()
+                                .anyMatch(
+                                        each ->
+                                                each.number == head.number()
+                                                        && HexFormat.of()
+                                                                .formatHex(each.hash)
+                                                                .equals(head.hash()));
+                if (!same) {
+                    faults.add(new Fault(head.number(), "others know it otherwise"));
+                }
             }
         }
         return faults;
--- a/src/main/java/ochretiller/audit/Entry.java
+++ b/src/main/java/ochretiller/audit/Entry.java
@@ -15,29 +15,49 @@
         static final Tally NONE = new Tally(0, 0, 0, 0, 0);
 
         public Tally {
-            if (read < 0 || run < 0 || replayed < 0 || throttled < 0 || errored < 0) throw new IllegalArgumentException("no tally");
+            if (read < 0 || run < 0 || replayed < 0 || throttled < 0 || errored < 0) {
+                throw new IllegalArgumentException("no tally");
+            }
         }
 
         Tally plus(Tally more) {
-            return new Tally(read + more.read, run + more.run, replayed + more.replayed, throttled + more.throttled, errored + more.errored);
+            return new Tally(
+                    read + more.read,
+                    run + more.run,
+                    replayed + more.replayed,
+                    throttled + more.throttled,
+                    errored + more.errored);
         }
     }
 
     /**
      * A span in which a server acted on one version.
      *
-     * @param tookMs its length by a clock that nobody sets: where that differs from the times, the Unix clock was set meanwhile
+     * @param tookMs its length by a clock that nobody sets: where that differs from the times, the
+     *     Unix clock was set meanwhile
      */
-    record Span(long version, String hash, long fromMs, long toMs, long tookMs, Map<String, Tally> operations) implements Entry {
+    record Span(
+            long version,
+            String hash,
+            long fromMs,
+            long toMs,
+            long tookMs,
+            Map<String, Tally> operations)
+            implements Entry {
         /** Milliseconds by which the clocks may differ over a span by themselves. */
         private static final long DRIFT_MS = 50;
 
         public Span {
-            if (version < 0 || hash.length() > 64 || tookMs < 0) throw new IllegalArgumentException("no span");
+            if (version < 0 || hash.length() > 64 || tookMs < 0) {
+                throw new IllegalArgumentException("no span");
+            }
             operations = Map.copyOf(operations);
         }
 
-        /** By how much the Unix clock was set forward, negative for back; 0 where it ran as it should. */
+        /**
+         * By how much the Unix clock was set forward, negative for back; 0 where it ran as it
+         * should.
+         */
         public long steppedMs() {
             long stepped = toMs - fromMs - tookMs;
             return Math.abs(stepped) <= DRIFT_MS + tookMs / 1_000 ? 0 : stepped;
@@ -59,7 +79,9 @@
         public static final int LONGEST = 300;
 
         public Event {
-            if (text.length() > LONGEST || version < 0) throw new IllegalArgumentException("no event");
+            if (text.length() > LONGEST || version < 0) {
+                throw new IllegalArgumentException("no event");
+            }
         }
 
         @Override
@@ -79,7 +101,9 @@
         public static final int LONGEST = 200;
 
         public Run {
-            if (token.isEmpty() || token.length() > LONGEST || version < 0) throw new IllegalArgumentException("no run");
+            if (token.isEmpty() || token.length() > LONGEST || version < 0) {
+                throw new IllegalArgumentException("no run");
+            }
         }
 
         @Override
@@ -113,7 +137,10 @@
         LOST,
         /** The process ended as it should. */
         ENDED,
-        /** Where another's audit ended when this server last heard: its name, the number of its last record, that record's hash. */
+        /**
+         * Where another's audit ended when this server last heard: its name, the number of its last
+         * record, that record's hash.
+         */
         WITNESSED
     }
 }
--- a/src/main/java/ochretiller/audit/Spans.java
+++ b/src/main/java/ochretiller/audit/Spans.java
@@ -5,10 +5,14 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Counts what becomes of invocations under the version that is acted on; a span ends with the version, and after a while in any case. */
+/**
+ * Counts what becomes of invocations under the version that is acted on; a span ends with the
+ * version, and after a while in any case.
+ */
 public final class Spans {
     /** Operations that are told apart in one span; the rest are counted together. */
     private static final int MOST = 64;
+
     static final String OTHERS = "(others)";
 
     private final Duration longest;
@@ -19,7 +23,13 @@
     private Duration from;
 
     /** What became of one. */
-    public enum What { READ, RUN, REPLAYED, THROTTLED, ERRORED }
+    public enum What {
+        READ,
+        RUN,
+        REPLAYED,
+        THROTTLED,
+        ERRORED
+    }
 
     public Spans(Duration longest) {
         this.longest = longest;
@@ -31,7 +41,8 @@
 
     /** From now on this version is acted on; the span of the one before. */
     public Optional<Entry.Span> begin(long next, String nextHash, long unixMs, Duration now) {
-        Optional<Entry.Span> before = from == null ? Optional.empty() : Optional.of(end(unixMs, now));
+        Optional<Entry.Span> before =
+                from == null ? Optional.empty() : Optional.of(end(unixMs, now));
         version = next;
         hash = nextHash;
         return before;
@@ -44,7 +55,9 @@
 
     /** The span so far, where it has lasted long enough. */
     public Optional<Entry.Span> due(long unixMs, Duration now) {
-        return from != null && now.minus(from).compareTo(longest) >= 0 ? Optional.of(end(unixMs, now)) : Optional.empty();
+        return from != null && now.minus(from).compareTo(longest) >= 0
+                ? Optional.of(end(unixMs, now))
+                : Optional.empty();
     }
 
     /** Begins to count, at a start. */
@@ -56,8 +69,19 @@
     /** The span so far; the next begins here. */
     public Entry.Span end(long unixMs, Duration now) {
         Map<String, Entry.Tally> operations = new HashMap<>();
-        counts.forEach((operation, each) -> operations.put(operation, new Entry.Tally(each[0], each[1], each[2], each[3], each[4])));
-        Entry.Span span = new Entry.Span(version, hash, fromMs, unixMs, Math.max(0, now.minus(from).toMillis()), operations);
+        counts.forEach(
+                (operation, each) ->
+                        operations.put(
+                                operation,
+                                new Entry.Tally(each[0], each[1], each[2], each[3], each[4])));
+        Entry.Span span =
+                new Entry.Span(
+                        version,
+                        hash,
+                        fromMs,
+                        unixMs,
+                        Math.max(0, now.minus(from).toMillis()),
+                        operations);
         counts.clear();
         start(unixMs, now);
         return span;
--- a/src/main/java/ochretiller/audit/files/AuditCodec.java
+++ b/src/main/java/ochretiller/audit/files/AuditCodec.java
@@ -19,8 +19,7 @@
     private static final int MOST_OPERATIONS = 1_000;
     private static final Entry.Kind[] KINDS = Entry.Kind.values();
 
-    private AuditCodec() {
-    }
+    private AuditCodec() {}
 
     static byte[] bytes(Entry entry) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
@@ -34,7 +33,8 @@
                 to.writeNumber(span.toMs());
                 to.writeNumber(span.tookMs());
                 to.writeStartArray();
-                for (Map.Entry<String, Entry.Tally> each : new TreeMap<>(span.operations()).entrySet()) {
+                for (Map.Entry<String, Entry.Tally> each :
+                        new TreeMap<>(span.operations()).entrySet()) {
                     to.writeString(each.getKey());
                     to.writeNumber(each.getValue().read());
                     to.writeNumber(each.getValue().run());
@@ -65,9 +65,18 @@
     /** The record of these bytes; an {@link IllegalArgumentException} for what is none. */
     static Entry entry(byte[] bytes) {
         try (CBORParser in = CBOR.createParser(bytes)) {
-            if (in.nextToken() != JsonToken.START_ARRAY) throw new IllegalArgumentException("no record");
+            if (in.nextToken() != JsonToken.START_ARRAY) {
+                throw new IllegalArgumentException("no record");
+            }
             return switch ((int) number(in)) {
-                case SPAN -> new Entry.Span(number(in), text(in), number(in), number(in), number(in), operations(in));
+                case SPAN ->
+                        new Entry.Span(
+                                number(in),
+                                text(in),
+                                number(in),
+                                number(in),
+                                number(in),
+                                operations(in));
                 case EVENT -> event(in);
                 case RUN -> new Entry.Run(number(in), number(in), text(in));
                 default -> throw new IllegalArgumentException("a record of another kind");
@@ -79,26 +88,36 @@
 
     private static Entry event(CBORParser in) throws IOException {
         long kind = number(in);
-        if (kind < 0 || kind >= KINDS.length) throw new IllegalArgumentException("an event of another kind");
+        if (kind < 0 || kind >= KINDS.length) {
+            throw new IllegalArgumentException("an event of another kind");
+        }
         return new Entry.Event(KINDS[(int) kind], number(in), number(in), text(in));
     }
 
     private static Map<String, Entry.Tally> operations(CBORParser in) throws IOException {
-        if (in.nextToken() != JsonToken.START_ARRAY) throw new IllegalArgumentException("no operations");
+        if (in.nextToken() != JsonToken.START_ARRAY) {
+            throw new IllegalArgumentException("no operations");
+        }
         Map<String, Entry.Tally> all = new TreeMap<>();
         while (in.nextToken() == JsonToken.VALUE_STRING && all.size() < MOST_OPERATIONS) {
-            all.put(in.getText(), new Entry.Tally(number(in), number(in), number(in), number(in), number(in)));
+            all.put(
+                    in.getText(),
+                    new Entry.Tally(number(in), number(in), number(in), number(in), number(in)));
         }
         return all;
     }
 
     private static long number(CBORParser in) throws IOException {
-        if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) throw new IllegalArgumentException("no number");
+        if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
+            throw new IllegalArgumentException("no number");
+        }
         return in.getLongValue();
     }
 
     private static String text(CBORParser in) throws IOException {
-        if (in.nextToken() != JsonToken.VALUE_STRING) throw new IllegalArgumentException("no text");
+        if (in.nextToken() != JsonToken.VALUE_STRING) {
+            throw new IllegalArgumentException("no text");
+        }
         return in.getText();
     }
 }
--- a/src/main/java/ochretiller/audit/files/AuditFolder.java
+++ b/src/main/java/ochretiller/audit/files/AuditFolder.java
@@ -15,28 +15,34 @@
 public final class AuditFolder {
     static final String PREFIX = "audit-";
     static final String SUFFIX = ".log";
+
     /** Bytes before a record's own: its length, its number, the hash before it and its own. */
     static final int HEAD = 4 + 8 + 2 * Chain.HASH;
+
     /** Longest record, in bytes: a span of all operations that are told apart. */
     static final int LONGEST = 64 * 1024;
 
-    private AuditFolder() {
-    }
+    private AuditFolder() {}
 
     /**
      * What was found.
      *
-     * @param links   records, oldest first
-     * @param faults  of files and of the chain
+     * @param links records, oldest first
+     * @param faults of files and of the chain
      * @param lastEnd where the last whole record of the last file ends
      */
     public record Found(List<Chain.Link> links, List<Chain.Fault> faults, long lastEnd) {
-        /** The records that can be read; those that cannot are among the faults of {@link AuditFolder#read}. */
+        /**
+         * The records that can be read; those that cannot are among the faults of {@link
+         * AuditFolder#read}.
+         */
         public List<Entry> entries() {
             List<Entry> all = new ArrayList<>();
             for (Chain.Link each : links) {
                 try {
-                    if (each.whole()) all.add(AuditCodec.entry(each.body()));
+                    if (each.whole()) {
+                        all.add(AuditCodec.entry(each.body()));
+                    }
                 } catch (IllegalArgumentException e) {
                     // it is told as a fault
                 }
@@ -52,7 +58,12 @@
     /** The files, oldest first. */
     static List<Path> files(Path folder) throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
-            return all.filter(each -> each.getFileName().toString().startsWith(PREFIX) && each.getFileName().toString().endsWith(SUFFIX)).sorted().toList();
+            return all.filter(
+                            each ->
+                                    each.getFileName().toString().startsWith(PREFIX)
+                                            && each.getFileName().toString().endsWith(SUFFIX))
+                    .sorted()
+                    .toList();
         } catch (NoSuchFileException e) {
             return List.of();
         }
@@ -75,9 +86,17 @@
             while (bytes.hasRemaining()) {
                 Chain.Link link = link(bytes);
                 if (link == null) {
-                    // What a crash has cut off at the end was never told to anybody as kept; anywhere else it is a fault.
+                    // What a crash has cut off at the end was never told to anybody as kept;
+                    // anywhere else it is a fault.
                     long number = links.isEmpty() ? 1 : links.get(links.size() - 1).number() + 1;
-                    faults.add(new Chain.Fault(number, file.getFileName() + (last ? " ends in the midst of a record, at byte " : " is damaged from byte ") + end));
+                    faults.add(
+                            new Chain.Fault(
+                                    number,
+                                    file.getFileName()
+                                            + (last
+                                                    ? " ends in the midst of a record, at byte "
+                                                    : " is damaged from byte ")
+                                            + end));
                     break;
                 }
                 links.add(link);
@@ -86,7 +105,9 @@
         }
         faults.addAll(Chain.verify(links, known));
         for (Chain.Link each : links) {
-            if (!each.whole()) continue;
+            if (!each.whole()) {
+                continue;
+            }
             try {
                 AuditCodec.entry(each.body());
             } catch (IllegalArgumentException e) {
@@ -97,9 +118,13 @@
     }
 
     private static Chain.Link link(ByteBuffer bytes) {
-        if (bytes.remaining() < HEAD) return null;
+        if (bytes.remaining() < HEAD) {
+            return null;
+        }
         int length = bytes.getInt(bytes.position());
-        if (length < 0 || length > LONGEST || bytes.remaining() < HEAD + length) return null;
+        if (length < 0 || length > LONGEST || bytes.remaining() < HEAD + length) {
+            return null;
+        }
         bytes.getInt();
         long number = bytes.getLong();
         byte[] before = new byte[Chain.HASH];
@@ -110,6 +135,12 @@
     }
 
     static byte[] frame(Chain.Link link) {
-        return ByteBuffer.allocate(HEAD + link.body().length).putInt(link.body().length).putLong(link.number()).put(link.before()).put(link.hash()).put(link.body()).array();
+        return ByteBuffer.allocate(HEAD + link.body().length)
+                .putInt(link.body().length)
+                .putLong(link.number())
+                .put(link.before())
+                .put(link.hash())
+                .put(link.body())
+                .array();
     }
 }
--- a/src/main/java/ochretiller/audit/files/AuditWriter.java
+++ b/src/main/java/ochretiller/audit/files/AuditWriter.java
@@ -18,16 +18,21 @@
 import ochretiller.audit.Entry;
 
 /**
- * Writes a server's audit, on a thread of its own: what is handed over never waits for the disk. What the disk does not take, or comes
- * faster than it takes, is lost, and a record says how much as soon as one can be written.
+ * Writes a server's audit, on a thread of its own: what is handed over never waits for the disk.
+ * What the disk does not take, or comes faster than it takes, is lost, and a record says how much
+ * as soon as one can be written.
  */
 public final class AuditWriter {
     private static final Logger LOG = Logger.getLogger(AuditWriter.class.getName());
+
     /** Records that wait for the disk. */
     private static final int WAITING = 20_000;
+
     /** Records of one force: fewer than make a file. */
     private static final int GROUP = 200;
+
     private static final int PAUSE_MS = 200;
+
     /** Files that the bytes are spread over: the oldest goes as a whole. */
     private static final int FILES = 16;
 
@@ -41,8 +46,10 @@
     private long size;
     private boolean sick;
     private volatile boolean over;
+
     /** Counted by the thread that hands over, and by the writer's own. */
     private final AtomicLong lost = new AtomicLong();
+
     private volatile long written;
     private volatile Chain.Head head;
     private final List<Chain.Fault> faults;
@@ -82,7 +89,9 @@
 
     /** Handed over, or counted as lost. */
     public void add(Entry entry) {
-        if (!waiting.offer(entry)) lost.incrementAndGet();
+        if (!waiting.offer(entry)) {
+            lost.incrementAndGet();
+        }
     }
 
     /** Where the chain on the disk ends. */
@@ -108,25 +117,50 @@
         while (true) {
             try {
                 Entry first = waiting.poll(PAUSE_MS, TimeUnit.MILLISECONDS);
-                if (first == null && over) break;
-                if (first != null) group.add(first);
+                if (first == null && over) {
+                    break;
+                }
+                if (first != null) {
+                    group.add(first);
+                }
                 waiting.drainTo(group, GROUP - group.size());
                 if (lost.get() > told && !group.isEmpty()) {
-                    group.add(0, new Entry.Event(Entry.Kind.LOST, 0, unixMs.getAsLong(), (lost.get() - told) + " records that the disk did not take"));
+                    group.add(
+                            0,
+                            new Entry.Event(
+                                    Entry.Kind.LOST,
+                                    0,
+                                    unixMs.getAsLong(),
+                                    (lost.get() - told) + " records that the disk did not take"));
+                }
+                if (group.isEmpty()) {
+                    continue;
                 }
-                if (group.isEmpty()) continue;
                 long losses = lost.get();
-                if (write(group)) told = losses;
-                else lost.addAndGet(group.stream().filter(each -> !(each instanceof Entry.Event event && event.kind() == Entry.Kind.LOST)).count());
+                if (write(group)) {
+                    told = losses;
+                } else {
+                    lost.addAndGet(
+                            group.stream()
+                                    .filter(
+                                            each ->
+                                                    !(each instanceof Entry.Event event
+                                                            && event.kind() == Entry.Kind.LOST))
+                                    .count());
+                }
                 group.clear();
                 // Others gather meanwhile, and go out with one force.
-                if (sick || waiting.size() < GROUP && !over) Thread.sleep(sick ? 5 * PAUSE_MS : PAUSE_MS / 4);
+                if (sick || waiting.size() < GROUP && !over) {
+                    Thread.sleep(sick ? 5 * PAUSE_MS : PAUSE_MS / 4);
+                }
             } catch (InterruptedException e) {
                 LOG.warning("the audit's thread is interrupted, and goes on");
             }
         }
         try {
-            if (file != null) file.close();
+            if (file != null) {
+                file.close();
+            }
         } catch (IOException e) {
             LOG.warning("the audit cannot be closed: " + e.getMessage());
         }
@@ -135,17 +169,23 @@
     private boolean write(List<Entry> group) {
         Chain next = Chain.at(chain);
         try {
-            if (file == null || size >= fileBytes) roll();
+            if (file == null || size >= fileBytes) {
+                roll();
+            }
             long before = size;
             try {
                 for (Entry each : group) {
-                    ByteBuffer bytes = ByteBuffer.wrap(AuditFolder.frame(next.append(AuditCodec.bytes(each))));
+                    ByteBuffer bytes =
+                            ByteBuffer.wrap(AuditFolder.frame(next.append(AuditCodec.bytes(each))));
                     size += bytes.remaining();
-                    while (bytes.hasRemaining()) file.write(bytes);
+                    while (bytes.hasRemaining()) {
+                        file.write(bytes);
+                    }
                 }
                 file.force(false);
             } catch (IOException e) {
-                // Some of it may be there: it is taken off, or the next one would stand behind half a record.
+                // Some of it may be there: it is taken off, or the next one would stand behind half
+                // a record.
                 size = before;
                 file.truncate(before);
                 file.position(before);
@@ -154,23 +194,40 @@
             chain = next;
             head = chain.head();
             written += group.size();
-            if (sick) LOG.info("the audit's disk takes records again");
+            if (sick) {
+                LOG.info("the audit's disk takes records again");
+            }
             sick = false;
             return true;
         } catch (IOException e) {
-            if (!sick) LOG.warning("the audit's disk does not take records: " + e.getMessage());
+            if (!sick) {
+                LOG.warning("the audit's disk does not take records: " + e.getMessage());
+            }
             sick = true;
             return false;
         }
     }
 
     private void roll() throws IOException {
-        if (file != null) file.close();
-        file = FileChannel.open(folder.resolve(String.format("%s%019d%s", AuditFolder.PREFIX, chain.head().number() + 1, AuditFolder.SUFFIX)),
-            StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
+        if (file != null) {
+            file.close();
+        }
+        file =
+                FileChannel.open(
+                        folder.resolve(
+                                String.format(
+                                        "%s%019d%s",
+                                        AuditFolder.PREFIX,
+                                        chain.head().number() + 1,
+                                        AuditFolder.SUFFIX)),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING);
         size = 0;
         List<Path> files = AuditFolder.files(folder);
-        for (int i = 0; i < files.size() - FILES; i++) Files.deleteIfExists(files.get(i));
+        for (int i = 0; i < files.size() - FILES; i++) {
+            Files.deleteIfExists(files.get(i));
+        }
     }
 
     /** What was handed over is written; returns once it is, or within a bounded time. */
--- a/src/main/java/ochretiller/bounds/Bounded.java
+++ b/src/main/java/ochretiller/bounds/Bounded.java
@@ -5,8 +5,7 @@
 
 /** Maps that hold so many at most; one more takes the place of the eldest. */
 public final class Bounded {
-    private Bounded() {
-    }
+    private Bounded() {}
 
     /** The eldest is what was asked for or put longest ago. */
     public static <K, V> Map<K, V> byUse(int most) {
--- a/src/main/java/ochretiller/budgets/Budgets.java
+++ b/src/main/java/ochretiller/budgets/Budgets.java
@@ -8,20 +8,32 @@
 import java.util.Map;
 
 /**
- * Shares work among teams. Each has its promised rate in a purse of its own; what no purse can keep, and what was promised to
- * nobody, is idle and lent by weight. Nothing is borrowed from another's purse, so that a promise holds at once whatever others do.
+ * Shares work among teams. Each has its promised rate in a purse of its own; what no purse can
+ * keep, and what was promised to nobody, is idle and lent by weight. Nothing is borrowed from
+ * another's purse, so that a promise holds at once whatever others do.
  */
 public final class Budgets {
     /** Teams of one broker: each takes some hundred bytes. */
     private static final int MOST = 10_000;
-    /** Idle work that is kept for lending, seconds of the capacity: what nobody wanted for longer is gone. */
+
+    /**
+     * Idle work that is kept for lending, seconds of the capacity: what nobody wanted for longer is
+     * gone.
+     */
     private static final double IDLE_S = 0.05;
-    /** How far one team may run ahead of others that want idle work, seconds of the capacity over its weight. */
+
+    /**
+     * How far one team may run ahead of others that want idle work, seconds of the capacity over
+     * its weight.
+     */
     private static final double AHEAD_S = 0.01;
+
     /** A team wants idle work if it asked for some so lately. */
     private static final Duration WANTS = Duration.ofMillis(200);
+
     /** Longest time that a refused one is told to stay away: promises change. */
     private static final Duration LONGEST = Duration.ofSeconds(10);
+
     private static final Duration SHORTEST = Duration.ofMillis(10);
 
     private final double capacity;
@@ -37,34 +49,49 @@
      * @param capacity core seconds a second that the broker can have done
      */
     public Budgets(double capacity, Duration now) {
-        if (!(capacity > 0)) throw new IllegalArgumentException("no capacity: " + capacity);
+        if (!(capacity > 0)) {
+            throw new IllegalArgumentException("no capacity: " + capacity);
+        }
         this.capacity = capacity;
         this.filledAt = now;
     }
 
-    /** Promises hold from here on, all in one step; what a team has in hand or owes stays its own. */
+    /**
+     * Promises hold from here on, all in one step; what a team has in hand or owes stays its own.
+     */
     public void become(Map<TeamId, Promise> promises, Duration now) {
-        if (promises.size() > MOST) throw new IllegalArgumentException("over " + MOST + " teams");
+        if (promises.size() > MOST) {
+            throw new IllegalArgumentException("over " + MOST + " teams");
+        }
         double sum = promises.values().stream().mapToDouble(Promise::rate).sum();
         if (sum > capacity * (1 + 1e-9)) {
-            throw new IllegalArgumentException("promises of " + sum + " core seconds a second are over the capacity of " + capacity);
+            throw new IllegalArgumentException(
+                    "promises of "
+                            + sum
+                            + " core seconds a second are over the capacity of "
+                            + capacity);
         }
         fill(now);
         purses.keySet().retainAll(promises.keySet());
         wanted.keySet().retainAll(promises.keySet());
-        promises.forEach((team, promise) -> {
-            Purse purse = purses.computeIfAbsent(team, id -> new Purse(promise, now));
-            purse.promise = promise;
-            purse.fill(now);
-        });
+        promises.forEach(
+                (team, promise) -> {
+                    Purse purse = purses.computeIfAbsent(team, id -> new Purse(promise, now));
+                    purse.promise = promise;
+                    purse.fill(now);
+                });
         promised = sum;
     }
 
     private void fill(Duration now) {
-        if (now.equals(filledAt)) return; // many ask in one gathering, and no time has passed between them
+        if (now.equals(filledAt)) {
+            return; // many ask in one gathering, and no time has passed between them
+        }
         idle += Math.max(0, seconds(now.minus(filledAt))) * (capacity - promised);
         filledAt = now;
-        for (Purse purse : purses.values()) idle += purse.fill(now);
+        for (Purse purse : purses.values()) {
+            idle += purse.fill(now);
+        }
         idle = Math.min(idle, capacity * IDLE_S);
     }
 
@@ -72,7 +99,9 @@
     public Grant ask(TeamId team, double work, Duration now) {
         fill(now);
         Purse purse = purses.get(team);
-        if (purse == null) return new Grant(Grant.Kind.REFUSED, LONGEST);
+        if (purse == null) {
+            return new Grant(Grant.Kind.REFUSED, LONGEST);
+        }
         if (purse.affords(work)) {
             purse.takes(work);
             return new Grant(Grant.Kind.PROMISED, Duration.ZERO);
@@ -93,21 +122,35 @@
             return purse == null ? new Grant(Grant.Kind.REFUSED, LONGEST) : refused(purse, work);
         }
         Grant grant = ask(team, work, now);
-        if (grant.given()) purse.takesRetry(work * (1 + purse.promise.retryShare())); // it earns no retries itself
+        if (grant.given()) {
+            purse.takesRetry(work * (1 + purse.promise.retryShare())); // it earns no retries itself
+        }
         return grant;
     }
 
-    /** By weight among those that want it: who has had least is never behind by more than a little. */
+    /**
+     * By weight among those that want it: who has had least is never behind by more than a little.
+     */
     private boolean lends(TeamId team, Purse purse, double work, Duration now) {
-        if (purse.promise.weight() == 0) return false;
-        boolean joins = !wanted.containsKey(team) || now.minus(wanted.get(team)).compareTo(WANTS) > 0;
+        if (purse.promise.weight() == 0) {
+            return false;
+        }
+        boolean joins =
+                !wanted.containsKey(team) || now.minus(wanted.get(team)).compareTo(WANTS) > 0;
         wanted.put(team, now);
         wanted.values().removeIf(at -> now.minus(at).compareTo(WANTS) > 0);
         double least = Double.POSITIVE_INFINITY;
-        for (TeamId other : wanted.keySet()) if (!other.equals(team)) least = Math.min(least, purses.get(other).lent);
+        for (TeamId other : wanted.keySet()) {
+            if (!other.equals(team)) {
+                least = Math.min(least, purses.get(other).lent);
+            }
+        }
         // Who was away has not saved up a claim on what is idle: it begins where the others are.
-        if (joins && least < Double.POSITIVE_INFINITY) purse.lent = Math.max(purse.lent, least);
-        return idle >= Math.min(work, capacity * IDLE_S) && purse.lent <= least + capacity * AHEAD_S / purse.promise.weight();
+        if (joins && least < Double.POSITIVE_INFINITY) {
+            purse.lent = Math.max(purse.lent, least);
+        }
+        return idle >= Math.min(work, capacity * IDLE_S)
+                && purse.lent <= least + capacity * AHEAD_S / purse.promise.weight();
     }
 
     private Grant refused(Purse purse, double work) {
@@ -116,10 +159,14 @@
         return new Grant(Grant.Kind.REFUSED, back.compareTo(SHORTEST) < 0 ? SHORTEST : back);
     }
 
-    /** A run is over: what it cost beside what was expected is its team's to pay, or to have back. */
+    /**
+     * A run is over: what it cost beside what was expected is its team's to pay, or to have back.
+     */
     public void settle(TeamId team, double expected, double cost, Duration now) {
         Purse purse = purses.get(team);
-        if (purse == null) return;
+        if (purse == null) {
+            return;
+        }
         fill(now);
         purse.settles(cost - expected);
     }
--- a/src/main/java/ochretiller/budgets/Grant.java
+++ b/src/main/java/ochretiller/budgets/Grant.java
@@ -5,7 +5,7 @@
 /**
  * What becomes of a wish.
  *
- * @param kind    whose work it uses
+ * @param kind whose work it uses
  * @param backoff when to come back, for one that is refused; zero for others
  */
 public record Grant(Kind kind, Duration backoff) {
--- a/src/main/java/ochretiller/budgets/Purse.java
+++ b/src/main/java/ochretiller/budgets/Purse.java
@@ -7,10 +7,13 @@
 /** What one team has in hand. */
 final class Purse {
     Promise promise;
+
     /** Its own work in hand; under zero it owes for work that cost more than was expected. */
     private double own;
+
     private double retries;
     private Duration filledAt;
+
     /** Work lent to it, over its weight: who has least is next. */
     double lent;
 
@@ -30,7 +33,10 @@
         return filled - own;
     }
 
-    /** The least that must be in hand for a wish: work dearer than the burst may start once the burst is there. */
+    /**
+     * The least that must be in hand for a wish: work dearer than the burst may start once the
+     * burst is there.
+     */
     private double needed(double work) {
         return Math.min(work, promise.burst());
     }
@@ -65,7 +71,9 @@
 
     /** Seconds until so much is in hand. */
     double wait(double work) {
-        return promise.rate() == 0 ? Double.POSITIVE_INFINITY : Math.max(0, needed(work) - own) / promise.rate();
+        return promise.rate() == 0
+                ? Double.POSITIVE_INFINITY
+                : Math.max(0, needed(work) - own) / promise.rate();
     }
 
     double own() {
