--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -23,14 +23,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What servers acted on, from their audits. Exit codes: 0 done, 2 wrong words or files, 3 something is damaged, missing or not known. */
-@Command(name = "audit", mixinStandardHelpOptions = true, description = "What servers acted on and when, from the folders of their audits.")
+/**
+ * What servers acted on, from their audits. Exit codes: 0 done, 2 wrong words or files, 3 something
+ * is damaged, missing or not known.
+ */
+@Command(
+        name = "audit",
+        mixinStandardHelpOptions = true,
+        description = "What servers acted on and when, from the folders of their audits.")
 public final class AuditCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int FAULTS = 3;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
@@ -39,12 +44,26 @@
 
     /** Which folders, and between which times. */
     static final class What {
-        @Parameters(paramLabel = "NAME=FOLDER", arity = "1..*", description = "A server's name and the folder of its audit, a copy of it is as good.")
+        @Parameters(
+                paramLabel = "NAME=FOLDER",
+                arity = "1..*",
+                description =
+                        "A server's name and the folder of its audit, a copy of it is as good.")
         private Map<String, Path> folders;
-        @Option(names = "--from", paramLabel = "<from>", description = "As 2026-01-31T08:00:00Z, or Unix milliseconds; the beginning by default.")
+
+        @Option(
+                names = "--from",
+                paramLabel = "<from>",
+                description =
+                        "As 2026-01-31T08:00:00Z, or Unix milliseconds; the beginning by default.")
         private String from;
-        @Option(names = "--until", paramLabel = "<until>", description = "The same; the end by default.")
+
+        @Option(
+                names = "--until",
+                paramLabel = "<until>",
+                description = "The same; the end by default.")
         private String until;
+
         @Option(names = "--json", description = "JSON instead of text.")
         private boolean json;
 
@@ -54,11 +73,16 @@
         What read() throws IOException {
             Map<String, List<Chain.Head>> known = new LinkedHashMap<>();
             for (Map.Entry<String, Path> each : folders.entrySet()) {
-                if (!Files.isDirectory(each.getValue())) throw new MalformedException("there is no folder " + each.getValue());
+                if (!Files.isDirectory(each.getValue())) {
+                    throw new MalformedException("there is no folder " + each.getValue());
+                }
                 Timeline.witnessed(AuditFolder.read(each.getValue(), List.of()).entries(), known);
             }
             for (Map.Entry<String, Path> each : folders.entrySet()) {
-                found.put(each.getKey(), AuditFolder.read(each.getValue(), known.getOrDefault(each.getKey(), List.of())));
+                found.put(
+                        each.getKey(),
+                        AuditFolder.read(
+                                each.getValue(), known.getOrDefault(each.getKey(), List.of())));
             }
             return this;
         }
@@ -74,17 +98,31 @@
         }
 
         long from() {
-            if (from != null) return time(from);
-            return found.values().stream().flatMap(each -> each.entries().stream()).mapToLong(Entry::fromMs).min().orElse(0);
+            if (from != null) {
+                return time(from);
+            }
+            return found.values().stream()
+                    .flatMap(each -> each.entries().stream())
+                    .mapToLong(Entry::fromMs)
+                    .min()
+                    .orElse(0);
         }
 
         long until() {
-            if (until != null) return time(until);
-            return found.values().stream().flatMap(each -> each.entries().stream()).mapToLong(Entry::toMs).max().orElse(0);
+            if (until != null) {
+                return time(until);
+            }
+            return found.values().stream()
+                    .flatMap(each -> each.entries().stream())
+                    .mapToLong(Entry::toMs)
+                    .max()
+                    .orElse(0);
         }
 
         private static long time(String text) {
-            if (text.matches("[0-9]{1,18}")) return Long.parseLong(text);
+            if (text.matches("[0-9]{1,18}")) {
+                return Long.parseLong(text);
+            }
             try {
                 return Instant.parse(text).toEpochMilli();
             } catch (DateTimeParseException e) {
@@ -99,47 +137,100 @@
 
     /** Where something is damaged, no answer is whole: it is told with each. */
     private int end(What what, boolean unknown) {
-        if (what.faults() > 0) System.err.println(what.faults() + " faults in these audits: see audit verify");
+        if (what.faults() > 0) {
+            System.err.println(what.faults() + " faults in these audits: see audit verify");
+        }
         return what.faults() > 0 || unknown ? FAULTS : 0;
     }
 
-    @Command(name = "verify", mixinStandardHelpOptions = true, description = "Hold audits against themselves and against what the others know of them.")
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Hold audits against themselves and against what the others know of them.")
     int verify(@CommandLine.Mixin What what) throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         ObjectNode all = JSON.createObjectNode();
-        what.read().found.forEach((name, each) -> {
-            ObjectNode one = all.putObject(name).put("records", each.links().size()).put("last", each.head().number()).put("hash", each.head().hash());
-            ArrayNode faults = one.putArray("faults");
-            each.faults().forEach(fault -> faults.addObject().put("record", fault.number()).put("what", fault.text()));
-            if (what.json) return;
-            out.printf(Locale.ROOT, "%s: %d records, the last is %d %s%n", name, each.links().size(), each.head().number(), each.faults().isEmpty() ? "; whole" : "");
-            each.faults().forEach(fault -> out.println("  record " + fault.number() + ' ' + fault.text()));
-        });
-        if (what.json) out.println(all);
+        what.read()
+                .found
+                .forEach(
+                        (name, each) -> {
+                            ObjectNode one =
+                                    all.putObject(name)
+                                            .put("records", each.links().size())
+                                            .put("last", each.head().number())
+                                            .put("hash", each.head().hash());
+                            ArrayNode faults = one.putArray("faults");
+                            each.faults()
+                                    .forEach(
+                                            fault ->
+                                                    faults.addObject()
+                                                            .put("record", fault.number())
+                                                            .put("what", fault.text()));
+                            if (what.json) {
+                                return;
+                            }
+                            out.printf(
+                                    Locale.ROOT,
+                                    "%s: %d records, the last is %d %s%n",
+                                    name,
+                                    each.links().size(),
+                                    each.head().number(),
+                                    each.faults().isEmpty() ? "; whole" : "");
+                            each.faults()
+                                    .forEach(
+                                            fault ->
+                                                    out.println(
+                                                            "  record "
+                                                                    + fault.number()
+                                                                    + ' '
+                                                                    + fault.text()));
+                        });
+        if (what.json) {
+            out.println(all);
+        }
         out.flush();
         return what.faults() > 0 ? FAULTS : 0;
     }
 
-    @Command(name = "who", mixinStandardHelpOptions = true, description = "Which servers acted on a version between two times.")
-    int who(@Option(names = "--version-number", required = true, description = "The version.") long version, @CommandLine.Mixin What what) throws IOException {
-        Map<String, Timeline.Known> who = what.read().line().who(version, what.from(), what.until());
+    @Command(
+            name = "who",
+            mixinStandardHelpOptions = true,
+            description = "Which servers acted on a version between two times.")
+    int who(
+            @Option(names = "--version-number", required = true, description = "The version.")
+                    long version,
+            @CommandLine.Mixin What what)
+            throws IOException {
+        Map<String, Timeline.Known> who =
+                what.read().line().who(version, what.from(), what.until());
         PrintWriter out = spec.commandLine().getOut();
         if (what.json) {
             ObjectNode all = JSON.createObjectNode();
             who.forEach((name, known) -> all.put(name, known.externalName()));
             out.println(all);
         } else {
-            who.forEach((name, known) -> out.println(name + ' ' + switch (known) {
-                case ACTED -> "acted on it";
-                case SHUT_OUT -> "was on it, and shut out from keyed work";
-                case UNKNOWN -> "may have: not all of its time is known";
-            }));
+            who.forEach(
+                    (name, known) ->
+                            out.println(
+                                    name
+                                            + ' '
+                                            + switch (known) {
+                                                case ACTED -> "acted on it";
+                                                case SHUT_OUT ->
+                                                        "was on it, and shut out from keyed work";
+                                                case UNKNOWN ->
+                                                        "may have: not all of its time is known";
+                                            }));
         }
         out.flush();
         return end(what, who.containsValue(Timeline.Known.UNKNOWN));
     }
 
-    @Command(name = "when", mixinStandardHelpOptions = true, description = "What each server acted on, stretch by stretch.")
+    @Command(
+            name = "when",
+            mixinStandardHelpOptions = true,
+            description = "What each server acted on, stretch by stretch.")
     int when(@CommandLine.Mixin What what) throws IOException {
         List<Timeline.Stretch> all = what.read().line().between(what.from(), what.until());
         stretches(what, all);
@@ -148,7 +239,10 @@
 
     @Command(name = "gaps", mixinStandardHelpOptions = true, description = "What is not known.")
     int gaps(@CommandLine.Mixin What what) throws IOException {
-        List<Timeline.Stretch> gaps = what.read().line().between(what.from(), what.until()).stream().filter(each -> each.known() == Timeline.Known.UNKNOWN).toList();
+        List<Timeline.Stretch> gaps =
+                what.read().line().between(what.from(), what.until()).stream()
+                        .filter(each -> each.known() == Timeline.Known.UNKNOWN)
+                        .toList();
         stretches(what, gaps);
         return end(what, !gaps.isEmpty());
     }
@@ -157,46 +251,96 @@
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode array = JSON.createArrayNode();
         for (Timeline.Stretch each : all) {
-            array.addObject().put("server", each.server()).put("from", each.fromMs()).put("until", each.toMs()).put("known", each.known().externalName()).put("version", each.version()).put("text", each.text());
-            if (what.json) continue;
-            String acted = switch (each.known()) {
-                case ACTED -> "version " + each.version();
-                case SHUT_OUT -> "version " + each.version() + ", shut out from keyed work";
-                case UNKNOWN -> "not known";
-            };
-            out.printf(Locale.ROOT, "%-16s %s to %s  %s%s%n", each.server(), at(each.fromMs()), at(each.toMs()), acted, each.text().isEmpty() ? "" : "; " + each.text());
+            array.addObject()
+                    .put("server", each.server())
+                    .put("from", each.fromMs())
+                    .put("until", each.toMs())
+                    .put("known", each.known().externalName())
+                    .put("version", each.version())
+                    .put("text", each.text());
+            if (what.json) {
+                continue;
+            }
+            String acted =
+                    switch (each.known()) {
+                        case ACTED -> "version " + each.version();
+                        case SHUT_OUT -> "version " + each.version() + ", shut out from keyed work";
+                        case UNKNOWN -> "not known";
+                    };
+            out.printf(
+                    Locale.ROOT,
+                    "%-16s %s to %s  %s%s%n",
+                    each.server(),
+                    at(each.fromMs()),
+                    at(each.toMs()),
+                    acted,
+                    each.text().isEmpty() ? "" : "; " + each.text());
+        }
+        if (what.json) {
+            out.println(array);
         }
-        if (what.json) out.println(array);
         out.flush();
     }
 
-    @Command(name = "token", mixinStandardHelpOptions = true, description = "Under which version a token ran.")
-    int token(@Option(names = "--token", required = true) String token, @CommandLine.Mixin What what) throws IOException {
+    @Command(
+            name = "token",
+            mixinStandardHelpOptions = true,
+            description = "Under which version a token ran.")
+    int token(
+            @Option(names = "--token", required = true) String token, @CommandLine.Mixin What what)
+            throws IOException {
         List<Timeline.Ran> runs = what.read().line().token(token);
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode array = JSON.createArrayNode();
         for (Timeline.Ran each : runs) {
-            array.addObject().put("server", each.server()).put("version", each.version()).put("at", each.atMs());
-            if (!what.json) out.printf(Locale.ROOT, "%s  %s under version %d%n", at(each.atMs()), each.server(), each.version());
+            array.addObject()
+                    .put("server", each.server())
+                    .put("version", each.version())
+                    .put("at", each.atMs());
+            if (!what.json) {
+                out.printf(
+                        Locale.ROOT,
+                        "%s  %s under version %d%n",
+                        at(each.atMs()),
+                        each.server(),
+                        each.version());
+            }
+        }
+        if (what.json) {
+            out.println(array);
+        } else if (runs.isEmpty()) {
+            out.println("no run of it is known in these audits");
         }
-        if (what.json) out.println(array);
-        else if (runs.isEmpty()) out.println("no run of it is known in these audits");
         out.flush();
         return end(what, runs.isEmpty());
     }
 
-    @Command(name = "behind", mixinStandardHelpOptions = true, description = "Who acted on something older than others did, and for how long.")
+    @Command(
+            name = "behind",
+            mixinStandardHelpOptions = true,
+            description = "Who acted on something older than others did, and for how long.")
     int behind(@CommandLine.Mixin What what) throws IOException {
         Map<String, Long> behind = what.read().line().behind(what.from(), what.until());
         PrintWriter out = spec.commandLine().getOut();
-        if (what.json) out.println(JSON.valueToTree(behind).toString());
-        else behind.forEach((name, ms) -> out.printf(Locale.ROOT, "%s was behind for %.1f s%n", name, ms / 1e3));
+        if (what.json) {
+            out.println(JSON.valueToTree(behind).toString());
+        } else {
+            behind.forEach(
+                    (name, ms) ->
+                            out.printf(Locale.ROOT, "%s was behind for %.1f s%n", name, ms / 1e3));
+        }
         out.flush();
         return end(what, false);
     }
 
-    @Command(name = "chart", mixinStandardHelpOptions = true, description = "A lane a server, in an HTML page.")
-    int chart(@Option(names = "--out", required = true, description = "The page.") Path page, @CommandLine.Mixin What what) throws IOException {
+    @Command(
+            name = "chart",
+            mixinStandardHelpOptions = true,
+            description = "A lane a server, in an HTML page.")
+    int chart(
+            @Option(names = "--out", required = true, description = "The page.") Path page,
+            @CommandLine.Mixin What what)
+            throws IOException {
         List<Timeline.Stretch> all = what.read().line().between(what.from(), what.until());
         Files.writeString(page, Lanes.page(all, what.from(), what.until()));
         return end(what, false);
--- a/src/main/java/ochretiller/commands/ContractCommand.java
+++ b/src/main/java/ochretiller/commands/ContractCommand.java
@@ -12,46 +12,83 @@
 import picocli.CommandLine.Parameters;
 
 /** Looks at folders of contracts. */
-@Command(name = "contract", mixinStandardHelpOptions = true, description = "Check contracts, show them, tell what a change would do.")
+@Command(
+        name = "contract",
+        mixinStandardHelpOptions = true,
+        description = "Check contracts, show them, tell what a change would do.")
 public final class ContractCommand implements Runnable {
     private static final String FOLDER = "A folder with broker.json5 and a file for each team.";
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Whether they are good, each and as a whole.")
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = "Whether they are good, each and as a whole.")
     int check(@Parameters(description = FOLDER) Path folder) {
         int count = ContractFiles.read(folder).byTeam().size();
         out().println(count + (count == 1 ? " contract is good" : " contracts are good"));
         return 0;
     }
 
-    @Command(name = "diff", mixinStandardHelpOptions = true, description = "What going over from one folder to another would do to each team.")
-    int diff(@Parameters(description = FOLDER) Path from, @Parameters(description = FOLDER) Path to) {
+    @Command(
+            name = "diff",
+            mixinStandardHelpOptions = true,
+            description = "What going over from one folder to another would do to each team.")
+    int diff(
+            @Parameters(description = FOLDER) Path from,
+            @Parameters(description = FOLDER) Path to) {
         List<String> changes = ContractFiles.read(from).changes(ContractFiles.read(to));
         changes.forEach(out()::println);
-        if (changes.isEmpty()) out().println("nothing changes");
+        if (changes.isEmpty()) {
+            out().println("nothing changes");
+        }
         return 0;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "What each team is promised, calls and publishes.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "What each team is promised, calls and publishes.")
     int show(@Parameters(description = FOLDER) Path folder) {
         Contracts contracts = ContractFiles.read(folder);
-        out().printf(Locale.ROOT, "capacity %.3f core seconds a second, %.3f promised%n", contracts.capacity(), contracts.promised());
+        out().printf(
+                        Locale.ROOT,
+                        "capacity %.3f core seconds a second, %.3f promised%n",
+                        contracts.capacity(),
+                        contracts.promised());
         for (Contract each : contracts.byTeam().values()) {
-            out().printf(Locale.ROOT, "%s, version %d: %.3f a second, burst %.3f, weight %.3f, retries %.3f%n", each.team(), each.version(),
-                each.promise().rate(), each.promise().burst(), each.promise().weight(), each.promise().retryShare());
+            out().printf(
+                            Locale.ROOT,
+                            "%s, version %d: %.3f a second, burst %.3f, weight %.3f, retries"
+                                    + " %.3f%n",
+                            each.team(),
+                            each.version(),
+                            each.promise().rate(),
+                            each.promise().burst(),
+                            each.promise().weight(),
+                            each.promise().retryShare());
             for (Contract.Service service : each.publishes()) {
-                out().printf("  publishes %s on %s within %d ms%n", service.name(), service.pool(), service.objective().toMillis());
+                out().printf(
+                                "  publishes %s on %s within %d ms%n",
+                                service.name(), service.pool(), service.objective().toMillis());
             }
             for (Contract.Call call : each.calls()) {
-                out().printf(Locale.ROOT, "  calls %s: %.3f a second, %d at once, objective %d ms, timeout %d ms, value %s%n", call.service(),
-                    call.work(), call.inFlight(), call.objective().toMillis(), call.timeout().toMillis(), call.value());
+                out().printf(
+                                Locale.ROOT,
+                                "  calls %s: %.3f a second, %d at once, objective %d ms, timeout %d"
+                                        + " ms, value %s%n",
+                                call.service(),
+                                call.work(),
+                                call.inFlight(),
+                                call.objective().toMillis(),
+                                call.timeout().toMillis(),
+                                call.value());
             }
         }
         return 0;
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -25,24 +25,39 @@
 import picocli.CommandLine.Option;
 
 /** Asks a server of a fleet. Exit codes: 0 done, 1 it could not be asked, 2 wrong words or file. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, description = "Ask a server how it sees its fleet, or tell it to leave.")
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        description = "Ask a server how it sees its fleet, or tell it to leave.")
 public final class FleetCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
+
     /** Between two looks at a server that leaves. */
     private static final int LOOK_MS = 250;
+
     private static final int FAILED = 1;
     private static final String DONE = Rollout.State.DONE.externalName();
     private static final String HALTED = Rollout.State.HALTED.externalName();
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** Whom to ask. */
     static final class Whom {
-        @Option(names = "--operator", paramLabel = "<operator>", required = true, description = "An operators' file of this fleet: its name, its keys, and the server to ask.")
+        @Option(
+                names = "--operator",
+                paramLabel = "<operator>",
+                required = true,
+                description =
+                        "An operators' file of this fleet: its name, its keys, and the server to"
+                                + " ask.")
         Path operator;
-        @Option(names = "--at", paramLabel = "ADDRESS", description = "Ask the server at this address of the fleet instead.")
+
+        @Option(
+                names = "--at",
+                paramLabel = "ADDRESS",
+                description = "Ask the server at this address of the fleet instead.")
         String at;
+
         @Option(names = "--json", description = "Say it as JSON.")
         boolean json;
 
@@ -56,8 +71,10 @@
         }
 
         FleetClient dial() throws IOException {
-            FleetSettings settings = OperatorFile.read(operator).fleet()
-                .orElseThrow(() -> new MalformedException(operator + " has no fleet"));
+            FleetSettings settings =
+                    OperatorFile.read(operator)
+                            .fleet()
+                            .orElseThrow(() -> new MalformedException(operator + " has no fleet"));
             InetSocketAddress address = settings.listen();
             if (at != null) {
                 try {
@@ -68,9 +85,11 @@
                 }
             }
             try {
-                return new FleetClient(address, settings.fleet(), FleetKeys.read(settings.keyFile()));
+                return new FleetClient(
+                        address, settings.fleet(), FleetKeys.read(settings.keyFile()));
             } catch (IOException e) {
-                throw new IOException("cannot ask the server at " + address + ": " + e.getMessage(), e);
+                throw new IOException(
+                        "cannot ask the server at " + address + ": " + e.getMessage(), e);
             }
         }
     }
@@ -80,24 +99,40 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    @Command(name = "view", mixinStandardHelpOptions = true, description = "How a server sees its fleet.")
-    int view(@CommandLine.Mixin Whom whom,
-             @Option(names = "--watch", paramLabel = "SECONDS", description = "Go on, and tell what changes.") Double watch,
-             @Option(names = "--times", description = "With --watch: end behind so many looks.") Integer times) throws IOException, InterruptedException {
+    @Command(
+            name = "view",
+            mixinStandardHelpOptions = true,
+            description = "How a server sees its fleet.")
+    int view(
+            @CommandLine.Mixin Whom whom,
+            @Option(
+                            names = "--watch",
+                            paramLabel = "SECONDS",
+                            description = "Go on, and tell what changes.")
+                    Double watch,
+            @Option(names = "--times", description = "With --watch: end behind so many looks.")
+                    Integer times)
+            throws IOException, InterruptedException {
         JsonNode view = ask(whom, "view");
         show(view, whom.json);
-        if (watch == null) return 0;
+        if (watch == null) {
+            return 0;
+        }
         for (int i = 1; times == null || i < times; i++) {
             Thread.sleep((long) Math.max(LOOK_MS, watch * 1000));
             JsonNode next;
             try {
                 next = ask(whom, "view");
             } catch (IOException e) {
-                System.err.println(e.getMessage()); // a watch outlives the restart of whom it watches
+                System.err.println(
+                        e.getMessage()); // a watch outlives the restart of whom it watches
                 continue;
             }
-            if (whom.json) show(next, true);
-            else changes(view, next);
+            if (whom.json) {
+                show(next, true);
+            } else {
+                changes(view, next);
+            }
             view = next;
         }
         return 0;
@@ -117,21 +152,45 @@
             return;
         }
         Map<String, Integer> states = new TreeMap<>();
-        out.printf("%-20s %-8s %-22s %-10s %-18s %9s %s%n", "member", "state", "address", "zone", "build", "for", "start");
+        out.printf(
+                "%-20s %-8s %-22s %-10s %-18s %9s %s%n",
+                "member", "state", "address", "zone", "build", "for", "start");
         for (JsonNode each : view.get("members")) {
             states.merge(each.get("state").asText(), 1, Integer::sum);
-            out.printf(Locale.ROOT, "%-20s %-8s %-22s %-10s %-18s %8.1fs %s%s%n", each.get("name").asText(), each.get("state").asText(),
-                each.get("address").asText(), each.get("zone").asText(), each.get("build").asText(), each.get("for_ms").asLong() / 1e3,
-                each.get("start").asText(), each.get("self").asBoolean() ? "  (asked)" : "");
+            out.printf(
+                    Locale.ROOT,
+                    "%-20s %-8s %-22s %-10s %-18s %8.1fs %s%s%n",
+                    each.get("name").asText(),
+                    each.get("state").asText(),
+                    each.get("address").asText(),
+                    each.get("zone").asText(),
+                    each.get("build").asText(),
+                    each.get("for_ms").asLong() / 1e3,
+                    each.get("start").asText(),
+                    each.get("self").asBoolean() ? "  (asked)" : "");
+        }
+        out.printf(
+                "fleet %s: %s; digest %s, doubt %d%n",
+                view.get("fleet").asText(),
+                states,
+                view.get("digest").asText(),
+                view.get("doubt").asInt());
+        if (view.get("refused").size() > 0) {
+            out.println("refused packets: " + view.get("refused"));
         }
-        out.printf("fleet %s: %s; digest %s, doubt %d%n", view.get("fleet").asText(), states, view.get("digest").asText(), view.get("doubt").asInt());
-        if (view.get("refused").size() > 0) out.println("refused packets: " + view.get("refused"));
         out.flush();
     }
 
     private static Map<String, String> states(JsonNode view) {
         Map<String, String> states = new TreeMap<>();
-        view.get("members").forEach(each -> states.put(each.get("name").asText() + '/' + each.get("start").asText(), each.get("state").asText()));
+        view.get("members")
+                .forEach(
+                        each ->
+                                states.put(
+                                        each.get("name").asText()
+                                                + '/'
+                                                + each.get("start").asText(),
+                                        each.get("state").asText()));
         return states;
     }
 
@@ -139,17 +198,29 @@
         PrintWriter out = spec.commandLine().getOut();
         Map<String, String> was = states(before);
         Map<String, String> is = states(after);
-        is.forEach((member, state) -> {
-            String old = was.remove(member);
-            if (!state.equals(old)) out.println(member + ": " + (old == null ? "new" : old) + " -> " + state);
-        });
+        is.forEach(
+                (member, state) -> {
+                    String old = was.remove(member);
+                    if (!state.equals(old)) {
+                        out.println(member + ": " + (old == null ? "new" : old) + " -> " + state);
+                    }
+                });
         was.forEach((member, state) -> out.println(member + ": " + state + " -> forgotten"));
         out.flush();
     }
 
-    @Command(name = "ping", mixinStandardHelpOptions = true, description = "How fast a server answers at its fleet's door.")
-    int ping(@CommandLine.Mixin Whom whom, @Option(names = "--times", defaultValue = "10", description = "${DEFAULT-VALUE} by default.") int times)
-        throws IOException {
+    @Command(
+            name = "ping",
+            mixinStandardHelpOptions = true,
+            description = "How fast a server answers at its fleet's door.")
+    int ping(
+            @CommandLine.Mixin Whom whom,
+            @Option(
+                            names = "--times",
+                            defaultValue = "10",
+                            description = "${DEFAULT-VALUE} by default.")
+                    int times)
+            throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         try (FleetClient client = whom.dial()) {
             long[] micros = new long[Math.max(1, Math.min(99, times))];
@@ -163,34 +234,65 @@
             long middle = micros[micros.length / 2];
             long most = micros[micros.length - 1];
             if (whom.json) {
-                ObjectNode told = JSON.createObjectNode().put("name", client.name()).put("times", micros.length);
+                ObjectNode told =
+                        JSON.createObjectNode()
+                                .put("name", client.name())
+                                .put("times", micros.length);
                 out.println(told.put("least_us", least).put("p50_us", middle).put("most_us", most));
             } else {
-                out.printf("%s: %d answers, least %d us, p50 %d us, most %d us%n", client.name(), micros.length, least, middle, most);
+                out.printf(
+                        "%s: %d answers, least %d us, p50 %d us, most %d us%n",
+                        client.name(), micros.length, least, middle, most);
             }
             out.flush();
         }
         return 0;
     }
 
-    @Command(name = "publish", mixinStandardHelpOptions = true,
-        description = "Bring a version out to the fleet, by stages; one of its voters has to be asked. A version is an operators' file with pools and nothing else.")
-    int publish(@CommandLine.Mixin Whom whom, @CommandLine.Parameters(description = "The version.") Path file,
-                @Option(names = "--why", required = true, description = "Why, in a line.") String why,
-                @Option(names = "--by", description = "Who; the user's name by default.") String by,
-                @Option(names = "--build", defaultValue = "", description = "The least build that can act on it.") String least,
-                @Option(names = "--wait", description = "Wait until it is in force, halted or taken back.") boolean wait) throws IOException, InterruptedException {
+    @Command(
+            name = "publish",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Bring a version out to the fleet, by stages; one of its voters has to be"
+                        + " asked. A version is an operators' file with pools and nothing else.")
+    int publish(
+            @CommandLine.Mixin Whom whom,
+            @CommandLine.Parameters(description = "The version.") Path file,
+            @Option(names = "--why", required = true, description = "Why, in a line.") String why,
+            @Option(names = "--by", description = "Who; the user's name by default.") String by,
+            @Option(
+                            names = "--build",
+                            defaultValue = "",
+                            description = "The least build that can act on it.")
+                    String least,
+            @Option(
+                            names = "--wait",
+                            description = "Wait until it is in force, halted or taken back.")
+                    boolean wait)
+            throws IOException, InterruptedException {
         String text = Files.readString(file);
         String who = by == null ? System.getProperty("user.name") : by;
-        for (String each : new String[] {who, why, least}) if (each.contains("\n")) throw new MalformedException("a line has no end of a line in it");
+        for (String each : new String[] {who, why, least}) {
+            if (each.contains("\n")) {
+                throw new MalformedException("a line has no end of a line in it");
+            }
+        }
         JsonNode told;
         try (FleetClient client = whom.dial()) {
-            told = JSON.readTree(client.ask("version-publish", who + '\n' + why + '\n' + least + '\n' + text));
+            told =
+                    JSON.readTree(
+                            client.ask(
+                                    "version-publish",
+                                    who + '\n' + why + '\n' + least + '\n' + text));
+        }
+        if (refused(whom, told)) {
+            return FAILED;
         }
-        if (refused(whom, told)) return FAILED;
         long number = told.get("published").asLong();
         PrintWriter out = spec.commandLine().getOut();
-        if (!whom.json) out.println("version " + number + " is brought out");
+        if (!whom.json) {
+            out.println("version " + number + " is brought out");
+        }
         out.flush();
         return wait ? follow(whom, number) : 0;
     }
@@ -208,13 +310,36 @@
             }
             long version = told.get("version").asLong();
             String state = told.get("state").asText();
-            boolean over = version > number || version == number && (state.equals(DONE) || state.equals(HALTED));
-            String line = version < number ? "not agreed on yet" : "version " + version + ", " + (over ? state : "stage " + told.get("stage").asInt() + ", " + state);
-            if (!line.equals(last)) System.err.println(line);
+            boolean over =
+                    version > number
+                            || version == number && (state.equals(DONE) || state.equals(HALTED));
+            String line =
+                    version < number
+                            ? "not agreed on yet"
+                            : "version "
+                                    + version
+                                    + ", "
+                                    + (over
+                                            ? state
+                                            : "stage " + told.get("stage").asInt() + ", " + state);
+            if (!line.equals(last)) {
+                System.err.println(line);
+            }
             last = line;
-            if (!over) continue;
+            if (!over) {
+                continue;
+            }
             boolean good = version == number && state.equals(DONE);
-            show(whom, told, good ? "version " + number + " is in force" : "version " + number + " is not: " + told.get("halted").asText() + told.get("why").asText());
+            show(
+                    whom,
+                    told,
+                    good
+                            ? "version " + number + " is in force"
+                            : "version "
+                                    + number
+                                    + " is not: "
+                                    + told.get("halted").asText()
+                                    + told.get("why").asText());
             return good ? 0 : FAILED;
         }
     }
@@ -227,45 +352,87 @@
 
     private boolean refused(Whom whom, JsonNode told) {
         String why = told.path("refused").asText();
-        if (why.isEmpty() || told.has("servers")) return false;
-        if (whom.json) show(whom, told, "");
-        else System.err.println("refused: " + why);
+        if (why.isEmpty() || told.has("servers")) {
+            return false;
+        }
+        if (whom.json) {
+            show(whom, told, "");
+        } else {
+            System.err.println("refused: " + why);
+        }
         return true;
     }
 
-    @Command(name = "versions", mixinStandardHelpOptions = true, description = "Which version is in force, how far the next has come, and who acts on which.")
+    @Command(
+            name = "versions",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Which version is in force, how far the next has come, and who acts on which.")
     int versions(@CommandLine.Mixin Whom whom) throws IOException {
         JsonNode told = ask(whom, "version-status");
-        if (refused(whom, told)) return FAILED;
+        if (refused(whom, told)) {
+            return FAILED;
+        }
         PrintWriter out = spec.commandLine().getOut();
         if (whom.json) {
             out.println(told);
         } else {
-            out.printf(Locale.ROOT, "version %d, %s at stage %d, before it %d; by %s: %s%n", told.get("version").asLong(), told.get("state").asText(), told.get("stage").asInt(),
-                told.get("before").asLong(), told.get("by").asText(), told.get("why").asText());
-            if (!told.get("halted").asText().isEmpty()) out.println("the last one that was stopped: " + told.get("halted").asText());
-            out.printf(Locale.ROOT, "%s acts on %d; its lease %s%n", told.get("name").asText(), told.get("acts").asLong(),
-                told.get("may").asBoolean() ? "holds for " + told.get("lease_left_ms").asLong() + " ms" : "has ended: keyed work is throttled");
+            out.printf(
+                    Locale.ROOT,
+                    "version %d, %s at stage %d, before it %d; by %s: %s%n",
+                    told.get("version").asLong(),
+                    told.get("state").asText(),
+                    told.get("stage").asInt(),
+                    told.get("before").asLong(),
+                    told.get("by").asText(),
+                    told.get("why").asText());
+            if (!told.get("halted").asText().isEmpty()) {
+                out.println("the last one that was stopped: " + told.get("halted").asText());
+            }
+            out.printf(
+                    Locale.ROOT,
+                    "%s acts on %d; its lease %s%n",
+                    told.get("name").asText(),
+                    told.get("acts").asLong(),
+                    told.get("may").asBoolean()
+                            ? "holds for " + told.get("lease_left_ms").asLong() + " ms"
+                            : "has ended: keyed work is throttled");
             for (Map.Entry<String, JsonNode> each : told.get("servers").properties()) {
-                out.printf(Locale.ROOT, "%-20s acts on %d%s%s%n", each.getKey(), each.getValue().get("acts").asLong(),
-                    each.getValue().get("refused").asLong() == 0 ? "" : ", refuses " + each.getValue().get("refused").asLong(), each.getValue().get("out").asBoolean() ? ", shut out" : "");
+                out.printf(
+                        Locale.ROOT,
+                        "%-20s acts on %d%s%s%n",
+                        each.getKey(),
+                        each.getValue().get("acts").asLong(),
+                        each.getValue().get("refused").asLong() == 0
+                                ? ""
+                                : ", refuses " + each.getValue().get("refused").asLong(),
+                        each.getValue().get("out").asBoolean() ? ", shut out" : "");
             }
         }
         out.flush();
         return 0;
     }
 
-    @Command(name = "pause", mixinStandardHelpOptions = true, description = "Stop a rollout where it is.")
+    @Command(
+            name = "pause",
+            mixinStandardHelpOptions = true,
+            description = "Stop a rollout where it is.")
     int pause(@CommandLine.Mixin Whom whom) throws IOException {
         return steer(whom, "pause");
     }
 
-    @Command(name = "go-on", mixinStandardHelpOptions = true, description = "Let a rollout go on that was paused or halted.")
+    @Command(
+            name = "go-on",
+            mixinStandardHelpOptions = true,
+            description = "Let a rollout go on that was paused or halted.")
     int goOn(@CommandLine.Mixin Whom whom) throws IOException {
         return steer(whom, "go-on");
     }
 
-    @Command(name = "take-back", mixinStandardHelpOptions = true, description = "Bring back what was before, for all at once, as a version of its own.")
+    @Command(
+            name = "take-back",
+            mixinStandardHelpOptions = true,
+            description = "Bring back what was before, for all at once, as a version of its own.")
     int takeBack(@CommandLine.Mixin Whom whom) throws IOException {
         return steer(whom, "take-back");
     }
@@ -275,14 +442,23 @@
         try (FleetClient client = whom.dial()) {
             told = JSON.readTree(client.ask("version-" + word, System.getProperty("user.name")));
         }
-        if (refused(whom, told)) return FAILED;
+        if (refused(whom, told)) {
+            return FAILED;
+        }
         show(whom, told, word + " is asked for; see `fleet versions`");
         return 0;
     }
 
-    @Command(name = "leave", mixinStandardHelpOptions = true, description = "Tell a server to drain and end, as SIGTERM does; waits until it is gone.")
-    int leave(@CommandLine.Mixin Whom whom, @Option(names = "--within", defaultValue = "60", description = "Seconds to wait.") int within)
-        throws IOException, InterruptedException {
+    @Command(
+            name = "leave",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Tell a server to drain and end, as SIGTERM does; waits until it is gone.")
+    int leave(
+            @CommandLine.Mixin Whom whom,
+            @Option(names = "--within", defaultValue = "60", description = "Seconds to wait.")
+                    int within)
+            throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         String name;
         try (FleetClient client = whom.dial()) {
@@ -294,11 +470,21 @@
             Thread.sleep(LOOK_MS);
             try {
                 ask(whom, "ping");
-                if (!whom.json) System.err.println(name + " drains");
+                if (!whom.json) {
+                    System.err.println(name + " drains");
+                }
             } catch (IOException e) {
                 boolean gone = e.getCause() instanceof ConnectException;
-                if (!gone) continue; // it was cut off in the midst of an answer: not gone yet, or just now
-                out.println(whom.json ? JSON.createObjectNode().put("name", name).put("gone", true).toString() : name + " is gone");
+                if (!gone) {
+                    continue; // it was cut off in the midst of an answer: not gone yet, or just now
+                }
+                out.println(
+                        whom.json
+                                ? JSON.createObjectNode()
+                                        .put("name", name)
+                                        .put("gone", true)
+                                        .toString()
+                                : name + " is gone");
                 out.flush();
                 return 0;
             }
--- a/src/main/java/ochretiller/commands/StoreCommand.java
+++ b/src/main/java/ochretiller/commands/StoreCommand.java
@@ -17,32 +17,44 @@
 import picocli.CommandLine.Parameters;
 
 /** Looks at a store's folder. Exit codes: 0 good, 1 cannot be read or is in use, 3 damaged. */
-@Command(name = "store", description = "Look at the store in which results are remembered.", mixinStandardHelpOptions = true)
+@Command(
+        name = "store",
+        description = "Look at the store in which results are remembered.",
+        mixinStandardHelpOptions = true)
 public final class StoreCommand implements Runnable {
     /** Something in the store is damaged. */
     public static final int DAMAGED = 3;
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** The options that all of them have. */
     static final class Common {
         @Parameters(index = "0", paramLabel = "DIR", description = "The store's folder.")
         Path folder;
+
         @Option(names = "--json", description = "Say it as JSON.")
         boolean json;
-        @Option(names = {"-q", "--quiet"}, description = "No progress on standard error.")
+
+        @Option(
+                names = {"-q", "--quiet"},
+                description = "No progress on standard error.")
         boolean quiet;
 
         Disk disk() {
             return new RealDisk(folder);
         }
 
-        /** A line for each file, on standard error, so that long work can be watched and its result still be piped. */
+        /**
+         * A line for each file, on standard error, so that long work can be watched and its result
+         * still be piped.
+         */
         Consumer<String> progress(String doing) {
             return file -> {
-                if (!quiet) System.err.println(doing + " " + file);
+                if (!quiet) {
+                    System.err.println(doing + " " + file);
+                }
             };
         }
     }
@@ -58,12 +70,19 @@
 
     private static ObjectNode report(Inspect.Report report) {
         ObjectNode all = JSON.createObjectNode();
-        all.put("good", report.good()).put("entries", report.entries()).put("bytes", report.bytes())
-            .put("unfinished", report.unfinished());
+        all.put("good", report.good())
+                .put("entries", report.entries())
+                .put("bytes", report.bytes())
+                .put("unfinished", report.unfinished());
         ArrayNode files = all.putArray("files");
         for (Inspect.File file : report.files()) {
-            files.addObject().put("name", file.name()).put("bytes", file.bytes()).put("records", file.records())
-                .put("dead", file.dead()).put("sealed", file.sealed()).put("damaged", file.damaged());
+            files.addObject()
+                    .put("name", file.name())
+                    .put("bytes", file.bytes())
+                    .put("records", file.records())
+                    .put("dead", file.dead())
+                    .put("sealed", file.sealed())
+                    .put("damaged", file.damaged());
         }
         report.damage().forEach(all.putArray("damage")::add);
         report.useless().forEach(all.putArray("useless")::add);
@@ -71,8 +90,10 @@
         return all;
     }
 
-    @Command(name = "verify", description = "Read every byte; 0 where all is good, 3 where something is damaged.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "verify",
+            description = "Read every byte; 0 where all is good, 3 where something is damaged.",
+            mixinStandardHelpOptions = true)
     int verify(@CommandLine.Mixin Common common) throws IOException {
         Inspect.Report report = Inspect.verify(common.disk(), common.progress("reads"));
         if (common.json) {
@@ -81,13 +102,25 @@
             report.damage().forEach(line -> say("damage: " + line));
             report.useless().forEach(name -> say("half: " + name + ", deleted at the next start"));
             report.foreign().forEach(name -> say("not the store's: " + name));
-            if (report.unfinished() > 0) say(report.unfinished() + " bytes were never written to their record's end: harmless");
-            say((report.good() ? "good: " : "DAMAGED: ") + report.entries() + " entries in " + report.files().size() + " files");
+            if (report.unfinished() > 0) {
+                say(
+                        report.unfinished()
+                                + " bytes were never written to their record's end: harmless");
+            }
+            say(
+                    (report.good() ? "good: " : "DAMAGED: ")
+                            + report.entries()
+                            + " entries in "
+                            + report.files().size()
+                            + " files");
         }
         return report.good() ? 0 : DAMAGED;
     }
 
-    @Command(name = "stat", description = "Sizes of the files and of what is dead in them.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "stat",
+            description = "Sizes of the files and of what is dead in them.",
+            mixinStandardHelpOptions = true)
     int stat(@CommandLine.Mixin Common common) throws IOException {
         Inspect.Report report = Inspect.verify(common.disk(), common.progress("reads"));
         if (common.json) {
@@ -96,45 +129,90 @@
         }
         say(String.format("%-24s %12s %9s %12s  %s", "file", "bytes", "records", "dead", "state"));
         for (Inspect.File file : report.files()) {
-            say(String.format("%-24s %12d %9d %12d  %s", file.name(), file.bytes(), file.records(), file.dead(),
-                file.damaged() ? "damaged" : file.sealed() ? "sealed" : "open"));
+            say(
+                    String.format(
+                            "%-24s %12d %9d %12d  %s",
+                            file.name(),
+                            file.bytes(),
+                            file.records(),
+                            file.dead(),
+                            file.damaged() ? "damaged" : file.sealed() ? "sealed" : "open"));
         }
         say(report.entries() + " entries, " + report.bytes() + " bytes");
         return 0;
     }
 
-    @Command(name = "list", description = "What is remembered, a line each.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "list",
+            description = "What is remembered, a line each.",
+            mixinStandardHelpOptions = true)
     int list(@CommandLine.Mixin Common common) throws IOException {
-        Inspect.list(common.disk(), item -> {
-            Mark mark = Mark.of(item.key(), item.meta());
-            if (common.json) {
-                ObjectNode line = JSON.createObjectNode();
-                if (mark != null) {
-                    line.put("token", mark.token()).put("state", mark.state().externalName()).put("operation", mark.operation())
-                        .put("rid", mark.rid()).put("until", mark.until());
-                } else {
-                    String about = KeeperDisk.about(item.key());
-                    if (about == null) line.put("key", item.key());
-                    else line.put("about", about);
-                }
-                say(line.put("expires", item.expires()).put("file", item.file()).put("at", item.at()).put("bytes", item.bytes()));
-            } else if (mark == null) {
-                String about = KeeperDisk.about(item.key());
-                say((about == null ? "a key of " + item.key().length + " bytes that is no mark" : about) + ", in " + item.file() + " at " + item.at());
-            } else {
-                say(mark.token() + " " + mark.state().externalName() + " " + mark.operation() + " run " + mark.rid() + ", " + item.bytes()
-                    + " bytes in " + item.file());
-            }
-        });
+        Inspect.list(
+                common.disk(),
+                item -> {
+                    Mark mark = Mark.of(item.key(), item.meta());
+                    if (common.json) {
+                        ObjectNode line = JSON.createObjectNode();
+                        if (mark != null) {
+                            line.put("token", mark.token())
+                                    .put("state", mark.state().externalName())
+                                    .put("operation", mark.operation())
+                                    .put("rid", mark.rid())
+                                    .put("until", mark.until());
+                        } else {
+                            String about = KeeperDisk.about(item.key());
+                            if (about == null) {
+                                line.put("key", item.key());
+                            } else {
+                                line.put("about", about);
+                            }
+                        }
+                        say(
+                                line.put("expires", item.expires())
+                                        .put("file", item.file())
+                                        .put("at", item.at())
+                                        .put("bytes", item.bytes()));
+                    } else if (mark == null) {
+                        String about = KeeperDisk.about(item.key());
+                        say(
+                                (about == null
+                                                ? "a key of "
+                                                        + item.key().length
+                                                        + " bytes that is no mark"
+                                                : about)
+                                        + ", in "
+                                        + item.file()
+                                        + " at "
+                                        + item.at());
+                    } else {
+                        say(
+                                mark.token()
+                                        + " "
+                                        + mark.state().externalName()
+                                        + " "
+                                        + mark.operation()
+                                        + " run "
+                                        + mark.rid()
+                                        + ", "
+                                        + item.bytes()
+                                        + " bytes in "
+                                        + item.file());
+                    }
+                });
         return 0;
     }
 
-    @Command(name = "compact", description = "Copy what is live and drop the rest; the store must not be in use.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "compact",
+            description = "Copy what is live and drop the rest; the store must not be in use.",
+            mixinStandardHelpOptions = true)
     int compact(@CommandLine.Mixin Common common) throws IOException {
         long[] bytes = Inspect.compact(common.disk(), common.progress("copies"));
-        if (common.json) say(JSON.createObjectNode().put("before", bytes[0]).put("after", bytes[1]));
-        else say(bytes[0] + " bytes before, " + bytes[1] + " after");
+        if (common.json) {
+            say(JSON.createObjectNode().put("before", bytes[0]).put("after", bytes[1]));
+        } else {
+            say(bytes[0] + " bytes before, " + bytes[1] + " after");
+        }
         return 0;
     }
 }
--- a/src/main/java/ochretiller/commands/TryCommand.java
+++ b/src/main/java/ochretiller/commands/TryCommand.java
@@ -23,20 +23,38 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A server that can be seen to work with nothing else installed: its outside is played by stand-ins in this process. */
-@Command(name = "try", description = {"Serve on free loopback ports with stand-ins of the processor, the records service and "
-    + "the roster inside; send a keyed request and its repeat, show both answers, and serve until Ctrl-C."},
-    mixinStandardHelpOptions = true)
+/**
+ * A server that can be seen to work with nothing else installed: its outside is played by stand-ins
+ * in this process.
+ */
+@Command(
+        name = "try",
+        description = {
+            "Serve on free loopback ports with stand-ins of the processor, the records service and"
+                + " the roster inside; send a keyed request and its repeat, show both answers, and"
+                + " serve until Ctrl-C."
+        },
+        mixinStandardHelpOptions = true)
 public final class TryCommand implements Callable<Integer> {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-    @Option(names = "--remember", paramLabel = "DIR",
-        description = "Keep results in this folder, so that a repeat is answered from it behind a kill.")
+    @Option(
+            names = "--remember",
+            paramLabel = "DIR",
+            description =
+                    "Keep results in this folder, so that a repeat is answered from it behind a"
+                            + " kill.")
     private Path folder;
-    @Option(names = "--port", paramLabel = "<port>", description = "Where to listen; a free port by default.")
+
+    @Option(
+            names = "--port",
+            paramLabel = "<port>",
+            description = "Where to listen; a free port by default.")
     private int port;
+
     @Option(names = "--once", description = "End behind the two answers.")
     private boolean once;
+
     @Option(names = "--log", description = "Show the server's log.")
     private boolean log;
 
@@ -45,28 +63,59 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         Logs.install();
-        if (!log) Logger.getLogger("").setLevel(Level.WARNING);
+        if (!log) {
+            Logger.getLogger("").setLevel(Level.WARNING);
+        }
         int listen = port != 0 ? port : freePort();
         CountDownLatch linked = new CountDownLatch(1);
-        StandIns outside = new StandIns("127.0.0.1", new int[3], line -> {
-            if (line.equals("usage fence")) linked.countDown();
-        }, report -> { });
-        outside.runs = (rid, operation, body) ->
-            outside.complete(rid, "done by run " + runs.incrementAndGet() + " of " + ProcessHandle.current().pid());
+        StandIns outside =
+                new StandIns(
+                        "127.0.0.1",
+                        new int[3],
+                        line -> {
+                            if (line.equals("usage fence")) {
+                                linked.countDown();
+                            }
+                        },
+                        report -> {});
+        outside.runs =
+                (rid, operation, body) ->
+                        outside.complete(
+                                rid,
+                                "done by run "
+                                        + runs.incrementAndGet()
+                                        + " of "
+                                        + ProcessHandle.current().pid());
         Path config = Files.createTempFile("ochretiller-try", ".json");
-        Files.writeString(config, Gateways.config(listen, outside.processorPort(), outside.recordsPort(), outside.rosterPort())
-            .replace("\"windowNs\":10000000000", "\"windowNs\":600000000000"));
+        Files.writeString(
+                config,
+                Gateways.config(
+                                listen,
+                                outside.processorPort(),
+                                outside.recordsPort(),
+                                outside.rosterPort())
+                        .replace("\"windowNs\":10000000000", "\"windowNs\":600000000000"));
         config.toFile().deleteOnExit();
         Operator operator = operator();
-        Node node = new Node(config, operator,
-            operator.remember().map(remember -> new RealDisk(remember.folder())).orElse(null));
+        Node node =
+                new Node(
+                        config,
+                        operator,
+                        operator.remember()
+                                .map(remember -> new RealDisk(remember.folder()))
+                                .orElse(null));
         node.prepare();
         node.listen();
-        Thread serving = new Thread(() -> {
-            node.run();
-        }, "loop");
+        Thread serving =
+                new Thread(
+                        () -> {
+                            node.run();
+                        },
+                        "loop");
         serving.start();
-        if (!linked.await(10, TimeUnit.SECONDS)) throw new IOException("the server has not found its processor");
+        if (!linked.await(10, TimeUnit.SECONDS)) {
+            throw new IOException("the server has not found its processor");
+        }
         show(listen);
         if (!once) {
             Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(node)));
@@ -86,9 +135,12 @@
     }
 
     private Operator operator() throws IOException {
-        if (folder == null) return Operator.NONE;
+        if (folder == null) {
+            return Operator.NONE;
+        }
         Path file = Files.createTempFile("ochretiller-try", ".json5");
-        String quoted = folder.toAbsolutePath().toString().replace("\\", "\\\\").replace("'", "\\'");
+        String quoted =
+                folder.toAbsolutePath().toString().replace("\\", "\\\\").replace("'", "\\'");
         Files.writeString(file, "{ remember: { folder: '" + quoted + "' } }");
         try {
             return OperatorFile.read(file);
@@ -104,31 +156,45 @@
     }
 
     private void show(int listen) throws IOException {
-        System.out.println("serves on 127.0.0.1:" + listen + "; its processor, records service and roster are stand-ins here");
+        System.out.println(
+                "serves on 127.0.0.1:"
+                        + listen
+                        + "; its processor, records service and roster are stand-ins here");
         try (Wire gateway = new Wire(new Socket("127.0.0.1", listen))) {
             for (int id = 1; id <= 2; id++) {
                 String rid = String.format("%08x%08x", (int) System.nanoTime(), id);
-                String request = Gateways.message(id, "order", Gateways.params(rid, TOKEN, "two bolts, M8"));
-                System.out.println((id == 1 ? "a keyed request:   " : "its repeat:        ") + request.trim());
+                String request =
+                        Gateways.message(id, "order", Gateways.params(rid, TOKEN, "two bolts, M8"));
+                System.out.println(
+                        (id == 1 ? "a keyed request:   " : "its repeat:        ") + request.trim());
                 String answer = gateway.send(request).line();
                 System.out.println("the answer:        " + answer);
                 System.out.println("the run's result:  " + result(answer));
             }
         }
         System.out.println("runs of the processor here: " + runs.get());
-        // Its time is the moment of sending: a request that is older than its client waits is turned away unrun.
-        String byHand = Gateways.message(1, "order", Gateways.params("$R", 0, "$R$R", "by hand")).trim()
-            .replace("\"", "\\\"").replace("\"t0\\\":0", "\"t0\\\":$(date +%s%3N)");
+        // Its time is the moment of sending: a request that is older than its client waits is
+        // turned away unrun.
+        String byHand =
+                Gateways.message(1, "order", Gateways.params("$R", 0, "$R$R", "by hand"))
+                        .trim()
+                        .replace("\"", "\\\"")
+                        .replace("\"t0\\\":0", "\"t0\\\":$(date +%s%3N)");
         System.out.println("by hand, twice the same for a replay:");
-        System.out.println("  R=00000000000000aa; echo \"" + byHand + "\" | nc -q1 127.0.0.1 " + listen);
+        System.out.println(
+                "  R=00000000000000aa; echo \"" + byHand + "\" | nc -q1 127.0.0.1 " + listen);
         System.out.println(once ? "ends" : "Ctrl-C ends it");
     }
 
     private static String result(String answer) {
         String mark = "\"data\":\"";
         int at = answer == null ? -1 : answer.indexOf(mark);
-        if (at < 0) return "none";
+        if (at < 0) {
+            return "none";
+        }
         int from = at + mark.length();
-        return new String(java.util.Base64.getDecoder().decode(answer.substring(from, answer.indexOf('"', from))));
+        return new String(
+                java.util.Base64.getDecoder()
+                        .decode(answer.substring(from, answer.indexOf('"', from))));
     }
 }
--- a/src/main/java/ochretiller/contracts/Contract.java
+++ b/src/main/java/ochretiller/contracts/Contract.java
@@ -9,26 +9,36 @@
  * What one team and the broker have agreed on.
  *
  * @param version grows with each change; an invocation belongs to the one that it was read under
- * @param known   addresses or prefixes that its callers come from, in the form of {@code 10.1.0.0/16}
+ * @param known addresses or prefixes that its callers come from, in the form of {@code 10.1.0.0/16}
  */
-public record Contract(TeamId team, int version, List<String> known, List<Service> publishes, List<Call> calls, Promise promise) {
+public record Contract(
+        TeamId team,
+        int version,
+        List<String> known,
+        List<Service> publishes,
+        List<Call> calls,
+        Promise promise) {
     /**
      * A service that the team serves.
      *
      * @param objective time within which it promises nearly all answers
      */
-    public record Service(String name, String pool, Duration objective) {
-    }
+    public record Service(String name, String pool, Duration objective) {}
 
     /**
      * A service that the team calls.
      *
-     * @param work      core seconds a second that it expects to cause there
-     * @param inFlight  most of its requests there at once
+     * @param work core seconds a second that it expects to cause there
+     * @param inFlight most of its requests there at once
      * @param objective time within which an answer earns its value
-     * @param timeout   when its caller no longer waits
-     * @param value     billed value of one
+     * @param timeout when its caller no longer waits
+     * @param value billed value of one
      */
-    public record Call(String service, double work, int inFlight, Duration objective, Duration timeout, double value) {
-    }
+    public record Call(
+            String service,
+            double work,
+            int inFlight,
+            Duration objective,
+            Duration timeout,
+            double value) {}
 }
--- a/src/main/java/ochretiller/contracts/Prefix.java
+++ b/src/main/java/ochretiller/contracts/Prefix.java
@@ -3,24 +3,33 @@
 /**
  * Addresses of IPv4 that begin alike.
  *
- * @param bits   the address, its host part zero
+ * @param bits the address, its host part zero
  * @param length bits that count, 0 to 32
  */
 record Prefix(int bits, int length) {
-    /** From {@code 10.1.0.0/16} or a plain address; null for anything else, also where the host part is not zero. */
+    /**
+     * From {@code 10.1.0.0/16} or a plain address; null for anything else, also where the host part
+     * is not zero.
+     */
     static Prefix of(String text) {
         int slash = text.indexOf('/');
         String[] parts = (slash < 0 ? text : text.substring(0, slash)).split("\\.", -1);
-        if (parts.length != 4) return null;
+        if (parts.length != 4) {
+            return null;
+        }
         int bits = 0;
         for (String part : parts) {
-            if (!part.matches("0|[1-9][0-9]{0,2}") || Integer.parseInt(part) > 255) return null;
+            if (!part.matches("0|[1-9][0-9]{0,2}") || Integer.parseInt(part) > 255) {
+                return null;
+            }
             bits = bits << 8 | Integer.parseInt(part);
         }
         int length = 32;
         if (slash >= 0) {
             String told = text.substring(slash + 1);
-            if (!told.matches("0|[1-9][0-9]?") || Integer.parseInt(told) > 32) return null;
+            if (!told.matches("0|[1-9][0-9]?") || Integer.parseInt(told) > 32) {
+                return null;
+            }
             length = Integer.parseInt(told);
         }
         return (bits & ~mask(length)) == 0 ? new Prefix(bits, length) : null;
@@ -38,6 +47,13 @@
 
     @Override
     public String toString() {
-        return (bits >>> 24) + "." + (bits >>> 16 & 255) + "." + (bits >>> 8 & 255) + "." + (bits & 255) + (length == 32 ? "" : "/" + length);
+        return (bits >>> 24)
+                + "."
+                + (bits >>> 16 & 255)
+                + "."
+                + (bits >>> 8 & 255)
+                + "."
+                + (bits & 255)
+                + (length == 32 ? "" : "/" + length);
     }
 }
--- a/src/main/java/ochretiller/fleet/copies/Allowance.java
+++ b/src/main/java/ochretiller/fleet/copies/Allowance.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 
-/** So many a second, saved up for a moment at most: what is spent beyond it is paid back before the next. */
+/**
+ * So many a second, saved up for a moment at most: what is spent beyond it is paid back before the
+ * next.
+ */
 final class Allowance {
     private final double perSecond;
     private final double most;
@@ -11,7 +14,7 @@
 
     /**
      * @param perSecond what comes in each second
-     * @param most      what is saved up at most; it begins with that
+     * @param most what is saved up at most; it begins with that
      */
     Allowance(double perSecond, double most, Duration now) {
         this.perSecond = perSecond;
@@ -39,7 +42,9 @@
     /** Takes this much if it is there. */
     boolean take(double amount, Duration now) {
         fill(now);
-        if (left < amount) return false;
+        if (left < amount) {
+            return false;
+        }
         left -= amount;
         return true;
     }
--- a/src/main/java/ochretiller/fleet/copies/ClaimLimit.java
+++ b/src/main/java/ochretiller/fleet/copies/ClaimLimit.java
@@ -3,13 +3,15 @@
 import java.time.Duration;
 
 /**
- * How many claims may be under way, and whose silence is known. The limit climbs while claims are granted in time and what is
- * asked for fills it, and halves where one gets no majority, as the run limit does with cores.
+ * How many claims may be under way, and whose silence is known. The limit climbs while claims are
+ * granted in time and what is asked for fills it, and halves where one gets no majority, as the run
+ * limit does with cores.
  */
 final class ClaimLimit {
     private static final int FIRST = 32;
     private static final int LEAST = 2;
     private static final int MOST = 4096;
+
     /** How often keepers that are silent are asked whether they are back. */
     private static final Duration PROBE = Duration.ofMillis(200);
 
@@ -29,8 +31,11 @@
     void over(boolean timely) {
         boolean full = underWay >= (int) limit - 1;
         underWay--;
-        if (!timely) limit = Math.max(LEAST, limit / 2);
-        else if (full) limit = Math.min(MOST, limit + 1 / limit * 4);
+        if (!timely) {
+            limit = Math.max(LEAST, limit / 2);
+        } else if (full) {
+            limit = Math.min(MOST, limit + 1 / limit * 4);
+        }
     }
 
     double limit() {
@@ -51,7 +56,9 @@
 
     /** Whether to ask silent keepers now: one question each while, to hear when they are back. */
     boolean probe(Duration now) {
-        if (now.minus(probed).compareTo(PROBE) < 0) return false;
+        if (now.minus(probed).compareTo(PROBE) < 0) {
+            return false;
+        }
         probed = now;
         return true;
     }
--- a/src/main/java/ochretiller/fleet/copies/Claims.java
+++ b/src/main/java/ochretiller/fleet/copies/Claims.java
@@ -18,28 +18,50 @@
 import ochretiller.fleet.epochs.Layout;
 
 /**
- * The way of a server's keyed invocations through the keepers: claimed at a majority before the run, kept at a majority before
- * the answer. What silence leaves open stays open: a claim that may have been granted is released by its owner's word, and never
- * run afterwards.
+ * The way of a server's keyed invocations through the keepers: claimed at a majority before the
+ * run, kept at a majority before the answer. What silence leaves open stays open: a claim that may
+ * have been granted is released by its owner's word, and never run afterwards.
  */
 public final class Claims {
-    /** A question is said again after this, and a claim without a majority by then is given up: some dozen round trips. */
+    /**
+     * A question is said again after this, and a claim without a majority by then is given up: some
+     * dozen round trips.
+     */
     private static final Duration AGAIN = Duration.ofMillis(60);
+
     private static final Duration GIVES_UP = Duration.ofMillis(400);
-    /** Between two looks at what another has claimed: doubled from the first to the last, moved by chance. */
+
+    /**
+     * Between two looks at what another has claimed: doubled from the first to the last, moved by
+     * chance.
+     */
     private static final Duration LOOK_FIRST = Duration.ofMillis(40);
+
     private static final Duration LOOK_MOST = Duration.ofMillis(640);
+
     /** Tries that wait for a verdict, those that look after another's claim among them. */
     private static final int MOST = 10_000;
+
     /** Own claims that are remembered as released, to say so when asked. */
     private static final int REMEMBERED = 20_000;
-    /** Questions said again, and keepers asked beyond a majority, for each claim; and how many are saved up. */
+
+    /**
+     * Questions said again, and keepers asked beyond a majority, for each claim; and how many are
+     * saved up.
+     */
     private static final double AGAIN_SHARE = 1.0;
+
     private static final double AGAIN_BURST = 256;
-    /** Times that an end is said again behind its majority: the keepers bring it to the rest themselves. */
+
+    /**
+     * Times that an end is said again behind its majority: the keepers bring it to the rest
+     * themselves.
+     */
     private static final int LATER = 3;
+
     /** Keepers whose numbers are remembered. */
     private static final int MOST_HEARD = 4_096;
+
     /** Characters of long results that this server holds for keepers that fetch them. */
     private static final long MOST_RESULTS = 8L << 20;
 
@@ -50,8 +72,10 @@
     private final Pace pace = new Pace();
     private final Allowance again = new Allowance(0, AGAIN_BURST, Duration.ZERO);
     private final Pieces pieces = new Pieces();
+
     /** What each keeper has told of its changes: one that comes back with less has an old disk. */
     private final Map<String, Long> heard = new HashMap<>();
+
     private final Map<ClaimId, Attempt> attempts = new LinkedHashMap<>();
     private final Map<ClaimId, Ending> endings = new LinkedHashMap<>();
     private final Map<ClaimId, Running> running = new LinkedHashMap<>();
@@ -64,8 +88,7 @@
     private long saidAgain;
 
     /** A claim that was granted, and the changes of its keepers that it rests on. */
-    private record Running(String token, Map<String, Long> heard) {
-    }
+    private record Running(String token, Map<String, Long> heard) {}
 
     /** One keyed try on its way to a verdict. */
     private static final class Attempt {
@@ -82,16 +105,27 @@
         Duration nextLook;
         Duration pause = LOOK_FIRST;
         final Map<String, CopyMessage.Answer> answers = new TreeMap<>();
+
         /** Those who are asked, the first of which were asked at first. */
         List<String> order = List.of();
+
         int asked;
+
         /** Claims whose owners were asked whether they run, since this was said last. */
         final Set<ClaimId> whether = new HashSet<>();
+
         /** The claim whose long result is on its way. */
         ClaimId fetches;
+
         boolean rivalSeen;
 
-        Attempt(String token, String body, boolean leaves, Duration due, Duration windowEnds, Consumer<Verdict> then) {
+        Attempt(
+                String token,
+                String body,
+                boolean leaves,
+                Duration due,
+                Duration windowEnds,
+                Consumer<Verdict> then) {
             this.token = token;
             this.body = body;
             this.leaves = leaves;
@@ -108,14 +142,22 @@
         final Duration due;
         final Duration windowEnds;
         final Map<String, Long> heard;
+
         /** The result, where it is long and keepers fetch it; else null. */
         final String result;
+
         Consumer<Boolean> then;
         Duration said;
         int later;
         final Set<String> kept = new HashSet<>();
 
-        Ending(Running run, Outcome outcome, String result, Duration due, Duration windowEnds, Consumer<Boolean> then) {
+        Ending(
+                Running run,
+                Outcome outcome,
+                String result,
+                Duration due,
+                Duration windowEnds,
+                Consumer<Boolean> then) {
             this.token = run.token;
             this.heard = run.heard;
             this.outcome = outcome;
@@ -171,7 +213,11 @@
     /** What was heard of others' changes, for a start to come. */
     public Map<String, Long> heard() {
         Map<String, Long> all = new TreeMap<>();
-        for (Layout.Server each : layout.servers()) if (heard.containsKey(each.name())) all.put(each.name(), heard.get(each.name()));
+        for (Layout.Server each : layout.servers()) {
+            if (heard.containsKey(each.name())) {
+                all.put(each.name(), heard.get(each.name()));
+            }
+        }
         return all;
     }
 
@@ -181,21 +227,26 @@
     }
 
     private void heard(String keeper, long number) {
-        if (heard.size() < MOST_HEARD || heard.containsKey(keeper)) heard.merge(keeper, number, Math::max);
+        if (heard.size() < MOST_HEARD || heard.containsKey(keeper)) {
+            heard.merge(keeper, number, Math::max);
+        }
     }
 
     /** A later epoch: what is under way is asked anew of whoever keeps it now. */
     public void become(Layout next, Duration now) {
-        if (next.epoch() <= layout.epoch()) return;
+        if (next.epoch() <= layout.epoch()) {
+            return;
+        }
         layout = next;
         for (Attempt each : List.copyOf(attempts.values())) {
             each.answers.clear();
             first(each, now);
         }
-        endings.forEach((id, each) -> {
-            each.kept.clear();
-            tell(id, each, now);
-        });
+        endings.forEach(
+                (id, each) -> {
+                    each.kept.clear();
+                    tell(id, each, now);
+                });
     }
 
     private List<String> keepers(String token) {
@@ -209,20 +260,33 @@
     /**
      * Asks the keepers whether this may run here.
      *
-     * @param leaves     whether this server will soon claim its like no more, and no other has to mind that it does
-     * @param due        when the run has to begin at the latest, or be given up
+     * @param leaves whether this server will soon claim its like no more, and no other has to mind
+     *     that it does
+     * @param due when the run has to begin at the latest, or be given up
      * @param windowEnds end of the token's window
-     * @param then       handed the one verdict, perhaps at once
+     * @param then handed the one verdict, perhaps at once
      */
-    public void claim(String token, String body, boolean leaves, Duration due, Duration windowEnds, Duration now, Consumer<Verdict> then) {
+    public void claim(
+            String token,
+            String body,
+            boolean leaves,
+            Duration due,
+            Duration windowEnds,
+            Duration now,
+            Consumer<Verdict> then) {
         List<String> keepers = keepers(token);
         long silent = keepers.stream().filter(limit::silent).count();
-        boolean hopeless = keepers.isEmpty() || keepers.size() - silent < Layout.majority(keepers.size());
+        boolean hopeless =
+                keepers.isEmpty() || keepers.size() - silent < Layout.majority(keepers.size());
         // What cannot be claimed is throttled at once, before it waits for anybody.
         if (hopeless && limit.probe(now)) {
             // Whether they are back is asked for by itself: no caller waits for that.
             ClaimId probe = new ClaimId(name, start, ++runs);
-            for (String keeper : keepers) if (limit.silent(keeper)) send(keeper, new CopyMessage.Look(layout.epoch(), token, probe));
+            for (String keeper : keepers) {
+                if (limit.silent(keeper)) {
+                    send(keeper, new CopyMessage.Look(layout.epoch(), token, probe));
+                }
+            }
         }
         if (!limit.room() || attempts.size() >= MOST || hopeless) {
             then.accept(new Verdict(Verdict.What.THROTTLED, null, null));
@@ -237,7 +301,9 @@
     }
 
     private void renew(Attempt attempt) {
-        if (attempt.id != null) attempts.remove(attempt.id);
+        if (attempt.id != null) {
+            attempts.remove(attempt.id);
+        }
         attempt.id = new ClaimId(name, start, ++runs);
         attempt.answers.clear();
         attempt.whether.clear();
@@ -249,19 +315,31 @@
         attempt.said = now;
         attempt.order = pace.order(keepers(attempt.token), limit);
         attempt.asked = Math.min(attempt.order.size(), Layout.majority(attempt.order.size()));
-        for (String keeper : attempt.order.subList(0, attempt.asked)) ask(attempt, keeper, now);
+        for (String keeper : attempt.order.subList(0, attempt.asked)) {
+            ask(attempt, keeper, now);
+        }
     }
 
     /** One more: an answer is late, or was no grant. */
     private void more(Attempt attempt, Duration now) {
-        if (attempt.asked < attempt.order.size()) ask(attempt, attempt.order.get(attempt.asked++), now);
+        if (attempt.asked < attempt.order.size()) {
+            ask(attempt, attempt.order.get(attempt.asked++), now);
+        }
     }
 
     private void ask(Attempt attempt, String keeper, Duration now) {
         limit.asked(keeper);
-        send(keeper, attempt.claims
-            ? new CopyMessage.Claim(layout.epoch(), attempt.token, attempt.id, attempt.body, until(attempt.windowEnds, now), attempt.leaves)
-            : new CopyMessage.Look(layout.epoch(), attempt.token, attempt.id));
+        send(
+                keeper,
+                attempt.claims
+                        ? new CopyMessage.Claim(
+                                layout.epoch(),
+                                attempt.token,
+                                attempt.id,
+                                attempt.body,
+                                until(attempt.windowEnds, now),
+                                attempt.leaves)
+                        : new CopyMessage.Look(layout.epoch(), attempt.token, attempt.id));
     }
 
     /** What was not answered is asked again, all of it, as far as the budget goes. */
@@ -269,26 +347,39 @@
         attempt.said = now;
         attempt.asked = attempt.order.size();
         for (String keeper : attempt.order) {
-            if (attempt.answers.containsKey(keeper)) continue;
-            if (!again.take(1, now)) return;
+            if (attempt.answers.containsKey(keeper)) {
+                continue;
+            }
+            if (!again.take(1, now)) {
+                return;
+            }
             saidAgain++;
             ask(attempt, keeper, now);
         }
     }
 
     private void release(Attempt attempt, Duration now) {
-        if (attempt.claims) neverRan(attempt.token, attempt.id, attempt.windowEnds, now);
+        if (attempt.claims) {
+            neverRan(attempt.token, attempt.id, attempt.windowEnds, now);
+        }
     }
 
-    /** A claim, of this start of the server or a former one, is known never to have run: its keepers are told, and whoever asks. */
+    /**
+     * A claim, of this start of the server or a former one, is known never to have run: its keepers
+     * are told, and whoever asks.
+     */
     public void neverRan(String token, ClaimId id, Duration windowEnds, Duration now) {
         releasedIds.put(id, windowEnds);
-        for (String keeper : keepers(token)) send(keeper, new CopyMessage.Release(token, id, until(windowEnds, now)));
+        for (String keeper : keepers(token)) {
+            send(keeper, new CopyMessage.Release(token, id, until(windowEnds, now)));
+        }
     }
 
     private void end(Attempt attempt, Verdict.What what, Outcome outcome, boolean timely) {
         attempts.remove(attempt.id);
-        if (attempt.claims) limit.over(timely);
+        if (attempt.claims) {
+            limit.over(timely);
+        }
         attempt.then.accept(new Verdict(what, attempt.id, outcome));
     }
 
@@ -297,18 +388,34 @@
             limit.heard(from);
             heard(from, answer.number());
             Attempt attempt = attempts.get(answer.id());
-            if (attempt == null || !keepers(attempt.token).contains(from)) return;
-            if (attempt.claims && answer.word() == CopyMessage.Word.FREE) return; // to a look of before
-            if (attempt.answers.put(from, answer) == null) pace.answered(from, now.minus(attempt.said));
+            if (attempt == null || !keepers(attempt.token).contains(from)) {
+                return;
+            }
+            if (attempt.claims && answer.word() == CopyMessage.Word.FREE) {
+                return; // to a look of before
+            }
+            if (attempt.answers.put(from, answer) == null) {
+                pace.answered(from, now.minus(attempt.said));
+            }
             weigh(attempt, now);
         } else if (message instanceof CopyMessage.Kept kept) {
             limit.heard(from);
             heard(from, kept.number());
             Ending ending = endings.get(kept.id());
-            if (ending == null || kept.epoch() != layout.epoch() || !keepers(ending.token).contains(from)) return;
-            if (ending.kept.add(from) && ending.result == null) pace.answered(from, now.minus(ending.said));
-            if (ending.kept.size() >= Layout.majority(keepers(ending.token).size())) answer(ending, true);
-            if (ending.kept.size() == keepers(ending.token).size()) drop(kept.id());
+            if (ending == null
+                    || kept.epoch() != layout.epoch()
+                    || !keepers(ending.token).contains(from)) {
+                return;
+            }
+            if (ending.kept.add(from) && ending.result == null) {
+                pace.answered(from, now.minus(ending.said));
+            }
+            if (ending.kept.size() >= Layout.majority(keepers(ending.token).size())) {
+                answer(ending, true);
+            }
+            if (ending.kept.size() == keepers(ending.token).size()) {
+                drop(kept.id());
+            }
         } else if (message instanceof CopyMessage.Ended ended) {
             ended.heard().forEach(this::heard);
         } else if (message instanceof CopyMessage.Recollect asked) {
@@ -318,7 +425,9 @@
             outs.addAll(pieces.tick(now));
         } else if (message instanceof CopyMessage.Whether whether) {
             Duration ends = releasedIds.get(whether.id());
-            if (ends == null) return;
+            if (ends == null) {
+                return;
+            }
             send(from, new CopyMessage.Release(whether.token(), whether.id(), until(ends, now)));
             neverRan(whether.token(), whether.id(), ends, now);
         }
@@ -344,26 +453,37 @@
                 }
                 case GRANTED -> {
                     // A grant of another epoch is another majority's.
-                    if (answer.epoch() == layout.epoch()) granted++;
+                    if (answer.epoch() == layout.epoch()) {
+                        granted++;
+                    }
                 }
                 case FREE -> {
-                    if (answer.epoch() == layout.epoch()) free++;
+                    if (answer.epoch() == layout.epoch()) {
+                        free++;
+                    }
                 }
                 case HELD -> {
                     against++;
                     attempt.rivalSeen = true;
                     if (answer.other().isPresent() && attempt.whether.add(answer.other().get())) {
-                        send(answer.other().get().server(), new CopyMessage.Whether(attempt.token, answer.other().get()));
+                        send(
+                                answer.other().get().server(),
+                                new CopyMessage.Whether(attempt.token, answer.other().get()));
                     }
                 }
                 default -> against++;
             }
         }
-        if (fetches(attempt, now)) return;
+        if (fetches(attempt, now)) {
+            return;
+        }
         int open = attempt.asked - attempt.answers.size();
-        if (against > 0 && granted + free + open < majority || against > 0 && open == 0) more(attempt, now);
+        if (against > 0 && granted + free + open < majority || against > 0 && open == 0) {
+            more(attempt, now);
+        }
         if (attempt.claims && granted >= majority) {
-            if (now.compareTo(attempt.due) >= 0) { // looked at last: a server that slept acts on nothing old
+            if (now.compareTo(attempt.due)
+                    >= 0) { // looked at last: a server that slept acts on nothing old
                 release(attempt, now);
                 end(attempt, Verdict.What.THROTTLED, null, false);
                 return;
@@ -385,13 +505,26 @@
         }
     }
 
-    /** Whether it has ended with a long result that a keeper has: that is fetched, and nothing else is asked meanwhile. */
+    /**
+     * Whether it has ended with a long result that a keeper has: that is fetched, and nothing else
+     * is asked meanwhile.
+     */
     private boolean fetches(Attempt attempt, Duration now) {
         for (Map.Entry<String, CopyMessage.Answer> each : attempt.answers.entrySet()) {
             CopyMessage.Answer answer = each.getValue();
-            if (answer.word() != CopyMessage.Word.DONE || !answer.outcome().orElseThrow().here() || answer.other().isEmpty()) continue;
+            if (answer.word() != CopyMessage.Word.DONE
+                    || !answer.outcome().orElseThrow().here()
+                    || answer.other().isEmpty()) {
+                continue;
+            }
             attempt.fetches = answer.other().get();
-            pieces.want(attempt.token, attempt.fetches, answer.outcome().get(), each.getKey(), layout.epoch(), now);
+            pieces.want(
+                    attempt.token,
+                    attempt.fetches,
+                    answer.outcome().get(),
+                    each.getKey(),
+                    layout.epoch(),
+                    now);
             outs.addAll(pieces.tick(now));
             return true;
         }
@@ -400,7 +533,9 @@
 
     private void fetched(Pieces.Whole whole, Duration now) {
         for (Attempt attempt : List.copyOf(attempts.values())) {
-            if (!attempt.token.equals(whole.token()) || !whole.id().equals(attempt.fetches)) continue;
+            if (!attempt.token.equals(whole.token()) || !whole.id().equals(attempt.fetches)) {
+                continue;
+            }
             done(attempt, new Outcome(true, attempt.body, whole.result()), now);
         }
     }
@@ -422,46 +557,77 @@
 
     private void done(Attempt attempt, Outcome outcome, Duration now) {
         release(attempt, now);
-        if (!outcome.body().equals(attempt.body)) end(attempt, Verdict.What.OTHER_BODY, outcome, true);
-        else end(attempt, outcome.succeeded() ? Verdict.What.REPLAY : Verdict.What.ENDED, outcome, true);
+        if (!outcome.body().equals(attempt.body)) {
+            end(attempt, Verdict.What.OTHER_BODY, outcome, true);
+        } else {
+            end(
+                    attempt,
+                    outcome.succeeded() ? Verdict.What.REPLAY : Verdict.What.ENDED,
+                    outcome,
+                    true);
+        }
     }
 
     /** A claimed run has never begun after all: somebody else may have it. */
     public void neverRan(ClaimId id, Duration windowEnds, Duration now) {
         Running run = running.remove(id);
-        if (run != null) neverRan(run.token, id, windowEnds, now);
+        if (run != null) {
+            neverRan(run.token, id, windowEnds, now);
+        }
     }
 
     /**
      * A claimed run has ended.
      *
      * @param result what is fetched by the keepers where the outcome is long, or null
-     * @param due    when its answer has to leave
-     * @param then   handed, once, whether a majority keeps the end by then
+     * @param due when its answer has to leave
+     * @param then handed, once, whether a majority keeps the end by then
      */
-    public void ended(ClaimId id, Outcome outcome, String result, Duration due, Duration windowEnds, Duration now, Consumer<Boolean> then) {
+    public void ended(
+            ClaimId id,
+            Outcome outcome,
+            String result,
+            Duration due,
+            Duration windowEnds,
+            Duration now,
+            Consumer<Boolean> then) {
         Running run = running.remove(id);
         if (run == null || endings.size() >= MOST) {
             then.accept(false);
             return;
         }
         String held = outcome.big() && results + outcome.size() <= MOST_RESULTS ? result : null;
-        if (held != null) results += held.length();
+        if (held != null) {
+            results += held.length();
+        }
         Ending ending = new Ending(run, outcome, held, due, windowEnds, then);
         endings.put(id, ending);
         tell(id, ending, now);
     }
 
-    /** A claim of a former start of this server is known to have ended so: the keepers hear of it as of any end. */
-    public void formerEnded(String token, ClaimId id, Outcome outcome, String result, Duration windowEnds, Duration now) {
-        if (endings.containsKey(id)) return;
+    /**
+     * A claim of a former start of this server is known to have ended so: the keepers hear of it as
+     * of any end.
+     */
+    public void formerEnded(
+            String token,
+            ClaimId id,
+            Outcome outcome,
+            String result,
+            Duration windowEnds,
+            Duration now) {
+        if (endings.containsKey(id)) {
+            return;
+        }
         running.put(id, new Running(token, Map.of()));
-        ended(id, outcome, result, now, windowEnds, now, kept -> { });
+        ended(id, outcome, result, now, windowEnds, now, kept -> {});
     }
 
     private void drop(ClaimId id) {
         Ending ending = endings.remove(id);
-        if (ending != null && ending.result != null) results -= ending.result.length();
+        if (ending != null && ending.result != null) {
+            results -= ending.result.length();
+        }
     }
 
     /** The long result of a run of this server that keepers still fetch, or null. */
@@ -473,27 +639,46 @@
     private void tell(ClaimId id, Ending ending, Duration now) {
         ending.said = now;
         for (String keeper : keepers(ending.token)) {
-            if (ending.kept.contains(keeper)) continue;
+            if (ending.kept.contains(keeper)) {
+                continue;
+            }
             limit.asked(keeper);
-            send(keeper, new CopyMessage.Ended(layout.epoch(), ending.token, id, ending.outcome, until(ending.windowEnds, now), ending.heard));
+            send(
+                    keeper,
+                    new CopyMessage.Ended(
+                            layout.epoch(),
+                            ending.token,
+                            id,
+                            ending.outcome,
+                            until(ending.windowEnds, now),
+                            ending.heard));
         }
     }
 
     private static void answer(Ending ending, boolean kept) {
         Consumer<Boolean> then = ending.then;
         ending.then = null;
-        if (then != null) then.accept(kept);
+        if (then != null) {
+            then.accept(kept);
+        }
     }
 
     /** Time goes on: questions are said again, given up, looked after. */
     public void tick(Duration now) {
         for (Attempt attempt : List.copyOf(attempts.values())) {
-            if (!attempts.containsKey(attempt.id)) continue;
+            if (!attempts.containsKey(attempt.id)) {
+                continue;
+            }
             if (now.compareTo(attempt.due) >= 0) {
                 release(attempt, now);
-                end(attempt, attempt.rivalSeen ? Verdict.What.UNKNOWN : Verdict.What.THROTTLED, null, false);
+                end(
+                        attempt,
+                        attempt.rivalSeen ? Verdict.What.UNKNOWN : Verdict.What.THROTTLED,
+                        null,
+                        false);
             } else if (attempt.claims && now.minus(attempt.began).compareTo(GIVES_UP) >= 0) {
-                // Two that have half of the keepers each would wait for one another: both make way, and come back by chance.
+                // Two that have half of the keepers each would wait for one another: both make way,
+                // and come back by chance.
                 if (attempt.rivalSeen) {
                     makeWay(attempt, now);
                 } else {
@@ -502,13 +687,20 @@
                 }
             } else if (attempt.claims && now.minus(attempt.said).compareTo(AGAIN) >= 0) {
                 // Who was behind or in another epoch may have come up to it meanwhile.
-                attempt.answers.values().removeIf(answer -> answer.word() == CopyMessage.Word.BEHIND || answer.word() == CopyMessage.Word.STALE);
+                attempt.answers
+                        .values()
+                        .removeIf(
+                                answer ->
+                                        answer.word() == CopyMessage.Word.BEHIND
+                                                || answer.word() == CopyMessage.Word.STALE);
                 again(attempt, now);
             } else if (!attempt.claims && now.compareTo(attempt.nextLook) >= 0) {
                 renew(attempt);
                 later(attempt, now);
                 first(attempt, now);
-            } else if (attempt.asked < attempt.order.size() && late(attempt, now) && again.take(1, now)) {
+            } else if (attempt.asked < attempt.order.size()
+                    && late(attempt, now)
+                    && again.take(1, now)) {
                 hedged++;
                 more(attempt, now);
             }
@@ -516,29 +708,59 @@
         outs.addAll(pieces.tick(now));
         for (Map.Entry<ClaimId, Ending> each : List.copyOf(endings.entrySet())) {
             Ending ending = each.getValue();
-            if (now.compareTo(ending.due) >= 0) answer(ending, false);
+            if (now.compareTo(ending.due) >= 0) {
+                answer(ending, false);
+            }
             boolean kept = ending.kept.size() >= Layout.majority(keepers(ending.token).size());
             if (now.compareTo(ending.windowEnds) >= 0 || kept && ending.later >= LATER) {
                 drop(each.getKey());
                 continue;
             }
             Duration pause = ending.then == null ? LOOK_MOST : AGAIN;
-            if (now.minus(ending.said).compareTo(pause) < 0) continue;
-            if (kept) ending.later++;
+            if (now.minus(ending.said).compareTo(pause) < 0) {
+                continue;
+            }
+            if (kept) {
+                ending.later++;
+            }
             tell(each.getKey(), ending, now);
         }
     }
 
     private boolean late(Attempt attempt, Duration now) {
-        return now.minus(attempt.said).compareTo(pace.patience(attempt.order.subList(0, attempt.asked))) >= 0;
+        return now.minus(attempt.said)
+                        .compareTo(pace.patience(attempt.order.subList(0, attempt.asked)))
+                >= 0;
     }
 
     /** All that decides what it does next, as text; times are told from now on. */
     public String state(Duration now) {
-        StringBuilder text = new StringBuilder().append(layout.epoch()).append(running).append(releasedIds.keySet());
-        attempts.forEach((id, each) -> text.append('a').append(id).append(each.claims).append(each.answers).append(each.rivalSeen).append(each.order).append(each.asked).append(each.fetches)
-            .append(now.minus(each.said)).append(now.minus(each.began)).append(each.nextLook == null ? "" : each.nextLook.minus(now)));
-        endings.forEach((id, each) -> text.append('e').append(id).append(each.kept).append(each.later).append(now.minus(each.said)).append(each.then == null));
+        StringBuilder text =
+                new StringBuilder()
+                        .append(layout.epoch())
+                        .append(running)
+                        .append(releasedIds.keySet());
+        attempts.forEach(
+                (id, each) ->
+                        text.append('a')
+                                .append(id)
+                                .append(each.claims)
+                                .append(each.answers)
+                                .append(each.rivalSeen)
+                                .append(each.order)
+                                .append(each.asked)
+                                .append(each.fetches)
+                                .append(now.minus(each.said))
+                                .append(now.minus(each.began))
+                                .append(each.nextLook == null ? "" : each.nextLook.minus(now)));
+        endings.forEach(
+                (id, each) ->
+                        text.append('e')
+                                .append(id)
+                                .append(each.kept)
+                                .append(each.later)
+                                .append(now.minus(each.said))
+                                .append(each.then == null));
         return text.toString();
     }
 }
--- a/src/main/java/ochretiller/fleet/copies/Commit.java
+++ b/src/main/java/ochretiller/fleet/copies/Commit.java
@@ -12,15 +12,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which of a keeper's words may leave: those whose changes, and all before them, are on the disk. Behind a write that failed nothing
- * is said, as if it were lost on the way, until all that is not on the disk has been written anew.
+ * Which of a keeper's words may leave: those whose changes, and all before them, are on the disk.
+ * Behind a write that failed nothing is said, as if it were lost on the way, until all that is not
+ * on the disk has been written anew.
  */
 public final class Commit {
     /** Words that wait for the disk; what comes on top is as good as lost. */
     private static final int MOST_WAITING = 20_000;
-    /** Pauses between two tries of a disk that has failed: doubled from the first to the last, moved by chance. */
+
+    /**
+     * Pauses between two tries of a disk that has failed: doubled from the first to the last, moved
+     * by chance.
+     */
     private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
+
     private static final Duration LAST_PAUSE = Duration.ofSeconds(2);
+
     /** Writes of one try. */
     private static final int TRIES_AT_ONCE = 1_000;
 
@@ -38,12 +45,12 @@
     private Duration tryAt = Duration.ZERO;
     private long unsaid;
 
-    /** One thing to write: what the keeper has of this token now, or its place where that is null. */
-    public record Write(long generation, long number, String token) {
-    }
+    /**
+     * One thing to write: what the keeper has of this token now, or its place where that is null.
+     */
+    public record Write(long generation, long number, String token) {}
 
-    private record Waiting(long behind, List<Keeper.Out> outs) {
-    }
+    private record Waiting(long behind, List<Keeper.Out> outs) {}
 
     public Commit(RandomGenerator chance) {
         this.chance = chance;
@@ -67,21 +74,28 @@
      * Something has changed, and this is to be said of it.
      *
      * @param place whether the place has changed, too
-     * @param now   handed what may be said at once
+     * @param now handed what may be said at once
      * @return what to write, in this order
      */
-    public List<Write> changed(List<String> tokens, boolean place, List<Keeper.Out> outs, List<Keeper.Out> now) {
+    public List<Write> changed(
+            List<String> tokens, boolean place, List<Keeper.Out> outs, List<Keeper.Out> now) {
         if (sick || words + outs.size() > MOST_WAITING) {
             unsaved.addAll(tokens);
             placeUnsaved |= place;
             unsaid += outs.size();
-            if (!sick && !(tokens.isEmpty() && !place)) fail();
+            if (!sick && !(tokens.isEmpty() && !place)) {
+                fail();
+            }
             return List.of();
         }
         List<Write> all = new ArrayList<>();
-        for (String token : tokens) all.add(write(token));
+        for (String token : tokens) {
+            all.add(write(token));
+        }
         // Behind its entries: a place that says a range to be whole must not be there without them.
-        if (place) all.add(write(null));
+        if (place) {
+            all.add(write(null));
+        }
         if (writes.isEmpty()) {
             now.addAll(outs);
         } else if (!outs.isEmpty()) {
@@ -99,17 +113,23 @@
 
     /** One write is over; what may be said by that. */
     public List<Keeper.Out> acked(Write write, boolean durable, Duration now) {
-        if (write.generation != generation) return List.of();
+        if (write.generation != generation) {
+            return List.of();
+        }
         if (!durable) {
             fail();
             tryAt = now.plus(spread(pause));
             return List.of();
         }
         // Acknowledgements come in the order of the writes.
-        while (!writes.isEmpty() && writes.peek().number <= write.number) writes.poll();
+        while (!writes.isEmpty() && writes.peek().number <= write.number) {
+            writes.poll();
+        }
         done = write.number;
         if (sick) {
-            if (!writes.isEmpty() || !unsaved.isEmpty() || placeUnsaved) return List.of();
+            if (!writes.isEmpty() || !unsaved.isEmpty() || placeUnsaved) {
+                return List.of();
+            }
             sick = false;
             pause = FIRST_PAUSE;
             return List.of();
@@ -123,11 +143,17 @@
         return outs;
     }
 
-    /** What was not acknowledged may be there or not: it is written anew, and what rests on it is not said. */
+    /**
+     * What was not acknowledged may be there or not: it is written anew, and what rests on it is
+     * not said.
+     */
     private void fail() {
         for (Write each : writes) {
-            if (each.token == null) placeUnsaved = true;
-            else unsaved.add(each.token);
+            if (each.token == null) {
+                placeUnsaved = true;
+            } else {
+                unsaved.add(each.token);
+            }
         }
         unsaid += words;
         writes.clear();
@@ -144,11 +170,15 @@
 
     /** What to write again, behind a failure. */
     public List<Write> tick(Duration now) {
-        if (!sick || !writes.isEmpty() || now.compareTo(tryAt) < 0) return List.of();
+        if (!sick || !writes.isEmpty() || now.compareTo(tryAt) < 0) {
+            return List.of();
+        }
         tryAt = now.plus(spread(pause));
         List<Write> all = new ArrayList<>();
         for (String token : List.copyOf(unsaved)) {
-            if (all.size() >= TRIES_AT_ONCE) return all;
+            if (all.size() >= TRIES_AT_ONCE) {
+                return all;
+            }
             unsaved.remove(token);
             all.add(write(token));
         }
--- a/src/main/java/ochretiller/fleet/copies/Modes.java
+++ b/src/main/java/ochretiller/fleet/copies/Modes.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * Which operations are claimed in the fleet, and how a server stops claiming: a token's mode is that of its first claim. A server that
- * only asked whether a token has been claimed would run it beside one that claims it in the same moment. So it goes on claiming until
- * all tokens that others may have claimed for good are past their windows.
+ * Which operations are claimed in the fleet, and how a server stops claiming: a token's mode is
+ * that of its first claim. A server that only asked whether a token has been claimed would run it
+ * beside one that claims it in the same moment. So it goes on claiming until all tokens that others
+ * may have claimed for good are past their windows.
  */
 public final class Modes {
     /** How a token is guarded. */
@@ -49,7 +50,7 @@
     /**
      * What the operators have set.
      *
-     * @param usual       of operations that are not named
+     * @param usual of operations that are not named
      * @param byOperation of those that are
      */
     public record Told(Mode usual, Map<String, Mode> byOperation) {
@@ -68,7 +69,9 @@
     private final Duration longest;
     private Duration until;
 
-    /** @param longest the longest window of a token: no claim is remembered longer */
+    /**
+     * @param longest the longest window of a token: no claim is remembered longer
+     */
     public Modes(Told told, Duration longest, Duration now) {
         this.told = told;
         this.longest = longest;
@@ -76,13 +79,20 @@
         this.until = now.plus(longest);
     }
 
-    /** Another server asks for a claim of this operation. Of others it says nothing: they may stay in the fleet's mode for good. */
+    /**
+     * Another server asks for a claim of this operation. Of others it says nothing: they may stay
+     * in the fleet's mode for good.
+     */
     public void claimed(String operation, boolean leaves, Duration now) {
-        if (!leaves && told.of(operation) == Mode.SERVER) until = now.plus(longest);
+        if (!leaves && told.of(operation) == Mode.SERVER) {
+            until = now.plus(longest);
+        }
     }
 
     public Before before(String operation, Duration now) {
-        if (told.of(operation) == Mode.FLEET) return Before.CLAIM;
+        if (told.of(operation) == Mode.FLEET) {
+            return Before.CLAIM;
+        }
         return now.compareTo(until) < 0 ? Before.CLAIM_STILL : Before.NOTHING;
     }
 }
--- a/src/main/java/ochretiller/fleet/copies/Outcome.java
+++ b/src/main/java/ochretiller/fleet/copies/Outcome.java
@@ -5,16 +5,20 @@
 /**
  * How a claimed run has ended.
  *
- * @param succeeded whether there is a result; a run that failed may have had its effect, and is never run again
- * @param body      hash of what was asked for
- * @param result    what repeats are answered with, a character a byte; empty where it did not succeed, or is long
- * @param size      bytes of the result
- * @param sum       XXH3 of the result
- * @param here      whether whoever has this has the result, too; of a long one the bytes are kept apart
+ * @param succeeded whether there is a result; a run that failed may have had its effect, and is
+ *     never run again
+ * @param body hash of what was asked for
+ * @param result what repeats are answered with, a character a byte; empty where it did not succeed,
+ *     or is long
+ * @param size bytes of the result
+ * @param sum XXH3 of the result
+ * @param here whether whoever has this has the result, too; of a long one the bytes are kept apart
  */
-public record Outcome(boolean succeeded, String body, String result, int size, long sum, boolean here) {
+public record Outcome(
+        boolean succeeded, String body, String result, int size, long sum, boolean here) {
     /** Bytes of a result that goes with its entry; a longer one goes by pieces. */
     public static final int INLINE = 2_048;
+
     /** Bytes of a result that is kept at all. */
     public static final int LONGEST = 512 * 1024;
 
--- a/src/main/java/ochretiller/fleet/copies/Pace.java
+++ b/src/main/java/ochretiller/fleet/copies/Pace.java
@@ -8,16 +8,22 @@
 import java.util.Map;
 
 /**
- * How soon each keeper answers, as measured: whom to ask first, and when to ask one more. Claims go to as many as a majority takes,
- * the quickest; one that is slow is asked only where the others leave it open.
+ * How soon each keeper answers, as measured: whom to ask first, and when to ask one more. Claims go
+ * to as many as a majority takes, the quickest; one that is slow is asked only where the others
+ * leave it open.
  */
 final class Pace {
     /** Weight of the last answer in what is usual; and of how far answers stray. */
     private static final double NEW = 0.1;
-    /** An answer that is late by so many times as much as answers stray is worth asking one more. */
+
+    /**
+     * An answer that is late by so many times as much as answers stray is worth asking one more.
+     */
     private static final double STRAYS = 4;
+
     /** Sooner it is the host's own beat that is measured. */
     private static final Duration SOONEST = Duration.ofMillis(5);
+
     private static final Duration LATEST = Duration.ofMillis(50);
     private static final int KEEPERS = 4_096;
 
@@ -29,7 +35,9 @@
     }
 
     void answered(String keeper, Duration took) {
-        if (keepers.size() >= KEEPERS && !keepers.containsKey(keeper)) return;
+        if (keepers.size() >= KEEPERS && !keepers.containsKey(keeper)) {
+            return;
+        }
         double nanos = Math.max(0, took.toNanos());
         Usual usual = keepers.get(keeper);
         if (usual == null) {
@@ -43,10 +51,16 @@
         usual.nanos += NEW * (nanos - usual.nanos);
     }
 
-    /** The same in the order in which they are asked: those that are heard from, the quickest first, then those that are silent. */
+    /**
+     * The same in the order in which they are asked: those that are heard from, the quickest first,
+     * then those that are silent.
+     */
     List<String> order(List<String> all, ClaimLimit limit) {
         List<String> order = new ArrayList<>(all);
-        order.sort(Comparator.comparing((String each) -> limit.silent(each)).thenComparingDouble(each -> keepers.containsKey(each) ? keepers.get(each).nanos : 0));
+        order.sort(
+                Comparator.comparing((String each) -> limit.silent(each))
+                        .thenComparingDouble(
+                                each -> keepers.containsKey(each) ? keepers.get(each).nanos : 0));
         return order;
     }
 
@@ -55,7 +69,9 @@
         double nanos = SOONEST.toNanos();
         for (String each : asked) {
             Usual usual = keepers.get(each);
-            if (usual != null) nanos = Math.max(nanos, usual.nanos + STRAYS * usual.strays);
+            if (usual != null) {
+                nanos = Math.max(nanos, usual.nanos + STRAYS * usual.strays);
+            }
         }
         return Duration.ofNanos((long) Math.min(LATEST.toNanos(), nanos));
     }
--- a/src/main/java/ochretiller/fleet/copies/Silence.java
+++ b/src/main/java/ochretiller/fleet/copies/Silence.java
@@ -11,7 +11,9 @@
     private final Map<String, Integer> unanswered = new HashMap<>();
 
     void unanswered(String keeper) {
-        if (unanswered.size() < KEEPERS) unanswered.merge(keeper, 1, Integer::sum);
+        if (unanswered.size() < KEEPERS) {
+            unanswered.merge(keeper, 1, Integer::sum);
+        }
     }
 
     void heard(String keeper) {
--- a/src/main/java/ochretiller/fleet/copies/Sketch.java
+++ b/src/main/java/ochretiller/fleet/copies/Sketch.java
@@ -8,15 +8,18 @@
 import java.util.Set;
 
 /**
- * What a set of marks is, in a size that depends on what differs and not on the set: each mark is put into three cells, one less
- * the other leaves the difference, and cells with one mark alone give it away (Eppstein and others 2011, "What's the difference?").
- * Some one and a half cells for each that differs are enough; where they are not, nothing is told.
+ * What a set of marks is, in a size that depends on what differs and not on the set: each mark is
+ * put into three cells, one less the other leaves the difference, and cells with one mark alone
+ * give it away (Eppstein and others 2011, "What's the difference?"). Some one and a half cells for
+ * each that differs are enough; where they are not, nothing is told.
  */
 public final class Sketch {
     /** Cells in all: what fits one datagram beside its envelope. */
     static final int MOST = 384;
+
     /** Cells that each mark is put into, each in a part of its own. */
     private static final int PARTS = 3;
+
     /** Bytes of a cell: how many, their exclusive or, and that of their sums. */
     static final int CELL = 14;
 
@@ -26,8 +29,7 @@
     private final int[] sums;
 
     /** What one has and the other lacks. */
-    public record Difference(Set<Long> mine, Set<Long> theirs) {
-    }
+    public record Difference(Set<Long> mine, Set<Long> theirs) {}
 
     /** An empty one of so many cells, rounded to whole parts. */
     Sketch(int cells) {
@@ -41,7 +43,10 @@
         return cells;
     }
 
-    /** Bits of a mark, mixed anew for each use: marks are hashes already, and a sum must not follow from them. */
+    /**
+     * Bits of a mark, mixed anew for each use: marks are hashes already, and a sum must not follow
+     * from them.
+     */
     private static long mixed(long mark, int use) {
         long z = mark + (use + 1) * 0x9E3779B97F4A7C15L;
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
@@ -71,9 +76,14 @@
         }
     }
 
-    /** What is in this one and not in the other, and the other way round; empty where too much differs to tell. */
+    /**
+     * What is in this one and not in the other, and the other way round; empty where too much
+     * differs to tell.
+     */
     Optional<Difference> less(Sketch other) {
-        if (other.cells != cells) return Optional.empty();
+        if (other.cells != cells) {
+            return Optional.empty();
+        }
         Sketch rest = new Sketch(cells);
         Deque<Integer> alone = new ArrayDeque<>();
         for (int i = 0; i < cells; i++) {
@@ -84,31 +94,44 @@
         }
         Set<Long> mine = new HashSet<>();
         Set<Long> theirs = new HashSet<>();
-        // Guards against a sketch of another's making that would go round for ever: no more marks than cells come out of it.
+        // Guards against a sketch of another's making that would go round for ever: no more marks
+        // than cells come out of it.
         while (!alone.isEmpty() && mine.size() + theirs.size() <= cells) {
             int at = alone.poll();
             int count = rest.counts[at];
             long mark = rest.marks[at];
-            if (count != 1 && count != -1 || rest.sums[at] != sum(mark)) continue;
+            if (count != 1 && count != -1 || rest.sums[at] != sum(mark)) {
+                continue;
+            }
             (count == 1 ? mine : theirs).add(mark);
             rest.put(mark, -count);
-            for (int part = 0; part < PARTS; part++) alone.add(cell(mark, part));
+            for (int part = 0; part < PARTS; part++) {
+                alone.add(cell(mark, part));
+            }
+        }
+        for (int i = 0; i < cells; i++) {
+            if (rest.counts[i] != 0 || rest.marks[i] != 0 || rest.sums[i] != 0) {
+                return Optional.empty();
+            }
         }
-        for (int i = 0; i < cells; i++) if (rest.counts[i] != 0 || rest.marks[i] != 0 || rest.sums[i] != 0) return Optional.empty();
         return Optional.of(new Difference(mine, theirs));
     }
 
     /** Its cells as bytes, the highest first. */
     public byte[] bytes() {
         ByteBuffer out = ByteBuffer.allocate(cells * CELL);
-        for (int i = 0; i < cells; i++) out.putShort(counts[i]).putLong(marks[i]).putInt(sums[i]);
+        for (int i = 0; i < cells; i++) {
+            out.putShort(counts[i]).putLong(marks[i]).putInt(sums[i]);
+        }
         return out.array();
     }
 
     /** One as {@link #bytes} has told it. */
     public static Sketch of(byte[] bytes) {
         int cells = bytes.length / CELL;
-        if (cells * CELL != bytes.length || cells < PARTS || cells > MOST || cells % PARTS != 0) throw new IllegalArgumentException("no sketch");
+        if (cells * CELL != bytes.length || cells < PARTS || cells > MOST || cells % PARTS != 0) {
+            throw new IllegalArgumentException("no sketch");
+        }
         Sketch sketch = new Sketch(cells);
         ByteBuffer in = ByteBuffer.wrap(bytes);
         for (int i = 0; i < cells; i++) {
@@ -131,6 +154,9 @@
 
     @Override
     public String toString() {
-        return "sketch of " + cells + " cells " + Long.toHexString(java.util.Arrays.hashCode(bytes()));
+        return "sketch of "
+                + cells
+                + " cells "
+                + Long.toHexString(java.util.Arrays.hashCode(bytes()));
     }
 }
--- a/src/main/java/ochretiller/fleet/epochs/Layout.java
+++ b/src/main/java/ochretiller/fleet/epochs/Layout.java
@@ -9,16 +9,23 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Who keeps what in one epoch. Tokens fall into ranges, and each range has its keepers by rendezvous: a server that comes or goes
- * moves only what it keeps itself. A value; who keeps a range is reckoned once.
+ * Who keeps what in one epoch. Tokens fall into ranges, and each range has its keepers by
+ * rendezvous: a server that comes or goes moves only what it keeps itself. A value; who keeps a
+ * range is reckoned once.
  */
 public final class Layout {
     /** Parts into which all tokens fall: some for each of a hundred servers, few enough to list. */
     public static final int RANGES = 256;
+
     /** Keepers at most: two ranges for each at the least, and a list that is soon told. */
     public static final int MOST = 128;
-    /** Characters of names and zones, of both epochs, that go with what is said about a layout in one packet. */
+
+    /**
+     * Characters of names and zones, of both epochs, that go with what is said about a layout in
+     * one packet.
+     */
     private static final int MOST_TEXT = 5_500;
+
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     private final long epoch;
@@ -30,19 +37,22 @@
     private final List<List<String>> formerKeepers = new ArrayList<>();
 
     /** A server that keeps copies; its name outlives its restarts, as its disk does. */
-    public record Server(String name, String zone) {
-    }
+    public record Server(String name, String zone) {}
 
     /**
-     * @param former servers of the epoch before: who has missed some epochs must still know whom to ask
+     * @param former servers of the epoch before: who has missed some epochs must still know whom to
+     *     ask
      * @param factor keepers of each range, as long as there are that many
      */
     public Layout(long epoch, List<Server> servers, List<Server> former, int factor) {
         this(epoch, servers, former, factor, Rollout.NONE);
     }
 
-    /** @param rollout what servers act on */
-    public Layout(long epoch, List<Server> servers, List<Server> former, int factor, Rollout rollout) {
+    /**
+     * @param rollout what servers act on
+     */
+    public Layout(
+            long epoch, List<Server> servers, List<Server> former, int factor, Rollout rollout) {
         this.rollout = rollout;
         this.epoch = epoch;
         this.servers = List.copyOf(servers);
@@ -97,12 +107,25 @@
 
     private List<String> choose(List<Server> among, int range) {
         List<Server> order = new ArrayList<>(among);
-        order.sort(Comparator.comparingLong((Server each) -> HASH.hashLongs(new long[] {range, HASH.hashChars(each.name)})).reversed()
-            .thenComparing(Server::name));
+        order.sort(
+                Comparator.comparingLong(
+                                (Server each) ->
+                                        HASH.hashLongs(
+                                                new long[] {range, HASH.hashChars(each.name)}))
+                        .reversed()
+                        .thenComparing(Server::name));
         List<String> chosen = new ArrayList<>();
         Set<String> zones = new HashSet<>();
-        for (Server each : order) if (chosen.size() < factor && zones.add(each.zone)) chosen.add(each.name);
-        for (Server each : order) if (chosen.size() < factor && !chosen.contains(each.name)) chosen.add(each.name);
+        for (Server each : order) {
+            if (chosen.size() < factor && zones.add(each.zone)) {
+                chosen.add(each.name);
+            }
+        }
+        for (Server each : order) {
+            if (chosen.size() < factor && !chosen.contains(each.name)) {
+                chosen.add(each.name);
+            }
+        }
         return List.copyOf(chosen);
     }
 
@@ -139,13 +162,22 @@
 
     /** The next epoch, with one less. */
     public Layout without(String name) {
-        return new Layout(epoch + 1, servers.stream().filter(each -> !each.name.equals(name)).toList(), servers, factor, rollout);
+        return new Layout(
+                epoch + 1,
+                servers.stream().filter(each -> !each.name.equals(name)).toList(),
+                servers,
+                factor,
+                rollout);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Layout layout && epoch == layout.epoch && factor == layout.factor && servers.equals(layout.servers)
-            && former.equals(layout.former) && rollout.equals(layout.rollout);
+        return other instanceof Layout layout
+                && epoch == layout.epoch
+                && factor == layout.factor
+                && servers.equals(layout.servers)
+                && former.equals(layout.former)
+                && rollout.equals(layout.rollout);
     }
 
     @Override
@@ -155,7 +187,17 @@
 
     @Override
     public String toString() {
-        String versions = rollout.to().number() == 0 ? "" : ", version " + rollout.to().number() + (rollout.over() ? "" : " at stage " + rollout.stage() + ' ' + rollout.state().externalName());
+        String versions =
+                rollout.to().number() == 0
+                        ? ""
+                        : ", version "
+                                + rollout.to().number()
+                                + (rollout.over()
+                                        ? ""
+                                        : " at stage "
+                                                + rollout.stage()
+                                                + ' '
+                                                + rollout.state().externalName());
         return "epoch " + epoch + " of " + servers.stream().map(Server::name).toList() + versions;
     }
 }
--- a/src/main/java/ochretiller/fleet/members/Address.java
+++ b/src/main/java/ochretiller/fleet/members/Address.java
@@ -8,9 +8,13 @@
     /** As {@code 10.0.0.4:4100}; an {@link IllegalArgumentException} for what is none. */
     public static Address of(String text) {
         int colon = text.lastIndexOf(':');
-        if (colon < 1 || colon > LONGEST) throw new IllegalArgumentException("no address: '" + text + "'");
+        if (colon < 1 || colon > LONGEST) {
+            throw new IllegalArgumentException("no address: '" + text + "'");
+        }
         int port = Integer.parseInt(text.substring(colon + 1));
-        if (port < 1 || port > 0xffff) throw new IllegalArgumentException("no port: '" + text + "'");
+        if (port < 1 || port > 0xffff) {
+            throw new IllegalArgumentException("no port: '" + text + "'");
+        }
         return new Address(text.substring(0, colon), port);
     }
 
--- a/src/main/java/ochretiller/fleet/members/Counts.java
+++ b/src/main/java/ochretiller/fleet/members/Counts.java
@@ -1,6 +1,9 @@
 package ochretiller.fleet.members;
 
-/** What happened since the start; written by the thread that owns the view, read by another that may see it a little late. */
+/**
+ * What happened since the start; written by the thread that owns the view, read by another that may
+ * see it a little late.
+ */
 public final class Counts {
     public long probes;
     public long missed;
--- a/src/main/java/ochretiller/fleet/members/Doubt.java
+++ b/src/main/java/ochretiller/fleet/members/Doubt.java
@@ -3,11 +3,12 @@
 import java.time.Duration;
 
 /**
- * How far a server doubts itself before it doubts others: its timers come late, it hears nobody, or others had to be told that
- * it is there. The more it doubts, the longer it waits.
+ * How far a server doubts itself before it doubts others: its timers come late, it hears nobody, or
+ * others had to be told that it is there. The more it doubts, the longer it waits.
  */
 final class Doubt {
     private static final int MOST = 8;
+
     /** Each step of doubt lengthens all waits by this part. */
     private static final double STEP = 0.25;
 
--- a/src/main/java/ochretiller/fleet/members/Entry.java
+++ b/src/main/java/ochretiller/fleet/members/Entry.java
@@ -5,5 +5,4 @@
  *
  * @param by the start of whoever it did not answer, for {@link State#SUSPECT}; 0 otherwise
  */
-public record Entry(long start, long number, State state, long by) {
-}
+public record Entry(long start, long number, State state, long by) {}
--- a/src/main/java/ochretiller/fleet/members/MemberId.java
+++ b/src/main/java/ochretiller/fleet/members/MemberId.java
@@ -1,10 +1,11 @@
 package ochretiller.fleet.members;
 
 /**
- * One start of one server. A server that is started again has its old name and another start, so that what is said of the old
- * process never meets the new one.
+ * One start of one server. A server that is started again has its old name and another start, so
+ * that what is said of the old process never meets the new one.
  *
- * @param start drawn by chance at the start: a clock that was set back could give an old number again
+ * @param start drawn by chance at the start: a clock that was set back could give an old number
+ *     again
  */
 public record MemberId(String name, long start) {
     @Override
--- a/src/main/java/ochretiller/fleet/members/Packet.java
+++ b/src/main/java/ochretiller/fleet/members/Packet.java
@@ -5,5 +5,4 @@
  *
  * @param from the sender, as it is now
  */
-public record Packet(Member from, Message message) {
-}
+public record Packet(Member from, Message message) {}
--- a/src/main/java/ochretiller/fleet/members/Probe.java
+++ b/src/main/java/ochretiller/fleet/members/Probe.java
@@ -16,17 +16,26 @@
 
     final Kind kind;
     final long nonce;
+
     /** Whom it asks; 0 for whoever is there. */
     final long target;
+
     final Address address;
     final Duration begun;
-    /** Packets that had been heard when it began: whoever has heard nothing since may be the one who is deaf. */
+
+    /**
+     * Packets that had been heard when it began: whoever has heard nothing since may be the one who
+     * is deaf.
+     */
     final long heard;
+
     Duration said;
     int times = 1;
     boolean asked;
+
     /** Who wants to know, for a {@link Kind#RELAY}. */
     Address origin;
+
     long originNonce;
 
     Probe(Kind kind, long nonce, long target, Address address, Duration begun, long heard) {
--- a/src/main/java/ochretiller/fleet/members/Rumours.java
+++ b/src/main/java/ochretiller/fleet/members/Rumours.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** News that goes with other messages, each a bounded number of times, what was carried least first. */
+/**
+ * News that goes with other messages, each a bounded number of times, what was carried least first.
+ */
 final class Rumours {
     private static final class Rumour {
         final long start;
@@ -36,17 +38,24 @@
     /**
      * News for one message.
      *
-     * @param most  how often each is carried
-     * @param agree whether the receiver has just shown the same digest: it knows who is there, and needs to hear of suspicion only
+     * @param most how often each is carried
+     * @param agree whether the receiver has just shown the same digest: it knows who is there, and
+     *     needs to hear of suspicion only
      * @param first an entry that goes out in any case, or null
      */
     Message.News take(Table table, Member self, int most, boolean agree, Entry first) {
         List<Entry> entries = new ArrayList<>();
         List<Member> full = new ArrayList<>();
-        if (first != null) entries.add(first);
-        if (all.isEmpty()) return entries.isEmpty() ? Message.News.NONE : new Message.News(entries, full);
+        if (first != null) {
+            entries.add(first);
+        }
+        if (all.isEmpty()) {
+            return entries.isEmpty() ? Message.News.NONE : new Message.News(entries, full);
+        }
         List<Rumour> order = new ArrayList<>(all.values());
-        if (order.size() > Message.ENTRIES) order.sort(Comparator.comparingInt(each -> each.carried));
+        if (order.size() > Message.ENTRIES) {
+            order.sort(Comparator.comparingInt(each -> each.carried));
+        }
         for (Rumour each : order) {
             Known known = table.get(each.start);
             Member member = each.start == self.start() ? self : known == null ? null : known.member;
@@ -55,17 +64,25 @@
                 continue;
             }
             if (agree && member.state() != State.SUSPECT) {
-                if (++each.carried >= most) all.remove(each.start);
+                if (++each.carried >= most) {
+                    all.remove(each.start);
+                }
                 continue;
             }
             if (each.full) {
-                if (full.size() == Message.FULL) continue;
+                if (full.size() == Message.FULL) {
+                    continue;
+                }
                 full.add(member);
             } else {
-                if (entries.size() == Message.ENTRIES) continue;
+                if (entries.size() == Message.ENTRIES) {
+                    continue;
+                }
                 entries.add(entry(member, known));
             }
-            if (++each.carried >= most) all.remove(each.start);
+            if (++each.carried >= most) {
+                all.remove(each.start);
+            }
         }
         return new Message.News(entries, full);
     }
@@ -73,13 +90,23 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        all.values().forEach(each -> text.append('~').append(each.start).append(each.full).append(each.carried));
+        all.values()
+                .forEach(
+                        each ->
+                                text.append('~')
+                                        .append(each.start)
+                                        .append(each.full)
+                                        .append(each.carried));
         return text.toString();
     }
 
     static Entry entry(Member member, Known known) {
         long by = 0;
-        if (known != null && member.state() == State.SUSPECT) for (Iterator<Long> i = known.accusers.iterator(); i.hasNext();) by = i.next();
+        if (known != null && member.state() == State.SUSPECT) {
+            for (Iterator<Long> i = known.accusers.iterator(); i.hasNext(); ) {
+                by = i.next();
+            }
+        }
         return member.entry(by);
     }
 }
--- a/src/main/java/ochretiller/fleet/members/State.java
+++ b/src/main/java/ochretiller/fleet/members/State.java
@@ -21,7 +21,10 @@
         this.externalName = externalName;
     }
 
-    /** The word by which metrics, JSON and log lines name it; it stays whatever the constant is called. */
+    /**
+     * The word by which metrics, JSON and log lines name it; it stays whatever the constant is
+     * called.
+     */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/fleet/members/Table.java
+++ b/src/main/java/ochretiller/fleet/members/Table.java
@@ -10,7 +10,10 @@
 import java.util.TreeMap;
 import net.openhft.hashing.LongHashFunction;
 
-/** All members but this server itself, with digests of what is alive; the digests grow with each change and are never made anew. */
+/**
+ * All members but this server itself, with digests of what is alive; the digests grow with each
+ * change and are never made anew.
+ */
 final class Table {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -20,6 +23,7 @@
     private int live;
     private final Set<Known> suspects = new LinkedHashSet<>();
     private final Set<Known> silent = new LinkedHashSet<>();
+
     /** Silent ones and those that left, the oldest first. */
     private final Set<Known> gone = new LinkedHashSet<>();
 
@@ -28,17 +32,27 @@
         return (int) (HASH.hashLong(start) & (Message.BUCKETS - 1));
     }
 
-    /** A member as it counts in a digest: alive with its number, whoever suspects it; one that is gone does not count. */
+    /**
+     * A member as it counts in a digest: alive with its number, whoever suspects it; one that is
+     * gone does not count.
+     */
     private static long mark(Member member) {
-        if (!member.state().live()) return 0;
-        return HASH.hashLongs(new long[] {member.start(), member.number(), member.state() == State.JOINING ? 1 : 0});
+        if (!member.state().live()) {
+            return 0;
+        }
+        return HASH.hashLongs(
+                new long[] {
+                    member.start(), member.number(), member.state() == State.JOINING ? 1 : 0
+                });
     }
 
     private void count(Member member, int sign) {
         long mark = mark(member);
         digests[bucket(member.start())] ^= mark;
         digest ^= mark;
-        if (member.state().live()) live += sign;
+        if (member.state().live()) {
+            live += sign;
+        }
     }
 
     Known get(long start) {
@@ -55,7 +69,9 @@
 
     void become(Known known, Member next, Duration now) {
         count(known.member, -1);
-        if (known.member.state() != next.state()) known.since = now;
+        if (known.member.state() != next.state()) {
+            known.since = now;
+        }
         known.member = next;
         count(next, 1);
         sort(known);
@@ -69,12 +85,17 @@
     }
 
     private static void put(Set<Known> set, Known known, boolean in) {
-        if (in) set.add(known);
-        else set.remove(known);
+        if (in) {
+            set.add(known);
+        } else {
+            set.remove(known);
+        }
     }
 
     void remove(Known known) {
-        if (all.remove(known.member.start()) == null) return;
+        if (all.remove(known.member.start()) == null) {
+            return;
+        }
         count(known.member, -1);
         suspects.remove(known);
         silent.remove(known);
@@ -83,7 +104,9 @@
 
     /** Makes room for a newcomer, where anybody is gone. */
     boolean dropOldestGone() {
-        if (gone.isEmpty()) return false;
+        if (gone.isEmpty()) {
+            return false;
+        }
         remove(gone.iterator().next());
         return true;
     }
@@ -95,7 +118,9 @@
 
     List<Long> digests(Member self) {
         List<Long> told = new ArrayList<>(digests.length);
-        for (long each : digests) told.add(each);
+        for (long each : digests) {
+            told.add(each);
+        }
         int mine = bucket(self.start());
         told.set(mine, told.get(mine) ^ mark(self));
         return told;
--- a/src/main/java/ochretiller/fleet/peers/Codec.java
+++ b/src/main/java/ochretiller/fleet/peers/Codec.java
@@ -18,19 +18,33 @@
 import ochretiller.fleet.versions.VersionMessage;
 
 /**
- * The envelope and what is in it, as {@code docs/fleet-wire.md} has it: {@code OF}, version, least version that can read it,
- * length, a CBOR array, a seal. Arrays may be longer than is known here: what is behind is skipped.
+ * The envelope and what is in it, as {@code docs/fleet-wire.md} has it: {@code OF}, version, least
+ * version that can read it, length, a CBOR array, a seal. Arrays may be longer than is known here:
+ * what is behind is skipped.
  */
 public final class Codec {
     /** What this program speaks, and the least that can read it. */
     static final int VERSION = 1;
+
     /** Longest packet that is read: a page of members with the longest names. */
     public static final int LONGEST = 8 * 1024;
+
     private static final int HEAD = 6;
     private static final CBORFactory CBOR = new CBORFactory();
-    private static final List<Class<? extends Message>> KINDS = List.of(Message.Ping.class, Message.Ack.class, Message.Ask.class,
-        Message.Reached.class, Message.Sync.class, Message.States.class, Message.Want.class, Message.Full.class);
-    private static final State[] STATES = {State.JOINING, State.HERE, State.SUSPECT, State.SILENT, State.LEFT};
+    private static final List<Class<? extends Message>> KINDS =
+            List.of(
+                    Message.Ping.class,
+                    Message.Ack.class,
+                    Message.Ask.class,
+                    Message.Reached.class,
+                    Message.Sync.class,
+                    Message.States.class,
+                    Message.Want.class,
+                    Message.Full.class);
+    private static final State[] STATES = {
+        State.JOINING, State.HERE, State.SUSPECT, State.SILENT, State.LEFT
+    };
+
     /** Most of anything in one list: more than any message has. */
     private static final int MOST = 256;
 
@@ -40,9 +54,9 @@
     /**
      * What was opened.
      *
-     * @param body     a {@link Message}, or one of epochs or copies
+     * @param body a {@link Message}, or one of epochs or copies
      * @param sequence grows with each packet of one start
-     * @param epoch    0 where no epochs are agreed on
+     * @param epoch 0 where no epochs are agreed on
      */
     public record Opened(Member from, Object body, long sequence, long epoch) {
         /** As the decisions on members take it. */
@@ -81,13 +95,21 @@
             to.writeStartArray(null, 6);
             to.writeString(fleet);
             to.writeNumber(sequence);
-            to.writeNumber(message instanceof Message ? KINDS.indexOf(message.getClass()) + 1
-                : message instanceof VersionMessage ? VersionCodec.kind(message) : CopyCodec.kind(message));
+            to.writeNumber(
+                    message instanceof Message
+                            ? KINDS.indexOf(message.getClass()) + 1
+                            : message instanceof VersionMessage
+                                    ? VersionCodec.kind(message)
+                                    : CopyCodec.kind(message));
             to.writeNumber(0L);
             member(to, sender);
-            if (message instanceof Message known) body(to, known);
-            else if (message instanceof VersionMessage version) VersionCodec.write(to, version);
-            else CopyCodec.write(to, message);
+            if (message instanceof Message known) {
+                body(to, known);
+            } else if (message instanceof VersionMessage version) {
+                VersionCodec.write(to, version);
+            } else {
+                CopyCodec.write(to, message);
+            }
             to.writeEndArray();
         } catch (IOException e) {
             throw new IllegalStateException(e); // a buffer in memory does not fail
@@ -100,23 +122,44 @@
         return bytes;
     }
 
-    /** Opens a packet: first what is cheap to see, then the seal, and only then what somebody with the key has written. */
+    /**
+     * Opens a packet: first what is cheap to see, then the seal, and only then what somebody with
+     * the key has written.
+     */
     public Opened open(byte[] bytes, int length) throws RefusedException {
-        if (length < HEAD + FleetKeys.SEAL || length > LONGEST) throw new RefusedException(Refused.LENGTH);
-        if (bytes[0] != 'O' || bytes[1] != 'F') throw new RefusedException(Refused.NOT_OURS);
-        if ((bytes[3] & 0xff) > VERSION) throw new RefusedException(Refused.NEWER);
-        if (((bytes[4] & 0xff) << 8 | bytes[5] & 0xff) != length) throw new RefusedException(Refused.LENGTH);
-        if (!keys.good(bytes, length - FleetKeys.SEAL)) throw new RefusedException(Refused.FORGED);
+        if (length < HEAD + FleetKeys.SEAL || length > LONGEST) {
+            throw new RefusedException(Refused.LENGTH);
+        }
+        if (bytes[0] != 'O' || bytes[1] != 'F') {
+            throw new RefusedException(Refused.NOT_OURS);
+        }
+        if ((bytes[3] & 0xff) > VERSION) {
+            throw new RefusedException(Refused.NEWER);
+        }
+        if (((bytes[4] & 0xff) << 8 | bytes[5] & 0xff) != length) {
+            throw new RefusedException(Refused.LENGTH);
+        }
+        if (!keys.good(bytes, length - FleetKeys.SEAL)) {
+            throw new RefusedException(Refused.FORGED);
+        }
         try (CBORParser from = CBOR.createParser(bytes, HEAD, length - FleetKeys.SEAL - HEAD)) {
             start(from);
-            if (!text(from).equals(fleet)) throw new RefusedException(Refused.OTHER_FLEET);
+            if (!text(from).equals(fleet)) {
+                throw new RefusedException(Refused.OTHER_FLEET);
+            }
             long sequence = number(from);
             long kind = number(from);
             long epoch = number(from);
             Member sender = member(from);
-            if (CopyCodec.knows(kind)) return new Opened(sender, CopyCodec.read(from, (int) kind), sequence, epoch);
-            if (VersionCodec.knows(kind)) return new Opened(sender, VersionCodec.read(from, (int) kind), sequence, epoch);
-            if (kind < 1 || kind > KINDS.size()) throw new RefusedException(Refused.KIND);
+            if (CopyCodec.knows(kind)) {
+                return new Opened(sender, CopyCodec.read(from, (int) kind), sequence, epoch);
+            }
+            if (VersionCodec.knows(kind)) {
+                return new Opened(sender, VersionCodec.read(from, (int) kind), sequence, epoch);
+            }
+            if (kind < 1 || kind > KINDS.size()) {
+                throw new RefusedException(Refused.KIND);
+            }
             return new Opened(sender, body(from, (int) kind), sequence, epoch);
         } catch (IOException | IllegalArgumentException | NullPointerException e) {
             throw new RefusedException(Refused.MALFORMED);
@@ -166,8 +209,17 @@
     private static Message body(CBORParser from, int kind) throws IOException {
         start(from);
         return switch (kind) {
-            case 1 -> new Message.Ping(number(from), number(from), new Message.News(entries(from), members(from)), number(from));
-            case 2 -> new Message.Ack(number(from), new Message.News(entries(from), members(from)), number(from));
+            case 1 ->
+                    new Message.Ping(
+                            number(from),
+                            number(from),
+                            new Message.News(entries(from), members(from)),
+                            number(from));
+            case 2 ->
+                    new Message.Ack(
+                            number(from),
+                            new Message.News(entries(from), members(from)),
+                            number(from));
             case 3 -> new Message.Ask(number(from), number(from), address(from));
             case 4 -> new Message.Reached(number(from), entry(from));
             case 5 -> new Message.Sync(numbers(from), bool(from));
@@ -209,7 +261,15 @@
         String zone = text(from);
         String build = text(from);
         Address serves = address(from);
-        Member member = new Member(id, address, zone, build, serves.port() == 0 ? null : serves, number(from), state(from));
+        Member member =
+                new Member(
+                        id,
+                        address,
+                        zone,
+                        build,
+                        serves.port() == 0 ? null : serves,
+                        number(from),
+                        state(from));
         end(from);
         return member;
     }
@@ -222,7 +282,9 @@
     private static Address address(CBORParser from) throws IOException {
         String host = text(from);
         long port = number(from);
-        if (host.length() > Address.LONGEST || port < 0 || port > 0xffff) throw new IllegalArgumentException("no address");
+        if (host.length() > Address.LONGEST || port < 0 || port > 0xffff) {
+            throw new IllegalArgumentException("no address");
+        }
         return new Address(host, (int) port);
     }
 
@@ -231,7 +293,9 @@
         to.writeNumber(entry.start());
         to.writeNumber(entry.number());
         to.writeNumber(code(entry.state()));
-        if (entry.by() != 0) to.writeNumber(entry.by());
+        if (entry.by() != 0) {
+            to.writeNumber(entry.by());
+        }
         to.writeEndArray();
     }
 
@@ -245,9 +309,13 @@
         long start = number(from);
         long number = number(from);
         State state = state(from);
-        if (number < 0) throw new IllegalArgumentException("a number is out of bounds");
+        if (number < 0) {
+            throw new IllegalArgumentException("a number is out of bounds");
+        }
         JsonToken next = from.nextToken();
-        if (next == JsonToken.END_ARRAY) return new Entry(start, number, state, 0);
+        if (next == JsonToken.END_ARRAY) {
+            return new Entry(start, number, state, 0);
+        }
         Entry entry = new Entry(start, number, state, from.getLongValue());
         end(from);
         return entry;
@@ -255,7 +323,9 @@
 
     private static void entries(CBORGenerator to, List<Entry> entries) throws IOException {
         to.writeStartArray(null, entries.size());
-        for (Entry entry : entries) entry(to, entry);
+        for (Entry entry : entries) {
+            entry(to, entry);
+        }
         to.writeEndArray();
     }
 
@@ -265,7 +335,9 @@
 
     private static void members(CBORGenerator to, List<Member> members) throws IOException {
         to.writeStartArray(null, members.size());
-        for (Member member : members) member(to, member);
+        for (Member member : members) {
+            member(to, member);
+        }
         to.writeEndArray();
     }
 
@@ -284,7 +356,9 @@
         start(from);
         while (from.nextToken() != JsonToken.END_ARRAY) {
             // Guards against a list that is as long as its sender likes.
-            if (from.currentToken() == null || all.size() == MOST) throw new IllegalArgumentException("no list");
+            if (from.currentToken() == null || all.size() == MOST) {
+                throw new IllegalArgumentException("no list");
+            }
             all.add(part.read());
         }
         return all;
@@ -292,7 +366,9 @@
 
     static void numbers(CBORGenerator to, List<Long> numbers) throws IOException {
         to.writeStartArray(null, numbers.size());
-        for (long each : numbers) to.writeNumber(each);
+        for (long each : numbers) {
+            to.writeNumber(each);
+        }
         to.writeEndArray();
     }
 
@@ -301,32 +377,42 @@
     }
 
     static void start(CBORParser from) throws IOException {
-        if (from.nextToken() != JsonToken.START_ARRAY) throw new IllegalArgumentException("no array");
+        if (from.nextToken() != JsonToken.START_ARRAY) {
+            throw new IllegalArgumentException("no array");
+        }
     }
 
     /** Over what a newer program has put behind what is known here. */
     static void end(CBORParser from) throws IOException {
         JsonToken token = from.nextToken();
         while (token != JsonToken.END_ARRAY) {
-            if (token == null) throw new IllegalArgumentException("it ends early");
+            if (token == null) {
+                throw new IllegalArgumentException("it ends early");
+            }
             from.skipChildren();
             token = from.nextToken();
         }
     }
 
     static String text(CBORParser from) throws IOException {
-        if (from.nextToken() != JsonToken.VALUE_STRING) throw new IllegalArgumentException("no text");
+        if (from.nextToken() != JsonToken.VALUE_STRING) {
+            throw new IllegalArgumentException("no text");
+        }
         return from.getText();
     }
 
     static long number(CBORParser from) throws IOException {
-        if (from.nextToken() != JsonToken.VALUE_NUMBER_INT) throw new IllegalArgumentException("no number");
+        if (from.nextToken() != JsonToken.VALUE_NUMBER_INT) {
+            throw new IllegalArgumentException("no number");
+        }
         return from.getLongValue();
     }
 
     static boolean bool(CBORParser from) throws IOException {
         JsonToken token = from.nextToken();
-        if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) throw new IllegalArgumentException("no truth");
+        if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
+            throw new IllegalArgumentException("no truth");
+        }
         return token == JsonToken.VALUE_TRUE;
     }
 
@@ -336,7 +422,9 @@
 
     private static State state(CBORParser from) throws IOException {
         long code = number(from);
-        if (code < 1 || code > STATES.length) throw new IllegalArgumentException("no state");
+        if (code < 1 || code > STATES.length) {
+            throw new IllegalArgumentException("no state");
+        }
         return STATES[(int) code - 1];
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/CopyCodec.java
+++ b/src/main/java/ochretiller/fleet/peers/CopyCodec.java
@@ -23,23 +23,47 @@
 import ochretiller.fleet.epochs.Layout;
 import ochretiller.fleet.epochs.Rollout;
 
-/** Bodies of what is said about epochs and tokens, kinds 16 to 47 of the envelope; {@code docs/fleet-wire.md}. */
+/**
+ * Bodies of what is said about epochs and tokens, kinds 16 to 47 of the envelope; {@code
+ * docs/fleet-wire.md}.
+ */
 final class CopyCodec {
     private static final int EPOCHS = 16;
     private static final int COPIES = 32;
     private static final byte[] NONE = {};
-    private static final List<Class<?>> EPOCH_KINDS = List.of(EpochMessage.Prepare.class, EpochMessage.Promise.class, EpochMessage.Accept.class,
-        EpochMessage.Accepted.class, EpochMessage.Refused.class, EpochMessage.Agreed.class, EpochMessage.WhatIsOpen.class, EpochMessage.Open.class,
-        EpochMessage.Blank.class, EpochMessage.Fresh.class, EpochMessage.Standing.class);
-    private static final List<Class<?>> COPY_KINDS = List.of(CopyMessage.Claim.class, CopyMessage.Look.class, CopyMessage.Answer.class,
-        CopyMessage.Ended.class, CopyMessage.Kept.class, CopyMessage.Release.class, CopyMessage.Whether.class, CopyMessage.Fetch.class,
-        CopyMessage.Page.class, CopyMessage.Compare.class, CopyMessage.Recollect.class, CopyMessage.Recollected.class, CopyMessage.Want.class,
-        CopyMessage.Piece.class);
+    private static final List<Class<?>> EPOCH_KINDS =
+            List.of(
+                    EpochMessage.Prepare.class,
+                    EpochMessage.Promise.class,
+                    EpochMessage.Accept.class,
+                    EpochMessage.Accepted.class,
+                    EpochMessage.Refused.class,
+                    EpochMessage.Agreed.class,
+                    EpochMessage.WhatIsOpen.class,
+                    EpochMessage.Open.class,
+                    EpochMessage.Blank.class,
+                    EpochMessage.Fresh.class,
+                    EpochMessage.Standing.class);
+    private static final List<Class<?>> COPY_KINDS =
+            List.of(
+                    CopyMessage.Claim.class,
+                    CopyMessage.Look.class,
+                    CopyMessage.Answer.class,
+                    CopyMessage.Ended.class,
+                    CopyMessage.Kept.class,
+                    CopyMessage.Release.class,
+                    CopyMessage.Whether.class,
+                    CopyMessage.Fetch.class,
+                    CopyMessage.Page.class,
+                    CopyMessage.Compare.class,
+                    CopyMessage.Recollect.class,
+                    CopyMessage.Recollected.class,
+                    CopyMessage.Want.class,
+                    CopyMessage.Piece.class);
 
     private static final Rollout.State[] ROLLOUTS = Rollout.State.values();
 
-    private CopyCodec() {
-    }
+    private CopyCodec() {}
 
     static int kind(Object message) {
         int epoch = EPOCH_KINDS.indexOf(message.getClass());
@@ -47,7 +71,8 @@
     }
 
     static boolean knows(long kind) {
-        return kind >= EPOCHS && kind < EPOCHS + EPOCH_KINDS.size() || kind >= COPIES && kind < COPIES + COPY_KINDS.size();
+        return kind >= EPOCHS && kind < EPOCHS + EPOCH_KINDS.size()
+                || kind >= COPIES && kind < COPIES + COPY_KINDS.size();
     }
 
     static void write(CBORGenerator to, Object message) throws IOException {
@@ -111,9 +136,13 @@
             id(to, m.id());
             to.writeNumber(m.word().ordinal());
             to.writeBoolean(m.other().isPresent());
-            if (m.other().isPresent()) id(to, m.other().get());
+            if (m.other().isPresent()) {
+                id(to, m.other().get());
+            }
             to.writeBoolean(m.outcome().isPresent());
-            if (m.outcome().isPresent()) outcome(to, m.outcome().get());
+            if (m.outcome().isPresent()) {
+                outcome(to, m.outcome().get());
+            }
             to.writeNumber(m.number());
         } else if (message instanceof CopyMessage.Ended m) {
             to.writeNumber(m.epoch());
@@ -187,7 +216,9 @@
     private static EpochMessage epoch(CBORParser in, int kind) throws IOException {
         return switch (kind) {
             case 0 -> new EpochMessage.Prepare(Codec.number(in), ballot(in));
-            case 1 -> new EpochMessage.Promise(Codec.number(in), ballot(in), ballot(in), layoutOrNone(in));
+            case 1 ->
+                    new EpochMessage.Promise(
+                            Codec.number(in), ballot(in), ballot(in), layoutOrNone(in));
             case 2 -> new EpochMessage.Accept(Codec.number(in), ballot(in), layout(in));
             case 3 -> new EpochMessage.Accepted(Codec.number(in), ballot(in));
             case 4 -> new EpochMessage.Refused(Codec.number(in), ballot(in), ballot(in));
@@ -198,12 +229,14 @@
             case 10 -> new EpochMessage.Standing(Codec.number(in), (int) Codec.number(in));
             default -> {
                 Map<String, Long> instances = new HashMap<>();
-                Codec.list(in, () -> {
-                    String name = Codec.text(in);
-                    instances.put(name, Codec.number(in));
-                    Codec.end(in);
-                    return name;
-                });
+                Codec.list(
+                        in,
+                        () -> {
+                            String name = Codec.text(in);
+                            instances.put(name, Codec.number(in));
+                            Codec.end(in);
+                            return name;
+                        });
                 yield new EpochMessage.Fresh(instances);
             }
         };
@@ -211,36 +244,95 @@
 
     private static CopyMessage copy(CBORParser in, int kind) throws IOException {
         return switch (kind) {
-            case 0 -> new CopyMessage.Claim(Codec.number(in), token(in), id(in), Codec.text(in), millis(in), Codec.bool(in));
+            case 0 ->
+                    new CopyMessage.Claim(
+                            Codec.number(in),
+                            token(in),
+                            id(in),
+                            Codec.text(in),
+                            millis(in),
+                            Codec.bool(in));
             case 1 -> new CopyMessage.Look(Codec.number(in), token(in), id(in));
-            case 2 -> new CopyMessage.Answer(Codec.number(in), token(in), id(in), word(in), Codec.bool(in) ? Optional.of(id(in)) : Optional.empty(),
-                Codec.bool(in) ? Optional.of(outcome(in)) : Optional.empty(), Codec.number(in));
-            case 3 -> new CopyMessage.Ended(Codec.number(in), token(in), id(in), outcome(in), millis(in), heard(in));
+            case 2 ->
+                    new CopyMessage.Answer(
+                            Codec.number(in),
+                            token(in),
+                            id(in),
+                            word(in),
+                            Codec.bool(in) ? Optional.of(id(in)) : Optional.empty(),
+                            Codec.bool(in) ? Optional.of(outcome(in)) : Optional.empty(),
+                            Codec.number(in));
+            case 3 ->
+                    new CopyMessage.Ended(
+                            Codec.number(in),
+                            token(in),
+                            id(in),
+                            outcome(in),
+                            millis(in),
+                            heard(in));
             case 4 -> new CopyMessage.Kept(Codec.number(in), token(in), id(in), Codec.number(in));
             case 5 -> new CopyMessage.Release(token(in), id(in), millis(in));
             case 6 -> new CopyMessage.Whether(token(in), id(in));
-            case 7 -> new CopyMessage.Fetch(Codec.number(in), range(in), Codec.number(in), order(in), place(in), sketch(in), Codec.numbers(in), layoutOrNone(in));
-            case 8 -> new CopyMessage.Page(Codec.number(in), range(in), Codec.number(in), items(in), place(in), Codec.bool(in), Codec.bool(in), Codec.bool(in),
-                Codec.numbers(in), (int) Codec.number(in), Codec.number(in));
-            case 9 -> new CopyMessage.Compare(Codec.number(in), range(in), Codec.number(in), (int) Codec.number(in), Codec.bool(in));
+            case 7 ->
+                    new CopyMessage.Fetch(
+                            Codec.number(in),
+                            range(in),
+                            Codec.number(in),
+                            order(in),
+                            place(in),
+                            sketch(in),
+                            Codec.numbers(in),
+                            layoutOrNone(in));
+            case 8 ->
+                    new CopyMessage.Page(
+                            Codec.number(in),
+                            range(in),
+                            Codec.number(in),
+                            items(in),
+                            place(in),
+                            Codec.bool(in),
+                            Codec.bool(in),
+                            Codec.bool(in),
+                            Codec.numbers(in),
+                            (int) Codec.number(in),
+                            Codec.number(in));
+            case 9 ->
+                    new CopyMessage.Compare(
+                            Codec.number(in),
+                            range(in),
+                            Codec.number(in),
+                            (int) Codec.number(in),
+                            Codec.bool(in));
             case 10 -> new CopyMessage.Recollect(Codec.number(in));
             case 11 -> new CopyMessage.Recollected(Codec.number(in), Codec.number(in));
             case 12 -> new CopyMessage.Want(token(in), id(in), (int) Codec.number(in));
-            default -> new CopyMessage.Piece(token(in), id(in), (int) Codec.number(in), new String(binary(in), StandardCharsets.ISO_8859_1));
+            default ->
+                    new CopyMessage.Piece(
+                            token(in),
+                            id(in),
+                            (int) Codec.number(in),
+                            new String(binary(in), StandardCharsets.ISO_8859_1));
         };
     }
 
     // ---- parts
 
-    /** Guards against a token that no key of the store has room for, from a peer that takes more than this program does. */
+    /**
+     * Guards against a token that no key of the store has room for, from a peer that takes more
+     * than this program does.
+     */
     private static String token(CBORParser in) throws IOException {
         String token = Codec.text(in);
-        if (!KeeperDisk.fits(token)) throw new IllegalArgumentException("no token");
+        if (!KeeperDisk.fits(token)) {
+            throw new IllegalArgumentException("no token");
+        }
         return token;
     }
 
     private static byte[] binary(CBORParser in) throws IOException {
-        if (in.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) throw new IllegalArgumentException("no bytes");
+        if (in.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) {
+            throw new IllegalArgumentException("no bytes");
+        }
         return in.getBinaryValue();
     }
 
@@ -251,7 +343,9 @@
 
     private static CopyMessage.Order order(CBORParser in) throws IOException {
         long order = Codec.number(in);
-        if (order < 0 || order >= CopyMessage.Order.values().length) throw new IllegalArgumentException("no order");
+        if (order < 0 || order >= CopyMessage.Order.values().length) {
+            throw new IllegalArgumentException("no order");
+        }
         return CopyMessage.Order.values()[(int) order];
     }
 
@@ -277,12 +371,14 @@
 
     static Map<String, Long> heard(CBORParser in) throws IOException {
         Map<String, Long> heard = new TreeMap<>();
-        Codec.list(in, () -> {
-            String name = Codec.text(in);
-            heard.put(name, Codec.number(in));
-            Codec.end(in);
-            return name;
-        });
+        Codec.list(
+                in,
+                () -> {
+                    String name = Codec.text(in);
+                    heard.put(name, Codec.number(in));
+                    Codec.end(in);
+                    return name;
+                });
         return heard;
     }
 
@@ -292,13 +388,17 @@
 
     private static int range(CBORParser in) throws IOException {
         long range = Codec.number(in);
-        if (range < 0 || range >= Layout.RANGES) throw new IllegalArgumentException("no range");
+        if (range < 0 || range >= Layout.RANGES) {
+            throw new IllegalArgumentException("no range");
+        }
         return (int) range;
     }
 
     private static CopyMessage.Word word(CBORParser in) throws IOException {
         long word = Codec.number(in);
-        if (word < 0 || word >= CopyMessage.Word.values().length) throw new IllegalArgumentException("no word");
+        if (word < 0 || word >= CopyMessage.Word.values().length) {
+            throw new IllegalArgumentException("no word");
+        }
         return CopyMessage.Word.values()[(int) word];
     }
 
@@ -333,7 +433,13 @@
     }
 
     static Rollout.Version version(CBORParser in) throws IOException {
-        return new Rollout.Version(Codec.number(in), Codec.text(in), Math.toIntExact(Codec.number(in)), Codec.text(in), Codec.text(in), Codec.text(in));
+        return new Rollout.Version(
+                Codec.number(in),
+                Codec.text(in),
+                Math.toIntExact(Codec.number(in)),
+                Codec.text(in),
+                Codec.text(in),
+                Codec.text(in));
     }
 
     private static Rollout rollout(CBORParser in) throws IOException {
@@ -341,20 +447,26 @@
         Rollout.Version from = version(in);
         int stage = Math.toIntExact(Codec.number(in));
         long state = Codec.number(in);
-        if (state < 0 || state >= ROLLOUTS.length) throw new IllegalArgumentException("no state");
+        if (state < 0 || state >= ROLLOUTS.length) {
+            throw new IllegalArgumentException("no state");
+        }
         return new Rollout(to, from, stage, ROLLOUTS[(int) state]);
     }
 
     static Layout layout(CBORParser in) throws IOException {
         long epoch = Codec.number(in);
         long factor = Codec.number(in);
-        if (epoch < 0 || factor < 1 || factor > 9) throw new IllegalArgumentException("no layout");
+        if (epoch < 0 || factor < 1 || factor > 9) {
+            throw new IllegalArgumentException("no layout");
+        }
         return new Layout(epoch, servers(in), servers(in), (int) factor, rollout(in));
     }
 
     private static void layoutOrNone(CBORGenerator to, Layout layout) throws IOException {
         to.writeBoolean(layout != null);
-        if (layout != null) layout(to, layout);
+        if (layout != null) {
+            layout(to, layout);
+        }
     }
 
     private static Layout layoutOrNone(CBORParser in) throws IOException {
@@ -373,11 +485,13 @@
     }
 
     private static List<Layout.Server> servers(CBORParser in) throws IOException {
-        return Codec.list(in, () -> {
-            Layout.Server server = new Layout.Server(Codec.text(in), Codec.text(in));
-            Codec.end(in);
-            return server;
-        });
+        return Codec.list(
+                in,
+                () -> {
+                    Layout.Server server = new Layout.Server(Codec.text(in), Codec.text(in));
+                    Codec.end(in);
+                    return server;
+                });
     }
 
     private static void id(CBORGenerator to, ClaimId id) throws IOException {
@@ -400,15 +514,25 @@
     }
 
     private static Outcome outcome(CBORParser in) throws IOException {
-        Outcome outcome = new Outcome(Codec.bool(in), Codec.text(in), new String(binary(in), StandardCharsets.ISO_8859_1), (int) Codec.number(in),
-            Codec.number(in), Codec.bool(in));
-        if (outcome.size() < 0 || outcome.size() > Outcome.LONGEST) throw new IllegalArgumentException("no size");
+        Outcome outcome =
+                new Outcome(
+                        Codec.bool(in),
+                        Codec.text(in),
+                        new String(binary(in), StandardCharsets.ISO_8859_1),
+                        (int) Codec.number(in),
+                        Codec.number(in),
+                        Codec.bool(in));
+        if (outcome.size() < 0 || outcome.size() > Outcome.LONGEST) {
+            throw new IllegalArgumentException("no size");
+        }
         return outcome;
     }
 
     private static void items(CBORGenerator to, List<CopyMessage.Item> items) throws IOException {
         to.writeStartArray();
-        for (CopyMessage.Item item : items) item(to, item);
+        for (CopyMessage.Item item : items) {
+            item(to, item);
+        }
         to.writeEndArray();
     }
 
@@ -451,24 +575,31 @@
         String token = token(in);
         Duration left = millis(in);
         Map<ClaimId, String> claims = new TreeMap<>();
-        Codec.list(in, () -> {
-            claims.put(id(in), Codec.text(in));
-            Codec.end(in);
-            return token;
-        });
+        Codec.list(
+                in,
+                () -> {
+                    claims.put(id(in), Codec.text(in));
+                    Codec.end(in);
+                    return token;
+                });
         Set<ClaimId> released = new TreeSet<>();
-        Codec.list(in, () -> {
-            released.add(id(in));
-            Codec.end(in);
-            return token;
-        });
+        Codec.list(
+                in,
+                () -> {
+                    released.add(id(in));
+                    Codec.end(in);
+                    return token;
+                });
         Map<ClaimId, Outcome> outcomes = new TreeMap<>();
-        Codec.list(in, () -> {
-            outcomes.put(id(in), outcome(in));
-            Codec.end(in);
-            return token;
-        });
+        Codec.list(
+                in,
+                () -> {
+                    outcomes.put(id(in), outcome(in));
+                    Codec.end(in);
+                    return token;
+                });
         Codec.end(in);
-        return new CopyMessage.Item(token, new Entry(claims, released, outcomes, Duration.ZERO), left);
+        return new CopyMessage.Item(
+                token, new Entry(claims, released, outcomes, Duration.ZERO), left);
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/CopySettings.java
+++ b/src/main/java/ochretiller/fleet/peers/CopySettings.java
@@ -8,16 +8,25 @@
 /**
  * How a fleet keeps claims and results of tokened invocations.
  *
- * @param voters    names of the servers that agree on epochs, the same everywhere
+ * @param voters names of the servers that agree on epochs, the same everywhere
  * @param voterFile where this server keeps what it has promised, if it is a voter; null otherwise
- * @param factor    keepers of each token
- * @param most      entries that this server keeps
- * @param mostBytes of those entries, as reckoned, and half as much for long results that are kept in memory
- * @param calm      how long a server is there, or gone, before it is taken in or out
- * @param catchUp   bytes a second that are fetched by one that catches up, and as many that are sent to others who do
+ * @param factor keepers of each token
+ * @param most entries that this server keeps
+ * @param mostBytes of those entries, as reckoned, and half as much for long results that are kept
+ *     in memory
+ * @param calm how long a server is there, or gone, before it is taken in or out
+ * @param catchUp bytes a second that are fetched by one that catches up, and as many that are sent
+ *     to others who do
  * @param versions how versions are brought out, or null
- * @param modes    which operations run once in the fleet
+ * @param modes which operations run once in the fleet
  */
-public record CopySettings(List<String> voters, Path voterFile, int factor, int most, long mostBytes, Duration calm, long catchUp,
-                           Modes.Told modes, VersionSettings versions) {
-}
+public record CopySettings(
+        List<String> voters,
+        Path voterFile,
+        int factor,
+        int most,
+        long mostBytes,
+        Duration calm,
+        long catchUp,
+        Modes.Told modes,
+        VersionSettings versions) {}
--- a/src/main/java/ochretiller/fleet/peers/Door.java
+++ b/src/main/java/ochretiller/fleet/peers/Door.java
@@ -9,10 +9,17 @@
 import ochretiller.net.Receiver;
 import ochretiller.text.BadInputException;
 
-/** Streams to the fleet's port: the operators' commands ask, each with the challenge of its connection. */
+/**
+ * Streams to the fleet's port: the operators' commands ask, each with the challenge of its
+ * connection.
+ */
 final class Door {
-    /** Commands at once. More are for nobody's hands, and a flood must not take the descriptors of callers. */
+    /**
+     * Commands at once. More are for nobody's hands, and a flood must not take the descriptors of
+     * callers.
+     */
     private static final int MOST = 8;
+
     /** Words on one connection: a command that watches asks once a second, and dials again. */
     private static final int WORDS = 100;
 
@@ -40,7 +47,8 @@
 
     private final class Visit implements Receiver {
         private final Connection connection;
-        private final String challenge = Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong());
+        private final String challenge =
+                Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong());
         private final ByteArrayOutputStream read = new ByteArrayOutputStream();
         private final boolean surplus;
         private int said;
@@ -60,29 +68,55 @@
             read.write(bytes, from, to - from);
             byte[] all = read.toByteArray();
             if (!greeted) {
-                // The first byte asks for the challenge: who dials and says nothing costs nothing more.
-                if (all.length == 0 || all[0] != '?') throw new BadInputException("no question at the fleet's door");
+                // The first byte asks for the challenge: who dials and says nothing costs nothing
+                // more.
+                if (all.length == 0 || all[0] != '?') {
+                    throw new BadInputException("no question at the fleet's door");
+                }
                 greeted = true;
                 read.reset();
                 read.write(all, 1, all.length - 1);
-                return () -> connection.write(Sealed.frame(codec.keys(), new Sealed.Said(codec.fleet(), challenge, "hello", name)));
+                return () ->
+                        connection.write(
+                                Sealed.frame(
+                                        codec.keys(),
+                                        new Sealed.Said(codec.fleet(), challenge, "hello", name)));
             }
             int length = Sealed.length(all, all.length);
-            if (length < 0 || length > Sealed.LONGEST_WORD) throw new BadInputException("a frame at the fleet's door is too long");
-            if (length == 0 || all.length < length) return null;
-            if (all.length > length || ++said > WORDS) throw new BadInputException("too much at the fleet's door");
+            if (length < 0 || length > Sealed.LONGEST_WORD) {
+                throw new BadInputException("a frame at the fleet's door is too long");
+            }
+            if (length == 0 || all.length < length) {
+                return null;
+            }
+            if (all.length > length || ++said > WORDS) {
+                throw new BadInputException("too much at the fleet's door");
+            }
             read.reset();
             Sealed.Said word;
             try {
                 word = Sealed.open(codec.keys(), all);
             } catch (RefusedException e) {
-                throw new BadInputException("a frame at the fleet's door is refused: " + e.why().externalName());
+                throw new BadInputException(
+                        "a frame at the fleet's door is refused: " + e.why().externalName());
             }
             Answer answer = words.get(word.word());
-            if (!word.fleet().equals(codec.fleet()) || !word.challenge().equals(challenge) || answer == null) {
-                throw new BadInputException("a word at the fleet's door is for another fleet or connection, or unknown");
+            if (!word.fleet().equals(codec.fleet())
+                    || !word.challenge().equals(challenge)
+                    || answer == null) {
+                throw new BadInputException(
+                        "a word at the fleet's door is for another fleet or connection, or"
+                                + " unknown");
             }
-            return () -> connection.write(Sealed.frame(codec.keys(), new Sealed.Said(codec.fleet(), challenge, word.word(), answer.text(word.text()))));
+            return () ->
+                    connection.write(
+                            Sealed.frame(
+                                    codec.keys(),
+                                    new Sealed.Said(
+                                            codec.fleet(),
+                                            challenge,
+                                            word.word(),
+                                            answer.text(word.text()))));
         }
 
         @Override
--- a/src/main/java/ochretiller/fleet/peers/FleetClient.java
+++ b/src/main/java/ochretiller/fleet/peers/FleetClient.java
@@ -45,9 +45,12 @@
 
     /** What the server answers to a word and what goes with it. */
     public String ask(String word, String with) throws IOException {
-        socket.getOutputStream().write(Sealed.frame(keys, new Sealed.Said(fleet, challenge, word, with)));
+        socket.getOutputStream()
+                .write(Sealed.frame(keys, new Sealed.Said(fleet, challenge, word, with)));
         Sealed.Said said = read();
-        if (!said.challenge().equals(challenge) || !said.word().equals(word)) throw new IOException("the server answered something else");
+        if (!said.challenge().equals(challenge) || !said.word().equals(word)) {
+            throw new IOException("the server answered something else");
+        }
         return said.text();
     }
 
@@ -56,13 +59,17 @@
         byte[] head = new byte[4];
         in.readFully(head);
         int length = Sealed.length(head, head.length);
-        if (length < head.length || length > Sealed.LONGEST_ANSWER) throw new IOException("the server's answer has no good length");
+        if (length < head.length || length > Sealed.LONGEST_ANSWER) {
+            throw new IOException("the server's answer has no good length");
+        }
         byte[] frame = new byte[length];
         System.arraycopy(head, 0, frame, 0, head.length);
         in.readFully(frame, head.length, length - head.length);
         try {
             Sealed.Said said = Sealed.open(keys, frame);
-            if (!said.fleet().equals(fleet)) throw new MalformedException("the server is of fleet " + said.fleet());
+            if (!said.fleet().equals(fleet)) {
+                throw new MalformedException("the server is of fleet " + said.fleet());
+            }
             return said;
         } catch (RefusedException e) {
             throw new MalformedException("the server's answer is not sealed with this key");
--- a/src/main/java/ochretiller/fleet/peers/FleetKeys.java
+++ b/src/main/java/ochretiller/fleet/peers/FleetKeys.java
@@ -14,14 +14,16 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Keys of a fleet: the first seals, each opens, so that a key is changed by adding the new one behind the old one everywhere,
- * then putting it first, then taking the old one out.
+ * Keys of a fleet: the first seals, each opens, so that a key is changed by adding the new one
+ * behind the old one everywhere, then putting it first, then taking the old one out.
  */
 public final class FleetKeys {
     /** Bytes of a seal: half of what the hash gives, as is usual. */
     public static final int SEAL = 16;
+
     /** Shortest key in bytes, and most keys in a file. */
     private static final int SHORTEST = 16;
+
     private static final int MOST = 4;
     private static final int LONGEST_FILE = 4096;
     private static final String HASH = "HmacSHA256";
@@ -30,32 +32,51 @@
     private final ThreadLocal<List<Mac>> macs = ThreadLocal.withInitial(this::macs);
 
     private FleetKeys(List<byte[]> all) {
-        for (byte[] key : all) keys.add(new SecretKeySpec(key, HASH));
+        for (byte[] key : all) {
+            keys.add(new SecretKeySpec(key, HASH));
+        }
     }
 
     public static FleetKeys of(String... texts) {
         List<byte[]> all = new ArrayList<>();
-        for (String text : texts) all.add(text.getBytes(StandardCharsets.UTF_8));
+        for (String text : texts) {
+            all.add(text.getBytes(StandardCharsets.UTF_8));
+        }
         return new FleetKeys(all);
     }
 
-    /** A key a line; a {@link MalformedException} names what is wrong with the file, never what is in it. */
+    /**
+     * A key a line; a {@link MalformedException} names what is wrong with the file, never what is
+     * in it.
+     */
     public static FleetKeys read(Path file) {
         List<byte[]> all = new ArrayList<>();
         try {
-            if (Files.size(file) > LONGEST_FILE) throw new MalformedException("the fleet's key file " + file + " is too long");
+            if (Files.size(file) > LONGEST_FILE) {
+                throw new MalformedException("the fleet's key file " + file + " is too long");
+            }
             for (String line : Files.readAllLines(file)) {
-                if (line.isBlank()) continue;
+                if (line.isBlank()) {
+                    continue;
+                }
                 byte[] key = line.strip().getBytes(StandardCharsets.UTF_8);
                 if (key.length < SHORTEST) {
-                    throw new MalformedException("the fleet's key file " + file + " has a key of under " + SHORTEST + " bytes");
+                    throw new MalformedException(
+                            "the fleet's key file "
+                                    + file
+                                    + " has a key of under "
+                                    + SHORTEST
+                                    + " bytes");
                 }
                 all.add(key);
             }
         } catch (IOException e) {
             throw new MalformedException("cannot read the fleet's key file " + file);
         }
-        if (all.isEmpty() || all.size() > MOST) throw new MalformedException("the fleet's key file " + file + " needs 1 to " + MOST + " keys");
+        if (all.isEmpty() || all.size() > MOST) {
+            throw new MalformedException(
+                    "the fleet's key file " + file + " needs 1 to " + MOST + " keys");
+        }
         return new FleetKeys(all);
     }
 
@@ -83,7 +104,9 @@
         byte[] told = Arrays.copyOfRange(bytes, length, length + SEAL);
         for (Mac mac : macs.get()) {
             mac.update(bytes, 0, length);
-            if (MessageDigest.isEqual(Arrays.copyOf(mac.doFinal(), SEAL), told)) return true;
+            if (MessageDigest.isEqual(Arrays.copyOf(mac.doFinal(), SEAL), told)) {
+                return true;
+            }
         }
         return false;
     }
--- a/src/main/java/ochretiller/fleet/peers/FleetSettings.java
+++ b/src/main/java/ochretiller/fleet/peers/FleetSettings.java
@@ -9,14 +9,22 @@
 /**
  * A server's part in a fleet, as the operators tell it.
  *
- * @param fleet     its name; packets of others are refused
- * @param listen    where peers and the operators' commands come to
+ * @param fleet its name; packets of others are refused
+ * @param listen where peers and the operators' commands come to
  * @param advertise where peers are told to come to, if that is another address
- * @param serves    what else is told of it: where it serves
- * @param keyFile   keys that seal and open
+ * @param serves what else is told of it: where it serves
+ * @param keyFile keys that seal and open
  * @param peersFile where this server keeps whom it has seen, for its next start; or null
- * @param copies    what is kept for one another, or null
+ * @param copies what is kept for one another, or null
  */
-public record FleetSettings(String fleet, InetSocketAddress listen, Address advertise, Address serves, Path keyFile, Path peersFile,
-                            List<Address> seeds, String zone, Pace pace, CopySettings copies) {
-}
+public record FleetSettings(
+        String fleet,
+        InetSocketAddress listen,
+        Address advertise,
+        Address serves,
+        Path keyFile,
+        Path peersFile,
+        List<Address> seeds,
+        String zone,
+        Pace pace,
+        CopySettings copies) {}
--- a/src/main/java/ochretiller/fleet/peers/Former.java
+++ b/src/main/java/ochretiller/fleet/peers/Former.java
@@ -16,8 +16,8 @@
     }
 
     /**
-     * @param body       hash of what was asked for, its operation among it; of an end only
-     * @param result     null where it did not succeed
+     * @param body hash of what was asked for, its operation among it; of an end only
+     * @param result null where it did not succeed
      * @param windowEnds end of its window, of an end only
      */
     record Known(Kind kind, String body, byte[] result, Duration windowEnds) {
--- a/src/main/java/ochretiller/fleet/peers/JsonText.java
+++ b/src/main/java/ochretiller/fleet/peers/JsonText.java
@@ -9,8 +9,7 @@
 final class JsonText {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private JsonText() {
-    }
+    private JsonText() {}
 
     /** What is in the object. */
     @FunctionalInterface
