--- a/src/main/java/ochretiller/fleet/peers/KeeperDisk.java
+++ b/src/main/java/ochretiller/fleet/peers/KeeperDisk.java
@@ -19,22 +19,23 @@
 import ochretiller.fleet.copies.CopyMessage;
 import ochretiller.fleet.copies.Entry;
 import ochretiller.fleet.copies.Keeper;
-import ochretiller.fleet.epochs.Layout;
 import ochretiller.store.Ack;
 import ochretiller.store.Store;
 
 /**
- * A keeper's entries in the store of remembered results, in a space of their own: keys that no token can have begin with these
- * bytes. {@code docs/store-format.md} has the values.
+ * A keeper's entries in the store of remembered results, in a space of their own: keys that no
+ * token can have begin with these bytes. {@code docs/store-format.md} has the values.
  */
 public final class KeeperDisk {
     /** No UTF-8 text begins with either. */
     static final byte ENTRIES = (byte) 0xFF;
+
     static final byte RESULTS = (byte) 0xFE;
     private static final Logger LOG = Logger.getLogger(KeeperDisk.class.getName());
     private static final CBORFactory CBOR = new CBORFactory();
     private static final byte[] PLACE = {ENTRIES, 0};
     private static final byte[] NONE = {};
+
     /** Longest token, in bytes, that fits a key beside the names of its claim. */
     private static final int LONGEST_TOKEN = 200;
 
@@ -44,31 +45,33 @@
     /**
      * What a start has found.
      *
-     * @param disk    null where there is nothing, or what is there may lack something
+     * @param disk null where there is nothing, or what is there may lack something
      * @param entries what is there in any case: each of them is true
-     * @param place   what else is there
+     * @param place what else is there
      */
-    record Found(Keeper.Disk disk, Map<String, Entry> entries, long number, Place place) {
-    }
+    record Found(Keeper.Disk disk, Map<String, Entry> entries, long number, Place place) {}
 
     /**
      * What goes with a keeper's place.
      *
-     * @param heard  numbers of others' changes that this server has heard of
+     * @param heard numbers of others' changes that this server has heard of
      * @param starts of this server's processes that had this disk, the last of them
      */
     record Place(Map<String, Long> heard, List<Long> starts) {
         static final Place NONE = new Place(Map.of(), List.of());
     }
 
-    /** @param longest the longest life of an entry */
+    /**
+     * @param longest the longest life of an entry
+     */
     KeeperDisk(Store store, Duration longest) {
         this.store = store;
         this.longest = longest;
     }
 
     static boolean fits(String token) {
-        return token.length() <= LONGEST_TOKEN && token.getBytes(StandardCharsets.UTF_8).length <= LONGEST_TOKEN;
+        return token.length() <= LONGEST_TOKEN
+                && token.getBytes(StandardCharsets.UTF_8).length <= LONGEST_TOKEN;
     }
 
     /** What a former process has left, before the store is started. */
@@ -80,30 +83,58 @@
         long storeNow = store.now();
         boolean[] good = {store.damagedUntil() <= storeNow};
         try {
-            store.each(ENTRIES, (key, value, expires) -> {
-                try (CBORParser in = CBOR.createParser(value)) {
-                    Codec.start(in);
-                    number[0] = Math.max(number[0], Codec.number(in));
-                    if (key.length == PLACE.length && key[1] == PLACE[1]) {
-                        place[0] = new Keeper.Disk(CopyCodec.layout(in), Map.of(), ranges(in), ranges(in), ranges(in), 0, true);
-                        with[0] = new Place(CopyCodec.heard(in), Codec.numbers(in));
-                        return;
-                    }
-                    Codec.start(in);
-                    CopyMessage.Item item = CopyCodec.item(in);
-                    entries.put(item.token(), new Entry(item.entry().claims(), item.entry().released(), item.entry().outcomes(),
-                        now.plusMillis(expires - storeNow)));
-                } catch (IOException | IllegalArgumentException e) {
-                    good[0] = false; // whole by its sum, and not as this program writes it
-                }
-            });
+            store.each(
+                    ENTRIES,
+                    (key, value, expires) -> {
+                        try (CBORParser in = CBOR.createParser(value)) {
+                            Codec.start(in);
+                            number[0] = Math.max(number[0], Codec.number(in));
+                            if (key.length == PLACE.length && key[1] == PLACE[1]) {
+                                place[0] =
+                                        new Keeper.Disk(
+                                                CopyCodec.layout(in),
+                                                Map.of(),
+                                                ranges(in),
+                                                ranges(in),
+                                                ranges(in),
+                                                0,
+                                                true);
+                                with[0] = new Place(CopyCodec.heard(in), Codec.numbers(in));
+                                return;
+                            }
+                            Codec.start(in);
+                            CopyMessage.Item item = CopyCodec.item(in);
+                            entries.put(
+                                    item.token(),
+                                    new Entry(
+                                            item.entry().claims(),
+                                            item.entry().released(),
+                                            item.entry().outcomes(),
+                                            now.plusMillis(expires - storeNow)));
+                        } catch (IOException | IllegalArgumentException e) {
+                            good[0] = false; // whole by its sum, and not as this program writes it
+                        }
+                    });
         } catch (IOException e) {
             good[0] = false;
             LOG.warning("the keeper's entries cannot be read: " + e.getMessage());
         }
-        if (!good[0] && place[0] != null) LOG.severe("fleet: what this server kept may lack something, and is fetched from the others");
-        Keeper.Disk disk = place[0] == null || !good[0] ? null
-            : new Keeper.Disk(place[0].layout(), entries, place[0].behind(), place[0].forgot(), place[0].lost(), number[0], true);
+        if (!good[0] && place[0] != null) {
+            LOG.severe(
+                    "fleet: what this server kept may lack something, and is fetched from the"
+                            + " others");
+        }
+        Keeper.Disk disk =
+                place[0] == null || !good[0]
+                        ? null
+                        : new Keeper.Disk(
+                                place[0].layout(),
+                                entries,
+                                place[0].behind(),
+                                place[0].forgot(),
+                                place[0].lost(),
+                                number[0],
+                                true);
         return new Found(disk, entries, number[0], with[0]);
     }
 
@@ -125,36 +156,69 @@
 
     private long expires(Duration until, Duration now) {
         // No life is longer than the store allows, whatever a peer has said.
-        return store.now() + Math.max(1, Math.min(until.minus(now).toMillis(), longest.toMillis() - 1));
+        return store.now()
+                + Math.max(1, Math.min(until.minus(now).toMillis(), longest.toMillis() - 1));
     }
 
     /** Writes what the keeper has now; {@code then} is told whether that is durable. */
-    void write(Commit.Write write, Keeper keeper, Place with, Duration now, Consumer<Boolean> then) {
+    void write(
+            Commit.Write write, Keeper keeper, Place with, Duration now, Consumer<Boolean> then) {
         if (write.token() == null) {
             Keeper.Disk place = keeper.place();
-            store.put(PLACE, NONE, bytes(to -> {
-                to.writeNumber(place.number());
-                CopyCodec.layout(to, place.layout());
-                ranges(to, place.behind());
-                ranges(to, place.forgot());
-                ranges(to, place.lost());
-                CopyCodec.heard(to, with.heard());
-                Codec.numbers(to, with.starts());
-            }), store.now() + longest.toMillis() - 1, false, ack -> then.accept(ack == Ack.DURABLE));
+            store.put(
+                    PLACE,
+                    NONE,
+                    bytes(
+                            to -> {
+                                to.writeNumber(place.number());
+                                CopyCodec.layout(to, place.layout());
+                                ranges(to, place.behind());
+                                ranges(to, place.forgot());
+                                ranges(to, place.lost());
+                                CopyCodec.heard(to, with.heard());
+                                Codec.numbers(to, with.starts());
+                            }),
+                    store.now() + longest.toMillis() - 1,
+                    false,
+                    ack -> then.accept(ack == Ack.DURABLE));
             return;
         }
         Entry entry = keeper.entry(write.token());
         long number = keeper.number(write.token());
         Duration left = entry.until().minus(now);
-        store.put(key(ENTRIES, write.token()), NONE, bytes(to -> {
-            to.writeNumber(number);
-            CopyCodec.item(to, new CopyMessage.Item(write.token(), entry, left.isNegative() ? Duration.ZERO : left));
-        }), expires(entry.until(), now), false, ack -> then.accept(ack == Ack.DURABLE));
+        store.put(
+                key(ENTRIES, write.token()),
+                NONE,
+                bytes(
+                        to -> {
+                            to.writeNumber(number);
+                            CopyCodec.item(
+                                    to,
+                                    new CopyMessage.Item(
+                                            write.token(),
+                                            entry,
+                                            left.isNegative() ? Duration.ZERO : left));
+                        }),
+                expires(entry.until(), now),
+                false,
+                ack -> then.accept(ack == Ack.DURABLE));
     }
 
     /** Keeps a long result as long as its entry. */
-    void keep(String token, ClaimId id, byte[] result, Duration until, Duration now, Consumer<Boolean> then) {
-        store.put(key(RESULTS, token + ' ' + id), NONE, result, expires(until, now), false, ack -> then.accept(ack == Ack.DURABLE));
+    void keep(
+            String token,
+            ClaimId id,
+            byte[] result,
+            Duration until,
+            Duration now,
+            Consumer<Boolean> then) {
+        store.put(
+                key(RESULTS, token + ' ' + id),
+                NONE,
+                result,
+                expires(until, now),
+                false,
+                ack -> then.accept(ack == Ack.DURABLE));
     }
 
     void result(String token, ClaimId id, Consumer<byte[]> then) {
@@ -178,11 +242,20 @@
         return out.toByteArray();
     }
 
-    /** What a key of these spaces is about, for those who look at a store from outside; null for a key of another space. */
+    /**
+     * What a key of these spaces is about, for those who look at a store from outside; null for a
+     * key of another space.
+     */
     public static String about(byte[] key) {
-        if (key.length < PLACE.length || key[0] != ENTRIES && key[0] != RESULTS) return null;
+        if (key.length < PLACE.length || key[0] != ENTRIES && key[0] != RESULTS) {
+            return null;
+        }
         String text = new String(key, 1, key.length - 1, StandardCharsets.UTF_8);
-        if (key[0] == RESULTS) return "a long result kept for the fleet: " + text;
-        return key.length == PLACE.length && key[1] == PLACE[1] ? "this server's place in its fleet" : "kept for the fleet: " + text;
+        if (key[0] == RESULTS) {
+            return "a long result kept for the fleet: " + text;
+        }
+        return key.length == PLACE.length && key[1] == PLACE[1]
+                ? "this server's place in its fleet"
+                : "kept for the fleet: " + text;
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/PeerBudget.java
+++ b/src/main/java/ochretiller/fleet/peers/PeerBudget.java
@@ -5,15 +5,22 @@
 import ochretiller.bounds.Bounded;
 
 /**
- * How many packets and bytes each peer may send, counted by the address that they come from, before anything is opened: a flood
- * costs a look-up and delays nobody else. Used by the reading thread alone.
+ * How many packets and bytes each peer may send, counted by the address that they come from, before
+ * anything is opened: a flood costs a look-up and delays nobody else. Used by the reading thread
+ * alone.
  */
 final class PeerBudget {
-    /** A server sends some 20 packets a second to all others together, and some more for each tokened invocation. */
+    /**
+     * A server sends some 20 packets a second to all others together, and some more for each
+     * tokened invocation.
+     */
     private static final double PACKETS = 2_000;
+
     private static final double BYTES = 2_000_000;
+
     /** What all together may send: the seals of it take a tenth of a core. */
     private static final double ALL_PACKETS = 12_000;
+
     /** Addresses that are told apart; a flood from more of them meets the bound on all. */
     private static final int PEERS = 4096;
 
@@ -33,7 +40,9 @@
             at = now;
             packets = Math.min(mostPackets, packets + seconds * mostPackets);
             bytes = Math.min(mostBytes, bytes + seconds * mostBytes);
-            if (packets < 1 || bytes < size) return false;
+            if (packets < 1 || bytes < size) {
+                return false;
+            }
             packets--;
             bytes -= size;
             return true;
@@ -49,6 +58,7 @@
 
     boolean take(InetSocketAddress from, int size, long now) {
         Bucket mine = peers.computeIfAbsent(from, ignored -> new Bucket(PACKETS, BYTES, now));
-        return mine.take(PACKETS, BYTES, size, now) && all.take(ALL_PACKETS, ALL_PACKETS * Codec.LONGEST, size, now);
+        return mine.take(PACKETS, BYTES, size, now)
+                && all.take(ALL_PACKETS, ALL_PACKETS * Codec.LONGEST, size, now);
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/peers/PeerSocket.java
@@ -16,14 +16,17 @@
 import ochretiller.net.Schedule;
 
 /**
- * Datagrams of a fleet. One thread reads, holds each packet against the bounds, opens it and hands it to the schedule; sending
- * is the schedule's and never waits. A channel of the JDK's and not MINA's acceptor: that keeps a session for each address that
- * ever sent, and a flood from made-up addresses would fill the memory.
+ * Datagrams of a fleet. One thread reads, holds each packet against the bounds, opens it and hands
+ * it to the schedule; sending is the schedule's and never waits. A channel of the JDK's and not
+ * MINA's acceptor: that keeps a session for each address that ever sent, and a flood from made-up
+ * addresses would fill the memory.
  */
 final class PeerSocket {
     private static final Logger LOG = Logger.getLogger(PeerSocket.class.getName());
+
     /** Packets that wait for the one thread: a comparison of views, many times over. */
     private static final int BEHIND = 1024;
+
     /** The kernel's room for what is not read yet: a second's pause at a comparison of views. */
     private static final int ROOM = 512 * 1024;
 
@@ -41,7 +44,9 @@
     final LongAdder readBytes = new LongAdder();
     final LongAdder unsent = new LongAdder();
 
-    PeerSocket(Schedule schedule, Codec codec, InetSocketAddress listen, Consumer<Codec.Opened> taker) throws IOException {
+    PeerSocket(
+            Schedule schedule, Codec codec, InetSocketAddress listen, Consumer<Codec.Opened> taker)
+            throws IOException {
         this.schedule = schedule;
         this.codec = codec;
         this.taker = taker;
@@ -51,7 +56,11 @@
             channel.bind(listen);
         } catch (IOException e) {
             channel.close();
-            throw new IOException("cannot listen for the fleet on " + listen + ": it is in use or not this machine's", e);
+            throw new IOException(
+                    "cannot listen for the fleet on "
+                            + listen
+                            + ": it is in use or not this machine's",
+                    e);
         }
         channel.configureBlocking(false);
         selector = Selector.open();
@@ -73,18 +82,22 @@
     }
 
     private void read() {
-        ByteBuffer buffer = ByteBuffer.allocate(Codec.LONGEST + 1); // one byte more shows what is too long
+        ByteBuffer buffer =
+                ByteBuffer.allocate(Codec.LONGEST + 1); // one byte more shows what is too long
         PeerBudget budget = new PeerBudget(System.nanoTime());
         while (channel.isOpen()) {
             try {
                 selector.select();
                 selector.selectedKeys().clear();
                 InetSocketAddress from;
-                while ((from = (InetSocketAddress) channel.receive(buffer.clear())) != null) taken(buffer, from, budget);
+                while ((from = (InetSocketAddress) channel.receive(buffer.clear())) != null) {
+                    taken(buffer, from, budget);
+                }
             } catch (ClosedSelectorException e) {
                 return;
             } catch (IOException e) {
-                // A refused packet of ours comes back as a fault of the socket: it says nothing of what others send.
+                // A refused packet of ours comes back as a fault of the socket: it says nothing of
+                // what others send.
                 LOG.fine(() -> "fleet's socket: " + e.getMessage());
             }
         }
@@ -114,13 +127,17 @@
             refuse(Refused.BEHIND);
             return;
         }
-        schedule.post(() -> {
-            behind.decrementAndGet();
-            taker.accept(opened);
-        });
+        schedule.post(
+                () -> {
+                    behind.decrementAndGet();
+                    taker.accept(opened);
+                });
     }
 
-    /** Sends, or counts that it could not: what is lost here is said again as what is lost on the way. */
+    /**
+     * Sends, or counts that it could not: what is lost here is said again as what is lost on the
+     * way.
+     */
     void send(InetSocketAddress to, byte[] bytes) {
         try {
             if (channel.send(ByteBuffer.wrap(bytes), to) == bytes.length) {
--- a/src/main/java/ochretiller/fleet/peers/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/peers/PeersFile.java
@@ -6,7 +6,10 @@
 import java.util.logging.Logger;
 import ochretiller.fleet.members.Address;
 
-/** Addresses of those whom a server has seen, for its next start. It is a hint: what is damaged is passed over, and written anew. */
+/**
+ * Addresses of those whom a server has seen, for its next start. It is a hint: what is damaged is
+ * passed over, and written anew.
+ */
 final class PeersFile {
     private static final Logger LOG = Logger.getLogger(PeersFile.class.getName());
 
@@ -25,27 +28,46 @@
             List<Address> all = sealed.read(in -> Codec.list(in, () -> Address.of(in.getText())));
             return all == null ? List.of() : all;
         } catch (IOException e) {
-            LOG.warning(() -> "fleet: whom this server knew cannot be read from " + file + ", it asks its seeds alone: "
-                + (e instanceof SealedFile.DamagedException ? "damaged" : e.getMessage()));
+            LOG.warning(
+                    () ->
+                            "fleet: whom this server knew cannot be read from "
+                                    + file
+                                    + ", it asks its seeds alone: "
+                                    + (e instanceof SealedFile.DamagedException
+                                            ? "damaged"
+                                            : e.getMessage()));
             return List.of();
         }
     }
 
-    /** Kept in the background; where the last one is still being written, this one is not: there will be another. */
+    /**
+     * Kept in the background; where the last one is still being written, this one is not: there
+     * will be another.
+     */
     void write(List<Address> all) {
-        writes.take(() -> {
-            try {
-                sealed.write(to -> {
-                    to.writeStartArray();
-                    for (Address each : all) to.writeString(each.toString());
-                    to.writeEndArray();
+        writes.take(
+                () -> {
+                    try {
+                        sealed.write(
+                                to -> {
+                                    to.writeStartArray();
+                                    for (Address each : all) {
+                                        to.writeString(each.toString());
+                                    }
+                                    to.writeEndArray();
+                                });
+                        sick = false;
+                    } catch (IOException e) {
+                        if (!sick) {
+                            LOG.warning(
+                                    "fleet: whom this server sees cannot be kept in "
+                                            + file
+                                            + ": "
+                                            + e.getMessage());
+                        }
+                        sick = true;
+                    }
                 });
-                sick = false;
-            } catch (IOException e) {
-                if (!sick) LOG.warning("fleet: whom this server sees cannot be kept in " + file + ": " + e.getMessage());
-                sick = true;
-            }
-        });
     }
 
     void close() {
--- a/src/main/java/ochretiller/fleet/peers/Refused.java
+++ b/src/main/java/ochretiller/fleet/peers/Refused.java
@@ -31,7 +31,10 @@
         this.externalName = externalName;
     }
 
-    /** The word by which metrics, JSON and log lines name it; it stays whatever the constant is called. */
+    /**
+     * The word by which metrics, JSON and log lines name it; it stays whatever the constant is
+     * called.
+     */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/fleet/peers/SealedFile.java
+++ b/src/main/java/ochretiller/fleet/peers/SealedFile.java
@@ -14,7 +14,10 @@
 import java.nio.file.StandardOpenOption;
 import java.util.zip.CRC32C;
 
-/** A small file that is replaced as a whole: an array in CBOR, and its CRC-32C in eight bytes. Not for the one thread. */
+/**
+ * A small file that is replaced as a whole: an array in CBOR, and its CRC-32C in eight bytes. Not
+ * for the one thread.
+ */
 final class SealedFile {
     private static final CBORFactory CBOR = new CBORFactory();
     private static final int LONGEST = 1 << 20;
@@ -37,17 +40,27 @@
         void to(CBORGenerator out) throws IOException;
     }
 
-    /** What is there, or null where there is no file; a {@link DamagedException} where it is not what was written. */
+    /**
+     * What is there, or null where there is no file; a {@link DamagedException} where it is not
+     * what was written.
+     */
     <T> T read(Reads<T> reads) throws IOException {
         byte[] bytes;
         try {
-            if (Files.size(file) > LONGEST) throw new DamagedException();
+            if (Files.size(file) > LONGEST) {
+                throw new DamagedException();
+            }
             bytes = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
             return null;
         }
-        if (bytes.length < SUM) throw new DamagedException();
-        if (sum(bytes, bytes.length - SUM) != ByteBuffer.wrap(bytes, bytes.length - SUM, SUM).getLong()) throw new DamagedException();
+        if (bytes.length < SUM) {
+            throw new DamagedException();
+        }
+        if (sum(bytes, bytes.length - SUM)
+                != ByteBuffer.wrap(bytes, bytes.length - SUM, SUM).getLong()) {
+            throw new DamagedException();
+        }
         try (CBORParser in = CBOR.createParser(bytes, 0, bytes.length - SUM)) {
             Codec.start(in);
             return reads.from(in);
@@ -59,7 +72,6 @@
     /** Whole by no means, or not as this program writes it. */
     static final class DamagedException extends IOException {
         private static final long serialVersionUID = 1;
-        
     }
 
     private static long sum(byte[] bytes, int length) {
@@ -81,12 +93,22 @@
         replace(file, out.toByteArray());
     }
 
-    /** Puts these bytes in the place of a file, or leaves it as it was; durable with its name once it returns. */
+    /**
+     * Puts these bytes in the place of a file, or leaves it as it was; durable with its name once
+     * it returns.
+     */
     static void replace(Path file, byte[] all) throws IOException {
         Path half = file.resolveSibling(file.getFileName() + ".tmp");
-        try (FileChannel channel = FileChannel.open(half, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel channel =
+                FileChannel.open(
+                        half,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer bytes = ByteBuffer.wrap(all);
-            while (bytes.hasRemaining()) channel.write(bytes);
+            while (bytes.hasRemaining()) {
+                channel.write(bytes);
+            }
             channel.force(true);
         }
         Files.move(half, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
--- a/src/main/java/ochretiller/fleet/peers/Shelf.java
+++ b/src/main/java/ochretiller/fleet/peers/Shelf.java
@@ -8,21 +8,26 @@
 import java.util.function.Consumer;
 import ochretiller.fleet.copies.ClaimId;
 
-/** Long results that this server keeps: on the disk, with those that were asked for last in memory, or in memory alone. */
+/**
+ * Long results that this server keeps: on the disk, with those that were asked for last in memory,
+ * or in memory alone.
+ */
 final class Shelf {
     /** Characters of results read lately: a repeat fetches one piece by piece. */
     private static final long LATELY = 2L << 20;
 
     /** Null where all is kept in memory. */
     private final KeeperDisk disk;
+
     private final long most;
     private final Map<String, Held> held = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
-    private record Held(String result, Duration until) {
-    }
+    private record Held(String result, Duration until) {}
 
-    /** @param most bytes that are kept in memory where there is no disk */
+    /**
+     * @param most bytes that are kept in memory where there is no disk
+     */
     Shelf(KeeperDisk disk, long most) {
         this.disk = disk;
         this.most = disk == null ? most : LATELY;
@@ -35,20 +40,30 @@
     private void hold(String token, ClaimId id, String result, Duration until) {
         Held old = held.put(name(token, id), new Held(result, until));
         bytes += result.length() - (old == null ? 0 : old.result.length());
-        for (Iterator<Held> each = held.values().iterator(); bytes > most && each.hasNext();) {
+        for (Iterator<Held> each = held.values().iterator(); bytes > most && each.hasNext(); ) {
             bytes -= each.next().result.length();
             each.remove();
         }
     }
 
     /** Keeps it; told whether that will outlive what this server promises to outlive. */
-    void keep(String token, ClaimId id, String result, Duration until, Duration now, Consumer<Boolean> then) {
+    void keep(
+            String token,
+            ClaimId id,
+            String result,
+            Duration until,
+            Duration now,
+            Consumer<Boolean> then) {
         if (disk == null) {
-            held.values().removeIf(each -> {
-                if (each.until.compareTo(now) > 0) return false;
-                bytes -= each.result.length();
-                return true;
-            });
+            held.values()
+                    .removeIf(
+                            each -> {
+                                if (each.until.compareTo(now) > 0) {
+                                    return false;
+                                }
+                                bytes -= each.result.length();
+                                return true;
+                            });
             // In memory nothing that is kept makes way for what comes.
             if (bytes + result.length() > most) {
                 then.accept(false);
@@ -58,10 +73,18 @@
             then.accept(true);
             return;
         }
-        disk.keep(token, id, result.getBytes(StandardCharsets.ISO_8859_1), until, now, durable -> {
-            if (durable) hold(token, id, result, until);
-            then.accept(durable);
-        });
+        disk.keep(
+                token,
+                id,
+                result.getBytes(StandardCharsets.ISO_8859_1),
+                until,
+                now,
+                durable -> {
+                    if (durable) {
+                        hold(token, id, result, until);
+                    }
+                    then.accept(durable);
+                });
     }
 
     /** The result, or null where it is not kept here. */
@@ -71,10 +94,16 @@
             then.accept(known == null ? null : known.result);
             return;
         }
-        disk.result(token, id, read -> {
-            String result = read == null ? null : new String(read, StandardCharsets.ISO_8859_1);
-            if (result != null) hold(token, id, result, Duration.ZERO);
-            then.accept(result);
-        });
+        disk.result(
+                token,
+                id,
+                read -> {
+                    String result =
+                            read == null ? null : new String(read, StandardCharsets.ISO_8859_1);
+                    if (result != null) {
+                        hold(token, id, result, Duration.ZERO);
+                    }
+                    then.accept(result);
+                });
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/SmallWrites.java
+++ b/src/main/java/ochretiller/fleet/peers/SmallWrites.java
@@ -11,13 +11,22 @@
 
     private final ThreadPoolExecutor thread;
 
-    /** @param most writes that wait; what comes on top is not taken */
+    /**
+     * @param most writes that wait; what comes on top is not taken
+     */
     SmallWrites(String name, int most) {
-        thread = new ThreadPoolExecutor(0, 1, IDLE_S, TimeUnit.SECONDS, new ArrayBlockingQueue<>(most), work -> {
-            Thread each = new Thread(work, name);
-            each.setDaemon(true);
-            return each;
-        });
+        thread =
+                new ThreadPoolExecutor(
+                        0,
+                        1,
+                        IDLE_S,
+                        TimeUnit.SECONDS,
+                        new ArrayBlockingQueue<>(most),
+                        work -> {
+                            Thread each = new Thread(work, name);
+                            each.setDaemon(true);
+                            return each;
+                        });
     }
 
     /** Whether it will be carried out. */
--- a/src/main/java/ochretiller/fleet/peers/VersionCodec.java
+++ b/src/main/java/ochretiller/fleet/peers/VersionCodec.java
@@ -9,14 +9,22 @@
 import ochretiller.fleet.versions.Report;
 import ochretiller.fleet.versions.VersionMessage;
 
-/** Bodies of what is said about versions, kinds 48 to 63 of the envelope; {@code docs/fleet-wire.md}. */
+/**
+ * Bodies of what is said about versions, kinds 48 to 63 of the envelope; {@code
+ * docs/fleet-wire.md}.
+ */
 final class VersionCodec {
     private static final int FIRST = 48;
-    private static final List<Class<?>> KINDS = List.of(VersionMessage.Tell.class, VersionMessage.Renewed.class, VersionMessage.WantBytes.class, VersionMessage.Bytes.class,
-        VersionMessage.Offer.class, VersionMessage.Have.class);
+    private static final List<Class<?>> KINDS =
+            List.of(
+                    VersionMessage.Tell.class,
+                    VersionMessage.Renewed.class,
+                    VersionMessage.WantBytes.class,
+                    VersionMessage.Bytes.class,
+                    VersionMessage.Offer.class,
+                    VersionMessage.Have.class);
 
-    private VersionCodec() {
-    }
+    private VersionCodec() {}
 
     static int kind(Object message) {
         return FIRST + KINDS.indexOf(message.getClass());
@@ -60,22 +68,42 @@
 
     static VersionMessage read(CBORParser in, int kind) throws IOException {
         Codec.start(in);
-        VersionMessage message = switch (kind - FIRST) {
-            case 0 -> new VersionMessage.Tell(Codec.number(in),
-                new Report(Codec.number(in), Codec.text(in), Codec.number(in), Codec.text(in), Codec.number(in), counts(in), counts(in)), Codec.number(in), Codec.text(in));
-            case 1 -> new VersionMessage.Renewed(Codec.number(in), Codec.bool(in));
-            case 2 -> new VersionMessage.WantBytes(Codec.text(in), Math.toIntExact(Codec.number(in)));
-            case 3 -> new VersionMessage.Bytes(Codec.text(in), Math.toIntExact(Codec.number(in)), bytes(in));
-            case 4 -> new VersionMessage.Offer(Codec.text(in), Math.toIntExact(Codec.number(in)));
-            case 5 -> new VersionMessage.Have(Codec.text(in));
-            default -> throw new IllegalArgumentException("no kind");
-        };
+        VersionMessage message =
+                switch (kind - FIRST) {
+                    case 0 ->
+                            new VersionMessage.Tell(
+                                    Codec.number(in),
+                                    new Report(
+                                            Codec.number(in),
+                                            Codec.text(in),
+                                            Codec.number(in),
+                                            Codec.text(in),
+                                            Codec.number(in),
+                                            counts(in),
+                                            counts(in)),
+                                    Codec.number(in),
+                                    Codec.text(in));
+                    case 1 -> new VersionMessage.Renewed(Codec.number(in), Codec.bool(in));
+                    case 2 ->
+                            new VersionMessage.WantBytes(
+                                    Codec.text(in), Math.toIntExact(Codec.number(in)));
+                    case 3 ->
+                            new VersionMessage.Bytes(
+                                    Codec.text(in), Math.toIntExact(Codec.number(in)), bytes(in));
+                    case 4 ->
+                            new VersionMessage.Offer(
+                                    Codec.text(in), Math.toIntExact(Codec.number(in)));
+                    case 5 -> new VersionMessage.Have(Codec.text(in));
+                    default -> throw new IllegalArgumentException("no kind");
+                };
         Codec.end(in);
         return message;
     }
 
     private static byte[] bytes(CBORParser in) throws IOException {
-        if (in.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) throw new IllegalArgumentException("no bytes");
+        if (in.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) {
+            throw new IllegalArgumentException("no bytes");
+        }
         return in.getBinaryValue();
     }
 
@@ -89,12 +117,20 @@
     }
 
     private static Counts counts(CBORParser in) throws IOException {
-        return new Counts(Codec.number(in), Codec.number(in), Codec.number(in), Codec.number(in), real(in), real(in));
+        return new Counts(
+                Codec.number(in),
+                Codec.number(in),
+                Codec.number(in),
+                Codec.number(in),
+                real(in),
+                real(in));
     }
 
     private static double real(CBORParser in) throws IOException {
         JsonToken token = in.nextToken();
-        if (token == null || !token.isNumeric()) throw new IllegalArgumentException("no number");
+        if (token == null || !token.isNumeric()) {
+            throw new IllegalArgumentException("no number");
+        }
         return in.getDoubleValue();
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/Waits.java
+++ b/src/main/java/ochretiller/fleet/peers/Waits.java
@@ -25,6 +25,8 @@
 
     double seconds(double percentile) {
         long[] all = sorted;
-        return all.length == 0 ? 0 : all[(int) Math.min(all.length - 1, all.length * percentile / 100)] / 1e9;
+        return all.length == 0
+                ? 0
+                : all[(int) Math.min(all.length - 1, all.length * percentile / 100)] / 1e9;
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/Window.java
+++ b/src/main/java/ochretiller/fleet/peers/Window.java
@@ -3,10 +3,14 @@
 import java.util.Map;
 import ochretiller.bounds.Bounded;
 
-/** Which packets of each start were taken, so that none is taken twice: the last thousand of each, and the last starts. */
+/**
+ * Which packets of each start were taken, so that none is taken twice: the last thousand of each,
+ * and the last starts.
+ */
 final class Window {
     /** Packets of one start that may overtake one another: some seconds of what a server sends. */
     private static final int WIDTH = 1024;
+
     /** Starts that are remembered: more than a fleet has. */
     private static final int STARTS = 4096;
 
@@ -17,8 +21,13 @@
         boolean take(long sequence) {
             if (sequence > highest) {
                 long steps = sequence - highest;
-                if (steps >= WIDTH) java.util.Arrays.fill(bits, 0);
-                else for (long at = highest + 1; at <= sequence; at++) set(at, false);
+                if (steps >= WIDTH) {
+                    java.util.Arrays.fill(bits, 0);
+                } else {
+                    for (long at = highest + 1; at <= sequence; at++) {
+                        set(at, false);
+                    }
+                }
                 highest = sequence;
             } else if (sequence <= highest - WIDTH || get(sequence)) {
                 return false;
@@ -34,8 +43,11 @@
 
         private void set(long sequence, boolean to) {
             int at = (int) Math.floorMod(sequence, (long) WIDTH);
-            if (to) bits[at / Long.SIZE] |= 1L << at % Long.SIZE;
-            else bits[at / Long.SIZE] &= ~(1L << at % Long.SIZE);
+            if (to) {
+                bits[at / Long.SIZE] |= 1L << at % Long.SIZE;
+            } else {
+                bits[at / Long.SIZE] &= ~(1L << at % Long.SIZE);
+            }
         }
     }
 
--- a/src/main/java/ochretiller/fleet/peers/package-info.java
+++ b/src/main/java/ochretiller/fleet/peers/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Bytes between peers: one envelope, one codec, datagrams on a socket of their own, bounds at the door. Nothing is decided here.
+ * Bytes between peers: one envelope, one codec, datagrams on a socket of their own, bounds at the
+ * door. Nothing is decided here.
  */
 package ochretiller.fleet.peers;
--- a/src/main/java/ochretiller/fleet/versions/Doorkeeper.java
+++ b/src/main/java/ochretiller/fleet/versions/Doorkeeper.java
@@ -10,29 +10,38 @@
 import ochretiller.fleet.epochs.Rollout;
 
 /**
- * Whose lease a voter renews: those that act on a version that is in force for them, and for a stated while those that have just come to
- * their turn. Who is behind is let run out; who has caught up is let in again, few at a time.
+ * Whose lease a voter renews: those that act on a version that is in force for them, and for a
+ * stated while those that have just come to their turn. Who is behind is let run out; who has
+ * caught up is let in again, few at a time.
  */
 public final class Doorkeeper {
-    /** Part of the servers that may be shut out: where more are behind, nobody is, since that would be worse than what is behind. */
+    /**
+     * Part of the servers that may be shut out: where more are behind, nobody is, since that would
+     * be worse than what is behind.
+     */
     static final double MOST_OUT = 0.34;
+
     /** Servers that are let in again in a second. */
     private static final double BACK_RATE = 2;
+
     private static final double BACK_BURST = 2;
 
     private final Duration grace;
     private final RandomGenerator chance;
     private final Set<String> out = new HashSet<>();
+
     /** What is in force for each server, and since when, as this voter knows. */
     private final Map<String, Turn> turns = new HashMap<>();
+
     private Layout last;
     private double back = BACK_BURST;
     private Duration backAt = Duration.ZERO;
 
-    private record Turn(Rollout.Version target, Duration since) {
-    }
+    private record Turn(Rollout.Version target, Duration since) {}
 
-    /** @param grace how long a server may take to come to act on what is in force for it */
+    /**
+     * @param grace how long a server may take to come to act on what is in force for it
+     */
     public Doorkeeper(Duration grace, RandomGenerator chance) {
         this.grace = grace;
         this.chance = chance;
@@ -53,7 +62,11 @@
         out.retainAll(reports.keySet());
         turns.keySet().removeIf(each -> !reports.containsKey(each) && !layout.has(each));
         int late = 0;
-        for (Map.Entry<String, Report> each : reports.entrySet()) if (late(layout, each.getKey(), each.getValue(), now)) late++;
+        for (Map.Entry<String, Report> each : reports.entrySet()) {
+            if (late(layout, each.getKey(), each.getValue(), now)) {
+                late++;
+            }
+        }
         boolean mine = reports.containsKey(name) && late(layout, name, reports.get(name), now);
         // Of all that there are: a voter that hears few must not take those for the fleet.
         int all = Math.max(reports.size(), layout.servers().size());
@@ -61,27 +74,46 @@
             out.add(name);
             return false;
         }
-        if (mine || !out.contains(name)) return true;
+        if (mine || !out.contains(name)) {
+            return true;
+        }
         // Guards against all at once: those that were shut out together would come back together.
-        back = Math.min(BACK_BURST, back + Math.max(0, now.minus(backAt).toNanos() / 1e9) * BACK_RATE);
+        back =
+                Math.min(
+                        BACK_BURST,
+                        back + Math.max(0, now.minus(backAt).toNanos() / 1e9) * BACK_RATE);
         backAt = now;
-        if (back < 1 || chance.nextInt(2) == 0) return false;
+        if (back < 1 || chance.nextInt(2) == 0) {
+            return false;
+        }
         back--;
         out.remove(name);
         return true;
     }
 
-    /** This is in force: time counts from here, and not from a server's next word. One that could not be heard meanwhile has had its time. */
+    /**
+     * This is in force: time counts from here, and not from a server's next word. One that could
+     * not be heard meanwhile has had its time.
+     */
     public void become(Layout layout, Duration now) {
-        if (layout.equals(last)) return;
+        if (layout.equals(last)) {
+            return;
+        }
         last = layout;
-        for (Layout.Server each : layout.servers()) turn(layout, each.name(), now);
-        for (String each : Set.copyOf(turns.keySet())) turn(layout, each, now);
+        for (Layout.Server each : layout.servers()) {
+            turn(layout, each.name(), now);
+        }
+        for (String each : Set.copyOf(turns.keySet())) {
+            turn(layout, each, now);
+        }
     }
 
     private Turn turn(Layout layout, String name, Duration now) {
         Rollout.Version target = Stages.target(layout, name);
-        return turns.merge(name, new Turn(target, now), (before, next) -> before.target.equals(target) ? before : next);
+        return turns.merge(
+                name,
+                new Turn(target, now),
+                (before, next) -> before.target.equals(target) ? before : next);
     }
 
     private boolean late(Layout layout, String name, Report report, Duration now) {
--- a/src/main/java/ochretiller/fleet/versions/Stages.java
+++ b/src/main/java/ochretiller/fleet/versions/Stages.java
@@ -12,18 +12,20 @@
 import ochretiller.fleet.epochs.Rollout;
 
 /**
- * Which servers act on a version at a stage of its rollout: one; a quarter, spread over the zones; all. Each server can tell by
- * itself, and all tell the same of one layout. Another version draws others, so that it is not always the same ones that are first.
+ * Which servers act on a version at a stage of its rollout: one; a quarter, spread over the zones;
+ * all. Each server can tell by itself, and all tell the same of one layout. Another version draws
+ * others, so that it is not always the same ones that are first.
  */
 public final class Stages {
     /** The stage at which all act on it. */
     public static final int ALL = 2;
+
     /** Part of all servers, and of each zone, at the stage before. */
     private static final int PART = 4;
+
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    private Stages() {
-    }
+    private Stages() {}
 
     private static long draw(long number, String name) {
         return HASH.hashLongs(new long[] {number, HASH.hashChars(name)}) >>> 1;
@@ -38,8 +40,12 @@
     /** Whether a server has come to its turn. */
     public static boolean on(Layout layout, String name) {
         Rollout rollout = layout.rollout();
-        if (rollout.over() || rollout.stage() >= ALL) return true;
-        if (layout.has(name)) return first(layout).contains(name);
+        if (rollout.over() || rollout.stage() >= ALL) {
+            return true;
+        }
+        if (layout.has(name)) {
+            return first(layout).contains(name);
+        }
         // One that keeps nothing is in no list: it goes by its own draw, and never first.
         return rollout.stage() > 0 && draw(rollout.to().number(), name) < Long.MAX_VALUE / PART;
     }
@@ -47,19 +53,33 @@
     private static Set<String> first(Layout layout) {
         long number = layout.rollout().to().number();
         List<Layout.Server> order = new ArrayList<>(layout.servers());
-        order.sort(Comparator.comparingLong((Layout.Server each) -> draw(number, each.name())).thenComparing(Layout.Server::name));
+        order.sort(
+                Comparator.comparingLong((Layout.Server each) -> draw(number, each.name()))
+                        .thenComparing(Layout.Server::name));
         Set<String> first = new HashSet<>();
         if (layout.rollout().stage() == 0) {
-            if (!order.isEmpty()) first.add(order.get(0).name());
+            if (!order.isEmpty()) {
+                first.add(order.get(0).name());
+            }
             return first;
         }
         Map<String, List<String>> zones = new TreeMap<>();
-        for (Layout.Server each : order) zones.computeIfAbsent(each.zone(), ignored -> new ArrayList<>()).add(each.name());
-        for (List<String> each : zones.values()) first.addAll(each.subList(0, each.size() / PART));
+        for (Layout.Server each : order) {
+            zones.computeIfAbsent(each.zone(), ignored -> new ArrayList<>()).add(each.name());
+        }
+        for (List<String> each : zones.values()) {
+            first.addAll(each.subList(0, each.size() / PART));
+        }
         int least = (order.size() + PART - 1) / PART;
         // Who was first stays so, and small zones are drawn from together.
-        if (!order.isEmpty()) first.add(order.get(0).name());
-        for (Layout.Server each : order) if (first.size() < least) first.add(each.name());
+        if (!order.isEmpty()) {
+            first.add(order.get(0).name());
+        }
+        for (Layout.Server each : order) {
+            if (first.size() < least) {
+                first.add(each.name());
+            }
+        }
         return first;
     }
 }
--- a/src/main/java/ochretiller/fleet/versions/Watch.java
+++ b/src/main/java/ochretiller/fleet/versions/Watch.java
@@ -3,39 +3,71 @@
 import java.util.Optional;
 
 /**
- * Whether those that act on a new version do worse than those that do not yet. It may be looked at as often as one likes: for shares that
- * do not differ the chance that it ever says so is bounded (a mixture sequential probability ratio test; Robbins 1970, Johari and others
- * 2022, "Always valid inference").
+ * Whether those that act on a new version do worse than those that do not yet. It may be looked at
+ * as often as one likes: for shares that do not differ the chance that it ever says so is bounded
+ * (a mixture sequential probability ratio test; Robbins 1970, Johari and others 2022, "Always valid
+ * inference").
  */
 public final class Watch {
     /** Chance of ever halting a version that does no harm, over all figures together. */
     public static final double FALSE_ALARM = 0.01;
+
     private static final int FIGURES = 4;
+
     /** Difference of shares that is looked for first of all: the mixture's spread. */
     private static final double LOOKED_FOR = 0.2;
+
     /** A difference that is less is none to act on. */
     private static final double LEAST = 0.01;
+
     /** Answers on either side that are too few for a share. */
     private static final long FEWEST = 30;
+
     /**
-     * Invocations of one moment share their fate, in bursts: each counts as so much of an independent one. Measured on servers that
-     * differ in nothing.
+     * Invocations of one moment share their fate, in bursts: each counts as so much of an
+     * independent one. Measured on servers that differ in nothing.
      */
     private static final double ALONE = 0.2;
 
-    private Watch() {
-    }
+    private Watch() {}
 
     /** What is worse with the new version, with both shares; empty where nothing is known to be. */
     public static Optional<String> worse(Counts changed, Counts unchanged) {
-        if (changed.read() < FEWEST || unchanged.read() < FEWEST) return Optional.empty();
-        if (worse(changed.throttled(), changed.read(), unchanged.throttled(), unchanged.read())) return told("throttled", changed.throttled(), changed.read(), unchanged.throttled(), unchanged.read());
-        if (worse(changed.errored(), changed.read(), unchanged.errored(), unchanged.read())) return told("errored", changed.errored(), changed.read(), unchanged.errored(), unchanged.read());
-        if (worse(changed.late(), changed.read(), unchanged.late(), unchanged.read())) return told("late", changed.late(), changed.read(), unchanged.late(), unchanged.read());
+        if (changed.read() < FEWEST || unchanged.read() < FEWEST) {
+            return Optional.empty();
+        }
+        if (worse(changed.throttled(), changed.read(), unchanged.throttled(), unchanged.read())) {
+            return told(
+                    "throttled",
+                    changed.throttled(),
+                    changed.read(),
+                    unchanged.throttled(),
+                    unchanged.read());
+        }
+        if (worse(changed.errored(), changed.read(), unchanged.errored(), unchanged.read())) {
+            return told(
+                    "errored",
+                    changed.errored(),
+                    changed.read(),
+                    unchanged.errored(),
+                    unchanged.read());
+        }
+        if (worse(changed.late(), changed.read(), unchanged.late(), unchanged.read())) {
+            return told("late", changed.late(), changed.read(), unchanged.late(), unchanged.read());
+        }
         double lostHere = lost(changed);
         double lostThere = lost(unchanged);
-        if (worse(lostHere * changed.read(), changed.read(), lostThere * unchanged.read(), unchanged.read())) {
-            return told("lost of the billed value", lostHere * changed.read(), changed.read(), lostThere * unchanged.read(), unchanged.read());
+        if (worse(
+                lostHere * changed.read(),
+                changed.read(),
+                lostThere * unchanged.read(),
+                unchanged.read())) {
+            return told(
+                    "lost of the billed value",
+                    lostHere * changed.read(),
+                    changed.read(),
+                    lostThere * unchanged.read(),
+                    unchanged.read());
         }
         return Optional.empty();
     }
@@ -44,18 +76,31 @@
         return counts.offered() <= 0 ? 0 : 1 - counts.value() / counts.offered();
     }
 
-    private static Optional<String> told(String what, double bad, double all, double otherBad, double otherAll) {
-        return Optional.of(String.format(java.util.Locale.ROOT, "%s %.4f of %.0f, not %.4f of %.0f", what, bad / all, all, otherBad / otherAll, otherAll));
+    private static Optional<String> told(
+            String what, double bad, double all, double otherBad, double otherAll) {
+        return Optional.of(
+                String.format(
+                        java.util.Locale.ROOT,
+                        "%s %.4f of %.0f, not %.4f of %.0f",
+                        what,
+                        bad / all,
+                        all,
+                        otherBad / otherAll,
+                        otherAll));
     }
 
     private static boolean worse(double bad, double all, double otherBad, double otherAll) {
         double difference = bad / all - otherBad / otherAll;
-        if (difference < LEAST) return false;
+        if (difference < LEAST) {
+            return false;
+        }
         // One more of each kind: a share of none has a spread, too.
         double share = (bad + otherBad + 1) / (all + otherAll + 2);
         double spread = share * (1 - share) * (1 / (all * ALONE) + 1 / (otherAll * ALONE));
         double mixed = LOOKED_FOR * LOOKED_FOR;
-        double log = 0.5 * Math.log(spread / (spread + mixed)) + difference * difference * mixed / (2 * spread * (spread + mixed));
+        double log =
+                0.5 * Math.log(spread / (spread + mixed))
+                        + difference * difference * mixed / (2 * spread * (spread + mixed));
         return log > Math.log(FIGURES / FALSE_ALARM);
     }
 }
--- a/src/main/java/ochretiller/front/Callers.java
+++ b/src/main/java/ochretiller/front/Callers.java
@@ -17,20 +17,41 @@
 import ochretiller.net.Receiver;
 import ochretiller.net.Schedule;
 
-/** All connections of callers, over whatever front: what comes in goes to the owner, what is decided goes out, once for each. */
+/**
+ * All connections of callers, over whatever front: what comes in goes to the owner, what is decided
+ * goes out, once for each.
+ */
 public final class Callers {
-    /** Part of the limit by which it may be passed until others are closed, so that health checks still get in. */
+    /**
+     * Part of the limit by which it may be passed until others are closed, so that health checks
+     * still get in.
+     */
     private static final int SURPLUS = 4;
+
     /** Part of the limit that connections may take which have shown nothing yet. */
     private static final int NEWCOMERS = 4;
+
     /** Part of the limit beyond which there is no time to tell those that have shown nothing. */
     private static final int FLOODED = 2;
-    /** How long a connection has to show something; a caller is owed an answer or a close within 3 s. */
+
+    /**
+     * How long a connection has to show something; a caller is owed an answer or a close within 3
+     * s.
+     */
     private static final Duration SHOWS = Duration.ofSeconds(2);
-    /** Newer ones may have their first request on the way; as long has one that makes room to bring what crosses the word. */
+
+    /**
+     * Newer ones may have their first request on the way; as long has one that makes room to bring
+     * what crosses the word.
+     */
     private static final Duration NEW = Duration.ofMillis(100);
-    /** How long a caller that was told has to end its side: twenty times what a request may cross such a word. */
+
+    /**
+     * How long a caller that was told has to end its side: twenty times what a request may cross
+     * such a word.
+     */
     private static final Duration TOLD = Duration.ofSeconds(1);
+
     /** How often silent connections are looked for. */
     private static final Duration SWEEP = Duration.ofMillis(100);
 
@@ -39,29 +60,43 @@
     private final Duration longest;
     private final Consumer<Try> arrived;
     private final Consumer<Try> gone;
-    /** Those that were not told to go, and those of them that have shown nothing yet; the oldest first. */
+
+    /**
+     * Those that were not told to go, and those of them that have shown nothing yet; the oldest
+     * first.
+     */
     private final Set<Peer> staying = new LinkedHashSet<>();
+
     private final Set<Peer> silent = new LinkedHashSet<>();
+
     /** Those that were told, cannot be read any more, or are closing. */
     private final Set<Peer> going = new LinkedHashSet<>();
+
     private final Map<String, Try> tries = new HashMap<>();
     private final AtomicInteger accepted = new AtomicInteger();
     private long lastId;
     private int openTries;
     private Duration idleAfter;
     private boolean leaving;
-    private BiConsumer<Try, Ending> ends = (inv, how) -> { };
+    private BiConsumer<Try, Ending> ends = (inv, how) -> {};
 
     /**
      * No connection yet.
      *
-     * @param limit     connections that may be open, over all fronts
-     * @param longest   a caller waits no longer for anything, so half a message that is older is nobody's
+     * @param limit connections that may be open, over all fronts
+     * @param longest a caller waits no longer for anything, so half a message that is older is
+     *     nobody's
      * @param idleAfter how long a connection may be silent at first
-     * @param arrived   told of each try that is read
-     * @param gone      told of each try whose caller is gone
+     * @param arrived told of each try that is read
+     * @param gone told of each try whose caller is gone
      */
-    public Callers(Schedule schedule, int limit, Duration longest, Duration idleAfter, Consumer<Try> arrived, Consumer<Try> gone) {
+    public Callers(
+            Schedule schedule,
+            int limit,
+            Duration longest,
+            Duration idleAfter,
+            Consumer<Try> arrived,
+            Consumer<Try> gone) {
         this.schedule = schedule;
         this.limit = limit;
         this.longest = longest;
@@ -83,23 +118,32 @@
     /** On the network's thread: a connection was accepted. */
     public Receiver accepted(Peer peer) {
         Connection connection = peer.connection;
-        if (accepted.incrementAndGet() > limit + limit / SURPLUS) connection.drop(CloseCode.TOO_MANY);
-        schedule.post(() -> {
-            if (!connection.open()) return; // its end follows
-            staying.add(peer);
-            silent.add(peer);
-            makeRoom(peer);
-            if (leaving && peer.part(CloseCode.LEAVING)) goes(peer);
-        });
+        if (accepted.incrementAndGet() > limit + limit / SURPLUS) {
+            connection.drop(CloseCode.TOO_MANY);
+        }
+        schedule.post(
+                () -> {
+                    if (!connection.open()) {
+                        return; // its end follows
+                    }
+                    staying.add(peer);
+                    silent.add(peer);
+                    makeRoom(peer);
+                    if (leaving && peer.part(CloseCode.LEAVING)) {
+                        goes(peer);
+                    }
+                });
         return peer;
     }
 
     /**
-     * Ends who can best be spared where many are open. Those that have shown nothing take a part of the table only, the oldest
-     * of them go first; then goes who has been silent longest. Where all are busy the newcomer is surplus.
+     * Ends who can best be spared where many are open. Those that have shown nothing take a part of
+     * the table only, the oldest of them go first; then goes who has been silent longest. Where all
+     * are busy the newcomer is surplus.
      */
     private void makeRoom(Peer newcomer) {
-        // Guards against newcomers that are dropped unread for the sake of those that were told and have not gone yet.
+        // Guards against newcomers that are dropped unread for the sake of those that were told and
+        // have not gone yet.
         if (accepted.get() > limit) {
             for (Peer peer : going) {
                 if (peer.hurry(longest)) {
@@ -115,14 +159,25 @@
                 return;
             }
         }
-        if (!full) return;
-        Peer longest = staying.stream().filter(peer -> peer != newcomer && peer.shown() && quiet(peer))
-            .min(Comparator.comparing(peer -> peer.connection.usedAt())).orElse(null);
-        if (longest != null) release(longest, CloseCode.TOO_MANY, NEW);
-        else newcomer.makeSurplus();
+        if (!full) {
+            return;
+        }
+        Peer longest =
+                staying.stream()
+                        .filter(peer -> peer != newcomer && peer.shown() && quiet(peer))
+                        .min(Comparator.comparing(peer -> peer.connection.usedAt()))
+                        .orElse(null);
+        if (longest != null) {
+            release(longest, CloseCode.TOO_MANY, NEW);
+        } else {
+            newcomer.makeSurplus();
+        }
     }
 
-    /** A wave of callers that come back at once loses nothing by it: what crosses the word is answered. */
+    /**
+     * A wave of callers that come back at once loses nothing by it: what crosses the word is
+     * answered.
+     */
     private void spare(Peer oldest) {
         if (accepted.get() <= limit / FLOODED) {
             release(oldest, CloseCode.TOO_MANY, NEW);
@@ -145,34 +200,48 @@
     /** It is none of those that stay. */
     void goes(Peer peer) {
         silent.remove(peer);
-        if (staying.remove(peer)) going.add(peer);
+        if (staying.remove(peer)) {
+            going.add(peer);
+        }
     }
 
     /**
-     * Ends one that nothing is open on. It is told first, where its protocol has a word for that, and what crosses the word is
-     * still answered: guards against a request that is on the way to a connection that rests. We close only if it does not.
+     * Ends one that nothing is open on. It is told first, where its protocol has a word for that,
+     * and what crosses the word is still answered: guards against a request that is on the way to a
+     * connection that rests. We close only if it does not.
      */
     private void release(Peer peer, CloseCode code, Duration patience) {
         goes(peer);
         if (!peer.part(code)) {
-            if (peer.shown()) peer.connection.close(code);
-            else peer.connection.drop(code); // nothing was ever written on it that could be lost
+            if (peer.shown()) {
+                peer.connection.close(code);
+            } else {
+                peer.connection.drop(code); // nothing was ever written on it that could be lost
+            }
         } else {
             schedule.after(patience, () -> closeIfQuiet(peer, patience));
         }
     }
 
     private void closeIfQuiet(Peer peer, Duration patience) {
-        if (!peer.connection.open()) return;
-        if (quiet(peer)) peer.close();
-        else schedule.after(patience, () -> closeIfQuiet(peer, patience));
+        if (!peer.connection.open()) {
+            return;
+        }
+        if (quiet(peer)) {
+            peer.close();
+        } else {
+            schedule.after(patience, () -> closeIfQuiet(peer, patience));
+        }
     }
 
     private boolean aged(Peer peer, Duration age) {
         return schedule.now().minus(peer.madeAt()).compareTo(age) > 0;
     }
 
-    /** On the network's thread: guards against newcomers that are dropped while the ends of others wait behind a crowd of them. */
+    /**
+     * On the network's thread: guards against newcomers that are dropped while the ends of others
+     * wait behind a crowd of them.
+     */
     void closed() {
         accepted.decrementAndGet();
     }
@@ -182,7 +251,9 @@
         silent.remove(peer);
         going.remove(peer);
         // A caller whose connection has ended is known to be gone.
-        for (Try inv : List.copyOf(peer.open().values())) leave(inv);
+        for (Try inv : List.copyOf(peer.open().values())) {
+            leave(inv);
+        }
     }
 
     /** The caller waits no longer: no answer is owed. */
@@ -205,16 +276,24 @@
         return new InvId(++lastId);
     }
 
-    /** A good request was read: its try goes to the owner, or back to its caller where its connection is one too many. */
+    /**
+     * A good request was read: its try goes to the owner, or back to its caller where its
+     * connection is one too many.
+     */
     public void opened(Try inv) {
         Peer peer = inv.peer;
         peer.shows();
         peer.open().put(inv.number, inv);
         tries.put(inv.rid, inv);
         openTries++;
-        if (peer.surplus()) throttle(inv, Duration.ZERO, false); // it never ran, and others may have room
-        else arrived.accept(inv);
-        if (inv.answered() && !inv.running()) forget(inv);
+        if (peer.surplus()) {
+            throttle(inv, Duration.ZERO, false); // it never ran, and others may have room
+        } else {
+            arrived.accept(inv);
+        }
+        if (inv.answered() && !inv.running()) {
+            forget(inv);
+        }
     }
 
     /** The try by the name that it bears on all wires, as long as it is not forgotten. */
@@ -228,7 +307,9 @@
     }
 
     private boolean settle(Try inv) {
-        if (inv.answered()) return false;
+        if (inv.answered()) {
+            return false;
+        }
         inv.settle();
         inv.peer.open().remove(inv.number);
         openTries--;
@@ -246,21 +327,27 @@
 
     /** {@code replayed} where the result is that of another try. */
     public void succeed(Try inv, byte[] result, boolean replayed) {
-        if (!settle(inv)) return;
+        if (!settle(inv)) {
+            return;
+        }
         inv.peer.succeeds(inv, result, replayed);
         ends.accept(inv, replayed ? Ending.REPLAYED : Ending.SUCCEEDED);
         answered(inv);
     }
 
     public void throttle(Try inv, Duration retryIn, boolean last) {
-        if (!settle(inv)) return;
+        if (!settle(inv)) {
+            return;
+        }
         inv.peer.throttles(inv, retryIn, last);
         ends.accept(inv, Ending.THROTTLED);
         answered(inv);
     }
 
     public void fail(Try inv, Failure why) {
-        if (!settle(inv)) return;
+        if (!settle(inv)) {
+            return;
+        }
         inv.peer.fails(inv, why);
         ends.accept(inv, Ending.ERRORED);
         answered(inv);
@@ -277,16 +364,26 @@
     private void sweep() {
         schedule.after(SWEEP, this::sweep);
         for (Peer peer : List.copyOf(staying)) {
-            if (!quiet(peer)) continue; // guards against a close that loses what was read and is not worked off yet
-            if (!peer.shown() && aged(peer, SHOWS)) release(peer, CloseCode.SILENT, NEW);
-            else if (schedule.now().minus(peer.connection.usedAt()).compareTo(idleAfter) > 0) release(peer, CloseCode.IDLE, TOLD);
+            if (!quiet(peer)) {
+                continue; // guards against a close that loses what was read and is not worked off
+                // yet
+            }
+            if (!peer.shown() && aged(peer, SHOWS)) {
+                release(peer, CloseCode.SILENT, NEW);
+            } else if (schedule.now().minus(peer.connection.usedAt()).compareTo(idleAfter) > 0) {
+                release(peer, CloseCode.IDLE, TOLD);
+            }
         }
     }
 
     /** Asks callers to bring nothing more on the connections that are open. */
     public void leave() {
         leaving = true;
-        for (Peer peer : List.copyOf(staying)) if (peer.part(CloseCode.LEAVING)) goes(peer);
+        for (Peer peer : List.copyOf(staying)) {
+            if (peer.part(CloseCode.LEAVING)) {
+                goes(peer);
+            }
+        }
     }
 
     /** How many have not ended. */
@@ -296,12 +393,16 @@
 
     /** Ends at once what callers have not ended. */
     public void drop() {
-        for (Peer peer : all()) peer.connection.drop(CloseCode.LEAVING);
+        for (Peer peer : all()) {
+            peer.connection.drop(CloseCode.LEAVING);
+        }
     }
 
     /** Closes what is open; all that was read has its answer. */
     public void close() {
-        for (Peer peer : all()) peer.connection.close(CloseCode.LEAVING);
+        for (Peer peer : all()) {
+            peer.connection.close(CloseCode.LEAVING);
+        }
     }
 
     private List<Peer> all() {
--- a/src/main/java/ochretiller/front/Ending.java
+++ b/src/main/java/ochretiller/front/Ending.java
@@ -1,4 +1,9 @@
 package ochretiller.front;
 
 /** How a try was answered. */
-public enum Ending { SUCCEEDED, REPLAYED, THROTTLED, ERRORED }
+public enum Ending {
+    SUCCEEDED,
+    REPLAYED,
+    THROTTLED,
+    ERRORED
+}
--- a/src/main/java/ochretiller/front/Peer.java
+++ b/src/main/java/ochretiller/front/Peer.java
@@ -7,20 +7,27 @@
 import ochretiller.net.Connection;
 import ochretiller.net.Receiver;
 
-/** One connection of a caller and the requests that are open on it; its front writes what they are told. */
+/**
+ * One connection of a caller and the requests that are open on it; its front writes what they are
+ * told.
+ */
 public abstract class Peer implements Receiver {
     protected final Connection connection;
     private final Callers callers;
     private final Duration madeAt;
     private final Map<Long, Try> open = new LinkedHashMap<>();
     private boolean shown;
+
     /** Open over the limit: it is told so and closed. */
     private boolean surplus;
+
     /** Health checks at work. */
     private int checks;
+
     private boolean inputEnded;
     private boolean unreadable;
     private boolean hurried;
+
     /** Why it is to end: it was told so, or cannot be read any more; null while it stays. */
     private CloseCode parting;
 
@@ -33,13 +40,18 @@
     /** Writes that it has succeeded. */
     protected abstract void succeeds(Try inv, byte[] result, boolean replayed);
 
-    /** Writes that it was turned away before it ran; no word when to return where {@code retryIn} is zero. */
+    /**
+     * Writes that it was turned away before it ran; no word when to return where {@code retryIn} is
+     * zero.
+     */
     protected abstract void throttles(Try inv, Duration retryIn, boolean last);
 
     /** Writes that it is errored. */
     protected abstract void fails(Try inv, Failure why);
 
-    /** Asks to bring nothing more on this connection; false where its protocol has no word for that. */
+    /**
+     * Asks to bring nothing more on this connection; false where its protocol has no word for that.
+     */
     protected boolean leaves() {
         return false;
     }
@@ -84,7 +96,10 @@
         return !open.isEmpty() || checks > 0 || waits();
     }
 
-    /** What was read waits for its turn, since answers of its protocol come in the order of the requests. */
+    /**
+     * What was read waits for its turn, since answers of its protocol come in the order of the
+     * requests.
+     */
     protected boolean waits() {
         return false;
     }
@@ -96,19 +111,25 @@
     }
 
     /**
-     * Nothing is open on it, nothing that was read waits, and no message that a caller may still wait for is half read: a close
-     * loses nothing. Where nothing was shown yet, half a message may be all that ever comes.
+     * Nothing is open on it, nothing that was read waits, and no message that a caller may still
+     * wait for is half read: a close loses nothing. Where nothing was shown yet, half a message may
+     * be all that ever comes.
      */
     boolean quiet(Duration patience) {
         Duration within = connection.within();
-        boolean writes = shown && within != null && callers.now().minus(within).compareTo(patience) < 0;
+        boolean writes =
+                shown && within != null && callers.now().minus(within).compareTo(patience) < 0;
         return !busy() && connection.quiet() && !writes;
     }
 
     /** Tells it once that nothing more may come; false where there is no word for that. */
     boolean part(CloseCode why) {
-        if (parting != null) return true;
-        if (!leaves()) return false;
+        if (parting != null) {
+            return true;
+        }
+        if (!leaves()) {
+            return false;
+        }
         parting = why;
         return true;
     }
@@ -118,9 +139,17 @@
         connection.close(parting);
     }
 
-    /** Ends it at once, unless something is open on it or on the way to it; false where it stays for that, or has gone. */
+    /**
+     * Ends it at once, unless something is open on it or on the way to it; false where it stays for
+     * that, or has gone.
+     */
     boolean hurry(Duration patience) {
-        if (hurried || parting == null && connection.open() || !quiet(patience) || !connection.sent()) return false;
+        if (hurried
+                || parting == null && connection.open()
+                || !quiet(patience)
+                || !connection.sent()) {
+            return false;
+        }
         hurried = true;
         connection.drop(parting == null ? CloseCode.TOO_MANY : parting);
         return true;
@@ -143,12 +172,18 @@
 
     /** Closes it where nothing more is to come and nothing is owed. */
     public void settle() {
-        if (busy()) return;
-        CloseCode why = unreadable ? parting
-            : inputEnded ? parting == null ? CloseCode.PEER_CLOSED : parting
-            : surplus ? CloseCode.TOO_MANY
-            : done() ? CloseCode.ANSWERED : null;
-        if (why == null) return;
+        if (busy()) {
+            return;
+        }
+        CloseCode why =
+                unreadable
+                        ? parting
+                        : inputEnded
+                                ? parting == null ? CloseCode.PEER_CLOSED : parting
+                                : surplus ? CloseCode.TOO_MANY : done() ? CloseCode.ANSWERED : null;
+        if (why == null) {
+            return;
+        }
         callers.goes(this);
         connection.close(why);
     }
--- a/src/main/java/ochretiller/gateway/Health.java
+++ b/src/main/java/ochretiller/gateway/Health.java
@@ -37,7 +37,10 @@
     }
 
     void check(boolean full, Consumer<Boolean> then) {
-        if (full && good && !stored) deep.accept(then);
-        else then.accept(good);
+        if (full && good && !stored) {
+            deep.accept(then);
+        } else {
+            then.accept(good);
+        }
     }
 }
--- a/src/main/java/ochretiller/gateway/Rpc.java
+++ b/src/main/java/ochretiller/gateway/Rpc.java
@@ -11,15 +11,16 @@
 final class Rpc {
     /** Error codes of answers: turned away before it ran, and failed. */
     static final int THROTTLED = -32014;
+
     static final int FAILED = -32000;
     static final String SHUTDOWN = "{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}\n";
 
-    private Rpc() {
-    }
+    private Rpc() {}
 
-    /** The id of a message, or null where it has none; {@code fault} is what is wrong with the rest. */
-    record Message(Long id, String method, Map<String, Object> params, RpcException fault) {
-    }
+    /**
+     * The id of a message, or null where it has none; {@code fault} is what is wrong with the rest.
+     */
+    record Message(Long id, String method, Map<String, Object> params, RpcException fault) {}
 
     /** Reads one line; only what has no readable id is bad input for the connection. */
     static Message read(Slice line) {
@@ -27,15 +28,22 @@
         Long id = null;
         try {
             Object value = json.read();
-            if (!(value instanceof Map)) throw new BadInputException("no JSON-RPC object");
+            if (!(value instanceof Map)) {
+                throw new BadInputException("no JSON-RPC object");
+            }
             id = id(json);
             return message(id, json.members());
         } catch (BadInputException e) {
             id = id(json);
-            if (id == null) throw e;
-            return new Message(id, null, null, new RpcException(RpcException.PARSE, e.getMessage()));
+            if (id == null) {
+                throw e;
+            }
+            return new Message(
+                    id, null, null, new RpcException(RpcException.PARSE, e.getMessage()));
         } catch (RpcException e) {
-            if (id == null) throw new BadInputException(e.getMessage());
+            if (id == null) {
+                throw new BadInputException(e.getMessage());
+            }
             return new Message(id, null, null, e);
         }
     }
@@ -46,19 +54,29 @@
 
     @SuppressWarnings("unchecked")
     private static Message message(Long id, Map<String, Object> members) {
-        if (!"2.0".equals(members.get("jsonrpc"))) throw new RpcException(RpcException.REQUEST, "not JSON-RPC 2.0");
-        if (id == null && members.containsKey("id")) throw new RpcException(RpcException.REQUEST, "wrong id");
+        if (!"2.0".equals(members.get("jsonrpc"))) {
+            throw new RpcException(RpcException.REQUEST, "not JSON-RPC 2.0");
+        }
+        if (id == null && members.containsKey("id")) {
+            throw new RpcException(RpcException.REQUEST, "wrong id");
+        }
         if (!(members.get("method") instanceof String method)) {
             throw new RpcException(RpcException.REQUEST, "missing or wrong: method");
         }
         Object params = members.getOrDefault("params", Map.of());
-        if (!(params instanceof Map)) throw new RpcException(RpcException.PARAMS, "params is no object");
+        if (!(params instanceof Map)) {
+            throw new RpcException(RpcException.PARAMS, "params is no object");
+        }
         return new Message(id, method, (Map<String, Object>) params, null);
     }
 
     private static StringBuilder open(long id, String part) {
-        return new StringBuilder(128).append("{\"jsonrpc\":\"2.0\",\"id\":").append(id).append(",\"").append(part)
-            .append("\":{");
+        return new StringBuilder(128)
+                .append("{\"jsonrpc\":\"2.0\",\"id\":")
+                .append(id)
+                .append(",\"")
+                .append(part)
+                .append("\":{");
     }
 
     /** The free value goes along where one was set. */
@@ -67,8 +85,11 @@
     }
 
     static String result(long id, byte[] result, Double hint) {
-        StringBuilder out = open(id, "result").append("\"data\":\"").append(Base64.getEncoder().encodeToString(result))
-            .append('"');
+        StringBuilder out =
+                open(id, "result")
+                        .append("\"data\":\"")
+                        .append(Base64.getEncoder().encodeToString(result))
+                        .append('"');
         return hint(out, hint, ",").append("}}\n").toString();
     }
 
@@ -97,7 +118,9 @@
 
     static String failed(long id, String message, Double hint) {
         StringBuilder out = error(id, FAILED, message);
-        if (hint != null) hint(out.append(",\"data\":{"), hint, "").append('}');
+        if (hint != null) {
+            hint(out.append(",\"data\":{"), hint, "").append('}');
+        }
         return out.append("}}\n").toString();
     }
 
@@ -107,6 +130,11 @@
 
     /** Messages are the project's own words and need no escapes. */
     private static StringBuilder error(long id, int code, String message) {
-        return open(id, "error").append("\"code\":").append(code).append(",\"message\":\"").append(message).append('"');
+        return open(id, "error")
+                .append("\"code\":")
+                .append(code)
+                .append(",\"message\":\"")
+                .append(message)
+                .append('"');
     }
 }
--- a/src/main/java/ochretiller/gateway/RpcPeer.java
+++ b/src/main/java/ochretiller/gateway/RpcPeer.java
@@ -17,6 +17,7 @@
 
     /** It sent something wrong before. */
     boolean faulty;
+
     private final Gateway gateway;
     private final Frames frames = new Frames(LONGEST_LINE, false, line -> Frames.NONE);
 
@@ -32,15 +33,21 @@
         try {
             frames.read(bytes, from, to, (line, body) -> messages.add(Rpc.read(line)));
         } catch (BadInputException e) {
-            if (messages.isEmpty()) throw e;
+            if (messages.isEmpty()) {
+                throw e;
+            }
             fault = e; // guards against good requests that are lost with what follows them
             connection.deafen();
         }
         BadInputException last = fault;
-        return messages.isEmpty() ? null : () -> {
-            messages.forEach(message -> gateway.read(this, message));
-            if (last != null) gateway.unreadable(this, last);
-        };
+        return messages.isEmpty()
+                ? null
+                : () -> {
+                    messages.forEach(message -> gateway.read(this, message));
+                    if (last != null) {
+                        gateway.unreadable(this, last);
+                    }
+                };
     }
 
     @Override
--- a/src/main/java/ochretiller/gateway/package-info.java
+++ b/src/main/java/ochretiller/gateway/package-info.java
@@ -1,2 +1,5 @@
-/** Where gateways come in: listening, JSON-RPC, open requests, health checks, idle closing and leaving. */
+/**
+ * Where gateways come in: listening, JSON-RPC, open requests, health checks, idle closing and
+ * leaving.
+ */
 package ochretiller.gateway;
--- a/src/main/java/ochretiller/json5/Json5.java
+++ b/src/main/java/ochretiller/json5/Json5.java
@@ -26,8 +26,8 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Reads files in JSON5 and holds them against a schema. What is wrong is told by a {@link MalformedException}, one line with
- * file, line and column of each fault.
+ * Reads files in JSON5 and holds them against a schema. What is wrong is told by a {@link
+ * MalformedException}, one line with file, line and column of each fault.
  */
 public final class Json5 {
     /** Longest file that is read: a hundred times the longest example. */
@@ -39,7 +39,7 @@
     /**
      * A kind of file.
      *
-     * @param owner  the class whose package has the schema as a resource
+     * @param owner the class whose package has the schema as a resource
      * @param schema the resource's name
      */
     public Json5(Class<?> owner, String schema) {
@@ -47,17 +47,28 @@
         this.schema = schema;
     }
 
-    /** JSON5 as far as its page and the library agree: comments, bare names, single quotes, commas at the end, hex, signs. */
+    /**
+     * JSON5 as far as its page and the library agree: comments, bare names, single quotes, commas
+     * at the end, hex, signs.
+     */
     private static ObjectMapper json5() {
-        JsonFactory factory = JsonFactory.builder()
-            .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS, JsonReadFeature.ALLOW_UNQUOTED_FIELD_NAMES,
-                JsonReadFeature.ALLOW_SINGLE_QUOTES, JsonReadFeature.ALLOW_TRAILING_COMMA,
-                JsonReadFeature.ALLOW_LEADING_PLUS_SIGN_FOR_NUMBERS,
-                JsonReadFeature.ALLOW_LEADING_DECIMAL_POINT_FOR_NUMBERS,
-                JsonReadFeature.ALLOW_TRAILING_DECIMAL_POINT_FOR_NUMBERS)
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(50).build()).build();
-        return JsonMapper.builder(factory).enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+        JsonFactory factory =
+                JsonFactory.builder()
+                        .enable(
+                                JsonReadFeature.ALLOW_JAVA_COMMENTS,
+                                JsonReadFeature.ALLOW_UNQUOTED_FIELD_NAMES,
+                                JsonReadFeature.ALLOW_SINGLE_QUOTES,
+                                JsonReadFeature.ALLOW_TRAILING_COMMA,
+                                JsonReadFeature.ALLOW_LEADING_PLUS_SIGN_FOR_NUMBERS,
+                                JsonReadFeature.ALLOW_LEADING_DECIMAL_POINT_FOR_NUMBERS,
+                                JsonReadFeature.ALLOW_TRAILING_DECIMAL_POINT_FOR_NUMBERS)
+                        .streamReadConstraints(
+                                StreamReadConstraints.builder().maxNestingDepth(50).build())
+                        .build();
+        return JsonMapper.builder(factory)
+                .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
+                .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                .build();
     }
 
     /** A file's name without its ending. */
@@ -75,7 +86,9 @@
     public JsonNode read(Path file, String what) {
         String text;
         try {
-            if (Files.size(file) > LONGEST) throw new MalformedException(file + " is longer than " + LONGEST + " bytes");
+            if (Files.size(file) > LONGEST) {
+                throw new MalformedException(file + " is longer than " + LONGEST + " bytes");
+            }
             text = Files.readString(file);
         } catch (IOException e) {
             throw new MalformedException("cannot read " + what + ' ' + file);
@@ -92,7 +105,9 @@
             throw new MalformedException(name + unread(e));
         }
         List<Error> errors = schema().validate(root);
-        if (!errors.isEmpty()) throw new MalformedException(name + told(root, errors));
+        if (!errors.isEmpty()) {
+            throw new MalformedException(name + told(root, errors));
+        }
         return root;
     }
 
@@ -101,8 +116,11 @@
         for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
             if (cause instanceof JsonProcessingException fault) {
                 JsonLocation at = fault.getLocation();
-                return (at == null ? "" : ":" + at.getLineNr() + ":" + at.getColumnNr()) + ": "
-                    + fault.getOriginalMessage().replaceAll("\\s+", " ").replaceAll(" (for `ObjectNode`|\\(bound as).*", "");
+                return (at == null ? "" : ":" + at.getLineNr() + ":" + at.getColumnNr())
+                        + ": "
+                        + fault.getOriginalMessage()
+                                .replaceAll("\\s+", " ")
+                                .replaceAll(" (for `ObjectNode`|\\(bound as).*", "");
             }
         }
         return ": " + thrown.getMessage();
@@ -111,7 +129,8 @@
     private Schema schema() {
         try (InputStream in = owner.getResourceAsStream(schema)) {
             String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(text, InputFormat.JSON);
+            return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
+                    .getSchema(text, InputFormat.JSON);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -124,12 +143,18 @@
             for (int i = 0; i < error.getInstanceLocation().getNameCount() && node != null; i++) {
                 node = JsonNodes.get(node, error.getInstanceLocation().getElement(i));
             }
-            // Where a member is one too many, its own place is told, not that of the object round it.
-            if (node != null && error.getProperty() != null && node.has(error.getProperty())) node = node.get(error.getProperty());
+            // Where a member is one too many, its own place is told, not that of the object round
+            // it.
+            if (node != null && error.getProperty() != null && node.has(error.getProperty())) {
+                node = node.get(error.getProperty());
+            }
             JsonLocation at = node == null ? null : JsonNodes.tokenStreamLocationOf(node);
             String path = error.getInstanceLocation().toString();
-            lines.add((at == null ? "" : ":" + at.getLineNr() + ":" + at.getColumnNr()) + ": "
-                + (path.isEmpty() || path.equals("$") ? "" : path + ": ") + error.getMessage());
+            lines.add(
+                    (at == null ? "" : ":" + at.getLineNr() + ":" + at.getColumnNr())
+                            + ": "
+                            + (path.isEmpty() || path.equals("$") ? "" : path + ": ")
+                            + error.getMessage());
         }
         return String.join("; ", lines);
     }
--- a/src/main/java/ochretiller/metrics/Metrics.java
+++ b/src/main/java/ochretiller/metrics/Metrics.java
@@ -6,8 +6,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The figures of a server by name. Counting costs an addition whether or not anybody reads; a reader, where the operators'
- * file asks for one, goes over {@link #all} on a thread of its own.
+ * The figures of a server by name. Counting costs an addition whether or not anybody reads; a
+ * reader, where the operators' file asks for one, goes over {@link #all} on a thread of its own.
  */
 public final class Metrics {
     /** Names are bounded by the code: none is made from what a peer sends. */
@@ -16,12 +16,12 @@
     /**
      * One figure.
      *
-     * @param name    lower case with underscores; a counter's ends in {@code _total}, one with a unit names it
-     * @param counts  it only grows
+     * @param name lower case with underscores; a counter's ends in {@code _total}, one with a unit
+     *     names it
+     * @param counts it only grows
      * @param current its value, read from any thread
      */
-    public record Figure(String name, String help, boolean counts, DoubleSupplier current) {
-    }
+    public record Figure(String name, String help, boolean counts, DoubleSupplier current) {}
 
     /** Counts what happens. */
     public static final class Counter {
--- a/src/main/java/ochretiller/metrics/MetricsFile.java
+++ b/src/main/java/ochretiller/metrics/MetricsFile.java
@@ -15,29 +15,42 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
 
-/** Writes all figures to a file again and again, in the text format that collectors of files read; never half of it. */
+/**
+ * Writes all figures to a file again and again, in the text format that collectors of files read;
+ * never half of it.
+ */
 public final class MetricsFile implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(MetricsFile.class.getName());
 
     private final Path file;
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(work -> {
-        Thread made = new Thread(work, "metrics");
-        made.setDaemon(true);
-        return made;
-    });
+    private final ScheduledExecutorService thread =
+            Executors.newSingleThreadScheduledExecutor(
+                    work -> {
+                        Thread made = new Thread(work, "metrics");
+                        made.setDaemon(true);
+                        return made;
+                    });
     private boolean failing;
 
-    /** Figures that are named from here on are not told: it is made once the server is put together. */
+    /**
+     * Figures that are named from here on are not told: it is made once the server is put together.
+     */
     public MetricsFile(Metrics metrics, Path file) {
         this.file = file;
         for (Metrics.Figure figure : metrics.all()) {
             if (figure.counts()) {
-                CounterWithCallback.builder().name(figure.name()).help(figure.help())
-                    .callback(told -> told.call(figure.current().getAsDouble())).register(registry);
+                CounterWithCallback.builder()
+                        .name(figure.name())
+                        .help(figure.help())
+                        .callback(told -> told.call(figure.current().getAsDouble()))
+                        .register(registry);
             } else {
-                GaugeWithCallback.builder().name(figure.name()).help(figure.help())
-                    .callback(told -> told.call(figure.current().getAsDouble())).register(registry);
+                GaugeWithCallback.builder()
+                        .name(figure.name())
+                        .help(figure.help())
+                        .callback(told -> told.call(figure.current().getAsDouble()))
+                        .register(registry);
             }
         }
     }
@@ -53,11 +66,17 @@
             try (OutputStream out = Files.newOutputStream(half)) {
                 PrometheusTextFormatWriter.create().write(out, registry.scrape());
             }
-            Files.move(half, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    half,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
             failing = false;
         } catch (IOException | RuntimeException e) {
             // One line for a row of failures: figures must not fill the log.
-            if (!failing) LOG.warning("cannot write the metrics to " + file + ": " + e.getMessage());
+            if (!failing) {
+                LOG.warning("cannot write the metrics to " + file + ": " + e.getMessage());
+            }
             failing = true;
         }
     }
--- a/src/main/java/ochretiller/model/Gauges.java
+++ b/src/main/java/ochretiller/model/Gauges.java
@@ -3,8 +3,8 @@
 /**
  * The server's own gauges; NaN where the server has no such gauge.
  *
- * @param coreUse     share of the cores busy of late
- * @param onCores     all that asks for a core now: runs, reading, checks, new connections
+ * @param coreUse share of the cores busy of late
+ * @param onCores all that asks for a core now: runs, reading, checks, new connections
  * @param memoryShare share of the memory in use
  * @param connections connections open
  */
--- a/src/main/java/ochretiller/net/Acceptor.java
+++ b/src/main/java/ochretiller/net/Acceptor.java
@@ -16,13 +16,16 @@
     }
 
     /**
-     * Guards against requests on connections that the kernel has accepted and nobody has taken: a listener that closes resets
-     * them. MINA takes one connection a round, and may be told to close in the same round.
+     * Guards against requests on connections that the kernel has accepted and nobody has taken: a
+     * listener that closes resets them. MINA takes one connection a round, and may be told to close
+     * in the same round.
      */
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
         selector.selectNow();
-        for (NioSession session = accept(processor, handle); session != null; session = accept(processor, handle)) {
+        for (NioSession session = accept(processor, handle);
+                session != null;
+                session = accept(processor, handle)) {
             initSession(session, null, null);
             processor.add(session);
         }
--- a/src/main/java/ochretiller/net/Connection.java
+++ b/src/main/java/ochretiller/net/Connection.java
@@ -8,28 +8,46 @@
 import org.apache.mina.core.future.WriteFuture;
 import org.apache.mina.core.session.IoSession;
 
-/** A connection as the one thread sees it: what is written in one gathering goes out in one write. */
+/**
+ * A connection as the one thread sees it: what is written in one gathering goes out in one write.
+ */
 public final class Connection {
-    /** Bytes that may wait for one peer to read them: the longest answer to each request it may have open. */
+    /**
+     * Bytes that may wait for one peer to read them: the longest answer to each request it may have
+     * open.
+     */
     private static final long UNREAD = 192 * 1024;
+
     /** What each may have of the bound on all, whatever the others do. */
     private static final long SOME_UNREAD = 16 * 1024;
-    /** Time for a peer to see the end of what it is sent and to end its side: twice what may cross a close by the protocol. */
+
+    /**
+     * Time for a peer to see the end of what it is sent and to end its side: twice what may cross a
+     * close by the protocol.
+     */
     private static final Duration LINGERS = Duration.ofMillis(100);
-    /** So many of these at most until a slow peer has been sent all: as long as the longest client timeouts are. */
+
+    /**
+     * So many of these at most until a slow peer has been sent all: as long as the longest client
+     * timeouts are.
+     */
     private static final int SLOW = 50;
 
     private final IoSession session;
     private final Network network;
+
     /** Whether a close has to leave a slow or crossing peer its answers: so it is with callers. */
     private final boolean lingers;
+
     private final ByteArrayOutputStream out = new ByteArrayOutputStream(512);
     private final AtomicInteger behind = new AtomicInteger();
     private volatile CloseCode code;
     private volatile boolean inputEnded;
     private volatile boolean deaf;
+
     /** Since when a message is not whole; null where none is begun. */
     private volatile Duration within;
+
     private WriteFuture lastWrite;
     private Duration usedAt;
 
@@ -46,7 +64,9 @@
     }
 
     void reason(CloseCode reason) {
-        if (code == null) code = reason;
+        if (code == null) {
+            code = reason;
+        }
     }
 
     public boolean open() {
@@ -71,14 +91,20 @@
     }
 
     public Connection write(byte[] bytes) {
-        if (code != null) return this;
-        if (out.size() == 0) network.dirty(this);
+        if (code != null) {
+            return this;
+        }
+        if (out.size() == 0) {
+            network.dirty(this);
+        }
         out.write(bytes, 0, bytes.length);
         return this;
     }
 
     void flush() {
-        if (code != null || out.size() == 0) return;
+        if (code != null || out.size() == 0) {
+            return;
+        }
         // Guards against a peer that does not read and would fill the memory.
         long unread = session.getScheduledWriteBytes() + out.size();
         if (unread > UNREAD || unread > SOME_UNREAD && network.crowded()) {
@@ -91,29 +117,46 @@
     }
 
     /**
-     * On the one thread: ends it once all that was written has gone out. What comes from here on is passed over; a caller gets
-     * the end of the output first and is read until it ends its side too.
+     * On the one thread: ends it once all that was written has gone out. What comes from here on is
+     * passed over; a caller gets the end of the output first and is read until it ends its side
+     * too.
      */
     public void close(CloseCode reason) {
         flush();
-        if (code != null) return;
+        if (code != null) {
+            return;
+        }
         reason(reason);
-        // Guards against a close over unread bytes: it resets the connection, and the peer loses answers it has not read.
-        if (!lingers || inputEnded) session.closeOnFlush();
-        else if (lastWrite == null) endOutput();
-        else lastWrite.addListener(written -> endOutput());
-        if (lingers) patience(0);
+        // Guards against a close over unread bytes: it resets the connection, and the peer loses
+        // answers it has not read.
+        if (!lingers || inputEnded) {
+            session.closeOnFlush();
+        } else if (lastWrite == null) {
+            endOutput();
+        } else {
+            lastWrite.addListener(written -> endOutput());
+        }
+        if (lingers) {
+            patience(0);
+        }
     }
 
     private void endOutput() {
-        if (!Output.end(session)) session.closeNow();
+        if (!Output.end(session)) {
+            session.closeNow();
+        }
     }
 
     private void patience(int looked) {
-        network.after(LINGERS, () -> {
-            if (session.getScheduledWriteBytes() == 0 && looked > 0 || looked == SLOW) session.closeNow();
-            else patience(looked + 1);
-        });
+        network.after(
+                LINGERS,
+                () -> {
+                    if (session.getScheduledWriteBytes() == 0 && looked > 0 || looked == SLOW) {
+                        session.closeNow();
+                    } else {
+                        patience(looked + 1);
+                    }
+                });
     }
 
     /** All that was written has gone out. */
@@ -124,7 +167,9 @@
     /** On the network's thread: the peer sends no more. */
     void inputEnds() {
         inputEnded = true;
-        if (code != null) session.closeOnFlush();
+        if (code != null) {
+            session.closeOnFlush();
+        }
     }
 
     /** On the network's thread: nothing more is read, and what the peer sends stays with it. */
--- a/src/main/java/ochretiller/net/Network.java
+++ b/src/main/java/ochretiller/net/Network.java
@@ -25,20 +25,36 @@
 import org.apache.mina.transport.socket.nio.NioProcessor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
-/** Apache MINA with an IO processor for gateways and one for links. Its threads decode and enqueue; all else is the schedule's. */
+/**
+ * Apache MINA with an IO processor for gateways and one for links. Its threads decode and enqueue;
+ * all else is the schedule's.
+ */
 public final class Network {
     private static final Logger LOG = Logger.getLogger(Network.class.getName());
+
     /** Bytes read at once: a few of the longest messages. */
     private static final int READ = 8 * 1024;
+
     private static final int FIRST_READ = 4 * 1024;
+
     /** Buffers of links that may wait for the one thread: a few times what a burst brings. */
     private static final int BEHIND = 256;
-    /** Bytes of one gateway's connection that may wait: as many requests of full length as it may have open. */
+
+    /**
+     * Bytes of one gateway's connection that may wait: as many requests of full length as it may
+     * have open.
+     */
     private static final int MOST_BEHIND = 128 * 1024;
+
     /** What each may have of the bound on all, whatever the others do. */
     private static final int SOME_BEHIND = 8 * 1024;
-    /** Parts of the memory for what peers have not read, and for what was read: decoded it takes ten times its bytes. */
+
+    /**
+     * Parts of the memory for what peers have not read, and for what was read: decoded it takes ten
+     * times its bytes.
+     */
     private static final int UNREAD_PART = 24;
+
     private static final int BEHIND_PART = 96;
     private static final int BACKLOG = 1024;
     private static final long CONNECT_MS = 2_000;
@@ -81,8 +97,13 @@
         config.setReadBufferSize(FIRST_READ);
     }
 
-    /** Listens on this address too, for callers of this kind; each connection gets its receiver on the network's thread. */
-    public void listen(String kind, InetSocketAddress address, Function<Connection, Receiver> receivers) throws IOException {
+    /**
+     * Listens on this address too, for callers of this kind; each connection gets its receiver on
+     * the network's thread.
+     */
+    public void listen(
+            String kind, InetSocketAddress address, Function<Connection, Receiver> receivers)
+            throws IOException {
         Acceptor acceptor = new Acceptor(threads, gateways);
         acceptors.add(acceptor);
         acceptor.setReuseAddress(true);
@@ -92,7 +113,8 @@
         try {
             acceptor.bind(address);
         } catch (IOException e) {
-            throw new IOException("cannot listen on " + address + ": it is in use or not this machine's", e);
+            throw new IOException(
+                    "cannot listen on " + address + ": it is in use or not this machine's", e);
         }
     }
 
@@ -104,26 +126,44 @@
         }
     }
 
-    /** Connects as one of the links; the receiver is made, or {@code failed} is run on the schedule. */
-    public void connect(InetSocketAddress address, Function<Connection, Receiver> receivers, Runnable failed) {
+    /**
+     * Connects as one of the links; the receiver is made, or {@code failed} is run on the schedule.
+     */
+    public void connect(
+            InetSocketAddress address, Function<Connection, Receiver> receivers, Runnable failed) {
         connect("link", address, receivers, failed);
     }
 
-    /** Connects for what {@code kind} names; the receiver is made, or {@code failed} is run on the schedule. */
-    public void connect(String kind, InetSocketAddress address, Function<Connection, Receiver> receivers, Runnable failed) {
-        ConnectFuture connecting = connector.connect(address, (session, future) -> {
-            session.setAttribute(Function.class, receivers);
-            session.setAttribute(KIND, kind);
-        });
-        connecting.addListener((IoFutureListener<ConnectFuture>) future -> {
-            if (future.isConnected()) {
-                refusing.remove(address);
-            } else {
-                // One line for a row of tries: who is down is asked again and again.
-                if (refusing.add(address)) ended(kind, address, CloseCode.REFUSED);
-                schedule.post(failed);
-            }
-        });
+    /**
+     * Connects for what {@code kind} names; the receiver is made, or {@code failed} is run on the
+     * schedule.
+     */
+    public void connect(
+            String kind,
+            InetSocketAddress address,
+            Function<Connection, Receiver> receivers,
+            Runnable failed) {
+        ConnectFuture connecting =
+                connector.connect(
+                        address,
+                        (session, future) -> {
+                            session.setAttribute(Function.class, receivers);
+                            session.setAttribute(KIND, kind);
+                        });
+        connecting.addListener(
+                (IoFutureListener<ConnectFuture>)
+                        future -> {
+                            if (future.isConnected()) {
+                                refusing.remove(address);
+                            } else {
+                                // One line for a row of tries: who is down is asked again and
+                                // again.
+                                if (refusing.add(address)) {
+                                    ended(kind, address, CloseCode.REFUSED);
+                                }
+                                schedule.post(failed);
+                            }
+                        });
     }
 
     /** The one line that each connection leaves. */
@@ -142,13 +182,17 @@
     /** Gateways have left much unread, all together. */
     boolean crowded() {
         long unread = 0;
-        for (Acceptor acceptor : acceptors) unread += acceptor.getScheduledWriteBytes();
+        for (Acceptor acceptor : acceptors) {
+            unread += acceptor.getScheduledWriteBytes();
+        }
         return unread > memory / UNREAD_PART;
     }
 
     /** Writes out what a gathering has left, one write for each connection. */
     public void flush() {
-        if (dirty.isEmpty()) return;
+        if (dirty.isEmpty()) {
+            return;
+        }
         List<Connection> all = new ArrayList<>(dirty);
         dirty.clear();
         all.forEach(Connection::flush);
@@ -173,9 +217,13 @@
         @Override
         @SuppressWarnings("unchecked")
         public void sessionCreated(IoSession session) {
-            Connection connection = new Connection(session, Network.this, fixed != null, schedule.now());
-            Function<Connection, Receiver> receivers = fixed != null ? fixed
-                : (Function<Connection, Receiver>) session.removeAttribute(Function.class);
+            Connection connection =
+                    new Connection(session, Network.this, fixed != null, schedule.now());
+            Function<Connection, Receiver> receivers =
+                    fixed != null
+                            ? fixed
+                            : (Function<Connection, Receiver>)
+                                    session.removeAttribute(Function.class);
             session.setAttribute(Connection.class, connection);
             session.setAttribute(Receiver.class, receivers.apply(connection));
         }
@@ -195,7 +243,9 @@
         @Override
         public void messageReceived(IoSession session, Object message) {
             Connection connection = connection(session);
-            if (!connection.open() || connection.deaf()) return;
+            if (!connection.open() || connection.deaf()) {
+                return;
+            }
             IoBuffer buffer = (IoBuffer) message;
             int from = buffer.arrayOffset() + buffer.position();
             Receiver receiver = receiver(session);
@@ -203,47 +253,77 @@
             try {
                 work = receiver.received(buffer.array(), from, from + buffer.remaining());
             } catch (BadInputException e) {
-                LOG.info(() -> "bad input from " + kind(session) + " " + connection.peer() + ": " + e.getMessage());
-                if (fixed == null) connection.drop(CloseCode.BAD_INPUT);
-                else spoilt(connection, receiver, CloseCode.BAD_INPUT);
+                LOG.info(
+                        () ->
+                                "bad input from "
+                                        + kind(session)
+                                        + " "
+                                        + connection.peer()
+                                        + ": "
+                                        + e.getMessage());
+                if (fixed == null) {
+                    connection.drop(CloseCode.BAD_INPUT);
+                } else {
+                    spoilt(connection, receiver, CloseCode.BAD_INPUT);
+                }
                 return;
             }
             Duration since = connection.within();
-            connection.within(!receiver.within() ? null : since == null || work != null ? schedule.now() : since);
-            if (work == null) return;
+            connection.within(
+                    !receiver.within()
+                            ? null
+                            : since == null || work != null ? schedule.now() : since);
+            if (work == null) {
+                return;
+            }
             boolean flooded = false;
             int bytes = buffer.remaining();
             int mine = connection.queued(bytes);
             long all = allBehind.addAndGet(bytes);
             if (fixed == null) {
-                // Guards against a peer that sends faster than the one thread works: its socket fills instead. Reading waits
-                // here, since MINA's own suspend and resume lose each other's changes when two threads call them.
+                // Guards against a peer that sends faster than the one thread works: its socket
+                // fills instead. Reading waits
+                // here, since MINA's own suspend and resume lose each other's changes when two
+                // threads call them.
                 behind.acquireUninterruptibly();
             } else if (mine > MOST_BEHIND || mine > SOME_BEHIND && all > memory / BEHIND_PART) {
-                // Guards against a flood that would hold up the reading of all others: whoever has most is read no further.
+                // Guards against a flood that would hold up the reading of all others: whoever has
+                // most is read no further.
                 flooded = true;
             }
-            schedule.post(() -> {
-                if (fixed == null) behind.release();
-                connection.queued(-bytes);
-                allBehind.addAndGet(-bytes);
-                connection.used(schedule.now());
-                work.run();
-            });
-            if (flooded) spoilt(connection, receiver, CloseCode.FLOOD);
+            schedule.post(
+                    () -> {
+                        if (fixed == null) {
+                            behind.release();
+                        }
+                        connection.queued(-bytes);
+                        allBehind.addAndGet(-bytes);
+                        connection.used(schedule.now());
+                        work.run();
+                    });
+            if (flooded) {
+                spoilt(connection, receiver, CloseCode.FLOOD);
+            }
         }
 
-        /** Guards against answers that are lost with a caller's connection: what was read of it before is worked off first. */
+        /**
+         * Guards against answers that are lost with a caller's connection: what was read of it
+         * before is worked off first.
+         */
         private void spoilt(Connection connection, Receiver receiver, CloseCode code) {
             connection.deafen();
-            schedule.post(() -> {
-                if (!receiver.spoilt(code)) connection.drop(code);
-            });
+            schedule.post(
+                    () -> {
+                        if (!receiver.spoilt(code)) {
+                            connection.drop(code);
+                        }
+                    });
         }
 
         @Override
         public void inputClosed(IoSession session) {
-            session.suspendRead(); // guards against a selector that wakes for this end again and again
+            session.suspendRead(); // guards against a selector that wakes for this end again and
+            // again
             connection(session).inputEnds();
             Receiver receiver = receiver(session);
             schedule.post(receiver::inputEnded);
@@ -255,20 +335,28 @@
             Receiver receiver = receiver(session);
             connection.reason(CloseCode.PEER_CLOSED);
             receiver.closed();
-            schedule.post(() -> {
-                CloseCode code = connection.code();
-                receiver.ended(code);
-                // One for each run would fill the log: the figures of their pools count these.
-                if (code == CloseCode.ANSWERED && fixed == null) return;
-                ended(kind(session), connection.peer(), code);
-            });
+            schedule.post(
+                    () -> {
+                        CloseCode code = connection.code();
+                        receiver.ended(code);
+                        // One for each run would fill the log: the figures of their pools count
+                        // these.
+                        if (code == CloseCode.ANSWERED && fixed == null) {
+                            return;
+                        }
+                        ended(kind(session), connection.peer(), code);
+                    });
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
             Connection connection = connection(session);
-            if (connection == null) return;
-            if (!(cause instanceof IOException)) LOG.log(Level.WARNING, "fault at " + connection.peer(), cause);
+            if (connection == null) {
+                return;
+            }
+            if (!(cause instanceof IOException)) {
+                LOG.log(Level.WARNING, "fault at " + connection.peer(), cause);
+            }
             connection.drop(CloseCode.BROKEN);
         }
     }
--- a/src/main/java/ochretiller/net/Output.java
+++ b/src/main/java/ochretiller/net/Output.java
@@ -6,12 +6,14 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** Ends what is written on a connection while it is still read: MINA has no word for that, the channel under it has. */
+/**
+ * Ends what is written on a connection while it is still read: MINA has no word for that, the
+ * channel under it has.
+ */
 final class Output {
     private static final Field CHANNEL = channel();
 
-    private Output() {
-    }
+    private Output() {}
 
     private static Field channel() {
         try {
@@ -19,7 +21,8 @@
             field.setAccessible(true);
             return field;
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("another release of MINA than the one that is pinned", e);
+            throw new IllegalStateException(
+                    "another release of MINA than the one that is pinned", e);
         }
     }
 
--- a/src/main/java/ochretiller/net/Receiver.java
+++ b/src/main/java/ochretiller/net/Receiver.java
@@ -2,7 +2,10 @@
 
 /** One connection's side of a stage. */
 public interface Receiver {
-    /** On the network's thread: decodes what was read, and returns what is to be done about it, or null. */
+    /**
+     * On the network's thread: decodes what was read, and returns what is to be done about it, or
+     * null.
+     */
     Runnable received(byte[] bytes, int from, int to);
 
     /** On the network's thread: a message has begun and is not whole yet. */
@@ -11,8 +14,8 @@
     }
 
     /**
-     * On the one thread: the peer has sent what cannot be read, or more than it may, and nothing that follows is read. False where
-     * nothing is owed to it, and the network ends it at once.
+     * On the one thread: the peer has sent what cannot be read, or more than it may, and nothing
+     * that follows is read. False where nothing is owed to it, and the network ends it at once.
      */
     default boolean spoilt(CloseCode code) {
         return false;
--- a/src/main/java/ochretiller/net/Schedule.java
+++ b/src/main/java/ochretiller/net/Schedule.java
@@ -7,7 +7,10 @@
     /** Time since the start, the same all through one gathering. */
     Duration now();
 
-    /** The time of this very moment, for what must be looked at last: {@link #now} is that of the gathering. */
+    /**
+     * The time of this very moment, for what must be looked at last: {@link #now} is that of the
+     * gathering.
+     */
     default Duration exact() {
         return now();
     }
--- a/src/main/java/ochretiller/node/Configuration.java
+++ b/src/main/java/ochretiller/node/Configuration.java
@@ -20,21 +20,39 @@
 /**
  * What a server is told at its start, checked before it listens.
  *
- * @param listen  where gateways connect
+ * @param listen where gateways connect
  * @param records where calls go; null where no operation calls
- * @param stop    how long after the notice to leave the process is killed
+ * @param stop how long after the notice to leave the process is killed
  * @param sockets descriptors that may be held
  */
-public record Configuration(String name, InetSocketAddress listen, InetSocketAddress processor,
-                            InetSocketAddress records, InetSocketAddress roster, long seed, Duration stop,
-                            int memoryMb, int sockets, Lookup settings) {
+public record Configuration(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress processor,
+        InetSocketAddress records,
+        InetSocketAddress roster,
+        long seed,
+        Duration stop,
+        int memoryMb,
+        int sockets,
+        Lookup settings) {
     /** Settings that no server can do without. */
-    private static final List<String> NEEDED = List.of("classes.0.name", "familyInfo.cpus", "familyInfo.memoryKb",
-        "familyInfo.meters", "familyInfo.idleNs", "guarantees.stopSendingWithinNs");
+    private static final List<String> NEEDED =
+            List.of(
+                    "classes.0.name",
+                    "familyInfo.cpus",
+                    "familyInfo.memoryKb",
+                    "familyInfo.meters",
+                    "familyInfo.idleNs",
+                    "guarantees.stopSendingWithinNs");
+
     private static final int FEWEST_SOCKETS = 64;
     private static final int LEAST_MB = 32;
 
-    /** Reads and checks the file; what is wrong is told by a {@link MalformedException} that names it. */
+    /**
+     * Reads and checks the file; what is wrong is told by a {@link MalformedException} that names
+     * it.
+     */
     public static Configuration read(Path file) {
         Object value;
         try {
@@ -42,9 +60,12 @@
         } catch (IOException e) {
             throw new MalformedException("cannot read the configuration " + file);
         } catch (BadInputException e) {
-            throw new MalformedException("the configuration " + file + " is not JSON: " + e.getMessage());
+            throw new MalformedException(
+                    "the configuration " + file + " is not JSON: " + e.getMessage());
+        }
+        if (!(value instanceof Map)) {
+            throw new MalformedException("the configuration " + file + " is no JSON object");
         }
-        if (!(value instanceof Map)) throw new MalformedException("the configuration " + file + " is no JSON object");
         return of(asObject(value));
     }
 
@@ -59,28 +80,52 @@
 
     static Configuration of(Map<String, Object> object) {
         Lookup top = new Nested(object);
-        if (!(object.get("settings") instanceof Map)) throw new MalformedException("no value for settings");
+        if (!(object.get("settings") instanceof Map)) {
+            throw new MalformedException("no value for settings");
+        }
         Lookup settings = new Nested(asObject(object.get("settings")));
         NEEDED.forEach(settings::text);
-        Configuration read = new Configuration(top.text("name"), address(top, "listen"), address(top, "processor"),
-            top.has("records") ? address(top, "records") : null, address(top, "roster"), seed(top.text("seed")),
-            Duration.ofMillis(atLeast(top, "stop_ms", 1)), (int) atLeast(top, "limits.memory_mb", LEAST_MB),
-            (int) atLeast(top, "limits.sockets", FEWEST_SOCKETS), settings);
+        Configuration read =
+                new Configuration(
+                        top.text("name"),
+                        address(top, "listen"),
+                        address(top, "processor"),
+                        top.has("records") ? address(top, "records") : null,
+                        address(top, "roster"),
+                        seed(top.text("seed")),
+                        Duration.ofMillis(atLeast(top, "stop_ms", 1)),
+                        (int) atLeast(top, "limits.memory_mb", LEAST_MB),
+                        (int) atLeast(top, "limits.sockets", FEWEST_SOCKETS),
+                        settings);
         for (int i = 0; i < settings.whole("classes.count"); i++) {
             atLeast(settings, "classes." + i + ".giveUpNs", 1);
         }
-        Settings.choice(settings, new SplittableRandom(read.seed), false); // a wrong setting is told by its name
-        // A site where nothing calls below has no such service; elsewhere it cannot be done without.
-        boolean calls = read.operations().values().stream().anyMatch(Operation::calls); // a wrong one is told in any case
-        if (read.records == null && calls) top.text("records");
+        Settings.choice(
+                settings,
+                new SplittableRandom(read.seed),
+                false); // a wrong setting is told by its name
+        // A site where nothing calls below has no such service; elsewhere it cannot be done
+        // without.
+        boolean calls =
+                read.operations().values().stream()
+                        .anyMatch(Operation::calls); // a wrong one is told in any case
+        if (read.records == null && calls) {
+            top.text("records");
+        }
         return read;
     }
 
     /** Guards against a JVM that was sized by something else; null where it was sized by nobody. */
     public void holdsFor(Integer sizedMb) {
-        if (sizedMb == null || sizedMb == memoryMb) return;
-        throw new MalformedException("limits.memory_mb is " + memoryMb + ", and the JVM was sized for " + sizedMb
-            + ": write it as plain digits on the line of its name");
+        if (sizedMb == null || sizedMb == memoryMb) {
+            return;
+        }
+        throw new MalformedException(
+                "limits.memory_mb is "
+                        + memoryMb
+                        + ", and the JVM was sized for "
+                        + sizedMb
+                        + ": write it as plain digits on the line of its name");
     }
 
     Map<String, Operation> operations() {
@@ -89,7 +134,9 @@
 
     private static long atLeast(Lookup lookup, String name, long least) {
         long value = lookup.whole(name);
-        if (value < least) throw new MalformedException(name + " is under " + least + ": " + value);
+        if (value < least) {
+            throw new MalformedException(name + " is under " + least + ": " + value);
+        }
         return value;
     }
 
@@ -107,7 +154,9 @@
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             // Digits and dots only: no name is ever looked up.
-            if (colon > 0 && text.substring(0, colon).matches("\\d{1,3}(\\.\\d{1,3}){3}") && port > 0) {
+            if (colon > 0
+                    && text.substring(0, colon).matches("\\d{1,3}(\\.\\d{1,3}){3}")
+                    && port > 0) {
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (IllegalArgumentException e) {
--- a/src/main/java/ochretiller/node/Lifecycle.java
+++ b/src/main/java/ochretiller/node/Lifecycle.java
@@ -3,14 +3,16 @@
 import java.util.logging.Logger;
 
 /**
- * What signals do at each stage of a process: before there is a server, while it serves, behind its end. It is installed before
- * anything is read, so that no stage is left to the JVM's own ways, which end a process at once.
+ * What signals do at each stage of a process: before there is a server, while it serves, behind its
+ * end. It is installed before anything is read, so that no stage is left to the JVM's own ways,
+ * which end a process at once.
  */
 public final class Lifecycle {
     private static final Logger LOG = Logger.getLogger(Lifecycle.class.getName());
 
     /** Null until it is about to listen. */
     private Node node;
+
     private boolean failed;
     private boolean reloads;
 
@@ -25,7 +27,9 @@
     /** The server is ready to listen: from here on the signals are its own. */
     public synchronized void serves(Node ready) {
         node = ready;
-        if (reloads) node.reload(); // its configuration may have been read before the signal
+        if (reloads) {
+            node.reload(); // its configuration may have been read before the signal
+        }
     }
 
     /** It could not be started: the exit code of that stays. */
@@ -39,16 +43,23 @@
             now = node;
             reloads = true;
         }
-        if (now != null) now.reload();
+        if (now != null) {
+            now.reload();
+        }
     }
 
     /** The JVM ends, for a signal or since its work is over. */
     private void leave() {
         Node now;
         synchronized (this) {
-            if (failed) return;
-            // Guards against a start that goes on while it is told to leave: nothing was read, and nothing is listened for.
-            if (node == null) Runtime.getRuntime().halt(0);
+            if (failed) {
+                return;
+            }
+            // Guards against a start that goes on while it is told to leave: nothing was read, and
+            // nothing is listened for.
+            if (node == null) {
+                Runtime.getRuntime().halt(0);
+            }
             now = node;
         }
         try {
--- a/src/main/java/ochretiller/node/Logs.java
+++ b/src/main/java/ochretiller/node/Logs.java
@@ -11,20 +11,31 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Logging that goes on through the drain: the standard manager closes all handlers as soon as SIGTERM comes. */
+/**
+ * Logging that goes on through the drain: the standard manager closes all handlers as soon as
+ * SIGTERM comes.
+ */
 public final class Logs {
-    private Logs() {
-    }
+    private Logs() {}
 
-    /** To be called before anything is logged; this class must not itself be a manager, or it would come too late. */
+    /**
+     * To be called before anything is logged; this class must not itself be a manager, or it would
+     * come too late.
+     */
     public static void install() {
         System.setProperty("java.util.logging.manager", Kept.class.getName());
-        System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tLZ %4$s %5$s%6$s%n");
+        System.setProperty(
+                "java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tLZ %4$s %5$s%6$s%n");
     }
 
-    /** From here on each line is one JSON object: {@code at}, {@code level}, {@code part}, {@code message}, {@code trace}. */
+    /**
+     * From here on each line is one JSON object: {@code at}, {@code level}, {@code part}, {@code
+     * message}, {@code trace}.
+     */
     public static void json() {
-        for (Handler handler : Logger.getLogger("").getHandlers()) handler.setFormatter(new Lines());
+        for (Handler handler : Logger.getLogger("").getHandlers()) {
+            handler.setFormatter(new Lines());
+        }
     }
 
     /** Found by its name. */
--- a/src/main/java/ochretiller/node/Loop.java
+++ b/src/main/java/ochretiller/node/Loop.java
@@ -11,21 +11,23 @@
 import java.util.logging.Logger;
 import ochretiller.net.Schedule;
 
-/** The one thread that owns all state: it gathers what is ready, works it off, and lets what came of it go out. */
+/**
+ * The one thread that owns all state: it gathers what is ready, works it off, and lets what came of
+ * it go out.
+ */
 public final class Loop implements Schedule {
     private static final Logger LOG = Logger.getLogger(Loop.class.getName());
     private static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(1);
 
     private final LinkedBlockingQueue<Runnable> ready = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
-        new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::number));
+            new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::number));
     private final long startedAt = System.nanoTime();
     private volatile Duration now = Duration.ZERO;
     private long timerNumbers;
     private boolean stopped;
 
-    private record Timer(Duration at, long number, Runnable work) {
-    }
+    private record Timer(Duration at, long number, Runnable work) {}
 
     @Override
     public Duration now() {
@@ -57,13 +59,17 @@
         while (!stopped) {
             try {
                 Runnable first = ready.poll(untilTimer(), TimeUnit.NANOSECONDS);
-                if (first != null) gathered.add(first);
+                if (first != null) {
+                    gathered.add(first);
+                }
             } catch (InterruptedException e) {
                 LOG.warning("interrupted, and goes on: only the notice to leave ends a server");
             }
             ready.drainTo(gathered);
             now = Duration.ofNanos(System.nanoTime() - startedAt);
-            while (!timers.isEmpty() && timers.peek().at.compareTo(now) <= 0) gathered.add(timers.poll().work);
+            while (!timers.isEmpty() && timers.peek().at.compareTo(now) <= 0) {
+                gathered.add(timers.poll().work);
+            }
             gathered.forEach(Loop::guarded);
             gathered.clear();
             guarded(goOut);
@@ -71,7 +77,9 @@
     }
 
     private long untilTimer() {
-        if (timers.isEmpty()) return LONGEST_WAIT;
+        if (timers.isEmpty()) {
+            return LONGEST_WAIT;
+        }
         return Math.max(0, timers.peek().at.toNanos() - (System.nanoTime() - startedAt));
     }
 
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Function;
-import ochretiller.policy.Choice;
 import ochretiller.model.CallEnd;
 import ochretiller.model.CallerId;
 import ochretiller.model.Gauges;
@@ -12,6 +11,7 @@
 import ochretiller.model.Invocation;
 import ochretiller.model.Operation;
 import ochretiller.model.RunEnd;
+import ochretiller.policy.Choice;
 import ochretiller.server.Server;
 import ochretiller.server.Step;
 import ochretiller.text.Frames;
@@ -19,24 +19,25 @@
 import ochretiller.text.Slice;
 
 /**
- * Invocations that nobody sent, through decisions that are thrown away: guards against a fresh server whose first seconds
- * go into linking and compiling what it then needs at once. It is done before the server listens.
+ * Invocations that nobody sent, through decisions that are thrown away: guards against a fresh
+ * server whose first seconds go into linking and compiling what it then needs at once. It is done
+ * before the server listens.
  */
 final class WarmUp implements Server {
     private static final Duration RUN = Duration.ofMillis(20);
-    private static final String MESSAGE = "{\"jsonrpc\":\"2.0\",\"id\":7,\"method\":\"any\",\"params\":{\"rid\":"
-        + "\"9b1f03aa5c7e2d41\",\"t0\":1764576000123,\"peer\":4,\"mem\":24.5,\"prio\":0.6250,\"data\":\"Z29vZA==\"}}\n";
+    private static final String MESSAGE =
+            "{\"jsonrpc\":\"2.0\",\"id\":7,\"method\":\"any\",\"params\":{\"rid\":\"9b1f03aa5c7e2d41\",\"t0\":1764576000123,\"peer\":4,\"mem\":24.5,\"prio\":0.6250,\"data\":\"Z29vZA==\"}}\n";
     private static final String NOTICE = "complete 7 9b1f03aa5c7e2d41 complete 12.5 4\r\ngood\r\n";
 
     private final Choice choice;
     private final Frames messages = new Frames(MESSAGE.length(), false, line -> Frames.NONE);
-    private final Frames notices = new Frames(NOTICE.length(), true, line -> Integer.parseInt(line.words().get(5)));
+    private final Frames notices =
+            new Frames(NOTICE.length(), true, line -> Integer.parseInt(line.words().get(5)));
     private final PriorityQueue<Later> later = new PriorityQueue<>((a, b) -> a.at.compareTo(b.at));
     private Duration now = Duration.ofSeconds(1);
     int ended;
 
-    private record Later(Duration at, Runnable work) {
-    }
+    private record Later(Duration at, Runnable work) {}
 
     WarmUp(Choice choice) {
         this.choice = choice;
@@ -49,12 +50,28 @@
         for (int round = 0; round < rounds; round++) {
             for (Operation operation : operations) {
                 Slice message = Slice.of(MESSAGE);
-                messages.read(message.bytes(), message.from(), message.to(), (line, body) -> new Json(line).read());
+                messages.read(
+                        message.bytes(),
+                        message.from(),
+                        message.to(),
+                        (line, body) -> new Json(line).read());
                 Slice notice = Slice.of(NOTICE);
-                notices.read(notice.bytes(), notice.from(), notice.to(), (line, body) -> body.copy());
+                notices.read(
+                        notice.bytes(), notice.from(), notice.to(), (line, body) -> body.copy());
                 Duration due = now.plus(operation.clientTimeout());
-                choice.arrived(new Invocation(new InvId(++id), null, operation, 1, now, due, null, new CallerId(id % 4), null,
-                    false)).act(this);
+                choice.arrived(
+                                new Invocation(
+                                        new InvId(++id),
+                                        null,
+                                        operation,
+                                        1,
+                                        now,
+                                        due,
+                                        null,
+                                        new CallerId(id % 4),
+                                        null,
+                                        false))
+                        .act(this);
                 until(now.plus(RUN.dividedBy(5)));
             }
         }
@@ -81,15 +98,21 @@
     @Override
     public void run(InvId id, Function<RunEnd, Step> then) {
         in(RUN.dividedBy(2), () -> choice.blocked(id).act(this));
-        in(RUN, () -> {
-            ended++;
-            then.apply(new RunEnd(RunEnd.Result.SUCCEEDED, RUN)).act(this);
-        });
+        in(
+                RUN,
+                () -> {
+                    ended++;
+                    then.apply(new RunEnd(RunEnd.Result.SUCCEEDED, RUN)).act(this);
+                });
     }
 
     @Override
     public void call(InvId id, Duration patience, Function<CallEnd, Step> then) {
-        in(RUN.dividedBy(4), () -> then.apply(new CallEnd(CallEnd.Result.SUCCEEDED, RUN.dividedBy(4))).act(this));
+        in(
+                RUN.dividedBy(4),
+                () ->
+                        then.apply(new CallEnd(CallEnd.Result.SUCCEEDED, RUN.dividedBy(4)))
+                                .act(this));
     }
 
     @Override
--- a/src/main/java/ochretiller/operator/ContractFiles.java
+++ b/src/main/java/ochretiller/operator/ContractFiles.java
@@ -17,45 +17,76 @@
 import ochretiller.json5.Json5;
 import ochretiller.settings.MalformedException;
 
-/** Reads a folder of contracts: {@code broker.json5} says what there is, each other file is a team's. */
+/**
+ * Reads a folder of contracts: {@code broker.json5} says what there is, each other file is a
+ * team's.
+ */
 public final class ContractFiles {
     private static final String BROKER = "broker.json5";
     private static final Json5 CONTRACT = new Json5(ContractFiles.class, "contract.schema.json");
     private static final Json5 CAPACITY = new Json5(ContractFiles.class, "broker.schema.json");
+
     /** Contracts of one folder. */
     private static final int MOST = 10_000;
-    /** Where a contract says nothing: a tenth of a second of the rate saved up, and a tenth of all tries tried again. */
+
+    /**
+     * Where a contract says nothing: a tenth of a second of the rate saved up, and a tenth of all
+     * tries tried again.
+     */
     private static final double BURST_S = 0.1;
+
     private static final double RETRY_SHARE = 0.1;
 
-    private ContractFiles() {
-    }
+    private ContractFiles() {}
 
-    /** All contracts; what is wrong with a file, or with all of them together, is one exception with a line each. */
+    /**
+     * All contracts; what is wrong with a file, or with all of them together, is one exception with
+     * a line each.
+     */
     public static Contracts read(Path folder) {
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
-            files = all.filter(file -> file.toString().endsWith(".json5") && !file.getFileName().toString().equals(BROKER)).sorted().toList();
+            files =
+                    all.filter(
+                                    file ->
+                                            file.toString().endsWith(".json5")
+                                                    && !file.getFileName()
+                                                            .toString()
+                                                            .equals(BROKER))
+                            .sorted()
+                            .toList();
         } catch (IOException e) {
             throw new MalformedException("cannot read the contracts' folder " + folder);
         }
-        if (files.size() > MOST) throw new MalformedException(folder + " has over " + MOST + " contracts");
-        double capacity = CAPACITY.read(folder.resolve(BROKER), "the broker's file").get("work_per_s").asDouble();
+        if (files.size() > MOST) {
+            throw new MalformedException(folder + " has over " + MOST + " contracts");
+        }
+        double capacity =
+                CAPACITY.read(folder.resolve(BROKER), "the broker's file")
+                        .get("work_per_s")
+                        .asDouble();
         List<Contract> contracts = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         Set<TeamId> teams = new HashSet<>();
         for (Path file : files) {
             try {
                 Contract contract = contract(CONTRACT.read(file, "the contract"));
-                if (teams.add(contract.team())) contracts.add(contract);
-                else faults.add(file + ": a second contract of " + contract.team());
+                if (teams.add(contract.team())) {
+                    contracts.add(contract);
+                } else {
+                    faults.add(file + ": a second contract of " + contract.team());
+                }
             } catch (MalformedException e) {
                 faults.add(e.getMessage());
             }
         }
         Contracts all = Contracts.of(capacity, contracts);
-        if (faults.isEmpty()) all.faults().forEach(fault -> faults.add(folder + ": " + fault));
-        if (!faults.isEmpty()) throw new MalformedException(String.join("\n", faults));
+        if (faults.isEmpty()) {
+            all.faults().forEach(fault -> faults.add(folder + ": " + fault));
+        }
+        if (!faults.isEmpty()) {
+            throw new MalformedException(String.join("\n", faults));
+        }
         return all;
     }
 
@@ -63,16 +94,41 @@
         List<String> known = new ArrayList<>();
         root.path("known").forEach(each -> known.add(each.asText()));
         List<Contract.Service> publishes = new ArrayList<>();
-        root.path("publishes").forEach(each -> publishes.add(new Contract.Service(each.get("service").asText(), each.get("pool").asText(),
-            Duration.ofMillis(each.get("objective_ms").asLong()))));
+        root.path("publishes")
+                .forEach(
+                        each ->
+                                publishes.add(
+                                        new Contract.Service(
+                                                each.get("service").asText(),
+                                                each.get("pool").asText(),
+                                                Duration.ofMillis(
+                                                        each.get("objective_ms").asLong()))));
         List<Contract.Call> calls = new ArrayList<>();
-        root.path("calls").forEach(each -> calls.add(new Contract.Call(each.get("service").asText(), each.get("work_per_s").asDouble(),
-            each.path("in_flight").asInt(100), Duration.ofMillis(each.get("objective_ms").asLong()),
-            Duration.ofMillis(each.get("timeout_ms").asLong()), each.path("value").asDouble(1))));
+        root.path("calls")
+                .forEach(
+                        each ->
+                                calls.add(
+                                        new Contract.Call(
+                                                each.get("service").asText(),
+                                                each.get("work_per_s").asDouble(),
+                                                each.path("in_flight").asInt(100),
+                                                Duration.ofMillis(
+                                                        each.get("objective_ms").asLong()),
+                                                Duration.ofMillis(each.get("timeout_ms").asLong()),
+                                                each.path("value").asDouble(1))));
         JsonNode promise = root.get("promise");
         double rate = promise.get("work_per_s").asDouble();
-        return new Contract(new TeamId(root.get("team").asText()), root.get("version").asInt(), List.copyOf(known), List.copyOf(publishes),
-            List.copyOf(calls), new Promise(rate, promise.path("burst").asDouble(rate * BURST_S), promise.path("weight").asDouble(rate),
-                promise.path("retry_share").asDouble(RETRY_SHARE), promise.path("retry_burst").asDouble(rate * BURST_S)));
+        return new Contract(
+                new TeamId(root.get("team").asText()),
+                root.get("version").asInt(),
+                List.copyOf(known),
+                List.copyOf(publishes),
+                List.copyOf(calls),
+                new Promise(
+                        rate,
+                        promise.path("burst").asDouble(rate * BURST_S),
+                        promise.path("weight").asDouble(rate),
+                        promise.path("retry_share").asDouble(RETRY_SHARE),
+                        promise.path("retry_burst").asDouble(rate * BURST_S)));
     }
 }
--- a/src/main/java/ochretiller/operator/OperatorFile.java
+++ b/src/main/java/ochretiller/operator/OperatorFile.java
@@ -21,12 +21,14 @@
 import ochretiller.pools.PoolSettings;
 import ochretiller.settings.MalformedException;
 
-/** Reads an operators' file. What is wrong is told by a {@link MalformedException}, one line with file, line and column. */
+/**
+ * Reads an operators' file. What is wrong is told by a {@link MalformedException}, one line with
+ * file, line and column.
+ */
 public final class OperatorFile {
     private static final Json5 FILE = new Json5(OperatorFile.class, "operator.schema.json");
 
-    private OperatorFile() {
-    }
+    private OperatorFile() {}
 
     public static Operator read(Path file) {
         return operator(FILE.read(file, "the operators' file"));
@@ -39,19 +41,27 @@
     private static Operator operator(JsonNode root) {
         JsonNode metrics = root.path("metrics");
         JsonNode remember = root.path("remember");
-        return new Operator(root.path("log").path("format").asText("text").equals("json"),
-            metrics.isMissingNode() ? Optional.empty()
-                : Optional.of(new Operator.Figures(Path.of(metrics.get("file").asText()), millis(metrics, "every_ms", 5_000))),
-            remember.isMissingNode() ? Optional.empty() : Optional.of(remember(remember)),
-            root.has("uwsgi") ? Optional.of(uwsgi(root.get("uwsgi"))) : Optional.empty(), pools(root.path("pools")),
-            root.has("fleet") ? Optional.of(fleet(root.get("fleet"))) : Optional.empty(),
-            root.has("audit") ? Optional.of(audit(root.get("audit"))) : Optional.empty(), drill(root.path("drill")));
+        return new Operator(
+                root.path("log").path("format").asText("text").equals("json"),
+                metrics.isMissingNode()
+                        ? Optional.empty()
+                        : Optional.of(
+                                new Operator.Figures(
+                                        Path.of(metrics.get("file").asText()),
+                                        millis(metrics, "every_ms", 5_000))),
+                remember.isMissingNode() ? Optional.empty() : Optional.of(remember(remember)),
+                root.has("uwsgi") ? Optional.of(uwsgi(root.get("uwsgi"))) : Optional.empty(),
+                pools(root.path("pools")),
+                root.has("fleet") ? Optional.of(fleet(root.get("fleet"))) : Optional.empty(),
+                root.has("audit") ? Optional.of(audit(root.get("audit"))) : Optional.empty(),
+                drill(root.path("drill")));
     }
 
     private static List<Operator.Workers> pools(JsonNode pools) {
         List<Operator.Workers> all = new ArrayList<>();
         Set<String> operations = new HashSet<>();
-        pools.properties().forEach(each -> all.add(pool(each.getKey(), each.getValue(), operations)));
+        pools.properties()
+                .forEach(each -> all.add(pool(each.getKey(), each.getValue(), operations)));
         return List.copyOf(all);
     }
 
@@ -59,72 +69,137 @@
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonNode worker : node.get("workers")) {
             InetSocketAddress address = address(worker.asText());
-            if (addresses.contains(address)) throw new MalformedException("pool " + name + ": twice " + worker.asText());
+            if (addresses.contains(address)) {
+                throw new MalformedException("pool " + name + ": twice " + worker.asText());
+            }
             addresses.add(address);
         }
         List<Operator.Run> runs = new ArrayList<>();
         for (JsonNode run : node.get("runs")) {
             String operation = run.get("operation").asText();
-            if (!operations.add(operation)) throw new MalformedException("pool " + name + ": " + operation + " has a pool already");
-            runs.add(new Operator.Run(operation, run.path("method").asText("POST"), run.get("path").asText()));
+            if (!operations.add(operation)) {
+                throw new MalformedException(
+                        "pool " + name + ": " + operation + " has a pool already");
+            }
+            runs.add(
+                    new Operator.Run(
+                            operation,
+                            run.path("method").asText("POST"),
+                            run.get("path").asText()));
         }
         PoolSettings usual = PoolSettings.USUAL;
         Duration leftOut = millis(node, "left_out_ms", usual.leftOut().toMillis());
-        Duration most = millis(node, "most_left_out_ms", Math.max(leftOut.toMillis(), usual.mostLeftOut().toMillis()));
-        if (most.compareTo(leftOut) < 0) throw new MalformedException("pool " + name + ": most_left_out_ms is under left_out_ms");
-        return new Operator.Workers(name, List.copyOf(addresses), List.copyOf(runs), new PoolSettings(
-            node.path("most_in_flight").asInt(usual.mostInFlight()), node.path("failures_in_row").asInt(usual.failuresInRow()),
-            node.path("bad_share").asDouble(usual.badShare()), leftOut, most, node.path("probes").asInt(usual.probes()),
-            millis(node, "slow_start_ms", usual.slowStart().toMillis()), node.path("retry_share").asDouble(usual.retryShare()),
-            node.path("retry_burst").asDouble(usual.retryBurst())), millis(node, "late_ms", 10_000));
+        Duration most =
+                millis(
+                        node,
+                        "most_left_out_ms",
+                        Math.max(leftOut.toMillis(), usual.mostLeftOut().toMillis()));
+        if (most.compareTo(leftOut) < 0) {
+            throw new MalformedException(
+                    "pool " + name + ": most_left_out_ms is under left_out_ms");
+        }
+        return new Operator.Workers(
+                name,
+                List.copyOf(addresses),
+                List.copyOf(runs),
+                new PoolSettings(
+                        node.path("most_in_flight").asInt(usual.mostInFlight()),
+                        node.path("failures_in_row").asInt(usual.failuresInRow()),
+                        node.path("bad_share").asDouble(usual.badShare()),
+                        leftOut,
+                        most,
+                        node.path("probes").asInt(usual.probes()),
+                        millis(node, "slow_start_ms", usual.slowStart().toMillis()),
+                        node.path("retry_share").asDouble(usual.retryShare()),
+                        node.path("retry_burst").asDouble(usual.retryBurst())),
+                millis(node, "late_ms", 10_000));
     }
 
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     private static FleetSettings fleet(JsonNode node) {
         List<Address> seeds = new ArrayList<>();
         node.path("seeds").forEach(each -> seeds.add(fleetAddress(each)));
         Pace usual = Pace.USUAL;
-        return new FleetSettings(node.get("name").asText(), address(node.get("listen").asText()), node.has("advertise") ? fleetAddress(node.get("advertise")) : null,
-            node.has("serves") ? fleetAddress(node.get("serves")) : null, Path.of(node.get("key_file").asText()),
-            node.has("peers_file") ? Path.of(node.get("peers_file").asText()) : null, List.copyOf(seeds), node.path("zone").asText(""),
-            new Pace(millis(node, "probe_ms", usual.probe().toMillis()), Duration.ofSeconds(node.path("forget_s").asLong(usual.forget().toSeconds())),
-                node.path("most_gone").asInt(usual.mostGone())), node.has("copies") ? copies(node.get("copies")) : null);
+        return new FleetSettings(
+                node.get("name").asText(),
+                address(node.get("listen").asText()),
+                node.has("advertise") ? fleetAddress(node.get("advertise")) : null,
+                node.has("serves") ? fleetAddress(node.get("serves")) : null,
+                Path.of(node.get("key_file").asText()),
+                node.has("peers_file") ? Path.of(node.get("peers_file").asText()) : null,
+                List.copyOf(seeds),
+                node.path("zone").asText(""),
+                new Pace(
+                        millis(node, "probe_ms", usual.probe().toMillis()),
+                        Duration.ofSeconds(
+                                node.path("forget_s").asLong(usual.forget().toSeconds())),
+                        node.path("most_gone").asInt(usual.mostGone())),
+                node.has("copies") ? copies(node.get("copies")) : null);
     }
 
     private static CopySettings copies(JsonNode node) {
         List<String> voters = new ArrayList<>();
         node.get("voters").forEach(each -> voters.add(each.asText()));
-        if (new HashSet<>(voters).size() < voters.size()) throw new MalformedException("fleet: a voter is named twice");
-        return new CopySettings(List.copyOf(voters), node.has("voter_file") ? Path.of(node.get("voter_file").asText()) : null, node.path("factor").asInt(3),
-            node.path("most_entries").asInt(20_000), node.path("most_mb").asLong(16) << 20, millis(node, "calm_ms", 5_000),
-            node.path("catch_up_kb_per_s").asLong(2_048) << 10, modes(node), node.has("versions") ? versions(node.get("versions")) : null);
+        if (new HashSet<>(voters).size() < voters.size()) {
+            throw new MalformedException("fleet: a voter is named twice");
+        }
+        return new CopySettings(
+                List.copyOf(voters),
+                node.has("voter_file") ? Path.of(node.get("voter_file").asText()) : null,
+                node.path("factor").asInt(3),
+                node.path("most_entries").asInt(20_000),
+                node.path("most_mb").asLong(16) << 20,
+                millis(node, "calm_ms", 5_000),
+                node.path("catch_up_kb_per_s").asLong(2_048) << 10,
+                modes(node),
+                node.has("versions") ? versions(node.get("versions")) : null);
     }
 
     private static Operator.Audit audit(JsonNode node) {
-        return new Operator.Audit(Path.of(node.get("folder").asText()), millis(node, "span_ms", 60_000), node.path("most_mb").asLong(64) << 20, node.path("runs").asBoolean(true));
+        return new Operator.Audit(
+                Path.of(node.get("folder").asText()),
+                millis(node, "span_ms", 60_000),
+                node.path("most_mb").asLong(64) << 20,
+                node.path("runs").asBoolean(true));
     }
 
     private static VersionSettings versions(JsonNode node) {
-        return new VersionSettings(Path.of(node.get("folder").asText()), millis(node, "lease_ms", 10_000), millis(node, "grace_ms", 30_000), millis(node, "watch_ms", 60_000),
-            millis(node, "patience_ms", 30_000), node.path("on_harm").asText("take-back").equals("take-back"));
+        return new VersionSettings(
+                Path.of(node.get("folder").asText()),
+                millis(node, "lease_ms", 10_000),
+                millis(node, "grace_ms", 30_000),
+                millis(node, "watch_ms", 60_000),
+                millis(node, "patience_ms", 30_000),
+                node.path("on_harm").asText("take-back").equals("take-back"));
     }
 
     /** What a fleet brings out as a version: the pools of an operators' file, and nothing else. */
     public static List<Operator.Workers> version(String text, String name) {
         Operator operator = of(text, name);
-        boolean more = operator.metrics().isPresent() || operator.remember().isPresent() || operator.uwsgi().isPresent() || operator.fleet().isPresent()
-            || operator.jsonLog() || operator.audit().isPresent() || operator.pools().isEmpty();
-        if (more) throw new MalformedException(name + ": a version has pools, and nothing else");
+        boolean more =
+                operator.metrics().isPresent()
+                        || operator.remember().isPresent()
+                        || operator.uwsgi().isPresent()
+                        || operator.fleet().isPresent()
+                        || operator.jsonLog()
+                        || operator.audit().isPresent()
+                        || operator.pools().isEmpty();
+        if (more) {
+            throw new MalformedException(name + ": a version has pools, and nothing else");
+        }
         return operator.pools();
     }
 
     private static Modes.Told modes(JsonNode node) {
         Map<String, Modes.Mode> byOperation = new HashMap<>();
-        node.path("modes").properties().forEach(each -> byOperation.put(each.getKey(), mode(each.getValue().asText())));
+        node.path("modes")
+                .properties()
+                .forEach(each -> byOperation.put(each.getKey(), mode(each.getValue().asText())));
         return new Modes.Told(mode(node.path("mode").asText("fleet")), byOperation);
     }
 
@@ -140,30 +215,59 @@
         }
     }
 
-    /** Drills set a server's clock wrong and its disk faulty; anywhere else that would be a fault nobody could see. */
+    /**
+     * Drills set a server's clock wrong and its disk faulty; anywhere else that would be a fault
+     * nobody could see.
+     */
     private static Operator.Drill drill(JsonNode drill) {
-        if (drill.isMissingNode()) return Operator.Drill.NONE;
-        if (System.getenv("OCHRETILLER_DRILL") == null) throw new MalformedException("drill: only drills may set clocks and disks wrong");
-        return new Operator.Drill(Duration.ofMillis(drill.path("clock_ms").asLong(0)), drill.has("disk_fault") ? Path.of(drill.get("disk_fault").asText()) : null);
+        if (drill.isMissingNode()) {
+            return Operator.Drill.NONE;
+        }
+        if (System.getenv("OCHRETILLER_DRILL") == null) {
+            throw new MalformedException("drill: only drills may set clocks and disks wrong");
+        }
+        return new Operator.Drill(
+                Duration.ofMillis(drill.path("clock_ms").asLong(0)),
+                drill.has("disk_fault") ? Path.of(drill.get("disk_fault").asText()) : null);
     }
 
     private static Operator.Uwsgi uwsgi(JsonNode node) {
         List<Operator.Route> routes = new ArrayList<>();
         for (JsonNode route : node.get("routes")) {
-            routes.add(new Operator.Route(route.path("method").asText("GET"), route.get("path").asText(),
-                route.get("operation").asText(), route.path("kb").asDouble(20)));
+            routes.add(
+                    new Operator.Route(
+                            route.path("method").asText("GET"),
+                            route.get("path").asText(),
+                            route.get("operation").asText(),
+                            route.path("kb").asDouble(20)));
         }
-        return new Operator.Uwsgi(address(node.get("listen").asText()), List.copyOf(routes), node.path("caller_var").asText("REMOTE_ADDR"),
-            node.path("time_var").asText("HTTP_X_REQUEST_START"));
+        return new Operator.Uwsgi(
+                address(node.get("listen").asText()),
+                List.copyOf(routes),
+                node.path("caller_var").asText("REMOTE_ADDR"),
+                node.path("time_var").asText("HTTP_X_REQUEST_START"));
     }
 
     private static Operator.Remember remember(JsonNode node) {
         long mostBytes = node.path("most_mb").asLong(64) << 20;
-        return new Operator.Remember(Path.of(node.get("folder").asText()), node.path("most_entries").asInt(50_000), mostBytes,
-            (int) (node.path("segment_kb").asLong(Math.max(64, Math.min(mostBytes / 16, 64 << 20) >> 10)) << 10),
-            millis(node, "roll_after_ms", 5_000), node.path("compact_kb_per_s").asLong(8 << 10) << 10,
-            millis(node, "mark_wait_ms", 1_000), millis(node, "answer_wait_ms", 1_000), millis(node, "stall_ms", 250),
-            millis(node, "probe_ms", 200), millis(node, "most_probe_ms", 5_000));
+        return new Operator.Remember(
+                Path.of(node.get("folder").asText()),
+                node.path("most_entries").asInt(50_000),
+                mostBytes,
+                (int)
+                        (node.path("segment_kb")
+                                        .asLong(
+                                                Math.max(
+                                                        64,
+                                                        Math.min(mostBytes / 16, 64 << 20) >> 10))
+                                << 10),
+                millis(node, "roll_after_ms", 5_000),
+                node.path("compact_kb_per_s").asLong(8 << 10) << 10,
+                millis(node, "mark_wait_ms", 1_000),
+                millis(node, "answer_wait_ms", 1_000),
+                millis(node, "stall_ms", 250),
+                millis(node, "probe_ms", 200),
+                millis(node, "most_probe_ms", 5_000));
     }
 
     private static Duration millis(JsonNode node, String name, long otherwise) {
--- a/src/main/java/ochretiller/paths/package-info.java
+++ b/src/main/java/ochretiller/paths/package-info.java
@@ -1,2 +1,5 @@
-/** Patterns of paths: read by a parser, matched, and held against one another so that none hides another unseen. */
+/**
+ * Patterns of paths: read by a parser, matched, and held against one another so that none hides
+ * another unseen.
+ */
 package ochretiller.paths;
--- a/src/main/java/ochretiller/policy/Token.java
+++ b/src/main/java/ochretiller/policy/Token.java
@@ -7,7 +7,13 @@
 
 /** The entry of one tokened try: the mark, and the repeats that wait for it. */
 final class Token {
-    enum State { UNRUN, RUNNING, SUCCEEDED, LOST, DROPPED }
+    enum State {
+        UNRUN,
+        RUNNING,
+        SUCCEEDED,
+        LOST,
+        DROPPED
+    }
 
     final InvId id;
     final Duration expires;
--- a/src/main/java/ochretiller/pools/End.java
+++ b/src/main/java/ochretiller/pools/End.java
@@ -10,7 +10,10 @@
     SILENT("SILENT"),
     /** Its caller stopped waiting for it before its time was over: it may have run. */
     GIVEN_UP("GIVEN_UP"),
-    /** The connection was refused, or nothing of the request was written: it is proven not to have begun. */
+    /**
+     * The connection was refused, or nothing of the request was written: it is proven not to have
+     * begun.
+     */
     NEVER_BEGUN("NEVER_BEGUN");
 
     private final String externalName;
--- a/src/main/java/ochretiller/pools/Pool.java
+++ b/src/main/java/ochretiller/pools/Pool.java
@@ -12,14 +12,17 @@
 import ochretiller.spans.Ring;
 
 /**
- * Chooses workers. Of two that chance picks, the one whose next answer is due sooner gets the request: nearly as good as the
- * best of all, and many choosers that know the same do not all run to the same worker.
+ * Chooses workers. Of two that chance picks, the one whose next answer is due sooner gets the
+ * request: nearly as good as the best of all, and many choosers that know the same do not all run
+ * to the same worker.
  */
 public final class Pool {
     /** Workers of one pool: more want more than one pool. */
     private static final int MOST = 1_000;
+
     /** Times the usual time from which a request that was given up counts against its worker. */
     private static final double FAR = 4;
+
     /** The usual time, seconds, where nothing was answered of late. */
     private static final double UNKNOWN = 0.25;
 
@@ -27,6 +30,7 @@
     private final SplittableRandom chance;
     private final Map<WorkerId, Worker> workers = new LinkedHashMap<>();
     private double retries;
+
     /** How long good answers of all workers take of late. */
     private final Ring usual = new Ring(Worker.BUCKET, Worker.BUCKETS);
 
@@ -43,9 +47,14 @@
 
     private void add(WorkerId id, Duration now, boolean fresh) {
         Worker known = workers.get(id);
-        if (known != null && known.state != Worker.State.DRAINED) return;
-        if (known == null && workers.size() >= MOST) throw new IllegalStateException("over " + MOST + " workers in a pool");
-        Worker worker = new Worker(id, fresh ? now : now.minus(settings.slowStart()), settings.leftOut());
+        if (known != null && known.state != Worker.State.DRAINED) {
+            return;
+        }
+        if (known == null && workers.size() >= MOST) {
+            throw new IllegalStateException("over " + MOST + " workers in a pool");
+        }
+        Worker worker =
+                new Worker(id, fresh ? now : now.minus(settings.slowStart()), settings.leftOut());
         if (known != null) {
             worker.inFlight = known.inFlight; // what it still has is its own
             worker.away = known.away;
@@ -56,15 +65,24 @@
     /** It gets nothing more; it is forgotten once all that it has is over. */
     public void drain(WorkerId id) {
         Worker worker = workers.get(id);
-        if (worker == null) return;
+        if (worker == null) {
+            return;
+        }
         worker.state = Worker.State.DRAINED;
-        if (worker.inFlight == 0) workers.remove(id);
+        if (worker.inFlight == 0) {
+            workers.remove(id);
+        }
     }
 
-    /** What a view of the fleet says of a worker: one that is not there gets requests only where no other can. */
+    /**
+     * What a view of the fleet says of a worker: one that is not there gets requests only where no
+     * other can.
+     */
     public void seen(WorkerId id, boolean there) {
         Worker worker = workers.get(id);
-        if (worker != null) worker.away = !there;
+        if (worker != null) {
+            worker.away = !there;
+        }
     }
 
     /** Other settings hold from here on; what is in flight stays. */
@@ -75,41 +93,73 @@
 
     /** Brings the pool to this list, as a new configuration has it. */
     public void become(List<WorkerId> ids, Duration now) {
-        for (WorkerId id : List.copyOf(workers.keySet())) if (!ids.contains(id)) drain(id);
-        // The first list names workers that have long been there, as far as can be known: only later ones come slowly.
+        for (WorkerId id : List.copyOf(workers.keySet())) {
+            if (!ids.contains(id)) {
+                drain(id);
+            }
+        }
+        // The first list names workers that have long been there, as far as can be known: only
+        // later ones come slowly.
         boolean first = workers.isEmpty();
-        for (WorkerId id : ids) add(id, now, !first);
+        for (WorkerId id : ids) {
+            add(id, now, !first);
+        }
     }
 
-    /** The worker for a first try, or none where all are full, out or drained; it counts as in flight until {@link #ended}. */
+    /**
+     * The worker for a first try, or none where all are full, out or drained; it counts as in
+     * flight until {@link #ended}.
+     */
     public Optional<WorkerId> choose(Duration now) {
         retries = Math.min(settings.retryBurst(), retries + settings.retryShare());
         return pick(now, null);
     }
 
     /**
-     * Another worker for a request that is proven not to have begun on the one before, or none: also where the budget of
-     * second tries is spent, since at a total failure they would double the load on whatever comes back.
+     * Another worker for a request that is proven not to have begun on the one before, or none:
+     * also where the budget of second tries is spent, since at a total failure they would double
+     * the load on whatever comes back.
      */
     public Optional<WorkerId> chooseAgain(WorkerId before, End end, Duration now) {
-        if (!end.mayGoElsewhere() || retries < 1) return Optional.empty();
+        if (!end.mayGoElsewhere() || retries < 1) {
+            return Optional.empty();
+        }
         Optional<WorkerId> other = pick(now, before);
-        if (other.isPresent()) retries--;
+        if (other.isPresent()) {
+            retries--;
+        }
         return other;
     }
 
     private Optional<WorkerId> pick(Duration now, WorkerId not) {
         List<Worker> open = new ArrayList<>();
-        for (Worker worker : workers.values()) if (!worker.id.equals(not) && worker.takes(settings, now)) open.add(worker);
-        // Guards against a view that sees nobody because its own server is cut off: then the workers' answers alone count.
-        if (open.stream().anyMatch(worker -> !worker.away)) open.removeIf(worker -> worker.away);
-        if (open.isEmpty()) return Optional.empty();
-        // One that is being tried has to get its probes, or it would never come back beside faster ones.
-        Worker chosen = open.stream().filter(worker -> worker.state == Worker.State.TRIED).findFirst().orElse(null);
+        for (Worker worker : workers.values()) {
+            if (!worker.id.equals(not) && worker.takes(settings, now)) {
+                open.add(worker);
+            }
+        }
+        // Guards against a view that sees nobody because its own server is cut off: then the
+        // workers' answers alone count.
+        if (open.stream().anyMatch(worker -> !worker.away)) {
+            open.removeIf(worker -> worker.away);
+        }
+        if (open.isEmpty()) {
+            return Optional.empty();
+        }
+        // One that is being tried has to get its probes, or it would never come back beside faster
+        // ones.
+        Worker chosen =
+                open.stream()
+                        .filter(worker -> worker.state == Worker.State.TRIED)
+                        .findFirst()
+                        .orElse(null);
         if (chosen == null) {
             int first = chance.nextInt(open.size());
             // Two that differ: one that is drawn twice would be chosen however slow it is.
-            int second = open.size() == 1 ? first : (first + 1 + chance.nextInt(open.size() - 1)) % open.size();
+            int second =
+                    open.size() == 1
+                            ? first
+                            : (first + 1 + chance.nextInt(open.size() - 1)) % open.size();
             Worker one = open.get(first);
             Worker other = open.get(second);
             chosen = one.cost(settings, now) <= other.cost(settings, now) ? one : other;
@@ -118,28 +168,42 @@
         return Optional.of(chosen.id);
     }
 
-    /** A request to it is over; an answer that comes after its request was given up is not told here a second time. */
+    /**
+     * A request to it is over; an answer that comes after its request was given up is not told here
+     * a second time.
+     */
     public void ended(WorkerId id, End end, Duration took, Duration now) {
         Worker worker = workers.get(id);
-        if (worker == null) return;
-        if (end == End.ANSWERED) usual.add(now, seconds(took), 1);
-        // Given up after far longer than usual it says as much as silence; sooner it says nothing of its worker.
+        if (worker == null) {
+            return;
+        }
+        if (end == End.ANSWERED) {
+            usual.add(now, seconds(took), 1);
+        }
+        // Given up after far longer than usual it says as much as silence; sooner it says nothing
+        // of its worker.
         boolean silent = end == End.GIVEN_UP && seconds(took) > FAR * usual.mean(now, UNKNOWN);
         worker.ended(silent ? End.SILENT : end, took, settings, now);
-        if (worker.state == Worker.State.DRAINED && worker.inFlight == 0) workers.remove(id);
+        if (worker.state == Worker.State.DRAINED && worker.inFlight == 0) {
+            workers.remove(id);
+        }
     }
 
     /** Requests that all workers may have at once, as they are now. */
     public int places(Duration now) {
         int places = 0;
-        for (Worker worker : workers.values()) places += worker.most(settings, now);
+        for (Worker worker : workers.values()) {
+            places += worker.most(settings, now);
+        }
         return places;
     }
 
     /** How many more requests the workers would take now. */
     public int free(Duration now) {
         int free = 0;
-        for (Worker worker : workers.values()) free += Math.max(0, worker.most(settings, now) - worker.inFlight);
+        for (Worker worker : workers.values()) {
+            free += Math.max(0, worker.most(settings, now) - worker.inFlight);
+        }
         return free;
     }
 
--- a/src/main/java/ochretiller/pools/Worker.java
+++ b/src/main/java/ochretiller/pools/Worker.java
@@ -20,23 +20,36 @@
         DRAINED
     }
 
-    /** Ends are looked back at over two seconds: long enough for a share, short enough to forget a hiccup. */
+    /**
+     * Ends are looked back at over two seconds: long enough for a share, short enough to forget a
+     * hiccup.
+     */
     static final Duration BUCKET = Duration.ofMillis(250);
+
     static final int BUCKETS = 8;
+
     /** Time in which what is known of one that gets nothing halves. */
     private static final Duration FORGETS = Duration.ofSeconds(2);
+
     /** Ends that a share needs to be one. */
     private static final int ENOUGH = 10;
+
     /** Least part that a fresh worker gets, so that its first requests come at all. */
     private static final double LEAST_PART = 0.1;
-    /** A worker that was never measured counts as this fast, seconds: as good as a fast one, so that it is tried. */
+
+    /**
+     * A worker that was never measured counts as this fast, seconds: as good as a fast one, so that
+     * it is tried.
+     */
     private static final double UNKNOWN = 0.001;
 
     final WorkerId id;
     State state = State.IN;
     int inFlight;
+
     /** A view of the fleet does not see it. An opinion: it counts only while others are left. */
     boolean away;
+
     private Duration inSince;
     private Duration outUntil = Duration.ZERO;
     private Duration outFor;
@@ -73,25 +86,35 @@
 
     /** Its part of what a worker gets that has long been in, 0 to 1. */
     private double part(PoolSettings settings, Duration now) {
-        if (settings.slowStart().isZero()) return 1;
+        if (settings.slowStart().isZero()) {
+            return 1;
+        }
         double since = seconds(now.minus(inSince)) / seconds(settings.slowStart());
         return Math.min(1, Math.max(LEAST_PART, since));
     }
 
     /** Time until one more request would be answered, as far as can be told; less is better. */
     double cost(PoolSettings settings, Duration now) {
-        return (inFlight + 1) * Math.max(UNKNOWN, took.mean(now, remembered(now))) / part(settings, now);
+        return (inFlight + 1)
+                * Math.max(UNKNOWN, took.mean(now, remembered(now)))
+                / part(settings, now);
     }
 
-    /** Without an end of late the last mean counts, for less and less: a slow one is tried again by a few, not by a burst. */
+    /**
+     * Without an end of late the last mean counts, for less and less: a slow one is tried again by
+     * a few, not by a burst.
+     */
     private double remembered(Duration now) {
         return lastMean * Math.pow(0.5, seconds(now.minus(lastAt)) / seconds(FORGETS));
     }
 
     void ended(End end, Duration span, PoolSettings settings, Duration now) {
         inFlight--;
-        if (end == End.GIVEN_UP) return; // no word on whether it is well; a probe that ends so makes room for the next
-        // A failure that comes fast must not make a worker look fast: only what was answered measures it.
+        if (end == End.GIVEN_UP) {
+            return; // no word on whether it is well; a probe that ends so makes room for the next
+        }
+        // A failure that comes fast must not make a worker look fast: only what was answered
+        // measures it.
         if (end.good() || end == End.SILENT) {
             took.add(now, seconds(span), 1);
             lastMean = took.mean(now, UNKNOWN);
@@ -108,7 +131,7 @@
 
     private boolean sick(PoolSettings settings, Duration now) {
         return badInRow >= settings.failuresInRow()
-            || bad.weight(now) >= ENOUGH && bad.mean(now, 0) >= settings.badShare();
+                || bad.weight(now) >= ENOUGH && bad.mean(now, 0) >= settings.badShare();
     }
 
     private void tried(End end, PoolSettings settings, Duration now) {
@@ -120,7 +143,11 @@
             inSince = now;
             badInRow = 0;
             bad.clear();
-            outFor = max(settings.leftOut(), outFor.dividedBy(2)); // one that falls out again soon waits longer again
+            outFor =
+                    max(
+                            settings.leftOut(),
+                            outFor.dividedBy(
+                                    2)); // one that falls out again soon waits longer again
         }
     }
 
--- a/src/main/java/ochretiller/processor/Gauging.java
+++ b/src/main/java/ochretiller/processor/Gauging.java
@@ -20,9 +20,15 @@
 
     /** The words of a notice, from the first figure on. */
     void told(List<String> figures, Duration now) {
-        if (figures.size() < names.size()) throw new BadInputException("too few gauges");
-        last = new Gauges(figure("core_use", figures), figure("on_cores", figures), figure("heap_share", figures),
-            figure("links", figures));
+        if (figures.size() < names.size()) {
+            throw new BadInputException("too few gauges");
+        }
+        last =
+                new Gauges(
+                        figure("core_use", figures),
+                        figure("on_cores", figures),
+                        figure("heap_share", figures),
+                        figure("links", figures));
         at = now;
     }
 
--- a/src/main/java/ochretiller/processor/Link.java
+++ b/src/main/java/ochretiller/processor/Link.java
@@ -22,12 +22,17 @@
 import ochretiller.text.Frames;
 import ochretiller.text.Slice;
 
-/** Keeps a link to the processor, and tells each of its notices once and in order whatever becomes of the link. */
+/**
+ * Keeps a link to the processor, and tells each of its notices once and in order whatever becomes
+ * of the link.
+ */
 public final class Link implements Backend {
     private static final Logger LOG = Logger.getLogger(Link.class.getName());
     private static final Duration AGAIN = Duration.ofMillis(100);
+
     /** Gauges are asked for at most so often: they look back half a second. */
     private static final Duration GAUGES = Duration.ofMillis(80);
+
     private static final int LONGEST = 64 * 1024;
     private static final String FENCE = "fence";
 
@@ -53,11 +58,17 @@
      * A link that is not connected yet.
      *
      * @param meters the names of the gauges, in the order in which they are told
-     * @param up     told once the processor is there: whether it was cold at its start, and how long ago that was
-     * @param asked  told of a run that waits for a call, with the call's body
+     * @param up told once the processor is there: whether it was cold at its start, and how long
+     *     ago that was
+     * @param asked told of a run that waits for a call, with the call's body
      */
-    public Link(Schedule schedule, Network network, InetSocketAddress address, List<String> meters,
-                BiConsumer<Boolean, Duration> up, BiConsumer<String, byte[]> asked) {
+    public Link(
+            Schedule schedule,
+            Network network,
+            InetSocketAddress address,
+            List<String> meters,
+            BiConsumer<Boolean, Duration> up,
+            BiConsumer<String, byte[]> asked) {
         this.schedule = schedule;
         this.network = network;
         this.address = address;
@@ -68,13 +79,18 @@
 
     /** Connects, unless there is a link to this address or one is being made. */
     public void connect() {
-        if (closing || connecting || connection != null && address.equals(linkedTo)) return;
+        if (closing || connecting || connection != null && address.equals(linkedTo)) {
+            return;
+        }
         connecting = true;
         InetSocketAddress to = address;
-        network.connect(to, made -> new End(made, to), () -> {
-            connecting = false;
-            schedule.after(AGAIN, this::connect);
-        });
+        network.connect(
+                to,
+                made -> new End(made, to),
+                () -> {
+                    connecting = false;
+                    schedule.after(AGAIN, this::connect);
+                });
     }
 
     /** The processor goes on at another address: the old link is kept until there is one to it. */
@@ -85,7 +101,9 @@
 
     public void close() {
         closing = true;
-        if (connection != null) connection.close(CloseCode.LEAVING);
+        if (connection != null) {
+            connection.close(CloseCode.LEAVING);
+        }
     }
 
     public Gauges gauges() {
@@ -94,7 +112,9 @@
 
     /** Asks for gauges, unless that was done just now. */
     public void askGauges() {
-        if (!ready || schedule.now().minus(gaugesAskedAt).compareTo(GAUGES) < 0) return;
+        if (!ready || schedule.now().minus(gaugesAskedAt).compareTo(GAUGES) < 0) {
+            return;
+        }
         gaugesAskedAt = schedule.now();
         connection.write("usage g" + ++tags + "\r\n");
     }
@@ -112,10 +132,17 @@
 
     @Override
     public void begin(Task task, Ended then) {
-        Run run = new Run(task.rid(), task.operation(), task.body(), task.repeatable(),
-            end -> then.ended(result(end.how()), end.took(), end.result()));
+        Run run =
+                new Run(
+                        task.rid(),
+                        task.operation(),
+                        task.body(),
+                        task.repeatable(),
+                        end -> then.ended(result(end.how()), end.took(), end.result()));
         runs.put(task.rid(), run);
-        if (ready) begin(run);
+        if (ready) {
+            begin(run);
+        }
     }
 
     /** What the processor's word for an end says. */
@@ -128,10 +155,18 @@
         };
     }
 
-    /** A run that a former process has begun, if the processor still knows it: its end is heard of, and it is never begun. */
+    /**
+     * A run that a former process has begun, if the processor still knows it: its end is heard of,
+     * and it is never begun.
+     */
     public void adopt(String rid, String operation, Ended then) {
-        Run run = new Run(rid, operation, new byte[0], false,
-            end -> then.ended(result(end.how()), end.took(), end.result()));
+        Run run =
+                new Run(
+                        rid,
+                        operation,
+                        new byte[0],
+                        false,
+                        end -> then.ended(result(end.how()), end.took(), end.result()));
         run.adopted = true;
         runs.put(rid, run);
     }
@@ -147,20 +182,31 @@
     @Override
     public void interrupt(String rid) {
         Run run = runs.get(rid);
-        if (run == null) return;
+        if (run == null) {
+            return;
+        }
         run.stopped = true;
-        if (ready) connection.write("interrupt " + rid + "\r\n");
+        if (ready) {
+            connection.write("interrupt " + rid + "\r\n");
+        }
     }
 
     /** The reply to the call that a run waits for. */
     public void answer(String rid, byte[] reply) {
         Run run = runs.get(rid);
-        if (run == null) return;
+        if (run == null) {
+            return;
+        }
         run.reply = reply;
-        if (ready) counted("answer " + rid, reply);
+        if (ready) {
+            counted("answer " + rid, reply);
+        }
     }
 
-    /** Nothing can be said until the next link has caught up; checks under way are told that no work was done. */
+    /**
+     * Nothing can be said until the next link has caught up; checks under way are told that no work
+     * was done.
+     */
     private void unlinked() {
         ready = false;
         List<Consumer<Boolean>> waiting = new ArrayList<>(trials.values());
@@ -168,32 +214,48 @@
         waiting.forEach(then -> then.accept(false));
     }
 
-    /** All notices that were missed have been told: what the old link may have lost is said again. */
+    /**
+     * All notices that were missed have been told: what the old link may have lost is said again.
+     */
     private void caughtUp() {
         ready = true;
         for (Run run : new ArrayList<>(runs.values())) {
             if (run.adopted) {
-                if (run.stopped) connection.write("interrupt " + run.rid + "\r\n");
+                if (run.stopped) {
+                    connection.write("interrupt " + run.rid + "\r\n");
+                }
                 continue;
             }
             if (gap && !run.repeatable) {
-                // Guards against a second effect: its end may have been among the notices that are lost.
+                // Guards against a second effect: its end may have been among the notices that are
+                // lost.
                 runs.remove(run.rid);
                 run.then.accept(new Run.End("error", Duration.ZERO, null));
                 continue;
             }
             begin(run);
-            if (run.reply != null) counted("answer " + run.rid, run.reply);
-            if (run.stopped) connection.write("interrupt " + run.rid + "\r\n");
+            if (run.reply != null) {
+                counted("answer " + run.rid, run.reply);
+            }
+            if (run.stopped) {
+                connection.write("interrupt " + run.rid + "\r\n");
+            }
         }
         gap = false;
     }
 
-    /** True once for each number. One left out is asked for again by a new link; there, it is lost for good. */
+    /**
+     * True once for each number. One left out is asked for again by a new link; there, it is lost
+     * for good.
+     */
     private boolean isNew(long number) {
-        if (number <= lastNotice) return false;
+        if (number <= lastNotice) {
+            return false;
+        }
         if (number > lastNotice + 1) {
-            if (ready) throw new BadInputException("notice " + number + " behind " + lastNotice);
+            if (ready) {
+                throw new BadInputException("notice " + number + " behind " + lastNotice);
+            }
             gap = true;
         }
         lastNotice = number;
@@ -203,7 +265,9 @@
     private static long number(String word) {
         try {
             long number = Long.parseLong(word);
-            if (number >= 0) return number;
+            if (number >= 0) {
+                return number;
+            }
         } catch (NumberFormatException e) {
             // told below, as a negative one is
         }
@@ -213,7 +277,9 @@
     private static Duration span(String millis) {
         try {
             double value = Double.parseDouble(millis);
-            if (value >= 0 && value < 1e12) return Duration.ofNanos((long) (value * 1e6));
+            if (value >= 0 && value < 1e12) {
+                return Duration.ofNanos((long) (value * 1e6));
+            }
         } catch (NumberFormatException e) {
             // told below, as one out of range is
         }
@@ -222,9 +288,12 @@
 
     private static int bodyLength(Slice line) {
         List<String> words = line.words();
-        boolean counted = words.get(0).equals("complete") && words.size() == 6
-            || words.get(0).equals("ask") && words.size() == 4;
-        if (!counted) return Frames.NONE;
+        boolean counted =
+                words.get(0).equals("complete") && words.size() == 6
+                        || words.get(0).equals("ask") && words.size() == 4;
+        if (!counted) {
+            return Frames.NONE;
+        }
         return (int) Math.min(number(words.get(words.size() - 1)), Integer.MAX_VALUE);
     }
 
@@ -242,7 +311,9 @@
 
         private void opened() {
             connecting = false;
-            if (!mine.open()) return; // its end follows
+            if (!mine.open()) {
+                return; // its end follows
+            }
             if (closing) {
                 mine.close(CloseCode.LEAVING);
                 return;
@@ -251,7 +322,9 @@
             connection = mine;
             linkedTo = to;
             unlinked();
-            if (old != null) old.drop(CloseCode.MOVED);
+            if (old != null) {
+                old.drop(CloseCode.MOVED);
+            }
             mine.write("hello " + lastNotice + "\r\n");
             connect(); // where the address has changed meanwhile
         }
@@ -259,13 +332,20 @@
         @Override
         public Runnable received(byte[] bytes, int from, int to) {
             List<Runnable> work = new ArrayList<>();
-            frames.read(bytes, from, to, (line, body) -> {
-                List<String> words = line.words();
-                byte[] kept = body.copy(); // results outlive the buffer: they wait for repeats
-                work.add(() -> notice(words, kept));
-            });
+            frames.read(
+                    bytes,
+                    from,
+                    to,
+                    (line, body) -> {
+                        List<String> words = line.words();
+                        byte[] kept =
+                                body.copy(); // results outlive the buffer: they wait for repeats
+                        work.add(() -> notice(words, kept));
+                    });
             return () -> {
-                if (connection != mine) return;
+                if (connection != mine) {
+                    return;
+                }
                 try {
                     work.forEach(Runnable::run);
                 } catch (BadInputException | IndexOutOfBoundsException | NumberFormatException e) {
@@ -282,18 +362,26 @@
                     mine.write("usage " + FENCE + "\r\n");
                 }
                 case "complete" -> {
-                    if (isNew(number(words.get(1)))) ended(words.get(2), words.get(3), span(words.get(4)), body);
+                    if (isNew(number(words.get(1)))) {
+                        ended(words.get(2), words.get(3), span(words.get(4)), body);
+                    }
                 }
                 case "ask" -> {
-                    if (isNew(number(words.get(1)))) call(words.get(2), body);
+                    if (isNew(number(words.get(1)))) {
+                        call(words.get(2), body);
+                    }
                 }
                 case "used" -> {
                     gauging.told(words.subList(2, words.size()), schedule.now());
-                    if (words.get(1).equals(FENCE)) caughtUp();
+                    if (words.get(1).equals(FENCE)) {
+                        caughtUp();
+                    }
                 }
                 case "tried" -> {
                     Consumer<Boolean> then = trials.remove(words.get(1));
-                    if (then != null) then.accept(words.get(2).equals("complete"));
+                    if (then != null) {
+                        then.accept(words.get(2).equals("complete"));
+                    }
                 }
                 case "reject" -> rejected(words.get(1), words.get(2));
                 case "remark" -> isNew(number(words.get(1)));
@@ -303,20 +391,29 @@
 
         private void ended(String rid, String how, Duration took, byte[] result) {
             Run run = runs.remove(rid);
-            if (run != null) run.then.accept(new Run.End(how, took, result));
+            if (run != null) {
+                run.then.accept(new Run.End(how, took, result));
+            }
         }
 
         private void call(String rid, byte[] body) {
             Run run = runs.get(rid);
-            if (run == null) return;
+            if (run == null) {
+                return;
+            }
             run.reply = null;
             asked.accept(rid, body);
         }
 
-        /** A begin that is not carried out never ran; other commands may come too late and then do nothing. */
+        /**
+         * A begin that is not carried out never ran; other commands may come too late and then do
+         * nothing.
+         */
         private void rejected(String command, String rid) {
             LOG.warning("the processor rejects " + command + " of " + rid);
-            if (command.equals("begin")) ended(rid, "unknown", Duration.ZERO, new byte[0]);
+            if (command.equals("begin")) {
+                ended(rid, "unknown", Duration.ZERO, new byte[0]);
+            }
         }
 
         @Override
