--- a/src/main/java/ochretiller/records/Records.java
+++ b/src/main/java/ochretiller/records/Records.java
@@ -22,13 +22,18 @@
 import ochretiller.text.Slice;
 
 /**
- * Calls go over connections that are made when they are needed, one call at a time on each: what spoils one reply spoils
- * no other. The one that was used last is used next, and one that stands idle is closed before it can be forgotten.
+ * Calls go over connections that are made when they are needed, one call at a time on each: what
+ * spoils one reply spoils no other. The one that was used last is used next, and one that stands
+ * idle is closed before it can be forgotten.
  */
 public final class Records {
     private static final int LONGEST = 64 * 1024;
-    /** The service closes a connection after 10 s, and some far sooner; a call must not cross that. */
+
+    /**
+     * The service closes a connection after 10 s, and some far sooner; a call must not cross that.
+     */
     private static final Duration IDLE = Duration.ofMillis(500);
+
     private static final Duration SWEEP = Duration.ofMillis(100);
 
     private final Schedule schedule;
@@ -39,8 +44,12 @@
     private final Set<End> ends = new LinkedHashSet<>();
     private final Deque<End> idle = new ArrayDeque<>();
     private InetSocketAddress address;
-    /** Connections being made to the present address; the age tells them from those to former ones. */
+
+    /**
+     * Connections being made to the present address; the age tells them from those to former ones.
+     */
     private int connecting;
+
     private long age;
 
     /** What is told of the end of a call; the reply has no bytes unless it succeeded. */
@@ -55,6 +64,7 @@
         final byte[] body;
         final Duration madeAt;
         final EndOfCall then;
+
         /** Where it was written, or null. */
         End on;
 
@@ -85,20 +95,31 @@
         Call call = new Call(rid, patience, body, schedule.now(), then);
         calls.put(rid, call);
         unsent.add(call);
-        schedule.after(patience, () -> {
-            if (calls.get(rid) == call) giveUp(call);
-        });
+        schedule.after(
+                patience,
+                () -> {
+                    if (calls.get(rid) == call) {
+                        giveUp(call);
+                    }
+                });
         next();
     }
 
-    /** The service goes on at another address: calls that were written may end where they are, no other follows them. */
+    /**
+     * The service goes on at another address: calls that were written may end where they are, no
+     * other follows them.
+     */
     public void move(InetSocketAddress to) {
-        if (Objects.equals(to, address)) return;
+        if (Objects.equals(to, address)) {
+            return;
+        }
         address = to;
         // Guards against calls that wait for connections to where nobody is any more.
         age++;
         connecting = 0;
-        for (End end : new ArrayList<>(idle)) end.leave(CloseCode.MOVED);
+        for (End end : new ArrayList<>(idle)) {
+            end.leave(CloseCode.MOVED);
+        }
         next();
     }
 
@@ -108,14 +129,21 @@
             schedule.post(this::notReached); // there is no such service: no call ran
             return;
         }
-        while (!unsent.isEmpty() && !idle.isEmpty()) idle.poll().send(unsent.iterator().next());
+        while (!unsent.isEmpty() && !idle.isEmpty()) {
+            idle.poll().send(unsent.iterator().next());
+        }
         while (connecting < unsent.size() && ends.size() + connecting < most) {
             connecting++;
             InetSocketAddress to = address;
             long mine = age;
-            network.connect(to, made -> new End(made, to, mine), () -> {
-                if (mine == age) refused();
-            });
+            network.connect(
+                    to,
+                    made -> new End(made, to, mine),
+                    () -> {
+                        if (mine == age) {
+                            refused();
+                        }
+                    });
         }
     }
 
@@ -129,7 +157,9 @@
     /** The run that made the call is over: nobody waits for it any more. */
     public void abandon(String rid) {
         Call call = calls.remove(rid);
-        if (call == null || unsent.remove(call)) return;
+        if (call == null || unsent.remove(call)) {
+            return;
+        }
         // Guards against the next call on a connection whose reply never came, or comes late.
         call.on.mine.write("UNOP " + rid + "\r\n");
         call.on.leave(CloseCode.GIVEN_UP);
@@ -154,21 +184,28 @@
 
     private void sweep() {
         schedule.after(SWEEP, this::sweep);
-        while (!idle.isEmpty() && schedule.now().minus(idle.peekLast().mine.usedAt()).compareTo(IDLE) > 0) {
+        while (!idle.isEmpty()
+                && schedule.now().minus(idle.peekLast().mine.usedAt()).compareTo(IDLE) > 0) {
             idle.peekLast().leave(CloseCode.IDLE);
         }
     }
 
     public void close() {
-        for (End end : new ArrayList<>(ends)) end.leave(CloseCode.LEAVING);
+        for (End end : new ArrayList<>(ends)) {
+            end.leave(CloseCode.LEAVING);
+        }
     }
 
     private static int bodyLength(Slice line) {
         List<String> words = line.words();
-        if (words.size() != 3 || !words.get(1).equals("DONE")) return Frames.NONE;
+        if (words.size() != 3 || !words.get(1).equals("DONE")) {
+            return Frames.NONE;
+        }
         try {
             int length = Integer.parseInt(words.get(2));
-            if (length >= 0) return length;
+            if (length >= 0) {
+                return length;
+            }
         } catch (NumberFormatException e) {
             // told below, as a negative one is
         }
@@ -192,6 +229,7 @@
         private final InetSocketAddress to;
         private final long made;
         private final Frames frames = new Frames(LONGEST, true, Records::bodyLength);
+
         /** The call that was written on it and is not over. */
         private Call call;
 
@@ -203,9 +241,13 @@
         }
 
         private void opened() {
-            if (made == age) connecting--;
+            if (made == age) {
+                connecting--;
+            }
             if (!mine.open()) {
-                if (made == age) notReached(); // nothing was written on it
+                if (made == age) {
+                    notReached(); // nothing was written on it
+                }
                 return;
             }
             ends.add(this);
@@ -215,16 +257,22 @@
 
         private void free() {
             call = null;
-            if (to.equals(address)) idle.push(this);
-            else leave(CloseCode.MOVED);
+            if (to.equals(address)) {
+                idle.push(this);
+            } else {
+                leave(CloseCode.MOVED);
+            }
         }
 
         private void send(Call next) {
             unsent.remove(next);
             call = next;
             next.on = this;
-            long wait = Math.max(1, next.patience.minus(schedule.now().minus(next.madeAt)).toMillis());
-            mine.write("OP " + next.rid + ' ' + wait + ' ' + next.body.length + "\r\n").write(next.body).write("\r\n");
+            long wait =
+                    Math.max(1, next.patience.minus(schedule.now().minus(next.madeAt)).toMillis());
+            mine.write("OP " + next.rid + ' ' + wait + ' ' + next.body.length + "\r\n")
+                    .write(next.body)
+                    .write("\r\n");
             mine.used(schedule.now());
         }
 
@@ -238,20 +286,28 @@
         @Override
         public Runnable received(byte[] bytes, int from, int to) {
             List<Runnable> work = new ArrayList<>();
-            frames.read(bytes, from, to, (line, body) -> {
-                List<String> words = line.words();
-                if (words.size() < 2) throw new BadInputException("no reply: '" + line.text() + "'");
-                CallEnd.Result result = result(words.get(1));
-                byte[] reply = body.copy(); // it may have to be said again on another link
-                work.add(() -> replied(words.get(0), result, reply));
-            });
+            frames.read(
+                    bytes,
+                    from,
+                    to,
+                    (line, body) -> {
+                        List<String> words = line.words();
+                        if (words.size() < 2) {
+                            throw new BadInputException("no reply: '" + line.text() + "'");
+                        }
+                        CallEnd.Result result = result(words.get(1));
+                        byte[] reply = body.copy(); // it may have to be said again on another link
+                        work.add(() -> replied(words.get(0), result, reply));
+                    });
             return () -> work.forEach(Runnable::run);
         }
 
         /** A second copy of a reply, or one to a call of another's, is passed over. */
         private void replied(String rid, CallEnd.Result result, byte[] reply) {
             Call done = call;
-            if (done == null || !done.rid.equals(rid) || calls.get(rid) != done) return;
+            if (done == null || !done.rid.equals(rid) || calls.get(rid) != done) {
+                return;
+            }
             free();
             Records.this.end(done, result, reply);
             next();
@@ -267,7 +323,9 @@
             ends.remove(this);
             idle.remove(this);
             // What was written may have run; a connection that breaks proves nothing.
-            if (call != null && calls.get(call.rid) == call) Records.this.end(call, CallEnd.Result.RESET, new byte[0]);
+            if (call != null && calls.get(call.rid) == call) {
+                Records.this.end(call, CallEnd.Result.RESET, new byte[0]);
+            }
             next();
         }
     }
--- a/src/main/java/ochretiller/remembered/Memory.java
+++ b/src/main/java/ochretiller/remembered/Memory.java
@@ -8,15 +8,24 @@
 import java.util.TreeMap;
 
 /**
- * Decides about the memory of keyed invocations: whether a new one can be marked, how long a mark and an answer wait, when
- * a sick disk is tried again, and what becomes of what a restart has found.
+ * Decides about the memory of keyed invocations: whether a new one can be marked, how long a mark
+ * and an answer wait, when a sick disk is tried again, and what becomes of what a restart has
+ * found.
  *
- * <p>The owner tells of each append by {@link #asked} and {@link #acked}, and of what the store says by {@link #told}.
+ * <p>The owner tells of each append by {@link #asked} and {@link #acked}, and of what the store
+ * says by {@link #told}.
  */
 public final class Memory {
-    /** Lead of the last moment at which a waiting answer leaves: the due time less a beat and the way out. */
+    /**
+     * Lead of the last moment at which a waiting answer leaves: the due time less a beat and the
+     * way out.
+     */
     private static final Duration LEAD = Duration.ofMillis(120);
-    /** Share of a pause by which chance moves it, so that many servers on one disk do not try at once. */
+
+    /**
+     * Share of a pause by which chance moves it, so that many servers on one disk do not try at
+     * once.
+     */
     private static final double SPREAD = 0.5;
 
     /** How the disk does. */
@@ -51,8 +60,10 @@
 
     private final Patience patience;
     private final SplittableRandom chance;
+
     /** Appends under way, by number; each with the time at which it was asked for. */
     private final TreeMap<Long, Duration> waiting = new TreeMap<>();
+
     private boolean sick;
     private boolean room = true;
     private Duration blindUntil = Duration.ZERO;
@@ -66,7 +77,10 @@
         this.pause = patience.probe();
     }
 
-    /** Some of what was acknowledged before may be missing until then: no new keyed invocation may run. */
+    /**
+     * Some of what was acknowledged before may be missing until then: no new keyed invocation may
+     * run.
+     */
     public void blind(Duration until) {
         blindUntil = until;
     }
@@ -95,11 +109,14 @@
     }
 
     private Duration spread(Duration span) {
-        return Duration.ofNanos((long) (span.toNanos() * (1 + SPREAD * (chance.nextDouble() - 0.5))));
+        return Duration.ofNanos(
+                (long) (span.toNanos() * (1 + SPREAD * (chance.nextDouble() - 0.5))));
     }
 
     public Disk disk(Duration now) {
-        if (sick) return Disk.SICK;
+        if (sick) {
+            return Disk.SICK;
+        }
         boolean stalled = !waiting.isEmpty() && oldest(now).compareTo(patience.stall()) > 0;
         return stalled ? Disk.STALLED : Disk.WELL;
     }
@@ -109,7 +126,10 @@
         return waiting.isEmpty() ? Duration.ZERO : now.minus(waiting.firstEntry().getValue());
     }
 
-    /** Whether the mark of a new keyed invocation would be kept; one whose mark would not be must not run. */
+    /**
+     * Whether the mark of a new keyed invocation would be kept; one whose mark would not be must
+     * not run.
+     */
     public boolean keeps(Duration now) {
         return disk(now) == Disk.WELL && room && now.compareTo(blindUntil) >= 0;
     }
@@ -119,15 +139,25 @@
         return max(Duration.ZERO, min(patience.mark(), due.minus(LEAD).minus(now)));
     }
 
-    /** How long an answer waits for its result to be durable: on time it leaves in any case, and its mark stands. */
+    /**
+     * How long an answer waits for its result to be durable: on time it leaves in any case, and its
+     * mark stands.
+     */
     public Duration answerWait(Duration due, Duration now) {
-        if (sick) return Duration.ZERO;
+        if (sick) {
+            return Duration.ZERO;
+        }
         return max(Duration.ZERO, min(patience.answer(), due.minus(LEAD).minus(now)));
     }
 
-    /** Whether a sick disk is to be tried now; each try that fails doubles the pause before the next. */
+    /**
+     * Whether a sick disk is to be tried now; each try that fails doubles the pause before the
+     * next.
+     */
     public boolean tries(Duration now) {
-        if (!sick || trying || now.compareTo(tryAt) < 0) return false;
+        if (!sick || trying || now.compareTo(tryAt) < 0) {
+            return false;
+        }
         trying = true;
         return true;
     }
@@ -148,7 +178,8 @@
         return switch (mark.state()) {
             case SUCCEEDED -> Found.REPLAY;
             case LOST -> Found.ERROR;
-            // A processor that was started later knows nothing of the run; one that was there may tell of its end.
+            // A processor that was started later knows nothing of the run; one that was there may
+            // tell of its end.
             case MARKED -> processorAt > mark.markedAt() ? Found.ERROR : Found.WAIT;
         };
     }
--- a/src/main/java/ochretiller/roster/Roster.java
+++ b/src/main/java/ochretiller/roster/Roster.java
@@ -12,7 +12,11 @@
 /** Reports this server by single datagrams that get no answer. */
 public final class Roster {
     private static final Logger LOG = Logger.getLogger(Roster.class.getName());
-    /** An entry lapses after 3 s: of a dozen reports the last may come a second late, and many may be lost. */
+
+    /**
+     * An entry lapses after 3 s: of a dozen reports the last may come a second late, and many may
+     * be lost.
+     */
     private static final Duration EVERY = Duration.ofMillis(250);
 
     private final Schedule schedule;
@@ -29,14 +33,18 @@
     }
 
     public void start() {
-        if (leaving) return;
+        if (leaving) {
+            return;
+        }
         report("on");
         schedule.after(EVERY, this::start);
     }
 
     /** Reports go to another address from now on. */
     public void move(InetSocketAddress to) {
-        if (to.equals(address)) return;
+        if (to.equals(address)) {
+            return;
+        }
         address = to;
         report(leaving ? "off" : "on");
     }
@@ -52,7 +60,10 @@
         try {
             socket.send(new DatagramPacket(words, words.length, address));
         } catch (IOException e) {
-            LOG.fine(() -> "no report to the roster: " + e.getMessage()); // without it, only the list is late
+            LOG.fine(
+                    () ->
+                            "no report to the roster: "
+                                    + e.getMessage()); // without it, only the list is late
         }
     }
 }
--- a/src/main/java/ochretiller/server/Step.java
+++ b/src/main/java/ochretiller/server/Step.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface Step {
     /** Nothing to do. */
-    Step NONE = server -> { };
+    Step NONE = server -> {};
 
     void act(Server server);
 
--- a/src/main/java/ochretiller/settings/Nested.java
+++ b/src/main/java/ochretiller/settings/Nested.java
@@ -15,7 +15,8 @@
 
     private void put(String path, Object value) {
         if (value instanceof Map<?, ?> object) {
-            object.forEach((name, member) -> put(path.isEmpty() ? "" + name : path + "." + name, member));
+            object.forEach(
+                    (name, member) -> put(path.isEmpty() ? "" + name : path + "." + name, member));
         } else if (value instanceof List<?> list) {
             putList(path, list);
         } else {
@@ -29,7 +30,9 @@
             values.put(path, list.stream().map(Object::toString).collect(Collectors.joining(",")));
         }
         values.put(path + ".count", "" + list.size());
-        for (int i = 0; i < list.size(); i++) put(path + "." + i, list.get(i));
+        for (int i = 0; i < list.size(); i++) {
+            put(path + "." + i, list.get(i));
+        }
     }
 
     @Override
--- a/src/main/java/ochretiller/sim/Instance.java
+++ b/src/main/java/ochretiller/sim/Instance.java
@@ -5,7 +5,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Function;
-import ochretiller.policy.Choice;
 import ochretiller.model.CallEnd;
 import ochretiller.model.CallerId;
 import ochretiller.model.Gauges;
@@ -14,12 +13,15 @@
 import ochretiller.model.Operation;
 import ochretiller.model.RunEnd;
 import ochretiller.model.TenantId;
+import ochretiller.policy.Choice;
 import ochretiller.server.Server;
 import ochretiller.server.Step;
 import ochretiller.settings.MalformedException;
 import ochretiller.settings.Settings;
 
-/** One server's end of the wire: what it hears goes to its decisions, what they do is written down. */
+/**
+ * One server's end of the wire: what it hears goes to its decisions, what they do is written down.
+ */
 final class Instance implements Server {
     private final String name;
     private final StringBuilder out;
@@ -39,26 +41,37 @@
         this.start = start;
         operations = Settings.operations(settings);
         passesDeadline = settings.flag("familyInfo.passesDeadline");
-        choice = Settings.choice(settings, new SplittableRandom(settings.whole("prng")),
-            settings.flag("familyInfo.justStarted"));
+        choice =
+                Settings.choice(
+                        settings,
+                        new SplittableRandom(settings.whole("prng")),
+                        settings.flag("familyInfo.justStarted"));
         choice.started().act(this);
     }
 
     void happened(String event, Fields fields, Duration clock) {
         now = clock.minus(start);
-        Step step = switch (event) {
-            case "arrival" -> choice.arrived(invocation(fields));
-            case "abandoned" -> choice.gone(id(fields));
-            case "blocked" -> choice.blocked(id(fields));
-            case "drain" -> choice.leave(now.plus(fields.span("timeBudgetNs", Duration.ZERO)));
-            case "run_over" ->
-                next(runs.remove(id(fields)), new RunEnd(runResult(fields.text("how")), took(fields)));
-            case "call_ended" ->
-                next(calls.remove(id(fields)), new CallEnd(callResult(fields.text("how")), took(fields)));
-            case "timeout_fired" ->
-                next(timers.remove(fields.whole("name")), gauges(fields.text("serverStats", "")));
-            default -> throw new MalformedException("unknown event " + event);
-        };
+        Step step =
+                switch (event) {
+                    case "arrival" -> choice.arrived(invocation(fields));
+                    case "abandoned" -> choice.gone(id(fields));
+                    case "blocked" -> choice.blocked(id(fields));
+                    case "drain" ->
+                            choice.leave(now.plus(fields.span("timeBudgetNs", Duration.ZERO)));
+                    case "run_over" ->
+                            next(
+                                    runs.remove(id(fields)),
+                                    new RunEnd(runResult(fields.text("how")), took(fields)));
+                    case "call_ended" ->
+                            next(
+                                    calls.remove(id(fields)),
+                                    new CallEnd(callResult(fields.text("how")), took(fields)));
+                    case "timeout_fired" ->
+                            next(
+                                    timers.remove(fields.whole("name")),
+                                    gauges(fields.text("serverStats", "")));
+                    default -> throw new MalformedException("unknown event " + event);
+                };
         step.act(this);
     }
 
@@ -86,16 +99,26 @@
         boolean told = passesDeadline && !left.isZero();
         Duration due = told ? now.plus(left) : arrived.plus(operation.clientTimeout());
         String tenant = fields.text("team", "0");
-        return new Invocation(id(fields), prior == 0 ? null : new InvId(prior), operation,
-            fields.number("sizeKb", 0), arrived, due, fields.span("workHintNs", null),
-            new CallerId(fields.whole("srcPeer", 0)), tenant.equals("0") ? null : new TenantId(tenant),
-            fields.flag("resent"));
+        return new Invocation(
+                id(fields),
+                prior == 0 ? null : new InvId(prior),
+                operation,
+                fields.number("sizeKb", 0),
+                arrived,
+                due,
+                fields.span("workHintNs", null),
+                new CallerId(fields.whole("srcPeer", 0)),
+                tenant.equals("0") ? null : new TenantId(tenant),
+                fields.flag("resent"));
     }
 
     private static Gauges gauges(String text) {
         Fields fields = Fields.ofGauges(text);
-        return new Gauges(fields.number("core_use", Double.NaN), fields.number("on_cores", Double.NaN),
-            fields.number("heap_share", Double.NaN), fields.number("links", Double.NaN));
+        return new Gauges(
+                fields.number("core_use", Double.NaN),
+                fields.number("on_cores", Double.NaN),
+                fields.number("heap_share", Double.NaN),
+                fields.number("links", Double.NaN));
     }
 
     private static RunEnd.Result runResult(String how) {
@@ -188,14 +211,22 @@
     @Override
     public void after(Duration span, Function<Gauges, Step> then) {
         timers.put(++timerNames, then);
-        write("defer").append("\toffsetNs=").append(span.toNanos())
-            .append("\tname=").append(timerNames).append('\n');
+        write("defer")
+                .append("\toffsetNs=")
+                .append(span.toNanos())
+                .append("\tname=")
+                .append(timerNames)
+                .append('\n');
     }
 
     @Override
     public void health(boolean good, boolean stored) {
-        write("set_health").append("\tactive=").append(good ? 1 : 0)
-            .append("\tstored=").append(stored ? 1 : 0).append('\n');
+        write("set_health")
+                .append("\tactive=")
+                .append(good ? 1 : 0)
+                .append("\tstored=")
+                .append(stored ? 1 : 0)
+                .append('\n');
     }
 
     @Override
--- a/src/main/java/ochretiller/sim/SimHost.java
+++ b/src/main/java/ochretiller/sim/SimHost.java
@@ -12,18 +12,22 @@
 import java.util.Map;
 import ochretiller.settings.MalformedException;
 
-/** Hosts one instance of the decisions for each server that the simulator names, and answers its batches. */
+/**
+ * Hosts one instance of the decisions for each server that the simulator names, and answers its
+ * batches.
+ */
 public final class SimHost {
     private final Map<String, Instance> instances = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private Duration clock = Duration.ZERO;
 
-    private SimHost() {
-    }
+    private SimHost() {}
 
     /** Serves batches until the input ends; returns the exit code. */
-    public static int serve(InputStream in, OutputStream out, PrintStream errors) throws IOException {
-        BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+    public static int serve(InputStream in, OutputStream out, PrintStream errors)
+            throws IOException {
+        BufferedReader lines =
+                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         SimHost host = new SimHost();
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             try {
@@ -52,7 +56,13 @@
                 guarded(id, () -> instances.put(id, new Instance(id, fields, clock, reply)));
             }
             case "shutdown" -> instances.remove(Fields.of(line).text("serverId"));
-            case "arrival", "run_over", "abandoned", "blocked", "call_ended", "drain", "timeout_fired" -> {
+            case "arrival",
+                    "run_over",
+                    "abandoned",
+                    "blocked",
+                    "call_ended",
+                    "drain",
+                    "timeout_fired" -> {
                 Fields fields = Fields.of(line);
                 String id = fields.text("serverId");
                 Instance instance = instances.get(id);
@@ -61,11 +71,13 @@
                 }
                 guarded(id, () -> instance.happened(name, fields, clock));
             }
-            default -> { } // an empty line, the batch's end, or a message of a later wire
+            default -> {} // an empty line, the batch's end, or a message of a later wire
         }
     }
 
-    /** A fault of the decisions is reported for its instance, so that the day stops with its text. */
+    /**
+     * A fault of the decisions is reported for its instance, so that the day stops with its text.
+     */
     private void guarded(String id, Runnable work) {
         try {
             work.run();
@@ -74,8 +86,11 @@
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             String text = e + (trace.length > 0 ? " at " + trace[0] : "");
-            reply.append("bug\tserverId=").append(id).append("\tnoteText=")
-                .append(text.replaceAll("\\s", " ")).append('\n');
+            reply.append("bug\tserverId=")
+                    .append(id)
+                    .append("\tnoteText=")
+                    .append(text.replaceAll("\\s", " "))
+                    .append('\n');
         }
     }
 }
--- a/src/main/java/ochretiller/spans/Ring.java
+++ b/src/main/java/ochretiller/spans/Ring.java
@@ -53,7 +53,9 @@
     /** Empties the buckets that time has passed, and tells the present one. */
     private int turn(Duration now) {
         long to = Math.max(head, now.toNanos() / bucket.toNanos());
-        if (to == head) return (int) (head % sums.length);
+        if (to == head) {
+            return (int) (head % sums.length);
+        }
         for (long i = Math.max(head + 1, to - sums.length + 1); i <= to; i++) {
             sums[(int) (i % sums.length)] = 0;
             weights[(int) (i % sums.length)] = 0;
--- a/src/main/java/ochretiller/spans/Spans.java
+++ b/src/main/java/ochretiller/spans/Spans.java
@@ -4,8 +4,7 @@
 
 /** Small sums on spans of time. */
 public final class Spans {
-    private Spans() {
-    }
+    private Spans() {}
 
     public static Duration min(Duration a, Duration b) {
         return a.compareTo(b) < 0 ? a : b;
--- a/src/main/java/ochretiller/standin/Daemon.java
+++ b/src/main/java/ochretiller/standin/Daemon.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Threads that stand-ins work on; the end of a socket ends them, and none keeps its process from ending. */
+/**
+ * Threads that stand-ins work on; the end of a socket ends them, and none keeps its process from
+ * ending.
+ */
 public final class Daemon {
     /** What is done on one. */
     @FunctionalInterface
@@ -10,17 +13,18 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private Daemon() {
-    }
+    private Daemon() {}
 
     public static void start(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException | InterruptedException e) {
-                // its socket was closed, or its peer is gone: the play is over
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (IOException | InterruptedException e) {
+                                // its socket was closed, or its peer is gone: the play is over
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/main/java/ochretiller/standin/FaultyDisk.java
+++ b/src/main/java/ochretiller/standin/FaultyDisk.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.locks.LockSupport;
 import ochretiller.store.Disk;
 
-/** A disk with a fault for as long as a file is there that names it: {@code full}, where it takes nothing, or {@code stall}, where it waits. */
+/**
+ * A disk with a fault for as long as a file is there that names it: {@code full}, where it takes
+ * nothing, or {@code stall}, where it waits.
+ */
 public final class FaultyDisk implements Disk {
     private static final long LOOKS_NANOS = 5_000_000;
 
@@ -25,7 +28,9 @@
     /** Returns once a change may be tried. */
     private void changes() throws IOException {
         for (String what = fault(); what != null; what = fault()) {
-            if (what.equals("full")) throw new IOException("no space left on the disk, says the drill");
+            if (what.equals("full")) {
+                throw new IOException("no space left on the disk, says the drill");
+            }
             LockSupport.parkNanos(LOOKS_NANOS);
         }
     }
@@ -39,13 +44,19 @@
     }
 
     @Override
-    public Closeable lock() throws IOException { return disk.lock(); }
+    public Closeable lock() throws IOException {
+        return disk.lock();
+    }
 
     @Override
-    public List<String> list() throws IOException { return disk.list(); }
+    public List<String> list() throws IOException {
+        return disk.list();
+    }
 
     @Override
-    public File open(String name) throws IOException { return new Faulty(disk.open(name)); }
+    public File open(String name) throws IOException {
+        return new Faulty(disk.open(name));
+    }
 
     @Override
     public File create(String name) throws IOException {
@@ -54,7 +65,9 @@
     }
 
     @Override
-    public void delete(String name) throws IOException { disk.delete(name); }
+    public void delete(String name) throws IOException {
+        disk.delete(name);
+    }
 
     @Override
     public void rename(String from, String to) throws IOException {
@@ -82,7 +95,9 @@
         }
 
         @Override
-        public int read(ByteBuffer into, long at) throws IOException { return file.read(into, at); }
+        public int read(ByteBuffer into, long at) throws IOException {
+            return file.read(into, at);
+        }
 
         @Override
         public void force() throws IOException {
@@ -91,7 +106,9 @@
         }
 
         @Override
-        public long size() throws IOException { return file.size(); }
+        public long size() throws IOException {
+            return file.size();
+        }
 
         @Override
         public void truncate(long size) throws IOException {
@@ -100,6 +117,8 @@
         }
 
         @Override
-        public void close() throws IOException { file.close(); }
+        public void close() throws IOException {
+            file.close();
+        }
     }
 }
--- a/src/main/java/ochretiller/standin/Gateways.java
+++ b/src/main/java/ochretiller/standin/Gateways.java
@@ -5,11 +5,16 @@
 
 /** What gateways write. */
 public final class Gateways {
-    private Gateways() {
-    }
+    private Gateways() {}
 
     public static String message(long id, String method, String params) {
-        return "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"" + method + "\",\"params\":" + params + "}\n";
+        return "{\"jsonrpc\":\"2.0\",\"id\":"
+                + id
+                + ",\"method\":\""
+                + method
+                + "\",\"params\":"
+                + params
+                + "}\n";
     }
 
     /** Parameters of a request that came to the machine now; {@code token} may be null. */
@@ -18,29 +23,40 @@
     }
 
     public static String params(String rid, long t0, String token, String body) {
-        return "{\"rid\":\"" + rid + "\",\"t0\":" + t0 + ",\"peer\":4,\"mem\":24.5,\"prio\":0.5,"
-            + (token == null ? "" : "\"token\":\"" + token + "\",") + "\"data\":\"" + base64(body) + "\"}";
+        return "{\"rid\":\""
+                + rid
+                + "\",\"t0\":"
+                + t0
+                + ",\"peer\":4,\"mem\":24.5,\"prio\":0.5,"
+                + (token == null ? "" : "\"token\":\"" + token + "\",")
+                + "\"data\":\""
+                + base64(body)
+                + "\"}";
     }
 
     public static String base64(String text) {
         return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** A configuration of a server between these ports, with a {@code read} and a tokened {@code order}. */
+    /**
+     * A configuration of a server between these ports, with a {@code read} and a tokened {@code
+     * order}.
+     */
     public static String config(int listen, int processor, int records, int roster) {
         return """
-            {"name":"n1","listen":"127.0.0.1:%d","processor":"127.0.0.1:%d","records":"127.0.0.1:%d",
-             "roster":"127.0.0.1:%d","seed":"8c1f30d27a5be964","stop_ms":2000,
-             "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-             "settings":{"classes":[
-               {"name":"read","effect":"pure","aimNs":2000000000,"giveUpNs":4000000000,"importance":1},
-               {"name":"order","effect":"token","aimNs":2000000000,"giveUpNs":4000000000,"importance":3,
-                "windowNs":10000000000}],
-              "familyInfo":{"cpus":2,"memoryKb":50000,"runFactor":10,"keyKb":10,"callsOut":4,
-               "callsByClass":[true,true],"degradedWorth":[0,0],"meters":["core_use","on_cores","heap_share","links"],
-               "idleNs":2000000000,"halt":"abort","advert":"window","callers":2,"shareSpanNs":1000000000},
-              "guarantees":{"fallMultiple":5,"stopSendingWithinNs":800000000},"unknown":{"more":[1,{}]},
-              "permissions":{"retryAfter":true,"maxRetryAfterNs":1000000000}}}
-            """.formatted(listen, processor, records, roster);
+        {"name":"n1","listen":"127.0.0.1:%d","processor":"127.0.0.1:%d","records":"127.0.0.1:%d",
+         "roster":"127.0.0.1:%d","seed":"8c1f30d27a5be964","stop_ms":2000,
+         "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+         "settings":{"classes":[
+           {"name":"read","effect":"pure","aimNs":2000000000,"giveUpNs":4000000000,"importance":1},
+           {"name":"order","effect":"token","aimNs":2000000000,"giveUpNs":4000000000,"importance":3,
+            "windowNs":10000000000}],
+          "familyInfo":{"cpus":2,"memoryKb":50000,"runFactor":10,"keyKb":10,"callsOut":4,
+           "callsByClass":[true,true],"degradedWorth":[0,0],"meters":["core_use","on_cores","heap_share","links"],
+           "idleNs":2000000000,"halt":"abort","advert":"window","callers":2,"shareSpanNs":1000000000},
+          "guarantees":{"fallMultiple":5,"stopSendingWithinNs":800000000},"unknown":{"more":[1,{}]},
+          "permissions":{"retryAfter":true,"maxRetryAfterNs":1000000000}}}
+        """
+                .formatted(listen, processor, records, roster);
     }
 }
--- a/src/main/java/ochretiller/standin/StandIns.java
+++ b/src/main/java/ochretiller/standin/StandIns.java
@@ -13,7 +13,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** A processor, a records service and a roster that do what the body of a request says, or what a script is told to do. */
+/**
+ * A processor, a records service and a roster that do what the body of a request says, or what a
+ * script is told to do.
+ */
 public final class StandIns implements AutoCloseable {
     /** Notices that are told again to a new link; as many as the page says. */
     private static final int NOTICES = 4_000;
@@ -27,21 +30,32 @@
     private ServerSocket records;
     private DatagramSocket roster;
     private long noticed;
+
     /** The link of the processor and the connection for calls that were made last. */
     public volatile Wire link;
+
     public volatile Wire calls;
+
     /** What the processor says as its greeting. */
     public volatile String greeting = "hi hot 3600000\r\n";
-    /** Whether notices are told again to a new link, and a run that was begun is never begun again. */
+
+    /**
+     * Whether notices are told again to a new link, and a run that was begun is never begun again.
+     */
     public volatile boolean keepsNotices;
+
     /** Whether the processor is not up: a link is accepted and not greeted until {@link #speak}. */
     public volatile boolean silent;
+
     private Wire ungreeted;
     private long ungreetedRead;
+
     /** What becomes of a run; by default its body says so. */
     public volatile Runs runs = this::asTheBodySays;
 
-    /** What a run does: it calls back to {@link #complete} or {@link #notice}, or leaves it open. */
+    /**
+     * What a run does: it calls back to {@link #complete} or {@link #notice}, or leaves it open.
+     */
     @FunctionalInterface
     public interface Runs {
         void begun(String rid, String operation, String body) throws IOException;
@@ -50,11 +64,12 @@
     /**
      * Opens all three.
      *
-     * @param ports   of processor, records service and roster; 0 for free ones
-     * @param heard   told of each command and call, on threads of the stand-ins
+     * @param ports of processor, records service and roster; 0 for free ones
+     * @param heard told of each command and call, on threads of the stand-ins
      * @param reports told of each report to the roster
      */
-    public StandIns(String host, int[] ports, Consumer<String> heard, Consumer<String> reports) throws IOException {
+    public StandIns(String host, int[] ports, Consumer<String> heard, Consumer<String> reports)
+            throws IOException {
         this.host = InetAddress.getByName(host);
         this.heard = heard;
         this.reports = reports;
@@ -68,21 +83,28 @@
 
     private void open(int[] ports) throws IOException {
         ServerSocket engine = processor = listen(ports[0]);
-        Daemon.start(() -> {
-            while (true) {
-                Wire wire = new Wire(engine.accept());
-                Daemon.start(() -> serveProcessor(wire));
-            }
-        });
+        Daemon.start(
+                () -> {
+                    while (true) {
+                        Wire wire = new Wire(engine.accept());
+                        Daemon.start(() -> serveProcessor(wire));
+                    }
+                });
         openRecords(ports[1]);
         DatagramSocket list = roster = new DatagramSocket(ports[2], host);
-        Daemon.start(() -> {
-            while (true) {
-                DatagramPacket packet = new DatagramPacket(new byte[100], 100);
-                list.receive(packet);
-                reports.accept(new String(packet.getData(), 0, packet.getLength(), StandardCharsets.US_ASCII));
-            }
-        });
+        Daemon.start(
+                () -> {
+                    while (true) {
+                        DatagramPacket packet = new DatagramPacket(new byte[100], 100);
+                        list.receive(packet);
+                        reports.accept(
+                                new String(
+                                        packet.getData(),
+                                        0,
+                                        packet.getLength(),
+                                        StandardCharsets.US_ASCII));
+                    }
+                });
     }
 
     private ServerSocket listen(int port) throws IOException {
@@ -112,17 +134,22 @@
                 case "hello" -> greet(wire, Long.parseLong(words[1]));
                 case "usage" -> {
                     wire.send("used " + words[1] + " 0.1 0 0.1 1\r\n");
-                    if (!words[1].equals("fence")) continue; // gauges are asked for all the time
+                    if (!words[1].equals("fence")) {
+                        continue; // gauges are asked for all the time
+                    }
                 }
                 case "trial" -> wire.send("tried " + words[1] + " complete\r\n");
                 case "begin" -> {
                     String body = wire.bytes(Integer.parseInt(words[3]));
                     heard.accept(line);
-                    if (begins(words[1])) runs.begun(words[1], words[2], body);
+                    if (begins(words[1])) {
+                        runs.begun(words[1], words[2], body);
+                    }
                     continue;
                 }
-                case "answer" -> complete(words[1], "after " + wire.bytes(Integer.parseInt(words[2])));
-                default -> { } // an interrupt is only heard
+                case "answer" ->
+                        complete(words[1], "after " + wire.bytes(Integer.parseInt(words[2])));
+                default -> {} // an interrupt is only heard
             }
             heard.accept(line);
         }
@@ -140,30 +167,49 @@
         }
         link = wire;
         wire.send(greeting);
-        if (!keepsNotices) return;
+        if (!keepsNotices) {
+            return;
+        }
         long first = noticed - notices.size();
-        for (int i = 0; i < notices.size(); i++) if (first + i + 1 > read) wire.send(notices.get(i));
+        for (int i = 0; i < notices.size(); i++) {
+            if (first + i + 1 > read) {
+                wire.send(notices.get(i));
+            }
+        }
     }
 
     /** The processor is up: the link that waits is greeted. */
     public synchronized void speak() throws IOException {
         silent = false;
-        if (ungreeted != null) greet(ungreeted, ungreetedRead);
+        if (ungreeted != null) {
+            greet(ungreeted, ungreetedRead);
+        }
         ungreeted = null;
     }
 
     private void asTheBodySays(String rid, String operation, String body) throws IOException {
-        if (body.equals("good")) complete(rid, "result of " + rid);
-        if (body.equals("bad")) notice("complete", rid + " error 5 0\r\n\r\n");
-        if (body.startsWith("call ")) notice("ask", rid + " " + body.length() + "\r\n" + body + "\r\n");
+        if (body.equals("good")) {
+            complete(rid, "result of " + rid);
+        }
+        if (body.equals("bad")) {
+            notice("complete", rid + " error 5 0\r\n\r\n");
+        }
+        if (body.startsWith("call ")) {
+            notice("ask", rid + " " + body.length() + "\r\n" + body + "\r\n");
+        }
     }
 
-    /** Says the next notice on the link; without one it waits for the next link, where notices are kept. */
+    /**
+     * Says the next notice on the link; without one it waits for the next link, where notices are
+     * kept.
+     */
     public synchronized void notice(String verb, String rest) throws IOException {
         String text = verb + " " + ++noticed + " " + rest;
         if (keepsNotices) {
             notices.add(text);
-            if (notices.size() > NOTICES) notices.remove(0);
+            if (notices.size() > NOTICES) {
+                notices.remove(0);
+            }
             try {
                 link.send(text);
             } catch (IOException e) {
@@ -193,12 +239,13 @@
     /** The records service is back at this port. */
     public void openRecords(int port) throws IOException {
         ServerSocket service = records = listen(port);
-        Daemon.start(() -> {
-            while (true) {
-                Wire wire = new Wire(service.accept());
-                Daemon.start(() -> serveRecords(wire));
-            }
-        });
+        Daemon.start(
+                () -> {
+                    while (true) {
+                        Wire wire = new Wire(service.accept());
+                        Daemon.start(() -> serveRecords(wire));
+                    }
+                });
     }
 
     private void serveRecords(Wire wire) throws IOException {
@@ -207,12 +254,18 @@
         for (String line = wire.line(); line != null; line = wire.line()) {
             heard.accept(line);
             String[] words = line.split(" ");
-            if (!words[0].equals("OP")) continue;
+            if (!words[0].equals("OP")) {
+                continue;
+            }
             String body = wire.bytes(Integer.parseInt(words[3]));
             String ending = body.startsWith("call ") ? body.substring("call ".length()) : "DONE";
-            if (ending.equals("DONE")) wire.send(words[1] + " DONE 5\r\nreply\r\n");
-            else if (ending.equals("cut")) wire.reset();
-            else if (!ending.equals("silence")) wire.send(words[1] + " " + ending + "\r\n");
+            if (ending.equals("DONE")) {
+                wire.send(words[1] + " DONE 5\r\nreply\r\n");
+            } else if (ending.equals("cut")) {
+                wire.reset();
+            } else if (!ending.equals("silence")) {
+                wire.send(words[1] + " " + ending + "\r\n");
+            }
         }
     }
 
--- a/src/main/java/ochretiller/standin/Wire.java
+++ b/src/main/java/ochretiller/standin/Wire.java
@@ -44,8 +44,12 @@
         StringBuilder line = new StringBuilder();
         try {
             for (int c = in.read(); c != '\n'; c = in.read()) {
-                if (c < 0) return null;
-                if (c != '\r') line.append((char) c);
+                if (c < 0) {
+                    return null;
+                }
+                if (c != '\r') {
+                    line.append((char) c);
+                }
             }
         } catch (SocketException e) {
             return null; // a reset ends it too
@@ -62,14 +66,18 @@
     /** Writes without reading; tells whether the peer ended it for that. */
     public boolean sendsUntilItEnds(String text, int times) {
         try {
-            for (int i = 0; i < times; i++) send(text);
+            for (int i = 0; i < times; i++) {
+                send(text);
+            }
             return false;
         } catch (IOException e) {
             return true;
         }
     }
 
-    public void halfClose() throws IOException { socket.shutdownOutput(); }
+    public void halfClose() throws IOException {
+        socket.shutdownOutput();
+    }
 
     /** Ends it with a reset, as a broken machine does. */
     public void reset() throws IOException {
@@ -78,5 +86,7 @@
     }
 
     @Override
-    public void close() throws IOException { socket.close(); }
+    public void close() throws IOException {
+        socket.close();
+    }
 }
--- a/src/main/java/ochretiller/standin/WorkerStandIn.java
+++ b/src/main/java/ochretiller/standin/WorkerStandIn.java
@@ -16,16 +16,25 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A uwsgi worker that does what it is told and notes what it ran. Its reading of the protocol is its own, from the published
- * page, so that it finds what the server's own coding gets wrong.
+ * A uwsgi worker that does what it is told and notes what it ran. Its reading of the protocol is
+ * its own, from the published page, so that it finds what the server's own coding gets wrong.
  */
 public final class WorkerStandIn implements AutoCloseable {
     /** What it does with a request, once it has run it. */
-    public enum Manner { ANSWERS, FAILS, SILENT, HALF, RESETS, GARBAGE, WRONG_LENGTH, TOO_LONG, ENDS }
+    public enum Manner {
+        ANSWERS,
+        FAILS,
+        SILENT,
+        HALF,
+        RESETS,
+        GARBAGE,
+        WRONG_LENGTH,
+        TOO_LONG,
+        ENDS
+    }
 
     /** A request that it ran. */
-    public record Ran(Map<String, String> vars, String body) {
-    }
+    public record Ran(Map<String, String> vars, String body) {}
 
     /** Chooses a manner for a request, after as long a wait as it likes. */
     @FunctionalInterface
@@ -52,13 +61,14 @@
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(host, on), 200);
-        Daemon.start(() -> {
-            while (true) {
-                Socket accepted = socket.accept();
-                sockets.add(accepted);
-                Daemon.start(() -> serve(accepted));
-            }
-        });
+        Daemon.start(
+                () -> {
+                    while (true) {
+                        Socket accepted = socket.accept();
+                        sockets.add(accepted);
+                        Daemon.start(() -> serve(accepted));
+                    }
+                });
         return socket;
     }
 
@@ -81,11 +91,13 @@
             OutputStream out = socket.getOutputStream();
             byte[] header = new byte[4];
             in.readFully(header);
-            if (header[0] != 0 || header[3] != 0) throw new IOException("modifiers " + header[0] + ' ' + header[3]);
+            if (header[0] != 0 || header[3] != 0) {
+                throw new IOException("modifiers " + header[0] + ' ' + header[3]);
+            }
             byte[] block = new byte[header[1] & 0xFF | (header[2] & 0xFF) << 8];
             in.readFully(block);
             Map<String, String> vars = new LinkedHashMap<>();
-            for (int at = 0; at < block.length;) {
+            for (int at = 0; at < block.length; ) {
                 int name = block[at] & 0xFF | (block[at + 1] & 0xFF) << 8;
                 String key = new String(block, at + 2, name, StandardCharsets.ISO_8859_1);
                 at += 2 + name;
@@ -103,19 +115,27 @@
         }
     }
 
-    private static void answer(Manner manner, Ran one, Socket socket, OutputStream out) throws IOException {
+    private static void answer(Manner manner, Ran one, Socket socket, OutputStream out)
+            throws IOException {
         String result = "result of " + one.body;
         String head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: ";
         switch (manner) {
             case ANSWERS -> say(out, head + result.length() + "\r\n\r\n" + result);
-            case FAILS -> say(out, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3\r\n\r\nbad");
+            case FAILS ->
+                    say(out, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3\r\n\r\nbad");
             case SILENT -> socket.getInputStream().read(); // until the caller has enough
-            case HALF -> say(out, head + result.length() + "\r\n\r\n" + result.substring(0, result.length() / 2));
+            case HALF ->
+                    say(
+                            out,
+                            head
+                                    + result.length()
+                                    + "\r\n\r\n"
+                                    + result.substring(0, result.length() / 2));
             case RESETS -> socket.setSoLinger(true, 0);
             case GARBAGE -> say(out, "\u0000\u0001 no answer at all\r\n\r\n");
             case WRONG_LENGTH -> say(out, head + (result.length() - 1) + "\r\n\r\n" + result);
             case TOO_LONG -> say(out, head + "99999999\r\n\r\n" + result);
-            case ENDS -> { } // the connection ends without a word
+            case ENDS -> {} // the connection ends without a word
             default -> throw new IllegalStateException();
         }
     }
--- a/src/main/java/ochretiller/store/Boot.java
+++ b/src/main/java/ochretiller/store/Boot.java
@@ -9,15 +9,19 @@
 /**
  * A clock that nobody can set, as far as the machine has one.
  *
- * @param id     names the run of the machine, so that a restarted process knows whether the clock went on; null where that
- *               cannot be told
+ * @param id names the run of the machine, so that a restarted process knows whether the clock went
+ *     on; null where that cannot be told
  * @param millis milliseconds since a moment that is the same for all processes under this id
  */
 public record Boot(UUID id, LongSupplier millis) {
-    /** The kernel's own time since boot; where it is not told, time since the start of this process. */
+    /**
+     * The kernel's own time since boot; where it is not told, time since the start of this process.
+     */
     public static Boot ofMachine() {
         try {
-            UUID id = UUID.fromString(Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim());
+            UUID id =
+                    UUID.fromString(
+                            Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim());
             long atStart = uptime();
             long start = System.nanoTime();
             return new Boot(id, () -> atStart + (System.nanoTime() - start) / 1_000_000);
--- a/src/main/java/ochretiller/store/Disk.java
+++ b/src/main/java/ochretiller/store/Disk.java
@@ -5,7 +5,10 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** One folder of files as the store uses it; tests put one in its place that forgets, stalls and fails by script. */
+/**
+ * One folder of files as the store uses it; tests put one in its place that forgets, stalls and
+ * fails by script.
+ */
 public interface Disk {
     /** An open file. */
     interface File extends Closeable {
@@ -15,7 +18,10 @@
         /** Reads until the buffer is full or the file ends; tells how many bytes came. */
         int read(ByteBuffer into, long at) throws IOException;
 
-        /** Returns once all that was written is on the medium. A failure proves nothing about any of it. */
+        /**
+         * Returns once all that was written is on the medium. A failure proves nothing about any of
+         * it.
+         */
         void force() throws IOException;
 
         long size() throws IOException;
@@ -26,7 +32,10 @@
         void close() throws IOException;
     }
 
-    /** Takes the folder for this process alone; it is free again once closed or once the process is gone. */
+    /**
+     * Takes the folder for this process alone; it is free again once closed or once the process is
+     * gone.
+     */
     Closeable lock() throws IOException;
 
     /** Names of the files in the folder, in no order. */
--- a/src/main/java/ochretiller/store/Index.java
+++ b/src/main/java/ochretiller/store/Index.java
@@ -7,10 +7,16 @@
 
 /** What is live and where it lies. It is owned by one thread at a time. */
 final class Index {
-    /** Bytes of memory that an entry takes beside its key and meta: two objects, two arrays, its place in the map. */
+    /**
+     * Bytes of memory that an entry takes beside its key and meta: two objects, two arrays, its
+     * place in the map.
+     */
     static final int COST = 200;
 
-    /** The newest record of a key; a removed one stays until it expires, so that an older record cannot come back. */
+    /**
+     * The newest record of a key; a removed one stays until it expires, so that an older record
+     * cannot come back.
+     */
     static final class Slot {
         final Key key;
         final long sequence;
@@ -20,10 +26,19 @@
         final int size;
         Segment segment;
         int at;
+
         /** A newer record of its key has been told. */
         boolean dead;
 
-        Slot(Key key, long sequence, byte kind, long expires, byte[] meta, int size, Segment segment, int at) {
+        Slot(
+                Key key,
+                long sequence,
+                byte kind,
+                long expires,
+                byte[] meta,
+                int size,
+                Segment segment,
+                int at) {
             this.key = key;
             this.sequence = sequence;
             this.kind = kind;
@@ -63,7 +78,9 @@
             slot.segment.dies(slot);
             return;
         }
-        if (old != null) forget(old);
+        if (old != null) {
+            forget(old);
+        }
         slots.put(slot.key, slot);
         entries += slot.live() ? 1 : 0;
         memory += COST + slot.key.bytes.length + slot.meta.length;
--- a/src/main/java/ochretiller/store/RealDisk.java
+++ b/src/main/java/ochretiller/store/RealDisk.java
@@ -29,23 +29,31 @@
     @Override
     public Closeable lock() throws IOException {
         Files.createDirectories(folder);
-        FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
             lock = null; // this process has it open already
         }
-        if (lock != null) return channel;
+        if (lock != null) {
+            return channel;
+        }
         channel.close();
         throw new StoreException("the store in " + folder + " is in use by another process");
     }
 
     @Override
     public List<String> list() throws IOException {
-        if (!Files.isDirectory(folder)) throw new StoreException("there is no store in " + folder);
+        if (!Files.isDirectory(folder)) {
+            throw new StoreException("there is no store in " + folder);
+        }
         try (Stream<Path> files = Files.list(folder)) {
-            return files.filter(Files::isRegularFile).map(file -> file.getFileName().toString()).collect(Collectors.toList());
+            return files.filter(Files::isRegularFile)
+                    .map(file -> file.getFileName().toString())
+                    .collect(Collectors.toList());
         }
     }
 
@@ -56,13 +64,21 @@
     @Override
     public File open(String name) throws IOException {
         Path file = folder.resolve(name);
-        return Files.isWritable(file) ? channel(name, StandardOpenOption.READ, StandardOpenOption.WRITE)
-            : channel(name, StandardOpenOption.READ); // a reader may look at a store that it must not change
+        return Files.isWritable(file)
+                ? channel(name, StandardOpenOption.READ, StandardOpenOption.WRITE)
+                : channel(
+                        name,
+                        StandardOpenOption
+                                .READ); // a reader may look at a store that it must not change
     }
 
     @Override
     public File create(String name) throws IOException {
-        return channel(name, StandardOpenOption.READ, StandardOpenOption.WRITE, StandardOpenOption.CREATE_NEW);
+        return channel(
+                name,
+                StandardOpenOption.READ,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.CREATE_NEW);
     }
 
     @Override
@@ -85,19 +101,25 @@
     private record Channel(FileChannel channel) implements File {
         @Override
         public void write(ByteBuffer bytes, long at) throws IOException {
-            for (long place = at; bytes.hasRemaining();) place += channel.write(bytes, place);
+            for (long place = at; bytes.hasRemaining(); ) {
+                place += channel.write(bytes, place);
+            }
         }
 
         @Override
         public int read(ByteBuffer into, long at) throws IOException {
             int from = into.position();
-            for (int n = 0; into.hasRemaining() && n >= 0;) n = channel.read(into, at + into.position() - from);
+            for (int n = 0; into.hasRemaining() && n >= 0; ) {
+                n = channel.read(into, at + into.position() - from);
+            }
             return into.position() - from;
         }
 
         @Override
         public void force() throws IOException {
-            channel.force(false); // the length of the file goes along: what was appended could not be read without it
+            channel.force(
+                    false); // the length of the file goes along: what was appended could not be
+            // read without it
         }
 
         @Override
--- a/src/main/java/ochretiller/store/Recovery.java
+++ b/src/main/java/ochretiller/store/Recovery.java
@@ -9,10 +9,12 @@
 import java.util.function.Consumer;
 
 /**
- * Reads what a folder holds. It changes nothing, so that a look at a store is the same reading as its start.
+ * Reads what a folder holds. It changes nothing, so that a look at a store is the same reading as
+ * its start.
  *
- * <p>What ends before it is whole was being written when the process or the machine stopped: it was never acknowledged and
- * is passed over. What is there in full and wrong, or missing in front of what is there, is damage.
+ * <p>What ends before it is whole was being written when the process or the machine stopped: it was
+ * never acknowledged and is passed over. What is there in full and wrong, or missing in front of
+ * what is there, is damage.
  */
 final class Recovery {
     private static final int CHUNK = 1 << 20;
@@ -20,10 +22,13 @@
     /** One file, as it was read. */
     static final class Found {
         final Segment segment;
+
         /** Null where it cannot be read. */
         final Format.Header header;
+
         /** Where the last whole record ends; behind it is what was never written whole. */
         long goodEnd = Format.HEADER;
+
         boolean hinted;
 
         Found(Segment segment, Format.Header header) {
@@ -34,8 +39,13 @@
 
     final Index index = new Index();
     final TreeMap<Long, Found> found = new TreeMap<>();
-    /** Segments whose start was never written whole, hints without a segment, halves of a compaction. */
+
+    /**
+     * Segments whose start was never written whole, hints without a segment, halves of a
+     * compaction.
+     */
     final List<String> useless = new ArrayList<>();
+
     final List<String> foreign = new ArrayList<>();
     final List<String> damage = new ArrayList<>();
     long lastSequence;
@@ -54,10 +64,12 @@
     /**
      * Reads all of it.
      *
-     * @param useHints whether whole segments are taken from their hints; a check of the store reads every byte instead
+     * @param useHints whether whole segments are taken from their hints; a check of the store reads
+     *     every byte instead
      * @param progress told of each file
      */
-    static Recovery read(Disk disk, boolean useHints, Consumer<String> progress) throws IOException {
+    static Recovery read(Disk disk, boolean useHints, Consumer<String> progress)
+            throws IOException {
         Recovery recovery = new Recovery(disk, useHints, progress);
         recovery.read();
         return recovery;
@@ -69,7 +81,9 @@
         for (String name : disk.list()) {
             Format.Name known = Format.Name.of(name);
             if (known == null) {
-                if (!name.equals("LOCK")) foreign.add(name);
+                if (!name.equals("LOCK")) {
+                    foreign.add(name);
+                }
             } else {
                 switch (known.kind()) {
                     case "log" -> segments.add(known.number());
@@ -78,14 +92,21 @@
                 }
             }
         }
-        for (long number : hints) if (!segments.contains(number)) useless.add(Format.hint(number));
+        for (long number : hints) {
+            if (!segments.contains(number)) {
+                useless.add(Format.hint(number));
+            }
+        }
         for (long number : segments) {
             lastNumber = Math.max(lastNumber, number);
             segment(number, hints.contains(number), number == segments.last());
         }
         Found before = null;
         for (Found each : found.values()) {
-            if (before != null && !before.segment.sealed && !before.segment.damaged && !each.segment.afterFailure) {
+            if (before != null
+                    && !before.segment.sealed
+                    && !before.segment.damaged
+                    && !each.segment.afterFailure) {
                 damaged(before, "its end is missing");
             }
             before = each;
@@ -100,12 +121,17 @@
             ByteBuffer start = ByteBuffer.allocate(Format.HEADER);
             file.read(start, 0);
             Format.Header header = Format.Header.decode(start.flip(), name);
-            if (header != null && header.number() != number) header = null;
+            if (header != null && header.number() != number) {
+                header = null;
+            }
             if (header == null && last && size <= Format.HEADER) {
-                useless.add(name); // a segment is used only once its start is on the medium: this one never was
+                useless.add(
+                        name); // a segment is used only once its start is on the medium: this one
+                // never was
                 return;
             }
-            Found read = new Found(new Segment(number, header == null ? 0 : header.begunAt()), header);
+            Found read =
+                    new Found(new Segment(number, header == null ? 0 : header.begunAt()), header);
             found.put(number, read);
             read.segment.size = size;
             if (header == null) {
@@ -114,7 +140,9 @@
             }
             read.segment.afterFailure = header.afterFailure();
             lastSequence = Math.max(lastSequence, header.firstSequence() - 1);
-            if (!(hint && useHints && hinted(read, file, size))) scan(read, file, size);
+            if (!(hint && useHints && hinted(read, file, size))) {
+                scan(read, file, size);
+            }
         }
     }
 
@@ -123,7 +151,10 @@
         read.segment.damaged = true;
     }
 
-    /** When the last record that damage may have hidden is past its time, for records that live so long at most. */
+    /**
+     * When the last record that damage may have hidden is past its time, for records that live so
+     * long at most.
+     */
     long damagedUntil(long now, long span) {
         long until = Long.MIN_VALUE;
         Found before = null;
@@ -141,10 +172,14 @@
         return until;
     }
 
-    /** Takes a sealed segment from its hint; false where the hint is not good or not of this file. */
+    /**
+     * Takes a sealed segment from its hint; false where the hint is not good or not of this file.
+     */
     private boolean hinted(Found read, Disk.File file, long size) throws IOException {
         Hint hint = Hint.read(disk, file, read.segment, size);
-        if (hint == null) return false;
+        if (hint == null) {
+            return false;
+        }
         for (Index.Slot slot : hint.slots()) {
             lastSequence = Math.max(lastSequence, slot.sequence);
             index.put(slot);
@@ -160,7 +195,9 @@
 
     private void scan(Found read, Disk.File file, long size) throws IOException {
         Segment segment = read.segment;
-        ByteBuffer in = ByteBuffer.allocate((int) Math.min(Math.max(0, size - Format.HEADER), CHUNK + Format.LONGEST));
+        ByteBuffer in =
+                ByteBuffer.allocate(
+                        (int) Math.min(Math.max(0, size - Format.HEADER), CHUNK + Format.LONGEST));
         long base = Format.HEADER;
         in.limit(0);
         long skippedFrom = -1;
@@ -173,7 +210,9 @@
                 in.flip();
                 base = at;
             }
-            if (!in.hasRemaining()) break;
+            if (!in.hasRemaining()) {
+                break;
+            }
             long at = base + in.position();
             Format.Place place = Format.look(in);
             if (place == Format.Place.WHOLE) {
@@ -190,7 +229,8 @@
                 skippedFrom = at;
                 cut = place == Format.Place.CUT;
             }
-            in.position(in.position() + 1); // the next record, if there is one, begins with its mark
+            in.position(
+                    in.position() + 1); // the next record, if there is one, begins with its mark
         }
         if (skippedFrom >= 0 && (segment.sealed || !cut)) {
             // All of its bytes are there, and they are wrong: it may have been acknowledged.
@@ -205,8 +245,18 @@
         segment.records++;
         segment.sealed = entry.kind() == Format.SEAL;
         // A kind of a later release of the same format may be passed over, as the page says.
-        if (entry.kind() != Format.PUT && entry.kind() != Format.REMOVE) return;
-        index.put(new Index.Slot(new Key(entry.key()), entry.sequence(), entry.kind(), entry.expires(), entry.meta(),
-            entry.size(), segment, (int) at));
+        if (entry.kind() != Format.PUT && entry.kind() != Format.REMOVE) {
+            return;
+        }
+        index.put(
+                new Index.Slot(
+                        new Key(entry.key()),
+                        entry.sequence(),
+                        entry.kind(),
+                        entry.expires(),
+                        entry.meta(),
+                        entry.size(),
+                        segment,
+                        (int) at));
     }
 }
--- a/src/main/java/ochretiller/store/Segment.java
+++ b/src/main/java/ochretiller/store/Segment.java
@@ -6,19 +6,28 @@
 /** One file of records, and how much of it is still of use. */
 final class Segment {
     final long number;
+
     /** When it was begun, store's time in milliseconds. */
     final long begunAt;
+
     long size = Format.HEADER;
     long dead;
     int records;
+
     /** When the last of its records is past its time. */
     long lastExpires = Long.MIN_VALUE;
+
     /** Its last record says that it was ended in order. */
     boolean sealed;
+
     /** It says of the one before it that it has no seal, and has to stay as long as that one. */
     boolean afterFailure;
-    /** Part of it cannot be read: it is kept until all that may have been in it is past its time. */
+
+    /**
+     * Part of it cannot be read: it is kept until all that may have been in it is past its time.
+     */
     boolean damaged;
+
     private final List<Index.Slot> slots = new ArrayList<>();
     private int deadSlots;
 
--- a/src/main/java/ochretiller/text/Json.java
+++ b/src/main/java/ochretiller/text/Json.java
@@ -9,15 +9,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON into maps, lists, strings, whole numbers as Long, other numbers as Double, Booleans and NULL. */
+/**
+ * Reads JSON into maps, lists, strings, whole numbers as Long, other numbers as Double, Booleans
+ * and NULL.
+ */
 public final class Json {
     /** JSON's null, which a map tells apart from a member that is absent. */
-    public static final Object NULL = new Object() {
-        @Override
-        public String toString() {
-            return "null";
-        }
-    };
+    public static final Object NULL =
+            new Object() {
+                @Override
+                public String toString() {
+                    return "null";
+                }
+            };
+
     /** Guards against a stack that runs over on nested brackets. */
     private static final int DEEPEST = 32;
 
@@ -25,6 +30,7 @@
     private final int end;
     private int at;
     private int depth;
+
     /** The members of the outermost object that were read whole. */
     private final Map<String, Object> members = new LinkedHashMap<>();
 
@@ -38,7 +44,9 @@
     public Object read() {
         Object value = value();
         skipBlanks();
-        if (at < end) throw bad("more behind the value");
+        if (at < end) {
+            throw bad("more behind the value");
+        }
         return value;
     }
 
@@ -52,7 +60,13 @@
     }
 
     private void skipBlanks() {
-        while (at < end && (bytes[at] == ' ' || bytes[at] == '\t' || bytes[at] == '\r' || bytes[at] == '\n')) at++;
+        while (at < end
+                && (bytes[at] == ' '
+                        || bytes[at] == '\t'
+                        || bytes[at] == '\r'
+                        || bytes[at] == '\n')) {
+            at++;
+        }
     }
 
     private int next() {
@@ -61,7 +75,9 @@
     }
 
     private void take(char wanted) {
-        if (next() != wanted) throw bad("no '" + wanted + "'");
+        if (next() != wanted) {
+            throw bad("no '" + wanted + "'");
+        }
         at++;
     }
 
@@ -86,13 +102,17 @@
 
     private Object word(String word, Object meaning) {
         for (int i = 0; i < word.length(); i++, at++) {
-            if (at >= end || bytes[at] != word.charAt(i)) throw bad("unknown word");
+            if (at >= end || bytes[at] != word.charAt(i)) {
+                throw bad("unknown word");
+            }
         }
         return meaning;
     }
 
     private void enter() {
-        if (++depth > DEEPEST) throw bad("nested too deep");
+        if (++depth > DEEPEST) {
+            throw bad("nested too deep");
+        }
         at++;
     }
 
@@ -105,8 +125,12 @@
         Map<String, Object> object = depth == 0 ? members : new LinkedHashMap<>();
         enter();
         for (boolean first = true; next() != '}'; first = false) {
-            if (!first) take(',');
-            if (next() != '"') throw bad("no name");
+            if (!first) {
+                take(',');
+            }
+            if (next() != '"') {
+                throw bad("no name");
+            }
             String name = string();
             take(':');
             object.put(name, value());
@@ -119,7 +143,9 @@
         List<Object> list = new ArrayList<>();
         enter();
         for (boolean first = true; next() != ']'; first = false) {
-            if (!first) take(',');
+            if (!first) {
+                take(',');
+            }
             list.add(value());
         }
         leave();
@@ -130,12 +156,19 @@
         int from = ++at;
         boolean plain = true;
         while (at < end && bytes[at] != '"') {
-            if (bytes[at] >= 0 && bytes[at] < ' ') throw bad("a control character in a string");
+            if (bytes[at] >= 0 && bytes[at] < ' ') {
+                throw bad("a control character in a string");
+            }
             plain &= bytes[at] > 0 && bytes[at] != '\\';
             at += bytes[at] == '\\' ? 2 : 1;
         }
-        if (at >= end) throw bad("a string without its end");
-        String raw = plain ? new String(bytes, from, at - from, StandardCharsets.ISO_8859_1) : decoded(from);
+        if (at >= end) {
+            throw bad("a string without its end");
+        }
+        String raw =
+                plain
+                        ? new String(bytes, from, at - from, StandardCharsets.ISO_8859_1)
+                        : decoded(from);
         at++;
         return raw;
     }
@@ -143,12 +176,18 @@
     private String decoded(int from) {
         String raw;
         try {
-            raw = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT)
-                .decode(ByteBuffer.wrap(bytes, from, at - from)).toString();
+            raw =
+                    StandardCharsets.UTF_8
+                            .newDecoder()
+                            .onMalformedInput(CodingErrorAction.REPORT)
+                            .decode(ByteBuffer.wrap(bytes, from, at - from))
+                            .toString();
         } catch (CharacterCodingException e) {
             throw bad("a string that is not UTF-8");
         }
-        if (raw.indexOf('\\') < 0) return raw;
+        if (raw.indexOf('\\') < 0) {
+            return raw;
+        }
         StringBuilder out = new StringBuilder(raw.length());
         for (int i = 0; i < raw.length(); i++) {
             char c = raw.charAt(i);
@@ -160,7 +199,9 @@
             int plain = "\"\\/bfnrt".indexOf(escape);
             if (plain >= 0) {
                 out.append("\"\\/\b\f\n\r\t".charAt(plain));
-            } else if (escape == 'u' && raw.length() >= i + 5 && raw.substring(i + 1, i + 5).matches("[0-9a-fA-F]+")) {
+            } else if (escape == 'u'
+                    && raw.length() >= i + 5
+                    && raw.substring(i + 1, i + 5).matches("[0-9a-fA-F]+")) {
                 out.append((char) Integer.parseInt(raw.substring(i + 1, i + 5), 16));
                 i += 4;
             } else {
@@ -172,28 +213,42 @@
 
     private boolean digits() {
         int from = at;
-        while (at < end && bytes[at] >= '0' && bytes[at] <= '9') at++;
+        while (at < end && bytes[at] >= '0' && bytes[at] <= '9') {
+            at++;
+        }
         return at > from;
     }
 
     private Object number() {
         int from = at;
-        if (at < end && bytes[at] == '-') at++;
+        if (at < end && bytes[at] == '-') {
+            at++;
+        }
         int first = at;
-        if (!digits() || bytes[first] == '0' && at > first + 1) throw bad("no value");
+        if (!digits() || bytes[first] == '0' && at > first + 1) {
+            throw bad("no value");
+        }
         boolean whole = true;
         if (at < end && bytes[at] == '.') {
             at++;
             whole = false;
-            if (!digits()) throw bad("no digits");
+            if (!digits()) {
+                throw bad("no digits");
+            }
         }
         if (at < end && (bytes[at] == 'e' || bytes[at] == 'E')) {
             at++;
             whole = false;
-            if (at < end && (bytes[at] == '+' || bytes[at] == '-')) at++;
-            if (!digits()) throw bad("no digits");
+            if (at < end && (bytes[at] == '+' || bytes[at] == '-')) {
+                at++;
+            }
+            if (!digits()) {
+                throw bad("no digits");
+            }
         }
         String text = new String(bytes, from, at - from, StandardCharsets.ISO_8859_1);
-        return whole && text.length() < 19 ? (Object) Long.valueOf(text) : (Object) Double.valueOf(text);
+        return whole && text.length() < 19
+                ? (Object) Long.valueOf(text)
+                : (Object) Double.valueOf(text);
     }
 }
--- a/src/main/java/ochretiller/uwsgi/RequestDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/RequestDecoder.java
@@ -6,20 +6,32 @@
 import ochretiller.text.Slice;
 
 /**
- * Cuts what is read from one connection into requests, in whatever pieces it comes. It holds one request at most: its
- * variables (64 KiB by the protocol) and a body whose length is checked before a byte of it is kept.
+ * Cuts what is read from one connection into requests, in whatever pieces it comes. It holds one
+ * request at most: its variables (64 KiB by the protocol) and a body whose length is checked before
+ * a byte of it is kept.
  */
 public final class RequestDecoder {
     private static final int HEADER = 4;
+
     /** A request, and a ping; others (spooling, code to run, reloads) are nobody's to send here. */
     private static final int REQUEST = 0;
+
     private static final int PING = 100;
-    /** Least room that is taken for what comes in pieces, and most that is kept from one request to the next. */
+
+    /**
+     * Least room that is taken for what comes in pieces, and most that is kept from one request to
+     * the next.
+     */
     private static final int FIRST = 512;
+
     private static final int LAST = 8 * 1024;
 
     /** What is being read. */
-    private enum Part { HEADER, VARS, BODY }
+    private enum Part {
+        HEADER,
+        VARS,
+        BODY
+    }
 
     private final int longestBody;
     private Part part = Part.HEADER;
@@ -38,21 +50,25 @@
     }
 
     /**
-     * Hands over each request once it is whole. Behind an {@link UwsgiException} the connection has to end: where the next
-     * request begins is not known.
+     * Hands over each request once it is whole. Behind an {@link UwsgiException} the connection has
+     * to end: where the next request begins is not known.
      */
     public void read(byte[] bytes, int from, int to, Consumer<Request> request) {
-        for (int at = from; at < to;) {
+        for (int at = from; at < to; ) {
             int take = Math.min(need - filled, to - at);
             keep(bytes, at, take);
             at += take;
-            if (filled == need) whole(request);
+            if (filled == need) {
+                whole(request);
+            }
         }
     }
 
     /** Room grows with what has come, not with what a length promises. */
     private void keep(byte[] bytes, int at, int take) {
-        if (rest.length < filled + take) rest = Arrays.copyOf(rest, Math.max(FIRST, Math.min(need, (filled + take) * 2)));
+        if (rest.length < filled + take) {
+            rest = Arrays.copyOf(rest, Math.max(FIRST, Math.min(need, (filled + take) * 2)));
+        }
         System.arraycopy(bytes, at, rest, filled, take);
         filled += take;
     }
@@ -79,31 +95,44 @@
             end(request, new Request(Map.of(), new byte[0], true));
             return;
         }
-        if (modifier != REQUEST) throw new UwsgiException(0, "modifier " + modifier + " is not served");
+        if (modifier != REQUEST) {
+            throw new UwsgiException(0, "modifier " + modifier + " is not served");
+        }
         next(Part.VARS, length);
-        if (length == 0) vars(request);
+        if (length == 0) {
+            vars(request);
+        }
     }
 
     private void vars(Consumer<Request> request) {
         vars = Vars.read(new Slice(rest, 0, filled));
         next(Part.BODY, bodyLength(vars.get("CONTENT_LENGTH")));
-        if (need == 0) whole(request);
+        if (need == 0) {
+            whole(request);
+        }
     }
 
     private int bodyLength(String text) {
-        if (text == null || text.isEmpty()) return 0;
+        if (text == null || text.isEmpty()) {
+            return 0;
+        }
         if (text.length() > 18 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new UwsgiException(400, "CONTENT_LENGTH is no length");
         }
         long length = Long.parseLong(text);
-        if (length > longestBody) throw new UwsgiException(413, "a body of " + length + " bytes");
+        if (length > longestBody) {
+            throw new UwsgiException(413, "a body of " + length + " bytes");
+        }
         return (int) length;
     }
 
     private void end(Consumer<Request> request, Request whole) {
         vars = null;
         next(Part.HEADER, HEADER);
-        if (rest.length > LAST) rest = new byte[0]; // one long request must not keep its room for as long as the connection
+        if (rest.length > LAST) {
+            rest = new byte[0]; // one long request must not keep its room for as long as the
+            // connection
+        }
         request.accept(whole);
     }
 }
--- a/src/main/java/ochretiller/uwsgi/Route.java
+++ b/src/main/java/ochretiller/uwsgi/Route.java
@@ -19,11 +19,24 @@
             for (int first = 0; first < later; first++) {
                 Route hides = routes.get(first);
                 Route hidden = routes.get(later);
-                if (!hides.method.equals(hidden.method)) continue;
-                String both = "route " + (later + 1) + " (" + hidden.method + " " + hidden.path.text() + ")";
+                if (!hides.method.equals(hidden.method)) {
+                    continue;
+                }
+                String both =
+                        "route "
+                                + (later + 1)
+                                + " ("
+                                + hidden.method
+                                + " "
+                                + hidden.path.text()
+                                + ")";
                 String by = "route " + (first + 1) + " (" + hides.path.text() + ")";
-                if (hides.path.covers(hidden.path)) throw new MalformedException(both + " is never reached: " + by + " covers it");
-                if (hides.path.overlaps(hidden.path)) odd.add(both + " overlaps " + by + ", which comes first");
+                if (hides.path.covers(hidden.path)) {
+                    throw new MalformedException(both + " is never reached: " + by + " covers it");
+                }
+                if (hides.path.overlaps(hidden.path)) {
+                    odd.add(both + " overlaps " + by + ", which comes first");
+                }
             }
         }
         return odd;
--- a/src/main/java/ochretiller/uwsgi/UwsgiException.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiException.java
@@ -4,7 +4,10 @@
 public final class UwsgiException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** What to say where an answer can still be given, in HTTP's terms; 0 where none is owed and the connection ends. */
+    /**
+     * What to say where an answer can still be given, in HTTP's terms; 0 where none is owed and the
+     * connection ends.
+     */
     public final int status;
 
     UwsgiException(int status, String message) {
--- a/src/main/java/ochretiller/uwsgi/UwsgiFront.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFront.java
@@ -19,12 +19,17 @@
 import ochretiller.net.Receiver;
 import ochretiller.net.Schedule;
 
-/** The uwsgi front: requests of front ends become tries of the operations that their routes name. */
+/**
+ * The uwsgi front: requests of front ends become tries of the operations that their routes name.
+ */
 public final class UwsgiFront {
     private static final Logger LOG = Logger.getLogger(UwsgiFront.class.getName());
+
     /** Longest body, as on the users' own protocol: all fronts feed one processor. */
     static final int LONGEST_BODY = 2 * 1024;
+
     private static final int LONGEST_KEY = 255;
+
     /** Hex digits of a token, as on the users' own protocol. */
     private static final int TOKEN = 32;
 
@@ -40,13 +45,21 @@
     /**
      * The front ends' side.
      *
-     * @param callerVar  the variable that names who asks
-     * @param timeVar    the variable with the Unix milliseconds at which a request came to the machine; it may be absent
+     * @param callerVar the variable that names who asks
+     * @param timeVar the variable with the Unix milliseconds at which a request came to the
+     *     machine; it may be absent
      * @param sinceStart turns Unix milliseconds into a span since the start
-     * @param chance     for the names that tries bear on the wires below
+     * @param chance for the names that tries bear on the wires below
      */
-    public UwsgiFront(Callers callers, Schedule schedule, List<Route> routes, String callerVar, String timeVar,
-                      LongFunction<Duration> sinceStart, BooleanSupplier healthy, SplittableRandom chance) {
+    public UwsgiFront(
+            Callers callers,
+            Schedule schedule,
+            List<Route> routes,
+            String callerVar,
+            String timeVar,
+            LongFunction<Duration> sinceStart,
+            BooleanSupplier healthy,
+            SplittableRandom chance) {
         this.callers = callers;
         this.schedule = schedule;
         this.routes = routes;
@@ -80,49 +93,82 @@
         Map<String, String> vars = request.vars();
         String method = vars.getOrDefault("REQUEST_METHOD", "");
         Route route = route(method, path(vars));
-        if (route == null) throw new UwsgiException(404, "no such route");
+        if (route == null) {
+            throw new UwsgiException(404, "no such route");
+        }
         String caller = vars.getOrDefault(callerVar, peer.name());
         String key = vars.get("HTTP_IDEMPOTENCY_KEY");
-        if (route.operation().tokened() && (key == null || key.isEmpty())) throw new UwsgiException(400, "no Idempotency-Key");
-        if (key != null && key.length() > LONGEST_KEY) throw new UwsgiException(400, "a long Idempotency-Key");
+        if (route.operation().tokened() && (key == null || key.isEmpty())) {
+            throw new UwsgiException(400, "no Idempotency-Key");
+        }
+        if (key != null && key.length() > LONGEST_KEY) {
+            throw new UwsgiException(400, "a long Idempotency-Key");
+        }
         byte[] named = hash(caller);
         long t0 = t0(vars.get(timeVar));
-        callers.opened(new Try(callers.nextId(), rid(), route.operation(), route.kb(),
-            ByteBuffer.wrap(named).getLong() & Long.MAX_VALUE, t0 == Keys.UNDATED ? schedule.now() : sinceStart.apply(t0), t0,
-            key == null ? null : token(caller, method, route, key), null, request.body(), peer, number));
+        callers.opened(
+                new Try(
+                        callers.nextId(),
+                        rid(),
+                        route.operation(),
+                        route.kb(),
+                        ByteBuffer.wrap(named).getLong() & Long.MAX_VALUE,
+                        t0 == Keys.UNDATED ? schedule.now() : sinceStart.apply(t0),
+                        t0,
+                        key == null ? null : token(caller, method, route, key),
+                        null,
+                        request.body(),
+                        peer,
+                        number));
     }
 
     private Route route(String method, String path) {
-        for (Route route : routes) if (route.method().equals(method) && route.path().matches(path)) return route;
+        for (Route route : routes) {
+            if (route.method().equals(method) && route.path().matches(path)) {
+                return route;
+            }
+        }
         return null;
     }
 
     private static String path(Map<String, String> vars) {
-        String path = vars.containsKey("PATH_INFO") ? vars.get("PATH_INFO") : vars.getOrDefault("REQUEST_URI", "");
+        String path =
+                vars.containsKey("PATH_INFO")
+                        ? vars.get("PATH_INFO")
+                        : vars.getOrDefault("REQUEST_URI", "");
         int query = path.indexOf('?');
         return query < 0 ? path : path.substring(0, query);
     }
 
     private static long t0(String text) {
-        if (text == null || text.isEmpty()) return Keys.UNDATED;
-        if (text.length() > 15 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) throw new UwsgiException(400, "no time");
+        if (text == null || text.isEmpty()) {
+            return Keys.UNDATED;
+        }
+        if (text.length() > 15 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            throw new UwsgiException(400, "no time");
+        }
         return Long.parseLong(text);
     }
 
     /**
-     * A key that is a token of the users' own protocol is taken as it is, so that the repeat of one protocol's try is known on
-     * the other. Any other key is its caller's own, bound to method and route as the source says: two callers that pick the same
-     * key never see one another's results.
+     * A key that is a token of the users' own protocol is taken as it is, so that the repeat of one
+     * protocol's try is known on the other. Any other key is its caller's own, bound to method and
+     * route as the source says: two callers that pick the same key never see one another's results.
      */
     private static String token(String caller, String method, Route route, String key) {
-        if (key.length() == TOKEN && key.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) return key;
-        return HexFormat.of().formatHex(hash(caller + '\n' + method + '\n' + route.path().text() + '\n' + key))
-            .substring(0, TOKEN);
+        if (key.length() == TOKEN
+                && key.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
+            return key;
+        }
+        return HexFormat.of()
+                .formatHex(hash(caller + '\n' + method + '\n' + route.path().text() + '\n' + key))
+                .substring(0, TOKEN);
     }
 
     private static byte[] hash(String text) {
         try {
-            return MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.ISO_8859_1));
+            return MessageDigest.getInstance("SHA-256")
+                    .digest(text.getBytes(StandardCharsets.ISO_8859_1));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e); // each Java platform has it
         }
--- a/src/main/java/ochretiller/uwsgi/UwsgiPeer.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiPeer.java
@@ -16,8 +16,8 @@
 import ochretiller.net.Connection;
 
 /**
- * One connection of a front end. It has one request by the protocol; further ones that come behind it on the same connection
- * are answered one after another, since an answer bears no name.
+ * One connection of a front end. It has one request by the protocol; further ones that come behind
+ * it on the same connection are answered one after another, since an answer bears no name.
  */
 final class UwsgiPeer extends Peer {
     /** Requests that may wait for the one before them. */
@@ -26,14 +26,15 @@
     private final UwsgiFront front;
     private final RequestDecoder decoder = new RequestDecoder(UwsgiFront.LONGEST_BODY);
     private final Queue<Item> waiting = new ArrayDeque<>();
+
     /** On the network's thread: what follows cannot be read any more. */
     private boolean lost;
+
     private long numbers;
     private boolean answered;
 
     /** A request, or what is wrong with what stood in its place. */
-    private record Item(Request request, UwsgiException fault) {
-    }
+    private record Item(Request request, UwsgiException fault) {}
 
     UwsgiPeer(Connection connection, Callers callers, UwsgiFront front) {
         super(connection, callers);
@@ -48,7 +49,9 @@
 
     @Override
     public Runnable received(byte[] bytes, int from, int to) {
-        if (lost) return null;
+        if (lost) {
+            return null;
+        }
         List<Item> items = new ArrayList<>(1);
         try {
             decoder.read(bytes, from, to, request -> items.add(new Item(request, null)));
@@ -65,10 +68,15 @@
     }
 
     private void come(List<Item> items) {
-        if (!connection.open()) return;
+        if (!connection.open()) {
+            return;
+        }
         waiting.addAll(items);
-        if (waiting.size() > MOST_WAITING) connection.drop(CloseCode.FLOOD);
-        else next();
+        if (waiting.size() > MOST_WAITING) {
+            connection.drop(CloseCode.FLOOD);
+        } else {
+            next();
+        }
     }
 
     /** The next request, once the one before it is answered. */
@@ -88,7 +96,11 @@
             } catch (UwsgiException e) {
                 // It is whole, and what follows can be read: it alone is refused.
                 front.bad(connection.peer(), e);
-                write(new Answer(e.status, Map.of("Content-Type", "text/plain"), text(e.getMessage())));
+                write(
+                        new Answer(
+                                e.status,
+                                Map.of("Content-Type", "text/plain"),
+                                text(e.getMessage())));
                 settle();
             }
         }
@@ -101,7 +113,11 @@
             connection.drop(CloseCode.BAD_INPUT);
             return;
         }
-        write(new Answer(fault.status, Map.of("Content-Type", "text/plain"), text(fault.getMessage())));
+        write(
+                new Answer(
+                        fault.status,
+                        Map.of("Content-Type", "text/plain"),
+                        text(fault.getMessage())));
         connection.close(CloseCode.BAD_INPUT);
     }
 
@@ -124,14 +140,18 @@
     private void write(Answer answer) {
         answered = true;
         connection.write(answer.encode());
-        if (!waiting.isEmpty()) front.later(this::next);
+        if (!waiting.isEmpty()) {
+            front.later(this::next);
+        }
     }
 
     @Override
     protected void succeeds(Try inv, byte[] result, boolean replayed) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "application/octet-stream");
-        if (replayed) headers.put("X-Idempotent-Replay", "true");
+        if (replayed) {
+            headers.put("X-Idempotent-Replay", "true");
+        }
         write(new Answer(200, headers, result));
     }
 
@@ -140,21 +160,26 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "text/plain");
         if (!retryIn.isZero()) {
-            headers.put("Retry-After", "" + Math.max(1, (retryIn.toMillis() + 999) / 1000)); // whole seconds by HTTP
+            headers.put(
+                    "Retry-After",
+                    "" + Math.max(1, (retryIn.toMillis() + 999) / 1000)); // whole seconds by HTTP
             headers.put("X-Backoff-Ms", "" + Math.max(1, retryIn.toMillis()));
         }
-        if (last) headers.put("X-Final", "1");
+        if (last) {
+            headers.put("X-Final", "1");
+        }
         write(new Answer(503, headers, text("throttled")));
     }
 
     @Override
     protected void fails(Try inv, Failure why) {
-        int status = switch (why) {
-            case FAILED, NO_RESULT, RID_IN_USE -> 500;
-            case GIVEN_UP -> 504;
-            case OTHER_BODY -> 422;
-            case IN_FLIGHT, UNKNOWN_END -> 409;
-        };
+        int status =
+                switch (why) {
+                    case FAILED, NO_RESULT, RID_IN_USE -> 500;
+                    case GIVEN_UP -> 504;
+                    case OTHER_BODY -> 422;
+                    case IN_FLIGHT, UNKNOWN_END -> 409;
+                };
         write(new Answer(status, Map.of("Content-Type", "text/plain"), text(why.text)));
     }
 
--- a/src/main/java/ochretiller/workers/Crew.java
+++ b/src/main/java/ochretiller/workers/Crew.java
@@ -17,16 +17,23 @@
 /** A pool with the addresses of its workers and its figures. */
 final class Crew {
     private static final Logger LOG = Logger.getLogger(Crew.class.getName());
-    /** Connections of runs that were given up on which a late answer is still listened for: enough to count them by. */
+
+    /**
+     * Connections of runs that were given up on which a late answer is still listened for: enough
+     * to count them by.
+     */
     static final int MOST_LATE = 16;
 
     final String name;
     private final Pool pool;
     Duration late;
+
     /** Addresses are kept while a drained worker still has something. */
     private final Map<WorkerId, InetSocketAddress> addresses = new LinkedHashMap<>();
+
     /** Runs that were let go and have not reached a worker yet. */
     int expected;
+
     int listening;
     final Metrics.Counter runs;
     final Metrics.Counter elsewhere;
@@ -35,8 +42,10 @@
     final Metrics.Counter silent;
     final Metrics.Counter lateAnswers;
     private volatile int places;
+
     /** What was free then; a hold of one pool asks for each that it holds. */
     private Duration freeAt;
+
     private int free;
 
     Crew(Plan plan, SplittableRandom chance, Metrics metrics) {
@@ -44,11 +53,22 @@
         pool = new Pool(plan.settings(), chance);
         String start = "pool_" + name + "_";
         runs = metrics.counter(start + "runs_total", "Runs that were handed to workers");
-        elsewhere = metrics.counter(start + "second_tries_total", "Runs tried on another worker, the first not having begun");
-        unbegun = metrics.counter(start + "not_begun_total", "Runs that no worker could take; they are throttled");
-        failed = metrics.counter(start + "failed_total", "Runs that failed, or whose answer was spoilt");
+        elsewhere =
+                metrics.counter(
+                        start + "second_tries_total",
+                        "Runs tried on another worker, the first not having begun");
+        unbegun =
+                metrics.counter(
+                        start + "not_begun_total",
+                        "Runs that no worker could take; they are throttled");
+        failed =
+                metrics.counter(
+                        start + "failed_total", "Runs that failed, or whose answer was spoilt");
         silent = metrics.counter(start + "silent_total", "Runs without an answer in time");
-        lateAnswers = metrics.counter(start + "late_answers_total", "Answers behind their time, which are ignored");
+        lateAnswers =
+                metrics.counter(
+                        start + "late_answers_total",
+                        "Answers behind their time, which are ignored");
         metrics.gauge(start + "places", "Runs that its workers may have at once", () -> places);
     }
 
@@ -58,7 +78,8 @@
         pool.become(plan.settings());
         List<WorkerId> ids = new ArrayList<>();
         for (InetSocketAddress address : plan.workers()) {
-            WorkerId id = new WorkerId(address.getAddress().getHostAddress() + ':' + address.getPort());
+            WorkerId id =
+                    new WorkerId(address.getAddress().getHostAddress() + ':' + address.getPort());
             ids.add(id);
             addresses.put(id, address);
         }
@@ -103,8 +124,18 @@
         freeAt = null;
         boolean in = pool.in(id);
         pool.ended(id, end, took, now);
-        if (in && !pool.in(id)) LOG.warning("pool " + name + " leaves out worker " + id + ", last end: " + end.externalName());
-        if (!in && pool.in(id)) LOG.info("pool " + name + " lets worker " + id + " in again");
+        if (in && !pool.in(id)) {
+            LOG.warning(
+                    "pool "
+                            + name
+                            + " leaves out worker "
+                            + id
+                            + ", last end: "
+                            + end.externalName());
+        }
+        if (!in && pool.in(id)) {
+            LOG.info("pool " + name + " lets worker " + id + " in again");
+        }
         places(now);
     }
 }
--- a/src/main/java/ochretiller/workers/Workers.java
+++ b/src/main/java/ochretiller/workers/Workers.java
@@ -25,13 +25,22 @@
 import ochretiller.uwsgi.Request;
 import ochretiller.uwsgi.UwsgiException;
 
-/** Carries out runs as requests to uwsgi workers, one request on a connection as their protocol has it. */
+/**
+ * Carries out runs as requests to uwsgi workers, one request on a connection as their protocol has
+ * it.
+ */
 public final class Workers implements Backend {
     private static final Logger LOG = Logger.getLogger(Workers.class.getName());
+
     /** Longest answer: as long as a result on the processor's link. */
     private static final int LONGEST = 64 * 1024;
-    /** A worker that takes longer to accept is as good as gone: on one network that is a few milliseconds. */
+
+    /**
+     * A worker that takes longer to accept is as good as gone: on one network that is a few
+     * milliseconds.
+     */
     private static final Duration CONNECT = Duration.ofMillis(500);
+
     /** Workers that one run is offered to; the budget of second tries bounds all runs together. */
     private static final int MOST_TRIES = 3;
 
@@ -43,7 +52,12 @@
     private final Map<String, Errand> errands = new LinkedHashMap<>();
     private final Set<Attempt> attempts = new LinkedHashSet<>();
 
-    public Workers(Schedule schedule, Network network, List<Plan> plans, SplittableRandom chance, Metrics metrics) {
+    public Workers(
+            Schedule schedule,
+            Network network,
+            List<Plan> plans,
+            SplittableRandom chance,
+            Metrics metrics) {
         this.schedule = schedule;
         this.network = network;
         for (Plan plan : plans) {
@@ -57,17 +71,26 @@
         }
     }
 
-    /** Workers and settings change under load: what removed ones have, they end. Pools themselves stay as they were. */
+    /**
+     * Workers and settings change under load: what removed ones have, they end. Pools themselves
+     * stay as they were.
+     */
     public void become(List<Plan> plans) {
         Duration now = schedule.now();
         for (Plan plan : plans) {
             Crew crew = crews.get(plan.name());
-            if (crew == null) LOG.warning("pool " + plan.name() + " is new: it needs a restart");
-            else crew.become(plan, now);
+            if (crew == null) {
+                LOG.warning("pool " + plan.name() + " is new: it needs a restart");
+            } else {
+                crew.become(plan, now);
+            }
         }
         for (String name : crews.keySet()) {
             if (plans.stream().noneMatch(plan -> plan.name().equals(name))) {
-                LOG.warning("pool " + name + " is gone from the operators' file: it stays until a restart");
+                LOG.warning(
+                        "pool "
+                                + name
+                                + " is gone from the operators' file: it stays until a restart");
             }
         }
     }
@@ -91,7 +114,10 @@
         return crews.get(pool).free(schedule.now());
     }
 
-    /** A run of this operation is let go, and {@link #begin} or {@code expect(operation, -1)} follows. */
+    /**
+     * A run of this operation is let go, and {@link #begin} or {@code expect(operation, -1)}
+     * follows.
+     */
     public void expect(String operation, int more) {
         byOperation.get(operation).expected += more;
     }
@@ -103,16 +129,20 @@
         errands.put(task.rid(), errand);
         errand.crew.runs.add();
         Duration left = task.due().minus(schedule.now());
-        // A tokened run may have its effect behind its due time: its answer is worth having for the repeats that follow.
+        // A tokened run may have its effect behind its due time: its answer is worth having for the
+        // repeats that follow.
         Duration patience = task.token() == null ? left : left.plus(errand.crew.late);
-        schedule.after(patience.isNegative() ? Duration.ZERO : patience, () -> errand.giveUp(End.SILENT));
+        schedule.after(
+                patience.isNegative() ? Duration.ZERO : patience, () -> errand.giveUp(End.SILENT));
         errand.go(errand.crew.choose(schedule.now()));
     }
 
     @Override
     public void interrupt(String rid) {
         Errand errand = errands.get(rid);
-        if (errand != null) errand.giveUp(End.GIVEN_UP);
+        if (errand != null) {
+            errand.giveUp(End.GIVEN_UP);
+        }
     }
 
     public void close() {
@@ -128,10 +158,13 @@
         private WorkerId worker;
         private Duration triedAt;
         private int offers;
+
         /** Names the try that counts; one that was passed over may still come to connect. */
         private int current;
+
         /** What was written may have begun, so that no other worker may have it. */
         private boolean written;
+
         private boolean over;
         private Attempt attempt;
 
@@ -153,7 +186,11 @@
             triedAt = schedule.now();
             offers++;
             int number = ++current;
-            network.connect("worker", crew.address(worker), made -> new Attempt(this, number, made), () -> notBegun(number));
+            network.connect(
+                    "worker",
+                    crew.address(worker),
+                    made -> new Attempt(this, number, made),
+                    () -> notBegun(number));
             schedule.after(CONNECT, () -> notBegun(number));
         }
 
@@ -162,14 +199,19 @@
         }
 
         private void notBegun(int number) {
-            if (!counts(number)) return;
+            if (!counts(number)) {
+                return;
+            }
             current++;
             Duration now = schedule.now();
             WorkerId before = worker;
             crew.ended(before, End.NEVER_BEGUN, now.minus(triedAt), now);
             boolean again = offers < MOST_TRIES && now.compareTo(task.due()) < 0;
-            Optional<WorkerId> next = again ? crew.chooseAgain(before, End.NEVER_BEGUN, now) : Optional.empty();
-            if (next.isPresent()) crew.elsewhere.add();
+            Optional<WorkerId> next =
+                    again ? crew.chooseAgain(before, End.NEVER_BEGUN, now) : Optional.empty();
+            if (next.isPresent()) {
+                crew.elsewhere.add();
+            }
             go(next);
         }
 
@@ -194,9 +236,13 @@
             vars.put("CONTENT_TYPE", "application/octet-stream");
             vars.put("CONTENT_LENGTH", "" + task.body().length);
             vars.put("HTTP_X_REQUEST_ID", task.rid());
-            if (task.token() != null) vars.put("HTTP_IDEMPOTENCY_KEY", task.token());
+            if (task.token() != null) {
+                vars.put("HTTP_IDEMPOTENCY_KEY", task.token());
+            }
             // What is left of its caller's time, what was spent here already taken off.
-            vars.put("HTTP_X_TIME_LEFT_MS", "" + Math.max(0, task.due().minus(schedule.now()).toMillis()));
+            vars.put(
+                    "HTTP_X_TIME_LEFT_MS",
+                    "" + Math.max(0, task.due().minus(schedule.now()).toMillis()));
             return new Request(vars, task.body(), false);
         }
 
@@ -206,34 +252,49 @@
                 return;
             }
             boolean good = answer.status() >= 200 && answer.status() < 300;
-            // What a worker says of the request itself is an answer like any other; of itself it says 5xx.
+            // What a worker says of the request itself is an answer like any other; of itself it
+            // says 5xx.
             boolean well = answer.status() < 500;
-            if (!well) crew.failed.add();
+            if (!well) {
+                crew.failed.add();
+            }
             ended(well ? End.ANSWERED : End.FAILED);
-            finish(good ? RunEnd.Result.SUCCEEDED : RunEnd.Result.ERRORED, good ? answer.body() : null);
+            finish(
+                    good ? RunEnd.Result.SUCCEEDED : RunEnd.Result.ERRORED,
+                    good ? answer.body() : null);
         }
 
         /** Its connection ended, or what came on it is no answer: it may have run. */
         void broken() {
-            if (over) return;
+            if (over) {
+                return;
+            }
             crew.failed.add();
             ended(End.FAILED);
             finish(RunEnd.Result.ERRORED, null);
         }
 
         void giveUp(End end) {
-            if (over) return;
+            if (over) {
+                return;
+            }
             if (!written) {
-                // Guards against a throttle that would be untrue later: nothing of it goes out from here on.
-                if (worker != null) ended(End.NEVER_BEGUN);
+                // Guards against a throttle that would be untrue later: nothing of it goes out from
+                // here on.
+                if (worker != null) {
+                    ended(End.NEVER_BEGUN);
+                }
                 finish(RunEnd.Result.NOT_BEGUN, null);
                 return;
             }
             crew.silent.add();
             ended(end);
             finish(end == End.GIVEN_UP ? RunEnd.Result.STOPPED : RunEnd.Result.ERRORED, null);
-            if (crew.listening >= Crew.MOST_LATE) attempt.drop(CloseCode.GIVEN_UP);
-            else attempt.listen();
+            if (crew.listening >= Crew.MOST_LATE) {
+                attempt.drop(CloseCode.GIVEN_UP);
+            } else {
+                attempt.listen();
+            }
         }
 
         private void ended(End end) {
@@ -262,18 +323,26 @@
             this.errand = errand;
             this.number = number;
             this.connection = connection;
-            schedule.post(() -> {
-                if (!connection.open()) return; // its end follows
-                attempts.add(this);
-                errand.opened(this);
-            });
+            schedule.post(
+                    () -> {
+                        if (!connection.open()) {
+                            return; // its end follows
+                        }
+                        attempts.add(this);
+                        errand.opened(this);
+                    });
         }
 
         void write(Request request) {
-            for (byte[] part : request.encode()) connection.write(part);
+            for (byte[] part : request.encode()) {
+                connection.write(part);
+            }
         }
 
-        /** Its run was given up: a late answer is counted, for as long as late ones are listened for. */
+        /**
+         * Its run was given up: a late answer is counted, for as long as late ones are listened
+         * for.
+         */
         void listen() {
             listens = true;
             errand.crew.listening++;
@@ -281,7 +350,9 @@
         }
 
         void drop(CloseCode code) {
-            if (connection.open()) connection.drop(code);
+            if (connection.open()) {
+                connection.drop(code);
+            }
         }
 
         @Override
@@ -292,7 +363,9 @@
             } catch (UwsgiException e) {
                 String fault = e.getMessage();
                 return () -> {
-                    if (!connection.open()) return;
+                    if (!connection.open()) {
+                        return;
+                    }
                     LOG.warning("bad answer from worker " + errand.worker + ": " + fault);
                     connection.drop(CloseCode.BAD_INPUT);
                 };
@@ -300,7 +373,9 @@
         }
 
         private void end(Answer answer) {
-            if (!connection.open()) return;
+            if (!connection.open()) {
+                return;
+            }
             if (errand.attempt != this) {
                 connection.drop(CloseCode.BAD_INPUT); // it answers what nobody has asked
                 return;
@@ -312,16 +387,23 @@
         @Override
         public void inputEnded() {
             Answer answer = errand.attempt == this ? decoder.ended() : null;
-            if (answer != null) errand.answered(answer);
+            if (answer != null) {
+                errand.answered(answer);
+            }
             drop(answer != null ? CloseCode.ANSWERED : CloseCode.PEER_CLOSED);
         }
 
         @Override
         public void ended(CloseCode code) {
             attempts.remove(this);
-            if (listens) errand.crew.listening--;
-            if (errand.attempt == this) errand.broken(); // where it was answered, that is over
-            else errand.notBegun(number);
+            if (listens) {
+                errand.crew.listening--;
+            }
+            if (errand.attempt == this) {
+                errand.broken(); // where it was answered, that is over
+            } else {
+                errand.notBegun(number);
+            }
         }
     }
 }
--- a/src/test/java/ochretiller/ArchitectureTest.java
+++ b/src/test/java/ochretiller/ArchitectureTest.java
@@ -1,7 +1,7 @@
 package ochretiller;
 
-import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.tngtech.archunit.core.domain.JavaClass;
@@ -15,28 +15,57 @@
 /** How the packages may lean on one another: downwards only, and decisions on nothing that acts. */
 class ArchitectureTest {
     /** From the top down: a package may use those of the rows below its own, and none beside it. */
-    private static final List<List<String>> ROWS = List.of(
-        List.of(""),
-        List.of("commands"),
-        List.of("node", "sim"),
-        List.of("operator"),
-        List.of("workers"),
-        List.of("gateway", "uwsgi"),
-        List.of("paths", "front", "json5", "fleet.peers"),
-        List.of("settings"),
-        List.of("policy"),
-        List.of("processor", "records", "roster"),
-        List.of("keys", "contracts", "audit.files"),
-        List.of("net", "standin", "runs"),
-        List.of("text", "store", "remembered", "metrics", "pools", "budgets", "fleet.members", "fleet.copies", "fleet.versions", "audit"),
-        List.of("fleet.epochs"),
-        List.of("server", "spans", "bounds"),
-        List.of("model"));
+    private static final List<List<String>> ROWS =
+            List.of(
+                    List.of(""),
+                    List.of("commands"),
+                    List.of("node", "sim"),
+                    List.of("operator"),
+                    List.of("workers"),
+                    List.of("gateway", "uwsgi"),
+                    List.of("paths", "front", "json5", "fleet.peers"),
+                    List.of("settings"),
+                    List.of("policy"),
+                    List.of("processor", "records", "roster"),
+                    List.of("keys", "contracts", "audit.files"),
+                    List.of("net", "standin", "runs"),
+                    List.of(
+                            "text",
+                            "store",
+                            "remembered",
+                            "metrics",
+                            "pools",
+                            "budgets",
+                            "fleet.members",
+                            "fleet.copies",
+                            "fleet.versions",
+                            "audit"),
+                    List.of("fleet.epochs"),
+                    List.of("server", "spans", "bounds"),
+                    List.of("model"));
+
     /** Settings put the decisions together; they read values and do nothing else. */
-    private static final List<String> DECISIONS = List.of("policy", "spans", "bounds", "model", "server", "remembered", "pools", "budgets", "contracts", "fleet.members", "fleet.copies", "fleet.epochs", "fleet.versions", "audit");
+    private static final List<String> DECISIONS =
+            List.of(
+                    "policy",
+                    "spans",
+                    "bounds",
+                    "model",
+                    "server",
+                    "remembered",
+                    "pools",
+                    "budgets",
+                    "contracts",
+                    "fleet.members",
+                    "fleet.copies",
+                    "fleet.epochs",
+                    "fleet.versions",
+                    "audit");
 
-    private final JavaClasses classes = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
-        .importPackages("ochretiller");
+    private final JavaClasses classes =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("ochretiller");
 
     private static String part(JavaClass type) {
         String name = type.getPackageName();
@@ -44,7 +73,11 @@
     }
 
     private static int row(String part) {
-        for (int i = 0; i < ROWS.size(); i++) if (ROWS.get(i).contains(part)) return i;
+        for (int i = 0; i < ROWS.size(); i++) {
+            if (ROWS.get(i).contains(part)) {
+                return i;
+            }
+        }
         throw new AssertionError("package " + part + " has no place in the rows");
     }
 
@@ -54,8 +87,12 @@
         for (JavaClass type : classes) {
             for (var arrow : type.getDirectDependenciesFromSelf()) {
                 JavaClass to = arrow.getTargetClass().getBaseComponentType();
-                if (!to.getPackageName().startsWith("ochretiller") || part(to).equals(part(type))) continue;
-                if (row(part(to)) <= row(part(type))) wrong.add(arrow.getDescription());
+                if (!to.getPackageName().startsWith("ochretiller") || part(to).equals(part(type))) {
+                    continue;
+                }
+                if (row(part(to)) <= row(part(type))) {
+                    wrong.add(arrow.getDescription());
+                }
             }
         }
         assertThat(wrong).isEmpty();
@@ -69,15 +106,35 @@
     @Test
     void decisionsKnowNoSocketsFilesClocksOrThreads() {
         for (String part : DECISIONS) {
-            noClasses().that().resideInAPackage("ochretiller." + part)
-                .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio.file..", "java.nio.channels..", "java.net..", "java.sql..",
-                    "java.util.concurrent..", "java.util.logging..", "org.apache.mina..", "ochretiller.store..")
-                .orShould().dependOnClassesThat().haveFullyQualifiedName("java.time.Clock")
-                .orShould().dependOnClassesThat().haveFullyQualifiedName("java.lang.Thread")
-                .orShould().dependOnClassesThat().haveFullyQualifiedName("java.util.Random")
-                .orShould().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis")
-                .check(classes);
+            noClasses()
+                    .that()
+                    .resideInAPackage("ochretiller." + part)
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage(
+                            "java.io..",
+                            "java.nio.file..",
+                            "java.nio.channels..",
+                            "java.net..",
+                            "java.sql..",
+                            "java.util.concurrent..",
+                            "java.util.logging..",
+                            "org.apache.mina..",
+                            "ochretiller.store..")
+                    .orShould()
+                    .dependOnClassesThat()
+                    .haveFullyQualifiedName("java.time.Clock")
+                    .orShould()
+                    .dependOnClassesThat()
+                    .haveFullyQualifiedName("java.lang.Thread")
+                    .orShould()
+                    .dependOnClassesThat()
+                    .haveFullyQualifiedName("java.util.Random")
+                    .orShould()
+                    .callMethod(System.class, "nanoTime")
+                    .orShould()
+                    .callMethod(System.class, "currentTimeMillis")
+                    .check(classes);
         }
     }
 }
--- a/src/test/java/ochretiller/CheckExceptionsTest.java
+++ b/src/test/java/ochretiller/CheckExceptionsTest.java
@@ -39,7 +39,9 @@
 
         assertThat(verdict.code).isEqualTo(1);
         assertThat(verdict.said)
-                .contains("a/One.java:7: NeedBraces: planted", BRACES.strip() + ": 2 found, 0 listed");
+                .contains(
+                        "a/One.java:7: NeedBraces: planted",
+                        BRACES.strip() + ": 2 found, 0 listed");
     }
 
     @Test
@@ -88,9 +90,13 @@
     }
 
     private void reportOf(String path, String... checks) throws Exception {
-        StringBuilder text = new StringBuilder("<checkstyle><file name='" + root.toRealPath().resolve(path) + "'>");
+        StringBuilder text =
+                new StringBuilder(
+                        "<checkstyle><file name='" + root.toRealPath().resolve(path) + "'>");
         for (String check : checks) {
-            text.append("<error line='7' severity='error' message='planted' source='com.puppycrawl.tools.checkstyle.checks.")
+            text.append(
+                            "<error line='7' severity='error' message='planted'"
+                                    + " source='com.puppycrawl.tools.checkstyle.checks.")
                     .append(check)
                     .append("Check'/>");
         }
@@ -109,7 +115,11 @@
         command.addAll(List.of(options));
         command.addAll(List.of(report.toString(), list.toString(), root.toString()));
         Path said = root.resolve("said.txt");
-        Process process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(said.toFile()).start();
+        Process process =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(said.toFile())
+                        .start();
         assertThat(process.waitFor(60, TimeUnit.SECONDS)).isTrue();
         return new Verdict(process.exitValue(), Files.readString(said));
     }
--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -13,22 +13,27 @@
 import ochretiller.store.RealDisk;
 
 /**
- * The packaged server on a disk that ends the process at a scripted operation, as SIGKILL would: {@code WHAT:N} is the Nth
- * of {@code before-write}, {@code after-write}, {@code after-force} of records, of {@code create}, {@code rename} or
- * {@code truncate}.
+ * The packaged server on a disk that ends the process at a scripted operation, as SIGKILL would:
+ * {@code WHAT:N} is the Nth of {@code before-write}, {@code after-write}, {@code after-force} of
+ * records, of {@code create}, {@code rename} or {@code truncate}.
  */
 final class CrashingServer {
     private static final int SEGMENT_HEADER = 72;
 
-    private CrashingServer() {
-    }
+    private CrashingServer() {}
 
     public static void main(String[] words) throws Exception {
         Logs.install();
         Operator operator = OperatorFile.read(Path.of(words[2]));
         String[] point = words[0].split(":");
-        Node node = new Node(Path.of(words[1]), operator,
-            new Crashing(new RealDisk(operator.remember().orElseThrow().folder()), point[0], Integer.parseInt(point[1])));
+        Node node =
+                new Node(
+                        Path.of(words[1]),
+                        operator,
+                        new Crashing(
+                                new RealDisk(operator.remember().orElseThrow().folder()),
+                                point[0],
+                                Integer.parseInt(point[1])));
         node.prepare();
         node.listen();
         node.run();
@@ -46,7 +51,9 @@
         }
 
         private void at(String operation) {
-            if (operation.equals(point) && --left == 0) Runtime.getRuntime().halt(137);
+            if (operation.equals(point) && --left == 0) {
+                Runtime.getRuntime().halt(137);
+            }
         }
 
         @Override
@@ -98,15 +105,21 @@
             @Override
             public void write(ByteBuffer bytes, long at) throws IOException {
                 records = at >= SEGMENT_HEADER;
-                if (records) at("before-write");
+                if (records) {
+                    at("before-write");
+                }
                 file.write(bytes, at);
-                if (records) at("after-write");
+                if (records) {
+                    at("after-write");
+                }
             }
 
             @Override
             public void force() throws IOException {
                 file.force();
-                if (records) at("after-force");
+                if (records) {
+                    at("after-force");
+                }
             }
 
             @Override
--- a/src/test/java/ochretiller/CrossingsIT.java
+++ b/src/test/java/ochretiller/CrossingsIT.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Events that cross, on the packaged program; a process that stands still while both come is what makes them one moment. */
+/**
+ * Events that cross, on the packaged program; a process that stands still while both come is what
+ * makes them one moment.
+ */
 class CrossingsIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     private static final String SHUTDOWN = "\"shutdown\"";
@@ -30,7 +33,9 @@
 
     @AfterEach
     void stop() throws Exception {
-        if (gateway != null) gateway.close();
+        if (gateway != null) {
+            gateway.close();
+        }
         deployment.close();
     }
 
@@ -47,11 +52,19 @@
     }
 
     private void expectResult(int id, String result) throws Exception {
-        assertThat(gateway.line()).contains("\"id\":" + id + ",\"result\":{\"data\":\"" + Gateways.base64(result) + "\"");
+        assertThat(gateway.line())
+                .contains(
+                        "\"id\":"
+                                + id
+                                + ",\"result\":{\"data\":\""
+                                + Gateways.base64(result)
+                                + "\"");
     }
 
     private long begun(int id) {
-        return deployment.heard.stream().filter(line -> line.startsWith("begin " + rid(id))).count();
+        return deployment.heard.stream()
+                .filter(line -> line.startsWith("begin " + rid(id)))
+                .count();
     }
 
     @Test
@@ -60,13 +73,18 @@
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.signal("STOP");
-        gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n" + order(2, "wait"));
+        gateway.send(
+                "{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n"
+                        + order(2, "wait"));
         deployment.outside.complete(rid(1), "once");
         deployment.signal("CONT");
         String answer = gateway.line();
         // The end may be read first: then the first has its answer too.
-        if (answer.contains("\"id\":1,")) answer = gateway.line();
-        assertThat(answer).contains("\"id\":2,\"result\":{\"data\":\"" + Gateways.base64("once") + "\"");
+        if (answer.contains("\"id\":1,")) {
+            answer = gateway.line();
+        }
+        assertThat(answer)
+                .contains("\"id\":2,\"result\":{\"data\":\"" + Gateways.base64("once") + "\"");
         assertThat(begun(1) + begun(2)).isZero();
     }
 
@@ -75,7 +93,10 @@
         start();
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
-        gateway.send(order(2, "wait") + "{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n" + order(3, "wait"));
+        gateway.send(
+                order(2, "wait")
+                        + "{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n"
+                        + order(3, "wait"));
         gateway.send(message(9, "ping", "{}"));
         assertThat(gateway.line()).contains("\"id\":9,"); // all before it was worked off
         deployment.outside.complete(rid(1), "once");
@@ -90,7 +111,8 @@
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.signal("STOP");
-        deployment.outside.greeting = "hi hot 3600000\r\ncomplete 1 " + rid(1) + " complete 5 4\r\nkept\r\n";
+        deployment.outside.greeting =
+                "hi hot 3600000\r\ncomplete 1 " + rid(1) + " complete 5 4\r\nkept\r\n";
         deployment.outside.complete(rid(1), "kept");
         deployment.outside.link.reset();
         deployment.signal("CONT");
@@ -115,7 +137,8 @@
         deployment.signal("CONT");
         await(deployment.heard, "begin " + rid(1)); // said again on the new link
         deployment.outside.complete(rid(1), "moved");
-        Stream.of(gateway.line(), gateway.line()).forEach(line -> assertThat(line).contains("\"result\":"));
+        Stream.of(gateway.line(), gateway.line())
+                .forEach(line -> assertThat(line).contains("\"result\":"));
         assertThat(gateway.line()).contains(SHUTDOWN);
         gateway.close();
         assertThat(deployment.exit()).isZero();
@@ -123,7 +146,11 @@
 
     @Test
     void noticeToLeaveWithoutAProcessorTurnsAwayAndRunsNothingOnceThereIsOne() throws Exception {
-        deployment = new Deployment(json -> json, each -> each.outside.silent = true, "exec sh deploy/serve.sh");
+        deployment =
+                new Deployment(
+                        json -> json,
+                        each -> each.outside.silent = true,
+                        "exec sh deploy/serve.sh");
         await(deployment.heard, "hello 0");
         gateway = deployment.dial();
         gateway.send(read(1, "good"));
@@ -157,8 +184,11 @@
     @Test
     void idleClientsOnAllDescriptorsLeaveRoomForCallsFilesAndTheLink() throws Exception {
         int most = 128;
-        deployment = new Deployment(json -> json.replace("\"sockets\":1024", "\"sockets\":" + most), each -> { },
-            "ulimit -n " + most + "; exec sh deploy/serve.sh");
+        deployment =
+                new Deployment(
+                        json -> json.replace("\"sockets\":1024", "\"sockets\":" + most),
+                        each -> {},
+                        "ulimit -n " + most + "; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         gateway = deployment.dial();
         gateway.send(read(1, "good"));
@@ -181,12 +211,15 @@
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
         assertThat(held).isLessThanOrEqualTo(most);
-        for (Wire wire : idle) wire.close();
+        for (Wire wire : idle) {
+            wire.close();
+        }
     }
 
     @Test
     void hangupIsTakenWhereWhoeverStartedTheServerIgnoresIt() throws Exception {
-        deployment = new Deployment(json -> json, each -> { }, "trap '' HUP; exec sh deploy/serve.sh");
+        deployment =
+                new Deployment(json -> json, each -> {}, "trap '' HUP; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         deployment.move(json -> json);
         deployment.signal("HUP");
@@ -199,8 +232,14 @@
 
     @Test
     void hangupThatCannotBeTakenIsSaid() throws Exception {
-        deployment = new Deployment(json -> json, each -> { }, "trap '' HUP; exec java -jar target/ochretiller.jar serve");
+        deployment =
+                new Deployment(
+                        json -> json,
+                        each -> {},
+                        "trap '' HUP; exec java -jar target/ochretiller.jar serve");
         await(deployment.heard, "usage fence");
-        assertThat(deployment.said).anyMatch(line -> line.contains("SIGHUP is ignored by whoever started this server"));
+        assertThat(deployment.said)
+                .anyMatch(
+                        line -> line.contains("SIGHUP is ignored by whoever started this server"));
     }
 }
--- a/src/test/java/ochretiller/Deployment.java
+++ b/src/test/java/ochretiller/Deployment.java
@@ -22,12 +22,17 @@
 import ochretiller.standin.StandIns;
 import ochretiller.standin.Wire;
 
-/** The packaged program with small stand-ins for processor, records service and roster, written from their page. */
+/**
+ * The packaged program with small stand-ins for processor, records service and roster, written from
+ * their page.
+ */
 final class Deployment implements AutoCloseable {
     final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     final BlockingQueue<String> log = new LinkedBlockingQueue<>();
+
     /** All of the log since the start, whatever was taken from it. */
     final List<String> said = new CopyOnWriteArrayList<>();
+
     final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
     final StandIns outside = new StandIns("127.0.0.1", new int[3], heard::add, reports::add);
     final int port = freePort();
@@ -35,12 +40,20 @@
     private final Path operator;
     private Process process;
 
-    Deployment() throws IOException { this(json -> json); }
+    Deployment() throws IOException {
+        this(json -> json);
+    }
 
-    Deployment(UnaryOperator<String> change) throws IOException { this(change, deployment -> { }, "exec sh deploy/serve.sh"); }
+    Deployment(UnaryOperator<String> change) throws IOException {
+        this(change, deployment -> {}, "exec sh deploy/serve.sh");
+    }
 
-    /** With stand-ins that are told what to play before the server is there, and a shell's way to start it. */
-    Deployment(UnaryOperator<String> change, Consumer<Deployment> play, String command) throws IOException {
+    /**
+     * With stand-ins that are told what to play before the server is there, and a shell's way to
+     * start it.
+     */
+    Deployment(UnaryOperator<String> change, Consumer<Deployment> play, String command)
+            throws IOException {
         configure(change);
         operator = null;
         play.accept(this);
@@ -50,7 +63,9 @@
         await(log, "listens|ochretiller: ");
     }
 
-    /** With an operators' file, and stand-ins that are told what to play before the server is there. */
+    /**
+     * With an operators' file, and stand-ins that are told what to play before the server is there.
+     */
     Deployment(Path operator, Consumer<Deployment> play) throws IOException {
         configure(json -> json);
         this.operator = operator;
@@ -60,7 +75,8 @@
 
     /** The server again, on the same address and the same files. */
     void restart() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
         builder.environment().put("OPERATOR_FILE", operator.toString());
         read(builder.start());
@@ -69,8 +85,18 @@
 
     /** The server on a disk that ends it at this point; it may not come to listen. */
     void start(String point) throws IOException {
-        read(new ProcessBuilder("java", "-XX:TieredStopAtLevel=1", "-cp", "target/ochretiller.jar:target/test-classes",
-            CrashingServer.class.getName(), point, config.toString(), operator.toString()).redirectErrorStream(true).start());
+        read(
+                new ProcessBuilder(
+                                "java",
+                                "-XX:TieredStopAtLevel=1",
+                                "-cp",
+                                "target/ochretiller.jar:target/test-classes",
+                                CrashingServer.class.getName(),
+                                point,
+                                config.toString(),
+                                operator.toString())
+                        .redirectErrorStream(true)
+                        .start());
     }
 
     private void read(Process started) {
@@ -78,14 +104,18 @@
         log.clear();
         said.clear();
         heard.clear();
-        Daemon.start(() -> {
-            try (BufferedReader lines = new BufferedReader(new InputStreamReader(started.getInputStream()))) {
-                for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    said.add(line);
-                    log.add(line);
-                }
-            }
-        });
+        Daemon.start(
+                () -> {
+                    try (BufferedReader lines =
+                            new BufferedReader(new InputStreamReader(started.getInputStream()))) {
+                        for (String line = lines.readLine();
+                                line != null;
+                                line = lines.readLine()) {
+                            said.add(line);
+                            log.add(line);
+                        }
+                    }
+                });
     }
 
     /** SIGKILL, and the end of the process. */
@@ -94,8 +124,14 @@
     }
 
     private void configure(UnaryOperator<String> change) throws IOException {
-        Files.writeString(config, change.apply(Gateways.config(port, outside.processorPort(), outside.recordsPort(),
-            outside.rosterPort())));
+        Files.writeString(
+                config,
+                change.apply(
+                        Gateways.config(
+                                port,
+                                outside.processorPort(),
+                                outside.recordsPort(),
+                                outside.rosterPort())));
     }
 
     /** The stand-ins go on at new addresses, which the configuration's file now has. */
@@ -123,20 +159,30 @@
         }
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().remove("EDGE_CONFIG");
-        if (config != null) builder.environment().put("EDGE_CONFIG", config.toString());
+        if (config != null) {
+            builder.environment().put("EDGE_CONFIG", config.toString());
+        }
         return builder.start();
     }
 
-    Wire dial() throws IOException { return new Wire(new Socket(InetAddress.getLoopbackAddress(), port)); }
+    Wire dial() throws IOException {
+        return new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
+    }
 
-    /** The first entry that matches, others passed over; a failure after ten seconds without one. */
+    /**
+     * The first entry that matches, others passed over; a failure after ten seconds without one.
+     */
     static String await(BlockingQueue<String> queue, String pattern) {
         Pattern wanted = Pattern.compile(pattern);
         long until = System.nanoTime() + 10_000_000_000L;
         List<String> passed = new ArrayList<>();
         try {
-            for (String next; (next = queue.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) != null;) {
-                if (wanted.matcher(next).find()) return next;
+            for (String next;
+                    (next = queue.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS))
+                            != null; ) {
+                if (wanted.matcher(next).find()) {
+                    return next;
+                }
                 passed.add(next);
             }
         } catch (InterruptedException e) {
@@ -146,16 +192,22 @@
     }
 
     /** SIGTERM; the exit code follows from {@link #exit}. */
-    void terminate() { process.toHandle().destroy(); } // Process.destroy would close the log too
+    void terminate() {
+        process.toHandle().destroy();
+    } // Process.destroy would close the log too
 
     void signal(String name) throws Exception {
         new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
     }
 
-    long pid() { return process.pid(); }
+    long pid() {
+        return process.pid();
+    }
 
     int exit() throws InterruptedException {
-        if (!process.waitFor(10, TimeUnit.SECONDS)) throw new AssertionError("still runs");
+        if (!process.waitFor(10, TimeUnit.SECONDS)) {
+            throw new AssertionError("still runs");
+        }
         return process.exitValue();
     }
 
--- a/src/test/java/ochretiller/HandLoop.java
+++ b/src/test/java/ochretiller/HandLoop.java
@@ -7,17 +7,20 @@
 import java.util.concurrent.TimeUnit;
 import ochretiller.net.Schedule;
 
-/** The one thread's work in the hands of a test: nothing of it is done, and no time passes, until the test says so. */
+/**
+ * The one thread's work in the hands of a test: nothing of it is done, and no time passes, until
+ * the test says so.
+ */
 public final class HandLoop implements Schedule {
     private static final long LONGEST_S = 10;
 
     private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::number));
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::number));
     private volatile Duration now = Duration.ofSeconds(100);
     private long numbers;
 
-    private record Timer(Duration at, long number, Runnable work) {
-    }
+    private record Timer(Duration at, long number, Runnable work) {}
 
     @Override
     public Duration now() {
@@ -36,21 +39,29 @@
 
     /** Waits until so many pieces of work stand ready, and does none of them. */
     public void await(int pieces) throws InterruptedException {
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S); posted.size() < pieces; Thread.onSpinWait()) {
-            if (System.nanoTime() > until) throw new AssertionError(posted.size() + " pieces of work, not " + pieces);
+        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S);
+                posted.size() < pieces;
+                Thread.onSpinWait()) {
+            if (System.nanoTime() > until) {
+                throw new AssertionError(posted.size() + " pieces of work, not " + pieces);
+            }
         }
     }
 
     /** Waits for the next piece of work and does it. */
     public void one() throws InterruptedException {
         Runnable work = posted.poll(LONGEST_S, TimeUnit.SECONDS);
-        if (work == null) throw new AssertionError("no work came");
+        if (work == null) {
+            throw new AssertionError("no work came");
+        }
         work.run();
     }
 
     /** Does what stands ready. */
     public void all() {
-        for (Runnable work = posted.poll(); work != null; work = posted.poll()) work.run();
+        for (Runnable work = posted.poll(); work != null; work = posted.poll()) {
+            work.run();
+        }
     }
 
     /** Lets time pass, with the timers that fall due in it; what stands ready is not done. */
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -13,7 +13,6 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import ochretiller.standin.Gateways;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -22,8 +21,7 @@
 
 /** The packaged program's command line: what it says and its exit codes. */
 class MainIT {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     /** What the process said until it ended by itself. */
     private static String said(Process process, int code) throws Exception {
@@ -42,7 +40,11 @@
 
     /** One line that names what is wrong, and the exit code of what an operator has to mend. */
     private static void expectWrong(Process process, String named) throws Exception {
-        assertThat(said(process, 2).lines().toList()).singleElement().asString().startsWith("ochretiller: ").contains(named);
+        assertThat(said(process, 2).lines().toList())
+                .singleElement()
+                .asString()
+                .startsWith("ochretiller: ")
+                .contains(named);
     }
 
     private Path config(String text) throws IOException {
@@ -58,24 +60,39 @@
     @ParameterizedTest
     @ValueSource(strings = {"unknown", "serve --unknown", "version more", ""})
     void wrongWordsGetUsageAndCodeTwo(String words) throws Exception {
-        expect(Deployment.start(null, words.isEmpty() ? new String[0] : words.split(" ")), 2, "Usage: ochretiller");
+        expect(
+                Deployment.start(null, words.isEmpty() ? new String[0] : words.split(" ")),
+                2,
+                "Usage: ochretiller");
     }
 
     @Test
     void goodConfigurationIsToldSo() throws Exception {
-        expect(Deployment.start(config(Gateways.config(1, 2, 3, 4)), "check"), 0, "the configuration of n1 is good");
+        expect(
+                Deployment.start(config(Gateways.config(1, 2, 3, 4)), "check"),
+                0,
+                "the configuration of n1 is good");
     }
 
     @Test
     void wrongOperationIsNamedByTheCheckToo() throws Exception {
-        expectWrong(Deployment.start(config(Gateways.config(1, 2, 3, 4).replace("\"effect\":\"pure\",", "")), "check"), "effect");
+        expectWrong(
+                Deployment.start(
+                        config(Gateways.config(1, 2, 3, 4).replace("\"effect\":\"pure\",", "")),
+                        "check"),
+                "effect");
     }
 
     @Test
     void recordsServiceIsNeededOnlyWhereAnOperationCalls() throws Exception {
         String without = Gateways.config(1, 2, 3, 4).replace("\"records\":", "\"x\":");
-        expect(Deployment.start(config(without.replace("[true,true]", "[false,false]")), "check"), 0, "the configuration of n1 is good");
-        expectWrong(Deployment.start(config(without.replace("[true,true]", "[false,true]")), "check"), "records");
+        expect(
+                Deployment.start(config(without.replace("[true,true]", "[false,false]")), "check"),
+                0,
+                "the configuration of n1 is good");
+        expectWrong(
+                Deployment.start(config(without.replace("[true,true]", "[false,true]")), "check"),
+                "records");
     }
 
     @Test
@@ -87,12 +104,30 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"name", "listen", "processor", "records", "roster", "seed", "stop_ms", "memory_mb", "sockets", "settings",
-        "cpus", "memoryKb", "idleNs", "stopSendingWithinNs"})
+    @CsvSource({
+        "name",
+        "listen",
+        "processor",
+        "records",
+        "roster",
+        "seed",
+        "stop_ms",
+        "memory_mb",
+        "sockets",
+        "settings",
+        "cpus",
+        "memoryKb",
+        "idleNs",
+        "stopSendingWithinNs"
+    })
     void missingOrWrongSettingIsNamed(String name) throws Exception {
         String good = Gateways.config(1, 2, 3, 4);
-        expectWrong(Deployment.start(config(good.replace("\"" + name + "\":", "\"x\":")), "serve"), name);
-        String wrong = good.replaceFirst("\"" + name + "\":(\"[^\"]*\"|[^,{}]*)", "\"" + name + "\":\"%\"");
+        expectWrong(
+                Deployment.start(config(good.replace("\"" + name + "\":", "\"x\":")), "serve"),
+                name);
+        String wrong =
+                good.replaceFirst(
+                        "\"" + name + "\":(\"[^\"]*\"|[^,{}]*)", "\"" + name + "\":\"%\"");
         if (!name.equals("name") && !name.equals("settings")) {
             expectWrong(Deployment.start(config(wrong), "check"), name);
         }
@@ -106,7 +141,10 @@
         }
     }
 
-    /** A configuration that is there only once somebody writes it: the program has come so far, and waits. */
+    /**
+     * A configuration that is there only once somebody writes it: the program has come so far, and
+     * waits.
+     */
     private Path pipe() throws Exception {
         Path pipe = folder.resolve("pipe");
         assertThat(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor()).isZero();
@@ -114,14 +152,21 @@
     }
 
     private static Process unsized(Path config) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder("java", "-XX:TieredStopAtLevel=1", "-jar", "target/ochretiller.jar", "serve")
-            .redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                                "java",
+                                "-XX:TieredStopAtLevel=1",
+                                "-jar",
+                                "target/ochretiller.jar",
+                                "serve")
+                        .redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
         return builder.start();
     }
 
     private static void signal(Process process, String name) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor()).isZero();
+        assertThat(new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor())
+                .isZero();
     }
 
     @Test
@@ -132,13 +177,16 @@
         try (BufferedReader log = process.inputReader()) {
             try (Writer first = Files.newBufferedWriter(pipe)) { // opened once the program reads it
                 // What is read again, before or behind the listening, is a file of another kind.
-                Path next = Files.writeString(folder.resolve("next"), Gateways.config(port, 2, 3, 5));
+                Path next =
+                        Files.writeString(folder.resolve("next"), Gateways.config(port, 2, 3, 5));
                 Files.move(next, pipe, StandardCopyOption.REPLACE_EXISTING);
                 signal(process, "HUP");
                 first.write(Gateways.config(port, 2, 3, 4));
             }
             List<String> said = new ArrayList<>();
-            while (said.stream().noneMatch(line -> line.contains("takes the addresses"))) said.add(log.readLine());
+            while (said.stream().noneMatch(line -> line.contains("takes the addresses"))) {
+                said.add(log.readLine());
+            }
             signal(process, "TERM");
             assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
             assertThat(process.exitValue()).isZero();
@@ -165,14 +213,21 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"\"memory_mb\":192|\"memory_mb\" : 96|96", "\"memory_mb\":192|\"memory_mb\":\t144 |144"})
-    void sizesAreThoseOfTheConfigurationWithoutAnotherProcess(String from, String to, int mb) throws Exception {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"memory_mb\":192|\"memory_mb\" : 96|96",
+                "\"memory_mb\":192|\"memory_mb\":\t144 |144"
+            })
+    void sizesAreThoseOfTheConfigurationWithoutAnotherProcess(String from, String to, int mb)
+            throws Exception {
         Path config = config(Gateways.config(1, 2, 3, 4).replace(from, to));
         // Nothing but java is found on this path: where the shell needs help, the start fails.
         Path java = Files.createDirectory(folder.resolve("bin" + mb));
         Files.writeString(java.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
         assertThat(java.resolve("java").toFile().setExecutable(true)).isTrue();
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "deploy/serve.sh").redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
         builder.environment().put("PATH", java.toString());
         expect(builder.start(), 0, "-Xmx" + (mb - 32) / 2 + "m ", "-Dochretiller.sizedForMb=" + mb);
@@ -181,6 +236,9 @@
     @Test
     void sizeThatTheShellReadsDifferentlyIsNamed() throws Exception {
         String good = Gateways.config(1, 2, 3, 4);
-        expectWrong(Deployment.start(config(good.replace("\"memory_mb\":192", "\"memory_mb\":\n192")), "serve"), "memory_mb");
+        expectWrong(
+                Deployment.start(
+                        config(good.replace("\"memory_mb\":192", "\"memory_mb\":\n192")), "serve"),
+                "memory_mb");
     }
 }
--- a/src/test/java/ochretiller/RestartIT.java
+++ b/src/test/java/ochretiller/RestartIT.java
@@ -20,22 +20,33 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The packaged program with results that outlive it, killed at every point of a keyed invocation's way. */
+/**
+ * The packaged program with results that outlive it, killed at every point of a keyed invocation's
+ * way.
+ */
 class RestartIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Deployment deployment;
     private Wire gateway;
     private int rids;
-    /** Runs of each body, which names one request: more than one is an effect that happened twice. */
+
+    /**
+     * Runs of each body, which names one request: more than one is an effect that happened twice.
+     */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
     @BeforeEach
     void start() throws Exception {
-        Path operator = Files.writeString(folder.resolve("operator.json5"),
-            "{ remember: { folder: '" + folder.resolve("store") + "', answer_wait_ms: 3000, mark_wait_ms: 3000 },\n"
-                + "  metrics: { file: '" + folder.resolve("metrics.prom") + "', every_ms: 100 } }");
+        Path operator =
+                Files.writeString(
+                        folder.resolve("operator.json5"),
+                        "{ remember: { folder: '"
+                                + folder.resolve("store")
+                                + "', answer_wait_ms: 3000, mark_wait_ms: 3000 },\n"
+                                + "  metrics: { file: '"
+                                + folder.resolve("metrics.prom")
+                                + "', every_ms: 100 } }");
         deployment = new Deployment(operator, this::play);
         linked();
     }
@@ -43,12 +54,17 @@
     /** The processor survives the server's restarts, and counts. */
     private void play(Deployment made) {
         made.outside.keepsNotices = true;
-        made.outside.runs = (rid, operation, body) -> {
-            runs.merge(body, 1, Integer::sum);
-            if (body.startsWith("done")) made.outside.complete(rid, "result of " + body);
-            else if (body.startsWith("bad")) made.outside.notice("complete", rid + " error 5 0\r\n\r\n");
-            else if (body.startsWith("call")) made.outside.notice("ask", rid + " 4\r\nwhat\r\n");
-        };
+        made.outside.runs =
+                (rid, operation, body) -> {
+                    runs.merge(body, 1, Integer::sum);
+                    if (body.startsWith("done")) {
+                        made.outside.complete(rid, "result of " + body);
+                    } else if (body.startsWith("bad")) {
+                        made.outside.notice("complete", rid + " error 5 0\r\n\r\n");
+                    } else if (body.startsWith("call")) {
+                        made.outside.notice("ask", rid + " 4\r\nwhat\r\n");
+                    }
+                };
     }
 
     private void linked() throws IOException {
@@ -81,7 +97,10 @@
         return message(id, "order", Gateways.params(rid(), TOKEN, body));
     }
 
-    /** Sends an order whose run goes on until it is told to end; the name of the run, once it has begun. */
+    /**
+     * Sends an order whose run goes on until it is told to end; the name of the run, once it has
+     * begun.
+     */
     private String begun(long id) throws IOException {
         gateway.send(order(id, "wait"));
         String rid = String.format("%016x", rids);
@@ -90,12 +109,18 @@
     }
 
     private void expectResult(long id, String result) throws IOException {
-        assertThat(gateway.line()).startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":{\"data\":\""
-            + Gateways.base64(result) + "\"");
+        assertThat(gateway.line())
+                .startsWith(
+                        "{\"jsonrpc\":\"2.0\",\"id\":"
+                                + id
+                                + ",\"result\":{\"data\":\""
+                                + Gateways.base64(result)
+                                + "\"");
     }
 
     private void expectError(long id) throws IOException {
-        assertThat(gateway.line()).startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":-32000,");
+        assertThat(gateway.line())
+                .startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":-32000,");
     }
 
     @Test
@@ -125,10 +150,15 @@
         restart();
         gateway.send(order(2, "done once"));
         expectResult(2, "result of done once");
-        assertThat(Files.list(folder.resolve("store")).filter(file -> file.toString().endsWith(".tmp"))).isEmpty();
+        assertThat(
+                        Files.list(folder.resolve("store"))
+                                .filter(file -> file.toString().endsWith(".tmp")))
+                .isEmpty();
     }
 
-    /** Read by the machine, and killed before anything was done: it never ran, and its repeat does. */
+    /**
+     * Read by the machine, and killed before anything was done: it never ran, and its repeat does.
+     */
     @Test
     void killBeforeTheMarkLetsTheRepeatRun() throws Exception {
         deployment.signal("STOP");
@@ -239,10 +269,19 @@
         expectResult(1, "result of done once");
         kill();
         restart();
-        gateway.send(message(2, "order", Gateways.params(rid(), System.currentTimeMillis() + step, TOKEN, "done once")));
-        // By its stamp one from an hour ago has nobody left who waits; it may be errored, but it neither runs nor is throttled.
-        if (step > 0) expectResult(2, "result of done once");
-        else assertThat(gateway.line()).contains("\"id\":2").doesNotContain("-32014");
+        gateway.send(
+                message(
+                        2,
+                        "order",
+                        Gateways.params(
+                                rid(), System.currentTimeMillis() + step, TOKEN, "done once")));
+        // By its stamp one from an hour ago has nobody left who waits; it may be errored, but it
+        // neither runs nor is throttled.
+        if (step > 0) {
+            expectResult(2, "result of done once");
+        } else {
+            assertThat(gateway.line()).contains("\"id\":2").doesNotContain("-32014");
+        }
     }
 
     @Test
@@ -271,26 +310,41 @@
     @Test
     void marksAndResultsAreForcedBeforeTheirSteps() throws Exception {
         for (int i = 0; i < 20; i++) {
-            gateway.send(message(i, "order", Gateways.params(rid(), String.format("%032x", i), "done " + i)));
+            gateway.send(
+                    message(
+                            i,
+                            "order",
+                            Gateways.params(rid(), String.format("%032x", i), "done " + i)));
             expectResult(i, "result of done " + i);
         }
         gateway.send(message(20, "read", Gateways.params(rid(), null, "done read")));
         expectResult(20, "result of done read");
         String figures = "";
-        for (int tries = 0; tries < 100 && !figures.contains("ochretiller_store_records_total 40.0"); tries++) {
+        for (int tries = 0;
+                tries < 100 && !figures.contains("ochretiller_store_records_total 40.0");
+                tries++) {
             Thread.sleep(50); // the file is written each 100 ms
-            if (Files.exists(folder.resolve("metrics.prom"))) figures = Files.readString(folder.resolve("metrics.prom"));
+            if (Files.exists(folder.resolve("metrics.prom"))) {
+                figures = Files.readString(folder.resolve("metrics.prom"));
+            }
         }
-        assertThat(figures).contains("ochretiller_store_records_total 40.0", "ochretiller_store_entries 20.0",
-            "ochretiller_store_well 1.0", "ochretiller_remember_answered_early_total 0.0");
+        assertThat(figures)
+                .contains(
+                        "ochretiller_store_records_total 40.0",
+                        "ochretiller_store_entries 20.0",
+                        "ochretiller_store_well 1.0",
+                        "ochretiller_remember_answered_early_total 0.0");
     }
 
     @Test
     void secondServerOnTheFolderIsRefusedWithOneLine() throws Exception {
         Path config = Files.writeString(folder.resolve("second.json"), Gateways.config(1, 2, 3, 4));
-        Process second = Deployment.start(config, "serve", "--operator", folder.resolve("operator.json5").toString());
+        Process second =
+                Deployment.start(
+                        config, "serve", "--operator", folder.resolve("operator.json5").toString());
         assertThat(second.waitFor()).isEqualTo(1);
-        assertThat(new String(second.getInputStream().readAllBytes())).contains("in use by another process");
+        assertThat(new String(second.getInputStream().readAllBytes()))
+                .contains("in use by another process");
     }
 
     @Test
@@ -317,10 +371,19 @@
         expectResult(2, "done moved");
     }
 
-    /** Ended by script between two steps; whoever asks again gets what ran, or an error, and nothing runs twice. */
+    /**
+     * Ended by script between two steps; whoever asks again gets what ran, or an error, and nothing
+     * runs twice.
+     */
     @ParameterizedTest
-    @CsvSource({"before-write:1,runs", "after-write:1,unknown", "after-force:1,unknown", "before-write:2,result",
-        "after-write:2,result", "after-force:2,result"})
+    @CsvSource({
+        "before-write:1,runs",
+        "after-write:1,unknown",
+        "after-force:1,unknown",
+        "before-write:2,result",
+        "after-write:2,result",
+        "after-force:2,result"
+    })
     void crashBetweenTwoSteps(String point, String expected) throws Exception {
         crashAt(point);
         gateway.send(order(1, "done once"));
@@ -329,8 +392,11 @@
         gateway.close();
         restart();
         gateway.send(order(2, "done once"));
-        if (expected.equals("unknown")) expectError(2);
-        else expectResult(2, "result of done once");
+        if (expected.equals("unknown")) {
+            expectError(2);
+        } else {
+            expectResult(2, "result of done once");
+        }
         assertThat(runs.getOrDefault("done once", 0)).isEqualTo(expected.equals("unknown") ? 0 : 1);
     }
 
@@ -351,7 +417,8 @@
     }
 
     private void crashAt(String point) throws Exception {
-        deployment.terminate(); // in order, so that the first record that is written is the first mark
+        deployment.terminate(); // in order, so that the first record that is written is the first
+        // mark
         assertThat(deployment.exit()).isZero();
         gateway.close();
         deployment.start(point);
--- a/src/test/java/ochretiller/ServeIT.java
+++ b/src/test/java/ochretiller/ServeIT.java
@@ -9,7 +9,6 @@
 import java.util.Base64;
 import java.util.List;
 import ochretiller.standin.Wire;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -17,7 +16,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The packaged program over sockets, as gateways, a processor, a records service and a roster see it. */
+/**
+ * The packaged program over sockets, as gateways, a processor, a records service and a roster see
+ * it.
+ */
 class ServeIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     private Deployment deployment;
@@ -33,7 +35,9 @@
 
     @AfterEach
     void stop() throws Exception {
-        if (gateway != null) gateway.close();
+        if (gateway != null) {
+            gateway.close();
+        }
         deployment.close();
     }
 
@@ -50,8 +54,15 @@
     }
 
     private String params(String body, String more) {
-        return "{\"rid\":\"" + rid() + "\",\"t0\":" + System.currentTimeMillis()
-            + ",\"peer\":4,\"mem\":24.5,\"prio\":0.5," + more + "\"data\":\"" + base64(body) + "\"}";
+        return "{\"rid\":\""
+                + rid()
+                + "\",\"t0\":"
+                + System.currentTimeMillis()
+                + ",\"peer\":4,\"mem\":24.5,\"prio\":0.5,"
+                + more
+                + "\"data\":\""
+                + base64(body)
+                + "\"}";
     }
 
     private String read(long id, String body) {
@@ -64,11 +75,18 @@
 
     private void expectResult(long id, String result) throws IOException {
         assertThat(gateway.line())
-            .startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":{\"data\":\"" + base64(result) + "\"");
+                .startsWith(
+                        "{\"jsonrpc\":\"2.0\",\"id\":"
+                                + id
+                                + ",\"result\":{\"data\":\""
+                                + base64(result)
+                                + "\"");
     }
 
     private void expectError(long id, int code) throws IOException {
-        assertThat(gateway.line()).startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",");
+        assertThat(gateway.line())
+                .startsWith(
+                        "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",");
     }
 
     /** The same server still serves a good request on a new connection. */
@@ -107,8 +125,14 @@
 
     @Test
     void lateArrivalIsThrottledWithoutARun() throws IOException {
-        gateway.send(read(1, "good").replaceFirst("\"t0\":\\d+", "\"t0\":" + (System.currentTimeMillis() - 3_000)));
-        assertThat(gateway.line()).contains("\"code\":-32014").contains("\"backoff\":").contains("\"final\":1");
+        gateway.send(
+                read(1, "good")
+                        .replaceFirst(
+                                "\"t0\":\\d+", "\"t0\":" + (System.currentTimeMillis() - 3_000)));
+        assertThat(gateway.line())
+                .contains("\"code\":-32014")
+                .contains("\"backoff\":")
+                .contains("\"final\":1");
         assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
     }
 
@@ -215,7 +239,8 @@
     void runThatEndsWithoutALinkIsHeardOfOnTheNext() throws IOException {
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
-        deployment.outside.greeting = "hi hot 3600000\r\ncomplete 1 " + rid(1) + " complete 5 4\r\nkept\r\n";
+        deployment.outside.greeting =
+                "hi hot 3600000\r\ncomplete 1 " + rid(1) + " complete 5 4\r\nkept\r\n";
         deployment.outside.link.reset();
         await(deployment.heard, "hello 0");
         expectResult(1, "kept");
@@ -243,9 +268,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"nonsense\r\n", "complete x y complete 5 0\r\n\r\n", "complete 1 ID complete 5 3\r\nlonger\r\n",
-        "complete 1 ID complete 5 -3\r\n", "complete 1 ID complete 5 99999999\r\n", "complete 7 ID complete 5 2\r\nno\r\n",
-        "remark\r\n", "used g1 0.1\r\n", "used g1 a b c d\r\n", "no line end\n", "hi hot never\r\n"})
+    @ValueSource(
+            strings = {
+                "nonsense\r\n",
+                "complete x y complete 5 0\r\n\r\n",
+                "complete 1 ID complete 5 3\r\nlonger\r\n",
+                "complete 1 ID complete 5 -3\r\n",
+                "complete 1 ID complete 5 99999999\r\n",
+                "complete 7 ID complete 5 2\r\nno\r\n",
+                "remark\r\n",
+                "used g1 0.1\r\n",
+                "used g1 a b c d\r\n",
+                "no line end\n",
+                "hi hot never\r\n"
+            })
     void badInputRebuildsTheLinkAndAnswersOnce(String input) throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
@@ -262,7 +298,12 @@
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.complete(rid(99), "nobody");
-        deployment.outside.link.send("complete 1 " + rid(1) + " complete 5 3\r\nold\r\nreject answer " + rid(1) + "\r\n");
+        deployment.outside.link.send(
+                "complete 1 "
+                        + rid(1)
+                        + " complete 5 3\r\nold\r\nreject answer "
+                        + rid(1)
+                        + "\r\n");
         deployment.outside.complete(rid(1), "new");
         expectResult(1, "new");
     }
@@ -293,7 +334,13 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"nonsense", "0000000000000001 DONE -1", "0000000000000001 DONE x", "0000000000000001 HM"})
+    @ValueSource(
+            strings = {
+                "nonsense",
+                "0000000000000001 DONE -1",
+                "0000000000000001 DONE x",
+                "0000000000000001 HM"
+            })
     void badInputOfTheRecordsEndsTheCallOnce(String reply) throws IOException {
         gateway.send(read(1, "call silence"));
         await(deployment.heard, "^OP");
@@ -307,7 +354,8 @@
     @Test
     void healthIsGoodAndCarriesTheFreeValue() throws IOException {
         gateway.send(message(1, "ping", "{\"full\":true}"));
-        assertThat(gateway.line()).startsWith("{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"green\":true");
+        assertThat(gateway.line())
+                .startsWith("{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"green\":true");
     }
 
     @Test
@@ -326,7 +374,10 @@
             gateway.send(read(id, "good")); // until the grace is over
             answer = gateway.line();
         }
-        assertThat(answer).contains("\"code\":-32014").contains("\"backoff\":1000").doesNotContain("final");
+        assertThat(answer)
+                .contains("\"code\":-32014")
+                .contains("\"backoff\":1000")
+                .doesNotContain("final");
         deployment.dial().close(); // it still listens: who comes is told to go on to others
         assertThat(gateway.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
         assertThat(deployment.exit()).isZero();
@@ -403,7 +454,10 @@
         await(deployment.reports, "HERE n1 on");
     }
 
-    /** The word that nothing more may come, and the end of the connection where its caller does not end it. */
+    /**
+     * The word that nothing more may come, and the end of the connection where its caller does not
+     * end it.
+     */
     private static void expectTold(Wire wire) throws IOException {
         assertThat(wire.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
         assertThat(wire.line()).isNull();
@@ -418,7 +472,9 @@
         await(deployment.log, "connection gateway .* ended: SILENT$");
         assertThat(other.line()).contains("\"green\":true");
         expectTold(other);
-        await(deployment.log, "connection gateway .* ended: IDLE"); // after the two seconds of the settings
+        await(
+                deployment.log,
+                "connection gateway .* ended: IDLE"); // after the two seconds of the settings
     }
 
     @Test
@@ -446,18 +502,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{]|-32700",
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{\"data\":\"\\x\"}}|-32700",
-        "{\"jsonrpc\":\"1.0\",\"id\":5,\"method\":\"read\"}|-32600",
-        "{\"id\":5,\"method\":\"read\"}|-32600",
-        "{\"jsonrpc\":\"2.0\",\"id\":5}|-32600",
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":7}|-32600",
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"unknown\",\"params\":{}}|-32601",
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":[1]}|-32602",
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\"}|-32602",
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"ping\",\"params\":{\"full\":\"yes\"}}|-32602",
-        "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{\"more\":1e999}}|-32602"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{]|-32700",
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{\"data\":\"\\x\"}}|-32700",
+                "{\"jsonrpc\":\"1.0\",\"id\":5,\"method\":\"read\"}|-32600",
+                "{\"id\":5,\"method\":\"read\"}|-32600",
+                "{\"jsonrpc\":\"2.0\",\"id\":5}|-32600",
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":7}|-32600",
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"unknown\",\"params\":{}}|-32601",
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":[1]}|-32602",
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\"}|-32602",
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"ping\",\"params\":{\"full\":\"yes\"}}|-32602",
+                "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{\"more\":1e999}}|-32602"
+            })
     void badMessageWithAnIdGetsTheStandardError(String input, int code) throws IOException {
         gateway.send(input + "\n");
         expectError(5, code);
@@ -466,13 +526,37 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"rid,\"xyz\"", "rid,7", "t0,\"1\"", "t0,-1", "t0,1.5", "peer,-1", "peer,null", "mem,0", "mem,2000",
-        "mem,NaN", "prio,1", "prio,-0.1", "prio,1e400", "data,\"%%%\"", "data,[]", "obj,\"7f\"", "token,\"7f\""})
+    @CsvSource({
+        "rid,\"xyz\"",
+        "rid,7",
+        "t0,\"1\"",
+        "t0,-1",
+        "t0,1.5",
+        "peer,-1",
+        "peer,null",
+        "mem,0",
+        "mem,2000",
+        "mem,NaN",
+        "prio,1",
+        "prio,-0.1",
+        "prio,1e400",
+        "data,\"%%%\"",
+        "data,[]",
+        "obj,\"7f\"",
+        "token,\"7f\""
+    })
     void wrongParameterIsNamed(String name, String value) throws IOException {
         String good = params("good", "\"token\":\"" + TOKEN + "\",\"obj\":\"7f3a9c21e0b4d655\",");
-        gateway.send(message(5, "order", good.replaceFirst("\"" + name + "\":(\"[^\"]*\"|[^,}]*)", "\"" + name + "\":" + value)));
-        assertThat(gateway.line()).startsWith("{\"jsonrpc\":\"2.0\",\"id\":5,\"error\":{\"code\":-32")
-            .contains(value.equals("NaN") ? "-32700" : "missing or wrong: " + name);
+        gateway.send(
+                message(
+                        5,
+                        "order",
+                        good.replaceFirst(
+                                "\"" + name + "\":(\"[^\"]*\"|[^,}]*)",
+                                "\"" + name + "\":" + value)));
+        assertThat(gateway.line())
+                .startsWith("{\"jsonrpc\":\"2.0\",\"id\":5,\"error\":{\"code\":-32")
+                .contains(value.equals("NaN") ? "-32700" : "missing or wrong: " + name);
         expectServes();
     }
 
@@ -494,7 +578,9 @@
         expectError(1, -32600);
         gateway.send(first.replace("\"id\":1,", "\"id\":2,"));
         expectError(2, -32602);
-        for (int id = 3; id <= 34; id++) gateway.send(order(id, "wait")); // all wait for the first
+        for (int id = 3; id <= 34; id++) {
+            gateway.send(order(id, "wait")); // all wait for the first
+        }
         expectError(34, -32600);
     }
 
@@ -502,14 +588,26 @@
     void moreThanIsReadAtOnceIsAnsweredInFull() throws IOException {
         String one = message(1, "ping", "{}");
         gateway.send(one.repeat(1_000));
-        for (int i = 0; i < 1_000; i++) assertThat(gateway.line()).contains("\"green\":true");
+        for (int i = 0; i < 1_000; i++) {
+            assertThat(gateway.line()).contains("\"green\":true");
+        }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"not JSON\n", "[]\n", "[{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}]\n", "\n", "7\n",
-        "{\"jsonrpc\":\"2.0\",\"method\":\"read\",\"params\":{}}\n", "{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n",
-        "{\"jsonrpc\":\"2.0\",\"id\":\"x\",\"method\":\"ping\"}\n", "{\"jsonrpc\":\"2.0\",\"id\":1.5,\"method\":\"ping\"}\n",
-        "{\"\u00ff\u00fe\":1}\n", "{\"jsonrpc\":\"2.0\",\"method\":\"abort\"}\n"})
+    @ValueSource(
+            strings = {
+                "not JSON\n",
+                "[]\n",
+                "[{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}]\n",
+                "\n",
+                "7\n",
+                "{\"jsonrpc\":\"2.0\",\"method\":\"read\",\"params\":{}}\n",
+                "{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n",
+                "{\"jsonrpc\":\"2.0\",\"id\":\"x\",\"method\":\"ping\"}\n",
+                "{\"jsonrpc\":\"2.0\",\"id\":1.5,\"method\":\"ping\"}\n",
+                "{\"\u00ff\u00fe\":1}\n",
+                "{\"jsonrpc\":\"2.0\",\"method\":\"abort\"}\n"
+            })
     void inputWithoutAnIdClosesTheConnection(String input) throws IOException {
         gateway.send(input);
         expectClosed("BAD_INPUT");
@@ -529,7 +627,9 @@
     @Test
     void messageInSinglesAndAbortOfTheUnknownDoNothingWrong() throws IOException {
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":77}}\n");
-        for (byte b : read(1, "good").getBytes()) gateway.send(new byte[] {b});
+        for (byte b : read(1, "good").getBytes()) {
+            gateway.send(new byte[] {b});
+        }
         expectResult(1, "result of " + rid(1));
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n");
         gateway.send(message(2, "abort", "{\"rid\":\"" + rid(1) + "\"}"));
@@ -551,14 +651,25 @@
         List<Wire> silent = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
             silent.add(deployment.dial());
-            if (i < 8) continue;
-            String word = silent.get(i - 8).line(); // each beyond the eighth ends the oldest; a flood leaves no time to tell it
-            if (word != null) assertThat(word).contains("\"shutdown\"");
+            if (i < 8) {
+                continue;
+            }
+            String word =
+                    silent.get(i - 8)
+                            .line(); // each beyond the eighth ends the oldest; a flood leaves no
+            // time to tell it
+            if (word != null) {
+                assertThat(word).contains("\"shutdown\"");
+            }
+        }
+        for (int i = 0; i < 72; i++) {
+            assertThat(silent.get(i).line()).isNull();
         }
-        for (int i = 0; i < 72; i++) assertThat(silent.get(i).line()).isNull();
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(1));
-        for (Wire wire : silent) wire.close();
+        for (Wire wire : silent) {
+            wire.close();
+        }
         expectServes();
     }
 
@@ -590,12 +701,17 @@
         for (String request : List.of(message(1, "ping", "{}"), read(1, "good"))) {
             gateway = deployment.dial();
             gateway.send(request);
-            assertThat(gateway.line()).contains(request.contains("ping") ? "\"green\":true" : "\"code\":-32014");
+            assertThat(gateway.line())
+                    .contains(request.contains("ping") ? "\"green\":true" : "\"code\":-32014");
             expectClosed("TOO_MANY");
         }
-        for (int i = 0; i < 9; i++) wires.add(deployment.dial());
+        for (int i = 0; i < 9; i++) {
+            wires.add(deployment.dial());
+        }
         assertThat(wires.get(40).line()).isNull();
-        for (Wire wire : wires) wire.close();
+        for (Wire wire : wires) {
+            wire.close();
+        }
     }
 
     @Test
--- a/src/test/java/ochretiller/SickDiskTest.java
+++ b/src/test/java/ochretiller/SickDiskTest.java
@@ -29,11 +29,20 @@
 
 /** A server in this process, over sockets, on a disk that stalls, fills and fails by script. */
 class SickDiskTest {
-    private static final Operator.Remember REMEMBER = new Operator.Remember(Path.of("unused"), 1_000, 1 << 20, 64 << 10,
-        Duration.ofDays(1), 1 << 20, Duration.ofMillis(600), Duration.ofMillis(300), Duration.ofMillis(150),
-        Duration.ofMillis(50), Duration.ofMillis(100));
-    @TempDir
-    private Path folder;
+    private static final Operator.Remember REMEMBER =
+            new Operator.Remember(
+                    Path.of("unused"),
+                    1_000,
+                    1 << 20,
+                    64 << 10,
+                    Duration.ofDays(1),
+                    1 << 20,
+                    Duration.ofMillis(600),
+                    Duration.ofMillis(300),
+                    Duration.ofMillis(150),
+                    Duration.ofMillis(50),
+                    Duration.ofMillis(100));
+    @TempDir private Path folder;
     private ForgetfulDisk disk = new ForgetfulDisk();
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
     private CountDownLatch linked;
@@ -44,21 +53,47 @@
 
     private void start() throws Exception {
         linked = new CountDownLatch(1);
-        outside = new StandIns("127.0.0.1", new int[3], line -> {
-            if (line.equals("usage fence")) linked.countDown();
-        }, report -> { });
-        outside.runs = (rid, operation, body) -> {
-            runs.merge(body, 1, Integer::sum);
-            outside.complete(rid, "result of " + body);
-        };
+        outside =
+                new StandIns(
+                        "127.0.0.1",
+                        new int[3],
+                        line -> {
+                            if (line.equals("usage fence")) {
+                                linked.countDown();
+                            }
+                        },
+                        report -> {});
+        outside.runs =
+                (rid, operation, body) -> {
+                    runs.merge(body, 1, Integer::sum);
+                    outside.complete(rid, "result of " + body);
+                };
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        Path config = Files.writeString(folder.resolve("config.json"), Gateways.config(port, outside.processorPort(),
-            outside.recordsPort(), outside.rosterPort()).replace("\"stop_ms\":2000", "\"stop_ms\":500"));
-        node = new Node(config, new Operator(false, Optional.empty(), Optional.of(REMEMBER), Optional.empty(), List.of(),
-            Optional.empty(), Optional.empty(), Operator.Drill.NONE), disk);
+        Path config =
+                Files.writeString(
+                        folder.resolve("config.json"),
+                        Gateways.config(
+                                        port,
+                                        outside.processorPort(),
+                                        outside.recordsPort(),
+                                        outside.rosterPort())
+                                .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
+        node =
+                new Node(
+                        config,
+                        new Operator(
+                                false,
+                                Optional.empty(),
+                                Optional.of(REMEMBER),
+                                Optional.empty(),
+                                List.of(),
+                                Optional.empty(),
+                                Optional.empty(),
+                                Operator.Drill.NONE),
+                        disk);
         node.prepare();
         node.listen();
         Thread loop = new Thread(node::run, "loop");
@@ -70,7 +105,7 @@
 
     @AfterEach
     void stop() throws Exception {
-        disk.script = (operation, name) -> { };
+        disk.script = (operation, name) -> {};
         gateway.close();
         node.drain();
         outside.close();
@@ -79,7 +114,8 @@
 
     private String ask(int token, String body) throws Exception {
         String rid = String.format("%016x", ++rids);
-        gateway.send(message(rids, "order", Gateways.params(rid, String.format("%032x", token), body)));
+        gateway.send(
+                message(rids, "order", Gateways.params(rid, String.format("%032x", token), body)));
         return gateway.line();
     }
 
@@ -93,7 +129,10 @@
         return "\"result\":{\"data\":\"" + Gateways.base64("result of " + body) + "\"";
     }
 
-    /** Asks until it is no longer throttled; a time-out of the socket ends it where that never comes. */
+    /**
+     * Asks until it is no longer throttled; a time-out of the socket ends it where that never
+     * comes.
+     */
     private String askUntilServed(int token, String body) throws Exception {
         String answer = ask(token, body);
         for (int tries = 0; answer.contains("-32014") && tries < 200; tries++) {
@@ -104,20 +143,29 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"force,Input/output error", "write,No space left on device", "write,Read-only file system"})
-    void keyedWorkIsThrottledUnrunAndOtherWorkGoesOnUntilTheDiskIsWell(String operation, String message) throws Exception {
+    @CsvSource({
+        "force,Input/output error",
+        "write,No space left on device",
+        "write,Read-only file system"
+    })
+    void keyedWorkIsThrottledUnrunAndOtherWorkGoesOnUntilTheDiskIsWell(
+            String operation, String message) throws Exception {
         start();
         assertThat(ask(1, "before")).contains(result("before"));
-        disk.script = (what, name) -> {
-            if (what.equals(operation) || what.equals("create")) throw new java.io.IOException(message);
-        };
+        disk.script =
+                (what, name) -> {
+                    if (what.equals(operation) || what.equals("create")) {
+                        throw new java.io.IOException(message);
+                    }
+                };
         for (int i = 0; i < 5; i++) {
             assertThat(ask(2, "meanwhile")).contains("-32014").contains("\"backoff\":");
             assertThat(read()).contains("\"result\"");
-            assertThat(ask(1, "before")).contains(result("before")); // a repeat needs nothing of the disk
+            assertThat(ask(1, "before"))
+                    .contains(result("before")); // a repeat needs nothing of the disk
         }
         assertThat(runs).doesNotContainKey("meanwhile");
-        disk.script = (what, name) -> { };
+        disk.script = (what, name) -> {};
         assertThat(askUntilServed(2, "meanwhile")).contains(result("meanwhile"));
         assertThat(ask(2, "meanwhile")).contains(result("meanwhile"));
     }
@@ -130,10 +178,11 @@
         disk.script = ForgetfulDisk.stalls("force", go);
         long began = System.nanoTime();
         assertThat(ask(2, "slow")).contains("-32014").contains("\"backoff\":");
-        assertThat(System.nanoTime() - began).isLessThan(2_000_000_000L); // its client waits for four seconds
+        assertThat(System.nanoTime() - began)
+                .isLessThan(2_000_000_000L); // its client waits for four seconds
         assertThat(ask(3, "behind")).as("stalled by now").contains("-32014");
         assertThat(read()).contains("\"result\"");
-        disk.script = (what, name) -> { };
+        disk.script = (what, name) -> {};
         go.countDown();
         assertThat(askUntilServed(2, "slow")).contains(result("slow"));
         assertThat(askUntilServed(3, "behind")).contains(result("behind"));
@@ -143,11 +192,15 @@
     void answerLeavesOnTimeThoughItsResultIsNotDurableAndTheMarkStands() throws Exception {
         start();
         CountDownLatch go = new CountDownLatch(1);
-        outside.runs = (rid, operation, body) -> {
-            runs.merge(body, 1, Integer::sum);
-            disk.script = ForgetfulDisk.stalls("force", go); // the mark is durable, and nothing behind it will be
-            outside.complete(rid, "result of " + body);
-        };
+        outside.runs =
+                (rid, operation, body) -> {
+                    runs.merge(body, 1, Integer::sum);
+                    disk.script =
+                            ForgetfulDisk.stalls(
+                                    "force",
+                                    go); // the mark is durable, and nothing behind it will be
+                    outside.complete(rid, "result of " + body);
+                };
         assertThat(ask(1, "run")).contains(result("run"));
         assertThat(ask(1, "run")).contains(result("run"));
         ForgetfulDisk left = disk.cut(new java.util.SplittableRandom(4));
@@ -163,16 +216,20 @@
     @Test
     void resultThatASickDiskDidNotTakeIsKeptOnceItIsWell() throws Exception {
         start();
-        outside.runs = (rid, operation, body) -> {
-            runs.merge(body, 1, Integer::sum);
-            if (body.equals("run")) disk.script = ForgetfulDisk.fails("force", "Input/output error");
-            outside.complete(rid, "result of " + body);
-        };
+        outside.runs =
+                (rid, operation, body) -> {
+                    runs.merge(body, 1, Integer::sum);
+                    if (body.equals("run")) {
+                        disk.script = ForgetfulDisk.fails("force", "Input/output error");
+                    }
+                    outside.complete(rid, "result of " + body);
+                };
         assertThat(ask(1, "run")).contains(result("run"));
         assertThat(ask(2, "next")).contains("-32014");
-        disk.script = (what, name) -> { };
+        disk.script = (what, name) -> {};
         assertThat(askUntilServed(2, "next")).contains(result("next"));
-        assertThat(askUntilServed(3, "last")).contains(result("last")); // forced behind what was caught up with
+        assertThat(askUntilServed(3, "last"))
+                .contains(result("last")); // forced behind what was caught up with
         ForgetfulDisk left = disk.killed();
         gateway.close();
         node.drain();
@@ -188,7 +245,7 @@
         start();
         assertThat(ask(1, "early")).contains("-32014");
         assertThat(read()).contains("\"result\"");
-        disk.script = (what, name) -> { };
+        disk.script = (what, name) -> {};
         assertThat(askUntilServed(1, "early")).contains(result("early"));
     }
 
@@ -197,9 +254,13 @@
         start();
         int served = 0;
         String answer = "\"result\"";
-        while (answer.contains("\"result\"") && served < 2_000) answer = ask(++served, "k" + served);
+        while (answer.contains("\"result\"") && served < 2_000) {
+            answer = ask(++served, "k" + served);
+        }
         assertThat(answer).contains("-32014").contains("\"backoff\":");
-        assertThat(served).isBetween(700, 900); // seven eighths of a thousand entries, the memory's part aside
+        assertThat(served)
+                .isBetween(
+                        700, 900); // seven eighths of a thousand entries, the memory's part aside
         assertThat(runs).doesNotContainKey("k" + served);
         assertThat(ask(1, "k1")).contains(result("k1"));
         assertThat(read()).contains("\"result\"");
@@ -213,9 +274,13 @@
         gateway.close();
         node.drain();
         outside.close();
-        files.values().forEach(bytes -> {
-            if (bytes.length > 200) bytes[120] ^= 1; // within the first record
-        });
+        files.values()
+                .forEach(
+                        bytes -> {
+                            if (bytes.length > 200) {
+                                bytes[120] ^= 1; // within the first record
+                            }
+                        });
         disk = ForgetfulDisk.of(files);
         start();
         assertThat(ask(2, "new")).contains("-32014");
