--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -30,11 +30,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The packaged program with a uwsgi front beside its own, as front ends and gateways see it together. */
+/**
+ * The packaged program with a uwsgi front beside its own, as front ends and gateways see it
+ * together.
+ */
 class UwsgiIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Deployment deployment;
     private int port;
     private int rids;
@@ -43,14 +45,30 @@
     @BeforeEach
     void start() throws Exception {
         port = Deployment.freePort();
-        Path operator = Files.writeString(folder.resolve("operator.json5"), "{ uwsgi: { listen: '127.0.0.1:" + port + "', routes: ["
-            + "{ path: '/parts/{id}', operation: 'read' }, { method: 'POST', path: '/orders', operation: 'order' },"
-            + "{ method: 'POST', path: '/other/{id}', operation: 'order' } ] } }");
-        deployment = new Deployment(operator, made -> made.outside.runs = (rid, operation, body) -> {
-            if (operation.equals("order")) runs.merge(body, 1, Integer::sum);
-            if (body.startsWith("done")) made.outside.complete(rid, "result of " + body);
-            else if (body.startsWith("bad")) made.outside.notice("complete", rid + " error 5 0\r\n\r\n");
-        });
+        Path operator =
+                Files.writeString(
+                        folder.resolve("operator.json5"),
+                        "{ uwsgi: { listen: '127.0.0.1:"
+                                + port
+                                + "', routes: [{ path: '/parts/{id}', operation: 'read' }, {"
+                                + " method: 'POST', path: '/orders', operation: 'order' },{ method:"
+                                + " 'POST', path: '/other/{id}', operation: 'order' } ] } }");
+        deployment =
+                new Deployment(
+                        operator,
+                        made ->
+                                made.outside.runs =
+                                        (rid, operation, body) -> {
+                                            if (operation.equals("order")) {
+                                                runs.merge(body, 1, Integer::sum);
+                                            }
+                                            if (body.startsWith("done")) {
+                                                made.outside.complete(rid, "result of " + body);
+                                            } else if (body.startsWith("bad")) {
+                                                made.outside.notice(
+                                                        "complete", rid + " error 5 0\r\n\r\n");
+                                            }
+                                        });
         await(deployment.heard, "usage fence");
     }
 
@@ -72,15 +90,22 @@
             socket.setSoTimeout(10_000);
         }
 
-        Call send(String method, String path, String key, String body, String... more) throws IOException {
+        Call send(String method, String path, String key, String body, String... more)
+                throws IOException {
             Map<String, String> vars = new LinkedHashMap<>();
             vars.put("REQUEST_METHOD", method);
             vars.put("PATH_INFO", path);
             vars.put("CONTENT_LENGTH", "" + body.length());
             vars.put("REMOTE_ADDR", "10.1.2.3");
-            if (key != null) vars.put("HTTP_IDEMPOTENCY_KEY", key);
-            for (int i = 0; i < more.length; i += 2) vars.put(more[i], more[i + 1]);
-            for (byte[] part : new Request(vars, bytes(body), false).encode()) socket.getOutputStream().write(part);
+            if (key != null) {
+                vars.put("HTTP_IDEMPOTENCY_KEY", key);
+            }
+            for (int i = 0; i < more.length; i += 2) {
+                vars.put(more[i], more[i + 1]);
+            }
+            for (byte[] part : new Request(vars, bytes(body), false).encode()) {
+                socket.getOutputStream().write(part);
+            }
             return this;
         }
 
@@ -91,7 +116,9 @@
             try {
                 while (socket.getInputStream().read(buffer) > 0) {
                     Answer whole = decoder.read(buffer, 0, 1);
-                    if (whole != null) return whole;
+                    if (whole != null) {
+                        return whole;
+                    }
                 }
             } catch (java.net.SocketException e) {
                 return null; // a reset ends it too
@@ -105,10 +132,13 @@
         }
     }
 
-    private Answer ask(String method, String path, String key, String body, String... more) throws IOException {
+    private Answer ask(String method, String path, String key, String body, String... more)
+            throws IOException {
         try (Call call = new Call()) {
             Answer answer = call.send(method, path, key, body, more).answer();
-            assertThat(call.socket.getInputStream().read()).as("the connection ends behind it").isNegative();
+            assertThat(call.socket.getInputStream().read())
+                    .as("the connection ends behind it")
+                    .isNegative();
             return answer;
         }
     }
@@ -141,7 +171,10 @@
     @Test
     void keyBelongsToItsCallerAndRoute() throws Exception {
         order("key 1", "done one");
-        expect(ask("POST", "/orders", "key 1", "done two", "REMOTE_ADDR", "10.9.9.9"), 200, "result of done two");
+        expect(
+                ask("POST", "/orders", "key 1", "done two", "REMOTE_ADDR", "10.9.9.9"),
+                200,
+                "result of done two");
         expect(ask("POST", "/other/7", "key 1", "done three"), 200, "result of done three");
         expect(order("key 1", "done other"), 422, "another request is known under this token");
         assertThat(runs).doesNotContainKey("done other");
@@ -183,8 +216,10 @@
         try (Call first = new Call().send("POST", "/orders", TOKEN, "wait")) {
             await(deployment.heard, "begin .* order");
             long stamp = System.currentTimeMillis() - 2_500;
-            expect(ask("POST", "/orders", TOKEN, "wait", "HTTP_X_REQUEST_START", "" + stamp), 409,
-                "its forerunner is still in flight");
+            expect(
+                    ask("POST", "/orders", TOKEN, "wait", "HTTP_X_REQUEST_START", "" + stamp),
+                    409,
+                    "its forerunner is still in flight");
             expect(first.answer(), 504, "given up");
         }
     }
@@ -206,9 +241,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"GET,/none,,,404", "POST,/parts/7,,,404", "POST,/orders,,done,400", "POST,/orders,k,BIG,413",
-        "GET,/parts/,,,404"})
-    void requestThatCannotBeServedIsToldWhy(String method, String path, String key, String body, int status) throws Exception {
+    @CsvSource({
+        "GET,/none,,,404",
+        "POST,/parts/7,,,404",
+        "POST,/orders,,done,400",
+        "POST,/orders,k,BIG,413",
+        "GET,/parts/,,,404"
+    })
+    void requestThatCannotBeServedIsToldWhy(
+            String method, String path, String key, String body, int status) throws Exception {
         String sent = body == null ? "" : body.equals("BIG") ? "x".repeat(2_049) : body;
         assertThat(ask(method, path, key, sent).status()).isEqualTo(status);
         expect(ask("GET", "/parts/7", null, "done read"), 200, "result of done read");
@@ -216,14 +257,25 @@
 
     @ParameterizedTest
     @CsvSource({"0,9,400", "5,0,0", "22,0,0", "255,255,0"})
-    void malformedHeaderMidBurstEndsItsOwnConnectionOnly(int modifier, int size, int status) throws Exception {
+    void malformedHeaderMidBurstEndsItsOwnConnectionOnly(int modifier, int size, int status)
+            throws Exception {
         List<Call> others = new ArrayList<>();
-        for (int i = 0; i < 10; i++) others.add(new Call().send("GET", "/parts/" + i, null, "wait " + i));
+        for (int i = 0; i < 10; i++) {
+            others.add(new Call().send("GET", "/parts/" + i, null, "wait " + i));
+        }
         try (Call bad = new Call()) {
-            bad.socket.getOutputStream().write(new byte[] {(byte) modifier, (byte) size, 0, 0, 9, 9, 9, 9, 9, 9, 9, 9, 9});
+            bad.socket
+                    .getOutputStream()
+                    .write(
+                            new byte[] {
+                                (byte) modifier, (byte) size, 0, 0, 9, 9, 9, 9, 9, 9, 9, 9, 9
+                            });
             Answer answer = bad.answer();
-            if (status == 0) assertThat(answer).isNull();
-            else assertThat(answer.status()).isEqualTo(status);
+            if (status == 0) {
+                assertThat(answer).isNull();
+            } else {
+                assertThat(answer.status()).isEqualTo(status);
+            }
         }
         await(deployment.log, "connection uwsgi .* ended: BAD_INPUT");
         for (int i = 0; i < 2; i++) { // two cores: two run, the others are held
@@ -233,8 +285,12 @@
         int served = 0;
         for (Call call : others) {
             Answer answer = null;
-            if (served < 2) answer = call.answer();
-            if (answer != null && answer.status() == 200) served++;
+            if (served < 2) {
+                answer = call.answer();
+            }
+            if (answer != null && answer.status() == 200) {
+                served++;
+            }
             call.close();
         }
         assertThat(served).isPositive();
@@ -243,7 +299,9 @@
     @Test
     void severalOnOneConnectionAreAnsweredInTurnAndAPingInKind() throws Exception {
         try (Call call = new Call()) {
-            call.send("GET", "/parts/1", null, "done a").send("GET", "/none", null, "").send("GET", "/parts/2", null, "done b");
+            call.send("GET", "/parts/1", null, "done a")
+                    .send("GET", "/none", null, "")
+                    .send("GET", "/parts/2", null, "done b");
             expect(call.answer(), 200, "result of done a");
             assertThat(call.answer().status()).isEqualTo(404);
             expect(call.answer(), 200, "result of done b");
@@ -257,7 +315,8 @@
 
     @Test
     void drainAnswersWhatBothFrontsHaveRead() throws Exception {
-        try (Wire gateway = deployment.dial(); Call call = new Call().send("POST", "/orders", "key 1", "wait one")) {
+        try (Wire gateway = deployment.dial();
+                Call call = new Call().send("POST", "/orders", "key 1", "wait one")) {
             String first = await(deployment.heard, "begin .* order").split(" ")[1];
             gateway.send(message(1, "order", Gateways.params(rid(), TOKEN, "wait two")));
             String second = await(deployment.heard, "begin .* order").split(" ")[1];
@@ -277,13 +336,18 @@
         try (Wire gateway = deployment.dial()) {
             gateway.send(message(1, "read", Gateways.params(rid(), null, "done before")));
             assertThat(gateway.line()).contains("\"result\"");
-            for (int i = 0; i < 700; i++) flood.add(new Socket("127.0.0.1", port)); // half of 1024 descriptors are for callers
+            for (int i = 0; i < 700; i++) {
+                flood.add(
+                        new Socket("127.0.0.1", port)); // half of 1024 descriptors are for callers
+            }
             expect(order("k", "done meanwhile"), 200, "result of done meanwhile");
             gateway.send(message(2, "read", Gateways.params(rid(), null, "done behind")));
             assertThat(gateway.line()).contains("\"result\"");
             await(deployment.log, "connection uwsgi .* ended: (TOO_MANY|SILENT)");
         } finally {
-            for (Socket each : flood) each.close();
+            for (Socket each : flood) {
+                each.close();
+            }
         }
     }
 
@@ -292,7 +356,9 @@
         try (Call greedy = new Call()) {
             greedy.send("GET", "/parts/7", null, "open");
             try {
-                for (int i = 0; i < 200; i++) greedy.send("GET", "/parts/7", null, "done " + i);
+                for (int i = 0; i < 200; i++) {
+                    greedy.send("GET", "/parts/7", null, "done " + i);
+                }
             } catch (IOException e) {
                 // it was closed while it still sent
             }
@@ -301,7 +367,10 @@
         }
     }
 
-    /** Both protocols at once, tokens shared between them, callers that vanish: one answer each, one run a token. */
+    /**
+     * Both protocols at once, tokens shared between them, callers that vanish: one answer each, one
+     * run a token.
+     */
     @Test
     void mixedLoadRunsEachTokenOnceAndAnswersAll() throws Exception {
         int workers = 8;
@@ -313,7 +382,11 @@
             ends.add(threads.submit(() -> load(chance, mine)));
         }
         int[] sum = new int[3];
-        for (Future<int[]> end : ends) for (int i = 0; i < 3; i++) sum[i] += end.get()[i];
+        for (Future<int[]> end : ends) {
+            for (int i = 0; i < 3; i++) {
+                sum[i] += end.get()[i];
+            }
+        }
         threads.shutdown();
         assertThat(sum[0]).as("answered").isEqualTo(sum[1]);
         assertThat(sum[2]).as("succeeded").isPositive();
@@ -324,7 +397,8 @@
         int[] counts = new int[3];
         try (Wire gateway = deployment.dial()) {
             for (int i = 1; i <= 60; i++) {
-                int number = chance.nextInt(100); // tokens are shared by all workers and both protocols
+                int number =
+                        chance.nextInt(100); // tokens are shared by all workers and both protocols
                 String token = String.format("%032x", number);
                 String body = "done " + number;
                 if (chance.nextInt(10) == 0) {
@@ -336,16 +410,25 @@
                 counts[1]++;
                 if (chance.nextBoolean()) {
                     Answer answer = order(token, body);
-                    if (answer == null) continue;
+                    if (answer == null) {
+                        continue;
+                    }
                     counts[0]++;
                     if (answer.status() == 200) {
                         assertThat(new String(answer.body())).isEqualTo("result of " + body);
                         counts[2]++;
                     }
                 } else {
-                    gateway.send(message(i, "order", Gateways.params(String.format("%08x%08x", worker, i), token, body)));
+                    gateway.send(
+                            message(
+                                    i,
+                                    "order",
+                                    Gateways.params(
+                                            String.format("%08x%08x", worker, i), token, body)));
                     String line = gateway.line();
-                    if (line == null) continue;
+                    if (line == null) {
+                        continue;
+                    }
                     counts[0]++;
                     if (line.contains("\"result\"")) {
                         assertThat(line).contains(Gateways.base64("result of " + body));
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -35,11 +35,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The packaged program whose operations run on scripted uwsgi workers: what fails there, and what callers of both fronts see. */
+/**
+ * The packaged program whose operations run on scripted uwsgi workers: what fails there, and what
+ * callers of both fronts see.
+ */
 class WorkersIT {
     private static final int READS = 5_000;
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final List<WorkerStandIn> workers = new ArrayList<>();
     private Deployment deployment;
     private int port;
@@ -48,18 +50,31 @@
     @BeforeEach
     void start() throws Exception {
         port = Deployment.freePort();
-        for (int i = 0; i < 4; i++) workers.add(new WorkerStandIn("127.0.0.1", 0, ran -> Manner.ANSWERS));
-        deployment = new Deployment(configured(List.of(0, 1, 2)), made -> { });
+        for (int i = 0; i < 4; i++) {
+            workers.add(new WorkerStandIn("127.0.0.1", 0, ran -> Manner.ANSWERS));
+        }
+        deployment = new Deployment(configured(List.of(0, 1, 2)), made -> {});
         await(deployment.heard, "usage fence");
     }
 
     private Path configured(List<Integer> which) throws IOException {
-        String addresses = which.stream().map(i -> "'127.0.0.1:" + workers.get(i).port() + "'").collect(Collectors.joining(", "));
-        return Files.writeString(folder.resolve("operator.json5"), "{ uwsgi: { listen: '127.0.0.1:" + port + "', routes: ["
-            + "{ path: '/parts/{id}', operation: 'read' }, { method: 'POST', path: '/orders', operation: 'order' } ] },"
-            + "metrics: { file: '" + folder.resolve("figures") + "', every_ms: 100 }, pools: { shop: { workers: [" + addresses + "],"
-            + "most_in_flight: 16, left_out_ms: 300, most_left_out_ms: 600, slow_start_ms: 0, late_ms: 1500, runs: ["
-            + "{ operation: 'read', method: 'GET', path: '/lookup' }, { operation: 'order', path: '/order' } ] } } }");
+        String addresses =
+                which.stream()
+                        .map(i -> "'127.0.0.1:" + workers.get(i).port() + "'")
+                        .collect(Collectors.joining(", "));
+        return Files.writeString(
+                folder.resolve("operator.json5"),
+                "{ uwsgi: { listen: '127.0.0.1:"
+                        + port
+                        + "', routes: [{ path: '/parts/{id}', operation: 'read' }, { method:"
+                        + " 'POST', path: '/orders', operation: 'order' } ] },metrics: { file: '"
+                        + folder.resolve("figures")
+                        + "', every_ms: 100 }, pools: { shop: { workers: ["
+                        + addresses
+                        + "],most_in_flight: 16, left_out_ms: 300, most_left_out_ms: 600,"
+                        + " slow_start_ms: 0, late_ms: 1500, runs: [{ operation: 'read', method:"
+                        + " 'GET', path: '/lookup' }, { operation: 'order', path: '/order' } ] } }"
+                        + " }");
     }
 
     @AfterEach
@@ -69,7 +84,9 @@
         for (WorkerStandIn worker : workers) {
             worker.close();
             for (WorkerStandIn.Ran ran : worker.ran()) {
-                if (ran.vars().get("PATH_INFO").equals("/order")) runs.merge(ran.body(), 1, Integer::sum);
+                if (ran.vars().get("PATH_INFO").equals("/order")) {
+                    runs.merge(ran.body(), 1, Integer::sum);
+                }
             }
         }
         assertThat(runs.values()).as("runs of each order").allMatch(count -> count == 1);
@@ -86,16 +103,33 @@
     private Answer ask(String method, String path, String key, String body) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(READS);
-            Map<String, String> vars = new LinkedHashMap<>(Map.of("REQUEST_METHOD", method, "PATH_INFO", path,
-                "CONTENT_LENGTH", "" + body.length(), "REMOTE_ADDR", "10.1.2.3"));
-            if (key != null) vars.put("HTTP_IDEMPOTENCY_KEY", key);
+            Map<String, String> vars =
+                    new LinkedHashMap<>(
+                            Map.of(
+                                    "REQUEST_METHOD",
+                                    method,
+                                    "PATH_INFO",
+                                    path,
+                                    "CONTENT_LENGTH",
+                                    "" + body.length(),
+                                    "REMOTE_ADDR",
+                                    "10.1.2.3"));
+            if (key != null) {
+                vars.put("HTTP_IDEMPOTENCY_KEY", key);
+            }
             byte[] bytes = body.getBytes(StandardCharsets.ISO_8859_1);
-            for (byte[] part : new Request(vars, bytes, false).encode()) socket.getOutputStream().write(part);
+            for (byte[] part : new Request(vars, bytes, false).encode()) {
+                socket.getOutputStream().write(part);
+            }
             AnswerDecoder decoder = new AnswerDecoder(8_192);
             byte[] buffer = new byte[4_096];
-            for (int got = socket.getInputStream().read(buffer); got > 0; got = socket.getInputStream().read(buffer)) {
+            for (int got = socket.getInputStream().read(buffer);
+                    got > 0;
+                    got = socket.getInputStream().read(buffer)) {
                 Answer whole = decoder.read(buffer, 0, got);
-                if (whole != null) return whole;
+                if (whole != null) {
+                    return whole;
+                }
             }
             return decoder.ended();
         }
@@ -113,9 +147,14 @@
     private Map<Integer, Integer> reads(int count, int threads) throws Exception {
         ExecutorService callers = Executors.newFixedThreadPool(threads);
         try {
-            List<Callable<Integer>> asks = IntStream.range(0, count).<Callable<Integer>>mapToObj(i -> () -> read("r" + i).status()).toList();
+            List<Callable<Integer>> asks =
+                    IntStream.range(0, count)
+                            .<Callable<Integer>>mapToObj(i -> () -> read("r" + i).status())
+                            .toList();
             Map<Integer, Integer> statuses = new HashMap<>();
-            for (Future<Integer> each : callers.invokeAll(asks)) statuses.merge(each.get(), 1, Integer::sum);
+            for (Future<Integer> each : callers.invokeAll(asks)) {
+                statuses.merge(each.get(), 1, Integer::sum);
+            }
             return statuses;
         } finally {
             callers.shutdownNow();
@@ -130,8 +169,10 @@
 
     private double figure(String name) throws Exception {
         Thread.sleep(250); // the file is written ten times a second
-        return Files.readAllLines(folder.resolve("figures")).stream().filter(line -> line.contains(name) && !line.startsWith("#"))
-            .mapToDouble(line -> Double.parseDouble(line.split(" ")[1])).sum();
+        return Files.readAllLines(folder.resolve("figures")).stream()
+                .filter(line -> line.contains(name) && !line.startsWith("#"))
+                .mapToDouble(line -> Double.parseDouble(line.split(" ")[1]))
+                .sum();
     }
 
     @Test
@@ -139,17 +180,32 @@
         expect(read("one"), 200, "result of one");
         expect(order("5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two"), 200, "result of two");
         try (Wire wire = deployment.dial()) {
-            wire.send(message(1, "order", params("0000000000000001", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two")));
-            assertThat(wire.line()).contains("\"id\":1").contains(ochretiller.standin.Gateways.base64("result of two"));
+            wire.send(
+                    message(
+                            1,
+                            "order",
+                            params("0000000000000001", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two")));
+            assertThat(wire.line())
+                    .contains("\"id\":1")
+                    .contains(ochretiller.standin.Gateways.base64("result of two"));
         }
-        WorkerStandIn.Ran ran = workers.stream().flatMap(w -> w.ran().stream()).filter(r -> r.body().equals("two")).findFirst().orElseThrow();
-        assertThat(ran.vars()).containsEntry("PATH_INFO", "/order").containsEntry("REQUEST_METHOD", "POST")
-            .containsEntry("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+        WorkerStandIn.Ran ran =
+                workers.stream()
+                        .flatMap(w -> w.ran().stream())
+                        .filter(r -> r.body().equals("two"))
+                        .findFirst()
+                        .orElseThrow();
+        assertThat(ran.vars())
+                .containsEntry("PATH_INFO", "/order")
+                .containsEntry("REQUEST_METHOD", "POST")
+                .containsEntry("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
         assertThat(Integer.parseInt(ran.vars().get("HTTP_X_TIME_LEFT_MS"))).isBetween(3_000, 4_000);
     }
 
     @ParameterizedTest
-    @EnumSource(value = Manner.class, names = {"FAILS", "HALF", "RESETS", "GARBAGE", "WRONG_LENGTH", "TOO_LONG", "ENDS"})
+    @EnumSource(
+            value = Manner.class,
+            names = {"FAILS", "HALF", "RESETS", "GARBAGE", "WRONG_LENGTH", "TOO_LONG", "ENDS"})
     void spoiltAnswerIsAnErrorAndNeverRunsAgain(Manner manner) throws Exception {
         all(ran -> ran.body().startsWith("bad") ? manner : Manner.ANSWERS);
         expect(order("k", "bad"), 500, "failed");
@@ -163,29 +219,38 @@
         workers.get(0).die();
         workers.get(1).die();
         Map<Integer, Integer> ended = reads(100, 4);
-        assertThat(ended.keySet()).isSubsetOf(200, 503); // throttled where the budget of second tries was spent
+        assertThat(ended.keySet())
+                .isSubsetOf(200, 503); // throttled where the budget of second tries was spent
         assertThat(ended.get(200)).isGreaterThan(70);
         assertThat(figure("second_tries_total")).isPositive();
         Thread.sleep(400); // both are left out by now: nothing is offered to them but probes
         workers.get(0).rise();
         workers.get(1).rise();
         Thread.sleep(700);
-        for (int i = 0; i < 3; i++) reads(40, 8);
+        for (int i = 0; i < 3; i++) {
+            reads(40, 8);
+        }
         assertThat(workers.get(0).ran()).isNotEmpty();
         assertThat(reads(50, 4)).isEqualTo(Map.of(200, 50));
     }
 
     @Test
     void withAllWorkersGoneCallersAreToldWhenToComeBackAndAreServedThen() throws Exception {
-        for (WorkerStandIn worker : workers) worker.die();
+        for (WorkerStandIn worker : workers) {
+            worker.die();
+        }
         Map<Integer, Integer> ended = reads(60, 4);
         assertThat(ended).isEqualTo(Map.of(503, 60));
         Answer throttled = order("k", "kept");
         assertThat(throttled.status()).isEqualTo(503);
         assertThat(Integer.parseInt(throttled.headers().get("retry-after"))).isPositive();
-        for (WorkerStandIn worker : workers) worker.rise();
+        for (WorkerStandIn worker : workers) {
+            worker.rise();
+        }
         Thread.sleep(700);
-        for (int i = 0; i < 20 && read("again").status() != 200; i++) Thread.sleep(50);
+        for (int i = 0; i < 20 && read("again").status() != 200; i++) {
+            Thread.sleep(50);
+        }
         expect(order("k", "kept"), 200, "result of kept"); // what never ran may be asked for again
     }
 
@@ -203,10 +268,13 @@
 
     @Test
     void answerOfAnOrderBehindItsDueTimeIsKeptForItsRepeat() throws Exception {
-        all(ran -> {
-            if (ran.body().equals("slow")) Thread.sleep(4_600);
-            return Manner.ANSWERS;
-        });
+        all(
+                ran -> {
+                    if (ran.body().equals("slow")) {
+                        Thread.sleep(4_600);
+                    }
+                    return Manner.ANSWERS;
+                });
         assertThat(order("k", "slow").status()).isIn(409, 504);
         Thread.sleep(1_000);
         expect(order("k", "slow"), 200, "result of slow");
@@ -215,10 +283,13 @@
     @Test
     void oneThatFailsFastDoesNotDrawTheLoad() throws Exception {
         workers.get(1).script = ran -> Manner.FAILS;
-        for (int i : new int[] {0, 2}) workers.get(i).script = ran -> {
-            Thread.sleep(20);
-            return Manner.ANSWERS;
-        };
+        for (int i : new int[] {0, 2}) {
+            workers.get(i).script =
+                    ran -> {
+                        Thread.sleep(20);
+                        return Manner.ANSWERS;
+                    };
+        }
         Map<Integer, Integer> ended = reads(300, 4);
         assertThat(ended.getOrDefault(500, 0)).isLessThan(40);
         assertThat(ended.get(200)).isGreaterThan(260);
@@ -226,19 +297,24 @@
 
     @Test
     void workersComeAndGoUnderLoadAndNothingIsLost() throws Exception {
-        all(ran -> {
-            Thread.sleep(5);
-            return Manner.ANSWERS;
-        });
+        all(
+                ran -> {
+                    Thread.sleep(5);
+                    return Manner.ANSWERS;
+                });
         AtomicBoolean over = new AtomicBoolean();
         ExecutorService load = Executors.newFixedThreadPool(4);
         List<Future<Integer>> asked = new ArrayList<>();
         for (int thread = 0; thread < 4; thread++) {
-            asked.add(load.submit(() -> {
-                int done = 0;
-                for (; !over.get(); done++) expect(read("x"), 200, "result of x");
-                return done;
-            }));
+            asked.add(
+                    load.submit(
+                            () -> {
+                                int done = 0;
+                                for (; !over.get(); done++) {
+                                    expect(read("x"), 200, "result of x");
+                                }
+                                return done;
+                            }));
         }
         Thread.sleep(300);
         configured(List.of(2, 3));
@@ -246,51 +322,75 @@
         await(deployment.log, "takes the addresses");
         int before = workers.get(3).ran().size();
         int left = workers.get(0).ran().size();
-        for (int i = 0; i < 500 && workers.get(3).ran().size() <= before; i++) Thread.sleep(20); // as soon as it has one
+        for (int i = 0; i < 500 && workers.get(3).ran().size() <= before; i++) {
+            Thread.sleep(20); // as soon as it has one
+        }
         assertThat(workers.get(3).ran().size()).isGreaterThan(before);
         assertThat(workers.get(0).ran().size()).isLessThanOrEqualTo(left + 4); // what was under way
         Files.writeString(folder.resolve("operator.json5"), "{ pools: 7 }");
         deployment.signal("HUP");
         await(deployment.log, "stays with its configuration.*pools");
         over.set(true);
-        for (Future<Integer> each : asked) assertThat(each.get()).isPositive();
+        for (Future<Integer> each : asked) {
+            assertThat(each.get()).isPositive();
+        }
         load.shutdown();
     }
 
     @Test
     void callerThatIsGoneLeavesAnOrderRunningAndItsRepeatIsAnsweredFromIt() throws Exception {
-        all(ran -> {
-            Thread.sleep(400);
-            return Manner.ANSWERS;
-        });
+        all(
+                ran -> {
+                    Thread.sleep(400);
+                    return Manner.ANSWERS;
+                });
         try (Wire wire = deployment.dial()) {
-            wire.send(message(1, "order", params("000000000000000" + ++rids, "5c0f6e1a2b3d4c59a8b7c6d5e4f30212", "left")));
-            for (int i = 0; i < 100 && ran() == 0; i++) Thread.sleep(10);
+            wire.send(
+                    message(
+                            1,
+                            "order",
+                            params(
+                                    "000000000000000" + ++rids,
+                                    "5c0f6e1a2b3d4c59a8b7c6d5e4f30212",
+                                    "left")));
+            for (int i = 0; i < 100 && ran() == 0; i++) {
+                Thread.sleep(10);
+            }
         }
         expect(order("5c0f6e1a2b3d4c59a8b7c6d5e4f30212", "left"), 200, "result of left");
     }
 
     @Test
     void drainAnswersWhatRunsOnWorkers() throws Exception {
-        all(ran -> {
-            Thread.sleep(600);
-            return Manner.ANSWERS;
-        });
+        all(
+                ran -> {
+                    Thread.sleep(600);
+                    return Manner.ANSWERS;
+                });
         ExecutorService one = Executors.newSingleThreadExecutor();
         Future<Answer> asked = one.submit(() -> order("k", "last"));
-        for (int i = 0; i < 200 && ran() == 0; i++) Thread.sleep(10);
+        for (int i = 0; i < 200 && ran() == 0; i++) {
+            Thread.sleep(10);
+        }
         deployment.terminate();
         expect(asked.get(), 200, "result of last");
         assertThat(deployment.exit()).isZero();
         one.shutdown();
     }
 
-    /** Killed while a worker runs an order: nobody tells of its end, so the repeat is errored on either protocol, and never runs. */
+    /**
+     * Killed while a worker runs an order: nobody tells of its end, so the repeat is errored on
+     * either protocol, and never runs.
+     */
     @Test
     void behindARestartWhatAWorkerHasRunIsReplayedOrErroredOverBothProtocols() throws Exception {
         String file = Files.readString(folder.resolve("operator.json5"));
-        Files.writeString(folder.resolve("operator.json5"), file.substring(0, file.length() - 1) + ", remember: { folder: '"
-            + folder.resolve("store") + "' } }");
+        Files.writeString(
+                folder.resolve("operator.json5"),
+                file.substring(0, file.length() - 1)
+                        + ", remember: { folder: '"
+                        + folder.resolve("store")
+                        + "' } }");
         deployment.kill();
         deployment.restart();
         await(deployment.heard, "usage fence");
@@ -301,7 +401,9 @@
             wire.send(message(1, "order", params("0000000000000011", kept, "kept")));
             assertThat(wire.line()).contains("\"result\"");
             wire.send(message(2, "order", params("0000000000000012", cut, "cut")));
-            for (int i = 0; i < 200 && ran() < 2; i++) Thread.sleep(10);
+            for (int i = 0; i < 200 && ran() < 2; i++) {
+                Thread.sleep(10);
+            }
         }
         deployment.kill();
         deployment.restart();
--- a/src/test/java/ochretiller/audit/files/AuditFolderTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditFolderTest.java
@@ -18,13 +18,24 @@
 class AuditFolderTest {
     private static final long MOST = 1 << 20;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static List<Entry> some() {
-        return List.of(new Entry.Event(Entry.Kind.STARTED, 1, 1_000, "m1"), new Entry.Run(1, 1_500, "token"),
-            new Entry.Span(1, "a".repeat(64), 1_000, 2_000, 1_000, Map.of("order", new Entry.Tally(5, 1, 2, 1, 1), "read", new Entry.Tally(9, 9, 0, 0, 0))),
-            new Entry.Event(Entry.Kind.CHANGED, 2, 2_000, "caf\u00e9"));
+        return List.of(
+                new Entry.Event(Entry.Kind.STARTED, 1, 1_000, "m1"),
+                new Entry.Run(1, 1_500, "token"),
+                new Entry.Span(
+                        1,
+                        "a".repeat(64),
+                        1_000,
+                        2_000,
+                        1_000,
+                        Map.of(
+                                "order",
+                                new Entry.Tally(5, 1, 2, 1, 1),
+                                "read",
+                                new Entry.Tally(9, 9, 0, 0, 0))),
+                new Entry.Event(Entry.Kind.CHANGED, 2, 2_000, "caf\u00e9"));
     }
 
     private Chain.Head write(List<Entry> entries) throws IOException {
@@ -48,7 +59,10 @@
         assertThat(head.number()).isEqualTo(8);
         AuditFolder.Found found = AuditFolder.read(folder, List.of(head));
         assertThat(found.faults()).isEmpty();
-        assertThat(found.entries()).startsWith(some().toArray(Entry[]::new)).endsWith(some().toArray(Entry[]::new)).hasSize(8);
+        assertThat(found.entries())
+                .startsWith(some().toArray(Entry[]::new))
+                .endsWith(some().toArray(Entry[]::new))
+                .hasSize(8);
     }
 
     @Test
@@ -57,14 +71,18 @@
         byte[] whole = Files.readAllBytes(file());
         for (int i = 0; i < whole.length; i++) {
             Files.write(file(), Arrays.copyOf(whole, i));
-            assertThat(AuditFolder.read(folder, List.of(head)).faults()).as("cut at " + i).isNotEmpty();
+            assertThat(AuditFolder.read(folder, List.of(head)).faults())
+                    .as("cut at " + i)
+                    .isNotEmpty();
         }
         Files.write(file(), Arrays.copyOf(whole, whole.length - 3));
         write(List.of(new Entry.Event(Entry.Kind.STARTED, 1, 3_000, "again")));
         AuditFolder.Found found = AuditFolder.read(folder, List.of());
         assertThat(found.faults()).as("half a record is taken off").isEmpty();
         assertThat(found.entries()).hasSize(4);
-        assertThat(AuditFolder.read(folder, List.of(head)).faults()).as("others know what was there").isNotEmpty();
+        assertThat(AuditFolder.read(folder, List.of(head)).faults())
+                .as("others know what was there")
+                .isNotEmpty();
     }
 
     @Test
@@ -75,7 +93,9 @@
             byte[] spoilt = whole.clone();
             spoilt[i] ^= 0x04;
             Files.write(file(), spoilt);
-            assertThat(AuditFolder.read(folder, List.of(head)).faults()).as("byte " + i).isNotEmpty();
+            assertThat(AuditFolder.read(folder, List.of(head)).faults())
+                    .as("byte " + i)
+                    .isNotEmpty();
         }
     }
 
@@ -83,7 +103,9 @@
     void oldFilesGoAsAWholeAndTheRestIsStillAChain() throws IOException {
         AuditWriter writer = new AuditWriter(folder, MOST, () -> 0);
         writer.start();
-        for (int i = 0; i < 15_000; i++) writer.add(new Entry.Run(1, i, "token " + i));
+        for (int i = 0; i < 15_000; i++) {
+            writer.add(new Entry.Run(1, i, "token " + i));
+        }
         writer.close();
         AuditFolder.Found found = AuditFolder.read(folder, List.of(writer.head()));
         assertThat(found.faults()).isEmpty();
@@ -96,11 +118,17 @@
     @Test
     void whatTheDiskDoesNotTakeIsCountedAndSaid() throws Exception {
         AuditWriter writer = new AuditWriter(folder, 16 * MOST, () -> 77);
-        for (int i = 0; i < 20_010; i++) writer.add(new Entry.Run(1, i, "token " + i));
+        for (int i = 0; i < 20_010; i++) {
+            writer.add(new Entry.Run(1, i, "token " + i));
+        }
         assertThat(writer.lost()).isEqualTo(10);
         writer.start();
         writer.close();
-        assertThat(AuditFolder.read(folder, List.of()).entries()).anyMatch(each -> each instanceof Entry.Event event && event.kind() == Entry.Kind.LOST
-            && event.text().startsWith("10 records"));
+        assertThat(AuditFolder.read(folder, List.of()).entries())
+                .anyMatch(
+                        each ->
+                                each instanceof Entry.Event event
+                                        && event.kind() == Entry.Kind.LOST
+                                        && event.text().startsWith("10 records"));
     }
 }
--- a/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
@@ -22,8 +22,7 @@
     private static final String FILE = "audit-0000000000000000001.log";
     private static final long MOST = 1 << 20;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static Entry event(Entry.Kind kind) {
         return new Entry.Event(kind, 3, 1_700_000_000_123L, "caf\u00e9");
@@ -31,9 +30,19 @@
 
     private static Map<String, Entry> entries() {
         Map<String, Entry> all = new LinkedHashMap<>();
-        all.put("span", new Entry.Span(2, "0123456789abcdef".repeat(4), 1_700_000_000_000L,
-            1_700_000_060_000L, 60_001, Map.of("order", new Entry.Tally(15, 1, 2, 3, 4),
-                "read", new Entry.Tally(1_000, 9, 8, 7, 6))));
+        all.put(
+                "span",
+                new Entry.Span(
+                        2,
+                        "0123456789abcdef".repeat(4),
+                        1_700_000_000_000L,
+                        1_700_000_060_000L,
+                        60_001,
+                        Map.of(
+                                "order",
+                                new Entry.Tally(15, 1, 2, 3, 4),
+                                "read",
+                                new Entry.Tally(1_000, 9, 8, 7, 6))));
         all.put("run", new Entry.Run(3, 1_700_000_000_456L, "a token"));
         all.put("event-started", event(Entry.Kind.STARTED));
         all.put("event-changed", event(Entry.Kind.CHANGED));
@@ -57,16 +66,24 @@
 
     @Test
     void eachGoldenRecordIsReadBack() {
-        entries().forEach((name, entry) ->
-            assertThat(AuditCodec.entry(RECORDS.bytes(name))).as(name).isEqualTo(entry));
+        entries()
+                .forEach(
+                        (name, entry) ->
+                                assertThat(AuditCodec.entry(RECORDS.bytes(name)))
+                                        .as(name)
+                                        .isEqualTo(entry));
     }
 
     @Test
     void eachKindOfRecordAndEventHasAGoldenRecord() {
-        assertThat(entries().values()).extracting(Object::getClass)
-            .containsAll(List.of(Entry.class.getPermittedSubclasses()));
-        assertThat(entries().values().stream().filter(Entry.Event.class::isInstance)
-            .map(each -> ((Entry.Event) each).kind())).contains(Entry.Kind.values());
+        assertThat(entries().values())
+                .extracting(Object::getClass)
+                .containsAll(List.of(Entry.class.getPermittedSubclasses()));
+        assertThat(
+                        entries().values().stream()
+                                .filter(Entry.Event.class::isInstance)
+                                .map(each -> ((Entry.Event) each).kind()))
+                .contains(Entry.Kind.values());
     }
 
     @Test
--- a/src/test/java/ochretiller/budgets/BudgetsTest.java
+++ b/src/test/java/ochretiller/budgets/BudgetsTest.java
@@ -26,17 +26,29 @@
     }
 
     private void three() {
-        budgets.become(Map.of(PARTS, promise(5, 1), FIT, promise(3, 3), ORDERING, promise(1, 0)), Duration.ZERO);
+        budgets.become(
+                Map.of(PARTS, promise(5, 1), FIT, promise(3, 3), ORDERING, promise(1, 0)),
+                Duration.ZERO);
     }
 
-    /** Work granted to a team that asks for so much a second, in pieces of a hundredth, between two times in milliseconds. */
-    private double asks(TeamId team, double rate, int from, int to, TeamId beside, double besideRate) {
+    /**
+     * Work granted to a team that asks for so much a second, in pieces of a hundredth, between two
+     * times in milliseconds.
+     */
+    private double asks(
+            TeamId team, double rate, int from, int to, TeamId beside, double besideRate) {
         double got = 0;
         double due = 0;
         double besideDue = 0;
         for (int at = from; at < to; at++) {
-            for (due += rate / 1e3; due >= 0.01; due -= 0.01) if (budgets.ask(team, 0.01, ms(at)).given()) got += 0.01;
-            for (besideDue += besideRate / 1e3; besideDue >= 0.01; besideDue -= 0.01) budgets.ask(beside, 0.01, ms(at));
+            for (due += rate / 1e3; due >= 0.01; due -= 0.01) {
+                if (budgets.ask(team, 0.01, ms(at)).given()) {
+                    got += 0.01;
+                }
+            }
+            for (besideDue += besideRate / 1e3; besideDue >= 0.01; besideDue -= 0.01) {
+                budgets.ask(beside, 0.01, ms(at));
+            }
         }
         return got;
     }
@@ -46,7 +58,9 @@
         three();
         asks(FIT, 50, 0, 2_000, PARTS, 50);
         double got = asks(ORDERING, 0.99, 2_000, 4_000, FIT, 500);
-        assertThat(got).as("all that it asked, from the first millisecond on").isBetween(1.96, 1.99);
+        assertThat(got)
+                .as("all that it asked, from the first millisecond on")
+                .isBetween(1.96, 1.99);
     }
 
     @Test
@@ -62,7 +76,8 @@
     void idleWorkIsSharedByWeight() {
         three();
         double fit = asks(FIT, 50, 0, 4_000, PARTS, 50);
-        // Idle is what was promised to nobody, one, and ordering's one; three of four parts of it are for this team.
+        // Idle is what was promised to nobody, one, and ordering's one; three of four parts of it
+        // are for this team.
         assertThat(fit).isBetween(3 * 4 + 2 * 4 * 0.75 - 0.6, 3 * 4 + 2 * 4 * 0.75 + 0.6);
     }
 
@@ -98,8 +113,14 @@
         double first = 0;
         double again = 0;
         for (int at = 0; at < 10_000; at++) {
-            if (at % 10 == 0 && budgets.ask(PARTS, 0.01, ms(at)).given()) first += 0.01;
-            for (int i = 0; i < 5; i++) if (budgets.askAgain(PARTS, 0.01, ms(at)).given()) again += 0.01;
+            if (at % 10 == 0 && budgets.ask(PARTS, 0.01, ms(at)).given()) {
+                first += 0.01;
+            }
+            for (int i = 0; i < 5; i++) {
+                if (budgets.askAgain(PARTS, 0.01, ms(at)).given()) {
+                    again += 0.01;
+                }
+            }
         }
         assertThat(first).isGreaterThan(9.9);
         assertThat(again).isBetween(0.08 * first, 0.1 * first + 0.05 + 0.02);
@@ -109,21 +130,31 @@
     void unknownTeamHasNothingAndPromisesOverTheCapacityAreRefusedAsAWhole() {
         three();
         assertThat(budgets.ask(new TeamId("stranger"), 0.01, ms(0)).given()).isFalse();
-        assertThatThrownBy(() -> budgets.become(Map.of(PARTS, promise(8, 1), FIT, promise(3, 1)), ms(0))).hasMessageContaining("over the capacity");
-        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given()).as("the old promises stand").isTrue();
+        assertThatThrownBy(
+                        () ->
+                                budgets.become(
+                                        Map.of(PARTS, promise(8, 1), FIT, promise(3, 1)), ms(0)))
+                .hasMessageContaining("over the capacity");
+        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given())
+                .as("the old promises stand")
+                .isTrue();
     }
 
     @Test
     void newPromisesKeepWhatIsInHandOrOwed() {
         three();
         budgets.settle(FIT, 0, 2, ms(0));
-        Map<TeamId, Promise> next = new LinkedHashMap<>(Map.of(PARTS, promise(5, 1), FIT, promise(4, 3)));
+        Map<TeamId, Promise> next =
+                new LinkedHashMap<>(Map.of(PARTS, promise(5, 1), FIT, promise(4, 3)));
         budgets.become(next, ms(0));
         assertThat(budgets.inHand(FIT, ms(0))).isEqualTo(-1.9);
         assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given()).as("its contract is over").isFalse();
     }
 
-    /** Whatever teams ask for: no more is given than there is, and who keeps to its promise gets all. */
+    /**
+     * Whatever teams ask for: no more is given than there is, and who keeps to its promise gets
+     * all.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void noMoreIsGivenThanThereIsAndThePromiseIsKept(long seed) {
@@ -142,15 +173,23 @@
         double modest = promises.get(PARTS).rate() * 0.98;
         for (int at = 0; at < 5_000; at++) {
             for (due += modest / 1e3; due >= 0.02; due -= 0.02) {
-                assertThat(budgets.ask(PARTS, 0.02, ms(at)).kind()).as("seed %d at %d ms", seed, at).isEqualTo(Grant.Kind.PROMISED);
+                assertThat(budgets.ask(PARTS, 0.02, ms(at)).kind())
+                        .as("seed %d at %d ms", seed, at)
+                        .isEqualTo(Grant.Kind.PROMISED);
                 given += 0.02;
             }
             for (int i = chance.nextInt(8); i > 0; i--) {
                 TeamId team = teams[1 + chance.nextInt(3)];
                 double work = chance.nextDouble(0.001, 0.1);
-                if (budgets.ask(team, work, ms(at)).given()) given += work;
+                if (budgets.ask(team, work, ms(at)).given()) {
+                    given += work;
+                }
             }
-            double most = 10 * at / 1e3 + 4 * 0.2 + 0.5 + 4 * 0.1; // bursts, idle in hand, and one piece of work each
+            double most =
+                    10 * at / 1e3
+                            + 4 * 0.2
+                            + 0.5
+                            + 4 * 0.1; // bursts, idle in hand, and one piece of work each
             assertThat(given).as("seed %d at %d ms", seed, at).isLessThanOrEqualTo(most);
         }
         assertThat(given).as("asked for far more than there is").isGreaterThan(0.9 * 10 * 5);
--- a/src/test/java/ochretiller/contracts/ContractsTest.java
+++ b/src/test/java/ochretiller/contracts/ContractsTest.java
@@ -24,8 +24,14 @@
 
     /** A team that publishes a service of its own name, and calls others. */
     private void team(String name, double rate, String known, Contract.Call... calls) {
-        all.add(new Contract(new TeamId(name), 1, List.of(known), List.of(new Contract.Service(name, name + "-pool", ms(200))), List.of(calls),
-            new Promise(rate, 0.1, 1, 0.1, 0.1)));
+        all.add(
+                new Contract(
+                        new TeamId(name),
+                        1,
+                        List.of(known),
+                        List.of(new Contract.Service(name, name + "-pool", ms(200))),
+                        List.of(calls),
+                        new Promise(rate, 0.1, 1, 0.1, 0.1)));
     }
 
     private List<String> faults() {
@@ -44,16 +50,28 @@
     void promisesOverTheCapacityAreTold() {
         team("parts", 6, "10.1.0.0/16");
         team("fit", 5, "10.2.0.0/16");
-        assertThat(faults()).containsExactly("promises of 11.000 core seconds a second are over the capacity of 10.000");
+        assertThat(faults())
+                .containsExactly(
+                        "promises of 11.000 core seconds a second are over the capacity of 10.000");
     }
 
     @Test
     void unknownAndDoubledServicesAreTold() {
         team("parts", 1, "10.1.0.0/16", call("fit", 0.1), call("fit", 0.1));
-        all.add(new Contract(new TeamId("other"), 1, List.of(), List.of(new Contract.Service("parts", "p", ms(1))), List.of(),
-            new Promise(1, 0, 1, 0, 0)));
-        assertThat(faults()).containsExactlyInAnyOrder("service parts is published by parts and by other",
-            "parts calls fit, which nobody publishes", "parts calls fit twice", "parts calls fit, which nobody publishes");
+        all.add(
+                new Contract(
+                        new TeamId("other"),
+                        1,
+                        List.of(),
+                        List.of(new Contract.Service("parts", "p", ms(1))),
+                        List.of(),
+                        new Promise(1, 0, 1, 0, 0)));
+        assertThat(faults())
+                .containsExactlyInAnyOrder(
+                        "service parts is published by parts and by other",
+                        "parts calls fit, which nobody publishes",
+                        "parts calls fit twice",
+                        "parts calls fit, which nobody publishes");
     }
 
     @Test
@@ -62,17 +80,22 @@
         team("b", 1, "10.2.0.0/16", call("c", 0.1));
         team("c", 1, "10.3.0.0/16", call("a", 0.1), call("d", 0.1));
         team("d", 1, "10.4.0.0/16", call("d", 0.1));
-        assertThat(faults()).containsExactlyInAnyOrder("services call one another in a circle: a -> b -> c -> a",
-            "services call one another in a circle: d -> d");
+        assertThat(faults())
+                .containsExactlyInAnyOrder(
+                        "services call one another in a circle: a -> b -> c -> a",
+                        "services call one another in a circle: d -> d");
     }
 
     @Test
     void objectivesThatNobodyCanMeetAndWorkBeyondThePromiseAreTold() {
         team("parts", 1, "10.1.0.0/16");
         team("fit", 1, "10.2.0.0/16", new Contract.Call("parts", 2, 10, ms(100), ms(50), 1));
-        assertThat(faults()).containsExactly("fit calls parts with an objective behind its timeout",
-            "fit calls parts within 100 ms, which promises 200 ms: no route can meet that",
-            "fit expects to cause 2.000 core seconds a second and is promised 1.000");
+        assertThat(faults())
+                .containsExactly(
+                        "fit calls parts with an objective behind its timeout",
+                        "fit calls parts within 100 ms, which promises 200 ms: no route can meet"
+                                + " that",
+                        "fit expects to cause 2.000 core seconds a second and is promised 1.000");
     }
 
     @Test
@@ -80,15 +103,31 @@
         team("parts", 1, "10.1.0.0/16");
         team("fit", 1, "10.1.7.9");
         team("odd", 1, "10.1.0.1/16");
-        assertThat(faults()).containsExactly("10.1.7.9 of fit meets 10.1.0.0/16 of parts", "odd: '10.1.0.1/16' is no address or prefix");
+        assertThat(faults())
+                .containsExactly(
+                        "10.1.7.9 of fit meets 10.1.0.0/16 of parts",
+                        "odd: '10.1.0.1/16' is no address or prefix");
     }
 
     @ParameterizedTest
-    @CsvSource({"10.0.0.0/8, true", "0.0.0.0/0, true", "255.255.255.255, true", "256.0.0.0, false", "10.0.0/8, false", "10.0.0.0/33, false",
-        "10.0.0.0/08, false", "01.0.0.0, false", "10.0.0.0/, false", "::1, false", "10.128.0.0/8, false"})
+    @CsvSource({
+        "10.0.0.0/8, true",
+        "0.0.0.0/0, true",
+        "255.255.255.255, true",
+        "256.0.0.0, false",
+        "10.0.0/8, false",
+        "10.0.0.0/33, false",
+        "10.0.0.0/08, false",
+        "01.0.0.0, false",
+        "10.0.0.0/, false",
+        "::1, false",
+        "10.128.0.0/8, false"
+    })
     void prefixesAreReadStrictly(String text, boolean good) {
         assertThat(Prefix.of(text) != null).isEqualTo(good);
-        if (good) assertThat(Prefix.of(text)).hasToString(text);
+        if (good) {
+            assertThat(Prefix.of(text)).hasToString(text);
+        }
     }
 
     @Test
@@ -98,18 +137,26 @@
         team("ordering", 3, "10.3.0.0/16");
         Contracts old = Contracts.of(10, List.copyOf(all));
         all.clear();
-        all.add(new Contract(new TeamId("parts"), 2, List.of("10.1.0.0/16"), List.of(new Contract.Service("parts", "parts-pool", ms(200))),
-            List.of(), new Promise(5, 0.1, 3, 0.1, 0.1)));
+        all.add(
+                new Contract(
+                        new TeamId("parts"),
+                        2,
+                        List.of("10.1.0.0/16"),
+                        List.of(new Contract.Service("parts", "parts-pool", ms(200))),
+                        List.of(),
+                        new Promise(5, 0.1, 3, 0.1, 0.1)));
         team("fit", 3, "10.2.0.0/16");
         team("new", 1, "10.4.0.0/16");
-        assertThat(old.changes(Contracts.of(10, all))).containsExactly(
-            "parts promised 4.000 core seconds a second -> 5.000 core seconds a second",
-            "parts has 0.333 -> 0.600 of what is idle where all want it",
-            "fit changes without a higher version: 1 -> 1",
-            "fit has 0.333 -> 0.200 of what is idle where all want it",
-            "fit calls parts no more",
-            "ordering goes: what it asks from then on is refused, what was read is answered",
-            "new comes, promised 1.000 core seconds a second");
+        assertThat(old.changes(Contracts.of(10, all)))
+                .containsExactly(
+                        "parts promised 4.000 core seconds a second -> 5.000 core seconds a second",
+                        "parts has 0.333 -> 0.600 of what is idle where all want it",
+                        "fit changes without a higher version: 1 -> 1",
+                        "fit has 0.333 -> 0.200 of what is idle where all want it",
+                        "fit calls parts no more",
+                        "ordering goes: what it asks from then on is refused, what was read is"
+                                + " answered",
+                        "new comes, promised 1.000 core seconds a second");
         assertThat(old.changes(old)).isEmpty();
     }
 }
--- a/src/test/java/ochretiller/fleet/copies/CatchUpTest.java
+++ b/src/test/java/ochretiller/fleet/copies/CatchUpTest.java
@@ -18,7 +18,11 @@
 /** Copies that become equal, keepers that come back, long results on their way. */
 class CatchUpTest {
     private static final Duration WINDOW = Duration.ofSeconds(60);
-    private static final List<Layout.Server> THREE = List.of(new Layout.Server("a", "1"), new Layout.Server("b", "2"), new Layout.Server("c", "3"));
+    private static final List<Layout.Server> THREE =
+            List.of(
+                    new Layout.Server("a", "1"),
+                    new Layout.Server("b", "2"),
+                    new Layout.Server("c", "3"));
     private static final Layout LAYOUT = new Layout(3, THREE, THREE, 3);
 
     private final Map<String, Keeper> keepers = new TreeMap<>();
@@ -33,14 +37,25 @@
     }
 
     private Keeper keeper(String name, Map<String, Entry> entries, long number, boolean returns) {
-        return new Keeper(name, new Keeper.Disk(LAYOUT, entries, Set.of(), Set.of(), Set.of(), number, returns), LAYOUT, bounds(64 << 20), 0, now);
+        return new Keeper(
+                name,
+                new Keeper.Disk(LAYOUT, entries, Set.of(), Set.of(), Set.of(), number, returns),
+                LAYOUT,
+                bounds(64 << 20),
+                0,
+                now);
     }
 
     private Map<String, Entry> entries(int count) {
         Map<String, Entry> all = new HashMap<>();
         for (int i = 0; i < count; i++) {
             ClaimId id = new ClaimId("s", 1, i);
-            all.put("token-" + i, Entry.NOTHING.ended(id, new Outcome(true, "body", "result " + i), now.plusSeconds(20 + i % 30)));
+            all.put(
+                    "token-" + i,
+                    Entry.NOTHING.ended(
+                            id,
+                            new Outcome(true, "body", "result " + i),
+                            now.plusSeconds(20 + i % 30)));
         }
         return all;
     }
@@ -49,27 +64,39 @@
         for (int i = 0; i < count; i++) {
             now = now.plusMillis(20);
             Deque<Object[]> underWay = new ArrayDeque<>();
-            keepers.forEach((name, each) -> {
-                each.tick(now);
-                each.outs().forEach(out -> underWay.add(new Object[] {name, out}));
-            });
+            keepers.forEach(
+                    (name, each) -> {
+                        each.tick(now);
+                        each.outs().forEach(out -> underWay.add(new Object[] {name, out}));
+                    });
             owner.outs().forEach(out -> underWay.add(new Object[] {"s", out}));
             while (!underWay.isEmpty()) {
                 Object[] sent = underWay.poll();
                 Keeper.Out out = (Keeper.Out) sent[1];
-                if (out.message() instanceof CopyMessage.Page page) for (CopyMessage.Item item : page.items()) pageBytes += item.bytes();
-                if (chance.nextDouble() < loses) continue;
+                if (out.message() instanceof CopyMessage.Page page) {
+                    for (CopyMessage.Item item : page.items()) {
+                        pageBytes += item.bytes();
+                    }
+                }
+                if (chance.nextDouble() < loses) {
+                    continue;
+                }
                 Keeper to = keepers.get(out.to());
                 if (out.to().equals("s") || out.message() instanceof CopyMessage.Recollect) {
                     if (out.message() instanceof CopyMessage.Want want) {
                         String result = owner.result(want.id());
                         CopyMessage.Piece piece = result == null ? null : Pieces.cut(want, result);
-                        if (piece != null) underWay.add(new Object[] {"s", new Keeper.Out((String) sent[0], piece)});
+                        if (piece != null) {
+                            underWay.add(
+                                    new Object[] {"s", new Keeper.Out((String) sent[0], piece)});
+                        }
                     }
                     owner.received((String) sent[0], out.message(), now);
                     owner.outs().forEach(each -> underWay.add(new Object[] {"s", each}));
                 }
-                if (to == null) continue;
+                if (to == null) {
+                    continue;
+                }
                 to.received((String) sent[0], out.message(), now);
                 to.wholes().forEach(to::shelved);
                 to.outs().forEach(each -> underWay.add(new Object[] {out.to(), each}));
@@ -79,7 +106,10 @@
 
     private void same() {
         for (int range = 0; range < Layout.RANGES; range++) {
-            assertThat(keepers.get("a").digest(range)).as("range " + range).isEqualTo(keepers.get("b").digest(range)).isEqualTo(keepers.get("c").digest(range));
+            assertThat(keepers.get("a").digest(range))
+                    .as("range " + range)
+                    .isEqualTo(keepers.get("b").digest(range))
+                    .isEqualTo(keepers.get("c").digest(range));
         }
     }
 
@@ -87,7 +117,9 @@
     void whatDiffersIsFetchedAndNothingElse() {
         Map<String, Entry> all = entries(2_000);
         Map<String, Entry> less = new HashMap<>(all);
-        for (int i = 0; i < 30; i++) less.remove("token-" + i * 7);
+        for (int i = 0; i < 30; i++) {
+            less.remove("token-" + i * 7);
+        }
         keepers.put("a", keeper("a", less, 0, false));
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
@@ -101,10 +133,17 @@
     void whatHasNoRoomInAPageIsAskedForByItsMarks() {
         Map<String, Entry> all = new HashMap<>();
         for (int i = 0; i < 2_000; i++) {
-            all.put("token-" + i, Entry.NOTHING.ended(new ClaimId("s", 1, i), new Outcome(true, "body", "r".repeat(1_500) + i), now.plusSeconds(20 + i % 30)));
+            all.put(
+                    "token-" + i,
+                    Entry.NOTHING.ended(
+                            new ClaimId("s", 1, i),
+                            new Outcome(true, "body", "r".repeat(1_500) + i),
+                            now.plusSeconds(20 + i % 30)));
         }
         Map<String, Entry> less = new HashMap<>(all);
-        for (int i = 0; i < 900; i++) less.remove("token-" + i);
+        for (int i = 0; i < 900; i++) {
+            less.remove("token-" + i);
+        }
         keepers.put("a", keeper("a", less, 0, false));
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
@@ -114,14 +153,21 @@
         for (int i = 0; i < 300; i++) {
             beats(1);
             for (String each : List.of("b", "c")) {
-                keepers.get(each).received("x", new CopyMessage.Release("token-" + i % 900, new ClaimId("x", 1, i), WINDOW), now);
+                keepers.get(each)
+                        .received(
+                                "x",
+                                new CopyMessage.Release(
+                                        "token-" + i % 900, new ClaimId("x", 1, i), WINDOW),
+                                now);
             }
         }
         keepers.get("a").compareAll();
         loses = 0;
         beats(400);
         same();
-        assertThat(keepers.get("a").fetched()).as("each once, and those that changed again").isLessThan(900 + 300 + 300);
+        assertThat(keepers.get("a").fetched())
+                .as("each once, and those that changed again")
+                .isLessThan(900 + 300 + 300);
     }
 
     @Test
@@ -134,7 +180,9 @@
         beats(600);
         assertThat(keepers.get("a").behind()).isZero();
         assertThat(keepers.get("a").size()).isEqualTo(3_000);
-        assertThat(keepers.get("a").fetched()).as("the second source tells only what the first did not").isLessThan(4_000);
+        assertThat(keepers.get("a").fetched())
+                .as("the second source tells only what the first did not")
+                .isLessThan(4_000);
         same();
     }
 
@@ -145,7 +193,9 @@
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
         beats(100);
-        assertThat(pageBytes).as("two seconds of the allowance, and what was saved up of it").isLessThan(2 * 200_000 + 256 * 1024 + 6 * Keeper.PAGE + 5_000);
+        assertThat(pageBytes)
+                .as("two seconds of the allowance, and what was saved up of it")
+                .isLessThan(2 * 200_000 + 256 * 1024 + 6 * Keeper.PAGE + 5_000);
         assertThat(keepers.get("a").behind()).isPositive();
     }
 
@@ -154,11 +204,23 @@
         Map<String, Entry> all = entries(200);
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
-        owner.received("a", new CopyMessage.Answer(3, "x", new ClaimId("s", 1, 9), CopyMessage.Word.GRANTED, Optional.empty(), Optional.empty(), 900), now);
+        owner.received(
+                "a",
+                new CopyMessage.Answer(
+                        3,
+                        "x",
+                        new ClaimId("s", 1, 9),
+                        CopyMessage.Word.GRANTED,
+                        Optional.empty(),
+                        Optional.empty(),
+                        900),
+                now);
         keepers.put("a", keeper("a", Map.of(), 850, true));
         Keeper a = keepers.get("a");
         a.received("s", new CopyMessage.Claim(3, "y", new ClaimId("s", 1, 10), "b", WINDOW), now);
-        assertThat(((CopyMessage.Answer) a.outs().get(0).message()).word()).as("before it knows").isEqualTo(CopyMessage.Word.BEHIND);
+        assertThat(((CopyMessage.Answer) a.outs().get(0).message()).word())
+                .as("before it knows")
+                .isEqualTo(CopyMessage.Word.BEHIND);
         beats(100);
         assertThat(a.oldDisks()).isEqualTo(1);
         assertThat(a.behind()).isZero();
@@ -184,7 +246,14 @@
         keepers.put("c", keeper("c", Map.of(), 0, false));
         keepers.get("b").there(Set.of("b", "c"));
         for (int i = 0; i < 40; i++) {
-            for (String each : List.of("b", "c")) keepers.get(each).received("x", new CopyMessage.Claim(3, "t" + i, new ClaimId("x", 1, i), "body", WINDOW), now);
+            for (String each : List.of("b", "c")) {
+                keepers.get(each)
+                        .received(
+                                "x",
+                                new CopyMessage.Claim(
+                                        3, "t" + i, new ClaimId("x", 1, i), "body", WINDOW),
+                                now);
+            }
         }
         assertThat(keepers.get("b").hints()).isBetween(20, 40);
         keepers.get("b").there(Set.of("a", "b", "c"));
@@ -195,29 +264,51 @@
 
     @Test
     void aLongResultCountsAsKeptOnceAllItsPiecesAreThere() {
-        for (String each : List.of("a", "b", "c")) keepers.put(each, keeper(each, Map.of(), 0, false));
+        for (String each : List.of("a", "b", "c")) {
+            keepers.put(each, keeper(each, Map.of(), 0, false));
+        }
         loses = 0.2;
         String result = "0123456789".repeat(5_000);
         boolean[] runs = {false};
         boolean[] kept = {false};
-        owner.claim("t", "body", false, now.plusSeconds(5), now.plus(WINDOW), now, verdict -> {
-            runs[0] = verdict.what() == Verdict.What.RUN;
-            owner.ended(verdict.claim(), Outcome.apart("body", result), result, now.plusSeconds(20), now.plus(WINDOW), now, good -> kept[0] = good);
-        });
+        owner.claim(
+                "t",
+                "body",
+                false,
+                now.plusSeconds(5),
+                now.plus(WINDOW),
+                now,
+                verdict -> {
+                    runs[0] = verdict.what() == Verdict.What.RUN;
+                    owner.ended(
+                            verdict.claim(),
+                            Outcome.apart("body", result),
+                            result,
+                            now.plusSeconds(20),
+                            now.plus(WINDOW),
+                            now,
+                            good -> kept[0] = good);
+                });
         for (int i = 0; i < 400 && !kept[0]; i++) {
             beats(1);
             owner.tick(now);
         }
         assertThat(runs[0]).isTrue();
         assertThat(kept[0]).isTrue();
-        long whole = keepers.values().stream().filter(each -> each.entry("t").outcome().map(Outcome::here).orElse(false)).count();
+        long whole =
+                keepers.values().stream()
+                        .filter(each -> each.entry("t").outcome().map(Outcome::here).orElse(false))
+                        .count();
         assertThat(whole).as("a majority has the bytes").isGreaterThanOrEqualTo(2);
     }
 
     @Test
     void aWindowOfAnyLengthIsKeptNoLongerThanTheLongest() {
         Keeper a = keeper("a", Map.of(), 0, false);
-        a.received("x", new CopyMessage.Claim(3, "t", new ClaimId("x", 1, 1), "body", Duration.ofDays(900)), now);
+        a.received(
+                "x",
+                new CopyMessage.Claim(3, "t", new ClaimId("x", 1, 1), "body", Duration.ofDays(900)),
+                now);
         assertThat(a.entry("t").until()).isEqualTo(now.plus(WINDOW));
     }
 }
--- a/src/test/java/ochretiller/fleet/copies/CommitTest.java
+++ b/src/test/java/ochretiller/fleet/copies/CommitTest.java
@@ -20,7 +20,8 @@
         return new Keeper.Out(name, new CopyMessage.Look(1, name, new ClaimId("s", 1, 1)));
     }
 
-    private List<Commit.Write> changed(List<String> tokens, boolean place, List<Keeper.Out> outs, List<Keeper.Out> said) {
+    private List<Commit.Write> changed(
+            List<String> tokens, boolean place, List<Keeper.Out> outs, List<Keeper.Out> said) {
         return commit.changed(tokens, place, outs, said);
     }
 
@@ -39,7 +40,9 @@
 
     @Test
     void aPlaceIsWrittenBehindTheEntriesThatItSpeaksOf() {
-        assertThat(changed(List.of("x"), true, List.of(), new ArrayList<>())).extracting(Commit.Write::token).containsExactly("x", null);
+        assertThat(changed(List.of("x"), true, List.of(), new ArrayList<>()))
+                .extracting(Commit.Write::token)
+                .containsExactly("x", null);
     }
 
     @Test
@@ -48,7 +51,9 @@
         List<Commit.Write> first = changed(List.of("x", "y"), false, List.of(word("a")), said);
         assertThat(commit.acked(first.get(0), false, now)).isEmpty();
         assertThat(commit.sick()).isTrue();
-        assertThat(changed(List.of("z"), true, List.of(word("b")), said)).as("it waits for the next try").isEmpty();
+        assertThat(changed(List.of("z"), true, List.of(word("b")), said))
+                .as("it waits for the next try")
+                .isEmpty();
         assertThat(commit.acked(first.get(1), true, now)).as("of before the failure").isEmpty();
         now = now.plusSeconds(10);
         List<Commit.Write> again = commit.tick(now);
@@ -65,33 +70,55 @@
         assertThat(said).containsExactly(word("c"));
     }
 
-    /** A keeper on a disk that fails, stalls and loses what was not acknowledged: what it has said it knows behind each end. */
+    /**
+     * A keeper on a disk that fails, stalls and loses what was not acknowledged: what it has said
+     * it knows behind each end.
+     */
     @Test
     void whatWasSaidIsOnTheDiskWhateverBecomesOfIt() {
         int words = 0;
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
             Layout layout = new Layout(2, List.of(new Layout.Server("a", "")), List.of(), 1);
-            Keeper keeper = new Keeper("a", new Keeper.Disk(layout, java.util.Map.of()), layout, 1_000, Duration.ofMinutes(1), now);
+            Keeper keeper =
+                    new Keeper(
+                            "a",
+                            new Keeper.Disk(layout, java.util.Map.of()),
+                            layout,
+                            1_000,
+                            Duration.ofMinutes(1),
+                            now);
             Commit of = new Commit(chance);
             Set<String> disk = new HashSet<>();
             List<Commit.Write> underWay = new ArrayList<>();
             Set<String> said = new HashSet<>();
             for (int step = 0; step < 200; step++) {
                 now = now.plusMillis(40);
-                keeper.received("s", new CopyMessage.Claim(2, "t" + chance.nextInt(80), new ClaimId("s", 1, 1), "b", Duration.ofSeconds(50)), now);
+                keeper.received(
+                        "s",
+                        new CopyMessage.Claim(
+                                2,
+                                "t" + chance.nextInt(80),
+                                new ClaimId("s", 1, 1),
+                                "b",
+                                Duration.ofSeconds(50)),
+                        now);
                 List<Keeper.Out> say = new ArrayList<>();
                 underWay.addAll(of.changed(keeper.changes(), keeper.moved(), keeper.outs(), say));
                 underWay.addAll(of.tick(now));
                 for (int i = chance.nextInt(4); i > 0 && !underWay.isEmpty(); i--) {
                     Commit.Write write = underWay.remove(0);
                     boolean good = chance.nextInt(60) != 0;
-                    if ((good || chance.nextBoolean()) && write.token() != null) disk.add(write.token());
+                    if ((good || chance.nextBoolean()) && write.token() != null) {
+                        disk.add(write.token());
+                    }
                     say.addAll(of.acked(write, good, now));
                 }
                 for (Keeper.Out out : say) {
                     CopyMessage.Answer answer = (CopyMessage.Answer) out.message();
-                    if (answer.word() == CopyMessage.Word.GRANTED) said.add(answer.token());
+                    if (answer.word() == CopyMessage.Word.GRANTED) {
+                        said.add(answer.token());
+                    }
                 }
                 assertThat(disk).as("seed " + seed).containsAll(said);
             }
--- a/src/test/java/ochretiller/fleet/copies/MarkGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/copies/MarkGoldenTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Marks, digests and sketches of what keepers have: several releases compare them. A mark is
- * made from texts of claims, as {@link ClaimId#toString} gives them, in the order of their names.
+ * Marks, digests and sketches of what keepers have: several releases compare them. A mark is made
+ * from texts of claims, as {@link ClaimId#toString} gives them, in the order of their names.
  */
 class MarkGoldenTest {
     private static final GoldenFile MARKS = new GoldenFile("entry-marks");
@@ -23,10 +23,13 @@
     private static final ClaimId FIRST = new ClaimId("s", -7, 3);
     private static final ClaimId SECOND = new ClaimId("t", 8, 1);
 
-    private static Entry entry(Map<ClaimId, String> claims, Set<ClaimId> released,
-                               Map<ClaimId, Outcome> outcomes) {
-        return new Entry(new TreeMap<>(claims), new TreeSet<>(released), new TreeMap<>(outcomes),
-            Duration.ofSeconds(60));
+    private static Entry entry(
+            Map<ClaimId, String> claims, Set<ClaimId> released, Map<ClaimId, Outcome> outcomes) {
+        return new Entry(
+                new TreeMap<>(claims),
+                new TreeSet<>(released),
+                new TreeMap<>(outcomes),
+                Duration.ofSeconds(60));
     }
 
     private static Map<String, Entry> entries() {
@@ -36,8 +39,12 @@
         all.put("claimed-twice", entry(Map.of(FIRST, "body", SECOND, "b"), Set.of(), Map.of()));
         all.put("released", entry(Map.of(FIRST, "body"), Set.of(FIRST, SECOND), Map.of()));
         all.put("ended", entry(Map.of(FIRST, "body"), Set.of(), Map.of(FIRST, outcome)));
-        all.put("ended-elsewhere", entry(Map.of(FIRST, "body"), Set.of(),
-            Map.of(FIRST, Outcome.apart("body", "r".repeat(9_000)).with(false))));
+        all.put(
+                "ended-elsewhere",
+                entry(
+                        Map.of(FIRST, "body"),
+                        Set.of(),
+                        Map.of(FIRST, Outcome.apart("body", "r".repeat(9_000)).with(false))));
         return all;
     }
 
--- a/src/test/java/ochretiller/fleet/copies/SketchTest.java
+++ b/src/test/java/ochretiller/fleet/copies/SketchTest.java
@@ -14,7 +14,9 @@
 
     private Set<Long> marks(int count) {
         Set<Long> all = new HashSet<>();
-        while (all.size() < count) all.add(chance.nextLong());
+        while (all.size() < count) {
+            all.add(chance.nextLong());
+        }
         return all;
     }
 
@@ -35,19 +37,27 @@
             Sketch here = sketch(192, both, mine);
             Sketch there = Sketch.of(sketch(192, both, theirs).bytes());
             Optional<Sketch.Difference> difference = here.less(there);
-            if (difference.isEmpty()) continue;
+            if (difference.isEmpty()) {
+                continue;
+            }
             told++;
             assertThat(difference.get()).isEqualTo(new Sketch.Difference(mine, theirs));
         }
-        assertThat(told).as("two thirds of a mark for each cell are told nearly always").isGreaterThan(380);
+        assertThat(told)
+                .as("two thirds of a mark for each cell are told nearly always")
+                .isGreaterThan(380);
     }
 
     @Test
     void tooMuchTellsNothingAndEqualOnesTellThatTheyAre() {
-        assertThat(sketch(24, marks(200), Set.of()).less(sketch(24, marks(200), Set.of()))).isEmpty();
+        assertThat(sketch(24, marks(200), Set.of()).less(sketch(24, marks(200), Set.of())))
+                .isEmpty();
         Set<Long> same = marks(5_000);
-        assertThat(sketch(24, same, Set.of()).less(sketch(24, same, Set.of()))).contains(new Sketch.Difference(Set.of(), Set.of()));
-        assertThat(sketch(24, same, Set.of()).less(sketch(48, same, Set.of()))).as("of another size").isEmpty();
+        assertThat(sketch(24, same, Set.of()).less(sketch(24, same, Set.of())))
+                .contains(new Sketch.Difference(Set.of(), Set.of()));
+        assertThat(sketch(24, same, Set.of()).less(sketch(48, same, Set.of())))
+                .as("of another size")
+                .isEmpty();
     }
 
     @Test
--- a/src/test/java/ochretiller/fleet/epochs/LayoutGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/epochs/LayoutGoldenTest.java
@@ -12,7 +12,7 @@
 class LayoutGoldenTest {
     private static final GoldenFile DRAWS = new GoldenFile("layout-draws");
     private static final List<String> TOKENS =
-        List.of("", "a", "a token", "caf\u00e9", "order-17", "x".repeat(200));
+            List.of("", "a", "a token", "caf\u00e9", "order-17", "x".repeat(200));
 
     private static byte[] text(Object value) {
         return value.toString().getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/ochretiller/fleet/epochs/VoterTest.java
+++ b/src/test/java/ochretiller/fleet/epochs/VoterTest.java
@@ -12,7 +12,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Voters that agree, with messages in any order, lost, doubled, and voters that come back with or without their disks. */
+/**
+ * Voters that agree, with messages in any order, lost, doubled, and voters that come back with or
+ * without their disks.
+ */
 class VoterTest {
     private static final Set<String> NAMES = Set.of("a", "b", "c");
     private final Map<String, Voter> voters = new TreeMap<>();
@@ -23,13 +26,17 @@
     }
 
     private void all() {
-        for (String name : NAMES) voters.put(name, new Voter(name, NAMES, null, 3, true, 0));
+        for (String name : NAMES) {
+            voters.put(name, new Voter(name, NAMES, null, 3, true, 0));
+        }
     }
 
     private void collect(String from) {
         for (Voter.Out out : voters.get(from).outs()) {
             for (String to : NAMES) {
-                if (!to.equals(from) && out.to().map(to::equals).orElse(true)) underWay.add(new Object[] {from, to, out.message()});
+                if (!to.equals(from) && out.to().map(to::equals).orElse(true)) {
+                    underWay.add(new Object[] {from, to, out.message()});
+                }
             }
         }
     }
@@ -37,13 +44,17 @@
     private void deliver(int which) {
         Object[] sent = underWay.remove(which);
         String to = (String) sent[1];
-        if (voters.get(to) == null) return;
+        if (voters.get(to) == null) {
+            return;
+        }
         voters.get(to).received((String) sent[0], (EpochMessage) sent[2]);
         collect(to);
     }
 
     private void settle() {
-        while (!underWay.isEmpty()) deliver(0);
+        while (!underWay.isEmpty()) {
+            deliver(0);
+        }
     }
 
     @Test
@@ -54,7 +65,11 @@
             collect("a");
             settle();
         }
-        for (Voter each : voters.values()) assertThat(each.agreed().servers()).extracting(Layout.Server::name).containsExactly("x", "y");
+        for (Voter each : voters.values()) {
+            assertThat(each.agreed().servers())
+                    .extracting(Layout.Server::name)
+                    .containsExactly("x", "y");
+        }
         assertThat(voters.get("c").agreed().epoch()).isEqualTo(2);
     }
 
@@ -74,7 +89,9 @@
         voters.get("c").attempt(Layout.none(3).with(server("y")));
         collect("c");
         settle();
-        assertThat(voters.get("c").agreed().servers()).extracting(Layout.Server::name).containsExactly("x");
+        assertThat(voters.get("c").agreed().servers())
+                .extracting(Layout.Server::name)
+                .containsExactly("x");
     }
 
     @Test
@@ -107,20 +124,30 @@
     @Test
     void votersThatAllHaveNothingBeginTogether() {
         int instance = 0;
-        for (String name : NAMES) voters.put(name, new Voter(name, NAMES, null, 3, false, ++instance));
+        for (String name : NAMES) {
+            voters.put(name, new Voter(name, NAMES, null, 3, false, ++instance));
+        }
         voters.get("a").attempt(Layout.none(3).with(server("x")));
         collect("a");
         settle();
         assertThat(voters.get("b").agreed().epoch()).as("nobody votes before it knows").isZero();
         for (int round = 0; round < 4; round++) {
-            assertThat(voters.get("a").blank()).as("servers that know of an epoch have the time to say so").isTrue();
-            voters.get("a").received("x", new EpochMessage.Agreed(new Layout(7, List.of(server("x")), List.of(), 3)));
+            assertThat(voters.get("a").blank())
+                    .as("servers that know of an epoch have the time to say so")
+                    .isTrue();
+            voters.get("a")
+                    .received(
+                            "x",
+                            new EpochMessage.Agreed(
+                                    new Layout(7, List.of(server("x")), List.of(), 3)));
             voters.get("a").ask();
             collect("a");
             settle();
         }
         assertThat(voters.values()).noneMatch(Voter::blank);
-        assertThat(voters.get("a").agreed().epoch()).as("they go on from the last that anybody knew of").isEqualTo(7);
+        assertThat(voters.get("a").agreed().epoch())
+                .as("they go on from the last that anybody knew of")
+                .isEqualTo(7);
         voters.get("b").received("a", new EpochMessage.Fresh(Map.of("a", 1L, "b", 77L, "c", 3L)));
         Voter again = new Voter("b", NAMES, null, 3, false, 99);
         again.received("a", new EpochMessage.Fresh(Map.of("a", 1L, "b", 2L, "c", 3L)));
@@ -146,22 +173,42 @@
                     // One at a time: two that forget the same are a majority that has forgotten.
                     boolean someBlank = voters.values().stream().anyMatch(Voter::blank);
                     boolean lost = lostDisks == 0 && !someBlank && chance.nextInt(4) == 0;
-                    if (lost) lostDisks++;
-                    if (lost || !voter.blank()) voters.put(name, new Voter(name, NAMES, lost ? null : voter.promised(), 3, false, step));
+                    if (lost) {
+                        lostDisks++;
+                    }
+                    if (lost || !voter.blank()) {
+                        voters.put(
+                                name,
+                                new Voter(
+                                        name,
+                                        NAMES,
+                                        lost ? null : voter.promised(),
+                                        3,
+                                        false,
+                                        step));
+                    }
                 } else if (what == 2) {
                     voter.ask();
                 } else if (!underWay.isEmpty()) {
                     int which = chance.nextInt(underWay.size());
-                    if (chance.nextInt(6) == 0) underWay.remove(which);
-                    else if (chance.nextInt(8) == 0) underWay.add(underWay.get(which));
-                    else deliver(which);
+                    if (chance.nextInt(6) == 0) {
+                        underWay.remove(which);
+                    } else if (chance.nextInt(8) == 0) {
+                        underWay.add(underWay.get(which));
+                    } else {
+                        deliver(which);
+                    }
                 }
                 collect(name);
                 for (Voter each : voters.values()) {
                     Layout known = each.agreed();
-                    if (known.epoch() == 0) continue;
+                    if (known.epoch() == 0) {
+                        continue;
+                    }
                     Layout other = agreed.putIfAbsent(known.epoch(), known);
-                    assertThat(other == null || other.equals(known)).as("seed " + seed + ": " + other + " and " + known).isTrue();
+                    assertThat(other == null || other.equals(known))
+                            .as("seed " + seed + ": " + other + " and " + known)
+                            .isTrue();
                 }
             }
         }
@@ -170,16 +217,22 @@
     @Test
     void rendezvousMovesOnlyWhatItMust() {
         List<Layout.Server> servers = new ArrayList<>();
-        for (int i = 0; i < 12; i++) servers.add(new Layout.Server("s" + i, "z" + i % 3));
+        for (int i = 0; i < 12; i++) {
+            servers.add(new Layout.Server("s" + i, "z" + i % 3));
+        }
         Layout before = new Layout(1, servers, List.of(), 3);
         Layout after = before.without("s4");
         int moved = 0;
         for (int range = 0; range < Layout.RANGES; range++) {
             Set<String> zones = new HashSet<>();
-            for (String name : before.keepers(range)) zones.add("z" + Integer.parseInt(name.substring(1)) % 3);
+            for (String name : before.keepers(range)) {
+                zones.add("z" + Integer.parseInt(name.substring(1)) % 3);
+            }
             assertThat(zones).as("zones apart").hasSize(3);
             boolean same = before.keepers(range).equals(after.keepers(range));
-            if (!same) moved++;
+            if (!same) {
+                moved++;
+            }
             assertThat(same || before.keepers(range).contains("s4")).isTrue();
             assertThat(after.formerKeepers(range)).isEqualTo(before.keepers(range));
         }
@@ -189,28 +242,46 @@
     @Test
     void onlyWhatHasStoodForAWhileIsWishedFor() {
         Wish wish = new Wish(Duration.ofSeconds(2), Duration.ofSeconds(60), 3);
-        Layout now = new Layout(4, List.of(server("a"), server("b"), server("c"), server("d")), List.of(), 3);
-        List<Layout.Server> known = List.of(server("a"), server("b"), server("c"), server("d"), server("e"));
+        Layout now =
+                new Layout(
+                        4,
+                        List.of(server("a"), server("b"), server("c"), server("d")),
+                        List.of(),
+                        3);
+        List<Layout.Server> known =
+                List.of(server("a"), server("b"), server("c"), server("d"), server("e"));
         wish.seen(Map.of("a", true, "b", true, "c", true, "d", false, "e", true), Duration.ZERO);
         assertThat(wish.next(now, known, Duration.ofSeconds(1))).isEmpty();
-        assertThat(wish.next(now, known, Duration.ofSeconds(3))).as("nobody has said how far it is").isEmpty();
-        for (String each : List.of("a", "b", "c")) wish.told(each, new EpochMessage.Standing(4, 0));
+        assertThat(wish.next(now, known, Duration.ofSeconds(3)))
+                .as("nobody has said how far it is")
+                .isEmpty();
+        for (String each : List.of("a", "b", "c")) {
+            wish.told(each, new EpochMessage.Standing(4, 0));
+        }
         Layout more = wish.next(now, known, Duration.ofSeconds(4)).orElseThrow();
         assertThat(more.has("e")).as("who comes, before who leaves").isTrue();
         assertThat(wish.next(more, known, Duration.ofSeconds(5))).as("one at a time").isEmpty();
-        for (String each : List.of("a", "b", "c")) wish.told(each, new EpochMessage.Standing(5, 0));
+        for (String each : List.of("a", "b", "c")) {
+            wish.told(each, new EpochMessage.Standing(5, 0));
+        }
         wish.told("e", new EpochMessage.Standing(5, 17));
-        assertThat(wish.next(more, known, Duration.ofSeconds(10))).as("what moved is not whole").isEmpty();
+        assertThat(wish.next(more, known, Duration.ofSeconds(10)))
+                .as("what moved is not whole")
+                .isEmpty();
         wish.told("e", new EpochMessage.Standing(5, 0));
         assertThat(wish.next(more, known, Duration.ofSeconds(10)).orElseThrow().has("d")).isFalse();
         wish.told("e", new EpochMessage.Standing(5, 3));
-        assertThat(wish.next(more, known, Duration.ofSeconds(70))).as("behind the longest window nothing missing matters").isPresent();
+        assertThat(wish.next(more, known, Duration.ofSeconds(70)))
+                .as("behind the longest window nothing missing matters")
+                .isPresent();
         Wish alone = new Wish(Duration.ofSeconds(2), Duration.ofSeconds(60), 3);
         Layout three = new Layout(4, List.of(server("a"), server("b"), server("c")), List.of(), 3);
         alone.seen(Map.of("a", true, "b", false, "c", false), Duration.ZERO);
         alone.next(three, known, Duration.ZERO);
         alone.told("a", new EpochMessage.Standing(4, 0));
-        assertThat(alone.next(three, List.of(), Duration.ofSeconds(60))).as("they may have the only copies").isEmpty();
+        assertThat(alone.next(three, List.of(), Duration.ofSeconds(60)))
+                .as("they may have the only copies")
+                .isEmpty();
     }
 
     @Test
@@ -218,8 +289,12 @@
         Wish wish = new Wish(Duration.ofSeconds(2), Duration.ofSeconds(60), 3);
         List<Layout.Server> known = new ArrayList<>();
         Map<String, Boolean> view = new TreeMap<>();
-        for (int i = 0; i < 400; i++) known.add(new Layout.Server("m" + i, i < 340 ? "big" : "z" + i % 2));
-        for (Layout.Server each : known) view.put(each.name(), true);
+        for (int i = 0; i < 400; i++) {
+            known.add(new Layout.Server("m" + i, i < 340 ? "big" : "z" + i % 2));
+        }
+        for (Layout.Server each : known) {
+            view.put(each.name(), true);
+        }
         Duration time = Duration.ZERO;
         Layout layout = Layout.none(3);
         wish.seen(view, time);
@@ -227,20 +302,28 @@
             wish.next(layout, known, time); // it hears of the epoch
             time = time.plusSeconds(3);
             Layout next = wish.next(layout, known, time).orElse(null);
-            if (next == null) break;
+            if (next == null) {
+                break;
+            }
             layout = next;
-            for (Layout.Server each : layout.servers()) wish.told(each.name(), new EpochMessage.Standing(layout.epoch(), 0));
+            for (Layout.Server each : layout.servers()) {
+                wish.told(each.name(), new EpochMessage.Standing(layout.epoch(), 0));
+            }
         }
         assertThat(layout.servers()).hasSize(Layout.MOST);
-        assertThat(layout.servers().stream().filter(each -> each.zone().equals("big")).count()).isBetween(40L, 70L);
+        assertThat(layout.servers().stream().filter(each -> each.zone().equals("big")).count())
+                .isBetween(40L, 70L);
         String gone = layout.servers().get(0).name();
         view.put(gone, false);
         wish.seen(view, time);
         wish.next(layout, known, time);
         layout = wish.next(layout, known, time.plusSeconds(30)).orElseThrow();
         assertThat(layout.has(gone)).as("its place is another's").isFalse();
-        for (Layout.Server each : layout.servers()) wish.told(each.name(), new EpochMessage.Standing(layout.epoch(), 0));
+        for (Layout.Server each : layout.servers()) {
+            wish.told(each.name(), new EpochMessage.Standing(layout.epoch(), 0));
+        }
         wish.next(layout, known, time.plusSeconds(30));
-        assertThat(wish.next(layout, known, time.plusSeconds(40)).orElseThrow().servers()).hasSize(Layout.MOST);
+        assertThat(wish.next(layout, known, time.plusSeconds(40)).orElseThrow().servers())
+                .hasSize(Layout.MOST);
     }
 }
--- a/src/test/java/ochretiller/fleet/members/AcquaintancesTest.java
+++ b/src/test/java/ochretiller/fleet/members/AcquaintancesTest.java
@@ -12,7 +12,15 @@
     private static final Address SELF = new Address("10.0.0.1", 1);
 
     private static Seen seen(int number, String zone, State state) {
-        Member member = new Member(new MemberId("m" + number, number), new Address("10.0.0." + number, 1), zone, "b", null, 1, state);
+        Member member =
+                new Member(
+                        new MemberId("m" + number, number),
+                        new Address("10.0.0." + number, 1),
+                        zone,
+                        "b",
+                        null,
+                        1,
+                        state);
         return new Seen(member, Duration.ZERO, number == 1);
     }
 
@@ -23,7 +31,12 @@
     @Test
     void thoseThatAreThereAreKeptAndItselfIsNot() {
         Acquaintances all = new Acquaintances(SELF, List.of());
-        all.met(List.of(seen(1, "a", State.HERE), seen(2, "a", State.HERE), seen(3, "b", State.SILENT)), s(1));
+        all.met(
+                List.of(
+                        seen(1, "a", State.HERE),
+                        seen(2, "a", State.HERE),
+                        seen(3, "b", State.SILENT)),
+                s(1));
         assertThat(all.due(s(1))).containsExactly(new Address("10.0.0.2", 1));
         assertThat(all.due(s(60))).as("nothing has changed").isNull();
     }
@@ -42,11 +55,15 @@
     void aZoneOfManyLeavesPlacesToTheOthers() {
         Acquaintances all = new Acquaintances(SELF, List.of());
         List<Seen> view = new ArrayList<>();
-        for (int i = 2; i < 100; i++) view.add(seen(i, i < 90 ? "big" : "z" + i, State.HERE));
+        for (int i = 2; i < 100; i++) {
+            view.add(seen(i, i < 90 ? "big" : "z" + i, State.HERE));
+        }
         all.met(view, s(1));
         List<Address> kept = all.due(s(1));
         assertThat(kept).hasSize(Acquaintances.MOST);
-        for (int i = 90; i < 100; i++) assertThat(kept).contains(new Address("10.0.0." + i, 1));
+        for (int i = 90; i < 100; i++) {
+            assertThat(kept).contains(new Address("10.0.0." + i, 1));
+        }
     }
 
     @Test
@@ -57,7 +74,9 @@
         for (int i = 2; i < 32; i++) {
             view.add(seen(i, "a", State.HERE));
             all.met(view, s(i));
-            if (all.due(s(i)) != null) kept++;
+            if (all.due(s(i)) != null) {
+                kept++;
+            }
         }
         assertThat(kept).isEqualTo(3);
     }
--- a/src/test/java/ochretiller/fleet/members/DigestGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/members/DigestGoldenTest.java
@@ -12,8 +12,14 @@
     private static final GoldenFile DIGESTS = new GoldenFile("member-digests");
 
     private static Member member(long start, long number, State state) {
-        return new Member(new MemberId("n" + start, start), new Address("10.0.0.1", 4200), "z",
-            "0.1", null, number, state);
+        return new Member(
+                new MemberId("n" + start, start),
+                new Address("10.0.0.1", 4200),
+                "z",
+                "0.1",
+                null,
+                number,
+                state);
     }
 
     private static byte[] bytes(Iterable<Long> numbers) {
--- a/src/test/java/ochretiller/fleet/members/MembersTest.java
+++ b/src/test/java/ochretiller/fleet/members/MembersTest.java
@@ -11,15 +11,30 @@
 class MembersTest {
     private static final Pace PACE = Pace.USUAL;
     private Duration now = Duration.ZERO;
-    private final Members members = new Members(member("a", 1, 1), List.of(new Address("10.0.0.2", 1)), PACE, new SplittableRandom(1), now);
+    private final Members members =
+            new Members(
+                    member("a", 1, 1),
+                    List.of(new Address("10.0.0.2", 1)),
+                    PACE,
+                    new SplittableRandom(1),
+                    now);
 
     private static Member member(String name, long start, long number) {
-        return new Member(new MemberId(name, start), new Address("10.0.0." + start, 1), "z", "b", null, number, State.HERE);
+        return new Member(
+                new MemberId(name, start),
+                new Address("10.0.0." + start, 1),
+                "z",
+                "b",
+                null,
+                number,
+                State.HERE);
     }
 
     /** Ticks until the span is over; what is sent meanwhile is lost. */
     private void pass(Duration span) {
-        for (Duration until = now.plus(span); now.compareTo(until) < 0;) tick();
+        for (Duration until = now.plus(span); now.compareTo(until) < 0; ) {
+            tick();
+        }
     }
 
     private List<Send> tick() {
@@ -41,7 +56,9 @@
         hear(peer, ping());
         for (int i = 0; i < 40; i++) {
             for (Send send : tick()) {
-                if (send.to().equals(peer.address()) && send.packet().message() instanceof Message.Ping asked && asked.target() == peer.start()) {
+                if (send.to().equals(peer.address())
+                        && send.packet().message() instanceof Message.Ping asked
+                        && asked.target() == peer.start()) {
                     hear(peer, new Message.Ack(asked.nonce(), Message.News.NONE, 0));
                     members.sends();
                     return;
@@ -52,7 +69,12 @@
     }
 
     private State state(long start) {
-        return members.view().stream().filter(seen -> seen.member().start() == start).findFirst().orElseThrow().member().state();
+        return members.view().stream()
+                .filter(seen -> seen.member().start() == start)
+                .findFirst()
+                .orElseThrow()
+                .member()
+                .state();
     }
 
     @Test
@@ -66,7 +88,9 @@
     @Test
     void aMemberThatAnswersNobodyIsSuspectThenSilent() {
         add(member("b", 2, 1));
-        for (int i = 0; i < 40 && state(2) == State.HERE; i++) tick();
+        for (int i = 0; i < 40 && state(2) == State.HERE; i++) {
+            tick();
+        }
         assertThat(state(2)).isEqualTo(State.SUSPECT);
         pass(Duration.ofSeconds(20));
         assertThat(state(2)).isEqualTo(State.SILENT);
@@ -110,7 +134,9 @@
         pass(Duration.ofSeconds(30));
         assertThat(state(2)).isEqualTo(State.SILENT);
         hear(member("b", 2, 5), ping());
-        assertThat(state(2)).as("what it can send need not mean that it can hear").isEqualTo(State.SILENT);
+        assertThat(state(2))
+                .as("what it can send need not mean that it can hear")
+                .isEqualTo(State.SILENT);
         add(member("b", 2, 5));
         assertThat(state(2)).isEqualTo(State.HERE);
     }
@@ -128,7 +154,9 @@
         now = now.plusSeconds(60);
         members.tick(now);
         assertThat(state(2)).isEqualTo(State.HERE);
-        for (int i = 0; i < 3; i++) tick();
+        for (int i = 0; i < 3; i++) {
+            tick();
+        }
         assertThat(state(2)).as("nobody had the chance to answer").isEqualTo(State.HERE);
         assertThat(members.doubt()).isPositive();
     }
@@ -138,7 +166,9 @@
         add(member("b", 2, 1));
         add(member("c", 3, 1));
         members.leave(now);
-        assertThat(members.sends()).extracting(send -> send.to().host()).contains("10.0.0.2", "10.0.0.3");
+        assertThat(members.sends())
+                .extracting(send -> send.to().host())
+                .contains("10.0.0.2", "10.0.0.3");
         Member gone = member("b", 2, 1).as(State.LEFT, 2);
         hear(gone, new Message.States(List.of(gone.entry(0))));
         hear(member("c", 3, 1), ping(new Entry(2, 9, State.HERE, 0)));
@@ -148,7 +178,15 @@
     @Test
     void aPredecessorAtItsOwnAddressIsKnownToBeGone() {
         add(member("b", 2, 1));
-        Member old = new Member(new MemberId("a", 77), new Address("10.0.0.1", 1), "z", "b", null, 4, State.HERE);
+        Member old =
+                new Member(
+                        new MemberId("a", 77),
+                        new Address("10.0.0.1", 1),
+                        "z",
+                        "b",
+                        null,
+                        4,
+                        State.HERE);
         hear(member("b", 2, 1), new Message.Full(List.of(old)));
         assertThat(state(77)).isEqualTo(State.SILENT);
     }
@@ -157,7 +195,8 @@
     void anAnswerByAnotherStartTakesTheOldOneAway() {
         Member old = member("b", 2, 1);
         add(old);
-        Member fresh = new Member(new MemberId("d", 22), old.address(), "z", "b", null, 1, State.HERE);
+        Member fresh =
+                new Member(new MemberId("d", 22), old.address(), "z", "b", null, 1, State.HERE);
         add(fresh);
         assertThat(state(2)).isEqualTo(State.SILENT);
         assertThat(state(22)).isEqualTo(State.HERE);
@@ -165,18 +204,36 @@
 
     @Test
     void aTwinIsToldOnce() {
-        Member twin = new Member(new MemberId("a", 50), new Address("10.0.0.50", 1), "z", "b", null, 1, State.HERE);
+        Member twin =
+                new Member(
+                        new MemberId("a", 50),
+                        new Address("10.0.0.50", 1),
+                        "z",
+                        "b",
+                        null,
+                        1,
+                        State.HERE);
         hear(twin, ping());
         hear(twin, ping());
-        assertThat(members.changes()).filteredOn(change -> change.kind() == Change.Kind.TWIN).hasSize(1);
+        assertThat(members.changes())
+                .filteredOn(change -> change.kind() == Change.Kind.TWIN)
+                .hasSize(1);
     }
 
     @Test
     void membersThatAreGoneAreForgotten() {
-        Members short1 = new Members(member("a", 1, 1), List.of(), new Pace(PACE.probe(), Duration.ofSeconds(5), 10), new SplittableRandom(1), now);
+        Members short1 =
+                new Members(
+                        member("a", 1, 1),
+                        List.of(),
+                        new Pace(PACE.probe(), Duration.ofSeconds(5), 10),
+                        new SplittableRandom(1),
+                        now);
         assertThat(short1.view()).hasSize(1);
         Table table = new Table();
-        for (int i = 2; i < 30; i++) table.add(member("g" + i, i, 1).as(State.SILENT, 1), Duration.ZERO);
+        for (int i = 2; i < 30; i++) {
+            table.add(member("g" + i, i, 1).as(State.SILENT, 1), Duration.ZERO);
+        }
         assertThat(table.gone()).hasSize(28);
         assertThat(table.dropOldestGone()).isTrue();
         assertThat(table.get(2)).isNull();
@@ -186,8 +243,12 @@
     void digestsAreEqualWhateverTheOrder() {
         Table one = new Table();
         Table other = new Table();
-        for (int i = 2; i < 9; i++) one.add(member("m" + i, i, i), Duration.ZERO);
-        for (int i = 8; i > 1; i--) other.add(member("m" + i, i, i), Duration.ZERO);
+        for (int i = 2; i < 9; i++) {
+            one.add(member("m" + i, i, i), Duration.ZERO);
+        }
+        for (int i = 8; i > 1; i--) {
+            other.add(member("m" + i, i, i), Duration.ZERO);
+        }
         Member self = member("a", 1, 1);
         assertThat(one.digest(self)).isEqualTo(other.digest(self));
         Known known = one.get(5);
@@ -202,7 +263,10 @@
         assertThat(PACE.suspicion(24, 4)).isEqualTo(PACE.shortest(24));
         assertThat(PACE.suspicion(24, 1)).isEqualTo(PACE.shortest(24).multipliedBy(3));
         assertThat(PACE.suspicion(24, 2)).isBetween(PACE.suspicion(24, 3), PACE.suspicion(24, 1));
-        assertThat(PACE.shortest(1000)).isBetween(PACE.shortest(24).multipliedBy(2), PACE.shortest(24).multipliedBy(3));
-        assertThat(PACE.shortest(3)).as("a pause is as long in a small fleet").isEqualTo(PACE.shortest(24));
+        assertThat(PACE.shortest(1000))
+                .isBetween(PACE.shortest(24).multipliedBy(2), PACE.shortest(24).multipliedBy(3));
+        assertThat(PACE.shortest(3))
+                .as("a pause is as long in a small fleet")
+                .isEqualTo(PACE.shortest(24));
     }
 }
--- a/src/test/java/ochretiller/fleet/peers/CodecTest.java
+++ b/src/test/java/ochretiller/fleet/peers/CodecTest.java
@@ -27,30 +27,54 @@
 import ochretiller.fleet.members.Message;
 import ochretiller.fleet.members.Packet;
 import ochretiller.fleet.members.State;
-import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
 import ochretiller.fleet.versions.Counts;
 import ochretiller.fleet.versions.Report;
 import ochretiller.fleet.versions.VersionMessage;
+import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
 import org.junit.jupiter.api.Test;
 
 /** The envelope: what goes in comes out, and nothing else is taken. */
 class CodecTest {
     private static final String KEY = "a key that is long enough";
     private final Codec codec = new Codec("parts", FleetKeys.of(KEY));
-    private final Member from = new Member(new MemberId("n1", -5), new Address("10.0.0.1", 4200), "z1", "0.1", new Address("10.0.0.1", 4100), 3,
-        State.HERE);
-    private final Message.News news = new Message.News(List.of(new Entry(-9, 4, State.SUSPECT, 8), new Entry(7, 1, State.LEFT, 0)),
-        List.of(new Member(new MemberId("n2", 6), new Address("10.0.0.2", 4200), "", "", null, 0, State.JOINING)));
+    private final Member from =
+            new Member(
+                    new MemberId("n1", -5),
+                    new Address("10.0.0.1", 4200),
+                    "z1",
+                    "0.1",
+                    new Address("10.0.0.1", 4100),
+                    3,
+                    State.HERE);
+    private final Message.News news =
+            new Message.News(
+                    List.of(new Entry(-9, 4, State.SUSPECT, 8), new Entry(7, 1, State.LEFT, 0)),
+                    List.of(
+                            new Member(
+                                    new MemberId("n2", 6),
+                                    new Address("10.0.0.2", 4200),
+                                    "",
+                                    "",
+                                    null,
+                                    0,
+                                    State.JOINING)));
 
     private List<Message> all() {
-        return List.of(new Message.Ping(1, -2, news, Long.MIN_VALUE), new Message.Ack(Long.MAX_VALUE, news, 5),
-            new Message.Ask(3, 4, new Address("10.0.0.9", 65535)), new Message.Reached(9, new Entry(1, 2, State.HERE, 0)),
-            new Message.Sync(List.of(1L, -1L, 0L), true), new Message.States(news.entries()), new Message.Want(List.of(4L, 5L)),
-            new Message.Full(news.full()));
+        return List.of(
+                new Message.Ping(1, -2, news, Long.MIN_VALUE),
+                new Message.Ack(Long.MAX_VALUE, news, 5),
+                new Message.Ask(3, 4, new Address("10.0.0.9", 65535)),
+                new Message.Reached(9, new Entry(1, 2, State.HERE, 0)),
+                new Message.Sync(List.of(1L, -1L, 0L), true),
+                new Message.States(news.entries()),
+                new Message.Want(List.of(4L, 5L)),
+                new Message.Full(news.full()));
     }
 
     private static void refused(ThrowingCallable call, Refused why) {
-        assertThatThrownBy(call).isInstanceOfSatisfying(RefusedException.class, e -> assertThat(e.why()).isEqualTo(why));
+        assertThatThrownBy(call)
+                .isInstanceOfSatisfying(
+                        RefusedException.class, e -> assertThat(e.why()).isEqualTo(why));
     }
 
     @Test
@@ -66,25 +90,118 @@
     private static List<Object> aboutCopies() {
         ClaimId id = new ClaimId("s", -7, 3);
         Outcome outcome = new Outcome(true, "body", "caf\u00e9");
-        Layout layout = new Layout(4, List.of(new Layout.Server("a", "1"), new Layout.Server("b", "")), List.of(new Layout.Server("a", "1")), 3);
+        Layout layout =
+                new Layout(
+                        4,
+                        List.of(new Layout.Server("a", "1"), new Layout.Server("b", "")),
+                        List.of(new Layout.Server("a", "1")),
+                        3);
         Ballot ballot = new Ballot(2, "a");
-        ochretiller.fleet.copies.Entry entry = new ochretiller.fleet.copies.Entry(Map.of(id, "body"), Set.of(new ClaimId("t", 1, 1)), Map.of(id, outcome), Duration.ZERO);
-        List<CopyMessage.Item> items = List.of(new CopyMessage.Item("x", entry, Duration.ofMillis(5)), new CopyMessage.Item("y", entry, Duration.ofMillis(6)));
-        return List.of(new EpochMessage.Prepare(1, ballot), new EpochMessage.Promise(1, ballot, Ballot.NONE, null), new EpochMessage.Promise(1, ballot, ballot, layout),
-            new EpochMessage.Accept(1, ballot, layout), new EpochMessage.Accepted(1, ballot), new EpochMessage.Refused(1, ballot, ballot),
-            new EpochMessage.Agreed(layout), new EpochMessage.WhatIsOpen(9), new EpochMessage.Open(9, 8, layout), new EpochMessage.Blank(1, -2),
-            new EpochMessage.Fresh(Map.of("a", 1L, "b", -2L)), new EpochMessage.Standing(4, 17), new CopyMessage.Claim(4, "x", id, "body", Duration.ofMillis(7)), new CopyMessage.Look(4, "x", id),
-            new CopyMessage.Answer(4, "x", id, CopyMessage.Word.HELD, Optional.of(id), Optional.empty(), 17),
-            new CopyMessage.Answer(4, "x", id, CopyMessage.Word.DONE, Optional.empty(), Optional.of(outcome), -1),
-            new CopyMessage.Ended(4, "x", id, Outcome.apart("body", "r".repeat(9_000)), Duration.ofMillis(7), Map.of("a", 5L)), new CopyMessage.Kept(4, "x", id, 8), new CopyMessage.Release("x", id, Duration.ofMillis(7)),
-            new CopyMessage.Whether("x", id), new CopyMessage.Fetch(4, 255, 3, CopyMessage.Order.NEWEST, new CopyMessage.Place(Long.MAX_VALUE, ""), null, List.of(7L, -7L), layout),
-            new CopyMessage.Fetch(4, 255, 3, CopyMessage.Order.TOKEN, new CopyMessage.Place(-5, "x"), Sketch.of(new byte[42]), List.of(), null),
-            new CopyMessage.Page(4, 0, 3, items, new CopyMessage.Place(7, "y"), true, false, true, List.of(5L), 12, -3), new CopyMessage.Compare(4, 7, -9, 3, true),
-            new CopyMessage.Recollect(3), new CopyMessage.Recollected(3, 9), new CopyMessage.Want("x", id, 3_072),
-            new CopyMessage.Piece("x", id, 3_072, "caf\u00e9"), new VersionMessage.Tell(7, new Report(2, "a".repeat(64), 3, "why", 3, new Counts(9, 1, 2, 3, 4.5, 9), Counts.NONE), 5, "d".repeat(64)),
-            new VersionMessage.Renewed(7, true), new VersionMessage.WantBytes("b".repeat(64), 4_096), new VersionMessage.Bytes("b".repeat(64), 4_096, new byte[] {1, 2}),
-            new VersionMessage.Offer("b".repeat(64), 9), new VersionMessage.Have("b".repeat(64)), new EpochMessage.Agreed(layout.with(new Rollout(
-                new Rollout.Version(2, "c".repeat(64), 10, "1.2", "ann", "why"), Rollout.Version.NONE, 1, Rollout.State.PAUSED))));
+        ochretiller.fleet.copies.Entry entry =
+                new ochretiller.fleet.copies.Entry(
+                        Map.of(id, "body"),
+                        Set.of(new ClaimId("t", 1, 1)),
+                        Map.of(id, outcome),
+                        Duration.ZERO);
+        List<CopyMessage.Item> items =
+                List.of(
+                        new CopyMessage.Item("x", entry, Duration.ofMillis(5)),
+                        new CopyMessage.Item("y", entry, Duration.ofMillis(6)));
+        return List.of(
+                new EpochMessage.Prepare(1, ballot),
+                new EpochMessage.Promise(1, ballot, Ballot.NONE, null),
+                new EpochMessage.Promise(1, ballot, ballot, layout),
+                new EpochMessage.Accept(1, ballot, layout),
+                new EpochMessage.Accepted(1, ballot),
+                new EpochMessage.Refused(1, ballot, ballot),
+                new EpochMessage.Agreed(layout),
+                new EpochMessage.WhatIsOpen(9),
+                new EpochMessage.Open(9, 8, layout),
+                new EpochMessage.Blank(1, -2),
+                new EpochMessage.Fresh(Map.of("a", 1L, "b", -2L)),
+                new EpochMessage.Standing(4, 17),
+                new CopyMessage.Claim(4, "x", id, "body", Duration.ofMillis(7)),
+                new CopyMessage.Look(4, "x", id),
+                new CopyMessage.Answer(
+                        4, "x", id, CopyMessage.Word.HELD, Optional.of(id), Optional.empty(), 17),
+                new CopyMessage.Answer(
+                        4,
+                        "x",
+                        id,
+                        CopyMessage.Word.DONE,
+                        Optional.empty(),
+                        Optional.of(outcome),
+                        -1),
+                new CopyMessage.Ended(
+                        4,
+                        "x",
+                        id,
+                        Outcome.apart("body", "r".repeat(9_000)),
+                        Duration.ofMillis(7),
+                        Map.of("a", 5L)),
+                new CopyMessage.Kept(4, "x", id, 8),
+                new CopyMessage.Release("x", id, Duration.ofMillis(7)),
+                new CopyMessage.Whether("x", id),
+                new CopyMessage.Fetch(
+                        4,
+                        255,
+                        3,
+                        CopyMessage.Order.NEWEST,
+                        new CopyMessage.Place(Long.MAX_VALUE, ""),
+                        null,
+                        List.of(7L, -7L),
+                        layout),
+                new CopyMessage.Fetch(
+                        4,
+                        255,
+                        3,
+                        CopyMessage.Order.TOKEN,
+                        new CopyMessage.Place(-5, "x"),
+                        Sketch.of(new byte[42]),
+                        List.of(),
+                        null),
+                new CopyMessage.Page(
+                        4,
+                        0,
+                        3,
+                        items,
+                        new CopyMessage.Place(7, "y"),
+                        true,
+                        false,
+                        true,
+                        List.of(5L),
+                        12,
+                        -3),
+                new CopyMessage.Compare(4, 7, -9, 3, true),
+                new CopyMessage.Recollect(3),
+                new CopyMessage.Recollected(3, 9),
+                new CopyMessage.Want("x", id, 3_072),
+                new CopyMessage.Piece("x", id, 3_072, "caf\u00e9"),
+                new VersionMessage.Tell(
+                        7,
+                        new Report(
+                                2,
+                                "a".repeat(64),
+                                3,
+                                "why",
+                                3,
+                                new Counts(9, 1, 2, 3, 4.5, 9),
+                                Counts.NONE),
+                        5,
+                        "d".repeat(64)),
+                new VersionMessage.Renewed(7, true),
+                new VersionMessage.WantBytes("b".repeat(64), 4_096),
+                new VersionMessage.Bytes("b".repeat(64), 4_096, new byte[] {1, 2}),
+                new VersionMessage.Offer("b".repeat(64), 9),
+                new VersionMessage.Have("b".repeat(64)),
+                new EpochMessage.Agreed(
+                        layout.with(
+                                new Rollout(
+                                        new Rollout.Version(
+                                                2, "c".repeat(64), 10, "1.2", "ann", "why"),
+                                        Rollout.Version.NONE,
+                                        1,
+                                        Rollout.State.PAUSED))));
     }
 
     @Test
@@ -109,22 +226,42 @@
     void theLargestLayoutThatIsWishedForGoesInOnePacket() throws RefusedException {
         for (int length : new int[] {1, 6, 30, 64}) {
             Layout layout = Layout.none(3);
-            for (int i = 0; i < 1_000 && layout.with(longest(i, length)).fits(); i++) layout = layout.with(longest(i, length));
+            for (int i = 0; i < 1_000 && layout.with(longest(i, length)).fits(); i++) {
+                layout = layout.with(longest(i, length));
+            }
             assertThat(layout.servers().size()).isGreaterThan(15).isLessThanOrEqualTo(Layout.MOST);
-            byte[] bytes = codec.seal(from, new CopyMessage.Fetch(layout.epoch(), 255, Long.MAX_VALUE, CopyMessage.Order.TOKEN, new CopyMessage.Place(-5, "x".repeat(200)),
-                Sketch.of(new byte[24 * 14]), List.of(), layout), Long.MAX_VALUE);
+            byte[] bytes =
+                    codec.seal(
+                            from,
+                            new CopyMessage.Fetch(
+                                    layout.epoch(),
+                                    255,
+                                    Long.MAX_VALUE,
+                                    CopyMessage.Order.TOKEN,
+                                    new CopyMessage.Place(-5, "x".repeat(200)),
+                                    Sketch.of(new byte[24 * 14]),
+                                    List.of(),
+                                    layout),
+                            Long.MAX_VALUE);
             assertThat(codec.open(bytes, bytes.length).body()).isNotNull();
         }
     }
 
     private static Layout.Server longest(int number, int length) {
-        return new Layout.Server(number + "n".repeat(Math.max(0, length - 3)), "z" + "z".repeat(Math.max(0, length - 2)) + number % 3);
+        return new Layout.Server(
+                number + "n".repeat(Math.max(0, length - 3)),
+                "z" + "z".repeat(Math.max(0, length - 2)) + number % 3);
     }
 
     @Test
     void aTokenThatNoKeyHasRoomForIsRefused() {
-        byte[] bytes = codec.seal(from, new CopyMessage.Look(1, "\u20ac".repeat(90), new ClaimId("s", 1, 1)), 5);
-        assertThatThrownBy(() -> codec.open(bytes, bytes.length)).isInstanceOf(RefusedException.class);
+        byte[] bytes =
+                codec.seal(
+                        from,
+                        new CopyMessage.Look(1, "\u20ac".repeat(90), new ClaimId("s", 1, 1)),
+                        5);
+        assertThatThrownBy(() -> codec.open(bytes, bytes.length))
+                .isInstanceOf(RefusedException.class);
     }
 
     @Test
@@ -133,19 +270,24 @@
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 0x41;
-            assertThatThrownBy(() -> codec.open(bad, bad.length)).isInstanceOf(RefusedException.class);
+            assertThatThrownBy(() -> codec.open(bad, bad.length))
+                    .isInstanceOf(RefusedException.class);
         }
         for (int length = 0; length < good.length; length++) {
             int cut = length;
-            assertThatThrownBy(() -> codec.open(Arrays.copyOf(good, cut), cut)).isInstanceOf(RefusedException.class);
+            assertThatThrownBy(() -> codec.open(Arrays.copyOf(good, cut), cut))
+                    .isInstanceOf(RefusedException.class);
         }
     }
 
     @Test
     void anotherKeyOrFleetIsNamed() {
-        byte[] other = new Codec("parts", FleetKeys.of("a key of somebody else's")).seal(new Packet(from, all().get(0)), 1);
+        byte[] other =
+                new Codec("parts", FleetKeys.of("a key of somebody else's"))
+                        .seal(new Packet(from, all().get(0)), 1);
         refused(() -> codec.open(other, other.length), Refused.FORGED);
-        byte[] fleet = new Codec("orders", FleetKeys.of(KEY)).seal(new Packet(from, all().get(0)), 1);
+        byte[] fleet =
+                new Codec("orders", FleetKeys.of(KEY)).seal(new Packet(from, all().get(0)), 1);
         refused(() -> codec.open(fleet, fleet.length), Refused.OTHER_FLEET);
     }
 
@@ -179,12 +321,15 @@
     void noBytesHoweverSealedDoHarm() {
         SplittableRandom chance = new SplittableRandom(3);
         List<byte[]> good = new ArrayList<>();
-        for (Message message : all()) good.add(codec.seal(new Packet(from, message), 1));
+        for (Message message : all()) {
+            good.add(codec.seal(new Packet(from, message), 1));
+        }
         int taken = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = good.get(i % good.size()).clone();
             for (int hits = 1 + chance.nextInt(3); hits > 0; hits--) {
-                bytes[6 + chance.nextInt(bytes.length - 6 - FleetKeys.SEAL)] = (byte) chance.nextInt();
+                bytes[6 + chance.nextInt(bytes.length - 6 - FleetKeys.SEAL)] =
+                        (byte) chance.nextInt();
             }
             sealed(bytes);
             try {
@@ -201,10 +346,16 @@
     void aPacketIsTakenOnceInAnyOrder() {
         Window window = new Window();
         List<Long> order = new ArrayList<>();
-        for (long i = 1; i <= 500; i++) order.add(i);
+        for (long i = 1; i <= 500; i++) {
+            order.add(i);
+        }
         java.util.Collections.shuffle(order, new java.util.Random(1));
-        for (long i : order) assertThat(window.take(5, i)).isTrue();
-        for (long i : order) assertThat(window.take(5, i)).isFalse();
+        for (long i : order) {
+            assertThat(window.take(5, i)).isTrue();
+        }
+        for (long i : order) {
+            assertThat(window.take(5, i)).isFalse();
+        }
         assertThat(window.take(6, 3)).as("another start").isTrue();
         assertThat(window.take(5, 100_000)).isTrue();
         assertThat(window.take(5, 501)).as("too far behind").isFalse();
@@ -216,7 +367,11 @@
         PeerBudget budget = new PeerBudget(0);
         InetSocketAddress loud = new InetSocketAddress("127.0.0.1", 1);
         int taken = 0;
-        for (int i = 0; i < 10_000; i++) if (budget.take(loud, 100, 1_000_000)) taken++;
+        for (int i = 0; i < 10_000; i++) {
+            if (budget.take(loud, 100, 1_000_000)) {
+                taken++;
+            }
+        }
         assertThat(taken).isBetween(1_800, 2_100);
         assertThat(budget.take(new InetSocketAddress("127.0.0.1", 2), 100, 1_000_000)).isTrue();
     }
--- a/src/test/java/ochretiller/fleet/peers/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/peers/FleetFilesGoldenTest.java
@@ -31,27 +31,34 @@
     private static final GoldenFile PEERS = new GoldenFile("peers-files");
     private static final GoldenFile VERSIONS = new GoldenFile("version-files");
     private static final byte[] BYTES = "what to act on".getBytes(StandardCharsets.UTF_8);
+
     /** SHA-256 of {@link #BYTES}. */
     private static final String HASH = Versions.hash(BYTES);
+
     private static final Rollout.Version VERSION =
-        new Rollout.Version(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
+            new Rollout.Version(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static Layout layout(long epoch) {
-        return new Layout(epoch, List.of(new Layout.Server("a", "z1"), new Layout.Server("b", "")),
-            List.of(new Layout.Server("b", "")), 2,
-            new Rollout(VERSION, Rollout.Version.NONE, 2, Rollout.State.HALTED));
+        return new Layout(
+                epoch,
+                List.of(new Layout.Server("a", "z1"), new Layout.Server("b", "")),
+                List.of(new Layout.Server("b", "")),
+                2,
+                new Rollout(VERSION, Rollout.Version.NONE, 2, Rollout.State.HALTED));
     }
 
     private static Map<String, Voter.Promised> promises() {
         Map<String, Voter.Promised> all = new LinkedHashMap<>();
         all.put("nothing", Voter.Promised.none(3));
-        all.put("promised",
-            new Voter.Promised(layout(4), new Ballot(7, "b"), Ballot.NONE, null, 9));
-        all.put("accepted",
-            new Voter.Promised(layout(4), new Ballot(7, "b"), new Ballot(6, "a"), layout(5), 0));
+        all.put(
+                "promised",
+                new Voter.Promised(layout(4), new Ballot(7, "b"), Ballot.NONE, null, 9));
+        all.put(
+                "accepted",
+                new Voter.Promised(
+                        layout(4), new Ballot(7, "b"), new Ballot(6, "a"), layout(5), 0));
         return all;
     }
 
@@ -129,10 +136,25 @@
     }
 
     private Versions versions(Recorder recorder) {
-        VersionSettings settings = new VersionSettings(folder, Duration.ofSeconds(5),
-            Duration.ofSeconds(5), Duration.ofSeconds(5), Duration.ofSeconds(5), true);
-        return new Versions(new HandLoop(), settings, "a", "1.2", List.of("a", "b", "c"),
-            new SplittableRandom(1), new Metrics(), (to, message) -> { }, List::of, recorder);
+        VersionSettings settings =
+                new VersionSettings(
+                        folder,
+                        Duration.ofSeconds(5),
+                        Duration.ofSeconds(5),
+                        Duration.ofSeconds(5),
+                        Duration.ofSeconds(5),
+                        true);
+        return new Versions(
+                new HandLoop(),
+                settings,
+                "a",
+                "1.2",
+                List.of("a", "b", "c"),
+                new SplittableRandom(1),
+                new Metrics(),
+                (to, message) -> {},
+                List::of,
+                recorder);
     }
 
     @Test
@@ -141,8 +163,13 @@
         versions.publish("ann", "caf\u00e9", "1.2", BYTES);
         Map<String, byte[]> written = new LinkedHashMap<>();
         written.put(HASH + ".version", awaited(folder.resolve(HASH + ".version")));
-        versions.become(new Layout(1, List.of(new Layout.Server("a", "")), List.of(), 1,
-            new Rollout(VERSION, VERSION, 0, Rollout.State.DONE)));
+        versions.become(
+                new Layout(
+                        1,
+                        List.of(new Layout.Server("a", "")),
+                        List.of(),
+                        1,
+                        new Rollout(VERSION, VERSION, 0, Rollout.State.DONE)));
         written.put("acting", awaited(folder.resolve("acting")));
         VERSIONS.assertHolds(written);
         versions.close();
--- a/src/test/java/ochretiller/fleet/peers/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/peers/KeeperGoldenTest.java
@@ -43,22 +43,31 @@
     private static final ClaimId ID = new ClaimId("s", -7, 3);
     private static final byte[] RESULT = {1, 2, 3, -4};
     private static final KeeperDisk.Place PLACE =
-        new KeeperDisk.Place(new TreeMap<>(Map.of("b", 5L, "c", 6L)), List.of(-8L, 9L));
-    private static final Layout LAYOUT = new Layout(4, List.of(new Layout.Server("a", "z1"),
-        new Layout.Server("b", "z2")), List.of(new Layout.Server("b", "z2")), 2);
+            new KeeperDisk.Place(new TreeMap<>(Map.of("b", 5L, "c", 6L)), List.of(-8L, 9L));
+    private static final Layout LAYOUT =
+            new Layout(
+                    4,
+                    List.of(new Layout.Server("a", "z1"), new Layout.Server("b", "z2")),
+                    List.of(new Layout.Server("b", "z2")),
+                    2);
 
     private final ForgetfulDisk disk = new ForgetfulDisk();
 
     private Store open() throws IOException {
-        return Store.open(disk, Limits.of(100, 1 << 20, LONGEST),
-            new Boot(new UUID(1, 2), () -> 5_000), Runnable::run);
+        return Store.open(
+                disk,
+                Limits.of(100, 1 << 20, LONGEST),
+                new Boot(new UUID(1, 2), () -> 5_000),
+                Runnable::run);
     }
 
     private static Entry entry() {
         ClaimId other = new ClaimId("t", 8, 1);
-        return new Entry(new TreeMap<>(Map.of(ID, "body", other, "b")),
-            Set.of(new ClaimId("u", 1, 2)),
-            new TreeMap<>(Map.of(ID, new Outcome(true, "body", "caf\u00e9"))), NOW.plus(LEFT));
+        return new Entry(
+                new TreeMap<>(Map.of(ID, "body", other, "b")),
+                Set.of(new ClaimId("u", 1, 2)),
+                new TreeMap<>(Map.of(ID, new Outcome(true, "body", "caf\u00e9"))),
+                NOW.plus(LEFT));
     }
 
     private static Keeper.Disk before(Set<Integer> forgot) {
@@ -110,8 +119,13 @@
 
     private void put(Store store, String name, Duration lives) throws Exception {
         CompletableFuture<Ack> acked = new CompletableFuture<>();
-        store.put(RECORDS.bytes(name + "-key"), new byte[0], RECORDS.bytes(name + "-value"),
-            store.now() + lives.toMillis(), false, acked::complete);
+        store.put(
+                RECORDS.bytes(name + "-key"),
+                new byte[0],
+                RECORDS.bytes(name + "-value"),
+                store.now() + lives.toMillis(),
+                false,
+                acked::complete);
         assertThat(acked.get(10, TimeUnit.SECONDS)).isEqualTo(Ack.DURABLE);
     }
 
@@ -125,8 +139,15 @@
         Map<String, Entry> entries = Map.of(TOKEN, entry());
         try (Store store = open()) {
             KeeperDisk keeperDisk = new KeeperDisk(store, LONGEST);
-            assertThat(keeperDisk.read(NOW)).isEqualTo(new KeeperDisk.Found(new Keeper.Disk(LAYOUT,
-                entries, Set.of(3), forgot, Set.of(7), 42, true), entries, 42, PLACE));
+            assertThat(keeperDisk.read(NOW))
+                    .isEqualTo(
+                            new KeeperDisk.Found(
+                                    new Keeper.Disk(
+                                            LAYOUT, entries, Set.of(3), forgot, Set.of(7), 42,
+                                            true),
+                                    entries,
+                                    42,
+                                    PLACE));
             store.start();
             CompletableFuture<byte[]> result = new CompletableFuture<>();
             keeperDisk.result(TOKEN, ID, result::complete);
@@ -156,15 +177,20 @@
         written(Set.of());
         Map<String, Long> expires = new TreeMap<>();
         Inspect.list(disk, item -> expires.put(KeeperDisk.about(item.key()), item.expires()));
-        assertThat(expires).isEqualTo(Map.of(
-            "this server's place in its fleet", LONGEST.toMillis() - 1,
-            "kept for the fleet: " + TOKEN, LEFT.toMillis(),
-            "a long result kept for the fleet: " + TOKEN + " " + ID, LEFT.toMillis()));
+        assertThat(expires)
+                .isEqualTo(
+                        Map.of(
+                                "this server's place in its fleet",
+                                LONGEST.toMillis() - 1,
+                                "kept for the fleet: " + TOKEN,
+                                LEFT.toMillis(),
+                                "a long result kept for the fleet: " + TOKEN + " " + ID,
+                                LEFT.toMillis()));
     }
 
     @Test
     void keysOfAKeeperAreNoText() {
         assertThat(new String(RECORDS.bytes("entry-key"), StandardCharsets.UTF_8))
-            .isEqualTo("\ufffd" + TOKEN);
+                .isEqualTo("\ufffd" + TOKEN);
     }
 }
--- a/src/test/java/ochretiller/fleet/peers/SealedFileTest.java
+++ b/src/test/java/ochretiller/fleet/peers/SealedFileTest.java
@@ -14,8 +14,7 @@
 
 /** Small files that are whole or told to be damaged, whatever became of their bytes. */
 class SealedFileTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @Test
     void eachCutAndEachSpoiltByteIsTold() throws IOException {
@@ -27,11 +26,15 @@
         byte[] whole = Files.readAllBytes(path);
         for (int i = 0; i < whole.length; i++) {
             Files.write(path, Arrays.copyOf(whole, i));
-            assertThatThrownBy(() -> file.read(Codec::text)).as("cut at " + i).isInstanceOf(SealedFile.DamagedException.class);
+            assertThatThrownBy(() -> file.read(Codec::text))
+                    .as("cut at " + i)
+                    .isInstanceOf(SealedFile.DamagedException.class);
             byte[] spoilt = whole.clone();
             spoilt[i] ^= 0x10;
             Files.write(path, spoilt);
-            assertThatThrownBy(() -> file.read(Codec::text)).as("spoilt at " + i).isInstanceOf(SealedFile.DamagedException.class);
+            assertThatThrownBy(() -> file.read(Codec::text))
+                    .as("spoilt at " + i)
+                    .isInstanceOf(SealedFile.DamagedException.class);
         }
     }
 
@@ -42,7 +45,9 @@
         assertThat(file.read()).isEmpty();
         List<Address> known = List.of(new Address("10.0.0.2", 4200), new Address("10.0.0.3", 4200));
         file.write(known);
-        for (int i = 0; i < 500 && !Files.exists(path); i++) Thread.sleep(10);
+        for (int i = 0; i < 500 && !Files.exists(path); i++) {
+            Thread.sleep(10);
+        }
         assertThat(file.read()).isEqualTo(known);
         Files.writeString(path, "not what was written");
         assertThat(file.read()).isEmpty();
--- a/src/test/java/ochretiller/fleet/peers/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/peers/WireGoldenTest.java
@@ -34,19 +34,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each message of the fleet as it is on the wire, seal and all, by {@code docs/fleet-wire.md}.
- * The names of the lines are the kind's number and the page's word for it.
+ * Each message of the fleet as it is on the wire, seal and all, by {@code docs/fleet-wire.md}. The
+ * names of the lines are the kind's number and the page's word for it.
  */
 class WireGoldenTest {
     private static final GoldenFile PACKETS = new GoldenFile("fleet-packets");
     private static final GoldenFile FRAMES = new GoldenFile("fleet-frames");
     private static final List<Class<?>> FAMILIES =
-        List.of(Message.class, EpochMessage.class, CopyMessage.class, VersionMessage.class);
+            List.of(Message.class, EpochMessage.class, CopyMessage.class, VersionMessage.class);
     private static final long SEQUENCE = 77;
     private static final FleetKeys KEYS = FleetKeys.of("a key that is long enough");
     private static final String HASH = "0123456789abcdef".repeat(4);
-    private static final Member SENDER = new Member(new MemberId("n1", -5),
-        new Address("10.0.0.1", 4200), "z1", "0.1", new Address("10.0.0.1", 4100), 3, State.HERE);
+    private static final Member SENDER =
+            new Member(
+                    new MemberId("n1", -5),
+                    new Address("10.0.0.1", 4200),
+                    "z1",
+                    "0.1",
+                    new Address("10.0.0.1", 4100),
+                    3,
+                    State.HERE);
 
     private final Codec codec = new Codec("parts", KEYS);
 
@@ -62,8 +69,15 @@
 
     private static void addMembers(Map<String, Object> all) {
         List<Entry> entries = new ArrayList<>(entries().values());
-        Member other = new Member(new MemberId("n2", 6), new Address("10.0.0.2", 4201), "z2", "0.2",
-            null, 0, State.JOINING);
+        Member other =
+                new Member(
+                        new MemberId("n2", 6),
+                        new Address("10.0.0.2", 4201),
+                        "z2",
+                        "0.2",
+                        null,
+                        0,
+                        State.JOINING);
         Message.News news = new Message.News(entries.subList(2, 4), List.of(other));
         all.put("1-ping", new Message.Ping(1, -2, news, Long.MIN_VALUE));
         all.put("2-ack", new Message.Ack(Long.MAX_VALUE, news, 5));
@@ -117,38 +131,94 @@
         Outcome outcome = new Outcome(true, "body", "caf\u00e9");
         Outcome failed = new Outcome(false, "other body", "");
         Layout layout = layout(Rollout.State.DONE);
-        CopyMessage.Item item = new CopyMessage.Item("x", new ochretiller.fleet.copies.Entry(
-            new TreeMap<>(Map.of(id, "body", other, "b")), Set.of(new ClaimId("u", 1, 2)),
-            new TreeMap<>(Map.of(id, outcome, other, failed)), Duration.ZERO), left);
+        CopyMessage.Item item =
+                new CopyMessage.Item(
+                        "x",
+                        new ochretiller.fleet.copies.Entry(
+                                new TreeMap<>(Map.of(id, "body", other, "b")),
+                                Set.of(new ClaimId("u", 1, 2)),
+                                new TreeMap<>(Map.of(id, outcome, other, failed)),
+                                Duration.ZERO),
+                        left);
         all.put("32-claim", new CopyMessage.Claim(4, "x", id, "body", left, true));
         all.put("33-look", new CopyMessage.Look(4, "x", id));
         all.put("34-answer-granted", answer(CopyMessage.Word.GRANTED));
         all.put("34-answer-free", answer(CopyMessage.Word.FREE));
-        all.put("34-answer-held", new CopyMessage.Answer(4, "x", id, CopyMessage.Word.HELD,
-            Optional.of(other), Optional.empty(), 17));
-        all.put("34-answer-done", new CopyMessage.Answer(4, "x", id, CopyMessage.Word.DONE,
-            Optional.of(other), Optional.of(outcome), -1));
+        all.put(
+                "34-answer-held",
+                new CopyMessage.Answer(
+                        4,
+                        "x",
+                        id,
+                        CopyMessage.Word.HELD,
+                        Optional.of(other),
+                        Optional.empty(),
+                        17));
+        all.put(
+                "34-answer-done",
+                new CopyMessage.Answer(
+                        4,
+                        "x",
+                        id,
+                        CopyMessage.Word.DONE,
+                        Optional.of(other),
+                        Optional.of(outcome),
+                        -1));
         all.put("34-answer-stale", answer(CopyMessage.Word.STALE));
         all.put("34-answer-behind", answer(CopyMessage.Word.BEHIND));
         all.put("34-answer-released", answer(CopyMessage.Word.RELEASED));
         all.put("34-answer-full", answer(CopyMessage.Word.FULL));
-        all.put("35-ended", new CopyMessage.Ended(4, "x", id, outcome, left,
-            new TreeMap<>(Map.of("a", 5L, "b", 6L))));
-        all.put("35-ended-long", new CopyMessage.Ended(4, "x", id,
-            Outcome.apart("body", "r".repeat(9_000)), left, Map.of()));
+        all.put(
+                "35-ended",
+                new CopyMessage.Ended(
+                        4, "x", id, outcome, left, new TreeMap<>(Map.of("a", 5L, "b", 6L))));
+        all.put(
+                "35-ended-long",
+                new CopyMessage.Ended(
+                        4, "x", id, Outcome.apart("body", "r".repeat(9_000)), left, Map.of()));
         all.put("36-kept", new CopyMessage.Kept(4, "x", id, 8));
         all.put("37-release", new CopyMessage.Release("x", id, left));
         all.put("38-whether", new CopyMessage.Whether("x", id));
-        all.put("39-fetch-newest", new CopyMessage.Fetch(4, 255, 3, CopyMessage.Order.NEWEST,
-            new CopyMessage.Place(Long.MAX_VALUE, ""), null, List.of(7L, -7L), layout));
+        all.put(
+                "39-fetch-newest",
+                new CopyMessage.Fetch(
+                        4,
+                        255,
+                        3,
+                        CopyMessage.Order.NEWEST,
+                        new CopyMessage.Place(Long.MAX_VALUE, ""),
+                        null,
+                        List.of(7L, -7L),
+                        layout));
         byte[] cells = new byte[42];
         for (int i = 0; i < cells.length; i++) {
             cells[i] = (byte) (i * 7);
         }
-        all.put("39-fetch-token", new CopyMessage.Fetch(4, 254, 3, CopyMessage.Order.TOKEN,
-            new CopyMessage.Place(-5, "x"), Sketch.of(cells), List.of(), null));
-        all.put("40-page", new CopyMessage.Page(4, 1, 3, List.of(item),
-            new CopyMessage.Place(7, "y"), true, false, true, List.of(5L), 12, -3));
+        all.put(
+                "39-fetch-token",
+                new CopyMessage.Fetch(
+                        4,
+                        254,
+                        3,
+                        CopyMessage.Order.TOKEN,
+                        new CopyMessage.Place(-5, "x"),
+                        Sketch.of(cells),
+                        List.of(),
+                        null));
+        all.put(
+                "40-page",
+                new CopyMessage.Page(
+                        4,
+                        1,
+                        3,
+                        List.of(item),
+                        new CopyMessage.Place(7, "y"),
+                        true,
+                        false,
+                        true,
+                        List.of(5L),
+                        12,
+                        -3));
         all.put("41-compare", new CopyMessage.Compare(4, 7, -9, 3, true));
         all.put("42-recollect", new CopyMessage.Recollect(3));
         all.put("43-recollected", new CopyMessage.Recollected(3, 9));
@@ -157,8 +227,15 @@
     }
 
     private static void addVersions(Map<String, Object> all) {
-        Report report = new Report(2, HASH, 3, "why", 4, new Counts(9, 1, 2, 3, 4.5, 9.25),
-            new Counts(10, 4, 3, 2, 0, 0.125));
+        Report report =
+                new Report(
+                        2,
+                        HASH,
+                        3,
+                        "why",
+                        4,
+                        new Counts(9, 1, 2, 3, 4.5, 9.25),
+                        new Counts(10, 4, 3, 2, 0, 0.125));
         all.put("48-tell", new VersionMessage.Tell(7, report, 5, "d".repeat(64)));
         all.put("49-renewed", new VersionMessage.Renewed(7, true));
         all.put("50-want-bytes", new VersionMessage.WantBytes(HASH, 4_096));
@@ -179,16 +256,19 @@
     private static Map<String, Sealed.Said> frames() {
         Map<String, Sealed.Said> all = new LinkedHashMap<>();
         all.put("hello", new Sealed.Said("parts", "0011223344556677", "hello", "n1"));
-        all.put("view",
-            new Sealed.Said("parts", "0011223344556677", "view", "caf\u00e9\nand more"));
+        all.put(
+                "view",
+                new Sealed.Said("parts", "0011223344556677", "view", "caf\u00e9\nand more"));
         return all;
     }
 
     @Test
     void eachMessageIsWrittenAsItsGoldenBytes() {
         Map<String, byte[]> written = new LinkedHashMap<>();
-        messages().forEach((name, message) ->
-            written.put(name, codec.seal(SENDER, message, SEQUENCE)));
+        messages()
+                .forEach(
+                        (name, message) ->
+                                written.put(name, codec.seal(SENDER, message, SEQUENCE)));
         PACKETS.assertHolds(written);
     }
 
@@ -196,15 +276,16 @@
     void eachGoldenPacketIsReadBackToItsMessage() throws RefusedException {
         for (Map.Entry<String, Object> each : messages().entrySet()) {
             byte[] bytes = PACKETS.bytes(each.getKey());
-            assertThat(codec.open(bytes, bytes.length)).as(each.getKey())
-                .isEqualTo(new Codec.Opened(SENDER, each.getValue(), SEQUENCE, 0));
+            assertThat(codec.open(bytes, bytes.length))
+                    .as(each.getKey())
+                    .isEqualTo(new Codec.Opened(SENDER, each.getValue(), SEQUENCE, 0));
         }
     }
 
     @Test
     void eachKindOfMessageHasAGoldenPacket() {
-        Set<Class<?>> pinned = messages().values().stream().map(Object::getClass)
-            .collect(Collectors.toSet());
+        Set<Class<?>> pinned =
+                messages().values().stream().map(Object::getClass).collect(Collectors.toSet());
         for (Class<?> family : FAMILIES) {
             assertThat(pinned).as(family.getName()).contains(family.getPermittedSubclasses());
         }
@@ -213,23 +294,31 @@
     @Test
     void eachValueThatIsSentAsItsNumberHasAGoldenPacket() {
         Map<String, Object> all = messages();
-        Set<Enum<?>> pinned = all.values().stream().flatMap(message -> {
-            if (message instanceof CopyMessage.Answer answer) {
-                return Stream.<Enum<?>>of(answer.word());
-            }
-            if (message instanceof CopyMessage.Fetch fetch) {
-                return Stream.<Enum<?>>of(fetch.order());
-            }
-            if (message instanceof EpochMessage.Agreed agreed) {
-                return Stream.<Enum<?>>of(agreed.layout().rollout().state());
-            }
-            if (message instanceof Message.States states) {
-                return states.entries().stream().<Enum<?>>map(Entry::state);
-            }
-            return Stream.<Enum<?>>empty();
-        }).collect(Collectors.toSet());
-        assertThat(pinned).contains(CopyMessage.Word.values()).contains(CopyMessage.Order.values())
-            .contains(Rollout.State.values()).contains(State.values());
+        Set<Enum<?>> pinned =
+                all.values().stream()
+                        .flatMap(
+                                message -> {
+                                    if (message instanceof CopyMessage.Answer answer) {
+                                        return Stream.<Enum<?>>of(answer.word());
+                                    }
+                                    if (message instanceof CopyMessage.Fetch fetch) {
+                                        return Stream.<Enum<?>>of(fetch.order());
+                                    }
+                                    if (message instanceof EpochMessage.Agreed agreed) {
+                                        return Stream.<Enum<?>>of(
+                                                agreed.layout().rollout().state());
+                                    }
+                                    if (message instanceof Message.States states) {
+                                        return states.entries().stream().<Enum<?>>map(Entry::state);
+                                    }
+                                    return Stream.<Enum<?>>empty();
+                                })
+                        .collect(Collectors.toSet());
+        assertThat(pinned)
+                .contains(CopyMessage.Word.values())
+                .contains(CopyMessage.Order.values())
+                .contains(Rollout.State.values())
+                .contains(State.values());
     }
 
     @Test
--- a/src/test/java/ochretiller/fleet/versions/StagesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/versions/StagesGoldenTest.java
@@ -21,8 +21,12 @@
             servers.add(new Layout.Server("n" + i, "z" + i % 3));
         }
         Rollout.Version to = new Rollout.Version(version, "f".repeat(64), 1, "", "ann", "why");
-        return new Layout(4, servers, servers, 3,
-            new Rollout(to, Rollout.Version.NONE, stage, Rollout.State.RUNS));
+        return new Layout(
+                4,
+                servers,
+                servers,
+                3,
+                new Rollout(to, Rollout.Version.NONE, stage, Rollout.State.RUNS));
     }
 
     @Test
@@ -36,8 +40,9 @@
                 for (int i = 0; i < 3 * SERVERS; i++) {
                     on.append(Stages.on(layout, "n" + i) ? '1' : '0');
                 }
-                made.put("version-" + version + "-stage-" + stage,
-                    on.toString().getBytes(StandardCharsets.US_ASCII));
+                made.put(
+                        "version-" + version + "-stage-" + stage,
+                        on.toString().getBytes(StandardCharsets.US_ASCII));
             }
         }
         DRAWS.assertHolds(made);
--- a/src/test/java/ochretiller/front/CallersTest.java
+++ b/src/test/java/ochretiller/front/CallersTest.java
@@ -21,14 +21,26 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What crosses on real sockets, in the order that a test forces: the one thread's work is in its hands. */
+/**
+ * What crosses on real sockets, in the order that a test forces: the one thread's work is in its
+ * hands.
+ */
 class CallersTest {
     private static final Duration MS = Duration.ofMillis(1);
     private static final Duration IDLE = Duration.ofSeconds(2);
     private static final Duration LONGEST = Duration.ofSeconds(4);
     private static final int LIMIT = 16;
-    private static final Operation READ = new Operation("read", Effect.IDEMPOTENT, Duration.ofSeconds(1), LONGEST, 1, 0,
-        Duration.ZERO, false, 0);
+    private static final Operation READ =
+            new Operation(
+                    "read",
+                    Effect.IDEMPOTENT,
+                    Duration.ofSeconds(1),
+                    LONGEST,
+                    1,
+                    0,
+                    Duration.ZERO,
+                    false,
+                    0);
 
     private final HandLoop loop = new HandLoop();
     private final Network network = new Network(loop, 64L * 1024 * 1024);
@@ -41,7 +53,10 @@
     private Callers callers;
     private int port;
 
-    /** A front of one letter a message: {@code R} asks, {@code o} does nothing, {@code !} cannot be read, {@code .} has only begun. */
+    /**
+     * A front of one letter a message: {@code R} asks, {@code o} does nothing, {@code !} cannot be
+     * read, {@code .} has only begun.
+     */
     private final class Letters extends Peer {
         private boolean begun;
         private long numbers;
@@ -56,14 +71,32 @@
             String text = new String(bytes, from, to - from);
             begun = text.endsWith(".");
             String requests = text.replaceAll("[^R]", "");
-            if (text.contains("!")) connection.deafen();
-            if (text.equals(".")) return null;
+            if (text.contains("!")) {
+                connection.deafen();
+            }
+            if (text.equals(".")) {
+                return null;
+            }
             return () -> {
                 for (int i = 0; i < requests.length(); i++) {
-                    callers.opened(new Try(callers.nextId(), connection.peer() + '/' + ++numbers, READ, 1, 1, callers.now(), 0, null,
-                        null, new byte[0], this, numbers));
+                    callers.opened(
+                            new Try(
+                                    callers.nextId(),
+                                    connection.peer() + '/' + ++numbers,
+                                    READ,
+                                    1,
+                                    1,
+                                    callers.now(),
+                                    0,
+                                    null,
+                                    null,
+                                    new byte[0],
+                                    this,
+                                    numbers));
+                }
+                if (text.contains("!")) {
+                    spoilt(CloseCode.BAD_INPUT);
                 }
-                if (text.contains("!")) spoilt(CloseCode.BAD_INPUT);
             };
         }
 
@@ -106,17 +139,21 @@
         try (var free = new java.net.ServerSocket(0)) {
             port = free.getLocalPort();
         }
-        network.listen("test", new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-            connection -> {
-                var peer = callers.accepted(new Letters(connection));
-                accepted.incrementAndGet();
-                return peer;
-            });
+        network.listen(
+                "test",
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                connection -> {
+                    var peer = callers.accepted(new Letters(connection));
+                    accepted.incrementAndGet();
+                    return peer;
+                });
     }
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire wire : wires) wire.close();
+        for (Wire wire : wires) {
+            wire.close();
+        }
         network.stop();
     }
 
@@ -124,7 +161,9 @@
         int before = accepted.get();
         Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
         wires.add(wire);
-        while (accepted.get() == before) Thread.onSpinWait();
+        while (accepted.get() == before) {
+            Thread.onSpinWait();
+        }
         loop.all();
         return wire;
     }
@@ -146,7 +185,9 @@
     private void ask(Wire wire) throws Exception {
         int before = arrived.size();
         wire.send("R");
-        while (arrived.size() == before) loop.one();
+        while (arrived.size() == before) {
+            loop.one();
+        }
     }
 
     private void answer() {
@@ -156,7 +197,9 @@
 
     private void pass(Duration span) {
         // In small steps: what is written goes out behind each gathering.
-        for (Duration left = span; !left.isZero() && !left.isNegative(); left = left.minusMillis(50)) {
+        for (Duration left = span;
+                !left.isZero() && !left.isNegative();
+                left = left.minusMillis(50)) {
             loop.pass(MS.multipliedBy(50));
             network.flush();
         }
@@ -200,7 +243,10 @@
         assertThat(slow.line()).isEqualTo("shutdown");
     }
 
-    /** Half a message leaves no work: what is read behind it on another connection shows that it was read. */
+    /**
+     * Half a message leaves no work: what is read behind it on another connection shows that it was
+     * read.
+     */
     private void settleReads() throws Exception {
         expectServed(dial());
     }
@@ -209,7 +255,9 @@
     void callerThatCannotBeReadAnyMoreGetsWhatItIsOwed() throws Exception {
         Wire bad = dial();
         bad.send("RR!");
-        while (arrived.size() < 2) loop.one();
+        while (arrived.size() < 2) {
+            loop.one();
+        }
         answer();
         bad.send("R"); // behind what cannot be read: nothing of it counts
         answer();
@@ -225,8 +273,12 @@
         Wire flood = dial();
         ask(flood);
         assertThat(flood.sendsUntilItEnds("o".repeat(64 * 1024), 4)).isFalse();
-        while (!last.deaf()) Thread.onSpinWait(); // nothing of it is worked off until the bound is passed
-        while (spoilt.isEmpty()) loop.one();
+        while (!last.deaf()) {
+            Thread.onSpinWait(); // nothing of it is worked off until the bound is passed
+        }
+        while (spoilt.isEmpty()) {
+            loop.one();
+        }
         assertThat(spoilt).containsExactly(CloseCode.FLOOD);
         network.flush();
         assertThat(gone).isEmpty();
@@ -239,7 +291,9 @@
     void answersBeforeACloseOverUnreadBytesArrive() throws Exception {
         Wire bad = dial();
         bad.send("R!");
-        while (arrived.isEmpty()) loop.one();
+        while (arrived.isEmpty()) {
+            loop.one();
+        }
         bad.send("x".repeat(4_096)); // nobody reads it
         answer();
         assertThat(bad.line()).isEqualTo("done");
@@ -249,7 +303,9 @@
     @Test
     void waveOfCallersLosesNoFirstRequestToTheRoomThatItNeeds() throws Exception {
         List<Wire> wave = new ArrayList<>();
-        for (int i = 0; i < LIMIT / 2; i++) wave.add(dial());
+        for (int i = 0; i < LIMIT / 2; i++) {
+            wave.add(dial());
+        }
         network.flush();
         int told = 0;
         for (Wire wire : wave) {
@@ -262,29 +318,40 @@
             }
             assertThat(line).isEqualTo("done");
         }
-        assertThat(told).isEqualTo(LIMIT / 2 - LIMIT / 4); // as many as had shown nothing beyond their part of the table
+        assertThat(told)
+                .isEqualTo(
+                        LIMIT / 2 - LIMIT / 4); // as many as had shown nothing beyond their part of
+        // the table
     }
 
     @Test
     void tooManyThatSayNothingMakeRoomOldestFirstAndLeaveWhoHasShownSomething() throws Exception {
         Wire known = known();
         List<Wire> silent = new ArrayList<>();
-        for (int i = 0; i < LIMIT / 2 - 1; i++) silent.add(dial());
+        for (int i = 0; i < LIMIT / 2 - 1; i++) {
+            silent.add(dial());
+        }
         pass(Duration.ofMillis(250));
         for (int i = 0; i < LIMIT / 4 - 1; i++) {
             assertThat(silent.get(i).line()).isEqualTo("shutdown");
             assertThat(silent.get(i).line()).isNull();
         }
-        for (Wire wire : List.of(known, silent.get(LIMIT / 2 - 2))) expectServed(wire);
+        for (Wire wire : List.of(known, silent.get(LIMIT / 2 - 2))) {
+            expectServed(wire);
+        }
     }
 
     @Test
     void floodOfThoseThatSayNothingMakesRoomAtOnceAndLeavesWhoHasShownSomething() throws Exception {
         Wire known = known();
         List<Wire> flood = new ArrayList<>();
-        for (int i = 0; i < 10 * LIMIT; i++) flood.add(dial());
+        for (int i = 0; i < 10 * LIMIT; i++) {
+            flood.add(dial());
+        }
         expectServed(known);
-        while (callers.connections() > LIMIT / 2 + 1) loop.one(); // what was dropped has ended; a few were told
+        while (callers.connections() > LIMIT / 2 + 1) {
+            loop.one(); // what was dropped has ended; a few were told
+        }
         expectServed(dial());
     }
 
@@ -302,6 +369,8 @@
         assertThat(busy.line()).isNull();
         assertThat(callers.connections()).isOne(); // until it has ended its side
         busy.close();
-        while (callers.connections() > 0) loop.one();
+        while (callers.connections() > 0) {
+            loop.one();
+        }
     }
 }
--- a/src/test/java/ochretiller/golden/AuditJsonTest.java
+++ b/src/test/java/ochretiller/golden/AuditJsonTest.java
@@ -16,16 +16,21 @@
 /** What the audit's commands print as JSON: their members, words and exit codes. */
 class AuditJsonTest {
     private static final int FAULTS = 3;
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @BeforeEach
     void write() throws Exception {
         Map<String, Entry.Tally> none = Map.of();
-        write("m1", List.of(new Entry.Run(1, 1_500, "token"),
-            new Entry.Span(1, "", 1_000, 3_000, 2_000, none)));
-        write("m2", List.of(new Entry.Event(Entry.Kind.SHUT_OUT, 1, 1_000, "its lease has ended"),
-            new Entry.Span(1, "", 1_000, 3_000, 2_000, none)));
+        write(
+                "m1",
+                List.of(
+                        new Entry.Run(1, 1_500, "token"),
+                        new Entry.Span(1, "", 1_000, 3_000, 2_000, none)));
+        write(
+                "m2",
+                List.of(
+                        new Entry.Event(Entry.Kind.SHUT_OUT, 1, 1_000, "its lease has ended"),
+                        new Entry.Span(1, "", 1_000, 3_000, 2_000, none)));
         write("m3", List.of(new Entry.Span(2, "", 5_000, 9_000, 4_000, none)));
     }
 
@@ -53,32 +58,56 @@
     void serversOfAVersionAreToldHowWellTheyAreKnown() {
         Cli cli = audit("who", "--version-number", "1");
         assertThat(cli.out())
-            .isEqualTo("{\"m1\":\"ACTED\",\"m2\":\"SHUT_OUT\",\"m3\":\"UNKNOWN\"}\n");
+                .isEqualTo("{\"m1\":\"ACTED\",\"m2\":\"SHUT_OUT\",\"m3\":\"UNKNOWN\"}\n");
         assertThat(cli.code()).isEqualTo(FAULTS);
     }
 
     @Test
     void stretchesHaveTheirMembers() {
         Cli cli = audit("when", "--until", "3000");
-        assertThat(cli.out()).isEqualTo("[" + String.join(",",
-            stretch("m1", "ACTED", 1, ""), stretch("m2", "SHUT_OUT", 1, ""),
-            stretch("m3", "UNKNOWN", 0, "nothing is recorded yet, or it is lost")) + "]\n");
+        assertThat(cli.out())
+                .isEqualTo(
+                        "["
+                                + String.join(
+                                        ",",
+                                        stretch("m1", "ACTED", 1, ""),
+                                        stretch("m2", "SHUT_OUT", 1, ""),
+                                        stretch(
+                                                "m3",
+                                                "UNKNOWN",
+                                                0,
+                                                "nothing is recorded yet, or it is lost"))
+                                + "]\n");
         assertThat(cli.code()).isZero();
         Cli gaps = audit("gaps", "--until", "3000");
-        assertThat(gaps.out()).isEqualTo(
-            "[" + stretch("m3", "UNKNOWN", 0, "nothing is recorded yet, or it is lost") + "]\n");
+        assertThat(gaps.out())
+                .isEqualTo(
+                        "["
+                                + stretch(
+                                        "m3",
+                                        "UNKNOWN",
+                                        0,
+                                        "nothing is recorded yet, or it is lost")
+                                + "]\n");
         assertThat(gaps.code()).isEqualTo(FAULTS);
     }
 
     private static String stretch(String server, String known, long version, String text) {
-        return "{\"server\":\"" + server + "\",\"from\":1000,\"until\":3000,\"known\":\"" + known
-            + "\",\"version\":" + version + ",\"text\":\"" + text + "\"}";
+        return "{\"server\":\""
+                + server
+                + "\",\"from\":1000,\"until\":3000,\"known\":\""
+                + known
+                + "\",\"version\":"
+                + version
+                + ",\"text\":\""
+                + text
+                + "\"}";
     }
 
     @Test
     void runsOfATokenHaveTheirMembers() {
         assertThat(audit("token", "--token", "token").out())
-            .isEqualTo("[{\"server\":\"m1\",\"version\":1,\"at\":1500}]\n");
+                .isEqualTo("[{\"server\":\"m1\",\"version\":1,\"at\":1500}]\n");
         assertThat(audit("token", "--token", "other").code()).isEqualTo(FAULTS);
     }
 
@@ -92,7 +121,7 @@
         String hash = AuditFolder.read(folder.resolve("m3"), List.of()).head().hash();
         Cli good = audit("verify");
         assertThat(good.json().get("m3").toString())
-            .isEqualTo("{\"records\":1,\"last\":1,\"hash\":\"" + hash + "\",\"faults\":[]}");
+                .isEqualTo("{\"records\":1,\"last\":1,\"hash\":\"" + hash + "\",\"faults\":[]}");
         assertThat(good.code()).isZero();
         Path file;
         try (var files = Files.list(folder.resolve("m3"))) {
@@ -103,7 +132,7 @@
         Files.write(file, bytes);
         Cli bad = audit("verify");
         assertThat(Cli.members(bad.json().get("m3").get("faults").get(0)))
-            .containsExactly("record", "what");
+                .containsExactly("record", "what");
         assertThat(bad.code()).isEqualTo(FAULTS);
     }
 }
--- a/src/test/java/ochretiller/golden/Cli.java
+++ b/src/test/java/ochretiller/golden/Cli.java
@@ -21,8 +21,8 @@
         PrintStream before = System.out;
         try (PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8)) {
             System.setOut(out);
-            int code = new CommandLine(Main.class).setOut(new PrintWriter(out, true))
-                .execute(words);
+            int code =
+                    new CommandLine(Main.class).setOut(new PrintWriter(out, true)).execute(words);
             return new Cli(code, bytes.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(before);
--- a/src/test/java/ochretiller/golden/ContractTextTest.java
+++ b/src/test/java/ochretiller/golden/ContractTextTest.java
@@ -11,32 +11,37 @@
 
 /** The whole text that the contracts' commands print. */
 class ContractTextTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @BeforeEach
     void write() throws IOException {
         Files.writeString(folder.resolve("broker.json5"), "{ work_per_s: 10 }");
-        Files.writeString(folder.resolve("parts.json5"), """
-            { team: 'parts', version: 1,
-              publishes: [ { service: 'stock', pool: 'p', objective_ms: 200 } ],
-              promise: { work_per_s: 4 } }
-            """);
-        Files.writeString(folder.resolve("fit.json5"), """
-            { team: 'fit', version: 1, calls: [ { service: 'stock', work_per_s: 1,
-              objective_ms: 500, timeout_ms: 900 } ], promise: { work_per_s: 2, weight: 4 } }
-            """);
+        Files.writeString(
+                folder.resolve("parts.json5"),
+                """
+                { team: 'parts', version: 1,
+                  publishes: [ { service: 'stock', pool: 'p', objective_ms: 200 } ],
+                  promise: { work_per_s: 4 } }
+                """);
+        Files.writeString(
+                folder.resolve("fit.json5"),
+                """
+                { team: 'fit', version: 1, calls: [ { service: 'stock', work_per_s: 1,
+                  objective_ms: 500, timeout_ms: 900 } ], promise: { work_per_s: 2, weight: 4 } }
+                """);
     }
 
     @Test
     void contractsAreShown() {
-        assertThat(Cli.run("contract", "show", folder.toString()).out()).isEqualTo("""
-            capacity 10.000 core seconds a second, 6.000 promised
-            fit, version 1: 2.000 a second, burst 0.200, weight 4.000, retries 0.100
-              calls stock: 1.000 a second, 100 at once, objective 500 ms, timeout 900 ms, value 1.0
-            parts, version 1: 4.000 a second, burst 0.400, weight 4.000, retries 0.100
-              publishes stock on p within 200 ms
-            """);
+        assertThat(Cli.run("contract", "show", folder.toString()).out())
+                .isEqualTo(
+                        """
+                        capacity 10.000 core seconds a second, 6.000 promised
+                        fit, version 1: 2.000 a second, burst 0.200, weight 4.000, retries 0.100
+                          calls stock: 1.000 a second, 100 at once, objective 500 ms, timeout 900 ms, value 1.0
+                        parts, version 1: 4.000 a second, burst 0.400, weight 4.000, retries 0.100
+                          publishes stock on p within 200 ms
+                        """);
     }
 
     @Test
--- a/src/test/java/ochretiller/golden/ExitCodesTest.java
+++ b/src/test/java/ochretiller/golden/ExitCodesTest.java
@@ -15,12 +15,17 @@
 
 /** The program's exit codes, and the one line on standard error of what went wrong. */
 class ExitCodesTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private String said(int code, String... words) throws Exception {
-        List<String> command = new ArrayList<>(List.of("java", "-XX:TieredStopAtLevel=1", "-cp",
-            System.getProperty("java.class.path"), Main.class.getName()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                "java",
+                                "-XX:TieredStopAtLevel=1",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Main.class.getName()));
         command.addAll(List.of(words));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().remove("EDGE_CONFIG");
@@ -40,7 +45,7 @@
         assertThat(said(0, "version")).startsWith("ochretiller ");
         Path operator = operator("{}");
         assertThat(said(0, "check", "--operator", operator.toString()))
-            .isEqualTo("the operators' file " + operator + " is good\n");
+                .isEqualTo("the operators' file " + operator + " is good\n");
     }
 
     @Test
@@ -52,9 +57,10 @@
     @Test
     void whatIsToBeMendedEndsWithTwo() throws Exception {
         assertThat(said(2, "check"))
-            .isEqualTo("ochretiller: no configuration: EDGE_CONFIG is not set\n");
+                .isEqualTo("ochretiller: no configuration: EDGE_CONFIG is not set\n");
         assertThat(said(2, "check", "--operator", operator("{ unknown: 1 }").toString()))
-            .startsWith("ochretiller: ").hasLineCount(1);
+                .startsWith("ochretiller: ")
+                .hasLineCount(1);
         assertThat(said(2, "unknown")).contains("Usage: ochretiller");
         assertThat(said(2)).startsWith("a sub-command is needed\n");
     }
--- a/src/test/java/ochretiller/golden/FleetJsonTest.java
+++ b/src/test/java/ochretiller/golden/FleetJsonTest.java
@@ -14,8 +14,7 @@
 
 /** Members of the JSON that commands print of a server that runs, asked at its fleet's door. */
 class FleetJsonTest {
-    @TempDir
-    private static Path folder;
+    @TempDir private static Path folder;
     private static WholeServer server;
 
     @BeforeAll
@@ -49,35 +48,62 @@
     void viewHasItsMembers() throws Exception {
         try (DatagramSocket socket = new DatagramSocket()) {
             byte[] bytes = new byte[100];
-            socket.send(new DatagramPacket(bytes, bytes.length,
-                InetAddress.getLoopbackAddress(), server.fleetPort));
+            socket.send(
+                    new DatagramPacket(
+                            bytes,
+                            bytes.length,
+                            InetAddress.getLoopbackAddress(),
+                            server.fleetPort));
         }
         WholeServer.until(() -> told("fleet", "view").get("refused").size() > 0);
         JsonNode view = told("fleet", "view");
-        assertThat(Cli.members(view)).containsExactly("fleet", "digest", "doubt", "news",
-            "sent_bytes", "read_bytes", "refused", "members");
+        assertThat(Cli.members(view))
+                .containsExactly(
+                        "fleet",
+                        "digest",
+                        "doubt",
+                        "news",
+                        "sent_bytes",
+                        "read_bytes",
+                        "refused",
+                        "members");
         assertThat(Cli.members(view.get("refused"))).containsExactly("not_ours");
-        assertThat(Cli.members(view.get("members").get(0))).containsExactly("name", "start",
-            "state", "address", "zone", "build", "serves", "number", "for_ms", "self");
+        assertThat(Cli.members(view.get("members").get(0)))
+                .containsExactly(
+                        "name", "start", "state", "address", "zone", "build", "serves", "number",
+                        "for_ms", "self");
         assertThat(view.get("members").get(0).get("state").asText()).isEqualTo("HERE");
     }
 
     @Test
     void pingHasItsMembers() throws Exception {
         assertThat(Cli.members(told("fleet", "ping")))
-            .containsExactly("name", "times", "least_us", "p50_us", "most_us");
+                .containsExactly("name", "times", "least_us", "p50_us", "most_us");
     }
 
     @Test
     void versionsHaveTheirMembers() throws Exception {
         WholeServer.until(() -> told("fleet", "versions").get("servers").has("n1"));
         JsonNode versions = told("fleet", "versions");
-        assertThat(Cli.members(versions)).containsExactly("name", "acts", "hash", "version",
-            "before", "why", "by", "state", "stage", "halted", "may", "lease_left_ms", "refused",
-            "servers");
+        assertThat(Cli.members(versions))
+                .containsExactly(
+                        "name",
+                        "acts",
+                        "hash",
+                        "version",
+                        "before",
+                        "why",
+                        "by",
+                        "state",
+                        "stage",
+                        "halted",
+                        "may",
+                        "lease_left_ms",
+                        "refused",
+                        "servers");
         assertThat(versions.get("state").asText()).isEqualTo("DONE");
         assertThat(Cli.members(versions.get("servers").get("n1")))
-            .containsExactly("acts", "read", "refused", "out");
+                .containsExactly("acts", "read", "refused", "out");
     }
 
     @Test
@@ -85,32 +111,54 @@
         for (String word : new String[] {"pause", "go-on", "take-back"}) {
             Cli cli = asked("fleet", word);
             assertThat(cli.code()).isEqualTo(1);
-            assertThat(cli.out()).isEqualTo(
-                "{\"refused\":\"there is nothing to " + word + ": DONE at version 0\"}\n");
+            assertThat(cli.out())
+                    .isEqualTo(
+                            "{\"refused\":\"there is nothing to "
+                                    + word
+                                    + ": DONE at version 0\"}\n");
         }
     }
 
     @Test
     void statusOfCopiesHasItsMembers() throws Exception {
         JsonNode status = told("copies", "status");
-        assertThat(Cli.members(status)).containsExactly("name", "epoch", "factor", "keepers",
-            "disk", "returning", "entries", "bytes", "ranges", "behind", "oldest_gap_ms", "hints",
-            "conflicts", "fetched", "fetched_bytes", "sent_bytes", "compares", "differed",
-            "claims_under_way", "claim_limit", "words_waiting");
+        assertThat(Cli.members(status))
+                .containsExactly(
+                        "name",
+                        "epoch",
+                        "factor",
+                        "keepers",
+                        "disk",
+                        "returning",
+                        "entries",
+                        "bytes",
+                        "ranges",
+                        "behind",
+                        "oldest_gap_ms",
+                        "hints",
+                        "conflicts",
+                        "fetched",
+                        "fetched_bytes",
+                        "sent_bytes",
+                        "compares",
+                        "differed",
+                        "claims_under_way",
+                        "claim_limit",
+                        "words_waiting");
         assertThat(status.get("disk").asText()).isEqualTo("well");
     }
 
     @Test
     void differenceOfCopiesHasItsMembers() throws Exception {
-        JsonNode difference =
-            told("copies", "diff", "--with", "127.0.0.1:" + server.fleetPort);
-        assertThat(Cli.members(difference)).containsExactly("here", "there", "epoch_here",
-            "epoch_there", "ranges", "differ", "tokens");
+        JsonNode difference = told("copies", "diff", "--with", "127.0.0.1:" + server.fleetPort);
+        assertThat(Cli.members(difference))
+                .containsExactly(
+                        "here", "there", "epoch_here", "epoch_there", "ranges", "differ", "tokens");
     }
 
     @Test
     void repairOfCopiesHasItsMembers() throws Exception {
         assertThat(Cli.members(told("copies", "repair")))
-            .containsExactly("name", "compares", "fetched");
+                .containsExactly("name", "compares", "fetched");
     }
 }
--- a/src/test/java/ochretiller/golden/GoldenFile.java
+++ b/src/test/java/ochretiller/golden/GoldenFile.java
@@ -32,10 +32,14 @@
             write(written);
         }
         Map<String, String> golden = lines();
-        written.forEach((name, bytes) -> assertThat(HEX.formatHex(bytes))
-            .as("%s of %s", name, file).isEqualTo(golden.get(name)));
-        assertThat(golden.keySet()).as("names in %s", file)
-            .containsExactlyElementsOf(written.keySet());
+        written.forEach(
+                (name, bytes) ->
+                        assertThat(HEX.formatHex(bytes))
+                                .as("%s of %s", name, file)
+                                .isEqualTo(golden.get(name)));
+        assertThat(golden.keySet())
+                .as("names in %s", file)
+                .containsExactlyElementsOf(written.keySet());
     }
 
     /** The bytes under this name. */
--- a/src/test/java/ochretiller/golden/HelpTextTest.java
+++ b/src/test/java/ochretiller/golden/HelpTextTest.java
@@ -15,19 +15,45 @@
 
 /** The whole help text of the program and of each of its sub-commands. */
 class HelpTextTest {
-    private static final List<String> COMMANDS = List.of("ochretiller",
-        "audit", "audit behind", "audit chart", "audit gaps", "audit token", "audit verify",
-        "audit when", "audit who",
-        "check",
-        "contract", "contract check", "contract diff", "contract show",
-        "copies", "copies diff", "copies repair", "copies show", "copies status",
-        "fleet", "fleet go-on", "fleet leave", "fleet pause", "fleet ping", "fleet publish",
-        "fleet take-back", "fleet versions", "fleet view",
-        "serve",
-        "simhost",
-        "store", "store compact", "store list", "store stat", "store verify",
-        "try",
-        "version");
+    private static final List<String> COMMANDS =
+            List.of(
+                    "ochretiller",
+                    "audit",
+                    "audit behind",
+                    "audit chart",
+                    "audit gaps",
+                    "audit token",
+                    "audit verify",
+                    "audit when",
+                    "audit who",
+                    "check",
+                    "contract",
+                    "contract check",
+                    "contract diff",
+                    "contract show",
+                    "copies",
+                    "copies diff",
+                    "copies repair",
+                    "copies show",
+                    "copies status",
+                    "fleet",
+                    "fleet go-on",
+                    "fleet leave",
+                    "fleet pause",
+                    "fleet ping",
+                    "fleet publish",
+                    "fleet take-back",
+                    "fleet versions",
+                    "fleet view",
+                    "serve",
+                    "simhost",
+                    "store",
+                    "store compact",
+                    "store list",
+                    "store stat",
+                    "store verify",
+                    "try",
+                    "version");
 
     static List<String> commands() {
         return COMMANDS;
@@ -60,7 +86,7 @@
         String file = "help/" + command.replace(' ', '-') + ".txt";
         try (var in = HelpTextTest.class.getResourceAsStream(file)) {
             assertThat(line.getUsageMessage(CommandLine.Help.Ansi.OFF))
-                .isEqualTo(new String(in.readAllBytes(), StandardCharsets.UTF_8));
+                    .isEqualTo(new String(in.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
 }
--- a/src/test/java/ochretiller/golden/LogLinesTest.java
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -23,8 +23,7 @@
 
 /** Lines of the log that pages name, and the forms of a line. */
 class LogLinesTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static void expect(WholeServer server, String... patterns) throws Exception {
         for (String pattern : patterns) {
@@ -40,21 +39,38 @@
     void codesInTheTableOfTheReadmeAreThoseOfConnections() throws Exception {
         String readme = Files.readString(Path.of("README.md"));
         String table = readme.substring(readme.indexOf("| code | meaning |"));
-        assertThat(Pattern.compile("^\\| `([A-Z_]+)` \\|", Pattern.MULTILINE).matcher(table)
-            .results().map(row -> row.group(1))).containsExactly(
-                "PEER_CLOSED", "BROKEN", "REFUSED", "IDLE", "BAD_INPUT", "SILENT", "FLOOD",
-                "NOT_READING", "TOO_MANY", "MOVED", "GIVEN_UP", "ANSWERED", "LEAVING");
+        assertThat(
+                        Pattern.compile("^\\| `([A-Z_]+)` \\|", Pattern.MULTILINE)
+                                .matcher(table)
+                                .results()
+                                .map(row -> row.group(1)))
+                .containsExactly(
+                        "PEER_CLOSED",
+                        "BROKEN",
+                        "REFUSED",
+                        "IDLE",
+                        "BAD_INPUT",
+                        "SILENT",
+                        "FLOOD",
+                        "NOT_READING",
+                        "TOO_MANY",
+                        "MOVED",
+                        "GIVEN_UP",
+                        "ANSWERED",
+                        "LEAVING");
     }
 
     @Test
     void startReloadAndDrainLeaveTheLinesThatPagesName() throws Exception {
         WholeServer server = new WholeServer(folder);
         try (server) {
-            expect(server, "n1 listens on /127\\.0\\.0\\.1:\\d+",
-                "remembers 0 keyed invocations, the ends of 0 unknown, read in .*",
-                "the processor is up, warm, started \\d+ ms ago",
-                "n1/[0-9a-f]+ takes part in fleet parts at 127\\.0\\.0\\.1:\\d+",
-                "fleet: joined, with 0 others");
+            expect(
+                    server,
+                    "n1 listens on /127\\.0\\.0\\.1:\\d+",
+                    "remembers 0 keyed invocations, the ends of 0 unknown, read in .*",
+                    "the processor is up, warm, started \\d+ ms ago",
+                    "n1/[0-9a-f]+ takes part in fleet parts at 127\\.0\\.0\\.1:\\d+",
+                    "fleet: joined, with 0 others");
             try (Wire gateway = server.dial()) {
                 gateway.send(Gateways.message(1, "read", "{}")).line();
                 expect(server, "bad input from gateway /127\\.0\\.0\\.1:\\d+: -32602 .*");
--- a/src/test/java/ochretiller/golden/MetricNamesTest.java
+++ b/src/test/java/ochretiller/golden/MetricNamesTest.java
@@ -12,8 +12,7 @@
 
 /** The names and types of all metrics, as a server with every optional part on writes them. */
 class MetricNamesTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private List<String> written() throws Exception {
         try (WholeServer server = new WholeServer(folder)) {
@@ -31,21 +30,25 @@
     @Test
     void namesTypesAndWordsOfHelpAreThoseThatCollectorsKnow() throws Exception {
         List<String> lines = written();
-        assertThat(lines).filteredOn(line -> line.startsWith("# TYPE "))
-            .containsExactlyElementsOf(golden());
-        assertThat(lines).filteredOn(line -> line.contains("Packets refused: ")).containsExactly(
-            "# HELP fleet_refused_behind_total Packets refused: BEHIND",
-            "# HELP fleet_refused_forged_total Packets refused: FORGED",
-            "# HELP fleet_refused_kind_total Packets refused: KIND",
-            "# HELP fleet_refused_length_total Packets refused: LENGTH",
-            "# HELP fleet_refused_malformed_total Packets refused: MALFORMED",
-            "# HELP fleet_refused_newer_total Packets refused: NEWER",
-            "# HELP fleet_refused_not_ours_total Packets refused: NOT_OURS",
-            "# HELP fleet_refused_other_fleet_total Packets refused: OTHER_FLEET",
-            "# HELP fleet_refused_over_budget_total Packets refused: OVER_BUDGET",
-            "# HELP fleet_refused_replayed_total Packets refused: REPLAYED");
-        assertThat(lines).filteredOn(line -> !line.startsWith("#"))
-            .allMatch(line -> line.matches("[a-z0-9_]+ [-+0-9.eENa]+"))
-            .hasSameSizeAs(golden());
+        assertThat(lines)
+                .filteredOn(line -> line.startsWith("# TYPE "))
+                .containsExactlyElementsOf(golden());
+        assertThat(lines)
+                .filteredOn(line -> line.contains("Packets refused: "))
+                .containsExactly(
+                        "# HELP fleet_refused_behind_total Packets refused: BEHIND",
+                        "# HELP fleet_refused_forged_total Packets refused: FORGED",
+                        "# HELP fleet_refused_kind_total Packets refused: KIND",
+                        "# HELP fleet_refused_length_total Packets refused: LENGTH",
+                        "# HELP fleet_refused_malformed_total Packets refused: MALFORMED",
+                        "# HELP fleet_refused_newer_total Packets refused: NEWER",
+                        "# HELP fleet_refused_not_ours_total Packets refused: NOT_OURS",
+                        "# HELP fleet_refused_other_fleet_total Packets refused: OTHER_FLEET",
+                        "# HELP fleet_refused_over_budget_total Packets refused: OVER_BUDGET",
+                        "# HELP fleet_refused_replayed_total Packets refused: REPLAYED");
+        assertThat(lines)
+                .filteredOn(line -> !line.startsWith("#"))
+                .allMatch(line -> line.matches("[a-z0-9_]+ [-+0-9.eENa]+"))
+                .hasSameSizeAs(golden());
     }
 }
--- a/src/test/java/ochretiller/golden/WholeServer.java
+++ b/src/test/java/ochretiller/golden/WholeServer.java
@@ -37,22 +37,23 @@
     final Path audit;
     final Node node;
     private final StandIns outside;
-    private final Handler handler = new Handler() {
-        @Override
-        public void publish(LogRecord entry) {
-            log.add(entry.getMessage());
-        }
+    private final Handler handler =
+            new Handler() {
+                @Override
+                public void publish(LogRecord entry) {
+                    log.add(entry.getMessage());
+                }
 
-        @Override
-        public void flush() {
-            // Lines are in memory at once.
-        }
+                @Override
+                public void flush() {
+                    // Lines are in memory at once.
+                }
 
-        @Override
-        public void close() {
-            // Nothing is open.
-        }
-    };
+                @Override
+                public void close() {
+                    // Nothing is open.
+                }
+            };
     private int requests;
 
     WholeServer(Path folder) throws Exception {
@@ -64,11 +65,17 @@
         audit = folder.resolve("audit");
         metrics = folder.resolve("metrics.prom");
         LOG.addHandler(handler);
-        outside = new StandIns("127.0.0.1", new int[3], line -> { }, report -> { });
+        outside = new StandIns("127.0.0.1", new int[3], line -> {}, report -> {});
         outside.runs = (rid, operation, body) -> outside.complete(rid, "done");
-        config = Files.writeString(folder.resolve("config.json"),
-            Gateways.config(port, outside.processorPort(), outside.recordsPort(),
-                outside.rosterPort()).replace("\"stop_ms\":2000", "\"stop_ms\":500"));
+        config =
+                Files.writeString(
+                        folder.resolve("config.json"),
+                        Gateways.config(
+                                        port,
+                                        outside.processorPort(),
+                                        outside.recordsPort(),
+                                        outside.rosterPort())
+                                .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
         operator = Files.writeString(folder.resolve("operator.json5"), operator(folder));
         Operator told = OperatorFile.read(operator);
         node = new Node(config, told, disk);
@@ -83,17 +90,18 @@
     private String operator(Path folder) throws IOException {
         Path key = Files.writeString(folder.resolve("key"), "a key that is long enough");
         return """
-            { metrics: { file: '%1$s/metrics.prom', every_ms: 100 },
-              remember: { folder: '%1$s/store' },
-              audit: { folder: '%1$s/audit' },
-              uwsgi: { listen: '127.0.0.1:%2$d', routes: [ { path: '/read', operation: 'read' } ] },
-              pools: { parts: { workers: [ '127.0.0.1:9' ], most_in_flight: 4,
-                runs: [ { operation: 'read', path: '/read' } ] } },
-              fleet: { name: 'parts', listen: '127.0.0.1:%3$d', key_file: '%4$s', zone: 'a',
-                peers_file: '%1$s/peers',
-                copies: { voters: [ 'n1' ], voter_file: '%1$s/voter', calm_ms: 500,
-                  versions: { folder: '%1$s/versions' } } } }
-            """.formatted(folder, freePort(), fleetPort, key);
+        { metrics: { file: '%1$s/metrics.prom', every_ms: 100 },
+          remember: { folder: '%1$s/store' },
+          audit: { folder: '%1$s/audit' },
+          uwsgi: { listen: '127.0.0.1:%2$d', routes: [ { path: '/read', operation: 'read' } ] },
+          pools: { parts: { workers: [ '127.0.0.1:9' ], most_in_flight: 4,
+            runs: [ { operation: 'read', path: '/read' } ] } },
+          fleet: { name: 'parts', listen: '127.0.0.1:%3$d', key_file: '%4$s', zone: 'a',
+            peers_file: '%1$s/peers',
+            copies: { voters: [ 'n1' ], voter_file: '%1$s/voter', calm_ms: 500,
+              versions: { folder: '%1$s/versions' } } } }
+        """
+                .formatted(folder, freePort(), fleetPort, key);
     }
 
     private static int freePort() throws IOException {
--- a/src/test/java/ochretiller/keys/KeysTest.java
+++ b/src/test/java/ochretiller/keys/KeysTest.java
@@ -18,7 +18,16 @@
     private final Keys keys = new Keys(10_000, SECOND);
 
     private static Operation operation(String name, Effect effect) {
-        return new Operation(name, effect, SECOND, SECOND.multipliedBy(2), 1, 0, SECOND.multipliedBy(10), false, 0);
+        return new Operation(
+                name,
+                effect,
+                SECOND,
+                SECOND.multipliedBy(2),
+                1,
+                0,
+                SECOND.multipliedBy(10),
+                false,
+                0);
     }
 
     private static InvId id(long value) {
@@ -66,7 +75,8 @@
     void repeatAtTheEdgeIsTiedHoweverTheGatheringsFellInWhichBothWereRead() {
         keys.keep(id(1), ORDER, "token", BODY, Keys.UNDATED, at(10));
         ended(1, "done", 1);
-        assertThat(order(2, 10.099, 10.1)).isEqualTo(id(1)); // it came at 9.99 by the clock of who dated it
+        assertThat(order(2, 10.099, 10.1))
+                .isEqualTo(id(1)); // it came at 9.99 by the clock of who dated it
     }
 
     @Test
@@ -75,7 +85,8 @@
         keys.keep(id(1), ORDER, "token", BODY, t0, at(10));
         ended(1, "done", 1);
         // 11 s later the clock shows 6 s more, as it was set back by 5.
-        assertThat(keys.read(id(2), ORDER, "token", null, at(11), t0 + 6_000, at(11))).isEqualTo(id(1));
+        assertThat(keys.read(id(2), ORDER, "token", null, at(11), t0 + 6_000, at(11)))
+                .isEqualTo(id(1));
         assertThat(keys.read(id(3), ORDER, "token", null, at(11), t0 + 10_100, at(11))).isNull();
     }
 
--- a/src/test/java/ochretiller/net/AcceptorTest.java
+++ b/src/test/java/ochretiller/net/AcceptorTest.java
@@ -34,7 +34,8 @@
         }
 
         @Override
-        protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+        protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
+                throws Exception {
             if (first.getCount() > 0) {
                 first.countDown();
                 go.await();
@@ -51,13 +52,14 @@
         LinkedBlockingQueue<String> read = new LinkedBlockingQueue<>();
         acceptor.setBacklog(WAITING * 2);
         acceptor.setCloseOnDeactivation(false);
-        acceptor.setHandler(new IoHandlerAdapter() {
-            @Override
-            public void messageReceived(IoSession session, Object message) {
-                read.add(((IoBuffer) message).getHexDump());
-                session.write(IoBuffer.wrap(new byte[] {7}));
-            }
-        });
+        acceptor.setHandler(
+                new IoHandlerAdapter() {
+                    @Override
+                    public void messageReceived(IoSession session, Object message) {
+                        read.add(((IoBuffer) message).getHexDump());
+                        session.write(IoBuffer.wrap(new byte[] {7}));
+                    }
+                });
         acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         int port = acceptor.getLocalAddress().getPort();
         List<Socket> callers = new ArrayList<>();
@@ -70,12 +72,19 @@
         assertThat(acceptor.first.await(10, TimeUnit.SECONDS)).isTrue();
         Thread closing = new Thread(acceptor::unbind);
         closing.start();
-        while (closing.getState() != Thread.State.WAITING && closing.getState() != Thread.State.TIMED_WAITING) Thread.onSpinWait();
+        while (closing.getState() != Thread.State.WAITING
+                && closing.getState() != Thread.State.TIMED_WAITING) {
+            Thread.onSpinWait();
+        }
         acceptor.go.countDown();
-        for (Socket caller : callers) assertThat(caller.getInputStream().read()).isEqualTo(7);
+        for (Socket caller : callers) {
+            assertThat(caller.getInputStream().read()).isEqualTo(7);
+        }
         assertThat(read).hasSize(WAITING);
         closing.join();
-        for (Socket caller : callers) caller.close();
+        for (Socket caller : callers) {
+            caller.close();
+        }
         acceptor.dispose();
         processor.dispose();
         threads.shutdown();
