--- a/src/test/java/ochretiller/operator/OperatorFileTest.java
+++ b/src/test/java/ochretiller/operator/OperatorFileTest.java
@@ -16,10 +16,12 @@
     void exampleIsGood() {
         Operator example = OperatorFile.read(Path.of("deploy/operator.json5"));
         assertThat(example.jsonLog()).isTrue();
-        assertThat(example.remember()).hasValueSatisfying(remember -> {
-            assertThat(remember.mostBytes()).isEqualTo(64L << 20);
-            assertThat(remember.stall()).isEqualTo(Duration.ofMillis(250));
-        });
+        assertThat(example.remember())
+                .hasValueSatisfying(
+                        remember -> {
+                            assertThat(remember.mostBytes()).isEqualTo(64L << 20);
+                            assertThat(remember.stall()).isEqualTo(Duration.ofMillis(250));
+                        });
     }
 
     @Test
@@ -28,39 +30,56 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{ lag: {} }                                 | f:1:8: ; 'lag'",
-        "{ log: { format: 'xml' } }                  | f:1:18: ; /log/format",
-        "{ remember: { most_mb: 4 } }                | f:1:13: ; 'folder'",
-        "{ remember: { folder: 'x', most_mb: 0 } }   | f:1:37: ; /remember/most_mb",
-        "{ remember: { folder: 7 } }                 | f:1:23: ; /remember/folder",
-        "{ log: {}, log: {} }                        | f:1:17: ; log",
-        "{ log: {} } {}                              | f:1:13: ; Trailing",
-        "{ fleet: { name: 'p', listen: '1.2.3.4:5' } } | f:1:10: ; 'key_file'",
-        "{ fleet: { name: 'p', listen: 'here:5', key_file: 'k' } } | f:1:31: ; /fleet/listen",
-        "{ fleet: { name: 'p', listen: '1.2.3.4:5', key_file: 'k', seeds: ['1.2.3.4:99999'] } } | fleet: ; 99999",
-        "{ drill: { clock_ms: -5 } }                 | drill: ; only drills",
-        "[]                                          | f:1:1: ; object",
-        "{ log:                                      | f:1: ; f",
-        "log                                         | f:1:1: ; log"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{ lag: {} }                                 | f:1:8: ; 'lag'",
+                "{ log: { format: 'xml' } }                  | f:1:18: ; /log/format",
+                "{ remember: { most_mb: 4 } }                | f:1:13: ; 'folder'",
+                "{ remember: { folder: 'x', most_mb: 0 } }   | f:1:37: ; /remember/most_mb",
+                "{ remember: { folder: 7 } }                 | f:1:23: ; /remember/folder",
+                "{ log: {}, log: {} }                        | f:1:17: ; log",
+                "{ log: {} } {}                              | f:1:13: ; Trailing",
+                "{ fleet: { name: 'p', listen: '1.2.3.4:5' } } | f:1:10: ; 'key_file'",
+                "{ fleet: { name: 'p', listen: 'here:5', key_file: 'k' } } | f:1:31: ;"
+                        + " /fleet/listen",
+                "{ fleet: { name: 'p', listen: '1.2.3.4:5', key_file: 'k', seeds: ['1.2.3.4:99999']"
+                        + " } } | fleet: ; 99999",
+                "{ drill: { clock_ms: -5 } }                 | drill: ; only drills",
+                "[]                                          | f:1:1: ; object",
+                "{ log:                                      | f:1: ; f",
+                "log                                         | f:1:1: ; log"
+            })
     void faultIsNamedWithItsPlace(String text, String named) {
         String[] parts = named.split(" ; ");
-        assertThatThrownBy(() -> OperatorFile.of(text.replace("\\n", "\n"), "f")).isInstanceOf(MalformedException.class)
-            .message().startsWith(parts[0].trim()).contains(parts[1].trim()).doesNotContain("\n");
+        assertThatThrownBy(() -> OperatorFile.of(text.replace("\\n", "\n"), "f"))
+                .isInstanceOf(MalformedException.class)
+                .message()
+                .startsWith(parts[0].trim())
+                .contains(parts[1].trim())
+                .doesNotContain("\n");
     }
 
     @Test
     void fleetIsReadWithWhatIsUsual() {
-        Operator told = OperatorFile.of("{ fleet: { name: 'parts', listen: '127.0.0.1:4200', key_file: '/k', seeds: ['10.0.0.2:4200'], forget_s: 60 } }", "f");
-        assertThat(told.fleet()).hasValueSatisfying(fleet -> {
-            assertThat(fleet.seeds()).containsExactly(new Address("10.0.0.2", 4200));
-            assertThat(fleet.pace().probe()).isEqualTo(Duration.ofMillis(100));
-            assertThat(fleet.pace().forget()).isEqualTo(Duration.ofSeconds(60));
-        });
+        Operator told =
+                OperatorFile.of(
+                        "{ fleet: { name: 'parts', listen: '127.0.0.1:4200', key_file: '/k', seeds:"
+                                + " ['10.0.0.2:4200'], forget_s: 60 } }",
+                        "f");
+        assertThat(told.fleet())
+                .hasValueSatisfying(
+                        fleet -> {
+                            assertThat(fleet.seeds())
+                                    .containsExactly(new Address("10.0.0.2", 4200));
+                            assertThat(fleet.pace().probe()).isEqualTo(Duration.ofMillis(100));
+                            assertThat(fleet.pace().forget()).isEqualTo(Duration.ofSeconds(60));
+                        });
     }
 
     @Test
     void absentFileIsNamed() {
-        assertThatThrownBy(() -> OperatorFile.read(Path.of("none.json5"))).hasMessageContaining("none.json5");
+        assertThatThrownBy(() -> OperatorFile.read(Path.of("none.json5")))
+                .hasMessageContaining("none.json5");
     }
 }
--- a/src/test/java/ochretiller/paths/PathPatternTest.java
+++ b/src/test/java/ochretiller/paths/PathPatternTest.java
@@ -14,19 +14,48 @@
 
 class PathPatternTest {
     @ParameterizedTest
-    @CsvSource({"/,/,true", "/,/a,false", "/orders,/orders,true", "/orders,/orders/,false", "/orders/{id},/orders/7,true",
-        "/orders/{id},/orders/,false", "/orders/{id},/orders/7/lines,false", "/orders/{id}/lines,/orders/7/lines,true",
-        "/files/**,/files,true", "/files/**,/files/a/b,true", "/files/**,/file,false", "/**,/,true", "/**,/a//b,true",
-        "/a,a,false", "/a,'',false", "/{a}/{b},/x/y,true"})
+    @CsvSource({
+        "/,/,true",
+        "/,/a,false",
+        "/orders,/orders,true",
+        "/orders,/orders/,false",
+        "/orders/{id},/orders/7,true",
+        "/orders/{id},/orders/,false",
+        "/orders/{id},/orders/7/lines,false",
+        "/orders/{id}/lines,/orders/7/lines,true",
+        "/files/**,/files,true",
+        "/files/**,/files/a/b,true",
+        "/files/**,/file,false",
+        "/**,/,true",
+        "/**,/a//b,true",
+        "/a,a,false",
+        "/a,'',false",
+        "/{a}/{b},/x/y,true"
+    })
     void matches(String pattern, String path, boolean matches) {
         assertThat(PathPattern.of(pattern).matches(path)).isEqualTo(matches);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "orders", "/or ders", "/{id", "/id}", "/{}", "/{7}", "/a?b", "/**/a", "/a/**b", "//", "/a/"})
+    @ValueSource(
+            strings = {
+                "",
+                "orders",
+                "/or ders",
+                "/{id",
+                "/id}",
+                "/{}",
+                "/{7}",
+                "/a?b",
+                "/**/a",
+                "/a/**b",
+                "//",
+                "/a/"
+            })
     void wrongOnesAreNamed(String pattern) {
-        assertThatThrownBy(() -> PathPattern.of(pattern)).isInstanceOf(MalformedException.class)
-            .hasMessageContaining("'" + pattern + "'");
+        assertThatThrownBy(() -> PathPattern.of(pattern))
+                .isInstanceOf(MalformedException.class)
+                .hasMessageContaining("'" + pattern + "'");
     }
 
     /** What covering and overlapping say is held against every path of a small world. */
@@ -38,23 +67,35 @@
         for (int i = 0; i < 120; i++) {
             StringBuilder text = new StringBuilder();
             int length = chance.nextInt(4);
-            for (int n = 0; n < length; n++) text.append('/').append(parts[chance.nextInt(n == length - 1 ? 4 : 3)]);
+            for (int n = 0; n < length; n++) {
+                text.append('/').append(parts[chance.nextInt(n == length - 1 ? 4 : 3)]);
+            }
             patterns.add(PathPattern.of(text.length() == 0 ? "/" : text.toString()));
         }
         List<String> paths = new ArrayList<>(List.of("/"));
         for (int from = 0, depth = 0; depth < 5; depth++) {
             int to = paths.size();
             for (; from < to; from++) {
-                for (String part : new String[] {"a", "b", "c"}) paths.add((paths.get(from).equals("/") ? "" : paths.get(from)) + "/" + part);
+                for (String part : new String[] {"a", "b", "c"}) {
+                    paths.add((paths.get(from).equals("/") ? "" : paths.get(from)) + "/" + part);
+                }
             }
         }
         for (PathPattern one : patterns) {
             for (PathPattern other : patterns) {
                 String what = one.text() + " and " + other.text();
-                assertThat(one.overlaps(other)).as(what)
-                    .isEqualTo(paths.stream().anyMatch(path -> one.matches(path) && other.matches(path)));
-                assertThat(one.covers(other)).as(what)
-                    .isEqualTo(paths.stream().allMatch(path -> !other.matches(path) || one.matches(path)));
+                assertThat(one.overlaps(other))
+                        .as(what)
+                        .isEqualTo(
+                                paths.stream()
+                                        .anyMatch(
+                                                path -> one.matches(path) && other.matches(path)));
+                assertThat(one.covers(other))
+                        .as(what)
+                        .isEqualTo(
+                                paths.stream()
+                                        .allMatch(
+                                                path -> !other.matches(path) || one.matches(path)));
             }
         }
     }
--- a/src/test/java/ochretiller/policy/ChoiceTest.java
+++ b/src/test/java/ochretiller/policy/ChoiceTest.java
@@ -67,7 +67,8 @@
     void repeatOfARunThatNeverBeganTakesItsPlace() {
         server.arrive(1, ORDER, null);
         server.arrive(2, ORDER, 1L);
-        assertThat(server.end(1, RunEnd.Result.NOTHING)).containsExactly("erase 1", "keep 2", "run 2");
+        assertThat(server.end(1, RunEnd.Result.NOTHING))
+                .containsExactly("erase 1", "keep 2", "run 2");
     }
 
     @Test
@@ -80,7 +81,8 @@
         busy();
         server.arrive(1, ORDER, null);
         server.arrive(2, ORDER, 1L);
-        assertThat(server.act(server.choice().gone(new InvId(1)))).containsExactly("erase 1", "keep 2");
+        assertThat(server.act(server.choice().gone(new InvId(1))))
+                .containsExactly("erase 1", "keep 2");
     }
 
     @Test
@@ -98,7 +100,9 @@
         server.now = SECOND;
         server.arrive(2, ORDER, 1L);
         server.beat(SECOND.multipliedBy(4));
-        assertThat(server.beat(SECOND.multipliedBy(5))).contains("fail 2").doesNotContain("throttle 2", "last 2");
+        assertThat(server.beat(SECOND.multipliedBy(5)))
+                .contains("fail 2")
+                .doesNotContain("throttle 2", "last 2");
     }
 
     @Test
@@ -169,7 +173,7 @@
         server.arrive(1, ORDER, null);
         drain(SECOND);
         assertThat(server.beat(Duration.ofMillis(930)))
-            .contains("fail 101", "fail 102", "throttle 1", "erase 1");
+                .contains("fail 101", "fail 102", "throttle 1", "erase 1");
     }
 
     @Test
@@ -223,10 +227,14 @@
     void runLimitStepsBackOnlyWhenCompletionsFallOnBusyCores() {
         Choice.RunLimit limit = new Choice.RunLimit(6, 8, 1, Duration.ZERO, true);
         press(limit, 1, 1, 0.5);
-        for (int i = 0; i < 20; i++) limit.ended();
+        for (int i = 0; i < 20; i++) {
+            limit.ended();
+        }
         press(limit, 2, 2, 0.99);
         assertThat(limit.now(SECOND)).isEqualTo(7);
-        for (int i = 0; i < 16; i++) limit.ended();
+        for (int i = 0; i < 16; i++) {
+            limit.ended();
+        }
         press(limit, 5, 5, 0.99);
         assertThat(limit.now(SECOND)).isEqualTo(6);
     }
@@ -246,7 +254,9 @@
     @Test
     void callsFollowOnWhileTheSliceLasts() {
         server.slice = 5;
-        for (long id = 1; id <= 9; id++) server.arrive(id, ORDER, null);
+        for (long id = 1; id <= 9; id++) {
+            server.arrive(id, ORDER, null);
+        }
         assertThat(server.act(server.choice().blocked(new InvId(1)))).contains("call 1");
         assertThat(server.act(server.choice().blocked(new InvId(2)))).contains("call 2");
     }
@@ -266,8 +276,17 @@
         assertThat(server.beat(Duration.ofMillis(150))).containsExactly("call 1");
     }
 
-    private static final Operation LOOKUP = new Operation("lookup", Effect.IDEMPOTENT, SECOND, SECOND.multipliedBy(4), 1,
-        0, Duration.ZERO, true, 0);
+    private static final Operation LOOKUP =
+            new Operation(
+                    "lookup",
+                    Effect.IDEMPOTENT,
+                    SECOND,
+                    SECOND.multipliedBy(4),
+                    1,
+                    0,
+                    Duration.ZERO,
+                    true,
+                    0);
 
     /** One lookup after another, each long away at its call. */
     private void slowCalls() {
@@ -276,18 +295,34 @@
             server.act(server.choice().blocked(new InvId(id)));
             server.now = server.now.plusMillis(700);
             server.endCall(id, CallEnd.Result.SUCCEEDED);
-            server.runs.remove(new InvId(id)).apply(new RunEnd(RunEnd.Result.SUCCEEDED, Duration.ofMillis(800))).act(server);
+            server.runs
+                    .remove(new InvId(id))
+                    .apply(new RunEnd(RunEnd.Result.SUCCEEDED, Duration.ofMillis(800)))
+                    .act(server);
         }
     }
 
     @Test
     void longCallsCountInWhatFits() {
         slowCalls();
-        Operation dear = new Operation("fit", Effect.IDEMPOTENT, SECOND.multipliedBy(8), SECOND.multipliedBy(9), 1, 0,
-            Duration.ZERO, false, 0);
+        Operation dear =
+                new Operation(
+                        "fit",
+                        Effect.IDEMPOTENT,
+                        SECOND.multipliedBy(8),
+                        SECOND.multipliedBy(9),
+                        1,
+                        0,
+                        Duration.ZERO,
+                        false,
+                        0);
         server.arrive(11, dear, null);
         server.arrive(12, dear, null);
-        assertThat(server.arrive(13, LOOKUP, null)).singleElement().asString().endsWith(" 13").doesNotStartWith("run");
+        assertThat(server.arrive(13, LOOKUP, null))
+                .singleElement()
+                .asString()
+                .endsWith(" 13")
+                .doesNotStartWith("run");
         assertThat(server.arrive(14, READ, null)).isEmpty(); // held: it makes no call
     }
 
@@ -307,14 +342,18 @@
         server.arrive(3, READ, null);
         server.arrive(4, READ, null);
         server.arrive(5, READ, null);
-        assertThat(server.beat(Duration.ofMillis(1050))).contains("last 2", "stop 2").doesNotContain("fail 2");
+        assertThat(server.beat(Duration.ofMillis(1050)))
+                .contains("last 2", "stop 2")
+                .doesNotContain("fail 2");
     }
 
     @Test
     void whoLeavesIsOpenUntilItsGraceIsOver() {
         server.advert = Advert.SHARE;
-        assertThat(server.act(server.choice().leave(SECOND.multipliedBy(3)))).containsExactly("unwell");
-        assertThat(server.beat(Duration.ofMillis(800))).noneMatch(said -> said.startsWith("advertise"));
+        assertThat(server.act(server.choice().leave(SECOND.multipliedBy(3))))
+                .containsExactly("unwell");
+        assertThat(server.beat(Duration.ofMillis(800)))
+                .noneMatch(said -> said.startsWith("advertise"));
         assertThat(server.beat(SECOND)).contains("advertise 0.0");
     }
 
@@ -330,7 +369,8 @@
     void blockedRunLeavesItsPlace() {
         busy();
         server.arrive(1, READ, null);
-        assertThat(server.act(server.choice().blocked(new InvId(101)))).containsExactly("call 101", "run 1");
+        assertThat(server.act(server.choice().blocked(new InvId(101))))
+                .containsExactly("call 101", "run 1");
     }
 
     @Test
@@ -345,18 +385,31 @@
     void markedFurtherTryGivesUpSoonerThanAFirst() {
         busy();
         Invocation first = server.inv(1, READ, null);
-        Invocation further = new Invocation(new InvId(2), null, READ, 10, Duration.ZERO, first.due(), null,
-            first.caller(), null, true);
+        Invocation further =
+                new Invocation(
+                        new InvId(2),
+                        null,
+                        READ,
+                        10,
+                        Duration.ZERO,
+                        first.due(),
+                        null,
+                        first.caller(),
+                        null,
+                        true);
         server.act(server.choice().arrived(first));
         server.act(server.choice().arrived(further));
         assertThat(server.beat(Duration.ofMillis(1_250)))
-            .containsAnyOf("throttle 2", "last 2").doesNotContain("throttle 1", "last 1");
+                .containsAnyOf("throttle 2", "last 2")
+                .doesNotContain("throttle 1", "last 1");
     }
 
     @Test
     void whoHasMostInTheHoldLosesTheNextPlace() {
         Choice.Hold hold = new Choice.Hold(List.of(), 1, 1, false);
-        for (long id : new long[] {1, 3, 5, 2}) hold.held.add(new Work(server.inv(id, READ, null)));
+        for (long id : new long[] {1, 3, 5, 2}) {
+            hold.held.add(new Work(server.inv(id, READ, null)));
+        }
         assertThat(hold.loser(hold.ordered(Duration.ZERO)).inv.id()).isEqualTo(new InvId(5));
     }
 
@@ -364,10 +417,22 @@
     void whatATenantSendsBeyondItsQuotaCountsLittle() {
         TenantId one = new TenantId("one");
         Choice.Hold hold = new Choice.Hold(List.of(new Tenant(one, 1, 2)), 1, 0.1, false);
-        Invocation inv = new Invocation(new InvId(1), null, READ, 1, Duration.ZERO, SECOND, null, new CallerId(1),
-            one, false);
+        Invocation inv =
+                new Invocation(
+                        new InvId(1),
+                        null,
+                        READ,
+                        1,
+                        Duration.ZERO,
+                        SECOND,
+                        null,
+                        new CallerId(1),
+                        one,
+                        false);
         // Four are due in two seconds, and chance alone brings two more.
-        for (int i = 0; i < 7; i++) assertThat(hold.worth(inv, SECOND.multipliedBy(2))).isEqualTo(1);
+        for (int i = 0; i < 7; i++) {
+            assertThat(hold.worth(inv, SECOND.multipliedBy(2))).isEqualTo(1);
+        }
         assertThat(hold.worth(inv, SECOND.multipliedBy(2))).isEqualTo(0.1);
     }
 
@@ -382,14 +447,16 @@
 
     @Test
     void adviceIsNeverLongerThanWhatIsHeeded() {
-        Choice.Signals signals = new Choice.Signals(Advert.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
+        Choice.Signals signals =
+                new Choice.Signals(Advert.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
         assertThat(signals.advice(SECOND.multipliedBy(9))).isEqualTo(SECOND);
         assertThat(signals.advice(Duration.ZERO)).isPositive().isLessThan(SECOND);
     }
 
     @Test
     void silentConnectionsAreClosedSoonerWhileManyStand() {
-        Choice.Signals signals = new Choice.Signals(Advert.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
+        Choice.Signals signals =
+                new Choice.Signals(Advert.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
         signals.links(server, 99);
         server.now = SECOND;
         signals.links(server, 1);
@@ -400,7 +467,9 @@
     void windowClosesWhileTheHoldIsLong() {
         server.advert = Advert.WINDOW;
         busy();
-        for (long id = 1; id < 5; id++) server.arrive(id, READ, null);
+        for (long id = 1; id < 5; id++) {
+            server.arrive(id, READ, null);
+        }
         assertThat(server.beat(Duration.ofMillis(100))).contains("advertise " + 12 * 0.9);
     }
 
@@ -422,7 +491,9 @@
         server.arrive(1, READ, null);
         server.arrive(2, ORDER, null);
         server.beat(Duration.ofMillis(1_350));
-        assertThat(server.said).containsAnyOf("throttle 1", "last 1").doesNotContain("throttle 2", "last 2");
+        assertThat(server.said)
+                .containsAnyOf("throttle 1", "last 1")
+                .doesNotContain("throttle 2", "last 2");
     }
 
     @Test
@@ -453,17 +524,21 @@
         assertThat(server.arrive(3, ORDER, null)).containsExactly("keep 3", "run 3");
         server.keeps = false;
         server.end(3, RunEnd.Result.SUCCEEDED);
-        assertThat(server.arrive(4, ORDER, 3L)).containsExactly("replay 4"); // a repeat needs no mark of its own
+        assertThat(server.arrive(4, ORDER, 3L))
+                .containsExactly("replay 4"); // a repeat needs no mark of its own
     }
 
     @Test
     void runThatWasNotBegunForWantOfItsMarkIsThrottledAndItsRepeatTakesItsPlace() {
         server.arrive(1, ORDER, null);
         assertThat(server.arrive(2, ORDER, 1L)).isEmpty();
-        assertThat(server.end(1, RunEnd.Result.NOT_BEGUN)).containsExactly("erase 1", "keep 2", "throttle 1", "run 2");
+        assertThat(server.end(1, RunEnd.Result.NOT_BEGUN))
+                .containsExactly("erase 1", "keep 2", "throttle 1", "run 2");
         server.arrive(3, ORDER, 2L);
         server.keeps = false;
-        assertThat(server.end(2, RunEnd.Result.NOT_BEGUN)).hasSize(3).allMatch(said -> said.matches("erase 2|(throttle|last) [23]"));
+        assertThat(server.end(2, RunEnd.Result.NOT_BEGUN))
+                .hasSize(3)
+                .allMatch(said -> said.matches("erase 2|(throttle|last) [23]"));
         assertThat(server.advised).isPositive();
     }
 
@@ -476,8 +551,12 @@
 
     @Test
     void whatAFormerProcessHasRunIsReplayedOrErroredAndNeverRuns() {
-        server.act(server.choice().restored(new InvId(-1), SECOND.multipliedBy(9), RunEnd.Result.SUCCEEDED));
-        server.act(server.choice().restored(new InvId(-2), SECOND.multipliedBy(9), RunEnd.Result.ERRORED));
+        server.act(
+                server.choice()
+                        .restored(new InvId(-1), SECOND.multipliedBy(9), RunEnd.Result.SUCCEEDED));
+        server.act(
+                server.choice()
+                        .restored(new InvId(-2), SECOND.multipliedBy(9), RunEnd.Result.ERRORED));
         assertThat(server.arrive(1, ORDER, -1L)).containsExactly("replay 1");
         assertThat(server.arrive(2, ORDER, -2L)).containsExactly("fail 2");
     }
@@ -488,31 +567,47 @@
         server.act(server.choice().restored(new InvId(-2), SECOND.multipliedBy(9), null));
         assertThat(server.arrive(1, ORDER, -1L)).isEmpty();
         assertThat(server.arrive(2, ORDER, -2L)).isEmpty();
-        assertThat(server.act(server.choice().restored(new InvId(-1), SECOND.multipliedBy(9), RunEnd.Result.SUCCEEDED)))
-            .containsExactly("replay 1");
-        assertThat(server.beat(SECOND.multipliedBy(4))).contains("fail 2").doesNotContain("throttle 2", "run 2");
+        assertThat(
+                        server.act(
+                                server.choice()
+                                        .restored(
+                                                new InvId(-1),
+                                                SECOND.multipliedBy(9),
+                                                RunEnd.Result.SUCCEEDED)))
+                .containsExactly("replay 1");
+        assertThat(server.beat(SECOND.multipliedBy(4)))
+                .contains("fail 2")
+                .doesNotContain("throttle 2", "run 2");
     }
 
     @Test
     void restoredEntriesTakeTheirRoom() {
         server.memoryKb = 100; // four entries of ten
         for (int i = 1; i <= 4; i++) {
-            server.act(server.choice().restored(new InvId(-i), SECOND.multipliedBy(9), RunEnd.Result.SUCCEEDED));
+            server.act(
+                    server.choice()
+                            .restored(
+                                    new InvId(-i),
+                                    SECOND.multipliedBy(9),
+                                    RunEnd.Result.SUCCEEDED));
         }
         assertThat(server.arrive(1, ORDER, null)).containsExactly("throttle 1");
         server.now = SECOND.multipliedBy(9);
-        assertThat(server.arrive(2, ORDER, null)).containsExactly("keep 2"); // their windows are over
+        assertThat(server.arrive(2, ORDER, null))
+                .containsExactly("keep 2"); // their windows are over
     }
 
     @Test
     void runsThatEndWhileTheyAreBegunAreBegunOnce() {
         server.pools.put(ORDER, "far");
         server.free = 0;
-        for (long id = 1; id <= 4; id++) server.arrive(id, ORDER, null);
+        for (long id = 1; id <= 4; id++) {
+            server.arrive(id, ORDER, null);
+        }
         server.free = 8;
         server.atOnce = RunEnd.Result.NOT_BEGUN;
         assertThat(server.arrive(5, READ, null).stream().filter(said -> said.startsWith("run")))
-            .containsExactlyInAnyOrder("run 1", "run 2", "run 3", "run 4", "run 5");
+                .containsExactlyInAnyOrder("run 1", "run 2", "run 3", "run 4", "run 5");
     }
 
     @Test
@@ -520,11 +615,15 @@
         server.pools.put(READ, "far");
         server.arrive(101, ORDER, null);
         server.arrive(102, ORDER, null);
-        assertThat(server.arrive(1, READ, null)).as("cores are taken, its pool is not").containsExactly("run 1");
+        assertThat(server.arrive(1, READ, null))
+                .as("cores are taken, its pool is not")
+                .containsExactly("run 1");
         server.free = 0;
         assertThat(server.arrive(2, READ, null)).isEmpty();
         server.end(101, RunEnd.Result.SUCCEEDED);
-        assertThat(server.arrive(3, ORDER, null)).as("what waits for a pool holds up nothing else").contains("run 3");
+        assertThat(server.arrive(3, ORDER, null))
+                .as("what waits for a pool holds up nothing else")
+                .contains("run 3");
         server.free = 1;
         assertThat(server.end(1, RunEnd.Result.SUCCEEDED)).containsExactly("run 2");
     }
@@ -533,7 +632,9 @@
     void withoutAnyWorkerWhatIsHeldForItIsThrottledAtOnce() {
         server.pools.put(READ, "far");
         server.places = server.free = 0;
-        assertThat(server.arrive(1, READ, null)).hasSize(1).allMatch(said -> said.matches("(throttle|last) 1"));
+        assertThat(server.arrive(1, READ, null))
+                .hasSize(1)
+                .allMatch(said -> said.matches("(throttle|last) 1"));
         assertThat(server.advised).isPositive();
         assertThat(server.arrive(2, ORDER, null)).containsExactly("keep 2", "run 2");
     }
@@ -550,21 +651,31 @@
     void operationThatWasNeverMeasuredIsNotKeptOutByItsGuess() {
         busy();
         for (long id : new long[] {101, 102}) {
-            server.act(server.runs.remove(new InvId(id)).apply(new RunEnd(RunEnd.Result.SUCCEEDED, Duration.ofMillis(4))));
+            server.act(
+                    server.runs
+                            .remove(new InvId(id))
+                            .apply(new RunEnd(RunEnd.Result.SUCCEEDED, Duration.ofMillis(4))));
         }
         server.arrive(103, READ, null);
         server.arrive(104, READ, null);
         server.arrive(1, READ, null);
         server.arrive(2, ORDER, null);
-        assertThat(server.end(103, RunEnd.Result.SUCCEEDED)).as("reads proved fast, so may orders").containsExactly("run 2");
+        assertThat(server.end(103, RunEnd.Result.SUCCEEDED))
+                .as("reads proved fast, so may orders")
+                .containsExactly("run 2");
     }
 
     @Test
     void heldOnesOfEqualRateAreOrderedByTurnsOfTheirCallers() {
         Choice.Hold hold = new Choice.Hold(List.of(), 1, 1, false);
-        for (long id : new long[] {2, 4, 6, 1, 8, 3}) hold.held.add(new Work(server.inv(id, READ, null))); // callers: even and odd
-        assertThat(hold.ordered(server.now).stream().map(work -> work.inv.id().value())).containsExactly(1L, 2L, 3L, 4L, 6L, 8L);
+        for (long id : new long[] {2, 4, 6, 1, 8, 3}) {
+            hold.held.add(new Work(server.inv(id, READ, null))); // callers: even and odd
+        }
+        assertThat(hold.ordered(server.now).stream().map(work -> work.inv.id().value()))
+                .containsExactly(1L, 2L, 3L, 4L, 6L, 8L);
         hold.held.add(new Work(server.inv(10, ORDER, null)));
-        assertThat(hold.ordered(server.now).get(0).inv.id().value()).as("a higher rate goes first whoever sent it").isEqualTo(10);
+        assertThat(hold.ordered(server.now).get(0).inv.id().value())
+                .as("a higher rate goes first whoever sent it")
+                .isEqualTo(10);
     }
 }
--- a/src/test/java/ochretiller/pools/PoolTest.java
+++ b/src/test/java/ochretiller/pools/PoolTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 class PoolTest {
-    private static final PoolSettings SETTINGS = new PoolSettings(4, 3, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 2);
+    private static final PoolSettings SETTINGS =
+            new PoolSettings(4, 3, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 2);
     private final Pool pool = new Pool(SETTINGS, new SplittableRandom(1));
     private final WorkerId a = new WorkerId("a");
     private final WorkerId b = new WorkerId("b");
@@ -31,7 +32,9 @@
     @Test
     void eachHasItsMostAndThenNobodyIsThere() {
         pool.become(List.of(a, b), ms(0));
-        for (int i = 0; i < 8; i++) assertThat(pool.choose(ms(0))).isPresent();
+        for (int i = 0; i < 8; i++) {
+            assertThat(pool.choose(ms(0))).isPresent();
+        }
         assertThat(pool.inFlight(a)).isEqualTo(4);
         assertThat(pool.choose(ms(0))).isEmpty();
         pool.ended(b, End.ANSWERED, ms(10), ms(10));
@@ -42,7 +45,9 @@
     void oneThatTheFleetDoesNotSeeGetsNothingWhileOthersAreLeft() {
         pool.become(List.of(a, b), ms(0));
         pool.seen(a, false);
-        for (int i = 0; i < 4; i++) assertThat(pool.choose(ms(0))).contains(b);
+        for (int i = 0; i < 4; i++) {
+            assertThat(pool.choose(ms(0))).contains(b);
+        }
         assertThat(pool.choose(ms(0))).as("a view is an opinion: nobody else is left").contains(a);
         pool.seen(b, false);
         pool.ended(b, End.ANSWERED, ms(1), ms(1));
@@ -92,14 +97,18 @@
     void onlyWhatNeverBeganGoesElsewhereAndOnlyWithinTheBudget() {
         pool.become(List.of(a, b), ms(0));
         pool.choose(ms(0));
-        for (End end : new End[] {End.ANSWERED, End.FAILED, End.SILENT}) assertThat(pool.chooseAgain(a, end, ms(0))).isEmpty();
+        for (End end : new End[] {End.ANSWERED, End.FAILED, End.SILENT}) {
+            assertThat(pool.chooseAgain(a, end, ms(0))).isEmpty();
+        }
         assertThat(pool.chooseAgain(a, End.NEVER_BEGUN, ms(0))).contains(b);
         assertThat(pool.chooseAgain(a, End.NEVER_BEGUN, ms(0))).contains(b);
         assertThat(pool.chooseAgain(a, End.NEVER_BEGUN, ms(0))).as("two were saved up").isEmpty();
         int again = 0;
         for (int i = 0; i < 1_000; i++) {
             pool.choose(ms(i)).ifPresent(id -> pool.ended(id, End.ANSWERED, ms(1), ms(1)));
-            if (pool.chooseAgain(a, End.NEVER_BEGUN, ms(i)).isPresent()) again++;
+            if (pool.chooseAgain(a, End.NEVER_BEGUN, ms(i)).isPresent()) {
+                again++;
+            }
             pool.ended(b, End.ANSWERED, ms(1), ms(i));
         }
         assertThat(again).isBetween(90, 101);
@@ -107,12 +116,19 @@
 
     @Test
     void freshOneComesToItsPartSlowly() {
-        Pool slow = new Pool(new PoolSettings(20, 3, 0.5, ms(1_000), ms(4_000), 2, ms(10_000), 0.1, 2), new SplittableRandom(1));
+        Pool slow =
+                new Pool(
+                        new PoolSettings(20, 3, 0.5, ms(1_000), ms(4_000), 2, ms(10_000), 0.1, 2),
+                        new SplittableRandom(1));
         slow.add(a, ms(0));
         int at0 = 0;
-        while (slow.choose(ms(0)).isPresent()) at0++;
+        while (slow.choose(ms(0)).isPresent()) {
+            at0++;
+        }
         int at5 = at0;
-        while (slow.choose(ms(5_000)).isPresent()) at5++;
+        while (slow.choose(ms(5_000)).isPresent()) {
+            at5++;
+        }
         assertThat(at0).isEqualTo(2);
         assertThat(at5).isEqualTo(10);
     }
@@ -129,7 +145,10 @@
 
     @Test
     void onlyWorkersThatComeLaterComeSlowly() {
-        Pool slow = new Pool(new PoolSettings(10, 3, 0.5, ms(1_000), ms(4_000), 2, ms(1_000), 0.1, 2), new SplittableRandom(1));
+        Pool slow =
+                new Pool(
+                        new PoolSettings(10, 3, 0.5, ms(1_000), ms(4_000), 2, ms(1_000), 0.1, 2),
+                        new SplittableRandom(1));
         slow.become(List.of(a), ms(0));
         assertThat(slow.places(ms(0))).isEqualTo(10);
         slow.become(List.of(a, b), ms(100));
@@ -160,21 +179,34 @@
     @Test
     void lessForEachTakesHoldWithoutLosingWhatIsInFlight() {
         pool.become(List.of(a), ms(0));
-        for (int i = 0; i < 3; i++) pool.choose(ms(0));
+        for (int i = 0; i < 3; i++) {
+            pool.choose(ms(0));
+        }
         pool.become(new PoolSettings(1, 3, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 2));
         assertThat(pool.free(ms(0))).isZero();
         assertThat(pool.inFlight(a)).isEqualTo(3);
-        for (int i = 0; i < 3; i++) pool.ended(a, End.ANSWERED, ms(10), ms(0));
+        for (int i = 0; i < 3; i++) {
+            pool.ended(a, End.ANSWERED, ms(10), ms(0));
+        }
         assertThat(pool.free(ms(0))).isEqualTo(1);
     }
 
-    /** Eight workers, the last ten times slower: the 99th percentile of a policy under the same arrivals, seconds. */
+    /**
+     * Eight workers, the last ten times slower: the 99th percentile of a policy under the same
+     * arrivals, seconds.
+     */
     private static double p99(boolean pools, SplittableRandom chance) {
         int workers = 8;
         double[] freeAt = new double[workers];
-        Pool pool = new Pool(new PoolSettings(1_000, 5, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 10), chance.split());
-        for (int i = 0; i < workers; i++) pool.add(new WorkerId("" + i), ms(0));
-        record Running(double at, int worker, double took) { }
+        Pool pool =
+                new Pool(
+                        new PoolSettings(
+                                1_000, 5, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 10),
+                        chance.split());
+        for (int i = 0; i < workers; i++) {
+            pool.add(new WorkerId("" + i), ms(0));
+        }
+        record Running(double at, int worker, double took) {}
         PriorityQueue<Running> running = new PriorityQueue<>((x, y) -> Double.compare(x.at, y.at));
         List<Double> all = new ArrayList<>();
         double now = 0;
@@ -184,9 +216,19 @@
             now += -Math.log(1 - chance.nextDouble()) / 400;
             while (!running.isEmpty() && running.peek().at <= now) {
                 Running over = running.poll();
-                if (pools) pool.ended(new WorkerId("" + over.worker), End.ANSWERED, ms((long) (over.took * 1e3)), ms((long) (over.at * 1e3)));
+                if (pools) {
+                    pool.ended(
+                            new WorkerId("" + over.worker),
+                            End.ANSWERED,
+                            ms((long) (over.took * 1e3)),
+                            ms((long) (over.at * 1e3)));
+                }
             }
-            int worker = pools ? Integer.parseInt(pool.choose(ms((long) (now * 1e3))).orElseThrow().name()) : robin.getAsInt();
+            int worker =
+                    pools
+                            ? Integer.parseInt(
+                                    pool.choose(ms((long) (now * 1e3))).orElseThrow().name())
+                            : robin.getAsInt();
             double work = -Math.log(1 - chance.nextDouble()) * (worker == workers - 1 ? 0.1 : 0.01);
             freeAt[worker] = Math.max(freeAt[worker], now) + work;
             running.add(new Running(freeAt[worker], worker, freeAt[worker] - now));
@@ -202,7 +244,9 @@
         for (int seed = 0; seed < 5; seed++) {
             double turns = p99(false, new SplittableRandom(seed));
             double chosen = p99(true, new SplittableRandom(seed));
-            assertThat(chosen).as("seed " + seed + ": " + chosen + " of " + turns).isLessThan(turns / 10);
+            assertThat(chosen)
+                    .as("seed " + seed + ": " + chosen + " of " + turns)
+                    .isLessThan(turns / 10);
         }
     }
 }
--- a/src/test/java/ochretiller/records/RecordsTest.java
+++ b/src/test/java/ochretiller/records/RecordsTest.java
@@ -59,7 +59,8 @@
     @Test
     void callThatWaitsForAHangingConnectionIsWrittenToTheNextAddressAtOnce() throws Exception {
         List<Socket> held = new ArrayList<>();
-        try (ServerSocket old = full(held); ServerSocket next = service(50)) {
+        try (ServerSocket old = full(held);
+                ServerSocket next = service(50)) {
             Records records = records(old);
             call(records, "a");
             records.move(address(next));
@@ -73,14 +74,17 @@
             assertThat(ends).containsExactly(CallEnd.Result.SUCCEEDED);
             wire.close();
         } finally {
-            for (Socket socket : held) socket.close();
+            for (Socket socket : held) {
+                socket.close();
+            }
             network.stop();
         }
     }
 
     @Test
     void addressThatMovesWithCallsConnectingWaitingAndWrittenLosesNone() throws Exception {
-        try (ServerSocket old = service(50); ServerSocket next = service(50)) {
+        try (ServerSocket old = service(50);
+                ServerSocket next = service(50)) {
             Records records = records(old);
             call(records, "written");
             Wire first = new Wire(old.accept());
@@ -101,7 +105,9 @@
             assertThat(second.line()).isNull(); // nothing was written on it
             first.send("written DONE 0\r\n\r\n");
             third.send("connecting DONE 0\r\n\r\n");
-            for (int i = 0; ends.size() < 2 && i < 10; i++) loop.one();
+            for (int i = 0; ends.size() < 2 && i < 10; i++) {
+                loop.one();
+            }
             assertThat(ends).containsExactly(CallEnd.Result.SUCCEEDED, CallEnd.Result.SUCCEEDED);
         } finally {
             network.stop();
@@ -119,7 +125,8 @@
     }
 
     @Test
-    void connectionThatBreaksUnderACallProvesNothingAndARefusedOneThatItNeverRan() throws Exception {
+    void connectionThatBreaksUnderACallProvesNothingAndARefusedOneThatItNeverRan()
+            throws Exception {
         ServerSocket service = service(50);
         Records records = records(service);
         call(records, "a");
@@ -129,10 +136,14 @@
         assertThat(wire.line()).startsWith("OP a ");
         service.close();
         wire.reset();
-        for (int i = 0; ends.isEmpty() && i < 10; i++) loop.one();
+        for (int i = 0; ends.isEmpty() && i < 10; i++) {
+            loop.one();
+        }
         assertThat(ends).containsExactly(CallEnd.Result.RESET);
         call(records, "b");
-        for (int i = 0; ends.size() < 2 && i < 10; i++) loop.one();
+        for (int i = 0; ends.size() < 2 && i < 10; i++) {
+            loop.one();
+        }
         assertThat(ends).containsExactly(CallEnd.Result.RESET, CallEnd.Result.NOT_REACHED);
         network.stop();
     }
@@ -156,7 +167,9 @@
             assertThat(ends).isEmpty();
             assertThat(wire.line()).isEqualTo("UNOP a");
             assertThat(wire.line()).isNull();
-            for (int i = 0; i < 2; i++) loop.one(); // the end of that connection, and the new one
+            for (int i = 0; i < 2; i++) {
+                loop.one(); // the end of that connection, and the new one
+            }
             network.flush();
             assertThat(other.line()).startsWith("OP b ");
             other.bytes(1);
--- a/src/test/java/ochretiller/remembered/MarkGoldenTest.java
+++ b/src/test/java/ochretiller/remembered/MarkGoldenTest.java
@@ -37,8 +37,12 @@
 
     @Test
     void eachGoldenMarkIsReadBack() {
-        marks().forEach((name, mark) -> assertThat(Mark.of(mark.key(), MARKS.bytes(name))).as(name)
-            .usingRecursiveComparison().isEqualTo(mark));
+        marks().forEach(
+                        (name, mark) ->
+                                assertThat(Mark.of(mark.key(), MARKS.bytes(name)))
+                                        .as(name)
+                                        .usingRecursiveComparison()
+                                        .isEqualTo(mark));
     }
 
     @Test
--- a/src/test/java/ochretiller/remembered/MemoryTest.java
+++ b/src/test/java/ochretiller/remembered/MemoryTest.java
@@ -9,8 +9,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class MemoryTest {
-    private final Memory memory = new Memory(new Patience(ms(400), ms(500), ms(100), ms(200), ms(1_000)),
-        new SplittableRandom(1));
+    private final Memory memory =
+            new Memory(
+                    new Patience(ms(400), ms(500), ms(100), ms(200), ms(1_000)),
+                    new SplittableRandom(1));
 
     private static Duration ms(long millis) {
         return Duration.ofMillis(millis);
@@ -47,7 +49,8 @@
     void sickDiskIsTriedLessAndLessOftenAndServesAgainOnceWell() {
         memory.told(false, true, ms(0));
         assertThat(memory.disk(ms(0))).isEqualTo(Memory.Disk.SICK);
-        assertThat(memory.tries(ms(149))).isFalse(); // a quarter under the first pause is the least that chance makes of it
+        assertThat(memory.tries(ms(149)))
+                .isFalse(); // a quarter under the first pause is the least that chance makes of it
         Duration at = ms(251);
         long last = 0;
         for (int i = 0; i < 6; i++) {
@@ -55,9 +58,13 @@
             assertThat(memory.tries(at)).as("one at a time").isFalse();
             memory.failedAgain(at);
             long pause = 1;
-            while (!memory.tries(at.plus(ms(pause)))) pause++;
+            while (!memory.tries(at.plus(ms(pause)))) {
+                pause++;
+            }
             assertThat(pause).isBetween(150L, 1_250L);
-            if (i < 2) assertThat(pause).isGreaterThan(last);
+            if (i < 2) {
+                assertThat(pause).isGreaterThan(last);
+            }
             last = pause;
             memory.failedAgain(at.plus(ms(pause)));
             at = at.plus(ms(pause + 1_251));
@@ -75,7 +82,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"10000,0,400,500", "600,300,180,180", "500,300,80,80", "500,380,0,0", "500,900,0,0"})
+    @CsvSource({
+        "10000,0,400,500",
+        "600,300,180,180",
+        "500,300,80,80",
+        "500,380,0,0",
+        "500,900,0,0"
+    })
     void nobodyWaitsLongerThanItsDueTime(long due, long now, long mark, long answer) {
         assertThat(memory.markWait(ms(due), ms(now))).isEqualTo(ms(mark));
         assertThat(memory.answerWait(ms(due), ms(now))).isEqualTo(ms(answer));
@@ -102,7 +115,15 @@
         for (Mark.State state : Mark.State.values()) {
             byte[] body = new byte[32];
             chance.nextBytes(body);
-            Mark mark = new Mark(state, "tok\u00e9n", "place order", "9b1f03aa5c7e2d41", body, -5, Long.MAX_VALUE);
+            Mark mark =
+                    new Mark(
+                            state,
+                            "tok\u00e9n",
+                            "place order",
+                            "9b1f03aa5c7e2d41",
+                            body,
+                            -5,
+                            Long.MAX_VALUE);
             Mark read = Mark.of(mark.key(), mark.meta());
             assertThat(read).usingRecursiveComparison().isEqualTo(mark);
             assertThat(read.sameBody(body)).isTrue();
@@ -115,7 +136,9 @@
         SplittableRandom chance = new SplittableRandom(6);
         byte[] good = mark(Mark.State.MARKED, 1).meta();
         for (int length = 0; length < good.length; length++) {
-            assertThat(Mark.of(new byte[4], java.util.Arrays.copyOf(good, length))).as("length " + length).isNull();
+            assertThat(Mark.of(new byte[4], java.util.Arrays.copyOf(good, length)))
+                    .as("length " + length)
+                    .isNull();
         }
         for (int i = 0; i < 10_000; i++) {
             byte[] noise = new byte[chance.nextInt(256)];
@@ -129,7 +152,15 @@
         assertThat(Mark.fits("o".repeat(100), "r".repeat(50))).isTrue();
         assertThat(Mark.fits("o".repeat(101), "r")).isFalse();
         assertThat(Mark.fits("o", "r".repeat(51))).isFalse();
-        Mark longest = new Mark(Mark.State.MARKED, "t", "o".repeat(100), "r".repeat(50), new byte[32], 0, 0);
+        Mark longest =
+                new Mark(
+                        Mark.State.MARKED,
+                        "t",
+                        "o".repeat(100),
+                        "r".repeat(50),
+                        new byte[32],
+                        0,
+                        0);
         assertThat(longest.meta().length).isLessThanOrEqualTo(255);
     }
 }
--- a/src/test/java/ochretiller/roster/RosterTest.java
+++ b/src/test/java/ochretiller/roster/RosterTest.java
@@ -30,7 +30,9 @@
         roster.start();
         assertThat(next(list)).isEqualTo("HERE n1 on");
         list.close();
-        loop.pass(STEP.multipliedBy(4)); // nobody listens: each report is answered by an error of the network
+        loop.pass(
+                STEP.multipliedBy(
+                        4)); // nobody listens: each report is answered by an error of the network
         roster.move(new InetSocketAddress(host, 0));
         loop.pass(STEP.multipliedBy(2)); // this cannot even be sent
         DatagramSocket back = new DatagramSocket(0, host);
--- a/src/test/java/ochretiller/settings/NestedTest.java
+++ b/src/test/java/ochretiller/settings/NestedTest.java
@@ -9,8 +9,21 @@
 import org.junit.jupiter.api.Test;
 
 class NestedTest {
-    private final Lookup settings = new Nested(Map.of("count", 3L, "share", 0.5, "on", true,
-        "classes", List.of(Map.of("name", "read", "aimNs", 2_000L)), "names", List.of("a", "b"), "none", List.of()));
+    private final Lookup settings =
+            new Nested(
+                    Map.of(
+                            "count",
+                            3L,
+                            "share",
+                            0.5,
+                            "on",
+                            true,
+                            "classes",
+                            List.of(Map.of("name", "read", "aimNs", 2_000L)),
+                            "names",
+                            List.of("a", "b"),
+                            "none",
+                            List.of()));
 
     @Test
     void nestedValuesHaveTheWiresPaths() {
@@ -19,14 +32,19 @@
         assertThat(settings.flag("on")).isTrue();
         assertThat(settings.whole("classes.count")).isEqualTo(1);
         assertThat(settings.text("classes.0.name")).isEqualTo("read");
-        assertThat(settings.span("classes.0.aimNs", Duration.ZERO)).isEqualTo(Duration.ofNanos(2_000));
+        assertThat(settings.span("classes.0.aimNs", Duration.ZERO))
+                .isEqualTo(Duration.ofNanos(2_000));
         assertThat(settings.text("names")).isEqualTo("a,b");
         assertThat(settings.has("none")).isFalse();
     }
 
     @Test
     void wrongValueIsNamed() {
-        assertThatThrownBy(() -> settings.whole("share")).isInstanceOf(MalformedException.class).hasMessageContaining("share");
-        assertThatThrownBy(() -> settings.text("absent")).isInstanceOf(MalformedException.class).hasMessageContaining("absent");
+        assertThatThrownBy(() -> settings.whole("share"))
+                .isInstanceOf(MalformedException.class)
+                .hasMessageContaining("share");
+        assertThatThrownBy(() -> settings.text("absent"))
+                .isInstanceOf(MalformedException.class)
+                .hasMessageContaining("absent");
     }
 }
--- a/src/test/java/ochretiller/store/Bench.java
+++ b/src/test/java/ochretiller/store/Bench.java
@@ -13,9 +13,19 @@
 final class Bench implements AutoCloseable {
     static final UUID BOOT = new UUID(1, 2);
     static final long LIFE = 1_000_000;
+
     /** Small segments, so that few records roll them; everything half dead is worth copying. */
-    static final Limits SMALL = new Limits(1000, 1 << 20, 1 << 20, 600, Duration.ofDays(1), 1 << 30, 0.4, Duration.ZERO,
-        Duration.ofMillis(LIFE));
+    static final Limits SMALL =
+            new Limits(
+                    1000,
+                    1 << 20,
+                    1 << 20,
+                    600,
+                    Duration.ofDays(1),
+                    1 << 30,
+                    0.4,
+                    Duration.ZERO,
+                    Duration.ofMillis(LIFE));
 
     final AtomicLong clock;
     final Store store;
@@ -44,7 +54,13 @@
 
     CompletableFuture<Ack> putting(String key, String value, long lives) {
         CompletableFuture<Ack> acked = new CompletableFuture<>();
-        store.put(key.getBytes(), ("meta of " + value).getBytes(), value.getBytes(), store.now() + lives, true, acked::complete);
+        store.put(
+                key.getBytes(),
+                ("meta of " + value).getBytes(),
+                value.getBytes(),
+                store.now() + lives,
+                true,
+                acked::complete);
         return acked;
     }
 
@@ -64,7 +80,8 @@
 
     String read(String key) {
         CompletableFuture<String> value = new CompletableFuture<>();
-        store.read(key.getBytes(), bytes -> value.complete(bytes == null ? null : new String(bytes)));
+        store.read(
+                key.getBytes(), bytes -> value.complete(bytes == null ? null : new String(bytes)));
         return wait(value);
     }
 
@@ -76,14 +93,18 @@
 
     /** Returns once what is done between two groups has been done. */
     Bench settle() {
-        for (int i = 0; i < 3; i++) read("nothing");
+        for (int i = 0; i < 3; i++) {
+            read("nothing");
+        }
         return this;
     }
 
     /** All that is there, by what its key holds; only before {@link #start}. */
     Map<String, String> kept() {
         Map<String, String> all = new TreeMap<>();
-        for (Kept each : store.kept()) all.put(new String(each.key()), new String(each.meta()).substring("meta of ".length()));
+        for (Kept each : store.kept()) {
+            all.put(new String(each.key()), new String(each.meta()).substring("meta of ".length()));
+        }
         return all;
     }
 
--- a/src/test/java/ochretiller/store/CrashTest.java
+++ b/src/test/java/ochretiller/store/CrashTest.java
@@ -18,11 +18,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Files that are cut, flipped, half written and forgotten: nothing acknowledged is lost, nothing is invented. */
+/**
+ * Files that are cut, flipped, half written and forgotten: nothing acknowledged is lost, nothing is
+ * invented.
+ */
 class CrashTest {
     /** A store's folder, and every value that each key was ever given. */
-    private record Written(Map<String, byte[]> files, Map<String, String> live, Map<String, Set<String>> ever) {
-    }
+    private record Written(
+            Map<String, byte[]> files, Map<String, String> live, Map<String, Set<String>> ever) {}
 
     private static Written written(int records) throws IOException {
         ForgetfulDisk disk = new ForgetfulDisk();
@@ -48,13 +51,19 @@
     }
 
     /** Opens what is left, holds it against what was written, and goes on with it. */
-    private static boolean damagedButNothingInvented(ForgetfulDisk disk, Written written, String what) throws IOException {
+    private static boolean damagedButNothingInvented(
+            ForgetfulDisk disk, Written written, String what) throws IOException {
         boolean damaged;
         try (Bench bench = new Bench(disk, Bench.SMALL, 100)) {
             damaged = !bench.store.damage().isEmpty();
             assertThat(bench.store.damagedUntil() > bench.store.now()).as(what).isEqualTo(damaged);
-            bench.kept().forEach((key, value) -> assertThat(written.ever.get(key)).as(what).contains(value));
-            if (!damaged && what.startsWith("flip")) assertThat(bench.kept()).as(what).isEqualTo(written.live);
+            bench.kept()
+                    .forEach(
+                            (key, value) ->
+                                    assertThat(written.ever.get(key)).as(what).contains(value));
+            if (!damaged && what.startsWith("flip")) {
+                assertThat(bench.kept()).as(what).isEqualTo(written.live);
+            }
             bench.start();
             assertThat(bench.put("next", "works")).as(what).isEqualTo(Ack.DURABLE);
             assertThat(bench.read("next")).as(what).isEqualTo("works");
@@ -68,28 +77,49 @@
     @Test
     void cutAtEveryByteOfEveryFile() throws IOException {
         Written written = written(120);
-        String last = written.files.keySet().stream().filter(name -> name.endsWith(".log")).max(String::compareTo).orElseThrow();
-        assertThat(written.files.keySet().stream().filter(name -> name.endsWith(".log")).count()).isGreaterThan(3);
+        String last =
+                written.files.keySet().stream()
+                        .filter(name -> name.endsWith(".log"))
+                        .max(String::compareTo)
+                        .orElseThrow();
+        assertThat(written.files.keySet().stream().filter(name -> name.endsWith(".log")).count())
+                .isGreaterThan(3);
         for (Map.Entry<String, byte[]> file : written.files.entrySet()) {
             for (int length = 0; length < file.getValue().length; length++) {
                 Map<String, byte[]> cut = new TreeMap<>(written.files);
                 cut.put(file.getKey(), java.util.Arrays.copyOf(file.getValue(), length));
                 String what = file.getKey() + " cut to " + length;
                 boolean damaged = damagedButNothingInvented(ForgetfulDisk.of(cut), written, what);
-                // The end of the last segment was never written; a part of any other one was, and is missed.
-                if (file.getKey().equals(last) || !file.getKey().endsWith(".log")) assertThat(damaged).as(what).isFalse();
-                else assertThat(damaged).as(what).isTrue();
+                // The end of the last segment was never written; a part of any other one was, and
+                // is missed.
+                if (file.getKey().equals(last) || !file.getKey().endsWith(".log")) {
+                    assertThat(damaged).as(what).isFalse();
+                } else {
+                    assertThat(damaged).as(what).isTrue();
+                }
             }
         }
     }
 
-    /** Records in front of a cut in the last segment, which alone can be half written, are all there. */
+    /**
+     * Records in front of a cut in the last segment, which alone can be half written, are all
+     * there.
+     */
     @Test
     void halfWrittenLastRecordLosesNoneBeforeIt() throws IOException {
         ForgetfulDisk disk = new ForgetfulDisk();
         List<Long> ends = new ArrayList<>();
-        Limits one = new Limits(1000, 1 << 20, 1 << 20, 1 << 20, java.time.Duration.ofDays(1), 1 << 20, 0.4,
-            java.time.Duration.ofDays(1), java.time.Duration.ofMillis(Bench.LIFE));
+        Limits one =
+                new Limits(
+                        1000,
+                        1 << 20,
+                        1 << 20,
+                        1 << 20,
+                        java.time.Duration.ofDays(1),
+                        1 << 20,
+                        0.4,
+                        java.time.Duration.ofDays(1),
+                        java.time.Duration.ofMillis(Bench.LIFE));
         byte[] file;
         try (Bench bench = new Bench(disk, one, 0).start()) {
             for (int i = 0; i < 20; i++) {
@@ -100,9 +130,12 @@
         }
         for (int length = Format.HEADER; length <= file.length; length++) {
             int end = length;
-            Map<String, byte[]> cut = Map.of(Format.segment(1), java.util.Arrays.copyOf(file, length));
+            Map<String, byte[]> cut =
+                    Map.of(Format.segment(1), java.util.Arrays.copyOf(file, length));
             try (Bench bench = new Bench(ForgetfulDisk.of(cut), one, 0)) {
-                assertThat(bench.kept()).as("cut to " + length).hasSize((int) ends.stream().filter(e -> e <= end).count());
+                assertThat(bench.kept())
+                        .as("cut to " + length)
+                        .hasSize((int) ends.stream().filter(e -> e <= end).count());
                 assertThat(bench.store.damage()).isEmpty();
             }
         }
@@ -120,13 +153,21 @@
                 flipped[at] ^= (byte) (1 << chance.nextInt(8));
                 Map<String, byte[]> files = new TreeMap<>(written.files);
                 files.put(file.getKey(), flipped);
-                // Without hints: a start that trusts one reads the values only when they are asked for.
-                files.keySet().removeIf(name -> name.endsWith(".hint") && !name.equals(file.getKey()));
+                // Without hints: a start that trusts one reads the values only when they are asked
+                // for.
+                files.keySet()
+                        .removeIf(name -> name.endsWith(".hint") && !name.equals(file.getKey()));
                 String what = "flip of byte " + at + " in " + file.getKey();
                 boolean header = at >= 64 && at < Format.HEADER; // four bytes that say nothing
                 tried++;
-                if (damagedButNothingInvented(ForgetfulDisk.of(files), written, header ? "header " + what : what)) seen++;
-                else assertThat(file.getKey().endsWith(".log") && !header && at != 9).as(what + " was seen").isFalse();
+                if (damagedButNothingInvented(
+                        ForgetfulDisk.of(files), written, header ? "header " + what : what)) {
+                    seen++;
+                } else {
+                    assertThat(file.getKey().endsWith(".log") && !header && at != 9)
+                            .as(what + " was seen")
+                            .isFalse();
+                }
             }
         }
         assertThat(seen).isGreaterThan(tried / 2);
@@ -135,10 +176,16 @@
     @Test
     void valueThatWentBadBehindAHintIsNotHandedOut() throws IOException {
         Written written = written(60);
-        String first = written.files.keySet().stream().filter(name -> name.endsWith(".log")).findFirst().orElseThrow();
+        String first =
+                written.files.keySet().stream()
+                        .filter(name -> name.endsWith(".log"))
+                        .findFirst()
+                        .orElseThrow();
         Map<String, byte[]> files = new TreeMap<>(written.files);
         byte[] bad = files.get(first).clone();
-        for (int at = Format.HEADER; at < bad.length - Hint.SEAL_SIZE; at++) bad[at] ^= 1;
+        for (int at = Format.HEADER; at < bad.length - Hint.SEAL_SIZE; at++) {
+            bad[at] ^= 1;
+        }
         files.put(first, bad);
         try (Bench bench = new Bench(ForgetfulDisk.of(files), Bench.SMALL, 100)) {
             Map<String, String> kept = bench.kept();
@@ -151,14 +198,20 @@
         return IntStream.range(0, 60);
     }
 
-    /** Against a plain map: puts, removals, ageing, kills and power cuts at any time, one seed after another. */
+    /**
+     * Against a plain map: puts, removals, ageing, kills and power cuts at any time, one seed after
+     * another.
+     */
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
     void randomLifeAgainstAPlainMap(int seed) throws IOException {
         SplittableRandom chance = new SplittableRandom(seed);
         ForgetfulDisk disk = new ForgetfulDisk();
         long clock = 0;
-        /** What each key may hold: one value where it was acknowledged, more where the disk has left it open. */
+        /**
+         * What each key may hold: one value where it was acknowledged, more where the disk has left
+         * it open.
+         */
         Map<String, Set<String>> may = new HashMap<>();
         Map<String, Long> expires = new HashMap<>();
         for (int life = 0; life < 6; life++) {
@@ -167,37 +220,59 @@
                 Map<String, String> kept = bench.kept();
                 boolean damaged = bench.store.damagedUntil() > bench.store.now();
                 long now = bench.store.now();
-                may.forEach((key, values) -> {
-                    boolean over = expires.get(key) <= now;
-                    if (!over && !damaged) assertThat(values).as(what + " " + key).contains(kept.getOrDefault(key, ""));
-                    if (!over && damaged && kept.containsKey(key)) assertThat(kept.get(key)).as(what).startsWith("v");
-                });
+                may.forEach(
+                        (key, values) -> {
+                            boolean over = expires.get(key) <= now;
+                            if (!over && !damaged) {
+                                assertThat(values)
+                                        .as(what + " " + key)
+                                        .contains(kept.getOrDefault(key, ""));
+                            }
+                            if (!over && damaged && kept.containsKey(key)) {
+                                assertThat(kept.get(key)).as(what).startsWith("v");
+                            }
+                        });
                 kept.keySet().forEach(key -> assertThat(may).as(what).containsKey(key));
                 // what was read is what holds from here on
                 may.replaceAll((key, values) -> new HashSet<>(Set.of(kept.getOrDefault(key, ""))));
                 bench.start();
                 int failing = chance.nextInt(3) == 0 ? chance.nextInt(60) : -1;
                 for (int i = 0; i < 60; i++) {
-                    if (i == failing) disk.script = ForgetfulDisk.fails(chance.nextBoolean() ? "force" : "write", "I/O error");
+                    if (i == failing) {
+                        disk.script =
+                                ForgetfulDisk.fails(
+                                        chance.nextBoolean() ? "force" : "write", "I/O error");
+                    }
                     if (i == failing + 5) {
-                        disk.script = (operation, name) -> { };
+                        disk.script = (operation, name) -> {};
                         assertThat(bench.probe()).as(what).isTrue();
                     }
-                    if (chance.nextInt(20) == 0) bench.clock.addAndGet(chance.nextInt(2_000));
+                    if (chance.nextInt(20) == 0) {
+                        bench.clock.addAndGet(chance.nextInt(2_000));
+                    }
                     String key = "k" + chance.nextInt(10);
                     boolean removes = chance.nextInt(4) == 0;
-                    String value = removes ? "" : "v" + life + "." + i + "y".repeat(chance.nextInt(30));
+                    String value =
+                            removes ? "" : "v" + life + "." + i + "y".repeat(chance.nextInt(30));
                     long lives = 1_000 + chance.nextInt(8_000);
                     Ack ack = removes ? bench.remove(key) : bench.put(key, value, lives);
-                    if (ack == Ack.DURABLE) may.put(key, new HashSet<>(Set.of(value)));
-                    else if (ack == Ack.UNKNOWN) may.computeIfAbsent(key, k -> new HashSet<>(Set.of(""))).add(value);
-                    // where it is open which of two holds, the longer life is no proof: the key may be gone earlier
-                    if (ack == Ack.DURABLE && !removes) expires.put(key, bench.store.now() + lives);
-                    else if (ack == Ack.UNKNOWN) expires.put(key, Long.MIN_VALUE);
-                    else expires.putIfAbsent(key, Long.MIN_VALUE);
+                    if (ack == Ack.DURABLE) {
+                        may.put(key, new HashSet<>(Set.of(value)));
+                    } else if (ack == Ack.UNKNOWN) {
+                        may.computeIfAbsent(key, k -> new HashSet<>(Set.of(""))).add(value);
+                    }
+                    // where it is open which of two holds, the longer life is no proof: the key may
+                    // be gone earlier
+                    if (ack == Ack.DURABLE && !removes) {
+                        expires.put(key, bench.store.now() + lives);
+                    } else if (ack == Ack.UNKNOWN) {
+                        expires.put(key, Long.MIN_VALUE);
+                    } else {
+                        expires.putIfAbsent(key, Long.MIN_VALUE);
+                    }
                 }
                 clock = bench.clock.get();
-                disk.script = (operation, name) -> { };
+                disk.script = (operation, name) -> {};
                 disk = chance.nextBoolean() ? disk.killed() : disk.cut(chance);
             }
         }
@@ -208,7 +283,10 @@
         return number % 5 == 0 ? "long" + number : "again" + number % 3;
     }
 
-    /** A power cut and a kill in front of every operation of the disk, through rolls, drops and compactions. */
+    /**
+     * A power cut and a kill in front of every operation of the disk, through rolls, drops and
+     * compactions.
+     */
     @Test
     void endInFrontOfEveryOperation() throws IOException {
         ForgetfulDisk disk = new ForgetfulDisk();
@@ -217,22 +295,37 @@
         java.util.concurrent.atomic.AtomicLong time = new java.util.concurrent.atomic.AtomicLong();
         List<Runnable> checks = java.util.Collections.synchronizedList(new ArrayList<>());
         Map<String, Integer> operations = new java.util.concurrent.ConcurrentSkipListMap<>();
-        disk.script = (operation, name) -> {
-            if (operation.equals("read")) return;
-            int count = operations.merge(operation, 1, Integer::sum);
-            String what = operation + " " + count + " of " + name;
-            SplittableRandom chance = new SplittableRandom(checks.size());
-            // Operations of the compaction come here on its own thread while puts go on: what is there at the end is
-            // no older than what was acknowledged before the disk is looked at, no newer than what was begun after.
-            Map<String, Integer> acked = new TreeMap<>(live);
-            for (ForgetfulDisk left : List.of(disk.killed(), disk.cut(chance), disk.cut(chance))) {
-                long now = time.get();
-                int last = begun.get();
-                checks.add(() -> expect(left, acked, last, now, what));
-            }
-        };
-        Limits limits = new Limits(1000, 1 << 20, 1 << 20, 1_500, Duration.ofDays(1), 1 << 30, 0.3, Duration.ZERO,
-            Duration.ofMillis(Bench.LIFE));
+        disk.script =
+                (operation, name) -> {
+                    if (operation.equals("read")) {
+                        return;
+                    }
+                    int count = operations.merge(operation, 1, Integer::sum);
+                    String what = operation + " " + count + " of " + name;
+                    SplittableRandom chance = new SplittableRandom(checks.size());
+                    // Operations of the compaction come here on its own thread while puts go on:
+                    // what is there at the end is
+                    // no older than what was acknowledged before the disk is looked at, no newer
+                    // than what was begun after.
+                    Map<String, Integer> acked = new TreeMap<>(live);
+                    for (ForgetfulDisk left :
+                            List.of(disk.killed(), disk.cut(chance), disk.cut(chance))) {
+                        long now = time.get();
+                        int last = begun.get();
+                        checks.add(() -> expect(left, acked, last, now, what));
+                    }
+                };
+        Limits limits =
+                new Limits(
+                        1000,
+                        1 << 20,
+                        1 << 20,
+                        1_500,
+                        Duration.ofDays(1),
+                        1 << 30,
+                        0.3,
+                        Duration.ZERO,
+                        Duration.ofMillis(Bench.LIFE));
         try (Bench bench = new Bench(disk, limits, 0).start()) {
             for (int i = 0; i < 150; i++) {
                 begun.set(i);
@@ -246,22 +339,28 @@
             }
             assertThat(bench.store.stats().copied()).as("compaction took part").isPositive();
         }
-        assertThat(operations).containsKeys("write", "force", "create", "delete", "rename", "folder");
-        disk.script = (operation, name) -> { };
+        assertThat(operations)
+                .containsKeys("write", "force", "create", "delete", "rename", "folder");
+        disk.script = (operation, name) -> {};
         checks.forEach(Runnable::run);
         assertThat(checks.size()).isGreaterThan(1_000);
     }
 
-    private static void expect(ForgetfulDisk left, Map<String, Integer> acked, int last, long now, String what) {
+    private static void expect(
+            ForgetfulDisk left, Map<String, Integer> acked, int last, long now, String what) {
         try (Bench bench = new Bench(left, Bench.SMALL, now)) {
             Map<String, String> kept = bench.kept();
-            // Pages that came through in another order may look like damage behind what was acknowledged; none of that is lost.
+            // Pages that came through in another order may look like damage behind what was
+            // acknowledged; none of that is lost.
             assertThat(kept.keySet()).as(what).containsAll(acked.keySet());
-            kept.forEach((key, value) -> {
-                int number = Integer.parseInt(value.substring(1));
-                assertThat(number).as(what + " " + key).isBetween(acked.getOrDefault(key, 0), last);
-                assertThat(nth(number)).as(what).isEqualTo(key);
-            });
+            kept.forEach(
+                    (key, value) -> {
+                        int number = Integer.parseInt(value.substring(1));
+                        assertThat(number)
+                                .as(what + " " + key)
+                                .isBetween(acked.getOrDefault(key, 0), last);
+                        assertThat(nth(number)).as(what).isEqualTo(key);
+                    });
         } catch (IOException e) {
             throw new AssertionError(what, e);
         }
--- a/src/test/java/ochretiller/store/ForgetfulDisk.java
+++ b/src/test/java/ochretiller/store/ForgetfulDisk.java
@@ -11,7 +11,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
 
-/** A disk in memory that keeps what was forced, and of the rest what a seed lets it; it stalls and fails by script. */
+/**
+ * A disk in memory that keeps what was forced, and of the rest what a seed lets it; it stalls and
+ * fails by script.
+ */
 public final class ForgetfulDisk implements Disk {
     /** Unforced bytes are kept or lost in pieces of this size. */
     private static final int PAGE = 64;
@@ -28,34 +31,46 @@
     }
 
     private final Map<String, Node> files = new TreeMap<>();
+
     /** The names as the last forced folder had them. */
     private Map<String, Node> names = new TreeMap<>();
-    public volatile Script script = (operation, name) -> { };
+
+    public volatile Script script = (operation, name) -> {};
     private boolean locked;
 
-    /** What stands on the medium behind a power cut: unforced pages come through by chance, and unforced names too. */
+    /**
+     * What stands on the medium behind a power cut: unforced pages come through by chance, and
+     * unforced names too.
+     */
     public synchronized ForgetfulDisk cut(SplittableRandom chance) {
         ForgetfulDisk left = new ForgetfulDisk();
         Map<String, Node> kept = chance.nextBoolean() ? files : names;
-        kept.forEach((name, node) -> {
-            Node copy = new Node();
-            copy.now = copy.forced = half(node, chance);
-            left.files.put(name, copy);
-        });
+        kept.forEach(
+                (name, node) -> {
+                    Node copy = new Node();
+                    copy.now = copy.forced = half(node, chance);
+                    left.files.put(name, copy);
+                });
         left.names = new TreeMap<>(left.files);
         return left;
     }
 
     private static byte[] half(Node node, SplittableRandom chance) {
         int how = chance.nextInt(3);
-        if (how == 0) return node.forced.clone();
-        if (node.now.length < node.forced.length) return chance.nextBoolean() ? node.now.clone() : node.forced.clone();
+        if (how == 0) {
+            return node.forced.clone();
+        }
+        if (node.now.length < node.forced.length) {
+            return chance.nextBoolean() ? node.now.clone() : node.forced.clone();
+        }
         int length = node.forced.length + chance.nextInt(node.now.length - node.forced.length + 1);
         byte[] left = Arrays.copyOf(node.now, length);
         for (int at = 0; at < length; at += PAGE) {
             // reordered: a later page may have come through without the one before it
             boolean lost = how == 2 && chance.nextInt(4) == 0;
-            for (int i = at; lost && i < Math.min(at + PAGE, length); i++) left[i] = i < node.forced.length ? node.forced[i] : 0;
+            for (int i = at; lost && i < Math.min(at + PAGE, length); i++) {
+                left[i] = i < node.forced.length ? node.forced[i] : 0;
+            }
         }
         return left;
     }
@@ -63,11 +78,12 @@
     /** What a killed process leaves: the system has all that was written. */
     public synchronized ForgetfulDisk killed() {
         ForgetfulDisk left = new ForgetfulDisk();
-        files.forEach((name, node) -> {
-            Node copy = new Node();
-            copy.now = copy.forced = node.now.clone();
-            left.files.put(name, copy);
-        });
+        files.forEach(
+                (name, node) -> {
+                    Node copy = new Node();
+                    copy.now = copy.forced = node.now.clone();
+                    left.files.put(name, copy);
+                });
         left.names = new TreeMap<>(left.files);
         return left;
     }
@@ -80,11 +96,12 @@
 
     public static ForgetfulDisk of(Map<String, byte[]> contents) {
         ForgetfulDisk disk = new ForgetfulDisk();
-        contents.forEach((name, bytes) -> {
-            Node node = new Node();
-            node.now = node.forced = bytes.clone();
-            disk.files.put(name, node);
-        });
+        contents.forEach(
+                (name, bytes) -> {
+                    Node node = new Node();
+                    node.now = node.forced = bytes.clone();
+                    disk.files.put(name, node);
+                });
         disk.names = new TreeMap<>(disk.files);
         return disk;
     }
@@ -92,14 +109,18 @@
     /** A script that fails what matches, as often as it comes. */
     public static Script fails(String operation, String message) {
         return (what, name) -> {
-            if (what.equals(operation)) throw new IOException(message);
+            if (what.equals(operation)) {
+                throw new IOException(message);
+            }
         };
     }
 
     /** A script that holds up what matches until it is let go. */
     public static Script stalls(String operation, CountDownLatch go) {
         return (what, name) -> {
-            if (!what.equals(operation)) return;
+            if (!what.equals(operation)) {
+                return;
+            }
             try {
                 go.await();
             } catch (InterruptedException e) {
@@ -110,7 +131,9 @@
 
     @Override
     public synchronized Closeable lock() throws IOException {
-        if (locked) throw new StoreException("in use");
+        if (locked) {
+            throw new StoreException("in use");
+        }
         locked = true;
         return () -> locked = false;
     }
@@ -123,7 +146,9 @@
     @Override
     public synchronized File open(String name) throws IOException {
         Node node = files.get(name);
-        if (node == null) throw new IOException("no file " + name);
+        if (node == null) {
+            throw new IOException("no file " + name);
+        }
         return new Open(name, node);
     }
 
@@ -131,7 +156,9 @@
     public File create(String name) throws IOException {
         script.before("create", name);
         synchronized (this) {
-            if (files.containsKey(name)) throw new IOException("there is a file " + name);
+            if (files.containsKey(name)) {
+                throw new IOException("there is a file " + name);
+            }
             files.put(name, new Node());
             return open(name);
         }
@@ -175,8 +202,11 @@
             script.before("write", name);
             synchronized (ForgetfulDisk.this) {
                 int length = bytes.remaining();
-                if (node.now.length < at + length) node.now = Arrays.copyOf(node.now, (int) at + length);
-                else node.now = node.now.clone(); // what was forced shares its bytes
+                if (node.now.length < at + length) {
+                    node.now = Arrays.copyOf(node.now, (int) at + length);
+                } else {
+                    node.now = node.now.clone(); // what was forced shares its bytes
+                }
                 bytes.get(node.now, (int) at, length);
             }
         }
@@ -210,7 +240,9 @@
         public void truncate(long size) throws IOException {
             script.before("truncate", name);
             synchronized (ForgetfulDisk.this) {
-                if (size < node.now.length) node.now = Arrays.copyOf(node.now, (int) size);
+                if (size < node.now.length) {
+                    node.now = Arrays.copyOf(node.now, (int) size);
+                }
             }
         }
 
--- a/src/test/java/ochretiller/store/GatheringTest.java
+++ b/src/test/java/ochretiller/store/GatheringTest.java
@@ -26,12 +26,16 @@
         int waits = 0;
         for (int group = 0; group < 1_000; group++) {
             gathering.forced(4, 4, 400_000);
-            if (gathering.expected() > 1) waits++;
+            if (gathering.expected() > 1) {
+                waits++;
+            }
             gathering.came(4);
         }
         assertThat(waits).isBetween(7, 30);
         gathering.forced(4, 4, 400_000);
-        while (gathering.expected() == 1) gathering.came(1);
+        while (gathering.expected() == 1) {
+            gathering.came(1);
+        }
         gathering.came(8); // they come again
         gathering.forced(4, 4, 400_000);
         assertThat(gathering.expected()).isEqualTo(8);
--- a/src/test/java/ochretiller/store/StoreGoldenTest.java
+++ b/src/test/java/ochretiller/store/StoreGoldenTest.java
@@ -20,6 +20,7 @@
     private static final String SEGMENT = "seg-0000000000000001.log";
     private static final String HINT = "seg-0000000000000001.hint";
     private static final long CLOCK = 5_000;
+
     /** Records of the segment with its seal. */
     private static final int RECORDS = 5;
 
@@ -43,8 +44,8 @@
     private static Map<String, byte[]> parts() {
         Map<String, byte[]> parts = new LinkedHashMap<>();
         headers().forEach((name, header) -> parts.put(name, header.encode().array()));
-        parts.put("put",
-            record(Format.PUT, new byte[] {1, 2}, new byte[] {3}, new byte[] {4, 5, 6}));
+        parts.put(
+                "put", record(Format.PUT, new byte[] {1, 2}, new byte[] {3}, new byte[] {4, 5, 6}));
         parts.put("remove", record(Format.REMOVE, new byte[] {1, 2}, new byte[0], new byte[0]));
         parts.put("seal", record(Format.SEAL, new byte[0], new byte[0], new byte[8]));
         return parts;
@@ -78,17 +79,21 @@
     @Test
     void aStoreReadsItsGoldenSegmentAndHint() throws IOException {
         ForgetfulDisk disk = ForgetfulDisk.of(FILES.all());
-        Inspect.Report report = Inspect.verify(disk, file -> { });
+        Inspect.Report report = Inspect.verify(disk, file -> {});
         assertThat(report.damage()).isEmpty();
         assertThat(report.foreign()).isEmpty();
-        assertThat(report.files()).singleElement().satisfies(file -> {
-            assertThat(file.name()).isEqualTo(SEGMENT);
-            assertThat(file.records()).isEqualTo(RECORDS);
-            assertThat(file.sealed()).isTrue();
-        });
+        assertThat(report.files())
+                .singleElement()
+                .satisfies(
+                        file -> {
+                            assertThat(file.name()).isEqualTo(SEGMENT);
+                            assertThat(file.records()).isEqualTo(RECORDS);
+                            assertThat(file.sealed()).isTrue();
+                        });
         try (Bench bench = open(disk)) {
-            assertThat(bench.store.kept()).singleElement()
-                .satisfies(kept -> assertThat(kept.expires()).isEqualTo(20_000));
+            assertThat(bench.store.kept())
+                    .singleElement()
+                    .satisfies(kept -> assertThat(kept.expires()).isEqualTo(20_000));
             assertThat(bench.kept()).isEqualTo(Map.of("a", "3"));
             assertThat(bench.start().read("a")).isEqualTo("3");
         }
@@ -97,21 +102,33 @@
     @Test
     void theGoldenHintTellsWhatTheGoldenSegmentTells() throws IOException {
         ForgetfulDisk disk = ForgetfulDisk.of(FILES.all());
-        Recovery hinted = Recovery.read(disk, true, file -> { });
-        Recovery scanned = Recovery.read(disk, false, file -> { });
+        Recovery hinted = Recovery.read(disk, true, file -> {});
+        Recovery scanned = Recovery.read(disk, false, file -> {});
         assertThat(hinted.found.get(1L).hinted).isTrue();
         assertThat(hinted.lastSequence).isEqualTo(RECORDS).isEqualTo(scanned.lastSequence);
         assertThat(hinted.found.get(1L).segment.records).isEqualTo(RECORDS);
-        assertThat(hinted.found.get(1L).segment.dead).isEqualTo(scanned.found.get(1L).segment.dead
-            + Hint.SEAL_SIZE);
+        assertThat(hinted.found.get(1L).segment.dead)
+                .isEqualTo(scanned.found.get(1L).segment.dead + Hint.SEAL_SIZE);
         assertThat(slots(hinted)).hasSize(2).isEqualTo(slots(scanned));
     }
 
     private static List<String> slots(Recovery recovery) {
         Map<String, String> slots = new TreeMap<>();
-        recovery.index.forEach(slot -> slots.put(new String(slot.key.bytes), slot.sequence + " "
-            + slot.kind + " " + slot.expires + " " + new String(slot.meta) + " " + slot.at + " "
-            + slot.size));
+        recovery.index.forEach(
+                slot ->
+                        slots.put(
+                                new String(slot.key.bytes),
+                                slot.sequence
+                                        + " "
+                                        + slot.kind
+                                        + " "
+                                        + slot.expires
+                                        + " "
+                                        + new String(slot.meta)
+                                        + " "
+                                        + slot.at
+                                        + " "
+                                        + slot.size));
         return new ArrayList<>(slots.values());
     }
 
--- a/src/test/java/ochretiller/store/StoreTest.java
+++ b/src/test/java/ochretiller/store/StoreTest.java
@@ -48,15 +48,20 @@
         try (Bench bench = open().start()) {
             CountDownLatch entered = new CountDownLatch(1);
             CountDownLatch go = new CountDownLatch(1);
-            disk.script = (operation, name) -> {
-                if (!operation.equals("force")) return;
-                entered.countDown();
-                ForgetfulDisk.stalls("force", go).before(operation, name);
-            };
+            disk.script =
+                    (operation, name) -> {
+                        if (!operation.equals("force")) {
+                            return;
+                        }
+                        entered.countDown();
+                        ForgetfulDisk.stalls("force", go).before(operation, name);
+                    };
             CompletableFuture<Ack> first = bench.putting("first", "0", Bench.LIFE);
             entered.await();
             List<CompletableFuture<Ack>> acks = new ArrayList<>();
-            for (int i = 0; i < 40; i++) acks.add(bench.putting("k" + i, "v", Bench.LIFE));
+            for (int i = 0; i < 40; i++) {
+                acks.add(bench.putting("k" + i, "v", Bench.LIFE));
+            }
             assertThat(first).isNotDone();
             go.countDown();
             acks.forEach(ack -> assertThat(Bench.wait(ack)).isEqualTo(Ack.DURABLE));
@@ -67,7 +72,9 @@
     @Test
     void wholeSegmentsGoOnceAllInThemIsPastItsTime() throws IOException {
         try (Bench bench = open().start()) {
-            for (int i = 0; i < 50; i++) bench.put("k" + i, "some value", 1_000);
+            for (int i = 0; i < 50; i++) {
+                bench.put("k" + i, "some value", 1_000);
+            }
             bench.put("stays", "here", 10_000);
             int many = bench.store.stats().segments();
             assertThat(many).isGreaterThan(3);
@@ -85,7 +92,9 @@
         try (Bench bench = open().start()) {
             for (int round = 0; round < 30; round++) {
                 bench.put("live" + round, "value of " + round);
-                for (int i = 0; i < 4; i++) bench.put("again" + i, "round " + round);
+                for (int i = 0; i < 4; i++) {
+                    bench.put("again" + i, "round " + round);
+                }
                 bench.remove("live" + (round - 1));
             }
             for (int i = 0; i < 100; i++) {
@@ -100,13 +109,17 @@
         }
         disk = disk.killed();
         try (Bench bench = open()) {
-            assertThat(bench.kept()).hasSize(5).containsEntry("live29", "value of 29").containsEntry("again3", "round 29");
+            assertThat(bench.kept())
+                    .hasSize(5)
+                    .containsEntry("live29", "value of 29")
+                    .containsEntry("again3", "round 29");
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"write", "force"})
-    void behindAFailureNothingIsWrittenUntilAProbeFindsTheDiskWell(String operation) throws IOException {
+    void behindAFailureNothingIsWrittenUntilAProbeFindsTheDiskWell(String operation)
+            throws IOException {
         try (Bench bench = open().start()) {
             bench.put("before", "1");
             disk.script = ForgetfulDisk.fails(operation, "No space left on device");
@@ -115,14 +128,17 @@
             assertThat(bench.store.stats().fault()).contains("No space left");
             assertThat(bench.probe()).isFalse();
             assertThat(bench.read("before")).isEqualTo("1");
-            disk.script = (what, name) -> { };
+            disk.script = (what, name) -> {};
             assertThat(bench.probe()).isTrue();
             assertThat(bench.put("after", "4")).isEqualTo(Ack.DURABLE);
             assertThat(bench.read("lost")).isNull();
         }
         disk = disk.killed();
         try (Bench bench = open()) {
-            assertThat(bench.kept()).containsEntry("before", "1").containsEntry("after", "4").doesNotContainKey("refused");
+            assertThat(bench.kept())
+                    .containsEntry("before", "1")
+                    .containsEntry("after", "4")
+                    .doesNotContainKey("refused");
             assertThat(bench.store.damage()).isEmpty();
         }
     }
@@ -132,10 +148,15 @@
         try (Bench bench = open().start()) {
             bench.put("before", "1");
             int[] failures = {0};
-            disk.script = (what, name) -> {
-                // the file that has failed is never forced again
-                if (what.equals("force") && name.equals(Format.segment(1)) && failures[0]++ >= 0) throw new IOException("I/O error");
-            };
+            disk.script =
+                    (what, name) -> {
+                        // the file that has failed is never forced again
+                        if (what.equals("force")
+                                && name.equals(Format.segment(1))
+                                && failures[0]++ >= 0) {
+                            throw new IOException("I/O error");
+                        }
+                    };
             assertThat(bench.put("unknown", "2")).isEqualTo(Ack.UNKNOWN);
             assertThat(bench.probe()).isTrue();
             bench.put("after", "3");
@@ -149,7 +170,9 @@
         try (Bench bench = open().start()) {
             disk.script = ForgetfulDisk.stalls("force", go);
             List<CompletableFuture<Ack>> acks = new ArrayList<>();
-            for (int i = 0; i < 2_000; i++) acks.add(bench.putting("k" + i, "v", Bench.LIFE));
+            for (int i = 0; i < 2_000; i++) {
+                acks.add(bench.putting("k" + i, "v", Bench.LIFE));
+            }
             assertThat(acks.get(1_999)).isCompletedWithValue(Ack.FULL);
             assertThat(acks.get(0)).isNotDone();
             go.countDown();
@@ -159,16 +182,33 @@
 
     @Test
     void newKeysAreRefusedAtTheBoundAndWhatIsThereGoesOn() throws IOException {
-        Limits few = new Limits(80, 1 << 20, 1 << 20, 600, Duration.ofDays(1), 1 << 30, 0.4, Duration.ZERO,
-            Duration.ofMillis(Bench.LIFE));
+        Limits few =
+                new Limits(
+                        80,
+                        1 << 20,
+                        1 << 20,
+                        600,
+                        Duration.ofDays(1),
+                        1 << 30,
+                        0.4,
+                        Duration.ZERO,
+                        Duration.ofMillis(Bench.LIFE));
         try (Bench bench = new Bench(disk, few, 0).start()) {
             Ack last = Ack.DURABLE;
             int taken = 0;
-            for (; last == Ack.DURABLE; taken++) last = bench.put("k" + taken, "v");
+            for (; last == Ack.DURABLE; taken++) {
+                last = bench.put("k" + taken, "v");
+            }
             assertThat(last).isEqualTo(Ack.FULL);
             assertThat(taken - 1).isEqualTo(70);
             CompletableFuture<Ack> again = new CompletableFuture<>();
-            bench.store.put("k1".getBytes(), new byte[0], "w".getBytes(), bench.store.now() + 1, false, again::complete);
+            bench.store.put(
+                    "k1".getBytes(),
+                    new byte[0],
+                    "w".getBytes(),
+                    bench.store.now() + 1,
+                    false,
+                    again::complete);
             assertThat(Bench.wait(again)).isEqualTo(Ack.DURABLE);
             assertThat(bench.remove("k2")).isEqualTo(Ack.DURABLE);
             assertThat(bench.put("new", "v")).isEqualTo(Ack.DURABLE);
@@ -205,7 +245,8 @@
 
     @Test
     void whatIsNotTheStoresIsLeftAlone() throws IOException {
-        Map<String, byte[]> files = Map.of("notes.txt", "mine".getBytes(), "seg-1.log", "no".getBytes());
+        Map<String, byte[]> files =
+                Map.of("notes.txt", "mine".getBytes(), "seg-1.log", "no".getBytes());
         disk = ForgetfulDisk.of(files);
         try (Bench bench = open().start()) {
             bench.put("a", "1");
@@ -219,7 +260,9 @@
         header[9] = 2;
         java.nio.ByteBuffer.wrap(header).putInt(64, Format.crc(header, 0, 64));
         disk = ForgetfulDisk.of(Map.of(Format.segment(1), header));
-        assertThatThrownBy(this::open).isInstanceOf(StoreException.class).hasMessageContaining("has format 2");
+        assertThatThrownBy(this::open)
+                .isInstanceOf(StoreException.class)
+                .hasMessageContaining("has format 2");
     }
 
     @Test
@@ -227,7 +270,8 @@
         Disk real = new RealDisk(folder.resolve("made"));
         try (Bench bench = new Bench(real, Bench.SMALL, 0).start()) {
             bench.put("a", "1");
-            assertThatThrownBy(() -> new Bench(real, Bench.SMALL, 0)).hasMessageContaining("in use");
+            assertThatThrownBy(() -> new Bench(real, Bench.SMALL, 0))
+                    .hasMessageContaining("in use");
         }
         try (Bench bench = new Bench(real, Bench.SMALL, 0)) {
             assertThat(bench.kept()).isEqualTo(Map.of("a", "1"));
@@ -246,7 +290,7 @@
             assertThat(bench.kept()).isEqualTo(Map.of("a", "1"));
             assertThat(bench.start().read("a")).isEqualTo("1");
             assertThat(bench.put("b", "2")).isEqualTo(Ack.SICK);
-            disk.script = (what, name) -> { };
+            disk.script = (what, name) -> {};
             assertThat(bench.probe()).isTrue();
             assertThat(bench.put("b", "2")).isEqualTo(Ack.DURABLE);
         }
--- a/src/test/java/ochretiller/text/FramesTest.java
+++ b/src/test/java/ochretiller/text/FramesTest.java
@@ -9,28 +9,40 @@
 
 class FramesTest {
     private final List<String> messages = new ArrayList<>();
-    private final Frames frames = new Frames(100, true, line -> {
-        List<String> words = line.words();
-        return words.get(0).equals("body") ? Integer.parseInt(words.get(1)) : Frames.NONE;
-    });
+    private final Frames frames =
+            new Frames(
+                    100,
+                    true,
+                    line -> {
+                        List<String> words = line.words();
+                        return words.get(0).equals("body")
+                                ? Integer.parseInt(words.get(1))
+                                : Frames.NONE;
+                    });
 
     private List<String> feed(Frames to, String text) {
         messages.clear();
         Slice slice = Slice.of(text);
-        to.read(slice.bytes(), slice.from(), slice.to(), (line, body) -> messages.add(line.text() + "|" + body.text()));
+        to.read(
+                slice.bytes(),
+                slice.from(),
+                slice.to(),
+                (line, body) -> messages.add(line.text() + "|" + body.text()));
         return messages;
     }
 
     @Test
     void cutsLinesAndBodies() {
         assertThat(feed(frames, "one\r\nbody 4\r\na\r\nb\r\nbody 0\r\n\r\ntwo\r\n"))
-            .containsExactly("one|", "body 4|a\r\nb", "body 0|", "two|");
+                .containsExactly("one|", "body 4|a\r\nb", "body 0|", "two|");
     }
 
     @Test
     void joinsWhatComesInPieces() {
         List<String> all = new ArrayList<>();
-        for (char c : "one\r\nbody 4\r\na\r\nb\r\ntwo\r\n".toCharArray()) all.addAll(feed(frames, "" + c));
+        for (char c : "one\r\nbody 4\r\na\r\nb\r\ntwo\r\n".toCharArray()) {
+            all.addAll(feed(frames, "" + c));
+        }
         assertThat(all).containsExactly("one|", "body 4|a\r\nb", "two|");
     }
 
@@ -47,9 +59,12 @@
     @Test
     void refusesWhatIsTooLongOrLies() {
         assertThatThrownBy(() -> feed(new Frames(10, false, line -> Frames.NONE), "x".repeat(400)))
-            .isInstanceOf(BadInputException.class);
-        assertThatThrownBy(() -> feed(frames, "body 101\r\n")).isInstanceOf(BadInputException.class);
-        assertThatThrownBy(() -> feed(frames, "body 2\r\nabcd\r\n")).isInstanceOf(BadInputException.class);
-        assertThatThrownBy(() -> feed(frames, "line feed only\n")).isInstanceOf(BadInputException.class);
+                .isInstanceOf(BadInputException.class);
+        assertThatThrownBy(() -> feed(frames, "body 101\r\n"))
+                .isInstanceOf(BadInputException.class);
+        assertThatThrownBy(() -> feed(frames, "body 2\r\nabcd\r\n"))
+                .isInstanceOf(BadInputException.class);
+        assertThatThrownBy(() -> feed(frames, "line feed only\n"))
+                .isInstanceOf(BadInputException.class);
     }
 }
--- a/src/test/java/ochretiller/text/JsonTest.java
+++ b/src/test/java/ochretiller/text/JsonTest.java
@@ -17,12 +17,18 @@
     @Test
     void readsEveryKindOfValue() {
         assertThat(read(" {\"a\":[1,-2.5,1e3,true,false,null,\"\"],\"b\":{}} "))
-            .isEqualTo(Map.of("a", List.of(1L, -2.5, 1000.0, true, false, Json.NULL, ""), "b", Map.of()));
+                .isEqualTo(
+                        Map.of(
+                                "a",
+                                List.of(1L, -2.5, 1000.0, true, false, Json.NULL, ""),
+                                "b",
+                                Map.of()));
     }
 
     @Test
     void readsEscapesAndUtf8() {
-        assertThat(read("\"\\\"\\\\\\/\\b\\f\\n\\r\\t\\u00e8 \u00e8\"")).isEqualTo("\"\\/\b\f\n\r\t\u00e8 \u00e8");
+        assertThat(read("\"\\\"\\\\\\/\\b\\f\\n\\r\\t\\u00e8 \u00e8\""))
+                .isEqualTo("\"\\/\b\f\n\r\t\u00e8 \u00e8");
     }
 
     @Test
@@ -39,16 +45,42 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "[1", "[1,]", "{\"a\"}", "{\"a\":1,}", "{a:1}", "01", "1.", ".5", "+1", "-", "1e", "NaN",
-        "tru", "\"", "\"\\", "\"\\x\"", "\"\\u12g4\"", "\"\\u12", "\"a\nb\"", "1 2", "{}x", "'a'"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "[1",
+                "[1,]",
+                "{\"a\"}",
+                "{\"a\":1,}",
+                "{a:1}",
+                "01",
+                "1.",
+                ".5",
+                "+1",
+                "-",
+                "1e",
+                "NaN",
+                "tru",
+                "\"",
+                "\"\\",
+                "\"\\x\"",
+                "\"\\u12g4\"",
+                "\"\\u12",
+                "\"a\nb\"",
+                "1 2",
+                "{}x",
+                "'a'"
+            })
     void refusesWhatIsNotJson(String text) {
         assertThatThrownBy(() -> read(text)).isInstanceOf(BadInputException.class);
     }
 
     @Test
     void refusesWhatIsNotUtf8() {
-        assertThatThrownBy(() -> new Json(new Slice(new byte[] {'"', (byte) 0xff, '"'}, 0, 3)).read())
-            .isInstanceOf(BadInputException.class);
+        assertThatThrownBy(
+                        () -> new Json(new Slice(new byte[] {'"', (byte) 0xff, '"'}, 0, 3)).read())
+                .isInstanceOf(BadInputException.class);
     }
 
     @Test
--- a/src/test/java/ochretiller/uwsgi/UwsgiTest.java
+++ b/src/test/java/ochretiller/uwsgi/UwsgiTest.java
@@ -25,7 +25,9 @@
 
     private static byte[] packet(Map<String, String> vars, String body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (byte[] part : new Request(vars, bytes(body), false).encode()) out.writeBytes(part);
+        for (byte[] part : new Request(vars, bytes(body), false).encode()) {
+            out.writeBytes(part);
+        }
         return out.toByteArray();
     }
 
@@ -41,7 +43,9 @@
 
     private static List<Request> read(RequestDecoder decoder, byte[]... pieces) {
         List<Request> all = new ArrayList<>();
-        for (byte[] piece : pieces) decoder.read(piece, 0, piece.length, all::add);
+        for (byte[] piece : pieces) {
+            decoder.read(piece, 0, piece.length, all::add);
+        }
         return all;
     }
 
@@ -62,20 +66,30 @@
     @Test
     void packetOfThePublishedFormIsRead() {
         // modifier1 0, 16 bytes of variables little-endian, modifier2 0; "KEY" = "value", "A" = ""
-        byte[] packet = {0, 17, 0, 0, 3, 0, 'K', 'E', 'Y', 5, 0, 'v', 'a', 'l', 'u', 'e', 1, 0, 'A', 0, 0};
-        assertThat(read(packet)).singleElement().satisfies(request -> {
-            assertThat(request.vars()).isEqualTo(Map.of("KEY", "value", "A", ""));
-            assertThat(request.body()).isEmpty();
-        });
+        byte[] packet = {
+            0, 17, 0, 0, 3, 0, 'K', 'E', 'Y', 5, 0, 'v', 'a', 'l', 'u', 'e', 1, 0, 'A', 0, 0
+        };
+        assertThat(read(packet))
+                .singleElement()
+                .satisfies(
+                        request -> {
+                            assertThat(request.vars()).isEqualTo(Map.of("KEY", "value", "A", ""));
+                            assertThat(request.body()).isEmpty();
+                        });
     }
 
     @Test
     void eachSplitGivesTheSame() {
         byte[] packet = order("two bolts");
         for (int cut = 0; cut <= packet.length; cut++) {
-            List<Request> all = read(Arrays.copyOf(packet, cut), Arrays.copyOfRange(packet, cut, packet.length));
+            List<Request> all =
+                    read(
+                            Arrays.copyOf(packet, cut),
+                            Arrays.copyOfRange(packet, cut, packet.length));
             assertThat(all).as("cut at " + cut).hasSize(1);
-            assertThat(all.get(0).vars()).containsEntry("PATH_INFO", "/orders/7\u00e9").containsEntry("EMPTY", "");
+            assertThat(all.get(0).vars())
+                    .containsEntry("PATH_INFO", "/orders/7\u00e9")
+                    .containsEntry("EMPTY", "");
             assertThat(all.get(0).body()).isEqualTo(bytes("two bolts"));
         }
         RequestDecoder decoder = new RequestDecoder(LONGEST);
@@ -95,8 +109,9 @@
         out.writeBytes(ping);
         out.writeBytes(order(""));
         out.writeBytes(order("bc"));
-        assertThat(read(out.toByteArray())).extracting(request -> request.ping() ? "ping" : new String(request.body()))
-            .containsExactly("a", "ping", "", "bc");
+        assertThat(read(out.toByteArray()))
+                .extracting(request -> request.ping() ? "ping" : new String(request.body()))
+                .containsExactly("a", "ping", "", "bc");
     }
 
     @Test
@@ -112,65 +127,106 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"-1,400", "+5,400", "1e3,400", "0x10,400", "' 5',400", "2049,413", "99999999999,413",
-        "999999999999999999999999,400", "5 5,400"})
+    @CsvSource({
+        "-1,400",
+        "+5,400",
+        "1e3,400",
+        "0x10,400",
+        "' 5',400",
+        "2049,413",
+        "99999999999,413",
+        "999999999999999999999999,400",
+        "5 5,400"
+    })
     void lengthThatIsNoneIsRefusedBeforeABodyIsKept(String length, int status) {
         byte[] packet = packet(Map.of("CONTENT_LENGTH", length), "");
-        assertThatThrownBy(() -> read(packet)).isInstanceOfSatisfying(UwsgiException.class,
-            e -> assertThat(e.status).isEqualTo(status));
+        assertThatThrownBy(() -> read(packet))
+                .isInstanceOfSatisfying(
+                        UwsgiException.class, e -> assertThat(e.status).isEqualTo(status));
     }
 
     @Test
     void longestBodyAndLongestVariablesAreTaken() {
         String body = "x".repeat(LONGEST);
-        assertThat(read(order(body))).singleElement().satisfies(r -> assertThat(r.body()).hasSize(LONGEST));
+        assertThat(read(order(body)))
+                .singleElement()
+                .satisfies(r -> assertThat(r.body()).hasSize(LONGEST));
         String value = "v".repeat(65_535 - 4 - 1);
         byte[] packet = packet(Map.of("N", value), "");
         assertThat(packet).hasSize(4 + 65_535);
-        assertThat(read(packet)).singleElement().satisfies(r -> assertThat(r.vars()).containsEntry("N", value));
-        assertThatThrownBy(() -> packet(Map.of("N", value + "v"), "")).isInstanceOf(UwsgiException.class);
+        assertThat(read(packet))
+                .singleElement()
+                .satisfies(r -> assertThat(r.vars()).containsEntry("N", value));
+        assertThatThrownBy(() -> packet(Map.of("N", value + "v"), ""))
+                .isInstanceOf(UwsgiException.class);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"\u0001", "\u0009\0KEY", "\u0003\0KEY", "\u0003\0KEY\u0005", "\u0003\0KEY\u0005\0val",
-        "\0\0\u0001\0v", "\u0001\0\r\u0001\0v", "\u0001\0A\u0001\0\n", "\u0001\0A\u0001\0\0",
-        "\u0001\0A\u0001\0x\u0001\0A\u0001\0y"})
+    @ValueSource(
+            strings = {
+                "\u0001",
+                "\u0009\0KEY",
+                "\u0003\0KEY",
+                "\u0003\0KEY\u0005",
+                "\u0003\0KEY\u0005\0val",
+                "\0\0\u0001\0v",
+                "\u0001\0\r\u0001\0v",
+                "\u0001\0A\u0001\0\n",
+                "\u0001\0A\u0001\0\0",
+                "\u0001\0A\u0001\0x\u0001\0A\u0001\0y"
+            })
     void blockWhoseLengthsLieIsMalformed(String block) {
-        assertThatThrownBy(() -> read(raw(0, block.length(), block))).isInstanceOfSatisfying(UwsgiException.class,
-            e -> assertThat(e.status).isEqualTo(400));
+        assertThatThrownBy(() -> read(raw(0, block.length(), block)))
+                .isInstanceOfSatisfying(
+                        UwsgiException.class, e -> assertThat(e.status).isEqualTo(400));
     }
 
     @Test
     void tooManyVariablesAreRefused() {
         Map<String, String> vars = new LinkedHashMap<>();
-        for (int i = 0; i < 513; i++) vars.put("V" + i, "");
-        assertThatThrownBy(() -> read(packet(vars, ""))).isInstanceOf(UwsgiException.class).hasMessageContaining("512");
+        for (int i = 0; i < 513; i++) {
+            vars.put("V" + i, "");
+        }
+        assertThatThrownBy(() -> read(packet(vars, "")))
+                .isInstanceOf(UwsgiException.class)
+                .hasMessageContaining("512");
     }
 
     @Test
     void headersThatComeTwiceAreOneList() {
         String block = "\u0006\0HTTP_A\u0001\0x\u0006\0HTTP_A\u0001\0y";
-        assertThat(read(raw(0, block.length(), block)).get(0).vars()).containsEntry("HTTP_A", "x, y");
+        assertThat(read(raw(0, block.length(), block)).get(0).vars())
+                .containsEntry("HTTP_A", "x, y");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 17, 22, 72, 99, 101, 173, 255})
     void otherModifiersEndTheConnection(int modifier) {
-        assertThatThrownBy(() -> read(raw(modifier, 0, ""))).isInstanceOfSatisfying(UwsgiException.class,
-            e -> assertThat(e.status).isZero());
+        assertThatThrownBy(() -> read(raw(modifier, 0, "")))
+                .isInstanceOfSatisfying(UwsgiException.class, e -> assertThat(e.status).isZero());
         assertThatThrownBy(() -> read(raw(100, 1, "x"))).isInstanceOf(UwsgiException.class);
     }
 
-    /** Whatever comes is requests, a fault or a wait; never another exception, and never more kept than was sent. */
+    /**
+     * Whatever comes is requests, a fault or a wait; never another exception, and never more kept
+     * than was sent.
+     */
     @Test
     void millionMutationsOfGoodPackets() {
         SplittableRandom chance = new SplittableRandom(20);
-        byte[][] good = {order("two bolts"), order(""), packet(Map.of("CONTENT_LENGTH", "3"), "abc"), {100, 0, 0, 0}};
+        byte[][] good = {
+            order("two bolts"),
+            order(""),
+            packet(Map.of("CONTENT_LENGTH", "3"), "abc"),
+            {100, 0, 0, 0}
+        };
         int faults = 0;
         int requests = 0;
         for (int i = 0; i < 1_000_000; i++) {
             byte[] bytes = good[chance.nextInt(good.length)].clone();
-            for (int flips = chance.nextInt(4); flips >= 0; flips--) bytes[chance.nextInt(bytes.length)] = (byte) chance.nextInt(256);
+            for (int flips = chance.nextInt(4); flips >= 0; flips--) {
+                bytes[chance.nextInt(bytes.length)] = (byte) chance.nextInt(256);
+            }
             int cut = chance.nextInt(bytes.length + 1);
             int[] got = {0};
             try {
@@ -191,12 +247,16 @@
         SplittableRandom chance = new SplittableRandom(21);
         for (int i = 0; i < 5_000; i++) {
             Map<String, String> vars = new LinkedHashMap<>();
-            for (int n = chance.nextInt(20); n > 0; n--) vars.put("N" + chance.nextInt(1_000), "v".repeat(chance.nextInt(300)));
+            for (int n = chance.nextInt(20); n > 0; n--) {
+                vars.put("N" + chance.nextInt(1_000), "v".repeat(chance.nextInt(300)));
+            }
             String body = "b".repeat(chance.nextInt(LONGEST));
             vars.put("CONTENT_LENGTH", "" + body.length());
             byte[] packet = packet(vars, body);
             int cut = chance.nextInt(packet.length);
-            Request read = read(Arrays.copyOf(packet, cut), Arrays.copyOfRange(packet, cut, packet.length)).get(0);
+            Request read =
+                    read(Arrays.copyOf(packet, cut), Arrays.copyOfRange(packet, cut, packet.length))
+                            .get(0);
             assertThat(read.vars()).isEqualTo(vars);
             assertThat(new String(read.body())).isEqualTo(body);
         }
@@ -210,15 +270,19 @@
 
     @Test
     void answersOfBothFormsAreRead() {
-        assertThat(answer("HTTP/1.1 201 Created\r\nX-A: b\r\nContent-Length: 2\r\n\r\nok", false)).satisfies(read -> {
-            assertThat(read.status()).isEqualTo(201);
-            assertThat(read.headers()).containsEntry("x-a", "b");
-            assertThat(new String(read.body())).isEqualTo("ok");
-        });
-        assertThat(answer("Status: 404 Not Found\r\n\r\nnone", true)).satisfies(read -> {
-            assertThat(read.status()).isEqualTo(404);
-            assertThat(new String(read.body())).isEqualTo("none");
-        });
+        assertThat(answer("HTTP/1.1 201 Created\r\nX-A: b\r\nContent-Length: 2\r\n\r\nok", false))
+                .satisfies(
+                        read -> {
+                            assertThat(read.status()).isEqualTo(201);
+                            assertThat(read.headers()).containsEntry("x-a", "b");
+                            assertThat(new String(read.body())).isEqualTo("ok");
+                        });
+        assertThat(answer("Status: 404 Not Found\r\n\r\nnone", true))
+                .satisfies(
+                        read -> {
+                            assertThat(read.status()).isEqualTo(404);
+                            assertThat(new String(read.body())).isEqualTo("none");
+                        });
     }
 
     @Test
@@ -230,7 +294,9 @@
             Answer read = first != null ? first : decoder.read(whole, cut, whole.length);
             assertThat(read.status()).isEqualTo(200);
             assertThat(new String(read.body())).isEqualTo("result\r\n\r\n");
-            if (cut < whole.length) assertThat(first).isNull();
+            if (cut < whole.length) {
+                assertThat(first).isNull();
+            }
         }
     }
 
@@ -242,10 +308,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 99\r\n\r\n", "HTTP/1.1\r\n\r\n", "X: y\r\n\r\n", "nonsense\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 abc\r\n\r\n",
+                "HTTP/1.1 99\r\n\r\n",
+                "HTTP/1.1\r\n\r\n",
+                "X: y\r\n\r\n",
+                "nonsense\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+                "HTTP/1.1 2000 OK\r\n\r\n"
+            })
     void spoiltAnswerIsAFault(String text) {
         assertThatThrownBy(() -> answer(text, true)).isInstanceOf(UwsgiException.class);
     }
@@ -254,14 +330,27 @@
     void answerThatNeverEndsIsBounded() {
         AnswerDecoder decoder = new AnswerDecoder(LONGEST);
         byte[] more = new byte[1_000];
-        assertThatThrownBy(() -> {
-            for (int i = 0; i < 100; i++) decoder.read(more, 0, more.length);
-        }).isInstanceOf(UwsgiException.class);
+        assertThatThrownBy(
+                        () -> {
+                            for (int i = 0; i < 100; i++) {
+                                decoder.read(more, 0, more.length);
+                            }
+                        })
+                .isInstanceOf(UwsgiException.class);
     }
 
     @Test
     void textOfAPeerMakesNoHeaderOfItsOwn() {
-        String text = new String(new Answer(200, Map.of("X-A", "b\r\nX-B: c", "Content-Length", "999"), bytes("ok")).encode());
-        assertThat(text).contains("X-A: b  X-B: c\r\n").contains("Content-Length: 2\r\n").doesNotContain("999");
+        String text =
+                new String(
+                        new Answer(
+                                        200,
+                                        Map.of("X-A", "b\r\nX-B: c", "Content-Length", "999"),
+                                        bytes("ok"))
+                                .encode());
+        assertThat(text)
+                .contains("X-A: b  X-B: c\r\n")
+                .contains("Content-Length: 2\r\n")
+                .doesNotContain("999");
     }
 }
--- a/tools/src/main/java/ochretiller/tools/Ask.java
+++ b/tools/src/main/java/ochretiller/tools/Ask.java
@@ -5,23 +5,42 @@
 /** One request that a side sends, and what came of it. */
 final class Ask {
     /** What its caller saw. */
-    enum Outcome { SUCCEEDED, THROTTLED, ERRORED, NONE, VANISHED }
+    enum Outcome {
+        SUCCEEDED,
+        THROTTLED,
+        ERRORED,
+        NONE,
+        VANISHED
+    }
 
     final long number;
     final String operation;
     final String body;
-    /** When it was to be sent, nanoseconds: latency counts from here, so that a server that stands still is not spared. */
+
+    /**
+     * When it was to be sent, nanoseconds: latency counts from here, so that a server that stands
+     * still is not spared.
+     */
     final long due;
+
     /** The token of a keyed one, else null. */
     final String token;
+
     /** Its caller leaves without waiting for the answer. */
     final boolean vanishes;
+
     final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
     volatile long sentAt;
     volatile long answeredAt;
 
     Ask(long number, long due, String token, boolean vanishes) {
-        this(number, due, token, vanishes, token == null ? "read" : "order", token == null ? "load" : token);
+        this(
+                number,
+                due,
+                token,
+                vanishes,
+                token == null ? "read" : "order",
+                token == null ? "load" : token);
     }
 
     Ask(long number, long due, String token, boolean vanishes, String operation, String body) {
--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -25,23 +25,40 @@
 import ochretiller.fleet.peers.FleetKeys;
 
 /**
- * What it takes to make copies equal: three keepers, one of which lacks some or all, exchange sealed packets in one process, without
- * a wire between them. Bytes are those of whole packets beside the entries that differ, encoded by themselves.
+ * What it takes to make copies equal: three keepers, one of which lacks some or all, exchange
+ * sealed packets in one process, without a wire between them. Bytes are those of whole packets
+ * beside the entries that differ, encoded by themselves.
  */
 final class CopiesBench {
     private static final Duration WINDOW = Duration.ofHours(1);
     private static final Duration BEAT = Duration.ofMillis(20);
+
     /** No allowance: what the exchange itself takes is measured. */
     private static final double FREE = 1e12;
+
     private static final int RESULT = 200;
+
     /** Beats without a word: what was not answered would have been asked again by then. */
     private static final int QUIET = 20;
-    private static final List<Layout.Server> THREE = List.of(new Layout.Server("a", "1"), new Layout.Server("b", "2"), new Layout.Server("c", "3"));
+
+    private static final List<Layout.Server> THREE =
+            List.of(
+                    new Layout.Server("a", "1"),
+                    new Layout.Server("b", "2"),
+                    new Layout.Server("c", "3"));
     private static final Layout LAYOUT = new Layout(3, THREE, THREE, 3);
 
     private final SplittableRandom chance = new SplittableRandom(11);
     private final Codec codec;
-    private final Member member = new Member(new MemberId("a", 7), new Address("127.0.0.1", 1), "1", "bench", null, 1, State.HERE);
+    private final Member member =
+            new Member(
+                    new MemberId("a", 7),
+                    new Address("127.0.0.1", 1),
+                    "1",
+                    "bench",
+                    null,
+                    1,
+                    State.HERE);
     private long packets;
     private long bytes;
 
@@ -57,16 +74,29 @@
     }
 
     private Keeper keeper(String name, Map<String, Entry> entries) {
-        return new Keeper(name, new Keeper.Disk(LAYOUT, entries), LAYOUT, new Keeper.Bounds(10_000_000, Long.MAX_VALUE, FREE, WINDOW), 0, Duration.ZERO);
+        return new Keeper(
+                name,
+                new Keeper.Disk(LAYOUT, entries),
+                LAYOUT,
+                new Keeper.Bounds(10_000_000, Long.MAX_VALUE, FREE, WINDOW),
+                0,
+                Duration.ZERO);
     }
 
     private Map<String, Entry> entries(int count) {
         Map<String, Entry> all = new HashMap<>();
         for (int i = 0; i < count; i++) {
             ClaimId id = new ClaimId("server-" + chance.nextInt(5), chance.nextLong(), i);
-            String body = "order " + Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong());
-            Outcome outcome = new Outcome(true, body, "r".repeat(RESULT - 20) + String.format("%020d", i));
-            all.put(String.format("%016x%016x", chance.nextLong(), chance.nextLong()), new Entry(Map.of(id, body), java.util.Set.of(), Map.of(id, outcome), WINDOW));
+            String body =
+                    "order "
+                            + Long.toHexString(chance.nextLong())
+                            + Long.toHexString(chance.nextLong())
+                            + Long.toHexString(chance.nextLong());
+            Outcome outcome =
+                    new Outcome(true, body, "r".repeat(RESULT - 20) + String.format("%020d", i));
+            all.put(
+                    String.format("%016x%016x", chance.nextLong(), chance.nextLong()),
+                    new Entry(Map.of(id, body), java.util.Set.of(), Map.of(id, outcome), WINDOW));
         }
         return all;
     }
@@ -74,16 +104,31 @@
     private long encoded(Map<String, Entry> entries) {
         long all = 0;
         int empty = page(List.of());
-        for (Map.Entry<String, Entry> each : entries.entrySet()) all += page(List.of(new CopyMessage.Item(each.getKey(), each.getValue(), WINDOW))) - empty;
+        for (Map.Entry<String, Entry> each : entries.entrySet()) {
+            all +=
+                    page(List.of(new CopyMessage.Item(each.getKey(), each.getValue(), WINDOW)))
+                            - empty;
+        }
         return all;
     }
 
     private int page(List<CopyMessage.Item> items) {
-        return sealed(new CopyMessage.Page(3, 1, 1, items, new CopyMessage.Place(1, ""), true, true, true, List.of(), 1, 1));
+        return sealed(
+                new CopyMessage.Page(
+                        3,
+                        1,
+                        1,
+                        items,
+                        new CopyMessage.Place(1, ""),
+                        true,
+                        true,
+                        true,
+                        List.of(),
+                        1,
+                        1));
     }
 
-    private record Sent(String from, Keeper.Out out) {
-    }
+    private record Sent(String from, Keeper.Out out) {}
 
     /** Until nothing more is said; the asker has to have all by then. */
     private void exchange(Map<String, Keeper> keepers, Keeper asker, int size) {
@@ -98,7 +143,9 @@
             beats++;
             asker.tick(now);
             int said = 0;
-            for (Keeper.Out out : asker.outs()) underWay.add(new Sent("a", out));
+            for (Keeper.Out out : asker.outs()) {
+                underWay.add(new Sent("a", out));
+            }
             while (!underWay.isEmpty()) {
                 Sent sent = underWay.poll();
                 said++;
@@ -106,15 +153,29 @@
                 bytes += sealed(sent.out.message());
                 Keeper to = keepers.get(sent.out.to());
                 to.received(sent.from, sent.out.message(), now);
-                for (Keeper.Out back : to.outs()) underWay.add(new Sent(sent.out.to(), back));
+                for (Keeper.Out back : to.outs()) {
+                    underWay.add(new Sent(sent.out.to(), back));
+                }
             }
             quiet = said == 0 ? quiet + 1 : 0;
         }
-        if (asker.size() != size) throw new IllegalStateException("it has " + asker.size() + " of " + size);
+        if (asker.size() != size) {
+            throw new IllegalStateException("it has " + asker.size() + " of " + size);
+        }
     }
 
     void run(boolean quick) throws Exception {
-        Table table = new Table("copies-catch-up", "entries", "lacks", "fetched", "entries a second", "packets", "bytes", "bytes that differ", "ratio");
+        Table table =
+                new Table(
+                        "copies-catch-up",
+                        "entries",
+                        "lacks",
+                        "fetched",
+                        "entries a second",
+                        "packets",
+                        "bytes",
+                        "bytes that differ",
+                        "ratio");
         Map<String, List<double[]>> series = new HashMap<>();
         for (int count : quick ? new int[] {10_000} : new int[] {10_000, 100_000}) {
             Map<String, Entry> all = entries(count);
@@ -129,19 +190,36 @@
                     String token = tokens.get(i);
                     differ.put(token, some.remove(token));
                 }
-                // One that was away asks whoever has something else, as comparisons of all ranges find it.
+                // One that was away asks whoever has something else, as comparisons of all ranges
+                // find it.
                 Keeper a = keeper("a", some);
                 long differing = encoded(differ);
                 long began = System.nanoTime();
                 a.compareAll();
                 exchange(Map.of("a", a, "b", b, "c", c), a, count);
                 double seconds = (System.nanoTime() - began) / 1e9;
-                table.row(count, String.format(Locale.ROOT, "%.4f", lacks), a.fetched(), missing == 0 ? 0.0 : missing / seconds, packets, bytes, differing,
-                    differing == 0 ? 0.0 : (double) bytes / differing);
-                if (missing > 0) series.computeIfAbsent(count + " entries", ignored -> new ArrayList<>()).add(new double[] {lacks * 100, (double) bytes / differing});
+                table.row(
+                        count,
+                        String.format(Locale.ROOT, "%.4f", lacks),
+                        a.fetched(),
+                        missing == 0 ? 0.0 : missing / seconds,
+                        packets,
+                        bytes,
+                        differing,
+                        differing == 0 ? 0.0 : (double) bytes / differing);
+                if (missing > 0) {
+                    series.computeIfAbsent(count + " entries", ignored -> new ArrayList<>())
+                            .add(new double[] {lacks * 100, (double) bytes / differing});
+                }
             }
         }
         table.keep();
-        Charts.lines("copies-catch-up.svg", "Bytes of a catch-up beside the bytes that differ", "entries that are lacking, %", "bytes beside those that differ", true, series);
+        Charts.lines(
+                "copies-catch-up.svg",
+                "Bytes of a catch-up beside the bytes that differ",
+                "entries that are lacking, %",
+                "bytes beside those that differ",
+                true,
+                series);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/DecoderBench.java
+++ b/tools/src/main/java/ochretiller/tools/DecoderBench.java
@@ -23,7 +23,9 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.TimeValue;
 
-/** One request of a front end through the decoder, whole or in pieces, beside a copy of its bytes. */
+/**
+ * One request of a front end through the decoder, whole or in pieces, beside a copy of its bytes.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -52,7 +54,9 @@
         vars.put("HTTP_ACCEPT", "*/*");
         vars.put("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (byte[] part : new Request(vars, "x".repeat(200).getBytes(StandardCharsets.ISO_8859_1), false).encode()) {
+        for (byte[] part :
+                new Request(vars, "x".repeat(200).getBytes(StandardCharsets.ISO_8859_1), false)
+                        .encode()) {
             out.writeBytes(part);
         }
         packet = out.toByteArray();
@@ -60,7 +64,8 @@
 
     @Benchmark
     public void decode(Blackhole seen) {
-        RequestDecoder decoder = new RequestDecoder(2_048); // one request on a connection, as front ends have it
+        RequestDecoder decoder =
+                new RequestDecoder(2_048); // one request on a connection, as front ends have it
         for (int at = 0; at < packet.length; at += piece) {
             decoder.read(packet, at, Math.min(packet.length, at + piece), seen::consume);
         }
@@ -76,16 +81,38 @@
     }
 
     static void measure() throws Exception {
-        Collection<RunResult> results = new Runner(new OptionsBuilder().include(DecoderBench.class.getName()).forks(1)
-            .warmupIterations(2).warmupTime(TimeValue.seconds(1)).measurementIterations(3).measurementTime(TimeValue.seconds(1))
-            .addProfiler(GCProfiler.class).build()).run();
-        Table table = new Table("uwsgi-decode", "what", "bytes at once", "ns a request", "error", "bytes allocated");
+        Collection<RunResult> results =
+                new Runner(
+                                new OptionsBuilder()
+                                        .include(DecoderBench.class.getName())
+                                        .forks(1)
+                                        .warmupIterations(2)
+                                        .warmupTime(TimeValue.seconds(1))
+                                        .measurementIterations(3)
+                                        .measurementTime(TimeValue.seconds(1))
+                                        .addProfiler(GCProfiler.class)
+                                        .build())
+                        .run();
+        Table table =
+                new Table(
+                        "uwsgi-decode",
+                        "what",
+                        "bytes at once",
+                        "ns a request",
+                        "error",
+                        "bytes allocated");
         for (RunResult result : results) {
             String name = result.getParams().getBenchmark();
-            table.row(name.substring(name.lastIndexOf('.') + 1), result.getParams().getParam("piece"),
-                result.getPrimaryResult().getScore(), result.getPrimaryResult().getScoreError(),
-                result.getSecondaryResults().entrySet().stream().filter(each -> each.getKey().endsWith("alloc.rate.norm"))
-                    .mapToDouble(each -> each.getValue().getScore()).findFirst().orElse(Double.NaN));
+            table.row(
+                    name.substring(name.lastIndexOf('.') + 1),
+                    result.getParams().getParam("piece"),
+                    result.getPrimaryResult().getScore(),
+                    result.getPrimaryResult().getScoreError(),
+                    result.getSecondaryResults().entrySet().stream()
+                            .filter(each -> each.getKey().endsWith("alloc.rate.norm"))
+                            .mapToDouble(each -> each.getValue().getScore())
+                            .findFirst()
+                            .orElse(Double.NaN));
         }
         table.keep();
     }
--- a/tools/src/main/java/ochretiller/tools/FloodBench.java
+++ b/tools/src/main/java/ochretiller/tools/FloodBench.java
@@ -7,10 +7,17 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Keys that pour in ten times faster than they age: what the server takes must stay level, and all throttles are unrun. */
+/**
+ * Keys that pour in ten times faster than they age: what the server takes must stay level, and all
+ * throttles are unrun.
+ */
 final class FloodBench {
-    /** Entries that fit, and the window that they stay for: a tenth of the rate below is what ages out a second. */
+    /**
+     * Entries that fit, and the window that they stay for: a tenth of the rate below is what ages
+     * out a second.
+     */
     private static final int ENTRIES = 800;
+
     private static final double PER_SECOND = 500;
 
     private final int seconds;
@@ -23,9 +30,24 @@
         Path folder = Files.createTempDirectory(Path.of("target").toAbsolutePath(), "flood");
         Path store = folder.resolve("store");
         Path operator = folder.resolve("operator.json5");
-        Files.writeString(operator, "{ remember: { folder: '" + store + "', most_entries: " + ENTRIES + ", most_mb: 4 } }");
-        Table table = new Table("remember-flood", "seconds", "resident MB", "files", "descriptors", "store KB", "succeeded",
-            "throttled", "errored");
+        Files.writeString(
+                operator,
+                "{ remember: { folder: '"
+                        + store
+                        + "', most_entries: "
+                        + ENTRIES
+                        + ", most_mb: 4 } }");
+        Table table =
+                new Table(
+                        "remember-flood",
+                        "seconds",
+                        "resident MB",
+                        "files",
+                        "descriptors",
+                        "store KB",
+                        "succeeded",
+                        "throttled",
+                        "errored");
         List<double[]> memory = new ArrayList<>();
         List<double[]> bytes = new ArrayList<>();
         try (Served served = new Served(operator, json -> json)) {
@@ -39,19 +61,33 @@
                 try (Stream<Path> all = Files.list(store)) {
                     for (Path file : all.toList()) {
                         files++;
-                        if (Files.exists(file)) size += Files.size(file);
+                        if (Files.exists(file)) {
+                            size += Files.size(file);
+                        }
                     }
                 }
                 double now = (System.nanoTime() - start) / 1e9;
-                table.row(now, served.residentKb() / 1024.0, files, served.descriptors(), size / 1024, load.succeeded.sum(),
-                    load.throttled.sum(), load.errored.sum());
+                table.row(
+                        now,
+                        served.residentKb() / 1024.0,
+                        files,
+                        served.descriptors(),
+                        size / 1024,
+                        load.succeeded.sum(),
+                        load.throttled.sum(),
+                        load.errored.sum());
                 memory.add(new double[] {now, served.residentKb() / 1024.0});
                 bytes.add(new double[] {now, size / 1024.0 / 10});
             }
             load.close();
         }
         table.keep();
-        Charts.lines("remember-flood", "New keys at ten times what ages out (own bench)", "seconds", "", false,
-            Map.of("resident MB", memory, "store, 10 KB", bytes));
+        Charts.lines(
+                "remember-flood",
+                "New keys at ten times what ages out (own bench)",
+                "seconds",
+                "",
+                false,
+                Map.of("resident MB", memory, "store, 10 KB", bytes));
     }
 }
--- a/tools/src/main/java/ochretiller/tools/LatencyBench.java
+++ b/tools/src/main/java/ochretiller/tools/LatencyBench.java
@@ -14,7 +14,10 @@
         this.rounds = rounds;
     }
 
-    /** Closed: as many a second as come back with sixteen in flight; the run limit of two cores is the stand-in's bound. */
+    /**
+     * Closed: as many a second as come back with sixteen in flight; the run limit of two cores is
+     * the stand-in's bound.
+     */
     private double full(Path operator) throws Exception {
         try (Served served = new Served(operator, json -> json)) {
             Load load = new Load(served.port, 4, 1);
@@ -29,8 +32,18 @@
         Path operator = folder.resolve("operator.json5");
         Files.writeString(operator, "{ remember: { folder: '" + folder.resolve("store") + "' } }");
         double full = full(null);
-        Table table = new Table("remember-latency", "load", "remembered", "kind", "p50 ms", "p99 ms", "p99.9 ms", "succeeded",
-            "throttled", "errored");
+        Table table =
+                new Table(
+                        "remember-latency",
+                        "load",
+                        "remembered",
+                        "kind",
+                        "p50 ms",
+                        "p99 ms",
+                        "p99.9 ms",
+                        "succeeded",
+                        "throttled",
+                        "errored");
         for (double share : new double[] {0.5, 1.0}) {
             for (boolean remembered : new boolean[] {false, true}) {
                 Histogram keyed = new Histogram(3);
@@ -53,9 +66,16 @@
                 }
                 for (boolean isKeyed : new boolean[] {true, false}) {
                     Histogram told = isKeyed ? keyed : reads;
-                    table.row(share, remembered ? "on" : "off", isKeyed ? "keyed" : "idempotent",
-                        told.getValueAtPercentile(50) / 1e3, told.getValueAtPercentile(99) / 1e3,
-                        told.getValueAtPercentile(99.9) / 1e3, counts[0], counts[1], counts[2]);
+                    table.row(
+                            share,
+                            remembered ? "on" : "off",
+                            isKeyed ? "keyed" : "idempotent",
+                            told.getValueAtPercentile(50) / 1e3,
+                            told.getValueAtPercentile(99) / 1e3,
+                            told.getValueAtPercentile(99.9) / 1e3,
+                            counts[0],
+                            counts[1],
+                            counts[2]);
                 }
             }
         }
--- a/tools/src/main/java/ochretiller/tools/LiveBench.java
+++ b/tools/src/main/java/ochretiller/tools/LiveBench.java
@@ -22,8 +22,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A script of the emulator, scaled down, in real time round packaged servers. Calls below, cuts, disks and drains are not played:
- * scripts with such incidents are refused.
+ * A script of the emulator, scaled down, in real time round packaged servers. Calls below, cuts,
+ * disks and drains are not played: scripts with such incidents are refused.
  */
 final class LiveBench {
     private static final List<String> PLAYED = List.of("die", "pause", "slow", "fail", "burst");
@@ -49,7 +49,10 @@
         this.script = whole.scaled((double) count / whole.fleet().boxes());
         this.seed = seed;
         for (Script.Incident each : script.incidents()) {
-            if (!PLAYED.contains(each.what())) throw new MalformedException(each.what() + " is not played live; " + PLAYED + " are");
+            if (!PLAYED.contains(each.what())) {
+                throw new MalformedException(
+                        each.what() + " is not played live; " + PLAYED + " are");
+            }
         }
         arrivals = new Seeds(seed).of("arrivals");
         choices = new Seeds(seed).of("gateways");
@@ -57,7 +60,9 @@
     }
 
     void run() throws Exception {
-        for (int place = 0; place < script.fleet().boxes(); place++) add(new LiveBox(script, place, 0, seed));
+        for (int place = 0; place < script.fleet().boxes(); place++) {
+            add(new LiveBox(script, place, 0, seed));
+        }
         try {
             for (int i = 0; i < script.incidents().size(); i++) {
                 Script.Incident each = script.incidents().get(i);
@@ -65,18 +70,52 @@
                 after(each.atS(), () -> happens(each, chance));
             }
             send();
-            double longest = script.operations().stream().mapToDouble(Script.Operation::timeoutMs).max().orElse(0) / 1e3;
-            for (long until = System.nanoTime() + (long) ((longest + 2) * 1e9); ended.sum() < asked && System.nanoTime() < until;) Thread.sleep(20);
+            double longest =
+                    script.operations().stream()
+                                    .mapToDouble(Script.Operation::timeoutMs)
+                                    .max()
+                                    .orElse(0)
+                            / 1e3;
+            for (long until = System.nanoTime() + (long) ((longest + 2) * 1e9);
+                    ended.sum() < asked && System.nanoTime() < until; ) {
+                Thread.sleep(20);
+            }
         } finally {
             timers.shutdownNow();
-            for (LiveBox box : all) box.close();
+            for (LiveBox box : all) {
+                box.close();
+            }
         }
-        long twice = all.stream().flatMap(box -> box.runs.values().stream()).filter(count -> count.get() > 1).count();
+        long twice =
+                all.stream()
+                        .flatMap(box -> box.runs.values().stream())
+                        .filter(count -> count.get() > 1)
+                        .count();
         Outcome simulated = new World(script, seed).play();
-        Table table = new Table("live-" + script.name(), "boxes", "asked", "never ended", "value share (sockets)", "value share (simulated)",
-            "tokens run twice on a box", "mean ms (sockets)", "mean ms (simulated)", "p95 ms (sockets)", "p95 ms (simulated)");
-        table.row(script.fleet().boxes(), asked, asked - ended.sum(), earned.sum() / offered.sum(), simulated.valueShare(), twice,
-            took.getMean() / 1e3, simulated.took().getMean() / 1e3, took.getValueAtPercentile(95) / 1e3, simulated.tookMs(95));
+        Table table =
+                new Table(
+                        "live-" + script.name(),
+                        "boxes",
+                        "asked",
+                        "never ended",
+                        "value share (sockets)",
+                        "value share (simulated)",
+                        "tokens run twice on a box",
+                        "mean ms (sockets)",
+                        "mean ms (simulated)",
+                        "p95 ms (sockets)",
+                        "p95 ms (simulated)");
+        table.row(
+                script.fleet().boxes(),
+                asked,
+                asked - ended.sum(),
+                earned.sum() / offered.sum(),
+                simulated.valueShare(),
+                twice,
+                took.getMean() / 1e3,
+                simulated.took().getMean() / 1e3,
+                took.getValueAtPercentile(95) / 1e3,
+                simulated.tookMs(95));
         table.keep();
     }
 
@@ -85,13 +124,18 @@
     }
 
     private void after(double seconds, Work work) {
-        timers.schedule(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                if (!timers.isShutdown()) e.printStackTrace();
-            }
-        }, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+        timers.schedule(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (Exception e) {
+                        if (!timers.isShutdown()) {
+                            e.printStackTrace();
+                        }
+                    }
+                },
+                (long) (seconds * 1e9),
+                TimeUnit.NANOSECONDS);
     }
 
     private void add(LiveBox box) {
@@ -101,14 +145,17 @@
 
     private void send() {
         long start = System.nanoTime();
-        for (double at = 0; at < script.seconds();) {
+        for (double at = 0; at < script.seconds(); ) {
             at += Seeds.exponential(arrivals, 1 / script.traffic().perSecond()) / rate;
             long due = start + (long) (at * 1e9);
             Pace.until(due);
             Script.Operation plan = script.at(arrivals.nextDouble());
             asked++;
             offered.add(plan.value());
-            String token = plan.effect().equals("tokened") ? String.format("%016x%016x", seed, ++tokens) : null;
+            String token =
+                    plan.effect().equals("tokened")
+                            ? String.format("%016x%016x", seed, ++tokens)
+                            : null;
             attempt(plan, token, due, 1, null);
         }
     }
@@ -116,7 +163,14 @@
     /** One try at one box, and what follows from its end. */
     private void attempt(Script.Operation plan, String token, long due, int tries, LiveBox not) {
         LiveBox box = choose(token, not);
-        Ask ask = new Ask(numbers.incrementAndGet(), due, token, false, plan.name(), token == null ? "load" : token);
+        Ask ask =
+                new Ask(
+                        numbers.incrementAndGet(),
+                        due,
+                        token,
+                        false,
+                        plan.name(),
+                        token == null ? "load" : token);
         CompletableFuture<Ask.Outcome> end = ask.outcome;
         double left = plan.timeoutMs() / 1e3 - (System.nanoTime() - due) / 1e9;
         if (box == null) {
@@ -128,50 +182,92 @@
                 ask.ends(Ask.Outcome.NONE);
             }
         }
-        after(Math.max(0, left), () -> ask.ends(Ask.Outcome.VANISHED)); // its caller gives up; a late answer is a surplus one
-        end.thenAccept(outcome -> {
-            double spent = (System.nanoTime() - due) / 1e9;
-            boolean again = outcome != Ask.Outcome.SUCCEEDED && outcome != Ask.Outcome.VANISHED
-                && (outcome != Ask.Outcome.ERRORED || token == null);
-            double pause = script.gateways().pauseMs() / 1e3;
-            if (again && (script.gateways().tries() == 0 || tries < script.gateways().tries()) && spent + pause < plan.timeoutMs() / 1e3) {
-                after(pause, () -> attempt(plan, token, due, tries + 1, box));
-                return;
-            }
-            if (outcome == Ask.Outcome.SUCCEEDED) {
-                took.recordValue(Math.max(1, (long) (spent * 1e6)));
-                earned.add(plan.value() * (spent <= plan.objectiveMs() / 1e3 ? 1 : plan.lateShare()));
-            }
-            ended.increment();
-        });
+        after(
+                Math.max(0, left),
+                () -> ask.ends(Ask.Outcome.VANISHED)); // its caller gives up; a late answer is a
+        // surplus one
+        end.thenAccept(
+                outcome -> {
+                    double spent = (System.nanoTime() - due) / 1e9;
+                    boolean again =
+                            outcome != Ask.Outcome.SUCCEEDED
+                                    && outcome != Ask.Outcome.VANISHED
+                                    && (outcome != Ask.Outcome.ERRORED || token == null);
+                    double pause = script.gateways().pauseMs() / 1e3;
+                    if (again
+                            && (script.gateways().tries() == 0 || tries < script.gateways().tries())
+                            && spent + pause < plan.timeoutMs() / 1e3) {
+                        after(pause, () -> attempt(plan, token, due, tries + 1, box));
+                        return;
+                    }
+                    if (outcome == Ask.Outcome.SUCCEEDED) {
+                        took.recordValue(Math.max(1, (long) (spent * 1e6)));
+                        earned.add(
+                                plan.value()
+                                        * (spent <= plan.objectiveMs() / 1e3
+                                                ? 1
+                                                : plan.lateShare()));
+                    }
+                    ended.increment();
+                });
     }
 
     private synchronized LiveBox choose(String token, LiveBox not) {
         List<LiveBox> now = new ArrayList<>(boxes);
-        if (now.isEmpty()) return null;
-        if (token != null) return now.get(Math.floorMod(token.hashCode(), now.size()));
-        if (now.size() > 1) now.remove(not);
+        if (now.isEmpty()) {
+            return null;
+        }
+        if (token != null) {
+            return now.get(Math.floorMod(token.hashCode(), now.size()));
+        }
+        if (now.size() > 1) {
+            now.remove(not);
+        }
         LiveBox one = now.get(choices.nextInt(now.size()));
         LiveBox other = now.get(choices.nextInt(now.size()));
-        return script.gateways().choice().equals("random") || one.side.openNow() <= other.side.openNow() ? one : other;
+        return script.gateways().choice().equals("random")
+                        || one.side.openNow() <= other.side.openNow()
+                ? one
+                : other;
     }
 
     private void happens(Script.Incident incident, SplittableRandom chance) throws Exception {
         List<LiveBox> some = new ArrayList<>(boxes);
         int count = (int) Math.ceil(incident.share() * script.fleet().boxes());
-        while (some.size() > count) some.remove(chance.nextInt(some.size()));
-        Map<String, Runnable[]> plain = Map.of(
-            "slow", new Runnable[] {() -> some.forEach(box -> box.slow(incident.strength())), () -> some.forEach(box -> box.slow(1))},
-            "fail", new Runnable[] {() -> some.forEach(box -> box.fail(incident.strength())), () -> some.forEach(box -> box.fail(0))},
-            "burst", new Runnable[] {() -> rate *= incident.strength(), () -> rate /= incident.strength()});
+        while (some.size() > count) {
+            some.remove(chance.nextInt(some.size()));
+        }
+        Map<String, Runnable[]> plain =
+                Map.of(
+                        "slow",
+                                new Runnable[] {
+                                    () -> some.forEach(box -> box.slow(incident.strength())),
+                                    () -> some.forEach(box -> box.slow(1))
+                                },
+                        "fail",
+                                new Runnable[] {
+                                    () -> some.forEach(box -> box.fail(incident.strength())),
+                                    () -> some.forEach(box -> box.fail(0))
+                                },
+                        "burst",
+                                new Runnable[] {
+                                    () -> rate *= incident.strength(),
+                                    () -> rate /= incident.strength()
+                                });
         if (plain.containsKey(incident.what())) {
             plain.get(incident.what())[0].run();
             after(incident.forS(), plain.get(incident.what())[1]::run);
         } else if (incident.what().equals("pause")) {
-            for (LiveBox box : some) box.signal("STOP");
-            after(incident.forS(), () -> {
-                for (LiveBox box : some) box.signal("CONT");
-            });
+            for (LiveBox box : some) {
+                box.signal("STOP");
+            }
+            after(
+                    incident.forS(),
+                    () -> {
+                        for (LiveBox box : some) {
+                            box.signal("CONT");
+                        }
+                    });
         } else {
             for (LiveBox box : some) {
                 boxes.remove(box);
@@ -179,7 +275,9 @@
             }
             for (int i = 0; i < some.size(); i++) {
                 int place = i;
-                after(incident.forS() + script.fleet().bootS(), () -> add(new LiveBox(script, place, all.size(), seed)));
+                after(
+                        incident.forS() + script.fleet().bootS(),
+                        () -> add(new LiveBox(script, place, all.size(), seed)));
             }
         }
     }
--- a/tools/src/main/java/ochretiller/tools/LiveBox.java
+++ b/tools/src/main/java/ochretiller/tools/LiveBox.java
@@ -11,7 +11,10 @@
 import ochretiller.emulator.core.Seeds;
 import ochretiller.emulator.script.Script;
 
-/** One packaged server with stand-ins that take the time which a script says; it can be stopped, slowed, killed. */
+/**
+ * One packaged server with stand-ins that take the time which a script says; it can be stopped,
+ * slowed, killed.
+ */
 final class LiveBox implements AutoCloseable {
     /** A run that fails fast takes so long. */
     private static final double FAST_S = 0.001;
@@ -27,7 +30,9 @@
     LiveBox(Script script, int place, int life, long seed) throws Exception {
         chance = new Seeds(seed).of("live box " + place + "." + life);
         cores = new ScheduledThreadPoolExecutor(script.fleet().cores());
-        Map<String, Script.Operation> operations = script.operations().stream().collect(Collectors.toMap(Script.Operation::name, each -> each));
+        Map<String, Script.Operation> operations =
+                script.operations().stream()
+                        .collect(Collectors.toMap(Script.Operation::name, each -> each));
         served = new Served(null, json -> configured(json, script));
         served.outside.runs = (rid, name, body) -> begun(operations.get(name), rid, name, body);
         side = new RpcSide(served.port, 30, String.format("%04x%04x", place, life));
@@ -37,38 +42,59 @@
     private static String configured(String json, Script script) {
         StringBuilder classes = new StringBuilder();
         for (Script.Operation each : script.operations()) {
-            if (classes.length() > 0) classes.append(',');
-            classes.append(String.format(java.util.Locale.ROOT, "{\"name\":\"%s\",\"effect\":\"%s\",\"aimNs\":%d,\"giveUpNs\":%d,\"importance\":%s,\"windowNs\":%d}",
-                each.name(), each.effect().equals("tokened") ? "token" : each.effect().equals("idempotent") ? "pure" : "other",
-                (long) (each.objectiveMs() * 1e6), (long) (each.timeoutMs() * 1e6), each.value(), (long) (each.windowMs() * 1e6)));
+            if (classes.length() > 0) {
+                classes.append(',');
+            }
+            classes.append(
+                    String.format(
+                            java.util.Locale.ROOT,
+                            "{\"name\":\"%s\",\"effect\":\"%s\",\"aimNs\":%d,\"giveUpNs\":%d,\"importance\":%s,\"windowNs\":%d}",
+                            each.name(),
+                            each.effect().equals("tokened")
+                                    ? "token"
+                                    : each.effect().equals("idempotent") ? "pure" : "other",
+                            (long) (each.objectiveMs() * 1e6),
+                            (long) (each.timeoutMs() * 1e6),
+                            each.value(),
+                            (long) (each.windowMs() * 1e6)));
         }
-        String no = script.operations().stream().map(each -> "false").collect(Collectors.joining(","));
-        String zero = script.operations().stream().map(each -> "0").collect(Collectors.joining(","));
-        return json.replaceFirst("(?s)\"classes\":\\[.*?\\],\\s*\"familyInfo\"", "\"classes\":[" + classes + "],\"familyInfo\"")
-            .replace("\"callsByClass\":[true,true]", "\"callsByClass\":[" + no + "]")
-            .replace("\"degradedWorth\":[0,0]", "\"degradedWorth\":[" + zero + "]")
-            .replace("\"cpus\":2", "\"cpus\":" + script.fleet().cores());
+        String no =
+                script.operations().stream().map(each -> "false").collect(Collectors.joining(","));
+        String zero =
+                script.operations().stream().map(each -> "0").collect(Collectors.joining(","));
+        return json.replaceFirst(
+                        "(?s)\"classes\":\\[.*?\\],\\s*\"familyInfo\"",
+                        "\"classes\":[" + classes + "],\"familyInfo\"")
+                .replace("\"callsByClass\":[true,true]", "\"callsByClass\":[" + no + "]")
+                .replace("\"degradedWorth\":[0,0]", "\"degradedWorth\":[" + zero + "]")
+                .replace("\"cpus\":2", "\"cpus\":" + script.fleet().cores());
     }
 
     private void begun(Script.Operation plan, String rid, String name, String body) {
-        if (plan.effect().equals("tokened")) runs.computeIfAbsent(body, token -> new AtomicInteger()).incrementAndGet();
+        if (plan.effect().equals("tokened")) {
+            runs.computeIfAbsent(body, token -> new AtomicInteger()).incrementAndGet();
+        }
         double work;
         boolean fails;
         synchronized (chance) {
             fails = chance.nextDouble() < failing;
             work = fails ? FAST_S : Seeds.around(chance, plan.workMs() / 1e3, plan.spread());
         }
-        cores.execute(() -> {
-            try {
-                TimeUnit.NANOSECONDS.sleep((long) (work * slower * 1e9));
-                if (fails) served.outside.notice("complete", rid + " error 1 0\r\n\r\n");
-                else served.outside.complete(rid, "result of " + name);
-            } catch (IOException e) {
-                // the server was killed
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        cores.execute(
+                () -> {
+                    try {
+                        TimeUnit.NANOSECONDS.sleep((long) (work * slower * 1e9));
+                        if (fails) {
+                            served.outside.notice("complete", rid + " error 1 0\r\n\r\n");
+                        } else {
+                            served.outside.complete(rid, "result of " + name);
+                        }
+                    } catch (IOException e) {
+                        // the server was killed
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
     }
 
     void slow(double times) {
--- a/tools/src/main/java/ochretiller/tools/Load.java
+++ b/tools/src/main/java/ochretiller/tools/Load.java
@@ -16,8 +16,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop arrivals by seed over a few connections of JSON-RPC. Latency counts from the moment at which a request was to be
- * sent, so that a server which stands still is not spared what would have come meanwhile.
+ * Open-loop arrivals by seed over a few connections of JSON-RPC. Latency counts from the moment at
+ * which a request was to be sent, so that a server which stands still is not spared what would have
+ * come meanwhile.
  */
 final class Load {
     /** Fewer than a server lets be open on one connection. */
@@ -50,7 +51,9 @@
             try {
                 for (String line = wire.line(); line != null; line = wire.line()) {
                     long[] asked = since.remove(RpcSide.id(line));
-                    if (asked == null) continue;
+                    if (asked == null) {
+                        continue;
+                    }
                     open.release();
                     long took = Math.max(1, (System.nanoTime() - asked[0]) / 1_000);
                     switch (RpcSide.outcome(line)) {
@@ -71,16 +74,24 @@
     Load(int port, int connections, long seed) throws IOException {
         chance = new SplittableRandom(seed);
         run = String.format("%08x", chance.nextInt());
-        for (int i = 0; i < connections; i++) lines.add(new Line(port));
+        for (int i = 0; i < connections; i++) {
+            lines.add(new Line(port));
+        }
     }
 
-    /** Sends so many a second for so long; {@code keyedShare} of them are keyed, each under a token of its own. */
-    void send(double perSecond, double seconds, double keyedShare) throws IOException, InterruptedException {
+    /**
+     * Sends so many a second for so long; {@code keyedShare} of them are keyed, each under a token
+     * of its own.
+     */
+    void send(double perSecond, double seconds, double keyedShare)
+            throws IOException, InterruptedException {
         long start = System.nanoTime();
         double at = 0;
         while (true) {
             at += Seeds.exponential(chance, 1 / perSecond);
-            if (at > seconds) break;
+            if (at > seconds) {
+                break;
+            }
             long due = start + (long) (at * 1e9);
             Pace.until(due);
             boolean isKeyed = chance.nextDouble() < keyedShare;
@@ -89,10 +100,14 @@
             String rid = run + String.format("%08x", sent);
             line.since.put(sent, new long[] {due, isKeyed ? 1 : 0});
             String token = isKeyed ? run + run + String.format("%016x", sent) : null;
-            line.wire.send(Gateways.message(sent, isKeyed ? "order" : "read", Gateways.params(rid, token, "load")));
+            line.wire.send(
+                    Gateways.message(
+                            sent, isKeyed ? "order" : "read", Gateways.params(rid, token, "load")));
         }
         for (Line line : lines) {
-            if (line.open.tryAcquire(OPEN, 6, TimeUnit.SECONDS)) line.open.release(OPEN);
+            if (line.open.tryAcquire(OPEN, 6, TimeUnit.SECONDS)) {
+                line.open.release(OPEN);
+            }
         }
     }
 
@@ -101,6 +116,8 @@
     }
 
     void close() throws IOException {
-        for (Line line : lines) line.wire.close();
+        for (Line line : lines) {
+            line.wire.close();
+        }
     }
 }
--- a/tools/src/main/java/ochretiller/tools/MixBench.java
+++ b/tools/src/main/java/ochretiller/tools/MixBench.java
@@ -10,21 +10,30 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Both protocols on one packaged server round its full load: the rules, and what a burst of one side takes from the other. */
+/**
+ * Both protocols on one packaged server round its full load: the rules, and what a burst of one
+ * side takes from the other.
+ */
 final class MixBench {
     /** Runs a second that the stand-in's two cores get done at eight milliseconds each. */
     private static final double FULL = 250;
+
     private static final double RUN_MS = 8;
     private static final int CORES = 2;
+
     /** The configuration's run limit: cores times the crowd that it allows. */
     private static final int RUN_LIMIT = 10;
+
     /** Descriptors, so that callers beyond full load find room to be told so. */
     private static final int SOCKETS = 8192;
+
     private static final Traffic.Mix MIX = new Traffic.Mix(0.3, 0.3, 0.05);
     private static final Traffic.Mix EQUAL = new Traffic.Mix(0, 0, 0);
     private static final Traffic.Mix CALM = new Traffic.Mix(0.25, 0, 0);
+
     /** The objective of both operations. */
     private static final long OBJECTIVE_NS = 2_000_000_000L;
+
     private static final double WARM_S = 6;
     private static final double READ_VALUE = 1;
     private static final double ORDER_VALUE = 3;
@@ -48,10 +57,20 @@
                 port = free.getLocalPort();
             }
             Path operator = Files.createTempFile("mix", ".json5");
-            Files.writeString(operator, "{ uwsgi: { listen: '127.0.0.1:" + port + "', routes: ["
-                + "{ path: '/parts/{id}', operation: 'read' }, { method: 'POST', path: '/orders', operation: 'order' } ] } }");
-            served = new Served(operator, json -> json.replace("callsByClass\":[true,true]", "callsByClass\":[false,false]")
-                .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS));
+            Files.writeString(
+                    operator,
+                    "{ uwsgi: { listen: '127.0.0.1:"
+                            + port
+                            + "', routes: [{ path: '/parts/{id}', operation: 'read' }, { method:"
+                            + " 'POST', path: '/orders', operation: 'order' } ] } }");
+            served =
+                    new Served(
+                            operator,
+                            json ->
+                                    json.replace(
+                                                    "callsByClass\":[true,true]",
+                                                    "callsByClass\":[false,false]")
+                                            .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS));
             processor = new Processor(served.outside, CORES, RUN_MS);
             rpc = new RpcSide(served.port, 60, String.format("%08x", seed));
             uwsgi = new UwsgiSide(port, 1_000, "10.1.2.3");
@@ -66,20 +85,33 @@
         }
     }
 
-    private static CompletableFuture<Void> sends(Traffic traffic, double perSecond, double seconds) {
-        return CompletableFuture.runAsync(() -> {
-            try {
-                traffic.send(perSecond, seconds);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+    private static CompletableFuture<Void> sends(
+            Traffic traffic, double perSecond, double seconds) {
+        return CompletableFuture.runAsync(
+                () -> {
+                    try {
+                        traffic.send(perSecond, seconds);
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
     }
 
     /** All rules, counted: each column but the first three has to be zero. */
     private void rules() throws Exception {
-        Table table = new Table("mix-rules", "load over full", "asked", "succeeded", "throttled", "errored", "lost", "second answers",
-            "orders run twice", "throttled after a run", "most at once over the limit");
+        Table table =
+                new Table(
+                        "mix-rules",
+                        "load over full",
+                        "asked",
+                        "succeeded",
+                        "throttled",
+                        "errored",
+                        "lost",
+                        "second answers",
+                        "orders run twice",
+                        "throttled after a run",
+                        "most at once over the limit");
         for (double load : new double[] {0.7, 1, 1.5, 3}) {
             try (Bench bench = new Bench((long) (load * 10))) {
                 Traffic one = new Traffic(bench.rpc, bench.uwsgi, MIX, 1);
@@ -92,15 +124,42 @@
                 other.outcomes().forEach((outcome, count) -> all.merge(outcome, count, Long::sum));
                 List<Ask> asks = new ArrayList<>(one.asks);
                 asks.addAll(other.asks);
-                long twice = bench.processor.tokens.values().stream().filter(note -> note.runs.get() > 1).count();
-                // A repeat is sent only behind the answer of the try before it, so what ran by then ran under an earlier try.
-                long untrue = asks.stream().filter(ask -> ask.token != null && ask.outcome.getNow(null) == Ask.Outcome.THROTTLED)
-                    .filter(ask -> bench.processor.tokens.containsKey(ask.token)
-                        && bench.processor.tokens.get(ask.token).firstAt < ask.sentAt).count();
-                table.row(load, asks.size(), all.getOrDefault(Ask.Outcome.SUCCEEDED, 0L), all.getOrDefault(Ask.Outcome.THROTTLED, 0L),
-                    all.getOrDefault(Ask.Outcome.ERRORED, 0L), all.getOrDefault(Ask.Outcome.NONE, 0L),
-                    bench.rpc.surplus() + bench.uwsgi.surplus(), twice, untrue, Math.max(0, bench.processor.most.get() - RUN_LIMIT));
-                System.out.println("  connections ended: " + bench.served.ends + ", sent again over another: " + bench.rpc.again());
+                long twice =
+                        bench.processor.tokens.values().stream()
+                                .filter(note -> note.runs.get() > 1)
+                                .count();
+                // A repeat is sent only behind the answer of the try before it, so what ran by then
+                // ran under an earlier try.
+                long untrue =
+                        asks.stream()
+                                .filter(
+                                        ask ->
+                                                ask.token != null
+                                                        && ask.outcome.getNow(null)
+                                                                == Ask.Outcome.THROTTLED)
+                                .filter(
+                                        ask ->
+                                                bench.processor.tokens.containsKey(ask.token)
+                                                        && bench.processor.tokens.get(ask.token)
+                                                                        .firstAt
+                                                                < ask.sentAt)
+                                .count();
+                table.row(
+                        load,
+                        asks.size(),
+                        all.getOrDefault(Ask.Outcome.SUCCEEDED, 0L),
+                        all.getOrDefault(Ask.Outcome.THROTTLED, 0L),
+                        all.getOrDefault(Ask.Outcome.ERRORED, 0L),
+                        all.getOrDefault(Ask.Outcome.NONE, 0L),
+                        bench.rpc.surplus() + bench.uwsgi.surplus(),
+                        twice,
+                        untrue,
+                        Math.max(0, bench.processor.most.get() - RUN_LIMIT));
+                System.out.println(
+                        "  connections ended: "
+                                + bench.served.ends
+                                + ", sent again over another: "
+                                + bench.rpc.again());
             }
         }
         table.keep();
@@ -113,21 +172,42 @@
         for (Ask ask : traffic.asks) {
             double worth = ask.token == null ? READ_VALUE : ORDER_VALUE;
             all += worth;
-            if (ask.outcome.getNow(null) == Ask.Outcome.SUCCEEDED && ask.answeredAt - ask.due < OBJECTIVE_NS) value += worth;
+            if (ask.outcome.getNow(null) == Ask.Outcome.SUCCEEDED
+                    && ask.answeredAt - ask.due < OBJECTIVE_NS) {
+                value += worth;
+            }
         }
         return value / all;
     }
 
     /** Share of all asked that succeeded behind their objective. */
     private static double late(Traffic traffic) {
-        return traffic.asks.stream().filter(ask -> ask.outcome.getNow(null) == Ask.Outcome.SUCCEEDED
-            && ask.answeredAt - ask.due >= OBJECTIVE_NS).count() / (double) traffic.asks.size();
+        return traffic.asks.stream()
+                        .filter(
+                                ask ->
+                                        ask.outcome.getNow(null) == Ask.Outcome.SUCCEEDED
+                                                && ask.answeredAt - ask.due >= OBJECTIVE_NS)
+                        .count()
+                / (double) traffic.asks.size();
     }
 
-    /** What one side gets beside a calm neighbour and beside one at six times its rate, on the same arrivals. */
+    /**
+     * What one side gets beside a calm neighbour and beside one at six times its rate, on the same
+     * arrivals.
+     */
     private void fairness() throws Exception {
-        Table table = new Table("mix-fairness", "what is asked", "bursting side", "seed", "other's value beside calm", "beside six times", "difference",
-            "bursting side's value", "other's late", "bursting side's late");
+        Table table =
+                new Table(
+                        "mix-fairness",
+                        "what is asked",
+                        "bursting side",
+                        "seed",
+                        "other's value beside calm",
+                        "beside six times",
+                        "difference",
+                        "bursting side's value",
+                        "other's late",
+                        "bursting side's late");
         for (Traffic.Mix mix : new Traffic.Mix[] {EQUAL, CALM}) {
             for (boolean rpcBursts : new boolean[] {true, false}) {
                 int seed = rpcBursts ? 1 : 2;
@@ -138,8 +218,10 @@
                     try (Bench bench = new Bench(seed)) {
                         Side bursts = rpcBursts ? bench.rpc : bench.uwsgi;
                         Side calm = rpcBursts ? bench.uwsgi : bench.rpc;
-                        // Both protocols' ways are compiled by then, as they are in a server that has served for a while.
-                        CompletableFuture<Void> warm = sends(new Traffic(bursts, calm, mix, 30 + seed), FULL, WARM_S);
+                        // Both protocols' ways are compiled by then, as they are in a server that
+                        // has served for a while.
+                        CompletableFuture<Void> warm =
+                                sends(new Traffic(bursts, calm, mix, 30 + seed), FULL, WARM_S);
                         sends(new Traffic(calm, bursts, mix, 40 + seed), FULL, WARM_S).get();
                         warm.get();
                         Thread.sleep(1_000);
@@ -155,14 +237,25 @@
                         late[1] = late(burst);
                     }
                 }
-                table.row(mix == EQUAL ? "one operation" : "reads and orders", rpcBursts ? "JSON-RPC" : "uwsgi", seed, got[0], got[1], got[0] - got[1], bursting, late[0], late[1]);
+                table.row(
+                        mix == EQUAL ? "one operation" : "reads and orders",
+                        rpcBursts ? "JSON-RPC" : "uwsgi",
+                        seed,
+                        got[0],
+                        got[1],
+                        got[0] - got[1],
+                        bursting,
+                        late[0],
+                        late[1]);
             }
         }
         table.keep();
     }
 
     void run(boolean onlyFairness) throws Exception {
-        if (!onlyFairness) rules();
+        if (!onlyFairness) {
+            rules();
+        }
         fairness();
     }
 
@@ -170,11 +263,15 @@
     void cpu(int rounds) throws Exception {
         Table table = new Table("mix-cpu", "round", "JSON-RPC us", "uwsgi us", "ratio");
         try (Bench bench = new Bench(7)) {
-            bench.served.outside.runs = (rid, operation, body) -> bench.served.outside.complete(rid, "result of " + rid);
+            bench.served.outside.runs =
+                    (rid, operation, body) ->
+                            bench.served.outside.complete(rid, "result of " + rid);
             for (int round = 0; round <= rounds; round++) {
                 double rpc = cpu(bench, bench.rpc, bench.uwsgi, round);
                 double uwsgi = cpu(bench, bench.uwsgi, bench.rpc, round);
-                if (round > 0) table.row(round, rpc, uwsgi, uwsgi / rpc); // the first warms both
+                if (round > 0) {
+                    table.row(round, rpc, uwsgi, uwsgi / rpc); // the first warms both
+                }
             }
         }
         table.keep();
--- a/tools/src/main/java/ochretiller/tools/PoolsBench.java
+++ b/tools/src/main/java/ochretiller/tools/PoolsBench.java
@@ -13,22 +13,37 @@
 import ochretiller.pools.PoolSettings;
 import ochretiller.pools.WorkerId;
 
-/** The decisions on pools in virtual time, beside requests by turns and least connections, on the same arrivals. */
+/**
+ * The decisions on pools in virtual time, beside requests by turns and least connections, on the
+ * same arrivals.
+ */
 final class PoolsBench {
     private static final int WORKERS = 8;
+
     /** Requests that one worker does at a time; others wait in it. */
     private static final int PLACES = 4;
+
     private static final double MEAN_S = 0.02;
     private static final int REQUESTS = 60_000;
     private static final int SEEDS = 5;
 
     /** Who chooses. */
-    private enum Chooser { POOL, TURNS, LEAST }
+    private enum Chooser {
+        POOL,
+        TURNS,
+        LEAST
+    }
 
     /** What is wrong with the last worker. */
-    private enum Fault { NONE, SLOW, FAILS_FAST, GONE }
+    private enum Fault {
+        NONE,
+        SLOW,
+        FAILS_FAST,
+        GONE
+    }
 
-    private record Event(double at, int worker, double since, double took, boolean good) implements Comparable<Event> {
+    private record Event(double at, int worker, double since, double took, boolean good)
+            implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return Double.compare(at, other.at);
@@ -36,8 +51,7 @@
     }
 
     /** What one run shows. */
-    private record Seen(double p50, double p99, double failed, double share) {
-    }
+    private record Seen(double p50, double p99, double failed, double share) {}
 
     private static Duration span(double seconds) {
         return Duration.ofNanos((long) (seconds * 1e9));
@@ -47,15 +61,30 @@
     private static Seen play(Chooser chooser, Fault fault, double load, int workers, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         SplittableRandom sizes = chance.split();
-        Pool pool = new Pool(new PoolSettings(64, 5, 0.5, Duration.ofSeconds(1), Duration.ofSeconds(30), 2, Duration.ofSeconds(5),
-            0.1, 10), chance.split());
+        Pool pool =
+                new Pool(
+                        new PoolSettings(
+                                64,
+                                5,
+                                0.5,
+                                Duration.ofSeconds(1),
+                                Duration.ofSeconds(30),
+                                2,
+                                Duration.ofSeconds(5),
+                                0.1,
+                                10),
+                        chance.split());
         List<WorkerId> ids = new ArrayList<>();
-        for (int i = 0; i < workers; i++) ids.add(new WorkerId("" + i));
+        for (int i = 0; i < workers; i++) {
+            ids.add(new WorkerId("" + i));
+        }
         pool.become(ids, Duration.ZERO);
         List<PriorityQueue<Double>> cores = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
             PriorityQueue<Double> own = new PriorityQueue<>();
-            for (int j = 0; j < PLACES; j++) own.add(0.0);
+            for (int j = 0; j < PLACES; j++) {
+                own.add(0.0);
+            }
             cores.add(own);
         }
         int[] open = new int[workers];
@@ -70,7 +99,11 @@
                 Event over = running.poll();
                 open[over.worker]--;
                 if (chooser == Chooser.POOL) {
-                    pool.ended(ids.get(over.worker), over.good ? End.ANSWERED : End.FAILED, span(over.took), span(over.at));
+                    pool.ended(
+                            ids.get(over.worker),
+                            over.good ? End.ANSWERED : End.FAILED,
+                            span(over.took),
+                            span(over.at));
                 }
             }
             double work = Seeds.exponential(sizes, MEAN_S);
@@ -80,7 +113,9 @@
                 continue;
             }
             boolean sick = fault != Fault.NONE && to == workers - 1;
-            if (to == workers - 1) toLast++;
+            if (to == workers - 1) {
+                toLast++;
+            }
             open[to]++;
             if (sick && fault == Fault.FAILS_FAST) {
                 running.add(new Event(now + 0.001, to, now, 0.001, false));
@@ -90,14 +125,20 @@
             double end = Math.max(now, cores.get(to).poll()) + work * (sick ? 10 : 1);
             cores.get(to).add(end);
             running.add(new Event(end, to, now, end - now, true));
-            if (i > REQUESTS / 10) took.add(end - now); // the first tenth fills an empty system
+            if (i > REQUESTS / 10) {
+                took.add(end - now); // the first tenth fills an empty system
+            }
         }
         Collections.sort(took);
-        return new Seen(took.get(took.size() / 2) * 1e3, took.get((int) (took.size() * 0.99)) * 1e3, failed / (double) REQUESTS,
-            toLast / (double) REQUESTS);
+        return new Seen(
+                took.get(took.size() / 2) * 1e3,
+                took.get((int) (took.size() * 0.99)) * 1e3,
+                failed / (double) REQUESTS,
+                toLast / (double) REQUESTS);
     }
 
-    private static int choose(Chooser chooser, Pool pool, List<WorkerId> ids, int[] open, int turn, double now) {
+    private static int choose(
+            Chooser chooser, Pool pool, List<WorkerId> ids, int[] open, int turn, double now) {
         switch (chooser) {
             case POOL -> {
                 Optional<WorkerId> chosen = pool.choose(span(now));
@@ -110,7 +151,9 @@
                 int least = turn % ids.size(); // ties go by turns
                 for (int i = 0; i < ids.size(); i++) {
                     int next = (turn + i) % ids.size();
-                    if (open[next] < open[least]) least = next;
+                    if (open[next] < open[least]) {
+                        least = next;
+                    }
                 }
                 return least;
             }
@@ -119,8 +162,16 @@
     }
 
     void run() throws Exception {
-        Table table = new Table("pools", "fault of one in eight", "chooser", "p50 ms", "p99 ms", "p99 over seven healthy", "failed",
-            "share of the faulty");
+        Table table =
+                new Table(
+                        "pools",
+                        "fault of one in eight",
+                        "chooser",
+                        "p50 ms",
+                        "p99 ms",
+                        "p99 over seven healthy",
+                        "failed",
+                        "share of the faulty");
         for (Fault fault : new Fault[] {Fault.NONE, Fault.SLOW, Fault.FAILS_FAST}) {
             for (Chooser chooser : Chooser.values()) {
                 double p50 = 0;
@@ -141,11 +192,25 @@
             }
         }
         table.keep();
-        Table retries = new Table("pools-retries", "refused share", "first tries", "second tries", "share");
+        Table retries =
+                new Table("pools-retries", "refused share", "first tries", "second tries", "share");
         for (double refused : new double[] {0.01, 0.05, 0.2, 1}) {
-            Pool pool = new Pool(new PoolSettings(64, 1 << 30, 1, Duration.ofMillis(10), Duration.ofMillis(10), 64, Duration.ZERO, 0.1,
-                10), new SplittableRandom(1));
-            for (int i = 0; i < WORKERS; i++) pool.add(new WorkerId("" + i), Duration.ZERO);
+            Pool pool =
+                    new Pool(
+                            new PoolSettings(
+                                    64,
+                                    1 << 30,
+                                    1,
+                                    Duration.ofMillis(10),
+                                    Duration.ofMillis(10),
+                                    64,
+                                    Duration.ZERO,
+                                    0.1,
+                                    10),
+                            new SplittableRandom(1));
+            for (int i = 0; i < WORKERS; i++) {
+                pool.add(new WorkerId("" + i), Duration.ZERO);
+            }
             SplittableRandom chance = new SplittableRandom(2);
             long second = 0;
             for (int i = 0; i < REQUESTS; i++) {
@@ -154,9 +219,13 @@
                 while (at != null && chance.nextDouble() < refused) {
                     pool.ended(at, End.NEVER_BEGUN, Duration.ZERO, now);
                     at = pool.chooseAgain(at, End.NEVER_BEGUN, now).orElse(null);
-                    if (at != null) second++;
+                    if (at != null) {
+                        second++;
+                    }
+                }
+                if (at != null) {
+                    pool.ended(at, End.ANSWERED, span(MEAN_S), now);
                 }
-                if (at != null) pool.ended(at, End.ANSWERED, span(MEAN_S), now);
             }
             retries.row(refused, REQUESTS, second, second / (double) REQUESTS);
         }
--- a/tools/src/main/java/ochretiller/tools/Processor.java
+++ b/tools/src/main/java/ochretiller/tools/Processor.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import ochretiller.standin.StandIns;
 
-/** What the processor's stand-in runs, with a bound on how much it gets done, and the note of it that rules are checked by. */
+/**
+ * What the processor's stand-in runs, with a bound on how much it gets done, and the note of it
+ * that rules are checked by.
+ */
 final class Processor implements AutoCloseable {
     /** A run of a token: when it began, and how many there were. */
     static final class Note {
@@ -33,11 +36,14 @@
     Processor(StandIns outside, int cores, double runMs) {
         this.outside = outside;
         this.runNanos = (long) (runMs * 1e6);
-        this.cores = Executors.newFixedThreadPool(cores, work -> {
-            Thread thread = new Thread(work);
-            thread.setDaemon(true);
-            return thread;
-        });
+        this.cores =
+                Executors.newFixedThreadPool(
+                        cores,
+                        work -> {
+                            Thread thread = new Thread(work);
+                            thread.setDaemon(true);
+                            return thread;
+                        });
         outside.runs = this::begun;
     }
 
@@ -46,17 +52,20 @@
         most.accumulateAndGet(at.incrementAndGet(), Math::max);
         if (operation.equals("order")) {
             Note note = tokens.computeIfAbsent(body, x -> new Note());
-            if (note.runs.getAndIncrement() == 0) note.firstAt = System.nanoTime();
-        }
-        cores.execute(() -> {
-            Pace.until(System.nanoTime() + runNanos);
-            at.decrementAndGet();
-            try {
-                outside.complete(rid, "result of " + rid);
-            } catch (IOException e) {
-                // the server is gone
+            if (note.runs.getAndIncrement() == 0) {
+                note.firstAt = System.nanoTime();
             }
-        });
+        }
+        cores.execute(
+                () -> {
+                    Pace.until(System.nanoTime() + runNanos);
+                    at.decrementAndGet();
+                    try {
+                        outside.complete(rid, "result of " + rid);
+                    } catch (IOException e) {
+                        // the server is gone
+                    }
+                });
     }
 
     @Override
--- a/tools/src/main/java/ochretiller/tools/RpcSide.java
+++ b/tools/src/main/java/ochretiller/tools/RpcSide.java
@@ -41,8 +41,9 @@
     }
 
     static Ask.Outcome outcome(String line) {
-        return line.contains("\"result\"") ? Ask.Outcome.SUCCEEDED
-            : line.contains("-32014") ? Ask.Outcome.THROTTLED : Ask.Outcome.ERRORED;
+        return line.contains("\"result\"")
+                ? Ask.Outcome.SUCCEEDED
+                : line.contains("-32014") ? Ask.Outcome.THROTTLED : Ask.Outcome.ERRORED;
     }
 
     private final class Line {
@@ -59,15 +60,20 @@
             try {
                 for (String line = wire.line(); line != null; line = wire.line()) {
                     Ask ask = open.remove(id(line));
-                    if (ask == null || !ask.ends(outcome(line))) surplus.increment();
+                    if (ask == null || !ask.ends(outcome(line))) {
+                        surplus.increment();
+                    }
                 }
             } catch (IOException e) {
                 // the server has ended, or the load has
             }
-            // A server closes what has long been silent: what crossed that close was not read, and goes again.
+            // A server closes what has long been silent: what crossed that close was not read, and
+            // goes again.
             synchronized (RpcSide.this) {
                 lines.remove(this);
-                if (closed) return;
+                if (closed) {
+                    return;
+                }
                 for (Ask ask : open.values()) {
                     again.increment();
                     try {
@@ -83,15 +89,25 @@
     @Override
     public synchronized void send(Ask ask) throws IOException {
         Line free = null;
-        for (Line line : lines) if (line.open.size() < OPEN && (free == null || line.open.size() < free.open.size())) free = line;
+        for (Line line : lines) {
+            if (line.open.size() < OPEN && (free == null || line.open.size() < free.open.size())) {
+                free = line;
+            }
+        }
         if (free == null) {
-            if (lines.size() == most) throw new IOException(most + " connections are full: the server is far behind");
+            if (lines.size() == most) {
+                throw new IOException(most + " connections are full: the server is far behind");
+            }
             lines.add(free = new Line());
         }
         free.open.put(ask.number, ask);
         ask.sentAt = System.nanoTime();
-        String text = Gateways.message(ask.number, ask.operation, Gateways.params(
-            run + String.format("%08x", ask.number), ask.token, ask.body));
+        String text =
+                Gateways.message(
+                        ask.number,
+                        ask.operation,
+                        Gateways.params(
+                                run + String.format("%08x", ask.number), ask.token, ask.body));
         try {
             free.wire.send(text);
         } catch (IOException e) {
@@ -102,7 +118,9 @@
     /** Requests that are open now. */
     synchronized int openNow() {
         int open = 0;
-        for (Line line : lines) open += line.open.size();
+        for (Line line : lines) {
+            open += line.open.size();
+        }
         return open;
     }
 
@@ -119,6 +137,8 @@
     @Override
     public synchronized void close() throws IOException {
         closed = true;
-        for (Line line : lines) line.wire.close();
+        for (Line line : lines) {
+            line.wire.close();
+        }
     }
 }
--- a/tools/src/main/java/ochretiller/tools/Served.java
+++ b/tools/src/main/java/ochretiller/tools/Served.java
@@ -19,6 +19,7 @@
     final int port;
     final Process process;
     final StandIns outside;
+
     /** Connections that ended, by their close codes. */
     final Map<String, Integer> ends = new ConcurrentHashMap<>();
 
@@ -29,44 +30,74 @@
      */
     Served(Path operator, java.util.function.UnaryOperator<String> change) throws Exception {
         CountDownLatch linked = new CountDownLatch(1);
-        outside = new StandIns("127.0.0.1", new int[3], line -> {
-            if (line.equals("usage fence")) linked.countDown();
-        }, report -> { });
+        outside =
+                new StandIns(
+                        "127.0.0.1",
+                        new int[3],
+                        line -> {
+                            if (line.equals("usage fence")) {
+                                linked.countDown();
+                            }
+                        },
+                        report -> {});
         outside.runs = (rid, operation, body) -> outside.complete(rid, "result of " + rid);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         Path config = Files.createTempFile("served", ".json");
-        Files.writeString(config, change.apply(Gateways.config(port, outside.processorPort(), outside.recordsPort(),
-            outside.rosterPort())));
-        ProcessBuilder builder = new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
+        Files.writeString(
+                config,
+                change.apply(
+                        Gateways.config(
+                                port,
+                                outside.processorPort(),
+                                outside.recordsPort(),
+                                outside.rosterPort())));
+        ProcessBuilder builder =
+                new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
-        if (operator != null) builder.environment().put("OPERATOR_FILE", operator.toString());
+        if (operator != null) {
+            builder.environment().put("OPERATOR_FILE", operator.toString());
+        }
         process = builder.start();
-        Thread reader = new Thread(() -> {
-            try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-                for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    int at = line.indexOf(" ended: ");
-                    if (at > 0) ends.merge(line.substring(at + 8), 1, Integer::sum);
-                }
-            } catch (IOException e) {
-                // it has ended
-            }
-        });
+        Thread reader =
+                new Thread(
+                        () -> {
+                            try (BufferedReader lines =
+                                    new BufferedReader(
+                                            new InputStreamReader(process.getInputStream()))) {
+                                for (String line = lines.readLine();
+                                        line != null;
+                                        line = lines.readLine()) {
+                                    int at = line.indexOf(" ended: ");
+                                    if (at > 0) {
+                                        ends.merge(line.substring(at + 8), 1, Integer::sum);
+                                    }
+                                }
+                            } catch (IOException e) {
+                                // it has ended
+                            }
+                        });
         reader.setDaemon(true);
         reader.start();
-        if (!linked.await(20, TimeUnit.SECONDS)) throw new IOException("the server has not found its processor");
+        if (!linked.await(20, TimeUnit.SECONDS)) {
+            throw new IOException("the server has not found its processor");
+        }
     }
 
     /** Resident memory in KiB. */
     long residentKb() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
-            if (line.startsWith("VmRSS:")) return Long.parseLong(line.replaceAll("\\D", ""));
+            if (line.startsWith("VmRSS:")) {
+                return Long.parseLong(line.replaceAll("\\D", ""));
+            }
         }
         throw new IOException("no VmRSS");
     }
 
-    /** Seconds of CPU that the server has taken, of all its threads, from the kernel's hundredths. */
+    /**
+     * Seconds of CPU that the server has taken, of all its threads, from the kernel's hundredths.
+     */
     double cpuSeconds() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
