--- a/tools/src/main/java/ochretiller/tools/StoreBench.java
+++ b/tools/src/main/java/ochretiller/tools/StoreBench.java
@@ -23,18 +23,23 @@
 import ochretiller.store.RealDisk;
 import ochretiller.store.Store;
 
-/** Appends and recovery, beside bare writes of the same bytes on the same disk, in turn within one run. */
+/**
+ * Appends and recovery, beside bare writes of the same bytes on the same disk, in turn within one
+ * run.
+ */
 final class StoreBench {
     private static final int[] IN_FLIGHT = {1, 8, 32, 256};
     private static final int META = 90;
     private static final int VALUE = 300;
     private static final int KEY = 32;
+
     /** A record as the store writes it, frame included. */
     private static final int RECORD = 36 + KEY + META + VALUE;
 
     private final Path folder;
     private final boolean quick;
     private long keys;
+
     /** Records a force, of the last round. */
     private double group;
 
@@ -44,15 +49,28 @@
     }
 
     private Store open(Path at, int entries) throws IOException {
-        Limits limits = new Limits(entries, 16L << 30, 16L << 30, 64 << 20, Duration.ofDays(1), 8 << 20, 0.5,
-            Duration.ofDays(1), Duration.ofDays(1));
+        Limits limits =
+                new Limits(
+                        entries,
+                        16L << 30,
+                        16L << 30,
+                        64 << 20,
+                        Duration.ofDays(1),
+                        8 << 20,
+                        0.5,
+                        Duration.ofDays(1),
+                        Duration.ofDays(1));
         return Store.open(new RealDisk(at), limits, Boot.ofMachine(), Runnable::run);
     }
 
     private static void empty(Path at) throws IOException {
-        if (!Files.exists(at)) return;
+        if (!Files.exists(at)) {
+            return;
+        }
         try (Stream<Path> files = Files.walk(at)) {
-            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) Files.delete(file);
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
+            }
         }
     }
 
@@ -69,17 +87,28 @@
             long start = System.nanoTime();
             while (System.nanoTime() - start < nanos) {
                 free.acquire();
-                store.put(key(), new byte[META], new byte[VALUE], store.now() + 60_000, true, ack -> {
-                    if (ack == Ack.DURABLE) done.incrementAndGet();
-                    free.release();
-                });
+                store.put(
+                        key(),
+                        new byte[META],
+                        new byte[VALUE],
+                        store.now() + 60_000,
+                        true,
+                        ack -> {
+                            if (ack == Ack.DURABLE) {
+                                done.incrementAndGet();
+                            }
+                            free.release();
+                        });
             }
             free.acquire(inFlight);
             return done.get() / ((System.nanoTime() - start) / 1e9);
         }
     }
 
-    /** The same with the next append handed over from the acknowledgement of the last, as a busy loop does. */
+    /**
+     * The same with the next append handed over from the acknowledgement of the last, as a busy
+     * loop does.
+     */
     private double looped(int inFlight, long nanos) throws Exception {
         empty(folder);
         AtomicLong done = new AtomicLong();
@@ -87,7 +116,9 @@
             store.start();
             CountDownLatch ended = new CountDownLatch(inFlight);
             long start = System.nanoTime();
-            for (int i = 0; i < inFlight; i++) again(store, start + nanos, done, ended);
+            for (int i = 0; i < inFlight; i++) {
+                again(store, start + nanos, done, ended);
+            }
             ended.await();
             group = store.stats().records() / (double) store.stats().forces();
             return done.get() / ((System.nanoTime() - start) / 1e9);
@@ -99,23 +130,34 @@
             ended.countDown();
             return;
         }
-        store.put(String.format("%032x", done.incrementAndGet()).getBytes(), new byte[META], new byte[VALUE],
-            store.now() + 60_000, true, ack -> again(store, until, done, ended));
+        store.put(
+                String.format("%032x", done.incrementAndGet()).getBytes(),
+                new byte[META],
+                new byte[VALUE],
+                store.now() + 60_000,
+                true,
+                ack -> again(store, until, done, ended));
     }
 
-    /** So many records in one write and one force, one behind another: what the disk gives without a store. */
+    /**
+     * So many records in one write and one force, one behind another: what the disk gives without a
+     * store.
+     */
     private double bare(int records, long nanos) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve("bare");
         Files.deleteIfExists(file);
         long done = 0;
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
             ByteBuffer bytes = ByteBuffer.allocate(records * RECORD);
             long start = System.nanoTime();
             long now = start;
             while (now - start < nanos) {
                 bytes.clear();
-                while (bytes.hasRemaining()) channel.write(bytes);
+                while (bytes.hasRemaining()) {
+                    channel.write(bytes);
+                }
                 channel.force(false);
                 done += records;
                 now = System.nanoTime();
@@ -133,9 +175,17 @@
         long nanos = (quick ? 1 : 2) * 1_000_000_000L;
         int rounds = 3;
         store(256, nanos); // compiled before it counts
-        Table table = new Table("store-appends", "in flight", "from a busy loop", "from a woken thread", "one force a record", "bare groups",
-            "times one force a record", "share of bare groups",
-            "records a force");
+        Table table =
+                new Table(
+                        "store-appends",
+                        "in flight",
+                        "from a busy loop",
+                        "from a woken thread",
+                        "one force a record",
+                        "bare groups",
+                        "times one force a record",
+                        "share of bare groups",
+                        "records a force");
         List<double[]> woken = new ArrayList<>();
         List<double[]> appends = new ArrayList<>();
         List<double[]> single = new ArrayList<>();
@@ -155,7 +205,15 @@
                 times.add(store.get(round) / one.get(round));
                 share.add(store.get(round) / bare.get(round));
             }
-            table.row(inFlight, median(store), median(threaded), median(one), median(bare), median(times), median(share), group);
+            table.row(
+                    inFlight,
+                    median(store),
+                    median(threaded),
+                    median(one),
+                    median(bare),
+                    median(times),
+                    median(share),
+                    group);
             appends.add(new double[] {inFlight, median(store)});
             woken.add(new double[] {inFlight, median(threaded)});
             single.add(new double[] {inFlight, median(one)});
@@ -167,16 +225,30 @@
         series.put("store, from a woken thread", woken);
         series.put("bare groups of as many", groups);
         series.put("one force a record", single);
-        Charts.lines("store-appends", "Durable appends (own bench)", "in flight", "a second", true, series);
+        Charts.lines(
+                "store-appends",
+                "Durable appends (own bench)",
+                "in flight",
+                "a second",
+                true,
+                series);
         empty(folder);
     }
 
     void recovery() throws Exception {
-        Table table = new Table("store-recovery", "entries", "segments read whole s", "with hints s", "bytes an entry on disk",
-            "heap bytes an entry", "reckoned bytes an entry");
+        Table table =
+                new Table(
+                        "store-recovery",
+                        "entries",
+                        "segments read whole s",
+                        "with hints s",
+                        "bytes an entry on disk",
+                        "heap bytes an entry",
+                        "reckoned bytes an entry");
         List<double[]> whole = new ArrayList<>();
         List<double[]> hinted = new ArrayList<>();
-        for (int entries : quick ? new int[] {10_000, 100_000} : new int[] {10_000, 100_000, 1_000_000}) {
+        for (int entries :
+                quick ? new int[] {10_000, 100_000} : new int[] {10_000, 100_000, 1_000_000}) {
             empty(folder);
             long bytes;
             try (Store store = open(folder, 1 << 30)) {
@@ -184,17 +256,31 @@
                 Semaphore free = new Semaphore(2_000);
                 for (int i = 0; i < entries; i++) {
                     free.acquire();
-                    store.put(key(), new byte[META], new byte[VALUE], store.now() + 3_600_000, true, ack -> free.release());
+                    store.put(
+                            key(),
+                            new byte[META],
+                            new byte[VALUE],
+                            store.now() + 3_600_000,
+                            true,
+                            ack -> free.release());
                 }
                 free.acquire(2_000);
                 bytes = store.stats().bytes();
             }
             double[] withHints = times(entries);
             try (Stream<Path> files = Files.list(folder)) {
-                for (Path file : files.filter(f -> f.toString().endsWith(".hint")).toList()) Files.delete(file);
+                for (Path file : files.filter(f -> f.toString().endsWith(".hint")).toList()) {
+                    Files.delete(file);
+                }
             }
             double[] without = times(entries);
-            table.row(entries, without[0], withHints[0], bytes / (double) entries, withHints[1], withHints[2]);
+            table.row(
+                    entries,
+                    without[0],
+                    withHints[0],
+                    bytes / (double) entries,
+                    withHints[1],
+                    withHints[2]);
             whole.add(new double[] {entries, without[0]});
             hinted.add(new double[] {entries, withHints[0]});
         }
@@ -206,7 +292,9 @@
         empty(folder);
     }
 
-    /** Median of three starts in seconds, the heap that an entry takes, and what the store reckons. */
+    /**
+     * Median of three starts in seconds, the heap that an entry takes, and what the store reckons.
+     */
     private double[] times(int entries) throws IOException {
         double[] seconds = new double[3];
         double heap = 0;
@@ -216,7 +304,9 @@
             long start = System.nanoTime();
             try (Store store = open(folder, 1 << 30)) {
                 seconds[i] = (System.nanoTime() - start) / 1e9;
-                if (store.stats().entries() != entries) throw new IOException("entries: " + store.stats().entries());
+                if (store.stats().entries() != entries) {
+                    throw new IOException("entries: " + store.stats().entries());
+                }
                 store.start(); // lets the list of what was kept go
                 heap = (used() - before) / (double) entries;
                 reckoned = store.stats().memory() / (double) entries;
--- a/tools/src/main/java/ochretiller/tools/Table.java
+++ b/tools/src/main/java/ochretiller/tools/Table.java
@@ -21,8 +21,10 @@
     void row(Object... values) {
         List<String> texts = new ArrayList<>();
         for (Object value : values) {
-            texts.add(value instanceof Double number ? String.format(Locale.ROOT, number < 100 ? "%.3f" : "%.0f", number)
-                : String.valueOf(value));
+            texts.add(
+                    value instanceof Double number
+                            ? String.format(Locale.ROOT, number < 100 ? "%.3f" : "%.0f", number)
+                            : String.valueOf(value));
         }
         lines.add(String.join(",", texts));
         System.out.println(String.join("  ", texts));
--- a/tools/src/main/java/ochretiller/tools/Tools.java
+++ b/tools/src/main/java/ochretiller/tools/Tools.java
@@ -7,49 +7,87 @@
 import picocli.CommandLine.Option;
 
 /** Measurements, each a command of its own; their tables and charts are kept in docs/figures. */
-@Command(name = "tools", mixinStandardHelpOptions = true, description = "Measure the server and its parts.")
+@Command(
+        name = "tools",
+        mixinStandardHelpOptions = true,
+        description = "Measure the server and its parts.")
 final class Tools {
     static final Path FIGURES = Path.of("docs", "figures");
 
-    @Command(description = "Durable appends and recovery of the store, beside bare writes on the same disk.")
-    int store(@Option(names = "--quick", description = "Shorter rounds, up to 100 thousand entries.") boolean quick,
-              @Option(names = "--folder", description = "Where to write; target/store-bench by default.") Path folder)
-        throws Exception {
-        StoreBench bench = new StoreBench(folder == null ? Path.of("target", "store-bench") : folder, quick);
+    @Command(
+            description =
+                    "Durable appends and recovery of the store, beside bare writes on the same"
+                            + " disk.")
+    int store(
+            @Option(names = "--quick", description = "Shorter rounds, up to 100 thousand entries.")
+                    boolean quick,
+            @Option(
+                            names = "--folder",
+                            description = "Where to write; target/store-bench by default.")
+                    Path folder)
+            throws Exception {
+        StoreBench bench =
+                new StoreBench(folder == null ? Path.of("target", "store-bench") : folder, quick);
         bench.appends();
         bench.recovery();
         return 0;
     }
 
-    @Command(description = "Latency that remembered results add to keyed invocations, and to others.")
-    int latency(@Option(names = "--quick", description = "Shorter rounds.") boolean quick) throws Exception {
+    @Command(
+            description =
+                    "Latency that remembered results add to keyed invocations, and to others.")
+    int latency(@Option(names = "--quick", description = "Shorter rounds.") boolean quick)
+            throws Exception {
         new LatencyBench(quick ? 4 : 20, quick ? 1 : 3).run();
         return 0;
     }
 
-    @Command(description = "New keys at ten times what ages out: memory, files and descriptors over time.")
-    int flood(@Option(names = "--seconds", defaultValue = "600", description = "How long.") int seconds) throws Exception {
+    @Command(
+            description =
+                    "New keys at ten times what ages out: memory, files and descriptors over time.")
+    int flood(
+            @Option(names = "--seconds", defaultValue = "600", description = "How long.")
+                    int seconds)
+            throws Exception {
         new FloodBench(seconds).run();
         return 0;
     }
 
-    @Command(description = "Both protocols round full load: rules, and what a burst of one side takes from the other.")
-    int mix(@Option(names = "--quick", description = "Shorter rounds.") boolean quick,
-            @Option(names = "--fairness", description = "Only what a burst takes from the other side.") boolean fairness) throws Exception {
+    @Command(
+            description =
+                    "Both protocols round full load: rules, and what a burst of one side takes from"
+                            + " the other.")
+    int mix(
+            @Option(names = "--quick", description = "Shorter rounds.") boolean quick,
+            @Option(
+                            names = "--fairness",
+                            description = "Only what a burst takes from the other side.")
+                    boolean fairness)
+            throws Exception {
         new MixBench(quick ? 4 : 10).run(fairness);
         return 0;
     }
 
     @Command(description = "CPU that an invocation costs the server by each protocol.")
-    int cpu(@Option(names = "--quick", description = "Shorter rounds.") boolean quick) throws Exception {
+    int cpu(@Option(names = "--quick", description = "Shorter rounds.") boolean quick)
+            throws Exception {
         new MixBench(quick ? 3 : 6).cpu(quick ? 2 : 4);
         return 0;
     }
 
-    @Command(description = "A rehearsal's script in real time round packaged servers, beside the emulator's play of it.")
-    int live(@CommandLine.Parameters(description = "The script.") Path script,
-             @Option(names = "--boxes", defaultValue = "3", description = "Servers; all else is scaled by them.") int boxes,
-             @Option(names = "--seed", defaultValue = "1") long seed) throws Exception {
+    @Command(
+            description =
+                    "A rehearsal's script in real time round packaged servers, beside the"
+                            + " emulator's play of it.")
+    int live(
+            @CommandLine.Parameters(description = "The script.") Path script,
+            @Option(
+                            names = "--boxes",
+                            defaultValue = "3",
+                            description = "Servers; all else is scaled by them.")
+                    int boxes,
+            @Option(names = "--seed", defaultValue = "1") long seed)
+            throws Exception {
         new LiveBench(script, boxes, seed).run();
         return 0;
     }
@@ -60,8 +98,12 @@
         return 0;
     }
 
-    @Command(description = "Copies that are made equal: entries a second, bytes beside the bytes that differ.")
-    int copies(@Option(names = "--quick", description = "Up to 10 thousand entries.") boolean quick) throws Exception {
+    @Command(
+            description =
+                    "Copies that are made equal: entries a second, bytes beside the bytes that"
+                            + " differ.")
+    int copies(@Option(names = "--quick", description = "Up to 10 thousand entries.") boolean quick)
+            throws Exception {
         new CopiesBench().run(quick);
         return 0;
     }
@@ -73,7 +115,9 @@
     }
 
     public static void main(String[] words) {
-        if (List.of(words).isEmpty()) words = new String[] {"--help"};
+        if (List.of(words).isEmpty()) {
+            words = new String[] {"--help"};
+        }
         System.exit(new CommandLine(new Tools()).execute(words));
     }
 }
--- a/tools/src/main/java/ochretiller/tools/Traffic.java
+++ b/tools/src/main/java/ochretiller/tools/Traffic.java
@@ -13,14 +13,20 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Open-loop arrivals by seed on one side, with keyed ones, repeats on the other side, and callers that vanish. */
+/**
+ * Open-loop arrivals by seed on one side, with keyed ones, repeats on the other side, and callers
+ * that vanish.
+ */
 final class Traffic {
     /** What is sent, as shares. */
-    record Mix(double keyed, double repeated, double vanishing) {
-    }
+    record Mix(double keyed, double repeated, double vanishing) {}
 
     private static final AtomicLong NUMBERS = new AtomicLong();
-    /** A request is lost that has no answer so long after it was sent: twice the client timeout of the load's configuration. */
+
+    /**
+     * A request is lost that has no answer so long after it was sent: twice the client timeout of
+     * the load's configuration.
+     */
     private static final long LOST_S = 8;
 
     final Histogram took = new ConcurrentHistogram(3);
@@ -44,14 +50,27 @@
             long due = start + (long) (at * 1e9);
             Pace.until(due);
             boolean keyed = chance.nextDouble() < mix.keyed;
-            String token = keyed ? String.format("%016x%016x", chance.nextLong(), chance.nextLong()) : null;
+            String token =
+                    keyed
+                            ? String.format("%016x%016x", chance.nextLong(), chance.nextLong())
+                            : null;
             boolean repeats = keyed && chance.nextDouble() < mix.repeated;
-            Ask ask = new Ask(NUMBERS.incrementAndGet(), due, token, keyed && chance.nextDouble() < mix.vanishing);
+            Ask ask =
+                    new Ask(
+                            NUMBERS.incrementAndGet(),
+                            due,
+                            token,
+                            keyed && chance.nextDouble() < mix.vanishing);
             asks.add(ask);
-            ask.outcome.thenAccept(outcome -> {
-                if (outcome == Ask.Outcome.SUCCEEDED) took.recordValue(Math.max(1, (ask.answeredAt - due) / 1_000));
-                if (repeats) repeat(ask);
-            });
+            ask.outcome.thenAccept(
+                    outcome -> {
+                        if (outcome == Ask.Outcome.SUCCEEDED) {
+                            took.recordValue(Math.max(1, (ask.answeredAt - due) / 1_000));
+                        }
+                        if (repeats) {
+                            repeat(ask);
+                        }
+                    });
             side.send(ask);
         }
     }
@@ -60,7 +79,10 @@
         return Seeds.exponential(chance, 1 / perSecond);
     }
 
-    /** Under the same key by the other protocol, once the first has its answer or its caller has gone. */
+    /**
+     * Under the same key by the other protocol, once the first has its answer or its caller has
+     * gone.
+     */
     private void repeat(Ask first) {
         Ask again = new Ask(NUMBERS.incrementAndGet(), System.nanoTime(), first.token, false);
         asks.add(again);
@@ -78,7 +100,9 @@
         for (Ask ask : asks) {
             Ask.Outcome outcome;
             try {
-                outcome = ask.outcome.get(Math.max(1, until - System.nanoTime()), TimeUnit.NANOSECONDS);
+                outcome =
+                        ask.outcome.get(
+                                Math.max(1, until - System.nanoTime()), TimeUnit.NANOSECONDS);
             } catch (TimeoutException e) {
                 outcome = Ask.Outcome.NONE;
             }
--- a/tools/src/main/java/ochretiller/tools/UwsgiSide.java
+++ b/tools/src/main/java/ochretiller/tools/UwsgiSide.java
@@ -21,6 +21,7 @@
 final class UwsgiSide implements Side {
     /** Longer than any client timeout of the load's configuration. */
     private static final int TIMEOUT_MS = 8_000;
+
     private static final int LONGEST = 64 * 1024;
 
     private final int port;
@@ -36,11 +37,18 @@
     UwsgiSide(int port, int most, String caller) {
         this.port = port;
         this.caller = caller;
-        threads = new ThreadPoolExecutor(most, most, 5, TimeUnit.SECONDS, new LinkedBlockingQueue<>(most), work -> {
-            Thread thread = new Thread(work);
-            thread.setDaemon(true);
-            return thread;
-        });
+        threads =
+                new ThreadPoolExecutor(
+                        most,
+                        most,
+                        5,
+                        TimeUnit.SECONDS,
+                        new LinkedBlockingQueue<>(most),
+                        work -> {
+                            Thread thread = new Thread(work);
+                            thread.setDaemon(true);
+                            return thread;
+                        });
         threads.allowCoreThreadTimeOut(true);
     }
 
@@ -57,15 +65,20 @@
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(TIMEOUT_MS);
-            byte[] body = (ask.token == null ? "load" : ask.token).getBytes(StandardCharsets.ISO_8859_1);
+            byte[] body =
+                    (ask.token == null ? "load" : ask.token).getBytes(StandardCharsets.ISO_8859_1);
             Map<String, String> vars = new LinkedHashMap<>();
             vars.put("REQUEST_METHOD", ask.token == null ? "GET" : "POST");
             vars.put("PATH_INFO", ask.token == null ? "/parts/7" : "/orders");
             vars.put("CONTENT_LENGTH", "" + body.length);
             vars.put("REMOTE_ADDR", caller);
-            if (ask.token != null) vars.put("HTTP_IDEMPOTENCY_KEY", ask.token);
+            if (ask.token != null) {
+                vars.put("HTTP_IDEMPOTENCY_KEY", ask.token);
+            }
             ask.sentAt = System.nanoTime();
-            for (byte[] part : new Request(vars, body, false).encode()) socket.getOutputStream().write(part);
+            for (byte[] part : new Request(vars, body, false).encode()) {
+                socket.getOutputStream().write(part);
+            }
             if (ask.vanishes) {
                 ask.ends(Ask.Outcome.VANISHED);
                 return;
@@ -83,15 +96,22 @@
         try {
             for (int got = in.read(buffer); got > 0 && answer == null; ) {
                 answer = decoder.read(buffer, 0, got);
-                if (answer == null) got = in.read(buffer);
+                if (answer == null) {
+                    got = in.read(buffer);
+                }
             }
         } catch (SocketTimeoutException | SocketException e) {
             return Ask.Outcome.NONE;
         }
-        if (answer == null) return Ask.Outcome.NONE;
-        if (in.read() >= 0) surplus.increment();
-        return answer.status() == 200 ? Ask.Outcome.SUCCEEDED : answer.status() == 503 ? Ask.Outcome.THROTTLED
-            : Ask.Outcome.ERRORED;
+        if (answer == null) {
+            return Ask.Outcome.NONE;
+        }
+        if (in.read() >= 0) {
+            surplus.increment();
+        }
+        return answer.status() == 200
+                ? Ask.Outcome.SUCCEEDED
+                : answer.status() == 503 ? Ask.Outcome.THROTTLED : Ask.Outcome.ERRORED;
     }
 
     @Override
