--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -20,7 +20,7 @@
 EDGE_CONFIG="$work/config.json" sh deploy/serve.sh -XX:SharedArchiveFile= -XX:ArchiveClassesAtExit=target/ochretiller.jsa \
     > "$work/log" 2>&1 &
 server=$!
-java -XX:TieredStopAtLevel=1 -cp target/ochretiller.jar ochretiller.standin.Rehearsal 41008 41009 41007 || cat "$work/log" >&2
+java -XX:TieredStopAtLevel=1 -cp target/ochretiller.jar ochretiller.fakes.ClassArchiveRun 41008 41009 41007 || cat "$work/log" >&2
 kill "$server" 2> /dev/null || true
 wait "$server" || true
 test -f target/ochretiller.jsa || echo "no archive of classes: starts will be slower" >&2
--- a/drill/src/main/java/ochretiller/drill/Disks.java
+++ b/drill/src/main/java/ochretiller/drill/DiskFaults.java
@@ -12,14 +12,14 @@
 import java.util.stream.Stream;
 
 /** Folders that are copied, emptied and cut off behind a server's back. */
-final class Disks {
+final class DiskFaults {
     /** Bytes that are lost at the end of a disk that is cut: some records. */
     private static final long CUT = 700;
 
     /** A folder that changes while it is copied is copied again, so often. */
     private static final int TRIES = 5;
 
-    private Disks() {}
+    private DiskFaults() {}
 
     static void delete(Path folder) throws IOException {
         if (!Files.exists(folder)) {
--- a/drill/src/main/java/ochretiller/drill/Drill.java
+++ b/drill/src/main/java/ochretiller/drill/Drill.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
 import ochretiller.settings.MalformedException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -69,15 +69,15 @@
                             description = "No progress on standard error.")
                     boolean quiet)
             throws Exception {
-        FleetScript read = FleetScriptFile.read(file);
-        FleetScript script = members == null ? read : read.sized(members);
+        FleetScenario read = FleetScenarioReader.read(file);
+        FleetScenario script = members == null ? read : read.sized(members);
         Path folder = out != null ? out : Files.createTempDirectory("drill");
-        Checker checker = play(script, seed, folder, !without, !alone, quiet);
+        HistoryChecker checker = play(script, seed, folder, !without, !alone, quiet);
         return tell(script, seed, checker, without);
     }
 
-    static Checker play(
-            FleetScript script,
+    static HistoryChecker play(
+            FleetScenario script,
             long seed,
             Path folder,
             boolean viewOn,
@@ -85,8 +85,8 @@
             boolean quiet)
             throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        try (Stage stage =
-                new Stage(
+        try (ScenarioRunner stage =
+                new ScenarioRunner(
                         script,
                         seed,
                         folder,
@@ -99,12 +99,13 @@
                         })) {
             History history = stage.play();
             history.write(folder.resolve("history.jsonl"));
-            Picture.write(folder.resolve("views.svg"), script.name(), history.all());
-            return new Checker(script, history.all());
+            MembershipChart.write(folder.resolve("views.svg"), script.name(), history.all());
+            return new HistoryChecker(script, history.all());
         }
     }
 
-    private static int tell(FleetScript script, long seed, Checker checker, boolean without) {
+    private static int tell(
+            FleetScenario script, long seed, HistoryChecker checker, boolean without) {
         System.out.printf(
                 Locale.ROOT,
                 "%s, seed %d%s: settled %.1f s, false verdicts %d, changes of one at most %d, known"
@@ -151,7 +152,7 @@
                     boolean alone)
             throws Exception {
         Path folder = out != null ? out : Files.createTempDirectory("steps");
-        try (Steps steps = new Steps(folder, !alone, System.err::println)) {
+        try (FailoverScenario steps = new FailoverScenario(folder, !alone, System.err::println)) {
             List<String> broken = steps.play();
             broken.forEach(line -> System.out.println("broken: " + line));
             if (broken.isEmpty()) {
@@ -170,7 +171,7 @@
     int versions(@Option(names = "--out", description = "A folder for stores and logs.") Path out)
             throws Exception {
         Path folder = out != null ? out : Files.createTempDirectory("versions");
-        try (VersionSteps steps = new VersionSteps(folder, System.err::println)) {
+        try (RolloutScenario steps = new RolloutScenario(folder, System.err::println)) {
             List<String> broken = steps.play();
             broken.forEach(line -> System.out.println("broken: " + line));
             if (broken.isEmpty()) {
@@ -207,7 +208,7 @@
                             defaultValue = "none,memory,disk",
                             split = ",",
                             description = "Of ${COMPLETION-CANDIDATES}.")
-                    List<Cost.Kind> kinds,
+                    List<ReplicationCost.Kind> kinds,
             @Option(
                             names = "--slow-ms",
                             defaultValue = "15",
@@ -215,13 +216,14 @@
                     double slowMs,
             @Option(names = "--out", description = "A file for the table.") Path out)
             throws Exception {
-        List<String> rows = new ArrayList<>(List.of(Cost.HEAD));
-        System.out.println(Cost.HEAD);
+        List<String> rows = new ArrayList<>(List.of(ReplicationCost.HEAD));
+        System.out.println(ReplicationCost.HEAD);
         for (int size : members) {
-            for (Cost.Kind kind : kinds) {
-                Cost cost =
-                        new Cost(
-                                new Cost.Asked(size, callers, seconds, pauseMs, links, slowMs),
+            for (ReplicationCost.Kind kind : kinds) {
+                ReplicationCost cost =
+                        new ReplicationCost(
+                                new ReplicationCost.Asked(
+                                        size, callers, seconds, pauseMs, links, slowMs),
                                 System.err::println);
                 String row = cost.row(Files.createTempDirectory("cost"), kind);
                 System.out.println(row);
@@ -249,20 +251,21 @@
                     boolean copies)
             throws Exception {
         if (copies) {
-            try (Steps steps =
-                    new Steps(Files.createTempDirectory("example"), true, System.err::println)) {
+            try (FailoverScenario steps =
+                    new FailoverScenario(
+                            Files.createTempDirectory("example"), true, System.err::println)) {
                 return steps.example(System.out::println) ? 0 : BROKEN;
             }
         }
-        FleetScript script =
-                FleetScriptFile.of(
+        FleetScenario script =
+                FleetScenarioReader.of(
                         """
                         { name: 'example', seconds: 12, members: 3, zones: 3, incidents: [ { at_s: 5, what: 'kill', who: '3' } ],
                           expect: { settled_s: 10, false_verdicts: 0 } }\
                         """,
                         "example");
         Path folder = Files.createTempDirectory("drill");
-        Checker checker = play(script, 1, folder, true, true, false);
+        HistoryChecker checker = play(script, 1, folder, true, true, false);
         Map<Integer, String> last = new TreeMap<>();
         Map<String, String> names = new HashMap<>();
         for (History.Event event : History.read(folder.resolve("history.jsonl"))) {
@@ -297,11 +300,12 @@
             @Parameters(description = "The history.") Path history,
             @Option(names = "--members") Integer members)
             throws IOException {
-        FleetScript read = FleetScriptFile.read(script);
+        FleetScenario read = FleetScenarioReader.read(script);
         return tell(
                 members == null ? read : read.sized(members),
                 0,
-                new Checker(members == null ? read : read.sized(members), History.read(history)),
+                new HistoryChecker(
+                        members == null ? read : read.sized(members), History.read(history)),
                 false);
     }
 
--- a/drill/src/main/java/ochretiller/drill/Steps.java
+++ b/drill/src/main/java/ochretiller/drill/FailoverScenario.java
@@ -19,17 +19,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
 
 /**
  * One keyed invocation at a time in a fleet of three servers with disks: its owner is killed,
  * paused or cut off at a step of it, by what is seen of that step and not by the clock, and its
  * repeats go to each server, at once and later. Each case says what has to come out.
  */
-final class Steps implements AutoCloseable {
+final class FailoverScenario implements AutoCloseable {
     /**
      * Long enough for a start under load, for what has to come to do so, and for a window that
      * keepers have of a token.
@@ -39,7 +39,7 @@
     /** A repeat that is told to come again does so after this. */
     private static final long AGAIN_MS = 200;
 
-    private final Stage stage;
+    private final ScenarioRunner stage;
     private final Consumer<String> progress;
     private final AtomicInteger numbers = new AtomicInteger();
 
@@ -55,15 +55,15 @@
     /**
      * @param copiesOn without it each server is for itself, and the steps have to be seen to break
      */
-    Steps(Path folder, boolean copiesOn, Consumer<String> progress) throws IOException {
+    FailoverScenario(Path folder, boolean copiesOn, Consumer<String> progress) throws IOException {
         this.progress = progress;
-        FleetScript script =
-                FleetScriptFile.of(
+        FleetScenario script =
+                FleetScenarioReader.of(
                         """
                         { name: 'steps', seconds: 1, members: 3, zones: 3, seeds: 3, copies: true, store: true }\
                         """,
                         "steps");
-        stage = new Stage(script, 1, folder, true, copiesOn, progress);
+        stage = new ScenarioRunner(script, 1, folder, true, copiesOn, progress);
     }
 
     /** Plays all of it; what was broken, a line each. */
@@ -454,12 +454,14 @@
     private BlockingQueue<String> ask(int slot, String token, String body) throws IOException {
         BlockingQueue<String> answer = new LinkedBlockingQueue<>();
         int number = numbers.incrementAndGet();
-        Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), stage.box(slot).serves));
+        FakeConnection wire =
+                new FakeConnection(
+                        new Socket(InetAddress.getLoopbackAddress(), stage.box(slot).serves));
         wire.send(
-                Gateways.message(
+                GatewayMessages.message(
                         number,
                         "order",
-                        Gateways.params(String.format("%016x", number), token, body)));
+                        GatewayMessages.params(String.format("%016x", number), token, body)));
         Thread reader =
                 new Thread(
                         () -> {
--- a/drill/src/main/java/ochretiller/drill/Links.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -17,13 +17,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.DoubleSupplier;
-import ochretiller.emulator.fleet.Faults;
+import ochretiller.emulator.fleet.LinkFaults;
 
 /**
  * What lies between servers: whoever is told a server's address is told a relay's, and the relay
  * does to each packet what the script says for its sender and its receiver.
  */
-final class Links implements AutoCloseable {
+final class FaultProxy implements AutoCloseable {
     private static final int LONGEST = 64 * 1024;
 
     /** Packets that are under way at once. */
@@ -32,7 +32,7 @@
     /** Packets of each address that are kept to be replayed. */
     private static final int KEPT = 256;
 
-    private final Faults faults;
+    private final LinkFaults faults;
     private final DoubleSupplier now;
     private final Selector selector = Selector.open();
     private final Map<Integer, Relay> relays = new ConcurrentHashMap<>();
@@ -63,7 +63,7 @@
         }
     }
 
-    Links(Faults faults, DoubleSupplier now) throws IOException {
+    FaultProxy(LinkFaults faults, DoubleSupplier now) throws IOException {
         this.faults = faults;
         this.now = now;
     }
@@ -144,11 +144,12 @@
         int fromSlot = sender == null ? 0 : slots.getOrDefault(sender, 0);
         int toSlot = slots.getOrDefault(relay.address, 0);
         boolean cut = apart.contains(fromSlot) != apart.contains(toSlot);
-        List<Faults.Copy> fate = cut ? List.of() : faults.fate(fromSlot, toSlot, now.getAsDouble());
+        List<LinkFaults.Copy> fate =
+                cut ? List.of() : faults.fate(fromSlot, toSlot, now.getAsDouble());
         if (fate.isEmpty()) {
             dropped.incrementAndGet();
         }
-        for (Faults.Copy copy : fate) {
+        for (LinkFaults.Copy copy : fate) {
             byte[] sent = bytes;
             if (copy.spoilt()) {
                 sent = bytes.clone();
--- a/drill/src/main/java/ochretiller/drill/Checker.java
+++ b/drill/src/main/java/ochretiller/drill/HistoryChecker.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.Plan;
+import ochretiller.emulator.fleet.FaultSchedule;
+import ochretiller.emulator.fleet.FleetScenario;
 
 /**
  * Holds a history against the rules. It reads the history and the script, and nothing of the
  * program.
  */
-final class Checker {
+final class HistoryChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** A process that was let go this lately may still be judged by what it did not answer. */
@@ -31,8 +31,8 @@
     /** An answer later than this is none. */
     private static final double DUE_S = 4.5;
 
-    private final FleetScript script;
-    private final Plan plan;
+    private final FleetScenario script;
+    private final FaultSchedule plan;
     private final List<History.Event> events;
     private final List<String> broken = new ArrayList<>();
     private final List<Double> knownMs = new ArrayList<>();
@@ -46,9 +46,9 @@
     private int throttled;
     private boolean voided;
 
-    Checker(FleetScript script, List<History.Event> events) {
+    HistoryChecker(FleetScenario script, List<History.Event> events) {
         this.script = script;
-        this.plan = Plan.of(script);
+        this.plan = FaultSchedule.of(script);
         this.events = events;
         for (History.Event event : events) {
             voided |= event.what() == History.What.VOID;
--- a/drill/src/main/java/ochretiller/drill/Load.java
+++ b/drill/src/main/java/ochretiller/drill/LoadGenerator.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
-import ochretiller.standin.Daemon;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.fakes.DaemonThreads;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
 
 /**
  * Callers of all servers together: reads and orders, some of the orders asked again, each end noted
  * once.
  */
-final class Load {
+final class LoadGenerator {
     /** Every so many is a keyed order; every other order is asked twice. */
     private static final int ORDERS = 4;
 
@@ -30,7 +30,7 @@
     private static final int OPEN = 24;
 
     private final History history;
-    private final List<Box> boxes;
+    private final List<ServerProcess> boxes;
     private final double perSecond;
 
     /** Whether repeats go to any server, as in a fleet that keeps copies. */
@@ -47,7 +47,12 @@
     private final Thread asking = new Thread(this::askOn, "load");
     private volatile boolean over;
 
-    Load(History history, List<Box> boxes, double perSecond, long seed, boolean elsewhere) {
+    LoadGenerator(
+            History history,
+            List<ServerProcess> boxes,
+            double perSecond,
+            long seed,
+            boolean elsewhere) {
         this.elsewhere = elsewhere;
         this.history = history;
         this.boxes = boxes;
@@ -79,8 +84,8 @@
     }
 
     private void ask() {
-        List<Box> open = new ArrayList<>();
-        for (Box box : boxes) {
+        List<ServerProcess> open = new ArrayList<>();
+        for (ServerProcess box : boxes) {
             if (box.up && !box.paused && !box.leaves) {
                 open.add(box);
             }
@@ -88,7 +93,7 @@
         if (open.isEmpty()) {
             return;
         }
-        Box box = open.get(chance.nextInt(open.size()));
+        ServerProcess box = open.get(chance.nextInt(open.size()));
         long number = numbers.incrementAndGet();
         try {
             Line line = line(box);
@@ -100,7 +105,7 @@
                 // moment.
                 String repeat =
                         chance.nextInt(4) == 0 ? token : asked.get(chance.nextInt(asked.size()));
-                Box other = open.get(chance.nextInt(open.size()));
+                ServerProcess other = open.get(chance.nextInt(open.size()));
                 line(other).send(other.slot.number(), numbers.incrementAndGet(), repeat);
             } else if (!elsewhere && order && number % (2 * ORDERS) == 0) {
                 line.send(
@@ -117,7 +122,7 @@
         }
     }
 
-    private Line line(Box box) throws IOException {
+    private Line line(ServerProcess box) throws IOException {
         Line line = lines.get(box.slot.number());
         if (line == null || line.gone || line.open.size() >= OPEN) {
             if (line != null && !line.gone) {
@@ -145,7 +150,7 @@
 
     /** One connection and what is open on it. */
     private final class Line {
-        private final Wire wire;
+        private final FakeConnection wire;
         private final Map<Long, Integer> open = new ConcurrentHashMap<>();
         private volatile boolean gone;
         private volatile boolean retired;
@@ -153,9 +158,9 @@
 
         Line(int port) throws IOException {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            wire = new Wire(socket);
+            wire = new FakeConnection(socket);
             all.add(this);
-            Daemon.start(this::read);
+            DaemonThreads.start(this::read);
         }
 
         void send(int slot, long number, String token) throws IOException {
@@ -165,10 +170,11 @@
             history.add(History.What.ASKED, slot, id, body);
             try {
                 wire.send(
-                        Gateways.message(
+                        GatewayMessages.message(
                                 number,
                                 token == null ? "read" : "order",
-                                Gateways.params(String.format("%016x", number), token, body)));
+                                GatewayMessages.params(
+                                        String.format("%016x", number), token, body)));
             } catch (IOException e) {
                 end(number, "broken");
             }
--- a/drill/src/main/java/ochretiller/drill/Picture.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipChart.java
@@ -13,7 +13,7 @@
  * Who sees whom, as SVG: a row a server, in it a strip a member, in each strip the time from left
  * to right. A view that is right everywhere is a picture of columns without a break.
  */
-final class Picture {
+final class MembershipChart {
     private static final Map<String, String> COLOURS =
             Map.of(
                     "HERE", "#4c9f70", "JOINING", "#8ecae6", "SUSPECT", "#f4c95d", "SILENT",
@@ -23,7 +23,7 @@
     private static final int LEFT = 70;
     private static final int TOP = 60;
 
-    private Picture() {}
+    private MembershipChart() {}
 
     static void write(Path file, String name, List<History.Event> events) throws IOException {
         Map<String, Integer> slots = new HashMap<>();
--- a/drill/src/main/java/ochretiller/drill/Watch.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipPoller.java
@@ -7,18 +7,18 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.TreeMap;
-import ochretiller.fleet.peers.FleetClient;
-import ochretiller.fleet.peers.FleetKeys;
+import ochretiller.fleet.transport.AdminClient;
+import ochretiller.fleet.transport.FleetKeys;
 
 /** Asks one server again and again how it sees the fleet, and notes what has changed. */
-final class Watch {
+final class MembershipPoller {
     /** Asks on one connection, fewer than the server answers there. */
     private static final int ASKS = 90;
 
     private static final ObjectMapper JSON = new ObjectMapper();
     static final FleetKeys KEYS = FleetKeys.of("a key that only drills have");
 
-    private final Box box;
+    private final ServerProcess box;
     private final int port;
     private volatile History history;
     private final int everyMs;
@@ -27,7 +27,7 @@
     volatile String digest = "";
     volatile String start;
 
-    Watch(Box box, int port, History history, int everyMs) {
+    MembershipPoller(ServerProcess box, int port, History history, int everyMs) {
         this.box = box;
         this.port = port;
         this.history = history;
@@ -54,8 +54,8 @@
                     Thread.sleep(everyMs);
                     continue;
                 }
-                try (FleetClient client =
-                        new FleetClient(
+                try (AdminClient client =
+                        new AdminClient(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                                 "drill",
                                 KEYS)) {
--- a/drill/src/main/java/ochretiller/drill/Cost.java
+++ b/drill/src/main/java/ochretiller/drill/ReplicationCost.java
@@ -17,17 +17,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
-import ochretiller.standin.Daemon;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
+import ochretiller.fakes.DaemonThreads;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
 
 /**
  * What copies cost: keyed and idempotent invocations at servers that keep copies, on a disk or in
  * memory, and at servers that do not.
  */
-final class Cost {
+final class ReplicationCost {
     /** Bytes of a sealed claim and of its answer, echoed beside the load for a bare round trip. */
     private static final int PACKET = 300;
 
@@ -66,7 +66,7 @@
     private final Asked asked;
     private final Consumer<String> progress;
 
-    Cost(Asked asked, Consumer<String> progress) {
+    ReplicationCost(Asked asked, Consumer<String> progress) {
         this.asked = asked;
         this.progress = progress;
     }
@@ -102,8 +102,8 @@
                                 + asked.slowMs
                                 + " } ]"
                         : "";
-        FleetScript script =
-                FleetScriptFile.of(
+        FleetScenario script =
+                FleetScenarioReader.of(
                         "{ name: 'cost', seconds: 1000, members: "
                                 + members
                                 + ", zones: 3, seeds: 3, copies: true, store: "
@@ -119,7 +119,8 @@
         AtomicLong refused = new AtomicLong();
         boolean minority = kind == Kind.MINORITY;
         boolean links = asked.links || minority || kind == Kind.SLOW;
-        try (Stage stage = new Stage(script, 1, folder, true, kind.copies(), progress)) {
+        try (ScenarioRunner stage =
+                new ScenarioRunner(script, 1, folder, true, kind.copies(), progress)) {
             if (!links) {
                 stage.direct();
             }
@@ -143,8 +144,8 @@
                 threads.add(
                         thread(
                                 () -> {
-                                    try (Wire wire =
-                                            new Wire(
+                                    try (FakeConnection wire =
+                                            new FakeConnection(
                                                     new Socket(
                                                             InetAddress.getLoopbackAddress(),
                                                             stage.box(slot).serves))) {
@@ -152,10 +153,10 @@
                                             int number = numbers.incrementAndGet();
                                             long at = System.nanoTime();
                                             wire.send(
-                                                    Gateways.message(
+                                                    GatewayMessages.message(
                                                             number,
                                                             isKeyed ? "order" : "read",
-                                                            Gateways.params(
+                                                            GatewayMessages.params(
                                                                     String.format("%016x", number),
                                                                     isKeyed
                                                                             ? String.format(
@@ -267,7 +268,7 @@
                 DatagramSocket two = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             BlockingQueue<DatagramPacket> there = new LinkedBlockingQueue<>();
             BlockingQueue<DatagramPacket> back = new LinkedBlockingQueue<>();
-            Daemon.start(
+            DaemonThreads.start(
                     () -> {
                         while (!two.isClosed()) {
                             DatagramPacket packet = new DatagramPacket(new byte[PACKET], PACKET);
@@ -280,7 +281,7 @@
                         }
                     });
             if (handsOver) {
-                Daemon.start(
+                DaemonThreads.start(
                         () -> {
                             while (!two.isClosed()) {
                                 two.send(there.take());
@@ -289,7 +290,7 @@
             }
             one.setSoTimeout(1_000);
             if (handsOver) {
-                Daemon.start(
+                DaemonThreads.start(
                         () -> {
                             while (!one.isClosed()) {
                                 DatagramPacket packet =
--- a/drill/src/main/java/ochretiller/drill/VersionSteps.java
+++ b/drill/src/main/java/ochretiller/drill/RolloutScenario.java
@@ -20,23 +20,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import ochretiller.audit.Chain;
-import ochretiller.audit.Entry;
-import ochretiller.audit.Timeline;
-import ochretiller.audit.files.AuditFolder;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
-import ochretiller.standin.Daemon;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
-import ochretiller.standin.WorkerStandIn;
+import ochretiller.audit.AuditRecord;
+import ochretiller.audit.FleetTimeline;
+import ochretiller.audit.HashChain;
+import ochretiller.audit.files.AuditLogReader;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
+import ochretiller.fakes.DaemonThreads;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.FakeWorker;
+import ochretiller.fakes.GatewayMessages;
 
 /**
  * Versions that are brought out to servers whose pools have stand-ins for workers, while callers
  * read: one after the other, with a fault at a step of each, put on by what is seen of that step.
  * Each case says what has to come out.
  */
-final class VersionSteps implements AutoCloseable {
+final class RolloutScenario implements AutoCloseable {
     private static final int SERVERS = 4;
     private static final long WITHIN_S = 60;
     private static final long LOOK_MS = 50;
@@ -50,9 +50,9 @@
     /** A run in the last moments of a process that was killed may not have come to its disk. */
     private static final int LOST = 12;
 
-    private final Stage stage;
+    private final ScenarioRunner stage;
     private final Consumer<String> progress;
-    private final WorkerStandIn worker;
+    private final FakeWorker worker;
     private final List<String> broken = new ArrayList<>();
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
     private final AtomicInteger numbers = new AtomicInteger();
@@ -60,11 +60,11 @@
     private final AtomicLong good = new AtomicLong();
     private volatile boolean over;
 
-    VersionSteps(Path folder, Consumer<String> progress) throws IOException {
+    RolloutScenario(Path folder, Consumer<String> progress) throws IOException {
         this.progress = progress;
-        worker = new WorkerStandIn("127.0.0.1", 0, ran -> WorkerStandIn.Manner.ANSWERS);
-        FleetScript script =
-                FleetScriptFile.of(
+        worker = new FakeWorker("127.0.0.1", 0, ran -> FakeWorker.Manner.ANSWERS);
+        FleetScenario script =
+                FleetScenarioReader.of(
                         "{ name: 'versions', seconds: 1000, members: "
                                 + SERVERS
                                 + ", zones: 2, seeds: "
@@ -72,7 +72,7 @@
                                 + ", copies: true, store: true }",
                         "versions");
         stage =
-                new Stage(script, 1, folder, true, true, progress)
+                new ScenarioRunner(script, 1, folder, true, true, progress)
                         .versions(pools(worker.port(), 50) + ",");
     }
 
@@ -102,16 +102,16 @@
 
     /** Reads at one server all the time; what is answered well is counted. */
     private void callers(int slot) {
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     while (!over) {
                         Thread.sleep(1000 / READS);
-                        Box box = stage.box(slot);
+                        ServerProcess box = stage.box(slot);
                         if (!box.up || box.paused) {
                             continue;
                         }
-                        try (Wire wire =
-                                new Wire(
+                        try (FakeConnection wire =
+                                new FakeConnection(
                                         new Socket(InetAddress.getLoopbackAddress(), box.serves))) {
                             while (!over && box.up && !box.paused) {
                                 int number = numbers.incrementAndGet();
@@ -122,10 +122,10 @@
                                                         Locale.ROOT, "%032x", 5_000_000 + number)
                                                 : null;
                                 wire.send(
-                                        Gateways.message(
+                                        GatewayMessages.message(
                                                 number,
                                                 order ? "order" : "read",
-                                                Gateways.params(
+                                                GatewayMessages.params(
                                                         String.format("%016x", number),
                                                         token,
                                                         order ? token : "r" + number)));
@@ -230,7 +230,7 @@
         step("a version that does harm");
         long before = acts(1);
         String hash = status(1).get("hash").asText();
-        int nobody = Box.freePort();
+        int nobody = ServerProcess.freePort();
         long readBefore = reads.get();
         long goodBefore = good.get();
         long number = publish(1, pools(nobody, 80), "its workers do not exist");
@@ -260,20 +260,22 @@
         for (int slot = 1; slot <= SERVERS; slot++) {
             stage.box(slot).leave();
         }
-        Map<String, List<Chain.Head>> known = new HashMap<>();
-        Map<String, AuditFolder.Found> found = new TreeMap<>();
+        Map<String, List<HashChain.ChainHead>> known = new HashMap<>();
+        Map<String, AuditLogReader.AuditLog> found = new TreeMap<>();
         for (int slot = 1; slot <= SERVERS; slot++) {
             stage.box(slot).awaitEnd();
-            Timeline.witnessed(
-                    AuditFolder.read(stage.box(slot).audit(), List.of()).entries(), known);
+            FleetTimeline.collectWitnessedHeads(
+                    AuditLogReader.read(stage.box(slot).audit(), List.of()).decodedRecords(),
+                    known);
         }
-        Timeline line = new Timeline();
+        FleetTimeline line = new FleetTimeline();
         for (int slot = 1; slot <= SERVERS; slot++) {
             String name = "m" + slot;
-            AuditFolder.Found each =
-                    AuditFolder.read(stage.box(slot).audit(), known.getOrDefault(name, List.of()));
+            AuditLogReader.AuditLog each =
+                    AuditLogReader.read(
+                            stage.box(slot).audit(), known.getOrDefault(name, List.of()));
             found.put(name, each);
-            line.add(name, each.entries());
+            line.addServer(name, each.decodedRecords());
             need(each.faults().isEmpty(), "the audit of " + name + ": " + each.faults());
             need(
                     !known.getOrDefault(name, List.of()).isEmpty(),
@@ -281,7 +283,7 @@
         }
         int missing = 0;
         for (Map.Entry<String, Integer> each : runs.entrySet()) {
-            int told = line.token(each.getKey()).size();
+            int told = line.runsOfToken(each.getKey()).size();
             if (told > each.getValue()) {
                 broken.add("the audits tell of more runs than there were of " + each.getKey());
             }
@@ -293,32 +295,33 @@
         need(runs.size() > 50, "too few runs to tell anything: " + runs.size());
         long from =
                 found.values().stream()
-                        .flatMap(each -> each.entries().stream())
-                        .mapToLong(Entry::fromMs)
+                        .flatMap(each -> each.decodedRecords().stream())
+                        .mapToLong(AuditRecord::startMillis)
                         .min()
                         .orElse(0);
         long until =
                 found.values().stream()
-                        .flatMap(each -> each.entries().stream())
-                        .mapToLong(Entry::toMs)
+                        .flatMap(each -> each.decodedRecords().stream())
+                        .mapToLong(AuditRecord::endMillis)
                         .max()
                         .orElse(0);
         need(
-                line.behind(from, until).getOrDefault("m4", 0L) > 0,
+                line.stragglerMillis(from, until).getOrDefault("m4", 0L) > 0,
                 "it is not told that m4 was behind");
         need(
-                line.between(from, until).stream()
+                line.intervals(from, until).stream()
                         .anyMatch(
                                 each ->
                                         each.server().equals("m1")
-                                                && each.known() == Timeline.Known.UNKNOWN),
+                                                && each.status()
+                                                        == FleetTimeline.VersionStatus.UNKNOWN),
                 "it is not told that m1 was away");
         progress.accept(
                 runs.size()
                         + " runs, "
                         + missing
                         + " of them in no audit; "
-                        + found.values().stream().mapToInt(each -> each.links().size()).sum()
+                        + found.values().stream().mapToInt(each -> each.records().size()).sum()
                         + " records");
     }
 
@@ -408,13 +411,15 @@
     private BlockingQueue<String> ask(int slot, String token) throws IOException {
         BlockingQueue<String> answer = new LinkedBlockingQueue<>();
         int number = numbers.incrementAndGet();
-        Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), stage.box(slot).serves));
+        FakeConnection wire =
+                new FakeConnection(
+                        new Socket(InetAddress.getLoopbackAddress(), stage.box(slot).serves));
         wire.send(
-                Gateways.message(
+                GatewayMessages.message(
                         number,
                         "order",
-                        Gateways.params(String.format("%016x", number), token, token)));
-        Daemon.start(
+                        GatewayMessages.params(String.format("%016x", number), token, token)));
+        DaemonThreads.start(
                 () -> {
                     try (wire) {
                         String line = wire.line();
--- a/drill/src/main/java/ochretiller/drill/Stage.java
+++ b/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
@@ -21,18 +21,18 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.emulator.fleet.Faults;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.Plan;
-import ochretiller.fleet.peers.FleetClient;
-import ochretiller.standin.Daemon;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.emulator.fleet.FaultSchedule;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.LinkFaults;
+import ochretiller.fakes.DaemonThreads;
+import ochretiller.fleet.transport.AdminClient;
 
 /**
  * Plays a script on processes: starts them, puts the faults on, watches, and ends with all faults
  * healed.
  */
-final class Stage implements AutoCloseable {
+final class ScenarioRunner implements AutoCloseable {
     /** A fault that comes later than this behind its time makes the run void. */
     private static final double LATE_S = 1.5;
 
@@ -59,19 +59,19 @@
     private static final int COMPARE_MS = 250;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final FleetScript script;
-    private final Plan plan;
+    private final FleetScenario script;
+    private final FaultSchedule plan;
     private final Path folder;
     private final boolean viewOn;
     private final boolean copiesOn;
     private final boolean stores;
     private final Consumer<String> progress;
-    private final Map<Integer, Box> boxes = new TreeMap<>();
+    private final Map<Integer, ServerProcess> boxes = new TreeMap<>();
     private final Map<Integer, Integer> real = new HashMap<>();
     private final Map<Integer, Integer> relayed = new HashMap<>();
-    private final List<Watch> watches = new ArrayList<>();
+    private final List<MembershipPoller> watches = new ArrayList<>();
     private final List<Process> burners = new ArrayList<>();
-    private final Links links;
+    private final FaultProxy links;
     private final SplittableRandom chance;
     private final long seed;
     private History history;
@@ -90,8 +90,8 @@
      *     what callers get
      * @param copiesOn whether they keep copies, where the script has them
      */
-    Stage(
-            FleetScript script,
+    ScenarioRunner(
+            FleetScenario script,
             long seed,
             Path folder,
             boolean viewOn,
@@ -100,16 +100,16 @@
             throws IOException {
         this.script = script;
         this.seed = seed;
-        this.plan = Plan.of(script);
+        this.plan = FaultSchedule.of(script);
         this.folder = folder;
         this.viewOn = viewOn;
         this.copiesOn = copiesOn && viewOn && script.copies();
         this.stores = this.copiesOn && script.store();
         this.progress = progress;
-        Seeds seeds = new Seeds(seed);
+        RandomStreams seeds = new RandomStreams(seed);
         this.chance = seeds.of("floods");
         this.history = new History(System.nanoTime());
-        this.links = new Links(new Faults(plan, seeds.of("faults")), () -> history.now());
+        this.links = new FaultProxy(new LinkFaults(plan, seeds.of("faults")), () -> history.now());
     }
 
     /** Plays it; the history of all that happened. */
@@ -117,16 +117,16 @@
         // Script time begins when the members of the script are there; before it they start as they
         // can.
         history = new History(System.nanoTime() + 3_600_000_000_000L);
-        for (Plan.Slot slot : plan.slots()) {
+        for (FaultSchedule.Slot slot : plan.slots()) {
             box(slot, this::ran);
         }
         links.start();
-        for (Plan.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : plan.actions()) {
             if (first(action)) {
                 start(action);
             }
         }
-        for (Plan.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : plan.actions()) {
             if (first(action) && !boxes.get(action.slot()).awaitPart()) {
                 throw new IOException("server " + action.slot() + " did not start");
             }
@@ -147,18 +147,18 @@
         if (copiesOn) {
             awaitKeepers();
         }
-        Load load =
-                new Load(
+        LoadGenerator load =
+                new LoadGenerator(
                         history,
                         List.copyOf(boxes.values()),
                         script.load().perSecond(),
                         seed,
                         script.copies());
         load.start();
-        for (Plan.Fault fault : plan.faults()) {
+        for (FaultSchedule.Fault fault : plan.faults()) {
             put(fault);
         }
-        for (Plan.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : plan.actions()) {
             if (first(action)) {
                 continue;
             }
@@ -181,9 +181,9 @@
             act(action);
         }
         until(plan.lastS());
-        for (Plan.Action action : plan.actions()) {
-            Box box = boxes.get(action.slot());
-            if (action.act() == Plan.Act.START && !first(action) && !box.awaitPart()) {
+        for (FaultSchedule.Action action : plan.actions()) {
+            ServerProcess box = boxes.get(action.slot());
+            if (action.act() == FaultSchedule.Act.START && !first(action) && !box.awaitPart()) {
                 history.add(History.What.VOID, action.slot(), "", "it did not start");
             }
         }
@@ -205,13 +205,13 @@
      * Servers speak to one another without links between: for measurements of what they do
      * themselves.
      */
-    Stage direct() {
+    ScenarioRunner direct() {
         direct = true;
         return this;
     }
 
     /** Versions are brought out to the servers, which have this in their operators' files, too. */
-    Stage versions(String members) {
+    ScenarioRunner versions(String members) {
         more = members;
         return this;
     }
@@ -220,7 +220,7 @@
      * Servers have room for what they are measured with: else it would be the bounds on what is
      * kept that are measured.
      */
-    Stage forLoad() {
+    ScenarioRunner forLoad() {
         forLoad = true;
         return this;
     }
@@ -230,14 +230,14 @@
      * played.
      */
     void raise(BiConsumer<Integer, String> ran) throws IOException, InterruptedException {
-        for (Plan.Slot slot : plan.slots()) {
+        for (FaultSchedule.Slot slot : plan.slots()) {
             box(slot, ran);
         }
         links.start();
-        for (Plan.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : plan.actions()) {
             start(action);
         }
-        for (Box box : boxes.values()) {
+        for (ServerProcess box : boxes.values()) {
             if (!box.awaitPart()) {
                 throw new IOException("server " + box.slot.number() + " did not start");
             }
@@ -252,14 +252,14 @@
         links.cut(these);
     }
 
-    Box box(int number) {
+    ServerProcess box(int number) {
         return boxes.get(number);
     }
 
     /** Starts a server again, with the disk that it has. */
     void again(int number) throws IOException, InterruptedException {
-        for (Plan.Action action : plan.actions()) {
-            if (action.slot() == number && action.act() == Plan.Act.START) {
+        for (FaultSchedule.Action action : plan.actions()) {
+            if (action.slot() == number && action.act() == FaultSchedule.Act.START) {
                 start(action);
             }
         }
@@ -268,9 +268,9 @@
     /** From here on all that is noted has its time from the script's beginning. */
     private void become(History begun) {
         history = begun;
-        Map<Integer, Box> there = new TreeMap<>(boxes);
+        Map<Integer, ServerProcess> there = new TreeMap<>(boxes);
         there.forEach((number, box) -> box.become(begun));
-        for (Box box : boxes.values()) {
+        for (ServerProcess box : boxes.values()) {
             if (viewOn) {
                 watch(box);
             }
@@ -284,7 +284,7 @@
     private void awaitKeepers() throws InterruptedException, IOException {
         // All of them, in whatever epoch that comes to be.
         String wanted = "of \\[" + "[^, ]+, ".repeat(script.members() - 1) + "[^, ]+\\]";
-        for (Box box : boxes.values()) {
+        for (ServerProcess box : boxes.values()) {
             if (box.slot.number() <= script.members()
                     && !box.awaitLine(Pattern.compile(wanted), KEEPERS_S * script.members())) {
                 throw new IOException("no keepers were agreed on at server " + box.slot.number());
@@ -304,35 +304,35 @@
                                 null));
             }
         }
-        for (Watch watch : watches) {
+        for (MembershipPoller watch : watches) {
             watch.become(begun);
         }
         history = begun;
         boxes.forEach((number, box) -> box.become(begun));
     }
 
-    private boolean first(Plan.Action action) {
-        return action.act() == Plan.Act.START
+    private boolean first(FaultSchedule.Action action) {
+        return action.act() == FaultSchedule.Act.START
                 && action.slot() <= script.members()
                 && action.atS() <= script.startS()
                 && !repeated(action);
     }
 
-    private boolean repeated(Plan.Action action) {
-        for (Plan.Action each : plan.actions()) {
+    private boolean repeated(FaultSchedule.Action action) {
+        for (FaultSchedule.Action each : plan.actions()) {
             if (each == action) {
                 return false;
             }
-            if (each.slot() == action.slot() && each.act() == Plan.Act.START) {
+            if (each.slot() == action.slot() && each.act() == FaultSchedule.Act.START) {
                 return true;
             }
         }
         return false;
     }
 
-    private void box(Plan.Slot slot, BiConsumer<Integer, String> ran) throws IOException {
-        Box box =
-                new Box(
+    private void box(FaultSchedule.Slot slot, BiConsumer<Integer, String> ran) throws IOException {
+        ServerProcess box =
+                new ServerProcess(
                         slot,
                         folder,
                         history,
@@ -352,7 +352,7 @@
         if (port != null) {
             return port;
         }
-        int fresh = Box.freePort();
+        int fresh = ServerProcess.freePort();
         real.put(address, fresh);
         relayed.put(address, links.open(address, fresh));
         return fresh;
@@ -365,8 +365,8 @@
 
     private final Map<Integer, Integer> addressOf = new HashMap<>();
 
-    private void start(Plan.Action action) throws IOException, InterruptedException {
-        Box box = boxes.get(action.slot());
+    private void start(FaultSchedule.Action action) throws IOException, InterruptedException {
+        ServerProcess box = boxes.get(action.slot());
         box.awaitEnd();
         int listen = real(action.address());
         links.at(action.address(), action.slot());
@@ -387,27 +387,29 @@
                 stores);
     }
 
-    private double clock(Plan.Action action) {
+    private double clock(FaultSchedule.Action action) {
         double back = 0;
-        for (Plan.Fault fault : plan.faults()) {
+        for (FaultSchedule.Fault fault : plan.faults()) {
             boolean on = action.atS() >= fault.atS() && action.atS() <= fault.untilS();
-            if (fault.what() == Plan.Link.CLOCK && on && fault.to().contains(action.slot())) {
+            if (fault.what() == FaultSchedule.Link.CLOCK
+                    && on
+                    && fault.to().contains(action.slot())) {
                 back += fault.strength();
             }
         }
         return back;
     }
 
-    private void watch(Box box) {
+    private void watch(ServerProcess box) {
         Integer address = addressOf.get(box.slot.number());
         if (address == null) {
             return;
         }
-        watches.add(new Watch(box, real.get(address), history, WATCH_MS));
+        watches.add(new MembershipPoller(box, real.get(address), history, WATCH_MS));
     }
 
-    private void act(Plan.Action action) throws IOException, InterruptedException {
-        Box box = boxes.get(action.slot());
+    private void act(FaultSchedule.Action action) throws IOException, InterruptedException {
+        ServerProcess box = boxes.get(action.slot());
         switch (action.act()) {
             case START -> {
                 Integer before = addressOf.get(action.slot());
@@ -457,14 +459,14 @@
     Map<Integer, JsonNode> compared() throws InterruptedException {
         double bound = history.now() + COPIES_S;
         Map<Integer, JsonNode> told = new TreeMap<>();
-        for (Box box : boxes.values()) {
+        for (ServerProcess box : boxes.values()) {
             if (box.up) {
                 door(box, "copies-repair");
             }
         }
         while (history.now() < bound) {
             told.clear();
-            for (Box box : boxes.values()) {
+            for (ServerProcess box : boxes.values()) {
                 if (box.up) {
                     told.put(box.slot.number(), door(box, "copies-digests"));
                 }
@@ -478,17 +480,17 @@
     }
 
     /** What a server tells operators; null where it does not. */
-    JsonNode door(Box box, String word) {
+    JsonNode door(ServerProcess box, String word) {
         return door(box, word, "");
     }
 
-    JsonNode door(Box box, String word, String with) {
+    JsonNode door(ServerProcess box, String word, String with) {
         Integer address = addressOf.get(box.slot.number());
-        try (FleetClient client =
-                new FleetClient(
+        try (AdminClient client =
+                new AdminClient(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), real.get(address)),
                         "drill",
-                        Watch.KEYS)) {
+                        MembershipPoller.KEYS)) {
             return JSON.readTree(client.ask(word, with));
         } catch (IOException e) {
             progress.accept("server " + box.slot.number() + " cannot be asked: " + e.getMessage());
@@ -511,9 +513,9 @@
     }
 
     /** Faults that are not the links' own: crowds on the cores, floods at a port. */
-    private void put(Plan.Fault fault) {
-        if (fault.what() == Plan.Link.CROWD) {
-            Daemon.start(
+    private void put(FaultSchedule.Fault fault) {
+        if (fault.what() == FaultSchedule.Link.CROWD) {
+            DaemonThreads.start(
                     () -> {
                         until(fault.atS());
                         int count =
@@ -529,8 +531,9 @@
                         until(fault.untilS());
                         mine.forEach(Process::destroyForcibly);
                     });
-        } else if (fault.what() == Plan.Link.FULL || fault.what() == Plan.Link.STALL) {
-            Daemon.start(
+        } else if (fault.what() == FaultSchedule.Link.FULL
+                || fault.what() == FaultSchedule.Link.STALL) {
+            DaemonThreads.start(
                     () -> {
                         until(fault.atS());
                         for (int slot : fault.to()) {
@@ -541,15 +544,16 @@
                             boxes.get(slot).diskIs(null);
                         }
                     });
-        } else if (fault.what() == Plan.Link.FLOOD) {
+        } else if (fault.what() == FaultSchedule.Link.FLOOD) {
             for (int slot : fault.to()) {
-                Daemon.start(() -> flood(fault, slot));
+                DaemonThreads.start(() -> flood(fault, slot));
             }
         }
     }
 
     /** Garbage, packets with a byte spoilt, and packets that went by before, as fast as told. */
-    private void flood(Plan.Fault fault, int slot) throws IOException, InterruptedException {
+    private void flood(FaultSchedule.Fault fault, int slot)
+            throws IOException, InterruptedException {
         until(fault.atS());
         SplittableRandom mine;
         synchronized (chance) {
@@ -616,14 +620,14 @@
 
     private boolean right() {
         Set<String> there = new TreeSet<>();
-        for (Box box : boxes.values()) {
+        for (ServerProcess box : boxes.values()) {
             if (box.up && !box.leaves) {
                 there.add(box.start);
             }
         }
         String digest = null;
         Set<String> looked = new TreeSet<>();
-        for (Watch watch : watches) {
+        for (MembershipPoller watch : watches) {
             if (watch.start == null || !there.contains(watch.start)) {
                 continue;
             }
@@ -650,13 +654,13 @@
     @Override
     public void close() throws IOException {
         over = true;
-        for (Watch watch : watches) {
+        for (MembershipPoller watch : watches) {
             watch.end();
         }
         synchronized (burners) {
             burners.forEach(Process::destroyForcibly);
         }
-        for (Box box : boxes.values()) {
+        for (ServerProcess box : boxes.values()) {
             box.close();
         }
         links.close();
--- a/drill/src/main/java/ochretiller/drill/Box.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -22,14 +22,14 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.Plan;
-import ochretiller.standin.Daemon;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.StandIns;
+import ochretiller.emulator.fleet.FaultSchedule;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.fakes.DaemonThreads;
+import ochretiller.fakes.FakeServices;
+import ochretiller.fakes.GatewayMessages;
 
 /** One slot: a packaged server with stand-ins of its own, started as often as the script says. */
-final class Box {
+final class ServerProcess {
     private static final Pattern PART = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
 
     /** Two dozen servers fit the machine beside what they are drilled with. */
@@ -53,10 +53,10 @@
     private static final AtomicInteger NEXT =
             new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORTS));
 
-    final Plan.Slot slot;
+    final FaultSchedule.Slot slot;
     final int serves;
     private final Path folder;
-    private final StandIns outside;
+    private final FakeServices outside;
     private volatile History history;
     private Process process;
     private CountDownLatch part = new CountDownLatch(1);
@@ -87,20 +87,21 @@
     /** Characters on top of each result. */
     volatile int longer;
 
-    Box(Plan.Slot slot, Path folder, History history, StandIns.Runs runs) throws IOException {
+    ServerProcess(FaultSchedule.Slot slot, Path folder, History history, FakeServices.Runs runs)
+            throws IOException {
         this.slot = slot;
         this.folder = Files.createDirectories(folder.resolve("server-" + slot.number()));
         this.history = history;
         // Of another run.
         Files.deleteIfExists(this.folder.resolve("voter"));
         Files.deleteIfExists(this.folder.resolve("peers"));
-        Disks.delete(this.folder.resolve("versions"));
-        Disks.delete(audit());
+        DiskFaults.delete(this.folder.resolve("versions"));
+        DiskFaults.delete(audit());
         diskIs(null);
-        Disks.delete(store());
-        Disks.delete(image());
+        DiskFaults.delete(store());
+        DiskFaults.delete(image());
         this.serves = freePort();
-        outside = new StandIns("127.0.0.1", new int[3], line -> {}, report -> {});
+        outside = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
         outside.runs =
                 (rid, operation, body) -> {
                     runs.begun(rid, operation, body);
@@ -133,22 +134,22 @@
 
     /** Takes an image of its disk as it is, in the midst of whatever is written. */
     void takeImage() throws IOException {
-        Disks.delete(image());
-        Disks.copy(store(), image());
+        DiskFaults.delete(image());
+        DiskFaults.copy(store(), image());
     }
 
     /**
      * Makes its disk what the script says, while it is down; what a voter has promised is on
      * another disk.
      */
-    void disk(FleetScript.Disk what) throws IOException {
+    void disk(FleetScenario.Disk what) throws IOException {
         switch (what) {
-            case EMPTY -> Disks.delete(store());
+            case EMPTY -> DiskFaults.delete(store());
             case OLD -> {
-                Disks.delete(store());
-                Disks.copy(image(), store());
+                DiskFaults.delete(store());
+                DiskFaults.copy(image(), store());
             }
-            case CUT -> Disks.cut(store());
+            case CUT -> DiskFaults.cut(store());
             default -> {}
         }
     }
@@ -223,7 +224,7 @@
         Path config = folder.resolve("config.json");
         Files.writeString(
                 config,
-                Gateways.config(
+                GatewayMessages.config(
                                 serves,
                                 outside.processorPort(),
                                 outside.recordsPort(),
@@ -288,7 +289,7 @@
         CountDownLatch mine = part;
         leaves = false;
         paused = false;
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     try (BufferedReader lines =
                                     new BufferedReader(
--- a/drill/src/test/java/ochretiller/drill/DrillTest.java
+++ b/drill/src/test/java/ochretiller/drill/DrillTest.java
@@ -4,8 +4,8 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -33,8 +33,8 @@
                 "copies/disks"
             })
     void comesOutAsTheScriptExpects(String name) throws Exception {
-        FleetScript script = FleetScriptFile.read(SCRIPTS.resolve(name + ".json5"));
-        Checker checker = null;
+        FleetScenario script = FleetScenarioReader.read(SCRIPTS.resolve(name + ".json5"));
+        HistoryChecker checker = null;
         for (int i = 0; i < TRIES && (checker == null || checker.voided()); i++) {
             checker = Drill.play(script, 1, folder.resolve("try-" + i), true, true, true);
         }
--- a/drill/src/test/java/ochretiller/drill/StepsTest.java
+++ b/drill/src/test/java/ochretiller/drill/FailoverScenarioTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Servers that are killed and paused at each step of an invocation. */
-class StepsTest {
+class FailoverScenarioTest {
     @TempDir private Path folder;
 
     @Test
     void eachStepComesOutAsItHasTo() throws Exception {
-        try (Steps steps = new Steps(folder, true, line -> {})) {
+        try (FailoverScenario steps = new FailoverScenario(folder, true, line -> {})) {
             assertThat(steps.play()).isEmpty();
         }
     }
--- a/drill/src/test/java/ochretiller/drill/CheckerTest.java
+++ b/drill/src/test/java/ochretiller/drill/HistoryCheckerTest.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
 import org.junit.jupiter.api.Test;
 
 /** The checker finds each planted fault, and none where there is none. */
-class CheckerTest {
-    private final FleetScript script =
-            FleetScriptFile.of(
+class HistoryCheckerTest {
+    private final FleetScenario script =
+            FleetScenarioReader.of(
                     """
                     { seconds: 20, members: 3, incidents: [ { at_s: 4, what: 'kill', who: '3' } ],
                       expect: { settled_s: 8, false_verdicts: 0, changes_each: 1, value_share: 0.9 } }\
@@ -63,14 +63,14 @@
         List<History.Event> events = good();
         plant.accept(events);
         events.sort(java.util.Comparator.comparingDouble(History.Event::atS));
-        assertThat(new Checker(script, events).broken())
+        assertThat(new HistoryChecker(script, events).broken())
                 .as(rule)
                 .anyMatch(line -> line.startsWith(rule));
     }
 
     @Test
     void aGoodHistoryIsGood() {
-        Checker checker = new Checker(script, good());
+        HistoryChecker checker = new HistoryChecker(script, good());
         assertThat(checker.broken()).isEmpty();
         assertThat(checker.settledS()).isEqualTo(2);
         assertThat(checker.knownMs(99)).isEqualTo(2000);
@@ -143,7 +143,7 @@
         List<History.Event> events = good();
         events.add(event(3, History.What.RAN, 1, "body2", ""));
         events.add(event(3, History.What.VOID, 1, "", "came late"));
-        Checker checker = new Checker(script, events);
+        HistoryChecker checker = new HistoryChecker(script, events);
         assertThat(checker.voided()).isTrue();
         assertThat(checker.broken()).isEmpty();
     }
--- a/drill/src/test/java/ochretiller/drill/LoadTest.java
+++ b/drill/src/test/java/ochretiller/drill/LoadGeneratorTest.java
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
-import ochretiller.emulator.fleet.Plan;
-import ochretiller.standin.Daemon;
-import ochretiller.standin.Wire;
+import ochretiller.emulator.fleet.FaultSchedule;
+import ochretiller.fakes.DaemonThreads;
+import ochretiller.fakes.FakeConnection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What callers note of their ends: an end that they miss would be held against the servers. */
-class LoadTest {
+class LoadGeneratorTest {
     private static final int SLOW_MS = 700;
 
     @TempDir private Path folder;
@@ -29,14 +29,14 @@
      */
     private static void answers(ServerSocket server) {
         AtomicInteger connections = new AtomicInteger();
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     while (!server.isClosed()) {
                         Socket socket = server.accept();
                         boolean slow = connections.getAndIncrement() % 2 == 0;
-                        Daemon.start(
+                        DaemonThreads.start(
                                 () -> {
-                                    try (Wire wire = new Wire(socket)) {
+                                    try (FakeConnection wire = new FakeConnection(socket)) {
                                         for (String line = wire.line();
                                                 line != null;
                                                 line = wire.line()) {
@@ -59,9 +59,9 @@
     @Test
     void allThatWasAskedHasItsEndNoted() throws Exception {
         History history = new History(System.nanoTime());
-        Box box =
-                new Box(
-                        new Plan.Slot(1, "m1", 1, 1),
+        ServerProcess box =
+                new ServerProcess(
+                        new FaultSchedule.Slot(1, "m1", 1, 1),
                         folder,
                         history,
                         (rid, operation, body) -> {});
@@ -70,7 +70,7 @@
             answers(server);
             box.up = true;
             for (int i = 0; i < 4; i++) {
-                Load load = new Load(history, List.of(box), 800, i, false);
+                LoadGenerator load = new LoadGenerator(history, List.of(box), 800, i, false);
                 load.start();
                 Thread.sleep(300);
                 load.end();
--- a/drill/src/test/java/ochretiller/drill/VersionStepsTest.java
+++ b/drill/src/test/java/ochretiller/drill/RolloutScenarioTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Versions brought out to packaged servers, with a fault at a step of each. */
-class VersionStepsTest {
+class RolloutScenarioTest {
     @TempDir private Path folder;
 
     @Test
     void eachVersionComesOutAsItHasTo() throws Exception {
-        try (VersionSteps steps = new VersionSteps(folder, line -> {})) {
+        try (RolloutScenario steps = new RolloutScenario(folder, line -> {})) {
             assertThat(steps.play()).isEmpty();
         }
     }
--- a/emulator/run.sh
+++ b/emulator/run.sh
@@ -4,4 +4,4 @@
 cd "$(dirname "$0")/.."
 [ -n "${BUILT:-}" ] || mvn -q -B -ntp -DskipTests install
 [ -n "${BUILT:-}" ] || mvn -q -B -ntp -DskipTests -f emulator/pom.xml package
-exec java -Xmx4g -Djava.awt.headless=true -cp 'emulator/target/emulator.jar:emulator/target/lib/*' ochretiller.emulator.Rehearse "$@"
+exec java -Xmx4g -Djava.awt.headless=true -cp 'emulator/target/emulator.jar:emulator/target/lib/*' ochretiller.emulator.SimulateCommand "$@"
--- a/emulator/src/main/java/ochretiller/emulator/FleetCommands.java
+++ b/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
@@ -8,29 +8,29 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import ochretiller.emulator.fleet.ClaimsModel;
-import ochretiller.emulator.fleet.CopiesMeasure;
-import ochretiller.emulator.fleet.CopiesWorld;
-import ochretiller.emulator.fleet.Drawn;
-import ochretiller.emulator.fleet.Explore;
-import ochretiller.emulator.fleet.FleetMeasure;
+import ochretiller.emulator.fleet.ClaimStateModel;
 import ochretiller.emulator.fleet.FleetOutcome;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
-import ochretiller.emulator.fleet.FleetWorld;
-import ochretiller.emulator.fleet.MembersModel;
-import ochretiller.emulator.fleet.VersionsWorld;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
+import ochretiller.emulator.fleet.MembershipMeasurement;
+import ochretiller.emulator.fleet.MembershipSimulation;
+import ochretiller.emulator.fleet.MembershipStateModel;
+import ochretiller.emulator.fleet.RandomScenarios;
+import ochretiller.emulator.fleet.ReplicationMeasurement;
+import ochretiller.emulator.fleet.ReplicationSimulation;
+import ochretiller.emulator.fleet.RolloutSimulation;
+import ochretiller.emulator.fleet.StateSpaceExplorer;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Fleets in virtual time. Exit codes as those of {@link Rehearse}. */
+/** Fleets in virtual time. Exit codes as those of {@link SimulateCommand}. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = "Play faults on a fleet of servers and between them.")
-final class FleetCommands implements Runnable {
+final class FleetSimulateCommand implements Runnable {
     private static final int MISSED = 1;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -53,12 +53,12 @@
                             description = "As many members as this, instead of the script's.")
                     Integer members)
             throws Exception {
-        FleetScript read = FleetScriptFile.read(file);
-        FleetScript script = members == null ? read : read.sized(members);
+        FleetScenario read = FleetScenarioReader.read(file);
+        FleetScenario script = members == null ? read : read.sized(members);
         List<Callable<FleetOutcome>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
             long each = seed + i;
-            runs.add(() -> new FleetWorld(script, each, true, 0).play());
+            runs.add(() -> new MembershipSimulation(script, each, true, 0).play());
         }
         int missed = 0;
         int number = 0;
@@ -111,7 +111,10 @@
         List<Callable<FleetOutcome>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
             long each = seed + i;
-            runs.add(() -> new FleetWorld(Drawn.script(each, settled), each).play());
+            runs.add(
+                    () ->
+                            new MembershipSimulation(RandomScenarios.script(each, settled), each)
+                                    .play());
         }
         List<Double> times = new ArrayList<>();
         int failed = 0;
@@ -128,7 +131,7 @@
                 outcome.notes.forEach(line -> System.out.println("  " + line));
             }
             if (seeds == 1) {
-                System.out.println(Drawn.script(seed, settled) + "\n" + outcome.notes);
+                System.out.println(RandomScenarios.script(seed, settled) + "\n" + outcome.notes);
             }
             if (++number % 1000 == 0) {
                 System.err.println(number + " of " + seeds);
@@ -181,13 +184,13 @@
                             description = "Each server for itself, as without a fleet.")
                     boolean alone)
             throws Exception {
-        List<Callable<CopiesWorld.Outcomes>> runs = new ArrayList<>();
+        List<Callable<ReplicationSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
             long each = seed + i;
             runs.add(
                     () ->
-                            new CopiesWorld(
-                                            Drawn.copies(each),
+                            new ReplicationSimulation(
+                                            RandomScenarios.copies(each),
                                             each,
                                             each % 3 * 0.4,
                                             each / 3 % 2 * oldDisks,
@@ -199,11 +202,11 @@
                                             each % 5 * 0.5)
                                     .play(tokens, 25));
         }
-        CopiesWorld.Outcomes all = new CopiesWorld.Outcomes();
+        ReplicationSimulation.Outcomes all = new ReplicationSimulation.Outcomes();
         int broken = 0;
         int number = 0;
-        for (Future<CopiesWorld.Outcomes> each : all(runs)) {
-            CopiesWorld.Outcomes one = each.get();
+        for (Future<ReplicationSimulation.Outcomes> each : all(runs)) {
+            ReplicationSimulation.Outcomes one = each.get();
             all.tries += one.tries;
             all.succeeded += one.succeeded;
             all.replayed += one.replayed;
@@ -275,7 +278,7 @@
             @Option(names = "--seeds", defaultValue = "5") int seeds,
             @Option(names = "--minutes", defaultValue = "10") double minutes)
             throws Exception {
-        new FleetMeasure(out, seeds).write(sizes, minutes * 60, System.err::println);
+        new MembershipMeasurement(out, seeds).write(sizes, minutes * 60, System.err::println);
         return 0;
     }
 
@@ -302,15 +305,15 @@
                             description = "Servers heed no lease: stragglers have to be seen.")
                     boolean open)
             throws Exception {
-        List<Callable<VersionsWorld.Outcomes>> runs = new ArrayList<>();
+        List<Callable<RolloutSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
             long each = seed + i;
             runs.add(
                     () -> {
-                        FleetScript drawn = Drawn.copies(each);
-                        FleetScript script =
+                        FleetScenario drawn = RandomScenarios.copies(each);
+                        FleetScenario script =
                                 calm
-                                        ? new FleetScript(
+                                        ? new FleetScenario(
                                                 drawn.name(),
                                                 drawn.seconds(),
                                                 drawn.members(),
@@ -326,16 +329,16 @@
                                                 List.of(),
                                                 drawn.expect())
                                         : drawn;
-                        return new VersionsWorld(script, each, !open).play(publish, harmful);
+                        return new RolloutSimulation(script, each, !open).play(publish, harmful);
                     });
         }
-        VersionsWorld.Outcomes all = new VersionsWorld.Outcomes();
+        RolloutSimulation.Outcomes all = new RolloutSimulation.Outcomes();
         List<Double> settled = new ArrayList<>();
         int broken = 0;
         int unsettled = 0;
         int number = 0;
-        for (Future<VersionsWorld.Outcomes> each : all(runs)) {
-            VersionsWorld.Outcomes one = each.get();
+        for (Future<RolloutSimulation.Outcomes> each : all(runs)) {
+            RolloutSimulation.Outcomes one = each.get();
             all.published += one.published;
             all.harmless += one.harmless;
             all.harmlessStopped += one.harmlessStopped;
@@ -396,7 +399,7 @@
             @Option(names = "--sizes", split = ",", defaultValue = "10,30,100,300,1000")
                     List<Integer> sizes)
             throws Exception {
-        new CopiesMeasure(out).write(sizes, System.out::println);
+        new ReplicationMeasurement(out).write(sizes, System.out::println);
         return 0;
     }
 
@@ -426,12 +429,13 @@
                             description = "With a planted fault, which has to be found.")
                     boolean planted)
             throws Exception {
-        Explore.Found found =
-                new Explore(
+        StateSpaceExplorer.Found found =
+                new StateSpaceExplorer(
                                 () ->
                                         claims
-                                                ? new ClaimsModel(crashes, planted)
-                                                : new MembersModel(members, crashes, planted))
+                                                ? new ClaimStateModel(crashes, planted)
+                                                : new MembershipStateModel(
+                                                        members, crashes, planted))
                         .explore(depth, states, System.out::println);
         System.out.printf(
                 Locale.ROOT,
--- a/emulator/src/main/java/ochretiller/emulator/Rehearse.java
+++ b/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
@@ -13,15 +13,15 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import ochretiller.emulator.experiment.Estimate;
+import ochretiller.emulator.experiment.ConfidenceInterval;
 import ochretiller.emulator.experiment.Experiment;
+import ochretiller.emulator.experiment.ParallelRunner;
 import ochretiller.emulator.experiment.Report;
-import ochretiller.emulator.experiment.Runs;
-import ochretiller.emulator.hunt.Hunt;
-import ochretiller.emulator.script.Script;
-import ochretiller.emulator.script.ScriptFile;
-import ochretiller.emulator.world.Outcome;
-import ochretiller.emulator.world.World;
+import ochretiller.emulator.faultsearch.FaultSearch;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.emulator.scenario.ScenarioReader;
+import ochretiller.emulator.simulation.Simulation;
+import ochretiller.emulator.simulation.SimulationResult;
 import ochretiller.settings.MalformedException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -35,9 +35,9 @@
 @Command(
         name = "rehearse",
         mixinStandardHelpOptions = true,
-        subcommands = FleetCommands.class,
+        subcommands = FleetSimulateCommand.class,
         description = "Play incidents in virtual time round the server's decisions.")
-final class Rehearse implements Runnable {
+final class SimulateCommand implements Runnable {
     private static final int MISSED = 1;
     private static final int WRONG = 2;
     private static final String SCRIPT = "The script, in JSON5.";
@@ -85,7 +85,7 @@
             mixinStandardHelpOptions = true,
             description = "Read a script and say whether it is good.")
     int check(@Parameters(description = SCRIPT) Path script) {
-        System.out.println("the script " + ScriptFile.read(script).name() + " is good");
+        System.out.println("the script " + ScenarioReader.read(script).name() + " is good");
         return 0;
     }
 
@@ -95,7 +95,7 @@
             description = "Play a script with some seeds.")
     int run(@Parameters(description = SCRIPT) Path script, @CommandLine.Mixin Shared shared)
             throws Exception {
-        return experiment(List.of("as written"), List.of(ScriptFile.read(script)), shared);
+        return experiment(List.of("as written"), List.of(ScenarioReader.read(script)), shared);
     }
 
     @Command(
@@ -116,15 +116,15 @@
                     List<Path> beside,
             @CommandLine.Mixin Shared shared)
             throws Exception {
-        Script first = ScriptFile.read(script);
+        Scenario first = ScenarioReader.read(script);
         List<String> names = new ArrayList<>(List.of(first.name()));
-        List<Script> scripts = new ArrayList<>(List.of(first));
+        List<Scenario> scripts = new ArrayList<>(List.of(first));
         for (String settings : with == null ? List.<String>of() : with) {
             names.add(settings);
-            scripts.add(ScriptFile.variant(script, settings));
+            scripts.add(ScenarioReader.variant(script, settings));
         }
         for (Path other : beside == null ? List.<Path>of() : beside) {
-            scripts.add(ScriptFile.read(other));
+            scripts.add(ScenarioReader.read(other));
             names.add(scripts.get(scripts.size() - 1).name());
         }
         if (scripts.size() < 2) {
@@ -150,21 +150,25 @@
             @CommandLine.Mixin Shared shared)
             throws Exception {
         List<String> names = new ArrayList<>();
-        List<Script> scripts = new ArrayList<>();
+        List<Scenario> scripts = new ArrayList<>();
         for (String value : values) {
             names.add(setting + '=' + value);
-            scripts.add(ScriptFile.variant(script, setting + '=' + value));
+            scripts.add(ScenarioReader.variant(script, setting + '=' + value));
         }
         return experiment(names, scripts, shared);
     }
 
-    private static int experiment(List<String> names, List<Script> scripts, Shared shared)
+    private static int experiment(List<String> names, List<Scenario> scripts, Shared shared)
             throws Exception {
         Experiment experiment =
                 new Experiment(
-                        scripts, shared.seed, shared.seeds, shared.within, Outcome::valueShare);
+                        scripts,
+                        shared.seed,
+                        shared.seeds,
+                        shared.within,
+                        SimulationResult::valueShare);
         long began = System.nanoTime();
-        try (Runs runs = new Runs(shared.cores())) {
+        try (ParallelRunner runs = new ParallelRunner(shared.cores())) {
             int round = Math.max(1, shared.cores() / scripts.size());
             experiment.play(
                     runs,
@@ -198,7 +202,7 @@
         out.println(names.get(variant));
         Report.FIGURES.forEach(
                 (name, figure) -> {
-                    Estimate difference =
+                    ConfidenceInterval difference =
                             variant == 0 ? null : experiment.difference(variant, figure);
                     out.printf(
                             Locale.ROOT,
@@ -231,9 +235,9 @@
     int replay(
             @Parameters(description = SCRIPT) Path file,
             @Option(names = "--seed", required = true) long seed) {
-        Script script = ScriptFile.read(file);
+        Scenario script = ScenarioReader.read(file);
         long began = System.nanoTime();
-        Outcome outcome = new World(script, seed).play();
+        SimulationResult outcome = new Simulation(script, seed).play();
         double spent = (System.nanoTime() - began) / 1e9;
         Report.FIGURES.forEach(
                 (name, figure) ->
@@ -284,19 +288,19 @@
                     Integer atOnce,
             @Option(names = "--save", description = "Where the found script goes.") Path save)
             throws Exception {
-        Script base = ScriptFile.read(file);
+        Scenario base = ScenarioReader.read(file);
         int cores = atOnce == null ? Runtime.getRuntime().availableProcessors() : atOnce;
-        try (Runs runs = new Runs(cores)) {
-            Hunt hunt = new Hunt(runs, base, seed);
-            Hunt.Find found = hunt.search(tries, cores * 2, System.err::println);
-            Hunt.Find cut = hunt.cut(found, System.err::println);
+        try (ParallelRunner runs = new ParallelRunner(cores)) {
+            FaultSearch hunt = new FaultSearch(runs, base, seed);
+            FaultSearch.Find found = hunt.search(tries, cores * 2, System.err::println);
+            FaultSearch.Find cut = hunt.cut(found, System.err::println);
             System.out.printf(
                     Locale.ROOT,
                     "%s, seed %d, value %.4f%n",
                     cut.broken() ? "a rule is broken: " + cut.line() : "greatest loss",
                     cut.seed(),
                     cut.value());
-            for (Script.Incident each : cut.script().incidents()) {
+            for (Scenario.Incident each : cut.script().incidents()) {
                 System.out.printf(
                         Locale.ROOT,
                         "  { at_s: %s, for_s: %s, what: '%s', share: %s, strength: %s },%n",
@@ -322,14 +326,14 @@
             @Parameters(description = SCRIPT) Path file,
             @Option(names = "--boxes", split = ",", defaultValue = "10,100,1000")
                     List<Integer> boxes) {
-        Script base = ScriptFile.read(file);
+        Scenario base = ScenarioReader.read(file);
         System.out.println("boxes,events,events a second,times real time,MB");
         for (int pass = 0; pass < 2; pass++) { // the first makes the code warm
             for (int count : boxes) {
-                Script script = base.scaled((double) count / base.fleet().boxes());
+                Scenario script = base.scaled((double) count / base.fleet().boxes());
                 long began = System.nanoTime();
-                World world = new World(script, 1);
-                Outcome outcome = world.play();
+                Simulation world = new Simulation(script, 1);
+                SimulationResult outcome = world.play();
                 double spent = (System.nanoTime() - began) / 1e9;
                 System.gc();
                 long used = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
@@ -356,12 +360,12 @@
      * The script as it stands in its file, with the incidents that were found in the place of its
      * own.
      */
-    private static void save(Path file, Hunt.Find found, Path to) throws IOException {
+    private static void save(Path file, FaultSearch.Find found, Path to) throws IOException {
         ObjectMapper mapper =
                 JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
-        Map<String, Object> root = ScriptFile.members(file);
+        Map<String, Object> root = ScenarioReader.members(file);
         List<Object> incidents = new ArrayList<>();
-        for (Script.Incident each : found.script().incidents()) {
+        for (Scenario.Incident each : found.script().incidents()) {
             Map<String, Object> incident = new LinkedHashMap<>();
             incident.put("at_s", each.atS());
             incident.put("for_s", each.forS());
@@ -382,7 +386,7 @@
 
     /** The exit code; what went wrong is told in one line. */
     static int execute(String... words) {
-        CommandLine line = new CommandLine(new Rehearse());
+        CommandLine line = new CommandLine(new SimulateCommand());
         line.setExecutionExceptionHandler(
                 (fault, command, parsed) ->
                         told(
--- a/emulator/src/main/java/ochretiller/emulator/core/Events.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/EventQueue.java
@@ -6,7 +6,7 @@
 /**
  * What is to happen, in the order of its time and, at one time, in the order in which it was said.
  */
-public final class Events {
+public final class EventQueue {
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
     private long numbers;
     private long now;
--- a/emulator/src/main/java/ochretiller/emulator/core/Seeds.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/RandomStreams.java
@@ -6,7 +6,7 @@
  * Chance for each part by its name: one part more, or one that draws more often, changes nothing
  * for the others.
  */
-public record Seeds(long seed) {
+public record RandomStreams(long seed) {
     public SplittableRandom of(String part) {
         long hash = 0xcbf29ce484222325L; // FNV-1a: names that differ in one character are far apart
         // behind the mixing below
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Estimate.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ConfidenceInterval.java
@@ -10,18 +10,20 @@
  *
  * @param half half of the interval's width; infinite for fewer than two values
  */
-public record Estimate(double mean, double half, long count) {
+public record ConfidenceInterval(double mean, double half, long count) {
     private static final double CONFIDENCE = 0.95;
 
-    public static Estimate of(List<Double> values) {
+    public static ConfidenceInterval of(List<Double> values) {
         SummaryStatistics sums = new SummaryStatistics();
         values.forEach(sums::addValue);
         long n = sums.getN();
         if (n < 2) {
-            return new Estimate(n == 0 ? Double.NaN : sums.getMean(), Double.POSITIVE_INFINITY, n);
+            return new ConfidenceInterval(
+                    n == 0 ? Double.NaN : sums.getMean(), Double.POSITIVE_INFINITY, n);
         }
         double t = new TDistribution(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2);
-        return new Estimate(sums.getMean(), t * sums.getStandardDeviation() / Math.sqrt(n), n);
+        return new ConfidenceInterval(
+                sums.getMean(), t * sums.getStandardDeviation() / Math.sqrt(n), n);
     }
 
     /**
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import ochretiller.emulator.script.Script;
-import ochretiller.emulator.world.Outcome;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.emulator.simulation.SimulationResult;
 
 /**
  * Variants of a script on the same seeds, so that the same chance meets each, until the differences
@@ -15,12 +15,12 @@
     /** Seeds that are played before the interval is looked at: fewer make it too narrow by luck. */
     private static final int FEWEST = 5;
 
-    private final List<Script> variants;
+    private final List<Scenario> variants;
     private final long firstSeed;
     private final int mostSeeds;
     private final double halfWidth;
-    private final ToDoubleFunction<Outcome> figure;
-    private final List<List<Outcome>> outcomes = new ArrayList<>();
+    private final ToDoubleFunction<SimulationResult> figure;
+    private final List<List<SimulationResult>> outcomes = new ArrayList<>();
 
     /**
      * An experiment that has not begun.
@@ -29,11 +29,11 @@
      * @param figure what is compared, for stopping
      */
     public Experiment(
-            List<Script> variants,
+            List<Scenario> variants,
             long firstSeed,
             int mostSeeds,
             double halfWidth,
-            ToDoubleFunction<Outcome> figure) {
+            ToDoubleFunction<SimulationResult> figure) {
         this.variants = List.copyOf(variants);
         this.firstSeed = firstSeed;
         this.mostSeeds = mostSeeds;
@@ -49,16 +49,17 @@
      * from their outcomes alone: whether to go on is asked after each seed in turn, whatever was
      * played beyond it.
      */
-    public void play(Runs runs, int round, Consumer<String> progress) throws InterruptedException {
+    public void play(ParallelRunner runs, int round, Consumer<String> progress)
+            throws InterruptedException {
         for (int seeds = 0; seeds < mostSeeds; ) {
             int more = Math.min(round, mostSeeds - seeds);
-            List<Runs.Run> next = new ArrayList<>();
+            List<ParallelRunner.Run> next = new ArrayList<>();
             for (int i = 0; i < more; i++) {
-                for (Script variant : variants) {
-                    next.add(new Runs.Run(variant, firstSeed + seeds + i));
+                for (Scenario variant : variants) {
+                    next.add(new ParallelRunner.Run(variant, firstSeed + seeds + i));
                 }
             }
-            List<Outcome> played = runs.play(next);
+            List<SimulationResult> played = runs.play(next);
             for (int i = 0; i < more; i++) {
                 for (int v = 0; v < variants.size(); v++) {
                     outcomes.get(v).add(played.get(i * variants.size() + v));
@@ -92,16 +93,16 @@
         return outcomes.get(0).size();
     }
 
-    public List<Outcome> outcomes(int variant) {
+    public List<SimulationResult> outcomes(int variant) {
         return outcomes.get(variant);
     }
 
-    public Estimate estimate(int variant, ToDoubleFunction<Outcome> of) {
-        return Estimate.of(
+    public ConfidenceInterval estimate(int variant, ToDoubleFunction<SimulationResult> of) {
+        return ConfidenceInterval.of(
                 outcomes.get(variant).stream().map(each -> of.applyAsDouble(each)).toList());
     }
 
-    private List<Double> differences(int variant, ToDoubleFunction<Outcome> of) {
+    private List<Double> differences(int variant, ToDoubleFunction<SimulationResult> of) {
         List<Double> differences = new ArrayList<>();
         for (int i = 0; i < seeds(); i++) {
             differences.add(
@@ -112,12 +113,12 @@
     }
 
     /** Of a variant from the first, seed by seed. */
-    public Estimate difference(int variant, ToDoubleFunction<Outcome> of) {
-        return Estimate.of(differences(variant, of));
+    public ConfidenceInterval difference(int variant, ToDoubleFunction<SimulationResult> of) {
+        return ConfidenceInterval.of(differences(variant, of));
     }
 
-    public double chance(int variant, ToDoubleFunction<Outcome> of) {
-        return Estimate.chance(differences(variant, of));
+    public double chance(int variant, ToDoubleFunction<SimulationResult> of) {
+        return ConfidenceInterval.chance(differences(variant, of));
     }
 
     /** The seed of the first run of a variant that broke a rule, or null. */
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Runs.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ParallelRunner.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import ochretiller.emulator.script.Script;
-import ochretiller.emulator.world.Outcome;
-import ochretiller.emulator.world.World;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.emulator.simulation.Simulation;
+import ochretiller.emulator.simulation.SimulationResult;
 
 /**
  * Plays scripts on cores of their own. A run shares nothing with another, so that order and number
  * of threads change nothing.
  */
-public final class Runs implements AutoCloseable {
+public final class ParallelRunner implements AutoCloseable {
     private final ExecutorService threads;
 
-    public Runs(int cores) {
+    public ParallelRunner(int cores) {
         threads =
                 Executors.newFixedThreadPool(
                         cores,
@@ -29,17 +29,17 @@
     }
 
     /** One run. */
-    public record Run(Script script, long seed) {}
+    public record Run(Scenario script, long seed) {}
 
     /** The outcomes of all, in the order of the runs. */
-    public List<Outcome> play(List<Run> runs) throws InterruptedException {
-        List<Future<Outcome>> playing = new ArrayList<>();
+    public List<SimulationResult> play(List<Run> runs) throws InterruptedException {
+        List<Future<SimulationResult>> playing = new ArrayList<>();
         for (Run run : runs) {
-            playing.add(threads.submit(() -> new World(run.script, run.seed).play()));
+            playing.add(threads.submit(() -> new Simulation(run.script, run.seed).play()));
         }
-        List<Outcome> outcomes = new ArrayList<>();
+        List<SimulationResult> outcomes = new ArrayList<>();
         try {
-            for (Future<Outcome> each : playing) {
+            for (Future<SimulationResult> each : playing) {
                 outcomes.add(each.get());
             }
         } catch (ExecutionException e) {
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import ochretiller.emulator.script.Script;
-import ochretiller.emulator.world.Outcome;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.emulator.simulation.SimulationResult;
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
@@ -26,12 +26,12 @@
  */
 public final class Report {
     /** What is told of each variant, by the name of its column. */
-    public static final Map<String, ToDoubleFunction<Outcome>> FIGURES = figures();
+    public static final Map<String, ToDoubleFunction<SimulationResult>> FIGURES = figures();
 
     private final Path folder;
     private final Experiment experiment;
     private final List<String> names;
-    private final List<Script> scripts;
+    private final List<Scenario> scripts;
     private final long firstSeed;
     private final List<String> charts = new ArrayList<>();
 
@@ -39,7 +39,7 @@
             Path folder,
             Experiment experiment,
             List<String> names,
-            List<Script> scripts,
+            List<Scenario> scripts,
             long firstSeed) {
         this.folder = folder;
         this.experiment = experiment;
@@ -48,16 +48,16 @@
         this.firstSeed = firstSeed;
     }
 
-    private static Map<String, ToDoubleFunction<Outcome>> figures() {
-        Map<String, ToDoubleFunction<Outcome>> figures = new LinkedHashMap<>();
-        figures.put("value share", Outcome::valueShare);
-        figures.put("loud callers", Outcome::loudShare);
-        figures.put("other callers", Outcome::othersShare);
-        figures.put("worst 10 s", Outcome::worstTen);
+    private static Map<String, ToDoubleFunction<SimulationResult>> figures() {
+        Map<String, ToDoubleFunction<SimulationResult>> figures = new LinkedHashMap<>();
+        figures.put("value share", SimulationResult::valueShare);
+        figures.put("loud callers", SimulationResult::loudShare);
+        figures.put("other callers", SimulationResult::othersShare);
+        figures.put("worst 10 s", SimulationResult::worstTen);
         figures.put("p50 ms", outcome -> outcome.tookMs(50));
         figures.put("p99 ms", outcome -> outcome.tookMs(99));
-        figures.put("tries each", Outcome::triesEach);
-        figures.put("deaths", Outcome::deaths);
+        figures.put("tries each", SimulationResult::triesEach);
+        figures.put("deaths", SimulationResult::deaths);
         figures.put("broken rules", outcome -> outcome.rules().count());
         return figures;
     }
@@ -75,10 +75,10 @@
                 "tries",
                 "Tries for each that was asked",
                 second -> second.asked == 0 ? 0 : (double) second.tries / second.asked);
-        looksChart("held", "Invocations at the boxes", Outcome.Look::held);
-        looksChart("running", "Runs on cores", Outcome.Look::running);
-        looksChart("boxes", "Boxes that serve", Outcome.Look::boxes);
-        looksChart("ledger", "Calls at the records service", Outcome.Look::ledger);
+        looksChart("held", "Invocations at the boxes", SimulationResult.Look::held);
+        looksChart("running", "Runs on cores", SimulationResult.Look::running);
+        looksChart("boxes", "Boxes that serve", SimulationResult.Look::boxes);
+        looksChart("ledger", "Calls at the records service", SimulationResult.Look::ledger);
         distribution();
         variants();
         page();
@@ -97,7 +97,7 @@
                     .setXAxisMax((double) names.size() + 1)
                     .setXAxisDecimalPattern("0");
             for (int v = 0; v < names.size(); v++) {
-                Estimate estimate = experiment.estimate(v, FIGURES.get(name));
+                ConfidenceInterval estimate = experiment.estimate(v, FIGURES.get(name));
                 chart.addSeries(
                         names.get(v),
                         new double[] {v + 1},
@@ -113,10 +113,10 @@
         lines.add("variant,seed," + String.join(",", FIGURES.keySet()));
         for (int v = 0; v < names.size(); v++) {
             for (int i = 0; i < experiment.seeds(); i++) {
-                Outcome outcome = experiment.outcomes(v).get(i);
+                SimulationResult outcome = experiment.outcomes(v).get(i);
                 StringBuilder line =
                         new StringBuilder(names.get(v).replace(',', ';') + ',' + (firstSeed + i));
-                for (ToDoubleFunction<Outcome> figure : FIGURES.values()) {
+                for (ToDoubleFunction<SimulationResult> figure : FIGURES.values()) {
                     line.append(',')
                             .append(
                                     String.format(
@@ -136,8 +136,8 @@
             int seconds = experiment.outcomes(v).get(0).seconds().size();
             for (int s = 0; s < seconds; s++) {
                 double[] sums = new double[8];
-                for (Outcome outcome : experiment.outcomes(v)) {
-                    Outcome.Second each = outcome.seconds().get(s);
+                for (SimulationResult outcome : experiment.outcomes(v)) {
+                    SimulationResult.Second each = outcome.seconds().get(s);
                     double[] values = {
                         each.asked,
                         each.succeeded,
@@ -174,13 +174,14 @@
             Map<String, Object> variant = new LinkedHashMap<>();
             variant.put("name", names.get(v));
             variant.put("script", scripts.get(v));
-            for (Map.Entry<String, ToDoubleFunction<Outcome>> figure : FIGURES.entrySet()) {
-                Estimate estimate = experiment.estimate(v, figure.getValue());
+            for (Map.Entry<String, ToDoubleFunction<SimulationResult>> figure :
+                    FIGURES.entrySet()) {
+                ConfidenceInterval estimate = experiment.estimate(v, figure.getValue());
                 Map<String, Object> value = new LinkedHashMap<>();
                 value.put("mean", estimate.mean());
                 value.put("half", finite(estimate.half()));
                 if (v > 0) {
-                    Estimate difference = experiment.difference(v, figure.getValue());
+                    ConfidenceInterval difference = experiment.difference(v, figure.getValue());
                     value.put("difference", difference.mean());
                     value.put("difference half", finite(difference.half()));
                     value.put("chance", experiment.chance(v, figure.getValue()));
@@ -221,7 +222,8 @@
         charts.add(name + ".svg");
     }
 
-    private void timeLineChart(String name, String title, ToDoubleFunction<Outcome.Second> of)
+    private void timeLineChart(
+            String name, String title, ToDoubleFunction<SimulationResult.Second> of)
             throws IOException {
         XYChart chart = chart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
         for (int v = 0; v < names.size(); v++) {
@@ -231,7 +233,7 @@
             double[] y = new double[count];
             for (int s = 0; s < count; s++) {
                 x[s] = s;
-                for (Outcome outcome : experiment.outcomes(v)) {
+                for (SimulationResult outcome : experiment.outcomes(v)) {
                     y[s] += of.applyAsDouble(outcome.seconds().get(s)) / experiment.seeds();
                 }
             }
@@ -240,7 +242,7 @@
         keep(chart, name);
     }
 
-    private void looksChart(String name, String title, ToDoubleFunction<Outcome.Look> of)
+    private void looksChart(String name, String title, ToDoubleFunction<SimulationResult.Look> of)
             throws IOException {
         XYChart chart = chart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
         for (int v = 0; v < names.size(); v++) {
@@ -249,7 +251,7 @@
             double[] y = new double[count];
             for (int s = 0; s < count; s++) {
                 x[s] = experiment.outcomes(v).get(0).looks().get(s).at();
-                for (Outcome outcome : experiment.outcomes(v)) {
+                for (SimulationResult outcome : experiment.outcomes(v)) {
                     y[s] += of.applyAsDouble(outcome.looks().get(s)) / experiment.seeds();
                 }
             }
@@ -303,10 +305,10 @@
             page.append("<th>").append(escaped(name));
         }
         page.append("</tr>");
-        for (Map.Entry<String, ToDoubleFunction<Outcome>> figure : FIGURES.entrySet()) {
+        for (Map.Entry<String, ToDoubleFunction<SimulationResult>> figure : FIGURES.entrySet()) {
             page.append("<tr><td>").append(figure.getKey());
             for (int v = 0; v < names.size(); v++) {
-                Estimate estimate = experiment.estimate(v, figure.getValue());
+                ConfidenceInterval estimate = experiment.estimate(v, figure.getValue());
                 page.append("<td>").append(String.format(Locale.ROOT, "%.4g", estimate.mean()));
                 if (Double.isFinite(estimate.half())) {
                     page.append(String.format(Locale.ROOT, " ± %.2g", estimate.half()));
@@ -314,7 +316,7 @@
                 if (v == 0) {
                     continue;
                 }
-                Estimate difference = experiment.difference(v, figure.getValue());
+                ConfidenceInterval difference = experiment.difference(v, figure.getValue());
                 page.append(String.format(Locale.ROOT, "<br>%+.4g", difference.mean()));
                 if (Double.isFinite(difference.half())) {
                     page.append(
--- a/emulator/src/main/java/ochretiller/emulator/hunt/Hunt.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/FaultSearch.java
@@ -1,24 +1,24 @@
-package ochretiller.emulator.hunt;
+package ochretiller.emulator.faultsearch;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import ochretiller.emulator.experiment.Runs;
-import ochretiller.emulator.script.Script;
-import ochretiller.emulator.world.Outcome;
+import ochretiller.emulator.experiment.ParallelRunner;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.emulator.simulation.SimulationResult;
 
 /** Plays drawn time lines and keeps the worst; a find is cut down while it stays one. */
-public final class Hunt {
+public final class FaultSearch {
     /** Rounds of cutting down: each halves or drops something, so that few are needed. */
     private static final int ROUNDS = 30;
 
-    private final Runs runs;
-    private final Script base;
+    private final ParallelRunner runs;
+    private final Scenario base;
     private final long seed;
 
-    public Hunt(Runs runs, Script base, long seed) {
+    public FaultSearch(ParallelRunner runs, Scenario base, long seed) {
         this.runs = runs;
         this.base = base;
         this.seed = seed;
@@ -30,7 +30,7 @@
      * @param broken a rule is broken; else it is the greatest loss
      * @param value share of the billed value that was left
      */
-    public record Find(Script script, long seed, boolean broken, double value, String line) {}
+    public record Find(Scenario script, long seed, boolean broken, double value, String line) {}
 
     /** The first time line that breaks a rule, or else the one with the least value. */
     public Find search(int tries, int round, Consumer<String> progress)
@@ -38,11 +38,13 @@
         SplittableRandom chance = new SplittableRandom(seed);
         Find worst = null;
         for (int done = 0; done < tries; ) {
-            List<Runs.Run> next = new ArrayList<>();
+            List<ParallelRunner.Run> next = new ArrayList<>();
             for (int i = 0; i < Math.min(round, tries - done); i++) {
-                next.add(new Runs.Run(base.with(Incidents.draw(base, chance)), seed + done + i));
+                next.add(
+                        new ParallelRunner.Run(
+                                base.with(RandomIncidents.draw(base, chance)), seed + done + i));
             }
-            List<Outcome> outcomes = runs.play(next);
+            List<SimulationResult> outcomes = runs.play(next);
             for (int i = 0; i < next.size(); i++) {
                 Find find = find(next.get(i), outcomes.get(i));
                 if (worst == null
@@ -67,7 +69,7 @@
         return worst;
     }
 
-    private static Find find(Runs.Run run, Outcome outcome) {
+    private static Find find(ParallelRunner.Run run, SimulationResult outcome) {
         boolean broken = outcome.rules().count() > 0;
         return new Find(
                 run.script(),
@@ -86,11 +88,12 @@
                 found.broken ? Find::broken : find -> 1 - find.value >= 0.9 * (1 - found.value);
         Find best = found;
         for (int round = 0; round < ROUNDS; round++) {
-            List<Runs.Run> next = new ArrayList<>();
-            for (List<Script.Incident> smaller : Incidents.smaller(best.script.incidents())) {
-                next.add(new Runs.Run(base.with(smaller), found.seed));
+            List<ParallelRunner.Run> next = new ArrayList<>();
+            for (List<Scenario.Incident> smaller :
+                    RandomIncidents.smaller(best.script.incidents())) {
+                next.add(new ParallelRunner.Run(base.with(smaller), found.seed));
             }
-            List<Outcome> outcomes = runs.play(next);
+            List<SimulationResult> outcomes = runs.play(next);
             Find smaller = null;
             for (int i = 0; i < next.size() && smaller == null; i++) {
                 Find each = find(next.get(i), outcomes.get(i));
--- a/emulator/src/main/java/ochretiller/emulator/hunt/Incidents.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/RandomIncidents.java
@@ -1,13 +1,13 @@
-package ochretiller.emulator.hunt;
+package ochretiller.emulator.faultsearch;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
-import ochretiller.emulator.script.Script;
+import ochretiller.emulator.scenario.Scenario;
 
 /** Draws time lines of incidents, and makes smaller ones of them. */
-public final class Incidents {
+public final class RandomIncidents {
     /** Incidents in one time line: more cannot be told apart in what they do. */
     private static final int MOST = 5;
 
@@ -48,11 +48,11 @@
         }
     }
 
-    private Incidents() {}
+    private RandomIncidents() {}
 
     /** A time line for a script; a stalled disk only where one is kept. */
-    public static List<Script.Incident> draw(Script script, SplittableRandom chance) {
-        List<Script.Incident> drawn = new ArrayList<>();
+    public static List<Scenario.Incident> draw(Scenario script, SplittableRandom chance) {
+        List<Scenario.Incident> drawn = new ArrayList<>();
         int count = 1 + chance.nextInt(MOST);
         while (drawn.size() < count) {
             Kind kind = Kind.values()[chance.nextInt(Kind.values().length)];
@@ -60,14 +60,14 @@
                 continue;
             }
             drawn.add(
-                    new Script.Incident(
+                    new Scenario.Incident(
                             round(script.seconds() * chance.nextDouble(FIRST, LAST)),
                             round(between(chance, kind.leastS, kind.mostS)),
                             kind.what,
                             round(chance.nextDouble(0.05, 1)),
                             round(between(chance, kind.weakest, kind.strongest))));
         }
-        drawn.sort(Comparator.comparingDouble(Script.Incident::atS));
+        drawn.sort(Comparator.comparingDouble(Scenario.Incident::atS));
         return drawn;
     }
 
@@ -86,21 +86,21 @@
      * Each time line that is one step smaller: one incident less, or one that is shorter, weaker or
      * takes fewer.
      */
-    static List<List<Script.Incident>> smaller(List<Script.Incident> line) {
-        List<List<Script.Incident>> all = new ArrayList<>();
+    static List<List<Scenario.Incident>> smaller(List<Scenario.Incident> line) {
+        List<List<Scenario.Incident>> all = new ArrayList<>();
         for (int i = 0; i < line.size(); i++) {
-            List<Script.Incident> without = new ArrayList<>(line);
+            List<Scenario.Incident> without = new ArrayList<>(line);
             without.remove(i);
             all.add(without);
         }
         for (int i = 0; i < line.size(); i++) {
-            Script.Incident each = line.get(i);
+            Scenario.Incident each = line.get(i);
             if (each.forS() > 0.5) {
                 all.add(
                         with(
                                 line,
                                 i,
-                                new Script.Incident(
+                                new Scenario.Incident(
                                         each.atS(),
                                         round(each.forS() / 2),
                                         each.what(),
@@ -112,7 +112,7 @@
                         with(
                                 line,
                                 i,
-                                new Script.Incident(
+                                new Scenario.Incident(
                                         each.atS(),
                                         each.forS(),
                                         each.what(),
@@ -124,7 +124,7 @@
                         with(
                                 line,
                                 i,
-                                new Script.Incident(
+                                new Scenario.Incident(
                                         each.atS(),
                                         each.forS(),
                                         each.what(),
@@ -135,9 +135,9 @@
         return all;
     }
 
-    private static List<Script.Incident> with(
-            List<Script.Incident> line, int at, Script.Incident other) {
-        List<Script.Incident> changed = new ArrayList<>(line);
+    private static List<Scenario.Incident> with(
+            List<Scenario.Incident> line, int at, Scenario.Incident other) {
+        List<Scenario.Incident> changed = new ArrayList<>(line);
         changed.set(at, other);
         return changed;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ClaimsModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.Set;
 import net.openhft.hashing.LongHashFunction;
-import ochretiller.fleet.copies.Claims;
-import ochretiller.fleet.copies.CopyMessage;
-import ochretiller.fleet.copies.Keeper;
-import ochretiller.fleet.copies.Outcome;
-import ochretiller.fleet.copies.Verdict;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.replication.ClaimCoordinator;
+import ochretiller.fleet.replication.ClaimDecision;
+import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicationMessage;
 
 /**
  * Two servers that are asked for one token at once, three keepers, and a change of epoch that puts
@@ -20,7 +20,7 @@
  * the epoch at any time, be ended for good, and a keeper may come back with its disk or without it.
  * At most one run is ever begun, and all that is said to have ended has ended so.
  */
-public final class ClaimsModel implements Model {
+public final class ClaimStateModel implements StateModel {
     private static final String TOKEN = "token";
     private static final Duration WINDOW = Duration.ofSeconds(60);
     private static final Duration DUE = Duration.ofSeconds(10);
@@ -35,43 +35,44 @@
     private static final int UNDER_WAY = 14;
 
     private static final int SETTLES = 60;
-    private static final List<Layout.Server> THREE = List.of(server(0), server(1), server(2));
+    private static final List<ReplicaPlacement.ReplicaServer> THREE =
+            List.of(server(0), server(1), server(2));
 
     /** Reckoned once: each path is played anew. */
-    private static final Layout FIRST = new Layout(1, THREE, List.of(), 3);
+    private static final ReplicaPlacement FIRST = new ReplicaPlacement(1, THREE, List.of(), 3);
 
-    private static final Layout SECOND =
-            new Layout(2, List.of(server(0), server(1), server(3)), THREE, 3);
+    private static final ReplicaPlacement SECOND =
+            new ReplicaPlacement(2, List.of(server(0), server(1), server(3)), THREE, 3);
 
     private final int crashes;
     private final boolean planted;
-    private final Keeper[] keepers = new Keeper[KEEPERS];
-    private final Claims[] servers = new Claims[SERVERS];
+    private final Replica[] keepers = new Replica[KEEPERS];
+    private final ClaimCoordinator[] servers = new ClaimCoordinator[SERVERS];
     private final boolean[] dead = new boolean[SERVERS];
     private final Duration[] clocks = new Duration[SERVERS + KEEPERS];
     private final List<Sent> underWay = new ArrayList<>();
-    private final List<Verdict> running = new ArrayList<>();
+    private final List<ClaimDecision> running = new ArrayList<>();
     private final List<String> verdicts = new ArrayList<>();
     private final Set<String> results = new HashSet<>();
     private int runs;
     private int crashed;
     private String broken;
 
-    private record Sent(String from, String to, CopyMessage message) {}
+    private record Sent(String from, String to, ReplicationMessage message) {}
 
     /**
      * @param crashes ends of servers and returns of keepers, at most
      * @param planted whether keepers forget what they granted when they come back, which has to be
      *     found
      */
-    public ClaimsModel(int crashes, boolean planted) {
+    public ClaimStateModel(int crashes, boolean planted) {
         this.crashes = crashes;
         this.planted = planted;
         for (int i = 0; i < KEEPERS; i++) {
             keepers[i] =
-                    new Keeper(
+                    new Replica(
                             "k" + i,
-                            new Keeper.Disk(FIRST, Map.of()),
+                            new Replica.ReplicaSnapshot(FIRST, Map.of()),
                             FIRST,
                             100,
                             WINDOW,
@@ -82,7 +83,7 @@
         }
         for (int i = 0; i < SERVERS; i++) {
             int server = i;
-            servers[i] = new Claims("s" + i, 1, FIRST, new Fixed());
+            servers[i] = new ClaimCoordinator("s" + i, 1, FIRST, new ConstantRandom());
             running.add(null);
             verdicts.add("");
             servers[i].claim(
@@ -97,18 +98,18 @@
         }
     }
 
-    private static Layout.Server server(int number) {
-        return new Layout.Server("k" + number, "z");
+    private static ReplicaPlacement.ReplicaServer server(int number) {
+        return new ReplicaPlacement.ReplicaServer("k" + number, "z");
     }
 
-    private void told(int server, Verdict verdict) {
-        verdicts.set(server, verdict.what().name());
-        if (verdict.what() == Verdict.What.RUN) {
+    private void told(int server, ClaimDecision verdict) {
+        verdicts.set(server, verdict.kind().name());
+        if (verdict.kind() == ClaimDecision.Kind.RUN) {
             running.set(server, verdict);
             if (++runs > 1) {
                 broken = "two runs";
             }
-        } else if (verdict.what() == Verdict.What.REPLAY
+        } else if (verdict.kind() == ClaimDecision.Kind.REPLAY
                 && !results.contains(verdict.outcome().result())) {
             broken = "replayed what never was: " + verdict.outcome();
         }
@@ -116,16 +117,18 @@
 
     private void take(int node) {
         String name = node < SERVERS ? "s" + node : "k" + (node - SERVERS);
-        for (Keeper.Out out :
-                node < SERVERS ? servers[node].outs() : keepers[node - SERVERS].outs()) {
+        for (Replica.OutboundMessage out :
+                node < SERVERS
+                        ? servers[node].takeOutbound()
+                        : keepers[node - SERVERS].takeOutbound()) {
             // Only the first keeper that is asked for a range that nobody has changed matters here:
             // other ranges stay empty.
-            if (out.message() instanceof CopyMessage.Fetch fetch
-                    && fetch.range() != Layout.range(TOKEN)) {
+            if (out.message() instanceof ReplicationMessage.RangeRequest fetch
+                    && fetch.range() != ReplicaPlacement.rangeOf(TOKEN)) {
                 continue;
             }
             if (underWay.size() < UNDER_WAY) {
-                underWay.add(new Sent(name, out.to(), out.message()));
+                underWay.add(new Sent(name, out.recipient(), out.message()));
             }
         }
     }
@@ -137,14 +140,14 @@
             if (dead[number]) {
                 return;
             }
-            if (sent.message instanceof CopyMessage.Answer answer
-                    && answer.word() == CopyMessage.Word.STALE) {
-                servers[number].become(SECOND, clocks[number]);
+            if (sent.message instanceof ReplicationMessage.ClaimReply answer
+                    && answer.vote() == ReplicationMessage.ClaimVote.STALE_EPOCH) {
+                servers[number].adoptPlacement(SECOND, clocks[number]);
             }
-            servers[number].received(sent.from, sent.message, clocks[number]);
+            servers[number].receive(sent.from, sent.message, clocks[number]);
             take(number);
         } else {
-            keepers[number].received(sent.from, sent.message, clocks[SERVERS + number]);
+            keepers[number].receive(sent.from, sent.message, clocks[SERVERS + number]);
             take(SERVERS + number);
         }
     }
@@ -161,20 +164,20 @@
 
     private void learn(int node) {
         if (node < SERVERS) {
-            servers[node].become(SECOND, clocks[node]);
+            servers[node].adoptPlacement(SECOND, clocks[node]);
         } else {
-            keepers[node - SERVERS].become(SECOND, clocks[node]);
+            keepers[node - SERVERS].adoptPlacement(SECOND, clocks[node]);
         }
         take(node);
     }
 
     private void finish(int server) {
-        Verdict verdict = running.set(server, null);
+        ClaimDecision verdict = running.set(server, null);
         String result = "by s" + server;
         results.add(result);
-        servers[server].ended(
-                verdict.claim(),
-                new Outcome(true, "body", result),
+        servers[server].reportOutcome(
+                verdict.claimId(),
+                new ClaimOutcome(true, "body", result),
                 null,
                 DUE,
                 WINDOW,
@@ -192,7 +195,7 @@
         int rest = action;
         if (rest < nodes) {
             if (rest < SERVERS && dead[rest]
-                    || rest >= SERVERS && keepers[rest - SERVERS].behind() == 0) {
+                    || rest >= SERVERS && keepers[rest - SERVERS].laggingRangeCount() == 0) {
                 return false;
             }
             time(rest);
@@ -202,8 +205,8 @@
         if (rest < nodes) {
             long epoch =
                     rest < SERVERS
-                            ? servers[rest].layout().epoch()
-                            : keepers[rest - SERVERS].layout().epoch();
+                            ? servers[rest].placement().epoch()
+                            : keepers[rest - SERVERS].placement().epoch();
             if (epoch == 2 || rest < SERVERS && dead[rest]) {
                 return false;
             }
@@ -233,10 +236,11 @@
                 return false;
             }
             crashed++;
-            Layout layout = keepers[rest].layout();
-            Keeper.Disk kept = planted ? new Keeper.Disk(layout, Map.of()) : null;
+            ReplicaPlacement layout = keepers[rest].placement();
+            Replica.ReplicaSnapshot kept =
+                    planted ? new Replica.ReplicaSnapshot(layout, Map.of()) : null;
             keepers[rest] =
-                    new Keeper("k" + rest, kept, layout, 100, WINDOW, clocks[SERVERS + rest]);
+                    new Replica("k" + rest, kept, layout, 100, WINDOW, clocks[SERVERS + rest]);
             return true;
         }
         rest -= KEEPERS;
@@ -256,12 +260,15 @@
     public long fingerprint() {
         StringBuilder text = new StringBuilder(2048);
         for (int i = 0; i < SERVERS; i++) {
-            text.append(dead[i] ? "dead" : servers[i].state(clocks[i]) + DUE.minus(clocks[i]))
+            text.append(
+                            dead[i]
+                                    ? "dead"
+                                    : servers[i].describeState(clocks[i]) + DUE.minus(clocks[i]))
                     .append(verdicts.get(i))
                     .append(running.get(i) != null);
         }
         for (int i = 0; i < KEEPERS; i++) {
-            text.append(keepers[i].state(clocks[SERVERS + i]));
+            text.append(keepers[i].describeState(clocks[SERVERS + i]));
         }
         text.append(underWay.stream().map(Sent::toString).sorted().toList())
                 .append(crashed)
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Fixed.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ConstantRandom.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /** Always the same: where all orders of events are explored, chance is no choice. */
-final class Fixed implements RandomGenerator {
+final class ConstantRandom implements RandomGenerator {
     @Override
     public long nextLong() {
         return 0;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Plan.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
@@ -16,7 +16,8 @@
  * @param actions in the order of their times
  * @param lastS when the last fault is over
  */
-public record Plan(List<Slot> slots, List<Action> actions, List<Fault> faults, double lastS) {
+public record FaultSchedule(
+        List<Slot> slots, List<Action> actions, List<Fault> faults, double lastS) {
     /** What is done to a process. */
     public enum Act {
         START,
@@ -55,7 +56,7 @@
      * @param disk what a {@link Act#START} finds; for an old one an {@link Act#IMAGE} was taken
      *     before
      */
-    public record Action(double atS, Act act, int slot, int address, FleetScript.Disk disk) {}
+    public record Action(double atS, Act act, int slot, int address, FleetScenario.Disk disk) {}
 
     /** A fault of links, from senders to receivers, or of servers ({@code to}). */
     public record Fault(
@@ -73,19 +74,19 @@
     /** Time over which a server that was told to leave ends. */
     public static final double LEAVES_S = 1.2;
 
-    public static Plan of(FleetScript script) {
+    public static FaultSchedule of(FleetScenario script) {
         return new Builder(script).build();
     }
 
     private static final class Builder {
-        private final FleetScript script;
+        private final FleetScenario script;
         private final List<Slot> slots = new ArrayList<>();
         private final List<Action> actions = new ArrayList<>();
         private final List<Fault> faults = new ArrayList<>();
         private int addresses;
         private double last;
 
-        Builder(FleetScript script) {
+        Builder(FleetScenario script) {
             this.script = script;
         }
 
@@ -96,16 +97,16 @@
         }
 
         private void act(double at, Act act, int slot, int address) {
-            act(at, act, slot, address, FleetScript.Disk.KEPT);
+            act(at, act, slot, address, FleetScenario.Disk.KEPT);
         }
 
-        private void act(double at, Act act, int slot, int address, FleetScript.Disk disk) {
+        private void act(double at, Act act, int slot, int address, FleetScenario.Disk disk) {
             actions.add(new Action(at, act, slot, address, disk));
             last = Math.max(last, at);
         }
 
         private void fault(
-                FleetScript.Incident each, Link what, Set<Integer> from, Set<Integer> to) {
+                FleetScenario.Incident each, Link what, Set<Integer> from, Set<Integer> to) {
             faults.add(
                     new Fault(
                             each.atS(), each.atS() + each.forS(), what, from, to, each.strength()));
@@ -118,7 +119,7 @@
             return others;
         }
 
-        Plan build() {
+        FaultSchedule build() {
             for (int i = 1; i <= script.members(); i++) {
                 slot("m" + i, script.zone(i), ++addresses);
                 actions.add(
@@ -129,17 +130,18 @@
                                 Act.START,
                                 i,
                                 i,
-                                FleetScript.Disk.KEPT));
+                                FleetScenario.Disk.KEPT));
                 last = script.startS();
             }
-            for (FleetScript.Incident each : script.incidents()) {
+            for (FleetScenario.Incident each : script.incidents()) {
                 expand(each);
             }
             actions.sort(Comparator.comparingDouble(Action::atS));
-            return new Plan(List.copyOf(slots), List.copyOf(actions), List.copyOf(faults), last);
+            return new FaultSchedule(
+                    List.copyOf(slots), List.copyOf(actions), List.copyOf(faults), last);
         }
 
-        private void expand(FleetScript.Incident each) {
+        private void expand(FleetScenario.Incident each) {
             double at = each.atS();
             double end = at + each.forS();
             Set<Integer> who = script.members(each.who());
@@ -149,7 +151,7 @@
                 case "kill" ->
                         who.forEach(
                                 i -> {
-                                    if (each.disk() == FleetScript.Disk.OLD) {
+                                    if (each.disk() == FleetScenario.Disk.OLD) {
                                         act(Math.max(0, at - each.strength()), Act.IMAGE, i, i);
                                     }
                                     act(at, Act.KILL, i, i);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetOutcome.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetOutcome.java
@@ -41,7 +41,7 @@
     public final List<String> notes = new ArrayList<>();
 
     /** What was expected and did not come. */
-    public List<String> missed(FleetScript.Expect expect) {
+    public List<String> missed(FleetScenario.Expect expect) {
         List<String> missed = new ArrayList<>();
         if (expect.settledS() > 0 && settledS > expect.settledS()) {
             missed.add(
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScript.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
@@ -15,7 +15,7 @@
  * @param store whether each server remembers results, and keeps its copies, on a disk
  * @param expect what is to come out
  */
-public record FleetScript(
+public record FleetScenario(
         String name,
         double seconds,
         int members,
@@ -139,8 +139,8 @@
     }
 
     /** The same with another number of members. */
-    public FleetScript sized(int count) {
-        return new FleetScript(
+    public FleetScenario sized(int count) {
+        return new FleetScenario(
                 name, seconds, count, zones, seeds, startS, probeMs, delayMs, jitterMs, copies,
                 store, load, incidents, expect);
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScriptFile.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenarioReader.java
@@ -9,30 +9,30 @@
 import ochretiller.settings.MalformedException;
 
 /** Reads scripts of fleets; each fault is told with its place. */
-public final class FleetScriptFile {
+public final class FleetScenarioReader {
     private static final Json5 FILE =
-            new Json5(FleetScriptFile.class, "/ochretiller/emulator/fleet.schema.json");
+            new Json5(FleetScenarioReader.class, "/ochretiller/emulator/fleet.schema.json");
 
-    private FleetScriptFile() {}
+    private FleetScenarioReader() {}
 
-    public static FleetScript read(Path file) {
+    public static FleetScenario read(Path file) {
         return script(FILE.read(file, "the script"), Json5.name(file));
     }
 
-    public static FleetScript of(String text, String name) {
+    public static FleetScenario of(String text, String name) {
         return script(FILE.of(text, name), name);
     }
 
-    private static FleetScript script(JsonNode root, String file) {
+    private static FleetScenario script(JsonNode root, String file) {
         JsonNode net = root.path("network");
         JsonNode load = root.path("load");
         JsonNode expect = root.path("expect");
-        List<FleetScript.Incident> incidents = new ArrayList<>();
+        List<FleetScenario.Incident> incidents = new ArrayList<>();
         root.path("incidents")
                 .forEach(
                         each ->
                                 incidents.add(
-                                        new FleetScript.Incident(
+                                        new FleetScenario.Incident(
                                                 each.path("at_s").asDouble(),
                                                 each.path("for_s").asDouble(0),
                                                 each.path("what").asText(),
@@ -40,13 +40,13 @@
                                                 each.path("from").asText(""),
                                                 each.path("to").asText(""),
                                                 each.path("strength").asDouble(1),
-                                                FleetScript.Disk.valueOf(
+                                                FleetScenario.Disk.valueOf(
                                                         each.path("disk")
                                                                 .asText("kept")
                                                                 .toUpperCase(Locale.ROOT)))));
         int members = root.path("members").asInt();
-        FleetScript script =
-                new FleetScript(
+        FleetScenario script =
+                new FleetScenario(
                         root.path("name").asText(file),
                         root.path("seconds").asDouble(),
                         members,
@@ -58,16 +58,16 @@
                         net.path("jitter_ms").asDouble(0.3),
                         root.path("copies").asBoolean(false),
                         root.path("store").asBoolean(false),
-                        new FleetScript.Load(
+                        new FleetScenario.Load(
                                 load.path("per_second").asDouble(0),
                                 load.path("work_ms").asDouble(5)),
                         List.copyOf(incidents),
-                        new FleetScript.Expect(
+                        new FleetScenario.Expect(
                                 expect.path("settled_s").asDouble(0),
                                 expect.path("false_verdicts").asInt(-1),
                                 expect.path("changes_each").asInt(-1),
                                 expect.path("value_share").asDouble(0)));
-        Plan plan = Plan.of(script);
+        FaultSchedule plan = FaultSchedule.of(script);
         if (plan.lastS() > script.seconds()) {
             throw new MalformedException(
                     script.name()
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Heartbeats.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
@@ -3,25 +3,25 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
 
 /**
  * What is measured beside: each server tells all others that it is there, and whoever was not heard
  * for a fixed time counts as silent. It plays the same plans over the same links; kills, pauses,
  * cuts, losses and crowds are all that it knows.
  */
-final class Heartbeats {
+final class HeartbeatBaseline {
     /** Half a second between two words, and three of them missed. */
     private static final double EVERY_S = 0.5;
 
     private static final double SILENT_S = 1.5;
     private static final double LOOK_S = 0.1;
 
-    private final FleetScript script;
-    private final Plan plan;
-    private final Events events = new Events();
-    private final Faults faults;
+    private final FleetScenario script;
+    private final FaultSchedule plan;
+    private final EventQueue events = new EventQueue();
+    private final LinkFaults faults;
     private final FleetOutcome outcome = new FleetOutcome();
     private final Host[] hosts;
 
@@ -40,11 +40,11 @@
         }
     }
 
-    Heartbeats(FleetScript script, long seed) {
+    HeartbeatBaseline(FleetScenario script, long seed) {
         this.script = script;
-        this.plan = Plan.of(script);
-        Seeds seeds = new Seeds(seed);
-        faults = new Faults(plan, seeds.of("faults"));
+        this.plan = FaultSchedule.of(script);
+        RandomStreams seeds = new RandomStreams(seed);
+        faults = new LinkFaults(plan, seeds.of("faults"));
         hosts = new Host[script.members()];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = new Host(hosts.length);
@@ -52,8 +52,8 @@
             events.after(seeds.of("phase " + i).nextDouble() * EVERY_S, () -> say(host));
             events.after(seeds.of("look " + i).nextDouble() * LOOK_S, () -> look(host));
         }
-        for (Plan.Action action : plan.actions()) {
-            if (action.act() != Plan.Act.START) {
+        for (FaultSchedule.Action action : plan.actions()) {
+            if (action.act() != FaultSchedule.Act.START) {
                 events.after(action.atS(), () -> act(action));
             }
         }
@@ -65,7 +65,7 @@
         return outcome;
     }
 
-    private void act(Plan.Action action) {
+    private void act(FaultSchedule.Action action) {
         Host host = hosts[action.slot() - 1];
         switch (action.act()) {
             case KILL -> {
@@ -96,7 +96,7 @@
                 }
                 outcome.packets++;
                 int receiver = to;
-                for (Faults.Copy copy : faults.fate(from + 1, to + 1, events.seconds())) {
+                for (LinkFaults.Copy copy : faults.fate(from + 1, to + 1, events.seconds())) {
                     events.after(
                             (script.delayMs() + copy.delayMs()) / 1e3 + late(to),
                             () -> hear(receiver, from));
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Faults.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/LinkFaults.java
@@ -8,11 +8,11 @@
  * What becomes of each packet between two servers. One decision for the emulator's links and for
  * the drill's.
  */
-public final class Faults {
+public final class LinkFaults {
     /** Reordered packets come as many milliseconds late. */
     private static final double LATE_MS = 40;
 
-    private final List<Plan.Fault> faults;
+    private final List<FaultSchedule.Fault> faults;
     private final SplittableRandom chance;
 
     /**
@@ -23,7 +23,7 @@
      */
     public record Copy(double delayMs, boolean spoilt) {}
 
-    public Faults(Plan plan, SplittableRandom chance) {
+    public LinkFaults(FaultSchedule plan, SplittableRandom chance) {
         this.faults = plan.faults();
         this.chance = chance;
     }
@@ -33,7 +33,7 @@
         double delay = 0;
         boolean spoilt = false;
         int copies = 1;
-        for (Plan.Fault fault : faults) {
+        for (FaultSchedule.Fault fault : faults) {
             if (!fault.on(seconds) || !fault.to().contains(to) || !fault.from().contains(from)) {
                 continue;
             }
@@ -72,8 +72,10 @@
      */
     public double lateMs(int slot, double seconds) {
         double late = 0;
-        for (Plan.Fault fault : faults) {
-            if (fault.what() == Plan.Link.CROWD && fault.on(seconds) && fault.to().contains(slot)) {
+        for (FaultSchedule.Fault fault : faults) {
+            if (fault.what() == FaultSchedule.Link.CROWD
+                    && fault.on(seconds)
+                    && fault.to().contains(slot)) {
                 late += -Math.log(1 - chance.nextDouble()) * fault.strength();
             }
         }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetMeasure.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
@@ -16,7 +16,7 @@
 import org.knowm.xchart.style.Styler;
 
 /** Tables and charts of what a view costs and how fast and how rightly it judges. */
-public final class FleetMeasure {
+public final class MembershipMeasurement {
     /** Members join within so many seconds, and the cost is counted from some seconds later on. */
     private static final double JOIN_S = 10;
 
@@ -27,14 +27,14 @@
     private final Path folder;
     private final int seeds;
 
-    public FleetMeasure(Path folder, int seeds) throws IOException {
+    public MembershipMeasurement(Path folder, int seeds) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.seeds = seeds;
     }
 
-    private static FleetScript script(
-            String name, int members, double seconds, List<FleetScript.Incident> incidents) {
-        return new FleetScript(
+    private static FleetScenario script(
+            String name, int members, double seconds, List<FleetScenario.Incident> incidents) {
+        return new FleetScenario(
                 name,
                 seconds,
                 members,
@@ -46,14 +46,14 @@
                 0.3,
                 false,
                 false,
-                new FleetScript.Load(0, 0),
+                new FleetScenario.Load(0, 0),
                 incidents,
-                FleetScript.Expect.NOTHING);
+                FleetScenario.Expect.NOTHING);
     }
 
-    private static FleetScript.Incident incident(
+    private static FleetScenario.Incident incident(
             double at, double span, String what, String who, double strength) {
-        return new FleetScript.Incident(at, span, what, who, "", "", strength);
+        return new FleetScenario.Incident(at, span, what, who, "", "", strength);
     }
 
     public void write(List<Integer> sizes, double seconds, Consumer<String> progress)
@@ -75,7 +75,8 @@
 
     private void sizes(List<Integer> counts, Consumer<String> progress) throws IOException {
         List<Size> sizes = new ArrayList<>();
-        new FleetWorld(script("warm", 100, JOIN_S + CALM_S, List.of()), 1, true, COUNT_S).play();
+        new MembershipSimulation(script("warm", 100, JOIN_S + CALM_S, List.of()), 1, true, COUNT_S)
+                .play();
         for (int members : counts) {
             int plays = members >= 300 ? 1 : seeds;
             DescriptiveStatistics known = new DescriptiveStatistics();
@@ -84,8 +85,8 @@
             int most = 0;
             int heal = 0;
             for (int seed = 1; seed <= plays; seed++) {
-                FleetWorld world =
-                        new FleetWorld(
+                MembershipSimulation world =
+                        new MembershipSimulation(
                                 script("calm", members, JOIN_S + CALM_S, List.of()),
                                 seed,
                                 true,
@@ -96,18 +97,18 @@
                 }
                 double at = JOIN_S + CALM_S - 5;
                 int victims = 3;
-                List<FleetScript.Incident> kills = new ArrayList<>();
+                List<FleetScenario.Incident> kills = new ArrayList<>();
                 for (int i = 0; i < victims; i++) {
                     kills.add(incident(at + 6 * i, 0, "kill", "" + (members - i), 1));
                 }
-                new FleetWorld(script("kill", members, at + 30, kills), seed, true, 0)
+                new MembershipSimulation(script("kill", members, at + 30, kills), seed, true, 0)
                         .play()
                         .knownMs
                         .forEach(known::addValue);
                 most =
                         Math.max(
                                 most,
-                                new FleetWorld(
+                                new MembershipSimulation(
                                                 script(
                                                         "third",
                                                         members,
@@ -121,7 +122,7 @@
                 heal =
                         Math.max(
                                 heal,
-                                new FleetWorld(
+                                new MembershipSimulation(
                                                 script(
                                                         "heal",
                                                         members,
@@ -193,7 +194,7 @@
      * Bytes for each member that each server knows: all views of a fleet together, over all that is
      * in them.
      */
-    private static double heap(FleetWorld world) {
+    private static double heap(MembershipSimulation world) {
         Runtime runtime = Runtime.getRuntime();
         System.gc();
         long used = runtime.totalMemory() - runtime.freeMemory();
@@ -231,12 +232,12 @@
                             + " member a second,heartbeats: false verdicts,heartbeats: packets a"
                             + " member a second\n");
         double end = JOIN_S + 5 + seconds;
-        List<FleetScript.Incident> pauses = new ArrayList<>();
+        List<FleetScenario.Incident> pauses = new ArrayList<>();
         SplittableRandom chance = new SplittableRandom(5);
         for (double at = JOIN_S + 5; at < end - 4; at += 0.5 + 2 * chance.nextDouble()) {
             pauses.add(incident(at, 1, "pause", "" + (1 + chance.nextInt(MIDDLE)), 1));
         }
-        List<FleetScript> scripts =
+        List<FleetScenario> scripts =
                 List.of(
                         script(
                                 "a fifth of all packets lost",
@@ -259,12 +260,12 @@
                                 end,
                                 List.of(incident(JOIN_S + 5, seconds - 1, "crowd", "all", 150))),
                         script("pauses of a second", MIDDLE, end, clear(pauses)));
-        for (FleetScript script : scripts) {
+        for (FleetScenario script : scripts) {
             List<FleetOutcome> views = new ArrayList<>();
             List<FleetOutcome> beats = new ArrayList<>();
             for (int seed = 1; seed <= seeds; seed++) {
-                views.add(new FleetWorld(script, seed, true, COUNT_S).play());
-                beats.add(new Heartbeats(script, seed).play());
+                views.add(new MembershipSimulation(script, seed, true, COUNT_S).play());
+                beats.add(new HeartbeatBaseline(script, seed).play());
             }
             csv.append(
                     String.format(
@@ -289,9 +290,9 @@
     }
 
     /** Without pauses of one member that overlap: it cannot be paused while it is. */
-    private static List<FleetScript.Incident> clear(List<FleetScript.Incident> pauses) {
-        List<FleetScript.Incident> clear = new ArrayList<>();
-        for (FleetScript.Incident each : pauses) {
+    private static List<FleetScenario.Incident> clear(List<FleetScenario.Incident> pauses) {
+        List<FleetScenario.Incident> clear = new ArrayList<>();
+        for (FleetScenario.Incident each : pauses) {
             if (clear.stream()
                     .noneMatch(
                             other ->
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetWorld.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -12,27 +12,27 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.fleet.members.Acquaintances;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Change;
-import ochretiller.fleet.members.Member;
-import ochretiller.fleet.members.MemberId;
-import ochretiller.fleet.members.Members;
-import ochretiller.fleet.members.Pace;
-import ochretiller.fleet.members.Packet;
-import ochretiller.fleet.members.Seen;
-import ochretiller.fleet.members.Send;
-import ochretiller.fleet.members.State;
-import ochretiller.fleet.peers.Codec;
-import ochretiller.fleet.peers.FleetKeys;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.fleet.membership.BootstrapPeers;
+import ochretiller.fleet.membership.Member;
+import ochretiller.fleet.membership.MemberId;
+import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.MembershipChange;
+import ochretiller.fleet.membership.MembershipPacket;
+import ochretiller.fleet.membership.MembershipProtocol;
+import ochretiller.fleet.membership.OutboundPacket;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.membership.ProtocolTiming;
+import ochretiller.fleet.transport.FleetKeys;
+import ochretiller.fleet.transport.PacketCodec;
 
 /**
  * A fleet in virtual time: each server's own decisions, links that lose and delay, processes that
  * die and pause.
  */
-public final class FleetWorld {
+public final class MembershipSimulation {
     /** Packets that a socket keeps for a paused process. */
     private static final int ROOM = 2_000;
 
@@ -47,22 +47,23 @@
     /** A kill is one fault; a member that is judged again within this time of it counts to it. */
     private static final double FAULT_S = 30;
 
-    private final FleetScript script;
-    private final Plan plan;
-    private final Seeds seeds;
-    private final Events events = new Events();
-    private final Faults faults;
+    private final FleetScenario script;
+    private final FaultSchedule plan;
+    private final RandomStreams seeds;
+    private final EventQueue events = new EventQueue();
+    private final LinkFaults faults;
     private final SplittableRandom links;
     private final SplittableRandom starts;
     private final boolean measure;
     private final double countS;
-    private final Codec codec = new Codec("emulated", FleetKeys.of("a key of the emulator's own"));
+    private final PacketCodec codec =
+            new PacketCodec("emulated", FleetKeys.of("a key of the emulator's own"));
     private final Map<Integer, Host> bySlot = new TreeMap<>();
-    private final Map<Address, Host> byAddress = new HashMap<>();
+    private final Map<PeerAddress, Host> byAddress = new HashMap<>();
     private final Map<Long, Host> byStart = new HashMap<>();
 
     /** What each slot's disk has of whom it saw. */
-    private final Map<Integer, List<Address>> kept = new HashMap<>();
+    private final Map<Integer, List<PeerAddress>> kept = new HashMap<>();
 
     private final FleetOutcome outcome = new FleetOutcome();
     private final Map<String, Integer> judged = new HashMap<>();
@@ -70,10 +71,10 @@
     private double lastKill = Double.NEGATIVE_INFINITY;
 
     private final class Host {
-        final Plan.Slot slot;
-        final Members members;
-        final Acquaintances acquaintances;
-        final Deque<Packet> waits = new ArrayDeque<>();
+        final FaultSchedule.Slot slot;
+        final MembershipProtocol members;
+        final BootstrapPeers acquaintances;
+        final Deque<MembershipPacket> waits = new ArrayDeque<>();
         final Set<Long> knows = new HashSet<>();
         final double startedS = events.seconds();
         boolean up = true;
@@ -86,9 +87,9 @@
         int packets;
         double bytes;
 
-        Host(Plan.Slot slot, Address address) {
+        Host(FaultSchedule.Slot slot, PeerAddress address) {
             this.slot = slot;
-            List<Address> told = new ArrayList<>();
+            List<PeerAddress> told = new ArrayList<>();
             for (int i = 1; i <= script.seeds(); i++) {
                 told.add(address(i));
             }
@@ -100,18 +101,18 @@
                             "build-1",
                             null,
                             1,
-                            State.JOINING);
+                            MemberState.JOINING);
             // A server's clock begins with its process: no two servers have the same time.
             members =
-                    new Members(
+                    new MembershipProtocol(
                             self,
                             told,
                             pace(),
                             seeds.of("host " + slot.number() + " " + events.done()),
                             events.now());
-            List<Address> former = kept.getOrDefault(slot.number(), List.of());
-            acquaintances = new Acquaintances(address, former);
-            members.knew(former);
+            List<PeerAddress> former = kept.getOrDefault(slot.number(), List.of());
+            acquaintances = new BootstrapPeers(address, former);
+            members.addBootstrapPeers(former);
             events.after(KEEPS_S, this::keep);
         }
 
@@ -121,8 +122,8 @@
                 return;
             }
             if (!paused) {
-                acquaintances.met(members.view(), events.now());
-                List<Address> due = acquaintances.due(events.now());
+                acquaintances.observe(members.snapshot(), events.now());
+                List<PeerAddress> due = acquaintances.takeDue(events.now());
                 if (due != null) {
                     kept.put(slot.number(), due);
                 }
@@ -143,7 +144,7 @@
         }
 
         void schedule() {
-            Duration wait = members.next().minus(events.now());
+            Duration wait = members.nextTick().minus(events.now());
             events.after(
                     wait.plus(
                             Duration.ofNanos(
@@ -151,7 +152,7 @@
                     this::tick);
         }
 
-        void take(Packet packet) {
+        void take(MembershipPacket packet) {
             if (!up) {
                 return;
             }
@@ -162,7 +163,7 @@
                 return;
             }
             long began = measure ? System.nanoTime() : 0;
-            members.received(packet, events.now());
+            members.receive(packet, events.now());
             spent(began);
             carryOut();
         }
@@ -174,10 +175,10 @@
         }
 
         void carryOut() {
-            for (Send send : members.sends()) {
+            for (OutboundPacket send : members.takeOutbound()) {
                 deliver(this, send);
             }
-            for (Change change : members.changes()) {
+            for (MembershipChange change : members.takeChanges()) {
                 changed(this, change);
             }
         }
@@ -188,7 +189,7 @@
     }
 
     /** A fleet whose cost is not counted. */
-    public FleetWorld(FleetScript script, long seed) {
+    public MembershipSimulation(FleetScenario script, long seed) {
         this(script, seed, false, 0);
     }
 
@@ -199,24 +200,26 @@
      *     decisions too
      * @param countS from when on they are
      */
-    public FleetWorld(FleetScript script, long seed, boolean measure, double countS) {
+    public MembershipSimulation(FleetScenario script, long seed, boolean measure, double countS) {
         this.countS = countS;
         this.script = script;
-        this.plan = Plan.of(script);
-        this.seeds = new Seeds(seed);
-        this.faults = new Faults(plan, seeds.of("faults"));
+        this.plan = FaultSchedule.of(script);
+        this.seeds = new RandomStreams(seed);
+        this.faults = new LinkFaults(plan, seeds.of("faults"));
         this.links = seeds.of("links");
         this.starts = seeds.of("starts");
         this.measure = measure;
     }
 
-    private Pace pace() {
-        return new Pace(
-                Duration.ofMillis(script.probeMs()), Pace.USUAL.forget(), Pace.USUAL.mostGone());
+    private ProtocolTiming pace() {
+        return new ProtocolTiming(
+                Duration.ofMillis(script.probeMs()),
+                ProtocolTiming.DEFAULT.departedRetention(),
+                ProtocolTiming.DEFAULT.maxDeparted());
     }
 
-    private static Address address(int number) {
-        return new Address("10.0." + number / 250 + '.' + (1 + number % 250), 4200);
+    private static PeerAddress address(int number) {
+        return new PeerAddress("10.0." + number / 250 + '.' + (1 + number % 250), 4200);
     }
 
     /**
@@ -226,7 +229,7 @@
         int known = 0;
         for (Host host : byStart.values()) {
             if (host.up) {
-                known += host.members.view().size();
+                known += host.members.snapshot().size();
             }
         }
         return known;
@@ -234,7 +237,7 @@
 
     /** Plays it to its end, or until all views have settled. */
     public FleetOutcome play() {
-        for (Plan.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : plan.actions()) {
             events.after(action.atS(), () -> act(action));
         }
         events.after(LOOK_S, this::look);
@@ -256,9 +259,9 @@
             note("unsettled");
         }
         for (Host host : byStart.values()) {
-            outcome.refuted += host.members.counts().refuted;
-            outcome.suspected += host.members.counts().suspected;
-            outcome.twins += (int) host.members.counts().twins;
+            outcome.refuted += host.members.counters().refutations;
+            outcome.suspected += host.members.counters().suspicions;
+            outcome.twins += (int) host.members.counters().duplicateNames;
             outcome.memberSeconds +=
                     (Double.isNaN(host.diedS) ? events.seconds() : host.diedS)
                             - Math.max(countS, host.startedS);
@@ -269,7 +272,7 @@
         return outcome;
     }
 
-    private void act(Plan.Action action) {
+    private void act(FaultSchedule.Action action) {
         Host host = bySlot.get(action.slot());
         switch (action.act()) {
             case START -> {
@@ -283,7 +286,7 @@
                 if (before != null && before.up) {
                     end(before);
                 }
-                byStart.put(fresh.members.self().start(), fresh);
+                byStart.put(fresh.members.self().incarnation(), fresh);
                 fresh.schedule();
             }
             case KILL -> {
@@ -321,7 +324,7 @@
                 host.members.leave(events.now());
                 host.carryOut();
                 events.after(
-                        Plan.LEAVES_S,
+                        FaultSchedule.LEAVES_S,
                         () -> {
                             if (host.up) {
                                 end(host);
@@ -340,15 +343,15 @@
         }
     }
 
-    private void deliver(Host from, Send send) {
+    private void deliver(Host from, OutboundPacket send) {
         if (measure && events.seconds() >= countS) {
             count(from, send);
         }
-        Host at = byAddress.get(send.to());
+        Host at = byAddress.get(send.destination());
         if (at == null) {
             return;
         }
-        for (Faults.Copy copy :
+        for (LinkFaults.Copy copy :
                 faults.fate(from.slot.number(), at.slot.number(), events.seconds())) {
             if (copy.spoilt()) {
                 continue; // its seal is broken: it is refused at the door
@@ -361,7 +364,7 @@
             events.after(
                     ms / 1e3,
                     () -> {
-                        Host now = byAddress.get(send.to());
+                        Host now = byAddress.get(send.destination());
                         if (now != null) {
                             now.take(send.packet());
                         }
@@ -369,7 +372,7 @@
         }
     }
 
-    private void count(Host from, Send send) {
+    private void count(Host from, OutboundPacket send) {
         int bytes = codec.seal(send.packet(), ++outcome.packets).length;
         outcome.bytes += bytes;
         if (from.second != (int) events.seconds()) {
@@ -383,20 +386,22 @@
         outcome.mostBytes = Math.max(outcome.mostBytes, from.bytes);
     }
 
-    private void changed(Host host, Change change) {
-        if (change.kind() != Change.Kind.STATE
-                || change.member().state() != State.SILENT
-                || change.before() == null) {
+    private void changed(Host host, MembershipChange change) {
+        if (change.kind() != MembershipChange.Kind.STATE_CHANGED
+                || change.member().state() != MemberState.UNRESPONSIVE
+                || change.previousState() == null) {
             return;
         }
         outcome.verdicts++;
-        Host of = byStart.get(change.member().start());
+        Host of = byStart.get(change.member().incarnation());
         if (of == null) {
             return;
         }
         double now = events.seconds();
         if (!of.up) {
-            if (of.diedS <= lastKill && host.knows.add(change.member().start()) && !of.leaves) {
+            if (of.diedS <= lastKill
+                    && host.knows.add(change.member().incarnation())
+                    && !of.leaves) {
                 outcome.knownMs.add((now - of.diedS) * 1e3);
             }
             return;
@@ -448,23 +453,23 @@
                 return "one is paused";
             }
             hosts.add(host);
-            there.add(host.members.self().start());
+            there.add(host.members.self().incarnation());
         }
         long digest = hosts.isEmpty() ? 0 : hosts.get(0).members.digest();
         for (Host host : hosts) {
-            if (host.members.self().state() != State.HERE) {
+            if (host.members.self().state() != MemberState.ALIVE) {
                 return host.slot.name() + " is " + host.members.self().state();
             }
-            if (host.members.digest() != digest || host.members.live() != there.size() - 1) {
+            if (host.members.digest() != digest || host.members.liveCount() != there.size() - 1) {
                 return host.slot.name() + " sees " + seen(host) + " of " + there.size();
             }
         }
         if (hosts.isEmpty()) {
             return null;
         }
-        for (Seen seen : hosts.get(0).members.view()) {
-            boolean live = seen.member().state().live();
-            if (live != there.contains(seen.member().start())) {
+        for (MemberSnapshot seen : hosts.get(0).members.snapshot()) {
+            boolean live = seen.member().state().isLive();
+            if (live != there.contains(seen.member().incarnation())) {
                 return "views agree and are wrong on " + seen.member().id();
             }
         }
@@ -473,13 +478,13 @@
 
     private static String seen(Host host) {
         StringBuilder text = new StringBuilder();
-        for (Seen seen : host.members.view()) {
-            if (!seen.self()) {
+        for (MemberSnapshot seen : host.members.snapshot()) {
+            if (!seen.isSelf()) {
                 text.append(seen.member().id().name())
                         .append(' ')
                         .append(seen.member().state())
                         .append(' ')
-                        .append(seen.member().number())
+                        .append(seen.member().stateVersion())
                         .append("; ");
             }
         }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembersModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import net.openhft.hashing.LongHashFunction;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Change;
-import ochretiller.fleet.members.Member;
-import ochretiller.fleet.members.MemberId;
-import ochretiller.fleet.members.Members;
-import ochretiller.fleet.members.Pace;
-import ochretiller.fleet.members.Seen;
-import ochretiller.fleet.members.Send;
-import ochretiller.fleet.members.State;
+import ochretiller.fleet.membership.Member;
+import ochretiller.fleet.membership.MemberId;
+import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.MembershipChange;
+import ochretiller.fleet.membership.MembershipProtocol;
+import ochretiller.fleet.membership.OutboundPacket;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.membership.ProtocolTiming;
 
 /**
  * Delivery, loss, passing time and crash in a fleet of a few, round the decisions themselves. In
@@ -20,13 +20,13 @@
  * have left who did not; from each state, with the faults gone, all views become equal and right
  * within a bound.
  */
-public final class MembersModel implements Model {
+public final class MembershipStateModel implements StateModel {
     /**
      * One look at the clock a probe, and suspicion as short as it can be: verdicts come within the
      * depth.
      */
-    private static final Pace PACE =
-            new Pace(Duration.ofMillis(100), Duration.ofHours(1), 100, 1, 0.72);
+    private static final ProtocolTiming PACE =
+            new ProtocolTiming(Duration.ofMillis(100), Duration.ofHours(1), 100, 1, 0.72);
 
     /**
      * Packets on one way from one to another; one more pushes the oldest out, which is a loss like
@@ -42,27 +42,27 @@
     private final int members;
     private final int crashes;
     private final boolean planted;
-    private final Members[] all;
+    private final MembershipProtocol[] all;
     private final Duration[] clocks;
     private final boolean[] dead;
     private final boolean[] left;
-    private final List<List<Send>> ways = new ArrayList<>();
+    private final List<List<OutboundPacket>> ways = new ArrayList<>();
     private int deadCount;
     private String broken;
 
     /**
      * @param planted whether a fault is planted that has to be found
      */
-    public MembersModel(int members, int crashes, boolean planted) {
+    public MembershipStateModel(int members, int crashes, boolean planted) {
         this.members = members;
         this.crashes = crashes;
         this.planted = planted;
-        all = new Members[members];
+        all = new MembershipProtocol[members];
         clocks = new Duration[members];
         dead = new boolean[members];
         left = new boolean[members];
         for (int i = 0; i < members; i++) {
-            List<Address> seeds = i == 0 ? List.of() : List.of(address(0));
+            List<PeerAddress> seeds = i == 0 ? List.of() : List.of(address(0));
             Member self =
                     new Member(
                             new MemberId("m" + i, i + 1),
@@ -71,9 +71,9 @@
                             "b",
                             null,
                             1,
-                            State.JOINING);
+                            MemberState.JOINING);
             clocks[i] = Duration.ZERO;
-            all[i] = new Members(self, seeds, PACE, new Fixed(), Duration.ZERO);
+            all[i] = new MembershipProtocol(self, seeds, PACE, new ConstantRandom(), Duration.ZERO);
         }
         for (int i = 0; i < members * members; i++) {
             ways.add(new ArrayList<>());
@@ -83,22 +83,22 @@
         }
     }
 
-    private Address address(int i) {
-        return new Address("m", i + 1);
+    private PeerAddress address(int i) {
+        return new PeerAddress("m", i + 1);
     }
 
     private void take(int from) {
-        for (Send send : all[from].sends()) {
-            List<Send> way = ways.get(from * members + send.to().port() - 1);
+        for (OutboundPacket send : all[from].takeOutbound()) {
+            List<OutboundPacket> way = ways.get(from * members + send.destination().port() - 1);
             if (way.size() == ON_A_WAY) {
                 way.remove(0);
             }
             way.add(send);
         }
-        for (Change change : all[from].changes()) {
-            int of = (int) change.member().start() - 1;
-            if (change.kind() == Change.Kind.STATE
-                    && change.member().state() == State.LEFT
+        for (MembershipChange change : all[from].takeChanges()) {
+            int of = (int) change.member().incarnation() - 1;
+            if (change.kind() == MembershipChange.Kind.STATE_CHANGED
+                    && change.member().state() == MemberState.LEFT
                     && !left[of]) {
                 broken = "said to have left: " + change;
             }
@@ -106,22 +106,22 @@
     }
 
     private void time(int who) {
-        clocks[who] = all[who].next();
+        clocks[who] = all[who].nextTick();
         all[who].tick(clocks[who]);
         take(who);
     }
 
     private void deliver(int way, int which) {
         int to = way % members;
-        Send send = ways.get(way).remove(which);
+        OutboundPacket send = ways.get(way).remove(which);
         if (dead[to]) {
             return;
         }
         // A planted fault, to see that it is found: a member that never answers what is said of it.
-        if (planted && to == members - 1 && send.packet().from().start() == 1) {
+        if (planted && to == members - 1 && send.packet().sender().incarnation() == 1) {
             return;
         }
-        all[to].received(send.packet(), clocks[to]);
+        all[to].receive(send.packet(), clocks[to]);
         take(to);
     }
 
@@ -185,7 +185,7 @@
     @Override
     public int actions() {
         int count = 2 * members;
-        for (List<Send> way : ways) {
+        for (List<OutboundPacket> way : ways) {
             count += 2 * way.size();
         }
         return count;
@@ -195,17 +195,17 @@
     public long fingerprint() {
         StringBuilder text = new StringBuilder(1024);
         for (int i = 0; i < members; i++) {
-            text.append(dead[i] ? "dead" : all[i].state())
-                    .append(all[i].next().minus(clocks[i]))
+            text.append(dead[i] ? "dead" : all[i].describeState())
+                    .append(all[i].nextTick().minus(clocks[i]))
                     .append('\n');
         }
-        for (List<Send> way : ways) {
+        for (List<OutboundPacket> way : ways) {
             text.append(way.stream().map(send -> told(send)).toList());
         }
         return LongHashFunction.xx3().hashChars(text);
     }
 
-    private String told(Send send) {
+    private String told(OutboundPacket send) {
         return send.packet().toString();
     }
 
@@ -215,9 +215,9 @@
             if (dead[i]) {
                 continue;
             }
-            for (Seen seen : all[i].view()) {
-                int of = (int) seen.member().start() - 1;
-                if (seen.member().number() > all[of].self().number()) {
+            for (MemberSnapshot seen : all[i].snapshot()) {
+                int of = (int) seen.member().incarnation() - 1;
+                if (seen.member().stateVersion() > all[of].self().stateVersion()) {
                     broken = "a number that " + of + " never had: " + seen;
                 }
             }
@@ -232,11 +232,12 @@
             if (dead[i]) {
                 continue;
             }
-            if (all[i].live() != members - deadCount - 1 || all[i].self().state() != State.HERE) {
+            if (all[i].liveCount() != members - deadCount - 1
+                    || all[i].self().state() != MemberState.ALIVE) {
                 return false;
             }
-            for (Seen seen : all[i].view()) {
-                if (dead[(int) seen.member().start() - 1] && seen.member().state().live()) {
+            for (MemberSnapshot seen : all[i].snapshot()) {
+                if (dead[(int) seen.member().incarnation() - 1] && seen.member().state().isLive()) {
                     return false;
                 }
             }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Drawn.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import ochretiller.emulator.core.Seeds;
+import ochretiller.emulator.core.RandomStreams;
 
 /** Scripts drawn by chance: 5 to 50 members, up to six faults that overlap as they like. */
-public final class Drawn {
+public final class RandomScenarios {
     private static final List<String> KINDS =
             List.of(
                     "kill",
@@ -38,20 +38,20 @@
     private static final double LONGEST_S = 10;
     private static final int SEEDS = 3;
 
-    private Drawn() {}
+    private RandomScenarios() {}
 
     /** The script of this number. */
-    public static FleetScript script(long seed, double settledS) {
-        SplittableRandom chance = new Seeds(seed).of("schedule");
+    public static FleetScenario script(long seed, double settledS) {
+        SplittableRandom chance = new RandomStreams(seed).of("schedule");
         int members = 5 + chance.nextInt(46);
         int zones = 1 + chance.nextInt(4);
-        List<FleetScript.Incident> incidents = new ArrayList<>();
+        List<FleetScenario.Incident> incidents = new ArrayList<>();
         int count = 1 + chance.nextInt(6);
         for (int i = 0; i < count; i++) {
             incidents.add(incident(chance, members));
         }
-        FleetScript free =
-                new FleetScript(
+        FleetScenario free =
+                new FleetScenario(
                         "drawn-" + seed,
                         1,
                         members,
@@ -63,11 +63,11 @@
                         0.3,
                         false,
                         false,
-                        new FleetScript.Load(0, 0),
+                        new FleetScenario.Load(0, 0),
                         incidents,
-                        FleetScript.Expect.NOTHING);
-        double last = Plan.of(free).lastS();
-        return new FleetScript(
+                        FleetScenario.Expect.NOTHING);
+        double last = FaultSchedule.of(free).lastS();
+        return new FleetScenario(
                 free.name(),
                 last + settledS + 15,
                 members,
@@ -81,20 +81,20 @@
                 false,
                 free.load(),
                 incidents,
-                new FleetScript.Expect(settledS, -1, -1, 0));
+                new FleetScenario.Expect(settledS, -1, -1, 0));
     }
 
     /**
      * A script for a fleet that keeps copies: 3 to 9 members, faults of what lasts and comes back.
      */
-    public static FleetScript copies(long seed) {
-        SplittableRandom chance = new Seeds(seed).of("copies");
+    public static FleetScenario copies(long seed) {
+        SplittableRandom chance = new RandomStreams(seed).of("copies");
         int members = 3 + chance.nextInt(7);
         int zones = 1 + chance.nextInt(3);
-        List<FleetScript.Incident> incidents = new ArrayList<>();
+        List<FleetScenario.Incident> incidents = new ArrayList<>();
         int count = chance.nextInt(7);
         while (incidents.size() < count) {
-            FleetScript.Incident each = incident(chance, members);
+            FleetScenario.Incident each = incident(chance, members);
             boolean plays =
                     List.of(
                                     "kill",
@@ -115,7 +115,7 @@
                 incidents.add(each);
             }
         }
-        return new FleetScript(
+        return new FleetScenario(
                 "copies-" + seed,
                 100,
                 members,
@@ -127,12 +127,12 @@
                 0.3,
                 true,
                 true,
-                new FleetScript.Load(0, 0),
+                new FleetScenario.Load(0, 0),
                 incidents,
-                FleetScript.Expect.NOTHING);
+                FleetScenario.Expect.NOTHING);
     }
 
-    private static FleetScript.Incident incident(SplittableRandom chance, int members) {
+    private static FleetScenario.Incident incident(SplittableRandom chance, int members) {
         String what = KINDS.get(chance.nextInt(KINDS.size()));
         double at = 1 + chance.nextDouble() * BEGIN_S;
         double span = 0.2 + chance.nextDouble() * LONGEST_S;
@@ -164,7 +164,7 @@
             case "crowd" -> strength = 10 + 150 * chance.nextDouble();
             default -> {}
         }
-        return new FleetScript.Incident(
+        return new FleetScenario.Incident(
                 at, span, what, who, who(chance, members), who(chance, members), strength);
     }
 
--- a/emulator/src/main/java/ochretiller/emulator/fleet/CopiesMeasure.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationMeasurement.java
@@ -16,7 +16,7 @@
  * What copies cost by the size of the fleet, and how long it takes until all ranges are whole when
  * a third comes back empty.
  */
-public final class CopiesMeasure {
+public final class ReplicationMeasurement {
     /** Tokened invocations of each server in a second. */
     private static final int LOAD = 5;
 
@@ -28,16 +28,17 @@
 
     private final Path folder;
 
-    public CopiesMeasure(Path folder) throws IOException {
+    public ReplicationMeasurement(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
     }
 
-    private static FleetScript script(int members) {
-        FleetScript.Incident third =
-                new FleetScript.Incident(DIES_S, BACK_S, "kill", "1/3", "", "", 1);
+    private static FleetScenario script(int members) {
+        FleetScenario.Incident third =
+                new FleetScenario.Incident(DIES_S, BACK_S, "kill", "1/3", "", "", 1);
         // One that changes nothing, so that there is load until long behind the return.
-        FleetScript.Incident last = new FleetScript.Incident(ENDS_S, 0.1, "delay", "", "1", "1", 0);
-        return new FleetScript(
+        FleetScenario.Incident last =
+                new FleetScenario.Incident(ENDS_S, 0.1, "delay", "", "1", "1", 0);
+        return new FleetScenario(
                 "third",
                 60,
                 members,
@@ -49,9 +50,9 @@
                 0.3,
                 true,
                 true,
-                new FleetScript.Load(0, 0),
+                new FleetScenario.Load(0, 0),
                 List.of(third, last),
-                FleetScript.Expect.NOTHING);
+                FleetScenario.Expect.NOTHING);
     }
 
     public void write(List<Integer> sizes, Consumer<String> progress) throws IOException {
@@ -74,9 +75,11 @@
                 .setLegendLayout(Styler.LegendLayout.Horizontal)
                 .setMarkerSize(0);
         for (int size : sizes) {
-            CopiesWorld world = new CopiesWorld(script(size), 1, 1, 0, false, true).formed();
-            CopiesWorld.Counts counts = world.counting();
-            CopiesWorld.Outcomes outcomes = world.play((int) (LOAD * size * (ENDS_S + 8)), FORMS_S);
+            ReplicationSimulation world =
+                    new ReplicationSimulation(script(size), 1, 1, 0, false, true).formed();
+            ReplicationSimulation.Counts counts = world.counting();
+            ReplicationSimulation.Outcomes outcomes =
+                    world.play((int) (LOAD * size * (ENDS_S + 8)), FORMS_S);
             double[] packets = counts.each(0, CALM_FROM_S, DIES_S, size);
             double[] bytes = counts.each(1, CALM_FROM_S, DIES_S, size);
             double whole =
