--- a/emulator/src/main/java/ochretiller/emulator/fleet/CopiesWorld.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -15,37 +15,38 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.fleet.copies.Claims;
-import ochretiller.fleet.copies.Commit;
-import ochretiller.fleet.copies.CopyMessage;
-import ochretiller.fleet.copies.Entry;
-import ochretiller.fleet.copies.Keeper;
-import ochretiller.fleet.copies.Modes;
-import ochretiller.fleet.copies.Outcome;
-import ochretiller.fleet.copies.Pieces;
-import ochretiller.fleet.copies.Verdict;
-import ochretiller.fleet.epochs.Ballot;
-import ochretiller.fleet.epochs.EpochMessage;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Voter;
-import ochretiller.fleet.epochs.Wish;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Member;
-import ochretiller.fleet.members.MemberId;
-import ochretiller.fleet.members.State;
-import ochretiller.fleet.peers.Codec;
-import ochretiller.fleet.peers.FleetKeys;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.fleet.consensus.Ballot;
+import ochretiller.fleet.consensus.ConsensusMessage;
+import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.PlacementPlanner;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.membership.Member;
+import ochretiller.fleet.membership.MemberId;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.replication.ChunkAssembler;
+import ochretiller.fleet.replication.ClaimCoordinator;
+import ochretiller.fleet.replication.ClaimDecision;
+import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicationMessage;
+import ochretiller.fleet.transport.FleetKeys;
+import ochretiller.fleet.transport.PacketCodec;
 
 /**
  * A fleet that keeps claims and results for one another, in virtual time: voters, keepers and the
  * way of keyed invocations are the server's own decisions; callers bring repeats to any server.
  */
-public final class CopiesWorld {
+public final class ReplicationSimulation {
     private static final int FACTOR = 3;
     private static final String OPERATION = "order";
-    private static final Modes.Told SERVERS = new Modes.Told(Modes.Mode.SERVER, Map.of());
+    private static final ClaimModes.ClaimModeSettings SERVERS =
+            new ClaimModes.ClaimModeSettings(ClaimModes.ClaimMode.SERVER, Map.of());
     private static final int VOTERS = 3;
     private static final int MOST = 100_000;
     private static final Duration TICK = Duration.ofMillis(20);
@@ -87,13 +88,13 @@
     /** Behind a change of mode: all have come to run without claims by then, and go on. */
     private static final double SWITCHES_S = 75;
 
-    private static final Keeper.Bounds BOUNDS =
-            new Keeper.Bounds(MOST, Long.MAX_VALUE, 2 << 20, WINDOW.plusSeconds(10));
+    private static final Replica.ReplicaLimits BOUNDS =
+            new Replica.ReplicaLimits(MOST, Long.MAX_VALUE, 2 << 20, WINDOW.plusSeconds(10));
 
-    private final FleetScript script;
-    private final Plan plan;
-    private final Events events = new Events();
-    private final Faults faults;
+    private final FleetScenario script;
+    private final FaultSchedule plan;
+    private final EventQueue events = new EventQueue();
+    private final LinkFaults faults;
     private final SplittableRandom links;
     private final SplittableRandom chance;
     private final double lostDisks;
@@ -172,16 +173,16 @@
 
     /** What of a keeper is on its disk. */
     private record Image(
-            Keeper.Disk place,
+            Replica.ReplicaSnapshot place,
             Map<String, Long> heard,
-            Map<String, Entry> entries,
+            Map<String, ReplicaEntry> entries,
             Map<String, Long> numbers,
             Map<String, String> results) {
         static Image none() {
             return new Image(null, Map.of(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
         }
 
-        Image copy(Keeper.Disk now) {
+        Image copy(Replica.ReplicaSnapshot now) {
             return new Image(
                     now,
                     heard,
@@ -191,27 +192,27 @@
         }
 
         /** As a start reads it. */
-        Keeper.Disk disk(Duration now) {
+        Replica.ReplicaSnapshot disk(Duration now) {
             if (place == null) {
                 return null;
             }
-            Map<String, Entry> live = new TreeMap<>();
+            Map<String, ReplicaEntry> live = new TreeMap<>();
             entries.forEach(
                     (token, entry) -> {
-                        if (entry.until().compareTo(now) > 0) {
+                        if (entry.expiresAt().compareTo(now) > 0) {
                             live.put(token, entry);
                         }
                     });
             long number =
                     Math.max(
-                            place.number(),
+                            place.changeNumber(),
                             numbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
-            return new Keeper.Disk(
-                    place.layout(),
+            return new Replica.ReplicaSnapshot(
+                    place.placement(),
                     live,
-                    place.behind(),
-                    place.forgot(),
-                    place.lost(),
+                    place.laggingRanges(),
+                    place.forgottenRanges(),
+                    place.unreliableRanges(),
                     number,
                     true);
         }
@@ -220,20 +221,20 @@
     private final class Host {
         final int number;
         final String name;
-        final Layout.Server server;
-        Keeper keeper;
+        final ReplicaPlacement.ReplicaServer server;
+        Replica keeper;
         Image disk = Image.none();
-        Commit commit;
+        DurabilityBarrier commit;
         final Deque<Image> images = new ArrayDeque<>();
         double imagedS;
         double sickUntilS;
         double forcedS;
         double placedS;
         final List<Double> lostS = new ArrayList<>();
-        Voter voter;
-        Voter.Promised voterDisk;
-        Claims own;
-        Wish wish;
+        EpochConsensus voter;
+        EpochConsensus.AcceptorState voterDisk;
+        ClaimCoordinator own;
+        PlacementPlanner wish;
         boolean up;
         boolean paused;
         boolean everUp;
@@ -242,12 +243,12 @@
         long attempted;
         final Deque<Sent> waits = new ArrayDeque<>();
         final Map<String, String> local = new HashMap<>();
-        Modes modes;
+        ClaimModes modes;
 
         Host(int number) {
             this.number = number;
             this.name = "m" + number;
-            this.server = new Layout.Server(name, "z" + script.zone(number));
+            this.server = new ReplicaPlacement.ReplicaServer(name, "z" + script.zone(number));
         }
 
         /** Whether it claims no more: the servers are told so one after the other. */
@@ -263,21 +264,22 @@
             waits.clear();
             local.clear();
             modes =
-                    new Modes(
-                            switched() ? SERVERS : Modes.Told.FLEET,
-                            BOUNDS.longest(),
+                    new ClaimModes(
+                            switched() ? SERVERS : ClaimModes.ClaimModeSettings.ALL_FLEET,
+                            BOUNDS.maxWindow(),
                             events.now());
             boolean first = !everUp;
             everUp = true;
             if (first && formed != null) {
                 disk =
                         new Image(
-                                new Keeper.Disk(formed, Map.of()),
+                                new Replica.ReplicaSnapshot(formed, Map.of()),
                                 Map.of(),
                                 new TreeMap<>(),
                                 new TreeMap<>(),
                                 new TreeMap<>());
-                voterDisk = new Voter.Promised(formed, Ballot.NONE, Ballot.NONE, null, 0);
+                voterDisk =
+                        new EpochConsensus.AcceptorState(formed, Ballot.NONE, Ballot.NONE, null, 0);
             }
             if (!keepsDisk) {
                 lostS.add(events.seconds());
@@ -296,7 +298,7 @@
                     names.add("m" + i);
                 }
                 voter =
-                        new Voter(
+                        new EpochConsensus(
                                 name,
                                 names,
                                 voterDisk,
@@ -304,26 +306,28 @@
                                 first && formed == null,
                                 chance.nextLong());
             }
-            Keeper.Disk found = disk.disk(events.now());
-            Layout known =
+            Replica.ReplicaSnapshot found = disk.disk(events.now());
+            ReplicaPlacement known =
                     found != null
-                            ? found.layout()
-                            : voter != null ? voter.agreed() : Layout.none(FACTOR);
+                            ? found.placement()
+                            : voter != null ? voter.committed() : ReplicaPlacement.empty(FACTOR);
             // Without its disk it knows of no epoch: the first that it is told of, it takes as one
             // that it may have been in.
             keeper =
                     found != null
-                            ? new Keeper(name, found, null, BOUNDS, 0, events.now())
-                            : first ? new Keeper(name, null, known, BOUNDS, 1, events.now()) : null;
-            commit = new Commit(chance.split());
+                            ? new Replica(name, found, null, BOUNDS, 0, events.now())
+                            : first
+                                    ? new Replica(name, null, known, BOUNDS, 1, events.now())
+                                    : null;
+            commit = new DurabilityBarrier(chance.split());
             if (sickDisks && chance.nextInt(6) == 0) {
                 sickUntilS = events.seconds() + 30 * chance.nextDouble() + SICK_S;
             }
-            own = new Claims(name, life, known, chance.split());
-            own.remember(disk.heard);
-            wish = new Wish(CALM, BOUNDS.longest(), FACTOR);
+            own = new ClaimCoordinator(name, life, known, chance.split());
+            own.restoreChangeNumbers(disk.heard);
+            wish = new PlacementPlanner(CALM, BOUNDS.maxWindow(), FACTOR);
             if (voter != null && known.epoch() > 0) {
-                voter.received(name, new EpochMessage.Agreed(known));
+                voter.receive(name, new ConsensusMessage.Committed(known));
             }
             tick(life);
             speak(life);
@@ -341,7 +345,7 @@
                 each.run();
             }
             underWay.clear();
-            voterDisk = voter == null || voter.blank() ? null : voter.promised();
+            voterDisk = voter == null || voter.hasLostState() ? null : voter.durableState();
             up = false;
             changedS = events.seconds();
         }
@@ -382,15 +386,15 @@
                     });
         }
 
-        private void write(Commit.Write write) {
-            Keeper of = keeper;
+        private void write(DurabilityBarrier.PendingWrite write) {
+            Replica of = keeper;
             Image image = disk;
             long mine = life;
             String token = write.token();
-            Keeper.Disk place = token == null ? of.place() : null;
-            Entry entry = token == null ? null : of.entry(token);
-            Map<String, Long> heard = token == null ? own.heard() : Map.of();
-            long numbered = token == null ? 0 : of.number(token);
+            Replica.ReplicaSnapshot place = token == null ? of.metadataSnapshot() : null;
+            ReplicaEntry entry = token == null ? null : of.entry(token);
+            Map<String, Long> heard = token == null ? own.observedChangeNumbers() : Map.of();
+            long numbered = token == null ? 0 : of.changeNumber(token);
             force(
                     mine,
                     () -> {
@@ -408,23 +412,24 @@
                         }
                     },
                     durable -> {
-                        for (Keeper.Out out : commit.acked(write, durable, events.now())) {
-                            send(number(out.to()), out.message());
+                        for (Replica.OutboundMessage out :
+                                commit.acknowledge(write, durable, events.now())) {
+                            send(number(out.recipient()), out.message());
                         }
                     });
         }
 
         private void keep() {
-            for (Pieces.Whole whole : keeper.wholes()) {
+            for (ChunkAssembler.AssembledResult whole : keeper.takeAssembledResults()) {
                 long mine = life;
                 force(
                         mine,
-                        () -> disk.results.put(whole.token() + whole.id(), whole.result()),
+                        () -> disk.results.put(whole.token() + whole.claimId(), whole.result()),
                         durable -> {
                             if (!durable) {
                                 return;
                             }
-                            keeper.shelved(whole);
+                            keeper.resultStored(whole);
                             carryOut();
                         });
             }
@@ -440,12 +445,12 @@
                 if (keeper != null) {
                     keeper.tick(now);
                     if (chance.nextInt(25) == 0) {
-                        keeper.compare(chance);
+                        keeper.compareRandomRange(chance);
                     }
                     if (chance.nextInt(25) == 0) {
-                        keeper.there(seen());
+                        keeper.observeLivePeers(seen());
                     }
-                    commit.tick(now).forEach(this::write);
+                    commit.retryWrites(now).forEach(this::write);
                     if (events.seconds() - imagedS > IMAGES_S) {
                         imagedS = events.seconds();
                         images.add(disk.copy(disk.place));
@@ -453,7 +458,7 @@
                             images.poll();
                         }
                     }
-                    outcomes.behind = Math.max(outcomes.behind, keeper.behind());
+                    outcomes.behind = Math.max(outcomes.behind, keeper.laggingRangeCount());
                 }
                 if (voter != null) {
                     vote(now);
@@ -476,14 +481,14 @@
         }
 
         private void vote(Duration now) {
-            if (voter.blank()) {
+            if (voter.hasLostState()) {
                 if (chance.nextInt(10) == 0) {
-                    voter.ask();
+                    voter.requestRecovery();
                 }
                 return;
             }
             Map<String, Boolean> view = new HashMap<>();
-            List<Layout.Server> servers = new ArrayList<>();
+            List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
             for (Host each : hosts.values()) {
                 if (!each.everUp) {
                     continue;
@@ -493,16 +498,16 @@
                 view.put(each.name, lately ? !is : is);
                 servers.add(each.server);
             }
-            wish.seen(view, now);
-            if (voter.attempting() && events.done() - attempted < 2_000
+            wish.observe(view, now);
+            if (voter.isProposing() && events.done() - attempted < 2_000
                     || chance.nextInt(10) != 0) {
                 return;
             }
-            wish.next(voter.agreed(), servers, now)
+            wish.nextPlacement(voter.committed(), servers, now)
                     .ifPresent(
                             layout -> {
                                 attempted = events.done();
-                                voter.attempt(layout);
+                                voter.propose(layout);
                             });
         }
 
@@ -510,11 +515,14 @@
             if (!up || life != mine) {
                 return;
             }
-            if (!paused && voter != null && !voter.blank() && voter.agreed().epoch() > 0) {
+            if (!paused
+                    && voter != null
+                    && !voter.hasLostState()
+                    && voter.committed().epoch() > 0) {
                 for (int i = 0; i < TELLS; i++) {
                     int to = 1 + chance.nextInt(hosts.size());
                     if (to != number) {
-                        send(to, new EpochMessage.Agreed(voter.agreed()));
+                        send(to, new ConsensusMessage.Committed(voter.committed()));
                     }
                 }
             }
@@ -525,10 +533,15 @@
         }
 
         private void stand() {
-            boolean keeps = keeper != null && own.layout().has(name);
-            int behind = !keeps ? 0 : keeper.returning() ? Layout.RANGES : keeper.behind();
-            EpochMessage.Standing standing =
-                    new EpochMessage.Standing(own.layout().epoch(), behind);
+            boolean keeps = keeper != null && own.placement().contains(name);
+            int behind =
+                    !keeps
+                            ? 0
+                            : keeper.isCheckingDisk()
+                                    ? ReplicaPlacement.RANGE_COUNT
+                                    : keeper.laggingRangeCount();
+            ConsensusMessage.ReplicaProgress standing =
+                    new ConsensusMessage.ReplicaProgress(own.placement().epoch(), behind);
             int voters = Math.min(VOTERS, script.members());
             if (!keeps) {
                 send(1 + chance.nextInt(voters), standing);
@@ -551,7 +564,7 @@
                         sent.from,
                         name,
                         paused ? " (paused)" : "",
-                        keeper == null ? 0 : keeper.layout().epoch(),
+                        keeper == null ? 0 : keeper.placement().epoch(),
                         sent.message);
             }
             if (paused) {
@@ -561,61 +574,64 @@
                 return;
             }
             Duration now = events.now();
-            if (sent.message instanceof EpochMessage message) {
+            if (sent.message instanceof ConsensusMessage message) {
                 if (voter != null) {
-                    voter.received(sent.from, message);
+                    voter.receive(sent.from, message);
                 }
-                if (message instanceof EpochMessage.Standing standing) {
-                    wish.told(sent.from, standing);
+                if (message instanceof ConsensusMessage.ReplicaProgress standing) {
+                    wish.recordProgress(sent.from, standing);
                     boolean missed =
                             voter != null
-                                    && !voter.blank()
-                                    && standing.epoch() < voter.agreed().epoch();
+                                    && !voter.hasLostState()
+                                    && standing.epoch() < voter.committed().epoch();
                     if (missed && !sent.from.equals(name)) {
-                        send(number(sent.from), new EpochMessage.Agreed(voter.agreed()));
+                        send(number(sent.from), new ConsensusMessage.Committed(voter.committed()));
                     }
                 }
-                if (message instanceof EpochMessage.Agreed agreed) {
-                    learn(agreed.layout());
+                if (message instanceof ConsensusMessage.Committed agreed) {
+                    learn(agreed.placement());
                 }
-                long mine = own.layout().epoch();
+                long mine = own.placement().epoch();
                 boolean asks =
-                        message instanceof EpochMessage.WhatIsOpen
-                                || message instanceof EpochMessage.Agreed agreed
-                                        && agreed.layout().epoch() < mine;
+                        message instanceof ConsensusMessage.RecoveryQuery
+                                || message instanceof ConsensusMessage.Committed agreed
+                                        && agreed.placement().epoch() < mine;
                 if (asks && mine > 0 && number(sent.from) <= VOTERS && !sent.from.equals(name)) {
-                    send(number(sent.from), new EpochMessage.Agreed(own.layout()));
+                    send(number(sent.from), new ConsensusMessage.Committed(own.placement()));
                 }
-            } else if (sent.message instanceof CopyMessage message) {
-                if (message instanceof CopyMessage.Claim claim && !sent.from.equals(name)) {
-                    modes.claimed(OPERATION, claim.leaves(), now);
+            } else if (sent.message instanceof ReplicationMessage message) {
+                if (message instanceof ReplicationMessage.ClaimRequest claim
+                        && !sent.from.equals(name)) {
+                    modes.claimObserved(OPERATION, claim.transitional(), now);
                 }
-                if (message instanceof CopyMessage.Fetch fetch && fetch.layout() != null) {
-                    learn(fetch.layout());
+                if (message instanceof ReplicationMessage.RangeRequest fetch
+                        && fetch.placement() != null) {
+                    learn(fetch.placement());
                 }
-                if (message instanceof CopyMessage.Want want) {
-                    String result = own.result(want.id());
+                if (message instanceof ReplicationMessage.ChunkRequest want) {
+                    String result = own.pendingResult(want.claimId());
                     if (result == null) {
-                        result = disk.results.get(want.token() + want.id());
+                        result = disk.results.get(want.token() + want.claimId());
                     }
-                    CopyMessage.Piece piece = result == null ? null : Pieces.cut(want, result);
+                    ReplicationMessage.Chunk piece =
+                            result == null ? null : ChunkAssembler.slice(want, result);
                     if (piece != null) {
                         send(number(sent.from), piece);
                     }
                 }
                 if (keeper != null) {
-                    keeper.received(sent.from, message, now);
+                    keeper.receive(sent.from, message, now);
                 }
-                own.received(sent.from, message, now);
+                own.receive(sent.from, message, now);
             }
             carryOut();
         }
 
-        private void learn(Layout layout) {
+        private void learn(ReplicaPlacement layout) {
             // Numbers of later lives are higher, as those from a clock are.
             if (keeper == null) {
                 keeper =
-                        new Keeper(
+                        new Replica(
                                 name,
                                 null,
                                 layout,
@@ -623,18 +639,18 @@
                                 events.now().toNanos() / 1000,
                                 events.now());
             } else {
-                keeper.become(layout, events.now());
+                keeper.adoptPlacement(layout, events.now());
             }
-            own.become(layout, events.now());
+            own.adoptPlacement(layout, events.now());
             outcomes.epochs = (int) Math.max(outcomes.epochs, layout.epoch());
         }
 
         void carryOut() {
             if (voter != null) {
                 learnOwn();
-                for (Voter.Out out : voter.outs()) {
-                    if (out.to().isPresent()) {
-                        send(number(out.to().get()), out.message());
+                for (EpochConsensus.OutboundConsensusMessage out : voter.takeOutbound()) {
+                    if (out.recipient().isPresent()) {
+                        send(number(out.recipient().get()), out.message());
                     } else {
                         for (Host each : hosts.values()) {
                             if (each != this) {
@@ -646,33 +662,33 @@
             }
             if (keeper != null) {
                 keep();
-                List<String> tokens = keeper.changes();
-                boolean place = keeper.moved();
+                List<String> tokens = keeper.takeChangedTokens();
+                boolean place = keeper.takeMetadataChanged();
                 if (events.seconds() - placedS > 1) {
                     placedS = events.seconds();
                     place = true;
                 }
-                List<Keeper.Out> say = new ArrayList<>();
-                commit.changed(tokens, place, keeper.outs(), say).forEach(this::write);
-                for (Keeper.Out out : say) {
-                    send(number(out.to()), out.message());
+                List<Replica.OutboundMessage> say = new ArrayList<>();
+                commit.submit(tokens, place, keeper.takeOutbound(), say).forEach(this::write);
+                for (Replica.OutboundMessage out : say) {
+                    send(number(out.recipient()), out.message());
                 }
-                outcomes.oldFound = (int) Math.max(outcomes.oldFound, keeper.oldDisks());
-                outcomes.unsaid = Math.max(outcomes.unsaid, commit.unsaid());
+                outcomes.oldFound = (int) Math.max(outcomes.oldFound, keeper.staleDisks());
+                outcomes.unsaid = Math.max(outcomes.unsaid, commit.droppedMessages());
                 outcomes.fetchedBytes = Math.max(outcomes.fetchedBytes, keeper.fetchedBytes());
-                outcomes.conflicts = (int) Math.max(outcomes.conflicts, keeper.conflicts());
+                outcomes.conflicts = (int) Math.max(outcomes.conflicts, keeper.conflictCount());
             }
-            for (Keeper.Out out : own.outs()) {
-                send(number(out.to()), out.message());
+            for (Replica.OutboundMessage out : own.takeOutbound()) {
+                send(number(out.recipient()), out.message());
             }
         }
 
         private void learnOwn() {
-            if (voter.agreed().epoch() > 0
+            if (voter.committed().epoch() > 0
                     && (keeper == null
-                            || keeper.layout().epoch() < voter.agreed().epoch()
-                            || own.layout().epoch() < voter.agreed().epoch())) {
-                learn(voter.agreed());
+                            || keeper.placement().epoch() < voter.committed().epoch()
+                            || own.placement().epoch() < voter.committed().epoch())) {
+                learn(voter.committed());
             }
         }
 
@@ -689,11 +705,11 @@
             if (at == null) {
                 return;
             }
-            List<Faults.Copy> copies =
+            List<LinkFaults.Copy> copies =
                     to == number
-                            ? List.of(new Faults.Copy(0, false))
+                            ? List.of(new LinkFaults.Copy(0, false))
                             : faults.fate(number, to, played());
-            for (Faults.Copy copy : copies) {
+            for (LinkFaults.Copy copy : copies) {
                 if (copy.spoilt()) {
                     continue;
                 }
@@ -716,17 +732,17 @@
      * @param sickDisks whether disks fail for some seconds now and then
      * @param claims whether a run is claimed; without it each server knows of its own runs alone
      */
-    public CopiesWorld(
-            FleetScript script,
+    public ReplicationSimulation(
+            FleetScenario script,
             long seed,
             double lostDisks,
             double oldDisks,
             boolean sickDisks,
             boolean claims) {
         this.script = script;
-        this.plan = Plan.of(script);
-        Seeds seeds = new Seeds(seed);
-        this.faults = new Faults(plan, seeds.of("faults"));
+        this.plan = FaultSchedule.of(script);
+        RandomStreams seeds = new RandomStreams(seed);
+        this.faults = new LinkFaults(plan, seeds.of("faults"));
         this.links = seeds.of("links");
         this.chance = seeds.of("chance");
         this.lostDisks = lostDisks;
@@ -741,12 +757,12 @@
      */
     public Outcomes play(int tokenCount, double forms) {
         faultsShift = forms;
-        for (Plan.Slot slot : plan.slots()) {
+        for (FaultSchedule.Slot slot : plan.slots()) {
             hosts.put(slot.number(), new Host(slot.number()));
         }
-        for (Plan.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : plan.actions()) {
             double at =
-                    action.act() == Plan.Act.START && action.atS() <= script.startS()
+                    action.act() == FaultSchedule.Act.START && action.atS() <= script.startS()
                             ? action.atS()
                             : action.atS() + forms;
             events.after(at, () -> act(action));
@@ -784,17 +800,17 @@
     static final class Counts {
         private static final double LOOK_S = 0.05;
 
-        private final Codec codec =
-                new Codec("emulated", FleetKeys.of("a key of the emulator's own"));
+        private final PacketCodec codec =
+                new PacketCodec("emulated", FleetKeys.of("a key of the emulator's own"));
         private final Member sender =
                 new Member(
                         new MemberId("m1000", 1),
-                        new Address("10.0.0.1", 4200),
+                        new PeerAddress("10.0.0.1", 4200),
                         "z1",
                         "build-1",
                         null,
                         1,
-                        State.HERE);
+                        MemberState.ALIVE);
         final Map<Integer, Map<Integer, long[]>> bySecond = new TreeMap<>();
 
         /** Times at which some range was not whole. */
@@ -848,20 +864,21 @@
      * A fleet that has formed long ago: its keepers are agreed on, as many as a layout takes, and
      * keep nothing yet.
      */
-    CopiesWorld formed() {
-        List<Layout.Server> servers = new ArrayList<>();
+    ReplicationSimulation formed() {
+        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
         int members = script.members();
-        int keepers = Math.min(members, Layout.MOST);
+        int keepers = Math.min(members, ReplicaPlacement.MAX_SERVERS);
         for (int i = 0; i < keepers; i++) {
             int number = 1 + (int) ((long) i * members / keepers);
-            servers.add(new Layout.Server("m" + number, "z" + script.zone(number)));
+            servers.add(
+                    new ReplicaPlacement.ReplicaServer("m" + number, "z" + script.zone(number)));
         }
-        servers.sort(Comparator.comparing(Layout.Server::name));
-        formed = new Layout(1, servers, servers, FACTOR);
+        servers.sort(Comparator.comparing(ReplicaPlacement.ReplicaServer::name));
+        formed = new ReplicaPlacement(1, servers, servers, FACTOR);
         return this;
     }
 
-    private Layout formed;
+    private ReplicaPlacement formed;
 
     /** Time on the script, which begins when the fleet has formed. */
     private double played() {
@@ -871,7 +888,7 @@
     private double faultsShift;
 
     /** All that is said of this token is printed, and all that happens to servers. */
-    public CopiesWorld trace(String token) {
+    public ReplicationSimulation trace(String token) {
         traced = token;
         return this;
     }
@@ -882,7 +899,7 @@
      * From then on the servers claim no more, one after the other; it is played until long behind
      * that.
      */
-    public CopiesWorld switching(double atS, double eachS) {
+    public ReplicationSimulation switching(double atS, double eachS) {
         switchS = atS;
         switchEachS = eachS;
         return this;
@@ -891,7 +908,7 @@
     private double switchS = Double.NEGATIVE_INFINITY;
     private double switchEachS;
 
-    private void act(Plan.Action action) {
+    private void act(FaultSchedule.Action action) {
         Host host = hosts.get(action.slot());
         if (traced != null) {
             System.out.printf(Locale.ROOT, "%9.4f %s %s%n", played(), action.act(), host.name);
@@ -963,13 +980,16 @@
                 });
         if (claims
                 && host.switched()
-                && host.modes.before(OPERATION, events.now()) == Modes.Before.CLAIM) {
-            host.modes = new Modes(SERVERS, BOUNDS.longest(), events.now());
+                && host.modes.requirementFor(OPERATION, events.now())
+                        == ClaimModes.ClaimRequirement.REQUIRED) {
+            host.modes = new ClaimModes(SERVERS, BOUNDS.maxWindow(), events.now());
         }
-        Modes.Before before =
-                claims ? host.modes.before(OPERATION, events.now()) : Modes.Before.NOTHING;
+        ClaimModes.ClaimRequirement before =
+                claims
+                        ? host.modes.requirementFor(OPERATION, events.now())
+                        : ClaimModes.ClaimRequirement.NOT_REQUIRED;
         // What it runs without a claim each server knows of by itself.
-        if (before == Modes.Before.NOTHING || host.local.containsKey(token)) {
+        if (before == ClaimModes.ClaimRequirement.NOT_REQUIRED || host.local.containsKey(token)) {
             String kept = host.local.putIfAbsent(token, "");
             if (kept != null) {
                 answered[0] = true;
@@ -985,21 +1005,23 @@
             run(host, life, token, body, null, due, answered);
             return;
         }
-        Consumer<Verdict> then =
+        Consumer<ClaimDecision> then =
                 verdict -> {
                     if (answered[0]) {
                         // Its caller has been answered: nothing may begin for it.
-                        if (verdict.what() == Verdict.What.RUN) {
-                            host.own.neverRan(
-                                    verdict.claim(), events.now().plus(WINDOW), events.now());
+                        if (verdict.kind() == ClaimDecision.Kind.RUN) {
+                            host.own.releaseClaim(
+                                    verdict.claimId(), events.now().plus(WINDOW), events.now());
                         }
                         return;
                     }
-                    switch (verdict.what()) {
+                    switch (verdict.kind()) {
                         case RUN -> {
                             outcomes.claimMs.add((events.seconds() - at) * 1e3);
                             tokens.get(token)
-                                    .claimed(before == Modes.Before.CLAIM, events.seconds());
+                                    .claimed(
+                                            before == ClaimModes.ClaimRequirement.REQUIRED,
+                                            events.seconds());
                             run(host, life, token, body, verdict, due, answered);
                         }
                         case REPLAY -> {
@@ -1011,7 +1033,7 @@
                             answered[0] = true;
                             outcomes.throttled++;
                         }
-                        case OTHER_BODY -> {
+                        case FINGERPRINT_MISMATCH -> {
                             answered[0] = true;
                             outcomes.otherBody++;
                         }
@@ -1024,7 +1046,7 @@
         host.own.claim(
                 token,
                 body,
-                before == Modes.Before.CLAIM_STILL,
+                before == ClaimModes.ClaimRequirement.REQUIRED_TRANSITIONALLY,
                 due.minusMillis(500),
                 events.now().plus(WINDOW),
                 events.now(),
@@ -1037,7 +1059,7 @@
             long life,
             String token,
             String body,
-            Verdict verdict,
+            ClaimDecision verdict,
             Duration due,
             boolean[] answered) {
         Token known = tokens.get(token);
@@ -1059,11 +1081,11 @@
             outcomes.unclaimed++;
         }
         known.ranAt.add(events.seconds());
-        known.keptBy.add(host.own.layout().keepers(Layout.range(token)));
+        known.keptBy.add(host.own.placement().replicasOf(ReplicaPlacement.rangeOf(token)));
         double work = chance.nextInt(8) == 0 ? 3 * chance.nextDouble() : 0.05 * chance.nextDouble();
         String result = body + " by " + host.name + " " + life + " " + outcomes.runs;
         if (token.hashCode() % LONG_RESULTS == 0) {
-            result += ".".repeat(Outcome.INLINE + chance.nextInt(20_000));
+            result += ".".repeat(ClaimOutcome.MAX_INLINE_BYTES + chance.nextInt(20_000));
         }
         String whole = result;
         events.after(work, () -> finish(host, life, token, body, whole, verdict, due, answered));
@@ -1091,7 +1113,7 @@
                                         names.contains(each.name)
                                                 && each.lostS.stream().anyMatch(at -> at >= sinceS))
                         .count();
-        return !names.isEmpty() && lost >= Layout.majority(names.size());
+        return !names.isEmpty() && lost >= ReplicaPlacement.quorumSize(names.size());
     }
 
     private void finish(
@@ -1100,7 +1122,7 @@
             String token,
             String body,
             String result,
-            Verdict verdict,
+            ClaimDecision verdict,
             Duration due,
             boolean[] answered) {
         if (!host.up || host.life != life) {
@@ -1120,10 +1142,10 @@
             succeeded(token, body, result);
             return;
         }
-        boolean big = result.length() > Outcome.INLINE;
-        host.own.ended(
-                verdict.claim(),
-                big ? Outcome.apart(body, result) : new Outcome(true, body, result),
+        boolean big = result.length() > ClaimOutcome.MAX_INLINE_BYTES;
+        host.own.reportOutcome(
+                verdict.claimId(),
+                big ? ClaimOutcome.chunked(body, result) : new ClaimOutcome(true, body, result),
                 big ? result : null,
                 due,
                 events.now().plus(WINDOW),
@@ -1166,10 +1188,10 @@
     }
 
     /** The layout that most servers know of at the end. */
-    public Optional<Layout> layout() {
+    public Optional<ReplicaPlacement> layout() {
         return hosts.values().stream()
                 .filter(each -> each.up && each.keeper != null)
-                .map(each -> each.keeper.layout())
+                .map(each -> each.keeper.placement())
                 .max((a, b) -> Long.compare(a.epoch(), b.epoch()));
     }
 
@@ -1177,7 +1199,7 @@
     public int behind() {
         return hosts.values().stream()
                 .filter(each -> each.up && each.keeper != null)
-                .mapToInt(each -> each.keeper.behind())
+                .mapToInt(each -> each.keeper.laggingRangeCount())
                 .sum();
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/VersionsWorld.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -13,28 +13,28 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.fleet.epochs.Ballot;
-import ochretiller.fleet.epochs.EpochMessage;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Rollout;
-import ochretiller.fleet.epochs.Voter;
-import ochretiller.fleet.versions.Counts;
-import ochretiller.fleet.versions.Doorkeeper;
-import ochretiller.fleet.versions.Gather;
-import ochretiller.fleet.versions.Lease;
-import ochretiller.fleet.versions.Report;
-import ochretiller.fleet.versions.Rollouts;
-import ochretiller.fleet.versions.Stages;
-import ochretiller.fleet.versions.VersionMessage;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.fleet.consensus.Ballot;
+import ochretiller.fleet.consensus.ConsensusMessage;
+import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.rollout.Lease;
+import ochretiller.fleet.rollout.LeaseGrantor;
+import ochretiller.fleet.rollout.RolloutController;
+import ochretiller.fleet.rollout.RolloutMessage;
+import ochretiller.fleet.rollout.RolloutStages;
+import ochretiller.fleet.rollout.VersionCounters;
+import ochretiller.fleet.rollout.VersionDownload;
+import ochretiller.fleet.rollout.VersionReport;
 
 /**
  * A fleet to which versions are brought out, in virtual time: voters, rollouts, leases and the way
  * of the bytes are the server's own decisions; some versions do harm. It notes on what each keyed
  * run acted, and holds that against what was agreed on.
  */
-public final class VersionsWorld {
+public final class RolloutSimulation {
     private static final int VOTERS = 3;
     private static final int FACTOR = 3;
     private static final Duration TICK = Duration.ofMillis(20);
@@ -56,23 +56,23 @@
     private static final double USUAL = 0.02;
 
     private static final double HARM = 0.25;
-    private static final int SIZE = 3 * Gather.PIECE - 100;
+    private static final int SIZE = 3 * VersionDownload.CHUNK_BYTES - 100;
     private static final int ROOM = 2_000;
 
-    private final FleetScript script;
-    private final Plan plan;
-    private final Events events = new Events();
-    private final Faults faults;
+    private final FleetScenario script;
+    private final FaultSchedule plan;
+    private final EventQueue events = new EventQueue();
+    private final LinkFaults faults;
     private final SplittableRandom links;
     private final SplittableRandom chance;
     private final Map<Integer, Host> hosts = new TreeMap<>();
     private final Set<Long> harmful = new HashSet<>();
 
     /** When each epoch was first known to be agreed on. */
-    private final TreeMap<Double, Layout> agreed = new TreeMap<>();
+    private final TreeMap<Double, ReplicaPlacement> agreed = new TreeMap<>();
 
     private final Outcomes outcomes = new Outcomes();
-    private final Layout first;
+    private final ReplicaPlacement first;
     private final boolean leases;
     private long publications;
 
@@ -114,19 +114,20 @@
         boolean up;
         boolean paused;
         long life;
-        Layout layout = first;
-        Rollout.Version acting = Rollout.Version.NONE;
+        ReplicaPlacement layout = first;
+        RolloutState.PublishedVersion acting = RolloutState.PublishedVersion.NONE;
         final Set<String> bytes = new HashSet<>();
-        final Map<Long, Counts> counts = new HashMap<>();
+        final Map<Long, VersionCounters> counts = new HashMap<>();
         final Deque<Sent> waits = new ArrayDeque<>();
-        Voter voter;
-        Voter.Promised disk = new Voter.Promised(first, Ballot.NONE, Ballot.NONE, null, 0);
+        EpochConsensus voter;
+        EpochConsensus.AcceptorState disk =
+                new EpochConsensus.AcceptorState(first, Ballot.NONE, Ballot.NONE, null, 0);
         Lease lease;
-        Doorkeeper door;
-        Rollouts rollouts;
-        Gather gather;
-        final Map<String, Report> reports = new HashMap<>();
-        Rollout wished;
+        LeaseGrantor door;
+        RolloutController rollouts;
+        VersionDownload gather;
+        final Map<String, VersionReport> reports = new HashMap<>();
+        RolloutState wished;
 
         /** When this process came to know of epochs. */
         final TreeMap<Long, Double> knew = new TreeMap<>();
@@ -155,15 +156,16 @@
             }
             voter =
                     names.contains(name)
-                            ? new Voter(name, names, disk, FACTOR, false, chance.nextLong())
+                            ? new EpochConsensus(
+                                    name, names, disk, FACTOR, false, chance.nextLong())
                             : null;
-            layout = voter != null ? voter.agreed() : layout;
+            layout = voter != null ? voter.committed() : layout;
             knew.clear();
             knew.put(layout.epoch(), events.seconds());
             lease = new Lease(names, LEASE, chance.nextLong() >>> 16);
-            door = new Doorkeeper(GRACE, chance.split());
-            rollouts = new Rollouts(WATCH, PATIENCE, true);
-            gather = new Gather(chance.split());
+            door = new LeaseGrantor(GRACE, chance.split());
+            rollouts = new RolloutController(WATCH, PATIENCE, true);
+            gather = new VersionDownload(chance.split());
             tick(life);
             speak(life);
             read(life);
@@ -171,7 +173,7 @@
 
         void end() {
             if (voter != null) {
-                disk = voter.promised();
+                disk = voter.durableState();
             }
             up = false;
         }
@@ -182,8 +184,8 @@
             }
             if (!paused) {
                 Duration now = events.now();
-                for (Gather.Ask ask : gather.tick(sources(), now)) {
-                    send(ask.to(), ask.message());
+                for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+                    send(ask.recipient(), ask.request());
                 }
                 if (voter != null) {
                     vote();
@@ -198,11 +200,11 @@
 
         private List<String> sources() {
             List<String> all = new ArrayList<>();
-            if (gather.waits()) {
+            if (gather.isIncomplete()) {
                 for (Host each : hosts.values()) {
                     if (each.up
                             && each != this
-                            && (each.voter != null || Stages.on(layout, each.name))) {
+                            && (each.voter != null || RolloutStages.includes(layout, each.name))) {
                         all.add(each.name);
                     }
                 }
@@ -218,18 +220,20 @@
                 }
             }
             reports.keySet().retainAll(live);
-            if (voter.attempting() && events.seconds() - attemptedS < 1
+            if (voter.isProposing() && events.seconds() - attemptedS < 1
                     || chance.nextInt(10) != 0) {
                 return;
             }
-            Layout now = voter.agreed();
-            Rollout next =
-                    wished != null ? wished : rollouts.next(now, live, events.now()).orElse(null);
+            ReplicaPlacement now = voter.committed();
+            RolloutState next =
+                    wished != null
+                            ? wished
+                            : rollouts.nextState(now, live, events.now()).orElse(null);
             if (next == null) {
                 return;
             }
             attemptedS = events.seconds();
-            voter.attempt(now.with(next));
+            voter.propose(now.with(next));
             carryOut();
         }
 
@@ -239,26 +243,30 @@
             }
             if (!agreed.isEmpty()
                     && acting.number()
-                            != Stages.target(agreed.lastEntry().getValue(), name).number()) {
+                            != RolloutStages.targetVersion(agreed.lastEntry().getValue(), name)
+                                    .number()) {
                 lateS = events.seconds();
             }
             if (!paused) {
-                Rollout rollout = layout.rollout();
-                Counts before =
-                        rollout.from().number() == rollout.to().number()
-                                ? Counts.NONE
-                                : counts.getOrDefault(rollout.from().number(), Counts.NONE);
-                Report report =
-                        new Report(
+                RolloutState rollout = layout.rollout();
+                VersionCounters before =
+                        rollout.previous().number() == rollout.target().number()
+                                ? VersionCounters.ZERO
+                                : counts.getOrDefault(
+                                        rollout.previous().number(), VersionCounters.ZERO);
+                VersionReport report =
+                        new VersionReport(
                                 acting.number(),
                                 acting.hash(),
                                 0,
                                 "",
-                                rollout.to().number(),
-                                counts.getOrDefault(rollout.to().number(), Counts.NONE),
+                                rollout.target().number(),
+                                counts.getOrDefault(
+                                        rollout.target().number(), VersionCounters.ZERO),
                                 before);
-                VersionMessage.Tell tell =
-                        new VersionMessage.Tell(lease.ask(events.now()), report, 0, "");
+                RolloutMessage.StatusReport tell =
+                        new RolloutMessage.StatusReport(
+                                lease.startRenewal(events.now()), report, 0, "");
                 for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
                     if (i == number) {
                         received(name, tell);
@@ -270,7 +278,7 @@
                     for (int i = 0; i < 4; i++) {
                         Host to = hosts.get(1 + chance.nextInt(hosts.size()));
                         if (to != this) {
-                            send(to.name, new EpochMessage.Agreed(voter.agreed()));
+                            send(to.name, new ConsensusMessage.Committed(voter.committed()));
                         }
                     }
                 }
@@ -284,7 +292,7 @@
                 return;
             }
             if (!paused) {
-                boolean may = !leases || lease.holds(events.now());
+                boolean may = !leases || lease.isHeld(events.now());
                 if (may) {
                     ran();
                 } else {
@@ -299,8 +307,8 @@
             boolean bad = chance.nextDouble() < (harmful.contains(acting.number()) ? HARM : USUAL);
             counts.merge(
                     acting.number(),
-                    new Counts(1, 0, bad ? 1 : 0, 0, bad ? 0 : 1, 1),
-                    Counts::plus);
+                    new VersionCounters(1, 0, bad ? 1 : 0, 0, bad ? 0 : 1, 1),
+                    VersionCounters::plus);
             String wrong = wrong(this);
             if (wrong != null && outcomes.broken.size() < 20) {
                 outcomes.broken.add(
@@ -323,56 +331,57 @@
 
         private void received(String from, Object message) {
             Duration now = events.now();
-            if (message instanceof EpochMessage word) {
+            if (message instanceof ConsensusMessage word) {
                 if (voter != null) {
-                    voter.received(from, word);
+                    voter.receive(from, word);
                 }
-                if (word instanceof EpochMessage.Agreed told) {
-                    learn(told.layout());
+                if (word instanceof ConsensusMessage.Committed told) {
+                    learn(told.placement());
                 }
-            } else if (message instanceof VersionMessage.Tell tell) {
-                rollouts.told(from, tell.report());
+            } else if (message instanceof RolloutMessage.StatusReport tell) {
+                rollouts.recordReport(from, tell.report());
                 reports.put(from, tell.report());
-                boolean may = door.renews(layout, from, reports, now);
+                boolean may = door.renew(layout, from, reports, now);
                 if (from.equals(name)) {
                     if (may) {
-                        lease.granted(name, tell.question());
+                        lease.recordGrant(name, tell.requestId());
                     }
                 } else {
-                    send(from, new VersionMessage.Renewed(tell.question(), may));
+                    send(from, new RolloutMessage.LeaseReply(tell.requestId(), may));
                     // As a standing does: who reports on an older version has missed the epoch.
-                    if (tell.report().about() < layout.rollout().to().number()) {
-                        send(from, new EpochMessage.Agreed(layout));
+                    if (tell.report().rolloutVersion() < layout.rollout().target().number()) {
+                        send(from, new ConsensusMessage.Committed(layout));
                     }
                 }
-            } else if (message instanceof VersionMessage.Renewed renewed) {
-                if (renewed.may()) {
-                    lease.granted(from, renewed.question());
+            } else if (message instanceof RolloutMessage.LeaseReply renewed) {
+                if (renewed.granted()) {
+                    lease.recordGrant(from, renewed.requestId());
                 }
-            } else if (message instanceof VersionMessage.WantBytes want) {
+            } else if (message instanceof RolloutMessage.ChunkRequest want) {
                 if (bytes.contains(want.hash())) {
-                    Gather.cut(want, new byte[SIZE]).ifPresent(piece -> send(from, piece));
+                    VersionDownload.slice(want, new byte[SIZE])
+                            .ifPresent(piece -> send(from, piece));
                 }
-            } else if (message instanceof VersionMessage.Bytes piece) {
-                gather.received(piece, now)
+            } else if (message instanceof RolloutMessage.Chunk piece) {
+                gather.accept(piece, now)
                         .ifPresent(
                                 all -> {
                                     bytes.add(piece.hash());
                                     follow();
                                 });
-                for (Gather.Ask ask : gather.tick(sources(), now)) {
-                    send(ask.to(), ask.message());
+                for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+                    send(ask.recipient(), ask.request());
                 }
             }
             carryOut();
         }
 
-        private void learn(Layout next) {
+        private void learn(ReplicaPlacement next) {
             if (next.epoch() <= layout.epoch()) {
                 return;
             }
             layout = next;
-            door.become(next, events.now());
+            door.adoptPlacement(next, events.now());
             knew.put(next.epoch(), events.seconds());
             if (next.rollout().equals(wished)) {
                 wished = null;
@@ -381,12 +390,12 @@
         }
 
         private void follow() {
-            Rollout.Version target = Stages.target(layout, name);
+            RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
             if (target.number() == acting.number()) {
                 return;
             }
-            if (!target.own() && !bytes.contains(target.hash())) {
-                gather.want(target, events.now());
+            if (!target.usesLocalFiles() && !bytes.contains(target.hash())) {
+                gather.start(target, events.now());
             } else {
                 acting = target;
             }
@@ -396,23 +405,23 @@
             if (voter == null) {
                 return;
             }
-            if (voter.agreed().epoch() > layout.epoch()) {
-                learn(voter.agreed());
+            if (voter.committed().epoch() > layout.epoch()) {
+                learn(voter.committed());
             }
             // A majority may have accepted it before anybody knows: what is agreed on is so from
             // the first that does.
-            Layout known = voter.agreed();
+            ReplicaPlacement known = voter.committed();
             if (agreed.isEmpty() || known.epoch() > agreed.lastEntry().getValue().epoch()) {
                 agreedOn(known);
             }
-            for (Voter.Out out : voter.outs()) {
-                if (out.to().isPresent()) {
-                    send(out.to().get(), out.message());
+            for (EpochConsensus.OutboundConsensusMessage out : voter.takeOutbound()) {
+                if (out.recipient().isPresent()) {
+                    send(out.recipient().get(), out.message());
                 } else {
                     for (Host each : hosts.values()) {
                         if (each != this
                                 && (each.voter != null
-                                        || out.message() instanceof EpochMessage.Agreed)) {
+                                        || out.message() instanceof ConsensusMessage.Committed)) {
                             send(each.name, out.message());
                         }
                     }
@@ -423,7 +432,7 @@
         private void send(String to, Object message) {
             outcomes.messages++;
             int other = Integer.parseInt(to.substring(1));
-            for (Faults.Copy copy : faults.fate(number, other, events.seconds())) {
+            for (LinkFaults.Copy copy : faults.fate(number, other, events.seconds())) {
                 if (copy.spoilt()) {
                     continue;
                 }
@@ -440,40 +449,45 @@
     /**
      * @param leases whether servers heed them; without, stragglers are to be seen
      */
-    public VersionsWorld(FleetScript script, long seed, boolean leases) {
+    public RolloutSimulation(FleetScenario script, long seed, boolean leases) {
         this.script = script;
-        this.plan = Plan.of(script);
+        this.plan = FaultSchedule.of(script);
         this.leases = leases;
-        Seeds seeds = new Seeds(seed);
-        this.faults = new Faults(plan, seeds.of("faults"));
+        RandomStreams seeds = new RandomStreams(seed);
+        this.faults = new LinkFaults(plan, seeds.of("faults"));
         this.links = seeds.of("links");
         this.chance = seeds.of("versions");
-        List<Layout.Server> servers = new ArrayList<>();
-        for (int i = 1; i <= Math.min(script.members(), Layout.MOST); i++) {
-            servers.add(new Layout.Server("m" + i, "z" + script.zone(i)));
+        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        for (int i = 1; i <= Math.min(script.members(), ReplicaPlacement.MAX_SERVERS); i++) {
+            servers.add(new ReplicaPlacement.ReplicaServer("m" + i, "z" + script.zone(i)));
         }
-        servers.sort(Comparator.comparing(Layout.Server::name));
-        this.first = new Layout(1, servers, servers, FACTOR);
+        servers.sort(Comparator.comparing(ReplicaPlacement.ReplicaServer::name));
+        this.first = new ReplicaPlacement(1, servers, servers, FACTOR);
     }
 
-    private void agreedOn(Layout layout) {
-        Rollout before = agreed.isEmpty() ? Rollout.NONE : agreed.lastEntry().getValue().rollout();
-        Rollout now = layout.rollout();
+    private void agreedOn(ReplicaPlacement layout) {
+        RolloutState before =
+                agreed.isEmpty() ? RolloutState.NONE : agreed.lastEntry().getValue().rollout();
+        RolloutState now = layout.rollout();
         agreed.put(events.seconds(), layout);
         boolean back =
-                now.over() && now.to().number() == before.to().number() + 1 && !before.over();
-        if (back || now.state() == Rollout.State.HALTED && before.state() == Rollout.State.RUNS) {
-            boolean harm = harmful.contains(before.to().number());
+                now.isComplete()
+                        && now.target().number() == before.target().number() + 1
+                        && !before.isComplete();
+        if (back
+                || now.phase() == RolloutState.Phase.HALTED
+                        && before.phase() == RolloutState.Phase.RUNNING) {
+            boolean harm = harmful.contains(before.target().number());
             if (!harm) {
                 outcomes.harmlessStopped++;
             } else {
                 outcomes.harmfulStopped++;
             }
-            if (harm && before.stage() < Stages.ALL) {
+            if (harm && before.stage() < RolloutStages.ALL_SERVERS) {
                 outcomes.stoppedEarly++;
             }
         }
-        if (now.over() && !before.over() && !back) {
+        if (now.isComplete() && !before.isComplete() && !back) {
             outcomes.rolloutS.add(events.seconds() - startedS);
         }
     }
@@ -482,10 +496,10 @@
 
     /** Plays it, with so many publications spread over its faults and somewhat behind them. */
     public Outcomes play(int count, double harmShare) {
-        for (Plan.Slot slot : plan.slots()) {
+        for (FaultSchedule.Slot slot : plan.slots()) {
             hosts.put(slot.number(), new Host(slot.number()));
         }
-        for (Plan.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : plan.actions()) {
             events.after(action.atS(), () -> act(action));
         }
         double lastFault = plan.lastS();
@@ -511,7 +525,7 @@
                         .append(" acts ")
                         .append(each.acting.number())
                         .append(
-                                each.lease != null && each.lease.holds(events.now())
+                                each.lease != null && each.lease.isHeld(events.now())
                                         ? ""
                                         : " no lease");
             }
@@ -523,13 +537,14 @@
     private double lastWordS;
 
     private void look() {
-        Layout now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
-        boolean settled = now.rollout().over() || now.rollout().state() == Rollout.State.HALTED;
+        ReplicaPlacement now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
+        boolean settled =
+                now.rollout().isComplete() || now.rollout().phase() == RolloutState.Phase.HALTED;
         for (Host each : hosts.values()) {
             if (each.up && !each.paused) {
                 settled &=
-                        each.acting.number() == Stages.target(now, each.name).number()
-                                && each.lease.holds(events.now());
+                        each.acting.number() == RolloutStages.targetVersion(now, each.name).number()
+                                && each.lease.isHeld(events.now());
             }
         }
         if (settled) {
@@ -548,22 +563,23 @@
         }
         boolean halted =
                 open.stream()
-                        .anyMatch(each -> each.layout.rollout().state() == Rollout.State.HALTED);
+                        .anyMatch(
+                                each -> each.layout.rollout().phase() == RolloutState.Phase.HALTED);
         Host at = open.isEmpty() ? null : open.get(chance.nextInt(open.size()));
-        if (at == null || !at.layout.rollout().over() || at.wished != null) {
+        if (at == null || !at.layout.rollout().isComplete() || at.wished != null) {
             // People come back; one that was halted they take back.
             if (at != null && halted && at.wished == null) {
-                at.wished = at.layout.rollout().back("person", "halted");
+                at.wished = at.layout.rollout().rolledBack("person", "halted");
             }
             if (tries > 0) {
                 events.after(1, () -> publish(harm, tries - 1));
             }
             return;
         }
-        long number = at.layout.rollout().to().number() + 1;
+        long number = at.layout.rollout().target().number() + 1;
         publications++;
-        Rollout.Version next =
-                new Rollout.Version(
+        RolloutState.PublishedVersion next =
+                new RolloutState.PublishedVersion(
                         number, String.format("%064x", publications), SIZE, "", "person", "why");
         // Its bytes are at a majority of voters before it is wished for.
         int have = 0;
@@ -571,7 +587,7 @@
             each.bytes.add(next.hash());
             have++;
         }
-        if (have < Layout.majority(Math.min(VOTERS, script.members()))) {
+        if (have < ReplicaPlacement.quorumSize(Math.min(VOTERS, script.members()))) {
             if (tries > 0) {
                 events.after(1, () -> publish(harm, tries - 1));
             }
@@ -587,7 +603,7 @@
             outcomes.harmless++;
         }
         startedS = events.seconds();
-        Rollout wish = at.layout.rollout().begins(next);
+        RolloutState wish = at.layout.rollout().startRollout(next);
         at.wished = wish;
         events.after(
                 10,
@@ -598,7 +614,7 @@
                 });
     }
 
-    private void act(Plan.Action action) {
+    private void act(FaultSchedule.Action action) {
         Host host = hosts.get(action.slot());
         switch (action.act()) {
             case START -> {
@@ -622,7 +638,7 @@
                 }
                 host.paused = false;
                 // It acts once more before it reads anything.
-                boolean may = !leases || host.lease.holds(events.now());
+                boolean may = !leases || host.lease.isHeld(events.now());
                 if (may) {
                     host.ran();
                 }
@@ -641,9 +657,9 @@
     private String wrong(Host host) {
         double bound = LEASE.toSeconds() + GRACE.toSeconds() + SLACK_S;
         double from = events.seconds() - bound;
-        List<Layout> all = new ArrayList<>();
+        List<ReplicaPlacement> all = new ArrayList<>();
         all.add(first);
-        for (Layout each : agreed.values()) {
+        for (ReplicaPlacement each : agreed.values()) {
             // From when a majority of voters knows, each since its start, a majority of them renews
             // no lease by an older one.
             long know =
@@ -659,19 +675,19 @@
                                                             .stream()
                                                             .anyMatch(at -> at <= from))
                             .count();
-            if (know >= Layout.majority(Math.min(VOTERS, script.members()))) {
+            if (know >= ReplicaPlacement.quorumSize(Math.min(VOTERS, script.members()))) {
                 all.clear();
             }
             all.add(each);
         }
-        for (Layout each : all) {
-            if (Stages.target(each, host.name).number() == host.acting.number()) {
+        for (ReplicaPlacement each : all) {
+            if (RolloutStages.targetVersion(each, host.name).number() == host.acting.number()) {
                 return null;
             }
         }
         // Where too many are behind nobody is shut out, by rule, and what was renewed then lasts
         // for a lease.
-        Layout now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
+        ReplicaPlacement now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
         long live = hosts.values().stream().filter(each -> each.up).count();
         long late =
                 hosts.values().stream()
@@ -696,7 +712,7 @@
                 + ", which was not in force for it in the last "
                 + bound
                 + " s; now it is "
-                + Stages.target(now, host.name).number()
+                + RolloutStages.targetVersion(now, host.name).number()
                 + ", in epoch "
                 + now.epoch()
                 + " of "
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Model.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
@@ -4,7 +4,7 @@
  * A small world whose orders of events are all explored: made anew, and led along a path of
  * actions.
  */
-public interface Model {
+public interface StateModel {
     /** Actions that may be tried now, numbered from 0; some of them may turn out to be none. */
     int actions();
 
--- a/emulator/src/main/java/ochretiller/emulator/fleet/Explore.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
@@ -14,22 +14,22 @@
 import java.util.function.Supplier;
 
 /**
- * Goes through all orders of events of a {@link Model} to a depth, breadth first. States that go on
- * alike are one. In each state no rule may be broken, and from each all has to become well once
- * nothing more goes wrong.
+ * Goes through all orders of events of a {@link StateModel} to a depth, breadth first. States that
+ * go on alike are one. In each state no rule may be broken, and from each all has to become well
+ * once nothing more goes wrong.
  */
-public final class Explore {
-    private final Supplier<Model> models;
+public final class StateSpaceExplorer {
+    private final Supplier<StateModel> models;
 
     /** What came of it. */
     public record Found(int depth, long states, long edges, int worstSettles, String broken) {}
 
-    public Explore(Supplier<Model> models) {
+    public StateSpaceExplorer(Supplier<StateModel> models) {
         this.models = models;
     }
 
-    private Model replay(byte[] path) {
-        Model fleet = models.get();
+    private StateModel replay(byte[] path) {
+        StateModel fleet = models.get();
         for (byte action : path) {
             fleet.act(action);
         }
@@ -42,7 +42,7 @@
     private List<Reached> expand(byte[] path, int actions) {
         List<Reached> all = new ArrayList<>();
         for (int action = 0; action < actions; action++) {
-            Model fleet = replay(path);
+            StateModel fleet = replay(path);
             if (!fleet.act(action)) {
                 continue;
             }
--- a/emulator/src/main/java/ochretiller/emulator/rules/Rules.java
+++ b/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
@@ -9,7 +9,7 @@
  * Holds what happened on boxes against the rules. Each break is a line; the first are kept, all are
  * counted.
  */
-public final class Rules {
+public final class RuleChecker {
     /** Lines that are kept: the first show the cause. */
     private static final int KEPT = 20;
 
--- a/emulator/src/main/java/ochretiller/emulator/script/Script.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package ochretiller.emulator.script;
+package ochretiller.emulator.scenario;
 
 import java.util.List;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * @param settings values that go over those derived from the fleet, by the names of the simulator's
  *     wire
  */
-public record Script(
+public record Scenario(
         String name,
         double seconds,
         Fleet fleet,
@@ -142,10 +142,10 @@
     }
 
     /** As many times the boxes, gateways, callers, arrivals and slots. */
-    public Script scaled(double times) {
+    public Scenario scaled(double times) {
         Fleet f = fleet;
         Gateways g = gateways;
-        return new Script(
+        return new Scenario(
                 name,
                 seconds,
                 new Fleet(
@@ -191,8 +191,8 @@
                 settings);
     }
 
-    public Script with(List<Incident> other) {
-        return new Script(
+    public Scenario with(List<Incident> other) {
+        return new Scenario(
                 name,
                 seconds,
                 fleet,
--- a/emulator/src/main/java/ochretiller/emulator/script/ScriptFile.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/ScenarioReader.java
@@ -1,4 +1,4 @@
-package ochretiller.emulator.script;
+package ochretiller.emulator.scenario;
 
 import com.fasterxml.jackson.core.type.TypeReference;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -23,20 +23,20 @@
  * Reads scripts; each fault is told with its place, or in one line where the parts do not fit one
  * another.
  */
-public final class ScriptFile {
+public final class ScenarioReader {
     private static final Json5 FILE =
-            new Json5(ScriptFile.class, "/ochretiller/emulator/script.schema.json");
+            new Json5(ScenarioReader.class, "/ochretiller/emulator/script.schema.json");
 
     private static final Set<String> MEMBERS =
             Set.of("fleet", "network", "gateways", "ledger", "traffic");
 
-    private ScriptFile() {}
+    private ScenarioReader() {}
 
-    public static Script read(Path file) {
+    public static Scenario read(Path file) {
         return script(FILE.read(file, "the script"), Json5.name(file));
     }
 
-    public static Script of(String text, String name) {
+    public static Scenario of(String text, String name) {
         return script(FILE.of(text, name), name);
     }
 
@@ -53,7 +53,7 @@
      * begins with one of the script's ({@code gateways.choice=least}), else of the server's
      * settings.
      */
-    public static Script variant(Path file, String told) {
+    public static Scenario variant(Path file, String told) {
         JsonNode root = FILE.read(file, "the script");
         ObjectNode changed = new ObjectMapper().valueToTree(root);
         for (String each : told.split(",")) {
@@ -85,21 +85,21 @@
         }
     }
 
-    private static Script script(JsonNode root, String file) {
+    private static Scenario script(JsonNode root, String file) {
         JsonNode fleet = root.path("fleet");
         JsonNode net = root.path("network");
         JsonNode gateways = root.path("gateways");
         JsonNode ledger = root.path("ledger");
         JsonNode traffic = root.path("traffic");
         JsonNode expect = root.path("expect");
-        List<Script.Operation> operations = new ArrayList<>();
+        List<Scenario.Operation> operations = new ArrayList<>();
         root.path("operations").forEach(each -> operations.add(operation(each)));
-        List<Script.Incident> incidents = new ArrayList<>();
+        List<Scenario.Incident> incidents = new ArrayList<>();
         root.path("incidents")
                 .forEach(
                         each ->
                                 incidents.add(
-                                        new Script.Incident(
+                                        new Scenario.Incident(
                                                 each.path("at_s").asDouble(),
                                                 each.path("for_s").asDouble(0),
                                                 each.path("what").asText(),
@@ -109,11 +109,11 @@
         root.path("settings")
                 .properties()
                 .forEach(each -> settings.put(each.getKey(), each.getValue().asText()));
-        Script script =
-                new Script(
+        Scenario script =
+                new Scenario(
                         root.path("name").asText(file),
                         root.path("seconds").asDouble(),
-                        new Script.Fleet(
+                        new Scenario.Fleet(
                                 fleet.path("boxes").asInt(),
                                 fleet.path("cores").asInt(2),
                                 fleet.path("memory_kb").asDouble(200_000),
@@ -130,10 +130,10 @@
                                 fleet.path("stop_s").asDouble(8),
                                 fleet.path("remembers").asBoolean(false),
                                 fleet.path("force_ms").asDouble(2)),
-                        new Script.Network(
+                        new Scenario.Network(
                                 net.path("delay_ms").asDouble(1),
                                 net.path("jitter_ms").asDouble(1)),
-                        new Script.Gateways(
+                        new Scenario.Gateways(
                                 gateways.path("count").asInt(8),
                                 gateways.path("choice").asText("two"),
                                 gateways.path("tries").asInt(3),
@@ -142,19 +142,19 @@
                                 gateways.path("heeds").asDouble(0.5),
                                 gateways.path("list_s").asDouble(2),
                                 gateways.path("health_ms").asDouble(250)),
-                        new Script.Ledger(
+                        new Scenario.Ledger(
                                 ledger.path("slots").asInt(64),
                                 ledger.path("work_ms").asDouble(20),
                                 ledger.path("waits").asInt(256),
                                 ledger.path("falls_at").asInt(0),
                                 ledger.path("down_s").asDouble(5)),
                         List.copyOf(operations),
-                        new Script.Traffic(
+                        new Scenario.Traffic(
                                 traffic.path("per_second").asDouble(),
                                 traffic.path("callers").asInt(100),
                                 traffic.path("skew").asDouble(0)),
                         List.copyOf(incidents),
-                        new Script.Expect(
+                        new Scenario.Expect(
                                 expect.path("value_share").asDouble(0),
                                 expect.path("p99_ms").asDouble(0),
                                 expect.path("rules").asBoolean(true)),
@@ -163,9 +163,9 @@
         return script;
     }
 
-    private static Script.Operation operation(JsonNode node) {
+    private static Scenario.Operation operation(JsonNode node) {
         String effect = node.path("effect").asText("idempotent");
-        return new Script.Operation(
+        return new Scenario.Operation(
                 node.path("name").asText(),
                 node.path("share").asDouble(1),
                 effect,
@@ -183,9 +183,9 @@
     }
 
     /** What no schema can say: whether the parts fit one another. */
-    private static void check(Script script) {
+    private static void check(Scenario script) {
         Set<String> names = new HashSet<>();
-        for (Script.Operation each : script.operations()) {
+        for (Scenario.Operation each : script.operations()) {
             if (!names.add(each.name())) {
                 throw new MalformedException(script.name() + ": two operations " + each.name());
             }
@@ -204,7 +204,7 @@
                                 + " needs a window if, and only if, it is tokened");
             }
         }
-        for (Script.Incident each : script.incidents()) {
+        for (Scenario.Incident each : script.incidents()) {
             if (each.atS() >= script.seconds()) {
                 throw new MalformedException(
                         script.name()
--- a/emulator/src/main/java/ochretiller/emulator/script/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/package-info.java
@@ -2,4 +2,4 @@
  * Scripts of rehearsals: JSON5, checked against a schema and as a whole, and read into plain
  * values.
  */
-package ochretiller.emulator.script;
+package ochretiller.emulator.scenario;
--- a/emulator/src/main/java/ochretiller/emulator/world/Ask.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/ClientRequest.java
@@ -1,11 +1,11 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.util.function.Consumer;
-import ochretiller.emulator.script.Script;
+import ochretiller.emulator.scenario.Scenario;
 import ochretiller.model.Operation;
 
 /** What one caller wants, over all its tries. */
-final class Ask {
+final class ClientRequest {
     /** How it ended for the caller. */
     enum End {
         SUCCEEDED,
@@ -14,7 +14,7 @@
         TIMED_OUT
     }
 
-    final Script.Operation plan;
+    final Scenario.Operation plan;
     final Operation operation;
     final String token;
     final long caller;
@@ -25,15 +25,15 @@
     int tries;
     int throttled;
     boolean over;
-    Box at;
+    EmulatedServer at;
 
     /** Where the last try failed: the next goes elsewhere where there is a choice. */
-    Box not;
+    EmulatedServer not;
 
-    Message message;
+    RequestAttempt message;
 
-    Ask(
-            Script.Operation plan,
+    ClientRequest(
+            Scenario.Operation plan,
             Operation operation,
             String token,
             long caller,
--- a/emulator/src/main/java/ochretiller/emulator/world/Cores.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/CpuModel.java
@@ -1,18 +1,18 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import ochretiller.emulator.core.Events;
+import ochretiller.emulator.core.EventQueue;
 
 /**
  * Cores that all work on them shares evenly. Past a crowd a part of the speed is lost, as caches
  * and locks take it; a cold box is slower and warms up; it may be slowed or stand still.
  */
-final class Cores {
+final class CpuModel {
     /** How often the speed of a warming box is looked at, seconds. */
     private static final double WARMS = 0.1;
 
-    private final Events events;
+    private final EventQueue events;
     private final int cores;
     private final double crowd;
     private final double loss;
@@ -32,7 +32,7 @@
     private double speed;
     private double slower = 1;
     private boolean paused;
-    private Events.Event next;
+    private EventQueue.Event next;
     private double busy;
     private double lookedAt;
     private double lookedBusy;
@@ -49,8 +49,8 @@
         }
     }
 
-    Cores(
-            Events events,
+    CpuModel(
+            EventQueue events,
             int cores,
             double crowd,
             double loss,
--- a/emulator/src/main/java/ochretiller/emulator/world/Disk.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/DurableStorageModel.java
@@ -1,22 +1,22 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ochretiller.emulator.core.Events;
-import ochretiller.remembered.Mark;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.idempotency.durable.IdempotencyRecord;
 
 /**
  * What outlives a box where results are remembered: marks and results by token, durable once
  * forced.
  */
-final class Disk {
-    private final Events events;
+final class DurableStorageModel {
+    private final EventQueue events;
     private final double forceS;
 
     /** What is durable, by token; times of marks are milliseconds since the start of all. */
-    final Map<String, Mark> kept = new HashMap<>();
+    final Map<String, IdempotencyRecord> kept = new HashMap<>();
 
     private final List<Runnable> stalled = new ArrayList<>();
     private boolean stalls;
@@ -24,7 +24,7 @@
     /** Writes of a box that has died do not become durable. */
     private long epoch;
 
-    Disk(Events events, double forceS) {
+    DurableStorageModel(EventQueue events, double forceS) {
         this.events = events;
         this.forceS = forceS;
     }
--- a/emulator/src/main/java/ochretiller/emulator/world/Box.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
@@ -1,4 +1,4 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -10,43 +10,43 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Function;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.rules.Rules;
-import ochretiller.emulator.script.Script;
-import ochretiller.keys.Keys;
-import ochretiller.model.CallEnd;
-import ochretiller.model.CallerId;
-import ochretiller.model.Gauges;
-import ochretiller.model.InvId;
+import ochretiller.admission.AdmissionController;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.rules.RuleChecker;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.idempotency.durable.DurabilityPolicy;
+import ochretiller.idempotency.durable.DurabilityTimeouts;
+import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.model.CallOutcome;
+import ochretiller.model.ClientId;
 import ochretiller.model.Invocation;
+import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
-import ochretiller.model.RunEnd;
-import ochretiller.policy.Choice;
-import ochretiller.remembered.Mark;
-import ochretiller.remembered.Memory;
-import ochretiller.remembered.Patience;
-import ochretiller.server.Server;
-import ochretiller.server.Step;
-import ochretiller.settings.Lookup;
+import ochretiller.model.ResourceGauges;
+import ochretiller.model.RunOutcome;
+import ochretiller.server.Action;
+import ochretiller.server.ServerActions;
+import ochretiller.settings.SettingLookup;
 import ochretiller.settings.Settings;
 
 /**
  * One box from its start to its end: the server's decisions and its table of results, on modelled
  * cores.
  */
-final class Box implements Server {
+final class EmulatedServer implements ServerActions {
     private static final byte[] RESULT = new byte[64];
 
     /** As an operators' file has it by default. */
-    private static final Patience PATIENCE =
-            new Patience(
+    private static final DurabilityTimeouts PATIENCE =
+            new DurabilityTimeouts(
                     Duration.ofSeconds(1),
                     Duration.ofSeconds(1),
                     Duration.ofMillis(250),
                     Duration.ofMillis(200),
                     Duration.ofSeconds(5));
 
-    private static final byte[] HASH = Keys.hash(new byte[0]);
+    private static final byte[] HASH = IdempotencyCache.bodyDigest(new byte[0]);
 
     /** Part of a run's work that a replay takes. */
     private static final double REPLAY_PART = 0.05;
@@ -69,21 +69,21 @@
     /** Its place in the fleet, which its successors take over. */
     final int place;
 
-    private final World world;
-    private final Events events;
-    private final Script.Fleet plan;
-    private final Rules rules;
-    private final Disk disk;
-    private final Memory memory;
+    private final Simulation world;
+    private final EventQueue events;
+    private final Scenario.Fleet plan;
+    private final RuleChecker rules;
+    private final DurableStorageModel disk;
+    private final DurabilityPolicy memory;
     private long appends;
     private final double startedAt;
-    private final Choice choice;
-    private final Keys keys;
-    private final Cores cores;
-    private final Map<InvId, Message> tries = new HashMap<>();
-    private final Map<InvId, InvId> forerunners = new HashMap<>();
-    private final Set<InvId> halted = new HashSet<>();
-    private final ArrayDeque<Message> unread = new ArrayDeque<>();
+    private final AdmissionController choice;
+    private final IdempotencyCache keys;
+    private final CpuModel cores;
+    private final Map<InvocationId, RequestAttempt> tries = new HashMap<>();
+    private final Map<InvocationId, InvocationId> forerunners = new HashMap<>();
+    private final Set<InvocationId> halted = new HashSet<>();
+    private final ArrayDeque<RequestAttempt> unread = new ArrayDeque<>();
     private final SplittableRandom chance;
     private final List<Runnable> standing = new ArrayList<>();
     private boolean reading;
@@ -97,7 +97,13 @@
     State state = State.UP;
     boolean healthy = true;
 
-    Box(World world, int place, int life, Lookup settings, boolean cold, Disk disk) {
+    EmulatedServer(
+            Simulation world,
+            int place,
+            int life,
+            SettingLookup settings,
+            boolean cold,
+            DurableStorageModel disk) {
         this.world = world;
         this.place = place;
         this.name = "box " + place + (life == 0 ? "" : "." + life);
@@ -107,11 +113,12 @@
         this.disk = disk;
         this.startedAt = events.seconds();
         this.chance = world.seeds.of(name);
-        this.choice = Settings.choice(settings, chance.split(), cold);
-        this.keys = new Keys((long) (plan.memoryKb() * 1024 / KEYS_PART), Duration.ZERO);
-        this.memory = new Memory(PATIENCE, chance.split());
+        this.choice = Settings.admissionController(settings, chance.split(), cold);
+        this.keys =
+                new IdempotencyCache((long) (plan.memoryKb() * 1024 / KEYS_PART), Duration.ZERO);
+        this.memory = new DurabilityPolicy(PATIENCE, chance.split());
         this.cores =
-                new Cores(
+                new CpuModel(
                         events,
                         plan.cores(),
                         plan.crowd(),
@@ -119,7 +126,7 @@
                         plan.coldShare(),
                         plan.coldS(),
                         cold);
-        choice.started().act(this);
+        choice.onStarted().execute(this);
         if (disk != null) {
             restore();
         }
@@ -127,25 +134,27 @@
 
     private void restore() {
         long id = 0;
-        disk.kept.values().removeIf(mark -> mark.until() <= millis());
-        for (Mark mark : disk.kept.values()) {
+        disk.kept.values().removeIf(mark -> mark.windowEndsAtMillis() <= millis());
+        for (IdempotencyRecord mark : disk.kept.values()) {
             Operation operation = world.operations.get(mark.operation());
-            InvId kept = new InvId(--id);
-            Duration until = now().plusMillis(mark.until() - millis());
+            InvocationId kept = new InvocationId(--id);
+            Duration until = now().plusMillis(mark.windowEndsAtMillis() - millis());
             // What runs on a box's cores has ended with it: nobody tells of it any more.
-            boolean succeeded = Memory.found(mark, millis() + 1) == Memory.Found.REPLAY;
-            keys.restore(kept, operation, mark.token(), mark.body(), until, true);
+            boolean succeeded =
+                    DurabilityPolicy.decideRecovery(mark, millis() + 1)
+                            == DurabilityPolicy.RecoveryDecision.REPLAY;
+            keys.restore(kept, operation, mark.token(), mark.bodyDigest(), until, true);
             restored.put(kept, succeeded);
-            choice.restored(
+            choice.onEntryRestored(
                             kept,
                             until,
-                            succeeded ? RunEnd.Result.SUCCEEDED : RunEnd.Result.ERRORED)
-                    .act(this);
+                            succeeded ? RunOutcome.Status.SUCCEEDED : RunOutcome.Status.FAILED)
+                    .execute(this);
         }
     }
 
     /** Those of a former life, and whether their results are at hand. */
-    private final Map<InvId, Boolean> restored = new HashMap<>();
+    private final Map<InvocationId, Boolean> restored = new HashMap<>();
 
     /** The disk's time. */
     private long millis() {
@@ -172,9 +181,9 @@
     // What comes from outside.
 
     /** A message has reached the machine. */
-    void receive(Message message) {
+    void receive(RequestAttempt message) {
         if (state == State.DEAD) {
-            message.heard.answer(Message.Answer.RESET, Duration.ZERO, false);
+            message.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
             return;
         }
         message.arrived = now();
@@ -195,7 +204,7 @@
                 plan.readMs() / 1e3 * slower * Math.min(crowded, 4),
                 () -> {
                     reading = false;
-                    Message message = unread.poll();
+                    RequestAttempt message = unread.poll();
                     if (message != null && !message.gone) {
                         arrived(message);
                     }
@@ -221,7 +230,7 @@
                 });
     }
 
-    private void arrived(Message message) {
+    private void arrived(RequestAttempt message) {
         rules.read(
                 events.seconds(),
                 message.id.value(),
@@ -229,21 +238,21 @@
                 startedAt
                         + message.arrived.toNanos() / 1e9
                         + message.operation.clientTimeout().toNanos() / 1e9,
-                !message.operation.idempotent());
-        InvId forerunner =
-                keys.read(
+                !message.operation.isIdempotent());
+        InvocationId forerunner =
+                keys.findOriginalOrTrack(
                         message.id,
                         message.operation,
                         message.token,
                         null,
                         message.arrived,
-                        Keys.UNDATED,
+                        IdempotencyCache.NO_CLIENT_TIMESTAMP,
                         now());
         tries.put(message.id, message);
         if (forerunner != null) {
             forerunners.put(message.id, forerunner);
         }
-        choice.arrived(
+        choice.onInvocationReceived(
                         new Invocation(
                                 message.id,
                                 forerunner,
@@ -252,14 +261,14 @@
                                 message.arrived,
                                 message.arrived.plus(message.operation.clientTimeout()),
                                 null,
-                                new CallerId(message.caller),
+                                new ClientId(message.caller),
                                 null,
                                 message.resent))
-                .act(this);
+                .execute(this);
     }
 
     /** Its caller waits no more. */
-    void gone(Message message) {
+    void gone(RequestAttempt message) {
         message.gone = true;
         rules.gone(message.id.value());
         if (state == State.DEAD || !tries.containsKey(message.id)) {
@@ -270,7 +279,7 @@
         if (open) {
             rules.died(message.id.value());
         }
-        choice.gone(message.id).act(this);
+        choice.onClientGone(message.id).execute(this);
         settle(message);
     }
 
@@ -283,15 +292,15 @@
         if (disk != null) {
             disk.died();
         }
-        List<Message> open = new ArrayList<>(unread);
-        for (Message message : tries.values()) {
+        List<RequestAttempt> open = new ArrayList<>(unread);
+        for (RequestAttempt message : tries.values()) {
             if (!message.answered) {
                 open.add(message);
             }
         }
-        for (Message message : open) {
+        for (RequestAttempt message : open) {
             rules.died(message.id.value());
-            message.heard.answer(Message.Answer.RESET, Duration.ZERO, false);
+            message.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
         }
         unread.clear();
         tries.clear();
@@ -331,16 +340,16 @@
         }
         state = State.LEAVING;
         grace = now().plus(span(plan.graceS()));
-        choice.leave(now().plus(span(plan.stopS()))).act(this);
+        choice.onShutdownNotice(now().plus(span(plan.stopS()))).execute(this);
         events.after(
                 plan.stopS(),
                 () -> {
                     if (state != State.LEAVING) {
                         return;
                     }
-                    List<Message> late =
+                    List<RequestAttempt> late =
                             tries.values().stream().filter(message -> !message.answered).toList();
-                    for (Message message : late) {
+                    for (RequestAttempt message : late) {
                         rules.unanswered(events.seconds(), message.id.value(), name);
                     }
                     die();
@@ -349,7 +358,7 @@
 
     // What the decisions say.
 
-    private void settle(Message message) {
+    private void settle(RequestAttempt message) {
         if (!message.answered || message.running) {
             return;
         }
@@ -357,10 +366,11 @@
             return;
         }
         forerunners.remove(message.id);
-        keys.ended(message.id, message.operation.tokened(), null, now());
+        keys.complete(message.id, message.operation.isKeyed(), null, now());
     }
 
-    private void answer(Message message, Message.Answer answer, Duration backoff, boolean last) {
+    private void answer(
+            RequestAttempt message, RequestAttempt.Answer answer, Duration backoff, boolean last) {
         if (message.answered) {
             return;
         }
@@ -368,17 +378,17 @@
         rules.answered(
                 events.seconds(),
                 message.id.value(),
-                answer == Message.Answer.THROTTLED,
+                answer == RequestAttempt.Answer.THROTTLED,
                 stoodFrom,
                 stoodTo);
         message.heard.answer(answer, backoff, last);
     }
 
     @Override
-    public void run(InvId id, Function<RunEnd, Step> then) {
-        Message message = tries.get(id);
+    public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
+        RequestAttempt message = tries.get(id);
         message.running = true;
-        if (disk == null || !message.operation.tokened()) {
+        if (disk == null || !message.operation.isKeyed()) {
             begin(message, then);
             return;
         }
@@ -388,13 +398,13 @@
                         + Math.max(
                                 0,
                                 message.arrived
-                                        .plus(message.operation.window())
+                                        .plus(message.operation.deduplicationWindow())
                                         .minus(now())
                                         .toMillis())
                         + 1;
-        Mark mark =
-                new Mark(
-                        Mark.State.MARKED,
+        IdempotencyRecord mark =
+                new IdempotencyRecord(
+                        IdempotencyRecord.Progress.IN_FLIGHT,
                         message.token,
                         message.operation.name(),
                         "" + id.value(),
@@ -418,14 +428,15 @@
                     begin(message, then);
                 });
         later(
-                memory.markWait(due, now()).toNanos() / 1e9,
+                memory.markerTimeout(due, now()).toNanos() / 1e9,
                 () -> {
                     if (over[0]) {
                         return;
                     }
                     over[0] = true;
                     message.running = false;
-                    then.apply(new RunEnd(RunEnd.Result.NOT_BEGUN, Duration.ZERO)).act(this);
+                    then.apply(new RunOutcome(RunOutcome.Status.NOT_DISPATCHED, Duration.ZERO))
+                            .execute(this);
                     settle(message);
                 });
     }
@@ -433,27 +444,29 @@
     /** A write that the decisions on memory hear of. */
     private void write(Runnable durable) {
         long number = ++appends;
-        memory.asked(number, now());
+        memory.appendStarted(number, now());
         disk.write(
                 () -> {
-                    memory.acked(number);
+                    memory.appendCompleted(number);
                     durable.run();
                 });
     }
 
-    private void begin(Message message, Function<RunEnd, Step> then) {
+    private void begin(RequestAttempt message, Function<RunOutcome, Action> then) {
         double at = events.seconds();
         rules.runs(
                 at,
                 message.id.value(),
                 disk == null ? name : "place " + place,
-                message.operation.tokened() ? message.token : null,
-                startedAt + message.arrived.plus(message.operation.window()).toNanos() / 1e9,
+                message.operation.isKeyed() ? message.token : null,
+                startedAt
+                        + message.arrived.plus(message.operation.deduplicationWindow()).toNanos()
+                                / 1e9,
                 startedAt + grace.toNanos() / 1e9,
                 startedAt + message.arrived.toNanos() / 1e9);
         memoryKb += message.kb * plan.runFactor();
         boolean fails = failing > 0 && chance.nextDouble() < failing;
-        boolean calls = message.operation.calls() && !fails;
+        boolean calls = message.operation.makesCalls() && !fails;
         message.job =
                 cores.add(
                         fails ? FAST_S : calls ? message.work / 2 : message.work,
@@ -464,21 +477,23 @@
                                         message,
                                         then,
                                         at,
-                                        fails ? RunEnd.Result.ERRORED : RunEnd.Result.SUCCEEDED);
+                                        fails
+                                                ? RunOutcome.Status.FAILED
+                                                : RunOutcome.Status.SUCCEEDED);
                                 return;
                             }
                             waiting.put(
                                     message.id,
-                                    () -> ended(message, then, at, RunEnd.Result.SUCCEEDED));
+                                    () -> ended(message, then, at, RunOutcome.Status.SUCCEEDED));
                             stopping.put(
                                     message.id,
-                                    () -> ended(message, then, at, RunEnd.Result.STOPPED));
-                            choice.blocked(message.id).act(this);
+                                    () -> ended(message, then, at, RunOutcome.Status.STOPPED));
+                            choice.onCallRequested(message.id).execute(this);
                             if (message.answered && !message.called) {
                                 stopped(message.id); // nobody wants its call any more
                             }
                         });
-        stopping.put(message.id, () -> ended(message, then, at, RunEnd.Result.STOPPED));
+        stopping.put(message.id, () -> ended(message, then, at, RunOutcome.Status.STOPPED));
         // A crowd on the cores takes the whole box down.
         if (cores.running() > plan.fallsAt() * plan.cores()) {
             world.dies(this);
@@ -486,19 +501,23 @@
     }
 
     /** What goes on once the call of a run is over, and what ends it early. */
-    private final Map<InvId, Runnable> waiting = new HashMap<>();
+    private final Map<InvocationId, Runnable> waiting = new HashMap<>();
 
-    private final Map<InvId, Runnable> stopping = new HashMap<>();
+    private final Map<InvocationId, Runnable> stopping = new HashMap<>();
 
-    private void ended(Message message, Function<RunEnd, Step> then, double at, RunEnd.Result end) {
+    private void ended(
+            RequestAttempt message,
+            Function<RunOutcome, Action> then,
+            double at,
+            RunOutcome.Status end) {
         if (stopping.remove(message.id) == null) {
             return;
         }
         waiting.remove(message.id);
         memoryKb -= message.kb * plan.runFactor();
-        boolean succeeded = end == RunEnd.Result.SUCCEEDED;
-        Mark mark =
-                disk == null || !message.operation.tokened() ? null : disk.kept.get(message.token);
+        boolean succeeded = end == RunOutcome.Status.SUCCEEDED;
+        IdempotencyRecord mark =
+                disk == null || !message.operation.isKeyed() ? null : disk.kept.get(message.token);
         boolean[] over = {false};
         Runnable told =
                 () -> {
@@ -508,11 +527,13 @@
                     over[0] = true;
                     message.running = false;
                     if (succeeded) {
-                        keys.ended(message.id, message.operation.tokened(), RESULT, now());
+                        keys.complete(message.id, message.operation.isKeyed(), RESULT, now());
                     }
                     answer(
                             message,
-                            succeeded ? Message.Answer.SUCCEEDED : Message.Answer.ERRORED,
+                            succeeded
+                                    ? RequestAttempt.Answer.SUCCEEDED
+                                    : RequestAttempt.Answer.ERRORED,
                             Duration.ZERO,
                             false);
                     settle(message);
@@ -522,7 +543,10 @@
                     () -> {
                         disk.kept.put(
                                 message.token,
-                                mark.as(succeeded ? Mark.State.SUCCEEDED : Mark.State.LOST));
+                                mark.withProgress(
+                                        succeeded
+                                                ? IdempotencyRecord.Progress.SUCCEEDED
+                                                : IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
                         if (succeeded) {
                             told.run();
                         }
@@ -532,27 +556,28 @@
             told.run();
         } else {
             later(
-                    memory.answerWait(
+                    memory.answerTimeout(
                                             message.arrived.plus(message.operation.clientTimeout()),
                                             now())
                                     .toNanos()
                             / 1e9,
                     told);
         }
-        then.apply(new RunEnd(end, span(events.seconds() - at))).act(this);
+        then.apply(new RunOutcome(end, span(events.seconds() - at))).execute(this);
         settle(message);
     }
 
     @Override
-    public boolean keeps() {
-        return disk == null || memory.keeps(now());
+    public boolean acceptsIdempotencyEntries() {
+        return disk == null || memory.acceptsNewKeys(now());
     }
 
     @Override
-    public void replay(InvId id, Function<RunEnd, Step> then) {
-        Message message = tries.get(id);
-        InvId kept = message.token == null ? forerunners.get(id) : keys.kept(message.token);
-        keys.result(
+    public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
+        RequestAttempt message = tries.get(id);
+        InvocationId kept =
+                message.token == null ? forerunners.get(id) : keys.findByToken(message.token);
+        keys.whenCompleted(
                 kept,
                 result ->
                         cores.add(
@@ -563,52 +588,52 @@
                                     answer(
                                             message,
                                             there
-                                                    ? Message.Answer.SUCCEEDED
-                                                    : Message.Answer.ERRORED,
+                                                    ? RequestAttempt.Answer.SUCCEEDED
+                                                    : RequestAttempt.Answer.ERRORED,
                                             Duration.ZERO,
                                             false);
                                     then.apply(
-                                                    new RunEnd(
+                                                    new RunOutcome(
                                                             there
-                                                                    ? RunEnd.Result.SUCCEEDED
-                                                                    : RunEnd.Result.ERRORED,
+                                                                    ? RunOutcome.Status.SUCCEEDED
+                                                                    : RunOutcome.Status.FAILED,
                                                             Duration.ZERO))
-                                            .act(this);
+                                            .execute(this);
                                     settle(message);
                                 }));
     }
 
     @Override
-    public void throttle(InvId id, Duration retryIn, boolean last) {
-        Message message = tries.get(id);
+    public void throttle(InvocationId id, Duration retryIn, boolean last) {
+        RequestAttempt message = tries.get(id);
         if (message == null) {
             return;
         }
-        answer(message, Message.Answer.THROTTLED, retryIn, last);
+        answer(message, RequestAttempt.Answer.THROTTLED, retryIn, last);
         settle(message);
     }
 
     @Override
-    public void fail(InvId id) {
-        Message message = tries.get(id);
+    public void fail(InvocationId id) {
+        RequestAttempt message = tries.get(id);
         if (message == null) {
             return;
         }
-        answer(message, Message.Answer.ERRORED, Duration.ZERO, false);
+        answer(message, RequestAttempt.Answer.ERRORED, Duration.ZERO, false);
         settle(message);
     }
 
     @Override
-    public void stop(InvId id) {
+    public void stopRun(InvocationId id) {
         // In an event of its own: the decisions are at work on what made them say so.
         if (halted.add(id)) {
             later(0, () -> stopped(id));
         }
     }
 
-    private void stopped(InvId id) {
+    private void stopped(InvocationId id) {
         halted.remove(id);
-        Message message = tries.get(id);
+        RequestAttempt message = tries.get(id);
         Runnable end = stopping.get(id);
         if (message == null || end == null) {
             return;
@@ -621,14 +646,14 @@
     }
 
     @Override
-    public void call(InvId id, Duration patience, Function<CallEnd, Step> then) {
+    public void startCall(InvocationId id, Duration patience, Function<CallOutcome, Action> then) {
         double at = events.seconds();
-        Message message = tries.get(id);
+        RequestAttempt message = tries.get(id);
         if (message != null) {
             message.called = true;
         }
         boolean[] over = {false};
-        Function<CallEnd.Result, Runnable> end =
+        Function<CallOutcome.Status, Runnable> end =
                 result ->
                         () -> {
                             if (over[0] || state == State.DEAD) {
@@ -639,71 +664,77 @@
                                 message.called = false;
                             }
                             Runnable on = waiting.get(id);
-                            then.apply(new CallEnd(result, span(events.seconds() - at))).act(this);
-                            if (on != null && result == CallEnd.Result.SUCCEEDED) {
+                            then.apply(new CallOutcome(result, span(events.seconds() - at)))
+                                    .execute(this);
+                            if (on != null && result == CallOutcome.Status.SUCCEEDED) {
                                 message.job = cores.add(message.work / 2, on);
                             } else if (on != null && message.answered) {
                                 stopped(id);
                             }
                         };
         world.toLedger(result -> later(0, end.apply(result)));
-        later(patience.toNanos() / 1e9, end.apply(CallEnd.Result.TIMED_OUT));
+        later(patience.toNanos() / 1e9, end.apply(CallOutcome.Status.TIMED_OUT));
     }
 
     @Override
-    public void skipCall(InvId id) {
+    public void skipCall(InvocationId id) {
         Runnable on = waiting.get(id);
-        Message message = tries.get(id);
+        RequestAttempt message = tries.get(id);
         if (on != null && message != null) {
             message.job = cores.add(message.work / 2, on);
         }
     }
 
     @Override
-    public void keep(InvId id, Duration span) {
-        Message message = tries.get(id);
-        keys.keep(
-                id, message.operation, message.token, new byte[0], Keys.UNDATED, now().plus(span));
+    public void putIdempotencyEntry(InvocationId id, Duration span) {
+        RequestAttempt message = tries.get(id);
+        keys.track(
+                id,
+                message.operation,
+                message.token,
+                new byte[0],
+                IdempotencyCache.NO_CLIENT_TIMESTAMP,
+                now().plus(span));
     }
 
     @Override
-    public void erase(InvId id) {
-        keys.erase(id);
+    public void removeIdempotencyEntry(InvocationId id) {
+        keys.forget(id);
     }
 
     @Override
-    public void after(Duration span, Function<Gauges, Step> then) {
-        later(span.toNanos() / 1e9, () -> then.apply(gauges()).act(this));
+    public void schedule(Duration span, Function<ResourceGauges, Action> then) {
+        later(span.toNanos() / 1e9, () -> then.apply(gauges()).execute(this));
     }
 
     private double useAt = -1;
     private double use;
 
-    private Gauges gauges() {
+    private ResourceGauges gauges() {
         if (events.seconds() - useAt >= 0.1) {
             use = cores.use();
             useAt = events.seconds();
         }
-        return new Gauges(use, cores.running(), memoryKb / plan.memoryKb(), 0);
+        return new ResourceGauges(use, cores.running(), memoryKb / plan.memoryKb(), 0);
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
+    public void setHealth(boolean good, boolean stored) {
         healthy = good;
     }
 
     @Override
-    public void advertise(double value) {
+    public void advertiseCapacity(double value) {
         // gateways make nothing of it
     }
 
     @Override
-    public void idleAfter(Duration span) {
+    public void setIdleTimeout(Duration span) {
         // connections are not modelled
     }
 
     @Override
-    public void note(String text) {
+    public void logNote(String text) {
         // nobody reads it
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/world/Gateway.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
@@ -1,38 +1,38 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.script.Script;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.scenario.Scenario;
 
 /**
  * One that chooses boxes for its callers, with habits of its own: how it picks, retries, waits and
  * heeds.
  */
-final class Gateway {
+final class GatewayModel {
     /** Draws for a good box: with half of them good, one in 256 finds none. */
     private static final int DRAWS = 8;
 
     /** Pause where it knows of no box at all. */
     private static final int NO_BOX_PAUSE_MS = 100;
 
-    private final World world;
-    private final Events events;
-    private final Script.Gateways plan;
+    private final Simulation world;
+    private final EventQueue events;
+    private final Scenario.Gateways plan;
     private final SplittableRandom chance;
     private final boolean heeds;
-    private Known known;
-    private final Map<Box, Integer> open = new HashMap<>();
-    private final Map<Box, Double> backAt = new HashMap<>();
+    private ServiceDirectory known;
+    private final Map<EmulatedServer, Integer> open = new HashMap<>();
+    private final Map<EmulatedServer, Double> backAt = new HashMap<>();
     private int turn;
 
     /** While it lasts, it retries as often as it can and heeds nothing. */
     boolean storms;
 
-    Gateway(World world, int number, Known known) {
+    GatewayModel(Simulation world, int number, ServiceDirectory known) {
         this.world = world;
         this.events = world.events;
         this.plan = world.script.gateways();
@@ -43,21 +43,21 @@
     }
 
     /** It has learnt which boxes there are. */
-    void learns(Known now) {
+    void learns(ServiceDirectory now) {
         known = now;
-        open.keySet().removeIf(box -> box.state == Box.State.DEAD);
-        backAt.keySet().removeIf(box -> box.state == Box.State.DEAD);
+        open.keySet().removeIf(box -> box.state == EmulatedServer.State.DEAD);
+        backAt.keySet().removeIf(box -> box.state == EmulatedServer.State.DEAD);
     }
 
     /**
      * Passes an invocation on; {@code now} is told of its end, and the caller's part of it is over
      * then.
      */
-    void send(Ask ask) {
+    void send(ClientRequest ask) {
         if (ask.over) {
             return;
         }
-        Box box = choose(ask);
+        EmulatedServer box = choose(ask);
         if (box == null) {
             ask.tries++;
             again(ask, null, Duration.ofMillis(NO_BOX_PAUSE_MS));
@@ -66,9 +66,9 @@
         ask.tries++;
         open.merge(box, 1, Integer::sum);
         boolean[] ended = {false};
-        Message[] sent = new Message[1];
+        RequestAttempt[] sent = new RequestAttempt[1];
         sent[0] =
-                new Message(
+                new RequestAttempt(
                         world.nextId(),
                         ask.operation,
                         ask.token,
@@ -102,21 +102,26 @@
                     open.computeIfPresent(box, (b, count) -> count - 1);
                     world.travel(box, () -> box.gone(sent[0]));
                     if (events.seconds() >= ask.dueAt - 1e-6) {
-                        ask.ends(Ask.End.TIMED_OUT);
+                        ask.ends(ClientRequest.End.TIMED_OUT);
                     } else {
                         again(ask, box, Duration.ZERO);
                     }
                 });
     }
 
-    private void heard(Ask ask, Box box, Message.Answer answer, Duration backoff, boolean last) {
+    private void heard(
+            ClientRequest ask,
+            EmulatedServer box,
+            RequestAttempt.Answer answer,
+            Duration backoff,
+            boolean last) {
         switch (answer) {
-            case SUCCEEDED -> ask.ends(Ask.End.SUCCEEDED);
+            case SUCCEEDED -> ask.ends(ClientRequest.End.SUCCEEDED);
             case ERRORED -> {
-                if (ask.operation.idempotent()) {
+                if (ask.operation.isIdempotent()) {
                     again(ask, box, Duration.ZERO);
                 } else {
-                    ask.ends(Ask.End.ERRORED);
+                    ask.ends(ClientRequest.End.ERRORED);
                 }
             }
             case THROTTLED -> {
@@ -125,34 +130,34 @@
                 }
                 ask.throttled++;
                 if (last && heeds && !storms) {
-                    ask.ends(Ask.End.THROTTLED);
+                    ask.ends(ClientRequest.End.THROTTLED);
                 } else {
                     again(ask, box, heeds && !storms ? backoff : Duration.ZERO);
                 }
             }
             case RESET -> {
-                if (ask.operation.idempotent() || ask.operation.tokened()) {
+                if (ask.operation.isIdempotent() || ask.operation.isKeyed()) {
                     again(ask, box, Duration.ZERO);
                 } else {
-                    ask.ends(Ask.End.ERRORED);
+                    ask.ends(ClientRequest.End.ERRORED);
                 }
             }
             default -> throw new IllegalStateException();
         }
     }
 
-    private void again(Ask ask, Box not, Duration advised) {
+    private void again(ClientRequest ask, EmulatedServer not, Duration advised) {
         double pause =
                 storms
                         ? 0.001
                         : Math.max(
                                 plan.pauseMs() / 1e3 * chance.nextDouble(0.5, 1.5),
-                                not == null || ask.operation.tokened()
+                                not == null || ask.operation.isKeyed()
                                         ? advised.toNanos() / 1e9
                                         : 0);
         boolean spent = !storms && plan.tries() > 0 && ask.tries >= plan.tries();
         if (spent || events.seconds() + pause >= ask.dueAt) {
-            ask.ends(ask.throttled > 0 ? Ask.End.THROTTLED : Ask.End.ERRORED);
+            ask.ends(ask.throttled > 0 ? ClientRequest.End.THROTTLED : ClientRequest.End.ERRORED);
             return;
         }
         ask.not = not;
@@ -163,8 +168,8 @@
      * A keyed one goes where its key belongs, so that its repeat finds its mark; any other by the
      * habit of this gateway.
      */
-    private Box choose(Ask ask) {
-        List<Box> boxes = known.boxes;
+    private EmulatedServer choose(ClientRequest ask) {
+        List<EmulatedServer> boxes = known.boxes;
         if (boxes.isEmpty()) {
             return null;
         }
@@ -174,7 +179,7 @@
         return switch (plan.choice()) {
             case "turns" -> {
                 for (int i = 0; i < boxes.size(); i++) {
-                    Box next = boxes.get(Math.floorMod(turn++, boxes.size()));
+                    EmulatedServer next = boxes.get(Math.floorMod(turn++, boxes.size()));
                     if (good(next, ask)) {
                         yield next;
                     }
@@ -182,10 +187,10 @@
                 yield boxes.get(Math.floorMod(turn++, boxes.size()));
             }
             case "least" -> {
-                Box least = null;
+                EmulatedServer least = null;
                 int first = Math.floorMod(turn++, boxes.size());
                 for (int i = 0; i < boxes.size(); i++) {
-                    Box box = boxes.get((first + i) % boxes.size());
+                    EmulatedServer box = boxes.get((first + i) % boxes.size());
                     if (good(box, ask) && (least == null || opened(box) < opened(least))) {
                         least = box;
                     }
@@ -193,21 +198,21 @@
                 yield least == null ? boxes.get(first) : least;
             }
             case "two" -> {
-                Box one = any(ask);
-                Box other = any(ask);
+                EmulatedServer one = any(ask);
+                EmulatedServer other = any(ask);
                 yield opened(one) <= opened(other) ? one : other;
             }
             default -> any(ask);
         };
     }
 
-    private int opened(Box box) {
+    private int opened(EmulatedServer box) {
         return open.getOrDefault(box, 0);
     }
 
     /** One by chance; a good one unless a few draws find none. */
-    private Box any(Ask ask) {
-        Box box = null;
+    private EmulatedServer any(ClientRequest ask) {
+        EmulatedServer box = null;
         for (int i = 0; i < DRAWS; i++) {
             box = known.boxes.get(chance.nextInt(known.boxes.size()));
             if (good(box, ask)) {
@@ -217,7 +222,7 @@
         return box;
     }
 
-    private boolean good(Box box, Ask ask) {
+    private boolean good(EmulatedServer box, ClientRequest ask) {
         boolean back = !heeds || storms || backAt.getOrDefault(box, 0.0) <= events.seconds();
         return back && box != ask.not && world.seenHealthy(box);
     }
--- a/emulator/src/main/java/ochretiller/emulator/world/Ledger.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/RecordsServiceModel.java
@@ -1,22 +1,22 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.emulator.script.Script;
-import ochretiller.model.CallEnd;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.model.CallOutcome;
 
 /**
  * The records service: some slots, some that wait, the rest turned away; where too many wait it
  * falls over.
  */
-final class Ledger {
-    private final Events events;
-    private final Script.Ledger plan;
+final class RecordsServiceModel {
+    private final EventQueue events;
+    private final Scenario.Ledger plan;
     private final SplittableRandom chance;
-    private final ArrayDeque<Consumer<CallEnd.Result>> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Consumer<CallOutcome.Status>> waiting = new ArrayDeque<>();
     private int busy;
     private double slower = 1;
     private double downUntil;
@@ -24,20 +24,20 @@
     private long calls;
     private long falls;
 
-    Ledger(Events events, Script.Ledger plan, SplittableRandom chance) {
+    RecordsServiceModel(EventQueue events, Scenario.Ledger plan, SplittableRandom chance) {
         this.events = events;
         this.plan = plan;
         this.chance = chance;
     }
 
-    void call(Consumer<CallEnd.Result> then) {
+    void call(Consumer<CallOutcome.Status> then) {
         calls++;
         if (events.seconds() < downUntil) {
-            then.accept(CallEnd.Result.NOT_REACHED);
+            then.accept(CallOutcome.Status.UNREACHABLE);
         } else if (busy < plan.slots()) {
             serve(then);
         } else if (waiting.size() >= plan.waits()) {
-            then.accept(CallEnd.Result.TURNED_AWAY);
+            then.accept(CallOutcome.Status.REJECTED);
         } else {
             waiting.add(then);
         }
@@ -47,11 +47,11 @@
         }
     }
 
-    private void serve(Consumer<CallEnd.Result> then) {
+    private void serve(Consumer<CallOutcome.Status> then) {
         busy++;
         long mine = epoch;
         events.after(
-                Seeds.exponential(chance, plan.workMs() / 1e3) * slower,
+                RandomStreams.exponential(chance, plan.workMs() / 1e3) * slower,
                 () -> {
                     if (mine != epoch) {
                         return; // it fell over meanwhile
@@ -60,7 +60,7 @@
                     if (!waiting.isEmpty()) {
                         serve(waiting.poll());
                     }
-                    then.accept(CallEnd.Result.SUCCEEDED);
+                    then.accept(CallOutcome.Status.SUCCEEDED);
                 });
     }
 
@@ -75,9 +75,9 @@
         downUntil = Math.max(downUntil, events.seconds() + seconds);
         epoch++;
         busy = 0;
-        ArrayDeque<Consumer<CallEnd.Result>> cut = new ArrayDeque<>(waiting);
+        ArrayDeque<Consumer<CallOutcome.Status>> cut = new ArrayDeque<>(waiting);
         waiting.clear();
-        cut.forEach(then -> then.accept(CallEnd.Result.RESET));
+        cut.forEach(then -> then.accept(CallOutcome.Status.RESET));
     }
 
     int inUse() {
--- a/emulator/src/main/java/ochretiller/emulator/world/Message.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/RequestAttempt.java
@@ -1,11 +1,11 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.time.Duration;
-import ochretiller.model.InvId;
+import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 
 /** One try on its way to a box and back. */
-final class Message {
+final class RequestAttempt {
     /** What its caller's side hears. */
     enum Answer {
         SUCCEEDED,
@@ -26,7 +26,7 @@
         void answer(Answer answer, Duration backoff, boolean last);
     }
 
-    final InvId id;
+    final InvocationId id;
     final Operation operation;
     final String token;
     final long caller;
@@ -45,9 +45,9 @@
     boolean running;
     boolean gone;
     boolean called;
-    Cores.Job job;
+    CpuModel.Job job;
 
-    Message(
+    RequestAttempt(
             long id,
             Operation operation,
             String token,
@@ -56,7 +56,7 @@
             double work,
             boolean resent,
             Heard heard) {
-        this.id = new InvId(id);
+        this.id = new InvocationId(id);
         this.operation = operation;
         this.token = token;
         this.caller = caller;
--- a/emulator/src/main/java/ochretiller/emulator/world/World.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,43 +8,43 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.emulator.rules.Rules;
-import ochretiller.emulator.script.Script;
-import ochretiller.model.CallEnd;
-import ochretiller.model.Effect;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.emulator.rules.RuleChecker;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.model.CallOutcome;
 import ochretiller.model.Operation;
-import ochretiller.settings.Lookup;
+import ochretiller.model.SideEffect;
+import ochretiller.settings.SettingLookup;
 
 /**
  * All of one run: what there is, and what befalls it. One thread; the same script and seed give the
  * same run.
  */
-public final class World {
+public final class Simulation {
     /**
      * Time behind the last arrival in which all must come to its end: beyond the longest client
      * timeout.
      */
     private static final double AFTER_S = 2;
 
-    final Events events = new Events();
-    final Seeds seeds;
-    final Script script;
-    final Rules rules = new Rules();
+    final EventQueue events = new EventQueue();
+    final RandomStreams seeds;
+    final Scenario script;
+    final RuleChecker rules = new RuleChecker();
     final Map<String, Operation> operations = new LinkedHashMap<>();
-    private final Lookup settings;
-    private final List<Box> boxes = new ArrayList<>();
+    private final SettingLookup settings;
+    private final List<EmulatedServer> boxes = new ArrayList<>();
     private final Map<Integer, Integer> lives = new HashMap<>();
-    private final List<Disk> disks = new ArrayList<>();
-    private final List<Gateway> gateways = new ArrayList<>();
-    private final Ledger ledger;
+    private final List<DurableStorageModel> disks = new ArrayList<>();
+    private final List<GatewayModel> gateways = new ArrayList<>();
+    private final RecordsServiceModel ledger;
     private final SplittableRandom delays;
     private final SplittableRandom ledgerDelays;
     private final SplittableRandom arrivals;
     private final SplittableRandom returns;
-    private final Map<Box, boolean[]> seen = new HashMap<>();
-    private final Outcome outcome;
+    private final Map<EmulatedServer, boolean[]> seen = new HashMap<>();
+    private final SimulationResult outcome;
     private double rate = 1;
 
     /** Boxes of lower place are cut off. */
@@ -53,16 +53,16 @@
     private long ids;
     private long tokens;
 
-    public World(Script script, long seed) {
+    public Simulation(Scenario script, long seed) {
         this.script = script;
-        this.seeds = new Seeds(seed);
-        this.outcome = new Outcome(script);
-        this.ledger = new Ledger(events, script.ledger(), seeds.of("ledger"));
+        this.seeds = new RandomStreams(seed);
+        this.outcome = new SimulationResult(script);
+        this.ledger = new RecordsServiceModel(events, script.ledger(), seeds.of("ledger"));
         this.delays = seeds.of("network");
         this.ledgerDelays = seeds.of("network to the ledger");
         this.arrivals = seeds.of("arrivals");
         this.returns = seeds.of("returns");
-        for (Script.Operation each : script.operations()) {
+        for (Scenario.Operation each : script.operations()) {
             operations.put(
                     each.name(),
                     new Operation(
@@ -79,11 +79,11 @@
         this.settings = settings();
     }
 
-    private static Effect effect(String name) {
+    private static SideEffect effect(String name) {
         return switch (name) {
-            case "idempotent" -> Effect.IDEMPOTENT;
-            case "tokened" -> Effect.TOKENED;
-            default -> Effect.NON_IDEMPOTENT;
+            case "idempotent" -> SideEffect.IDEMPOTENT;
+            case "tokened" -> SideEffect.KEYED;
+            default -> SideEffect.NON_IDEMPOTENT;
         };
     }
 
@@ -95,8 +95,8 @@
      * What an installation of this kind would have in its configuration, and over it what the
      * script says.
      */
-    private Lookup settings() {
-        Script.Fleet fleet = script.fleet();
+    private SettingLookup settings() {
+        Scenario.Fleet fleet = script.fleet();
         Map<String, String> values = new HashMap<>();
         values.put("familyInfo.cpus", "" + fleet.cores());
         values.put("familyInfo.memoryKb", "" + fleet.memoryKb());
@@ -123,22 +123,22 @@
     }
 
     /** Plays it to its end. */
-    public Outcome play() {
+    public SimulationResult play() {
         int places = script.fleet().boxes();
         for (int place = 0; place < places; place++) {
             disks.add(
                     script.fleet().remembers()
-                            ? new Disk(events, script.fleet().forceMs() / 1e3)
+                            ? new DurableStorageModel(events, script.fleet().forceMs() / 1e3)
                             : null);
             boxes.add(box(place, false));
         }
-        Known first = new Known(boxes);
+        ServiceDirectory first = new ServiceDirectory(boxes);
         for (int i = 0; i < script.gateways().count(); i++) {
-            gateways.add(new Gateway(this, i, first));
+            gateways.add(new GatewayModel(this, i, first));
         }
         look();
         for (int i = 0; i < script.incidents().size(); i++) {
-            Script.Incident incident = script.incidents().get(i);
+            Scenario.Incident incident = script.incidents().get(i);
             SplittableRandom chance = seeds.of("incident " + i);
             events.after(incident.atS(), () -> happens(incident, chance));
         }
@@ -146,21 +146,21 @@
         sample();
         double longest =
                 script.operations().stream()
-                                .mapToDouble(Script.Operation::timeoutMs)
+                                .mapToDouble(Scenario.Operation::timeoutMs)
                                 .max()
                                 .orElse(0)
                         / 1e3;
         double back =
-                script.operations().stream().mapToDouble(Script.Operation::backS).max().orElse(0);
+                script.operations().stream().mapToDouble(Scenario.Operation::backS).max().orElse(0);
         events.run(script.seconds() + 2 * longest + back + AFTER_S + script.fleet().stopS());
         rules.over(events.seconds());
         outcome.over(rules, events.done(), ledger.calls(), ledger.falls());
         return outcome;
     }
 
-    private Box box(int place, boolean cold) {
+    private EmulatedServer box(int place, boolean cold) {
         int life = lives.merge(place, 1, Integer::sum) - 1;
-        return new Box(this, place, life, settings, cold, disks.get(place));
+        return new EmulatedServer(this, place, life, settings, cold, disks.get(place));
     }
 
     long nextId() {
@@ -171,7 +171,7 @@
      * Something goes from a gateway to a box or back; what is cut off comes late or never, as a
      * lost packet's sender sees it.
      */
-    void travel(Box box, Runnable then) {
+    void travel(EmulatedServer box, Runnable then) {
         double span =
                 (script.network().delayMs() + script.network().jitterMs() * delays.nextDouble())
                         / 1e3;
@@ -181,7 +181,7 @@
         events.after(span, then);
     }
 
-    void toLedger(Consumer<CallEnd.Result> then) {
+    void toLedger(Consumer<CallOutcome.Status> then) {
         double there =
                 (script.network().delayMs()
                                 + script.network().jitterMs() * ledgerDelays.nextDouble())
@@ -191,15 +191,15 @@
     }
 
     /** Health as it was last looked at. */
-    boolean seenHealthy(Box box) {
+    boolean seenHealthy(EmulatedServer box) {
         boolean[] was = seen.get(box);
         return was == null || was[0];
     }
 
     private void look() {
-        for (Box box : boxes) {
+        for (EmulatedServer box : boxes) {
             seen.computeIfAbsent(box, b -> new boolean[1])[0] =
-                    box.state == Box.State.UP && box.healthy && box.place >= cut;
+                    box.state == EmulatedServer.State.UP && box.healthy && box.place >= cut;
         }
         seen.keySet().retainAll(boxes);
         events.after(script.gateways().healthMs() / 1e3, this::look);
@@ -208,7 +208,7 @@
     // Arrivals.
 
     private void arrives() {
-        double gap = Seeds.exponential(arrivals, 1 / script.traffic().perSecond());
+        double gap = RandomStreams.exponential(arrivals, 1 / script.traffic().perSecond());
         // A burst draws no more chance than a calm spell does, so that two runs differ by the burst
         // alone.
         events.after(
@@ -223,21 +223,21 @@
     }
 
     private void ask() {
-        Script.Operation plan = script.at(arrivals.nextDouble());
+        Scenario.Operation plan = script.at(arrivals.nextDouble());
         int callers = script.traffic().callers();
         boolean loud = arrivals.nextDouble() < script.traffic().skew();
         long caller =
                 loud ? arrivals.nextInt(Math.max(1, callers / 10)) : arrivals.nextInt(callers);
-        double work = Seeds.around(arrivals, plan.workMs() / 1e3, plan.spread());
+        double work = RandomStreams.around(arrivals, plan.workMs() / 1e3, plan.spread());
         boolean comesBack = arrivals.nextDouble() < plan.repeats();
         double back = arrivals.nextDouble() * plan.backS();
         Operation operation = operations.get(plan.name());
-        String token = operation.tokened() ? "t" + ++tokens : null;
+        String token = operation.isKeyed() ? "t" + ++tokens : null;
         send(plan, operation, token, caller, work, comesBack ? back : -1, true);
     }
 
     private void send(
-            Script.Operation plan,
+            Scenario.Operation plan,
             Operation operation,
             String token,
             long caller,
@@ -245,9 +245,9 @@
             double back,
             boolean first) {
         double at = events.seconds();
-        Ask[] made = new Ask[1];
+        ClientRequest[] made = new ClientRequest[1];
         made[0] =
-                new Ask(
+                new ClientRequest(
                         plan,
                         operation,
                         token,
@@ -257,7 +257,7 @@
                         end -> {
                             outcome.ended(
                                     plan, caller, at, events.seconds(), end, made[0].tries, first);
-                            if (end != Ask.End.SUCCEEDED && token != null && back >= 0) {
+                            if (end != ClientRequest.End.SUCCEEDED && token != null && back >= 0) {
                                 events.after(
                                         back,
                                         () ->
@@ -272,20 +272,20 @@
 
     // Incidents.
 
-    private List<Box> some(double share, SplittableRandom chance) {
-        List<Box> all = new ArrayList<>(boxes);
+    private List<EmulatedServer> some(double share, SplittableRandom chance) {
+        List<EmulatedServer> all = new ArrayList<>(boxes);
         int count = (int) Math.ceil(share * script.fleet().boxes());
         for (int i = all.size() - 1; i > 0; i--) {
             int other = chance.nextInt(i + 1);
-            Box kept = all.get(i);
+            EmulatedServer kept = all.get(i);
             all.set(i, all.get(other));
             all.set(other, kept);
         }
         return all.subList(0, Math.min(count, all.size()));
     }
 
-    private void happens(Script.Incident incident, SplittableRandom chance) {
-        List<Box> some = some(incident.share(), chance);
+    private void happens(Scenario.Incident incident, SplittableRandom chance) {
+        List<EmulatedServer> some = some(incident.share(), chance);
         switch (incident.what()) {
             case "die" -> some.forEach(box -> dies(box, incident.forS()));
             case "pause" ->
@@ -305,7 +305,7 @@
                             () -> some.forEach(box -> box.fail(0)));
             case "release" -> {
                 for (int i = 0; i < some.size(); i++) {
-                    Box box = some.get(i);
+                    EmulatedServer box = some.get(i);
                     events.after(incident.forS() * i / some.size(), () -> release(box));
                 }
             }
@@ -333,12 +333,12 @@
         }
     }
 
-    private void during(Script.Incident incident, Runnable begins, Runnable ends) {
+    private void during(Scenario.Incident incident, Runnable begins, Runnable ends) {
         begins.run();
         events.after(incident.forS(), ends);
     }
 
-    private void stall(Box box, boolean now) {
+    private void stall(EmulatedServer box, boolean now) {
         if (disks.get(box.place) != null) {
             disks.get(box.place).stall(now);
         }
@@ -351,13 +351,13 @@
         }
     }
 
-    void dies(Box box) {
+    void dies(EmulatedServer box) {
         dies(box, 0);
     }
 
     /** It dies at once, and its successor comes up cold; gateways hear of both late. */
-    private void dies(Box box, double away) {
-        if (box.state == Box.State.DEAD) {
+    private void dies(EmulatedServer box, double away) {
+        if (box.state == EmulatedServer.State.DEAD) {
             return;
         }
         outcome.died(events.seconds());
@@ -365,15 +365,15 @@
         succeeds(box, away + script.fleet().bootS());
     }
 
-    private void release(Box box) {
-        if (box.state != Box.State.UP) {
+    private void release(EmulatedServer box) {
+        if (box.state != EmulatedServer.State.UP) {
             return;
         }
         box.leave();
         succeeds(box, script.fleet().stopS() + script.fleet().bootS());
     }
 
-    private void succeeds(Box box, double later) {
+    private void succeeds(EmulatedServer box, double later) {
         boxes.remove(box);
         tell();
         events.after(
@@ -388,8 +388,8 @@
     }
 
     private void tell() {
-        Known now = new Known(boxes);
-        for (Gateway gateway : gateways) {
+        ServiceDirectory now = new ServiceDirectory(boxes);
+        for (GatewayModel gateway : gateways) {
             events.after(
                     script.gateways().listS() * delays.nextDouble(), () -> gateway.learns(now));
         }
@@ -400,13 +400,13 @@
     private void sample() {
         int held = 0;
         int running = 0;
-        for (Box box : boxes) {
+        for (EmulatedServer box : boxes) {
             held += box.held();
             running += box.running();
         }
         outcome.sample(events.seconds(), boxes.size(), held, running, ledger.inUse());
         if (events.seconds() < script.seconds()) {
-            events.after(Outcome.SAMPLE_S, this::sample);
+            events.after(SimulationResult.SAMPLE_S, this::sample);
         }
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/world/Outcome.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
@@ -1,15 +1,15 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import ochretiller.emulator.rules.Rules;
-import ochretiller.emulator.script.Script;
+import ochretiller.emulator.rules.RuleChecker;
+import ochretiller.emulator.scenario.Scenario;
 import org.HdrHistogram.Histogram;
 
 /** What came of one run: billed value, answers, waits, and how they went over time. */
-public final class Outcome {
+public final class SimulationResult {
     /** Time between two looks at the fleet, seconds. */
     static final double SAMPLE_S = 0.5;
 
@@ -36,7 +36,7 @@
     /** A look at the fleet. */
     public record Look(double at, int boxes, int held, int running, int ledger) {}
 
-    private final Script script;
+    private final Scenario script;
     private final List<Second> seconds = new ArrayList<>();
     private final List<Look> looks = new ArrayList<>();
     private final Second loud = new Second();
@@ -44,17 +44,17 @@
     private final Map<String, Second> byOperation = new LinkedHashMap<>();
     private final Histogram took = new Histogram(LONGEST_US, 3);
     private double deaths;
-    private Rules rules;
+    private RuleChecker rules;
     private long events;
     private long calls;
     private long falls;
 
-    Outcome(Script script) {
+    SimulationResult(Scenario script) {
         this.script = script;
         for (int i = 0; i <= script.seconds() / BUCKET_S; i++) {
             seconds.add(new Second());
         }
-        for (Script.Operation each : script.operations()) {
+        for (Scenario.Operation each : script.operations()) {
             byOperation.put(each.name(), new Second());
         }
     }
@@ -68,7 +68,7 @@
         return caller < Math.max(1, script.traffic().callers() / 10) ? loud : others;
     }
 
-    void asked(Script.Operation plan, long caller, double at, boolean first) {
+    void asked(Scenario.Operation plan, long caller, double at, boolean first) {
         if (!first) {
             return;
         }
@@ -83,11 +83,11 @@
      * shows what became of it.
      */
     void ended(
-            Script.Operation plan,
+            Scenario.Operation plan,
             long caller,
             double askedAt,
             double now,
-            Ask.End end,
+            ClientRequest.End end,
             int tries,
             boolean first) {
         if (!first) {
@@ -95,10 +95,10 @@
         }
         double spent = now - askedAt;
         double worth =
-                end != Ask.End.SUCCEEDED
+                end != ClientRequest.End.SUCCEEDED
                         ? 0
                         : spent <= plan.objectiveMs() / 1e3 ? 1 : plan.lateShare();
-        if (end == Ask.End.SUCCEEDED) {
+        if (end == ClientRequest.End.SUCCEEDED) {
             took.recordValue(Math.min(LONGEST_US, Math.max(1, (long) (spent * 1e6))));
         }
         for (Second each : List.of(at(askedAt), byOperation.get(plan.name()), side(caller))) {
@@ -122,7 +122,7 @@
         looks.add(new Look(at, boxes, held, running, ledger));
     }
 
-    void over(Rules held, long done, long called, long fell) {
+    void over(RuleChecker held, long done, long called, long fell) {
         rules = held;
         events = done;
         calls = called;
@@ -198,7 +198,7 @@
         return deaths;
     }
 
-    public Rules rules() {
+    public RuleChecker rules() {
         return rules;
     }
 
--- a/emulator/src/test/java/ochretiller/emulator/CoreTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/CoreTest.java
@@ -5,12 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
 import org.junit.jupiter.api.Test;
 
 class CoreTest {
-    private final Events events = new Events();
+    private final EventQueue events = new EventQueue();
     private final List<String> happened = new ArrayList<>();
 
     @Test
@@ -40,11 +40,11 @@
 
     @Test
     void partsHaveChanceOfTheirOwn() {
-        Seeds seeds = new Seeds(7);
+        RandomStreams seeds = new RandomStreams(7);
         assertThat(seeds.of("box 1").nextLong())
                 .isEqualTo(seeds.of("box 1").nextLong())
                 .isNotEqualTo(seeds.of("box 2").nextLong())
-                .isNotEqualTo(new Seeds(8).of("box 1").nextLong());
+                .isNotEqualTo(new RandomStreams(8).of("box 1").nextLong());
     }
 
     @Test
@@ -53,11 +53,11 @@
         double exponential = 0;
         double around = 0;
         for (int i = 0; i < 200_000; i++) {
-            exponential += Seeds.exponential(chance, 3) / 200_000;
-            around += Seeds.around(chance, 3, 0.8) / 200_000;
+            exponential += RandomStreams.exponential(chance, 3) / 200_000;
+            around += RandomStreams.around(chance, 3, 0.8) / 200_000;
         }
         assertThat(exponential).isBetween(2.95, 3.05);
         assertThat(around).isBetween(2.95, 3.05);
-        assertThat(Seeds.around(chance, 3, 0)).isEqualTo(3);
+        assertThat(RandomStreams.around(chance, 3, 0)).isEqualTo(3);
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/FleetTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/FleetTest.java
@@ -8,16 +8,16 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import ochretiller.emulator.fleet.ClaimsModel;
-import ochretiller.emulator.fleet.CopiesWorld;
-import ochretiller.emulator.fleet.Drawn;
-import ochretiller.emulator.fleet.Explore;
+import ochretiller.emulator.fleet.ClaimStateModel;
 import ochretiller.emulator.fleet.FleetOutcome;
-import ochretiller.emulator.fleet.FleetScript;
-import ochretiller.emulator.fleet.FleetScriptFile;
-import ochretiller.emulator.fleet.FleetWorld;
-import ochretiller.emulator.fleet.MembersModel;
-import ochretiller.emulator.fleet.VersionsWorld;
+import ochretiller.emulator.fleet.FleetScenario;
+import ochretiller.emulator.fleet.FleetScenarioReader;
+import ochretiller.emulator.fleet.MembershipSimulation;
+import ochretiller.emulator.fleet.MembershipStateModel;
+import ochretiller.emulator.fleet.RandomScenarios;
+import ochretiller.emulator.fleet.ReplicationSimulation;
+import ochretiller.emulator.fleet.RolloutSimulation;
+import ochretiller.emulator.fleet.StateSpaceExplorer;
 import ochretiller.settings.MalformedException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -37,9 +37,9 @@
     @ParameterizedTest
     @MethodSource("scripts")
     void eachScriptComesOutAsItExpects(Path file) {
-        FleetScript script = FleetScriptFile.read(file);
+        FleetScenario script = FleetScenarioReader.read(file);
         for (long seed = 1; seed <= 3; seed++) {
-            assertThat(new FleetWorld(script, seed).play().missed(script.expect()))
+            assertThat(new MembershipSimulation(script, seed).play().missed(script.expect()))
                     .as("seed " + seed)
                     .isEmpty();
         }
@@ -48,7 +48,8 @@
     @Test
     void drawnSchedulesSettleWithinTheBound() {
         for (long seed = 1; seed <= 120; seed++) {
-            FleetOutcome outcome = new FleetWorld(Drawn.script(seed, SETTLED_S), seed).play();
+            FleetOutcome outcome =
+                    new MembershipSimulation(RandomScenarios.script(seed, SETTLED_S), seed).play();
             assertThat(outcome.settledS)
                     .as("seed " + seed + ": " + outcome.notes)
                     .isLessThanOrEqualTo(SETTLED_S);
@@ -57,9 +58,9 @@
 
     @Test
     void aSeedPlaysTheSameTwice() {
-        FleetScript script = Drawn.script(7, SETTLED_S);
-        FleetOutcome one = new FleetWorld(script, 7).play();
-        FleetOutcome other = new FleetWorld(script, 7).play();
+        FleetScenario script = RandomScenarios.script(7, SETTLED_S);
+        FleetOutcome one = new MembershipSimulation(script, 7).play();
+        FleetOutcome other = new MembershipSimulation(script, 7).play();
         assertThat(one.settledS).isEqualTo(other.settledS);
         assertThat(one.ticks).isEqualTo(other.ticks);
         assertThat(one.knownMs).isEqualTo(other.knownMs);
@@ -67,14 +68,14 @@
 
     @Test
     void aFaultThatNeverEndsIsSeenToLeaveViewsWrong() {
-        FleetScript script =
-                FleetScriptFile.of(
+        FleetScenario script =
+                FleetScenarioReader.of(
                         "{ seconds: 40, members: 6, zones: 2, incidents: [ { at_s: 5, for_s: 5,"
                                 + " what: 'cut', who: 'z1' } ] }",
                         "cut");
-        assertThat(new FleetWorld(script, 1).play().settledS).isFinite();
-        FleetScript never =
-                new FleetScript(
+        assertThat(new MembershipSimulation(script, 1).play().settledS).isFinite();
+        FleetScenario never =
+                new FleetScenario(
                         "never",
                         40,
                         6,
@@ -87,9 +88,9 @@
                         false,
                         false,
                         script.load(),
-                        List.of(new FleetScript.Incident(5, 100, "cut", "z1", "", "", 1)),
-                        new FleetScript.Expect(SETTLED_S, 0, 0, 0));
-        assertThat(new FleetWorld(never, 1).play().missed(never.expect()))
+                        List.of(new FleetScenario.Incident(5, 100, "cut", "z1", "", "", 1)),
+                        new FleetScenario.Expect(SETTLED_S, 0, 0, 0));
+        assertThat(new MembershipSimulation(never, 1).play().missed(never.expect()))
                 .anyMatch(line -> line.startsWith("settled"))
                 .anyMatch(line -> line.contains("changes of verdict"));
     }
@@ -97,17 +98,17 @@
     @Test
     void allOrdersOfEventsAreExploredAndAPlantedFaultIsFound() throws Exception {
         assertThat(
-                        new Explore(() -> new MembersModel(2, 1, false))
+                        new StateSpaceExplorer(() -> new MembershipStateModel(2, 1, false))
                                 .explore(7, 10_000, line -> {})
                                 .broken())
                 .isNull();
         assertThat(
-                        new Explore(() -> new MembersModel(3, 1, false))
+                        new StateSpaceExplorer(() -> new MembershipStateModel(3, 1, false))
                                 .explore(5, 10_000, line -> {})
                                 .broken())
                 .isNull();
         assertThat(
-                        new Explore(() -> new MembersModel(3, 1, true))
+                        new StateSpaceExplorer(() -> new MembershipStateModel(3, 1, true))
                                 .explore(3, 10_000, line -> {})
                                 .broken())
                 .contains("does not settle");
@@ -117,9 +118,9 @@
     void noTokenIsRunTwiceInDrawnSchedulesWithCopies() {
         int replayed = 0;
         for (long seed = 1; seed <= 16; seed++) {
-            CopiesWorld.Outcomes outcome =
-                    new CopiesWorld(
-                                    Drawn.copies(seed),
+            ReplicationSimulation.Outcomes outcome =
+                    new ReplicationSimulation(
+                                    RandomScenarios.copies(seed),
                                     seed,
                                     seed % 3 * 0.4,
                                     seed / 3 % 2 * 0.3,
@@ -131,7 +132,10 @@
             replayed += outcome.replayed;
         }
         assertThat(replayed).isPositive();
-        assertThat(new CopiesWorld(Drawn.copies(1), 1, 0, 0, false, false).play(60, 25).broken)
+        assertThat(
+                        new ReplicationSimulation(RandomScenarios.copies(1), 1, 0, 0, false, false)
+                                .play(60, 25)
+                                .broken)
                 .as("each server for itself")
                 .anyMatch(line -> line.contains("run again"));
     }
@@ -139,12 +143,12 @@
     @Test
     void claimsAreExploredAndKeepersThatForgetAreFound() throws Exception {
         assertThat(
-                        new Explore(() -> new ClaimsModel(1, false))
+                        new StateSpaceExplorer(() -> new ClaimStateModel(1, false))
                                 .explore(3, 100_000, line -> {})
                                 .broken())
                 .isNull();
         assertThat(
-                        new Explore(() -> new ClaimsModel(1, true))
+                        new StateSpaceExplorer(() -> new ClaimStateModel(1, true))
                                 .explore(3, 100_000, line -> {})
                                 .broken())
                 .isNotNull();
@@ -155,15 +159,18 @@
         int harmful = 0;
         int stopped = 0;
         for (long seed = 1; seed <= 80; seed++) {
-            VersionsWorld.Outcomes outcome =
-                    new VersionsWorld(Drawn.copies(seed), seed, true).play(3, 0.3);
+            RolloutSimulation.Outcomes outcome =
+                    new RolloutSimulation(RandomScenarios.copies(seed), seed, true).play(3, 0.3);
             assertThat(outcome.broken).as("seed " + seed).isEmpty();
             assertThat(outcome.settledS).as("seed " + seed + ": " + outcome.notes).isFinite();
             harmful += outcome.harmfulOnes;
             stopped += outcome.harmfulStopped;
         }
         assertThat(stopped).isGreaterThan(harmful * 3 / 4);
-        assertThat(new VersionsWorld(Drawn.copies(290), 290, false).play(3, 0.3).broken)
+        assertThat(
+                        new RolloutSimulation(RandomScenarios.copies(290), 290, false)
+                                .play(3, 0.3)
+                                .broken)
                 .as("without leases")
                 .isNotEmpty();
     }
@@ -172,7 +179,7 @@
     void aScriptThatCannotBePlayedIsToldSo() {
         assertThatThrownBy(
                         () ->
-                                FleetScriptFile.of(
+                                FleetScenarioReader.of(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, for_s:"
                                                 + " 9, what: 'cut', who: '1' } ] }",
                                         "s"))
@@ -180,14 +187,14 @@
                 .hasMessageContaining("behind its end");
         assertThatThrownBy(
                         () ->
-                                FleetScriptFile.of(
+                                FleetScenarioReader.of(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
                                                 + " 'kill', who: '7' } ] }",
                                         "s"))
                 .hasMessageContaining("no members '7'");
         assertThatThrownBy(
                         () ->
-                                FleetScriptFile.of(
+                                FleetScenarioReader.of(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
                                                 + " 'burn' } ] }",
                                         "s"))
--- a/emulator/src/test/java/ochretiller/emulator/RulesTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/RuleCheckerTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import ochretiller.emulator.rules.Rules;
+import ochretiller.emulator.rules.RuleChecker;
 import org.junit.jupiter.api.Test;
 
 /** Each rule is seen to break where it is broken, and only there. */
-class RulesTest {
-    private final Rules rules = new Rules();
+class RuleCheckerTest {
+    private final RuleChecker rules = new RuleChecker();
 
     private void read(long id) {
         rules.read(0, id, "order", 5, true);
--- a/emulator/src/test/java/ochretiller/emulator/ScriptTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/ScenarioTest.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
-import ochretiller.emulator.experiment.Estimate;
+import ochretiller.emulator.experiment.ConfidenceInterval;
 import ochretiller.emulator.experiment.Experiment;
-import ochretiller.emulator.experiment.Runs;
-import ochretiller.emulator.hunt.Hunt;
-import ochretiller.emulator.hunt.Incidents;
-import ochretiller.emulator.script.Script;
-import ochretiller.emulator.script.ScriptFile;
-import ochretiller.emulator.world.Outcome;
-import ochretiller.emulator.world.World;
+import ochretiller.emulator.experiment.ParallelRunner;
+import ochretiller.emulator.faultsearch.FaultSearch;
+import ochretiller.emulator.faultsearch.RandomIncidents;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.emulator.scenario.ScenarioReader;
+import ochretiller.emulator.simulation.Simulation;
+import ochretiller.emulator.simulation.SimulationResult;
 import ochretiller.settings.MalformedException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ScriptTest {
+class ScenarioTest {
     private static final String SMALL =
             """
             { seconds: 8, fleet: { boxes: 3, boot_s: 1, cold_s: 2 }, gateways: { count: 3, list_s: 0.5 },
@@ -35,11 +35,11 @@
               traffic: { per_second: 60, callers: 20 }, incidents: [ %s ] }\
             """;
 
-    private static Script small(String incidents) {
-        return ScriptFile.of(SMALL.formatted(incidents), "small");
+    private static Scenario small(String incidents) {
+        return ScenarioReader.of(SMALL.formatted(incidents), "small");
     }
 
-    private static String told(Outcome outcome) {
+    private static String told(SimulationResult outcome) {
         StringBuilder told =
                 new StringBuilder()
                         .append(outcome.valueShare())
@@ -57,17 +57,17 @@
 
     @Test
     void sameSeedGivesTheSameRunByOneThreadAndByMany() throws Exception {
-        Script script =
+        Scenario script =
                 small("{ at_s: 3, what: 'die', share: 0.4 }, { at_s: 4, what: 'burst', for_s: 2 }");
-        List<Runs.Run> all =
+        List<ParallelRunner.Run> all =
                 Stream.iterate(1L, seed -> seed + 1)
                         .limit(12)
-                        .map(seed -> new Runs.Run(script, seed))
+                        .map(seed -> new ParallelRunner.Run(script, seed))
                         .toList();
-        try (Runs one = new Runs(1);
-                Runs many = new Runs(8)) {
-            List<String> alone = one.play(all).stream().map(ScriptTest::told).toList();
-            assertThat(many.play(all).stream().map(ScriptTest::told).toList()).isEqualTo(alone);
+        try (ParallelRunner one = new ParallelRunner(1);
+                ParallelRunner many = new ParallelRunner(8)) {
+            List<String> alone = one.play(all).stream().map(ScenarioTest::told).toList();
+            assertThat(many.play(all).stream().map(ScenarioTest::told).toList()).isEqualTo(alone);
             assertThat(alone).doesNotHaveDuplicates();
         }
     }
@@ -75,10 +75,14 @@
     @Test
     void incidentThatTakesNobodyChangesNothing() {
         assertThat(
-                        told(new World(small("{ at_s: 3, what: 'slow', share: 0, for_s: 3 }"), 5)
+                        told(new Simulation(
+                                                small(
+                                                        "{ at_s: 3, what: 'slow', share: 0, for_s:"
+                                                                + " 3 }"),
+                                                5)
                                         .play())
                                 .replaceAll(" \\d+ ", " "))
-                .isEqualTo(told(new World(small(""), 5).play()).replaceAll(" \\d+ ", " "));
+                .isEqualTo(told(new Simulation(small(""), 5).play()).replaceAll(" \\d+ ", " "));
     }
 
     static Stream<Path> scripts() throws IOException {
@@ -92,7 +96,7 @@
     @ParameterizedTest
     @MethodSource("scripts")
     void rulesHoldInEachScript(Path file) {
-        Outcome outcome = new World(ScriptFile.read(file), 3).play();
+        SimulationResult outcome = new Simulation(ScenarioReader.read(file), 3).play();
         assertThat(outcome.rules().broken()).isEmpty();
         assertThat(outcome.rules().runs()).isGreaterThan(1_000);
         assertThat(outcome.valueShare()).isBetween(0.3, 1.0);
@@ -100,7 +104,7 @@
 
     @Test
     void incidentsCostValueAndItComesBack() {
-        Outcome calm = new World(small(""), 1).play();
+        SimulationResult calm = new Simulation(small(""), 1).play();
         assertThat(calm.valueShare()).isGreaterThan(0.95);
         for (String incident :
                 List.of(
@@ -111,7 +115,7 @@
                         "{ at_s: 2, what: 'slow', share: 1, for_s: 2, strength: 8 }",
                         "{ at_s: 2, what: 'ledger-down', for_s: 2 }",
                         "{ at_s: 2, what: 'ledger-slow', for_s: 2, strength: 200 }")) {
-            Outcome hit = new World(small(incident), 1).play();
+            SimulationResult hit = new Simulation(small(incident), 1).play();
             assertThat(hit.valueShare()).as(incident).isLessThan(calm.valueShare() - 0.02);
             assertThat(hit.seconds().get(7).succeeded).as(incident).isPositive();
         }
@@ -121,11 +125,11 @@
     void keyedRepeatsBehindARestartAreAnsweredFromWhatIsRemembered() {
         String incidents =
                 "{ at_s: 2, what: 'die', share: 0.4 }, { at_s: 4, what: 'die', share: 0.4 }";
-        Script remembers =
-                ScriptFile.of(
+        Scenario remembers =
+                ScenarioReader.of(
                         SMALL.formatted(incidents).replace("boxes: 3", "boxes: 3, remembers: true"),
                         "small");
-        Outcome outcome = new World(remembers, 2).play();
+        SimulationResult outcome = new Simulation(remembers, 2).play();
         assertThat(outcome.deaths()).isEqualTo(4);
         assertThat(outcome.rules().broken()).isEmpty();
     }
@@ -139,7 +143,7 @@
             })
     void faultIsToldWithItsPlace(String fault) {
         String text = fault.startsWith("{ seconds") ? fault : SMALL.formatted(fault);
-        assertThatThrownBy(() -> ScriptFile.of(text, "x"))
+        assertThatThrownBy(() -> ScenarioReader.of(text, "x"))
                 .isInstanceOf(MalformedException.class)
                 .hasMessageMatching("(?s)x:\\d+:\\d+: .*");
     }
@@ -150,7 +154,7 @@
                 .hasMessageContaining("behind the end");
         assertThatThrownBy(
                         () ->
-                                ScriptFile.of(
+                                ScenarioReader.of(
                                         SMALL.formatted("")
                                                 .replace("name: 'order'", "name: 'read'"),
                                         "x"))
@@ -159,21 +163,21 @@
 
     @Test
     void drawnIncidentsMakeGoodScriptsAndTheWorstIsCutDown(@TempDir Path folder) throws Exception {
-        Script base = small("");
+        Scenario base = small("");
         SplittableRandom chance = new SplittableRandom(4);
         for (int i = 0; i < 200; i++) {
-            for (Script.Incident each : Incidents.draw(base, chance)) {
+            for (Scenario.Incident each : RandomIncidents.draw(base, chance)) {
                 assertThat(each.atS()).isBetween(0.0, 8.0);
                 assertThat(each.what()).isNotEqualTo("disk-stall");
             }
         }
-        try (Runs runs = new Runs(4)) {
-            Hunt hunt = new Hunt(runs, base, 1);
-            Hunt.Find found = hunt.search(8, 8, said -> {});
-            Hunt.Find cut = hunt.cut(found, said -> {});
+        try (ParallelRunner runs = new ParallelRunner(4)) {
+            FaultSearch hunt = new FaultSearch(runs, base, 1);
+            FaultSearch.Find found = hunt.search(8, 8, said -> {});
+            FaultSearch.Find cut = hunt.cut(found, said -> {});
             assertThat(cut.script().incidents().size())
                     .isLessThanOrEqualTo(found.script().incidents().size());
-            assertThat(new World(cut.script(), cut.seed()).play().valueShare())
+            assertThat(new Simulation(cut.script(), cut.seed()).play().valueShare())
                     .isEqualTo(cut.value());
         }
     }
@@ -181,30 +185,30 @@
     @Test
     void variantsChangeMembersOrSettings(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("small.json5"), SMALL.formatted(""));
-        Script variant =
-                ScriptFile.variant(
+        Scenario variant =
+                ScenarioReader.variant(
                         file, "gateways.choice=least,fleet.cores=4,familyInfo.advert=window");
         assertThat(variant.gateways().choice()).isEqualTo("least");
         assertThat(variant.fleet().cores()).isEqualTo(4);
         assertThat(variant.settings()).containsEntry("familyInfo.advert", "window");
-        assertThat(variant.operations()).isEqualTo(ScriptFile.read(file).operations());
-        assertThatThrownBy(() -> ScriptFile.variant(file, "gateways.choice=best"))
+        assertThat(variant.operations()).isEqualTo(ScenarioReader.read(file).operations());
+        assertThatThrownBy(() -> ScenarioReader.variant(file, "gateways.choice=best"))
                 .hasMessageContaining("choice");
-        assertThatThrownBy(() -> ScriptFile.variant(file, "nothing"))
+        assertThatThrownBy(() -> ScenarioReader.variant(file, "nothing"))
                 .hasMessageContaining("no change");
     }
 
     @Test
     void experimentsStopOnceTheyKnowEnoughWhateverTheCores() throws Exception {
-        Script script = small("");
+        Scenario script = small("");
         List<Integer> seeds = new java.util.ArrayList<>();
         for (int cores : new int[] {1, 4}) {
-            try (Runs runs = new Runs(cores)) {
+            try (ParallelRunner runs = new ParallelRunner(cores)) {
                 Experiment experiment =
-                        new Experiment(List.of(script), 1, 30, 0.01, Outcome::valueShare);
+                        new Experiment(List.of(script), 1, 30, 0.01, SimulationResult::valueShare);
                 experiment.play(runs, cores * 2, said -> {});
                 seeds.add(experiment.seeds());
-                assertThat(experiment.estimate(0, Outcome::valueShare).half())
+                assertThat(experiment.estimate(0, SimulationResult::valueShare).half())
                         .isLessThanOrEqualTo(0.01);
             }
         }
@@ -213,20 +217,21 @@
 
     @Test
     void estimatesAreStudents() {
-        Estimate estimate = Estimate.of(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
+        ConfidenceInterval estimate = ConfidenceInterval.of(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
         assertThat(estimate.mean()).isEqualTo(3);
         assertThat(estimate.half())
                 .isBetween(1.962, 1.964); // 2.776 times 1.5811 over the root of 5
-        assertThat(Estimate.chance(List.of(1.0, 2.0, 3.0, 4.0, 5.0))).isBetween(0.0130, 0.0135);
-        assertThat(Estimate.of(List.of(1.0)).half()).isInfinite();
+        assertThat(ConfidenceInterval.chance(List.of(1.0, 2.0, 3.0, 4.0, 5.0)))
+                .isBetween(0.0130, 0.0135);
+        assertThat(ConfidenceInterval.of(List.of(1.0)).half()).isInfinite();
     }
 
     @Test
     void commandLineTellsFaultsByItsExitCode(@TempDir Path folder) throws Exception {
         Path script = Files.writeString(folder.resolve("small.json5"), SMALL.formatted(""));
-        assertThat(Rehearse.execute("check", script.toString())).isZero();
+        assertThat(SimulateCommand.execute("check", script.toString())).isZero();
         assertThat(
-                        Rehearse.execute(
+                        SimulateCommand.execute(
                                 "run",
                                 script.toString(),
                                 "--seeds",
@@ -237,7 +242,7 @@
         assertThat(folder.resolve("out/report.html")).isNotEmptyFile();
         assertThat(Files.readAllLines(folder.resolve("out/runs.csv"))).hasSize(3);
         assertThat(
-                        Rehearse.execute(
+                        SimulateCommand.execute(
                                 "check",
                                 Files.writeString(folder.resolve("bad.json5"), "{").toString()))
                 .isEqualTo(2);
@@ -246,6 +251,6 @@
                         folder.resolve("strict.json5"),
                         SMALL.formatted("{ at_s: 1, what: 'die' }")
                                 .replace("seconds: 8", "seconds: 8, expect: { value_share: 1 }"));
-        assertThat(Rehearse.execute("run", strict.toString(), "--seeds", "1")).isEqualTo(1);
+        assertThat(SimulateCommand.execute("run", strict.toString(), "--seeds", "1")).isEqualTo(1);
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/world/TheoryTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/simulation/QueueingTheoryTest.java
@@ -1,14 +1,14 @@
-package ochretiller.emulator.world;
+package ochretiller.emulator.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import ochretiller.emulator.core.Events;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.emulator.script.Script;
-import ochretiller.model.CallEnd;
+import ochretiller.emulator.core.EventQueue;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.model.CallOutcome;
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 import org.junit.jupiter.api.Test;
@@ -20,14 +20,14 @@
  * The models of cores and records service against what queueing theory has for them. Seeds are
  * fixed: the verdict is, too.
  */
-class TheoryTest {
+class QueueingTheoryTest {
     private static final int BATCHES = 30;
 
     /** Enough that intervals are under three hundredths at loads of 0.9. */
     private static final int COUNT = 4_000_000;
 
     private static final double NARROW = 0.03;
-    private final Events events = new Events();
+    private final EventQueue events = new EventQueue();
 
     /** Mean of batches of times, and half of its 99 % interval. */
     private record Mean(double mean, double half) {
@@ -69,7 +69,7 @@
             return;
         }
         events.after(
-                Seeds.exponential(chance, 1 / rate),
+                RandomStreams.exponential(chance, 1 / rate),
                 () -> {
                     each.run();
                     arrive(count - 1, rate, chance, each);
@@ -78,7 +78,7 @@
 
     /** Times in the system of jobs on shared cores. */
     private Mean sojourn(int cores, double load, DoubleSupplier work) {
-        Cores shared = new Cores(events, cores, 1e9, 0, 1, 0, false);
+        CpuModel shared = new CpuModel(events, cores, 1e9, 0, 1, 0, false);
         Times times = new Times();
         arrive(
                 COUNT,
@@ -114,8 +114,8 @@
                 kind.equals("fixed")
                         ? () -> 1
                         : kind.equals("spread")
-                                ? () -> Seeds.around(chance, 1, 1)
-                                : () -> Seeds.exponential(chance, 1);
+                                ? () -> RandomStreams.around(chance, 1, 1)
+                                : () -> RandomStreams.exponential(chance, 1);
         sojourn(1, load, work).holds(1 / (1 - load));
     }
 
@@ -136,17 +136,17 @@
         SplittableRandom chance = new SplittableRandom(3);
         // As many are there as with four servers and one queue, and so, by Little, the mean time is
         // the same.
-        sojourn(4, load, () -> Seeds.exponential(chance, 1))
+        sojourn(4, load, () -> RandomStreams.exponential(chance, 1))
                 .holds(1 + waits(4, 4 * load) / (4 * (1 - load)));
     }
 
     private record Called(Times times, int turnedAway) {}
 
     private Called calls(int slots, double load, int waits) {
-        Ledger ledger =
-                new Ledger(
+        RecordsServiceModel ledger =
+                new RecordsServiceModel(
                         events,
-                        new Script.Ledger(slots, 1_000, waits, 0, 0),
+                        new Scenario.Ledger(slots, 1_000, waits, 0, 0),
                         new SplittableRandom(4));
         Times times = new Times();
         int[] away = {0};
@@ -156,9 +156,9 @@
                 new SplittableRandom(5),
                 () -> {
                     double began = events.seconds();
-                    Consumer<CallEnd.Result> then =
+                    Consumer<CallOutcome.Status> then =
                             result -> {
-                                if (result == CallEnd.Result.TURNED_AWAY) {
+                                if (result == CallOutcome.Status.REJECTED) {
                                     away[0]++;
                                 } else {
                                     times.add(events.seconds() - began);
@@ -194,7 +194,7 @@
     void hundredThousandsThatAreCalledOffTakeNoTimeAndHappenNever() {
         int[] happened = {0};
         for (int i = 0; i < 300_000; i++) {
-            Events.Event off = events.after(i * 1e-5, () -> happened[0]++);
+            EventQueue.Event off = events.after(i * 1e-5, () -> happened[0]++);
             if (i % 100 != 0) {
                 off.cancel();
             }
@@ -206,14 +206,14 @@
 
     @Test
     void coldAndCrowdedCoresAreSlower() {
-        Cores cold = new Cores(events, 1, 2, 0.5, 0.25, 10, true);
+        CpuModel cold = new CpuModel(events, 1, 2, 0.5, 0.25, 10, true);
         double[] ended = new double[3];
         cold.add(0.25, () -> ended[0] = events.seconds());
         events.run(20);
         assertThat(ended[0])
                 .as("at a quarter of its speed, and a little more")
                 .isBetween(0.85, 1.0);
-        Cores crowded = new Cores(events, 1, 2, 0.5, 1, 0, false);
+        CpuModel crowded = new CpuModel(events, 1, 2, 0.5, 1, 0, false);
         double from = events.seconds();
         for (int i = 0; i < 4; i++) {
             crowded.add(1, () -> ended[1] = events.seconds() - from);
@@ -222,7 +222,7 @@
         assertThat(ended[1])
                 .as("four on one core, past a crowd of two: a third of the speed is lost")
                 .isBetween(5.99, 6.01);
-        Cores stands = new Cores(events, 1, 2, 0, 1, 0, false);
+        CpuModel stands = new CpuModel(events, 1, 2, 0, 1, 0, false);
         double then = events.seconds();
         stands.add(1, () -> ended[2] = events.seconds() - then);
         stands.pause(true);
--- a/src/main/java/ochretiller/Main.java
+++ b/src/main/java/ochretiller/Main.java
@@ -10,18 +10,18 @@
 import ochretiller.commands.FleetCommand;
 import ochretiller.commands.StoreCommand;
 import ochretiller.commands.TryCommand;
-import ochretiller.fleet.peers.FleetKeys;
-import ochretiller.node.Configuration;
-import ochretiller.node.Lifecycle;
-import ochretiller.node.Logs;
-import ochretiller.node.Node;
-import ochretiller.operator.Operator;
-import ochretiller.operator.OperatorFile;
+import ochretiller.fakes.FaultyDirectory;
+import ochretiller.fleet.transport.FleetKeys;
+import ochretiller.node.LoggingSetup;
+import ochretiller.node.ProcessLifecycle;
+import ochretiller.node.ServerConfiguration;
+import ochretiller.node.ServerNode;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.operator.OperatorConfigReader;
 import ochretiller.settings.MalformedException;
-import ochretiller.sim.SimHost;
-import ochretiller.standin.FaultyDisk;
-import ochretiller.store.Disk;
-import ochretiller.store.RealDisk;
+import ochretiller.sim.SimulatorHost;
+import ochretiller.store.LocalDirectory;
+import ochretiller.store.StorageDirectory;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -108,29 +108,32 @@
             @Option(names = "--config", description = CONFIG) Path file,
             @Option(names = "--operator", description = OPERATOR) Path operatorFile)
             throws IOException {
-        Logs.install();
-        Lifecycle lifecycle = Lifecycle.install();
+        LoggingSetup.install();
+        ProcessLifecycle lifecycle = ProcessLifecycle.install();
         try {
-            Node node = node(file, operatorFile);
-            lifecycle.serves(node);
+            ServerNode node = node(file, operatorFile);
+            lifecycle.serverReady(node);
             node.listen();
             node.run();
             return 0;
         } catch (IOException | RuntimeException e) {
-            lifecycle.failed();
+            lifecycle.startFailed();
             throw e;
         }
     }
 
-    private static Node node(Path file, Path operatorFile) throws IOException {
-        Supplier<Operator> read =
-                () -> operatorFile == null ? Operator.NONE : OperatorFile.read(operatorFile);
-        Operator operator = read.get();
+    private static ServerNode node(Path file, Path operatorFile) throws IOException {
+        Supplier<OperatorConfig> read =
+                () ->
+                        operatorFile == null
+                                ? OperatorConfig.NONE
+                                : OperatorConfigReader.read(operatorFile);
+        OperatorConfig operator = read.get();
         if (operator.jsonLog()) {
-            Logs.json();
+            LoggingSetup.useJsonFormat();
         }
-        Node node =
-                new Node(
+        ServerNode node =
+                new ServerNode(
                         configuration(file),
                         operator,
                         read,
@@ -141,11 +144,11 @@
         return node;
     }
 
-    private static Disk disk(Operator operator, Path folder) {
-        Disk disk = new RealDisk(folder);
+    private static StorageDirectory disk(OperatorConfig operator, Path folder) {
+        StorageDirectory disk = new LocalDirectory(folder);
         return operator.drill().diskFault() == null
                 ? disk
-                : new FaultyDisk(disk, operator.drill().diskFault());
+                : new FaultyDirectory(disk, operator.drill().diskFault());
     }
 
     @Command(
@@ -155,14 +158,17 @@
     static int check(
             @Option(names = "--config", description = CONFIG) Path file,
             @Option(names = "--operator", description = OPERATOR) Path operatorFile) {
-        Operator operator = operatorFile == null ? null : OperatorFile.read(operatorFile);
+        OperatorConfig operator =
+                operatorFile == null ? null : OperatorConfigReader.read(operatorFile);
         boolean alone = operator != null && file == null && System.getenv("EDGE_CONFIG") == null;
-        Configuration configuration = alone ? null : Configuration.read(configuration(file));
+        ServerConfiguration configuration =
+                alone ? null : ServerConfiguration.read(configuration(file));
         if (operator != null) {
             if (!alone) {
-                Node.routes(operator, configuration);
-                Node.plans(operator, configuration);
-                operator.fleet().ifPresent(fleet -> Node.copies(fleet, configuration));
+                ServerNode.uwsgiRoutes(operator, configuration);
+                ServerNode.workerPoolConfigs(operator, configuration);
+                operator.fleet()
+                        .ifPresent(fleet -> ServerNode.checkReplication(fleet, configuration));
             }
             operator.fleet().ifPresent(fleet -> FleetKeys.read(fleet.keyFile()));
             System.out.println("the operators' file " + operatorFile + " is good");
@@ -178,7 +184,7 @@
             description = "Serve the simulator's wire on standard input and output.",
             mixinStandardHelpOptions = true)
     static int simhost() throws IOException {
-        return SimHost.serve(System.in, System.out, System.err);
+        return SimulatorHost.serve(System.in, System.out, System.err);
     }
 
     @Command(name = "version", description = "Print the version.")
