--- a/src/main/java/ochretiller/policy/Choice.java
+++ b/src/main/java/ochretiller/admission/AdmissionController.java
@@ -1,12 +1,37 @@
-package ochretiller.policy;
+package ochretiller.admission;
 
-import static ochretiller.spans.Spans.*;
+import static ochretiller.time.Durations.inSeconds;
+import static ochretiller.time.Durations.isAfter;
+import static ochretiller.time.Durations.max;
+import static ochretiller.time.Durations.min;
+import static ochretiller.time.Durations.ofSeconds;
+import static ochretiller.time.Durations.timeUntil;
 
 import java.time.Duration;
-import java.util.*;
-import ochretiller.model.*;
-import ochretiller.server.*;
-import ochretiller.spans.Ring;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import ochretiller.model.CallOutcome;
+import ochretiller.model.CapacityAdvertisement;
+import ochretiller.model.Invocation;
+import ochretiller.model.InvocationId;
+import ochretiller.model.Operation;
+import ochretiller.model.ResourceGauges;
+import ochretiller.model.RunOutcome;
+import ochretiller.model.Tenant;
+import ochretiller.model.TenantId;
+import ochretiller.server.Action;
+import ochretiller.server.ServerActions;
+import ochretiller.time.SlidingWindow;
 
 /**
  * All decisions of one server: what it runs, holds, replays, turns away, and what it tells its
@@ -14,11 +39,11 @@
  *
  * <p>How it is called: its owner builds the parts, each with its own few settings, and tells what
  * happens by {@link #started}, {@link #arrived}, {@link #blocked}, {@link #gone} and {@link
- * #leave}. Each returns a {@link Step} to be acted out on the interface, {@link Server} in {@code
- * ochretiller.server}, where it leaves continuations for what comes of runs, calls and timers.
- * docs/design.md tells why.
+ * #leave}. Each returns a {@link Action} to be acted out on the interface, {@link ServerActions} in
+ * {@code ochretiller.server}, where it leaves continuations for what comes of runs, calls and
+ * timers. docs/design.md tells why.
  */
-public final class Choice {
+public final class AdmissionController {
     /** Beat of what changes slowly; due times and objectives have timers of their own. */
     private static final Duration BEAT = Duration.ofMillis(100);
 
@@ -125,28 +150,28 @@
      */
     private static final double CHANCE = 1;
 
-    private final TokenTable tokens;
-    private final RunLimit limit;
-    private final Hold hold;
-    private final Calls calls;
-    private final Memory memory;
-    private final Drain drain;
-    private final Signals signals;
-    private final Map<InvId, Work> works = new LinkedHashMap<>();
+    private final IdempotencyTable tokens;
+    private final ConcurrencyLimiter limit;
+    private final AdmissionQueue hold;
+    private final DownstreamCallLimiter calls;
+    private final MemoryBudget memory;
+    private final DrainState drain;
+    private final BackpressureAdvertiser signals;
+    private final Map<InvocationId, TrackedInvocation> works = new LinkedHashMap<>();
 
     /** Pools that work was read for; all else runs on the cores, which null stands for. */
     private final Set<String> pools = new LinkedHashSet<>();
 
     private Duration movedAt = Duration.ZERO;
 
-    public Choice(
-            TokenTable tokens,
-            RunLimit limit,
-            Hold hold,
-            Calls calls,
-            Memory memory,
-            Drain drain,
-            Signals signals) {
+    public AdmissionController(
+            IdempotencyTable tokens,
+            ConcurrencyLimiter limit,
+            AdmissionQueue hold,
+            DownstreamCallLimiter calls,
+            MemoryBudget memory,
+            DrainState drain,
+            BackpressureAdvertiser signals) {
         this.tokens = tokens;
         this.limit = limit;
         this.hold = hold;
@@ -157,36 +182,39 @@
     }
 
     /** The server has started. */
-    public Step started() {
+    public Action onStarted() {
         return server -> {
-            server.health(true, true);
-            server.after(BEAT, this::beat);
+            server.setHealth(true, true);
+            server.schedule(BEAT, this::beat);
         };
     }
 
     /** An invocation has been read and lies in the hold. */
-    public Step arrived(Invocation inv) {
+    public Action onInvocationReceived(Invocation inv) {
         return server -> {
-            Work work = new Work(inv);
+            TrackedInvocation work = new TrackedInvocation(inv);
             works.put(inv.id(), work);
-            work.pool = server.pool(inv.operation());
+            work.pool = server.poolOf(inv.operation());
             if (work.pool != null) {
                 pools.add(work.pool);
             }
-            memory.usedKb += inv.kb();
-            signals.read(server.now(), server.now().minus(inv.arrived()), inv.resent());
+            memory.usedKb += inv.memoryKb();
+            signals.read(server.now(), server.now().minus(inv.arrivedAt()), inv.isRetry());
             work.worth = hold.worth(inv, server.now());
-            Token token = inv.forerunner() == null ? null : tokens.entries.get(inv.forerunner());
-            boolean repeats = inv.operation().tokened() && inv.forerunner() != null;
-            if (repeats && (token == null || token.state != Token.State.DROPPED)) {
+            IdempotencyEntry token =
+                    inv.originalAttempt() == null
+                            ? null
+                            : tokens.entries.get(inv.originalAttempt());
+            boolean repeats = inv.operation().isKeyed() && inv.originalAttempt() != null;
+            if (repeats && (token == null || token.state != IdempotencyEntry.State.DROPPED)) {
                 repeat(server, work, token);
             } else {
                 admit(server, work);
             }
             squeeze(server);
             fill(server);
-            for (Duration at : List.of(goal(work), inv.due().minus(LEAD))) {
-                server.after(until(at, server.now()), gauges -> then -> overdue(then, work));
+            for (Duration at : List.of(goal(work), inv.deadline().minus(LEAD))) {
+                server.schedule(timeUntil(at, server.now()), gauges -> then -> overdue(then, work));
             }
         };
     }
@@ -195,57 +223,59 @@
      * A repeat of a kept try: it replays the answer, or waits for the mark to clear, and never
      * runs.
      */
-    private void repeat(Server server, Work work, Token token) {
-        if (token == null || token.state == Token.State.SUCCEEDED) {
+    private void repeat(ServerActions server, TrackedInvocation work, IdempotencyEntry token) {
+        if (token == null || token.state == IdempotencyEntry.State.SUCCEEDED) {
             work.state =
-                    Work.State.REPLAYING; // an unknown forerunner may have run: its answer, or an
+                    TrackedInvocation.State
+                            .REPLAYING; // an unknown forerunner may have run: its answer, or an
             // error
-            server.replay(work.inv.id(), end -> then -> forget(work));
-        } else if (token.state == Token.State.LOST) {
+            server.replayResult(work.inv.id(), end -> then -> forget(work));
+        } else if (token.state == IdempotencyEntry.State.LOST) {
             fail(
                     server,
                     work); // guards against a second effect: what failed may have done its work
         } else {
-            work.state = Work.State.WAITING;
+            work.state = TrackedInvocation.State.WAITING;
             token.waiting.add(work);
         }
     }
 
-    private void admit(Server server, Work work) {
+    private void admit(ServerActions server, TrackedInvocation work) {
         Duration now = server.now();
         // What was read too late to earn anything takes no entry, and may be older than its own
         // window.
         boolean late = now.compareTo(goal(work)) > 0;
         boolean full =
-                work.operation().tokened()
+                work.operation().isKeyed()
                         && !(tokens.room(now)
                                 && memory.room(tokens.entryKb, tokens.kb(now))
-                                && server.keeps());
+                                && server.acceptsIdempotencyEntries());
         boolean jammed =
-                work.operation().idempotent()
-                        && signals.jammed(hold.shortest(), work.inv.resent() ? JAM * SPENT : JAM);
+                work.operation().isIdempotent()
+                        && signals.jammed(hold.shortest(), work.inv.isRetry() ? JAM * SPENT : JAM);
         if (late || full || jammed || drain.forbids(work.inv, now)) {
             throttle(server, work, late);
             return;
         }
-        if (work.operation().tokened()) {
+        if (work.operation().isKeyed()) {
             // Guards against running twice: the repeat of one that is not kept bears no mark.
             tokens.open(work.inv, now);
-            server.keep(
-                    work.inv.id(), work.inv.arrived().plus(work.operation().window()).minus(now));
+            server.putIdempotencyEntry(
+                    work.inv.id(),
+                    work.inv.arrivedAt().plus(work.operation().deduplicationWindow()).minus(now));
         }
-        work.state = Work.State.HELD;
+        work.state = TrackedInvocation.State.HELD;
         hold.held.add(work);
     }
 
     /** Gives up what cannot end in time any more, or has no room. */
-    private void squeeze(Server server) {
+    private void squeeze(ServerActions server) {
         while (hold.held.size() > 0) {
             Duration now = server.now();
-            Work loser = hold.misfit(now, limit.now(now), running(null), null);
+            TrackedInvocation loser = hold.misfit(now, limit.now(now), running(null), null);
             for (String pool : pools) {
                 if (loser == null) {
-                    loser = hold.misfit(now, server.places(pool), running(pool), pool);
+                    loser = hold.misfit(now, server.poolCapacity(pool), running(pool), pool);
                 }
             }
             if (loser == null && memory.room(0, tokens.kb(now))) {
@@ -260,21 +290,21 @@
     }
 
     /** Starts held invocations while the run limit, memory and the places at calls allow it. */
-    private void fill(Server server) {
+    private void fill(ServerActions server) {
         Duration now = server.now();
         int room = limit.now(now) - running(null).size();
         if (room <= 0 && pools.isEmpty() || hold.held.size() == 0) {
             return;
         }
-        for (Work work : hold.ordered(now)) {
+        for (TrackedInvocation work : hold.ordered(now)) {
             boolean here = work.pool == null;
-            if (here && room <= 0 || !here && server.free(work.pool) <= 0) {
+            if (here && room <= 0 || !here && server.freePoolSlots(work.pool) <= 0) {
                 continue;
             }
-            if (!memory.room(work.inv.kb() * (memory.runFactor - 1), tokens.kb(now))) {
+            if (!memory.room(work.inv.memoryKb() * (memory.runFactor - 1), tokens.kb(now))) {
                 return;
             }
-            if (!here || !work.operation().calls() || calls.room(now)) {
+            if (!here || !work.operation().makesCalls() || calls.room(now)) {
                 if (!hold.held.remove(work)) {
                     continue; // a run that ended at once has filled up already
                 }
@@ -286,49 +316,52 @@
         }
     }
 
-    private void run(Server server, Work work) {
+    private void run(ServerActions server, TrackedInvocation work) {
         if (work.pool == null && running(null).isEmpty()) {
             movedAt = server.now();
         }
-        work.state = Work.State.RUNNING;
+        work.state = TrackedInvocation.State.RUNNING;
         work.ran = true;
         work.startedAt = server.now();
-        memory.usedKb += work.inv.kb() * (memory.runFactor - 1);
-        tokens.mark(work.inv.id(), Token.State.RUNNING);
-        server.run(work.inv.id(), end -> ended(work, end));
+        memory.usedKb += work.inv.memoryKb() * (memory.runFactor - 1);
+        tokens.mark(work.inv.id(), IdempotencyEntry.State.RUNNING);
+        server.startRun(work.inv.id(), end -> ended(work, end));
     }
 
     /**
      * A run is over: its mark is cleared, repeats that waited get the answer, and its place is
      * free.
      */
-    private Step ended(Work work, RunEnd end) {
+    private Action ended(TrackedInvocation work, RunOutcome end) {
         return server -> {
             Duration now = server.now();
             if (work.pool == null) {
                 movedAt = now; // what ends elsewhere does not show that the cores move
             }
-            if (work.state == Work.State.CALLING) {
+            if (work.state == TrackedInvocation.State.CALLING) {
                 calls.ended(work, now, true);
             }
             calls.parked.remove(work);
             forget(work);
-            boolean succeeded = end.result() == RunEnd.Result.SUCCEEDED;
+            boolean succeeded = end.status() == RunOutcome.Status.SUCCEEDED;
             if (succeeded) {
                 if (work.pool == null) {
                     limit.ended();
                 }
-                hold.measured(work, end.took().minus(work.offCores), now);
+                hold.measured(work, end.elapsed().minus(work.offCores), now);
             }
             boolean never =
-                    Set.of(RunEnd.Result.NOTHING, RunEnd.Result.NOT_BEGUN).contains(end.result());
-            Token token =
+                    Set.of(RunOutcome.Status.NEVER_STARTED, RunOutcome.Status.NOT_DISPATCHED)
+                            .contains(end.status());
+            IdempotencyEntry token =
                     tokens.mark(
                             work.inv.id(),
                             succeeded
-                                    ? Token.State.SUCCEEDED
-                                    : never ? Token.State.UNRUN : Token.State.LOST);
-            if (end.result() == RunEnd.Result.NOT_BEGUN && !work.answered) {
+                                    ? IdempotencyEntry.State.SUCCEEDED
+                                    : never
+                                            ? IdempotencyEntry.State.UNRUN
+                                            : IdempotencyEntry.State.LOST);
+            if (end.status() == RunOutcome.Status.NOT_DISPATCHED && !work.answered) {
                 throttle(server, work, false);
             } else if (never) {
                 dropped(server, work); // guards against a stranger who took its token
@@ -345,19 +378,19 @@
      * A tokened try of a former process and its end, null while that is unknown; told again once it
      * is.
      */
-    public Step restored(InvId id, Duration expires, RunEnd.Result end) {
+    public Action onEntryRestored(InvocationId id, Duration expires, RunOutcome.Status end) {
         return server -> {
             if (!tokens.entries.containsKey(id)) {
-                tokens.add(new Token(id, expires));
+                tokens.add(new IdempotencyEntry(id, expires));
             }
-            Token token =
+            IdempotencyEntry token =
                     tokens.mark(
                             id,
                             end == null
-                                    ? Token.State.RUNNING
-                                    : end == RunEnd.Result.SUCCEEDED
-                                            ? Token.State.SUCCEEDED
-                                            : Token.State.LOST);
+                                    ? IdempotencyEntry.State.RUNNING
+                                    : end == RunOutcome.Status.SUCCEEDED
+                                            ? IdempotencyEntry.State.SUCCEEDED
+                                            : IdempotencyEntry.State.LOST);
             if (end != null) {
                 token.release().forEach(waiting -> repeat(server, waiting, token));
             }
@@ -365,47 +398,54 @@
     }
 
     /** A running invocation waits for a call below. */
-    public Step blocked(InvId id) {
+    public Action onCallRequested(InvocationId id) {
         return server -> {
-            Work work = works.get(id);
+            TrackedInvocation work = works.get(id);
             if (work == null || work.answered) {
                 return;
             }
             movedAt = server.now();
-            if (work.state == Work.State.RUNNING) {
+            if (work.state == TrackedInvocation.State.RUNNING) {
                 work.parkedAt = movedAt;
             }
-            work.state = Work.State.PARKED;
+            work.state = TrackedInvocation.State.PARKED;
             calls.parked.add(work);
             pump(server);
             fill(server);
         };
     }
 
-    private void pump(Server server) {
+    private void pump(ServerActions server) {
         Duration now = server.now();
-        for (Work work = calls.next(now); work != null; work = calls.next(now)) {
-            Work caller = work;
-            caller.state = Work.State.CALLING;
-            server.call(caller.inv.id(), caller.patience, end -> called(caller, end));
+        for (TrackedInvocation work = calls.next(now); work != null; work = calls.next(now)) {
+            TrackedInvocation caller = work;
+            caller.state = TrackedInvocation.State.CALLING;
+            server.startCall(caller.inv.id(), caller.patience, end -> called(caller, end));
         }
     }
 
-    private Step called(Work work, CallEnd end) {
+    private Action called(TrackedInvocation work, CallOutcome end) {
         return server -> {
             Duration now = server.now();
-            calls.ended(work, now, end.result() == CallEnd.Result.TIMED_OUT);
-            boolean succeeded = end.result() == CallEnd.Result.SUCCEEDED;
-            boolean again = end.result().neverRan(); // a call that may have run is never made again
+            calls.ended(work, now, end.status() == CallOutcome.Status.TIMED_OUT);
+            boolean succeeded = end.status() == CallOutcome.Status.SUCCEEDED;
+            boolean again =
+                    end.status().isSafeToRetry(); // a call that may have run is never made again
             boolean skips =
-                    !succeeded && !again && !work.answered && work.operation().degradedShare() > 0;
-            work.state = succeeded || skips ? Work.State.RUNNING : Work.State.PARKED;
+                    !succeeded
+                            && !again
+                            && !work.answered
+                            && work.operation().degradedValueShare() > 0;
+            work.state =
+                    succeeded || skips
+                            ? TrackedInvocation.State.RUNNING
+                            : TrackedInvocation.State.PARKED;
             if (succeeded) {
                 work.offCores = work.offCores.plus(now.minus(work.parkedAt));
             } else if (skips) {
                 server.skipCall(work.inv.id());
             } else if (again) {
-                server.after(BEAT, gauges -> blocked(work.inv.id()));
+                server.schedule(BEAT, gauges -> onCallRequested(work.inv.id()));
             } else if (!work.answered) {
                 fail(server, work);
             }
@@ -414,9 +454,9 @@
     }
 
     /** The caller of an invocation is gone; no answer is owed. */
-    public Step gone(InvId id) {
+    public Action onClientGone(InvocationId id) {
         return server -> {
-            Work work = works.get(id);
+            TrackedInvocation work = works.get(id);
             if (work == null) {
                 return;
             }
@@ -438,25 +478,25 @@
     /**
      * A tokened run goes on though nobody waits for it, since its repeat can be answered from it.
      */
-    private void stopUnwanted(Server server, Work work) {
-        if (limit.canStop && work.operation().idempotent()) {
-            server.stop(work.inv.id());
+    private void stopUnwanted(ServerActions server, TrackedInvocation work) {
+        if (limit.canStop && work.operation().isIdempotent()) {
+            server.stopRun(work.inv.id());
         }
     }
 
     /** Notice to leave: the process is killed at {@code kill}. */
-    public Step leave(Duration kill) {
+    public Action onShutdownNotice(Duration kill) {
         return server -> {
             drain.notice(server.now(), kill);
-            server.after(until(kill.minus(LEAD), server.now()), gauges -> this::answerDue);
-            server.health(false, true);
+            server.schedule(timeUntil(kill.minus(LEAD), server.now()), gauges -> this::answerDue);
+            server.setHealth(false, true);
             // Until the grace is over it is of use, and its successor may not be known yet.
-            server.after(
-                    until(drain.lastRun, server.now()), gauges -> then -> signals.say(then, 0));
+            server.schedule(
+                    timeUntil(drain.lastRun, server.now()), gauges -> then -> signals.say(then, 0));
         };
     }
 
-    private Step beat(Gauges gauges) {
+    private Action beat(ResourceGauges gauges) {
         return server -> {
             Duration now = server.now();
             limit.observe(now, gauges, hold.holds(null) && running(null).size() >= limit.now(now));
@@ -465,7 +505,7 @@
                             .mapToDouble(w -> hold.expected(w.inv, now))
                             .max()
                             .orElse(1e9);
-            signals.stalled = seconds(now.minus(movedAt)) > STALL * most;
+            signals.stalled = inSeconds(now.minus(movedAt)) > STALL * most;
             if (signals.stalled) {
                 signals.delay = max(signals.delay, now.minus(movedAt));
             }
@@ -476,41 +516,43 @@
             if (!drain.noticed()) {
                 signals.tell(server, wait(server, null), hold.shortest());
             }
-            signals.links(server, gauges.connections());
-            server.after(BEAT, this::beat);
+            signals.links(server, gauges.openConnections());
+            server.schedule(BEAT, this::beat);
         };
     }
 
-    private void answerDue(Server server) {
+    private void answerDue(ServerActions server) {
         List.copyOf(works.values()).forEach(w -> overdue(server, w));
     }
 
     /**
      * Answers in time, whatever still runs: the due time, and the kill of a process that leaves.
      */
-    private void overdue(Server server, Work work) {
+    private void overdue(ServerActions server, TrackedInvocation work) {
         Duration now = server.now();
         if (work.answered || !works.containsKey(work.inv.id())) {
             return;
         }
-        boolean due = now.compareTo(min(work.inv.due(), drain.kill).minus(LEAD)) >= 0;
+        boolean due = now.compareTo(min(work.inv.deadline(), drain.kill).minus(LEAD)) >= 0;
         Duration end =
-                work.state == Work.State.PARKED ? now.plus(span(calls.took.mean(now, 0))) : now;
+                work.state == TrackedInvocation.State.PARKED
+                        ? now.plus(ofSeconds(calls.took.mean(now, 0)))
+                        : now;
         boolean lost =
                 work.ran
-                        && work.operation().idempotent()
-                        && work.operation().lateShare() == 0
+                        && work.operation().isIdempotent()
+                        && work.operation().lateValueShare() == 0
                         && limit.canStop
                         && hold.holds(work.pool)
                         && end.compareTo(goal(work)) > 0;
-        Token mark = tokens.entries.get(work.inv.forerunner());
+        IdempotencyEntry mark = tokens.entries.get(work.inv.originalAttempt());
         boolean held =
-                work.state == Work.State.HELD
-                        || work.state == Work.State.WAITING
+                work.state == TrackedInvocation.State.HELD
+                        || work.state == TrackedInvocation.State.WAITING
                                 && mark != null
-                                && mark.state == Token.State.UNRUN;
+                                && mark.state == IdempotencyEntry.State.UNRUN;
         // Guards against a server that stands still: what is held may still be in time elsewhere.
-        boolean moot = signals.stalled && work.pool == null && work.operation().idempotent();
+        boolean moot = signals.stalled && work.pool == null && work.operation().isIdempotent();
         if (held && (due || moot || drain.forbids(work.inv, now))) {
             hold.held.remove(work);
             tokens.leave(work);
@@ -519,10 +561,11 @@
             // A repeat whose forerunner has started ends here too: to turn it away would be untrue.
             tokens.leave(work);
             fail(server, work);
-            if (work.state == Work.State.RUNNING) {
+            if (work.state == TrackedInvocation.State.RUNNING) {
                 stopUnwanted(server, work);
             }
-        } else if (lost && (work.state == Work.State.RUNNING || calls.parked.remove(work))) {
+        } else if (lost
+                && (work.state == TrackedInvocation.State.RUNNING || calls.parked.remove(work))) {
             // Past its objective it earns nothing any more, and others wait for its core or its
             // call.
             work.answered = true;
@@ -532,26 +575,26 @@
     }
 
     /** Turns away what never ran; {@code last} where no other server could be in time. */
-    private void throttle(Server server, Work work, boolean last) {
+    private void throttle(ServerActions server, TrackedInvocation work, boolean last) {
         Duration now = server.now();
         dropped(server, work);
         Duration back =
-                after(now, drain.lastRun)
+                isAfter(now, drain.lastRun)
                         ? signals.longest
                         : signals.advice(wait(server, work.pool));
         server.throttle(
                 work.inv.id(),
                 back,
-                !drain.noticed() && (last || signals.crowded(now, work.inv.resent())));
+                !drain.noticed() && (last || signals.crowded(now, work.inv.isRetry())));
         signals.throttles.add(now, 1, 1);
         work.answered = true;
         forget(work);
     }
 
-    private void fail(Server server, Work work) {
+    private void fail(ServerActions server, TrackedInvocation work) {
         server.fail(work.inv.id());
         work.answered = true;
-        if (work.state == Work.State.PARKED) {
+        if (work.state == TrackedInvocation.State.PARKED) {
             calls.parked.remove(work);
         }
         if (!work.ran) {
@@ -560,18 +603,18 @@
     }
 
     /** What never ran leaves no mark; a repeat that waited for it takes its place. */
-    private void dropped(Server server, Work work) {
-        Token token = tokens.entries.get(work.inv.id());
-        if (token == null || token.state != Token.State.UNRUN) {
+    private void dropped(ServerActions server, TrackedInvocation work) {
+        IdempotencyEntry token = tokens.entries.get(work.inv.id());
+        if (token == null || token.state != IdempotencyEntry.State.UNRUN) {
             return;
         }
-        List<Work> waiting = token.release();
-        token.state = Token.State.DROPPED;
+        List<TrackedInvocation> waiting = token.release();
+        token.state = IdempotencyEntry.State.DROPPED;
         tokens.live.remove(token);
-        server.erase(work.inv.id());
-        for (Work next : waiting) {
-            Token first = tokens.entries.get(waiting.get(0).inv.id());
-            if (first == null || first.state == Token.State.DROPPED) {
+        server.removeIdempotencyEntry(work.inv.id());
+        for (TrackedInvocation next : waiting) {
+            IdempotencyEntry first = tokens.entries.get(waiting.get(0).inv.id());
+            if (first == null || first.state == IdempotencyEntry.State.DROPPED) {
                 admit(server, next);
             } else {
                 repeat(server, next, first);
@@ -579,45 +622,52 @@
         }
     }
 
-    private void forget(Work work) {
+    private void forget(TrackedInvocation work) {
         if (works.remove(work.inv.id()) != null) {
-            memory.release(work.inv.kb(), work.ran);
+            memory.release(work.inv.memoryKb(), work.ran);
         }
     }
 
-    private Duration wait(Server server, String pool) {
+    private Duration wait(ServerActions server, String pool) {
         return hold.wait(
                 server.now(),
-                pool == null ? limit.now(server.now()) : Math.max(1, server.places(pool)),
+                pool == null ? limit.now(server.now()) : Math.max(1, server.poolCapacity(pool)),
                 running(pool),
                 pool);
     }
 
     /** What runs on the cores, or in a pool: each has places of its own. */
-    private List<Work> running(String pool) {
+    private List<TrackedInvocation> running(String pool) {
         return works.values().stream()
-                .filter(w -> w.state == Work.State.RUNNING && Objects.equals(w.pool, pool))
+                .filter(
+                        w ->
+                                w.state == TrackedInvocation.State.RUNNING
+                                        && Objects.equals(w.pool, pool))
                 .toList();
     }
 
     /** When a run must have ended to earn the whole billed value. */
-    private static Duration goal(Work work) {
+    private static Duration goal(TrackedInvocation work) {
         Duration spent =
-                work.inv.resent() ? span(seconds(work.operation().objective()) * SPENT) : WAY_BACK;
-        return min(work.inv.arrived().plus(work.operation().objective()), work.inv.due())
+                work.inv.isRetry()
+                        ? ofSeconds(inSeconds(work.operation().latencyObjective()) * SPENT)
+                        : WAY_BACK;
+        return min(
+                        work.inv.arrivedAt().plus(work.operation().latencyObjective()),
+                        work.inv.deadline())
                 .minus(spent);
     }
 
     /** The table of tokened tries: a repeat is known by its tie to a kept one. */
-    public static final class TokenTable {
+    public static final class IdempotencyTable {
         private final double entryKb;
         private final double shareKb;
-        private final Map<InvId, Token> entries = new HashMap<>();
-        private final PriorityQueue<Token> live =
+        private final Map<InvocationId, IdempotencyEntry> entries = new HashMap<>();
+        private final PriorityQueue<IdempotencyEntry> live =
                 new PriorityQueue<>(Comparator.comparing(t -> t.expires));
-        private final ArrayDeque<Token> order = new ArrayDeque<>();
+        private final ArrayDeque<IdempotencyEntry> order = new ArrayDeque<>();
 
-        public TokenTable(double entryKb, double memoryKb) {
+        public IdempotencyTable(double entryKb, double memoryKb) {
             this.entryKb = entryKb;
             this.shareKb = memoryKb * TOKENS;
         }
@@ -638,25 +688,27 @@
             // A repeat may be read long after it came: an entry is known for one more client
             // timeout.
             Duration known = now.minus(inv.operation().clientTimeout());
-            while (!order.isEmpty() && after(known, order.peek().expires)) {
-                Token old = order.poll();
+            while (!order.isEmpty() && isAfter(known, order.peek().expires)) {
+                IdempotencyEntry old = order.poll();
                 entries.remove(old.id, old); // a dropped try that came in again has a later entry
             }
-            add(new Token(inv.id(), inv.arrived().plus(inv.operation().window())));
+            add(
+                    new IdempotencyEntry(
+                            inv.id(), inv.arrivedAt().plus(inv.operation().deduplicationWindow())));
         }
 
-        void add(Token token) {
+        void add(IdempotencyEntry token) {
             entries.put(token.id, token);
             live.add(token);
             order.add(token);
         }
 
-        Token mark(InvId id, Token.State state) {
+        IdempotencyEntry mark(InvocationId id, IdempotencyEntry.State state) {
             return entries.computeIfPresent(id, (same, token) -> token.to(state));
         }
 
-        void leave(Work work) {
-            Token token = entries.get(work.inv.forerunner());
+        void leave(TrackedInvocation work) {
+            IdempotencyEntry token = entries.get(work.inv.originalAttempt());
             if (token != null) {
                 token.waiting.remove(work);
             }
@@ -667,7 +719,7 @@
      * How many run at once: climbed on throughput, never under the cores, and under the crowd that
      * kills.
      */
-    public static final class RunLimit {
+    public static final class ConcurrencyLimiter {
         private final int cores;
         private final double fallMultiple;
         private final double coldShare;
@@ -681,7 +733,7 @@
         private Duration pressedAt = Duration.ZERO;
         private Duration windowEnd = BUCKET;
 
-        public RunLimit(
+        public ConcurrencyLimiter(
                 int cores,
                 double fallMultiple,
                 double coldShare,
@@ -697,7 +749,7 @@
 
         /** The limit at this time; a cold server survives a smaller crowd. */
         int now(Duration now) {
-            double warm = coldFor.isZero() ? 1 : Math.min(1, seconds(now) / seconds(coldFor));
+            double warm = coldFor.isZero() ? 1 : Math.min(1, inSeconds(now) / inSeconds(coldFor));
             double speed = coldShare + (1 - coldShare) * warm;
             return (int)
                     Math.max(
@@ -710,7 +762,7 @@
         }
 
         /** On each beat; {@code pressed} while the limit alone keeps work in the hold. */
-        void observe(Duration now, Gauges gauges, boolean pressed) {
+        void observe(Duration now, ResourceGauges gauges, boolean pressed) {
             if (!pressed) {
                 pressedAt = now;
             }
@@ -718,7 +770,8 @@
                 return;
             }
             // Room that the gauge saw while less ran than may is no room for more.
-            boolean climbs = now.minus(pressedAt).compareTo(BUCKET) >= 0 && gauges.coreUse() < ROOM;
+            boolean climbs =
+                    now.minus(pressedAt).compareTo(BUCKET) >= 0 && gauges.cpuUtilization() < ROOM;
             if (climbs) {
                 limit = Math.min(limit + step, cores * fallMultiple);
             }
@@ -727,8 +780,8 @@
             if (ends < ENOUGH) {
                 return;
             }
-            double rate = ends / seconds(now.minus(countedFrom));
-            if (gauges.coreUse() > ROOM && rate < lastRate * (1 - FELL)) {
+            double rate = ends / inSeconds(now.minus(countedFrom));
+            if (gauges.cpuUtilization() > ROOM && rate < lastRate * (1 - FELL)) {
                 limit = Math.max(cores, limit - 1);
             }
             lastRate = rate;
@@ -738,19 +791,20 @@
     }
 
     /** Held invocations: their order, what they are expected to cost, and who loses a place. */
-    public static final class Hold {
+    public static final class AdmissionQueue {
         private final Map<TenantId, Tenant> tenants = new HashMap<>();
-        private final Map<TenantId, Ring> sent = new HashMap<>();
+        private final Map<TenantId, SlidingWindow> sent = new HashMap<>();
         private final int peers;
         private final double overShareWorth;
         private final boolean byWork;
-        final List<Work> held = new ArrayList<>();
-        private final Map<Operation, Ring> taken = new HashMap<>();
-        private final Ring all = new Ring(BUCKET, BUCKETS);
-        private final Ring spreads = new Ring(BUCKET, BUCKETS);
-        private final Ring away = new Ring(BUCKET, RECENT);
-
-        public Hold(List<Tenant> tenants, int peers, double overShareWorth, boolean byWork) {
+        final List<TrackedInvocation> held = new ArrayList<>();
+        private final Map<Operation, SlidingWindow> taken = new HashMap<>();
+        private final SlidingWindow all = new SlidingWindow(BUCKET, BUCKETS);
+        private final SlidingWindow spreads = new SlidingWindow(BUCKET, BUCKETS);
+        private final SlidingWindow away = new SlidingWindow(BUCKET, RECENT);
+
+        public AdmissionQueue(
+                List<Tenant> tenants, int peers, double overShareWorth, boolean byWork) {
             this.overShareWorth = overShareWorth;
             this.byWork = byWork;
             this.peers = peers;
@@ -767,28 +821,29 @@
             if (!tenants.containsKey(inv.tenant())) {
                 return 1;
             }
-            Ring ring = sent.computeIfAbsent(inv.tenant(), t -> new Ring(BUCKET, BUCKETS));
-            double span = Math.min(seconds(now), seconds(BUCKET) * BUCKETS);
-            double due = tenants.get(inv.tenant()).quota() / Math.max(1, peers) * span;
+            SlidingWindow ring =
+                    sent.computeIfAbsent(inv.tenant(), t -> new SlidingWindow(BUCKET, BUCKETS));
+            double span = Math.min(inSeconds(now), inSeconds(BUCKET) * BUCKETS);
+            double due = tenants.get(inv.tenant()).quotaPerSecond() / Math.max(1, peers) * span;
             if (span > 1 && ring.sum(now) > due + CHANCE * Math.sqrt(due)) {
                 return overShareWorth;
             }
-            ring.add(now, inv.resent() ? 0 : 1, 1); // a marked further try was counted elsewhere
+            ring.add(now, inv.isRetry() ? 0 : 1, 1); // a marked further try was counted elsewhere
             return 1;
         }
 
-        void measured(Work work, Duration took, Duration now) {
-            double off = seconds(took) / Math.max(1e-6, expected(work.inv, now)) - 1;
+        void measured(TrackedInvocation work, Duration took, Duration now) {
+            double off = inSeconds(took) / Math.max(1e-6, expected(work.inv, now)) - 1;
             spreads.add(now, Math.min(off * off, 9), 1);
-            taken(work.operation()).add(now, seconds(took), guess(work.inv));
-            all.add(now, seconds(took), guess(work.inv));
-            if (work.operation().calls()) {
-                away.add(now, seconds(work.offCores), 1);
+            taken(work.operation()).add(now, inSeconds(took), guess(work.inv));
+            all.add(now, inSeconds(took), guess(work.inv));
+            if (work.operation().makesCalls()) {
+                away.add(now, inSeconds(work.offCores), 1);
             }
         }
 
-        private Ring taken(Operation o) {
-            return taken.computeIfAbsent(o, x -> new Ring(BUCKET, BUCKETS));
+        private SlidingWindow taken(Operation o) {
+            return taken.computeIfAbsent(o, x -> new SlidingWindow(BUCKET, BUCKETS));
         }
 
         boolean holds(String pool) {
@@ -796,8 +851,10 @@
         }
 
         private static double guess(Invocation inv) {
-            Duration objective = inv.operation().objective();
-            return inv.hint() != null ? seconds(inv.hint()) : seconds(objective) * UNKNOWN_WORK;
+            Duration objective = inv.operation().latencyObjective();
+            return inv.expectedWork() != null
+                    ? inSeconds(inv.expectedWork())
+                    : inSeconds(objective) * UNKNOWN_WORK;
         }
 
         /** Expected seconds on the cores: the hint, or a guess, times how such proved of late. */
@@ -807,8 +864,8 @@
             return guess(inv) * taken(inv.operation()).mean(now, all.mean(now, 1));
         }
 
-        private double rate(Work work, Duration now) {
-            double value = work.operation().value() * work.worth;
+        private double rate(TrackedInvocation work, Duration now) {
+            double value = work.operation().billedValue() * work.worth;
             return byWork ? value : value / Math.max(1e-6, expected(work.inv, now));
         }
 
@@ -816,47 +873,48 @@
          * Billed value over expected work; among equals by turns of their callers, and the oldest
          * first.
          */
-        List<Work> ordered(Duration now) {
+        List<TrackedInvocation> ordered(Duration now) {
             Map<Object, Integer> turns = new HashMap<>();
-            for (Work work : held) {
+            for (TrackedInvocation work : held) {
                 work.rate = rate(work, now);
                 work.turn = turns.merge(work.kind, 1, Integer::sum);
             }
-            List<Work> ordered = new ArrayList<>(held);
+            List<TrackedInvocation> ordered = new ArrayList<>(held);
             ordered.sort(
-                    Comparator.<Work>comparingDouble(w -> -w.rate)
+                    Comparator.<TrackedInvocation>comparingDouble(w -> -w.rate)
                             .thenComparingInt(w -> w.turn)
-                            .thenComparing(w -> w.inv.arrived())
+                            .thenComparing(w -> w.inv.arrivedAt())
                             .thenComparing(w -> w.inv.id().value()));
             return ordered;
         }
 
         /** Seconds of work left in the runs, halved: they end one after another. */
-        private double runsLeft(Duration now, List<Work> running) {
+        private double runsLeft(Duration now, List<TrackedInvocation> running) {
             double left = 0;
-            for (Work work : running) {
-                double done = seconds(now.minus(work.startedAt).minus(work.offCores));
+            for (TrackedInvocation work : running) {
+                double done = inSeconds(now.minus(work.startedAt).minus(work.offCores));
                 left += Math.max(expected(work.inv, now) - done, expected(work.inv, now) / 4);
             }
             return left / 2;
         }
 
         /** Time until what comes last would start. */
-        Duration wait(Duration now, int limit, List<Work> running, String pool) {
+        Duration wait(Duration now, int limit, List<TrackedInvocation> running, String pool) {
             double ahead = running.size() < limit ? 0 : runsLeft(now, running);
-            for (Work work : held) {
+            for (TrackedInvocation work : held) {
                 if (Objects.equals(work.pool, pool)) {
                     ahead += expected(work.inv, now);
                 }
             }
-            return span(ahead / limit);
+            return ofSeconds(ahead / limit);
         }
 
         /**
          * What has to go so that all that stays is expected to end within its objective, or null.
          */
-        Work misfit(Duration now, int limit, List<Work> running, String pool) {
-            List<Work> ordered = ordered(now);
+        TrackedInvocation misfit(
+                Duration now, int limit, List<TrackedInvocation> running, String pool) {
+            List<TrackedInvocation> ordered = ordered(now);
             ordered.removeIf(work -> !Objects.equals(work.pool, pool));
             if (limit == 0 && !ordered.isEmpty()) {
                 return ordered.get(0); // nobody is there to wait for
@@ -865,17 +923,21 @@
             double ahead = first;
             // What fits by its mean alone misses half the time. A free place is taken all the same.
             double fit = 1 + SPREADS * Math.sqrt(spreads.mean(now, 0));
-            for (Work work : ordered) {
+            for (TrackedInvocation work : ordered) {
                 double expected = expected(work.inv, now);
                 double calls =
-                        work.operation().calls() ? away.mean(now, 0) : 0; // short: part of the fit
+                        work.operation().makesCalls()
+                                ? away.mean(now, 0)
+                                : 0; // short: part of the fit
                 double needed =
                         ahead / limit
                                 + expected * (ahead == 0 ? 1 : fit)
-                                + (calls > seconds(work.operation().objective()) * LONG_WAIT
+                                + (calls
+                                                > inSeconds(work.operation().latencyObjective())
+                                                        * LONG_WAIT
                                         ? calls
                                         : 0);
-                if (now.plus(span(needed)).compareTo(goal(work)) > 0) {
+                if (now.plus(ofSeconds(needed)).compareTo(goal(work)) > 0) {
                     return ahead == first
                             ? work
                             : loser(ordered.subList(0, ordered.indexOf(work) + 1));
@@ -886,13 +948,13 @@
         }
 
         /** Whoever has most in the hold, for its share, loses the place of its least urgent. */
-        Work loser(List<Work> ordered) {
+        TrackedInvocation loser(List<TrackedInvocation> ordered) {
             Map<Object, Double> counts = new HashMap<>();
-            for (Work work : held) {
+            for (TrackedInvocation work : held) {
                 counts.merge(group(work), 1 / share(work), Double::sum);
             }
-            Work loser = ordered.get(0);
-            for (Work work : ordered) {
+            TrackedInvocation loser = ordered.get(0);
+            for (TrackedInvocation work : ordered) {
                 if (counts.get(group(work)) >= counts.get(group(loser))) {
                     loser = work;
                 }
@@ -900,17 +962,19 @@
             return loser;
         }
 
-        private double share(Work w) {
-            return tenants.containsKey(w.inv.tenant()) ? tenants.get(w.inv.tenant()).share() : 1;
+        private double share(TrackedInvocation w) {
+            return tenants.containsKey(w.inv.tenant())
+                    ? tenants.get(w.inv.tenant()).serviceShare()
+                    : 1;
         }
 
-        private Object group(Work w) {
-            return w.inv.tenant() != null ? w.inv.tenant() : w.inv.caller();
+        private Object group(TrackedInvocation w) {
+            return w.inv.tenant() != null ? w.inv.tenant() : w.inv.client();
         }
 
         Duration shortest() {
             return taken.keySet().stream()
-                    .map(Operation::objective)
+                    .map(Operation::latencyObjective)
                     .sorted()
                     .findFirst()
                     .orElse(BUCKET);
@@ -918,24 +982,24 @@
     }
 
     /** Calls below: how many seconds they may be in hand, and who makes the next. */
-    public static final class Calls {
+    public static final class DownstreamCallLimiter {
         private final double rate;
         private final double full;
         private final double span;
         private final Duration linger;
         private final int atOnce;
-        private final ArrayDeque<Work> parked = new ArrayDeque<>();
-        private final Ring took = new Ring(BUCKET, BUCKETS);
+        private final ArrayDeque<TrackedInvocation> parked = new ArrayDeque<>();
+        private final SlidingWindow took = new SlidingWindow(BUCKET, BUCKETS);
         private double level;
         private double starts;
         private Duration filledAt = Duration.ZERO;
         private int inHand;
 
-        public Calls(double slice, int cores, Duration linger, Duration span) {
+        public DownstreamCallLimiter(double slice, int cores, Duration linger, Duration span) {
             this.rate = slice * SLICE;
-            this.span = seconds(span);
-            this.full =
-                    rate * seconds(BUCKET); // what all servers saved up is spent at once in a crowd
+            this.span = inSeconds(span);
+            this.full = rate * inSeconds(BUCKET); // what all servers saved up is spent at once in a
+            // crowd
             this.level = full;
             this.linger = linger;
             this.atOnce = PARKED * cores;
@@ -946,9 +1010,9 @@
          * much.
          */
         private double left(Duration now) {
-            level = Math.min(full, level + rate * seconds(now.minus(filledAt)));
+            level = Math.min(full, level + rate * inSeconds(now.minus(filledAt)));
             filledAt = now;
-            return level - (inHand * seconds(now) - starts);
+            return level - (inHand * inSeconds(now) - starts);
         }
 
         /** Whether one that will call may start: those that wait go first. */
@@ -957,7 +1021,7 @@
         }
 
         /** The next to make its call, or null. */
-        Work next(Duration now) {
+        TrackedInvocation next(Duration now) {
             if (parked.isEmpty() || inHand >= 2 * atOnce || left(now) <= 0) {
                 return null;
             }
@@ -967,31 +1031,31 @@
             if (inHand > 0 && patience < PATIENT * took.mean(now, 0)) {
                 return null;
             }
-            Work work = parked.poll();
-            Duration rest = work.inv.due().minus(LEAD).minus(now);
-            work.patience = max(min(rest, span(patience)), BEAT);
+            TrackedInvocation work = parked.poll();
+            Duration rest = work.inv.deadline().minus(LEAD).minus(now);
+            work.patience = max(min(rest, ofSeconds(patience)), BEAT);
             work.calledAt = now;
-            starts += seconds(now);
+            starts += inSeconds(now);
             inHand++;
             return work;
         }
 
-        void ended(Work work, Duration now, boolean givenUp) {
-            double held = seconds(now.minus(work.calledAt));
+        void ended(TrackedInvocation work, Duration now, boolean givenUp) {
+            double held = inSeconds(now.minus(work.calledAt));
             inHand--;
-            starts -= seconds(work.calledAt);
-            level -= givenUp ? held + seconds(linger) : held;
+            starts -= inSeconds(work.calledAt);
+            level -= givenUp ? held + inSeconds(linger) : held;
             took.add(now, held, 1);
         }
     }
 
     /** Memory of held and running invocations and kept tokens. */
-    public static final class Memory {
+    public static final class MemoryBudget {
         private final double limitKb;
         private final double runFactor;
         private double usedKb;
 
-        public Memory(double memoryKb, double runFactor) {
+        public MemoryBudget(double memoryKb, double runFactor) {
             this.limitKb = memoryKb * MEMORY;
             this.runFactor = runFactor;
         }
@@ -1006,13 +1070,13 @@
     }
 
     /** Leaving: what came after the grace is not run, and all is answered before the kill. */
-    public static final class Drain {
+    public static final class DrainState {
         private static final Duration NEVER = Duration.ofDays(10_000);
         private final Duration grace;
         private Duration lastRun = NEVER;
         private Duration kill = NEVER;
 
-        public Drain(Duration grace) {
+        public DrainState(Duration grace) {
             this.grace = grace;
         }
 
@@ -1026,23 +1090,23 @@
         }
 
         boolean forbids(Invocation inv, Duration now) {
-            return inv.arrived().compareTo(lastRun) > 0 || now.compareTo(kill.minus(LEAD)) >= 0;
+            return inv.arrivedAt().compareTo(lastRun) > 0 || now.compareTo(kill.minus(LEAD)) >= 0;
         }
     }
 
     /**
      * What callers are told: when to return, whether to try elsewhere, and how open the server is.
      */
-    public static final class Signals {
-        private final Advert advert;
+    public static final class BackpressureAdvertiser {
+        private final CapacityAdvertisement advert;
         private final int cores;
         private final double window;
         private final Duration longest;
         private final Duration longestIdle;
         private final SplittableRandom chance;
-        private final Ring reads = new Ring(BUCKET, RECENT);
-        private final Ring further = new Ring(BUCKET, RECENT);
-        private final Ring throttles = new Ring(BUCKET, RECENT);
+        private final SlidingWindow reads = new SlidingWindow(BUCKET, RECENT);
+        private final SlidingWindow further = new SlidingWindow(BUCKET, RECENT);
+        private final SlidingWindow throttles = new SlidingWindow(BUCKET, RECENT);
         private double openness = 1;
         private double said = 1;
         private Duration delay = Duration.ZERO;
@@ -1053,8 +1117,8 @@
         private boolean healthy = true;
         private boolean stalled;
 
-        public Signals(
-                Advert advert,
+        public BackpressureAdvertiser(
+                CapacityAdvertisement advert,
                 int callers,
                 int cores,
                 Duration longest,
@@ -1082,7 +1146,7 @@
          * Guards against a jam of unread invocations: reading starves the runs, and all is late.
          */
         boolean jammed(Duration objective, double share) {
-            return seconds(delay) > seconds(objective) * share;
+            return inSeconds(delay) > inSeconds(objective) * share;
         }
 
         /**
@@ -1099,11 +1163,13 @@
         Duration advice(Duration wait) {
             return min(
                     longest,
-                    span(seconds(max(BEAT, wait.plus(delay))) * chance.nextDouble(0.25, 0.75)));
+                    ofSeconds(
+                            inSeconds(max(BEAT, wait.plus(delay)))
+                                    * chance.nextDouble(0.25, 0.75)));
         }
 
         /** Opens slowly while little waits, closes quickly while much does. */
-        void tell(Server server, Duration wait, Duration objective) {
+        void tell(ServerActions server, Duration wait, Duration objective) {
             if (!stalled && server.now().minus(readAt).compareTo(BUCKET) > 0) {
                 delay = Duration.ZERO;
             }
@@ -1111,10 +1177,10 @@
                 // Guards against a jam that feeds itself: callers that wait no longer never get the
                 // advice.
                 healthy = !healthy;
-                server.health(healthy, true);
+                server.setHealth(healthy, true);
             }
             boolean tooLong =
-                    seconds(wait) > seconds(objective) * LONG_WAIT || jammed(objective, JAM);
+                    inSeconds(wait) > inSeconds(objective) * LONG_WAIT || jammed(objective, JAM);
             say(server, Math.max(SHUT, Math.min(1, openness * (tooLong ? CLOSE : OPEN))));
         }
 
@@ -1122,7 +1188,7 @@
          * Guards against a full table, which turns callers away unread and takes a part of the
          * cores.
          */
-        void links(Server server, double open) {
+        void links(ServerActions server, double open) {
             if (server.now().compareTo(linksAt) < 0) {
                 return; // what was closed shows in the next gauge only
             }
@@ -1132,18 +1198,20 @@
             Duration next =
                     open > LINKS * cores ? shorter : open < LINKS * cores / 2 ? longer : idle;
             if (!next.equals(idle)) {
-                server.idleAfter(idle = next);
+                server.setIdleTimeout(idle = next);
             }
         }
 
-        private void say(Server server, double open) {
+        private void say(ServerActions server, double open) {
             openness = open;
-            if (advert == Advert.NONE || openness == said) {
+            if (advert == CapacityAdvertisement.NONE || openness == said) {
                 return;
             }
             said = openness;
-            double scaled = advert == Advert.WINDOW ? openness * window : openness;
-            server.advertise(advert == Advert.LEVEL ? 1 - openness : scaled);
+            double scaled =
+                    advert == CapacityAdvertisement.CLIENT_WINDOW ? openness * window : openness;
+            server.advertiseCapacity(
+                    advert == CapacityAdvertisement.PRIORITY_THRESHOLD ? 1 - openness : scaled);
         }
     }
 }
--- a/src/main/java/ochretiller/policy/Token.java
+++ b/src/main/java/ochretiller/admission/IdempotencyEntry.java
@@ -1,12 +1,12 @@
-package ochretiller.policy;
+package ochretiller.admission;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import ochretiller.model.InvId;
+import ochretiller.model.InvocationId;
 
 /** The entry of one tokened try: the mark, and the repeats that wait for it. */
-final class Token {
+final class IdempotencyEntry {
     enum State {
         UNRUN,
         RUNNING,
@@ -15,23 +15,23 @@
         DROPPED
     }
 
-    final InvId id;
+    final InvocationId id;
     final Duration expires;
     State state = State.UNRUN;
-    List<Work> waiting = new ArrayList<>();
+    List<TrackedInvocation> waiting = new ArrayList<>();
 
-    Token(InvId id, Duration expires) {
+    IdempotencyEntry(InvocationId id, Duration expires) {
         this.id = id;
         this.expires = expires;
     }
 
-    Token to(State next) {
+    IdempotencyEntry to(State next) {
         state = next;
         return this;
     }
 
-    List<Work> release() {
-        List<Work> released = waiting;
+    List<TrackedInvocation> release() {
+        List<TrackedInvocation> released = waiting;
         waiting = new ArrayList<>();
         return released;
     }
--- a/src/main/java/ochretiller/policy/Work.java
+++ b/src/main/java/ochretiller/admission/TrackedInvocation.java
@@ -1,4 +1,4 @@
-package ochretiller.policy;
+package ochretiller.admission;
 
 import java.time.Duration;
 import java.util.List;
@@ -6,7 +6,7 @@
 import ochretiller.model.Operation;
 
 /** One invocation that was read and is not over, and how far it has come. */
-final class Work {
+final class TrackedInvocation {
     enum State {
         HELD,
         WAITING,
@@ -47,9 +47,9 @@
     /** Time spent at calls since it started. */
     Duration offCores = Duration.ZERO;
 
-    Work(Invocation inv) {
+    TrackedInvocation(Invocation inv) {
         this.inv = inv;
-        this.kind = List.of(inv.caller(), inv.operation());
+        this.kind = List.of(inv.client(), inv.operation());
     }
 
     Operation operation() {
--- a/src/main/java/ochretiller/audit/Timeline.java
+++ b/src/main/java/ochretiller/audit/FleetTimeline.java
@@ -9,31 +9,36 @@
  * What the records of several servers tell together. What is not known is told as a stretch of its
  * own: between two spans, behind a fault of a chain, while a process was away.
  */
-public final class Timeline {
+public final class FleetTimeline {
     /**
      * Between the end of one span and the start of the next that much may pass without anything
      * being missing.
      */
     private static final long JOINT_MS = 1_000;
 
-    private final Map<String, List<Entry>> servers = new TreeMap<>();
+    private final Map<String, List<AuditRecord>> servers = new TreeMap<>();
 
     /** One stretch of a server's time. */
-    public record Stretch(
-            String server, long fromMs, long toMs, Known known, long version, String text) {}
+    public record TimelineInterval(
+            String server,
+            long startMillis,
+            long endMillis,
+            VersionStatus status,
+            long version,
+            String text) {}
 
     /** How well a stretch is known. */
-    public enum Known {
+    public enum VersionStatus {
         /** It acted on this version. */
-        ACTED("ACTED"),
+        ACTIVE("ACTED"),
         /** Keyed work was shut out there. */
-        SHUT_OUT("SHUT_OUT"),
+        FENCED("SHUT_OUT"),
         /** Nothing was recorded: the process was away, or its records are lost. */
         UNKNOWN("UNKNOWN");
 
         private final String externalName;
 
-        Known(String externalName) {
+        VersionStatus(String externalName) {
             this.externalName = externalName;
         }
 
@@ -44,63 +49,68 @@
     }
 
     /** A run of a token, as one server has it. */
-    public record Ran(String server, long version, long atMs) {}
+    public record TokenRun(String server, long version, long atMillis) {}
 
     /** Adds what these records know of where others' audits ended, by their names. */
-    public static void witnessed(List<Entry> entries, Map<String, List<Chain.Head>> known) {
-        for (Entry entry : entries) {
-            if (!(entry instanceof Entry.Event event) || event.kind() != Entry.Kind.WITNESSED) {
+    public static void collectWitnessedHeads(
+            List<AuditRecord> entries, Map<String, List<HashChain.ChainHead>> known) {
+        for (AuditRecord entry : entries) {
+            if (!(entry instanceof AuditRecord.AuditEvent event)
+                    || event.kind() != AuditRecord.AuditEventKind.PEER_AUDIT_WITNESSED) {
                 continue;
             }
             String[] words = event.text().split(" ");
             if (words.length == 3) {
                 known.computeIfAbsent(words[0], ignored -> new ArrayList<>())
-                        .add(new Chain.Head(Long.parseLong(words[1]), words[2]));
+                        .add(new HashChain.ChainHead(Long.parseLong(words[1]), words[2]));
             }
         }
     }
 
     /** A server's records, oldest first. */
-    public Timeline add(String server, List<Entry> entries) {
+    public FleetTimeline addServer(String server, List<AuditRecord> entries) {
         servers.put(server, List.copyOf(entries));
         return this;
     }
 
     /** Each server's stretches between two times, one behind the other, without holes. */
-    public List<Stretch> between(long fromMs, long toMs) {
-        List<Stretch> all = new ArrayList<>();
+    public List<TimelineInterval> intervals(long fromMs, long toMs) {
+        List<TimelineInterval> all = new ArrayList<>();
         servers.forEach((server, entries) -> all.addAll(one(server, entries, fromMs, toMs)));
         return all;
     }
 
-    private static List<Stretch> one(String server, List<Entry> entries, long fromMs, long toMs) {
-        List<Stretch> all = new ArrayList<>();
+    private static List<TimelineInterval> one(
+            String server, List<AuditRecord> entries, long fromMs, long toMs) {
+        List<TimelineInterval> all = new ArrayList<>();
         long at = fromMs;
         String missing = "nothing was recorded";
         boolean shut = false;
-        for (Entry entry : entries) {
-            if (entry instanceof Entry.Event event) {
+        for (AuditRecord entry : entries) {
+            if (entry instanceof AuditRecord.AuditEvent event) {
                 switch (event.kind()) {
-                    case SHUT_OUT -> shut = true;
-                    case LET_IN, STARTED -> shut = false;
-                    case LOST -> missing = "records were lost: " + event.text();
+                    case FENCED -> shut = true;
+                    case UNFENCED, STARTED -> shut = false;
+                    case RECORDS_LOST -> missing = "records were lost: " + event.text();
                     default -> {}
                 }
-                if (event.kind() == Entry.Kind.STARTED) {
+                if (event.kind() == AuditRecord.AuditEventKind.STARTED) {
                     missing = "its process was away, or ended without a word";
                 }
                 continue;
             }
-            if (!(entry instanceof Entry.Span span)) {
+            if (!(entry instanceof AuditRecord.VersionPeriod span)) {
                 continue;
             }
-            long begins = Math.max(fromMs, span.fromMs());
-            long ends = Math.min(toMs, span.toMs());
+            long begins = Math.max(fromMs, span.startMillis());
+            long ends = Math.min(toMs, span.endMillis());
             if (ends <= begins) {
                 continue;
             }
             if (begins - at > JOINT_MS) {
-                all.add(new Stretch(server, at, begins, Known.UNKNOWN, 0, missing));
+                all.add(
+                        new TimelineInterval(
+                                server, at, begins, VersionStatus.UNKNOWN, 0, missing));
             }
             if (begins > at && begins - at <= JOINT_MS) {
                 begins = at;
@@ -110,15 +120,17 @@
             begins = Math.max(begins, at);
             if (ends > begins) {
                 String text =
-                        span.steppedMs() == 0
+                        span.clockStepMillis() == 0
                                 ? ""
-                                : "its clock was set by " + span.steppedMs() + " ms meanwhile";
+                                : "its clock was set by "
+                                        + span.clockStepMillis()
+                                        + " ms meanwhile";
                 all.add(
-                        new Stretch(
+                        new TimelineInterval(
                                 server,
                                 begins,
                                 ends,
-                                shut ? Known.SHUT_OUT : Known.ACTED,
+                                shut ? VersionStatus.FENCED : VersionStatus.ACTIVE,
                                 span.version(),
                                 text));
                 at = ends;
@@ -127,11 +139,11 @@
         }
         if (toMs - at > JOINT_MS) {
             all.add(
-                    new Stretch(
+                    new TimelineInterval(
                             server,
                             at,
                             toMs,
-                            Known.UNKNOWN,
+                            VersionStatus.UNKNOWN,
                             0,
                             "nothing is recorded yet, or it is lost"));
         }
@@ -139,33 +151,36 @@
     }
 
     /** Which servers acted on a version between two times, and which may have. */
-    public Map<String, Known> who(long version, long fromMs, long toMs) {
-        Map<String, Known> all = new TreeMap<>();
-        for (Stretch each : between(fromMs, toMs)) {
-            if (each.known() == Known.UNKNOWN) {
-                all.putIfAbsent(each.server(), Known.UNKNOWN);
+    public Map<String, VersionStatus> serversOnVersion(long version, long fromMs, long toMs) {
+        Map<String, VersionStatus> all = new TreeMap<>();
+        for (TimelineInterval each : intervals(fromMs, toMs)) {
+            if (each.status() == VersionStatus.UNKNOWN) {
+                all.putIfAbsent(each.server(), VersionStatus.UNKNOWN);
             } else if (each.version() == version) {
                 all.merge(
                         each.server(),
-                        each.known(),
-                        (a, b) -> a == Known.ACTED || b == Known.ACTED ? Known.ACTED : b);
+                        each.status(),
+                        (a, b) ->
+                                a == VersionStatus.ACTIVE || b == VersionStatus.ACTIVE
+                                        ? VersionStatus.ACTIVE
+                                        : b);
             }
         }
         return all;
     }
 
     /** Runs of a token, oldest first. */
-    public List<Ran> token(String token) {
-        List<Ran> all = new ArrayList<>();
+    public List<TokenRun> runsOfToken(String token) {
+        List<TokenRun> all = new ArrayList<>();
         servers.forEach(
                 (server, entries) -> {
-                    for (Entry each : entries) {
-                        if (each instanceof Entry.Run run && run.token().equals(token)) {
-                            all.add(new Ran(server, run.version(), run.atMs()));
+                    for (AuditRecord each : entries) {
+                        if (each instanceof AuditRecord.KeyedRun run && run.token().equals(token)) {
+                            all.add(new TokenRun(server, run.version(), run.atMillis()));
                         }
                     }
                 });
-        all.sort((a, b) -> Long.compare(a.atMs(), b.atMs()));
+        all.sort((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
         return all;
     }
 
@@ -173,17 +188,17 @@
      * How long each server acted on something older than the newest that any server acted on at
      * that time, milliseconds.
      */
-    public Map<String, Long> behind(long fromMs, long toMs) {
-        List<Stretch> all = between(fromMs, toMs);
+    public Map<String, Long> stragglerMillis(long fromMs, long toMs) {
+        List<TimelineInterval> all = intervals(fromMs, toMs);
         Map<Long, Long> firstAt = new TreeMap<>();
-        for (Stretch each : all) {
-            if (each.known() == Known.ACTED) {
-                firstAt.merge(each.version(), each.fromMs(), Math::min);
+        for (TimelineInterval each : all) {
+            if (each.status() == VersionStatus.ACTIVE) {
+                firstAt.merge(each.version(), each.startMillis(), Math::min);
             }
         }
         Map<String, Long> behind = new TreeMap<>();
-        for (Stretch each : all) {
-            if (each.known() == Known.UNKNOWN) {
+        for (TimelineInterval each : all) {
+            if (each.status() == VersionStatus.UNKNOWN) {
                 continue;
             }
             long newerAt =
@@ -192,7 +207,7 @@
                             .mapToLong(Map.Entry::getValue)
                             .min()
                             .orElse(Long.MAX_VALUE);
-            long late = each.toMs() - Math.max(each.fromMs(), newerAt);
+            long late = each.endMillis() - Math.max(each.startMillis(), newerAt);
             if (late > 0) {
                 behind.merge(each.server(), late, Long::sum);
             }
--- a/src/main/java/ochretiller/audit/Chain.java
+++ b/src/main/java/ochretiller/audit/HashChain.java
@@ -12,67 +12,70 @@
  * A chain of records: each has the hash of the one before and its own, over its number, that hash
  * and its bytes. Whoever knows a later hash knows whether all before it is as it was.
  */
-public final class Chain {
+public final class HashChain {
     /** Bytes of a hash. */
-    public static final int HASH = 32;
+    public static final int HASH_BYTES = 32;
 
-    private static final byte[] NOTHING = new byte[HASH];
+    private static final byte[] NOTHING = new byte[HASH_BYTES];
 
     private long number;
     private byte[] last;
 
     /** One record. */
-    public record Link(long number, byte[] before, byte[] hash, byte[] body) {
+    public record ChainedRecord(long number, byte[] previousHash, byte[] hash, byte[] body) {
         /** Whether its hash is that of what it says. */
-        public boolean whole() {
-            return Arrays.equals(hash, Chain.hash(number, before, body));
+        public boolean isIntact() {
+            return Arrays.equals(hash, HashChain.hash(number, previousHash, body));
         }
     }
 
     /** Where a chain ends, or ended when somebody looked. */
-    public record Head(long number, String hash) {
-        public static final Head NONE = new Head(0, "");
+    public record ChainHead(long number, String hash) {
+        public static final ChainHead EMPTY = new ChainHead(0, "");
 
-        public Head {
-            if (number < 0 || !hash.isEmpty() && hash.length() != 2 * HASH) {
+        public ChainHead {
+            if (number < 0 || !hash.isEmpty() && hash.length() != 2 * HASH_BYTES) {
                 throw new IllegalArgumentException("no head");
             }
         }
     }
 
     /** What is wrong with a chain, from the record of this number on. */
-    public record Fault(long number, String text) {}
+    public record ChainFault(long number, String description) {}
 
-    private Chain(long number, byte[] last) {
+    private HashChain(long number, byte[] last) {
         this.number = number;
         this.last = last;
     }
 
     /** A chain without any record. */
-    public static Chain fresh() {
-        return new Chain(0, NOTHING);
+    public static HashChain empty() {
+        return new HashChain(0, NOTHING);
     }
 
     /** One that goes on behind this record; behind none, one that is new. */
-    public static Chain behind(Link link) {
-        return link == null ? fresh() : new Chain(link.number, link.hash);
+    public static HashChain continuing(ChainedRecord link) {
+        return link == null ? empty() : new HashChain(link.number, link.hash);
     }
 
     /** One that goes on where this one ends, and leaves it as it is. */
-    public static Chain at(Chain other) {
-        return new Chain(other.number, other.last);
+    public static HashChain copyOf(HashChain other) {
+        return new HashChain(other.number, other.last);
     }
 
     /** The next record. */
-    public Link append(byte[] body) {
-        Link link = new Link(number + 1, last, hash(number + 1, last, body), body);
+    public ChainedRecord append(byte[] body) {
+        ChainedRecord link =
+                new ChainedRecord(number + 1, last, hash(number + 1, last, body), body);
         number = link.number;
         last = link.hash;
         return link;
     }
 
-    public Head head() {
-        return number == 0 ? Head.NONE : new Head(number, HexFormat.of().formatHex(last));
+    public ChainHead head() {
+        return number == 0
+                ? ChainHead.EMPTY
+                : new ChainHead(number, HexFormat.of().formatHex(last));
     }
 
     private static byte[] hash(long number, byte[] before, byte[] body) {
@@ -93,34 +96,36 @@
      *     first may have any number
      * @param known heads that others were told of, in any order
      */
-    public static List<Fault> verify(List<Link> links, List<Head> known) {
-        List<Fault> faults = new ArrayList<>();
-        Link before = null;
-        for (Link link : links) {
-            if (!link.whole()) {
-                faults.add(new Fault(link.number, "is not what its hash says"));
+    public static List<ChainFault> verify(List<ChainedRecord> links, List<ChainHead> known) {
+        List<ChainFault> faults = new ArrayList<>();
+        ChainedRecord before = null;
+        for (ChainedRecord link : links) {
+            if (!link.isIntact()) {
+                faults.add(new ChainFault(link.number, "is not what its hash says"));
             }
             if (before != null && link.number != before.number + 1) {
                 faults.add(
-                        new Fault(
+                        new ChainFault(
                                 before.number + 1,
                                 link.number <= before.number
                                         ? "is out of its place"
                                         : (link.number - before.number - 1)
                                                 + " records are missing"));
-            } else if (before != null && !Arrays.equals(link.before, before.hash)) {
-                faults.add(new Fault(link.number, "does not follow the one before it"));
-            } else if (before == null && link.number == 1 && !Arrays.equals(link.before, NOTHING)) {
-                faults.add(new Fault(1, "is no first record"));
+            } else if (before != null && !Arrays.equals(link.previousHash, before.hash)) {
+                faults.add(new ChainFault(link.number, "does not follow the one before it"));
+            } else if (before == null
+                    && link.number == 1
+                    && !Arrays.equals(link.previousHash, NOTHING)) {
+                faults.add(new ChainFault(1, "is no first record"));
             }
             before = link;
         }
         long last = before == null ? 0 : before.number;
         long first = links.isEmpty() ? 0 : links.get(0).number;
-        for (Head head : known) {
+        for (ChainHead head : known) {
             if (head.number() > last) {
                 faults.add(
-                        new Fault(
+                        new ChainFault(
                                 last + 1,
                                 "the last "
                                         + (head.number() - last)
@@ -136,7 +141,7 @@
                                                                 .formatHex(each.hash)
                                                                 .equals(head.hash()));
                 if (!same) {
-                    faults.add(new Fault(head.number(), "others know it otherwise"));
+                    faults.add(new ChainFault(head.number(), "others know it otherwise"));
                 }
             }
         }
--- a/src/main/java/ochretiller/audit/Spans.java
+++ b/src/main/java/ochretiller/audit/VersionUsage.java
@@ -9,7 +9,7 @@
  * Counts what becomes of invocations under the version that is acted on; a span ends with the
  * version, and after a while in any case.
  */
-public final class Spans {
+public final class VersionUsage {
     /** Operations that are told apart in one span; the rest are counted together. */
     private static final int MOST = 64;
 
@@ -23,15 +23,15 @@
     private Duration from;
 
     /** What became of one. */
-    public enum What {
-        READ,
-        RUN,
+    public enum InvocationOutcome {
+        RECEIVED,
+        EXECUTED,
         REPLAYED,
         THROTTLED,
         ERRORED
     }
 
-    public Spans(Duration longest) {
+    public VersionUsage(Duration longest) {
         this.longest = longest;
     }
 
@@ -40,42 +40,45 @@
     }
 
     /** From now on this version is acted on; the span of the one before. */
-    public Optional<Entry.Span> begin(long next, String nextHash, long unixMs, Duration now) {
-        Optional<Entry.Span> before =
-                from == null ? Optional.empty() : Optional.of(end(unixMs, now));
+    public Optional<AuditRecord.VersionPeriod> switchVersion(
+            long next, String nextHash, long unixMs, Duration now) {
+        Optional<AuditRecord.VersionPeriod> before =
+                from == null ? Optional.empty() : Optional.of(closePeriod(unixMs, now));
         version = next;
         hash = nextHash;
         return before;
     }
 
-    public void count(String operation, What what) {
+    public void count(String operation, InvocationOutcome what) {
         String name = counts.containsKey(operation) || counts.size() < MOST ? operation : OTHERS;
-        counts.computeIfAbsent(name, ignored -> new long[What.values().length])[what.ordinal()]++;
+        counts.computeIfAbsent(name, ignored -> new long[InvocationOutcome.values().length])[
+                what.ordinal()]++;
     }
 
     /** The span so far, where it has lasted long enough. */
-    public Optional<Entry.Span> due(long unixMs, Duration now) {
+    public Optional<AuditRecord.VersionPeriod> closeIfDue(long unixMs, Duration now) {
         return from != null && now.minus(from).compareTo(longest) >= 0
-                ? Optional.of(end(unixMs, now))
+                ? Optional.of(closePeriod(unixMs, now))
                 : Optional.empty();
     }
 
     /** Begins to count, at a start. */
-    public void start(long unixMs, Duration now) {
+    public void startPeriod(long unixMs, Duration now) {
         fromMs = unixMs;
         from = now;
     }
 
     /** The span so far; the next begins here. */
-    public Entry.Span end(long unixMs, Duration now) {
-        Map<String, Entry.Tally> operations = new HashMap<>();
+    public AuditRecord.VersionPeriod closePeriod(long unixMs, Duration now) {
+        Map<String, AuditRecord.InvocationCounts> operations = new HashMap<>();
         counts.forEach(
                 (operation, each) ->
                         operations.put(
                                 operation,
-                                new Entry.Tally(each[0], each[1], each[2], each[3], each[4])));
-        Entry.Span span =
-                new Entry.Span(
+                                new AuditRecord.InvocationCounts(
+                                        each[0], each[1], each[2], each[3], each[4])));
+        AuditRecord.VersionPeriod span =
+                new AuditRecord.VersionPeriod(
                         version,
                         hash,
                         fromMs,
@@ -83,7 +86,7 @@
                         Math.max(0, now.minus(from).toMillis()),
                         operations);
         counts.clear();
-        start(unixMs, now);
+        startPeriod(unixMs, now);
         return span;
     }
 }
--- a/src/main/java/ochretiller/audit/files/AuditFolder.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogReader.java
@@ -8,40 +8,43 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import ochretiller.audit.Chain;
-import ochretiller.audit.Entry;
+import ochretiller.audit.AuditRecord;
+import ochretiller.audit.HashChain;
 
 /** Reads an audit's files, whoever's they are; nothing is changed by it. */
-public final class AuditFolder {
+public final class AuditLogReader {
     static final String PREFIX = "audit-";
     static final String SUFFIX = ".log";
 
     /** Bytes before a record's own: its length, its number, the hash before it and its own. */
-    static final int HEAD = 4 + 8 + 2 * Chain.HASH;
+    static final int FRAME_BYTES = 4 + 8 + 2 * HashChain.HASH_BYTES;
 
     /** Longest record, in bytes: a span of all operations that are told apart. */
-    static final int LONGEST = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private AuditFolder() {}
+    private AuditLogReader() {}
 
     /**
      * What was found.
      *
-     * @param links records, oldest first
+     * @param records records, oldest first
      * @param faults of files and of the chain
-     * @param lastEnd where the last whole record of the last file ends
+     * @param lastRecordEnd where the last whole record of the last file ends
      */
-    public record Found(List<Chain.Link> links, List<Chain.Fault> faults, long lastEnd) {
+    public record AuditLog(
+            List<HashChain.ChainedRecord> records,
+            List<HashChain.ChainFault> faults,
+            long lastRecordEnd) {
         /**
          * The records that can be read; those that cannot are among the faults of {@link
          * AuditFolder#read}.
          */
-        public List<Entry> entries() {
-            List<Entry> all = new ArrayList<>();
-            for (Chain.Link each : links) {
+        public List<AuditRecord> decodedRecords() {
+            List<AuditRecord> all = new ArrayList<>();
+            for (HashChain.ChainedRecord each : records) {
                 try {
-                    if (each.whole()) {
-                        all.add(AuditCodec.entry(each.body()));
+                    if (each.isIntact()) {
+                        all.add(AuditRecordCodec.decode(each.body()));
                     }
                 } catch (IllegalArgumentException e) {
                     // it is told as a fault
@@ -50,13 +53,14 @@
             return all;
         }
 
-        public Chain.Head head() {
-            return Chain.behind(links.isEmpty() ? null : links.get(links.size() - 1)).head();
+        public HashChain.ChainHead head() {
+            return HashChain.continuing(records.isEmpty() ? null : records.get(records.size() - 1))
+                    .head();
         }
     }
 
     /** The files, oldest first. */
-    static List<Path> files(Path folder) throws IOException {
+    static List<Path> logFiles(Path folder) throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.filter(
                             each ->
@@ -74,23 +78,23 @@
      *
      * @param known heads of this chain that others were told of
      */
-    public static Found read(Path folder, List<Chain.Head> known) throws IOException {
-        List<Chain.Link> links = new ArrayList<>();
-        List<Chain.Fault> faults = new ArrayList<>();
-        List<Path> files = files(folder);
+    public static AuditLog read(Path folder, List<HashChain.ChainHead> known) throws IOException {
+        List<HashChain.ChainedRecord> links = new ArrayList<>();
+        List<HashChain.ChainFault> faults = new ArrayList<>();
+        List<Path> files = logFiles(folder);
         long end = 0;
         for (Path file : files) {
             boolean last = file.equals(files.get(files.size() - 1));
             ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
             end = 0;
             while (bytes.hasRemaining()) {
-                Chain.Link link = link(bytes);
+                HashChain.ChainedRecord link = link(bytes);
                 if (link == null) {
                     // What a crash has cut off at the end was never told to anybody as kept;
                     // anywhere else it is a fault.
                     long number = links.isEmpty() ? 1 : links.get(links.size() - 1).number() + 1;
                     faults.add(
-                            new Chain.Fault(
+                            new HashChain.ChainFault(
                                     number,
                                     file.getFileName()
                                             + (last
@@ -103,42 +107,42 @@
                 end = bytes.position();
             }
         }
-        faults.addAll(Chain.verify(links, known));
-        for (Chain.Link each : links) {
-            if (!each.whole()) {
+        faults.addAll(HashChain.verify(links, known));
+        for (HashChain.ChainedRecord each : links) {
+            if (!each.isIntact()) {
                 continue;
             }
             try {
-                AuditCodec.entry(each.body());
+                AuditRecordCodec.decode(each.body());
             } catch (IllegalArgumentException e) {
-                faults.add(new Chain.Fault(each.number(), e.getMessage()));
+                faults.add(new HashChain.ChainFault(each.number(), e.getMessage()));
             }
         }
-        return new Found(links, faults, end);
+        return new AuditLog(links, faults, end);
     }
 
-    private static Chain.Link link(ByteBuffer bytes) {
-        if (bytes.remaining() < HEAD) {
+    private static HashChain.ChainedRecord link(ByteBuffer bytes) {
+        if (bytes.remaining() < FRAME_BYTES) {
             return null;
         }
         int length = bytes.getInt(bytes.position());
-        if (length < 0 || length > LONGEST || bytes.remaining() < HEAD + length) {
+        if (length < 0 || length > MAX_BODY_BYTES || bytes.remaining() < FRAME_BYTES + length) {
             return null;
         }
         bytes.getInt();
         long number = bytes.getLong();
-        byte[] before = new byte[Chain.HASH];
-        byte[] hash = new byte[Chain.HASH];
+        byte[] before = new byte[HashChain.HASH_BYTES];
+        byte[] hash = new byte[HashChain.HASH_BYTES];
         byte[] body = new byte[length];
         bytes.get(before).get(hash).get(body);
-        return new Chain.Link(number, before, hash, body);
+        return new HashChain.ChainedRecord(number, before, hash, body);
     }
 
-    static byte[] frame(Chain.Link link) {
-        return ByteBuffer.allocate(HEAD + link.body().length)
+    static byte[] frame(HashChain.ChainedRecord link) {
+        return ByteBuffer.allocate(FRAME_BYTES + link.body().length)
                 .putInt(link.body().length)
                 .putLong(link.number())
-                .put(link.before())
+                .put(link.previousHash())
                 .put(link.hash())
                 .put(link.body())
                 .array();
--- a/src/main/java/ochretiller/audit/files/AuditWriter.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogWriter.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
-import ochretiller.audit.Chain;
-import ochretiller.audit.Entry;
+import ochretiller.audit.AuditRecord;
+import ochretiller.audit.HashChain;
 
 /**
  * Writes a server's audit, on a thread of its own: what is handed over never waits for the disk.
  * What the disk does not take, or comes faster than it takes, is lost, and a record says how much
  * as soon as one can be written.
  */
-public final class AuditWriter {
-    private static final Logger LOG = Logger.getLogger(AuditWriter.class.getName());
+public final class AuditLogWriter {
+    private static final Logger LOG = Logger.getLogger(AuditLogWriter.class.getName());
 
     /** Records that wait for the disk. */
     private static final int WAITING = 20_000;
@@ -38,49 +38,49 @@
 
     private final Path folder;
     private final long fileBytes;
-    private final BlockingQueue<Entry> waiting = new ArrayBlockingQueue<>(WAITING);
+    private final BlockingQueue<AuditRecord> queuedRecords = new ArrayBlockingQueue<>(WAITING);
     private final Thread thread = new Thread(this::work, "audit");
     private final LongSupplier unixMs;
-    private Chain chain;
+    private HashChain chain;
     private FileChannel file;
     private long size;
     private boolean sick;
     private volatile boolean over;
 
     /** Counted by the thread that hands over, and by the writer's own. */
-    private final AtomicLong lost = new AtomicLong();
+    private final AtomicLong lostRecords = new AtomicLong();
 
-    private volatile long written;
-    private volatile Chain.Head head;
-    private final List<Chain.Fault> faults;
+    private volatile long writtenRecords;
+    private volatile HashChain.ChainHead head;
+    private final List<HashChain.ChainFault> recoveredFaults;
 
     /**
      * Goes on behind what is there; a record that a crash has cut in two is taken off.
      *
      * @param mostBytes of all files together
      */
-    public AuditWriter(Path folder, long mostBytes, LongSupplier unixMs) throws IOException {
+    public AuditLogWriter(Path folder, long mostBytes, LongSupplier unixMs) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.fileBytes = Math.max(64 * 1024, mostBytes / FILES);
         this.unixMs = unixMs;
-        AuditFolder.Found found = AuditFolder.read(folder, List.of());
-        faults = found.faults();
-        List<Chain.Link> links = found.links();
-        chain = Chain.behind(links.isEmpty() ? null : links.get(links.size() - 1));
+        AuditLogReader.AuditLog found = AuditLogReader.read(folder, List.of());
+        recoveredFaults = found.faults();
+        List<HashChain.ChainedRecord> links = found.records();
+        chain = HashChain.continuing(links.isEmpty() ? null : links.get(links.size() - 1));
         head = chain.head();
-        List<Path> files = AuditFolder.files(folder);
+        List<Path> files = AuditLogReader.logFiles(folder);
         if (!files.isEmpty()) {
             file = FileChannel.open(files.get(files.size() - 1), StandardOpenOption.WRITE);
-            file.truncate(found.lastEnd());
-            size = found.lastEnd();
+            file.truncate(found.lastRecordEnd());
+            size = found.lastRecordEnd();
             file.position(size);
         }
         thread.setDaemon(true);
     }
 
     /** What was wrong with what was there. */
-    public List<Chain.Fault> faults() {
-        return faults;
+    public List<HashChain.ChainFault> recoveredFaults() {
+        return recoveredFaults;
     }
 
     public void start() {
@@ -88,69 +88,72 @@
     }
 
     /** Handed over, or counted as lost. */
-    public void add(Entry entry) {
-        if (!waiting.offer(entry)) {
-            lost.incrementAndGet();
+    public void add(AuditRecord entry) {
+        if (!queuedRecords.offer(entry)) {
+            lostRecords.incrementAndGet();
         }
     }
 
     /** Where the chain on the disk ends. */
-    public Chain.Head head() {
+    public HashChain.ChainHead head() {
         return head;
     }
 
-    public long lost() {
-        return lost.get();
+    public long lostRecords() {
+        return lostRecords.get();
     }
 
-    public long written() {
-        return written;
+    public long writtenRecords() {
+        return writtenRecords;
     }
 
-    public int waiting() {
-        return waiting.size();
+    public int queuedRecords() {
+        return queuedRecords.size();
     }
 
     private void work() {
-        List<Entry> group = new ArrayList<>();
+        List<AuditRecord> group = new ArrayList<>();
         long told = 0;
         while (true) {
             try {
-                Entry first = waiting.poll(PAUSE_MS, TimeUnit.MILLISECONDS);
+                AuditRecord first = queuedRecords.poll(PAUSE_MS, TimeUnit.MILLISECONDS);
                 if (first == null && over) {
                     break;
                 }
                 if (first != null) {
                     group.add(first);
                 }
-                waiting.drainTo(group, GROUP - group.size());
-                if (lost.get() > told && !group.isEmpty()) {
+                queuedRecords.drainTo(group, GROUP - group.size());
+                if (lostRecords.get() > told && !group.isEmpty()) {
                     group.add(
                             0,
-                            new Entry.Event(
-                                    Entry.Kind.LOST,
+                            new AuditRecord.AuditEvent(
+                                    AuditRecord.AuditEventKind.RECORDS_LOST,
                                     0,
                                     unixMs.getAsLong(),
-                                    (lost.get() - told) + " records that the disk did not take"));
+                                    (lostRecords.get() - told)
+                                            + " records that the disk did not take"));
                 }
                 if (group.isEmpty()) {
                     continue;
                 }
-                long losses = lost.get();
+                long losses = lostRecords.get();
                 if (write(group)) {
                     told = losses;
                 } else {
-                    lost.addAndGet(
+                    lostRecords.addAndGet(
                             group.stream()
                                     .filter(
                                             each ->
-                                                    !(each instanceof Entry.Event event
-                                                            && event.kind() == Entry.Kind.LOST))
+                                                    !(each instanceof AuditRecord.AuditEvent event
+                                                            && event.kind()
+                                                                    == AuditRecord.AuditEventKind
+                                                                            .RECORDS_LOST))
                                     .count());
                 }
                 group.clear();
                 // Others gather meanwhile, and go out with one force.
-                if (sick || waiting.size() < GROUP && !over) {
+                if (sick || queuedRecords.size() < GROUP && !over) {
                     Thread.sleep(sick ? 5 * PAUSE_MS : PAUSE_MS / 4);
                 }
             } catch (InterruptedException e) {
@@ -166,17 +169,19 @@
         }
     }
 
-    private boolean write(List<Entry> group) {
-        Chain next = Chain.at(chain);
+    private boolean write(List<AuditRecord> group) {
+        HashChain next = HashChain.copyOf(chain);
         try {
             if (file == null || size >= fileBytes) {
                 roll();
             }
             long before = size;
             try {
-                for (Entry each : group) {
+                for (AuditRecord each : group) {
                     ByteBuffer bytes =
-                            ByteBuffer.wrap(AuditFolder.frame(next.append(AuditCodec.bytes(each))));
+                            ByteBuffer.wrap(
+                                    AuditLogReader.frame(
+                                            next.append(AuditRecordCodec.encode(each))));
                     size += bytes.remaining();
                     while (bytes.hasRemaining()) {
                         file.write(bytes);
@@ -193,7 +198,7 @@
             }
             chain = next;
             head = chain.head();
-            written += group.size();
+            writtenRecords += group.size();
             if (sick) {
                 LOG.info("the audit's disk takes records again");
             }
@@ -217,14 +222,14 @@
                         folder.resolve(
                                 String.format(
                                         "%s%019d%s",
-                                        AuditFolder.PREFIX,
+                                        AuditLogReader.PREFIX,
                                         chain.head().number() + 1,
-                                        AuditFolder.SUFFIX)),
+                                        AuditLogReader.SUFFIX)),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING);
         size = 0;
-        List<Path> files = AuditFolder.files(folder);
+        List<Path> files = AuditLogReader.logFiles(folder);
         for (int i = 0; i < files.size() - FILES; i++) {
             Files.deleteIfExists(files.get(i));
         }
--- a/src/main/java/ochretiller/audit/files/AuditCodec.java
+++ b/src/main/java/ochretiller/audit/files/AuditRecordCodec.java
@@ -8,51 +8,51 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
-import ochretiller.audit.Entry;
+import ochretiller.audit.AuditRecord;
 
 /** Records as bytes: an array in CBOR, its kind first. */
-final class AuditCodec {
+final class AuditRecordCodec {
     private static final CBORFactory CBOR = new CBORFactory();
     private static final int SPAN = 1;
     private static final int EVENT = 2;
     private static final int RUN = 3;
     private static final int MOST_OPERATIONS = 1_000;
-    private static final Entry.Kind[] KINDS = Entry.Kind.values();
+    private static final AuditRecord.AuditEventKind[] KINDS = AuditRecord.AuditEventKind.values();
 
-    private AuditCodec() {}
+    private AuditRecordCodec() {}
 
-    static byte[] bytes(Entry entry) {
+    static byte[] encode(AuditRecord entry) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
         try (CBORGenerator to = CBOR.createGenerator(out)) {
             to.writeStartArray();
-            if (entry instanceof Entry.Span span) {
+            if (entry instanceof AuditRecord.VersionPeriod span) {
                 to.writeNumber(SPAN);
                 to.writeNumber(span.version());
-                to.writeString(span.hash());
-                to.writeNumber(span.fromMs());
-                to.writeNumber(span.toMs());
-                to.writeNumber(span.tookMs());
+                to.writeString(span.versionHash());
+                to.writeNumber(span.startMillis());
+                to.writeNumber(span.endMillis());
+                to.writeNumber(span.monotonicMillis());
                 to.writeStartArray();
-                for (Map.Entry<String, Entry.Tally> each :
+                for (Map.Entry<String, AuditRecord.InvocationCounts> each :
                         new TreeMap<>(span.operations()).entrySet()) {
                     to.writeString(each.getKey());
-                    to.writeNumber(each.getValue().read());
-                    to.writeNumber(each.getValue().run());
+                    to.writeNumber(each.getValue().received());
+                    to.writeNumber(each.getValue().executed());
                     to.writeNumber(each.getValue().replayed());
                     to.writeNumber(each.getValue().throttled());
                     to.writeNumber(each.getValue().errored());
                 }
                 to.writeEndArray();
-            } else if (entry instanceof Entry.Event event) {
+            } else if (entry instanceof AuditRecord.AuditEvent event) {
                 to.writeNumber(EVENT);
                 to.writeNumber(event.kind().ordinal());
                 to.writeNumber(event.version());
-                to.writeNumber(event.atMs());
+                to.writeNumber(event.atMillis());
                 to.writeString(event.text());
-            } else if (entry instanceof Entry.Run run) {
+            } else if (entry instanceof AuditRecord.KeyedRun run) {
                 to.writeNumber(RUN);
                 to.writeNumber(run.version());
-                to.writeNumber(run.atMs());
+                to.writeNumber(run.atMillis());
                 to.writeString(run.token());
             }
             to.writeEndArray();
@@ -63,14 +63,14 @@
     }
 
     /** The record of these bytes; an {@link IllegalArgumentException} for what is none. */
-    static Entry entry(byte[] bytes) {
+    static AuditRecord decode(byte[] bytes) {
         try (CBORParser in = CBOR.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
                 throw new IllegalArgumentException("no record");
             }
             return switch ((int) number(in)) {
                 case SPAN ->
-                        new Entry.Span(
+                        new AuditRecord.VersionPeriod(
                                 number(in),
                                 text(in),
                                 number(in),
@@ -78,7 +78,7 @@
                                 number(in),
                                 operations(in));
                 case EVENT -> event(in);
-                case RUN -> new Entry.Run(number(in), number(in), text(in));
+                case RUN -> new AuditRecord.KeyedRun(number(in), number(in), text(in));
                 default -> throw new IllegalArgumentException("a record of another kind");
             };
         } catch (IOException e) {
@@ -86,23 +86,25 @@
         }
     }
 
-    private static Entry event(CBORParser in) throws IOException {
+    private static AuditRecord event(CBORParser in) throws IOException {
         long kind = number(in);
         if (kind < 0 || kind >= KINDS.length) {
             throw new IllegalArgumentException("an event of another kind");
         }
-        return new Entry.Event(KINDS[(int) kind], number(in), number(in), text(in));
+        return new AuditRecord.AuditEvent(KINDS[(int) kind], number(in), number(in), text(in));
     }
 
-    private static Map<String, Entry.Tally> operations(CBORParser in) throws IOException {
+    private static Map<String, AuditRecord.InvocationCounts> operations(CBORParser in)
+            throws IOException {
         if (in.nextToken() != JsonToken.START_ARRAY) {
             throw new IllegalArgumentException("no operations");
         }
-        Map<String, Entry.Tally> all = new TreeMap<>();
+        Map<String, AuditRecord.InvocationCounts> all = new TreeMap<>();
         while (in.nextToken() == JsonToken.VALUE_STRING && all.size() < MOST_OPERATIONS) {
             all.put(
                     in.getText(),
-                    new Entry.Tally(number(in), number(in), number(in), number(in), number(in)));
+                    new AuditRecord.InvocationCounts(
+                            number(in), number(in), number(in), number(in), number(in)));
         }
         return all;
     }
--- a/src/main/java/ochretiller/bounds/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Collections with an end. */
-package ochretiller.bounds;
--- a/src/main/java/ochretiller/budgets/Grant.java
+++ b/src/main/java/ochretiller/budgets/BudgetDecision.java
@@ -8,7 +8,7 @@
  * @param kind whose work it uses
  * @param backoff when to come back, for one that is refused; zero for others
  */
-public record Grant(Kind kind, Duration backoff) {
+public record BudgetDecision(Kind kind, Duration backoff) {
     /** Whose work is used. */
     public enum Kind {
         /** The team's own, which nobody can take from it. */
--- a/src/main/java/ochretiller/budgets/Budgets.java
+++ b/src/main/java/ochretiller/budgets/Budgets.java
@@ -1,7 +1,7 @@
 package ochretiller.budgets;
 
-import static ochretiller.spans.Spans.seconds;
-import static ochretiller.spans.Spans.span;
+import static ochretiller.time.Durations.inSeconds;
+import static ochretiller.time.Durations.ofSeconds;
 
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -37,7 +37,7 @@
     private static final Duration SHORTEST = Duration.ofMillis(10);
 
     private final double capacity;
-    private final Map<TeamId, Purse> purses = new LinkedHashMap<>();
+    private final Map<TeamId, TokenBucket> purses = new LinkedHashMap<>();
     private final Map<TeamId, Duration> wanted = new LinkedHashMap<>();
     private double idle;
     private double promised;
@@ -59,11 +59,11 @@
     /**
      * Promises hold from here on, all in one step; what a team has in hand or owes stays its own.
      */
-    public void become(Map<TeamId, Promise> promises, Duration now) {
+    public void become(Map<TeamId, GuaranteedRate> promises, Duration now) {
         if (promises.size() > MOST) {
             throw new IllegalArgumentException("over " + MOST + " teams");
         }
-        double sum = promises.values().stream().mapToDouble(Promise::rate).sum();
+        double sum = promises.values().stream().mapToDouble(GuaranteedRate::rate).sum();
         if (sum > capacity * (1 + 1e-9)) {
             throw new IllegalArgumentException(
                     "promises of "
@@ -76,7 +76,8 @@
         wanted.keySet().retainAll(promises.keySet());
         promises.forEach(
                 (team, promise) -> {
-                    Purse purse = purses.computeIfAbsent(team, id -> new Purse(promise, now));
+                    TokenBucket purse =
+                            purses.computeIfAbsent(team, id -> new TokenBucket(promise, now));
                     purse.promise = promise;
                     purse.fill(now);
                 });
@@ -87,41 +88,43 @@
         if (now.equals(filledAt)) {
             return; // many ask in one gathering, and no time has passed between them
         }
-        idle += Math.max(0, seconds(now.minus(filledAt))) * (capacity - promised);
+        idle += Math.max(0, inSeconds(now.minus(filledAt))) * (capacity - promised);
         filledAt = now;
-        for (Purse purse : purses.values()) {
+        for (TokenBucket purse : purses.values()) {
             idle += purse.fill(now);
         }
         idle = Math.min(idle, capacity * IDLE_S);
     }
 
     /** A first try of so much expected work, reading included. Whoever is not known has nothing. */
-    public Grant ask(TeamId team, double work, Duration now) {
+    public BudgetDecision ask(TeamId team, double work, Duration now) {
         fill(now);
-        Purse purse = purses.get(team);
+        TokenBucket purse = purses.get(team);
         if (purse == null) {
-            return new Grant(Grant.Kind.REFUSED, LONGEST);
+            return new BudgetDecision(BudgetDecision.Kind.REFUSED, LONGEST);
         }
         if (purse.affords(work)) {
             purse.takes(work);
-            return new Grant(Grant.Kind.PROMISED, Duration.ZERO);
+            return new BudgetDecision(BudgetDecision.Kind.PROMISED, Duration.ZERO);
         }
         if (lends(team, purse, work, now)) {
             idle -= work;
             purse.takesLent(work);
-            return new Grant(Grant.Kind.LENT, Duration.ZERO);
+            return new BudgetDecision(BudgetDecision.Kind.LENT, Duration.ZERO);
         }
         return refused(purse, work);
     }
 
     /** One that asks again is charged to its own retries, and to its work as a first try is. */
-    public Grant askAgain(TeamId team, double work, Duration now) {
-        Purse purse = purses.get(team);
+    public BudgetDecision askAgain(TeamId team, double work, Duration now) {
+        TokenBucket purse = purses.get(team);
         if (purse == null || !purse.affordsRetry(work)) {
             fill(now);
-            return purse == null ? new Grant(Grant.Kind.REFUSED, LONGEST) : refused(purse, work);
+            return purse == null
+                    ? new BudgetDecision(BudgetDecision.Kind.REFUSED, LONGEST)
+                    : refused(purse, work);
         }
-        Grant grant = ask(team, work, now);
+        BudgetDecision grant = ask(team, work, now);
         if (grant.given()) {
             purse.takesRetry(work * (1 + purse.promise.retryShare())); // it earns no retries itself
         }
@@ -131,7 +134,7 @@
     /**
      * By weight among those that want it: who has had least is never behind by more than a little.
      */
-    private boolean lends(TeamId team, Purse purse, double work, Duration now) {
+    private boolean lends(TeamId team, TokenBucket purse, double work, Duration now) {
         if (purse.promise.weight() == 0) {
             return false;
         }
@@ -153,17 +156,18 @@
                 && purse.lent <= least + capacity * AHEAD_S / purse.promise.weight();
     }
 
-    private Grant refused(Purse purse, double work) {
+    private BudgetDecision refused(TokenBucket purse, double work) {
         double own = purse.wait(work);
-        Duration back = own > seconds(LONGEST) ? LONGEST : span(own);
-        return new Grant(Grant.Kind.REFUSED, back.compareTo(SHORTEST) < 0 ? SHORTEST : back);
+        Duration back = own > inSeconds(LONGEST) ? LONGEST : ofSeconds(own);
+        return new BudgetDecision(
+                BudgetDecision.Kind.REFUSED, back.compareTo(SHORTEST) < 0 ? SHORTEST : back);
     }
 
     /**
      * A run is over: what it cost beside what was expected is its team's to pay, or to have back.
      */
     public void settle(TeamId team, double expected, double cost, Duration now) {
-        Purse purse = purses.get(team);
+        TokenBucket purse = purses.get(team);
         if (purse == null) {
             return;
         }
--- a/src/main/java/ochretiller/budgets/Promise.java
+++ b/src/main/java/ochretiller/budgets/GuaranteedRate.java
@@ -9,9 +9,9 @@
  * @param retryShare work of further tries for each of first ones
  * @param retryBurst work of further tries that may be saved up
  */
-public record Promise(
+public record GuaranteedRate(
         double rate, double burst, double weight, double retryShare, double retryBurst) {
-    public Promise {
+    public GuaranteedRate {
         if (!(rate >= 0 && burst >= 0 && weight >= 0 && retryShare >= 0 && retryBurst >= 0)) {
             throw new IllegalArgumentException("no promise: a part of it is negative or no number");
         }
--- a/src/main/java/ochretiller/budgets/Purse.java
+++ b/src/main/java/ochretiller/budgets/TokenBucket.java
@@ -1,12 +1,12 @@
 package ochretiller.budgets;
 
-import static ochretiller.spans.Spans.seconds;
+import static ochretiller.time.Durations.inSeconds;
 
 import java.time.Duration;
 
 /** What one team has in hand. */
-final class Purse {
-    Promise promise;
+final class TokenBucket {
+    GuaranteedRate promise;
 
     /** Its own work in hand; under zero it owes for work that cost more than was expected. */
     private double own;
@@ -17,7 +17,7 @@
     /** Work lent to it, over its weight: who has least is next. */
     double lent;
 
-    Purse(Promise promise, Duration now) {
+    TokenBucket(GuaranteedRate promise, Duration now) {
         this.promise = promise;
         this.own = promise.burst();
         this.retries = promise.retryBurst();
@@ -26,7 +26,7 @@
 
     /** Adds what time has brought; tells what it cannot keep, which is idle. */
     double fill(Duration now) {
-        double span = Math.max(0, seconds(now.minus(filledAt)));
+        double span = Math.max(0, inSeconds(now.minus(filledAt)));
         filledAt = now;
         double filled = own + span * promise.rate();
         own = Math.min(filled, promise.burst());
--- a/src/main/java/ochretiller/bounds/Bounded.java
+++ b/src/main/java/ochretiller/collections/BoundedMap.java
@@ -1,19 +1,19 @@
-package ochretiller.bounds;
+package ochretiller.collections;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** Maps that hold so many at most; one more takes the place of the eldest. */
-public final class Bounded {
-    private Bounded() {}
+public final class BoundedMap {
+    private BoundedMap() {}
 
     /** The eldest is what was asked for or put longest ago. */
-    public static <K, V> Map<K, V> byUse(int most) {
+    public static <K, V> Map<K, V> evictingLeastRecentlyUsed(int most) {
         return new Of<>(most, true);
     }
 
     /** The eldest is what was put first. */
-    public static <K, V> Map<K, V> byAge(int most) {
+    public static <K, V> Map<K, V> evictingOldest(int most) {
         return new Of<>(most, false);
     }
 
--- /dev/null
+++ b/src/main/java/ochretiller/collections/package-info.java
@@ -0,0 +1,2 @@
+/** Collections with an end. */
+package ochretiller.collections;
--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -13,10 +13,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import ochretiller.audit.Chain;
-import ochretiller.audit.Entry;
-import ochretiller.audit.Timeline;
-import ochretiller.audit.files.AuditFolder;
+import ochretiller.audit.AuditRecord;
+import ochretiller.audit.FleetTimeline;
+import ochretiller.audit.HashChain;
+import ochretiller.audit.files.AuditLogReader;
 import ochretiller.settings.MalformedException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -67,29 +67,30 @@
         @Option(names = "--json", description = "JSON instead of text.")
         private boolean json;
 
-        private final Map<String, AuditFolder.Found> found = new LinkedHashMap<>();
+        private final Map<String, AuditLogReader.AuditLog> found = new LinkedHashMap<>();
 
         /** Reads all of it; what each server's audit knows of another's is held against that. */
         What read() throws IOException {
-            Map<String, List<Chain.Head>> known = new LinkedHashMap<>();
+            Map<String, List<HashChain.ChainHead>> known = new LinkedHashMap<>();
             for (Map.Entry<String, Path> each : folders.entrySet()) {
                 if (!Files.isDirectory(each.getValue())) {
                     throw new MalformedException("there is no folder " + each.getValue());
                 }
-                Timeline.witnessed(AuditFolder.read(each.getValue(), List.of()).entries(), known);
+                FleetTimeline.collectWitnessedHeads(
+                        AuditLogReader.read(each.getValue(), List.of()).decodedRecords(), known);
             }
             for (Map.Entry<String, Path> each : folders.entrySet()) {
                 found.put(
                         each.getKey(),
-                        AuditFolder.read(
+                        AuditLogReader.read(
                                 each.getValue(), known.getOrDefault(each.getKey(), List.of())));
             }
             return this;
         }
 
-        Timeline line() {
-            Timeline line = new Timeline();
-            found.forEach((name, each) -> line.add(name, each.entries()));
+        FleetTimeline line() {
+            FleetTimeline line = new FleetTimeline();
+            found.forEach((name, each) -> line.addServer(name, each.decodedRecords()));
             return line;
         }
 
@@ -102,8 +103,8 @@
                 return time(from);
             }
             return found.values().stream()
-                    .flatMap(each -> each.entries().stream())
-                    .mapToLong(Entry::fromMs)
+                    .flatMap(each -> each.decodedRecords().stream())
+                    .mapToLong(AuditRecord::startMillis)
                     .min()
                     .orElse(0);
         }
@@ -113,8 +114,8 @@
                 return time(until);
             }
             return found.values().stream()
-                    .flatMap(each -> each.entries().stream())
-                    .mapToLong(Entry::toMs)
+                    .flatMap(each -> each.decodedRecords().stream())
+                    .mapToLong(AuditRecord::endMillis)
                     .max()
                     .orElse(0);
         }
@@ -157,7 +158,7 @@
                         (name, each) -> {
                             ObjectNode one =
                                     all.putObject(name)
-                                            .put("records", each.links().size())
+                                            .put("records", each.records().size())
                                             .put("last", each.head().number())
                                             .put("hash", each.head().hash());
                             ArrayNode faults = one.putArray("faults");
@@ -166,7 +167,7 @@
                                             fault ->
                                                     faults.addObject()
                                                             .put("record", fault.number())
-                                                            .put("what", fault.text()));
+                                                            .put("what", fault.description()));
                             if (what.json) {
                                 return;
                             }
@@ -174,7 +175,7 @@
                                     Locale.ROOT,
                                     "%s: %d records, the last is %d %s%n",
                                     name,
-                                    each.links().size(),
+                                    each.records().size(),
                                     each.head().number(),
                                     each.faults().isEmpty() ? "; whole" : "");
                             each.faults()
@@ -184,7 +185,7 @@
                                                             "  record "
                                                                     + fault.number()
                                                                     + ' '
-                                                                    + fault.text()));
+                                                                    + fault.description()));
                         });
         if (what.json) {
             out.println(all);
@@ -202,8 +203,8 @@
                     long version,
             @CommandLine.Mixin What what)
             throws IOException {
-        Map<String, Timeline.Known> who =
-                what.read().line().who(version, what.from(), what.until());
+        Map<String, FleetTimeline.VersionStatus> who =
+                what.read().line().serversOnVersion(version, what.from(), what.until());
         PrintWriter out = spec.commandLine().getOut();
         if (what.json) {
             ObjectNode all = JSON.createObjectNode();
@@ -216,15 +217,15 @@
                                     name
                                             + ' '
                                             + switch (known) {
-                                                case ACTED -> "acted on it";
-                                                case SHUT_OUT ->
+                                                case ACTIVE -> "acted on it";
+                                                case FENCED ->
                                                         "was on it, and shut out from keyed work";
                                                 case UNKNOWN ->
                                                         "may have: not all of its time is known";
                                             }));
         }
         out.flush();
-        return end(what, who.containsValue(Timeline.Known.UNKNOWN));
+        return end(what, who.containsValue(FleetTimeline.VersionStatus.UNKNOWN));
     }
 
     @Command(
@@ -232,47 +233,48 @@
             mixinStandardHelpOptions = true,
             description = "What each server acted on, stretch by stretch.")
     int when(@CommandLine.Mixin What what) throws IOException {
-        List<Timeline.Stretch> all = what.read().line().between(what.from(), what.until());
+        List<FleetTimeline.TimelineInterval> all =
+                what.read().line().intervals(what.from(), what.until());
         stretches(what, all);
         return end(what, false);
     }
 
     @Command(name = "gaps", mixinStandardHelpOptions = true, description = "What is not known.")
     int gaps(@CommandLine.Mixin What what) throws IOException {
-        List<Timeline.Stretch> gaps =
-                what.read().line().between(what.from(), what.until()).stream()
-                        .filter(each -> each.known() == Timeline.Known.UNKNOWN)
+        List<FleetTimeline.TimelineInterval> gaps =
+                what.read().line().intervals(what.from(), what.until()).stream()
+                        .filter(each -> each.status() == FleetTimeline.VersionStatus.UNKNOWN)
                         .toList();
         stretches(what, gaps);
         return end(what, !gaps.isEmpty());
     }
 
-    private void stretches(What what, List<Timeline.Stretch> all) {
+    private void stretches(What what, List<FleetTimeline.TimelineInterval> all) {
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode array = JSON.createArrayNode();
-        for (Timeline.Stretch each : all) {
+        for (FleetTimeline.TimelineInterval each : all) {
             array.addObject()
                     .put("server", each.server())
-                    .put("from", each.fromMs())
-                    .put("until", each.toMs())
-                    .put("known", each.known().externalName())
+                    .put("from", each.startMillis())
+                    .put("until", each.endMillis())
+                    .put("known", each.status().externalName())
                     .put("version", each.version())
                     .put("text", each.text());
             if (what.json) {
                 continue;
             }
             String acted =
-                    switch (each.known()) {
-                        case ACTED -> "version " + each.version();
-                        case SHUT_OUT -> "version " + each.version() + ", shut out from keyed work";
+                    switch (each.status()) {
+                        case ACTIVE -> "version " + each.version();
+                        case FENCED -> "version " + each.version() + ", shut out from keyed work";
                         case UNKNOWN -> "not known";
                     };
             out.printf(
                     Locale.ROOT,
                     "%-16s %s to %s  %s%s%n",
                     each.server(),
-                    at(each.fromMs()),
-                    at(each.toMs()),
+                    at(each.startMillis()),
+                    at(each.endMillis()),
                     acted,
                     each.text().isEmpty() ? "" : "; " + each.text());
         }
@@ -289,19 +291,19 @@
     int token(
             @Option(names = "--token", required = true) String token, @CommandLine.Mixin What what)
             throws IOException {
-        List<Timeline.Ran> runs = what.read().line().token(token);
+        List<FleetTimeline.TokenRun> runs = what.read().line().runsOfToken(token);
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode array = JSON.createArrayNode();
-        for (Timeline.Ran each : runs) {
+        for (FleetTimeline.TokenRun each : runs) {
             array.addObject()
                     .put("server", each.server())
                     .put("version", each.version())
-                    .put("at", each.atMs());
+                    .put("at", each.atMillis());
             if (!what.json) {
                 out.printf(
                         Locale.ROOT,
                         "%s  %s under version %d%n",
-                        at(each.atMs()),
+                        at(each.atMillis()),
                         each.server(),
                         each.version());
             }
@@ -320,7 +322,7 @@
             mixinStandardHelpOptions = true,
             description = "Who acted on something older than others did, and for how long.")
     int behind(@CommandLine.Mixin What what) throws IOException {
-        Map<String, Long> behind = what.read().line().behind(what.from(), what.until());
+        Map<String, Long> behind = what.read().line().stragglerMillis(what.from(), what.until());
         PrintWriter out = spec.commandLine().getOut();
         if (what.json) {
             out.println(JSON.valueToTree(behind).toString());
@@ -341,8 +343,9 @@
             @Option(names = "--out", required = true, description = "The page.") Path page,
             @CommandLine.Mixin What what)
             throws IOException {
-        List<Timeline.Stretch> all = what.read().line().between(what.from(), what.until());
-        Files.writeString(page, Lanes.page(all, what.from(), what.until()));
+        List<FleetTimeline.TimelineInterval> all =
+                what.read().line().intervals(what.from(), what.until());
+        Files.writeString(page, VersionTimelineChart.page(all, what.from(), what.until()));
         return end(what, false);
     }
 }
--- a/src/main/java/ochretiller/commands/CopiesCommand.java
+++ b/src/main/java/ochretiller/commands/CopiesCommand.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ochretiller.fleet.members.State;
-import ochretiller.fleet.peers.FleetClient;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.transport.AdminClient;
 import ochretiller.settings.MalformedException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -50,12 +50,12 @@
 
     private static JsonNode ask(FleetCommand.Whom whom, String word, String with)
             throws IOException {
-        try (FleetClient client = whom.dial()) {
+        try (AdminClient client = whom.dial()) {
             return answer(client, word, with);
         }
     }
 
-    private static JsonNode answer(FleetClient client, String word, String with)
+    private static JsonNode answer(AdminClient client, String word, String with)
             throws IOException {
         JsonNode told = JSON.readTree(client.ask(word, with));
         if (told.has("copies") && !told.get("copies").asBoolean()) {
@@ -196,10 +196,10 @@
     }
 
     private static Map<String, String> addresses(FleetCommand.Whom whom) throws IOException {
-        try (FleetClient client = whom.dial()) {
+        try (AdminClient client = whom.dial()) {
             Map<String, String> all = new HashMap<>();
             for (JsonNode each : JSON.readTree(client.ask("view")).get("members")) {
-                if (each.get("state").asText().equals(State.HERE.externalName())) {
+                if (each.get("state").asText().equals(MemberState.ALIVE.externalName())) {
                     all.put(each.get("name").asText(), each.get("address").asText());
                 }
             }
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -13,12 +13,12 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import ochretiller.fleet.epochs.Rollout;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.peers.FleetClient;
-import ochretiller.fleet.peers.FleetKeys;
-import ochretiller.fleet.peers.FleetSettings;
-import ochretiller.operator.OperatorFile;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.service.FleetSettings;
+import ochretiller.fleet.transport.AdminClient;
+import ochretiller.fleet.transport.FleetKeys;
+import ochretiller.operator.OperatorConfigReader;
 import ochretiller.settings.MalformedException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -36,8 +36,8 @@
     private static final int LOOK_MS = 250;
 
     private static final int FAILED = 1;
-    private static final String DONE = Rollout.State.DONE.externalName();
-    private static final String HALTED = Rollout.State.HALTED.externalName();
+    private static final String DONE = RolloutState.Phase.DONE.externalName();
+    private static final String HALTED = RolloutState.Phase.HALTED.externalName();
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -70,22 +70,22 @@
             return other;
         }
 
-        FleetClient dial() throws IOException {
+        AdminClient dial() throws IOException {
             FleetSettings settings =
-                    OperatorFile.read(operator)
+                    OperatorConfigReader.read(operator)
                             .fleet()
                             .orElseThrow(() -> new MalformedException(operator + " has no fleet"));
             InetSocketAddress address = settings.listen();
             if (at != null) {
                 try {
-                    Address told = Address.of(at);
+                    PeerAddress told = PeerAddress.parse(at);
                     address = new InetSocketAddress(told.host(), told.port());
                 } catch (IllegalArgumentException e) {
                     throw new MalformedException("--at is no address: '" + at + "'");
                 }
             }
             try {
-                return new FleetClient(
+                return new AdminClient(
                         address, settings.fleet(), FleetKeys.read(settings.keyFile()));
             } catch (IOException e) {
                 throw new IOException(
@@ -139,7 +139,7 @@
     }
 
     private static JsonNode ask(Whom whom, String word) throws IOException {
-        try (FleetClient client = whom.dial()) {
+        try (AdminClient client = whom.dial()) {
             return JSON.readTree(client.ask(word));
         }
     }
@@ -222,7 +222,7 @@
                     int times)
             throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        try (FleetClient client = whom.dial()) {
+        try (AdminClient client = whom.dial()) {
             long[] micros = new long[Math.max(1, Math.min(99, times))];
             for (int i = 0; i < micros.length; i++) {
                 long began = System.nanoTime();
@@ -278,7 +278,7 @@
             }
         }
         JsonNode told;
-        try (FleetClient client = whom.dial()) {
+        try (AdminClient client = whom.dial()) {
             told =
                     JSON.readTree(
                             client.ask(
@@ -439,7 +439,7 @@
 
     private int steer(Whom whom, String word) throws IOException {
         JsonNode told;
-        try (FleetClient client = whom.dial()) {
+        try (AdminClient client = whom.dial()) {
             told = JSON.readTree(client.ask("version-" + word, System.getProperty("user.name")));
         }
         if (refused(whom, told)) {
@@ -461,7 +461,7 @@
             throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         String name;
-        try (FleetClient client = whom.dial()) {
+        try (AdminClient client = whom.dial()) {
             name = client.name();
             client.ask("leave");
         }
--- a/src/main/java/ochretiller/commands/StoreCommand.java
+++ b/src/main/java/ochretiller/commands/StoreCommand.java
@@ -6,11 +6,11 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.function.Consumer;
-import ochretiller.fleet.peers.KeeperDisk;
-import ochretiller.remembered.Mark;
-import ochretiller.store.Disk;
-import ochretiller.store.Inspect;
-import ochretiller.store.RealDisk;
+import ochretiller.fleet.service.ReplicaStorage;
+import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.store.LocalDirectory;
+import ochretiller.store.StorageDirectory;
+import ochretiller.store.StoreInspector;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -42,8 +42,8 @@
                 description = "No progress on standard error.")
         boolean quiet;
 
-        Disk disk() {
-            return new RealDisk(folder);
+        StorageDirectory disk() {
+            return new LocalDirectory(folder);
         }
 
         /**
@@ -68,25 +68,25 @@
         System.out.println(text);
     }
 
-    private static ObjectNode report(Inspect.Report report) {
+    private static ObjectNode report(StoreInspector.StoreReport report) {
         ObjectNode all = JSON.createObjectNode();
-        all.put("good", report.good())
+        all.put("good", report.isUndamaged())
                 .put("entries", report.entries())
                 .put("bytes", report.bytes())
-                .put("unfinished", report.unfinished());
+                .put("unfinished", report.tornBytes());
         ArrayNode files = all.putArray("files");
-        for (Inspect.File file : report.files()) {
+        for (StoreInspector.SegmentReport file : report.segments()) {
             files.addObject()
                     .put("name", file.name())
                     .put("bytes", file.bytes())
                     .put("records", file.records())
-                    .put("dead", file.dead())
+                    .put("dead", file.deadBytes())
                     .put("sealed", file.sealed())
                     .put("damaged", file.damaged());
         }
         report.damage().forEach(all.putArray("damage")::add);
-        report.useless().forEach(all.putArray("useless")::add);
-        report.foreign().forEach(all.putArray("foreign")::add);
+        report.leftoverFiles().forEach(all.putArray("useless")::add);
+        report.unknownFiles().forEach(all.putArray("foreign")::add);
         return all;
     }
 
@@ -95,26 +95,28 @@
             description = "Read every byte; 0 where all is good, 3 where something is damaged.",
             mixinStandardHelpOptions = true)
     int verify(@CommandLine.Mixin Common common) throws IOException {
-        Inspect.Report report = Inspect.verify(common.disk(), common.progress("reads"));
+        StoreInspector.StoreReport report =
+                StoreInspector.verify(common.disk(), common.progress("reads"));
         if (common.json) {
             say(report(report));
         } else {
             report.damage().forEach(line -> say("damage: " + line));
-            report.useless().forEach(name -> say("half: " + name + ", deleted at the next start"));
-            report.foreign().forEach(name -> say("not the store's: " + name));
-            if (report.unfinished() > 0) {
+            report.leftoverFiles()
+                    .forEach(name -> say("half: " + name + ", deleted at the next start"));
+            report.unknownFiles().forEach(name -> say("not the store's: " + name));
+            if (report.tornBytes() > 0) {
                 say(
-                        report.unfinished()
+                        report.tornBytes()
                                 + " bytes were never written to their record's end: harmless");
             }
             say(
-                    (report.good() ? "good: " : "DAMAGED: ")
+                    (report.isUndamaged() ? "good: " : "DAMAGED: ")
                             + report.entries()
                             + " entries in "
-                            + report.files().size()
+                            + report.segments().size()
                             + " files");
         }
-        return report.good() ? 0 : DAMAGED;
+        return report.isUndamaged() ? 0 : DAMAGED;
     }
 
     @Command(
@@ -122,20 +124,21 @@
             description = "Sizes of the files and of what is dead in them.",
             mixinStandardHelpOptions = true)
     int stat(@CommandLine.Mixin Common common) throws IOException {
-        Inspect.Report report = Inspect.verify(common.disk(), common.progress("reads"));
+        StoreInspector.StoreReport report =
+                StoreInspector.verify(common.disk(), common.progress("reads"));
         if (common.json) {
             say(report(report));
             return 0;
         }
         say(String.format("%-24s %12s %9s %12s  %s", "file", "bytes", "records", "dead", "state"));
-        for (Inspect.File file : report.files()) {
+        for (StoreInspector.SegmentReport file : report.segments()) {
             say(
                     String.format(
                             "%-24s %12d %9d %12d  %s",
                             file.name(),
                             file.bytes(),
                             file.records(),
-                            file.dead(),
+                            file.deadBytes(),
                             file.damaged() ? "damaged" : file.sealed() ? "sealed" : "open"));
         }
         say(report.entries() + " entries, " + report.bytes() + " bytes");
@@ -147,20 +150,20 @@
             description = "What is remembered, a line each.",
             mixinStandardHelpOptions = true)
     int list(@CommandLine.Mixin Common common) throws IOException {
-        Inspect.list(
+        StoreInspector.list(
                 common.disk(),
                 item -> {
-                    Mark mark = Mark.of(item.key(), item.meta());
+                    IdempotencyRecord mark = IdempotencyRecord.decode(item.key(), item.metadata());
                     if (common.json) {
                         ObjectNode line = JSON.createObjectNode();
                         if (mark != null) {
                             line.put("token", mark.token())
-                                    .put("state", mark.state().externalName())
+                                    .put("state", mark.progress().externalName())
                                     .put("operation", mark.operation())
-                                    .put("rid", mark.rid())
-                                    .put("until", mark.until());
+                                    .put("rid", mark.runId())
+                                    .put("until", mark.windowEndsAtMillis());
                         } else {
-                            String about = KeeperDisk.about(item.key());
+                            String about = ReplicaStorage.about(item.key());
                             if (about == null) {
                                 line.put("key", item.key());
                             } else {
@@ -168,12 +171,12 @@
                             }
                         }
                         say(
-                                line.put("expires", item.expires())
+                                line.put("expires", item.expiresAtMillis())
                                         .put("file", item.file())
-                                        .put("at", item.at())
+                                        .put("at", item.offset())
                                         .put("bytes", item.bytes()));
                     } else if (mark == null) {
-                        String about = KeeperDisk.about(item.key());
+                        String about = ReplicaStorage.about(item.key());
                         say(
                                 (about == null
                                                 ? "a key of "
@@ -183,16 +186,16 @@
                                         + ", in "
                                         + item.file()
                                         + " at "
-                                        + item.at());
+                                        + item.offset());
                     } else {
                         say(
                                 mark.token()
                                         + " "
-                                        + mark.state().externalName()
+                                        + mark.progress().externalName()
                                         + " "
                                         + mark.operation()
                                         + " run "
-                                        + mark.rid()
+                                        + mark.runId()
                                         + ", "
                                         + item.bytes()
                                         + " bytes in "
@@ -207,7 +210,7 @@
             description = "Copy what is live and drop the rest; the store must not be in use.",
             mixinStandardHelpOptions = true)
     int compact(@CommandLine.Mixin Common common) throws IOException {
-        long[] bytes = Inspect.compact(common.disk(), common.progress("copies"));
+        long[] bytes = StoreInspector.compact(common.disk(), common.progress("copies"));
         if (common.json) {
             say(JSON.createObjectNode().put("before", bytes[0]).put("after", bytes[1]));
         } else {
--- a/src/main/java/ochretiller/commands/TryCommand.java
+++ b/src/main/java/ochretiller/commands/TryCommand.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import ochretiller.node.Logs;
-import ochretiller.node.Node;
-import ochretiller.operator.Operator;
-import ochretiller.operator.OperatorFile;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.StandIns;
-import ochretiller.standin.Wire;
-import ochretiller.store.RealDisk;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.FakeServices;
+import ochretiller.fakes.GatewayMessages;
+import ochretiller.node.LoggingSetup;
+import ochretiller.node.ServerNode;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.operator.OperatorConfigReader;
+import ochretiller.store.LocalDirectory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -62,14 +62,14 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Logs.install();
+        LoggingSetup.install();
         if (!log) {
             Logger.getLogger("").setLevel(Level.WARNING);
         }
         int listen = port != 0 ? port : freePort();
         CountDownLatch linked = new CountDownLatch(1);
-        StandIns outside =
-                new StandIns(
+        FakeServices outside =
+                new FakeServices(
                         "127.0.0.1",
                         new int[3],
                         line -> {
@@ -89,20 +89,20 @@
         Path config = Files.createTempFile("ochretiller-try", ".json");
         Files.writeString(
                 config,
-                Gateways.config(
+                GatewayMessages.config(
                                 listen,
                                 outside.processorPort(),
                                 outside.recordsPort(),
                                 outside.rosterPort())
                         .replace("\"windowNs\":10000000000", "\"windowNs\":600000000000"));
         config.toFile().deleteOnExit();
-        Operator operator = operator();
-        Node node =
-                new Node(
+        OperatorConfig operator = operator();
+        ServerNode node =
+                new ServerNode(
                         config,
                         operator,
                         operator.remember()
-                                .map(remember -> new RealDisk(remember.folder()))
+                                .map(remember -> new LocalDirectory(remember.folder()))
                                 .orElse(null));
         node.prepare();
         node.listen();
@@ -126,7 +126,7 @@
         return 0;
     }
 
-    private static void drain(Node node) {
+    private static void drain(ServerNode node) {
         try {
             node.drain();
         } catch (InterruptedException e) {
@@ -134,16 +134,16 @@
         }
     }
 
-    private Operator operator() throws IOException {
+    private OperatorConfig operator() throws IOException {
         if (folder == null) {
-            return Operator.NONE;
+            return OperatorConfig.NONE;
         }
         Path file = Files.createTempFile("ochretiller-try", ".json5");
         String quoted =
                 folder.toAbsolutePath().toString().replace("\\", "\\\\").replace("'", "\\'");
         Files.writeString(file, "{ remember: { folder: '" + quoted + "' } }");
         try {
-            return OperatorFile.read(file);
+            return OperatorConfigReader.read(file);
         } finally {
             Files.delete(file);
         }
@@ -160,11 +160,12 @@
                 "serves on 127.0.0.1:"
                         + listen
                         + "; its processor, records service and roster are stand-ins here");
-        try (Wire gateway = new Wire(new Socket("127.0.0.1", listen))) {
+        try (FakeConnection gateway = new FakeConnection(new Socket("127.0.0.1", listen))) {
             for (int id = 1; id <= 2; id++) {
                 String rid = String.format("%08x%08x", (int) System.nanoTime(), id);
                 String request =
-                        Gateways.message(id, "order", Gateways.params(rid, TOKEN, "two bolts, M8"));
+                        GatewayMessages.message(
+                                id, "order", GatewayMessages.params(rid, TOKEN, "two bolts, M8"));
                 System.out.println(
                         (id == 1 ? "a keyed request:   " : "its repeat:        ") + request.trim());
                 String answer = gateway.send(request).line();
@@ -176,7 +177,8 @@
         // Its time is the moment of sending: a request that is older than its client waits is
         // turned away unrun.
         String byHand =
-                Gateways.message(1, "order", Gateways.params("$R", 0, "$R$R", "by hand"))
+                GatewayMessages.message(
+                                1, "order", GatewayMessages.params("$R", 0, "$R$R", "by hand"))
                         .trim()
                         .replace("\"", "\\\"")
                         .replace("\"t0\\\":0", "\"t0\\\":$(date +%s%3N)");
--- a/src/main/java/ochretiller/commands/Lanes.java
+++ b/src/main/java/ochretiller/commands/VersionTimelineChart.java
@@ -7,19 +7,19 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.TreeSet;
-import ochretiller.audit.Timeline;
+import ochretiller.audit.FleetTimeline;
 
 /**
  * Stretches of servers' time as a page with a drawing: a lane a server, a colour a version, what is
  * not known hatched.
  */
-final class Lanes {
+final class VersionTimelineChart {
     private static final int WIDTH = 900;
     private static final int LEFT = 140;
     private static final int LANE = 26;
     private static final int TOP = 30;
 
-    private Lanes() {}
+    private VersionTimelineChart() {}
 
     private static String colour(long version) {
         return version == 0
@@ -38,12 +38,12 @@
                 .replace("\"", "&quot;");
     }
 
-    static String page(List<Timeline.Stretch> all, long fromMs, long untilMs) {
+    static String page(List<FleetTimeline.TimelineInterval> all, long fromMs, long untilMs) {
         Set<String> lanes = new LinkedHashSet<>();
         Set<Long> versions = new TreeSet<>();
-        for (Timeline.Stretch each : all) {
+        for (FleetTimeline.TimelineInterval each : all) {
             lanes.add(each.server());
-            if (each.known() != Timeline.Known.UNKNOWN) {
+            if (each.status() != FleetTimeline.VersionStatus.UNKNOWN) {
                 versions.add(each.version());
             }
         }
@@ -79,18 +79,18 @@
                             TOP + LANE * i + 16,
                             text(order.get(i))));
         }
-        for (Timeline.Stretch each : all) {
+        for (FleetTimeline.TimelineInterval each : all) {
             int y = TOP + LANE * order.indexOf(each.server());
             String fill =
-                    each.known() == Timeline.Known.UNKNOWN
+                    each.status() == FleetTimeline.VersionStatus.UNKNOWN
                             ? "url(#unknown)"
                             : colour(each.version());
             String what =
-                    each.known() == Timeline.Known.UNKNOWN
+                    each.status() == FleetTimeline.VersionStatus.UNKNOWN
                             ? "not known"
                             : "version "
                                     + each.version()
-                                    + (each.known() == Timeline.Known.SHUT_OUT
+                                    + (each.status() == FleetTimeline.VersionStatus.FENCED
                                             ? ", shut out from keyed work"
                                             : "");
             svg.append(
@@ -98,20 +98,20 @@
                             Locale.ROOT,
                             "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\""
                                     + " fill=\"%s\"%s><title>%s</title></rect>%n",
-                            LEFT + (each.fromMs() - fromMs) * perMs,
+                            LEFT + (each.startMillis() - fromMs) * perMs,
                             y,
-                            Math.max(1, (each.toMs() - each.fromMs()) * perMs),
+                            Math.max(1, (each.endMillis() - each.startMillis()) * perMs),
                             LANE - 6,
                             fill,
-                            each.known() == Timeline.Known.SHUT_OUT
+                            each.status() == FleetTimeline.VersionStatus.FENCED
                                     ? " stroke=\"#000\" stroke-width=\"2\" stroke-dasharray=\"3\""
                                     : "",
                             text(
                                     each.server()
                                             + ", "
-                                            + Instant.ofEpochMilli(each.fromMs())
+                                            + Instant.ofEpochMilli(each.startMillis())
                                             + " to "
-                                            + Instant.ofEpochMilli(each.toMs())
+                                            + Instant.ofEpochMilli(each.endMillis())
                                             + ": "
                                             + what
                                             + (each.text().isEmpty() ? "" : "; " + each.text()))));
--- a/src/main/java/ochretiller/contracts/Prefix.java
+++ b/src/main/java/ochretiller/contracts/AddressPrefix.java
@@ -6,12 +6,12 @@
  * @param bits the address, its host part zero
  * @param length bits that count, 0 to 32
  */
-record Prefix(int bits, int length) {
+record AddressPrefix(int bits, int length) {
     /**
      * From {@code 10.1.0.0/16} or a plain address; null for anything else, also where the host part
      * is not zero.
      */
-    static Prefix of(String text) {
+    static AddressPrefix of(String text) {
         int slash = text.indexOf('/');
         String[] parts = (slash < 0 ? text : text.substring(0, slash)).split("\\.", -1);
         if (parts.length != 4) {
@@ -32,7 +32,7 @@
             }
             length = Integer.parseInt(told);
         }
-        return (bits & ~mask(length)) == 0 ? new Prefix(bits, length) : null;
+        return (bits & ~mask(length)) == 0 ? new AddressPrefix(bits, length) : null;
     }
 
     private static int mask(int length) {
@@ -40,7 +40,7 @@
     }
 
     /** Whether one lies in the other. */
-    boolean meets(Prefix other) {
+    boolean meets(AddressPrefix other) {
         int mask = mask(Math.min(length, other.length));
         return (bits & mask) == (other.bits & mask);
     }
--- a/src/main/java/ochretiller/contracts/Contract.java
+++ b/src/main/java/ochretiller/contracts/Contract.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import ochretiller.budgets.Promise;
+import ochretiller.budgets.GuaranteedRate;
 import ochretiller.budgets.TeamId;
 
 /**
@@ -17,7 +17,7 @@
         List<String> known,
         List<Service> publishes,
         List<Call> calls,
-        Promise promise) {
+        GuaranteedRate promise) {
     /**
      * A service that the team serves.
      *
--- a/src/main/java/ochretiller/contracts/Contracts.java
+++ b/src/main/java/ochretiller/contracts/Contracts.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ochretiller.budgets.Promise;
+import ochretiller.budgets.GuaranteedRate;
 import ochretiller.budgets.TeamId;
 
 /**
@@ -31,8 +31,8 @@
     }
 
     /** What each team is promised, as budgets want it. */
-    public Map<TeamId, Promise> promises() {
-        Map<TeamId, Promise> promises = new LinkedHashMap<>();
+    public Map<TeamId, GuaranteedRate> promises() {
+        Map<TeamId, GuaranteedRate> promises = new LinkedHashMap<>();
         byTeam.forEach((team, contract) -> promises.put(team, contract.promise()));
         return promises;
     }
@@ -96,11 +96,11 @@
      * Whom an address belongs to must be certain: prefixes of two teams may not lie in one another.
      */
     private void known(List<String> faults) {
-        List<Prefix> prefixes = new ArrayList<>();
+        List<AddressPrefix> prefixes = new ArrayList<>();
         List<TeamId> owners = new ArrayList<>();
         for (Contract contract : byTeam.values()) {
             for (String text : contract.known()) {
-                Prefix prefix = Prefix.of(text);
+                AddressPrefix prefix = AddressPrefix.of(text);
                 if (prefix == null) {
                     faults.add(contract.team() + ": '" + text + "' is no address or prefix");
                     continue;
--- a/src/main/java/ochretiller/runs/package-info.java
+++ b/src/main/java/ochretiller/execution/package-info.java
@@ -1,4 +1,4 @@
 /**
  * What carries runs out: the port that the link to the processor and the pools of workers share.
  */
-package ochretiller.runs;
+package ochretiller.execution;
--- a/src/main/java/ochretiller/standin/Daemon.java
+++ b/src/main/java/ochretiller/fakes/DaemonThreads.java
@@ -1,4 +1,4 @@
-package ochretiller.standin;
+package ochretiller.fakes;
 
 import java.io.IOException;
 
@@ -6,14 +6,14 @@
  * Threads that stand-ins work on; the end of a socket ends them, and none keeps its process from
  * ending.
  */
-public final class Daemon {
+public final class DaemonThreads {
     /** What is done on one. */
     @FunctionalInterface
     public interface Work {
         void run() throws IOException, InterruptedException;
     }
 
-    private Daemon() {}
+    private DaemonThreads() {}
 
     public static void start(Work work) {
         Thread thread =
--- a/src/main/java/ochretiller/standin/Wire.java
+++ b/src/main/java/ochretiller/fakes/FakeConnection.java
@@ -1,4 +1,4 @@
-package ochretiller.standin;
+package ochretiller.fakes;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -8,22 +8,22 @@
 import java.nio.charset.StandardCharsets;
 
 /** A socket of a stand-in: text lines and counted bytes, all within a bounded time. */
-public final class Wire implements AutoCloseable {
+public final class FakeConnection implements AutoCloseable {
     private final Socket socket;
     private final InputStream in;
 
-    public Wire(Socket socket) throws IOException {
+    public FakeConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(10_000);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    public Wire send(String text) throws IOException {
+    public FakeConnection send(String text) throws IOException {
         return send(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    public Wire send(byte[] bytes) throws IOException {
+    public FakeConnection send(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
     }
--- a/src/main/java/ochretiller/standin/StandIns.java
+++ b/src/main/java/ochretiller/fakes/FakeServices.java
@@ -1,4 +1,4 @@
-package ochretiller.standin;
+package ochretiller.fakes;
 
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -17,7 +17,7 @@
  * A processor, a records service and a roster that do what the body of a request says, or what a
  * script is told to do.
  */
-public final class StandIns implements AutoCloseable {
+public final class FakeServices implements AutoCloseable {
     /** Notices that are told again to a new link; as many as the page says. */
     private static final int NOTICES = 4_000;
 
@@ -32,9 +32,9 @@
     private long noticed;
 
     /** The link of the processor and the connection for calls that were made last. */
-    public volatile Wire link;
+    public volatile FakeConnection link;
 
-    public volatile Wire calls;
+    public volatile FakeConnection calls;
 
     /** What the processor says as its greeting. */
     public volatile String greeting = "hi hot 3600000\r\n";
@@ -47,7 +47,7 @@
     /** Whether the processor is not up: a link is accepted and not greeted until {@link #speak}. */
     public volatile boolean silent;
 
-    private Wire ungreeted;
+    private FakeConnection ungreeted;
     private long ungreetedRead;
 
     /** What becomes of a run; by default its body says so. */
@@ -68,7 +68,7 @@
      * @param heard told of each command and call, on threads of the stand-ins
      * @param reports told of each report to the roster
      */
-    public StandIns(String host, int[] ports, Consumer<String> heard, Consumer<String> reports)
+    public FakeServices(String host, int[] ports, Consumer<String> heard, Consumer<String> reports)
             throws IOException {
         this.host = InetAddress.getByName(host);
         this.heard = heard;
@@ -83,16 +83,16 @@
 
     private void open(int[] ports) throws IOException {
         ServerSocket engine = processor = listen(ports[0]);
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     while (true) {
-                        Wire wire = new Wire(engine.accept());
-                        Daemon.start(() -> serveProcessor(wire));
+                        FakeConnection wire = new FakeConnection(engine.accept());
+                        DaemonThreads.start(() -> serveProcessor(wire));
                     }
                 });
         openRecords(ports[1]);
         DatagramSocket list = roster = new DatagramSocket(ports[2], host);
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     while (true) {
                         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
@@ -126,7 +126,7 @@
         return roster.getLocalPort();
     }
 
-    private void serveProcessor(Wire wire) throws IOException {
+    private void serveProcessor(FakeConnection wire) throws IOException {
         wire.patient();
         for (String line = wire.line(); line != null; line = wire.line()) {
             String[] words = line.split(" ");
@@ -159,7 +159,7 @@
         return begun.add(rid) || !keepsNotices;
     }
 
-    private synchronized void greet(Wire wire, long read) throws IOException {
+    private synchronized void greet(FakeConnection wire, long read) throws IOException {
         if (silent) {
             ungreeted = wire;
             ungreetedRead = read;
@@ -239,16 +239,16 @@
     /** The records service is back at this port. */
     public void openRecords(int port) throws IOException {
         ServerSocket service = records = listen(port);
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     while (true) {
-                        Wire wire = new Wire(service.accept());
-                        Daemon.start(() -> serveRecords(wire));
+                        FakeConnection wire = new FakeConnection(service.accept());
+                        DaemonThreads.start(() -> serveRecords(wire));
                     }
                 });
     }
 
-    private void serveRecords(Wire wire) throws IOException {
+    private void serveRecords(FakeConnection wire) throws IOException {
         wire.patient();
         calls = wire;
         for (String line = wire.line(); line != null; line = wire.line()) {
--- a/src/main/java/ochretiller/standin/WorkerStandIn.java
+++ b/src/main/java/ochretiller/fakes/FakeWorker.java
@@ -1,4 +1,4 @@
-package ochretiller.standin;
+package ochretiller.fakes;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -19,7 +19,7 @@
  * A uwsgi worker that does what it is told and notes what it ran. Its reading of the protocol is
  * its own, from the published page, so that it finds what the server's own coding gets wrong.
  */
-public final class WorkerStandIn implements AutoCloseable {
+public final class FakeWorker implements AutoCloseable {
     /** What it does with a request, once it has run it. */
     public enum Manner {
         ANSWERS,
@@ -50,7 +50,7 @@
     public volatile Script script;
 
     /** A worker on this port, or on a free one for 0. */
-    public WorkerStandIn(String host, int port, Script script) throws IOException {
+    public FakeWorker(String host, int port, Script script) throws IOException {
         this.host = InetAddress.getByName(host);
         this.script = script;
         listening = listen(port);
@@ -61,12 +61,12 @@
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(host, on), 200);
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     while (true) {
                         Socket accepted = socket.accept();
                         sockets.add(accepted);
-                        Daemon.start(() -> serve(accepted));
+                        DaemonThreads.start(() -> serve(accepted));
                     }
                 });
         return socket;
--- a/src/main/java/ochretiller/standin/FaultyDisk.java
+++ b/src/main/java/ochretiller/fakes/FaultyDirectory.java
@@ -1,4 +1,4 @@
-package ochretiller.standin;
+package ochretiller.fakes;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -8,19 +8,19 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
-import ochretiller.store.Disk;
+import ochretiller.store.StorageDirectory;
 
 /**
  * A disk with a fault for as long as a file is there that names it: {@code full}, where it takes
  * nothing, or {@code stall}, where it waits.
  */
-public final class FaultyDisk implements Disk {
+public final class FaultyDirectory implements StorageDirectory {
     private static final long LOOKS_NANOS = 5_000_000;
 
-    private final Disk disk;
+    private final StorageDirectory disk;
     private final Path fault;
 
-    public FaultyDisk(Disk disk, Path fault) {
+    public FaultyDirectory(StorageDirectory disk, Path fault) {
         this.disk = disk;
         this.fault = fault;
     }
@@ -44,22 +44,22 @@
     }
 
     @Override
-    public Closeable lock() throws IOException {
-        return disk.lock();
+    public Closeable acquireLock() throws IOException {
+        return disk.acquireLock();
     }
 
     @Override
-    public List<String> list() throws IOException {
-        return disk.list();
+    public List<String> listFiles() throws IOException {
+        return disk.listFiles();
     }
 
     @Override
-    public File open(String name) throws IOException {
+    public StorageFile open(String name) throws IOException {
         return new Faulty(disk.open(name));
     }
 
     @Override
-    public File create(String name) throws IOException {
+    public StorageFile create(String name) throws IOException {
         changes();
         return new Faulty(disk.create(name));
     }
@@ -76,15 +76,15 @@
     }
 
     @Override
-    public void forceFolder() throws IOException {
+    public void forceDirectory() throws IOException {
         changes();
-        disk.forceFolder();
+        disk.forceDirectory();
     }
 
-    private final class Faulty implements File {
-        private final File file;
+    private final class Faulty implements StorageFile {
+        private final StorageFile file;
 
-        Faulty(File file) {
+        Faulty(StorageFile file) {
             this.file = file;
         }
 
--- a/src/main/java/ochretiller/standin/Gateways.java
+++ b/src/main/java/ochretiller/fakes/GatewayMessages.java
@@ -1,11 +1,11 @@
-package ochretiller.standin;
+package ochretiller.fakes;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
 /** What gateways write. */
-public final class Gateways {
-    private Gateways() {}
+public final class GatewayMessages {
+    private GatewayMessages() {}
 
     public static String message(long id, String method, String params) {
         return "{\"jsonrpc\":\"2.0\",\"id\":"
--- a/src/main/java/ochretiller/standin/package-info.java
+++ b/src/main/java/ochretiller/fakes/package-info.java
@@ -3,4 +3,4 @@
  * and a gateway's socket. {@code try}, the rehearsal of a build and the tests use them; a server
  * never does.
  */
-package ochretiller.standin;
+package ochretiller.fakes;
--- a/src/main/java/ochretiller/fleet/epochs/Ballot.java
+++ b/src/main/java/ochretiller/fleet/consensus/Ballot.java
@@ -1,18 +1,18 @@
-package ochretiller.fleet.epochs;
+package ochretiller.fleet.consensus;
 
 /**
  * The number of an attempt at agreement; a greater one goes over a smaller.
  *
- * @param voter who attempts, so that no two attempts have one number
+ * @param proposer who attempts, so that no two attempts have one number
  */
-public record Ballot(long round, String voter) implements Comparable<Ballot> {
+public record Ballot(long round, String proposer) implements Comparable<Ballot> {
     /** Before any attempt. */
     public static final Ballot NONE = new Ballot(0, "");
 
     @Override
     public int compareTo(Ballot other) {
         int byRound = Long.compare(round, other.round);
-        return byRound != 0 ? byRound : voter.compareTo(other.voter);
+        return byRound != 0 ? byRound : proposer.compareTo(other.proposer);
     }
 
     Ballot next(String mine) {
--- a/src/main/java/ochretiller/fleet/epochs/Wish.java
+++ b/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.epochs;
+package ochretiller.fleet.consensus;
 
 import java.time.Duration;
 import java.util.Comparator;
@@ -13,7 +13,7 @@
  * stood for a while. A view is an opinion; what follows from it is agreed on, and a keeper that
  * comes back is taken in again.
  */
-public final class Wish {
+public final class PlacementPlanner {
     /**
      * A server that is gone is given so many times as long to come back as one that comes is
      * watched: its disk comes back with it.
@@ -23,7 +23,7 @@
     private final Duration calm;
     private final Duration longest;
     private final int fewest;
-    private final Map<String, EpochMessage.Standing> standing = new HashMap<>();
+    private final Map<String, ConsensusMessage.ReplicaProgress> standing = new HashMap<>();
     private final Map<String, Duration> since = new HashMap<>();
     private final Map<String, Boolean> there = new HashMap<>();
     private long epoch = -1;
@@ -36,14 +36,14 @@
      * @param fewest keepers that are left in any case: whom nobody sees may still have the only
      *     copies
      */
-    public Wish(Duration calm, Duration longest, int fewest) {
+    public PlacementPlanner(Duration calm, Duration longest, int fewest) {
         this.calm = calm;
         this.longest = longest;
         this.fewest = fewest;
     }
 
     /** What the view says now of all that it knows. */
-    public void seen(Map<String, Boolean> view, Duration now) {
+    public void observe(Map<String, Boolean> view, Duration now) {
         view.forEach(
                 (name, is) -> {
                     if (!is.equals(there.put(name, is))) {
@@ -56,7 +56,7 @@
     }
 
     /** How far a keeper says to be. */
-    public void told(String name, EpochMessage.Standing word) {
+    public void recordProgress(String name, ConsensusMessage.ReplicaProgress word) {
         if (there.containsKey(name)) {
             standing.put(name, word);
         }
@@ -69,13 +69,13 @@
     }
 
     /** Whether all that the last epoch has moved is where it belongs, at those who can say so. */
-    private boolean whole(Layout layout) {
-        for (Layout.Server each : layout.servers()) {
+    private boolean whole(ReplicaPlacement layout) {
+        for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
             if (!Boolean.TRUE.equals(there.get(each.name()))) {
                 continue;
             }
-            EpochMessage.Standing word = standing.get(each.name());
-            if (word == null || word.epoch() != layout.epoch() || word.behind() > 0) {
+            ConsensusMessage.ReplicaProgress word = standing.get(each.name());
+            if (word == null || word.epoch() != layout.epoch() || word.laggingRanges() > 0) {
                 return false;
             }
         }
@@ -86,7 +86,8 @@
      * The next layout, or none where the one in force is good. Newcomers come first: who leaves
      * takes copies along.
      */
-    public Optional<Layout> next(Layout now, List<Layout.Server> servers, Duration time) {
+    public Optional<ReplicaPlacement> nextPlacement(
+            ReplicaPlacement now, List<ReplicaPlacement.ReplicaServer> servers, Duration time) {
         if (now.epoch() != epoch) {
             epoch = now.epoch();
             epochSince = time;
@@ -102,18 +103,25 @@
         // have most of them.
         Map<String, Long> inZone =
                 now.servers().stream()
-                        .collect(Collectors.groupingBy(Layout.Server::zone, Collectors.counting()));
-        Optional<Layout.Server> newcomer =
+                        .collect(
+                                Collectors.groupingBy(
+                                        ReplicaPlacement.ReplicaServer::zone,
+                                        Collectors.counting()));
+        Optional<ReplicaPlacement.ReplicaServer> newcomer =
                 servers.stream()
-                        .filter(each -> !now.has(each.name()) && calmly(each.name(), true, time))
+                        .filter(
+                                each ->
+                                        !now.contains(each.name())
+                                                && calmly(each.name(), true, time))
                         .min(
                                 Comparator.comparing(
-                                                (Layout.Server each) ->
+                                                (ReplicaPlacement.ReplicaServer each) ->
                                                         inZone.getOrDefault(each.zone(), 0L))
-                                        .thenComparing(Layout.Server::name));
+                                        .thenComparing(ReplicaPlacement.ReplicaServer::name));
         // Guards against a list that no packet takes: the rest are served by those who keep, and
         // take the place of one that is gone.
-        Optional<Layout> more = newcomer.map(now::with).filter(Layout::fits);
+        Optional<ReplicaPlacement> more =
+                newcomer.map(now::with).filter(ReplicaPlacement::fitsInPacket);
         if (more.isPresent()) {
             return more;
         }
--- a/src/main/java/ochretiller/fleet/epochs/package-info.java
+++ b/src/main/java/ochretiller/fleet/consensus/package-info.java
@@ -3,4 +3,4 @@
  * ranges of tokens. Pure decisions; what is promised is on disk before it is said, which is the
  * host's to carry out.
  */
-package ochretiller.fleet.epochs;
+package ochretiller.fleet.consensus;
--- a/src/main/java/ochretiller/fleet/members/Acquaintances.java
+++ b/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -15,12 +15,12 @@
  * Whom a server should know when it starts again: a few of those that it saw, from as many zones as
  * there are. Its seeds may all be away by then, and whoever was there before may still be.
  */
-public final class Acquaintances {
+public final class BootstrapPeers {
     /**
      * Addresses that are kept: any one that is alive is enough, and so many do not all move at
      * once.
      */
-    public static final int MOST = 32;
+    public static final int MAX_PEERS = 32;
 
     /**
      * Time between two that are kept, and how much sooner the first is: a fleet that starts would
@@ -30,9 +30,9 @@
 
     private static final Duration FIRST = Duration.ofSeconds(1);
 
-    private final Address self;
-    private final Map<Address, Known> known = new HashMap<>();
-    private Set<Address> kept;
+    private final PeerAddress self;
+    private final Map<PeerAddress, Known> known = new HashMap<>();
+    private Set<PeerAddress> kept;
     private Duration next = FIRST;
 
     private record Known(String zone, boolean there, Duration since) {}
@@ -41,11 +41,11 @@
      * @param former what a former process has kept, the best first; they count as gone until they
      *     are seen
      */
-    public Acquaintances(Address self, List<Address> former) {
+    public BootstrapPeers(PeerAddress self, List<PeerAddress> former) {
         this.self = self;
         this.kept = Set.copyOf(former);
-        for (Address each : former) {
-            if (known.size() < MOST && !each.equals(self)) {
+        for (PeerAddress each : former) {
+            if (known.size() < MAX_PEERS && !each.equals(self)) {
                 known.put(each, new Known("", false, Duration.ZERO));
             }
         }
@@ -55,27 +55,27 @@
      * What is seen now. Who was seen before and no longer is stays, as long as nobody better takes
      * its place.
      */
-    public void met(Collection<Seen> view, Duration now) {
-        Map<Address, Known> live = new HashMap<>();
-        for (Seen each : view) {
+    public void observe(Collection<MemberSnapshot> view, Duration now) {
+        Map<PeerAddress, Known> live = new HashMap<>();
+        for (MemberSnapshot each : view) {
             Member member = each.member();
-            if (each.self() || member.address().equals(self) || !member.state().live()) {
+            if (each.isSelf() || member.address().equals(self) || !member.state().isLive()) {
                 continue;
             }
             live.put(member.address(), new Known(member.zone(), true, now));
         }
         known.replaceAll((address, each) -> new Known(each.zone, false, each.since));
         known.putAll(live);
-        if (known.size() <= MOST) {
+        if (known.size() <= MAX_PEERS) {
             return;
         }
         known.keySet().retainAll(Set.copyOf(best()));
     }
 
     /** The best of them: those that are there, the zones in turn, then those that went last. */
-    private List<Address> best() {
-        Map<String, List<Address>> zones = new TreeMap<>();
-        List<Address> gone = new ArrayList<>();
+    private List<PeerAddress> best() {
+        Map<String, List<PeerAddress>> zones = new TreeMap<>();
+        List<PeerAddress> gone = new ArrayList<>();
         known.forEach(
                 (address, each) ->
                         (each.there
@@ -85,19 +85,19 @@
                                 .add(address));
         // Those that are kept already come first: the file need not change because others are as
         // good.
-        Comparator<Address> order =
-                Comparator.comparing((Address each) -> !kept.contains(each))
-                        .thenComparing(Address::toString);
+        Comparator<PeerAddress> order =
+                Comparator.comparing((PeerAddress each) -> !kept.contains(each))
+                        .thenComparing(PeerAddress::toString);
         zones.values().forEach(each -> each.sort(order));
         gone.sort(
-                Comparator.comparing((Address each) -> known.get(each).since)
+                Comparator.comparing((PeerAddress each) -> known.get(each).since)
                         .reversed()
                         .thenComparing(order));
-        Set<Address> best = new LinkedHashSet<>();
-        for (int turn = 0; best.size() < MOST; turn++) {
+        Set<PeerAddress> best = new LinkedHashSet<>();
+        for (int turn = 0; best.size() < MAX_PEERS; turn++) {
             boolean more = false;
-            for (List<Address> zone : zones.values()) {
-                if (turn >= zone.size() || best.size() == MOST) {
+            for (List<PeerAddress> zone : zones.values()) {
+                if (turn >= zone.size() || best.size() == MAX_PEERS) {
                     continue;
                 }
                 best.add(zone.get(turn));
@@ -107,8 +107,8 @@
                 break;
             }
         }
-        for (Address each : gone) {
-            if (best.size() < MOST) {
+        for (PeerAddress each : gone) {
+            if (best.size() < MAX_PEERS) {
                 best.add(each);
             }
         }
@@ -116,11 +116,11 @@
     }
 
     /** What to keep now, or null where that is kept already or was changed just before. */
-    public List<Address> due(Duration now) {
+    public List<PeerAddress> takeDue(Duration now) {
         if (now.compareTo(next) < 0) {
             return null;
         }
-        List<Address> best = best();
+        List<PeerAddress> best = best();
         if (Set.copyOf(best).equals(kept)) {
             return null;
         }
--- a/src/main/java/ochretiller/fleet/members/Rumours.java
+++ b/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,7 +10,7 @@
 /**
  * News that goes with other messages, each a bounded number of times, what was carried least first.
  */
-final class Rumours {
+final class GossipBuffer {
     private static final class Rumour {
         final long start;
         boolean full;
@@ -43,39 +43,43 @@
      *     needs to hear of suspicion only
      * @param first an entry that goes out in any case, or null
      */
-    Message.News take(Table table, Member self, int most, boolean agree, Entry first) {
-        List<Entry> entries = new ArrayList<>();
+    MembershipMessage.Gossip take(
+            MemberTable table, Member self, int most, boolean agree, MembershipUpdate first) {
+        List<MembershipUpdate> entries = new ArrayList<>();
         List<Member> full = new ArrayList<>();
         if (first != null) {
             entries.add(first);
         }
         if (all.isEmpty()) {
-            return entries.isEmpty() ? Message.News.NONE : new Message.News(entries, full);
+            return entries.isEmpty()
+                    ? MembershipMessage.Gossip.NONE
+                    : new MembershipMessage.Gossip(entries, full);
         }
         List<Rumour> order = new ArrayList<>(all.values());
-        if (order.size() > Message.ENTRIES) {
+        if (order.size() > MembershipMessage.MAX_GOSSIP_UPDATES) {
             order.sort(Comparator.comparingInt(each -> each.carried));
         }
         for (Rumour each : order) {
-            Known known = table.get(each.start);
-            Member member = each.start == self.start() ? self : known == null ? null : known.member;
+            MemberRecord known = table.get(each.start);
+            Member member =
+                    each.start == self.incarnation() ? self : known == null ? null : known.member;
             if (member == null || known != null && known.unsaid) {
                 all.remove(each.start);
                 continue;
             }
-            if (agree && member.state() != State.SUSPECT) {
+            if (agree && member.state() != MemberState.SUSPECT) {
                 if (++each.carried >= most) {
                     all.remove(each.start);
                 }
                 continue;
             }
             if (each.full) {
-                if (full.size() == Message.FULL) {
+                if (full.size() == MembershipMessage.MAX_GOSSIP_MEMBERS) {
                     continue;
                 }
                 full.add(member);
             } else {
-                if (entries.size() == Message.ENTRIES) {
+                if (entries.size() == MembershipMessage.MAX_GOSSIP_UPDATES) {
                     continue;
                 }
                 entries.add(entry(member, known));
@@ -84,7 +88,7 @@
                 all.remove(each.start);
             }
         }
-        return new Message.News(entries, full);
+        return new MembershipMessage.Gossip(entries, full);
     }
 
     @Override
@@ -100,13 +104,13 @@
         return text.toString();
     }
 
-    static Entry entry(Member member, Known known) {
+    static MembershipUpdate entry(Member member, MemberRecord known) {
         long by = 0;
-        if (known != null && member.state() == State.SUSPECT) {
+        if (known != null && member.state() == MemberState.SUSPECT) {
             for (Iterator<Long> i = known.accusers.iterator(); i.hasNext(); ) {
                 by = i.next();
             }
         }
-        return member.entry(by);
+        return member.toUpdate(by);
     }
 }
--- a/src/main/java/ochretiller/fleet/members/Doubt.java
+++ b/src/main/java/ochretiller/fleet/membership/LocalHealth.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.time.Duration;
 
@@ -6,7 +6,7 @@
  * How far a server doubts itself before it doubts others: its timers come late, it hears nobody, or
  * others had to be told that it is there. The more it doubts, the longer it waits.
  */
-final class Doubt {
+final class LocalHealth {
     private static final int MOST = 8;
 
     /** Each step of doubt lengthens all waits by this part. */
--- a/src/main/java/ochretiller/fleet/members/Member.java
+++ b/src/main/java/ochretiller/fleet/membership/Member.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.util.Objects;
 
@@ -8,20 +8,20 @@
  * @param address where its peers ask it
  * @param zone what it shares its troubles with
  * @param build the program that it runs
- * @param serves where it serves callers, or null
- * @param number grows each time the member itself answers what is said of it; only the member makes
- *     it grow
+ * @param serviceAddress where it serves callers, or null
+ * @param stateVersion grows each time the member itself answers what is said of it; only the member
+ *     makes it grow
  */
 public record Member(
         MemberId id,
-        Address address,
+        PeerAddress address,
         String zone,
         String build,
-        Address serves,
-        long number,
-        State state) {
+        PeerAddress serviceAddress,
+        long stateVersion,
+        MemberState state) {
     /** Longest name, zone or build in characters. */
-    public static final int LONGEST = 64;
+    public static final int MAX_TEXT_LENGTH = 64;
 
     /** Guards against a peer that says less or more than a member is. */
     public Member {
@@ -30,24 +30,24 @@
         }
         Objects.requireNonNull(address);
         Objects.requireNonNull(state);
-        if (number < 0 || id.start() == 0) {
+        if (stateVersion < 0 || id.incarnation() == 0) {
             throw new IllegalArgumentException("a number is out of bounds");
         }
     }
 
     private static boolean tooLong(String text) {
-        return text.length() > LONGEST;
+        return text.length() > MAX_TEXT_LENGTH;
     }
 
-    public long start() {
-        return id.start();
+    public long incarnation() {
+        return id.incarnation();
     }
 
-    Member as(State next, long nextNumber) {
-        return new Member(id, address, zone, build, serves, nextNumber, next);
+    Member withState(MemberState next, long nextNumber) {
+        return new Member(id, address, zone, build, serviceAddress, nextNumber, next);
     }
 
-    Entry entry(long by) {
-        return new Entry(start(), number, state, by);
+    MembershipUpdate toUpdate(long by) {
+        return new MembershipUpdate(incarnation(), stateVersion, state, by);
     }
 }
--- a/src/main/java/ochretiller/fleet/members/Known.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberRecord.java
@@ -1,11 +1,11 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.time.Duration;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
 /** One member in the table, and what this server thinks beside what it says. */
-final class Known {
+final class MemberRecord {
     Member member;
 
     /** Since when it is in its state, on the waking clock. */
@@ -26,7 +26,7 @@
     /** When it was last sent a view. */
     Duration synced;
 
-    Known(Member member, Duration since) {
+    MemberRecord(Member member, Duration since) {
         this.member = member;
         this.since = since;
     }
--- a/src/main/java/ochretiller/fleet/members/State.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberState.java
@@ -1,23 +1,23 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.util.Locale;
 
 /** What is thought of a member. At one number, a later one here goes over an earlier one. */
-public enum State {
+public enum MemberState {
     /** Alive, and still without a view of its own. */
     JOINING("JOINING"),
     /** Alive and in. */
-    HERE("HERE"),
+    ALIVE("HERE"),
     /** It did not answer somebody; it has some time to say that it is there. */
     SUSPECT("SUSPECT"),
     /** It answers nobody: dead, paused, or cut off. */
-    SILENT("SILENT"),
+    UNRESPONSIVE("SILENT"),
     /** It has said that it leaves. Final for this start. */
     LEFT("LEFT");
 
     private final String externalName;
 
-    State(String externalName) {
+    MemberState(String externalName) {
         this.externalName = externalName;
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** Whether it is asked as one that is there. */
-    public boolean live() {
-        return this == JOINING || this == HERE || this == SUSPECT;
+    public boolean isLive() {
+        return this == JOINING || this == ALIVE || this == SUSPECT;
     }
 }
--- a/src/main/java/ochretiller/fleet/members/Table.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberTable.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -14,22 +14,22 @@
  * All members but this server itself, with digests of what is alive; the digests grow with each
  * change and are never made anew.
  */
-final class Table {
+final class MemberTable {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    private final Map<Long, Known> all = new TreeMap<>();
-    private final long[] digests = new long[Message.BUCKETS];
+    private final Map<Long, MemberRecord> all = new TreeMap<>();
+    private final long[] digests = new long[MembershipMessage.DIGEST_BUCKETS];
     private long digest;
     private int live;
-    private final Set<Known> suspects = new LinkedHashSet<>();
-    private final Set<Known> silent = new LinkedHashSet<>();
+    private final Set<MemberRecord> suspects = new LinkedHashSet<>();
+    private final Set<MemberRecord> silent = new LinkedHashSet<>();
 
     /** Silent ones and those that left, the oldest first. */
-    private final Set<Known> gone = new LinkedHashSet<>();
+    private final Set<MemberRecord> gone = new LinkedHashSet<>();
 
     /** Which part of a view a start belongs to. */
     static int bucket(long start) {
-        return (int) (HASH.hashLong(start) & (Message.BUCKETS - 1));
+        return (int) (HASH.hashLong(start) & (MembershipMessage.DIGEST_BUCKETS - 1));
     }
 
     /**
@@ -37,37 +37,39 @@
      * gone does not count.
      */
     private static long mark(Member member) {
-        if (!member.state().live()) {
+        if (!member.state().isLive()) {
             return 0;
         }
         return HASH.hashLongs(
                 new long[] {
-                    member.start(), member.number(), member.state() == State.JOINING ? 1 : 0
+                    member.incarnation(),
+                    member.stateVersion(),
+                    member.state() == MemberState.JOINING ? 1 : 0
                 });
     }
 
     private void count(Member member, int sign) {
         long mark = mark(member);
-        digests[bucket(member.start())] ^= mark;
+        digests[bucket(member.incarnation())] ^= mark;
         digest ^= mark;
-        if (member.state().live()) {
+        if (member.state().isLive()) {
             live += sign;
         }
     }
 
-    Known get(long start) {
+    MemberRecord get(long start) {
         return all.get(start);
     }
 
-    Known add(Member member, Duration now) {
-        Known known = new Known(member, now);
-        all.put(member.start(), known);
+    MemberRecord add(Member member, Duration now) {
+        MemberRecord known = new MemberRecord(member, now);
+        all.put(member.incarnation(), known);
         count(member, 1);
         sort(known);
         return known;
     }
 
-    void become(Known known, Member next, Duration now) {
+    void become(MemberRecord known, Member next, Duration now) {
         count(known.member, -1);
         if (known.member.state() != next.state()) {
             known.since = now;
@@ -77,14 +79,14 @@
         sort(known);
     }
 
-    private void sort(Known known) {
-        State state = known.member.state();
-        put(suspects, known, state == State.SUSPECT);
-        put(silent, known, state == State.SILENT);
-        put(gone, known, !state.live());
+    private void sort(MemberRecord known) {
+        MemberState state = known.member.state();
+        put(suspects, known, state == MemberState.SUSPECT);
+        put(silent, known, state == MemberState.UNRESPONSIVE);
+        put(gone, known, !state.isLive());
     }
 
-    private static void put(Set<Known> set, Known known, boolean in) {
+    private static void put(Set<MemberRecord> set, MemberRecord known, boolean in) {
         if (in) {
             set.add(known);
         } else {
@@ -92,8 +94,8 @@
         }
     }
 
-    void remove(Known known) {
-        if (all.remove(known.member.start()) == null) {
+    void remove(MemberRecord known) {
+        if (all.remove(known.member.incarnation()) == null) {
             return;
         }
         count(known.member, -1);
@@ -121,7 +123,7 @@
         for (long each : digests) {
             told.add(each);
         }
-        int mine = bucket(self.start());
+        int mine = bucket(self.incarnation());
         told.set(mine, told.get(mine) ^ mark(self));
         return told;
     }
@@ -135,19 +137,19 @@
         return all.size();
     }
 
-    Collection<Known> all() {
+    Collection<MemberRecord> all() {
         return all.values();
     }
 
-    Set<Known> suspects() {
+    Set<MemberRecord> suspects() {
         return suspects;
     }
 
-    Set<Known> silent() {
+    Set<MemberRecord> silent() {
         return silent;
     }
 
-    Set<Known> gone() {
+    Set<MemberRecord> gone() {
         return gone;
     }
 }
--- a/src/main/java/ochretiller/fleet/members/Change.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipChange.java
@@ -1,19 +1,19 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 /**
  * What happened to the view, for the operators and for parts that ask it.
  *
- * @param before what was thought of it, or null where it was not known
+ * @param previousState what was thought of it, or null where it was not known
  */
-public record Change(Kind kind, Member member, State before) {
+public record MembershipChange(Kind kind, Member member, MemberState previousState) {
     /** Kinds of it. */
     public enum Kind {
         /** A member is seen in another state. */
-        STATE,
+        STATE_CHANGED,
         /** Another process that is alive bears this server's name. */
-        TWIN,
+        DUPLICATE_NAME,
         /** This server was suspected and has said that it is there. */
-        REFUTED,
+        SUSPICION_REFUTED,
         /** This server has got its first view, or serves alone. */
         JOINED,
         /** A member is no longer remembered. */
