--- a/src/main/java/ochretiller/fleet/members/Members.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
@@ -1,6 +1,6 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
-import static ochretiller.spans.Spans.min;
+import static ochretiller.time.Durations.min;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
  * <p>Its clock is the caller's less what the caller slept: a server that was paused has not waited
  * for anybody meanwhile. All methods are the one thread's that owns it.
  */
-public final class Members {
+public final class MembershipProtocol {
     /** A gap of the caller's that counts as more than this was a pause. */
     private static final int GAP_TICKS = 2;
 
@@ -76,22 +76,22 @@
     /** The same twin is told to the operators so seldom, in probes. */
     private static final int TWIN_TOLD = 600;
 
-    private final Pace pace;
-    private final List<Address> seeds;
+    private final ProtocolTiming pace;
+    private final List<PeerAddress> seeds;
 
     /** Others that a former process knew. */
-    private List<Address> former = List.of();
+    private List<PeerAddress> former = List.of();
 
     private final RandomGenerator chance;
-    private final Table table = new Table();
-    private final Rumours rumours = new Rumours();
-    private final Doubt doubt = new Doubt();
-    private final Counts counts = new Counts();
+    private final MemberTable table = new MemberTable();
+    private final GossipBuffer rumours = new GossipBuffer();
+    private final LocalHealth localHealthScore = new LocalHealth();
+    private final MembershipCounters counters = new MembershipCounters();
     private final Map<Long, Probe> pending = new LinkedHashMap<>();
     private final Map<Long, Member> proofs = new LinkedHashMap<>();
     private final List<Long> order = new ArrayList<>();
-    private final List<Send> sends = new ArrayList<>();
-    private final List<Change> changes = new ArrayList<>();
+    private final List<OutboundPacket> takeOutbound = new ArrayList<>();
+    private final List<MembershipChange> takeChanges = new ArrayList<>();
     private final Map<Long, Duration> twins = new HashMap<>();
     private Member self;
 
@@ -123,26 +123,30 @@
      * @param seeds where others may be; any one that is alive is enough
      * @param now the caller's time, which never goes back
      */
-    public Members(
-            Member self, List<Address> seeds, Pace pace, RandomGenerator chance, Duration now) {
-        this.self = self.as(State.JOINING, self.number());
+    public MembershipProtocol(
+            Member self,
+            List<PeerAddress> seeds,
+            ProtocolTiming pace,
+            RandomGenerator chance,
+            Duration now) {
+        this.self = self.withState(MemberState.JOINING, self.stateVersion());
         this.seeds = List.copyOf(seeds);
         this.pace = pace;
         this.chance = chance;
         this.seen = now;
         // Guards against a fleet whose timers are in step because all started together.
-        this.due = now.plus(spread(pace.tick()));
-        this.nextTurn = spread(pace.probe());
-        this.nextSeed = seeds.isEmpty() ? pace.probe() : Duration.ZERO;
-        this.seedPause = pace.times(SEED_FIRST);
-        this.joinsBy = pace.times(JOINS);
+        this.due = now.plus(spread(pace.tickInterval()));
+        this.nextTurn = spread(pace.probeInterval());
+        this.nextSeed = seeds.isEmpty() ? pace.probeInterval() : Duration.ZERO;
+        this.seedPause = pace.probeIntervals(SEED_FIRST);
+        this.joinsBy = pace.probeIntervals(JOINS);
     }
 
     /**
      * Others that a former process of this server knew: asked beside the seeds, as long as nobody
      * is seen.
      */
-    public void knew(List<Address> others) {
+    public void addBootstrapPeers(List<PeerAddress> others) {
         former = List.copyOf(others);
         if (!former.isEmpty()) {
             nextSeed = Duration.ZERO;
@@ -157,17 +161,17 @@
         return self;
     }
 
-    public Counts counts() {
-        return counts;
+    public MembershipCounters counters() {
+        return counters;
     }
 
     /** How far this server doubts itself, 0 to 8. */
-    public int doubt() {
-        return doubt.level();
+    public int localHealthScore() {
+        return localHealthScore.level();
     }
 
     /** Others that are thought to be alive. */
-    public int live() {
+    public int liveCount() {
         return table.live();
     }
 
@@ -177,23 +181,23 @@
     }
 
     /** News that still goes round. */
-    public int news() {
+    public int pendingGossip() {
         return rumours.size();
     }
 
     /** When {@link #tick} is due, on the caller's clock. */
-    public Duration next() {
+    public Duration nextTick() {
         return due;
     }
 
     /** Packets that are to go out since the last call. */
-    public List<Send> sends() {
-        return drained(sends);
+    public List<OutboundPacket> takeOutbound() {
+        return drained(takeOutbound);
     }
 
     /** What has happened since the last call. */
-    public List<Change> changes() {
-        return drained(changes);
+    public List<MembershipChange> takeChanges() {
+        return drained(takeChanges);
     }
 
     private static <T> List<T> drained(List<T> list) {
@@ -209,12 +213,12 @@
      * Whether anybody who is alive serves at this address: a start may be gone and its successor
      * there.
      */
-    public boolean serving(Address address) {
+    public boolean isServedByLiveMember(PeerAddress address) {
         if (address == null) {
             return false;
         }
-        for (Known known : table.all()) {
-            if (known.member.state().live() && address.equals(known.member.serves())) {
+        for (MemberRecord known : table.all()) {
+            if (known.member.state().isLive() && address.equals(known.member.serviceAddress())) {
                 return true;
             }
         }
@@ -225,12 +229,12 @@
      * Where the one that bears this name and is alive is asked, or null where none is; this
      * server's own for its own.
      */
-    public Address address(String name) {
+    public PeerAddress addressOf(String name) {
         if (name.equals(self.id().name())) {
             return self.address();
         }
-        for (Known known : table.all()) {
-            if (known.member.state().live() && known.member.id().name().equals(name)) {
+        for (MemberRecord known : table.all()) {
+            if (known.member.state().isLive() && known.member.id().name().equals(name)) {
                 return known.member.address();
             }
         }
@@ -238,21 +242,21 @@
     }
 
     /** Whether this start is alive and bears the name. */
-    public boolean named(String name, long start) {
-        Known known = table.get(start);
+    public boolean isLive(String name, long start) {
+        MemberRecord known = table.get(start);
         return known != null
-                && known.member.state().live()
+                && known.member.state().isLive()
                 && known.member.id().name().equals(name);
     }
 
     /** All that are known, this server first, then by name. */
-    public List<Seen> view() {
-        List<Seen> all = new ArrayList<>();
-        for (Known known : table.all()) {
-            all.add(new Seen(known.member, awake.minus(known.since), false));
+    public List<MemberSnapshot> snapshot() {
+        List<MemberSnapshot> all = new ArrayList<>();
+        for (MemberRecord known : table.all()) {
+            all.add(new MemberSnapshot(known.member, awake.minus(known.since), false));
         }
         all.sort((a, b) -> a.member().id().name().compareTo(b.member().id().name()));
-        all.add(0, new Seen(self, awake, true));
+        all.add(0, new MemberSnapshot(self, awake, true));
         return all;
     }
 
@@ -261,13 +265,13 @@
      * from now on, so that states that differ only in how late it is are one; for explorers of all
      * orders of events.
      */
-    public String state() {
+    public String describeState() {
         StringBuilder text = new StringBuilder(256);
-        text.append(self.start())
+        text.append(self.incarnation())
                 .append(self.state())
-                .append(self.number())
+                .append(self.stateVersion())
                 .append(" d")
-                .append(doubt.level())
+                .append(localHealthScore.level())
                 .append(" t")
                 .append(turn)
                 .append(order)
@@ -280,15 +284,15 @@
         if (differs != null) {
             text.append(" f").append(age(differs));
         }
-        if (self.state() == State.JOINING) {
+        if (self.state() == MemberState.JOINING) {
             text.append(" j").append(left(joinsBy));
         }
-        for (Known known : table.all()) {
+        for (MemberRecord known : table.all()) {
             text.append('|')
-                    .append(known.member.start())
+                    .append(known.member.incarnation())
                     .append(known.member.state())
-                    .append(known.member.number());
-            if (known.member.state() == State.SUSPECT) {
+                    .append(known.member.stateVersion());
+            if (known.member.state() == MemberState.SUSPECT) {
                 text.append(known.accusers)
                         .append(age(known.since))
                         .append(known.own)
@@ -307,7 +311,7 @@
                     .append(probe.times)
                     .append(probe.asked)
                     .append(heard == probe.heard)
-                    .append(probe.nonce - self.start() * 31 - nonces);
+                    .append(probe.nonce - self.incarnation() * 31 - nonces);
         }
         return text.append('!').append(proofs.keySet()).append(rumours).toString();
     }
@@ -326,14 +330,17 @@
     public void tick(Duration now) {
         Duration late = now.minus(due);
         wake(now);
-        if (late.compareTo(pace.tick().multipliedBy(GAP_TICKS)) > 0) {
-            counts.lateTicks++;
-            doubt.more();
-        }
-        due = now.plus(pace.tick());
-        toldLeft = Math.min(TOLD_A_SECOND, toldLeft + TOLD_A_SECOND * pace.tick().toNanos() / 1e9);
+        if (late.compareTo(pace.tickInterval().multipliedBy(GAP_TICKS)) > 0) {
+            counters.lateTicks++;
+            localHealthScore.more();
+        }
+        due = now.plus(pace.tickInterval());
+        toldLeft =
+                Math.min(
+                        TOLD_A_SECOND,
+                        toldLeft + TOLD_A_SECOND * pace.tickInterval().toNanos() / 1e9);
         waitFor();
-        if (self.state() == State.LEFT) {
+        if (self.state() == MemberState.LEFT) {
             if (leaves-- > 0) {
                 sayLeft();
             }
@@ -341,13 +348,15 @@
         }
         judge();
         if (awake.compareTo(nextTurn) >= 0) {
-            nextTurn = awake.plus(pace.probe()).minus(spread(pace.tick()).dividedBy(2));
+            nextTurn =
+                    awake.plus(pace.probeInterval())
+                            .minus(spread(pace.tickInterval()).dividedBy(2));
             takeTurn();
         }
         askProofs();
         askGone();
         askSeeds();
-        if (self.state() == State.JOINING && awake.compareTo(joinsBy) >= 0) {
+        if (self.state() == MemberState.JOINING && awake.compareTo(joinsBy) >= 0) {
             joined();
         }
         if (awake.compareTo(nextForget) >= 0) {
@@ -366,7 +375,7 @@
             return;
         }
         seen = now;
-        Duration most = pace.tick().multipliedBy(GAP_TICKS);
+        Duration most = pace.tickInterval().multipliedBy(GAP_TICKS);
         awake = awake.plus(gap.compareTo(most) > 0 ? most : gap);
     }
 
@@ -379,19 +388,19 @@
         List<Probe> failed = new ArrayList<>();
         for (Iterator<Probe> i = pending.values().iterator(); i.hasNext(); ) {
             Probe probe = i.next();
-            if (passed(probe.begun, doubt.stretched(pace.failsAfter()))) {
+            if (passed(probe.begun, localHealthScore.stretched(pace.probeTimeout()))) {
                 i.remove();
                 failed.add(probe);
                 continue;
             }
-            if (probe.times < SAID && passed(probe.said, pace.again())) {
+            if (probe.times < SAID && passed(probe.said, pace.pingRetryInterval())) {
                 probe.times++;
                 probe.said = awake;
                 ping(probe);
             }
             if (probe.kind == Probe.Kind.TURN
                     && !probe.asked
-                    && passed(probe.begun, pace.asksAfter())) {
+                    && passed(probe.begun, pace.indirectProbeDelay())) {
                 probe.asked = true;
                 askOthers(probe);
             }
@@ -400,31 +409,31 @@
     }
 
     private void failed(Probe probe) {
-        if (probe.kind != Probe.Kind.TURN || self.state() == State.LEFT) {
+        if (probe.kind != Probe.Kind.TURN || self.state() == MemberState.LEFT) {
             return;
         }
-        Known known = table.get(probe.target);
-        if (known == null || !known.member.state().live()) {
+        MemberRecord known = table.get(probe.target);
+        if (known == null || !known.member.state().isLive()) {
             return;
         }
-        counts.missed++;
+        counters.failedProbes++;
         // Guards against one that hears nobody and would tell the fleet that all others are gone.
         boolean deaf = heard == probe.heard;
         if (deaf) {
-            doubt.more();
+            localHealthScore.more();
         }
-        suspect(known, known.member.number(), self.start(), deaf);
+        suspect(known, known.member.stateVersion(), self.incarnation(), deaf);
         known.own = true;
     }
 
     private void judge() {
-        List<Known> overdue = new ArrayList<>();
-        for (Known known : table.suspects()) {
+        List<MemberRecord> overdue = new ArrayList<>();
+        for (MemberRecord known : table.suspects()) {
             Duration span =
                     known.judged
-                            ? pace.shortest(table.live() + 1)
-                            : pace.suspicion(table.live() + 1, known.accusers.size());
-            if (passed(known.since, doubt.stretched(span))) {
+                            ? pace.minSuspicionTimeout(table.live() + 1)
+                            : pace.suspicionTimeout(table.live() + 1, known.accusers.size());
+            if (passed(known.since, localHealthScore.stretched(span))) {
                 overdue.add(known);
             }
         }
@@ -435,21 +444,21 @@
 
     private void takeTurn() {
         int again = 0;
-        for (Known known : table.suspects()) {
+        for (MemberRecord known : table.suspects()) {
             if (again == OWN_SUSPECTS) {
                 break;
             }
-            if (!known.own || asking(known.member.start())) {
+            if (!known.own || asking(known.member.incarnation())) {
                 continue;
             }
             again++;
-            begin(Probe.Kind.TURN, known.member.start(), known.member.address());
+            begin(Probe.Kind.TURN, known.member.incarnation(), known.member.address());
         }
         if (turn >= order.size()) {
             order.clear();
-            for (Known known : table.all()) {
-                if (known.member.state().live()) {
-                    order.add(known.member.start());
+            for (MemberRecord known : table.all()) {
+                if (known.member.state().isLive()) {
+                    order.add(known.member.incarnation());
                 }
             }
             for (int i = order.size() - 1; i > 0; i--) {
@@ -458,12 +467,14 @@
             turn = 0;
         }
         while (turn < order.size()) {
-            Known known = table.get(order.get(turn++));
-            if (known == null || !known.member.state().live() || asking(known.member.start())) {
+            MemberRecord known = table.get(order.get(turn++));
+            if (known == null
+                    || !known.member.state().isLive()
+                    || asking(known.member.incarnation())) {
                 continue;
             }
-            counts.probes++;
-            begin(Probe.Kind.TURN, known.member.start(), known.member.address());
+            counters.probes++;
+            begin(Probe.Kind.TURN, known.member.incarnation(), known.member.address());
             return;
         }
     }
@@ -477,11 +488,12 @@
         return false;
     }
 
-    private Probe begin(Probe.Kind kind, long target, Address address) {
+    private Probe begin(Probe.Kind kind, long target, PeerAddress address) {
         if (pending.size() >= PENDING) {
             return null;
         }
-        Probe probe = new Probe(kind, self.start() * 31 + ++nonces, target, address, awake, heard);
+        Probe probe =
+                new Probe(kind, self.incarnation() * 31 + ++nonces, target, address, awake, heard);
         pending.put(probe.nonce, probe);
         ping(probe);
         return probe;
@@ -490,26 +502,27 @@
     private void ping(Probe probe) {
         send(
                 probe.address,
-                new Message.Ping(probe.nonce, probe.target, news(probe.target, false), digest()));
+                new MembershipMessage.Ping(
+                        probe.nonce, probe.target, pendingGossip(probe.target, false), digest()));
     }
 
     /** News for this member; what is thought ill of it comes first, so that it can answer. */
-    private Message.News news(long to, boolean agree) {
-        Known known = table.get(to);
+    private MembershipMessage.Gossip pendingGossip(long to, boolean agree) {
+        MemberRecord known = table.get(to);
         boolean ill =
                 known != null
-                        && (known.member.state() == State.SUSPECT
-                                || known.member.state() == State.SILENT);
+                        && (known.member.state() == MemberState.SUSPECT
+                                || known.member.state() == MemberState.UNRESPONSIVE);
         return rumours.take(
                 table,
                 self,
-                pace.carried(table.live() + 1),
+                pace.retransmitLimit(table.live() + 1),
                 agree,
-                ill ? Rumours.entry(known.member, known) : null);
+                ill ? GossipBuffer.entry(known.member, known) : null);
     }
 
-    private void send(Address to, Message message) {
-        sends.add(new Send(to, new Packet(self, message)));
+    private void send(PeerAddress to, MembershipMessage message) {
+        takeOutbound.add(new OutboundPacket(to, new MembershipPacket(self, message)));
     }
 
     /**
@@ -517,20 +530,20 @@
      * leaves a way round.
      */
     private void askOthers(Probe probe) {
-        Known target = table.get(probe.target);
+        MemberRecord target = table.get(probe.target);
         if (target == null || order.isEmpty()) {
             return;
         }
-        counts.asked++;
+        counters.indirectProbes++;
         Set<Long> chosen = new HashSet<>(Set.of(probe.target));
         String theirs = target.member.zone();
         for (int helper = 0; helper < HELPERS; helper++) {
             Member best = null;
             for (int look = 0; look < 2 * HELPERS; look++) {
-                Known known = table.get(order.get(chance.nextInt(order.size())));
+                MemberRecord known = table.get(order.get(chance.nextInt(order.size())));
                 if (known == null
-                        || known.member.state() != State.HERE
-                        || chosen.contains(known.member.start())) {
+                        || known.member.state() != MemberState.ALIVE
+                        || chosen.contains(known.member.incarnation())) {
                     continue;
                 }
                 String zone = known.member.zone();
@@ -550,24 +563,26 @@
             if (best == null) {
                 continue;
             }
-            chosen.add(best.start());
-            send(best.address(), new Message.Ask(probe.nonce, probe.target, probe.address));
+            chosen.add(best.incarnation());
+            send(
+                    best.address(),
+                    new MembershipMessage.PingRequest(probe.nonce, probe.target, probe.address));
         }
     }
 
     private void askSoon(Member member) {
         if (proofs.size() < PROOFS) {
-            proofs.putIfAbsent(member.start(), member);
+            proofs.putIfAbsent(member.incarnation(), member);
         } else {
-            counts.full++;
+            counters.capacityRejections++;
         }
     }
 
     private void askProofs() {
         for (int i = 0; i < PROOFS_A_TICK && !proofs.isEmpty(); i++) {
             Member member = proofs.values().iterator().next();
-            proofs.remove(member.start());
-            begin(Probe.Kind.PROOF, member.start(), member.address());
+            proofs.remove(member.incarnation());
+            begin(Probe.Kind.PROOF, member.incarnation(), member.address());
         }
     }
 
@@ -581,13 +596,13 @@
             return;
         }
         double aSecond = Math.min(GONE_RATE, (double) gone / (table.live() + 1));
-        if (chance.nextDouble() >= aSecond * pace.tick().toNanos() / 1e9) {
+        if (chance.nextDouble() >= aSecond * pace.tickInterval().toNanos() / 1e9) {
             return;
         }
         int which = chance.nextInt(gone);
-        for (Known known : table.silent()) {
+        for (MemberRecord known : table.silent()) {
             if (which-- == 0) {
-                begin(Probe.Kind.PROOF, known.member.start(), known.member.address());
+                begin(Probe.Kind.PROOF, known.member.incarnation(), known.member.address());
             }
         }
     }
@@ -604,17 +619,19 @@
         }
         // Among many the pause grows with their number: a seed that comes back is not asked by all
         // at once.
-        Duration most = pace.times(Math.max(SEED_MOST, table.live()));
+        Duration most = pace.probeIntervals(Math.max(SEED_MOST, table.live()));
         seedPause =
-                table.live() == 0 ? min(seedPause.multipliedBy(2), pace.times(SEED_MOST)) : most;
+                table.live() == 0
+                        ? min(seedPause.multipliedBy(2), pace.probeIntervals(SEED_MOST))
+                        : most;
         nextSeed = awake.plus(seedPause.dividedBy(2)).plus(spread(seedPause));
     }
 
-    private void askOne(List<Address> addresses) {
-        List<Address> open = new ArrayList<>(addresses);
+    private void askOne(List<PeerAddress> addresses) {
+        List<PeerAddress> open = new ArrayList<>(addresses);
         open.remove(self.address());
-        for (Known known : table.all()) {
-            if (known.member.state().live()) {
+        for (MemberRecord known : table.all()) {
+            if (known.member.state().isLive()) {
                 open.remove(known.member.address());
             }
         }
@@ -625,23 +642,25 @@
 
     // ---- what is thought
 
-    private void become(Known known, State state, long number) {
-        State before = known.member.state();
-        table.become(known, known.member.as(state, number), awake);
+    private void become(MemberRecord known, MemberState state, long number) {
+        MemberState before = known.member.state();
+        table.become(known, known.member.withState(state, number), awake);
         if (before != state) {
-            changes.add(new Change(Change.Kind.STATE, known.member, before));
+            takeChanges.add(
+                    new MembershipChange(
+                            MembershipChange.Kind.STATE_CHANGED, known.member, before));
         }
     }
 
-    private Known add(Member member, boolean say) {
-        if (table.size() >= Pace.MOST && !table.dropOldestGone()) {
-            counts.full++;
+    private MemberRecord add(Member member, boolean say) {
+        if (table.size() >= ProtocolTiming.MAX_MEMBERS && !table.dropOldestGone()) {
+            counters.capacityRejections++;
             return null;
         }
-        Known known = table.add(member, awake);
-        counts.joined++;
-        changes.add(new Change(Change.Kind.STATE, member, null));
-        if (member.state().live()) {
+        MemberRecord known = table.add(member, awake);
+        counters.joined++;
+        takeChanges.add(new MembershipChange(MembershipChange.Kind.STATE_CHANGED, member, null));
+        if (member.state().isLive()) {
             order.add(
                     order.isEmpty()
                             ? 0
@@ -652,105 +671,109 @@
                                                     order.size()
                                                             - Math.min(turn, order.size())
                                                             + 1)),
-                    member.start());
+                    member.incarnation());
         }
         if (say) {
-            rumours.add(member.start(), true);
+            rumours.add(member.incarnation(), true);
         }
         // It may be what this server was before its restart, or another that lives: only its own
         // word tells.
-        if (member.id().name().equals(self.id().name()) && member.state().live()) {
+        if (member.id().name().equals(self.id().name()) && member.state().isLive()) {
             askSoon(member);
         }
         return known;
     }
 
-    private void alive(Known known, State state, long number) {
-        boolean returned = !known.member.state().live();
+    private void alive(MemberRecord known, MemberState state, long number) {
+        boolean returned = !known.member.state().isLive();
         become(known, state, number);
         known.accusers.clear();
         known.own = false;
         known.unsaid = false;
         known.judged = false;
         if (returned) {
-            counts.returned++;
-            order.add(Math.min(order.size(), turn), known.member.start());
+            counters.returned++;
+            order.add(Math.min(order.size(), turn), known.member.incarnation());
         }
-        rumours.add(known.member.start(), returned);
+        rumours.add(known.member.incarnation(), returned);
     }
 
-    private void suspect(Known known, long number, long by, boolean unsaid) {
-        boolean fresh = known.member.state() != State.SUSPECT || number > known.member.number();
+    private void suspect(MemberRecord known, long number, long by, boolean unsaid) {
+        boolean fresh =
+                known.member.state() != MemberState.SUSPECT || number > known.member.stateVersion();
         if (fresh) {
-            boolean back = known.member.state() == State.SILENT;
-            counts.suspected++;
-            become(known, State.SUSPECT, number);
+            boolean back = known.member.state() == MemberState.UNRESPONSIVE;
+            counters.suspicions++;
+            become(known, MemberState.SUSPECT, number);
             known.since = awake;
             known.accusers.clear();
             known.own = false;
             known.judged = false;
             known.unsaid = unsaid;
             if (back) {
-                order.add(Math.min(order.size(), turn), known.member.start());
+                order.add(Math.min(order.size(), turn), known.member.incarnation());
             }
         }
-        boolean more = known.accusers.size() <= Pace.ACCUSERS && known.accusers.add(by);
+        boolean more =
+                known.accusers.size() <= ProtocolTiming.MAX_CONFIRMATIONS && known.accusers.add(by);
         boolean said = known.unsaid && !unsaid;
         if (said) {
             known.unsaid = false;
         }
         if (!known.unsaid && (more || said)) {
-            rumours.add(known.member.start(), false);
+            rumours.add(known.member.incarnation(), false);
         }
     }
 
-    private void silence(Known known) {
-        counts.silenced++;
-        become(known, State.SILENT, known.member.number());
+    private void silence(MemberRecord known) {
+        counters.becameUnresponsive++;
+        become(known, MemberState.UNRESPONSIVE, known.member.stateVersion());
         known.own = false;
         known.judged = false;
         if (!known.unsaid) {
-            rumours.add(known.member.start(), false);
+            rumours.add(known.member.incarnation(), false);
         }
     }
 
-    private void left(Known known, long number) {
-        counts.left++;
-        become(known, State.LEFT, Math.max(number, known.member.number()));
+    private void left(MemberRecord known, long number) {
+        counters.left++;
+        become(known, MemberState.LEFT, Math.max(number, known.member.stateVersion()));
         known.unsaid = false;
-        rumours.add(known.member.start(), false);
+        rumours.add(known.member.incarnation(), false);
     }
 
     private void forget() {
-        List<Known> old = new ArrayList<>();
-        for (Known known : table.gone()) {
-            if (passed(known.since, pace.forget())) {
+        List<MemberRecord> old = new ArrayList<>();
+        for (MemberRecord known : table.gone()) {
+            if (passed(known.since, pace.departedRetention())) {
                 old.add(known);
             }
         }
-        int over = table.gone().size() - old.size() - pace.mostGone();
-        for (Iterator<Known> i = table.gone().iterator(); over > 0 && i.hasNext(); ) {
-            Known known = i.next();
+        int over = table.gone().size() - old.size() - pace.maxDeparted();
+        for (Iterator<MemberRecord> i = table.gone().iterator(); over > 0 && i.hasNext(); ) {
+            MemberRecord known = i.next();
             if (old.contains(known)) {
                 continue;
             }
             old.add(known);
             over--;
         }
-        for (Known known : old) {
+        for (MemberRecord known : old) {
             table.remove(known);
-            changes.add(new Change(Change.Kind.FORGOTTEN, known.member, known.member.state()));
+            takeChanges.add(
+                    new MembershipChange(
+                            MembershipChange.Kind.FORGOTTEN, known.member, known.member.state()));
         }
-        twins.values().removeIf(since -> passed(since, pace.times(TWIN_TOLD)));
+        twins.values().removeIf(since -> passed(since, pace.probeIntervals(TWIN_TOLD)));
     }
 
     // ---- what is heard
 
     /** Another server's packet; its sender is proven to have the fleet's key. */
-    public void received(Packet packet, Duration now) {
+    public void receive(MembershipPacket packet, Duration now) {
         wake(now);
-        Member from = packet.from();
-        if (from.start() == self.start()) {
+        Member from = packet.sender();
+        if (from.incarnation() == self.incarnation()) {
             return; // a mirror
         }
         if (from.address().equals(self.address())) {
@@ -758,54 +781,57 @@
             return;
         }
         heard++;
-        Message message = packet.message();
-        Probe answered = message instanceof Message.Ack ack ? pending.get(ack.nonce()) : null;
+        MembershipMessage message = packet.message();
+        Probe answered =
+                message instanceof MembershipMessage.Ack ack ? pending.get(ack.nonce()) : null;
         if (answered != null && !answered.address.equals(from.address())) {
             answered = null;
         }
-        Known known = sender(from, answered != null);
-        boolean trusted = known != null && known.member.state().live();
-        if (message instanceof Message.Ping ping) {
-            news(ping.news(), trusted);
+        MemberRecord known = sender(from, answered != null);
+        boolean trusted = known != null && known.member.state().isLive();
+        if (message instanceof MembershipMessage.Ping ping) {
+            pendingGossip(ping.gossip(), trusted);
             send(
                     from.address(),
-                    new Message.Ack(
-                            ping.nonce(), news(from.start(), ping.digest() == digest()), digest()));
+                    new MembershipMessage.Ack(
+                            ping.nonce(),
+                            pendingGossip(from.incarnation(), ping.digest() == digest()),
+                            digest()));
             compare(from, ping.digest(), trusted);
-        } else if (message instanceof Message.Ack ack) {
-            news(ack.news(), trusted);
+        } else if (message instanceof MembershipMessage.Ack ack) {
+            pendingGossip(ack.gossip(), trusted);
             if (answered != null) {
                 answered(answered, from, known);
             }
             compare(from, ack.digest(), trusted);
-        } else if (message instanceof Message.Ask ask) {
+        } else if (message instanceof MembershipMessage.PingRequest ask) {
             relay(ask, from);
-        } else if (message instanceof Message.Reached reached) {
+        } else if (message instanceof MembershipMessage.IndirectAck reached) {
             reached(reached);
-        } else if (message instanceof Message.Sync sync) {
+        } else if (message instanceof MembershipMessage.DigestSync sync) {
             synced(sync, from);
-        } else if (message instanceof Message.States states) {
+        } else if (message instanceof MembershipMessage.UpdatePage states) {
             states(states, from, trusted);
-        } else if (message instanceof Message.Want want) {
+        } else if (message instanceof MembershipMessage.MemberRequest want) {
             wanted(want, from);
-        } else if (message instanceof Message.Full full && trusted) {
+        } else if (message instanceof MembershipMessage.MemberPage full && trusted) {
             for (Member member : full.members()) {
                 told(member, false);
             }
-            if (self.state() == State.JOINING) {
+            if (self.state() == MemberState.JOINING) {
                 joined();
             }
         }
     }
 
     /** The sender's own word about itself, before all else that it says. */
-    private Known sender(Member from, boolean answers) {
-        Known known = table.get(from.start());
-        if (from.id().name().equals(self.id().name()) && from.state().live()) {
+    private MemberRecord sender(Member from, boolean answers) {
+        MemberRecord known = table.get(from.incarnation());
+        if (from.id().name().equals(self.id().name()) && from.state().isLive()) {
             twin(from);
         }
         if (known == null) {
-            if (from.state() == State.LEFT) {
+            if (from.state() == MemberState.LEFT) {
                 return null;
             }
             if (!answers) {
@@ -816,118 +842,124 @@
             if (known != null) {
                 replaced(from);
             }
-            if (self.state() == State.JOINING) {
+            if (self.state() == MemberState.JOINING) {
                 sync(from);
             }
             return known;
         }
-        State state = known.member.state();
-        if (state == State.LEFT) {
+        MemberState state = known.member.state();
+        if (state == MemberState.LEFT) {
             return known;
         }
-        if (from.state() == State.LEFT) {
-            left(known, from.number());
-        } else if (state == State.SILENT) {
+        if (from.state() == MemberState.LEFT) {
+            left(known, from.stateVersion());
+        } else if (state == MemberState.UNRESPONSIVE) {
             // Guards against flapping under a one-way cut: only an answer brings it back, and its
             // own new number.
             if (answers
-                    && (from.number() > known.member.number()
-                            || known.unsaid && from.number() == known.member.number())) {
-                alive(known, from.state(), from.number());
+                    && (from.stateVersion() > known.member.stateVersion()
+                            || known.unsaid
+                                    && from.stateVersion() == known.member.stateVersion())) {
+                alive(known, from.state(), from.stateVersion());
             } else if (!answers) {
                 askSoon(from);
             }
-        } else if (from.number() > known.member.number()
-                || known.unsaid && answers && from.number() == known.member.number()) {
-            alive(known, from.state(), from.number());
+        } else if (from.stateVersion() > known.member.stateVersion()
+                || known.unsaid && answers && from.stateVersion() == known.member.stateVersion()) {
+            alive(known, from.state(), from.stateVersion());
         }
         return known;
     }
 
     private void twin(Member from) {
-        if (twins.containsKey(from.start())) {
+        if (twins.containsKey(from.incarnation())) {
             return;
         }
-        if (twins.size() >= Pace.ACCUSERS * HELPERS) {
+        if (twins.size() >= ProtocolTiming.MAX_CONFIRMATIONS * HELPERS) {
             return; // the operators know by now
         }
-        twins.put(from.start(), awake);
-        counts.twins++;
-        changes.add(new Change(Change.Kind.TWIN, from, null));
+        twins.put(from.incarnation(), awake);
+        counters.duplicateNames++;
+        takeChanges.add(new MembershipChange(MembershipChange.Kind.DUPLICATE_NAME, from, null));
     }
 
     /** Somebody has answered at an address: whoever was there before is not there any more. */
     private void replaced(Member from) {
-        for (Known known : List.copyOf(table.all())) {
-            if (known.member.start() != from.start()
+        for (MemberRecord known : List.copyOf(table.all())) {
+            if (known.member.incarnation() != from.incarnation()
                     && known.member.address().equals(from.address())
-                    && known.member.state().live()) {
+                    && known.member.state().isLive()) {
                 known.unsaid = false;
                 silence(known);
             }
         }
     }
 
-    private void news(Message.News news, boolean trusted) {
-        for (Entry entry : news.entries()) {
-            if (entry.start() == self.start()) {
+    private void pendingGossip(MembershipMessage.Gossip news, boolean trusted) {
+        for (MembershipUpdate entry : news.updates()) {
+            if (entry.incarnation() == self.incarnation()) {
                 aboutMe(entry);
             } else if (trusted) {
                 told(entry);
             }
         }
         if (trusted) {
-            for (Member member : news.full()) {
+            for (Member member : news.members()) {
                 told(member, true);
             }
         }
     }
 
-    private void aboutMe(Entry entry) {
-        boolean ill = entry.state() == State.SUSPECT || entry.state() == State.SILENT;
-        if (!ill || entry.number() < self.number() || self.state() == State.LEFT) {
+    private void aboutMe(MembershipUpdate entry) {
+        boolean ill =
+                entry.state() == MemberState.SUSPECT || entry.state() == MemberState.UNRESPONSIVE;
+        if (!ill
+                || entry.stateVersion() < self.stateVersion()
+                || self.state() == MemberState.LEFT) {
             return;
         }
-        self = self.as(self.state(), entry.number() + 1);
-        counts.refuted++;
-        if (entry.state() == State.SUSPECT) {
-            doubt.more();
+        self = self.withState(self.state(), entry.stateVersion() + 1);
+        counters.refutations++;
+        if (entry.state() == MemberState.SUSPECT) {
+            localHealthScore.more();
         }
-        rumours.add(self.start(), false);
-        changes.add(new Change(Change.Kind.REFUTED, self, entry.state()));
+        rumours.add(self.incarnation(), false);
+        takeChanges.add(
+                new MembershipChange(MembershipChange.Kind.SUSPICION_REFUTED, self, entry.state()));
     }
 
     /** What somebody who is in says of another. */
-    private void told(Entry entry) {
-        Known known = table.get(entry.start());
+    private void told(MembershipUpdate entry) {
+        MemberRecord known = table.get(entry.incarnation());
         if (known == null) {
-            if (entry.state().live()) {
-                counts.unknown++; // the next comparison of views brings it
+            if (entry.state().isLive()) {
+                counters.unknownMembers++; // the next comparison of views brings it
             }
             return;
         }
         Member member = known.member;
-        if (member.state() == State.LEFT) {
+        if (member.state() == MemberState.LEFT) {
             return;
         }
         switch (entry.state()) {
-            case LEFT -> left(known, entry.number());
-            case JOINING, HERE -> {
-                boolean doubted = known.unsaid && entry.number() == member.number();
-                if (entry.number() > member.number() || doubted) {
-                    alive(known, entry.state(), entry.number());
+            case LEFT -> left(known, entry.stateVersion());
+            case JOINING, ALIVE -> {
+                boolean doubted = known.unsaid && entry.stateVersion() == member.stateVersion();
+                if (entry.stateVersion() > member.stateVersion() || doubted) {
+                    alive(known, entry.state(), entry.stateVersion());
                 }
             }
             case SUSPECT -> {
                 boolean judged =
-                        member.state() == State.SILENT && entry.number() == member.number();
-                if (entry.number() >= member.number() && !judged) {
-                    suspect(known, entry.number(), entry.by(), false);
+                        member.state() == MemberState.UNRESPONSIVE
+                                && entry.stateVersion() == member.stateVersion();
+                if (entry.stateVersion() >= member.stateVersion() && !judged) {
+                    suspect(known, entry.stateVersion(), entry.accuser(), false);
                 }
             }
-            case SILENT -> {
-                if (entry.number() >= member.number()) {
-                    judged(known, entry.number());
+            case UNRESPONSIVE -> {
+                if (entry.stateVersion() >= member.stateVersion()) {
+                    judged(known, entry.stateVersion());
                 }
             }
             default -> throw new IllegalStateException();
@@ -938,20 +970,20 @@
      * Another's verdict takes nobody away at once: whoever was seen here gets the shortest time to
      * answer for itself. Two halves that meet again would else judge each other whole.
      */
-    private void judged(Known known, long number) {
-        State state = known.member.state();
-        if (state == State.SILENT) {
-            if (number > known.member.number()) {
-                become(known, State.SILENT, number);
+    private void judged(MemberRecord known, long number) {
+        MemberState state = known.member.state();
+        if (state == MemberState.UNRESPONSIVE) {
+            if (number > known.member.stateVersion()) {
+                become(known, MemberState.UNRESPONSIVE, number);
             }
             known.unsaid = false;
-        } else if (state == State.SUSPECT
-                && number == known.member.number()
-                && passed(known.since, pace.shortest(table.live() + 1).dividedBy(2))) {
+        } else if (state == MemberState.SUSPECT
+                && number == known.member.stateVersion()
+                && passed(known.since, pace.minSuspicionTimeout(table.live() + 1).dividedBy(2))) {
             known.unsaid = false;
             silence(known);
         } else {
-            if (state != State.SUSPECT || number > known.member.number()) {
+            if (state != MemberState.SUSPECT || number > known.member.stateVersion()) {
                 suspect(known, number, 0, true);
                 askSoon(known.member);
             }
@@ -960,43 +992,45 @@
     }
 
     private void told(Member member, boolean say) {
-        if (member.start() == self.start()) {
-            aboutMe(member.entry(0));
+        if (member.incarnation() == self.incarnation()) {
+            aboutMe(member.toUpdate(0));
             return;
         }
-        if (table.get(member.start()) != null) {
-            told(member.entry(0));
+        if (table.get(member.incarnation()) != null) {
+            told(member.toUpdate(0));
         } else if (member.address().equals(self.address())) {
             // What was at this address before this start is not there any more; nobody can know it
             // better.
-            if (member.state().live()) {
-                add(member.as(State.SILENT, member.number()), true);
+            if (member.state().isLive()) {
+                add(member.withState(MemberState.UNRESPONSIVE, member.stateVersion()), true);
             }
-        } else if (member.state().live()) {
+        } else if (member.state().isLive()) {
             add(member, say);
         }
     }
 
-    private void answered(Probe probe, Member from, Known known) {
+    private void answered(Probe probe, Member from, MemberRecord known) {
         pending.remove(probe.nonce);
-        boolean right = probe.target == 0 || probe.target == from.start();
+        boolean right = probe.target == 0 || probe.target == from.incarnation();
         if (right && probe.kind == Probe.Kind.TURN) {
-            doubt.less();
+            localHealthScore.less();
         }
         if (right && probe.kind == Probe.Kind.RELAY) {
-            send(probe.origin, new Message.Reached(probe.originNonce, from.entry(0)));
+            send(
+                    probe.origin,
+                    new MembershipMessage.IndirectAck(probe.originNonce, from.toUpdate(0)));
         }
         if (!right) {
-            Known before = table.get(probe.target);
-            if (before != null && before.member.state().live()) {
+            MemberRecord before = table.get(probe.target);
+            if (before != null && before.member.state().isLive()) {
                 before.unsaid = false;
                 silence(before);
             }
         }
     }
 
-    private void relay(Message.Ask ask, Member from) {
-        if (ask.target() == self.start()) {
+    private void relay(MembershipMessage.PingRequest ask, Member from) {
+        if (ask.target() == self.incarnation()) {
             return;
         }
         Probe probe = begin(Probe.Kind.RELAY, ask.target(), ask.address());
@@ -1007,22 +1041,23 @@
         probe.originNonce = ask.nonce();
     }
 
-    private void reached(Message.Reached reached) {
+    private void reached(MembershipMessage.IndirectAck reached) {
         Probe probe = pending.get(reached.nonce());
-        if (probe == null || probe.target != reached.target().start()) {
+        if (probe == null || probe.target != reached.target().incarnation()) {
             return;
         }
         pending.remove(probe.nonce);
         if (probe.kind == Probe.Kind.TURN) {
-            doubt.less();
+            localHealthScore.less();
         }
-        Known known = table.get(probe.target);
-        if (known == null || !known.member.state().live()) {
+        MemberRecord known = table.get(probe.target);
+        if (known == null || !known.member.state().isLive()) {
             return;
         }
-        boolean doubted = known.unsaid && reached.target().number() == known.member.number();
-        if (reached.target().number() > known.member.number() || doubted) {
-            alive(known, reached.target().state(), reached.target().number());
+        boolean doubted =
+                known.unsaid && reached.target().stateVersion() == known.member.stateVersion();
+        if (reached.target().stateVersion() > known.member.stateVersion() || doubted) {
+            alive(known, reached.target().state(), reached.target().stateVersion());
         }
     }
 
@@ -1037,106 +1072,119 @@
             differs = awake;
         }
         if (!trusted
-                || !passed(differs, pace.times(DIFFERS))
-                || !passed(compared, pace.times(COMPARES))) {
+                || !passed(differs, pace.probeIntervals(DIFFERS))
+                || !passed(compared, pace.probeIntervals(COMPARES))) {
             return;
         }
-        compared = awake.plus(spread(pace.times(COMPARES)));
+        compared = awake.plus(spread(pace.probeIntervals(COMPARES)));
         sync(from);
     }
 
     private void sync(Member with) {
-        counts.syncs++;
-        send(with.address(), new Message.Sync(table.digests(self), true));
+        counters.syncs++;
+        send(with.address(), new MembershipMessage.DigestSync(table.digests(self), true));
     }
 
-    private void synced(Message.Sync sync, Member from) {
+    private void synced(MembershipMessage.DigestSync sync, Member from) {
         // Guards against a whole fleet that asks one server: the others come again.
-        if (toldLeft < 1 || sync.digests().size() != Message.BUCKETS) {
-            counts.syncsRefused++;
+        if (toldLeft < 1 || sync.digests().size() != MembershipMessage.DIGEST_BUCKETS) {
+            counters.syncsRejected++;
             return;
         }
         toldLeft--;
         List<Long> mine = table.digests(self);
         Set<Integer> differ = new HashSet<>();
-        for (int i = 0; i < Message.BUCKETS; i++) {
+        for (int i = 0; i < MembershipMessage.DIGEST_BUCKETS; i++) {
             if (!mine.get(i).equals(sync.digests().get(i))) {
                 differ.add(i);
             }
         }
-        List<Entry> entries = new ArrayList<>();
-        if (differ.contains(Table.bucket(self.start()))) {
-            entries.add(self.entry(0));
+        List<MembershipUpdate> entries = new ArrayList<>();
+        if (differ.contains(MemberTable.bucket(self.incarnation()))) {
+            entries.add(self.toUpdate(0));
         }
-        for (Known known : table.all()) {
-            if (!known.unsaid && differ.contains(Table.bucket(known.member.start()))) {
-                entries.add(Rumours.entry(known.member, known));
+        for (MemberRecord known : table.all()) {
+            if (!known.unsaid && differ.contains(MemberTable.bucket(known.member.incarnation()))) {
+                entries.add(GossipBuffer.entry(known.member, known));
             }
         }
-        if (entries.size() > PAGES * Message.PAGE) {
+        if (entries.size() > PAGES * MembershipMessage.MAX_PAGE_UPDATES) {
             Collections.rotate(entries, -chance.nextInt(entries.size()));
         }
         int pages =
-                Math.max(1, Math.min(PAGES, (entries.size() + Message.PAGE - 1) / Message.PAGE));
+                Math.max(
+                        1,
+                        Math.min(
+                                PAGES,
+                                (entries.size() + MembershipMessage.MAX_PAGE_UPDATES - 1)
+                                        / MembershipMessage.MAX_PAGE_UPDATES));
         for (int page = 0; page < pages; page++) {
             send(
                     from.address(),
-                    new Message.States(
+                    new MembershipMessage.UpdatePage(
                             List.copyOf(
                                     entries.subList(
-                                            page * Message.PAGE,
-                                            Math.min(entries.size(), (page + 1) * Message.PAGE)))));
+                                            page * MembershipMessage.MAX_PAGE_UPDATES,
+                                            Math.min(
+                                                    entries.size(),
+                                                    (page + 1)
+                                                            * MembershipMessage
+                                                                    .MAX_PAGE_UPDATES)))));
         }
-        if (sync.back() && !differ.isEmpty()) {
-            send(from.address(), new Message.Sync(mine, false));
+        if (sync.reciprocal() && !differ.isEmpty()) {
+            send(from.address(), new MembershipMessage.DigestSync(mine, false));
         }
     }
 
-    private void states(Message.States states, Member from, boolean trusted) {
+    private void states(MembershipMessage.UpdatePage states, Member from, boolean trusted) {
         List<Long> want = new ArrayList<>();
-        for (Entry entry : states.entries()) {
-            if (entry.start() == self.start()) {
+        for (MembershipUpdate entry : states.updates()) {
+            if (entry.incarnation() == self.incarnation()) {
                 aboutMe(entry);
-            } else if (trusted && table.get(entry.start()) != null) {
+            } else if (trusted && table.get(entry.incarnation()) != null) {
                 told(entry);
-            } else if (trusted && entry.state().live()) {
-                want.add(entry.start());
+            } else if (trusted && entry.state().isLive()) {
+                want.add(entry.incarnation());
             }
         }
         if (!want.isEmpty()) {
-            send(from.address(), new Message.Want(want));
-        } else if (trusted && self.state() == State.JOINING) {
+            send(from.address(), new MembershipMessage.MemberRequest(want));
+        } else if (trusted && self.state() == MemberState.JOINING) {
             joined();
         }
     }
 
-    private void wanted(Message.Want want, Member from) {
+    private void wanted(MembershipMessage.MemberRequest want, Member from) {
         List<Member> found = new ArrayList<>();
-        for (long start : want.starts()) {
-            if (start == self.start()) {
+        for (long start : want.incarnations()) {
+            if (start == self.incarnation()) {
                 found.add(self);
             }
-            Known known = table.get(start);
-            if (known != null && known.member.state().live()) {
+            MemberRecord known = table.get(start);
+            if (known != null && known.member.state().isLive()) {
                 found.add(known.member);
             }
         }
-        for (int i = 0; i < found.size(); i += Message.FULL_PAGE) {
+        for (int i = 0; i < found.size(); i += MembershipMessage.MAX_PAGE_MEMBERS) {
             send(
                     from.address(),
-                    new Message.Full(
+                    new MembershipMessage.MemberPage(
                             List.copyOf(
                                     found.subList(
-                                            i, Math.min(found.size(), i + Message.FULL_PAGE)))));
+                                            i,
+                                            Math.min(
+                                                    found.size(),
+                                                    i + MembershipMessage.MAX_PAGE_MEMBERS)))));
         }
     }
 
     // ---- coming and going
 
     private void joined() {
-        self = self.as(State.HERE, self.number() + 1);
-        rumours.add(self.start(), true);
-        changes.add(new Change(Change.Kind.JOINED, self, State.JOINING));
+        self = self.withState(MemberState.ALIVE, self.stateVersion() + 1);
+        rumours.add(self.incarnation(), true);
+        takeChanges.add(
+                new MembershipChange(MembershipChange.Kind.JOINED, self, MemberState.JOINING));
     }
 
     /**
@@ -1144,19 +1192,19 @@
      */
     public void leave(Duration now) {
         wake(now);
-        if (self.state() == State.LEFT) {
+        if (self.state() == MemberState.LEFT) {
             return;
         }
-        self = self.as(State.LEFT, self.number() + 1);
-        rumours.add(self.start(), false);
+        self = self.withState(MemberState.LEFT, self.stateVersion() + 1);
+        rumours.add(self.incarnation(), false);
         leaves = LEAVES - 1;
         sayLeft();
     }
 
     private void sayLeft() {
-        Message word = new Message.States(List.of(self.entry(0)));
-        for (Known known : table.all()) {
-            if (known.member.state().live()) {
+        MembershipMessage word = new MembershipMessage.UpdatePage(List.of(self.toUpdate(0)));
+        for (MemberRecord known : table.all()) {
+            if (known.member.state().isLive()) {
                 send(known.member.address(), word);
             }
         }
--- a/src/main/java/ochretiller/fleet/members/Probe.java
+++ b/src/main/java/ochretiller/fleet/membership/Probe.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.time.Duration;
 
@@ -20,7 +20,7 @@
     /** Whom it asks; 0 for whoever is there. */
     final long target;
 
-    final Address address;
+    final PeerAddress address;
     final Duration begun;
 
     /**
@@ -33,12 +33,12 @@
     int times = 1;
     boolean asked;
 
-    /** Who wants to know, for a {@link Kind#RELAY}. */
-    Address origin;
+    /** Who wants to know, for a {@link AuditEventKind#RELAY}. */
+    PeerAddress origin;
 
     long originNonce;
 
-    Probe(Kind kind, long nonce, long target, Address address, Duration begun, long heard) {
+    Probe(Kind kind, long nonce, long target, PeerAddress address, Duration begun, long heard) {
         this.kind = kind;
         this.nonce = nonce;
         this.target = target;
--- a/src/main/java/ochretiller/fleet/members/package-info.java
+++ b/src/main/java/ochretiller/fleet/membership/package-info.java
@@ -3,4 +3,4 @@
  * messages, changes and figures go out. Driven in the same way by {@code fleet.peers} on sockets,
  * by the emulator and by tests.
  */
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
--- a/src/main/java/ochretiller/fleet/copies/Pulls.java
+++ b/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
  * What a keeper fetches from others, range by range. A range that it is to catch up with counts
@@ -18,7 +18,7 @@
  * left of the allowance. Each fetch can be broken off and taken up anywhere: where copies are
  * nearly equal a sketch tells what is lacking, else the range is walked through, the newest first.
  */
-final class Pulls {
+final class AntiEntropy {
     /**
      * Fetches that wait for an answer at once: a whole fleet that comes back must not flood those
      * that have what it lacks.
@@ -54,15 +54,15 @@
     private static final int FAR = 2;
 
     private final String name;
-    private final Stock stock;
-    private final Allowance allowance;
+    private final ReplicaEntries stock;
+    private final ByteRateLimiter allowance;
     private final Map<Integer, Catch> catching = new TreeMap<>();
     private final Map<Place, Pull> pulls = new LinkedHashMap<>();
 
     /** Who has said something in this epoch, and needs to be told of it no more. */
     private final Set<String> know = new HashSet<>();
 
-    private final Silence silence = new Silence();
+    private final UnresponsivePeers silence = new UnresponsivePeers();
     private final Map<String, Duration> probed = new HashMap<>();
     private long nonce;
     private long bytes;
@@ -103,7 +103,7 @@
         final boolean repair;
         Way way;
         int cells = FIRST_CELLS;
-        CopyMessage.Place place = CopyMessage.Place.START;
+        ReplicationMessage.RangeCursor place = ReplicationMessage.RangeCursor.START;
         long nonce;
         Duration asked;
         int silent;
@@ -117,7 +117,7 @@
         }
     }
 
-    Pulls(String name, Stock stock, Allowance allowance) {
+    AntiEntropy(String name, ReplicaEntries stock, ByteRateLimiter allowance) {
         this.name = name;
         this.stock = stock;
         this.allowance = allowance;
@@ -234,17 +234,17 @@
         return Math.max(
                 LEAST_CELLS,
                 Math.min(
-                        Sketch.MOST,
+                        SetSketch.MAX_CELLS,
                         LEAST_CELLS / 2
-                                + (int) (CELLS_EACH * Math.abs(count - stock.count(range)))));
+                                + (int) (CELLS_EACH * Math.abs(count - stock.entryCount(range)))));
     }
 
     private Way way(int range) {
-        return stock.count(range) == 0 ? Way.NEWEST : Way.SKETCH;
+        return stock.entryCount(range) == 0 ? Way.NEWEST : Way.SKETCH;
     }
 
     /** What to ask now. */
-    List<Keeper.Out> tick(Layout layout, Duration now) {
+    List<Replica.OutboundMessage> tick(ReplicaPlacement layout, Duration now) {
         // Behind the longest window nothing that is missing can matter any more.
         for (Map.Entry<Integer, Catch> each : List.copyOf(catching.entrySet())) {
             if (now.compareTo(each.getValue().until) >= 0) {
@@ -259,7 +259,7 @@
             Pull pull = each.getValue();
             if (pull.asked == null
                     || now.minus(pull.asked).compareTo(AGAIN) >= 0
-                    || silence.silent(each.getKey().source)) {
+                    || silence.isUnresponsive(each.getKey().source)) {
                 continue;
             }
             busy.add(each.getKey().range);
@@ -282,7 +282,7 @@
                         pulls.put(place, new Pull(false, way(range)));
                     }
                 });
-        List<Keeper.Out> outs = new ArrayList<>();
+        List<Replica.OutboundMessage> outs = new ArrayList<>();
         for (boolean repair : new boolean[] {false, true}) {
             for (Map.Entry<Place, Pull> each : pulls.entrySet()) {
                 Pull pull = each.getValue();
@@ -299,18 +299,18 @@
                 }
                 if (waiting + repairs >= AT_ONCE
                         || repair && repairs >= REPAIRS_AT_ONCE
-                        || !allowance.open(now)) {
+                        || !allowance.hasTokens(now)) {
                     break;
                 }
                 String source = each.getKey().source;
                 if (pull.asked != null) {
                     pull.silent++;
-                    silence.unanswered(source);
+                    silence.recordUnanswered(source);
                     know.remove(source); // it may not know of the epoch, and say nothing for that
                 }
                 // Guards against one that is away and keeps all others waiting: it is asked now and
                 // then.
-                if (silence.silent(source)) {
+                if (silence.isUnresponsive(source)) {
                     Duration last = probed.get(source);
                     if (last != null && now.minus(last).compareTo(AGAIN) < 0) {
                         pull.asked = null;
@@ -332,27 +332,30 @@
         return outs;
     }
 
-    private Keeper.Out ask(Place at, Pull pull, Layout layout, Duration now) {
+    private Replica.OutboundMessage ask(
+            Place at, Pull pull, ReplicaPlacement layout, Duration now) {
         pull.asked = now;
         pull.nonce = ++nonce;
-        pull.digest = stock.digest(at.range);
+        pull.digest = stock.rangeDigest(at.range);
         // Beside the layout of a large fleet there is room for a small sketch only.
         boolean told = know.contains(at.source);
         if (!told && pull.way == Way.MARKS) {
             pull.way = Way.SKETCH;
         }
-        Sketch sketch =
+        SetSketch sketch =
                 pull.way == Way.SKETCH
                         ? stock.sketch(
                                 at.range, told ? pull.cells : Math.min(pull.cells, FIRST_CELLS))
                         : null;
-        return new Keeper.Out(
+        return new Replica.OutboundMessage(
                 at.source,
-                new CopyMessage.Fetch(
+                new ReplicationMessage.RangeRequest(
                         layout.epoch(),
                         at.range,
                         pull.nonce,
-                        pull.way == Way.TOKEN ? CopyMessage.Order.TOKEN : CopyMessage.Order.NEWEST,
+                        pull.way == Way.TOKEN
+                                ? ReplicationMessage.WalkOrder.TOKEN_NAME
+                                : ReplicationMessage.WalkOrder.LATEST_EXPIRY,
                         pull.place,
                         sketch,
                         pull.way == Way.MARKS ? pull.marks : List.of(),
@@ -362,18 +365,19 @@
     /**
      * A page has come and its items are taken; what to ask next of the same source, if anything.
      */
-    Optional<Keeper.Out> page(String from, CopyMessage.Page page, Layout layout, Duration now) {
+    Optional<Replica.OutboundMessage> page(
+            String from, ReplicationMessage.RangePage page, ReplicaPlacement layout, Duration now) {
         Place at = new Place(page.range(), from);
         Pull pull = pulls.get(at);
         if (pull == null || pull.nonce != page.nonce()) {
             return Optional.empty();
         }
         know.add(from);
-        silence.heard(from);
+        silence.recordReply(from);
         pull.silent = 0;
-        for (CopyMessage.Item item : page.items()) {
-            allowance.spend(item.bytes());
-            bytes += item.bytes();
+        for (ReplicationMessage.TransferredEntry item : page.entries()) {
+            allowance.spend(item.estimatedBytes());
+            bytes += item.estimatedBytes();
             fetched++;
         }
         if (over(pull, page)) {
@@ -382,7 +386,7 @@
             if (each == null || pull.repair) {
                 return Optional.empty();
             }
-            if (!page.whole()) {
+            if (!page.sourceComplete()) {
                 // It has no more itself, and lacks some: it is asked again in a while.
                 Pull again = new Pull(false, way(page.range()));
                 again.asked = now;
@@ -395,7 +399,7 @@
             }
             return Optional.empty();
         }
-        if (!allowance.open(now)) {
+        if (!allowance.hasTokens(now)) {
             pull.asked = null; // the next tick with something left asks
             return Optional.empty();
         }
@@ -406,26 +410,26 @@
      * Whether the source has told all that was lacking as it was asked; else what way the next
      * question goes.
      */
-    private boolean over(Pull pull, CopyMessage.Page page) {
+    private boolean over(Pull pull, ReplicationMessage.RangePage page) {
         if (pull.way == Way.SKETCH) {
             // Guards against a fetch without end where there is no room for what comes: nothing has
             // changed by it.
-            if (page.told()) {
+            if (page.sketchDecoded()) {
                 rest(pull, page);
-                return page.last() || pull.digest == stock.digest(page.range());
+                return page.last() || pull.digest == stock.rangeDigest(page.range());
             }
-            boolean far = page.count() > FAR * stock.count(page.range());
-            if (!far && pull.cells < Sketch.MOST) {
-                pull.cells = Math.min(Sketch.MOST, pull.cells * LARGER);
+            boolean far = page.entryCount() > FAR * stock.entryCount(page.range());
+            if (!far && pull.cells < SetSketch.MAX_CELLS) {
+                pull.cells = Math.min(SetSketch.MAX_CELLS, pull.cells * LARGER);
             } else {
                 pull.way = pull.walked ? Way.TOKEN : Way.NEWEST;
-                pull.place = CopyMessage.Place.START;
+                pull.place = ReplicationMessage.RangeCursor.START;
             }
             return false;
         }
         if (pull.way == Way.MARKS) {
-            if (pull.digest == stock.digest(page.range())
-                    || page.last() && page.digest() == stock.digest(page.range())) {
+            if (pull.digest == stock.rangeDigest(page.range())
+                    || page.last() && page.rangeDigest() == stock.rangeDigest(page.range())) {
                 return true;
             }
             // What has changed meanwhile bears another mark: a sketch tells it, once all the others
@@ -433,11 +437,11 @@
             rest(pull, page);
             return false;
         }
-        pull.place = page.place();
+        pull.place = page.cursor();
         if (!page.last()) {
             return false;
         }
-        if (pull.way == Way.TOKEN || page.digest() == stock.digest(page.range())) {
+        if (pull.way == Way.TOKEN || page.rangeDigest() == stock.rangeDigest(page.range())) {
             return true;
         }
         // Guards against what has changed its place during the walk: a sketch tells what is lacking
@@ -452,10 +456,10 @@
      * What was told and is not here yet is asked for by its marks; with none, or none left, a
      * sketch is next.
      */
-    private void rest(Pull pull, CopyMessage.Page page) {
-        pull.way = page.rest().isEmpty() ? Way.SKETCH : Way.MARKS;
-        pull.marks = page.rest();
-        pull.cells = cells(page.range(), page.count());
+    private void rest(Pull pull, ReplicationMessage.RangePage page) {
+        pull.way = page.remainingDigests().isEmpty() ? Way.SKETCH : Way.MARKS;
+        pull.marks = page.remainingDigests();
+        pull.cells = cells(page.range(), page.entryCount());
     }
 
     String state() {
--- a/src/main/java/ochretiller/fleet/copies/Allowance.java
+++ b/src/main/java/ochretiller/fleet/replication/ByteRateLimiter.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.time.Duration;
 
@@ -6,7 +6,7 @@
  * So many a second, saved up for a moment at most: what is spent beyond it is paid back before the
  * next.
  */
-final class Allowance {
+final class ByteRateLimiter {
     private final double perSecond;
     private final double most;
     private double left;
@@ -16,7 +16,7 @@
      * @param perSecond what comes in each second
      * @param most what is saved up at most; it begins with that
      */
-    Allowance(double perSecond, double most, Duration now) {
+    ByteRateLimiter(double perSecond, double most, Duration now) {
         this.perSecond = perSecond;
         this.most = most;
         this.left = most;
@@ -30,7 +30,7 @@
     }
 
     /** Whether anything is left; a size is known only once it is spent. */
-    boolean open(Duration now) {
+    boolean hasTokens(Duration now) {
         fill(now);
         return left > 0;
     }
@@ -40,7 +40,7 @@
     }
 
     /** Takes this much if it is there. */
-    boolean take(double amount, Duration now) {
+    boolean tryTake(double amount, Duration now) {
         fill(now);
         if (left < amount) {
             return false;
@@ -50,7 +50,7 @@
     }
 
     /** What comes by itself without regard to time, as a share of something else. */
-    void earn(double amount) {
+    void deposit(double amount) {
         left = Math.min(most, left + amount);
     }
 }
--- a/src/main/java/ochretiller/fleet/copies/Pieces.java
+++ b/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -11,11 +11,11 @@
  * Long results on their way to here, piece by piece, some at once; what is lost is asked for again,
  * what comes is checked.
  */
-public final class Pieces {
+public final class ChunkAssembler {
     /**
      * Characters of a piece: what fits a datagram beside its envelope, where a byte may take two.
      */
-    public static final int PIECE = 3 * 1024;
+    public static final int CHUNK_BYTES = 3 * 1024;
 
     /** Pieces of one result that are asked for at once, and how soon again. */
     private static final int WINDOW = 4;
@@ -34,10 +34,11 @@
     private record Key(String token, ClaimId id) {}
 
     /** A result that has come, from whom it was asked in which epoch. */
-    public record Whole(String token, ClaimId id, String result, String from, long epoch) {}
+    public record AssembledResult(
+            String token, ClaimId claimId, String result, String source, long epoch) {}
 
     private static final class Coming {
-        final Outcome outcome;
+        final ClaimOutcome outcome;
         final String[] pieces;
         final Duration[] asked;
         String from;
@@ -45,9 +46,9 @@
         int missing;
         int silent;
 
-        Coming(Outcome outcome) {
+        Coming(ClaimOutcome outcome) {
             this.outcome = outcome;
-            pieces = new String[(outcome.size() + PIECE - 1) / PIECE];
+            pieces = new String[(outcome.resultSize() + CHUNK_BYTES - 1) / CHUNK_BYTES];
             asked = new Duration[pieces.length];
             missing = pieces.length;
         }
@@ -56,17 +57,18 @@
     /**
      * Asks for one, of whoever was named last; without room it is left, and may be asked for again.
      */
-    void want(String token, ClaimId id, Outcome outcome, String from, long epoch, Duration now) {
-        if (outcome.size() > Outcome.LONGEST || outcome.size() <= 0) {
+    void request(
+            String token, ClaimId id, ClaimOutcome outcome, String from, long epoch, Duration now) {
+        if (outcome.resultSize() > ClaimOutcome.MAX_RESULT_BYTES || outcome.resultSize() <= 0) {
             return;
         }
         Key key = new Key(token, id);
         Coming each = coming.get(key);
         if (each == null) {
-            if (bytes + outcome.size() > MOST_BYTES) {
+            if (bytes + outcome.resultSize() > MOST_BYTES) {
                 return;
             }
-            bytes += outcome.size();
+            bytes += outcome.resultSize();
             each = new Coming(outcome);
             coming.put(key, each);
         } else if (!from.equals(each.from)) {
@@ -79,13 +81,13 @@
     private void gone(Key key) {
         Coming each = coming.remove(key);
         if (each != null) {
-            bytes -= each.outcome.size();
+            bytes -= each.outcome.resultSize();
         }
     }
 
     /** What to ask now. */
-    List<Keeper.Out> tick(Duration now) {
-        List<Keeper.Out> outs = new ArrayList<>();
+    List<Replica.OutboundMessage> tick(Duration now) {
+        List<Replica.OutboundMessage> outs = new ArrayList<>();
         List<Key> over = new ArrayList<>();
         coming.forEach(
                 (key, each) -> {
@@ -103,9 +105,10 @@
                         again |= each.asked[i] != null;
                         each.asked[i] = now;
                         outs.add(
-                                new Keeper.Out(
+                                new Replica.OutboundMessage(
                                         each.from,
-                                        new CopyMessage.Want(key.token, key.id, i * PIECE)));
+                                        new ReplicationMessage.ChunkRequest(
+                                                key.token, key.id, i * CHUNK_BYTES)));
                     }
                     if (again && ++each.silent >= TRIES) {
                         over.add(key);
@@ -116,21 +119,22 @@
     }
 
     /** The result, once its last piece has come. */
-    Optional<Whole> received(CopyMessage.Piece piece) {
-        Key key = new Key(piece.token(), piece.id());
+    Optional<AssembledResult> accept(ReplicationMessage.Chunk piece) {
+        Key key = new Key(piece.token(), piece.claimId());
         Coming each = coming.get(key);
-        int at = piece.from() / PIECE;
+        int at = piece.offset() / CHUNK_BYTES;
         if (each == null
-                || piece.from() % PIECE != 0
+                || piece.offset() % CHUNK_BYTES != 0
                 || at < 0
                 || at >= each.pieces.length
                 || each.pieces[at] != null) {
             return Optional.empty();
         }
-        if (piece.bytes().length() != Math.min(PIECE, each.outcome.size() - piece.from())) {
+        if (piece.data().length()
+                != Math.min(CHUNK_BYTES, each.outcome.resultSize() - piece.offset())) {
             return Optional.empty();
         }
-        each.pieces[at] = piece.bytes();
+        each.pieces[at] = piece.data();
         each.silent = 0;
         if (--each.missing > 0) {
             return Optional.empty();
@@ -139,25 +143,27 @@
         String result = String.join("", each.pieces);
         // Guards against a result that is not what its end tells: it is asked for again by whoever
         // needs it.
-        if (Outcome.sum(result) != each.outcome.sum()) {
+        if (ClaimOutcome.checksum(result) != each.outcome.checksum()) {
             return Optional.empty();
         }
-        return Optional.of(new Whole(key.token, key.id, result, each.from, each.epoch));
+        return Optional.of(new AssembledResult(key.token, key.id, result, each.from, each.epoch));
     }
 
     /** A piece of a result, as it is answered; null where there is none from there on. */
-    public static CopyMessage.Piece cut(CopyMessage.Want want, String result) {
-        if (want.from() < 0 || want.from() >= result.length()) {
+    public static ReplicationMessage.Chunk slice(
+            ReplicationMessage.ChunkRequest want, String result) {
+        if (want.offset() < 0 || want.offset() >= result.length()) {
             return null;
         }
-        return new CopyMessage.Piece(
+        return new ReplicationMessage.Chunk(
                 want.token(),
-                want.id(),
-                want.from(),
-                result.substring(want.from(), Math.min(result.length(), want.from() + PIECE)));
+                want.claimId(),
+                want.offset(),
+                result.substring(
+                        want.offset(), Math.min(result.length(), want.offset() + CHUNK_BYTES)));
     }
 
-    String state() {
+    String describeState() {
         StringBuilder text = new StringBuilder();
         coming.forEach(
                 (key, each) -> text.append('w').append(key).append(each.missing).append(each.from));
--- a/src/main/java/ochretiller/fleet/copies/ClaimLimit.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.time.Duration;
 
@@ -7,7 +7,7 @@
  * granted in time and what is asked for fills it, and halves where one gets no majority, as the run
  * limit does with cores.
  */
-final class ClaimLimit {
+final class ClaimConcurrencyLimit {
     private static final int FIRST = 32;
     private static final int LEAST = 2;
     private static final int MOST = 4096;
@@ -17,18 +17,18 @@
 
     private double limit = FIRST;
     private int underWay;
-    private final Silence silence = new Silence();
+    private final UnresponsivePeers silence = new UnresponsivePeers();
     private Duration probed = Duration.ZERO;
 
-    boolean room() {
+    boolean hasCapacity() {
         return underWay < (int) limit;
     }
 
-    void begun() {
+    void started() {
         underWay++;
     }
 
-    void over(boolean timely) {
+    void finished(boolean timely) {
         boolean full = underWay >= (int) limit - 1;
         underWay--;
         if (!timely) {
@@ -42,20 +42,20 @@
         return limit;
     }
 
-    void asked(String keeper) {
-        silence.unanswered(keeper);
+    void requestSent(String keeper) {
+        silence.recordUnanswered(keeper);
     }
 
-    void heard(String keeper) {
-        silence.heard(keeper);
+    void replyReceived(String keeper) {
+        silence.recordReply(keeper);
     }
 
-    boolean silent(String keeper) {
-        return silence.silent(keeper);
+    boolean isUnresponsive(String keeper) {
+        return silence.isUnresponsive(keeper);
     }
 
     /** Whether to ask silent keepers now: one question each while, to hear when they are back. */
-    boolean probe(Duration now) {
+    boolean shouldProbe(Duration now) {
         if (now.minus(probed).compareTo(PROBE) < 0) {
             return false;
         }
--- a/src/main/java/ochretiller/fleet/copies/Claims.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
@@ -1,7 +1,7 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
-import static ochretiller.spans.Spans.min;
-import static ochretiller.spans.Spans.until;
+import static ochretiller.time.Durations.min;
+import static ochretiller.time.Durations.timeUntil;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -14,15 +14,15 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import ochretiller.bounds.Bounded;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
  * The way of a server's keyed invocations through the keepers: claimed at a majority before the
  * run, kept at a majority before the answer. What silence leaves open stays open: a claim that may
  * have been granted is released by its owner's word, and never run afterwards.
  */
-public final class Claims {
+public final class ClaimCoordinator {
     /**
      * A question is said again after this, and a claim without a majority by then is given up: some
      * dozen round trips.
@@ -68,24 +68,24 @@
     private final String name;
     private final long start;
     private final RandomGenerator chance;
-    private final ClaimLimit limit = new ClaimLimit();
-    private final Pace pace = new Pace();
-    private final Allowance again = new Allowance(0, AGAIN_BURST, Duration.ZERO);
-    private final Pieces pieces = new Pieces();
+    private final ClaimConcurrencyLimit concurrencyLimit = new ClaimConcurrencyLimit();
+    private final ReplicaLatency pace = new ReplicaLatency();
+    private final ByteRateLimiter again = new ByteRateLimiter(0, AGAIN_BURST, Duration.ZERO);
+    private final ChunkAssembler pieces = new ChunkAssembler();
 
     /** What each keeper has told of its changes: one that comes back with less has an old disk. */
-    private final Map<String, Long> heard = new HashMap<>();
+    private final Map<String, Long> observedChangeNumbers = new HashMap<>();
 
     private final Map<ClaimId, Attempt> attempts = new LinkedHashMap<>();
     private final Map<ClaimId, Ending> endings = new LinkedHashMap<>();
     private final Map<ClaimId, Running> running = new LinkedHashMap<>();
-    private final Map<ClaimId, Duration> releasedIds = Bounded.byAge(REMEMBERED);
-    private final List<Keeper.Out> outs = new ArrayList<>();
-    private Layout layout;
+    private final Map<ClaimId, Duration> releasedIds = BoundedMap.evictingOldest(REMEMBERED);
+    private final List<Replica.OutboundMessage> takeOutbound = new ArrayList<>();
+    private ReplicaPlacement placement;
     private long runs;
     private long results;
-    private long hedged;
-    private long saidAgain;
+    private long hedgedRequests;
+    private long retriedRequests;
 
     /** A claim that was granted, and the changes of its keepers that it rests on. */
     private record Running(String token, Map<String, Long> heard) {}
@@ -97,14 +97,14 @@
         final boolean leaves;
         final Duration due;
         final Duration windowEnds;
-        final Consumer<Verdict> then;
+        final Consumer<ClaimDecision> then;
         ClaimId id;
         boolean claims = true;
         Duration began;
         Duration said;
         Duration nextLook;
         Duration pause = LOOK_FIRST;
-        final Map<String, CopyMessage.Answer> answers = new TreeMap<>();
+        final Map<String, ReplicationMessage.ClaimReply> answers = new TreeMap<>();
 
         /** Those who are asked, the first of which were asked at first. */
         List<String> order = List.of();
@@ -125,7 +125,7 @@
                 boolean leaves,
                 Duration due,
                 Duration windowEnds,
-                Consumer<Verdict> then) {
+                Consumer<ClaimDecision> then) {
             this.token = token;
             this.body = body;
             this.leaves = leaves;
@@ -138,7 +138,7 @@
     /** One end on its way to a majority. */
     private static final class Ending {
         final String token;
-        final Outcome outcome;
+        final ClaimOutcome outcome;
         final Duration due;
         final Duration windowEnds;
         final Map<String, Long> heard;
@@ -153,7 +153,7 @@
 
         Ending(
                 Running run,
-                Outcome outcome,
+                ClaimOutcome outcome,
                 String result,
                 Duration due,
                 Duration windowEnds,
@@ -171,73 +171,75 @@
     /**
      * @param start of this process: claims of another start of the same name are another's
      */
-    public Claims(String name, long start, Layout layout, RandomGenerator chance) {
+    public ClaimCoordinator(
+            String name, long start, ReplicaPlacement layout, RandomGenerator chance) {
         this.name = name;
         this.start = start;
-        this.layout = layout;
+        this.placement = layout;
         this.chance = chance;
     }
 
-    public List<Keeper.Out> outs() {
-        List<Keeper.Out> all = List.copyOf(outs);
-        outs.clear();
+    public List<Replica.OutboundMessage> takeOutbound() {
+        List<Replica.OutboundMessage> all = List.copyOf(takeOutbound);
+        takeOutbound.clear();
         return all;
     }
 
-    public Layout layout() {
-        return layout;
+    public ReplicaPlacement placement() {
+        return placement;
     }
 
-    public int underWay() {
+    public int inFlight() {
         return attempts.size() + endings.size();
     }
 
-    public double limit() {
-        return limit.limit();
+    public double concurrencyLimit() {
+        return concurrencyLimit.limit();
     }
 
     /** Keepers that were asked beyond a majority, and questions that were said again. */
-    public long hedged() {
-        return hedged;
+    public long hedgedRequests() {
+        return hedgedRequests;
     }
 
-    public long saidAgain() {
-        return saidAgain;
+    public long retriedRequests() {
+        return retriedRequests;
     }
 
     /** The number of a keeper's change that was heard of last. */
-    public long heardOf(String keeper) {
-        return heard.getOrDefault(keeper, 0L);
+    public long highestChangeNumber(String keeper) {
+        return observedChangeNumbers.getOrDefault(keeper, 0L);
     }
 
     /** What was heard of others' changes, for a start to come. */
-    public Map<String, Long> heard() {
+    public Map<String, Long> observedChangeNumbers() {
         Map<String, Long> all = new TreeMap<>();
-        for (Layout.Server each : layout.servers()) {
-            if (heard.containsKey(each.name())) {
-                all.put(each.name(), heard.get(each.name()));
+        for (ReplicaPlacement.ReplicaServer each : placement.servers()) {
+            if (observedChangeNumbers.containsKey(each.name())) {
+                all.put(each.name(), observedChangeNumbers.get(each.name()));
             }
         }
         return all;
     }
 
     /** What a former start had heard. */
-    public void remember(Map<String, Long> former) {
-        former.forEach(this::heard);
+    public void restoreChangeNumbers(Map<String, Long> former) {
+        former.forEach(this::observedChangeNumbers);
     }
 
-    private void heard(String keeper, long number) {
-        if (heard.size() < MOST_HEARD || heard.containsKey(keeper)) {
-            heard.merge(keeper, number, Math::max);
+    private void observedChangeNumbers(String keeper, long number) {
+        if (observedChangeNumbers.size() < MOST_HEARD
+                || observedChangeNumbers.containsKey(keeper)) {
+            observedChangeNumbers.merge(keeper, number, Math::max);
         }
     }
 
     /** A later epoch: what is under way is asked anew of whoever keeps it now. */
-    public void become(Layout next, Duration now) {
-        if (next.epoch() <= layout.epoch()) {
+    public void adoptPlacement(ReplicaPlacement next, Duration now) {
+        if (next.epoch() <= placement.epoch()) {
             return;
         }
-        layout = next;
+        placement = next;
         for (Attempt each : List.copyOf(attempts.values())) {
             each.answers.clear();
             first(each, now);
@@ -250,11 +252,11 @@
     }
 
     private List<String> keepers(String token) {
-        return layout.keepers(Layout.range(token));
+        return placement.replicasOf(ReplicaPlacement.rangeOf(token));
     }
 
-    private void send(String to, CopyMessage message) {
-        outs.add(new Keeper.Out(to, message));
+    private void send(String to, ReplicationMessage message) {
+        takeOutbound.add(new Replica.OutboundMessage(to, message));
     }
 
     /**
@@ -273,27 +275,30 @@
             Duration due,
             Duration windowEnds,
             Duration now,
-            Consumer<Verdict> then) {
+            Consumer<ClaimDecision> then) {
         List<String> keepers = keepers(token);
-        long silent = keepers.stream().filter(limit::silent).count();
+        long silent = keepers.stream().filter(concurrencyLimit::isUnresponsive).count();
         boolean hopeless =
-                keepers.isEmpty() || keepers.size() - silent < Layout.majority(keepers.size());
+                keepers.isEmpty()
+                        || keepers.size() - silent < ReplicaPlacement.quorumSize(keepers.size());
         // What cannot be claimed is throttled at once, before it waits for anybody.
-        if (hopeless && limit.probe(now)) {
+        if (hopeless && concurrencyLimit.shouldProbe(now)) {
             // Whether they are back is asked for by itself: no caller waits for that.
             ClaimId probe = new ClaimId(name, start, ++runs);
             for (String keeper : keepers) {
-                if (limit.silent(keeper)) {
-                    send(keeper, new CopyMessage.Look(layout.epoch(), token, probe));
+                if (concurrencyLimit.isUnresponsive(keeper)) {
+                    send(
+                            keeper,
+                            new ReplicationMessage.ClaimQuery(placement.epoch(), token, probe));
                 }
             }
         }
-        if (!limit.room() || attempts.size() >= MOST || hopeless) {
-            then.accept(new Verdict(Verdict.What.THROTTLED, null, null));
+        if (!concurrencyLimit.hasCapacity() || attempts.size() >= MOST || hopeless) {
+            then.accept(new ClaimDecision(ClaimDecision.Kind.THROTTLED, null, null));
             return;
         }
-        limit.begun();
-        again.earn(AGAIN_SHARE);
+        concurrencyLimit.started();
+        again.deposit(AGAIN_SHARE);
         Attempt attempt = new Attempt(token, body, leaves, due, windowEnds, then);
         renew(attempt);
         attempt.began = now;
@@ -313,8 +318,9 @@
     /** Asks as many as a majority takes, the quickest. */
     private void first(Attempt attempt, Duration now) {
         attempt.said = now;
-        attempt.order = pace.order(keepers(attempt.token), limit);
-        attempt.asked = Math.min(attempt.order.size(), Layout.majority(attempt.order.size()));
+        attempt.order = pace.fastestFirst(keepers(attempt.token), concurrencyLimit);
+        attempt.asked =
+                Math.min(attempt.order.size(), ReplicaPlacement.quorumSize(attempt.order.size()));
         for (String keeper : attempt.order.subList(0, attempt.asked)) {
             ask(attempt, keeper, now);
         }
@@ -328,18 +334,19 @@
     }
 
     private void ask(Attempt attempt, String keeper, Duration now) {
-        limit.asked(keeper);
+        concurrencyLimit.requestSent(keeper);
         send(
                 keeper,
                 attempt.claims
-                        ? new CopyMessage.Claim(
-                                layout.epoch(),
+                        ? new ReplicationMessage.ClaimRequest(
+                                placement.epoch(),
                                 attempt.token,
                                 attempt.id,
                                 attempt.body,
-                                until(attempt.windowEnds, now),
+                                timeUntil(attempt.windowEnds, now),
                                 attempt.leaves)
-                        : new CopyMessage.Look(layout.epoch(), attempt.token, attempt.id));
+                        : new ReplicationMessage.ClaimQuery(
+                                placement.epoch(), attempt.token, attempt.id));
     }
 
     /** What was not answered is asked again, all of it, as far as the budget goes. */
@@ -350,17 +357,17 @@
             if (attempt.answers.containsKey(keeper)) {
                 continue;
             }
-            if (!again.take(1, now)) {
+            if (!again.tryTake(1, now)) {
                 return;
             }
-            saidAgain++;
+            retriedRequests++;
             ask(attempt, keeper, now);
         }
     }
 
     private void release(Attempt attempt, Duration now) {
         if (attempt.claims) {
-            neverRan(attempt.token, attempt.id, attempt.windowEnds, now);
+            releaseClaim(attempt.token, attempt.id, attempt.windowEnds, now);
         }
     }
 
@@ -368,83 +375,92 @@
      * A claim, of this start of the server or a former one, is known never to have run: its keepers
      * are told, and whoever asks.
      */
-    public void neverRan(String token, ClaimId id, Duration windowEnds, Duration now) {
+    public void releaseClaim(String token, ClaimId id, Duration windowEnds, Duration now) {
         releasedIds.put(id, windowEnds);
         for (String keeper : keepers(token)) {
-            send(keeper, new CopyMessage.Release(token, id, until(windowEnds, now)));
+            send(
+                    keeper,
+                    new ReplicationMessage.ClaimRelease(token, id, timeUntil(windowEnds, now)));
         }
     }
 
-    private void end(Attempt attempt, Verdict.What what, Outcome outcome, boolean timely) {
+    private void end(
+            Attempt attempt, ClaimDecision.Kind what, ClaimOutcome outcome, boolean timely) {
         attempts.remove(attempt.id);
         if (attempt.claims) {
-            limit.over(timely);
+            concurrencyLimit.finished(timely);
         }
-        attempt.then.accept(new Verdict(what, attempt.id, outcome));
+        attempt.then.accept(new ClaimDecision(what, attempt.id, outcome));
     }
 
-    public void received(String from, CopyMessage message, Duration now) {
-        if (message instanceof CopyMessage.Answer answer) {
-            limit.heard(from);
-            heard(from, answer.number());
-            Attempt attempt = attempts.get(answer.id());
+    public void receive(String from, ReplicationMessage message, Duration now) {
+        if (message instanceof ReplicationMessage.ClaimReply answer) {
+            concurrencyLimit.replyReceived(from);
+            observedChangeNumbers(from, answer.changeNumber());
+            Attempt attempt = attempts.get(answer.claimId());
             if (attempt == null || !keepers(attempt.token).contains(from)) {
                 return;
             }
-            if (attempt.claims && answer.word() == CopyMessage.Word.FREE) {
+            if (attempt.claims && answer.vote() == ReplicationMessage.ClaimVote.UNCLAIMED) {
                 return; // to a look of before
             }
             if (attempt.answers.put(from, answer) == null) {
-                pace.answered(from, now.minus(attempt.said));
+                pace.record(from, now.minus(attempt.said));
             }
             weigh(attempt, now);
-        } else if (message instanceof CopyMessage.Kept kept) {
-            limit.heard(from);
-            heard(from, kept.number());
-            Ending ending = endings.get(kept.id());
+        } else if (message instanceof ReplicationMessage.OutcomeStored kept) {
+            concurrencyLimit.replyReceived(from);
+            observedChangeNumbers(from, kept.changeNumber());
+            Ending ending = endings.get(kept.claimId());
             if (ending == null
-                    || kept.epoch() != layout.epoch()
+                    || kept.epoch() != placement.epoch()
                     || !keepers(ending.token).contains(from)) {
                 return;
             }
             if (ending.kept.add(from) && ending.result == null) {
-                pace.answered(from, now.minus(ending.said));
+                pace.record(from, now.minus(ending.said));
             }
-            if (ending.kept.size() >= Layout.majority(keepers(ending.token).size())) {
+            if (ending.kept.size() >= ReplicaPlacement.quorumSize(keepers(ending.token).size())) {
                 answer(ending, true);
             }
             if (ending.kept.size() == keepers(ending.token).size()) {
-                drop(kept.id());
+                drop(kept.claimId());
             }
-        } else if (message instanceof CopyMessage.Ended ended) {
-            ended.heard().forEach(this::heard);
-        } else if (message instanceof CopyMessage.Recollect asked) {
-            send(from, new CopyMessage.Recollected(asked.nonce(), heardOf(from)));
-        } else if (message instanceof CopyMessage.Piece piece) {
-            pieces.received(piece).ifPresent(whole -> fetched(whole, now));
-            outs.addAll(pieces.tick(now));
-        } else if (message instanceof CopyMessage.Whether whether) {
-            Duration ends = releasedIds.get(whether.id());
+        } else if (message instanceof ReplicationMessage.ClaimCompleted ended) {
+            ended.changeNumbers().forEach(this::observedChangeNumbers);
+        } else if (message instanceof ReplicationMessage.ChangeNumberQuery asked) {
+            send(
+                    from,
+                    new ReplicationMessage.ChangeNumberReply(
+                            asked.nonce(), highestChangeNumber(from)));
+        } else if (message instanceof ReplicationMessage.Chunk piece) {
+            pieces.accept(piece).ifPresent(whole -> fetched(whole, now));
+            takeOutbound.addAll(pieces.tick(now));
+        } else if (message instanceof ReplicationMessage.OwnerQuery whether) {
+            Duration ends = releasedIds.get(whether.claimId());
             if (ends == null) {
                 return;
             }
-            send(from, new CopyMessage.Release(whether.token(), whether.id(), until(ends, now)));
-            neverRan(whether.token(), whether.id(), ends, now);
+            send(
+                    from,
+                    new ReplicationMessage.ClaimRelease(
+                            whether.token(), whether.claimId(), timeUntil(ends, now)));
+            releaseClaim(whether.token(), whether.claimId(), ends, now);
         }
     }
 
     /** The table of the design note: what each mix of answers allows. */
     private void weigh(Attempt attempt, Duration now) {
         int size = keepers(attempt.token).size();
-        int majority = Layout.majority(size);
+        int majority = ReplicaPlacement.quorumSize(size);
         int granted = 0;
         int free = 0;
         int against = 0;
-        for (CopyMessage.Answer answer : attempt.answers.values()) {
-            switch (answer.word()) {
-                case DONE -> {
-                    Outcome outcome = answer.outcome().orElseThrow();
-                    if (!outcome.big() || !outcome.body().equals(attempt.body)) {
+        for (ReplicationMessage.ClaimReply answer : attempt.answers.values()) {
+            switch (answer.vote()) {
+                case COMPLETED -> {
+                    ClaimOutcome outcome = answer.outcome().orElseThrow();
+                    if (!outcome.isChunked() || !outcome.fingerprint().equals(attempt.body)) {
                         done(attempt, outcome, now);
                         return;
                     }
@@ -453,22 +469,24 @@
                 }
                 case GRANTED -> {
                     // A grant of another epoch is another majority's.
-                    if (answer.epoch() == layout.epoch()) {
+                    if (answer.epoch() == placement.epoch()) {
                         granted++;
                     }
                 }
-                case FREE -> {
-                    if (answer.epoch() == layout.epoch()) {
+                case UNCLAIMED -> {
+                    if (answer.epoch() == placement.epoch()) {
                         free++;
                     }
                 }
                 case HELD -> {
                     against++;
                     attempt.rivalSeen = true;
-                    if (answer.other().isPresent() && attempt.whether.add(answer.other().get())) {
+                    if (answer.otherClaim().isPresent()
+                            && attempt.whether.add(answer.otherClaim().get())) {
                         send(
-                                answer.other().get().server(),
-                                new CopyMessage.Whether(attempt.token, answer.other().get()));
+                                answer.otherClaim().get().server(),
+                                new ReplicationMessage.OwnerQuery(
+                                        attempt.token, answer.otherClaim().get()));
                     }
                 }
                 default -> against++;
@@ -485,20 +503,20 @@
             if (now.compareTo(attempt.due)
                     >= 0) { // looked at last: a server that slept acts on nothing old
                 release(attempt, now);
-                end(attempt, Verdict.What.THROTTLED, null, false);
+                end(attempt, ClaimDecision.Kind.THROTTLED, null, false);
                 return;
             }
             Map<String, Long> rests = new TreeMap<>();
-            attempt.answers.forEach((keeper, answer) -> rests.put(keeper, answer.number()));
+            attempt.answers.forEach((keeper, answer) -> rests.put(keeper, answer.changeNumber()));
             running.put(attempt.id, new Running(attempt.token, rests));
-            end(attempt, Verdict.What.RUN, null, true);
+            end(attempt, ClaimDecision.Kind.RUN, null, true);
         } else if (attempt.claims && size - against < majority) {
             makeWay(attempt, now);
         } else if (!attempt.claims && free >= majority) {
             // Whoever held it has let it go: by a majority it was never run.
             attempt.claims = true;
             attempt.rivalSeen = false;
-            limit.begun();
+            concurrencyLimit.started();
             renew(attempt);
             attempt.began = now;
             first(attempt, now);
@@ -510,33 +528,33 @@
      * is asked meanwhile.
      */
     private boolean fetches(Attempt attempt, Duration now) {
-        for (Map.Entry<String, CopyMessage.Answer> each : attempt.answers.entrySet()) {
-            CopyMessage.Answer answer = each.getValue();
-            if (answer.word() != CopyMessage.Word.DONE
-                    || !answer.outcome().orElseThrow().here()
-                    || answer.other().isEmpty()) {
+        for (Map.Entry<String, ReplicationMessage.ClaimReply> each : attempt.answers.entrySet()) {
+            ReplicationMessage.ClaimReply answer = each.getValue();
+            if (answer.vote() != ReplicationMessage.ClaimVote.COMPLETED
+                    || !answer.outcome().orElseThrow().resultPresent()
+                    || answer.otherClaim().isEmpty()) {
                 continue;
             }
-            attempt.fetches = answer.other().get();
-            pieces.want(
+            attempt.fetches = answer.otherClaim().get();
+            pieces.request(
                     attempt.token,
                     attempt.fetches,
                     answer.outcome().get(),
                     each.getKey(),
-                    layout.epoch(),
+                    placement.epoch(),
                     now);
-            outs.addAll(pieces.tick(now));
+            takeOutbound.addAll(pieces.tick(now));
             return true;
         }
         return false;
     }
 
-    private void fetched(Pieces.Whole whole, Duration now) {
+    private void fetched(ChunkAssembler.AssembledResult whole, Duration now) {
         for (Attempt attempt : List.copyOf(attempts.values())) {
-            if (!attempt.token.equals(whole.token()) || !whole.id().equals(attempt.fetches)) {
+            if (!attempt.token.equals(whole.token()) || !whole.claimId().equals(attempt.fetches)) {
                 continue;
             }
-            done(attempt, new Outcome(true, attempt.body, whole.result()), now);
+            done(attempt, new ClaimOutcome(true, attempt.body, whole.result()), now);
         }
     }
 
@@ -544,7 +562,7 @@
     private void makeWay(Attempt attempt, Duration now) {
         release(attempt, now);
         attempt.claims = false;
-        limit.over(true);
+        concurrencyLimit.finished(true);
         renew(attempt);
         later(attempt, now);
     }
@@ -555,24 +573,26 @@
         attempt.pause = min(attempt.pause.multipliedBy(2), LOOK_MOST);
     }
 
-    private void done(Attempt attempt, Outcome outcome, Duration now) {
+    private void done(Attempt attempt, ClaimOutcome outcome, Duration now) {
         release(attempt, now);
-        if (!outcome.body().equals(attempt.body)) {
-            end(attempt, Verdict.What.OTHER_BODY, outcome, true);
+        if (!outcome.fingerprint().equals(attempt.body)) {
+            end(attempt, ClaimDecision.Kind.FINGERPRINT_MISMATCH, outcome, true);
         } else {
             end(
                     attempt,
-                    outcome.succeeded() ? Verdict.What.REPLAY : Verdict.What.ENDED,
+                    outcome.succeeded()
+                            ? ClaimDecision.Kind.REPLAY
+                            : ClaimDecision.Kind.COMPLETED_WITHOUT_RESULT,
                     outcome,
                     true);
         }
     }
 
     /** A claimed run has never begun after all: somebody else may have it. */
-    public void neverRan(ClaimId id, Duration windowEnds, Duration now) {
+    public void releaseClaim(ClaimId id, Duration windowEnds, Duration now) {
         Running run = running.remove(id);
         if (run != null) {
-            neverRan(run.token, id, windowEnds, now);
+            releaseClaim(run.token, id, windowEnds, now);
         }
     }
 
@@ -583,9 +603,9 @@
      * @param due when its answer has to leave
      * @param then handed, once, whether a majority keeps the end by then
      */
-    public void ended(
+    public void reportOutcome(
             ClaimId id,
-            Outcome outcome,
+            ClaimOutcome outcome,
             String result,
             Duration due,
             Duration windowEnds,
@@ -596,7 +616,10 @@
             then.accept(false);
             return;
         }
-        String held = outcome.big() && results + outcome.size() <= MOST_RESULTS ? result : null;
+        String held =
+                outcome.isChunked() && results + outcome.resultSize() <= MOST_RESULTS
+                        ? result
+                        : null;
         if (held != null) {
             results += held.length();
         }
@@ -609,10 +632,10 @@
      * A claim of a former start of this server is known to have ended so: the keepers hear of it as
      * of any end.
      */
-    public void formerEnded(
+    public void reportPreviousOutcome(
             String token,
             ClaimId id,
-            Outcome outcome,
+            ClaimOutcome outcome,
             String result,
             Duration windowEnds,
             Duration now) {
@@ -620,7 +643,7 @@
             return;
         }
         running.put(id, new Running(token, Map.of()));
-        ended(id, outcome, result, now, windowEnds, now, kept -> {});
+        reportOutcome(id, outcome, result, now, windowEnds, now, kept -> {});
     }
 
     private void drop(ClaimId id) {
@@ -631,7 +654,7 @@
     }
 
     /** The long result of a run of this server that keepers still fetch, or null. */
-    public String result(ClaimId id) {
+    public String pendingResult(ClaimId id) {
         Ending ending = endings.get(id);
         return ending == null ? null : ending.result;
     }
@@ -642,15 +665,15 @@
             if (ending.kept.contains(keeper)) {
                 continue;
             }
-            limit.asked(keeper);
+            concurrencyLimit.requestSent(keeper);
             send(
                     keeper,
-                    new CopyMessage.Ended(
-                            layout.epoch(),
+                    new ReplicationMessage.ClaimCompleted(
+                            placement.epoch(),
                             ending.token,
                             id,
                             ending.outcome,
-                            until(ending.windowEnds, now),
+                            timeUntil(ending.windowEnds, now),
                             ending.heard));
         }
     }
@@ -673,7 +696,9 @@
                 release(attempt, now);
                 end(
                         attempt,
-                        attempt.rivalSeen ? Verdict.What.UNKNOWN : Verdict.What.THROTTLED,
+                        attempt.rivalSeen
+                                ? ClaimDecision.Kind.OUTCOME_UNKNOWN
+                                : ClaimDecision.Kind.THROTTLED,
                         null,
                         false);
             } else if (attempt.claims && now.minus(attempt.began).compareTo(GIVES_UP) >= 0) {
@@ -683,7 +708,7 @@
                     makeWay(attempt, now);
                 } else {
                     release(attempt, now);
-                    end(attempt, Verdict.What.THROTTLED, null, false);
+                    end(attempt, ClaimDecision.Kind.THROTTLED, null, false);
                 }
             } else if (attempt.claims && now.minus(attempt.said).compareTo(AGAIN) >= 0) {
                 // Who was behind or in another epoch may have come up to it meanwhile.
@@ -691,8 +716,10 @@
                         .values()
                         .removeIf(
                                 answer ->
-                                        answer.word() == CopyMessage.Word.BEHIND
-                                                || answer.word() == CopyMessage.Word.STALE);
+                                        answer.vote() == ReplicationMessage.ClaimVote.LAGGING
+                                                || answer.vote()
+                                                        == ReplicationMessage.ClaimVote
+                                                                .STALE_EPOCH);
                 again(attempt, now);
             } else if (!attempt.claims && now.compareTo(attempt.nextLook) >= 0) {
                 renew(attempt);
@@ -700,18 +727,19 @@
                 first(attempt, now);
             } else if (attempt.asked < attempt.order.size()
                     && late(attempt, now)
-                    && again.take(1, now)) {
-                hedged++;
+                    && again.tryTake(1, now)) {
+                hedgedRequests++;
                 more(attempt, now);
             }
         }
-        outs.addAll(pieces.tick(now));
+        takeOutbound.addAll(pieces.tick(now));
         for (Map.Entry<ClaimId, Ending> each : List.copyOf(endings.entrySet())) {
             Ending ending = each.getValue();
             if (now.compareTo(ending.due) >= 0) {
                 answer(ending, false);
             }
-            boolean kept = ending.kept.size() >= Layout.majority(keepers(ending.token).size());
+            boolean kept =
+                    ending.kept.size() >= ReplicaPlacement.quorumSize(keepers(ending.token).size());
             if (now.compareTo(ending.windowEnds) >= 0 || kept && ending.later >= LATER) {
                 drop(each.getKey());
                 continue;
@@ -729,15 +757,15 @@
 
     private boolean late(Attempt attempt, Duration now) {
         return now.minus(attempt.said)
-                        .compareTo(pace.patience(attempt.order.subList(0, attempt.asked)))
+                        .compareTo(pace.hedgeDelay(attempt.order.subList(0, attempt.asked)))
                 >= 0;
     }
 
     /** All that decides what it does next, as text; times are told from now on. */
-    public String state(Duration now) {
+    public String describeState(Duration now) {
         StringBuilder text =
                 new StringBuilder()
-                        .append(layout.epoch())
+                        .append(placement.epoch())
                         .append(running)
                         .append(releasedIds.keySet());
         attempts.forEach(
--- a/src/main/java/ochretiller/fleet/copies/Modes.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimModes.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.time.Duration;
 import java.util.Map;
@@ -9,9 +9,9 @@
  * beside one that claims it in the same moment. So it goes on claiming until all tokens that others
  * may have claimed for good are past their windows.
  */
-public final class Modes {
+public final class ClaimModes {
     /** How a token is guarded. */
-    public enum Mode {
+    public enum ClaimMode {
         /** It runs once in the fleet. */
         FLEET("fleet"),
         /** It runs once on each server, as without a fleet. */
@@ -19,7 +19,7 @@
 
         private final String externalName;
 
-        Mode(String externalName) {
+        ClaimMode(String externalName) {
             this.externalName = externalName;
         }
 
@@ -29,8 +29,8 @@
         }
 
         /** The mode of this word of the operators' file, in whatever case. */
-        public static Mode fromExternalName(String word) {
-            for (Mode mode : values()) {
+        public static ClaimMode fromExternalName(String word) {
+            for (ClaimMode mode : values()) {
                 if (mode.externalName.equalsIgnoreCase(word)) {
                     return mode;
                 }
@@ -40,39 +40,40 @@
     }
 
     /** What is to be done before a run. */
-    public enum Before {
-        CLAIM,
+    public enum ClaimRequirement {
+        REQUIRED,
         /** A claim that tells others that they need not mind it. */
-        CLAIM_STILL,
-        NOTHING
+        REQUIRED_TRANSITIONALLY,
+        NOT_REQUIRED
     }
 
     /**
      * What the operators have set.
      *
-     * @param usual of operations that are not named
+     * @param defaultMode of operations that are not named
      * @param byOperation of those that are
      */
-    public record Told(Mode usual, Map<String, Mode> byOperation) {
-        public static final Told FLEET = new Told(Mode.FLEET, Map.of());
+    public record ClaimModeSettings(ClaimMode defaultMode, Map<String, ClaimMode> byOperation) {
+        public static final ClaimModeSettings ALL_FLEET =
+                new ClaimModeSettings(ClaimMode.FLEET, Map.of());
 
-        public Told {
+        public ClaimModeSettings {
             byOperation = Map.copyOf(byOperation);
         }
 
-        public Mode of(String operation) {
-            return byOperation.getOrDefault(operation, usual);
+        public ClaimMode modeOf(String operation) {
+            return byOperation.getOrDefault(operation, defaultMode);
         }
     }
 
-    private final Told told;
+    private final ClaimModeSettings told;
     private final Duration longest;
     private Duration until;
 
     /**
      * @param longest the longest window of a token: no claim is remembered longer
      */
-    public Modes(Told told, Duration longest, Duration now) {
+    public ClaimModes(ClaimModeSettings told, Duration longest, Duration now) {
         this.told = told;
         this.longest = longest;
         // A former process of this server, and all others, may have claimed until just now.
@@ -83,16 +84,18 @@
      * Another server asks for a claim of this operation. Of others it says nothing: they may stay
      * in the fleet's mode for good.
      */
-    public void claimed(String operation, boolean leaves, Duration now) {
-        if (!leaves && told.of(operation) == Mode.SERVER) {
+    public void claimObserved(String operation, boolean leaves, Duration now) {
+        if (!leaves && told.modeOf(operation) == ClaimMode.SERVER) {
             until = now.plus(longest);
         }
     }
 
-    public Before before(String operation, Duration now) {
-        if (told.of(operation) == Mode.FLEET) {
-            return Before.CLAIM;
+    public ClaimRequirement requirementFor(String operation, Duration now) {
+        if (told.modeOf(operation) == ClaimMode.FLEET) {
+            return ClaimRequirement.REQUIRED;
         }
-        return now.compareTo(until) < 0 ? Before.CLAIM_STILL : Before.NOTHING;
+        return now.compareTo(until) < 0
+                ? ClaimRequirement.REQUIRED_TRANSITIONALLY
+                : ClaimRequirement.NOT_REQUIRED;
     }
 }
--- a/src/main/java/ochretiller/fleet/copies/Commit.java
+++ b/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
@@ -1,6 +1,6 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
-import static ochretiller.spans.Spans.min;
+import static ochretiller.time.Durations.min;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -16,7 +16,7 @@
  * Behind a write that failed nothing is said, as if it were lost on the way, until all that is not
  * on the disk has been written anew.
  */
-public final class Commit {
+public final class DurabilityBarrier {
     /** Words that wait for the disk; what comes on top is as good as lost. */
     private static final int MOST_WAITING = 20_000;
 
@@ -32,42 +32,42 @@
     private static final int TRIES_AT_ONCE = 1_000;
 
     private final RandomGenerator chance;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private final Deque<Write> writes = new ArrayDeque<>();
+    private final Deque<Waiting> waitingMessages = new ArrayDeque<>();
+    private final Deque<PendingWrite> writes = new ArrayDeque<>();
     private final Set<String> unsaved = new LinkedHashSet<>();
     private boolean placeUnsaved;
     private long generation;
     private long asked;
     private long done;
     private int words;
-    private boolean sick;
+    private boolean degraded;
     private Duration pause = FIRST_PAUSE;
     private Duration tryAt = Duration.ZERO;
-    private long unsaid;
+    private long droppedMessages;
 
     /**
      * One thing to write: what the keeper has of this token now, or its place where that is null.
      */
-    public record Write(long generation, long number, String token) {}
+    public record PendingWrite(long generation, long sequence, String token) {}
 
-    private record Waiting(long behind, List<Keeper.Out> outs) {}
+    private record Waiting(long behind, List<Replica.OutboundMessage> outs) {}
 
-    public Commit(RandomGenerator chance) {
+    public DurabilityBarrier(RandomGenerator chance) {
         this.chance = chance;
     }
 
-    public boolean sick() {
-        return sick;
+    public boolean isDegraded() {
+        return degraded;
     }
 
     /** Words that wait for the disk. */
-    public int waiting() {
+    public int waitingMessages() {
         return words;
     }
 
     /** Words that were never said, since the disk did not take what they rest on. */
-    public long unsaid() {
-        return unsaid;
+    public long droppedMessages() {
+        return droppedMessages;
     }
 
     /**
@@ -77,18 +77,21 @@
      * @param now handed what may be said at once
      * @return what to write, in this order
      */
-    public List<Write> changed(
-            List<String> tokens, boolean place, List<Keeper.Out> outs, List<Keeper.Out> now) {
-        if (sick || words + outs.size() > MOST_WAITING) {
+    public List<PendingWrite> submit(
+            List<String> tokens,
+            boolean place,
+            List<Replica.OutboundMessage> outs,
+            List<Replica.OutboundMessage> now) {
+        if (degraded || words + outs.size() > MOST_WAITING) {
             unsaved.addAll(tokens);
             placeUnsaved |= place;
-            unsaid += outs.size();
-            if (!sick && !(tokens.isEmpty() && !place)) {
+            droppedMessages += outs.size();
+            if (!degraded && !(tokens.isEmpty() && !place)) {
                 fail();
             }
             return List.of();
         }
-        List<Write> all = new ArrayList<>();
+        List<PendingWrite> all = new ArrayList<>();
         for (String token : tokens) {
             all.add(write(token));
         }
@@ -99,20 +102,21 @@
         if (writes.isEmpty()) {
             now.addAll(outs);
         } else if (!outs.isEmpty()) {
-            waiting.add(new Waiting(asked, outs));
+            waitingMessages.add(new Waiting(asked, outs));
             words += outs.size();
         }
         return all;
     }
 
-    private Write write(String token) {
-        Write write = new Write(generation, ++asked, token);
+    private PendingWrite write(String token) {
+        PendingWrite write = new PendingWrite(generation, ++asked, token);
         writes.add(write);
         return write;
     }
 
     /** One write is over; what may be said by that. */
-    public List<Keeper.Out> acked(Write write, boolean durable, Duration now) {
+    public List<Replica.OutboundMessage> acknowledge(
+            PendingWrite write, boolean durable, Duration now) {
         if (write.generation != generation) {
             return List.of();
         }
@@ -122,21 +126,21 @@
             return List.of();
         }
         // Acknowledgements come in the order of the writes.
-        while (!writes.isEmpty() && writes.peek().number <= write.number) {
+        while (!writes.isEmpty() && writes.peek().sequence <= write.sequence) {
             writes.poll();
         }
-        done = write.number;
-        if (sick) {
+        done = write.sequence;
+        if (degraded) {
             if (!writes.isEmpty() || !unsaved.isEmpty() || placeUnsaved) {
                 return List.of();
             }
-            sick = false;
+            degraded = false;
             pause = FIRST_PAUSE;
             return List.of();
         }
-        List<Keeper.Out> outs = new ArrayList<>();
-        while (!waiting.isEmpty() && waiting.peek().behind <= done) {
-            List<Keeper.Out> said = waiting.poll().outs;
+        List<Replica.OutboundMessage> outs = new ArrayList<>();
+        while (!waitingMessages.isEmpty() && waitingMessages.peek().behind <= done) {
+            List<Replica.OutboundMessage> said = waitingMessages.poll().outs;
             words -= said.size();
             outs.addAll(said);
         }
@@ -148,19 +152,19 @@
      * not said.
      */
     private void fail() {
-        for (Write each : writes) {
+        for (PendingWrite each : writes) {
             if (each.token == null) {
                 placeUnsaved = true;
             } else {
                 unsaved.add(each.token);
             }
         }
-        unsaid += words;
+        droppedMessages += words;
         writes.clear();
-        waiting.clear();
+        waitingMessages.clear();
         words = 0;
         generation++;
-        sick = true;
+        degraded = true;
         pause = min(pause.multipliedBy(2), LAST_PAUSE);
     }
 
@@ -169,12 +173,12 @@
     }
 
     /** What to write again, behind a failure. */
-    public List<Write> tick(Duration now) {
-        if (!sick || !writes.isEmpty() || now.compareTo(tryAt) < 0) {
+    public List<PendingWrite> retryWrites(Duration now) {
+        if (!degraded || !writes.isEmpty() || now.compareTo(tryAt) < 0) {
             return List.of();
         }
         tryAt = now.plus(spread(pause));
-        List<Write> all = new ArrayList<>();
+        List<PendingWrite> all = new ArrayList<>();
         for (String token : List.copyOf(unsaved)) {
             if (all.size() >= TRIES_AT_ONCE) {
                 return all;
--- a/src/main/java/ochretiller/fleet/copies/Stock.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntries.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import net.openhft.hashing.LongHashFunction;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
  * The entries that a keeper has, by range, with a mark of each and the exclusive or of all marks of
  * a range, so that equal copies are seen to be equal without a look at their entries. It knows what
  * has changed since the disk was told last.
  */
-final class Stock {
+final class ReplicaEntries {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     /** Between two looks through a range: a window may seem that much longer. */
@@ -28,10 +28,10 @@
 
     private final TreeMap<Integer, Range> ranges = new TreeMap<>();
     private final Set<String> changed = new LinkedHashSet<>();
-    private final List<String> conflicting = new ArrayList<>();
+    private final List<String> takeConflictingTokens = new ArrayList<>();
     private int size;
-    private long bytes;
-    private long conflicts;
+    private long estimatedBytes;
+    private long conflictCount;
 
     private static final class Range {
         final TreeMap<String, Kept> entries = new TreeMap<>();
@@ -47,26 +47,26 @@
      * @param number how-manieth change of the keeper this is: what was told of it is remembered
      *     elsewhere
      */
-    private record Kept(Entry entry, long number, long mark) {}
+    private record Kept(ReplicaEntry entry, long number, long mark) {}
 
     /**
      * Equal where two have the same of a token; ends of windows are no part of it, as each has them
      * on its own clock.
      */
-    private static long mark(String token, Entry entry) {
+    private static long entryDigest(String token, ReplicaEntry entry) {
         StringBuilder text =
                 new StringBuilder(256)
                         .append(token)
                         .append(entry.claims())
-                        .append(entry.released());
+                        .append(entry.releasedClaims());
         entry.outcomes()
                 .forEach(
                         (id, outcome) ->
                                 text.append(id)
                                         .append(outcome.succeeded())
-                                        .append(outcome.body())
-                                        .append(outcome.sum())
-                                        .append(outcome.here()));
+                                        .append(outcome.fingerprint())
+                                        .append(outcome.checksum())
+                                        .append(outcome.resultPresent()));
         return HASH.hashChars(text);
     }
 
@@ -74,59 +74,60 @@
         return size;
     }
 
-    long bytes() {
-        return bytes;
+    long estimatedBytes() {
+        return estimatedBytes;
     }
 
     /** Tokens with two ends. */
-    long conflicts() {
-        return conflicts;
+    long conflictCount() {
+        return conflictCount;
     }
 
     /**
      * Tokens that came to have two ends since this was asked last, as many as are told of at once.
      */
-    List<String> conflicting() {
-        List<String> all = List.copyOf(conflicting);
-        conflicting.clear();
+    List<String> takeConflictingTokens() {
+        List<String> all = List.copyOf(takeConflictingTokens);
+        takeConflictingTokens.clear();
         return all;
     }
 
-    Entry get(String token) {
-        Range range = ranges.get(Layout.range(token));
+    ReplicaEntry get(String token) {
+        Range range = ranges.get(ReplicaPlacement.rangeOf(token));
         Kept kept = range == null ? null : range.entries.get(token);
-        return kept == null ? Entry.NOTHING : kept.entry;
+        return kept == null ? ReplicaEntry.EMPTY : kept.entry;
     }
 
     /** The number of a token's last change. */
-    long number(String token) {
-        Range range = ranges.get(Layout.range(token));
+    long changeNumber(String token) {
+        Range range = ranges.get(ReplicaPlacement.rangeOf(token));
         Kept kept = range == null ? null : range.entries.get(token);
         return kept == null ? 0 : kept.number;
     }
 
     /** Whether that changed anything. */
-    boolean put(String token, Entry entry, long number) {
-        Range range = ranges.computeIfAbsent(Layout.range(token), ignored -> new Range());
+    boolean put(String token, ReplicaEntry entry, long number) {
+        Range range =
+                ranges.computeIfAbsent(ReplicaPlacement.rangeOf(token), ignored -> new Range());
         Kept old = range.entries.get(token);
         if (old != null && old.entry.equals(entry)) {
             return false;
         }
-        Kept kept = new Kept(entry, number, mark(token, entry));
+        Kept kept = new Kept(entry, number, entryDigest(token, entry));
         range.entries.put(token, kept);
         range.digest ^= kept.mark ^ (old == null ? 0 : old.mark);
-        bytes += entry.bytes() - (old == null ? 0 : old.entry.bytes());
+        estimatedBytes += entry.estimatedBytes() - (old == null ? 0 : old.entry.estimatedBytes());
         if (old == null) {
             size++;
         }
-        if (entry.conflict() && (old == null || !old.entry.conflict())) {
-            conflicts++;
-            if (conflicting.size() < MOST_TOLD) {
-                conflicting.add(token);
+        if (entry.hasConflict() && (old == null || !old.entry.hasConflict())) {
+            conflictCount++;
+            if (takeConflictingTokens.size() < MOST_TOLD) {
+                takeConflictingTokens.add(token);
             }
         }
-        if (entry.until().compareTo(range.earliest) < 0) {
-            range.earliest = entry.until();
+        if (entry.expiresAt().compareTo(range.earliest) < 0) {
+            range.earliest = entry.expiresAt();
         }
         changed.add(token);
         return true;
@@ -136,7 +137,7 @@
      * Forgets what is past its window; each range is looked through when there is something, and
      * seldom.
      */
-    void sweep(Duration now) {
+    void removeExpired(Duration now) {
         for (Range range : ranges.values()) {
             if (range.earliest.compareTo(now) > 0
                     || range.swept != null && now.minus(range.swept).compareTo(SWEEPS) < 0) {
@@ -149,14 +150,14 @@
                     .removeIf(
                             each -> {
                                 Kept kept = each.getValue();
-                                if (kept.entry.until().compareTo(now) > 0) {
-                                    if (kept.entry.until().compareTo(range.earliest) < 0) {
-                                        range.earliest = kept.entry.until();
+                                if (kept.entry.expiresAt().compareTo(now) > 0) {
+                                    if (kept.entry.expiresAt().compareTo(range.earliest) < 0) {
+                                        range.earliest = kept.entry.expiresAt();
                                     }
                                     return false;
                                 }
                                 range.digest ^= kept.mark;
-                                bytes -= kept.entry.bytes();
+                                estimatedBytes -= kept.entry.estimatedBytes();
                                 size--;
                                 changed.remove(each.getKey());
                                 return true;
@@ -166,7 +167,7 @@
     }
 
     /** Tokens that have changed since this was asked last. */
-    List<String> changes() {
+    List<String> takeChangedTokens() {
         List<String> all = List.copyOf(changed);
         changed.clear();
         return all;
@@ -176,8 +177,8 @@
         return !changed.isEmpty();
     }
 
-    Map<String, Entry> all() {
-        Map<String, Entry> all = new TreeMap<>();
+    Map<String, ReplicaEntry> all() {
+        Map<String, ReplicaEntry> all = new TreeMap<>();
         ranges.values()
                 .forEach(
                         range ->
@@ -185,18 +186,18 @@
         return all;
     }
 
-    int count(int range) {
+    int entryCount(int range) {
         Range known = ranges.get(range);
         return known == null ? 0 : known.entries.size();
     }
 
-    long digest(int range) {
+    long rangeDigest(int range) {
         Range known = ranges.get(range);
         return known == null ? 0 : known.digest;
     }
 
-    Sketch sketch(int range, int cells) {
-        Sketch sketch = new Sketch(cells);
+    SetSketch sketch(int range, int cells) {
+        SetSketch sketch = new SetSketch(cells);
         Range known = ranges.get(range);
         if (known != null) {
             known.entries.values().forEach(kept -> sketch.add(kept.mark));
@@ -205,27 +206,27 @@
     }
 
     /** Tokens of a range with one of these marks, those whose windows end last first. */
-    List<String> marked(int range, Set<Long> marks) {
-        return newest(range, kept -> marks.contains(kept.mark));
+    List<String> tokensWithDigests(int range, Set<Long> marks) {
+        return tokensByExpiry(range, kept -> marks.contains(kept.mark));
     }
 
-    long mark(String token) {
-        Range range = ranges.get(Layout.range(token));
+    long entryDigest(String token) {
+        Range range = ranges.get(ReplicaPlacement.rangeOf(token));
         Kept kept = range == null ? null : range.entries.get(token);
         return kept == null ? 0 : kept.mark;
     }
 
     /** Tokens of a range behind a place, those whose windows end last first. */
-    List<String> newest(int range, Duration until, String after) {
-        return newest(range, kept -> kept.entry.until().compareTo(until) <= 0).stream()
+    List<String> tokensByExpiry(int range, Duration until, String after) {
+        return tokensByExpiry(range, kept -> kept.entry.expiresAt().compareTo(until) <= 0).stream()
                 .filter(
                         token ->
-                                get(token).until().compareTo(until) < 0
+                                get(token).expiresAt().compareTo(until) < 0
                                         || token.compareTo(after) > 0)
                 .toList();
     }
 
-    private List<String> newest(int range, Predicate<Kept> which) {
+    private List<String> tokensByExpiry(int range, Predicate<Kept> which) {
         Range known = ranges.get(range);
         if (known == null) {
             return List.of();
@@ -238,13 +239,13 @@
         }
         found.sort(
                 Comparator.comparing(
-                                (Map.Entry<String, Kept> each) -> each.getValue().entry.until())
+                                (Map.Entry<String, Kept> each) -> each.getValue().entry.expiresAt())
                         .reversed()
                         .thenComparing(Map.Entry::getKey));
         return found.stream().map(Map.Entry::getKey).toList();
     }
 
-    List<Keeper.Listed> list(int range, int most) {
+    List<Replica.TokenSummary> summarize(int range, int most) {
         Range known = ranges.get(range);
         if (known == null) {
             return List.of();
@@ -253,15 +254,15 @@
                 .limit(most)
                 .map(
                         each ->
-                                new Keeper.Listed(
+                                new Replica.TokenSummary(
                                         each.getKey(),
                                         each.getValue().mark,
-                                        each.getValue().entry.how()))
+                                        each.getValue().entry.status()))
                 .toList();
     }
 
     /** Tokens of a range behind this one, by their names. */
-    Iterable<String> after(int range, String token) {
+    Iterable<String> tokensAfter(int range, String token) {
         Range known = ranges.get(range);
         return known == null ? List.of() : known.entries.tailMap(token, false).keySet();
     }
--- a/src/main/java/ochretiller/fleet/copies/Pace.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
  * to as many as a majority takes, the quickest; one that is slow is asked only where the others
  * leave it open.
  */
-final class Pace {
+final class ReplicaLatency {
     /** Weight of the last answer in what is usual; and of how far answers stray. */
     private static final double NEW = 0.1;
 
@@ -34,7 +34,7 @@
         double strays;
     }
 
-    void answered(String keeper, Duration took) {
+    void record(String keeper, Duration took) {
         if (keepers.size() >= KEEPERS && !keepers.containsKey(keeper)) {
             return;
         }
@@ -55,17 +55,17 @@
      * The same in the order in which they are asked: those that are heard from, the quickest first,
      * then those that are silent.
      */
-    List<String> order(List<String> all, ClaimLimit limit) {
+    List<String> fastestFirst(List<String> all, ClaimConcurrencyLimit limit) {
         List<String> order = new ArrayList<>(all);
         order.sort(
-                Comparator.comparing((String each) -> limit.silent(each))
+                Comparator.comparing((String each) -> limit.isUnresponsive(each))
                         .thenComparingDouble(
                                 each -> keepers.containsKey(each) ? keepers.get(each).nanos : 0));
         return order;
     }
 
     /** How long an answer of these is waited for before one more is asked. */
-    Duration patience(List<String> asked) {
+    Duration hedgeDelay(List<String> asked) {
         double nanos = SOONEST.toNanos();
         for (String each : asked) {
             Usual usual = keepers.get(each);
--- a/src/main/java/ochretiller/fleet/copies/Sketch.java
+++ b/src/main/java/ochretiller/fleet/replication/SetSketch.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -13,15 +13,15 @@
  * give it away (Eppstein and others 2011, "What's the difference?"). Some one and a half cells for
  * each that differs are enough; where they are not, nothing is told.
  */
-public final class Sketch {
+public final class SetSketch {
     /** Cells in all: what fits one datagram beside its envelope. */
-    static final int MOST = 384;
+    static final int MAX_CELLS = 384;
 
     /** Cells that each mark is put into, each in a part of its own. */
     private static final int PARTS = 3;
 
     /** Bytes of a cell: how many, their exclusive or, and that of their sums. */
-    static final int CELL = 14;
+    static final int CELL_BYTES = 14;
 
     private final int cells;
     private final short[] counts;
@@ -29,11 +29,11 @@
     private final int[] sums;
 
     /** What one has and the other lacks. */
-    public record Difference(Set<Long> mine, Set<Long> theirs) {}
+    public record SetDifference(Set<Long> onlyHere, Set<Long> onlyThere) {}
 
     /** An empty one of so many cells, rounded to whole parts. */
-    Sketch(int cells) {
-        this.cells = Math.max(PARTS, Math.min(MOST, (cells + PARTS - 1) / PARTS * PARTS));
+    SetSketch(int cells) {
+        this.cells = Math.max(PARTS, Math.min(MAX_CELLS, (cells + PARTS - 1) / PARTS * PARTS));
         counts = new short[this.cells];
         marks = new long[this.cells];
         sums = new int[this.cells];
@@ -80,11 +80,11 @@
      * What is in this one and not in the other, and the other way round; empty where too much
      * differs to tell.
      */
-    Optional<Difference> less(Sketch other) {
+    Optional<SetDifference> subtract(SetSketch other) {
         if (other.cells != cells) {
             return Optional.empty();
         }
-        Sketch rest = new Sketch(cells);
+        SetSketch rest = new SetSketch(cells);
         Deque<Integer> alone = new ArrayDeque<>();
         for (int i = 0; i < cells; i++) {
             rest.counts[i] = (short) (counts[i] - other.counts[i]);
@@ -114,12 +114,12 @@
                 return Optional.empty();
             }
         }
-        return Optional.of(new Difference(mine, theirs));
+        return Optional.of(new SetDifference(mine, theirs));
     }
 
     /** Its cells as bytes, the highest first. */
-    public byte[] bytes() {
-        ByteBuffer out = ByteBuffer.allocate(cells * CELL);
+    public byte[] toBytes() {
+        ByteBuffer out = ByteBuffer.allocate(cells * CELL_BYTES);
         for (int i = 0; i < cells; i++) {
             out.putShort(counts[i]).putLong(marks[i]).putInt(sums[i]);
         }
@@ -127,12 +127,15 @@
     }
 
     /** One as {@link #bytes} has told it. */
-    public static Sketch of(byte[] bytes) {
-        int cells = bytes.length / CELL;
-        if (cells * CELL != bytes.length || cells < PARTS || cells > MOST || cells % PARTS != 0) {
+    public static SetSketch fromBytes(byte[] bytes) {
+        int cells = bytes.length / CELL_BYTES;
+        if (cells * CELL_BYTES != bytes.length
+                || cells < PARTS
+                || cells > MAX_CELLS
+                || cells % PARTS != 0) {
             throw new IllegalArgumentException("no sketch");
         }
-        Sketch sketch = new Sketch(cells);
+        SetSketch sketch = new SetSketch(cells);
         ByteBuffer in = ByteBuffer.wrap(bytes);
         for (int i = 0; i < cells; i++) {
             sketch.counts[i] = in.getShort();
@@ -144,7 +147,8 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Sketch sketch && java.util.Arrays.equals(bytes(), sketch.bytes());
+        return other instanceof SetSketch sketch
+                && java.util.Arrays.equals(toBytes(), sketch.toBytes());
     }
 
     @Override
@@ -157,6 +161,6 @@
         return "sketch of "
                 + cells
                 + " cells "
-                + Long.toHexString(java.util.Arrays.hashCode(bytes()));
+                + Long.toHexString(java.util.Arrays.hashCode(toBytes()));
     }
 }
--- a/src/main/java/ochretiller/fleet/copies/package-info.java
+++ b/src/main/java/ochretiller/fleet/replication/package-info.java
@@ -3,4 +3,4 @@
  * servers. Pure decisions: what a keeper answers, what a server may do on each mix of answers, how
  * copies that differ become one.
  */
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
--- a/src/main/java/ochretiller/fleet/versions/Watch.java
+++ b/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.versions;
+package ochretiller.fleet.rollout;
 
 import java.util.Optional;
 
@@ -8,9 +8,9 @@
  * (a mixture sequential probability ratio test; Robbins 1970, Johari and others 2022, "Always valid
  * inference").
  */
-public final class Watch {
+public final class CanaryComparison {
     /** Chance of ever halting a version that does no harm, over all figures together. */
-    public static final double FALSE_ALARM = 0.01;
+    public static final double FALSE_ALARM_PROBABILITY = 0.01;
 
     private static final int FIGURES = 4;
 
@@ -29,51 +29,63 @@
      */
     private static final double ALONE = 0.2;
 
-    private Watch() {}
+    private CanaryComparison() {}
 
     /** What is worse with the new version, with both shares; empty where nothing is known to be. */
-    public static Optional<String> worse(Counts changed, Counts unchanged) {
-        if (changed.read() < FEWEST || unchanged.read() < FEWEST) {
+    public static Optional<String> findRegression(
+            VersionCounters changed, VersionCounters unchanged) {
+        if (changed.answered() < FEWEST || unchanged.answered() < FEWEST) {
             return Optional.empty();
         }
-        if (worse(changed.throttled(), changed.read(), unchanged.throttled(), unchanged.read())) {
+        if (findRegression(
+                changed.throttled(),
+                changed.answered(),
+                unchanged.throttled(),
+                unchanged.answered())) {
             return told(
                     "throttled",
                     changed.throttled(),
-                    changed.read(),
+                    changed.answered(),
                     unchanged.throttled(),
-                    unchanged.read());
+                    unchanged.answered());
         }
-        if (worse(changed.errored(), changed.read(), unchanged.errored(), unchanged.read())) {
+        if (findRegression(
+                changed.errored(), changed.answered(), unchanged.errored(), unchanged.answered())) {
             return told(
                     "errored",
                     changed.errored(),
-                    changed.read(),
+                    changed.answered(),
                     unchanged.errored(),
-                    unchanged.read());
+                    unchanged.answered());
         }
-        if (worse(changed.late(), changed.read(), unchanged.late(), unchanged.read())) {
-            return told("late", changed.late(), changed.read(), unchanged.late(), unchanged.read());
+        if (findRegression(
+                changed.late(), changed.answered(), unchanged.late(), unchanged.answered())) {
+            return told(
+                    "late",
+                    changed.late(),
+                    changed.answered(),
+                    unchanged.late(),
+                    unchanged.answered());
         }
         double lostHere = lost(changed);
         double lostThere = lost(unchanged);
-        if (worse(
-                lostHere * changed.read(),
-                changed.read(),
-                lostThere * unchanged.read(),
-                unchanged.read())) {
+        if (findRegression(
+                lostHere * changed.answered(),
+                changed.answered(),
+                lostThere * unchanged.answered(),
+                unchanged.answered())) {
             return told(
                     "lost of the billed value",
-                    lostHere * changed.read(),
-                    changed.read(),
-                    lostThere * unchanged.read(),
-                    unchanged.read());
+                    lostHere * changed.answered(),
+                    changed.answered(),
+                    lostThere * unchanged.answered(),
+                    unchanged.answered());
         }
         return Optional.empty();
     }
 
-    private static double lost(Counts counts) {
-        return counts.offered() <= 0 ? 0 : 1 - counts.value() / counts.offered();
+    private static double lost(VersionCounters counts) {
+        return counts.offeredValue() <= 0 ? 0 : 1 - counts.earnedValue() / counts.offeredValue();
     }
 
     private static Optional<String> told(
@@ -89,7 +101,8 @@
                         otherAll));
     }
 
-    private static boolean worse(double bad, double all, double otherBad, double otherAll) {
+    private static boolean findRegression(
+            double bad, double all, double otherBad, double otherAll) {
         double difference = bad / all - otherBad / otherAll;
         if (difference < LEAST) {
             return false;
@@ -101,6 +114,6 @@
         double log =
                 0.5 * Math.log(spread / (spread + mixed))
                         + difference * difference * mixed / (2 * spread * (spread + mixed));
-        return log > Math.log(FIGURES / FALSE_ALARM);
+        return log > Math.log(FIGURES / FALSE_ALARM_PROBABILITY);
     }
 }
--- a/src/main/java/ochretiller/fleet/versions/Lease.java
+++ b/src/main/java/ochretiller/fleet/rollout/Lease.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.versions;
+package ochretiller.fleet.rollout;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
  * Whether a server may still act on what it acts on, by its own monotonic clock: a majority of
@@ -33,7 +33,7 @@
     }
 
     /** A question that goes to the voters now. */
-    public long ask(Duration now) {
+    public long startRenewal(Duration now) {
         questions.values().removeIf(at -> now.minus(at).compareTo(span) > 0);
         // Guards against a clock that stands: the oldest is of no more use than a new one.
         if (questions.size() >= QUESTIONS) {
@@ -48,7 +48,7 @@
     }
 
     /** A voter has said to this question that the server may. */
-    public void granted(String voter, long question) {
+    public void recordGrant(String voter, long question) {
         Duration at = questions.get(question);
         if (at == null || !voters.contains(voter)) {
             return;
@@ -57,8 +57,8 @@
     }
 
     /** When it ends, or the beginning of time where there never was one. */
-    public Duration ends() {
-        int majority = Layout.majority(voters.size());
+    public Duration expiresAt() {
+        int majority = ReplicaPlacement.quorumSize(voters.size());
         if (good.size() < majority) {
             return Duration.ZERO;
         }
@@ -67,7 +67,7 @@
         return times.get(majority - 1).plus(span);
     }
 
-    public boolean holds(Duration now) {
-        return now.compareTo(ends()) < 0;
+    public boolean isHeld(Duration now) {
+        return now.compareTo(expiresAt()) < 0;
     }
 }
--- a/src/main/java/ochretiller/fleet/versions/Doorkeeper.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.versions;
+package ochretiller.fleet.rollout;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -6,20 +6,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Rollout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
 
 /**
  * Whose lease a voter renews: those that act on a version that is in force for them, and for a
  * stated while those that have just come to their turn. Who is behind is let run out; who has
  * caught up is let in again, few at a time.
  */
-public final class Doorkeeper {
+public final class LeaseGrantor {
     /**
      * Part of the servers that may be shut out: where more are behind, nobody is, since that would
      * be worse than what is behind.
      */
-    static final double MOST_OUT = 0.34;
+    static final double MAX_FENCED_SHARE = 0.34;
 
     /** Servers that are let in again in a second. */
     private static final double BACK_RATE = 2;
@@ -28,28 +28,28 @@
 
     private final Duration grace;
     private final RandomGenerator chance;
-    private final Set<String> out = new HashSet<>();
+    private final Set<String> fencedServers = new HashSet<>();
 
     /** What is in force for each server, and since when, as this voter knows. */
     private final Map<String, Turn> turns = new HashMap<>();
 
-    private Layout last;
+    private ReplicaPlacement last;
     private double back = BACK_BURST;
     private Duration backAt = Duration.ZERO;
 
-    private record Turn(Rollout.Version target, Duration since) {}
+    private record Turn(RolloutState.PublishedVersion target, Duration since) {}
 
     /**
      * @param grace how long a server may take to come to act on what is in force for it
      */
-    public Doorkeeper(Duration grace, RandomGenerator chance) {
+    public LeaseGrantor(Duration grace, RandomGenerator chance) {
         this.grace = grace;
         this.chance = chance;
     }
 
     /** Servers that are shut out. */
-    public Set<String> out() {
-        return Set.copyOf(out);
+    public Set<String> fencedServers() {
+        return Set.copyOf(fencedServers);
     }
 
     /**
@@ -57,12 +57,16 @@
      *
      * @param reports what each server that is there has said last, this one among them
      */
-    public boolean renews(Layout layout, String name, Map<String, Report> reports, Duration now) {
-        become(layout, now);
-        out.retainAll(reports.keySet());
-        turns.keySet().removeIf(each -> !reports.containsKey(each) && !layout.has(each));
+    public boolean renew(
+            ReplicaPlacement layout,
+            String name,
+            Map<String, VersionReport> reports,
+            Duration now) {
+        adoptPlacement(layout, now);
+        fencedServers.retainAll(reports.keySet());
+        turns.keySet().removeIf(each -> !reports.containsKey(each) && !layout.contains(each));
         int late = 0;
-        for (Map.Entry<String, Report> each : reports.entrySet()) {
+        for (Map.Entry<String, VersionReport> each : reports.entrySet()) {
             if (late(layout, each.getKey(), each.getValue(), now)) {
                 late++;
             }
@@ -70,11 +74,11 @@
         boolean mine = reports.containsKey(name) && late(layout, name, reports.get(name), now);
         // Of all that there are: a voter that hears few must not take those for the fleet.
         int all = Math.max(reports.size(), layout.servers().size());
-        if (mine && late <= Math.max(1, MOST_OUT * all)) {
-            out.add(name);
+        if (mine && late <= Math.max(1, MAX_FENCED_SHARE * all)) {
+            fencedServers.add(name);
             return false;
         }
-        if (mine || !out.contains(name)) {
+        if (mine || !fencedServers.contains(name)) {
             return true;
         }
         // Guards against all at once: those that were shut out together would come back together.
@@ -87,7 +91,7 @@
             return false;
         }
         back--;
-        out.remove(name);
+        fencedServers.remove(name);
         return true;
     }
 
@@ -95,12 +99,12 @@
      * This is in force: time counts from here, and not from a server's next word. One that could
      * not be heard meanwhile has had its time.
      */
-    public void become(Layout layout, Duration now) {
+    public void adoptPlacement(ReplicaPlacement layout, Duration now) {
         if (layout.equals(last)) {
             return;
         }
         last = layout;
-        for (Layout.Server each : layout.servers()) {
+        for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
             turn(layout, each.name(), now);
         }
         for (String each : Set.copyOf(turns.keySet())) {
@@ -108,16 +112,17 @@
         }
     }
 
-    private Turn turn(Layout layout, String name, Duration now) {
-        Rollout.Version target = Stages.target(layout, name);
+    private Turn turn(ReplicaPlacement layout, String name, Duration now) {
+        RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
         return turns.merge(
                 name,
                 new Turn(target, now),
                 (before, next) -> before.target.equals(target) ? before : next);
     }
 
-    private boolean late(Layout layout, String name, Report report, Duration now) {
+    private boolean late(ReplicaPlacement layout, String name, VersionReport report, Duration now) {
         Turn turn = turn(layout, name, now);
-        return Rollouts.behind(report, turn.target) && now.minus(turn.since).compareTo(grace) >= 0;
+        return RolloutController.isBehind(report, turn.target)
+                && now.minus(turn.since).compareTo(grace) >= 0;
     }
 }
--- a/src/main/java/ochretiller/fleet/versions/Stages.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.versions;
+package ochretiller.fleet.rollout;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,54 +8,58 @@
 import java.util.Set;
 import java.util.TreeMap;
 import net.openhft.hashing.LongHashFunction;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Rollout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
 
 /**
  * Which servers act on a version at a stage of its rollout: one; a quarter, spread over the zones;
  * all. Each server can tell by itself, and all tell the same of one layout. Another version draws
  * others, so that it is not always the same ones that are first.
  */
-public final class Stages {
+public final class RolloutStages {
     /** The stage at which all act on it. */
-    public static final int ALL = 2;
+    public static final int ALL_SERVERS = 2;
 
     /** Part of all servers, and of each zone, at the stage before. */
     private static final int PART = 4;
 
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    private Stages() {}
+    private RolloutStages() {}
 
     private static long draw(long number, String name) {
         return HASH.hashLongs(new long[] {number, HASH.hashChars(name)}) >>> 1;
     }
 
     /** What this server is to act on. */
-    public static Rollout.Version target(Layout layout, String name) {
-        Rollout rollout = layout.rollout();
-        return rollout.over() || on(layout, name) ? rollout.to() : rollout.from();
+    public static RolloutState.PublishedVersion targetVersion(
+            ReplicaPlacement layout, String name) {
+        RolloutState rollout = layout.rollout();
+        return rollout.isComplete() || includes(layout, name)
+                ? rollout.target()
+                : rollout.previous();
     }
 
     /** Whether a server has come to its turn. */
-    public static boolean on(Layout layout, String name) {
-        Rollout rollout = layout.rollout();
-        if (rollout.over() || rollout.stage() >= ALL) {
+    public static boolean includes(ReplicaPlacement layout, String name) {
+        RolloutState rollout = layout.rollout();
+        if (rollout.isComplete() || rollout.stage() >= ALL_SERVERS) {
             return true;
         }
-        if (layout.has(name)) {
+        if (layout.contains(name)) {
             return first(layout).contains(name);
         }
         // One that keeps nothing is in no list: it goes by its own draw, and never first.
-        return rollout.stage() > 0 && draw(rollout.to().number(), name) < Long.MAX_VALUE / PART;
+        return rollout.stage() > 0 && draw(rollout.target().number(), name) < Long.MAX_VALUE / PART;
     }
 
-    private static Set<String> first(Layout layout) {
-        long number = layout.rollout().to().number();
-        List<Layout.Server> order = new ArrayList<>(layout.servers());
+    private static Set<String> first(ReplicaPlacement layout) {
+        long number = layout.rollout().target().number();
+        List<ReplicaPlacement.ReplicaServer> order = new ArrayList<>(layout.servers());
         order.sort(
-                Comparator.comparingLong((Layout.Server each) -> draw(number, each.name()))
-                        .thenComparing(Layout.Server::name));
+                Comparator.comparingLong(
+                                (ReplicaPlacement.ReplicaServer each) -> draw(number, each.name()))
+                        .thenComparing(ReplicaPlacement.ReplicaServer::name));
         Set<String> first = new HashSet<>();
         if (layout.rollout().stage() == 0) {
             if (!order.isEmpty()) {
@@ -64,7 +68,7 @@
             return first;
         }
         Map<String, List<String>> zones = new TreeMap<>();
-        for (Layout.Server each : order) {
+        for (ReplicaPlacement.ReplicaServer each : order) {
             zones.computeIfAbsent(each.zone(), ignored -> new ArrayList<>()).add(each.name());
         }
         for (List<String> each : zones.values()) {
@@ -75,7 +79,7 @@
         if (!order.isEmpty()) {
             first.add(order.get(0).name());
         }
-        for (Layout.Server each : order) {
+        for (ReplicaPlacement.ReplicaServer each : order) {
             if (first.size() < least) {
                 first.add(each.name());
             }
--- a/src/main/java/ochretiller/fleet/versions/Gather.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.versions;
+package ochretiller.fleet.rollout;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import ochretiller.fleet.epochs.Rollout;
+import ochretiller.fleet.consensus.RolloutState;
 
 /**
  * The bytes of a version on their way to here: some pieces at once, from one source, from another
  * where that one is silent, with pauses that grow. What has come stays, whoever it came from.
  */
-public final class Gather {
+public final class VersionDownload {
     /** Bytes of a piece: what fits a datagram beside its envelope. */
-    public static final int PIECE = 4 * 1024;
+    public static final int CHUNK_BYTES = 4 * 1024;
 
     private static final int AT_ONCE = 4;
     private static final Duration FIRST = Duration.ofMillis(150);
@@ -24,7 +24,7 @@
     private static final int SILENT = 2;
 
     private final RandomGenerator chance;
-    private Rollout.Version wanted = Rollout.Version.NONE;
+    private RolloutState.PublishedVersion wanted = RolloutState.PublishedVersion.NONE;
     private byte[][] pieces = {};
     private int missing;
     private String source;
@@ -33,19 +33,22 @@
     private Duration next = Duration.ZERO;
 
     /** One question. */
-    public record Ask(String to, VersionMessage.WantBytes message) {}
+    public record OutboundChunkRequest(String recipient, RolloutMessage.ChunkRequest request) {}
 
-    public Gather(RandomGenerator chance) {
+    public VersionDownload(RandomGenerator chance) {
         this.chance = chance;
     }
 
     /** This one is needed now; what is under way of another is forgotten. */
-    public void want(Rollout.Version version, Duration now) {
+    public void start(RolloutState.PublishedVersion version, Duration now) {
         if (version.hash().equals(wanted.hash())) {
             return;
         }
         wanted = version;
-        pieces = version.own() ? new byte[0][] : new byte[(version.size() + PIECE - 1) / PIECE][];
+        pieces =
+                version.usesLocalFiles()
+                        ? new byte[0][]
+                        : new byte[(version.sizeBytes() + CHUNK_BYTES - 1) / CHUNK_BYTES][];
         missing = pieces.length;
         source = null;
         silent = 0;
@@ -53,7 +56,7 @@
         next = now;
     }
 
-    public boolean waits() {
+    public boolean isIncomplete() {
         return missing > 0;
     }
 
@@ -62,7 +65,7 @@
      *
      * @param sources servers that are there and may have it, the likeliest first
      */
-    public List<Ask> tick(List<String> sources, Duration now) {
+    public List<OutboundChunkRequest> tick(List<String> sources, Duration now) {
         if (missing == 0 || now.compareTo(next) < 0 || sources.isEmpty()) {
             return List.of();
         }
@@ -83,11 +86,14 @@
         return asks();
     }
 
-    private List<Ask> asks() {
-        List<Ask> asks = new ArrayList<>();
+    private List<OutboundChunkRequest> asks() {
+        List<OutboundChunkRequest> asks = new ArrayList<>();
         for (int i = 0; i < pieces.length && asks.size() < AT_ONCE; i++) {
             if (pieces[i] == null) {
-                asks.add(new Ask(source, new VersionMessage.WantBytes(wanted.hash(), i * PIECE)));
+                asks.add(
+                        new OutboundChunkRequest(
+                                source,
+                                new RolloutMessage.ChunkRequest(wanted.hash(), i * CHUNK_BYTES)));
             }
         }
         return asks;
@@ -97,20 +103,20 @@
      * All bytes, once the last piece has come; whether they are what the hash says is to be looked
      * at by whoever takes them.
      */
-    public Optional<byte[]> received(VersionMessage.Bytes message, Duration now) {
-        int which = message.from() / PIECE;
+    public Optional<byte[]> accept(RolloutMessage.Chunk message, Duration now) {
+        int which = message.offset() / CHUNK_BYTES;
         boolean fits =
                 missing > 0
                         && message.hash().equals(wanted.hash())
-                        && message.from() % PIECE == 0
+                        && message.offset() % CHUNK_BYTES == 0
                         && which < pieces.length
                         && pieces[which] == null
-                        && message.bytes().length
-                                == Math.min(PIECE, wanted.size() - message.from());
+                        && message.data().length
+                                == Math.min(CHUNK_BYTES, wanted.sizeBytes() - message.offset());
         if (!fits) {
             return Optional.empty();
         }
-        pieces[which] = message.bytes();
+        pieces[which] = message.data();
         missing--;
         silent = 0;
         pause = FIRST;
@@ -118,15 +124,15 @@
         if (missing > 0) {
             return Optional.empty();
         }
-        byte[] all = new byte[wanted.size()];
+        byte[] all = new byte[wanted.sizeBytes()];
         for (int i = 0; i < pieces.length; i++) {
-            System.arraycopy(pieces[i], 0, all, i * PIECE, pieces[i].length);
+            System.arraycopy(pieces[i], 0, all, i * CHUNK_BYTES, pieces[i].length);
         }
         return Optional.of(all);
     }
 
     /** What came was not what its hash says: all of it is asked for again, of another. */
-    public void spoilt(Duration now) {
+    public void discardCorrupt(Duration now) {
         Arrays.fill(pieces, null);
         missing = pieces.length;
         silent = SILENT;
@@ -134,15 +140,18 @@
     }
 
     /** A piece of what is here, as it is answered. */
-    public static Optional<VersionMessage.Bytes> cut(VersionMessage.WantBytes want, byte[] all) {
-        if (want.from() >= all.length) {
+    public static Optional<RolloutMessage.Chunk> slice(
+            RolloutMessage.ChunkRequest want, byte[] all) {
+        if (want.offset() >= all.length) {
             return Optional.empty();
         }
         return Optional.of(
-                new VersionMessage.Bytes(
+                new RolloutMessage.Chunk(
                         want.hash(),
-                        want.from(),
+                        want.offset(),
                         Arrays.copyOfRange(
-                                all, want.from(), Math.min(all.length, want.from() + PIECE))));
+                                all,
+                                want.offset(),
+                                Math.min(all.length, want.offset() + CHUNK_BYTES))));
     }
 }
--- a/src/main/java/ochretiller/fleet/versions/package-info.java
+++ b/src/main/java/ochretiller/fleet/rollout/package-info.java
@@ -3,4 +3,4 @@
  * out for being behind, and a chain of what each server acted on. No I/O, no clock, no threads:
  * time, chance and bytes are handed in.
  */
-package ochretiller.fleet.versions;
+package ochretiller.fleet.rollout;
--- a/src/main/java/ochretiller/fleet/peers/SmallWrites.java
+++ b/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A thread for writes that are small and seldom: it is there while there are any. */
-final class SmallWrites {
+final class BackgroundWriter {
     private static final int IDLE_S = 10;
 
     private final ThreadPoolExecutor thread;
@@ -14,7 +14,7 @@
     /**
      * @param most writes that wait; what comes on top is not taken
      */
-    SmallWrites(String name, int most) {
+    BackgroundWriter(String name, int most) {
         thread =
                 new ThreadPoolExecutor(
                         0,
--- a/src/main/java/ochretiller/fleet/peers/Waits.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimLatency.java
@@ -1,10 +1,10 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.time.Duration;
 import java.util.Arrays;
 
 /** How long the last claims that were granted took; written on the one thread, read from any. */
-final class Waits {
+final class ClaimLatency {
     /** Claims that are told of: what a second of a busy server has. */
     private static final int LAST = 1_024;
 
--- a/src/main/java/ochretiller/fleet/peers/Fleet.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,28 +11,33 @@
 import java.util.function.BiConsumer;
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
-import ochretiller.bounds.Bounded;
-import ochretiller.fleet.members.Acquaintances;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Change;
-import ochretiller.fleet.members.Member;
-import ochretiller.fleet.members.MemberId;
-import ochretiller.fleet.members.Members;
-import ochretiller.fleet.members.Message;
-import ochretiller.fleet.members.Seen;
-import ochretiller.fleet.members.Send;
-import ochretiller.fleet.members.State;
+import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.membership.BootstrapPeers;
+import ochretiller.fleet.membership.Member;
+import ochretiller.fleet.membership.MemberId;
+import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.MembershipChange;
+import ochretiller.fleet.membership.MembershipMessage;
+import ochretiller.fleet.membership.MembershipProtocol;
+import ochretiller.fleet.membership.OutboundPacket;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.transport.AdminEndpoint;
+import ochretiller.fleet.transport.FleetKeys;
+import ochretiller.fleet.transport.PacketCodec;
+import ochretiller.fleet.transport.PeerSocket;
+import ochretiller.fleet.transport.RejectReason;
 import ochretiller.metrics.Metrics;
 import ochretiller.net.Network;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 import ochretiller.store.Store;
 
 /**
  * A server's part in its fleet: drives the decisions on the one thread, carries out what they say,
  * tells the operators.
  */
-public final class Fleet {
-    private static final Logger LOG = Logger.getLogger(Fleet.class.getName());
+public final class FleetService {
+    private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
 
     /** Addresses of peers that are kept made: more than a fleet has. */
     private static final int ADDRESSES = 4096;
@@ -48,25 +53,26 @@
     private static final String NO_COPIES = "{\"copies\":false}";
     private static final Duration FIGURES_EVERY = Duration.ofSeconds(1);
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final FleetSettings settings;
-    private final Codec codec;
-    private final Members members;
+    private final PacketCodec codec;
+    private final MembershipProtocol members;
     private final PeerSocket socket;
-    private final Door door;
-    private final Copies copies;
+    private final AdminEndpoint door;
+    private final ReplicationService copies;
 
     /** Null where no versions are brought out. */
-    private final Versions versions;
+    private final RolloutService versions;
 
     /** Null where nothing is kept of who was seen. */
     private final PeersFile peersFile;
 
-    private final Acquaintances acquaintances;
+    private final BootstrapPeers acquaintances;
     private final BiConsumer<Member, Boolean> seen;
-    private final Map<Address, InetSocketAddress> addresses = Bounded.byUse(ADDRESSES);
-    private final Map<State, Integer> sizes = new EnumMap<>(State.class);
-    private volatile int[] sizesNow = new int[State.values().length];
+    private final Map<PeerAddress, InetSocketAddress> addresses =
+            BoundedMap.evictingLeastRecentlyUsed(ADDRESSES);
+    private final Map<MemberState, Integer> sizes = new EnumMap<>(MemberState.class);
+    private volatile int[] sizesNow = new int[MemberState.values().length];
     private volatile int doubtNow;
     private final Metrics.Counter changed;
     private Duration linesFrom = Duration.ZERO;
@@ -85,30 +91,30 @@
      * @param acts what acts on versions, where they are brought out
      * @param leave run once the operators' command says so
      */
-    public Fleet(
-            Schedule schedule,
+    public FleetService(
+            Scheduler schedule,
             Network network,
             FleetSettings settings,
             String name,
             String build,
-            Address serves,
+            PeerAddress serves,
             RandomGenerator chance,
             Metrics metrics,
             Duration longest,
             Store store,
             BiConsumer<Member, Boolean> seen,
-            Versions.Acts acts,
+            RolloutService.Acts acts,
             Runnable leave)
             throws IOException {
         this.schedule = schedule;
         this.settings = settings;
         this.seen = seen;
-        codec = new Codec(settings.fleet(), FleetKeys.read(settings.keyFile()));
+        codec = new PacketCodec(settings.fleet(), FleetKeys.read(settings.keyFile()));
         socket = new PeerSocket(schedule, codec, settings.listen(), this::taken);
-        Address at =
+        PeerAddress at =
                 settings.advertise() != null
                         ? settings.advertise()
-                        : new Address(
+                        : new PeerAddress(
                                 settings.listen().getAddress().getHostAddress(),
                                 settings.listen().getPort());
         // The start must differ from all before it, also where the same configuration is read
@@ -122,16 +128,18 @@
                         build,
                         settings.serves() == null ? serves : settings.serves(),
                         1,
-                        State.JOINING);
-        members = new Members(self, settings.seeds(), settings.pace(), chance, schedule.now());
+                        MemberState.JOINING);
+        members =
+                new MembershipProtocol(
+                        self, settings.seeds(), settings.pace(), chance, schedule.now());
         peersFile = settings.peersFile() == null ? null : new PeersFile(settings.peersFile());
-        List<Address> former = peersFile == null ? List.of() : peersFile.read();
-        acquaintances = new Acquaintances(at, former);
-        members.knew(former);
+        List<PeerAddress> former = peersFile == null ? List.of() : peersFile.read();
+        acquaintances = new BootstrapPeers(at, former);
+        members.addBootstrapPeers(former);
         copies =
                 settings.copies() == null
                         ? null
-                        : new Copies(
+                        : new ReplicationService(
                                 schedule,
                                 settings.copies(),
                                 name,
@@ -140,12 +148,12 @@
                                 chance,
                                 metrics,
                                 this::send,
-                                () -> members.view(),
+                                () -> members.snapshot(),
                                 store);
         boolean brings = settings.copies() != null && settings.copies().versions() != null;
         versions =
                 brings
-                        ? new Versions(
+                        ? new RolloutService(
                                 schedule,
                                 settings.copies().versions(),
                                 name,
@@ -154,13 +162,13 @@
                                 chance,
                                 metrics,
                                 this::send,
-                                () -> members.view(),
+                                () -> members.snapshot(),
                                 acts)
                         : null;
         if (brings) {
             copies.bring(versions);
         }
-        door = new Door(codec, name, words(leave));
+        door = new AdminEndpoint(codec, name, words(leave));
         network.listen("fleet", settings.listen(), door::accepted);
         changed =
                 metrics.counter(
@@ -169,9 +177,9 @@
     }
 
     /** What the operators' commands may ask. */
-    private Map<String, Door.Answer> words(Runnable leave) {
-        Map<String, Door.Answer> words = new HashMap<>();
-        words.put("view", with -> Views.json(settings.fleet(), members, socket));
+    private Map<String, AdminEndpoint.Answer> words(Runnable leave) {
+        Map<String, AdminEndpoint.Answer> words = new HashMap<>();
+        words.put("view", with -> MembershipJson.json(settings.fleet(), members, socket));
         words.put("ping", with -> "{}");
         words.put(
                 "leave",
@@ -197,7 +205,7 @@
     }
 
     private void figures(Metrics metrics) {
-        for (State state : State.values()) {
+        for (MemberState state : MemberState.values()) {
             String name = state.lowerCaseName();
             metrics.gauge(
                     "fleet_members_" + name,
@@ -208,49 +216,51 @@
         metrics.counted(
                 "fleet_probes_total",
                 "Members that were asked in turn",
-                () -> members.counts().probes);
+                () -> members.counters().probes);
         metrics.counted(
                 "fleet_probes_missed_total",
                 "Members that answered neither directly nor through others",
-                () -> members.counts().missed);
+                () -> members.counters().failedProbes);
         metrics.counted(
                 "fleet_probes_indirect_total",
                 "Probes that others were asked to carry on",
-                () -> members.counts().asked);
+                () -> members.counters().indirectProbes);
         metrics.counted(
                 "fleet_suspicions_total",
                 "Members that became suspect",
-                () -> members.counts().suspected);
+                () -> members.counters().suspicions);
         metrics.counted(
                 "fleet_silenced_total",
                 "Members that were judged silent",
-                () -> members.counts().silenced);
+                () -> members.counters().becameUnresponsive);
         metrics.counted(
-                "fleet_returned_total", "Members that came back", () -> members.counts().returned);
+                "fleet_returned_total",
+                "Members that came back",
+                () -> members.counters().returned);
         metrics.counted(
                 "fleet_refuted_total",
                 "Times that this server said that it is there",
-                () -> members.counts().refuted);
+                () -> members.counters().refutations);
         metrics.counted(
                 "fleet_twins_total",
                 "Other processes that bear this server's name",
-                () -> members.counts().twins);
+                () -> members.counters().duplicateNames);
         metrics.counted(
                 "fleet_late_timers_total",
                 "Timers that came late",
-                () -> members.counts().lateTicks);
+                () -> members.counters().lateTicks);
         metrics.counted(
                 "fleet_views_compared_total",
                 "Comparisons of views that this server began",
-                () -> members.counts().syncs);
+                () -> members.counters().syncs);
         metrics.counted(
                 "fleet_views_refused_total",
                 "Comparisons that were too many",
-                () -> members.counts().syncsRefused);
+                () -> members.counters().syncsRejected);
         metrics.counted(
                 "fleet_full_total",
                 "Newcomers and questions for which there was no room",
-                () -> members.counts().full);
+                () -> members.counters().capacityRejections);
         metrics.counted(
                 "fleet_sent_packets_total", "Packets sent to peers", socket.sentPackets::sum);
         metrics.counted("fleet_sent_bytes_total", "Bytes sent to peers", socket.sentBytes::sum);
@@ -266,7 +276,7 @@
                 "fleet_read_bytes_total",
                 "Bytes read, refused ones among them",
                 socket.readBytes::sum);
-        for (Refused why : Refused.values()) {
+        for (RejectReason why : RejectReason.values()) {
             metrics.counted(
                     "fleet_refused_" + why.lowerCaseName() + "_total",
                     "Packets refused: " + why.externalName(),
@@ -298,11 +308,11 @@
         if (closed) {
             return;
         }
-        if (members.next().compareTo(schedule.now()) <= 0) {
+        if (members.nextTick().compareTo(schedule.now()) <= 0) {
             members.tick(schedule.now());
             carryOut();
         }
-        Duration wait = members.next().minus(schedule.now());
+        Duration wait = members.nextTick().minus(schedule.now());
         schedule.after(wait.isNegative() ? Duration.ZERO : wait, this::tick);
     }
 
@@ -311,42 +321,43 @@
             return;
         }
         sizes.clear();
-        List<Seen> view = members.view();
+        List<MemberSnapshot> view = members.snapshot();
         keep(view);
-        for (Seen each : view) {
+        for (MemberSnapshot each : view) {
             sizes.merge(each.member().state(), 1, Integer::sum);
         }
-        int[] next = new int[State.values().length];
+        int[] next = new int[MemberState.values().length];
         sizes.forEach((state, count) -> next[state.ordinal()] = count);
         sizesNow = next;
-        doubtNow = members.doubt();
+        doubtNow = members.localHealthScore();
         schedule.after(FIGURES_EVERY, this::look);
     }
 
-    private void keep(List<Seen> view) {
+    private void keep(List<MemberSnapshot> view) {
         if (peersFile == null) {
             return;
         }
-        acquaintances.met(view, schedule.now());
-        List<Address> due = acquaintances.due(schedule.now());
+        acquaintances.observe(view, schedule.now());
+        List<PeerAddress> due = acquaintances.takeDue(schedule.now());
         if (due != null) {
             peersFile.write(due);
         }
     }
 
-    private void taken(Codec.Opened opened) {
+    private void taken(PacketCodec.Opened opened) {
         if (closed) {
             return;
         }
-        if (!(opened.body() instanceof Message)) {
+        if (!(opened.body() instanceof MembershipMessage)) {
             // Only who is in may speak of epochs and tokens: its name is what majorities are
             // counted by.
-            if (copies != null && members.named(opened.from().id().name(), opened.from().start())) {
+            if (copies != null
+                    && members.isLive(opened.from().id().name(), opened.from().incarnation())) {
                 copies.received(opened.from().id().name(), opened.body());
             }
             return;
         }
-        members.received(opened.packet(), schedule.now());
+        members.receive(opened.packet(), schedule.now());
         carryOut();
     }
 
@@ -355,7 +366,7 @@
      * other.
      */
     private void send(String name, Object message) {
-        Address to = members.address(name);
+        PeerAddress to = members.addressOf(name);
         if (to == null) {
             return;
         }
@@ -366,41 +377,45 @@
     }
 
     /** The copies that this fleet keeps of claims and results, or null where it keeps none. */
-    public Copies copies() {
+    public ReplicationService copies() {
         return copies;
     }
 
     /** What is brought out to the fleet, or null where nothing is. */
-    public Versions versions() {
+    public RolloutService versions() {
         return versions;
     }
 
     private void carryOut() {
-        for (Send send : members.sends()) {
+        for (OutboundPacket send : members.takeOutbound()) {
             InetSocketAddress to =
                     addresses.computeIfAbsent(
-                            send.to(), each -> new InetSocketAddress(each.host(), each.port()));
+                            send.destination(),
+                            each -> new InetSocketAddress(each.host(), each.port()));
             socket.send(to, codec.seal(send.packet(), ++sequence));
         }
-        for (Change change : members.changes()) {
+        for (MembershipChange change : members.takeChanges()) {
             tell(change);
         }
     }
 
-    private void tell(Change change) {
+    private void tell(MembershipChange change) {
         changed.add();
         Member member = change.member();
-        State state = member.state();
-        if (change.kind() == Change.Kind.STATE
-                && (change.before() == null || change.before().live() != state.live())) {
-            seen.accept(member, state.live() || members.serving(member.serves()));
+        MemberState state = member.state();
+        if (change.kind() == MembershipChange.Kind.STATE_CHANGED
+                && (change.previousState() == null
+                        || change.previousState().isLive() != state.isLive())) {
+            seen.accept(
+                    member,
+                    state.isLive() || members.isServedByLiveMember(member.serviceAddress()));
         }
         if (!line()) {
             return;
         }
         switch (change.kind()) {
-            case STATE -> {
-                if (state != State.SUSPECT) {
+            case STATE_CHANGED -> {
+                if (state != MemberState.SUSPECT) {
                     LOG.info(
                             () ->
                                     "fleet: "
@@ -411,7 +426,7 @@
                                             + state.externalName());
                 }
             }
-            case TWIN -> {
+            case DUPLICATE_NAME -> {
                 // Two keepers by one name would be counted as one: this one says nothing more until
                 // its operators have seen to it.
                 if (copies != null) {
@@ -423,8 +438,9 @@
                                 + " at "
                                 + member.address());
             }
-            case JOINED -> LOG.info(() -> "fleet: joined, with " + members.live() + " others");
-            case REFUTED -> LOG.info("fleet: was thought to be gone, and says that it is here");
+            case JOINED -> LOG.info(() -> "fleet: joined, with " + members.liveCount() + " others");
+            case SUSPICION_REFUTED ->
+                    LOG.info("fleet: was thought to be gone, and says that it is here");
             case FORGOTTEN -> LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
             default -> throw new IllegalStateException();
         }
--- a/src/main/java/ochretiller/fleet/peers/FleetSettings.java
+++ b/src/main/java/ochretiller/fleet/service/FleetSettings.java
@@ -1,10 +1,10 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Pace;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.membership.ProtocolTiming;
 
 /**
  * A server's part in a fleet, as the operators tell it.
@@ -20,11 +20,11 @@
 public record FleetSettings(
         String fleet,
         InetSocketAddress listen,
-        Address advertise,
-        Address serves,
+        PeerAddress advertise,
+        PeerAddress serves,
         Path keyFile,
         Path peersFile,
-        List<Address> seeds,
+        List<PeerAddress> seeds,
         String zone,
-        Pace pace,
-        CopySettings copies) {}
+        ProtocolTiming pace,
+        ReplicationSettings copies) {}
--- a/src/main/java/ochretiller/fleet/peers/JsonText.java
+++ b/src/main/java/ochretiller/fleet/service/JsonText.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/ochretiller/fleet/peers/Views.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipJson.java
@@ -1,43 +1,46 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
-import ochretiller.fleet.members.Members;
-import ochretiller.fleet.members.Seen;
+import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.membership.MembershipProtocol;
+import ochretiller.fleet.transport.PeerSocket;
+import ochretiller.fleet.transport.RejectReason;
 
 /** A view as JSON, as the operators' commands read it. */
-final class Views {
-    private Views() {}
+final class MembershipJson {
+    private MembershipJson() {}
 
-    static String json(String fleet, Members members, PeerSocket socket) {
+    static String json(String fleet, MembershipProtocol members, PeerSocket socket) {
         return JsonText.object(
                 to -> {
                     to.writeStringField("fleet", fleet);
                     to.writeStringField("digest", Long.toHexString(members.digest()));
-                    to.writeNumberField("doubt", members.doubt());
-                    to.writeNumberField("news", members.news());
+                    to.writeNumberField("doubt", members.localHealthScore());
+                    to.writeNumberField("news", members.pendingGossip());
                     to.writeNumberField("sent_bytes", socket.sentBytes.sum());
                     to.writeNumberField("read_bytes", socket.readBytes.sum());
                     to.writeObjectFieldStart("refused");
-                    for (Refused why : Refused.values()) {
+                    for (RejectReason why : RejectReason.values()) {
                         if (socket.refused(why) > 0) {
                             to.writeNumberField(why.lowerCaseName(), socket.refused(why));
                         }
                     }
                     to.writeEndObject();
                     to.writeArrayFieldStart("members");
-                    for (Seen seen : members.view()) {
+                    for (MemberSnapshot seen : members.snapshot()) {
                         to.writeStartObject();
                         to.writeStringField("name", seen.member().id().name());
-                        to.writeStringField("start", Long.toHexString(seen.member().start()));
+                        to.writeStringField("start", Long.toHexString(seen.member().incarnation()));
                         to.writeStringField("state", seen.member().state().externalName());
                         to.writeStringField("address", seen.member().address().toString());
                         to.writeStringField("zone", seen.member().zone());
                         to.writeStringField("build", seen.member().build());
-                        if (seen.member().serves() != null) {
-                            to.writeStringField("serves", seen.member().serves().toString());
+                        if (seen.member().serviceAddress() != null) {
+                            to.writeStringField(
+                                    "serves", seen.member().serviceAddress().toString());
                         }
-                        to.writeNumberField("number", seen.member().number());
-                        to.writeNumberField("for_ms", seen.age().toMillis());
-                        to.writeBooleanField("self", seen.self());
+                        to.writeNumberField("number", seen.member().stateVersion());
+                        to.writeNumberField("for_ms", seen.timeInState().toMillis());
+                        to.writeBooleanField("self", seen.isSelf());
                         to.writeEndObject();
                     }
                     to.writeEndArray();
--- a/src/main/java/ochretiller/fleet/peers/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -1,10 +1,11 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.logging.Logger;
-import ochretiller.fleet.members.Address;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.transport.PacketCodec;
 
 /**
  * Addresses of those whom a server has seen, for its next start. It is a hint: what is damaged is
@@ -15,7 +16,7 @@
 
     private final Path file;
     private final SealedFile sealed;
-    private final SmallWrites writes = new SmallWrites("peers", 1);
+    private final BackgroundWriter writes = new BackgroundWriter("peers", 1);
     private volatile boolean sick;
 
     PeersFile(Path file) {
@@ -23,9 +24,10 @@
         this.sealed = new SealedFile(file);
     }
 
-    List<Address> read() {
+    List<PeerAddress> read() {
         try {
-            List<Address> all = sealed.read(in -> Codec.list(in, () -> Address.of(in.getText())));
+            List<PeerAddress> all =
+                    sealed.read(in -> PacketCodec.list(in, () -> PeerAddress.parse(in.getText())));
             return all == null ? List.of() : all;
         } catch (IOException e) {
             LOG.warning(
@@ -44,14 +46,14 @@
      * Kept in the background; where the last one is still being written, this one is not: there
      * will be another.
      */
-    void write(List<Address> all) {
+    void write(List<PeerAddress> all) {
         writes.take(
                 () -> {
                     try {
                         sealed.write(
                                 to -> {
                                     to.writeStartArray();
-                                    for (Address each : all) {
+                                    for (PeerAddress each : all) {
                                         to.writeString(each.toString());
                                     }
                                     to.writeEndArray();
--- a/src/main/java/ochretiller/fleet/peers/Former.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
@@ -1,10 +1,10 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.time.Duration;
 import java.util.function.Consumer;
 
 /** What former processes of this server have left of a token, as far as its disk can prove. */
-public interface Former {
+public interface PreviousIncarnation {
     /** How far one is known to have come. */
     enum Kind {
         /** Nothing under it was ever begun: its mark would be on the disk. */
