--- a/src/main/java/ochretiller/fleet/peers/KeeperDisk.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
@@ -14,31 +14,30 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import ochretiller.fleet.copies.ClaimId;
-import ochretiller.fleet.copies.Commit;
-import ochretiller.fleet.copies.CopyMessage;
-import ochretiller.fleet.copies.Entry;
-import ochretiller.fleet.copies.Keeper;
-import ochretiller.store.Ack;
+import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicationMessage;
+import ochretiller.fleet.transport.PacketCodec;
+import ochretiller.fleet.transport.ReplicationCodec;
+import ochretiller.store.AppendResult;
 import ochretiller.store.Store;
 
 /**
  * A keeper's entries in the store of remembered results, in a space of their own: keys that no
  * token can have begin with these bytes. {@code docs/store-format.md} has the values.
  */
-public final class KeeperDisk {
+public final class ReplicaStorage {
     /** No UTF-8 text begins with either. */
     static final byte ENTRIES = (byte) 0xFF;
 
     static final byte RESULTS = (byte) 0xFE;
-    private static final Logger LOG = Logger.getLogger(KeeperDisk.class.getName());
+    private static final Logger LOG = Logger.getLogger(ReplicaStorage.class.getName());
     private static final CBORFactory CBOR = new CBORFactory();
     private static final byte[] PLACE = {ENTRIES, 0};
     private static final byte[] NONE = {};
 
-    /** Longest token, in bytes, that fits a key beside the names of its claim. */
-    private static final int LONGEST_TOKEN = 200;
-
     private final Store store;
     private final Duration longest;
 
@@ -49,7 +48,11 @@
      * @param entries what is there in any case: each of them is true
      * @param place what else is there
      */
-    record Found(Keeper.Disk disk, Map<String, Entry> entries, long number, Place place) {}
+    record Found(
+            Replica.ReplicaSnapshot disk,
+            Map<String, ReplicaEntry> entries,
+            long number,
+            Place place) {}
 
     /**
      * What goes with a keeper's place.
@@ -64,51 +67,49 @@
     /**
      * @param longest the longest life of an entry
      */
-    KeeperDisk(Store store, Duration longest) {
+    ReplicaStorage(Store store, Duration longest) {
         this.store = store;
         this.longest = longest;
     }
 
-    static boolean fits(String token) {
-        return token.length() <= LONGEST_TOKEN
-                && token.getBytes(StandardCharsets.UTF_8).length <= LONGEST_TOKEN;
-    }
-
     /** What a former process has left, before the store is started. */
     Found read(Duration now) {
-        Map<String, Entry> entries = new TreeMap<>();
-        Keeper.Disk[] place = {null};
+        Map<String, ReplicaEntry> entries = new TreeMap<>();
+        Replica.ReplicaSnapshot[] place = {null};
         Place[] with = {Place.NONE};
         long[] number = {0};
-        long storeNow = store.now();
-        boolean[] good = {store.damagedUntil() <= storeNow};
+        long storeNow = store.nowMillis();
+        boolean[] good = {store.incompleteUntilMillis() <= storeNow};
         try {
-            store.each(
+            store.forEachValue(
                     ENTRIES,
                     (key, value, expires) -> {
                         try (CBORParser in = CBOR.createParser(value)) {
-                            Codec.start(in);
-                            number[0] = Math.max(number[0], Codec.number(in));
+                            PacketCodec.start(in);
+                            number[0] = Math.max(number[0], PacketCodec.number(in));
                             if (key.length == PLACE.length && key[1] == PLACE[1]) {
                                 place[0] =
-                                        new Keeper.Disk(
-                                                CopyCodec.layout(in),
+                                        new Replica.ReplicaSnapshot(
+                                                ReplicationCodec.layout(in),
                                                 Map.of(),
                                                 ranges(in),
                                                 ranges(in),
                                                 ranges(in),
                                                 0,
                                                 true);
-                                with[0] = new Place(CopyCodec.heard(in), Codec.numbers(in));
+                                with[0] =
+                                        new Place(
+                                                ReplicationCodec.heard(in),
+                                                PacketCodec.numbers(in));
                                 return;
                             }
-                            Codec.start(in);
-                            CopyMessage.Item item = CopyCodec.item(in);
+                            PacketCodec.start(in);
+                            ReplicationMessage.TransferredEntry item = ReplicationCodec.item(in);
                             entries.put(
                                     item.token(),
-                                    new Entry(
+                                    new ReplicaEntry(
                                             item.entry().claims(),
-                                            item.entry().released(),
+                                            item.entry().releasedClaims(),
                                             item.entry().outcomes(),
                                             now.plusMillis(expires - storeNow)));
                         } catch (IOException | IllegalArgumentException e) {
@@ -124,26 +125,26 @@
                     "fleet: what this server kept may lack something, and is fetched from the"
                             + " others");
         }
-        Keeper.Disk disk =
+        Replica.ReplicaSnapshot disk =
                 place[0] == null || !good[0]
                         ? null
-                        : new Keeper.Disk(
-                                place[0].layout(),
+                        : new Replica.ReplicaSnapshot(
+                                place[0].placement(),
                                 entries,
-                                place[0].behind(),
-                                place[0].forgot(),
-                                place[0].lost(),
+                                place[0].laggingRanges(),
+                                place[0].forgottenRanges(),
+                                place[0].unreliableRanges(),
                                 number[0],
                                 true);
         return new Found(disk, entries, number[0], with[0]);
     }
 
     private static Set<Integer> ranges(CBORParser in) throws IOException {
-        return new HashSet<>(Codec.list(in, in::getIntValue));
+        return new HashSet<>(PacketCodec.list(in, in::getIntValue));
     }
 
     private static void ranges(CBORGenerator to, Set<Integer> ranges) throws IOException {
-        Codec.numbers(to, ranges.stream().map(Integer::longValue).toList());
+        PacketCodec.numbers(to, ranges.stream().map(Integer::longValue).toList());
     }
 
     private static byte[] key(byte space, String text) {
@@ -156,52 +157,56 @@
 
     private long expires(Duration until, Duration now) {
         // No life is longer than the store allows, whatever a peer has said.
-        return store.now()
+        return store.nowMillis()
                 + Math.max(1, Math.min(until.minus(now).toMillis(), longest.toMillis() - 1));
     }
 
     /** Writes what the keeper has now; {@code then} is told whether that is durable. */
     void write(
-            Commit.Write write, Keeper keeper, Place with, Duration now, Consumer<Boolean> then) {
+            DurabilityBarrier.PendingWrite write,
+            Replica keeper,
+            Place with,
+            Duration now,
+            Consumer<Boolean> then) {
         if (write.token() == null) {
-            Keeper.Disk place = keeper.place();
+            Replica.ReplicaSnapshot place = keeper.metadataSnapshot();
             store.put(
                     PLACE,
                     NONE,
                     bytes(
                             to -> {
-                                to.writeNumber(place.number());
-                                CopyCodec.layout(to, place.layout());
-                                ranges(to, place.behind());
-                                ranges(to, place.forgot());
-                                ranges(to, place.lost());
-                                CopyCodec.heard(to, with.heard());
-                                Codec.numbers(to, with.starts());
+                                to.writeNumber(place.changeNumber());
+                                ReplicationCodec.layout(to, place.placement());
+                                ranges(to, place.laggingRanges());
+                                ranges(to, place.forgottenRanges());
+                                ranges(to, place.unreliableRanges());
+                                ReplicationCodec.heard(to, with.heard());
+                                PacketCodec.numbers(to, with.starts());
                             }),
-                    store.now() + longest.toMillis() - 1,
+                    store.nowMillis() + longest.toMillis() - 1,
                     false,
-                    ack -> then.accept(ack == Ack.DURABLE));
+                    ack -> then.accept(ack == AppendResult.DURABLE));
             return;
         }
-        Entry entry = keeper.entry(write.token());
-        long number = keeper.number(write.token());
-        Duration left = entry.until().minus(now);
+        ReplicaEntry entry = keeper.entry(write.token());
+        long number = keeper.changeNumber(write.token());
+        Duration left = entry.expiresAt().minus(now);
         store.put(
                 key(ENTRIES, write.token()),
                 NONE,
                 bytes(
                         to -> {
                             to.writeNumber(number);
-                            CopyCodec.item(
+                            ReplicationCodec.item(
                                     to,
-                                    new CopyMessage.Item(
+                                    new ReplicationMessage.TransferredEntry(
                                             write.token(),
                                             entry,
                                             left.isNegative() ? Duration.ZERO : left));
                         }),
-                expires(entry.until(), now),
+                expires(entry.expiresAt(), now),
                 false,
-                ack -> then.accept(ack == Ack.DURABLE));
+                ack -> then.accept(ack == AppendResult.DURABLE));
     }
 
     /** Keeps a long result as long as its entry. */
@@ -218,7 +223,7 @@
                 result,
                 expires(until, now),
                 false,
-                ack -> then.accept(ack == Ack.DURABLE));
+                ack -> then.accept(ack == AppendResult.DURABLE));
     }
 
     void result(String token, ClaimId id, Consumer<byte[]> then) {
--- a/src/main/java/ochretiller/fleet/peers/Copies.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -17,24 +17,25 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
-import ochretiller.bounds.Bounded;
-import ochretiller.fleet.copies.ClaimId;
-import ochretiller.fleet.copies.Claims;
-import ochretiller.fleet.copies.Commit;
-import ochretiller.fleet.copies.CopyMessage;
-import ochretiller.fleet.copies.Keeper;
-import ochretiller.fleet.copies.Modes;
-import ochretiller.fleet.copies.Outcome;
-import ochretiller.fleet.copies.Pieces;
-import ochretiller.fleet.copies.Verdict;
-import ochretiller.fleet.epochs.EpochMessage;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Voter;
-import ochretiller.fleet.epochs.Wish;
-import ochretiller.fleet.members.Seen;
-import ochretiller.fleet.versions.VersionMessage;
+import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.consensus.ConsensusMessage;
+import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.PlacementPlanner;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.replication.ChunkAssembler;
+import ochretiller.fleet.replication.ClaimCoordinator;
+import ochretiller.fleet.replication.ClaimDecision;
+import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicationMessage;
+import ochretiller.fleet.rollout.RolloutMessage;
+import ochretiller.fleet.transport.ReplicationCodec;
 import ochretiller.metrics.Metrics;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 import ochretiller.store.Store;
 
 /**
@@ -43,8 +44,8 @@
  * leaves; else they are in memory, and one that was started again counts once the others have told
  * it. What a voter promises is on disk before it is said.
  */
-public final class Copies {
-    private static final Logger LOG = Logger.getLogger(Copies.class.getName());
+public final class ReplicationService {
+    private static final Logger LOG = Logger.getLogger(ReplicationService.class.getName());
     private static final Duration TICK = Duration.ofMillis(20);
 
     /** Voters tell all others what is in force, and ask and attempt, at spans moved by chance. */
@@ -78,28 +79,28 @@
     /** Conflicts that get a line each, with both sides. */
     private static final int CONFLICT_LINES = 20;
 
-    private final Schedule schedule;
-    private final CopySettings settings;
+    private final Scheduler schedule;
+    private final ReplicationSettings settings;
     private final String name;
     private final Duration longest;
     private final RandomGenerator chance;
     private final BiConsumer<String, Object> send;
-    private final Supplier<List<Seen>> view;
-    private final Claims claims;
-    private final Modes modes;
-    private final Wish wish;
-    private final Shelf shelf;
-    private final Commit commit;
+    private final Supplier<List<MemberSnapshot>> view;
+    private final ClaimCoordinator claims;
+    private final ClaimModes modes;
+    private final PlacementPlanner wish;
+    private final ResultCache shelf;
+    private final DurabilityBarrier commit;
 
     /** Null where nothing outlives a restart. */
-    private final KeeperDisk disk;
+    private final ReplicaStorage disk;
 
-    private final KeeperDisk.Found found;
+    private final ReplicaStorage.Found found;
     private final List<Long> starts;
-    private final Keeper.Bounds bounds;
-    private final VoterFile file;
-    private final SmallWrites writer;
-    private final Map<String, Outcome> near = Bounded.byUse(NEAR);
+    private final Replica.ReplicaLimits bounds;
+    private final AcceptorFile file;
+    private final BackgroundWriter writer;
+    private final Map<String, ClaimOutcome> near = BoundedMap.evictingLeastRecentlyUsed(NEAR);
     private final Metrics.Counter asked;
     private final Metrics.Counter granted;
     private final Metrics.Counter replayed;
@@ -107,27 +108,27 @@
     private final Metrics.Counter unknown;
     private final Metrics.Counter unkept;
     private final Metrics.Counter still;
-    private final Waits waits = new Waits();
+    private final ClaimLatency waits = new ClaimLatency();
     private final Metrics.Counter settledNever;
     private final Metrics.Counter settledEnds;
     private final long start;
 
     /** Null for a server that is no voter. */
-    private Voter voter;
+    private EpochConsensus voter;
 
     /** What is on its disk, and what was handed over to be written last. */
-    private Voter.Promised durable;
+    private EpochConsensus.AcceptorState durable;
 
-    private Voter.Promised handed;
+    private EpochConsensus.AcceptorState handed;
 
     /** Null where no versions are brought out. */
-    private Versions versions;
+    private RolloutService versions;
 
     /** Null until an epoch is known. */
-    private Keeper keeper;
+    private Replica keeper;
 
     /** Null where nothing outlives a restart. */
-    private Former former;
+    private PreviousIncarnation former;
 
     private Duration attempted = Duration.ZERO.minusSeconds(60);
     private Duration spoken = Duration.ZERO;
@@ -171,16 +172,16 @@
      * @param send sends to a server by its name
      * @param store where entries are kept, not started yet; null where they are kept in memory
      */
-    Copies(
-            Schedule schedule,
-            CopySettings settings,
+    ReplicationService(
+            Scheduler schedule,
+            ReplicationSettings settings,
             String name,
             long start,
             Duration longest,
             RandomGenerator chance,
             Metrics metrics,
             BiConsumer<String, Object> send,
-            Supplier<List<Seen>> view,
+            Supplier<List<MemberSnapshot>> view,
             Store store) {
         this.schedule = schedule;
         this.settings = settings;
@@ -189,15 +190,15 @@
         this.start = start;
         this.chance = chance;
         this.send = send;
-        this.modes = new Modes(settings.modes(), longest, schedule.now());
+        this.modes = new ClaimModes(settings.modes(), longest, schedule.now());
         this.view = view;
-        this.wish = new Wish(settings.calm(), longest, settings.factor());
+        this.wish = new PlacementPlanner(settings.calm(), longest, settings.factor());
         boolean votes = settings.voters().contains(name);
-        file = votes ? new VoterFile(settings.voterFile()) : null;
+        file = votes ? new AcceptorFile(settings.voterFile()) : null;
         durable = votes ? file.read() : null;
         voter =
                 votes
-                        ? new Voter(
+                        ? new EpochConsensus(
                                 name,
                                 Set.copyOf(settings.voters()),
                                 durable,
@@ -205,37 +206,39 @@
                                 false,
                                 chance.nextLong())
                         : null;
-        writer = votes ? new SmallWrites("voter", WRITES) : null;
+        writer = votes ? new BackgroundWriter("voter", WRITES) : null;
         bounds =
-                new Keeper.Bounds(
+                new Replica.ReplicaLimits(
                         settings.most(), settings.mostBytes(), settings.catchUp(), longest);
-        disk = store == null ? null : new KeeperDisk(store, longest);
+        disk = store == null ? null : new ReplicaStorage(store, longest);
         found =
                 disk == null
-                        ? new KeeperDisk.Found(null, Map.of(), 0, KeeperDisk.Place.NONE)
+                        ? new ReplicaStorage.Found(null, Map.of(), 0, ReplicaStorage.Place.NONE)
                         : disk.read(schedule.now());
-        shelf = new Shelf(disk, settings.mostBytes() / 2);
-        commit = new Commit(chance);
+        shelf = new ResultCache(disk, settings.mostBytes() / 2);
+        commit = new DurabilityBarrier(chance);
         if (found.disk() != null) {
-            keeper = new Keeper(name, found.disk(), null, bounds, 0, schedule.now());
-            epochNow = keeper.layout().epoch();
+            keeper = new Replica(name, found.disk(), null, bounds, 0, schedule.now());
+            epochNow = keeper.placement().epoch();
             LOG.info(
                     () ->
                             "fleet: kept "
-                                    + keeper.size()
+                                    + keeper.entryCount()
                                     + " tokens of "
-                                    + keeper.layout()
+                                    + keeper.placement()
                                     + ", "
-                                    + keeper.behind()
+                                    + keeper.laggingRangeCount()
                                     + " ranges behind; asks the others whether it missed any");
         }
         claims =
-                new Claims(
+                new ClaimCoordinator(
                         name,
                         start,
-                        keeper == null ? Layout.none(settings.factor()) : keeper.layout(),
+                        keeper == null
+                                ? ReplicaPlacement.empty(settings.factor())
+                                : keeper.placement(),
                         chance);
-        claims.remember(found.place().heard());
+        claims.restoreChangeNumbers(found.place().heard());
         starts = starts(found.place().starts(), start);
         asked =
                 metrics.counter(
@@ -353,19 +356,19 @@
     }
 
     /** Versions go by the epochs of these copies. */
-    void bring(Versions all) {
+    void bring(RolloutService all) {
         versions = all;
     }
 
     void start() {
         if (versions != null && epochNow > 0) {
-            versions.become(claims.layout());
+            versions.become(claims.placement());
         }
         if (voter != null && epochNow > 0) {
-            voter.received(name, new EpochMessage.Agreed(claims.layout()));
+            voter.receive(name, new ConsensusMessage.Committed(claims.placement()));
         }
-        if (voter != null && !voter.blank()) {
-            learn(voter.agreed());
+        if (voter != null && !voter.hasLostState()) {
+            learn(voter.committed());
         }
         tick();
     }
@@ -414,9 +417,15 @@
      * whether they have missed any.
      */
     private void stand() {
-        boolean keeps = keeper != null && claims.layout().has(name);
-        int behind = !keeps ? 0 : keeper.returning() ? Layout.RANGES : keeper.behind();
-        EpochMessage.Standing standing = new EpochMessage.Standing(epochNow, behind);
+        boolean keeps = keeper != null && claims.placement().contains(name);
+        int behind =
+                !keeps
+                        ? 0
+                        : keeper.isCheckingDisk()
+                                ? ReplicaPlacement.RANGE_COUNT
+                                : keeper.laggingRangeCount();
+        ConsensusMessage.ReplicaProgress standing =
+                new ConsensusMessage.ReplicaProgress(epochNow, behind);
         if (keeps) {
             settings.voters().forEach(to -> out(to, standing));
         } else {
@@ -427,23 +436,23 @@
     private void tick(Duration now) {
         keeper.tick(now);
         if (chance.nextInt(COMPARES) == 0) {
-            keeper.compare(chance);
+            keeper.compareRandomRange(chance);
         }
         if (now.minus(looked).compareTo(LOOKS) >= 0) {
             looked = now;
             Set<String> live = new HashSet<>();
-            for (Seen seen : view.get()) {
-                if (seen.member().state().live()) {
+            for (MemberSnapshot seen : view.get()) {
+                if (seen.member().state().isLive()) {
                     live.add(seen.member().id().name());
                 }
             }
-            keeper.there(live);
+            keeper.observeLivePeers(live);
             conflicts();
             waits.publish();
             figures(now);
         }
         if (disk != null) {
-            commit.tick(now).forEach(this::write);
+            commit.retryWrites(now).forEach(this::write);
         }
         tell(now);
     }
@@ -452,45 +461,45 @@
         figures =
                 new Figures(
                         epochNow,
-                        keeper.behind(),
-                        keeper.size(),
-                        keeper.bytes(),
-                        keeper.conflicts(),
-                        claims.limit(),
-                        keeper.hints(),
-                        keeper.oldestGap(now).toNanos() / 1e9,
+                        keeper.laggingRangeCount(),
+                        keeper.entryCount(),
+                        keeper.estimatedBytes(),
+                        keeper.conflictCount(),
+                        claims.concurrencyLimit(),
+                        keeper.hintCount(),
+                        keeper.oldestLag(now).toNanos() / 1e9,
                         keeper.fetchedBytes(),
                         keeper.sentBytes(),
-                        keeper.compares(),
-                        keeper.differed(),
-                        commit.waiting(),
-                        commit.unsaid(),
-                        claims.hedged(),
-                        claims.saidAgain(),
-                        keeper.oldDisks());
+                        keeper.comparisons(),
+                        keeper.differences(),
+                        commit.waitingMessages(),
+                        commit.droppedMessages(),
+                        claims.hedgedRequests(),
+                        claims.retriedRequests(),
+                        keeper.staleDisks());
     }
 
     /**
      * Lines on what operators wait for: each state when it begins and ends, and not how it goes on.
      */
     private void tell(Duration now) {
-        boolean returning = keeper.returning();
+        boolean returning = keeper.isCheckingDisk();
         if (wasReturning && !returning) {
             LOG.info(
-                    keeper.oldDisks() > 0
+                    keeper.staleDisks() > 0
                             ? "fleet: the disk is older than this server's last word: what it kept"
                                     + " is fetched from the others"
                             : "fleet: nobody knows of a later word than the disk has: it counts as"
                                     + " a keeper");
         }
         wasReturning = returning;
-        boolean behind = keeper.behind() > 0;
+        boolean behind = keeper.laggingRangeCount() > 0;
         if (behind && !wasBehind) {
             behindSince = now;
         }
         if (behind != wasBehind) {
-            int ranges = keeper.behind();
-            long entries = keeper.fetched();
+            int ranges = keeper.laggingRangeCount();
+            long entries = keeper.fetchedEntries();
             long took = now.minus(behindSince).toMillis();
             LOG.info(
                     behind
@@ -502,18 +511,18 @@
                                     + " entries since its start");
         }
         wasBehind = behind;
-        if (commit.sick() != wasSick) {
+        if (commit.isDegraded() != wasSick) {
             LOG.warning(
-                    commit.sick()
+                    commit.isDegraded()
                             ? "fleet: the disk does not take what this server keeps: it says"
                                     + " nothing as a keeper"
                             : "fleet: the disk takes what this server keeps again");
         }
-        wasSick = commit.sick();
+        wasSick = commit.isDegraded();
     }
 
     private void conflicts() {
-        for (String token : keeper.conflicting()) {
+        for (String token : keeper.takeConflictingTokens()) {
             if (++conflictLines > CONFLICT_LINES) {
                 return;
             }
@@ -528,49 +537,49 @@
     }
 
     private void vote(Duration now) {
-        if (voter.blank()) {
-            voter.ask();
+        if (voter.hasLostState()) {
+            voter.requestRecovery();
             return;
         }
         Map<String, Boolean> there = new HashMap<>();
-        List<Layout.Server> servers = new ArrayList<>();
-        for (Seen seen : view.get()) {
+        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        for (MemberSnapshot seen : view.get()) {
             String other = seen.member().id().name();
-            boolean live = seen.member().state().live();
+            boolean live = seen.member().state().isLive();
             if (live || !there.containsKey(other)) {
                 there.put(other, live); // a start that is gone may have a successor
             }
             if (live) {
-                servers.add(new Layout.Server(other, seen.member().zone()));
+                servers.add(new ReplicaPlacement.ReplicaServer(other, seen.member().zone()));
             }
         }
         // Whom the view has forgotten altogether is as gone as one that it remembers.
-        for (Layout.Server each : voter.agreed().servers()) {
+        for (ReplicaPlacement.ReplicaServer each : voter.committed().servers()) {
             there.putIfAbsent(each.name(), false);
         }
-        wish.seen(there, now);
-        if (voter.agreed().epoch() > 0) {
-            List<Layout.Server> told = new ArrayList<>(servers);
+        wish.observe(there, now);
+        if (voter.committed().epoch() > 0) {
+            List<ReplicaPlacement.ReplicaServer> told = new ArrayList<>(servers);
             for (int i = 0; i < TELLS && !told.isEmpty(); i++) {
-                Layout.Server each = told.remove(chance.nextInt(told.size()));
+                ReplicaPlacement.ReplicaServer each = told.remove(chance.nextInt(told.size()));
                 if (!each.name().equals(name)) {
-                    out(each.name(), new EpochMessage.Agreed(voter.agreed()));
+                    out(each.name(), new ConsensusMessage.Committed(voter.committed()));
                 }
             }
         }
-        if (voter.attempting() && now.minus(attempted).compareTo(ATTEMPT) < 0) {
+        if (voter.isProposing() && now.minus(attempted).compareTo(ATTEMPT) < 0) {
             return;
         }
-        wish.next(voter.agreed(), servers, now)
+        wish.nextPlacement(voter.committed(), servers, now)
                 .or(
                         () ->
-                                versions == null || voter.agreed().epoch() == 0
+                                versions == null || voter.committed().epoch() == 0
                                         ? Optional.empty()
-                                        : versions.next(voter.agreed()))
+                                        : versions.next(voter.committed()))
                 .ifPresent(
                         layout -> {
                             attempted = now;
-                            voter.attempt(layout);
+                            voter.propose(layout);
                         });
     }
 
@@ -591,60 +600,64 @@
             return;
         }
         Duration now = schedule.now();
-        if (message instanceof EpochMessage word) {
+        if (message instanceof ConsensusMessage word) {
             if (voter != null) {
-                voter.received(from, word);
+                voter.receive(from, word);
             }
-            if (word instanceof EpochMessage.Standing standing) {
+            if (word instanceof ConsensusMessage.ReplicaProgress standing) {
                 stands(from, standing);
             }
-            if (word instanceof EpochMessage.Agreed agreed && settings.voters().contains(from)) {
-                learn(agreed.layout());
+            if (word instanceof ConsensusMessage.Committed agreed
+                    && settings.voters().contains(from)) {
+                learn(agreed.placement());
             }
             // Guards against voters that have all lost what they promised: what is in force is
             // known to others, too.
             boolean asks =
-                    word instanceof EpochMessage.WhatIsOpen
-                            || word instanceof EpochMessage.Agreed agreed
-                                    && agreed.layout().epoch() < epochNow;
+                    word instanceof ConsensusMessage.RecoveryQuery
+                            || word instanceof ConsensusMessage.Committed agreed
+                                    && agreed.placement().epoch() < epochNow;
             if (asks && epochNow > 0 && !from.equals(name) && settings.voters().contains(from)) {
-                out(from, new EpochMessage.Agreed(claims.layout()));
+                out(from, new ConsensusMessage.Committed(claims.placement()));
             }
-        } else if (message instanceof VersionMessage word) {
+        } else if (message instanceof RolloutMessage word) {
             if (versions != null) {
                 versions.received(from, word);
             }
-        } else if (message instanceof CopyMessage word) {
-            if (word instanceof CopyMessage.Fetch fetch && fetch.layout() != null) {
-                learn(fetch.layout());
+        } else if (message instanceof ReplicationMessage word) {
+            if (word instanceof ReplicationMessage.RangeRequest fetch
+                    && fetch.placement() != null) {
+                learn(fetch.placement());
             }
-            if (word instanceof CopyMessage.Claim claim && !from.equals(name)) {
-                modes.claimed(operation(claim.body()), claim.leaves(), now);
+            if (word instanceof ReplicationMessage.ClaimRequest claim && !from.equals(name)) {
+                modes.claimObserved(operation(claim.fingerprint()), claim.transitional(), now);
             }
-            if (word instanceof CopyMessage.Want want) {
+            if (word instanceof ReplicationMessage.ChunkRequest want) {
                 wanted(from, want);
             }
-            if (word instanceof CopyMessage.Whether whether) {
+            if (word instanceof ReplicationMessage.OwnerQuery whether) {
                 formerly(whether);
             }
             if (keeper != null) {
-                keeper.received(from, word, now);
+                keeper.receive(from, word, now);
             }
-            claims.received(from, word, now);
+            claims.receive(from, word, now);
         }
         carryOut();
     }
 
-    private void stands(String from, EpochMessage.Standing standing) {
-        wish.told(from, standing);
+    private void stands(String from, ConsensusMessage.ReplicaProgress standing) {
+        wish.recordProgress(from, standing);
         boolean missed =
-                voter != null && !voter.blank() && standing.epoch() < voter.agreed().epoch();
+                voter != null
+                        && !voter.hasLostState()
+                        && standing.epoch() < voter.committed().epoch();
         if (missed && !from.equals(name)) {
-            out(from, new EpochMessage.Agreed(voter.agreed()));
+            out(from, new ConsensusMessage.Committed(voter.committed()));
         }
     }
 
-    private void learn(Layout layout) {
+    private void learn(ReplicaPlacement layout) {
         if (layout.epoch() == 0) {
             return;
         }
@@ -657,14 +670,14 @@
             // A number over all that it has ever told, as long as the Unix clock is not set back;
             // if it is, its next start finds its disk old, without harm.
             long first = Math.max(found.number() + 1, System.currentTimeMillis() * 1000);
-            keeper = new Keeper(name, null, layout, bounds, first, now);
-            found.entries().forEach((token, entry) -> keeper.remember(token, entry));
+            keeper = new Replica(name, null, layout, bounds, first, now);
+            found.entries().forEach((token, entry) -> keeper.restore(token, entry));
         } else {
-            keeper.become(layout, now);
+            keeper.adoptPlacement(layout, now);
         }
-        claims.become(layout, now);
+        claims.adoptPlacement(layout, now);
         if (versions != null) {
-            versions.become(claims.layout());
+            versions.become(claims.placement());
         }
     }
 
@@ -672,8 +685,8 @@
         if (voter != null) {
             carryOutVoter();
         }
-        for (Keeper.Out each : claims.outs()) {
-            out(each.to(), each.message());
+        for (Replica.OutboundMessage each : claims.takeOutbound()) {
+            out(each.recipient(), each.message());
         }
         if (keeper != null) {
             carryOutKeeper();
@@ -682,11 +695,11 @@
 
     private void carryOutKeeper() {
         Duration now = schedule.now();
-        for (Pieces.Whole whole : keeper.wholes()) {
-            Duration until = keeper.entry(whole.token()).until();
+        for (ChunkAssembler.AssembledResult whole : keeper.takeAssembledResults()) {
+            Duration until = keeper.entry(whole.token()).expiresAt();
             shelf.keep(
                     whole.token(),
-                    whole.id(),
+                    whole.claimId(),
                     whole.result(),
                     until,
                     now,
@@ -694,40 +707,41 @@
                         if (closed || !kept) {
                             return;
                         }
-                        keeper.shelved(whole);
+                        keeper.resultStored(whole);
                         carryOut();
                     });
         }
-        List<String> tokens = keeper.changes();
-        boolean moved = keeper.moved();
+        List<String> tokens = keeper.takeChangedTokens();
+        boolean moved = keeper.takeMetadataChanged();
         if (disk == null) {
-            for (Keeper.Out each : keeper.outs()) {
-                out(each.to(), each.message());
+            for (Replica.OutboundMessage each : keeper.takeOutbound()) {
+                out(each.recipient(), each.message());
             }
             return;
         }
         // So that a start knows how far it had come when all that it wrote since is past its
         // window.
-        if (now.minus(placed).compareTo(PLACES) >= 0 && keeper.number() != placedNumber) {
+        if (now.minus(placed).compareTo(PLACES) >= 0 && keeper.changeNumber() != placedNumber) {
             moved = true;
         }
         if (moved) {
             placed = now;
-            placedNumber = keeper.number();
+            placedNumber = keeper.changeNumber();
         }
-        List<Keeper.Out> say = new ArrayList<>();
-        List<Commit.Write> writes = commit.changed(tokens, moved, keeper.outs(), say);
+        List<Replica.OutboundMessage> say = new ArrayList<>();
+        List<DurabilityBarrier.PendingWrite> writes =
+                commit.submit(tokens, moved, keeper.takeOutbound(), say);
         writes.forEach(this::write);
-        for (Keeper.Out each : say) {
-            out(each.to(), each.message());
+        for (Replica.OutboundMessage each : say) {
+            out(each.recipient(), each.message());
         }
     }
 
-    private void write(Commit.Write write) {
-        KeeperDisk.Place with =
+    private void write(DurabilityBarrier.PendingWrite write) {
+        ReplicaStorage.Place with =
                 write.token() != null
-                        ? KeeperDisk.Place.NONE
-                        : new KeeperDisk.Place(claims.heard(), starts);
+                        ? ReplicaStorage.Place.NONE
+                        : new ReplicaStorage.Place(claims.observedChangeNumbers(), starts);
         disk.write(
                 write,
                 keeper,
@@ -737,14 +751,15 @@
                     if (closed) {
                         return;
                     }
-                    for (Keeper.Out each : commit.acked(write, durable, schedule.now())) {
-                        out(each.to(), each.message());
+                    for (Replica.OutboundMessage each :
+                            commit.acknowledge(write, durable, schedule.now())) {
+                        out(each.recipient(), each.message());
                     }
                 });
     }
 
     /** What former processes have left is told by this. */
-    public void remembers(Former told) {
+    public void remembers(PreviousIncarnation told) {
         former = told;
     }
 
@@ -753,19 +768,19 @@
      * disk that is whole and as new as this server's last word tells. One that lacks anything
      * proves nothing.
      */
-    private void formerly(CopyMessage.Whether whether) {
-        ClaimId id = whether.id();
+    private void formerly(ReplicationMessage.OwnerQuery whether) {
+        ClaimId id = whether.claimId();
         boolean mine =
                 id.server().equals(name)
-                        && id.start() != start
-                        && found.place().starts().contains(id.start());
+                        && id.incarnation() != start
+                        && found.place().starts().contains(id.incarnation());
         boolean proves =
                 former != null
                         && found.disk() != null
                         && keeper != null
-                        && !keeper.returning()
-                        && keeper.oldDisks() == 0;
-        if (!mine || !proves || !KeeperDisk.fits(whether.token())) {
+                        && !keeper.isCheckingDisk()
+                        && keeper.staleDisks() == 0;
+        if (!mine || !proves || !ReplicationCodec.tokenFits(whether.token())) {
             return;
         }
         former.ask(
@@ -775,17 +790,17 @@
                         return;
                     }
                     Duration now = schedule.now();
-                    if (known.kind() == Former.Kind.NEVER) {
+                    if (known.kind() == PreviousIncarnation.Kind.NEVER) {
                         settledNever.add();
-                        claims.neverRan(whether.token(), id, now.plus(longest), now);
-                    } else if (known.kind() == Former.Kind.ENDED) {
+                        claims.releaseClaim(whether.token(), id, now.plus(longest), now);
+                    } else if (known.kind() == PreviousIncarnation.Kind.ENDED) {
                         settledEnds.add();
-                        Outcome outcome = outcome(known.body(), known.result());
-                        claims.formerEnded(
+                        ClaimOutcome outcome = outcome(known.body(), known.result());
+                        claims.reportPreviousOutcome(
                                 whether.token(),
                                 id,
                                 outcome,
-                                outcome.big() ? text(known.result()) : null,
+                                outcome.isChunked() ? text(known.result()) : null,
                                 known.windowEnds(),
                                 now);
                     }
@@ -801,30 +816,30 @@
      * Of a result that is longer than is kept only its end is told: its repeats elsewhere are
      * errored, and never run.
      */
-    private static Outcome outcome(String body, byte[] result) {
-        if (result == null || result.length > Outcome.LONGEST) {
-            return new Outcome(false, body, "");
+    private static ClaimOutcome outcome(String body, byte[] result) {
+        if (result == null || result.length > ClaimOutcome.MAX_RESULT_BYTES) {
+            return new ClaimOutcome(false, body, "");
         }
-        return result.length > Outcome.INLINE
-                ? Outcome.apart(body, text(result))
-                : new Outcome(true, body, text(result));
+        return result.length > ClaimOutcome.MAX_INLINE_BYTES
+                ? ClaimOutcome.chunked(body, text(result))
+                : new ClaimOutcome(true, body, text(result));
     }
 
     /** A piece of a long result is asked for: of a run of this server's, or of what it keeps. */
-    private void wanted(String from, CopyMessage.Want want) {
-        String own = claims.result(want.id());
+    private void wanted(String from, ReplicationMessage.ChunkRequest want) {
+        String own = claims.pendingResult(want.claimId());
         if (own != null) {
             piece(from, want, own);
         } else {
-            shelf.result(want.token(), want.id(), result -> piece(from, want, result));
+            shelf.result(want.token(), want.claimId(), result -> piece(from, want, result));
         }
     }
 
-    private void piece(String to, CopyMessage.Want want, String result) {
+    private void piece(String to, ReplicationMessage.ChunkRequest want, String result) {
         if (closed || result == null) {
             return;
         }
-        CopyMessage.Piece piece = Pieces.cut(want, result);
+        ReplicationMessage.Chunk piece = ChunkAssembler.slice(want, result);
         if (piece != null) {
             out(to, piece);
         }
@@ -832,12 +847,12 @@
 
     /** What a voter says leaves once what it has promised is on disk. */
     private void carryOutVoter() {
-        if (!voter.blank() && voter.agreed().epoch() > epochNow) {
-            learn(voter.agreed());
+        if (!voter.hasLostState() && voter.committed().epoch() > epochNow) {
+            learn(voter.committed());
         }
-        List<Voter.Out> outs = voter.outs();
-        Voter.Promised promised = voter.promised();
-        if (voter.blank() || promised.equals(durable)) {
+        List<EpochConsensus.OutboundConsensusMessage> outs = voter.takeOutbound();
+        EpochConsensus.AcceptorState promised = voter.durableState();
+        if (voter.hasLostState() || promised.equals(durable)) {
             outs.forEach(this::say);
             return;
         }
@@ -867,39 +882,39 @@
         }
     }
 
-    private void say(Voter.Out each) {
+    private void say(EpochConsensus.OutboundConsensusMessage each) {
         if (closed) {
             return;
         }
-        if (each.to().isPresent()) {
-            out(each.to().get(), each.message());
+        if (each.recipient().isPresent()) {
+            out(each.recipient().get(), each.message());
             return;
         }
         Set<String> told = new LinkedHashSet<>(settings.voters());
-        if (each.message() instanceof EpochMessage.WhatIsOpen) {
-            for (Seen seen : view.get()) {
-                if (seen.member().state().live()) {
+        if (each.message() instanceof ConsensusMessage.RecoveryQuery) {
+            for (MemberSnapshot seen : view.get()) {
+                if (seen.member().state().isLive()) {
                     told.add(seen.member().id().name());
                 }
             }
         }
-        if (each.message() instanceof EpochMessage.Agreed agreed) {
-            agreed.layout().servers().forEach(one -> told.add(one.name()));
+        if (each.message() instanceof ConsensusMessage.Committed agreed) {
+            agreed.placement().servers().forEach(one -> told.add(one.name()));
         }
         told.remove(name);
         told.forEach(to -> out(to, each.message()));
     }
 
     /** What the operators' commands are told. */
-    CopiesTold told() {
-        return new CopiesTold(new Inside());
+    ReplicationStatusJson told() {
+        return new ReplicationStatusJson(new Inside());
     }
 
     /**
      * All ranges that this server keeps are compared with all others that keep them, in their turn.
      */
     String repair() {
-        int compares = keeper == null ? 0 : keeper.compareAll();
+        int compares = keeper == null ? 0 : keeper.compareAllRanges();
         LOG.info(
                 "fleet: told by the operators' command to compare all ranges, "
                         + compares
@@ -917,28 +932,28 @@
             return schedule.now();
         }
 
-        Layout layout() {
-            return claims.layout();
+        ReplicaPlacement layout() {
+            return claims.placement();
         }
 
-        Keeper keeper() {
+        Replica keeper() {
             return keeper;
         }
 
         int underWay() {
-            return claims.underWay();
+            return claims.inFlight();
         }
 
         double limit() {
-            return claims.limit();
+            return claims.concurrencyLimit();
         }
 
         int wordsWaiting() {
-            return commit.waiting();
+            return commit.waitingMessages();
         }
 
         String disk() {
-            return disk == null ? "none" : commit.sick() ? "sick" : "well";
+            return disk == null ? "none" : commit.isDegraded() ? "sick" : "well";
         }
     }
 
@@ -963,35 +978,39 @@
      * @param windowEnds end of its window
      */
     public void claim(
-            String token, String body, Duration due, Duration windowEnds, Consumer<Verdict> then) {
+            String token,
+            String body,
+            Duration due,
+            Duration windowEnds,
+            Consumer<ClaimDecision> then) {
         Duration began = schedule.now();
-        Modes.Before before = modes.before(operation(body), began);
-        if (before == Modes.Before.NOTHING) {
-            then.accept(new Verdict(Verdict.What.RUN, null, null));
+        ClaimModes.ClaimRequirement before = modes.requirementFor(operation(body), began);
+        if (before == ClaimModes.ClaimRequirement.NOT_REQUIRED) {
+            then.accept(new ClaimDecision(ClaimDecision.Kind.RUN, null, null));
             return;
         }
         asked.add();
-        if (before == Modes.Before.CLAIM_STILL) {
+        if (before == ClaimModes.ClaimRequirement.REQUIRED_TRANSITIONALLY) {
             still.add();
         }
-        if (!KeeperDisk.fits(token)) {
+        if (!ReplicationCodec.tokenFits(token)) {
             throttled.add();
-            then.accept(new Verdict(Verdict.What.THROTTLED, null, null));
+            then.accept(new ClaimDecision(ClaimDecision.Kind.THROTTLED, null, null));
             return;
         }
-        Outcome known = near.get(token);
+        ClaimOutcome known = near.get(token);
         if (known != null
                 && known.succeeded()
-                && known.body().equals(body)
+                && known.fingerprint().equals(body)
                 && !known.result().isEmpty()) {
             replayed.add();
-            then.accept(new Verdict(Verdict.What.REPLAY, null, known));
+            then.accept(new ClaimDecision(ClaimDecision.Kind.REPLAY, null, known));
             return;
         }
         claims.claim(
                 token,
                 body,
-                before == Modes.Before.CLAIM_STILL,
+                before == ClaimModes.ClaimRequirement.REQUIRED_TRANSITIONALLY,
                 due,
                 windowEnds,
                 began,
@@ -1003,9 +1022,9 @@
             String token,
             Duration began,
             Duration windowEnds,
-            Verdict verdict,
-            Consumer<Verdict> then) {
-        switch (verdict.what()) {
+            ClaimDecision verdict,
+            Consumer<ClaimDecision> then) {
+        switch (verdict.kind()) {
             case RUN -> {
                 granted.add();
                 waits.add(schedule.now().minus(began));
@@ -1013,7 +1032,7 @@
             case REPLAY -> {
                 replayed.add();
                 // Guards against a memory full of long results: those are fetched again.
-                if (verdict.outcome().big()) {
+                if (verdict.outcome().isChunked()) {
                     break;
                 }
                 near.put(token, verdict.outcome());
@@ -1026,7 +1045,7 @@
                         () -> near.remove(token));
             }
             case THROTTLED -> throttled.add();
-            case UNKNOWN -> unknown.add();
+            case OUTCOME_UNKNOWN -> unknown.add();
             default -> {}
         }
         then.accept(verdict);
@@ -1034,7 +1053,7 @@
 
     /** A claimed run has never begun: its token is free again. */
     public void neverRan(ClaimId claim, Duration windowEnds) {
-        claims.neverRan(claim, windowEnds, schedule.now());
+        claims.releaseClaim(claim, windowEnds, schedule.now());
         carryOut();
     }
 
@@ -1051,11 +1070,11 @@
             Duration due,
             Duration windowEnds,
             Consumer<Boolean> then) {
-        Outcome outcome = outcome(body, result);
-        claims.ended(
+        ClaimOutcome outcome = outcome(body, result);
+        claims.reportOutcome(
                 claim,
                 outcome,
-                outcome.big() ? text(result) : null,
+                outcome.isChunked() ? text(result) : null,
                 due,
                 windowEnds,
                 schedule.now(),
--- a/src/main/java/ochretiller/fleet/peers/CopySettings.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
@@ -1,9 +1,9 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
-import ochretiller.fleet.copies.Modes;
+import ochretiller.fleet.replication.ClaimModes;
 
 /**
  * How a fleet keeps claims and results of tokened invocations.
@@ -20,7 +20,7 @@
  * @param versions how versions are brought out, or null
  * @param modes which operations run once in the fleet
  */
-public record CopySettings(
+public record ReplicationSettings(
         List<String> voters,
         Path voterFile,
         int factor,
@@ -28,5 +28,5 @@
         long mostBytes,
         Duration calm,
         long catchUp,
-        Modes.Told modes,
-        VersionSettings versions) {}
+        ClaimModes.ClaimModeSettings modes,
+        RolloutSettings versions) {}
--- a/src/main/java/ochretiller/fleet/peers/Shelf.java
+++ b/src/main/java/ochretiller/fleet/service/ResultCache.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -6,18 +6,18 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import ochretiller.fleet.copies.ClaimId;
+import ochretiller.fleet.replication.ClaimId;
 
 /**
  * Long results that this server keeps: on the disk, with those that were asked for last in memory,
  * or in memory alone.
  */
-final class Shelf {
+final class ResultCache {
     /** Characters of results read lately: a repeat fetches one piece by piece. */
     private static final long LATELY = 2L << 20;
 
     /** Null where all is kept in memory. */
-    private final KeeperDisk disk;
+    private final ReplicaStorage disk;
 
     private final long most;
     private final Map<String, Held> held = new LinkedHashMap<>(16, 0.75f, true);
@@ -28,7 +28,7 @@
     /**
      * @param most bytes that are kept in memory where there is no disk
      */
-    Shelf(KeeperDisk disk, long most) {
+    ResultCache(ReplicaStorage disk, long most) {
         this.disk = disk;
         this.most = disk == null ? most : LATELY;
     }
--- a/src/main/java/ochretiller/fleet/peers/Versions.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -21,29 +21,30 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
-import ochretiller.audit.Chain;
-import ochretiller.bounds.Bounded;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Rollout;
-import ochretiller.fleet.members.Seen;
-import ochretiller.fleet.versions.Counts;
-import ochretiller.fleet.versions.Doorkeeper;
-import ochretiller.fleet.versions.Gather;
-import ochretiller.fleet.versions.Lease;
-import ochretiller.fleet.versions.Report;
-import ochretiller.fleet.versions.Rollouts;
-import ochretiller.fleet.versions.Stages;
-import ochretiller.fleet.versions.VersionMessage;
+import ochretiller.audit.HashChain;
+import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.rollout.Lease;
+import ochretiller.fleet.rollout.LeaseGrantor;
+import ochretiller.fleet.rollout.RolloutController;
+import ochretiller.fleet.rollout.RolloutMessage;
+import ochretiller.fleet.rollout.RolloutStages;
+import ochretiller.fleet.rollout.VersionCounters;
+import ochretiller.fleet.rollout.VersionDownload;
+import ochretiller.fleet.rollout.VersionReport;
+import ochretiller.fleet.transport.ReplicationCodec;
 import ochretiller.metrics.Metrics;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 
 /**
  * Carries out what is decided about versions, on the one thread: fetches what is in force for this
  * server, has it acted on, tells the voters, holds the lease; on a voter, carries rollouts on and
  * renews leases.
  */
-public final class Versions {
-    private static final Logger LOG = Logger.getLogger(Versions.class.getName());
+public final class RolloutService {
+    private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
     private static final Duration SPEAK = Duration.ofMillis(500);
 
     /** Versions whose bytes are kept in the folder, and whose counts are kept. */
@@ -60,40 +61,41 @@
     private static final int MOST_WITNESSED = 4_096;
     private static final String SUFFIX = ".version";
 
-    private final Schedule schedule;
-    private final VersionSettings settings;
+    private final Scheduler schedule;
+    private final RolloutSettings settings;
     private final String name;
     private final String build;
     private final List<String> voters;
     private final RandomGenerator chance;
     private final BiConsumer<String, Object> send;
-    private final Supplier<List<Seen>> view;
+    private final Supplier<List<MemberSnapshot>> view;
     private final Acts acts;
-    private final SmallWrites writes = new SmallWrites("versions", WRITES);
+    private final BackgroundWriter writes = new BackgroundWriter("versions", WRITES);
     private final SealedFile state;
-    private final Gather gather;
+    private final VersionDownload gather;
     private final Lease lease;
-    private final Doorkeeper doorkeeper;
-    private final Rollouts rollouts;
-    private final Map<String, byte[]> bytes = Bounded.byUse(KEPT);
-    private final Map<Long, Counts> counts = Bounded.byAge(KEPT);
-    private final Map<String, Report> reports = new HashMap<>();
-    private Layout layout = Layout.none(1);
-    private Rollout.Version acting = Rollout.Version.NONE;
+    private final LeaseGrantor doorkeeper;
+    private final RolloutController rollouts;
+    private final Map<String, byte[]> bytes = BoundedMap.evictingLeastRecentlyUsed(KEPT);
+    private final Map<Long, VersionCounters> counts = BoundedMap.evictingOldest(KEPT);
+    private final Map<String, VersionReport> reports = new HashMap<>();
+    private ReplicaPlacement layout = ReplicaPlacement.empty(1);
+    private RolloutState.PublishedVersion acting = RolloutState.PublishedVersion.NONE;
     private long refused;
     private String why = "";
-    private Rollout wished;
+    private RolloutState wished;
 
     /**
      * A version that was published here, as long as a majority of voters does not have its bytes.
      */
-    private Rollout offered;
+    private RolloutState offered;
 
-    private final Map<String, Duration> witnessed = Bounded.byUse(MOST_WITNESSED);
+    private final Map<String, Duration> witnessed =
+            BoundedMap.evictingLeastRecentlyUsed(MOST_WITNESSED);
     private final Set<String> have = new HashSet<>();
 
     /** Bytes that another voter offers, and who that is. */
-    private final Gather taken;
+    private final VersionDownload taken;
 
     private String offeredBy;
     private Duration spoken = Duration.ZERO;
@@ -115,10 +117,10 @@
         String become(byte[] version);
 
         /** Where this server's audit ends, or none. */
-        Chain.Head audited();
+        HashChain.ChainHead audited();
 
         /** Something happened that is to be remembered. */
-        void told(What what, Rollout.Version version, String text);
+        void told(What what, RolloutState.PublishedVersion version, String text);
     }
 
     /** What happened. */
@@ -132,16 +134,16 @@
         WITNESSED
     }
 
-    Versions(
-            Schedule schedule,
-            VersionSettings settings,
+    RolloutService(
+            Scheduler schedule,
+            RolloutSettings settings,
             String name,
             String build,
             List<String> voters,
             RandomGenerator chance,
             Metrics metrics,
             BiConsumer<String, Object> send,
-            Supplier<List<Seen>> view,
+            Supplier<List<MemberSnapshot>> view,
             Acts acts) {
         this.schedule = schedule;
         this.settings = settings;
@@ -152,11 +154,12 @@
         this.send = send;
         this.view = view;
         this.acts = acts;
-        gather = new Gather(chance);
-        taken = new Gather(chance);
+        gather = new VersionDownload(chance);
+        taken = new VersionDownload(chance);
         lease = new Lease(Set.copyOf(voters), settings.lease(), chance.nextLong() >>> 16);
-        doorkeeper = new Doorkeeper(settings.grace(), chance);
-        rollouts = new Rollouts(settings.watch(), settings.patience(), settings.takesBack());
+        doorkeeper = new LeaseGrantor(settings.grace(), chance);
+        rollouts =
+                new RolloutController(settings.watch(), settings.patience(), settings.takesBack());
         state = new SealedFile(settings.folder().resolve("acting"));
         read();
         metrics.gauge("fleet_version", "The version that this server acts on", () -> actingNow);
@@ -177,7 +180,7 @@
                     Files.newDirectoryStream(settings.folder(), "*" + SUFFIX)) {
                 for (Path each : files) {
                     byte[] all =
-                            Files.size(each) > Rollout.Version.MOST
+                            Files.size(each) > RolloutState.PublishedVersion.MAX_BYTES
                                     ? new byte[0]
                                     : Files.readAllBytes(each);
                     // Others may still need those that this server did not come to act on.
@@ -186,9 +189,9 @@
                     }
                 }
             }
-            Rollout.Version before = state.read(CopyCodec::version);
-            if (before == null || before.own()) {
-                acting = before == null ? Rollout.Version.NONE : before;
+            RolloutState.PublishedVersion before = state.read(ReplicationCodec::version);
+            if (before == null || before.usesLocalFiles()) {
+                acting = before == null ? RolloutState.PublishedVersion.NONE : before;
                 return;
             }
             byte[] all = bytes.get(before.hash());
@@ -232,35 +235,35 @@
      * on.
      */
     public boolean may() {
-        return settings.lease().isZero() || lease.holds(schedule.exact());
+        return settings.lease().isZero() || lease.isHeld(schedule.exact());
     }
 
     /** What became of an invocation that was read under this version. */
-    public void count(long version, Counts one) {
-        counts.merge(version, one, Counts::plus);
+    public void count(long version, VersionCounters one) {
+        counts.merge(version, one, VersionCounters::plus);
     }
 
     /** An epoch is in force. */
-    void become(Layout next) {
+    void become(ReplicaPlacement next) {
         if (next.epoch() <= layout.epoch() && !layout.servers().isEmpty()) {
             return;
         }
-        Rollout before = layout.rollout();
+        RolloutState before = layout.rollout();
         layout = next;
-        doorkeeper.become(next, schedule.now());
-        Rollout rollout = next.rollout();
+        doorkeeper.adoptPlacement(next, schedule.now());
+        RolloutState rollout = next.rollout();
         if (!rollout.equals(before)) {
             String text =
                     "version "
-                            + rollout.to().number()
-                            + (rollout.over()
+                            + rollout.target().number()
+                            + (rollout.isComplete()
                                     ? " is in force"
                                     : " comes to stage "
                                             + rollout.stage()
                                             + ", "
-                                            + rollout.state().externalName());
-            LOG.info("fleet: " + text + ": " + rollout.to().why());
-            acts.told(What.ROLLOUT, rollout.to(), text);
+                                            + rollout.phase().externalName());
+            LOG.info("fleet: " + text + ": " + rollout.target().reason());
+            acts.told(What.ROLLOUT, rollout.target(), text);
         }
         if (rollout.equals(wished)) {
             wished = null;
@@ -270,23 +273,23 @@
 
     /** Acts on what is in force for this server, or fetches it. */
     private void follow() {
-        Rollout.Version target = Stages.target(layout, name);
+        RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
         if (target.number() == acting.number() && target.hash().equals(acting.hash())
                 || target.number() == refused) {
             return;
         }
-        byte[] all = target.own() ? null : bytes.get(target.hash());
-        if (!target.own() && all == null) {
-            gather.want(target, schedule.now());
+        byte[] all = target.usesLocalFiles() ? null : bytes.get(target.hash());
+        if (!target.usesLocalFiles() && all == null) {
+            gather.start(target, schedule.now());
             return;
         }
         String fault =
-                !target.build().isEmpty() && older(build, target.build())
-                        ? "this build is " + build + ", and it needs " + target.build()
+                !target.minimumBuild().isEmpty() && older(build, target.minimumBuild())
+                        ? "this build is " + build + ", and it needs " + target.minimumBuild()
                         : acts.become(all);
         if (fault != null) {
             refused = target.number();
-            why = fault.substring(0, Math.min(fault.length(), Report.LONGEST));
+            why = fault.substring(0, Math.min(fault.length(), VersionReport.MAX_REASON_LENGTH));
             LOG.severe("fleet: version " + target.number() + " is refused: " + fault);
             acts.told(What.REFUSED, target, why);
             return;
@@ -299,7 +302,7 @@
         writes.take(
                 () -> {
                     try {
-                        state.write(to -> CopyCodec.version(to, target));
+                        state.write(to -> ReplicationCodec.version(to, target));
                     } catch (IOException e) {
                         LOG.warning(
                                 "fleet: what version is acted on cannot be kept: "
@@ -364,13 +367,13 @@
 
     void tick() {
         Duration now = schedule.now();
-        for (Gather.Ask ask : gather.tick(sources(), now)) {
-            send.accept(ask.to(), ask.message());
+        for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+            send.accept(ask.recipient(), ask.request());
         }
         take(now);
         boolean out = !may();
         if (out != wasOut
-                && !lease.ends().isZero()) { // a start has none yet, and says nothing of that
+                && !lease.expiresAt().isZero()) { // a start has none yet, and says nothing of that
             LOG.warning(
                     out
                             ? "fleet: the voters do not renew this server's lease: keyed work is"
@@ -386,13 +389,16 @@
             return;
         }
         spoken = now.minus(Duration.ofNanos((long) (SPEAK.toNanos() / 4 * chance.nextDouble())));
-        leaseLeft = Math.max(0, lease.ends().minus(now).toNanos() / 1e9);
+        leaseLeft = Math.max(0, lease.expiresAt().minus(now).toNanos() / 1e9);
         if (offered != null) {
             offer();
         }
-        VersionMessage.Tell tell =
-                new VersionMessage.Tell(
-                        lease.ask(now), report(), acts.audited().number(), acts.audited().hash());
+        RolloutMessage.StatusReport tell =
+                new RolloutMessage.StatusReport(
+                        lease.startRenewal(now),
+                        report(),
+                        acts.audited().number(),
+                        acts.audited().hash());
         for (String each : voters) {
             if (each.equals(name)) {
                 received(name, tell);
@@ -402,36 +408,42 @@
         }
     }
 
-    private Report report() {
-        Rollout rollout = layout.rollout();
-        Counts on = counts.getOrDefault(rollout.to().number(), Counts.NONE);
-        Counts before =
-                rollout.from().number() == rollout.to().number()
-                        ? Counts.NONE
-                        : counts.getOrDefault(rollout.from().number(), Counts.NONE);
-        return new Report(
-                acting.number(), acting.hash(), refused, why, rollout.to().number(), on, before);
+    private VersionReport report() {
+        RolloutState rollout = layout.rollout();
+        VersionCounters on = counts.getOrDefault(rollout.target().number(), VersionCounters.ZERO);
+        VersionCounters before =
+                rollout.previous().number() == rollout.target().number()
+                        ? VersionCounters.ZERO
+                        : counts.getOrDefault(rollout.previous().number(), VersionCounters.ZERO);
+        return new VersionReport(
+                acting.number(),
+                acting.hash(),
+                refused,
+                why,
+                rollout.target().number(),
+                on,
+                before);
     }
 
     /** Who may have the bytes: those of the same zone and the first stages, then anybody. */
     private List<String> sources() {
-        if (!gather.waits()) {
+        if (!gather.isIncomplete()) {
             return List.of();
         }
         String zone = "";
-        for (Seen each : view.get()) {
-            if (each.self()) {
+        for (MemberSnapshot each : view.get()) {
+            if (each.isSelf()) {
                 zone = each.member().zone();
             }
         }
         List<String> near = new ArrayList<>();
         List<String> far = new ArrayList<>();
-        for (Seen each : view.get()) {
-            if (each.self() || !each.member().state().live()) {
+        for (MemberSnapshot each : view.get()) {
+            if (each.isSelf() || !each.member().state().isLive()) {
                 continue;
             }
             String other = each.member().id().name();
-            if (voters.contains(other) || Stages.on(layout, other)) {
+            if (voters.contains(other) || RolloutStages.includes(layout, other)) {
                 (each.member().zone().equals(zone) ? near : far).add(other);
             }
         }
@@ -439,48 +451,48 @@
         return near;
     }
 
-    void received(String from, VersionMessage message) {
+    void received(String from, RolloutMessage message) {
         if (closed) {
             return;
         }
         Duration now = schedule.now();
-        if (message instanceof VersionMessage.Tell tell) {
+        if (message instanceof RolloutMessage.StatusReport tell) {
             if (!voters.contains(name)) {
                 return;
             }
             witness(from, tell, now);
-            rollouts.told(from, tell.report());
+            rollouts.recordReport(from, tell.report());
             reports.put(from, tell.report());
-            boolean may = doorkeeper.renews(layout, from, reports, now);
+            boolean may = doorkeeper.renew(layout, from, reports, now);
             if (from.equals(name)) {
-                renewed(from, tell.question(), may);
+                renewed(from, tell.requestId(), may);
             } else {
-                send.accept(from, new VersionMessage.Renewed(tell.question(), may));
+                send.accept(from, new RolloutMessage.LeaseReply(tell.requestId(), may));
             }
-        } else if (message instanceof VersionMessage.Renewed renewed) {
-            renewed(from, renewed.question(), renewed.may());
-        } else if (message instanceof VersionMessage.WantBytes want) {
+        } else if (message instanceof RolloutMessage.LeaseReply renewed) {
+            renewed(from, renewed.requestId(), renewed.granted());
+        } else if (message instanceof RolloutMessage.ChunkRequest want) {
             byte[] all = bytes.get(want.hash());
             if (all != null) {
-                Gather.cut(want, all).ifPresent(piece -> send.accept(from, piece));
+                VersionDownload.slice(want, all).ifPresent(piece -> send.accept(from, piece));
             }
-        } else if (message instanceof VersionMessage.Offer offer) {
+        } else if (message instanceof RolloutMessage.VersionOffer offer) {
             offered(from, offer, now);
-        } else if (message instanceof VersionMessage.Have told) {
+        } else if (message instanceof RolloutMessage.VersionStored told) {
             if (offered == null
                     || !voters.contains(from)
-                    || !told.hash().equals(offered.to().hash())) {
+                    || !told.hash().equals(offered.target().hash())) {
                 return;
             }
             have.add(from);
             // Whoever published it may die now: it is brought out all the same.
-            if (have.size() < Layout.majority(voters.size())) {
+            if (have.size() < ReplicaPlacement.quorumSize(voters.size())) {
                 return;
             }
             wish(offered);
             offered = null;
-        } else if (message instanceof VersionMessage.Bytes piece) {
-            taken.received(piece, now)
+        } else if (message instanceof RolloutMessage.Chunk piece) {
+            taken.accept(piece, now)
                     .ifPresent(
                             all -> {
                                 String by = offeredBy;
@@ -491,24 +503,25 @@
                                             () ->
                                                     send.accept(
                                                             by,
-                                                            new VersionMessage.Have(piece.hash())));
+                                                            new RolloutMessage.VersionStored(
+                                                                    piece.hash())));
                                 } else {
-                                    taken.spoilt(now);
+                                    taken.discardCorrupt(now);
                                 }
                             });
             take(now);
-            gather.received(piece, now)
+            gather.accept(piece, now)
                     .ifPresent(
                             all -> {
                                 if (!hash(all).equals(piece.hash())) {
-                                    gather.spoilt(now);
+                                    gather.discardCorrupt(now);
                                     return;
                                 }
                                 keep(piece.hash(), all, () -> {});
                                 follow();
                             });
-            for (Gather.Ask ask : gather.tick(sources(), now)) {
-                send.accept(ask.to(), ask.message());
+            for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+                send.accept(ask.recipient(), ask.request());
             }
         }
     }
@@ -517,21 +530,24 @@
      * What each voter knows of the others' audits is in its own: a lost tail, or one that was
      * written anew, is seen by that.
      */
-    private void witness(String from, VersionMessage.Tell tell, Duration now) {
+    private void witness(String from, RolloutMessage.StatusReport tell, Duration now) {
         Duration last = witnessed.get(from);
-        if (tell.audited() == 0
+        if (tell.auditRecordNumber() == 0
                 || from.equals(name)
                 || last != null && now.minus(last).compareTo(WITNESSES) < 0) {
             return;
         }
         witnessed.put(from, now);
-        acts.told(What.WITNESSED, acting, from + ' ' + tell.audited() + ' ' + tell.auditHash());
+        acts.told(
+                What.WITNESSED,
+                acting,
+                from + ' ' + tell.auditRecordNumber() + ' ' + tell.auditHash());
     }
 
     private void take(Duration now) {
         if (offeredBy != null) {
-            for (Gather.Ask ask : taken.tick(List.of(offeredBy), now)) {
-                send.accept(ask.to(), ask.message());
+            for (VersionDownload.OutboundChunkRequest ask : taken.tick(List.of(offeredBy), now)) {
+                send.accept(ask.recipient(), ask.request());
             }
         }
     }
@@ -540,27 +556,30 @@
         for (String each : voters) {
             if (!each.equals(name) && !have.contains(each)) {
                 send.accept(
-                        each, new VersionMessage.Offer(offered.to().hash(), offered.to().size()));
+                        each,
+                        new RolloutMessage.VersionOffer(
+                                offered.target().hash(), offered.target().sizeBytes()));
             }
         }
     }
 
-    private void offered(String by, VersionMessage.Offer offer, Duration now) {
+    private void offered(String by, RolloutMessage.VersionOffer offer, Duration now) {
         if (!voters.contains(name) || !voters.contains(by)) {
             return;
         }
         if (bytes.containsKey(offer.hash())) {
-            send.accept(by, new VersionMessage.Have(offer.hash()));
+            send.accept(by, new RolloutMessage.VersionStored(offer.hash()));
             return;
         }
         offeredBy = by;
-        taken.want(new Rollout.Version(1, offer.hash(), offer.size(), "", "", ""), now);
+        taken.start(
+                new RolloutState.PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
         take(now);
     }
 
     private void renewed(String from, long question, boolean may) {
         if (may) {
-            lease.granted(from, question);
+            lease.recordGrant(from, question);
         }
     }
 
@@ -570,19 +589,19 @@
      * What this voter wishes to have agreed on: a person's word first, then what follows from what
      * is seen.
      */
-    Optional<Layout> next(Layout agreed) {
+    Optional<ReplicaPlacement> next(ReplicaPlacement agreed) {
         Set<String> live = new HashSet<>();
-        for (Seen each : view.get()) {
-            if (each.member().state().live()) {
+        for (MemberSnapshot each : view.get()) {
+            if (each.member().state().isLive()) {
                 live.add(each.member().id().name());
             }
         }
         reports.keySet().retainAll(live);
-        outNow = doorkeeper.out().size();
+        outNow = doorkeeper.fencedServers().size();
         if (wished != null) {
             return Optional.of(agreed.with(wished));
         }
-        return rollouts.next(agreed, live, schedule.now()).map(agreed::with);
+        return rollouts.nextState(agreed, live, schedule.now()).map(agreed::with);
     }
 
     /** What the operators' commands say; each answer is JSON with what came of it. */
@@ -590,23 +609,26 @@
         if (!voters.contains(name)) {
             return refusal("this server is no voter: ask one of " + voters);
         }
-        if (all.length == 0 || all.length > Rollout.Version.MOST) {
-            return refusal("a version has 1 to " + Rollout.Version.MOST + " bytes");
+        if (all.length == 0 || all.length > RolloutState.PublishedVersion.MAX_BYTES) {
+            return refusal(
+                    "a version has 1 to " + RolloutState.PublishedVersion.MAX_BYTES + " bytes");
         }
-        Rollout rollout = layout.rollout();
-        if (!rollout.over() || wished != null || offered != null) {
+        RolloutState rollout = layout.rollout();
+        if (!rollout.isComplete() || wished != null || offered != null) {
             return refusal(
-                    "version " + rollout.to().number() + " is being brought out: one at a time");
+                    "version "
+                            + rollout.target().number()
+                            + " is being brought out: one at a time");
         }
         String fault = acts.check(all);
         if (fault != null) {
             return refusal(fault);
         }
-        Rollout.Version next;
+        RolloutState.PublishedVersion next;
         try {
             next =
-                    new Rollout.Version(
-                            rollout.to().number() + 1,
+                    new RolloutState.PublishedVersion(
+                            rollout.target().number() + 1,
                             hash(all),
                             all.length,
                             leastBuild,
@@ -615,8 +637,8 @@
         } catch (IllegalArgumentException e) {
             return refusal(e.getMessage());
         }
-        offered = rollout.begins(next);
-        Rollout mine = offered;
+        offered = rollout.startRollout(next);
+        RolloutState mine = offered;
         have.clear();
         keep(
                 next.hash(),
@@ -625,7 +647,7 @@
                     if (offered != mine) {
                         return;
                     }
-                    received(name, new VersionMessage.Have(next.hash()));
+                    received(name, new RolloutMessage.VersionStored(next.hash()));
                     if (offered == mine) {
                         offer();
                     }
@@ -641,7 +663,7 @@
         return JsonText.object(to -> to.writeNumberField("published", next.number()));
     }
 
-    private void wish(Rollout next) {
+    private void wish(RolloutState next) {
         wished = next;
         // Guards against a wish that somebody else's epoch has overtaken: it is a person's word,
         // and said again by them.
@@ -663,21 +685,22 @@
         if (!voters.contains(name)) {
             return refusal("this server is no voter: ask one of " + voters);
         }
-        Rollout rollout = layout.rollout();
-        Rollout next =
+        RolloutState rollout = layout.rollout();
+        RolloutState next =
                 switch (word) {
                     case "pause" ->
-                            rollout.state() == Rollout.State.RUNS
-                                    ? rollout.as(Rollout.State.PAUSED)
+                            rollout.phase() == RolloutState.Phase.RUNNING
+                                    ? rollout.withPhase(RolloutState.Phase.PAUSED)
                                     : null;
                     case "go-on" ->
-                            rollout.over() || rollout.state() == Rollout.State.RUNS
+                            rollout.isComplete() || rollout.phase() == RolloutState.Phase.RUNNING
                                     ? null
-                                    : rollout.as(Rollout.State.RUNS);
+                                    : rollout.withPhase(RolloutState.Phase.RUNNING);
                     case "take-back" ->
-                            rollout.to().number() == 0 || rollout.from().equals(rollout.to())
+                            rollout.target().number() == 0
+                                            || rollout.previous().equals(rollout.target())
                                     ? null
-                                    : rollout.back(by, "taken back by " + by);
+                                    : rollout.rolledBack(by, "taken back by " + by);
                     default -> null;
                 };
         if (next == null) {
@@ -685,9 +708,9 @@
                     "there is nothing to "
                             + word
                             + ": "
-                            + rollout.state().externalName()
+                            + rollout.phase().externalName()
                             + " at version "
-                            + rollout.to().number());
+                            + rollout.target().number());
         }
         wish(next);
         return JsonText.object(to -> to.writeStringField("wished", word));
@@ -695,31 +718,33 @@
 
     /** All that there is to tell of versions. */
     String status() {
-        Rollout rollout = layout.rollout();
+        RolloutState rollout = layout.rollout();
         return JsonText.object(
                 to -> {
                     to.writeStringField("name", name);
                     to.writeNumberField("acts", acting.number());
                     to.writeStringField("hash", acting.hash());
-                    to.writeNumberField("version", rollout.to().number());
-                    to.writeNumberField("before", rollout.from().number());
-                    to.writeStringField("why", rollout.to().why());
-                    to.writeStringField("by", rollout.to().by());
-                    to.writeStringField("state", rollout.state().externalName());
+                    to.writeNumberField("version", rollout.target().number());
+                    to.writeNumberField("before", rollout.previous().number());
+                    to.writeStringField("why", rollout.target().reason());
+                    to.writeStringField("by", rollout.target().publisher());
+                    to.writeStringField("state", rollout.phase().externalName());
                     to.writeNumberField("stage", rollout.stage());
-                    to.writeStringField("halted", rollouts.halted());
+                    to.writeStringField("halted", rollouts.haltReason());
                     to.writeBooleanField("may", may());
                     to.writeNumberField(
                             "lease_left_ms",
-                            Math.max(0, lease.ends().minus(schedule.now()).toMillis()));
+                            Math.max(0, lease.expiresAt().minus(schedule.now()).toMillis()));
                     to.writeStringField("refused", refused == 0 ? "" : refused + ": " + why);
                     to.writeObjectFieldStart("servers");
-                    for (Map.Entry<String, Report> each : new TreeMap<>(reports).entrySet()) {
+                    for (Map.Entry<String, VersionReport> each :
+                            new TreeMap<>(reports).entrySet()) {
                         to.writeObjectFieldStart(each.getKey());
-                        to.writeNumberField("acts", each.getValue().acts());
-                        to.writeNumberField("read", each.getValue().on().read());
-                        to.writeNumberField("refused", each.getValue().refused());
-                        to.writeBooleanField("out", doorkeeper.out().contains(each.getKey()));
+                        to.writeNumberField("acts", each.getValue().activeVersion());
+                        to.writeNumberField("read", each.getValue().candidate().answered());
+                        to.writeNumberField("refused", each.getValue().rejectedVersion());
+                        to.writeBooleanField(
+                                "out", doorkeeper.fencedServers().contains(each.getKey()));
                         to.writeEndObject();
                     }
                     to.writeEndObject();
--- a/src/main/java/ochretiller/fleet/peers/VersionSettings.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutSettings.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import java.nio.file.Path;
 import java.time.Duration;
@@ -14,7 +14,7 @@
  * @param patience how long servers of a stage may take
  * @param takesBack whether a version that does harm is taken back by itself, and not only halted
  */
-public record VersionSettings(
+public record RolloutSettings(
         Path folder,
         Duration lease,
         Duration grace,
--- a/src/main/java/ochretiller/fleet/peers/SealedFile.java
+++ b/src/main/java/ochretiller/fleet/service/SealedFile.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
@@ -13,6 +13,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.zip.CRC32C;
+import ochretiller.fleet.transport.PacketCodec;
 
 /**
  * A small file that is replaced as a whole: an array in CBOR, and its CRC-32C in eight bytes. Not
@@ -62,7 +63,7 @@
             throw new DamagedException();
         }
         try (CBORParser in = CBOR.createParser(bytes, 0, bytes.length - SUM)) {
-            Codec.start(in);
+            PacketCodec.start(in);
             return reads.from(in);
         } catch (IOException | IllegalArgumentException e) {
             throw new DamagedException();
--- a/src/main/java/ochretiller/fleet/peers/FleetClient.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminClient.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -7,7 +7,7 @@
 import ochretiller.settings.MalformedException;
 
 /** An operators' command's side of the door: asks one server, within a bounded time. */
-public final class FleetClient implements AutoCloseable {
+public final class AdminClient implements AutoCloseable {
     private static final int WITHIN_MS = 5_000;
 
     private final Socket socket = new Socket();
@@ -16,7 +16,7 @@
     private final String challenge;
     private final String name;
 
-    public FleetClient(InetSocketAddress address, String fleet, FleetKeys keys) throws IOException {
+    public AdminClient(InetSocketAddress address, String fleet, FleetKeys keys) throws IOException {
         this.keys = keys;
         this.fleet = fleet;
         try {
@@ -24,7 +24,7 @@
             socket.setTcpNoDelay(true);
             socket.connect(address, WITHIN_MS);
             socket.getOutputStream().write('?');
-            Sealed.Said hello = read();
+            SealedFrame.Said hello = read();
             challenge = hello.challenge();
             name = hello.text();
         } catch (IOException | RuntimeException e) {
@@ -46,32 +46,32 @@
     /** What the server answers to a word and what goes with it. */
     public String ask(String word, String with) throws IOException {
         socket.getOutputStream()
-                .write(Sealed.frame(keys, new Sealed.Said(fleet, challenge, word, with)));
-        Sealed.Said said = read();
+                .write(SealedFrame.frame(keys, new SealedFrame.Said(fleet, challenge, word, with)));
+        SealedFrame.Said said = read();
         if (!said.challenge().equals(challenge) || !said.word().equals(word)) {
             throw new IOException("the server answered something else");
         }
         return said.text();
     }
 
-    private Sealed.Said read() throws IOException {
+    private SealedFrame.Said read() throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         byte[] head = new byte[4];
         in.readFully(head);
-        int length = Sealed.length(head, head.length);
-        if (length < head.length || length > Sealed.LONGEST_ANSWER) {
+        int length = SealedFrame.length(head, head.length);
+        if (length < head.length || length > SealedFrame.LONGEST_ANSWER) {
             throw new IOException("the server's answer has no good length");
         }
         byte[] frame = new byte[length];
         System.arraycopy(head, 0, frame, 0, head.length);
         in.readFully(frame, head.length, length - head.length);
         try {
-            Sealed.Said said = Sealed.open(keys, frame);
+            SealedFrame.Said said = SealedFrame.open(keys, frame);
             if (!said.fleet().equals(fleet)) {
                 throw new MalformedException("the server is of fleet " + said.fleet());
             }
             return said;
-        } catch (RefusedException e) {
+        } catch (RejectedPacketException e) {
             throw new MalformedException("the server's answer is not sealed with this key");
         }
     }
--- a/src/main/java/ochretiller/fleet/peers/Door.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.io.ByteArrayOutputStream;
 import java.security.SecureRandom;
@@ -6,14 +6,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
-import ochretiller.net.Receiver;
+import ochretiller.net.ConnectionHandler;
 import ochretiller.text.BadInputException;
 
 /**
  * Streams to the fleet's port: the operators' commands ask, each with the challenge of its
  * connection.
  */
-final class Door {
+public final class AdminEndpoint {
     /**
      * Commands at once. More are for nobody's hands, and a flood must not take the descriptors of
      * callers.
@@ -23,7 +23,7 @@
     /** Words on one connection: a command that watches asks once a second, and dials again. */
     private static final int WORDS = 100;
 
-    private final Codec codec;
+    private final PacketCodec codec;
     private final String name;
     private final Map<String, Answer> words;
     private final SecureRandom chance = new SecureRandom();
@@ -31,21 +31,21 @@
 
     /** What is answered to a word and what came with it, made on the one thread. */
     @FunctionalInterface
-    interface Answer {
+    public interface Answer {
         String text(String with);
     }
 
-    Door(Codec codec, String name, Map<String, Answer> words) {
+    public AdminEndpoint(PacketCodec codec, String name, Map<String, Answer> words) {
         this.codec = codec;
         this.name = name;
         this.words = words;
     }
 
-    Receiver accepted(Connection connection) {
+    public ConnectionHandler accepted(Connection connection) {
         return new Visit(connection, open.incrementAndGet() > MOST);
     }
 
-    private final class Visit implements Receiver {
+    private final class Visit implements ConnectionHandler {
         private final Connection connection;
         private final String challenge =
                 Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong());
@@ -78,12 +78,13 @@
                 read.write(all, 1, all.length - 1);
                 return () ->
                         connection.write(
-                                Sealed.frame(
+                                SealedFrame.frame(
                                         codec.keys(),
-                                        new Sealed.Said(codec.fleet(), challenge, "hello", name)));
+                                        new SealedFrame.Said(
+                                                codec.fleet(), challenge, "hello", name)));
             }
-            int length = Sealed.length(all, all.length);
-            if (length < 0 || length > Sealed.LONGEST_WORD) {
+            int length = SealedFrame.length(all, all.length);
+            if (length < 0 || length > SealedFrame.LONGEST_WORD) {
                 throw new BadInputException("a frame at the fleet's door is too long");
             }
             if (length == 0 || all.length < length) {
@@ -93,10 +94,10 @@
                 throw new BadInputException("too much at the fleet's door");
             }
             read.reset();
-            Sealed.Said word;
+            SealedFrame.Said word;
             try {
-                word = Sealed.open(codec.keys(), all);
-            } catch (RefusedException e) {
+                word = SealedFrame.open(codec.keys(), all);
+            } catch (RejectedPacketException e) {
                 throw new BadInputException(
                         "a frame at the fleet's door is refused: " + e.why().externalName());
             }
@@ -110,9 +111,9 @@
             }
             return () ->
                     connection.write(
-                            Sealed.frame(
+                            SealedFrame.frame(
                                     codec.keys(),
-                                    new Sealed.Said(
+                                    new SealedFrame.Said(
                                             codec.fleet(),
                                             challenge,
                                             word.word(),
--- a/src/main/java/ochretiller/fleet/peers/FleetKeys.java
+++ b/src/main/java/ochretiller/fleet/transport/FleetKeys.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/ochretiller/fleet/peers/Codec.java
+++ b/src/main/java/ochretiller/fleet/transport/PacketCodec.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
@@ -8,21 +8,21 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Entry;
-import ochretiller.fleet.members.Member;
-import ochretiller.fleet.members.MemberId;
-import ochretiller.fleet.members.Message;
-import ochretiller.fleet.members.Packet;
-import ochretiller.fleet.members.State;
-import ochretiller.fleet.versions.VersionMessage;
+import ochretiller.fleet.membership.Member;
+import ochretiller.fleet.membership.MemberId;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.MembershipMessage;
+import ochretiller.fleet.membership.MembershipPacket;
+import ochretiller.fleet.membership.MembershipUpdate;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.rollout.RolloutMessage;
 
 /**
  * The envelope and what is in it, as {@code docs/fleet-wire.md} has it: {@code OF}, version, least
  * version that can read it, length, a CBOR array, a seal. Arrays may be longer than is known here:
  * what is behind is skipped.
  */
-public final class Codec {
+public final class PacketCodec {
     /** What this program speaks, and the least that can read it. */
     static final int VERSION = 1;
 
@@ -31,18 +31,22 @@
 
     private static final int HEAD = 6;
     private static final CBORFactory CBOR = new CBORFactory();
-    private static final List<Class<? extends Message>> KINDS =
+    private static final List<Class<? extends MembershipMessage>> KINDS =
             List.of(
-                    Message.Ping.class,
-                    Message.Ack.class,
-                    Message.Ask.class,
-                    Message.Reached.class,
-                    Message.Sync.class,
-                    Message.States.class,
-                    Message.Want.class,
-                    Message.Full.class);
-    private static final State[] STATES = {
-        State.JOINING, State.HERE, State.SUSPECT, State.SILENT, State.LEFT
+                    MembershipMessage.Ping.class,
+                    MembershipMessage.Ack.class,
+                    MembershipMessage.PingRequest.class,
+                    MembershipMessage.IndirectAck.class,
+                    MembershipMessage.DigestSync.class,
+                    MembershipMessage.UpdatePage.class,
+                    MembershipMessage.MemberRequest.class,
+                    MembershipMessage.MemberPage.class);
+    private static final MemberState[] STATES = {
+        MemberState.JOINING,
+        MemberState.ALIVE,
+        MemberState.SUSPECT,
+        MemberState.UNRESPONSIVE,
+        MemberState.LEFT
     };
 
     /** Most of anything in one list: more than any message has. */
@@ -54,24 +58,24 @@
     /**
      * What was opened.
      *
-     * @param body a {@link Message}, or one of epochs or copies
+     * @param body a {@link MembershipMessage}, or one of epochs or copies
      * @param sequence grows with each packet of one start
      * @param epoch 0 where no epochs are agreed on
      */
     public record Opened(Member from, Object body, long sequence, long epoch) {
         /** As the decisions on members take it. */
-        public Packet packet() {
-            return new Packet(from, (Message) body);
+        public MembershipPacket packet() {
+            return new MembershipPacket(from, (MembershipMessage) body);
         }
     }
 
-    public Codec(String fleet, FleetKeys keys) {
+    public PacketCodec(String fleet, FleetKeys keys) {
         this.fleet = fleet;
         this.keys = keys;
     }
 
     /** Other keys hold from here on; from any thread. */
-    void become(FleetKeys next) {
+    public void become(FleetKeys next) {
         keys = next;
     }
 
@@ -83,8 +87,8 @@
         return fleet;
     }
 
-    public byte[] seal(Packet packet, long sequence) {
-        return seal(packet.from(), packet.message(), sequence);
+    public byte[] seal(MembershipPacket packet, long sequence) {
+        return seal(packet.sender(), packet.message(), sequence);
     }
 
     /** A packet of any kind. */
@@ -96,19 +100,19 @@
             to.writeString(fleet);
             to.writeNumber(sequence);
             to.writeNumber(
-                    message instanceof Message
+                    message instanceof MembershipMessage
                             ? KINDS.indexOf(message.getClass()) + 1
-                            : message instanceof VersionMessage
-                                    ? VersionCodec.kind(message)
-                                    : CopyCodec.kind(message));
+                            : message instanceof RolloutMessage
+                                    ? RolloutCodec.kind(message)
+                                    : ReplicationCodec.kind(message));
             to.writeNumber(0L);
             member(to, sender);
-            if (message instanceof Message known) {
+            if (message instanceof MembershipMessage known) {
                 body(to, known);
-            } else if (message instanceof VersionMessage version) {
-                VersionCodec.write(to, version);
+            } else if (message instanceof RolloutMessage version) {
+                RolloutCodec.write(to, version);
             } else {
-                CopyCodec.write(to, message);
+                ReplicationCodec.write(to, message);
             }
             to.writeEndArray();
         } catch (IOException e) {
@@ -126,106 +130,106 @@
      * Opens a packet: first what is cheap to see, then the seal, and only then what somebody with
      * the key has written.
      */
-    public Opened open(byte[] bytes, int length) throws RefusedException {
+    public Opened open(byte[] bytes, int length) throws RejectedPacketException {
         if (length < HEAD + FleetKeys.SEAL || length > LONGEST) {
-            throw new RefusedException(Refused.LENGTH);
+            throw new RejectedPacketException(RejectReason.LENGTH);
         }
         if (bytes[0] != 'O' || bytes[1] != 'F') {
-            throw new RefusedException(Refused.NOT_OURS);
+            throw new RejectedPacketException(RejectReason.NOT_OURS);
         }
         if ((bytes[3] & 0xff) > VERSION) {
-            throw new RefusedException(Refused.NEWER);
+            throw new RejectedPacketException(RejectReason.NEWER);
         }
         if (((bytes[4] & 0xff) << 8 | bytes[5] & 0xff) != length) {
-            throw new RefusedException(Refused.LENGTH);
+            throw new RejectedPacketException(RejectReason.LENGTH);
         }
         if (!keys.good(bytes, length - FleetKeys.SEAL)) {
-            throw new RefusedException(Refused.FORGED);
+            throw new RejectedPacketException(RejectReason.FORGED);
         }
         try (CBORParser from = CBOR.createParser(bytes, HEAD, length - FleetKeys.SEAL - HEAD)) {
             start(from);
             if (!text(from).equals(fleet)) {
-                throw new RefusedException(Refused.OTHER_FLEET);
+                throw new RejectedPacketException(RejectReason.OTHER_FLEET);
             }
             long sequence = number(from);
             long kind = number(from);
             long epoch = number(from);
             Member sender = member(from);
-            if (CopyCodec.knows(kind)) {
-                return new Opened(sender, CopyCodec.read(from, (int) kind), sequence, epoch);
+            if (ReplicationCodec.knows(kind)) {
+                return new Opened(sender, ReplicationCodec.read(from, (int) kind), sequence, epoch);
             }
-            if (VersionCodec.knows(kind)) {
-                return new Opened(sender, VersionCodec.read(from, (int) kind), sequence, epoch);
+            if (RolloutCodec.knows(kind)) {
+                return new Opened(sender, RolloutCodec.read(from, (int) kind), sequence, epoch);
             }
             if (kind < 1 || kind > KINDS.size()) {
-                throw new RefusedException(Refused.KIND);
+                throw new RejectedPacketException(RejectReason.KIND);
             }
             return new Opened(sender, body(from, (int) kind), sequence, epoch);
         } catch (IOException | IllegalArgumentException | NullPointerException e) {
-            throw new RefusedException(Refused.MALFORMED);
+            throw new RejectedPacketException(RejectReason.MALFORMED);
         }
     }
 
-    private static void body(CBORGenerator to, Message message) throws IOException {
-        if (message instanceof Message.Ping ping) {
+    private static void body(CBORGenerator to, MembershipMessage message) throws IOException {
+        if (message instanceof MembershipMessage.Ping ping) {
             to.writeStartArray(null, 5);
             to.writeNumber(ping.nonce());
             to.writeNumber(ping.target());
-            entries(to, ping.news().entries());
-            members(to, ping.news().full());
+            entries(to, ping.gossip().updates());
+            members(to, ping.gossip().members());
             to.writeNumber(ping.digest());
-        } else if (message instanceof Message.Ack ack) {
+        } else if (message instanceof MembershipMessage.Ack ack) {
             to.writeStartArray(null, 4);
             to.writeNumber(ack.nonce());
-            entries(to, ack.news().entries());
-            members(to, ack.news().full());
+            entries(to, ack.gossip().updates());
+            members(to, ack.gossip().members());
             to.writeNumber(ack.digest());
-        } else if (message instanceof Message.Ask ask) {
+        } else if (message instanceof MembershipMessage.PingRequest ask) {
             to.writeStartArray(null, 4);
             to.writeNumber(ask.nonce());
             to.writeNumber(ask.target());
             address(to, ask.address());
-        } else if (message instanceof Message.Reached reached) {
+        } else if (message instanceof MembershipMessage.IndirectAck reached) {
             to.writeStartArray(null, 2);
             to.writeNumber(reached.nonce());
             entry(to, reached.target());
-        } else if (message instanceof Message.Sync sync) {
+        } else if (message instanceof MembershipMessage.DigestSync sync) {
             to.writeStartArray(null, 2);
             numbers(to, sync.digests());
-            to.writeBoolean(sync.back());
-        } else if (message instanceof Message.States states) {
+            to.writeBoolean(sync.reciprocal());
+        } else if (message instanceof MembershipMessage.UpdatePage states) {
             to.writeStartArray(null, 1);
-            entries(to, states.entries());
-        } else if (message instanceof Message.Want want) {
+            entries(to, states.updates());
+        } else if (message instanceof MembershipMessage.MemberRequest want) {
             to.writeStartArray(null, 1);
-            numbers(to, want.starts());
-        } else if (message instanceof Message.Full full) {
+            numbers(to, want.incarnations());
+        } else if (message instanceof MembershipMessage.MemberPage full) {
             to.writeStartArray(null, 1);
             members(to, full.members());
         }
         to.writeEndArray();
     }
 
-    private static Message body(CBORParser from, int kind) throws IOException {
+    private static MembershipMessage body(CBORParser from, int kind) throws IOException {
         start(from);
         return switch (kind) {
             case 1 ->
-                    new Message.Ping(
+                    new MembershipMessage.Ping(
                             number(from),
                             number(from),
-                            new Message.News(entries(from), members(from)),
+                            new MembershipMessage.Gossip(entries(from), members(from)),
                             number(from));
             case 2 ->
-                    new Message.Ack(
+                    new MembershipMessage.Ack(
                             number(from),
-                            new Message.News(entries(from), members(from)),
+                            new MembershipMessage.Gossip(entries(from), members(from)),
                             number(from));
-            case 3 -> new Message.Ask(number(from), number(from), address(from));
-            case 4 -> new Message.Reached(number(from), entry(from));
-            case 5 -> new Message.Sync(numbers(from), bool(from));
-            case 6 -> new Message.States(entries(from));
-            case 7 -> new Message.Want(numbers(from));
-            default -> new Message.Full(members(from));
+            case 3 -> new MembershipMessage.PingRequest(number(from), number(from), address(from));
+            case 4 -> new MembershipMessage.IndirectAck(number(from), entry(from));
+            case 5 -> new MembershipMessage.DigestSync(numbers(from), bool(from));
+            case 6 -> new MembershipMessage.UpdatePage(entries(from));
+            case 7 -> new MembershipMessage.MemberRequest(numbers(from));
+            default -> new MembershipMessage.MemberPage(members(from));
         };
     }
 
@@ -234,17 +238,17 @@
     private static void member(CBORGenerator to, Member member) throws IOException {
         to.writeStartArray(null, 10);
         to.writeString(member.id().name());
-        to.writeNumber(member.start());
+        to.writeNumber(member.incarnation());
         address(to, member.address());
         to.writeString(member.zone());
         to.writeString(member.build());
-        if (member.serves() == null) {
+        if (member.serviceAddress() == null) {
             to.writeString("");
             to.writeNumber(0);
         } else {
-            address(to, member.serves());
+            address(to, member.serviceAddress());
         }
-        to.writeNumber(member.number());
+        to.writeNumber(member.stateVersion());
         to.writeNumber(code(member.state()));
         to.writeEndArray();
     }
@@ -257,10 +261,10 @@
     /** The rest of a member whose array has begun. */
     private static Member membered(CBORParser from) throws IOException {
         MemberId id = new MemberId(text(from), number(from));
-        Address address = address(from);
+        PeerAddress address = address(from);
         String zone = text(from);
         String build = text(from);
-        Address serves = address(from);
+        PeerAddress serves = address(from);
         Member member =
                 new Member(
                         id,
@@ -274,62 +278,63 @@
         return member;
     }
 
-    private static void address(CBORGenerator to, Address address) throws IOException {
+    private static void address(CBORGenerator to, PeerAddress address) throws IOException {
         to.writeString(address.host());
         to.writeNumber(address.port());
     }
 
-    private static Address address(CBORParser from) throws IOException {
+    private static PeerAddress address(CBORParser from) throws IOException {
         String host = text(from);
         long port = number(from);
-        if (host.length() > Address.LONGEST || port < 0 || port > 0xffff) {
+        if (host.length() > PeerAddress.MAX_LENGTH || port < 0 || port > 0xffff) {
             throw new IllegalArgumentException("no address");
         }
-        return new Address(host, (int) port);
+        return new PeerAddress(host, (int) port);
     }
 
-    private static void entry(CBORGenerator to, Entry entry) throws IOException {
-        to.writeStartArray(null, entry.by() == 0 ? 3 : 4);
-        to.writeNumber(entry.start());
-        to.writeNumber(entry.number());
+    private static void entry(CBORGenerator to, MembershipUpdate entry) throws IOException {
+        to.writeStartArray(null, entry.accuser() == 0 ? 3 : 4);
+        to.writeNumber(entry.incarnation());
+        to.writeNumber(entry.stateVersion());
         to.writeNumber(code(entry.state()));
-        if (entry.by() != 0) {
-            to.writeNumber(entry.by());
+        if (entry.accuser() != 0) {
+            to.writeNumber(entry.accuser());
         }
         to.writeEndArray();
     }
 
-    private static Entry entry(CBORParser from) throws IOException {
+    private static MembershipUpdate entry(CBORParser from) throws IOException {
         start(from);
         return entered(from);
     }
 
     /** The rest of an entry whose array has begun. */
-    private static Entry entered(CBORParser from) throws IOException {
+    private static MembershipUpdate entered(CBORParser from) throws IOException {
         long start = number(from);
         long number = number(from);
-        State state = state(from);
+        MemberState state = state(from);
         if (number < 0) {
             throw new IllegalArgumentException("a number is out of bounds");
         }
         JsonToken next = from.nextToken();
         if (next == JsonToken.END_ARRAY) {
-            return new Entry(start, number, state, 0);
+            return new MembershipUpdate(start, number, state, 0);
         }
-        Entry entry = new Entry(start, number, state, from.getLongValue());
+        MembershipUpdate entry = new MembershipUpdate(start, number, state, from.getLongValue());
         end(from);
         return entry;
     }
 
-    private static void entries(CBORGenerator to, List<Entry> entries) throws IOException {
+    private static void entries(CBORGenerator to, List<MembershipUpdate> entries)
+            throws IOException {
         to.writeStartArray(null, entries.size());
-        for (Entry entry : entries) {
+        for (MembershipUpdate entry : entries) {
             entry(to, entry);
         }
         to.writeEndArray();
     }
 
-    private static List<Entry> entries(CBORParser from) throws IOException {
+    private static List<MembershipUpdate> entries(CBORParser from) throws IOException {
         return list(from, () -> entered(from));
     }
 
@@ -347,11 +352,11 @@
 
     /** Reads one element of a list whose token has been read. */
     @FunctionalInterface
-    interface Part<T> {
+    public interface Part<T> {
         T read() throws IOException;
     }
 
-    static <T> List<T> list(CBORParser from, Part<T> part) throws IOException {
+    public static <T> List<T> list(CBORParser from, Part<T> part) throws IOException {
         List<T> all = new ArrayList<>();
         start(from);
         while (from.nextToken() != JsonToken.END_ARRAY) {
@@ -364,7 +369,7 @@
         return all;
     }
 
-    static void numbers(CBORGenerator to, List<Long> numbers) throws IOException {
+    public static void numbers(CBORGenerator to, List<Long> numbers) throws IOException {
         to.writeStartArray(null, numbers.size());
         for (long each : numbers) {
             to.writeNumber(each);
@@ -372,11 +377,11 @@
         to.writeEndArray();
     }
 
-    static List<Long> numbers(CBORParser from) throws IOException {
+    public static List<Long> numbers(CBORParser from) throws IOException {
         return list(from, from::getLongValue);
     }
 
-    static void start(CBORParser from) throws IOException {
+    public static void start(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.START_ARRAY) {
             throw new IllegalArgumentException("no array");
         }
@@ -394,21 +399,21 @@
         }
     }
 
-    static String text(CBORParser from) throws IOException {
+    public static String text(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.VALUE_STRING) {
             throw new IllegalArgumentException("no text");
         }
         return from.getText();
     }
 
-    static long number(CBORParser from) throws IOException {
+    public static long number(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.VALUE_NUMBER_INT) {
             throw new IllegalArgumentException("no number");
         }
         return from.getLongValue();
     }
 
-    static boolean bool(CBORParser from) throws IOException {
+    public static boolean bool(CBORParser from) throws IOException {
         JsonToken token = from.nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
             throw new IllegalArgumentException("no truth");
@@ -416,11 +421,11 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    private static int code(State state) {
+    private static int code(MemberState state) {
         return List.of(STATES).indexOf(state) + 1;
     }
 
-    private static State state(CBORParser from) throws IOException {
+    private static MemberState state(CBORParser from) throws IOException {
         long code = number(from);
         if (code < 1 || code > STATES.length) {
             throw new IllegalArgumentException("no state");
--- a/src/main/java/ochretiller/fleet/peers/PeerBudget.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
@@ -1,15 +1,15 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.net.InetSocketAddress;
 import java.util.Map;
-import ochretiller.bounds.Bounded;
+import ochretiller.collections.BoundedMap;
 
 /**
  * How many packets and bytes each peer may send, counted by the address that they come from, before
  * anything is opened: a flood costs a look-up and delays nobody else. Used by the reading thread
  * alone.
  */
-final class PeerBudget {
+final class PeerRateLimiter {
     /**
      * A server sends some 20 packets a second to all others together, and some more for each
      * tokened invocation.
@@ -50,15 +50,16 @@
     }
 
     private final Bucket all;
-    private final Map<InetSocketAddress, Bucket> peers = Bounded.byUse(PEERS);
+    private final Map<InetSocketAddress, Bucket> peers =
+            BoundedMap.evictingLeastRecentlyUsed(PEERS);
 
-    PeerBudget(long now) {
-        all = new Bucket(ALL_PACKETS, ALL_PACKETS * Codec.LONGEST, now);
+    PeerRateLimiter(long now) {
+        all = new Bucket(ALL_PACKETS, ALL_PACKETS * PacketCodec.LONGEST, now);
     }
 
     boolean take(InetSocketAddress from, int size, long now) {
         Bucket mine = peers.computeIfAbsent(from, ignored -> new Bucket(PACKETS, BYTES, now));
         return mine.take(PACKETS, BYTES, size, now)
-                && all.take(ALL_PACKETS, ALL_PACKETS * Codec.LONGEST, size, now);
+                && all.take(ALL_PACKETS, ALL_PACKETS * PacketCodec.LONGEST, size, now);
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerSocket.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 
 /**
  * Datagrams of a fleet. One thread reads, holds each packet against the bounds, opens it and hands
@@ -21,7 +21,7 @@
  * MINA's acceptor: that keeps a session for each address that ever sent, and a flood from made-up
  * addresses would fill the memory.
  */
-final class PeerSocket {
+public final class PeerSocket {
     private static final Logger LOG = Logger.getLogger(PeerSocket.class.getName());
 
     /** Packets that wait for the one thread: a comparison of views, many times over. */
@@ -30,22 +30,25 @@
     /** The kernel's room for what is not read yet: a second's pause at a comparison of views. */
     private static final int ROOM = 512 * 1024;
 
-    private final Schedule schedule;
-    private final Codec codec;
-    private final Consumer<Codec.Opened> taker;
+    private final Scheduler schedule;
+    private final PacketCodec codec;
+    private final Consumer<PacketCodec.Opened> taker;
     private final DatagramChannel channel;
     private final Selector selector;
-    private final Window window = new Window();
+    private final ReplayWindow window = new ReplayWindow();
     private final AtomicInteger behind = new AtomicInteger();
-    private final AtomicLongArray refused = new AtomicLongArray(Refused.values().length);
-    final LongAdder sentPackets = new LongAdder();
-    final LongAdder sentBytes = new LongAdder();
-    final LongAdder readPackets = new LongAdder();
-    final LongAdder readBytes = new LongAdder();
-    final LongAdder unsent = new LongAdder();
+    private final AtomicLongArray refused = new AtomicLongArray(RejectReason.values().length);
+    public final LongAdder sentPackets = new LongAdder();
+    public final LongAdder sentBytes = new LongAdder();
+    public final LongAdder readPackets = new LongAdder();
+    public final LongAdder readBytes = new LongAdder();
+    public final LongAdder unsent = new LongAdder();
 
-    PeerSocket(
-            Schedule schedule, Codec codec, InetSocketAddress listen, Consumer<Codec.Opened> taker)
+    public PeerSocket(
+            Scheduler schedule,
+            PacketCodec codec,
+            InetSocketAddress listen,
+            Consumer<PacketCodec.Opened> taker)
             throws IOException {
         this.schedule = schedule;
         this.codec = codec;
@@ -67,24 +70,25 @@
         channel.register(selector, SelectionKey.OP_READ);
     }
 
-    void start() {
+    public void start() {
         Thread thread = new Thread(this::read, "fleet");
         thread.setDaemon(true);
         thread.start();
     }
 
-    long refused(Refused why) {
+    public long refused(RejectReason why) {
         return refused.get(why.ordinal());
     }
 
-    private void refuse(Refused why) {
+    private void refuse(RejectReason why) {
         refused.incrementAndGet(why.ordinal());
     }
 
     private void read() {
         ByteBuffer buffer =
-                ByteBuffer.allocate(Codec.LONGEST + 1); // one byte more shows what is too long
-        PeerBudget budget = new PeerBudget(System.nanoTime());
+                ByteBuffer.allocate(
+                        PacketCodec.LONGEST + 1); // one byte more shows what is too long
+        PeerRateLimiter budget = new PeerRateLimiter(System.nanoTime());
         while (channel.isOpen()) {
             try {
                 selector.select();
@@ -103,28 +107,28 @@
         }
     }
 
-    private void taken(ByteBuffer buffer, InetSocketAddress from, PeerBudget budget) {
+    private void taken(ByteBuffer buffer, InetSocketAddress from, PeerRateLimiter budget) {
         int length = buffer.flip().remaining();
         readPackets.increment();
         readBytes.add(length);
         if (!budget.take(from, length, System.nanoTime())) {
-            refuse(Refused.OVER_BUDGET);
+            refuse(RejectReason.OVER_BUDGET);
             return;
         }
-        Codec.Opened opened;
+        PacketCodec.Opened opened;
         try {
             opened = codec.open(buffer.array(), length);
-        } catch (RefusedException e) {
+        } catch (RejectedPacketException e) {
             refuse(e.why());
             return;
         }
-        if (!window.take(opened.from().start(), opened.sequence())) {
-            refuse(Refused.REPLAYED);
+        if (!window.take(opened.from().incarnation(), opened.sequence())) {
+            refuse(RejectReason.REPLAYED);
             return;
         }
         if (behind.incrementAndGet() > BEHIND) {
             behind.decrementAndGet();
-            refuse(Refused.BEHIND);
+            refuse(RejectReason.BEHIND);
             return;
         }
         schedule.post(
@@ -138,7 +142,7 @@
      * Sends, or counts that it could not: what is lost here is said again as what is lost on the
      * way.
      */
-    void send(InetSocketAddress to, byte[] bytes) {
+    public void send(InetSocketAddress to, byte[] bytes) {
         try {
             if (channel.send(ByteBuffer.wrap(bytes), to) == bytes.length) {
                 sentPackets.increment();
@@ -151,7 +155,7 @@
         unsent.increment();
     }
 
-    void close() {
+    public void close() {
         try {
             channel.close();
             selector.close();
--- a/src/main/java/ochretiller/fleet/peers/Refused.java
+++ b/src/main/java/ochretiller/fleet/transport/RejectReason.java
@@ -1,9 +1,9 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.util.Locale;
 
 /** Why a packet was not taken; each has a figure of its own. */
-public enum Refused {
+public enum RejectReason {
     /** Shorter than an envelope, longer than is read, or not as long as it says. */
     LENGTH("LENGTH"),
     /** It does not begin as an envelope does. */
@@ -27,7 +27,7 @@
 
     private final String externalName;
 
-    Refused(String externalName) {
+    RejectReason(String externalName) {
         this.externalName = externalName;
     }
 
--- a/src/main/java/ochretiller/fleet/peers/RefusedException.java
+++ b/src/main/java/ochretiller/fleet/transport/RejectedPacketException.java
@@ -1,16 +1,16 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 /** A packet that is not taken. Without a trace: floods of them must cost little. */
-final class RefusedException extends Exception {
+public final class RejectedPacketException extends Exception {
     private static final long serialVersionUID = 1;
-    private final Refused why;
+    private final RejectReason why;
 
-    RefusedException(Refused why) {
+    RejectedPacketException(RejectReason why) {
         super(why.externalName(), null, false, false);
         this.why = why;
     }
 
-    Refused why() {
+    RejectReason why() {
         return why;
     }
 }
--- a/src/main/java/ochretiller/fleet/peers/Window.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplayWindow.java
@@ -1,13 +1,13 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.util.Map;
-import ochretiller.bounds.Bounded;
+import ochretiller.collections.BoundedMap;
 
 /**
  * Which packets of each start were taken, so that none is taken twice: the last thousand of each,
  * and the last starts.
  */
-final class Window {
+final class ReplayWindow {
     /** Packets of one start that may overtake one another: some seconds of what a server sends. */
     private static final int WIDTH = 1024;
 
@@ -51,7 +51,7 @@
         }
     }
 
-    private final Map<Long, Taken> starts = Bounded.byUse(STARTS);
+    private final Map<Long, Taken> starts = BoundedMap.evictingLeastRecentlyUsed(STARTS);
 
     /** Whether it is taken now for the first time. */
     boolean take(long start, long sequence) {
--- a/src/main/java/ochretiller/fleet/peers/Sealed.java
+++ b/src/main/java/ochretiller/fleet/transport/SealedFrame.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.transport;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -11,7 +11,7 @@
  * each to the end of its line, so that a frame that was heard once is of no use on another
  * connection.
  */
-final class Sealed {
+public final class SealedFrame {
     /**
      * Longest frame that a server reads, and longest that a command reads: a view of the largest
      * fleet.
@@ -21,12 +21,12 @@
     static final int LONGEST_ANSWER = 2 << 20;
     private static final int LENGTH = 4;
 
-    private Sealed() {}
+    private SealedFrame() {}
 
     /** What a frame says. */
-    record Said(String fleet, String challenge, String word, String text) {}
+    public record Said(String fleet, String challenge, String word, String text) {}
 
-    static byte[] frame(FleetKeys keys, Said said) {
+    public static byte[] frame(FleetKeys keys, Said said) {
         byte[] text =
                 String.join("\n", said.fleet, said.challenge, said.word, said.text)
                         .getBytes(StandardCharsets.UTF_8);
@@ -42,24 +42,24 @@
      * How many bytes the frame at the start has, its length among them; 0 while that cannot be
      * told.
      */
-    static int length(byte[] bytes, int count) {
+    public static int length(byte[] bytes, int count) {
         return count < LENGTH ? 0 : LENGTH + ByteBuffer.wrap(bytes).getInt();
     }
 
     /** The content of a whole frame. */
-    static Said open(FleetKeys keys, byte[] frame) throws RefusedException {
+    public static Said open(FleetKeys keys, byte[] frame) throws RejectedPacketException {
         byte[] body = Arrays.copyOfRange(frame, LENGTH, frame.length);
         if (body.length < FleetKeys.SEAL) {
-            throw new RefusedException(Refused.LENGTH);
+            throw new RejectedPacketException(RejectReason.LENGTH);
         }
         if (!keys.good(body, body.length - FleetKeys.SEAL)) {
-            throw new RefusedException(Refused.FORGED);
+            throw new RejectedPacketException(RejectReason.FORGED);
         }
         String[] parts =
                 new String(body, 0, body.length - FleetKeys.SEAL, StandardCharsets.UTF_8)
                         .split("\n", 4);
         if (parts.length < 4) {
-            throw new RefusedException(Refused.MALFORMED);
+            throw new RejectedPacketException(RejectReason.MALFORMED);
         }
         return new Said(parts[0], parts[1], parts[2], parts[3]);
     }
--- a/src/main/java/ochretiller/front/Ending.java
+++ b/src/main/java/ochretiller/frontend/AnswerKind.java
@@ -1,7 +1,7 @@
-package ochretiller.front;
+package ochretiller.frontend;
 
 /** How a try was answered. */
-public enum Ending {
+public enum AnswerKind {
     SUCCEEDED,
     REPLAYED,
     THROTTLED,
--- a/src/main/java/ochretiller/front/Peer.java
+++ b/src/main/java/ochretiller/frontend/ClientConnection.java
@@ -1,21 +1,21 @@
-package ochretiller.front;
+package ochretiller.frontend;
 
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
-import ochretiller.net.Receiver;
+import ochretiller.net.ConnectionHandler;
 
 /**
  * One connection of a caller and the requests that are open on it; its front writes what they are
  * told.
  */
-public abstract class Peer implements Receiver {
+public abstract class ClientConnection implements ConnectionHandler {
     protected final Connection connection;
-    private final Callers callers;
+    private final ClientConnections callers;
     private final Duration madeAt;
-    private final Map<Long, Try> open = new LinkedHashMap<>();
+    private final Map<Long, RequestAttempt> open = new LinkedHashMap<>();
     private boolean shown;
 
     /** Open over the limit: it is told so and closed. */
@@ -31,23 +31,23 @@
     /** Why it is to end: it was told so, or cannot be read any more; null while it stays. */
     private CloseCode parting;
 
-    protected Peer(Connection connection, Callers callers) {
+    protected ClientConnection(Connection connection, ClientConnections callers) {
         this.connection = connection;
         this.callers = callers;
         this.madeAt = callers.now();
     }
 
     /** Writes that it has succeeded. */
-    protected abstract void succeeds(Try inv, byte[] result, boolean replayed);
+    protected abstract void succeeds(RequestAttempt inv, byte[] result, boolean replayed);
 
     /**
      * Writes that it was turned away before it ran; no word when to return where {@code retryIn} is
      * zero.
      */
-    protected abstract void throttles(Try inv, Duration retryIn, boolean last);
+    protected abstract void throttles(RequestAttempt inv, Duration retryIn, boolean last);
 
     /** Writes that it is errored. */
-    protected abstract void fails(Try inv, Failure why);
+    protected abstract void fails(RequestAttempt inv, FailureReason why);
 
     /**
      * Asks to bring nothing more on this connection; false where its protocol has no word for that.
@@ -83,7 +83,7 @@
         return madeAt;
     }
 
-    public Map<Long, Try> open() {
+    public Map<Long, RequestAttempt> open() {
         return open;
     }
 
--- a/src/main/java/ochretiller/front/Callers.java
+++ b/src/main/java/ochretiller/frontend/ClientConnections.java
@@ -1,4 +1,4 @@
-package ochretiller.front;
+package ochretiller.frontend;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -11,17 +11,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import ochretiller.model.InvId;
+import ochretiller.model.InvocationId;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
-import ochretiller.net.Receiver;
-import ochretiller.net.Schedule;
+import ochretiller.net.ConnectionHandler;
+import ochretiller.net.Scheduler;
 
 /**
  * All connections of callers, over whatever front: what comes in goes to the owner, what is decided
  * goes out, once for each.
  */
-public final class Callers {
+public final class ClientConnections {
     /**
      * Part of the limit by which it may be passed until others are closed, so that health checks
      * still get in.
@@ -55,30 +55,30 @@
     /** How often silent connections are looked for. */
     private static final Duration SWEEP = Duration.ofMillis(100);
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final int limit;
     private final Duration longest;
-    private final Consumer<Try> arrived;
-    private final Consumer<Try> gone;
+    private final Consumer<RequestAttempt> arrived;
+    private final Consumer<RequestAttempt> gone;
 
     /**
      * Those that were not told to go, and those of them that have shown nothing yet; the oldest
      * first.
      */
-    private final Set<Peer> staying = new LinkedHashSet<>();
+    private final Set<ClientConnection> staying = new LinkedHashSet<>();
 
-    private final Set<Peer> silent = new LinkedHashSet<>();
+    private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
     /** Those that were told, cannot be read any more, or are closing. */
-    private final Set<Peer> going = new LinkedHashSet<>();
+    private final Set<ClientConnection> going = new LinkedHashSet<>();
 
-    private final Map<String, Try> tries = new HashMap<>();
+    private final Map<String, RequestAttempt> tries = new HashMap<>();
     private final AtomicInteger accepted = new AtomicInteger();
     private long lastId;
     private int openTries;
     private Duration idleAfter;
     private boolean leaving;
-    private BiConsumer<Try, Ending> ends = (inv, how) -> {};
+    private BiConsumer<RequestAttempt, AnswerKind> ends = (inv, how) -> {};
 
     /**
      * No connection yet.
@@ -90,13 +90,13 @@
      * @param arrived told of each try that is read
      * @param gone told of each try whose caller is gone
      */
-    public Callers(
-            Schedule schedule,
+    public ClientConnections(
+            Scheduler schedule,
             int limit,
             Duration longest,
             Duration idleAfter,
-            Consumer<Try> arrived,
-            Consumer<Try> gone) {
+            Consumer<RequestAttempt> arrived,
+            Consumer<RequestAttempt> gone) {
         this.schedule = schedule;
         this.limit = limit;
         this.longest = longest;
@@ -107,7 +107,7 @@
     }
 
     /** Told of each answer that is given, once. */
-    public void ends(BiConsumer<Try, Ending> listener) {
+    public void ends(BiConsumer<RequestAttempt, AnswerKind> listener) {
         ends = listener;
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** On the network's thread: a connection was accepted. */
-    public Receiver accepted(Peer peer) {
+    public ConnectionHandler accepted(ClientConnection peer) {
         Connection connection = peer.connection;
         if (accepted.incrementAndGet() > limit + limit / SURPLUS) {
             connection.drop(CloseCode.TOO_MANY);
@@ -141,11 +141,11 @@
      * the table only, the oldest of them go first; then goes who has been silent longest. Where all
      * are busy the newcomer is surplus.
      */
-    private void makeRoom(Peer newcomer) {
+    private void makeRoom(ClientConnection newcomer) {
         // Guards against newcomers that are dropped unread for the sake of those that were told and
         // have not gone yet.
         if (accepted.get() > limit) {
-            for (Peer peer : going) {
+            for (ClientConnection peer : going) {
                 if (peer.hurry(longest)) {
                     break;
                 }
@@ -153,7 +153,7 @@
         }
         boolean full = staying.size() > limit;
         if (silent.size() > limit / NEWCOMERS || full) {
-            Peer oldest = silent.stream().filter(this::quiet).findFirst().orElse(null);
+            ClientConnection oldest = silent.stream().filter(this::quiet).findFirst().orElse(null);
             if (oldest != null && (silent.size() > limit / NEWCOMERS || aged(oldest, NEW))) {
                 spare(oldest);
                 return;
@@ -162,7 +162,7 @@
         if (!full) {
             return;
         }
-        Peer longest =
+        ClientConnection longest =
                 staying.stream()
                         .filter(peer -> peer != newcomer && peer.shown() && quiet(peer))
                         .min(Comparator.comparing(peer -> peer.connection.usedAt()))
@@ -178,7 +178,7 @@
      * A wave of callers that come back at once loses nothing by it: what crosses the word is
      * answered.
      */
-    private void spare(Peer oldest) {
+    private void spare(ClientConnection oldest) {
         if (accepted.get() <= limit / FLOODED) {
             release(oldest, CloseCode.TOO_MANY, NEW);
         } else {
@@ -188,17 +188,17 @@
         }
     }
 
-    private boolean quiet(Peer peer) {
+    private boolean quiet(ClientConnection peer) {
         return peer.quiet(longest);
     }
 
     /** It has sent something good. */
-    void shows(Peer peer) {
+    void shows(ClientConnection peer) {
         silent.remove(peer);
     }
 
     /** It is none of those that stay. */
-    void goes(Peer peer) {
+    void goes(ClientConnection peer) {
         silent.remove(peer);
         if (staying.remove(peer)) {
             going.add(peer);
@@ -210,7 +210,7 @@
      * and what crosses the word is still answered: guards against a request that is on the way to a
      * connection that rests. We close only if it does not.
      */
-    private void release(Peer peer, CloseCode code, Duration patience) {
+    private void release(ClientConnection peer, CloseCode code, Duration patience) {
         goes(peer);
         if (!peer.part(code)) {
             if (peer.shown()) {
@@ -223,7 +223,7 @@
         }
     }
 
-    private void closeIfQuiet(Peer peer, Duration patience) {
+    private void closeIfQuiet(ClientConnection peer, Duration patience) {
         if (!peer.connection.open()) {
             return;
         }
@@ -234,7 +234,7 @@
         }
     }
 
-    private boolean aged(Peer peer, Duration age) {
+    private boolean aged(ClientConnection peer, Duration age) {
         return schedule.now().minus(peer.madeAt()).compareTo(age) > 0;
     }
 
@@ -246,22 +246,22 @@
         accepted.decrementAndGet();
     }
 
-    void ended(Peer peer) {
+    void ended(ClientConnection peer) {
         staying.remove(peer);
         silent.remove(peer);
         going.remove(peer);
         // A caller whose connection has ended is known to be gone.
-        for (Try inv : List.copyOf(peer.open().values())) {
+        for (RequestAttempt inv : List.copyOf(peer.open().values())) {
             leave(inv);
         }
     }
 
     /** The caller waits no longer: no answer is owed. */
-    public void abort(Try inv) {
+    public void abort(RequestAttempt inv) {
         leave(inv);
     }
 
-    private void leave(Try inv) {
+    private void leave(RequestAttempt inv) {
         settle(inv);
         gone.accept(inv);
     }
@@ -272,16 +272,16 @@
     }
 
     /** An id that no other try here has. */
-    public InvId nextId() {
-        return new InvId(++lastId);
+    public InvocationId nextId() {
+        return new InvocationId(++lastId);
     }
 
     /**
      * A good request was read: its try goes to the owner, or back to its caller where its
      * connection is one too many.
      */
-    public void opened(Try inv) {
-        Peer peer = inv.peer;
+    public void opened(RequestAttempt inv) {
+        ClientConnection peer = inv.peer;
         peer.shows();
         peer.open().put(inv.number, inv);
         tries.put(inv.rid, inv);
@@ -297,16 +297,16 @@
     }
 
     /** The try by the name that it bears on all wires, as long as it is not forgotten. */
-    public Try find(String rid) {
+    public RequestAttempt find(String rid) {
         return tries.get(rid);
     }
 
     /** Its answer was given and its run is over. */
-    public void forget(Try inv) {
+    public void forget(RequestAttempt inv) {
         tries.remove(inv.rid, inv);
     }
 
-    private boolean settle(Try inv) {
+    private boolean settle(RequestAttempt inv) {
         if (inv.answered()) {
             return false;
         }
@@ -316,40 +316,40 @@
         return true;
     }
 
-    private void answered(Try inv) {
+    private void answered(RequestAttempt inv) {
         inv.peer.connection.used(schedule.now());
         inv.peer.settle();
     }
 
-    public void succeed(Try inv, byte[] result) {
+    public void succeed(RequestAttempt inv, byte[] result) {
         succeed(inv, result, false);
     }
 
     /** {@code replayed} where the result is that of another try. */
-    public void succeed(Try inv, byte[] result, boolean replayed) {
+    public void succeed(RequestAttempt inv, byte[] result, boolean replayed) {
         if (!settle(inv)) {
             return;
         }
         inv.peer.succeeds(inv, result, replayed);
-        ends.accept(inv, replayed ? Ending.REPLAYED : Ending.SUCCEEDED);
+        ends.accept(inv, replayed ? AnswerKind.REPLAYED : AnswerKind.SUCCEEDED);
         answered(inv);
     }
 
-    public void throttle(Try inv, Duration retryIn, boolean last) {
+    public void throttle(RequestAttempt inv, Duration retryIn, boolean last) {
         if (!settle(inv)) {
             return;
         }
         inv.peer.throttles(inv, retryIn, last);
-        ends.accept(inv, Ending.THROTTLED);
+        ends.accept(inv, AnswerKind.THROTTLED);
         answered(inv);
     }
 
-    public void fail(Try inv, Failure why) {
+    public void fail(RequestAttempt inv, FailureReason why) {
         if (!settle(inv)) {
             return;
         }
         inv.peer.fails(inv, why);
-        ends.accept(inv, Ending.ERRORED);
+        ends.accept(inv, AnswerKind.ERRORED);
         answered(inv);
     }
 
@@ -363,7 +363,7 @@
 
     private void sweep() {
         schedule.after(SWEEP, this::sweep);
-        for (Peer peer : List.copyOf(staying)) {
+        for (ClientConnection peer : List.copyOf(staying)) {
             if (!quiet(peer)) {
                 continue; // guards against a close that loses what was read and is not worked off
                 // yet
@@ -379,7 +379,7 @@
     /** Asks callers to bring nothing more on the connections that are open. */
     public void leave() {
         leaving = true;
-        for (Peer peer : List.copyOf(staying)) {
+        for (ClientConnection peer : List.copyOf(staying)) {
             if (peer.part(CloseCode.LEAVING)) {
                 goes(peer);
             }
@@ -393,20 +393,20 @@
 
     /** Ends at once what callers have not ended. */
     public void drop() {
-        for (Peer peer : all()) {
+        for (ClientConnection peer : all()) {
             peer.connection.drop(CloseCode.LEAVING);
         }
     }
 
     /** Closes what is open; all that was read has its answer. */
     public void close() {
-        for (Peer peer : all()) {
+        for (ClientConnection peer : all()) {
             peer.connection.close(CloseCode.LEAVING);
         }
     }
 
-    private List<Peer> all() {
-        List<Peer> all = new ArrayList<>(staying);
+    private List<ClientConnection> all() {
+        List<ClientConnection> all = new ArrayList<>(staying);
         all.addAll(going);
         return all;
     }
--- a/src/main/java/ochretiller/front/Failure.java
+++ b/src/main/java/ochretiller/frontend/FailureReason.java
@@ -1,7 +1,7 @@
-package ochretiller.front;
+package ochretiller.frontend;
 
 /** Why a try is errored, for fronts that tell it in their own terms. */
-public enum Failure {
+public enum FailureReason {
     /** Its run failed, or may have had its effect and its result is not to be had. */
     FAILED("failed"),
     /** It could not be answered with a result by its due time. */
@@ -17,7 +17,7 @@
     /** In the project's own words, without anything that a peer sent. */
     public final String text;
 
-    Failure(String text) {
+    FailureReason(String text) {
         this.text = text;
     }
 }
--- a/src/main/java/ochretiller/front/Try.java
+++ b/src/main/java/ochretiller/frontend/RequestAttempt.java
@@ -1,12 +1,12 @@
-package ochretiller.front;
+package ochretiller.frontend;
 
 import java.time.Duration;
-import ochretiller.model.InvId;
+import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 
 /** One try as a caller sent it, from its reading until it is answered and its run is over. */
-public final class Try {
-    public final InvId id;
+public final class RequestAttempt {
+    public final InvocationId id;
 
     /** Its name on all wires below. */
     public final String rid;
@@ -18,7 +18,9 @@
     /** When it reached the machine, on the schedule. */
     public final Duration arrived;
 
-    /** The like as its caller dated it, in Unix milliseconds, or {@code Keys.UNDATED}. */
+    /**
+     * The like as its caller dated it, in Unix milliseconds, or {@code IdempotencyCache.UNDATED}.
+     */
     public final long t0;
 
     /** The token of a tokened one, else null. */
@@ -32,14 +34,14 @@
     /** Its number on its connection. */
     public final long number;
 
-    final Peer peer;
+    final ClientConnection peer;
     private boolean answered;
     private boolean running;
     private long version;
 
     /** What was read; token or object are kept only where the operation has a use for them. */
-    public Try(
-            InvId id,
+    public RequestAttempt(
+            InvocationId id,
             String rid,
             Operation operation,
             double kb,
@@ -49,7 +51,7 @@
             String token,
             String object,
             byte[] body,
-            Peer peer,
+            ClientConnection peer,
             long number) {
         this.id = id;
         this.rid = rid;
@@ -58,8 +60,8 @@
         this.caller = caller;
         this.arrived = arrived;
         this.t0 = t0;
-        this.token = operation.tokened() ? token : null;
-        this.object = operation.tokened() ? null : object;
+        this.token = operation.isKeyed() ? token : null;
+        this.object = operation.isKeyed() ? null : object;
         this.body = body;
         this.peer = peer;
         this.number = number;
--- a/src/main/java/ochretiller/front/package-info.java
+++ b/src/main/java/ochretiller/frontend/package-info.java
@@ -3,4 +3,4 @@
  * open on them, who goes first where many are open, silence, vanished callers, leaving. A front
  * adds one package that turns bytes into {@link ochretiller.front.Try}s and ends into bytes.
  */
-package ochretiller.front;
+package ochretiller.frontend;
--- a/src/main/java/ochretiller/keys/Keys.java
+++ b/src/main/java/ochretiller/idempotency/IdempotencyCache.java
@@ -1,4 +1,4 @@
-package ochretiller.keys;
+package ochretiller.idempotency;
 
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -11,15 +11,15 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import ochretiller.model.InvId;
+import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 
 /**
  * The table of keys: which kept try one repeats, and the results that repeats are answered with.
  */
-public final class Keys {
+public final class IdempotencyCache {
     /** In place of the Unix milliseconds of a try that no caller has dated. */
-    public static final long UNDATED = Long.MAX_VALUE;
+    public static final long NO_CLIENT_TIMESTAMP = Long.MAX_VALUE;
 
     /** Bytes that an entry takes beside its result. */
     private static final int ENTRY = 400;
@@ -33,7 +33,7 @@
     private final long mostBytes;
     private final Duration fresh;
     private final Map<Object, Entry> byKey = new HashMap<>();
-    private final Map<InvId, Entry> byId = new HashMap<>();
+    private final Map<InvocationId, Entry> byId = new HashMap<>();
     private final PriorityQueue<Entry> ending =
             new PriorityQueue<>(Comparator.comparing((Entry e) -> e.forgetAt));
     private long bytes;
@@ -55,7 +55,7 @@
 
     private static final class Entry {
         final Object key;
-        final InvId id;
+        final InvocationId id;
         final Operation operation;
 
         /** What a tokened try asked for; null for a read, and where only its hash is known. */
@@ -75,7 +75,7 @@
         byte[] result;
         final List<Consumer<byte[]>> waiting = new ArrayList<>();
 
-        Entry(Object key, InvId id, Operation operation, byte[] body, Duration until) {
+        Entry(Object key, InvocationId id, Operation operation, byte[] body, Duration until) {
             this.key = key;
             this.id = id;
             this.operation = operation;
@@ -94,16 +94,16 @@
      * @param mostBytes bytes that results may take together
      * @param fresh how long the result of a read may serve others; zero for never
      */
-    public Keys(long mostBytes, Duration fresh) {
+    public IdempotencyCache(long mostBytes, Duration fresh) {
         this.mostBytes = mostBytes;
         this.fresh = fresh;
     }
 
     private static Object key(Operation operation, String token, String object) {
-        if (operation.tokened()) {
+        if (operation.isKeyed()) {
             return token;
         }
-        return operation.idempotent() && object != null ? new ReadKey(operation, object) : null;
+        return operation.isIdempotent() && object != null ? new ReadKey(operation, object) : null;
     }
 
     /**
@@ -112,8 +112,8 @@
      *
      * @param t0 the arrival as its caller dated it, in Unix milliseconds, or {@link #UNDATED}
      */
-    public InvId read(
-            InvId id,
+    public InvocationId findOriginalOrTrack(
+            InvocationId id,
             Operation operation,
             String token,
             String object,
@@ -133,21 +133,26 @@
         if (entry != null && (arrived.compareTo(entry.until) < 0 || t0 < entry.untilUnix)) {
             return entry.id;
         }
-        if (!operation.tokened()) {
+        if (!operation.isKeyed()) {
             put(new Entry(key, id, operation, null, Duration.ofDays(10_000)));
         }
         return null;
     }
 
     /** Puts a tokened try, which is dated {@code t0}, into the table until then. */
-    public void keep(
-            InvId id, Operation operation, String token, byte[] body, long t0, Duration until) {
-        if (!operation.tokened()) {
+    public void track(
+            InvocationId id,
+            Operation operation,
+            String token,
+            byte[] body,
+            long t0,
+            Duration until) {
+        if (!operation.isKeyed()) {
             return;
         }
         Entry entry = new Entry(token, id, operation, body, until.plus(SLACK));
-        if (t0 != UNDATED) {
-            entry.untilUnix = t0 + operation.window().plus(SLACK).toMillis();
+        if (t0 != NO_CLIENT_TIMESTAMP) {
+            entry.untilUnix = t0 + operation.deduplicationWindow().plus(SLACK).toMillis();
         }
         put(entry);
     }
@@ -157,7 +162,7 @@
      * kept elsewhere.
      */
     public void restore(
-            InvId id,
+            InvocationId id,
             Operation operation,
             String token,
             byte[] hash,
@@ -170,7 +175,7 @@
     }
 
     /** SHA-256, for bodies that are compared over a restart. */
-    public static byte[] hash(byte[] body) {
+    public static byte[] bodyDigest(byte[] body) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(body);
         } catch (NoSuchAlgorithmException e) {
@@ -182,7 +187,7 @@
      * The try that is known under this token now, or null: a forerunner that never ran has left it
      * to another.
      */
-    public InvId kept(String token) {
+    public InvocationId findByToken(String token) {
         Entry entry = byKey.get(token);
         return entry == null ? null : entry.id;
     }
@@ -191,7 +196,7 @@
      * Whether a kept tokened try asked for something else: the source answers such a repeat with an
      * error.
      */
-    public boolean differs(InvId id, Operation operation, byte[] body) {
+    public boolean conflictsWith(InvocationId id, Operation operation, byte[] body) {
         Entry entry = byId.get(id);
         if (entry == null || entry.body == null && entry.hash == null) {
             return false;
@@ -199,11 +204,11 @@
         return !entry.operation.equals(operation)
                 || !(entry.hash == null
                         ? Arrays.equals(entry.body, body)
-                        : Arrays.equals(entry.hash, hash(body)));
+                        : Arrays.equals(entry.hash, bodyDigest(body)));
     }
 
     /** Whether a kept try has run and ended. */
-    public boolean over(InvId id) {
+    public boolean isCompleted(InvocationId id) {
         Entry entry = byId.get(id);
         return entry != null && entry.over;
     }
@@ -229,7 +234,7 @@
         entry.waiting.forEach(waiting -> waiting.accept(null));
     }
 
-    public void erase(InvId id) {
+    public void forget(InvocationId id) {
         Entry entry = byId.get(id);
         if (entry != null) {
             drop(entry);
@@ -237,7 +242,7 @@
     }
 
     /** A try is over; {@code result} is null unless it succeeded. */
-    public void ended(InvId id, boolean tokened, byte[] result, Duration now) {
+    public void complete(InvocationId id, boolean tokened, byte[] result, Duration now) {
         Entry entry = byId.get(id);
         if (entry == null || entry.over) {
             return;
@@ -266,7 +271,7 @@
     /**
      * Hands over the result of a kept try once it is there, or null where there is none to be had.
      */
-    public void result(InvId id, Consumer<byte[]> then) {
+    public void whenCompleted(InvocationId id, Consumer<byte[]> then) {
         Entry entry = id == null ? null : byId.get(id);
         if (entry == null || entry.over) {
             then.accept(entry == null ? null : entry.result);
--- a/src/main/java/ochretiller/remembered/Memory.java
+++ b/src/main/java/ochretiller/idempotency/durable/DurabilityPolicy.java
@@ -1,7 +1,7 @@
-package ochretiller.remembered;
+package ochretiller.idempotency.durable;
 
-import static ochretiller.spans.Spans.max;
-import static ochretiller.spans.Spans.min;
+import static ochretiller.time.Durations.max;
+import static ochretiller.time.Durations.min;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
@@ -15,7 +15,7 @@
  * <p>The owner tells of each append by {@link #asked} and {@link #acked}, and of what the store
  * says by {@link #told}.
  */
-public final class Memory {
+public final class DurabilityPolicy {
     /**
      * Lead of the last moment at which a waiting answer leaves: the due time less a beat and the
      * way out.
@@ -29,16 +29,16 @@
     private static final double SPREAD = 0.5;
 
     /** How the disk does. */
-    public enum Disk {
-        WELL("well"),
+    public enum DiskHealth {
+        HEALTHY("well"),
         /** The oldest append waits longer than a disk may take. */
         STALLED("stalled"),
         /** It has failed, and nothing is written until a try finds it well. */
-        SICK("sick");
+        UNAVAILABLE("sick");
 
         private final String externalName;
 
-        Disk(String externalName) {
+        DiskHealth(String externalName) {
             this.externalName = externalName;
         }
 
@@ -49,16 +49,16 @@
     }
 
     /** What becomes of what a restart has found under a token. */
-    public enum Found {
+    public enum RecoveryDecision {
         /** Its result answers repeats. */
         REPLAY,
         /** The processor may still know the run: its repeats wait for its word. */
-        WAIT,
+        AWAIT_OUTCOME,
         /** It may have had its effect, and its result is not to be had: repeats are errored. */
-        ERROR
+        REJECT
     }
 
-    private final Patience patience;
+    private final DurabilityTimeouts patience;
     private final SplittableRandom chance;
 
     /** Appends under way, by number; each with the time at which it was asked for. */
@@ -71,37 +71,37 @@
     private Duration tryAt;
     private boolean trying;
 
-    public Memory(Patience patience, SplittableRandom chance) {
+    public DurabilityPolicy(DurabilityTimeouts patience, SplittableRandom chance) {
         this.patience = patience;
         this.chance = chance;
-        this.pause = patience.probe();
+        this.pause = patience.initialProbeInterval();
     }
 
     /**
      * Some of what was acknowledged before may be missing until then: no new keyed invocation may
      * run.
      */
-    public void blind(Duration until) {
+    public void suspendNewKeysUntil(Duration until) {
         blindUntil = until;
     }
 
     /** An append is handed over. */
-    public void asked(long number, Duration now) {
+    public void appendStarted(long number, Duration now) {
         waiting.put(number, now);
     }
 
     /** An append is over, however it ended. */
-    public void acked(long number) {
+    public void appendCompleted(long number) {
         waiting.remove(number);
     }
 
     /** What the store says of itself: whether it is well and has room for another key. */
-    public void told(boolean well, boolean hasRoom, Duration now) {
+    public void storeStatusChanged(boolean well, boolean hasRoom, Duration now) {
         room = hasRoom;
         if (well) {
             sick = false;
             trying = false;
-            pause = patience.probe();
+            pause = patience.initialProbeInterval();
         } else if (!sick) {
             sick = true;
             tryAt = now.plus(spread(pause));
@@ -113,16 +113,17 @@
                 (long) (span.toNanos() * (1 + SPREAD * (chance.nextDouble() - 0.5))));
     }
 
-    public Disk disk(Duration now) {
+    public DiskHealth diskHealth(Duration now) {
         if (sick) {
-            return Disk.SICK;
+            return DiskHealth.UNAVAILABLE;
         }
-        boolean stalled = !waiting.isEmpty() && oldest(now).compareTo(patience.stall()) > 0;
-        return stalled ? Disk.STALLED : Disk.WELL;
+        boolean stalled =
+                !waiting.isEmpty() && oldestAppendAge(now).compareTo(patience.stallThreshold()) > 0;
+        return stalled ? DiskHealth.STALLED : DiskHealth.HEALTHY;
     }
 
     /** How long the append that was handed over first has waited. */
-    public Duration oldest(Duration now) {
+    public Duration oldestAppendAge(Duration now) {
         return waiting.isEmpty() ? Duration.ZERO : now.minus(waiting.firstEntry().getValue());
     }
 
@@ -130,31 +131,31 @@
      * Whether the mark of a new keyed invocation would be kept; one whose mark would not be must
      * not run.
      */
-    public boolean keeps(Duration now) {
-        return disk(now) == Disk.WELL && room && now.compareTo(blindUntil) >= 0;
+    public boolean acceptsNewKeys(Duration now) {
+        return diskHealth(now) == DiskHealth.HEALTHY && room && now.compareTo(blindUntil) >= 0;
     }
 
     /** How long a run waits for its mark; none where the answer would be late anyhow. */
-    public Duration markWait(Duration due, Duration now) {
-        return max(Duration.ZERO, min(patience.mark(), due.minus(LEAD).minus(now)));
+    public Duration markerTimeout(Duration due, Duration now) {
+        return max(Duration.ZERO, min(patience.markerWait(), due.minus(LEAD).minus(now)));
     }
 
     /**
      * How long an answer waits for its result to be durable: on time it leaves in any case, and its
      * mark stands.
      */
-    public Duration answerWait(Duration due, Duration now) {
+    public Duration answerTimeout(Duration due, Duration now) {
         if (sick) {
             return Duration.ZERO;
         }
-        return max(Duration.ZERO, min(patience.answer(), due.minus(LEAD).minus(now)));
+        return max(Duration.ZERO, min(patience.answerWait(), due.minus(LEAD).minus(now)));
     }
 
     /**
      * Whether a sick disk is to be tried now; each try that fails doubles the pause before the
      * next.
      */
-    public boolean tries(Duration now) {
+    public boolean startProbeIfDue(Duration now) {
         if (!sick || trying || now.compareTo(tryAt) < 0) {
             return false;
         }
@@ -163,9 +164,9 @@
     }
 
     /** A try has failed. */
-    public void failedAgain(Duration now) {
+    public void probeFailed(Duration now) {
         trying = false;
-        pause = min(pause.multipliedBy(2), patience.most());
+        pause = min(pause.multipliedBy(2), patience.maxProbeInterval());
         tryAt = now.plus(spread(pause));
     }
 
@@ -174,13 +175,16 @@
      *
      * @param processorAt when the processor was started, store's time in milliseconds
      */
-    public static Found found(Mark mark, long processorAt) {
-        return switch (mark.state()) {
-            case SUCCEEDED -> Found.REPLAY;
-            case LOST -> Found.ERROR;
+    public static RecoveryDecision decideRecovery(IdempotencyRecord mark, long processorAt) {
+        return switch (mark.progress()) {
+            case SUCCEEDED -> RecoveryDecision.REPLAY;
+            case ENDED_WITHOUT_RESULT -> RecoveryDecision.REJECT;
             // A processor that was started later knows nothing of the run; one that was there may
             // tell of its end.
-            case MARKED -> processorAt > mark.markedAt() ? Found.ERROR : Found.WAIT;
+            case IN_FLIGHT ->
+                    processorAt > mark.markedAtMillis()
+                            ? RecoveryDecision.REJECT
+                            : RecoveryDecision.AWAIT_OUTCOME;
         };
     }
 }
--- a/src/main/java/ochretiller/remembered/Mark.java
+++ b/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
@@ -1,4 +1,4 @@
-package ochretiller.remembered;
+package ochretiller.idempotency.durable;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -7,34 +7,35 @@
 /**
  * What is remembered of one keyed invocation, beside its result.
  *
- * @param state how far it is known to have come
+ * @param progress how far it is known to have come
  * @param token the token that it came under
  * @param operation name of its operation
- * @param rid its name on the processor's link
- * @param body SHA-256 of what it asked for
- * @param markedAt when its run was about to begin, store's time in milliseconds
- * @param until repeats that arrive before this are tied to it, store's time in milliseconds
+ * @param runId its name on the processor's link
+ * @param bodyDigest SHA-256 of what it asked for
+ * @param markedAtMillis when its run was about to begin, store's time in milliseconds
+ * @param windowEndsAtMillis repeats that arrive before this are tied to it, store's time in
+ *     milliseconds
  */
-public record Mark(
-        State state,
+public record IdempotencyRecord(
+        Progress progress,
         String token,
         String operation,
-        String rid,
-        byte[] body,
-        long markedAt,
-        long until) {
+        String runId,
+        byte[] bodyDigest,
+        long markedAtMillis,
+        long windowEndsAtMillis) {
     /** How far one is known to have come. */
-    public enum State {
+    public enum Progress {
         /** Its run may have begun; its end is unknown. */
-        MARKED("MARKED"),
+        IN_FLIGHT("MARKED"),
         /** It has succeeded, and its result is kept. */
         SUCCEEDED("SUCCEEDED"),
         /** It has ended without a result, and may have had its effect. */
-        LOST("LOST");
+        ENDED_WITHOUT_RESULT("LOST");
 
         private final String externalName;
 
-        State(String externalName) {
+        Progress(String externalName) {
             this.externalName = externalName;
         }
 
@@ -51,28 +52,29 @@
 
     private static final int HASH = 32;
 
-    public Mark as(State next) {
-        return new Mark(next, token, operation, rid, body, markedAt, until);
+    public IdempotencyRecord withProgress(Progress next) {
+        return new IdempotencyRecord(
+                next, token, operation, runId, bodyDigest, markedAtMillis, windowEndsAtMillis);
     }
 
     /** Whether names are short enough to be kept. */
-    public static boolean fits(String operation, String rid) {
+    public static boolean namesFit(String operation, String rid) {
         return operation.length() <= LONGEST_NAME && rid.length() <= LONGEST_NAME / 2;
     }
 
-    public byte[] key() {
+    public byte[] encodeKey() {
         return token.getBytes(StandardCharsets.UTF_8);
     }
 
     /** All but the token, which is the key. */
-    public byte[] meta() {
+    public byte[] encodeMetadata() {
         byte[] name = operation.getBytes(StandardCharsets.UTF_8);
-        byte[] id = rid.getBytes(StandardCharsets.UTF_8);
+        byte[] id = runId.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(1 + 16 + HASH + 2 + name.length + id.length)
-                .put((byte) state.ordinal())
-                .putLong(markedAt)
-                .putLong(until)
-                .put(body)
+                .put((byte) progress.ordinal())
+                .putLong(markedAtMillis)
+                .putLong(windowEndsAtMillis)
+                .put(bodyDigest)
                 .put((byte) name.length)
                 .put(name)
                 .put((byte) id.length)
@@ -81,12 +83,12 @@
     }
 
     /** What {@link #meta} has written, or null for bytes that it cannot have written. */
-    public static Mark of(byte[] key, byte[] meta) {
-        if (meta.length < 1 + 16 + HASH + 2 || meta[0] < 0 || meta[0] >= State.values().length) {
+    public static IdempotencyRecord decode(byte[] key, byte[] meta) {
+        if (meta.length < 1 + 16 + HASH + 2 || meta[0] < 0 || meta[0] >= Progress.values().length) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(meta);
-        State state = State.values()[in.get()];
+        Progress state = Progress.values()[in.get()];
         long markedAt = in.getLong();
         long until = in.getLong();
         byte[] body = new byte[HASH];
@@ -96,7 +98,7 @@
         if (id == null || in.hasRemaining()) {
             return null;
         }
-        return new Mark(
+        return new IdempotencyRecord(
                 state, new String(key, StandardCharsets.UTF_8), name, id, body, markedAt, until);
     }
 
@@ -110,7 +112,7 @@
         return new String(text, StandardCharsets.UTF_8);
     }
 
-    public boolean sameBody(byte[] hash) {
-        return Arrays.equals(body, hash);
+    public boolean hasBodyDigest(byte[] hash) {
+        return Arrays.equals(bodyDigest, hash);
     }
 }
--- a/src/main/java/ochretiller/remembered/package-info.java
+++ b/src/main/java/ochretiller/idempotency/durable/package-info.java
@@ -3,4 +3,4 @@
  * which step, who still waits for a sick disk, what becomes of a mark whose end is unknown. No
  * files, clocks or threads: time is handed in.
  */
-package ochretiller.remembered;
+package ochretiller.idempotency.durable;
--- a/src/main/java/ochretiller/keys/package-info.java
+++ b/src/main/java/ochretiller/idempotency/package-info.java
@@ -1,2 +1,2 @@
 /** Ties tries to their forerunners and keeps results for replay. */
-package ochretiller.keys;
+package ochretiller.idempotency;
--- a/src/main/java/ochretiller/gateway/Health.java
+++ b/src/main/java/ochretiller/jsonrpc/HealthChecks.java
@@ -1,9 +1,9 @@
-package ochretiller.gateway;
+package ochretiller.jsonrpc;
 
 import java.util.function.Consumer;
 
 /** What health checks are told, and the free value that goes out with each answer. */
-public final class Health {
+public final class HealthChecks {
     private final Consumer<Consumer<Boolean>> deep;
     private boolean good;
     private boolean stored = true;
@@ -14,7 +14,7 @@
      *
      * @param deep does the work of a deep check and tells whether it was done
      */
-    public Health(Consumer<Consumer<Boolean>> deep) {
+    public HealthChecks(Consumer<Consumer<Boolean>> deep) {
         this.deep = deep;
     }
 
--- a/src/main/java/ochretiller/gateway/Params.java
+++ b/src/main/java/ochretiller/jsonrpc/InvocationParams.java
@@ -1,17 +1,17 @@
-package ochretiller.gateway;
+package ochretiller.jsonrpc;
 
 import java.util.Base64;
 import java.util.Map;
 
 /** The parameters of an invocation, each checked against its page. */
-record Params(
+record InvocationParams(
         String rid, long t0, long caller, double kb, String token, String object, byte[] body) {
     private static final int LONGEST_BODY = 2 * 1024;
     private static final double MOST_KB = 2_000;
 
-    static Params of(Map<String, Object> members) {
-        Params params =
-                new Params(
+    static InvocationParams of(Map<String, Object> members) {
+        InvocationParams params =
+                new InvocationParams(
                         hex(members, "rid", 16),
                         whole(members, "t0", 1),
                         whole(members, "peer", 0),
@@ -26,8 +26,8 @@
         return params;
     }
 
-    private static RpcException wrong(String name) {
-        return new RpcException(RpcException.PARAMS, "missing or wrong: " + name);
+    private static JsonRpcException wrong(String name) {
+        return new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: " + name);
     }
 
     private static String hex(Map<String, Object> members, String name, int digits) {
--- a/src/main/java/ochretiller/gateway/Rpc.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
@@ -1,4 +1,4 @@
-package ochretiller.gateway;
+package ochretiller.jsonrpc;
 
 import java.time.Duration;
 import java.util.Base64;
@@ -8,19 +8,19 @@
 import ochretiller.text.Slice;
 
 /** JSON-RPC 2.0, one message a line: reading what gateways send and writing what they are told. */
-final class Rpc {
+final class JsonRpcCodec {
     /** Error codes of answers: turned away before it ran, and failed. */
     static final int THROTTLED = -32014;
 
     static final int FAILED = -32000;
     static final String SHUTDOWN = "{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}\n";
 
-    private Rpc() {}
+    private JsonRpcCodec() {}
 
     /**
      * The id of a message, or null where it has none; {@code fault} is what is wrong with the rest.
      */
-    record Message(Long id, String method, Map<String, Object> params, RpcException fault) {}
+    record Message(Long id, String method, Map<String, Object> params, JsonRpcException fault) {}
 
     /** Reads one line; only what has no readable id is bad input for the connection. */
     static Message read(Slice line) {
@@ -39,8 +39,8 @@
                 throw e;
             }
             return new Message(
-                    id, null, null, new RpcException(RpcException.PARSE, e.getMessage()));
-        } catch (RpcException e) {
+                    id, null, null, new JsonRpcException(JsonRpcException.PARSE, e.getMessage()));
+        } catch (JsonRpcException e) {
             if (id == null) {
                 throw new BadInputException(e.getMessage());
             }
@@ -55,17 +55,17 @@
     @SuppressWarnings("unchecked")
     private static Message message(Long id, Map<String, Object> members) {
         if (!"2.0".equals(members.get("jsonrpc"))) {
-            throw new RpcException(RpcException.REQUEST, "not JSON-RPC 2.0");
+            throw new JsonRpcException(JsonRpcException.REQUEST, "not JSON-RPC 2.0");
         }
         if (id == null && members.containsKey("id")) {
-            throw new RpcException(RpcException.REQUEST, "wrong id");
+            throw new JsonRpcException(JsonRpcException.REQUEST, "wrong id");
         }
         if (!(members.get("method") instanceof String method)) {
-            throw new RpcException(RpcException.REQUEST, "missing or wrong: method");
+            throw new JsonRpcException(JsonRpcException.REQUEST, "missing or wrong: method");
         }
         Object params = members.getOrDefault("params", Map.of());
         if (!(params instanceof Map)) {
-            throw new RpcException(RpcException.PARAMS, "params is no object");
+            throw new JsonRpcException(JsonRpcException.PARAMS, "params is no object");
         }
         return new Message(id, method, (Map<String, Object>) params, null);
     }
@@ -124,7 +124,7 @@
         return out.append("}}\n").toString();
     }
 
-    static String fault(long id, RpcException fault) {
+    static String fault(long id, JsonRpcException fault) {
         return error(id, fault.code, fault.getMessage()).append("}}\n").toString();
     }
 
--- a/src/main/java/ochretiller/gateway/RpcPeer.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
@@ -1,37 +1,37 @@
-package ochretiller.gateway;
+package ochretiller.jsonrpc;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import ochretiller.front.Callers;
-import ochretiller.front.Failure;
-import ochretiller.front.Peer;
-import ochretiller.front.Try;
+import ochretiller.frontend.ClientConnection;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
 import ochretiller.net.Connection;
 import ochretiller.text.BadInputException;
 import ochretiller.text.Frames;
 
 /** One connection of a gateway. */
-final class RpcPeer extends Peer {
+final class JsonRpcConnection extends ClientConnection {
     private static final int LONGEST_LINE = 8 * 1024;
 
     /** It sent something wrong before. */
     boolean faulty;
 
-    private final Gateway gateway;
+    private final JsonRpcFrontend gateway;
     private final Frames frames = new Frames(LONGEST_LINE, false, line -> Frames.NONE);
 
-    RpcPeer(Connection connection, Callers callers, Gateway gateway) {
+    JsonRpcConnection(Connection connection, ClientConnections callers, JsonRpcFrontend gateway) {
         super(connection, callers);
         this.gateway = gateway;
     }
 
     @Override
     public Runnable received(byte[] bytes, int from, int to) {
-        List<Rpc.Message> messages = new ArrayList<>(1);
+        List<JsonRpcCodec.Message> messages = new ArrayList<>(1);
         BadInputException fault = null;
         try {
-            frames.read(bytes, from, to, (line, body) -> messages.add(Rpc.read(line)));
+            frames.read(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.read(line)));
         } catch (BadInputException e) {
             if (messages.isEmpty()) {
                 throw e;
@@ -68,23 +68,23 @@
     }
 
     @Override
-    protected void succeeds(Try inv, byte[] result, boolean replayed) {
-        write(Rpc.result(inv.number, result, gateway.hint()));
+    protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
+        write(JsonRpcCodec.result(inv.number, result, gateway.hint()));
     }
 
     @Override
-    protected void throttles(Try inv, Duration retryIn, boolean last) {
-        write(Rpc.throttled(inv.number, retryIn, last, gateway.hint()));
+    protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
+        write(JsonRpcCodec.throttled(inv.number, retryIn, last, gateway.hint()));
     }
 
     @Override
-    protected void fails(Try inv, Failure why) {
-        write(Rpc.failed(inv.number, why.text, gateway.hint()));
+    protected void fails(RequestAttempt inv, FailureReason why) {
+        write(JsonRpcCodec.failed(inv.number, why.text, gateway.hint()));
     }
 
     @Override
     protected boolean leaves() {
-        write(Rpc.SHUTDOWN);
+        write(JsonRpcCodec.SHUTDOWN);
         return true;
     }
 }
--- a/src/main/java/ochretiller/gateway/RpcException.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcException.java
@@ -1,7 +1,7 @@
-package ochretiller.gateway;
+package ochretiller.jsonrpc;
 
 /** A message that has a readable id and is answered by one of JSON-RPC's own errors. */
-final class RpcException extends RuntimeException {
+final class JsonRpcException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     static final int PARSE = -32700;
     static final int REQUEST = -32600;
@@ -10,7 +10,7 @@
 
     final int code;
 
-    RpcException(int code, String message) {
+    JsonRpcException(int code, String message) {
         super(message, null, false, false); // thrown at a peer's will: no trace, which costs most
         this.code = code;
     }
--- a/src/main/java/ochretiller/gateway/Gateway.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
@@ -1,39 +1,39 @@
-package ochretiller.gateway;
+package ochretiller.jsonrpc;
 
 import java.time.Duration;
 import java.util.Map;
 import java.util.function.LongFunction;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import ochretiller.front.Callers;
-import ochretiller.front.Try;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.RequestAttempt;
 import ochretiller.model.Operation;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
-import ochretiller.net.Receiver;
+import ochretiller.net.ConnectionHandler;
 import ochretiller.text.BadInputException;
 
 /** The JSON-RPC front: what gateways say becomes tries and checks. */
-public final class Gateway {
-    private static final Logger LOG = Logger.getLogger(Gateway.class.getName());
+public final class JsonRpcFrontend {
+    private static final Logger LOG = Logger.getLogger(JsonRpcFrontend.class.getName());
 
     /** Requests that may be open on one connection. */
     private static final int OPEN = 32;
 
-    private final Callers callers;
+    private final ClientConnections callers;
     private final Map<String, Operation> operations;
     private final LongFunction<Duration> sinceStart;
-    private final Health health;
+    private final HealthChecks health;
 
     /**
      * The gateways' side.
      *
      * @param sinceStart turns Unix milliseconds into a span since the start
      */
-    public Gateway(
-            Callers callers,
+    public JsonRpcFrontend(
+            ClientConnections callers,
             Map<String, Operation> operations,
-            Health health,
+            HealthChecks health,
             LongFunction<Duration> sinceStart) {
         this.callers = callers;
         this.operations = operations;
@@ -42,15 +42,15 @@
     }
 
     /** On the network's thread: a connection was accepted. */
-    public Receiver accepted(Connection connection) {
-        return callers.accepted(new RpcPeer(connection, callers, this));
+    public ConnectionHandler accepted(Connection connection) {
+        return callers.accepted(new JsonRpcConnection(connection, callers, this));
     }
 
     Double hint() {
         return health.hint();
     }
 
-    void read(RpcPeer peer, Rpc.Message message) {
+    void read(JsonRpcConnection peer, JsonRpcCodec.Message message) {
         if (!peer.isOpen()) {
             return;
         }
@@ -63,7 +63,7 @@
                 case "abort" -> abort(peer, message);
                 default -> invoke(peer, message);
             }
-        } catch (RpcException e) {
+        } catch (JsonRpcException e) {
             // The first of a connection is told: guards against a log filled at a peer's will.
             Level level = peer.faulty ? Level.FINE : Level.INFO;
             LOG.log(
@@ -80,24 +80,24 @@
                 peer.spoilt(CloseCode.BAD_INPUT);
                 return;
             }
-            peer.write(Rpc.fault(message.id(), e));
+            peer.write(JsonRpcCodec.fault(message.id(), e));
             peer.settle();
         }
     }
 
     /** What cannot be read came behind what could. */
-    void unreadable(RpcPeer peer, BadInputException fault) {
+    void unreadable(JsonRpcConnection peer, BadInputException fault) {
         LOG.info(() -> "bad input from gateway " + peer.name() + ": " + fault.getMessage());
         peer.spoilt(CloseCode.BAD_INPUT);
     }
 
-    private void ping(RpcPeer peer, Rpc.Message message) {
+    private void ping(JsonRpcConnection peer, JsonRpcCodec.Message message) {
         if (message.id() == null) {
-            throw new RpcException(RpcException.REQUEST, "missing: id");
+            throw new JsonRpcException(JsonRpcException.REQUEST, "missing: id");
         }
         Object full = message.params().getOrDefault("full", Boolean.FALSE);
         if (!(full instanceof Boolean)) {
-            throw new RpcException(RpcException.PARAMS, "missing or wrong: full");
+            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: full");
         }
         peer.shows();
         peer.checks(1);
@@ -105,7 +105,7 @@
                 (Boolean) full,
                 good -> {
                     peer.checks(-1);
-                    peer.write(Rpc.health(message.id(), good, health.hint()));
+                    peer.write(JsonRpcCodec.health(message.id(), good, health.hint()));
                     peer.settle();
                 });
     }
@@ -113,10 +113,10 @@
     /**
      * The caller waits no longer; what is unknown or answered was answered as the word went out.
      */
-    private void abort(RpcPeer peer, Rpc.Message message) {
+    private void abort(JsonRpcConnection peer, JsonRpcCodec.Message message) {
         boolean byRid = message.params().containsKey("rid");
         Object named = message.params().getOrDefault("id", byRid ? null : message.id());
-        Try inv = peer.open().get(named);
+        RequestAttempt inv = peer.open().get(named);
         if (inv == null && message.params().get("rid") instanceof String rid) {
             inv = callers.find(rid);
             if (inv != null && !peer.open().containsValue(inv)) {
@@ -126,37 +126,37 @@
         if (inv != null) {
             callers.abort(inv);
         } else if (!(named instanceof Long) && !byRid) {
-            throw new RpcException(RpcException.PARAMS, "missing or wrong: id");
+            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: id");
         }
         if (message.id() != null && !message.id().equals(named)) {
-            peer.write(Rpc.done(message.id()));
+            peer.write(JsonRpcCodec.done(message.id()));
         }
         peer.settle();
     }
 
-    private void invoke(RpcPeer peer, Rpc.Message message) {
+    private void invoke(JsonRpcConnection peer, JsonRpcCodec.Message message) {
         if (message.id() == null) {
-            throw new RpcException(RpcException.REQUEST, "missing: id");
+            throw new JsonRpcException(JsonRpcException.REQUEST, "missing: id");
         }
         Operation operation = operations.get(message.method());
         if (operation == null) {
-            throw new RpcException(RpcException.METHOD, "unknown method");
+            throw new JsonRpcException(JsonRpcException.METHOD, "unknown method");
         }
-        Params params = Params.of(message.params());
-        if (operation.tokened() && params.token() == null) {
-            throw new RpcException(RpcException.PARAMS, "missing or wrong: token");
+        InvocationParams params = InvocationParams.of(message.params());
+        if (operation.isKeyed() && params.token() == null) {
+            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: token");
         }
         if (peer.open().containsKey(message.id())) {
-            throw new RpcException(RpcException.REQUEST, "id is in use");
+            throw new JsonRpcException(JsonRpcException.REQUEST, "id is in use");
         }
         if (peer.open().size() >= OPEN) {
-            throw new RpcException(RpcException.REQUEST, "too many open requests");
+            throw new JsonRpcException(JsonRpcException.REQUEST, "too many open requests");
         }
         if (callers.knows(params.rid())) {
-            throw new RpcException(RpcException.PARAMS, "rid is in use");
+            throw new JsonRpcException(JsonRpcException.PARAMS, "rid is in use");
         }
         callers.opened(
-                new Try(
+                new RequestAttempt(
                         callers.nextId(),
                         params.rid(),
                         operation,
--- a/src/main/java/ochretiller/gateway/package-info.java
+++ b/src/main/java/ochretiller/jsonrpc/package-info.java
@@ -2,4 +2,4 @@
  * Where gateways come in: listening, JSON-RPC, open requests, health checks, idle closing and
  * leaving.
  */
-package ochretiller.gateway;
+package ochretiller.jsonrpc;
--- a/src/main/java/ochretiller/model/Advert.java
+++ b/src/main/java/ochretiller/model/CapacityAdvertisement.java
@@ -1,13 +1,13 @@
 package ochretiller.model;
 
 /** What callers make of the free value that goes out with each answer. */
-public enum Advert {
+public enum CapacityAdvertisement {
     /** It is not used. */
     NONE,
     /** They send nothing of lower rank. */
-    LEVEL,
+    PRIORITY_THRESHOLD,
     /** Each has at most so many invocations out here. */
-    WINDOW,
+    CLIENT_WINDOW,
     /** The chance that one does not pass this server over. */
-    SHARE
+    ROUTING_PROBABILITY
 }
--- a/src/main/java/ochretiller/model/RunEnd.java
+++ b/src/main/java/ochretiller/model/RunOutcome.java
@@ -5,30 +5,30 @@
 /**
  * How a run or a replay ended.
  *
- * @param result what came of it
- * @param took time since it began, waits included
+ * @param status what came of it
+ * @param elapsed time since it began, waits included
  */
-public record RunEnd(Result result, Duration took) {
+public record RunOutcome(Status status, Duration elapsed) {
     /** What came of a run. */
-    public enum Result {
+    public enum Status {
         SUCCEEDED("SUCCEEDED"),
-        ERRORED("ERRORED"),
+        FAILED("ERRORED"),
         /**
          * It was stopped, or ended at a call because its answer had been given or its caller was
          * gone.
          */
         STOPPED("STOPPED"),
         /** It never started: it was over already. */
-        NOTHING("NOTHING"),
+        NEVER_STARTED("NOTHING"),
         /**
          * It is proven not to have begun: its mark could not be made durable in time, or no worker
          * could take it.
          */
-        NOT_BEGUN("NOT_BEGUN");
+        NOT_DISPATCHED("NOT_BEGUN");
 
         private final String externalName;
 
-        Result(String externalName) {
+        Status(String externalName) {
             this.externalName = externalName;
         }
 
--- a/src/main/java/ochretiller/model/Tenant.java
+++ b/src/main/java/ochretiller/model/Tenant.java
@@ -4,7 +4,7 @@
  * One who shares the service.
  *
  * @param id who
- * @param share its part of the service
- * @param quota invocations a second inside its share, over the whole fleet
+ * @param serviceShare its part of the service
+ * @param quotaPerSecond invocations a second inside its share, over the whole fleet
  */
-public record Tenant(TenantId id, double share, double quota) {}
+public record Tenant(TenantId id, double serviceShare, double quotaPerSecond) {}
--- a/src/main/java/ochretiller/net/Connection.java
+++ b/src/main/java/ochretiller/net/Connection.java
@@ -142,7 +142,7 @@
     }
 
     private void endOutput() {
-        if (!Output.end(session)) {
+        if (!HalfClose.end(session)) {
             session.closeNow();
         }
     }
--- a/src/main/java/ochretiller/net/Receiver.java
+++ b/src/main/java/ochretiller/net/ConnectionHandler.java
@@ -1,7 +1,7 @@
 package ochretiller.net;
 
 /** One connection's side of a stage. */
-public interface Receiver {
+public interface ConnectionHandler {
     /**
      * On the network's thread: decodes what was read, and returns what is to be done about it, or
      * null.
--- a/src/main/java/ochretiller/net/Output.java
+++ b/src/main/java/ochretiller/net/HalfClose.java
@@ -10,10 +10,10 @@
  * Ends what is written on a connection while it is still read: MINA has no word for that, the
  * channel under it has.
  */
-final class Output {
+final class HalfClose {
     private static final Field CHANNEL = channel();
 
-    private Output() {}
+    private HalfClose() {}
 
     private static Field channel() {
         try {
--- a/src/main/java/ochretiller/net/Network.java
+++ b/src/main/java/ochretiller/net/Network.java
@@ -60,7 +60,7 @@
     private static final long CONNECT_MS = 2_000;
     private static final String KIND = "kind";
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final ExecutorService threads = Executors.newCachedThreadPool(Network::thread);
     private final NioProcessor gateways = new NioProcessor(threads);
     private final NioProcessor links = new NioProcessor(threads);
@@ -77,7 +77,7 @@
      *
      * @param memory bytes that the server may take; what waits follows it
      */
-    public Network(Schedule schedule, long memory) {
+    public Network(Scheduler schedule, long memory) {
         this.schedule = schedule;
         this.memory = memory;
         tune(connector.getSessionConfig());
@@ -102,7 +102,9 @@
      * the network's thread.
      */
     public void listen(
-            String kind, InetSocketAddress address, Function<Connection, Receiver> receivers)
+            String kind,
+            InetSocketAddress address,
+            Function<Connection, ConnectionHandler> receivers)
             throws IOException {
         Acceptor acceptor = new Acceptor(threads, gateways);
         acceptors.add(acceptor);
@@ -130,7 +132,9 @@
      * Connects as one of the links; the receiver is made, or {@code failed} is run on the schedule.
      */
     public void connect(
-            InetSocketAddress address, Function<Connection, Receiver> receivers, Runnable failed) {
+            InetSocketAddress address,
+            Function<Connection, ConnectionHandler> receivers,
+            Runnable failed) {
         connect("link", address, receivers, failed);
     }
 
@@ -141,7 +145,7 @@
     public void connect(
             String kind,
             InetSocketAddress address,
-            Function<Connection, Receiver> receivers,
+            Function<Connection, ConnectionHandler> receivers,
             Runnable failed) {
         ConnectFuture connecting =
                 connector.connect(
@@ -207,9 +211,9 @@
 
     private final class Handler extends IoHandlerAdapter {
         private final String kind;
-        private final Function<Connection, Receiver> fixed;
+        private final Function<Connection, ConnectionHandler> fixed;
 
-        Handler(String kind, Function<Connection, Receiver> fixed) {
+        Handler(String kind, Function<Connection, ConnectionHandler> fixed) {
             this.kind = kind;
             this.fixed = fixed;
         }
@@ -219,13 +223,13 @@
         public void sessionCreated(IoSession session) {
             Connection connection =
                     new Connection(session, Network.this, fixed != null, schedule.now());
-            Function<Connection, Receiver> receivers =
+            Function<Connection, ConnectionHandler> receivers =
                     fixed != null
                             ? fixed
-                            : (Function<Connection, Receiver>)
+                            : (Function<Connection, ConnectionHandler>)
                                     session.removeAttribute(Function.class);
             session.setAttribute(Connection.class, connection);
-            session.setAttribute(Receiver.class, receivers.apply(connection));
+            session.setAttribute(ConnectionHandler.class, receivers.apply(connection));
         }
 
         private String kind(IoSession session) {
@@ -236,8 +240,8 @@
             return (Connection) session.getAttribute(Connection.class);
         }
 
-        private Receiver receiver(IoSession session) {
-            return (Receiver) session.getAttribute(Receiver.class);
+        private ConnectionHandler receiver(IoSession session) {
+            return (ConnectionHandler) session.getAttribute(ConnectionHandler.class);
         }
 
         @Override
@@ -248,7 +252,7 @@
             }
             IoBuffer buffer = (IoBuffer) message;
             int from = buffer.arrayOffset() + buffer.position();
-            Receiver receiver = receiver(session);
+            ConnectionHandler receiver = receiver(session);
             Runnable work;
             try {
                 work = receiver.received(buffer.array(), from, from + buffer.remaining());
@@ -310,7 +314,7 @@
          * Guards against answers that are lost with a caller's connection: what was read of it
          * before is worked off first.
          */
-        private void spoilt(Connection connection, Receiver receiver, CloseCode code) {
+        private void spoilt(Connection connection, ConnectionHandler receiver, CloseCode code) {
             connection.deafen();
             schedule.post(
                     () -> {
@@ -325,14 +329,14 @@
             session.suspendRead(); // guards against a selector that wakes for this end again and
             // again
             connection(session).inputEnds();
-            Receiver receiver = receiver(session);
+            ConnectionHandler receiver = receiver(session);
             schedule.post(receiver::inputEnded);
         }
 
         @Override
         public void sessionClosed(IoSession session) {
             Connection connection = connection(session);
-            Receiver receiver = receiver(session);
+            ConnectionHandler receiver = receiver(session);
             connection.reason(CloseCode.PEER_CLOSED);
             receiver.closed();
             schedule.post(
--- a/src/main/java/ochretiller/net/Schedule.java
+++ b/src/main/java/ochretiller/net/Scheduler.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** The one thread that owns all state: what it is given runs there, one after another. */
-public interface Schedule {
+public interface Scheduler {
     /** Time since the start, the same all through one gathering. */
     Duration now();
 
