--- a/src/main/java/ochretiller/node/Recall.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -11,33 +11,33 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import ochretiller.fleet.peers.Copies;
-import ochretiller.fleet.peers.CopySettings;
-import ochretiller.fleet.peers.Former;
-import ochretiller.front.Try;
-import ochretiller.keys.Keys;
+import ochretiller.fleet.service.PreviousIncarnation;
+import ochretiller.fleet.service.ReplicationService;
+import ochretiller.fleet.service.ReplicationSettings;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.idempotency.durable.DurabilityPolicy;
+import ochretiller.idempotency.durable.DurabilityTimeouts;
+import ochretiller.idempotency.durable.IdempotencyRecord;
 import ochretiller.metrics.Metrics;
-import ochretiller.model.InvId;
+import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
-import ochretiller.model.RunEnd;
-import ochretiller.net.Schedule;
-import ochretiller.operator.Operator;
-import ochretiller.remembered.Mark;
-import ochretiller.remembered.Memory;
-import ochretiller.remembered.Patience;
-import ochretiller.store.Ack;
-import ochretiller.store.Boot;
-import ochretiller.store.Disk;
-import ochretiller.store.Limits;
+import ochretiller.model.RunOutcome;
+import ochretiller.net.Scheduler;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.store.AppendResult;
+import ochretiller.store.BootClock;
+import ochretiller.store.StorageDirectory;
 import ochretiller.store.Store;
+import ochretiller.store.StoreLimits;
 
 /**
  * Carries out what is decided about the memory of keyed invocations: marks and results go to the
  * store, answers wait for them, and what a former process has left is found again. All of it on the
  * one thread.
  */
-final class Recall implements Former {
-    private static final Logger LOG = Logger.getLogger(Recall.class.getName());
+final class DurableIdempotency implements PreviousIncarnation {
+    private static final Logger LOG = Logger.getLogger(DurableIdempotency.class.getName());
 
     /**
      * How often the store is asked how it does: a fifth of the shortest stall that is worth a word.
@@ -52,18 +52,18 @@
 
     private static final byte[] NONE = {};
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final Store store;
-    private final Memory memory;
-    private final Map<InvId, Mark> marks = new HashMap<>();
-    private final Map<String, Mark> restored = new LinkedHashMap<>();
+    private final DurabilityPolicy memory;
+    private final Map<InvocationId, IdempotencyRecord> marks = new HashMap<>();
+    private final Map<String, IdempotencyRecord> restored = new LinkedHashMap<>();
     private final Map<String, Runnable> later = new LinkedHashMap<>();
 
     /**
      * What former processes have left, for the fleet to ask about; no longer than any of it
      * matters.
      */
-    private final Map<String, Mark> left = new HashMap<>();
+    private final Map<String, IdempotencyRecord> left = new HashMap<>();
 
     private final boolean whole;
     private final Metrics.Counter throttled;
@@ -71,7 +71,7 @@
     private final Metrics.Counter stalls;
     private final Metrics.Counter givenUp;
     private final Metrics.Counter fromDisk;
-    private Memory.Disk said = Memory.Disk.WELL;
+    private DurabilityPolicy.DiskHealth said = DurabilityPolicy.DiskHealth.HEALTHY;
     private long appends;
     private volatile double inDoubt;
     private volatile double oldest;
@@ -83,11 +83,11 @@
      * @param longest the longest window of an operation and its client timeout: no mark lives
      *     longer
      */
-    Recall(
-            Schedule schedule,
-            Operator.Remember remember,
-            CopySettings copies,
-            Disk disk,
+    DurableIdempotency(
+            Scheduler schedule,
+            OperatorConfig.Remember remember,
+            ReplicationSettings copies,
+            StorageDirectory disk,
             Duration longest,
             SplittableRandom chance,
             Metrics metrics)
@@ -96,8 +96,8 @@
         // What is kept for the fleet has room of its own beside what is remembered here.
         int most = remember.mostEntries() + (copies == null ? 0 : 2 * copies.most());
         long bytes = remember.mostBytes() + (copies == null ? 0 : 4 * copies.mostBytes());
-        Limits limits =
-                new Limits(
+        StoreLimits limits =
+                new StoreLimits(
                         most,
                         bytes,
                         most * 600L,
@@ -108,31 +108,32 @@
                         longest.multipliedBy(4),
                         longest);
         long began = System.nanoTime();
-        store = Store.open(disk, limits, Boot.ofMachine(), schedule::post);
+        store = Store.open(disk, limits, BootClock.ofKernel(), schedule::post);
         double took = (System.nanoTime() - began) / 1e9;
         memory =
-                new Memory(
-                        new Patience(
+                new DurabilityPolicy(
+                        new DurabilityTimeouts(
                                 remember.markWait(),
                                 remember.answerWait(),
                                 remember.stall(),
                                 remember.probe(),
                                 remember.mostProbe()),
                         chance);
-        store.kept()
+        store.recoveredEntries()
                 .forEach(
                         kept -> {
-                            Mark mark = Mark.of(kept.key(), kept.meta());
+                            IdempotencyRecord mark =
+                                    IdempotencyRecord.decode(kept.key(), kept.metadata());
                             if (mark != null) {
                                 restored.put(mark.token(), mark);
                             }
                         });
         long marked =
                 restored.values().stream()
-                        .filter(mark -> mark.state() == Mark.State.MARKED)
+                        .filter(mark -> mark.progress() == IdempotencyRecord.Progress.IN_FLIGHT)
                         .count();
         inDoubt = marked;
-        whole = store.damagedUntil() <= store.now();
+        whole = store.incompleteUntilMillis() <= store.nowMillis();
         if (copies != null) {
             left.putAll(restored);
         }
@@ -146,10 +147,10 @@
                                 + " unknown, read in "
                                 + Math.round(took * 1000)
                                 + " ms");
-        store.damage().forEach(line -> LOG.severe("damage in the store: " + line));
-        if (store.damagedUntil() > store.now()) {
-            Duration blind = Duration.ofMillis(store.damagedUntil() - store.now());
-            memory.blind(schedule.now().plus(blind));
+        store.damageReports().forEach(line -> LOG.severe("damage in the store: " + line));
+        if (store.incompleteUntilMillis() > store.nowMillis()) {
+            Duration blind = Duration.ofMillis(store.incompleteUntilMillis() - store.nowMillis());
+            memory.suspendNewKeysUntil(schedule.now().plus(blind));
             LOG.severe(
                     "what is damaged may hide a mark: new keyed invocations are throttled for "
                             + blind.toMillis()
@@ -198,7 +199,7 @@
         metrics.gauge(
                 "ochretiller_store_index_bytes",
                 "Memory of the store's index, as reckoned",
-                () -> store.stats().memory());
+                () -> store.stats().indexBytes());
         metrics.gauge(
                 "ochretiller_store_segments", "Files of records", () -> store.stats().segments());
         metrics.gauge(
@@ -207,15 +208,15 @@
                 () ->
                         store.stats().segments() == 0
                                 ? 0
-                                : (store.now() - store.stats().oldest()) / 1e3);
+                                : (store.nowMillis() - store.stats().oldestSegmentMillis()) / 1e3);
         metrics.gauge(
                 "ochretiller_store_largest_group",
                 "Most records that went out with one force",
-                () -> store.stats().largestGroup());
+                () -> store.stats().largestGroupCommit());
         metrics.gauge(
                 "ochretiller_store_well",
                 "1 while the disk is well",
-                () -> store.stats().well() ? 1 : 0);
+                () -> store.stats().isHealthy() ? 1 : 0);
         metrics.counted(
                 "ochretiller_store_forces_total",
                 "Forces of the disk",
@@ -223,23 +224,23 @@
         metrics.counted(
                 "ochretiller_store_records_total",
                 "Records appended",
-                () -> store.stats().records());
+                () -> store.stats().appendedRecords());
         metrics.counted(
                 "ochretiller_store_appended_bytes_total",
                 "Bytes appended",
-                () -> store.stats().appended());
+                () -> store.stats().appendedBytes());
         metrics.counted(
                 "ochretiller_store_copied_bytes_total",
                 "Bytes copied by compaction",
-                () -> store.stats().copied());
+                () -> store.stats().compactedBytes());
         metrics.counted(
                 "ochretiller_store_dropped_segments_total",
                 "Files that were past their time",
-                () -> store.stats().dropped());
+                () -> store.stats().expiredSegments());
         metrics.counted(
                 "ochretiller_store_failures_total",
                 "Failures of the disk",
-                () -> store.stats().failures());
+                () -> store.stats().diskFailures());
     }
 
     /** The store, where others keep things in spaces of their own. */
@@ -255,31 +256,33 @@
     private void beat() {
         schedule.after(BEAT, this::beat);
         Duration now = schedule.now();
-        boolean wasSick = memory.disk(now) == Memory.Disk.SICK;
-        memory.told(store.stats().well(), store.room(), now);
-        oldest = memory.oldest(now).toNanos() / 1e9;
-        Memory.Disk disk = memory.disk(now);
+        boolean wasSick = memory.diskHealth(now) == DurabilityPolicy.DiskHealth.UNAVAILABLE;
+        memory.storeStatusChanged(store.stats().isHealthy(), store.hasRoomForNewKey(), now);
+        oldest = memory.oldestAppendAge(now).toNanos() / 1e9;
+        DurabilityPolicy.DiskHealth disk = memory.diskHealth(now);
         if (disk != said) {
-            if (said == Memory.Disk.WELL) {
+            if (said == DurabilityPolicy.DiskHealth.HEALTHY) {
                 stalls.add();
             }
             LOG.warning(
                     "the store's disk is "
                             + disk.externalName()
-                            + (disk == Memory.Disk.SICK ? ": " + store.stats().fault() : "")
-                            + (disk == Memory.Disk.WELL
+                            + (disk == DurabilityPolicy.DiskHealth.UNAVAILABLE
+                                    ? ": " + store.stats().fault()
+                                    : "")
+                            + (disk == DurabilityPolicy.DiskHealth.HEALTHY
                                     ? " again"
                                     : "; new keyed work is throttled"));
             said = disk;
         }
-        if (wasSick && disk != Memory.Disk.SICK) {
+        if (wasSick && disk != DurabilityPolicy.DiskHealth.UNAVAILABLE) {
             caughtUp();
         }
-        if (memory.tries(now)) {
+        if (memory.startProbeIfDue(now)) {
             store.probe(
                     well -> {
                         if (!well) {
-                            memory.failedAgain(schedule.now());
+                            memory.probeFailed(schedule.now());
                         }
                     });
         }
@@ -300,65 +303,66 @@
         }
     }
 
-    private long life(Mark mark, Operation operation) {
-        return mark.until() + operation.clientTimeout().toMillis();
+    private long life(IdempotencyRecord mark, Operation operation) {
+        return mark.windowEndsAtMillis() + operation.clientTimeout().toMillis();
     }
 
-    boolean keeps() {
-        return memory.keeps(schedule.now());
+    boolean acceptsNewMarkers() {
+        return memory.acceptsNewKeys(schedule.now());
     }
 
     /**
      * One of the two is run, once: the mark is durable, or it is not and will not be waited for.
      */
-    void mark(Try inv, Runnable durable, Runnable not) {
+    void writeMarker(RequestAttempt inv, Runnable durable, Runnable not) {
         Duration now = schedule.now();
-        if (!inv.operation.tokened()) {
+        if (!inv.operation.isKeyed()) {
             durable.run();
             return;
         }
-        if (!Mark.fits(inv.operation.name(), inv.rid) || !memory.keeps(now)) {
+        if (!IdempotencyRecord.namesFit(inv.operation.name(), inv.rid)
+                || !memory.acceptsNewKeys(now)) {
             throttled.add();
             not.run();
             return;
         }
-        Duration window = inv.arrived.plus(inv.operation.window()).minus(now);
-        long storeNow = store.now();
-        Mark mark =
-                new Mark(
-                        Mark.State.MARKED,
+        Duration window = inv.arrived.plus(inv.operation.deduplicationWindow()).minus(now);
+        long storeNow = store.nowMillis();
+        IdempotencyRecord mark =
+                new IdempotencyRecord(
+                        IdempotencyRecord.Progress.IN_FLIGHT,
                         inv.token,
                         inv.operation.name(),
                         inv.rid,
-                        Keys.hash(inv.body),
+                        IdempotencyCache.bodyDigest(inv.body),
                         storeNow,
                         storeNow + Math.max(0, window.toMillis()) + 1);
         long number = ++appends;
-        memory.asked(number, now);
+        memory.appendStarted(number, now);
         boolean[] over = {false};
         store.put(
-                mark.key(),
-                mark.meta(),
+                mark.encodeKey(),
+                mark.encodeMetadata(),
                 NONE,
                 life(mark, inv.operation),
                 true,
                 ack -> {
-                    memory.acked(number);
+                    memory.appendCompleted(number);
                     if (over[0]) {
                         // It was throttled meanwhile and never ran: its mark must not stop a repeat
                         // after a restart.
-                        if (ack == Ack.DURABLE || ack == Ack.UNKNOWN) {
+                        if (ack == AppendResult.DURABLE || ack == AppendResult.UNKNOWN) {
                             erase(mark, inv.operation);
                         }
                         return;
                     }
                     over[0] = true;
-                    if (ack == Ack.DURABLE) {
+                    if (ack == AppendResult.DURABLE) {
                         marks.put(inv.id, mark);
                         durable.run();
                         return;
                     }
-                    if (ack == Ack.UNKNOWN) {
+                    if (ack == AppendResult.UNKNOWN) {
                         erase(mark, inv.operation);
                     }
                     throttled.add();
@@ -366,7 +370,7 @@
                 });
         Duration due = inv.arrived.plus(inv.operation.clientTimeout());
         schedule.after(
-                memory.markWait(due, now),
+                memory.markerTimeout(due, now),
                 () -> {
                     if (over[0]) {
                         return;
@@ -377,12 +381,12 @@
                 });
     }
 
-    private void erase(Mark mark, Operation operation) {
+    private void erase(IdempotencyRecord mark, Operation operation) {
         store.remove(
-                mark.key(),
+                mark.encodeKey(),
                 life(mark, operation),
                 ack -> {
-                    if (ack != Ack.DURABLE) {
+                    if (ack != AppendResult.DURABLE) {
                         later(mark.token(), () -> erase(mark, operation));
                     }
                 });
@@ -392,12 +396,12 @@
      * A run is over; {@code then} is run once its answer may leave, at once where nothing has to be
      * kept for it.
      */
-    void ended(Try inv, RunEnd.Result end, byte[] result, Runnable then) {
-        Mark mark = marks.remove(inv.id);
+    void onRunFinished(RequestAttempt inv, RunOutcome.Status end, byte[] result, Runnable then) {
+        IdempotencyRecord mark = marks.remove(inv.id);
         if (mark == null) {
             then.run();
         } else {
-            ended(
+            onRunFinished(
                     mark,
                     inv.operation,
                     end,
@@ -407,19 +411,19 @@
         }
     }
 
-    private void ended(
-            Mark mark,
+    private void onRunFinished(
+            IdempotencyRecord mark,
             Operation operation,
-            RunEnd.Result end,
+            RunOutcome.Status end,
             byte[] result,
             Duration due,
             Runnable then) {
-        if (end == RunEnd.Result.NOTHING || end == RunEnd.Result.NOT_BEGUN) {
+        if (end == RunOutcome.Status.NEVER_STARTED || end == RunOutcome.Status.NOT_DISPATCHED) {
             erase(mark, operation);
-        } else if (end != RunEnd.Result.SUCCEEDED) {
+        } else if (end != RunOutcome.Status.SUCCEEDED) {
             lost(mark, operation);
         }
-        if (end != RunEnd.Result.SUCCEEDED) {
+        if (end != RunOutcome.Status.SUCCEEDED) {
             then.run(); // the mark stands: that it is known to have ended so can be lost
             // without harm
             return;
@@ -435,30 +439,31 @@
                 };
         long number = ++appends;
         Duration now = schedule.now();
-        memory.asked(number, now);
+        memory.appendStarted(number, now);
         byte[] value = new byte[1 + result.length];
         System.arraycopy(result, 0, value, 1, result.length);
         Runnable write =
                 () ->
                         store.put(
-                                mark.key(),
-                                mark.as(Mark.State.SUCCEEDED).meta(),
+                                mark.encodeKey(),
+                                mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED)
+                                        .encodeMetadata(),
                                 value,
                                 life(mark, operation),
                                 false,
                                 ack -> {
-                                    memory.acked(number);
-                                    if (ack != Ack.DURABLE && !over[0]) {
+                                    memory.appendCompleted(number);
+                                    if (ack != AppendResult.DURABLE && !over[0]) {
                                         early.add();
                                     }
-                                    if (ack != Ack.DURABLE) {
+                                    if (ack != AppendResult.DURABLE) {
                                         later(mark.token(), () -> keepLate(mark, operation, value));
                                     }
                                     once.run();
                                 });
         write.run();
         schedule.after(
-                memory.answerWait(due, now),
+                memory.answerTimeout(due, now),
                 () -> {
                     if (!over[0]) {
                         early.add();
@@ -467,42 +472,42 @@
                 });
     }
 
-    private void keepLate(Mark mark, Operation operation, byte[] value) {
-        if (life(mark, operation) <= store.now()) {
+    private void keepLate(IdempotencyRecord mark, Operation operation, byte[] value) {
+        if (life(mark, operation) <= store.nowMillis()) {
             return;
         }
         store.put(
-                mark.key(),
-                mark.as(Mark.State.SUCCEEDED).meta(),
+                mark.encodeKey(),
+                mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED).encodeMetadata(),
                 value,
                 life(mark, operation),
                 false,
                 ack -> {
-                    if (ack != Ack.DURABLE) {
+                    if (ack != AppendResult.DURABLE) {
                         later(mark.token(), () -> keepLate(mark, operation, value));
                     }
                 });
     }
 
-    private void lost(Mark mark, Operation operation) {
-        if (life(mark, operation) <= store.now()) {
+    private void lost(IdempotencyRecord mark, Operation operation) {
+        if (life(mark, operation) <= store.nowMillis()) {
             return;
         }
         store.put(
-                mark.key(),
-                mark.as(Mark.State.LOST).meta(),
+                mark.encodeKey(),
+                mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT).encodeMetadata(),
                 NONE,
                 life(mark, operation),
                 false,
                 ack -> {
-                    if (ack != Ack.DURABLE) {
+                    if (ack != AppendResult.DURABLE) {
                         later(mark.token(), () -> lost(mark, operation));
                     }
                 });
     }
 
     /** The result that is kept under a token, or null. */
-    void result(String token, Consumer<byte[]> then) {
+    void readResult(String token, Consumer<byte[]> then) {
         store.read(
                 token.getBytes(java.nio.charset.StandardCharsets.UTF_8),
                 value -> {
@@ -517,7 +522,7 @@
     }
 
     /** What a former process has left under this token, or null; known until {@link #taken}. */
-    Mark restored(String token) {
+    IdempotencyRecord restored(String token) {
         return token == null ? null : restored.get(token);
     }
 
@@ -525,26 +530,26 @@
      * All that a former process has left, by the end of its window; it is in the decisions' table
      * from here on.
      */
-    List<Mark> taken() {
-        List<Mark> all = new ArrayList<>(restored.values());
+    List<IdempotencyRecord> takePreviousRuns() {
+        List<IdempotencyRecord> all = new ArrayList<>(restored.values());
         restored.clear();
         return all;
     }
 
     @Override
     public void ask(String token, Consumer<Known> then) {
-        Mark mark = left.get(token);
+        IdempotencyRecord mark = left.get(token);
         if (mark == null) {
             then.accept(whole ? Known.NEVER : Known.UNKNOWN);
-        } else if (mark.state() == Mark.State.MARKED) {
+        } else if (mark.progress() == IdempotencyRecord.Progress.IN_FLIGHT) {
             then.accept(Known.UNKNOWN);
         } else {
-            String body = Copies.body(mark.operation(), mark.body());
+            String body = ReplicationService.body(mark.operation(), mark.bodyDigest());
             Duration ends = schedule.now().plus(left(mark));
-            if (mark.state() == Mark.State.LOST) {
+            if (mark.progress() == IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT) {
                 then.accept(new Known(Kind.ENDED, body, null, ends));
             } else {
-                result(
+                readResult(
                         token,
                         read ->
                                 then.accept(
@@ -556,29 +561,41 @@
     }
 
     /** What becomes of it, where the processor was started so long ago. */
-    Memory.Found found(Mark mark, Duration processorAge) {
-        Memory.Found found = Memory.found(mark, store.now() - processorAge.toMillis());
+    DurabilityPolicy.RecoveryDecision classifyPreviousRun(
+            IdempotencyRecord mark, Duration processorAge) {
+        DurabilityPolicy.RecoveryDecision found =
+                DurabilityPolicy.decideRecovery(mark, store.nowMillis() - processorAge.toMillis());
         // Nobody will ever tell its end: the fleet need not wait for that either.
-        if (found == Memory.Found.ERROR) {
-            left.replace(mark.token(), mark.as(Mark.State.LOST));
+        if (found == DurabilityPolicy.RecoveryDecision.REJECT) {
+            left.replace(
+                    mark.token(),
+                    mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
         }
         return found;
     }
 
     /** From now until the end of its window. */
-    Duration left(Mark mark) {
-        return Duration.ofMillis(mark.until() - store.now());
+    Duration left(IdempotencyRecord mark) {
+        return Duration.ofMillis(mark.windowEndsAtMillis() - store.nowMillis());
     }
 
     /** The end of a run that a former process has begun, heard of here. */
-    void settled(Mark mark, Operation operation, RunEnd.Result end, byte[] result, Runnable then) {
+    void onPreviousRunFinished(
+            IdempotencyRecord mark,
+            Operation operation,
+            RunOutcome.Status end,
+            byte[] result,
+            Runnable then) {
         inDoubt--;
-        if (end == RunEnd.Result.SUCCEEDED) {
-            left.replace(mark.token(), mark.as(Mark.State.SUCCEEDED));
+        if (end == RunOutcome.Status.SUCCEEDED) {
+            left.replace(mark.token(), mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED));
         } else {
-            left.replace(mark.token(), mark.as(Mark.State.LOST));
+            left.replace(
+                    mark.token(),
+                    mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
         }
-        ended(mark, operation, end, result, schedule.now().plus(operation.clientTimeout()), then);
+        onRunFinished(
+                mark, operation, end, result, schedule.now().plus(operation.clientTimeout()), then);
     }
 
     void close() {
--- a/src/main/java/ochretiller/node/Loop.java
+++ b/src/main/java/ochretiller/node/EventLoop.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 
 /**
  * The one thread that owns all state: it gathers what is ready, works it off, and lets what came of
  * it go out.
  */
-public final class Loop implements Schedule {
-    private static final Logger LOG = Logger.getLogger(Loop.class.getName());
+public final class EventLoop implements Scheduler {
+    private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
     private static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(1);
 
     private final LinkedBlockingQueue<Runnable> ready = new LinkedBlockingQueue<>();
@@ -70,7 +70,7 @@
             while (!timers.isEmpty() && timers.peek().at.compareTo(now) <= 0) {
                 gathered.add(timers.poll().work);
             }
-            gathered.forEach(Loop::guarded);
+            gathered.forEach(EventLoop::guarded);
             gathered.clear();
             guarded(goOut);
         }
--- a/src/main/java/ochretiller/node/Logs.java
+++ b/src/main/java/ochretiller/node/LoggingSetup.java
@@ -15,15 +15,15 @@
  * Logging that goes on through the drain: the standard manager closes all handlers as soon as
  * SIGTERM comes.
  */
-public final class Logs {
-    private Logs() {}
+public final class LoggingSetup {
+    private LoggingSetup() {}
 
     /**
      * To be called before anything is logged; this class must not itself be a manager, or it would
      * come too late.
      */
     public static void install() {
-        System.setProperty("java.util.logging.manager", Kept.class.getName());
+        System.setProperty("java.util.logging.manager", NonResettingLogManager.class.getName());
         System.setProperty(
                 "java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tLZ %4$s %5$s%6$s%n");
     }
@@ -32,21 +32,21 @@
      * From here on each line is one JSON object: {@code at}, {@code level}, {@code part}, {@code
      * message}, {@code trace}.
      */
-    public static void json() {
+    public static void useJsonFormat() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
-            handler.setFormatter(new Lines());
+            handler.setFormatter(new JsonFormatter());
         }
     }
 
     /** Found by its name. */
-    public static final class Kept extends LogManager {
+    public static final class NonResettingLogManager extends LogManager {
         @Override
         public void reset() {
             // Nothing is taken down: the process ends by itself once the drain is over.
         }
     }
 
-    private static final class Lines extends Formatter {
+    private static final class JsonFormatter extends Formatter {
         private final JsonFactory json = new JsonFactory();
 
         @Override
--- a/src/main/java/ochretiller/node/Lifecycle.java
+++ b/src/main/java/ochretiller/node/ProcessLifecycle.java
@@ -7,25 +7,25 @@
  * end. It is installed before anything is read, so that no stage is left to the JVM's own ways,
  * which end a process at once.
  */
-public final class Lifecycle {
-    private static final Logger LOG = Logger.getLogger(Lifecycle.class.getName());
+public final class ProcessLifecycle {
+    private static final Logger LOG = Logger.getLogger(ProcessLifecycle.class.getName());
 
     /** Null until it is about to listen. */
-    private Node node;
+    private ServerNode node;
 
-    private boolean failed;
+    private boolean startFailed;
     private boolean reloads;
 
     /** Takes SIGHUP and SIGTERM from here on. */
-    public static Lifecycle install() {
-        Lifecycle mine = new Lifecycle();
-        Hangup.on(mine::reload);
-        Runtime.getRuntime().addShutdownHook(new Thread(mine::leave, "leave"));
+    public static ProcessLifecycle install() {
+        ProcessLifecycle mine = new ProcessLifecycle();
+        ReloadSignal.onHangup(mine::reload);
+        Runtime.getRuntime().addShutdownHook(new Thread(mine::shutDown, "leave"));
         return mine;
     }
 
     /** The server is ready to listen: from here on the signals are its own. */
-    public synchronized void serves(Node ready) {
+    public synchronized void serverReady(ServerNode ready) {
         node = ready;
         if (reloads) {
             node.reload(); // its configuration may have been read before the signal
@@ -33,12 +33,12 @@
     }
 
     /** It could not be started: the exit code of that stays. */
-    public synchronized void failed() {
-        failed = true;
+    public synchronized void startFailed() {
+        startFailed = true;
     }
 
     private void reload() {
-        Node now;
+        ServerNode now;
         synchronized (this) {
             now = node;
             reloads = true;
@@ -49,10 +49,10 @@
     }
 
     /** The JVM ends, for a signal or since its work is over. */
-    private void leave() {
-        Node now;
+    private void shutDown() {
+        ServerNode now;
         synchronized (this) {
-            if (failed) {
+            if (startFailed) {
                 return;
             }
             // Guards against a start that goes on while it is told to leave: nothing was read, and
--- a/src/main/java/ochretiller/node/Hangup.java
+++ b/src/main/java/ochretiller/node/ReloadSignal.java
@@ -4,22 +4,22 @@
 import java.util.logging.Logger;
 
 /** SIGHUP, which ends a JVM that has no handler for it. */
-public final class Hangup {
-    private static final Logger LOG = Logger.getLogger(Hangup.class.getName());
+public final class ReloadSignal {
+    private static final Logger LOG = Logger.getLogger(ReloadSignal.class.getName());
 
-    private Hangup() {}
+    private ReloadSignal() {}
 
     /**
      * Runs {@code work} at each signal, on a thread of the JDK's. Its types are found by name: no
      * use compiles unwarned.
      */
-    public static void on(Runnable work) {
+    public static void onHangup(Runnable work) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object mine =
                     Proxy.newProxyInstance(
-                            Hangup.class.getClassLoader(),
+                            ReloadSignal.class.getClassLoader(),
                             new Class<?>[] {handler},
                             (proxy, method, arguments) -> {
                                 if (method.getName().equals("handle")) {
--- a/src/main/java/ochretiller/node/Host.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -9,37 +9,37 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.logging.Logger;
-import ochretiller.fleet.copies.ClaimId;
-import ochretiller.fleet.copies.Verdict;
-import ochretiller.fleet.peers.Copies;
-import ochretiller.fleet.peers.Versions;
-import ochretiller.front.Callers;
-import ochretiller.front.Failure;
-import ochretiller.front.Try;
-import ochretiller.gateway.Health;
-import ochretiller.keys.Keys;
-import ochretiller.model.CallEnd;
-import ochretiller.model.CallerId;
-import ochretiller.model.Gauges;
-import ochretiller.model.InvId;
+import ochretiller.admission.AdmissionController;
+import ochretiller.execution.RunBackend;
+import ochretiller.execution.RunRequest;
+import ochretiller.fleet.replication.ClaimDecision;
+import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.service.ReplicationService;
+import ochretiller.fleet.service.RolloutService;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.idempotency.durable.DurabilityPolicy;
+import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.jsonrpc.HealthChecks;
+import ochretiller.model.CallOutcome;
+import ochretiller.model.ClientId;
 import ochretiller.model.Invocation;
+import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
-import ochretiller.model.RunEnd;
-import ochretiller.net.Schedule;
-import ochretiller.policy.Choice;
-import ochretiller.processor.Link;
-import ochretiller.records.Records;
-import ochretiller.remembered.Mark;
-import ochretiller.remembered.Memory;
-import ochretiller.runs.Backend;
-import ochretiller.runs.Task;
-import ochretiller.server.Server;
-import ochretiller.server.Step;
-import ochretiller.workers.Workers;
+import ochretiller.model.ResourceGauges;
+import ochretiller.model.RunOutcome;
+import ochretiller.net.Scheduler;
+import ochretiller.processor.ProcessorClient;
+import ochretiller.records.RecordsClient;
+import ochretiller.server.Action;
+import ochretiller.server.ServerActions;
+import ochretiller.workers.UwsgiRunBackend;
 
 /** The decisions' port on the stages: what they are told, and what becomes of what they say. */
-final class Host implements Server {
-    private static final Logger LOG = Logger.getLogger(Host.class.getName());
+final class ServerActionsAdapter implements ServerActions {
+    private static final Logger LOG = Logger.getLogger(ServerActionsAdapter.class.getName());
 
     /** The last moment for a claim, and for word that an end is kept, before an answer is due. */
     private static final Duration CLAIM_LEAD = Duration.ofMillis(120);
@@ -51,42 +51,42 @@
      */
     private static final Duration DOUBT = Duration.ofSeconds(1);
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final Duration shift;
-    private final Choice choice;
-    private final Callers callers;
-    private final Health health;
-    private final Keys keys;
-    private final Link link;
+    private final AdmissionController choice;
+    private final ClientConnections callers;
+    private final HealthChecks health;
+    private final IdempotencyCache keys;
+    private final ProcessorClient link;
 
     /** Null where the processor carries out all runs. */
-    private final Workers workers;
+    private final UwsgiRunBackend workers;
 
-    private final Records records;
+    private final RecordsClient records;
 
     /** Null where nothing outlives a restart. */
-    private final Recall recall;
+    private final DurableIdempotency recall;
 
     /** Null where each server knows of its own runs alone. */
-    private final Copies copies;
+    private final ReplicationService copies;
 
     /** Null where each server acts on its own files. */
-    private final Versions versions;
+    private final RolloutService versions;
 
     /** Told of each run that is begun. */
-    private final Consumer<Try> begun;
+    private final Consumer<RequestAttempt> begun;
 
     /** Claims of the runs that were begun here, as the fleet knows them. */
-    private final Map<InvId, ClaimId> claimed = new HashMap<>();
+    private final Map<InvocationId, ClaimId> claimed = new HashMap<>();
 
     /** Runs of a former process whose ends are unknown, by the name that they bear on the link. */
     private final Set<String> adopted = new HashSet<>();
 
-    private final Map<InvId, Try> tries = new HashMap<>();
-    private final Map<InvId, InvId> forerunners = new HashMap<>();
+    private final Map<InvocationId, RequestAttempt> tries = new HashMap<>();
+    private final Map<InvocationId, InvocationId> forerunners = new HashMap<>();
 
     /** Bodies of the calls that runs wait for. */
-    private final Map<InvId, byte[]> asks = new HashMap<>();
+    private final Map<InvocationId, byte[]> asks = new HashMap<>();
 
     /**
      * The port; {@link #start} lets the decisions begin.
@@ -98,20 +98,20 @@
      * @param versions what the fleet brings out, or null
      * @param begun told of each run that is begun
      */
-    Host(
-            Schedule schedule,
+    ServerActionsAdapter(
+            Scheduler schedule,
             Duration shift,
-            Choice choice,
-            Callers callers,
-            Health health,
-            Keys keys,
-            Link link,
-            Workers workers,
-            Records records,
-            Recall recall,
-            Copies copies,
-            Versions versions,
-            Consumer<Try> begun) {
+            AdmissionController choice,
+            ClientConnections callers,
+            HealthChecks health,
+            IdempotencyCache keys,
+            ProcessorClient link,
+            UwsgiRunBackend workers,
+            RecordsClient records,
+            DurableIdempotency recall,
+            ReplicationService copies,
+            RolloutService versions,
+            Consumer<RequestAttempt> begun) {
         this.schedule = schedule;
         this.shift = shift;
         this.choice = choice;
@@ -128,79 +128,87 @@
     }
 
     void start() {
-        choice.started().act(this);
+        choice.onStarted().execute(this);
     }
 
     /** Puts what a former process has left into the tables, before anything is read here. */
-    void restore(Map<String, Operation> operations, Duration processorAge) {
+    void restorePreviousRuns(Map<String, Operation> operations, Duration processorAge) {
         long id = 0;
-        for (Mark mark : recall.taken()) {
+        for (IdempotencyRecord mark : recall.takePreviousRuns()) {
             Operation operation = operations.get(mark.operation());
             // An operation that is no more cannot be asked for, and neither can its repeats.
-            if (operation == null || !operation.tokened()) {
+            if (operation == null || !operation.isKeyed()) {
                 continue;
             }
-            InvId kept = new InvId(--id); // those that are read count upwards
-            Memory.Found known = recall.found(mark, processorAge);
+            InvocationId kept = new InvocationId(--id); // those that are read count upwards
+            DurabilityPolicy.RecoveryDecision known =
+                    recall.classifyPreviousRun(mark, processorAge);
             // Only the processor tells a new process of runs of the old one; a worker's end is not
             // to be had any more.
-            Memory.Found found =
-                    known == Memory.Found.WAIT && pool(operation) != null
-                            ? Memory.Found.ERROR
+            DurabilityPolicy.RecoveryDecision found =
+                    known == DurabilityPolicy.RecoveryDecision.AWAIT_OUTCOME
+                                    && poolOf(operation) != null
+                            ? DurabilityPolicy.RecoveryDecision.REJECT
                             : known;
             Duration until = now().plus(recall.left(mark));
             keys.restore(
-                    kept, operation, mark.token(), mark.body(), until, found != Memory.Found.WAIT);
-            choice.restored(
+                    kept,
+                    operation,
+                    mark.token(),
+                    mark.bodyDigest(),
+                    until,
+                    found != DurabilityPolicy.RecoveryDecision.AWAIT_OUTCOME);
+            choice.onEntryRestored(
                             kept,
                             until,
                             switch (found) {
-                                case REPLAY -> RunEnd.Result.SUCCEEDED;
-                                case ERROR -> RunEnd.Result.ERRORED;
-                                case WAIT -> null;
+                                case REPLAY -> RunOutcome.Status.SUCCEEDED;
+                                case REJECT -> RunOutcome.Status.FAILED;
+                                case AWAIT_OUTCOME -> null;
                             })
-                    .act(this);
-            if (found == Memory.Found.WAIT) {
+                    .execute(this);
+            if (found == DurabilityPolicy.RecoveryDecision.AWAIT_OUTCOME) {
                 adopt(mark, operation, kept, until);
             }
         }
     }
 
-    private void adopt(Mark mark, Operation operation, InvId kept, Duration until) {
-        adopted.add(mark.rid());
+    private void adopt(
+            IdempotencyRecord mark, Operation operation, InvocationId kept, Duration until) {
+        adopted.add(mark.runId());
         link.adopt(
-                mark.rid(),
+                mark.runId(),
                 mark.operation(),
                 (end, took, result) -> {
-                    adopted.remove(mark.rid());
+                    adopted.remove(mark.runId());
                     // Guards against a second effect: this run was begun, whatever the processor
                     // still knows of it.
-                    RunEnd.Result known =
-                            end == RunEnd.Result.NOTHING ? RunEnd.Result.ERRORED : end;
+                    RunOutcome.Status known =
+                            end == RunOutcome.Status.NEVER_STARTED ? RunOutcome.Status.FAILED : end;
                     LOG.info(
                             () ->
                                     "the run "
-                                            + mark.rid()
+                                            + mark.runId()
                                             + " of a former process has ended: "
                                             + end.externalName());
-                    recall.settled(
+                    recall.onPreviousRunFinished(
                             mark,
                             operation,
                             known,
                             result,
                             () -> {
-                                keys.ended(
+                                keys.complete(
                                         kept,
                                         true,
-                                        known == RunEnd.Result.SUCCEEDED ? result : null,
+                                        known == RunOutcome.Status.SUCCEEDED ? result : null,
                                         now());
-                                choice.restored(kept, until, known).act(this);
+                                choice.onEntryRestored(kept, until, known).execute(this);
                             });
                 });
     }
 
-    void leave(Duration kill) {
-        choice.leave(now().plus(kill)).act(this);
+    void onShutdownNotice(Duration kill) {
+        choice.onShutdownNotice(now().plus(kill)).execute(this);
     }
 
     /** A time on the schedule as the decisions count it. */
@@ -208,18 +216,22 @@
         return at.plus(shift);
     }
 
-    void arrived(Try inv) {
+    void onRequestRead(RequestAttempt inv) {
         Duration arrived = counted(inv.arrived);
-        InvId forerunner =
-                keys.read(inv.id, inv.operation, inv.token, inv.object, arrived, inv.t0, now());
-        boolean differs = forerunner != null && keys.differs(forerunner, inv.operation, inv.body);
+        InvocationId forerunner =
+                keys.findOriginalOrTrack(
+                        inv.id, inv.operation, inv.token, inv.object, arrived, inv.t0, now());
+        boolean differs =
+                forerunner != null && keys.conflictsWith(forerunner, inv.operation, inv.body);
         if (adopted.contains(inv.rid)) {
             callers.fail(
-                    inv, Failure.RID_IN_USE); // guards against an answer with the result of another
+                    inv,
+                    FailureReason
+                            .RID_IN_USE); // guards against an answer with the result of another
             return;
         }
-        if (differs && keys.over(forerunner)) {
-            callers.fail(inv, Failure.OTHER_BODY);
+        if (differs && keys.isCompleted(forerunner)) {
+            callers.fail(inv, FailureReason.OTHER_BODY);
             return;
         }
         tries.put(inv.id, inv);
@@ -231,7 +243,7 @@
         if (forerunner != null) {
             forerunners.put(inv.id, forerunner);
         }
-        choice.arrived(
+        choice.onInvocationReceived(
                         new Invocation(
                                 inv.id,
                                 forerunner,
@@ -240,43 +252,43 @@
                                 arrived,
                                 arrived.plus(inv.operation.clientTimeout()),
                                 null,
-                                new CallerId(inv.caller),
+                                new ClientId(inv.caller),
                                 null,
                                 false))
-                .act(this);
+                .execute(this);
     }
 
-    private void doubted(Try inv, InvId forerunner) {
-        if (inv.answered() || !keys.differs(forerunner, inv.operation, inv.body)) {
+    private void doubted(RequestAttempt inv, InvocationId forerunner) {
+        if (inv.answered() || !keys.conflictsWith(forerunner, inv.operation, inv.body)) {
             return;
         }
-        callers.fail(inv, Failure.OTHER_BODY);
-        gone(inv);
+        callers.fail(inv, FailureReason.OTHER_BODY);
+        onClientGone(inv);
     }
 
-    void gone(Try inv) {
-        choice.gone(inv.id).act(this);
+    void onClientGone(RequestAttempt inv) {
+        choice.onClientGone(inv.id).execute(this);
         settle(inv);
     }
 
     /** A run waits for a call. */
-    void asked(String rid, byte[] body) {
+    void onCallRequested(String rid, byte[] body) {
         if (adopted.contains(rid)) {
             // Whether its call was made is not known, and a call that may have run is never made
             // again.
-            link.interrupt(rid);
+            link.cancelRun(rid);
             return;
         }
-        Try inv = callers.find(rid);
+        RequestAttempt inv = callers.find(rid);
         if (inv == null) {
             return;
         }
         asks.put(inv.id, body);
-        choice.blocked(inv.id).act(this);
+        choice.onCallRequested(inv.id).execute(this);
     }
 
     /** Forgets what was answered, unless it still runs. */
-    private void settle(Try inv) {
+    private void settle(RequestAttempt inv) {
         if (!inv.answered() || inv.running()) {
             return;
         }
@@ -285,7 +297,7 @@
         }
         forerunners.remove(inv.id);
         asks.remove(inv.id);
-        keys.ended(inv.id, inv.operation.tokened(), null, now());
+        keys.complete(inv.id, inv.operation.isKeyed(), null, now());
         callers.forget(inv);
     }
 
@@ -295,10 +307,10 @@
     }
 
     @Override
-    public void run(InvId id, Function<RunEnd, Step> then) {
-        Try inv = tries.get(id);
+    public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
+        RequestAttempt inv = tries.get(id);
         inv.runs(true);
-        boolean pooled = pool(inv.operation) != null;
+        boolean pooled = poolOf(inv.operation) != null;
         if (pooled) {
             workers.expect(inv.operation.name(), 1);
         }
@@ -308,19 +320,20 @@
                         workers.expect(inv.operation.name(), -1);
                     }
                     inv.runs(false);
-                    then.apply(new RunEnd(RunEnd.Result.NOT_BEGUN, Duration.ZERO)).act(this);
+                    then.apply(new RunOutcome(RunOutcome.Status.NOT_DISPATCHED, Duration.ZERO))
+                            .execute(this);
                     settle(inv);
                 };
         if (shutOut(inv)) {
             schedule.post(not); // the decisions are still at work on what it is run for
-        } else if (copies != null && inv.operation.tokened()) {
+        } else if (copies != null && inv.operation.isKeyed()) {
             claim(inv, () -> mark(inv, then, not), not);
         } else {
             mark(inv, then, not);
         }
     }
 
-    private void mark(Try inv, Function<RunEnd, Step> then, Runnable not) {
+    private void mark(RequestAttempt inv, Function<RunOutcome, Action> then, Runnable not) {
         Runnable begins =
                 () -> {
                     // Looked at last: a server that slept through the end of its lease, or through
@@ -330,7 +343,7 @@
                         return;
                     }
                     if (recall != null) {
-                        recall.ended(inv, RunEnd.Result.NOT_BEGUN, null, () -> {});
+                        recall.onRunFinished(inv, RunOutcome.Status.NOT_DISPATCHED, null, () -> {});
                     }
                     if (copies != null) {
                         neverRan(inv);
@@ -340,7 +353,7 @@
         if (recall == null) {
             begins.run();
         } else {
-            recall.mark(
+            recall.writeMarker(
                     inv,
                     begins,
                     () -> {
@@ -353,26 +366,26 @@
     }
 
     /** Whether keyed work has no place here now: the voters have not let this server go on. */
-    private boolean shutOut(Try inv) {
-        return versions != null && inv.operation.tokened() && !versions.may();
+    private boolean shutOut(RequestAttempt inv) {
+        return versions != null && inv.operation.isKeyed() && !versions.may();
     }
 
     // ---- what the fleet knows of a token
 
-    private static String body(Try inv) {
-        return Copies.body(inv.operation.name(), Keys.hash(inv.body));
+    private static String body(RequestAttempt inv) {
+        return ReplicationService.body(inv.operation.name(), IdempotencyCache.bodyDigest(inv.body));
     }
 
-    private Duration due(Try inv) {
+    private Duration due(RequestAttempt inv) {
         return inv.arrived.plus(inv.operation.clientTimeout()).minus(CLAIM_LEAD);
     }
 
-    private static Duration windowEnds(Try inv) {
-        return inv.arrived.plus(inv.operation.window());
+    private static Duration windowEnds(RequestAttempt inv) {
+        return inv.arrived.plus(inv.operation.deduplicationWindow());
     }
 
     /** Runs one of the two; a repeat that the fleet has an answer for is answered here. */
-    private void claim(Try inv, Runnable granted, Runnable not) {
+    private void claim(RequestAttempt inv, Runnable granted, Runnable not) {
         copies.claim(
                 inv.token,
                 body(inv),
@@ -381,9 +394,9 @@
                 verdict ->
                         schedule.post(
                                 () -> {
-                                    if (verdict.what() == Verdict.What.RUN) {
-                                        if (verdict.claim() != null) {
-                                            claimed.put(inv.id, verdict.claim());
+                                    if (verdict.kind() == ClaimDecision.Kind.RUN) {
+                                        if (verdict.claimId() != null) {
+                                            claimed.put(inv.id, verdict.claimId());
                                         }
                                         // Looked at last: whose caller has its answer, or who slept
                                         // meanwhile, begins nothing.
@@ -393,27 +406,29 @@
                                             return;
                                         }
                                         neverRan(inv);
-                                    } else if (verdict.what() == Verdict.What.REPLAY) {
+                                    } else if (verdict.kind() == ClaimDecision.Kind.REPLAY) {
                                         callers.succeed(
                                                 inv,
                                                 verdict.outcome()
                                                         .result()
                                                         .getBytes(StandardCharsets.ISO_8859_1),
                                                 true);
-                                    } else if (verdict.what() != Verdict.What.THROTTLED) {
+                                    } else if (verdict.kind() != ClaimDecision.Kind.THROTTLED) {
                                         callers.fail(
                                                 inv,
-                                                switch (verdict.what()) {
-                                                    case OTHER_BODY -> Failure.OTHER_BODY;
-                                                    case ENDED -> Failure.FAILED;
-                                                    default -> Failure.UNKNOWN_END;
+                                                switch (verdict.kind()) {
+                                                    case FINGERPRINT_MISMATCH ->
+                                                            FailureReason.OTHER_BODY;
+                                                    case COMPLETED_WITHOUT_RESULT ->
+                                                            FailureReason.FAILED;
+                                                    default -> FailureReason.UNKNOWN_END;
                                                 });
                                     }
                                     not.run();
                                 }));
     }
 
-    private void neverRan(Try inv) {
+    private void neverRan(RequestAttempt inv) {
         ClaimId claim = claimed.remove(inv.id);
         if (claim != null) {
             copies.neverRan(claim, windowEnds(inv));
@@ -424,15 +439,17 @@
      * The fleet hears of the end of a claimed run; {@code then} is told, by the due time, whether
      * it is kept there.
      */
-    private void copied(Try inv, RunEnd.Result end, byte[] result, Consumer<Boolean> then) {
+    private void copied(
+            RequestAttempt inv, RunOutcome.Status end, byte[] result, Consumer<Boolean> then) {
         ClaimId claim = claimed.remove(inv.id);
         if (claim == null) {
             then.accept(true);
-        } else if (end == RunEnd.Result.NOTHING || end == RunEnd.Result.NOT_BEGUN) {
+        } else if (end == RunOutcome.Status.NEVER_STARTED
+                || end == RunOutcome.Status.NOT_DISPATCHED) {
             copies.neverRan(claim, windowEnds(inv));
             then.accept(true);
         } else {
-            boolean good = end == RunEnd.Result.SUCCEEDED;
+            boolean good = end == RunOutcome.Status.SUCCEEDED;
             copies.ended(
                     claim,
                     body(inv),
@@ -446,19 +463,19 @@
         }
     }
 
-    private void begin(Try inv, Function<RunEnd, Step> then) {
-        InvId id = inv.id;
+    private void begin(RequestAttempt inv, Function<RunOutcome, Action> then) {
+        InvocationId id = inv.id;
         begun.accept(inv);
-        Task task =
-                new Task(
+        RunRequest task =
+                new RunRequest(
                         inv.rid,
                         inv.operation.name(),
                         inv.body,
-                        inv.operation.idempotent(),
+                        inv.operation.isIdempotent(),
                         inv.token,
                         inv.arrived.plus(inv.operation.clientTimeout()));
         backend(inv.operation)
-                .begin(
+                .startRun(
                         task,
                         (end, took, result) -> {
                             records.abandon(inv.rid);
@@ -466,12 +483,14 @@
                             Runnable answer =
                                     () -> {
                                         inv.runs(false);
-                                        if (end == RunEnd.Result.SUCCEEDED) {
-                                            keys.ended(id, inv.operation.tokened(), result, now());
+                                        if (end == RunOutcome.Status.SUCCEEDED) {
+                                            keys.complete(
+                                                    id, inv.operation.isKeyed(), result, now());
                                             callers.succeed(inv, result);
-                                        } else if (end != RunEnd.Result.NOT_BEGUN) {
+                                        } else if (end != RunOutcome.Status.NOT_DISPATCHED) {
                                             callers.fail(
-                                                    inv, Failure.FAILED); // also where it ended
+                                                    inv,
+                                                    FailureReason.FAILED); // also where it ended
                                             // unasked: what was read is
                                             // never left unanswered
                                         }
@@ -491,7 +510,7 @@
                             if (recall == null) {
                                 kept.run();
                             } else {
-                                recall.ended(inv, end, result, kept);
+                                recall.onRunFinished(inv, end, result, kept);
                             }
                             if (copies == null) {
                                 kept.run();
@@ -504,79 +523,81 @@
                                             // Nothing is answered as succeeded that a repeat
                                             // elsewhere might not find.
                                             if (!good) {
-                                                callers.fail(inv, Failure.UNKNOWN_END);
+                                                callers.fail(inv, FailureReason.UNKNOWN_END);
                                             }
                                             kept.run();
                                         });
                             }
                             // The decisions hear of it at once, though its answer may still wait
                             // for the disk: the core is free.
-                            then.apply(new RunEnd(end, took)).act(this);
+                            then.apply(new RunOutcome(end, took)).execute(this);
                             told[0] = true;
                             settle(inv);
                         });
     }
 
-    private Backend backend(Operation operation) {
-        return pool(operation) == null ? link : workers;
+    private RunBackend backend(Operation operation) {
+        return poolOf(operation) == null ? link : workers;
     }
 
     @Override
-    public String pool(Operation operation) {
+    public String poolOf(Operation operation) {
         return workers == null ? null : workers.pool(operation.name());
     }
 
     @Override
-    public int places(String pool) {
+    public int poolCapacity(String pool) {
         return workers.places(pool);
     }
 
     @Override
-    public int free(String pool) {
+    public int freePoolSlots(String pool) {
         return workers.free(pool);
     }
 
     @Override
-    public boolean keeps() {
-        return recall == null || recall.keeps();
+    public boolean acceptsIdempotencyEntries() {
+        return recall == null || recall.acceptsNewMarkers();
     }
 
     @Override
-    public void replay(InvId id, Function<RunEnd, Step> then) {
-        Try inv = tries.get(id);
-        InvId kept = inv.token == null ? forerunners.get(id) : keys.kept(inv.token);
+    public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
+        RequestAttempt inv = tries.get(id);
+        InvocationId kept = inv.token == null ? forerunners.get(id) : keys.findByToken(inv.token);
         // In the next gathering: the decisions are still at work on the arrival.
-        InvId same = keys.differs(kept, inv.operation, inv.body) ? null : kept;
-        keys.result(
+        InvocationId same = keys.conflictsWith(kept, inv.operation, inv.body) ? null : kept;
+        keys.whenCompleted(
                 same,
                 result -> {
                     // What has no room in memory, or was never read back since a restart, is on the
                     // disk.
                     if (result == null && same != null && recall != null && inv.token != null) {
-                        recall.result(inv.token, read -> replayed(inv, read, then));
+                        recall.readResult(inv.token, read -> replayed(inv, read, then));
                     } else {
                         schedule.post(() -> replayed(inv, result, then));
                     }
                 });
     }
 
-    private void replayed(Try inv, byte[] result, Function<RunEnd, Step> then) {
+    private void replayed(RequestAttempt inv, byte[] result, Function<RunOutcome, Action> then) {
         if (result == null) {
-            callers.fail(inv, Failure.NO_RESULT);
+            callers.fail(inv, FailureReason.NO_RESULT);
         } else {
             callers.succeed(inv, result, true);
         }
         then.apply(
-                        new RunEnd(
-                                result == null ? RunEnd.Result.ERRORED : RunEnd.Result.SUCCEEDED,
+                        new RunOutcome(
+                                result == null
+                                        ? RunOutcome.Status.FAILED
+                                        : RunOutcome.Status.SUCCEEDED,
                                 Duration.ZERO))
-                .act(this);
+                .execute(this);
         settle(inv);
     }
 
     @Override
-    public void throttle(InvId id, Duration retryIn, boolean last) {
-        Try inv = tries.get(id);
+    public void throttle(InvocationId id, Duration retryIn, boolean last) {
+        RequestAttempt inv = tries.get(id);
         if (inv == null) {
             return;
         }
@@ -585,89 +606,89 @@
     }
 
     @Override
-    public void fail(InvId id) {
-        Try inv = tries.get(id);
+    public void fail(InvocationId id) {
+        RequestAttempt inv = tries.get(id);
         if (inv == null) {
             return;
         }
-        InvId first = inv.operation.tokened() ? forerunners.get(id) : null;
+        InvocationId first = inv.operation.isKeyed() ? forerunners.get(id) : null;
         callers.fail(
                 inv,
                 first == null
-                        ? Failure.GIVEN_UP
-                        : keys.over(first) ? Failure.FAILED : Failure.IN_FLIGHT);
+                        ? FailureReason.GIVEN_UP
+                        : keys.isCompleted(first) ? FailureReason.FAILED : FailureReason.IN_FLIGHT);
         settle(inv);
     }
 
     @Override
-    public void stop(InvId id) {
-        Try inv = tries.get(id);
+    public void stopRun(InvocationId id) {
+        RequestAttempt inv = tries.get(id);
         if (inv != null) {
-            backend(inv.operation).interrupt(inv.rid);
+            backend(inv.operation).cancelRun(inv.rid);
         }
     }
 
     @Override
-    public void call(InvId id, Duration patience, Function<CallEnd, Step> then) {
-        Try inv = tries.get(id);
+    public void startCall(InvocationId id, Duration patience, Function<CallOutcome, Action> then) {
+        RequestAttempt inv = tries.get(id);
         records.call(
                 inv.rid,
                 patience,
                 asks.getOrDefault(id, NOTHING),
                 (end, reply) -> {
-                    if (end.result() == CallEnd.Result.SUCCEEDED) {
+                    if (end.status() == CallOutcome.Status.SUCCEEDED) {
                         asks.remove(id);
                         link.answer(inv.rid, reply);
                     }
-                    then.apply(end).act(this);
+                    then.apply(end).execute(this);
                 });
     }
 
     @Override
-    public void skipCall(InvId id) {
+    public void skipCall(InvocationId id) {
         LOG.warning(
                 "the processor's page has no way to go on without a call"); // settings allow none
         // either
     }
 
     @Override
-    public void keep(InvId id, Duration span) {
-        Try inv = tries.get(id);
-        keys.keep(id, inv.operation, inv.token, inv.body, inv.t0, now().plus(span));
+    public void putIdempotencyEntry(InvocationId id, Duration span) {
+        RequestAttempt inv = tries.get(id);
+        keys.track(id, inv.operation, inv.token, inv.body, inv.t0, now().plus(span));
     }
 
     @Override
-    public void erase(InvId id) {
-        keys.erase(id);
+    public void removeIdempotencyEntry(InvocationId id) {
+        keys.forget(id);
     }
 
     @Override
-    public void after(Duration span, Function<Gauges, Step> then) {
+    public void schedule(Duration span, Function<ResourceGauges, Action> then) {
         schedule.after(
                 span,
                 () -> {
-                    then.apply(link.gauges()).act(this);
+                    then.apply(link.gauges()).execute(this);
                     link.askGauges(); // the next timer's
                 });
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
+    public void setHealth(boolean good, boolean stored) {
         health.set(good, stored);
     }
 
     @Override
-    public void advertise(double value) {
+    public void advertiseCapacity(double value) {
         health.advertise(value);
     }
 
     @Override
-    public void idleAfter(Duration span) {
+    public void setIdleTimeout(Duration span) {
         callers.idleAfter(span);
     }
 
     @Override
-    public void note(String text) {
+    public void logNote(String text) {
         LOG.info(text);
     }
 }
--- a/src/main/java/ochretiller/node/Configuration.java
+++ b/src/main/java/ochretiller/node/ServerConfiguration.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import ochretiller.model.Operation;
-import ochretiller.settings.Lookup;
+import ochretiller.settings.JsonSettings;
 import ochretiller.settings.MalformedException;
-import ochretiller.settings.Nested;
+import ochretiller.settings.SettingLookup;
 import ochretiller.settings.Settings;
 import ochretiller.text.BadInputException;
 import ochretiller.text.Json;
@@ -20,22 +20,22 @@
 /**
  * What a server is told at its start, checked before it listens.
  *
- * @param listen where gateways connect
- * @param records where calls go; null where no operation calls
- * @param stop how long after the notice to leave the process is killed
- * @param sockets descriptors that may be held
+ * @param listenAddress where gateways connect
+ * @param recordsAddress where calls go; null where no operation calls
+ * @param shutdownTimeout how long after the notice to leave the process is killed
+ * @param maxDescriptors descriptors that may be held
  */
-public record Configuration(
+public record ServerConfiguration(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress processor,
-        InetSocketAddress records,
-        InetSocketAddress roster,
+        InetSocketAddress listenAddress,
+        InetSocketAddress processorAddress,
+        InetSocketAddress recordsAddress,
+        InetSocketAddress registryAddress,
         long seed,
-        Duration stop,
-        int memoryMb,
-        int sockets,
-        Lookup settings) {
+        Duration shutdownTimeout,
+        int memoryLimitMb,
+        int maxDescriptors,
+        SettingLookup settings) {
     /** Settings that no server can do without. */
     private static final List<String> NEEDED =
             List.of(
@@ -53,7 +53,7 @@
      * Reads and checks the file; what is wrong is told by a {@link MalformedException} that names
      * it.
      */
-    public static Configuration read(Path file) {
+    public static ServerConfiguration read(Path file) {
         Object value;
         try {
             value = new Json(slice(Files.readAllBytes(file))).read();
@@ -78,15 +78,15 @@
         return (Map<String, Object>) value;
     }
 
-    static Configuration of(Map<String, Object> object) {
-        Lookup top = new Nested(object);
+    static ServerConfiguration of(Map<String, Object> object) {
+        SettingLookup top = new JsonSettings(object);
         if (!(object.get("settings") instanceof Map)) {
             throw new MalformedException("no value for settings");
         }
-        Lookup settings = new Nested(asObject(object.get("settings")));
+        SettingLookup settings = new JsonSettings(asObject(object.get("settings")));
         NEEDED.forEach(settings::text);
-        Configuration read =
-                new Configuration(
+        ServerConfiguration read =
+                new ServerConfiguration(
                         top.text("name"),
                         address(top, "listen"),
                         address(top, "processor"),
@@ -97,10 +97,10 @@
                         (int) atLeast(top, "limits.memory_mb", LEAST_MB),
                         (int) atLeast(top, "limits.sockets", FEWEST_SOCKETS),
                         settings);
-        for (int i = 0; i < settings.whole("classes.count"); i++) {
+        for (int i = 0; i < settings.wholeNumber("classes.count"); i++) {
             atLeast(settings, "classes." + i + ".giveUpNs", 1);
         }
-        Settings.choice(
+        Settings.admissionController(
                 settings,
                 new SplittableRandom(read.seed),
                 false); // a wrong setting is told by its name
@@ -108,21 +108,21 @@
         // without.
         boolean calls =
                 read.operations().values().stream()
-                        .anyMatch(Operation::calls); // a wrong one is told in any case
-        if (read.records == null && calls) {
+                        .anyMatch(Operation::makesCalls); // a wrong one is told in any case
+        if (read.recordsAddress == null && calls) {
             top.text("records");
         }
         return read;
     }
 
     /** Guards against a JVM that was sized by something else; null where it was sized by nobody. */
-    public void holdsFor(Integer sizedMb) {
-        if (sizedMb == null || sizedMb == memoryMb) {
+    public void checkJvmSize(Integer sizedMb) {
+        if (sizedMb == null || sizedMb == memoryLimitMb) {
             return;
         }
         throw new MalformedException(
                 "limits.memory_mb is "
-                        + memoryMb
+                        + memoryLimitMb
                         + ", and the JVM was sized for "
                         + sizedMb
                         + ": write it as plain digits on the line of its name");
@@ -132,8 +132,8 @@
         return Settings.operations(settings);
     }
 
-    private static long atLeast(Lookup lookup, String name, long least) {
-        long value = lookup.whole(name);
+    private static long atLeast(SettingLookup lookup, String name, long least) {
+        long value = lookup.wholeNumber(name);
         if (value < least) {
             throw new MalformedException(name + " is under " + least + ": " + value);
         }
@@ -148,7 +148,7 @@
         }
     }
 
-    private static InetSocketAddress address(Lookup lookup, String name) {
+    private static InetSocketAddress address(SettingLookup lookup, String name) {
         String text = lookup.text(name);
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/ochretiller/node/Node.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -15,43 +15,43 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
-import ochretiller.audit.Chain;
-import ochretiller.fleet.epochs.Rollout;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.peers.Fleet;
-import ochretiller.fleet.peers.FleetSettings;
-import ochretiller.fleet.peers.Versions;
-import ochretiller.fleet.versions.Counts;
-import ochretiller.front.Callers;
-import ochretiller.front.Ending;
-import ochretiller.front.Failure;
-import ochretiller.front.Try;
-import ochretiller.gateway.Gateway;
-import ochretiller.gateway.Health;
-import ochretiller.keys.Keys;
+import ochretiller.admission.AdmissionController;
+import ochretiller.audit.HashChain;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.rollout.VersionCounters;
+import ochretiller.fleet.service.FleetService;
+import ochretiller.fleet.service.FleetSettings;
+import ochretiller.fleet.service.RolloutService;
+import ochretiller.frontend.AnswerKind;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.jsonrpc.HealthChecks;
+import ochretiller.jsonrpc.JsonRpcFrontend;
 import ochretiller.metrics.Metrics;
 import ochretiller.metrics.MetricsFile;
 import ochretiller.model.Operation;
 import ochretiller.net.Network;
-import ochretiller.operator.Operator;
-import ochretiller.operator.OperatorFile;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.operator.OperatorConfigReader;
 import ochretiller.paths.PathPattern;
-import ochretiller.policy.Choice;
-import ochretiller.processor.Link;
-import ochretiller.records.Records;
-import ochretiller.remembered.Mark;
-import ochretiller.roster.Roster;
+import ochretiller.processor.ProcessorClient;
+import ochretiller.records.RecordsClient;
+import ochretiller.registry.RegistryReporter;
 import ochretiller.settings.MalformedException;
 import ochretiller.settings.Settings;
-import ochretiller.store.Disk;
+import ochretiller.store.StorageDirectory;
 import ochretiller.uwsgi.Route;
-import ochretiller.uwsgi.UwsgiFront;
-import ochretiller.workers.Plan;
-import ochretiller.workers.Workers;
+import ochretiller.uwsgi.UwsgiFrontend;
+import ochretiller.workers.UwsgiRunBackend;
+import ochretiller.workers.WorkerPoolConfig;
 
 /** One server from its start through its drain to its stop. */
-public final class Node {
-    private static final Logger LOG = Logger.getLogger(Node.class.getName());
+public final class ServerNode {
+    private static final Logger LOG = Logger.getLogger(ServerNode.class.getName());
 
     /** Time to write out the last answers and end before the kill. */
     private static final Duration ENDING = Duration.ofMillis(150);
@@ -92,43 +92,44 @@
     private static final int CALLS_PART = 8;
 
     private final Path file;
-    private final Configuration configuration;
-    private final Loop loop = new Loop();
+    private final ServerConfiguration configuration;
+    private final EventLoop loop = new EventLoop();
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Network network;
-    private final Link link;
-    private final Records records;
-    private final Roster roster;
-    private final Health health;
-    private final Callers callers;
-    private final Gateway gateway;
+    private final ProcessorClient link;
+    private final RecordsClient records;
+    private final RegistryReporter roster;
+    private final HealthChecks health;
+    private final ClientConnections callers;
+    private final JsonRpcFrontend gateway;
 
     /** Null where nobody speaks uwsgi. */
-    private final UwsgiFront uwsgi;
+    private final UwsgiFrontend uwsgi;
 
-    private final Operator operator;
-    private final Supplier<Operator> operatorNow;
+    private final OperatorConfig operator;
+    private final Supplier<OperatorConfig> operatorNow;
 
     /** Null where the processor carries out all runs. */
-    private final Workers workers;
+    private final UwsgiRunBackend workers;
 
     private final Metrics metrics = new Metrics();
-    private final Recall recall;
+    private final DurableIdempotency recall;
 
     /** Null where this server takes part in no fleet. */
-    private final Fleet fleet;
+    private final FleetService fleet;
 
     /** Repeats of what a former process has left, read before the processor was there. */
-    private final List<Try> early = new ArrayList<>();
+    private final List<RequestAttempt> early = new ArrayList<>();
 
     /** Null where nothing is kept of what was acted on. */
-    private final Auditor auditor;
+    private final AuditRecorder auditor;
 
-    private Host host;
+    private ServerActionsAdapter host;
     private boolean leaving;
 
     /** A server whose operators' file does not change. */
-    public Node(Path file, Operator operator, Disk disk) throws IOException {
+    public ServerNode(Path file, OperatorConfig operator, StorageDirectory disk)
+            throws IOException {
         this(file, operator, () -> operator, disk);
     }
 
@@ -138,51 +139,56 @@
      * @param operatorNow reads the operators' file again
      * @param disk where results are remembered, if the operators ask for it
      */
-    public Node(Path file, Operator operator, Supplier<Operator> operatorNow, Disk disk)
+    public ServerNode(
+            Path file,
+            OperatorConfig operator,
+            Supplier<OperatorConfig> operatorNow,
+            StorageDirectory disk)
             throws IOException {
         this.file = file;
         this.operator = operator;
         this.operatorNow = operatorNow;
-        this.configuration = Configuration.read(file);
-        configuration.holdsFor(Integer.getInteger("ochretiller.sizedForMb"));
+        this.configuration = ServerConfiguration.read(file);
+        configuration.checkJvmSize(Integer.getInteger("ochretiller.sizedForMb"));
         network = new Network(loop, memory());
         link =
-                new Link(
+                new ProcessorClient(
                         loop,
                         network,
-                        configuration.processor(),
+                        configuration.processorAddress(),
                         List.of(configuration.settings().text("familyInfo.meters").split(",")),
-                        this::up,
-                        (rid, body) -> host.asked(rid, body));
+                        this::onProcessorUp,
+                        (rid, body) -> host.onCallRequested(rid, body));
         records =
-                new Records(
+                new RecordsClient(
                         loop,
                         network,
-                        configuration.records(),
-                        configuration.sockets() / CALLS_PART);
-        roster = new Roster(loop, configuration.roster(), configuration.name());
-        health = new Health(link::trial);
+                        configuration.recordsAddress(),
+                        configuration.maxDescriptors() / CALLS_PART);
+        roster = new RegistryReporter(loop, configuration.registryAddress(), configuration.name());
+        health = new HealthChecks(link::trial);
         callers =
-                new Callers(
+                new ClientConnections(
                         loop,
-                        configuration.sockets() / 2,
+                        configuration.maxDescriptors() / 2,
                         patience(),
-                        configuration.settings().span("familyInfo.idleNs", Duration.ZERO),
-                        this::arrived,
+                        configuration.settings().duration("familyInfo.idleNs", Duration.ZERO),
+                        this::onRequestRead,
                         inv -> {
                             if (host != null) {
-                                host.gone(inv);
+                                host.onClientGone(inv);
                             }
                         });
-        gateway = new Gateway(callers, configuration.operations(), health, this::sinceStart);
+        gateway =
+                new JsonRpcFrontend(callers, configuration.operations(), health, this::sinceStart);
         uwsgi =
                 operator.uwsgi()
                         .map(
                                 told ->
-                                        new UwsgiFront(
+                                        new UwsgiFrontend(
                                                 callers,
                                                 loop,
-                                                routes(operator, configuration),
+                                                uwsgiRoutes(operator, configuration),
                                                 told.callerVar(),
                                                 told.timeVar(),
                                                 this::sinceStart,
@@ -192,16 +198,16 @@
         workers =
                 operator.pools().isEmpty()
                         ? null
-                        : new Workers(
+                        : new UwsgiRunBackend(
                                 loop,
                                 network,
-                                plans(operator, configuration),
+                                workerPoolConfigs(operator, configuration),
                                 new SplittableRandom(configuration.seed() + 1).split(),
                                 metrics);
         if (operator.remember().isPresent()) {
             Duration longest = longest();
             recall =
-                    new Recall(
+                    new DurableIdempotency(
                             loop,
                             operator.remember().get(),
                             operator.fleet().map(FleetSettings::copies).orElse(null),
@@ -215,7 +221,7 @@
         auditor =
                 operator.audit().isEmpty()
                         ? null
-                        : new Auditor(
+                        : new AuditRecorder(
                                 loop,
                                 operator.audit().get(),
                                 configuration.name(),
@@ -226,7 +232,7 @@
             fleet.copies().remembers(recall);
         }
         if (auditor != null || fleet != null && fleet.versions() != null) {
-            callers.ends(this::answered);
+            callers.ends(this::onAnswered);
         }
     }
 
@@ -243,31 +249,33 @@
      */
     private Duration longest() {
         return configuration.operations().values().stream()
-                .filter(Operation::tokened)
-                .map(each -> each.window().plus(each.clientTimeout().multipliedBy(2)))
+                .filter(Operation::isKeyed)
+                .map(each -> each.deduplicationWindow().plus(each.clientTimeout().multipliedBy(2)))
                 .max(Duration::compareTo)
                 .orElse(LOOK);
     }
 
-    private Fleet fleet(FleetSettings told) throws IOException {
-        copies(told, configuration);
-        String build = Node.class.getPackage().getImplementationVersion();
+    private FleetService fleet(FleetSettings told) throws IOException {
+        checkReplication(told, configuration);
+        String build = ServerNode.class.getPackage().getImplementationVersion();
         InetSocketAddress at =
-                operator.uwsgi().map(Operator.Uwsgi::listen).orElse(configuration.listen());
-        return new Fleet(
+                operator.uwsgi()
+                        .map(OperatorConfig.Uwsgi::listen)
+                        .orElse(configuration.listenAddress());
+        return new FleetService(
                 loop,
                 network,
                 told,
                 configuration.name(),
                 build == null ? "unpackaged" : build,
-                new Address(at.getAddress().getHostAddress(), at.getPort()),
+                new PeerAddress(at.getAddress().getHostAddress(), at.getPort()),
                 new SplittableRandom(configuration.seed() + 2),
                 metrics,
                 longest(),
                 recall == null ? null : recall.store(),
                 (member, there) -> {
-                    if (workers != null && member.serves() != null) {
-                        workers.seen(member.serves().toString(), there);
+                    if (workers != null && member.serviceAddress() != null) {
+                        workers.seen(member.serviceAddress().toString(), there);
                     }
                 },
                 new Acting(),
@@ -277,7 +285,7 @@
     }
 
     /** Holds what the operators say of copies against the server's name and operations. */
-    public static void copies(FleetSettings told, Configuration configuration) {
+    public static void checkReplication(FleetSettings told, ServerConfiguration configuration) {
         if (told.copies() == null) {
             return;
         }
@@ -297,10 +305,12 @@
      * Holds the operators' routes against the operations; a route that cannot be is told, one that
      * is odd is logged.
      */
-    public static List<Route> routes(Operator operator, Configuration configuration) {
+    public static List<Route> uwsgiRoutes(
+            OperatorConfig operator, ServerConfiguration configuration) {
         Map<String, Operation> operations = configuration.operations();
         List<Route> routes = new ArrayList<>();
-        for (Operator.Route told : operator.uwsgi().map(Operator.Uwsgi::routes).orElse(List.of())) {
+        for (OperatorConfig.Route told :
+                operator.uwsgi().map(OperatorConfig.Uwsgi::routes).orElse(List.of())) {
             Operation operation = operations.get(told.operation());
             if (operation == null) {
                 throw new MalformedException(
@@ -313,21 +323,22 @@
     }
 
     /** Holds the operators' pools against the operations and the descriptors. */
-    public static List<Plan> plans(Operator operator, Configuration configuration) {
+    public static List<WorkerPoolConfig> workerPoolConfigs(
+            OperatorConfig operator, ServerConfiguration configuration) {
         Map<String, Operation> operations = configuration.operations();
-        List<Plan> plans = new ArrayList<>();
+        List<WorkerPoolConfig> plans = new ArrayList<>();
         long connections = 0;
-        for (Operator.Workers told : operator.pools()) {
-            List<Plan.Target> targets = new ArrayList<>();
-            for (Operator.Run run : told.runs()) {
+        for (OperatorConfig.Workers told : operator.pools()) {
+            List<WorkerPoolConfig.Target> targets = new ArrayList<>();
+            for (OperatorConfig.Run run : told.runs()) {
                 if (!operations.containsKey(run.operation())) {
                     throw new MalformedException(
                             "pool " + told.name() + ": no operation " + run.operation());
                 }
-                targets.add(new Plan.Target(run.operation(), run.method(), run.path()));
+                targets.add(new WorkerPoolConfig.Target(run.operation(), run.method(), run.path()));
             }
-            Plan plan =
-                    new Plan(
+            WorkerPoolConfig plan =
+                    new WorkerPoolConfig(
                             told.name(),
                             told.settings(),
                             told.late(),
@@ -336,14 +347,14 @@
             connections += plan.connections();
             plans.add(plan);
         }
-        if (connections > configuration.sockets() / POOLS_PART) {
+        if (connections > configuration.maxDescriptors() / POOLS_PART) {
             throw new MalformedException(
                     "the pools may open "
                             + connections
                             + " connections, over 1/"
                             + POOLS_PART
                             + " of the "
-                            + configuration.sockets()
+                            + configuration.maxDescriptors()
                             + " descriptors: lower most_in_flight");
         }
         return plans;
@@ -351,7 +362,7 @@
 
     /** Bytes that the server may take. */
     private long memory() {
-        return configuration.memoryMb() * 1024L * 1024L;
+        return configuration.memoryLimitMb() * 1024L * 1024L;
     }
 
     /** All that is to be done before anything is listened for. */
@@ -365,17 +376,17 @@
         operator.metrics()
                 .ifPresent(
                         figures -> new MetricsFile(metrics, figures.file()).start(figures.every()));
-        Choice unused =
-                Settings.choice(
+        AdmissionController unused =
+                Settings.admissionController(
                         configuration.settings(),
                         new SplittableRandom(configuration.seed()),
                         false);
-        new WarmUp(unused).work(List.copyOf(configuration.operations().values()), WARM_UP);
+        new WarmUp(unused).simulate(List.copyOf(configuration.operations().values()), WARM_UP);
     }
 
     /** Listens; a failure to do so is the caller's to tell. */
     public void listen() throws IOException {
-        network.listen("gateway", configuration.listen(), gateway::accepted);
+        network.listen("gateway", configuration.listenAddress(), gateway::accepted);
         if (uwsgi != null) {
             network.listen("uwsgi", operator.uwsgi().orElseThrow().listen(), uwsgi::accepted);
         }
@@ -392,11 +403,11 @@
      */
     public void reload() {
         // Read on the caller's thread: a file and a schema are not the loop's to wait for.
-        Configuration next;
-        List<Plan> plans;
+        ServerConfiguration next;
+        List<WorkerPoolConfig> plans;
         try {
-            next = Configuration.read(file);
-            plans = workers == null ? List.of() : plans(operatorNow.get(), next);
+            next = ServerConfiguration.read(file);
+            plans = workers == null ? List.of() : workerPoolConfigs(operatorNow.get(), next);
             if (fleet != null) {
                 fleet.reload();
             }
@@ -410,15 +421,15 @@
                         workers.become(plans);
                     }
                     LOG.info("takes the addresses of its configuration again");
-                    link.move(next.processor());
-                    records.move(next.records());
-                    roster.move(next.roster());
+                    link.move(next.processorAddress());
+                    records.move(next.recordsAddress());
+                    roster.move(next.registryAddress());
                 });
     }
 
     /** Serves until the drain is over. */
     public void run() {
-        LOG.info(() -> configuration.name() + " listens on " + configuration.listen());
+        LOG.info(() -> configuration.name() + " listens on " + configuration.listenAddress());
         loop.run(network::flush);
         ended.countDown();
     }
@@ -428,12 +439,12 @@
      * over.
      */
     public void drain() throws InterruptedException {
-        loop.post(this::leave);
-        ended.await(configuration.stop().toMillis(), TimeUnit.MILLISECONDS);
+        loop.post(this::startDrain);
+        ended.await(configuration.shutdownTimeout().toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** The processor is there: the decisions begin, on a clock that started with it. */
-    private void up(boolean cold, Duration age) {
+    private void onProcessorUp(boolean cold, Duration age) {
         if (host != null) {
             return;
         }
@@ -444,15 +455,15 @@
                                 + ", started "
                                 + age.toMillis()
                                 + " ms ago");
-        Choice choice =
-                Settings.choice(
+        AdmissionController choice =
+                Settings.admissionController(
                         configuration.settings(), new SplittableRandom(configuration.seed()), cold);
-        Keys keys =
-                new Keys(
+        IdempotencyCache keys =
+                new IdempotencyCache(
                         memory() / KEYS_PART,
-                        configuration.settings().span("familyInfo.freshNs", Duration.ZERO));
+                        configuration.settings().duration("familyInfo.freshNs", Duration.ZERO));
         host =
-                new Host(
+                new ServerActionsAdapter(
                         loop,
                         age.minus(loop.now()),
                         choice,
@@ -465,19 +476,19 @@
                         recall,
                         fleet == null ? null : fleet.copies(),
                         fleet == null ? null : fleet.versions(),
-                        auditor == null ? inv -> {} : auditor::begun);
+                        auditor == null ? inv -> {} : auditor::recordRunStarted);
         host.start();
         if (recall != null) {
-            host.restore(configuration.operations(), age);
+            host.restorePreviousRuns(configuration.operations(), age);
         }
         if (leaving) {
-            host.leave(Duration.ZERO);
+            host.onShutdownNotice(Duration.ZERO);
         }
-        List<Try> waited = List.copyOf(early);
+        List<RequestAttempt> waited = List.copyOf(early);
         early.clear();
-        for (Try inv : waited) {
+        for (RequestAttempt inv : waited) {
             if (!inv.answered()) {
-                host.arrived(inv);
+                host.onRequestRead(inv);
             }
         }
     }
@@ -493,13 +504,13 @@
         return System.currentTimeMillis() + operator.drill().clock().toMillis();
     }
 
-    private void arrived(Try inv) {
+    private void onRequestRead(RequestAttempt inv) {
         if (fleet != null && fleet.versions() != null) {
             inv.bind(fleet.versions().acting());
         }
-        Mark mark = host != null || recall == null ? null : recall.restored(inv.token);
+        IdempotencyRecord mark = host != null || recall == null ? null : recall.restored(inv.token);
         if (host != null) {
-            host.arrived(inv);
+            host.onRequestRead(inv);
         } else if (mark == null) {
             callers.throttle(inv, Duration.ZERO, false); // without a processor nothing can have run
         } else {
@@ -508,45 +519,48 @@
     }
 
     /** What became of it counts for the version that it was read under. */
-    private void answered(Try inv, Ending how) {
+    private void onAnswered(RequestAttempt inv, AnswerKind how) {
         if (auditor != null) {
-            auditor.answered(inv, how);
+            auditor.recordAnswer(inv, how);
         }
         if (fleet == null || fleet.versions() == null) {
             return;
         }
-        boolean good = how == Ending.SUCCEEDED || how == Ending.REPLAYED;
+        boolean good = how == AnswerKind.SUCCEEDED || how == AnswerKind.REPLAYED;
         boolean late =
-                good && loop.now().minus(inv.arrived).compareTo(inv.operation.objective()) > 0;
-        double value = inv.operation.value();
+                good
+                        && loop.now().minus(inv.arrived).compareTo(inv.operation.latencyObjective())
+                                > 0;
+        double value = inv.operation.billedValue();
         fleet.versions()
                 .count(
                         inv.version(),
-                        new Counts(
+                        new VersionCounters(
                                 1,
-                                how == Ending.THROTTLED ? 1 : 0,
-                                how == Ending.ERRORED ? 1 : 0,
+                                how == AnswerKind.THROTTLED ? 1 : 0,
+                                how == AnswerKind.ERRORED ? 1 : 0,
                                 late ? 1 : 0,
-                                !good ? 0 : late ? value * inv.operation.lateShare() : value,
+                                !good ? 0 : late ? value * inv.operation.lateValueShare() : value,
                                 value));
     }
 
     /** What acts on versions here: the pools. */
-    private final class Acting implements Versions.Acts {
-        private List<Plan> plans(byte[] version) {
-            Operator told =
+    private final class Acting implements RolloutService.Acts {
+        private List<WorkerPoolConfig> plans(byte[] version) {
+            OperatorConfig told =
                     version == null
                             ? operatorNow.get()
                             : operator.with(
-                                    OperatorFile.version(
+                                    OperatorConfigReader.version(
                                             new String(version, StandardCharsets.UTF_8),
                                             "the version"));
-            List<Plan> plans = Node.plans(told, configuration);
+            List<WorkerPoolConfig> plans = ServerNode.workerPoolConfigs(told, configuration);
             Set<String> here =
                     operator.pools().stream()
-                            .map(Operator.Workers::name)
+                            .map(OperatorConfig.Workers::name)
                             .collect(Collectors.toSet());
-            Set<String> there = plans.stream().map(Plan::name).collect(Collectors.toSet());
+            Set<String> there =
+                    plans.stream().map(WorkerPoolConfig::name).collect(Collectors.toSet());
             if (!here.equals(there)) {
                 throw new MalformedException(
                         "it has the pools " + there + ", and this server was started with " + here);
@@ -566,7 +580,7 @@
 
         @Override
         public String become(byte[] version) {
-            List<Plan> plans;
+            List<WorkerPoolConfig> plans;
             try {
                 plans = plans(version);
             } catch (MalformedException e) {
@@ -580,15 +594,16 @@
         }
 
         @Override
-        public void told(Versions.What what, Rollout.Version version, String text) {
+        public void told(
+                RolloutService.What what, RolloutState.PublishedVersion version, String text) {
             if (auditor != null) {
-                auditor.told(what, version.number(), version.hash(), text);
+                auditor.recordRolloutEvent(what, version.number(), version.hash(), text);
             }
         }
 
         @Override
-        public Chain.Head audited() {
-            return auditor == null ? Chain.Head.NONE : auditor.head();
+        public HashChain.ChainHead audited() {
+            return auditor == null ? HashChain.ChainHead.EMPTY : auditor.chainHead();
         }
     }
 
@@ -596,17 +611,18 @@
      * A repeat of what a former process has run, before the processor is there: it is never
      * throttled.
      */
-    private void repeatBefore(Try inv, Mark mark) {
-        if (!mark.operation().equals(inv.operation.name()) || !mark.sameBody(Keys.hash(inv.body))) {
-            callers.fail(inv, Failure.OTHER_BODY);
-        } else if (mark.state() == Mark.State.LOST) {
-            callers.fail(inv, Failure.FAILED);
-        } else if (mark.state() == Mark.State.SUCCEEDED) {
-            recall.result(
+    private void repeatBefore(RequestAttempt inv, IdempotencyRecord mark) {
+        if (!mark.operation().equals(inv.operation.name())
+                || !mark.hasBodyDigest(IdempotencyCache.bodyDigest(inv.body))) {
+            callers.fail(inv, FailureReason.OTHER_BODY);
+        } else if (mark.progress() == IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT) {
+            callers.fail(inv, FailureReason.FAILED);
+        } else if (mark.progress() == IdempotencyRecord.Progress.SUCCEEDED) {
+            recall.readResult(
                     inv.token,
                     result -> {
                         if (result == null) {
-                            callers.fail(inv, Failure.NO_RESULT);
+                            callers.fail(inv, FailureReason.NO_RESULT);
                         } else {
                             callers.succeed(inv, result, true);
                         }
@@ -623,7 +639,7 @@
                         if (!early.remove(inv)) {
                             return;
                         }
-                        callers.fail(inv, Failure.UNKNOWN_END);
+                        callers.fail(inv, FailureReason.UNKNOWN_END);
                         callers.forget(inv);
                     });
             return;
@@ -631,20 +647,20 @@
         callers.forget(inv);
     }
 
-    private void leave() {
+    private void startDrain() {
         if (leaving) {
             return;
         }
         leaving = true;
         LOG.info("leaves");
-        Duration last = configuration.stop().minus(ENDING);
+        Duration last = configuration.shutdownTimeout().minus(ENDING);
         roster.leave();
         if (fleet != null) {
             fleet.leave();
         }
         health.set(false, true);
         if (host != null) {
-            host.leave(last);
+            host.onShutdownNotice(last);
         }
         // Gateways learn seconds late that it leaves. What it turns away behind the grace goes on
         // to other servers at once,
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Function;
-import ochretiller.model.CallEnd;
-import ochretiller.model.CallerId;
-import ochretiller.model.Gauges;
-import ochretiller.model.InvId;
+import ochretiller.admission.AdmissionController;
+import ochretiller.model.CallOutcome;
+import ochretiller.model.ClientId;
 import ochretiller.model.Invocation;
+import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
-import ochretiller.model.RunEnd;
-import ochretiller.policy.Choice;
-import ochretiller.server.Server;
-import ochretiller.server.Step;
+import ochretiller.model.ResourceGauges;
+import ochretiller.model.RunOutcome;
+import ochretiller.server.Action;
+import ochretiller.server.ServerActions;
 import ochretiller.text.Frames;
 import ochretiller.text.Json;
 import ochretiller.text.Slice;
@@ -23,29 +23,29 @@
  * server whose first seconds go into linking and compiling what it then needs at once. It is done
  * before the server listens.
  */
-final class WarmUp implements Server {
+final class WarmUp implements ServerActions {
     private static final Duration RUN = Duration.ofMillis(20);
     private static final String MESSAGE =
             "{\"jsonrpc\":\"2.0\",\"id\":7,\"method\":\"any\",\"params\":{\"rid\":\"9b1f03aa5c7e2d41\",\"t0\":1764576000123,\"peer\":4,\"mem\":24.5,\"prio\":0.6250,\"data\":\"Z29vZA==\"}}\n";
     private static final String NOTICE = "complete 7 9b1f03aa5c7e2d41 complete 12.5 4\r\ngood\r\n";
 
-    private final Choice choice;
+    private final AdmissionController choice;
     private final Frames messages = new Frames(MESSAGE.length(), false, line -> Frames.NONE);
     private final Frames notices =
             new Frames(NOTICE.length(), true, line -> Integer.parseInt(line.words().get(5)));
     private final PriorityQueue<Later> later = new PriorityQueue<>((a, b) -> a.at.compareTo(b.at));
     private Duration now = Duration.ofSeconds(1);
-    int ended;
+    int finishedRuns;
 
     private record Later(Duration at, Runnable work) {}
 
-    WarmUp(Choice choice) {
+    WarmUp(AdmissionController choice) {
         this.choice = choice;
     }
 
     /** So many of each operation. */
-    void work(List<Operation> operations, int rounds) {
-        choice.started().act(this);
+    void simulate(List<Operation> operations, int rounds) {
+        choice.onStarted().execute(this);
         long id = 0;
         for (int round = 0; round < rounds; round++) {
             for (Operation operation : operations) {
@@ -59,19 +59,19 @@
                 notices.read(
                         notice.bytes(), notice.from(), notice.to(), (line, body) -> body.copy());
                 Duration due = now.plus(operation.clientTimeout());
-                choice.arrived(
+                choice.onInvocationReceived(
                                 new Invocation(
-                                        new InvId(++id),
+                                        new InvocationId(++id),
                                         null,
                                         operation,
                                         1,
                                         now,
                                         due,
                                         null,
-                                        new CallerId(id % 4),
+                                        new ClientId(id % 4),
                                         null,
                                         false))
-                        .act(this);
+                        .execute(this);
                 until(now.plus(RUN.dividedBy(5)));
             }
         }
@@ -96,82 +96,82 @@
     }
 
     @Override
-    public void run(InvId id, Function<RunEnd, Step> then) {
-        in(RUN.dividedBy(2), () -> choice.blocked(id).act(this));
+    public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
+        in(RUN.dividedBy(2), () -> choice.onCallRequested(id).execute(this));
         in(
                 RUN,
                 () -> {
-                    ended++;
-                    then.apply(new RunEnd(RunEnd.Result.SUCCEEDED, RUN)).act(this);
+                    finishedRuns++;
+                    then.apply(new RunOutcome(RunOutcome.Status.SUCCEEDED, RUN)).execute(this);
                 });
     }
 
     @Override
-    public void call(InvId id, Duration patience, Function<CallEnd, Step> then) {
+    public void startCall(InvocationId id, Duration patience, Function<CallOutcome, Action> then) {
         in(
                 RUN.dividedBy(4),
                 () ->
-                        then.apply(new CallEnd(CallEnd.Result.SUCCEEDED, RUN.dividedBy(4)))
-                                .act(this));
+                        then.apply(new CallOutcome(CallOutcome.Status.SUCCEEDED, RUN.dividedBy(4)))
+                                .execute(this));
     }
 
     @Override
-    public void after(Duration span, Function<Gauges, Step> then) {
-        in(span, () -> then.apply(new Gauges(0.5, 1, 0.1, 1)).act(this));
+    public void schedule(Duration span, Function<ResourceGauges, Action> then) {
+        in(span, () -> then.apply(new ResourceGauges(0.5, 1, 0.1, 1)).execute(this));
     }
 
     @Override
-    public void replay(InvId id, Function<RunEnd, Step> then) {
+    public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
         // none repeats another
     }
 
     @Override
-    public void throttle(InvId id, Duration retryIn, boolean last) {
+    public void throttle(InvocationId id, Duration retryIn, boolean last) {
         // nobody asked
     }
 
     @Override
-    public void fail(InvId id) {
+    public void fail(InvocationId id) {
         // nobody asked
     }
 
     @Override
-    public void stop(InvId id) {
+    public void stopRun(InvocationId id) {
         // runs end by themselves
     }
 
     @Override
-    public void skipCall(InvId id) {
+    public void skipCall(InvocationId id) {
         // calls succeed
     }
 
     @Override
-    public void keep(InvId id, Duration span) {
+    public void putIdempotencyEntry(InvocationId id, Duration span) {
         // nothing is stored
     }
 
     @Override
-    public void erase(InvId id) {
+    public void removeIdempotencyEntry(InvocationId id) {
         // nothing is stored
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
+    public void setHealth(boolean good, boolean stored) {
         // nobody asked
     }
 
     @Override
-    public void advertise(double value) {
+    public void advertiseCapacity(double value) {
         // nobody asked
     }
 
     @Override
-    public void idleAfter(Duration span) {
+    public void setIdleTimeout(Duration span) {
         // nobody is connected
     }
 
     @Override
-    public void note(String text) {
+    public void logNote(String text) {
         // nobody reads it
     }
 }
--- a/src/main/java/ochretiller/operator/ContractFiles.java
+++ b/src/main/java/ochretiller/operator/ContractFiles.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import ochretiller.budgets.Promise;
+import ochretiller.budgets.GuaranteedRate;
 import ochretiller.budgets.TeamId;
 import ochretiller.contracts.Contract;
 import ochretiller.contracts.Contracts;
@@ -124,7 +124,7 @@
                 List.copyOf(known),
                 List.copyOf(publishes),
                 List.copyOf(calls),
-                new Promise(
+                new GuaranteedRate(
                         rate,
                         promise.path("burst").asDouble(rate * BURST_S),
                         promise.path("weight").asDouble(rate),
--- a/src/main/java/ochretiller/operator/Operator.java
+++ b/src/main/java/ochretiller/operator/OperatorConfig.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import ochretiller.fleet.peers.FleetSettings;
+import ochretiller.fleet.service.FleetSettings;
 import ochretiller.pools.PoolSettings;
 
 /**
@@ -20,7 +20,7 @@
  * @param audit how it is kept what this server acts on, if it is
  * @param drill faults of the machine, in drills only
  */
-public record Operator(
+public record OperatorConfig(
         boolean jsonLog,
         Optional<Figures> metrics,
         Optional<Remember> remember,
@@ -30,8 +30,8 @@
         Optional<Audit> audit,
         Drill drill) {
     /** Nothing is switched on. */
-    public static final Operator NONE =
-            new Operator(
+    public static final OperatorConfig NONE =
+            new OperatorConfig(
                     false,
                     Optional.empty(),
                     Optional.empty(),
@@ -42,8 +42,8 @@
                     Drill.NONE);
 
     /** The same with other pools. */
-    public Operator with(List<Workers> others) {
-        return new Operator(jsonLog, metrics, remember, uwsgi, others, fleet, audit, drill);
+    public OperatorConfig with(List<Workers> others) {
+        return new OperatorConfig(jsonLog, metrics, remember, uwsgi, others, fleet, audit, drill);
     }
 
     /**
--- a/src/main/java/ochretiller/operator/OperatorFile.java
+++ b/src/main/java/ochretiller/operator/OperatorConfigReader.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import ochretiller.fleet.copies.Modes;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Pace;
-import ochretiller.fleet.peers.CopySettings;
-import ochretiller.fleet.peers.FleetSettings;
-import ochretiller.fleet.peers.VersionSettings;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.membership.ProtocolTiming;
+import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.service.FleetSettings;
+import ochretiller.fleet.service.ReplicationSettings;
+import ochretiller.fleet.service.RolloutSettings;
 import ochretiller.json5.Json5;
 import ochretiller.pools.PoolSettings;
 import ochretiller.settings.MalformedException;
@@ -25,28 +25,28 @@
  * Reads an operators' file. What is wrong is told by a {@link MalformedException}, one line with
  * file, line and column.
  */
-public final class OperatorFile {
-    private static final Json5 FILE = new Json5(OperatorFile.class, "operator.schema.json");
+public final class OperatorConfigReader {
+    private static final Json5 FILE = new Json5(OperatorConfigReader.class, "operator.schema.json");
 
-    private OperatorFile() {}
+    private OperatorConfigReader() {}
 
-    public static Operator read(Path file) {
+    public static OperatorConfig read(Path file) {
         return operator(FILE.read(file, "the operators' file"));
     }
 
-    static Operator of(String text, String name) {
+    static OperatorConfig of(String text, String name) {
         return operator(FILE.of(text, name));
     }
 
-    private static Operator operator(JsonNode root) {
+    private static OperatorConfig operator(JsonNode root) {
         JsonNode metrics = root.path("metrics");
         JsonNode remember = root.path("remember");
-        return new Operator(
+        return new OperatorConfig(
                 root.path("log").path("format").asText("text").equals("json"),
                 metrics.isMissingNode()
                         ? Optional.empty()
                         : Optional.of(
-                                new Operator.Figures(
+                                new OperatorConfig.Figures(
                                         Path.of(metrics.get("file").asText()),
                                         millis(metrics, "every_ms", 5_000))),
                 remember.isMissingNode() ? Optional.empty() : Optional.of(remember(remember)),
@@ -57,15 +57,15 @@
                 drill(root.path("drill")));
     }
 
-    private static List<Operator.Workers> pools(JsonNode pools) {
-        List<Operator.Workers> all = new ArrayList<>();
+    private static List<OperatorConfig.Workers> pools(JsonNode pools) {
+        List<OperatorConfig.Workers> all = new ArrayList<>();
         Set<String> operations = new HashSet<>();
         pools.properties()
                 .forEach(each -> all.add(pool(each.getKey(), each.getValue(), operations)));
         return List.copyOf(all);
     }
 
-    private static Operator.Workers pool(String name, JsonNode node, Set<String> operations) {
+    private static OperatorConfig.Workers pool(String name, JsonNode node, Set<String> operations) {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonNode worker : node.get("workers")) {
             InetSocketAddress address = address(worker.asText());
@@ -74,7 +74,7 @@
             }
             addresses.add(address);
         }
-        List<Operator.Run> runs = new ArrayList<>();
+        List<OperatorConfig.Run> runs = new ArrayList<>();
         for (JsonNode run : node.get("runs")) {
             String operation = run.get("operation").asText();
             if (!operations.add(operation)) {
@@ -82,7 +82,7 @@
                         "pool " + name + ": " + operation + " has a pool already");
             }
             runs.add(
-                    new Operator.Run(
+                    new OperatorConfig.Run(
                             operation,
                             run.path("method").asText("POST"),
                             run.get("path").asText()));
@@ -98,7 +98,7 @@
             throw new MalformedException(
                     "pool " + name + ": most_left_out_ms is under left_out_ms");
         }
-        return new Operator.Workers(
+        return new OperatorConfig.Workers(
                 name,
                 List.copyOf(addresses),
                 List.copyOf(runs),
@@ -122,9 +122,9 @@
     }
 
     private static FleetSettings fleet(JsonNode node) {
-        List<Address> seeds = new ArrayList<>();
+        List<PeerAddress> seeds = new ArrayList<>();
         node.path("seeds").forEach(each -> seeds.add(fleetAddress(each)));
-        Pace usual = Pace.USUAL;
+        ProtocolTiming usual = ProtocolTiming.DEFAULT;
         return new FleetSettings(
                 node.get("name").asText(),
                 address(node.get("listen").asText()),
@@ -134,21 +134,22 @@
                 node.has("peers_file") ? Path.of(node.get("peers_file").asText()) : null,
                 List.copyOf(seeds),
                 node.path("zone").asText(""),
-                new Pace(
-                        millis(node, "probe_ms", usual.probe().toMillis()),
+                new ProtocolTiming(
+                        millis(node, "probe_ms", usual.probeInterval().toMillis()),
                         Duration.ofSeconds(
-                                node.path("forget_s").asLong(usual.forget().toSeconds())),
-                        node.path("most_gone").asInt(usual.mostGone())),
+                                node.path("forget_s")
+                                        .asLong(usual.departedRetention().toSeconds())),
+                        node.path("most_gone").asInt(usual.maxDeparted())),
                 node.has("copies") ? copies(node.get("copies")) : null);
     }
 
-    private static CopySettings copies(JsonNode node) {
+    private static ReplicationSettings copies(JsonNode node) {
         List<String> voters = new ArrayList<>();
         node.get("voters").forEach(each -> voters.add(each.asText()));
         if (new HashSet<>(voters).size() < voters.size()) {
             throw new MalformedException("fleet: a voter is named twice");
         }
-        return new CopySettings(
+        return new ReplicationSettings(
                 List.copyOf(voters),
                 node.has("voter_file") ? Path.of(node.get("voter_file").asText()) : null,
                 node.path("factor").asInt(3),
@@ -160,16 +161,16 @@
                 node.has("versions") ? versions(node.get("versions")) : null);
     }
 
-    private static Operator.Audit audit(JsonNode node) {
-        return new Operator.Audit(
+    private static OperatorConfig.Audit audit(JsonNode node) {
+        return new OperatorConfig.Audit(
                 Path.of(node.get("folder").asText()),
                 millis(node, "span_ms", 60_000),
                 node.path("most_mb").asLong(64) << 20,
                 node.path("runs").asBoolean(true));
     }
 
-    private static VersionSettings versions(JsonNode node) {
-        return new VersionSettings(
+    private static RolloutSettings versions(JsonNode node) {
+        return new RolloutSettings(
                 Path.of(node.get("folder").asText()),
                 millis(node, "lease_ms", 10_000),
                 millis(node, "grace_ms", 30_000),
@@ -179,8 +180,8 @@
     }
 
     /** What a fleet brings out as a version: the pools of an operators' file, and nothing else. */
-    public static List<Operator.Workers> version(String text, String name) {
-        Operator operator = of(text, name);
+    public static List<OperatorConfig.Workers> version(String text, String name) {
+        OperatorConfig operator = of(text, name);
         boolean more =
                 operator.metrics().isPresent()
                         || operator.remember().isPresent()
@@ -195,21 +196,22 @@
         return operator.pools();
     }
 
-    private static Modes.Told modes(JsonNode node) {
-        Map<String, Modes.Mode> byOperation = new HashMap<>();
+    private static ClaimModes.ClaimModeSettings modes(JsonNode node) {
+        Map<String, ClaimModes.ClaimMode> byOperation = new HashMap<>();
         node.path("modes")
                 .properties()
                 .forEach(each -> byOperation.put(each.getKey(), mode(each.getValue().asText())));
-        return new Modes.Told(mode(node.path("mode").asText("fleet")), byOperation);
+        return new ClaimModes.ClaimModeSettings(
+                mode(node.path("mode").asText("fleet")), byOperation);
     }
 
-    private static Modes.Mode mode(String text) {
-        return Modes.Mode.fromExternalName(text);
+    private static ClaimModes.ClaimMode mode(String text) {
+        return ClaimModes.ClaimMode.fromExternalName(text);
     }
 
-    private static Address fleetAddress(JsonNode node) {
+    private static PeerAddress fleetAddress(JsonNode node) {
         try {
-            return Address.of(node.asText());
+            return PeerAddress.parse(node.asText());
         } catch (IllegalArgumentException e) {
             throw new MalformedException("fleet: no address: '" + node.asText() + "'");
         }
@@ -219,38 +221,38 @@
      * Drills set a server's clock wrong and its disk faulty; anywhere else that would be a fault
      * nobody could see.
      */
-    private static Operator.Drill drill(JsonNode drill) {
+    private static OperatorConfig.Drill drill(JsonNode drill) {
         if (drill.isMissingNode()) {
-            return Operator.Drill.NONE;
+            return OperatorConfig.Drill.NONE;
         }
         if (System.getenv("OCHRETILLER_DRILL") == null) {
             throw new MalformedException("drill: only drills may set clocks and disks wrong");
         }
-        return new Operator.Drill(
+        return new OperatorConfig.Drill(
                 Duration.ofMillis(drill.path("clock_ms").asLong(0)),
                 drill.has("disk_fault") ? Path.of(drill.get("disk_fault").asText()) : null);
     }
 
-    private static Operator.Uwsgi uwsgi(JsonNode node) {
-        List<Operator.Route> routes = new ArrayList<>();
+    private static OperatorConfig.Uwsgi uwsgi(JsonNode node) {
+        List<OperatorConfig.Route> routes = new ArrayList<>();
         for (JsonNode route : node.get("routes")) {
             routes.add(
-                    new Operator.Route(
+                    new OperatorConfig.Route(
                             route.path("method").asText("GET"),
                             route.get("path").asText(),
                             route.get("operation").asText(),
                             route.path("kb").asDouble(20)));
         }
-        return new Operator.Uwsgi(
+        return new OperatorConfig.Uwsgi(
                 address(node.get("listen").asText()),
                 List.copyOf(routes),
                 node.path("caller_var").asText("REMOTE_ADDR"),
                 node.path("time_var").asText("HTTP_X_REQUEST_START"));
     }
 
-    private static Operator.Remember remember(JsonNode node) {
+    private static OperatorConfig.Remember remember(JsonNode node) {
         long mostBytes = node.path("most_mb").asLong(64) << 20;
-        return new Operator.Remember(
+        return new OperatorConfig.Remember(
                 Path.of(node.get("folder").asText()),
                 node.path("most_entries").asInt(50_000),
                 mostBytes,
--- a/src/main/java/ochretiller/pools/End.java
+++ b/src/main/java/ochretiller/pools/RequestOutcome.java
@@ -1,7 +1,7 @@
 package ochretiller.pools;
 
 /** How a request to a worker ended, as far as its pool must know. */
-public enum End {
+public enum RequestOutcome {
     /** It answered, whatever the answer said of the request itself. */
     ANSWERED("ANSWERED"),
     /** It answered that it failed, or spoilt its answer: the request may have run. */
@@ -18,7 +18,7 @@
 
     private final String externalName;
 
-    End(String externalName) {
+    RequestOutcome(String externalName) {
         this.externalName = externalName;
     }
 
--- a/src/main/java/ochretiller/pools/Worker.java
+++ b/src/main/java/ochretiller/pools/WorkerHealth.java
@@ -1,14 +1,14 @@
 package ochretiller.pools;
 
-import static ochretiller.spans.Spans.max;
-import static ochretiller.spans.Spans.min;
-import static ochretiller.spans.Spans.seconds;
+import static ochretiller.time.Durations.inSeconds;
+import static ochretiller.time.Durations.max;
+import static ochretiller.time.Durations.min;
 
 import java.time.Duration;
-import ochretiller.spans.Ring;
+import ochretiller.time.SlidingWindow;
 
 /** What a pool knows of one worker. */
-final class Worker {
+final class WorkerHealth {
     /** How the worker stands with its pool. */
     enum State {
         IN,
@@ -57,10 +57,10 @@
     private Duration lastAt = Duration.ZERO;
     private int badInRow;
     private int goodProbes;
-    private final Ring took = new Ring(BUCKET, BUCKETS);
-    private final Ring bad = new Ring(BUCKET, BUCKETS);
+    private final SlidingWindow took = new SlidingWindow(BUCKET, BUCKETS);
+    private final SlidingWindow bad = new SlidingWindow(BUCKET, BUCKETS);
 
-    Worker(WorkerId id, Duration now, Duration outFor) {
+    WorkerHealth(WorkerId id, Duration now, Duration outFor) {
         this.id = id;
         this.inSince = now;
         this.outFor = outFor;
@@ -89,7 +89,7 @@
         if (settings.slowStart().isZero()) {
             return 1;
         }
-        double since = seconds(now.minus(inSince)) / seconds(settings.slowStart());
+        double since = inSeconds(now.minus(inSince)) / inSeconds(settings.slowStart());
         return Math.min(1, Math.max(LEAST_PART, since));
     }
 
@@ -105,18 +105,18 @@
      * a few, not by a burst.
      */
     private double remembered(Duration now) {
-        return lastMean * Math.pow(0.5, seconds(now.minus(lastAt)) / seconds(FORGETS));
+        return lastMean * Math.pow(0.5, inSeconds(now.minus(lastAt)) / inSeconds(FORGETS));
     }
 
-    void ended(End end, Duration span, PoolSettings settings, Duration now) {
+    void ended(RequestOutcome end, Duration span, PoolSettings settings, Duration now) {
         inFlight--;
-        if (end == End.GIVEN_UP) {
+        if (end == RequestOutcome.GIVEN_UP) {
             return; // no word on whether it is well; a probe that ends so makes room for the next
         }
         // A failure that comes fast must not make a worker look fast: only what was answered
         // measures it.
-        if (end.good() || end == End.SILENT) {
-            took.add(now, seconds(span), 1);
+        if (end.good() || end == RequestOutcome.SILENT) {
+            took.add(now, inSeconds(span), 1);
             lastMean = took.mean(now, UNKNOWN);
             lastAt = now;
         }
@@ -134,7 +134,7 @@
                 || bad.weight(now) >= ENOUGH && bad.mean(now, 0) >= settings.badShare();
     }
 
-    private void tried(End end, PoolSettings settings, Duration now) {
+    private void tried(RequestOutcome end, PoolSettings settings, Duration now) {
         if (!end.good()) {
             outFor = min(outFor.multipliedBy(2), settings.mostLeftOut());
             leaveOut(settings, now);
--- a/src/main/java/ochretiller/pools/Pool.java
+++ b/src/main/java/ochretiller/pools/WorkerSelector.java
@@ -1,6 +1,6 @@
 package ochretiller.pools;
 
-import static ochretiller.spans.Spans.seconds;
+import static ochretiller.time.Durations.inSeconds;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import ochretiller.spans.Ring;
+import ochretiller.time.SlidingWindow;
 
 /**
  * Chooses workers. Of two that chance picks, the one whose next answer is due sooner gets the
  * request: nearly as good as the best of all, and many choosers that know the same do not all run
  * to the same worker.
  */
-public final class Pool {
+public final class WorkerSelector {
     /** Workers of one pool: more want more than one pool. */
     private static final int MOST = 1_000;
 
@@ -28,13 +28,14 @@
 
     private PoolSettings settings;
     private final SplittableRandom chance;
-    private final Map<WorkerId, Worker> workers = new LinkedHashMap<>();
+    private final Map<WorkerId, WorkerHealth> workers = new LinkedHashMap<>();
     private double retries;
 
     /** How long good answers of all workers take of late. */
-    private final Ring usual = new Ring(Worker.BUCKET, Worker.BUCKETS);
+    private final SlidingWindow usual =
+            new SlidingWindow(WorkerHealth.BUCKET, WorkerHealth.BUCKETS);
 
-    public Pool(PoolSettings settings, SplittableRandom chance) {
+    public WorkerSelector(PoolSettings settings, SplittableRandom chance) {
         this.settings = settings;
         this.chance = chance;
         this.retries = settings.retryBurst();
@@ -46,15 +47,16 @@
     }
 
     private void add(WorkerId id, Duration now, boolean fresh) {
-        Worker known = workers.get(id);
-        if (known != null && known.state != Worker.State.DRAINED) {
+        WorkerHealth known = workers.get(id);
+        if (known != null && known.state != WorkerHealth.State.DRAINED) {
             return;
         }
         if (known == null && workers.size() >= MOST) {
             throw new IllegalStateException("over " + MOST + " workers in a pool");
         }
-        Worker worker =
-                new Worker(id, fresh ? now : now.minus(settings.slowStart()), settings.leftOut());
+        WorkerHealth worker =
+                new WorkerHealth(
+                        id, fresh ? now : now.minus(settings.slowStart()), settings.leftOut());
         if (known != null) {
             worker.inFlight = known.inFlight; // what it still has is its own
             worker.away = known.away;
@@ -64,11 +66,11 @@
 
     /** It gets nothing more; it is forgotten once all that it has is over. */
     public void drain(WorkerId id) {
-        Worker worker = workers.get(id);
+        WorkerHealth worker = workers.get(id);
         if (worker == null) {
             return;
         }
-        worker.state = Worker.State.DRAINED;
+        worker.state = WorkerHealth.State.DRAINED;
         if (worker.inFlight == 0) {
             workers.remove(id);
         }
@@ -79,7 +81,7 @@
      * other can.
      */
     public void seen(WorkerId id, boolean there) {
-        Worker worker = workers.get(id);
+        WorkerHealth worker = workers.get(id);
         if (worker != null) {
             worker.away = !there;
         }
@@ -120,7 +122,7 @@
      * also where the budget of second tries is spent, since at a total failure they would double
      * the load on whatever comes back.
      */
-    public Optional<WorkerId> chooseAgain(WorkerId before, End end, Duration now) {
+    public Optional<WorkerId> chooseAgain(WorkerId before, RequestOutcome end, Duration now) {
         if (!end.mayGoElsewhere() || retries < 1) {
             return Optional.empty();
         }
@@ -132,8 +134,8 @@
     }
 
     private Optional<WorkerId> pick(Duration now, WorkerId not) {
-        List<Worker> open = new ArrayList<>();
-        for (Worker worker : workers.values()) {
+        List<WorkerHealth> open = new ArrayList<>();
+        for (WorkerHealth worker : workers.values()) {
             if (!worker.id.equals(not) && worker.takes(settings, now)) {
                 open.add(worker);
             }
@@ -148,9 +150,9 @@
         }
         // One that is being tried has to get its probes, or it would never come back beside faster
         // ones.
-        Worker chosen =
+        WorkerHealth chosen =
                 open.stream()
-                        .filter(worker -> worker.state == Worker.State.TRIED)
+                        .filter(worker -> worker.state == WorkerHealth.State.TRIED)
                         .findFirst()
                         .orElse(null);
         if (chosen == null) {
@@ -160,8 +162,8 @@
                     open.size() == 1
                             ? first
                             : (first + 1 + chance.nextInt(open.size() - 1)) % open.size();
-            Worker one = open.get(first);
-            Worker other = open.get(second);
+            WorkerHealth one = open.get(first);
+            WorkerHealth other = open.get(second);
             chosen = one.cost(settings, now) <= other.cost(settings, now) ? one : other;
         }
         chosen.inFlight++;
@@ -172,19 +174,20 @@
      * A request to it is over; an answer that comes after its request was given up is not told here
      * a second time.
      */
-    public void ended(WorkerId id, End end, Duration took, Duration now) {
-        Worker worker = workers.get(id);
+    public void ended(WorkerId id, RequestOutcome end, Duration took, Duration now) {
+        WorkerHealth worker = workers.get(id);
         if (worker == null) {
             return;
         }
-        if (end == End.ANSWERED) {
-            usual.add(now, seconds(took), 1);
+        if (end == RequestOutcome.ANSWERED) {
+            usual.add(now, inSeconds(took), 1);
         }
         // Given up after far longer than usual it says as much as silence; sooner it says nothing
         // of its worker.
-        boolean silent = end == End.GIVEN_UP && seconds(took) > FAR * usual.mean(now, UNKNOWN);
-        worker.ended(silent ? End.SILENT : end, took, settings, now);
-        if (worker.state == Worker.State.DRAINED && worker.inFlight == 0) {
+        boolean silent =
+                end == RequestOutcome.GIVEN_UP && inSeconds(took) > FAR * usual.mean(now, UNKNOWN);
+        worker.ended(silent ? RequestOutcome.SILENT : end, took, settings, now);
+        if (worker.state == WorkerHealth.State.DRAINED && worker.inFlight == 0) {
             workers.remove(id);
         }
     }
@@ -192,7 +195,7 @@
     /** Requests that all workers may have at once, as they are now. */
     public int places(Duration now) {
         int places = 0;
-        for (Worker worker : workers.values()) {
+        for (WorkerHealth worker : workers.values()) {
             places += worker.most(settings, now);
         }
         return places;
@@ -201,7 +204,7 @@
     /** How many more requests the workers would take now. */
     public int free(Duration now) {
         int free = 0;
-        for (Worker worker : workers.values()) {
+        for (WorkerHealth worker : workers.values()) {
             free += Math.max(0, worker.most(settings, now) - worker.inFlight);
         }
         return free;
@@ -214,7 +217,7 @@
 
     /** Whether it gets requests as any other does. */
     public boolean in(WorkerId id) {
-        return workers.containsKey(id) && workers.get(id).state == Worker.State.IN;
+        return workers.containsKey(id) && workers.get(id).state == WorkerHealth.State.IN;
     }
 
     public int size() {
--- a/src/main/java/ochretiller/processor/Run.java
+++ b/src/main/java/ochretiller/processor/ActiveRun.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** A run that was begun and is not known to be over; what a new link must say again. */
-final class Run {
+final class ActiveRun {
     /** How a run ended: the word for it, its time, and the result or no bytes. */
     record End(String how, Duration took, byte[] result) {}
 
@@ -24,7 +24,7 @@
     /** The reply to the call it waited for, until it is heard of again. */
     byte[] reply;
 
-    Run(String rid, String operation, byte[] body, boolean repeatable, Consumer<End> then) {
+    ActiveRun(String rid, String operation, byte[] body, boolean repeatable, Consumer<End> then) {
         this.rid = rid;
         this.operation = operation;
         this.body = body;
--- a/src/main/java/ochretiller/processor/Gauging.java
+++ b/src/main/java/ochretiller/processor/GaugeDecoder.java
@@ -2,19 +2,19 @@
 
 import java.time.Duration;
 import java.util.List;
-import ochretiller.model.Gauges;
+import ochretiller.model.ResourceGauges;
 import ochretiller.text.BadInputException;
 
 /** The gauges as last told, by the names that the settings give them. */
-final class Gauging {
+final class GaugeDecoder {
     /** Gauges older than this tell nothing of now. */
     private static final Duration STALE = Duration.ofSeconds(1);
 
     private final List<String> names;
-    private Gauges last = Gauges.NONE;
+    private ResourceGauges last = ResourceGauges.UNKNOWN;
     private Duration at = Duration.ZERO;
 
-    Gauging(List<String> names) {
+    GaugeDecoder(List<String> names) {
         this.names = names;
     }
 
@@ -24,7 +24,7 @@
             throw new BadInputException("too few gauges");
         }
         last =
-                new Gauges(
+                new ResourceGauges(
                         figure("core_use", figures),
                         figure("on_cores", figures),
                         figure("heap_share", figures),
@@ -37,7 +37,7 @@
         return place < 0 ? Double.NaN : Double.parseDouble(figures.get(place));
     }
 
-    Gauges at(Duration now) {
-        return now.minus(at).compareTo(STALE) > 0 ? Gauges.NONE : last;
+    ResourceGauges at(Duration now) {
+        return now.minus(at).compareTo(STALE) > 0 ? ResourceGauges.UNKNOWN : last;
     }
 }
--- a/src/main/java/ochretiller/processor/Link.java
+++ b/src/main/java/ochretiller/processor/ProcessorClient.java
@@ -9,15 +9,15 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import ochretiller.model.Gauges;
-import ochretiller.model.RunEnd;
+import ochretiller.execution.RunBackend;
+import ochretiller.execution.RunRequest;
+import ochretiller.model.ResourceGauges;
+import ochretiller.model.RunOutcome;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
+import ochretiller.net.ConnectionHandler;
 import ochretiller.net.Network;
-import ochretiller.net.Receiver;
-import ochretiller.net.Schedule;
-import ochretiller.runs.Backend;
-import ochretiller.runs.Task;
+import ochretiller.net.Scheduler;
 import ochretiller.text.BadInputException;
 import ochretiller.text.Frames;
 import ochretiller.text.Slice;
@@ -26,8 +26,8 @@
  * Keeps a link to the processor, and tells each of its notices once and in order whatever becomes
  * of the link.
  */
-public final class Link implements Backend {
-    private static final Logger LOG = Logger.getLogger(Link.class.getName());
+public final class ProcessorClient implements RunBackend {
+    private static final Logger LOG = Logger.getLogger(ProcessorClient.class.getName());
     private static final Duration AGAIN = Duration.ofMillis(100);
 
     /** Gauges are asked for at most so often: they look back half a second. */
@@ -36,13 +36,13 @@
     private static final int LONGEST = 64 * 1024;
     private static final String FENCE = "fence";
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final Network network;
     private InetSocketAddress address;
-    private final Gauging gauging;
+    private final GaugeDecoder gauging;
     private final BiConsumer<Boolean, Duration> up;
     private final BiConsumer<String, byte[]> asked;
-    private final Map<String, Run> runs = new LinkedHashMap<>();
+    private final Map<String, ActiveRun> runs = new LinkedHashMap<>();
     private final Map<String, Consumer<Boolean>> trials = new LinkedHashMap<>();
     private Connection connection;
     private InetSocketAddress linkedTo;
@@ -62,8 +62,8 @@
      *     ago that was
      * @param asked told of a run that waits for a call, with the call's body
      */
-    public Link(
-            Schedule schedule,
+    public ProcessorClient(
+            Scheduler schedule,
             Network network,
             InetSocketAddress address,
             List<String> meters,
@@ -72,7 +72,7 @@
         this.schedule = schedule;
         this.network = network;
         this.address = address;
-        this.gauging = new Gauging(meters);
+        this.gauging = new GaugeDecoder(meters);
         this.up = up;
         this.asked = asked;
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    public Gauges gauges() {
+    public ResourceGauges gauges() {
         return gauging.at(schedule.now());
     }
 
@@ -131,27 +131,27 @@
     }
 
     @Override
-    public void begin(Task task, Ended then) {
-        Run run =
-                new Run(
-                        task.rid(),
-                        task.operation(),
+    public void startRun(RunRequest task, RunListener then) {
+        ActiveRun run =
+                new ActiveRun(
+                        task.requestId(),
+                        task.operationName(),
                         task.body(),
-                        task.repeatable(),
-                        end -> then.ended(result(end.how()), end.took(), end.result()));
-        runs.put(task.rid(), run);
+                        task.isRetryable(),
+                        end -> then.onRunFinished(result(end.how()), end.took(), end.result()));
+        runs.put(task.requestId(), run);
         if (ready) {
             begin(run);
         }
     }
 
     /** What the processor's word for an end says. */
-    private static RunEnd.Result result(String how) {
+    private static RunOutcome.Status result(String how) {
         return switch (how) {
-            case "complete" -> RunEnd.Result.SUCCEEDED;
-            case "cancelled" -> RunEnd.Result.STOPPED;
-            case "unknown" -> RunEnd.Result.NOTHING;
-            default -> RunEnd.Result.ERRORED;
+            case "complete" -> RunOutcome.Status.SUCCEEDED;
+            case "cancelled" -> RunOutcome.Status.STOPPED;
+            case "unknown" -> RunOutcome.Status.NEVER_STARTED;
+            default -> RunOutcome.Status.FAILED;
         };
     }
 
@@ -159,19 +159,19 @@
      * A run that a former process has begun, if the processor still knows it: its end is heard of,
      * and it is never begun.
      */
-    public void adopt(String rid, String operation, Ended then) {
-        Run run =
-                new Run(
+    public void adopt(String rid, String operation, RunListener then) {
+        ActiveRun run =
+                new ActiveRun(
                         rid,
                         operation,
                         new byte[0],
                         false,
-                        end -> then.ended(result(end.how()), end.took(), end.result()));
+                        end -> then.onRunFinished(result(end.how()), end.took(), end.result()));
         run.adopted = true;
         runs.put(rid, run);
     }
 
-    private void begin(Run run) {
+    private void begin(ActiveRun run) {
         counted("begin " + run.rid + ' ' + run.operation, run.body);
     }
 
@@ -180,8 +180,8 @@
     }
 
     @Override
-    public void interrupt(String rid) {
-        Run run = runs.get(rid);
+    public void cancelRun(String rid) {
+        ActiveRun run = runs.get(rid);
         if (run == null) {
             return;
         }
@@ -193,7 +193,7 @@
 
     /** The reply to the call that a run waits for. */
     public void answer(String rid, byte[] reply) {
-        Run run = runs.get(rid);
+        ActiveRun run = runs.get(rid);
         if (run == null) {
             return;
         }
@@ -219,7 +219,7 @@
      */
     private void caughtUp() {
         ready = true;
-        for (Run run : new ArrayList<>(runs.values())) {
+        for (ActiveRun run : new ArrayList<>(runs.values())) {
             if (run.adopted) {
                 if (run.stopped) {
                     connection.write("interrupt " + run.rid + "\r\n");
@@ -230,7 +230,7 @@
                 // Guards against a second effect: its end may have been among the notices that are
                 // lost.
                 runs.remove(run.rid);
-                run.then.accept(new Run.End("error", Duration.ZERO, null));
+                run.then.accept(new ActiveRun.End("error", Duration.ZERO, null));
                 continue;
             }
             begin(run);
@@ -298,10 +298,10 @@
     }
 
     /** One link, from its connection to its end. */
-    private final class End implements Receiver {
+    private final class End implements ConnectionHandler {
         private final Connection mine;
         private final InetSocketAddress to;
-        private final Frames frames = new Frames(LONGEST, true, Link::bodyLength);
+        private final Frames frames = new Frames(LONGEST, true, ProcessorClient::bodyLength);
 
         End(Connection mine, InetSocketAddress to) {
             this.mine = mine;
@@ -390,14 +390,14 @@
         }
 
         private void ended(String rid, String how, Duration took, byte[] result) {
-            Run run = runs.remove(rid);
+            ActiveRun run = runs.remove(rid);
             if (run != null) {
-                run.then.accept(new Run.End(how, took, result));
+                run.then.accept(new ActiveRun.End(how, took, result));
             }
         }
 
         private void call(String rid, byte[] body) {
-            Run run = runs.get(rid);
+            ActiveRun run = runs.get(rid);
             if (run == null) {
                 return;
             }
@@ -427,7 +427,7 @@
                 connection = null;
                 unlinked();
             }
-            schedule.after(AGAIN, Link.this::connect);
+            schedule.after(AGAIN, ProcessorClient.this::connect);
         }
     }
 }
--- a/src/main/java/ochretiller/records/Records.java
+++ b/src/main/java/ochretiller/records/RecordsClient.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import ochretiller.model.CallEnd;
+import ochretiller.model.CallOutcome;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
+import ochretiller.net.ConnectionHandler;
 import ochretiller.net.Network;
-import ochretiller.net.Receiver;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 import ochretiller.text.BadInputException;
 import ochretiller.text.Frames;
 import ochretiller.text.Slice;
@@ -26,7 +26,7 @@
  * spoils one reply spoils no other. The one that was used last is used next, and one that stands
  * idle is closed before it can be forgotten.
  */
-public final class Records {
+public final class RecordsClient {
     private static final int LONGEST = 64 * 1024;
 
     /**
@@ -36,7 +36,7 @@
 
     private static final Duration SWEEP = Duration.ofMillis(100);
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final Network network;
     private final int most;
     private final Map<String, Call> calls = new LinkedHashMap<>();
@@ -55,7 +55,7 @@
     /** What is told of the end of a call; the reply has no bytes unless it succeeded. */
     @FunctionalInterface
     public interface EndOfCall {
-        void ended(CallEnd end, byte[] reply);
+        void ended(CallOutcome end, byte[] reply);
     }
 
     private static final class Call {
@@ -83,7 +83,7 @@
      * @param address where the service is, or null where there is none
      * @param most connections that may be open at once; calls beyond them wait for one
      */
-    public Records(Schedule schedule, Network network, InetSocketAddress address, int most) {
+    public RecordsClient(Scheduler schedule, Network network, InetSocketAddress address, int most) {
         this.schedule = schedule;
         this.network = network;
         this.address = address;
@@ -151,7 +151,10 @@
         // What was not even written is known not to have run.
         boolean never = call.on == null;
         abandon(call.rid);
-        end(call, never ? CallEnd.Result.NOT_REACHED : CallEnd.Result.TIMED_OUT, new byte[0]);
+        end(
+                call,
+                never ? CallOutcome.Status.UNREACHABLE : CallOutcome.Status.TIMED_OUT,
+                new byte[0]);
     }
 
     /** The run that made the call is over: nobody waits for it any more. */
@@ -165,9 +168,9 @@
         call.on.leave(CloseCode.GIVEN_UP);
     }
 
-    private void end(Call call, CallEnd.Result result, byte[] reply) {
+    private void end(Call call, CallOutcome.Status result, byte[] reply) {
         calls.remove(call.rid, call);
-        call.then.ended(new CallEnd(result, schedule.now().minus(call.madeAt)), reply);
+        call.then.ended(new CallOutcome(result, schedule.now().minus(call.madeAt)), reply);
     }
 
     private void refused() {
@@ -179,7 +182,7 @@
     private void notReached() {
         List<Call> none = new ArrayList<>(unsent);
         unsent.clear();
-        none.forEach(call -> end(call, CallEnd.Result.NOT_REACHED, new byte[0]));
+        none.forEach(call -> end(call, CallOutcome.Status.UNREACHABLE, new byte[0]));
     }
 
     private void sweep() {
@@ -212,23 +215,23 @@
         throw new BadInputException("no length: '" + words.get(2) + "'");
     }
 
-    private static CallEnd.Result result(String word) {
+    private static CallOutcome.Status result(String word) {
         return switch (word) {
-            case "DONE" -> CallEnd.Result.SUCCEEDED;
-            case "WAIT" -> CallEnd.Result.TURNED_AWAY;
-            case "ERROR" -> CallEnd.Result.ERRORED;
-            case "PAST" -> CallEnd.Result.TIMED_OUT;
-            case "EMPTY" -> CallEnd.Result.NOT_REACHED;
+            case "DONE" -> CallOutcome.Status.SUCCEEDED;
+            case "WAIT" -> CallOutcome.Status.REJECTED;
+            case "ERROR" -> CallOutcome.Status.FAILED;
+            case "PAST" -> CallOutcome.Status.TIMED_OUT;
+            case "EMPTY" -> CallOutcome.Status.UNREACHABLE;
             default -> throw new BadInputException("unknown reply '" + word + "'");
         };
     }
 
     /** One connection, from its making to its end. */
-    private final class End implements Receiver {
+    private final class End implements ConnectionHandler {
         private final Connection mine;
         private final InetSocketAddress to;
         private final long made;
-        private final Frames frames = new Frames(LONGEST, true, Records::bodyLength);
+        private final Frames frames = new Frames(LONGEST, true, RecordsClient::bodyLength);
 
         /** The call that was written on it and is not over. */
         private Call call;
@@ -295,7 +298,7 @@
                         if (words.size() < 2) {
                             throw new BadInputException("no reply: '" + line.text() + "'");
                         }
-                        CallEnd.Result result = result(words.get(1));
+                        CallOutcome.Status result = result(words.get(1));
                         byte[] reply = body.copy(); // it may have to be said again on another link
                         work.add(() -> replied(words.get(0), result, reply));
                     });
@@ -303,13 +306,13 @@
         }
 
         /** A second copy of a reply, or one to a call of another's, is passed over. */
-        private void replied(String rid, CallEnd.Result result, byte[] reply) {
+        private void replied(String rid, CallOutcome.Status result, byte[] reply) {
             Call done = call;
             if (done == null || !done.rid.equals(rid) || calls.get(rid) != done) {
                 return;
             }
             free();
-            Records.this.end(done, result, reply);
+            RecordsClient.this.end(done, result, reply);
             next();
         }
 
@@ -324,7 +327,7 @@
             idle.remove(this);
             // What was written may have run; a connection that breaks proves nothing.
             if (call != null && calls.get(call.rid) == call) {
-                Records.this.end(call, CallEnd.Result.RESET, new byte[0]);
+                RecordsClient.this.end(call, CallOutcome.Status.RESET, new byte[0]);
             }
             next();
         }
--- a/src/main/java/ochretiller/roster/Roster.java
+++ b/src/main/java/ochretiller/registry/RegistryReporter.java
@@ -1,4 +1,4 @@
-package ochretiller.roster;
+package ochretiller.registry;
 
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -7,11 +7,11 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.logging.Logger;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 
 /** Reports this server by single datagrams that get no answer. */
-public final class Roster {
-    private static final Logger LOG = Logger.getLogger(Roster.class.getName());
+public final class RegistryReporter {
+    private static final Logger LOG = Logger.getLogger(RegistryReporter.class.getName());
 
     /**
      * An entry lapses after 3 s: of a dozen reports the last may come a second late, and many may
@@ -19,13 +19,14 @@
      */
     private static final Duration EVERY = Duration.ofMillis(250);
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private InetSocketAddress address;
     private final String name;
     private final DatagramSocket socket;
     private boolean leaving;
 
-    public Roster(Schedule schedule, InetSocketAddress address, String name) throws IOException {
+    public RegistryReporter(Scheduler schedule, InetSocketAddress address, String name)
+            throws IOException {
         this.schedule = schedule;
         this.address = address;
         this.name = name;
--- a/src/main/java/ochretiller/roster/package-info.java
+++ b/src/main/java/ochretiller/registry/package-info.java
@@ -1,2 +1,2 @@
 /** Reports to the roster, which tells gateways about servers. */
-package ochretiller.roster;
+package ochretiller.registry;
--- a/src/main/java/ochretiller/server/Step.java
+++ b/src/main/java/ochretiller/server/Action.java
@@ -2,16 +2,16 @@
 
 /** What to do next: it acts on the server and leaves continuations there for the results. */
 @FunctionalInterface
-public interface Step {
+public interface Action {
     /** Nothing to do. */
-    Step NONE = server -> {};
+    Action NONE = server -> {};
 
-    void act(Server server);
+    void execute(ServerActions server);
 
-    default Step and(Step next) {
+    default Action andThen(Action next) {
         return server -> {
-            act(server);
-            next.act(server);
+            execute(server);
+            next.execute(server);
         };
     }
 }
--- a/src/main/java/ochretiller/settings/Nested.java
+++ b/src/main/java/ochretiller/settings/JsonSettings.java
@@ -6,10 +6,10 @@
 import java.util.stream.Collectors;
 
 /** Nested JSON by the paths that the simulator's wire uses for the same settings. */
-public final class Nested implements Lookup {
+public final class JsonSettings implements SettingLookup {
     private final Map<String, String> values = new HashMap<>();
 
-    public Nested(Map<String, Object> object) {
+    public JsonSettings(Map<String, Object> object) {
         put("", object);
     }
 
--- a/src/main/java/ochretiller/settings/Lookup.java
+++ b/src/main/java/ochretiller/settings/SettingLookup.java
@@ -4,7 +4,7 @@
 
 /** Values by their path, such as {@code classes.0.name}; names that nobody asks for are skipped. */
 @FunctionalInterface
-public interface Lookup {
+public interface SettingLookup {
     /** The value as text, or null where there is none. */
     String find(String name);
 
@@ -25,7 +25,7 @@
         return value == null ? otherwise : value;
     }
 
-    default long whole(String name) {
+    default long wholeNumber(String name) {
         String value = text(name);
         try {
             return Long.parseLong(value);
@@ -34,8 +34,8 @@
         }
     }
 
-    default long whole(String name, long otherwise) {
-        return has(name) ? whole(name) : otherwise;
+    default long wholeNumber(String name, long otherwise) {
+        return has(name) ? wholeNumber(name) : otherwise;
     }
 
     default double number(String name, double otherwise) {
@@ -49,8 +49,8 @@
         }
     }
 
-    default Duration span(String name, Duration otherwise) {
-        return has(name) ? Duration.ofNanos(whole(name)) : otherwise;
+    default Duration duration(String name, Duration otherwise) {
+        return has(name) ? Duration.ofNanos(wholeNumber(name)) : otherwise;
     }
 
     default boolean flag(String name) {
--- a/src/main/java/ochretiller/sim/SimHost.java
+++ b/src/main/java/ochretiller/sim/SimulatorHost.java
@@ -16,19 +16,19 @@
  * Hosts one instance of the decisions for each server that the simulator names, and answers its
  * batches.
  */
-public final class SimHost {
-    private final Map<String, Instance> instances = new HashMap<>();
+public final class SimulatorHost {
+    private final Map<String, SimulatedServer> instances = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private Duration clock = Duration.ZERO;
 
-    private SimHost() {}
+    private SimulatorHost() {}
 
     /** Serves batches until the input ends; returns the exit code. */
     public static int serve(InputStream in, OutputStream out, PrintStream errors)
             throws IOException {
         BufferedReader lines =
                 new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        SimHost host = new SimHost();
+        SimulatorHost host = new SimulatorHost();
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             try {
                 host.read(line);
@@ -49,13 +49,13 @@
         int end = line.indexOf('\t');
         String name = end < 0 ? line : line.substring(0, end);
         switch (name) {
-            case "tick" -> clock = Duration.ofNanos(Fields.of(line).whole("tsNs"));
+            case "tick" -> clock = Duration.ofNanos(WireFields.parse(line).wholeNumber("tsNs"));
             case "enlist" -> {
-                Fields fields = Fields.of(line);
+                WireFields fields = WireFields.parse(line);
                 String id = fields.text("serverId");
-                guarded(id, () -> instances.put(id, new Instance(id, fields, clock, reply)));
+                guarded(id, () -> instances.put(id, new SimulatedServer(id, fields, clock, reply)));
             }
-            case "shutdown" -> instances.remove(Fields.of(line).text("serverId"));
+            case "shutdown" -> instances.remove(WireFields.parse(line).text("serverId"));
             case "arrival",
                     "run_over",
                     "abandoned",
@@ -63,13 +63,13 @@
                     "call_ended",
                     "drain",
                     "timeout_fired" -> {
-                Fields fields = Fields.of(line);
+                WireFields fields = WireFields.parse(line);
                 String id = fields.text("serverId");
-                Instance instance = instances.get(id);
+                SimulatedServer instance = instances.get(id);
                 if (instance == null) {
                     throw new MalformedException(name + " for an unknown server '" + id + "'");
                 }
-                guarded(id, () -> instance.happened(name, fields, clock));
+                guarded(id, () -> instance.handleEvent(name, fields, clock));
             }
             default -> {} // an empty line, the batch's end, or a message of a later wire
         }
--- a/src/main/java/ochretiller/sim/Fields.java
+++ b/src/main/java/ochretiller/sim/WireFields.java
@@ -2,16 +2,16 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import ochretiller.settings.Lookup;
 import ochretiller.settings.MalformedException;
+import ochretiller.settings.SettingLookup;
 
 /** The name=value parts of one line, or the settings of one instance, read by name. */
-final class Fields implements Lookup {
+final class WireFields implements SettingLookup {
     private final Map<String, String> values = new HashMap<>();
 
     /** Reads what follows the message name; names that nobody asks for are skipped. */
-    static Fields of(String line) {
-        Fields fields = new Fields();
+    static WireFields parse(String line) {
+        WireFields fields = new WireFields();
         int from = line.indexOf('\t');
         while (from >= 0) {
             int to = line.indexOf('\t', from + 1);
@@ -22,8 +22,8 @@
     }
 
     /** Reads name:value pairs set apart by commas. */
-    static Fields ofGauges(String text) {
-        Fields fields = new Fields();
+    static WireFields parseGauges(String text) {
+        WireFields fields = new WireFields();
         if (!text.isEmpty()) {
             for (String pair : text.split(",")) {
                 fields.put(pair.replaceFirst(":", "="));
--- a/src/main/java/ochretiller/store/Ack.java
+++ b/src/main/java/ochretiller/store/AppendResult.java
@@ -1,15 +1,15 @@
 package ochretiller.store;
 
 /** What became of an append. */
-public enum Ack {
+public enum AppendResult {
     /** It is on the medium and outlives a power cut. */
     DURABLE,
     /** The disk failed at it: it may be on the medium or not, and a later start may find it. */
     UNKNOWN,
     /** The bounds leave no room; nothing was written. */
-    FULL,
+    CAPACITY_EXCEEDED,
     /** The disk has failed before and was not found well since; nothing was written. */
-    SICK,
+    UNAVAILABLE,
     /** Too much waits for the disk already; nothing was written. */
-    BUSY
+    QUEUE_FULL
 }
--- a/src/main/java/ochretiller/store/Boot.java
+++ b/src/main/java/ochretiller/store/BootClock.java
@@ -9,25 +9,25 @@
 /**
  * A clock that nobody can set, as far as the machine has one.
  *
- * @param id names the run of the machine, so that a restarted process knows whether the clock went
- *     on; null where that cannot be told
- * @param millis milliseconds since a moment that is the same for all processes under this id
+ * @param bootId names the run of the machine, so that a restarted process knows whether the clock
+ *     went on; null where that cannot be told
+ * @param uptimeMillis milliseconds since a moment that is the same for all processes under this id
  */
-public record Boot(UUID id, LongSupplier millis) {
+public record BootClock(UUID bootId, LongSupplier uptimeMillis) {
     /**
      * The kernel's own time since boot; where it is not told, time since the start of this process.
      */
-    public static Boot ofMachine() {
+    public static BootClock ofKernel() {
         try {
             UUID id =
                     UUID.fromString(
                             Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim());
             long atStart = uptime();
             long start = System.nanoTime();
-            return new Boot(id, () -> atStart + (System.nanoTime() - start) / 1_000_000);
+            return new BootClock(id, () -> atStart + (System.nanoTime() - start) / 1_000_000);
         } catch (IOException | IllegalArgumentException e) {
             long start = System.nanoTime();
-            return new Boot(null, () -> (System.nanoTime() - start) / 1_000_000);
+            return new BootClock(null, () -> (System.nanoTime() - start) / 1_000_000);
         }
     }
 
--- a/src/main/java/ochretiller/store/Compaction.java
+++ b/src/main/java/ochretiller/store/Compaction.java
@@ -22,44 +22,46 @@
     private final Segment segment;
     private final long rate;
     private final long begunAt;
-    private final List<Index.Slot> live;
-    private final Map<Index.Slot, Integer> places = new HashMap<>();
-    private Disk.File from;
-    private Disk.File to;
+    private final List<Index.IndexEntry> live;
+    private final Map<Index.IndexEntry, Integer> places = new HashMap<>();
+    private StorageDirectory.StorageFile from;
+    private StorageDirectory.StorageFile to;
     private int next;
-    private long size = Format.HEADER;
+    private long size = RecordFormat.SEGMENT_HEADER_BYTES;
     private boolean done;
 
     Compaction(Segment segment, long rate, long now) {
         this.segment = segment;
         this.rate = rate;
         this.begunAt = now;
-        this.live = new ArrayList<>(segment.live());
+        this.live = new ArrayList<>(segment.liveEntries());
         live.removeIf(
                 slot ->
-                        slot.expires
+                        slot.expiresAtMillis
                                 <= now); // a removal that is past its time hides nothing any more
-        live.sort(Comparator.comparingInt(slot -> slot.at));
+        live.sort(Comparator.comparingInt(slot -> slot.offset));
     }
 
     /**
      * The segment that gains most by it, or null: most of it is dead, and it will not soon be
      * dropped as a whole.
      */
-    static Compaction next(Collection<Segment> segments, Segment active, Limits limits, long now) {
+    static Compaction next(
+            Collection<Segment> segments, Segment active, StoreLimits limits, long now) {
         Segment best = null;
         for (Segment each : segments) {
             boolean worth =
                     each != active
                             && each.sealed
                             && !each.damaged
-                            && each.deadShare() >= limits.deadShare()
-                            && each.lastExpires - now > limits.worthCopying().toMillis();
-            if (worth && (best == null || each.dead > best.dead)) {
+                            && each.deadRatio() >= limits.compactionDeadRatio()
+                            && each.lastExpiryMillis - now
+                                    > limits.compactionMinRemainingLife().toMillis();
+            if (worth && (best == null || each.deadBytes > best.deadBytes)) {
                 best = each;
             }
         }
-        return best == null ? null : new Compaction(best, limits.copyRate(), now);
+        return best == null ? null : new Compaction(best, limits.compactionBytesPerSecond(), now);
     }
 
     Segment segment() {
@@ -67,16 +69,16 @@
     }
 
     private String copy() {
-        return segment.file() + ".tmp";
+        return segment.fileName() + ".tmp";
     }
 
     /** Copies a little, as the rate allows; true once all is in the copy and on the medium. */
-    boolean step(Disk disk, long now) throws IOException {
+    boolean step(StorageDirectory disk, long now) throws IOException {
         if (to == null) {
             disk.delete(copy());
-            from = disk.open(segment.file());
+            from = disk.open(segment.fileName());
             to = disk.create(copy());
-            ByteBuffer header = ByteBuffer.allocate(Format.HEADER);
+            ByteBuffer header = ByteBuffer.allocate(RecordFormat.SEGMENT_HEADER_BYTES);
             from.read(header, 0);
             to.write(header.flip(), 0);
         }
@@ -84,18 +86,18 @@
                 rate == Long.MAX_VALUE
                         ? STEP
                         : Math.min(STEP, rate * (now - begunAt + 1) / 1000 - size);
-        ByteBuffer out = ByteBuffer.allocate(STEP + Format.LONGEST);
+        ByteBuffer out = ByteBuffer.allocate(STEP + RecordFormat.MAX_RECORD_BYTES);
         while (next < live.size() && out.position() < allowed) {
-            Index.Slot slot = live.get(next++);
-            if (slot.dead) {
+            Index.IndexEntry slot = live.get(next++);
+            if (slot.superseded) {
                 continue;
             }
-            ByteBuffer record = ByteBuffer.allocate(slot.size);
-            from.read(record, slot.at);
+            ByteBuffer record = ByteBuffer.allocate(slot.recordBytes);
+            from.read(record, slot.offset);
             // Guards against spreading damage: a record that went bad stays where it is, and so
             // does its segment.
-            if (Format.look(record.flip()) != Format.Place.WHOLE) {
-                throw new IOException("damage in " + segment.file());
+            if (RecordFormat.inspect(record.flip()) != RecordFormat.RecordStatus.VALID) {
+                throw new IOException("damage in " + segment.fileName());
             }
             places.put(slot, (int) (size + out.position()));
             out.put(record);
@@ -110,18 +112,18 @@
             return false;
         }
         if (!done) {
-            ByteBuffer seal = ByteBuffer.allocate(Hint.SEAL_SIZE);
-            Format.encode(
+            ByteBuffer seal = ByteBuffer.allocate(HintFile.SEAL_BYTES);
+            RecordFormat.encode(
                     seal,
                     lastSequence(),
-                    Format.SEAL,
+                    RecordFormat.SEAL,
                     0,
                     NONE,
                     NONE,
                     ByteBuffer.allocate(8).putLong(places.size()).array());
             to.write(seal.flip(), size);
             to.force();
-            size += Hint.SEAL_SIZE;
+            size += HintFile.SEAL_BYTES;
             done = true;
         }
         return true;
@@ -135,30 +137,30 @@
      * Puts the copy in the segment's place, on the medium too, and tells the index; returns the
      * bytes copied.
      */
-    long finish(Disk disk, Index index) throws IOException {
+    long finish(StorageDirectory disk, Index index) throws IOException {
         close();
-        disk.delete(Format.hint(segment.number));
-        disk.rename(copy(), segment.file());
+        disk.delete(RecordFormat.hintFileName(segment.number));
+        disk.rename(copy(), segment.fileName());
         // From here on the copy is what is read, whether or not the folder can be forced: either
         // file holds all that is live.
-        List<Index.Slot> gone =
-                segment.live().stream().filter(slot -> !places.containsKey(slot)).toList();
+        List<Index.IndexEntry> gone =
+                segment.liveEntries().stream().filter(slot -> !places.containsKey(slot)).toList();
         index.forget(gone);
-        long dead = Hint.SEAL_SIZE;
-        for (Map.Entry<Index.Slot, Integer> each : places.entrySet()) {
-            each.getKey().at = each.getValue();
-            if (each.getKey().dead) {
-                dead += each.getKey().size;
+        long dead = HintFile.SEAL_BYTES;
+        for (Map.Entry<Index.IndexEntry, Integer> each : places.entrySet()) {
+            each.getKey().offset = each.getValue();
+            if (each.getKey().superseded) {
+                dead += each.getKey().recordBytes;
             }
         }
         segment.size = size;
-        segment.dead = dead;
+        segment.deadBytes = dead;
         segment.records = places.size() + 1;
-        disk.forceFolder();
+        disk.forceDirectory();
         return size;
     }
 
-    void abandon(Disk disk) {
+    void abandon(StorageDirectory disk) {
         try {
             close();
             disk.delete(copy());
--- a/src/main/java/ochretiller/store/Gathering.java
+++ b/src/main/java/ochretiller/store/GroupCommitDelay.java
@@ -7,7 +7,7 @@
  * be. So the next group waits a little for as many as the last force has answered and found
  * waiting, and stops doing so for a while where they do not come. Time is handed in.
  */
-final class Gathering {
+final class GroupCommitDelay {
     /**
      * Share of a force's usual time that a group may wait: what is lost at most where nobody comes.
      */
@@ -24,26 +24,26 @@
      */
     private static final int MOST_SKIPPED = 64;
 
-    private int expected = 1;
+    private int expectedAppends = 1;
     private double usual;
     private int skips;
     private int left;
 
     /** How many the next group hopes for; one means that it does not wait. */
-    int expected() {
-        return left > 0 ? 1 : expected;
+    int expectedAppends() {
+        return left > 0 ? 1 : expectedAppends;
     }
 
     /** How long it may wait for them, nanoseconds. */
-    long patience() {
+    long maxWaitNanos() {
         return (long) Math.min(MOST, usual * SHARE);
     }
 
     /** So many had come when the wait was over. */
-    void came(int many) {
+    void waitEnded(int many) {
         if (left > 0) {
             left--;
-        } else if (expected > 1 && many < expected) {
+        } else if (expectedAppends > 1 && many < expectedAppends) {
             skips = Math.min(MOST_SKIPPED, Math.max(1, skips * 2));
             left = skips;
         } else {
@@ -52,8 +52,8 @@
     }
 
     /** A group was forced: so many were answered, so many wait already, and it took so long. */
-    void forced(int answered, int waiting, long nanos) {
-        expected = answered + waiting;
+    void forceCompleted(int answered, int waiting, long nanos) {
+        expectedAppends = answered + waiting;
         usual = usual == 0 ? nanos : usual + NEW * (nanos - usual);
     }
 }
--- a/src/main/java/ochretiller/store/Hint.java
+++ b/src/main/java/ochretiller/store/HintFile.java
@@ -10,42 +10,45 @@
  * itself to the segment by its size and the check sum of its seal; one that is not whole or not of
  * this file is passed over.
  *
- * @param dead bytes of records that newer ones of the same segment have replaced, the seal with
- *     them
+ * @param deadBytes bytes of records that newer ones of the same segment have replaced, the seal
+ *     with them
  */
-record Hint(List<Index.Slot> slots, int records, long lastSequence, long dead) {
+record HintFile(List<Index.IndexEntry> entries, int records, long lastSequence, long deadBytes) {
     private static final int START = 48;
     private static final int FIXED = 31;
 
     /** A seal is a record without key and meta whose value counts those before it. */
-    static final int SEAL_SIZE = Format.size(0, 0, 8);
+    static final int SEAL_BYTES = RecordFormat.recordBytes(0, 0, 8);
 
-    private static int sealSum(Disk.File file, long size) throws IOException {
-        ByteBuffer seal = ByteBuffer.allocate(SEAL_SIZE);
-        if (size < Format.HEADER + SEAL_SIZE || file.read(seal, size - SEAL_SIZE) < SEAL_SIZE) {
+    private static int sealSum(StorageDirectory.StorageFile file, long size) throws IOException {
+        ByteBuffer seal = ByteBuffer.allocate(SEAL_BYTES);
+        if (size < RecordFormat.SEGMENT_HEADER_BYTES + SEAL_BYTES
+                || file.read(seal, size - SEAL_BYTES) < SEAL_BYTES) {
             return 0;
         }
         seal.flip();
-        if (Format.look(seal) != Format.Place.WHOLE || Format.entry(seal).kind() != Format.SEAL) {
+        if (RecordFormat.inspect(seal) != RecordFormat.RecordStatus.VALID
+                || RecordFormat.decode(seal).kind() != RecordFormat.SEAL) {
             return 0;
         }
         return seal.getInt(12);
     }
 
     /** Writes it beside its segment. It need not be forced: a start does without it. */
-    static void write(Disk disk, Segment segment, long lastSequence) throws IOException {
+    static void write(StorageDirectory disk, Segment segment, long lastSequence)
+            throws IOException {
         int sum;
-        try (Disk.File file = disk.open(segment.file())) {
+        try (StorageDirectory.StorageFile file = disk.open(segment.fileName())) {
             sum = sealSum(file, segment.size);
         }
-        List<Index.Slot> slots = segment.live();
+        List<Index.IndexEntry> slots = segment.liveEntries();
         int length = START + 4;
-        for (Index.Slot slot : slots) {
-            length += FIXED + slot.key.bytes.length + slot.meta.length;
+        for (Index.IndexEntry slot : slots) {
+            length += FIXED + slot.key.bytes.length + slot.metadata.length;
         }
         ByteBuffer out = ByteBuffer.allocate(length);
-        out.putLong(Format.HINT_MAGIC)
-                .putShort((short) Format.VERSION)
+        out.putLong(RecordFormat.HINT_MAGIC)
+                .putShort((short) RecordFormat.VERSION)
                 .putShort((short) 0)
                 .putInt(slots.size())
                 .putLong(segment.size)
@@ -53,31 +56,36 @@
                 .putInt(segment.records)
                 .putLong(lastSequence)
                 .putLong(segment.number);
-        for (Index.Slot slot : slots) {
+        for (Index.IndexEntry slot : slots) {
             out.putLong(slot.sequence)
                     .put(slot.kind)
-                    .putLong(slot.expires)
-                    .putInt(slot.at)
-                    .putInt(slot.size)
+                    .putLong(slot.expiresAtMillis)
+                    .putInt(slot.offset)
+                    .putInt(slot.recordBytes)
                     .putShort((short) slot.key.bytes.length)
-                    .putInt(slot.meta.length)
+                    .putInt(slot.metadata.length)
                     .put(slot.key.bytes)
-                    .put(slot.meta);
+                    .put(slot.metadata);
         }
-        out.putInt(Format.crc(out.array(), 0, out.position()));
-        String name = Format.hint(segment.number);
+        out.putInt(RecordFormat.checksum(out.array(), 0, out.position()));
+        String name = RecordFormat.hintFileName(segment.number);
         disk.delete(name);
-        try (Disk.File file = disk.create(name + ".tmp")) {
+        try (StorageDirectory.StorageFile file = disk.create(name + ".tmp")) {
             file.write(out.flip(), 0);
         }
         disk.rename(name + ".tmp", name);
     }
 
     /** The hint of this segment, or null. */
-    static Hint read(Disk disk, Disk.File segmentFile, Segment segment, long size)
+    static HintFile read(
+            StorageDirectory disk,
+            StorageDirectory.StorageFile segmentFile,
+            Segment segment,
+            long size)
             throws IOException {
         ByteBuffer in;
-        try (Disk.File file = disk.open(Format.hint(segment.number))) {
+        try (StorageDirectory.StorageFile file =
+                disk.open(RecordFormat.hintFileName(segment.number))) {
             long length = file.size();
             if (length < START + 4 || length > Integer.MAX_VALUE - 8) {
                 return null;
@@ -87,10 +95,10 @@
         }
         in.flip();
         int end = in.limit() - 4;
-        if (in.getLong() != Format.HINT_MAGIC || in.getShort() != Format.VERSION) {
+        if (in.getLong() != RecordFormat.HINT_MAGIC || in.getShort() != RecordFormat.VERSION) {
             return null;
         }
-        if (in.getInt(end) != Format.crc(in.array(), 0, end)) {
+        if (in.getInt(end) != RecordFormat.checksum(in.array(), 0, end)) {
             return null;
         }
         in.getShort();
@@ -103,8 +111,8 @@
         if (in.getLong() != segment.number) {
             return null;
         }
-        List<Index.Slot> slots = new ArrayList<>(count);
-        long dead = size - Format.HEADER;
+        List<Index.IndexEntry> slots = new ArrayList<>(count);
+        long dead = size - RecordFormat.SEGMENT_HEADER_BYTES;
         for (int i = 0; i < count; i++) {
             long sequence = in.getLong();
             byte kind = in.get();
@@ -115,10 +123,10 @@
             byte[] meta = new byte[in.getInt()];
             in.get(key).get(meta);
             slots.add(
-                    new Index.Slot(
-                            new Key(key), sequence, kind, expires, meta, bytes, segment, at));
+                    new Index.IndexEntry(
+                            new StoreKey(key), sequence, kind, expires, meta, bytes, segment, at));
             dead -= bytes;
         }
-        return new Hint(slots, records, lastSequence, dead);
+        return new HintFile(slots, records, lastSequence, dead);
     }
 }
--- a/src/main/java/ochretiller/store/Index.java
+++ b/src/main/java/ochretiller/store/Index.java
@@ -11,27 +11,27 @@
      * Bytes of memory that an entry takes beside its key and meta: two objects, two arrays, its
      * place in the map.
      */
-    static final int COST = 200;
+    static final int ENTRY_OVERHEAD_BYTES = 200;
 
     /**
      * The newest record of a key; a removed one stays until it expires, so that an older record
      * cannot come back.
      */
-    static final class Slot {
-        final Key key;
+    static final class IndexEntry {
+        final StoreKey key;
         final long sequence;
         final byte kind;
-        final long expires;
-        final byte[] meta;
-        final int size;
+        final long expiresAtMillis;
+        final byte[] metadata;
+        final int recordBytes;
         Segment segment;
-        int at;
+        int offset;
 
         /** A newer record of its key has been told. */
-        boolean dead;
+        boolean superseded;
 
-        Slot(
-                Key key,
+        IndexEntry(
+                StoreKey key,
                 long sequence,
                 byte kind,
                 long expires,
@@ -42,63 +42,63 @@
             this.key = key;
             this.sequence = sequence;
             this.kind = kind;
-            this.expires = expires;
-            this.meta = meta;
-            this.size = size;
+            this.expiresAtMillis = expires;
+            this.metadata = meta;
+            this.recordBytes = size;
             this.segment = segment;
-            this.at = at;
+            this.offset = at;
         }
 
-        boolean live() {
-            return kind == Format.PUT;
+        boolean isPut() {
+            return kind == RecordFormat.PUT;
         }
     }
 
-    private final Map<Key, Slot> slots = new HashMap<>();
-    private int entries;
-    private long memory;
+    private final Map<StoreKey, IndexEntry> slots = new HashMap<>();
+    private int liveKeys;
+    private long memoryBytes;
 
-    int entries() {
-        return entries;
+    int liveKeys() {
+        return liveKeys;
     }
 
-    long memory() {
-        return memory;
+    long memoryBytes() {
+        return memoryBytes;
     }
 
-    Slot get(Key key) {
+    IndexEntry get(StoreKey key) {
         return slots.get(key);
     }
 
     /** The newest wins, in whatever order they are told. */
-    void put(Slot slot) {
+    void put(IndexEntry slot) {
         slot.segment.add(slot);
-        Slot old = slots.get(slot.key);
+        IndexEntry old = slots.get(slot.key);
         if (old != null && old.sequence > slot.sequence) {
-            slot.segment.dies(slot);
+            slot.segment.supersede(slot);
             return;
         }
         if (old != null) {
             forget(old);
         }
         slots.put(slot.key, slot);
-        entries += slot.live() ? 1 : 0;
-        memory += COST + slot.key.bytes.length + slot.meta.length;
+        liveKeys += slot.isPut() ? 1 : 0;
+        memoryBytes += ENTRY_OVERHEAD_BYTES + slot.key.bytes.length + slot.metadata.length;
     }
 
-    private void forget(Slot slot) {
-        slot.segment.dies(slot);
+    private void forget(IndexEntry slot) {
+        slot.segment.supersede(slot);
         slots.remove(slot.key);
-        entries -= slot.live() ? 1 : 0;
-        memory -= COST + slot.key.bytes.length + slot.meta.length;
+        liveKeys -= slot.isPut() ? 1 : 0;
+        memoryBytes -= ENTRY_OVERHEAD_BYTES + slot.key.bytes.length + slot.metadata.length;
     }
 
     /** Forgets what is given up together with its file, or is past its time. */
-    void forget(List<Slot> gone) {
+    void forget(List<IndexEntry> gone) {
         gone.stream().filter(slot -> slots.get(slot.key) == slot).forEach(this::forget);
     }
 
-    void forEach(Consumer<Slot> with) {
+    void forEach(Consumer<IndexEntry> with) {
         slots.values().forEach(with);
     }
 }
--- a/src/main/java/ochretiller/store/RealDisk.java
+++ b/src/main/java/ochretiller/store/LocalDirectory.java
@@ -16,18 +16,18 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system. */
-public final class RealDisk implements Disk {
+public final class LocalDirectory implements StorageDirectory {
     private static final String LOCK = "LOCK";
 
     private final Path folder;
 
     /** The folder is made when it is locked, where it is not there yet. */
-    public RealDisk(Path folder) {
+    public LocalDirectory(Path folder) {
         this.folder = folder;
     }
 
     @Override
-    public Closeable lock() throws IOException {
+    public Closeable acquireLock() throws IOException {
         Files.createDirectories(folder);
         FileChannel channel =
                 FileChannel.open(
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public List<String> list() throws IOException {
+    public List<String> listFiles() throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new StoreException("there is no store in " + folder);
         }
@@ -57,12 +57,12 @@
         }
     }
 
-    private File channel(String name, OpenOption... options) throws IOException {
+    private StorageFile channel(String name, OpenOption... options) throws IOException {
         return new Channel(FileChannel.open(folder.resolve(name), options));
     }
 
     @Override
-    public File open(String name) throws IOException {
+    public StorageFile open(String name) throws IOException {
         Path file = folder.resolve(name);
         return Files.isWritable(file)
                 ? channel(name, StandardOpenOption.READ, StandardOpenOption.WRITE)
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public File create(String name) throws IOException {
+    public StorageFile create(String name) throws IOException {
         return channel(
                 name,
                 StandardOpenOption.READ,
@@ -92,13 +92,13 @@
     }
 
     @Override
-    public void forceFolder() throws IOException {
+    public void forceDirectory() throws IOException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
 
-    private record Channel(FileChannel channel) implements File {
+    private record Channel(FileChannel channel) implements StorageFile {
         @Override
         public void write(ByteBuffer bytes, long at) throws IOException {
             for (long place = at; bytes.hasRemaining(); ) {
--- a/src/main/java/ochretiller/store/Format.java
+++ b/src/main/java/ochretiller/store/RecordFormat.java
@@ -7,32 +7,33 @@
 import java.util.zip.CRC32C;
 
 /** The bytes of the files, as docs/store-format.md has them. All numbers are big-endian. */
-final class Format {
+final class RecordFormat {
     static final int VERSION = 1;
 
     /** "OCHRELOG" and "OCHREHNT". */
     static final long SEGMENT_MAGIC = 0x4F4348_52454C4F47L;
 
     static final long HINT_MAGIC = 0x4F4348_5245484E54L;
-    static final int HEADER = 72;
+    static final int SEGMENT_HEADER_BYTES = 72;
 
     /** "OCRc" begins each record, so that a reader can find the next one behind a damaged place. */
-    static final int MARK = 0x4F435263;
+    static final int RECORD_MAGIC = 0x4F435263;
 
     /**
      * Mark, length, its complement and check sum of a record, and the fixed part of what is
      * counted.
      */
-    static final int FRAME = 16;
+    static final int FRAME_BYTES = 16;
 
-    static final int FIXED = 20;
-    static final int LONGEST_KEY = 512;
-    static final int LONGEST_META = 255;
-    static final int LONGEST_VALUE = 1 << 20;
-    static final int LONGEST = FRAME + FIXED + LONGEST_KEY + LONGEST_META + LONGEST_VALUE;
+    static final int FIXED_FIELDS_BYTES = 20;
+    static final int MAX_KEY_BYTES = 512;
+    static final int MAX_METADATA_BYTES = 255;
+    static final int MAX_VALUE_BYTES = 1 << 20;
+    static final int MAX_RECORD_BYTES =
+            FRAME_BYTES + FIXED_FIELDS_BYTES + MAX_KEY_BYTES + MAX_METADATA_BYTES + MAX_VALUE_BYTES;
 
     static final byte PUT = 1;
-    static final byte REMOVE = 2;
+    static final byte TOMBSTONE = 2;
 
     /**
      * The last record of a segment that was ended in order; its value counts the records before it.
@@ -42,23 +43,23 @@
     private static final Pattern NAME =
             Pattern.compile("seg-([0-9a-f]{16})\\.(log|hint|log\\.tmp|hint\\.tmp)");
 
-    private Format() {}
+    private RecordFormat() {}
 
     /** Which file of a store a name is. */
-    record Name(long number, String kind) {
-        static Name of(String text) {
+    record FileName(long number, String kind) {
+        static FileName of(String text) {
             Matcher matcher = NAME.matcher(text);
             return matcher.matches()
-                    ? new Name(Long.parseUnsignedLong(matcher.group(1), 16), matcher.group(2))
+                    ? new FileName(Long.parseUnsignedLong(matcher.group(1), 16), matcher.group(2))
                     : null;
         }
     }
 
-    static String segment(long number) {
+    static String segmentFileName(long number) {
         return String.format("seg-%016x.log", number);
     }
 
-    static String hint(long number) {
+    static String hintFileName(long number) {
         return String.format("seg-%016x.hint", number);
     }
 
@@ -67,39 +68,40 @@
      *
      * @param afterFailure the segment before it was given up after a failure of the disk and has no
      *     seal
-     * @param boot the run of the machine under which it was begun, or null
-     * @param offset the store's time less the clock of that run, milliseconds
-     * @param begunAt the store's time at its start, milliseconds
+     * @param bootId the run of the machine under which it was begun, or null
+     * @param clockOffsetMillis the store's time less the clock of that run, milliseconds
+     * @param createdAtMillis the store's time at its start, milliseconds
      */
-    record Header(
+    record SegmentHeader(
             long number,
             long firstSequence,
             boolean afterFailure,
-            UUID boot,
-            long offset,
-            long begunAt) {
+            UUID bootId,
+            long clockOffsetMillis,
+            long createdAtMillis) {
         ByteBuffer encode() {
-            ByteBuffer out = ByteBuffer.allocate(HEADER);
+            ByteBuffer out = ByteBuffer.allocate(SEGMENT_HEADER_BYTES);
             out.putLong(SEGMENT_MAGIC)
                     .putShort((short) VERSION)
-                    .putShort((short) HEADER)
+                    .putShort((short) SEGMENT_HEADER_BYTES)
                     .putInt(afterFailure ? 1 : 0)
                     .putLong(number)
                     .putLong(firstSequence)
-                    .putLong(boot == null ? 0 : boot.getMostSignificantBits())
-                    .putLong(boot == null ? 0 : boot.getLeastSignificantBits())
-                    .putLong(offset)
-                    .putLong(begunAt);
-            out.putInt(crc(out.array(), 0, out.position()));
+                    .putLong(bootId == null ? 0 : bootId.getMostSignificantBits())
+                    .putLong(bootId == null ? 0 : bootId.getLeastSignificantBits())
+                    .putLong(clockOffsetMillis)
+                    .putLong(createdAtMillis);
+            out.putInt(checksum(out.array(), 0, out.position()));
             return out.clear();
         }
 
         /** The header, or null where the bytes are none that was written whole. */
-        static Header decode(ByteBuffer in, String file) throws StoreException {
-            if (in.remaining() < HEADER || in.getLong(0) != SEGMENT_MAGIC) {
+        static SegmentHeader decode(ByteBuffer in, String file) throws StoreException {
+            if (in.remaining() < SEGMENT_HEADER_BYTES || in.getLong(0) != SEGMENT_MAGIC) {
                 return null;
             }
-            if (in.getInt(HEADER - 8) != crc(in.array(), in.arrayOffset(), HEADER - 8)) {
+            if (in.getInt(SEGMENT_HEADER_BYTES - 8)
+                    != checksum(in.array(), in.arrayOffset(), SEGMENT_HEADER_BYTES - 8)) {
                 return null;
             }
             int version = in.getShort(8);
@@ -115,7 +117,7 @@
             UUID boot = new UUID(in.getLong(32), in.getLong(40));
             boolean none =
                     boot.getMostSignificantBits() == 0 && boot.getLeastSignificantBits() == 0;
-            return new Header(
+            return new SegmentHeader(
                     in.getLong(16),
                     in.getLong(24),
                     in.getInt(12) == 1,
@@ -125,14 +127,14 @@
         }
     }
 
-    static int crc(byte[] bytes, int from, int length) {
+    static int checksum(byte[] bytes, int from, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, from, length);
         return (int) crc.getValue();
     }
 
-    static int size(int key, int meta, int value) {
-        return FRAME + FIXED + key + meta + value;
+    static int recordBytes(int key, int meta, int value) {
+        return FRAME_BYTES + FIXED_FIELDS_BYTES + key + meta + value;
     }
 
     static void encode(
@@ -144,8 +146,8 @@
             byte[] meta,
             byte[] value) {
         int start = out.position();
-        int length = FIXED + key.length + meta.length + value.length;
-        out.putInt(MARK)
+        int length = FIXED_FIELDS_BYTES + key.length + meta.length + value.length;
+        out.putInt(RECORD_MAGIC)
                 .putInt(length)
                 .putInt(~length)
                 .putInt(0)
@@ -157,26 +159,27 @@
                 .put(key)
                 .put(meta)
                 .put(value);
-        out.putInt(start + 12, crc(out.array(), out.arrayOffset() + start + FRAME, length));
+        out.putInt(
+                start + 12, checksum(out.array(), out.arrayOffset() + start + FRAME_BYTES, length));
     }
 
     /** A record as it lies in a buffer. */
-    record Entry(
+    record DecodedRecord(
             long sequence,
             byte kind,
-            long expires,
+            long expiresAtMillis,
             byte[] key,
-            byte[] meta,
-            int valueAt,
+            byte[] metadata,
+            int valueOffset,
             int valueLength,
-            int size) {}
+            int recordBytes) {}
 
     /** How a place in a segment reads: a record, or why there is none. */
-    enum Place {
-        WHOLE,
+    enum RecordStatus {
+        VALID,
         /** The bytes end before the record does: it was never written to its end. */
-        CUT,
-        WRONG
+        TRUNCATED,
+        CORRUPT
     }
 
     /**
@@ -184,47 +187,52 @@
      * end of the file. The length stands there twice, so that a flipped bit in it is not taken for
      * a record that was never written to its end.
      */
-    static Place look(ByteBuffer in) {
+    static RecordStatus inspect(ByteBuffer in) {
         int at = in.position();
-        if (in.remaining() >= 4 && in.getInt(at) != MARK) {
-            return Place.WRONG;
+        if (in.remaining() >= 4 && in.getInt(at) != RECORD_MAGIC) {
+            return RecordStatus.CORRUPT;
         }
-        if (in.remaining() < FRAME) {
-            return Place.CUT;
+        if (in.remaining() < FRAME_BYTES) {
+            return RecordStatus.TRUNCATED;
         }
         int length = in.getInt(at + 4);
-        if (length != ~in.getInt(at + 8) || length < FIXED || length > LONGEST - FRAME) {
-            return Place.WRONG;
+        if (length != ~in.getInt(at + 8)
+                || length < FIXED_FIELDS_BYTES
+                || length > MAX_RECORD_BYTES - FRAME_BYTES) {
+            return RecordStatus.CORRUPT;
         }
-        if (in.remaining() < FRAME + length) {
-            return Place.CUT;
+        if (in.remaining() < FRAME_BYTES + length) {
+            return RecordStatus.TRUNCATED;
         }
-        if (in.getInt(at + 12) != crc(in.array(), in.arrayOffset() + at + FRAME, length)) {
-            return Place.WRONG;
+        if (in.getInt(at + 12)
+                != checksum(in.array(), in.arrayOffset() + at + FRAME_BYTES, length)) {
+            return RecordStatus.CORRUPT;
         }
-        int key = in.getShort(at + FRAME + 10) & 0xFFFF;
-        int meta = in.get(at + FRAME + 9) & 0xFF;
-        return FIXED + key + meta <= length ? Place.WHOLE : Place.WRONG;
+        int key = in.getShort(at + FRAME_BYTES + 10) & 0xFFFF;
+        int meta = in.get(at + FRAME_BYTES + 9) & 0xFF;
+        return FIXED_FIELDS_BYTES + key + meta <= length
+                ? RecordStatus.VALID
+                : RecordStatus.CORRUPT;
     }
 
     /** The record at the buffer's position, which {@link #look} has found whole. */
-    static Entry entry(ByteBuffer in) {
+    static DecodedRecord decode(ByteBuffer in) {
         int at = in.position();
         int length = in.getInt(at + 4);
-        int body = at + FRAME;
+        int body = at + FRAME_BYTES;
         byte[] meta = new byte[in.get(body + 9) & 0xFF];
         byte[] key = new byte[in.getShort(body + 10) & 0xFFFF];
-        in.get(body + FIXED, key);
-        in.get(body + FIXED + key.length, meta);
-        int value = FIXED + key.length + meta.length;
-        return new Entry(
+        in.get(body + FIXED_FIELDS_BYTES, key);
+        in.get(body + FIXED_FIELDS_BYTES + key.length, meta);
+        int value = FIXED_FIELDS_BYTES + key.length + meta.length;
+        return new DecodedRecord(
                 in.getLong(body),
                 in.get(body + 8),
                 in.getLong(body + 12),
                 key,
                 meta,
-                FRAME + value,
+                FRAME_BYTES + value,
                 length - value,
-                FRAME + length);
+                FRAME_BYTES + length);
     }
 }
