--- a/src/main/java/ochretiller/store/Recovery.java
+++ b/src/main/java/ochretiller/store/Recovery.java
@@ -20,25 +20,25 @@
     private static final int CHUNK = 1 << 20;
 
     /** One file, as it was read. */
-    static final class Found {
+    static final class RecoveredSegment {
         final Segment segment;
 
         /** Null where it cannot be read. */
-        final Format.Header header;
+        final RecordFormat.SegmentHeader header;
 
         /** Where the last whole record ends; behind it is what was never written whole. */
-        long goodEnd = Format.HEADER;
+        long goodEnd = RecordFormat.SEGMENT_HEADER_BYTES;
 
         boolean hinted;
 
-        Found(Segment segment, Format.Header header) {
+        RecoveredSegment(Segment segment, RecordFormat.SegmentHeader header) {
             this.segment = segment;
             this.header = header;
         }
     }
 
     final Index index = new Index();
-    final TreeMap<Long, Found> found = new TreeMap<>();
+    final TreeMap<Long, RecoveredSegment> found = new TreeMap<>();
 
     /**
      * Segments whose start was never written whole, hints without a segment, halves of a
@@ -51,11 +51,11 @@
     long lastSequence;
     long lastNumber;
 
-    private final Disk disk;
+    private final StorageDirectory disk;
     private final boolean useHints;
     private final Consumer<String> progress;
 
-    private Recovery(Disk disk, boolean useHints, Consumer<String> progress) {
+    private Recovery(StorageDirectory disk, boolean useHints, Consumer<String> progress) {
         this.disk = disk;
         this.useHints = useHints;
         this.progress = progress;
@@ -68,7 +68,7 @@
      *     every byte instead
      * @param progress told of each file
      */
-    static Recovery read(Disk disk, boolean useHints, Consumer<String> progress)
+    static Recovery read(StorageDirectory disk, boolean useHints, Consumer<String> progress)
             throws IOException {
         Recovery recovery = new Recovery(disk, useHints, progress);
         recovery.read();
@@ -78,8 +78,8 @@
     private void read() throws IOException {
         TreeSet<Long> segments = new TreeSet<>();
         TreeSet<Long> hints = new TreeSet<>();
-        for (String name : disk.list()) {
-            Format.Name known = Format.Name.of(name);
+        for (String name : disk.listFiles()) {
+            RecordFormat.FileName known = RecordFormat.FileName.of(name);
             if (known == null) {
                 if (!name.equals("LOCK")) {
                     foreign.add(name);
@@ -94,19 +94,19 @@
         }
         for (long number : hints) {
             if (!segments.contains(number)) {
-                useless.add(Format.hint(number));
+                useless.add(RecordFormat.hintFileName(number));
             }
         }
         for (long number : segments) {
             lastNumber = Math.max(lastNumber, number);
             segment(number, hints.contains(number), number == segments.last());
         }
-        Found before = null;
-        for (Found each : found.values()) {
+        RecoveredSegment before = null;
+        for (RecoveredSegment each : found.values()) {
             if (before != null
                     && !before.segment.sealed
                     && !before.segment.damaged
-                    && !each.segment.afterFailure) {
+                    && !each.segment.followsAbandoned) {
                 damaged(before, "its end is missing");
             }
             before = each;
@@ -114,31 +114,34 @@
     }
 
     private void segment(long number, boolean hint, boolean last) throws IOException {
-        String name = Format.segment(number);
+        String name = RecordFormat.segmentFileName(number);
         progress.accept(name);
-        try (Disk.File file = disk.open(name)) {
+        try (StorageDirectory.StorageFile file = disk.open(name)) {
             long size = file.size();
-            ByteBuffer start = ByteBuffer.allocate(Format.HEADER);
+            ByteBuffer start = ByteBuffer.allocate(RecordFormat.SEGMENT_HEADER_BYTES);
             file.read(start, 0);
-            Format.Header header = Format.Header.decode(start.flip(), name);
+            RecordFormat.SegmentHeader header =
+                    RecordFormat.SegmentHeader.decode(start.flip(), name);
             if (header != null && header.number() != number) {
                 header = null;
             }
-            if (header == null && last && size <= Format.HEADER) {
+            if (header == null && last && size <= RecordFormat.SEGMENT_HEADER_BYTES) {
                 useless.add(
                         name); // a segment is used only once its start is on the medium: this one
                 // never was
                 return;
             }
-            Found read =
-                    new Found(new Segment(number, header == null ? 0 : header.begunAt()), header);
+            RecoveredSegment read =
+                    new RecoveredSegment(
+                            new Segment(number, header == null ? 0 : header.createdAtMillis()),
+                            header);
             found.put(number, read);
             read.segment.size = size;
             if (header == null) {
                 damaged(read, "its start cannot be read");
                 return;
             }
-            read.segment.afterFailure = header.afterFailure();
+            read.segment.followsAbandoned = header.afterFailure();
             lastSequence = Math.max(lastSequence, header.firstSequence() - 1);
             if (!(hint && useHints && hinted(read, file, size))) {
                 scan(read, file, size);
@@ -146,8 +149,8 @@
         }
     }
 
-    private void damaged(Found read, String what) {
-        damage.add(read.segment.file() + ": " + what);
+    private void damaged(RecoveredSegment read, String what) {
+        damage.add(read.segment.fileName() + ": " + what);
         read.segment.damaged = true;
     }
 
@@ -157,16 +160,16 @@
      */
     long damagedUntil(long now, long span) {
         long until = Long.MIN_VALUE;
-        Found before = null;
-        for (Found each : found.values()) {
+        RecoveredSegment before = null;
+        for (RecoveredSegment each : found.values()) {
             if (before != null && before.segment.damaged) {
-                before.segment.lasts(each.segment.begunAt + span);
-                until = Math.max(until, each.segment.begunAt + span);
+                before.segment.extendLife(each.segment.createdAtMillis + span);
+                until = Math.max(until, each.segment.createdAtMillis + span);
             }
             before = each;
         }
         if (before != null && before.segment.damaged) {
-            before.segment.lasts(now + span);
+            before.segment.extendLife(now + span);
             until = Math.max(until, now + span);
         }
         return until;
@@ -175,35 +178,40 @@
     /**
      * Takes a sealed segment from its hint; false where the hint is not good or not of this file.
      */
-    private boolean hinted(Found read, Disk.File file, long size) throws IOException {
-        Hint hint = Hint.read(disk, file, read.segment, size);
+    private boolean hinted(RecoveredSegment read, StorageDirectory.StorageFile file, long size)
+            throws IOException {
+        HintFile hint = HintFile.read(disk, file, read.segment, size);
         if (hint == null) {
             return false;
         }
-        for (Index.Slot slot : hint.slots()) {
+        for (Index.IndexEntry slot : hint.entries()) {
             lastSequence = Math.max(lastSequence, slot.sequence);
             index.put(slot);
         }
         lastSequence = Math.max(lastSequence, hint.lastSequence());
         read.goodEnd = size;
-        read.segment.dead += hint.dead();
+        read.segment.deadBytes += hint.deadBytes();
         read.segment.records = hint.records();
         read.segment.sealed = true;
         read.hinted = true;
         return true;
     }
 
-    private void scan(Found read, Disk.File file, long size) throws IOException {
+    private void scan(RecoveredSegment read, StorageDirectory.StorageFile file, long size)
+            throws IOException {
         Segment segment = read.segment;
         ByteBuffer in =
                 ByteBuffer.allocate(
-                        (int) Math.min(Math.max(0, size - Format.HEADER), CHUNK + Format.LONGEST));
-        long base = Format.HEADER;
+                        (int)
+                                Math.min(
+                                        Math.max(0, size - RecordFormat.SEGMENT_HEADER_BYTES),
+                                        CHUNK + RecordFormat.MAX_RECORD_BYTES));
+        long base = RecordFormat.SEGMENT_HEADER_BYTES;
         in.limit(0);
         long skippedFrom = -1;
         boolean cut = false;
         while (true) {
-            if (in.remaining() < Format.LONGEST && base + in.limit() < size) {
+            if (in.remaining() < RecordFormat.MAX_RECORD_BYTES && base + in.limit() < size) {
                 long at = base + in.position();
                 in.clear();
                 file.read(in, at);
@@ -214,20 +222,20 @@
                 break;
             }
             long at = base + in.position();
-            Format.Place place = Format.look(in);
-            if (place == Format.Place.WHOLE) {
-                Format.Entry entry = Format.entry(in);
+            RecordFormat.RecordStatus place = RecordFormat.inspect(in);
+            if (place == RecordFormat.RecordStatus.VALID) {
+                RecordFormat.DecodedRecord entry = RecordFormat.decode(in);
                 if (skippedFrom >= 0) {
                     damaged(read, "bytes " + skippedFrom + " to " + at + " are no record");
                     skippedFrom = -1;
                 }
                 take(read, entry, at);
-                in.position(in.position() + entry.size());
+                in.position(in.position() + entry.recordBytes());
                 continue;
             }
             if (skippedFrom < 0) {
                 skippedFrom = at;
-                cut = place == Format.Place.CUT;
+                cut = place == RecordFormat.RecordStatus.TRUNCATED;
             }
             in.position(
                     in.position() + 1); // the next record, if there is one, begins with its mark
@@ -238,24 +246,24 @@
         }
     }
 
-    private void take(Found read, Format.Entry entry, long at) {
+    private void take(RecoveredSegment read, RecordFormat.DecodedRecord entry, long at) {
         Segment segment = read.segment;
         lastSequence = Math.max(lastSequence, entry.sequence());
-        read.goodEnd = at + entry.size();
+        read.goodEnd = at + entry.recordBytes();
         segment.records++;
-        segment.sealed = entry.kind() == Format.SEAL;
+        segment.sealed = entry.kind() == RecordFormat.SEAL;
         // A kind of a later release of the same format may be passed over, as the page says.
-        if (entry.kind() != Format.PUT && entry.kind() != Format.REMOVE) {
+        if (entry.kind() != RecordFormat.PUT && entry.kind() != RecordFormat.TOMBSTONE) {
             return;
         }
         index.put(
-                new Index.Slot(
-                        new Key(entry.key()),
+                new Index.IndexEntry(
+                        new StoreKey(entry.key()),
                         entry.sequence(),
                         entry.kind(),
-                        entry.expires(),
-                        entry.meta(),
-                        entry.size(),
+                        entry.expiresAtMillis(),
+                        entry.metadata(),
+                        entry.recordBytes(),
                         segment,
                         (int) at));
     }
--- a/src/main/java/ochretiller/store/Disk.java
+++ b/src/main/java/ochretiller/store/StorageDirectory.java
@@ -9,9 +9,9 @@
  * One folder of files as the store uses it; tests put one in its place that forgets, stalls and
  * fails by script.
  */
-public interface Disk {
+public interface StorageDirectory {
     /** An open file. */
-    interface File extends Closeable {
+    interface StorageFile extends Closeable {
         /** Writes all of it at this place, or fails with some of it written. */
         void write(ByteBuffer bytes, long at) throws IOException;
 
@@ -36,15 +36,15 @@
      * Takes the folder for this process alone; it is free again once closed or once the process is
      * gone.
      */
-    Closeable lock() throws IOException;
+    Closeable acquireLock() throws IOException;
 
     /** Names of the files in the folder, in no order. */
-    List<String> list() throws IOException;
+    List<String> listFiles() throws IOException;
 
-    File open(String name) throws IOException;
+    StorageFile open(String name) throws IOException;
 
     /** A new file; one that is there already is a failure. */
-    File create(String name) throws IOException;
+    StorageFile create(String name) throws IOException;
 
     void delete(String name) throws IOException;
 
@@ -52,5 +52,5 @@
     void rename(String from, String to) throws IOException;
 
     /** Names made, changed and deleted so far stay so behind a power cut. */
-    void forceFolder() throws IOException;
+    void forceDirectory() throws IOException;
 }
--- a/src/main/java/ochretiller/store/Store.java
+++ b/src/main/java/ochretiller/store/Store.java
@@ -24,8 +24,8 @@
  * <p>One thread of its own owns the files and the index. {@link #put}, {@link #remove}, {@link
  * #read} and {@link #probe} may be called from any one thread at a time and never wait. Behind a
  * failure of the disk nothing is written until {@link #probe} has begun a new segment; what was
- * under way is answered {@link Ack#UNKNOWN}, and is never tried again here, since a failed force
- * proves nothing about what is on the medium.
+ * under way is answered {@link AppendResult#UNKNOWN}, and is never tried again here, since a failed
+ * force proves nothing about what is on the medium.
  */
 public final class Store implements Closeable {
     /**
@@ -51,9 +51,9 @@
 
     private static final byte[] NONE = new byte[0];
 
-    private final Disk disk;
-    private final Limits limits;
-    private final Boot boot;
+    private final StorageDirectory disk;
+    private final StoreLimits limits;
+    private final BootClock boot;
     private final Executor back;
     private final Closeable lock;
     private final Index index;
@@ -62,15 +62,15 @@
     private final AtomicInteger waitingEntries = new AtomicInteger();
     private final AtomicLong waitingBytes = new AtomicLong();
     private final long offset;
-    private final List<Kept> kept = new ArrayList<>();
-    private final List<String> damage;
-    private final long damagedUntil;
+    private final List<RecoveredEntry> recoveredEntries = new ArrayList<>();
+    private final List<String> damageReports;
+    private final long incompleteUntilMillis;
     private final Thread thread;
     private ByteBuffer group = ByteBuffer.allocate(64 * 1024);
     private long sequence;
     private long lastNumber;
     private Segment active;
-    private Disk.File activeFile;
+    private StorageDirectory.StorageFile activeFile;
 
     /**
      * The newest segment has no seal, and what stands behind this place of it was never written
@@ -80,9 +80,9 @@
 
     private long unsealedEnd;
     private Compaction compaction;
-    private final Gathering gathering = new Gathering();
+    private final GroupCommitDelay gathering = new GroupCommitDelay();
     private long sweptAt;
-    private volatile Stats stats = new Stats(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, null);
+    private volatile StoreStats stats = new StoreStats(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, null);
     private volatile boolean closing;
     private long forces;
     private long records;
@@ -98,16 +98,21 @@
      */
     private record Task(
             byte kind,
-            Key key,
+            StoreKey key,
             byte[] meta,
             byte[] value,
             long expires,
             int size,
             boolean adds,
-            Consumer<Ack> then,
+            Consumer<AppendResult> then,
             Runnable work) {}
 
-    private Store(Disk disk, Limits limits, Boot boot, Executor back, Closeable lock)
+    private Store(
+            StorageDirectory disk,
+            StoreLimits limits,
+            BootClock boot,
+            Executor back,
+            Closeable lock)
             throws IOException {
         this.disk = disk;
         this.limits = limits;
@@ -116,13 +121,14 @@
         this.lock = lock;
         Recovery recovery = Recovery.read(disk, true, file -> {});
         index = recovery.index;
-        damage = List.copyOf(recovery.damage);
+        damageReports = List.copyOf(recovery.damage);
         sequence = recovery.lastSequence;
         lastNumber = recovery.lastNumber;
         offset = offset(recovery);
-        damagedUntil = recovery.damagedUntil(now(), limits.damageSpan().toMillis());
+        incompleteUntilMillis =
+                recovery.damagedUntil(nowMillis(), limits.maxRecordLife().toMillis());
         recovery.found.values().forEach(found -> segments.put(found.segment.number, found.segment));
-        Recovery.Found last =
+        Recovery.RecoveredSegment last =
                 recovery.found.isEmpty() ? null : recovery.found.lastEntry().getValue();
         if (last != null && !last.segment.sealed && !last.segment.damaged) {
             unsealed = last.segment;
@@ -138,14 +144,16 @@
             failed(e); // what is kept can be read all the same; probes will find out when the disk
             // is well
         }
-        long now = now();
+        long now = nowMillis();
         index.forEach(
                 slot -> {
-                    if (slot.live() && slot.expires > now) {
-                        kept.add(new Kept(slot.key.bytes, slot.meta, slot.expires));
+                    if (slot.isPut() && slot.expiresAtMillis > now) {
+                        recoveredEntries.add(
+                                new RecoveredEntry(
+                                        slot.key.bytes, slot.metadata, slot.expiresAtMillis));
                     }
                 });
-        kept.sort(Comparator.comparingLong(Kept::expires));
+        recoveredEntries.sort(Comparator.comparingLong(RecoveredEntry::expiresAtMillis));
         publish();
         thread = new Thread(this::serve, "store");
         thread.setDaemon(true);
@@ -156,9 +164,10 @@
      *
      * @param back runs acknowledgements, on the thread of its own choice
      */
-    public static Store open(Disk disk, Limits limits, Boot boot, Executor back)
+    public static Store open(
+            StorageDirectory disk, StoreLimits limits, BootClock boot, Executor back)
             throws IOException {
-        Closeable lock = disk.lock();
+        Closeable lock = disk.acquireLock();
         try {
             return new Store(disk, limits, boot, back, lock);
         } catch (IOException | RuntimeException e) {
@@ -172,9 +181,9 @@
      * life gets shorter.
      */
     private long offset(Recovery recovery) {
-        long uptime = boot.millis().getAsLong();
-        Format.Header last = null;
-        for (Recovery.Found found : recovery.found.values()) {
+        long uptime = boot.uptimeMillis().getAsLong();
+        RecordFormat.SegmentHeader last = null;
+        for (Recovery.RecoveredSegment found : recovery.found.values()) {
             if (found.header != null) {
                 last = found.header;
             }
@@ -182,16 +191,18 @@
         if (last == null) {
             return -uptime;
         }
-        if (boot.id() != null && boot.id().equals(last.boot())) {
-            return last.offset();
+        if (boot.bootId() != null && boot.bootId().equals(last.bootId())) {
+            return last.clockOffsetMillis();
         }
         // No record lives longer than the limits say: the newest proves how late it was when it was
         // written.
-        long[] latest = {last.begunAt()};
+        long[] latest = {last.createdAtMillis()};
         index.forEach(
                 slot ->
                         latest[0] =
-                                Math.max(latest[0], slot.expires - limits.damageSpan().toMillis()));
+                                Math.max(
+                                        latest[0],
+                                        slot.expiresAtMillis - limits.maxRecordLife().toMillis()));
         return latest[0] - uptime;
     }
 
@@ -199,39 +210,39 @@
      * Milliseconds on a clock that goes on over restarts, never runs ahead of the true time and
      * cannot be set.
      */
-    public long now() {
-        return offset + boot.millis().getAsLong();
+    public long nowMillis() {
+        return offset + boot.uptimeMillis().getAsLong();
     }
 
     /** What is live at the start, by the time at which it expires. */
-    public List<Kept> kept() {
-        return List.copyOf(kept);
+    public List<RecoveredEntry> recoveredEntries() {
+        return List.copyOf(recoveredEntries);
     }
 
     /**
      * Hands over each live key that begins with this byte, with its value, before {@link #start};
      * in the order in which they lie on the disk, so that a start reads each file once.
      */
-    public void each(byte first, Each with) throws IOException {
-        Map<Segment, List<Index.Slot>> bySegment =
+    public void forEachValue(byte first, ValueVisitor with) throws IOException {
+        Map<Segment, List<Index.IndexEntry>> bySegment =
                 new TreeMap<>(Comparator.comparingLong((Segment segment) -> segment.number));
-        long now = now();
+        long now = nowMillis();
         index.forEach(
                 slot -> {
                     boolean mine = slot.key.bytes.length > 0 && slot.key.bytes[0] == first;
-                    if (mine && slot.live() && slot.expires > now) {
+                    if (mine && slot.isPut() && slot.expiresAtMillis > now) {
                         bySegment
                                 .computeIfAbsent(slot.segment, ignored -> new ArrayList<>())
                                 .add(slot);
                     }
                 });
-        for (Map.Entry<Segment, List<Index.Slot>> each : bySegment.entrySet()) {
-            each.getValue().sort(Comparator.comparingInt(slot -> slot.at));
-            try (Disk.File file = disk.open(each.getKey().file())) {
-                for (Index.Slot slot : each.getValue()) {
+        for (Map.Entry<Segment, List<Index.IndexEntry>> each : bySegment.entrySet()) {
+            each.getValue().sort(Comparator.comparingInt(slot -> slot.offset));
+            try (StorageDirectory.StorageFile file = disk.open(each.getKey().fileName())) {
+                for (Index.IndexEntry slot : each.getValue()) {
                     byte[] value = value(file, slot);
                     if (value != null) {
-                        with.kept(slot.key.bytes, value, slot.expires);
+                        with.visit(slot.key.bytes, value, slot.expiresAtMillis);
                     }
                 }
             }
@@ -240,28 +251,28 @@
 
     /** Told of one key with its value. */
     @FunctionalInterface
-    public interface Each {
-        void kept(byte[] key, byte[] value, long expires);
+    public interface ValueVisitor {
+        void visit(byte[] key, byte[] value, long expires);
     }
 
     /** What the start has found that cannot be read, a line each. */
-    public List<String> damage() {
-        return damage;
+    public List<String> damageReports() {
+        return damageReports;
     }
 
     /**
      * Until then a record may be missing that was acknowledged; long ago where nothing is damaged.
      */
-    public long damagedUntil() {
-        return damagedUntil;
+    public long incompleteUntilMillis() {
+        return incompleteUntilMillis;
     }
 
-    public Stats stats() {
+    public StoreStats stats() {
         return stats;
     }
 
     public void start() {
-        kept.clear();
+        recoveredEntries.clear();
         thread.start();
     }
 
@@ -269,22 +280,24 @@
      * Whether a new key would be taken now; the last part of each bound is left to what is there
      * already.
      */
-    public boolean room() {
-        return room(
-                Format.LONGEST_KEY,
-                limits.mostEntries() / Limits.RESERVE_PART,
-                Limits.RESERVE_PART);
+    public boolean hasRoomForNewKey() {
+        return hasRoomForNewKey(
+                RecordFormat.MAX_KEY_BYTES,
+                limits.maxEntries() / StoreLimits.RESERVE_PART,
+                StoreLimits.RESERVE_PART);
     }
 
-    private boolean room(int size, int entriesLeft, int part) {
-        Stats now = stats;
+    private boolean hasRoomForNewKey(int size, int entriesLeft, int part) {
+        StoreStats now = stats;
         long bytes = now.bytes() + waitingBytes.get() + size;
         long memory =
-                now.memory()
-                        + (long) (waitingEntries.get() + 1) * (Index.COST + Format.LONGEST_META);
-        return now.entries() + waitingEntries.get() < limits.mostEntries() - entriesLeft
-                && bytes <= limits.mostBytes() - (part == 0 ? 0 : limits.mostBytes() / part)
-                && memory <= limits.mostMemory() - (part == 0 ? 0 : limits.mostMemory() / part);
+                now.indexBytes()
+                        + (long) (waitingEntries.get() + 1)
+                                * (Index.ENTRY_OVERHEAD_BYTES + RecordFormat.MAX_METADATA_BYTES);
+        return now.entries() + waitingEntries.get() < limits.maxEntries() - entriesLeft
+                && bytes <= limits.maxBytes() - (part == 0 ? 0 : limits.maxBytes() / part)
+                && memory
+                        <= limits.maxIndexBytes() - (part == 0 ? 0 : limits.maxIndexBytes() / part);
     }
 
     /**
@@ -297,24 +310,29 @@
      * @param then told what became of it
      */
     public void put(
-            byte[] key, byte[] meta, byte[] value, long expires, boolean adds, Consumer<Ack> then) {
-        if (key.length > Format.LONGEST_KEY
-                || meta.length > Format.LONGEST_META
-                || value.length > Format.LONGEST_VALUE) {
+            byte[] key,
+            byte[] meta,
+            byte[] value,
+            long expires,
+            boolean adds,
+            Consumer<AppendResult> then) {
+        if (key.length > RecordFormat.MAX_KEY_BYTES
+                || meta.length > RecordFormat.MAX_METADATA_BYTES
+                || value.length > RecordFormat.MAX_VALUE_BYTES) {
             throw new IllegalArgumentException("key, meta or value is too long");
         }
-        if (expires - now() > limits.damageSpan().toMillis()) {
+        if (expires - nowMillis() > limits.maxRecordLife().toMillis()) {
             throw new IllegalArgumentException("lives too long");
         }
-        offer(Format.PUT, key, meta, value, expires, adds, then);
+        offer(RecordFormat.PUT, key, meta, value, expires, adds, then);
     }
 
     /**
      * Takes a key away. The record of it stays until then, which is the time at which what is
      * removed expires.
      */
-    public void remove(byte[] key, long expires, Consumer<Ack> then) {
-        offer(Format.REMOVE, key, NONE, NONE, expires, false, then);
+    public void remove(byte[] key, long expires, Consumer<AppendResult> then) {
+        offer(RecordFormat.TOMBSTONE, key, NONE, NONE, expires, false, then);
     }
 
     private void offer(
@@ -324,15 +342,15 @@
             byte[] value,
             long expires,
             boolean adds,
-            Consumer<Ack> then) {
-        int size = Format.size(key.length, meta.length, value.length);
-        Ack refused = null;
-        if (closing || !stats.well()) {
-            refused = Ack.SICK;
+            Consumer<AppendResult> then) {
+        int size = RecordFormat.recordBytes(key.length, meta.length, value.length);
+        AppendResult refused = null;
+        if (closing || !stats.isHealthy()) {
+            refused = AppendResult.UNAVAILABLE;
         } else if (waitingBytes.get() + size > MOST_WAITING_BYTES) {
-            refused = Ack.BUSY;
-        } else if (!(adds ? room() : room(size, -1, 0))) {
-            refused = Ack.FULL;
+            refused = AppendResult.QUEUE_FULL;
+        } else if (!(adds ? hasRoomForNewKey() : hasRoomForNewKey(size, -1, 0))) {
+            refused = AppendResult.CAPACITY_EXCEEDED;
         }
         if (refused == null) {
             waitingBytes.addAndGet(size);
@@ -340,16 +358,25 @@
                 waitingEntries.incrementAndGet();
             }
             if (tasks.offer(
-                    new Task(kind, new Key(key), meta, value, expires, size, adds, then, null))) {
+                    new Task(
+                            kind,
+                            new StoreKey(key),
+                            meta,
+                            value,
+                            expires,
+                            size,
+                            adds,
+                            then,
+                            null))) {
                 return;
             }
             waitingBytes.addAndGet(-size);
             if (adds) {
                 waitingEntries.decrementAndGet();
             }
-            refused = Ack.BUSY;
+            refused = AppendResult.QUEUE_FULL;
         }
-        Ack ack = refused;
+        AppendResult ack = refused;
         back.execute(() -> then.accept(ack));
     }
 
@@ -363,7 +390,7 @@
     public void read(byte[] key, Consumer<byte[]> then) {
         ask(
                 () -> {
-                    byte[] value = value(new Key(key));
+                    byte[] value = value(new StoreKey(key));
                     back.execute(() -> then.accept(value));
                 },
                 () -> then.accept(null));
@@ -394,33 +421,34 @@
         }
     }
 
-    private byte[] value(Key key) {
-        Index.Slot slot = index.get(key);
-        if (slot == null || !slot.live()) {
+    private byte[] value(StoreKey key) {
+        Index.IndexEntry slot = index.get(key);
+        if (slot == null || !slot.isPut()) {
             return null;
         }
-        try (Disk.File file = disk.open(slot.segment.file())) {
+        try (StorageDirectory.StorageFile file = disk.open(slot.segment.fileName())) {
             return value(file, slot);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private static byte[] value(Disk.File file, Index.Slot slot) throws IOException {
-        ByteBuffer in = ByteBuffer.allocate(slot.size);
-        file.read(in, slot.at);
+    private static byte[] value(StorageDirectory.StorageFile file, Index.IndexEntry slot)
+            throws IOException {
+        ByteBuffer in = ByteBuffer.allocate(slot.recordBytes);
+        file.read(in, slot.offset);
         in.flip();
         // Guards against a bit that went bad since it was written: what is not the record is not
         // handed out.
-        if (Format.look(in) != Format.Place.WHOLE) {
+        if (RecordFormat.inspect(in) != RecordFormat.RecordStatus.VALID) {
             return null;
         }
-        Format.Entry entry = Format.entry(in);
+        RecordFormat.DecodedRecord entry = RecordFormat.decode(in);
         if (entry.sequence() != slot.sequence) {
             return null;
         }
         byte[] value = new byte[entry.valueLength()];
-        in.get(entry.valueAt(), value);
+        in.get(entry.valueOffset(), value);
         return value;
     }
 
@@ -457,14 +485,14 @@
      * all.
      */
     private void gather() {
-        int expected = gathering.expected();
+        int expected = gathering.expectedAppends();
         if (expected > 1 && fault == null) {
-            long until = System.nanoTime() + gathering.patience();
+            long until = System.nanoTime() + gathering.maxWaitNanos();
             while (tasks.size() + 1 < expected && System.nanoTime() < until) {
                 Thread.yield();
             }
         }
-        gathering.came(tasks.size() + 1);
+        gathering.waitEnded(tasks.size() + 1);
     }
 
     /** Works off one group of appends, or what else stands there; tells where the next begins. */
@@ -481,7 +509,7 @@
             bytes += gathered.get(to).size;
         }
         List<Task> all = List.copyOf(gathered.subList(from, to));
-        Ack ack = fault != null ? Ack.SICK : append(all);
+        AppendResult ack = fault != null ? AppendResult.UNAVAILABLE : append(all);
         publish();
         for (Task task : all) {
             waitingBytes.addAndGet(-task.size);
@@ -493,7 +521,7 @@
         return to;
     }
 
-    private Ack append(List<Task> all) {
+    private AppendResult append(List<Task> all) {
         int bytes = all.stream().mapToInt(Task::size).sum();
         if (group.capacity() < bytes) {
             group = ByteBuffer.allocate(Math.max(bytes, GROUP_BYTES));
@@ -501,7 +529,7 @@
         group.clear();
         long first = sequence;
         for (Task task : all) {
-            Format.encode(
+            RecordFormat.encode(
                     group,
                     ++sequence,
                     task.kind,
@@ -516,9 +544,9 @@
             activeFile.force();
         } catch (IOException e) {
             failed(e);
-            return Ack.UNKNOWN;
+            return AppendResult.UNKNOWN;
         }
-        gathering.forced(all.size(), tasks.size(), System.nanoTime() - began);
+        gathering.forceCompleted(all.size(), tasks.size(), System.nanoTime() - began);
         forces++;
         records += all.size();
         appended += bytes;
@@ -526,7 +554,7 @@
         long at = active.size;
         for (Task task : all) {
             index.put(
-                    new Index.Slot(
+                    new Index.IndexEntry(
                             task.key,
                             ++first,
                             task.kind,
@@ -539,7 +567,7 @@
         }
         active.records += all.size();
         active.size = at;
-        return Ack.DURABLE;
+        return AppendResult.DURABLE;
     }
 
     /**
@@ -569,21 +597,21 @@
         }
     }
 
-    private static void writeSeal(Disk.File file, Segment segment, long sequence)
+    private static void writeSeal(StorageDirectory.StorageFile file, Segment segment, long sequence)
             throws IOException {
-        ByteBuffer out = ByteBuffer.allocate(Hint.SEAL_SIZE);
-        Format.encode(
+        ByteBuffer out = ByteBuffer.allocate(HintFile.SEAL_BYTES);
+        RecordFormat.encode(
                 out,
                 sequence,
-                Format.SEAL,
+                RecordFormat.SEAL,
                 0,
                 NONE,
                 NONE,
                 ByteBuffer.allocate(8).putLong(segment.records).array());
         file.write(out.flip(), segment.size);
         file.force();
-        segment.size += Hint.SEAL_SIZE;
-        segment.dead += Hint.SEAL_SIZE;
+        segment.size += HintFile.SEAL_BYTES;
+        segment.deadBytes += HintFile.SEAL_BYTES;
         segment.records++;
         segment.sealed = true;
     }
@@ -595,7 +623,7 @@
     private void begin(boolean afterFailure) throws IOException {
         boolean given = afterFailure && unsealed != null && unsealedEnd < 0;
         if (unsealed != null && !given) {
-            try (Disk.File file = disk.open(unsealed.file())) {
+            try (StorageDirectory.StorageFile file = disk.open(unsealed.fileName())) {
                 // What was never written whole goes, so that it is not taken for damage once others
                 // stand behind it.
                 file.truncate(unsealedEnd);
@@ -610,19 +638,20 @@
             hint(unsealed);
             unsealed = null;
         }
-        long now = now();
+        long now = nowMillis();
         Segment next = new Segment(lastNumber + 1, now);
-        next.afterFailure = given;
-        disk.delete(
-                next.file()); // a try that failed may have left its half; no record was ever in it
-        Disk.File file = disk.create(next.file());
+        next.followsAbandoned = given;
+        disk.delete(next.fileName()); // a try that failed may have left its half; no record was
+        // ever in it
+        StorageDirectory.StorageFile file = disk.create(next.fileName());
         try {
             file.write(
-                    new Format.Header(next.number, sequence + 1, given, boot.id(), offset, now)
+                    new RecordFormat.SegmentHeader(
+                                    next.number, sequence + 1, given, boot.bootId(), offset, now)
                             .encode(),
                     0);
             file.force();
-            disk.forceFolder();
+            disk.forceDirectory();
         } catch (IOException e) {
             closeQuietly(file);
             throw e;
@@ -637,7 +666,7 @@
 
     private void hint(Segment segment) {
         try {
-            Hint.write(disk, segment, sequence);
+            HintFile.write(disk, segment, sequence);
         } catch (IOException e) {
             failures++; // a start reads the segment itself
         }
@@ -648,13 +677,14 @@
      * compaction.
      */
     private void tend() {
-        long now = now();
+        long now = nowMillis();
         if (fault != null) {
             return;
         }
         try {
             boolean aged =
-                    active.records > 0 && now - active.begunAt >= limits.rollAfter().toMillis();
+                    active.records > 0
+                            && now - active.createdAtMillis >= limits.maxSegmentAge().toMillis();
             if (active.size >= limits.segmentBytes() || aged) {
                 roll();
             }
@@ -694,14 +724,14 @@
 
     /** Whole segments go once all in them is past its time. */
     private void drop() throws IOException {
-        long now = now();
+        long now = nowMillis();
         List<Segment> over = new ArrayList<>();
         for (Map.Entry<Long, Segment> each : segments.entrySet()) {
             Segment segment = each.getValue();
             Map.Entry<Long, Segment> before = segments.lowerEntry(each.getKey());
             boolean needed =
-                    segment.afterFailure && before != null && !over.contains(before.getValue());
-            if (segment != active && segment != unsealed && segment.over(now) && !needed) {
+                    segment.followsAbandoned && before != null && !over.contains(before.getValue());
+            if (segment != active && segment != unsealed && segment.isExpired(now) && !needed) {
                 over.add(segment);
             }
         }
@@ -709,14 +739,14 @@
             if (compaction != null && compaction.segment() == segment) {
                 abandonCompaction();
             }
-            disk.delete(segment.file());
-            disk.delete(Format.hint(segment.number));
-            index.forget(segment.live());
+            disk.delete(segment.fileName());
+            disk.delete(RecordFormat.hintFileName(segment.number));
+            index.forget(segment.liveEntries());
             segments.remove(segment.number);
             dropped++;
         }
         if (!over.isEmpty()) {
-            disk.forceFolder(); // an old record must not come back once newer ones of its key
+            disk.forceDirectory(); // an old record must not come back once newer ones of its key
             // are gone
         }
     }
@@ -724,12 +754,12 @@
     private void publish() {
         long bytes = segments.values().stream().mapToLong(segment -> segment.size).sum();
         stats =
-                new Stats(
-                        index.entries(),
+                new StoreStats(
+                        index.liveKeys(),
                         bytes,
-                        index.memory(),
+                        index.memoryBytes(),
                         segments.size(),
-                        segments.isEmpty() ? 0 : segments.firstEntry().getValue().begunAt,
+                        segments.isEmpty() ? 0 : segments.firstEntry().getValue().createdAtMillis,
                         forces,
                         records,
                         appended,
@@ -749,12 +779,12 @@
             if (segment == active
                     || !segment.sealed
                     || segment.damaged
-                    || segment.dead <= Hint.SEAL_SIZE) {
+                    || segment.deadBytes <= HintFile.SEAL_BYTES) {
                 continue;
             }
-            progress.accept(segment.file());
-            Compaction all = new Compaction(segment, Long.MAX_VALUE, now());
-            while (!all.step(disk, now())) {
+            progress.accept(segment.fileName());
+            Compaction all = new Compaction(segment, Long.MAX_VALUE, nowMillis());
+            while (!all.step(disk, nowMillis())) {
                 // each step copies what one may
             }
             copied += all.finish(disk, index);
--- a/src/main/java/ochretiller/store/Inspect.java
+++ b/src/main/java/ochretiller/store/StoreInspector.java
@@ -10,10 +10,10 @@
  * A look at a store from outside. All but {@link #compact} change nothing and take no lock: they
  * read beside a server.
  */
-public final class Inspect {
+public final class StoreInspector {
     /** For a store that is only copied: no bound is met, and nothing is thrown away early. */
-    private static final Limits WIDE =
-            new Limits(
+    private static final StoreLimits WIDE =
+            new StoreLimits(
                     Integer.MAX_VALUE,
                     Long.MAX_VALUE,
                     Long.MAX_VALUE,
@@ -24,60 +24,72 @@
                     Duration.ZERO,
                     Duration.ofDays(36_500));
 
-    private Inspect() {}
+    private StoreInspector() {}
 
     /**
      * What every byte of a store says.
      *
-     * @param unfinished bytes at the end of the last segment that were never written to a record's
+     * @param tornBytes bytes at the end of the last segment that were never written to a record's
      *     end; harmless
      * @param damage what is there and no record, or missing in front of what is there, a line each
-     * @param useless halves that the next start deletes
-     * @param foreign files that are not the store's
+     * @param leftoverFiles halves that the next start deletes
+     * @param unknownFiles files that are not the store's
      */
-    public record Report(
-            List<File> files,
+    public record StoreReport(
+            List<SegmentReport> segments,
             int entries,
             long bytes,
-            long unfinished,
+            long tornBytes,
             List<String> damage,
-            List<String> useless,
-            List<String> foreign) {
-        public boolean good() {
+            List<String> leftoverFiles,
+            List<String> unknownFiles) {
+        public boolean isUndamaged() {
             return damage.isEmpty();
         }
     }
 
     /** One segment. */
-    public record File(
-            String name, long bytes, int records, long dead, boolean sealed, boolean damaged) {}
+    public record SegmentReport(
+            String name,
+            long bytes,
+            int records,
+            long deadBytes,
+            boolean sealed,
+            boolean damaged) {}
 
     /** One key. */
-    public record Item(byte[] key, byte[] meta, long expires, String file, int at, int bytes) {}
+    public record StoredEntry(
+            byte[] key,
+            byte[] metadata,
+            long expiresAtMillis,
+            String file,
+            int offset,
+            int bytes) {}
 
     /** Reads every record of every segment and holds its check sum against it. */
-    public static Report verify(Disk disk, Consumer<String> progress) throws IOException {
+    public static StoreReport verify(StorageDirectory disk, Consumer<String> progress)
+            throws IOException {
         Recovery read = Recovery.read(disk, false, progress);
-        List<File> files = new ArrayList<>();
+        List<SegmentReport> files = new ArrayList<>();
         long unfinished = 0;
-        for (Recovery.Found found : read.found.values()) {
+        for (Recovery.RecoveredSegment found : read.found.values()) {
             Segment segment = found.segment;
             files.add(
-                    new File(
-                            segment.file(),
+                    new SegmentReport(
+                            segment.fileName(),
                             segment.size,
                             segment.records,
-                            segment.dead,
+                            segment.deadBytes,
                             segment.sealed,
                             segment.damaged));
             if (!segment.damaged && !segment.sealed) {
                 unfinished += segment.size - found.goodEnd;
             }
         }
-        return new Report(
+        return new StoreReport(
                 files,
-                read.index.entries(),
-                files.stream().mapToLong(File::bytes).sum(),
+                read.index.liveKeys(),
+                files.stream().mapToLong(SegmentReport::bytes).sum(),
                 unfinished,
                 List.copyOf(read.damage),
                 List.copyOf(read.useless),
@@ -85,22 +97,22 @@
     }
 
     /** Tells of each key that has a value. */
-    public static void list(Disk disk, Consumer<Item> with) throws IOException {
+    public static void list(StorageDirectory disk, Consumer<StoredEntry> with) throws IOException {
         Recovery.read(disk, true, file -> {})
                 .index
                 .forEach(
                         slot -> {
-                            if (!slot.live()) {
+                            if (!slot.isPut()) {
                                 return;
                             }
                             with.accept(
-                                    new Item(
+                                    new StoredEntry(
                                             slot.key.bytes,
-                                            slot.meta,
-                                            slot.expires,
-                                            slot.segment.file(),
-                                            slot.at,
-                                            slot.size));
+                                            slot.metadata,
+                                            slot.expiresAtMillis,
+                                            slot.segment.fileName(),
+                                            slot.offset,
+                                            slot.recordBytes));
                         });
     }
 
@@ -108,11 +120,12 @@
      * Copies what is live of each segment and drops the rest; the store must not be in use. Returns
      * bytes before and after.
      */
-    public static long[] compact(Disk disk, Consumer<String> progress) throws IOException {
-        disk.list(); // a folder that is not there is not made
+    public static long[] compact(StorageDirectory disk, Consumer<String> progress)
+            throws IOException {
+        disk.listFiles(); // a folder that is not there is not made
         long before = verify(disk, file -> {}).bytes();
-        try (Store store = Store.open(disk, WIDE, Boot.ofMachine(), Runnable::run)) {
-            if (!store.stats().well()) {
+        try (Store store = Store.open(disk, WIDE, BootClock.ofKernel(), Runnable::run)) {
+            if (!store.stats().isHealthy()) {
                 throw new StoreException("the disk is not well: " + store.stats().fault());
             }
             store.compactAll(progress);
--- a/src/main/java/ochretiller/spans/Ring.java
+++ b/src/main/java/ochretiller/time/SlidingWindow.java
@@ -1,10 +1,10 @@
-package ochretiller.spans;
+package ochretiller.time;
 
 import java.time.Duration;
 import java.util.Arrays;
 
 /** Weighted sums over the last buckets of time, which are used again in a ring. */
-public final class Ring {
+public final class SlidingWindow {
     private final Duration bucket;
     private final double[] sums;
     private final double[] weights;
@@ -12,7 +12,7 @@
     private double weight;
     private long head;
 
-    public Ring(Duration bucket, int buckets) {
+    public SlidingWindow(Duration bucket, int buckets) {
         this.bucket = bucket;
         this.sums = new double[buckets];
         this.weights = new double[buckets];
--- a/src/main/java/ochretiller/spans/package-info.java
+++ b/src/main/java/ochretiller/time/package-info.java
@@ -1,2 +1,2 @@
 /** Spans of time and sums over the last of it. */
-package ochretiller.spans;
+package ochretiller.time;
--- a/src/main/java/ochretiller/uwsgi/UwsgiPeer.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Queue;
-import ochretiller.front.Callers;
-import ochretiller.front.Failure;
-import ochretiller.front.Peer;
-import ochretiller.front.Try;
+import ochretiller.frontend.ClientConnection;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
 
@@ -19,12 +19,12 @@
  * One connection of a front end. It has one request by the protocol; further ones that come behind
  * it on the same connection are answered one after another, since an answer bears no name.
  */
-final class UwsgiPeer extends Peer {
+final class UwsgiConnection extends ClientConnection {
     /** Requests that may wait for the one before them. */
     private static final int MOST_WAITING = 32;
 
-    private final UwsgiFront front;
-    private final RequestDecoder decoder = new RequestDecoder(UwsgiFront.LONGEST_BODY);
+    private final UwsgiFrontend front;
+    private final UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(UwsgiFrontend.LONGEST_BODY);
     private final Queue<Item> waiting = new ArrayDeque<>();
 
     /** On the network's thread: what follows cannot be read any more. */
@@ -34,9 +34,9 @@
     private boolean answered;
 
     /** A request, or what is wrong with what stood in its place. */
-    private record Item(Request request, UwsgiException fault) {}
+    private record Item(UwsgiRequest request, UwsgiException fault) {}
 
-    UwsgiPeer(Connection connection, Callers callers, UwsgiFront front) {
+    UwsgiConnection(Connection connection, ClientConnections callers, UwsgiFrontend front) {
         super(connection, callers);
         this.front = front;
     }
@@ -97,7 +97,7 @@
                 // It is whole, and what follows can be read: it alone is refused.
                 front.bad(connection.peer(), e);
                 write(
-                        new Answer(
+                        new UwsgiResponse(
                                 e.status,
                                 Map.of("Content-Type", "text/plain"),
                                 text(e.getMessage())));
@@ -114,7 +114,7 @@
             return;
         }
         write(
-                new Answer(
+                new UwsgiResponse(
                         fault.status,
                         Map.of("Content-Type", "text/plain"),
                         text(fault.getMessage())));
@@ -129,7 +129,7 @@
         }
         shows();
         answered = true;
-        connection.write(Answer.pong());
+        connection.write(UwsgiResponse.pong());
         settle();
     }
 
@@ -137,7 +137,7 @@
         return (message + "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private void write(Answer answer) {
+    private void write(UwsgiResponse answer) {
         answered = true;
         connection.write(answer.encode());
         if (!waiting.isEmpty()) {
@@ -146,17 +146,17 @@
     }
 
     @Override
-    protected void succeeds(Try inv, byte[] result, boolean replayed) {
+    protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "application/octet-stream");
         if (replayed) {
             headers.put("X-Idempotent-Replay", "true");
         }
-        write(new Answer(200, headers, result));
+        write(new UwsgiResponse(200, headers, result));
     }
 
     @Override
-    protected void throttles(Try inv, Duration retryIn, boolean last) {
+    protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "text/plain");
         if (!retryIn.isZero()) {
@@ -168,11 +168,11 @@
         if (last) {
             headers.put("X-Final", "1");
         }
-        write(new Answer(503, headers, text("throttled")));
+        write(new UwsgiResponse(503, headers, text("throttled")));
     }
 
     @Override
-    protected void fails(Try inv, Failure why) {
+    protected void fails(RequestAttempt inv, FailureReason why) {
         int status =
                 switch (why) {
                     case FAILED, NO_RESULT, RID_IN_USE -> 500;
@@ -180,7 +180,7 @@
                     case OTHER_BODY -> 422;
                     case IN_FLIGHT, UNKNOWN_END -> 409;
                 };
-        write(new Answer(status, Map.of("Content-Type", "text/plain"), text(why.text)));
+        write(new UwsgiResponse(status, Map.of("Content-Type", "text/plain"), text(why.text)));
     }
 
     @Override
--- a/src/main/java/ochretiller/uwsgi/UwsgiFront.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
@@ -12,18 +12,18 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongFunction;
 import java.util.logging.Logger;
-import ochretiller.front.Callers;
-import ochretiller.front.Try;
-import ochretiller.keys.Keys;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
 import ochretiller.net.Connection;
-import ochretiller.net.Receiver;
-import ochretiller.net.Schedule;
+import ochretiller.net.ConnectionHandler;
+import ochretiller.net.Scheduler;
 
 /**
  * The uwsgi front: requests of front ends become tries of the operations that their routes name.
  */
-public final class UwsgiFront {
-    private static final Logger LOG = Logger.getLogger(UwsgiFront.class.getName());
+public final class UwsgiFrontend {
+    private static final Logger LOG = Logger.getLogger(UwsgiFrontend.class.getName());
 
     /** Longest body, as on the users' own protocol: all fronts feed one processor. */
     static final int LONGEST_BODY = 2 * 1024;
@@ -33,8 +33,8 @@
     /** Hex digits of a token, as on the users' own protocol. */
     private static final int TOKEN = 32;
 
-    private final Callers callers;
-    private final Schedule schedule;
+    private final ClientConnections callers;
+    private final Scheduler schedule;
     private final List<Route> routes;
     private final String callerVar;
     private final String timeVar;
@@ -51,9 +51,9 @@
      * @param sinceStart turns Unix milliseconds into a span since the start
      * @param chance for the names that tries bear on the wires below
      */
-    public UwsgiFront(
-            Callers callers,
-            Schedule schedule,
+    public UwsgiFrontend(
+            ClientConnections callers,
+            Scheduler schedule,
             List<Route> routes,
             String callerVar,
             String timeVar,
@@ -71,8 +71,8 @@
     }
 
     /** On the network's thread: a connection was accepted. */
-    public Receiver accepted(Connection connection) {
-        return callers.accepted(new UwsgiPeer(connection, callers, this));
+    public ConnectionHandler accepted(Connection connection) {
+        return callers.accepted(new UwsgiConnection(connection, callers, this));
     }
 
     void later(Runnable work) {
@@ -89,7 +89,7 @@
     }
 
     /** Hands a request over as a try; what is wrong with it is a fault with its status. */
-    void invoke(UwsgiPeer peer, Request request, long number) {
+    void invoke(UwsgiConnection peer, UwsgiRequest request, long number) {
         Map<String, String> vars = request.vars();
         String method = vars.getOrDefault("REQUEST_METHOD", "");
         Route route = route(method, path(vars));
@@ -98,7 +98,7 @@
         }
         String caller = vars.getOrDefault(callerVar, peer.name());
         String key = vars.get("HTTP_IDEMPOTENCY_KEY");
-        if (route.operation().tokened() && (key == null || key.isEmpty())) {
+        if (route.operation().isKeyed() && (key == null || key.isEmpty())) {
             throw new UwsgiException(400, "no Idempotency-Key");
         }
         if (key != null && key.length() > LONGEST_KEY) {
@@ -107,13 +107,15 @@
         byte[] named = hash(caller);
         long t0 = t0(vars.get(timeVar));
         callers.opened(
-                new Try(
+                new RequestAttempt(
                         callers.nextId(),
                         rid(),
                         route.operation(),
                         route.kb(),
                         ByteBuffer.wrap(named).getLong() & Long.MAX_VALUE,
-                        t0 == Keys.UNDATED ? schedule.now() : sinceStart.apply(t0),
+                        t0 == IdempotencyCache.NO_CLIENT_TIMESTAMP
+                                ? schedule.now()
+                                : sinceStart.apply(t0),
                         t0,
                         key == null ? null : token(caller, method, route, key),
                         null,
@@ -142,7 +144,7 @@
 
     private static long t0(String text) {
         if (text == null || text.isEmpty()) {
-            return Keys.UNDATED;
+            return IdempotencyCache.NO_CLIENT_TIMESTAMP;
         }
         if (text.length() > 15 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new UwsgiException(400, "no time");
--- a/src/main/java/ochretiller/uwsgi/Request.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequest.java
@@ -9,9 +9,9 @@
  * @param ping it is a ping (modifier 100): it has neither variables nor body, and is answered in
  *     kind
  */
-public record Request(Map<String, String> vars, byte[] body, boolean ping) {
+public record UwsgiRequest(Map<String, String> vars, byte[] body, boolean ping) {
     /** The bytes that ask a worker for this. */
     public byte[][] encode() {
-        return new byte[][] {Vars.write(vars), body};
+        return new byte[][] {UwsgiVariables.write(vars), body};
     }
 }
--- a/src/main/java/ochretiller/uwsgi/RequestDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
@@ -10,7 +10,7 @@
  * request at most: its variables (64 KiB by the protocol) and a body whose length is checked before
  * a byte of it is kept.
  */
-public final class RequestDecoder {
+public final class UwsgiRequestDecoder {
     private static final int HEADER = 4;
 
     /** A request, and a ping; others (spooling, code to run, reloads) are nobody's to send here. */
@@ -40,7 +40,7 @@
     private int need = HEADER;
     private Map<String, String> vars;
 
-    public RequestDecoder(int longestBody) {
+    public UwsgiRequestDecoder(int longestBody) {
         this.longestBody = longestBody;
     }
 
@@ -53,7 +53,7 @@
      * Hands over each request once it is whole. Behind an {@link UwsgiException} the connection has
      * to end: where the next request begins is not known.
      */
-    public void read(byte[] bytes, int from, int to, Consumer<Request> request) {
+    public void read(byte[] bytes, int from, int to, Consumer<UwsgiRequest> request) {
         for (int at = from; at < to; ) {
             int take = Math.min(need - filled, to - at);
             keep(bytes, at, take);
@@ -73,11 +73,11 @@
         filled += take;
     }
 
-    private void whole(Consumer<Request> request) {
+    private void whole(Consumer<UwsgiRequest> request) {
         switch (part) {
             case HEADER -> header(request);
             case VARS -> vars(request);
-            case BODY -> end(request, new Request(vars, Arrays.copyOf(rest, filled), false));
+            case BODY -> end(request, new UwsgiRequest(vars, Arrays.copyOf(rest, filled), false));
             default -> throw new IllegalStateException();
         }
     }
@@ -88,11 +88,11 @@
         filled = 0;
     }
 
-    private void header(Consumer<Request> request) {
+    private void header(Consumer<UwsgiRequest> request) {
         int modifier = rest[0] & 0xFF;
         int length = rest[1] & 0xFF | (rest[2] & 0xFF) << 8;
         if (modifier == PING && length == 0) {
-            end(request, new Request(Map.of(), new byte[0], true));
+            end(request, new UwsgiRequest(Map.of(), new byte[0], true));
             return;
         }
         if (modifier != REQUEST) {
@@ -104,8 +104,8 @@
         }
     }
 
-    private void vars(Consumer<Request> request) {
-        vars = Vars.read(new Slice(rest, 0, filled));
+    private void vars(Consumer<UwsgiRequest> request) {
+        vars = UwsgiVariables.read(new Slice(rest, 0, filled));
         next(Part.BODY, bodyLength(vars.get("CONTENT_LENGTH")));
         if (need == 0) {
             whole(request);
@@ -126,7 +126,7 @@
         return (int) length;
     }
 
-    private void end(Consumer<Request> request, Request whole) {
+    private void end(Consumer<UwsgiRequest> request, UwsgiRequest whole) {
         vars = null;
         next(Part.HEADER, HEADER);
         if (rest.length > LAST) {
--- a/src/main/java/ochretiller/uwsgi/Answer.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponse.java
@@ -11,7 +11,7 @@
  * @param headers by name as written; those that frame the answer are made here and need not be
  *     among them
  */
-public record Answer(int status, Map<String, String> headers, byte[] body) {
+public record UwsgiResponse(int status, Map<String, String> headers, byte[] body) {
     /** The reply to a ping. */
     static final byte[] PONG = {100, 0, 0, 0};
 
--- a/src/main/java/ochretiller/uwsgi/AnswerDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
@@ -10,7 +10,7 @@
  * Reads what a worker answers on one connection: one answer, ended by its length or by the end of
  * the connection.
  */
-public final class AnswerDecoder {
+public final class UwsgiResponseDecoder {
     private static final int LONGEST_HEAD = 16 * 1024;
 
     private final int longestBody;
@@ -22,7 +22,7 @@
     private int status;
     private Map<String, String> headers;
 
-    public AnswerDecoder(int longestBody) {
+    public UwsgiResponseDecoder(int longestBody) {
         this.longestBody = longestBody;
     }
 
@@ -30,7 +30,7 @@
      * The answer where it is whole, else null; bytes behind its end are a fault, since they are
      * nobody's.
      */
-    public Answer read(byte[] bytes, int from, int to) {
+    public UwsgiResponse read(byte[] bytes, int from, int to) {
         int most = LONGEST_HEAD + longestBody;
         if (filled + to - from > most) {
             throw new UwsgiException(0, "an answer over " + most + " bytes");
@@ -53,12 +53,12 @@
     }
 
     /** The connection has ended: the answer where it is whole by that, else null. */
-    public Answer ended() {
+    public UwsgiResponse ended() {
         return bodyAt >= 0 && bodyLength < 0 ? answer() : null;
     }
 
-    private Answer answer() {
-        return new Answer(status, headers, Arrays.copyOfRange(all, bodyAt, filled));
+    private UwsgiResponse answer() {
+        return new UwsgiResponse(status, headers, Arrays.copyOfRange(all, bodyAt, filled));
     }
 
     private void head() {
--- a/src/main/java/ochretiller/uwsgi/Vars.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiVariables.java
@@ -9,7 +9,7 @@
  * The block of variables: each a name and a value, both with a 16-bit little-endian length before
  * them.
  */
-final class Vars {
+final class UwsgiVariables {
     /** Longest block, as its length has 16 bits. */
     static final int LONGEST = 65_535;
 
@@ -19,7 +19,7 @@
      */
     private static final int MOST = 512;
 
-    private Vars() {}
+    private UwsgiVariables() {}
 
     static Map<String, String> read(Slice block) {
         Map<String, String> vars = new LinkedHashMap<>();
--- a/src/main/java/ochretiller/workers/Workers.java
+++ b/src/main/java/ochretiller/workers/UwsgiRunBackend.java
@@ -9,28 +9,28 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
+import ochretiller.execution.RunBackend;
+import ochretiller.execution.RunRequest;
 import ochretiller.metrics.Metrics;
-import ochretiller.model.RunEnd;
+import ochretiller.model.RunOutcome;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
+import ochretiller.net.ConnectionHandler;
 import ochretiller.net.Network;
-import ochretiller.net.Receiver;
-import ochretiller.net.Schedule;
-import ochretiller.pools.End;
+import ochretiller.net.Scheduler;
+import ochretiller.pools.RequestOutcome;
 import ochretiller.pools.WorkerId;
-import ochretiller.runs.Backend;
-import ochretiller.runs.Task;
-import ochretiller.uwsgi.Answer;
-import ochretiller.uwsgi.AnswerDecoder;
-import ochretiller.uwsgi.Request;
 import ochretiller.uwsgi.UwsgiException;
+import ochretiller.uwsgi.UwsgiRequest;
+import ochretiller.uwsgi.UwsgiResponse;
+import ochretiller.uwsgi.UwsgiResponseDecoder;
 
 /**
  * Carries out runs as requests to uwsgi workers, one request on a connection as their protocol has
  * it.
  */
-public final class Workers implements Backend {
-    private static final Logger LOG = Logger.getLogger(Workers.class.getName());
+public final class UwsgiRunBackend implements RunBackend {
+    private static final Logger LOG = Logger.getLogger(UwsgiRunBackend.class.getName());
 
     /** Longest answer: as long as a result on the processor's link. */
     private static final int LONGEST = 64 * 1024;
@@ -44,27 +44,27 @@
     /** Workers that one run is offered to; the budget of second tries bounds all runs together. */
     private static final int MOST_TRIES = 3;
 
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private final Network network;
-    private final Map<String, Crew> crews = new LinkedHashMap<>();
-    private final Map<String, Crew> byOperation = new LinkedHashMap<>();
-    private final Map<String, Plan.Target> targets = new LinkedHashMap<>();
+    private final Map<String, WorkerPool> crews = new LinkedHashMap<>();
+    private final Map<String, WorkerPool> byOperation = new LinkedHashMap<>();
+    private final Map<String, WorkerPoolConfig.Target> targets = new LinkedHashMap<>();
     private final Map<String, Errand> errands = new LinkedHashMap<>();
     private final Set<Attempt> attempts = new LinkedHashSet<>();
 
-    public Workers(
-            Schedule schedule,
+    public UwsgiRunBackend(
+            Scheduler schedule,
             Network network,
-            List<Plan> plans,
+            List<WorkerPoolConfig> plans,
             SplittableRandom chance,
             Metrics metrics) {
         this.schedule = schedule;
         this.network = network;
-        for (Plan plan : plans) {
-            Crew crew = new Crew(plan, chance.split(), metrics);
+        for (WorkerPoolConfig plan : plans) {
+            WorkerPool crew = new WorkerPool(plan, chance.split(), metrics);
             crew.become(plan, schedule.now());
             crews.put(plan.name(), crew);
-            for (Plan.Target target : plan.runs()) {
+            for (WorkerPoolConfig.Target target : plan.runs()) {
                 byOperation.put(target.operation(), crew);
                 targets.put(target.operation(), target);
             }
@@ -75,10 +75,10 @@
      * Workers and settings change under load: what removed ones have, they end. Pools themselves
      * stay as they were.
      */
-    public void become(List<Plan> plans) {
+    public void become(List<WorkerPoolConfig> plans) {
         Duration now = schedule.now();
-        for (Plan plan : plans) {
-            Crew crew = crews.get(plan.name());
+        for (WorkerPoolConfig plan : plans) {
+            WorkerPool crew = crews.get(plan.name());
             if (crew == null) {
                 LOG.warning("pool " + plan.name() + " is new: it needs a restart");
             } else {
@@ -102,7 +102,7 @@
 
     /** The pool that carries out an operation, or null. */
     public String pool(String operation) {
-        Crew crew = byOperation.get(operation);
+        WorkerPool crew = byOperation.get(operation);
         return crew == null ? null : crew.name;
     }
 
@@ -123,25 +123,27 @@
     }
 
     @Override
-    public void begin(Task task, Ended then) {
-        Errand errand = new Errand(task, byOperation.get(task.operation()), then, schedule.now());
+    public void startRun(RunRequest task, RunListener then) {
+        Errand errand =
+                new Errand(task, byOperation.get(task.operationName()), then, schedule.now());
         errand.crew.expected--;
-        errands.put(task.rid(), errand);
+        errands.put(task.requestId(), errand);
         errand.crew.runs.add();
-        Duration left = task.due().minus(schedule.now());
+        Duration left = task.deadline().minus(schedule.now());
         // A tokened run may have its effect behind its due time: its answer is worth having for the
         // repeats that follow.
-        Duration patience = task.token() == null ? left : left.plus(errand.crew.late);
+        Duration patience = task.idempotencyKey() == null ? left : left.plus(errand.crew.late);
         schedule.after(
-                patience.isNegative() ? Duration.ZERO : patience, () -> errand.giveUp(End.SILENT));
+                patience.isNegative() ? Duration.ZERO : patience,
+                () -> errand.giveUp(RequestOutcome.SILENT));
         errand.go(errand.crew.choose(schedule.now()));
     }
 
     @Override
-    public void interrupt(String rid) {
+    public void cancelRun(String rid) {
         Errand errand = errands.get(rid);
         if (errand != null) {
-            errand.giveUp(End.GIVEN_UP);
+            errand.giveUp(RequestOutcome.GIVEN_UP);
         }
     }
 
@@ -151,9 +153,9 @@
 
     /** One run, from its beginning to its one end. */
     private final class Errand {
-        private final Task task;
-        private final Crew crew;
-        private final Ended then;
+        private final RunRequest task;
+        private final WorkerPool crew;
+        private final RunListener then;
         private final Duration begunAt;
         private WorkerId worker;
         private Duration triedAt;
@@ -168,7 +170,7 @@
         private boolean over;
         private Attempt attempt;
 
-        Errand(Task task, Crew crew, Ended then, Duration begunAt) {
+        Errand(RunRequest task, WorkerPool crew, RunListener then, Duration begunAt) {
             this.task = task;
             this.crew = crew;
             this.then = then;
@@ -179,7 +181,7 @@
         private void go(Optional<WorkerId> to) {
             if (to.isEmpty()) {
                 crew.unbegun.add();
-                finish(RunEnd.Result.NOT_BEGUN, null);
+                finish(RunOutcome.Status.NOT_DISPATCHED, null);
                 return;
             }
             worker = to.get();
@@ -205,10 +207,12 @@
             current++;
             Duration now = schedule.now();
             WorkerId before = worker;
-            crew.ended(before, End.NEVER_BEGUN, now.minus(triedAt), now);
-            boolean again = offers < MOST_TRIES && now.compareTo(task.due()) < 0;
+            crew.ended(before, RequestOutcome.NEVER_BEGUN, now.minus(triedAt), now);
+            boolean again = offers < MOST_TRIES && now.compareTo(task.deadline()) < 0;
             Optional<WorkerId> next =
-                    again ? crew.chooseAgain(before, End.NEVER_BEGUN, now) : Optional.empty();
+                    again
+                            ? crew.chooseAgain(before, RequestOutcome.NEVER_BEGUN, now)
+                            : Optional.empty();
             if (next.isPresent()) {
                 crew.elsewhere.add();
             }
@@ -225,8 +229,8 @@
             written = true;
         }
 
-        private Request request() {
-            Plan.Target target = targets.get(task.operation());
+        private UwsgiRequest request() {
+            WorkerPoolConfig.Target target = targets.get(task.operationName());
             Map<String, String> vars = new LinkedHashMap<>();
             vars.put("REQUEST_METHOD", target.method());
             vars.put("REQUEST_URI", target.path());
@@ -235,18 +239,18 @@
             vars.put("SERVER_PROTOCOL", "HTTP/1.1");
             vars.put("CONTENT_TYPE", "application/octet-stream");
             vars.put("CONTENT_LENGTH", "" + task.body().length);
-            vars.put("HTTP_X_REQUEST_ID", task.rid());
-            if (task.token() != null) {
-                vars.put("HTTP_IDEMPOTENCY_KEY", task.token());
+            vars.put("HTTP_X_REQUEST_ID", task.requestId());
+            if (task.idempotencyKey() != null) {
+                vars.put("HTTP_IDEMPOTENCY_KEY", task.idempotencyKey());
             }
             // What is left of its caller's time, what was spent here already taken off.
             vars.put(
                     "HTTP_X_TIME_LEFT_MS",
-                    "" + Math.max(0, task.due().minus(schedule.now()).toMillis()));
-            return new Request(vars, task.body(), false);
+                    "" + Math.max(0, task.deadline().minus(schedule.now()).toMillis()));
+            return new UwsgiRequest(vars, task.body(), false);
         }
 
-        void answered(Answer answer) {
+        void answered(UwsgiResponse answer) {
             if (over) {
                 crew.lateAnswers.add();
                 return;
@@ -258,9 +262,9 @@
             if (!well) {
                 crew.failed.add();
             }
-            ended(well ? End.ANSWERED : End.FAILED);
+            ended(well ? RequestOutcome.ANSWERED : RequestOutcome.FAILED);
             finish(
-                    good ? RunEnd.Result.SUCCEEDED : RunEnd.Result.ERRORED,
+                    good ? RunOutcome.Status.SUCCEEDED : RunOutcome.Status.FAILED,
                     good ? answer.body() : null);
         }
 
@@ -270,11 +274,11 @@
                 return;
             }
             crew.failed.add();
-            ended(End.FAILED);
-            finish(RunEnd.Result.ERRORED, null);
+            ended(RequestOutcome.FAILED);
+            finish(RunOutcome.Status.FAILED, null);
         }
 
-        void giveUp(End end) {
+        void giveUp(RequestOutcome end) {
             if (over) {
                 return;
             }
@@ -282,41 +286,45 @@
                 // Guards against a throttle that would be untrue later: nothing of it goes out from
                 // here on.
                 if (worker != null) {
-                    ended(End.NEVER_BEGUN);
+                    ended(RequestOutcome.NEVER_BEGUN);
                 }
-                finish(RunEnd.Result.NOT_BEGUN, null);
+                finish(RunOutcome.Status.NOT_DISPATCHED, null);
                 return;
             }
             crew.silent.add();
             ended(end);
-            finish(end == End.GIVEN_UP ? RunEnd.Result.STOPPED : RunEnd.Result.ERRORED, null);
-            if (crew.listening >= Crew.MOST_LATE) {
+            finish(
+                    end == RequestOutcome.GIVEN_UP
+                            ? RunOutcome.Status.STOPPED
+                            : RunOutcome.Status.FAILED,
+                    null);
+            if (crew.listening >= WorkerPool.MOST_LATE) {
                 attempt.drop(CloseCode.GIVEN_UP);
             } else {
                 attempt.listen();
             }
         }
 
-        private void ended(End end) {
+        private void ended(RequestOutcome end) {
             Duration now = schedule.now();
             crew.ended(worker, end, now.minus(triedAt), now);
         }
 
-        private void finish(RunEnd.Result end, byte[] result) {
+        private void finish(RunOutcome.Status end, byte[] result) {
             over = true;
-            errands.remove(task.rid(), this);
+            errands.remove(task.requestId(), this);
             Duration took = schedule.now().minus(begunAt);
             // In the next gathering: the decisions may be at work on what began it.
-            schedule.post(() -> then.ended(end, took, result));
+            schedule.post(() -> then.onRunFinished(end, took, result));
         }
     }
 
     /** One connection to a worker. */
-    private final class Attempt implements Receiver {
+    private final class Attempt implements ConnectionHandler {
         private final Errand errand;
         private final int number;
         private final Connection connection;
-        private final AnswerDecoder decoder = new AnswerDecoder(LONGEST);
+        private final UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
         private boolean listens;
 
         Attempt(Errand errand, int number, Connection connection) {
@@ -333,7 +341,7 @@
                     });
         }
 
-        void write(Request request) {
+        void write(UwsgiRequest request) {
             for (byte[] part : request.encode()) {
                 connection.write(part);
             }
@@ -358,7 +366,7 @@
         @Override
         public Runnable received(byte[] bytes, int from, int to) {
             try {
-                Answer whole = decoder.read(bytes, from, to);
+                UwsgiResponse whole = decoder.read(bytes, from, to);
                 return whole == null ? null : () -> end(whole);
             } catch (UwsgiException e) {
                 String fault = e.getMessage();
@@ -372,7 +380,7 @@
             }
         }
 
-        private void end(Answer answer) {
+        private void end(UwsgiResponse answer) {
             if (!connection.open()) {
                 return;
             }
@@ -386,7 +394,7 @@
 
         @Override
         public void inputEnded() {
-            Answer answer = errand.attempt == this ? decoder.ended() : null;
+            UwsgiResponse answer = errand.attempt == this ? decoder.ended() : null;
             if (answer != null) {
                 errand.answered(answer);
             }
--- a/src/main/java/ochretiller/workers/Crew.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -10,13 +10,13 @@
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
 import ochretiller.metrics.Metrics;
-import ochretiller.pools.End;
-import ochretiller.pools.Pool;
+import ochretiller.pools.RequestOutcome;
 import ochretiller.pools.WorkerId;
+import ochretiller.pools.WorkerSelector;
 
 /** A pool with the addresses of its workers and its figures. */
-final class Crew {
-    private static final Logger LOG = Logger.getLogger(Crew.class.getName());
+final class WorkerPool {
+    private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
 
     /**
      * Connections of runs that were given up on which a late answer is still listened for: enough
@@ -25,7 +25,7 @@
     static final int MOST_LATE = 16;
 
     final String name;
-    private final Pool pool;
+    private final WorkerSelector pool;
     Duration late;
 
     /** Addresses are kept while a drained worker still has something. */
@@ -48,9 +48,9 @@
 
     private int free;
 
-    Crew(Plan plan, SplittableRandom chance, Metrics metrics) {
+    WorkerPool(WorkerPoolConfig plan, SplittableRandom chance, Metrics metrics) {
         name = plan.name();
-        pool = new Pool(plan.settings(), chance);
+        pool = new WorkerSelector(plan.settings(), chance);
         String start = "pool_" + name + "_";
         runs = metrics.counter(start + "runs_total", "Runs that were handed to workers");
         elsewhere =
@@ -72,7 +72,7 @@
         metrics.gauge(start + "places", "Runs that its workers may have at once", () -> places);
     }
 
-    void become(Plan plan, Duration now) {
+    void become(WorkerPoolConfig plan, Duration now) {
         freeAt = null;
         late = plan.late();
         pool.become(plan.settings());
@@ -114,13 +114,13 @@
     }
 
     /** Another one for a try that is proven not to have begun, or none. */
-    Optional<WorkerId> chooseAgain(WorkerId before, End end, Duration now) {
+    Optional<WorkerId> chooseAgain(WorkerId before, RequestOutcome end, Duration now) {
         freeAt = null;
         return pool.chooseAgain(before, end, now);
     }
 
     /** A request to a worker is over; what that changes for it leaves a line. */
-    void ended(WorkerId id, End end, Duration took, Duration now) {
+    void ended(WorkerId id, RequestOutcome end, Duration took, Duration now) {
         freeAt = null;
         boolean in = pool.in(id);
         pool.ended(id, end, took, now);
--- a/src/main/java/ochretiller/workers/Plan.java
+++ b/src/main/java/ochretiller/workers/WorkerPoolConfig.java
@@ -12,7 +12,7 @@
  * @param workers where they listen
  * @param runs what they carry out
  */
-public record Plan(
+public record WorkerPoolConfig(
         String name,
         PoolSettings settings,
         Duration late,
@@ -23,6 +23,6 @@
 
     /** Connections that this pool may open at once. */
     public long connections() {
-        return (long) settings.mostInFlight() * workers.size() + Crew.MOST_LATE;
+        return (long) settings.mostInFlight() * workers.size() + WorkerPool.MOST_LATE;
     }
 }
--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -5,12 +5,12 @@
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 import java.util.List;
-import ochretiller.node.Logs;
-import ochretiller.node.Node;
-import ochretiller.operator.Operator;
-import ochretiller.operator.OperatorFile;
-import ochretiller.store.Disk;
-import ochretiller.store.RealDisk;
+import ochretiller.node.LoggingSetup;
+import ochretiller.node.ServerNode;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.operator.OperatorConfigReader;
+import ochretiller.store.LocalDirectory;
+import ochretiller.store.StorageDirectory;
 
 /**
  * The packaged server on a disk that ends the process at a scripted operation, as SIGKILL would:
@@ -23,15 +23,15 @@
     private CrashingServer() {}
 
     public static void main(String[] words) throws Exception {
-        Logs.install();
-        Operator operator = OperatorFile.read(Path.of(words[2]));
+        LoggingSetup.install();
+        OperatorConfig operator = OperatorConfigReader.read(Path.of(words[2]));
         String[] point = words[0].split(":");
-        Node node =
-                new Node(
+        ServerNode node =
+                new ServerNode(
                         Path.of(words[1]),
                         operator,
                         new Crashing(
-                                new RealDisk(operator.remember().orElseThrow().folder()),
+                                new LocalDirectory(operator.remember().orElseThrow().folder()),
                                 point[0],
                                 Integer.parseInt(point[1])));
         node.prepare();
@@ -39,12 +39,12 @@
         node.run();
     }
 
-    private static final class Crashing implements Disk {
-        private final Disk disk;
+    private static final class Crashing implements StorageDirectory {
+        private final StorageDirectory disk;
         private final String point;
         private int left;
 
-        Crashing(Disk disk, String point, int left) {
+        Crashing(StorageDirectory disk, String point, int left) {
             this.disk = disk;
             this.point = point;
             this.left = left;
@@ -57,23 +57,23 @@
         }
 
         @Override
-        public Closeable lock() throws IOException {
-            return disk.lock();
+        public Closeable acquireLock() throws IOException {
+            return disk.acquireLock();
         }
 
         @Override
-        public List<String> list() throws IOException {
-            return disk.list();
+        public List<String> listFiles() throws IOException {
+            return disk.listFiles();
         }
 
         @Override
-        public File open(String name) throws IOException {
+        public StorageFile open(String name) throws IOException {
             return new Watched(disk.open(name));
         }
 
         @Override
-        public File create(String name) throws IOException {
-            File made = new Watched(disk.create(name));
+        public StorageFile create(String name) throws IOException {
+            StorageFile made = new Watched(disk.create(name));
             at("create");
             return made;
         }
@@ -90,15 +90,15 @@
         }
 
         @Override
-        public void forceFolder() throws IOException {
-            disk.forceFolder();
+        public void forceDirectory() throws IOException {
+            disk.forceDirectory();
         }
 
-        private final class Watched implements File {
-            private final File file;
+        private final class Watched implements StorageFile {
+            private final StorageFile file;
             private boolean records;
 
-            Watched(File file) {
+            Watched(StorageFile file) {
                 this.file = file;
             }
 
--- a/src/test/java/ochretiller/SickDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -1,6 +1,6 @@
 package ochretiller;
 
-import static ochretiller.standin.Gateways.message;
+import static ochretiller.fakes.GatewayMessages.message;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.InetAddress;
@@ -15,12 +15,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import ochretiller.node.Node;
-import ochretiller.operator.Operator;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.StandIns;
-import ochretiller.standin.Wire;
-import ochretiller.store.ForgetfulDisk;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.FakeServices;
+import ochretiller.fakes.GatewayMessages;
+import ochretiller.node.ServerNode;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.store.VolatileDirectory;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A server in this process, over sockets, on a disk that stalls, fills and fails by script. */
-class SickDiskTest {
-    private static final Operator.Remember REMEMBER =
-            new Operator.Remember(
+class DegradedDiskTest {
+    private static final OperatorConfig.Remember REMEMBER =
+            new OperatorConfig.Remember(
                     Path.of("unused"),
                     1_000,
                     1 << 20,
@@ -43,18 +43,18 @@
                     Duration.ofMillis(50),
                     Duration.ofMillis(100));
     @TempDir private Path folder;
-    private ForgetfulDisk disk = new ForgetfulDisk();
+    private VolatileDirectory disk = new VolatileDirectory();
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
     private CountDownLatch linked;
-    private StandIns outside;
-    private Node node;
-    private Wire gateway;
+    private FakeServices outside;
+    private ServerNode node;
+    private FakeConnection gateway;
     private int rids;
 
     private void start() throws Exception {
         linked = new CountDownLatch(1);
         outside =
-                new StandIns(
+                new FakeServices(
                         "127.0.0.1",
                         new int[3],
                         line -> {
@@ -75,16 +75,16 @@
         Path config =
                 Files.writeString(
                         folder.resolve("config.json"),
-                        Gateways.config(
+                        GatewayMessages.config(
                                         port,
                                         outside.processorPort(),
                                         outside.recordsPort(),
                                         outside.rosterPort())
                                 .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
         node =
-                new Node(
+                new ServerNode(
                         config,
-                        new Operator(
+                        new OperatorConfig(
                                 false,
                                 Optional.empty(),
                                 Optional.of(REMEMBER),
@@ -92,7 +92,7 @@
                                 List.of(),
                                 Optional.empty(),
                                 Optional.empty(),
-                                Operator.Drill.NONE),
+                                OperatorConfig.Drill.NONE),
                         disk);
         node.prepare();
         node.listen();
@@ -100,12 +100,12 @@
         loop.setDaemon(true);
         loop.start();
         assertThat(linked.await(10, TimeUnit.SECONDS)).isTrue();
-        gateway = new Wire(new Socket("127.0.0.1", port));
+        gateway = new FakeConnection(new Socket("127.0.0.1", port));
     }
 
     @AfterEach
     void stop() throws Exception {
-        disk.script = (operation, name) -> {};
+        disk.fault = (operation, name) -> {};
         gateway.close();
         node.drain();
         outside.close();
@@ -115,18 +115,21 @@
     private String ask(int token, String body) throws Exception {
         String rid = String.format("%016x", ++rids);
         gateway.send(
-                message(rids, "order", Gateways.params(rid, String.format("%032x", token), body)));
+                message(
+                        rids,
+                        "order",
+                        GatewayMessages.params(rid, String.format("%032x", token), body)));
         return gateway.line();
     }
 
     private String read() throws Exception {
         String rid = String.format("%016x", ++rids);
-        gateway.send(message(rids, "read", Gateways.params(rid, null, "read " + rid)));
+        gateway.send(message(rids, "read", GatewayMessages.params(rid, null, "read " + rid)));
         return gateway.line();
     }
 
     private static String result(String body) {
-        return "\"result\":{\"data\":\"" + Gateways.base64("result of " + body) + "\"";
+        return "\"result\":{\"data\":\"" + GatewayMessages.base64("result of " + body) + "\"";
     }
 
     /**
@@ -152,7 +155,7 @@
             String operation, String message) throws Exception {
         start();
         assertThat(ask(1, "before")).contains(result("before"));
-        disk.script =
+        disk.fault =
                 (what, name) -> {
                     if (what.equals(operation) || what.equals("create")) {
                         throw new java.io.IOException(message);
@@ -165,7 +168,7 @@
                     .contains(result("before")); // a repeat needs nothing of the disk
         }
         assertThat(runs).doesNotContainKey("meanwhile");
-        disk.script = (what, name) -> {};
+        disk.fault = (what, name) -> {};
         assertThat(askUntilServed(2, "meanwhile")).contains(result("meanwhile"));
         assertThat(ask(2, "meanwhile")).contains(result("meanwhile"));
     }
@@ -175,14 +178,14 @@
         start();
         ask(1, "before");
         CountDownLatch go = new CountDownLatch(1);
-        disk.script = ForgetfulDisk.stalls("force", go);
+        disk.fault = VolatileDirectory.stalling("force", go);
         long began = System.nanoTime();
         assertThat(ask(2, "slow")).contains("-32014").contains("\"backoff\":");
         assertThat(System.nanoTime() - began)
                 .isLessThan(2_000_000_000L); // its client waits for four seconds
         assertThat(ask(3, "behind")).as("stalled by now").contains("-32014");
         assertThat(read()).contains("\"result\"");
-        disk.script = (what, name) -> {};
+        disk.fault = (what, name) -> {};
         go.countDown();
         assertThat(askUntilServed(2, "slow")).contains(result("slow"));
         assertThat(askUntilServed(3, "behind")).contains(result("behind"));
@@ -195,15 +198,15 @@
         outside.runs =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
-                    disk.script =
-                            ForgetfulDisk.stalls(
+                    disk.fault =
+                            VolatileDirectory.stalling(
                                     "force",
                                     go); // the mark is durable, and nothing behind it will be
                     outside.complete(rid, "result of " + body);
                 };
         assertThat(ask(1, "run")).contains(result("run"));
         assertThat(ask(1, "run")).contains(result("run"));
-        ForgetfulDisk left = disk.cut(new java.util.SplittableRandom(4));
+        VolatileDirectory left = disk.afterPowerLoss(new java.util.SplittableRandom(4));
         go.countDown();
         gateway.close();
         node.drain();
@@ -220,17 +223,17 @@
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     if (body.equals("run")) {
-                        disk.script = ForgetfulDisk.fails("force", "Input/output error");
+                        disk.fault = VolatileDirectory.failing("force", "Input/output error");
                     }
                     outside.complete(rid, "result of " + body);
                 };
         assertThat(ask(1, "run")).contains(result("run"));
         assertThat(ask(2, "next")).contains("-32014");
-        disk.script = (what, name) -> {};
+        disk.fault = (what, name) -> {};
         assertThat(askUntilServed(2, "next")).contains(result("next"));
         assertThat(askUntilServed(3, "last"))
                 .contains(result("last")); // forced behind what was caught up with
-        ForgetfulDisk left = disk.killed();
+        VolatileDirectory left = disk.afterProcessKill();
         gateway.close();
         node.drain();
         outside.close();
@@ -241,11 +244,11 @@
 
     @Test
     void diskThatCannotBeWrittenAtTheStartThrottlesKeyedWorkOnly() throws Exception {
-        disk.script = ForgetfulDisk.fails("create", "Read-only file system");
+        disk.fault = VolatileDirectory.failing("create", "Read-only file system");
         start();
         assertThat(ask(1, "early")).contains("-32014");
         assertThat(read()).contains("\"result\"");
-        disk.script = (what, name) -> {};
+        disk.fault = (what, name) -> {};
         assertThat(askUntilServed(1, "early")).contains(result("early"));
     }
 
@@ -281,7 +284,7 @@
                                 bytes[120] ^= 1; // within the first record
                             }
                         });
-        disk = ForgetfulDisk.of(files);
+        disk = VolatileDirectory.withContents(files);
         start();
         assertThat(ask(2, "new")).contains("-32014");
         assertThat(read()).contains("\"result\"");
--- a/src/test/java/ochretiller/Deployment.java
+++ b/src/test/java/ochretiller/Deployment.java
@@ -17,10 +17,10 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import java.util.regex.Pattern;
-import ochretiller.standin.Daemon;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.StandIns;
-import ochretiller.standin.Wire;
+import ochretiller.fakes.DaemonThreads;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.FakeServices;
+import ochretiller.fakes.GatewayMessages;
 
 /**
  * The packaged program with small stand-ins for processor, records service and roster, written from
@@ -34,7 +34,8 @@
     final List<String> said = new CopyOnWriteArrayList<>();
 
     final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
-    final StandIns outside = new StandIns("127.0.0.1", new int[3], heard::add, reports::add);
+    final FakeServices outside =
+            new FakeServices("127.0.0.1", new int[3], heard::add, reports::add);
     final int port = freePort();
     private final Path config = Files.createTempFile("node", ".json");
     private final Path operator;
@@ -104,7 +105,7 @@
         log.clear();
         said.clear();
         heard.clear();
-        Daemon.start(
+        DaemonThreads.start(
                 () -> {
                     try (BufferedReader lines =
                             new BufferedReader(new InputStreamReader(started.getInputStream()))) {
@@ -127,7 +128,7 @@
         Files.writeString(
                 config,
                 change.apply(
-                        Gateways.config(
+                        GatewayMessages.config(
                                 port,
                                 outside.processorPort(),
                                 outside.recordsPort(),
@@ -165,8 +166,8 @@
         return builder.start();
     }
 
-    Wire dial() throws IOException {
-        return new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
+    FakeConnection dial() throws IOException {
+        return new FakeConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
     /**
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import ochretiller.standin.Gateways;
+import ochretiller.fakes.GatewayMessages;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -69,7 +69,7 @@
     @Test
     void goodConfigurationIsToldSo() throws Exception {
         expect(
-                Deployment.start(config(Gateways.config(1, 2, 3, 4)), "check"),
+                Deployment.start(config(GatewayMessages.config(1, 2, 3, 4)), "check"),
                 0,
                 "the configuration of n1 is good");
     }
@@ -78,14 +78,16 @@
     void wrongOperationIsNamedByTheCheckToo() throws Exception {
         expectWrong(
                 Deployment.start(
-                        config(Gateways.config(1, 2, 3, 4).replace("\"effect\":\"pure\",", "")),
+                        config(
+                                GatewayMessages.config(1, 2, 3, 4)
+                                        .replace("\"effect\":\"pure\",", "")),
                         "check"),
                 "effect");
     }
 
     @Test
     void recordsServiceIsNeededOnlyWhereAnOperationCalls() throws Exception {
-        String without = Gateways.config(1, 2, 3, 4).replace("\"records\":", "\"x\":");
+        String without = GatewayMessages.config(1, 2, 3, 4).replace("\"records\":", "\"x\":");
         expect(
                 Deployment.start(config(without.replace("[true,true]", "[false,false]")), "check"),
                 0,
@@ -121,7 +123,7 @@
         "stopSendingWithinNs"
     })
     void missingOrWrongSettingIsNamed(String name) throws Exception {
-        String good = Gateways.config(1, 2, 3, 4);
+        String good = GatewayMessages.config(1, 2, 3, 4);
         expectWrong(
                 Deployment.start(config(good.replace("\"" + name + "\":", "\"x\":")), "serve"),
                 name);
@@ -136,7 +138,7 @@
     @Test
     void addressInUseIsToldWithCodeOne() throws Exception {
         try (Deployment deployment = new Deployment()) {
-            Path config = config(Gateways.config(deployment.port, 2, 3, 4));
+            Path config = config(GatewayMessages.config(deployment.port, 2, 3, 4));
             expect(Deployment.start(config, "serve"), 1, "ochretiller: ", "in use");
         }
     }
@@ -178,10 +180,11 @@
             try (Writer first = Files.newBufferedWriter(pipe)) { // opened once the program reads it
                 // What is read again, before or behind the listening, is a file of another kind.
                 Path next =
-                        Files.writeString(folder.resolve("next"), Gateways.config(port, 2, 3, 5));
+                        Files.writeString(
+                                folder.resolve("next"), GatewayMessages.config(port, 2, 3, 5));
                 Files.move(next, pipe, StandardCopyOption.REPLACE_EXISTING);
                 signal(process, "HUP");
-                first.write(Gateways.config(port, 2, 3, 4));
+                first.write(GatewayMessages.config(port, 2, 3, 4));
             }
             List<String> said = new ArrayList<>();
             while (said.stream().noneMatch(line -> line.contains("takes the addresses"))) {
@@ -221,7 +224,7 @@
             })
     void sizesAreThoseOfTheConfigurationWithoutAnotherProcess(String from, String to, int mb)
             throws Exception {
-        Path config = config(Gateways.config(1, 2, 3, 4).replace(from, to));
+        Path config = config(GatewayMessages.config(1, 2, 3, 4).replace(from, to));
         // Nothing but java is found on this path: where the shell needs help, the start fails.
         Path java = Files.createDirectory(folder.resolve("bin" + mb));
         Files.writeString(java.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
@@ -235,7 +238,7 @@
 
     @Test
     void sizeThatTheShellReadsDifferentlyIsNamed() throws Exception {
-        String good = Gateways.config(1, 2, 3, 4);
+        String good = GatewayMessages.config(1, 2, 3, 4);
         expectWrong(
                 Deployment.start(
                         config(good.replace("\"memory_mb\":192", "\"memory_mb\":\n192")), "serve"),
--- a/src/test/java/ochretiller/HandLoop.java
+++ b/src/test/java/ochretiller/ManualEventLoop.java
@@ -5,13 +5,13 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import ochretiller.net.Schedule;
+import ochretiller.net.Scheduler;
 
 /**
  * The one thread's work in the hands of a test: nothing of it is done, and no time passes, until
  * the test says so.
  */
-public final class HandLoop implements Schedule {
+public final class ManualEventLoop implements Scheduler {
     private static final long LONGEST_S = 10;
 
     private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
--- a/src/test/java/ochretiller/CrossingsIT.java
+++ b/src/test/java/ochretiller/RaceConditionsIT.java
@@ -1,8 +1,8 @@
 package ochretiller;
 
 import static ochretiller.Deployment.await;
-import static ochretiller.standin.Gateways.message;
-import static ochretiller.standin.Gateways.params;
+import static ochretiller.fakes.GatewayMessages.message;
+import static ochretiller.fakes.GatewayMessages.params;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.file.Files;
@@ -10,8 +10,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -19,11 +19,11 @@
  * Events that cross, on the packaged program; a process that stands still while both come is what
  * makes them one moment.
  */
-class CrossingsIT {
+class RaceConditionsIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     private static final String SHUTDOWN = "\"shutdown\"";
     private Deployment deployment;
-    private Wire gateway;
+    private FakeConnection gateway;
 
     private void start() throws Exception {
         deployment = new Deployment();
@@ -57,7 +57,7 @@
                         "\"id\":"
                                 + id
                                 + ",\"result\":{\"data\":\""
-                                + Gateways.base64(result)
+                                + GatewayMessages.base64(result)
                                 + "\"");
     }
 
@@ -84,7 +84,8 @@
             answer = gateway.line();
         }
         assertThat(answer)
-                .contains("\"id\":2,\"result\":{\"data\":\"" + Gateways.base64("once") + "\"");
+                .contains(
+                        "\"id\":2,\"result\":{\"data\":\"" + GatewayMessages.base64("once") + "\"");
         assertThat(begun(1) + begun(2)).isZero();
     }
 
@@ -193,7 +194,7 @@
         gateway = deployment.dial();
         gateway.send(read(1, "good"));
         expectResult(1, "result of " + rid(1));
-        List<Wire> idle = new ArrayList<>();
+        List<FakeConnection> idle = new ArrayList<>();
         long held = 0;
         for (int i = 0; i < 2 * most; i++) {
             idle.add(deployment.dial());
@@ -211,7 +212,7 @@
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
         assertThat(held).isLessThanOrEqualTo(most);
-        for (Wire wire : idle) {
+        for (FakeConnection wire : idle) {
             wire.close();
         }
     }
--- a/src/test/java/ochretiller/RestartIT.java
+++ b/src/test/java/ochretiller/RestartIT.java
@@ -1,7 +1,7 @@
 package ochretiller;
 
 import static ochretiller.Deployment.await;
-import static ochretiller.standin.Gateways.message;
+import static ochretiller.fakes.GatewayMessages.message;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,7 @@
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     @TempDir private Path folder;
     private Deployment deployment;
-    private Wire gateway;
+    private FakeConnection gateway;
     private int rids;
 
     /**
@@ -94,7 +94,7 @@
     }
 
     private String order(long id, String body) {
-        return message(id, "order", Gateways.params(rid(), TOKEN, body));
+        return message(id, "order", GatewayMessages.params(rid(), TOKEN, body));
     }
 
     /**
@@ -114,7 +114,7 @@
                         "{\"jsonrpc\":\"2.0\",\"id\":"
                                 + id
                                 + ",\"result\":{\"data\":\""
-                                + Gateways.base64(result)
+                                + GatewayMessages.base64(result)
                                 + "\"");
     }
 
@@ -216,7 +216,8 @@
         restart();
         gateway.send(order(2, "wait"));
         expectError(2);
-        gateway.send(message(3, "order", Gateways.params(rid(), "0".repeat(32), "done other")));
+        gateway.send(
+                message(3, "order", GatewayMessages.params(rid(), "0".repeat(32), "done other")));
         expectResult(3, "result of done other");
     }
 
@@ -241,7 +242,8 @@
     void failedRunIsErroredBehindARestart() throws Exception {
         gateway.send(order(1, "bad"));
         expectError(1);
-        gateway.send(message(2, "order", Gateways.params(rid(), "1".repeat(32), "done next")));
+        gateway.send(
+                message(2, "order", GatewayMessages.params(rid(), "1".repeat(32), "done next")));
         expectResult(2, "result of done next"); // its mark was forced behind the end of the first
         kill();
         restart();
@@ -273,7 +275,7 @@
                 message(
                         2,
                         "order",
-                        Gateways.params(
+                        GatewayMessages.params(
                                 rid(), System.currentTimeMillis() + step, TOKEN, "done once")));
         // By its stamp one from an hour ago has nobody left who waits; it may be errored, but it
         // neither runs nor is throttled.
@@ -288,7 +290,7 @@
     void repeatBeforeTheProcessorIsThereIsAnsweredAndNeverThrottled() throws Exception {
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
-        gateway.send(message(2, "order", Gateways.params(rid(), "2".repeat(32), "wait")));
+        gateway.send(message(2, "order", GatewayMessages.params(rid(), "2".repeat(32), "wait")));
         await(deployment.heard, "begin .*" + String.format("%016x", rids));
         String rid = String.format("%016x", rids);
         kill();
@@ -299,8 +301,9 @@
         expectResult(3, "result of done once");
         gateway.send(order(4, "done other"));
         expectError(4);
-        gateway.send(message(5, "order", Gateways.params(rid(), "2".repeat(32), "wait")));
-        gateway.send(message(6, "order", Gateways.params(rid(), "3".repeat(32), "done new")));
+        gateway.send(message(5, "order", GatewayMessages.params(rid(), "2".repeat(32), "wait")));
+        gateway.send(
+                message(6, "order", GatewayMessages.params(rid(), "3".repeat(32), "done new")));
         assertThat(gateway.line()).contains("\"id\":6").contains("\"code\":-32014");
         deployment.outside.complete(rid, "done now");
         deployment.outside.speak();
@@ -314,10 +317,10 @@
                     message(
                             i,
                             "order",
-                            Gateways.params(rid(), String.format("%032x", i), "done " + i)));
+                            GatewayMessages.params(rid(), String.format("%032x", i), "done " + i)));
             expectResult(i, "result of done " + i);
         }
-        gateway.send(message(20, "read", Gateways.params(rid(), null, "done read")));
+        gateway.send(message(20, "read", GatewayMessages.params(rid(), null, "done read")));
         expectResult(20, "result of done read");
         String figures = "";
         for (int tries = 0;
@@ -338,7 +341,9 @@
 
     @Test
     void secondServerOnTheFolderIsRefusedWithOneLine() throws Exception {
-        Path config = Files.writeString(folder.resolve("second.json"), Gateways.config(1, 2, 3, 4));
+        Path config =
+                Files.writeString(
+                        folder.resolve("second.json"), GatewayMessages.config(1, 2, 3, 4));
         Process second =
                 Deployment.start(
                         config, "serve", "--operator", folder.resolve("operator.json5").toString());
--- a/src/test/java/ochretiller/ServeIT.java
+++ b/src/test/java/ochretiller/ServeIT.java
@@ -1,14 +1,14 @@
 package ochretiller;
 
 import static ochretiller.Deployment.await;
-import static ochretiller.standin.Gateways.message;
+import static ochretiller.fakes.GatewayMessages.message;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
-import ochretiller.standin.Wire;
+import ochretiller.fakes.FakeConnection;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -23,7 +23,7 @@
 class ServeIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     private Deployment deployment;
-    private Wire gateway;
+    private FakeConnection gateway;
     private int rids;
 
     @BeforeEach
@@ -437,7 +437,7 @@
     void spoiltReplyEndsNoOtherCall() throws IOException {
         gateway.send(read(1, "call silence"));
         await(deployment.heard, "^OP");
-        Wire good = deployment.outside.calls;
+        FakeConnection good = deployment.outside.calls;
         gateway.send(read(2, "call silence"));
         await(deployment.heard, "^OP");
         deployment.outside.calls.send("\u00e1\u0007 noise\r\n");
@@ -458,14 +458,14 @@
      * The word that nothing more may come, and the end of the connection where its caller does not
      * end it.
      */
-    private static void expectTold(Wire wire) throws IOException {
+    private static void expectTold(FakeConnection wire) throws IOException {
         assertThat(wire.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
         assertThat(wire.line()).isNull();
     }
 
     @Test
     void connectionThatHasShownNothingIsClosedSoonAndAnotherLater() throws IOException {
-        Wire other = deployment.dial();
+        FakeConnection other = deployment.dial();
         other.send(message(1, "ping", "{}"));
         gateway.send(read(1, "good").substring(0, 40));
         expectTold(gateway);
@@ -648,7 +648,7 @@
         restartWithFewSockets();
         gateway.send(message(1, "ping", "{}"));
         assertThat(gateway.line()).contains("\"green\":true");
-        List<Wire> silent = new ArrayList<>();
+        List<FakeConnection> silent = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
             silent.add(deployment.dial());
             if (i < 8) {
@@ -667,7 +667,7 @@
         }
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(1));
-        for (Wire wire : silent) {
+        for (FakeConnection wire : silent) {
             wire.close();
         }
         expectServes();
@@ -679,7 +679,7 @@
         gateway.send(message(1, "ping", "{}"));
         assertThat(gateway.line()).contains("\"green\":true");
         for (int i = 0; i < 32; i++) {
-            Wire wire = deployment.dial();
+            FakeConnection wire = deployment.dial();
             wire.send(message(1, "ping", "{}"));
             assertThat(wire.line()).contains("\"green\":true");
         }
@@ -691,9 +691,9 @@
     void fullTableLetsHealthChecksInAndTurnsInvocationsAway() throws Exception {
         restartWithFewSockets();
         gateway.close();
-        List<Wire> wires = new ArrayList<>();
+        List<FakeConnection> wires = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
-            Wire busy = deployment.dial();
+            FakeConnection busy = deployment.dial();
             busy.send(message(1, "ping", "{}") + order(2, "wait")); // all wait for the first
             assertThat(busy.line()).contains("\"green\":true");
             wires.add(busy);
@@ -709,7 +709,7 @@
             wires.add(deployment.dial());
         }
         assertThat(wires.get(40).line()).isNull();
-        for (Wire wire : wires) {
+        for (FakeConnection wire : wires) {
             wire.close();
         }
     }
--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -1,7 +1,7 @@
 package ochretiller;
 
 import static ochretiller.Deployment.await;
-import static ochretiller.standin.Gateways.message;
+import static ochretiller.fakes.GatewayMessages.message;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -18,11 +18,11 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
-import ochretiller.uwsgi.Answer;
-import ochretiller.uwsgi.AnswerDecoder;
-import ochretiller.uwsgi.Request;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
+import ochretiller.uwsgi.UwsgiRequest;
+import ochretiller.uwsgi.UwsgiResponse;
+import ochretiller.uwsgi.UwsgiResponseDecoder;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -103,19 +103,19 @@
             for (int i = 0; i < more.length; i += 2) {
                 vars.put(more[i], more[i + 1]);
             }
-            for (byte[] part : new Request(vars, bytes(body), false).encode()) {
+            for (byte[] part : new UwsgiRequest(vars, bytes(body), false).encode()) {
                 socket.getOutputStream().write(part);
             }
             return this;
         }
 
         /** The answer, or null where the connection ended without a whole one. */
-        Answer answer() throws IOException {
-            AnswerDecoder decoder = new AnswerDecoder(8_192);
+        UwsgiResponse answer() throws IOException {
+            UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(8_192);
             byte[] buffer = new byte[1];
             try {
                 while (socket.getInputStream().read(buffer) > 0) {
-                    Answer whole = decoder.read(buffer, 0, 1);
+                    UwsgiResponse whole = decoder.read(buffer, 0, 1);
                     if (whole != null) {
                         return whole;
                     }
@@ -132,10 +132,10 @@
         }
     }
 
-    private Answer ask(String method, String path, String key, String body, String... more)
+    private UwsgiResponse ask(String method, String path, String key, String body, String... more)
             throws IOException {
         try (Call call = new Call()) {
-            Answer answer = call.send(method, path, key, body, more).answer();
+            UwsgiResponse answer = call.send(method, path, key, body, more).answer();
             assertThat(call.socket.getInputStream().read())
                     .as("the connection ends behind it")
                     .isNegative();
@@ -143,11 +143,11 @@
         }
     }
 
-    private Answer order(String key, String body) throws IOException {
+    private UwsgiResponse order(String key, String body) throws IOException {
         return ask("POST", "/orders", key, body);
     }
 
-    private static void expect(Answer answer, int status, String body) {
+    private static void expect(UwsgiResponse answer, int status, String body) {
         assertThat(answer).isNotNull();
         assertThat(answer.status()).isEqualTo(status);
         assertThat(new String(answer.body(), StandardCharsets.ISO_8859_1).trim()).isEqualTo(body);
@@ -160,10 +160,10 @@
     @Test
     void readAndOrderSucceedAndARepeatIsMarkedAsOne() throws Exception {
         expect(ask("GET", "/parts/7?x=y", null, "done read"), 200, "result of done read");
-        Answer first = order("key 1", "done one");
+        UwsgiResponse first = order("key 1", "done one");
         expect(first, 200, "result of done one");
         assertThat(first.headers()).doesNotContainKey("x-idempotent-replay");
-        Answer again = order("key 1", "done one");
+        UwsgiResponse again = order("key 1", "done one");
         expect(again, 200, "result of done one");
         assertThat(again.headers()).containsEntry("x-idempotent-replay", "true");
     }
@@ -183,13 +183,13 @@
     @Test
     void repeatOverTheOtherProtocolGetsTheKeptResult() throws Exception {
         expect(order(TOKEN, "done one"), 200, "result of done one");
-        try (Wire gateway = deployment.dial()) {
-            gateway.send(message(1, "order", Gateways.params(rid(), TOKEN, "done one")));
-            assertThat(gateway.line()).contains(Gateways.base64("result of done one"));
+        try (FakeConnection gateway = deployment.dial()) {
+            gateway.send(message(1, "order", GatewayMessages.params(rid(), TOKEN, "done one")));
+            assertThat(gateway.line()).contains(GatewayMessages.base64("result of done one"));
             String other = "0".repeat(32);
-            gateway.send(message(2, "order", Gateways.params(rid(), other, "done two")));
-            assertThat(gateway.line()).contains(Gateways.base64("result of done two"));
-            Answer replay = order(other, "done two");
+            gateway.send(message(2, "order", GatewayMessages.params(rid(), other, "done two")));
+            assertThat(gateway.line()).contains(GatewayMessages.base64("result of done two"));
+            UwsgiResponse replay = order(other, "done two");
             expect(replay, 200, "result of done two");
             assertThat(replay.headers()).containsEntry("x-idempotent-replay", "true");
         }
@@ -202,12 +202,12 @@
         call.socket.setSoLinger(true, 0);
         call.close();
         await(deployment.log, "connection uwsgi .* ended: BROKEN");
-        try (Wire gateway = deployment.dial()) {
-            gateway.send(message(1, "order", Gateways.params(rid(), TOKEN, "wait")));
+        try (FakeConnection gateway = deployment.dial()) {
+            gateway.send(message(1, "order", GatewayMessages.params(rid(), TOKEN, "wait")));
             gateway.send(message(2, "ping", "{}"));
             assertThat(gateway.line()).contains("\"id\":2");
             deployment.outside.complete(begin.split(" ")[1], "done in the end");
-            assertThat(gateway.line()).contains(Gateways.base64("done in the end"));
+            assertThat(gateway.line()).contains(GatewayMessages.base64("done in the end"));
         }
     }
 
@@ -233,7 +233,8 @@
     @Test
     void lateArrivalIsThrottledWithWordWhenToReturn() throws Exception {
         long stamp = System.currentTimeMillis() - 3_000;
-        Answer answer = ask("POST", "/orders", "key 1", "done", "HTTP_X_REQUEST_START", "" + stamp);
+        UwsgiResponse answer =
+                ask("POST", "/orders", "key 1", "done", "HTTP_X_REQUEST_START", "" + stamp);
         assertThat(answer.status()).isEqualTo(503);
         assertThat(Integer.parseInt(answer.headers().get("retry-after"))).isPositive();
         assertThat(answer.headers()).containsKey("x-backoff-ms");
@@ -270,7 +271,7 @@
                             new byte[] {
                                 (byte) modifier, (byte) size, 0, 0, 9, 9, 9, 9, 9, 9, 9, 9, 9
                             });
-            Answer answer = bad.answer();
+            UwsgiResponse answer = bad.answer();
             if (status == 0) {
                 assertThat(answer).isNull();
             } else {
@@ -284,7 +285,7 @@
         }
         int served = 0;
         for (Call call : others) {
-            Answer answer = null;
+            UwsgiResponse answer = null;
             if (served < 2) {
                 answer = call.answer();
             }
@@ -315,17 +316,17 @@
 
     @Test
     void drainAnswersWhatBothFrontsHaveRead() throws Exception {
-        try (Wire gateway = deployment.dial();
+        try (FakeConnection gateway = deployment.dial();
                 Call call = new Call().send("POST", "/orders", "key 1", "wait one")) {
             String first = await(deployment.heard, "begin .* order").split(" ")[1];
-            gateway.send(message(1, "order", Gateways.params(rid(), TOKEN, "wait two")));
+            gateway.send(message(1, "order", GatewayMessages.params(rid(), TOKEN, "wait two")));
             String second = await(deployment.heard, "begin .* order").split(" ")[1];
             deployment.terminate();
             await(deployment.log, "leaves");
             deployment.outside.complete(first, "done one");
             deployment.outside.complete(second, "done two");
             expect(call.answer(), 200, "done one");
-            assertThat(gateway.line()).contains(Gateways.base64("done two"));
+            assertThat(gateway.line()).contains(GatewayMessages.base64("done two"));
             assertThat(deployment.exit()).isZero();
         }
     }
@@ -333,15 +334,15 @@
     @Test
     void floodOfSilentConnectionsKeepsNobodyOut() throws Exception {
         List<Socket> flood = new ArrayList<>();
-        try (Wire gateway = deployment.dial()) {
-            gateway.send(message(1, "read", Gateways.params(rid(), null, "done before")));
+        try (FakeConnection gateway = deployment.dial()) {
+            gateway.send(message(1, "read", GatewayMessages.params(rid(), null, "done before")));
             assertThat(gateway.line()).contains("\"result\"");
             for (int i = 0; i < 700; i++) {
                 flood.add(
                         new Socket("127.0.0.1", port)); // half of 1024 descriptors are for callers
             }
             expect(order("k", "done meanwhile"), 200, "result of done meanwhile");
-            gateway.send(message(2, "read", Gateways.params(rid(), null, "done behind")));
+            gateway.send(message(2, "read", GatewayMessages.params(rid(), null, "done behind")));
             assertThat(gateway.line()).contains("\"result\"");
             await(deployment.log, "connection uwsgi .* ended: (TOO_MANY|SILENT)");
         } finally {
@@ -395,7 +396,7 @@
 
     private int[] load(SplittableRandom chance, int worker) throws IOException {
         int[] counts = new int[3];
-        try (Wire gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.dial()) {
             for (int i = 1; i <= 60; i++) {
                 int number =
                         chance.nextInt(100); // tokens are shared by all workers and both protocols
@@ -409,7 +410,7 @@
                 }
                 counts[1]++;
                 if (chance.nextBoolean()) {
-                    Answer answer = order(token, body);
+                    UwsgiResponse answer = order(token, body);
                     if (answer == null) {
                         continue;
                     }
@@ -423,7 +424,7 @@
                             message(
                                     i,
                                     "order",
-                                    Gateways.params(
+                                    GatewayMessages.params(
                                             String.format("%08x%08x", worker, i), token, body)));
                     String line = gateway.line();
                     if (line == null) {
@@ -431,7 +432,7 @@
                     }
                     counts[0]++;
                     if (line.contains("\"result\"")) {
-                        assertThat(line).contains(Gateways.base64("result of " + body));
+                        assertThat(line).contains(GatewayMessages.base64("result of " + body));
                         counts[2]++;
                     }
                 }
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -1,8 +1,8 @@
 package ochretiller;
 
 import static ochretiller.Deployment.await;
-import static ochretiller.standin.Gateways.message;
-import static ochretiller.standin.Gateways.params;
+import static ochretiller.fakes.GatewayMessages.message;
+import static ochretiller.fakes.GatewayMessages.params;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -22,12 +22,12 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import ochretiller.standin.Wire;
-import ochretiller.standin.WorkerStandIn;
-import ochretiller.standin.WorkerStandIn.Manner;
-import ochretiller.uwsgi.Answer;
-import ochretiller.uwsgi.AnswerDecoder;
-import ochretiller.uwsgi.Request;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.FakeWorker;
+import ochretiller.fakes.FakeWorker.Manner;
+import ochretiller.uwsgi.UwsgiRequest;
+import ochretiller.uwsgi.UwsgiResponse;
+import ochretiller.uwsgi.UwsgiResponseDecoder;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -42,7 +42,7 @@
 class WorkersIT {
     private static final int READS = 5_000;
     @TempDir private Path folder;
-    private final List<WorkerStandIn> workers = new ArrayList<>();
+    private final List<FakeWorker> workers = new ArrayList<>();
     private Deployment deployment;
     private int port;
     private int rids;
@@ -51,7 +51,7 @@
     void start() throws Exception {
         port = Deployment.freePort();
         for (int i = 0; i < 4; i++) {
-            workers.add(new WorkerStandIn("127.0.0.1", 0, ran -> Manner.ANSWERS));
+            workers.add(new FakeWorker("127.0.0.1", 0, ran -> Manner.ANSWERS));
         }
         deployment = new Deployment(configured(List.of(0, 1, 2)), made -> {});
         await(deployment.heard, "usage fence");
@@ -81,9 +81,9 @@
     void stop() throws Exception {
         deployment.close();
         Map<String, Integer> runs = new HashMap<>();
-        for (WorkerStandIn worker : workers) {
+        for (FakeWorker worker : workers) {
             worker.close();
-            for (WorkerStandIn.Ran ran : worker.ran()) {
+            for (FakeWorker.Ran ran : worker.ran()) {
                 if (ran.vars().get("PATH_INFO").equals("/order")) {
                     runs.merge(ran.body(), 1, Integer::sum);
                 }
@@ -92,7 +92,7 @@
         assertThat(runs.values()).as("runs of each order").allMatch(count -> count == 1);
     }
 
-    private void all(WorkerStandIn.Script script) {
+    private void all(FakeWorker.Script script) {
         workers.forEach(worker -> worker.script = script);
     }
 
@@ -100,7 +100,8 @@
         return workers.stream().mapToInt(worker -> worker.ran().size()).sum();
     }
 
-    private Answer ask(String method, String path, String key, String body) throws IOException {
+    private UwsgiResponse ask(String method, String path, String key, String body)
+            throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(READS);
             Map<String, String> vars =
@@ -118,15 +119,15 @@
                 vars.put("HTTP_IDEMPOTENCY_KEY", key);
             }
             byte[] bytes = body.getBytes(StandardCharsets.ISO_8859_1);
-            for (byte[] part : new Request(vars, bytes, false).encode()) {
+            for (byte[] part : new UwsgiRequest(vars, bytes, false).encode()) {
                 socket.getOutputStream().write(part);
             }
-            AnswerDecoder decoder = new AnswerDecoder(8_192);
+            UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(8_192);
             byte[] buffer = new byte[4_096];
             for (int got = socket.getInputStream().read(buffer);
                     got > 0;
                     got = socket.getInputStream().read(buffer)) {
-                Answer whole = decoder.read(buffer, 0, got);
+                UwsgiResponse whole = decoder.read(buffer, 0, got);
                 if (whole != null) {
                     return whole;
                 }
@@ -135,11 +136,11 @@
         }
     }
 
-    private Answer read(String body) throws IOException {
+    private UwsgiResponse read(String body) throws IOException {
         return ask("GET", "/parts/7", null, body);
     }
 
-    private Answer order(String key, String body) throws IOException {
+    private UwsgiResponse order(String key, String body) throws IOException {
         return ask("POST", "/orders", key, body);
     }
 
@@ -161,7 +162,7 @@
         }
     }
 
-    private static void expect(Answer answer, int status, String body) {
+    private static void expect(UwsgiResponse answer, int status, String body) {
         assertThat(answer).isNotNull();
         assertThat(new String(answer.body(), StandardCharsets.ISO_8859_1).trim()).isEqualTo(body);
         assertThat(answer.status()).isEqualTo(status);
@@ -179,7 +180,7 @@
     void bothFrontsRunOnWorkersAndShareTheirKeys() throws Exception {
         expect(read("one"), 200, "result of one");
         expect(order("5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two"), 200, "result of two");
-        try (Wire wire = deployment.dial()) {
+        try (FakeConnection wire = deployment.dial()) {
             wire.send(
                     message(
                             1,
@@ -187,9 +188,9 @@
                             params("0000000000000001", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two")));
             assertThat(wire.line())
                     .contains("\"id\":1")
-                    .contains(ochretiller.standin.Gateways.base64("result of two"));
+                    .contains(ochretiller.fakes.GatewayMessages.base64("result of two"));
         }
-        WorkerStandIn.Ran ran =
+        FakeWorker.Ran ran =
                 workers.stream()
                         .flatMap(w -> w.ran().stream())
                         .filter(r -> r.body().equals("two"))
@@ -236,15 +237,15 @@
 
     @Test
     void withAllWorkersGoneCallersAreToldWhenToComeBackAndAreServedThen() throws Exception {
-        for (WorkerStandIn worker : workers) {
+        for (FakeWorker worker : workers) {
             worker.die();
         }
         Map<Integer, Integer> ended = reads(60, 4);
         assertThat(ended).isEqualTo(Map.of(503, 60));
-        Answer throttled = order("k", "kept");
+        UwsgiResponse throttled = order("k", "kept");
         assertThat(throttled.status()).isEqualTo(503);
         assertThat(Integer.parseInt(throttled.headers().get("retry-after"))).isPositive();
-        for (WorkerStandIn worker : workers) {
+        for (FakeWorker worker : workers) {
             worker.rise();
         }
         Thread.sleep(700);
@@ -258,7 +259,7 @@
     void silentWorkerIsLeftOutAndAnOrderThatItHasIsErroredOnTime() throws Exception {
         all(ran -> ran.body().equals("silent") ? Manner.SILENT : Manner.ANSWERS);
         long began = System.nanoTime();
-        Answer answer = order("k", "silent");
+        UwsgiResponse answer = order("k", "silent");
         assertThat((System.nanoTime() - began) / 1e9).isBetween(3.0, 4.8);
         assertThat(answer.status()).isIn(409, 504);
         Thread.sleep(1_800); // past the time for a late answer
@@ -344,7 +345,7 @@
                     Thread.sleep(400);
                     return Manner.ANSWERS;
                 });
-        try (Wire wire = deployment.dial()) {
+        try (FakeConnection wire = deployment.dial()) {
             wire.send(
                     message(
                             1,
@@ -368,7 +369,7 @@
                     return Manner.ANSWERS;
                 });
         ExecutorService one = Executors.newSingleThreadExecutor();
-        Future<Answer> asked = one.submit(() -> order("k", "last"));
+        Future<UwsgiResponse> asked = one.submit(() -> order("k", "last"));
         for (int i = 0; i < 200 && ran() == 0; i++) {
             Thread.sleep(10);
         }
@@ -397,7 +398,7 @@
         String kept = "5c0f6e1a2b3d4c59a8b7c6d5e4f30213";
         String cut = "5c0f6e1a2b3d4c59a8b7c6d5e4f30214";
         all(ran -> ran.body().equals("cut") ? Manner.SILENT : Manner.ANSWERS);
-        try (Wire wire = deployment.dial()) {
+        try (FakeConnection wire = deployment.dial()) {
             wire.send(message(1, "order", params("0000000000000011", kept, "kept")));
             assertThat(wire.line()).contains("\"result\"");
             wire.send(message(2, "order", params("0000000000000012", cut, "cut")));
@@ -408,11 +409,11 @@
         deployment.kill();
         deployment.restart();
         await(deployment.heard, "usage fence");
-        Answer replayed = order(kept, "kept");
+        UwsgiResponse replayed = order(kept, "kept");
         expect(replayed, 200, "result of kept");
         assertThat(replayed.headers()).containsEntry("x-idempotent-replay", "true");
         expect(order(cut, "cut"), 500, "failed");
-        try (Wire wire = deployment.dial()) {
+        try (FakeConnection wire = deployment.dial()) {
             wire.send(message(3, "order", params("0000000000000013", cut, "cut")));
             assertThat(wire.line()).contains("\"error\"");
         }
--- a/src/test/java/ochretiller/policy/ChoiceTest.java
+++ b/src/test/java/ochretiller/admission/AdmissionControllerTest.java
@@ -1,18 +1,28 @@
-package ochretiller.policy;
+package ochretiller.admission;
 
-import static ochretiller.policy.Fixture.ORDER;
-import static ochretiller.policy.Fixture.READ;
-import static ochretiller.policy.Fixture.SECOND;
+import static ochretiller.admission.AdmissionFixture.ORDER;
+import static ochretiller.admission.AdmissionFixture.READ;
+import static ochretiller.admission.AdmissionFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
-import ochretiller.model.*;
+import ochretiller.model.CallOutcome;
+import ochretiller.model.CapacityAdvertisement;
+import ochretiller.model.ClientId;
+import ochretiller.model.Invocation;
+import ochretiller.model.InvocationId;
+import ochretiller.model.Operation;
+import ochretiller.model.ResourceGauges;
+import ochretiller.model.RunOutcome;
+import ochretiller.model.SideEffect;
+import ochretiller.model.Tenant;
+import ochretiller.model.TenantId;
 import org.junit.jupiter.api.Test;
 
-class ChoiceTest {
-    private final Fixture server = new Fixture();
+class AdmissionControllerTest {
+    private final AdmissionFixture server = new AdmissionFixture();
 
     /** Both cores run, so that what comes next is held. */
     private void busy() {
@@ -21,7 +31,7 @@
     }
 
     private List<String> drain(Duration kill) {
-        return server.act(server.choice().leave(kill));
+        return server.act(server.choice().onShutdownNotice(kill));
     }
 
     @Test
@@ -39,20 +49,20 @@
     void repeatOfRunningWaitsAndReplays() {
         server.arrive(1, ORDER, null);
         assertThat(server.arrive(2, ORDER, 1L)).isEmpty();
-        assertThat(server.end(1, RunEnd.Result.SUCCEEDED)).containsExactly("replay 2");
+        assertThat(server.end(1, RunOutcome.Status.SUCCEEDED)).containsExactly("replay 2");
     }
 
     @Test
     void repeatOfSucceededReplaysAtOnce() {
         server.arrive(1, ORDER, null);
-        server.end(1, RunEnd.Result.SUCCEEDED);
+        server.end(1, RunOutcome.Status.SUCCEEDED);
         assertThat(server.arrive(2, ORDER, 1L)).containsExactly("replay 2");
     }
 
     @Test
     void repeatOfFailedRunIsFailedAndNeverRuns() {
         server.arrive(1, ORDER, null);
-        server.end(1, RunEnd.Result.ERRORED);
+        server.end(1, RunOutcome.Status.FAILED);
         assertThat(server.arrive(2, ORDER, 1L)).containsExactly("fail 2");
     }
 
@@ -60,14 +70,14 @@
     void repeatOfStoppedRunIsFailed() {
         server.arrive(1, ORDER, null);
         server.arrive(2, ORDER, 1L);
-        assertThat(server.end(1, RunEnd.Result.STOPPED)).containsExactly("fail 2");
+        assertThat(server.end(1, RunOutcome.Status.STOPPED)).containsExactly("fail 2");
     }
 
     @Test
     void repeatOfARunThatNeverBeganTakesItsPlace() {
         server.arrive(1, ORDER, null);
         server.arrive(2, ORDER, 1L);
-        assertThat(server.end(1, RunEnd.Result.NOTHING))
+        assertThat(server.end(1, RunOutcome.Status.NEVER_STARTED))
                 .containsExactly("erase 1", "keep 2", "run 2");
     }
 
@@ -81,7 +91,7 @@
         busy();
         server.arrive(1, ORDER, null);
         server.arrive(2, ORDER, 1L);
-        assertThat(server.act(server.choice().gone(new InvId(1))))
+        assertThat(server.act(server.choice().onClientGone(new InvocationId(1))))
                 .containsExactly("erase 1", "keep 2");
     }
 
@@ -89,8 +99,8 @@
     void repeatOfThrottledMayRun() {
         busy();
         server.arrive(1, ORDER, null);
-        server.act(server.choice().gone(new InvId(1)));
-        server.end(101, RunEnd.Result.SUCCEEDED);
+        server.act(server.choice().onClientGone(new InvocationId(1)));
+        server.end(101, RunOutcome.Status.SUCCEEDED);
         assertThat(server.arrive(2, ORDER, 1L)).containsExactly("keep 2", "run 2");
     }
 
@@ -115,7 +125,8 @@
 
     @Test
     void entryFreesItsMemoryAfterItsWindow() {
-        Choice.TokenTable tokens = new Choice.TokenTable(3_000, 10_000);
+        AdmissionController.IdempotencyTable tokens =
+                new AdmissionController.IdempotencyTable(3_000, 10_000);
         tokens.open(server.inv(1, ORDER, null), Duration.ZERO);
         assertThat(tokens.room(SECOND.multipliedBy(9))).isFalse();
         assertThat(tokens.room(SECOND.multipliedBy(11))).isTrue();
@@ -123,7 +134,8 @@
 
     @Test
     void oneDroppedAndReadAgainLateDoesNotUpsetTheTable() {
-        Choice.TokenTable tokens = new Choice.TokenTable(10, 10_000);
+        AdmissionController.IdempotencyTable tokens =
+                new AdmissionController.IdempotencyTable(10, 10_000);
         tokens.open(server.inv(1, ORDER, null), Duration.ZERO);
         tokens.open(server.inv(1, ORDER, null), Duration.ZERO);
         tokens.open(server.inv(2, ORDER, null), SECOND.multipliedBy(30));
@@ -134,7 +146,7 @@
     void readTooLateIsThrottledAndNotKept() {
         Invocation old = server.inv(1, ORDER, null);
         server.now = SECOND.multipliedBy(20);
-        assertThat(server.act(server.choice().arrived(old))).containsExactly("last 1");
+        assertThat(server.act(server.choice().onInvocationReceived(old))).containsExactly("last 1");
     }
 
     @Test
@@ -142,13 +154,13 @@
         server.arrive(1, READ, null);
         assertThat(server.beat(Duration.ofMillis(3_900))).doesNotContain("fail 1");
         assertThat(server.beat(Duration.ofMillis(3_930))).contains("fail 1", "stop 1");
-        assertThat(server.end(1, RunEnd.Result.STOPPED)).isEmpty();
+        assertThat(server.end(1, RunOutcome.Status.STOPPED)).isEmpty();
     }
 
     @Test
     void tokenedRunIsNeverStopped() {
         server.arrive(1, ORDER, null);
-        assertThat(server.act(server.choice().gone(new InvId(1)))).isEmpty();
+        assertThat(server.act(server.choice().onClientGone(new InvocationId(1)))).isEmpty();
     }
 
     @Test
@@ -193,15 +205,18 @@
     }
 
     /** Half a second and more on that limit, all of it with work held back. */
-    private static void press(Choice.RunLimit limit, int from, int to, double coreUse) {
+    private static void press(
+            AdmissionController.ConcurrencyLimiter limit, int from, int to, double coreUse) {
         for (int i = from; i <= to; i++) {
-            limit.observe(Duration.ofMillis(500L * i), new Gauges(coreUse, 6, 0.2, 1), true);
+            limit.observe(
+                    Duration.ofMillis(500L * i), new ResourceGauges(coreUse, 6, 0.2, 1), true);
         }
     }
 
     @Test
     void runLimitStartsAtTheCoresAndClimbsByDoubling() {
-        Choice.RunLimit limit = new Choice.RunLimit(6, 8, 1, Duration.ZERO, true);
+        AdmissionController.ConcurrencyLimiter limit =
+                new AdmissionController.ConcurrencyLimiter(6, 8, 1, Duration.ZERO, true);
         assertThat(limit.now(Duration.ZERO)).isEqualTo(6);
         press(limit, 1, 2, 0.5);
         assertThat(limit.now(SECOND)).isEqualTo(9);
@@ -209,15 +224,18 @@
 
     @Test
     void runLimitDoesNotClimbOnRoomSeenWhileLessRanThanMay() {
-        Choice.RunLimit limit = new Choice.RunLimit(6, 8, 1, Duration.ZERO, true);
-        limit.observe(Duration.ofMillis(400), new Gauges(0.5, 6, 0.2, 1), false);
-        limit.observe(Duration.ofMillis(500), new Gauges(0.5, 6, 0.2, 1), true);
+        AdmissionController.ConcurrencyLimiter limit =
+                new AdmissionController.ConcurrencyLimiter(6, 8, 1, Duration.ZERO, true);
+        limit.observe(Duration.ofMillis(400), new ResourceGauges(0.5, 6, 0.2, 1), false);
+        limit.observe(Duration.ofMillis(500), new ResourceGauges(0.5, 6, 0.2, 1), true);
         assertThat(limit.now(SECOND)).isEqualTo(6);
     }
 
     @Test
     void runLimitStaysUnderTheCrowdThatAColdServerSurvives() {
-        Choice.RunLimit limit = new Choice.RunLimit(6, 8, 0.2, SECOND.multipliedBy(10), true);
+        AdmissionController.ConcurrencyLimiter limit =
+                new AdmissionController.ConcurrencyLimiter(
+                        6, 8, 0.2, SECOND.multipliedBy(10), true);
         press(limit, 1, 9, 0.5);
         assertThat(limit.now(Duration.ZERO)).isLessThan((int) (6 * (1 + 7 * 0.2)));
         assertThat(limit.now(SECOND.multipliedBy(10))).isLessThan(48);
@@ -225,7 +243,8 @@
 
     @Test
     void runLimitStepsBackOnlyWhenCompletionsFallOnBusyCores() {
-        Choice.RunLimit limit = new Choice.RunLimit(6, 8, 1, Duration.ZERO, true);
+        AdmissionController.ConcurrencyLimiter limit =
+                new AdmissionController.ConcurrencyLimiter(6, 8, 1, Duration.ZERO, true);
         press(limit, 1, 1, 0.5);
         for (int i = 0; i < 20; i++) {
             limit.ended();
@@ -244,10 +263,11 @@
         server.slice = 0.5; // 150 ms in hand a second
         server.arrive(1, ORDER, null);
         server.arrive(2, ORDER, null);
-        assertThat(server.act(server.choice().blocked(new InvId(1)))).containsExactly("call 1");
+        assertThat(server.act(server.choice().onCallRequested(new InvocationId(1))))
+                .containsExactly("call 1");
         server.now = Duration.ofMillis(250);
-        assertThat(server.act(server.choice().blocked(new InvId(2)))).isEmpty();
-        assertThat(server.endCall(1, CallEnd.Result.SUCCEEDED)).isEmpty();
+        assertThat(server.act(server.choice().onCallRequested(new InvocationId(2)))).isEmpty();
+        assertThat(server.endCall(1, CallOutcome.Status.SUCCEEDED)).isEmpty();
         assertThat(server.beat(Duration.ofMillis(1_200))).contains("call 2");
     }
 
@@ -257,29 +277,31 @@
         for (long id = 1; id <= 9; id++) {
             server.arrive(id, ORDER, null);
         }
-        assertThat(server.act(server.choice().blocked(new InvId(1)))).contains("call 1");
-        assertThat(server.act(server.choice().blocked(new InvId(2)))).contains("call 2");
+        assertThat(server.act(server.choice().onCallRequested(new InvocationId(1))))
+                .contains("call 1");
+        assertThat(server.act(server.choice().onCallRequested(new InvocationId(2))))
+                .contains("call 2");
     }
 
     @Test
     void callThatMayHaveRunIsNotMadeAgain() {
         server.arrive(1, ORDER, null);
-        server.act(server.choice().blocked(new InvId(1)));
-        assertThat(server.endCall(1, CallEnd.Result.TIMED_OUT)).containsExactly("fail 1");
+        server.act(server.choice().onCallRequested(new InvocationId(1)));
+        assertThat(server.endCall(1, CallOutcome.Status.TIMED_OUT)).containsExactly("fail 1");
     }
 
     @Test
     void callThatNeverRanIsMadeAgainOnABeat() {
         server.arrive(1, ORDER, null);
-        server.act(server.choice().blocked(new InvId(1)));
-        assertThat(server.endCall(1, CallEnd.Result.TURNED_AWAY)).isEmpty();
+        server.act(server.choice().onCallRequested(new InvocationId(1)));
+        assertThat(server.endCall(1, CallOutcome.Status.REJECTED)).isEmpty();
         assertThat(server.beat(Duration.ofMillis(150))).containsExactly("call 1");
     }
 
     private static final Operation LOOKUP =
             new Operation(
                     "lookup",
-                    Effect.IDEMPOTENT,
+                    SideEffect.IDEMPOTENT,
                     SECOND,
                     SECOND.multipliedBy(4),
                     1,
@@ -292,13 +314,13 @@
     private void slowCalls() {
         for (long id = 1; id <= 3; id++) {
             server.arrive(id, LOOKUP, null);
-            server.act(server.choice().blocked(new InvId(id)));
+            server.act(server.choice().onCallRequested(new InvocationId(id)));
             server.now = server.now.plusMillis(700);
-            server.endCall(id, CallEnd.Result.SUCCEEDED);
+            server.endCall(id, CallOutcome.Status.SUCCEEDED);
             server.runs
-                    .remove(new InvId(id))
-                    .apply(new RunEnd(RunEnd.Result.SUCCEEDED, Duration.ofMillis(800)))
-                    .act(server);
+                    .remove(new InvocationId(id))
+                    .apply(new RunOutcome(RunOutcome.Status.SUCCEEDED, Duration.ofMillis(800)))
+                    .execute(server);
         }
     }
 
@@ -308,7 +330,7 @@
         Operation dear =
                 new Operation(
                         "fit",
-                        Effect.IDEMPOTENT,
+                        SideEffect.IDEMPOTENT,
                         SECOND.multipliedBy(8),
                         SECOND.multipliedBy(9),
                         1,
@@ -330,13 +352,13 @@
     void parkedWorkThatCannotBeInTimeAnyMoreGivesUpItsCall() {
         server.slice = 0.5;
         server.arrive(9, LOOKUP, null);
-        server.act(server.choice().blocked(new InvId(9)));
+        server.act(server.choice().onCallRequested(new InvocationId(9)));
         server.now = Duration.ofMillis(100);
-        server.endCall(9, CallEnd.Result.SUCCEEDED);
-        server.end(9, RunEnd.Result.SUCCEEDED);
+        server.endCall(9, CallOutcome.Status.SUCCEEDED);
+        server.end(9, RunOutcome.Status.SUCCEEDED);
         for (long id = 1; id <= 2; id++) {
             server.arrive(id, LOOKUP, null);
-            server.act(server.choice().blocked(new InvId(id)));
+            server.act(server.choice().onCallRequested(new InvocationId(id)));
         }
         server.beat(Duration.ofMillis(900));
         server.arrive(3, READ, null);
@@ -349,8 +371,8 @@
 
     @Test
     void whoLeavesIsOpenUntilItsGraceIsOver() {
-        server.advert = Advert.SHARE;
-        assertThat(server.act(server.choice().leave(SECOND.multipliedBy(3))))
+        server.advert = CapacityAdvertisement.ROUTING_PROBABILITY;
+        assertThat(server.act(server.choice().onShutdownNotice(SECOND.multipliedBy(3))))
                 .containsExactly("unwell");
         assertThat(server.beat(Duration.ofMillis(800)))
                 .noneMatch(said -> said.startsWith("advertise"));
@@ -359,7 +381,7 @@
 
     @Test
     void whoLeavesSaysTheLongestTimeToComeBack() {
-        server.act(server.choice().leave(SECOND.multipliedBy(3)));
+        server.act(server.choice().onShutdownNotice(SECOND.multipliedBy(3)));
         server.now = SECOND.multipliedBy(2);
         assertThat(server.arrive(1, READ, null)).containsExactly("throttle 1");
         assertThat(server.advised).isEqualTo(SECOND);
@@ -369,7 +391,7 @@
     void blockedRunLeavesItsPlace() {
         busy();
         server.arrive(1, READ, null);
-        assertThat(server.act(server.choice().blocked(new InvId(101))))
+        assertThat(server.act(server.choice().onCallRequested(new InvocationId(101))))
                 .containsExactly("call 101", "run 1");
     }
 
@@ -378,7 +400,7 @@
         busy();
         server.arrive(1, READ, null);
         server.arrive(2, ORDER, null);
-        assertThat(server.end(101, RunEnd.Result.SUCCEEDED)).containsExactly("run 2");
+        assertThat(server.end(101, RunOutcome.Status.SUCCEEDED)).containsExactly("run 2");
     }
 
     @Test
@@ -387,18 +409,18 @@
         Invocation first = server.inv(1, READ, null);
         Invocation further =
                 new Invocation(
-                        new InvId(2),
+                        new InvocationId(2),
                         null,
                         READ,
                         10,
                         Duration.ZERO,
-                        first.due(),
+                        first.deadline(),
                         null,
-                        first.caller(),
+                        first.client(),
                         null,
                         true);
-        server.act(server.choice().arrived(first));
-        server.act(server.choice().arrived(further));
+        server.act(server.choice().onInvocationReceived(first));
+        server.act(server.choice().onInvocationReceived(further));
         assertThat(server.beat(Duration.ofMillis(1_250)))
                 .containsAnyOf("throttle 2", "last 2")
                 .doesNotContain("throttle 1", "last 1");
@@ -406,27 +428,30 @@
 
     @Test
     void whoHasMostInTheHoldLosesTheNextPlace() {
-        Choice.Hold hold = new Choice.Hold(List.of(), 1, 1, false);
+        AdmissionController.AdmissionQueue hold =
+                new AdmissionController.AdmissionQueue(List.of(), 1, 1, false);
         for (long id : new long[] {1, 3, 5, 2}) {
-            hold.held.add(new Work(server.inv(id, READ, null)));
+            hold.held.add(new TrackedInvocation(server.inv(id, READ, null)));
         }
-        assertThat(hold.loser(hold.ordered(Duration.ZERO)).inv.id()).isEqualTo(new InvId(5));
+        assertThat(hold.loser(hold.ordered(Duration.ZERO)).inv.id()).isEqualTo(new InvocationId(5));
     }
 
     @Test
     void whatATenantSendsBeyondItsQuotaCountsLittle() {
         TenantId one = new TenantId("one");
-        Choice.Hold hold = new Choice.Hold(List.of(new Tenant(one, 1, 2)), 1, 0.1, false);
+        AdmissionController.AdmissionQueue hold =
+                new AdmissionController.AdmissionQueue(
+                        List.of(new Tenant(one, 1, 2)), 1, 0.1, false);
         Invocation inv =
                 new Invocation(
-                        new InvId(1),
+                        new InvocationId(1),
                         null,
                         READ,
                         1,
                         Duration.ZERO,
                         SECOND,
                         null,
-                        new CallerId(1),
+                        new ClientId(1),
                         one,
                         false);
         // Four are due in two seconds, and chance alone brings two more.
@@ -441,22 +466,25 @@
         Invocation old = server.inv(1, READ, null);
         Invocation next = server.inv(2, READ, null);
         server.now = Duration.ofMillis(500);
-        assertThat(server.act(server.choice().arrived(old))).containsExactly("run 1");
-        assertThat(server.act(server.choice().arrived(next))).containsAnyOf("throttle 2", "last 2");
+        assertThat(server.act(server.choice().onInvocationReceived(old))).containsExactly("run 1");
+        assertThat(server.act(server.choice().onInvocationReceived(next)))
+                .containsAnyOf("throttle 2", "last 2");
     }
 
     @Test
     void adviceIsNeverLongerThanWhatIsHeeded() {
-        Choice.Signals signals =
-                new Choice.Signals(Advert.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
+        AdmissionController.BackpressureAdvertiser signals =
+                new AdmissionController.BackpressureAdvertiser(
+                        CapacityAdvertisement.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
         assertThat(signals.advice(SECOND.multipliedBy(9))).isEqualTo(SECOND);
         assertThat(signals.advice(Duration.ZERO)).isPositive().isLessThan(SECOND);
     }
 
     @Test
     void silentConnectionsAreClosedSoonerWhileManyStand() {
-        Choice.Signals signals =
-                new Choice.Signals(Advert.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
+        AdmissionController.BackpressureAdvertiser signals =
+                new AdmissionController.BackpressureAdvertiser(
+                        CapacityAdvertisement.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1));
         signals.links(server, 99);
         server.now = SECOND;
         signals.links(server, 1);
@@ -465,7 +493,7 @@
 
     @Test
     void windowClosesWhileTheHoldIsLong() {
-        server.advert = Advert.WINDOW;
+        server.advert = CapacityAdvertisement.CLIENT_WINDOW;
         busy();
         for (long id = 1; id < 5; id++) {
             server.arrive(id, READ, null);
@@ -479,8 +507,8 @@
         Invocation old = server.inv(1, READ, null);
         Invocation next = server.inv(2, READ, null);
         server.now = Duration.ofMillis(6_500);
-        server.act(server.choice().arrived(old));
-        server.act(server.choice().arrived(next));
+        server.act(server.choice().onInvocationReceived(old));
+        server.act(server.choice().onInvocationReceived(next));
         assertThat(server.beat(Duration.ofMillis(6_600))).contains("unwell");
         assertThat(server.beat(Duration.ofMillis(7_200))).contains("well");
     }
@@ -501,7 +529,7 @@
         busy();
         Invocation old = server.inv(1, ORDER, null);
         server.now = Duration.ofMillis(500);
-        assertThat(server.act(server.choice().arrived(old))).containsExactly("keep 1");
+        assertThat(server.act(server.choice().onInvocationReceived(old))).containsExactly("keep 1");
     }
 
     @Test
@@ -510,9 +538,9 @@
         server.arrive(1, ORDER, null);
         server.arrive(2, ORDER, 1L);
         server.arrive(3, ORDER, 1L);
-        server.act(server.choice().gone(new InvId(1)));
-        server.end(101, RunEnd.Result.SUCCEEDED);
-        assertThat(server.end(2, RunEnd.Result.SUCCEEDED)).contains("replay 3");
+        server.act(server.choice().onClientGone(new InvocationId(1)));
+        server.end(101, RunOutcome.Status.SUCCEEDED);
+        assertThat(server.end(2, RunOutcome.Status.SUCCEEDED)).contains("replay 3");
     }
 
     @Test
@@ -523,7 +551,7 @@
         server.keeps = true;
         assertThat(server.arrive(3, ORDER, null)).containsExactly("keep 3", "run 3");
         server.keeps = false;
-        server.end(3, RunEnd.Result.SUCCEEDED);
+        server.end(3, RunOutcome.Status.SUCCEEDED);
         assertThat(server.arrive(4, ORDER, 3L))
                 .containsExactly("replay 4"); // a repeat needs no mark of its own
     }
@@ -532,11 +560,11 @@
     void runThatWasNotBegunForWantOfItsMarkIsThrottledAndItsRepeatTakesItsPlace() {
         server.arrive(1, ORDER, null);
         assertThat(server.arrive(2, ORDER, 1L)).isEmpty();
-        assertThat(server.end(1, RunEnd.Result.NOT_BEGUN))
+        assertThat(server.end(1, RunOutcome.Status.NOT_DISPATCHED))
                 .containsExactly("erase 1", "keep 2", "throttle 1", "run 2");
         server.arrive(3, ORDER, 2L);
         server.keeps = false;
-        assertThat(server.end(2, RunEnd.Result.NOT_BEGUN))
+        assertThat(server.end(2, RunOutcome.Status.NOT_DISPATCHED))
                 .hasSize(3)
                 .allMatch(said -> said.matches("erase 2|(throttle|last) [23]"));
         assertThat(server.advised).isPositive();
@@ -545,35 +573,45 @@
     @Test
     void unmarkedRunOfACallerThatIsGoneIsNotAnswered() {
         server.arrive(1, ORDER, null);
-        server.act(server.choice().gone(new InvId(1)));
-        assertThat(server.end(1, RunEnd.Result.NOT_BEGUN)).containsExactly("erase 1");
+        server.act(server.choice().onClientGone(new InvocationId(1)));
+        assertThat(server.end(1, RunOutcome.Status.NOT_DISPATCHED)).containsExactly("erase 1");
     }
 
     @Test
     void whatAFormerProcessHasRunIsReplayedOrErroredAndNeverRuns() {
         server.act(
                 server.choice()
-                        .restored(new InvId(-1), SECOND.multipliedBy(9), RunEnd.Result.SUCCEEDED));
+                        .onEntryRestored(
+                                new InvocationId(-1),
+                                SECOND.multipliedBy(9),
+                                RunOutcome.Status.SUCCEEDED));
         server.act(
                 server.choice()
-                        .restored(new InvId(-2), SECOND.multipliedBy(9), RunEnd.Result.ERRORED));
+                        .onEntryRestored(
+                                new InvocationId(-2),
+                                SECOND.multipliedBy(9),
+                                RunOutcome.Status.FAILED));
         assertThat(server.arrive(1, ORDER, -1L)).containsExactly("replay 1");
         assertThat(server.arrive(2, ORDER, -2L)).containsExactly("fail 2");
     }
 
     @Test
     void repeatOfARunWhoseEndIsUnknownWaitsForItAndIsErroredWhenDue() {
-        server.act(server.choice().restored(new InvId(-1), SECOND.multipliedBy(9), null));
-        server.act(server.choice().restored(new InvId(-2), SECOND.multipliedBy(9), null));
+        server.act(
+                server.choice()
+                        .onEntryRestored(new InvocationId(-1), SECOND.multipliedBy(9), null));
+        server.act(
+                server.choice()
+                        .onEntryRestored(new InvocationId(-2), SECOND.multipliedBy(9), null));
         assertThat(server.arrive(1, ORDER, -1L)).isEmpty();
         assertThat(server.arrive(2, ORDER, -2L)).isEmpty();
         assertThat(
                         server.act(
                                 server.choice()
-                                        .restored(
-                                                new InvId(-1),
+                                        .onEntryRestored(
+                                                new InvocationId(-1),
                                                 SECOND.multipliedBy(9),
-                                                RunEnd.Result.SUCCEEDED)))
+                                                RunOutcome.Status.SUCCEEDED)))
                 .containsExactly("replay 1");
         assertThat(server.beat(SECOND.multipliedBy(4)))
                 .contains("fail 2")
@@ -586,10 +624,10 @@
         for (int i = 1; i <= 4; i++) {
             server.act(
                     server.choice()
-                            .restored(
-                                    new InvId(-i),
+                            .onEntryRestored(
+                                    new InvocationId(-i),
                                     SECOND.multipliedBy(9),
-                                    RunEnd.Result.SUCCEEDED));
+                                    RunOutcome.Status.SUCCEEDED));
         }
         assertThat(server.arrive(1, ORDER, null)).containsExactly("throttle 1");
         server.now = SECOND.multipliedBy(9);
@@ -605,7 +643,7 @@
             server.arrive(id, ORDER, null);
         }
         server.free = 8;
-        server.atOnce = RunEnd.Result.NOT_BEGUN;
+        server.atOnce = RunOutcome.Status.NOT_DISPATCHED;
         assertThat(server.arrive(5, READ, null).stream().filter(said -> said.startsWith("run")))
                 .containsExactlyInAnyOrder("run 1", "run 2", "run 3", "run 4", "run 5");
     }
@@ -620,12 +658,12 @@
                 .containsExactly("run 1");
         server.free = 0;
         assertThat(server.arrive(2, READ, null)).isEmpty();
-        server.end(101, RunEnd.Result.SUCCEEDED);
+        server.end(101, RunOutcome.Status.SUCCEEDED);
         assertThat(server.arrive(3, ORDER, null))
                 .as("what waits for a pool holds up nothing else")
                 .contains("run 3");
         server.free = 1;
-        assertThat(server.end(1, RunEnd.Result.SUCCEEDED)).containsExactly("run 2");
+        assertThat(server.end(1, RunOutcome.Status.SUCCEEDED)).containsExactly("run 2");
     }
 
     @Test
@@ -653,27 +691,31 @@
         for (long id : new long[] {101, 102}) {
             server.act(
                     server.runs
-                            .remove(new InvId(id))
-                            .apply(new RunEnd(RunEnd.Result.SUCCEEDED, Duration.ofMillis(4))));
+                            .remove(new InvocationId(id))
+                            .apply(
+                                    new RunOutcome(
+                                            RunOutcome.Status.SUCCEEDED, Duration.ofMillis(4))));
         }
         server.arrive(103, READ, null);
         server.arrive(104, READ, null);
         server.arrive(1, READ, null);
         server.arrive(2, ORDER, null);
-        assertThat(server.end(103, RunEnd.Result.SUCCEEDED))
+        assertThat(server.end(103, RunOutcome.Status.SUCCEEDED))
                 .as("reads proved fast, so may orders")
                 .containsExactly("run 2");
     }
 
     @Test
     void heldOnesOfEqualRateAreOrderedByTurnsOfTheirCallers() {
-        Choice.Hold hold = new Choice.Hold(List.of(), 1, 1, false);
+        AdmissionController.AdmissionQueue hold =
+                new AdmissionController.AdmissionQueue(List.of(), 1, 1, false);
         for (long id : new long[] {2, 4, 6, 1, 8, 3}) {
-            hold.held.add(new Work(server.inv(id, READ, null))); // callers: even and odd
+            hold.held.add(
+                    new TrackedInvocation(server.inv(id, READ, null))); // callers: even and odd
         }
         assertThat(hold.ordered(server.now).stream().map(work -> work.inv.id().value()))
                 .containsExactly(1L, 2L, 3L, 4L, 6L, 8L);
-        hold.held.add(new Work(server.inv(10, ORDER, null)));
+        hold.held.add(new TrackedInvocation(server.inv(10, ORDER, null)));
         assertThat(hold.ordered(server.now).get(0).inv.id().value())
                 .as("a higher rate goes first whoever sent it")
                 .isEqualTo(10);
--- a/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
@@ -9,8 +9,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import ochretiller.audit.Chain;
-import ochretiller.audit.Entry;
+import ochretiller.audit.AuditRecord;
+import ochretiller.audit.HashChain;
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,15 +24,15 @@
 
     @TempDir private Path folder;
 
-    private static Entry event(Entry.Kind kind) {
-        return new Entry.Event(kind, 3, 1_700_000_000_123L, "caf\u00e9");
+    private static AuditRecord event(AuditRecord.AuditEventKind kind) {
+        return new AuditRecord.AuditEvent(kind, 3, 1_700_000_000_123L, "caf\u00e9");
     }
 
-    private static Map<String, Entry> entries() {
-        Map<String, Entry> all = new LinkedHashMap<>();
+    private static Map<String, AuditRecord> entries() {
+        Map<String, AuditRecord> all = new LinkedHashMap<>();
         all.put(
                 "span",
-                new Entry.Span(
+                new AuditRecord.VersionPeriod(
                         2,
                         "0123456789abcdef".repeat(4),
                         1_700_000_000_000L,
@@ -40,27 +40,27 @@
                         60_001,
                         Map.of(
                                 "order",
-                                new Entry.Tally(15, 1, 2, 3, 4),
+                                new AuditRecord.InvocationCounts(15, 1, 2, 3, 4),
                                 "read",
-                                new Entry.Tally(1_000, 9, 8, 7, 6))));
-        all.put("run", new Entry.Run(3, 1_700_000_000_456L, "a token"));
-        all.put("event-started", event(Entry.Kind.STARTED));
-        all.put("event-changed", event(Entry.Kind.CHANGED));
-        all.put("event-refused", event(Entry.Kind.REFUSED));
-        all.put("event-shut-out", event(Entry.Kind.SHUT_OUT));
-        all.put("event-let-in", event(Entry.Kind.LET_IN));
-        all.put("event-published", event(Entry.Kind.PUBLISHED));
-        all.put("event-rollout", event(Entry.Kind.ROLLOUT));
-        all.put("event-lost", event(Entry.Kind.LOST));
-        all.put("event-ended", event(Entry.Kind.ENDED));
-        all.put("event-witnessed", event(Entry.Kind.WITNESSED));
+                                new AuditRecord.InvocationCounts(1_000, 9, 8, 7, 6))));
+        all.put("run", new AuditRecord.KeyedRun(3, 1_700_000_000_456L, "a token"));
+        all.put("event-started", event(AuditRecord.AuditEventKind.STARTED));
+        all.put("event-changed", event(AuditRecord.AuditEventKind.VERSION_CHANGED));
+        all.put("event-refused", event(AuditRecord.AuditEventKind.VERSION_REJECTED));
+        all.put("event-shut-out", event(AuditRecord.AuditEventKind.FENCED));
+        all.put("event-let-in", event(AuditRecord.AuditEventKind.UNFENCED));
+        all.put("event-published", event(AuditRecord.AuditEventKind.VERSION_PUBLISHED));
+        all.put("event-rollout", event(AuditRecord.AuditEventKind.ROLLOUT_CHANGED));
+        all.put("event-lost", event(AuditRecord.AuditEventKind.RECORDS_LOST));
+        all.put("event-ended", event(AuditRecord.AuditEventKind.STOPPED));
+        all.put("event-witnessed", event(AuditRecord.AuditEventKind.PEER_AUDIT_WITNESSED));
         return all;
     }
 
     @Test
     void eachRecordIsWrittenAsItsGoldenBytes() {
         Map<String, byte[]> written = new LinkedHashMap<>();
-        entries().forEach((name, entry) -> written.put(name, AuditCodec.bytes(entry)));
+        entries().forEach((name, entry) -> written.put(name, AuditRecordCodec.encode(entry)));
         RECORDS.assertHolds(written);
     }
 
@@ -69,7 +69,7 @@
         entries()
                 .forEach(
                         (name, entry) ->
-                                assertThat(AuditCodec.entry(RECORDS.bytes(name)))
+                                assertThat(AuditRecordCodec.decode(RECORDS.bytes(name)))
                                         .as(name)
                                         .isEqualTo(entry));
     }
@@ -78,17 +78,17 @@
     void eachKindOfRecordAndEventHasAGoldenRecord() {
         assertThat(entries().values())
                 .extracting(Object::getClass)
-                .containsAll(List.of(Entry.class.getPermittedSubclasses()));
+                .containsAll(List.of(AuditRecord.class.getPermittedSubclasses()));
         assertThat(
                         entries().values().stream()
-                                .filter(Entry.Event.class::isInstance)
-                                .map(each -> ((Entry.Event) each).kind()))
-                .contains(Entry.Kind.values());
+                                .filter(AuditRecord.AuditEvent.class::isInstance)
+                                .map(each -> ((AuditRecord.AuditEvent) each).kind()))
+                .contains(AuditRecord.AuditEventKind.values());
     }
 
     @Test
     void theWriterWritesItsGoldenFile() throws IOException {
-        AuditWriter writer = new AuditWriter(folder, MOST, () -> 0);
+        AuditLogWriter writer = new AuditLogWriter(folder, MOST, () -> 0);
         writer.start();
         entries().values().forEach(writer::add);
         writer.close();
@@ -98,11 +98,11 @@
     @Test
     void theGoldenFileIsReadBackAsAChainWithoutFault() throws IOException {
         Files.write(folder.resolve(FILE), FILES.bytes(FILE));
-        Chain chain = Chain.fresh();
-        entries().values().forEach(entry -> chain.append(AuditCodec.bytes(entry)));
-        AuditFolder.Found found = AuditFolder.read(folder, List.of(chain.head()));
+        HashChain chain = HashChain.empty();
+        entries().values().forEach(entry -> chain.append(AuditRecordCodec.encode(entry)));
+        AuditLogReader.AuditLog found = AuditLogReader.read(folder, List.of(chain.head()));
         assertThat(found.faults()).isEmpty();
-        assertThat(found.entries()).isEqualTo(new ArrayList<>(entries().values()));
+        assertThat(found.decodedRecords()).isEqualTo(new ArrayList<>(entries().values()));
         assertThat(found.head()).isEqualTo(chain.head());
     }
 }
--- a/src/test/java/ochretiller/budgets/BudgetsTest.java
+++ b/src/test/java/ochretiller/budgets/BudgetsTest.java
@@ -21,8 +21,8 @@
         return Duration.ofNanos((long) (millis * 1e6));
     }
 
-    private static Promise promise(double rate, double weight) {
-        return new Promise(rate, 0.1, weight, 0.1, 0.05);
+    private static GuaranteedRate promise(double rate, double weight) {
+        return new GuaranteedRate(rate, 0.1, weight, 0.1, 0.05);
     }
 
     private void three() {
@@ -91,19 +91,22 @@
     @Test
     void workThatCostMoreThanExpectedIsPaidLaterByItsOwnTeam() {
         three();
-        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).kind()).isEqualTo(Grant.Kind.PROMISED);
+        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).kind())
+                .isEqualTo(BudgetDecision.Kind.PROMISED);
         budgets.settle(ORDERING, 0.01, 1.01, ms(0));
-        Grant refused = budgets.ask(ORDERING, 0.01, ms(1));
-        assertThat(refused.kind()).isEqualTo(Grant.Kind.REFUSED);
+        BudgetDecision refused = budgets.ask(ORDERING, 0.01, ms(1));
+        assertThat(refused.kind()).isEqualTo(BudgetDecision.Kind.REFUSED);
         assertThat(refused.backoff()).isBetween(ms(900), ms(930));
-        assertThat(budgets.ask(PARTS, 0.01, ms(1)).kind()).isEqualTo(Grant.Kind.PROMISED);
-        assertThat(budgets.ask(ORDERING, 0.01, ms(930)).kind()).isEqualTo(Grant.Kind.PROMISED);
+        assertThat(budgets.ask(PARTS, 0.01, ms(1)).kind()).isEqualTo(BudgetDecision.Kind.PROMISED);
+        assertThat(budgets.ask(ORDERING, 0.01, ms(930)).kind())
+                .isEqualTo(BudgetDecision.Kind.PROMISED);
     }
 
     @Test
     void workDearerThanTheBurstStartsOnceTheBurstIsThereAndIsPaidBehindIt() {
         three();
-        assertThat(budgets.ask(ORDERING, 0.5, ms(0)).kind()).isEqualTo(Grant.Kind.PROMISED);
+        assertThat(budgets.ask(ORDERING, 0.5, ms(0)).kind())
+                .isEqualTo(BudgetDecision.Kind.PROMISED);
         assertThat(budgets.inHand(ORDERING, ms(0))).isEqualTo(-0.4);
     }
 
@@ -144,7 +147,7 @@
     void newPromisesKeepWhatIsInHandOrOwed() {
         three();
         budgets.settle(FIT, 0, 2, ms(0));
-        Map<TeamId, Promise> next =
+        Map<TeamId, GuaranteedRate> next =
                 new LinkedHashMap<>(Map.of(PARTS, promise(5, 1), FIT, promise(4, 3)));
         budgets.become(next, ms(0));
         assertThat(budgets.inHand(FIT, ms(0))).isEqualTo(-1.9);
@@ -160,12 +163,12 @@
     void noMoreIsGivenThanThereIsAndThePromiseIsKept(long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         TeamId[] teams = {PARTS, FIT, ORDERING, new TeamId("careless")};
-        Map<TeamId, Promise> promises = new LinkedHashMap<>();
+        Map<TeamId, GuaranteedRate> promises = new LinkedHashMap<>();
         double left = 10;
         for (TeamId team : teams) {
             double rate = left * chance.nextDouble(0.1, 0.6);
             left -= rate;
-            promises.put(team, new Promise(rate, 0.2, chance.nextDouble(0.1, 5), 0.1, 0.1));
+            promises.put(team, new GuaranteedRate(rate, 0.2, chance.nextDouble(0.1, 5), 0.1, 0.1));
         }
         budgets.become(promises, Duration.ZERO);
         double given = 0;
@@ -175,7 +178,7 @@
             for (due += modest / 1e3; due >= 0.02; due -= 0.02) {
                 assertThat(budgets.ask(PARTS, 0.02, ms(at)).kind())
                         .as("seed %d at %d ms", seed, at)
-                        .isEqualTo(Grant.Kind.PROMISED);
+                        .isEqualTo(BudgetDecision.Kind.PROMISED);
                 given += 0.02;
             }
             for (int i = chance.nextInt(8); i > 0; i--) {
--- a/src/test/java/ochretiller/contracts/ContractsTest.java
+++ b/src/test/java/ochretiller/contracts/ContractsTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import ochretiller.budgets.Promise;
+import ochretiller.budgets.GuaranteedRate;
 import ochretiller.budgets.TeamId;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,7 +31,7 @@
                         List.of(known),
                         List.of(new Contract.Service(name, name + "-pool", ms(200))),
                         List.of(calls),
-                        new Promise(rate, 0.1, 1, 0.1, 0.1)));
+                        new GuaranteedRate(rate, 0.1, 1, 0.1, 0.1)));
     }
 
     private List<String> faults() {
@@ -65,7 +65,7 @@
                         List.of(),
                         List.of(new Contract.Service("parts", "p", ms(1))),
                         List.of(),
-                        new Promise(1, 0, 1, 0, 0)));
+                        new GuaranteedRate(1, 0, 1, 0, 0)));
         assertThat(faults())
                 .containsExactlyInAnyOrder(
                         "service parts is published by parts and by other",
@@ -124,9 +124,9 @@
         "10.128.0.0/8, false"
     })
     void prefixesAreReadStrictly(String text, boolean good) {
-        assertThat(Prefix.of(text) != null).isEqualTo(good);
+        assertThat(AddressPrefix.of(text) != null).isEqualTo(good);
         if (good) {
-            assertThat(Prefix.of(text)).hasToString(text);
+            assertThat(AddressPrefix.of(text)).hasToString(text);
         }
     }
 
@@ -144,7 +144,7 @@
                         List.of("10.1.0.0/16"),
                         List.of(new Contract.Service("parts", "parts-pool", ms(200))),
                         List.of(),
-                        new Promise(5, 0.1, 3, 0.1, 0.1)));
+                        new GuaranteedRate(5, 0.1, 3, 0.1, 0.1)));
         team("fit", 3, "10.2.0.0/16");
         team("new", 1, "10.4.0.0/16");
         assertThat(old.changes(Contracts.of(10, all)))
--- a/src/test/java/ochretiller/fleet/members/DigestGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/membership/DigestGoldenTest.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.members;
+package ochretiller.fleet.membership;
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -11,10 +11,10 @@
 class DigestGoldenTest {
     private static final GoldenFile DIGESTS = new GoldenFile("member-digests");
 
-    private static Member member(long start, long number, State state) {
+    private static Member member(long start, long number, MemberState state) {
         return new Member(
                 new MemberId("n" + start, start),
-                new Address("10.0.0.1", 4200),
+                new PeerAddress("10.0.0.1", 4200),
                 "z",
                 "0.1",
                 null,
@@ -23,36 +23,36 @@
     }
 
     private static byte[] bytes(Iterable<Long> numbers) {
-        ByteBuffer out = ByteBuffer.allocate(Message.BUCKETS * Long.BYTES);
+        ByteBuffer out = ByteBuffer.allocate(MembershipMessage.DIGEST_BUCKETS * Long.BYTES);
         numbers.forEach(out::putLong);
         return out.array();
     }
 
     @Test
     void digestsOfAViewAreTheGoldenOnes() {
-        Member self = member(-5, 3, State.HERE);
+        Member self = member(-5, 3, MemberState.ALIVE);
         Map<String, byte[]> made = new LinkedHashMap<>();
-        for (State state : State.values()) {
-            Table table = new Table();
+        for (MemberState state : MemberState.values()) {
+            MemberTable table = new MemberTable();
             table.add(member(7, 2, state), Duration.ZERO);
             byte[] digest = ByteBuffer.allocate(Long.BYTES).putLong(table.digest(self)).array();
             made.put("one-of-state-" + code(state), digest);
         }
-        Table table = new Table();
+        MemberTable table = new MemberTable();
         for (int start = 1; start <= 100; start++) {
-            table.add(member(start, start, State.HERE), Duration.ZERO);
+            table.add(member(start, start, MemberState.ALIVE), Duration.ZERO);
         }
         made.put("parts", bytes(table.digests(self)));
         DIGESTS.assertHolds(made);
     }
 
     /** The code that a state has on the wire. */
-    private static int code(State state) {
+    private static int code(MemberState state) {
         return switch (state) {
             case JOINING -> 1;
-            case HERE -> 2;
+            case ALIVE -> 2;
             case SUSPECT -> 3;
-            case SILENT -> 4;
+            case UNRESPONSIVE -> 4;
             case LEFT -> 5;
         };
     }
--- a/src/test/java/ochretiller/fleet/copies/CatchUpTest.java
+++ b/src/test/java/ochretiller/fleet/replication/AntiEntropyTest.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,49 +12,52 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
 import org.junit.jupiter.api.Test;
 
 /** Copies that become equal, keepers that come back, long results on their way. */
-class CatchUpTest {
+class AntiEntropyTest {
     private static final Duration WINDOW = Duration.ofSeconds(60);
-    private static final List<Layout.Server> THREE =
+    private static final List<ReplicaPlacement.ReplicaServer> THREE =
             List.of(
-                    new Layout.Server("a", "1"),
-                    new Layout.Server("b", "2"),
-                    new Layout.Server("c", "3"));
-    private static final Layout LAYOUT = new Layout(3, THREE, THREE, 3);
+                    new ReplicaPlacement.ReplicaServer("a", "1"),
+                    new ReplicaPlacement.ReplicaServer("b", "2"),
+                    new ReplicaPlacement.ReplicaServer("c", "3"));
+    private static final ReplicaPlacement LAYOUT = new ReplicaPlacement(3, THREE, THREE, 3);
 
-    private final Map<String, Keeper> keepers = new TreeMap<>();
-    private final Claims owner = new Claims("s", 1, LAYOUT, new SplittableRandom(1));
+    private final Map<String, Replica> keepers = new TreeMap<>();
+    private final ClaimCoordinator owner =
+            new ClaimCoordinator("s", 1, LAYOUT, new SplittableRandom(1));
     private final SplittableRandom chance = new SplittableRandom(5);
     private Duration now = Duration.ofSeconds(1);
     private double loses;
     private long pageBytes;
 
-    private static Keeper.Bounds bounds(double perSecond) {
-        return new Keeper.Bounds(100_000, Long.MAX_VALUE, perSecond, WINDOW);
+    private static Replica.ReplicaLimits bounds(double perSecond) {
+        return new Replica.ReplicaLimits(100_000, Long.MAX_VALUE, perSecond, WINDOW);
     }
 
-    private Keeper keeper(String name, Map<String, Entry> entries, long number, boolean returns) {
-        return new Keeper(
+    private Replica keeper(
+            String name, Map<String, ReplicaEntry> entries, long number, boolean returns) {
+        return new Replica(
                 name,
-                new Keeper.Disk(LAYOUT, entries, Set.of(), Set.of(), Set.of(), number, returns),
+                new Replica.ReplicaSnapshot(
+                        LAYOUT, entries, Set.of(), Set.of(), Set.of(), number, returns),
                 LAYOUT,
                 bounds(64 << 20),
                 0,
                 now);
     }
 
-    private Map<String, Entry> entries(int count) {
-        Map<String, Entry> all = new HashMap<>();
+    private Map<String, ReplicaEntry> entries(int count) {
+        Map<String, ReplicaEntry> all = new HashMap<>();
         for (int i = 0; i < count; i++) {
             ClaimId id = new ClaimId("s", 1, i);
             all.put(
                     "token-" + i,
-                    Entry.NOTHING.ended(
+                    ReplicaEntry.EMPTY.withOutcome(
                             id,
-                            new Outcome(true, "body", "result " + i),
+                            new ClaimOutcome(true, "body", "result " + i),
                             now.plusSeconds(20 + i % 30)));
         }
         return all;
@@ -67,120 +70,125 @@
             keepers.forEach(
                     (name, each) -> {
                         each.tick(now);
-                        each.outs().forEach(out -> underWay.add(new Object[] {name, out}));
+                        each.takeOutbound().forEach(out -> underWay.add(new Object[] {name, out}));
                     });
-            owner.outs().forEach(out -> underWay.add(new Object[] {"s", out}));
+            owner.takeOutbound().forEach(out -> underWay.add(new Object[] {"s", out}));
             while (!underWay.isEmpty()) {
                 Object[] sent = underWay.poll();
-                Keeper.Out out = (Keeper.Out) sent[1];
-                if (out.message() instanceof CopyMessage.Page page) {
-                    for (CopyMessage.Item item : page.items()) {
-                        pageBytes += item.bytes();
+                Replica.OutboundMessage out = (Replica.OutboundMessage) sent[1];
+                if (out.message() instanceof ReplicationMessage.RangePage page) {
+                    for (ReplicationMessage.TransferredEntry item : page.entries()) {
+                        pageBytes += item.estimatedBytes();
                     }
                 }
                 if (chance.nextDouble() < loses) {
                     continue;
                 }
-                Keeper to = keepers.get(out.to());
-                if (out.to().equals("s") || out.message() instanceof CopyMessage.Recollect) {
-                    if (out.message() instanceof CopyMessage.Want want) {
-                        String result = owner.result(want.id());
-                        CopyMessage.Piece piece = result == null ? null : Pieces.cut(want, result);
+                Replica to = keepers.get(out.recipient());
+                if (out.recipient().equals("s")
+                        || out.message() instanceof ReplicationMessage.ChangeNumberQuery) {
+                    if (out.message() instanceof ReplicationMessage.ChunkRequest want) {
+                        String result = owner.pendingResult(want.claimId());
+                        ReplicationMessage.Chunk piece =
+                                result == null ? null : ChunkAssembler.slice(want, result);
                         if (piece != null) {
                             underWay.add(
-                                    new Object[] {"s", new Keeper.Out((String) sent[0], piece)});
+                                    new Object[] {
+                                        "s", new Replica.OutboundMessage((String) sent[0], piece)
+                                    });
                         }
                     }
-                    owner.received((String) sent[0], out.message(), now);
-                    owner.outs().forEach(each -> underWay.add(new Object[] {"s", each}));
+                    owner.receive((String) sent[0], out.message(), now);
+                    owner.takeOutbound().forEach(each -> underWay.add(new Object[] {"s", each}));
                 }
                 if (to == null) {
                     continue;
                 }
-                to.received((String) sent[0], out.message(), now);
-                to.wholes().forEach(to::shelved);
-                to.outs().forEach(each -> underWay.add(new Object[] {out.to(), each}));
+                to.receive((String) sent[0], out.message(), now);
+                to.takeAssembledResults().forEach(to::resultStored);
+                to.takeOutbound()
+                        .forEach(each -> underWay.add(new Object[] {out.recipient(), each}));
             }
         }
     }
 
     private void same() {
-        for (int range = 0; range < Layout.RANGES; range++) {
-            assertThat(keepers.get("a").digest(range))
+        for (int range = 0; range < ReplicaPlacement.RANGE_COUNT; range++) {
+            assertThat(keepers.get("a").rangeDigest(range))
                     .as("range " + range)
-                    .isEqualTo(keepers.get("b").digest(range))
-                    .isEqualTo(keepers.get("c").digest(range));
+                    .isEqualTo(keepers.get("b").rangeDigest(range))
+                    .isEqualTo(keepers.get("c").rangeDigest(range));
         }
     }
 
     @Test
     void whatDiffersIsFetchedAndNothingElse() {
-        Map<String, Entry> all = entries(2_000);
-        Map<String, Entry> less = new HashMap<>(all);
+        Map<String, ReplicaEntry> all = entries(2_000);
+        Map<String, ReplicaEntry> less = new HashMap<>(all);
         for (int i = 0; i < 30; i++) {
             less.remove("token-" + i * 7);
         }
         keepers.put("a", keeper("a", less, 0, false));
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
-        keepers.get("a").compareAll();
+        keepers.get("a").compareAllRanges();
         beats(200);
         same();
-        assertThat(keepers.get("a").fetched()).isEqualTo(30);
+        assertThat(keepers.get("a").fetchedEntries()).isEqualTo(30);
     }
 
     @Test
     void whatHasNoRoomInAPageIsAskedForByItsMarks() {
-        Map<String, Entry> all = new HashMap<>();
+        Map<String, ReplicaEntry> all = new HashMap<>();
         for (int i = 0; i < 2_000; i++) {
             all.put(
                     "token-" + i,
-                    Entry.NOTHING.ended(
+                    ReplicaEntry.EMPTY.withOutcome(
                             new ClaimId("s", 1, i),
-                            new Outcome(true, "body", "r".repeat(1_500) + i),
+                            new ClaimOutcome(true, "body", "r".repeat(1_500) + i),
                             now.plusSeconds(20 + i % 30)));
         }
-        Map<String, Entry> less = new HashMap<>(all);
+        Map<String, ReplicaEntry> less = new HashMap<>(all);
         for (int i = 0; i < 900; i++) {
             less.remove("token-" + i);
         }
         keepers.put("a", keeper("a", less, 0, false));
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
-        keepers.get("a").compareAll();
+        keepers.get("a").compareAllRanges();
         loses = 0.05;
         // What changes meanwhile bears another mark.
         for (int i = 0; i < 300; i++) {
             beats(1);
             for (String each : List.of("b", "c")) {
                 keepers.get(each)
-                        .received(
+                        .receive(
                                 "x",
-                                new CopyMessage.Release(
+                                new ReplicationMessage.ClaimRelease(
                                         "token-" + i % 900, new ClaimId("x", 1, i), WINDOW),
                                 now);
             }
         }
-        keepers.get("a").compareAll();
+        keepers.get("a").compareAllRanges();
         loses = 0;
         beats(400);
         same();
-        assertThat(keepers.get("a").fetched())
+        assertThat(keepers.get("a").fetchedEntries())
                 .as("each once, and those that changed again")
                 .isLessThan(900 + 300 + 300);
     }
 
     @Test
     void anEmptyOneHasAllWhateverIsLostOnTheWayAndNothingIsFetchedTwiceForThat() {
-        Map<String, Entry> all = entries(3_000);
-        keepers.put("a", new Keeper("a", null, LAYOUT, bounds(64 << 20), 1, now));
+        Map<String, ReplicaEntry> all = entries(3_000);
+        keepers.put("a", new Replica("a", null, LAYOUT, bounds(64 << 20), 1, now));
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
         loses = 0.1;
         beats(600);
-        assertThat(keepers.get("a").behind()).isZero();
-        assertThat(keepers.get("a").size()).isEqualTo(3_000);
-        assertThat(keepers.get("a").fetched())
+        assertThat(keepers.get("a").laggingRangeCount()).isZero();
+        assertThat(keepers.get("a").entryCount()).isEqualTo(3_000);
+        assertThat(keepers.get("a").fetchedEntries())
                 .as("the second source tells only what the first did not")
                 .isLessThan(4_000);
         same();
@@ -188,43 +196,46 @@
 
     @Test
     void catchingUpStaysWithinItsAllowance() {
-        Map<String, Entry> all = entries(9_000);
-        keepers.put("a", new Keeper("a", null, LAYOUT, bounds(200_000), 1, now));
+        Map<String, ReplicaEntry> all = entries(9_000);
+        keepers.put("a", new Replica("a", null, LAYOUT, bounds(200_000), 1, now));
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
         beats(100);
         assertThat(pageBytes)
                 .as("two seconds of the allowance, and what was saved up of it")
-                .isLessThan(2 * 200_000 + 256 * 1024 + 6 * Keeper.PAGE + 5_000);
-        assertThat(keepers.get("a").behind()).isPositive();
+                .isLessThan(2 * 200_000 + 256 * 1024 + 6 * Replica.MAX_PAGE_BYTES + 5_000);
+        assertThat(keepers.get("a").laggingRangeCount()).isPositive();
     }
 
     @Test
     void aDiskThatIsOlderThanItsWordIsFoundAndCountsAsLost() {
-        Map<String, Entry> all = entries(200);
+        Map<String, ReplicaEntry> all = entries(200);
         keepers.put("b", keeper("b", all, 0, false));
         keepers.put("c", keeper("c", all, 0, false));
-        owner.received(
+        owner.receive(
                 "a",
-                new CopyMessage.Answer(
+                new ReplicationMessage.ClaimReply(
                         3,
                         "x",
                         new ClaimId("s", 1, 9),
-                        CopyMessage.Word.GRANTED,
+                        ReplicationMessage.ClaimVote.GRANTED,
                         Optional.empty(),
                         Optional.empty(),
                         900),
                 now);
         keepers.put("a", keeper("a", Map.of(), 850, true));
-        Keeper a = keepers.get("a");
-        a.received("s", new CopyMessage.Claim(3, "y", new ClaimId("s", 1, 10), "b", WINDOW), now);
-        assertThat(((CopyMessage.Answer) a.outs().get(0).message()).word())
+        Replica a = keepers.get("a");
+        a.receive(
+                "s",
+                new ReplicationMessage.ClaimRequest(3, "y", new ClaimId("s", 1, 10), "b", WINDOW),
+                now);
+        assertThat(((ReplicationMessage.ClaimReply) a.takeOutbound().get(0).message()).vote())
                 .as("before it knows")
-                .isEqualTo(CopyMessage.Word.BEHIND);
+                .isEqualTo(ReplicationMessage.ClaimVote.LAGGING);
         beats(100);
-        assertThat(a.oldDisks()).isEqualTo(1);
-        assertThat(a.behind()).isZero();
-        assertThat(a.number()).isGreaterThan(900);
+        assertThat(a.staleDisks()).isEqualTo(1);
+        assertThat(a.laggingRangeCount()).isZero();
+        assertThat(a.changeNumber()).isGreaterThan(900);
         same();
     }
 
@@ -232,11 +243,14 @@
     void aDiskAsNewAsItsWordCountsOnceTheOthersHaveSaidSo() {
         keepers.put("b", keeper("b", Map.of(), 0, false));
         keepers.put("c", keeper("c", Map.of(), 0, false));
-        owner.received("a", new CopyMessage.Kept(3, "x", new ClaimId("s", 1, 9), 850), now);
+        owner.receive(
+                "a",
+                new ReplicationMessage.OutcomeStored(3, "x", new ClaimId("s", 1, 9), 850),
+                now);
         keepers.put("a", keeper("a", Map.of(), 850, true));
         beats(100);
-        assertThat(keepers.get("a").returning()).isFalse();
-        assertThat(keepers.get("a").oldDisks()).isZero();
+        assertThat(keepers.get("a").isCheckingDisk()).isFalse();
+        assertThat(keepers.get("a").staleDisks()).isZero();
     }
 
     @Test
@@ -244,22 +258,22 @@
         keepers.put("a", keeper("a", Map.of(), 0, false));
         keepers.put("b", keeper("b", Map.of(), 0, false));
         keepers.put("c", keeper("c", Map.of(), 0, false));
-        keepers.get("b").there(Set.of("b", "c"));
+        keepers.get("b").observeLivePeers(Set.of("b", "c"));
         for (int i = 0; i < 40; i++) {
             for (String each : List.of("b", "c")) {
                 keepers.get(each)
-                        .received(
+                        .receive(
                                 "x",
-                                new CopyMessage.Claim(
+                                new ReplicationMessage.ClaimRequest(
                                         3, "t" + i, new ClaimId("x", 1, i), "body", WINDOW),
                                 now);
             }
         }
-        assertThat(keepers.get("b").hints()).isBetween(20, 40);
-        keepers.get("b").there(Set.of("a", "b", "c"));
+        assertThat(keepers.get("b").hintCount()).isBetween(20, 40);
+        keepers.get("b").observeLivePeers(Set.of("a", "b", "c"));
         beats(80);
-        assertThat(keepers.get("b").hints()).isZero();
-        assertThat(keepers.get("a").size()).isEqualTo(40);
+        assertThat(keepers.get("b").hintCount()).isZero();
+        assertThat(keepers.get("a").entryCount()).isEqualTo(40);
     }
 
     @Test
@@ -279,10 +293,10 @@
                 now.plus(WINDOW),
                 now,
                 verdict -> {
-                    runs[0] = verdict.what() == Verdict.What.RUN;
-                    owner.ended(
-                            verdict.claim(),
-                            Outcome.apart("body", result),
+                    runs[0] = verdict.kind() == ClaimDecision.Kind.RUN;
+                    owner.reportOutcome(
+                            verdict.claimId(),
+                            ClaimOutcome.chunked("body", result),
                             result,
                             now.plusSeconds(20),
                             now.plus(WINDOW),
@@ -297,18 +311,24 @@
         assertThat(kept[0]).isTrue();
         long whole =
                 keepers.values().stream()
-                        .filter(each -> each.entry("t").outcome().map(Outcome::here).orElse(false))
+                        .filter(
+                                each ->
+                                        each.entry("t")
+                                                .canonicalOutcome()
+                                                .map(ClaimOutcome::resultPresent)
+                                                .orElse(false))
                         .count();
         assertThat(whole).as("a majority has the bytes").isGreaterThanOrEqualTo(2);
     }
 
     @Test
     void aWindowOfAnyLengthIsKeptNoLongerThanTheLongest() {
-        Keeper a = keeper("a", Map.of(), 0, false);
-        a.received(
+        Replica a = keeper("a", Map.of(), 0, false);
+        a.receive(
                 "x",
-                new CopyMessage.Claim(3, "t", new ClaimId("x", 1, 1), "body", Duration.ofDays(900)),
+                new ReplicationMessage.ClaimRequest(
+                        3, "t", new ClaimId("x", 1, 1), "body", Duration.ofDays(900)),
                 now);
-        assertThat(a.entry("t").until()).isEqualTo(now.plus(WINDOW));
+        assertThat(a.entry("t").expiresAt()).isEqualTo(now.plus(WINDOW));
     }
 }
