--- a/src/test/java/ochretiller/fleet/copies/MarkGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/replication/MarkGoldenTest.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
@@ -23,18 +23,20 @@
     private static final ClaimId FIRST = new ClaimId("s", -7, 3);
     private static final ClaimId SECOND = new ClaimId("t", 8, 1);
 
-    private static Entry entry(
-            Map<ClaimId, String> claims, Set<ClaimId> released, Map<ClaimId, Outcome> outcomes) {
-        return new Entry(
+    private static ReplicaEntry entry(
+            Map<ClaimId, String> claims,
+            Set<ClaimId> released,
+            Map<ClaimId, ClaimOutcome> outcomes) {
+        return new ReplicaEntry(
                 new TreeMap<>(claims),
                 new TreeSet<>(released),
                 new TreeMap<>(outcomes),
                 Duration.ofSeconds(60));
     }
 
-    private static Map<String, Entry> entries() {
-        Outcome outcome = new Outcome(true, "body", "caf\u00e9");
-        Map<String, Entry> all = new LinkedHashMap<>();
+    private static Map<String, ReplicaEntry> entries() {
+        ClaimOutcome outcome = new ClaimOutcome(true, "body", "caf\u00e9");
+        Map<String, ReplicaEntry> all = new LinkedHashMap<>();
         all.put("claimed", entry(Map.of(FIRST, "body"), Set.of(), Map.of()));
         all.put("claimed-twice", entry(Map.of(FIRST, "body", SECOND, "b"), Set.of(), Map.of()));
         all.put("released", entry(Map.of(FIRST, "body"), Set.of(FIRST, SECOND), Map.of()));
@@ -44,7 +46,10 @@
                 entry(
                         Map.of(FIRST, "body"),
                         Set.of(),
-                        Map.of(FIRST, Outcome.apart("body", "r".repeat(9_000)).with(false))));
+                        Map.of(
+                                FIRST,
+                                ClaimOutcome.chunked("body", "r".repeat(9_000))
+                                        .withResultPresent(false))));
         return all;
     }
 
@@ -55,25 +60,25 @@
     @Test
     void marksDigestsAndSketchesAreTheGoldenOnes() {
         Map<String, byte[]> made = new LinkedHashMap<>();
-        for (Map.Entry<String, Entry> each : entries().entrySet()) {
-            Stock stock = new Stock();
+        for (Map.Entry<String, ReplicaEntry> each : entries().entrySet()) {
+            ReplicaEntries stock = new ReplicaEntries();
             stock.put(TOKEN, each.getValue(), 1);
-            made.put("mark-of-" + each.getKey(), bytes(stock.mark(TOKEN)));
+            made.put("mark-of-" + each.getKey(), bytes(stock.entryDigest(TOKEN)));
         }
-        Stock stock = new Stock();
-        int range = Layout.range(TOKEN);
+        ReplicaEntries stock = new ReplicaEntries();
+        int range = ReplicaPlacement.rangeOf(TOKEN);
         for (int i = 0; i < 1_000; i++) {
             stock.put("token " + i, entries().get("claimed"), 1);
         }
         stock.put(TOKEN, entries().get("ended"), 1);
-        made.put("digest-of-range", bytes(stock.digest(range)));
-        made.put("sketch-of-range", stock.sketch(range, 6).bytes());
+        made.put("digest-of-range", bytes(stock.rangeDigest(range)));
+        made.put("sketch-of-range", stock.sketch(range, 6).toBytes());
         MARKS.assertHolds(made);
     }
 
     @Test
     void aGoldenSketchIsReadBack() {
         byte[] bytes = MARKS.bytes("sketch-of-range");
-        assertThat(Sketch.of(bytes).bytes()).isEqualTo(bytes);
+        assertThat(SetSketch.fromBytes(bytes).toBytes()).isEqualTo(bytes);
     }
 }
--- a/src/test/java/ochretiller/fleet/copies/SketchTest.java
+++ b/src/test/java/ochretiller/fleet/replication/SetSketchTest.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.copies;
+package ochretiller.fleet.replication;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What two sketches tell of what their sets differ in. */
-class SketchTest {
+class SetSketchTest {
     private final SplittableRandom chance = new SplittableRandom(7);
 
     private Set<Long> marks(int count) {
@@ -20,8 +20,8 @@
         return all;
     }
 
-    private static Sketch sketch(int cells, Set<Long> first, Set<Long> second) {
-        Sketch sketch = new Sketch(cells);
+    private static SetSketch sketch(int cells, Set<Long> first, Set<Long> second) {
+        SetSketch sketch = new SetSketch(cells);
         first.forEach(sketch::add);
         second.forEach(sketch::add);
         return sketch;
@@ -34,14 +34,14 @@
             Set<Long> both = marks(chance.nextInt(2_000));
             Set<Long> mine = marks(chance.nextInt(60));
             Set<Long> theirs = marks(chance.nextInt(60));
-            Sketch here = sketch(192, both, mine);
-            Sketch there = Sketch.of(sketch(192, both, theirs).bytes());
-            Optional<Sketch.Difference> difference = here.less(there);
+            SetSketch here = sketch(192, both, mine);
+            SetSketch there = SetSketch.fromBytes(sketch(192, both, theirs).toBytes());
+            Optional<SetSketch.SetDifference> difference = here.subtract(there);
             if (difference.isEmpty()) {
                 continue;
             }
             told++;
-            assertThat(difference.get()).isEqualTo(new Sketch.Difference(mine, theirs));
+            assertThat(difference.get()).isEqualTo(new SetSketch.SetDifference(mine, theirs));
         }
         assertThat(told)
                 .as("two thirds of a mark for each cell are told nearly always")
@@ -50,12 +50,12 @@
 
     @Test
     void tooMuchTellsNothingAndEqualOnesTellThatTheyAre() {
-        assertThat(sketch(24, marks(200), Set.of()).less(sketch(24, marks(200), Set.of())))
+        assertThat(sketch(24, marks(200), Set.of()).subtract(sketch(24, marks(200), Set.of())))
                 .isEmpty();
         Set<Long> same = marks(5_000);
-        assertThat(sketch(24, same, Set.of()).less(sketch(24, same, Set.of())))
-                .contains(new Sketch.Difference(Set.of(), Set.of()));
-        assertThat(sketch(24, same, Set.of()).less(sketch(48, same, Set.of())))
+        assertThat(sketch(24, same, Set.of()).subtract(sketch(24, same, Set.of())))
+                .contains(new SetSketch.SetDifference(Set.of(), Set.of()));
+        assertThat(sketch(24, same, Set.of()).subtract(sketch(48, same, Set.of())))
                 .as("of another size")
                 .isEmpty();
     }
@@ -63,9 +63,9 @@
     @Test
     void sketchesOfAnybodysMakingEnd() {
         for (int i = 0; i < 2_000; i++) {
-            byte[] bytes = new byte[24 * Sketch.CELL];
+            byte[] bytes = new byte[24 * SetSketch.CELL_BYTES];
             chance.nextBytes(bytes);
-            assertThat(Sketch.of(bytes).less(new Sketch(24))).isEmpty();
+            assertThat(SetSketch.fromBytes(bytes).subtract(new SetSketch(24))).isEmpty();
         }
     }
 }
--- a/src/test/java/ochretiller/fleet/versions/StagesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
@@ -1,12 +1,12 @@
-package ochretiller.fleet.versions;
+package ochretiller.fleet.rollout;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Rollout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
@@ -15,18 +15,20 @@
     private static final GoldenFile DRAWS = new GoldenFile("stage-draws");
     private static final int SERVERS = 12;
 
-    private static Layout layout(int version, int stage) {
-        List<Layout.Server> servers = new ArrayList<>();
+    private static ReplicaPlacement layout(int version, int stage) {
+        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new Layout.Server("n" + i, "z" + i % 3));
+            servers.add(new ReplicaPlacement.ReplicaServer("n" + i, "z" + i % 3));
         }
-        Rollout.Version to = new Rollout.Version(version, "f".repeat(64), 1, "", "ann", "why");
-        return new Layout(
+        RolloutState.PublishedVersion to =
+                new RolloutState.PublishedVersion(version, "f".repeat(64), 1, "", "ann", "why");
+        return new ReplicaPlacement(
                 4,
                 servers,
                 servers,
                 3,
-                new Rollout(to, Rollout.Version.NONE, stage, Rollout.State.RUNS));
+                new RolloutState(
+                        to, RolloutState.PublishedVersion.NONE, stage, RolloutState.Phase.RUNNING));
     }
 
     @Test
@@ -34,11 +36,11 @@
         Map<String, byte[]> made = new LinkedHashMap<>();
         for (int version = 1; version <= 3; version++) {
             for (int stage = 0; stage <= 2; stage++) {
-                Layout layout = layout(version, stage);
+                ReplicaPlacement layout = layout(version, stage);
                 StringBuilder on = new StringBuilder();
                 // Some of these names are in no layout: they go by their own draw.
                 for (int i = 0; i < 3 * SERVERS; i++) {
-                    on.append(Stages.on(layout, "n" + i) ? '1' : '0');
+                    on.append(RolloutStages.includes(layout, "n" + i) ? '1' : '0');
                 }
                 made.put(
                         "version-" + version + "-stage-" + stage,
--- a/src/test/java/ochretiller/fleet/peers/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,13 +13,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import ochretiller.HandLoop;
-import ochretiller.audit.Chain;
-import ochretiller.fleet.epochs.Ballot;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.epochs.Rollout;
-import ochretiller.fleet.epochs.Voter;
-import ochretiller.fleet.members.Address;
+import ochretiller.ManualEventLoop;
+import ochretiller.audit.HashChain;
+import ochretiller.fleet.consensus.Ballot;
+import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.transport.ReplicationCodec;
 import ochretiller.golden.GoldenFile;
 import ochretiller.metrics.Metrics;
 import org.junit.jupiter.api.Test;
@@ -33,37 +34,41 @@
     private static final byte[] BYTES = "what to act on".getBytes(StandardCharsets.UTF_8);
 
     /** SHA-256 of {@link #BYTES}. */
-    private static final String HASH = Versions.hash(BYTES);
+    private static final String HASH = RolloutService.hash(BYTES);
 
-    private static final Rollout.Version VERSION =
-            new Rollout.Version(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
+    private static final RolloutState.PublishedVersion VERSION =
+            new RolloutState.PublishedVersion(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
 
     @TempDir private Path folder;
 
-    private static Layout layout(long epoch) {
-        return new Layout(
+    private static ReplicaPlacement layout(long epoch) {
+        return new ReplicaPlacement(
                 epoch,
-                List.of(new Layout.Server("a", "z1"), new Layout.Server("b", "")),
-                List.of(new Layout.Server("b", "")),
+                List.of(
+                        new ReplicaPlacement.ReplicaServer("a", "z1"),
+                        new ReplicaPlacement.ReplicaServer("b", "")),
+                List.of(new ReplicaPlacement.ReplicaServer("b", "")),
                 2,
-                new Rollout(VERSION, Rollout.Version.NONE, 2, Rollout.State.HALTED));
+                new RolloutState(
+                        VERSION, RolloutState.PublishedVersion.NONE, 2, RolloutState.Phase.HALTED));
     }
 
-    private static Map<String, Voter.Promised> promises() {
-        Map<String, Voter.Promised> all = new LinkedHashMap<>();
-        all.put("nothing", Voter.Promised.none(3));
+    private static Map<String, EpochConsensus.AcceptorState> promises() {
+        Map<String, EpochConsensus.AcceptorState> all = new LinkedHashMap<>();
+        all.put("nothing", EpochConsensus.AcceptorState.initial(3));
         all.put(
                 "promised",
-                new Voter.Promised(layout(4), new Ballot(7, "b"), Ballot.NONE, null, 9));
+                new EpochConsensus.AcceptorState(
+                        layout(4), new Ballot(7, "b"), Ballot.NONE, null, 9));
         all.put(
                 "accepted",
-                new Voter.Promised(
+                new EpochConsensus.AcceptorState(
                         layout(4), new Ballot(7, "b"), new Ballot(6, "a"), layout(5), 0));
         return all;
     }
 
-    private static List<Address> addresses() {
-        return List.of(new Address("10.0.0.2", 4200), new Address("10.0.0.3", 65_535));
+    private static List<PeerAddress> addresses() {
+        return List.of(new PeerAddress("10.0.0.2", 4200), new PeerAddress("10.0.0.3", 65_535));
     }
 
     private static byte[] awaited(Path file) throws IOException, InterruptedException {
@@ -77,8 +82,8 @@
     void aVotersPromisesAreWrittenAsTheirGoldenBytes() throws IOException {
         Map<String, byte[]> written = new LinkedHashMap<>();
         Path file = folder.resolve("voter");
-        for (Map.Entry<String, Voter.Promised> each : promises().entrySet()) {
-            new VoterFile(file).write(each.getValue());
+        for (Map.Entry<String, EpochConsensus.AcceptorState> each : promises().entrySet()) {
+            new AcceptorFile(file).write(each.getValue());
             written.put(each.getKey(), Files.readAllBytes(file));
         }
         VOTERS.assertHolds(written);
@@ -87,9 +92,9 @@
     @Test
     void aVotersGoldenPromisesAreReadBack() throws IOException {
         Path file = folder.resolve("voter");
-        for (Map.Entry<String, Voter.Promised> each : promises().entrySet()) {
+        for (Map.Entry<String, EpochConsensus.AcceptorState> each : promises().entrySet()) {
             Files.write(file, VOTERS.bytes(each.getKey()));
-            assertThat(new VoterFile(file).read()).as(each.getKey()).isEqualTo(each.getValue());
+            assertThat(new AcceptorFile(file).read()).as(each.getKey()).isEqualTo(each.getValue());
         }
     }
 
@@ -110,7 +115,7 @@
     }
 
     /** A server that remembers what it was to act on. */
-    private static final class Recorder implements Versions.Acts {
+    private static final class Recorder implements RolloutService.Acts {
         private final List<byte[]> acted = new ArrayList<>();
 
         @Override
@@ -125,27 +130,28 @@
         }
 
         @Override
-        public Chain.Head audited() {
-            return Chain.Head.NONE;
+        public HashChain.ChainHead audited() {
+            return HashChain.ChainHead.EMPTY;
         }
 
         @Override
-        public void told(Versions.What what, Rollout.Version version, String text) {
+        public void told(
+                RolloutService.What what, RolloutState.PublishedVersion version, String text) {
             // nothing here is about what is told
         }
     }
 
-    private Versions versions(Recorder recorder) {
-        VersionSettings settings =
-                new VersionSettings(
+    private RolloutService versions(Recorder recorder) {
+        RolloutSettings settings =
+                new RolloutSettings(
                         folder,
                         Duration.ofSeconds(5),
                         Duration.ofSeconds(5),
                         Duration.ofSeconds(5),
                         Duration.ofSeconds(5),
                         true);
-        return new Versions(
-                new HandLoop(),
+        return new RolloutService(
+                new ManualEventLoop(),
                 settings,
                 "a",
                 "1.2",
@@ -159,17 +165,17 @@
 
     @Test
     void aVersionAndThatItIsActedOnAreWrittenAsTheirGoldenBytes() throws Exception {
-        Versions versions = versions(new Recorder());
+        RolloutService versions = versions(new Recorder());
         versions.publish("ann", "caf\u00e9", "1.2", BYTES);
         Map<String, byte[]> written = new LinkedHashMap<>();
         written.put(HASH + ".version", awaited(folder.resolve(HASH + ".version")));
         versions.become(
-                new Layout(
+                new ReplicaPlacement(
                         1,
-                        List.of(new Layout.Server("a", "")),
+                        List.of(new ReplicaPlacement.ReplicaServer("a", "")),
                         List.of(),
                         1,
-                        new Rollout(VERSION, VERSION, 0, Rollout.State.DONE)));
+                        new RolloutState(VERSION, VERSION, 0, RolloutState.Phase.DONE)));
         written.put("acting", awaited(folder.resolve("acting")));
         VERSIONS.assertHolds(written);
         versions.close();
@@ -181,7 +187,7 @@
             Files.write(folder.resolve(each.getKey()), each.getValue());
         }
         Recorder recorder = new Recorder();
-        Versions versions = versions(recorder);
+        RolloutService versions = versions(recorder);
         assertThat(versions.acting()).isEqualTo(VERSION.number());
         assertThat(recorder.acted).containsExactly(BYTES);
         versions.close();
@@ -191,6 +197,7 @@
     void theVersionThatIsActedOnIsReadBackWhole() throws IOException {
         Files.write(folder.resolve("acting"), VERSIONS.bytes("acting"));
         SealedFile file = new SealedFile(folder.resolve("acting"));
-        assertThat(file.<Rollout.Version>read(CopyCodec::version)).isEqualTo(VERSION);
+        assertThat(file.<RolloutState.PublishedVersion>read(ReplicationCodec::version))
+                .isEqualTo(VERSION);
     }
 }
--- a/src/test/java/ochretiller/fleet/peers/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,19 +15,19 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import ochretiller.fleet.copies.ClaimId;
-import ochretiller.fleet.copies.Commit;
-import ochretiller.fleet.copies.Entry;
-import ochretiller.fleet.copies.Keeper;
-import ochretiller.fleet.copies.Outcome;
-import ochretiller.fleet.epochs.Layout;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaEntry;
 import ochretiller.golden.GoldenFile;
-import ochretiller.store.Ack;
-import ochretiller.store.Boot;
-import ochretiller.store.ForgetfulDisk;
-import ochretiller.store.Inspect;
-import ochretiller.store.Limits;
+import ochretiller.store.AppendResult;
+import ochretiller.store.BootClock;
 import ochretiller.store.Store;
+import ochretiller.store.StoreInspector;
+import ochretiller.store.StoreLimits;
+import ochretiller.store.VolatileDirectory;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -42,41 +42,44 @@
     private static final String TOKEN = "a token";
     private static final ClaimId ID = new ClaimId("s", -7, 3);
     private static final byte[] RESULT = {1, 2, 3, -4};
-    private static final KeeperDisk.Place PLACE =
-            new KeeperDisk.Place(new TreeMap<>(Map.of("b", 5L, "c", 6L)), List.of(-8L, 9L));
-    private static final Layout LAYOUT =
-            new Layout(
+    private static final ReplicaStorage.Place PLACE =
+            new ReplicaStorage.Place(new TreeMap<>(Map.of("b", 5L, "c", 6L)), List.of(-8L, 9L));
+    private static final ReplicaPlacement LAYOUT =
+            new ReplicaPlacement(
                     4,
-                    List.of(new Layout.Server("a", "z1"), new Layout.Server("b", "z2")),
-                    List.of(new Layout.Server("b", "z2")),
+                    List.of(
+                            new ReplicaPlacement.ReplicaServer("a", "z1"),
+                            new ReplicaPlacement.ReplicaServer("b", "z2")),
+                    List.of(new ReplicaPlacement.ReplicaServer("b", "z2")),
                     2);
 
-    private final ForgetfulDisk disk = new ForgetfulDisk();
+    private final VolatileDirectory disk = new VolatileDirectory();
 
     private Store open() throws IOException {
         return Store.open(
                 disk,
-                Limits.of(100, 1 << 20, LONGEST),
-                new Boot(new UUID(1, 2), () -> 5_000),
+                StoreLimits.of(100, 1 << 20, LONGEST),
+                new BootClock(new UUID(1, 2), () -> 5_000),
                 Runnable::run);
     }
 
-    private static Entry entry() {
+    private static ReplicaEntry entry() {
         ClaimId other = new ClaimId("t", 8, 1);
-        return new Entry(
+        return new ReplicaEntry(
                 new TreeMap<>(Map.of(ID, "body", other, "b")),
                 Set.of(new ClaimId("u", 1, 2)),
-                new TreeMap<>(Map.of(ID, new Outcome(true, "body", "caf\u00e9"))),
+                new TreeMap<>(Map.of(ID, new ClaimOutcome(true, "body", "caf\u00e9"))),
                 NOW.plus(LEFT));
     }
 
-    private static Keeper.Disk before(Set<Integer> forgot) {
-        return new Keeper.Disk(LAYOUT, Map.of(), Set.of(3), forgot, Set.of(7), 41, false);
+    private static Replica.ReplicaSnapshot before(Set<Integer> forgot) {
+        return new Replica.ReplicaSnapshot(
+                LAYOUT, Map.of(), Set.of(3), forgot, Set.of(7), 41, false);
     }
 
-    private static Keeper keeper(Set<Integer> forgot) {
-        Keeper keeper = new Keeper("a", before(forgot), LAYOUT, 100, LONGEST, NOW);
-        keeper.remember(TOKEN, entry());
+    private static Replica keeper(Set<Integer> forgot) {
+        Replica keeper = new Replica("a", before(forgot), LAYOUT, 100, LONGEST, NOW);
+        keeper.restore(TOKEN, entry());
         return keeper;
     }
 
@@ -88,20 +91,22 @@
 
     /** Writes a place, an entry and a long result; their keys and values as the store has them. */
     private Map<byte[], byte[]> written(Set<Integer> forgot) throws Exception {
-        Keeper keeper = keeper(forgot);
+        Replica keeper = keeper(forgot);
         try (Store store = open()) {
             store.start();
-            KeeperDisk keeperDisk = new KeeperDisk(store, LONGEST);
-            Commit.Write place = new Commit.Write(0, 1, null);
-            Commit.Write entry = new Commit.Write(0, 2, TOKEN);
+            ReplicaStorage keeperDisk = new ReplicaStorage(store, LONGEST);
+            DurabilityBarrier.PendingWrite place = new DurabilityBarrier.PendingWrite(0, 1, null);
+            DurabilityBarrier.PendingWrite entry = new DurabilityBarrier.PendingWrite(0, 2, TOKEN);
             durable(then -> keeperDisk.write(place, keeper, PLACE, NOW, then));
             durable(then -> keeperDisk.write(entry, keeper, PLACE, NOW, then));
             durable(then -> keeperDisk.keep(TOKEN, ID, RESULT, NOW.plus(LEFT), NOW, then));
         }
         Map<byte[], byte[]> all = new LinkedHashMap<>();
         try (Store store = open()) {
-            store.each(KeeperDisk.ENTRIES, (key, value, expires) -> all.put(key, value));
-            store.each(KeeperDisk.RESULTS, (key, value, expires) -> all.put(key, value));
+            store.forEachValue(
+                    ReplicaStorage.ENTRIES, (key, value, expires) -> all.put(key, value));
+            store.forEachValue(
+                    ReplicaStorage.RESULTS, (key, value, expires) -> all.put(key, value));
         }
         return all;
     }
@@ -118,15 +123,15 @@
     }
 
     private void put(Store store, String name, Duration lives) throws Exception {
-        CompletableFuture<Ack> acked = new CompletableFuture<>();
+        CompletableFuture<AppendResult> acked = new CompletableFuture<>();
         store.put(
                 RECORDS.bytes(name + "-key"),
                 new byte[0],
                 RECORDS.bytes(name + "-value"),
-                store.now() + lives.toMillis(),
+                store.nowMillis() + lives.toMillis(),
                 false,
                 acked::complete);
-        assertThat(acked.get(10, TimeUnit.SECONDS)).isEqualTo(Ack.DURABLE);
+        assertThat(acked.get(10, TimeUnit.SECONDS)).isEqualTo(AppendResult.DURABLE);
     }
 
     private void assertReadBack(String place, Set<Integer> forgot) throws Exception {
@@ -136,13 +141,13 @@
             put(store, "entry", LEFT);
             put(store, "result", LEFT);
         }
-        Map<String, Entry> entries = Map.of(TOKEN, entry());
+        Map<String, ReplicaEntry> entries = Map.of(TOKEN, entry());
         try (Store store = open()) {
-            KeeperDisk keeperDisk = new KeeperDisk(store, LONGEST);
+            ReplicaStorage keeperDisk = new ReplicaStorage(store, LONGEST);
             assertThat(keeperDisk.read(NOW))
                     .isEqualTo(
-                            new KeeperDisk.Found(
-                                    new Keeper.Disk(
+                            new ReplicaStorage.Found(
+                                    new Replica.ReplicaSnapshot(
                                             LAYOUT, entries, Set.of(3), forgot, Set.of(7), 42,
                                             true),
                                     entries,
@@ -176,7 +181,9 @@
     void recordsOfAKeeperExpireWithTheirWindow() throws Exception {
         written(Set.of());
         Map<String, Long> expires = new TreeMap<>();
-        Inspect.list(disk, item -> expires.put(KeeperDisk.about(item.key()), item.expires()));
+        StoreInspector.list(
+                disk,
+                item -> expires.put(ReplicaStorage.about(item.key()), item.expiresAtMillis()));
         assertThat(expires)
                 .isEqualTo(
                         Map.of(
--- a/src/test/java/ochretiller/fleet/peers/SealedFileTest.java
+++ b/src/test/java/ochretiller/fleet/service/SealedFileTest.java
@@ -1,4 +1,4 @@
-package ochretiller.fleet.peers;
+package ochretiller.fleet.service;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -8,7 +8,8 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import ochretiller.fleet.members.Address;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.transport.PacketCodec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -20,19 +21,19 @@
     void eachCutAndEachSpoiltByteIsTold() throws IOException {
         Path path = folder.resolve("small");
         SealedFile file = new SealedFile(path);
-        assertThat(file.<String>read(Codec::text)).as("there is none").isNull();
+        assertThat(file.<String>read(PacketCodec::text)).as("there is none").isNull();
         file.write(to -> to.writeString("what was kept"));
-        assertThat(file.read(Codec::text)).isEqualTo("what was kept");
+        assertThat(file.read(PacketCodec::text)).isEqualTo("what was kept");
         byte[] whole = Files.readAllBytes(path);
         for (int i = 0; i < whole.length; i++) {
             Files.write(path, Arrays.copyOf(whole, i));
-            assertThatThrownBy(() -> file.read(Codec::text))
+            assertThatThrownBy(() -> file.read(PacketCodec::text))
                     .as("cut at " + i)
                     .isInstanceOf(SealedFile.DamagedException.class);
             byte[] spoilt = whole.clone();
             spoilt[i] ^= 0x10;
             Files.write(path, spoilt);
-            assertThatThrownBy(() -> file.read(Codec::text))
+            assertThatThrownBy(() -> file.read(PacketCodec::text))
                     .as("spoilt at " + i)
                     .isInstanceOf(SealedFile.DamagedException.class);
         }
@@ -43,7 +44,8 @@
         Path path = folder.resolve("peers");
         PeersFile file = new PeersFile(path);
         assertThat(file.read()).isEmpty();
-        List<Address> known = List.of(new Address("10.0.0.2", 4200), new Address("10.0.0.3", 4200));
+        List<PeerAddress> known =
+                List.of(new PeerAddress("10.0.0.2", 4200), new PeerAddress("10.0.0.3", 4200));
         file.write(known);
         for (int i = 0; i < 500 && !Files.exists(path); i++) {
             Thread.sleep(10);
--- a/src/test/java/ochretiller/front/CallersTest.java
+++ b/src/test/java/ochretiller/frontend/ClientConnectionsTest.java
@@ -1,4 +1,4 @@
-package ochretiller.front;
+package ochretiller.frontend;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,13 +10,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import ochretiller.HandLoop;
-import ochretiller.model.Effect;
+import ochretiller.ManualEventLoop;
+import ochretiller.fakes.FakeConnection;
 import ochretiller.model.Operation;
+import ochretiller.model.SideEffect;
 import ochretiller.net.CloseCode;
 import ochretiller.net.Connection;
 import ochretiller.net.Network;
-import ochretiller.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
  * What crosses on real sockets, in the order that a test forces: the one thread's work is in its
  * hands.
  */
-class CallersTest {
+class ClientConnectionsTest {
     private static final Duration MS = Duration.ofMillis(1);
     private static final Duration IDLE = Duration.ofSeconds(2);
     private static final Duration LONGEST = Duration.ofSeconds(4);
@@ -33,7 +33,7 @@
     private static final Operation READ =
             new Operation(
                     "read",
-                    Effect.IDEMPOTENT,
+                    SideEffect.IDEMPOTENT,
                     Duration.ofSeconds(1),
                     LONGEST,
                     1,
@@ -42,22 +42,22 @@
                     false,
                     0);
 
-    private final HandLoop loop = new HandLoop();
+    private final ManualEventLoop loop = new ManualEventLoop();
     private final Network network = new Network(loop, 64L * 1024 * 1024);
-    private final List<Try> arrived = new ArrayList<>();
-    private final List<Try> gone = new ArrayList<>();
+    private final List<RequestAttempt> arrived = new ArrayList<>();
+    private final List<RequestAttempt> gone = new ArrayList<>();
     private final AtomicInteger accepted = new AtomicInteger();
     private volatile Connection last;
     private final List<CloseCode> spoilt = new ArrayList<>();
-    private final List<Wire> wires = new ArrayList<>();
-    private Callers callers;
+    private final List<FakeConnection> wires = new ArrayList<>();
+    private ClientConnections callers;
     private int port;
 
     /**
      * A front of one letter a message: {@code R} asks, {@code o} does nothing, {@code !} cannot be
      * read, {@code .} has only begun.
      */
-    private final class Letters extends Peer {
+    private final class Letters extends ClientConnection {
         private boolean begun;
         private long numbers;
 
@@ -80,7 +80,7 @@
             return () -> {
                 for (int i = 0; i < requests.length(); i++) {
                     callers.opened(
-                            new Try(
+                            new RequestAttempt(
                                     callers.nextId(),
                                     connection.peer() + '/' + ++numbers,
                                     READ,
@@ -118,24 +118,24 @@
         }
 
         @Override
-        protected void succeeds(Try inv, byte[] result, boolean replayed) {
+        protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
             connection.write("done\n");
         }
 
         @Override
-        protected void throttles(Try inv, Duration retryIn, boolean last) {
+        protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
             connection.write("throttled\n");
         }
 
         @Override
-        protected void fails(Try inv, Failure why) {
+        protected void fails(RequestAttempt inv, FailureReason why) {
             connection.write("failed\n");
         }
     }
 
     @BeforeEach
     void listen() throws IOException {
-        callers = new Callers(loop, LIMIT, LONGEST, IDLE, arrived::add, gone::add);
+        callers = new ClientConnections(loop, LIMIT, LONGEST, IDLE, arrived::add, gone::add);
         try (var free = new java.net.ServerSocket(0)) {
             port = free.getLocalPort();
         }
@@ -151,15 +151,16 @@
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire wire : wires) {
+        for (FakeConnection wire : wires) {
             wire.close();
         }
         network.stop();
     }
 
-    private Wire dial() throws Exception {
+    private FakeConnection dial() throws Exception {
         int before = accepted.get();
-        Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
+        FakeConnection wire =
+                new FakeConnection(new Socket(InetAddress.getLoopbackAddress(), port));
         wires.add(wire);
         while (accepted.get() == before) {
             Thread.onSpinWait();
@@ -169,20 +170,20 @@
     }
 
     /** A caller that has asked once and has its answer. */
-    private Wire known() throws Exception {
-        Wire wire = dial();
+    private FakeConnection known() throws Exception {
+        FakeConnection wire = dial();
         expectServed(wire);
         return wire;
     }
 
-    private void expectServed(Wire wire) throws Exception {
+    private void expectServed(FakeConnection wire) throws Exception {
         ask(wire);
         answer();
         assertThat(wire.line()).isEqualTo("done");
     }
 
     /** Its request has come to the owner. */
-    private void ask(Wire wire) throws Exception {
+    private void ask(FakeConnection wire) throws Exception {
         int before = arrived.size();
         wire.send("R");
         while (arrived.size() == before) {
@@ -207,7 +208,7 @@
 
     @Test
     void restingConnectionIsToldAndARequestThatCrossesTheWordIsAnswered() throws Exception {
-        Wire resting = known();
+        FakeConnection resting = known();
         pass(IDLE.plusMillis(150));
         assertThat(resting.line()).isEqualTo("shutdown");
         expectServed(resting);
@@ -217,7 +218,7 @@
 
     @Test
     void requestThatIsReadButNotWorkedOffAsTheTimeComesIsAnswered() throws Exception {
-        Wire resting = known();
+        FakeConnection resting = known();
         pass(IDLE);
         resting.send("R");
         loop.await(1);
@@ -230,8 +231,8 @@
 
     @Test
     void halfAMessageIsNoRestUntilNobodyWaitsForItAnyMore() throws Exception {
-        Wire slow = known();
-        Wire rests = known();
+        FakeConnection slow = known();
+        FakeConnection rests = known();
         slow.send(".");
         settleReads();
         pass(IDLE.plusMillis(300));
@@ -253,7 +254,7 @@
 
     @Test
     void callerThatCannotBeReadAnyMoreGetsWhatItIsOwed() throws Exception {
-        Wire bad = dial();
+        FakeConnection bad = dial();
         bad.send("RR!");
         while (arrived.size() < 2) {
             loop.one();
@@ -270,7 +271,7 @@
 
     @Test
     void floodedCallerGetsWhatItIsOwed() throws Exception {
-        Wire flood = dial();
+        FakeConnection flood = dial();
         ask(flood);
         assertThat(flood.sendsUntilItEnds("o".repeat(64 * 1024), 4)).isFalse();
         while (!last.deaf()) {
@@ -289,7 +290,7 @@
 
     @Test
     void answersBeforeACloseOverUnreadBytesArrive() throws Exception {
-        Wire bad = dial();
+        FakeConnection bad = dial();
         bad.send("R!");
         while (arrived.isEmpty()) {
             loop.one();
@@ -302,13 +303,13 @@
 
     @Test
     void waveOfCallersLosesNoFirstRequestToTheRoomThatItNeeds() throws Exception {
-        List<Wire> wave = new ArrayList<>();
+        List<FakeConnection> wave = new ArrayList<>();
         for (int i = 0; i < LIMIT / 2; i++) {
             wave.add(dial());
         }
         network.flush();
         int told = 0;
-        for (Wire wire : wave) {
+        for (FakeConnection wire : wave) {
             ask(wire);
             answer();
             String line = wire.line();
@@ -326,8 +327,8 @@
 
     @Test
     void tooManyThatSayNothingMakeRoomOldestFirstAndLeaveWhoHasShownSomething() throws Exception {
-        Wire known = known();
-        List<Wire> silent = new ArrayList<>();
+        FakeConnection known = known();
+        List<FakeConnection> silent = new ArrayList<>();
         for (int i = 0; i < LIMIT / 2 - 1; i++) {
             silent.add(dial());
         }
@@ -336,15 +337,15 @@
             assertThat(silent.get(i).line()).isEqualTo("shutdown");
             assertThat(silent.get(i).line()).isNull();
         }
-        for (Wire wire : List.of(known, silent.get(LIMIT / 2 - 2))) {
+        for (FakeConnection wire : List.of(known, silent.get(LIMIT / 2 - 2))) {
             expectServed(wire);
         }
     }
 
     @Test
     void floodOfThoseThatSayNothingMakesRoomAtOnceAndLeavesWhoHasShownSomething() throws Exception {
-        Wire known = known();
-        List<Wire> flood = new ArrayList<>();
+        FakeConnection known = known();
+        List<FakeConnection> flood = new ArrayList<>();
         for (int i = 0; i < 10 * LIMIT; i++) {
             flood.add(dial());
         }
@@ -357,7 +358,7 @@
 
     @Test
     void leavingTellsAndClosesOnceAllIsAnswered() throws Exception {
-        Wire busy = known();
+        FakeConnection busy = known();
         ask(busy);
         callers.leave();
         network.flush();
--- a/src/test/java/ochretiller/golden/AuditJsonTest.java
+++ b/src/test/java/ochretiller/golden/AuditJsonTest.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import ochretiller.audit.Entry;
-import ochretiller.audit.files.AuditFolder;
-import ochretiller.audit.files.AuditWriter;
+import ochretiller.audit.AuditRecord;
+import ochretiller.audit.files.AuditLogReader;
+import ochretiller.audit.files.AuditLogWriter;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -20,23 +20,24 @@
 
     @BeforeEach
     void write() throws Exception {
-        Map<String, Entry.Tally> none = Map.of();
+        Map<String, AuditRecord.InvocationCounts> none = Map.of();
         write(
                 "m1",
                 List.of(
-                        new Entry.Run(1, 1_500, "token"),
-                        new Entry.Span(1, "", 1_000, 3_000, 2_000, none)));
+                        new AuditRecord.KeyedRun(1, 1_500, "token"),
+                        new AuditRecord.VersionPeriod(1, "", 1_000, 3_000, 2_000, none)));
         write(
                 "m2",
                 List.of(
-                        new Entry.Event(Entry.Kind.SHUT_OUT, 1, 1_000, "its lease has ended"),
-                        new Entry.Span(1, "", 1_000, 3_000, 2_000, none)));
-        write("m3", List.of(new Entry.Span(2, "", 5_000, 9_000, 4_000, none)));
+                        new AuditRecord.AuditEvent(
+                                AuditRecord.AuditEventKind.FENCED, 1, 1_000, "its lease has ended"),
+                        new AuditRecord.VersionPeriod(1, "", 1_000, 3_000, 2_000, none)));
+        write("m3", List.of(new AuditRecord.VersionPeriod(2, "", 5_000, 9_000, 4_000, none)));
     }
 
-    private void write(String name, List<Entry> entries) throws Exception {
+    private void write(String name, List<AuditRecord> entries) throws Exception {
         Path own = Files.createDirectory(folder.resolve(name));
-        AuditWriter writer = new AuditWriter(own, 1 << 20, () -> 0);
+        AuditLogWriter writer = new AuditLogWriter(own, 1 << 20, () -> 0);
         writer.start();
         entries.forEach(writer::add);
         writer.close();
@@ -118,7 +119,7 @@
 
     @Test
     void auditsThatAreHeldAgainstThemselvesHaveTheirMembers() throws Exception {
-        String hash = AuditFolder.read(folder.resolve("m3"), List.of()).head().hash();
+        String hash = AuditLogReader.read(folder.resolve("m3"), List.of()).head().hash();
         Cli good = audit("verify");
         assertThat(good.json().get("m3").toString())
                 .isEqualTo("{\"records\":1,\"last\":1,\"hash\":\"" + hash + "\",\"faults\":[]}");
--- a/src/test/java/ochretiller/golden/ExternalNamesTest.java
+++ b/src/test/java/ochretiller/golden/ExternalNamesTest.java
@@ -4,23 +4,23 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.util.stream.Stream;
-import ochretiller.audit.Timeline;
-import ochretiller.fleet.copies.Modes;
-import ochretiller.fleet.epochs.Rollout;
-import ochretiller.fleet.members.State;
-import ochretiller.fleet.peers.Refused;
-import ochretiller.model.RunEnd;
+import ochretiller.audit.FleetTimeline;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.transport.RejectReason;
+import ochretiller.idempotency.durable.DurabilityPolicy;
+import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.model.RunOutcome;
 import ochretiller.net.CloseCode;
-import ochretiller.pools.End;
-import ochretiller.remembered.Mark;
-import ochretiller.remembered.Memory;
+import ochretiller.pools.RequestOutcome;
 import org.junit.jupiter.api.Test;
 
 /** The words of each enum whose constants are named outside the process, in their order. */
 class ExternalNamesTest {
     @Test
     void reasonsOfRefusedPacketsKeepTheirWords() {
-        assertThat(Stream.of(Refused.values()).map(Refused::externalName))
+        assertThat(Stream.of(RejectReason.values()).map(RejectReason::externalName))
                 .containsExactly(
                         "LENGTH",
                         "NOT_OURS",
@@ -32,7 +32,7 @@
                         "KIND",
                         "OVER_BUDGET",
                         "BEHIND");
-        assertThat(Stream.of(Refused.values()).map(Refused::lowerCaseName))
+        assertThat(Stream.of(RejectReason.values()).map(RejectReason::lowerCaseName))
                 .containsExactly(
                         "length",
                         "not_ours",
@@ -48,43 +48,51 @@
 
     @Test
     void statesOfMembersKeepTheirWords() {
-        assertThat(Stream.of(State.values()).map(State::externalName))
+        assertThat(Stream.of(MemberState.values()).map(MemberState::externalName))
                 .containsExactly("JOINING", "HERE", "SUSPECT", "SILENT", "LEFT");
-        assertThat(Stream.of(State.values()).map(State::lowerCaseName))
+        assertThat(Stream.of(MemberState.values()).map(MemberState::lowerCaseName))
                 .containsExactly("joining", "here", "suspect", "silent", "left");
     }
 
     @Test
     void statesOfRolloutsKeepTheirWords() {
-        assertThat(Stream.of(Rollout.State.values()).map(Rollout.State::externalName))
+        assertThat(Stream.of(RolloutState.Phase.values()).map(RolloutState.Phase::externalName))
                 .containsExactly("RUNS", "PAUSED", "HALTED", "DONE");
     }
 
     @Test
     void knowledgeOfAStretchKeepsItsWords() {
-        assertThat(Stream.of(Timeline.Known.values()).map(Timeline.Known::externalName))
+        assertThat(
+                        Stream.of(FleetTimeline.VersionStatus.values())
+                                .map(FleetTimeline.VersionStatus::externalName))
                 .containsExactly("ACTED", "SHUT_OUT", "UNKNOWN");
     }
 
     @Test
     void statesOfStoredResultsKeepTheirWords() {
-        assertThat(Stream.of(Mark.State.values()).map(Mark.State::externalName))
+        assertThat(
+                        Stream.of(IdempotencyRecord.Progress.values())
+                                .map(IdempotencyRecord.Progress::externalName))
                 .containsExactly("MARKED", "SUCCEEDED", "LOST");
     }
 
     @Test
     void statesOfTheDiskKeepTheirWords() {
-        assertThat(Stream.of(Memory.Disk.values()).map(Memory.Disk::externalName))
+        assertThat(
+                        Stream.of(DurabilityPolicy.DiskHealth.values())
+                                .map(DurabilityPolicy.DiskHealth::externalName))
                 .containsExactly("well", "stalled", "sick");
     }
 
     @Test
     void modesOfOperationsKeepTheirWordsBothWays() {
-        assertThat(Stream.of(Modes.Mode.values()).map(Modes.Mode::externalName))
+        assertThat(Stream.of(ClaimModes.ClaimMode.values()).map(ClaimModes.ClaimMode::externalName))
                 .containsExactly("fleet", "server");
-        assertThat(Modes.Mode.fromExternalName("fleet")).isSameAs(Modes.Mode.values()[0]);
-        assertThat(Modes.Mode.fromExternalName("server")).isSameAs(Modes.Mode.values()[1]);
-        assertThatThrownBy(() -> Modes.Mode.fromExternalName("other"))
+        assertThat(ClaimModes.ClaimMode.fromExternalName("fleet"))
+                .isSameAs(ClaimModes.ClaimMode.values()[0]);
+        assertThat(ClaimModes.ClaimMode.fromExternalName("server"))
+                .isSameAs(ClaimModes.ClaimMode.values()[1]);
+        assertThatThrownBy(() -> ClaimModes.ClaimMode.fromExternalName("other"))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
@@ -109,13 +117,13 @@
 
     @Test
     void endsOfRequestsToWorkersKeepTheirWords() {
-        assertThat(Stream.of(End.values()).map(End::externalName))
+        assertThat(Stream.of(RequestOutcome.values()).map(RequestOutcome::externalName))
                 .containsExactly("ANSWERED", "FAILED", "SILENT", "GIVEN_UP", "NEVER_BEGUN");
     }
 
     @Test
     void endsOfRunsKeepTheirWords() {
-        assertThat(Stream.of(RunEnd.Result.values()).map(RunEnd.Result::externalName))
+        assertThat(Stream.of(RunOutcome.Status.values()).map(RunOutcome.Status::externalName))
                 .containsExactly("SUCCEEDED", "ERRORED", "STOPPED", "NOTHING", "NOT_BEGUN");
     }
 }
--- a/src/test/java/ochretiller/golden/LogLinesTest.java
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -15,9 +15,9 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 import java.util.regex.Pattern;
-import ochretiller.node.Logs;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
+import ochretiller.node.LoggingSetup;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -71,8 +71,8 @@
                     "the processor is up, warm, started \\d+ ms ago",
                     "n1/[0-9a-f]+ takes part in fleet parts at 127\\.0\\.0\\.1:\\d+",
                     "fleet: joined, with 0 others");
-            try (Wire gateway = server.dial()) {
-                gateway.send(Gateways.message(1, "read", "{}")).line();
+            try (FakeConnection gateway = server.dial()) {
+                gateway.send(GatewayMessages.message(1, "read", "{}")).line();
                 expect(server, "bad input from gateway /127\\.0\\.0\\.1:\\d+: -32602 .*");
             }
             expect(server, "connection gateway /127\\.0\\.0\\.1:\\d+ ended: [A-Z_]+");
@@ -97,7 +97,7 @@
         entry.setThrown(new IllegalStateException("a fault"));
         JsonNode line;
         try {
-            Logs.json();
+            LoggingSetup.useJsonFormat();
             line = new ObjectMapper().readTree(root.getHandlers()[0].getFormatter().format(entry));
         } finally {
             before.forEach(Handler::setFormatter);
--- a/src/test/java/ochretiller/golden/WholeServer.java
+++ b/src/test/java/ochretiller/golden/WholeServer.java
@@ -13,14 +13,14 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
-import ochretiller.node.Node;
-import ochretiller.operator.Operator;
-import ochretiller.operator.OperatorFile;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.StandIns;
-import ochretiller.standin.Wire;
-import ochretiller.store.Disk;
-import ochretiller.store.RealDisk;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.FakeServices;
+import ochretiller.fakes.GatewayMessages;
+import ochretiller.node.ServerNode;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.operator.OperatorConfigReader;
+import ochretiller.store.LocalDirectory;
+import ochretiller.store.StorageDirectory;
 
 /** A server in this process with every optional part on, alone in its fleet, and its log. */
 final class WholeServer implements AutoCloseable {
@@ -35,8 +35,8 @@
     final Path metrics;
     final Path store;
     final Path audit;
-    final Node node;
-    private final StandIns outside;
+    final ServerNode node;
+    private final FakeServices outside;
     private final Handler handler =
             new Handler() {
                 @Override
@@ -57,28 +57,28 @@
     private int requests;
 
     WholeServer(Path folder) throws Exception {
-        this(folder, new RealDisk(folder.resolve("store")));
+        this(folder, new LocalDirectory(folder.resolve("store")));
     }
 
-    WholeServer(Path folder, Disk disk) throws Exception {
+    WholeServer(Path folder, StorageDirectory disk) throws Exception {
         store = folder.resolve("store");
         audit = folder.resolve("audit");
         metrics = folder.resolve("metrics.prom");
         LOG.addHandler(handler);
-        outside = new StandIns("127.0.0.1", new int[3], line -> {}, report -> {});
+        outside = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
         outside.runs = (rid, operation, body) -> outside.complete(rid, "done");
         config =
                 Files.writeString(
                         folder.resolve("config.json"),
-                        Gateways.config(
+                        GatewayMessages.config(
                                         port,
                                         outside.processorPort(),
                                         outside.recordsPort(),
                                         outside.rosterPort())
                                 .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
         operator = Files.writeString(folder.resolve("operator.json5"), operator(folder));
-        Operator told = OperatorFile.read(operator);
-        node = new Node(config, told, disk);
+        OperatorConfig told = OperatorConfigReader.read(operator);
+        node = new ServerNode(config, told, disk);
         node.prepare();
         node.listen();
         Thread loop = new Thread(node::run, "loop");
@@ -125,20 +125,20 @@
         return log.stream().anyMatch(line -> line.matches(pattern));
     }
 
-    Wire dial() throws IOException {
-        return new Wire(new Socket("127.0.0.1", port));
+    FakeConnection dial() throws IOException {
+        return new FakeConnection(new Socket("127.0.0.1", port));
     }
 
     /** The answer to a keyed request. */
-    String order(Wire gateway, String token) throws IOException {
+    String order(FakeConnection gateway, String token) throws IOException {
         String rid = String.format("%016x", ++requests);
-        String params = Gateways.params(rid, token, "two bolts");
-        return gateway.send(Gateways.message(requests, "order", params)).line();
+        String params = GatewayMessages.params(rid, token, "two bolts");
+        return gateway.send(GatewayMessages.message(requests, "order", params)).line();
     }
 
     /** A keyed request that has run: it comes again until the server has its part in the fleet. */
     void ran(String token) throws Exception {
-        try (Wire gateway = dial()) {
+        try (FakeConnection gateway = dial()) {
             until(() -> order(gateway, token).contains("\"result\""));
         }
     }
--- a/src/test/java/ochretiller/node/WarmUpTest.java
+++ b/src/test/java/ochretiller/node/WarmUpTest.java
@@ -5,10 +5,10 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
-import ochretiller.model.Advert;
-import ochretiller.model.Effect;
+import ochretiller.admission.AdmissionController;
+import ochretiller.model.CapacityAdvertisement;
 import ochretiller.model.Operation;
-import ochretiller.policy.Choice;
+import ochretiller.model.SideEffect;
 import org.junit.jupiter.api.Test;
 
 class WarmUpTest {
@@ -16,22 +16,27 @@
 
     @Test
     void madeUpInvocationsRunCallAndEnd() {
-        Choice choice =
-                new Choice(
-                        new Choice.TokenTable(1, 10_000),
-                        new Choice.RunLimit(2, 5, 1, Duration.ZERO, true),
-                        new Choice.Hold(List.of(), 1, 1, false),
-                        new Choice.Calls(5, 2, SECOND, SECOND),
-                        new Choice.Memory(10_000, 10),
-                        new Choice.Drain(SECOND),
-                        new Choice.Signals(
-                                Advert.NONE, 1, 2, SECOND, SECOND, new SplittableRandom(1)));
+        AdmissionController choice =
+                new AdmissionController(
+                        new AdmissionController.IdempotencyTable(1, 10_000),
+                        new AdmissionController.ConcurrencyLimiter(2, 5, 1, Duration.ZERO, true),
+                        new AdmissionController.AdmissionQueue(List.of(), 1, 1, false),
+                        new AdmissionController.DownstreamCallLimiter(5, 2, SECOND, SECOND),
+                        new AdmissionController.MemoryBudget(10_000, 10),
+                        new AdmissionController.DrainState(SECOND),
+                        new AdmissionController.BackpressureAdvertiser(
+                                CapacityAdvertisement.NONE,
+                                1,
+                                2,
+                                SECOND,
+                                SECOND,
+                                new SplittableRandom(1)));
         WarmUp warmUp = new WarmUp(choice);
-        warmUp.work(
+        warmUp.simulate(
                 List.of(
                         new Operation(
                                 "read",
-                                Effect.IDEMPOTENT,
+                                SideEffect.IDEMPOTENT,
                                 SECOND,
                                 SECOND,
                                 1,
@@ -40,9 +45,9 @@
                                 false,
                                 0),
                         new Operation(
-                                "order", Effect.TOKENED, SECOND, SECOND, 3, 0, SECOND, true, 0)),
+                                "order", SideEffect.KEYED, SECOND, SECOND, 3, 0, SECOND, true, 0)),
                 100);
-        assertThat(warmUp.ended)
+        assertThat(warmUp.finishedRuns)
                 .isGreaterThan(150); // most are worked off, so that the way of each is well trodden
     }
 }
--- a/src/test/java/ochretiller/operator/OperatorFileTest.java
+++ b/src/test/java/ochretiller/operator/OperatorConfigReaderTest.java
@@ -5,16 +5,16 @@
 
 import java.nio.file.Path;
 import java.time.Duration;
-import ochretiller.fleet.members.Address;
+import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.settings.MalformedException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class OperatorFileTest {
+class OperatorConfigReaderTest {
     @Test
     void exampleIsGood() {
-        Operator example = OperatorFile.read(Path.of("deploy/operator.json5"));
+        OperatorConfig example = OperatorConfigReader.read(Path.of("deploy/operator.json5"));
         assertThat(example.jsonLog()).isTrue();
         assertThat(example.remember())
                 .hasValueSatisfying(
@@ -26,7 +26,8 @@
 
     @Test
     void emptyOneSwitchesNothingOn() {
-        assertThat(OperatorFile.of("{ /* nothing */ }", "f")).isEqualTo(Operator.NONE);
+        assertThat(OperatorConfigReader.of("{ /* nothing */ }", "f"))
+                .isEqualTo(OperatorConfig.NONE);
     }
 
     @ParameterizedTest
@@ -52,7 +53,7 @@
             })
     void faultIsNamedWithItsPlace(String text, String named) {
         String[] parts = named.split(" ; ");
-        assertThatThrownBy(() -> OperatorFile.of(text.replace("\\n", "\n"), "f"))
+        assertThatThrownBy(() -> OperatorConfigReader.of(text.replace("\\n", "\n"), "f"))
                 .isInstanceOf(MalformedException.class)
                 .message()
                 .startsWith(parts[0].trim())
@@ -62,8 +63,8 @@
 
     @Test
     void fleetIsReadWithWhatIsUsual() {
-        Operator told =
-                OperatorFile.of(
+        OperatorConfig told =
+                OperatorConfigReader.of(
                         "{ fleet: { name: 'parts', listen: '127.0.0.1:4200', key_file: '/k', seeds:"
                                 + " ['10.0.0.2:4200'], forget_s: 60 } }",
                         "f");
@@ -71,15 +72,17 @@
                 .hasValueSatisfying(
                         fleet -> {
                             assertThat(fleet.seeds())
-                                    .containsExactly(new Address("10.0.0.2", 4200));
-                            assertThat(fleet.pace().probe()).isEqualTo(Duration.ofMillis(100));
-                            assertThat(fleet.pace().forget()).isEqualTo(Duration.ofSeconds(60));
+                                    .containsExactly(new PeerAddress("10.0.0.2", 4200));
+                            assertThat(fleet.pace().probeInterval())
+                                    .isEqualTo(Duration.ofMillis(100));
+                            assertThat(fleet.pace().departedRetention())
+                                    .isEqualTo(Duration.ofSeconds(60));
                         });
     }
 
     @Test
     void absentFileIsNamed() {
-        assertThatThrownBy(() -> OperatorFile.read(Path.of("none.json5")))
+        assertThatThrownBy(() -> OperatorConfigReader.read(Path.of("none.json5")))
                 .hasMessageContaining("none.json5");
     }
 }
--- a/src/test/java/ochretiller/pools/PoolTest.java
+++ b/src/test/java/ochretiller/pools/WorkerSelectorTest.java
@@ -11,10 +11,10 @@
 import java.util.function.IntSupplier;
 import org.junit.jupiter.api.Test;
 
-class PoolTest {
+class WorkerSelectorTest {
     private static final PoolSettings SETTINGS =
             new PoolSettings(4, 3, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 2);
-    private final Pool pool = new Pool(SETTINGS, new SplittableRandom(1));
+    private final WorkerSelector pool = new WorkerSelector(SETTINGS, new SplittableRandom(1));
     private final WorkerId a = new WorkerId("a");
     private final WorkerId b = new WorkerId("b");
 
@@ -25,7 +25,7 @@
     private void fail(WorkerId id, int times, Duration now) {
         for (int i = 0; i < times; i++) {
             assertThat(pool.choose(now)).contains(id);
-            pool.ended(id, End.FAILED, ms(1), now);
+            pool.ended(id, RequestOutcome.FAILED, ms(1), now);
         }
     }
 
@@ -37,7 +37,7 @@
         }
         assertThat(pool.inFlight(a)).isEqualTo(4);
         assertThat(pool.choose(ms(0))).isEmpty();
-        pool.ended(b, End.ANSWERED, ms(10), ms(10));
+        pool.ended(b, RequestOutcome.ANSWERED, ms(10), ms(10));
         assertThat(pool.choose(ms(10))).contains(b);
     }
 
@@ -50,7 +50,7 @@
         }
         assertThat(pool.choose(ms(0))).as("a view is an opinion: nobody else is left").contains(a);
         pool.seen(b, false);
-        pool.ended(b, End.ANSWERED, ms(1), ms(1));
+        pool.ended(b, RequestOutcome.ANSWERED, ms(1), ms(1));
         pool.seen(a, true);
         assertThat(pool.choose(ms(1))).contains(a);
     }
@@ -63,9 +63,9 @@
         assertThat(pool.choose(ms(1_000))).contains(a);
         assertThat(pool.choose(ms(1_000))).contains(a);
         assertThat(pool.choose(ms(1_000))).as("two probes at once").isEmpty();
-        pool.ended(a, End.ANSWERED, ms(10), ms(1_010));
+        pool.ended(a, RequestOutcome.ANSWERED, ms(10), ms(1_010));
         assertThat(pool.in(a)).isFalse();
-        pool.ended(a, End.ANSWERED, ms(10), ms(1_010));
+        pool.ended(a, RequestOutcome.ANSWERED, ms(10), ms(1_010));
         assertThat(pool.in(a)).isTrue();
     }
 
@@ -76,7 +76,7 @@
         long at = 1_000;
         for (long out : new long[] {2_000, 4_000, 4_000}) {
             assertThat(pool.choose(ms(at))).contains(a);
-            pool.ended(a, End.SILENT, ms(10), ms(at));
+            pool.ended(a, RequestOutcome.SILENT, ms(10), ms(at));
             assertThat(pool.choose(ms(at + out - 1))).isEmpty();
             at += out;
         }
@@ -89,7 +89,7 @@
         pool.become(List.of(b), ms(0));
         assertThat(pool.size()).isEqualTo(2);
         assertThat(pool.choose(ms(0))).contains(b);
-        pool.ended(a, End.ANSWERED, ms(10), ms(10));
+        pool.ended(a, RequestOutcome.ANSWERED, ms(10), ms(10));
         assertThat(pool.size()).isEqualTo(1);
     }
 
@@ -97,27 +97,33 @@
     void onlyWhatNeverBeganGoesElsewhereAndOnlyWithinTheBudget() {
         pool.become(List.of(a, b), ms(0));
         pool.choose(ms(0));
-        for (End end : new End[] {End.ANSWERED, End.FAILED, End.SILENT}) {
+        for (RequestOutcome end :
+                new RequestOutcome[] {
+                    RequestOutcome.ANSWERED, RequestOutcome.FAILED, RequestOutcome.SILENT
+                }) {
             assertThat(pool.chooseAgain(a, end, ms(0))).isEmpty();
         }
-        assertThat(pool.chooseAgain(a, End.NEVER_BEGUN, ms(0))).contains(b);
-        assertThat(pool.chooseAgain(a, End.NEVER_BEGUN, ms(0))).contains(b);
-        assertThat(pool.chooseAgain(a, End.NEVER_BEGUN, ms(0))).as("two were saved up").isEmpty();
+        assertThat(pool.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(0))).contains(b);
+        assertThat(pool.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(0))).contains(b);
+        assertThat(pool.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(0)))
+                .as("two were saved up")
+                .isEmpty();
         int again = 0;
         for (int i = 0; i < 1_000; i++) {
-            pool.choose(ms(i)).ifPresent(id -> pool.ended(id, End.ANSWERED, ms(1), ms(1)));
-            if (pool.chooseAgain(a, End.NEVER_BEGUN, ms(i)).isPresent()) {
+            pool.choose(ms(i))
+                    .ifPresent(id -> pool.ended(id, RequestOutcome.ANSWERED, ms(1), ms(1)));
+            if (pool.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(i)).isPresent()) {
                 again++;
             }
-            pool.ended(b, End.ANSWERED, ms(1), ms(i));
+            pool.ended(b, RequestOutcome.ANSWERED, ms(1), ms(i));
         }
         assertThat(again).isBetween(90, 101);
     }
 
     @Test
     void freshOneComesToItsPartSlowly() {
-        Pool slow =
-                new Pool(
+        WorkerSelector slow =
+                new WorkerSelector(
                         new PoolSettings(20, 3, 0.5, ms(1_000), ms(4_000), 2, ms(10_000), 0.1, 2),
                         new SplittableRandom(1));
         slow.add(a, ms(0));
@@ -145,8 +151,8 @@
 
     @Test
     void onlyWorkersThatComeLaterComeSlowly() {
-        Pool slow =
-                new Pool(
+        WorkerSelector slow =
+                new WorkerSelector(
                         new PoolSettings(10, 3, 0.5, ms(1_000), ms(4_000), 2, ms(1_000), 0.1, 2),
                         new SplittableRandom(1));
         slow.become(List.of(a), ms(0));
@@ -162,16 +168,16 @@
         pool.add(a, ms(0));
         for (int i = 0; i < 20; i++) {
             pool.choose(ms(0));
-            pool.ended(a, End.ANSWERED, ms(10), ms(0));
+            pool.ended(a, RequestOutcome.ANSWERED, ms(10), ms(0));
         }
         for (int i = 0; i < 6; i++) {
             pool.choose(ms(0));
-            pool.ended(a, End.GIVEN_UP, ms(39), ms(0));
+            pool.ended(a, RequestOutcome.GIVEN_UP, ms(39), ms(0));
         }
         assertThat(pool.in(a)).isTrue();
         for (int i = 0; i < 3; i++) {
             pool.choose(ms(0));
-            pool.ended(a, End.GIVEN_UP, ms(41), ms(0));
+            pool.ended(a, RequestOutcome.GIVEN_UP, ms(41), ms(0));
         }
         assertThat(pool.in(a)).isFalse();
     }
@@ -186,7 +192,7 @@
         assertThat(pool.free(ms(0))).isZero();
         assertThat(pool.inFlight(a)).isEqualTo(3);
         for (int i = 0; i < 3; i++) {
-            pool.ended(a, End.ANSWERED, ms(10), ms(0));
+            pool.ended(a, RequestOutcome.ANSWERED, ms(10), ms(0));
         }
         assertThat(pool.free(ms(0))).isEqualTo(1);
     }
@@ -198,8 +204,8 @@
     private static double p99(boolean pools, SplittableRandom chance) {
         int workers = 8;
         double[] freeAt = new double[workers];
-        Pool pool =
-                new Pool(
+        WorkerSelector pool =
+                new WorkerSelector(
                         new PoolSettings(
                                 1_000, 5, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 10),
                         chance.split());
@@ -219,7 +225,7 @@
                 if (pools) {
                     pool.ended(
                             new WorkerId("" + over.worker),
-                            End.ANSWERED,
+                            RequestOutcome.ANSWERED,
                             ms((long) (over.took * 1e3)),
                             ms((long) (over.at * 1e3)));
                 }
--- a/src/test/java/ochretiller/records/RecordsTest.java
+++ b/src/test/java/ochretiller/records/RecordsClientTest.java
@@ -11,17 +11,17 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import ochretiller.HandLoop;
-import ochretiller.model.CallEnd;
+import ochretiller.ManualEventLoop;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.model.CallOutcome;
 import ochretiller.net.Network;
-import ochretiller.standin.Wire;
 import org.junit.jupiter.api.Test;
 
-class RecordsTest {
+class RecordsClientTest {
     private static final Duration PATIENCE = Duration.ofSeconds(5);
-    private final HandLoop loop = new HandLoop();
+    private final ManualEventLoop loop = new ManualEventLoop();
     private final Network network = new Network(loop, 64L * 1024 * 1024);
-    private final List<CallEnd.Result> ends = new ArrayList<>();
+    private final List<CallOutcome.Status> ends = new ArrayList<>();
 
     private static InetSocketAddress address(ServerSocket service) {
         return new InetSocketAddress(service.getInetAddress(), service.getLocalPort());
@@ -33,12 +33,12 @@
         return service;
     }
 
-    private Records records(ServerSocket service) {
-        return new Records(loop, network, address(service), 8);
+    private RecordsClient records(ServerSocket service) {
+        return new RecordsClient(loop, network, address(service), 8);
     }
 
-    private void call(Records records, String rid) {
-        records.call(rid, PATIENCE, new byte[] {1}, (end, reply) -> ends.add(end.result()));
+    private void call(RecordsClient records, String rid) {
+        records.call(rid, PATIENCE, new byte[] {1}, (end, reply) -> ends.add(end.status()));
     }
 
     /** A service whose backlog is full: who connects hangs. */
@@ -61,17 +61,17 @@
         List<Socket> held = new ArrayList<>();
         try (ServerSocket old = full(held);
                 ServerSocket next = service(50)) {
-            Records records = records(old);
+            RecordsClient records = records(old);
             call(records, "a");
             records.move(address(next));
-            Wire wire = new Wire(next.accept());
+            FakeConnection wire = new FakeConnection(next.accept());
             loop.one(); // the connection is there
             network.flush();
             assertThat(wire.line()).startsWith("OP a ");
             assertThat(wire.bytes(1)).isEqualTo("\u0001");
             wire.send("a DONE 0\r\n\r\n");
             loop.one();
-            assertThat(ends).containsExactly(CallEnd.Result.SUCCEEDED);
+            assertThat(ends).containsExactly(CallOutcome.Status.SUCCEEDED);
             wire.close();
         } finally {
             for (Socket socket : held) {
@@ -85,18 +85,18 @@
     void addressThatMovesWithCallsConnectingWaitingAndWrittenLosesNone() throws Exception {
         try (ServerSocket old = service(50);
                 ServerSocket next = service(50)) {
-            Records records = records(old);
+            RecordsClient records = records(old);
             call(records, "written");
-            Wire first = new Wire(old.accept());
+            FakeConnection first = new FakeConnection(old.accept());
             loop.one();
             network.flush();
             assertThat(first.line()).startsWith("OP written ");
             first.bytes(1);
             call(records, "connecting");
-            Wire second = new Wire(old.accept());
+            FakeConnection second = new FakeConnection(old.accept());
             loop.await(1); // its connection is made, and the loop does not know yet
             records.move(address(next));
-            Wire third = new Wire(next.accept());
+            FakeConnection third = new FakeConnection(next.accept());
             loop.await(2);
             loop.all();
             network.flush();
@@ -108,7 +108,8 @@
             for (int i = 0; ends.size() < 2 && i < 10; i++) {
                 loop.one();
             }
-            assertThat(ends).containsExactly(CallEnd.Result.SUCCEEDED, CallEnd.Result.SUCCEEDED);
+            assertThat(ends)
+                    .containsExactly(CallOutcome.Status.SUCCEEDED, CallOutcome.Status.SUCCEEDED);
         } finally {
             network.stop();
         }
@@ -116,11 +117,11 @@
 
     @Test
     void callWhereThereIsNoServiceIsKnownNotToHaveRun() throws Exception {
-        Records records = new Records(loop, network, null, 8);
+        RecordsClient records = new RecordsClient(loop, network, null, 8);
         records.move(null);
         call(records, "a");
         loop.one();
-        assertThat(ends).containsExactly(CallEnd.Result.NOT_REACHED);
+        assertThat(ends).containsExactly(CallOutcome.Status.UNREACHABLE);
         network.stop();
     }
 
@@ -128,9 +129,9 @@
     void connectionThatBreaksUnderACallProvesNothingAndARefusedOneThatItNeverRan()
             throws Exception {
         ServerSocket service = service(50);
-        Records records = records(service);
+        RecordsClient records = records(service);
         call(records, "a");
-        Wire wire = new Wire(service.accept());
+        FakeConnection wire = new FakeConnection(service.accept());
         loop.one();
         network.flush();
         assertThat(wire.line()).startsWith("OP a ");
@@ -139,21 +140,21 @@
         for (int i = 0; ends.isEmpty() && i < 10; i++) {
             loop.one();
         }
-        assertThat(ends).containsExactly(CallEnd.Result.RESET);
+        assertThat(ends).containsExactly(CallOutcome.Status.RESET);
         call(records, "b");
         for (int i = 0; ends.size() < 2 && i < 10; i++) {
             loop.one();
         }
-        assertThat(ends).containsExactly(CallEnd.Result.RESET, CallEnd.Result.NOT_REACHED);
+        assertThat(ends).containsExactly(CallOutcome.Status.RESET, CallOutcome.Status.UNREACHABLE);
         network.stop();
     }
 
     @Test
     void replyThatCrossesTheGivingUpOfItsCallIsNobodysElse() throws Exception {
         try (ServerSocket service = service(50)) {
-            Records records = records(service);
+            RecordsClient records = records(service);
             call(records, "a");
-            Wire wire = new Wire(service.accept());
+            FakeConnection wire = new FakeConnection(service.accept());
             loop.one();
             network.flush();
             wire.line();
@@ -162,7 +163,7 @@
             loop.await(1); // the reply is read, and not worked off
             records.abandon("a");
             call(records, "b");
-            Wire other = new Wire(service.accept());
+            FakeConnection other = new FakeConnection(service.accept());
             loop.one(); // the late reply
             assertThat(ends).isEmpty();
             assertThat(wire.line()).isEqualTo("UNOP a");
@@ -175,7 +176,7 @@
             other.bytes(1);
             other.send("b DONE 0\r\n\r\n");
             loop.one();
-            assertThat(ends).containsExactly(CallEnd.Result.SUCCEEDED);
+            assertThat(ends).containsExactly(CallOutcome.Status.SUCCEEDED);
         } finally {
             network.stop();
         }
--- a/src/test/java/ochretiller/roster/RosterTest.java
+++ b/src/test/java/ochretiller/registry/RegistryReporterTest.java
@@ -1,4 +1,4 @@
-package ochretiller.roster;
+package ochretiller.registry;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,12 +7,12 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import ochretiller.HandLoop;
+import ochretiller.ManualEventLoop;
 import org.junit.jupiter.api.Test;
 
-class RosterTest {
+class RegistryReporterTest {
     private static final Duration STEP = Duration.ofMillis(250);
-    private final HandLoop loop = new HandLoop();
+    private final ManualEventLoop loop = new ManualEventLoop();
 
     private static String next(DatagramSocket list) throws Exception {
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
@@ -26,7 +26,7 @@
         DatagramSocket list = new DatagramSocket(0, host);
         list.setSoTimeout(10_000);
         InetSocketAddress address = new InetSocketAddress(host, list.getLocalPort());
-        Roster roster = new Roster(loop, address, "n1");
+        RegistryReporter roster = new RegistryReporter(loop, address, "n1");
         roster.start();
         assertThat(next(list)).isEqualTo("HERE n1 on");
         list.close();
--- a/src/test/java/ochretiller/settings/NestedTest.java
+++ b/src/test/java/ochretiller/settings/JsonSettingsTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class NestedTest {
-    private final Lookup settings =
-            new Nested(
+class JsonSettingsTest {
+    private final SettingLookup settings =
+            new JsonSettings(
                     Map.of(
                             "count",
                             3L,
@@ -27,12 +27,12 @@
 
     @Test
     void nestedValuesHaveTheWiresPaths() {
-        assertThat(settings.whole("count")).isEqualTo(3);
+        assertThat(settings.wholeNumber("count")).isEqualTo(3);
         assertThat(settings.number("share", 0)).isEqualTo(0.5);
         assertThat(settings.flag("on")).isTrue();
-        assertThat(settings.whole("classes.count")).isEqualTo(1);
+        assertThat(settings.wholeNumber("classes.count")).isEqualTo(1);
         assertThat(settings.text("classes.0.name")).isEqualTo("read");
-        assertThat(settings.span("classes.0.aimNs", Duration.ZERO))
+        assertThat(settings.duration("classes.0.aimNs", Duration.ZERO))
                 .isEqualTo(Duration.ofNanos(2_000));
         assertThat(settings.text("names")).isEqualTo("a,b");
         assertThat(settings.has("none")).isFalse();
@@ -40,7 +40,7 @@
 
     @Test
     void wrongValueIsNamed() {
-        assertThatThrownBy(() -> settings.whole("share"))
+        assertThatThrownBy(() -> settings.wholeNumber("share"))
                 .isInstanceOf(MalformedException.class)
                 .hasMessageContaining("share");
         assertThatThrownBy(() -> settings.text("absent"))
--- a/src/test/java/ochretiller/store/CrashTest.java
+++ b/src/test/java/ochretiller/store/CrashRecoveryTest.java
@@ -22,41 +22,43 @@
  * Files that are cut, flipped, half written and forgotten: nothing acknowledged is lost, nothing is
  * invented.
  */
-class CrashTest {
+class CrashRecoveryTest {
     /** A store's folder, and every value that each key was ever given. */
     private record Written(
             Map<String, byte[]> files, Map<String, String> live, Map<String, Set<String>> ever) {}
 
     private static Written written(int records) throws IOException {
-        ForgetfulDisk disk = new ForgetfulDisk();
+        VolatileDirectory disk = new VolatileDirectory();
         Map<String, String> live = new TreeMap<>();
         Map<String, Set<String>> ever = new HashMap<>();
-        try (Bench bench = new Bench(disk, Bench.SMALL, 0).start()) {
+        try (StoreFixture bench = new StoreFixture(disk, StoreFixture.SMALL, 0).start()) {
             SplittableRandom chance = new SplittableRandom(3);
             for (int i = 0; i < records; i++) {
                 String key = "k" + chance.nextInt(12);
                 if (chance.nextInt(5) == 0) {
-                    assertThat(bench.remove(key)).isEqualTo(Ack.DURABLE);
+                    assertThat(bench.remove(key)).isEqualTo(AppendResult.DURABLE);
                     live.remove(key);
                 } else {
                     String value = "v" + i + "x".repeat(chance.nextInt(20));
-                    assertThat(bench.put(key, value)).isEqualTo(Ack.DURABLE);
+                    assertThat(bench.put(key, value)).isEqualTo(AppendResult.DURABLE);
                     live.put(key, value);
                     ever.computeIfAbsent(key, k -> new HashSet<>()).add(value);
                 }
             }
             // as a kill leaves it: the last segment has no seal, and a compaction may be half way
-            return new Written(disk.killed().contents(), live, ever);
+            return new Written(disk.afterProcessKill().contents(), live, ever);
         }
     }
 
     /** Opens what is left, holds it against what was written, and goes on with it. */
     private static boolean damagedButNothingInvented(
-            ForgetfulDisk disk, Written written, String what) throws IOException {
+            VolatileDirectory disk, Written written, String what) throws IOException {
         boolean damaged;
-        try (Bench bench = new Bench(disk, Bench.SMALL, 100)) {
-            damaged = !bench.store.damage().isEmpty();
-            assertThat(bench.store.damagedUntil() > bench.store.now()).as(what).isEqualTo(damaged);
+        try (StoreFixture bench = new StoreFixture(disk, StoreFixture.SMALL, 100)) {
+            damaged = !bench.store.damageReports().isEmpty();
+            assertThat(bench.store.incompleteUntilMillis() > bench.store.nowMillis())
+                    .as(what)
+                    .isEqualTo(damaged);
             bench.kept()
                     .forEach(
                             (key, value) ->
@@ -65,10 +67,11 @@
                 assertThat(bench.kept()).as(what).isEqualTo(written.live);
             }
             bench.start();
-            assertThat(bench.put("next", "works")).as(what).isEqualTo(Ack.DURABLE);
+            assertThat(bench.put("next", "works")).as(what).isEqualTo(AppendResult.DURABLE);
             assertThat(bench.read("next")).as(what).isEqualTo("works");
         }
-        try (Bench bench = new Bench(disk.killed(), Bench.SMALL, 200)) {
+        try (StoreFixture bench =
+                new StoreFixture(disk.afterProcessKill(), StoreFixture.SMALL, 200)) {
             assertThat(bench.kept()).as(what).containsEntry("next", "works");
         }
         return damaged;
@@ -89,7 +92,9 @@
                 Map<String, byte[]> cut = new TreeMap<>(written.files);
                 cut.put(file.getKey(), java.util.Arrays.copyOf(file.getValue(), length));
                 String what = file.getKey() + " cut to " + length;
-                boolean damaged = damagedButNothingInvented(ForgetfulDisk.of(cut), written, what);
+                boolean damaged =
+                        damagedButNothingInvented(
+                                VolatileDirectory.withContents(cut), written, what);
                 // The end of the last segment was never written; a part of any other one was, and
                 // is missed.
                 if (file.getKey().equals(last) || !file.getKey().endsWith(".log")) {
@@ -107,10 +112,10 @@
      */
     @Test
     void halfWrittenLastRecordLosesNoneBeforeIt() throws IOException {
-        ForgetfulDisk disk = new ForgetfulDisk();
+        VolatileDirectory disk = new VolatileDirectory();
         List<Long> ends = new ArrayList<>();
-        Limits one =
-                new Limits(
+        StoreLimits one =
+                new StoreLimits(
                         1000,
                         1 << 20,
                         1 << 20,
@@ -119,24 +124,25 @@
                         1 << 20,
                         0.4,
                         java.time.Duration.ofDays(1),
-                        java.time.Duration.ofMillis(Bench.LIFE));
+                        java.time.Duration.ofMillis(StoreFixture.LIFE));
         byte[] file;
-        try (Bench bench = new Bench(disk, one, 0).start()) {
+        try (StoreFixture bench = new StoreFixture(disk, one, 0).start()) {
             for (int i = 0; i < 20; i++) {
                 bench.put("k" + i, "v" + i);
-                ends.add((long) disk.contents().get(Format.segment(1)).length);
+                ends.add((long) disk.contents().get(RecordFormat.segmentFileName(1)).length);
             }
-            file = disk.contents().get(Format.segment(1));
+            file = disk.contents().get(RecordFormat.segmentFileName(1));
         }
-        for (int length = Format.HEADER; length <= file.length; length++) {
+        for (int length = RecordFormat.SEGMENT_HEADER_BYTES; length <= file.length; length++) {
             int end = length;
             Map<String, byte[]> cut =
-                    Map.of(Format.segment(1), java.util.Arrays.copyOf(file, length));
-            try (Bench bench = new Bench(ForgetfulDisk.of(cut), one, 0)) {
+                    Map.of(RecordFormat.segmentFileName(1), java.util.Arrays.copyOf(file, length));
+            try (StoreFixture bench =
+                    new StoreFixture(VolatileDirectory.withContents(cut), one, 0)) {
                 assertThat(bench.kept())
                         .as("cut to " + length)
                         .hasSize((int) ends.stream().filter(e -> e <= end).count());
-                assertThat(bench.store.damage()).isEmpty();
+                assertThat(bench.store.damageReports()).isEmpty();
             }
         }
     }
@@ -158,10 +164,14 @@
                 files.keySet()
                         .removeIf(name -> name.endsWith(".hint") && !name.equals(file.getKey()));
                 String what = "flip of byte " + at + " in " + file.getKey();
-                boolean header = at >= 64 && at < Format.HEADER; // four bytes that say nothing
+                boolean header =
+                        at >= 64 && at < RecordFormat.SEGMENT_HEADER_BYTES; // four bytes that say
+                // nothing
                 tried++;
                 if (damagedButNothingInvented(
-                        ForgetfulDisk.of(files), written, header ? "header " + what : what)) {
+                        VolatileDirectory.withContents(files),
+                        written,
+                        header ? "header " + what : what)) {
                     seen++;
                 } else {
                     assertThat(file.getKey().endsWith(".log") && !header && at != 9)
@@ -183,11 +193,14 @@
                         .orElseThrow();
         Map<String, byte[]> files = new TreeMap<>(written.files);
         byte[] bad = files.get(first).clone();
-        for (int at = Format.HEADER; at < bad.length - Hint.SEAL_SIZE; at++) {
+        for (int at = RecordFormat.SEGMENT_HEADER_BYTES;
+                at < bad.length - HintFile.SEAL_BYTES;
+                at++) {
             bad[at] ^= 1;
         }
         files.put(first, bad);
-        try (Bench bench = new Bench(ForgetfulDisk.of(files), Bench.SMALL, 100)) {
+        try (StoreFixture bench =
+                new StoreFixture(VolatileDirectory.withContents(files), StoreFixture.SMALL, 100)) {
             Map<String, String> kept = bench.kept();
             bench.start();
             kept.forEach((key, value) -> assertThat(bench.read(key)).isIn(value, null));
@@ -206,7 +219,7 @@
     @MethodSource("seeds")
     void randomLifeAgainstAPlainMap(int seed) throws IOException {
         SplittableRandom chance = new SplittableRandom(seed);
-        ForgetfulDisk disk = new ForgetfulDisk();
+        VolatileDirectory disk = new VolatileDirectory();
         long clock = 0;
         /**
          * What each key may hold: one value where it was acknowledged, more where the disk has left
@@ -216,10 +229,10 @@
         Map<String, Long> expires = new HashMap<>();
         for (int life = 0; life < 6; life++) {
             String what = "seed " + seed + ", life " + life;
-            try (Bench bench = new Bench(disk, Bench.SMALL, clock)) {
+            try (StoreFixture bench = new StoreFixture(disk, StoreFixture.SMALL, clock)) {
                 Map<String, String> kept = bench.kept();
-                boolean damaged = bench.store.damagedUntil() > bench.store.now();
-                long now = bench.store.now();
+                boolean damaged = bench.store.incompleteUntilMillis() > bench.store.nowMillis();
+                long now = bench.store.nowMillis();
                 may.forEach(
                         (key, values) -> {
                             boolean over = expires.get(key) <= now;
@@ -239,12 +252,12 @@
                 int failing = chance.nextInt(3) == 0 ? chance.nextInt(60) : -1;
                 for (int i = 0; i < 60; i++) {
                     if (i == failing) {
-                        disk.script =
-                                ForgetfulDisk.fails(
+                        disk.fault =
+                                VolatileDirectory.failing(
                                         chance.nextBoolean() ? "force" : "write", "I/O error");
                     }
                     if (i == failing + 5) {
-                        disk.script = (operation, name) -> {};
+                        disk.fault = (operation, name) -> {};
                         assertThat(bench.probe()).as(what).isTrue();
                     }
                     if (chance.nextInt(20) == 0) {
@@ -255,25 +268,25 @@
                     String value =
                             removes ? "" : "v" + life + "." + i + "y".repeat(chance.nextInt(30));
                     long lives = 1_000 + chance.nextInt(8_000);
-                    Ack ack = removes ? bench.remove(key) : bench.put(key, value, lives);
-                    if (ack == Ack.DURABLE) {
+                    AppendResult ack = removes ? bench.remove(key) : bench.put(key, value, lives);
+                    if (ack == AppendResult.DURABLE) {
                         may.put(key, new HashSet<>(Set.of(value)));
-                    } else if (ack == Ack.UNKNOWN) {
+                    } else if (ack == AppendResult.UNKNOWN) {
                         may.computeIfAbsent(key, k -> new HashSet<>(Set.of(""))).add(value);
                     }
                     // where it is open which of two holds, the longer life is no proof: the key may
                     // be gone earlier
-                    if (ack == Ack.DURABLE && !removes) {
-                        expires.put(key, bench.store.now() + lives);
-                    } else if (ack == Ack.UNKNOWN) {
+                    if (ack == AppendResult.DURABLE && !removes) {
+                        expires.put(key, bench.store.nowMillis() + lives);
+                    } else if (ack == AppendResult.UNKNOWN) {
                         expires.put(key, Long.MIN_VALUE);
                     } else {
                         expires.putIfAbsent(key, Long.MIN_VALUE);
                     }
                 }
                 clock = bench.clock.get();
-                disk.script = (operation, name) -> {};
-                disk = chance.nextBoolean() ? disk.killed() : disk.cut(chance);
+                disk.fault = (operation, name) -> {};
+                disk = chance.nextBoolean() ? disk.afterProcessKill() : disk.afterPowerLoss(chance);
             }
         }
     }
@@ -289,13 +302,13 @@
      */
     @Test
     void endInFrontOfEveryOperation() throws IOException {
-        ForgetfulDisk disk = new ForgetfulDisk();
+        VolatileDirectory disk = new VolatileDirectory();
         Map<String, Integer> live = new java.util.concurrent.ConcurrentHashMap<>();
         AtomicInteger begun = new AtomicInteger();
         java.util.concurrent.atomic.AtomicLong time = new java.util.concurrent.atomic.AtomicLong();
         List<Runnable> checks = java.util.Collections.synchronizedList(new ArrayList<>());
         Map<String, Integer> operations = new java.util.concurrent.ConcurrentSkipListMap<>();
-        disk.script =
+        disk.fault =
                 (operation, name) -> {
                     if (operation.equals("read")) {
                         return;
@@ -308,15 +321,18 @@
                     // no older than what was acknowledged before the disk is looked at, no newer
                     // than what was begun after.
                     Map<String, Integer> acked = new TreeMap<>(live);
-                    for (ForgetfulDisk left :
-                            List.of(disk.killed(), disk.cut(chance), disk.cut(chance))) {
+                    for (VolatileDirectory left :
+                            List.of(
+                                    disk.afterProcessKill(),
+                                    disk.afterPowerLoss(chance),
+                                    disk.afterPowerLoss(chance))) {
                         long now = time.get();
                         int last = begun.get();
                         checks.add(() -> expect(left, acked, last, now, what));
                     }
                 };
-        Limits limits =
-                new Limits(
+        StoreLimits limits =
+                new StoreLimits(
                         1000,
                         1 << 20,
                         1 << 20,
@@ -325,11 +341,11 @@
                         1 << 30,
                         0.3,
                         Duration.ZERO,
-                        Duration.ofMillis(Bench.LIFE));
-        try (Bench bench = new Bench(disk, limits, 0).start()) {
+                        Duration.ofMillis(StoreFixture.LIFE));
+        try (StoreFixture bench = new StoreFixture(disk, limits, 0).start()) {
             for (int i = 0; i < 150; i++) {
                 begun.set(i);
-                assertThat(bench.put(nth(i), "v" + i)).isEqualTo(Ack.DURABLE);
+                assertThat(bench.put(nth(i), "v" + i)).isEqualTo(AppendResult.DURABLE);
                 live.put(nth(i), i);
                 time.set(bench.clock.addAndGet(50));
             }
@@ -337,18 +353,20 @@
                 time.set(bench.clock.addAndGet(300));
                 bench.settle();
             }
-            assertThat(bench.store.stats().copied()).as("compaction took part").isPositive();
+            assertThat(bench.store.stats().compactedBytes())
+                    .as("compaction took part")
+                    .isPositive();
         }
         assertThat(operations)
                 .containsKeys("write", "force", "create", "delete", "rename", "folder");
-        disk.script = (operation, name) -> {};
+        disk.fault = (operation, name) -> {};
         checks.forEach(Runnable::run);
         assertThat(checks.size()).isGreaterThan(1_000);
     }
 
     private static void expect(
-            ForgetfulDisk left, Map<String, Integer> acked, int last, long now, String what) {
-        try (Bench bench = new Bench(left, Bench.SMALL, now)) {
+            VolatileDirectory left, Map<String, Integer> acked, int last, long now, String what) {
+        try (StoreFixture bench = new StoreFixture(left, StoreFixture.SMALL, now)) {
             Map<String, String> kept = bench.kept();
             // Pages that came through in another order may look like damage behind what was
             // acknowledged; none of that is lost.
--- a/src/test/java/ochretiller/store/Bench.java
+++ b/src/test/java/ochretiller/store/StoreFixture.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** A store on a disk of the tests, asked one thing at a time, with a clock that is set by hand. */
-final class Bench implements AutoCloseable {
+final class StoreFixture implements AutoCloseable {
     static final UUID BOOT = new UUID(1, 2);
     static final long LIFE = 1_000_000;
 
     /** Small segments, so that few records roll them; everything half dead is worth copying. */
-    static final Limits SMALL =
-            new Limits(
+    static final StoreLimits SMALL =
+            new StoreLimits(
                     1000,
                     1 << 20,
                     1 << 20,
@@ -30,16 +30,17 @@
     final AtomicLong clock;
     final Store store;
 
-    Bench(Disk disk, Limits limits, long clock) throws IOException {
+    StoreFixture(StorageDirectory disk, StoreLimits limits, long clock) throws IOException {
         this(disk, limits, clock, BOOT);
     }
 
-    Bench(Disk disk, Limits limits, long clock, UUID boot) throws IOException {
+    StoreFixture(StorageDirectory disk, StoreLimits limits, long clock, UUID boot)
+            throws IOException {
         this.clock = new AtomicLong(clock);
-        store = Store.open(disk, limits, new Boot(boot, this.clock::get), Runnable::run);
+        store = Store.open(disk, limits, new BootClock(boot, this.clock::get), Runnable::run);
     }
 
-    Bench start() {
+    StoreFixture start() {
         store.start();
         return this;
     }
@@ -52,29 +53,29 @@
         }
     }
 
-    CompletableFuture<Ack> putting(String key, String value, long lives) {
-        CompletableFuture<Ack> acked = new CompletableFuture<>();
+    CompletableFuture<AppendResult> putting(String key, String value, long lives) {
+        CompletableFuture<AppendResult> acked = new CompletableFuture<>();
         store.put(
                 key.getBytes(),
                 ("meta of " + value).getBytes(),
                 value.getBytes(),
-                store.now() + lives,
+                store.nowMillis() + lives,
                 true,
                 acked::complete);
         return acked;
     }
 
-    Ack put(String key, String value, long lives) {
+    AppendResult put(String key, String value, long lives) {
         return wait(putting(key, value, lives));
     }
 
-    Ack put(String key, String value) {
+    AppendResult put(String key, String value) {
         return put(key, value, LIFE);
     }
 
-    Ack remove(String key) {
-        CompletableFuture<Ack> acked = new CompletableFuture<>();
-        store.remove(key.getBytes(), store.now() + LIFE, acked::complete);
+    AppendResult remove(String key) {
+        CompletableFuture<AppendResult> acked = new CompletableFuture<>();
+        store.remove(key.getBytes(), store.nowMillis() + LIFE, acked::complete);
         return wait(acked);
     }
 
@@ -92,7 +93,7 @@
     }
 
     /** Returns once what is done between two groups has been done. */
-    Bench settle() {
+    StoreFixture settle() {
         for (int i = 0; i < 3; i++) {
             read("nothing");
         }
@@ -102,8 +103,10 @@
     /** All that is there, by what its key holds; only before {@link #start}. */
     Map<String, String> kept() {
         Map<String, String> all = new TreeMap<>();
-        for (Kept each : store.kept()) {
-            all.put(new String(each.key()), new String(each.meta()).substring("meta of ".length()));
+        for (RecoveredEntry each : store.recoveredEntries()) {
+            all.put(
+                    new String(each.key()),
+                    new String(each.metadata()).substring("meta of ".length()));
         }
         return all;
     }
--- a/src/test/java/ochretiller/store/StoreGoldenTest.java
+++ b/src/test/java/ochretiller/store/StoreGoldenTest.java
@@ -24,20 +24,26 @@
     /** Records of the segment with its seal. */
     private static final int RECORDS = 5;
 
-    private static Bench open(Disk disk) throws IOException {
-        return new Bench(disk, Bench.SMALL, CLOCK);
+    private static StoreFixture open(StorageDirectory disk) throws IOException {
+        return new StoreFixture(disk, StoreFixture.SMALL, CLOCK);
     }
 
-    private static Map<String, Format.Header> headers() {
-        Map<String, Format.Header> headers = new LinkedHashMap<>();
-        headers.put("header", new Format.Header(0x1a, 43, false, new UUID(3, -4), -5_000, 6_000));
-        headers.put("header-behind-a-failure", new Format.Header(0x1b, 44, true, null, 7, 8));
+    private static Map<String, RecordFormat.SegmentHeader> headers() {
+        Map<String, RecordFormat.SegmentHeader> headers = new LinkedHashMap<>();
+        headers.put(
+                "header",
+                new RecordFormat.SegmentHeader(0x1a, 43, false, new UUID(3, -4), -5_000, 6_000));
+        headers.put(
+                "header-behind-a-failure",
+                new RecordFormat.SegmentHeader(0x1b, 44, true, null, 7, 8));
         return headers;
     }
 
     private static byte[] record(byte kind, byte[] key, byte[] meta, byte[] value) {
-        ByteBuffer out = ByteBuffer.allocate(Format.size(key.length, meta.length, value.length));
-        Format.encode(out, 42, kind, 1_234_567, key, meta, value);
+        ByteBuffer out =
+                ByteBuffer.allocate(
+                        RecordFormat.recordBytes(key.length, meta.length, value.length));
+        RecordFormat.encode(out, 42, kind, 1_234_567, key, meta, value);
         return out.array();
     }
 
@@ -45,29 +51,32 @@
         Map<String, byte[]> parts = new LinkedHashMap<>();
         headers().forEach((name, header) -> parts.put(name, header.encode().array()));
         parts.put(
-                "put", record(Format.PUT, new byte[] {1, 2}, new byte[] {3}, new byte[] {4, 5, 6}));
-        parts.put("remove", record(Format.REMOVE, new byte[] {1, 2}, new byte[0], new byte[0]));
-        parts.put("seal", record(Format.SEAL, new byte[0], new byte[0], new byte[8]));
+                "put",
+                record(RecordFormat.PUT, new byte[] {1, 2}, new byte[] {3}, new byte[] {4, 5, 6}));
+        parts.put(
+                "remove",
+                record(RecordFormat.TOMBSTONE, new byte[] {1, 2}, new byte[0], new byte[0]));
+        parts.put("seal", record(RecordFormat.SEAL, new byte[0], new byte[0], new byte[8]));
         return parts;
     }
 
     private static void assertReadsAs(String name, byte kind, int key, int meta, int value) {
         ByteBuffer in = ByteBuffer.wrap(PARTS.bytes(name));
-        assertThat(Format.look(in)).isEqualTo(Format.Place.WHOLE);
-        Format.Entry entry = Format.entry(in);
+        assertThat(RecordFormat.inspect(in)).isEqualTo(RecordFormat.RecordStatus.VALID);
+        RecordFormat.DecodedRecord entry = RecordFormat.decode(in);
         assertThat(entry.kind()).isEqualTo(kind);
         assertThat(entry.sequence()).isEqualTo(42);
-        assertThat(entry.expires()).isEqualTo(1_234_567);
+        assertThat(entry.expiresAtMillis()).isEqualTo(1_234_567);
         assertThat(entry.key()).hasSize(key);
-        assertThat(entry.meta()).hasSize(meta);
+        assertThat(entry.metadata()).hasSize(meta);
         assertThat(entry.valueLength()).isEqualTo(value);
-        assertThat(entry.size()).isEqualTo(in.capacity());
+        assertThat(entry.recordBytes()).isEqualTo(in.capacity());
     }
 
     @Test
     void aStoreWritesItsGoldenSegmentAndHint() throws IOException {
-        ForgetfulDisk disk = new ForgetfulDisk();
-        try (Bench bench = open(disk).start()) {
+        VolatileDirectory disk = new VolatileDirectory();
+        try (StoreFixture bench = open(disk).start()) {
             bench.put("a", "1", 10_000);
             bench.put("b", "2");
             bench.put("a", "3", 20_000);
@@ -78,11 +87,11 @@
 
     @Test
     void aStoreReadsItsGoldenSegmentAndHint() throws IOException {
-        ForgetfulDisk disk = ForgetfulDisk.of(FILES.all());
-        Inspect.Report report = Inspect.verify(disk, file -> {});
+        VolatileDirectory disk = VolatileDirectory.withContents(FILES.all());
+        StoreInspector.StoreReport report = StoreInspector.verify(disk, file -> {});
         assertThat(report.damage()).isEmpty();
-        assertThat(report.foreign()).isEmpty();
-        assertThat(report.files())
+        assertThat(report.unknownFiles()).isEmpty();
+        assertThat(report.segments())
                 .singleElement()
                 .satisfies(
                         file -> {
@@ -90,10 +99,10 @@
                             assertThat(file.records()).isEqualTo(RECORDS);
                             assertThat(file.sealed()).isTrue();
                         });
-        try (Bench bench = open(disk)) {
-            assertThat(bench.store.kept())
+        try (StoreFixture bench = open(disk)) {
+            assertThat(bench.store.recoveredEntries())
                     .singleElement()
-                    .satisfies(kept -> assertThat(kept.expires()).isEqualTo(20_000));
+                    .satisfies(kept -> assertThat(kept.expiresAtMillis()).isEqualTo(20_000));
             assertThat(bench.kept()).isEqualTo(Map.of("a", "3"));
             assertThat(bench.start().read("a")).isEqualTo("3");
         }
@@ -101,14 +110,14 @@
 
     @Test
     void theGoldenHintTellsWhatTheGoldenSegmentTells() throws IOException {
-        ForgetfulDisk disk = ForgetfulDisk.of(FILES.all());
+        VolatileDirectory disk = VolatileDirectory.withContents(FILES.all());
         Recovery hinted = Recovery.read(disk, true, file -> {});
         Recovery scanned = Recovery.read(disk, false, file -> {});
         assertThat(hinted.found.get(1L).hinted).isTrue();
         assertThat(hinted.lastSequence).isEqualTo(RECORDS).isEqualTo(scanned.lastSequence);
         assertThat(hinted.found.get(1L).segment.records).isEqualTo(RECORDS);
-        assertThat(hinted.found.get(1L).segment.dead)
-                .isEqualTo(scanned.found.get(1L).segment.dead + Hint.SEAL_SIZE);
+        assertThat(hinted.found.get(1L).segment.deadBytes)
+                .isEqualTo(scanned.found.get(1L).segment.deadBytes + HintFile.SEAL_BYTES);
         assertThat(slots(hinted)).hasSize(2).isEqualTo(slots(scanned));
     }
 
@@ -122,22 +131,24 @@
                                         + " "
                                         + slot.kind
                                         + " "
-                                        + slot.expires
+                                        + slot.expiresAtMillis
                                         + " "
-                                        + new String(slot.meta)
+                                        + new String(slot.metadata)
                                         + " "
-                                        + slot.at
+                                        + slot.offset
                                         + " "
-                                        + slot.size));
+                                        + slot.recordBytes));
         return new ArrayList<>(slots.values());
     }
 
     @Test
     void theStoreNamesItsFilesAsBefore() {
-        assertThat(Format.segment(1)).isEqualTo(SEGMENT);
-        assertThat(Format.hint(1)).isEqualTo(HINT);
-        assertThat(Format.Name.of(SEGMENT)).isEqualTo(new Format.Name(1, "log"));
-        assertThat(Format.Name.of(HINT + ".tmp")).isEqualTo(new Format.Name(1, "hint.tmp"));
+        assertThat(RecordFormat.segmentFileName(1)).isEqualTo(SEGMENT);
+        assertThat(RecordFormat.hintFileName(1)).isEqualTo(HINT);
+        assertThat(RecordFormat.FileName.of(SEGMENT))
+                .isEqualTo(new RecordFormat.FileName(1, "log"));
+        assertThat(RecordFormat.FileName.of(HINT + ".tmp"))
+                .isEqualTo(new RecordFormat.FileName(1, "hint.tmp"));
     }
 
     @Test
@@ -147,16 +158,17 @@
 
     @Test
     void goldenHeadersAreReadBack() throws IOException {
-        for (Map.Entry<String, Format.Header> each : headers().entrySet()) {
+        for (Map.Entry<String, RecordFormat.SegmentHeader> each : headers().entrySet()) {
             ByteBuffer bytes = ByteBuffer.wrap(PARTS.bytes(each.getKey()));
-            assertThat(Format.Header.decode(bytes, "a file")).isEqualTo(each.getValue());
+            assertThat(RecordFormat.SegmentHeader.decode(bytes, "a file"))
+                    .isEqualTo(each.getValue());
         }
     }
 
     @Test
     void goldenRecordsAreReadBack() {
-        assertReadsAs("put", Format.PUT, 2, 1, 3);
-        assertReadsAs("remove", Format.REMOVE, 2, 0, 0);
-        assertReadsAs("seal", Format.SEAL, 0, 0, 8);
+        assertReadsAs("put", RecordFormat.PUT, 2, 1, 3);
+        assertReadsAs("remove", RecordFormat.TOMBSTONE, 2, 0, 0);
+        assertReadsAs("seal", RecordFormat.SEAL, 0, 0, 8);
     }
 }
--- a/src/test/java/ochretiller/store/StoreTest.java
+++ b/src/test/java/ochretiller/store/StoreTest.java
@@ -19,59 +19,59 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class StoreTest {
-    private ForgetfulDisk disk = new ForgetfulDisk();
+    private VolatileDirectory disk = new VolatileDirectory();
 
-    private Bench open() throws IOException {
-        return new Bench(disk, Bench.SMALL, 5_000);
+    private StoreFixture open() throws IOException {
+        return new StoreFixture(disk, StoreFixture.SMALL, 5_000);
     }
 
     @Test
     void whatWasAcknowledgedIsThereBehindARestart() throws IOException {
-        try (Bench bench = open().start()) {
-            assertThat(bench.put("a", "1")).isEqualTo(Ack.DURABLE);
-            assertThat(bench.put("b", "2")).isEqualTo(Ack.DURABLE);
-            assertThat(bench.put("a", "3")).isEqualTo(Ack.DURABLE);
-            assertThat(bench.remove("b")).isEqualTo(Ack.DURABLE);
+        try (StoreFixture bench = open().start()) {
+            assertThat(bench.put("a", "1")).isEqualTo(AppendResult.DURABLE);
+            assertThat(bench.put("b", "2")).isEqualTo(AppendResult.DURABLE);
+            assertThat(bench.put("a", "3")).isEqualTo(AppendResult.DURABLE);
+            assertThat(bench.remove("b")).isEqualTo(AppendResult.DURABLE);
             assertThat(bench.read("a")).isEqualTo("3");
             assertThat(bench.read("b")).isNull();
         }
-        disk = disk.killed();
-        try (Bench bench = open()) {
+        disk = disk.afterProcessKill();
+        try (StoreFixture bench = open()) {
             assertThat(bench.kept()).isEqualTo(Map.of("a", "3"));
-            assertThat(bench.store.damage()).isEmpty();
+            assertThat(bench.store.damageReports()).isEmpty();
             assertThat(bench.start().read("a")).isEqualTo("3");
         }
     }
 
     @Test
     void appendsThatWaitForAForceGoOutTogether() throws Exception {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             CountDownLatch entered = new CountDownLatch(1);
             CountDownLatch go = new CountDownLatch(1);
-            disk.script =
+            disk.fault =
                     (operation, name) -> {
                         if (!operation.equals("force")) {
                             return;
                         }
                         entered.countDown();
-                        ForgetfulDisk.stalls("force", go).before(operation, name);
+                        VolatileDirectory.stalling("force", go).before(operation, name);
                     };
-            CompletableFuture<Ack> first = bench.putting("first", "0", Bench.LIFE);
+            CompletableFuture<AppendResult> first = bench.putting("first", "0", StoreFixture.LIFE);
             entered.await();
-            List<CompletableFuture<Ack>> acks = new ArrayList<>();
+            List<CompletableFuture<AppendResult>> acks = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                acks.add(bench.putting("k" + i, "v", Bench.LIFE));
+                acks.add(bench.putting("k" + i, "v", StoreFixture.LIFE));
             }
             assertThat(first).isNotDone();
             go.countDown();
-            acks.forEach(ack -> assertThat(Bench.wait(ack)).isEqualTo(Ack.DURABLE));
-            assertThat(bench.store.stats().largestGroup()).isEqualTo(40);
+            acks.forEach(ack -> assertThat(StoreFixture.wait(ack)).isEqualTo(AppendResult.DURABLE));
+            assertThat(bench.store.stats().largestGroupCommit()).isEqualTo(40);
         }
     }
 
     @Test
     void wholeSegmentsGoOnceAllInThemIsPastItsTime() throws IOException {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             for (int i = 0; i < 50; i++) {
                 bench.put("k" + i, "some value", 1_000);
             }
@@ -83,13 +83,13 @@
             assertThat(bench.store.stats().segments()).isLessThan(many);
             assertThat(bench.store.stats().entries()).isLessThan(20);
             assertThat(bench.read("stays")).isEqualTo("here");
-            assertThat(disk.list().size()).isLessThan(8);
+            assertThat(disk.listFiles().size()).isLessThan(8);
         }
     }
 
     @Test
     void compactionKeepsWhatIsLiveAndNothingElse() throws IOException {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             for (int round = 0; round < 30; round++) {
                 bench.put("live" + round, "value of " + round);
                 for (int i = 0; i < 4; i++) {
@@ -101,14 +101,14 @@
                 bench.clock.addAndGet(300); // it looks for work so often
                 bench.settle();
             }
-            Stats stats = bench.store.stats();
-            assertThat(stats.copied()).isPositive();
-            assertThat(stats.bytes()).isLessThan(stats.appended() / 2);
+            StoreStats stats = bench.store.stats();
+            assertThat(stats.compactedBytes()).isPositive();
+            assertThat(stats.bytes()).isLessThan(stats.appendedBytes() / 2);
             assertThat(bench.read("again1")).isEqualTo("round 29");
             assertThat(bench.read("live28")).isNull();
         }
-        disk = disk.killed();
-        try (Bench bench = open()) {
+        disk = disk.afterProcessKill();
+        try (StoreFixture bench = open()) {
             assertThat(bench.kept())
                     .hasSize(5)
                     .containsEntry("live29", "value of 29")
@@ -120,44 +120,44 @@
     @ValueSource(strings = {"write", "force"})
     void behindAFailureNothingIsWrittenUntilAProbeFindsTheDiskWell(String operation)
             throws IOException {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             bench.put("before", "1");
-            disk.script = ForgetfulDisk.fails(operation, "No space left on device");
-            assertThat(bench.put("lost", "2")).isEqualTo(Ack.UNKNOWN);
-            assertThat(bench.put("refused", "3")).isEqualTo(Ack.SICK);
+            disk.fault = VolatileDirectory.failing(operation, "No space left on device");
+            assertThat(bench.put("lost", "2")).isEqualTo(AppendResult.UNKNOWN);
+            assertThat(bench.put("refused", "3")).isEqualTo(AppendResult.UNAVAILABLE);
             assertThat(bench.store.stats().fault()).contains("No space left");
             assertThat(bench.probe()).isFalse();
             assertThat(bench.read("before")).isEqualTo("1");
-            disk.script = (what, name) -> {};
+            disk.fault = (what, name) -> {};
             assertThat(bench.probe()).isTrue();
-            assertThat(bench.put("after", "4")).isEqualTo(Ack.DURABLE);
+            assertThat(bench.put("after", "4")).isEqualTo(AppendResult.DURABLE);
             assertThat(bench.read("lost")).isNull();
         }
-        disk = disk.killed();
-        try (Bench bench = open()) {
+        disk = disk.afterProcessKill();
+        try (StoreFixture bench = open()) {
             assertThat(bench.kept())
                     .containsEntry("before", "1")
                     .containsEntry("after", "4")
                     .doesNotContainKey("refused");
-            assertThat(bench.store.damage()).isEmpty();
+            assertThat(bench.store.damageReports()).isEmpty();
         }
     }
 
     @Test
     void failedForceIsNeverTakenForDoneByALaterOne() throws IOException {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             bench.put("before", "1");
             int[] failures = {0};
-            disk.script =
+            disk.fault =
                     (what, name) -> {
                         // the file that has failed is never forced again
                         if (what.equals("force")
-                                && name.equals(Format.segment(1))
+                                && name.equals(RecordFormat.segmentFileName(1))
                                 && failures[0]++ >= 0) {
                             throw new IOException("I/O error");
                         }
                     };
-            assertThat(bench.put("unknown", "2")).isEqualTo(Ack.UNKNOWN);
+            assertThat(bench.put("unknown", "2")).isEqualTo(AppendResult.UNKNOWN);
             assertThat(bench.probe()).isTrue();
             bench.put("after", "3");
             assertThat(failures[0]).isEqualTo(1);
@@ -167,23 +167,23 @@
     @Test
     void stalledDiskRefusesOnceMuchWaits() throws IOException {
         CountDownLatch go = new CountDownLatch(1);
-        try (Bench bench = open().start()) {
-            disk.script = ForgetfulDisk.stalls("force", go);
-            List<CompletableFuture<Ack>> acks = new ArrayList<>();
+        try (StoreFixture bench = open().start()) {
+            disk.fault = VolatileDirectory.stalling("force", go);
+            List<CompletableFuture<AppendResult>> acks = new ArrayList<>();
             for (int i = 0; i < 2_000; i++) {
-                acks.add(bench.putting("k" + i, "v", Bench.LIFE));
+                acks.add(bench.putting("k" + i, "v", StoreFixture.LIFE));
             }
-            assertThat(acks.get(1_999)).isCompletedWithValue(Ack.FULL);
+            assertThat(acks.get(1_999)).isCompletedWithValue(AppendResult.CAPACITY_EXCEEDED);
             assertThat(acks.get(0)).isNotDone();
             go.countDown();
-            assertThat(Bench.wait(acks.get(0))).isEqualTo(Ack.DURABLE);
+            assertThat(StoreFixture.wait(acks.get(0))).isEqualTo(AppendResult.DURABLE);
         }
     }
 
     @Test
     void newKeysAreRefusedAtTheBoundAndWhatIsThereGoesOn() throws IOException {
-        Limits few =
-                new Limits(
+        StoreLimits few =
+                new StoreLimits(
                         80,
                         1 << 20,
                         1 << 20,
@@ -192,49 +192,50 @@
                         1 << 30,
                         0.4,
                         Duration.ZERO,
-                        Duration.ofMillis(Bench.LIFE));
-        try (Bench bench = new Bench(disk, few, 0).start()) {
-            Ack last = Ack.DURABLE;
+                        Duration.ofMillis(StoreFixture.LIFE));
+        try (StoreFixture bench = new StoreFixture(disk, few, 0).start()) {
+            AppendResult last = AppendResult.DURABLE;
             int taken = 0;
-            for (; last == Ack.DURABLE; taken++) {
+            for (; last == AppendResult.DURABLE; taken++) {
                 last = bench.put("k" + taken, "v");
             }
-            assertThat(last).isEqualTo(Ack.FULL);
+            assertThat(last).isEqualTo(AppendResult.CAPACITY_EXCEEDED);
             assertThat(taken - 1).isEqualTo(70);
-            CompletableFuture<Ack> again = new CompletableFuture<>();
+            CompletableFuture<AppendResult> again = new CompletableFuture<>();
             bench.store.put(
                     "k1".getBytes(),
                     new byte[0],
                     "w".getBytes(),
-                    bench.store.now() + 1,
+                    bench.store.nowMillis() + 1,
                     false,
                     again::complete);
-            assertThat(Bench.wait(again)).isEqualTo(Ack.DURABLE);
-            assertThat(bench.remove("k2")).isEqualTo(Ack.DURABLE);
-            assertThat(bench.put("new", "v")).isEqualTo(Ack.DURABLE);
+            assertThat(StoreFixture.wait(again)).isEqualTo(AppendResult.DURABLE);
+            assertThat(bench.remove("k2")).isEqualTo(AppendResult.DURABLE);
+            assertThat(bench.put("new", "v")).isEqualTo(AppendResult.DURABLE);
         }
     }
 
     @Test
     void clockGoesOnUnderTheSameRunOfTheMachine() throws IOException {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             bench.put("short", "1", 1_000);
             bench.put("long", "2", 60_000);
         }
-        disk = disk.killed();
-        try (Bench bench = new Bench(disk, Bench.SMALL, 5_000 + 30_000)) {
+        disk = disk.afterProcessKill();
+        try (StoreFixture bench = new StoreFixture(disk, StoreFixture.SMALL, 5_000 + 30_000)) {
             assertThat(bench.kept()).isEqualTo(Map.of("long", "2"));
         }
     }
 
     @Test
     void underAnotherRunNoLifeGetsShorter() throws IOException {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             bench.put("short", "1", 1_000);
         }
         for (UUID boot : new UUID[] {new UUID(7, 7), null}) {
-            ForgetfulDisk left = disk.killed();
-            try (Bench bench = new Bench(left, Bench.SMALL, 99_000_000, boot)) {
+            VolatileDirectory left = disk.afterProcessKill();
+            try (StoreFixture bench =
+                    new StoreFixture(left, StoreFixture.SMALL, 99_000_000, boot)) {
                 assertThat(bench.kept()).isEqualTo(Map.of("short", "1"));
                 bench.clock.addAndGet(1_001);
                 bench.start().settle();
@@ -247,8 +248,8 @@
     void whatIsNotTheStoresIsLeftAlone() throws IOException {
         Map<String, byte[]> files =
                 Map.of("notes.txt", "mine".getBytes(), "seg-1.log", "no".getBytes());
-        disk = ForgetfulDisk.of(files);
-        try (Bench bench = open().start()) {
+        disk = VolatileDirectory.withContents(files);
+        try (StoreFixture bench = open().start()) {
             bench.put("a", "1");
         }
         assertThat(disk.contents()).containsAllEntriesOf(files);
@@ -256,10 +257,10 @@
 
     @Test
     void laterFormatIsRefusedWithOneLine() throws IOException {
-        byte[] header = new Format.Header(1, 1, false, null, 0, 0).encode().array();
+        byte[] header = new RecordFormat.SegmentHeader(1, 1, false, null, 0, 0).encode().array();
         header[9] = 2;
-        java.nio.ByteBuffer.wrap(header).putInt(64, Format.crc(header, 0, 64));
-        disk = ForgetfulDisk.of(Map.of(Format.segment(1), header));
+        java.nio.ByteBuffer.wrap(header).putInt(64, RecordFormat.checksum(header, 0, 64));
+        disk = VolatileDirectory.withContents(Map.of(RecordFormat.segmentFileName(1), header));
         assertThatThrownBy(this::open)
                 .isInstanceOf(StoreException.class)
                 .hasMessageContaining("has format 2");
@@ -267,13 +268,13 @@
 
     @Test
     void folderIsOneProcessesAlone(@TempDir Path folder) throws IOException {
-        Disk real = new RealDisk(folder.resolve("made"));
-        try (Bench bench = new Bench(real, Bench.SMALL, 0).start()) {
+        StorageDirectory real = new LocalDirectory(folder.resolve("made"));
+        try (StoreFixture bench = new StoreFixture(real, StoreFixture.SMALL, 0).start()) {
             bench.put("a", "1");
-            assertThatThrownBy(() -> new Bench(real, Bench.SMALL, 0))
+            assertThatThrownBy(() -> new StoreFixture(real, StoreFixture.SMALL, 0))
                     .hasMessageContaining("in use");
         }
-        try (Bench bench = new Bench(real, Bench.SMALL, 0)) {
+        try (StoreFixture bench = new StoreFixture(real, StoreFixture.SMALL, 0)) {
             assertThat(bench.kept()).isEqualTo(Map.of("a", "1"));
         }
         assertThat(Files.list(folder.resolve("made"))).isNotEmpty();
@@ -281,18 +282,18 @@
 
     @Test
     void startOnADiskThatCannotBeWrittenStillReads() throws IOException {
-        try (Bench bench = open().start()) {
+        try (StoreFixture bench = open().start()) {
             bench.put("a", "1");
         }
-        disk = disk.killed();
-        disk.script = ForgetfulDisk.fails("create", "Read-only file system");
-        try (Bench bench = open()) {
+        disk = disk.afterProcessKill();
+        disk.fault = VolatileDirectory.failing("create", "Read-only file system");
+        try (StoreFixture bench = open()) {
             assertThat(bench.kept()).isEqualTo(Map.of("a", "1"));
             assertThat(bench.start().read("a")).isEqualTo("1");
-            assertThat(bench.put("b", "2")).isEqualTo(Ack.SICK);
-            disk.script = (what, name) -> {};
+            assertThat(bench.put("b", "2")).isEqualTo(AppendResult.UNAVAILABLE);
+            disk.fault = (what, name) -> {};
             assertThat(bench.probe()).isTrue();
-            assertThat(bench.put("b", "2")).isEqualTo(Ack.DURABLE);
+            assertThat(bench.put("b", "2")).isEqualTo(AppendResult.DURABLE);
         }
     }
 }
--- a/src/test/java/ochretiller/store/ForgetfulDisk.java
+++ b/src/test/java/ochretiller/store/VolatileDirectory.java
@@ -15,13 +15,13 @@
  * A disk in memory that keeps what was forced, and of the rest what a seed lets it; it stalls and
  * fails by script.
  */
-public final class ForgetfulDisk implements Disk {
+public final class VolatileDirectory implements StorageDirectory {
     /** Unforced bytes are kept or lost in pieces of this size. */
     private static final int PAGE = 64;
 
     /** What a script may do about an operation, before it is carried out. */
     @FunctionalInterface
-    public interface Script {
+    public interface Fault {
         void before(String operation, String name) throws IOException;
     }
 
@@ -35,15 +35,15 @@
     /** The names as the last forced folder had them. */
     private Map<String, Node> names = new TreeMap<>();
 
-    public volatile Script script = (operation, name) -> {};
+    public volatile Fault fault = (operation, name) -> {};
     private boolean locked;
 
     /**
      * What stands on the medium behind a power cut: unforced pages come through by chance, and
      * unforced names too.
      */
-    public synchronized ForgetfulDisk cut(SplittableRandom chance) {
-        ForgetfulDisk left = new ForgetfulDisk();
+    public synchronized VolatileDirectory afterPowerLoss(SplittableRandom chance) {
+        VolatileDirectory left = new VolatileDirectory();
         Map<String, Node> kept = chance.nextBoolean() ? files : names;
         kept.forEach(
                 (name, node) -> {
@@ -76,8 +76,8 @@
     }
 
     /** What a killed process leaves: the system has all that was written. */
-    public synchronized ForgetfulDisk killed() {
-        ForgetfulDisk left = new ForgetfulDisk();
+    public synchronized VolatileDirectory afterProcessKill() {
+        VolatileDirectory left = new VolatileDirectory();
         files.forEach(
                 (name, node) -> {
                     Node copy = new Node();
@@ -94,8 +94,8 @@
         return all;
     }
 
-    public static ForgetfulDisk of(Map<String, byte[]> contents) {
-        ForgetfulDisk disk = new ForgetfulDisk();
+    public static VolatileDirectory withContents(Map<String, byte[]> contents) {
+        VolatileDirectory disk = new VolatileDirectory();
         contents.forEach(
                 (name, bytes) -> {
                     Node node = new Node();
@@ -107,7 +107,7 @@
     }
 
     /** A script that fails what matches, as often as it comes. */
-    public static Script fails(String operation, String message) {
+    public static Fault failing(String operation, String message) {
         return (what, name) -> {
             if (what.equals(operation)) {
                 throw new IOException(message);
@@ -116,7 +116,7 @@
     }
 
     /** A script that holds up what matches until it is let go. */
-    public static Script stalls(String operation, CountDownLatch go) {
+    public static Fault stalling(String operation, CountDownLatch go) {
         return (what, name) -> {
             if (!what.equals(operation)) {
                 return;
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public synchronized Closeable lock() throws IOException {
+    public synchronized Closeable acquireLock() throws IOException {
         if (locked) {
             throw new StoreException("in use");
         }
@@ -139,12 +139,12 @@
     }
 
     @Override
-    public synchronized List<String> list() {
+    public synchronized List<String> listFiles() {
         return new ArrayList<>(files.keySet());
     }
 
     @Override
-    public synchronized File open(String name) throws IOException {
+    public synchronized StorageFile open(String name) throws IOException {
         Node node = files.get(name);
         if (node == null) {
             throw new IOException("no file " + name);
@@ -153,8 +153,8 @@
     }
 
     @Override
-    public File create(String name) throws IOException {
-        script.before("create", name);
+    public StorageFile create(String name) throws IOException {
+        fault.before("create", name);
         synchronized (this) {
             if (files.containsKey(name)) {
                 throw new IOException("there is a file " + name);
@@ -166,7 +166,7 @@
 
     @Override
     public void delete(String name) throws IOException {
-        script.before("delete", name);
+        fault.before("delete", name);
         synchronized (this) {
             files.remove(name);
         }
@@ -174,21 +174,21 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        script.before("rename", from);
+        fault.before("rename", from);
         synchronized (this) {
             files.put(to, files.remove(from));
         }
     }
 
     @Override
-    public void forceFolder() throws IOException {
-        script.before("folder", "");
+    public void forceDirectory() throws IOException {
+        fault.before("folder", "");
         synchronized (this) {
             names = new TreeMap<>(files);
         }
     }
 
-    private final class Open implements File {
+    private final class Open implements StorageFile {
         private final String name;
         private final Node node;
 
@@ -199,8 +199,8 @@
 
         @Override
         public void write(ByteBuffer bytes, long at) throws IOException {
-            script.before("write", name);
-            synchronized (ForgetfulDisk.this) {
+            fault.before("write", name);
+            synchronized (VolatileDirectory.this) {
                 int length = bytes.remaining();
                 if (node.now.length < at + length) {
                     node.now = Arrays.copyOf(node.now, (int) at + length);
@@ -213,8 +213,8 @@
 
         @Override
         public int read(ByteBuffer into, long at) throws IOException {
-            script.before("read", name);
-            synchronized (ForgetfulDisk.this) {
+            fault.before("read", name);
+            synchronized (VolatileDirectory.this) {
                 int length = (int) Math.max(0, Math.min(into.remaining(), node.now.length - at));
                 into.put(node.now, (int) Math.min(at, node.now.length), length);
                 return length;
@@ -223,23 +223,23 @@
 
         @Override
         public void force() throws IOException {
-            script.before("force", name);
-            synchronized (ForgetfulDisk.this) {
+            fault.before("force", name);
+            synchronized (VolatileDirectory.this) {
                 node.forced = node.now;
             }
         }
 
         @Override
         public long size() {
-            synchronized (ForgetfulDisk.this) {
+            synchronized (VolatileDirectory.this) {
                 return node.now.length;
             }
         }
 
         @Override
         public void truncate(long size) throws IOException {
-            script.before("truncate", name);
-            synchronized (ForgetfulDisk.this) {
+            fault.before("truncate", name);
+            synchronized (VolatileDirectory.this) {
                 if (size < node.now.length) {
                     node.now = Arrays.copyOf(node.now, (int) size);
                 }
--- a/src/test/java/ochretiller/uwsgi/UwsgiTest.java
+++ b/src/test/java/ochretiller/uwsgi/UwsgiTest.java
@@ -25,7 +25,7 @@
 
     private static byte[] packet(Map<String, String> vars, String body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (byte[] part : new Request(vars, bytes(body), false).encode()) {
+        for (byte[] part : new UwsgiRequest(vars, bytes(body), false).encode()) {
             out.writeBytes(part);
         }
         return out.toByteArray();
@@ -41,16 +41,16 @@
         return packet(vars, body);
     }
 
-    private static List<Request> read(RequestDecoder decoder, byte[]... pieces) {
-        List<Request> all = new ArrayList<>();
+    private static List<UwsgiRequest> read(UwsgiRequestDecoder decoder, byte[]... pieces) {
+        List<UwsgiRequest> all = new ArrayList<>();
         for (byte[] piece : pieces) {
             decoder.read(piece, 0, piece.length, all::add);
         }
         return all;
     }
 
-    private static List<Request> read(byte[]... pieces) {
-        return read(new RequestDecoder(LONGEST), pieces);
+    private static List<UwsgiRequest> read(byte[]... pieces) {
+        return read(new UwsgiRequestDecoder(LONGEST), pieces);
     }
 
     /** A block of variables as raw numbers: name length, name, value length, value. */
@@ -82,7 +82,7 @@
     void eachSplitGivesTheSame() {
         byte[] packet = order("two bolts");
         for (int cut = 0; cut <= packet.length; cut++) {
-            List<Request> all =
+            List<UwsgiRequest> all =
                     read(
                             Arrays.copyOf(packet, cut),
                             Arrays.copyOfRange(packet, cut, packet.length));
@@ -92,8 +92,8 @@
                     .containsEntry("EMPTY", "");
             assertThat(all.get(0).body()).isEqualTo(bytes("two bolts"));
         }
-        RequestDecoder decoder = new RequestDecoder(LONGEST);
-        List<Request> all = new ArrayList<>();
+        UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(LONGEST);
+        List<UwsgiRequest> all = new ArrayList<>();
         for (byte each : packet) {
             decoder.read(new byte[] {each}, 0, 1, all::add);
         }
@@ -116,11 +116,11 @@
 
     @Test
     void cutRequestIsKnownAsSuch() {
-        RequestDecoder decoder = new RequestDecoder(LONGEST);
+        UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(LONGEST);
         assertThat(decoder.within()).isFalse();
         byte[] packet = order("two bolts");
         for (int length : new int[] {1, 4, 20, packet.length - 1}) {
-            RequestDecoder cut = new RequestDecoder(LONGEST);
+            UwsgiRequestDecoder cut = new UwsgiRequestDecoder(LONGEST);
             assertThat(read(cut, Arrays.copyOf(packet, length))).isEmpty();
             assertThat(cut.within()).isTrue();
         }
@@ -230,7 +230,7 @@
             int cut = chance.nextInt(bytes.length + 1);
             int[] got = {0};
             try {
-                RequestDecoder decoder = new RequestDecoder(LONGEST);
+                UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(LONGEST);
                 decoder.read(bytes, 0, cut, request -> got[0]++);
                 decoder.read(bytes, cut, bytes.length, request -> got[0]++);
             } catch (UwsgiException e) {
@@ -254,7 +254,7 @@
             vars.put("CONTENT_LENGTH", "" + body.length());
             byte[] packet = packet(vars, body);
             int cut = chance.nextInt(packet.length);
-            Request read =
+            UwsgiRequest read =
                     read(Arrays.copyOf(packet, cut), Arrays.copyOfRange(packet, cut, packet.length))
                             .get(0);
             assertThat(read.vars()).isEqualTo(vars);
@@ -262,9 +262,9 @@
         }
     }
 
-    private static Answer answer(String text, boolean ends) {
-        AnswerDecoder decoder = new AnswerDecoder(LONGEST);
-        Answer read = decoder.read(bytes(text), 0, text.length());
+    private static UwsgiResponse answer(String text, boolean ends) {
+        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
+        UwsgiResponse read = decoder.read(bytes(text), 0, text.length());
         return read != null || !ends ? read : decoder.ended();
     }
 
@@ -287,11 +287,12 @@
 
     @Test
     void eachSplitOfAnAnswerGivesTheSame() {
-        byte[] whole = new Answer(200, Map.of("X-Run", "7"), bytes("result\r\n\r\n")).encode();
+        byte[] whole =
+                new UwsgiResponse(200, Map.of("X-Run", "7"), bytes("result\r\n\r\n")).encode();
         for (int cut = 0; cut <= whole.length; cut++) {
-            AnswerDecoder decoder = new AnswerDecoder(LONGEST);
-            Answer first = decoder.read(whole, 0, cut);
-            Answer read = first != null ? first : decoder.read(whole, cut, whole.length);
+            UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
+            UwsgiResponse first = decoder.read(whole, 0, cut);
+            UwsgiResponse read = first != null ? first : decoder.read(whole, cut, whole.length);
             assertThat(read.status()).isEqualTo(200);
             assertThat(new String(read.body())).isEqualTo("result\r\n\r\n");
             if (cut < whole.length) {
@@ -328,7 +329,7 @@
 
     @Test
     void answerThatNeverEndsIsBounded() {
-        AnswerDecoder decoder = new AnswerDecoder(LONGEST);
+        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
         byte[] more = new byte[1_000];
         assertThatThrownBy(
                         () -> {
@@ -343,7 +344,7 @@
     void textOfAPeerMakesNoHeaderOfItsOwn() {
         String text =
                 new String(
-                        new Answer(
+                        new UwsgiResponse(
                                         200,
                                         Map.of("X-A", "b\r\nX-B: c", "Content-Length", "999"),
                                         bytes("ok"))
--- a/tools/run.sh
+++ b/tools/run.sh
@@ -8,4 +8,4 @@
 [ -n "${BUILT:-}" ] || mvn -q -B -ntp -f tools/pom.xml package
 mkdir -p docs/figures
 [ -n "${BUILT:-}" ] || sh deploy/archive.sh   # the package was made anew, and its class data with it
-exec java -Xmx4g -Djava.awt.headless=true -cp 'tools/target/tools.jar:tools/target/lib/*' ochretiller.tools.Tools "$@"
+exec java -Xmx4g -Djava.awt.headless=true -cp 'tools/target/tools.jar:tools/target/lib/*' ochretiller.tools.ToolsCommand "$@"
--- a/tools/src/main/java/ochretiller/tools/Charts.java
+++ b/tools/src/main/java/ochretiller/tools/Charts.java
@@ -40,7 +40,7 @@
                                 points.stream().mapToDouble(p -> p[1]).toArray()));
         VectorGraphicsEncoder.saveVectorGraphic(
                 chart,
-                Tools.FIGURES.resolve(name).toString(),
+                ToolsCommand.FIGURES.resolve(name).toString(),
                 VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -11,18 +11,18 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import ochretiller.fleet.copies.ClaimId;
-import ochretiller.fleet.copies.CopyMessage;
-import ochretiller.fleet.copies.Entry;
-import ochretiller.fleet.copies.Keeper;
-import ochretiller.fleet.copies.Outcome;
-import ochretiller.fleet.epochs.Layout;
-import ochretiller.fleet.members.Address;
-import ochretiller.fleet.members.Member;
-import ochretiller.fleet.members.MemberId;
-import ochretiller.fleet.members.State;
-import ochretiller.fleet.peers.Codec;
-import ochretiller.fleet.peers.FleetKeys;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.membership.Member;
+import ochretiller.fleet.membership.MemberId;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicationMessage;
+import ochretiller.fleet.transport.FleetKeys;
+import ochretiller.fleet.transport.PacketCodec;
 
 /**
  * What it takes to make copies equal: three keepers, one of which lacks some or all, exchange
@@ -41,31 +41,31 @@
     /** Beats without a word: what was not answered would have been asked again by then. */
     private static final int QUIET = 20;
 
-    private static final List<Layout.Server> THREE =
+    private static final List<ReplicaPlacement.ReplicaServer> THREE =
             List.of(
-                    new Layout.Server("a", "1"),
-                    new Layout.Server("b", "2"),
-                    new Layout.Server("c", "3"));
-    private static final Layout LAYOUT = new Layout(3, THREE, THREE, 3);
+                    new ReplicaPlacement.ReplicaServer("a", "1"),
+                    new ReplicaPlacement.ReplicaServer("b", "2"),
+                    new ReplicaPlacement.ReplicaServer("c", "3"));
+    private static final ReplicaPlacement LAYOUT = new ReplicaPlacement(3, THREE, THREE, 3);
 
     private final SplittableRandom chance = new SplittableRandom(11);
-    private final Codec codec;
+    private final PacketCodec codec;
     private final Member member =
             new Member(
                     new MemberId("a", 7),
-                    new Address("127.0.0.1", 1),
+                    new PeerAddress("127.0.0.1", 1),
                     "1",
                     "bench",
                     null,
                     1,
-                    State.HERE);
+                    MemberState.ALIVE);
     private long packets;
     private long bytes;
 
     CopiesBench() throws Exception {
         Path key = Files.createTempFile("copies", "key");
         Files.writeString(key, "a key that only benches have");
-        codec = new Codec("bench", FleetKeys.read(key));
+        codec = new PacketCodec("bench", FleetKeys.read(key));
         Files.delete(key);
     }
 
@@ -73,18 +73,18 @@
         return codec.seal(member, message, 1).length;
     }
 
-    private Keeper keeper(String name, Map<String, Entry> entries) {
-        return new Keeper(
+    private Replica keeper(String name, Map<String, ReplicaEntry> entries) {
+        return new Replica(
                 name,
-                new Keeper.Disk(LAYOUT, entries),
+                new Replica.ReplicaSnapshot(LAYOUT, entries),
                 LAYOUT,
-                new Keeper.Bounds(10_000_000, Long.MAX_VALUE, FREE, WINDOW),
+                new Replica.ReplicaLimits(10_000_000, Long.MAX_VALUE, FREE, WINDOW),
                 0,
                 Duration.ZERO);
     }
 
-    private Map<String, Entry> entries(int count) {
-        Map<String, Entry> all = new HashMap<>();
+    private Map<String, ReplicaEntry> entries(int count) {
+        Map<String, ReplicaEntry> all = new HashMap<>();
         for (int i = 0; i < count; i++) {
             ClaimId id = new ClaimId("server-" + chance.nextInt(5), chance.nextLong(), i);
             String body =
@@ -92,34 +92,39 @@
                             + Long.toHexString(chance.nextLong())
                             + Long.toHexString(chance.nextLong())
                             + Long.toHexString(chance.nextLong());
-            Outcome outcome =
-                    new Outcome(true, body, "r".repeat(RESULT - 20) + String.format("%020d", i));
+            ClaimOutcome outcome =
+                    new ClaimOutcome(
+                            true, body, "r".repeat(RESULT - 20) + String.format("%020d", i));
             all.put(
                     String.format("%016x%016x", chance.nextLong(), chance.nextLong()),
-                    new Entry(Map.of(id, body), java.util.Set.of(), Map.of(id, outcome), WINDOW));
+                    new ReplicaEntry(
+                            Map.of(id, body), java.util.Set.of(), Map.of(id, outcome), WINDOW));
         }
         return all;
     }
 
-    private long encoded(Map<String, Entry> entries) {
+    private long encoded(Map<String, ReplicaEntry> entries) {
         long all = 0;
         int empty = page(List.of());
-        for (Map.Entry<String, Entry> each : entries.entrySet()) {
+        for (Map.Entry<String, ReplicaEntry> each : entries.entrySet()) {
             all +=
-                    page(List.of(new CopyMessage.Item(each.getKey(), each.getValue(), WINDOW)))
+                    page(
+                                    List.of(
+                                            new ReplicationMessage.TransferredEntry(
+                                                    each.getKey(), each.getValue(), WINDOW)))
                             - empty;
         }
         return all;
     }
 
-    private int page(List<CopyMessage.Item> items) {
+    private int page(List<ReplicationMessage.TransferredEntry> items) {
         return sealed(
-                new CopyMessage.Page(
+                new ReplicationMessage.RangePage(
                         3,
                         1,
                         1,
                         items,
-                        new CopyMessage.Place(1, ""),
+                        new ReplicationMessage.RangeCursor(1, ""),
                         true,
                         true,
                         true,
@@ -128,10 +133,10 @@
                         1));
     }
 
-    private record Sent(String from, Keeper.Out out) {}
+    private record Sent(String from, Replica.OutboundMessage out) {}
 
     /** Until nothing more is said; the asker has to have all by then. */
-    private void exchange(Map<String, Keeper> keepers, Keeper asker, int size) {
+    private void exchange(Map<String, Replica> keepers, Replica asker, int size) {
         packets = 0;
         bytes = 0;
         Deque<Sent> underWay = new ArrayDeque<>();
@@ -143,7 +148,7 @@
             beats++;
             asker.tick(now);
             int said = 0;
-            for (Keeper.Out out : asker.outs()) {
+            for (Replica.OutboundMessage out : asker.takeOutbound()) {
                 underWay.add(new Sent("a", out));
             }
             while (!underWay.isEmpty()) {
@@ -151,22 +156,22 @@
                 said++;
                 packets++;
                 bytes += sealed(sent.out.message());
-                Keeper to = keepers.get(sent.out.to());
-                to.received(sent.from, sent.out.message(), now);
-                for (Keeper.Out back : to.outs()) {
-                    underWay.add(new Sent(sent.out.to(), back));
+                Replica to = keepers.get(sent.out.recipient());
+                to.receive(sent.from, sent.out.message(), now);
+                for (Replica.OutboundMessage back : to.takeOutbound()) {
+                    underWay.add(new Sent(sent.out.recipient(), back));
                 }
             }
             quiet = said == 0 ? quiet + 1 : 0;
         }
-        if (asker.size() != size) {
-            throw new IllegalStateException("it has " + asker.size() + " of " + size);
+        if (asker.entryCount() != size) {
+            throw new IllegalStateException("it has " + asker.entryCount() + " of " + size);
         }
     }
 
     void run(boolean quick) throws Exception {
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "copies-catch-up",
                         "entries",
                         "lacks",
@@ -178,12 +183,12 @@
                         "ratio");
         Map<String, List<double[]>> series = new HashMap<>();
         for (int count : quick ? new int[] {10_000} : new int[] {10_000, 100_000}) {
-            Map<String, Entry> all = entries(count);
-            Keeper b = keeper("b", all);
-            Keeper c = keeper("c", all);
+            Map<String, ReplicaEntry> all = entries(count);
+            Replica b = keeper("b", all);
+            Replica c = keeper("c", all);
             for (double lacks : new double[] {0, 0.0001, 0.001, 0.01, 0.1, 1}) {
-                Map<String, Entry> some = new HashMap<>(all);
-                Map<String, Entry> differ = new HashMap<>();
+                Map<String, ReplicaEntry> some = new HashMap<>(all);
+                Map<String, ReplicaEntry> differ = new HashMap<>();
                 List<String> tokens = new ArrayList<>(all.keySet());
                 int missing = (int) Math.round(count * lacks);
                 for (int i = 0; i < missing; i++) {
@@ -192,16 +197,16 @@
                 }
                 // One that was away asks whoever has something else, as comparisons of all ranges
                 // find it.
-                Keeper a = keeper("a", some);
+                Replica a = keeper("a", some);
                 long differing = encoded(differ);
                 long began = System.nanoTime();
-                a.compareAll();
+                a.compareAllRanges();
                 exchange(Map.of("a", a, "b", b, "c", c), a, count);
                 double seconds = (System.nanoTime() - began) / 1e9;
                 table.row(
                         count,
                         String.format(Locale.ROOT, "%.4f", lacks),
-                        a.fetched(),
+                        a.fetchedEntries(),
                         missing == 0 ? 0.0 : missing / seconds,
                         packets,
                         bytes,
--- a/tools/src/main/java/ochretiller/tools/DecoderBench.java
+++ b/tools/src/main/java/ochretiller/tools/DecoderBench.java
@@ -6,8 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import ochretiller.uwsgi.Request;
-import ochretiller.uwsgi.RequestDecoder;
+import ochretiller.uwsgi.UwsgiRequest;
+import ochretiller.uwsgi.UwsgiRequestDecoder;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Mode;
@@ -55,7 +55,7 @@
         vars.put("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] part :
-                new Request(vars, "x".repeat(200).getBytes(StandardCharsets.ISO_8859_1), false)
+                new UwsgiRequest(vars, "x".repeat(200).getBytes(StandardCharsets.ISO_8859_1), false)
                         .encode()) {
             out.writeBytes(part);
         }
@@ -64,8 +64,9 @@
 
     @Benchmark
     public void decode(Blackhole seen) {
-        RequestDecoder decoder =
-                new RequestDecoder(2_048); // one request on a connection, as front ends have it
+        UwsgiRequestDecoder decoder =
+                new UwsgiRequestDecoder(
+                        2_048); // one request on a connection, as front ends have it
         for (int at = 0; at < packet.length; at += piece) {
             decoder.read(packet, at, Math.min(packet.length, at + piece), seen::consume);
         }
@@ -93,8 +94,8 @@
                                         .addProfiler(GCProfiler.class)
                                         .build())
                         .run();
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "uwsgi-decode",
                         "what",
                         "bytes at once",
--- a/tools/src/main/java/ochretiller/tools/Processor.java
+++ b/tools/src/main/java/ochretiller/tools/FakeProcessor.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.LongAdder;
-import ochretiller.standin.StandIns;
+import ochretiller.fakes.FakeServices;
 
 /**
  * What the processor's stand-in runs, with a bound on how much it gets done, and the note of it
  * that rules are checked by.
  */
-final class Processor implements AutoCloseable {
+final class FakeProcessor implements AutoCloseable {
     /** A run of a token: when it began, and how many there were. */
     static final class Note {
         volatile long firstAt;
@@ -25,7 +25,7 @@
     final AtomicInteger most = new AtomicInteger();
     private final AtomicInteger at = new AtomicInteger();
     private final ExecutorService cores;
-    private final StandIns outside;
+    private final FakeServices outside;
     private final long runNanos;
 
     /**
@@ -33,7 +33,7 @@
      *
      * @param runMs time that a run takes a core
      */
-    Processor(StandIns outside, int cores, double runMs) {
+    FakeProcessor(FakeServices outside, int cores, double runMs) {
         this.outside = outside;
         this.runNanos = (long) (runMs * 1e6);
         this.cores =
@@ -58,7 +58,7 @@
         }
         cores.execute(
                 () -> {
-                    Pace.until(System.nanoTime() + runNanos);
+                    PreciseTimer.until(System.nanoTime() + runNanos);
                     at.decrementAndGet();
                     try {
                         outside.complete(rid, "result of " + rid);
--- a/tools/src/main/java/ochretiller/tools/FloodBench.java
+++ b/tools/src/main/java/ochretiller/tools/FloodBench.java
@@ -37,8 +37,8 @@
                         + "', most_entries: "
                         + ENTRIES
                         + ", most_mb: 4 } }");
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "remember-flood",
                         "seconds",
                         "resident MB",
@@ -50,10 +50,10 @@
                         "errored");
         List<double[]> memory = new ArrayList<>();
         List<double[]> bytes = new ArrayList<>();
-        try (Served served = new Served(operator, json -> json)) {
+        try (MeasuredServer served = new MeasuredServer(operator, json -> json)) {
             long start = System.nanoTime();
             int step = Math.max(5, seconds / 40);
-            Load load = new Load(served.port, 4, 1);
+            LoadGenerator load = new LoadGenerator(served.port, 4, 1);
             for (int at = step; at <= seconds; at += step) {
                 load.send(PER_SECOND, step, 1);
                 long size = 0;
--- a/tools/src/main/java/ochretiller/tools/RpcSide.java
+++ b/tools/src/main/java/ochretiller/tools/JsonRpcClient.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
 
 /** JSON-RPC over a few connections, as gateways send it. */
-final class RpcSide implements Side {
+final class JsonRpcClient implements ProtocolClient {
     /** Fewer than a server lets be open on one connection. */
     private static final int OPEN = 30;
 
@@ -28,7 +28,7 @@
      *
      * @param run eight hex digits that tell its requests from those of other runs
      */
-    RpcSide(int port, int most, String run) {
+    JsonRpcClient(int port, int most, String run) {
         this.port = port;
         this.most = most;
         this.run = run;
@@ -40,15 +40,17 @@
         return at < 5 ? -1 : Long.parseLong(line.substring(at, line.indexOf(',', at)));
     }
 
-    static Ask.Outcome outcome(String line) {
+    static MeasuredRequest.Outcome outcome(String line) {
         return line.contains("\"result\"")
-                ? Ask.Outcome.SUCCEEDED
-                : line.contains("-32014") ? Ask.Outcome.THROTTLED : Ask.Outcome.ERRORED;
+                ? MeasuredRequest.Outcome.SUCCEEDED
+                : line.contains("-32014")
+                        ? MeasuredRequest.Outcome.THROTTLED
+                        : MeasuredRequest.Outcome.ERRORED;
     }
 
     private final class Line {
-        private final Wire wire = new Wire(new Socket("127.0.0.1", port));
-        private final Map<Long, Ask> open = new ConcurrentHashMap<>();
+        private final FakeConnection wire = new FakeConnection(new Socket("127.0.0.1", port));
+        private final Map<Long, MeasuredRequest> open = new ConcurrentHashMap<>();
 
         Line() throws IOException {
             Thread reader = new Thread(this::read);
@@ -59,7 +61,7 @@
         private void read() {
             try {
                 for (String line = wire.line(); line != null; line = wire.line()) {
-                    Ask ask = open.remove(id(line));
+                    MeasuredRequest ask = open.remove(id(line));
                     if (ask == null || !ask.ends(outcome(line))) {
                         surplus.increment();
                     }
@@ -69,17 +71,17 @@
             }
             // A server closes what has long been silent: what crossed that close was not read, and
             // goes again.
-            synchronized (RpcSide.this) {
+            synchronized (JsonRpcClient.this) {
                 lines.remove(this);
                 if (closed) {
                     return;
                 }
-                for (Ask ask : open.values()) {
+                for (MeasuredRequest ask : open.values()) {
                     again.increment();
                     try {
                         send(ask);
                     } catch (IOException e) {
-                        ask.ends(Ask.Outcome.NONE);
+                        ask.ends(MeasuredRequest.Outcome.NONE);
                     }
                 }
             }
@@ -87,7 +89,7 @@
     }
 
     @Override
-    public synchronized void send(Ask ask) throws IOException {
+    public synchronized void send(MeasuredRequest ask) throws IOException {
         Line free = null;
         for (Line line : lines) {
             if (line.open.size() < OPEN && (free == null || line.open.size() < free.open.size())) {
@@ -103,10 +105,10 @@
         free.open.put(ask.number, ask);
         ask.sentAt = System.nanoTime();
         String text =
-                Gateways.message(
+                GatewayMessages.message(
                         ask.number,
                         ask.operation,
-                        Gateways.params(
+                        GatewayMessages.params(
                                 run + String.format("%08x", ask.number), ask.token, ask.body));
         try {
             free.wire.send(text);
--- a/tools/src/main/java/ochretiller/tools/LatencyBench.java
+++ b/tools/src/main/java/ochretiller/tools/LatencyBench.java
@@ -19,8 +19,8 @@
      * the stand-in's bound.
      */
     private double full(Path operator) throws Exception {
-        try (Served served = new Served(operator, json -> json)) {
-            Load load = new Load(served.port, 4, 1);
+        try (MeasuredServer served = new MeasuredServer(operator, json -> json)) {
+            LoadGenerator load = new LoadGenerator(served.port, 4, 1);
             load.send(2_000, 3, 0.5);
             load.close();
             return Math.min(1_500, load.succeeded.sum() / 3.0);
@@ -32,8 +32,8 @@
         Path operator = folder.resolve("operator.json5");
         Files.writeString(operator, "{ remember: { folder: '" + folder.resolve("store") + "' } }");
         double full = full(null);
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "remember-latency",
                         "load",
                         "remembered",
@@ -50,11 +50,12 @@
                 Histogram reads = new Histogram(3);
                 long[] counts = new long[3];
                 for (int round = 0; round < rounds; round++) {
-                    try (Served served = new Served(remembered ? operator : null, json -> json)) {
-                        Load warm = new Load(served.port, 4, 100 + round);
+                    try (MeasuredServer served =
+                            new MeasuredServer(remembered ? operator : null, json -> json)) {
+                        LoadGenerator warm = new LoadGenerator(served.port, 4, 100 + round);
                         warm.send(full * share / 2, 2, 0.5);
                         warm.close();
-                        Load load = new Load(served.port, 4, round);
+                        LoadGenerator load = new LoadGenerator(served.port, 4, round);
                         load.send(full * share, seconds, 0.5);
                         load.close();
                         keyed.add(load.keyed);
--- a/tools/src/main/java/ochretiller/tools/LiveBench.java
+++ b/tools/src/main/java/ochretiller/tools/LiveBench.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.DoubleAdder;
 import java.util.concurrent.atomic.LongAdder;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.emulator.script.Script;
-import ochretiller.emulator.script.ScriptFile;
-import ochretiller.emulator.world.Outcome;
-import ochretiller.emulator.world.World;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.emulator.scenario.Scenario;
+import ochretiller.emulator.scenario.ScenarioReader;
+import ochretiller.emulator.simulation.Simulation;
+import ochretiller.emulator.simulation.SimulationResult;
 import ochretiller.settings.MalformedException;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
@@ -28,13 +28,13 @@
 final class LiveBench {
     private static final List<String> PLAYED = List.of("die", "pause", "slow", "fail", "burst");
 
-    private final Script script;
+    private final Scenario script;
     private final long seed;
     private final SplittableRandom arrivals;
     private final SplittableRandom choices;
     private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(8);
-    private final List<LiveBox> boxes = new CopyOnWriteArrayList<>();
-    private final List<LiveBox> all = new CopyOnWriteArrayList<>();
+    private final List<LiveServer> boxes = new CopyOnWriteArrayList<>();
+    private final List<LiveServer> all = new CopyOnWriteArrayList<>();
     private final AtomicLong numbers = new AtomicLong();
     private final DoubleAdder offered = new DoubleAdder();
     private final DoubleAdder earned = new DoubleAdder();
@@ -45,34 +45,34 @@
     private long tokens;
 
     LiveBench(Path file, int count, long seed) {
-        Script whole = ScriptFile.read(file);
+        Scenario whole = ScenarioReader.read(file);
         this.script = whole.scaled((double) count / whole.fleet().boxes());
         this.seed = seed;
-        for (Script.Incident each : script.incidents()) {
+        for (Scenario.Incident each : script.incidents()) {
             if (!PLAYED.contains(each.what())) {
                 throw new MalformedException(
                         each.what() + " is not played live; " + PLAYED + " are");
             }
         }
-        arrivals = new Seeds(seed).of("arrivals");
-        choices = new Seeds(seed).of("gateways");
+        arrivals = new RandomStreams(seed).of("arrivals");
+        choices = new RandomStreams(seed).of("gateways");
         timers.setRemoveOnCancelPolicy(true);
     }
 
     void run() throws Exception {
         for (int place = 0; place < script.fleet().boxes(); place++) {
-            add(new LiveBox(script, place, 0, seed));
+            add(new LiveServer(script, place, 0, seed));
         }
         try {
             for (int i = 0; i < script.incidents().size(); i++) {
-                Script.Incident each = script.incidents().get(i);
-                SplittableRandom chance = new Seeds(seed).of("incident " + i);
+                Scenario.Incident each = script.incidents().get(i);
+                SplittableRandom chance = new RandomStreams(seed).of("incident " + i);
                 after(each.atS(), () -> happens(each, chance));
             }
             send();
             double longest =
                     script.operations().stream()
-                                    .mapToDouble(Script.Operation::timeoutMs)
+                                    .mapToDouble(Scenario.Operation::timeoutMs)
                                     .max()
                                     .orElse(0)
                             / 1e3;
@@ -82,7 +82,7 @@
             }
         } finally {
             timers.shutdownNow();
-            for (LiveBox box : all) {
+            for (LiveServer box : all) {
                 box.close();
             }
         }
@@ -91,9 +91,9 @@
                         .flatMap(box -> box.runs.values().stream())
                         .filter(count -> count.get() > 1)
                         .count();
-        Outcome simulated = new World(script, seed).play();
-        Table table =
-                new Table(
+        SimulationResult simulated = new Simulation(script, seed).play();
+        ResultTable table =
+                new ResultTable(
                         "live-" + script.name(),
                         "boxes",
                         "asked",
@@ -138,7 +138,7 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private void add(LiveBox box) {
+    private void add(LiveServer box) {
         all.add(box);
         boxes.add(box);
     }
@@ -146,10 +146,10 @@
     private void send() {
         long start = System.nanoTime();
         for (double at = 0; at < script.seconds(); ) {
-            at += Seeds.exponential(arrivals, 1 / script.traffic().perSecond()) / rate;
+            at += RandomStreams.exponential(arrivals, 1 / script.traffic().perSecond()) / rate;
             long due = start + (long) (at * 1e9);
-            Pace.until(due);
-            Script.Operation plan = script.at(arrivals.nextDouble());
+            PreciseTimer.until(due);
+            Scenario.Operation plan = script.at(arrivals.nextDouble());
             asked++;
             offered.add(plan.value());
             String token =
@@ -161,38 +161,43 @@
     }
 
     /** One try at one box, and what follows from its end. */
-    private void attempt(Script.Operation plan, String token, long due, int tries, LiveBox not) {
-        LiveBox box = choose(token, not);
-        Ask ask =
-                new Ask(
+    private void attempt(
+            Scenario.Operation plan, String token, long due, int tries, LiveServer not) {
+        LiveServer box = choose(token, not);
+        MeasuredRequest ask =
+                new MeasuredRequest(
                         numbers.incrementAndGet(),
                         due,
                         token,
                         false,
                         plan.name(),
                         token == null ? "load" : token);
-        CompletableFuture<Ask.Outcome> end = ask.outcome;
+        CompletableFuture<MeasuredRequest.Outcome> end = ask.outcome;
         double left = plan.timeoutMs() / 1e3 - (System.nanoTime() - due) / 1e9;
         if (box == null) {
-            ask.ends(Ask.Outcome.NONE);
+            ask.ends(MeasuredRequest.Outcome.NONE);
         } else {
             try {
                 box.side.send(ask);
             } catch (java.io.IOException e) {
-                ask.ends(Ask.Outcome.NONE);
+                ask.ends(MeasuredRequest.Outcome.NONE);
             }
         }
         after(
                 Math.max(0, left),
-                () -> ask.ends(Ask.Outcome.VANISHED)); // its caller gives up; a late answer is a
+                () ->
+                        ask.ends(
+                                MeasuredRequest.Outcome
+                                        .VANISHED)); // its caller gives up; a late answer is a
         // surplus one
         end.thenAccept(
                 outcome -> {
                     double spent = (System.nanoTime() - due) / 1e9;
                     boolean again =
-                            outcome != Ask.Outcome.SUCCEEDED
-                                    && outcome != Ask.Outcome.VANISHED
-                                    && (outcome != Ask.Outcome.ERRORED || token == null);
+                            outcome != MeasuredRequest.Outcome.SUCCEEDED
+                                    && outcome != MeasuredRequest.Outcome.VANISHED
+                                    && (outcome != MeasuredRequest.Outcome.ERRORED
+                                            || token == null);
                     double pause = script.gateways().pauseMs() / 1e3;
                     if (again
                             && (script.gateways().tries() == 0 || tries < script.gateways().tries())
@@ -200,7 +205,7 @@
                         after(pause, () -> attempt(plan, token, due, tries + 1, box));
                         return;
                     }
-                    if (outcome == Ask.Outcome.SUCCEEDED) {
+                    if (outcome == MeasuredRequest.Outcome.SUCCEEDED) {
                         took.recordValue(Math.max(1, (long) (spent * 1e6)));
                         earned.add(
                                 plan.value()
@@ -212,8 +217,8 @@
                 });
     }
 
-    private synchronized LiveBox choose(String token, LiveBox not) {
-        List<LiveBox> now = new ArrayList<>(boxes);
+    private synchronized LiveServer choose(String token, LiveServer not) {
+        List<LiveServer> now = new ArrayList<>(boxes);
         if (now.isEmpty()) {
             return null;
         }
@@ -223,16 +228,16 @@
         if (now.size() > 1) {
             now.remove(not);
         }
-        LiveBox one = now.get(choices.nextInt(now.size()));
-        LiveBox other = now.get(choices.nextInt(now.size()));
+        LiveServer one = now.get(choices.nextInt(now.size()));
+        LiveServer other = now.get(choices.nextInt(now.size()));
         return script.gateways().choice().equals("random")
                         || one.side.openNow() <= other.side.openNow()
                 ? one
                 : other;
     }
 
-    private void happens(Script.Incident incident, SplittableRandom chance) throws Exception {
-        List<LiveBox> some = new ArrayList<>(boxes);
+    private void happens(Scenario.Incident incident, SplittableRandom chance) throws Exception {
+        List<LiveServer> some = new ArrayList<>(boxes);
         int count = (int) Math.ceil(incident.share() * script.fleet().boxes());
         while (some.size() > count) {
             some.remove(chance.nextInt(some.size()));
@@ -258,18 +263,18 @@
             plain.get(incident.what())[0].run();
             after(incident.forS(), plain.get(incident.what())[1]::run);
         } else if (incident.what().equals("pause")) {
-            for (LiveBox box : some) {
+            for (LiveServer box : some) {
                 box.signal("STOP");
             }
             after(
                     incident.forS(),
                     () -> {
-                        for (LiveBox box : some) {
+                        for (LiveServer box : some) {
                             box.signal("CONT");
                         }
                     });
         } else {
-            for (LiveBox box : some) {
+            for (LiveServer box : some) {
                 boxes.remove(box);
                 box.close();
             }
@@ -277,7 +282,7 @@
                 int place = i;
                 after(
                         incident.forS() + script.fleet().bootS(),
-                        () -> add(new LiveBox(script, place, all.size(), seed)));
+                        () -> add(new LiveServer(script, place, all.size(), seed)));
             }
         }
     }
--- a/tools/src/main/java/ochretiller/tools/LiveBox.java
+++ b/tools/src/main/java/ochretiller/tools/LiveServer.java
@@ -8,40 +8,40 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.emulator.script.Script;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.emulator.scenario.Scenario;
 
 /**
  * One packaged server with stand-ins that take the time which a script says; it can be stopped,
  * slowed, killed.
  */
-final class LiveBox implements AutoCloseable {
+final class LiveServer implements AutoCloseable {
     /** A run that fails fast takes so long. */
     private static final double FAST_S = 0.001;
 
-    final Served served;
-    final RpcSide side;
+    final MeasuredServer served;
+    final JsonRpcClient side;
     final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
     private final ScheduledThreadPoolExecutor cores;
     private final SplittableRandom chance;
     private volatile double slower = 1;
     private volatile double failing;
 
-    LiveBox(Script script, int place, int life, long seed) throws Exception {
-        chance = new Seeds(seed).of("live box " + place + "." + life);
+    LiveServer(Scenario script, int place, int life, long seed) throws Exception {
+        chance = new RandomStreams(seed).of("live box " + place + "." + life);
         cores = new ScheduledThreadPoolExecutor(script.fleet().cores());
-        Map<String, Script.Operation> operations =
+        Map<String, Scenario.Operation> operations =
                 script.operations().stream()
-                        .collect(Collectors.toMap(Script.Operation::name, each -> each));
-        served = new Served(null, json -> configured(json, script));
+                        .collect(Collectors.toMap(Scenario.Operation::name, each -> each));
+        served = new MeasuredServer(null, json -> configured(json, script));
         served.outside.runs = (rid, name, body) -> begun(operations.get(name), rid, name, body);
-        side = new RpcSide(served.port, 30, String.format("%04x%04x", place, life));
+        side = new JsonRpcClient(served.port, 30, String.format("%04x%04x", place, life));
     }
 
     /** The test configuration with the script's operations and boxes in the place of its own. */
-    private static String configured(String json, Script script) {
+    private static String configured(String json, Scenario script) {
         StringBuilder classes = new StringBuilder();
-        for (Script.Operation each : script.operations()) {
+        for (Scenario.Operation each : script.operations()) {
             if (classes.length() > 0) {
                 classes.append(',');
             }
@@ -70,7 +70,7 @@
                 .replace("\"cpus\":2", "\"cpus\":" + script.fleet().cores());
     }
 
-    private void begun(Script.Operation plan, String rid, String name, String body) {
+    private void begun(Scenario.Operation plan, String rid, String name, String body) {
         if (plan.effect().equals("tokened")) {
             runs.computeIfAbsent(body, token -> new AtomicInteger()).incrementAndGet();
         }
@@ -78,7 +78,10 @@
         boolean fails;
         synchronized (chance) {
             fails = chance.nextDouble() < failing;
-            work = fails ? FAST_S : Seeds.around(chance, plan.workMs() / 1e3, plan.spread());
+            work =
+                    fails
+                            ? FAST_S
+                            : RandomStreams.around(chance, plan.workMs() / 1e3, plan.spread());
         }
         cores.execute(
                 () -> {
--- a/tools/src/main/java/ochretiller/tools/Load.java
+++ b/tools/src/main/java/ochretiller/tools/LoadGenerator.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.Wire;
+import ochretiller.emulator.core.RandomStreams;
+import ochretiller.fakes.FakeConnection;
+import ochretiller.fakes.GatewayMessages;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
@@ -20,7 +20,7 @@
  * which a request was to be sent, so that a server which stands still is not spared what would have
  * come meanwhile.
  */
-final class Load {
+final class LoadGenerator {
     /** Fewer than a server lets be open on one connection. */
     private static final int OPEN = 30;
 
@@ -36,12 +36,12 @@
 
     /** One connection, with what is open on it. */
     private final class Line {
-        private final Wire wire;
+        private final FakeConnection wire;
         private final Semaphore open = new Semaphore(OPEN);
         private final ConcurrentHashMap<Long, long[]> since = new ConcurrentHashMap<>();
 
         Line(int port) throws IOException {
-            wire = new Wire(new Socket("127.0.0.1", port));
+            wire = new FakeConnection(new Socket("127.0.0.1", port));
             Thread reader = new Thread(this::read);
             reader.setDaemon(true);
             reader.start();
@@ -50,13 +50,13 @@
         private void read() {
             try {
                 for (String line = wire.line(); line != null; line = wire.line()) {
-                    long[] asked = since.remove(RpcSide.id(line));
+                    long[] asked = since.remove(JsonRpcClient.id(line));
                     if (asked == null) {
                         continue;
                     }
                     open.release();
                     long took = Math.max(1, (System.nanoTime() - asked[0]) / 1_000);
-                    switch (RpcSide.outcome(line)) {
+                    switch (JsonRpcClient.outcome(line)) {
                         case SUCCEEDED -> {
                             succeeded.increment();
                             (asked[1] == 1 ? keyed : reads).recordValue(took);
@@ -71,7 +71,7 @@
         }
     }
 
-    Load(int port, int connections, long seed) throws IOException {
+    LoadGenerator(int port, int connections, long seed) throws IOException {
         chance = new SplittableRandom(seed);
         run = String.format("%08x", chance.nextInt());
         for (int i = 0; i < connections; i++) {
@@ -88,12 +88,12 @@
         long start = System.nanoTime();
         double at = 0;
         while (true) {
-            at += Seeds.exponential(chance, 1 / perSecond);
+            at += RandomStreams.exponential(chance, 1 / perSecond);
             if (at > seconds) {
                 break;
             }
             long due = start + (long) (at * 1e9);
-            Pace.until(due);
+            PreciseTimer.until(due);
             boolean isKeyed = chance.nextDouble() < keyedShare;
             Line line = lines.get((int) (++sent % lines.size()));
             line.open.acquire();
@@ -101,8 +101,10 @@
             line.since.put(sent, new long[] {due, isKeyed ? 1 : 0});
             String token = isKeyed ? run + run + String.format("%016x", sent) : null;
             line.wire.send(
-                    Gateways.message(
-                            sent, isKeyed ? "order" : "read", Gateways.params(rid, token, "load")));
+                    GatewayMessages.message(
+                            sent,
+                            isKeyed ? "order" : "read",
+                            GatewayMessages.params(rid, token, "load")));
         }
         for (Line line : lines) {
             if (line.open.tryAcquire(OPEN, 6, TimeUnit.SECONDS)) {
--- a/tools/src/main/java/ochretiller/tools/Ask.java
+++ b/tools/src/main/java/ochretiller/tools/MeasuredRequest.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** One request that a side sends, and what came of it. */
-final class Ask {
+final class MeasuredRequest {
     /** What its caller saw. */
     enum Outcome {
         SUCCEEDED,
@@ -33,7 +33,7 @@
     volatile long sentAt;
     volatile long answeredAt;
 
-    Ask(long number, long due, String token, boolean vanishes) {
+    MeasuredRequest(long number, long due, String token, boolean vanishes) {
         this(
                 number,
                 due,
@@ -43,7 +43,8 @@
                 token == null ? "load" : token);
     }
 
-    Ask(long number, long due, String token, boolean vanishes, String operation, String body) {
+    MeasuredRequest(
+            long number, long due, String token, boolean vanishes, String operation, String body) {
         this.operation = operation;
         this.body = body;
         this.number = number;
--- a/tools/src/main/java/ochretiller/tools/Served.java
+++ b/tools/src/main/java/ochretiller/tools/MeasuredServer.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import ochretiller.standin.Gateways;
-import ochretiller.standin.StandIns;
+import ochretiller.fakes.FakeServices;
+import ochretiller.fakes.GatewayMessages;
 
 /** The packaged server with stand-ins round it, for a measurement. */
-final class Served implements AutoCloseable {
+final class MeasuredServer implements AutoCloseable {
     final int port;
     final Process process;
-    final StandIns outside;
+    final FakeServices outside;
 
     /** Connections that ended, by their close codes. */
     final Map<String, Integer> ends = new ConcurrentHashMap<>();
@@ -28,10 +28,11 @@
      *
      * @param operator the operators' file, or null
      */
-    Served(Path operator, java.util.function.UnaryOperator<String> change) throws Exception {
+    MeasuredServer(Path operator, java.util.function.UnaryOperator<String> change)
+            throws Exception {
         CountDownLatch linked = new CountDownLatch(1);
         outside =
-                new StandIns(
+                new FakeServices(
                         "127.0.0.1",
                         new int[3],
                         line -> {
@@ -48,7 +49,7 @@
         Files.writeString(
                 config,
                 change.apply(
-                        Gateways.config(
+                        GatewayMessages.config(
                                 port,
                                 outside.processorPort(),
                                 outside.recordsPort(),
--- a/tools/src/main/java/ochretiller/tools/MixBench.java
+++ b/tools/src/main/java/ochretiller/tools/MixBench.java
@@ -27,9 +27,9 @@
     /** Descriptors, so that callers beyond full load find room to be told so. */
     private static final int SOCKETS = 8192;
 
-    private static final Traffic.Mix MIX = new Traffic.Mix(0.3, 0.3, 0.05);
-    private static final Traffic.Mix EQUAL = new Traffic.Mix(0, 0, 0);
-    private static final Traffic.Mix CALM = new Traffic.Mix(0.25, 0, 0);
+    private static final MixedTraffic.Mix MIX = new MixedTraffic.Mix(0.3, 0.3, 0.05);
+    private static final MixedTraffic.Mix EQUAL = new MixedTraffic.Mix(0, 0, 0);
+    private static final MixedTraffic.Mix CALM = new MixedTraffic.Mix(0.25, 0, 0);
 
     /** The objective of both operations. */
     private static final long OBJECTIVE_NS = 2_000_000_000L;
@@ -46,10 +46,10 @@
 
     /** One server with both sides. */
     private static final class Bench implements AutoCloseable {
-        final Served served;
-        final Processor processor;
-        final RpcSide rpc;
-        final Side uwsgi;
+        final MeasuredServer served;
+        final FakeProcessor processor;
+        final JsonRpcClient rpc;
+        final ProtocolClient uwsgi;
 
         Bench(long seed) throws Exception {
             int port;
@@ -64,16 +64,16 @@
                             + "', routes: [{ path: '/parts/{id}', operation: 'read' }, { method:"
                             + " 'POST', path: '/orders', operation: 'order' } ] } }");
             served =
-                    new Served(
+                    new MeasuredServer(
                             operator,
                             json ->
                                     json.replace(
                                                     "callsByClass\":[true,true]",
                                                     "callsByClass\":[false,false]")
                                             .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS));
-            processor = new Processor(served.outside, CORES, RUN_MS);
-            rpc = new RpcSide(served.port, 60, String.format("%08x", seed));
-            uwsgi = new UwsgiSide(port, 1_000, "10.1.2.3");
+            processor = new FakeProcessor(served.outside, CORES, RUN_MS);
+            rpc = new JsonRpcClient(served.port, 60, String.format("%08x", seed));
+            uwsgi = new UwsgiClient(port, 1_000, "10.1.2.3");
         }
 
         @Override
@@ -86,7 +86,7 @@
     }
 
     private static CompletableFuture<Void> sends(
-            Traffic traffic, double perSecond, double seconds) {
+            MixedTraffic traffic, double perSecond, double seconds) {
         return CompletableFuture.runAsync(
                 () -> {
                     try {
@@ -99,8 +99,8 @@
 
     /** All rules, counted: each column but the first three has to be zero. */
     private void rules() throws Exception {
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "mix-rules",
                         "load over full",
                         "asked",
@@ -114,15 +114,15 @@
                         "most at once over the limit");
         for (double load : new double[] {0.7, 1, 1.5, 3}) {
             try (Bench bench = new Bench((long) (load * 10))) {
-                Traffic one = new Traffic(bench.rpc, bench.uwsgi, MIX, 1);
-                Traffic other = new Traffic(bench.uwsgi, bench.rpc, MIX, 2);
+                MixedTraffic one = new MixedTraffic(bench.rpc, bench.uwsgi, MIX, 1);
+                MixedTraffic other = new MixedTraffic(bench.uwsgi, bench.rpc, MIX, 2);
                 CompletableFuture<Void> first = sends(one, load * FULL / 2, seconds);
                 CompletableFuture<Void> second = sends(other, load * FULL / 2, seconds);
                 first.get();
                 second.get();
-                Map<Ask.Outcome, Long> all = one.outcomes();
+                Map<MeasuredRequest.Outcome, Long> all = one.outcomes();
                 other.outcomes().forEach((outcome, count) -> all.merge(outcome, count, Long::sum));
-                List<Ask> asks = new ArrayList<>(one.asks);
+                List<MeasuredRequest> asks = new ArrayList<>(one.asks);
                 asks.addAll(other.asks);
                 long twice =
                         bench.processor.tokens.values().stream()
@@ -136,7 +136,8 @@
                                         ask ->
                                                 ask.token != null
                                                         && ask.outcome.getNow(null)
-                                                                == Ask.Outcome.THROTTLED)
+                                                                == MeasuredRequest.Outcome
+                                                                        .THROTTLED)
                                 .filter(
                                         ask ->
                                                 bench.processor.tokens.containsKey(ask.token)
@@ -147,10 +148,10 @@
                 table.row(
                         load,
                         asks.size(),
-                        all.getOrDefault(Ask.Outcome.SUCCEEDED, 0L),
-                        all.getOrDefault(Ask.Outcome.THROTTLED, 0L),
-                        all.getOrDefault(Ask.Outcome.ERRORED, 0L),
-                        all.getOrDefault(Ask.Outcome.NONE, 0L),
+                        all.getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L),
+                        all.getOrDefault(MeasuredRequest.Outcome.THROTTLED, 0L),
+                        all.getOrDefault(MeasuredRequest.Outcome.ERRORED, 0L),
+                        all.getOrDefault(MeasuredRequest.Outcome.NONE, 0L),
                         bench.rpc.surplus() + bench.uwsgi.surplus(),
                         twice,
                         untrue,
@@ -165,14 +166,14 @@
         table.keep();
     }
 
-    private static double value(Traffic traffic) throws Exception {
+    private static double value(MixedTraffic traffic) throws Exception {
         traffic.outcomes();
         double value = 0;
         double all = 0;
-        for (Ask ask : traffic.asks) {
+        for (MeasuredRequest ask : traffic.asks) {
             double worth = ask.token == null ? READ_VALUE : ORDER_VALUE;
             all += worth;
-            if (ask.outcome.getNow(null) == Ask.Outcome.SUCCEEDED
+            if (ask.outcome.getNow(null) == MeasuredRequest.Outcome.SUCCEEDED
                     && ask.answeredAt - ask.due < OBJECTIVE_NS) {
                 value += worth;
             }
@@ -181,11 +182,12 @@
     }
 
     /** Share of all asked that succeeded behind their objective. */
-    private static double late(Traffic traffic) {
+    private static double late(MixedTraffic traffic) {
         return traffic.asks.stream()
                         .filter(
                                 ask ->
-                                        ask.outcome.getNow(null) == Ask.Outcome.SUCCEEDED
+                                        ask.outcome.getNow(null)
+                                                        == MeasuredRequest.Outcome.SUCCEEDED
                                                 && ask.answeredAt - ask.due >= OBJECTIVE_NS)
                         .count()
                 / (double) traffic.asks.size();
@@ -196,8 +198,8 @@
      * arrivals.
      */
     private void fairness() throws Exception {
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "mix-fairness",
                         "what is asked",
                         "bursting side",
@@ -208,7 +210,7 @@
                         "bursting side's value",
                         "other's late",
                         "bursting side's late");
-        for (Traffic.Mix mix : new Traffic.Mix[] {EQUAL, CALM}) {
+        for (MixedTraffic.Mix mix : new MixedTraffic.Mix[] {EQUAL, CALM}) {
             for (boolean rpcBursts : new boolean[] {true, false}) {
                 int seed = rpcBursts ? 1 : 2;
                 double[] got = new double[2];
@@ -216,17 +218,17 @@
                 double[] late = new double[2];
                 for (int times : new int[] {1, 6}) {
                     try (Bench bench = new Bench(seed)) {
-                        Side bursts = rpcBursts ? bench.rpc : bench.uwsgi;
-                        Side calm = rpcBursts ? bench.uwsgi : bench.rpc;
+                        ProtocolClient bursts = rpcBursts ? bench.rpc : bench.uwsgi;
+                        ProtocolClient calm = rpcBursts ? bench.uwsgi : bench.rpc;
                         // Both protocols' ways are compiled by then, as they are in a server that
                         // has served for a while.
                         CompletableFuture<Void> warm =
-                                sends(new Traffic(bursts, calm, mix, 30 + seed), FULL, WARM_S);
-                        sends(new Traffic(calm, bursts, mix, 40 + seed), FULL, WARM_S).get();
+                                sends(new MixedTraffic(bursts, calm, mix, 30 + seed), FULL, WARM_S);
+                        sends(new MixedTraffic(calm, bursts, mix, 40 + seed), FULL, WARM_S).get();
                         warm.get();
                         Thread.sleep(1_000);
-                        Traffic burst = new Traffic(bursts, calm, mix, 10 + seed);
-                        Traffic other = new Traffic(calm, bursts, mix, 20 + seed);
+                        MixedTraffic burst = new MixedTraffic(bursts, calm, mix, 10 + seed);
+                        MixedTraffic other = new MixedTraffic(calm, bursts, mix, 20 + seed);
                         CompletableFuture<Void> first = sends(burst, times * FULL * 0.35, seconds);
                         CompletableFuture<Void> second = sends(other, FULL * 0.35, seconds);
                         first.get();
@@ -261,7 +263,7 @@
 
     /** CPU that one invocation of each protocol costs the server, in turn on the same process. */
     void cpu(int rounds) throws Exception {
-        Table table = new Table("mix-cpu", "round", "JSON-RPC us", "uwsgi us", "ratio");
+        ResultTable table = new ResultTable("mix-cpu", "round", "JSON-RPC us", "uwsgi us", "ratio");
         try (Bench bench = new Bench(7)) {
             bench.served.outside.runs =
                     (rid, operation, body) ->
@@ -277,11 +279,12 @@
         table.keep();
     }
 
-    private double cpu(Bench bench, Side side, Side other, int seed) throws Exception {
-        Traffic traffic = new Traffic(side, other, CALM, seed);
+    private double cpu(Bench bench, ProtocolClient side, ProtocolClient other, int seed)
+            throws Exception {
+        MixedTraffic traffic = new MixedTraffic(side, other, CALM, seed);
         double before = bench.served.cpuSeconds();
         traffic.send(400, seconds);
-        long succeeded = traffic.outcomes().getOrDefault(Ask.Outcome.SUCCEEDED, 0L);
+        long succeeded = traffic.outcomes().getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L);
         return (bench.served.cpuSeconds() - before) * 1e6 / Math.max(1, succeeded);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/Traffic.java
+++ b/tools/src/main/java/ochretiller/tools/MixedTraffic.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicLong;
-import ochretiller.emulator.core.Seeds;
+import ochretiller.emulator.core.RandomStreams;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
@@ -17,7 +17,7 @@
  * Open-loop arrivals by seed on one side, with keyed ones, repeats on the other side, and callers
  * that vanish.
  */
-final class Traffic {
+final class MixedTraffic {
     /** What is sent, as shares. */
     record Mix(double keyed, double repeated, double vanishing) {}
 
@@ -30,13 +30,13 @@
     private static final long LOST_S = 8;
 
     final Histogram took = new ConcurrentHistogram(3);
-    final Queue<Ask> asks = new ConcurrentLinkedQueue<>();
-    private final Side side;
-    private final Side other;
+    final Queue<MeasuredRequest> asks = new ConcurrentLinkedQueue<>();
+    private final ProtocolClient side;
+    private final ProtocolClient other;
     private final Mix mix;
     private final SplittableRandom chance;
 
-    Traffic(Side side, Side other, Mix mix, long seed) {
+    MixedTraffic(ProtocolClient side, ProtocolClient other, Mix mix, long seed) {
         this.side = side;
         this.other = other;
         this.mix = mix;
@@ -48,15 +48,15 @@
         long start = System.nanoTime();
         for (double at = gap(perSecond); at < seconds; at += gap(perSecond)) {
             long due = start + (long) (at * 1e9);
-            Pace.until(due);
+            PreciseTimer.until(due);
             boolean keyed = chance.nextDouble() < mix.keyed;
             String token =
                     keyed
                             ? String.format("%016x%016x", chance.nextLong(), chance.nextLong())
                             : null;
             boolean repeats = keyed && chance.nextDouble() < mix.repeated;
-            Ask ask =
-                    new Ask(
+            MeasuredRequest ask =
+                    new MeasuredRequest(
                             NUMBERS.incrementAndGet(),
                             due,
                             token,
@@ -64,7 +64,7 @@
             asks.add(ask);
             ask.outcome.thenAccept(
                     outcome -> {
-                        if (outcome == Ask.Outcome.SUCCEEDED) {
+                        if (outcome == MeasuredRequest.Outcome.SUCCEEDED) {
                             took.recordValue(Math.max(1, (ask.answeredAt - due) / 1_000));
                         }
                         if (repeats) {
@@ -76,35 +76,37 @@
     }
 
     private double gap(double perSecond) {
-        return Seeds.exponential(chance, 1 / perSecond);
+        return RandomStreams.exponential(chance, 1 / perSecond);
     }
 
     /**
      * Under the same key by the other protocol, once the first has its answer or its caller has
      * gone.
      */
-    private void repeat(Ask first) {
-        Ask again = new Ask(NUMBERS.incrementAndGet(), System.nanoTime(), first.token, false);
+    private void repeat(MeasuredRequest first) {
+        MeasuredRequest again =
+                new MeasuredRequest(
+                        NUMBERS.incrementAndGet(), System.nanoTime(), first.token, false);
         asks.add(again);
         try {
             other.send(again);
         } catch (IOException e) {
-            again.ends(Ask.Outcome.NONE);
+            again.ends(MeasuredRequest.Outcome.NONE);
         }
     }
 
     /** Waits for what is open; what stays without an answer is lost. */
-    Map<Ask.Outcome, Long> outcomes() throws Exception {
-        Map<Ask.Outcome, Long> counts = new EnumMap<>(Ask.Outcome.class);
+    Map<MeasuredRequest.Outcome, Long> outcomes() throws Exception {
+        Map<MeasuredRequest.Outcome, Long> counts = new EnumMap<>(MeasuredRequest.Outcome.class);
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOST_S);
-        for (Ask ask : asks) {
-            Ask.Outcome outcome;
+        for (MeasuredRequest ask : asks) {
+            MeasuredRequest.Outcome outcome;
             try {
                 outcome =
                         ask.outcome.get(
                                 Math.max(1, until - System.nanoTime()), TimeUnit.NANOSECONDS);
             } catch (TimeoutException e) {
-                outcome = Ask.Outcome.NONE;
+                outcome = MeasuredRequest.Outcome.NONE;
             }
             counts.merge(outcome, 1L, Long::sum);
         }
