--- a/tools/src/main/java/ochretiller/tools/PoolsBench.java
+++ b/tools/src/main/java/ochretiller/tools/PoolsBench.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import ochretiller.emulator.core.Seeds;
-import ochretiller.pools.End;
-import ochretiller.pools.Pool;
+import ochretiller.emulator.core.RandomStreams;
 import ochretiller.pools.PoolSettings;
+import ochretiller.pools.RequestOutcome;
 import ochretiller.pools.WorkerId;
+import ochretiller.pools.WorkerSelector;
 
 /**
  * The decisions on pools in virtual time, beside requests by turns and least connections, on the
@@ -61,8 +61,8 @@
     private static Seen play(Chooser chooser, Fault fault, double load, int workers, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         SplittableRandom sizes = chance.split();
-        Pool pool =
-                new Pool(
+        WorkerSelector pool =
+                new WorkerSelector(
                         new PoolSettings(
                                 64,
                                 5,
@@ -94,19 +94,19 @@
         int failed = 0;
         int toLast = 0;
         for (int i = 0; i < REQUESTS; i++) {
-            now += Seeds.exponential(chance, MEAN_S / (load * WORKERS * PLACES));
+            now += RandomStreams.exponential(chance, MEAN_S / (load * WORKERS * PLACES));
             while (!running.isEmpty() && running.peek().at <= now) {
                 Event over = running.poll();
                 open[over.worker]--;
                 if (chooser == Chooser.POOL) {
                     pool.ended(
                             ids.get(over.worker),
-                            over.good ? End.ANSWERED : End.FAILED,
+                            over.good ? RequestOutcome.ANSWERED : RequestOutcome.FAILED,
                             span(over.took),
                             span(over.at));
                 }
             }
-            double work = Seeds.exponential(sizes, MEAN_S);
+            double work = RandomStreams.exponential(sizes, MEAN_S);
             int to = choose(chooser, pool, ids, open, i, now);
             if (to < 0) {
                 failed++;
@@ -138,7 +138,12 @@
     }
 
     private static int choose(
-            Chooser chooser, Pool pool, List<WorkerId> ids, int[] open, int turn, double now) {
+            Chooser chooser,
+            WorkerSelector pool,
+            List<WorkerId> ids,
+            int[] open,
+            int turn,
+            double now) {
         switch (chooser) {
             case POOL -> {
                 Optional<WorkerId> chosen = pool.choose(span(now));
@@ -162,8 +167,8 @@
     }
 
     void run() throws Exception {
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "pools",
                         "fault of one in eight",
                         "chooser",
@@ -192,11 +197,12 @@
             }
         }
         table.keep();
-        Table retries =
-                new Table("pools-retries", "refused share", "first tries", "second tries", "share");
+        ResultTable retries =
+                new ResultTable(
+                        "pools-retries", "refused share", "first tries", "second tries", "share");
         for (double refused : new double[] {0.01, 0.05, 0.2, 1}) {
-            Pool pool =
-                    new Pool(
+            WorkerSelector pool =
+                    new WorkerSelector(
                             new PoolSettings(
                                     64,
                                     1 << 30,
@@ -217,14 +223,14 @@
                 Duration now = Duration.ofMillis(i);
                 WorkerId at = pool.choose(now).orElse(null);
                 while (at != null && chance.nextDouble() < refused) {
-                    pool.ended(at, End.NEVER_BEGUN, Duration.ZERO, now);
-                    at = pool.chooseAgain(at, End.NEVER_BEGUN, now).orElse(null);
+                    pool.ended(at, RequestOutcome.NEVER_BEGUN, Duration.ZERO, now);
+                    at = pool.chooseAgain(at, RequestOutcome.NEVER_BEGUN, now).orElse(null);
                     if (at != null) {
                         second++;
                     }
                 }
                 if (at != null) {
-                    pool.ended(at, End.ANSWERED, span(MEAN_S), now);
+                    pool.ended(at, RequestOutcome.ANSWERED, span(MEAN_S), now);
                 }
             }
             retries.row(refused, REQUESTS, second, second / (double) REQUESTS);
--- a/tools/src/main/java/ochretiller/tools/Side.java
+++ b/tools/src/main/java/ochretiller/tools/ProtocolClient.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 
 /** One protocol that requests are sent by. */
-interface Side extends AutoCloseable {
+interface ProtocolClient extends AutoCloseable {
     /** Sends it; its outcome follows. Returns at once. */
-    void send(Ask ask) throws IOException;
+    void send(MeasuredRequest ask) throws IOException;
 
     /** Answers that belong to no open request: each breaks the rule of one answer. */
     long surplus();
--- a/tools/src/main/java/ochretiller/tools/Table.java
+++ b/tools/src/main/java/ochretiller/tools/ResultTable.java
@@ -8,12 +8,12 @@
 import java.util.Locale;
 
 /** Rows of one measurement: shown as they come, and kept as CSV. */
-final class Table {
+final class ResultTable {
     private final Path file;
     private final List<String> lines = new ArrayList<>();
 
-    Table(String name, String... columns) {
-        this.file = Tools.FIGURES.resolve(name + ".csv");
+    ResultTable(String name, String... columns) {
+        this.file = ToolsCommand.FIGURES.resolve(name + ".csv");
         lines.add(String.join(",", columns));
         System.out.println(String.join("  ", columns));
     }
--- a/tools/src/main/java/ochretiller/tools/StoreBench.java
+++ b/tools/src/main/java/ochretiller/tools/StoreBench.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Stream;
-import ochretiller.store.Ack;
-import ochretiller.store.Boot;
-import ochretiller.store.Limits;
-import ochretiller.store.RealDisk;
+import ochretiller.store.AppendResult;
+import ochretiller.store.BootClock;
+import ochretiller.store.LocalDirectory;
 import ochretiller.store.Store;
+import ochretiller.store.StoreLimits;
 
 /**
  * Appends and recovery, beside bare writes of the same bytes on the same disk, in turn within one
@@ -49,8 +49,8 @@
     }
 
     private Store open(Path at, int entries) throws IOException {
-        Limits limits =
-                new Limits(
+        StoreLimits limits =
+                new StoreLimits(
                         entries,
                         16L << 30,
                         16L << 30,
@@ -60,7 +60,7 @@
                         0.5,
                         Duration.ofDays(1),
                         Duration.ofDays(1));
-        return Store.open(new RealDisk(at), limits, Boot.ofMachine(), Runnable::run);
+        return Store.open(new LocalDirectory(at), limits, BootClock.ofKernel(), Runnable::run);
     }
 
     private static void empty(Path at) throws IOException {
@@ -91,10 +91,10 @@
                         key(),
                         new byte[META],
                         new byte[VALUE],
-                        store.now() + 60_000,
+                        store.nowMillis() + 60_000,
                         true,
                         ack -> {
-                            if (ack == Ack.DURABLE) {
+                            if (ack == AppendResult.DURABLE) {
                                 done.incrementAndGet();
                             }
                             free.release();
@@ -120,7 +120,7 @@
                 again(store, start + nanos, done, ended);
             }
             ended.await();
-            group = store.stats().records() / (double) store.stats().forces();
+            group = store.stats().appendedRecords() / (double) store.stats().forces();
             return done.get() / ((System.nanoTime() - start) / 1e9);
         }
     }
@@ -134,7 +134,7 @@
                 String.format("%032x", done.incrementAndGet()).getBytes(),
                 new byte[META],
                 new byte[VALUE],
-                store.now() + 60_000,
+                store.nowMillis() + 60_000,
                 true,
                 ack -> again(store, until, done, ended));
     }
@@ -175,8 +175,8 @@
         long nanos = (quick ? 1 : 2) * 1_000_000_000L;
         int rounds = 3;
         store(256, nanos); // compiled before it counts
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "store-appends",
                         "in flight",
                         "from a busy loop",
@@ -236,8 +236,8 @@
     }
 
     void recovery() throws Exception {
-        Table table =
-                new Table(
+        ResultTable table =
+                new ResultTable(
                         "store-recovery",
                         "entries",
                         "segments read whole s",
@@ -260,7 +260,7 @@
                             key(),
                             new byte[META],
                             new byte[VALUE],
-                            store.now() + 3_600_000,
+                            store.nowMillis() + 3_600_000,
                             true,
                             ack -> free.release());
                 }
@@ -309,7 +309,7 @@
                 }
                 store.start(); // lets the list of what was kept go
                 heap = (used() - before) / (double) entries;
-                reckoned = store.stats().memory() / (double) entries;
+                reckoned = store.stats().indexBytes() / (double) entries;
             }
         }
         Arrays.sort(seconds);
--- a/tools/src/main/java/ochretiller/tools/Tools.java
+++ b/tools/src/main/java/ochretiller/tools/ToolsCommand.java
@@ -11,7 +11,7 @@
         name = "tools",
         mixinStandardHelpOptions = true,
         description = "Measure the server and its parts.")
-final class Tools {
+final class ToolsCommand {
     static final Path FIGURES = Path.of("docs", "figures");
 
     @Command(
@@ -118,6 +118,6 @@
         if (List.of(words).isEmpty()) {
             words = new String[] {"--help"};
         }
-        System.exit(new CommandLine(new Tools()).execute(words));
+        System.exit(new CommandLine(new ToolsCommand()).execute(words));
     }
 }
--- a/tools/src/main/java/ochretiller/tools/UwsgiSide.java
+++ b/tools/src/main/java/ochretiller/tools/UwsgiClient.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-import ochretiller.uwsgi.Answer;
-import ochretiller.uwsgi.AnswerDecoder;
-import ochretiller.uwsgi.Request;
+import ochretiller.uwsgi.UwsgiRequest;
+import ochretiller.uwsgi.UwsgiResponse;
+import ochretiller.uwsgi.UwsgiResponseDecoder;
 
 /** uwsgi with a connection for each request, as front ends send it. */
-final class UwsgiSide implements Side {
+final class UwsgiClient implements ProtocolClient {
     /** Longer than any client timeout of the load's configuration. */
     private static final int TIMEOUT_MS = 8_000;
 
@@ -34,7 +34,7 @@
      *
      * @param most requests at once
      */
-    UwsgiSide(int port, int most, String caller) {
+    UwsgiClient(int port, int most, String caller) {
         this.port = port;
         this.caller = caller;
         threads =
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void send(Ask ask) throws IOException {
+    public void send(MeasuredRequest ask) throws IOException {
         try {
             threads.execute(() -> ask(ask));
         } catch (RejectedExecutionException e) {
@@ -61,7 +61,7 @@
         }
     }
 
-    private void ask(Ask ask) {
+    private void ask(MeasuredRequest ask) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(TIMEOUT_MS);
@@ -76,23 +76,23 @@
                 vars.put("HTTP_IDEMPOTENCY_KEY", ask.token);
             }
             ask.sentAt = System.nanoTime();
-            for (byte[] part : new Request(vars, body, false).encode()) {
+            for (byte[] part : new UwsgiRequest(vars, body, false).encode()) {
                 socket.getOutputStream().write(part);
             }
             if (ask.vanishes) {
-                ask.ends(Ask.Outcome.VANISHED);
+                ask.ends(MeasuredRequest.Outcome.VANISHED);
                 return;
             }
             ask.ends(answer(socket.getInputStream()));
         } catch (IOException e) {
-            ask.ends(Ask.Outcome.NONE);
+            ask.ends(MeasuredRequest.Outcome.NONE);
         }
     }
 
-    private Ask.Outcome answer(InputStream in) throws IOException {
-        AnswerDecoder decoder = new AnswerDecoder(LONGEST);
+    private MeasuredRequest.Outcome answer(InputStream in) throws IOException {
+        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
         byte[] buffer = new byte[4_096];
-        Answer answer = null;
+        UwsgiResponse answer = null;
         try {
             for (int got = in.read(buffer); got > 0 && answer == null; ) {
                 answer = decoder.read(buffer, 0, got);
@@ -101,17 +101,19 @@
                 }
             }
         } catch (SocketTimeoutException | SocketException e) {
-            return Ask.Outcome.NONE;
+            return MeasuredRequest.Outcome.NONE;
         }
         if (answer == null) {
-            return Ask.Outcome.NONE;
+            return MeasuredRequest.Outcome.NONE;
         }
         if (in.read() >= 0) {
             surplus.increment();
         }
         return answer.status() == 200
-                ? Ask.Outcome.SUCCEEDED
-                : answer.status() == 503 ? Ask.Outcome.THROTTLED : Ask.Outcome.ERRORED;
+                ? MeasuredRequest.Outcome.SUCCEEDED
+                : answer.status() == 503
+                        ? MeasuredRequest.Outcome.THROTTLED
+                        : MeasuredRequest.Outcome.ERRORED;
     }
 
     @Override
