--- a/drill/src/main/java/ochretiller/drill/MembershipPoller.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipPoller.java
@@ -60,7 +60,7 @@
                                 "drill",
                                 KEYS)) {
                     for (int i = 0; i < ASKS && !over && box.up && !box.paused; i++) {
-                        look(JSON.readTree(client.ask("view")));
+                        look(JSON.readTree(client.request("view")));
                         Thread.sleep(everyMs);
                     }
                 } catch (IOException e) {
--- a/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
+++ b/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
@@ -491,7 +491,7 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), real.get(address)),
                         "drill",
                         MembershipPoller.KEYS)) {
-            return JSON.readTree(client.ask(word, with));
+            return JSON.readTree(client.request(word, with));
         } catch (IOException e) {
             progress.accept("server " + box.slot.number() + " cannot be asked: " + e.getMessage());
             return null;
--- a/src/main/java/ochretiller/commands/CopiesCommand.java
+++ b/src/main/java/ochretiller/commands/CopiesCommand.java
@@ -57,9 +57,9 @@
 
     private static JsonNode answer(AdminClient client, String word, String with)
             throws IOException {
-        JsonNode told = JSON.readTree(client.ask(word, with));
+        JsonNode told = JSON.readTree(client.request(word, with));
         if (told.has("copies") && !told.get("copies").asBoolean()) {
-            throw new MalformedException(client.name() + " keeps no copies");
+            throw new MalformedException(client.serverName() + " keeps no copies");
         }
         return told;
     }
@@ -198,7 +198,7 @@
     private static Map<String, String> addresses(FleetCommand.Whom whom) throws IOException {
         try (AdminClient client = whom.dial()) {
             Map<String, String> all = new HashMap<>();
-            for (JsonNode each : JSON.readTree(client.ask("view")).get("members")) {
+            for (JsonNode each : JSON.readTree(client.request("view")).get("members")) {
                 if (each.get("state").asText().equals(MemberState.ALIVE.externalName())) {
                     all.put(each.get("name").asText(), each.get("address").asText());
                 }
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -140,7 +140,7 @@
 
     private static JsonNode ask(Whom whom, String word) throws IOException {
         try (AdminClient client = whom.dial()) {
-            return JSON.readTree(client.ask(word));
+            return JSON.readTree(client.request(word));
         }
     }
 
@@ -226,7 +226,7 @@
             long[] micros = new long[Math.max(1, Math.min(99, times))];
             for (int i = 0; i < micros.length; i++) {
                 long began = System.nanoTime();
-                client.ask("ping");
+                client.request("ping");
                 micros[i] = (System.nanoTime() - began) / 1000;
             }
             Arrays.sort(micros);
@@ -236,13 +236,13 @@
             if (whom.json) {
                 ObjectNode told =
                         JSON.createObjectNode()
-                                .put("name", client.name())
+                                .put("name", client.serverName())
                                 .put("times", micros.length);
                 out.println(told.put("least_us", least).put("p50_us", middle).put("most_us", most));
             } else {
                 out.printf(
                         "%s: %d answers, least %d us, p50 %d us, most %d us%n",
-                        client.name(), micros.length, least, middle, most);
+                        client.serverName(), micros.length, least, middle, most);
             }
             out.flush();
         }
@@ -281,7 +281,7 @@
         try (AdminClient client = whom.dial()) {
             told =
                     JSON.readTree(
-                            client.ask(
+                            client.request(
                                     "version-publish",
                                     who + '\n' + why + '\n' + least + '\n' + text));
         }
@@ -440,7 +440,9 @@
     private int steer(Whom whom, String word) throws IOException {
         JsonNode told;
         try (AdminClient client = whom.dial()) {
-            told = JSON.readTree(client.ask("version-" + word, System.getProperty("user.name")));
+            told =
+                    JSON.readTree(
+                            client.request("version-" + word, System.getProperty("user.name")));
         }
         if (refused(whom, told)) {
             return FAILED;
@@ -462,8 +464,8 @@
         PrintWriter out = spec.commandLine().getOut();
         String name;
         try (AdminClient client = whom.dial()) {
-            name = client.name();
-            client.ask("leave");
+            name = client.serverName();
+            client.request("leave");
         }
         long until = System.nanoTime() + within * 1_000_000_000L;
         while (System.nanoTime() < until) {
--- a/src/main/java/ochretiller/fleet/replication/ClaimDecision.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimDecision.java
@@ -4,8 +4,8 @@
  * What a server may do with a keyed invocation, once the keepers have said enough.
  *
  * @param claimId under which it may run; null where none was asked for
- * @param outcome how it has ended before, for {@link Kind#REPLAY}, {@link Kind#ENDED} and {@link
- *     What#OTHER_BODY}
+ * @param outcome how it has ended before, for {@link Finding#REPLAY}, {@link Finding#ENDED} and
+ *     {@link What#OTHER_BODY}
  */
 public record ClaimDecision(Kind kind, ClaimId claimId, ClaimOutcome outcome) {
     /** Kinds of it. */
--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -27,12 +27,13 @@
         try {
             return sealed.read(
                     in -> {
-                        long abstains = PacketCodec.number(in);
-                        Ballot ballot = new Ballot(PacketCodec.number(in), PacketCodec.text(in));
-                        Ballot at = new Ballot(PacketCodec.number(in), PacketCodec.text(in));
+                        long abstains = PacketCodec.readLong(in);
+                        Ballot ballot =
+                                new Ballot(PacketCodec.readLong(in), PacketCodec.readText(in));
+                        Ballot at = new Ballot(PacketCodec.readLong(in), PacketCodec.readText(in));
                         ConsensusMessage.Committed agreed =
                                 new ConsensusMessage.Committed(ReplicationCodec.layout(in));
-                        boolean accepted = PacketCodec.bool(in);
+                        boolean accepted = PacketCodec.readBoolean(in);
                         return new EpochConsensus.AcceptorState(
                                 agreed.placement(),
                                 ballot,
--- a/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
+++ b/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
@@ -7,7 +7,7 @@
 
 /** A thread for writes that are small and seldom: it is there while there are any. */
 final class BackgroundWriter {
-    private static final int IDLE_S = 10;
+    private static final int IDLE_SECONDS = 10;
 
     private final ThreadPoolExecutor thread;
 
@@ -19,7 +19,7 @@
                 new ThreadPoolExecutor(
                         0,
                         1,
-                        IDLE_S,
+                        IDLE_SECONDS,
                         TimeUnit.SECONDS,
                         new ArrayBlockingQueue<>(most),
                         work -> {
@@ -30,7 +30,7 @@
     }
 
     /** Whether it will be carried out. */
-    boolean take(Runnable write) {
+    boolean submit(Runnable write) {
         try {
             thread.execute(write);
             return true;
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -40,18 +40,18 @@
     private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
 
     /** Addresses of peers that are kept made: more than a fleet has. */
-    private static final int ADDRESSES = 4096;
+    private static final int MAX_CACHED_ADDRESSES = 4096;
 
     /**
      * Lines on changes in such a span; a fleet that flaps gets one line with the number of the
      * rest.
      */
-    private static final int LINES = 20;
+    private static final int MAX_LOG_LINES = 20;
 
-    private static final Duration LINES_IN = Duration.ofSeconds(10);
+    private static final Duration LOG_LINE_INTERVAL = Duration.ofSeconds(10);
     private static final String NO_VERSIONS = "{\"refused\":\"no versions are brought out here\"}";
     private static final String NO_COPIES = "{\"copies\":false}";
-    private static final Duration FIGURES_EVERY = Duration.ofSeconds(1);
+    private static final Duration METRICS_INTERVAL = Duration.ofSeconds(1);
 
     private final Scheduler schedule;
     private final FleetSettings settings;
@@ -59,10 +59,10 @@
     private final MembershipProtocol members;
     private final PeerSocket socket;
     private final AdminEndpoint door;
-    private final ReplicationService copies;
+    private final ReplicationService replication;
 
     /** Null where no versions are brought out. */
-    private final RolloutService versions;
+    private final RolloutService rollout;
 
     /** Null where nothing is kept of who was seen. */
     private final PeersFile peersFile;
@@ -70,7 +70,7 @@
     private final BootstrapPeers acquaintances;
     private final BiConsumer<Member, Boolean> seen;
     private final Map<PeerAddress, InetSocketAddress> addresses =
-            BoundedMap.evictingLeastRecentlyUsed(ADDRESSES);
+            BoundedMap.evictingLeastRecentlyUsed(MAX_CACHED_ADDRESSES);
     private final Map<MemberState, Integer> sizes = new EnumMap<>(MemberState.class);
     private volatile int[] sizesNow = new int[MemberState.values().length];
     private volatile int doubtNow;
@@ -103,7 +103,7 @@
             Duration longest,
             Store store,
             BiConsumer<Member, Boolean> seen,
-            RolloutService.Acts acts,
+            RolloutService.VersionActivator acts,
             Runnable leave)
             throws IOException {
         this.schedule = schedule;
@@ -136,7 +136,7 @@
         List<PeerAddress> former = peersFile == null ? List.of() : peersFile.read();
         acquaintances = new BootstrapPeers(at, former);
         members.addBootstrapPeers(former);
-        copies =
+        replication =
                 settings.copies() == null
                         ? null
                         : new ReplicationService(
@@ -151,7 +151,7 @@
                                 () -> members.snapshot(),
                                 store);
         boolean brings = settings.copies() != null && settings.copies().versions() != null;
-        versions =
+        rollout =
                 brings
                         ? new RolloutService(
                                 schedule,
@@ -166,7 +166,7 @@
                                 acts)
                         : null;
         if (brings) {
-            copies.bring(versions);
+            replication.attachRollout(rollout);
         }
         door = new AdminEndpoint(codec, name, words(leave));
         network.listen("fleet", settings.listen(), door::accepted);
@@ -177,8 +177,8 @@
     }
 
     /** What the operators' commands may ask. */
-    private Map<String, AdminEndpoint.Answer> words(Runnable leave) {
-        Map<String, AdminEndpoint.Answer> words = new HashMap<>();
+    private Map<String, AdminEndpoint.CommandHandler> words(Runnable leave) {
+        Map<String, AdminEndpoint.CommandHandler> words = new HashMap<>();
         words.put("view", with -> MembershipJson.json(settings.fleet(), members, socket));
         words.put("ping", with -> "{}");
         words.put(
@@ -188,19 +188,26 @@
                     leave.run();
                     return "{\"leaves\":true}";
                 });
-        words.put("version-status", with -> versions == null ? NO_VERSIONS : versions.status());
-        words.put(
-                "version-publish", with -> versions == null ? NO_VERSIONS : versions.publish(with));
+        words.put("version-status", with -> rollout == null ? NO_VERSIONS : rollout.status());
+        words.put("version-publish", with -> rollout == null ? NO_VERSIONS : rollout.publish(with));
         for (String word : List.of("pause", "go-on", "take-back")) {
             words.put(
                     "version-" + word,
-                    with -> versions == null ? NO_VERSIONS : versions.steer(word, with));
+                    with -> rollout == null ? NO_VERSIONS : rollout.steer(word, with));
         }
-        words.put("copies-status", with -> copies == null ? NO_COPIES : copies.told().status());
-        words.put("copies-show", with -> copies == null ? NO_COPIES : copies.told().show(with));
-        words.put("copies-digests", with -> copies == null ? NO_COPIES : copies.told().digests());
-        words.put("copies-range", with -> copies == null ? NO_COPIES : copies.told().range(with));
-        words.put("copies-repair", with -> copies == null ? NO_COPIES : copies.repair());
+        words.put(
+                "copies-status",
+                with -> replication == null ? NO_COPIES : replication.statusJson().status());
+        words.put(
+                "copies-show",
+                with -> replication == null ? NO_COPIES : replication.statusJson().show(with));
+        words.put(
+                "copies-digests",
+                with -> replication == null ? NO_COPIES : replication.statusJson().digests());
+        words.put(
+                "copies-range",
+                with -> replication == null ? NO_COPIES : replication.statusJson().range(with));
+        words.put("copies-repair", with -> replication == null ? NO_COPIES : replication.repair());
         return words;
     }
 
@@ -267,7 +274,7 @@
         metrics.counted(
                 "fleet_unsent_packets_total",
                 "Packets that the socket did not take",
-                socket.unsent::sum);
+                socket.droppedSends::sum);
         metrics.counted(
                 "fleet_read_packets_total",
                 "Packets read, refused ones among them",
@@ -280,7 +287,7 @@
             metrics.counted(
                     "fleet_refused_" + why.lowerCaseName() + "_total",
                     "Packets refused: " + why.externalName(),
-                    () -> socket.refused(why));
+                    () -> socket.rejectedCount(why));
         }
     }
 
@@ -298,8 +305,8 @@
                                             + members.self().address());
                     tick();
                     look();
-                    if (copies != null) {
-                        copies.start();
+                    if (replication != null) {
+                        replication.start();
                     }
                 });
     }
@@ -330,7 +337,7 @@
         sizes.forEach((state, count) -> next[state.ordinal()] = count);
         sizesNow = next;
         doubtNow = members.localHealthScore();
-        schedule.after(FIGURES_EVERY, this::look);
+        schedule.after(METRICS_INTERVAL, this::look);
     }
 
     private void keep(List<MemberSnapshot> view) {
@@ -344,16 +351,16 @@
         }
     }
 
-    private void taken(PacketCodec.Opened opened) {
+    private void taken(PacketCodec.ReceivedPacket opened) {
         if (closed) {
             return;
         }
-        if (!(opened.body() instanceof MembershipMessage)) {
+        if (!(opened.message() instanceof MembershipMessage)) {
             // Only who is in may speak of epochs and tokens: its name is what majorities are
             // counted by.
-            if (copies != null
-                    && members.isLive(opened.from().id().name(), opened.from().incarnation())) {
-                copies.received(opened.from().id().name(), opened.body());
+            if (replication != null
+                    && members.isLive(opened.sender().id().name(), opened.sender().incarnation())) {
+                replication.receive(opened.sender().id().name(), opened.message());
             }
             return;
         }
@@ -377,13 +384,13 @@
     }
 
     /** The copies that this fleet keeps of claims and results, or null where it keeps none. */
-    public ReplicationService copies() {
-        return copies;
+    public ReplicationService replication() {
+        return replication;
     }
 
     /** What is brought out to the fleet, or null where nothing is. */
-    public RolloutService versions() {
-        return versions;
+    public RolloutService rollout() {
+        return rollout;
     }
 
     private void carryOut() {
@@ -429,8 +436,8 @@
             case DUPLICATE_NAME -> {
                 // Two keepers by one name would be counted as one: this one says nothing more until
                 // its operators have seen to it.
-                if (copies != null) {
-                    copies.silence();
+                if (replication != null) {
+                    replication.stopSending();
                 }
                 LOG.warning(
                         "fleet: another process bears the name of this server: "
@@ -449,20 +456,20 @@
     /** Whether there is room for one more line: a fleet that flaps must not fill the log. */
     private boolean line() {
         Duration now = schedule.now();
-        if (now.minus(linesFrom).compareTo(LINES_IN) >= 0) {
-            if (lines > LINES) {
-                int more = lines - LINES;
+        if (now.minus(linesFrom).compareTo(LOG_LINE_INTERVAL) >= 0) {
+            if (lines > MAX_LOG_LINES) {
+                int more = lines - MAX_LOG_LINES;
                 LOG.info(() -> "fleet: " + more + " more changes that got no line");
             }
             linesFrom = now;
             lines = 0;
         }
-        return ++lines <= LINES;
+        return ++lines <= MAX_LOG_LINES;
     }
 
     /** Other keys hold from the next packet on, if the file is good. */
     public void reload() {
-        codec.become(FleetKeys.read(settings.keyFile()));
+        codec.replaceKeys(FleetKeys.read(settings.keyFile()));
     }
 
     /**
@@ -476,8 +483,8 @@
 
     public void close() {
         closed = true;
-        if (copies != null) {
-            copies.close();
+        if (replication != null) {
+            replication.close();
         }
         if (peersFile != null) {
             peersFile.close();
--- a/src/main/java/ochretiller/fleet/service/MembershipJson.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipJson.java
@@ -20,8 +20,8 @@
                     to.writeNumberField("read_bytes", socket.readBytes.sum());
                     to.writeObjectFieldStart("refused");
                     for (RejectReason why : RejectReason.values()) {
-                        if (socket.refused(why) > 0) {
-                            to.writeNumberField(why.lowerCaseName(), socket.refused(why));
+                        if (socket.rejectedCount(why) > 0) {
+                            to.writeNumberField(why.lowerCaseName(), socket.rejectedCount(why));
                         }
                     }
                     to.writeEndObject();
--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -27,7 +27,8 @@
     List<PeerAddress> read() {
         try {
             List<PeerAddress> all =
-                    sealed.read(in -> PacketCodec.list(in, () -> PeerAddress.parse(in.getText())));
+                    sealed.read(
+                            in -> PacketCodec.readList(in, () -> PeerAddress.parse(in.getText())));
             return all == null ? List.of() : all;
         } catch (IOException e) {
             LOG.warning(
@@ -47,7 +48,7 @@
      * will be another.
      */
     void write(List<PeerAddress> all) {
-        writes.take(
+        writes.submit(
                 () -> {
                     try {
                         sealed.write(
--- a/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
@@ -6,7 +6,7 @@
 /** What former processes of this server have left of a token, as far as its disk can prove. */
 public interface PreviousIncarnation {
     /** How far one is known to have come. */
-    enum Kind {
+    enum Finding {
         /** Nothing under it was ever begun: its mark would be on the disk. */
         NEVER,
         /** It may have been begun, and its end is not known. */
@@ -20,11 +20,13 @@
      * @param result null where it did not succeed
      * @param windowEnds end of its window, of an end only
      */
-    record Known(Kind kind, String body, byte[] result, Duration windowEnds) {
-        public static final Known NEVER = new Known(Kind.NEVER, null, null, Duration.ZERO);
-        public static final Known UNKNOWN = new Known(Kind.UNKNOWN, null, null, Duration.ZERO);
+    record PreviousRun(Finding kind, String body, byte[] result, Duration windowEnds) {
+        public static final PreviousRun NEVER =
+                new PreviousRun(Finding.NEVER, null, null, Duration.ZERO);
+        public static final PreviousRun UNKNOWN =
+                new PreviousRun(Finding.UNKNOWN, null, null, Duration.ZERO);
     }
 
     /** Hands over what is known, perhaps at once. */
-    void ask(String token, Consumer<Known> then);
+    void lookUp(String token, Consumer<PreviousRun> then);
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -30,12 +30,12 @@
  */
 public final class ReplicaStorage {
     /** No UTF-8 text begins with either. */
-    static final byte ENTRIES = (byte) 0xFF;
+    static final byte ENTRY_KEY_PREFIX = (byte) 0xFF;
 
-    static final byte RESULTS = (byte) 0xFE;
+    static final byte RESULT_KEY_PREFIX = (byte) 0xFE;
     private static final Logger LOG = Logger.getLogger(ReplicaStorage.class.getName());
     private static final CBORFactory CBOR = new CBORFactory();
-    private static final byte[] PLACE = {ENTRIES, 0};
+    private static final byte[] METADATA_KEY = {ENTRY_KEY_PREFIX, 0};
     private static final byte[] NONE = {};
 
     private final Store store;
@@ -44,24 +44,24 @@
     /**
      * What a start has found.
      *
-     * @param disk null where there is nothing, or what is there may lack something
+     * @param snapshot null where there is nothing, or what is there may lack something
      * @param entries what is there in any case: each of them is true
-     * @param place what else is there
+     * @param metadata what else is there
      */
-    record Found(
-            Replica.ReplicaSnapshot disk,
+    record RecoveredReplica(
+            Replica.ReplicaSnapshot snapshot,
             Map<String, ReplicaEntry> entries,
-            long number,
-            Place place) {}
+            long changeNumber,
+            ReplicaMetadata metadata) {}
 
     /**
      * What goes with a keeper's place.
      *
-     * @param heard numbers of others' changes that this server has heard of
-     * @param starts of this server's processes that had this disk, the last of them
+     * @param observedChangeNumbers numbers of others' changes that this server has heard of
+     * @param incarnations of this server's processes that had this disk, the last of them
      */
-    record Place(Map<String, Long> heard, List<Long> starts) {
-        static final Place NONE = new Place(Map.of(), List.of());
+    record ReplicaMetadata(Map<String, Long> observedChangeNumbers, List<Long> incarnations) {
+        static final ReplicaMetadata NONE = new ReplicaMetadata(Map.of(), List.of());
     }
 
     /**
@@ -73,21 +73,21 @@
     }
 
     /** What a former process has left, before the store is started. */
-    Found read(Duration now) {
+    RecoveredReplica read(Duration now) {
         Map<String, ReplicaEntry> entries = new TreeMap<>();
         Replica.ReplicaSnapshot[] place = {null};
-        Place[] with = {Place.NONE};
+        ReplicaMetadata[] with = {ReplicaMetadata.NONE};
         long[] number = {0};
         long storeNow = store.nowMillis();
         boolean[] good = {store.incompleteUntilMillis() <= storeNow};
         try {
             store.forEachValue(
-                    ENTRIES,
+                    ENTRY_KEY_PREFIX,
                     (key, value, expires) -> {
                         try (CBORParser in = CBOR.createParser(value)) {
-                            PacketCodec.start(in);
-                            number[0] = Math.max(number[0], PacketCodec.number(in));
-                            if (key.length == PLACE.length && key[1] == PLACE[1]) {
+                            PacketCodec.readStartArray(in);
+                            number[0] = Math.max(number[0], PacketCodec.readLong(in));
+                            if (key.length == METADATA_KEY.length && key[1] == METADATA_KEY[1]) {
                                 place[0] =
                                         new Replica.ReplicaSnapshot(
                                                 ReplicationCodec.layout(in),
@@ -98,12 +98,12 @@
                                                 0,
                                                 true);
                                 with[0] =
-                                        new Place(
+                                        new ReplicaMetadata(
                                                 ReplicationCodec.heard(in),
                                                 PacketCodec.numbers(in));
                                 return;
                             }
-                            PacketCodec.start(in);
+                            PacketCodec.readStartArray(in);
                             ReplicationMessage.TransferredEntry item = ReplicationCodec.item(in);
                             entries.put(
                                     item.token(),
@@ -136,11 +136,11 @@
                                 place[0].unreliableRanges(),
                                 number[0],
                                 true);
-        return new Found(disk, entries, number[0], with[0]);
+        return new RecoveredReplica(disk, entries, number[0], with[0]);
     }
 
     private static Set<Integer> ranges(CBORParser in) throws IOException {
-        return new HashSet<>(PacketCodec.list(in, in::getIntValue));
+        return new HashSet<>(PacketCodec.readList(in, in::getIntValue));
     }
 
     private static void ranges(CBORGenerator to, Set<Integer> ranges) throws IOException {
@@ -165,13 +165,13 @@
     void write(
             DurabilityBarrier.PendingWrite write,
             Replica keeper,
-            Place with,
+            ReplicaMetadata with,
             Duration now,
             Consumer<Boolean> then) {
         if (write.token() == null) {
             Replica.ReplicaSnapshot place = keeper.metadataSnapshot();
             store.put(
-                    PLACE,
+                    METADATA_KEY,
                     NONE,
                     bytes(
                             to -> {
@@ -180,8 +180,8 @@
                                 ranges(to, place.laggingRanges());
                                 ranges(to, place.forgottenRanges());
                                 ranges(to, place.unreliableRanges());
-                                ReplicationCodec.heard(to, with.heard());
-                                PacketCodec.numbers(to, with.starts());
+                                ReplicationCodec.heard(to, with.observedChangeNumbers());
+                                PacketCodec.numbers(to, with.incarnations());
                             }),
                     store.nowMillis() + longest.toMillis() - 1,
                     false,
@@ -192,7 +192,7 @@
         long number = keeper.changeNumber(write.token());
         Duration left = entry.expiresAt().minus(now);
         store.put(
-                key(ENTRIES, write.token()),
+                key(ENTRY_KEY_PREFIX, write.token()),
                 NONE,
                 bytes(
                         to -> {
@@ -210,7 +210,7 @@
     }
 
     /** Keeps a long result as long as its entry. */
-    void keep(
+    void storeResult(
             String token,
             ClaimId id,
             byte[] result,
@@ -218,7 +218,7 @@
             Duration now,
             Consumer<Boolean> then) {
         store.put(
-                key(RESULTS, token + ' ' + id),
+                key(RESULT_KEY_PREFIX, token + ' ' + id),
                 NONE,
                 result,
                 expires(until, now),
@@ -226,16 +226,16 @@
                 ack -> then.accept(ack == AppendResult.DURABLE));
     }
 
-    void result(String token, ClaimId id, Consumer<byte[]> then) {
-        store.read(key(RESULTS, token + ' ' + id), then);
+    void readResult(String token, ClaimId id, Consumer<byte[]> then) {
+        store.read(key(RESULT_KEY_PREFIX, token + ' ' + id), then);
     }
 
     @FunctionalInterface
-    private interface Writes {
+    private interface ValueWriter {
         void to(CBORGenerator out) throws IOException;
     }
 
-    private static byte[] bytes(Writes writes) {
+    private static byte[] bytes(ValueWriter writes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (CBORGenerator to = CBOR.createGenerator(out)) {
             to.writeStartArray();
@@ -251,15 +251,16 @@
      * What a key of these spaces is about, for those who look at a store from outside; null for a
      * key of another space.
      */
-    public static String about(byte[] key) {
-        if (key.length < PLACE.length || key[0] != ENTRIES && key[0] != RESULTS) {
+    public static String describeKey(byte[] key) {
+        if (key.length < METADATA_KEY.length
+                || key[0] != ENTRY_KEY_PREFIX && key[0] != RESULT_KEY_PREFIX) {
             return null;
         }
         String text = new String(key, 1, key.length - 1, StandardCharsets.UTF_8);
-        if (key[0] == RESULTS) {
+        if (key[0] == RESULT_KEY_PREFIX) {
             return "a long result kept for the fleet: " + text;
         }
-        return key.length == PLACE.length && key[1] == PLACE[1]
+        return key.length == METADATA_KEY.length && key[1] == METADATA_KEY[1]
                 ? "this server's place in its fleet"
                 : "kept for the fleet: " + text;
     }
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -46,27 +46,27 @@
  */
 public final class ReplicationService {
     private static final Logger LOG = Logger.getLogger(ReplicationService.class.getName());
-    private static final Duration TICK = Duration.ofMillis(20);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
     /** Voters tell all others what is in force, and ask and attempt, at spans moved by chance. */
-    private static final Duration SPEAK = Duration.ofMillis(500);
+    private static final Duration PROGRESS_REPORT_INTERVAL = Duration.ofMillis(500);
 
     /** Servers that each voter tells of the epoch each time: who has missed it says so itself. */
     private static final int TELLS = 4;
 
     /** An attempt that is not agreed on by then is made again. */
-    private static final Duration ATTEMPT = Duration.ofSeconds(1);
+    private static final Duration PROPOSAL_RETRY_INTERVAL = Duration.ofSeconds(1);
 
     /** One of so many ticks compares a range with another keeper. */
     private static final int COMPARES = 25;
 
     /** Results that were asked for here lately, and are answered from here. */
-    private static final int NEAR = 1_000;
+    private static final int MAX_LOCAL_OUTCOMES = 1_000;
 
-    private static final int WRITES = 64;
+    private static final int MAX_QUEUED_WRITES = 64;
 
     /** Starts with one disk that are remembered. */
-    private static final int STARTS = 64;
+    private static final int MAX_REMEMBERED_INCARNATIONS = 64;
 
     /**
      * Who is there is looked up so often, and the place on the disk is written anew at least so
@@ -77,7 +77,7 @@
     private static final Duration PLACES = Duration.ofSeconds(1);
 
     /** Conflicts that get a line each, with both sides. */
-    private static final int CONFLICT_LINES = 20;
+    private static final int MAX_CONFLICT_LOG_LINES = 20;
 
     private final Scheduler schedule;
     private final ReplicationSettings settings;
@@ -95,12 +95,13 @@
     /** Null where nothing outlives a restart. */
     private final ReplicaStorage disk;
 
-    private final ReplicaStorage.Found found;
+    private final ReplicaStorage.RecoveredReplica found;
     private final List<Long> starts;
     private final Replica.ReplicaLimits bounds;
     private final AcceptorFile file;
     private final BackgroundWriter writer;
-    private final Map<String, ClaimOutcome> near = BoundedMap.evictingLeastRecentlyUsed(NEAR);
+    private final Map<String, ClaimOutcome> near =
+            BoundedMap.evictingLeastRecentlyUsed(MAX_LOCAL_OUTCOMES);
     private final Metrics.Counter asked;
     private final Metrics.Counter granted;
     private final Metrics.Counter replayed;
@@ -142,11 +143,11 @@
     private boolean wasBehind;
     private boolean wasSick;
     private Duration behindSince;
-    private volatile Figures figures =
-            new Figures(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+    private volatile ReplicationFigures figures =
+            new ReplicationFigures(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
     /** What is told of it at a time; one piece, since it is read from another thread. */
-    private record Figures(
+    private record ReplicationFigures(
             long epoch,
             int behind,
             int entries,
@@ -192,7 +193,7 @@
         this.send = send;
         this.modes = new ClaimModes(settings.modes(), longest, schedule.now());
         this.view = view;
-        this.wish = new PlacementPlanner(settings.calm(), longest, settings.factor());
+        this.wish = new PlacementPlanner(settings.calm(), longest, settings.replicationFactor());
         boolean votes = settings.voters().contains(name);
         file = votes ? new AcceptorFile(settings.voterFile()) : null;
         durable = votes ? file.read() : null;
@@ -202,23 +203,27 @@
                                 name,
                                 Set.copyOf(settings.voters()),
                                 durable,
-                                settings.factor(),
+                                settings.replicationFactor(),
                                 false,
                                 chance.nextLong())
                         : null;
-        writer = votes ? new BackgroundWriter("voter", WRITES) : null;
+        writer = votes ? new BackgroundWriter("voter", MAX_QUEUED_WRITES) : null;
         bounds =
                 new Replica.ReplicaLimits(
-                        settings.most(), settings.mostBytes(), settings.catchUp(), longest);
+                        settings.maxEntries(),
+                        settings.maxBytes(),
+                        settings.antiEntropyBytesPerSecond(),
+                        longest);
         disk = store == null ? null : new ReplicaStorage(store, longest);
         found =
                 disk == null
-                        ? new ReplicaStorage.Found(null, Map.of(), 0, ReplicaStorage.Place.NONE)
+                        ? new ReplicaStorage.RecoveredReplica(
+                                null, Map.of(), 0, ReplicaStorage.ReplicaMetadata.NONE)
                         : disk.read(schedule.now());
-        shelf = new ResultCache(disk, settings.mostBytes() / 2);
+        shelf = new ResultCache(disk, settings.maxBytes() / 2);
         commit = new DurabilityBarrier(chance);
-        if (found.disk() != null) {
-            keeper = new Replica(name, found.disk(), null, bounds, 0, schedule.now());
+        if (found.snapshot() != null) {
+            keeper = new Replica(name, found.snapshot(), null, bounds, 0, schedule.now());
             epochNow = keeper.placement().epoch();
             LOG.info(
                     () ->
@@ -235,11 +240,11 @@
                         name,
                         start,
                         keeper == null
-                                ? ReplicaPlacement.empty(settings.factor())
+                                ? ReplicaPlacement.empty(settings.replicationFactor())
                                 : keeper.placement(),
                         chance);
-        claims.restoreChangeNumbers(found.place().heard());
-        starts = starts(found.place().starts(), start);
+        claims.restoreChangeNumbers(found.metadata().observedChangeNumbers());
+        starts = starts(found.metadata().incarnations(), start);
         asked =
                 metrics.counter(
                         "fleet_claims_total", "Tokened invocations whose claim was asked for");
@@ -283,7 +288,8 @@
     private static List<Long> starts(List<Long> former, long start) {
         List<Long> all = new ArrayList<>(former);
         all.add(start);
-        return List.copyOf(all.subList(Math.max(0, all.size() - STARTS), all.size()));
+        return List.copyOf(
+                all.subList(Math.max(0, all.size() - MAX_REMEMBERED_INCARNATIONS), all.size()));
     }
 
     private void figures(Metrics metrics) {
@@ -356,13 +362,13 @@
     }
 
     /** Versions go by the epochs of these copies. */
-    void bring(RolloutService all) {
+    void attachRollout(RolloutService all) {
         versions = all;
     }
 
     void start() {
         if (versions != null && epochNow > 0) {
-            versions.become(claims.placement());
+            versions.adoptPlacement(claims.placement());
         }
         if (voter != null && epochNow > 0) {
             voter.receive(name, new ConsensusMessage.Committed(claims.placement()));
@@ -374,7 +380,7 @@
     }
 
     /** Another bears this server's name: nothing that it says may count. */
-    void silence() {
+    void stopSending() {
         silent = true;
     }
 
@@ -400,16 +406,21 @@
         if (keeper != null) {
             tick(now);
         }
-        if (now.minus(spoken).compareTo(SPEAK) >= 0) {
+        if (now.minus(spoken).compareTo(PROGRESS_REPORT_INTERVAL) >= 0) {
             spoken =
-                    now.minus(Duration.ofNanos((long) (SPEAK.toNanos() / 2 * chance.nextDouble())));
+                    now.minus(
+                            Duration.ofNanos(
+                                    (long)
+                                            (PROGRESS_REPORT_INTERVAL.toNanos()
+                                                    / 2
+                                                    * chance.nextDouble())));
             stand();
             if (voter != null) {
                 vote(now);
             }
         }
         carryOut();
-        schedule.after(TICK, this::tick);
+        schedule.after(TICK_INTERVAL, this::tick);
     }
 
     /**
@@ -459,7 +470,7 @@
 
     private void figures(Duration now) {
         figures =
-                new Figures(
+                new ReplicationFigures(
                         epochNow,
                         keeper.laggingRangeCount(),
                         keeper.entryCount(),
@@ -523,7 +534,7 @@
 
     private void conflicts() {
         for (String token : keeper.takeConflictingTokens()) {
-            if (++conflictLines > CONFLICT_LINES) {
+            if (++conflictLines > MAX_CONFLICT_LOG_LINES) {
                 return;
             }
             LOG.severe(
@@ -567,7 +578,7 @@
                 }
             }
         }
-        if (voter.isProposing() && now.minus(attempted).compareTo(ATTEMPT) < 0) {
+        if (voter.isProposing() && now.minus(attempted).compareTo(PROPOSAL_RETRY_INTERVAL) < 0) {
             return;
         }
         wish.nextPlacement(voter.committed(), servers, now)
@@ -575,7 +586,7 @@
                         () ->
                                 versions == null || voter.committed().epoch() == 0
                                         ? Optional.empty()
-                                        : versions.next(voter.committed()))
+                                        : versions.nextPlacement(voter.committed()))
                 .ifPresent(
                         layout -> {
                             attempted = now;
@@ -588,14 +599,14 @@
             return;
         }
         if (to.equals(name)) {
-            schedule.post(() -> received(name, message));
+            schedule.post(() -> receive(name, message));
         } else {
             send.accept(to, message);
         }
     }
 
     /** Another server's word, under the name that it bears in the view. */
-    void received(String from, Object message) {
+    void receive(String from, Object message) {
         if (closed || silent) {
             return;
         }
@@ -622,7 +633,7 @@
             }
         } else if (message instanceof RolloutMessage word) {
             if (versions != null) {
-                versions.received(from, word);
+                versions.receive(from, word);
             }
         } else if (message instanceof ReplicationMessage word) {
             if (word instanceof ReplicationMessage.RangeRequest fetch
@@ -669,7 +680,7 @@
         if (keeper == null) {
             // A number over all that it has ever told, as long as the Unix clock is not set back;
             // if it is, its next start finds its disk old, without harm.
-            long first = Math.max(found.number() + 1, System.currentTimeMillis() * 1000);
+            long first = Math.max(found.changeNumber() + 1, System.currentTimeMillis() * 1000);
             keeper = new Replica(name, null, layout, bounds, first, now);
             found.entries().forEach((token, entry) -> keeper.restore(token, entry));
         } else {
@@ -677,7 +688,7 @@
         }
         claims.adoptPlacement(layout, now);
         if (versions != null) {
-            versions.become(claims.placement());
+            versions.adoptPlacement(claims.placement());
         }
     }
 
@@ -697,7 +708,7 @@
         Duration now = schedule.now();
         for (ChunkAssembler.AssembledResult whole : keeper.takeAssembledResults()) {
             Duration until = keeper.entry(whole.token()).expiresAt();
-            shelf.keep(
+            shelf.put(
                     whole.token(),
                     whole.claimId(),
                     whole.result(),
@@ -738,10 +749,11 @@
     }
 
     private void write(DurabilityBarrier.PendingWrite write) {
-        ReplicaStorage.Place with =
+        ReplicaStorage.ReplicaMetadata with =
                 write.token() != null
-                        ? ReplicaStorage.Place.NONE
-                        : new ReplicaStorage.Place(claims.observedChangeNumbers(), starts);
+                        ? ReplicaStorage.ReplicaMetadata.NONE
+                        : new ReplicaStorage.ReplicaMetadata(
+                                claims.observedChangeNumbers(), starts);
         disk.write(
                 write,
                 keeper,
@@ -759,7 +771,7 @@
     }
 
     /** What former processes have left is told by this. */
-    public void remembers(PreviousIncarnation told) {
+    public void usePreviousIncarnation(PreviousIncarnation told) {
         former = told;
     }
 
@@ -773,27 +785,27 @@
         boolean mine =
                 id.server().equals(name)
                         && id.incarnation() != start
-                        && found.place().starts().contains(id.incarnation());
+                        && found.metadata().incarnations().contains(id.incarnation());
         boolean proves =
                 former != null
-                        && found.disk() != null
+                        && found.snapshot() != null
                         && keeper != null
                         && !keeper.isCheckingDisk()
                         && keeper.staleDisks() == 0;
         if (!mine || !proves || !ReplicationCodec.tokenFits(whether.token())) {
             return;
         }
-        former.ask(
+        former.lookUp(
                 whether.token(),
                 known -> {
                     if (closed) {
                         return;
                     }
                     Duration now = schedule.now();
-                    if (known.kind() == PreviousIncarnation.Kind.NEVER) {
+                    if (known.kind() == PreviousIncarnation.Finding.NEVER) {
                         settledNever.add();
                         claims.releaseClaim(whether.token(), id, now.plus(longest), now);
-                    } else if (known.kind() == PreviousIncarnation.Kind.ENDED) {
+                    } else if (known.kind() == PreviousIncarnation.Finding.ENDED) {
                         settledEnds.add();
                         ClaimOutcome outcome = outcome(known.body(), known.result());
                         claims.reportPreviousOutcome(
@@ -831,7 +843,7 @@
         if (own != null) {
             piece(from, want, own);
         } else {
-            shelf.result(want.token(), want.claimId(), result -> piece(from, want, result));
+            shelf.get(want.token(), want.claimId(), result -> piece(from, want, result));
         }
     }
 
@@ -861,7 +873,7 @@
         }
         handed = promised;
         boolean taken =
-                writer.take(
+                writer.submit(
                         () -> {
                             try {
                                 file.write(promised);
@@ -906,8 +918,8 @@
     }
 
     /** What the operators' commands are told. */
-    ReplicationStatusJson told() {
-        return new ReplicationStatusJson(new Inside());
+    ReplicationStatusJson statusJson() {
+        return new ReplicationStatusJson(new StatusView());
     }
 
     /**
@@ -923,7 +935,7 @@
     }
 
     /** What there is to tell of. */
-    final class Inside {
+    final class StatusView {
         String name() {
             return name;
         }
@@ -960,7 +972,7 @@
     /**
      * What a request asks for, as claims and ends name it: its operation and a hash of its body.
      */
-    public static String body(String operation, byte[] hash) {
+    public static String requestFingerprint(String operation, byte[] hash) {
         return operation + ' ' + HexFormat.of().formatHex(hash);
     }
 
@@ -1014,11 +1026,11 @@
                 due,
                 windowEnds,
                 began,
-                verdict -> told(token, began, windowEnds, verdict, then));
+                verdict -> statusJson(token, began, windowEnds, verdict, then));
         carryOut();
     }
 
-    private void told(
+    private void statusJson(
             String token,
             Duration began,
             Duration windowEnds,
@@ -1052,7 +1064,7 @@
     }
 
     /** A claimed run has never begun: its token is free again. */
-    public void neverRan(ClaimId claim, Duration windowEnds) {
+    public void releaseClaim(ClaimId claim, Duration windowEnds) {
         claims.releaseClaim(claim, windowEnds, schedule.now());
         carryOut();
     }
@@ -1063,7 +1075,7 @@
      *
      * @param result null where it did not succeed
      */
-    public void ended(
+    public void reportOutcome(
             ClaimId claim,
             String body,
             byte[] result,
--- a/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
@@ -10,23 +10,23 @@
  *
  * @param voters names of the servers that agree on epochs, the same everywhere
  * @param voterFile where this server keeps what it has promised, if it is a voter; null otherwise
- * @param factor keepers of each token
- * @param most entries that this server keeps
- * @param mostBytes of those entries, as reckoned, and half as much for long results that are kept
- *     in memory
+ * @param replicationFactor keepers of each token
+ * @param maxEntries entries that this server keeps
+ * @param maxBytes of those entries, as reckoned, and half as much for long results that are kept in
+ *     memory
  * @param calm how long a server is there, or gone, before it is taken in or out
- * @param catchUp bytes a second that are fetched by one that catches up, and as many that are sent
- *     to others who do
+ * @param antiEntropyBytesPerSecond bytes a second that are fetched by one that catches up, and as
+ *     many that are sent to others who do
  * @param versions how versions are brought out, or null
  * @param modes which operations run once in the fleet
  */
 public record ReplicationSettings(
         List<String> voters,
         Path voterFile,
-        int factor,
-        int most,
-        long mostBytes,
+        int replicationFactor,
+        int maxEntries,
+        long maxBytes,
         Duration calm,
-        long catchUp,
+        long antiEntropyBytesPerSecond,
         ClaimModes.ClaimModeSettings modes,
         RolloutSettings versions) {}
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -19,9 +19,9 @@
     /** Tokens of a range that are listed: an answer has a bound. */
     private static final int MOST_TOKENS = 5_000;
 
-    private final ReplicationService.Inside inside;
+    private final ReplicationService.StatusView inside;
 
-    ReplicationStatusJson(ReplicationService.Inside inside) {
+    ReplicationStatusJson(ReplicationService.StatusView inside) {
         this.inside = inside;
     }
 
--- a/src/main/java/ochretiller/fleet/service/ResultCache.java
+++ b/src/main/java/ochretiller/fleet/service/ResultCache.java
@@ -14,23 +14,23 @@
  */
 final class ResultCache {
     /** Characters of results read lately: a repeat fetches one piece by piece. */
-    private static final long LATELY = 2L << 20;
+    private static final long MAX_CACHED_BYTES = 2L << 20;
 
     /** Null where all is kept in memory. */
     private final ReplicaStorage disk;
 
-    private final long most;
-    private final Map<String, Held> held = new LinkedHashMap<>(16, 0.75f, true);
+    private final long maxBytes;
+    private final Map<String, CachedResult> held = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
-    private record Held(String result, Duration until) {}
+    private record CachedResult(String result, Duration until) {}
 
     /**
      * @param most bytes that are kept in memory where there is no disk
      */
     ResultCache(ReplicaStorage disk, long most) {
         this.disk = disk;
-        this.most = disk == null ? most : LATELY;
+        this.maxBytes = disk == null ? most : MAX_CACHED_BYTES;
     }
 
     private static String name(String token, ClaimId id) {
@@ -38,16 +38,17 @@
     }
 
     private void hold(String token, ClaimId id, String result, Duration until) {
-        Held old = held.put(name(token, id), new Held(result, until));
+        CachedResult old = held.put(name(token, id), new CachedResult(result, until));
         bytes += result.length() - (old == null ? 0 : old.result.length());
-        for (Iterator<Held> each = held.values().iterator(); bytes > most && each.hasNext(); ) {
+        for (Iterator<CachedResult> each = held.values().iterator();
+                bytes > maxBytes && each.hasNext(); ) {
             bytes -= each.next().result.length();
             each.remove();
         }
     }
 
     /** Keeps it; told whether that will outlive what this server promises to outlive. */
-    void keep(
+    void put(
             String token,
             ClaimId id,
             String result,
@@ -65,7 +66,7 @@
                                 return true;
                             });
             // In memory nothing that is kept makes way for what comes.
-            if (bytes + result.length() > most) {
+            if (bytes + result.length() > maxBytes) {
                 then.accept(false);
                 return;
             }
@@ -73,7 +74,7 @@
             then.accept(true);
             return;
         }
-        disk.keep(
+        disk.storeResult(
                 token,
                 id,
                 result.getBytes(StandardCharsets.ISO_8859_1),
@@ -88,13 +89,13 @@
     }
 
     /** The result, or null where it is not kept here. */
-    void result(String token, ClaimId id, Consumer<String> then) {
-        Held known = held.get(name(token, id));
+    void get(String token, ClaimId id, Consumer<String> then) {
+        CachedResult known = held.get(name(token, id));
         if (known != null || disk == null) {
             then.accept(known == null ? null : known.result);
             return;
         }
-        disk.result(
+        disk.readResult(
                 token,
                 id,
                 read -> {
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -45,20 +45,20 @@
  */
 public final class RolloutService {
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
-    private static final Duration SPEAK = Duration.ofMillis(500);
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
     /** Versions whose bytes are kept in the folder, and whose counts are kept. */
-    private static final int KEPT = 8;
+    private static final int MAX_CACHED_VERSIONS = 8;
 
-    private static final int WRITES = 16;
+    private static final int MAX_QUEUED_WRITES = 16;
 
     /** A person's word that is not agreed on by then is forgotten: it has to be said again. */
-    private static final Duration WISHES = Duration.ofSeconds(10);
+    private static final Duration PROPOSAL_LIFETIME = Duration.ofSeconds(10);
 
     /** Between two looks at where another's audit ends. */
-    private static final Duration WITNESSES = Duration.ofSeconds(10);
+    private static final Duration WITNESS_INTERVAL = Duration.ofSeconds(10);
 
-    private static final int MOST_WITNESSED = 4_096;
+    private static final int MAX_WITNESSED_SERVERS = 4_096;
     private static final String SUFFIX = ".version";
 
     private final Scheduler schedule;
@@ -69,18 +69,20 @@
     private final RandomGenerator chance;
     private final BiConsumer<String, Object> send;
     private final Supplier<List<MemberSnapshot>> view;
-    private final Acts acts;
-    private final BackgroundWriter writes = new BackgroundWriter("versions", WRITES);
+    private final VersionActivator acts;
+    private final BackgroundWriter writes = new BackgroundWriter("versions", MAX_QUEUED_WRITES);
     private final SealedFile state;
     private final VersionDownload gather;
     private final Lease lease;
     private final LeaseGrantor doorkeeper;
     private final RolloutController rollouts;
-    private final Map<String, byte[]> bytes = BoundedMap.evictingLeastRecentlyUsed(KEPT);
-    private final Map<Long, VersionCounters> counts = BoundedMap.evictingOldest(KEPT);
+    private final Map<String, byte[]> bytes =
+            BoundedMap.evictingLeastRecentlyUsed(MAX_CACHED_VERSIONS);
+    private final Map<Long, VersionCounters> counts =
+            BoundedMap.evictingOldest(MAX_CACHED_VERSIONS);
     private final Map<String, VersionReport> reports = new HashMap<>();
     private ReplicaPlacement layout = ReplicaPlacement.empty(1);
-    private RolloutState.PublishedVersion acting = RolloutState.PublishedVersion.NONE;
+    private RolloutState.PublishedVersion activeVersion = RolloutState.PublishedVersion.NONE;
     private long refused;
     private String why = "";
     private RolloutState wished;
@@ -91,7 +93,7 @@
     private RolloutState offered;
 
     private final Map<String, Duration> witnessed =
-            BoundedMap.evictingLeastRecentlyUsed(MOST_WITNESSED);
+            BoundedMap.evictingLeastRecentlyUsed(MAX_WITNESSED_SERVERS);
     private final Set<String> have = new HashSet<>();
 
     /** Bytes that another voter offers, and who that is. */
@@ -106,7 +108,7 @@
     private volatile double leaseLeft;
 
     /** What acts on a version: the server round this. */
-    public interface Acts {
+    public interface VersionActivator {
         /** What is wrong with it, or null; nothing is changed by it. From any thread. */
         String check(byte[] version);
 
@@ -120,11 +122,11 @@
         HashChain.ChainHead audited();
 
         /** Something happened that is to be remembered. */
-        void told(What what, RolloutState.PublishedVersion version, String text);
+        void told(RolloutEvent what, RolloutState.PublishedVersion version, String text);
     }
 
     /** What happened. */
-    public enum What {
+    public enum RolloutEvent {
         CHANGED,
         REFUSED,
         SHUT_OUT,
@@ -144,7 +146,7 @@
             Metrics metrics,
             BiConsumer<String, Object> send,
             Supplier<List<MemberSnapshot>> view,
-            Acts acts) {
+            VersionActivator acts) {
         this.schedule = schedule;
         this.settings = settings;
         this.name = name;
@@ -157,9 +159,12 @@
         gather = new VersionDownload(chance);
         taken = new VersionDownload(chance);
         lease = new Lease(Set.copyOf(voters), settings.lease(), chance.nextLong() >>> 16);
-        doorkeeper = new LeaseGrantor(settings.grace(), chance);
+        doorkeeper = new LeaseGrantor(settings.fencingGrace(), chance);
         rollouts =
-                new RolloutController(settings.watch(), settings.patience(), settings.takesBack());
+                new RolloutController(
+                        settings.observationTime(),
+                        settings.stageTimeout(),
+                        settings.rollsBackAutomatically());
         state = new SealedFile(settings.folder().resolve("acting"));
         read();
         metrics.gauge("fleet_version", "The version that this server acts on", () -> actingNow);
@@ -184,14 +189,14 @@
                                     ? new byte[0]
                                     : Files.readAllBytes(each);
                     // Others may still need those that this server did not come to act on.
-                    if (each.equals(file(hash(all)))) {
-                        bytes.put(hash(all), all);
+                    if (each.equals(file(hashOf(all)))) {
+                        bytes.put(hashOf(all), all);
                     }
                 }
             }
             RolloutState.PublishedVersion before = state.read(ReplicationCodec::version);
             if (before == null || before.usesLocalFiles()) {
-                acting = before == null ? RolloutState.PublishedVersion.NONE : before;
+                activeVersion = before == null ? RolloutState.PublishedVersion.NONE : before;
                 return;
             }
             byte[] all = bytes.get(before.hash());
@@ -204,7 +209,7 @@
                                 + fault);
                 return;
             }
-            acting = before;
+            activeVersion = before;
             actingNow = before.number();
         } catch (IOException e) {
             LOG.warning(
@@ -217,7 +222,7 @@
     }
 
     /** SHA-256, in hex. */
-    static String hash(byte[] all) {
+    static String hashOf(byte[] all) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(all));
         } catch (NoSuchAlgorithmException e) {
@@ -226,25 +231,25 @@
     }
 
     /** The version that this server acts on: an invocation that is read now is bound to it. */
-    public long acting() {
-        return acting.number();
+    public long activeVersion() {
+        return activeVersion.number();
     }
 
     /**
      * Looked at last, just before a keyed run is begun: whether this server may act on what it acts
      * on.
      */
-    public boolean may() {
+    public boolean isAllowedToServe() {
         return settings.lease().isZero() || lease.isHeld(schedule.exact());
     }
 
     /** What became of an invocation that was read under this version. */
-    public void count(long version, VersionCounters one) {
+    public void recordOutcome(long version, VersionCounters one) {
         counts.merge(version, one, VersionCounters::plus);
     }
 
     /** An epoch is in force. */
-    void become(ReplicaPlacement next) {
+    void adoptPlacement(ReplicaPlacement next) {
         if (next.epoch() <= layout.epoch() && !layout.servers().isEmpty()) {
             return;
         }
@@ -263,7 +268,7 @@
                                             + ", "
                                             + rollout.phase().externalName());
             LOG.info("fleet: " + text + ": " + rollout.target().reason());
-            acts.told(What.ROLLOUT, rollout.target(), text);
+            acts.told(RolloutEvent.ROLLOUT, rollout.target(), text);
         }
         if (rollout.equals(wished)) {
             wished = null;
@@ -274,7 +279,7 @@
     /** Acts on what is in force for this server, or fetches it. */
     private void follow() {
         RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
-        if (target.number() == acting.number() && target.hash().equals(acting.hash())
+        if (target.number() == activeVersion.number() && target.hash().equals(activeVersion.hash())
                 || target.number() == refused) {
             return;
         }
@@ -284,22 +289,22 @@
             return;
         }
         String fault =
-                !target.minimumBuild().isEmpty() && older(build, target.minimumBuild())
+                !target.minimumBuild().isEmpty() && isOlderBuild(build, target.minimumBuild())
                         ? "this build is " + build + ", and it needs " + target.minimumBuild()
                         : acts.become(all);
         if (fault != null) {
             refused = target.number();
             why = fault.substring(0, Math.min(fault.length(), VersionReport.MAX_REASON_LENGTH));
             LOG.severe("fleet: version " + target.number() + " is refused: " + fault);
-            acts.told(What.REFUSED, target, why);
+            acts.told(RolloutEvent.REFUSED, target, why);
             return;
         }
-        acting = target;
+        activeVersion = target;
         actingNow = target.number();
         why = "";
         LOG.info("fleet: acts on version " + target.number());
-        acts.told(What.CHANGED, target, "");
-        writes.take(
+        acts.told(RolloutEvent.CHANGED, target, "");
+        writes.submit(
                 () -> {
                     try {
                         state.write(to -> ReplicationCodec.version(to, target));
@@ -315,7 +320,7 @@
      * Whether one build is older than another: numbers by their size, what is behind them as text;
      * one that has no numbers is older.
      */
-    static boolean older(String mine, String least) {
+    static boolean isOlderBuild(String mine, String least) {
         String[] a = mine.split("[.-]");
         String[] b = least.split("[.-]");
         for (int i = 0; i < Math.min(a.length, b.length); i++) {
@@ -340,8 +345,8 @@
     private void keep(String hash, byte[] all, Runnable then) {
         bytes.put(hash, all);
         Set<String> needed = new HashSet<>(bytes.keySet());
-        needed.add(acting.hash());
-        writes.take(
+        needed.add(activeVersion.hash());
+        writes.submit(
                 () -> {
                     try {
                         SealedFile.replace(file(hash), all);
@@ -371,7 +376,7 @@
             send.accept(ask.recipient(), ask.request());
         }
         take(now);
-        boolean out = !may();
+        boolean out = !isAllowedToServe();
         if (out != wasOut
                 && !lease.expiresAt().isZero()) { // a start has none yet, and says nothing of that
             LOG.warning(
@@ -380,15 +385,18 @@
                                     + " throttled"
                             : "fleet: this server's lease holds: keyed work is let in");
             acts.told(
-                    out ? What.SHUT_OUT : What.LET_IN,
-                    acting,
+                    out ? RolloutEvent.SHUT_OUT : RolloutEvent.LET_IN,
+                    activeVersion,
                     out ? "its lease has ended" : "its lease holds");
         }
         wasOut = out;
-        if (now.minus(spoken).compareTo(SPEAK) < 0) {
+        if (now.minus(spoken).compareTo(REPORT_INTERVAL) < 0) {
             return;
         }
-        spoken = now.minus(Duration.ofNanos((long) (SPEAK.toNanos() / 4 * chance.nextDouble())));
+        spoken =
+                now.minus(
+                        Duration.ofNanos(
+                                (long) (REPORT_INTERVAL.toNanos() / 4 * chance.nextDouble())));
         leaseLeft = Math.max(0, lease.expiresAt().minus(now).toNanos() / 1e9);
         if (offered != null) {
             offer();
@@ -401,7 +409,7 @@
                         acts.audited().hash());
         for (String each : voters) {
             if (each.equals(name)) {
-                received(name, tell);
+                receive(name, tell);
             } else {
                 send.accept(each, tell);
             }
@@ -416,8 +424,8 @@
                         ? VersionCounters.ZERO
                         : counts.getOrDefault(rollout.previous().number(), VersionCounters.ZERO);
         return new VersionReport(
-                acting.number(),
-                acting.hash(),
+                activeVersion.number(),
+                activeVersion.hash(),
                 refused,
                 why,
                 rollout.target().number(),
@@ -451,7 +459,7 @@
         return near;
     }
 
-    void received(String from, RolloutMessage message) {
+    void receive(String from, RolloutMessage message) {
         if (closed) {
             return;
         }
@@ -496,7 +504,7 @@
                     .ifPresent(
                             all -> {
                                 String by = offeredBy;
-                                if (hash(all).equals(piece.hash())) {
+                                if (hashOf(all).equals(piece.hash())) {
                                     keep(
                                             piece.hash(),
                                             all,
@@ -513,7 +521,7 @@
             gather.accept(piece, now)
                     .ifPresent(
                             all -> {
-                                if (!hash(all).equals(piece.hash())) {
+                                if (!hashOf(all).equals(piece.hash())) {
                                     gather.discardCorrupt(now);
                                     return;
                                 }
@@ -534,13 +542,13 @@
         Duration last = witnessed.get(from);
         if (tell.auditRecordNumber() == 0
                 || from.equals(name)
-                || last != null && now.minus(last).compareTo(WITNESSES) < 0) {
+                || last != null && now.minus(last).compareTo(WITNESS_INTERVAL) < 0) {
             return;
         }
         witnessed.put(from, now);
         acts.told(
-                What.WITNESSED,
-                acting,
+                RolloutEvent.WITNESSED,
+                activeVersion,
                 from + ' ' + tell.auditRecordNumber() + ' ' + tell.auditHash());
     }
 
@@ -589,7 +597,7 @@
      * What this voter wishes to have agreed on: a person's word first, then what follows from what
      * is seen.
      */
-    Optional<ReplicaPlacement> next(ReplicaPlacement agreed) {
+    Optional<ReplicaPlacement> nextPlacement(ReplicaPlacement agreed) {
         Set<String> live = new HashSet<>();
         for (MemberSnapshot each : view.get()) {
             if (each.member().state().isLive()) {
@@ -629,7 +637,7 @@
             next =
                     new RolloutState.PublishedVersion(
                             rollout.target().number() + 1,
-                            hash(all),
+                            hashOf(all),
                             all.length,
                             leastBuild,
                             by,
@@ -647,19 +655,19 @@
                     if (offered != mine) {
                         return;
                     }
-                    received(name, new RolloutMessage.VersionStored(next.hash()));
+                    receive(name, new RolloutMessage.VersionStored(next.hash()));
                     if (offered == mine) {
                         offer();
                     }
                 });
         schedule.after(
-                WISHES,
+                PROPOSAL_LIFETIME,
                 () -> {
                     if (offered == mine) {
                         offered = null; // no majority of voters is there
                     }
                 });
-        acts.told(What.PUBLISHED, next, by + ": " + reason);
+        acts.told(RolloutEvent.PUBLISHED, next, by + ": " + reason);
         return JsonText.object(to -> to.writeNumberField("published", next.number()));
     }
 
@@ -668,7 +676,7 @@
         // Guards against a wish that somebody else's epoch has overtaken: it is a person's word,
         // and said again by them.
         schedule.after(
-                WISHES,
+                PROPOSAL_LIFETIME,
                 () -> {
                     if (next.equals(wished)) {
                         wished = null;
@@ -722,8 +730,8 @@
         return JsonText.object(
                 to -> {
                     to.writeStringField("name", name);
-                    to.writeNumberField("acts", acting.number());
-                    to.writeStringField("hash", acting.hash());
+                    to.writeNumberField("acts", activeVersion.number());
+                    to.writeStringField("hash", activeVersion.hash());
                     to.writeNumberField("version", rollout.target().number());
                     to.writeNumberField("before", rollout.previous().number());
                     to.writeStringField("why", rollout.target().reason());
@@ -731,7 +739,7 @@
                     to.writeStringField("state", rollout.phase().externalName());
                     to.writeNumberField("stage", rollout.stage());
                     to.writeStringField("halted", rollouts.haltReason());
-                    to.writeBooleanField("may", may());
+                    to.writeBooleanField("may", isAllowedToServe());
                     to.writeNumberField(
                             "lease_left_ms",
                             Math.max(0, lease.expiresAt().minus(schedule.now()).toMillis()));
--- a/src/main/java/ochretiller/fleet/service/SealedFile.java
+++ b/src/main/java/ochretiller/fleet/service/SealedFile.java
@@ -42,7 +42,7 @@
     }
 
     /**
-     * What is there, or null where there is no file; a {@link DamagedException} where it is not
+     * What is there, or null where there is no file; a {@link CorruptFileException} where it is not
      * what was written.
      */
     <T> T read(Reads<T> reads) throws IOException {
@@ -63,7 +63,7 @@
             throw new DamagedException();
         }
         try (CBORParser in = CBOR.createParser(bytes, 0, bytes.length - SUM)) {
-            PacketCodec.start(in);
+            PacketCodec.readStartArray(in);
             return reads.from(in);
         } catch (IOException | IllegalArgumentException e) {
             throw new DamagedException();
--- a/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
@@ -18,34 +18,34 @@
      * Commands at once. More are for nobody's hands, and a flood must not take the descriptors of
      * callers.
      */
-    private static final int MOST = 8;
+    private static final int MAX_CONNECTIONS = 8;
 
     /** Words on one connection: a command that watches asks once a second, and dials again. */
-    private static final int WORDS = 100;
+    private static final int MAX_REQUESTS_PER_CONNECTION = 100;
 
     private final PacketCodec codec;
     private final String name;
-    private final Map<String, Answer> words;
+    private final Map<String, CommandHandler> words;
     private final SecureRandom chance = new SecureRandom();
     private final AtomicInteger open = new AtomicInteger();
 
     /** What is answered to a word and what came with it, made on the one thread. */
     @FunctionalInterface
-    public interface Answer {
+    public interface CommandHandler {
         String text(String with);
     }
 
-    public AdminEndpoint(PacketCodec codec, String name, Map<String, Answer> words) {
+    public AdminEndpoint(PacketCodec codec, String name, Map<String, CommandHandler> words) {
         this.codec = codec;
         this.name = name;
         this.words = words;
     }
 
     public ConnectionHandler accepted(Connection connection) {
-        return new Visit(connection, open.incrementAndGet() > MOST);
+        return new AdminConnection(connection, open.incrementAndGet() > MAX_CONNECTIONS);
     }
 
-    private final class Visit implements ConnectionHandler {
+    private final class AdminConnection implements ConnectionHandler {
         private final Connection connection;
         private final String challenge =
                 Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong());
@@ -54,7 +54,7 @@
         private int said;
         private boolean greeted;
 
-        Visit(Connection connection, boolean surplus) {
+        AdminConnection(Connection connection, boolean surplus) {
             this.connection = connection;
             this.surplus = surplus;
         }
@@ -78,31 +78,31 @@
                 read.write(all, 1, all.length - 1);
                 return () ->
                         connection.write(
-                                SealedFrame.frame(
+                                SealedFrame.seal(
                                         codec.keys(),
-                                        new SealedFrame.Said(
-                                                codec.fleet(), challenge, "hello", name)));
+                                        new SealedFrame.AdminMessage(
+                                                codec.fleetName(), challenge, "hello", name)));
             }
             int length = SealedFrame.length(all, all.length);
-            if (length < 0 || length > SealedFrame.LONGEST_WORD) {
+            if (length < 0 || length > SealedFrame.MAX_REQUEST_BYTES) {
                 throw new BadInputException("a frame at the fleet's door is too long");
             }
             if (length == 0 || all.length < length) {
                 return null;
             }
-            if (all.length > length || ++said > WORDS) {
+            if (all.length > length || ++said > MAX_REQUESTS_PER_CONNECTION) {
                 throw new BadInputException("too much at the fleet's door");
             }
             read.reset();
-            SealedFrame.Said word;
+            SealedFrame.AdminMessage word;
             try {
                 word = SealedFrame.open(codec.keys(), all);
             } catch (RejectedPacketException e) {
                 throw new BadInputException(
-                        "a frame at the fleet's door is refused: " + e.why().externalName());
+                        "a frame at the fleet's door is refused: " + e.reason().externalName());
             }
-            Answer answer = words.get(word.word());
-            if (!word.fleet().equals(codec.fleet())
+            CommandHandler answer = words.get(word.word());
+            if (!word.fleet().equals(codec.fleetName())
                     || !word.challenge().equals(challenge)
                     || answer == null) {
                 throw new BadInputException(
@@ -111,10 +111,10 @@
             }
             return () ->
                     connection.write(
-                            SealedFrame.frame(
+                            SealedFrame.seal(
                                     codec.keys(),
-                                    new SealedFrame.Said(
-                                            codec.fleet(),
+                                    new SealedFrame.AdminMessage(
+                                            codec.fleetName(),
                                             challenge,
                                             word.word(),
                                             answer.text(word.text()))));
--- a/src/main/java/ochretiller/fleet/transport/FleetKeys.java
+++ b/src/main/java/ochretiller/fleet/transport/FleetKeys.java
@@ -19,21 +19,21 @@
  */
 public final class FleetKeys {
     /** Bytes of a seal: half of what the hash gives, as is usual. */
-    public static final int SEAL = 16;
+    public static final int SEAL_BYTES = 16;
 
     /** Shortest key in bytes, and most keys in a file. */
-    private static final int SHORTEST = 16;
+    private static final int MIN_KEY_BYTES = 16;
 
-    private static final int MOST = 4;
-    private static final int LONGEST_FILE = 4096;
-    private static final String HASH = "HmacSHA256";
+    private static final int MAX_KEYS = 4;
+    private static final int MAX_FILE_BYTES = 4096;
+    private static final String MAC_ALGORITHM = "HmacSHA256";
 
     private final List<SecretKeySpec> keys = new ArrayList<>();
     private final ThreadLocal<List<Mac>> macs = ThreadLocal.withInitial(this::macs);
 
     private FleetKeys(List<byte[]> all) {
         for (byte[] key : all) {
-            keys.add(new SecretKeySpec(key, HASH));
+            keys.add(new SecretKeySpec(key, MAC_ALGORITHM));
         }
     }
 
@@ -52,7 +52,7 @@
     public static FleetKeys read(Path file) {
         List<byte[]> all = new ArrayList<>();
         try {
-            if (Files.size(file) > LONGEST_FILE) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new MalformedException("the fleet's key file " + file + " is too long");
             }
             for (String line : Files.readAllLines(file)) {
@@ -60,12 +60,12 @@
                     continue;
                 }
                 byte[] key = line.strip().getBytes(StandardCharsets.UTF_8);
-                if (key.length < SHORTEST) {
+                if (key.length < MIN_KEY_BYTES) {
                     throw new MalformedException(
                             "the fleet's key file "
                                     + file
                                     + " has a key of under "
-                                    + SHORTEST
+                                    + MIN_KEY_BYTES
                                     + " bytes");
                 }
                 all.add(key);
@@ -73,9 +73,9 @@
         } catch (IOException e) {
             throw new MalformedException("cannot read the fleet's key file " + file);
         }
-        if (all.isEmpty() || all.size() > MOST) {
+        if (all.isEmpty() || all.size() > MAX_KEYS) {
             throw new MalformedException(
-                    "the fleet's key file " + file + " needs 1 to " + MOST + " keys");
+                    "the fleet's key file " + file + " needs 1 to " + MAX_KEYS + " keys");
         }
         return new FleetKeys(all);
     }
@@ -84,7 +84,7 @@
         List<Mac> made = new ArrayList<>();
         try {
             for (SecretKeySpec key : keys) {
-                Mac mac = Mac.getInstance(HASH);
+                Mac mac = Mac.getInstance(MAC_ALGORITHM);
                 mac.init(key);
                 made.add(mac);
             }
@@ -97,14 +97,14 @@
     byte[] seal(byte[] bytes, int length) {
         Mac mac = macs.get().get(0);
         mac.update(bytes, 0, length);
-        return Arrays.copyOf(mac.doFinal(), SEAL);
+        return Arrays.copyOf(mac.doFinal(), SEAL_BYTES);
     }
 
-    boolean good(byte[] bytes, int length) {
-        byte[] told = Arrays.copyOfRange(bytes, length, length + SEAL);
+    boolean isAuthentic(byte[] bytes, int length) {
+        byte[] told = Arrays.copyOfRange(bytes, length, length + SEAL_BYTES);
         for (Mac mac : macs.get()) {
             mac.update(bytes, 0, length);
-            if (MessageDigest.isEqual(Arrays.copyOf(mac.doFinal(), SEAL), told)) {
+            if (MessageDigest.isEqual(Arrays.copyOf(mac.doFinal(), SEAL_BYTES), told)) {
                 return true;
             }
         }
--- a/src/main/java/ochretiller/fleet/transport/PacketCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/PacketCodec.java
@@ -24,12 +24,12 @@
  */
 public final class PacketCodec {
     /** What this program speaks, and the least that can read it. */
-    static final int VERSION = 1;
+    static final int PROTOCOL_VERSION = 1;
 
     /** Longest packet that is read: a page of members with the longest names. */
-    public static final int LONGEST = 8 * 1024;
+    public static final int MAX_PACKET_BYTES = 8 * 1024;
 
-    private static final int HEAD = 6;
+    private static final int HEADER_BYTES = 6;
     private static final CBORFactory CBOR = new CBORFactory();
     private static final List<Class<? extends MembershipMessage>> KINDS =
             List.of(
@@ -50,32 +50,32 @@
     };
 
     /** Most of anything in one list: more than any message has. */
-    private static final int MOST = 256;
+    private static final int MAX_LIST_ELEMENTS = 256;
 
-    private final String fleet;
+    private final String fleetName;
     private volatile FleetKeys keys;
 
     /**
      * What was opened.
      *
-     * @param body a {@link MembershipMessage}, or one of epochs or copies
+     * @param message a {@link MembershipMessage}, or one of epochs or copies
      * @param sequence grows with each packet of one start
      * @param epoch 0 where no epochs are agreed on
      */
-    public record Opened(Member from, Object body, long sequence, long epoch) {
+    public record ReceivedPacket(Member sender, Object message, long sequence, long epoch) {
         /** As the decisions on members take it. */
         public MembershipPacket packet() {
-            return new MembershipPacket(from, (MembershipMessage) body);
+            return new MembershipPacket(sender, (MembershipMessage) message);
         }
     }
 
     public PacketCodec(String fleet, FleetKeys keys) {
-        this.fleet = fleet;
+        this.fleetName = fleet;
         this.keys = keys;
     }
 
     /** Other keys hold from here on; from any thread. */
-    public void become(FleetKeys next) {
+    public void replaceKeys(FleetKeys next) {
         keys = next;
     }
 
@@ -83,8 +83,8 @@
         return keys;
     }
 
-    String fleet() {
-        return fleet;
+    String fleetName() {
+        return fleetName;
     }
 
     public byte[] seal(MembershipPacket packet, long sequence) {
@@ -94,17 +94,17 @@
     /** A packet of any kind. */
     public byte[] seal(Member sender, Object message, long sequence) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
-        out.writeBytes(new byte[] {'O', 'F', VERSION, VERSION, 0, 0});
+        out.writeBytes(new byte[] {'O', 'F', PROTOCOL_VERSION, PROTOCOL_VERSION, 0, 0});
         try (CBORGenerator to = CBOR.createGenerator(out)) {
             to.writeStartArray(null, 6);
-            to.writeString(fleet);
+            to.writeString(fleetName);
             to.writeNumber(sequence);
             to.writeNumber(
                     message instanceof MembershipMessage
                             ? KINDS.indexOf(message.getClass()) + 1
                             : message instanceof RolloutMessage
-                                    ? RolloutCodec.kind(message)
-                                    : ReplicationCodec.kind(message));
+                                    ? RolloutCodec.kindOf(message)
+                                    : ReplicationCodec.kindOf(message));
             to.writeNumber(0L);
             member(to, sender);
             if (message instanceof MembershipMessage known) {
@@ -118,11 +118,11 @@
         } catch (IOException e) {
             throw new IllegalStateException(e); // a buffer in memory does not fail
         }
-        byte[] bytes = new byte[out.size() + FleetKeys.SEAL];
+        byte[] bytes = new byte[out.size() + FleetKeys.SEAL_BYTES];
         System.arraycopy(out.toByteArray(), 0, bytes, 0, out.size());
         bytes[4] = (byte) (bytes.length >> 8);
         bytes[5] = (byte) bytes.length;
-        System.arraycopy(keys.seal(bytes, out.size()), 0, bytes, out.size(), FleetKeys.SEAL);
+        System.arraycopy(keys.seal(bytes, out.size()), 0, bytes, out.size(), FleetKeys.SEAL_BYTES);
         return bytes;
     }
 
@@ -130,41 +130,45 @@
      * Opens a packet: first what is cheap to see, then the seal, and only then what somebody with
      * the key has written.
      */
-    public Opened open(byte[] bytes, int length) throws RejectedPacketException {
-        if (length < HEAD + FleetKeys.SEAL || length > LONGEST) {
+    public ReceivedPacket open(byte[] bytes, int length) throws RejectedPacketException {
+        if (length < HEADER_BYTES + FleetKeys.SEAL_BYTES || length > MAX_PACKET_BYTES) {
             throw new RejectedPacketException(RejectReason.LENGTH);
         }
         if (bytes[0] != 'O' || bytes[1] != 'F') {
             throw new RejectedPacketException(RejectReason.NOT_OURS);
         }
-        if ((bytes[3] & 0xff) > VERSION) {
+        if ((bytes[3] & 0xff) > PROTOCOL_VERSION) {
             throw new RejectedPacketException(RejectReason.NEWER);
         }
         if (((bytes[4] & 0xff) << 8 | bytes[5] & 0xff) != length) {
             throw new RejectedPacketException(RejectReason.LENGTH);
         }
-        if (!keys.good(bytes, length - FleetKeys.SEAL)) {
+        if (!keys.isAuthentic(bytes, length - FleetKeys.SEAL_BYTES)) {
             throw new RejectedPacketException(RejectReason.FORGED);
         }
-        try (CBORParser from = CBOR.createParser(bytes, HEAD, length - FleetKeys.SEAL - HEAD)) {
-            start(from);
-            if (!text(from).equals(fleet)) {
+        try (CBORParser from =
+                CBOR.createParser(
+                        bytes, HEADER_BYTES, length - FleetKeys.SEAL_BYTES - HEADER_BYTES)) {
+            readStartArray(from);
+            if (!readText(from).equals(fleetName)) {
                 throw new RejectedPacketException(RejectReason.OTHER_FLEET);
             }
-            long sequence = number(from);
-            long kind = number(from);
-            long epoch = number(from);
+            long sequence = readLong(from);
+            long kind = readLong(from);
+            long epoch = readLong(from);
             Member sender = member(from);
-            if (ReplicationCodec.knows(kind)) {
-                return new Opened(sender, ReplicationCodec.read(from, (int) kind), sequence, epoch);
+            if (ReplicationCodec.isKnownKind(kind)) {
+                return new ReceivedPacket(
+                        sender, ReplicationCodec.read(from, (int) kind), sequence, epoch);
             }
-            if (RolloutCodec.knows(kind)) {
-                return new Opened(sender, RolloutCodec.read(from, (int) kind), sequence, epoch);
+            if (RolloutCodec.isKnownKind(kind)) {
+                return new ReceivedPacket(
+                        sender, RolloutCodec.read(from, (int) kind), sequence, epoch);
             }
             if (kind < 1 || kind > KINDS.size()) {
                 throw new RejectedPacketException(RejectReason.KIND);
             }
-            return new Opened(sender, body(from, (int) kind), sequence, epoch);
+            return new ReceivedPacket(sender, body(from, (int) kind), sequence, epoch);
         } catch (IOException | IllegalArgumentException | NullPointerException e) {
             throw new RejectedPacketException(RejectReason.MALFORMED);
         }
@@ -211,22 +215,24 @@
     }
 
     private static MembershipMessage body(CBORParser from, int kind) throws IOException {
-        start(from);
+        readStartArray(from);
         return switch (kind) {
             case 1 ->
                     new MembershipMessage.Ping(
-                            number(from),
-                            number(from),
+                            readLong(from),
+                            readLong(from),
                             new MembershipMessage.Gossip(entries(from), members(from)),
-                            number(from));
+                            readLong(from));
             case 2 ->
                     new MembershipMessage.Ack(
-                            number(from),
+                            readLong(from),
                             new MembershipMessage.Gossip(entries(from), members(from)),
-                            number(from));
-            case 3 -> new MembershipMessage.PingRequest(number(from), number(from), address(from));
-            case 4 -> new MembershipMessage.IndirectAck(number(from), entry(from));
-            case 5 -> new MembershipMessage.DigestSync(numbers(from), bool(from));
+                            readLong(from));
+            case 3 ->
+                    new MembershipMessage.PingRequest(
+                            readLong(from), readLong(from), address(from));
+            case 4 -> new MembershipMessage.IndirectAck(readLong(from), entry(from));
+            case 5 -> new MembershipMessage.DigestSync(numbers(from), readBoolean(from));
             case 6 -> new MembershipMessage.UpdatePage(entries(from));
             case 7 -> new MembershipMessage.MemberRequest(numbers(from));
             default -> new MembershipMessage.MemberPage(members(from));
@@ -254,16 +260,16 @@
     }
 
     private static Member member(CBORParser from) throws IOException {
-        start(from);
+        readStartArray(from);
         return membered(from);
     }
 
     /** The rest of a member whose array has begun. */
     private static Member membered(CBORParser from) throws IOException {
-        MemberId id = new MemberId(text(from), number(from));
+        MemberId id = new MemberId(readText(from), readLong(from));
         PeerAddress address = address(from);
-        String zone = text(from);
-        String build = text(from);
+        String zone = readText(from);
+        String build = readText(from);
         PeerAddress serves = address(from);
         Member member =
                 new Member(
@@ -272,9 +278,9 @@
                         zone,
                         build,
                         serves.port() == 0 ? null : serves,
-                        number(from),
+                        readLong(from),
                         state(from));
-        end(from);
+        readEndArray(from);
         return member;
     }
 
@@ -284,8 +290,8 @@
     }
 
     private static PeerAddress address(CBORParser from) throws IOException {
-        String host = text(from);
-        long port = number(from);
+        String host = readText(from);
+        long port = readLong(from);
         if (host.length() > PeerAddress.MAX_LENGTH || port < 0 || port > 0xffff) {
             throw new IllegalArgumentException("no address");
         }
@@ -304,14 +310,14 @@
     }
 
     private static MembershipUpdate entry(CBORParser from) throws IOException {
-        start(from);
+        readStartArray(from);
         return entered(from);
     }
 
     /** The rest of an entry whose array has begun. */
     private static MembershipUpdate entered(CBORParser from) throws IOException {
-        long start = number(from);
-        long number = number(from);
+        long start = readLong(from);
+        long number = readLong(from);
         MemberState state = state(from);
         if (number < 0) {
             throw new IllegalArgumentException("a number is out of bounds");
@@ -321,7 +327,7 @@
             return new MembershipUpdate(start, number, state, 0);
         }
         MembershipUpdate entry = new MembershipUpdate(start, number, state, from.getLongValue());
-        end(from);
+        readEndArray(from);
         return entry;
     }
 
@@ -335,7 +341,7 @@
     }
 
     private static List<MembershipUpdate> entries(CBORParser from) throws IOException {
-        return list(from, () -> entered(from));
+        return readList(from, () -> entered(from));
     }
 
     private static void members(CBORGenerator to, List<Member> members) throws IOException {
@@ -347,21 +353,21 @@
     }
 
     private static List<Member> members(CBORParser from) throws IOException {
-        return list(from, () -> membered(from));
+        return readList(from, () -> membered(from));
     }
 
     /** Reads one element of a list whose token has been read. */
     @FunctionalInterface
-    public interface Part<T> {
+    public interface ElementReader<T> {
         T read() throws IOException;
     }
 
-    public static <T> List<T> list(CBORParser from, Part<T> part) throws IOException {
+    public static <T> List<T> readList(CBORParser from, ElementReader<T> part) throws IOException {
         List<T> all = new ArrayList<>();
-        start(from);
+        readStartArray(from);
         while (from.nextToken() != JsonToken.END_ARRAY) {
             // Guards against a list that is as long as its sender likes.
-            if (from.currentToken() == null || all.size() == MOST) {
+            if (from.currentToken() == null || all.size() == MAX_LIST_ELEMENTS) {
                 throw new IllegalArgumentException("no list");
             }
             all.add(part.read());
@@ -378,17 +384,17 @@
     }
 
     public static List<Long> numbers(CBORParser from) throws IOException {
-        return list(from, from::getLongValue);
+        return readList(from, from::getLongValue);
     }
 
-    public static void start(CBORParser from) throws IOException {
+    public static void readStartArray(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.START_ARRAY) {
             throw new IllegalArgumentException("no array");
         }
     }
 
     /** Over what a newer program has put behind what is known here. */
-    static void end(CBORParser from) throws IOException {
+    static void readEndArray(CBORParser from) throws IOException {
         JsonToken token = from.nextToken();
         while (token != JsonToken.END_ARRAY) {
             if (token == null) {
@@ -399,21 +405,21 @@
         }
     }
 
-    public static String text(CBORParser from) throws IOException {
+    public static String readText(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.VALUE_STRING) {
             throw new IllegalArgumentException("no text");
         }
         return from.getText();
     }
 
-    public static long number(CBORParser from) throws IOException {
+    public static long readLong(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.VALUE_NUMBER_INT) {
             throw new IllegalArgumentException("no number");
         }
         return from.getLongValue();
     }
 
-    public static boolean bool(CBORParser from) throws IOException {
+    public static boolean readBoolean(CBORParser from) throws IOException {
         JsonToken token = from.nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
             throw new IllegalArgumentException("no truth");
@@ -426,7 +432,7 @@
     }
 
     private static MemberState state(CBORParser from) throws IOException {
-        long code = number(from);
+        long code = readLong(from);
         if (code < 1 || code > STATES.length) {
             throw new IllegalArgumentException("no state");
         }
--- a/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
@@ -14,15 +14,15 @@
      * A server sends some 20 packets a second to all others together, and some more for each
      * tokened invocation.
      */
-    private static final double PACKETS = 2_000;
+    private static final double PACKETS_PER_SECOND = 2_000;
 
-    private static final double BYTES = 2_000_000;
+    private static final double BYTES_PER_SECOND = 2_000_000;
 
     /** What all together may send: the seals of it take a tenth of a core. */
-    private static final double ALL_PACKETS = 12_000;
+    private static final double TOTAL_PACKETS_PER_SECOND = 12_000;
 
     /** Addresses that are told apart; a flood from more of them meets the bound on all. */
-    private static final int PEERS = 4096;
+    private static final int MAX_TRACKED_PEERS = 4096;
 
     private static final class Bucket {
         double packets;
@@ -51,15 +51,25 @@
 
     private final Bucket all;
     private final Map<InetSocketAddress, Bucket> peers =
-            BoundedMap.evictingLeastRecentlyUsed(PEERS);
+            BoundedMap.evictingLeastRecentlyUsed(MAX_TRACKED_PEERS);
 
     PeerRateLimiter(long now) {
-        all = new Bucket(ALL_PACKETS, ALL_PACKETS * PacketCodec.LONGEST, now);
+        all =
+                new Bucket(
+                        TOTAL_PACKETS_PER_SECOND,
+                        TOTAL_PACKETS_PER_SECOND * PacketCodec.MAX_PACKET_BYTES,
+                        now);
     }
 
-    boolean take(InetSocketAddress from, int size, long now) {
-        Bucket mine = peers.computeIfAbsent(from, ignored -> new Bucket(PACKETS, BYTES, now));
-        return mine.take(PACKETS, BYTES, size, now)
-                && all.take(ALL_PACKETS, ALL_PACKETS * PacketCodec.LONGEST, size, now);
+    boolean tryAcquire(InetSocketAddress from, int size, long now) {
+        Bucket mine =
+                peers.computeIfAbsent(
+                        from, ignored -> new Bucket(PACKETS_PER_SECOND, BYTES_PER_SECOND, now));
+        return mine.take(PACKETS_PER_SECOND, BYTES_PER_SECOND, size, now)
+                && all.take(
+                        TOTAL_PACKETS_PER_SECOND,
+                        TOTAL_PACKETS_PER_SECOND * PacketCodec.MAX_PACKET_BYTES,
+                        size,
+                        now);
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerSocket.java
@@ -25,37 +25,37 @@
     private static final Logger LOG = Logger.getLogger(PeerSocket.class.getName());
 
     /** Packets that wait for the one thread: a comparison of views, many times over. */
-    private static final int BEHIND = 1024;
+    private static final int MAX_QUEUED_PACKETS = 1024;
 
     /** The kernel's room for what is not read yet: a second's pause at a comparison of views. */
-    private static final int ROOM = 512 * 1024;
+    private static final int SOCKET_BUFFER_BYTES = 512 * 1024;
 
     private final Scheduler schedule;
     private final PacketCodec codec;
-    private final Consumer<PacketCodec.Opened> taker;
+    private final Consumer<PacketCodec.ReceivedPacket> taker;
     private final DatagramChannel channel;
     private final Selector selector;
     private final ReplayWindow window = new ReplayWindow();
     private final AtomicInteger behind = new AtomicInteger();
-    private final AtomicLongArray refused = new AtomicLongArray(RejectReason.values().length);
+    private final AtomicLongArray rejectedCount = new AtomicLongArray(RejectReason.values().length);
     public final LongAdder sentPackets = new LongAdder();
     public final LongAdder sentBytes = new LongAdder();
     public final LongAdder readPackets = new LongAdder();
     public final LongAdder readBytes = new LongAdder();
-    public final LongAdder unsent = new LongAdder();
+    public final LongAdder droppedSends = new LongAdder();
 
     public PeerSocket(
             Scheduler schedule,
             PacketCodec codec,
             InetSocketAddress listen,
-            Consumer<PacketCodec.Opened> taker)
+            Consumer<PacketCodec.ReceivedPacket> taker)
             throws IOException {
         this.schedule = schedule;
         this.codec = codec;
         this.taker = taker;
         channel = DatagramChannel.open();
         try {
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, ROOM);
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, SOCKET_BUFFER_BYTES);
             channel.bind(listen);
         } catch (IOException e) {
             channel.close();
@@ -76,18 +76,18 @@
         thread.start();
     }
 
-    public long refused(RejectReason why) {
-        return refused.get(why.ordinal());
+    public long rejectedCount(RejectReason why) {
+        return rejectedCount.get(why.ordinal());
     }
 
     private void refuse(RejectReason why) {
-        refused.incrementAndGet(why.ordinal());
+        rejectedCount.incrementAndGet(why.ordinal());
     }
 
     private void read() {
         ByteBuffer buffer =
                 ByteBuffer.allocate(
-                        PacketCodec.LONGEST + 1); // one byte more shows what is too long
+                        PacketCodec.MAX_PACKET_BYTES + 1); // one byte more shows what is too long
         PeerRateLimiter budget = new PeerRateLimiter(System.nanoTime());
         while (channel.isOpen()) {
             try {
@@ -111,22 +111,22 @@
         int length = buffer.flip().remaining();
         readPackets.increment();
         readBytes.add(length);
-        if (!budget.take(from, length, System.nanoTime())) {
+        if (!budget.tryAcquire(from, length, System.nanoTime())) {
             refuse(RejectReason.OVER_BUDGET);
             return;
         }
-        PacketCodec.Opened opened;
+        PacketCodec.ReceivedPacket opened;
         try {
             opened = codec.open(buffer.array(), length);
         } catch (RejectedPacketException e) {
-            refuse(e.why());
+            refuse(e.reason());
             return;
         }
-        if (!window.take(opened.from().incarnation(), opened.sequence())) {
+        if (!window.take(opened.sender().incarnation(), opened.sequence())) {
             refuse(RejectReason.REPLAYED);
             return;
         }
-        if (behind.incrementAndGet() > BEHIND) {
+        if (behind.incrementAndGet() > MAX_QUEUED_PACKETS) {
             behind.decrementAndGet();
             refuse(RejectReason.BEHIND);
             return;
@@ -152,7 +152,7 @@
         } catch (IOException | RuntimeException e) {
             LOG.fine(() -> "fleet's socket: " + e.getMessage());
         }
-        unsent.increment();
+        droppedSends.increment();
     }
 
     public void close() {
--- a/src/main/java/ochretiller/fleet/transport/RejectedPacketException.java
+++ b/src/main/java/ochretiller/fleet/transport/RejectedPacketException.java
@@ -3,14 +3,14 @@
 /** A packet that is not taken. Without a trace: floods of them must cost little. */
 public final class RejectedPacketException extends Exception {
     private static final long serialVersionUID = 1;
-    private final RejectReason why;
+    private final RejectReason reason;
 
     RejectedPacketException(RejectReason why) {
         super(why.externalName(), null, false, false);
-        this.why = why;
+        this.reason = why;
     }
 
-    RejectReason why() {
-        return why;
+    RejectReason reason() {
+        return reason;
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
@@ -28,8 +28,8 @@
  * docs/fleet-wire.md}.
  */
 public final class ReplicationCodec {
-    private static final int EPOCHS = 16;
-    private static final int COPIES = 32;
+    private static final int FIRST_CONSENSUS_KIND = 16;
+    private static final int FIRST_REPLICATION_KIND = 32;
     private static final byte[] NONE = {};
     private static final List<Class<?>> EPOCH_KINDS =
             List.of(
@@ -76,14 +76,17 @@
                 && token.getBytes(StandardCharsets.UTF_8).length <= MAX_TOKEN_BYTES;
     }
 
-    static int kind(Object message) {
+    static int kindOf(Object message) {
         int epoch = EPOCH_KINDS.indexOf(message.getClass());
-        return epoch >= 0 ? EPOCHS + epoch : COPIES + COPY_KINDS.indexOf(message.getClass());
+        return epoch >= 0
+                ? FIRST_CONSENSUS_KIND + epoch
+                : FIRST_REPLICATION_KIND + COPY_KINDS.indexOf(message.getClass());
     }
 
-    static boolean knows(long kind) {
-        return kind >= EPOCHS && kind < EPOCHS + EPOCH_KINDS.size()
-                || kind >= COPIES && kind < COPIES + COPY_KINDS.size();
+    static boolean isKnownKind(long kind) {
+        return kind >= FIRST_CONSENSUS_KIND && kind < FIRST_CONSENSUS_KIND + EPOCH_KINDS.size()
+                || kind >= FIRST_REPLICATION_KIND
+                        && kind < FIRST_REPLICATION_KIND + COPY_KINDS.size();
     }
 
     static void write(CBORGenerator to, Object message) throws IOException {
@@ -220,37 +223,40 @@
     }
 
     static Object read(CBORParser in, int kind) throws IOException {
-        PacketCodec.start(in);
-        return kind < COPIES ? epoch(in, kind - EPOCHS) : copy(in, kind - COPIES);
+        PacketCodec.readStartArray(in);
+        return kind < FIRST_REPLICATION_KIND
+                ? epoch(in, kind - FIRST_CONSENSUS_KIND)
+                : copy(in, kind - FIRST_REPLICATION_KIND);
     }
 
     private static ConsensusMessage epoch(CBORParser in, int kind) throws IOException {
         return switch (kind) {
-            case 0 -> new ConsensusMessage.Prepare(PacketCodec.number(in), ballot(in));
+            case 0 -> new ConsensusMessage.Prepare(PacketCodec.readLong(in), ballot(in));
             case 1 ->
                     new ConsensusMessage.Promise(
-                            PacketCodec.number(in), ballot(in), ballot(in), layoutOrNone(in));
-            case 2 -> new ConsensusMessage.Accept(PacketCodec.number(in), ballot(in), layout(in));
-            case 3 -> new ConsensusMessage.Accepted(PacketCodec.number(in), ballot(in));
-            case 4 -> new ConsensusMessage.Nack(PacketCodec.number(in), ballot(in), ballot(in));
+                            PacketCodec.readLong(in), ballot(in), ballot(in), layoutOrNone(in));
+            case 2 -> new ConsensusMessage.Accept(PacketCodec.readLong(in), ballot(in), layout(in));
+            case 3 -> new ConsensusMessage.Accepted(PacketCodec.readLong(in), ballot(in));
+            case 4 -> new ConsensusMessage.Nack(PacketCodec.readLong(in), ballot(in), ballot(in));
             case 5 -> new ConsensusMessage.Committed(layout(in));
-            case 6 -> new ConsensusMessage.RecoveryQuery(PacketCodec.number(in));
+            case 6 -> new ConsensusMessage.RecoveryQuery(PacketCodec.readLong(in));
             case 7 ->
                     new ConsensusMessage.RecoveryReply(
-                            PacketCodec.number(in), PacketCodec.number(in), layout(in));
+                            PacketCodec.readLong(in), PacketCodec.readLong(in), layout(in));
             case 8 ->
-                    new ConsensusMessage.StateLost(PacketCodec.number(in), PacketCodec.number(in));
+                    new ConsensusMessage.StateLost(
+                            PacketCodec.readLong(in), PacketCodec.readLong(in));
             case 10 ->
                     new ConsensusMessage.ReplicaProgress(
-                            PacketCodec.number(in), (int) PacketCodec.number(in));
+                            PacketCodec.readLong(in), (int) PacketCodec.readLong(in));
             default -> {
                 Map<String, Long> instances = new HashMap<>();
-                PacketCodec.list(
+                PacketCodec.readList(
                         in,
                         () -> {
-                            String name = PacketCodec.text(in);
-                            instances.put(name, PacketCodec.number(in));
-                            PacketCodec.end(in);
+                            String name = PacketCodec.readText(in);
+                            instances.put(name, PacketCodec.readLong(in));
+                            PacketCodec.readEndArray(in);
                             return name;
                         });
                 yield new ConsensusMessage.AllStateLost(instances);
@@ -262,25 +268,28 @@
         return switch (kind) {
             case 0 ->
                     new ReplicationMessage.ClaimRequest(
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             token(in),
                             id(in),
-                            PacketCodec.text(in),
+                            PacketCodec.readText(in),
                             millis(in),
-                            PacketCodec.bool(in));
-            case 1 -> new ReplicationMessage.ClaimQuery(PacketCodec.number(in), token(in), id(in));
+                            PacketCodec.readBoolean(in));
+            case 1 ->
+                    new ReplicationMessage.ClaimQuery(PacketCodec.readLong(in), token(in), id(in));
             case 2 ->
                     new ReplicationMessage.ClaimReply(
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             token(in),
                             id(in),
                             word(in),
-                            PacketCodec.bool(in) ? Optional.of(id(in)) : Optional.empty(),
-                            PacketCodec.bool(in) ? Optional.of(outcome(in)) : Optional.empty(),
-                            PacketCodec.number(in));
+                            PacketCodec.readBoolean(in) ? Optional.of(id(in)) : Optional.empty(),
+                            PacketCodec.readBoolean(in)
+                                    ? Optional.of(outcome(in))
+                                    : Optional.empty(),
+                            PacketCodec.readLong(in));
             case 3 ->
                     new ReplicationMessage.ClaimCompleted(
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             token(in),
                             id(in),
                             outcome(in),
@@ -288,14 +297,14 @@
                             heard(in));
             case 4 ->
                     new ReplicationMessage.OutcomeStored(
-                            PacketCodec.number(in), token(in), id(in), PacketCodec.number(in));
+                            PacketCodec.readLong(in), token(in), id(in), PacketCodec.readLong(in));
             case 5 -> new ReplicationMessage.ClaimRelease(token(in), id(in), millis(in));
             case 6 -> new ReplicationMessage.OwnerQuery(token(in), id(in));
             case 7 ->
                     new ReplicationMessage.RangeRequest(
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             range(in),
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             order(in),
                             place(in),
                             sketch(in),
@@ -303,36 +312,36 @@
                             layoutOrNone(in));
             case 8 ->
                     new ReplicationMessage.RangePage(
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             range(in),
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             items(in),
                             place(in),
-                            PacketCodec.bool(in),
-                            PacketCodec.bool(in),
-                            PacketCodec.bool(in),
+                            PacketCodec.readBoolean(in),
+                            PacketCodec.readBoolean(in),
+                            PacketCodec.readBoolean(in),
                             PacketCodec.numbers(in),
-                            (int) PacketCodec.number(in),
-                            PacketCodec.number(in));
+                            (int) PacketCodec.readLong(in),
+                            PacketCodec.readLong(in));
             case 9 ->
                     new ReplicationMessage.RangeDigest(
-                            PacketCodec.number(in),
+                            PacketCodec.readLong(in),
                             range(in),
-                            PacketCodec.number(in),
-                            (int) PacketCodec.number(in),
-                            PacketCodec.bool(in));
-            case 10 -> new ReplicationMessage.ChangeNumberQuery(PacketCodec.number(in));
+                            PacketCodec.readLong(in),
+                            (int) PacketCodec.readLong(in),
+                            PacketCodec.readBoolean(in));
+            case 10 -> new ReplicationMessage.ChangeNumberQuery(PacketCodec.readLong(in));
             case 11 ->
                     new ReplicationMessage.ChangeNumberReply(
-                            PacketCodec.number(in), PacketCodec.number(in));
+                            PacketCodec.readLong(in), PacketCodec.readLong(in));
             case 12 ->
                     new ReplicationMessage.ChunkRequest(
-                            token(in), id(in), (int) PacketCodec.number(in));
+                            token(in), id(in), (int) PacketCodec.readLong(in));
             default ->
                     new ReplicationMessage.Chunk(
                             token(in),
                             id(in),
-                            (int) PacketCodec.number(in),
+                            (int) PacketCodec.readLong(in),
                             new String(binary(in), StandardCharsets.ISO_8859_1));
         };
     }
@@ -344,7 +353,7 @@
      * than this program does.
      */
     private static String token(CBORParser in) throws IOException {
-        String token = PacketCodec.text(in);
+        String token = PacketCodec.readText(in);
         if (!tokenFits(token)) {
             throw new IllegalArgumentException("no token");
         }
@@ -364,7 +373,7 @@
     }
 
     private static ReplicationMessage.WalkOrder order(CBORParser in) throws IOException {
-        long order = PacketCodec.number(in);
+        long order = PacketCodec.readLong(in);
         if (order < 0 || order >= ReplicationMessage.WalkOrder.values().length) {
             throw new IllegalArgumentException("no order");
         }
@@ -378,7 +387,8 @@
     }
 
     private static ReplicationMessage.RangeCursor place(CBORParser in) throws IOException {
-        return new ReplicationMessage.RangeCursor(PacketCodec.number(in), PacketCodec.text(in));
+        return new ReplicationMessage.RangeCursor(
+                PacketCodec.readLong(in), PacketCodec.readText(in));
     }
 
     public static void heard(CBORGenerator to, Map<String, Long> heard) throws IOException {
@@ -394,23 +404,23 @@
 
     public static Map<String, Long> heard(CBORParser in) throws IOException {
         Map<String, Long> heard = new TreeMap<>();
-        PacketCodec.list(
+        PacketCodec.readList(
                 in,
                 () -> {
-                    String name = PacketCodec.text(in);
-                    heard.put(name, PacketCodec.number(in));
-                    PacketCodec.end(in);
+                    String name = PacketCodec.readText(in);
+                    heard.put(name, PacketCodec.readLong(in));
+                    PacketCodec.readEndArray(in);
                     return name;
                 });
         return heard;
     }
 
     private static Duration millis(CBORParser in) throws IOException {
-        return Duration.ofMillis(Math.max(0, PacketCodec.number(in)));
+        return Duration.ofMillis(Math.max(0, PacketCodec.readLong(in)));
     }
 
     private static int range(CBORParser in) throws IOException {
-        long range = PacketCodec.number(in);
+        long range = PacketCodec.readLong(in);
         if (range < 0 || range >= ReplicaPlacement.RANGE_COUNT) {
             throw new IllegalArgumentException("no range");
         }
@@ -418,7 +428,7 @@
     }
 
     private static ReplicationMessage.ClaimVote word(CBORParser in) throws IOException {
-        long word = PacketCodec.number(in);
+        long word = PacketCodec.readLong(in);
         if (word < 0 || word >= ReplicationMessage.ClaimVote.values().length) {
             throw new IllegalArgumentException("no word");
         }
@@ -431,7 +441,7 @@
     }
 
     private static Ballot ballot(CBORParser in) throws IOException {
-        return new Ballot(PacketCodec.number(in), PacketCodec.text(in));
+        return new Ballot(PacketCodec.readLong(in), PacketCodec.readText(in));
     }
 
     public static void layout(CBORGenerator to, ReplicaPlacement layout) throws IOException {
@@ -458,19 +468,19 @@
 
     public static RolloutState.PublishedVersion version(CBORParser in) throws IOException {
         return new RolloutState.PublishedVersion(
-                PacketCodec.number(in),
-                PacketCodec.text(in),
-                Math.toIntExact(PacketCodec.number(in)),
-                PacketCodec.text(in),
-                PacketCodec.text(in),
-                PacketCodec.text(in));
+                PacketCodec.readLong(in),
+                PacketCodec.readText(in),
+                Math.toIntExact(PacketCodec.readLong(in)),
+                PacketCodec.readText(in),
+                PacketCodec.readText(in),
+                PacketCodec.readText(in));
     }
 
     private static RolloutState rollout(CBORParser in) throws IOException {
         RolloutState.PublishedVersion to = version(in);
         RolloutState.PublishedVersion from = version(in);
-        int stage = Math.toIntExact(PacketCodec.number(in));
-        long state = PacketCodec.number(in);
+        int stage = Math.toIntExact(PacketCodec.readLong(in));
+        long state = PacketCodec.readLong(in);
         if (state < 0 || state >= ROLLOUTS.length) {
             throw new IllegalArgumentException("no state");
         }
@@ -478,8 +488,8 @@
     }
 
     public static ReplicaPlacement layout(CBORParser in) throws IOException {
-        long epoch = PacketCodec.number(in);
-        long factor = PacketCodec.number(in);
+        long epoch = PacketCodec.readLong(in);
+        long factor = PacketCodec.readLong(in);
         if (epoch < 0 || factor < 1 || factor > 9) {
             throw new IllegalArgumentException("no layout");
         }
@@ -494,7 +504,7 @@
     }
 
     private static ReplicaPlacement layoutOrNone(CBORParser in) throws IOException {
-        return PacketCodec.bool(in) ? layout(in) : null;
+        return PacketCodec.readBoolean(in) ? layout(in) : null;
     }
 
     private static void servers(CBORGenerator to, List<ReplicaPlacement.ReplicaServer> servers)
@@ -510,13 +520,13 @@
     }
 
     private static List<ReplicaPlacement.ReplicaServer> servers(CBORParser in) throws IOException {
-        return PacketCodec.list(
+        return PacketCodec.readList(
                 in,
                 () -> {
                     ReplicaPlacement.ReplicaServer server =
                             new ReplicaPlacement.ReplicaServer(
-                                    PacketCodec.text(in), PacketCodec.text(in));
-                    PacketCodec.end(in);
+                                    PacketCodec.readText(in), PacketCodec.readText(in));
+                    PacketCodec.readEndArray(in);
                     return server;
                 });
     }
@@ -528,7 +538,8 @@
     }
 
     private static ClaimId id(CBORParser in) throws IOException {
-        return new ClaimId(PacketCodec.text(in), PacketCodec.number(in), PacketCodec.number(in));
+        return new ClaimId(
+                PacketCodec.readText(in), PacketCodec.readLong(in), PacketCodec.readLong(in));
     }
 
     private static void outcome(CBORGenerator to, ClaimOutcome outcome) throws IOException {
@@ -543,12 +554,12 @@
     private static ClaimOutcome outcome(CBORParser in) throws IOException {
         ClaimOutcome outcome =
                 new ClaimOutcome(
-                        PacketCodec.bool(in),
-                        PacketCodec.text(in),
+                        PacketCodec.readBoolean(in),
+                        PacketCodec.readText(in),
                         new String(binary(in), StandardCharsets.ISO_8859_1),
-                        (int) PacketCodec.number(in),
-                        PacketCodec.number(in),
-                        PacketCodec.bool(in));
+                        (int) PacketCodec.readLong(in),
+                        PacketCodec.readLong(in),
+                        PacketCodec.readBoolean(in));
         if (outcome.resultSize() < 0 || outcome.resultSize() > ClaimOutcome.MAX_RESULT_BYTES) {
             throw new IllegalArgumentException("no size");
         }
@@ -597,7 +608,7 @@
 
     private static List<ReplicationMessage.TransferredEntry> items(CBORParser in)
             throws IOException {
-        return PacketCodec.list(in, () -> item(in));
+        return PacketCodec.readList(in, () -> item(in));
     }
 
     /** The rest of an item whose array has begun. */
@@ -605,30 +616,30 @@
         String token = token(in);
         Duration left = millis(in);
         Map<ClaimId, String> claims = new TreeMap<>();
-        PacketCodec.list(
+        PacketCodec.readList(
                 in,
                 () -> {
-                    claims.put(id(in), PacketCodec.text(in));
-                    PacketCodec.end(in);
+                    claims.put(id(in), PacketCodec.readText(in));
+                    PacketCodec.readEndArray(in);
                     return token;
                 });
         Set<ClaimId> released = new TreeSet<>();
-        PacketCodec.list(
+        PacketCodec.readList(
                 in,
                 () -> {
                     released.add(id(in));
-                    PacketCodec.end(in);
+                    PacketCodec.readEndArray(in);
                     return token;
                 });
         Map<ClaimId, ClaimOutcome> outcomes = new TreeMap<>();
-        PacketCodec.list(
+        PacketCodec.readList(
                 in,
                 () -> {
                     outcomes.put(id(in), outcome(in));
-                    PacketCodec.end(in);
+                    PacketCodec.readEndArray(in);
                     return token;
                 });
-        PacketCodec.end(in);
+        PacketCodec.readEndArray(in);
         return new ReplicationMessage.TransferredEntry(
                 token, new ReplicaEntry(claims, released, outcomes, Duration.ZERO), left);
     }
--- a/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
@@ -14,7 +14,7 @@
  * docs/fleet-wire.md}.
  */
 final class RolloutCodec {
-    private static final int FIRST = 48;
+    private static final int FIRST_KIND = 48;
     private static final List<Class<?>> KINDS =
             List.of(
                     RolloutMessage.StatusReport.class,
@@ -26,12 +26,12 @@
 
     private RolloutCodec() {}
 
-    static int kind(Object message) {
-        return FIRST + KINDS.indexOf(message.getClass());
+    static int kindOf(Object message) {
+        return FIRST_KIND + KINDS.indexOf(message.getClass());
     }
 
-    static boolean knows(long kind) {
-        return kind >= FIRST && kind < FIRST + KINDS.size();
+    static boolean isKnownKind(long kind) {
+        return kind >= FIRST_KIND && kind < FIRST_KIND + KINDS.size();
     }
 
     static void write(CBORGenerator to, RolloutMessage message) throws IOException {
@@ -67,40 +67,42 @@
     }
 
     static RolloutMessage read(CBORParser in, int kind) throws IOException {
-        PacketCodec.start(in);
+        PacketCodec.readStartArray(in);
         RolloutMessage message =
-                switch (kind - FIRST) {
+                switch (kind - FIRST_KIND) {
                     case 0 ->
                             new RolloutMessage.StatusReport(
-                                    PacketCodec.number(in),
+                                    PacketCodec.readLong(in),
                                     new VersionReport(
-                                            PacketCodec.number(in),
-                                            PacketCodec.text(in),
-                                            PacketCodec.number(in),
-                                            PacketCodec.text(in),
-                                            PacketCodec.number(in),
+                                            PacketCodec.readLong(in),
+                                            PacketCodec.readText(in),
+                                            PacketCodec.readLong(in),
+                                            PacketCodec.readText(in),
+                                            PacketCodec.readLong(in),
                                             counts(in),
                                             counts(in)),
-                                    PacketCodec.number(in),
-                                    PacketCodec.text(in));
+                                    PacketCodec.readLong(in),
+                                    PacketCodec.readText(in));
                     case 1 ->
                             new RolloutMessage.LeaseReply(
-                                    PacketCodec.number(in), PacketCodec.bool(in));
+                                    PacketCodec.readLong(in), PacketCodec.readBoolean(in));
                     case 2 ->
                             new RolloutMessage.ChunkRequest(
-                                    PacketCodec.text(in), Math.toIntExact(PacketCodec.number(in)));
+                                    PacketCodec.readText(in),
+                                    Math.toIntExact(PacketCodec.readLong(in)));
                     case 3 ->
                             new RolloutMessage.Chunk(
-                                    PacketCodec.text(in),
-                                    Math.toIntExact(PacketCodec.number(in)),
+                                    PacketCodec.readText(in),
+                                    Math.toIntExact(PacketCodec.readLong(in)),
                                     bytes(in));
                     case 4 ->
                             new RolloutMessage.VersionOffer(
-                                    PacketCodec.text(in), Math.toIntExact(PacketCodec.number(in)));
-                    case 5 -> new RolloutMessage.VersionStored(PacketCodec.text(in));
+                                    PacketCodec.readText(in),
+                                    Math.toIntExact(PacketCodec.readLong(in)));
+                    case 5 -> new RolloutMessage.VersionStored(PacketCodec.readText(in));
                     default -> throw new IllegalArgumentException("no kind");
                 };
-        PacketCodec.end(in);
+        PacketCodec.readEndArray(in);
         return message;
     }
 
@@ -122,10 +124,10 @@
 
     private static VersionCounters counts(CBORParser in) throws IOException {
         return new VersionCounters(
-                PacketCodec.number(in),
-                PacketCodec.number(in),
-                PacketCodec.number(in),
-                PacketCodec.number(in),
+                PacketCodec.readLong(in),
+                PacketCodec.readLong(in),
+                PacketCodec.readLong(in),
+                PacketCodec.readLong(in),
                 real(in),
                 real(in));
     }
--- a/src/main/java/ochretiller/fleet/transport/SealedFrame.java
+++ b/src/main/java/ochretiller/fleet/transport/SealedFrame.java
@@ -16,23 +16,25 @@
      * Longest frame that a server reads, and longest that a command reads: a view of the largest
      * fleet.
      */
-    static final int LONGEST_WORD = 64 * 1024;
+    static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    static final int LONGEST_ANSWER = 2 << 20;
-    private static final int LENGTH = 4;
+    static final int MAX_RESPONSE_BYTES = 2 << 20;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
     private SealedFrame() {}
 
     /** What a frame says. */
-    public record Said(String fleet, String challenge, String word, String text) {}
+    public record AdminMessage(String fleet, String challenge, String word, String text) {}
 
-    public static byte[] frame(FleetKeys keys, Said said) {
+    public static byte[] seal(FleetKeys keys, AdminMessage said) {
         byte[] text =
                 String.join("\n", said.fleet, said.challenge, said.word, said.text)
                         .getBytes(StandardCharsets.UTF_8);
         byte[] seal = keys.seal(text, text.length);
-        ByteArrayOutputStream out = new ByteArrayOutputStream(LENGTH + text.length + seal.length);
-        out.writeBytes(ByteBuffer.allocate(LENGTH).putInt(text.length + seal.length).array());
+        ByteArrayOutputStream out =
+                new ByteArrayOutputStream(LENGTH_PREFIX_BYTES + text.length + seal.length);
+        out.writeBytes(
+                ByteBuffer.allocate(LENGTH_PREFIX_BYTES).putInt(text.length + seal.length).array());
         out.writeBytes(text);
         out.writeBytes(seal);
         return out.toByteArray();
@@ -43,24 +45,26 @@
      * told.
      */
     public static int length(byte[] bytes, int count) {
-        return count < LENGTH ? 0 : LENGTH + ByteBuffer.wrap(bytes).getInt();
+        return count < LENGTH_PREFIX_BYTES
+                ? 0
+                : LENGTH_PREFIX_BYTES + ByteBuffer.wrap(bytes).getInt();
     }
 
     /** The content of a whole frame. */
-    public static Said open(FleetKeys keys, byte[] frame) throws RejectedPacketException {
-        byte[] body = Arrays.copyOfRange(frame, LENGTH, frame.length);
-        if (body.length < FleetKeys.SEAL) {
+    public static AdminMessage open(FleetKeys keys, byte[] frame) throws RejectedPacketException {
+        byte[] body = Arrays.copyOfRange(frame, LENGTH_PREFIX_BYTES, frame.length);
+        if (body.length < FleetKeys.SEAL_BYTES) {
             throw new RejectedPacketException(RejectReason.LENGTH);
         }
-        if (!keys.good(body, body.length - FleetKeys.SEAL)) {
+        if (!keys.isAuthentic(body, body.length - FleetKeys.SEAL_BYTES)) {
             throw new RejectedPacketException(RejectReason.FORGED);
         }
         String[] parts =
-                new String(body, 0, body.length - FleetKeys.SEAL, StandardCharsets.UTF_8)
+                new String(body, 0, body.length - FleetKeys.SEAL_BYTES, StandardCharsets.UTF_8)
                         .split("\n", 4);
         if (parts.length < 4) {
             throw new RejectedPacketException(RejectReason.MALFORMED);
         }
-        return new Said(parts[0], parts[1], parts[2], parts[3]);
+        return new AdminMessage(parts[0], parts[1], parts[2], parts[3]);
     }
 }
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -99,18 +99,20 @@
     }
 
     /** Something has happened to a version here. */
-    void recordRolloutEvent(RolloutService.What what, long version, String hash, String text) {
+    void recordRolloutEvent(
+            RolloutService.RolloutEvent what, long version, String hash, String text) {
         // A span is of one kind all through: what was acted on before stands in a span of its own.
-        if (what == RolloutService.What.CHANGED) {
+        if (what == RolloutService.RolloutEvent.CHANGED) {
             spans.switchVersion(version, hash, unixMs.getAsLong(), schedule.now())
                     .ifPresent(writer::add);
-        } else if (what == RolloutService.What.SHUT_OUT || what == RolloutService.What.LET_IN) {
+        } else if (what == RolloutService.RolloutEvent.SHUT_OUT
+                || what == RolloutService.RolloutEvent.LET_IN) {
             writer.add(spans.closePeriod(unixMs.getAsLong(), schedule.now()));
         }
         event(kind(what), version, text);
     }
 
-    private static AuditRecord.AuditEventKind kind(RolloutService.What what) {
+    private static AuditRecord.AuditEventKind kind(RolloutService.RolloutEvent what) {
         return switch (what) {
             case CHANGED -> AuditRecord.AuditEventKind.VERSION_CHANGED;
             case REFUSED -> AuditRecord.AuditEventKind.VERSION_REJECTED;
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -94,8 +94,8 @@
             throws IOException {
         this.schedule = schedule;
         // What is kept for the fleet has room of its own beside what is remembered here.
-        int most = remember.mostEntries() + (copies == null ? 0 : 2 * copies.most());
-        long bytes = remember.mostBytes() + (copies == null ? 0 : 4 * copies.mostBytes());
+        int most = remember.mostEntries() + (copies == null ? 0 : 2 * copies.maxEntries());
+        long bytes = remember.mostBytes() + (copies == null ? 0 : 4 * copies.maxBytes());
         StoreLimits limits =
                 new StoreLimits(
                         most,
@@ -537,25 +537,27 @@
     }
 
     @Override
-    public void ask(String token, Consumer<Known> then) {
+    public void lookUp(String token, Consumer<PreviousRun> then) {
         IdempotencyRecord mark = left.get(token);
         if (mark == null) {
-            then.accept(whole ? Known.NEVER : Known.UNKNOWN);
+            then.accept(whole ? PreviousRun.NEVER : PreviousRun.UNKNOWN);
         } else if (mark.progress() == IdempotencyRecord.Progress.IN_FLIGHT) {
-            then.accept(Known.UNKNOWN);
+            then.accept(PreviousRun.UNKNOWN);
         } else {
-            String body = ReplicationService.body(mark.operation(), mark.bodyDigest());
+            String body =
+                    ReplicationService.requestFingerprint(mark.operation(), mark.bodyDigest());
             Duration ends = schedule.now().plus(left(mark));
             if (mark.progress() == IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT) {
-                then.accept(new Known(Kind.ENDED, body, null, ends));
+                then.accept(new PreviousRun(Finding.ENDED, body, null, ends));
             } else {
                 readResult(
                         token,
                         read ->
                                 then.accept(
                                         read == null
-                                                ? Known.UNKNOWN
-                                                : new Known(Kind.ENDED, body, read, ends)));
+                                                ? PreviousRun.UNKNOWN
+                                                : new PreviousRun(
+                                                        Finding.ENDED, body, read, ends)));
             }
         }
     }
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -367,13 +367,14 @@
 
     /** Whether keyed work has no place here now: the voters have not let this server go on. */
     private boolean shutOut(RequestAttempt inv) {
-        return versions != null && inv.operation.isKeyed() && !versions.may();
+        return versions != null && inv.operation.isKeyed() && !versions.isAllowedToServe();
     }
 
     // ---- what the fleet knows of a token
 
     private static String body(RequestAttempt inv) {
-        return ReplicationService.body(inv.operation.name(), IdempotencyCache.bodyDigest(inv.body));
+        return ReplicationService.requestFingerprint(
+                inv.operation.name(), IdempotencyCache.bodyDigest(inv.body));
     }
 
     private Duration due(RequestAttempt inv) {
@@ -431,7 +432,7 @@
     private void neverRan(RequestAttempt inv) {
         ClaimId claim = claimed.remove(inv.id);
         if (claim != null) {
-            copies.neverRan(claim, windowEnds(inv));
+            copies.releaseClaim(claim, windowEnds(inv));
         }
     }
 
@@ -446,11 +447,11 @@
             then.accept(true);
         } else if (end == RunOutcome.Status.NEVER_STARTED
                 || end == RunOutcome.Status.NOT_DISPATCHED) {
-            copies.neverRan(claim, windowEnds(inv));
+            copies.releaseClaim(claim, windowEnds(inv));
             then.accept(true);
         } else {
             boolean good = end == RunOutcome.Status.SUCCEEDED;
-            copies.ended(
+            copies.reportOutcome(
                     claim,
                     body(inv),
                     good ? result : null,
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -228,10 +228,10 @@
                                 this::unixMs,
                                 metrics);
         fleet = operator.fleet().isEmpty() ? null : fleet(operator.fleet().get());
-        if (fleet != null && fleet.copies() != null && recall != null) {
-            fleet.copies().remembers(recall);
+        if (fleet != null && fleet.replication() != null && recall != null) {
+            fleet.replication().usePreviousIncarnation(recall);
         }
-        if (auditor != null || fleet != null && fleet.versions() != null) {
+        if (auditor != null || fleet != null && fleet.rollout() != null) {
             callers.ends(this::onAnswered);
         }
     }
@@ -474,8 +474,8 @@
                         workers,
                         records,
                         recall,
-                        fleet == null ? null : fleet.copies(),
-                        fleet == null ? null : fleet.versions(),
+                        fleet == null ? null : fleet.replication(),
+                        fleet == null ? null : fleet.rollout(),
                         auditor == null ? inv -> {} : auditor::recordRunStarted);
         host.start();
         if (recall != null) {
@@ -505,8 +505,8 @@
     }
 
     private void onRequestRead(RequestAttempt inv) {
-        if (fleet != null && fleet.versions() != null) {
-            inv.bind(fleet.versions().acting());
+        if (fleet != null && fleet.rollout() != null) {
+            inv.bind(fleet.rollout().activeVersion());
         }
         IdempotencyRecord mark = host != null || recall == null ? null : recall.restored(inv.token);
         if (host != null) {
@@ -523,7 +523,7 @@
         if (auditor != null) {
             auditor.recordAnswer(inv, how);
         }
-        if (fleet == null || fleet.versions() == null) {
+        if (fleet == null || fleet.rollout() == null) {
             return;
         }
         boolean good = how == AnswerKind.SUCCEEDED || how == AnswerKind.REPLAYED;
@@ -532,8 +532,8 @@
                         && loop.now().minus(inv.arrived).compareTo(inv.operation.latencyObjective())
                                 > 0;
         double value = inv.operation.billedValue();
-        fleet.versions()
-                .count(
+        fleet.rollout()
+                .recordOutcome(
                         inv.version(),
                         new VersionCounters(
                                 1,
@@ -545,7 +545,7 @@
     }
 
     /** What acts on versions here: the pools. */
-    private final class Acting implements RolloutService.Acts {
+    private final class Acting implements RolloutService.VersionActivator {
         private List<WorkerPoolConfig> plans(byte[] version) {
             OperatorConfig told =
                     version == null
@@ -595,7 +595,9 @@
 
         @Override
         public void told(
-                RolloutService.What what, RolloutState.PublishedVersion version, String text) {
+                RolloutService.RolloutEvent what,
+                RolloutState.PublishedVersion version,
+                String text) {
             if (auditor != null) {
                 auditor.recordRolloutEvent(what, version.number(), version.hash(), text);
             }
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -34,7 +34,7 @@
     private static final byte[] BYTES = "what to act on".getBytes(StandardCharsets.UTF_8);
 
     /** SHA-256 of {@link #BYTES}. */
-    private static final String HASH = RolloutService.hash(BYTES);
+    private static final String HASH = RolloutService.hashOf(BYTES);
 
     private static final RolloutState.PublishedVersion VERSION =
             new RolloutState.PublishedVersion(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
@@ -115,7 +115,7 @@
     }
 
     /** A server that remembers what it was to act on. */
-    private static final class Recorder implements RolloutService.Acts {
+    private static final class Recorder implements RolloutService.VersionActivator {
         private final List<byte[]> acted = new ArrayList<>();
 
         @Override
@@ -136,7 +136,9 @@
 
         @Override
         public void told(
-                RolloutService.What what, RolloutState.PublishedVersion version, String text) {
+                RolloutService.RolloutEvent what,
+                RolloutState.PublishedVersion version,
+                String text) {
             // nothing here is about what is told
         }
     }
@@ -169,7 +171,7 @@
         versions.publish("ann", "caf\u00e9", "1.2", BYTES);
         Map<String, byte[]> written = new LinkedHashMap<>();
         written.put(HASH + ".version", awaited(folder.resolve(HASH + ".version")));
-        versions.become(
+        versions.adoptPlacement(
                 new ReplicaPlacement(
                         1,
                         List.of(new ReplicaPlacement.ReplicaServer("a", "")),
@@ -188,7 +190,7 @@
         }
         Recorder recorder = new Recorder();
         RolloutService versions = versions(recorder);
-        assertThat(versions.acting()).isEqualTo(VERSION.number());
+        assertThat(versions.activeVersion()).isEqualTo(VERSION.number());
         assertThat(recorder.acted).containsExactly(BYTES);
         versions.close();
     }
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -42,8 +42,9 @@
     private static final String TOKEN = "a token";
     private static final ClaimId ID = new ClaimId("s", -7, 3);
     private static final byte[] RESULT = {1, 2, 3, -4};
-    private static final ReplicaStorage.Place PLACE =
-            new ReplicaStorage.Place(new TreeMap<>(Map.of("b", 5L, "c", 6L)), List.of(-8L, 9L));
+    private static final ReplicaStorage.ReplicaMetadata PLACE =
+            new ReplicaStorage.ReplicaMetadata(
+                    new TreeMap<>(Map.of("b", 5L, "c", 6L)), List.of(-8L, 9L));
     private static final ReplicaPlacement LAYOUT =
             new ReplicaPlacement(
                     4,
@@ -99,14 +100,14 @@
             DurabilityBarrier.PendingWrite entry = new DurabilityBarrier.PendingWrite(0, 2, TOKEN);
             durable(then -> keeperDisk.write(place, keeper, PLACE, NOW, then));
             durable(then -> keeperDisk.write(entry, keeper, PLACE, NOW, then));
-            durable(then -> keeperDisk.keep(TOKEN, ID, RESULT, NOW.plus(LEFT), NOW, then));
+            durable(then -> keeperDisk.storeResult(TOKEN, ID, RESULT, NOW.plus(LEFT), NOW, then));
         }
         Map<byte[], byte[]> all = new LinkedHashMap<>();
         try (Store store = open()) {
             store.forEachValue(
-                    ReplicaStorage.ENTRIES, (key, value, expires) -> all.put(key, value));
+                    ReplicaStorage.ENTRY_KEY_PREFIX, (key, value, expires) -> all.put(key, value));
             store.forEachValue(
-                    ReplicaStorage.RESULTS, (key, value, expires) -> all.put(key, value));
+                    ReplicaStorage.RESULT_KEY_PREFIX, (key, value, expires) -> all.put(key, value));
         }
         return all;
     }
@@ -146,7 +147,7 @@
             ReplicaStorage keeperDisk = new ReplicaStorage(store, LONGEST);
             assertThat(keeperDisk.read(NOW))
                     .isEqualTo(
-                            new ReplicaStorage.Found(
+                            new ReplicaStorage.RecoveredReplica(
                                     new Replica.ReplicaSnapshot(
                                             LAYOUT, entries, Set.of(3), forgot, Set.of(7), 42,
                                             true),
@@ -155,7 +156,7 @@
                                     PLACE));
             store.start();
             CompletableFuture<byte[]> result = new CompletableFuture<>();
-            keeperDisk.result(TOKEN, ID, result::complete);
+            keeperDisk.readResult(TOKEN, ID, result::complete);
             assertThat(result.get(10, TimeUnit.SECONDS)).isEqualTo(RESULT);
         }
     }
@@ -183,7 +184,9 @@
         Map<String, Long> expires = new TreeMap<>();
         StoreInspector.list(
                 disk,
-                item -> expires.put(ReplicaStorage.about(item.key()), item.expiresAtMillis()));
+                item ->
+                        expires.put(
+                                ReplicaStorage.describeKey(item.key()), item.expiresAtMillis()));
         assertThat(expires)
                 .isEqualTo(
                         Map.of(
--- a/src/test/java/ochretiller/fleet/service/SealedFileTest.java
+++ b/src/test/java/ochretiller/fleet/service/SealedFileTest.java
@@ -21,19 +21,19 @@
     void eachCutAndEachSpoiltByteIsTold() throws IOException {
         Path path = folder.resolve("small");
         SealedFile file = new SealedFile(path);
-        assertThat(file.<String>read(PacketCodec::text)).as("there is none").isNull();
+        assertThat(file.<String>read(PacketCodec::readText)).as("there is none").isNull();
         file.write(to -> to.writeString("what was kept"));
-        assertThat(file.read(PacketCodec::text)).isEqualTo("what was kept");
+        assertThat(file.read(PacketCodec::readText)).isEqualTo("what was kept");
         byte[] whole = Files.readAllBytes(path);
         for (int i = 0; i < whole.length; i++) {
             Files.write(path, Arrays.copyOf(whole, i));
-            assertThatThrownBy(() -> file.read(PacketCodec::text))
+            assertThatThrownBy(() -> file.read(PacketCodec::readText))
                     .as("cut at " + i)
                     .isInstanceOf(SealedFile.DamagedException.class);
             byte[] spoilt = whole.clone();
             spoilt[i] ^= 0x10;
             Files.write(path, spoilt);
-            assertThatThrownBy(() -> file.read(PacketCodec::text))
+            assertThatThrownBy(() -> file.read(PacketCodec::readText))
                     .as("spoilt at " + i)
                     .isInstanceOf(SealedFile.DamagedException.class);
         }
--- a/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
@@ -280,12 +280,13 @@
         return all;
     }
 
-    private static Map<String, SealedFrame.Said> frames() {
-        Map<String, SealedFrame.Said> all = new LinkedHashMap<>();
-        all.put("hello", new SealedFrame.Said("parts", "0011223344556677", "hello", "n1"));
+    private static Map<String, SealedFrame.AdminMessage> frames() {
+        Map<String, SealedFrame.AdminMessage> all = new LinkedHashMap<>();
+        all.put("hello", new SealedFrame.AdminMessage("parts", "0011223344556677", "hello", "n1"));
         all.put(
                 "view",
-                new SealedFrame.Said("parts", "0011223344556677", "view", "caf\u00e9\nand more"));
+                new SealedFrame.AdminMessage(
+                        "parts", "0011223344556677", "view", "caf\u00e9\nand more"));
         return all;
     }
 
@@ -305,7 +306,8 @@
             byte[] bytes = PACKETS.bytes(each.getKey());
             assertThat(codec.open(bytes, bytes.length))
                     .as(each.getKey())
-                    .isEqualTo(new PacketCodec.Opened(SENDER, each.getValue(), SEQUENCE, 0));
+                    .isEqualTo(
+                            new PacketCodec.ReceivedPacket(SENDER, each.getValue(), SEQUENCE, 0));
         }
     }
 
@@ -353,9 +355,9 @@
     void theOperatorsFramesAreWrittenAsTheirGoldenBytesAndReadBack()
             throws RejectedPacketException {
         Map<String, byte[]> written = new LinkedHashMap<>();
-        frames().forEach((name, said) -> written.put(name, SealedFrame.frame(KEYS, said)));
+        frames().forEach((name, said) -> written.put(name, SealedFrame.seal(KEYS, said)));
         FRAMES.assertHolds(written);
-        for (Map.Entry<String, SealedFrame.Said> each : frames().entrySet()) {
+        for (Map.Entry<String, SealedFrame.AdminMessage> each : frames().entrySet()) {
             byte[] bytes = FRAMES.bytes(each.getKey());
             assertThat(SealedFrame.length(bytes, bytes.length)).isEqualTo(bytes.length);
             assertThat(SealedFrame.open(KEYS, bytes)).as(each.getKey()).isEqualTo(each.getValue());
--- a/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
+++ b/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
@@ -77,14 +77,14 @@
     private static void refused(ThrowingCallable call, RejectReason why) {
         assertThatThrownBy(call)
                 .isInstanceOfSatisfying(
-                        RejectedPacketException.class, e -> assertThat(e.why()).isEqualTo(why));
+                        RejectedPacketException.class, e -> assertThat(e.reason()).isEqualTo(why));
     }
 
     @Test
     void eachKindComesBackAsItWas() throws RejectedPacketException {
         for (MembershipMessage message : all()) {
             byte[] bytes = codec.seal(new MembershipPacket(from, message), 77);
-            PacketCodec.Opened opened = codec.open(bytes, bytes.length);
+            PacketCodec.ReceivedPacket opened = codec.open(bytes, bytes.length);
             assertThat(opened.packet()).isEqualTo(new MembershipPacket(from, message));
             assertThat(opened.sequence()).isEqualTo(77);
         }
@@ -219,15 +219,15 @@
     void whatIsSaidOfEpochsAndTokensComesBackAsItWas() throws RejectedPacketException {
         for (Object message : aboutCopies()) {
             byte[] bytes = codec.seal(from, message, 5);
-            assertThat(codec.open(bytes, bytes.length).body()).isEqualTo(message);
-            for (int i = 6; i < bytes.length - FleetKeys.SEAL; i++) {
+            assertThat(codec.open(bytes, bytes.length).message()).isEqualTo(message);
+            for (int i = 6; i < bytes.length - FleetKeys.SEAL_BYTES; i++) {
                 byte[] bad = bytes.clone();
                 bad[i] ^= 0x15;
                 sealed(bad);
                 try {
                     codec.open(bad, bad.length);
                 } catch (RejectedPacketException e) {
-                    assertThat(e.why())
+                    assertThat(e.reason())
                             .isIn(
                                     RejectReason.MALFORMED,
                                     RejectReason.KIND,
@@ -260,7 +260,7 @@
                                     List.of(),
                                     layout),
                             Long.MAX_VALUE);
-            assertThat(codec.open(bytes, bytes.length).body()).isNotNull();
+            assertThat(codec.open(bytes, bytes.length).message()).isNotNull();
         }
     }
 
@@ -322,8 +322,8 @@
 
     /** What stands between head and seal, sealed anew: only somebody with the key can write it. */
     private byte[] sealed(byte[] bytes) {
-        int body = bytes.length - FleetKeys.SEAL;
-        System.arraycopy(FleetKeys.of(KEY).seal(bytes, body), 0, bytes, body, FleetKeys.SEAL);
+        int body = bytes.length - FleetKeys.SEAL_BYTES;
+        System.arraycopy(FleetKeys.of(KEY).seal(bytes, body), 0, bytes, body, FleetKeys.SEAL_BYTES);
         return bytes;
     }
 
@@ -347,7 +347,7 @@
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = good.get(i % good.size()).clone();
             for (int hits = 1 + chance.nextInt(3); hits > 0; hits--) {
-                bytes[6 + chance.nextInt(bytes.length - 6 - FleetKeys.SEAL)] =
+                bytes[6 + chance.nextInt(bytes.length - 6 - FleetKeys.SEAL_BYTES)] =
                         (byte) chance.nextInt();
             }
             sealed(bytes);
@@ -355,7 +355,7 @@
                 codec.open(bytes, bytes.length);
                 taken++;
             } catch (RejectedPacketException e) {
-                assertThat(e.why())
+                assertThat(e.reason())
                         .isIn(RejectReason.MALFORMED, RejectReason.KIND, RejectReason.OTHER_FLEET);
             }
         }
@@ -388,11 +388,12 @@
         InetSocketAddress loud = new InetSocketAddress("127.0.0.1", 1);
         int taken = 0;
         for (int i = 0; i < 10_000; i++) {
-            if (budget.take(loud, 100, 1_000_000)) {
+            if (budget.tryAcquire(loud, 100, 1_000_000)) {
                 taken++;
             }
         }
         assertThat(taken).isBetween(1_800, 2_100);
-        assertThat(budget.take(new InetSocketAddress("127.0.0.1", 2), 100, 1_000_000)).isTrue();
+        assertThat(budget.tryAcquire(new InetSocketAddress("127.0.0.1", 2), 100, 1_000_000))
+                .isTrue();
     }
 }
--- a/src/test/java/ochretiller/node/AuditRecorderTest.java
+++ b/src/test/java/ochretiller/node/AuditRecorderTest.java
@@ -17,15 +17,15 @@
 
 /** What happens to a version is kept under the number that the audit's files have for it. */
 class AuditRecorderTest {
-    private static final List<RolloutService.What> EVENTS =
+    private static final List<RolloutService.RolloutEvent> EVENTS =
             List.of(
-                    RolloutService.What.CHANGED,
-                    RolloutService.What.REFUSED,
-                    RolloutService.What.SHUT_OUT,
-                    RolloutService.What.LET_IN,
-                    RolloutService.What.PUBLISHED,
-                    RolloutService.What.ROLLOUT,
-                    RolloutService.What.WITNESSED);
+                    RolloutService.RolloutEvent.CHANGED,
+                    RolloutService.RolloutEvent.REFUSED,
+                    RolloutService.RolloutEvent.SHUT_OUT,
+                    RolloutService.RolloutEvent.LET_IN,
+                    RolloutService.RolloutEvent.PUBLISHED,
+                    RolloutService.RolloutEvent.ROLLOUT,
+                    RolloutService.RolloutEvent.WITNESSED);
     @TempDir private Path folder;
 
     private Stream<Integer> kinds() throws Exception {
@@ -41,11 +41,11 @@
         AuditRecorder auditor =
                 new AuditRecorder(new ManualEventLoop(), told, "n1", () -> 1_000, new Metrics());
         auditor.start();
-        for (RolloutService.What what : EVENTS) {
+        for (RolloutService.RolloutEvent what : EVENTS) {
             auditor.recordRolloutEvent(what, 1, "", "");
         }
         auditor.close();
-        assertThat(EVENTS).containsExactlyInAnyOrder(RolloutService.What.values());
+        assertThat(EVENTS).containsExactlyInAnyOrder(RolloutService.RolloutEvent.values());
         assertThat(kinds())
                 .as("started, the events in their order, ended")
                 .containsExactly(0, 1, 2, 3, 4, 5, 6, 9, 8);
