--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -23,6 +23,7 @@
 import ochretiller.fleet.membership.OutboundPacket;
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.transport.AdminEndpoint;
+import ochretiller.fleet.transport.CommandHandler;
 import ochretiller.fleet.transport.FleetKeys;
 import ochretiller.fleet.transport.PacketCodec;
 import ochretiller.fleet.transport.PeerSocket;
@@ -178,8 +179,8 @@
     }
 
     /** What the operators' commands may ask. */
-    private Map<String, AdminEndpoint.CommandHandler> words(Runnable leave) {
-        Map<String, AdminEndpoint.CommandHandler> words = new HashMap<>();
+    private Map<String, CommandHandler> words(Runnable leave) {
+        Map<String, CommandHandler> words = new HashMap<>();
         words.put("view", with -> MembershipJson.json(settings.fleet(), members, socket));
         words.put("ping", with -> "{}");
         words.put(
@@ -270,20 +271,21 @@
                 "Newcomers and questions for which there was no room",
                 () -> members.counters().capacityRejections);
         metrics.counted(
-                "fleet_sent_packets_total", "Packets sent to peers", socket.sentPackets::sum);
-        metrics.counted("fleet_sent_bytes_total", "Bytes sent to peers", socket.sentBytes::sum);
+                "fleet_sent_packets_total", "Packets sent to peers", socket.traffic()::sentPackets);
+        metrics.counted(
+                "fleet_sent_bytes_total", "Bytes sent to peers", socket.traffic()::sentBytes);
         metrics.counted(
                 "fleet_unsent_packets_total",
                 "Packets that the socket did not take",
-                socket.droppedSends::sum);
+                socket.traffic()::droppedPackets);
         metrics.counted(
                 "fleet_read_packets_total",
                 "Packets read, refused ones among them",
-                socket.readPackets::sum);
+                socket.traffic()::readPackets);
         metrics.counted(
                 "fleet_read_bytes_total",
                 "Bytes read, refused ones among them",
-                socket.readBytes::sum);
+                socket.traffic()::readBytes);
         for (RejectReason why : RejectReason.values()) {
             metrics.counted(
                     "fleet_refused_" + why.lowerCaseName() + "_total",
--- a/src/main/java/ochretiller/fleet/service/MembershipJson.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipJson.java
@@ -16,8 +16,8 @@
                     to.writeStringField("digest", Long.toHexString(members.digest()));
                     to.writeNumberField("doubt", members.localHealthScore());
                     to.writeNumberField("news", members.pendingGossip());
-                    to.writeNumberField("sent_bytes", socket.sentBytes.sum());
-                    to.writeNumberField("read_bytes", socket.readBytes.sum());
+                    to.writeNumberField("sent_bytes", socket.traffic().sentBytes());
+                    to.writeNumberField("read_bytes", socket.traffic().readBytes());
                     to.writeObjectFieldStart("refused");
                     for (RejectReason why : RejectReason.values()) {
                         if (socket.rejectedCount(why) > 0) {
--- a/src/main/java/ochretiller/fleet/transport/FleetKeys.java
+++ b/src/main/java/ochretiller/fleet/transport/FleetKeys.java
@@ -9,102 +9,108 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.stream.Stream;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 import ochretiller.settings.MalformedException;
 
 /**
- * Keys of a fleet: the first seals, each opens, so that a key is changed by adding the new one
- * behind the old one everywhere, then putting it first, then taking the old one out.
+ * The keys of a fleet, by which packets are sealed: HMAC-SHA-256 (RFC 2104), truncated to 16 bytes.
+ * The first key seals and each of them is accepted, so that a key can be rotated: add the new one
+ * at the end everywhere, move it to the front, then remove the old one.
+ *
+ * <p>Thread-safe.
  */
 public final class FleetKeys {
-    /** Bytes of a seal: half of what the hash gives, as is usual. */
+    /** Bytes of a seal: half of the hash, the least that RFC 2104, section 5, recommends. */
     public static final int SEAL_BYTES = 16;
 
-    /** Shortest key in bytes, and most keys in a file. */
     private static final int MIN_KEY_BYTES = 16;
-
     private static final int MAX_KEYS = 4;
     private static final int MAX_FILE_BYTES = 4096;
     private static final String MAC_ALGORITHM = "HmacSHA256";
 
-    private final List<SecretKeySpec> keys = new ArrayList<>();
-    private final ThreadLocal<List<Mac>> macs = ThreadLocal.withInitial(this::macs);
+    private final List<SecretKeySpec> keys;
+    private final ThreadLocal<List<Mac>> macs = ThreadLocal.withInitial(this::createMacs);
 
-    private FleetKeys(List<byte[]> all) {
-        for (byte[] key : all) {
-            keys.add(new SecretKeySpec(key, MAC_ALGORITHM));
-        }
+    private FleetKeys(List<byte[]> keys) {
+        this.keys = keys.stream().map(key -> new SecretKeySpec(key, MAC_ALGORITHM)).toList();
     }
 
-    public static FleetKeys of(String... texts) {
-        List<byte[]> all = new ArrayList<>();
-        for (String text : texts) {
-            all.add(text.getBytes(StandardCharsets.UTF_8));
-        }
-        return new FleetKeys(all);
+    /** Returns keys made of texts. */
+    public static FleetKeys of(String... keys) {
+        return new FleetKeys(
+                Stream.of(keys).map(key -> key.getBytes(StandardCharsets.UTF_8)).toList());
     }
 
     /**
-     * A key a line; a {@link MalformedException} names what is wrong with the file, never what is
-     * in it.
+     * Reads a file with one key in each line.
+     *
+     * @throws MalformedException with what is wrong with the file, but none of its content
      */
     public static FleetKeys read(Path file) {
-        List<byte[]> all = new ArrayList<>();
+        List<byte[]> keys = new ArrayList<>();
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new MalformedException("the fleet's key file " + file + " is too long");
             }
             for (String line : Files.readAllLines(file)) {
-                if (line.isBlank()) {
-                    continue;
+                if (!line.isBlank()) {
+                    keys.add(parseKey(file, line));
                 }
-                byte[] key = line.strip().getBytes(StandardCharsets.UTF_8);
-                if (key.length < MIN_KEY_BYTES) {
-                    throw new MalformedException(
-                            "the fleet's key file "
-                                    + file
-                                    + " has a key of under "
-                                    + MIN_KEY_BYTES
-                                    + " bytes");
-                }
-                all.add(key);
             }
         } catch (IOException e) {
             throw new MalformedException("cannot read the fleet's key file " + file);
         }
-        if (all.isEmpty() || all.size() > MAX_KEYS) {
+        if (keys.isEmpty() || keys.size() > MAX_KEYS) {
             throw new MalformedException(
                     "the fleet's key file " + file + " needs 1 to " + MAX_KEYS + " keys");
         }
-        return new FleetKeys(all);
+        return new FleetKeys(keys);
+    }
+
+    private static byte[] parseKey(Path file, String line) {
+        byte[] key = line.strip().getBytes(StandardCharsets.UTF_8);
+        if (key.length < MIN_KEY_BYTES) {
+            throw new MalformedException(
+                    "the fleet's key file "
+                            + file
+                            + " has a key of under "
+                            + MIN_KEY_BYTES
+                            + " bytes");
+        }
+        return key;
     }
 
-    private List<Mac> macs() {
-        List<Mac> made = new ArrayList<>();
+    private List<Mac> createMacs() {
+        List<Mac> created = new ArrayList<>();
         try {
             for (SecretKeySpec key : keys) {
                 Mac mac = Mac.getInstance(MAC_ALGORITHM);
                 mac.init(key);
-                made.add(mac);
+                created.add(mac);
             }
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e); // each JDK has it
+            throw new IllegalStateException("each JDK has " + MAC_ALGORITHM, e);
         }
-        return made;
+        return created;
     }
 
+    /** Returns the seal over the first bytes. */
     byte[] seal(byte[] bytes, int length) {
-        Mac mac = macs.get().get(0);
+        return seal(macs.get().get(0), bytes, length);
+    }
+
+    private static byte[] seal(Mac mac, byte[] bytes, int length) {
         mac.update(bytes, 0, length);
         return Arrays.copyOf(mac.doFinal(), SEAL_BYTES);
     }
 
+    /** Returns whether the first bytes are followed by a seal with one of the keys. */
     boolean isAuthentic(byte[] bytes, int length) {
-        byte[] told = Arrays.copyOfRange(bytes, length, length + SEAL_BYTES);
+        byte[] stated = Arrays.copyOfRange(bytes, length, length + SEAL_BYTES);
         for (Mac mac : macs.get()) {
-            mac.update(bytes, 0, length);
-            if (MessageDigest.isEqual(Arrays.copyOf(mac.doFinal(), SEAL_BYTES), told)) {
+            if (MessageDigest.isEqual(seal(mac, bytes, length), stated)) {
                 return true;
             }
         }
--- a/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
@@ -5,41 +5,70 @@
 import ochretiller.collections.BoundedMap;
 
 /**
- * How many packets and bytes each peer may send, counted by the address that they come from, before
- * anything is opened: a flood costs a look-up and delays nobody else. Used by the reading thread
- * alone.
+ * Limits packets and bytes per second by source address with token buckets, before anything is
+ * decoded: a flood from one address costs a look-up and delays nobody else. Used by the reading
+ * thread alone.
  */
 final class PeerRateLimiter {
     /**
      * A server sends some 20 packets a second to all others together, and some more for each
-     * tokened invocation.
+     * invocation with an idempotency key.
      */
     private static final double PACKETS_PER_SECOND = 2_000;
 
     private static final double BYTES_PER_SECOND = 2_000_000;
 
-    /** What all together may send: the seals of it take a tenth of a core. */
+    /** Limit for all addresses together: to check their seals takes a tenth of a core. */
     private static final double TOTAL_PACKETS_PER_SECOND = 12_000;
 
-    /** Addresses that are told apart; a flood from more of them meets the bound on all. */
+    private static final double TOTAL_BYTES_PER_SECOND =
+            TOTAL_PACKETS_PER_SECOND * PacketCodec.MAX_PACKET_BYTES;
+
+    /** Addresses that are told apart; a flood from more of them meets the limit for all. */
     private static final int MAX_TRACKED_PEERS = 4096;
 
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    private final Bucket total;
+    private final Map<InetSocketAddress, Bucket> peers =
+            BoundedMap.evictingLeastRecentlyUsed(MAX_TRACKED_PEERS);
+
+    /**
+     * Creates a limiter with full buckets.
+     *
+     * @param nowNanos of {@link System#nanoTime()}
+     */
+    PeerRateLimiter(long nowNanos) {
+        total = new Bucket(TOTAL_PACKETS_PER_SECOND, TOTAL_BYTES_PER_SECOND, nowNanos);
+    }
+
+    /** Returns whether a packet of this size may be read. */
+    boolean tryAcquire(InetSocketAddress source, int size, long nowNanos) {
+        Bucket peer =
+                peers.computeIfAbsent(
+                        source,
+                        ignored -> new Bucket(PACKETS_PER_SECOND, BYTES_PER_SECOND, nowNanos));
+        return peer.tryAcquire(size, nowNanos) && total.tryAcquire(size, nowNanos);
+    }
+
+    /** A token bucket for packets and bytes, which holds what accrues in one second. */
     private static final class Bucket {
-        double packets;
-        double bytes;
-        long at;
+        private final double packetsPerSecond;
+        private final double bytesPerSecond;
+        private double packets;
+        private double bytes;
+        private long refilledAtNanos;
 
-        Bucket(double packets, double bytes, long at) {
-            this.packets = packets;
-            this.bytes = bytes;
-            this.at = at;
+        Bucket(double packetsPerSecond, double bytesPerSecond, long nowNanos) {
+            this.packetsPerSecond = packetsPerSecond;
+            this.bytesPerSecond = bytesPerSecond;
+            this.packets = packetsPerSecond;
+            this.bytes = bytesPerSecond;
+            this.refilledAtNanos = nowNanos;
         }
 
-        boolean take(double mostPackets, double mostBytes, int size, long now) {
-            double seconds = (now - at) / 1e9;
-            at = now;
-            packets = Math.min(mostPackets, packets + seconds * mostPackets);
-            bytes = Math.min(mostBytes, bytes + seconds * mostBytes);
+        boolean tryAcquire(int size, long nowNanos) {
+            refill(nowNanos);
             if (packets < 1 || bytes < size) {
                 return false;
             }
@@ -47,29 +76,12 @@
             bytes -= size;
             return true;
         }
-    }
-
-    private final Bucket all;
-    private final Map<InetSocketAddress, Bucket> peers =
-            BoundedMap.evictingLeastRecentlyUsed(MAX_TRACKED_PEERS);
-
-    PeerRateLimiter(long now) {
-        all =
-                new Bucket(
-                        TOTAL_PACKETS_PER_SECOND,
-                        TOTAL_PACKETS_PER_SECOND * PacketCodec.MAX_PACKET_BYTES,
-                        now);
-    }
 
-    boolean tryAcquire(InetSocketAddress from, int size, long now) {
-        Bucket mine =
-                peers.computeIfAbsent(
-                        from, ignored -> new Bucket(PACKETS_PER_SECOND, BYTES_PER_SECOND, now));
-        return mine.take(PACKETS_PER_SECOND, BYTES_PER_SECOND, size, now)
-                && all.take(
-                        TOTAL_PACKETS_PER_SECOND,
-                        TOTAL_PACKETS_PER_SECOND * PacketCodec.MAX_PACKET_BYTES,
-                        size,
-                        now);
+        private void refill(long nowNanos) {
+            double seconds = (nowNanos - refilledAtNanos) / NANOS_PER_SECOND;
+            refilledAtNanos = nowNanos;
+            packets = Math.min(packetsPerSecond, packets + seconds * packetsPerSecond);
+            bytes = Math.min(bytesPerSecond, bytes + seconds * bytesPerSecond);
+        }
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerSocket.java
@@ -10,58 +10,61 @@
 import java.nio.channels.Selector;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLongArray;
-import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 import ochretiller.net.Scheduler;
 
 /**
- * Datagrams of a fleet. One thread reads, holds each packet against the bounds, opens it and hands
- * it to the schedule; sending is the schedule's and never waits. A channel of the JDK's and not
- * MINA's acceptor: that keeps a session for each address that ever sent, and a flood from made-up
- * addresses would fill the memory.
+ * The UDP socket of a server. A reading thread applies the limits, decodes each packet and posts it
+ * to the event loop; packets are sent from the event loop and never wait.
+ *
+ * <p>It uses a channel of the JDK and not an acceptor of MINA, which keeps a session for each
+ * address that ever sent: a flood from forged addresses would fill the memory.
  */
 public final class PeerSocket {
     private static final Logger LOG = Logger.getLogger(PeerSocket.class.getName());
 
-    /** Packets that wait for the one thread: a comparison of views, many times over. */
+    /** Packets that wait for the event loop: many times what a synchronization of views needs. */
     private static final int MAX_QUEUED_PACKETS = 1024;
 
-    /** The kernel's room for what is not read yet: a second's pause at a comparison of views. */
+    /** Buffer of the kernel: a pause of one second while views are synchronized. */
     private static final int SOCKET_BUFFER_BYTES = 512 * 1024;
 
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final PacketCodec codec;
-    private final Consumer<ReceivedPacket> taker;
+    private final Consumer<ReceivedPacket> receiver;
     private final DatagramChannel channel;
     private final Selector selector;
-    private final ReplayWindow window = new ReplayWindow();
-    private final AtomicInteger behind = new AtomicInteger();
-    private final AtomicLongArray rejectedCount = new AtomicLongArray(RejectReason.values().length);
-    public final LongAdder sentPackets = new LongAdder();
-    public final LongAdder sentBytes = new LongAdder();
-    public final LongAdder readPackets = new LongAdder();
-    public final LongAdder readBytes = new LongAdder();
-    public final LongAdder droppedSends = new LongAdder();
+    private final ReplayWindow replayWindow = new ReplayWindow();
+    private final AtomicInteger queuedPackets = new AtomicInteger();
+    private final AtomicLongArray rejectedCounts =
+            new AtomicLongArray(RejectReason.values().length);
+    private final TrafficCounters traffic = new TrafficCounters();
 
+    /**
+     * Binds the socket; packets are read once {@link #start()} is called.
+     *
+     * @param receiver is called on the event loop with each packet that was accepted
+     * @throws IOException if the address cannot be bound
+     */
     public PeerSocket(
-            Scheduler schedule,
+            Scheduler scheduler,
             PacketCodec codec,
-            InetSocketAddress listen,
-            Consumer<ReceivedPacket> taker)
+            InetSocketAddress listenAddress,
+            Consumer<ReceivedPacket> receiver)
             throws IOException {
-        this.schedule = schedule;
+        this.scheduler = scheduler;
         this.codec = codec;
-        this.taker = taker;
+        this.receiver = receiver;
         channel = DatagramChannel.open();
         try {
             channel.setOption(StandardSocketOptions.SO_RCVBUF, SOCKET_BUFFER_BYTES);
-            channel.bind(listen);
+            channel.bind(listenAddress);
         } catch (IOException e) {
             channel.close();
             throw new IOException(
                     "cannot listen for the fleet on "
-                            + listen
+                            + listenAddress
                             + ": it is in use or not this machine's",
                     e);
         }
@@ -70,91 +73,105 @@
         channel.register(selector, SelectionKey.OP_READ);
     }
 
+    /** Starts the reading thread, which ends when the socket is closed. */
     public void start() {
-        Thread thread = new Thread(this::read, "fleet");
+        Thread thread = new Thread(this::readUntilClosed, "fleet");
         thread.setDaemon(true);
         thread.start();
     }
 
-    public long rejectedCount(RejectReason why) {
-        return rejectedCount.get(why.ordinal());
+    /** Returns the counters of packets and bytes. */
+    public TrafficCounters traffic() {
+        return traffic;
+    }
+
+    /** Returns how many packets were rejected for a reason. From any thread. */
+    public long rejectedCount(RejectReason reason) {
+        return rejectedCounts.get(reason.ordinal());
     }
 
-    private void refuse(RejectReason why) {
-        rejectedCount.incrementAndGet(why.ordinal());
+    private void reject(RejectReason reason) {
+        rejectedCounts.incrementAndGet(reason.ordinal());
     }
 
-    private void read() {
-        ByteBuffer buffer =
-                ByteBuffer.allocate(
-                        PacketCodec.MAX_PACKET_BYTES + 1); // one byte more shows what is too long
-        PeerRateLimiter budget = new PeerRateLimiter(System.nanoTime());
+    private void readUntilClosed() {
+        // One byte more than is allowed shows that a packet is too long.
+        ByteBuffer buffer = ByteBuffer.allocate(PacketCodec.MAX_PACKET_BYTES + 1);
+        PeerRateLimiter rateLimiter = new PeerRateLimiter(System.nanoTime());
         while (channel.isOpen()) {
             try {
                 selector.select();
                 selector.selectedKeys().clear();
-                InetSocketAddress from;
-                while ((from = (InetSocketAddress) channel.receive(buffer.clear())) != null) {
-                    taken(buffer, from, budget);
-                }
+                readAvailable(buffer, rateLimiter);
             } catch (ClosedSelectorException e) {
                 return;
             } catch (IOException e) {
-                // A refused packet of ours comes back as a fault of the socket: it says nothing of
-                // what others send.
+                // An ICMP error for a packet of ours is reported here; reading goes on.
                 LOG.fine(() -> "fleet's socket: " + e.getMessage());
             }
         }
     }
 
-    private void taken(ByteBuffer buffer, InetSocketAddress from, PeerRateLimiter budget) {
+    private void readAvailable(ByteBuffer buffer, PeerRateLimiter rateLimiter) throws IOException {
+        InetSocketAddress source = receive(buffer);
+        while (source != null) {
+            accept(buffer, source, rateLimiter);
+            source = receive(buffer);
+        }
+    }
+
+    private InetSocketAddress receive(ByteBuffer buffer) throws IOException {
+        return (InetSocketAddress) channel.receive(buffer.clear());
+    }
+
+    private void accept(ByteBuffer buffer, InetSocketAddress source, PeerRateLimiter rateLimiter) {
         int length = buffer.flip().remaining();
-        readPackets.increment();
-        readBytes.add(length);
-        if (!budget.tryAcquire(from, length, System.nanoTime())) {
-            refuse(RejectReason.OVER_BUDGET);
+        traffic.packetRead(length);
+        if (!rateLimiter.tryAcquire(source, length, System.nanoTime())) {
+            reject(RejectReason.OVER_BUDGET);
             return;
         }
-        ReceivedPacket opened;
+        ReceivedPacket packet;
         try {
-            opened = codec.open(buffer.array(), length);
+            packet = codec.open(buffer.array(), length);
         } catch (RejectedPacketException e) {
-            refuse(e.reason());
+            reject(e.reason());
             return;
         }
-        if (!window.take(opened.sender().incarnation(), opened.sequence())) {
-            refuse(RejectReason.REPLAYED);
+        if (!replayWindow.take(packet.sender().incarnation(), packet.sequence())) {
+            reject(RejectReason.REPLAYED);
             return;
         }
-        if (behind.incrementAndGet() > MAX_QUEUED_PACKETS) {
-            behind.decrementAndGet();
-            refuse(RejectReason.BEHIND);
+        if (queuedPackets.incrementAndGet() > MAX_QUEUED_PACKETS) {
+            queuedPackets.decrementAndGet();
+            reject(RejectReason.BEHIND);
             return;
         }
-        schedule.post(
-                () -> {
-                    behind.decrementAndGet();
-                    taker.accept(opened);
-                });
+        scheduler.post(() -> deliver(packet));
+    }
+
+    private void deliver(ReceivedPacket packet) {
+        queuedPackets.decrementAndGet();
+        receiver.accept(packet);
     }
 
     /**
-     * Sends, or counts that it could not: what is lost here is said again as what is lost on the
-     * way.
+     * Sends a packet without waiting. One that the socket does not take is counted and lost, as it
+     * could be lost on the way; the protocols repeat what matters.
      */
-    public void send(InetSocketAddress to, byte[] bytes) {
+    public void send(InetSocketAddress destination, byte[] packet) {
         try {
-            if (channel.send(ByteBuffer.wrap(bytes), to) == bytes.length) {
-                sentPackets.increment();
-                sentBytes.add(bytes.length);
+            if (channel.send(ByteBuffer.wrap(packet), destination) == packet.length) {
+                traffic.packetSent(packet.length);
                 return;
             }
         } catch (IOException | RuntimeException e) {
             LOG.fine(() -> "fleet's socket: " + e.getMessage());
         }
-        droppedSends.increment();
+        traffic.packetDropped();
     }
 
+    /** Closes the socket and ends the reading thread. */
     public void close() {
         try {
             channel.close();
--- a/src/main/java/ochretiller/fleet/transport/RejectReason.java
+++ b/src/main/java/ochretiller/fleet/transport/RejectReason.java
@@ -2,27 +2,27 @@
 
 import java.util.Locale;
 
-/** Why a packet was not taken; each has a figure of its own. */
+/** Why a packet was rejected. Each reason has a counter of its own. */
 public enum RejectReason {
-    /** Shorter than an envelope, longer than is read, or not as long as it says. */
+    /** It is shorter than an envelope, too long, or not as long as it states. */
     LENGTH("LENGTH"),
-    /** It does not begin as an envelope does. */
+    /** It does not begin with the magic bytes. */
     NOT_OURS("NOT_OURS"),
-    /** Only newer programs can read it. */
+    /** Only newer versions of the protocol can read it. */
     NEWER("NEWER"),
-    /** Its seal is not made with a key of this fleet. */
+    /** It is not sealed with a key of this fleet. */
     FORGED("FORGED"),
     /** It names another fleet. */
     OTHER_FLEET("OTHER_FLEET"),
-    /** Its seal is good and its content is not. */
+    /** It is authentic, but its content does not follow the protocol. */
     MALFORMED("MALFORMED"),
-    /** It was taken before, or is too far behind what was. */
+    /** It was received before, or is too old to tell. */
     REPLAYED("REPLAYED"),
-    /** Its kind is not known here: a newer program's. */
+    /** The kind of its message is unknown: a newer program has sent it. */
     KIND("KIND"),
-    /** Its sender sends more than one peer may. */
+    /** Its sender exceeds the rate that is allowed to one peer, or all of them together do. */
     OVER_BUDGET("OVER_BUDGET"),
-    /** The one thread has too much to work off. */
+    /** Too many packets wait for the event loop. */
     BEHIND("BEHIND");
 
     private final String externalName;
@@ -32,14 +32,14 @@
     }
 
     /**
-     * The word by which metrics, JSON and log lines name it; it stays whatever the constant is
-     * called.
+     * Returns the name that log lines, metrics and JSON are made from; it is independent of the
+     * constant's name.
      */
     public String externalName() {
         return externalName;
     }
 
-    /** The same in lower case, as names of metrics and members of JSON have it. */
+    /** Returns the external name in lower case, as metrics and members of JSON have it. */
     public String lowerCaseName() {
         return externalName.toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/ochretiller/fleet/transport/ReplayWindow.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplayWindow.java
@@ -1,60 +1,67 @@
 package ochretiller.fleet.transport;
 
+import java.util.Arrays;
 import java.util.Map;
 import ochretiller.collections.BoundedMap;
 
 /**
- * Which packets of each start were taken, so that none is taken twice: the last thousand of each,
- * and the last starts.
+ * Recognizes packets that were received before, by a sliding window over the sequence numbers of
+ * each incarnation (as RFC 4303, section 3.4.3, does for IPsec). Used by the reading thread alone.
  */
 final class ReplayWindow {
-    /** Packets of one start that may overtake one another: some seconds of what a server sends. */
-    private static final int WIDTH = 1024;
+    /** Packets that may overtake one another: what a server sends in some seconds. */
+    private static final int WINDOW_PACKETS = 1024;
 
-    /** Starts that are remembered: more than a fleet has. */
-    private static final int STARTS = 4096;
+    /** Incarnations that are remembered: more than a fleet has. */
+    private static final int MAX_INCARNATIONS = 4096;
 
-    private static final class Taken {
-        long highest;
-        final long[] bits = new long[WIDTH / Long.SIZE];
+    private final Map<Long, Window> windows =
+            BoundedMap.evictingLeastRecentlyUsed(MAX_INCARNATIONS);
+
+    /** Returns whether a packet is received for the first time, and remembers it. */
+    boolean take(long incarnation, long sequence) {
+        if (sequence <= 0) {
+            return false;
+        }
+        return windows.computeIfAbsent(incarnation, ignored -> new Window()).take(sequence);
+    }
+
+    /** The window of one incarnation: a ring of bits. */
+    private static final class Window {
+        private final long[] bits = new long[WINDOW_PACKETS / Long.SIZE];
+        private long highest;
 
         boolean take(long sequence) {
             if (sequence > highest) {
-                long steps = sequence - highest;
-                if (steps >= WIDTH) {
-                    java.util.Arrays.fill(bits, 0);
-                } else {
-                    for (long at = highest + 1; at <= sequence; at++) {
-                        set(at, false);
-                    }
-                }
-                highest = sequence;
-            } else if (sequence <= highest - WIDTH || get(sequence)) {
+                moveTo(sequence);
+            } else if (sequence <= highest - WINDOW_PACKETS || isTaken(sequence)) {
                 return false;
             }
-            set(sequence, true);
+            bits[wordOf(sequence)] |= maskOf(sequence);
             return true;
         }
 
-        private boolean get(long sequence) {
-            int at = (int) Math.floorMod(sequence, (long) WIDTH);
-            return (bits[at / Long.SIZE] >>> at % Long.SIZE & 1) != 0;
-        }
-
-        private void set(long sequence, boolean to) {
-            int at = (int) Math.floorMod(sequence, (long) WIDTH);
-            if (to) {
-                bits[at / Long.SIZE] |= 1L << at % Long.SIZE;
+        private void moveTo(long sequence) {
+            if (sequence - highest >= WINDOW_PACKETS) {
+                Arrays.fill(bits, 0);
             } else {
-                bits[at / Long.SIZE] &= ~(1L << at % Long.SIZE);
+                for (long skipped = highest + 1; skipped <= sequence; skipped++) {
+                    bits[wordOf(skipped)] &= ~maskOf(skipped);
+                }
             }
+            highest = sequence;
+        }
+
+        private boolean isTaken(long sequence) {
+            return (bits[wordOf(sequence)] & maskOf(sequence)) != 0;
         }
-    }
 
-    private final Map<Long, Taken> starts = BoundedMap.evictingLeastRecentlyUsed(STARTS);
+        private static int wordOf(long sequence) {
+            return (int) Math.floorMod(sequence, (long) WINDOW_PACKETS) / Long.SIZE;
+        }
 
-    /** Whether it is taken now for the first time. */
-    boolean take(long start, long sequence) {
-        return sequence > 0 && starts.computeIfAbsent(start, ignored -> new Taken()).take(sequence);
+        private static long maskOf(long sequence) {
+            return 1L << (int) Math.floorMod(sequence, (long) Long.SIZE);
+        }
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/SealedFrame.java
+++ b/src/main/java/ochretiller/fleet/transport/SealedFrame.java
@@ -6,63 +6,71 @@
 import java.util.Arrays;
 
 /**
- * A frame on a stream of the operators' commands: its length in four bytes, text, a seal. The text
- * begins with the fleet's name, a challenge that the server draws for each connection, and a word,
- * each to the end of its line, so that a frame that was heard once is of no use on another
- * connection.
+ * Encodes and decodes a frame of an operators' connection: a length in four bytes, a text of four
+ * parts separated by line feeds, and a seal. Stateless.
  */
 public final class SealedFrame {
-    /**
-     * Longest frame that a server reads, and longest that a command reads: a view of the largest
-     * fleet.
-     */
+    /** Longest frame in bytes that a server reads. */
     static final int MAX_REQUEST_BYTES = 64 * 1024;
 
+    /** Longest frame in bytes that a command reads: the membership view of the largest fleet. */
     static final int MAX_RESPONSE_BYTES = 2 << 20;
-    private static final int LENGTH_PREFIX_BYTES = 4;
 
-    private SealedFrame() {}
+    /** Bytes that have to be there before the length of a frame is known. */
+    static final int LENGTH_PREFIX_BYTES = 4;
+
+    private static final String SEPARATOR = "\n";
+    private static final int PARTS = 4;
 
-    /** What a frame says. */
-    public record AdminMessage(String fleet, String challenge, String word, String text) {}
+    private SealedFrame() {}
 
-    public static byte[] seal(FleetKeys keys, AdminMessage said) {
+    /** Encodes and seals a message. */
+    public static byte[] seal(FleetKeys keys, AdminMessage message) {
         byte[] text =
-                String.join("\n", said.fleet, said.challenge, said.word, said.text)
+                String.join(
+                                SEPARATOR,
+                                message.fleet(),
+                                message.challenge(),
+                                message.command(),
+                                message.text())
                         .getBytes(StandardCharsets.UTF_8);
         byte[] seal = keys.seal(text, text.length);
-        ByteArrayOutputStream out =
-                new ByteArrayOutputStream(LENGTH_PREFIX_BYTES + text.length + seal.length);
-        out.writeBytes(
-                ByteBuffer.allocate(LENGTH_PREFIX_BYTES).putInt(text.length + seal.length).array());
+        int length = text.length + seal.length;
+        ByteArrayOutputStream out = new ByteArrayOutputStream(LENGTH_PREFIX_BYTES + length);
+        out.writeBytes(ByteBuffer.allocate(LENGTH_PREFIX_BYTES).putInt(length).array());
         out.writeBytes(text);
         out.writeBytes(seal);
         return out.toByteArray();
     }
 
     /**
-     * How many bytes the frame at the start has, its length among them; 0 while that cannot be
-     * told.
+     * Returns the length of the frame at the start of the bytes, including its prefix, or 0 as long
+     * as the prefix is incomplete. A peer may state any length, also a negative one.
      */
     public static int length(byte[] bytes, int count) {
-        return count < LENGTH_PREFIX_BYTES
-                ? 0
-                : LENGTH_PREFIX_BYTES + ByteBuffer.wrap(bytes).getInt();
+        if (count < LENGTH_PREFIX_BYTES) {
+            return 0;
+        }
+        return LENGTH_PREFIX_BYTES + ByteBuffer.wrap(bytes).getInt();
     }
 
-    /** The content of a whole frame. */
+    /**
+     * Checks and decodes a whole frame.
+     *
+     * @throws RejectedPacketException if it is too short, not authentic or malformed
+     */
     public static AdminMessage open(FleetKeys keys, byte[] frame) throws RejectedPacketException {
-        byte[] body = Arrays.copyOfRange(frame, LENGTH_PREFIX_BYTES, frame.length);
-        if (body.length < FleetKeys.SEAL_BYTES) {
+        byte[] sealed = Arrays.copyOfRange(frame, LENGTH_PREFIX_BYTES, frame.length);
+        int textLength = sealed.length - FleetKeys.SEAL_BYTES;
+        if (textLength < 0) {
             throw new RejectedPacketException(RejectReason.LENGTH);
         }
-        if (!keys.isAuthentic(body, body.length - FleetKeys.SEAL_BYTES)) {
+        if (!keys.isAuthentic(sealed, textLength)) {
             throw new RejectedPacketException(RejectReason.FORGED);
         }
         String[] parts =
-                new String(body, 0, body.length - FleetKeys.SEAL_BYTES, StandardCharsets.UTF_8)
-                        .split("\n", 4);
-        if (parts.length < 4) {
+                new String(sealed, 0, textLength, StandardCharsets.UTF_8).split(SEPARATOR, PARTS);
+        if (parts.length < PARTS) {
             throw new RejectedPacketException(RejectReason.MALFORMED);
         }
         return new AdminMessage(parts[0], parts[1], parts[2], parts[3]);
--- a/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
@@ -30,6 +30,7 @@
 import ochretiller.fleet.rollout.RolloutMessage;
 import ochretiller.fleet.rollout.VersionCounters;
 import ochretiller.fleet.rollout.VersionReport;
+import ochretiller.fleet.transport.AdminMessage;
 import ochretiller.fleet.transport.FleetKeys;
 import ochretiller.fleet.transport.PacketCodec;
 import ochretiller.fleet.transport.ReceivedPacket;
@@ -281,13 +282,12 @@
         return all;
     }
 
-    private static Map<String, SealedFrame.AdminMessage> frames() {
-        Map<String, SealedFrame.AdminMessage> all = new LinkedHashMap<>();
-        all.put("hello", new SealedFrame.AdminMessage("parts", "0011223344556677", "hello", "n1"));
+    private static Map<String, AdminMessage> frames() {
+        Map<String, AdminMessage> all = new LinkedHashMap<>();
+        all.put("hello", new AdminMessage("parts", "0011223344556677", "hello", "n1"));
         all.put(
                 "view",
-                new SealedFrame.AdminMessage(
-                        "parts", "0011223344556677", "view", "caf\u00e9\nand more"));
+                new AdminMessage("parts", "0011223344556677", "view", "caf\u00e9\nand more"));
         return all;
     }
 
@@ -357,7 +357,7 @@
         Map<String, byte[]> written = new LinkedHashMap<>();
         frames().forEach((name, said) -> written.put(name, SealedFrame.seal(KEYS, said)));
         FRAMES.assertHolds(written);
-        for (Map.Entry<String, SealedFrame.AdminMessage> each : frames().entrySet()) {
+        for (Map.Entry<String, AdminMessage> each : frames().entrySet()) {
             byte[] bytes = FRAMES.bytes(each.getKey());
             assertThat(SealedFrame.length(bytes, bytes.length)).isEqualTo(bytes.length);
             assertThat(SealedFrame.open(KEYS, bytes)).as(each.getKey()).isEqualTo(each.getValue());
