--- /dev/null
+++ b/src/main/java/ochretiller/fleet/service/ClaimOutcomes.java
@@ -0,0 +1,31 @@
+package ochretiller.fleet.service;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Optional;
+import ochretiller.fleet.replication.ClaimOutcome;
+
+/** Makes the outcomes that are replicated from the results of runs. */
+final class ClaimOutcomes {
+    private ClaimOutcomes() {}
+
+    /**
+     * Returns the outcome of a run. For a result that is too long to be replicated only the failure
+     * is: repeats at other servers are answered with an error and never run.
+     *
+     * @param result nothing if the run did not succeed
+     */
+    static ClaimOutcome of(String fingerprint, Optional<byte[]> result) {
+        if (result.isEmpty() || result.get().length > ClaimOutcome.MAX_RESULT_BYTES) {
+            return new ClaimOutcome(false, fingerprint, "");
+        }
+        String text = textOf(result.get());
+        return text.length() > ClaimOutcome.MAX_INLINE_BYTES
+                ? ClaimOutcome.chunked(fingerprint, text)
+                : new ClaimOutcome(true, fingerprint, text);
+    }
+
+    /** Returns a text with one character for each byte. */
+    static String textOf(byte[] result) {
+        return new String(result, StandardCharsets.ISO_8859_1);
+    }
+}
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
@@ -105,7 +106,7 @@
             Duration longest,
             Store store,
             BiConsumer<Member, Boolean> seen,
-            RolloutService.VersionActivator acts,
+            VersionActivator acts,
             Runnable leave)
             throws IOException {
         this.schedule = schedule;
@@ -138,33 +139,25 @@
         List<PeerAddress> former = peersFile == null ? List.of() : peersFile.read();
         acquaintances = new BootstrapPeers(at, former);
         members.addBootstrapPeers(former);
+        FleetContext context =
+                new FleetContext(schedule, name, chance, metrics, this::send, members::snapshot);
         replication =
                 settings.copies() == null
                         ? null
                         : new ReplicationService(
-                                schedule,
+                                context,
                                 settings.copies(),
-                                name,
                                 start,
                                 longest,
-                                chance,
-                                metrics,
-                                this::send,
-                                () -> members.snapshot(),
-                                store);
+                                Optional.ofNullable(store));
         boolean brings = settings.copies() != null && settings.copies().versions() != null;
         rollout =
                 brings
                         ? new RolloutService(
-                                schedule,
+                                context,
                                 settings.copies().versions(),
-                                name,
                                 build,
                                 settings.copies().voters(),
-                                chance,
-                                metrics,
-                                this::send,
-                                () -> members.snapshot(),
                                 acts)
                         : null;
         if (brings) {
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
@@ -0,0 +1,78 @@
+package ochretiller.fleet.service;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.rollout.RolloutMessage;
+import ochretiller.fleet.rollout.VersionDownload;
+
+/**
+ * Downloads on an acceptor the version that another acceptor offers, and confirms once it is
+ * durable. On the event loop.
+ */
+final class OfferedVersionReceiver {
+    private final FleetContext context;
+    private final List<String> acceptors;
+    private final VersionFiles files;
+    private final VersionFollower follower;
+    private final VersionDownload download;
+    private Optional<String> offeredBy = Optional.empty();
+
+    OfferedVersionReceiver(
+            FleetContext context,
+            List<String> acceptors,
+            VersionFiles files,
+            VersionFollower follower) {
+        this.context = context;
+        this.acceptors = acceptors;
+        this.files = files;
+        this.follower = follower;
+        this.download = new VersionDownload(context.random());
+    }
+
+    /** Takes an offer: confirms at once if the version is here, or downloads it. */
+    void receiveOffer(String server, RolloutMessage.VersionOffer offer, Duration now) {
+        if (!acceptors.contains(context.serverName()) || !acceptors.contains(server)) {
+            return;
+        }
+        if (files.find(offer.hash()).isPresent()) {
+            context.sender().send(server, new RolloutMessage.VersionStored(offer.hash()));
+            return;
+        }
+        offeredBy = Optional.of(server);
+        download.start(
+                new RolloutState.PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
+        tick(now);
+    }
+
+    /** Requests missing chunks of the server that has made the last offer. */
+    void tick(Duration now) {
+        offeredBy.ifPresent(server -> requestChunks(server, now));
+    }
+
+    private void requestChunks(String server, Duration now) {
+        for (VersionDownload.OutboundChunkRequest each : download.tick(List.of(server), now)) {
+            context.sender().send(each.recipient(), each.request());
+        }
+    }
+
+    /** Takes a chunk, and requests the next ones. */
+    void receive(RolloutMessage.Chunk chunk, Duration now) {
+        download.accept(chunk, now).ifPresent(version -> downloaded(chunk.hash(), version, now));
+        tick(now);
+    }
+
+    private void downloaded(String hash, byte[] version, Duration now) {
+        if (!VersionFiles.hashOf(version).equals(hash)) {
+            download.discardCorrupt(now);
+            return;
+        }
+        String server = offeredBy.orElseThrow();
+        files.store(
+                hash,
+                version,
+                follower.active().hash(),
+                () -> context.sender().send(server, new RolloutMessage.VersionStored(hash)));
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/service/ReplicationFigures.java
@@ -0,0 +1,58 @@
+package ochretiller.fleet.service;
+
+import java.time.Duration;
+import ochretiller.fleet.replication.ClaimCoordinator;
+import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.Replica;
+
+/** The figures of replication at one moment, for the gauges, which are read from other threads. */
+record ReplicationFigures(
+        long epoch,
+        int laggingRanges,
+        int entries,
+        long entryBytes,
+        long conflicts,
+        double claimLimit,
+        int hints,
+        double oldestLagSeconds,
+        long fetchedBytes,
+        long sentBytes,
+        long comparisons,
+        long differences,
+        int waitingMessages,
+        long droppedMessages,
+        long hedgedRequests,
+        long retriedRequests,
+        long staleDisks) {
+    /** The figures before an epoch is known. */
+    static final ReplicationFigures NONE =
+            new ReplicationFigures(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    static ReplicationFigures of(
+            long epoch,
+            Replica replica,
+            DurabilityBarrier barrier,
+            ClaimCoordinator claims,
+            Duration now) {
+        return new ReplicationFigures(
+                epoch,
+                replica.laggingRangeCount(),
+                replica.entryCount(),
+                replica.estimatedBytes(),
+                replica.conflictCount(),
+                claims.concurrencyLimit(),
+                replica.hintCount(),
+                replica.oldestLag(now).toNanos() / NANOS_PER_SECOND,
+                replica.fetchedBytes(),
+                replica.sentBytes(),
+                replica.comparisons(),
+                replica.differences(),
+                barrier.waitingMessages(),
+                barrier.droppedMessages(),
+                claims.hedgedRequests(),
+                claims.retriedRequests(),
+                replica.staleDisks());
+    }
+}
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -5,174 +5,200 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.stream.IntStream;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
 
-/**
- * What a server keeps for its fleet, as JSON, as the operators' commands read it. Made on the one
- * thread.
- */
+/** The state of replication as JSON, as the operators' commands read it. On the event loop. */
 final class ReplicationStatusJson {
-    /** Tokens of a range that are listed: an answer has a bound. */
-    private static final int MOST_TOKENS = 5_000;
+    /** Tokens of a range that are listed; bounds the length of an answer. */
+    private static final int MAX_LISTED_TOKENS = 5_000;
 
-    private final ReplicationService.StatusView inside;
+    private static final int NO_RANGE = -1;
 
-    ReplicationStatusJson(ReplicationService.StatusView inside) {
-        this.inside = inside;
+    private final FleetContext context;
+    private final ClaimCoordinator coordinator;
+    private final ReplicaHost replicaHost;
+
+    ReplicationStatusJson(
+            FleetContext context, ClaimCoordinator coordinator, ReplicaHost replicaHost) {
+        this.context = context;
+        this.coordinator = coordinator;
+        this.replicaHost = replicaHost;
     }
 
+    /** Returns the figures of this server. */
     String status() {
-        Replica keeper = inside.keeper();
+        ReplicaPlacement placement = coordinator.placement();
+        Optional<Replica> replica = replicaHost.replica();
         return JsonText.object(
-                to -> {
-                    ReplicaPlacement layout = inside.layout();
-                    to.writeStringField("name", inside.name());
-                    to.writeNumberField("epoch", layout.epoch());
-                    to.writeNumberField("factor", layout.replicationFactor());
-                    to.writeArrayFieldStart("keepers");
-                    for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
-                        to.writeString(each.name());
+                out -> {
+                    out.writeStringField("name", context.serverName());
+                    out.writeNumberField("epoch", placement.epoch());
+                    out.writeNumberField("factor", placement.replicationFactor());
+                    out.writeArrayFieldStart("keepers");
+                    for (ReplicaPlacement.ReplicaServer each : placement.servers()) {
+                        out.writeString(each.name());
                     }
-                    to.writeEndArray();
-                    to.writeStringField("disk", inside.disk());
-                    to.writeBooleanField("returning", keeper != null && keeper.isCheckingDisk());
-                    to.writeNumberField("entries", keeper == null ? 0 : keeper.entryCount());
-                    to.writeNumberField("bytes", keeper == null ? 0 : keeper.estimatedBytes());
-                    to.writeNumberField("ranges", keeper == null ? 0 : ranges(layout));
-                    to.writeNumberField("behind", keeper == null ? 0 : keeper.laggingRangeCount());
-                    to.writeNumberField(
-                            "oldest_gap_ms",
-                            keeper == null ? 0 : keeper.oldestLag(inside.now()).toMillis());
-                    to.writeNumberField("hints", keeper == null ? 0 : keeper.hintCount());
-                    to.writeNumberField("conflicts", keeper == null ? 0 : keeper.conflictCount());
-                    to.writeNumberField("fetched", keeper == null ? 0 : keeper.fetchedEntries());
-                    to.writeNumberField(
-                            "fetched_bytes", keeper == null ? 0 : keeper.fetchedBytes());
-                    to.writeNumberField("sent_bytes", keeper == null ? 0 : keeper.sentBytes());
-                    to.writeNumberField("compares", keeper == null ? 0 : keeper.comparisons());
-                    to.writeNumberField("differed", keeper == null ? 0 : keeper.differences());
-                    to.writeNumberField("claims_under_way", inside.underWay());
-                    to.writeNumberField("claim_limit", Math.round(inside.limit()));
-                    to.writeNumberField("words_waiting", inside.wordsWaiting());
+                    out.writeEndArray();
+                    out.writeStringField("disk", replicaHost.diskState());
+                    out.writeBooleanField(
+                            "returning", replica.map(Replica::isCheckingDisk).orElse(false));
+                    writeReplica(out, replica);
+                    out.writeNumberField("claims_under_way", coordinator.inFlight());
+                    out.writeNumberField("claim_limit", Math.round(coordinator.concurrencyLimit()));
+                    out.writeNumberField("words_waiting", replicaHost.barrier().waitingMessages());
                 });
     }
 
-    private int ranges(ReplicaPlacement layout) {
-        int mine = 0;
-        for (int range = 0; range < ReplicaPlacement.RANGE_COUNT; range++) {
-            if (layout.replicasOf(range).contains(inside.name())) {
-                mine++;
-            }
-        }
-        return mine;
+    private void writeReplica(JsonGenerator out, Optional<Replica> replica) throws IOException {
+        out.writeNumberField("entries", replica.map(Replica::entryCount).orElse(0));
+        out.writeNumberField("bytes", replica.map(Replica::estimatedBytes).orElse(0L));
+        out.writeNumberField("ranges", replica.isPresent() ? ownRanges().count() : 0);
+        out.writeNumberField("behind", replica.map(Replica::laggingRangeCount).orElse(0));
+        Duration now = context.scheduler().now();
+        out.writeNumberField(
+                "oldest_gap_ms",
+                replica.map(present -> present.oldestLag(now).toMillis()).orElse(0L));
+        out.writeNumberField("hints", replica.map(Replica::hintCount).orElse(0));
+        out.writeNumberField("conflicts", replica.map(Replica::conflictCount).orElse(0L));
+        out.writeNumberField("fetched", replica.map(Replica::fetchedEntries).orElse(0L));
+        out.writeNumberField("fetched_bytes", replica.map(Replica::fetchedBytes).orElse(0L));
+        out.writeNumberField("sent_bytes", replica.map(Replica::sentBytes).orElse(0L));
+        out.writeNumberField("compares", replica.map(Replica::comparisons).orElse(0L));
+        out.writeNumberField("differed", replica.map(Replica::differences).orElse(0L));
+    }
+
+    private IntStream ownRanges() {
+        return IntStream.range(0, ReplicaPlacement.RANGE_COUNT).filter(this::isOwnRange);
+    }
+
+    private boolean isOwnRange(int range) {
+        return coordinator.placement().replicasOf(range).contains(context.serverName());
     }
 
+    /** Returns what is known of a token. */
     String show(String token) {
-        Replica keeper = inside.keeper();
+        Optional<Replica> replica = replicaHost.replica();
         int range = ReplicaPlacement.rangeOf(token);
-        Duration now = inside.now();
+        ReplicaPlacement placement = coordinator.placement();
         return JsonText.object(
-                to -> {
-                    to.writeStringField("name", inside.name());
-                    to.writeNumberField("epoch", inside.layout().epoch());
-                    to.writeNumberField("range", range);
-                    to.writeArrayFieldStart("keepers");
-                    for (String each : inside.layout().replicasOf(range)) {
-                        to.writeString(each);
+                out -> {
+                    out.writeStringField("name", context.serverName());
+                    out.writeNumberField("epoch", placement.epoch());
+                    out.writeNumberField("range", range);
+                    out.writeArrayFieldStart("keepers");
+                    for (String each : placement.replicasOf(range)) {
+                        out.writeString(each);
                     }
-                    to.writeEndArray();
-                    to.writeBooleanField("behind", keeper != null && keeper.isLagging(range));
-                    if (keeper != null) {
-                        entry(to, keeper.entry(token), now);
+                    out.writeEndArray();
+                    out.writeBooleanField(
+                            "behind",
+                            replica.map(present -> present.isLagging(range)).orElse(false));
+                    if (replica.isPresent()) {
+                        writeEntry(out, replica.get().entry(token));
                     }
                 });
     }
 
-    private static void entry(JsonGenerator to, ReplicaEntry entry, Duration now)
-            throws IOException {
-        to.writeBooleanField(
-                "known", !entry.claims().isEmpty() || !entry.releasedClaims().isEmpty());
-        to.writeNumberField("window_left_ms", Math.max(0, entry.expiresAt().minus(now).toMillis()));
-        to.writeBooleanField("conflict", entry.hasConflict());
-        to.writeArrayFieldStart("claims");
+    private void writeEntry(JsonGenerator out, ReplicaEntry entry) throws IOException {
+        boolean isKnown = !entry.claims().isEmpty() || !entry.releasedClaims().isEmpty();
+        Duration remaining = entry.expiresAt().minus(context.scheduler().now());
+        out.writeBooleanField("known", isKnown);
+        out.writeNumberField("window_left_ms", Math.max(0, remaining.toMillis()));
+        out.writeBooleanField("conflict", entry.hasConflict());
+        out.writeArrayFieldStart("claims");
         for (Map.Entry<ClaimId, String> each : entry.claims().entrySet()) {
-            to.writeStartObject();
-            to.writeStringField("claim", each.getKey().toString());
-            to.writeStringField("body", each.getValue());
-            to.writeBooleanField("released", entry.releasedClaims().contains(each.getKey()));
-            to.writeEndObject();
+            out.writeStartObject();
+            out.writeStringField("claim", each.getKey().toString());
+            out.writeStringField("body", each.getValue());
+            out.writeBooleanField("released", entry.releasedClaims().contains(each.getKey()));
+            out.writeEndObject();
         }
-        to.writeEndArray();
-        to.writeArrayFieldStart("ends");
+        out.writeEndArray();
+        out.writeArrayFieldStart("ends");
         for (Map.Entry<ClaimId, ClaimOutcome> each : entry.outcomes().entrySet()) {
-            to.writeStartObject();
-            to.writeStringField("claim", each.getKey().toString());
-            to.writeBooleanField("succeeded", each.getValue().succeeded());
-            to.writeStringField("body", each.getValue().fingerprint());
-            to.writeNumberField("bytes", each.getValue().resultSize());
-            to.writeStringField("sum", Long.toHexString(each.getValue().checksum()));
-            to.writeBooleanField("here", each.getValue().resultPresent());
-            to.writeEndObject();
+            writeOutcome(out, each.getKey(), each.getValue());
         }
-        to.writeEndArray();
+        out.writeEndArray();
     }
 
-    /** Of each range that this server keeps: its entries and the digest of them. */
+    private static void writeOutcome(JsonGenerator out, ClaimId claimId, ClaimOutcome outcome)
+            throws IOException {
+        out.writeStartObject();
+        out.writeStringField("claim", claimId.toString());
+        out.writeBooleanField("succeeded", outcome.succeeded());
+        out.writeStringField("body", outcome.fingerprint());
+        out.writeNumberField("bytes", outcome.resultSize());
+        out.writeStringField("sum", Long.toHexString(outcome.checksum()));
+        out.writeBooleanField("here", outcome.resultPresent());
+        out.writeEndObject();
+    }
+
+    /** Returns for each range of this server its entry count, digest and completeness. */
     String digests() {
-        Replica keeper = inside.keeper();
-        ReplicaPlacement layout = inside.layout();
         return JsonText.object(
-                to -> {
-                    to.writeStringField("name", inside.name());
-                    to.writeNumberField("epoch", layout.epoch());
-                    to.writeObjectFieldStart("ranges");
-                    for (int range = 0;
-                            keeper != null && range < ReplicaPlacement.RANGE_COUNT;
-                            range++) {
-                        if (!layout.replicasOf(range).contains(inside.name())) {
-                            continue;
-                        }
-                        to.writeArrayFieldStart(Integer.toString(range));
-                        to.writeNumber(keeper.entryCount(range));
-                        to.writeString(Long.toHexString(keeper.rangeDigest(range)));
-                        to.writeBoolean(!keeper.isLagging(range));
-                        to.writeEndArray();
+                out -> {
+                    out.writeStringField("name", context.serverName());
+                    out.writeNumberField("epoch", coordinator.placement().epoch());
+                    out.writeObjectFieldStart("ranges");
+                    if (replicaHost.replica().isPresent()) {
+                        writeDigests(out, replicaHost.replica().get());
                     }
-                    to.writeEndObject();
+                    out.writeEndObject();
                 });
     }
 
+    private void writeDigests(JsonGenerator out, Replica replica) throws IOException {
+        for (int range : ownRanges().toArray()) {
+            out.writeArrayFieldStart(Integer.toString(range));
+            out.writeNumber(replica.entryCount(range));
+            out.writeString(Long.toHexString(replica.rangeDigest(range)));
+            out.writeBoolean(!replica.isLagging(range));
+            out.writeEndArray();
+        }
+    }
+
     /**
-     * The tokens of one range, each with a mark of what is known of it and a word on how far it is.
+     * Returns the tokens of a range, each with a digest and its status.
+     *
+     * @param number of the range; no tokens are listed if there is no such range
      */
     String range(String number) {
-        Replica keeper = inside.keeper();
-        int range;
-        try {
-            range = Integer.parseInt(number.trim());
-        } catch (NumberFormatException e) {
-            range = -1;
-        }
+        int range = parseRange(number);
         List<Replica.TokenSummary> tokens =
-                keeper == null || range < 0 || range >= ReplicaPlacement.RANGE_COUNT
+                range == NO_RANGE
                         ? List.of()
-                        : keeper.listTokens(range, MOST_TOKENS);
+                        : replicaHost
+                                .replica()
+                                .map(replica -> replica.listTokens(range, MAX_LISTED_TOKENS))
+                                .orElse(List.of());
         return JsonText.object(
-                to -> {
-                    to.writeStringField("name", inside.name());
-                    to.writeArrayFieldStart("tokens");
+                out -> {
+                    out.writeStringField("name", context.serverName());
+                    out.writeArrayFieldStart("tokens");
                     for (Replica.TokenSummary each : tokens) {
-                        to.writeStartArray();
-                        to.writeString(each.token());
-                        to.writeString(Long.toHexString(each.digest()));
-                        to.writeString(each.status());
-                        to.writeEndArray();
+                        out.writeStartArray();
+                        out.writeString(each.token());
+                        out.writeString(Long.toHexString(each.digest()));
+                        out.writeString(each.status());
+                        out.writeEndArray();
                     }
-                    to.writeEndArray();
+                    out.writeEndArray();
                 });
     }
+
+    private static int parseRange(String number) {
+        try {
+            int range = Integer.parseInt(number.trim());
+            return range >= 0 && range < ReplicaPlacement.RANGE_COUNT ? range : NO_RANGE;
+        } catch (NumberFormatException e) {
+            return NO_RANGE;
+        }
+    }
 }
--- a/src/main/java/ochretiller/fleet/service/ResultCache.java
+++ b/src/main/java/ochretiller/fleet/service/ResultCache.java
@@ -5,106 +5,131 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import ochretiller.fleet.replication.ClaimId;
 
 /**
- * Long results that this server keeps: on the disk, with those that were asked for last in memory,
- * or in memory alone.
+ * The long results that this server's replica keeps. With a storage they are on the disk and the
+ * ones used last are cached in memory; without one they are in memory alone, and none that is kept
+ * makes way for a new one. On the event loop.
  */
 final class ResultCache {
-    /** Characters of results read lately: a repeat fetches one piece by piece. */
+    /** Cached characters beside a storage: a repeat fetches a result chunk by chunk. */
     private static final long MAX_CACHED_BYTES = 2L << 20;
 
-    /** Null where all is kept in memory. */
-    private final ReplicaStorage disk;
+    private static final int INITIAL_CAPACITY = 16;
+    private static final float LOAD_FACTOR = 0.75f;
 
+    private final Optional<ReplicaStorage> storage;
     private final long maxBytes;
-    private final Map<String, CachedResult> held = new LinkedHashMap<>(16, 0.75f, true);
-    private long bytes;
 
-    private record CachedResult(String result, Duration until) {}
+    /** By last access, the one that was used longest ago first. */
+    private final Map<String, CachedResult> cached =
+            new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+
+    private long cachedBytes;
+
+    private record CachedResult(String result, Duration expiresAt) {}
 
     /**
-     * @param most bytes that are kept in memory where there is no disk
+     * Creates an empty cache.
+     *
+     * @param maxBytesInMemory limit if there is no storage
      */
-    ResultCache(ReplicaStorage disk, long most) {
-        this.disk = disk;
-        this.maxBytes = disk == null ? most : MAX_CACHED_BYTES;
+    ResultCache(Optional<ReplicaStorage> storage, long maxBytesInMemory) {
+        this.storage = storage;
+        this.maxBytes = storage.isEmpty() ? maxBytesInMemory : MAX_CACHED_BYTES;
     }
 
-    private static String name(String token, ClaimId id) {
-        return token + ' ' + id;
+    /**
+     * Stores a result.
+     *
+     * @param completion is called with whether the result is stored, on the disk if there is one
+     */
+    void put(
+            String token,
+            ClaimId claimId,
+            String result,
+            Duration expiresAt,
+            Duration now,
+            Consumer<Boolean> completion) {
+        if (storage.isEmpty()) {
+            completion.accept(putInMemory(token, claimId, result, expiresAt, now));
+            return;
+        }
+        storage.get()
+                .storeResult(
+                        token,
+                        claimId,
+                        result.getBytes(StandardCharsets.ISO_8859_1),
+                        expiresAt,
+                        now,
+                        isDurable -> {
+                            if (isDurable) {
+                                cache(token, claimId, result, expiresAt);
+                            }
+                            completion.accept(isDurable);
+                        });
     }
 
-    private void hold(String token, ClaimId id, String result, Duration until) {
-        CachedResult old = held.put(name(token, id), new CachedResult(result, until));
-        bytes += result.length() - (old == null ? 0 : old.result.length());
-        for (Iterator<CachedResult> each = held.values().iterator();
-                bytes > maxBytes && each.hasNext(); ) {
-            bytes -= each.next().result.length();
-            each.remove();
+    private boolean putInMemory(
+            String token, ClaimId claimId, String result, Duration expiresAt, Duration now) {
+        removeExpired(now);
+        if (cachedBytes + result.length() > maxBytes) {
+            return false;
         }
+        cache(token, claimId, result, expiresAt);
+        return true;
     }
 
-    /** Keeps it; told whether that will outlive what this server promises to outlive. */
-    void put(
-            String token,
-            ClaimId id,
-            String result,
-            Duration until,
-            Duration now,
-            Consumer<Boolean> then) {
-        if (disk == null) {
-            held.values()
-                    .removeIf(
-                            each -> {
-                                if (each.until.compareTo(now) > 0) {
-                                    return false;
-                                }
-                                bytes -= each.result.length();
-                                return true;
-                            });
-            // In memory nothing that is kept makes way for what comes.
-            if (bytes + result.length() > maxBytes) {
-                then.accept(false);
-                return;
+    private void removeExpired(Duration now) {
+        Iterator<CachedResult> results = cached.values().iterator();
+        while (results.hasNext()) {
+            CachedResult each = results.next();
+            if (each.expiresAt().compareTo(now) <= 0) {
+                cachedBytes -= each.result().length();
+                results.remove();
             }
-            hold(token, id, result, until);
-            then.accept(true);
-            return;
         }
-        disk.storeResult(
-                token,
-                id,
-                result.getBytes(StandardCharsets.ISO_8859_1),
-                until,
-                now,
-                durable -> {
-                    if (durable) {
-                        hold(token, id, result, until);
-                    }
-                    then.accept(durable);
-                });
     }
 
-    /** The result, or null where it is not kept here. */
-    void get(String token, ClaimId id, Consumer<String> then) {
-        CachedResult known = held.get(name(token, id));
-        if (known != null || disk == null) {
-            then.accept(known == null ? null : known.result);
+    private void cache(String token, ClaimId claimId, String result, Duration expiresAt) {
+        CachedResult replaced =
+                cached.put(keyOf(token, claimId), new CachedResult(result, expiresAt));
+        int replacedBytes = replaced == null ? 0 : replaced.result().length();
+        cachedBytes += result.length() - replacedBytes;
+        Iterator<CachedResult> results = cached.values().iterator();
+        while (cachedBytes > maxBytes && results.hasNext()) {
+            cachedBytes -= results.next().result().length();
+            results.remove();
+        }
+    }
+
+    private static String keyOf(String token, ClaimId claimId) {
+        return token + ' ' + claimId;
+    }
+
+    /**
+     * Looks a result up.
+     *
+     * @param completion is called with the result, or nothing if it is not here
+     */
+    void get(String token, ClaimId claimId, Consumer<Optional<String>> completion) {
+        CachedResult known = cached.get(keyOf(token, claimId));
+        if (known != null || storage.isEmpty()) {
+            completion.accept(Optional.ofNullable(known).map(CachedResult::result));
             return;
         }
-        disk.readResult(
-                token,
-                id,
-                read -> {
-                    String result =
-                            read == null ? null : new String(read, StandardCharsets.ISO_8859_1);
-                    if (result != null) {
-                        hold(token, id, result, Duration.ZERO);
-                    }
-                    then.accept(result);
-                });
+        storage.get()
+                .readResult(
+                        token,
+                        claimId,
+                        bytes -> {
+                            Optional<String> result =
+                                    Optional.ofNullable(bytes).map(ClaimOutcomes::textOf);
+                            result.ifPresent(text -> cache(token, claimId, text, Duration.ZERO));
+                            completion.accept(result);
+                        });
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
@@ -0,0 +1,43 @@
+package ochretiller.fleet.service;
+
+import java.util.Optional;
+import ochretiller.fleet.replication.ChunkAssembler;
+import ochretiller.fleet.replication.ClaimCoordinator;
+import ochretiller.fleet.replication.ReplicationMessage;
+
+/**
+ * Sends chunks of long results to the servers that request them: of runs of this server, or of the
+ * results that its replica stores. On the event loop.
+ */
+final class ResultChunkSender {
+    private final FleetLink link;
+    private final ClaimCoordinator coordinator;
+    private final ResultCache results;
+
+    ResultChunkSender(FleetLink link, ClaimCoordinator coordinator, ResultCache results) {
+        this.link = link;
+        this.coordinator = coordinator;
+        this.results = results;
+    }
+
+    /** Answers a request, unless the result is not here. */
+    void receive(String sender, ReplicationMessage.ChunkRequest request) {
+        Optional<String> ownResult =
+                Optional.ofNullable(coordinator.pendingResult(request.claimId()));
+        if (ownResult.isPresent()) {
+            send(sender, request, ownResult);
+        } else {
+            results.get(
+                    request.token(), request.claimId(), result -> send(sender, request, result));
+        }
+    }
+
+    private void send(
+            String receiver, ReplicationMessage.ChunkRequest request, Optional<String> result) {
+        if (link.isClosed()) {
+            return;
+        }
+        result.map(whole -> ChunkAssembler.slice(request, whole))
+                .ifPresent(chunk -> link.send(receiver, chunk));
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/service/RolloutProposals.java
@@ -0,0 +1,256 @@
+package ochretiller.fleet.service;
+
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.rollout.RolloutMessage;
+
+/**
+ * What the operators' commands ask an acceptor to propose: to publish a version, to pause, resume
+ * or roll back a rollout. A version is proposed once a majority of the acceptors has its bytes, so
+ * that its publisher may fail from then on. On the event loop.
+ */
+final class RolloutProposals {
+    /** A person's request that is not committed by then is dropped and has to be repeated. */
+    private static final Duration PROPOSAL_LIFETIME = Duration.ofSeconds(10);
+
+    /** Publisher, reason, minimum build and the version, separated by line feeds. */
+    private static final int PUBLISH_ARGUMENTS = 4;
+
+    private final FleetContext context;
+    private final List<String> acceptors;
+    private final VersionFiles files;
+    private final VersionFollower follower;
+    private final VersionActivator activator;
+    private final Set<String> serversWithBytes = new HashSet<>();
+    private RolloutState committed = ReplicaPlacement.empty(1).rollout();
+    private Optional<RolloutState> offered = Optional.empty();
+    private Optional<RolloutState> proposed = Optional.empty();
+    private boolean isClosed;
+
+    RolloutProposals(
+            FleetContext context,
+            List<String> acceptors,
+            VersionFiles files,
+            VersionFollower follower,
+            VersionActivator activator) {
+        this.context = context;
+        this.acceptors = acceptors;
+        this.files = files;
+        this.follower = follower;
+        this.activator = activator;
+    }
+
+    /** Takes the state that has been committed. */
+    void adoptState(RolloutState next) {
+        committed = next;
+        if (proposed.isPresent() && proposed.get().equals(next)) {
+            proposed = Optional.empty();
+        }
+    }
+
+    /** Returns the state that is to be proposed. */
+    Optional<RolloutState> proposed() {
+        return proposed;
+    }
+
+    /**
+     * Publishes a version for an operators' command.
+     *
+     * @param arguments publisher, reason, minimum build and version, one a line
+     * @return what came of it, as JSON
+     */
+    String publish(String arguments) {
+        String[] lines = arguments.split("\n", PUBLISH_ARGUMENTS);
+        if (lines.length < PUBLISH_ARGUMENTS) {
+            return rejection("no version");
+        }
+        byte[] version = lines[3].getBytes(StandardCharsets.UTF_8);
+        return publish(lines[0], lines[1], lines[2], version);
+    }
+
+    /** Publishes a version and returns what came of it, as JSON. */
+    String publish(String publisher, String reason, String minimumBuild, byte[] version) {
+        Optional<String> fault = faultOf(version);
+        if (fault.isPresent()) {
+            return rejection(fault.get());
+        }
+        RolloutState.PublishedVersion next;
+        try {
+            next =
+                    new RolloutState.PublishedVersion(
+                            committed.target().number() + 1,
+                            VersionFiles.hashOf(version),
+                            version.length,
+                            minimumBuild,
+                            publisher,
+                            reason);
+        } catch (IllegalArgumentException e) {
+            return rejection(e.getMessage());
+        }
+        startOffering(committed.startRollout(next), version);
+        activator.told(RolloutEvent.PUBLISHED, next, publisher + ": " + reason);
+        return JsonText.object(out -> out.writeNumberField("published", next.number()));
+    }
+
+    private Optional<String> faultOf(byte[] version) {
+        if (!isAcceptor()) {
+            return Optional.of(notAnAcceptor());
+        }
+        if (version.length == 0 || version.length > RolloutState.PublishedVersion.MAX_BYTES) {
+            return Optional.of(
+                    "a version has 1 to " + RolloutState.PublishedVersion.MAX_BYTES + " bytes");
+        }
+        if (!committed.isComplete() || proposed.isPresent() || offered.isPresent()) {
+            return Optional.of(
+                    "version "
+                            + committed.target().number()
+                            + " is being brought out: one at a time");
+        }
+        return Optional.ofNullable(activator.check(version));
+    }
+
+    private boolean isAcceptor() {
+        return acceptors.contains(context.serverName());
+    }
+
+    private String notAnAcceptor() {
+        return "this server is no voter: ask one of " + acceptors;
+    }
+
+    private static String rejection(String reason) {
+        return JsonText.object(out -> out.writeStringField("refused", reason));
+    }
+
+    private void startOffering(RolloutState offer, byte[] version) {
+        offered = Optional.of(offer);
+        serversWithBytes.clear();
+        String hash = offer.target().hash();
+        files.store(hash, version, follower.active().hash(), () -> storedHere(offer));
+        context.scheduler().after(PROPOSAL_LIFETIME, () -> expireOffer(offer));
+    }
+
+    private void storedHere(RolloutState offer) {
+        if (!isOffered(offer)) {
+            return;
+        }
+        receiveStored(context.serverName(), offer.target().hash());
+        if (isOffered(offer)) {
+            offerToOthers();
+        }
+    }
+
+    /** Whether this very offer stands, and not a later one that is equal to it. */
+    private boolean isOffered(RolloutState offer) {
+        return offered.isPresent() && offered.get() == offer;
+    }
+
+    /** No majority of the acceptors has answered. */
+    private void expireOffer(RolloutState offer) {
+        if (isOffered(offer)) {
+            offered = Optional.empty();
+        }
+    }
+
+    /** Offers a version that was published here to the acceptors that do not have it. */
+    void offerToOthers() {
+        offered.ifPresent(offer -> offerToOthers(offer.target()));
+    }
+
+    private void offerToOthers(RolloutState.PublishedVersion version) {
+        for (String acceptor : acceptors) {
+            boolean isOther = !acceptor.equals(context.serverName());
+            if (isOther && !serversWithBytes.contains(acceptor)) {
+                context.sender()
+                        .send(
+                                acceptor,
+                                new RolloutMessage.VersionOffer(
+                                        version.hash(), version.sizeBytes()));
+            }
+        }
+    }
+
+    /** Takes an acceptor's confirmation that it has the bytes of a version. */
+    void receiveStored(String server, String hash) {
+        boolean isExpected =
+                offered.isPresent()
+                        && acceptors.contains(server)
+                        && hash.equals(offered.get().target().hash());
+        if (isClosed || !isExpected) {
+            return;
+        }
+        serversWithBytes.add(server);
+        if (serversWithBytes.size() >= ReplicaPlacement.quorumSize(acceptors.size())) {
+            propose(offered.get());
+            offered = Optional.empty();
+        }
+    }
+
+    private void propose(RolloutState next) {
+        proposed = Optional.of(next);
+        // Another acceptor's proposal may have been committed instead: a person decides anew.
+        context.scheduler().after(PROPOSAL_LIFETIME, () -> expireProposal(next));
+    }
+
+    private void expireProposal(RolloutState next) {
+        if (proposed.isPresent() && proposed.get().equals(next)) {
+            proposed = Optional.empty();
+        }
+    }
+
+    /**
+     * Pauses, resumes or rolls back the rollout for an operators' command.
+     *
+     * @param command {@code pause}, {@code go-on} or {@code take-back}
+     * @param operator who has given it
+     * @return what came of it, as JSON
+     */
+    String steer(String command, String operator) {
+        if (!isAcceptor()) {
+            return rejection(notAnAcceptor());
+        }
+        Optional<RolloutState> next = steered(command, operator);
+        if (next.isEmpty()) {
+            return rejection(
+                    "there is nothing to "
+                            + command
+                            + ": "
+                            + committed.phase().externalName()
+                            + " at version "
+                            + committed.target().number());
+        }
+        propose(next.get());
+        return JsonText.object(out -> out.writeStringField("wished", command));
+    }
+
+    private Optional<RolloutState> steered(String command, String operator) {
+        boolean isRunning = committed.phase() == RolloutState.Phase.RUNNING;
+        return switch (command) {
+            case "pause" ->
+                    isRunning
+                            ? Optional.of(committed.withPhase(RolloutState.Phase.PAUSED))
+                            : Optional.empty();
+            case "go-on" ->
+                    committed.isComplete() || isRunning
+                            ? Optional.empty()
+                            : Optional.of(committed.withPhase(RolloutState.Phase.RUNNING));
+            case "take-back" ->
+                    committed.target().number() == 0
+                                    || committed.previous().equals(committed.target())
+                            ? Optional.empty()
+                            : Optional.of(
+                                    committed.rolledBack(operator, "taken back by " + operator));
+            default -> Optional.empty();
+        };
+    }
+
+    /** Confirmations are ignored from here on. */
+    void close() {
+        isClosed = true;
+    }
+}
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -1,779 +1,246 @@
 package ochretiller.fleet.service;
 
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.DirectoryStream;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.HexFormat;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
-import java.util.function.BiConsumer;
-import java.util.function.Supplier;
 import java.util.logging.Logger;
-import java.util.random.RandomGenerator;
 import ochretiller.audit.HashChain;
-import ochretiller.collections.BoundedMap;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.RolloutState;
-import ochretiller.fleet.membership.MemberSnapshot;
-import ochretiller.fleet.rollout.Lease;
-import ochretiller.fleet.rollout.LeaseGrantor;
-import ochretiller.fleet.rollout.RolloutController;
 import ochretiller.fleet.rollout.RolloutMessage;
-import ochretiller.fleet.rollout.RolloutStages;
 import ochretiller.fleet.rollout.VersionCounters;
 import ochretiller.fleet.rollout.VersionDownload;
-import ochretiller.fleet.rollout.VersionReport;
-import ochretiller.fleet.transport.PlacementCodec;
 import ochretiller.metrics.Metrics;
-import ochretiller.net.Scheduler;
 
 /**
- * Carries out what is decided about versions, on the one thread: fetches what is in force for this
- * server, has it acted on, tells the voters, holds the lease; on a voter, carries rollouts on and
- * renews leases.
+ * A server's part in the rollout of versions: puts into use what is committed for it, reports to
+ * the acceptors and holds a lease of them. On an acceptor it also grants leases, carries rollouts
+ * on and takes the operators' commands.
+ *
+ * <p>It distributes time and messages to its parts. On the event loop, unless a method says
+ * otherwise.
  */
 public final class RolloutService {
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
-    /** Versions whose bytes are kept in the folder, and whose counts are kept. */
-    private static final int MAX_CACHED_VERSIONS = 8;
-
-    private static final int MAX_QUEUED_WRITES = 16;
-
-    /** A person's word that is not agreed on by then is forgotten: it has to be said again. */
-    private static final Duration PROPOSAL_LIFETIME = Duration.ofSeconds(10);
-
-    /** Between two looks at where another's audit ends. */
-    private static final Duration WITNESS_INTERVAL = Duration.ofSeconds(10);
-
-    private static final int MAX_WITNESSED_SERVERS = 4_096;
-    private static final String SUFFIX = ".version";
-
-    private final Scheduler schedule;
-    private final RolloutSettings settings;
-    private final String name;
-    private final String build;
-    private final List<String> voters;
-    private final RandomGenerator chance;
-    private final BiConsumer<String, Object> send;
-    private final Supplier<List<MemberSnapshot>> view;
-    private final VersionActivator acts;
-    private final BackgroundWriter writes = new BackgroundWriter("versions", MAX_QUEUED_WRITES);
-    private final SealedFile state;
-    private final VersionDownload gather;
-    private final Lease lease;
-    private final LeaseGrantor doorkeeper;
-    private final RolloutController rollouts;
-    private final Map<String, byte[]> bytes =
-            BoundedMap.evictingLeastRecentlyUsed(MAX_CACHED_VERSIONS);
-    private final Map<Long, VersionCounters> counts =
-            BoundedMap.evictingOldest(MAX_CACHED_VERSIONS);
-    private final Map<String, VersionReport> reports = new HashMap<>();
-    private ReplicaPlacement layout = ReplicaPlacement.empty(1);
-    private RolloutState.PublishedVersion activeVersion = RolloutState.PublishedVersion.NONE;
-    private long refused;
-    private String why = "";
-    private RolloutState wished;
+    /** Reports come up to this part of the interval early, so that servers do not keep step. */
+    private static final int REPORT_JITTER_DIVISOR = 4;
+
+    private final FleetContext context;
+    private final List<String> acceptors;
+    private final VersionActivator activator;
+    private final VersionFiles files;
+    private final VersionFollower follower;
+    private final OfferedVersionReceiver offeredVersions;
+    private final LeaseHolder leaseHolder;
+    private final RolloutAcceptor acceptor;
+    private final RolloutProposals proposals;
+    private final RolloutStatusJson statusJson;
+    private ReplicaPlacement placement = ReplicaPlacement.empty(1);
+    private Duration reportedAt = Duration.ZERO;
+    private boolean isClosed;
 
     /**
-     * A version that was published here, as long as a majority of voters does not have its bytes.
+     * Creates the service and puts the version into use that a previous process has used.
+     *
+     * @param build of this program
+     * @param acceptors names of all acceptors
      */
-    private RolloutState offered;
-
-    private final Map<String, Duration> witnessed =
-            BoundedMap.evictingLeastRecentlyUsed(MAX_WITNESSED_SERVERS);
-    private final Set<String> have = new HashSet<>();
-
-    /** Bytes that another voter offers, and who that is. */
-    private final VersionDownload taken;
-
-    private String offeredBy;
-    private Duration spoken = Duration.ZERO;
-    private boolean wasOut;
-    private boolean closed;
-    private volatile long actingNow;
-    private volatile int outNow;
-    private volatile double leaseLeft;
-
-    /** What acts on a version: the server round this. */
-    public interface VersionActivator {
-        /** What is wrong with it, or null; nothing is changed by it. From any thread. */
-        String check(byte[] version);
-
-        /**
-         * From the next gathering on all of it is acted on; the files of this server's own where
-         * that is null. A fault: none of it is.
-         */
-        String become(byte[] version);
-
-        /** Where this server's audit ends, or none. */
-        HashChain.ChainHead audited();
-
-        /** Something happened that is to be remembered. */
-        void told(RolloutEvent what, RolloutState.PublishedVersion version, String text);
-    }
-
-    /** What happened. */
-    public enum RolloutEvent {
-        CHANGED,
-        REFUSED,
-        SHUT_OUT,
-        LET_IN,
-        PUBLISHED,
-        ROLLOUT,
-        WITNESSED
-    }
-
     RolloutService(
-            Scheduler schedule,
+            FleetContext context,
             RolloutSettings settings,
-            String name,
             String build,
-            List<String> voters,
-            RandomGenerator chance,
-            Metrics metrics,
-            BiConsumer<String, Object> send,
-            Supplier<List<MemberSnapshot>> view,
-            VersionActivator acts) {
-        this.schedule = schedule;
-        this.settings = settings;
-        this.name = name;
-        this.build = build;
-        this.voters = List.copyOf(voters);
-        this.chance = chance;
-        this.send = send;
-        this.view = view;
-        this.acts = acts;
-        gather = new VersionDownload(chance);
-        taken = new VersionDownload(chance);
-        lease = new Lease(Set.copyOf(voters), settings.lease(), chance.nextLong() >>> 16);
-        doorkeeper = new LeaseGrantor(settings.fencingGrace(), chance);
-        rollouts =
-                new RolloutController(
-                        settings.observationTime(),
-                        settings.stageTimeout(),
-                        settings.rollsBackAutomatically());
-        state = new SealedFile(settings.folder().resolve("acting"));
-        read();
-        metrics.gauge("fleet_version", "The version that this server acts on", () -> actingNow);
-        metrics.gauge("fleet_versions_out", "Servers that this voter shuts out", () -> outNow);
+            List<String> acceptors,
+            VersionActivator activator) {
+        this.context = context;
+        this.acceptors = List.copyOf(acceptors);
+        this.activator = activator;
+        files = new VersionFiles(settings.folder(), context.scheduler());
+        follower = new VersionFollower(context, build, this.acceptors, files, activator);
+        offeredVersions = new OfferedVersionReceiver(context, this.acceptors, files, follower);
+        leaseHolder = new LeaseHolder(context, this.acceptors, settings.lease(), activator);
+        acceptor = new RolloutAcceptor(context, settings, activator);
+        proposals = new RolloutProposals(context, this.acceptors, files, follower, activator);
+        statusJson = new RolloutStatusJson(context.serverName(), follower, leaseHolder, acceptor);
+        follower.restore();
+        registerMetrics(context.metrics());
+    }
+
+    private void registerMetrics(Metrics metrics) {
+        metrics.gauge(
+                "fleet_version",
+                "The version that this server acts on",
+                follower::activeNumberGauge);
+        metrics.gauge(
+                "fleet_versions_out",
+                "Servers that this voter shuts out",
+                acceptor::fencedServersGauge);
         metrics.gauge(
                 "fleet_lease_left_seconds",
                 "How long this server may act on without a word of the voters",
-                () -> leaseLeft);
-    }
-
-    /**
-     * What a former process acted on is acted on again, from the start: its bytes are beside it.
-     */
-    private void read() {
-        try {
-            Files.createDirectories(settings.folder());
-            try (DirectoryStream<Path> files =
-                    Files.newDirectoryStream(settings.folder(), "*" + SUFFIX)) {
-                for (Path each : files) {
-                    byte[] all =
-                            Files.size(each) > RolloutState.PublishedVersion.MAX_BYTES
-                                    ? new byte[0]
-                                    : Files.readAllBytes(each);
-                    // Others may still need those that this server did not come to act on.
-                    if (each.equals(file(hashOf(all)))) {
-                        bytes.put(hashOf(all), all);
-                    }
-                }
-            }
-            RolloutState.PublishedVersion before =
-                    state.read(PlacementCodec::readVersion).orElse(null);
-            if (before == null || before.usesLocalFiles()) {
-                activeVersion = before == null ? RolloutState.PublishedVersion.NONE : before;
-                return;
-            }
-            byte[] all = bytes.get(before.hash());
-            String fault = all == null ? "its bytes are not what they were" : acts.become(all);
-            if (fault != null) {
-                LOG.severe(
-                        "fleet: version "
-                                + before.number()
-                                + " cannot be acted on any more, it is fetched again: "
-                                + fault);
-                return;
-            }
-            activeVersion = before;
-            actingNow = before.number();
-        } catch (IOException e) {
-            LOG.warning(
-                    "fleet: what version was acted on before cannot be read: " + e.getMessage());
-        }
+                leaseHolder::remainingSecondsGauge);
     }
 
-    private Path file(String hash) {
-        return settings.folder().resolve(hash + SUFFIX);
-    }
-
-    /** SHA-256, in hex. */
-    static String hashOf(byte[] all) {
-        try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(all));
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each JDK has it
-        }
-    }
-
-    /** The version that this server acts on: an invocation that is read now is bound to it. */
+    /** Returns the version in use: an invocation that is read now is bound to it. */
     public long activeVersion() {
-        return activeVersion.number();
+        return follower.active().number();
     }
 
     /**
-     * Looked at last, just before a keyed run is begun: whether this server may act on what it acts
-     * on.
+     * Returns whether this server may serve; to be asked last, immediately before a run with an
+     * idempotency key begins.
      */
     public boolean isAllowedToServe() {
-        return settings.lease().isZero() || lease.isHeld(schedule.exact());
+        return leaseHolder.isAllowedToServe();
     }
 
-    /** What became of an invocation that was read under this version. */
-    public void recordOutcome(long version, VersionCounters one) {
-        counts.merge(version, one, VersionCounters::plus);
+    /** Counts how an invocation has ended that was read under a version. */
+    public void recordOutcome(long version, VersionCounters outcome) {
+        follower.recordOutcome(version, outcome);
     }
 
-    /** An epoch is in force. */
-    void adoptPlacement(ReplicaPlacement next) {
-        if (next.epoch() <= layout.epoch() && !layout.servers().isEmpty()) {
-            return;
-        }
-        RolloutState before = layout.rollout();
-        layout = next;
-        doorkeeper.adoptPlacement(next, schedule.now());
-        RolloutState rollout = next.rollout();
-        if (!rollout.equals(before)) {
-            String text =
-                    "version "
-                            + rollout.target().number()
-                            + (rollout.isComplete()
-                                    ? " is in force"
-                                    : " comes to stage "
-                                            + rollout.stage()
-                                            + ", "
-                                            + rollout.phase().externalName());
-            LOG.info("fleet: " + text + ": " + rollout.target().reason());
-            acts.told(RolloutEvent.ROLLOUT, rollout.target(), text);
-        }
-        if (rollout.equals(wished)) {
-            wished = null;
-        }
-        follow();
-    }
-
-    /** Acts on what is in force for this server, or fetches it. */
-    private void follow() {
-        RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
-        if (target.number() == activeVersion.number() && target.hash().equals(activeVersion.hash())
-                || target.number() == refused) {
-            return;
-        }
-        byte[] all = target.usesLocalFiles() ? null : bytes.get(target.hash());
-        if (!target.usesLocalFiles() && all == null) {
-            gather.start(target, schedule.now());
+    /** Takes a placement that has been committed; older ones are ignored. */
+    void adoptPlacement(ReplicaPlacement committed) {
+        if (committed.epoch() <= placement.epoch() && !placement.servers().isEmpty()) {
             return;
         }
-        String fault =
-                !target.minimumBuild().isEmpty() && isOlderBuild(build, target.minimumBuild())
-                        ? "this build is " + build + ", and it needs " + target.minimumBuild()
-                        : acts.become(all);
-        if (fault != null) {
-            refused = target.number();
-            why = fault.substring(0, Math.min(fault.length(), VersionReport.MAX_REASON_LENGTH));
-            LOG.severe("fleet: version " + target.number() + " is refused: " + fault);
-            acts.told(RolloutEvent.REFUSED, target, why);
-            return;
+        RolloutState before = placement.rollout();
+        placement = committed;
+        acceptor.adoptPlacement(committed, context.scheduler().now());
+        if (!committed.rollout().equals(before)) {
+            reportProgress(committed.rollout());
         }
-        activeVersion = target;
-        actingNow = target.number();
-        why = "";
-        LOG.info("fleet: acts on version " + target.number());
-        acts.told(RolloutEvent.CHANGED, target, "");
-        writes.submit(
-                () -> {
-                    try {
-                        state.write(to -> PlacementCodec.writeVersion(to, target));
-                    } catch (IOException e) {
-                        LOG.warning(
-                                "fleet: what version is acted on cannot be kept: "
-                                        + e.getMessage());
-                    }
-                });
+        proposals.adoptState(committed.rollout());
+        follower.adoptPlacement(committed);
     }
 
-    /**
-     * Whether one build is older than another: numbers by their size, what is behind them as text;
-     * one that has no numbers is older.
-     */
-    static boolean isOlderBuild(String mine, String least) {
-        String[] a = mine.split("[.-]");
-        String[] b = least.split("[.-]");
-        for (int i = 0; i < Math.min(a.length, b.length); i++) {
-            boolean numbers = a[i].matches("[0-9]{1,9}") && b[i].matches("[0-9]{1,9}");
-            if (b[i].matches("[0-9]{1,9}") && !numbers) {
-                return true;
-            }
-            int order =
-                    numbers
-                            ? Integer.compare(Integer.parseInt(a[i]), Integer.parseInt(b[i]))
-                            : a[i].compareTo(b[i]);
-            if (order != 0) {
-                return order < 0;
-            }
-        }
-        return a.length < b.length
-                && b[a.length].matches("[0-9]{1,9}")
-                && !b[a.length].matches("0+");
+    private void reportProgress(RolloutState rollout) {
+        String progress =
+                rollout.isComplete()
+                        ? " is in force"
+                        : " comes to stage "
+                                + rollout.stage()
+                                + ", "
+                                + rollout.phase().externalName();
+        String text = "version " + rollout.target().number() + progress;
+        LOG.info("fleet: " + text + ": " + rollout.target().reason());
+        activator.told(RolloutEvent.ROLLOUT, rollout.target(), text);
     }
 
-    /** Keeps the bytes; {@code then} is run once they are on disk. */
-    private void keep(String hash, byte[] all, Runnable then) {
-        bytes.put(hash, all);
-        Set<String> needed = new HashSet<>(bytes.keySet());
-        needed.add(activeVersion.hash());
-        writes.submit(
-                () -> {
-                    try {
-                        SealedFile.replaceAtomically(file(hash), all);
-                        schedule.post(then);
-                        try (DirectoryStream<Path> files =
-                                Files.newDirectoryStream(
-                                        settings.folder(), "*" + SUFFIX + "{,.tmp}")) {
-                            for (Path each : files) {
-                                String text = each.getFileName().toString();
-                                if (!needed.contains(
-                                        text.substring(0, text.length() - SUFFIX.length()))) {
-                                    Files.deleteIfExists(each);
-                                }
-                            }
-                        }
-                    } catch (IOException e) {
-                        LOG.warning("fleet: a version's bytes cannot be kept: " + e.getMessage());
-                    }
-                });
-    }
-
-    // ---- time and messages
-
+    /** Requests missing chunks, checks the lease and reports when it is time. */
     void tick() {
-        Duration now = schedule.now();
-        for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
-            send.accept(ask.recipient(), ask.request());
-        }
-        take(now);
-        boolean out = !isAllowedToServe();
-        if (out != wasOut
-                && !lease.expiresAt().isZero()) { // a start has none yet, and says nothing of that
-            LOG.warning(
-                    out
-                            ? "fleet: the voters do not renew this server's lease: keyed work is"
-                                    + " throttled"
-                            : "fleet: this server's lease holds: keyed work is let in");
-            acts.told(
-                    out ? RolloutEvent.SHUT_OUT : RolloutEvent.LET_IN,
-                    activeVersion,
-                    out ? "its lease has ended" : "its lease holds");
-        }
-        wasOut = out;
-        if (now.minus(spoken).compareTo(REPORT_INTERVAL) < 0) {
+        Duration now = context.scheduler().now();
+        follower.tick(now);
+        offeredVersions.tick(now);
+        leaseHolder.reportTransition(follower.active());
+        if (now.minus(reportedAt).compareTo(REPORT_INTERVAL) < 0) {
             return;
         }
-        spoken =
-                now.minus(
-                        Duration.ofNanos(
-                                (long) (REPORT_INTERVAL.toNanos() / 4 * chance.nextDouble())));
-        leaseLeft = Math.max(0, lease.expiresAt().minus(now).toNanos() / 1e9);
-        if (offered != null) {
-            offer();
-        }
-        RolloutMessage.StatusReport tell =
-                new RolloutMessage.StatusReport(
-                        lease.startRenewal(now),
-                        report(),
-                        acts.audited().number(),
-                        acts.audited().hash());
-        for (String each : voters) {
-            if (each.equals(name)) {
-                receive(name, tell);
-            } else {
-                send.accept(each, tell);
-            }
-        }
-    }
-
-    private VersionReport report() {
-        RolloutState rollout = layout.rollout();
-        VersionCounters on = counts.getOrDefault(rollout.target().number(), VersionCounters.ZERO);
-        VersionCounters before =
-                rollout.previous().number() == rollout.target().number()
-                        ? VersionCounters.ZERO
-                        : counts.getOrDefault(rollout.previous().number(), VersionCounters.ZERO);
-        return new VersionReport(
-                activeVersion.number(),
-                activeVersion.hash(),
-                refused,
-                why,
-                rollout.target().number(),
-                on,
-                before);
-    }
-
-    /** Who may have the bytes: those of the same zone and the first stages, then anybody. */
-    private List<String> sources() {
-        if (!gather.isIncomplete()) {
-            return List.of();
-        }
-        String zone = "";
-        for (MemberSnapshot each : view.get()) {
-            if (each.isSelf()) {
-                zone = each.member().zone();
-            }
-        }
-        List<String> near = new ArrayList<>();
-        List<String> far = new ArrayList<>();
-        for (MemberSnapshot each : view.get()) {
-            if (each.isSelf() || !each.member().state().isLive()) {
-                continue;
-            }
-            String other = each.member().id().name();
-            if (voters.contains(other) || RolloutStages.includes(layout, other)) {
-                (each.member().zone().equals(zone) ? near : far).add(other);
-            }
-        }
-        near.addAll(far);
-        return near;
+        double jitterNanos =
+                REPORT_INTERVAL.toNanos() / REPORT_JITTER_DIVISOR * context.random().nextDouble();
+        reportedAt = now.minus(Duration.ofNanos((long) jitterNanos));
+        proposals.offerToOthers();
+        reportToAcceptors(now);
     }
 
-    void receive(String from, RolloutMessage message) {
-        if (closed) {
-            return;
-        }
-        Duration now = schedule.now();
-        if (message instanceof RolloutMessage.StatusReport tell) {
-            if (!voters.contains(name)) {
-                return;
-            }
-            witness(from, tell, now);
-            rollouts.recordReport(from, tell.report());
-            reports.put(from, tell.report());
-            boolean may = doorkeeper.renew(layout, from, reports, now);
-            if (from.equals(name)) {
-                renewed(from, tell.requestId(), may);
+    private void reportToAcceptors(Duration now) {
+        HashChain.ChainHead auditHead = activator.audited();
+        RolloutMessage.StatusReport report =
+                new RolloutMessage.StatusReport(
+                        leaseHolder.startRenewal(now),
+                        follower.report(),
+                        auditHead.number(),
+                        auditHead.hash());
+        for (String each : acceptors) {
+            if (each.equals(context.serverName())) {
+                receive(each, report);
             } else {
-                send.accept(from, new RolloutMessage.LeaseReply(tell.requestId(), may));
-            }
-        } else if (message instanceof RolloutMessage.LeaseReply renewed) {
-            renewed(from, renewed.requestId(), renewed.granted());
-        } else if (message instanceof RolloutMessage.ChunkRequest want) {
-            byte[] all = bytes.get(want.hash());
-            if (all != null) {
-                VersionDownload.slice(want, all).ifPresent(piece -> send.accept(from, piece));
-            }
-        } else if (message instanceof RolloutMessage.VersionOffer offer) {
-            offered(from, offer, now);
-        } else if (message instanceof RolloutMessage.VersionStored told) {
-            if (offered == null
-                    || !voters.contains(from)
-                    || !told.hash().equals(offered.target().hash())) {
-                return;
-            }
-            have.add(from);
-            // Whoever published it may die now: it is brought out all the same.
-            if (have.size() < ReplicaPlacement.quorumSize(voters.size())) {
-                return;
-            }
-            wish(offered);
-            offered = null;
-        } else if (message instanceof RolloutMessage.Chunk piece) {
-            taken.accept(piece, now)
-                    .ifPresent(
-                            all -> {
-                                String by = offeredBy;
-                                if (hashOf(all).equals(piece.hash())) {
-                                    keep(
-                                            piece.hash(),
-                                            all,
-                                            () ->
-                                                    send.accept(
-                                                            by,
-                                                            new RolloutMessage.VersionStored(
-                                                                    piece.hash())));
-                                } else {
-                                    taken.discardCorrupt(now);
-                                }
-                            });
-            take(now);
-            gather.accept(piece, now)
-                    .ifPresent(
-                            all -> {
-                                if (!hashOf(all).equals(piece.hash())) {
-                                    gather.discardCorrupt(now);
-                                    return;
-                                }
-                                keep(piece.hash(), all, () -> {});
-                                follow();
-                            });
-            for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
-                send.accept(ask.recipient(), ask.request());
+                context.sender().send(each, report);
             }
         }
     }
 
-    /**
-     * What each voter knows of the others' audits is in its own: a lost tail, or one that was
-     * written anew, is seen by that.
-     */
-    private void witness(String from, RolloutMessage.StatusReport tell, Duration now) {
-        Duration last = witnessed.get(from);
-        if (tell.auditRecordNumber() == 0
-                || from.equals(name)
-                || last != null && now.minus(last).compareTo(WITNESS_INTERVAL) < 0) {
+    /** Takes a message of another server or of this one. */
+    void receive(String sender, RolloutMessage message) {
+        if (isClosed) {
             return;
         }
-        witnessed.put(from, now);
-        acts.told(
-                RolloutEvent.WITNESSED,
-                activeVersion,
-                from + ' ' + tell.auditRecordNumber() + ' ' + tell.auditHash());
-    }
-
-    private void take(Duration now) {
-        if (offeredBy != null) {
-            for (VersionDownload.OutboundChunkRequest ask : taken.tick(List.of(offeredBy), now)) {
-                send.accept(ask.recipient(), ask.request());
-            }
-        }
-    }
-
-    private void offer() {
-        for (String each : voters) {
-            if (!each.equals(name) && !have.contains(each)) {
-                send.accept(
-                        each,
-                        new RolloutMessage.VersionOffer(
-                                offered.target().hash(), offered.target().sizeBytes()));
-            }
+        Duration now = context.scheduler().now();
+        if (message instanceof RolloutMessage.StatusReport report) {
+            receiveReport(sender, report, now);
+        } else if (message instanceof RolloutMessage.LeaseReply reply) {
+            leaseHolder.receiveReply(sender, reply.requestId(), reply.granted());
+        } else if (message instanceof RolloutMessage.ChunkRequest request) {
+            sendChunk(sender, request);
+        } else if (message instanceof RolloutMessage.VersionOffer offer) {
+            offeredVersions.receiveOffer(sender, offer, now);
+        } else if (message instanceof RolloutMessage.VersionStored stored) {
+            proposals.receiveStored(sender, stored.hash());
+        } else if (message instanceof RolloutMessage.Chunk chunk) {
+            offeredVersions.receive(chunk, now);
+            follower.receive(chunk, now);
         }
     }
 
-    private void offered(String by, RolloutMessage.VersionOffer offer, Duration now) {
-        if (!voters.contains(name) || !voters.contains(by)) {
+    private void receiveReport(String sender, RolloutMessage.StatusReport report, Duration now) {
+        if (!acceptors.contains(context.serverName())) {
             return;
         }
-        if (bytes.containsKey(offer.hash())) {
-            send.accept(by, new RolloutMessage.VersionStored(offer.hash()));
-            return;
+        boolean isGranted =
+                acceptor.receiveReport(sender, report, placement, follower.active(), now);
+        if (sender.equals(context.serverName())) {
+            leaseHolder.receiveReply(sender, report.requestId(), isGranted);
+        } else {
+            context.sender()
+                    .send(sender, new RolloutMessage.LeaseReply(report.requestId(), isGranted));
         }
-        offeredBy = by;
-        taken.start(
-                new RolloutState.PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
-        take(now);
     }
 
-    private void renewed(String from, long question, boolean may) {
-        if (may) {
-            lease.recordGrant(from, question);
-        }
+    private void sendChunk(String receiver, RolloutMessage.ChunkRequest request) {
+        files.find(request.hash())
+                .flatMap(version -> VersionDownload.slice(request, version))
+                .ifPresent(chunk -> context.sender().send(receiver, chunk));
     }
 
-    // ---- a voter's part
-
     /**
-     * What this voter wishes to have agreed on: a person's word first, then what follows from what
-     * is seen.
+     * Returns what this acceptor proposes next: what a person has asked for, or else what follows
+     * from the servers' reports.
      */
-    Optional<ReplicaPlacement> nextPlacement(ReplicaPlacement agreed) {
-        Set<String> live = new HashSet<>();
-        for (MemberSnapshot each : view.get()) {
-            if (each.member().state().isLive()) {
-                live.add(each.member().id().name());
-            }
-        }
-        reports.keySet().retainAll(live);
-        outNow = doorkeeper.fencedServers().size();
-        if (wished != null) {
-            return Optional.of(agreed.with(wished));
-        }
-        return rollouts.nextState(agreed, live, schedule.now()).map(agreed::with);
-    }
-
-    /** What the operators' commands say; each answer is JSON with what came of it. */
-    String publish(String by, String reason, String leastBuild, byte[] all) {
-        if (!voters.contains(name)) {
-            return refusal("this server is no voter: ask one of " + voters);
-        }
-        if (all.length == 0 || all.length > RolloutState.PublishedVersion.MAX_BYTES) {
-            return refusal(
-                    "a version has 1 to " + RolloutState.PublishedVersion.MAX_BYTES + " bytes");
-        }
-        RolloutState rollout = layout.rollout();
-        if (!rollout.isComplete() || wished != null || offered != null) {
-            return refusal(
-                    "version "
-                            + rollout.target().number()
-                            + " is being brought out: one at a time");
-        }
-        String fault = acts.check(all);
-        if (fault != null) {
-            return refusal(fault);
-        }
-        RolloutState.PublishedVersion next;
-        try {
-            next =
-                    new RolloutState.PublishedVersion(
-                            rollout.target().number() + 1,
-                            hashOf(all),
-                            all.length,
-                            leastBuild,
-                            by,
-                            reason);
-        } catch (IllegalArgumentException e) {
-            return refusal(e.getMessage());
-        }
-        offered = rollout.startRollout(next);
-        RolloutState mine = offered;
-        have.clear();
-        keep(
-                next.hash(),
-                all,
-                () -> {
-                    if (offered != mine) {
-                        return;
-                    }
-                    receive(name, new RolloutMessage.VersionStored(next.hash()));
-                    if (offered == mine) {
-                        offer();
-                    }
-                });
-        schedule.after(
-                PROPOSAL_LIFETIME,
-                () -> {
-                    if (offered == mine) {
-                        offered = null; // no majority of voters is there
-                    }
-                });
-        acts.told(RolloutEvent.PUBLISHED, next, by + ": " + reason);
-        return JsonText.object(to -> to.writeNumberField("published", next.number()));
+    Optional<ReplicaPlacement> nextPlacement(ReplicaPlacement committed) {
+        Set<String> live = context.liveServers();
+        acceptor.observeLiveServers(live);
+        return proposals
+                .proposed()
+                .or(() -> acceptor.nextState(committed, live, context.scheduler().now()))
+                .map(committed::with);
     }
 
-    private void wish(RolloutState next) {
-        wished = next;
-        // Guards against a wish that somebody else's epoch has overtaken: it is a person's word,
-        // and said again by them.
-        schedule.after(
-                PROPOSAL_LIFETIME,
-                () -> {
-                    if (next.equals(wished)) {
-                        wished = null;
-                    }
-                });
+    /** Publishes a version for an operators' command; returns what came of it, as JSON. */
+    String publish(String arguments) {
+        return proposals.publish(arguments);
     }
 
-    private static String refusal(String text) {
-        return JsonText.object(to -> to.writeStringField("refused", text));
+    /** Publishes a version; returns what came of it, as JSON. */
+    String publish(String publisher, String reason, String minimumBuild, byte[] version) {
+        return proposals.publish(publisher, reason, minimumBuild, version);
     }
 
-    /** A person pauses a rollout, lets it go on, or takes it back. */
-    String steer(String word, String by) {
-        if (!voters.contains(name)) {
-            return refusal("this server is no voter: ask one of " + voters);
-        }
-        RolloutState rollout = layout.rollout();
-        RolloutState next =
-                switch (word) {
-                    case "pause" ->
-                            rollout.phase() == RolloutState.Phase.RUNNING
-                                    ? rollout.withPhase(RolloutState.Phase.PAUSED)
-                                    : null;
-                    case "go-on" ->
-                            rollout.isComplete() || rollout.phase() == RolloutState.Phase.RUNNING
-                                    ? null
-                                    : rollout.withPhase(RolloutState.Phase.RUNNING);
-                    case "take-back" ->
-                            rollout.target().number() == 0
-                                            || rollout.previous().equals(rollout.target())
-                                    ? null
-                                    : rollout.rolledBack(by, "taken back by " + by);
-                    default -> null;
-                };
-        if (next == null) {
-            return refusal(
-                    "there is nothing to "
-                            + word
-                            + ": "
-                            + rollout.phase().externalName()
-                            + " at version "
-                            + rollout.target().number());
-        }
-        wish(next);
-        return JsonText.object(to -> to.writeStringField("wished", word));
+    /** Steers the rollout for an operators' command; returns what came of it, as JSON. */
+    String steer(String command, String operator) {
+        return proposals.steer(command, operator);
     }
 
-    /** All that there is to tell of versions. */
+    /** Returns the state of the rollout, as JSON. */
     String status() {
-        RolloutState rollout = layout.rollout();
-        return JsonText.object(
-                to -> {
-                    to.writeStringField("name", name);
-                    to.writeNumberField("acts", activeVersion.number());
-                    to.writeStringField("hash", activeVersion.hash());
-                    to.writeNumberField("version", rollout.target().number());
-                    to.writeNumberField("before", rollout.previous().number());
-                    to.writeStringField("why", rollout.target().reason());
-                    to.writeStringField("by", rollout.target().publisher());
-                    to.writeStringField("state", rollout.phase().externalName());
-                    to.writeNumberField("stage", rollout.stage());
-                    to.writeStringField("halted", rollouts.haltReason());
-                    to.writeBooleanField("may", isAllowedToServe());
-                    to.writeNumberField(
-                            "lease_left_ms",
-                            Math.max(0, lease.expiresAt().minus(schedule.now()).toMillis()));
-                    to.writeStringField("refused", refused == 0 ? "" : refused + ": " + why);
-                    to.writeObjectFieldStart("servers");
-                    for (Map.Entry<String, VersionReport> each :
-                            new TreeMap<>(reports).entrySet()) {
-                        to.writeObjectFieldStart(each.getKey());
-                        to.writeNumberField("acts", each.getValue().activeVersion());
-                        to.writeNumberField("read", each.getValue().candidate().answered());
-                        to.writeNumberField("refused", each.getValue().rejectedVersion());
-                        to.writeBooleanField(
-                                "out", doorkeeper.fencedServers().contains(each.getKey()));
-                        to.writeEndObject();
-                    }
-                    to.writeEndObject();
-                });
-    }
-
-    /**
-     * Reads what a publisher's command says: lines with who, why and the least build, and the
-     * version behind them.
-     */
-    String publish(String with) {
-        String[] lines = with.split("\n", 4);
-        if (lines.length < 4) {
-            return refusal("no version");
-        }
-        return publish(lines[0], lines[1], lines[2], lines[3].getBytes(StandardCharsets.UTF_8));
+        return statusJson.status(placement.rollout());
     }
 
+    /** Ignores messages from here on and writes what is queued. */
     void close() {
-        closed = true;
-        writes.close();
+        isClosed = true;
+        proposals.close();
+        files.close();
     }
 }
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -8,7 +8,7 @@
 import ochretiller.audit.HashChain;
 import ochretiller.audit.VersionUsage;
 import ochretiller.audit.files.AuditLogWriter;
-import ochretiller.fleet.service.RolloutService;
+import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.metrics.Metrics;
@@ -99,20 +99,18 @@
     }
 
     /** Something has happened to a version here. */
-    void recordRolloutEvent(
-            RolloutService.RolloutEvent what, long version, String hash, String text) {
+    void recordRolloutEvent(RolloutEvent what, long version, String hash, String text) {
         // A span is of one kind all through: what was acted on before stands in a span of its own.
-        if (what == RolloutService.RolloutEvent.CHANGED) {
+        if (what == RolloutEvent.CHANGED) {
             spans.switchVersion(version, hash, unixMs.getAsLong(), schedule.now())
                     .ifPresent(writer::add);
-        } else if (what == RolloutService.RolloutEvent.SHUT_OUT
-                || what == RolloutService.RolloutEvent.LET_IN) {
+        } else if (what == RolloutEvent.SHUT_OUT || what == RolloutEvent.LET_IN) {
             writer.add(spans.closePeriod(unixMs.getAsLong(), schedule.now()));
         }
         event(kind(what), version, text);
     }
 
-    private static AuditRecord.AuditEventKind kind(RolloutService.RolloutEvent what) {
+    private static AuditRecord.AuditEventKind kind(RolloutEvent what) {
         return switch (what) {
             case CHANGED -> AuditRecord.AuditEventKind.VERSION_CHANGED;
             case REFUSED -> AuditRecord.AuditEventKind.VERSION_REJECTED;
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -22,7 +22,8 @@
 import ochretiller.fleet.rollout.VersionCounters;
 import ochretiller.fleet.service.FleetService;
 import ochretiller.fleet.service.FleetSettings;
-import ochretiller.fleet.service.RolloutService;
+import ochretiller.fleet.service.RolloutEvent;
+import ochretiller.fleet.service.VersionActivator;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.ClientConnections;
 import ochretiller.frontend.FailureReason;
@@ -545,7 +546,7 @@
     }
 
     /** What acts on versions here: the pools. */
-    private final class Acting implements RolloutService.VersionActivator {
+    private final class Acting implements VersionActivator {
         private List<WorkerPoolConfig> plans(byte[] version) {
             OperatorConfig told =
                     version == null
@@ -594,10 +595,7 @@
         }
 
         @Override
-        public void told(
-                RolloutService.RolloutEvent what,
-                RolloutState.PublishedVersion version,
-                String text) {
+        public void told(RolloutEvent what, RolloutState.PublishedVersion version, String text) {
             if (auditor != null) {
                 auditor.recordRolloutEvent(what, version.number(), version.hash(), text);
             }
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -34,7 +34,7 @@
     private static final byte[] BYTES = "what to act on".getBytes(StandardCharsets.UTF_8);
 
     /** SHA-256 of {@link #BYTES}. */
-    private static final String HASH = RolloutService.hashOf(BYTES);
+    private static final String HASH = VersionFiles.hashOf(BYTES);
 
     private static final RolloutState.PublishedVersion VERSION =
             new RolloutState.PublishedVersion(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
@@ -115,7 +115,7 @@
     }
 
     /** A server that remembers what it was to act on. */
-    private static final class Recorder implements RolloutService.VersionActivator {
+    private static final class Recorder implements VersionActivator {
         private final List<byte[]> acted = new ArrayList<>();
 
         @Override
@@ -135,10 +135,7 @@
         }
 
         @Override
-        public void told(
-                RolloutService.RolloutEvent what,
-                RolloutState.PublishedVersion version,
-                String text) {
+        public void told(RolloutEvent what, RolloutState.PublishedVersion version, String text) {
             // nothing here is about what is told
         }
     }
@@ -153,15 +150,16 @@
                         Duration.ofSeconds(5),
                         true);
         return new RolloutService(
-                new ManualEventLoop(),
+                new FleetContext(
+                        new ManualEventLoop(),
+                        "a",
+                        new SplittableRandom(1),
+                        new Metrics(),
+                        (to, message) -> {},
+                        List::of),
                 settings,
-                "a",
                 "1.2",
                 List.of("a", "b", "c"),
-                new SplittableRandom(1),
-                new Metrics(),
-                (to, message) -> {},
-                List::of,
                 recorder);
     }
 
--- a/src/test/java/ochretiller/node/AuditRecorderTest.java
+++ b/src/test/java/ochretiller/node/AuditRecorderTest.java
@@ -9,7 +9,7 @@
 import ochretiller.ManualEventLoop;
 import ochretiller.audit.AuditRecord;
 import ochretiller.audit.files.AuditLogReader;
-import ochretiller.fleet.service.RolloutService;
+import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.metrics.Metrics;
 import ochretiller.operator.OperatorConfig;
 import org.junit.jupiter.api.Test;
@@ -17,15 +17,15 @@
 
 /** What happens to a version is kept under the number that the audit's files have for it. */
 class AuditRecorderTest {
-    private static final List<RolloutService.RolloutEvent> EVENTS =
+    private static final List<RolloutEvent> EVENTS =
             List.of(
-                    RolloutService.RolloutEvent.CHANGED,
-                    RolloutService.RolloutEvent.REFUSED,
-                    RolloutService.RolloutEvent.SHUT_OUT,
-                    RolloutService.RolloutEvent.LET_IN,
-                    RolloutService.RolloutEvent.PUBLISHED,
-                    RolloutService.RolloutEvent.ROLLOUT,
-                    RolloutService.RolloutEvent.WITNESSED);
+                    RolloutEvent.CHANGED,
+                    RolloutEvent.REFUSED,
+                    RolloutEvent.SHUT_OUT,
+                    RolloutEvent.LET_IN,
+                    RolloutEvent.PUBLISHED,
+                    RolloutEvent.ROLLOUT,
+                    RolloutEvent.WITNESSED);
     @TempDir private Path folder;
 
     private Stream<Integer> kinds() throws Exception {
@@ -41,11 +41,11 @@
         AuditRecorder auditor =
                 new AuditRecorder(new ManualEventLoop(), told, "n1", () -> 1_000, new Metrics());
         auditor.start();
-        for (RolloutService.RolloutEvent what : EVENTS) {
+        for (RolloutEvent what : EVENTS) {
             auditor.recordRolloutEvent(what, 1, "", "");
         }
         auditor.close();
-        assertThat(EVENTS).containsExactlyInAnyOrder(RolloutService.RolloutEvent.values());
+        assertThat(EVENTS).containsExactlyInAnyOrder(RolloutEvent.values());
         assertThat(kinds())
                 .as("started, the events in their order, ended")
                 .containsExactly(0, 1, 2, 3, 4, 5, 6, 9, 8);
