--- a/src/main/java/ochretiller/admission/AdmissionController.java
+++ b/src/main/java/ochretiller/admission/AdmissionController.java
@@ -38,8 +38,8 @@
  * callers.
  *
  * <p>How it is called: its owner builds the parts, each with its own few settings, and tells what
- * happens by {@link #started}, {@link #arrived}, {@link #blocked}, {@link #gone} and {@link
- * #leave}. Each returns a {@link Action} to be acted out on the interface, {@link ServerActions} in
+ * happens by {@link #onStarted}, {@link #onInvocationReceived}, {@link #onCallRequested}, {@link #onClientGone} and {@link
+ * #onShutdownNotice}. Each returns a {@link Action} to be acted out on the interface, {@link ServerActions} in
  * {@code ochretiller.server}, where it leaves continuations for what comes of runs, calls and
  * timers. docs/design.md tells why.
  */
--- a/src/main/java/ochretiller/audit/files/AuditLogReader.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogReader.java
@@ -37,7 +37,7 @@
             long lastRecordEnd) {
         /**
          * The records that can be read; those that cannot are among the faults of {@link
-         * AuditFolder#read}.
+         * AuditLogReader#read}.
          */
         public List<AuditRecord> decodedRecords() {
             List<AuditRecord> all = new ArrayList<>();
--- a/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
@@ -94,7 +94,7 @@
         this.hasLostState = kept == null && !fresh;
     }
 
-    /** What has to be on disk before {@link #outs} leave. */
+    /** What has to be on disk before {@link #takeOutbound} leave. */
     public AcceptorState durableState() {
         return durableState;
     }
--- a/src/main/java/ochretiller/fleet/membership/MembershipMessage.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipMessage.java
@@ -28,7 +28,7 @@
      *
      * @param target the start that is asked for; 0 for whoever is at the address
      * @param gossip what is said of members
-     * @param full members that the receiver may not know
+     * @param members members that the receiver may not know
      * @param digest of the sender's whole view
      */
     record Ping(long nonce, long target, Gossip gossip, long digest) implements MembershipMessage {}
--- a/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
@@ -326,7 +326,7 @@
 
     // ---- time
 
-    /** The clock has come to {@link #next}, or later. */
+    /** The clock has come to {@link #nextTick}, or later. */
     public void tick(Duration now) {
         Duration late = now.minus(due);
         wake(now);
--- a/src/main/java/ochretiller/fleet/replication/Replica.java
+++ b/src/main/java/ochretiller/fleet/replication/Replica.java
@@ -202,7 +202,7 @@
         }
     }
 
-    /** What has to be on disk, beside the entries that change, before {@link #outs} leave. */
+    /** What has to be on disk, beside the entries that change, before {@link #takeOutbound} leave. */
     public ReplicaSnapshot metadataSnapshot() {
         return new ReplicaSnapshot(
                 placement,
@@ -216,7 +216,7 @@
 
     /**
      * Tokens that have changed since this was asked last, and whether anything else has: those go
-     * to disk before {@link #outs}.
+     * to disk before {@link #takeOutbound}.
      */
     public List<String> takeChangedTokens() {
         return stock.takeChangedTokens();
@@ -237,7 +237,7 @@
 
     /**
      * Long results that have come whole since this was asked last: once they are kept, {@link
-     * #shelved} is to be said.
+     * #resultStored} is to be said.
      */
     public List<ChunkAssembler.AssembledResult> takeAssembledResults() {
         List<ChunkAssembler.AssembledResult> all = List.copyOf(takeAssembledResults);
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 
 /**
- * What a keeper has of one token. Two copies become one by {@link #join}, in any order and any
+ * What a keeper has of one token. Two copies become one by {@link #merge}, in any order and any
  * number of times with the same outcome: a result goes over claims, a claim over nothing, a claim
  * is released only by the owner's own word, and no window is ever shortened. What must not exist,
  * two results of one token, is kept whole.
--- a/src/main/java/ochretiller/fleet/replication/SetSketch.java
+++ b/src/main/java/ochretiller/fleet/replication/SetSketch.java
@@ -126,7 +126,7 @@
         return out.array();
     }
 
-    /** One as {@link #bytes} has told it. */
+    /** One as {@link #toBytes} has told it. */
     public static SetSketch fromBytes(byte[] bytes) {
         int cells = bytes.length / CELL_BYTES;
         if (cells * CELL_BYTES != bytes.length
--- a/src/main/java/ochretiller/idempotency/IdempotencyCache.java
+++ b/src/main/java/ochretiller/idempotency/IdempotencyCache.java
@@ -110,7 +110,7 @@
      * The try that one which arrived then repeats, or null. A read that repeats none is known from
      * here on.
      *
-     * @param t0 the arrival as its caller dated it, in Unix milliseconds, or {@link #UNDATED}
+     * @param t0 the arrival as its caller dated it, in Unix milliseconds, or {@link #NO_CLIENT_TIMESTAMP}
      */
     public InvocationId findOriginalOrTrack(
             InvocationId id,
--- a/src/main/java/ochretiller/idempotency/durable/DurabilityPolicy.java
+++ b/src/main/java/ochretiller/idempotency/durable/DurabilityPolicy.java
@@ -12,8 +12,8 @@
  * and an answer wait, when a sick disk is tried again, and what becomes of what a restart has
  * found.
  *
- * <p>The owner tells of each append by {@link #asked} and {@link #acked}, and of what the store
- * says by {@link #told}.
+ * <p>The owner tells of each append by {@link #appendStarted} and {@link #appendCompleted}, and of what the store
+ * says by {@link #storeStatusChanged}.
  */
 public final class DurabilityPolicy {
     /**
--- a/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
+++ b/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
@@ -82,7 +82,7 @@
                 .array();
     }
 
-    /** What {@link #meta} has written, or null for bytes that it cannot have written. */
+    /** What {@link #encodeMetadata} has written, or null for bytes that it cannot have written. */
     public static IdempotencyRecord decode(byte[] key, byte[] meta) {
         if (meta.length < 1 + 16 + HASH + 2 || meta[0] < 0 || meta[0] >= Progress.values().length) {
             return null;
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -521,7 +521,7 @@
                 });
     }
 
-    /** What a former process has left under this token, or null; known until {@link #taken}. */
+    /** What a former process has left under this token, or null; known until {@link #takePreviousRuns}. */
     IdempotencyRecord restored(String token) {
         return token == null ? null : restored.get(token);
     }
--- a/src/main/java/ochretiller/store/RecordFormat.java
+++ b/src/main/java/ochretiller/store/RecordFormat.java
@@ -215,7 +215,7 @@
                 : RecordStatus.CORRUPT;
     }
 
-    /** The record at the buffer's position, which {@link #look} has found whole. */
+    /** The record at the buffer's position, which {@link #inspect} has found whole. */
     static DecodedRecord decode(ByteBuffer in) {
         int at = in.position();
         int length = in.getInt(at + 4);
--- a/src/main/java/ochretiller/store/StoreLimits.java
+++ b/src/main/java/ochretiller/store/StoreLimits.java
@@ -7,7 +7,7 @@
  *
  * @param maxEntries keys with a value, removed ones not counted
  * @param maxBytes bytes of all its files
- * @param maxIndexBytes bytes of the index, as reckoned by {@link Index#COST}
+ * @param maxIndexBytes bytes of the index, as reckoned by {@link Index#ENTRY_OVERHEAD_BYTES}
  * @param segmentBytes size at which the next segment is begun
  * @param maxSegmentAge age at which a segment that has records is followed by the next, so that it
  *     can be dropped in time
--- a/src/main/java/ochretiller/workers/UwsgiRunBackend.java
+++ b/src/main/java/ochretiller/workers/UwsgiRunBackend.java
@@ -115,7 +115,7 @@
     }
 
     /**
-     * A run of this operation is let go, and {@link #begin} or {@code expect(operation, -1)}
+     * A run of this operation is let go, and {@link #startRun} or {@code expect(operation, -1)}
      * follows.
      */
     public void expect(String operation, int more) {
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -90,6 +90,7 @@
     }
 
     /** Writes a place, an entry and a long result; their keys and values as the store has them. */
+    @SuppressWarnings("ArrayAsKeyOfSetOrMap") // a list of pairs in order; no key is looked up
     private Map<byte[], byte[]> written(Set<Integer> forgot) throws Exception {
         Replica keeper = keeper(forgot);
         try (Store store = open()) {
