--- a/tools/src/main/java/ochretiller/tools/DecoderBench.java
+++ b/tools/src/main/java/ochretiller/tools/DecoderBench.java
@@ -81,6 +81,7 @@
         seen.consume(all);
     }
 
+    @SuppressWarnings("rawtypes") // the results that JMH hands out are raw
     static void measure() throws Exception {
         Collection<RunResult> results =
                 new Runner(
