--- /dev/null
+++ b/src/main/java/ochretiller/admission/InvocationIntake.java
@@ -0,0 +1,30 @@
+package ochretiller.admission;
+
+import java.time.Duration;
+import java.util.Optional;
+import ochretiller.model.Invocation;
+import ochretiller.server.ServerActions;
+
+/** Takes in an invocation that was read: it is registered, counted and weighted by its quota. */
+final class InvocationIntake {
+    private final AdmissionState state;
+    private final LoadSignals signals;
+
+    InvocationIntake(AdmissionState state, LoadSignals signals) {
+        this.state = state;
+        this.signals = signals;
+    }
+
+    /** Registers an invocation, and returns what tracks it from now on. */
+    TrackedInvocation register(ServerActions server, Invocation invocation) {
+        Duration now = server.now();
+        ExecutionSite site =
+                ExecutionSite.of(Optional.ofNullable(server.poolOf(invocation.operation())));
+        double weight = state.quotas().priorityWeight(invocation, now);
+        TrackedInvocation tracked = new TrackedInvocation(invocation, site, weight);
+        state.registry().open(tracked);
+        signals.overload().onRead(now, now.minus(invocation.arrivedAt()));
+        signals.retryElsewhere().onRead(now, invocation.isRetry());
+        return tracked;
+    }
+}
--- a/src/main/java/ochretiller/collections/BoundedMap.java
+++ b/src/main/java/ochretiller/collections/BoundedMap.java
@@ -3,33 +3,39 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Maps that hold so many at most; one more takes the place of the eldest. */
+/**
+ * Maps of bounded size: one entry more than the capacity evicts another. For what is remembered of
+ * the outside, whose number this server does not choose. Not thread-safe.
+ */
 public final class BoundedMap {
     private BoundedMap() {}
 
-    /** The eldest is what was asked for or put longest ago. */
-    public static <K, V> Map<K, V> evictingLeastRecentlyUsed(int most) {
-        return new Of<>(most, true);
+    /** Returns an empty map that evicts the entry that was put or looked up longest ago (LRU). */
+    public static <K, V> Map<K, V> evictingLeastRecentlyUsed(int capacity) {
+        return new Evicting<>(capacity, true);
     }
 
-    /** The eldest is what was put first. */
-    public static <K, V> Map<K, V> evictingOldest(int most) {
-        return new Of<>(most, false);
+    /** Returns an empty map that evicts the entry that was put first (FIFO). */
+    public static <K, V> Map<K, V> evictingOldest(int capacity) {
+        return new Evicting<>(capacity, false);
     }
 
-    private static final class Of<K, V> extends LinkedHashMap<K, V> {
+    private static final class Evicting<K, V> extends LinkedHashMap<K, V> {
         private static final long serialVersionUID = 1;
 
-        private final int most;
+        private static final int INITIAL_SIZE = 16;
+        private static final float LOAD_FACTOR = 0.75f;
 
-        Of(int most, boolean byUse) {
-            super(16, 0.75f, byUse);
-            this.most = most;
+        private final int capacity;
+
+        Evicting(int capacity, boolean orderedByAccess) {
+            super(INITIAL_SIZE, LOAD_FACTOR, orderedByAccess);
+            this.capacity = capacity;
         }
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-            return size() > most;
+            return size() > capacity;
         }
     }
 }
--- a/src/main/java/ochretiller/settings/JsonSettings.java
+++ b/src/main/java/ochretiller/settings/JsonSettings.java
@@ -5,10 +5,18 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Nested JSON by the paths that the simulator's wire uses for the same settings. */
+/**
+ * Settings from nested JSON, flattened to the paths that the simulator's wire uses for them: {@code
+ * {"classes": [{"name": "read"}]}} has {@code classes.count} and {@code classes.0.name}.
+ */
 public final class JsonSettings implements SettingLookup {
     private final Map<String, String> values = new HashMap<>();
 
+    /**
+     * Flattens a parsed JSON object.
+     *
+     * @param object members by name: maps, lists, and values whose text is the setting
+     */
     public JsonSettings(Map<String, Object> object) {
         put("", object);
     }
--- a/src/main/java/ochretiller/settings/SettingLookup.java
+++ b/src/main/java/ochretiller/settings/SettingLookup.java
@@ -2,16 +2,23 @@
 
 import java.time.Duration;
 
-/** Values by their path, such as {@code classes.0.name}; names that nobody asks for are skipped. */
+/**
+ * Settings by their path, such as {@code classes.0.name}. Settings that nobody asks for are
+ * ignored, so that a later version may add some. All methods that parse throw {@link
+ * MalformedException} for a value of the wrong form, and so do those without a default for a
+ * setting that is missing.
+ */
 @FunctionalInterface
 public interface SettingLookup {
-    /** The value as text, or null where there is none. */
+    /** Returns the setting as text, or null if it is missing. */
     String find(String name);
 
+    /** Returns whether the setting is there and not empty. */
     default boolean has(String name) {
         return !text(name, "").isEmpty();
     }
 
+    /** Returns the setting as text. */
     default String text(String name) {
         String value = find(name);
         if (value == null) {
@@ -20,39 +27,45 @@
         return value;
     }
 
-    default String text(String name, String otherwise) {
+    /** Returns the setting as text, or a default if it is missing. */
+    default String text(String name, String defaultValue) {
         String value = find(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 
+    /** Returns the setting as a whole number. */
     default long wholeNumber(String name) {
         String value = text(name);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " is no whole number: '" + value + "'");
+            throw new MalformedException(name + " is no whole number: '" + value + "'", e);
         }
     }
 
-    default long wholeNumber(String name, long otherwise) {
-        return has(name) ? wholeNumber(name) : otherwise;
+    /** Returns the setting as a whole number, or a default if it is missing or empty. */
+    default long wholeNumber(String name, long defaultValue) {
+        return has(name) ? wholeNumber(name) : defaultValue;
     }
 
-    default double number(String name, double otherwise) {
+    /** Returns the setting as a number, or a default if it is missing or empty. */
+    default double number(String name, double defaultValue) {
         if (!has(name)) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(text(name));
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " is no number: '" + text(name) + "'");
+            throw new MalformedException(name + " is no number: '" + text(name) + "'", e);
         }
     }
 
-    default Duration duration(String name, Duration otherwise) {
-        return has(name) ? Duration.ofNanos(wholeNumber(name)) : otherwise;
+    /** Returns a setting in nanoseconds, or a default if it is missing or empty. */
+    default Duration duration(String name, Duration defaultValue) {
+        return has(name) ? Duration.ofNanos(wholeNumber(name)) : defaultValue;
     }
 
+    /** Returns whether the setting is {@code 1} or {@code true}; a missing one is not. */
     default boolean flag(String name) {
         String value = text(name, "0");
         return value.equals("1") || value.equals("true");
--- a/src/main/java/ochretiller/settings/Settings.java
+++ b/src/main/java/ochretiller/settings/Settings.java
@@ -7,93 +7,124 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import ochretiller.admission.AdmissionController;
+import ochretiller.admission.BillingBasis;
+import ochretiller.admission.SlowStart;
 import ochretiller.model.CapacityAdvertisement;
 import ochretiller.model.Operation;
 import ochretiller.model.SideEffect;
 import ochretiller.model.Tenant;
 import ochretiller.model.TenantId;
 
-/** Decodes the settings of one start into the parts of the decisions, each with its own few. */
+/**
+ * Decodes the settings that a server is started with into the operations it serves and the
+ * admission controller that decides on them. Durations are settings in nanoseconds, memory is in
+ * kilobytes. What is malformed ends in a {@link MalformedException} that names the setting.
+ */
 public final class Settings {
+    /** Stands for an item that a list of settings does not have. */
+    private static final String NO_ITEM = "0";
+
     private Settings() {}
 
+    /** Returns the operations by name, in the order of the settings. */
     public static Map<String, Operation> operations(SettingLookup settings) {
         Map<String, Operation> operations = new LinkedHashMap<>();
         for (int i = 0; i < settings.wholeNumber("classes.count", 0); i++) {
-            String at = "classes." + i + ".";
-            SideEffect effect =
-                    switch (settings.text(at + "effect")) {
-                        case "pure" -> SideEffect.IDEMPOTENT;
-                        case "token" -> SideEffect.KEYED;
-                        default ->
-                                SideEffect.NON_IDEMPOTENT; // an effect of a later wire is taken at
-                            // its worst
-                    };
-            Duration timeout =
-                    settings.duration(
-                            at + "giveUpNs", Duration.ofNanos(settings.wholeNumber(at + "aimNs")));
-            operations.put(
-                    settings.text(at + "name"),
-                    new Operation(
-                            settings.text(at + "name"),
-                            effect,
-                            settings.duration(at + "aimNs", timeout),
-                            timeout,
-                            settings.number(at + "importance", 1),
-                            settings.number(at + "lateValue", 0),
-                            settings.duration(at + "windowNs", Duration.ZERO),
-                            item(settings, "familyInfo.callsByClass", i).equals("true"),
-                            Double.parseDouble(item(settings, "familyInfo.degradedWorth", i))));
+            Operation operation = operation(settings, i);
+            operations.put(operation.name(), operation);
         }
         return operations;
     }
 
+    private static Operation operation(SettingLookup settings, int index) {
+        String prefix = "classes." + index + ".";
+        SideEffect sideEffect = sideEffect(settings.text(prefix + "effect"));
+        Duration clientTimeout =
+                settings.duration(
+                        prefix + "giveUpNs",
+                        Duration.ofNanos(settings.wholeNumber(prefix + "aimNs")));
+        Duration latencyObjective = settings.duration(prefix + "aimNs", clientTimeout);
+        double billedValue = settings.number(prefix + "importance", 1);
+        double lateValueShare = settings.number(prefix + "lateValue", 0);
+        Duration deduplicationWindow = settings.duration(prefix + "windowNs", Duration.ZERO);
+        boolean makesCalls = item(settings, "familyInfo.callsByClass", index).equals("true");
+        double degradedValueShare =
+                Double.parseDouble(item(settings, "familyInfo.degradedWorth", index));
+        return new Operation(
+                settings.text(prefix + "name"),
+                sideEffect,
+                latencyObjective,
+                clientTimeout,
+                billedValue,
+                lateValueShare,
+                deduplicationWindow,
+                makesCalls,
+                degradedValueShare);
+    }
+
+    /** An effect that this version does not know is taken as one that must never be repeated. */
+    private static SideEffect sideEffect(String name) {
+        return switch (name) {
+            case "pure" -> SideEffect.IDEMPOTENT;
+            case "token" -> SideEffect.KEYED;
+            default -> SideEffect.NON_IDEMPOTENT;
+        };
+    }
+
+    /** Returns an item of a comma-separated list. */
     private static String item(SettingLookup settings, String list, int index) {
         String[] items = settings.text(list, "").split(",");
-        return index < items.length && !items[index].isEmpty() ? items[index] : "0";
+        return index < items.length && !items[index].isEmpty() ? items[index] : NO_ITEM;
     }
 
-    /** The decisions of one server; {@code cold} where what works for it has just been started. */
+    /**
+     * Builds the admission controller of one server.
+     *
+     * @param settings the settings of the start
+     * @param random source of all chance in its decisions
+     * @param isCold whether what works for the server has just been started
+     */
     public static AdmissionController admissionController(
-            SettingLookup settings, SplittableRandom chance, boolean cold) {
-        int cores = (int) settings.wholeNumber("familyInfo.cpus");
-        int peers = (int) settings.wholeNumber("peersTotal", 1);
-        double memoryKb = settings.number("familyInfo.memoryKb", Double.MAX_VALUE);
-        return new AdmissionController(
-                new AdmissionController.IdempotencyTable(
-                        settings.number("familyInfo.keyKb", 0), memoryKb),
-                new AdmissionController.ConcurrencyLimiter(
-                        cores,
-                        settings.number("guarantees.fallMultiple", 1),
-                        cold ? settings.number("guarantees.coldShare", 1) : 1,
-                        settings.duration("guarantees.coldNs", Duration.ZERO),
-                        !settings.text("familyInfo.halt", "silent").equals("silent")),
-                new AdmissionController.AdmissionQueue(
-                        tenants(settings),
-                        peers,
-                        settings.number("overShareWorth", 1),
-                        settings.text("worthBy", "request").equals("work")),
-                new AdmissionController.DownstreamCallLimiter(
-                        settings.number("familyInfo.callsOut", Double.MAX_VALUE),
-                        cores,
-                        settings.duration("familyInfo.staysForNs", Duration.ZERO),
-                        settings.duration("familyInfo.shareSpanNs", Duration.ofSeconds(1))),
-                new AdmissionController.MemoryBudget(
-                        memoryKb, settings.number("familyInfo.runFactor", 1)),
-                new AdmissionController.DrainState(
-                        settings.duration("guarantees.stopSendingWithinNs", Duration.ZERO)),
-                new AdmissionController.BackpressureAdvertiser(
-                        advert(settings),
-                        (int) settings.wholeNumber("familyInfo.callers", 1),
-                        cores,
-                        settings.flag("permissions.retryAfter")
-                                ? settings.duration("permissions.maxRetryAfterNs", Duration.ZERO)
-                                : Duration.ZERO,
-                        settings.duration("familyInfo.idleNs", Duration.ZERO),
-                        chance));
+            SettingLookup settings, SplittableRandom random, boolean isCold) {
+        boolean canCancelRuns = !settings.text("familyInfo.halt", "silent").equals("silent");
+        boolean isBilledByWork = settings.text("worthBy", "request").equals("work");
+        return AdmissionController.builder()
+                .cores((int) settings.wholeNumber("familyInfo.cpus"))
+                .survivableConcurrencyMultiple(settings.number("guarantees.fallMultiple", 1))
+                .slowStart(slowStart(settings, isCold))
+                .canCancelRuns(canCancelRuns)
+                .memoryKb(settings.number("familyInfo.memoryKb", Double.MAX_VALUE))
+                .runMemoryFactor(settings.number("familyInfo.runFactor", 1))
+                .idempotencyEntryKb(settings.number("familyInfo.keyKb", 0))
+                .tenants(tenants(settings))
+                .servers((int) settings.wholeNumber("peersTotal", 1))
+                .overQuotaWeight(settings.number("overShareWorth", 1))
+                .billingBasis(
+                        isBilledByWork ? BillingBasis.PER_UNIT_OF_WORK : BillingBasis.PER_REQUEST)
+                .downstreamCallShare(settings.number("familyInfo.callsOut", Double.MAX_VALUE))
+                .serviceTimeAfterTimeout(settings.duration("familyInfo.staysForNs", Duration.ZERO))
+                .callAveragingPeriod(
+                        settings.duration("familyInfo.shareSpanNs", Duration.ofSeconds(1)))
+                .gracePeriod(settings.duration("guarantees.stopSendingWithinNs", Duration.ZERO))
+                .advertisement(advertisement(settings))
+                .clients((int) settings.wholeNumber("familyInfo.callers", 1))
+                .longestRetryAfter(longestRetryAfter(settings))
+                .longestIdleTimeout(settings.duration("familyInfo.idleNs", Duration.ZERO))
+                .build(random);
+    }
+
+    private static SlowStart slowStart(SettingLookup settings, boolean isCold) {
+        double initialSpeed = isCold ? settings.number("guarantees.coldShare", 1) : 1;
+        return new SlowStart(initialSpeed, settings.duration("guarantees.coldNs", Duration.ZERO));
+    }
+
+    private static Duration longestRetryAfter(SettingLookup settings) {
+        return settings.flag("permissions.retryAfter")
+                ? settings.duration("permissions.maxRetryAfterNs", Duration.ZERO)
+                : Duration.ZERO;
     }
 
-    private static CapacityAdvertisement advert(SettingLookup settings) {
+    private static CapacityAdvertisement advertisement(SettingLookup settings) {
         return switch (settings.text("familyInfo.advert", "silent")) {
             case "threshold" -> CapacityAdvertisement.PRIORITY_THRESHOLD;
             case "window" -> CapacityAdvertisement.CLIENT_WINDOW;
@@ -105,12 +136,12 @@
     private static List<Tenant> tenants(SettingLookup settings) {
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < settings.wholeNumber("tenants.count", 0); i++) {
-            String at = "tenants." + i + ".";
+            String prefix = "tenants." + i + ".";
             tenants.add(
                     new Tenant(
-                            new TenantId(settings.text(at + "name")),
-                            settings.number(at + "share", 1),
-                            settings.number(at + "quotaPerS", Double.MAX_VALUE)));
+                            new TenantId(settings.text(prefix + "name")),
+                            settings.number(prefix + "share", 1),
+                            settings.number(prefix + "quotaPerS", Double.MAX_VALUE)));
         }
         return tenants;
     }
--- a/src/test/java/ochretiller/admission/AdmissionFixture.java
+++ b/src/test/java/ochretiller/admission/AdmissionFixture.java
@@ -1,152 +1,154 @@
 package ochretiller.admission;
 
+import static ochretiller.admission.InvocationBuilder.invocation;
+import static ochretiller.admission.SampleOperations.READ;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Function;
 import ochretiller.model.CallOutcome;
-import ochretiller.model.CapacityAdvertisement;
-import ochretiller.model.ClientId;
 import ochretiller.model.Invocation;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 import ochretiller.model.ResourceGauges;
 import ochretiller.model.RunOutcome;
-import ochretiller.model.SideEffect;
 import ochretiller.server.Action;
 import ochretiller.server.ServerActions;
 
-/**
- * A server that writes down what it is told, and a choice on it with two cores and ample memory.
- */
+/** A host that records what it is told, and a controller on it with two cores and ample memory. */
 final class AdmissionFixture implements ServerActions {
     static final Duration SECOND = Duration.ofSeconds(1);
-    static final Operation READ =
-            new Operation(
-                    "read",
-                    SideEffect.IDEMPOTENT,
-                    SECOND.multipliedBy(2),
-                    SECOND.multipliedBy(4),
-                    1,
-                    0,
-                    Duration.ZERO,
-                    false,
-                    0);
-    static final Operation ORDER =
-            new Operation(
-                    "order",
-                    SideEffect.KEYED,
-                    SECOND.multipliedBy(2),
-                    SECOND.multipliedBy(4),
-                    3,
-                    0,
-                    SECOND.multipliedBy(10),
-                    true,
-                    0);
-
-    final List<String> said = new ArrayList<>();
+
+    /** Settings of the controller, to be changed before its first use. */
+    final AdmissionControllerBuilder settings =
+            AdmissionController.builder()
+                    .cores(2)
+                    .survivableConcurrencyMultiple(5)
+                    .canCancelRuns(true)
+                    .memoryKb(10_000)
+                    .runMemoryFactor(10)
+                    .idempotencyEntryKb(10)
+                    .downstreamCallShare(2)
+                    .serviceTimeAfterTimeout(Duration.ofMillis(200))
+                    .callAveragingPeriod(SECOND)
+                    .gracePeriod(SECOND)
+                    .longestRetryAfter(SECOND)
+                    .longestIdleTimeout(SECOND);
+
+    /** What the host was told since the last event, in order. */
+    final List<String> actions = new ArrayList<>();
+
     final Map<InvocationId, Function<RunOutcome, Action>> runs = new HashMap<>();
     final Map<InvocationId, Function<CallOutcome, Action>> calls = new HashMap<>();
+
     Duration now = Duration.ZERO;
-    boolean keeps = true;
+    boolean acceptsIdempotencyEntries = true;
 
-    /** Operations that run in a pool, and what it takes. */
+    /** Worker pools by the operations that run in them, and what each of them takes. */
     final Map<Operation, String> pools = new HashMap<>();
 
-    int places = 8;
-    int free = 8;
+    int poolCapacity = 8;
+    int freePoolSlots = 8;
+
+    /** How runs end while they are being started, which no host should do and all must survive. */
+    Optional<RunOutcome.Status> immediateRunStatus = Optional.empty();
 
-    /** Runs that end so while they are begun, which no host should do and all must survive. */
-    RunOutcome.Status atOnce;
+    /** The Retry-After of the last rejection. */
+    Duration lastRetryAfter;
 
-    Duration advised;
     private final TreeMap<Duration, List<Function<ResourceGauges, Action>>> timers =
             new TreeMap<>();
-    private boolean started;
-    double memoryKb = 10_000;
-    double entryKb = 10;
-    double slice = 2;
-    CapacityAdvertisement advert = CapacityAdvertisement.NONE;
-    private AdmissionController choice;
-
-    AdmissionController choice() {
-        if (choice == null) {
-            choice =
-                    new AdmissionController(
-                            new AdmissionController.IdempotencyTable(entryKb, memoryKb),
-                            new AdmissionController.ConcurrencyLimiter(
-                                    2, 5, 1, Duration.ZERO, true),
-                            new AdmissionController.AdmissionQueue(List.of(), 1, 1, false),
-                            new AdmissionController.DownstreamCallLimiter(
-                                    slice, 2, Duration.ofMillis(200), SECOND),
-                            new AdmissionController.MemoryBudget(memoryKb, 10),
-                            new AdmissionController.DrainState(SECOND),
-                            new AdmissionController.BackpressureAdvertiser(
-                                    advert, 1, 2, SECOND, SECOND, new SplittableRandom(1)));
+    private boolean isStarted;
+    private AdmissionController controller;
+
+    AdmissionController controller() {
+        if (controller == null) {
+            controller = settings.build(new SplittableRandom(1));
         }
-        return choice;
+        return controller;
     }
 
-    Invocation inv(long id, Operation operation, Long forerunner) {
-        return new Invocation(
-                new InvocationId(id),
-                forerunner == null ? null : new InvocationId(forerunner),
-                operation,
-                10,
-                now,
-                now.plus(operation.clientTimeout()),
-                null,
-                new ClientId(id % 2),
-                null,
-                false);
+    /** Reads a first attempt that has just arrived, and returns what was done about it. */
+    List<String> receive(long id, Operation operation) {
+        return receive(invocation(id, operation).arrivedAt(now).build());
     }
 
-    /** Reads an invocation, and says what was done about it. */
-    List<String> arrive(long id, Operation operation, Long forerunner) {
-        return act(choice().onInvocationReceived(inv(id, operation, forerunner)));
+    /** Reads an attempt that repeats another, and returns what was done about it. */
+    List<String> receiveRetry(long id, Operation operation, long originalId) {
+        return receive(invocation(id, operation).repeating(originalId).arrivedAt(now).build());
     }
 
-    List<String> end(long id, RunOutcome.Status result) {
-        return act(
-                runs.remove(new InvocationId(id))
-                        .apply(new RunOutcome(result, Duration.ofMillis(300))));
+    List<String> receive(Invocation invocation) {
+        return execute(controller().onInvocationReceived(invocation));
     }
 
-    List<String> endCall(long id, CallOutcome.Status result) {
-        return act(
-                calls.remove(new InvocationId(id))
-                        .apply(new CallOutcome(result, Duration.ofMillis(50))));
+    /** Both cores run, so that what is read next is queued. */
+    void occupyBothCores() {
+        receive(101, READ);
+        receive(102, READ);
     }
 
-    /** Lets time go on to {@code at}, with all timers until then. */
-    List<String> beat(Duration at) {
-        if (!started) {
-            choice().onStarted().execute(this);
+    List<String> endRun(long id, RunOutcome.Status status) {
+        return endRun(id, status, Duration.ofMillis(300));
+    }
+
+    List<String> endRun(long id, RunOutcome.Status status, Duration elapsed) {
+        Function<RunOutcome, Action> continuation = runs.remove(new InvocationId(id));
+        return execute(continuation.apply(new RunOutcome(status, elapsed)));
+    }
+
+    List<String> requestCall(long id) {
+        return execute(controller().onCallRequested(new InvocationId(id)));
+    }
+
+    List<String> endCall(long id, CallOutcome.Status status) {
+        Function<CallOutcome, Action> continuation = calls.remove(new InvocationId(id));
+        return execute(continuation.apply(new CallOutcome(status, Duration.ofMillis(50))));
+    }
+
+    List<String> disconnectClient(long id) {
+        return execute(controller().onClientGone(new InvocationId(id)));
+    }
+
+    List<String> noticeShutdown(Duration killAt) {
+        return execute(controller().onShutdownNotice(killAt));
+    }
+
+    List<String> restore(long id, Duration expiresAt, RunOutcome.Status status) {
+        return execute(controller().onEntryRestored(new InvocationId(id), expiresAt, status));
+    }
+
+    /** Lets time go on, with all timers until then, and returns what they did. */
+    List<String> advanceTo(Duration time) {
+        if (!isStarted) {
+            controller().onStarted().execute(this);
         }
-        started = true;
-        said.clear();
-        while (!timers.isEmpty() && timers.firstKey().compareTo(at) <= 0) {
+        isStarted = true;
+        actions.clear();
+        while (!timers.isEmpty() && timers.firstKey().compareTo(time) <= 0) {
             now = timers.firstKey();
             timers.pollFirstEntry()
                     .getValue()
                     .forEach(timer -> timer.apply(ResourceGauges.UNKNOWN).execute(this));
         }
-        now = at;
-        return said;
+        now = time;
+        return actions;
     }
 
-    List<String> act(Action step) {
-        said.clear();
-        step.execute(this);
-        return said;
+    List<String> execute(Action action) {
+        actions.clear();
+        action.execute(this);
+        return actions;
     }
 
-    private void say(String what, InvocationId id) {
-        said.add(what + " " + id.value());
+    private void log(String action, InvocationId id) {
+        actions.add(action + " " + id.value());
     }
 
     @Override
@@ -161,93 +163,93 @@
 
     @Override
     public int poolCapacity(String pool) {
-        return places;
+        return poolCapacity;
     }
 
     @Override
     public int freePoolSlots(String pool) {
-        return free;
+        return freePoolSlots;
     }
 
     @Override
     public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
         runs.put(id, then);
-        say("run", id);
-        if (atOnce != null) {
-            runs.remove(id).apply(new RunOutcome(atOnce, Duration.ZERO)).execute(this);
-        }
+        log("startRun", id);
+        immediateRunStatus.ifPresent(
+                status ->
+                        runs.remove(id).apply(new RunOutcome(status, Duration.ZERO)).execute(this));
     }
 
     @Override
     public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
         runs.put(id, then);
-        say("replay", id);
+        log("replayResult", id);
     }
 
     @Override
     public void throttle(InvocationId id, Duration retryIn, boolean last) {
-        advised = retryIn;
-        say(last ? "last" : "throttle", id);
+        lastRetryAfter = retryIn;
+        log(last ? "throttleFinally" : "throttle", id);
     }
 
     @Override
     public void fail(InvocationId id) {
-        say("fail", id);
+        log("fail", id);
     }
 
     @Override
     public void stopRun(InvocationId id) {
-        say("stop", id);
+        log("stopRun", id);
     }
 
     @Override
-    public void startCall(InvocationId id, Duration patience, Function<CallOutcome, Action> then) {
+    public void startCall(InvocationId id, Duration timeout, Function<CallOutcome, Action> then) {
         calls.put(id, then);
-        say("call", id);
+        log("startCall", id);
     }
 
     @Override
     public void skipCall(InvocationId id) {
-        say("skip", id);
+        log("skipCall", id);
     }
 
     @Override
-    public void putIdempotencyEntry(InvocationId id, Duration span) {
-        say("keep", id);
+    public void putIdempotencyEntry(InvocationId id, Duration duration) {
+        log("putEntry", id);
     }
 
     @Override
     public boolean acceptsIdempotencyEntries() {
-        return keeps;
+        return acceptsIdempotencyEntries;
     }
 
     @Override
     public void removeIdempotencyEntry(InvocationId id) {
-        say("erase", id);
+        log("removeEntry", id);
     }
 
     @Override
-    public void schedule(Duration span, Function<ResourceGauges, Action> then) {
-        timers.computeIfAbsent(now.plus(span), at -> new ArrayList<>()).add(then);
+    public void schedule(Duration delay, Function<ResourceGauges, Action> then) {
+        timers.computeIfAbsent(now.plus(delay), at -> new ArrayList<>()).add(then);
     }
 
     @Override
     public void setHealth(boolean good, boolean stored) {
-        said.add(good ? "well" : "unwell");
+        actions.add(good ? "healthy" : "unhealthy");
     }
 
     @Override
     public void advertiseCapacity(double value) {
-        said.add("advertise " + value);
+        actions.add("advertise " + value);
     }
 
     @Override
-    public void setIdleTimeout(Duration span) {
-        said.add("idle " + span);
+    public void setIdleTimeout(Duration timeout) {
+        actions.add("idleTimeout " + timeout);
     }
 
     @Override
     public void logNote(String text) {
-        said.add(text);
+        actions.add(text);
     }
 }
--- /dev/null
+++ b/src/test/java/ochretiller/admission/DispatcherTest.java
@@ -0,0 +1,45 @@
+package ochretiller.admission;
+
+import static ochretiller.admission.SampleOperations.ORDER;
+import static ochretiller.admission.SampleOperations.READ;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Optional;
+import ochretiller.model.RunOutcome.Status;
+import org.junit.jupiter.api.Test;
+
+class DispatcherTest {
+    private final AdmissionFixture server = new AdmissionFixture();
+
+    @Test
+    void runsThatEndWhileTheyAreStartedAreStartedOnce() {
+        server.pools.put(ORDER, "orders");
+        server.freePoolSlots = 0;
+        for (long id = 1; id <= 4; id++) {
+            server.receive(id, ORDER);
+        }
+        server.freePoolSlots = 8;
+        server.immediateRunStatus = Optional.of(Status.NOT_DISPATCHED);
+        assertThat(server.receive(5, READ).stream().filter(it -> it.startsWith("startRun")))
+                .containsExactlyInAnyOrder(
+                        "startRun 1", "startRun 2", "startRun 3", "startRun 4", "startRun 5");
+    }
+
+    @Test
+    void workOfAPoolNeedsNoCoreAndWaitsForSlotsOfItsPool() {
+        server.pools.put(READ, "reads");
+        server.receive(101, ORDER);
+        server.receive(102, ORDER);
+        assertThat(server.receive(1, READ))
+                .as("the cores are taken, its pool is not")
+                .containsExactly("startRun 1");
+        server.freePoolSlots = 0;
+        assertThat(server.receive(2, READ)).isEmpty();
+        server.endRun(101, Status.SUCCEEDED);
+        assertThat(server.receive(3, ORDER))
+                .as("what waits for a pool holds up nothing else")
+                .contains("startRun 3");
+        server.freePoolSlots = 1;
+        assertThat(server.endRun(1, Status.SUCCEEDED)).containsExactly("startRun 2");
+    }
+}
--- /dev/null
+++ b/src/test/java/ochretiller/admission/IdempotencyTableTest.java
@@ -0,0 +1,43 @@
+package ochretiller.admission;
+
+import static ochretiller.admission.AdmissionFixture.SECOND;
+import static ochretiller.admission.InvocationBuilder.invocation;
+import static ochretiller.admission.SampleOperations.ORDER;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import ochretiller.model.RunOutcome.Status;
+import org.junit.jupiter.api.Test;
+
+class IdempotencyTableTest {
+    @Test
+    void entryFreesItsMemoryAfterItsWindow() {
+        IdempotencyTable table = new IdempotencyTable(3_000, 10_000);
+        table.register(invocation(1, ORDER).build(), Duration.ZERO);
+        assertThat(table.hasCapacity(SECOND.multipliedBy(9))).isFalse();
+        assertThat(table.hasCapacity(SECOND.multipliedBy(11))).isTrue();
+    }
+
+    @Test
+    void discardedAttemptThatIsReadAgainLateDoesNotUpsetTheTable() {
+        IdempotencyTable table = new IdempotencyTable(10, 10_000);
+        table.register(invocation(1, ORDER).build(), Duration.ZERO);
+        table.register(invocation(1, ORDER).build(), Duration.ZERO);
+        table.register(invocation(2, ORDER).build(), SECOND.multipliedBy(30));
+        assertThat(table.hasCapacity(SECOND.multipliedBy(30))).isTrue();
+    }
+
+    @Test
+    void restoredEntriesTakeTheirRoom() {
+        AdmissionFixture server = new AdmissionFixture();
+        server.settings.memoryKb(100); // four entries of ten
+        for (int i = 1; i <= 4; i++) {
+            server.restore(-i, SECOND.multipliedBy(9), Status.SUCCEEDED);
+        }
+        assertThat(server.receive(1, ORDER)).containsExactly("throttle 1");
+        server.now = SECOND.multipliedBy(9);
+        assertThat(server.receive(2, ORDER))
+                .as("the windows of the restored ones are over")
+                .containsExactly("putEntry 2");
+    }
+}
--- /dev/null
+++ b/src/test/java/ochretiller/admission/RetryAfterPolicyTest.java
@@ -0,0 +1,17 @@
+package ochretiller.admission;
+
+import static ochretiller.admission.AdmissionFixture.SECOND;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+class RetryAfterPolicyTest {
+    @Test
+    void retryAfterIsNeverLongerThanWhatClientsHeed() {
+        RetryAfterPolicy policy = new RetryAfterPolicy(SECOND, new SplittableRandom(1));
+        assertThat(policy.draw(SECOND.multipliedBy(9))).isEqualTo(SECOND);
+        assertThat(policy.draw(Duration.ZERO)).isPositive().isLessThan(SECOND);
+    }
+}
--- a/src/test/java/ochretiller/node/WarmUpTest.java
+++ b/src/test/java/ochretiller/node/WarmUpTest.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import ochretiller.admission.AdmissionController;
-import ochretiller.model.CapacityAdvertisement;
 import ochretiller.model.Operation;
 import ochretiller.model.SideEffect;
 import org.junit.jupiter.api.Test;
@@ -16,22 +15,22 @@
 
     @Test
     void madeUpInvocationsRunCallAndEnd() {
-        AdmissionController choice =
-                new AdmissionController(
-                        new AdmissionController.IdempotencyTable(1, 10_000),
-                        new AdmissionController.ConcurrencyLimiter(2, 5, 1, Duration.ZERO, true),
-                        new AdmissionController.AdmissionQueue(List.of(), 1, 1, false),
-                        new AdmissionController.DownstreamCallLimiter(5, 2, SECOND, SECOND),
-                        new AdmissionController.MemoryBudget(10_000, 10),
-                        new AdmissionController.DrainState(SECOND),
-                        new AdmissionController.BackpressureAdvertiser(
-                                CapacityAdvertisement.NONE,
-                                1,
-                                2,
-                                SECOND,
-                                SECOND,
-                                new SplittableRandom(1)));
-        WarmUp warmUp = new WarmUp(choice);
+        AdmissionController admission =
+                AdmissionController.builder()
+                        .cores(2)
+                        .survivableConcurrencyMultiple(5)
+                        .canCancelRuns(true)
+                        .memoryKb(10_000)
+                        .runMemoryFactor(10)
+                        .idempotencyEntryKb(1)
+                        .downstreamCallShare(5)
+                        .serviceTimeAfterTimeout(SECOND)
+                        .callAveragingPeriod(SECOND)
+                        .gracePeriod(SECOND)
+                        .longestRetryAfter(SECOND)
+                        .longestIdleTimeout(SECOND)
+                        .build(new SplittableRandom(1));
+        WarmUp warmUp = new WarmUp(admission);
         warmUp.simulate(
                 List.of(
                         new Operation(
--- /dev/null
+++ b/src/test/java/ochretiller/time/DurationsTest.java
@@ -0,0 +1,36 @@
+package ochretiller.time;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import org.junit.jupiter.api.Test;
+
+class DurationsTest {
+    private static final Duration SHORT = Duration.ofMillis(1_250);
+    private static final Duration LONG = Duration.ofMillis(1_500);
+
+    @Test
+    void secondsKeepTheirFractions() {
+        assertThat(Durations.inSeconds(SHORT)).isEqualTo(1.25);
+        assertThat(Durations.ofSeconds(1.25)).isEqualTo(SHORT);
+    }
+
+    @Test
+    void durationOfVeryManySecondsIsCutToElevenDays() {
+        assertThat(Durations.ofSeconds(1e300)).isEqualTo(Duration.ofSeconds(1_000_000));
+    }
+
+    @Test
+    void shorterAndLongerAreFound() {
+        assertThat(Durations.min(LONG, SHORT)).isEqualTo(SHORT);
+        assertThat(Durations.max(LONG, SHORT)).isEqualTo(LONG);
+        assertThat(Durations.isAfter(LONG, SHORT)).isTrue();
+        assertThat(Durations.isAfter(SHORT, SHORT)).isFalse();
+    }
+
+    @Test
+    void timeUntilIsZeroOnceThePointHasCome() {
+        assertThat(Durations.timeUntil(LONG, SHORT)).isEqualTo(Duration.ofMillis(250));
+        assertThat(Durations.timeUntil(SHORT, LONG)).isEqualTo(Duration.ZERO);
+    }
+}
