--- a/drill/src/main/java/ochretiller/drill/RolloutScenario.java
+++ b/drill/src/main/java/ochretiller/drill/RolloutScenario.java
@@ -21,8 +21,10 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import ochretiller.audit.AuditRecord;
+import ochretiller.audit.ChainHead;
 import ochretiller.audit.FleetTimeline;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.VersionStatus;
+import ochretiller.audit.files.AuditLog;
 import ochretiller.audit.files.AuditLogReader;
 import ochretiller.emulator.fleet.FleetScenario;
 import ochretiller.emulator.fleet.FleetScenarioReader;
@@ -260,8 +262,8 @@
         for (int slot = 1; slot <= SERVERS; slot++) {
             stage.box(slot).leave();
         }
-        Map<String, List<HashChain.ChainHead>> known = new HashMap<>();
-        Map<String, AuditLogReader.AuditLog> found = new TreeMap<>();
+        Map<String, List<ChainHead>> known = new HashMap<>();
+        Map<String, AuditLog> found = new TreeMap<>();
         for (int slot = 1; slot <= SERVERS; slot++) {
             stage.box(slot).awaitEnd();
             FleetTimeline.collectWitnessedHeads(
@@ -271,7 +273,7 @@
         FleetTimeline line = new FleetTimeline();
         for (int slot = 1; slot <= SERVERS; slot++) {
             String name = "m" + slot;
-            AuditLogReader.AuditLog each =
+            AuditLog each =
                     AuditLogReader.read(
                             stage.box(slot).audit(), known.getOrDefault(name, List.of()));
             found.put(name, each);
@@ -313,8 +315,7 @@
                         .anyMatch(
                                 each ->
                                         each.server().equals("m1")
-                                                && each.status()
-                                                        == FleetTimeline.VersionStatus.UNKNOWN),
+                                                && each.status() == VersionStatus.UNKNOWN),
                 "it is not told that m1 was away");
         progress.accept(
                 runs.size()
--- a/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
@@ -7,6 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Function;
@@ -14,10 +15,14 @@
 import ochretiller.emulator.core.EventQueue;
 import ochretiller.emulator.rules.RuleChecker;
 import ochretiller.emulator.scenario.Scenario;
+import ochretiller.idempotency.Attempt;
 import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.idempotency.RestoredAttempt;
 import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.idempotency.durable.DurabilityTimeouts;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.InvocationProgress;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.model.CallOutcome;
 import ochretiller.model.ClientId;
 import ochretiller.model.Invocation;
@@ -140,10 +145,10 @@
             InvocationId kept = new InvocationId(--id);
             Duration until = now().plusMillis(mark.windowEndsAtMillis() - millis());
             // What runs on a box's cores has ended with it: nobody tells of it any more.
-            boolean succeeded =
-                    DurabilityPolicy.decideRecovery(mark, millis() + 1)
-                            == DurabilityPolicy.RecoveryDecision.REPLAY;
-            keys.restore(kept, operation, mark.token(), mark.bodyDigest(), until, true);
+            boolean succeeded = RecoveryDecision.of(mark, millis() + 1) == RecoveryDecision.REPLAY;
+            keys.restore(
+                    new RestoredAttempt(kept, operation, mark.token(), mark.bodyDigest(), true),
+                    until);
             restored.put(kept, succeeded);
             choice.onEntryRestored(
                             kept,
@@ -230,6 +235,16 @@
                 });
     }
 
+    private static Attempt attempt(RequestAttempt message) {
+        return new Attempt(
+                message.id,
+                message.operation,
+                Optional.ofNullable(message.token),
+                Optional.empty(),
+                message.arrived,
+                IdempotencyCache.NO_CLIENT_TIMESTAMP);
+    }
+
     private void arrived(RequestAttempt message) {
         rules.read(
                 events.seconds(),
@@ -239,15 +254,7 @@
                         + message.arrived.toNanos() / 1e9
                         + message.operation.clientTimeout().toNanos() / 1e9,
                 !message.operation.isIdempotent());
-        InvocationId forerunner =
-                keys.findOriginalOrTrack(
-                        message.id,
-                        message.operation,
-                        message.token,
-                        null,
-                        message.arrived,
-                        IdempotencyCache.NO_CLIENT_TIMESTAMP,
-                        now());
+        InvocationId forerunner = keys.findOriginalOrTrack(attempt(message), now()).orElse(null);
         tries.put(message.id, message);
         if (forerunner != null) {
             forerunners.put(message.id, forerunner);
@@ -366,7 +373,7 @@
             return;
         }
         forerunners.remove(message.id);
-        keys.complete(message.id, message.operation.isKeyed(), null, now());
+        keys.complete(message.id, Optional.empty(), now());
     }
 
     private void answer(
@@ -404,7 +411,7 @@
                         + 1;
         IdempotencyRecord mark =
                 new IdempotencyRecord(
-                        IdempotencyRecord.Progress.IN_FLIGHT,
+                        InvocationProgress.IN_FLIGHT,
                         message.token,
                         message.operation.name(),
                         "" + id.value(),
@@ -527,7 +534,7 @@
                     over[0] = true;
                     message.running = false;
                     if (succeeded) {
-                        keys.complete(message.id, message.operation.isKeyed(), RESULT, now());
+                        keys.complete(message.id, Optional.of(RESULT), now());
                     }
                     answer(
                             message,
@@ -545,8 +552,8 @@
                                 message.token,
                                 mark.withProgress(
                                         succeeded
-                                                ? IdempotencyRecord.Progress.SUCCEEDED
-                                                : IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
+                                                ? InvocationProgress.SUCCEEDED
+                                                : InvocationProgress.ENDED_WITHOUT_RESULT));
                         if (succeeded) {
                             told.run();
                         }
@@ -576,15 +583,18 @@
     public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
         RequestAttempt message = tries.get(id);
         InvocationId kept =
-                message.token == null ? forerunners.get(id) : keys.findByToken(message.token);
+                message.token == null
+                        ? forerunners.get(id)
+                        : keys.findByToken(message.token).orElse(null);
         keys.whenCompleted(
-                kept,
+                Optional.ofNullable(kept),
                 result ->
                         cores.add(
                                 message.work * REPLAY_PART,
                                 () -> {
                                     boolean there =
-                                            result != null || restored.getOrDefault(kept, false);
+                                            result.isPresent()
+                                                    || restored.getOrDefault(kept, false);
                                     answer(
                                             message,
                                             there
@@ -688,13 +698,7 @@
     @Override
     public void putIdempotencyEntry(InvocationId id, Duration span) {
         RequestAttempt message = tries.get(id);
-        keys.track(
-                id,
-                message.operation,
-                message.token,
-                new byte[0],
-                IdempotencyCache.NO_CLIENT_TIMESTAMP,
-                now().plus(span));
+        keys.track(attempt(message), new byte[0], now().plus(span));
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/ochretiller/audit/ChainVerifier.java
@@ -0,0 +1,90 @@
+package ochretiller.audit;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Checks the records of a {@link HashChain} against one another and against what others know of it.
+ * Stateless; safe for any thread.
+ */
+public final class ChainVerifier {
+    private ChainVerifier() {}
+
+    /**
+     * Checks a chain.
+     *
+     * @param records as they were found, oldest first; the first may have any number, as old ones
+     *     are deleted by rule
+     * @param knownHeads heads of this chain that others were told of, in any order
+     * @return what is wrong; empty for a chain that is as it was
+     */
+    public static List<ChainFault> verify(List<ChainedRecord> records, List<ChainHead> knownHeads) {
+        List<ChainFault> faults = new ArrayList<>();
+        Optional<ChainedRecord> previous = Optional.empty();
+        for (ChainedRecord record : records) {
+            if (!record.isIntact()) {
+                faults.add(new ChainFault(record.number(), "is not what its hash says"));
+            }
+            Optional<ChainFault> fault =
+                    previous.isPresent()
+                            ? checkSuccessor(previous.get(), record)
+                            : checkFirst(record);
+            fault.ifPresent(faults::add);
+            previous = Optional.of(record);
+        }
+        for (ChainHead head : knownHeads) {
+            checkHead(records, head).ifPresent(faults::add);
+        }
+        return faults;
+    }
+
+    private static Optional<ChainFault> checkFirst(ChainedRecord record) {
+        boolean isFirstOfAll = record.number() == 1;
+        return isFirstOfAll && !HashChain.isNoPreviousHash(record.previousHash())
+                ? Optional.of(new ChainFault(1, "is no first record"))
+                : Optional.empty();
+    }
+
+    private static Optional<ChainFault> checkSuccessor(
+            ChainedRecord previous, ChainedRecord record) {
+        long expectedNumber = previous.number() + 1;
+        if (record.number() < expectedNumber) {
+            return Optional.of(new ChainFault(expectedNumber, "is out of its place"));
+        }
+        if (record.number() > expectedNumber) {
+            long missing = record.number() - expectedNumber;
+            return Optional.of(new ChainFault(expectedNumber, missing + " records are missing"));
+        }
+        return Arrays.equals(record.previousHash(), previous.hash())
+                ? Optional.empty()
+                : Optional.of(new ChainFault(record.number(), "does not follow the one before it"));
+    }
+
+    private static Optional<ChainFault> checkHead(List<ChainedRecord> records, ChainHead head) {
+        long first = records.isEmpty() ? 0 : records.get(0).number();
+        long last = records.isEmpty() ? 0 : records.get(records.size() - 1).number();
+        if (head.number() > last) {
+            String description =
+                    "the last "
+                            + (head.number() - last)
+                            + " records are lost: others know of number "
+                            + head.number();
+            return Optional.of(new ChainFault(last + 1, description));
+        }
+        if (head.number() < first || head.number() == 0) {
+            return Optional.empty(); // deleted by rule, or nothing to compare with
+        }
+        boolean isKnown = records.stream().anyMatch(record -> isAt(record, head));
+        return isKnown
+                ? Optional.empty()
+                : Optional.of(new ChainFault(head.number(), "others know it otherwise"));
+    }
+
+    private static boolean isAt(ChainedRecord record, ChainHead head) {
+        return record.number() == head.number()
+                && HexFormat.of().formatHex(record.hash()).equals(head.hash());
+    }
+}
--- a/src/main/java/ochretiller/audit/FleetTimeline.java
+++ b/src/main/java/ochretiller/audit/FleetTimeline.java
@@ -1,217 +1,130 @@
 package ochretiller.audit;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * What the records of several servers tell together. What is not known is told as a stretch of its
- * own: between two spans, behind a fault of a chain, while a process was away.
+ * What the audits of several servers tell together. What is not known is an interval of its own:
+ * between two periods, behind a fault of a chain, while a process was away. Not safe for several
+ * threads.
  */
 public final class FleetTimeline {
-    /**
-     * Between the end of one span and the start of the next that much may pass without anything
-     * being missing.
-     */
-    private static final long JOINT_MS = 1_000;
-
-    private final Map<String, List<AuditRecord>> servers = new TreeMap<>();
-
-    /** One stretch of a server's time. */
-    public record TimelineInterval(
-            String server,
-            long startMillis,
-            long endMillis,
-            VersionStatus status,
-            long version,
-            String text) {}
-
-    /** How well a stretch is known. */
-    public enum VersionStatus {
-        /** It acted on this version. */
-        ACTIVE("ACTED"),
-        /** Keyed work was shut out there. */
-        FENCED("SHUT_OUT"),
-        /** Nothing was recorded: the process was away, or its records are lost. */
-        UNKNOWN("UNKNOWN");
+    /** A peer's name, the number of its last record, that record's hash. */
+    private static final int WITNESS_WORDS = 3;
 
-        private final String externalName;
-
-        VersionStatus(String externalName) {
-            this.externalName = externalName;
-        }
-
-        /** The word by which JSON names it; it stays whatever the constant is called. */
-        public String externalName() {
-            return externalName;
-        }
-    }
+    private final Map<String, List<AuditRecord>> recordsByServer = new TreeMap<>();
 
-    /** A run of a token, as one server has it. */
-    public record TokenRun(String server, long version, long atMillis) {}
-
-    /** Adds what these records know of where others' audits ended, by their names. */
+    /**
+     * Collects what one server's records know of where the audits of its peers ended.
+     *
+     * @param headsByServer heads by the peer's name, to which what is found is added
+     */
     public static void collectWitnessedHeads(
-            List<AuditRecord> entries, Map<String, List<HashChain.ChainHead>> known) {
-        for (AuditRecord entry : entries) {
-            if (!(entry instanceof AuditRecord.AuditEvent event)
-                    || event.kind() != AuditRecord.AuditEventKind.PEER_AUDIT_WITNESSED) {
-                continue;
-            }
-            String[] words = event.text().split(" ");
-            if (words.length == 3) {
-                known.computeIfAbsent(words[0], ignored -> new ArrayList<>())
-                        .add(new HashChain.ChainHead(Long.parseLong(words[1]), words[2]));
+            List<AuditRecord> records, Map<String, List<ChainHead>> headsByServer) {
+        for (AuditRecord record : records) {
+            if (record instanceof AuditEvent event
+                    && event.kind() == AuditEventKind.PEER_AUDIT_WITNESSED) {
+                String[] words = event.text().split(" ");
+                if (words.length == WITNESS_WORDS) {
+                    ChainHead head = new ChainHead(Long.parseLong(words[1]), words[2]);
+                    headsByServer.computeIfAbsent(words[0], ignored -> new ArrayList<>()).add(head);
+                }
             }
         }
     }
 
-    /** A server's records, oldest first. */
-    public FleetTimeline addServer(String server, List<AuditRecord> entries) {
-        servers.put(server, List.copyOf(entries));
+    /** Adds a server's records, oldest first. */
+    public FleetTimeline addServer(String server, List<AuditRecord> records) {
+        recordsByServer.put(server, List.copyOf(records));
         return this;
     }
 
-    /** Each server's stretches between two times, one behind the other, without holes. */
-    public List<TimelineInterval> intervals(long fromMs, long toMs) {
+    /**
+     * Each server's intervals between two times, without holes, by server and then by time. Times
+     * are Unix milliseconds.
+     */
+    public List<TimelineInterval> intervals(long fromMillis, long toMillis) {
         List<TimelineInterval> all = new ArrayList<>();
-        servers.forEach((server, entries) -> all.addAll(one(server, entries, fromMs, toMs)));
+        recordsByServer.forEach(
+                (server, records) ->
+                        all.addAll(
+                                new ServerIntervals(server, fromMillis, toMillis).build(records)));
         return all;
     }
 
-    private static List<TimelineInterval> one(
-            String server, List<AuditRecord> entries, long fromMs, long toMs) {
-        List<TimelineInterval> all = new ArrayList<>();
-        long at = fromMs;
-        String missing = "nothing was recorded";
-        boolean shut = false;
-        for (AuditRecord entry : entries) {
-            if (entry instanceof AuditRecord.AuditEvent event) {
-                switch (event.kind()) {
-                    case FENCED -> shut = true;
-                    case UNFENCED, STARTED -> shut = false;
-                    case RECORDS_LOST -> missing = "records were lost: " + event.text();
-                    default -> {}
-                }
-                if (event.kind() == AuditRecord.AuditEventKind.STARTED) {
-                    missing = "its process was away, or ended without a word";
-                }
-                continue;
-            }
-            if (!(entry instanceof AuditRecord.VersionPeriod span)) {
-                continue;
-            }
-            long begins = Math.max(fromMs, span.startMillis());
-            long ends = Math.min(toMs, span.endMillis());
-            if (ends <= begins) {
-                continue;
-            }
-            if (begins - at > JOINT_MS) {
-                all.add(
-                        new TimelineInterval(
-                                server, at, begins, VersionStatus.UNKNOWN, 0, missing));
-            }
-            if (begins > at && begins - at <= JOINT_MS) {
-                begins = at;
-            }
-            // A clock that was set back makes spans overlap: what was told first stands, the rest
-            // goes on behind it.
-            begins = Math.max(begins, at);
-            if (ends > begins) {
-                String text =
-                        span.clockStepMillis() == 0
-                                ? ""
-                                : "its clock was set by "
-                                        + span.clockStepMillis()
-                                        + " ms meanwhile";
-                all.add(
-                        new TimelineInterval(
-                                server,
-                                begins,
-                                ends,
-                                shut ? VersionStatus.FENCED : VersionStatus.ACTIVE,
-                                span.version(),
-                                text));
-                at = ends;
+    /**
+     * Which servers acted on a version between two times, or may have: those of which not all is
+     * known are among them.
+     */
+    public Map<String, VersionStatus> serversOnVersion(
+            long version, long fromMillis, long toMillis) {
+        Map<String, VersionStatus> statusByServer = new TreeMap<>();
+        for (TimelineInterval interval : intervals(fromMillis, toMillis)) {
+            if (interval.status() == VersionStatus.UNKNOWN) {
+                statusByServer.putIfAbsent(interval.server(), VersionStatus.UNKNOWN);
+            } else if (interval.version() == version) {
+                statusByServer.merge(
+                        interval.server(), interval.status(), FleetTimeline::moreTelling);
             }
-            missing = "nothing was recorded";
-        }
-        if (toMs - at > JOINT_MS) {
-            all.add(
-                    new TimelineInterval(
-                            server,
-                            at,
-                            toMs,
-                            VersionStatus.UNKNOWN,
-                            0,
-                            "nothing is recorded yet, or it is lost"));
         }
-        return all;
+        return statusByServer;
     }
 
-    /** Which servers acted on a version between two times, and which may have. */
-    public Map<String, VersionStatus> serversOnVersion(long version, long fromMs, long toMs) {
-        Map<String, VersionStatus> all = new TreeMap<>();
-        for (TimelineInterval each : intervals(fromMs, toMs)) {
-            if (each.status() == VersionStatus.UNKNOWN) {
-                all.putIfAbsent(each.server(), VersionStatus.UNKNOWN);
-            } else if (each.version() == version) {
-                all.merge(
-                        each.server(),
-                        each.status(),
-                        (a, b) ->
-                                a == VersionStatus.ACTIVE || b == VersionStatus.ACTIVE
-                                        ? VersionStatus.ACTIVE
-                                        : b);
-            }
-        }
-        return all;
+    private static VersionStatus moreTelling(VersionStatus earlier, VersionStatus later) {
+        boolean wasActive = earlier == VersionStatus.ACTIVE || later == VersionStatus.ACTIVE;
+        return wasActive ? VersionStatus.ACTIVE : later;
     }
 
-    /** Runs of a token, oldest first. */
+    /** Runs of a token on any server, oldest first. */
     public List<TokenRun> runsOfToken(String token) {
-        List<TokenRun> all = new ArrayList<>();
-        servers.forEach(
-                (server, entries) -> {
-                    for (AuditRecord each : entries) {
-                        if (each instanceof AuditRecord.KeyedRun run && run.token().equals(token)) {
-                            all.add(new TokenRun(server, run.version(), run.atMillis()));
+        List<TokenRun> runs = new ArrayList<>();
+        recordsByServer.forEach(
+                (server, records) -> {
+                    for (AuditRecord record : records) {
+                        if (record instanceof KeyedRun run && run.token().equals(token)) {
+                            runs.add(new TokenRun(server, run.version(), run.atMillis()));
                         }
                     }
                 });
-        all.sort((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
-        return all;
+        runs.sort(Comparator.comparingLong(TokenRun::atMillis));
+        return runs;
     }
 
     /**
-     * How long each server acted on something older than the newest that any server acted on at
-     * that time, milliseconds.
+     * Milliseconds for which each server acted on an older version than the newest that any server
+     * acted on at that time.
      */
-    public Map<String, Long> stragglerMillis(long fromMs, long toMs) {
-        List<TimelineInterval> all = intervals(fromMs, toMs);
-        Map<Long, Long> firstAt = new TreeMap<>();
-        for (TimelineInterval each : all) {
-            if (each.status() == VersionStatus.ACTIVE) {
-                firstAt.merge(each.version(), each.startMillis(), Math::min);
+    public Map<String, Long> stragglerMillis(long fromMillis, long toMillis) {
+        List<TimelineInterval> intervals = intervals(fromMillis, toMillis);
+        TreeMap<Long, Long> firstActiveMillis = new TreeMap<>();
+        for (TimelineInterval interval : intervals) {
+            if (interval.status() == VersionStatus.ACTIVE) {
+                firstActiveMillis.merge(interval.version(), interval.startMillis(), Math::min);
             }
         }
-        Map<String, Long> behind = new TreeMap<>();
-        for (TimelineInterval each : all) {
-            if (each.status() == VersionStatus.UNKNOWN) {
-                continue;
-            }
-            long newerAt =
-                    firstAt.entrySet().stream()
-                            .filter(other -> other.getKey() > each.version())
-                            .mapToLong(Map.Entry::getValue)
-                            .min()
-                            .orElse(Long.MAX_VALUE);
-            long late = each.endMillis() - Math.max(each.startMillis(), newerAt);
-            if (late > 0) {
-                behind.merge(each.server(), late, Long::sum);
+        Map<String, Long> millisByServer = new TreeMap<>();
+        for (TimelineInterval interval : intervals) {
+            long behind = millisBehind(interval, firstActiveMillis);
+            if (behind > 0) {
+                millisByServer.merge(interval.server(), behind, Long::sum);
             }
         }
-        return behind;
+        return millisByServer;
+    }
+
+    private static long millisBehind(
+            TimelineInterval interval, TreeMap<Long, Long> firstActiveMillis) {
+        if (interval.status() == VersionStatus.UNKNOWN) {
+            return 0;
+        }
+        long newerSince =
+                firstActiveMillis.tailMap(interval.version(), false).values().stream()
+                        .mapToLong(Long::longValue)
+                        .min()
+                        .orElse(Long.MAX_VALUE);
+        return interval.endMillis() - Math.max(interval.startMillis(), newerSince);
     }
 }
--- a/src/main/java/ochretiller/audit/HashChain.java
+++ b/src/main/java/ochretiller/audit/HashChain.java
@@ -3,148 +3,83 @@
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HexFormat;
-import java.util.List;
+import java.util.Optional;
 
 /**
- * A chain of records: each has the hash of the one before and its own, over its number, that hash
- * and its bytes. Whoever knows a later hash knows whether all before it is as it was.
+ * The end of a hash chain, to which records are appended. Each record has the SHA-256 of its
+ * number, of the hash of the record before and of its body, so whoever knows a later hash can tell
+ * whether everything before it is unchanged (Haber and Stornetta 1991). {@link ChainVerifier} does
+ * that. Not safe for several threads; owned by who appends.
  */
 public final class HashChain {
     /** Bytes of a hash. */
     public static final int HASH_BYTES = 32;
 
-    private static final byte[] NOTHING = new byte[HASH_BYTES];
+    private static final byte[] NO_PREVIOUS_HASH = new byte[HASH_BYTES];
 
-    private long number;
-    private byte[] last;
+    private long lastNumber;
+    private byte[] lastHash;
 
-    /** One record. */
-    public record ChainedRecord(long number, byte[] previousHash, byte[] hash, byte[] body) {
-        /** Whether its hash is that of what it says. */
-        public boolean isIntact() {
-            return Arrays.equals(hash, HashChain.hash(number, previousHash, body));
-        }
-    }
-
-    /** Where a chain ends, or ended when somebody looked. */
-    public record ChainHead(long number, String hash) {
-        public static final ChainHead EMPTY = new ChainHead(0, "");
-
-        public ChainHead {
-            if (number < 0 || !hash.isEmpty() && hash.length() != 2 * HASH_BYTES) {
-                throw new IllegalArgumentException("no head");
-            }
-        }
+    private HashChain(long lastNumber, byte[] lastHash) {
+        this.lastNumber = lastNumber;
+        this.lastHash = lastHash;
     }
 
-    /** What is wrong with a chain, from the record of this number on. */
-    public record ChainFault(long number, String description) {}
-
-    private HashChain(long number, byte[] last) {
-        this.number = number;
-        this.last = last;
+    /** A chain without records. */
+    public static HashChain empty() {
+        return new HashChain(0, NO_PREVIOUS_HASH);
     }
 
-    /** A chain without any record. */
-    public static HashChain empty() {
-        return new HashChain(0, NOTHING);
+    /** A chain that goes on after this record. */
+    public static HashChain continuing(ChainedRecord last) {
+        return new HashChain(last.number(), last.hash());
     }
 
-    /** One that goes on behind this record; behind none, one that is new. */
-    public static HashChain continuing(ChainedRecord link) {
-        return link == null ? empty() : new HashChain(link.number, link.hash);
+    /** A chain that goes on after the last record, or a new one without it. */
+    public static HashChain continuing(Optional<ChainedRecord> last) {
+        return last.map(HashChain::continuing).orElseGet(HashChain::empty);
     }
 
-    /** One that goes on where this one ends, and leaves it as it is. */
+    /**
+     * A chain that goes on where another one ends now; appending to either does not change the
+     * other.
+     */
     public static HashChain copyOf(HashChain other) {
-        return new HashChain(other.number, other.last);
+        return new HashChain(other.lastNumber, other.lastHash);
     }
 
-    /** The next record. */
+    /** Appends the next record. */
     public ChainedRecord append(byte[] body) {
-        ChainedRecord link =
-                new ChainedRecord(number + 1, last, hash(number + 1, last, body), body);
-        number = link.number;
-        last = link.hash;
-        return link;
+        long number = lastNumber + 1;
+        ChainedRecord record =
+                new ChainedRecord(number, lastHash, hash(number, lastHash, body), body);
+        lastNumber = number;
+        lastHash = record.hash();
+        return record;
     }
 
+    /** Where it ends. */
     public ChainHead head() {
-        return number == 0
+        return lastNumber == 0
                 ? ChainHead.EMPTY
-                : new ChainHead(number, HexFormat.of().formatHex(last));
+                : new ChainHead(lastNumber, HexFormat.of().formatHex(lastHash));
+    }
+
+    /** Whether this is what the first record of a chain has for the hash before it. */
+    static boolean isNoPreviousHash(byte[] hash) {
+        return Arrays.equals(hash, NO_PREVIOUS_HASH);
     }
 
-    private static byte[] hash(long number, byte[] before, byte[] body) {
+    static byte[] hash(long number, byte[] previousHash, byte[] body) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            digest.update(ByteBuffer.allocate(8).putLong(number).array());
-            digest.update(before);
+            digest.update(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
+            digest.update(previousHash);
             return digest.digest(body);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each JDK has it
-        }
-    }
-
-    /**
-     * Holds records against one another and against what others know of the chain.
-     *
-     * @param links as they were found, oldest first; aged ones before them are gone by rule, so the
-     *     first may have any number
-     * @param known heads that others were told of, in any order
-     */
-    public static List<ChainFault> verify(List<ChainedRecord> links, List<ChainHead> known) {
-        List<ChainFault> faults = new ArrayList<>();
-        ChainedRecord before = null;
-        for (ChainedRecord link : links) {
-            if (!link.isIntact()) {
-                faults.add(new ChainFault(link.number, "is not what its hash says"));
-            }
-            if (before != null && link.number != before.number + 1) {
-                faults.add(
-                        new ChainFault(
-                                before.number + 1,
-                                link.number <= before.number
-                                        ? "is out of its place"
-                                        : (link.number - before.number - 1)
-                                                + " records are missing"));
-            } else if (before != null && !Arrays.equals(link.previousHash, before.hash)) {
-                faults.add(new ChainFault(link.number, "does not follow the one before it"));
-            } else if (before == null
-                    && link.number == 1
-                    && !Arrays.equals(link.previousHash, NOTHING)) {
-                faults.add(new ChainFault(1, "is no first record"));
-            }
-            before = link;
-        }
-        long last = before == null ? 0 : before.number;
-        long first = links.isEmpty() ? 0 : links.get(0).number;
-        for (ChainHead head : known) {
-            if (head.number() > last) {
-                faults.add(
-                        new ChainFault(
-                                last + 1,
-                                "the last "
-                                        + (head.number() - last)
-                                        + " records are lost: others know of number "
-                                        + head.number()));
-            } else if (head.number() >= first && head.number() > 0) {
-                boolean same =
-                        links.stream()
-                                .anyMatch(
-                                        each ->
-                                                each.number == head.number()
-                                                        && HexFormat.of()
-                                                                .formatHex(each.hash)
-                                                                .equals(head.hash()));
-                if (!same) {
-                    faults.add(new ChainFault(head.number(), "others know it otherwise"));
-                }
-            }
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
-        return faults;
     }
 }
--- a/src/main/java/ochretiller/audit/VersionUsage.java
+++ b/src/main/java/ochretiller/audit/VersionUsage.java
@@ -6,87 +6,93 @@
 import java.util.Optional;
 
 /**
- * Counts what becomes of invocations under the version that is acted on; a span ends with the
- * version, and after a while in any case.
+ * Counts what becomes of invocations under the version that is acted on. A period ends with its
+ * version, and after a while in any case. Not safe for several threads; owned by the event loop.
+ * Time is handed in.
  */
 public final class VersionUsage {
-    /** Operations that are told apart in one span; the rest are counted together. */
-    private static final int MOST = 64;
+    /** Counts together all operations over the bound of those that are told apart. */
+    static final String OTHER_OPERATIONS = "(others)";
 
-    static final String OTHERS = "(others)";
+    /** Most operations that are told apart in one period. */
+    private static final int MAX_OPERATIONS = 64;
 
-    private final Duration longest;
-    private final Map<String, long[]> counts = new HashMap<>();
+    private final Duration maxPeriod;
+    private final Map<String, InvocationCounts> countsByOperation = new HashMap<>();
+    private Optional<PeriodStart> start = Optional.empty();
     private long version;
-    private String hash = "";
-    private long fromMs;
-    private Duration from;
+    private String versionHash = "";
 
-    /** What became of one. */
-    public enum InvocationOutcome {
-        RECEIVED,
-        EXECUTED,
-        REPLAYED,
-        THROTTLED,
-        ERRORED
-    }
+    private record PeriodStart(long unixMillis, Duration monotonic) {}
 
-    public VersionUsage(Duration longest) {
-        this.longest = longest;
+    /**
+     * Counts nothing in particular before {@link #startPeriod}.
+     *
+     * @param maxPeriod age at which {@link #closeIfDue} ends a period
+     */
+    public VersionUsage(Duration maxPeriod) {
+        this.maxPeriod = maxPeriod;
     }
 
+    /** The version that is acted on; 0 before the first. */
     public long version() {
         return version;
     }
 
-    /** From now on this version is acted on; the span of the one before. */
-    public Optional<AuditRecord.VersionPeriod> switchVersion(
-            long next, String nextHash, long unixMs, Duration now) {
-        Optional<AuditRecord.VersionPeriod> before =
-                from == null ? Optional.empty() : Optional.of(closePeriod(unixMs, now));
-        version = next;
-        hash = nextHash;
-        return before;
+    /** Begins to count. */
+    public void startPeriod(long unixMillis, Duration now) {
+        start = Optional.of(new PeriodStart(unixMillis, now));
     }
 
-    public void count(String operation, InvocationOutcome what) {
-        String name = counts.containsKey(operation) || counts.size() < MOST ? operation : OTHERS;
-        counts.computeIfAbsent(name, ignored -> new long[InvocationOutcome.values().length])[
-                what.ordinal()]++;
+    /**
+     * From now on another version is acted on.
+     *
+     * @return the period of the version before; empty before the first period
+     */
+    public Optional<VersionPeriod> switchVersion(
+            long nextVersion, String nextHash, long unixMillis, Duration now) {
+        Optional<VersionPeriod> ended = start.map(each -> closePeriod(unixMillis, now));
+        version = nextVersion;
+        versionHash = nextHash;
+        return ended;
     }
 
-    /** The span so far, where it has lasted long enough. */
-    public Optional<AuditRecord.VersionPeriod> closeIfDue(long unixMs, Duration now) {
-        return from != null && now.minus(from).compareTo(longest) >= 0
-                ? Optional.of(closePeriod(unixMs, now))
-                : Optional.empty();
+    /** Counts one invocation. */
+    public void count(String operation, InvocationOutcome outcome) {
+        boolean isToldApart =
+                countsByOperation.containsKey(operation)
+                        || countsByOperation.size() < MAX_OPERATIONS;
+        String name = isToldApart ? operation : OTHER_OPERATIONS;
+        countsByOperation.merge(
+                name,
+                InvocationCounts.NONE.plusOne(outcome),
+                (counted, ignored) -> counted.plusOne(outcome));
     }
 
-    /** Begins to count, at a start. */
-    public void startPeriod(long unixMs, Duration now) {
-        fromMs = unixMs;
-        from = now;
+    /** Ends the period where it has lasted long enough; the next begins here. */
+    public Optional<VersionPeriod> closeIfDue(long unixMillis, Duration now) {
+        return start.filter(each -> now.minus(each.monotonic()).compareTo(maxPeriod) >= 0)
+                .map(each -> closePeriod(unixMillis, now));
     }
 
-    /** The span so far; the next begins here. */
-    public AuditRecord.VersionPeriod closePeriod(long unixMs, Duration now) {
-        Map<String, AuditRecord.InvocationCounts> operations = new HashMap<>();
-        counts.forEach(
-                (operation, each) ->
-                        operations.put(
-                                operation,
-                                new AuditRecord.InvocationCounts(
-                                        each[0], each[1], each[2], each[3], each[4])));
-        AuditRecord.VersionPeriod span =
-                new AuditRecord.VersionPeriod(
+    /**
+     * Ends the period; the next begins here.
+     *
+     * @throws java.util.NoSuchElementException before {@link #startPeriod}
+     */
+    public VersionPeriod closePeriod(long unixMillis, Duration now) {
+        PeriodStart ended = start.orElseThrow();
+        long monotonicMillis = Math.max(0, now.minus(ended.monotonic()).toMillis());
+        VersionPeriod period =
+                new VersionPeriod(
                         version,
-                        hash,
-                        fromMs,
-                        unixMs,
-                        Math.max(0, now.minus(from).toMillis()),
-                        operations);
-        counts.clear();
-        startPeriod(unixMs, now);
-        return span;
+                        versionHash,
+                        ended.unixMillis(),
+                        unixMillis,
+                        monotonicMillis,
+                        Map.copyOf(countsByOperation));
+        countsByOperation.clear();
+        startPeriod(unixMillis, now);
+        return period;
     }
 }
--- a/src/main/java/ochretiller/audit/files/AuditLogWriter.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogWriter.java
@@ -1,245 +1,216 @@
 package ochretiller.audit.files;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardOpenOption;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
+import ochretiller.audit.AuditEvent;
+import ochretiller.audit.AuditEventKind;
 import ochretiller.audit.AuditRecord;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainFault;
+import ochretiller.audit.ChainHead;
 
 /**
- * Writes a server's audit, on a thread of its own: what is handed over never waits for the disk.
- * What the disk does not take, or comes faster than it takes, is lost, and a record says how much
- * as soon as one can be written.
+ * Writes a server's audit on a thread of its own. {@link #add} never waits for the disk and may be
+ * called by any thread, as may the getters. Records that the disk does not take, or that come
+ * faster than it takes them, are lost; the next record that can be written says how many.
  */
-public final class AuditLogWriter {
+public final class AuditLogWriter implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(AuditLogWriter.class.getName());
 
-    /** Records that wait for the disk. */
-    private static final int WAITING = 20_000;
+    /** Most records that wait for the disk. */
+    private static final int MAX_QUEUED = 20_000;
 
-    /** Records of one force: fewer than make a file. */
-    private static final int GROUP = 200;
+    /** Most records of one force; fewer than make a file. */
+    private static final int MAX_GROUP = 200;
 
-    private static final int PAUSE_MS = 200;
+    /**
+     * How long the thread waits for a record before it looks whether it is to end, milliseconds.
+     */
+    private static final long IDLE_MILLIS = 200;
 
-    /** Files that the bytes are spread over: the oldest goes as a whole. */
-    private static final int FILES = 16;
+    /**
+     * How long others may gather behind a group, so that they go out with one force, milliseconds.
+     */
+    private static final long GATHER_MILLIS = IDLE_MILLIS / 4;
 
-    private final Path folder;
-    private final long fileBytes;
-    private final BlockingQueue<AuditRecord> queuedRecords = new ArrayBlockingQueue<>(WAITING);
-    private final Thread thread = new Thread(this::work, "audit");
-    private final LongSupplier unixMs;
-    private HashChain chain;
-    private FileChannel file;
-    private long size;
-    private boolean sick;
-    private volatile boolean over;
+    /** Pause after a failure of the disk, milliseconds. */
+    private static final long FAILURE_PAUSE_MILLIS = 5 * IDLE_MILLIS;
 
-    /** Counted by the thread that hands over, and by the writer's own. */
+    private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
+
+    private final LongSupplier unixMillis;
+    private final AuditLogFile log;
+    private final List<ChainFault> recoveredFaults;
+    private final BlockingQueue<AuditRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED);
+    private final Thread thread = new Thread(this::run, "audit");
+
+    /** Counted by those who add and by the writer's thread. */
     private final AtomicLong lostRecords = new AtomicLong();
 
-    private volatile long writtenRecords;
-    private volatile HashChain.ChainHead head;
-    private final List<HashChain.ChainFault> recoveredFaults;
+    private final AtomicLong writtenRecords = new AtomicLong();
+    private volatile ChainHead head;
+    private volatile boolean closing;
+
+    /**
+     * The writer thread's own: how many lost records the log tells of, and whether the last write
+     * failed.
+     */
+    private long reportedLosses;
+
+    private boolean diskFailed;
 
     /**
-     * Goes on behind what is there; a record that a crash has cut in two is taken off.
+     * Goes on after what the directory holds, creating it where it does not exist.
      *
-     * @param mostBytes of all files together
+     * @param maxBytes of all files together, approximately
+     * @param unixMillis clock for the records that the writer itself adds
+     * @throws IOException where the directory cannot be read or its newest file not be written
      */
-    public AuditLogWriter(Path folder, long mostBytes, LongSupplier unixMs) throws IOException {
-        this.folder = Files.createDirectories(folder);
-        this.fileBytes = Math.max(64 * 1024, mostBytes / FILES);
-        this.unixMs = unixMs;
-        AuditLogReader.AuditLog found = AuditLogReader.read(folder, List.of());
-        recoveredFaults = found.faults();
-        List<HashChain.ChainedRecord> links = found.records();
-        chain = HashChain.continuing(links.isEmpty() ? null : links.get(links.size() - 1));
-        head = chain.head();
-        List<Path> files = AuditLogReader.logFiles(folder);
-        if (!files.isEmpty()) {
-            file = FileChannel.open(files.get(files.size() - 1), StandardOpenOption.WRITE);
-            file.truncate(found.lastRecordEnd());
-            size = found.lastRecordEnd();
-            file.position(size);
-        }
+    public AuditLogWriter(Path directory, long maxBytes, LongSupplier unixMillis)
+            throws IOException {
+        this.unixMillis = unixMillis;
+        Files.createDirectories(directory);
+        AuditLog existing = AuditLogReader.read(directory, List.of());
+        recoveredFaults = existing.faults();
+        log = new AuditLogFile(directory, existing, maxBytes);
+        head = log.head();
         thread.setDaemon(true);
     }
 
-    /** What was wrong with what was there. */
-    public List<HashChain.ChainFault> recoveredFaults() {
+    /** What was wrong with what the directory held. */
+    public List<ChainFault> recoveredFaults() {
         return recoveredFaults;
     }
 
+    /** Starts the writer's thread; records may be added before. */
     public void start() {
         thread.start();
     }
 
-    /** Handed over, or counted as lost. */
-    public void add(AuditRecord entry) {
-        if (!queuedRecords.offer(entry)) {
+    /** Queues a record; where the queue is full it is lost, and counted. */
+    public void add(AuditRecord record) {
+        if (!queue.offer(record)) {
             lostRecords.incrementAndGet();
         }
     }
 
-    /** Where the chain on the disk ends. */
-    public HashChain.ChainHead head() {
+    /** Where the chain on disk ends. */
+    public ChainHead head() {
         return head;
     }
 
+    /** Records that the disk did not take. */
     public long lostRecords() {
         return lostRecords.get();
     }
 
+    /** Records that are on stable storage. */
     public long writtenRecords() {
-        return writtenRecords;
+        return writtenRecords.get();
     }
 
+    /** Records that wait for the disk. */
     public int queuedRecords() {
-        return queuedRecords.size();
+        return queue.size();
     }
 
-    private void work() {
-        List<AuditRecord> group = new ArrayList<>();
-        long told = 0;
-        while (true) {
+    private void run() {
+        boolean isOver = false;
+        while (!isOver) {
             try {
-                AuditRecord first = queuedRecords.poll(PAUSE_MS, TimeUnit.MILLISECONDS);
-                if (first == null && over) {
-                    break;
-                }
-                if (first != null) {
-                    group.add(first);
-                }
-                queuedRecords.drainTo(group, GROUP - group.size());
-                if (lostRecords.get() > told && !group.isEmpty()) {
-                    group.add(
-                            0,
-                            new AuditRecord.AuditEvent(
-                                    AuditRecord.AuditEventKind.RECORDS_LOST,
-                                    0,
-                                    unixMs.getAsLong(),
-                                    (lostRecords.get() - told)
-                                            + " records that the disk did not take"));
-                }
-                if (group.isEmpty()) {
-                    continue;
-                }
-                long losses = lostRecords.get();
-                if (write(group)) {
-                    told = losses;
-                } else {
-                    lostRecords.addAndGet(
-                            group.stream()
-                                    .filter(
-                                            each ->
-                                                    !(each instanceof AuditRecord.AuditEvent event
-                                                            && event.kind()
-                                                                    == AuditRecord.AuditEventKind
-                                                                            .RECORDS_LOST))
-                                    .count());
-                }
-                group.clear();
-                // Others gather meanwhile, and go out with one force.
-                if (sick || queuedRecords.size() < GROUP && !over) {
-                    Thread.sleep(sick ? 5 * PAUSE_MS : PAUSE_MS / 4);
-                }
+                isOver = !writeNextGroup();
             } catch (InterruptedException e) {
                 LOG.warning("the audit's thread is interrupted, and goes on");
             }
         }
         try {
-            if (file != null) {
-                file.close();
-            }
+            log.close();
         } catch (IOException e) {
             LOG.warning("the audit cannot be closed: " + e.getMessage());
         }
     }
 
-    private boolean write(List<AuditRecord> group) {
-        HashChain next = HashChain.copyOf(chain);
+    /**
+     * Waits for records and writes a group of them; false once the writer is closed and nothing is
+     * left.
+     */
+    private boolean writeNextGroup() throws InterruptedException {
+        Optional<AuditRecord> first =
+                Optional.ofNullable(queue.poll(IDLE_MILLIS, TimeUnit.MILLISECONDS));
+        if (first.isEmpty()) {
+            return !closing;
+        }
+        List<AuditRecord> group = new ArrayList<>();
+        group.add(first.get());
+        queue.drainTo(group, MAX_GROUP - group.size());
+        long losses = lostRecords.get();
+        if (losses > reportedLosses) {
+            group.add(0, lossEvent(losses - reportedLosses));
+        }
+        if (tryAppend(group)) {
+            reportedLosses = losses;
+        } else {
+            lostRecords.addAndGet(group.stream().filter(record -> !isLossEvent(record)).count());
+        }
+        pause();
+        return true;
+    }
+
+    private AuditEvent lossEvent(long count) {
+        String text = count + " records that the disk did not take";
+        return new AuditEvent(AuditEventKind.RECORDS_LOST, 0, unixMillis.getAsLong(), text);
+    }
+
+    private static boolean isLossEvent(AuditRecord record) {
+        return record instanceof AuditEvent event && event.kind() == AuditEventKind.RECORDS_LOST;
+    }
+
+    private boolean tryAppend(List<AuditRecord> group) {
         try {
-            if (file == null || size >= fileBytes) {
-                roll();
-            }
-            long before = size;
-            try {
-                for (AuditRecord each : group) {
-                    ByteBuffer bytes =
-                            ByteBuffer.wrap(
-                                    AuditLogReader.frame(
-                                            next.append(AuditRecordCodec.encode(each))));
-                    size += bytes.remaining();
-                    while (bytes.hasRemaining()) {
-                        file.write(bytes);
-                    }
-                }
-                file.force(false);
-            } catch (IOException e) {
-                // Some of it may be there: it is taken off, or the next one would stand behind half
-                // a record.
-                size = before;
-                file.truncate(before);
-                file.position(before);
-                throw e;
-            }
-            chain = next;
-            head = chain.head();
-            writtenRecords += group.size();
-            if (sick) {
-                LOG.info("the audit's disk takes records again");
-            }
-            sick = false;
-            return true;
+            log.append(group);
         } catch (IOException e) {
-            if (!sick) {
+            if (!diskFailed) {
                 LOG.warning("the audit's disk does not take records: " + e.getMessage());
             }
-            sick = true;
+            diskFailed = true;
             return false;
         }
+        head = log.head();
+        writtenRecords.addAndGet(group.size());
+        if (diskFailed) {
+            LOG.info("the audit's disk takes records again");
+        }
+        diskFailed = false;
+        return true;
     }
 
-    private void roll() throws IOException {
-        if (file != null) {
-            file.close();
-        }
-        file =
-                FileChannel.open(
-                        folder.resolve(
-                                String.format(
-                                        "%s%019d%s",
-                                        AuditLogReader.PREFIX,
-                                        chain.head().number() + 1,
-                                        AuditLogReader.SUFFIX)),
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.WRITE,
-                        StandardOpenOption.TRUNCATE_EXISTING);
-        size = 0;
-        List<Path> files = AuditLogReader.logFiles(folder);
-        for (int i = 0; i < files.size() - FILES; i++) {
-            Files.deleteIfExists(files.get(i));
+    private void pause() throws InterruptedException {
+        if (diskFailed) {
+            Thread.sleep(FAILURE_PAUSE_MILLIS);
+        } else if (queue.size() < MAX_GROUP && !closing) {
+            Thread.sleep(GATHER_MILLIS);
         }
     }
 
-    /** What was handed over is written; returns once it is, or within a bounded time. */
+    /**
+     * Writes what is queued; returns once it is written, or after two seconds. An interrupt ends
+     * the wait and is kept.
+     */
+    @Override
     public void close() {
-        over = true;
+        closing = true;
         try {
-            thread.join(2_000);
+            thread.join(CLOSE_TIMEOUT.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -14,8 +14,12 @@
 import java.util.Locale;
 import java.util.Map;
 import ochretiller.audit.AuditRecord;
+import ochretiller.audit.ChainHead;
 import ochretiller.audit.FleetTimeline;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.TimelineInterval;
+import ochretiller.audit.TokenRun;
+import ochretiller.audit.VersionStatus;
+import ochretiller.audit.files.AuditLog;
 import ochretiller.audit.files.AuditLogReader;
 import ochretiller.settings.MalformedException;
 import picocli.CommandLine;
@@ -67,11 +71,11 @@
         @Option(names = "--json", description = "JSON instead of text.")
         private boolean json;
 
-        private final Map<String, AuditLogReader.AuditLog> found = new LinkedHashMap<>();
+        private final Map<String, AuditLog> found = new LinkedHashMap<>();
 
         /** Reads all of it; what each server's audit knows of another's is held against that. */
         What read() throws IOException {
-            Map<String, List<HashChain.ChainHead>> known = new LinkedHashMap<>();
+            Map<String, List<ChainHead>> known = new LinkedHashMap<>();
             for (Map.Entry<String, Path> each : folders.entrySet()) {
                 if (!Files.isDirectory(each.getValue())) {
                     throw new MalformedException("there is no folder " + each.getValue());
@@ -203,7 +207,7 @@
                     long version,
             @CommandLine.Mixin What what)
             throws IOException {
-        Map<String, FleetTimeline.VersionStatus> who =
+        Map<String, VersionStatus> who =
                 what.read().line().serversOnVersion(version, what.from(), what.until());
         PrintWriter out = spec.commandLine().getOut();
         if (what.json) {
@@ -225,7 +229,7 @@
                                             }));
         }
         out.flush();
-        return end(what, who.containsValue(FleetTimeline.VersionStatus.UNKNOWN));
+        return end(what, who.containsValue(VersionStatus.UNKNOWN));
     }
 
     @Command(
@@ -233,26 +237,25 @@
             mixinStandardHelpOptions = true,
             description = "What each server acted on, stretch by stretch.")
     int when(@CommandLine.Mixin What what) throws IOException {
-        List<FleetTimeline.TimelineInterval> all =
-                what.read().line().intervals(what.from(), what.until());
+        List<TimelineInterval> all = what.read().line().intervals(what.from(), what.until());
         stretches(what, all);
         return end(what, false);
     }
 
     @Command(name = "gaps", mixinStandardHelpOptions = true, description = "What is not known.")
     int gaps(@CommandLine.Mixin What what) throws IOException {
-        List<FleetTimeline.TimelineInterval> gaps =
+        List<TimelineInterval> gaps =
                 what.read().line().intervals(what.from(), what.until()).stream()
-                        .filter(each -> each.status() == FleetTimeline.VersionStatus.UNKNOWN)
+                        .filter(each -> each.status() == VersionStatus.UNKNOWN)
                         .toList();
         stretches(what, gaps);
         return end(what, !gaps.isEmpty());
     }
 
-    private void stretches(What what, List<FleetTimeline.TimelineInterval> all) {
+    private void stretches(What what, List<TimelineInterval> all) {
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode array = JSON.createArrayNode();
-        for (FleetTimeline.TimelineInterval each : all) {
+        for (TimelineInterval each : all) {
             array.addObject()
                     .put("server", each.server())
                     .put("from", each.startMillis())
@@ -291,10 +294,10 @@
     int token(
             @Option(names = "--token", required = true) String token, @CommandLine.Mixin What what)
             throws IOException {
-        List<FleetTimeline.TokenRun> runs = what.read().line().runsOfToken(token);
+        List<TokenRun> runs = what.read().line().runsOfToken(token);
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode array = JSON.createArrayNode();
-        for (FleetTimeline.TokenRun each : runs) {
+        for (TokenRun each : runs) {
             array.addObject()
                     .put("server", each.server())
                     .put("version", each.version())
@@ -343,8 +346,7 @@
             @Option(names = "--out", required = true, description = "The page.") Path page,
             @CommandLine.Mixin What what)
             throws IOException {
-        List<FleetTimeline.TimelineInterval> all =
-                what.read().line().intervals(what.from(), what.until());
+        List<TimelineInterval> all = what.read().line().intervals(what.from(), what.until());
         Files.writeString(page, VersionTimelineChart.page(all, what.from(), what.until()));
         return end(what, false);
     }
--- a/src/main/java/ochretiller/commands/StoreCommand.java
+++ b/src/main/java/ochretiller/commands/StoreCommand.java
@@ -8,9 +8,12 @@
 import java.util.function.Consumer;
 import ochretiller.fleet.service.ReplicaStorage;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.store.CompactionReport;
 import ochretiller.store.LocalDirectory;
+import ochretiller.store.SegmentReport;
 import ochretiller.store.StorageDirectory;
 import ochretiller.store.StoreInspector;
+import ochretiller.store.StoreReport;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -68,14 +71,14 @@
         System.out.println(text);
     }
 
-    private static ObjectNode report(StoreInspector.StoreReport report) {
+    private static ObjectNode report(StoreReport report) {
         ObjectNode all = JSON.createObjectNode();
         all.put("good", report.isUndamaged())
                 .put("entries", report.entries())
                 .put("bytes", report.bytes())
                 .put("unfinished", report.tornBytes());
         ArrayNode files = all.putArray("files");
-        for (StoreInspector.SegmentReport file : report.segments()) {
+        for (SegmentReport file : report.segments()) {
             files.addObject()
                     .put("name", file.name())
                     .put("bytes", file.bytes())
@@ -95,8 +98,7 @@
             description = "Read every byte; 0 where all is good, 3 where something is damaged.",
             mixinStandardHelpOptions = true)
     int verify(@CommandLine.Mixin Common common) throws IOException {
-        StoreInspector.StoreReport report =
-                StoreInspector.verify(common.disk(), common.progress("reads"));
+        StoreReport report = StoreInspector.verify(common.disk(), common.progress("reads"));
         if (common.json) {
             say(report(report));
         } else {
@@ -124,14 +126,13 @@
             description = "Sizes of the files and of what is dead in them.",
             mixinStandardHelpOptions = true)
     int stat(@CommandLine.Mixin Common common) throws IOException {
-        StoreInspector.StoreReport report =
-                StoreInspector.verify(common.disk(), common.progress("reads"));
+        StoreReport report = StoreInspector.verify(common.disk(), common.progress("reads"));
         if (common.json) {
             say(report(report));
             return 0;
         }
         say(String.format("%-24s %12s %9s %12s  %s", "file", "bytes", "records", "dead", "state"));
-        for (StoreInspector.SegmentReport file : report.segments()) {
+        for (SegmentReport file : report.segments()) {
             say(
                     String.format(
                             "%-24s %12d %9d %12d  %s",
@@ -153,7 +154,8 @@
         StoreInspector.list(
                 common.disk(),
                 item -> {
-                    IdempotencyRecord mark = IdempotencyRecord.decode(item.key(), item.metadata());
+                    IdempotencyRecord mark =
+                            IdempotencyRecord.decode(item.key(), item.metadata()).orElse(null);
                     if (common.json) {
                         ObjectNode line = JSON.createObjectNode();
                         if (mark != null) {
@@ -210,11 +212,14 @@
             description = "Copy what is live and drop the rest; the store must not be in use.",
             mixinStandardHelpOptions = true)
     int compact(@CommandLine.Mixin Common common) throws IOException {
-        long[] bytes = StoreInspector.compact(common.disk(), common.progress("copies"));
+        CompactionReport report = StoreInspector.compact(common.disk(), common.progress("copies"));
         if (common.json) {
-            say(JSON.createObjectNode().put("before", bytes[0]).put("after", bytes[1]));
+            say(
+                    JSON.createObjectNode()
+                            .put("before", report.bytesBefore())
+                            .put("after", report.bytesAfter()));
         } else {
-            say(bytes[0] + " bytes before, " + bytes[1] + " after");
+            say(report.bytesBefore() + " bytes before, " + report.bytesAfter() + " after");
         }
         return 0;
     }
--- a/src/main/java/ochretiller/commands/VersionTimelineChart.java
+++ b/src/main/java/ochretiller/commands/VersionTimelineChart.java
@@ -7,7 +7,8 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.TreeSet;
-import ochretiller.audit.FleetTimeline;
+import ochretiller.audit.TimelineInterval;
+import ochretiller.audit.VersionStatus;
 
 /**
  * Stretches of servers' time as a page with a drawing: a lane a server, a colour a version, what is
@@ -38,12 +39,12 @@
                 .replace("\"", "&quot;");
     }
 
-    static String page(List<FleetTimeline.TimelineInterval> all, long fromMs, long untilMs) {
+    static String page(List<TimelineInterval> all, long fromMs, long untilMs) {
         Set<String> lanes = new LinkedHashSet<>();
         Set<Long> versions = new TreeSet<>();
-        for (FleetTimeline.TimelineInterval each : all) {
+        for (TimelineInterval each : all) {
             lanes.add(each.server());
-            if (each.status() != FleetTimeline.VersionStatus.UNKNOWN) {
+            if (each.status() != VersionStatus.UNKNOWN) {
                 versions.add(each.version());
             }
         }
@@ -79,18 +80,18 @@
                             TOP + LANE * i + 16,
                             text(order.get(i))));
         }
-        for (FleetTimeline.TimelineInterval each : all) {
+        for (TimelineInterval each : all) {
             int y = TOP + LANE * order.indexOf(each.server());
             String fill =
-                    each.status() == FleetTimeline.VersionStatus.UNKNOWN
+                    each.status() == VersionStatus.UNKNOWN
                             ? "url(#unknown)"
                             : colour(each.version());
             String what =
-                    each.status() == FleetTimeline.VersionStatus.UNKNOWN
+                    each.status() == VersionStatus.UNKNOWN
                             ? "not known"
                             : "version "
                                     + each.version()
-                                    + (each.status() == FleetTimeline.VersionStatus.FENCED
+                                    + (each.status() == VersionStatus.FENCED
                                             ? ", shut out from keyed work"
                                             : "");
             svg.append(
@@ -103,7 +104,7 @@
                             Math.max(1, (each.endMillis() - each.startMillis()) * perMs),
                             LANE - 6,
                             fill,
-                            each.status() == FleetTimeline.VersionStatus.FENCED
+                            each.status() == VersionStatus.FENCED
                                     ? " stroke=\"#000\" stroke-width=\"2\" stroke-dasharray=\"3\""
                                     : "",
                             text(
--- a/src/main/java/ochretiller/fakes/FaultyDirectory.java
+++ b/src/main/java/ochretiller/fakes/FaultyDirectory.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
 import ochretiller.store.StorageDirectory;
+import ochretiller.store.StorageFile;
 
 /**
  * A disk with a fault for as long as a file is there that names it: {@code full}, where it takes
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -79,7 +79,7 @@
         Place[] with = {Place.NONE};
         long[] number = {0};
         long storeNow = store.nowMillis();
-        boolean[] good = {store.incompleteUntilMillis() <= storeNow};
+        boolean[] good = {store.incompleteFor().isZero()};
         try {
             store.forEachValue(
                     ENTRIES,
@@ -184,7 +184,6 @@
                                 PacketCodec.numbers(to, with.starts());
                             }),
                     store.nowMillis() + longest.toMillis() - 1,
-                    false,
                     ack -> then.accept(ack == AppendResult.DURABLE));
             return;
         }
@@ -205,7 +204,6 @@
                                             left.isNegative() ? Duration.ZERO : left));
                         }),
                 expires(entry.expiresAt(), now),
-                false,
                 ack -> then.accept(ack == AppendResult.DURABLE));
     }
 
@@ -222,12 +220,11 @@
                 NONE,
                 result,
                 expires(until, now),
-                false,
                 ack -> then.accept(ack == AppendResult.DURABLE));
     }
 
     void result(String token, ClaimId id, Consumer<byte[]> then) {
-        store.read(key(RESULTS, token + ' ' + id), then);
+        store.read(key(RESULTS, token + ' ' + id), value -> then.accept(value.orElse(null)));
     }
 
     @FunctionalInterface
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -21,7 +21,7 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.collections.BoundedMap;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.RolloutState;
@@ -117,7 +117,7 @@
         String become(byte[] version);
 
         /** Where this server's audit ends, or none. */
-        HashChain.ChainHead audited();
+        ChainHead audited();
 
         /** Something happened that is to be remembered. */
         void told(What what, RolloutState.PublishedVersion version, String text);
--- a/src/main/java/ochretiller/idempotency/IdempotencyCache.java
+++ b/src/main/java/ochretiller/idempotency/IdempotencyCache.java
@@ -1,282 +1,229 @@
 package ochretiller.idempotency;
 
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 
 /**
- * The table of keys: which kept try one repeats, and the results that repeats are answered with.
+ * Tells which attempts repeat an earlier one, and keeps results for their replay. Originals are
+ * known by the client's idempotency key, or for idempotent reads by operation and object.
+ *
+ * <p>Not safe for several threads; owned by the event loop. Time is handed in, on the monotonic
+ * clock unless a name says Unix.
  */
 public final class IdempotencyCache {
-    /** In place of the Unix milliseconds of a try that no caller has dated. */
+    /** In place of the Unix milliseconds of an attempt that its client has not dated. */
     public static final long NO_CLIENT_TIMESTAMP = Long.MAX_VALUE;
 
-    /** Bytes that an entry takes beside its result. */
-    private static final int ENTRY = 400;
-
     /**
-     * A try is dated by one clock and known by another, each gathering by its start: repeats at the
-     * edge are tied still.
+     * Added to each window: an attempt is dated by one clock and looked up by another, and both are
+     * read once per turn of the event loop, so a repeat at the very end of the window could seem to
+     * be late.
      */
-    private static final Duration SLACK = Duration.ofMillis(100);
-
-    private final long mostBytes;
-    private final Duration fresh;
-    private final Map<Object, Entry> byKey = new HashMap<>();
-    private final Map<InvocationId, Entry> byId = new HashMap<>();
-    private final PriorityQueue<Entry> ending =
-            new PriorityQueue<>(Comparator.comparing((Entry e) -> e.forgetAt));
-    private long bytes;
-
-    /** What reads share: the operation and what it is about. */
-    private record ReadKey(Operation operation, String object) {
-        @Override
-        public boolean equals(Object other) {
-            return other instanceof ReadKey key
-                    && key.operation.equals(operation)
-                    && key.object.equals(object);
-        }
-
-        @Override
-        public int hashCode() {
-            return 31 * operation.hashCode() + object.hashCode();
-        }
-    }
-
-    private static final class Entry {
-        final Object key;
-        final InvocationId id;
-        final Operation operation;
-
-        /** What a tokened try asked for; null for a read, and where only its hash is known. */
-        final byte[] body;
-
-        /** The hash of that where a former process has read it; else null. */
-        byte[] hash;
+    private static final Duration CLOCK_SLACK = Duration.ofMillis(100);
 
-        /** A repeat that reached the machine before this is tied to it; later ones are not. */
-        Duration until;
+    /** Window of a read that is still running. */
+    private static final Duration WHILE_RUNNING = Duration.ofDays(10_000);
 
-        /** The like by the clock of those who date tries, in Unix milliseconds. */
-        long untilUnix = Long.MIN_VALUE;
-
-        Duration forgetAt;
-        boolean over;
-        byte[] result;
-        final List<Consumer<byte[]>> waiting = new ArrayList<>();
-
-        Entry(Object key, InvocationId id, Operation operation, byte[] body, Duration until) {
-            this.key = key;
-            this.id = id;
-            this.operation = operation;
-            this.body = body;
-            this.until = until;
-        }
-
-        int size() {
-            return ENTRY + (body == null ? 0 : body.length) + (result == null ? 0 : result.length);
-        }
-    }
+    private final long maxBytes;
+    private final Duration readFreshness;
+    private final Map<CacheKey, CacheEntry> entriesByKey = new HashMap<>();
+    private final Map<InvocationId, CacheEntry> entriesById = new HashMap<>();
+    private final PriorityQueue<CacheEntry> entriesByEnd =
+            new PriorityQueue<>(Comparator.comparing(CacheEntry::forgetAt));
+    private long bytes;
 
     /**
-     * An empty table.
+     * An empty cache.
      *
-     * @param mostBytes bytes that results may take together
-     * @param fresh how long the result of a read may serve others; zero for never
+     * @param maxBytes memory from which on results are no longer kept; entries without a result are
+     * @param readFreshness how long the result of a read may serve others; zero for never
      */
-    public IdempotencyCache(long mostBytes, Duration fresh) {
-        this.mostBytes = mostBytes;
-        this.fresh = fresh;
+    public IdempotencyCache(long maxBytes, Duration readFreshness) {
+        this.maxBytes = maxBytes;
+        this.readFreshness = readFreshness;
     }
 
-    private static Object key(Operation operation, String token, String object) {
-        if (operation.isKeyed()) {
-            return token;
-        }
-        return operation.isIdempotent() && object != null ? new ReadKey(operation, object) : null;
+    /** SHA-256 of a body, to compare bodies over a restart. */
+    public static byte[] bodyDigest(byte[] body) {
+        return RequestBody.sha256(body);
     }
 
     /**
-     * The try that one which arrived then repeats, or null. A read that repeats none is known from
-     * here on.
+     * Looks up the original that an attempt repeats. A read that repeats none becomes an original
+     * itself; a keyed attempt does so by {@link #track} once it is admitted.
      *
-     * @param t0 the arrival as its caller dated it, in Unix milliseconds, or {@link #UNDATED}
+     * @return empty where the attempt repeats none
      */
-    public InvocationId findOriginalOrTrack(
-            InvocationId id,
-            Operation operation,
-            String token,
-            String object,
-            Duration arrived,
-            long t0,
-            Duration now) {
-        while (!ending.isEmpty() && ending.peek().forgetAt.compareTo(now) <= 0) {
-            drop(ending.peek());
-        }
-        Object key = key(operation, token, object);
-        if (key == null) {
-            return null;
+    public Optional<InvocationId> findOriginalOrTrack(Attempt attempt, Duration now) {
+        forgetExpired(now);
+        Optional<CacheKey> key = CacheKey.of(attempt);
+        if (key.isEmpty()) {
+            return Optional.empty();
         }
-        Entry entry = byKey.get(key);
-        // By either clock: guards against a run within the window where the Unix clock was set back
-        // meanwhile.
-        if (entry != null && (arrived.compareTo(entry.until) < 0 || t0 < entry.untilUnix)) {
-            return entry.id;
+        Optional<CacheEntry> original =
+                Optional.ofNullable(entriesByKey.get(key.get()))
+                        .filter(entry -> entry.coversArrivalOf(attempt));
+        if (original.isEmpty() && !attempt.operation().isKeyed()) {
+            CacheEntry.Original read = new CacheEntry.Original(attempt.id(), attempt.operation());
+            put(
+                    new CacheEntry(
+                            key.get(),
+                            read,
+                            new RequestBody.Irrelevant(),
+                            WHILE_RUNNING,
+                            OptionalLong.empty()));
         }
-        if (!operation.isKeyed()) {
-            put(new Entry(key, id, operation, null, Duration.ofDays(10_000)));
-        }
-        return null;
+        return original.map(CacheEntry::id);
     }
 
-    /** Puts a tokened try, which is dated {@code t0}, into the table until then. */
-    public void track(
-            InvocationId id,
-            Operation operation,
-            String token,
-            byte[] body,
-            long t0,
-            Duration until) {
-        if (!operation.isKeyed()) {
-            return;
-        }
-        Entry entry = new Entry(token, id, operation, body, until.plus(SLACK));
-        if (t0 != NO_CLIENT_TIMESTAMP) {
-            entry.untilUnix = t0 + operation.deduplicationWindow().plus(SLACK).toMillis();
+    private void forgetExpired(Duration now) {
+        while (!entriesByEnd.isEmpty() && entriesByEnd.peek().forgetAt().compareTo(now) <= 0) {
+            remove(entriesByEnd.peek());
         }
-        put(entry);
     }
 
     /**
-     * A tokened try of a former process: it is known by the hash of its body, and its result is
-     * kept elsewhere.
+     * Makes a keyed attempt the original of its key. Attempts without a key are left alone.
+     *
+     * @param attempt with its key, where its operation has one
+     * @param body what it asked for; the array is kept
+     * @param windowEnds end of the time in which repeats may arrive
      */
-    public void restore(
-            InvocationId id,
-            Operation operation,
-            String token,
-            byte[] hash,
-            Duration until,
-            boolean over) {
-        Entry entry = new Entry(token, id, operation, null, until);
-        entry.hash = hash;
-        entry.over = over;
-        put(entry);
+    public void track(Attempt attempt, byte[] body, Duration windowEnds) {
+        Operation operation = attempt.operation();
+        if (!operation.isKeyed() || attempt.token().isEmpty()) {
+            return;
+        }
+        long windowMillis = operation.deduplicationWindow().plus(CLOCK_SLACK).toMillis();
+        OptionalLong windowEndsUnixMillis =
+                attempt.sentUnixMillis() == NO_CLIENT_TIMESTAMP
+                        ? OptionalLong.empty()
+                        : OptionalLong.of(attempt.sentUnixMillis() + windowMillis);
+        put(
+                new CacheEntry(
+                        new CacheKey.Token(attempt.token().get()),
+                        new CacheEntry.Original(attempt.id(), operation),
+                        new RequestBody.Known(body),
+                        windowEnds.plus(CLOCK_SLACK),
+                        windowEndsUnixMillis));
     }
 
-    /** SHA-256, for bodies that are compared over a restart. */
-    public static byte[] bodyDigest(byte[] body) {
-        try {
-            return MessageDigest.getInstance("SHA-256").digest(body);
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each Java platform has it
+    /**
+     * Adds a keyed attempt of a previous process. Its result, if there is one, is kept elsewhere.
+     *
+     * @param restored what is known of it
+     * @param windowEnds end of the time in which repeats may arrive
+     */
+    public void restore(RestoredAttempt restored, Duration windowEnds) {
+        CacheEntry entry =
+                new CacheEntry(
+                        new CacheKey.Token(restored.token()),
+                        new CacheEntry.Original(restored.id(), restored.operation()),
+                        new RequestBody.Digested(restored.bodyDigest()),
+                        windowEnds,
+                        OptionalLong.empty());
+        if (restored.isCompleted()) {
+            entry.complete(Optional.empty());
         }
+        put(entry);
     }
 
     /**
-     * The try that is known under this token now, or null: a forerunner that never ran has left it
-     * to another.
+     * The original under this token now; empty where there is none. An original that never ran
+     * leaves its token to another.
      */
-    public InvocationId findByToken(String token) {
-        Entry entry = byKey.get(token);
-        return entry == null ? null : entry.id;
+    public Optional<InvocationId> findByToken(String token) {
+        return Optional.ofNullable(entriesByKey.get(new CacheKey.Token(token))).map(CacheEntry::id);
     }
 
     /**
-     * Whether a kept tokened try asked for something else: the source answers such a repeat with an
-     * error.
+     * Whether a keyed original asked for something else, so that a repeat with this body is a
+     * client's error; false for unknown ids.
      */
     public boolean conflictsWith(InvocationId id, Operation operation, byte[] body) {
-        Entry entry = byId.get(id);
-        if (entry == null || entry.body == null && entry.hash == null) {
-            return false;
-        }
-        return !entry.operation.equals(operation)
-                || !(entry.hash == null
-                        ? Arrays.equals(entry.body, body)
-                        : Arrays.equals(entry.hash, bodyDigest(body)));
+        CacheEntry entry = entriesById.get(id);
+        return entry != null && entry.conflictsWith(operation, body);
     }
 
-    /** Whether a kept try has run and ended. */
+    /** Whether an original has run to its end; false for unknown ids. */
     public boolean isCompleted(InvocationId id) {
-        Entry entry = byId.get(id);
-        return entry != null && entry.over;
-    }
-
-    private void put(Entry entry) {
-        Entry old = byKey.get(entry.key);
-        if (old != null) {
-            drop(old);
-        }
-        // A repeat may be read long after it came: an entry is known for one more client timeout.
-        entry.forgetAt = entry.until.plus(entry.operation.clientTimeout());
-        byKey.put(entry.key, entry);
-        byId.put(entry.id, entry);
-        ending.add(entry);
-        bytes += entry.size();
-    }
-
-    private void drop(Entry entry) {
-        byKey.remove(entry.key, entry);
-        byId.remove(entry.id, entry);
-        ending.remove(entry);
-        bytes -= entry.size();
-        entry.waiting.forEach(waiting -> waiting.accept(null));
+        CacheEntry entry = entriesById.get(id);
+        return entry != null && entry.isCompleted();
     }
 
+    /** Drops an original that never ran; those that wait for its result get none. */
     public void forget(InvocationId id) {
-        Entry entry = byId.get(id);
-        if (entry != null) {
-            drop(entry);
-        }
+        Optional.ofNullable(entriesById.get(id)).ifPresent(this::remove);
     }
 
-    /** A try is over; {@code result} is null unless it succeeded. */
-    public void complete(InvocationId id, boolean tokened, byte[] result, Duration now) {
-        Entry entry = byId.get(id);
-        if (entry == null || entry.over) {
+    /**
+     * An original has come to its end; unknown ids are passed over. A keyed one stays until its
+     * window ends, a read only while its result is fresh.
+     *
+     * @param result empty unless it succeeded; one that does not fit the bound is handed to those
+     *     that wait and not kept
+     */
+    public void complete(InvocationId id, Optional<byte[]> result, Duration now) {
+        CacheEntry entry = entriesById.get(id);
+        if (entry == null || entry.isCompleted()) {
             return;
         }
-        entry.over = true;
-        // Guards against a full memory: without its result an entry stays, and its repeats are
-        // errored, never run.
-        if (result != null && bytes + result.length <= mostBytes) {
-            entry.result = result;
-            bytes += result.length;
+        // Without its result an entry still stops repeats from running: they get an error instead.
+        Optional<byte[]> keptResult = result.filter(each -> bytes + each.length <= maxBytes);
+        entry.complete(keptResult);
+        bytes += keptResult.map(each -> each.length).orElse(0);
+        entry.notifyWaiters(result);
+        if (entry.key() instanceof CacheKey.Read) {
+            completeRead(entry, result.isPresent(), now);
         }
-        entry.waiting.forEach(waiting -> waiting.accept(result));
-        entry.waiting.clear();
-        if (tokened) {
+    }
+
+    private void completeRead(CacheEntry entry, boolean succeeded, Duration now) {
+        if (!succeeded || readFreshness.isZero()) {
+            remove(entry);
             return;
         }
-        if (result == null || fresh.isZero()) {
-            drop(entry);
-        } else {
-            ending.remove(entry);
-            entry.until = entry.forgetAt = now.plus(fresh);
-            ending.add(entry);
-        }
+        entriesByEnd.remove(entry);
+        entry.expireAt(now.plus(readFreshness));
+        entriesByEnd.add(entry);
     }
 
     /**
-     * Hands over the result of a kept try once it is there, or null where there is none to be had.
+     * Hands over the result of an original once it has completed, at once where it has.
+     *
+     * @param id empty for an original that is not known
+     * @param callback receives the result; empty where there is none to be had
      */
-    public void whenCompleted(InvocationId id, Consumer<byte[]> then) {
-        Entry entry = id == null ? null : byId.get(id);
-        if (entry == null || entry.over) {
-            then.accept(entry == null ? null : entry.result);
+    public void whenCompleted(Optional<InvocationId> id, Consumer<Optional<byte[]>> callback) {
+        Optional<CacheEntry> entry = id.map(entriesById::get);
+        if (entry.isPresent() && !entry.get().isCompleted()) {
+            entry.get().addWaiter(callback);
         } else {
-            entry.waiting.add(then);
+            callback.accept(entry.flatMap(CacheEntry::result));
         }
     }
+
+    private void put(CacheEntry entry) {
+        Optional.ofNullable(entriesByKey.get(entry.key())).ifPresent(this::remove);
+        entriesByKey.put(entry.key(), entry);
+        entriesById.put(entry.id(), entry);
+        entriesByEnd.add(entry);
+        bytes += entry.sizeBytes();
+    }
+
+    private void remove(CacheEntry entry) {
+        entriesByKey.remove(entry.key(), entry);
+        entriesById.remove(entry.id(), entry);
+        entriesByEnd.remove(entry);
+        bytes -= entry.sizeBytes();
+        entry.notifyWaiters(Optional.empty());
+    }
 }
--- a/src/main/java/ochretiller/idempotency/durable/DurabilityPolicy.java
+++ b/src/main/java/ochretiller/idempotency/durable/DurabilityPolicy.java
@@ -8,183 +8,132 @@
 import java.util.TreeMap;
 
 /**
- * Decides about the memory of keyed invocations: whether a new one can be marked, how long a mark
- * and an answer wait, when a sick disk is tried again, and what becomes of what a restart has
- * found.
+ * Decides how keyed invocations depend on the disk: whether a new one can be marked as in flight,
+ * how long its marker and its answer wait to be durable, and when a failed disk is probed. Pure: no
+ * I/O, no clock; time is handed in, on the monotonic clock.
  *
- * <p>The owner tells of each append by {@link #asked} and {@link #acked}, and of what the store
- * says by {@link #told}.
+ * <p>Not safe for several threads; owned by the event loop. The owner reports each append by {@link
+ * #appendStarted} and {@link #appendCompleted}, and the state of the store by {@link
+ * #storeStatusChanged}.
  */
 public final class DurabilityPolicy {
     /**
-     * Lead of the last moment at which a waiting answer leaves: the due time less a beat and the
-     * way out.
+     * An answer leaves this long before its deadline at the latest: a tick of the event loop and
+     * the way out.
      */
-    private static final Duration LEAD = Duration.ofMillis(120);
+    private static final Duration ANSWER_MARGIN = Duration.ofMillis(120);
 
-    /**
-     * Share of a pause by which chance moves it, so that many servers on one disk do not try at
-     * once.
-     */
-    private static final double SPREAD = 0.5;
-
-    /** How the disk does. */
-    public enum DiskHealth {
-        HEALTHY("well"),
-        /** The oldest append waits longer than a disk may take. */
-        STALLED("stalled"),
-        /** It has failed, and nothing is written until a try finds it well. */
-        UNAVAILABLE("sick");
-
-        private final String externalName;
-
-        DiskHealth(String externalName) {
-            this.externalName = externalName;
-        }
+    private final DurabilityTimeouts timeouts;
+    private final ProbeBackoff backoff;
 
-        /** The word by which log lines name it; it stays whatever the constant is called. */
-        public String externalName() {
-            return externalName;
-        }
-    }
-
-    /** What becomes of what a restart has found under a token. */
-    public enum RecoveryDecision {
-        /** Its result answers repeats. */
-        REPLAY,
-        /** The processor may still know the run: its repeats wait for its word. */
-        AWAIT_OUTCOME,
-        /** It may have had its effect, and its result is not to be had: repeats are errored. */
-        REJECT
-    }
+    /** When each append under way was started, by its number; numbers grow with time. */
+    private final TreeMap<Long, Duration> pendingAppends = new TreeMap<>();
 
-    private final DurabilityTimeouts patience;
-    private final SplittableRandom chance;
+    private boolean diskFailed;
+    private boolean hasRoom = true;
+    private Duration suspendedUntil = Duration.ZERO;
 
-    /** Appends under way, by number; each with the time at which it was asked for. */
-    private final TreeMap<Long, Duration> waiting = new TreeMap<>();
-
-    private boolean sick;
-    private boolean room = true;
-    private Duration blindUntil = Duration.ZERO;
-    private Duration pause;
-    private Duration tryAt;
-    private boolean trying;
-
-    public DurabilityPolicy(DurabilityTimeouts patience, SplittableRandom chance) {
-        this.patience = patience;
-        this.chance = chance;
-        this.pause = patience.initialProbeInterval();
+    /**
+     * A policy that takes the disk for healthy until it hears otherwise.
+     *
+     * @param random jitter of the probes
+     */
+    public DurabilityPolicy(DurabilityTimeouts timeouts, SplittableRandom random) {
+        this.timeouts = timeouts;
+        this.backoff =
+                new ProbeBackoff(
+                        timeouts.initialProbeInterval(), timeouts.maxProbeInterval(), random);
     }
 
     /**
-     * Some of what was acknowledged before may be missing until then: no new keyed invocation may
-     * run.
+     * Markers that were acknowledged may be missing until then: no new keyed invocation may run.
      */
     public void suspendNewKeysUntil(Duration until) {
-        blindUntil = until;
+        suspendedUntil = until;
     }
 
-    /** An append is handed over. */
+    /** An append was handed to the store; its number is higher than all before. */
     public void appendStarted(long number, Duration now) {
-        waiting.put(number, now);
+        pendingAppends.put(number, now);
     }
 
-    /** An append is over, however it ended. */
+    /** The append has ended, however it did. */
     public void appendCompleted(long number) {
-        waiting.remove(number);
+        pendingAppends.remove(number);
     }
 
-    /** What the store says of itself: whether it is well and has room for another key. */
-    public void storeStatusChanged(boolean well, boolean hasRoom, Duration now) {
-        room = hasRoom;
-        if (well) {
-            sick = false;
-            trying = false;
-            pause = patience.initialProbeInterval();
-        } else if (!sick) {
-            sick = true;
-            tryAt = now.plus(spread(pause));
+    /**
+     * The store has reported its state.
+     *
+     * @param isHealthy whether its disk works
+     * @param hasRoomForNewKeys whether it would take another key
+     */
+    public void storeStatusChanged(boolean isHealthy, boolean hasRoomForNewKeys, Duration now) {
+        hasRoom = hasRoomForNewKeys;
+        if (isHealthy) {
+            diskFailed = false;
+            backoff.reset();
+        } else if (!diskFailed) {
+            diskFailed = true;
+            backoff.scheduleFirst(now);
         }
     }
 
-    private Duration spread(Duration span) {
-        return Duration.ofNanos(
-                (long) (span.toNanos() * (1 + SPREAD * (chance.nextDouble() - 0.5))));
-    }
-
+    /** How the disk is doing. */
     public DiskHealth diskHealth(Duration now) {
-        if (sick) {
+        if (diskFailed) {
             return DiskHealth.UNAVAILABLE;
         }
-        boolean stalled =
-                !waiting.isEmpty() && oldestAppendAge(now).compareTo(patience.stallThreshold()) > 0;
-        return stalled ? DiskHealth.STALLED : DiskHealth.HEALTHY;
+        boolean isStalled = oldestAppendAge(now).compareTo(timeouts.stallThreshold()) > 0;
+        return isStalled && !pendingAppends.isEmpty() ? DiskHealth.STALLED : DiskHealth.HEALTHY;
     }
 
-    /** How long the append that was handed over first has waited. */
+    /** How long the oldest append has been under way; zero where none is. */
     public Duration oldestAppendAge(Duration now) {
-        return waiting.isEmpty() ? Duration.ZERO : now.minus(waiting.firstEntry().getValue());
+        return pendingAppends.isEmpty()
+                ? Duration.ZERO
+                : now.minus(pendingAppends.firstEntry().getValue());
     }
 
-    /**
-     * Whether the mark of a new keyed invocation would be kept; one whose mark would not be must
-     * not run.
-     */
+    /** Whether a new keyed invocation may run: its marker is expected to become durable. */
     public boolean acceptsNewKeys(Duration now) {
-        return diskHealth(now) == DiskHealth.HEALTHY && room && now.compareTo(blindUntil) >= 0;
-    }
-
-    /** How long a run waits for its mark; none where the answer would be late anyhow. */
-    public Duration markerTimeout(Duration due, Duration now) {
-        return max(Duration.ZERO, min(patience.markerWait(), due.minus(LEAD).minus(now)));
+        return diskHealth(now) == DiskHealth.HEALTHY
+                && hasRoom
+                && now.compareTo(suspendedUntil) >= 0;
     }
 
     /**
-     * How long an answer waits for its result to be durable: on time it leaves in any case, and its
-     * mark stands.
+     * How long a run waits for its marker to be durable; zero where its answer would be late in any
+     * case.
+     *
+     * @param deadline when its answer is due
      */
-    public Duration answerTimeout(Duration due, Duration now) {
-        if (sick) {
-            return Duration.ZERO;
-        }
-        return max(Duration.ZERO, min(patience.answerWait(), due.minus(LEAD).minus(now)));
+    public Duration markerTimeout(Duration deadline, Duration now) {
+        return boundedByDeadline(timeouts.markerWait(), deadline, now);
     }
 
     /**
-     * Whether a sick disk is to be tried now; each try that fails doubles the pause before the
-     * next.
+     * How long an answer waits for its result to be durable. It leaves in time in any case, and its
+     * marker stands.
+     *
+     * @param deadline when the answer is due
      */
-    public boolean startProbeIfDue(Duration now) {
-        if (!sick || trying || now.compareTo(tryAt) < 0) {
-            return false;
-        }
-        trying = true;
-        return true;
+    public Duration answerTimeout(Duration deadline, Duration now) {
+        return diskFailed ? Duration.ZERO : boundedByDeadline(timeouts.answerWait(), deadline, now);
     }
 
-    /** A try has failed. */
-    public void probeFailed(Duration now) {
-        trying = false;
-        pause = min(pause.multipliedBy(2), patience.maxProbeInterval());
-        tryAt = now.plus(spread(pause));
+    private static Duration boundedByDeadline(Duration longest, Duration deadline, Duration now) {
+        Duration untilLastCall = deadline.minus(ANSWER_MARGIN).minus(now);
+        return max(Duration.ZERO, min(longest, untilLastCall));
     }
 
-    /**
-     * What becomes of a mark that a restart has found.
-     *
-     * @param processorAt when the processor was started, store's time in milliseconds
-     */
-    public static RecoveryDecision decideRecovery(IdempotencyRecord mark, long processorAt) {
-        return switch (mark.progress()) {
-            case SUCCEEDED -> RecoveryDecision.REPLAY;
-            case ENDED_WITHOUT_RESULT -> RecoveryDecision.REJECT;
-            // A processor that was started later knows nothing of the run; one that was there may
-            // tell of its end.
-            case IN_FLIGHT ->
-                    processorAt > mark.markedAtMillis()
-                            ? RecoveryDecision.REJECT
-                            : RecoveryDecision.AWAIT_OUTCOME;
-        };
+    /** Whether a failed disk is to be probed now; if so the probe counts as started. */
+    public boolean startProbeIfDue(Duration now) {
+        return diskFailed && backoff.startIfDue(now);
+    }
+
+    /** The probe has failed; each failure doubles the pause before the next one. */
+    public void probeFailed(Duration now) {
+        backoff.probeFailed(now);
     }
 }
--- a/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
+++ b/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
@@ -3,116 +3,116 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import java.util.Optional;
 
 /**
- * What is remembered of one keyed invocation, beside its result.
+ * What is stored of a keyed invocation beside its result. Immutable, as long as nobody writes to
+ * its array; safe for any thread.
  *
  * @param progress how far it is known to have come
- * @param token the token that it came under
+ * @param token the idempotency key that its client chose; the key in the store
  * @param operation name of its operation
- * @param runId its name on the processor's link
- * @param bodyDigest SHA-256 of what it asked for
- * @param markedAtMillis when its run was about to begin, store's time in milliseconds
- * @param windowEndsAtMillis repeats that arrive before this are tied to it, store's time in
- *     milliseconds
+ * @param runId name of its run on the connection to the processor
+ * @param bodyDigest SHA-256 of its request body
+ * @param markedAtMillis when its run was about to begin, on the store's clock
+ * @param windowEndsAtMillis repeats that arrive before this belong to it, on the store's clock
  */
 public record IdempotencyRecord(
-        Progress progress,
+        InvocationProgress progress,
         String token,
         String operation,
         String runId,
         byte[] bodyDigest,
         long markedAtMillis,
         long windowEndsAtMillis) {
-    /** How far one is known to have come. */
-    public enum Progress {
-        /** Its run may have begun; its end is unknown. */
-        IN_FLIGHT("MARKED"),
-        /** It has succeeded, and its result is kept. */
-        SUCCEEDED("SUCCEEDED"),
-        /** It has ended without a result, and may have had its effect. */
-        ENDED_WITHOUT_RESULT("LOST");
+    /** Longest names, in characters, that fit the store's metadata together with the rest. */
+    private static final int MAX_OPERATION_CHARS = 100;
 
-        private final String externalName;
+    private static final int MAX_RUN_ID_CHARS = 50;
+    private static final int DIGEST_BYTES = 32;
 
-        Progress(String externalName) {
-            this.externalName = externalName;
-        }
-
-        /**
-         * The word by which {@code store list} names it; it stays whatever the constant is called.
-         */
-        public String externalName() {
-            return externalName;
-        }
-    }
+    /** Progress, two times, digest and the lengths of two names. */
+    private static final int FIXED_BYTES = 1 + 2 * Long.BYTES + DIGEST_BYTES + 2;
 
-    /** Longest names, in bytes, that fit what a store holds in memory for each. */
-    private static final int LONGEST_NAME = 100;
-
-    private static final int HASH = 32;
-
-    public IdempotencyRecord withProgress(Progress next) {
+    /** The same with another progress. */
+    public IdempotencyRecord withProgress(InvocationProgress next) {
         return new IdempotencyRecord(
                 next, token, operation, runId, bodyDigest, markedAtMillis, windowEndsAtMillis);
     }
 
-    /** Whether names are short enough to be kept. */
-    public static boolean namesFit(String operation, String rid) {
-        return operation.length() <= LONGEST_NAME && rid.length() <= LONGEST_NAME / 2;
+    /** Whether a record with these names can be stored. */
+    public static boolean namesFit(String operation, String runId) {
+        return operation.length() <= MAX_OPERATION_CHARS && runId.length() <= MAX_RUN_ID_CHARS;
     }
 
+    /** The key in the store. */
     public byte[] encodeKey() {
         return token.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** All but the token, which is the key. */
+    /** All but the token, as the store's metadata. */
     public byte[] encodeMetadata() {
-        byte[] name = operation.getBytes(StandardCharsets.UTF_8);
-        byte[] id = runId.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(1 + 16 + HASH + 2 + name.length + id.length)
-                .put((byte) progress.ordinal())
-                .putLong(markedAtMillis)
-                .putLong(windowEndsAtMillis)
-                .put(bodyDigest)
-                .put((byte) name.length)
-                .put(name)
-                .put((byte) id.length)
-                .put(id)
-                .array();
+        byte[] operationBytes = operation.getBytes(StandardCharsets.UTF_8);
+        byte[] runIdBytes = runId.getBytes(StandardCharsets.UTF_8);
+        ByteBuffer out =
+                ByteBuffer.allocate(FIXED_BYTES + operationBytes.length + runIdBytes.length);
+        out.put(progress.code());
+        out.putLong(markedAtMillis);
+        out.putLong(windowEndsAtMillis);
+        out.put(bodyDigest);
+        out.put((byte) operationBytes.length);
+        out.put(operationBytes);
+        out.put((byte) runIdBytes.length);
+        out.put(runIdBytes);
+        return out.array();
     }
 
-    /** What {@link #meta} has written, or null for bytes that it cannot have written. */
-    public static IdempotencyRecord decode(byte[] key, byte[] meta) {
-        if (meta.length < 1 + 16 + HASH + 2 || meta[0] < 0 || meta[0] >= Progress.values().length) {
-            return null;
+    /**
+     * Reads what {@link #encodeKey} and {@link #encodeMetadata} have written; empty for bytes that
+     * they cannot have written.
+     */
+    public static Optional<IdempotencyRecord> decode(byte[] key, byte[] metadata) {
+        if (metadata.length < FIXED_BYTES) {
+            return Optional.empty();
         }
-        ByteBuffer in = ByteBuffer.wrap(meta);
-        Progress state = Progress.values()[in.get()];
-        long markedAt = in.getLong();
-        long until = in.getLong();
-        byte[] body = new byte[HASH];
-        in.get(body);
-        String name = text(in);
-        String id = name == null ? null : text(in);
-        if (id == null || in.hasRemaining()) {
-            return null;
+        ByteBuffer in = ByteBuffer.wrap(metadata);
+        Optional<InvocationProgress> progress = InvocationProgress.ofCode(in.get());
+        long markedAtMillis = in.getLong();
+        long windowEndsAtMillis = in.getLong();
+        byte[] bodyDigest = new byte[DIGEST_BYTES];
+        in.get(bodyDigest);
+        Optional<String> operation = decodeName(in);
+        Optional<String> runId = operation.flatMap(ignored -> decodeName(in));
+        if (progress.isEmpty() || runId.isEmpty() || in.hasRemaining()) {
+            return Optional.empty();
         }
-        return new IdempotencyRecord(
-                state, new String(key, StandardCharsets.UTF_8), name, id, body, markedAt, until);
+        String token = new String(key, StandardCharsets.UTF_8);
+        return Optional.of(
+                new IdempotencyRecord(
+                        progress.get(),
+                        token,
+                        operation.get(),
+                        runId.get(),
+                        bodyDigest,
+                        markedAtMillis,
+                        windowEndsAtMillis));
     }
 
-    private static String text(ByteBuffer in) {
-        int length = in.hasRemaining() ? in.get() & 0xFF : Integer.MAX_VALUE;
+    private static Optional<String> decodeName(ByteBuffer in) {
+        if (!in.hasRemaining()) {
+            return Optional.empty();
+        }
+        int length = Byte.toUnsignedInt(in.get());
         if (length > in.remaining()) {
-            return null;
+            return Optional.empty();
         }
-        byte[] text = new byte[length];
-        in.get(text);
-        return new String(text, StandardCharsets.UTF_8);
+        byte[] bytes = new byte[length];
+        in.get(bytes);
+        return Optional.of(new String(bytes, StandardCharsets.UTF_8));
     }
 
-    public boolean hasBodyDigest(byte[] hash) {
-        return Arrays.equals(bodyDigest, hash);
+    /** Whether a request body with this SHA-256 is the one that the invocation came with. */
+    public boolean hasBodyDigest(byte[] digest) {
+        return Arrays.equals(bodyDigest, digest);
     }
 }
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -4,8 +4,11 @@
 import java.time.Duration;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
-import ochretiller.audit.AuditRecord;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.AuditEvent;
+import ochretiller.audit.AuditEventKind;
+import ochretiller.audit.ChainHead;
+import ochretiller.audit.InvocationOutcome;
+import ochretiller.audit.KeyedRun;
 import ochretiller.audit.VersionUsage;
 import ochretiller.audit.files.AuditLogWriter;
 import ochretiller.fleet.service.RolloutService;
@@ -71,10 +74,7 @@
                 "Faults found at the start in what was there",
                 () -> writer.recoveredFaults().size());
         spans.startPeriod(unixMs.getAsLong(), schedule.now());
-        event(
-                AuditRecord.AuditEventKind.STARTED,
-                0,
-                name + ", behind record " + writer.head().number());
+        event(AuditEventKind.STARTED, 0, name + ", behind record " + writer.head().number());
     }
 
     void start() {
@@ -87,15 +87,13 @@
         spans.closeIfDue(unixMs.getAsLong(), schedule.now()).ifPresent(writer::add);
     }
 
-    private void event(AuditRecord.AuditEventKind kind, long version, String text) {
+    private void event(AuditEventKind kind, long version, String text) {
         writer.add(
-                new AuditRecord.AuditEvent(
+                new AuditEvent(
                         kind,
                         version,
                         unixMs.getAsLong(),
-                        text.substring(
-                                0,
-                                Math.min(text.length(), AuditRecord.AuditEvent.MAX_TEXT_CHARS))));
+                        text.substring(0, Math.min(text.length(), AuditEvent.MAX_TEXT_CHARS))));
     }
 
     /** Something has happened to a version here. */
@@ -110,51 +108,48 @@
         event(kind(what), version, text);
     }
 
-    private static AuditRecord.AuditEventKind kind(RolloutService.What what) {
+    private static AuditEventKind kind(RolloutService.What what) {
         return switch (what) {
-            case CHANGED -> AuditRecord.AuditEventKind.VERSION_CHANGED;
-            case REFUSED -> AuditRecord.AuditEventKind.VERSION_REJECTED;
-            case SHUT_OUT -> AuditRecord.AuditEventKind.FENCED;
-            case LET_IN -> AuditRecord.AuditEventKind.UNFENCED;
-            case PUBLISHED -> AuditRecord.AuditEventKind.VERSION_PUBLISHED;
-            case ROLLOUT -> AuditRecord.AuditEventKind.ROLLOUT_CHANGED;
-            case WITNESSED -> AuditRecord.AuditEventKind.PEER_AUDIT_WITNESSED;
+            case CHANGED -> AuditEventKind.VERSION_CHANGED;
+            case REFUSED -> AuditEventKind.VERSION_REJECTED;
+            case SHUT_OUT -> AuditEventKind.FENCED;
+            case LET_IN -> AuditEventKind.UNFENCED;
+            case PUBLISHED -> AuditEventKind.VERSION_PUBLISHED;
+            case ROLLOUT -> AuditEventKind.ROLLOUT_CHANGED;
+            case WITNESSED -> AuditEventKind.PEER_AUDIT_WITNESSED;
         };
     }
 
     void recordAnswer(RequestAttempt inv, AnswerKind how) {
-        spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.RECEIVED);
+        spans.count(inv.operation.name(), InvocationOutcome.RECEIVED);
         switch (how) {
-            case REPLAYED ->
-                    spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.REPLAYED);
-            case THROTTLED ->
-                    spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.THROTTLED);
-            case ERRORED ->
-                    spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.ERRORED);
+            case REPLAYED -> spans.count(inv.operation.name(), InvocationOutcome.REPLAYED);
+            case THROTTLED -> spans.count(inv.operation.name(), InvocationOutcome.THROTTLED);
+            case ERRORED -> spans.count(inv.operation.name(), InvocationOutcome.ERRORED);
             default -> {}
         }
     }
 
     /** A run is begun: of a tokened one it can be told later, under which version. */
     void recordRunStarted(RequestAttempt inv) {
-        spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.EXECUTED);
+        spans.count(inv.operation.name(), InvocationOutcome.EXECUTED);
         boolean fits =
                 inv.token != null
                         && !inv.token.isEmpty()
-                        && inv.token.length() <= AuditRecord.KeyedRun.MAX_TOKEN_CHARS;
+                        && inv.token.length() <= KeyedRun.MAX_TOKEN_CHARS;
         if (runs && fits) {
-            writer.add(new AuditRecord.KeyedRun(inv.version(), unixMs.getAsLong(), inv.token));
+            writer.add(new KeyedRun(inv.version(), unixMs.getAsLong(), inv.token));
         }
     }
 
     /** Where the chain on the disk ends, for others to know. */
-    HashChain.ChainHead chainHead() {
+    ChainHead chainHead() {
         return writer.head();
     }
 
     void close() {
         writer.add(spans.closePeriod(unixMs.getAsLong(), schedule.now()));
-        event(AuditRecord.AuditEventKind.STOPPED, spans.version(), "");
+        event(AuditEventKind.STOPPED, spans.version(), "");
         writer.close();
     }
 }
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -16,9 +16,12 @@
 import ochretiller.fleet.service.ReplicationSettings;
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.idempotency.durable.DiskHealth;
 import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.idempotency.durable.DurabilityTimeouts;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.InvocationProgress;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.metrics.Metrics;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
@@ -71,7 +74,7 @@
     private final Metrics.Counter stalls;
     private final Metrics.Counter givenUp;
     private final Metrics.Counter fromDisk;
-    private DurabilityPolicy.DiskHealth said = DurabilityPolicy.DiskHealth.HEALTHY;
+    private DiskHealth said = DiskHealth.HEALTHY;
     private long appends;
     private volatile double inDoubt;
     private volatile double oldest;
@@ -97,16 +100,16 @@
         int most = remember.mostEntries() + (copies == null ? 0 : 2 * copies.most());
         long bytes = remember.mostBytes() + (copies == null ? 0 : 4 * copies.mostBytes());
         StoreLimits limits =
-                new StoreLimits(
-                        most,
-                        bytes,
-                        most * 600L,
-                        remember.segmentBytes(),
-                        remember.rollAfter(),
-                        remember.copyRate(),
-                        0.5,
-                        longest.multipliedBy(4),
-                        longest);
+                StoreLimits.builder()
+                        .maxEntries(most)
+                        .maxBytes(bytes)
+                        .maxIndexBytes(most * 600L)
+                        .segmentBytes(remember.segmentBytes())
+                        .maxSegmentAge(remember.rollAfter())
+                        .compactionBytesPerSecond(remember.copyRate())
+                        .compactionMinRemainingLife(longest.multipliedBy(4))
+                        .maxRecordLife(longest)
+                        .build();
         long began = System.nanoTime();
         store = Store.open(disk, limits, BootClock.ofKernel(), schedule::post);
         double took = (System.nanoTime() - began) / 1e9;
@@ -122,18 +125,15 @@
         store.recoveredEntries()
                 .forEach(
                         kept -> {
-                            IdempotencyRecord mark =
-                                    IdempotencyRecord.decode(kept.key(), kept.metadata());
-                            if (mark != null) {
-                                restored.put(mark.token(), mark);
-                            }
+                            IdempotencyRecord.decode(kept.key(), kept.metadata())
+                                    .ifPresent(mark -> restored.put(mark.token(), mark));
                         });
         long marked =
                 restored.values().stream()
-                        .filter(mark -> mark.progress() == IdempotencyRecord.Progress.IN_FLIGHT)
+                        .filter(mark -> mark.progress() == InvocationProgress.IN_FLIGHT)
                         .count();
         inDoubt = marked;
-        whole = store.incompleteUntilMillis() <= store.nowMillis();
+        whole = store.incompleteFor().isZero();
         if (copies != null) {
             left.putAll(restored);
         }
@@ -148,8 +148,8 @@
                                 + Math.round(took * 1000)
                                 + " ms");
         store.damageReports().forEach(line -> LOG.severe("damage in the store: " + line));
-        if (store.incompleteUntilMillis() > store.nowMillis()) {
-            Duration blind = Duration.ofMillis(store.incompleteUntilMillis() - store.nowMillis());
+        if (!store.incompleteFor().isZero()) {
+            Duration blind = store.incompleteFor();
             memory.suspendNewKeysUntil(schedule.now().plus(blind));
             LOG.severe(
                     "what is damaged may hide a mark: new keyed invocations are throttled for "
@@ -256,26 +256,26 @@
     private void beat() {
         schedule.after(BEAT, this::beat);
         Duration now = schedule.now();
-        boolean wasSick = memory.diskHealth(now) == DurabilityPolicy.DiskHealth.UNAVAILABLE;
+        boolean wasSick = memory.diskHealth(now) == DiskHealth.UNAVAILABLE;
         memory.storeStatusChanged(store.stats().isHealthy(), store.hasRoomForNewKey(), now);
         oldest = memory.oldestAppendAge(now).toNanos() / 1e9;
-        DurabilityPolicy.DiskHealth disk = memory.diskHealth(now);
+        DiskHealth disk = memory.diskHealth(now);
         if (disk != said) {
-            if (said == DurabilityPolicy.DiskHealth.HEALTHY) {
+            if (said == DiskHealth.HEALTHY) {
                 stalls.add();
             }
             LOG.warning(
                     "the store's disk is "
                             + disk.externalName()
-                            + (disk == DurabilityPolicy.DiskHealth.UNAVAILABLE
-                                    ? ": " + store.stats().fault()
+                            + (disk == DiskHealth.UNAVAILABLE
+                                    ? ": " + store.stats().fault().orElse("")
                                     : "")
-                            + (disk == DurabilityPolicy.DiskHealth.HEALTHY
+                            + (disk == DiskHealth.HEALTHY
                                     ? " again"
                                     : "; new keyed work is throttled"));
             said = disk;
         }
-        if (wasSick && disk != DurabilityPolicy.DiskHealth.UNAVAILABLE) {
+        if (wasSick && disk != DiskHealth.UNAVAILABLE) {
             caughtUp();
         }
         if (memory.startProbeIfDue(now)) {
@@ -330,7 +330,7 @@
         long storeNow = store.nowMillis();
         IdempotencyRecord mark =
                 new IdempotencyRecord(
-                        IdempotencyRecord.Progress.IN_FLIGHT,
+                        InvocationProgress.IN_FLIGHT,
                         inv.token,
                         inv.operation.name(),
                         inv.rid,
@@ -340,12 +340,11 @@
         long number = ++appends;
         memory.appendStarted(number, now);
         boolean[] over = {false};
-        store.put(
+        store.putNew(
                 mark.encodeKey(),
                 mark.encodeMetadata(),
                 NONE,
                 life(mark, inv.operation),
-                true,
                 ack -> {
                     memory.appendCompleted(number);
                     if (over[0]) {
@@ -446,11 +445,9 @@
                 () ->
                         store.put(
                                 mark.encodeKey(),
-                                mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED)
-                                        .encodeMetadata(),
+                                mark.withProgress(InvocationProgress.SUCCEEDED).encodeMetadata(),
                                 value,
                                 life(mark, operation),
-                                false,
                                 ack -> {
                                     memory.appendCompleted(number);
                                     if (ack != AppendResult.DURABLE && !over[0]) {
@@ -478,10 +475,9 @@
         }
         store.put(
                 mark.encodeKey(),
-                mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED).encodeMetadata(),
+                mark.withProgress(InvocationProgress.SUCCEEDED).encodeMetadata(),
                 value,
                 life(mark, operation),
-                false,
                 ack -> {
                     if (ack != AppendResult.DURABLE) {
                         later(mark.token(), () -> keepLate(mark, operation, value));
@@ -495,10 +491,9 @@
         }
         store.put(
                 mark.encodeKey(),
-                mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT).encodeMetadata(),
+                mark.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT).encodeMetadata(),
                 NONE,
                 life(mark, operation),
-                false,
                 ack -> {
                     if (ack != AppendResult.DURABLE) {
                         later(mark.token(), () -> lost(mark, operation));
@@ -511,13 +506,13 @@
         store.read(
                 token.getBytes(java.nio.charset.StandardCharsets.UTF_8),
                 value -> {
-                    if (value != null && value.length > 0) {
+                    if (value.isPresent() && value.get().length > 0) {
                         fromDisk.add();
                     }
                     then.accept(
-                            value == null || value.length == 0
-                                    ? null
-                                    : Arrays.copyOfRange(value, 1, value.length));
+                            value.filter(each -> each.length > 0)
+                                    .map(each -> Arrays.copyOfRange(each, 1, each.length))
+                                    .orElse(null));
                 });
     }
 
@@ -541,12 +536,12 @@
         IdempotencyRecord mark = left.get(token);
         if (mark == null) {
             then.accept(whole ? Known.NEVER : Known.UNKNOWN);
-        } else if (mark.progress() == IdempotencyRecord.Progress.IN_FLIGHT) {
+        } else if (mark.progress() == InvocationProgress.IN_FLIGHT) {
             then.accept(Known.UNKNOWN);
         } else {
             String body = ReplicationService.body(mark.operation(), mark.bodyDigest());
             Duration ends = schedule.now().plus(left(mark));
-            if (mark.progress() == IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT) {
+            if (mark.progress() == InvocationProgress.ENDED_WITHOUT_RESULT) {
                 then.accept(new Known(Kind.ENDED, body, null, ends));
             } else {
                 readResult(
@@ -561,15 +556,12 @@
     }
 
     /** What becomes of it, where the processor was started so long ago. */
-    DurabilityPolicy.RecoveryDecision classifyPreviousRun(
-            IdempotencyRecord mark, Duration processorAge) {
-        DurabilityPolicy.RecoveryDecision found =
-                DurabilityPolicy.decideRecovery(mark, store.nowMillis() - processorAge.toMillis());
+    RecoveryDecision classifyPreviousRun(IdempotencyRecord mark, Duration processorAge) {
+        RecoveryDecision found =
+                RecoveryDecision.of(mark, store.nowMillis() - processorAge.toMillis());
         // Nobody will ever tell its end: the fleet need not wait for that either.
-        if (found == DurabilityPolicy.RecoveryDecision.REJECT) {
-            left.replace(
-                    mark.token(),
-                    mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
+        if (found == RecoveryDecision.REJECT) {
+            left.replace(mark.token(), mark.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
         }
         return found;
     }
@@ -588,11 +580,9 @@
             Runnable then) {
         inDoubt--;
         if (end == RunOutcome.Status.SUCCEEDED) {
-            left.replace(mark.token(), mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED));
+            left.replace(mark.token(), mark.withProgress(InvocationProgress.SUCCEEDED));
         } else {
-            left.replace(
-                    mark.token(),
-                    mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
+            left.replace(mark.token(), mark.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
         }
         onRunFinished(
                 mark, operation, end, result, schedule.now().plus(operation.clientTimeout()), then);
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -19,9 +20,11 @@
 import ochretiller.frontend.ClientConnections;
 import ochretiller.frontend.FailureReason;
 import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.Attempt;
 import ochretiller.idempotency.IdempotencyCache;
-import ochretiller.idempotency.durable.DurabilityPolicy;
+import ochretiller.idempotency.RestoredAttempt;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.jsonrpc.HealthChecks;
 import ochretiller.model.CallOutcome;
 import ochretiller.model.ClientId;
@@ -141,23 +144,22 @@
                 continue;
             }
             InvocationId kept = new InvocationId(--id); // those that are read count upwards
-            DurabilityPolicy.RecoveryDecision known =
-                    recall.classifyPreviousRun(mark, processorAge);
+            RecoveryDecision known = recall.classifyPreviousRun(mark, processorAge);
             // Only the processor tells a new process of runs of the old one; a worker's end is not
             // to be had any more.
-            DurabilityPolicy.RecoveryDecision found =
-                    known == DurabilityPolicy.RecoveryDecision.AWAIT_OUTCOME
-                                    && poolOf(operation) != null
-                            ? DurabilityPolicy.RecoveryDecision.REJECT
+            RecoveryDecision found =
+                    known == RecoveryDecision.AWAIT_OUTCOME && poolOf(operation) != null
+                            ? RecoveryDecision.REJECT
                             : known;
             Duration until = now().plus(recall.left(mark));
             keys.restore(
-                    kept,
-                    operation,
-                    mark.token(),
-                    mark.bodyDigest(),
-                    until,
-                    found != DurabilityPolicy.RecoveryDecision.AWAIT_OUTCOME);
+                    new RestoredAttempt(
+                            kept,
+                            operation,
+                            mark.token(),
+                            mark.bodyDigest(),
+                            found != RecoveryDecision.AWAIT_OUTCOME),
+                    until);
             choice.onEntryRestored(
                             kept,
                             until,
@@ -167,7 +169,7 @@
                                 case AWAIT_OUTCOME -> null;
                             })
                     .execute(this);
-            if (found == DurabilityPolicy.RecoveryDecision.AWAIT_OUTCOME) {
+            if (found == RecoveryDecision.AWAIT_OUTCOME) {
                 adopt(mark, operation, kept, until);
             }
         }
@@ -199,8 +201,10 @@
                             () -> {
                                 keys.complete(
                                         kept,
-                                        true,
-                                        known == RunOutcome.Status.SUCCEEDED ? result : null,
+                                        Optional.ofNullable(
+                                                known == RunOutcome.Status.SUCCEEDED
+                                                        ? result
+                                                        : null),
                                         now());
                                 choice.onEntryRestored(kept, until, known).execute(this);
                             });
@@ -216,11 +220,19 @@
         return at.plus(shift);
     }
 
+    private Attempt attempt(RequestAttempt inv) {
+        return new Attempt(
+                inv.id,
+                inv.operation,
+                Optional.ofNullable(inv.token),
+                Optional.ofNullable(inv.object),
+                counted(inv.arrived),
+                inv.t0);
+    }
+
     void onRequestRead(RequestAttempt inv) {
         Duration arrived = counted(inv.arrived);
-        InvocationId forerunner =
-                keys.findOriginalOrTrack(
-                        inv.id, inv.operation, inv.token, inv.object, arrived, inv.t0, now());
+        InvocationId forerunner = keys.findOriginalOrTrack(attempt(inv), now()).orElse(null);
         boolean differs =
                 forerunner != null && keys.conflictsWith(forerunner, inv.operation, inv.body);
         if (adopted.contains(inv.rid)) {
@@ -297,7 +309,7 @@
         }
         forerunners.remove(inv.id);
         asks.remove(inv.id);
-        keys.complete(inv.id, inv.operation.isKeyed(), null, now());
+        keys.complete(inv.id, Optional.empty(), now());
         callers.forget(inv);
     }
 
@@ -484,8 +496,7 @@
                                     () -> {
                                         inv.runs(false);
                                         if (end == RunOutcome.Status.SUCCEEDED) {
-                                            keys.complete(
-                                                    id, inv.operation.isKeyed(), result, now());
+                                            keys.complete(id, Optional.ofNullable(result), now());
                                             callers.succeed(inv, result);
                                         } else if (end != RunOutcome.Status.NOT_DISPATCHED) {
                                             callers.fail(
@@ -563,12 +574,14 @@
     @Override
     public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
         RequestAttempt inv = tries.get(id);
-        InvocationId kept = inv.token == null ? forerunners.get(id) : keys.findByToken(inv.token);
+        InvocationId kept =
+                inv.token == null ? forerunners.get(id) : keys.findByToken(inv.token).orElse(null);
         // In the next gathering: the decisions are still at work on the arrival.
         InvocationId same = keys.conflictsWith(kept, inv.operation, inv.body) ? null : kept;
         keys.whenCompleted(
-                same,
-                result -> {
+                Optional.ofNullable(same),
+                cached -> {
+                    byte[] result = cached.orElse(null);
                     // What has no room in memory, or was never read back since a restart, is on the
                     // disk.
                     if (result == null && same != null && recall != null && inv.token != null) {
@@ -654,7 +667,7 @@
     @Override
     public void putIdempotencyEntry(InvocationId id, Duration span) {
         RequestAttempt inv = tries.get(id);
-        keys.track(id, inv.operation, inv.token, inv.body, inv.t0, now().plus(span));
+        keys.track(attempt(inv), inv.body, now().plus(span));
     }
 
     @Override
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -16,7 +16,7 @@
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
 import ochretiller.admission.AdmissionController;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.rollout.VersionCounters;
@@ -29,6 +29,7 @@
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.idempotency.IdempotencyCache;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.InvocationProgress;
 import ochretiller.jsonrpc.HealthChecks;
 import ochretiller.jsonrpc.JsonRpcFrontend;
 import ochretiller.metrics.Metrics;
@@ -602,8 +603,8 @@
         }
 
         @Override
-        public HashChain.ChainHead audited() {
-            return auditor == null ? HashChain.ChainHead.EMPTY : auditor.chainHead();
+        public ChainHead audited() {
+            return auditor == null ? ChainHead.EMPTY : auditor.chainHead();
         }
     }
 
@@ -615,9 +616,9 @@
         if (!mark.operation().equals(inv.operation.name())
                 || !mark.hasBodyDigest(IdempotencyCache.bodyDigest(inv.body))) {
             callers.fail(inv, FailureReason.OTHER_BODY);
-        } else if (mark.progress() == IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT) {
+        } else if (mark.progress() == InvocationProgress.ENDED_WITHOUT_RESULT) {
             callers.fail(inv, FailureReason.FAILED);
-        } else if (mark.progress() == IdempotencyRecord.Progress.SUCCEEDED) {
+        } else if (mark.progress() == InvocationProgress.SUCCEEDED) {
             recall.readResult(
                     inv.token,
                     result -> {
--- a/src/main/java/ochretiller/store/AppendResult.java
+++ b/src/main/java/ochretiller/store/AppendResult.java
@@ -1,15 +1,22 @@
 package ochretiller.store;
 
-/** What became of an append. */
+/** Outcome of one append, as handed to its {@link AppendCallback}. */
 public enum AppendResult {
-    /** It is on the medium and outlives a power cut. */
+    /** The record is on stable storage and survives a power loss. */
     DURABLE,
-    /** The disk failed at it: it may be on the medium or not, and a later start may find it. */
+    /**
+     * The write or the force failed. The record may or may not be on the medium, and the recovery
+     * of a later start may find it; the store never retries it, since a failed {@code fsync} proves
+     * nothing about the pages it covered.
+     */
     UNKNOWN,
-    /** The bounds leave no room; nothing was written. */
+    /** The configured bounds leave no room; nothing was written. */
     CAPACITY_EXCEEDED,
-    /** The disk has failed before and was not found well since; nothing was written. */
+    /**
+     * The disk failed earlier and no {@link Store#probe probe} has succeeded since, or the store is
+     * closing; nothing was written.
+     */
     UNAVAILABLE,
-    /** Too much waits for the disk already; nothing was written. */
+    /** The queue in front of the writer thread is full; nothing was written. */
     QUEUE_FULL
 }
--- a/src/main/java/ochretiller/store/BootClock.java
+++ b/src/main/java/ochretiller/store/BootClock.java
@@ -3,36 +3,44 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.UUID;
 import java.util.function.LongSupplier;
 
 /**
- * A clock that nobody can set, as far as the machine has one.
+ * A monotonic clock that keeps counting while no process runs, as far as the machine offers one.
+ * Immutable; safe for any thread as long as the supplier is.
  *
- * @param bootId names the run of the machine, so that a restarted process knows whether the clock
- *     went on; null where that cannot be told
- * @param uptimeMillis milliseconds since a moment that is the same for all processes under this id
+ * @param bootId identifies the boot of the machine, so that a restarted process can tell whether
+ *     the clock kept counting; empty where the machine does not say
+ * @param uptimeMillis milliseconds since an instant that all processes under one {@code bootId}
+ *     share
  */
-public record BootClock(UUID bootId, LongSupplier uptimeMillis) {
+public record BootClock(Optional<UUID> bootId, LongSupplier uptimeMillis) {
+    private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
+    private static final Path UPTIME_FILE = Path.of("/proc/uptime");
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
     /**
-     * The kernel's own time since boot; where it is not told, time since the start of this process.
+     * The kernel's uptime under its boot id; where the kernel does not tell them, the time since
+     * this call under no boot id.
      */
     public static BootClock ofKernel() {
         try {
-            UUID id =
-                    UUID.fromString(
-                            Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).trim());
-            long atStart = uptime();
-            long start = System.nanoTime();
-            return new BootClock(id, () -> atStart + (System.nanoTime() - start) / 1_000_000);
+            UUID bootId = UUID.fromString(Files.readString(BOOT_ID_FILE).trim());
+            return new BootClock(Optional.of(bootId), countingFrom(kernelUptimeMillis()));
         } catch (IOException | IllegalArgumentException e) {
-            long start = System.nanoTime();
-            return new BootClock(null, () -> (System.nanoTime() - start) / 1_000_000);
+            return new BootClock(Optional.empty(), countingFrom(0));
         }
     }
 
-    private static long uptime() throws IOException {
-        String text = Files.readString(Path.of("/proc/uptime"));
+    private static LongSupplier countingFrom(long startMillis) {
+        long startNanos = System.nanoTime();
+        return () -> startMillis + (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
+    }
+
+    private static long kernelUptimeMillis() throws IOException {
+        String text = Files.readString(UPTIME_FILE);
         return (long) (Double.parseDouble(text.substring(0, text.indexOf(' '))) * 1000);
     }
 }
--- a/src/main/java/ochretiller/store/Compaction.java
+++ b/src/main/java/ochretiller/store/Compaction.java
@@ -9,175 +9,202 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Copies what is live of one sealed segment into a file beside it, a step at a time, and puts that
- * in its place at once. The number stays: order between segments does not matter, since the newest
- * record of a key is known by its sequence.
+ * Copies the live records of one sealed segment into a file beside it, a step at a time, and then
+ * replaces the segment by the copy atomically. The segment keeps its number: the order of segments
+ * does not matter, as the newest record of a key is known by its sequence number. Owned by the
+ * thread that owns the {@link Index}.
  */
 final class Compaction {
-    private static final int STEP = 256 * 1024;
-    private static final byte[] NONE = new byte[0];
+    /** Most bytes that one step copies, so that appends wait for no longer. */
+    private static final int STEP_BYTES = 256 * 1024;
+
+    /** A rate that limits nothing. */
+    static final long UNLIMITED_RATE = Long.MAX_VALUE;
 
     private final Segment segment;
-    private final long rate;
-    private final long begunAt;
-    private final List<Index.IndexEntry> live;
-    private final Map<Index.IndexEntry, Integer> places = new HashMap<>();
-    private StorageDirectory.StorageFile from;
-    private StorageDirectory.StorageFile to;
-    private int next;
-    private long size = RecordFormat.SEGMENT_HEADER_BYTES;
-    private boolean done;
-
-    Compaction(Segment segment, long rate, long now) {
+    private final long bytesPerSecond;
+    private final long startedAtMillis;
+    private final List<IndexEntry> liveEntries;
+    private final Map<IndexEntry, Integer> newOffsets = new HashMap<>();
+    private Optional<OpenFiles> files = Optional.empty();
+    private int nextEntry;
+    private long copySizeBytes = SegmentHeader.BYTES;
+
+    /** The segment and its copy while it is written. */
+    private record OpenFiles(StorageFile source, StorageFile copy) implements Closeable {
+        @Override
+        public void close() throws IOException {
+            try (source;
+                    copy) {
+                // closes both, whichever fails
+            }
+        }
+    }
+
+    /**
+     * A compaction that has not touched the disk yet.
+     *
+     * @param segment sealed, not damaged
+     * @param bytesPerSecond rate at which it may copy, or {@link #UNLIMITED_RATE}
+     */
+    Compaction(Segment segment, long bytesPerSecond, long nowMillis) {
         this.segment = segment;
-        this.rate = rate;
-        this.begunAt = now;
-        this.live = new ArrayList<>(segment.liveEntries());
-        live.removeIf(
-                slot ->
-                        slot.expiresAtMillis
-                                <= now); // a removal that is past its time hides nothing any more
-        live.sort(Comparator.comparingInt(slot -> slot.offset));
+        this.bytesPerSecond = bytesPerSecond;
+        this.startedAtMillis = nowMillis;
+        this.liveEntries = new ArrayList<>(segment.liveEntries());
+        liveEntries.removeIf(
+                entry -> entry.isExpired(nowMillis)); // an expired tombstone hides nothing any more
+        liveEntries.sort(Comparator.comparingInt(IndexEntry::offset));
     }
 
     /**
-     * The segment that gains most by it, or null: most of it is dead, and it will not soon be
-     * dropped as a whole.
+     * The segment with the most dead bytes, among those that are mostly dead and will not soon
+     * expire as a whole.
      */
-    static Compaction next(
-            Collection<Segment> segments, Segment active, StoreLimits limits, long now) {
-        Segment best = null;
-        for (Segment each : segments) {
-            boolean worth =
-                    each != active
-                            && each.sealed
-                            && !each.damaged
-                            && each.deadRatio() >= limits.compactionDeadRatio()
-                            && each.lastExpiryMillis - now
-                                    > limits.compactionMinRemainingLife().toMillis();
-            if (worth && (best == null || each.deadBytes > best.deadBytes)) {
-                best = each;
-            }
-        }
-        return best == null ? null : new Compaction(best, limits.compactionBytesPerSecond(), now);
+    static Optional<Compaction> mostWorthwhile(
+            Collection<Segment> candidates, StoreLimits limits, long nowMillis) {
+        return candidates.stream()
+                .filter(segment -> isWorthwhile(segment, limits, nowMillis))
+                .reduce((best, each) -> each.deadBytes() > best.deadBytes() ? each : best)
+                .map(best -> new Compaction(best, limits.compactionBytesPerSecond(), nowMillis));
+    }
+
+    private static boolean isWorthwhile(Segment segment, StoreLimits limits, long nowMillis) {
+        long remainingLifeMillis = segment.lastExpiryMillis() - nowMillis;
+        return segment.isSealed()
+                && !segment.isDamaged()
+                && segment.deadRatio() >= limits.compactionDeadRatio()
+                && remainingLifeMillis > limits.compactionMinRemainingLife().toMillis();
     }
 
     Segment segment() {
         return segment;
     }
 
-    private String copy() {
-        return segment.fileName() + ".tmp";
+    private String copyFileName() {
+        return segment.fileName() + SegmentFileName.TEMPORARY_SUFFIX;
     }
 
-    /** Copies a little, as the rate allows; true once all is in the copy and on the medium. */
-    boolean step(StorageDirectory disk, long now) throws IOException {
-        if (to == null) {
-            disk.delete(copy());
-            from = disk.open(segment.fileName());
-            to = disk.create(copy());
-            ByteBuffer header = ByteBuffer.allocate(RecordFormat.SEGMENT_HEADER_BYTES);
-            from.read(header, 0);
-            to.write(header.flip(), 0);
+    /**
+     * Copies as much as the rate allows.
+     *
+     * @return true once the copy is complete, sealed and on stable storage, so that {@link #finish}
+     *     is due
+     * @throws IOException where the disk fails or a record of the segment turns out to be damaged
+     */
+    boolean step(StorageDirectory directory, long nowMillis) throws IOException {
+        if (files.isEmpty()) {
+            files = Optional.of(openFiles(directory));
         }
-        long allowed =
-                rate == Long.MAX_VALUE
-                        ? STEP
-                        : Math.min(STEP, rate * (now - begunAt + 1) / 1000 - size);
-        ByteBuffer out = ByteBuffer.allocate(STEP + RecordFormat.MAX_RECORD_BYTES);
-        while (next < live.size() && out.position() < allowed) {
-            Index.IndexEntry slot = live.get(next++);
-            if (slot.superseded) {
-                continue;
+        OpenFiles open = files.get();
+        ByteBuffer out = ByteBuffer.allocate(STEP_BYTES + RecordFormat.MAX_RECORD_BYTES);
+        long allowedBytes = allowedBytes(nowMillis);
+        while (nextEntry < liveEntries.size() && out.position() < allowedBytes) {
+            IndexEntry entry = liveEntries.get(nextEntry);
+            nextEntry++;
+            if (!entry.isSuperseded()) {
+                copyRecord(open.source(), entry, out);
             }
-            ByteBuffer record = ByteBuffer.allocate(slot.recordBytes);
-            from.read(record, slot.offset);
-            // Guards against spreading damage: a record that went bad stays where it is, and so
-            // does its segment.
-            if (RecordFormat.inspect(record.flip()) != RecordFormat.RecordStatus.VALID) {
-                throw new IOException("damage in " + segment.fileName());
-            }
-            places.put(slot, (int) (size + out.position()));
-            out.put(record);
         }
         if (out.position() > 0) {
             int bytes = out.position();
-            to.write(out.flip(), size);
-            to.force();
-            size += bytes;
+            open.copy().write(out.flip(), copySizeBytes);
+            open.copy().force();
+            copySizeBytes += bytes;
         }
-        if (next < live.size()) {
+        if (nextEntry < liveEntries.size()) {
             return false;
         }
-        if (!done) {
-            ByteBuffer seal = ByteBuffer.allocate(HintFile.SEAL_BYTES);
-            RecordFormat.encode(
-                    seal,
-                    lastSequence(),
-                    RecordFormat.SEAL,
-                    0,
-                    NONE,
-                    NONE,
-                    ByteBuffer.allocate(8).putLong(places.size()).array());
-            to.write(seal.flip(), size);
-            to.force();
-            size += HintFile.SEAL_BYTES;
-            done = true;
-        }
+        long lastSequence = liveEntries.stream().mapToLong(IndexEntry::sequence).max().orElse(0);
+        open.copy().write(RecordFormat.encodeSeal(lastSequence, newOffsets.size()), copySizeBytes);
+        open.copy().force();
+        copySizeBytes += RecordFormat.SEAL_BYTES;
         return true;
     }
 
-    private long lastSequence() {
-        return live.stream().mapToLong(slot -> slot.sequence).max().orElse(0);
+    private OpenFiles openFiles(StorageDirectory directory) throws IOException {
+        directory.delete(copyFileName());
+        StorageFile source = directory.open(segment.fileName());
+        try {
+            StorageFile copy = directory.create(copyFileName());
+            ByteBuffer header = ByteBuffer.allocate(SegmentHeader.BYTES);
+            source.read(header, 0);
+            copy.write(header.flip(), 0);
+            return new OpenFiles(source, copy);
+        } catch (IOException e) {
+            source.close();
+            throw e;
+        }
+    }
+
+    private long allowedBytes(long nowMillis) {
+        if (bytesPerSecond == UNLIMITED_RATE) {
+            return STEP_BYTES;
+        }
+        long allowedSoFar = bytesPerSecond * (nowMillis - startedAtMillis + 1) / 1000;
+        return Math.min(STEP_BYTES, allowedSoFar - copySizeBytes);
+    }
+
+    private void copyRecord(StorageFile source, IndexEntry entry, ByteBuffer out)
+            throws IOException {
+        ByteBuffer record = ByteBuffer.allocate(entry.recordBytes());
+        source.read(record, entry.offset());
+        record.flip();
+        // A record that went bad is not copied, so that damage stays where it is and its segment is
+        // kept.
+        if (RecordFormat.inspect(record) != RecordStatus.VALID) {
+            throw new IOException("damage in " + segment.fileName());
+        }
+        newOffsets.put(entry, (int) (copySizeBytes + out.position()));
+        out.put(record);
     }
 
     /**
-     * Puts the copy in the segment's place, on the medium too, and tells the index; returns the
-     * bytes copied.
+     * Replaces the segment by its complete copy and updates the index.
+     *
+     * @return bytes of the copy
+     * @throws IOException where the disk fails; either file holds all that is live, whichever a
+     *     restart finds
      */
-    long finish(StorageDirectory disk, Index index) throws IOException {
-        close();
-        disk.delete(RecordFormat.hintFileName(segment.number));
-        disk.rename(copy(), segment.fileName());
-        // From here on the copy is what is read, whether or not the folder can be forced: either
-        // file holds all that is live.
-        List<Index.IndexEntry> gone =
-                segment.liveEntries().stream().filter(slot -> !places.containsKey(slot)).toList();
-        index.forget(gone);
-        long dead = HintFile.SEAL_BYTES;
-        for (Map.Entry<Index.IndexEntry, Integer> each : places.entrySet()) {
-            each.getKey().offset = each.getValue();
-            if (each.getKey().superseded) {
-                dead += each.getKey().recordBytes;
-            }
+    long finish(StorageDirectory directory, Index index) throws IOException {
+        closeFiles();
+        directory.delete(segment.hintFileName());
+        directory.rename(copyFileName(), segment.fileName());
+        // From here on the copy is read, even where forcing the directory fails.
+        List<IndexEntry> expired =
+                segment.liveEntries().stream()
+                        .filter(entry -> !newOffsets.containsKey(entry))
+                        .toList();
+        index.removeAll(expired);
+        long deadBytes = RecordFormat.SEAL_BYTES;
+        for (Map.Entry<IndexEntry, Integer> moved : newOffsets.entrySet()) {
+            IndexEntry entry = moved.getKey();
+            entry.moveTo(moved.getValue());
+            deadBytes += entry.isSuperseded() ? entry.recordBytes() : 0;
         }
-        segment.size = size;
-        segment.deadBytes = dead;
-        segment.records = places.size() + 1;
-        disk.forceDirectory();
-        return size;
+        segment.replacedByCopy(copySizeBytes, deadBytes, newOffsets.size() + 1);
+        directory.forceDirectory();
+        return copySizeBytes;
     }
 
-    void abandon(StorageDirectory disk) {
+    /** Gives the copy up; the segment stays as it is. */
+    void abandon(StorageDirectory directory) {
         try {
-            close();
-            disk.delete(copy());
+            closeFiles();
+            directory.delete(copyFileName());
         } catch (IOException e) {
-            // a start deletes it
+            // The disk failed, which is why the copy is abandoned; the next start deletes it.
         }
     }
 
-    private void close() throws IOException {
-        Closeable first = from;
-        Closeable second = to;
-        from = to = null;
-        if (first != null) {
-            first.close();
-        }
-        if (second != null) {
-            second.close();
+    private void closeFiles() throws IOException {
+        Optional<OpenFiles> open = files;
+        files = Optional.empty();
+        if (open.isPresent()) {
+            open.get().close();
         }
     }
 }
--- a/src/main/java/ochretiller/store/GroupCommitDelay.java
+++ b/src/main/java/ochretiller/store/GroupCommitDelay.java
@@ -1,59 +1,75 @@
 package ochretiller.store;
 
 /**
- * Decides how long a group waits for more before it is forced. Callers that wait for an
- * acknowledgement tend to come back with their next append just behind it; a force that starts with
- * the first of them leaves the others to the next one, and groups are half as large as they could
- * be. So the next group waits a little for as many as the last force has answered and found
- * waiting, and stops doing so for a while where they do not come. Time is handed in.
+ * Decides how long a group commit waits for more appends before it is forced. Time is handed in;
+ * owned by the writer thread.
+ *
+ * <p>Callers tend to send their next append right after the acknowledgement of the last one. A
+ * force that starts with the first of them leaves the others to the next force, so groups are half
+ * as large as they could be. The next group therefore waits briefly for as many appends as the last
+ * force acknowledged and found queued; where they do not come, a growing number of groups does not
+ * wait at all.
  */
 final class GroupCommitDelay {
     /**
-     * Share of a force's usual time that a group may wait: what is lost at most where nobody comes.
+     * Share of the usual force time that a group may wait; the most that is lost where nobody
+     * comes.
      */
-    private static final double SHARE = 0.25;
+    private static final double MAX_WAIT_SHARE = 0.25;
 
-    /** Weight of the last force in what is usual. */
-    private static final double NEW = 0.2;
-
-    /** Longest wait, nanoseconds: a slow disk must not make it a delay of its own. */
-    private static final long MOST = 500_000;
+    /** Weight of the last force in the moving average of force times. */
+    private static final double NEW_SAMPLE_WEIGHT = 0.2;
 
     /**
-     * Groups that are forced at once behind waits in vain, at most; each wait in vain doubles them.
+     * Longest wait in nanoseconds, so that a slow disk does not turn it into a delay of its own.
      */
-    private static final int MOST_SKIPPED = 64;
+    private static final long MAX_WAIT_NANOS = 500_000;
+
+    /** Most groups that do not wait after waits in vain; each wait in vain doubles their number. */
+    private static final int MAX_SKIPPED_GROUPS = 64;
 
     private int expectedAppends = 1;
-    private double usual;
-    private int skips;
-    private int left;
+    private double averageForceNanos;
+    private int skipsAfterLastWait;
+    private int remainingSkips;
 
-    /** How many the next group hopes for; one means that it does not wait. */
+    /** Size that the next group waits for; 1 means that it does not wait. */
     int expectedAppends() {
-        return left > 0 ? 1 : expectedAppends;
+        return remainingSkips > 0 ? 1 : expectedAppends;
     }
 
-    /** How long it may wait for them, nanoseconds. */
+    /** Longest time to wait for them, nanoseconds. */
     long maxWaitNanos() {
-        return (long) Math.min(MOST, usual * SHARE);
+        return (long) Math.min(MAX_WAIT_NANOS, averageForceNanos * MAX_WAIT_SHARE);
     }
 
-    /** So many had come when the wait was over. */
-    void waitEnded(int many) {
-        if (left > 0) {
-            left--;
-        } else if (expectedAppends > 1 && many < expectedAppends) {
-            skips = Math.min(MOST_SKIPPED, Math.max(1, skips * 2));
-            left = skips;
+    /** The wait is over, or there was none; the group has this many appends. */
+    void waitEnded(int groupSize) {
+        if (remainingSkips > 0) {
+            remainingSkips--;
+            return;
+        }
+        boolean waitedInVain = expectedAppends > 1 && groupSize < expectedAppends;
+        if (waitedInVain) {
+            skipsAfterLastWait = Math.min(MAX_SKIPPED_GROUPS, Math.max(1, skipsAfterLastWait * 2));
+            remainingSkips = skipsAfterLastWait;
         } else {
-            skips = 0;
+            skipsAfterLastWait = 0;
         }
     }
 
-    /** A group was forced: so many were answered, so many wait already, and it took so long. */
-    void forceCompleted(int answered, int waiting, long nanos) {
-        expectedAppends = answered + waiting;
-        usual = usual == 0 ? nanos : usual + NEW * (nanos - usual);
+    /**
+     * A group was forced.
+     *
+     * @param acknowledged appends of the group
+     * @param queued appends that are waiting already
+     * @param forceNanos duration of the write and the force
+     */
+    void forceCompleted(int acknowledged, int queued, long forceNanos) {
+        expectedAppends = acknowledged + queued;
+        averageForceNanos =
+                averageForceNanos == 0
+                        ? forceNanos
+                        : averageForceNanos + NEW_SAMPLE_WEIGHT * (forceNanos - averageForceNanos);
     }
 }
--- a/src/main/java/ochretiller/store/HintFile.java
+++ b/src/main/java/ochretiller/store/HintFile.java
@@ -4,129 +4,173 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What the index needs of a sealed segment, so that a start need not read the values. It binds
- * itself to the segment by its size and the check sum of its seal; one that is not whole or not of
- * this file is passed over.
+ * The index entries of a sealed segment, in a file beside it (Bitcask's hint file), so that a start
+ * need not read the values. It binds itself to its segment by size and by the checksum of the seal;
+ * one that is torn or belongs to another file is ignored. Layout: {@code docs/store-format.md},
+ * "Hint". Owned by the thread that owns the {@link Index}.
  *
- * @param deadBytes bytes of records that newer ones of the same segment have replaced, the seal
- *     with them
+ * @param entries live entries of the segment
+ * @param recordCount records of the segment, the seal included
+ * @param lastSequence highest sequence number in use when the hint was written
+ * @param deadBytes bytes of the segment that no entry covers, the seal included
  */
-record HintFile(List<Index.IndexEntry> entries, int records, long lastSequence, long deadBytes) {
-    private static final int START = 48;
-    private static final int FIXED = 31;
+record HintFile(List<IndexEntry> entries, int recordCount, long lastSequence, long deadBytes) {
+    /** "OCHREHNT". */
+    private static final long MAGIC = 0x4F4348_5245484E54L;
 
-    /** A seal is a record without key and meta whose value counts those before it. */
-    static final int SEAL_BYTES = RecordFormat.recordBytes(0, 0, 8);
+    private static final int HEADER_BYTES = 48;
+    private static final int CHECKSUM_BYTES = 4;
 
-    private static int sealSum(StorageDirectory.StorageFile file, long size) throws IOException {
-        ByteBuffer seal = ByteBuffer.allocate(SEAL_BYTES);
-        if (size < RecordFormat.SEGMENT_HEADER_BYTES + SEAL_BYTES
-                || file.read(seal, size - SEAL_BYTES) < SEAL_BYTES) {
-            return 0;
-        }
-        seal.flip();
-        if (RecordFormat.inspect(seal) != RecordFormat.RecordStatus.VALID
-                || RecordFormat.decode(seal).kind() != RecordFormat.SEAL) {
-            return 0;
+    /** Bytes of an entry beside its key and metadata. */
+    private static final int ENTRY_FIXED_BYTES = 31;
+
+    /** Writes the hint of a sealed segment. It is not forced: a start does without it. */
+    static void write(StorageDirectory directory, Segment segment, long lastSequence)
+            throws IOException {
+        ByteBuffer bytes = encode(segment, readSealChecksum(directory, segment), lastSequence);
+        String name = segment.hintFileName();
+        String temporaryName = name + SegmentFileName.TEMPORARY_SUFFIX;
+        directory.delete(name);
+        try (StorageFile file = directory.create(temporaryName)) {
+            file.write(bytes, 0);
         }
-        return seal.getInt(12);
+        directory.rename(temporaryName, name);
     }
 
-    /** Writes it beside its segment. It need not be forced: a start does without it. */
-    static void write(StorageDirectory disk, Segment segment, long lastSequence)
+    private static int readSealChecksum(StorageDirectory directory, Segment segment)
             throws IOException {
-        int sum;
-        try (StorageDirectory.StorageFile file = disk.open(segment.fileName())) {
-            sum = sealSum(file, segment.size);
+        try (StorageFile file = directory.open(segment.fileName())) {
+            return sealChecksum(file, segment.sizeBytes());
         }
-        List<Index.IndexEntry> slots = segment.liveEntries();
-        int length = START + 4;
-        for (Index.IndexEntry slot : slots) {
-            length += FIXED + slot.key.bytes.length + slot.metadata.length;
+    }
+
+    private static ByteBuffer encode(Segment segment, int sealChecksum, long lastSequence) {
+        List<IndexEntry> entries = segment.liveEntries();
+        int length = HEADER_BYTES + CHECKSUM_BYTES;
+        for (IndexEntry entry : entries) {
+            length += ENTRY_FIXED_BYTES + entry.key().length() + entry.metadata().length;
         }
         ByteBuffer out = ByteBuffer.allocate(length);
-        out.putLong(RecordFormat.HINT_MAGIC)
-                .putShort((short) RecordFormat.VERSION)
-                .putShort((short) 0)
-                .putInt(slots.size())
-                .putLong(segment.size)
-                .putInt(sum)
-                .putInt(segment.records)
-                .putLong(lastSequence)
-                .putLong(segment.number);
-        for (Index.IndexEntry slot : slots) {
-            out.putLong(slot.sequence)
-                    .put(slot.kind)
-                    .putLong(slot.expiresAtMillis)
-                    .putInt(slot.offset)
-                    .putInt(slot.recordBytes)
-                    .putShort((short) slot.key.bytes.length)
-                    .putInt(slot.metadata.length)
-                    .put(slot.key.bytes)
-                    .put(slot.metadata);
-        }
+        out.putLong(MAGIC);
+        out.putShort((short) RecordFormat.VERSION);
+        out.putShort((short) 0);
+        out.putInt(entries.size());
+        out.putLong(segment.sizeBytes());
+        out.putInt(sealChecksum);
+        out.putInt(segment.recordCount());
+        out.putLong(lastSequence);
+        out.putLong(segment.number());
+        entries.forEach(entry -> encode(entry, out));
         out.putInt(RecordFormat.checksum(out.array(), 0, out.position()));
-        String name = RecordFormat.hintFileName(segment.number);
-        disk.delete(name);
-        try (StorageDirectory.StorageFile file = disk.create(name + ".tmp")) {
-            file.write(out.flip(), 0);
-        }
-        disk.rename(name + ".tmp", name);
+        return out.flip();
+    }
+
+    private static void encode(IndexEntry entry, ByteBuffer out) {
+        out.putLong(entry.sequence());
+        out.put(entry.kind());
+        out.putLong(entry.expiresAtMillis());
+        out.putInt(entry.offset());
+        out.putInt(entry.recordBytes());
+        out.putShort((short) entry.key().length());
+        out.putInt(entry.metadata().length);
+        out.put(entry.key().bytes());
+        out.put(entry.metadata());
     }
 
-    /** The hint of this segment, or null. */
-    static HintFile read(
-            StorageDirectory disk,
-            StorageDirectory.StorageFile segmentFile,
-            Segment segment,
-            long size)
+    /**
+     * Reads the hint of a segment.
+     *
+     * @param segmentFile the segment itself, open
+     * @param segment what the entries will refer to; it is not changed
+     * @param segmentSize length of the segment's file in bytes
+     * @return empty where the hint is torn, damaged or was written for other contents
+     */
+    static Optional<HintFile> read(
+            StorageDirectory directory, StorageFile segmentFile, Segment segment, long segmentSize)
             throws IOException {
-        ByteBuffer in;
-        try (StorageDirectory.StorageFile file =
-                disk.open(RecordFormat.hintFileName(segment.number))) {
-            long length = file.size();
-            if (length < START + 4 || length > Integer.MAX_VALUE - 8) {
-                return null;
-            }
-            in = ByteBuffer.allocate((int) length);
-            file.read(in, 0);
+        Optional<ByteBuffer> contents = readContents(directory, segment.hintFileName());
+        if (contents.isEmpty()) {
+            return Optional.empty();
         }
-        in.flip();
-        int end = in.limit() - 4;
-        if (in.getLong() != RecordFormat.HINT_MAGIC || in.getShort() != RecordFormat.VERSION) {
-            return null;
+        ByteBuffer in = contents.get();
+        int checksumOffset = in.limit() - CHECKSUM_BYTES;
+        if (in.getLong() != MAGIC || in.getShort() != RecordFormat.VERSION) {
+            return Optional.empty();
         }
-        if (in.getInt(end) != RecordFormat.checksum(in.array(), 0, end)) {
-            return null;
+        if (in.getInt(checksumOffset)
+                != RecordFormat.checksum(in.array(), in.arrayOffset(), checksumOffset)) {
+            return Optional.empty();
         }
-        in.getShort();
-        int count = in.getInt();
-        if (in.getLong() != size || in.getInt() != sealSum(segmentFile, size)) {
-            return null;
+        in.getShort(); // reserved
+        int entryCount = in.getInt();
+        if (in.getLong() != segmentSize || in.getInt() != sealChecksum(segmentFile, segmentSize)) {
+            return Optional.empty();
         }
-        int records = in.getInt();
+        int recordCount = in.getInt();
         long lastSequence = in.getLong();
-        if (in.getLong() != segment.number) {
-            return null;
+        if (in.getLong() != segment.number()) {
+            return Optional.empty();
         }
-        List<Index.IndexEntry> slots = new ArrayList<>(count);
-        long dead = size - RecordFormat.SEGMENT_HEADER_BYTES;
+        List<IndexEntry> entries = decodeEntries(in, entryCount, segment);
+        long liveBytes = entries.stream().mapToLong(IndexEntry::recordBytes).sum();
+        return Optional.of(
+                new HintFile(
+                        entries,
+                        recordCount,
+                        lastSequence,
+                        segmentSize - SegmentHeader.BYTES - liveBytes));
+    }
+
+    private static Optional<ByteBuffer> readContents(StorageDirectory directory, String name)
+            throws IOException {
+        try (StorageFile file = directory.open(name)) {
+            long length = file.size();
+            if (length < HEADER_BYTES + CHECKSUM_BYTES || length > Integer.MAX_VALUE - Long.BYTES) {
+                return Optional.empty();
+            }
+            ByteBuffer in = ByteBuffer.allocate((int) length);
+            file.read(in, 0);
+            return Optional.of(in.flip());
+        }
+    }
+
+    private static List<IndexEntry> decodeEntries(ByteBuffer in, int count, Segment segment) {
+        List<IndexEntry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             long sequence = in.getLong();
             byte kind = in.get();
-            long expires = in.getLong();
-            int at = in.getInt();
-            int bytes = in.getInt();
-            byte[] key = new byte[in.getShort() & 0xFFFF];
-            byte[] meta = new byte[in.getInt()];
-            in.get(key).get(meta);
-            slots.add(
-                    new Index.IndexEntry(
-                            new StoreKey(key), sequence, kind, expires, meta, bytes, segment, at));
-            dead -= bytes;
+            long expiresAtMillis = in.getLong();
+            int offset = in.getInt();
+            int recordBytes = in.getInt();
+            byte[] key = new byte[Short.toUnsignedInt(in.getShort())];
+            byte[] metadata = new byte[in.getInt()];
+            in.get(key);
+            in.get(metadata);
+            RecordAttributes attributes =
+                    new RecordAttributes(sequence, kind, expiresAtMillis, recordBytes);
+            entries.add(new IndexEntry(new StoreKey(key), metadata, attributes, segment, offset));
+        }
+        return entries;
+    }
+
+    /** Checksum of the seal at the end of a segment, 0 where it has none. */
+    private static int sealChecksum(StorageFile segmentFile, long segmentSize) throws IOException {
+        ByteBuffer seal = ByteBuffer.allocate(RecordFormat.SEAL_BYTES);
+        if (segmentSize < SegmentHeader.BYTES + RecordFormat.SEAL_BYTES) {
+            return 0;
+        }
+        if (segmentFile.read(seal, segmentSize - RecordFormat.SEAL_BYTES)
+                < RecordFormat.SEAL_BYTES) {
+            return 0;
+        }
+        seal.flip();
+        if (RecordFormat.inspect(seal) != RecordStatus.VALID) {
+            return 0;
         }
-        return new HintFile(slots, records, lastSequence, dead);
+        boolean isSeal = RecordFormat.decode(seal).attributes().kind() == RecordFormat.SEAL;
+        return isSeal ? seal.getInt(RecordFormat.CHECKSUM_OFFSET) : 0;
     }
 }
--- a/src/main/java/ochretiller/store/Index.java
+++ b/src/main/java/ochretiller/store/Index.java
@@ -3,102 +3,82 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
 
-/** What is live and where it lies. It is owned by one thread at a time. */
+/**
+ * The in-memory directory of keys (Bitcask's "keydir"): for each key the newest record, and where
+ * on disk it lies. Not safe for several threads: the thread that opens the store owns it first, the
+ * writer thread from {@link Store#start} on.
+ */
 final class Index {
     /**
-     * Bytes of memory that an entry takes beside its key and meta: two objects, two arrays, its
-     * place in the map.
+     * Memory of an entry beside its key and metadata: two objects, two array headers and its place
+     * in the map.
      */
     static final int ENTRY_OVERHEAD_BYTES = 200;
 
-    /**
-     * The newest record of a key; a removed one stays until it expires, so that an older record
-     * cannot come back.
-     */
-    static final class IndexEntry {
-        final StoreKey key;
-        final long sequence;
-        final byte kind;
-        final long expiresAtMillis;
-        final byte[] metadata;
-        final int recordBytes;
-        Segment segment;
-        int offset;
-
-        /** A newer record of its key has been told. */
-        boolean superseded;
-
-        IndexEntry(
-                StoreKey key,
-                long sequence,
-                byte kind,
-                long expires,
-                byte[] meta,
-                int size,
-                Segment segment,
-                int at) {
-            this.key = key;
-            this.sequence = sequence;
-            this.kind = kind;
-            this.expiresAtMillis = expires;
-            this.metadata = meta;
-            this.recordBytes = size;
-            this.segment = segment;
-            this.offset = at;
-        }
-
-        boolean isPut() {
-            return kind == RecordFormat.PUT;
-        }
-    }
-
-    private final Map<StoreKey, IndexEntry> slots = new HashMap<>();
+    private final Map<StoreKey, IndexEntry> entries = new HashMap<>();
     private int liveKeys;
     private long memoryBytes;
 
+    /** Keys that have a value; tombstones are not counted. */
     int liveKeys() {
         return liveKeys;
     }
 
+    /** Memory of all entries, estimated. */
     long memoryBytes() {
         return memoryBytes;
     }
 
-    IndexEntry get(StoreKey key) {
-        return slots.get(key);
+    /** The newest record of a key, which may be a tombstone. */
+    Optional<IndexEntry> get(StoreKey key) {
+        return Optional.ofNullable(entries.get(key));
     }
 
-    /** The newest wins, in whatever order they are told. */
-    void put(IndexEntry slot) {
-        slot.segment.add(slot);
-        IndexEntry old = slots.get(slot.key);
-        if (old != null && old.sequence > slot.sequence) {
-            slot.segment.supersede(slot);
+    /**
+     * Adds a record to its segment and here. The highest sequence number wins, in whatever order
+     * records are added.
+     */
+    void put(IndexEntry entry) {
+        entry.segment().add(entry);
+        IndexEntry known = entries.get(entry.key());
+        if (known != null && known.sequence() > entry.sequence()) {
+            entry.segment().supersede(entry);
             return;
         }
-        if (old != null) {
-            forget(old);
+        if (known != null) {
+            remove(known);
         }
-        slots.put(slot.key, slot);
-        liveKeys += slot.isPut() ? 1 : 0;
-        memoryBytes += ENTRY_OVERHEAD_BYTES + slot.key.bytes.length + slot.metadata.length;
+        entries.put(entry.key(), entry);
+        liveKeys += entry.isPut() ? 1 : 0;
+        memoryBytes += entry.memoryBytes();
     }
 
-    private void forget(IndexEntry slot) {
-        slot.segment.supersede(slot);
-        slots.remove(slot.key);
-        liveKeys -= slot.isPut() ? 1 : 0;
-        memoryBytes -= ENTRY_OVERHEAD_BYTES + slot.key.bytes.length + slot.metadata.length;
+    private void remove(IndexEntry entry) {
+        entry.segment().supersede(entry);
+        entries.remove(entry.key());
+        liveKeys -= entry.isPut() ? 1 : 0;
+        memoryBytes -= entry.memoryBytes();
+    }
+
+    /**
+     * Drops entries that expired or whose file is gone; those that newer records have superseded
+     * are left alone.
+     */
+    void removeAll(List<IndexEntry> gone) {
+        gone.stream().filter(entry -> entries.get(entry.key()) == entry).forEach(this::remove);
     }
 
-    /** Forgets what is given up together with its file, or is past its time. */
-    void forget(List<IndexEntry> gone) {
-        gone.stream().filter(slot -> slots.get(slot.key) == slot).forEach(this::forget);
+    /** Latest end of a life among all entries; empty without entries. */
+    OptionalLong latestExpiryMillis() {
+        return entries.values().stream().mapToLong(IndexEntry::expiresAtMillis).max();
     }
 
-    void forEach(Consumer<IndexEntry> with) {
-        slots.values().forEach(with);
+    /** Hands over the newest record of each key, in no particular order. */
+    void forEach(Consumer<IndexEntry> visitor) {
+        entries.values().forEach(visitor);
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/store/IndexEntry.java
@@ -0,0 +1,100 @@
+package ochretiller.store;
+
+/**
+ * The newest known record of a key and where it lies. A tombstone has an entry too until it
+ * expires, so that an older record that is still on disk cannot come back. Owned by the thread that
+ * owns the {@link Index}.
+ */
+final class IndexEntry {
+    private final StoreKey key;
+    private final byte[] metadata;
+    private final long sequence;
+    private final byte kind;
+    private final long expiresAtMillis;
+    private final int recordBytes;
+    private final Segment segment;
+    private int offset;
+    private boolean superseded;
+
+    /**
+     * An entry that no newer record has superseded yet.
+     *
+     * @param offset where the record begins, in bytes from the start of its segment
+     */
+    IndexEntry(
+            StoreKey key,
+            byte[] metadata,
+            RecordAttributes attributes,
+            Segment segment,
+            int offset) {
+        this.key = key;
+        this.metadata = metadata;
+        this.sequence = attributes.sequence();
+        this.kind = attributes.kind();
+        this.expiresAtMillis = attributes.expiresAtMillis();
+        this.recordBytes = attributes.recordBytes();
+        this.segment = segment;
+        this.offset = offset;
+    }
+
+    StoreKey key() {
+        return key;
+    }
+
+    byte[] metadata() {
+        return metadata;
+    }
+
+    long sequence() {
+        return sequence;
+    }
+
+    byte kind() {
+        return kind;
+    }
+
+    long expiresAtMillis() {
+        return expiresAtMillis;
+    }
+
+    int recordBytes() {
+        return recordBytes;
+    }
+
+    Segment segment() {
+        return segment;
+    }
+
+    int offset() {
+        return offset;
+    }
+
+    /** Whether the key has a value, as opposed to having been removed. */
+    boolean isPut() {
+        return kind == RecordFormat.PUT;
+    }
+
+    boolean isExpired(long nowMillis) {
+        return expiresAtMillis <= nowMillis;
+    }
+
+    /** Whether a newer record of the key is known, so that this one's bytes are dead. */
+    boolean isSuperseded() {
+        return superseded;
+    }
+
+    /** A newer record of the key is known. */
+    void markSuperseded() {
+        superseded = true;
+    }
+
+    /** Compaction has put the record elsewhere within its segment. */
+    void moveTo(int newOffset) {
+        offset = newOffset;
+    }
+
+    /** Memory that the entry takes, as {@link StoreLimits#maxIndexBytes} counts it. */
+    int memoryBytes() {
+        return Index.ENTRY_OVERHEAD_BYTES + key.length() + metadata.length;
+    }
+}
--- a/src/main/java/ochretiller/store/LocalDirectory.java
+++ b/src/main/java/ochretiller/store/LocalDirectory.java
@@ -12,114 +12,122 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** A folder of the file system. */
+/**
+ * A directory of the local file system. Immutable; its files are opened by {@link FileChannel},
+ * which is safe for several threads.
+ */
 public final class LocalDirectory implements StorageDirectory {
-    private static final String LOCK = "LOCK";
-
-    private final Path folder;
-
-    /** The folder is made when it is locked, where it is not there yet. */
-    public LocalDirectory(Path folder) {
-        this.folder = folder;
+    private final Path directory;
+
+    /**
+     * A directory that need not exist yet; {@link #acquireLock} creates it.
+     *
+     * @param directory where the store's files are
+     */
+    public LocalDirectory(Path directory) {
+        this.directory = directory;
     }
 
     @Override
     public Closeable acquireLock() throws IOException {
-        Files.createDirectories(folder);
+        Files.createDirectories(directory);
+        Path lockFile = directory.resolve(SegmentFileName.LOCK_FILE);
         FileChannel channel =
-                FileChannel.open(
-                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock lock;
-        try {
-            lock = channel.tryLock();
-        } catch (OverlappingFileLockException e) {
-            lock = null; // this process has it open already
-        }
-        if (lock != null) {
+                FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        if (tryLock(channel).isPresent()) {
             return channel;
         }
         channel.close();
-        throw new StoreException("the store in " + folder + " is in use by another process");
+        throw new StoreException("the store in " + directory + " is in use by another process");
+    }
+
+    private static Optional<FileLock> tryLock(FileChannel channel) throws IOException {
+        try {
+            return Optional.ofNullable(channel.tryLock());
+        } catch (OverlappingFileLockException e) {
+            return Optional.empty(); // this process itself has the store open
+        }
     }
 
     @Override
     public List<String> listFiles() throws IOException {
-        if (!Files.isDirectory(folder)) {
-            throw new StoreException("there is no store in " + folder);
+        if (!Files.isDirectory(directory)) {
+            throw new StoreException("there is no store in " + directory);
         }
-        try (Stream<Path> files = Files.list(folder)) {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.filter(Files::isRegularFile)
                     .map(file -> file.getFileName().toString())
                     .collect(Collectors.toList());
         }
     }
 
-    private StorageFile channel(String name, OpenOption... options) throws IOException {
-        return new Channel(FileChannel.open(folder.resolve(name), options));
-    }
-
     @Override
     public StorageFile open(String name) throws IOException {
-        Path file = folder.resolve(name);
-        return Files.isWritable(file)
-                ? channel(name, StandardOpenOption.READ, StandardOpenOption.WRITE)
-                : channel(
-                        name,
-                        StandardOpenOption
-                                .READ); // a reader may look at a store that it must not change
+        // An inspection may read a store that it has no right to change.
+        boolean writable = Files.isWritable(directory.resolve(name));
+        return writable
+                ? openChannel(name, StandardOpenOption.READ, StandardOpenOption.WRITE)
+                : openChannel(name, StandardOpenOption.READ);
     }
 
     @Override
     public StorageFile create(String name) throws IOException {
-        return channel(
+        return openChannel(
                 name,
                 StandardOpenOption.READ,
                 StandardOpenOption.WRITE,
                 StandardOpenOption.CREATE_NEW);
     }
 
+    private StorageFile openChannel(String name, OpenOption... options) throws IOException {
+        return new LocalFile(FileChannel.open(directory.resolve(name), options));
+    }
+
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
     public void forceDirectory() throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
 
-    private record Channel(FileChannel channel) implements StorageFile {
+    private record LocalFile(FileChannel channel) implements StorageFile {
         @Override
-        public void write(ByteBuffer bytes, long at) throws IOException {
-            for (long place = at; bytes.hasRemaining(); ) {
-                place += channel.write(bytes, place);
+        public void write(ByteBuffer bytes, long position) throws IOException {
+            long next = position;
+            while (bytes.hasRemaining()) {
+                next += channel.write(bytes, next);
             }
         }
 
         @Override
-        public int read(ByteBuffer into, long at) throws IOException {
-            int from = into.position();
-            for (int n = 0; into.hasRemaining() && n >= 0; ) {
-                n = channel.read(into, at + into.position() - from);
+        public int read(ByteBuffer into, long position) throws IOException {
+            int start = into.position();
+            int count = 0;
+            while (into.hasRemaining() && count >= 0) {
+                count = channel.read(into, position + into.position() - start);
             }
-            return into.position() - from;
+            return into.position() - start;
         }
 
         @Override
         public void force() throws IOException {
-            channel.force(
-                    false); // the length of the file goes along: what was appended could not be
-            // read without it
+            // Without metadata such as times; the length is forced all the same, as appended bytes
+            // could not be read without it.
+            channel.force(false);
         }
 
         @Override
--- a/src/main/java/ochretiller/store/RecoveredEntry.java
+++ b/src/main/java/ochretiller/store/RecoveredEntry.java
@@ -1,9 +1,9 @@
 package ochretiller.store;
 
 /**
- * What a start has found under a key.
+ * A live key that recovery has found. Immutable, as long as nobody writes to its arrays.
  *
- * @param metadata the bytes that are kept in memory
- * @param expiresAtMillis when it is past its time, store's time in milliseconds
+ * @param metadata the bytes that are held in memory
+ * @param expiresAtMillis end of its life, on the store's clock
  */
 public record RecoveredEntry(byte[] key, byte[] metadata, long expiresAtMillis) {}
