--- a/src/main/java/ochretiller/store/Recovery.java
+++ b/src/main/java/ochretiller/store/Recovery.java
@@ -3,268 +3,278 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.List;
+import java.util.NavigableMap;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
 /**
- * Reads what a folder holds. It changes nothing, so that a look at a store is the same reading as
- * its start.
+ * Reads what a directory holds and builds the index from it. It changes no file, so an inspection
+ * reads a store exactly as a start does. Owned by the thread that reads; a store takes its index
+ * over.
  *
- * <p>What ends before it is whole was being written when the process or the machine stopped: it was
- * never acknowledged and is passed over. What is there in full and wrong, or missing in front of
- * what is there, is damage.
+ * <p>A record that ends behind the end of its file is a torn write: it was never acknowledged and
+ * is passed over. Bytes that are there and no record, or missing in front of bytes that are there,
+ * are damage.
  */
 final class Recovery {
-    private static final int CHUNK = 1 << 20;
+    private final StorageDirectory directory;
+    private final HintPolicy hintPolicy;
+    private final Consumer<String> progress;
+    private final Index index = new Index();
+    private final NavigableMap<Long, RecoveredSegment> segments = new TreeMap<>();
+    private final List<String> leftoverFiles = new ArrayList<>();
+    private final List<String> unknownFiles = new ArrayList<>();
+    private final List<String> damageReports = new ArrayList<>();
+    private long lastSequence;
+    private long lastSegmentNumber;
 
-    /** One file, as it was read. */
-    static final class RecoveredSegment {
-        final Segment segment;
+    /** Whether sealed segments may be taken from their hints. */
+    enum HintPolicy {
+        /**
+         * As a start does: hints are trusted where they fit, and values are first read when they
+         * are asked for.
+         */
+        USE_HINTS,
+        /** As a check of the store does: every byte of every record is read. */
+        READ_EVERYTHING
+    }
 
-        /** Null where it cannot be read. */
-        final RecordFormat.SegmentHeader header;
+    private Recovery(StorageDirectory directory, HintPolicy hintPolicy, Consumer<String> progress) {
+        this.directory = directory;
+        this.hintPolicy = hintPolicy;
+        this.progress = progress;
+    }
 
-        /** Where the last whole record ends; behind it is what was never written whole. */
-        long goodEnd = RecordFormat.SEGMENT_HEADER_BYTES;
+    /**
+     * Reads all of the directory.
+     *
+     * @param progress receives the name of each segment file before it is read
+     * @throws StoreException where there is no such directory, or a later release has written it
+     */
+    static Recovery read(
+            StorageDirectory directory, HintPolicy hintPolicy, Consumer<String> progress)
+            throws IOException {
+        Recovery recovery = new Recovery(directory, hintPolicy, progress);
+        recovery.readDirectory();
+        recovery.findMissingEnds();
+        return recovery;
+    }
 
-        boolean hinted;
+    Index index() {
+        return index;
+    }
 
-        RecoveredSegment(Segment segment, RecordFormat.SegmentHeader header) {
-            this.segment = segment;
-            this.header = header;
-        }
+    /** Oldest first. */
+    Collection<RecoveredSegment> segments() {
+        return segments.values();
     }
 
-    final Index index = new Index();
-    final TreeMap<Long, RecoveredSegment> found = new TreeMap<>();
+    Optional<RecoveredSegment> lastSegment() {
+        return Optional.ofNullable(segments.lastEntry()).map(last -> last.getValue());
+    }
 
     /**
-     * Segments whose start was never written whole, hints without a segment, halves of a
-     * compaction.
+     * Files without use that the next start deletes: unused segments, hints without a segment,
+     * unfinished copies.
      */
-    final List<String> useless = new ArrayList<>();
+    List<String> leftoverFiles() {
+        return List.copyOf(leftoverFiles);
+    }
 
-    final List<String> foreign = new ArrayList<>();
-    final List<String> damage = new ArrayList<>();
-    long lastSequence;
-    long lastNumber;
+    /** Files that are not the store's, which it leaves alone. */
+    List<String> unknownFiles() {
+        return List.copyOf(unknownFiles);
+    }
 
-    private final StorageDirectory disk;
-    private final boolean useHints;
-    private final Consumer<String> progress;
+    /** What cannot be read, one line each. */
+    List<String> damageReports() {
+        return List.copyOf(damageReports);
+    }
 
-    private Recovery(StorageDirectory disk, boolean useHints, Consumer<String> progress) {
-        this.disk = disk;
-        this.useHints = useHints;
-        this.progress = progress;
+    /** The highest sequence number in use. */
+    long lastSequence() {
+        return lastSequence;
+    }
+
+    /** The highest segment number in use. */
+    long lastSegmentNumber() {
+        return lastSegmentNumber;
     }
 
     /**
-     * Reads all of it.
+     * End of the time in which an acknowledged record may be missing, which is when the last record
+     * that damage can hide has expired. Damaged segments are kept until then.
      *
-     * @param useHints whether whole segments are taken from their hints; a check of the store reads
-     *     every byte instead
-     * @param progress told of each file
+     * @param maxRecordLifeMillis longest life of a record
+     * @return on the store's clock; empty without damage
      */
-    static Recovery read(StorageDirectory disk, boolean useHints, Consumer<String> progress)
-            throws IOException {
-        Recovery recovery = new Recovery(disk, useHints, progress);
-        recovery.read();
-        return recovery;
+    OptionalLong keepDamagedSegments(long nowMillis, long maxRecordLifeMillis) {
+        OptionalLong until = OptionalLong.empty();
+        for (RecoveredSegment each : segments.values()) {
+            if (each.segment().isDamaged()) {
+                // Its records were written before the next segment was created, if there is one.
+                Optional<RecoveredSegment> next =
+                        Optional.ofNullable(segments.higherEntry(each.segment().number()))
+                                .map(entry -> entry.getValue());
+                long writtenBy =
+                        next.map(segment -> segment.segment().createdAtMillis()).orElse(nowMillis);
+                long end = writtenBy + maxRecordLifeMillis;
+                each.segment().extendLife(end);
+                until = OptionalLong.of(Math.max(until.orElse(end), end));
+            }
+        }
+        return until;
     }
 
-    private void read() throws IOException {
-        TreeSet<Long> segments = new TreeSet<>();
-        TreeSet<Long> hints = new TreeSet<>();
-        for (String name : disk.listFiles()) {
-            RecordFormat.FileName known = RecordFormat.FileName.of(name);
-            if (known == null) {
-                if (!name.equals("LOCK")) {
-                    foreign.add(name);
+    private void readDirectory() throws IOException {
+        SortedSet<Long> logs = new TreeSet<>();
+        SortedSet<Long> hints = new TreeSet<>();
+        for (String name : directory.listFiles()) {
+            Optional<SegmentFileName> parsed = SegmentFileName.parse(name);
+            if (parsed.isPresent()) {
+                long number = parsed.get().segmentNumber();
+                switch (parsed.get().kind()) {
+                    case LOG -> logs.add(number);
+                    case HINT -> hints.add(number);
+                    default -> leftoverFiles.add(name);
                 }
-            } else {
-                switch (known.kind()) {
-                    case "log" -> segments.add(known.number());
-                    case "hint" -> hints.add(known.number());
-                    default -> useless.add(name);
-                }
-            }
-        }
-        for (long number : hints) {
-            if (!segments.contains(number)) {
-                useless.add(RecordFormat.hintFileName(number));
+            } else if (!name.equals(SegmentFileName.LOCK_FILE)) {
+                unknownFiles.add(name);
             }
         }
-        for (long number : segments) {
-            lastNumber = Math.max(lastNumber, number);
-            segment(number, hints.contains(number), number == segments.last());
-        }
-        RecoveredSegment before = null;
-        for (RecoveredSegment each : found.values()) {
-            if (before != null
-                    && !before.segment.sealed
-                    && !before.segment.damaged
-                    && !each.segment.followsAbandoned) {
-                damaged(before, "its end is missing");
-            }
-            before = each;
+        hints.stream()
+                .filter(number -> !logs.contains(number))
+                .map(SegmentFileName::ofHint)
+                .forEach(leftoverFiles::add);
+        for (long number : logs) {
+            lastSegmentNumber = Math.max(lastSegmentNumber, number);
+            readSegment(number, hints.contains(number), number == logs.last());
         }
     }
 
-    private void segment(long number, boolean hint, boolean last) throws IOException {
-        String name = RecordFormat.segmentFileName(number);
+    private void readSegment(long number, boolean hasHint, boolean isLast) throws IOException {
+        String name = SegmentFileName.ofLog(number);
         progress.accept(name);
-        try (StorageDirectory.StorageFile file = disk.open(name)) {
-            long size = file.size();
-            ByteBuffer start = ByteBuffer.allocate(RecordFormat.SEGMENT_HEADER_BYTES);
-            file.read(start, 0);
-            RecordFormat.SegmentHeader header =
-                    RecordFormat.SegmentHeader.decode(start.flip(), name);
-            if (header != null && header.number() != number) {
-                header = null;
-            }
-            if (header == null && last && size <= RecordFormat.SEGMENT_HEADER_BYTES) {
-                useless.add(
-                        name); // a segment is used only once its start is on the medium: this one
-                // never was
+        try (StorageFile file = directory.open(name)) {
+            long fileSize = file.size();
+            Optional<SegmentHeader> header =
+                    readHeader(file, name).filter(each -> each.segmentNumber() == number);
+            if (header.isEmpty() && isLast && fileSize <= SegmentHeader.BYTES) {
+                // Records are appended only once the header is on stable storage, so this segment
+                // was never used.
+                leftoverFiles.add(name);
                 return;
             }
-            RecoveredSegment read =
+            long createdAtMillis = header.map(SegmentHeader::createdAtMillis).orElse(0L);
+            boolean followsAbandoned = header.map(SegmentHeader::followsAbandoned).orElse(false);
+            RecoveredSegment recovered =
                     new RecoveredSegment(
-                            new Segment(number, header == null ? 0 : header.createdAtMillis()),
-                            header);
-            found.put(number, read);
-            read.segment.size = size;
-            if (header == null) {
-                damaged(read, "its start cannot be read");
+                            new Segment(number, createdAtMillis, followsAbandoned), header);
+            recovered.segment().setSizeBytes(fileSize);
+            segments.put(number, recovered);
+            if (header.isEmpty()) {
+                reportDamage(recovered.segment(), "its start cannot be read");
                 return;
             }
-            read.segment.followsAbandoned = header.afterFailure();
-            lastSequence = Math.max(lastSequence, header.firstSequence() - 1);
-            if (!(hint && useHints && hinted(read, file, size))) {
-                scan(read, file, size);
+            lastSequence = Math.max(lastSequence, header.get().firstSequence() - 1);
+            boolean mayUseHint = hasHint && hintPolicy == HintPolicy.USE_HINTS;
+            if (!mayUseHint || !readHint(recovered, file, fileSize)) {
+                scan(recovered, file, fileSize);
             }
         }
     }
 
-    private void damaged(RecoveredSegment read, String what) {
-        damage.add(read.segment.fileName() + ": " + what);
-        read.segment.damaged = true;
-    }
-
-    /**
-     * When the last record that damage may have hidden is past its time, for records that live so
-     * long at most.
-     */
-    long damagedUntil(long now, long span) {
-        long until = Long.MIN_VALUE;
-        RecoveredSegment before = null;
-        for (RecoveredSegment each : found.values()) {
-            if (before != null && before.segment.damaged) {
-                before.segment.extendLife(each.segment.createdAtMillis + span);
-                until = Math.max(until, each.segment.createdAtMillis + span);
-            }
-            before = each;
-        }
-        if (before != null && before.segment.damaged) {
-            before.segment.extendLife(now + span);
-            until = Math.max(until, now + span);
-        }
-        return until;
+    private static Optional<SegmentHeader> readHeader(StorageFile file, String name)
+            throws IOException {
+        ByteBuffer start = ByteBuffer.allocate(SegmentHeader.BYTES);
+        file.read(start, 0);
+        return SegmentHeader.decode(start.flip(), name);
     }
 
-    /**
-     * Takes a sealed segment from its hint; false where the hint is not good or not of this file.
-     */
-    private boolean hinted(RecoveredSegment read, StorageDirectory.StorageFile file, long size)
+    /** Takes a sealed segment from its hint; false where the hint does not fit the segment. */
+    private boolean readHint(RecoveredSegment recovered, StorageFile file, long fileSize)
             throws IOException {
-        HintFile hint = HintFile.read(disk, file, read.segment, size);
-        if (hint == null) {
+        Optional<HintFile> hint = HintFile.read(directory, file, recovered.segment(), fileSize);
+        if (hint.isEmpty()) {
             return false;
         }
-        for (Index.IndexEntry slot : hint.entries()) {
-            lastSequence = Math.max(lastSequence, slot.sequence);
-            index.put(slot);
+        for (IndexEntry entry : hint.get().entries()) {
+            lastSequence = Math.max(lastSequence, entry.sequence());
+            index.put(entry);
         }
-        lastSequence = Math.max(lastSequence, hint.lastSequence());
-        read.goodEnd = size;
-        read.segment.deadBytes += hint.deadBytes();
-        read.segment.records = hint.records();
-        read.segment.sealed = true;
-        read.hinted = true;
+        lastSequence = Math.max(lastSequence, hint.get().lastSequence());
+        recovered.takenFromHint(hint.get());
         return true;
     }
 
-    private void scan(RecoveredSegment read, StorageDirectory.StorageFile file, long size)
+    private void scan(RecoveredSegment recovered, StorageFile file, long fileSize)
             throws IOException {
-        Segment segment = read.segment;
-        ByteBuffer in =
-                ByteBuffer.allocate(
-                        (int)
-                                Math.min(
-                                        Math.max(0, size - RecordFormat.SEGMENT_HEADER_BYTES),
-                                        CHUNK + RecordFormat.MAX_RECORD_BYTES));
-        long base = RecordFormat.SEGMENT_HEADER_BYTES;
-        in.limit(0);
-        long skippedFrom = -1;
-        boolean cut = false;
-        while (true) {
-            if (in.remaining() < RecordFormat.MAX_RECORD_BYTES && base + in.limit() < size) {
-                long at = base + in.position();
-                in.clear();
-                file.read(in, at);
-                in.flip();
-                base = at;
-            }
-            if (!in.hasRemaining()) {
-                break;
-            }
-            long at = base + in.position();
-            RecordFormat.RecordStatus place = RecordFormat.inspect(in);
-            if (place == RecordFormat.RecordStatus.VALID) {
-                RecordFormat.DecodedRecord entry = RecordFormat.decode(in);
-                if (skippedFrom >= 0) {
-                    damaged(read, "bytes " + skippedFrom + " to " + at + " are no record");
-                    skippedFrom = -1;
-                }
-                take(read, entry, at);
-                in.position(in.position() + entry.recordBytes());
-                continue;
-            }
-            if (skippedFrom < 0) {
-                skippedFrom = at;
-                cut = place == RecordFormat.RecordStatus.TRUNCATED;
-            }
-            in.position(
-                    in.position() + 1); // the next record, if there is one, begins with its mark
+        Segment segment = recovered.segment();
+        SegmentScanner.Visitor visitor =
+                new SegmentScanner.Visitor() {
+                    @Override
+                    public void recordFound(DecodedRecord record, long position) {
+                        take(recovered, record, position);
+                    }
+
+                    @Override
+                    public void unreadableBytes(long fromPosition, long toPosition) {
+                        reportDamage(
+                                segment,
+                                "bytes " + fromPosition + " to " + toPosition + " are no record");
+                    }
+                };
+        Optional<SegmentScanner.UnreadableTail> tail =
+                new SegmentScanner(file, fileSize, visitor).scan();
+        // A torn write is expected at the end of the last segment; bytes that are complete and
+        // wrong may have been acknowledged.
+        if (tail.isPresent() && (segment.isSealed() || !tail.get().isTruncated())) {
+            visitor.unreadableBytes(tail.get().position(), fileSize);
         }
-        if (skippedFrom >= 0 && (segment.sealed || !cut)) {
-            // All of its bytes are there, and they are wrong: it may have been acknowledged.
-            damaged(read, "bytes " + skippedFrom + " to " + size + " are no record");
+    }
+
+    private void take(RecoveredSegment recovered, DecodedRecord record, long position) {
+        RecordAttributes attributes = record.attributes();
+        lastSequence = Math.max(lastSequence, attributes.sequence());
+        recovered.extendValidEnd(position + attributes.recordBytes());
+        recovered.segment().recordRecovered(attributes.kind() == RecordFormat.SEAL);
+        if (attributes.concernsKey()) {
+            StoreKey key = new StoreKey(record.key());
+            index.put(
+                    new IndexEntry(
+                            key,
+                            record.metadata(),
+                            attributes,
+                            recovered.segment(),
+                            (int) position));
         }
     }
 
-    private void take(RecoveredSegment read, RecordFormat.DecodedRecord entry, long at) {
-        Segment segment = read.segment;
-        lastSequence = Math.max(lastSequence, entry.sequence());
-        read.goodEnd = at + entry.recordBytes();
-        segment.records++;
-        segment.sealed = entry.kind() == RecordFormat.SEAL;
-        // A kind of a later release of the same format may be passed over, as the page says.
-        if (entry.kind() != RecordFormat.PUT && entry.kind() != RecordFormat.TOMBSTONE) {
-            return;
+    /**
+     * A segment without a seal has lost its end, unless it is the last one or was abandoned, which
+     * the next header tells.
+     */
+    private void findMissingEnds() {
+        for (RecoveredSegment each : segments.values()) {
+            Segment segment = each.segment();
+            boolean abandoned =
+                    Optional.ofNullable(segments.higherEntry(segment.number()))
+                            .map(next -> next.getValue().segment().followsAbandoned())
+                            .orElse(true);
+            if (!segment.isSealed() && !segment.isDamaged() && !abandoned) {
+                reportDamage(segment, "its end is missing");
+            }
         }
-        index.put(
-                new Index.IndexEntry(
-                        new StoreKey(entry.key()),
-                        entry.sequence(),
-                        entry.kind(),
-                        entry.expiresAtMillis(),
-                        entry.metadata(),
-                        entry.recordBytes(),
-                        segment,
-                        (int) at));
+    }
+
+    private void reportDamage(Segment segment, String what) {
+        damageReports.add(segment.fileName() + ": " + what);
+        segment.markDamaged();
     }
 }
--- a/src/main/java/ochretiller/store/Segment.java
+++ b/src/main/java/ochretiller/store/Segment.java
@@ -3,76 +3,172 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One file of records, and how much of it is still of use. */
+/**
+ * What is known of one segment file: its size, how much of it is dead, and how long it is needed.
+ * Not safe for several threads; owned with the {@link Index}.
+ */
 final class Segment {
-    final long number;
+    /** Superseded entries that are let stand before it is worth looking for them. */
+    private static final int MIN_SUPERSEDED_TO_PURGE = 64;
+
+    private final long number;
+    private final long createdAtMillis;
+    private final boolean followsAbandoned;
+    private final List<IndexEntry> entries = new ArrayList<>();
+    private int supersededEntries;
+    private long sizeBytes = SegmentHeader.BYTES;
+    private long deadBytes;
+    private int recordCount;
+    private long lastExpiryMillis = Long.MIN_VALUE;
+    private boolean sealed;
+    private boolean damaged;
 
-    /** When it was begun, store's time in milliseconds. */
-    final long createdAtMillis;
+    /**
+     * A segment that holds nothing but its header.
+     *
+     * @param createdAtMillis the store's clock at its creation, 0 where the header cannot be read
+     * @param followsAbandoned whether its header says that the segment before has no seal; it must
+     *     stay as long as that one
+     */
+    Segment(long number, long createdAtMillis, boolean followsAbandoned) {
+        this.number = number;
+        this.createdAtMillis = createdAtMillis;
+        this.followsAbandoned = followsAbandoned;
+    }
+
+    long number() {
+        return number;
+    }
 
-    long size = RecordFormat.SEGMENT_HEADER_BYTES;
-    long deadBytes;
-    int records;
+    String fileName() {
+        return SegmentFileName.ofLog(number);
+    }
 
-    /** When the last of its records is past its time. */
-    long lastExpiryMillis = Long.MIN_VALUE;
+    String hintFileName() {
+        return SegmentFileName.ofHint(number);
+    }
 
-    /** Its last record says that it was ended in order. */
-    boolean sealed;
+    long createdAtMillis() {
+        return createdAtMillis;
+    }
 
-    /** It says of the one before it that it has no seal, and has to stay as long as that one. */
-    boolean followsAbandoned;
+    boolean followsAbandoned() {
+        return followsAbandoned;
+    }
+
+    /** Bytes of the file, header included. */
+    long sizeBytes() {
+        return sizeBytes;
+    }
+
+    /** Bytes of records that newer ones have superseded, and of the seal. */
+    long deadBytes() {
+        return deadBytes;
+    }
+
+    /** Records of the file, the seal included. */
+    int recordCount() {
+        return recordCount;
+    }
+
+    /** End of the longest life in it, on the store's clock. */
+    long lastExpiryMillis() {
+        return lastExpiryMillis;
+    }
+
+    /** Whether its last record says that it was ended in order. */
+    boolean isSealed() {
+        return sealed;
+    }
 
     /**
-     * Part of it cannot be read: it is kept until all that may have been in it is past its time.
+     * Whether part of it cannot be read; it is kept as it is until all that may have been in it has
+     * expired.
      */
-    boolean damaged;
+    boolean isDamaged() {
+        return damaged;
+    }
 
-    private final List<Index.IndexEntry> slots = new ArrayList<>();
-    private int deadSlots;
+    boolean isExpired(long nowMillis) {
+        return lastExpiryMillis <= nowMillis;
+    }
 
-    Segment(long number, long begunAt) {
-        this.number = number;
-        this.createdAtMillis = begunAt;
+    /** Share of the bytes behind the header that are dead, 0 to 1. */
+    double deadRatio() {
+        long recordBytes = sizeBytes - SegmentHeader.BYTES;
+        return recordBytes <= 0 ? 0 : deadBytes / (double) recordBytes;
     }
 
-    String fileName() {
-        return RecordFormat.segmentFileName(number);
+    /** Records whose keys have no newer one. */
+    List<IndexEntry> liveEntries() {
+        return entries.stream().filter(entry -> !entry.isSuperseded()).toList();
     }
 
-    void add(Index.IndexEntry slot) {
-        slots.add(slot);
-        extendLife(slot.expiresAtMillis);
+    void add(IndexEntry entry) {
+        entries.add(entry);
+        extendLife(entry.expiresAtMillis());
     }
 
-    void extendLife(long until) {
-        lastExpiryMillis = Math.max(lastExpiryMillis, until);
+    /** The file is needed until then at least. */
+    void extendLife(long untilMillis) {
+        lastExpiryMillis = Math.max(lastExpiryMillis, untilMillis);
     }
 
-    /** A newer record has taken the place of this one. */
-    void supersede(Index.IndexEntry slot) {
-        slot.superseded = true;
-        deadBytes += slot.recordBytes;
-        // Guards against a list that grows with what is dead: half of it at most is.
-        if (++deadSlots > 64 && deadSlots > slots.size() / 2) {
-            slots.removeIf(each -> each.superseded);
-            deadSlots = 0;
+    /** A newer record of the entry's key is known. */
+    void supersede(IndexEntry entry) {
+        entry.markSuperseded();
+        deadBytes += entry.recordBytes();
+        supersededEntries++;
+        // Bounds the list: at most half of it is superseded.
+        if (supersededEntries > MIN_SUPERSEDED_TO_PURGE && supersededEntries > entries.size() / 2) {
+            entries.removeIf(IndexEntry::isSuperseded);
+            supersededEntries = 0;
         }
     }
 
-    /** What of it is not dead. */
-    List<Index.IndexEntry> liveEntries() {
-        return slots.stream().filter(slot -> !slot.superseded).toList();
+    /** A group of records was appended to the file. */
+    void recordsAppended(int records, int bytes) {
+        recordCount += records;
+        sizeBytes += bytes;
     }
 
-    /** All of it is past its time: the file can go. */
-    boolean isExpired(long now) {
-        return lastExpiryMillis <= now;
+    /** A seal was appended to the file. */
+    void sealAppended() {
+        sizeBytes += RecordFormat.SEAL_BYTES;
+        deadBytes += RecordFormat.SEAL_BYTES;
+        recordCount++;
+        sealed = true;
     }
 
-    double deadRatio() {
-        return size <= RecordFormat.SEGMENT_HEADER_BYTES
-                ? 0
-                : deadBytes / (double) (size - RecordFormat.SEGMENT_HEADER_BYTES);
+    /** The file was found with, or cut to, this length. */
+    void setSizeBytes(long size) {
+        sizeBytes = size;
+    }
+
+    /**
+     * Recovery has read the next record; only the last one decides whether the segment is sealed.
+     */
+    void recordRecovered(boolean isSeal) {
+        recordCount++;
+        sealed = isSeal;
+    }
+
+    /** Recovery has taken the segment from its hint, whose entries were added before. */
+    void recoveredFromHint(HintFile hint) {
+        deadBytes += hint.deadBytes();
+        recordCount = hint.recordCount();
+        sealed = true;
+    }
+
+    /** Recovery has found that part of it cannot be read. */
+    void markDamaged() {
+        damaged = true;
+    }
+
+    /** Compaction has replaced the file by a sealed copy of what was live. */
+    void replacedByCopy(long copySizeBytes, long copyDeadBytes, int copyRecordCount) {
+        sizeBytes = copySizeBytes;
+        deadBytes = copyDeadBytes;
+        recordCount = copyRecordCount;
     }
 }
--- a/src/main/java/ochretiller/store/StorageDirectory.java
+++ b/src/main/java/ochretiller/store/StorageDirectory.java
@@ -2,55 +2,46 @@
 
 import java.io.Closeable;
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.util.List;
 
 /**
- * One folder of files as the store uses it; tests put one in its place that forgets, stalls and
- * fails by script.
+ * The port through which a store reaches its directory. {@link LocalDirectory} is the file system;
+ * tests use implementations that lose unforced writes, stall and fail.
+ *
+ * <p>Implementations need not be safe for several threads at once, apart from {@link #open}, which
+ * readers may call beside the writer.
  */
 public interface StorageDirectory {
-    /** An open file. */
-    interface StorageFile extends Closeable {
-        /** Writes all of it at this place, or fails with some of it written. */
-        void write(ByteBuffer bytes, long at) throws IOException;
-
-        /** Reads until the buffer is full or the file ends; tells how many bytes came. */
-        int read(ByteBuffer into, long at) throws IOException;
-
-        /**
-         * Returns once all that was written is on the medium. A failure proves nothing about any of
-         * it.
-         */
-        void force() throws IOException;
-
-        long size() throws IOException;
-
-        void truncate(long size) throws IOException;
-
-        @Override
-        void close() throws IOException;
-    }
-
     /**
-     * Takes the folder for this process alone; it is free again once closed or once the process is
-     * gone.
+     * Takes the directory for this process alone, creating it where it does not exist.
+     *
+     * @return closing it releases the directory, as the end of the process does
+     * @throws StoreException where another process has it
      */
     Closeable acquireLock() throws IOException;
 
-    /** Names of the files in the folder, in no order. */
+    /**
+     * Names of the files in the directory, in no particular order.
+     *
+     * @throws StoreException where there is no such directory
+     */
     List<String> listFiles() throws IOException;
 
+    /** Opens an existing file for reading, and for writing where it is writable. */
     StorageFile open(String name) throws IOException;
 
-    /** A new file; one that is there already is a failure. */
+    /**
+     * Creates a file and opens it for reading and writing; an existing file of that name is an
+     * error.
+     */
     StorageFile create(String name) throws IOException;
 
+    /** Deletes a file; one that does not exist is no error. */
     void delete(String name) throws IOException;
 
-    /** Puts the file in the place of another at once, and never a part of it. */
+    /** Atomically replaces the file {@code to} by the file {@code from}. */
     void rename(String from, String to) throws IOException;
 
-    /** Names made, changed and deleted so far stay so behind a power cut. */
+    /** Returns once all creations, renames and deletions so far are on stable storage. */
     void forceDirectory() throws IOException;
 }
--- /dev/null
+++ b/src/main/java/ochretiller/store/StorageEngine.java
@@ -0,0 +1,219 @@
+package ochretiller.store;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/**
+ * Everything of a store that one thread at a time owns: the index, the segmented log, its cleaner,
+ * and whether the disk works. The thread that opens the store owns it until {@link Store#start},
+ * the writer thread from then on; {@link #stats} alone may be called by any thread.
+ *
+ * <p>After a failure of the disk nothing is written until {@link #probe} has begun a new segment.
+ * What is stored can be read meanwhile.
+ */
+final class StorageEngine {
+    private final StorageDirectory directory;
+    private final StoreLimits limits;
+    private final StoreClock clock;
+    private final Index index;
+    private final StoreCounters counters = new StoreCounters();
+    private final SegmentedLog log;
+    private final SegmentCleaner cleaner;
+
+    /** What the disk failed with; empty while it works. */
+    private Optional<String> fault = Optional.empty();
+
+    private volatile StoreStats stats;
+
+    /**
+     * Goes on from what was recovered and begins a segment. A disk that cannot be written is no
+     * error: probes will find it.
+     */
+    StorageEngine(
+            StorageDirectory directory, StoreLimits limits, StoreClock clock, Recovery recovery) {
+        this.directory = directory;
+        this.limits = limits;
+        this.clock = clock;
+        this.index = recovery.index();
+        this.log = new SegmentedLog(directory, clock, recovery, counters);
+        this.cleaner = new SegmentCleaner(directory, limits, log, index, counters);
+        try {
+            for (String name : recovery.leftoverFiles()) {
+                directory.delete(name);
+            }
+            cleaner.deleteExpired(clock.nowMillis());
+            log.startSegment();
+        } catch (IOException e) {
+            diskFailed(e);
+        }
+        publishStats();
+    }
+
+    /** Figures as of the last step of the owning thread; any thread may ask. */
+    StoreStats stats() {
+        return stats;
+    }
+
+    boolean isHealthy() {
+        return fault.isEmpty();
+    }
+
+    boolean isCompacting() {
+        return cleaner.isCompacting();
+    }
+
+    /** Duration of the last successful group commit, nanoseconds. */
+    long lastForceNanos() {
+        return log.lastForceNanos();
+    }
+
+    /** Appends a group with one write and one force; all of it shares the outcome. */
+    AppendResult append(List<AppendRequest> group) {
+        AppendResult result = isHealthy() ? tryAppend(group) : AppendResult.UNAVAILABLE;
+        publishStats();
+        return result;
+    }
+
+    private AppendResult tryAppend(List<AppendRequest> group) {
+        try {
+            log.append(group);
+            return AppendResult.DURABLE;
+        } catch (IOException e) {
+            diskFailed(e);
+            return AppendResult.UNKNOWN;
+        }
+    }
+
+    /** The value of a key; empty where it has none, or none that can be read. */
+    Optional<byte[]> read(StoreKey key) {
+        Optional<IndexEntry> entry = index.get(key).filter(IndexEntry::isPut);
+        if (entry.isEmpty()) {
+            return Optional.empty();
+        }
+        try (StorageFile file = directory.open(entry.get().segment().fileName())) {
+            return ValueReader.read(file, entry.get());
+        } catch (IOException e) {
+            return Optional.empty();
+        }
+    }
+
+    /** After a failure: tries to begin a new segment. Returns whether the disk works. */
+    boolean probe() {
+        if (!isHealthy()) {
+            try {
+                log.startSegment();
+                fault = Optional.empty();
+            } catch (IOException e) {
+                diskFailed(e);
+            }
+        }
+        publishStats();
+        return isHealthy();
+    }
+
+    /**
+     * Does what is due between two group commits: the next segment, expiry, a step of compaction.
+     */
+    void maintain() {
+        if (!isHealthy()) {
+            return;
+        }
+        try {
+            long nowMillis = clock.nowMillis();
+            log.rollIfDue(limits, nowMillis);
+            cleaner.clean(nowMillis);
+        } catch (IOException e) {
+            diskFailed(e);
+        }
+        publishStats();
+    }
+
+    /** Compacts every segment that has anything dead, at once. */
+    void compactAll(Consumer<String> progress) throws IOException {
+        cleaner.compactAll(progress, clock);
+        publishStats();
+    }
+
+    /**
+     * Ends the log in order, as far as the disk allows; nothing is asked of the engine any more.
+     */
+    void seal() {
+        if (isHealthy()) {
+            try {
+                log.sealActive();
+            } catch (IOException e) {
+                diskFailed(e);
+            }
+        }
+        log.close();
+        cleaner.abandonCompaction();
+        publishStats();
+    }
+
+    /** Keys with a value that has not expired, soonest expiry first. */
+    List<RecoveredEntry> liveEntries() {
+        long nowMillis = clock.nowMillis();
+        List<RecoveredEntry> entries = new ArrayList<>();
+        index.forEach(
+                entry -> {
+                    if (entry.isPut() && !entry.isExpired(nowMillis)) {
+                        entries.add(
+                                new RecoveredEntry(
+                                        entry.key().bytes(),
+                                        entry.metadata(),
+                                        entry.expiresAtMillis()));
+                    }
+                });
+        entries.sort(Comparator.comparingLong(RecoveredEntry::expiresAtMillis));
+        return entries;
+    }
+
+    /** Hands over the values of live keys that begin with this byte, in the order of the disk. */
+    void forEachValue(byte keyPrefix, ValueVisitor visitor) throws IOException {
+        Map<Segment, List<IndexEntry>> bySegment =
+                new TreeMap<>(Comparator.comparingLong(Segment::number));
+        long nowMillis = clock.nowMillis();
+        index.forEach(
+                entry -> {
+                    if (entry.key().startsWith(keyPrefix)
+                            && entry.isPut()
+                            && !entry.isExpired(nowMillis)) {
+                        bySegment
+                                .computeIfAbsent(entry.segment(), ignored -> new ArrayList<>())
+                                .add(entry);
+                    }
+                });
+        for (Map.Entry<Segment, List<IndexEntry>> each : bySegment.entrySet()) {
+            each.getValue().sort(Comparator.comparingInt(IndexEntry::offset));
+            try (StorageFile file = directory.open(each.getKey().fileName())) {
+                for (IndexEntry entry : each.getValue()) {
+                    Optional<byte[]> value = ValueReader.read(file, entry);
+                    value.ifPresent(
+                            bytes ->
+                                    visitor.visit(
+                                            entry.key().bytes(), bytes, entry.expiresAtMillis()));
+                }
+            }
+        }
+    }
+
+    private void diskFailed(IOException cause) {
+        counters.diskFailed();
+        fault =
+                Optional.of(
+                        Optional.ofNullable(cause.getMessage())
+                                .orElse(cause.getClass().getSimpleName()));
+        log.abandonActive();
+        cleaner.abandonCompaction();
+    }
+
+    private void publishStats() {
+        stats = StoreStats.of(index, log.segments(), counters, fault);
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/store/StorageFile.java
@@ -0,0 +1,43 @@
+package ochretiller.store;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+
+/**
+ * An open file of a {@link StorageDirectory}, read and written by position. Used by one thread at a
+ * time.
+ */
+public interface StorageFile extends Closeable {
+    /**
+     * Writes all remaining bytes at this position.
+     *
+     * @throws IOException where the medium does not take them; part of them may have been written
+     *     (a torn write)
+     */
+    void write(ByteBuffer bytes, long position) throws IOException;
+
+    /**
+     * Reads until the buffer is full or the file ends.
+     *
+     * @return the number of bytes read, 0 at or behind the end of the file
+     */
+    int read(ByteBuffer into, long position) throws IOException;
+
+    /**
+     * Returns once everything written to this file is on stable storage ({@code fdatasync}).
+     *
+     * @throws IOException where that failed, which proves nothing about any byte written since the
+     *     last successful call
+     */
+    void force() throws IOException;
+
+    /** Length of the file in bytes. */
+    long size() throws IOException;
+
+    /** Cuts the file down to this length in bytes; a shorter file stays as it is. */
+    void truncate(long size) throws IOException;
+
+    @Override
+    void close() throws IOException;
+}
--- a/src/main/java/ochretiller/store/Store.java
+++ b/src/main/java/ochretiller/store/Store.java
@@ -2,821 +2,291 @@
 
 import java.io.Closeable;
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.util.ArrayList;
-import java.util.Comparator;
+import java.time.Duration;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
-import java.util.concurrent.ArrayBlockingQueue;
-import java.util.concurrent.BlockingQueue;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.concurrent.Executor;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
 /**
- * A folder of records that outlives its process. Appends are gathered while the disk forces the
- * ones before them and go out together with the next force; each is acknowledged once it is on the
- * medium, by work handed to the owner's executor.
+ * A durable key-value store in one directory: an append-only log in segments with an index in
+ * memory, as in Bitcask (Sheehy and Smith 2010). Every record has an end of life, and segments are
+ * deleted as a whole once all in them has expired. Appends are committed in groups: those that
+ * arrive while the disk forces go out together with the next force.
  *
- * <p>One thread of its own owns the files and the index. {@link #put}, {@link #remove}, {@link
- * #read} and {@link #probe} may be called from any one thread at a time and never wait. Behind a
- * failure of the disk nothing is written until {@link #probe} has begun a new segment; what was
- * under way is answered {@link AppendResult#UNKNOWN}, and is never tried again here, since a failed
- * force proves nothing about what is on the medium.
+ * <p>Life cycle: {@link #open} takes the directory and recovers it; the caller reads what it needs;
+ * {@link #start} lets appends go; {@link #close} ends the log in order. Until {@code start}
+ * everything is called by one thread. From then on a writer thread owns the files and the index;
+ * {@link #putNew}, {@link #put}, {@link #remove}, {@link #read} and {@link #probe} may be called by
+ * any one thread at a time and never wait for the disk. Outcomes are handed to the executor that
+ * {@code open} was given.
+ *
+ * <p>After a failure of the disk nothing is written until a {@link #probe} has begun a new segment.
+ * Appends that were under way end as {@link AppendResult#UNKNOWN} and are never retried here.
  */
 public final class Store implements Closeable {
     /**
-     * Appends that may wait for the disk: some seconds' worth where one in each millisecond is
-     * asked for.
-     */
-    private static final int MOST_WAITING = 16 * 1024;
-
-    /** Bytes that may wait for the disk. */
-    private static final long MOST_WAITING_BYTES = 8L << 20;
-
-    /** Bytes of one group; a longer one would hold up its first record for the sake of its last. */
-    private static final int GROUP_BYTES = 1 << 20;
-
-    /** How often what is past its time is looked for, milliseconds. */
-    private static final long SWEEP_MS = 200;
-
-    /**
-     * How long a close waits for what is under way, milliseconds: a disk that stands still must not
-     * keep a process.
+     * How long a close waits for what is under way, so that a stalled disk does not keep the
+     * process alive.
      */
-    private static final long CLOSE_MS = 1_000;
-
-    private static final byte[] NONE = new byte[0];
+    private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(1);
 
-    private final StorageDirectory disk;
     private final StoreLimits limits;
-    private final BootClock boot;
-    private final Executor back;
+    private final Executor callbackExecutor;
     private final Closeable lock;
-    private final Index index;
-    private final TreeMap<Long, Segment> segments = new TreeMap<>();
-    private final BlockingQueue<Task> tasks = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final AtomicInteger waitingEntries = new AtomicInteger();
-    private final AtomicLong waitingBytes = new AtomicLong();
-    private final long offset;
-    private final List<RecoveredEntry> recoveredEntries = new ArrayList<>();
+    private final StoreClock clock;
+    private final StorageEngine engine;
+    private final AppendQueue queue;
+    private final Thread writerThread;
     private final List<String> damageReports;
-    private final long incompleteUntilMillis;
-    private final Thread thread;
-    private ByteBuffer group = ByteBuffer.allocate(64 * 1024);
-    private long sequence;
-    private long lastNumber;
-    private Segment active;
-    private StorageDirectory.StorageFile activeFile;
 
-    /**
-     * The newest segment has no seal, and what stands behind this place of it was never written
-     * whole.
-     */
-    private Segment unsealed;
+    /** On the store's clock; empty where nothing is damaged. */
+    private final OptionalLong incompleteUntilMillis;
 
-    private long unsealedEnd;
-    private Compaction compaction;
-    private final GroupCommitDelay gathering = new GroupCommitDelay();
-    private long sweptAt;
-    private volatile StoreStats stats = new StoreStats(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, null);
-    private volatile boolean closing;
-    private long forces;
-    private long records;
-    private long appended;
-    private int largestGroup;
-    private long copied;
-    private long dropped;
-    private long failures;
-    private String fault;
-
-    /**
-     * What the store's thread is asked for: an append, or something else to do between two groups.
-     */
-    private record Task(
-            byte kind,
-            StoreKey key,
-            byte[] meta,
-            byte[] value,
-            long expires,
-            int size,
-            boolean adds,
-            Consumer<AppendResult> then,
-            Runnable work) {}
+    private List<RecoveredEntry> recoveredEntries;
 
     private Store(
-            StorageDirectory disk,
+            StorageDirectory directory,
             StoreLimits limits,
-            BootClock boot,
-            Executor back,
+            BootClock bootClock,
+            Executor callbackExecutor,
             Closeable lock)
             throws IOException {
-        this.disk = disk;
         this.limits = limits;
-        this.boot = boot;
-        this.back = back;
+        this.callbackExecutor = callbackExecutor;
         this.lock = lock;
-        Recovery recovery = Recovery.read(disk, true, file -> {});
-        index = recovery.index;
-        damageReports = List.copyOf(recovery.damage);
-        sequence = recovery.lastSequence;
-        lastNumber = recovery.lastNumber;
-        offset = offset(recovery);
+        long maxRecordLifeMillis = limits.maxRecordLife().toMillis();
+        Recovery recovery =
+                Recovery.read(directory, Recovery.HintPolicy.USE_HINTS, segmentName -> {});
+        clock = StoreClock.continuing(bootClock, recovery, maxRecordLifeMillis);
+        damageReports = recovery.damageReports();
         incompleteUntilMillis =
-                recovery.damagedUntil(nowMillis(), limits.maxRecordLife().toMillis());
-        recovery.found.values().forEach(found -> segments.put(found.segment.number, found.segment));
-        Recovery.RecoveredSegment last =
-                recovery.found.isEmpty() ? null : recovery.found.lastEntry().getValue();
-        if (last != null && !last.segment.sealed && !last.segment.damaged) {
-            unsealed = last.segment;
-            unsealedEnd = last.goodEnd;
-        }
-        try {
-            for (String name : recovery.useless) {
-                disk.delete(name);
-            }
-            drop();
-            begin(false);
-        } catch (IOException e) {
-            failed(e); // what is kept can be read all the same; probes will find out when the disk
-            // is well
-        }
-        long now = nowMillis();
-        index.forEach(
-                slot -> {
-                    if (slot.isPut() && slot.expiresAtMillis > now) {
-                        recoveredEntries.add(
-                                new RecoveredEntry(
-                                        slot.key.bytes, slot.metadata, slot.expiresAtMillis));
-                    }
-                });
-        recoveredEntries.sort(Comparator.comparingLong(RecoveredEntry::expiresAtMillis));
-        publish();
-        thread = new Thread(this::serve, "store");
-        thread.setDaemon(true);
+                recovery.keepDamagedSegments(clock.nowMillis(), maxRecordLifeMillis);
+        engine = new StorageEngine(directory, limits, clock, recovery);
+        recoveredEntries = engine.liveEntries();
+        queue = new AppendQueue(limits);
+        writerThread = new Thread(new GroupCommitWriter(queue, engine, callbackExecutor), "store");
+        writerThread.setDaemon(true);
     }
 
     /**
-     * Takes the folder and reads what it holds; {@link #start} lets appends go.
+     * Takes a directory and recovers what it holds. A disk that cannot be written is no error:
+     * {@link StoreStats#isHealthy} tells.
      *
-     * @param back runs acknowledgements, on the thread of its own choice
+     * @param callbackExecutor runs callbacks, on the thread of its choice; it must not wait for the
+     *     store
+     * @throws StoreException where another process has the directory, or a later release has
+     *     written it
+     * @throws IOException where the directory cannot be read
      */
     public static Store open(
-            StorageDirectory disk, StoreLimits limits, BootClock boot, Executor back)
+            StorageDirectory directory,
+            StoreLimits limits,
+            BootClock bootClock,
+            Executor callbackExecutor)
             throws IOException {
-        Closeable lock = disk.acquireLock();
+        Closeable lock = directory.acquireLock();
         try {
-            return new Store(disk, limits, boot, back, lock);
+            return new Store(directory, limits, bootClock, callbackExecutor, lock);
         } catch (IOException | RuntimeException e) {
             lock.close();
             throw e;
         }
     }
 
-    /**
-     * Under the same run of the machine time has gone on; else none that can be proven, so that no
-     * life gets shorter.
-     */
-    private long offset(Recovery recovery) {
-        long uptime = boot.uptimeMillis().getAsLong();
-        RecordFormat.SegmentHeader last = null;
-        for (Recovery.RecoveredSegment found : recovery.found.values()) {
-            if (found.header != null) {
-                last = found.header;
-            }
-        }
-        if (last == null) {
-            return -uptime;
-        }
-        if (boot.bootId() != null && boot.bootId().equals(last.bootId())) {
-            return last.clockOffsetMillis();
-        }
-        // No record lives longer than the limits say: the newest proves how late it was when it was
-        // written.
-        long[] latest = {last.createdAtMillis()};
-        index.forEach(
-                slot ->
-                        latest[0] =
-                                Math.max(
-                                        latest[0],
-                                        slot.expiresAtMillis - limits.maxRecordLife().toMillis()));
-        return latest[0] - uptime;
+    /** Starts the writer thread; what was recovered can no longer be listed. */
+    public void start() {
+        recoveredEntries = List.of();
+        writerThread.start();
     }
 
     /**
-     * Milliseconds on a clock that goes on over restarts, never runs ahead of the true time and
-     * cannot be set.
+     * Milliseconds on the store's clock, which continues over restarts, never runs ahead of true
+     * time and cannot be set.
      */
     public long nowMillis() {
-        return offset + boot.uptimeMillis().getAsLong();
+        return clock.nowMillis();
     }
 
-    /** What is live at the start, by the time at which it expires. */
+    /** Before {@link #start}: the keys with a value, soonest expiry first. */
     public List<RecoveredEntry> recoveredEntries() {
         return List.copyOf(recoveredEntries);
     }
 
     /**
-     * Hands over each live key that begins with this byte, with its value, before {@link #start};
-     * in the order in which they lie on the disk, so that a start reads each file once.
+     * Before {@link #start}: hands over each live key that begins with this byte, with its value,
+     * in the order of the disk, so that each file is read once.
+     *
+     * @throws IOException where a segment cannot be read; some keys may have been handed over by
+     *     then
      */
-    public void forEachValue(byte first, ValueVisitor with) throws IOException {
-        Map<Segment, List<Index.IndexEntry>> bySegment =
-                new TreeMap<>(Comparator.comparingLong((Segment segment) -> segment.number));
-        long now = nowMillis();
-        index.forEach(
-                slot -> {
-                    boolean mine = slot.key.bytes.length > 0 && slot.key.bytes[0] == first;
-                    if (mine && slot.isPut() && slot.expiresAtMillis > now) {
-                        bySegment
-                                .computeIfAbsent(slot.segment, ignored -> new ArrayList<>())
-                                .add(slot);
-                    }
-                });
-        for (Map.Entry<Segment, List<Index.IndexEntry>> each : bySegment.entrySet()) {
-            each.getValue().sort(Comparator.comparingInt(slot -> slot.offset));
-            try (StorageDirectory.StorageFile file = disk.open(each.getKey().fileName())) {
-                for (Index.IndexEntry slot : each.getValue()) {
-                    byte[] value = value(file, slot);
-                    if (value != null) {
-                        with.visit(slot.key.bytes, value, slot.expiresAtMillis);
-                    }
-                }
-            }
-        }
-    }
-
-    /** Told of one key with its value. */
-    @FunctionalInterface
-    public interface ValueVisitor {
-        void visit(byte[] key, byte[] value, long expires);
+    public void forEachValue(byte keyPrefix, ValueVisitor visitor) throws IOException {
+        engine.forEachValue(keyPrefix, visitor);
     }
 
-    /** What the start has found that cannot be read, a line each. */
+    /** What recovery could not read, one line each; empty where all is whole. */
     public List<String> damageReports() {
         return damageReports;
     }
 
     /**
-     * Until then a record may be missing that was acknowledged; long ago where nothing is damaged.
+     * How long from now an acknowledged record may be missing because of damage; zero where nothing
+     * is damaged, or no longer.
      */
-    public long incompleteUntilMillis() {
-        return incompleteUntilMillis;
+    public Duration incompleteFor() {
+        if (incompleteUntilMillis.isEmpty()) {
+            return Duration.ZERO;
+        }
+        return Duration.ofMillis(Math.max(0, incompleteUntilMillis.getAsLong() - nowMillis()));
     }
 
+    /** Figures of a moment ago; any thread may ask. */
     public StoreStats stats() {
-        return stats;
-    }
-
-    public void start() {
-        recoveredEntries.clear();
-        thread.start();
+        return engine.stats();
     }
 
     /**
-     * Whether a new key would be taken now; the last part of each bound is left to what is there
-     * already.
+     * Whether {@link #putNew} would be admitted now; an eighth of each bound is reserved for {@link
+     * #put} and {@link #remove}.
      */
     public boolean hasRoomForNewKey() {
-        return hasRoomForNewKey(
-                RecordFormat.MAX_KEY_BYTES,
-                limits.maxEntries() / StoreLimits.RESERVE_PART,
-                StoreLimits.RESERVE_PART);
-    }
-
-    private boolean hasRoomForNewKey(int size, int entriesLeft, int part) {
-        StoreStats now = stats;
-        long bytes = now.bytes() + waitingBytes.get() + size;
-        long memory =
-                now.indexBytes()
-                        + (long) (waitingEntries.get() + 1)
-                                * (Index.ENTRY_OVERHEAD_BYTES + RecordFormat.MAX_METADATA_BYTES);
-        return now.entries() + waitingEntries.get() < limits.maxEntries() - entriesLeft
-                && bytes <= limits.maxBytes() - (part == 0 ? 0 : limits.maxBytes() / part)
-                && memory
-                        <= limits.maxIndexBytes() - (part == 0 ? 0 : limits.maxIndexBytes() / part);
+        return queue.hasRoomForNewKey(engine.stats());
     }
 
     /**
-     * Puts a value under a key.
+     * Stores a value under a key that is not there yet. It is rejected where the bounds, less the
+     * reserve, leave no room.
      *
-     * @param meta bytes that stay in memory and are there at once behind a start; 255 at most
-     * @param expires store's time in milliseconds from which on it need not be kept; at most the
-     *     limits' longest life ahead
-     * @param adds whether the key is new: such a one is refused where the bounds leave no room
-     * @param then told what became of it
+     * @param key at most 512 bytes
+     * @param metadata at most 255 bytes, held in memory and available right after a start
+     * @param value at most 1 MiB, on disk only
+     * @param expiresAtMillis end of its life on the store's clock, at most {@link
+     *     StoreLimits#maxRecordLife} from now
+     * @throws IllegalArgumentException where one of them is over its bound
      */
-    public void put(
+    public void putNew(
             byte[] key,
-            byte[] meta,
+            byte[] metadata,
             byte[] value,
-            long expires,
-            boolean adds,
-            Consumer<AppendResult> then) {
-        if (key.length > RecordFormat.MAX_KEY_BYTES
-                || meta.length > RecordFormat.MAX_METADATA_BYTES
-                || value.length > RecordFormat.MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("key, meta or value is too long");
-        }
-        if (expires - nowMillis() > limits.maxRecordLife().toMillis()) {
-            throw new IllegalArgumentException("lives too long");
-        }
-        offer(RecordFormat.PUT, key, meta, value, expires, adds, then);
+            long expiresAtMillis,
+            AppendCallback callback) {
+        checkBounds(key, metadata, value, expiresAtMillis);
+        append(
+                new AppendRequest(
+                        RecordFormat.PUT,
+                        new StoreKey(key),
+                        metadata,
+                        value,
+                        expiresAtMillis,
+                        true,
+                        callback));
     }
 
     /**
-     * Takes a key away. The record of it stays until then, which is the time at which what is
-     * removed expires.
+     * Stores a value that must have room beside what is there already, such as another value of a
+     * known key: it may use the reserve. The parameters are those of {@link #putNew}.
+     *
+     * @throws IllegalArgumentException where one of them is over its bound
      */
-    public void remove(byte[] key, long expires, Consumer<AppendResult> then) {
-        offer(RecordFormat.TOMBSTONE, key, NONE, NONE, expires, false, then);
-    }
-
-    private void offer(
-            byte kind,
+    public void put(
             byte[] key,
-            byte[] meta,
+            byte[] metadata,
             byte[] value,
-            long expires,
-            boolean adds,
-            Consumer<AppendResult> then) {
-        int size = RecordFormat.recordBytes(key.length, meta.length, value.length);
-        AppendResult refused = null;
-        if (closing || !stats.isHealthy()) {
-            refused = AppendResult.UNAVAILABLE;
-        } else if (waitingBytes.get() + size > MOST_WAITING_BYTES) {
-            refused = AppendResult.QUEUE_FULL;
-        } else if (!(adds ? hasRoomForNewKey() : hasRoomForNewKey(size, -1, 0))) {
-            refused = AppendResult.CAPACITY_EXCEEDED;
-        }
-        if (refused == null) {
-            waitingBytes.addAndGet(size);
-            if (adds) {
-                waitingEntries.incrementAndGet();
-            }
-            if (tasks.offer(
-                    new Task(
-                            kind,
-                            new StoreKey(key),
-                            meta,
-                            value,
-                            expires,
-                            size,
-                            adds,
-                            then,
-                            null))) {
-                return;
-            }
-            waitingBytes.addAndGet(-size);
-            if (adds) {
-                waitingEntries.decrementAndGet();
-            }
-            refused = AppendResult.QUEUE_FULL;
-        }
-        AppendResult ack = refused;
-        back.execute(() -> then.accept(ack));
-    }
-
-    private void ask(Runnable work, Runnable refused) {
-        if (!tasks.offer(new Task((byte) 0, null, null, null, 0, 0, false, null, work))) {
-            back.execute(refused);
-        }
-    }
-
-    /** Hands over the value of a key, or null where there is none or it cannot be read. */
-    public void read(byte[] key, Consumer<byte[]> then) {
-        ask(
-                () -> {
-                    byte[] value = value(new StoreKey(key));
-                    back.execute(() -> then.accept(value));
-                },
-                () -> then.accept(null));
-    }
-
-    /** Behind a failure: tries whether the disk is well again, and tells. */
-    public void probe(Consumer<Boolean> then) {
-        ask(
-                () -> {
-                    boolean well = well();
-                    publish();
-                    back.execute(() -> then.accept(well));
-                },
-                () -> then.accept(false));
-    }
-
-    private boolean well() {
-        if (fault == null) {
-            return true;
-        }
-        try {
-            begin(true);
-            fault = null;
-            return true;
-        } catch (IOException e) {
-            failed(e);
-            return false;
-        }
-    }
-
-    private byte[] value(StoreKey key) {
-        Index.IndexEntry slot = index.get(key);
-        if (slot == null || !slot.isPut()) {
-            return null;
-        }
-        try (StorageDirectory.StorageFile file = disk.open(slot.segment.fileName())) {
-            return value(file, slot);
-        } catch (IOException e) {
-            return null;
-        }
-    }
-
-    private static byte[] value(StorageDirectory.StorageFile file, Index.IndexEntry slot)
-            throws IOException {
-        ByteBuffer in = ByteBuffer.allocate(slot.recordBytes);
-        file.read(in, slot.offset);
-        in.flip();
-        // Guards against a bit that went bad since it was written: what is not the record is not
-        // handed out.
-        if (RecordFormat.inspect(in) != RecordFormat.RecordStatus.VALID) {
-            return null;
-        }
-        RecordFormat.DecodedRecord entry = RecordFormat.decode(in);
-        if (entry.sequence() != slot.sequence) {
-            return null;
-        }
-        byte[] value = new byte[entry.valueLength()];
-        in.get(entry.valueOffset(), value);
-        return value;
-    }
-
-    private void serve() {
-        List<Task> gathered = new ArrayList<>();
-        while (true) {
-            try {
-                Task first =
-                        closing
-                                ? tasks.poll()
-                                : tasks.poll(
-                                        compaction != null ? 10 : SWEEP_MS, TimeUnit.MILLISECONDS);
-                if (first != null) {
-                    gathered.add(first);
-                } else if (closing) {
-                    break;
-                }
-            } catch (InterruptedException e) {
-                break; // the process ends
-            }
-            gather();
-            tasks.drainTo(gathered);
-            for (int from = 0; from < gathered.size(); from = work(gathered, from)) {
-                // each group is followed by what is to be done between two
-            }
-            gathered.clear();
-            tend();
-        }
-        seal();
-    }
-
-    /**
-     * Gives those that were answered just now a moment to come back, so that one force serves them
-     * all.
-     */
-    private void gather() {
-        int expected = gathering.expectedAppends();
-        if (expected > 1 && fault == null) {
-            long until = System.nanoTime() + gathering.maxWaitNanos();
-            while (tasks.size() + 1 < expected && System.nanoTime() < until) {
-                Thread.yield();
-            }
-        }
-        gathering.waitEnded(tasks.size() + 1);
-    }
-
-    /** Works off one group of appends, or what else stands there; tells where the next begins. */
-    private int work(List<Task> gathered, int from) {
-        Task first = gathered.get(from);
-        if (first.work != null) {
-            first.work.run();
-            return from + 1;
-        }
-        int to = from;
-        for (int bytes = 0;
-                to < gathered.size() && gathered.get(to).work == null && bytes < GROUP_BYTES;
-                to++) {
-            bytes += gathered.get(to).size;
-        }
-        List<Task> all = List.copyOf(gathered.subList(from, to));
-        AppendResult ack = fault != null ? AppendResult.UNAVAILABLE : append(all);
-        publish();
-        for (Task task : all) {
-            waitingBytes.addAndGet(-task.size);
-            if (task.adds) {
-                waitingEntries.decrementAndGet();
-            }
-        }
-        back.execute(() -> all.forEach(task -> task.then.accept(ack)));
-        return to;
-    }
-
-    private AppendResult append(List<Task> all) {
-        int bytes = all.stream().mapToInt(Task::size).sum();
-        if (group.capacity() < bytes) {
-            group = ByteBuffer.allocate(Math.max(bytes, GROUP_BYTES));
-        }
-        group.clear();
-        long first = sequence;
-        for (Task task : all) {
-            RecordFormat.encode(
-                    group,
-                    ++sequence,
-                    task.kind,
-                    task.expires,
-                    task.key.bytes,
-                    task.meta,
-                    task.value);
-        }
-        long began = System.nanoTime();
-        try {
-            activeFile.write(group.flip(), active.size);
-            activeFile.force();
-        } catch (IOException e) {
-            failed(e);
-            return AppendResult.UNKNOWN;
-        }
-        gathering.forceCompleted(all.size(), tasks.size(), System.nanoTime() - began);
-        forces++;
-        records += all.size();
-        appended += bytes;
-        largestGroup = Math.max(largestGroup, all.size());
-        long at = active.size;
-        for (Task task : all) {
-            index.put(
-                    new Index.IndexEntry(
-                            task.key,
-                            ++first,
-                            task.kind,
-                            task.expires,
-                            task.meta,
-                            task.size,
-                            active,
-                            (int) at));
-            at += task.size;
-        }
-        active.records += all.size();
-        active.size = at;
-        return AppendResult.DURABLE;
+            long expiresAtMillis,
+            AppendCallback callback) {
+        checkBounds(key, metadata, value, expiresAtMillis);
+        append(
+                new AppendRequest(
+                        RecordFormat.PUT,
+                        new StoreKey(key),
+                        metadata,
+                        value,
+                        expiresAtMillis,
+                        false,
+                        callback));
     }
 
     /**
-     * The disk has failed: the segment under way is given up, and nothing is written before a
-     * probe.
+     * Removes a key by appending a tombstone.
+     *
+     * @param expiresAtMillis how long the tombstone stays: until the removed value would have
+     *     expired
      */
-    private void failed(IOException e) {
-        failures++;
-        fault = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
-        if (active != null) {
-            unsealed = active;
-            unsealedEnd = -1; // it is not known what of it is on the medium
-        }
-        active = null;
-        closeQuietly(activeFile);
-        activeFile = null;
-        abandonCompaction();
+    public void remove(byte[] key, long expiresAtMillis, AppendCallback callback) {
+        append(AppendRequest.tombstone(key, expiresAtMillis, callback));
     }
 
-    private static void closeQuietly(Closeable file) {
-        try {
-            if (file != null) {
-                file.close();
-            }
-        } catch (IOException e) {
-            // nothing more is asked of it
-        }
+    private void checkBounds(byte[] key, byte[] metadata, byte[] value, long expiresAtMillis) {
+        RecordFormat.requireLengths(key, metadata, value);
+        long lifeMillis = expiresAtMillis - nowMillis();
+        long maxLifeMillis = limits.maxRecordLife().toMillis();
+        RecordFormat.requireAtMost(maxLifeMillis, lifeMillis, "milliseconds of life");
     }
 
-    private static void writeSeal(StorageDirectory.StorageFile file, Segment segment, long sequence)
-            throws IOException {
-        ByteBuffer out = ByteBuffer.allocate(HintFile.SEAL_BYTES);
-        RecordFormat.encode(
-                out,
-                sequence,
-                RecordFormat.SEAL,
-                0,
-                NONE,
-                NONE,
-                ByteBuffer.allocate(8).putLong(segment.records).array());
-        file.write(out.flip(), segment.size);
-        file.force();
-        segment.size += HintFile.SEAL_BYTES;
-        segment.deadBytes += HintFile.SEAL_BYTES;
-        segment.records++;
-        segment.sealed = true;
+    private void append(AppendRequest request) {
+        Optional<AppendResult> rejection = queue.offer(request, engine.stats());
+        rejection.ifPresent(
+                result -> callbackExecutor.execute(() -> request.callback().completed(result)));
     }
 
     /**
-     * Ends what is not ended and begins the next segment. Both are on the medium before anything is
-     * appended to it.
+     * Reads the value of a key on the writer thread.
+     *
+     * @param callback receives the value; empty where there is none, where it cannot be read, or
+     *     where the queue is full
      */
-    private void begin(boolean afterFailure) throws IOException {
-        boolean given = afterFailure && unsealed != null && unsealedEnd < 0;
-        if (unsealed != null && !given) {
-            try (StorageDirectory.StorageFile file = disk.open(unsealed.fileName())) {
-                // What was never written whole goes, so that it is not taken for damage once others
-                // stand behind it.
-                file.truncate(unsealedEnd);
-                unsealed.size = unsealedEnd;
-                writeSeal(file, unsealed, ++sequence);
-            } catch (IOException e) {
-                unsealedEnd =
-                        -1; // the next try leaves it as it is: one bad file must not keep the store
-                // from going on
-                throw e;
-            }
-            hint(unsealed);
-            unsealed = null;
-        }
-        long now = nowMillis();
-        Segment next = new Segment(lastNumber + 1, now);
-        next.followsAbandoned = given;
-        disk.delete(next.fileName()); // a try that failed may have left its half; no record was
-        // ever in it
-        StorageDirectory.StorageFile file = disk.create(next.fileName());
-        try {
-            file.write(
-                    new RecordFormat.SegmentHeader(
-                                    next.number, sequence + 1, given, boot.bootId(), offset, now)
-                            .encode(),
-                    0);
-            file.force();
-            disk.forceDirectory();
-        } catch (IOException e) {
-            closeQuietly(file);
-            throw e;
-        }
-        forces++;
-        unsealed = null;
-        lastNumber = next.number;
-        segments.put(next.number, next);
-        active = next;
-        activeFile = file;
-    }
-
-    private void hint(Segment segment) {
-        try {
-            HintFile.write(disk, segment, sequence);
-        } catch (IOException e) {
-            failures++; // a start reads the segment itself
-        }
+    public void read(byte[] key, Consumer<Optional<byte[]>> callback) {
+        StoreKey storeKey = new StoreKey(key);
+        callEngine(
+                () -> {
+                    Optional<byte[]> value = engine.read(storeKey);
+                    callbackExecutor.execute(() -> callback.accept(value));
+                },
+                () -> callback.accept(Optional.empty()));
     }
 
     /**
-     * What is done between two groups: the next segment, what is past its time, a step of
-     * compaction.
+     * After a failure: tries whether the disk works again, by beginning a new segment.
+     *
+     * @param callback receives whether the store takes appends now; false also where the queue is
+     *     full
      */
-    private void tend() {
-        long now = nowMillis();
-        if (fault != null) {
-            return;
-        }
-        try {
-            boolean aged =
-                    active.records > 0
-                            && now - active.createdAtMillis >= limits.maxSegmentAge().toMillis();
-            if (active.size >= limits.segmentBytes() || aged) {
-                roll();
-            }
-            if (now - sweptAt >= SWEEP_MS) {
-                sweptAt = now;
-                drop();
-                if (compaction == null) {
-                    compaction = Compaction.next(segments.values(), active, limits, now);
-                }
-            }
-            if (compaction != null && compaction.step(disk, now)) {
-                copied += compaction.finish(disk, index);
-                hint(compaction.segment());
-                compaction = null;
-            }
-        } catch (IOException e) {
-            failed(e);
-        }
-        publish();
-    }
-
-    private void roll() throws IOException {
-        Segment old = active;
-        writeSeal(activeFile, old, ++sequence);
-        forces++;
-        activeFile.close();
-        begin(false);
-        hint(old);
-    }
-
-    private void abandonCompaction() {
-        if (compaction != null) {
-            compaction.abandon(disk);
-        }
-        compaction = null;
+    public void probe(Consumer<Boolean> callback) {
+        callEngine(
+                () -> {
+                    boolean isHealthy = engine.probe();
+                    callbackExecutor.execute(() -> callback.accept(isHealthy));
+                },
+                () -> callback.accept(false));
     }
 
-    /** Whole segments go once all in them is past its time. */
-    private void drop() throws IOException {
-        long now = nowMillis();
-        List<Segment> over = new ArrayList<>();
-        for (Map.Entry<Long, Segment> each : segments.entrySet()) {
-            Segment segment = each.getValue();
-            Map.Entry<Long, Segment> before = segments.lowerEntry(each.getKey());
-            boolean needed =
-                    segment.followsAbandoned && before != null && !over.contains(before.getValue());
-            if (segment != active && segment != unsealed && segment.isExpired(now) && !needed) {
-                over.add(segment);
-            }
-        }
-        for (Segment segment : over) {
-            if (compaction != null && compaction.segment() == segment) {
-                abandonCompaction();
-            }
-            disk.delete(segment.fileName());
-            disk.delete(RecordFormat.hintFileName(segment.number));
-            index.forget(segment.liveEntries());
-            segments.remove(segment.number);
-            dropped++;
-        }
-        if (!over.isEmpty()) {
-            disk.forceDirectory(); // an old record must not come back once newer ones of its key
-            // are gone
+    private void callEngine(Runnable onWriterThread, Runnable ifQueueIsFull) {
+        if (!queue.offerCall(new WriterTask.EngineCall(onWriterThread))) {
+            callbackExecutor.execute(ifQueueIsFull);
         }
     }
 
-    private void publish() {
-        long bytes = segments.values().stream().mapToLong(segment -> segment.size).sum();
-        stats =
-                new StoreStats(
-                        index.liveKeys(),
-                        bytes,
-                        index.memoryBytes(),
-                        segments.size(),
-                        segments.isEmpty() ? 0 : segments.firstEntry().getValue().createdAtMillis,
-                        forces,
-                        records,
-                        appended,
-                        largestGroup,
-                        copied,
-                        dropped,
-                        failures,
-                        fault);
+    /** Before {@link #start}: compacts every segment that has anything dead, whatever its share. */
+    void compactAll(Consumer<String> progress) throws IOException {
+        engine.compactAll(progress);
     }
 
     /**
-     * Copies every segment that has anything dead, whatever its share; for the command line, before
-     * {@link #start}.
+     * Works off what is queued, seals the log where the disk allows it, and releases the directory.
+     * Waits for a second at most; an interrupt ends the wait and is kept.
      */
-    void compactAll(Consumer<String> progress) throws IOException {
-        for (Segment segment : List.copyOf(segments.values())) {
-            if (segment == active
-                    || !segment.sealed
-                    || segment.damaged
-                    || segment.deadBytes <= HintFile.SEAL_BYTES) {
-                continue;
-            }
-            progress.accept(segment.fileName());
-            Compaction all = new Compaction(segment, Long.MAX_VALUE, nowMillis());
-            while (!all.step(disk, nowMillis())) {
-                // each step copies what one may
-            }
-            copied += all.finish(disk, index);
-            hint(segment);
-        }
-        publish();
-    }
-
-    private void seal() {
-        if (fault == null && active != null) {
-            try {
-                writeSeal(activeFile, active, ++sequence);
-                hint(active);
-            } catch (IOException e) {
-                failed(e);
-            }
-        }
-        closeQuietly(activeFile);
-        abandonCompaction();
-        publish();
-    }
-
-    /** Ends it in order where the disk allows: what was handed over before is worked off. */
     @Override
     public void close() throws IOException {
-        closing = true;
-        ask(() -> {}, () -> {}); // wakes it
+        queue.close();
+        queue.offerCall(
+                new WriterTask.EngineCall(
+                        () -> {})); // wakes the writer; a full queue keeps it awake anyway
         try {
-            if (thread.isAlive()) {
-                thread.join(CLOSE_MS);
-            } else if (thread.getState() == Thread.State.NEW) {
-                seal();
+            if (writerThread.getState() == Thread.State.NEW) {
+                engine.seal();
+            } else {
+                writerThread.join(CLOSE_TIMEOUT.toMillis());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- /dev/null
+++ b/src/main/java/ochretiller/store/StoreCounters.java
@@ -0,0 +1,65 @@
+package ochretiller.store;
+
+/**
+ * Counts what a store has done since it was opened. Owned by the thread that owns the {@link
+ * Index}; read through {@link StoreStats}.
+ */
+final class StoreCounters {
+    private long forces;
+    private long appendedRecords;
+    private long appendedBytes;
+    private int largestGroupCommit;
+    private long compactedBytes;
+    private long expiredSegments;
+    private long diskFailures;
+
+    void forced() {
+        forces++;
+    }
+
+    void appended(int records, int bytes) {
+        appendedRecords += records;
+        appendedBytes += bytes;
+        largestGroupCommit = Math.max(largestGroupCommit, records);
+    }
+
+    void compacted(long bytes) {
+        compactedBytes += bytes;
+    }
+
+    void segmentExpired() {
+        expiredSegments++;
+    }
+
+    void diskFailed() {
+        diskFailures++;
+    }
+
+    long forces() {
+        return forces;
+    }
+
+    long appendedRecords() {
+        return appendedRecords;
+    }
+
+    long appendedBytes() {
+        return appendedBytes;
+    }
+
+    int largestGroupCommit() {
+        return largestGroupCommit;
+    }
+
+    long compactedBytes() {
+        return compactedBytes;
+    }
+
+    long expiredSegments() {
+        return expiredSegments;
+    }
+
+    long diskFailures() {
+        return diskFailures;
+    }
+}
--- a/src/main/java/ochretiller/store/StoreInspector.java
+++ b/src/main/java/ochretiller/store/StoreInspector.java
@@ -1,135 +1,98 @@
 package ochretiller.store;
 
 import java.io.IOException;
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /**
- * A look at a store from outside. All but {@link #compact} change nothing and take no lock: they
- * read beside a server.
+ * Looks at a store from outside, for the command line. {@link #verify} and {@link #list} change
+ * nothing and take no lock, so they may run beside a server; {@link #compact} needs the store for
+ * itself. Stateless; each call does its work on the calling thread.
  */
 public final class StoreInspector {
-    /** For a store that is only copied: no bound is met, and nothing is thrown away early. */
-    private static final StoreLimits WIDE =
-            new StoreLimits(
-                    Integer.MAX_VALUE,
-                    Long.MAX_VALUE,
-                    Long.MAX_VALUE,
-                    64 << 20,
-                    Duration.ofDays(1),
-                    Long.MAX_VALUE,
-                    0.5,
-                    Duration.ZERO,
-                    Duration.ofDays(36_500));
-
     private StoreInspector() {}
 
     /**
-     * What every byte of a store says.
+     * Reads every record of every segment and compares its checksum.
      *
-     * @param tornBytes bytes at the end of the last segment that were never written to a record's
-     *     end; harmless
-     * @param damage what is there and no record, or missing in front of what is there, a line each
-     * @param leftoverFiles halves that the next start deletes
-     * @param unknownFiles files that are not the store's
+     * @param progress receives the name of each segment file before it is read
      */
-    public record StoreReport(
-            List<SegmentReport> segments,
-            int entries,
-            long bytes,
-            long tornBytes,
-            List<String> damage,
-            List<String> leftoverFiles,
-            List<String> unknownFiles) {
-        public boolean isUndamaged() {
-            return damage.isEmpty();
-        }
-    }
-
-    /** One segment. */
-    public record SegmentReport(
-            String name,
-            long bytes,
-            int records,
-            long deadBytes,
-            boolean sealed,
-            boolean damaged) {}
-
-    /** One key. */
-    public record StoredEntry(
-            byte[] key,
-            byte[] metadata,
-            long expiresAtMillis,
-            String file,
-            int offset,
-            int bytes) {}
-
-    /** Reads every record of every segment and holds its check sum against it. */
-    public static StoreReport verify(StorageDirectory disk, Consumer<String> progress)
+    public static StoreReport verify(StorageDirectory directory, Consumer<String> progress)
             throws IOException {
-        Recovery read = Recovery.read(disk, false, progress);
-        List<SegmentReport> files = new ArrayList<>();
-        long unfinished = 0;
-        for (Recovery.RecoveredSegment found : read.found.values()) {
-            Segment segment = found.segment;
-            files.add(
-                    new SegmentReport(
-                            segment.fileName(),
-                            segment.size,
-                            segment.records,
-                            segment.deadBytes,
-                            segment.sealed,
-                            segment.damaged));
-            if (!segment.damaged && !segment.sealed) {
-                unfinished += segment.size - found.goodEnd;
+        Recovery recovery = Recovery.read(directory, Recovery.HintPolicy.READ_EVERYTHING, progress);
+        List<SegmentReport> reports = new ArrayList<>();
+        long tornBytes = 0;
+        for (RecoveredSegment recovered : recovery.segments()) {
+            Segment segment = recovered.segment();
+            reports.add(report(segment));
+            if (!segment.isDamaged() && !segment.isSealed()) {
+                tornBytes += segment.sizeBytes() - recovered.validEnd();
             }
         }
+        long bytes = reports.stream().mapToLong(SegmentReport::bytes).sum();
         return new StoreReport(
-                files,
-                read.index.liveKeys(),
-                files.stream().mapToLong(SegmentReport::bytes).sum(),
-                unfinished,
-                List.copyOf(read.damage),
-                List.copyOf(read.useless),
-                List.copyOf(read.foreign));
+                List.copyOf(reports),
+                recovery.index().liveKeys(),
+                bytes,
+                tornBytes,
+                recovery.damageReports(),
+                recovery.leftoverFiles(),
+                recovery.unknownFiles());
     }
 
-    /** Tells of each key that has a value. */
-    public static void list(StorageDirectory disk, Consumer<StoredEntry> with) throws IOException {
-        Recovery.read(disk, true, file -> {})
-                .index
+    private static SegmentReport report(Segment segment) {
+        return new SegmentReport(
+                segment.fileName(),
+                segment.sizeBytes(),
+                segment.recordCount(),
+                segment.deadBytes(),
+                segment.isSealed(),
+                segment.isDamaged());
+    }
+
+    /** Hands over each key that has a value, in no particular order. */
+    public static void list(StorageDirectory directory, Consumer<StoredEntry> visitor)
+            throws IOException {
+        Recovery recovery =
+                Recovery.read(directory, Recovery.HintPolicy.USE_HINTS, segmentName -> {});
+        recovery.index()
                 .forEach(
-                        slot -> {
-                            if (!slot.isPut()) {
-                                return;
+                        entry -> {
+                            if (entry.isPut()) {
+                                visitor.accept(stored(entry));
                             }
-                            with.accept(
-                                    new StoredEntry(
-                                            slot.key.bytes,
-                                            slot.metadata,
-                                            slot.expiresAtMillis,
-                                            slot.segment.fileName(),
-                                            slot.offset,
-                                            slot.recordBytes));
                         });
     }
 
+    private static StoredEntry stored(IndexEntry entry) {
+        return new StoredEntry(
+                entry.key().bytes(),
+                entry.metadata(),
+                entry.expiresAtMillis(),
+                entry.segment().fileName(),
+                entry.offset(),
+                entry.recordBytes());
+    }
+
     /**
-     * Copies what is live of each segment and drops the rest; the store must not be in use. Returns
-     * bytes before and after.
+     * Copies what is live of each segment and drops the rest.
+     *
+     * @param progress receives the name of each segment file before it is copied
+     * @throws StoreException where the store is in use, does not exist, or its disk cannot be
+     *     written
      */
-    public static long[] compact(StorageDirectory disk, Consumer<String> progress)
+    public static CompactionReport compact(StorageDirectory directory, Consumer<String> progress)
             throws IOException {
-        disk.listFiles(); // a folder that is not there is not made
-        long before = verify(disk, file -> {}).bytes();
-        try (Store store = Store.open(disk, WIDE, BootClock.ofKernel(), Runnable::run)) {
-            if (!store.stats().isHealthy()) {
-                throw new StoreException("the disk is not well: " + store.stats().fault());
+        directory.listFiles(); // fails where there is no store, which opening one would create
+        long bytesBefore = verify(directory, segmentName -> {}).bytes();
+        StoreLimits unlimited = StoreLimits.builder().build();
+        try (Store store = Store.open(directory, unlimited, BootClock.ofKernel(), Runnable::run)) {
+            if (store.stats().fault().isPresent()) {
+                throw new StoreException("the disk is not well: " + store.stats().fault().get());
             }
             store.compactAll(progress);
         }
-        return new long[] {before, verify(disk, file -> {}).bytes()};
+        return new CompactionReport(bytesBefore, verify(directory, segmentName -> {}).bytes());
     }
 }
--- a/src/main/java/ochretiller/store/StoreStats.java
+++ b/src/main/java/ochretiller/store/StoreStats.java
@@ -1,22 +1,25 @@
 package ochretiller.store;
 
+import java.util.Collection;
+import java.util.Optional;
+
 /**
- * Figures of a store at one moment; counts are since its start.
+ * Figures of a store at one instant; counts are since it was opened. Immutable.
  *
  * @param entries keys that have a value
  * @param bytes bytes of all its segments
- * @param indexBytes bytes of the index, as reckoned
- * @param segments files of records
- * @param oldestSegmentMillis when the oldest segment was begun, store's time in milliseconds; of no
- *     use without segments
- * @param forces times that the disk was told to force
+ * @param indexBytes memory of the index, estimated
+ * @param segments number of segments
+ * @param oldestSegmentMillis when the oldest segment was created, on the store's clock; 0 without
+ *     segments
+ * @param forces forces of the disk
  * @param appendedRecords records appended
  * @param appendedBytes bytes appended
- * @param largestGroupCommit most records that went out with one force
- * @param compactedBytes bytes that compaction has copied
- * @param expiredSegments segments that were past their time
+ * @param largestGroupCommit most records that shared one force
+ * @param compactedBytes bytes that compactions have copied
+ * @param expiredSegments segments that were deleted once all in them had expired
  * @param diskFailures failures of the disk
- * @param fault what the disk failed with, or null while it is well
+ * @param fault what the disk failed with; empty while it works
  */
 public record StoreStats(
         int entries,
@@ -31,8 +34,31 @@
         long compactedBytes,
         long expiredSegments,
         long diskFailures,
-        String fault) {
+        Optional<String> fault) {
+    /** Whether the disk works, as far as its last use tells. */
     public boolean isHealthy() {
-        return fault == null;
+        return fault.isEmpty();
+    }
+
+    /** Figures of these parts of a store. */
+    static StoreStats of(
+            Index index,
+            Collection<Segment> segments,
+            StoreCounters counters,
+            Optional<String> fault) {
+        return new StoreStats(
+                index.liveKeys(),
+                segments.stream().mapToLong(Segment::sizeBytes).sum(),
+                index.memoryBytes(),
+                segments.size(),
+                segments.stream().findFirst().map(Segment::createdAtMillis).orElse(0L),
+                counters.forces(),
+                counters.appendedRecords(),
+                counters.appendedBytes(),
+                counters.largestGroupCommit(),
+                counters.compactedBytes(),
+                counters.expiredSegments(),
+                counters.diskFailures(),
+                fault);
     }
 }
--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -11,6 +11,7 @@
 import ochretiller.operator.OperatorConfigReader;
 import ochretiller.store.LocalDirectory;
 import ochretiller.store.StorageDirectory;
+import ochretiller.store.StorageFile;
 
 /**
  * The packaged server on a disk that ends the process at a scripted operation, as SIGKILL would:
--- a/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
@@ -9,8 +9,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import ochretiller.audit.AuditEvent;
+import ochretiller.audit.AuditEventKind;
 import ochretiller.audit.AuditRecord;
 import ochretiller.audit.HashChain;
+import ochretiller.audit.InvocationCounts;
+import ochretiller.audit.KeyedRun;
+import ochretiller.audit.VersionPeriod;
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -20,89 +25,92 @@
     private static final GoldenFile RECORDS = new GoldenFile("audit-records");
     private static final GoldenFile FILES = new GoldenFile("audit-files");
     private static final String FILE = "audit-0000000000000000001.log";
-    private static final long MOST = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
 
-    private static AuditRecord event(AuditRecord.AuditEventKind kind) {
-        return new AuditRecord.AuditEvent(kind, 3, 1_700_000_000_123L, "caf\u00e9");
+    private static AuditRecord event(AuditEventKind kind) {
+        return new AuditEvent(kind, 3, 1_700_000_000_123L, "caf\u00e9");
     }
 
-    private static Map<String, AuditRecord> entries() {
+    private static Map<String, AuditRecord> records() {
         Map<String, AuditRecord> all = new LinkedHashMap<>();
+        Map<String, InvocationCounts> operations =
+                Map.of(
+                        "order",
+                        new InvocationCounts(15, 1, 2, 3, 4),
+                        "read",
+                        new InvocationCounts(1_000, 9, 8, 7, 6));
+        String versionHash = "0123456789abcdef".repeat(4);
         all.put(
                 "span",
-                new AuditRecord.VersionPeriod(
+                new VersionPeriod(
                         2,
-                        "0123456789abcdef".repeat(4),
+                        versionHash,
                         1_700_000_000_000L,
                         1_700_000_060_000L,
                         60_001,
-                        Map.of(
-                                "order",
-                                new AuditRecord.InvocationCounts(15, 1, 2, 3, 4),
-                                "read",
-                                new AuditRecord.InvocationCounts(1_000, 9, 8, 7, 6))));
-        all.put("run", new AuditRecord.KeyedRun(3, 1_700_000_000_456L, "a token"));
-        all.put("event-started", event(AuditRecord.AuditEventKind.STARTED));
-        all.put("event-changed", event(AuditRecord.AuditEventKind.VERSION_CHANGED));
-        all.put("event-refused", event(AuditRecord.AuditEventKind.VERSION_REJECTED));
-        all.put("event-shut-out", event(AuditRecord.AuditEventKind.FENCED));
-        all.put("event-let-in", event(AuditRecord.AuditEventKind.UNFENCED));
-        all.put("event-published", event(AuditRecord.AuditEventKind.VERSION_PUBLISHED));
-        all.put("event-rollout", event(AuditRecord.AuditEventKind.ROLLOUT_CHANGED));
-        all.put("event-lost", event(AuditRecord.AuditEventKind.RECORDS_LOST));
-        all.put("event-ended", event(AuditRecord.AuditEventKind.STOPPED));
-        all.put("event-witnessed", event(AuditRecord.AuditEventKind.PEER_AUDIT_WITNESSED));
+                        operations));
+        all.put("run", new KeyedRun(3, 1_700_000_000_456L, "a token"));
+        all.put("event-started", event(AuditEventKind.STARTED));
+        all.put("event-changed", event(AuditEventKind.VERSION_CHANGED));
+        all.put("event-refused", event(AuditEventKind.VERSION_REJECTED));
+        all.put("event-shut-out", event(AuditEventKind.FENCED));
+        all.put("event-let-in", event(AuditEventKind.UNFENCED));
+        all.put("event-published", event(AuditEventKind.VERSION_PUBLISHED));
+        all.put("event-rollout", event(AuditEventKind.ROLLOUT_CHANGED));
+        all.put("event-lost", event(AuditEventKind.RECORDS_LOST));
+        all.put("event-ended", event(AuditEventKind.STOPPED));
+        all.put("event-witnessed", event(AuditEventKind.PEER_AUDIT_WITNESSED));
         return all;
     }
 
     @Test
     void eachRecordIsWrittenAsItsGoldenBytes() {
         Map<String, byte[]> written = new LinkedHashMap<>();
-        entries().forEach((name, entry) -> written.put(name, AuditRecordCodec.encode(entry)));
+        records().forEach((name, record) -> written.put(name, AuditRecordCodec.encode(record)));
         RECORDS.assertHolds(written);
     }
 
     @Test
     void eachGoldenRecordIsReadBack() {
-        entries()
+        records()
                 .forEach(
-                        (name, entry) ->
+                        (name, record) ->
                                 assertThat(AuditRecordCodec.decode(RECORDS.bytes(name)))
                                         .as(name)
-                                        .isEqualTo(entry));
+                                        .isEqualTo(record));
     }
 
     @Test
     void eachKindOfRecordAndEventHasAGoldenRecord() {
-        assertThat(entries().values())
+        assertThat(records().values())
                 .extracting(Object::getClass)
                 .containsAll(List.of(AuditRecord.class.getPermittedSubclasses()));
         assertThat(
-                        entries().values().stream()
-                                .filter(AuditRecord.AuditEvent.class::isInstance)
-                                .map(each -> ((AuditRecord.AuditEvent) each).kind()))
-                .contains(AuditRecord.AuditEventKind.values());
+                        records().values().stream()
+                                .filter(AuditEvent.class::isInstance)
+                                .map(record -> ((AuditEvent) record).kind()))
+                .contains(AuditEventKind.values());
     }
 
     @Test
-    void theWriterWritesItsGoldenFile() throws IOException {
-        AuditLogWriter writer = new AuditLogWriter(folder, MOST, () -> 0);
+    void writerWritesItsGoldenFile() throws IOException {
+        AuditLogWriter writer = new AuditLogWriter(directory, MAX_BYTES, () -> 0);
         writer.start();
-        entries().values().forEach(writer::add);
+        records().values().forEach(writer::add);
         writer.close();
-        FILES.assertHolds(Map.of(FILE, Files.readAllBytes(folder.resolve(FILE))));
+        FILES.assertHolds(Map.of(FILE, Files.readAllBytes(directory.resolve(FILE))));
     }
 
     @Test
-    void theGoldenFileIsReadBackAsAChainWithoutFault() throws IOException {
-        Files.write(folder.resolve(FILE), FILES.bytes(FILE));
+    void goldenFileIsReadBackAsAChainWithoutFault() throws IOException {
+        Files.write(directory.resolve(FILE), FILES.bytes(FILE));
         HashChain chain = HashChain.empty();
-        entries().values().forEach(entry -> chain.append(AuditRecordCodec.encode(entry)));
-        AuditLogReader.AuditLog found = AuditLogReader.read(folder, List.of(chain.head()));
-        assertThat(found.faults()).isEmpty();
-        assertThat(found.decodedRecords()).isEqualTo(new ArrayList<>(entries().values()));
-        assertThat(found.head()).isEqualTo(chain.head());
+        records().values().forEach(record -> chain.append(AuditRecordCodec.encode(record)));
+        AuditLog log = AuditLogReader.read(directory, List.of(chain.head()));
+        assertThat(log.faults()).isEmpty();
+        assertThat(log.decodedRecords()).isEqualTo(new ArrayList<>(records().values()));
+        assertThat(log.head()).isEqualTo(chain.head());
     }
 }
--- a/src/test/java/ochretiller/audit/files/AuditLogReaderTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditLogReaderTest.java
@@ -9,130 +9,126 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
+import ochretiller.audit.AuditEvent;
+import ochretiller.audit.AuditEventKind;
 import ochretiller.audit.AuditRecord;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
+import ochretiller.audit.InvocationCounts;
+import ochretiller.audit.KeyedRun;
+import ochretiller.audit.VersionPeriod;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An audit's files: read back as written, each damage told, and gone on with behind a crash. */
+/** An audit's files: read back as written, each damage reported, and continued after a crash. */
 class AuditLogReaderTest {
-    private static final long MOST = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
+    private static final List<AuditRecord> RECORDS =
+            List.of(
+                    new AuditEvent(AuditEventKind.STARTED, 1, 1_000, "m1"),
+                    new KeyedRun(1, 1_500, "token"),
+                    new VersionPeriod(
+                            1,
+                            "a".repeat(64),
+                            1_000,
+                            2_000,
+                            1_000,
+                            Map.of(
+                                    "order", new InvocationCounts(5, 1, 2, 1, 1),
+                                    "read", new InvocationCounts(9, 9, 0, 0, 0))),
+                    new AuditEvent(AuditEventKind.VERSION_CHANGED, 2, 2_000, "caf\u00e9"));
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
 
-    private static List<AuditRecord> some() {
-        return List.of(
-                new AuditRecord.AuditEvent(AuditRecord.AuditEventKind.STARTED, 1, 1_000, "m1"),
-                new AuditRecord.KeyedRun(1, 1_500, "token"),
-                new AuditRecord.VersionPeriod(
-                        1,
-                        "a".repeat(64),
-                        1_000,
-                        2_000,
-                        1_000,
-                        Map.of(
-                                "order",
-                                new AuditRecord.InvocationCounts(5, 1, 2, 1, 1),
-                                "read",
-                                new AuditRecord.InvocationCounts(9, 9, 0, 0, 0))),
-                new AuditRecord.AuditEvent(
-                        AuditRecord.AuditEventKind.VERSION_CHANGED, 2, 2_000, "caf\u00e9"));
-    }
-
-    private HashChain.ChainHead write(List<AuditRecord> entries) throws IOException {
-        AuditLogWriter writer = new AuditLogWriter(folder, MOST, () -> 0);
+    private ChainHead write(List<AuditRecord> records) throws IOException {
+        AuditLogWriter writer = new AuditLogWriter(directory, MAX_BYTES, () -> 0);
         writer.start();
-        entries.forEach(writer::add);
+        records.forEach(writer::add);
         writer.close();
         return writer.head();
     }
 
-    private Path file() throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+    private Path onlyFile() throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.findFirst().orElseThrow();
         }
     }
 
     @Test
-    void whatWasWrittenIsReadBackOverRestarts() throws IOException {
-        write(some());
-        HashChain.ChainHead head = write(some());
+    void recordsAreReadBackAsWrittenOverRestarts() throws IOException {
+        write(RECORDS);
+        ChainHead head = write(RECORDS);
         assertThat(head.number()).isEqualTo(8);
-        AuditLogReader.AuditLog found = AuditLogReader.read(folder, List.of(head));
-        assertThat(found.faults()).isEmpty();
-        assertThat(found.decodedRecords())
-                .startsWith(some().toArray(AuditRecord[]::new))
-                .endsWith(some().toArray(AuditRecord[]::new))
-                .hasSize(8);
+        AuditLog log = AuditLogReader.read(directory, List.of(head));
+        assertThat(log.faults()).isEmpty();
+        AuditRecord[] written = RECORDS.toArray(AuditRecord[]::new);
+        assertThat(log.decodedRecords()).startsWith(written).endsWith(written).hasSize(8);
     }
 
     @Test
-    void aCutAtEachByteIsToldAndGoneOnBehind() throws IOException {
-        HashChain.ChainHead head = write(some());
-        byte[] whole = Files.readAllBytes(file());
-        for (int i = 0; i < whole.length; i++) {
-            Files.write(file(), Arrays.copyOf(whole, i));
-            assertThat(AuditLogReader.read(folder, List.of(head)).faults())
-                    .as("cut at " + i)
+    void cutAtEachByteIsReportedAndTheLogGoesOnBehindIt() throws IOException {
+        ChainHead head = write(RECORDS);
+        byte[] whole = Files.readAllBytes(onlyFile());
+        for (int length = 0; length < whole.length; length++) {
+            Files.write(onlyFile(), Arrays.copyOf(whole, length));
+            assertThat(AuditLogReader.read(directory, List.of(head)).faults())
+                    .as("cut at " + length)
                     .isNotEmpty();
         }
-        Files.write(file(), Arrays.copyOf(whole, whole.length - 3));
-        write(
-                List.of(
-                        new AuditRecord.AuditEvent(
-                                AuditRecord.AuditEventKind.STARTED, 1, 3_000, "again")));
-        AuditLogReader.AuditLog found = AuditLogReader.read(folder, List.of());
-        assertThat(found.faults()).as("half a record is taken off").isEmpty();
-        assertThat(found.decodedRecords()).hasSize(4);
-        assertThat(AuditLogReader.read(folder, List.of(head)).faults())
+        Files.write(onlyFile(), Arrays.copyOf(whole, whole.length - 3));
+        write(List.of(new AuditEvent(AuditEventKind.STARTED, 1, 3_000, "again")));
+        AuditLog log = AuditLogReader.read(directory, List.of());
+        assertThat(log.faults()).as("half a record is cut off").isEmpty();
+        assertThat(log.decodedRecords()).hasSize(4);
+        assertThat(AuditLogReader.read(directory, List.of(head)).faults())
                 .as("others know what was there")
                 .isNotEmpty();
     }
 
     @Test
-    void eachSpoiltByteIsTold() throws IOException {
-        HashChain.ChainHead head = write(some());
-        byte[] whole = Files.readAllBytes(file());
+    void eachChangedByteIsReported() throws IOException {
+        ChainHead head = write(RECORDS);
+        byte[] whole = Files.readAllBytes(onlyFile());
         for (int i = 0; i < whole.length; i++) {
-            byte[] spoilt = whole.clone();
-            spoilt[i] ^= 0x04;
-            Files.write(file(), spoilt);
-            assertThat(AuditLogReader.read(folder, List.of(head)).faults())
+            byte[] changed = whole.clone();
+            changed[i] ^= 0x04;
+            Files.write(onlyFile(), changed);
+            assertThat(AuditLogReader.read(directory, List.of(head)).faults())
                     .as("byte " + i)
                     .isNotEmpty();
         }
     }
 
     @Test
-    void oldFilesGoAsAWholeAndTheRestIsStillAChain() throws IOException {
-        AuditLogWriter writer = new AuditLogWriter(folder, MOST, () -> 0);
+    void oldFilesAreDeletedAsAWholeAndTheRestIsStillAChain() throws IOException {
+        AuditLogWriter writer = new AuditLogWriter(directory, MAX_BYTES, () -> 0);
         writer.start();
         for (int i = 0; i < 15_000; i++) {
-            writer.add(new AuditRecord.KeyedRun(1, i, "token " + i));
+            writer.add(new KeyedRun(1, i, "token " + i));
         }
         writer.close();
-        AuditLogReader.AuditLog found = AuditLogReader.read(folder, List.of(writer.head()));
-        assertThat(found.faults()).isEmpty();
-        assertThat(found.records().get(0).number()).isGreaterThan(1);
-        try (Stream<Path> files = Files.list(folder)) {
-            assertThat(files.mapToLong(each -> each.toFile().length()).sum()).isLessThan(2 * MOST);
+        AuditLog log = AuditLogReader.read(directory, List.of(writer.head()));
+        assertThat(log.faults()).isEmpty();
+        assertThat(log.records().get(0).number()).isGreaterThan(1);
+        try (Stream<Path> files = Files.list(directory)) {
+            assertThat(files.mapToLong(file -> file.toFile().length()).sum())
+                    .isLessThan(2 * MAX_BYTES);
         }
     }
 
     @Test
-    void whatTheDiskDoesNotTakeIsCountedAndSaid() throws Exception {
-        AuditLogWriter writer = new AuditLogWriter(folder, 16 * MOST, () -> 77);
+    void recordsThatTheDiskDoesNotTakeAreCountedAndReported() throws Exception {
+        AuditLogWriter writer = new AuditLogWriter(directory, 16 * MAX_BYTES, () -> 77);
         for (int i = 0; i < 20_010; i++) {
-            writer.add(new AuditRecord.KeyedRun(1, i, "token " + i));
+            writer.add(new KeyedRun(1, i, "token " + i));
         }
         assertThat(writer.lostRecords()).isEqualTo(10);
         writer.start();
         writer.close();
-        assertThat(AuditLogReader.read(folder, List.of()).decodedRecords())
+        assertThat(AuditLogReader.read(directory, List.of()).decodedRecords())
                 .anyMatch(
-                        each ->
-                                each instanceof AuditRecord.AuditEvent event
-                                        && event.kind() == AuditRecord.AuditEventKind.RECORDS_LOST
+                        record ->
+                                record instanceof AuditEvent event
+                                        && event.kind() == AuditEventKind.RECORDS_LOST
                                         && event.text().startsWith("10 records"));
     }
 }
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import ochretiller.ManualEventLoop;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.EpochConsensus;
 import ochretiller.fleet.consensus.ReplicaPlacement;
@@ -130,8 +130,8 @@
         }
 
         @Override
-        public HashChain.ChainHead audited() {
-            return HashChain.ChainHead.EMPTY;
+        public ChainHead audited() {
+            return ChainHead.EMPTY;
         }
 
         @Override
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.UUID;
@@ -58,8 +59,12 @@
     private Store open() throws IOException {
         return Store.open(
                 disk,
-                StoreLimits.of(100, 1 << 20, LONGEST),
-                new BootClock(new UUID(1, 2), () -> 5_000),
+                StoreLimits.builder()
+                        .maxEntries(100)
+                        .maxBytes(1 << 20)
+                        .maxRecordLife(LONGEST)
+                        .build(),
+                new BootClock(Optional.of(new UUID(1, 2)), () -> 5_000),
                 Runnable::run);
     }
 
@@ -129,7 +134,6 @@
                 new byte[0],
                 RECORDS.bytes(name + "-value"),
                 store.nowMillis() + lives.toMillis(),
-                false,
                 acked::complete);
         assertThat(acked.get(10, TimeUnit.SECONDS)).isEqualTo(AppendResult.DURABLE);
     }
--- a/src/test/java/ochretiller/golden/AuditJsonTest.java
+++ b/src/test/java/ochretiller/golden/AuditJsonTest.java
@@ -6,7 +6,12 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import ochretiller.audit.AuditEvent;
+import ochretiller.audit.AuditEventKind;
 import ochretiller.audit.AuditRecord;
+import ochretiller.audit.InvocationCounts;
+import ochretiller.audit.KeyedRun;
+import ochretiller.audit.VersionPeriod;
 import ochretiller.audit.files.AuditLogReader;
 import ochretiller.audit.files.AuditLogWriter;
 import org.junit.jupiter.api.BeforeEach;
@@ -20,19 +25,18 @@
 
     @BeforeEach
     void write() throws Exception {
-        Map<String, AuditRecord.InvocationCounts> none = Map.of();
+        Map<String, InvocationCounts> none = Map.of();
         write(
                 "m1",
                 List.of(
-                        new AuditRecord.KeyedRun(1, 1_500, "token"),
-                        new AuditRecord.VersionPeriod(1, "", 1_000, 3_000, 2_000, none)));
+                        new KeyedRun(1, 1_500, "token"),
+                        new VersionPeriod(1, "", 1_000, 3_000, 2_000, none)));
         write(
                 "m2",
                 List.of(
-                        new AuditRecord.AuditEvent(
-                                AuditRecord.AuditEventKind.FENCED, 1, 1_000, "its lease has ended"),
-                        new AuditRecord.VersionPeriod(1, "", 1_000, 3_000, 2_000, none)));
-        write("m3", List.of(new AuditRecord.VersionPeriod(2, "", 5_000, 9_000, 4_000, none)));
+                        new AuditEvent(AuditEventKind.FENCED, 1, 1_000, "its lease has ended"),
+                        new VersionPeriod(1, "", 1_000, 3_000, 2_000, none)));
+        write("m3", List.of(new VersionPeriod(2, "", 5_000, 9_000, 4_000, none)));
     }
 
     private void write(String name, List<AuditRecord> entries) throws Exception {
--- a/src/test/java/ochretiller/golden/ExternalNamesTest.java
+++ b/src/test/java/ochretiller/golden/ExternalNamesTest.java
@@ -4,13 +4,13 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.util.stream.Stream;
-import ochretiller.audit.FleetTimeline;
+import ochretiller.audit.VersionStatus;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.MemberState;
 import ochretiller.fleet.replication.ClaimModes;
 import ochretiller.fleet.transport.RejectReason;
-import ochretiller.idempotency.durable.DurabilityPolicy;
-import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.DiskHealth;
+import ochretiller.idempotency.durable.InvocationProgress;
 import ochretiller.model.RunOutcome;
 import ochretiller.net.CloseCode;
 import ochretiller.pools.RequestOutcome;
@@ -62,25 +62,19 @@
 
     @Test
     void knowledgeOfAStretchKeepsItsWords() {
-        assertThat(
-                        Stream.of(FleetTimeline.VersionStatus.values())
-                                .map(FleetTimeline.VersionStatus::externalName))
+        assertThat(Stream.of(VersionStatus.values()).map(VersionStatus::externalName))
                 .containsExactly("ACTED", "SHUT_OUT", "UNKNOWN");
     }
 
     @Test
     void statesOfStoredResultsKeepTheirWords() {
-        assertThat(
-                        Stream.of(IdempotencyRecord.Progress.values())
-                                .map(IdempotencyRecord.Progress::externalName))
+        assertThat(Stream.of(InvocationProgress.values()).map(InvocationProgress::externalName))
                 .containsExactly("MARKED", "SUCCEEDED", "LOST");
     }
 
     @Test
     void statesOfTheDiskKeepTheirWords() {
-        assertThat(
-                        Stream.of(DurabilityPolicy.DiskHealth.values())
-                                .map(DurabilityPolicy.DiskHealth::externalName))
+        assertThat(Stream.of(DiskHealth.values()).map(DiskHealth::externalName))
                 .containsExactly("well", "stalled", "sick");
     }
 
--- a/src/test/java/ochretiller/idempotency/IdempotencyCacheTest.java
+++ b/src/test/java/ochretiller/idempotency/IdempotencyCacheTest.java
@@ -5,6 +5,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 import ochretiller.model.SideEffect;
@@ -15,7 +16,11 @@
     private static final Operation ORDER = operation("order", SideEffect.KEYED);
     private static final Operation READ = operation("read", SideEffect.IDEMPOTENT);
     private static final byte[] BODY = {1};
-    private final IdempotencyCache keys = new IdempotencyCache(10_000, SECOND);
+    private static final byte[] OTHER_BODY = {2};
+    private static final String PENDING = "pending";
+    private static final String NO_RESULT = "none";
+
+    private final IdempotencyCache cache = new IdempotencyCache(10_000, SECOND);
 
     private static Operation operation(String name, SideEffect effect) {
         return new Operation(
@@ -38,178 +43,177 @@
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private InvocationId order(long id, double arrived, double now) {
-        return keys.findOriginalOrTrack(
-                id(id),
-                ORDER,
-                "token",
-                null,
-                at(arrived),
-                IdempotencyCache.NO_CLIENT_TIMESTAMP,
-                at(now));
+    private static Attempt order(long id, String token, double arrived, long sentUnixMillis) {
+        return new Attempt(
+                id(id), ORDER, Optional.of(token), Optional.empty(), at(arrived), sentUnixMillis);
     }
 
-    private InvocationId read(long id, double now) {
-        return keys.findOriginalOrTrack(
-                id(id),
-                READ,
-                null,
-                "object",
-                at(now),
-                IdempotencyCache.NO_CLIENT_TIMESTAMP,
-                at(now));
+    private static Attempt order(long id, double arrived) {
+        return order(id, "token", arrived, IdempotencyCache.NO_CLIENT_TIMESTAMP);
     }
 
-    private String result(long id) {
-        List<String> results = new ArrayList<>();
-        keys.whenCompleted(
-                id(id), result -> results.add(result == null ? "none" : new String(result)));
-        return results.isEmpty() ? "waits" : results.get(0);
+    private Optional<InvocationId> findOriginal(long id, double arrived, double now) {
+        return cache.findOriginalOrTrack(order(id, arrived), at(now));
+    }
+
+    private Optional<InvocationId> read(long id, double now) {
+        Attempt attempt =
+                new Attempt(
+                        id(id),
+                        READ,
+                        Optional.empty(),
+                        Optional.of("object"),
+                        at(now),
+                        IdempotencyCache.NO_CLIENT_TIMESTAMP);
+        return cache.findOriginalOrTrack(attempt, at(now));
+    }
+
+    private void track(long id) {
+        cache.track(order(id, 0), BODY, at(10));
     }
 
-    private void ended(long id, String result, double now) {
-        keys.complete(id(id), true, result == null ? null : result.getBytes(), at(now));
+    private void restore(long id, boolean isCompleted) {
+        byte[] digest = IdempotencyCache.bodyDigest(BODY);
+        cache.restore(new RestoredAttempt(id(id), ORDER, "token", digest, isCompleted), at(10));
+    }
+
+    private void succeed(long id, String result, double now) {
+        cache.complete(id(id), Optional.of(result.getBytes()), at(now));
+    }
+
+    private String result(long id) {
+        List<String> results = new ArrayList<>();
+        cache.whenCompleted(
+                Optional.of(id(id)),
+                result -> results.add(result.map(String::new).orElse(NO_RESULT)));
+        return results.isEmpty() ? PENDING : results.get(0);
     }
 
     @Test
-    void tryIsTiedToTheKeptOne() {
-        assertThat(order(1, 0, 0)).isNull();
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        assertThat(order(2, 0, 0)).isEqualTo(id(1));
+    void repeatIsTiedToItsOriginal() {
+        assertThat(findOriginal(1, 0, 0)).isEmpty();
+        track(1);
+        assertThat(findOriginal(2, 0, 0)).contains(id(1));
     }
 
     @Test
-    void windowCountsByArrivalHoweverLateItIsRead() {
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        ended(1, "done", 1);
-        assertThat(order(2, 9.9, 11.5)).isEqualTo(id(1));
-        assertThat(order(3, 10.1, 10.1)).isNull();
+    void windowCountsByArrivalHoweverLateTheRepeatIsRead() {
+        track(1);
+        succeed(1, "done", 1);
+        assertThat(findOriginal(2, 9.9, 11.5)).contains(id(1));
+        assertThat(findOriginal(3, 10.1, 10.1)).isEmpty();
     }
 
     @Test
-    void repeatAtTheEdgeIsTiedHoweverTheGatheringsFellInWhichBothWereRead() {
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        ended(1, "done", 1);
-        assertThat(order(2, 10.099, 10.1))
-                .isEqualTo(id(1)); // it came at 9.99 by the clock of who dated it
+    void repeatAtTheEdgeOfTheWindowIsTiedThoughTheClocksAreReadOncePerTurn() {
+        track(1);
+        succeed(1, "done", 1);
+        assertThat(findOriginal(2, 10.099, 10.1))
+                .contains(id(1)); // it came at 9.99 by the clock of who dated it
     }
 
     @Test
     void repeatWithinTheWindowByTheUnixClockIsTiedThoughThatWasSetBack() {
-        long t0 = 1_764_576_000_000L;
-        keys.track(id(1), ORDER, "token", BODY, t0, at(10));
-        ended(1, "done", 1);
+        long sent = 1_764_576_000_000L;
+        cache.track(order(1, "token", 0, sent), BODY, at(10));
+        succeed(1, "done", 1);
         // 11 s later the clock shows 6 s more, as it was set back by 5.
-        assertThat(
-                        keys.findOriginalOrTrack(
-                                id(2), ORDER, "token", null, at(11), t0 + 6_000, at(11)))
-                .isEqualTo(id(1));
-        assertThat(
-                        keys.findOriginalOrTrack(
-                                id(3), ORDER, "token", null, at(11), t0 + 10_100, at(11)))
-                .isNull();
+        assertThat(cache.findOriginalOrTrack(order(2, "token", 11, sent + 6_000), at(11)))
+                .contains(id(1));
+        assertThat(cache.findOriginalOrTrack(order(3, "token", 11, sent + 10_100), at(11)))
+                .isEmpty();
     }
 
     @Test
-    void otherBodyOrOperationUnderOneTokenDiffers() {
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        assertThat(keys.conflictsWith(id(1), ORDER, new byte[] {1})).isFalse();
-        assertThat(keys.conflictsWith(id(1), ORDER, new byte[] {2})).isTrue();
-        assertThat(keys.conflictsWith(id(1), operation("other", SideEffect.KEYED), BODY)).isTrue();
-        assertThat(keys.conflictsWith(id(2), ORDER, BODY)).isFalse();
+    void otherBodyOrOperationUnderOneTokenConflicts() {
+        track(1);
+        assertThat(cache.conflictsWith(id(1), ORDER, new byte[] {1})).isFalse();
+        assertThat(cache.conflictsWith(id(1), ORDER, OTHER_BODY)).isTrue();
+        assertThat(cache.conflictsWith(id(1), operation("other", SideEffect.KEYED), BODY)).isTrue();
+        assertThat(cache.conflictsWith(id(2), ORDER, BODY)).isFalse();
     }
 
     @Test
-    void entryIsForgottenBehindItsWindow() {
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        ended(1, "done", 1);
-        assertThat(order(2, 9.9, 12.1)).isNull();
-        assertThat(result(1)).isEqualTo("none");
+    void entryIsDroppedAfterItsWindow() {
+        track(1);
+        succeed(1, "done", 1);
+        assertThat(findOriginal(2, 9.9, 12.1)).isEmpty();
+        assertThat(result(1)).isEqualTo(NO_RESULT);
     }
 
     @Test
-    void erasedEntryTiesNobody() {
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        keys.forget(id(1));
-        assertThat(order(2, 0, 0)).isNull();
+    void forgottenEntryTiesNobody() {
+        track(1);
+        cache.forget(id(1));
+        assertThat(findOriginal(2, 0, 0)).isEmpty();
     }
 
     @Test
-    void resultIsWaitedForAndThenKept() {
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        List<byte[]> results = new ArrayList<>();
-        keys.whenCompleted(id(1), results::add);
+    void resultIsHandedToThoseThatWaitAndThenKept() {
+        track(1);
+        List<Optional<byte[]>> results = new ArrayList<>();
+        cache.whenCompleted(Optional.of(id(1)), results::add);
         assertThat(results).isEmpty();
-        ended(1, "done", 1);
+        succeed(1, "done", 1);
         assertThat(results).hasSize(1);
         assertThat(result(1)).isEqualTo("done");
     }
 
     @Test
-    void resultThatDoesNotFitLeavesTheMark() {
-        keys.track(id(1), ORDER, "token", BODY, IdempotencyCache.NO_CLIENT_TIMESTAMP, at(10));
-        ended(1, "x".repeat(20_000), 1);
-        assertThat(order(2, 2, 2)).isEqualTo(id(1));
-        assertThat(result(1)).isEqualTo("none");
+    void resultThatDoesNotFitLeavesItsEntry() {
+        track(1);
+        succeed(1, "x".repeat(20_000), 1);
+        assertThat(findOriginal(2, 2, 2)).contains(id(1));
+        assertThat(result(1)).isEqualTo(NO_RESULT);
     }
 
     @Test
-    void bytesOfForgottenResultsAreFree() {
+    void bytesOfDroppedResultsAreFree() {
         for (int i = 0; i < 5; i++) {
-            keys.track(
-                    id(i),
-                    ORDER,
-                    "token" + i,
-                    BODY,
-                    IdempotencyCache.NO_CLIENT_TIMESTAMP,
-                    at(10 + 20 * i));
-            ended(i, "x".repeat(9_000), 20 * i);
+            Attempt original = order(i, "token" + i, 0, IdempotencyCache.NO_CLIENT_TIMESTAMP);
+            cache.track(original, BODY, at(10 + 20 * i));
+            succeed(i, "x".repeat(9_000), 20 * i);
             assertThat(result(i)).hasSize(9_000);
-            keys.findOriginalOrTrack(
-                    id(100 + i),
-                    ORDER,
-                    "other",
-                    null,
-                    at(20 * i),
-                    IdempotencyCache.NO_CLIENT_TIMESTAMP,
-                    at(19 + 20 * i));
+            Attempt later = order(100 + i, "other", 20 * i, IdempotencyCache.NO_CLIENT_TIMESTAMP);
+            cache.findOriginalOrTrack(later, at(19 + 20 * i));
         }
     }
 
     @Test
-    void readIsTiedWhileAnotherIsNotOverOrFresh() {
-        assertThat(read(1, 0)).isNull();
-        assertThat(read(2, 0)).isEqualTo(id(1));
-        keys.complete(id(1), false, "seen".getBytes(), at(1));
-        assertThat(read(3, 1.9)).isEqualTo(id(1));
+    void readIsTiedWhileAnotherIsRunningOrFresh() {
+        assertThat(read(1, 0)).isEmpty();
+        assertThat(read(2, 0)).contains(id(1));
+        succeed(1, "seen", 1);
+        assertThat(read(3, 1.9)).contains(id(1));
         assertThat(result(1)).isEqualTo("seen");
-        assertThat(read(4, 2)).isNull();
+        assertThat(read(4, 2)).isEmpty();
     }
 
     @Test
     void failedReadTiesNobody() {
         read(1, 0);
-        keys.complete(id(1), false, null, at(1));
-        assertThat(read(2, 1)).isNull();
+        cache.complete(id(1), Optional.empty(), at(1));
+        assertThat(read(2, 1)).isEmpty();
     }
 
     @Test
-    void restoredTryIsKnownByTheHashOfItsBody() {
-        keys.restore(id(-1), ORDER, "token", IdempotencyCache.bodyDigest(BODY), at(10), true);
-        assertThat(order(1, 5, 5)).isEqualTo(id(-1));
-        assertThat(keys.conflictsWith(id(-1), ORDER, BODY)).isFalse();
-        assertThat(keys.conflictsWith(id(-1), ORDER, new byte[] {2})).isTrue();
-        assertThat(keys.conflictsWith(id(-1), operation("other", SideEffect.KEYED), BODY)).isTrue();
-        assertThat(result(-1)).isEqualTo("none"); // its result is kept elsewhere
-        assertThat(order(2, 9.999, 9.999)).isEqualTo(id(-1));
-        assertThat(order(3, 10, 10)).isNull();
+    void restoredAttemptIsKnownByTheDigestOfItsBody() {
+        restore(-1, true);
+        assertThat(findOriginal(1, 5, 5)).contains(id(-1));
+        assertThat(cache.conflictsWith(id(-1), ORDER, BODY)).isFalse();
+        assertThat(cache.conflictsWith(id(-1), ORDER, OTHER_BODY)).isTrue();
+        assertThat(cache.conflictsWith(id(-1), operation("other", SideEffect.KEYED), BODY))
+                .isTrue();
+        assertThat(result(-1)).isEqualTo(NO_RESULT); // its result is kept elsewhere
+        assertThat(findOriginal(2, 9.999, 9.999)).contains(id(-1));
+        assertThat(findOriginal(3, 10, 10)).isEmpty();
     }
 
     @Test
-    void restoredTryWhoseEndComesLaterHandsItOver() {
-        keys.restore(id(-1), ORDER, "token", IdempotencyCache.bodyDigest(BODY), at(10), false);
-        assertThat(result(-1)).isEqualTo("waits");
-        ended(-1, "done", 1);
+    void restoredAttemptWhoseResultComesLaterHandsItOver() {
+        restore(-1, false);
+        assertThat(result(-1)).isEqualTo(PENDING);
+        succeed(-1, "done", 1);
         assertThat(result(-1)).isEqualTo("done");
     }
 }
--- a/src/test/java/ochretiller/node/AuditRecorderTest.java
+++ b/src/test/java/ochretiller/node/AuditRecorderTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import ochretiller.ManualEventLoop;
-import ochretiller.audit.AuditRecord;
+import ochretiller.audit.AuditEvent;
 import ochretiller.audit.files.AuditLogReader;
 import ochretiller.fleet.service.RolloutService;
 import ochretiller.metrics.Metrics;
@@ -30,8 +30,8 @@
 
     private Stream<Integer> kinds() throws Exception {
         return AuditLogReader.read(folder, List.of()).decodedRecords().stream()
-                .filter(AuditRecord.AuditEvent.class::isInstance)
-                .map(entry -> ((AuditRecord.AuditEvent) entry).kind().ordinal());
+                .filter(AuditEvent.class::isInstance)
+                .map(entry -> ((AuditEvent) entry).kind().ordinal());
     }
 
     @Test
--- a/src/test/java/ochretiller/store/StoreFixture.java
+++ b/src/test/java/ochretiller/store/StoreFixture.java
@@ -3,41 +3,61 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.UUID;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A store on a disk of the tests, asked one thing at a time, with a clock that is set by hand. */
+/**
+ * A store in a directory of the tests, asked one thing at a time, with a clock that is set by hand.
+ */
 final class StoreFixture implements AutoCloseable {
-    static final UUID BOOT = new UUID(1, 2);
-    static final long LIFE = 1_000_000;
-
-    /** Small segments, so that few records roll them; everything half dead is worth copying. */
-    static final StoreLimits SMALL =
-            new StoreLimits(
-                    1000,
-                    1 << 20,
-                    1 << 20,
-                    600,
-                    Duration.ofDays(1),
-                    1 << 30,
-                    0.4,
-                    Duration.ZERO,
-                    Duration.ofMillis(LIFE));
-
-    final AtomicLong clock;
+    static final UUID BOOT_ID = new UUID(1, 2);
+    static final long LIFE_MILLIS = 1_000_000;
+
+    /**
+     * Small segments, so that few records roll them; a segment that is 0.4 dead is worth
+     * compacting.
+     */
+    static final StoreLimits SMALL_SEGMENTS = limits().build();
+
+    final AtomicLong uptimeMillis;
     final Store store;
 
-    StoreFixture(StorageDirectory disk, StoreLimits limits, long clock) throws IOException {
-        this(disk, limits, clock, BOOT);
+    StoreFixture(StorageDirectory directory, StoreLimits limits, long uptimeMillis)
+            throws IOException {
+        this(directory, limits, uptimeMillis, Optional.of(BOOT_ID));
     }
 
-    StoreFixture(StorageDirectory disk, StoreLimits limits, long clock, UUID boot)
+    StoreFixture(
+            StorageDirectory directory,
+            StoreLimits limits,
+            long uptimeMillis,
+            Optional<UUID> bootId)
             throws IOException {
-        this.clock = new AtomicLong(clock);
-        store = Store.open(disk, limits, new BootClock(boot, this.clock::get), Runnable::run);
+        this.uptimeMillis = new AtomicLong(uptimeMillis);
+        store =
+                Store.open(
+                        directory,
+                        limits,
+                        new BootClock(bootId, this.uptimeMillis::get),
+                        Runnable::run);
+    }
+
+    /** Those of {@link #SMALL_SEGMENTS}, to be changed. */
+    static StoreLimits.Builder limits() {
+        return StoreLimits.builder()
+                .maxEntries(1000)
+                .maxBytes(1 << 20)
+                .maxIndexBytes(1 << 20)
+                .segmentBytes(600)
+                .maxSegmentAge(Duration.ofDays(1))
+                .compactionBytesPerSecond(1 << 30)
+                .compactionDeadRatio(0.4)
+                .compactionMinRemainingLife(Duration.ZERO)
+                .maxRecordLife(Duration.ofMillis(LIFE_MILLIS));
     }
 
     StoreFixture start() {
@@ -45,7 +65,7 @@
         return this;
     }
 
-    static <T> T wait(CompletableFuture<T> result) {
+    static <T> T await(CompletableFuture<T> result) {
         try {
             return result.get(10, TimeUnit.SECONDS);
         } catch (Exception e) {
@@ -53,62 +73,60 @@
         }
     }
 
-    CompletableFuture<AppendResult> putting(String key, String value, long lives) {
-        CompletableFuture<AppendResult> acked = new CompletableFuture<>();
-        store.put(
+    CompletableFuture<AppendResult> startPut(String key, String value, long lifeMillis) {
+        CompletableFuture<AppendResult> result = new CompletableFuture<>();
+        byte[] metadata = ("meta of " + value).getBytes();
+        store.putNew(
                 key.getBytes(),
-                ("meta of " + value).getBytes(),
+                metadata,
                 value.getBytes(),
-                store.nowMillis() + lives,
-                true,
-                acked::complete);
-        return acked;
+                store.nowMillis() + lifeMillis,
+                result::complete);
+        return result;
     }
 
-    AppendResult put(String key, String value, long lives) {
-        return wait(putting(key, value, lives));
+    AppendResult put(String key, String value, long lifeMillis) {
+        return await(startPut(key, value, lifeMillis));
     }
 
     AppendResult put(String key, String value) {
-        return put(key, value, LIFE);
+        return put(key, value, LIFE_MILLIS);
     }
 
     AppendResult remove(String key) {
-        CompletableFuture<AppendResult> acked = new CompletableFuture<>();
-        store.remove(key.getBytes(), store.nowMillis() + LIFE, acked::complete);
-        return wait(acked);
+        CompletableFuture<AppendResult> result = new CompletableFuture<>();
+        store.remove(key.getBytes(), store.nowMillis() + LIFE_MILLIS, result::complete);
+        return await(result);
     }
 
-    String read(String key) {
-        CompletableFuture<String> value = new CompletableFuture<>();
-        store.read(
-                key.getBytes(), bytes -> value.complete(bytes == null ? null : new String(bytes)));
-        return wait(value);
+    Optional<String> read(String key) {
+        CompletableFuture<Optional<String>> value = new CompletableFuture<>();
+        store.read(key.getBytes(), bytes -> value.complete(bytes.map(String::new)));
+        return await(value);
     }
 
     boolean probe() {
-        CompletableFuture<Boolean> well = new CompletableFuture<>();
-        store.probe(well::complete);
-        return wait(well);
+        CompletableFuture<Boolean> isHealthy = new CompletableFuture<>();
+        store.probe(isHealthy::complete);
+        return await(isHealthy);
     }
 
     /** Returns once what is done between two groups has been done. */
-    StoreFixture settle() {
+    StoreFixture awaitMaintenance() {
         for (int i = 0; i < 3; i++) {
             read("nothing");
         }
         return this;
     }
 
-    /** All that is there, by what its key holds; only before {@link #start}. */
-    Map<String, String> kept() {
-        Map<String, String> all = new TreeMap<>();
-        for (RecoveredEntry each : store.recoveredEntries()) {
-            all.put(
-                    new String(each.key()),
-                    new String(each.metadata()).substring("meta of ".length()));
+    /** All that recovery has found, key by what its value was; only before {@link #start}. */
+    Map<String, String> recovered() {
+        Map<String, String> valuesByKey = new TreeMap<>();
+        for (RecoveredEntry entry : store.recoveredEntries()) {
+            String value = new String(entry.metadata()).substring("meta of ".length());
+            valuesByKey.put(new String(entry.key()), value);
         }
-        return all;
+        return valuesByKey;
     }
 
     @Override
--- a/src/test/java/ochretiller/store/StoreGoldenTest.java
+++ b/src/test/java/ochretiller/store/StoreGoldenTest.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.UUID;
 import ochretiller.golden.GoldenFile;
@@ -19,31 +20,40 @@
     private static final GoldenFile PARTS = new GoldenFile("store-parts");
     private static final String SEGMENT = "seg-0000000000000001.log";
     private static final String HINT = "seg-0000000000000001.hint";
-    private static final long CLOCK = 5_000;
+    private static final long UPTIME_MILLIS = 5_000;
+    private static final long SEQUENCE = 42;
+    private static final long EXPIRES_AT_MILLIS = 1_234_567;
 
     /** Records of the segment with its seal. */
     private static final int RECORDS = 5;
 
-    private static StoreFixture open(StorageDirectory disk) throws IOException {
-        return new StoreFixture(disk, StoreFixture.SMALL, CLOCK);
+    private static StoreFixture open(StorageDirectory directory) throws IOException {
+        return new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, UPTIME_MILLIS);
     }
 
-    private static Map<String, RecordFormat.SegmentHeader> headers() {
-        Map<String, RecordFormat.SegmentHeader> headers = new LinkedHashMap<>();
+    private static Map<String, SegmentHeader> headers() {
+        Map<String, SegmentHeader> headers = new LinkedHashMap<>();
         headers.put(
                 "header",
-                new RecordFormat.SegmentHeader(0x1a, 43, false, new UUID(3, -4), -5_000, 6_000));
+                new SegmentHeader(0x1a, 43, false, Optional.of(new UUID(3, -4)), -5_000, 6_000));
         headers.put(
                 "header-behind-a-failure",
-                new RecordFormat.SegmentHeader(0x1b, 44, true, null, 7, 8));
+                new SegmentHeader(0x1b, 44, true, Optional.empty(), 7, 8));
         return headers;
     }
 
-    private static byte[] record(byte kind, byte[] key, byte[] meta, byte[] value) {
-        ByteBuffer out =
-                ByteBuffer.allocate(
-                        RecordFormat.recordBytes(key.length, meta.length, value.length));
-        RecordFormat.encode(out, 42, kind, 1_234_567, key, meta, value);
+    private static byte[] record(byte kind, byte[] key, byte[] metadata, byte[] value) {
+        AppendRequest request =
+                new AppendRequest(
+                        kind,
+                        new StoreKey(key),
+                        metadata,
+                        value,
+                        EXPIRES_AT_MILLIS,
+                        false,
+                        result -> {});
+        ByteBuffer out = ByteBuffer.allocate(request.recordBytes());
+        RecordFormat.encode(out, SEQUENCE, request);
         return out.array();
     }
 
@@ -60,95 +70,108 @@
         return parts;
     }
 
-    private static void assertReadsAs(String name, byte kind, int key, int meta, int value) {
+    private static DecodedRecord decodeGolden(String name, byte kind) {
         ByteBuffer in = ByteBuffer.wrap(PARTS.bytes(name));
-        assertThat(RecordFormat.inspect(in)).isEqualTo(RecordFormat.RecordStatus.VALID);
-        RecordFormat.DecodedRecord entry = RecordFormat.decode(in);
-        assertThat(entry.kind()).isEqualTo(kind);
-        assertThat(entry.sequence()).isEqualTo(42);
-        assertThat(entry.expiresAtMillis()).isEqualTo(1_234_567);
-        assertThat(entry.key()).hasSize(key);
-        assertThat(entry.metadata()).hasSize(meta);
-        assertThat(entry.valueLength()).isEqualTo(value);
-        assertThat(entry.recordBytes()).isEqualTo(in.capacity());
+        assertThat(RecordFormat.inspect(in)).isEqualTo(RecordStatus.VALID);
+        DecodedRecord record = RecordFormat.decode(in);
+        assertThat(record.attributes())
+                .isEqualTo(new RecordAttributes(SEQUENCE, kind, EXPIRES_AT_MILLIS, in.capacity()));
+        return record;
+    }
+
+    private static void assertLengths(DecodedRecord record, int key, int metadata, int value) {
+        assertThat(record.key()).hasSize(key);
+        assertThat(record.metadata()).hasSize(metadata);
+        assertThat(record.valueLength()).isEqualTo(value);
     }
 
     @Test
-    void aStoreWritesItsGoldenSegmentAndHint() throws IOException {
-        VolatileDirectory disk = new VolatileDirectory();
-        try (StoreFixture bench = open(disk).start()) {
-            bench.put("a", "1", 10_000);
-            bench.put("b", "2");
-            bench.put("a", "3", 20_000);
-            bench.remove("b");
+    void storeWritesItsGoldenSegmentAndHint() throws IOException {
+        VolatileDirectory directory = new VolatileDirectory();
+        try (StoreFixture fixture = open(directory).start()) {
+            fixture.put("a", "1", 10_000);
+            fixture.put("b", "2");
+            fixture.put("a", "3", 20_000);
+            fixture.remove("b");
         }
-        FILES.assertHolds(disk.contents());
+        FILES.assertHolds(directory.contents());
     }
 
     @Test
-    void aStoreReadsItsGoldenSegmentAndHint() throws IOException {
-        VolatileDirectory disk = VolatileDirectory.withContents(FILES.all());
-        StoreInspector.StoreReport report = StoreInspector.verify(disk, file -> {});
+    void storeReadsItsGoldenSegmentAndHint() throws IOException {
+        VolatileDirectory directory = VolatileDirectory.withContents(FILES.all());
+        StoreReport report = StoreInspector.verify(directory, segmentName -> {});
         assertThat(report.damage()).isEmpty();
         assertThat(report.unknownFiles()).isEmpty();
         assertThat(report.segments())
                 .singleElement()
                 .satisfies(
-                        file -> {
-                            assertThat(file.name()).isEqualTo(SEGMENT);
-                            assertThat(file.records()).isEqualTo(RECORDS);
-                            assertThat(file.sealed()).isTrue();
+                        segment -> {
+                            assertThat(segment.name()).isEqualTo(SEGMENT);
+                            assertThat(segment.records()).isEqualTo(RECORDS);
+                            assertThat(segment.sealed()).isTrue();
                         });
-        try (StoreFixture bench = open(disk)) {
-            assertThat(bench.store.recoveredEntries())
+        try (StoreFixture fixture = open(directory)) {
+            assertThat(fixture.store.recoveredEntries())
                     .singleElement()
-                    .satisfies(kept -> assertThat(kept.expiresAtMillis()).isEqualTo(20_000));
-            assertThat(bench.kept()).isEqualTo(Map.of("a", "3"));
-            assertThat(bench.start().read("a")).isEqualTo("3");
+                    .satisfies(entry -> assertThat(entry.expiresAtMillis()).isEqualTo(20_000));
+            assertThat(fixture.recovered()).isEqualTo(Map.of("a", "3"));
+            assertThat(fixture.start().read("a")).contains("3");
         }
     }
 
     @Test
-    void theGoldenHintTellsWhatTheGoldenSegmentTells() throws IOException {
-        VolatileDirectory disk = VolatileDirectory.withContents(FILES.all());
-        Recovery hinted = Recovery.read(disk, true, file -> {});
-        Recovery scanned = Recovery.read(disk, false, file -> {});
-        assertThat(hinted.found.get(1L).hinted).isTrue();
-        assertThat(hinted.lastSequence).isEqualTo(RECORDS).isEqualTo(scanned.lastSequence);
-        assertThat(hinted.found.get(1L).segment.records).isEqualTo(RECORDS);
-        assertThat(hinted.found.get(1L).segment.deadBytes)
-                .isEqualTo(scanned.found.get(1L).segment.deadBytes + HintFile.SEAL_BYTES);
-        assertThat(slots(hinted)).hasSize(2).isEqualTo(slots(scanned));
+    void goldenHintTellsWhatTheGoldenSegmentTells() throws IOException {
+        VolatileDirectory directory = VolatileDirectory.withContents(FILES.all());
+        Recovery fromHint =
+                Recovery.read(directory, Recovery.HintPolicy.USE_HINTS, segmentName -> {});
+        Recovery scanned =
+                Recovery.read(directory, Recovery.HintPolicy.READ_EVERYTHING, segmentName -> {});
+        RecoveredSegment hinted = fromHint.lastSegment().orElseThrow();
+        assertThat(hinted.isTakenFromHint()).isTrue();
+        assertThat(fromHint.lastSequence()).isEqualTo(RECORDS).isEqualTo(scanned.lastSequence());
+        assertThat(hinted.segment().recordCount()).isEqualTo(RECORDS);
+        // A scan does not count the seal among the dead bytes.
+        long scannedDeadBytes = scanned.lastSegment().orElseThrow().segment().deadBytes();
+        assertThat(hinted.segment().deadBytes())
+                .isEqualTo(scannedDeadBytes + RecordFormat.SEAL_BYTES);
+        assertThat(describeEntries(fromHint)).hasSize(2).isEqualTo(describeEntries(scanned));
     }
 
-    private static List<String> slots(Recovery recovery) {
-        Map<String, String> slots = new TreeMap<>();
-        recovery.index.forEach(
-                slot ->
-                        slots.put(
-                                new String(slot.key.bytes),
-                                slot.sequence
-                                        + " "
-                                        + slot.kind
-                                        + " "
-                                        + slot.expiresAtMillis
-                                        + " "
-                                        + new String(slot.metadata)
-                                        + " "
-                                        + slot.offset
-                                        + " "
-                                        + slot.recordBytes));
-        return new ArrayList<>(slots.values());
+    private static List<String> describeEntries(Recovery recovery) {
+        Map<String, String> byKey = new TreeMap<>();
+        recovery.index()
+                .forEach(
+                        entry ->
+                                byKey.put(
+                                        new String(entry.key().bytes()),
+                                        entry.sequence()
+                                                + " "
+                                                + entry.kind()
+                                                + " "
+                                                + entry.expiresAtMillis()
+                                                + " "
+                                                + new String(entry.metadata())
+                                                + " "
+                                                + entry.offset()
+                                                + " "
+                                                + entry.recordBytes()));
+        return new ArrayList<>(byKey.values());
     }
 
     @Test
-    void theStoreNamesItsFilesAsBefore() {
-        assertThat(RecordFormat.segmentFileName(1)).isEqualTo(SEGMENT);
-        assertThat(RecordFormat.hintFileName(1)).isEqualTo(HINT);
-        assertThat(RecordFormat.FileName.of(SEGMENT))
-                .isEqualTo(new RecordFormat.FileName(1, "log"));
-        assertThat(RecordFormat.FileName.of(HINT + ".tmp"))
-                .isEqualTo(new RecordFormat.FileName(1, "hint.tmp"));
+    void fileNamesAreThoseOfTheFormat() {
+        assertThat(SegmentFileName.ofLog(1)).isEqualTo(SEGMENT);
+        assertThat(SegmentFileName.ofHint(1)).isEqualTo(HINT);
+        assertThat(SegmentFileName.parse(SEGMENT))
+                .contains(new SegmentFileName(1, SegmentFileName.Kind.LOG));
+        assertThat(SegmentFileName.parse(HINT))
+                .contains(new SegmentFileName(1, SegmentFileName.Kind.HINT));
+        assertThat(SegmentFileName.parse(HINT + ".tmp"))
+                .contains(new SegmentFileName(1, SegmentFileName.Kind.TEMPORARY));
+        assertThat(SegmentFileName.parse(SEGMENT + ".tmp"))
+                .contains(new SegmentFileName(1, SegmentFileName.Kind.TEMPORARY));
+        assertThat(SegmentFileName.parse("seg-1.log")).isEmpty();
     }
 
     @Test
@@ -158,17 +181,16 @@
 
     @Test
     void goldenHeadersAreReadBack() throws IOException {
-        for (Map.Entry<String, RecordFormat.SegmentHeader> each : headers().entrySet()) {
+        for (Map.Entry<String, SegmentHeader> each : headers().entrySet()) {
             ByteBuffer bytes = ByteBuffer.wrap(PARTS.bytes(each.getKey()));
-            assertThat(RecordFormat.SegmentHeader.decode(bytes, "a file"))
-                    .isEqualTo(each.getValue());
+            assertThat(SegmentHeader.decode(bytes, "a file")).contains(each.getValue());
         }
     }
 
     @Test
     void goldenRecordsAreReadBack() {
-        assertReadsAs("put", RecordFormat.PUT, 2, 1, 3);
-        assertReadsAs("remove", RecordFormat.TOMBSTONE, 2, 0, 0);
-        assertReadsAs("seal", RecordFormat.SEAL, 0, 0, 8);
+        assertLengths(decodeGolden("put", RecordFormat.PUT), 2, 1, 3);
+        assertLengths(decodeGolden("remove", RecordFormat.TOMBSTONE), 2, 0, 0);
+        assertLengths(decodeGolden("seal", RecordFormat.SEAL), 0, 0, 8);
     }
 }
--- a/src/test/java/ochretiller/store/VolatileDirectory.java
+++ b/src/test/java/ochretiller/store/VolatileDirectory.java
@@ -12,117 +12,121 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A disk in memory that keeps what was forced, and of the rest what a seed lets it; it stalls and
- * fails by script.
+ * A directory in memory that loses unforced writes at a power loss, as far as a seed says, and that
+ * stalls and fails on demand. Safe for any thread.
  */
 public final class VolatileDirectory implements StorageDirectory {
-    /** Unforced bytes are kept or lost in pieces of this size. */
-    private static final int PAGE = 64;
+    /** A fault that does nothing. */
+    public static final Fault NO_FAULT = (operation, name) -> {};
 
-    /** What a script may do about an operation, before it is carried out. */
+    /** Unforced bytes are kept or lost in pages of this size. */
+    private static final int PAGE_BYTES = 64;
+
+    /** Applied before each operation; replaced by tests while the store is running. */
+    public volatile Fault fault = NO_FAULT;
+
+    private final Map<String, Contents> files = new TreeMap<>();
+
+    /** The names as they were when the directory was last forced. */
+    private Map<String, Contents> forcedNames = new TreeMap<>();
+
+    private boolean locked;
+
+    /** What a test does to an operation before it is carried out: nothing, wait, or fail it. */
     @FunctionalInterface
     public interface Fault {
+        /**
+         * An operation is about to be carried out.
+         *
+         * @param operation {@code read}, {@code write}, {@code force}, {@code truncate}, {@code
+         *     create}, {@code delete}, {@code rename} or {@code folder}, which forces the directory
+         * @param name of the file, empty for {@code folder}
+         */
         void before(String operation, String name) throws IOException;
     }
 
-    private static final class Node {
-        byte[] now = {};
-        byte[] forced = {};
-    }
-
-    private final Map<String, Node> files = new TreeMap<>();
+    private static final class Contents {
+        private byte[] written = {};
+        private byte[] forced = {};
 
-    /** The names as the last forced folder had them. */
-    private Map<String, Node> names = new TreeMap<>();
+        static Contents durable(byte[] bytes) {
+            Contents contents = new Contents();
+            contents.written = bytes;
+            contents.forced = bytes;
+            return contents;
+        }
+    }
 
-    public volatile Fault fault = (operation, name) -> {};
-    private boolean locked;
+    /** A directory with these files, all of them forced. */
+    public static VolatileDirectory withContents(Map<String, byte[]> contents) {
+        VolatileDirectory directory = new VolatileDirectory();
+        contents.forEach(
+                (name, bytes) -> directory.files.put(name, Contents.durable(bytes.clone())));
+        directory.forcedNames = new TreeMap<>(directory.files);
+        return directory;
+    }
 
-    /**
-     * What stands on the medium behind a power cut: unforced pages come through by chance, and
-     * unforced names too.
-     */
-    public synchronized VolatileDirectory afterPowerLoss(SplittableRandom chance) {
-        VolatileDirectory left = new VolatileDirectory();
-        Map<String, Node> kept = chance.nextBoolean() ? files : names;
-        kept.forEach(
-                (name, node) -> {
-                    Node copy = new Node();
-                    copy.now = copy.forced = half(node, chance);
-                    left.files.put(name, copy);
-                });
-        left.names = new TreeMap<>(left.files);
-        return left;
+    /** What a power loss leaves: unforced pages and unforced names come through by chance. */
+    public synchronized VolatileDirectory afterPowerLoss(SplittableRandom random) {
+        Map<String, Contents> survivingNames = random.nextBoolean() ? files : forcedNames;
+        Map<String, byte[]> survivors = new TreeMap<>();
+        survivingNames.forEach(
+                (name, contents) -> survivors.put(name, afterPowerLoss(contents, random)));
+        return withContents(survivors);
     }
 
-    private static byte[] half(Node node, SplittableRandom chance) {
-        int how = chance.nextInt(3);
+    private static byte[] afterPowerLoss(Contents contents, SplittableRandom random) {
+        byte[] written = contents.written;
+        byte[] forced = contents.forced;
+        int how = random.nextInt(3);
         if (how == 0) {
-            return node.forced.clone();
-        }
-        if (node.now.length < node.forced.length) {
-            return chance.nextBoolean() ? node.now.clone() : node.forced.clone();
-        }
-        int length = node.forced.length + chance.nextInt(node.now.length - node.forced.length + 1);
-        byte[] left = Arrays.copyOf(node.now, length);
-        for (int at = 0; at < length; at += PAGE) {
-            // reordered: a later page may have come through without the one before it
-            boolean lost = how == 2 && chance.nextInt(4) == 0;
-            for (int i = at; lost && i < Math.min(at + PAGE, length); i++) {
-                left[i] = i < node.forced.length ? node.forced[i] : 0;
+            return forced.clone();
+        }
+        if (written.length < forced.length) {
+            return random.nextBoolean() ? written.clone() : forced.clone();
+        }
+        int length = forced.length + random.nextInt(written.length - forced.length + 1);
+        byte[] left = Arrays.copyOf(written, length);
+        for (int page = 0; page < length; page += PAGE_BYTES) {
+            // Reordered: a later page may have come through without the one before it.
+            boolean isLost = how == 2 && random.nextInt(4) == 0;
+            int end = isLost ? Math.min(page + PAGE_BYTES, length) : page;
+            for (int i = page; i < end; i++) {
+                left[i] = i < forced.length ? forced[i] : 0;
             }
         }
         return left;
     }
 
-    /** What a killed process leaves: the system has all that was written. */
+    /** What a killed process leaves: the operating system has all that was written. */
     public synchronized VolatileDirectory afterProcessKill() {
-        VolatileDirectory left = new VolatileDirectory();
-        files.forEach(
-                (name, node) -> {
-                    Node copy = new Node();
-                    copy.now = copy.forced = node.now.clone();
-                    left.files.put(name, copy);
-                });
-        left.names = new TreeMap<>(left.files);
-        return left;
+        return withContents(contents());
     }
 
+    /** Copies of all files as they were written. */
     public synchronized Map<String, byte[]> contents() {
-        Map<String, byte[]> all = new TreeMap<>();
-        files.forEach((name, node) -> all.put(name, node.now.clone()));
-        return all;
+        Map<String, byte[]> copies = new TreeMap<>();
+        files.forEach((name, contents) -> copies.put(name, contents.written.clone()));
+        return copies;
     }
 
-    public static VolatileDirectory withContents(Map<String, byte[]> contents) {
-        VolatileDirectory disk = new VolatileDirectory();
-        contents.forEach(
-                (name, bytes) -> {
-                    Node node = new Node();
-                    node.now = node.forced = bytes.clone();
-                    disk.files.put(name, node);
-                });
-        disk.names = new TreeMap<>(disk.files);
-        return disk;
-    }
-
-    /** A script that fails what matches, as often as it comes. */
+    /** Fails an operation each time. */
     public static Fault failing(String operation, String message) {
-        return (what, name) -> {
-            if (what.equals(operation)) {
+        return (each, name) -> {
+            if (each.equals(operation)) {
                 throw new IOException(message);
             }
         };
     }
 
-    /** A script that holds up what matches until it is let go. */
-    public static Fault stalling(String operation, CountDownLatch go) {
-        return (what, name) -> {
-            if (!what.equals(operation)) {
+    /** Holds an operation up until the latch is open. */
+    public static Fault stalling(String operation, CountDownLatch released) {
+        return (each, name) -> {
+            if (!each.equals(operation)) {
                 return;
             }
             try {
-                go.await();
+                released.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -145,11 +149,11 @@
 
     @Override
     public synchronized StorageFile open(String name) throws IOException {
-        Node node = files.get(name);
-        if (node == null) {
+        Contents contents = files.get(name);
+        if (contents == null) {
             throw new IOException("no file " + name);
         }
-        return new Open(name, node);
+        return new VolatileFile(name, contents);
     }
 
     @Override
@@ -159,7 +163,7 @@
             if (files.containsKey(name)) {
                 throw new IOException("there is a file " + name);
             }
-            files.put(name, new Node());
+            files.put(name, new Contents());
             return open(name);
         }
     }
@@ -184,39 +188,41 @@
     public void forceDirectory() throws IOException {
         fault.before("folder", "");
         synchronized (this) {
-            names = new TreeMap<>(files);
+            forcedNames = new TreeMap<>(files);
         }
     }
 
-    private final class Open implements StorageFile {
+    private final class VolatileFile implements StorageFile {
         private final String name;
-        private final Node node;
+        private final Contents contents;
 
-        Open(String name, Node node) {
+        VolatileFile(String name, Contents contents) {
             this.name = name;
-            this.node = node;
+            this.contents = contents;
         }
 
         @Override
-        public void write(ByteBuffer bytes, long at) throws IOException {
+        public void write(ByteBuffer bytes, long position) throws IOException {
             fault.before("write", name);
             synchronized (VolatileDirectory.this) {
-                int length = bytes.remaining();
-                if (node.now.length < at + length) {
-                    node.now = Arrays.copyOf(node.now, (int) at + length);
-                } else {
-                    node.now = node.now.clone(); // what was forced shares its bytes
-                }
-                bytes.get(node.now, (int) at, length);
+                int end = (int) position + bytes.remaining();
+                // A copy in any case: what was forced shares its bytes.
+                contents.written =
+                        Arrays.copyOf(contents.written, Math.max(contents.written.length, end));
+                bytes.get(contents.written, (int) position, bytes.remaining());
             }
         }
 
         @Override
-        public int read(ByteBuffer into, long at) throws IOException {
+        public int read(ByteBuffer into, long position) throws IOException {
             fault.before("read", name);
             synchronized (VolatileDirectory.this) {
-                int length = (int) Math.max(0, Math.min(into.remaining(), node.now.length - at));
-                into.put(node.now, (int) Math.min(at, node.now.length), length);
+                int available = (int) Math.max(0, contents.written.length - position);
+                int length = Math.min(into.remaining(), available);
+                into.put(
+                        contents.written,
+                        (int) Math.min(position, contents.written.length),
+                        length);
                 return length;
             }
         }
@@ -225,14 +231,14 @@
         public void force() throws IOException {
             fault.before("force", name);
             synchronized (VolatileDirectory.this) {
-                node.forced = node.now;
+                contents.forced = contents.written;
             }
         }
 
         @Override
         public long size() {
             synchronized (VolatileDirectory.this) {
-                return node.now.length;
+                return contents.written.length;
             }
         }
 
@@ -240,15 +246,15 @@
         public void truncate(long size) throws IOException {
             fault.before("truncate", name);
             synchronized (VolatileDirectory.this) {
-                if (size < node.now.length) {
-                    node.now = Arrays.copyOf(node.now, (int) size);
+                if (size < contents.written.length) {
+                    contents.written = Arrays.copyOf(contents.written, (int) size);
                 }
             }
         }
 
         @Override
         public void close() {
-            // nothing is held
+            // Nothing is held.
         }
     }
 }
--- a/tools/src/main/java/ochretiller/tools/StoreBench.java
+++ b/tools/src/main/java/ochretiller/tools/StoreBench.java
@@ -50,16 +50,14 @@
 
     private Store open(Path at, int entries) throws IOException {
         StoreLimits limits =
-                new StoreLimits(
-                        entries,
-                        16L << 30,
-                        16L << 30,
-                        64 << 20,
-                        Duration.ofDays(1),
-                        8 << 20,
-                        0.5,
-                        Duration.ofDays(1),
-                        Duration.ofDays(1));
+                StoreLimits.builder()
+                        .maxEntries(entries)
+                        .maxBytes(16L << 30)
+                        .maxIndexBytes(16L << 30)
+                        .compactionBytesPerSecond(8 << 20)
+                        .compactionMinRemainingLife(Duration.ofDays(1))
+                        .maxRecordLife(Duration.ofDays(1))
+                        .build();
         return Store.open(new LocalDirectory(at), limits, BootClock.ofKernel(), Runnable::run);
     }
 
@@ -87,12 +85,11 @@
             long start = System.nanoTime();
             while (System.nanoTime() - start < nanos) {
                 free.acquire();
-                store.put(
+                store.putNew(
                         key(),
                         new byte[META],
                         new byte[VALUE],
                         store.nowMillis() + 60_000,
-                        true,
                         ack -> {
                             if (ack == AppendResult.DURABLE) {
                                 done.incrementAndGet();
@@ -130,12 +127,11 @@
             ended.countDown();
             return;
         }
-        store.put(
+        store.putNew(
                 String.format("%032x", done.incrementAndGet()).getBytes(),
                 new byte[META],
                 new byte[VALUE],
                 store.nowMillis() + 60_000,
-                true,
                 ack -> again(store, until, done, ended));
     }
 
@@ -256,12 +252,11 @@
                 Semaphore free = new Semaphore(2_000);
                 for (int i = 0; i < entries; i++) {
                     free.acquire();
-                    store.put(
+                    store.putNew(
                             key(),
                             new byte[META],
                             new byte[VALUE],
                             store.nowMillis() + 3_600_000,
-                            true,
                             ack -> free.release());
                 }
                 free.acquire(2_000);
