--- a/src/main/java/ochretiller/frontend/ClientConnection.java
+++ b/src/main/java/ochretiller/frontend/ClientConnection.java
@@ -116,7 +116,7 @@
      * be all that ever comes.
      */
     boolean quiet(Duration patience) {
-        Duration within = connection.within();
+        Duration within = connection.within().orElse(null);
         boolean writes =
                 shown && within != null && callers.now().minus(within).compareTo(patience) < 0;
         return !busy() && connection.quiet() && !writes;
--- a/src/main/java/ochretiller/net/Acceptor.java
+++ b/src/main/java/ochretiller/net/Acceptor.java
@@ -6,7 +6,7 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** Listens, and takes all that the kernel has accepted before it ceases to. */
+/** A listener that accepts every connection in the kernel's backlog before it closes. */
 class Acceptor extends NioSocketAcceptor {
     private final IoProcessor<NioSession> processor;
 
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Guards against requests on connections that the kernel has accepted and nobody has taken: a
-     * listener that closes resets them. MINA takes one connection a round, and may be told to close
-     * in the same round.
+     * Accepts what is left in the backlog, then closes. Closing a listening socket resets the
+     * connections that the kernel has completed but the process has not accepted, and any request
+     * on them would be lost. MINA accepts one connection a round and may close in the same round.
      */
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
--- a/src/main/java/ochretiller/net/CloseCode.java
+++ b/src/main/java/ochretiller/net/CloseCode.java
@@ -1,32 +1,32 @@
 package ochretiller.net;
 
-/** Why a connection ended; each that ends leaves one line with its code. */
+/** Why a connection was closed. Each closed connection leaves one log line with its code. */
 public enum CloseCode {
-    /** The peer closed it. */
+    /** The peer closed the connection. */
     PEER_CLOSED("PEER_CLOSED"),
-    /** The peer reset it, or the network broke it. */
+    /** The peer reset the connection, or an I/O error ended it. */
     BROKEN("BROKEN"),
-    /** It was never made. */
+    /** The connection could not be established. */
     REFUSED("REFUSED"),
-    /** It was silent for as long as connections are kept. */
+    /** Nothing was sent or received for the idle timeout. */
     IDLE("IDLE"),
-    /** The peer sent what does not follow its page. */
+    /** The peer violated the protocol. */
     BAD_INPUT("BAD_INPUT"),
-    /** It has sent no whole request since it was made. */
+    /** The client sent no complete request within the time that new connections have for it. */
     SILENT("SILENT"),
-    /** The peer sends more than it may have open, faster than it is worked off. */
+    /** The peer sent more unprocessed input than one connection may have. */
     FLOOD("FLOOD"),
-    /** The peer does not read what it is sent. */
+    /** The peer does not read, and its output buffer is full. */
     NOT_READING("NOT_READING"),
-    /** More connections are open than the limits allow, and this one is busy least. */
+    /** The connection limit is exceeded, and this connection was the least busy. */
     TOO_MANY("TOO_MANY"),
-    /** The configuration names another address. */
+    /** A new configuration names another address for the peer. */
     MOVED("MOVED"),
-    /** The call on it was given up. */
+    /** The call on the connection timed out or was cancelled. */
     GIVEN_UP("GIVEN_UP"),
-    /** Its request was answered, and its protocol has one on a connection. */
+    /** The request was answered, and the protocol allows one request a connection. */
     ANSWERED("ANSWERED"),
-    /** This server leaves. */
+    /** This server shuts down. */
     LEAVING("LEAVING");
 
     private final String externalName;
@@ -35,7 +35,7 @@
         this.externalName = externalName;
     }
 
-    /** The code in the log line; it stays whatever the constant is called. */
+    /** The code in the log line, which does not follow the name of the constant. */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/net/Connection.java
+++ b/src/main/java/ochretiller/net/Connection.java
@@ -3,54 +3,59 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.Optional;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.WriteFuture;
 import org.apache.mina.core.session.IoSession;
 
 /**
- * A connection as the one thread sees it: what is written in one gathering goes out in one write.
+ * One TCP connection. Writes are buffered and go out once a round of the event loop, in one write.
+ *
+ * <p>Belongs to the event loop, except for the members that are said to run on the I/O thread.
  */
 public final class Connection {
     /**
-     * Bytes that may wait for one peer to read them: the longest answer to each request it may have
-     * open.
+     * Unread output, in bytes, beyond which a peer is disconnected: the longest answer to each
+     * request that it may have open.
      */
     private static final long UNREAD = 192 * 1024;
 
-    /** What each may have of the bound on all, whatever the others do. */
+    /** The same limit while unread output takes much of the server's memory. */
     private static final long SOME_UNREAD = 16 * 1024;
 
     /**
-     * Time for a peer to see the end of what it is sent and to end its side: twice what may cross a
-     * close by the protocol.
+     * How long a closed connection waits for the peer to close its side: twice the time in which a
+     * request may cross the close on its way.
      */
     private static final Duration LINGERS = Duration.ofMillis(100);
 
     /**
-     * So many of these at most until a slow peer has been sent all: as long as the longest client
-     * timeouts are.
+     * How many times {@link #LINGERS} a close waits for a slow peer to read its output: as long as
+     * the longest timeouts of clients.
      */
     private static final int SLOW = 50;
 
+    private static final int INITIAL_OUTPUT_BYTES = 512;
+
     private final IoSession session;
     private final Network network;
-
-    /** Whether a close has to leave a slow or crossing peer its answers: so it is with callers. */
     private final boolean lingers;
-
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream(512);
-    private final AtomicInteger behind = new AtomicInteger();
-    private volatile CloseCode code;
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream(INITIAL_OUTPUT_BYTES);
+    private final AtomicInteger queuedBytes = new AtomicInteger();
+    private volatile Optional<CloseCode> code = Optional.empty();
     private volatile boolean inputEnded;
     private volatile boolean deaf;
-
-    /** Since when a message is not whole; null where none is begun. */
-    private volatile Duration within;
-
-    private WriteFuture lastWrite;
+    private volatile Optional<Duration> within = Optional.empty();
+    private Optional<WriteFuture> lastWrite = Optional.empty();
     private Duration usedAt;
 
+    /**
+     * Wraps an open session.
+     *
+     * @param lingers whether a close lets a slow peer read its output and waits for the peer's own
+     *     close, as connections of clients need
+     */
     Connection(IoSession session, Network network, boolean lingers, Duration now) {
         this.session = session;
         this.lingers = lingers;
@@ -58,153 +63,169 @@
         this.usedAt = now;
     }
 
-    /** Why it ends; null while it is open. The first reason stays. */
-    CloseCode code() {
+    /** Why the connection is closed or closing; empty while it is open. Any thread. */
+    Optional<CloseCode> code() {
         return code;
     }
 
+    /** Notes why the connection is closed; the first reason stays. Any thread. */
     void reason(CloseCode reason) {
-        if (code == null) {
-            code = reason;
+        if (code.isEmpty()) {
+            code = Optional.of(reason);
         }
     }
 
+    /** Whether the connection is neither closed nor closing. Any thread. */
     public boolean open() {
-        return code == null;
+        return code.isEmpty();
     }
 
+    /** The peer's address as text, for log lines. Any thread. */
     public String peer() {
         return String.valueOf(session.getRemoteAddress());
     }
 
-    /** When something was last read or written. */
+    /** When something was last read or written, since the server's start. */
     public Duration usedAt() {
         return usedAt;
     }
 
+    /** Notes that something was read or written. */
     public void used(Duration now) {
         usedAt = now;
     }
 
+    /** Buffers text to be sent in ISO 8859-1. Does nothing on a closed connection. */
     public Connection write(String text) {
         return write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Buffers bytes to be sent. Does nothing on a closed connection. */
     public Connection write(byte[] bytes) {
-        if (code != null) {
+        if (!open()) {
             return this;
         }
-        if (out.size() == 0) {
+        if (output.size() == 0) {
             network.dirty(this);
         }
-        out.write(bytes, 0, bytes.length);
+        output.write(bytes, 0, bytes.length);
         return this;
     }
 
+    /** Sends what is buffered, or disconnects a peer that has left too much unread. */
     void flush() {
-        if (code != null || out.size() == 0) {
+        if (!open() || output.size() == 0) {
             return;
         }
-        // Guards against a peer that does not read and would fill the memory.
-        long unread = session.getScheduledWriteBytes() + out.size();
+        long unread = session.getScheduledWriteBytes() + output.size();
         if (unread > UNREAD || unread > SOME_UNREAD && network.crowded()) {
-            reason(CloseCode.NOT_READING);
-            session.closeNow();
+            drop(CloseCode.NOT_READING);
             return;
         }
-        lastWrite = session.write(IoBuffer.wrap(out.toByteArray()));
-        out.reset();
+        lastWrite = Optional.of(session.write(IoBuffer.wrap(output.toByteArray())));
+        output.reset();
     }
 
     /**
-     * On the one thread: ends it once all that was written has gone out. What comes from here on is
-     * passed over; a caller gets the end of the output first and is read until it ends its side
-     * too.
+     * Closes the connection once its output has gone out. Input is ignored from here on. A
+     * connection that lingers shuts down its output first and is closed when the peer has closed
+     * its side, or has had time for it.
+     *
+     * @param reason the code in the log line, unless the connection is closing already
      */
     public void close(CloseCode reason) {
         flush();
-        if (code != null) {
+        if (!open()) {
             return;
         }
         reason(reason);
-        // Guards against a close over unread bytes: it resets the connection, and the peer loses
-        // answers it has not read.
+        // Closing a socket that has unread input resets the connection, and the peer would lose
+        // answers that it has not read.
         if (!lingers || inputEnded) {
             session.closeOnFlush();
-        } else if (lastWrite == null) {
-            endOutput();
+        } else if (lastWrite.isEmpty()) {
+            shutDownOutput();
         } else {
-            lastWrite.addListener(written -> endOutput());
+            lastWrite.get().addListener(written -> shutDownOutput());
         }
         if (lingers) {
-            patience(0);
+            scheduleForcedClose(0);
         }
     }
 
-    private void endOutput() {
+    private void shutDownOutput() {
         if (!HalfClose.end(session)) {
             session.closeNow();
         }
     }
 
-    private void patience(int looked) {
+    private void scheduleForcedClose(int earlierChecks) {
         network.after(
                 LINGERS,
                 () -> {
-                    if (session.getScheduledWriteBytes() == 0 && looked > 0 || looked == SLOW) {
+                    boolean flushed = session.getScheduledWriteBytes() == 0;
+                    if (flushed && earlierChecks > 0 || earlierChecks == SLOW) {
                         session.closeNow();
                     } else {
-                        patience(looked + 1);
+                        scheduleForcedClose(earlierChecks + 1);
                     }
                 });
     }
 
-    /** All that was written has gone out. */
+    /** Whether all output has gone out. */
     public boolean sent() {
-        return out.size() == 0 && session.getScheduledWriteBytes() == 0;
+        return output.size() == 0 && session.getScheduledWriteBytes() == 0;
     }
 
-    /** On the network's thread: the peer sends no more. */
+    /** The peer has shut down its output. Called on the I/O thread. */
     void inputEnds() {
         inputEnded = true;
-        if (code != null) {
+        if (!open()) {
             session.closeOnFlush();
         }
     }
 
-    /** On the network's thread: nothing more is read, and what the peer sends stays with it. */
+    /** Stops reading for good. Any thread. */
     public void deafen() {
         deaf = true;
-        session.suspendRead(); // never resumed: MINA's two words for it lose each other's changes
+        // Never resumed: MINA's suspendRead and resumeRead, called by two threads, can undo each
+        // other's change.
+        session.suspendRead();
     }
 
-    /** Whether nothing more is read. */
+    /** Whether reading was stopped. Any thread. */
     public boolean deaf() {
         return deaf;
     }
 
-    void within(Duration since) {
+    /** Notes since when a message has been incomplete. Called on the I/O thread. */
+    void within(Optional<Duration> since) {
         within = since;
     }
 
-    /** Since when a message is not whole; null where none is begun. */
-    public Duration within() {
+    /** Since when a message has been incomplete; empty between messages. Any thread. */
+    public Optional<Duration> within() {
         return within;
     }
 
-    /** Ends it at once. */
+    /** Closes the connection at once; output that has not gone out is lost. Any thread. */
     public void drop(CloseCode reason) {
         reason(reason);
         session.closeNow();
     }
 
-    /** Nothing that was read waits for the one thread. */
+    /** Whether all input that was read has been processed on the event loop. */
     public boolean quiet() {
-        return behind.get() == 0;
+        return queuedBytes.get() == 0;
     }
 
-    /** So many bytes more wait, or less; tells how many do. */
+    /**
+     * Counts input that waits for the event loop. Any thread.
+     *
+     * @param bytes how many bytes more wait; negative once they are processed
+     * @return how many bytes wait now
+     */
     int queued(int bytes) {
-        return behind.addAndGet(bytes);
+        return queuedBytes.addAndGet(bytes);
     }
 }
--- a/src/main/java/ochretiller/net/ConnectionHandler.java
+++ b/src/main/java/ochretiller/net/ConnectionHandler.java
@@ -1,34 +1,50 @@
 package ochretiller.net;
 
-/** One connection's side of a stage. */
+/**
+ * The protocol side of one {@link Connection}: decodes what was read and reacts to its end. Each
+ * method names the thread that calls it.
+ */
 public interface ConnectionHandler {
     /**
-     * On the network's thread: decodes what was read, and returns what is to be done about it, or
-     * null.
+     * Decodes bytes as they were read. Called on the I/O thread.
+     *
+     * @param bytes the read buffer, which is reused after the call
+     * @param from index of the first byte read
+     * @param to index after the last byte read
+     * @return work for the event loop, or null where no message is complete
+     * @throws ochretiller.text.BadInputException where the bytes violate the protocol
      */
     Runnable received(byte[] bytes, int from, int to);
 
-    /** On the network's thread: a message has begun and is not whole yet. */
+    /** Whether a message has begun and is not complete. Called on the I/O thread. */
     default boolean within() {
         return false;
     }
 
     /**
-     * On the one thread: the peer has sent what cannot be read, or more than it may, and nothing
-     * that follows is read. False where nothing is owed to it, and the network ends it at once.
+     * The peer violated the protocol or its limits, and nothing more is read from it. Called on the
+     * event loop, after the work that was decoded before.
+     *
+     * @param code why the connection is to be closed
+     * @return whether this handler closes the connection itself once it has sent what it owes;
+     *     otherwise the network closes it at once
      */
     default boolean spoilt(CloseCode code) {
         return false;
     }
 
-    /** On the one thread: the peer sends no more, but may still read. */
+    /** The peer has shut down its output but may still read. Called on the event loop. */
     void inputEnded();
 
-    /** On the network's thread: the connection's descriptor is free. */
+    /** The connection's file descriptor has been released. Called on the I/O thread. */
     default void closed() {
-        // most count none
+        // Only handlers that count connections need this.
     }
 
-    /** On the one thread: the connection has ended. */
+    /**
+     * The connection has ended; the last call. Called on the event loop.
+     *
+     * @param code why it ended
+     */
     void ended(CloseCode code);
 }
--- a/src/main/java/ochretiller/net/HalfClose.java
+++ b/src/main/java/ochretiller/net/HalfClose.java
@@ -7,26 +7,31 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * Ends what is written on a connection while it is still read: MINA has no word for that, the
- * channel under it has.
+ * Shuts down the output of a connection while its input stays open (a TCP half-close). MINA has no
+ * operation for it, so the channel of the session is taken by reflection.
  */
 final class HalfClose {
-    private static final Field CHANNEL = channel();
+    private static final Field CHANNEL = channelField();
 
     private HalfClose() {}
 
-    private static Field channel() {
+    private static Field channelField() {
         try {
             Field field = NioSession.class.getDeclaredField("channel");
             field.setAccessible(true);
             return field;
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(
-                    "another release of MINA than the one that is pinned", e);
+                    "NioSession has no accessible field 'channel': not the pinned release of MINA",
+                    e);
         }
     }
 
-    /** All that was written has gone out; false where the connection is no more. */
+    /**
+     * Shuts down the output of a session whose writes have all gone out.
+     *
+     * @return whether it was shut down; false where the connection is broken already
+     */
     static boolean end(IoSession session) {
         try {
             ((SocketChannel) CHANNEL.get(session)).shutdownOutput();
@@ -34,7 +39,7 @@
         } catch (IOException e) {
             return false;
         } catch (IllegalAccessException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("field 'channel' of NioSession is not accessible", e);
         }
     }
 }
--- a/src/main/java/ochretiller/net/Network.java
+++ b/src/main/java/ochretiller/net/Network.java
@@ -10,108 +10,95 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Function;
-import java.util.logging.Level;
-import java.util.logging.Logger;
-import ochretiller.text.BadInputException;
-import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.future.IoFutureListener;
-import org.apache.mina.core.service.IoHandlerAdapter;
-import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioProcessor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Apache MINA with an IO processor for gateways and one for links. Its threads decode and enqueue;
- * all else is the schedule's.
+ * All TCP connections of the server, on Apache MINA, with one I/O thread for connections of clients
+ * and one for outbound connections. The I/O threads only decode and enqueue; everything else runs
+ * on the event loop.
+ *
+ * <p>Members are called on the event loop, or before it runs.
  */
 public final class Network {
-    private static final Logger LOG = Logger.getLogger(Network.class.getName());
-
-    /** Bytes read at once: a few of the longest messages. */
+    /** Bytes that one read takes at most: a few of the longest messages. */
     private static final int READ = 8 * 1024;
 
     private static final int FIRST_READ = 4 * 1024;
 
-    /** Buffers of links that may wait for the one thread: a few times what a burst brings. */
-    private static final int BEHIND = 256;
-
-    /**
-     * Bytes of one gateway's connection that may wait: as many requests of full length as it may
-     * have open.
-     */
-    private static final int MOST_BEHIND = 128 * 1024;
-
-    /** What each may have of the bound on all, whatever the others do. */
-    private static final int SOME_BEHIND = 8 * 1024;
+    /** Part of the server's memory that output may take which clients have not read. */
+    private static final int UNREAD_PART = 24;
 
     /**
-     * Parts of the memory for what peers have not read, and for what was read: decoded it takes ten
-     * times its bytes.
+     * Part of the server's memory that queued input may take, counted in bytes as read: decoded, it
+     * takes about ten times as much.
      */
-    private static final int UNREAD_PART = 24;
-
     private static final int BEHIND_PART = 96;
+
     private static final int BACKLOG = 1024;
     private static final long CONNECT_MS = 2_000;
-    private static final String KIND = "kind";
 
     private final Scheduler schedule;
-    private final ExecutorService threads = Executors.newCachedThreadPool(Network::thread);
-    private final NioProcessor gateways = new NioProcessor(threads);
-    private final NioProcessor links = new NioProcessor(threads);
-    private final NioSocketConnector connector = new NioSocketConnector(threads, links);
-    private final Semaphore behind = new Semaphore(BEHIND);
-    private final AtomicLong allBehind = new AtomicLong();
+    private final ExecutorService threads = Executors.newCachedThreadPool(Network::daemonThread);
+    private final NioProcessor acceptedProcessor = new NioProcessor(threads);
+    private final NioProcessor outboundProcessor = new NioProcessor(threads);
+    private final NioSocketConnector connector = new NioSocketConnector(threads, outboundProcessor);
+    private final AtomicLong queuedBytes = new AtomicLong();
     private final long memory;
     private final Set<Connection> dirty = new LinkedHashSet<>();
-    private final Set<InetSocketAddress> refusing = ConcurrentHashMap.newKeySet();
+    private final Set<InetSocketAddress> unreachable = ConcurrentHashMap.newKeySet();
     private final List<Acceptor> acceptors = new ArrayList<>();
 
     /**
-     * Neither listens nor connects yet.
+     * A network that neither listens nor connects yet.
      *
-     * @param memory bytes that the server may take; what waits follows it
+     * @param schedule the event loop
+     * @param memory bytes that the server may take; the limits on buffers follow it
      */
     public Network(Scheduler schedule, long memory) {
         this.schedule = schedule;
         this.memory = memory;
-        tune(connector.getSessionConfig());
+        configure(connector.getSessionConfig());
         connector.setConnectTimeoutMillis(CONNECT_MS);
-        connector.setHandler(new Handler(null, null));
+        connector.setHandler(new OutboundSessionHandler(this, schedule));
     }
 
-    private static Thread thread(Runnable work) {
+    private static Thread daemonThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         return thread;
     }
 
-    private static void tune(SocketSessionConfig config) {
+    private static void configure(SocketSessionConfig config) {
         config.setTcpNoDelay(true);
         config.setMaxReadBufferSize(READ);
         config.setReadBufferSize(FIRST_READ);
     }
 
     /**
-     * Listens on this address too, for callers of this kind; each connection gets its receiver on
-     * the network's thread.
+     * Listens on one more address.
+     *
+     * @param kind what the connections are for, in log lines
+     * @param address where to listen
+     * @param receivers makes the protocol handler of each accepted connection, on the I/O thread
+     * @throws IOException where the address is in use or not one of this machine
      */
     public void listen(
             String kind,
             InetSocketAddress address,
             Function<Connection, ConnectionHandler> receivers)
             throws IOException {
-        Acceptor acceptor = new Acceptor(threads, gateways);
+        Acceptor acceptor = new Acceptor(threads, acceptedProcessor);
         acceptors.add(acceptor);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(BACKLOG);
-        tune(acceptor.getSessionConfig());
-        acceptor.setHandler(new Handler(kind, receivers));
+        configure(acceptor.getSessionConfig());
+        acceptor.setHandler(new AcceptedSessionHandler(this, schedule, kind, receivers));
         try {
             acceptor.bind(address);
         } catch (IOException e) {
@@ -120,7 +107,7 @@
         }
     }
 
-    /** No new connection is taken; those that are open stay. */
+    /** Closes the listeners; connections that are open stay. */
     public void closeListeners() {
         for (Acceptor acceptor : acceptors) {
             acceptor.setCloseOnDeactivation(false);
@@ -129,7 +116,8 @@
     }
 
     /**
-     * Connects as one of the links; the receiver is made, or {@code failed} is run on the schedule.
+     * Connects to a peer whose connections are logged as {@code link}; otherwise as {@link
+     * #connect(String, InetSocketAddress, Function, Runnable)}.
      */
     public void connect(
             InetSocketAddress address,
@@ -139,8 +127,12 @@
     }
 
     /**
-     * Connects for what {@code kind} names; the receiver is made, or {@code failed} is run on the
-     * schedule.
+     * Connects to a peer.
+     *
+     * @param kind what the connection is for, in log lines
+     * @param address the peer's address
+     * @param receivers makes the protocol handler once connected, on the I/O thread
+     * @param failed run on the event loop where the connection could not be established
      */
     public void connect(
             String kind,
@@ -150,40 +142,37 @@
         ConnectFuture connecting =
                 connector.connect(
                         address,
-                        (session, future) -> {
-                            session.setAttribute(Function.class, receivers);
-                            session.setAttribute(KIND, kind);
-                        });
+                        (session, future) ->
+                                OutboundSessionHandler.initialize(session, kind, receivers));
         connecting.addListener(
                 (IoFutureListener<ConnectFuture>)
-                        future -> {
-                            if (future.isConnected()) {
-                                refusing.remove(address);
-                            } else {
-                                // One line for a row of tries: who is down is asked again and
-                                // again.
-                                if (refusing.add(address)) {
-                                    ended(kind, address, CloseCode.REFUSED);
-                                }
-                                schedule.post(failed);
-                            }
-                        });
+                        future -> connected(future.isConnected(), kind, address, failed));
     }
 
-    /** The one line that each connection leaves. */
-    private static void ended(String kind, Object peer, CloseCode code) {
-        LOG.info(() -> "connection " + kind + ' ' + peer + " ended: " + code.externalName());
+    private void connected(
+            boolean succeeded, String kind, InetSocketAddress address, Runnable failed) {
+        if (succeeded) {
+            unreachable.remove(address);
+            return;
+        }
+        // One log line for a series of failures: connects to a peer that is down are retried.
+        if (unreachable.add(address)) {
+            SessionHandler.logEnd(kind, address, CloseCode.REFUSED);
+        }
+        schedule.post(failed);
     }
 
+    /** Runs work on the event loop after a delay. */
     void after(Duration span, Runnable work) {
         schedule.after(span, work);
     }
 
+    /** Notes that a connection has output for the next {@link #flush}. */
     void dirty(Connection connection) {
         dirty.add(connection);
     }
 
-    /** Gateways have left much unread, all together. */
+    /** Whether output that clients have not read takes its part of the memory. */
     boolean crowded() {
         long unread = 0;
         for (Acceptor acceptor : acceptors) {
@@ -192,176 +181,35 @@
         return unread > memory / UNREAD_PART;
     }
 
-    /** Writes out what a gathering has left, one write for each connection. */
+    /**
+     * Counts input of all connections that waits for the event loop. Any thread.
+     *
+     * @param bytes how many bytes more wait; negative once they are processed
+     * @return how many bytes wait now
+     */
+    long countQueued(int bytes) {
+        return queuedBytes.addAndGet(bytes);
+    }
+
+    /** Whether this much queued input takes its part of the memory. Any thread. */
+    boolean isQueueLong(long queued) {
+        return queued > memory / BEHIND_PART;
+    }
+
+    /** Sends what a round of the event loop has written, in one write for each connection. */
     public void flush() {
         if (dirty.isEmpty()) {
             return;
         }
-        List<Connection> all = new ArrayList<>(dirty);
+        List<Connection> written = new ArrayList<>(dirty);
         dirty.clear();
-        all.forEach(Connection::flush);
+        written.forEach(Connection::flush);
     }
 
-    /** Ends all threads; what was written has gone out or never will. */
+    /** Closes all connections and ends the I/O threads; output that has not gone out is lost. */
     public void stop() {
         acceptors.forEach(acceptor -> acceptor.dispose(false));
         connector.dispose(false);
         threads.shutdown();
     }
-
-    private final class Handler extends IoHandlerAdapter {
-        private final String kind;
-        private final Function<Connection, ConnectionHandler> fixed;
-
-        Handler(String kind, Function<Connection, ConnectionHandler> fixed) {
-            this.kind = kind;
-            this.fixed = fixed;
-        }
-
-        @Override
-        @SuppressWarnings("unchecked")
-        public void sessionCreated(IoSession session) {
-            Connection connection =
-                    new Connection(session, Network.this, fixed != null, schedule.now());
-            Function<Connection, ConnectionHandler> receivers =
-                    fixed != null
-                            ? fixed
-                            : (Function<Connection, ConnectionHandler>)
-                                    session.removeAttribute(Function.class);
-            session.setAttribute(Connection.class, connection);
-            session.setAttribute(ConnectionHandler.class, receivers.apply(connection));
-        }
-
-        private String kind(IoSession session) {
-            return fixed != null ? kind : (String) session.getAttribute(KIND);
-        }
-
-        private Connection connection(IoSession session) {
-            return (Connection) session.getAttribute(Connection.class);
-        }
-
-        private ConnectionHandler receiver(IoSession session) {
-            return (ConnectionHandler) session.getAttribute(ConnectionHandler.class);
-        }
-
-        @Override
-        public void messageReceived(IoSession session, Object message) {
-            Connection connection = connection(session);
-            if (!connection.open() || connection.deaf()) {
-                return;
-            }
-            IoBuffer buffer = (IoBuffer) message;
-            int from = buffer.arrayOffset() + buffer.position();
-            ConnectionHandler receiver = receiver(session);
-            Runnable work;
-            try {
-                work = receiver.received(buffer.array(), from, from + buffer.remaining());
-            } catch (BadInputException e) {
-                LOG.info(
-                        () ->
-                                "bad input from "
-                                        + kind(session)
-                                        + " "
-                                        + connection.peer()
-                                        + ": "
-                                        + e.getMessage());
-                if (fixed == null) {
-                    connection.drop(CloseCode.BAD_INPUT);
-                } else {
-                    spoilt(connection, receiver, CloseCode.BAD_INPUT);
-                }
-                return;
-            }
-            Duration since = connection.within();
-            connection.within(
-                    !receiver.within()
-                            ? null
-                            : since == null || work != null ? schedule.now() : since);
-            if (work == null) {
-                return;
-            }
-            boolean flooded = false;
-            int bytes = buffer.remaining();
-            int mine = connection.queued(bytes);
-            long all = allBehind.addAndGet(bytes);
-            if (fixed == null) {
-                // Guards against a peer that sends faster than the one thread works: its socket
-                // fills instead. Reading waits
-                // here, since MINA's own suspend and resume lose each other's changes when two
-                // threads call them.
-                behind.acquireUninterruptibly();
-            } else if (mine > MOST_BEHIND || mine > SOME_BEHIND && all > memory / BEHIND_PART) {
-                // Guards against a flood that would hold up the reading of all others: whoever has
-                // most is read no further.
-                flooded = true;
-            }
-            schedule.post(
-                    () -> {
-                        if (fixed == null) {
-                            behind.release();
-                        }
-                        connection.queued(-bytes);
-                        allBehind.addAndGet(-bytes);
-                        connection.used(schedule.now());
-                        work.run();
-                    });
-            if (flooded) {
-                spoilt(connection, receiver, CloseCode.FLOOD);
-            }
-        }
-
-        /**
-         * Guards against answers that are lost with a caller's connection: what was read of it
-         * before is worked off first.
-         */
-        private void spoilt(Connection connection, ConnectionHandler receiver, CloseCode code) {
-            connection.deafen();
-            schedule.post(
-                    () -> {
-                        if (!receiver.spoilt(code)) {
-                            connection.drop(code);
-                        }
-                    });
-        }
-
-        @Override
-        public void inputClosed(IoSession session) {
-            session.suspendRead(); // guards against a selector that wakes for this end again and
-            // again
-            connection(session).inputEnds();
-            ConnectionHandler receiver = receiver(session);
-            schedule.post(receiver::inputEnded);
-        }
-
-        @Override
-        public void sessionClosed(IoSession session) {
-            Connection connection = connection(session);
-            ConnectionHandler receiver = receiver(session);
-            connection.reason(CloseCode.PEER_CLOSED);
-            receiver.closed();
-            schedule.post(
-                    () -> {
-                        CloseCode code = connection.code();
-                        receiver.ended(code);
-                        // One for each run would fill the log: the figures of their pools count
-                        // these.
-                        if (code == CloseCode.ANSWERED && fixed == null) {
-                            return;
-                        }
-                        ended(kind(session), connection.peer(), code);
-                    });
-        }
-
-        @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            Connection connection = connection(session);
-            if (connection == null) {
-                return;
-            }
-            if (!(cause instanceof IOException)) {
-                LOG.log(Level.WARNING, "fault at " + connection.peer(), cause);
-            }
-            connection.drop(CloseCode.BROKEN);
-        }
-    }
 }
