--- a/src/main/java/ochretiller/frontend/FailureReason.java
+++ b/src/main/java/ochretiller/frontend/FailureReason.java
@@ -1,20 +1,23 @@
 package ochretiller.frontend;
 
-/** Why a try is errored, for fronts that tell it in their own terms. */
+/** Why an attempt is answered with an error; each frontend has its own wire form for these. */
 public enum FailureReason {
-    /** Its run failed, or may have had its effect and its result is not to be had. */
+    /** The run failed, or it may have had its effect and its result is lost. */
     FAILED("failed"),
-    /** It could not be answered with a result by its due time. */
+    /** The attempt could not be answered before its deadline. */
     GIVEN_UP("given up"),
-    /** It repeats one that still ran when this had to be answered. */
+    /** The original attempt with this idempotency key still ran when the retry had to be answered. */
     IN_FLIGHT("its forerunner is still in flight"),
+    /** Another request body was sent under the same idempotency key. */
     OTHER_BODY("another request is known under this token"),
+    /** The original attempt succeeded, but its result is no longer stored. */
     NO_RESULT("no result to replay"),
-    /** A former process has begun its run, and nobody has told of its end. */
+    /** A previous process started the run, and its outcome was never reported. */
     UNKNOWN_END("the end of its run is not known"),
+    /** Another open attempt has the same request id. */
     RID_IN_USE("rid is in use");
 
-    /** In the project's own words, without anything that a peer sent. */
+    /** The message on the wire; it contains nothing that a peer sent. */
     public final String text;
 
     FailureReason(String text) {
--- a/src/main/java/ochretiller/frontend/RequestAttempt.java
+++ b/src/main/java/ochretiller/frontend/RequestAttempt.java
@@ -4,34 +4,45 @@
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 
-/** One try as a caller sent it, from its reading until it is answered and its run is over. */
+/**
+ * One attempt of a client's request, from its arrival until it is answered and its run is over.
+ * Belongs to the event loop.
+ */
 public final class RequestAttempt {
+    /** Identifies the attempt within this process. */
     public final InvocationId id;
 
-    /** Its name on all wires below. */
+    /** The request id, by which the processor and the records service know the attempt. */
     public final String rid;
 
+    /** The operation to run. */
     public final Operation operation;
+
+    /** Memory to reserve for the attempt, in KB. */
     public final double kb;
+
+    /** Identifies the client. */
     public final long caller;
 
-    /** When it reached the machine, on the schedule. */
+    /** When the attempt reached the machine, since the server's start. */
     public final Duration arrived;
 
     /**
-     * The like as its caller dated it, in Unix milliseconds, or {@code IdempotencyCache.UNDATED}.
+     * When the client sent the attempt, in Unix milliseconds, or {@code
+     * IdempotencyCache.NO_CLIENT_TIMESTAMP}.
      */
     public final long t0;
 
-    /** The token of a tokened one, else null. */
+    /** The idempotency key; null where the operation has none. */
     public final String token;
 
-    /** What a read is about, or null. */
+    /** The object that a read is about; null where it names none. */
     public final String object;
 
+    /** The request body. */
     public final byte[] body;
 
-    /** Its number on its connection. */
+    /** The number of the request on its connection. */
     public final long number;
 
     final ClientConnection peer;
@@ -39,7 +50,13 @@
     private boolean running;
     private long version;
 
-    /** What was read; token or object are kept only where the operation has a use for them. */
+    /**
+     * An attempt as it was read.
+     *
+     * @param token the idempotency key or null; kept only where the operation is keyed
+     * @param object the object of a read or null; kept only where the operation is not keyed
+     * @param peer the connection that gets the answer
+     */
     public RequestAttempt(
             InvocationId id,
             String rid,
@@ -67,26 +84,27 @@
         this.number = number;
     }
 
+    /** Whether the client has been answered, or no longer waits. */
     public boolean answered() {
         return answered;
     }
 
+    /** Whether a run of this attempt was started and is not over. */
     public boolean running() {
         return running;
     }
 
+    /** Notes whether a run of this attempt is under way. */
     public void runs(boolean now) {
         running = now;
     }
 
-    /**
-     * The version of what the fleet's servers act on that it is bound to, from its reading to its
-     * end; 0 where there is none.
-     */
+    /** The version of the fleet's configuration that the attempt is bound to; 0 for none. */
     public long version() {
         return version;
     }
 
+    /** Binds the attempt to a version of the fleet's configuration until its end. */
     public void bind(long to) {
         version = to;
     }
