--- a/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
@@ -3,61 +3,68 @@
 import java.time.Duration;
 import java.util.Base64;
 import java.util.Map;
+import java.util.OptionalDouble;
+import java.util.OptionalLong;
 import ochretiller.text.BadInputException;
 import ochretiller.text.Json;
 import ochretiller.text.Slice;
 
-/** JSON-RPC 2.0, one message a line: reading what gateways send and writing what they are told. */
+/** Parses messages of gateways and writes those of the server, one a line. Any thread. */
 final class JsonRpcCodec {
-    /** Error codes of answers: turned away before it ran, and failed. */
+    /** Error code of an attempt that was rejected before it ran. */
     static final int THROTTLED = -32014;
 
+    /** Error code of an attempt that failed. */
     static final int FAILED = -32000;
+
+    /** The notification that asks a gateway to send nothing more on the connection. */
     static final String SHUTDOWN = "{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}\n";
 
+    private static final int TYPICAL_ANSWER_CHARS = 128;
+
     private JsonRpcCodec() {}
 
     /**
-     * The id of a message, or null where it has none; {@code fault} is what is wrong with the rest.
+     * Parses one line.
+     *
+     * @throws BadInputException where not even an id can be read, so that no answer is possible
      */
-    record Message(Long id, String method, Map<String, Object> params, JsonRpcException fault) {}
-
-    /** Reads one line; only what has no readable id is bad input for the connection. */
-    static Message read(Slice line) {
+    static JsonRpcMessage read(Slice line) {
         Json json = new Json(line);
-        Long id = null;
+        OptionalLong id = OptionalLong.empty();
         try {
-            Object value = json.read();
-            if (!(value instanceof Map)) {
+            if (!(json.read() instanceof Map)) {
                 throw new BadInputException("no JSON-RPC object");
             }
             id = id(json);
-            return message(id, json.members());
+            return call(id, json.members());
         } catch (BadInputException e) {
             id = id(json);
-            if (id == null) {
+            if (id.isEmpty()) {
                 throw e;
             }
-            return new Message(
-                    id, null, null, new JsonRpcException(JsonRpcException.PARSE, e.getMessage()));
+            return new JsonRpcMessage.Invalid(
+                    id.getAsLong(), new JsonRpcException(JsonRpcException.PARSE, e.getMessage()));
         } catch (JsonRpcException e) {
-            if (id == null) {
+            if (id.isEmpty()) {
                 throw new BadInputException(e.getMessage());
             }
-            return new Message(id, null, null, e);
+            return new JsonRpcMessage.Invalid(id.getAsLong(), e);
         }
     }
 
-    private static Long id(Json json) {
-        return json.members().get("id") instanceof Long id && id >= 0 ? id : null;
+    private static OptionalLong id(Json json) {
+        return json.members().get("id") instanceof Long id && id >= 0
+                ? OptionalLong.of(id)
+                : OptionalLong.empty();
     }
 
-    @SuppressWarnings("unchecked")
-    private static Message message(Long id, Map<String, Object> members) {
+    @SuppressWarnings("unchecked") // the parser makes maps with names as keys only
+    private static JsonRpcMessage call(OptionalLong id, Map<String, Object> members) {
         if (!"2.0".equals(members.get("jsonrpc"))) {
             throw new JsonRpcException(JsonRpcException.REQUEST, "not JSON-RPC 2.0");
         }
-        if (id == null && members.containsKey("id")) {
+        if (id.isEmpty() && members.containsKey("id")) {
             throw new JsonRpcException(JsonRpcException.REQUEST, "wrong id");
         }
         if (!(members.get("method") instanceof String method)) {
@@ -67,11 +74,11 @@
         if (!(params instanceof Map)) {
             throw new JsonRpcException(JsonRpcException.PARAMS, "params is no object");
         }
-        return new Message(id, method, (Map<String, Object>) params, null);
+        return new JsonRpcMessage.Call(id, method, (Map<String, Object>) params);
     }
 
     private static StringBuilder open(long id, String part) {
-        return new StringBuilder(128)
+        return new StringBuilder(TYPICAL_ANSWER_CHARS)
                 .append("{\"jsonrpc\":\"2.0\",\"id\":")
                 .append(id)
                 .append(",\"")
@@ -79,12 +86,16 @@
                 .append("\":{");
     }
 
-    /** The free value goes along where one was set. */
-    private static StringBuilder hint(StringBuilder out, Double hint, String before) {
-        return hint == null ? out : out.append(before).append("\"hint\":").append(hint);
+    /** Appends the advertised capacity, if any, behind a separator. */
+    private static StringBuilder hint(StringBuilder out, OptionalDouble hint, String separator) {
+        if (hint.isPresent()) {
+            out.append(separator).append("\"hint\":").append(hint.getAsDouble());
+        }
+        return out;
     }
 
-    static String result(long id, byte[] result, Double hint) {
+    /** The answer with a result. */
+    static String result(long id, byte[] result, OptionalDouble hint) {
         StringBuilder out =
                 open(id, "result")
                         .append("\"data\":\"")
@@ -93,42 +104,52 @@
         return hint(out, hint, ",").append("}}\n").toString();
     }
 
-    static String health(long id, boolean good, Double hint) {
+    /** The answer to a health check. */
+    static String health(long id, boolean good, OptionalDouble hint) {
         StringBuilder out = open(id, "result").append("\"green\":").append(good);
         return hint(out, hint, ",").append("}}\n").toString();
     }
 
+    /** The answer to a request that has no result. */
     static String done(long id) {
         return open(id, "result").append("}}\n").toString();
     }
 
-    static String throttled(long id, Duration retryIn, boolean last, Double hint) {
+    /**
+     * The answer to an attempt that was rejected before it ran.
+     *
+     * @param retryIn when to retry, in whole milliseconds of at least one; zero to leave it out
+     * @param last whether a retry is of no use
+     */
+    static String throttled(long id, Duration retryIn, boolean last, OptionalDouble hint) {
         StringBuilder out = error(id, THROTTLED, "throttled").append(",\"data\":{");
-        String before = "";
+        String separator = "";
         if (!retryIn.isZero()) {
             out.append("\"backoff\":").append(Math.max(1, retryIn.toMillis()));
-            before = ",";
+            separator = ",";
         }
         if (last) {
-            out.append(before).append("\"final\":1");
-            before = ",";
+            out.append(separator).append("\"final\":1");
+            separator = ",";
         }
-        return hint(out, hint, before).append("}}}\n").toString();
+        return hint(out, hint, separator).append("}}}\n").toString();
     }
 
-    static String failed(long id, String message, Double hint) {
+    /** The answer to an attempt that failed. */
+    static String failed(long id, String message, OptionalDouble hint) {
         StringBuilder out = error(id, FAILED, message);
-        if (hint != null) {
+        if (hint.isPresent()) {
             hint(out.append(",\"data\":{"), hint, "").append('}');
         }
         return out.append("}}\n").toString();
     }
 
+    /** The answer to a request that violates the protocol. */
     static String fault(long id, JsonRpcException fault) {
         return error(id, fault.code, fault.getMessage()).append("}}\n").toString();
     }
 
-    /** Messages are the project's own words and need no escapes. */
+    /** Messages are constants of this server, so they need no escapes. */
     private static StringBuilder error(long id, int code, String message) {
         return open(id, "error")
                 .append("\"code\":")
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import ochretiller.frontend.ClientConnection;
 import ochretiller.frontend.ClientConnections;
 import ochretiller.frontend.FailureReason;
@@ -11,43 +12,42 @@
 import ochretiller.text.BadInputException;
 import ochretiller.text.Frames;
 
-/** One connection of a gateway. */
+/** One connection of a gateway: cuts its input into messages and writes the answers. */
 final class JsonRpcConnection extends ClientConnection {
     private static final int LONGEST_LINE = 8 * 1024;
 
-    /** It sent something wrong before. */
-    boolean faulty;
-
-    private final JsonRpcFrontend gateway;
+    private final JsonRpcFrontend frontend;
     private final Frames frames = new Frames(LONGEST_LINE, false, line -> Frames.NONE);
+    private boolean hasSentBadInput;
 
-    JsonRpcConnection(Connection connection, ClientConnections callers, JsonRpcFrontend gateway) {
+    JsonRpcConnection(Connection connection, ClientConnections callers, JsonRpcFrontend frontend) {
         super(connection, callers);
-        this.gateway = gateway;
+        this.frontend = frontend;
     }
 
+    /** Messages that were complete before a violation are still processed. */
     @Override
     public Runnable received(byte[] bytes, int from, int to) {
-        List<JsonRpcCodec.Message> messages = new ArrayList<>(1);
-        BadInputException fault = null;
+        List<JsonRpcMessage> messages = new ArrayList<>(1);
+        Optional<BadInputException> violation = Optional.empty();
         try {
             frames.read(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.read(line)));
         } catch (BadInputException e) {
             if (messages.isEmpty()) {
                 throw e;
             }
-            fault = e; // guards against good requests that are lost with what follows them
+            violation = Optional.of(e);
             connection.deafen();
         }
-        BadInputException last = fault;
-        return messages.isEmpty()
-                ? null
-                : () -> {
-                    messages.forEach(message -> gateway.read(this, message));
-                    if (last != null) {
-                        gateway.unreadable(this, last);
-                    }
-                };
+        return messages.isEmpty() ? null : processing(messages, violation);
+    }
+
+    private Runnable processing(
+            List<JsonRpcMessage> messages, Optional<BadInputException> violation) {
+        return () -> {
+            messages.forEach(message -> frontend.read(this, message));
+            violation.ifPresent(fault -> frontend.unreadable(this, fault));
+        };
     }
 
     @Override
@@ -59,6 +59,7 @@
         return connection.open() && !unreadable();
     }
 
+    /** The peer's address, for log lines. */
     String name() {
         return connection.peer();
     }
@@ -67,19 +68,26 @@
         connection.write(text);
     }
 
+    /** Notes bad input; true for the first of this connection. */
+    boolean isFirstBadInput() {
+        boolean first = !hasSentBadInput;
+        hasSentBadInput = true;
+        return first;
+    }
+
     @Override
     protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
-        write(JsonRpcCodec.result(inv.number, result, gateway.hint()));
+        write(JsonRpcCodec.result(inv.number, result, frontend.hint()));
     }
 
     @Override
     protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
-        write(JsonRpcCodec.throttled(inv.number, retryIn, last, gateway.hint()));
+        write(JsonRpcCodec.throttled(inv.number, retryIn, last, frontend.hint()));
     }
 
     @Override
     protected void fails(RequestAttempt inv, FailureReason why) {
-        write(JsonRpcCodec.failed(inv.number, why.text, gateway.hint()));
+        write(JsonRpcCodec.failed(inv.number, why.text, frontend.hint()));
     }
 
     @Override
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
@@ -2,6 +2,8 @@
 
 import java.time.Duration;
 import java.util.Map;
+import java.util.OptionalDouble;
+import java.util.OptionalLong;
 import java.util.function.LongFunction;
 import java.util.logging.Level;
 import java.util.logging.Logger;
@@ -13,7 +15,10 @@
 import ochretiller.net.ConnectionHandler;
 import ochretiller.text.BadInputException;
 
-/** The JSON-RPC front: what gateways say becomes tries and checks. */
+/**
+ * The JSON-RPC frontend: turns messages of gateways into request attempts, health checks and
+ * aborts. Belongs to the event loop, except for {@link #accepted}.
+ */
 public final class JsonRpcFrontend {
     private static final Logger LOG = Logger.getLogger(JsonRpcFrontend.class.getName());
 
@@ -26,9 +31,12 @@
     private final HealthChecks health;
 
     /**
-     * The gateways' side.
+     * A frontend that serves each connection passed to {@link #accepted}.
      *
-     * @param sinceStart turns Unix milliseconds into a span since the start
+     * @param callers the server's connections of clients
+     * @param operations the operations that can be invoked, by name
+     * @param health answers health checks
+     * @param sinceStart converts Unix milliseconds to the time since the server's start
      */
     public JsonRpcFrontend(
             ClientConnections callers,
@@ -41,112 +49,135 @@
         this.sinceStart = sinceStart;
     }
 
-    /** On the network's thread: a connection was accepted. */
+    /**
+     * Takes a connection that was accepted. Called on the I/O thread.
+     *
+     * @return the handler of the connection
+     */
     public ConnectionHandler accepted(Connection connection) {
         return callers.accepted(new JsonRpcConnection(connection, callers, this));
     }
 
-    Double hint() {
+    /** The advertised capacity that goes out with each answer. */
+    OptionalDouble hint() {
         return health.hint();
     }
 
-    void read(JsonRpcConnection peer, JsonRpcCodec.Message message) {
+    /** Acts on one message. */
+    void read(JsonRpcConnection peer, JsonRpcMessage message) {
         if (!peer.isOpen()) {
             return;
         }
+        if (message instanceof JsonRpcMessage.Invalid invalid) {
+            reject(peer, OptionalLong.of(invalid.id()), invalid.error());
+            return;
+        }
+        JsonRpcMessage.Call call = (JsonRpcMessage.Call) message;
         try {
-            if (message.fault() != null) {
-                throw message.fault();
-            }
-            switch (message.method()) {
-                case "ping" -> ping(peer, message);
-                case "abort" -> abort(peer, message);
-                default -> invoke(peer, message);
-            }
+            dispatch(peer, call);
         } catch (JsonRpcException e) {
-            // The first of a connection is told: guards against a log filled at a peer's will.
-            Level level = peer.faulty ? Level.FINE : Level.INFO;
-            LOG.log(
-                    level,
-                    () ->
-                            "bad input from gateway "
-                                    + peer.name()
-                                    + ": "
-                                    + e.code
-                                    + ' '
-                                    + e.getMessage());
-            peer.faulty = true;
-            if (message.id() == null) {
-                peer.spoilt(CloseCode.BAD_INPUT);
-                return;
-            }
-            peer.write(JsonRpcCodec.fault(message.id(), e));
-            peer.settle();
+            reject(peer, call.id(), e);
         }
     }
 
-    /** What cannot be read came behind what could. */
+    private void dispatch(JsonRpcConnection peer, JsonRpcMessage.Call call) {
+        switch (call.method()) {
+            case "ping" -> ping(peer, call);
+            case "abort" -> abort(peer, call);
+            default -> invoke(peer, call);
+        }
+    }
+
+    /** Answers an error; a notification that is wrong ends the connection instead. */
+    private void reject(JsonRpcConnection peer, OptionalLong id, JsonRpcException error) {
+        // Only the first of a connection is logged at INFO, or a peer could fill the log.
+        Level level = peer.isFirstBadInput() ? Level.INFO : Level.FINE;
+        LOG.log(
+                level,
+                () ->
+                        "bad input from gateway "
+                                + peer.name()
+                                + ": "
+                                + error.code
+                                + ' '
+                                + error.getMessage());
+        if (id.isEmpty()) {
+            peer.spoilt(CloseCode.BAD_INPUT);
+            return;
+        }
+        peer.write(JsonRpcCodec.fault(id.getAsLong(), error));
+        peer.settle();
+    }
+
+    /** Input that cannot be parsed followed messages that could. */
     void unreadable(JsonRpcConnection peer, BadInputException fault) {
         LOG.info(() -> "bad input from gateway " + peer.name() + ": " + fault.getMessage());
         peer.spoilt(CloseCode.BAD_INPUT);
     }
 
-    private void ping(JsonRpcConnection peer, JsonRpcCodec.Message message) {
-        if (message.id() == null) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "missing: id");
-        }
-        Object full = message.params().getOrDefault("full", Boolean.FALSE);
-        if (!(full instanceof Boolean)) {
+    private static long requiredId(JsonRpcMessage.Call call) {
+        return call.id()
+                .orElseThrow(
+                        () -> new JsonRpcException(JsonRpcException.REQUEST, "missing: id"));
+    }
+
+    private void ping(JsonRpcConnection peer, JsonRpcMessage.Call call) {
+        long id = requiredId(call);
+        if (!(call.params().getOrDefault("full", Boolean.FALSE) instanceof Boolean full)) {
             throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: full");
         }
         peer.shows();
         peer.checks(1);
         health.check(
-                (Boolean) full,
+                full,
                 good -> {
                     peer.checks(-1);
-                    peer.write(JsonRpcCodec.health(message.id(), good, health.hint()));
+                    peer.write(JsonRpcCodec.health(id, good, health.hint()));
                     peer.settle();
                 });
     }
 
     /**
-     * The caller waits no longer; what is unknown or answered was answered as the word went out.
+     * The client no longer waits for an attempt, which it names by the id of its request or by its
+     * request id. An attempt that is not open is no error: its answer crossed the abort.
      */
-    private void abort(JsonRpcConnection peer, JsonRpcCodec.Message message) {
-        boolean byRid = message.params().containsKey("rid");
-        Object named = message.params().getOrDefault("id", byRid ? null : message.id());
-        RequestAttempt inv = peer.open().get(named);
-        if (inv == null && message.params().get("rid") instanceof String rid) {
-            inv = callers.find(rid);
-            if (inv != null && !peer.open().containsValue(inv)) {
-                inv = null;
-            }
-        }
-        if (inv != null) {
-            callers.abort(inv);
-        } else if (!(named instanceof Long) && !byRid) {
+    private void abort(JsonRpcConnection peer, JsonRpcMessage.Call call) {
+        Map<String, Object> params = call.params();
+        boolean isByRequestId = params.containsKey("rid");
+        Object ownId = call.id().isPresent() ? (Object) call.id().getAsLong() : null;
+        Object named = params.getOrDefault("id", isByRequestId ? null : ownId);
+        RequestAttempt attempt = findOpen(peer, named, params.get("rid"));
+        if (attempt != null) {
+            callers.abort(attempt);
+        } else if (!(named instanceof Long) && !isByRequestId) {
             throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: id");
         }
-        if (message.id() != null && !message.id().equals(named)) {
-            peer.write(JsonRpcCodec.done(message.id()));
+        if (call.id().isPresent() && !ownId.equals(named)) {
+            peer.write(JsonRpcCodec.done(call.id().getAsLong()));
         }
         peer.settle();
     }
 
-    private void invoke(JsonRpcConnection peer, JsonRpcCodec.Message message) {
-        if (message.id() == null) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "missing: id");
+    /** The open attempt of this connection with this number or else this request id, or null. */
+    private RequestAttempt findOpen(JsonRpcConnection peer, Object number, Object requestId) {
+        RequestAttempt attempt = peer.open().get(number);
+        if (attempt == null && requestId instanceof String rid) {
+            attempt = callers.find(rid);
         }
-        Operation operation = operations.get(message.method());
+        return peer.open().containsValue(attempt) ? attempt : null;
+    }
+
+    private void invoke(JsonRpcConnection peer, JsonRpcMessage.Call call) {
+        long id = requiredId(call);
+        Operation operation = operations.get(call.method());
         if (operation == null) {
             throw new JsonRpcException(JsonRpcException.METHOD, "unknown method");
         }
-        InvocationParams params = InvocationParams.of(message.params());
+        InvocationParams params = InvocationParams.of(call.params());
         if (operation.isKeyed() && params.token() == null) {
             throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: token");
         }
-        if (peer.open().containsKey(message.id())) {
+        if (peer.open().containsKey(id)) {
             throw new JsonRpcException(JsonRpcException.REQUEST, "id is in use");
         }
         if (peer.open().size() >= OPEN) {
@@ -168,6 +199,6 @@
                         params.object(),
                         params.body(),
                         peer,
-                        message.id()));
+                        id));
     }
 }
