--- a/src/main/java/ochretiller/fleet/replication/Replica.java
+++ b/src/main/java/ochretiller/fleet/replication/Replica.java
@@ -202,7 +202,9 @@
         }
     }
 
-    /** What has to be on disk, beside the entries that change, before {@link #takeOutbound} leave. */
+    /**
+     * What has to be on disk, beside the entries that change, before {@link #takeOutbound} leave.
+     */
     public ReplicaSnapshot metadataSnapshot() {
         return new ReplicaSnapshot(
                 placement,
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -48,7 +48,9 @@
         this.takesBack = takesBack;
     }
 
-    /** What a server has said last; servers that are no more have to be named by {@link #nextState}. */
+    /**
+     * What a server has said last; servers that are no more have to be named by {@link #nextState}.
+     */
     public void recordReport(String name, VersionReport report) {
         reports.put(name, report);
         counts(name, report);
--- a/src/main/java/ochretiller/frontend/ClientConnection.java
+++ b/src/main/java/ochretiller/frontend/ClientConnection.java
@@ -141,8 +141,8 @@
 
     /**
      * Whether the connection can be closed without loss: nothing is open on it, no input waits, and
-     * no message is incomplete that the client may still wait for. Where no valid message ever came,
-     * an incomplete one is no reason to keep the connection.
+     * no message is incomplete that the client may still wait for. Where no valid message ever
+     * came, an incomplete one is no reason to keep the connection.
      *
      * @param patience the age from which nobody waits for an incomplete message
      */
--- a/src/main/java/ochretiller/frontend/ConnectionTable.java
+++ b/src/main/java/ochretiller/frontend/ConnectionTable.java
@@ -122,8 +122,7 @@
         if (manyNewcomers || full) {
             Optional<ClientConnection> oldest =
                     newcomers.stream().filter(this::isQuiet).findFirst();
-            if (oldest.isPresent()
-                    && (manyNewcomers || isOlderThan(oldest.get(), CROSSING_TIME))) {
+            if (oldest.isPresent() && (manyNewcomers || isOlderThan(oldest.get(), CROSSING_TIME))) {
                 closeNewcomer(oldest.get());
                 return;
             }
--- a/src/main/java/ochretiller/frontend/FailureReason.java
+++ b/src/main/java/ochretiller/frontend/FailureReason.java
@@ -6,7 +6,9 @@
     FAILED("failed"),
     /** The attempt could not be answered before its deadline. */
     GIVEN_UP("given up"),
-    /** The original attempt with this idempotency key still ran when the retry had to be answered. */
+    /**
+     * The original attempt with this idempotency key still ran when the retry had to be answered.
+     */
     IN_FLIGHT("its forerunner is still in flight"),
     /** Another request body was sent under the same idempotency key. */
     OTHER_BODY("another request is known under this token"),
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
@@ -117,8 +117,7 @@
 
     private static long requiredId(JsonRpcMessage.Call call) {
         return call.id()
-                .orElseThrow(
-                        () -> new JsonRpcException(JsonRpcException.REQUEST, "missing: id"));
+                .orElseThrow(() -> new JsonRpcException(JsonRpcException.REQUEST, "missing: id"));
     }
 
     private void ping(JsonRpcConnection peer, JsonRpcMessage.Call call) {
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -516,7 +516,10 @@
                 });
     }
 
-    /** What a former process has left under this token, or null; known until {@link #takePreviousRuns}. */
+    /**
+     * What a former process has left under this token, or null; known until {@link
+     * #takePreviousRuns}.
+     */
     IdempotencyRecord restored(String token) {
         return token == null ? null : restored.get(token);
     }
