--- a/src/test/java/ochretiller/golden/WholeServer.java
+++ b/src/test/java/ochretiller/golden/WholeServer.java
@@ -36,6 +36,7 @@
     final Path store;
     final Path audit;
     final ServerNode node;
+    private final Thread loop;
     private final FakeServices outside;
     private final Handler handler =
             new Handler() {
@@ -63,7 +64,8 @@
     WholeServer(Path folder, StorageDirectory disk) throws Exception {
         store = folder.resolve("store");
         audit = folder.resolve("audit");
-        metrics = folder.resolve("metrics.prom");
+        // Not in the test's folder: metrics are written for as long as the process lives.
+        metrics = Path.of("target", "whole-server-" + port + ".prom").toAbsolutePath();
         LOG.addHandler(handler);
         outside = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
         outside.runs = (rid, operation, body) -> outside.complete(rid, "done");
@@ -81,7 +83,7 @@
         node = new ServerNode(config, told, disk);
         node.prepare();
         node.listen();
-        Thread loop = new Thread(node::run, "loop");
+        loop = new Thread(node::run, "loop");
         loop.setDaemon(true);
         loop.start();
         until(() -> logged("the processor is up.*"));
@@ -90,7 +92,7 @@
     private String operator(Path folder) throws IOException {
         Path key = Files.writeString(folder.resolve("key"), "a key that is long enough");
         return """
-        { metrics: { file: '%1$s/metrics.prom', every_ms: 100 },
+        { metrics: { file: '%5$s', every_ms: 100 },
           remember: { folder: '%1$s/store' },
           audit: { folder: '%1$s/audit' },
           uwsgi: { listen: '127.0.0.1:%2$d', routes: [ { path: '/read', operation: 'read' } ] },
@@ -101,7 +103,7 @@
             copies: { voters: [ 'n1' ], voter_file: '%1$s/voter', calm_ms: 500,
               versions: { folder: '%1$s/versions' } } } }
         """
-                .formatted(folder, freePort(), fleetPort, key);
+                .formatted(folder, freePort(), fleetPort, key, metrics);
     }
 
     private static int freePort() throws IOException {
@@ -147,6 +149,8 @@
     public void close() throws IOException {
         try {
             node.drain();
+            // The notice returns at the time of the kill; on a busy machine the server ends later.
+            loop.join(LONGEST_NS / 1_000_000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new InterruptedIOException("interrupted while it drains");
