--- a/src/main/java/ochretiller/processor/GaugeDecoder.java
+++ b/src/main/java/ochretiller/processor/GaugeDecoder.java
@@ -5,39 +5,56 @@
 import ochretiller.model.ResourceGauges;
 import ochretiller.text.BadInputException;
 
-/** The gauges as last told, by the names that the settings give them. */
+/**
+ * Decodes the processor's gauges, whose order the configuration gives, and keeps the last ones.
+ * Belongs to the event loop.
+ */
 final class GaugeDecoder {
-    /** Gauges older than this tell nothing of now. */
-    private static final Duration STALE = Duration.ofSeconds(1);
+    /** Older gauges say nothing about the present. */
+    private static final Duration MAX_AGE = Duration.ofSeconds(1);
 
     private final List<String> names;
     private ResourceGauges last = ResourceGauges.UNKNOWN;
-    private Duration at = Duration.ZERO;
+    private Duration updatedAt = Duration.ZERO;
 
+    /**
+     * Gauges that are unknown until the first {@link #update}.
+     *
+     * @param names the names of the gauges, in the order in which they are sent
+     */
     GaugeDecoder(List<String> names) {
         this.names = names;
     }
 
-    /** The words of a notice, from the first figure on. */
-    void told(List<String> figures, Duration now) {
-        if (figures.size() < names.size()) {
+    /**
+     * Takes new gauges.
+     *
+     * @param values the numbers as they were sent
+     * @param now the time since the server's start
+     * @throws BadInputException where there are fewer values than names
+     * @throws NumberFormatException where a value is no number
+     */
+    void update(List<String> values, Duration now) {
+        if (values.size() < names.size()) {
             throw new BadInputException("too few gauges");
         }
         last =
                 new ResourceGauges(
-                        figure("core_use", figures),
-                        figure("on_cores", figures),
-                        figure("heap_share", figures),
-                        figure("links", figures));
-        at = now;
+                        value("core_use", values),
+                        value("on_cores", values),
+                        value("heap_share", values),
+                        value("links", values));
+        updatedAt = now;
     }
 
-    private double figure(String name, List<String> figures) {
-        int place = names.indexOf(name);
-        return place < 0 ? Double.NaN : Double.parseDouble(figures.get(place));
+    private double value(String name, List<String> values) {
+        int index = names.indexOf(name);
+        return index < 0 ? Double.NaN : Double.parseDouble(values.get(index));
     }
 
-    ResourceGauges at(Duration now) {
-        return now.minus(at).compareTo(STALE) > 0 ? ResourceGauges.UNKNOWN : last;
+    /** The last gauges, or unknown ones where those are too old. */
+    ResourceGauges gaugesAt(Duration now) {
+        boolean isStale = now.minus(updatedAt).compareTo(MAX_AGE) > 0;
+        return isStale ? ResourceGauges.UNKNOWN : last;
     }
 }
--- a/src/main/java/ochretiller/processor/ProcessorClient.java
+++ b/src/main/java/ochretiller/processor/ProcessorClient.java
@@ -6,61 +6,56 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import java.util.logging.Logger;
 import ochretiller.execution.RunBackend;
 import ochretiller.execution.RunRequest;
 import ochretiller.model.ResourceGauges;
 import ochretiller.model.RunOutcome;
 import ochretiller.net.CloseCode;
-import ochretiller.net.Connection;
-import ochretiller.net.ConnectionHandler;
 import ochretiller.net.Network;
 import ochretiller.net.Scheduler;
-import ochretiller.text.BadInputException;
-import ochretiller.text.Frames;
-import ochretiller.text.Slice;
 
 /**
- * Keeps a link to the processor, and tells each of its notices once and in order whatever becomes
- * of the link.
+ * Keeps a connection to the processor. Runs survive a reconnect: the end of each is reported once.
+ * Belongs to the event loop.
  */
 public final class ProcessorClient implements RunBackend {
-    private static final Logger LOG = Logger.getLogger(ProcessorClient.class.getName());
-    private static final Duration AGAIN = Duration.ofMillis(100);
+    private static final Duration RECONNECT_DELAY = Duration.ofMillis(100);
 
-    /** Gauges are asked for at most so often: they look back half a second. */
-    private static final Duration GAUGES = Duration.ofMillis(80);
-
-    private static final int LONGEST = 64 * 1024;
-    private static final String FENCE = "fence";
+    /** Least time between two requests for gauges, each of which covers half a second. */
+    private static final Duration GAUGE_INTERVAL = Duration.ofMillis(80);
 
     private final Scheduler schedule;
     private final Network network;
-    private InetSocketAddress address;
-    private final GaugeDecoder gauging;
-    private final BiConsumer<Boolean, Duration> up;
-    private final BiConsumer<String, byte[]> asked;
+    private final GaugeDecoder gauges;
+    private final BiConsumer<Boolean, Duration> onUp;
+    private final BiConsumer<String, byte[]> onCall;
+    private final NoticeSequence notices = new NoticeSequence();
     private final Map<String, ActiveRun> runs = new LinkedHashMap<>();
-    private final Map<String, Consumer<Boolean>> trials = new LinkedHashMap<>();
-    private Connection connection;
-    private InetSocketAddress linkedTo;
-    private boolean connecting;
-    private boolean ready;
-    private boolean closing;
-    private long lastNotice;
-    private boolean gap;
-    private long tags;
-    private Duration gaugesAskedAt = Duration.ZERO;
+    private final Map<String, Consumer<Boolean>> deepChecks = new LinkedHashMap<>();
+    private InetSocketAddress address;
+    private Optional<ProcessorConnection> connection = Optional.empty();
+    private boolean isConnecting;
+    private boolean isClosing;
+
+    /** Whether the connection has repeated all missed notices, so that commands can be sent. */
+    private boolean isCaughtUp;
+
+    private long lastTag;
+    private Duration gaugesRequestedAt = Duration.ZERO;
 
     /**
-     * A link that is not connected yet.
+     * A client that is not connected yet.
      *
-     * @param meters the names of the gauges, in the order in which they are told
+     * @param schedule the event loop
+     * @param network makes the connections
+     * @param address the processor's address
+     * @param meters the names of the gauges, in the order in which they are sent
      * @param up told once the processor is there: whether it was cold at its start, and how long
      *     ago that was
-     * @param asked told of a run that waits for a call, with the call's body
+     * @param asked told of a run that waits for a call: its request id and the call's body
      */
     public ProcessorClient(
             Scheduler schedule,
@@ -72,111 +67,98 @@
         this.schedule = schedule;
         this.network = network;
         this.address = address;
-        this.gauging = new GaugeDecoder(meters);
-        this.up = up;
-        this.asked = asked;
+        this.gauges = new GaugeDecoder(meters);
+        this.onUp = up;
+        this.onCall = asked;
     }
 
-    /** Connects, unless there is a link to this address or one is being made. */
+    /** Connects, unless a connection to the current address is there or being made. */
     public void connect() {
-        if (closing || connecting || connection != null && address.equals(linkedTo)) {
+        boolean isConnected =
+                connection.filter(current -> address.equals(current.address())).isPresent();
+        if (isClosing || isConnecting || isConnected) {
             return;
         }
-        connecting = true;
+        isConnecting = true;
         InetSocketAddress to = address;
         network.connect(
                 to,
-                made -> new End(made, to),
+                made -> new ProcessorConnection(made, to, this, schedule),
                 () -> {
-                    connecting = false;
-                    schedule.after(AGAIN, this::connect);
+                    isConnecting = false;
+                    schedule.after(RECONNECT_DELAY, this::connect);
                 });
     }
 
-    /** The processor goes on at another address: the old link is kept until there is one to it. */
+    /**
+     * Changes the processor's address. The old connection is used until there is a new one.
+     *
+     * @param to the new address
+     */
     public void move(InetSocketAddress to) {
         address = to;
         connect();
     }
 
+    /** Closes the connection for good. */
     public void close() {
-        closing = true;
-        if (connection != null) {
-            connection.close(CloseCode.LEAVING);
-        }
+        isClosing = true;
+        connection.ifPresent(current -> current.close(CloseCode.LEAVING));
     }
 
+    /** The processor's gauges, or unknown ones where those are too old. */
     public ResourceGauges gauges() {
-        return gauging.at(schedule.now());
+        return gauges.gaugesAt(schedule.now());
     }
 
-    /** Asks for gauges, unless that was done just now. */
+    /** Requests new gauges, unless that was done a moment ago. */
     public void askGauges() {
-        if (!ready || schedule.now().minus(gaugesAskedAt).compareTo(GAUGES) < 0) {
+        Duration sinceLast = schedule.now().minus(gaugesRequestedAt);
+        if (!isCaughtUp || sinceLast.compareTo(GAUGE_INTERVAL) < 0) {
             return;
         }
-        gaugesAskedAt = schedule.now();
-        connection.write("usage g" + ++tags + "\r\n");
+        gaugesRequestedAt = schedule.now();
+        ready().ifPresent(current -> current.requestGauges("g" + ++lastTag));
     }
 
-    /** Does the work of a deep check; without a link none can be done. */
+    /**
+     * Starts a deep check, in which the processor does a piece of work.
+     *
+     * @param then told whether the work was done; at once where there is no connection
+     */
     public void trial(Consumer<Boolean> then) {
-        if (!ready) {
+        if (!isCaughtUp) {
             then.accept(false);
             return;
         }
-        String tag = "t" + ++tags;
-        trials.put(tag, then);
-        connection.write("trial " + tag + "\r\n");
+        String tag = "t" + ++lastTag;
+        deepChecks.put(tag, then);
+        ready().ifPresent(current -> current.startDeepCheck(tag));
     }
 
     @Override
     public void startRun(RunRequest task, RunListener then) {
         ActiveRun run =
-                new ActiveRun(
+                ActiveRun.started(
                         task.requestId(),
                         task.operationName(),
                         task.body(),
                         task.isRetryable(),
-                        end -> then.onRunFinished(result(end.how()), end.took(), end.result()));
-        runs.put(task.requestId(), run);
-        if (ready) {
-            begin(run);
-        }
-    }
-
-    /** What the processor's word for an end says. */
-    private static RunOutcome.Status result(String how) {
-        return switch (how) {
-            case "complete" -> RunOutcome.Status.SUCCEEDED;
-            case "cancelled" -> RunOutcome.Status.STOPPED;
-            case "unknown" -> RunOutcome.Status.NEVER_STARTED;
-            default -> RunOutcome.Status.FAILED;
-        };
+                        then);
+        runs.put(run.requestId, run);
+        ready().ifPresent(current -> current.begin(run));
     }
 
     /**
-     * A run that a former process has begun, if the processor still knows it: its end is heard of,
-     * and it is never begun.
+     * Resumes a run that a previous process has started: its end is reported if the processor still
+     * knows it, and it is never started here.
+     *
+     * @param rid its request id
+     * @param operation the name of its operation
+     * @param then told of its end
      */
     public void adopt(String rid, String operation, RunListener then) {
-        ActiveRun run =
-                new ActiveRun(
-                        rid,
-                        operation,
-                        new byte[0],
-                        false,
-                        end -> then.onRunFinished(result(end.how()), end.took(), end.result()));
-        run.adopted = true;
-        runs.put(rid, run);
-    }
-
-    private void begin(ActiveRun run) {
-        counted("begin " + run.rid + ' ' + run.operation, run.body);
-    }
-
-    private void counted(String words, byte[] body) {
-        connection.write(words + ' ' + body.length + "\r\n").write(body).write("\r\n");
+        runs.put(rid, ActiveRun.resumed(rid, operation, then));
     }
 
     @Override
@@ -185,249 +167,128 @@
         if (run == null) {
             return;
         }
-        run.stopped = true;
-        if (ready) {
-            connection.write("interrupt " + rid + "\r\n");
-        }
+        run.isCancelled = true;
+        ready().ifPresent(current -> current.interrupt(rid));
     }
 
-    /** The reply to the call that a run waits for. */
+    /**
+     * Passes the reply to the call that a run waits for; ignored where the run is over.
+     *
+     * @param rid the run's request id
+     * @param reply the reply's bytes
+     */
     public void answer(String rid, byte[] reply) {
         ActiveRun run = runs.get(rid);
         if (run == null) {
             return;
         }
-        run.reply = reply;
-        if (ready) {
-            counted("answer " + rid, reply);
-        }
+        run.callReply = Optional.of(reply);
+        ready().ifPresent(current -> current.answerCall(rid, reply));
     }
 
-    /**
-     * Nothing can be said until the next link has caught up; checks under way are told that no work
-     * was done.
-     */
-    private void unlinked() {
-        ready = false;
-        List<Consumer<Boolean>> waiting = new ArrayList<>(trials.values());
-        trials.clear();
-        waiting.forEach(then -> then.accept(false));
+    /** The connection that takes commands; empty until it has repeated the missed notices. */
+    private Optional<ProcessorConnection> ready() {
+        return isCaughtUp ? connection : Optional.empty();
     }
 
-    /**
-     * All notices that were missed have been told: what the old link may have lost is said again.
-     */
-    private void caughtUp() {
-        ready = true;
-        for (ActiveRun run : new ArrayList<>(runs.values())) {
-            if (run.adopted) {
-                if (run.stopped) {
-                    connection.write("interrupt " + run.rid + "\r\n");
-                }
-                continue;
-            }
-            if (gap && !run.repeatable) {
-                // Guards against a second effect: its end may have been among the notices that are
-                // lost.
-                runs.remove(run.rid);
-                run.then.accept(new ActiveRun.End("error", Duration.ZERO, null));
-                continue;
-            }
-            begin(run);
-            if (run.reply != null) {
-                counted("answer " + run.rid, run.reply);
-            }
-            if (run.stopped) {
-                connection.write("interrupt " + run.rid + "\r\n");
-            }
-        }
-        gap = false;
+    boolean isCurrent(ProcessorConnection candidate) {
+        return connection.filter(current -> current == candidate).isPresent();
     }
 
-    /**
-     * True once for each number. One left out is asked for again by a new link; there, it is lost
-     * for good.
-     */
-    private boolean isNew(long number) {
-        if (number <= lastNotice) {
-            return false;
+    /** A connection is established: it replaces the one before it. */
+    void onConnected(ProcessorConnection made) {
+        isConnecting = false;
+        if (!made.isOpen()) {
+            return; // its end is reported next
         }
-        if (number > lastNotice + 1) {
-            if (ready) {
-                throw new BadInputException("notice " + number + " behind " + lastNotice);
-            }
-            gap = true;
+        if (isClosing) {
+            made.close(CloseCode.LEAVING);
+            return;
         }
-        lastNotice = number;
-        return true;
+        Optional<ProcessorConnection> old = connection;
+        connection = Optional.of(made);
+        onUnavailable();
+        old.ifPresent(replaced -> replaced.drop(CloseCode.MOVED));
+        made.requestNoticesAfter(notices.last());
+        connect(); // the address may have changed meanwhile
     }
 
-    private static long number(String word) {
-        try {
-            long number = Long.parseLong(word);
-            if (number >= 0) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            // told below, as a negative one is
+    void onDisconnected(ProcessorConnection ended) {
+        if (isCurrent(ended)) {
+            connection = Optional.empty();
+            onUnavailable();
         }
-        throw new BadInputException("no number: '" + word + "'");
+        schedule.after(RECONNECT_DELAY, this::connect);
     }
 
-    private static Duration span(String millis) {
-        try {
-            double value = Double.parseDouble(millis);
-            if (value >= 0 && value < 1e12) {
-                return Duration.ofNanos((long) (value * 1e6));
-            }
-        } catch (NumberFormatException e) {
-            // told below, as one out of range is
-        }
-        throw new BadInputException("no time: '" + millis + "'");
+    /** No command can be sent until a connection has caught up; deep checks under way fail. */
+    private void onUnavailable() {
+        isCaughtUp = false;
+        List<Consumer<Boolean>> failed = new ArrayList<>(deepChecks.values());
+        deepChecks.clear();
+        failed.forEach(listener -> listener.accept(false));
     }
 
-    private static int bodyLength(Slice line) {
-        List<String> words = line.words();
-        boolean counted =
-                words.get(0).equals("complete") && words.size() == 6
-                        || words.get(0).equals("ask") && words.size() == 4;
-        if (!counted) {
-            return Frames.NONE;
-        }
-        return (int) Math.min(number(words.get(words.size() - 1)), Integer.MAX_VALUE);
+    /** Whether the notice with this number is new, as {@link NoticeSequence#accept} says. */
+    boolean isNewNotice(long number) {
+        return notices.accept(number, isCaughtUp);
     }
 
-    /** One link, from its connection to its end. */
-    private final class End implements ConnectionHandler {
-        private final Connection mine;
-        private final InetSocketAddress to;
-        private final Frames frames = new Frames(LONGEST, true, ProcessorClient::bodyLength);
-
-        End(Connection mine, InetSocketAddress to) {
-            this.mine = mine;
-            this.to = to;
-            schedule.post(this::opened);
-        }
+    void onProcessorUp(boolean wasCold, Duration age) {
+        onUp.accept(wasCold, age);
+    }
 
-        private void opened() {
-            connecting = false;
-            if (!mine.open()) {
-                return; // its end follows
-            }
-            if (closing) {
-                mine.close(CloseCode.LEAVING);
-                return;
-            }
-            Connection old = connection;
-            connection = mine;
-            linkedTo = to;
-            unlinked();
-            if (old != null) {
-                old.drop(CloseCode.MOVED);
+    /** All missed notices were repeated: commands that may have been lost are sent again. */
+    void onCaughtUp() {
+        isCaughtUp = true;
+        boolean lostNotices = notices.takeGap();
+        for (ActiveRun run : new ArrayList<>(runs.values())) {
+            if (lostNotices && !run.isRetryable && !run.isResumed) {
+                // It may be over: its end may be among the lost notices, and a second run would
+                // have a second effect.
+                onRunFinished(run.requestId, RunOutcome.Status.FAILED, Duration.ZERO, null);
+            } else {
+                ready().ifPresent(current -> repeatCommands(current, run));
             }
-            mine.write("hello " + lastNotice + "\r\n");
-            connect(); // where the address has changed meanwhile
-        }
-
-        @Override
-        public Runnable received(byte[] bytes, int from, int to) {
-            List<Runnable> work = new ArrayList<>();
-            frames.read(
-                    bytes,
-                    from,
-                    to,
-                    (line, body) -> {
-                        List<String> words = line.words();
-                        byte[] kept =
-                                body.copy(); // results outlive the buffer: they wait for repeats
-                        work.add(() -> notice(words, kept));
-                    });
-            return () -> {
-                if (connection != mine) {
-                    return;
-                }
-                try {
-                    work.forEach(Runnable::run);
-                } catch (BadInputException | IndexOutOfBoundsException | NumberFormatException e) {
-                    LOG.warning("bad input from the processor: " + e.getMessage());
-                    mine.drop(CloseCode.BAD_INPUT);
-                }
-            };
         }
+    }
 
-        private void notice(List<String> words, byte[] body) {
-            switch (words.get(0)) {
-                case "hi" -> {
-                    up.accept(words.get(1).equals("chilly"), span(words.get(2)));
-                    mine.write("usage " + FENCE + "\r\n");
-                }
-                case "complete" -> {
-                    if (isNew(number(words.get(1)))) {
-                        ended(words.get(2), words.get(3), span(words.get(4)), body);
-                    }
-                }
-                case "ask" -> {
-                    if (isNew(number(words.get(1)))) {
-                        call(words.get(2), body);
-                    }
-                }
-                case "used" -> {
-                    gauging.told(words.subList(2, words.size()), schedule.now());
-                    if (words.get(1).equals(FENCE)) {
-                        caughtUp();
-                    }
-                }
-                case "tried" -> {
-                    Consumer<Boolean> then = trials.remove(words.get(1));
-                    if (then != null) {
-                        then.accept(words.get(2).equals("complete"));
-                    }
-                }
-                case "reject" -> rejected(words.get(1), words.get(2));
-                case "remark" -> isNew(number(words.get(1)));
-                default -> throw new BadInputException("unknown notice '" + words.get(0) + "'");
-            }
+    private static void repeatCommands(ProcessorConnection current, ActiveRun run) {
+        if (!run.isResumed) {
+            current.begin(run);
+            run.callReply.ifPresent(reply -> current.answerCall(run.requestId, reply));
         }
-
-        private void ended(String rid, String how, Duration took, byte[] result) {
-            ActiveRun run = runs.remove(rid);
-            if (run != null) {
-                run.then.accept(new ActiveRun.End(how, took, result));
-            }
+        if (run.isCancelled) {
+            current.interrupt(run.requestId);
         }
+    }
 
-        private void call(String rid, byte[] body) {
-            ActiveRun run = runs.get(rid);
-            if (run == null) {
-                return;
-            }
-            run.reply = null;
-            asked.accept(rid, body);
+    void onRunFinished(
+            String requestId, RunOutcome.Status status, Duration elapsed, byte[] result) {
+        ActiveRun run = runs.remove(requestId);
+        if (run != null) {
+            run.finish(status, elapsed, result);
         }
+    }
 
-        /**
-         * A begin that is not carried out never ran; other commands may come too late and then do
-         * nothing.
-         */
-        private void rejected(String command, String rid) {
-            LOG.warning("the processor rejects " + command + " of " + rid);
-            if (command.equals("begin")) {
-                ended(rid, "unknown", Duration.ZERO, new byte[0]);
-            }
+    /** A run waits for a call, which shows that it has received the reply to the one before. */
+    void onCall(String requestId, byte[] body) {
+        ActiveRun run = runs.get(requestId);
+        if (run == null) {
+            return;
         }
+        run.callReply = Optional.empty();
+        onCall.accept(requestId, body);
+    }
 
-        @Override
-        public void inputEnded() {
-            mine.drop(CloseCode.PEER_CLOSED);
-        }
+    void onGauges(List<String> values) {
+        gauges.update(values, schedule.now());
+    }
 
-        @Override
-        public void ended(CloseCode code) {
-            if (connection == mine) {
-                connection = null;
-                unlinked();
-            }
-            schedule.after(AGAIN, ProcessorClient.this::connect);
+    void onDeepCheckFinished(String tag, boolean succeeded) {
+        Consumer<Boolean> listener = deepChecks.remove(tag);
+        if (listener != null) {
+            listener.accept(succeeded);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/processor/ProcessorConnection.java
@@ -0,0 +1,235 @@
+package ochretiller.processor;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.logging.Logger;
+import ochretiller.model.RunOutcome;
+import ochretiller.net.CloseCode;
+import ochretiller.net.Connection;
+import ochretiller.net.ConnectionHandler;
+import ochretiller.net.Scheduler;
+import ochretiller.text.BadInputException;
+import ochretiller.text.Frames;
+import ochretiller.text.Slice;
+
+/**
+ * One connection to the processor: writes commands, and passes notices to {@link ProcessorClient}
+ * for as long as it is the client's current connection. Commands and notices are lines of words
+ * that end in CR LF; some are followed by a body whose length is the last word.
+ *
+ * <p>Belongs to the event loop, except for {@link #received}.
+ */
+final class ProcessorConnection implements ConnectionHandler {
+    private static final Logger LOG = Logger.getLogger(ProcessorClient.class.getName());
+
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+
+    /** The tag of the gauges that mark the end of the repeated notices. */
+    private static final String FENCE = "fence";
+
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    /** Milliseconds, some 30 years: longer times are malformed. */
+    private static final double MAX_MILLIS = 1e12;
+
+    private static final int COMPLETE_WORDS = 6;
+    private static final int ASK_WORDS = 4;
+
+    private final Connection connection;
+    private final InetSocketAddress address;
+    private final ProcessorClient client;
+    private final Frames frames =
+            new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
+
+    /**
+     * A connection that was established. Called on the I/O thread.
+     *
+     * @param address the address that was connected to
+     */
+    ProcessorConnection(
+            Connection connection,
+            InetSocketAddress address,
+            ProcessorClient client,
+            Scheduler schedule) {
+        this.connection = connection;
+        this.address = address;
+        this.client = client;
+        schedule.post(() -> client.onConnected(this));
+    }
+
+    InetSocketAddress address() {
+        return address;
+    }
+
+    boolean isOpen() {
+        return connection.open();
+    }
+
+    /** Closes the connection once its output has gone out. */
+    void close(CloseCode code) {
+        connection.close(code);
+    }
+
+    /** Closes the connection at once. */
+    void drop(CloseCode code) {
+        connection.drop(code);
+    }
+
+    /** Asks for all notices behind this number. */
+    void requestNoticesAfter(long lastNotice) {
+        connection.write("hello " + lastNotice + "\r\n");
+    }
+
+    void begin(ActiveRun run) {
+        writeWithBody("begin " + run.requestId + ' ' + run.operation, run.body);
+    }
+
+    void interrupt(String requestId) {
+        connection.write("interrupt " + requestId + "\r\n");
+    }
+
+    /** Passes the reply to the call that a run waits for. */
+    void answerCall(String requestId, byte[] reply) {
+        writeWithBody("answer " + requestId, reply);
+    }
+
+    void requestGauges(String tag) {
+        connection.write("usage " + tag + "\r\n");
+    }
+
+    void startDeepCheck(String tag) {
+        connection.write("trial " + tag + "\r\n");
+    }
+
+    private void writeWithBody(String command, byte[] body) {
+        connection.write(command + ' ' + body.length + "\r\n").write(body).write("\r\n");
+    }
+
+    @Override
+    public Runnable received(byte[] bytes, int from, int to) {
+        List<Runnable> notices = new ArrayList<>();
+        frames.read(
+                bytes,
+                from,
+                to,
+                (line, body) -> {
+                    List<String> words = line.words();
+                    byte[] copy = body.copy(); // results are stored and outlive the read buffer
+                    notices.add(() -> onNotice(words, copy));
+                });
+        return () -> process(notices);
+    }
+
+    private void process(List<Runnable> notices) {
+        if (!client.isCurrent(this)) {
+            return;
+        }
+        try {
+            notices.forEach(Runnable::run);
+        } catch (BadInputException | IndexOutOfBoundsException | NumberFormatException e) {
+            LOG.warning("bad input from the processor: " + e.getMessage());
+            connection.drop(CloseCode.BAD_INPUT);
+        }
+    }
+
+    private void onNotice(List<String> words, byte[] body) {
+        switch (words.get(0)) {
+            case "hi" -> {
+                client.onProcessorUp(words.get(1).equals("chilly"), duration(words.get(2)));
+                requestGauges(FENCE);
+            }
+            case "complete" -> onRunFinished(words, body);
+            case "ask" -> {
+                if (client.isNewNotice(number(words.get(1)))) {
+                    client.onCall(words.get(2), body);
+                }
+            }
+            case "used" -> {
+                client.onGauges(words.subList(2, words.size()));
+                if (words.get(1).equals(FENCE)) {
+                    client.onCaughtUp();
+                }
+            }
+            case "tried" ->
+                    client.onDeepCheckFinished(words.get(1), words.get(2).equals("complete"));
+            case "reject" -> onRejected(words.get(1), words.get(2));
+            case "remark" -> client.isNewNotice(number(words.get(1)));
+            default -> throw new BadInputException("unknown notice '" + words.get(0) + "'");
+        }
+    }
+
+    private void onRunFinished(List<String> words, byte[] result) {
+        if (client.isNewNotice(number(words.get(1)))) {
+            Duration elapsed = duration(words.get(4));
+            client.onRunFinished(words.get(2), status(words.get(3)), elapsed, result);
+        }
+    }
+
+    /**
+     * A run whose begin is rejected never starts. Other commands may come too late, and then do
+     * nothing.
+     */
+    private void onRejected(String command, String requestId) {
+        LOG.warning("the processor rejects " + command + " of " + requestId);
+        if (command.equals("begin")) {
+            client.onRunFinished(
+                    requestId, RunOutcome.Status.NEVER_STARTED, Duration.ZERO, new byte[0]);
+        }
+    }
+
+    @Override
+    public void inputEnded() {
+        connection.drop(CloseCode.PEER_CLOSED);
+    }
+
+    @Override
+    public void ended(CloseCode code) {
+        client.onDisconnected(this);
+    }
+
+    private static RunOutcome.Status status(String word) {
+        return switch (word) {
+            case "complete" -> RunOutcome.Status.SUCCEEDED;
+            case "cancelled" -> RunOutcome.Status.STOPPED;
+            case "unknown" -> RunOutcome.Status.NEVER_STARTED;
+            default -> RunOutcome.Status.FAILED;
+        };
+    }
+
+    private static int bodyLength(Slice line) {
+        List<String> words = line.words();
+        boolean hasBody =
+                words.get(0).equals("complete") && words.size() == COMPLETE_WORDS
+                        || words.get(0).equals("ask") && words.size() == ASK_WORDS;
+        if (!hasBody) {
+            return Frames.NONE;
+        }
+        return (int) Math.min(number(words.get(words.size() - 1)), Integer.MAX_VALUE);
+    }
+
+    private static long number(String word) {
+        try {
+            long number = Long.parseLong(word);
+            if (number >= 0) {
+                return number;
+            }
+        } catch (NumberFormatException e) {
+            // Reported below, like a negative number.
+        }
+        throw new BadInputException("no number: '" + word + "'");
+    }
+
+    private static Duration duration(String millis) {
+        try {
+            double value = Double.parseDouble(millis);
+            if (value >= 0 && value < MAX_MILLIS) {
+                return Duration.ofNanos((long) (value * NANOS_PER_MILLI));
+            }
+        } catch (NumberFormatException e) {
+            // Reported below, like a number out of range.
+        }
+        throw new BadInputException("no time: '" + millis + "'");
+    }
+}
--- a/src/main/java/ochretiller/records/RecordsClient.java
+++ b/src/main/java/ochretiller/records/RecordsClient.java
@@ -10,326 +10,261 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
 import ochretiller.model.CallOutcome;
 import ochretiller.net.CloseCode;
-import ochretiller.net.Connection;
-import ochretiller.net.ConnectionHandler;
 import ochretiller.net.Network;
 import ochretiller.net.Scheduler;
-import ochretiller.text.BadInputException;
-import ochretiller.text.Frames;
-import ochretiller.text.Slice;
 
 /**
- * Calls go over connections that are made when they are needed, one call at a time on each: what
- * spoils one reply spoils no other. The one that was used last is used next, and one that stands
- * idle is closed before it can be forgotten.
+ * Makes calls to the records service over a pool of connections. Connections are made when they are
+ * needed and carry one call at a time, so a connection that breaks affects one call only. The one
+ * that was used last is used next, and idle ones are closed before the service closes them. Belongs
+ * to the event loop.
  */
 public final class RecordsClient {
-    private static final int LONGEST = 64 * 1024;
-
     /**
-     * The service closes a connection after 10 s, and some far sooner; a call must not cross that.
+     * The service closes idle connections, at the earliest some time after this; a call must not
+     * cross such a close.
      */
-    private static final Duration IDLE = Duration.ofMillis(500);
+    private static final Duration IDLE_TIMEOUT = Duration.ofMillis(500);
 
-    private static final Duration SWEEP = Duration.ofMillis(100);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
+    private static final byte[] NO_REPLY = {};
 
     private final Scheduler schedule;
     private final Network network;
-    private final int most;
-    private final Map<String, Call> calls = new LinkedHashMap<>();
-    private final Set<Call> unsent = new LinkedHashSet<>();
-    private final Set<End> ends = new LinkedHashSet<>();
-    private final Deque<End> idle = new ArrayDeque<>();
-    private InetSocketAddress address;
-
-    /**
-     * Connections being made to the present address; the age tells them from those to former ones.
-     */
-    private int connecting;
-
-    private long age;
+    private final int maxConnections;
+    private final Map<String, PendingCall> calls = new LinkedHashMap<>();
+    private final Set<PendingCall> unsent = new LinkedHashSet<>();
+    private final Set<RecordsConnection> connections = new LinkedHashSet<>();
 
-    /** What is told of the end of a call; the reply has no bytes unless it succeeded. */
-    @FunctionalInterface
-    public interface EndOfCall {
-        void ended(CallOutcome end, byte[] reply);
-    }
+    /** Connections without a call, the one used last first. */
+    private final Deque<RecordsConnection> idle = new ArrayDeque<>();
 
-    private static final class Call {
-        final String rid;
-        final Duration patience;
-        final byte[] body;
-        final Duration madeAt;
-        final EndOfCall then;
+    private Optional<InetSocketAddress> address;
 
-        /** Where it was written, or null. */
-        End on;
+    /** How many connections to the current address are being made. */
+    private int connecting;
 
-        Call(String rid, Duration patience, byte[] body, Duration madeAt, EndOfCall then) {
-            this.rid = rid;
-            this.patience = patience;
-            this.body = body;
-            this.madeAt = madeAt;
-            this.then = then;
-        }
-    }
+    /** Counts changes of the address, to tell connects to it from those to earlier ones. */
+    private long generation;
 
     /**
-     * No connection is made yet.
+     * A client without connections.
      *
-     * @param address where the service is, or null where there is none
-     * @param most connections that may be open at once; calls beyond them wait for one
+     * @param schedule the event loop
+     * @param network makes the connections
+     * @param address the service's address, or null where there is no such service
+     * @param most connections that may be open at once; further calls wait for one
      */
     public RecordsClient(Scheduler schedule, Network network, InetSocketAddress address, int most) {
         this.schedule = schedule;
         this.network = network;
-        this.address = address;
-        this.most = most;
-        schedule.after(SWEEP, this::sweep);
+        this.address = Optional.ofNullable(address);
+        this.maxConnections = most;
+        schedule.after(SWEEP_INTERVAL, this::sweep);
     }
 
-    public void call(String rid, Duration patience, byte[] body, EndOfCall then) {
-        Call call = new Call(rid, patience, body, schedule.now(), then);
+    /**
+     * Makes a call.
+     *
+     * @param rid the request id of the run that makes it; one call of a run at a time
+     * @param patience how long to wait for the reply
+     * @param body the call's body
+     * @param then told of the call's end, unless it is cancelled by {@link #abandon}
+     */
+    public void call(String rid, Duration patience, byte[] body, CallListener then) {
+        PendingCall call = new PendingCall(rid, patience, body, schedule.now(), then);
         calls.put(rid, call);
         unsent.add(call);
         schedule.after(
                 patience,
                 () -> {
-                    if (calls.get(rid) == call) {
-                        giveUp(call);
+                    if (isPending(call)) {
+                        timeOut(call);
                     }
                 });
-        next();
+        sendUnsent();
     }
 
     /**
-     * The service goes on at another address: calls that were written may end where they are, no
-     * other follows them.
+     * Changes the service's address. Calls that were written may end on their old connections; all
+     * others go to the new address.
+     *
+     * @param to the new address, or null where there is no such service any more
      */
     public void move(InetSocketAddress to) {
-        if (Objects.equals(to, address)) {
+        if (Objects.equals(to, address.orElse(null))) {
             return;
         }
-        address = to;
-        // Guards against calls that wait for connections to where nobody is any more.
-        age++;
+        address = Optional.ofNullable(to);
+        // Calls must not wait for connects to the old address, where nobody may listen any more.
+        generation++;
         connecting = 0;
-        for (End end : new ArrayList<>(idle)) {
-            end.leave(CloseCode.MOVED);
+        for (RecordsConnection connection : new ArrayList<>(idle)) {
+            close(connection, CloseCode.MOVED);
         }
-        next();
+        sendUnsent();
+    }
+
+    private boolean isPending(PendingCall call) {
+        return calls.get(call.requestId) == call;
     }
 
     /** Gives idle connections to calls that wait, and makes more where there are too few. */
-    private void next() {
-        if (address == null) {
-            schedule.post(this::notReached); // there is no such service: no call ran
+    private void sendUnsent() {
+        if (address.isEmpty()) {
+            schedule.post(this::failUnsent);
             return;
         }
         while (!unsent.isEmpty() && !idle.isEmpty()) {
-            idle.poll().send(unsent.iterator().next());
+            send(idle.poll(), unsent.iterator().next());
         }
-        while (connecting < unsent.size() && ends.size() + connecting < most) {
-            connecting++;
-            InetSocketAddress to = address;
-            long mine = age;
-            network.connect(
-                    to,
-                    made -> new End(made, to, mine),
-                    () -> {
-                        if (mine == age) {
-                            refused();
-                        }
-                    });
+        while (connecting < unsent.size() && connections.size() + connecting < maxConnections) {
+            connect(address.get());
         }
     }
 
-    private void giveUp(Call call) {
-        // What was not even written is known not to have run.
-        boolean never = call.on == null;
-        abandon(call.rid);
-        end(
-                call,
-                never ? CallOutcome.Status.UNREACHABLE : CallOutcome.Status.TIMED_OUT,
-                new byte[0]);
+    private void send(RecordsConnection connection, PendingCall call) {
+        unsent.remove(call);
+        call.connection = Optional.of(connection);
+        connection.send(call);
     }
 
-    /** The run that made the call is over: nobody waits for it any more. */
-    public void abandon(String rid) {
-        Call call = calls.remove(rid);
-        if (call == null || unsent.remove(call)) {
-            return;
-        }
-        // Guards against the next call on a connection whose reply never came, or comes late.
-        call.on.mine.write("UNOP " + rid + "\r\n");
-        call.on.leave(CloseCode.GIVEN_UP);
-    }
-
-    private void end(Call call, CallOutcome.Status result, byte[] reply) {
-        calls.remove(call.rid, call);
-        call.then.ended(new CallOutcome(result, schedule.now().minus(call.madeAt)), reply);
+    private void connect(InetSocketAddress to) {
+        connecting++;
+        long begunIn = generation;
+        network.connect(
+                to,
+                made -> new RecordsConnection(made, to, begunIn, this, schedule),
+                () -> {
+                    if (begunIn == generation) {
+                        connecting--;
+                        failUnsent();
+                    }
+                });
     }
 
-    private void refused() {
-        connecting--;
-        notReached();
+    /** The service cannot be reached, which proves that calls that were not written never ran. */
+    private void failUnsent() {
+        List<PendingCall> failed = new ArrayList<>(unsent);
+        unsent.clear();
+        failed.forEach(call -> finish(call, CallOutcome.Status.UNREACHABLE, NO_REPLY));
     }
 
-    /** A connection that was never made proves that no call ran. */
-    private void notReached() {
-        List<Call> none = new ArrayList<>(unsent);
-        unsent.clear();
-        none.forEach(call -> end(call, CallOutcome.Status.UNREACHABLE, new byte[0]));
+    private void timeOut(PendingCall call) {
+        // A call that was not written is known not to have run.
+        CallOutcome.Status status =
+                call.connection.isPresent()
+                        ? CallOutcome.Status.TIMED_OUT
+                        : CallOutcome.Status.UNREACHABLE;
+        abandon(call.requestId);
+        finish(call, status, NO_REPLY);
     }
 
-    private void sweep() {
-        schedule.after(SWEEP, this::sweep);
-        while (!idle.isEmpty()
-                && schedule.now().minus(idle.peekLast().mine.usedAt()).compareTo(IDLE) > 0) {
-            idle.peekLast().leave(CloseCode.IDLE);
+    /**
+     * Cancels a call whose run is over; its listener is not told.
+     *
+     * @param rid the run's request id; ignored where it has no call
+     */
+    public void abandon(String rid) {
+        PendingCall call = calls.remove(rid);
+        if (call == null || unsent.remove(call)) {
+            return;
         }
+        // The connection is not used again: the reply may still come, and be taken for another's.
+        call.connection.ifPresent(
+                connection -> {
+                    connection.cancel(rid);
+                    close(connection, CloseCode.GIVEN_UP);
+                });
     }
 
-    public void close() {
-        for (End end : new ArrayList<>(ends)) {
-            end.leave(CloseCode.LEAVING);
-        }
+    private void finish(PendingCall call, CallOutcome.Status status, byte[] reply) {
+        calls.remove(call.requestId, call);
+        Duration elapsed = schedule.now().minus(call.startedAt);
+        call.listener.onCallFinished(new CallOutcome(status, elapsed), reply);
     }
 
-    private static int bodyLength(Slice line) {
-        List<String> words = line.words();
-        if (words.size() != 3 || !words.get(1).equals("DONE")) {
-            return Frames.NONE;
-        }
-        try {
-            int length = Integer.parseInt(words.get(2));
-            if (length >= 0) {
-                return length;
-            }
-        } catch (NumberFormatException e) {
-            // told below, as a negative one is
+    private void sweep() {
+        schedule.after(SWEEP_INTERVAL, this::sweep);
+        while (!idle.isEmpty() && isIdleTooLong(idle.peekLast())) {
+            close(idle.peekLast(), CloseCode.IDLE);
         }
-        throw new BadInputException("no length: '" + words.get(2) + "'");
     }
 
-    private static CallOutcome.Status result(String word) {
-        return switch (word) {
-            case "DONE" -> CallOutcome.Status.SUCCEEDED;
-            case "WAIT" -> CallOutcome.Status.REJECTED;
-            case "ERROR" -> CallOutcome.Status.FAILED;
-            case "PAST" -> CallOutcome.Status.TIMED_OUT;
-            case "EMPTY" -> CallOutcome.Status.UNREACHABLE;
-            default -> throw new BadInputException("unknown reply '" + word + "'");
-        };
+    private boolean isIdleTooLong(RecordsConnection connection) {
+        return schedule.now().minus(connection.lastUsedAt()).compareTo(IDLE_TIMEOUT) > 0;
     }
 
-    /** One connection, from its making to its end. */
-    private final class End implements ConnectionHandler {
-        private final Connection mine;
-        private final InetSocketAddress to;
-        private final long made;
-        private final Frames frames = new Frames(LONGEST, true, RecordsClient::bodyLength);
-
-        /** The call that was written on it and is not over. */
-        private Call call;
-
-        End(Connection mine, InetSocketAddress to, long made) {
-            this.mine = mine;
-            this.to = to;
-            this.made = made;
-            schedule.post(this::opened);
-        }
-
-        private void opened() {
-            if (made == age) {
-                connecting--;
-            }
-            if (!mine.open()) {
-                if (made == age) {
-                    notReached(); // nothing was written on it
-                }
-                return;
-            }
-            ends.add(this);
-            free();
-            next();
-        }
-
-        private void free() {
-            call = null;
-            if (to.equals(address)) {
-                idle.push(this);
-            } else {
-                leave(CloseCode.MOVED);
-            }
+    /** Closes all connections. */
+    public void close() {
+        for (RecordsConnection connection : new ArrayList<>(connections)) {
+            close(connection, CloseCode.LEAVING);
         }
+    }
 
-        private void send(Call next) {
-            unsent.remove(next);
-            call = next;
-            next.on = this;
-            long wait =
-                    Math.max(1, next.patience.minus(schedule.now().minus(next.madeAt)).toMillis());
-            mine.write("OP " + next.rid + ' ' + wait + ' ' + next.body.length + "\r\n")
-                    .write(next.body)
-                    .write("\r\n");
-            mine.used(schedule.now());
-        }
+    private void close(RecordsConnection connection, CloseCode code) {
+        connections.remove(connection);
+        idle.remove(connection);
+        connection.close(code);
+    }
 
-        /** No call goes over it any more. */
-        private void leave(CloseCode code) {
-            ends.remove(this);
-            idle.remove(this);
-            mine.close(code);
+    /** The connection has no call: the next may use it, if it leads to the current address. */
+    private void release(RecordsConnection connection) {
+        connection.clearCall();
+        if (address.filter(connection.address()::equals).isPresent()) {
+            idle.push(connection);
+        } else {
+            close(connection, CloseCode.MOVED);
         }
+    }
 
-        @Override
-        public Runnable received(byte[] bytes, int from, int to) {
-            List<Runnable> work = new ArrayList<>();
-            frames.read(
-                    bytes,
-                    from,
-                    to,
-                    (line, body) -> {
-                        List<String> words = line.words();
-                        if (words.size() < 2) {
-                            throw new BadInputException("no reply: '" + line.text() + "'");
-                        }
-                        CallOutcome.Status result = result(words.get(1));
-                        byte[] reply = body.copy(); // it may have to be said again on another link
-                        work.add(() -> replied(words.get(0), result, reply));
-                    });
-            return () -> work.forEach(Runnable::run);
+    void onConnected(RecordsConnection connection) {
+        boolean isCurrent = connection.generation() == generation;
+        if (isCurrent) {
+            connecting--;
         }
-
-        /** A second copy of a reply, or one to a call of another's, is passed over. */
-        private void replied(String rid, CallOutcome.Status result, byte[] reply) {
-            Call done = call;
-            if (done == null || !done.rid.equals(rid) || calls.get(rid) != done) {
-                return;
+        if (!connection.isOpen()) {
+            if (isCurrent) {
+                failUnsent(); // nothing was written on it
             }
-            free();
-            RecordsClient.this.end(done, result, reply);
-            next();
+            return;
         }
+        connections.add(connection);
+        release(connection);
+        sendUnsent();
+    }
 
-        @Override
-        public void inputEnded() {
-            mine.drop(CloseCode.PEER_CLOSED);
+    /** A reply that was repeated, or that belongs to no call, is ignored. */
+    void onReply(
+            RecordsConnection connection,
+            String requestId,
+            CallOutcome.Status status,
+            byte[] reply) {
+        Optional<PendingCall> answered =
+                connection
+                        .call()
+                        .filter(call -> call.requestId.equals(requestId))
+                        .filter(this::isPending);
+        if (answered.isEmpty()) {
+            return;
         }
+        release(connection);
+        finish(answered.get(), status, reply);
+        sendUnsent();
+    }
 
-        @Override
-        public void ended(CloseCode code) {
-            ends.remove(this);
-            idle.remove(this);
-            // What was written may have run; a connection that breaks proves nothing.
-            if (call != null && calls.get(call.rid) == call) {
-                RecordsClient.this.end(call, CallOutcome.Status.RESET, new byte[0]);
-            }
-            next();
-        }
+    void onDisconnected(RecordsConnection connection) {
+        connections.remove(connection);
+        idle.remove(connection);
+        // The call may have run: a connection that breaks does not tell.
+        connection
+                .call()
+                .filter(this::isPending)
+                .ifPresent(call -> finish(call, CallOutcome.Status.RESET, NO_REPLY));
+        sendUnsent();
     }
 }
--- a/src/main/java/ochretiller/registry/RegistryReporter.java
+++ b/src/main/java/ochretiller/registry/RegistryReporter.java
@@ -9,22 +9,29 @@
 import java.util.logging.Logger;
 import ochretiller.net.Scheduler;
 
-/** Reports this server by single datagrams that get no answer. */
+/** Reports this server to the registry by UDP datagrams. Belongs to the event loop. */
 public final class RegistryReporter {
     private static final Logger LOG = Logger.getLogger(RegistryReporter.class.getName());
 
     /**
-     * An entry lapses after 3 s: of a dozen reports the last may come a second late, and many may
-     * be lost.
+     * The registry drops an entry after 3 s without a report: at this interval many may be lost.
      */
-    private static final Duration EVERY = Duration.ofMillis(250);
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(250);
 
     private final Scheduler schedule;
-    private InetSocketAddress address;
     private final String name;
     private final DatagramSocket socket;
-    private boolean leaving;
+    private InetSocketAddress address;
+    private boolean isLeaving;
 
+    /**
+     * A reporter that has sent nothing yet.
+     *
+     * @param schedule the event loop
+     * @param address the registry's address
+     * @param name the name of this server
+     * @throws IOException where no UDP socket can be opened
+     */
     public RegistryReporter(Scheduler schedule, InetSocketAddress address, String name)
             throws IOException {
         this.schedule = schedule;
@@ -33,38 +40,37 @@
         this.socket = new DatagramSocket();
     }
 
+    /** Reports this server as present, now and at intervals until {@link #leave}. */
     public void start() {
-        if (leaving) {
+        if (isLeaving) {
             return;
         }
         report("on");
-        schedule.after(EVERY, this::start);
+        schedule.after(REPORT_INTERVAL, this::start);
     }
 
-    /** Reports go to another address from now on. */
+    /** Changes the registry's address. */
     public void move(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
         address = to;
-        report(leaving ? "off" : "on");
+        report(isLeaving ? "off" : "on");
     }
 
-    /** Says so once; later reports would keep the entry on the list. */
+    /** Reports once that this server leaves; later reports would keep its entry. */
     public void leave() {
-        leaving = true;
+        isLeaving = true;
         report("off");
     }
 
     private void report(String state) {
-        byte[] words = ("HERE " + name + ' ' + state).getBytes(StandardCharsets.US_ASCII);
+        byte[] message = ("HERE " + name + ' ' + state).getBytes(StandardCharsets.US_ASCII);
         try {
-            socket.send(new DatagramPacket(words, words.length, address));
+            socket.send(new DatagramPacket(message, message.length, address));
         } catch (IOException e) {
-            LOG.fine(
-                    () ->
-                            "no report to the roster: "
-                                    + e.getMessage()); // without it, only the list is late
+            // The next report follows soon; until then gateways know of this server later only.
+            LOG.fine(() -> "no report to the roster: " + e.getMessage());
         }
     }
 }
