--- a/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
@@ -40,7 +40,7 @@
         this.store = store;
         this.now = now;
         this.storeNowMillis = store.nowMillis();
-        this.isComplete = store.incompleteUntilMillis() <= storeNowMillis;
+        this.isComplete = store.incompleteFor().isZero();
     }
 
     /** Reads all entries and the metadata. */
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -139,9 +139,9 @@
     /**
      * Reads a long result.
      *
-     * @param completion is called with the result, or null if there is none
+     * @param completion is called with the result, or nothing if there is none
      */
-    void readResult(String token, ClaimId claimId, Consumer<byte[]> completion) {
+    void readResult(String token, ClaimId claimId, Consumer<Optional<byte[]>> completion) {
         store.read(resultKey(token, claimId), completion);
     }
 
@@ -151,7 +151,6 @@
                 NO_FINGERPRINT,
                 value,
                 expiresAtMillis,
-                false,
                 result -> completion.accept(result == AppendResult.DURABLE));
     }
 
--- a/src/main/java/ochretiller/fleet/service/ResultCache.java
+++ b/src/main/java/ochretiller/fleet/service/ResultCache.java
@@ -126,8 +126,7 @@
                         token,
                         claimId,
                         bytes -> {
-                            Optional<String> result =
-                                    Optional.ofNullable(bytes).map(ClaimOutcomes::textOf);
+                            Optional<String> result = bytes.map(ClaimOutcomes::textOf);
                             result.ifPresent(text -> cache(token, claimId, text, Duration.ZERO));
                             completion.accept(result);
                         });
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.logging.Logger;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.rollout.RolloutMessage;
@@ -146,7 +146,7 @@
     }
 
     private void reportToAcceptors(Duration now) {
-        HashChain.ChainHead auditHead = activator.audited();
+        ChainHead auditHead = activator.audited();
         RolloutMessage.StatusReport report =
                 new RolloutMessage.StatusReport(
                         leaseHolder.startRenewal(now),
--- a/src/main/java/ochretiller/fleet/service/VersionActivator.java
+++ b/src/main/java/ochretiller/fleet/service/VersionActivator.java
@@ -1,6 +1,6 @@
 package ochretiller.fleet.service;
 
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.consensus.RolloutState;
 
 /** What the rollout needs of the server around it: to put a version into use and to record it. */
@@ -21,7 +21,7 @@
     String become(byte[] version);
 
     /** Returns the end of this server's audit log, or the empty one if there is no log. */
-    HashChain.ChainHead audited();
+    ChainHead audited();
 
     /** Records an event in the audit log. */
     void told(RolloutEvent event, RolloutState.PublishedVersion version, String text);
