--- a/src/main/java/ochretiller/audit/FleetTimeline.java
+++ b/src/main/java/ochretiller/audit/FleetTimeline.java
@@ -4,6 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 
 /**
@@ -99,7 +100,7 @@
      */
     public Map<String, Long> stragglerMillis(long fromMillis, long toMillis) {
         List<TimelineInterval> intervals = intervals(fromMillis, toMillis);
-        TreeMap<Long, Long> firstActiveMillis = new TreeMap<>();
+        NavigableMap<Long, Long> firstActiveMillis = new TreeMap<>();
         for (TimelineInterval interval : intervals) {
             if (interval.status() == VersionStatus.ACTIVE) {
                 firstActiveMillis.merge(interval.version(), interval.startMillis(), Math::min);
@@ -116,7 +117,7 @@
     }
 
     private static long millisBehind(
-            TimelineInterval interval, TreeMap<Long, Long> firstActiveMillis) {
+            TimelineInterval interval, NavigableMap<Long, Long> firstActiveMillis) {
         if (interval.status() == VersionStatus.UNKNOWN) {
             return 0;
         }
