--- a/src/main/java/ochretiller/Main.java
+++ b/src/main/java/ochretiller/Main.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import java.util.function.Supplier;
 import ochretiller.commands.AuditCommand;
@@ -13,9 +14,11 @@
 import ochretiller.fakes.FaultyDirectory;
 import ochretiller.fleet.transport.FleetKeys;
 import ochretiller.node.LoggingSetup;
+import ochretiller.node.OperatorConfigResolver;
 import ochretiller.node.ProcessLifecycle;
 import ochretiller.node.ServerConfiguration;
 import ochretiller.node.ServerNode;
+import ochretiller.node.ServerNodeBuilder;
 import ochretiller.operator.OperatorConfig;
 import ochretiller.operator.OperatorConfigReader;
 import ochretiller.settings.MalformedException;
@@ -26,7 +29,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The program's entry: hands over to the part that the first word names. */
+/** The program's entry point: parses the command line and runs the sub-command that it names. */
 @Command(
         name = "ochretiller",
         description = "Admission and scheduling for servers behind other people's balancers.",
@@ -41,40 +44,44 @@
             AuditCommand.class
         })
 public final class Main implements Runnable {
-    private static final int FAILED = 1;
-    private static final int WRONG = 2;
-    private static final String CONFIG =
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_MALFORMED = 2;
+    private static final String SERVE = "serve";
+    private static final String CONFIG_VARIABLE = "EDGE_CONFIG";
+    private static final String CONFIG_HELP =
             "The configuration; by default the file that EDGE_CONFIG names.";
-    private static final String OPERATOR = "The operators' file; without one all in it is off.";
+    private static final String OPERATOR_HELP =
+            "The operators' file; without one all in it is off.";
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     private Main() {}
 
+    /** Runs the program, and exits the JVM with its exit code. */
     public static void main(String[] args) {
-        // Guards against a start that takes its core from other servers: the command line's classes
-        // come too old for
-        // class-data sharing and cost as much as all the rest.
-        if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(told(() -> serve(null, null)));
+        // The command line parser's classes are too old for class data sharing: they would double
+        // the CPU time of a start.
+        if (args.length == 1 && args[0].equals(SERVE)) {
+            System.exit(exitCode(() -> serve(null, null)));
         }
         CommandLine line = new CommandLine(new Main());
         line.setExecutionExceptionHandler(
                 (fault, command, parsed) ->
-                        told(
+                        exitCode(
                                 () -> {
                                     throw fault;
                                 }));
         System.exit(line.execute(args));
     }
 
-    /** The exit code; what went wrong is told in one line. */
-    private static int told(Callable<Integer> work) {
+    /** Returns the exit code; a failure is reported in one line. */
+    private static int exitCode(Callable<Integer> work) {
         try {
             return work.call();
         } catch (Exception e) {
             System.err.println("ochretiller: " + e.getMessage());
-            return e instanceof MalformedException ? WRONG : FAILED;
+            return e instanceof MalformedException ? EXIT_MALFORMED : EXIT_FAILED;
         }
     }
 
@@ -83,30 +90,38 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    /** The version that the package was built as. */
+    /** Tells the version that the package was built as. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
-            String version = Main.class.getPackage().getImplementationVersion();
-            return new String[] {"ochretiller " + (version == null ? "unpackaged" : version)};
+            return new String[] {versionLine()};
         }
     }
 
-    private static Path configuration(Path file) {
-        String told = file != null ? file.toString() : System.getenv("EDGE_CONFIG");
-        if (told == null) {
+    private static String versionLine() {
+        String version = Main.class.getPackage().getImplementationVersion();
+        return "ochretiller " + (version == null ? "unpackaged" : version);
+    }
+
+    /** Returns the configuration that an option names, or else the environment. */
+    private static Path configuration(Path option) {
+        if (option != null) {
+            return option;
+        }
+        String file = System.getenv(CONFIG_VARIABLE);
+        if (file == null) {
             throw new MalformedException("no configuration: EDGE_CONFIG is not set");
         }
-        return Path.of(told);
+        return Path.of(file);
     }
 
     @Command(
-            name = "serve",
+            name = SERVE,
             description = "Serve as one server until SIGTERM and the drain that follows.",
             mixinStandardHelpOptions = true)
     static int serve(
-            @Option(names = "--config", description = CONFIG) Path file,
-            @Option(names = "--operator", description = OPERATOR) Path operatorFile)
+            @Option(names = "--config", description = CONFIG_HELP) Path file,
+            @Option(names = "--operator", description = OPERATOR_HELP) Path operatorFile)
             throws IOException {
         LoggingSetup.install();
         ProcessLifecycle lifecycle = ProcessLifecycle.install();
@@ -115,7 +130,7 @@
             lifecycle.serverReady(node);
             node.listen();
             node.run();
-            return 0;
+            return EXIT_OK;
         } catch (IOException | RuntimeException e) {
             lifecycle.startFailed();
             throw e;
@@ -123,32 +138,31 @@
     }
 
     private static ServerNode node(Path file, Path operatorFile) throws IOException {
-        Supplier<OperatorConfig> read =
+        Supplier<OperatorConfig> operatorReload =
                 () ->
                         operatorFile == null
                                 ? OperatorConfig.NONE
                                 : OperatorConfigReader.read(operatorFile);
-        OperatorConfig operator = read.get();
+        OperatorConfig operator = operatorReload.get();
         if (operator.jsonLog()) {
             LoggingSetup.useJsonFormat();
         }
-        ServerNode node =
-                new ServerNode(
-                        configuration(file),
-                        operator,
-                        read,
-                        operator.remember()
-                                .map(remember -> disk(operator, remember.folder()))
-                                .orElse(null));
+        ServerNodeBuilder builder =
+                ServerNode.builder(configuration(file))
+                        .operator(operator)
+                        .operatorReload(operatorReload);
+        if (operator.remember().isPresent()) {
+            builder.storage(storage(operator));
+        }
+        ServerNode node = builder.build();
         node.prepare();
         return node;
     }
 
-    private static StorageDirectory disk(OperatorConfig operator, Path folder) {
-        StorageDirectory disk = new LocalDirectory(folder);
-        return operator.drill().diskFault() == null
-                ? disk
-                : new FaultyDirectory(disk, operator.drill().diskFault());
+    private static StorageDirectory storage(OperatorConfig operator) {
+        StorageDirectory directory = new LocalDirectory(operator.remember().orElseThrow().folder());
+        Path faults = operator.drill().diskFault();
+        return faults == null ? directory : new FaultyDirectory(directory, faults);
     }
 
     @Command(
@@ -156,27 +170,25 @@
             description = "Check a configuration as serve does, without listening.",
             mixinStandardHelpOptions = true)
     static int check(
-            @Option(names = "--config", description = CONFIG) Path file,
-            @Option(names = "--operator", description = OPERATOR) Path operatorFile) {
-        OperatorConfig operator =
-                operatorFile == null ? null : OperatorConfigReader.read(operatorFile);
-        boolean alone = operator != null && file == null && System.getenv("EDGE_CONFIG") == null;
-        ServerConfiguration configuration =
-                alone ? null : ServerConfiguration.read(configuration(file));
-        if (operator != null) {
-            if (!alone) {
-                ServerNode.uwsgiRoutes(operator, configuration);
-                ServerNode.workerPoolConfigs(operator, configuration);
-                operator.fleet()
-                        .ifPresent(fleet -> ServerNode.checkReplication(fleet, configuration));
-            }
-            operator.fleet().ifPresent(fleet -> FleetKeys.read(fleet.keyFile()));
+            @Option(names = "--config", description = CONFIG_HELP) Path file,
+            @Option(names = "--operator", description = OPERATOR_HELP) Path operatorFile) {
+        Optional<OperatorConfig> operator =
+                Optional.ofNullable(operatorFile).map(OperatorConfigReader::read);
+        boolean configured = file != null || System.getenv(CONFIG_VARIABLE) != null;
+        Optional<ServerConfiguration> configuration =
+                configured || operator.isEmpty()
+                        ? Optional.of(ServerConfiguration.read(configuration(file)))
+                        : Optional.empty();
+        if (operator.isPresent()) {
+            configuration.ifPresent(
+                    present -> OperatorConfigResolver.check(operator.get(), present));
+            operator.get().fleet().ifPresent(fleet -> FleetKeys.read(fleet.keyFile()));
             System.out.println("the operators' file " + operatorFile + " is good");
         }
-        if (!alone) {
-            System.out.println("the configuration of " + configuration.name() + " is good");
-        }
-        return 0;
+        configuration.ifPresent(
+                present ->
+                        System.out.println("the configuration of " + present.name() + " is good"));
+        return EXIT_OK;
     }
 
     @Command(
@@ -189,7 +201,7 @@
 
     @Command(name = "version", description = "Print the version.")
     static int version() {
-        System.out.println(new Version().getVersion()[0]);
-        return 0;
+        System.out.println(versionLine());
+        return EXIT_OK;
     }
 }
--- a/src/main/java/ochretiller/commands/TryCommand.java
+++ b/src/main/java/ochretiller/commands/TryCommand.java
@@ -17,6 +17,7 @@
 import ochretiller.fakes.GatewayMessages;
 import ochretiller.node.LoggingSetup;
 import ochretiller.node.ServerNode;
+import ochretiller.node.ServerNodeBuilder;
 import ochretiller.operator.OperatorConfig;
 import ochretiller.operator.OperatorConfigReader;
 import ochretiller.store.LocalDirectory;
@@ -97,13 +98,10 @@
                         .replace("\"windowNs\":10000000000", "\"windowNs\":600000000000"));
         config.toFile().deleteOnExit();
         OperatorConfig operator = operator();
-        ServerNode node =
-                new ServerNode(
-                        config,
-                        operator,
-                        operator.remember()
-                                .map(remember -> new LocalDirectory(remember.folder()))
-                                .orElse(null));
+        ServerNodeBuilder builder = ServerNode.builder(config).operator(operator);
+        operator.remember()
+                .ifPresent(remember -> builder.storage(new LocalDirectory(remember.folder())));
+        ServerNode node = builder.build();
         node.prepare();
         node.listen();
         Thread serving =
--- a/src/main/java/ochretiller/execution/RunBackend.java
+++ b/src/main/java/ochretiller/execution/RunBackend.java
@@ -3,26 +3,31 @@
 import java.time.Duration;
 import ochretiller.model.RunOutcome;
 
-/** Carries out runs; on the one thread. */
+/** Executes runs. All methods are called on the event loop thread. */
 public interface RunBackend {
-    /** Begins a run; {@code then} is told once of its end, never before this has returned. */
-    void startRun(RunRequest task, RunListener then);
+    /**
+     * Starts a run.
+     *
+     * @param listener is told of the end of the run, once, and never before this method has
+     *     returned
+     */
+    void startRun(RunRequest request, RunListener listener);
 
     /**
-     * Nobody waits for this run any more: it is stopped where that can be done, and its end
-     * follows.
+     * Stops a run for which nobody waits any more, if the backend can; its end is reported as for
+     * any other run.
      */
-    void cancelRun(String rid);
+    void cancelRun(String requestId);
 
-    /** What is told of the end of a run. */
+    /** Is told of the end of a run. */
     @FunctionalInterface
     interface RunListener {
         /**
-         * The end.
+         * The run has ended.
          *
-         * @param took time since it began, waits included
-         * @param result bytes of one that has succeeded, else null or nobody's
+         * @param elapsed time since it was started, waits included
+         * @param result the result of a run that has succeeded; of no meaning otherwise
          */
-        void onRunFinished(RunOutcome.Status end, Duration took, byte[] result);
+        void onRunFinished(RunOutcome.Status status, Duration elapsed, byte[] result);
     }
 }
--- a/src/main/java/ochretiller/execution/RunRequest.java
+++ b/src/main/java/ochretiller/execution/RunRequest.java
@@ -3,12 +3,14 @@
 import java.time.Duration;
 
 /**
- * One run that is to be carried out.
+ * A run that is to be executed.
  *
- * @param requestId its name on all wires below
- * @param isRetryable it may run a second time where it is not known whether it did
- * @param idempotencyKey the token of a tokened one, else null
- * @param deadline when its caller no longer waits, on the schedule
+ * @param requestId identifies it on every wire below this server
+ * @param operationName name of its operation
+ * @param body what its client sent
+ * @param isRetryable whether it may be executed again if it is unknown whether it was executed
+ * @param idempotencyKey the key of a keyed invocation, else null
+ * @param deadline when its client waits no longer, in event loop time
  */
 public record RunRequest(
         String requestId,
--- a/src/main/java/ochretiller/model/CapacityAdvertisement.java
+++ b/src/main/java/ochretiller/model/CapacityAdvertisement.java
@@ -1,13 +1,13 @@
 package ochretiller.model;
 
-/** What callers make of the free value that goes out with each answer. */
+/** What clients do with the capacity figure that a server sends with each answer. */
 public enum CapacityAdvertisement {
-    /** It is not used. */
+    /** They ignore it. */
     NONE,
-    /** They send nothing of lower rank. */
+    /** They send no request whose priority is below the figure. */
     PRIORITY_THRESHOLD,
-    /** Each has at most so many invocations out here. */
+    /** Each of them has at most so many requests outstanding at this server. */
     CLIENT_WINDOW,
-    /** The chance that one does not pass this server over. */
+    /** They choose this server with that probability when it is its turn. */
     ROUTING_PROBABILITY
 }
--- a/src/main/java/ochretiller/model/ClientId.java
+++ b/src/main/java/ochretiller/model/ClientId.java
@@ -1,9 +1,13 @@
 package ochretiller.model;
 
-/** The caller that sent an invocation. */
+/**
+ * Identifies the client that sent an invocation.
+ *
+ * @param value the identifier itself
+ */
 public record ClientId(long value) {
-    // A record's own equals and hashCode are linked at run time, which costs a start dear, and each
-    // look-up too.
+    // Written out since a record's generated equals and hashCode are linked at run time, which
+    // slows the server's start.
     @Override
     public boolean equals(Object other) {
         return other instanceof ClientId id && id.value == value;
--- a/src/main/java/ochretiller/model/Invocation.java
+++ b/src/main/java/ochretiller/model/Invocation.java
@@ -3,18 +3,19 @@
 import java.time.Duration;
 
 /**
- * One try as it was read. Times are spans since this server's start.
+ * One attempt of a client's request, as it was received. Times are durations since this server's
+ * start.
  *
- * @param id its number
- * @param originalAttempt the kept try that it repeats, or null
+ * @param id identifies it on this server
+ * @param originalAttempt the recorded attempt that it repeats, or null if it repeats none
  * @param operation what it asks for
- * @param memoryKb memory that it takes while held, in kilobytes
+ * @param memoryKb memory that it takes while it is queued, in kilobytes
  * @param arrivedAt when it reached the machine
- * @param deadline when its final answer is due
- * @param expectedWork expected work, or null where none is told
+ * @param deadline when its final answer has to leave
+ * @param expectedWork expected time on a core, or null if the client does not tell
  * @param client who sent it
- * @param tenant who it is billed to, or null
- * @param isRetry marked as a further try
+ * @param tenant who it is billed to, or null if the service has no tenants
+ * @param isRetry whether the client says that it has sent the request before
  */
 public record Invocation(
         InvocationId id,
--- a/src/main/java/ochretiller/model/InvocationId.java
+++ b/src/main/java/ochretiller/model/InvocationId.java
@@ -1,9 +1,13 @@
 package ochretiller.model;
 
-/** An invocation, by the number it was read under. */
+/**
+ * Identifies one invocation, by the number under which it was received.
+ *
+ * @param value the identifier itself
+ */
 public record InvocationId(long value) {
-    // A record's own equals and hashCode are linked at run time, which costs a start dear, and each
-    // look-up too.
+    // Written out since a record's generated equals and hashCode are linked at run time, which
+    // slows the server's start.
     @Override
     public boolean equals(Object other) {
         return other instanceof InvocationId id && id.value == value;
--- a/src/main/java/ochretiller/model/Operation.java
+++ b/src/main/java/ochretiller/model/Operation.java
@@ -3,17 +3,18 @@
 import java.time.Duration;
 
 /**
- * One kind of work.
+ * One kind of work that clients can ask for.
  *
- * @param name its name, for reports and as an identity; no decision reads it
- * @param sideEffect what running it twice would do
- * @param latencyObjective an answer within this long of the first try earns the whole billed value
- * @param clientTimeout how long a client waits over all its tries
- * @param billedValue billed value
+ * @param name its name, by which it is known everywhere; decisions do not depend on it
+ * @param sideEffect what a second run of the same request would do
+ * @param latencyObjective an answer within this time of the first attempt earns the billed value
+ * @param clientTimeout how long a client waits, over all its attempts
+ * @param billedValue what an answer within the objective earns
  * @param lateValueShare share of the billed value that an answer after the objective earns
- * @param deduplicationWindow for a tokened one: how long after it arrived it may come again
- * @param makesCalls its invocations may call below
- * @param degradedValueShare share of the billed value that is left when its call below is left out
+ * @param deduplicationWindow for a keyed operation: how long after its arrival a request is
+ *     recognised when it comes again
+ * @param makesCalls whether its runs may call the records service
+ * @param degradedValueShare share of the billed value that is earned without that call
  */
 public record Operation(
         String name,
@@ -25,7 +26,8 @@
         Duration deduplicationWindow,
         boolean makesCalls,
         double degradedValueShare) {
-    // As with ids: the name, alone among a server's operations, stands for all.
+    // A record's generated methods are linked at run time, which slows a start; the name is unique
+    // among a server's operations.
     @Override
     public boolean equals(Object other) {
         return this == other || other instanceof Operation operation && operation.name.equals(name);
@@ -36,10 +38,12 @@
         return name.hashCode();
     }
 
+    /** Returns whether it may run any number of times. */
     public boolean isIdempotent() {
         return sideEffect == SideEffect.IDEMPOTENT;
     }
 
+    /** Returns whether its requests carry idempotency keys. */
     public boolean isKeyed() {
         return sideEffect == SideEffect.KEYED;
     }
--- a/src/main/java/ochretiller/model/ResourceGauges.java
+++ b/src/main/java/ochretiller/model/ResourceGauges.java
@@ -1,18 +1,21 @@
 package ochretiller.model;
 
 /**
- * The server's own gauges; NaN where the server has no such gauge.
+ * The resources of a server as it last measured them; NaN for a gauge that the server does not
+ * have.
  *
- * @param cpuUtilization share of the cores busy of late
- * @param runnableTasks all that asks for a core now: runs, reading, checks, new connections
- * @param memoryUtilization share of the memory in use
- * @param openConnections connections open
+ * @param cpuUtilization share of the cores that were busy recently, 0 to 1
+ * @param runnableTasks everything that wants a core now: runs, reads, health checks, new
+ *     connections
+ * @param memoryUtilization share of the memory in use, 0 to 1
+ * @param openConnections number of open connections
  */
 public record ResourceGauges(
         double cpuUtilization,
         double runnableTasks,
         double memoryUtilization,
         double openConnections) {
+    /** No gauge has a value. */
     public static final ResourceGauges UNKNOWN =
             new ResourceGauges(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 }
--- a/src/main/java/ochretiller/model/RunOutcome.java
+++ b/src/main/java/ochretiller/model/RunOutcome.java
@@ -6,22 +6,25 @@
  * How a run or a replay ended.
  *
  * @param status what came of it
- * @param elapsed time since it began, waits included
+ * @param elapsed time since it was started, waits included
  */
 public record RunOutcome(Status status, Duration elapsed) {
     /** What came of a run. */
     public enum Status {
+        /** It has a result. */
         SUCCEEDED("SUCCEEDED"),
+        /** It has no result, and may have had its effect. */
         FAILED("ERRORED"),
         /**
-         * It was stopped, or ended at a call because its answer had been given or its caller was
-         * gone.
+         * It was stopped, or ended at a call because its client was answered already or is gone.
          */
         STOPPED("STOPPED"),
-        /** It never started: it was over already. */
+        /**
+         * The backend knows that nothing was executed: the request was over before it could start.
+         */
         NEVER_STARTED("NOTHING"),
         /**
-         * It is proven not to have begun: its mark could not be made durable in time, or no worker
+         * Nothing was sent to a backend: its marker could not be made durable in time, or no worker
          * could take it.
          */
         NOT_DISPATCHED("NOT_BEGUN");
@@ -32,7 +35,9 @@
             this.externalName = externalName;
         }
 
-        /** The word by which log lines name it; it stays whatever the constant is called. */
+        /**
+         * Returns the word by which log lines name it; it stays whatever the constant is called.
+         */
         public String externalName() {
             return externalName;
         }
--- a/src/main/java/ochretiller/model/SideEffect.java
+++ b/src/main/java/ochretiller/model/SideEffect.java
@@ -1,11 +1,14 @@
 package ochretiller.model;
 
-/** What running an operation twice would do. */
+/** What a second run of the same request would do. */
 public enum SideEffect {
-    /** May run again. */
+    /** Nothing: it may run any number of times. */
     IDEMPOTENT,
-    /** Carries a mark by which a repeat is known, and runs once within its window. */
+    /**
+     * A second effect; requests carry an idempotency key by which retries are recognised within a
+     * window.
+     */
     KEYED,
-    /** Must never run twice, and a repeat is not known. */
+    /** A second effect, and retries cannot be recognised: it must never run twice. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/ochretiller/model/TenantId.java
+++ b/src/main/java/ochretiller/model/TenantId.java
@@ -1,9 +1,13 @@
 package ochretiller.model;
 
-/** The tenant an invocation is billed to. */
+/**
+ * Identifies the tenant that an invocation is billed to.
+ *
+ * @param value the identifier itself
+ */
 public record TenantId(String value) {
-    // A record's own equals and hashCode are linked at run time, which costs a start dear, and each
-    // look-up too.
+    // Written out since a record's generated equals and hashCode are linked at run time, which
+    // slows the server's start.
     @Override
     public boolean equals(Object other) {
         return other instanceof TenantId id && id.value.equals(value);
--- /dev/null
+++ b/src/main/java/ochretiller/node/AdmissionSession.java
@@ -0,0 +1,143 @@
+package ochretiller.node;
+
+import java.time.Duration;
+import java.util.Map;
+import java.util.Optional;
+import ochretiller.admission.AdmissionController;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.model.ClientId;
+import ochretiller.model.Invocation;
+import ochretiller.model.InvocationId;
+import ochretiller.model.Operation;
+import ochretiller.server.Action;
+import ochretiller.server.ServerActions;
+
+/**
+ * Handles requests from the moment that the processor is available: tells the admission controller
+ * what happens, and has its decisions executed. Event loop thread only.
+ */
+final class AdmissionSession implements RequestHandler {
+    /** How long a conflicting retry waits to see whether its original is ever run. */
+    private static final Duration CONFLICT_WAIT = Duration.ofSeconds(1);
+
+    private final ServerResources resources;
+    private final AdmissionController admission;
+    private final AdmissionClock clock;
+    private final IdempotencyCache cache;
+    private final AttemptTable attempts;
+    private final ServerActions actions;
+    private final PreviousRunRecovery recovery;
+
+    /**
+     * Creates a session that has not started.
+     *
+     * @param processorAge how long ago the processor was started
+     */
+    AdmissionSession(
+            ServerResources resources,
+            OperatorFeatures features,
+            AdmissionController admission,
+            IdempotencyCache cache,
+            Duration processorAge) {
+        this.resources = resources;
+        this.admission = admission;
+        this.cache = cache;
+        clock = new AdmissionClock(resources.scheduler(), processorAge);
+        attempts = new AttemptTable(resources.connections(), cache, clock);
+        actions = new ServerActionsAdapter(resources, features, clock, cache, attempts);
+        recovery =
+                new PreviousRunRecovery(admission, actions, cache, resources.processor(), features);
+    }
+
+    /** Starts the admission controller and restores the runs of previous processes. */
+    void start(Map<String, Operation> operations, Duration processorAge) {
+        execute(admission.onStarted());
+        recovery.restore(operations, processorAge);
+    }
+
+    private void execute(Action action) {
+        action.execute(actions);
+    }
+
+    @Override
+    public void onRequestRead(RequestAttempt attempt) {
+        Duration arrivedAt = clock.toAdmissionTime(attempt.arrived);
+        InvocationId original =
+                cache.findOriginalOrTrack(
+                        attempt.id,
+                        attempt.operation,
+                        attempt.token,
+                        attempt.object,
+                        arrivedAt,
+                        attempt.t0,
+                        clock.now());
+        boolean conflicts =
+                original != null && cache.conflictsWith(original, attempt.operation, attempt.body);
+        if (recovery.isAdopted(attempt.rid)) {
+            // Else it would be answered with the result of the other request.
+            resources.connections().fail(attempt, FailureReason.RID_IN_USE);
+            return;
+        }
+        if (conflicts && cache.isCompleted(original)) {
+            resources.connections().fail(attempt, FailureReason.OTHER_BODY);
+            return;
+        }
+        attempts.add(attempt, Optional.ofNullable(original));
+        if (conflicts) {
+            // Another client may have used the key first with a request that the processor rejects;
+            // then this one may run.
+            resources.scheduler().after(CONFLICT_WAIT, () -> recheckConflict(attempt, original));
+        }
+        execute(admission.onInvocationReceived(invocation(attempt, original, arrivedAt)));
+    }
+
+    private static Invocation invocation(
+            RequestAttempt attempt, InvocationId original, Duration arrivedAt) {
+        return new Invocation(
+                attempt.id,
+                original,
+                attempt.operation,
+                attempt.kb,
+                arrivedAt,
+                arrivedAt.plus(attempt.operation.clientTimeout()),
+                null,
+                new ClientId(attempt.caller),
+                null,
+                false);
+    }
+
+    private void recheckConflict(RequestAttempt attempt, InvocationId original) {
+        if (!attempt.answered() && cache.conflictsWith(original, attempt.operation, attempt.body)) {
+            resources.connections().fail(attempt, FailureReason.OTHER_BODY);
+            onClientGone(attempt);
+        }
+    }
+
+    @Override
+    public void onClientGone(RequestAttempt attempt) {
+        execute(admission.onClientGone(attempt.id));
+        attempts.forgetIfDone(attempt);
+    }
+
+    @Override
+    public void onShutdownNotice(Duration killAfter) {
+        execute(admission.onShutdownNotice(clock.now().plus(killAfter)));
+    }
+
+    /** A run asks for a call to the records service, and waits for its reply. */
+    void onCallRequested(String requestId, byte[] body) {
+        if (recovery.isAdopted(requestId)) {
+            // The previous process may have made the call, and a call that may have been executed
+            // is never made again.
+            resources.processor().cancelRun(requestId);
+            return;
+        }
+        RequestAttempt attempt = resources.connections().find(requestId);
+        if (attempt != null) {
+            attempts.putCallBody(attempt, body);
+            execute(admission.onCallRequested(attempt.id));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/node/AttemptTable.java
@@ -0,0 +1,103 @@
+package ochretiller.node;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.model.InvocationId;
+
+/**
+ * The request attempts that the admission controller knows: from their arrival until they are
+ * answered and run no longer. Event loop thread only.
+ */
+final class AttemptTable {
+    private static final byte[] EMPTY_BODY = new byte[0];
+
+    private final ClientConnections connections;
+    private final IdempotencyCache cache;
+    private final AdmissionClock clock;
+    private final Map<InvocationId, Entry> entries = new HashMap<>();
+
+    private static final class Entry {
+        private final RequestAttempt attempt;
+        private final Optional<InvocationId> original;
+
+        /** Body of the call that the run waits for. */
+        private byte[] callBody = EMPTY_BODY;
+
+        Entry(RequestAttempt attempt, Optional<InvocationId> original) {
+            this.attempt = attempt;
+            this.original = original;
+        }
+    }
+
+    AttemptTable(ClientConnections connections, IdempotencyCache cache, AdmissionClock clock) {
+        this.connections = connections;
+        this.cache = cache;
+        this.clock = clock;
+    }
+
+    /**
+     * Adds an attempt.
+     *
+     * @param original the attempt that it repeats, if any
+     */
+    void add(RequestAttempt attempt, Optional<InvocationId> original) {
+        entries.put(attempt.id, new Entry(attempt, original));
+    }
+
+    /** Returns an attempt, or empty once it is forgotten. */
+    Optional<RequestAttempt> find(InvocationId id) {
+        Entry entry = entries.get(id);
+        return entry == null ? Optional.empty() : Optional.of(entry.attempt);
+    }
+
+    /**
+     * Returns an attempt that must be here.
+     *
+     * @throws IllegalStateException if it is not
+     */
+    RequestAttempt get(InvocationId id) {
+        Entry entry = entries.get(id);
+        if (entry == null) {
+            throw new IllegalStateException("unknown invocation " + id);
+        }
+        return entry.attempt;
+    }
+
+    /** Returns the attempt that this one repeats, if any. */
+    Optional<InvocationId> originalOf(RequestAttempt attempt) {
+        Entry entry = entries.get(attempt.id);
+        return entry == null ? Optional.empty() : entry.original;
+    }
+
+    /** Keeps the body of a call that a run waits for. */
+    void putCallBody(RequestAttempt attempt, byte[] body) {
+        Entry entry = entries.get(attempt.id);
+        if (entry != null) {
+            entry.callBody = body;
+        }
+    }
+
+    /** Returns the body of the call that a run waits for; empty if there is none. */
+    byte[] callBody(RequestAttempt attempt) {
+        Entry entry = entries.get(attempt.id);
+        return entry == null ? EMPTY_BODY : entry.callBody;
+    }
+
+    /** Drops the body of a call that was answered. */
+    void removeCallBody(RequestAttempt attempt) {
+        putCallBody(attempt, EMPTY_BODY);
+    }
+
+    /** Forgets an attempt that is answered and does not run. */
+    void forgetIfDone(RequestAttempt attempt) {
+        if (!attempt.answered() || attempt.running() || entries.remove(attempt.id) == null) {
+            return;
+        }
+        cache.complete(attempt.id, attempt.operation.isKeyed(), null, clock.now());
+        connections.forget(attempt);
+    }
+}
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -16,44 +16,57 @@
 import ochretiller.operator.OperatorConfig;
 
 /**
- * Tells the audit what this server acts on and what becomes of it. On the one thread; the disk is
- * the writer's.
+ * Records in an audit log which version this server acted on and what came of it. Event loop thread
+ * only; the writer has a thread of its own for the disk.
  */
-final class AuditRecorder {
+final class AuditRecorder implements AuditTrail {
     private static final Logger LOG = Logger.getLogger(AuditRecorder.class.getName());
-    private static final Duration LOOKS = Duration.ofSeconds(1);
 
-    /** Faults of former files that get a line each. */
-    private static final int LINES = 10;
+    /** How often it is checked whether the current period is over. */
+    private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
 
-    private final Scheduler schedule;
-    private final LongSupplier unixMs;
+    /** Faults of existing files that are logged one by one. */
+    private static final int MAX_LOGGED_FAULTS = 10;
+
+    private final Scheduler scheduler;
+    private final LongSupplier unixMillis;
     private final AuditLogWriter writer;
-    private final VersionUsage spans;
-    private final boolean runs;
+    private final VersionUsage usage;
+    private final boolean recordsRuns;
 
+    /**
+     * Opens the audit log. Nothing is written yet.
+     *
+     * @param serverName the name under which the start is recorded
+     * @param unixMillis the wall clock
+     * @throws IOException if the log cannot be read or written
+     */
     AuditRecorder(
-            Scheduler schedule,
-            OperatorConfig.Audit told,
-            String name,
-            LongSupplier unixMs,
+            Scheduler scheduler,
+            OperatorConfig.Audit settings,
+            String serverName,
+            LongSupplier unixMillis,
             Metrics metrics)
             throws IOException {
-        this.schedule = schedule;
-        this.unixMs = unixMs;
-        this.runs = told.runs();
-        this.spans = new VersionUsage(told.span());
-        writer = new AuditLogWriter(told.folder(), told.mostBytes(), unixMs);
-        writer.recoveredFaults().stream()
-                .limit(LINES)
-                .forEach(
-                        fault ->
-                                LOG.severe(
-                                        () ->
-                                                "audit: record "
-                                                        + fault.number()
-                                                        + ' '
-                                                        + fault.description()));
+        this.scheduler = scheduler;
+        this.unixMillis = unixMillis;
+        this.recordsRuns = settings.runs();
+        this.usage = new VersionUsage(settings.span());
+        writer = new AuditLogWriter(settings.folder(), settings.mostBytes(), unixMillis);
+        writer.recoveredFaults().stream().limit(MAX_LOGGED_FAULTS).forEach(AuditRecorder::log);
+        registerMetrics(metrics);
+        usage.startPeriod(unixMillis.getAsLong(), scheduler.now());
+        addEvent(
+                AuditRecord.AuditEventKind.STARTED,
+                0,
+                serverName + ", behind record " + writer.head().number());
+    }
+
+    private static void log(HashChain.ChainFault fault) {
+        LOG.severe(() -> "audit: record " + fault.number() + ' ' + fault.description());
+    }
+
+    private void registerMetrics(Metrics metrics) {
         metrics.counted(
                 "ochretiller_audit_records_total",
                 "Records of the audit that are on the disk",
@@ -70,44 +83,37 @@
                 "ochretiller_audit_faults",
                 "Faults found at the start in what was there",
                 () -> writer.recoveredFaults().size());
-        spans.startPeriod(unixMs.getAsLong(), schedule.now());
-        event(
-                AuditRecord.AuditEventKind.STARTED,
-                0,
-                name + ", behind record " + writer.head().number());
     }
 
-    void start() {
+    @Override
+    public void start() {
         writer.start();
-        look();
+        closePeriodIfDue();
     }
 
-    private void look() {
-        schedule.after(LOOKS, this::look);
-        spans.closeIfDue(unixMs.getAsLong(), schedule.now()).ifPresent(writer::add);
+    private void closePeriodIfDue() {
+        scheduler.after(CHECK_INTERVAL, this::closePeriodIfDue);
+        usage.closeIfDue(unixMillis.getAsLong(), scheduler.now()).ifPresent(writer::add);
     }
 
-    private void event(AuditRecord.AuditEventKind kind, long version, String text) {
+    private void addEvent(AuditRecord.AuditEventKind kind, long version, String text) {
+        int length = Math.min(text.length(), AuditRecord.AuditEvent.MAX_TEXT_CHARS);
         writer.add(
                 new AuditRecord.AuditEvent(
-                        kind,
-                        version,
-                        unixMs.getAsLong(),
-                        text.substring(
-                                0,
-                                Math.min(text.length(), AuditRecord.AuditEvent.MAX_TEXT_CHARS))));
+                        kind, version, unixMillis.getAsLong(), text.substring(0, length)));
     }
 
-    /** Something has happened to a version here. */
-    void recordRolloutEvent(RolloutService.What what, long version, String hash, String text) {
-        // A span is of one kind all through: what was acted on before stands in a span of its own.
-        if (what == RolloutService.What.CHANGED) {
-            spans.switchVersion(version, hash, unixMs.getAsLong(), schedule.now())
+    @Override
+    public void recordRolloutEvent(
+            RolloutService.What event, long version, String hash, String text) {
+        // A period has one version, and is fenced as a whole or not at all.
+        if (event == RolloutService.What.CHANGED) {
+            usage.switchVersion(version, hash, unixMillis.getAsLong(), scheduler.now())
                     .ifPresent(writer::add);
-        } else if (what == RolloutService.What.SHUT_OUT || what == RolloutService.What.LET_IN) {
-            writer.add(spans.closePeriod(unixMs.getAsLong(), schedule.now()));
+        } else if (event == RolloutService.What.SHUT_OUT || event == RolloutService.What.LET_IN) {
+            writer.add(usage.closePeriod(unixMillis.getAsLong(), scheduler.now()));
         }
-        event(kind(what), version, text);
+        addEvent(kind(event), version, text);
     }
 
     private static AuditRecord.AuditEventKind kind(RolloutService.What what) {
@@ -122,39 +128,46 @@
         };
     }
 
-    void recordAnswer(RequestAttempt inv, AnswerKind how) {
-        spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.RECEIVED);
-        switch (how) {
-            case REPLAYED ->
-                    spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.REPLAYED);
-            case THROTTLED ->
-                    spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.THROTTLED);
-            case ERRORED ->
-                    spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.ERRORED);
-            default -> {}
+    @Override
+    public void recordAnswer(RequestAttempt attempt, AnswerKind kind) {
+        String operation = attempt.operation.name();
+        usage.count(operation, VersionUsage.InvocationOutcome.RECEIVED);
+        switch (kind) {
+            case REPLAYED -> usage.count(operation, VersionUsage.InvocationOutcome.REPLAYED);
+            case THROTTLED -> usage.count(operation, VersionUsage.InvocationOutcome.THROTTLED);
+            case ERRORED -> usage.count(operation, VersionUsage.InvocationOutcome.ERRORED);
+            default -> {
+                // a success is what is left of those received
+            }
         }
     }
 
-    /** A run is begun: of a tokened one it can be told later, under which version. */
-    void recordRunStarted(RequestAttempt inv) {
-        spans.count(inv.operation.name(), VersionUsage.InvocationOutcome.EXECUTED);
-        boolean fits =
-                inv.token != null
-                        && !inv.token.isEmpty()
-                        && inv.token.length() <= AuditRecord.KeyedRun.MAX_TOKEN_CHARS;
-        if (runs && fits) {
-            writer.add(new AuditRecord.KeyedRun(inv.version(), unixMs.getAsLong(), inv.token));
+    @Override
+    public void recordRunStarted(RequestAttempt attempt) {
+        usage.count(attempt.operation.name(), VersionUsage.InvocationOutcome.EXECUTED);
+        if (recordsRuns && hasRecordableToken(attempt)) {
+            writer.add(
+                    new AuditRecord.KeyedRun(
+                            attempt.version(), unixMillis.getAsLong(), attempt.token));
         }
     }
 
-    /** Where the chain on the disk ends, for others to know. */
-    HashChain.ChainHead chainHead() {
+    private static boolean hasRecordableToken(RequestAttempt attempt) {
+        String token = attempt.token;
+        return token != null
+                && !token.isEmpty()
+                && token.length() <= AuditRecord.KeyedRun.MAX_TOKEN_CHARS;
+    }
+
+    @Override
+    public HashChain.ChainHead chainHead() {
         return writer.head();
     }
 
-    void close() {
-        writer.add(spans.closePeriod(unixMs.getAsLong(), schedule.now()));
-        event(AuditRecord.AuditEventKind.STOPPED, spans.version(), "");
+    @Override
+    public void close() {
+        writer.add(usage.closePeriod(unixMillis.getAsLong(), scheduler.now()));
+        addEvent(AuditRecord.AuditEventKind.STOPPED, usage.version(), "");
         writer.close();
     }
 }
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -2,603 +2,260 @@
 
 import java.io.IOException;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import ochretiller.fleet.service.PreviousIncarnation;
-import ochretiller.fleet.service.ReplicationService;
-import ochretiller.fleet.service.ReplicationSettings;
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.idempotency.IdempotencyCache;
 import ochretiller.idempotency.durable.DurabilityPolicy;
+import ochretiller.idempotency.durable.DurabilityPolicy.RecoveryDecision;
 import ochretiller.idempotency.durable.DurabilityTimeouts;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.IdempotencyRecord.Progress;
 import ochretiller.metrics.Metrics;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 import ochretiller.model.RunOutcome;
 import ochretiller.net.Scheduler;
 import ochretiller.operator.OperatorConfig;
-import ochretiller.store.AppendResult;
 import ochretiller.store.BootClock;
-import ochretiller.store.StorageDirectory;
 import ochretiller.store.Store;
-import ochretiller.store.StoreLimits;
 
 /**
- * Carries out what is decided about the memory of keyed invocations: marks and results go to the
- * store, answers wait for them, and what a former process has left is found again. All of it on the
- * one thread.
+ * Idempotency records in a store on disk. A run starts once its marker is durable; an answer waits
+ * until its result is, but no longer than its client does. The store has a thread of its own and
+ * posts back to the event loop, which alone uses this class.
  */
-final class DurableIdempotency implements PreviousIncarnation {
+final class DurableIdempotency implements IdempotencyStore {
     private static final Logger LOG = Logger.getLogger(DurableIdempotency.class.getName());
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int MILLIS_PER_SECOND = 1_000;
 
-    /**
-     * How often the store is asked how it does: a fifth of the shortest stall that is worth a word.
-     */
-    private static final Duration BEAT = Duration.ofMillis(50);
-
-    /**
-     * Writes that a sick disk has not taken and that are made once it is well; each is some 4 KiB
-     * at most.
-     */
-    private static final int MOST_LATER = 1_000;
-
-    private static final byte[] NONE = {};
-
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final Store store;
-    private final DurabilityPolicy memory;
-    private final Map<InvocationId, IdempotencyRecord> marks = new HashMap<>();
-    private final Map<String, IdempotencyRecord> restored = new LinkedHashMap<>();
-    private final Map<String, Runnable> later = new LinkedHashMap<>();
+    private final DurabilityPolicy policy;
+    private final DurabilityMetrics metrics;
+    private final DeferredWrites deferredWrites;
+    private final IdempotencyRecordWriter writer;
+    private final StoredResults results;
+    private final PreviousRuns previousRuns;
 
-    /**
-     * What former processes have left, for the fleet to ask about; no longer than any of it
-     * matters.
-     */
-    private final Map<String, IdempotencyRecord> left = new HashMap<>();
-
-    private final boolean whole;
-    private final Metrics.Counter throttled;
-    private final Metrics.Counter early;
-    private final Metrics.Counter stalls;
-    private final Metrics.Counter givenUp;
-    private final Metrics.Counter fromDisk;
-    private DurabilityPolicy.DiskHealth said = DurabilityPolicy.DiskHealth.HEALTHY;
-    private long appends;
-    private volatile double inDoubt;
-    private volatile double oldest;
+    /** Durable markers of runs that have not ended. */
+    private final Map<InvocationId, IdempotencyRecord> markers = new HashMap<>();
 
     /**
-     * Takes the folder and reads it; nothing is written yet.
+     * Opens the store and reads it; nothing is written yet.
      *
-     * @param copies what the fleet keeps in the same store, or null
-     * @param longest the longest window of an operation and its client timeout: no mark lives
-     *     longer
+     * @param random spreads the probes of an unavailable disk
+     * @throws IOException if the store cannot be opened
      */
     DurableIdempotency(
-            Scheduler schedule,
-            OperatorConfig.Remember remember,
-            ReplicationSettings copies,
-            StorageDirectory disk,
-            Duration longest,
-            SplittableRandom chance,
-            Metrics metrics)
+            Scheduler scheduler, StoreSetup setup, SplittableRandom random, Metrics metrics)
             throws IOException {
-        this.schedule = schedule;
-        // What is kept for the fleet has room of its own beside what is remembered here.
-        int most = remember.mostEntries() + (copies == null ? 0 : 2 * copies.most());
-        long bytes = remember.mostBytes() + (copies == null ? 0 : 4 * copies.mostBytes());
-        StoreLimits limits =
-                new StoreLimits(
-                        most,
-                        bytes,
-                        most * 600L,
-                        remember.segmentBytes(),
-                        remember.rollAfter(),
-                        remember.copyRate(),
-                        0.5,
-                        longest.multipliedBy(4),
-                        longest);
-        long began = System.nanoTime();
-        store = Store.open(disk, limits, BootClock.ofKernel(), schedule::post);
-        double took = (System.nanoTime() - began) / 1e9;
-        memory =
-                new DurabilityPolicy(
-                        new DurabilityTimeouts(
-                                remember.markWait(),
-                                remember.answerWait(),
-                                remember.stall(),
-                                remember.probe(),
-                                remember.mostProbe()),
-                        chance);
-        store.recoveredEntries()
-                .forEach(
-                        kept -> {
-                            IdempotencyRecord mark =
-                                    IdempotencyRecord.decode(kept.key(), kept.metadata());
-                            if (mark != null) {
-                                restored.put(mark.token(), mark);
-                            }
-                        });
-        long marked =
-                restored.values().stream()
-                        .filter(mark -> mark.progress() == IdempotencyRecord.Progress.IN_FLIGHT)
-                        .count();
-        inDoubt = marked;
-        whole = store.incompleteUntilMillis() <= store.nowMillis();
-        if (copies != null) {
-            left.putAll(restored);
+        this.scheduler = scheduler;
+        long openedAt = System.nanoTime();
+        store =
+                Store.open(
+                        setup.directory(), setup.limits(), BootClock.ofKernel(), scheduler::post);
+        double recoverySeconds = (System.nanoTime() - openedAt) / NANOS_PER_SECOND;
+        policy = new DurabilityPolicy(timeouts(setup.settings()), random);
+        this.metrics = new DurabilityMetrics(metrics, store, recoverySeconds);
+        deferredWrites = new DeferredWrites(this.metrics.lostWrites);
+        writer =
+                new IdempotencyRecordWriter(scheduler, store, policy, deferredWrites, this.metrics);
+        results = new StoredResults(store, this.metrics.readBack);
+        previousRuns = new PreviousRuns(scheduler, store, results);
+        this.metrics.setInDoubt(previousRuns.countInFlight());
+        if (setup.replication().isPresent()) {
+            previousRuns.retainForFleet(setup.recordLife());
         }
-        schedule.after(longest, left::clear);
+        logRecovery(recoverySeconds);
+        suspendWhileIncomplete();
+    }
+
+    private static DurabilityTimeouts timeouts(OperatorConfig.Remember settings) {
+        return new DurabilityTimeouts(
+                settings.markWait(),
+                settings.answerWait(),
+                settings.stall(),
+                settings.probe(),
+                settings.mostProbe());
+    }
+
+    private void logRecovery(double recoverySeconds) {
         LOG.info(
                 () ->
                         "remembers "
-                                + restored.size()
+                                + previousRuns.size()
                                 + " keyed invocations, the ends of "
-                                + marked
+                                + previousRuns.countInFlight()
                                 + " unknown, read in "
-                                + Math.round(took * 1000)
+                                + Math.round(recoverySeconds * MILLIS_PER_SECOND)
                                 + " ms");
         store.damageReports().forEach(line -> LOG.severe("damage in the store: " + line));
-        if (store.incompleteUntilMillis() > store.nowMillis()) {
-            Duration blind = Duration.ofMillis(store.incompleteUntilMillis() - store.nowMillis());
-            memory.suspendNewKeysUntil(schedule.now().plus(blind));
-            LOG.severe(
-                    "what is damaged may hide a mark: new keyed invocations are throttled for "
-                            + blind.toMillis()
-                            + " ms");
-        }
-        throttled =
-                metrics.counter(
-                        "ochretiller_remember_unmarked_total",
-                        "Keyed invocations that were not begun since their mark was not durable in"
-                                + " time");
-        early =
-                metrics.counter(
-                        "ochretiller_remember_answered_early_total",
-                        "Results that were answered before they were durable; their marks stand");
-        stalls =
-                metrics.counter(
-                        "ochretiller_remember_stalls_total",
-                        "Times that the disk came to count as stalled or sick");
-        givenUp =
-                metrics.counter(
-                        "ochretiller_remember_writes_lost_total",
-                        "Ends that a sick disk did not take and that found no room to wait for it;"
-                                + " their marks stand");
-        fromDisk =
-                metrics.counter(
-                        "ochretiller_remember_read_back_total",
-                        "Replays whose result came from the disk");
-        metrics.gauge(
-                "ochretiller_remember_in_doubt",
-                "Marks of a former process whose end is unknown",
-                () -> inDoubt);
-        metrics.gauge(
-                "ochretiller_remember_oldest_append_seconds",
-                "Age of the append that waits longest",
-                () -> oldest);
-        metrics.gauge(
-                "ochretiller_remember_recovery_seconds",
-                "Time that the start took to read the store",
-                () -> took);
-        metrics.gauge(
-                "ochretiller_store_entries", "Keys that are kept", () -> store.stats().entries());
-        metrics.gauge(
-                "ochretiller_store_bytes",
-                "Bytes of the store's segments",
-                () -> store.stats().bytes());
-        metrics.gauge(
-                "ochretiller_store_index_bytes",
-                "Memory of the store's index, as reckoned",
-                () -> store.stats().indexBytes());
-        metrics.gauge(
-                "ochretiller_store_segments", "Files of records", () -> store.stats().segments());
-        metrics.gauge(
-                "ochretiller_store_oldest_seconds",
-                "Age of the oldest file of records",
-                () ->
-                        store.stats().segments() == 0
-                                ? 0
-                                : (store.nowMillis() - store.stats().oldestSegmentMillis()) / 1e3);
-        metrics.gauge(
-                "ochretiller_store_largest_group",
-                "Most records that went out with one force",
-                () -> store.stats().largestGroupCommit());
-        metrics.gauge(
-                "ochretiller_store_well",
-                "1 while the disk is well",
-                () -> store.stats().isHealthy() ? 1 : 0);
-        metrics.counted(
-                "ochretiller_store_forces_total",
-                "Forces of the disk",
-                () -> store.stats().forces());
-        metrics.counted(
-                "ochretiller_store_records_total",
-                "Records appended",
-                () -> store.stats().appendedRecords());
-        metrics.counted(
-                "ochretiller_store_appended_bytes_total",
-                "Bytes appended",
-                () -> store.stats().appendedBytes());
-        metrics.counted(
-                "ochretiller_store_copied_bytes_total",
-                "Bytes copied by compaction",
-                () -> store.stats().compactedBytes());
-        metrics.counted(
-                "ochretiller_store_dropped_segments_total",
-                "Files that were past their time",
-                () -> store.stats().expiredSegments());
-        metrics.counted(
-                "ochretiller_store_failures_total",
-                "Failures of the disk",
-                () -> store.stats().diskFailures());
-    }
-
-    /** The store, where others keep things in spaces of their own. */
-    Store store() {
-        return store;
     }
 
-    void start() {
-        store.start();
-        beat();
-    }
-
-    private void beat() {
-        schedule.after(BEAT, this::beat);
-        Duration now = schedule.now();
-        boolean wasSick = memory.diskHealth(now) == DurabilityPolicy.DiskHealth.UNAVAILABLE;
-        memory.storeStatusChanged(store.stats().isHealthy(), store.hasRoomForNewKey(), now);
-        oldest = memory.oldestAppendAge(now).toNanos() / 1e9;
-        DurabilityPolicy.DiskHealth disk = memory.diskHealth(now);
-        if (disk != said) {
-            if (said == DurabilityPolicy.DiskHealth.HEALTHY) {
-                stalls.add();
-            }
-            LOG.warning(
-                    "the store's disk is "
-                            + disk.externalName()
-                            + (disk == DurabilityPolicy.DiskHealth.UNAVAILABLE
-                                    ? ": " + store.stats().fault()
-                                    : "")
-                            + (disk == DurabilityPolicy.DiskHealth.HEALTHY
-                                    ? " again"
-                                    : "; new keyed work is throttled"));
-            said = disk;
-        }
-        if (wasSick && disk != DurabilityPolicy.DiskHealth.UNAVAILABLE) {
-            caughtUp();
-        }
-        if (memory.startProbeIfDue(now)) {
-            store.probe(
-                    well -> {
-                        if (!well) {
-                            memory.probeFailed(schedule.now());
-                        }
-                    });
+    /**
+     * Accepts no new markers for as long as damage may hide one that a previous process has
+     * written.
+     */
+    private void suspendWhileIncomplete() {
+        if (store.incompleteUntilMillis() <= store.nowMillis()) {
+            return;
         }
+        Duration incomplete = Duration.ofMillis(store.incompleteUntilMillis() - store.nowMillis());
+        policy.suspendNewKeysUntil(scheduler.now().plus(incomplete));
+        LOG.severe(
+                "what is damaged may hide a mark: new keyed invocations are throttled for "
+                        + incomplete.toMillis()
+                        + " ms");
     }
 
-    /** The disk is well again: what it has not taken is written now. */
-    private void caughtUp() {
-        List<Runnable> all = new ArrayList<>(later.values());
-        later.clear();
-        all.forEach(Runnable::run);
+    /** Returns the store, where others keep records in key spaces of their own. */
+    Store store() {
+        return store;
     }
 
-    private void later(String token, Runnable write) {
-        if (later.size() < MOST_LATER || later.containsKey(token)) {
-            later.put(token, write);
-        } else {
-            givenUp.add();
-        }
+    /** Returns what previous processes have left, for the fleet to ask about. */
+    PreviousRuns previousRuns() {
+        return previousRuns;
     }
 
-    private long life(IdempotencyRecord mark, Operation operation) {
-        return mark.windowEndsAtMillis() + operation.clientTimeout().toMillis();
+    @Override
+    public void start() {
+        store.start();
+        new StoreHealthMonitor(scheduler, store, policy, deferredWrites, metrics).start();
     }
 
-    boolean acceptsNewMarkers() {
-        return memory.acceptsNewKeys(schedule.now());
+    @Override
+    public boolean acceptsNewMarkers() {
+        return policy.acceptsNewKeys(scheduler.now());
     }
 
-    /**
-     * One of the two is run, once: the mark is durable, or it is not and will not be waited for.
-     */
-    void writeMarker(RequestAttempt inv, Runnable durable, Runnable not) {
-        Duration now = schedule.now();
-        if (!inv.operation.isKeyed()) {
-            durable.run();
+    @Override
+    public void writeMarker(RequestAttempt attempt, MarkerListener listener) {
+        if (!attempt.operation.isKeyed()) {
+            listener.onMarkerDurable();
             return;
         }
-        if (!IdempotencyRecord.namesFit(inv.operation.name(), inv.rid)
-                || !memory.acceptsNewKeys(now)) {
-            throttled.add();
-            not.run();
+        Duration now = scheduler.now();
+        if (!IdempotencyRecord.namesFit(attempt.operation.name(), attempt.rid)
+                || !policy.acceptsNewKeys(now)) {
+            metrics.throttled.add();
+            listener.onMarkerFailed();
             return;
         }
-        Duration window = inv.arrived.plus(inv.operation.deduplicationWindow()).minus(now);
-        long storeNow = store.nowMillis();
-        IdempotencyRecord mark =
-                new IdempotencyRecord(
-                        IdempotencyRecord.Progress.IN_FLIGHT,
-                        inv.token,
-                        inv.operation.name(),
-                        inv.rid,
-                        IdempotencyCache.bodyDigest(inv.body),
-                        storeNow,
-                        storeNow + Math.max(0, window.toMillis()) + 1);
-        long number = ++appends;
-        memory.appendStarted(number, now);
-        boolean[] over = {false};
-        store.put(
-                mark.encodeKey(),
-                mark.encodeMetadata(),
-                NONE,
-                life(mark, inv.operation),
-                true,
-                ack -> {
-                    memory.appendCompleted(number);
-                    if (over[0]) {
-                        // It was throttled meanwhile and never ran: its mark must not stop a repeat
-                        // after a restart.
-                        if (ack == AppendResult.DURABLE || ack == AppendResult.UNKNOWN) {
-                            erase(mark, inv.operation);
-                        }
-                        return;
-                    }
-                    over[0] = true;
-                    if (ack == AppendResult.DURABLE) {
-                        marks.put(inv.id, mark);
-                        durable.run();
-                        return;
-                    }
-                    if (ack == AppendResult.UNKNOWN) {
-                        erase(mark, inv.operation);
-                    }
-                    throttled.add();
-                    not.run();
-                });
-        Duration due = inv.arrived.plus(inv.operation.clientTimeout());
-        schedule.after(
-                memory.markerTimeout(due, now),
-                () -> {
-                    if (over[0]) {
-                        return;
-                    }
-                    over[0] = true;
-                    throttled.add();
-                    not.run();
-                });
+        IdempotencyRecord marker = marker(attempt, now);
+        writer.writeMarker(
+                marker,
+                attempt.operation,
+                deadline(attempt),
+                new MarkerRegistration(attempt.id, marker, listener));
     }
 
-    private void erase(IdempotencyRecord mark, Operation operation) {
-        store.remove(
-                mark.encodeKey(),
-                life(mark, operation),
-                ack -> {
-                    if (ack != AppendResult.DURABLE) {
-                        later(mark.token(), () -> erase(mark, operation));
-                    }
-                });
+    private IdempotencyRecord marker(RequestAttempt attempt, Duration now) {
+        Duration window = attempt.arrived.plus(attempt.operation.deduplicationWindow()).minus(now);
+        long storeNow = store.nowMillis();
+        return new IdempotencyRecord(
+                Progress.IN_FLIGHT,
+                attempt.token,
+                attempt.operation.name(),
+                attempt.rid,
+                IdempotencyCache.bodyDigest(attempt.body),
+                storeNow,
+                storeNow + Math.max(0, window.toMillis()) + 1);
     }
 
-    /**
-     * A run is over; {@code then} is run once its answer may leave, at once where nothing has to be
-     * kept for it.
-     */
-    void onRunFinished(RequestAttempt inv, RunOutcome.Status end, byte[] result, Runnable then) {
-        IdempotencyRecord mark = marks.remove(inv.id);
-        if (mark == null) {
-            then.run();
-        } else {
-            onRunFinished(
-                    mark,
-                    inv.operation,
-                    end,
-                    result,
-                    inv.arrived.plus(inv.operation.clientTimeout()),
-                    then);
-        }
-    }
+    /** Remembers a durable marker until its run has ended. */
+    private final class MarkerRegistration implements MarkerListener {
+        private final InvocationId id;
+        private final IdempotencyRecord marker;
+        private final MarkerListener next;
 
-    private void onRunFinished(
-            IdempotencyRecord mark,
-            Operation operation,
-            RunOutcome.Status end,
-            byte[] result,
-            Duration due,
-            Runnable then) {
-        if (end == RunOutcome.Status.NEVER_STARTED || end == RunOutcome.Status.NOT_DISPATCHED) {
-            erase(mark, operation);
-        } else if (end != RunOutcome.Status.SUCCEEDED) {
-            lost(mark, operation);
+        MarkerRegistration(InvocationId id, IdempotencyRecord marker, MarkerListener next) {
+            this.id = id;
+            this.marker = marker;
+            this.next = next;
         }
-        if (end != RunOutcome.Status.SUCCEEDED) {
-            then.run(); // the mark stands: that it is known to have ended so can be lost
-            // without harm
-            return;
+
+        @Override
+        public void onMarkerDurable() {
+            markers.put(id, marker);
+            next.onMarkerDurable();
         }
-        boolean[] over = {false};
-        Runnable once =
-                () -> {
-                    if (over[0]) {
-                        return;
-                    }
-                    over[0] = true;
-                    then.run();
-                };
-        long number = ++appends;
-        Duration now = schedule.now();
-        memory.appendStarted(number, now);
-        byte[] value = new byte[1 + result.length];
-        System.arraycopy(result, 0, value, 1, result.length);
-        Runnable write =
-                () ->
-                        store.put(
-                                mark.encodeKey(),
-                                mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED)
-                                        .encodeMetadata(),
-                                value,
-                                life(mark, operation),
-                                false,
-                                ack -> {
-                                    memory.appendCompleted(number);
-                                    if (ack != AppendResult.DURABLE && !over[0]) {
-                                        early.add();
-                                    }
-                                    if (ack != AppendResult.DURABLE) {
-                                        later(mark.token(), () -> keepLate(mark, operation, value));
-                                    }
-                                    once.run();
-                                });
-        write.run();
-        schedule.after(
-                memory.answerTimeout(due, now),
-                () -> {
-                    if (!over[0]) {
-                        early.add();
-                    }
-                    once.run();
-                });
-    }
 
-    private void keepLate(IdempotencyRecord mark, Operation operation, byte[] value) {
-        if (life(mark, operation) <= store.nowMillis()) {
-            return;
+        @Override
+        public void onMarkerFailed() {
+            metrics.throttled.add();
+            next.onMarkerFailed();
         }
-        store.put(
-                mark.encodeKey(),
-                mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED).encodeMetadata(),
-                value,
-                life(mark, operation),
-                false,
-                ack -> {
-                    if (ack != AppendResult.DURABLE) {
-                        later(mark.token(), () -> keepLate(mark, operation, value));
-                    }
-                });
     }
 
-    private void lost(IdempotencyRecord mark, Operation operation) {
-        if (life(mark, operation) <= store.nowMillis()) {
-            return;
+    @Override
+    public void onRunFinished(
+            RequestAttempt attempt, RunOutcome.Status status, byte[] result, Runnable onStored) {
+        IdempotencyRecord marker = markers.remove(attempt.id);
+        if (marker == null) {
+            onStored.run();
+        } else {
+            writer.writeOutcome(
+                    new FinishedRun(marker, attempt.operation, status, result),
+                    deadline(attempt),
+                    onStored);
         }
-        store.put(
-                mark.encodeKey(),
-                mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT).encodeMetadata(),
-                NONE,
-                life(mark, operation),
-                false,
-                ack -> {
-                    if (ack != AppendResult.DURABLE) {
-                        later(mark.token(), () -> lost(mark, operation));
-                    }
-                });
     }
 
-    /** The result that is kept under a token, or null. */
-    void readResult(String token, Consumer<byte[]> then) {
-        store.read(
-                token.getBytes(java.nio.charset.StandardCharsets.UTF_8),
-                value -> {
-                    if (value != null && value.length > 0) {
-                        fromDisk.add();
-                    }
-                    then.accept(
-                            value == null || value.length == 0
-                                    ? null
-                                    : Arrays.copyOfRange(value, 1, value.length));
-                });
+    private static Duration deadline(RequestAttempt attempt) {
+        return attempt.arrived.plus(attempt.operation.clientTimeout());
     }
 
-    /** What a former process has left under this token, or null; known until {@link #taken}. */
-    IdempotencyRecord restored(String token) {
-        return token == null ? null : restored.get(token);
+    @Override
+    public void readResult(String token, Consumer<Optional<byte[]>> onRead) {
+        results.read(token, onRead);
     }
 
-    /**
-     * All that a former process has left, by the end of its window; it is in the decisions' table
-     * from here on.
-     */
-    List<IdempotencyRecord> takePreviousRuns() {
-        List<IdempotencyRecord> all = new ArrayList<>(restored.values());
-        restored.clear();
-        return all;
+    @Override
+    public Optional<IdempotencyRecord> findPreviousRun(String token) {
+        return previousRuns.find(token);
     }
 
     @Override
-    public void ask(String token, Consumer<Known> then) {
-        IdempotencyRecord mark = left.get(token);
-        if (mark == null) {
-            then.accept(whole ? Known.NEVER : Known.UNKNOWN);
-        } else if (mark.progress() == IdempotencyRecord.Progress.IN_FLIGHT) {
-            then.accept(Known.UNKNOWN);
-        } else {
-            String body = ReplicationService.body(mark.operation(), mark.bodyDigest());
-            Duration ends = schedule.now().plus(left(mark));
-            if (mark.progress() == IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT) {
-                then.accept(new Known(Kind.ENDED, body, null, ends));
-            } else {
-                readResult(
-                        token,
-                        read ->
-                                then.accept(
-                                        read == null
-                                                ? Known.UNKNOWN
-                                                : new Known(Kind.ENDED, body, read, ends)));
-            }
-        }
+    public List<IdempotencyRecord> takePreviousRuns() {
+        return previousRuns.takeAll();
     }
 
-    /** What becomes of it, where the processor was started so long ago. */
-    DurabilityPolicy.RecoveryDecision classifyPreviousRun(
-            IdempotencyRecord mark, Duration processorAge) {
-        DurabilityPolicy.RecoveryDecision found =
-                DurabilityPolicy.decideRecovery(mark, store.nowMillis() - processorAge.toMillis());
-        // Nobody will ever tell its end: the fleet need not wait for that either.
-        if (found == DurabilityPolicy.RecoveryDecision.REJECT) {
-            left.replace(
-                    mark.token(),
-                    mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
-        }
-        return found;
+    @Override
+    public RecoveryDecision recoveryDecision(IdempotencyRecord previous, Duration processorAge) {
+        return previousRuns.recoveryDecision(previous, processorAge);
     }
 
-    /** From now until the end of its window. */
-    Duration left(IdempotencyRecord mark) {
-        return Duration.ofMillis(mark.windowEndsAtMillis() - store.nowMillis());
+    @Override
+    public Duration remainingWindow(IdempotencyRecord previous) {
+        return previousRuns.remainingWindow(previous);
     }
 
-    /** The end of a run that a former process has begun, heard of here. */
-    void onPreviousRunFinished(
-            IdempotencyRecord mark,
+    @Override
+    public void onPreviousRunFinished(
+            IdempotencyRecord previous,
             Operation operation,
-            RunOutcome.Status end,
+            RunOutcome.Status status,
             byte[] result,
-            Runnable then) {
-        inDoubt--;
-        if (end == RunOutcome.Status.SUCCEEDED) {
-            left.replace(mark.token(), mark.withProgress(IdempotencyRecord.Progress.SUCCEEDED));
-        } else {
-            left.replace(
-                    mark.token(),
-                    mark.withProgress(IdempotencyRecord.Progress.ENDED_WITHOUT_RESULT));
-        }
-        onRunFinished(
-                mark, operation, end, result, schedule.now().plus(operation.clientTimeout()), then);
+            Runnable onStored) {
+        metrics.previousRunSettled();
+        boolean succeeded = status == RunOutcome.Status.SUCCEEDED;
+        previousRuns.settle(
+                previous, succeeded ? Progress.SUCCEEDED : Progress.ENDED_WITHOUT_RESULT);
+        Duration deadline = scheduler.now().plus(operation.clientTimeout());
+        writer.writeOutcome(
+                new FinishedRun(previous, operation, status, result), deadline, onStored);
     }
 
-    void close() {
+    @Override
+    public void close() {
         try {
             store.close();
         } catch (IOException e) {
--- a/src/main/java/ochretiller/node/EventLoop.java
+++ b/src/main/java/ochretiller/node/EventLoop.java
@@ -12,22 +12,27 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The one thread that owns all state: it gathers what is ready, works it off, and lets what came of
- * it go out.
+ * The one thread that owns all state of a server. It takes the work that is ready and the timers
+ * that are due as one batch, runs them one after another, and then has written what came of them.
+ * Time stands still within a batch.
+ *
+ * <p>{@link #post} may be called on any thread, everything else on the thread that calls {@link
+ * #run}.
  */
 public final class EventLoop implements Scheduler {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
-    private static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(1);
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final LinkedBlockingQueue<Runnable> ready = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::number));
-    private final long startedAt = System.nanoTime();
+            new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
+    private final long startedNanos = System.nanoTime();
     private volatile Duration now = Duration.ZERO;
-    private long timerNumbers;
+    private long timerSequence;
     private boolean stopped;
 
-    private record Timer(Duration at, long number, Runnable work) {}
+    /** Timers with the same due time run in the order in which they were set. */
+    private record Timer(Duration dueAt, long sequence, Runnable work) {}
 
     @Override
     public Duration now() {
@@ -36,7 +41,11 @@
 
     @Override
     public Duration exact() {
-        return Duration.ofNanos(System.nanoTime() - startedAt);
+        return Duration.ofNanos(elapsedNanos());
+    }
+
+    private long elapsedNanos() {
+        return System.nanoTime() - startedNanos;
     }
 
     @Override
@@ -45,46 +54,58 @@
     }
 
     @Override
-    public void after(Duration span, Runnable work) {
-        timers.add(new Timer(now.plus(span), ++timerNumbers, work));
+    public void after(Duration delay, Runnable work) {
+        timerSequence++;
+        timers.add(new Timer(now.plus(delay), timerSequence, work));
     }
 
+    /** Has {@link #run} return after the current batch. */
     public void stop() {
         stopped = true;
     }
 
-    /** Works until it is stopped; {@code goOut} is run behind each gathering. */
-    public void run(Runnable goOut) {
-        List<Runnable> gathered = new ArrayList<>();
+    /**
+     * Runs until it is stopped.
+     *
+     * @param afterBatch run after each batch, to write what came of it
+     */
+    public void run(Runnable afterBatch) {
+        List<Runnable> batch = new ArrayList<>();
         while (!stopped) {
-            try {
-                Runnable first = ready.poll(untilTimer(), TimeUnit.NANOSECONDS);
-                if (first != null) {
-                    gathered.add(first);
-                }
-            } catch (InterruptedException e) {
-                LOG.warning("interrupted, and goes on: only the notice to leave ends a server");
+            awaitWork(batch);
+            ready.drainTo(batch);
+            now = Duration.ofNanos(elapsedNanos());
+            while (!timers.isEmpty() && timers.peek().dueAt.compareTo(now) <= 0) {
+                batch.add(timers.poll().work);
             }
-            ready.drainTo(gathered);
-            now = Duration.ofNanos(System.nanoTime() - startedAt);
-            while (!timers.isEmpty() && timers.peek().at.compareTo(now) <= 0) {
-                gathered.add(timers.poll().work);
+            batch.forEach(EventLoop::runGuarded);
+            batch.clear();
+            runGuarded(afterBatch);
+        }
+    }
+
+    private void awaitWork(List<Runnable> batch) {
+        try {
+            Runnable first = ready.poll(nanosUntilNextTimer(), TimeUnit.NANOSECONDS);
+            if (first != null) {
+                batch.add(first);
             }
-            gathered.forEach(EventLoop::guarded);
-            gathered.clear();
-            guarded(goOut);
+        } catch (InterruptedException e) {
+            // Deliberately not kept: only a shutdown notice ends a server, and a kept interrupt
+            // would make the loop spin.
+            LOG.warning("event loop interrupted, continues");
         }
     }
 
-    private long untilTimer() {
+    private long nanosUntilNextTimer() {
         if (timers.isEmpty()) {
-            return LONGEST_WAIT;
+            return MAX_WAIT_NANOS;
         }
-        return Math.max(0, timers.peek().at.toNanos() - (System.nanoTime() - startedAt));
+        return Math.max(0, timers.peek().dueAt.toNanos() - elapsedNanos());
     }
 
-    /** Guards against one fault that would end the server and all that it holds. */
-    private static void guarded(Runnable work) {
+    /** One failed piece of work must not end the server and everything that it holds. */
+    private static void runGuarded(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
--- /dev/null
+++ b/src/main/java/ochretiller/node/FleetRollout.java
@@ -0,0 +1,51 @@
+package ochretiller.node;
+
+import java.time.Duration;
+import ochretiller.fleet.rollout.VersionCounters;
+import ochretiller.fleet.service.RolloutService;
+import ochretiller.frontend.AnswerKind;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.model.Operation;
+import ochretiller.net.Scheduler;
+
+/** A server that acts on the versions of its fleet. Event loop thread only. */
+final class FleetRollout implements RolloutParticipation {
+    private final Scheduler scheduler;
+    private final RolloutService rollouts;
+
+    FleetRollout(Scheduler scheduler, RolloutService rollouts) {
+        this.scheduler = scheduler;
+        this.rollouts = rollouts;
+    }
+
+    @Override
+    public void bindVersion(RequestAttempt attempt) {
+        attempt.bind(rollouts.acting());
+    }
+
+    @Override
+    public boolean mayRun(RequestAttempt attempt) {
+        return !attempt.operation.isKeyed() || rollouts.may();
+    }
+
+    @Override
+    public void recordAnswer(RequestAttempt attempt, AnswerKind kind) {
+        rollouts.count(attempt.version(), counters(attempt, kind));
+    }
+
+    private VersionCounters counters(RequestAttempt attempt, AnswerKind kind) {
+        Operation operation = attempt.operation;
+        boolean succeeded = kind == AnswerKind.SUCCEEDED || kind == AnswerKind.REPLAYED;
+        Duration elapsed = scheduler.now().minus(attempt.arrived);
+        boolean late = succeeded && elapsed.compareTo(operation.latencyObjective()) > 0;
+        double value = operation.billedValue();
+        double earned = late ? value * operation.lateValueShare() : value;
+        return new VersionCounters(
+                1,
+                kind == AnswerKind.THROTTLED ? 1 : 0,
+                kind == AnswerKind.ERRORED ? 1 : 0,
+                late ? 1 : 0,
+                succeeded ? earned : 0,
+                value);
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/node/FleetRunClaims.java
@@ -0,0 +1,139 @@
+package ochretiller.node;
+
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import ochretiller.fleet.replication.ClaimDecision;
+import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.service.ReplicationService;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.model.InvocationId;
+import ochretiller.model.RunOutcome;
+import ochretiller.net.Scheduler;
+
+/** Claims that a majority of the fleet's replicas grants. Event loop thread only. */
+final class FleetRunClaims implements RunClaims {
+    /**
+     * A claim, and the confirmation that an outcome is stored, come at the latest so long before
+     * the client's deadline.
+     */
+    private static final Duration SAFETY_MARGIN = Duration.ofMillis(120);
+
+    private final Scheduler scheduler;
+    private final ClientConnections connections;
+    private final ReplicationService replication;
+
+    /** Claims of runs that were started here and have not ended. */
+    private final Map<InvocationId, ClaimId> granted = new HashMap<>();
+
+    FleetRunClaims(
+            Scheduler scheduler, ClientConnections connections, ReplicationService replication) {
+        this.scheduler = scheduler;
+        this.connections = connections;
+        this.replication = replication;
+    }
+
+    @Override
+    public void claim(RequestAttempt attempt, ClaimListener listener) {
+        replication.claim(
+                attempt.token,
+                fingerprint(attempt),
+                deadline(attempt),
+                windowEnd(attempt),
+                decision -> scheduler.post(() -> onDecision(attempt, decision, listener)));
+    }
+
+    private void onDecision(
+            RequestAttempt attempt, ClaimDecision decision, ClaimListener listener) {
+        if (decision.kind() == ClaimDecision.Kind.RUN) {
+            onGranted(attempt, decision, listener);
+            return;
+        }
+        switch (decision.kind()) {
+            case REPLAY ->
+                    connections.succeed(
+                            attempt,
+                            decision.outcome().result().getBytes(StandardCharsets.ISO_8859_1),
+                            true);
+            case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.OTHER_BODY);
+            case COMPLETED_WITHOUT_RESULT -> connections.fail(attempt, FailureReason.FAILED);
+            case THROTTLED -> {
+                // the admission controller throttles it once it learns that it was not dispatched
+            }
+            default -> connections.fail(attempt, FailureReason.UNKNOWN_END);
+        }
+        listener.onClaimDenied();
+    }
+
+    private void onGranted(RequestAttempt attempt, ClaimDecision decision, ClaimListener listener) {
+        if (decision.claimId() != null) {
+            granted.put(attempt.id, decision.claimId());
+        }
+        // The decision may have come late: a run is not started for a client that has its answer or
+        // waits no longer.
+        if (!attempt.answered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
+            listener.onClaimGranted();
+            return;
+        }
+        release(attempt);
+        listener.onClaimDenied();
+    }
+
+    @Override
+    public void release(RequestAttempt attempt) {
+        ClaimId claim = granted.remove(attempt.id);
+        if (claim != null) {
+            replication.neverRan(claim, windowEnd(attempt));
+        }
+    }
+
+    @Override
+    public void onRunFinished(
+            RequestAttempt attempt,
+            RunOutcome.Status status,
+            byte[] result,
+            Consumer<Boolean> onStored) {
+        boolean executed =
+                status != RunOutcome.Status.NEVER_STARTED
+                        && status != RunOutcome.Status.NOT_DISPATCHED;
+        if (!executed) {
+            release(attempt);
+            onStored.accept(true);
+            return;
+        }
+        ClaimId claim = granted.remove(attempt.id);
+        if (claim == null) {
+            onStored.accept(true);
+            return;
+        }
+        boolean succeeded = status == RunOutcome.Status.SUCCEEDED;
+        replication.ended(
+                claim,
+                fingerprint(attempt),
+                succeeded ? result : null,
+                deadline(attempt),
+                windowEnd(attempt),
+                succeeded ? onStored : stored -> {});
+        if (!succeeded) {
+            onStored.accept(true); // there is no result that could be lost
+        }
+    }
+
+    private static String fingerprint(RequestAttempt attempt) {
+        return ReplicationService.body(
+                attempt.operation.name(), IdempotencyCache.bodyDigest(attempt.body));
+    }
+
+    private static Duration deadline(RequestAttempt attempt) {
+        return attempt.arrived.plus(attempt.operation.clientTimeout()).minus(SAFETY_MARGIN);
+    }
+
+    private static Duration windowEnd(RequestAttempt attempt) {
+        return attempt.arrived.plus(attempt.operation.deduplicationWindow());
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/node/InvocationExecutor.java
@@ -0,0 +1,212 @@
+package ochretiller.node;
+
+import java.time.Duration;
+import java.util.function.Consumer;
+import ochretiller.execution.RunBackend;
+import ochretiller.execution.RunRequest;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.model.RunOutcome;
+import ochretiller.model.RunOutcome.Status;
+
+/**
+ * Takes each admitted invocation from its admission to its answer. A keyed one is first claimed in
+ * the fleet, then marked as in flight on disk; the lease on this server's version is checked last,
+ * and a backend executes it. Its outcome is stored on disk and in the fleet before its client is
+ * answered. {@link RunState} has the order of these steps.
+ *
+ * <p>Event loop thread only.
+ */
+final class InvocationExecutor {
+    private final ServerResources resources;
+    private final OperatorFeatures features;
+    private final AttemptTable attempts;
+    private final IdempotencyCache cache;
+    private final AdmissionClock clock;
+
+    InvocationExecutor(
+            ServerResources resources,
+            OperatorFeatures features,
+            AttemptTable attempts,
+            IdempotencyCache cache,
+            AdmissionClock clock) {
+        this.resources = resources;
+        this.features = features;
+        this.attempts = attempts;
+        this.cache = cache;
+        this.clock = clock;
+    }
+
+    /**
+     * Starts to execute an invocation.
+     *
+     * @param onOutcome receives the outcome once, never before this method has returned
+     */
+    void execute(RequestAttempt attempt, Consumer<RunOutcome> onOutcome) {
+        new Execution(attempt, onOutcome).start();
+    }
+
+    /** Asks the backend to stop a run; its outcome follows. */
+    void cancel(RequestAttempt attempt) {
+        backendOf(attempt).cancelRun(attempt.rid);
+    }
+
+    private RunBackend backendOf(RequestAttempt attempt) {
+        return features.pools().poolOf(attempt.operation).isPresent()
+                ? features.pools().backend()
+                : resources.processor();
+    }
+
+    /** The execution of one invocation. */
+    private final class Execution implements ClaimListener, MarkerListener, RunBackend.RunListener {
+        /** The store on disk and the fleet. */
+        private static final int OUTCOME_STORES = 2;
+
+        private final RequestAttempt attempt;
+        private final Consumer<RunOutcome> onOutcome;
+        private RunState state = RunState.ADMITTED;
+        private int pendingStores = OUTCOME_STORES;
+        private boolean outcomeReported;
+
+        Execution(RequestAttempt attempt, Consumer<RunOutcome> onOutcome) {
+            this.attempt = attempt;
+            this.onOutcome = onOutcome;
+        }
+
+        private void enter(RunState next) {
+            if (!next.canFollow(state)) {
+                throw new IllegalStateException(
+                        "run " + attempt.rid + " cannot go from " + state + " to " + next);
+            }
+            state = next;
+        }
+
+        void start() {
+            attempt.runs(true);
+            features.pools().reserveSlot(attempt.operation);
+            if (!features.rollout().mayRun(attempt)) {
+                resources
+                        .scheduler()
+                        .post(this::abandon); // the admission controller is still at work on
+                // the start
+            } else if (attempt.operation.isKeyed()) {
+                enter(RunState.CLAIMING);
+                features.claims().claim(attempt, this);
+            } else {
+                writeMarker();
+            }
+        }
+
+        @Override
+        public void onClaimGranted() {
+            writeMarker();
+        }
+
+        @Override
+        public void onClaimDenied() {
+            abandon();
+        }
+
+        private void writeMarker() {
+            enter(RunState.WRITING_MARKER);
+            features.idempotencyStore().writeMarker(attempt, this);
+        }
+
+        @Override
+        public void onMarkerDurable() {
+            // Checked last: the server may have slept since it was admitted, and lost its lease or
+            // changed its version.
+            if (features.rollout().mayRun(attempt)) {
+                dispatch();
+                return;
+            }
+            features.idempotencyStore()
+                    .onRunFinished(attempt, Status.NOT_DISPATCHED, null, () -> {});
+            abandonClaimed();
+        }
+
+        @Override
+        public void onMarkerFailed() {
+            abandonClaimed();
+        }
+
+        private void abandonClaimed() {
+            features.claims().release(attempt);
+            abandon();
+        }
+
+        private void abandon() {
+            enter(RunState.NOT_DISPATCHED);
+            features.pools().cancelReservation(attempt.operation);
+            attempt.runs(false);
+            onOutcome.accept(new RunOutcome(Status.NOT_DISPATCHED, Duration.ZERO));
+            attempts.forgetIfDone(attempt);
+        }
+
+        private void dispatch() {
+            enter(RunState.EXECUTING);
+            features.audit().recordRunStarted(attempt);
+            RunRequest request =
+                    new RunRequest(
+                            attempt.rid,
+                            attempt.operation.name(),
+                            attempt.body,
+                            attempt.operation.isIdempotent(),
+                            attempt.token,
+                            attempt.arrived.plus(attempt.operation.clientTimeout()));
+            backendOf(attempt).startRun(request, this);
+        }
+
+        @Override
+        public void onRunFinished(Status status, Duration elapsed, byte[] result) {
+            enter(RunState.STORING_OUTCOME);
+            resources.records().abandon(attempt.rid);
+            // Both stores hear of it in the same moment; the answer waits for both.
+            features.idempotencyStore()
+                    .onRunFinished(attempt, status, result, () -> onOutcomeStored(status, result));
+            features.claims()
+                    .onRunFinished(
+                            attempt,
+                            status,
+                            result,
+                            stored -> {
+                                if (!stored) {
+                                    // A result that a retry at another server might not find is not
+                                    // reported as a success.
+                                    resources
+                                            .connections()
+                                            .fail(attempt, FailureReason.UNKNOWN_END);
+                                }
+                                onOutcomeStored(status, result);
+                            });
+            // Reported although the answer may still wait: the backend has capacity again.
+            onOutcome.accept(new RunOutcome(status, elapsed));
+            outcomeReported = true;
+            attempts.forgetIfDone(attempt);
+        }
+
+        private void onOutcomeStored(Status status, byte[] result) {
+            pendingStores--;
+            if (pendingStores == 0) {
+                answer(status, result);
+            }
+        }
+
+        private void answer(Status status, byte[] result) {
+            enter(RunState.ANSWERED);
+            attempt.runs(false);
+            if (status == Status.SUCCEEDED) {
+                cache.complete(attempt.id, attempt.operation.isKeyed(), result, clock.now());
+                resources.connections().succeed(attempt, result);
+            } else if (status != Status.NOT_DISPATCHED) {
+                // Also where it was stopped although nobody asked: a client that sent a request is
+                // never left unanswered.
+                resources.connections().fail(attempt, FailureReason.FAILED);
+            }
+            if (outcomeReported) {
+                attempts.forgetIfDone(attempt);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/node/JoinedFleet.java
@@ -0,0 +1,32 @@
+package ochretiller.node;
+
+import ochretiller.fleet.service.FleetService;
+
+/** Membership in a fleet. */
+final class JoinedFleet implements FleetMembership {
+    private final FleetService service;
+
+    JoinedFleet(FleetService service) {
+        this.service = service;
+    }
+
+    @Override
+    public void start() {
+        service.start();
+    }
+
+    @Override
+    public void reload() {
+        service.reload();
+    }
+
+    @Override
+    public void leave() {
+        service.leave();
+    }
+
+    @Override
+    public void close() {
+        service.close();
+    }
+}
--- a/src/main/java/ochretiller/node/LoggingSetup.java
+++ b/src/main/java/ochretiller/node/LoggingSetup.java
@@ -12,24 +12,24 @@
 import java.util.logging.Logger;
 
 /**
- * Logging that goes on through the drain: the standard manager closes all handlers as soon as
- * SIGTERM comes.
+ * Sets up logging so that it works through the shutdown: the JDK's manager closes all handlers as
+ * soon as SIGTERM comes.
  */
 public final class LoggingSetup {
+    private static final String TEXT_FORMAT = "%1$tFT%1$tT.%1$tLZ %4$s %5$s%6$s%n";
+    private static final int USUAL_LINE_CHARS = 200;
+
     private LoggingSetup() {}
 
-    /**
-     * To be called before anything is logged; this class must not itself be a manager, or it would
-     * come too late.
-     */
+    /** Sets the log manager and the text format. To be called before anything is logged. */
     public static void install() {
+        // This class must not be the manager itself: it would be initialized too late.
         System.setProperty("java.util.logging.manager", NonResettingLogManager.class.getName());
-        System.setProperty(
-                "java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tLZ %4$s %5$s%6$s%n");
+        System.setProperty("java.util.logging.SimpleFormatter.format", TEXT_FORMAT);
     }
 
     /**
-     * From here on each line is one JSON object: {@code at}, {@code level}, {@code part}, {@code
+     * Has each line written as a JSON object with {@code at}, {@code level}, {@code part}, {@code
      * message}, {@code trace}.
      */
     public static void useJsonFormat() {
@@ -38,11 +38,14 @@
         }
     }
 
-    /** Found by its name. */
+    /**
+     * A log manager that keeps its handlers until the process ends. The JDK instantiates it by
+     * name.
+     */
     public static final class NonResettingLogManager extends LogManager {
         @Override
         public void reset() {
-            // Nothing is taken down: the process ends by itself once the drain is over.
+            // handlers stay open; the process ends by itself after the shutdown
         }
     }
 
@@ -51,24 +54,32 @@
 
         @Override
         public String format(LogRecord entry) {
-            StringWriter out = new StringWriter(200);
+            StringWriter out = new StringWriter(USUAL_LINE_CHARS);
             try (JsonGenerator line = json.createGenerator(out)) {
                 line.writeStartObject();
                 line.writeStringField("at", entry.getInstant().toString());
                 line.writeStringField("level", entry.getLevel().getName());
-                String name = entry.getLoggerName() == null ? "" : entry.getLoggerName();
-                line.writeStringField("part", name.substring(name.lastIndexOf('.') + 1));
+                line.writeStringField("part", part(entry));
                 line.writeStringField("message", formatMessage(entry));
                 if (entry.getThrown() != null) {
-                    StringWriter trace = new StringWriter();
-                    entry.getThrown().printStackTrace(new PrintWriter(trace));
-                    line.writeStringField("trace", trace.toString());
+                    line.writeStringField("trace", stackTrace(entry.getThrown()));
                 }
                 line.writeEndObject();
             } catch (IOException e) {
-                throw new IllegalStateException(e); // a writer in memory does not fail
+                throw new IllegalStateException("a writer in memory does not fail", e);
             }
             return out.append('\n').toString();
         }
+
+        private static String part(LogRecord entry) {
+            String name = entry.getLoggerName() == null ? "" : entry.getLoggerName();
+            return name.substring(name.lastIndexOf('.') + 1);
+        }
+
+        private static String stackTrace(Throwable thrown) {
+            StringWriter trace = new StringWriter();
+            thrown.printStackTrace(new PrintWriter(trace));
+            return trace.toString();
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/node/NoRollout.java
@@ -0,0 +1,22 @@
+package ochretiller.node;
+
+import ochretiller.frontend.AnswerKind;
+import ochretiller.frontend.RequestAttempt;
+
+/** A server that acts on its own files alone: it has no versions and needs no lease. Stateless. */
+class NoRollout implements RolloutParticipation {
+    @Override
+    public void bindVersion(RequestAttempt attempt) {
+        // there are no versions
+    }
+
+    @Override
+    public boolean mayRun(RequestAttempt attempt) {
+        return true;
+    }
+
+    @Override
+    public void recordAnswer(RequestAttempt attempt, AnswerKind kind) {
+        // there are no versions
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/node/OperatorConfigResolver.java
@@ -0,0 +1,130 @@
+package ochretiller.node;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.logging.Logger;
+import ochretiller.fleet.service.FleetSettings;
+import ochretiller.fleet.service.ReplicationSettings;
+import ochretiller.model.Operation;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.paths.PathPattern;
+import ochretiller.settings.MalformedException;
+import ochretiller.uwsgi.Route;
+import ochretiller.workers.WorkerPoolConfig;
+
+/**
+ * Resolves the operations and servers that an operators' file names against the configuration, and
+ * checks its bounds. Any thread.
+ */
+public final class OperatorConfigResolver {
+    private static final Logger LOG = Logger.getLogger(OperatorConfigResolver.class.getName());
+
+    /**
+     * Connections to workers may take this part of the file descriptors; those of clients may take
+     * half of them.
+     */
+    private static final int POOL_DESCRIPTORS_PART = 3;
+
+    private OperatorConfigResolver() {}
+
+    /**
+     * Resolves everything without keeping it.
+     *
+     * @throws MalformedException if something does not fit the configuration
+     */
+    public static void check(OperatorConfig operator, ServerConfiguration configuration) {
+        uwsgiRoutes(operator, configuration);
+        workerPoolConfigs(operator, configuration);
+        operator.fleet().ifPresent(fleet -> checkFleet(fleet, configuration));
+    }
+
+    /**
+     * Checks the settings of replication against the server's name and operations.
+     *
+     * @throws MalformedException if they do not fit
+     */
+    static void checkFleet(FleetSettings fleet, ServerConfiguration configuration) {
+        ReplicationSettings replication = fleet.copies();
+        if (replication == null) {
+            return;
+        }
+        if (replication.voters().contains(configuration.name())
+                && replication.voterFile() == null) {
+            throw new MalformedException(
+                    "fleet: " + configuration.name() + " is a voter and needs voter_file");
+        }
+        for (String operation : replication.modes().byOperation().keySet()) {
+            if (!configuration.operations().containsKey(operation)) {
+                throw new MalformedException("fleet: modes: no operation " + operation);
+            }
+        }
+    }
+
+    /**
+     * Resolves the routes of the uwsgi frontend; overlapping ones are logged.
+     *
+     * @throws MalformedException if a route names no operation or can never match
+     */
+    static List<Route> uwsgiRoutes(OperatorConfig operator, ServerConfiguration configuration) {
+        if (operator.uwsgi().isEmpty()) {
+            return List.of();
+        }
+        Map<String, Operation> operations = configuration.operations();
+        List<Route> routes = new ArrayList<>();
+        for (OperatorConfig.Route route : operator.uwsgi().get().routes()) {
+            Operation operation = operations.get(route.operation());
+            if (operation == null) {
+                throw new MalformedException(
+                        "route " + route.path() + ": no operation " + route.operation());
+            }
+            routes.add(
+                    new Route(route.method(), PathPattern.of(route.path()), operation, route.kb()));
+        }
+        Route.check(routes).forEach(LOG::warning);
+        return routes;
+    }
+
+    /**
+     * Resolves the worker pools.
+     *
+     * @throws MalformedException if a pool names no operation, or the pools may open too many
+     *     connections
+     */
+    static List<WorkerPoolConfig> workerPoolConfigs(
+            OperatorConfig operator, ServerConfiguration configuration) {
+        Map<String, Operation> operations = configuration.operations();
+        List<WorkerPoolConfig> configs = new ArrayList<>();
+        long connections = 0;
+        for (OperatorConfig.Workers pool : operator.pools()) {
+            WorkerPoolConfig config = workerPoolConfig(pool, operations);
+            connections += config.connections();
+            configs.add(config);
+        }
+        if (connections > configuration.maxDescriptors() / POOL_DESCRIPTORS_PART) {
+            throw new MalformedException(
+                    "the pools may open "
+                            + connections
+                            + " connections, over 1/"
+                            + POOL_DESCRIPTORS_PART
+                            + " of the "
+                            + configuration.maxDescriptors()
+                            + " descriptors: lower most_in_flight");
+        }
+        return configs;
+    }
+
+    private static WorkerPoolConfig workerPoolConfig(
+            OperatorConfig.Workers pool, Map<String, Operation> operations) {
+        List<WorkerPoolConfig.Target> targets = new ArrayList<>();
+        for (OperatorConfig.Run run : pool.runs()) {
+            if (!operations.containsKey(run.operation())) {
+                throw new MalformedException(
+                        "pool " + pool.name() + ": no operation " + run.operation());
+            }
+            targets.add(new WorkerPoolConfig.Target(run.operation(), run.method(), run.path()));
+        }
+        return new WorkerPoolConfig(
+                pool.name(), pool.settings(), pool.late(), pool.addresses(), List.copyOf(targets));
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/node/PoolVersionApplier.java
@@ -0,0 +1,94 @@
+package ochretiller.node;
+
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import ochretiller.audit.HashChain;
+import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.service.RolloutService;
+import ochretiller.operator.OperatorConfig;
+import ochretiller.operator.OperatorConfigReader;
+import ochretiller.settings.MalformedException;
+import ochretiller.workers.WorkerPoolConfig;
+
+/**
+ * Applies the versions that a fleet rolls out. A version is an operators' file with worker pools;
+ * without one the server acts on its own file. {@link #check} may be called on any thread, the rest
+ * on the event loop thread.
+ */
+final class PoolVersionApplier implements RolloutService.Acts {
+    private final NodeSettings settings;
+    private final Consumer<List<WorkerPoolConfig>> pools;
+    private final AuditTrail audit;
+
+    /**
+     * Creates an applier.
+     *
+     * @param pools adopts pools; called on the event loop thread
+     */
+    PoolVersionApplier(
+            NodeSettings settings, Consumer<List<WorkerPoolConfig>> pools, AuditTrail audit) {
+        this.settings = settings;
+        this.pools = pools;
+        this.audit = audit;
+    }
+
+    private List<WorkerPoolConfig> resolve(byte[] version) {
+        List<WorkerPoolConfig> configs =
+                OperatorConfigResolver.workerPoolConfigs(
+                        operatorConfig(version), settings.configuration());
+        Set<String> present =
+                settings.operator().pools().stream()
+                        .map(OperatorConfig.Workers::name)
+                        .collect(Collectors.toSet());
+        Set<String> wanted =
+                configs.stream().map(WorkerPoolConfig::name).collect(Collectors.toSet());
+        if (!present.equals(wanted)) {
+            throw new MalformedException(
+                    "it has the pools " + wanted + ", and this server was started with " + present);
+        }
+        return configs;
+    }
+
+    private OperatorConfig operatorConfig(byte[] version) {
+        if (version == null) {
+            return settings.operatorReload().get();
+        }
+        String text = new String(version, StandardCharsets.UTF_8);
+        return settings.operator().with(OperatorConfigReader.version(text, "the version"));
+    }
+
+    @Override
+    public String check(byte[] version) {
+        try {
+            resolve(version);
+            return null;
+        } catch (MalformedException e) {
+            return e.getMessage();
+        }
+    }
+
+    @Override
+    public String become(byte[] version) {
+        List<WorkerPoolConfig> configs;
+        try {
+            configs = resolve(version);
+        } catch (MalformedException e) {
+            return e.getMessage();
+        }
+        pools.accept(configs);
+        return null;
+    }
+
+    @Override
+    public void told(RolloutService.What what, RolloutState.PublishedVersion version, String text) {
+        audit.recordRolloutEvent(what, version.number(), version.hash(), text);
+    }
+
+    @Override
+    public HashChain.ChainHead audited() {
+        return audit.chainHead();
+    }
+}
--- a/src/main/java/ochretiller/node/ProcessLifecycle.java
+++ b/src/main/java/ochretiller/node/ProcessLifecycle.java
@@ -1,74 +1,75 @@
 package ochretiller.node;
 
+import java.util.Optional;
 import java.util.logging.Logger;
 
 /**
- * What signals do at each stage of a process: before there is a server, while it serves, behind its
- * end. It is installed before anything is read, so that no stage is left to the JVM's own ways,
- * which end a process at once.
+ * Decides what SIGHUP and SIGTERM do before a server is ready, while it serves, and after its end.
+ * It is installed before anything is read, since a JVM without handlers ends at once. All methods
+ * may be called on any thread.
  */
 public final class ProcessLifecycle {
     private static final Logger LOG = Logger.getLogger(ProcessLifecycle.class.getName());
 
-    /** Null until it is about to listen. */
-    private ServerNode node;
-
+    private Optional<ServerNode> server = Optional.empty();
     private boolean startFailed;
-    private boolean reloads;
+    private boolean reloadRequested;
+
+    private ProcessLifecycle() {}
 
-    /** Takes SIGHUP and SIGTERM from here on. */
+    /** Handles the signals from here on. */
     public static ProcessLifecycle install() {
-        ProcessLifecycle mine = new ProcessLifecycle();
-        ReloadSignal.onHangup(mine::reload);
-        Runtime.getRuntime().addShutdownHook(new Thread(mine::shutDown, "leave"));
-        return mine;
+        ProcessLifecycle lifecycle = new ProcessLifecycle();
+        ReloadSignal.onHangup(lifecycle::reload);
+        Runtime.getRuntime().addShutdownHook(new Thread(lifecycle::shutDown, "leave"));
+        return lifecycle;
     }
 
-    /** The server is ready to listen: from here on the signals are its own. */
+    /** The server is ready to listen: from here on the signals are passed on to it. */
     public synchronized void serverReady(ServerNode ready) {
-        node = ready;
-        if (reloads) {
-            node.reload(); // its configuration may have been read before the signal
+        server = Optional.of(ready);
+        if (reloadRequested) {
+            ready.reload(); // its configuration may have been read before the signal came
         }
     }
 
-    /** It could not be started: the exit code of that stays. */
+    /**
+     * The server could not be started: the process ends with the exit code that the start returns.
+     */
     public synchronized void startFailed() {
         startFailed = true;
     }
 
     private void reload() {
-        ServerNode now;
+        Optional<ServerNode> current;
         synchronized (this) {
-            now = node;
-            reloads = true;
-        }
-        if (now != null) {
-            now.reload();
+            current = server;
+            reloadRequested = true;
         }
+        current.ifPresent(ServerNode::reload);
     }
 
-    /** The JVM ends, for a signal or since its work is over. */
+    /** Runs as a shutdown hook: after a signal, or because the server's work is over. */
     private void shutDown() {
-        ServerNode now;
+        ServerNode current;
         synchronized (this) {
             if (startFailed) {
                 return;
             }
-            // Guards against a start that goes on while it is told to leave: nothing was read, and
-            // nothing is listened for.
-            if (node == null) {
+            if (server.isEmpty()) {
+                // Nothing was read yet, and a start that goes on meanwhile must not listen any
+                // more.
                 Runtime.getRuntime().halt(0);
             }
-            now = node;
+            current = server.get();
         }
         try {
-            now.drain();
+            current.drain();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            LOG.warning("interrupted in its drain");
+            LOG.warning("interrupted while the server was shutting down");
         }
-        // The exit code of a drain is 0; without the halt it would be the signal's.
+        // The exit code after a shutdown is 0; without the halt it would be that of the signal.
         Runtime.getRuntime().halt(0);
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/node/ResultReplayer.java
@@ -0,0 +1,74 @@
+package ochretiller.node;
+
+import java.time.Duration;
+import java.util.Optional;
+import java.util.function.Consumer;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.model.InvocationId;
+import ochretiller.model.RunOutcome;
+
+/**
+ * Answers retries with the results of their original attempts, from memory or from the store. Event
+ * loop thread only.
+ */
+final class ResultReplayer {
+    private final ServerResources resources;
+    private final IdempotencyStore store;
+    private final AttemptTable attempts;
+    private final IdempotencyCache cache;
+
+    ResultReplayer(
+            ServerResources resources,
+            IdempotencyStore store,
+            AttemptTable attempts,
+            IdempotencyCache cache) {
+        this.resources = resources;
+        this.store = store;
+        this.attempts = attempts;
+        this.cache = cache;
+    }
+
+    /**
+     * Answers a retry once the result of its original attempt is known.
+     *
+     * @param onOutcome receives the outcome once, never before this method has returned
+     */
+    void replay(RequestAttempt retry, Consumer<RunOutcome> onOutcome) {
+        // A keyed original that never ran has left its key to another attempt.
+        InvocationId original =
+                retry.token == null
+                        ? attempts.originalOf(retry).orElse(null)
+                        : cache.findByToken(retry.token);
+        InvocationId matching =
+                cache.conflictsWith(original, retry.operation, retry.body) ? null : original;
+        cache.whenCompleted(
+                matching,
+                result -> {
+                    if (result == null && matching != null && retry.token != null) {
+                        // It had no room in memory, or a previous process has run it.
+                        store.readResult(retry.token, stored -> answer(retry, stored, onOutcome));
+                    } else {
+                        // Posted since the admission controller is still at work on the arrival of
+                        // the retry.
+                        resources
+                                .scheduler()
+                                .post(() -> answer(retry, Optional.ofNullable(result), onOutcome));
+                    }
+                });
+    }
+
+    private void answer(
+            RequestAttempt retry, Optional<byte[]> result, Consumer<RunOutcome> onOutcome) {
+        if (result.isPresent()) {
+            resources.connections().succeed(retry, result.get(), true);
+        } else {
+            resources.connections().fail(retry, FailureReason.NO_RESULT);
+        }
+        RunOutcome.Status status =
+                result.isPresent() ? RunOutcome.Status.SUCCEEDED : RunOutcome.Status.FAILED;
+        onOutcome.accept(new RunOutcome(status, Duration.ZERO));
+        attempts.forgetIfDone(retry);
+    }
+}
--- a/src/main/java/ochretiller/node/ServerConfiguration.java
+++ b/src/main/java/ochretiller/node/ServerConfiguration.java
@@ -18,12 +18,18 @@
 import ochretiller.text.Slice;
 
 /**
- * What a server is told at its start, checked before it listens.
+ * The platform's configuration of a server, checked before the server listens.
  *
+ * @param name the server's name
  * @param listenAddress where gateways connect
- * @param recordsAddress where calls go; null where no operation calls
- * @param shutdownTimeout how long after the notice to leave the process is killed
- * @param maxDescriptors descriptors that may be held
+ * @param processorAddress where the processor listens
+ * @param recordsAddress where the records service listens; null where no operation makes calls
+ * @param registryAddress where the registry is told of this server
+ * @param seed seed of the server's random numbers
+ * @param shutdownTimeout time from the shutdown notice until the process is killed
+ * @param memoryLimitMb memory that the process may use, in megabytes
+ * @param maxDescriptors file descriptors that the process may hold
+ * @param settings the settings of the admission controller
  */
 public record ServerConfiguration(
         String name,
@@ -36,8 +42,7 @@
         int memoryLimitMb,
         int maxDescriptors,
         SettingLookup settings) {
-    /** Settings that no server can do without. */
-    private static final List<String> NEEDED =
+    private static final List<String> REQUIRED_SETTINGS =
             List.of(
                     "classes.0.name",
                     "familyInfo.cpus",
@@ -45,13 +50,18 @@
                     "familyInfo.meters",
                     "familyInfo.idleNs",
                     "guarantees.stopSendingWithinNs");
+    private static final int MIN_DESCRIPTORS = 64;
+    private static final int MIN_MEMORY_MB = 32;
+    private static final int HEX_RADIX = 16;
 
-    private static final int FEWEST_SOCKETS = 64;
-    private static final int LEAST_MB = 32;
+    /** Addresses are digits and dots, so that no name is ever resolved. */
+    private static final String IPV4 = "\\d{1,3}(\\.\\d{1,3}){3}";
 
     /**
-     * Reads and checks the file; what is wrong is told by a {@link MalformedException} that names
-     * it.
+     * Reads and checks a configuration.
+     *
+     * @throws MalformedException if it cannot be read or a value is missing or wrong; the message
+     *     names the value
      */
     public static ServerConfiguration read(Path file) {
         Object value;
@@ -73,7 +83,7 @@
         return new Slice(bytes, 0, bytes.length);
     }
 
-    @SuppressWarnings("unchecked")
+    @SuppressWarnings("unchecked") // the parser's objects have string keys
     private static Map<String, Object> asObject(Object value) {
         return (Map<String, Object>) value;
     }
@@ -84,8 +94,8 @@
             throw new MalformedException("no value for settings");
         }
         SettingLookup settings = new JsonSettings(asObject(object.get("settings")));
-        NEEDED.forEach(settings::text);
-        ServerConfiguration read =
+        REQUIRED_SETTINGS.forEach(settings::text);
+        ServerConfiguration configuration =
                 new ServerConfiguration(
                         top.text("name"),
                         address(top, "listen"),
@@ -94,55 +104,62 @@
                         address(top, "roster"),
                         seed(top.text("seed")),
                         Duration.ofMillis(atLeast(top, "stop_ms", 1)),
-                        (int) atLeast(top, "limits.memory_mb", LEAST_MB),
-                        (int) atLeast(top, "limits.sockets", FEWEST_SOCKETS),
+                        (int) atLeast(top, "limits.memory_mb", MIN_MEMORY_MB),
+                        (int) atLeast(top, "limits.sockets", MIN_DESCRIPTORS),
                         settings);
+        configuration.checkSettings(top);
+        return configuration;
+    }
+
+    private void checkSettings(SettingLookup top) {
         for (int i = 0; i < settings.wholeNumber("classes.count"); i++) {
             atLeast(settings, "classes." + i + ".giveUpNs", 1);
         }
-        Settings.admissionController(
-                settings,
-                new SplittableRandom(read.seed),
-                false); // a wrong setting is told by its name
-        // A site where nothing calls below has no such service; elsewhere it cannot be done
-        // without.
-        boolean calls =
-                read.operations().values().stream()
-                        .anyMatch(Operation::makesCalls); // a wrong one is told in any case
-        if (read.recordsAddress == null && calls) {
-            top.text("records");
+        // Decoding the settings reports each that is wrong, by its name.
+        Settings.admissionController(settings, new SplittableRandom(seed), false);
+        boolean makesCalls = false;
+        for (Operation operation : operations().values()) {
+            makesCalls |= operation.makesCalls();
+        }
+        if (makesCalls && recordsAddress == null) {
+            top.text("records"); // reports that it is missing
         }
-        return read;
     }
 
-    /** Guards against a JVM that was sized by something else; null where it was sized by nobody. */
-    public void checkJvmSize(Integer sizedMb) {
-        if (sizedMb == null || sizedMb == memoryLimitMb) {
-            return;
+    /**
+     * Checks that the JVM was sized for this configuration.
+     *
+     * @param sizedForMb memory that the start script has sized the JVM for, or null where it has
+     *     not
+     * @throws MalformedException if it differs
+     */
+    public void checkJvmSize(Integer sizedForMb) {
+        if (sizedForMb != null && sizedForMb != memoryLimitMb) {
+            throw new MalformedException(
+                    "limits.memory_mb is "
+                            + memoryLimitMb
+                            + ", and the JVM was sized for "
+                            + sizedForMb
+                            + ": write it as plain digits on the line of its name");
         }
-        throw new MalformedException(
-                "limits.memory_mb is "
-                        + memoryLimitMb
-                        + ", and the JVM was sized for "
-                        + sizedMb
-                        + ": write it as plain digits on the line of its name");
     }
 
+    /** Returns the operations by name, in the order of the configuration. */
     Map<String, Operation> operations() {
         return Settings.operations(settings);
     }
 
-    private static long atLeast(SettingLookup lookup, String name, long least) {
+    private static long atLeast(SettingLookup lookup, String name, long min) {
         long value = lookup.wholeNumber(name);
-        if (value < least) {
-            throw new MalformedException(name + " is under " + least + ": " + value);
+        if (value < min) {
+            throw new MalformedException(name + " is under " + min + ": " + value);
         }
         return value;
     }
 
     private static long seed(String text) {
         try {
-            return Long.parseUnsignedLong(text, 16);
+            return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
             throw new MalformedException("seed is no number of 16 hex digits: '" + text + "'");
         }
@@ -151,17 +168,20 @@
     private static InetSocketAddress address(SettingLookup lookup, String name) {
         String text = lookup.text(name);
         int colon = text.lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            // Digits and dots only: no name is ever looked up.
-            if (colon > 0
-                    && text.substring(0, colon).matches("\\d{1,3}(\\.\\d{1,3}){3}")
-                    && port > 0) {
-                return new InetSocketAddress(text.substring(0, colon), port);
+        if (colon > 0 && text.substring(0, colon).matches(IPV4)) {
+            try {
+                int port = Integer.parseInt(text.substring(colon + 1));
+                if (port > 0) {
+                    return new InetSocketAddress(text.substring(0, colon), port);
+                }
+            } catch (IllegalArgumentException e) {
+                throw malformedAddress(name, text);
             }
-        } catch (IllegalArgumentException e) {
-            // told below
         }
-        throw new MalformedException(name + " is no address: '" + text + "'");
+        throw malformedAddress(name, text);
+    }
+
+    private static MalformedException malformedAddress(String name, String text) {
+        return new MalformedException(name + " is no address: '" + text + "'");
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/node/StartupRequestHandler.java
@@ -0,0 +1,105 @@
+package ochretiller.node;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import ochretiller.frontend.ClientConnections;
+import ochretiller.frontend.FailureReason;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.net.Scheduler;
+
+/**
+ * Handles requests before the processor is available. A retry of what a previous process has run is
+ * answered from the store, or waits for the processor; everything else is rejected, since nothing
+ * can run yet. Event loop thread only.
+ */
+final class StartupRequestHandler implements RequestHandler {
+    /** A retry that waits for the processor is answered so long before its deadline. */
+    private static final Duration SAFETY_MARGIN = Duration.ofMillis(120);
+
+    private final Scheduler scheduler;
+    private final ClientConnections connections;
+    private final IdempotencyStore store;
+    private final List<RequestAttempt> waiting = new ArrayList<>();
+
+    StartupRequestHandler(
+            Scheduler scheduler, ClientConnections connections, IdempotencyStore store) {
+        this.scheduler = scheduler;
+        this.connections = connections;
+        this.store = store;
+    }
+
+    @Override
+    public void onRequestRead(RequestAttempt attempt) {
+        Optional<IdempotencyRecord> previous = store.findPreviousRun(attempt.token);
+        if (previous.isPresent()) {
+            onRetryRead(attempt, previous.get());
+        } else {
+            connections.throttle(attempt, Duration.ZERO, false);
+        }
+    }
+
+    private void onRetryRead(RequestAttempt retry, IdempotencyRecord previous) {
+        boolean sameRequest =
+                previous.operation().equals(retry.operation.name())
+                        && previous.hasBodyDigest(IdempotencyCache.bodyDigest(retry.body));
+        if (!sameRequest) {
+            fail(retry, FailureReason.OTHER_BODY);
+            return;
+        }
+        switch (previous.progress()) {
+            case ENDED_WITHOUT_RESULT -> fail(retry, FailureReason.FAILED);
+            case SUCCEEDED -> store.readResult(retry.token, result -> answer(retry, result));
+            case IN_FLIGHT -> awaitProcessor(retry);
+            default -> throw new IllegalStateException("unknown progress " + previous.progress());
+        }
+    }
+
+    private void answer(RequestAttempt retry, Optional<byte[]> result) {
+        if (result.isPresent()) {
+            connections.succeed(retry, result.get(), true);
+            connections.forget(retry);
+        } else {
+            fail(retry, FailureReason.NO_RESULT);
+        }
+    }
+
+    private void awaitProcessor(RequestAttempt retry) {
+        waiting.add(retry);
+        Duration deadline =
+                retry.arrived.plus(retry.operation.clientTimeout()).minus(SAFETY_MARGIN);
+        Duration wait = deadline.minus(scheduler.now());
+        scheduler.after(
+                wait.isNegative() ? Duration.ZERO : wait,
+                () -> {
+                    if (waiting.remove(retry)) {
+                        fail(retry, FailureReason.UNKNOWN_END);
+                    }
+                });
+    }
+
+    private void fail(RequestAttempt retry, FailureReason reason) {
+        connections.fail(retry, reason);
+        connections.forget(retry);
+    }
+
+    /** Hands over the retries that wait for the processor. */
+    List<RequestAttempt> takeWaiting() {
+        List<RequestAttempt> taken = List.copyOf(waiting);
+        waiting.clear();
+        return taken;
+    }
+
+    @Override
+    public void onClientGone(RequestAttempt attempt) {
+        // a retry that waits is dropped with its deadline
+    }
+
+    @Override
+    public void onShutdownNotice(Duration killAfter) {
+        // nothing runs
+    }
+}
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -19,75 +19,94 @@
 import ochretiller.text.Slice;
 
 /**
- * Invocations that nobody sent, through decisions that are thrown away: guards against a fresh
- * server whose first seconds go into linking and compiling what it then needs at once. It is done
- * before the server listens.
+ * Sends simulated invocations through an admission controller that is discarded afterwards, so that
+ * a new server does not spend its first seconds on linking and compiling the code that every
+ * request needs. Done before the server listens.
  */
 final class WarmUp implements ServerActions {
-    private static final Duration RUN = Duration.ofMillis(20);
-    private static final String MESSAGE =
-            "{\"jsonrpc\":\"2.0\",\"id\":7,\"method\":\"any\",\"params\":{\"rid\":\"9b1f03aa5c7e2d41\",\"t0\":1764576000123,\"peer\":4,\"mem\":24.5,\"prio\":0.6250,\"data\":\"Z29vZA==\"}}\n";
+    private static final Duration RUN_TIME = Duration.ofMillis(20);
+    private static final Duration CALL_TIME = RUN_TIME.dividedBy(4);
+    private static final Duration ARRIVAL_INTERVAL = RUN_TIME.dividedBy(5);
+    private static final Duration TIME_TO_FINISH = Duration.ofSeconds(1);
+    private static final int CLIENTS = 4;
+    private static final ResourceGauges GAUGES = new ResourceGauges(0.5, 1, 0.1, 1);
+    private static final String REQUEST =
+            "{\"jsonrpc\":\"2.0\",\"id\":7,\"method\":\"any\",\"params\":{"
+                    + "\"rid\":\"9b1f03aa5c7e2d41\",\"t0\":1764576000123,\"peer\":4,"
+                    + "\"mem\":24.5,\"prio\":0.6250,\"data\":\"Z29vZA==\"}}\n";
     private static final String NOTICE = "complete 7 9b1f03aa5c7e2d41 complete 12.5 4\r\ngood\r\n";
+    private static final int NOTICE_LENGTH_WORD = 5;
 
-    private final AdmissionController choice;
-    private final Frames messages = new Frames(MESSAGE.length(), false, line -> Frames.NONE);
+    private final AdmissionController admission;
+    private final Frames requests = new Frames(REQUEST.length(), false, line -> Frames.NONE);
     private final Frames notices =
-            new Frames(NOTICE.length(), true, line -> Integer.parseInt(line.words().get(5)));
-    private final PriorityQueue<Later> later = new PriorityQueue<>((a, b) -> a.at.compareTo(b.at));
+            new Frames(
+                    NOTICE.length(),
+                    true,
+                    line -> Integer.parseInt(line.words().get(NOTICE_LENGTH_WORD)));
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>((a, b) -> a.dueAt.compareTo(b.dueAt));
     private Duration now = Duration.ofSeconds(1);
-    int finishedRuns;
+    private int finishedRuns;
 
-    private record Later(Duration at, Runnable work) {}
+    private record Timer(Duration dueAt, Runnable work) {}
 
-    WarmUp(AdmissionController choice) {
-        this.choice = choice;
+    /**
+     * Creates a warm-up.
+     *
+     * @param admission the controller, of no use afterwards
+     */
+    WarmUp(AdmissionController admission) {
+        this.admission = admission;
     }
 
-    /** So many of each operation. */
+    /** Simulates so many invocations of each operation. */
     void simulate(List<Operation> operations, int rounds) {
-        choice.onStarted().execute(this);
+        admission.onStarted().execute(this);
         long id = 0;
         for (int round = 0; round < rounds; round++) {
             for (Operation operation : operations) {
-                Slice message = Slice.of(MESSAGE);
-                messages.read(
-                        message.bytes(),
-                        message.from(),
-                        message.to(),
-                        (line, body) -> new Json(line).read());
-                Slice notice = Slice.of(NOTICE);
-                notices.read(
-                        notice.bytes(), notice.from(), notice.to(), (line, body) -> body.copy());
-                Duration due = now.plus(operation.clientTimeout());
-                choice.onInvocationReceived(
-                                new Invocation(
-                                        new InvocationId(++id),
-                                        null,
-                                        operation,
-                                        1,
-                                        now,
-                                        due,
-                                        null,
-                                        new ClientId(id % 4),
-                                        null,
-                                        false))
-                        .execute(this);
-                until(now.plus(RUN.dividedBy(5)));
+                id++;
+                decodeMessages();
+                admission.onInvocationReceived(invocation(id, operation)).execute(this);
+                advanceTo(now.plus(ARRIVAL_INTERVAL));
             }
         }
-        until(now.plusSeconds(1));
+        advanceTo(now.plus(TIME_TO_FINISH));
     }
 
-    private void until(Duration end) {
-        while (!later.isEmpty() && later.peek().at.compareTo(end) <= 0) {
-            now = later.peek().at;
-            later.poll().work.run();
+    int finishedRuns() {
+        return finishedRuns;
+    }
+
+    private void decodeMessages() {
+        Slice request = Slice.of(REQUEST);
+        requests.read(
+                request.bytes(),
+                request.from(),
+                request.to(),
+                (line, body) -> new Json(line).read());
+        Slice notice = Slice.of(NOTICE);
+        notices.read(notice.bytes(), notice.from(), notice.to(), (line, body) -> body.copy());
+    }
+
+    private Invocation invocation(long id, Operation operation) {
+        Duration deadline = now.plus(operation.clientTimeout());
+        ClientId client = new ClientId(id % CLIENTS);
+        return new Invocation(
+                new InvocationId(id), null, operation, 1, now, deadline, null, client, null, false);
+    }
+
+    private void advanceTo(Duration end) {
+        while (!timers.isEmpty() && timers.peek().dueAt.compareTo(end) <= 0) {
+            now = timers.peek().dueAt;
+            timers.poll().work.run();
         }
         now = end;
     }
 
-    private void in(Duration span, Runnable work) {
-        later.add(new Later(now.plus(span), work));
+    private void after(Duration delay, Runnable work) {
+        timers.add(new Timer(now.plus(delay), work));
     }
 
     @Override
@@ -96,43 +115,43 @@
     }
 
     @Override
-    public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
-        in(RUN.dividedBy(2), () -> choice.onCallRequested(id).execute(this));
-        in(
-                RUN,
+    public void startRun(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        after(RUN_TIME.dividedBy(2), () -> admission.onCallRequested(id).execute(this));
+        after(
+                RUN_TIME,
                 () -> {
                     finishedRuns++;
-                    then.apply(new RunOutcome(RunOutcome.Status.SUCCEEDED, RUN)).execute(this);
+                    onOutcome
+                            .apply(new RunOutcome(RunOutcome.Status.SUCCEEDED, RUN_TIME))
+                            .execute(this);
                 });
     }
 
     @Override
-    public void startCall(InvocationId id, Duration patience, Function<CallOutcome, Action> then) {
-        in(
-                RUN.dividedBy(4),
-                () ->
-                        then.apply(new CallOutcome(CallOutcome.Status.SUCCEEDED, RUN.dividedBy(4)))
-                                .execute(this));
+    public void startCall(
+            InvocationId id, Duration timeout, Function<CallOutcome, Action> onOutcome) {
+        CallOutcome outcome = new CallOutcome(CallOutcome.Status.SUCCEEDED, CALL_TIME);
+        after(CALL_TIME, () -> onOutcome.apply(outcome).execute(this));
     }
 
     @Override
-    public void schedule(Duration span, Function<ResourceGauges, Action> then) {
-        in(span, () -> then.apply(new ResourceGauges(0.5, 1, 0.1, 1)).execute(this));
+    public void schedule(Duration delay, Function<ResourceGauges, Action> onTimer) {
+        after(delay, () -> onTimer.apply(GAUGES).execute(this));
     }
 
     @Override
-    public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
-        // none repeats another
+    public void replayResult(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        // there are no retries
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryIn, boolean last) {
-        // nobody asked
+    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
+        // nobody waits for an answer
     }
 
     @Override
     public void fail(InvocationId id) {
-        // nobody asked
+        // nobody waits for an answer
     }
 
     @Override
@@ -142,36 +161,36 @@
 
     @Override
     public void skipCall(InvocationId id) {
-        // calls succeed
+        // all calls succeed
     }
 
     @Override
-    public void putIdempotencyEntry(InvocationId id, Duration span) {
-        // nothing is stored
+    public void putIdempotencyEntry(InvocationId id, Duration window) {
+        // there are no retries
     }
 
     @Override
     public void removeIdempotencyEntry(InvocationId id) {
-        // nothing is stored
+        // there are no retries
     }
 
     @Override
-    public void setHealth(boolean good, boolean stored) {
-        // nobody asked
+    public void setHealth(boolean healthy, boolean stored) {
+        // nobody checks
     }
 
     @Override
     public void advertiseCapacity(double value) {
-        // nobody asked
+        // nobody is connected
     }
 
     @Override
-    public void setIdleTimeout(Duration span) {
+    public void setIdleTimeout(Duration timeout) {
         // nobody is connected
     }
 
     @Override
     public void logNote(String text) {
-        // nobody reads it
+        // not worth a line
     }
 }
--- a/src/main/java/ochretiller/server/Action.java
+++ b/src/main/java/ochretiller/server/Action.java
@@ -1,13 +1,18 @@
 package ochretiller.server;
 
-/** What to do next: it acts on the server and leaves continuations there for the results. */
+/**
+ * What a decision wants done, to be executed on a server. Actions may register continuations with
+ * the server for results that come later.
+ */
 @FunctionalInterface
 public interface Action {
-    /** Nothing to do. */
+    /** Does nothing. */
     Action NONE = server -> {};
 
+    /** Carries the action out on {@code server}. */
     void execute(ServerActions server);
 
+    /** Returns an action that executes this one and then {@code next}. */
     default Action andThen(Action next) {
         return server -> {
             execute(server);
--- /dev/null
+++ b/src/main/java/ochretiller/server/AnswerActions.java
@@ -0,0 +1,30 @@
+package ochretiller.server;
+
+import java.time.Duration;
+import java.util.function.Function;
+import ochretiller.model.InvocationId;
+import ochretiller.model.RunOutcome;
+
+/** Answers clients. Each invocation gets one final answer; a second one is ignored. */
+public interface AnswerActions {
+    /**
+     * Answers a retry with the result of its original attempt, without running anything.
+     *
+     * @param onOutcome receives the outcome once, never before this method has returned
+     */
+    void replayResult(InvocationId id, Function<RunOutcome, Action> onOutcome);
+
+    /**
+     * Rejects an invocation that has not run.
+     *
+     * @param retryAfter when the client should send it again; zero if no advice is given
+     * @param last asks the client not to try another server
+     */
+    void throttle(InvocationId id, Duration retryAfter, boolean last);
+
+    /**
+     * Answers with an error. A run of the invocation continues until it ends, reaches a call or is
+     * stopped.
+     */
+    void fail(InvocationId id);
+}
--- /dev/null
+++ b/src/main/java/ochretiller/server/RunActions.java
@@ -0,0 +1,59 @@
+package ochretiller.server;
+
+import java.time.Duration;
+import java.util.function.Function;
+import ochretiller.model.CallOutcome;
+import ochretiller.model.InvocationId;
+import ochretiller.model.Operation;
+import ochretiller.model.RunOutcome;
+
+/**
+ * Starts and stops runs, makes the calls that runs wait for, and tells how much the worker pools
+ * can take.
+ */
+public interface RunActions {
+    /**
+     * Runs an admitted invocation. Its client is answered with the result unless it was answered
+     * before.
+     *
+     * @param onOutcome receives the outcome once, never before this method has returned
+     */
+    void startRun(InvocationId id, Function<RunOutcome, Action> onOutcome);
+
+    /**
+     * Asks for a run to be stopped; its outcome follows as for any other run. This answers nobody.
+     */
+    void stopRun(InvocationId id);
+
+    /**
+     * Makes the call that a run waits for.
+     *
+     * @param timeout time after which the call is abandoned
+     * @param onOutcome receives the outcome once
+     */
+    void startCall(InvocationId id, Duration timeout, Function<CallOutcome, Action> onOutcome);
+
+    /** Lets a run continue without the call that it waits for. */
+    void skipCall(InvocationId id);
+
+    /**
+     * Returns the worker pool that runs an operation, or null where it runs on the processor behind
+     * this server.
+     */
+    default String poolOf(Operation operation) {
+        return null;
+    }
+
+    /**
+     * Returns how many runs a pool may have at once with the workers that it has now; 0 if none of
+     * them is usable.
+     */
+    default int poolCapacity(String pool) {
+        return 0;
+    }
+
+    /** Returns how many more runs a pool would accept now. */
+    default int freePoolSlots(String pool) {
+        return 0;
+    }
+}
--- a/src/main/java/ochretiller/sim/SimulatedServer.java
+++ b/src/main/java/ochretiller/sim/SimulatedServer.java
@@ -7,173 +7,124 @@
 import java.util.function.Function;
 import ochretiller.admission.AdmissionController;
 import ochretiller.model.CallOutcome;
-import ochretiller.model.ClientId;
-import ochretiller.model.Invocation;
 import ochretiller.model.InvocationId;
-import ochretiller.model.Operation;
 import ochretiller.model.ResourceGauges;
 import ochretiller.model.RunOutcome;
-import ochretiller.model.TenantId;
 import ochretiller.server.Action;
 import ochretiller.server.ServerActions;
 import ochretiller.settings.MalformedException;
 import ochretiller.settings.Settings;
 
 /**
- * One server's end of the wire: what it hears goes to its decisions, what they do is written down.
+ * One server of the simulator: its events go to an admission controller, whose actions are written
+ * as lines. Continuations wait here until the simulator reports their results.
  */
 final class SimulatedServer implements ServerActions {
-    private final String name;
+    private final String serverId;
     private final StringBuilder out;
-    private final Duration start;
-    private final Map<String, Operation> operations;
-    private final boolean passesDeadline;
-    private final AdmissionController choice;
+    private final Duration startedAt;
+    private final EventDecoder decoder;
+    private final AdmissionController admission;
     private final Map<InvocationId, Function<RunOutcome, Action>> runs = new HashMap<>();
     private final Map<InvocationId, Function<CallOutcome, Action>> calls = new HashMap<>();
     private final Map<Long, Function<ResourceGauges, Action>> timers = new HashMap<>();
     private Duration now = Duration.ZERO;
-    private long timerNames;
-
-    SimulatedServer(String name, WireFields settings, Duration start, StringBuilder out) {
-        this.name = name;
+    private long lastTimerName;
+
+    /**
+     * Starts a server.
+     *
+     * @param settings its settings
+     * @param startedAt the simulator's time
+     * @param out receives the actions, one line each
+     */
+    SimulatedServer(String serverId, WireFields settings, Duration startedAt, StringBuilder out) {
+        this.serverId = serverId;
         this.out = out;
-        this.start = start;
-        operations = Settings.operations(settings);
-        passesDeadline = settings.flag("familyInfo.passesDeadline");
-        choice =
+        this.startedAt = startedAt;
+        decoder =
+                new EventDecoder(
+                        Settings.operations(settings), settings.flag("familyInfo.passesDeadline"));
+        admission =
                 Settings.admissionController(
                         settings,
                         new SplittableRandom(settings.wholeNumber("prng")),
                         settings.flag("familyInfo.justStarted"));
-        choice.onStarted().execute(this);
-    }
-
-    void handleEvent(String event, WireFields fields, Duration clock) {
-        now = clock.minus(start);
-        Action step =
+        admission.onStarted().execute(this);
+    }
+
+    /**
+     * Handles an event.
+     *
+     * @param time the simulator's time
+     * @throws MalformedException if the event cannot be decoded
+     */
+    void handleEvent(String event, WireFields fields, Duration time) {
+        now = time.minus(startedAt);
+        Action action =
                 switch (event) {
-                    case "arrival" -> choice.onInvocationReceived(invocation(fields));
-                    case "abandoned" -> choice.onClientGone(id(fields));
-                    case "blocked" -> choice.onCallRequested(id(fields));
+                    case "arrival" ->
+                            admission.onInvocationReceived(decoder.invocation(fields, now));
+                    case "abandoned" -> admission.onClientGone(EventDecoder.invocationId(fields));
+                    case "blocked" -> admission.onCallRequested(EventDecoder.invocationId(fields));
                     case "drain" ->
-                            choice.onShutdownNotice(
-                                    now.plus(fields.duration("timeBudgetNs", Duration.ZERO)));
+                            admission.onShutdownNotice(now.plus(EventDecoder.timeBudget(fields)));
                     case "run_over" ->
-                            next(
-                                    runs.remove(id(fields)),
-                                    new RunOutcome(runResult(fields.text("how")), took(fields)));
+                            continuation(
+                                    runs.remove(EventDecoder.invocationId(fields)),
+                                    EventDecoder.runOutcome(fields));
                     case "call_ended" ->
-                            next(
-                                    calls.remove(id(fields)),
-                                    new CallOutcome(callResult(fields.text("how")), took(fields)));
+                            continuation(
+                                    calls.remove(EventDecoder.invocationId(fields)),
+                                    EventDecoder.callOutcome(fields));
                     case "timeout_fired" ->
-                            next(
-                                    timers.remove(fields.wholeNumber("name")),
-                                    gauges(fields.text("serverStats", "")));
+                            continuation(
+                                    timers.remove(EventDecoder.timerName(fields)),
+                                    EventDecoder.gauges(fields));
                     default -> throw new MalformedException("unknown event " + event);
                 };
-        step.execute(this);
-    }
-
-    /** The outcome of something that is already over has nobody waiting for it. */
-    private static <T> Action next(Function<T, Action> then, T result) {
-        return then == null ? Action.NONE : then.apply(result);
-    }
-
-    private static InvocationId id(WireFields fields) {
-        return new InvocationId(fields.wholeNumber("msgId"));
-    }
-
-    private static Duration took(WireFields fields) {
-        return fields.duration("timeTakenNs", Duration.ZERO);
+        action.execute(this);
     }
 
-    private Invocation invocation(WireFields fields) {
-        Operation operation = operations.get(fields.text("kind"));
-        if (operation == null) {
-            throw new MalformedException("unknown kind '" + fields.text("kind") + "'");
-        }
-        long prior = fields.wholeNumber("prior", 0);
-        Duration arrived = now.minus(fields.duration("ageNs", Duration.ZERO));
-        Duration left = fields.duration("timeBudgetNs", Duration.ZERO);
-        boolean told = passesDeadline && !left.isZero();
-        Duration due = told ? now.plus(left) : arrived.plus(operation.clientTimeout());
-        String tenant = fields.text("team", "0");
-        return new Invocation(
-                id(fields),
-                prior == 0 ? null : new InvocationId(prior),
-                operation,
-                fields.number("sizeKb", 0),
-                arrived,
-                due,
-                fields.duration("workHintNs", null),
-                new ClientId(fields.wholeNumber("srcPeer", 0)),
-                tenant.equals("0") ? null : new TenantId(tenant),
-                fields.flag("resent"));
-    }
-
-    private static ResourceGauges gauges(String text) {
-        WireFields fields = WireFields.parseGauges(text);
-        return new ResourceGauges(
-                fields.number("core_use", Double.NaN),
-                fields.number("on_cores", Double.NaN),
-                fields.number("heap_share", Double.NaN),
-                fields.number("links", Double.NaN));
-    }
-
-    private static RunOutcome.Status runResult(String how) {
-        return switch (how) {
-            case "GOOD" -> RunOutcome.Status.SUCCEEDED;
-            case "BAD" -> RunOutcome.Status.FAILED;
-            case "CXL" -> RunOutcome.Status.STOPPED;
-            case "NOP" -> RunOutcome.Status.NEVER_STARTED;
-            default -> throw new MalformedException("unknown ending of a run '" + how + "'");
-        };
-    }
-
-    private static CallOutcome.Status callResult(String how) {
-        return switch (how) {
-            case "GOOD" -> CallOutcome.Status.SUCCEEDED;
-            case "BAD" -> CallOutcome.Status.FAILED;
-            case "LATE" -> CallOutcome.Status.TIMED_OUT;
-            case "RST", "CXL" -> CallOutcome.Status.RESET;
-            case "FULL" -> CallOutcome.Status.REJECTED;
-            case "NOCONN", "NOP" -> CallOutcome.Status.UNREACHABLE;
-            default -> throw new MalformedException("unknown ending of a call '" + how + "'");
-        };
+    /** Nobody waits for the result of something that was over already. */
+    private static <T> Action continuation(Function<T, Action> waiting, T result) {
+        return waiting == null ? Action.NONE : waiting.apply(result);
     }
 
     private StringBuilder write(String action) {
-        return out.append(action).append("\tserverId=").append(name);
+        return out.append(action).append("\tserverId=").append(serverId);
     }
 
     private StringBuilder write(String action, InvocationId id) {
         return write(action).append("\tmsgId=").append(id.value());
     }
 
+    private static int asDigit(boolean flag) {
+        return flag ? 1 : 0;
+    }
+
     @Override
     public Duration now() {
         return now;
     }
 
     @Override
-    public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
-        runs.put(id, then);
+    public void startRun(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        runs.put(id, onOutcome);
         write("start", id).append('\n');
     }
 
     @Override
-    public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
-        runs.put(id, then);
+    public void replayResult(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        runs.put(id, onOutcome);
         write("echo", id).append('\n');
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryIn, boolean last) {
+    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
         write("overload_reply", id);
-        if (!retryIn.isZero()) {
-            out.append("\tretryInNs=").append(retryIn.toNanos());
+        if (!retryAfter.isZero()) {
+            out.append("\tretryInNs=").append(retryAfter.toNanos());
         }
         out.append(last ? "\tlast=1\n" : "\n");
     }
@@ -189,9 +140,10 @@
     }
 
     @Override
-    public void startCall(InvocationId id, Duration patience, Function<CallOutcome, Action> then) {
-        calls.put(id, then);
-        write("ask_below", id).append("\tpatienceNs=").append(patience.toNanos()).append('\n');
+    public void startCall(
+            InvocationId id, Duration timeout, Function<CallOutcome, Action> onOutcome) {
+        calls.put(id, onOutcome);
+        write("ask_below", id).append("\tpatienceNs=").append(timeout.toNanos()).append('\n');
     }
 
     @Override
@@ -200,8 +152,8 @@
     }
 
     @Override
-    public void putIdempotencyEntry(InvocationId id, Duration span) {
-        write("store_key", id).append("\tspanNs=").append(span.toNanos()).append('\n');
+    public void putIdempotencyEntry(InvocationId id, Duration window) {
+        write("store_key", id).append("\tspanNs=").append(window.toNanos()).append('\n');
     }
 
     @Override
@@ -210,23 +162,24 @@
     }
 
     @Override
-    public void schedule(Duration span, Function<ResourceGauges, Action> then) {
-        timers.put(++timerNames, then);
+    public void schedule(Duration delay, Function<ResourceGauges, Action> onTimer) {
+        lastTimerName++;
+        timers.put(lastTimerName, onTimer);
         write("defer")
                 .append("\toffsetNs=")
-                .append(span.toNanos())
+                .append(delay.toNanos())
                 .append("\tname=")
-                .append(timerNames)
+                .append(lastTimerName)
                 .append('\n');
     }
 
     @Override
-    public void setHealth(boolean good, boolean stored) {
+    public void setHealth(boolean healthy, boolean stored) {
         write("set_health")
                 .append("\tactive=")
-                .append(good ? 1 : 0)
+                .append(asDigit(healthy))
                 .append("\tstored=")
-                .append(stored ? 1 : 0)
+                .append(asDigit(stored))
                 .append('\n');
     }
 
@@ -236,8 +189,8 @@
     }
 
     @Override
-    public void setIdleTimeout(Duration span) {
-        write("keepalive").append("\tspanNs=").append(span.toNanos()).append('\n');
+    public void setIdleTimeout(Duration timeout) {
+        write("keepalive").append("\tspanNs=").append(timeout.toNanos()).append('\n');
     }
 
     @Override
--- a/src/main/java/ochretiller/sim/SimulatorHost.java
+++ b/src/main/java/ochretiller/sim/SimulatorHost.java
@@ -13,72 +13,99 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Hosts one instance of the decisions for each server that the simulator names, and answers its
- * batches.
+ * Hosts the servers that the simulator names, and answers each batch of its events with the actions
+ * that follow from them.
  */
 public final class SimulatorHost {
-    private final Map<String, SimulatedServer> instances = new HashMap<>();
+    private static final int INPUT_BUFFER_CHARS = 1 << 16;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_MALFORMED = 1;
+    private static final String END_OF_BATCH = "commit";
+    private static final String END_OF_REPLY = "done\n";
+
+    private final Map<String, SimulatedServer> servers = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
-    private Duration clock = Duration.ZERO;
+    private Duration time = Duration.ZERO;
 
     private SimulatorHost() {}
 
-    /** Serves batches until the input ends; returns the exit code. */
+    /**
+     * Serves batches until the input ends or a line is malformed.
+     *
+     * @param errors receives a line about a malformed one
+     * @return the exit code
+     * @throws IOException if the input cannot be read or a reply cannot be written
+     */
     public static int serve(InputStream in, OutputStream out, PrintStream errors)
             throws IOException {
         BufferedReader lines =
-                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+                new BufferedReader(
+                        new InputStreamReader(in, StandardCharsets.UTF_8), INPUT_BUFFER_CHARS);
         SimulatorHost host = new SimulatorHost();
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             try {
-                host.read(line);
+                host.handle(line);
             } catch (MalformedException e) {
                 errors.println("ochretiller: malformed line: " + e.getMessage());
-                return 1;
+                return EXIT_MALFORMED;
             }
-            if (line.equals("commit")) {
-                out.write(host.reply.append("done\n").toString().getBytes(StandardCharsets.UTF_8));
-                out.flush();
-                host.reply.setLength(0);
+            if (line.equals(END_OF_BATCH)) {
+                host.writeReply(out);
             }
         }
-        return 0;
+        return EXIT_OK;
     }
 
-    private void read(String line) {
+    private void writeReply(OutputStream out) throws IOException {
+        out.write(reply.append(END_OF_REPLY).toString().getBytes(StandardCharsets.UTF_8));
+        out.flush();
+        reply.setLength(0);
+    }
+
+    private void handle(String line) {
         int end = line.indexOf('\t');
         String name = end < 0 ? line : line.substring(0, end);
         switch (name) {
-            case "tick" -> clock = Duration.ofNanos(WireFields.parse(line).wholeNumber("tsNs"));
-            case "enlist" -> {
-                WireFields fields = WireFields.parse(line);
-                String id = fields.text("serverId");
-                guarded(id, () -> instances.put(id, new SimulatedServer(id, fields, clock, reply)));
-            }
-            case "shutdown" -> instances.remove(WireFields.parse(line).text("serverId"));
+            case "tick" -> time = Duration.ofNanos(WireFields.parse(line).wholeNumber("tsNs"));
+            case "enlist" -> startServer(WireFields.parse(line));
+            case "shutdown" -> servers.remove(serverId(WireFields.parse(line)));
             case "arrival",
                     "run_over",
                     "abandoned",
                     "blocked",
                     "call_ended",
                     "drain",
-                    "timeout_fired" -> {
-                WireFields fields = WireFields.parse(line);
-                String id = fields.text("serverId");
-                SimulatedServer instance = instances.get(id);
-                if (instance == null) {
-                    throw new MalformedException(name + " for an unknown server '" + id + "'");
-                }
-                guarded(id, () -> instance.handleEvent(name, fields, clock));
+                    "timeout_fired" ->
+                    handleEvent(name, WireFields.parse(line));
+            default -> {
+                // an empty line, the end of the batch, or a message of a later version of the wire
             }
-            default -> {} // an empty line, the batch's end, or a message of a later wire
         }
     }
 
+    private static String serverId(WireFields fields) {
+        return fields.text("serverId");
+    }
+
+    private void startServer(WireFields fields) {
+        String id = serverId(fields);
+        runGuarded(id, () -> servers.put(id, new SimulatedServer(id, fields, time, reply)));
+    }
+
+    private void handleEvent(String event, WireFields fields) {
+        String id = serverId(fields);
+        SimulatedServer server = servers.get(id);
+        if (server == null) {
+            throw new MalformedException(event + " for an unknown server '" + id + "'");
+        }
+        runGuarded(id, () -> server.handleEvent(event, fields, time));
+    }
+
     /**
-     * A fault of the decisions is reported for its instance, so that the day stops with its text.
+     * Reports a fault of the decisions as one of their server, so that the simulation stops and
+     * shows its text.
      */
-    private void guarded(String id, Runnable work) {
+    private void runGuarded(String id, Runnable work) {
         try {
             work.run();
         } catch (MalformedException e) {
--- a/src/main/java/ochretiller/sim/WireFields.java
+++ b/src/main/java/ochretiller/sim/WireFields.java
@@ -5,23 +5,35 @@
 import ochretiller.settings.MalformedException;
 import ochretiller.settings.SettingLookup;
 
-/** The name=value parts of one line, or the settings of one instance, read by name. */
+/** The {@code name=value} fields of one line. Names that nobody asks for are ignored. */
 final class WireFields implements SettingLookup {
+    private static final char SEPARATOR = '\t';
+
     private final Map<String, String> values = new HashMap<>();
 
-    /** Reads what follows the message name; names that nobody asks for are skipped. */
+    private WireFields() {}
+
+    /**
+     * Parses the fields of a line, which follow its message name.
+     *
+     * @throws MalformedException if a field is not {@code name=value}
+     */
     static WireFields parse(String line) {
         WireFields fields = new WireFields();
-        int from = line.indexOf('\t');
+        int from = line.indexOf(SEPARATOR);
         while (from >= 0) {
-            int to = line.indexOf('\t', from + 1);
+            int to = line.indexOf(SEPARATOR, from + 1);
             fields.put(line.substring(from + 1, to < 0 ? line.length() : to));
             from = to;
         }
         return fields;
     }
 
-    /** Reads name:value pairs set apart by commas. */
+    /**
+     * Parses gauges, which are {@code name:value} pairs separated by commas.
+     *
+     * @throws MalformedException if a pair is not {@code name:value}
+     */
     static WireFields parseGauges(String text) {
         WireFields fields = new WireFields();
         if (!text.isEmpty()) {
@@ -32,12 +44,12 @@
         return fields;
     }
 
-    private void put(String part) {
-        int at = part.indexOf('=');
-        if (at < 1) {
-            throw new MalformedException("not name=value: '" + part + "'");
+    private void put(String field) {
+        int equals = field.indexOf('=');
+        if (equals < 1) {
+            throw new MalformedException("not name=value: '" + field + "'");
         }
-        values.put(part.substring(0, at), part.substring(at + 1));
+        values.put(field.substring(0, equals), field.substring(equals + 1));
     }
 
     @Override
--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -26,14 +26,12 @@
         LoggingSetup.install();
         OperatorConfig operator = OperatorConfigReader.read(Path.of(words[2]));
         String[] point = words[0].split(":");
+        StorageDirectory directory = new LocalDirectory(operator.remember().orElseThrow().folder());
         ServerNode node =
-                new ServerNode(
-                        Path.of(words[1]),
-                        operator,
-                        new Crashing(
-                                new LocalDirectory(operator.remember().orElseThrow().folder()),
-                                point[0],
-                                Integer.parseInt(point[1])));
+                ServerNode.builder(Path.of(words[1]))
+                        .operator(operator)
+                        .storage(new Crashing(directory, point[0], Integer.parseInt(point[1])))
+                        .build();
         node.prepare();
         node.listen();
         node.run();
--- a/src/test/java/ochretiller/DegradedDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -81,19 +81,17 @@
                                         outside.recordsPort(),
                                         outside.rosterPort())
                                 .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
-        node =
-                new ServerNode(
-                        config,
-                        new OperatorConfig(
-                                false,
-                                Optional.empty(),
-                                Optional.of(REMEMBER),
-                                Optional.empty(),
-                                List.of(),
-                                Optional.empty(),
-                                Optional.empty(),
-                                OperatorConfig.Drill.NONE),
-                        disk);
+        OperatorConfig operator =
+                new OperatorConfig(
+                        false,
+                        Optional.empty(),
+                        Optional.of(REMEMBER),
+                        Optional.empty(),
+                        List.of(),
+                        Optional.empty(),
+                        Optional.empty(),
+                        OperatorConfig.Drill.NONE);
+        node = ServerNode.builder(config).operator(operator).storage(disk).build();
         node.prepare();
         node.listen();
         Thread loop = new Thread(node::run, "loop");
--- a/src/test/java/ochretiller/golden/WholeServer.java
+++ b/src/test/java/ochretiller/golden/WholeServer.java
@@ -78,7 +78,7 @@
                                 .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
         operator = Files.writeString(folder.resolve("operator.json5"), operator(folder));
         OperatorConfig told = OperatorConfigReader.read(operator);
-        node = new ServerNode(config, told, disk);
+        node = ServerNode.builder(config).operator(told).storage(disk).build();
         node.prepare();
         node.listen();
         Thread loop = new Thread(node::run, "loop");
--- /dev/null
+++ b/src/test/java/ochretiller/node/InvocationExecutorTest.java
@@ -0,0 +1,298 @@
+package ochretiller.node;
+
+import static ochretiller.node.AttemptFixture.ORDER;
+import static ochretiller.node.AttemptFixture.READ;
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import ochretiller.execution.RunBackend;
+import ochretiller.execution.RunRequest;
+import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.IdempotencyCache;
+import ochretiller.model.Operation;
+import ochretiller.model.RunOutcome.Status;
+import ochretiller.net.Scheduler;
+import ochretiller.records.RecordsClient;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The steps of a run from its admission to its answer, each in its place whatever becomes of the
+ * one before.
+ */
+class InvocationExecutorTest {
+    private static final byte[] RESULT = "done".getBytes();
+
+    private final List<String> events = new ArrayList<>();
+    private final FakeClaims claims = new FakeClaims();
+    private final FakeRollout rollout = new FakeRollout();
+    private final FakePools pools = new FakePools();
+    private AttemptFixture fixture;
+    private FakeStore store;
+    private AttemptTable attempts;
+    private InvocationExecutor executor;
+
+    @BeforeEach
+    void start() throws Exception {
+        fixture = new AttemptFixture(events);
+        store = new FakeStore(fixture.loop);
+        AdmissionClock clock = new AdmissionClock(fixture.loop, Duration.ZERO);
+        IdempotencyCache cache = new IdempotencyCache(1_000, Duration.ZERO);
+        attempts = new AttemptTable(fixture.connections, cache, clock);
+        ServerResources resources =
+                new ServerResources(
+                        fixture.loop,
+                        fixture.network,
+                        fixture.connections,
+                        null,
+                        null,
+                        new RecordsClient(fixture.loop, fixture.network, null, 1));
+        OperatorFeatures features =
+                new OperatorFeatures(
+                        store,
+                        claims,
+                        rollout,
+                        new NoAuditTrail(),
+                        pools,
+                        new NoFleet(),
+                        Optional.empty());
+        executor = new InvocationExecutor(resources, features, attempts, cache, clock);
+    }
+
+    @AfterEach
+    void stop() throws Exception {
+        fixture.close();
+    }
+
+    private RequestAttempt execute(Operation operation) {
+        RequestAttempt attempt = fixture.read(operation, "body");
+        attempts.add(attempt, Optional.empty());
+        executor.execute(attempt, outcome -> events.add("outcome " + outcome.status()));
+        return attempt;
+    }
+
+    private void finishRun(Status status) {
+        pools.listener.onRunFinished(status, Duration.ofMillis(20), RESULT);
+    }
+
+    @Test
+    void keyedRunIsClaimedThenMarkedThenStarted() {
+        execute(ORDER);
+        assertThat(events).containsExactly("reserve", "claim");
+        claims.listener.onClaimGranted();
+        assertThat(events).containsExactly("reserve", "claim", "mark");
+        store.listener.onMarkerDurable();
+        assertThat(events).containsExactly("reserve", "claim", "mark", "start");
+    }
+
+    @Test
+    void runThatIsNotKeyedIsNotClaimed() {
+        execute(READ);
+        assertThat(events).containsExactly("reserve", "mark");
+    }
+
+    @Test
+    void answerWaitsForDiskAndFleetAndTheOutcomeIsReportedBefore() {
+        RequestAttempt attempt = startOrder();
+        finishRun(Status.SUCCEEDED);
+        assertThat(events)
+                .containsExactly("store SUCCEEDED", "share SUCCEEDED", "outcome SUCCEEDED");
+        store.onStored.run();
+        assertThat(events).hasSize(3);
+        assertThat(attempts.find(attempt.id)).isPresent();
+        claims.onStored.accept(true);
+        assertThat(events).last().isEqualTo("answer done");
+        assertThat(attempts.find(attempt.id)).isEmpty();
+        assertThat(fixture.connections.knows(attempt.rid)).isFalse();
+    }
+
+    @Test
+    void resultThatTheFleetCannotStoreIsNotReportedAsASuccess() {
+        startOrder();
+        finishRun(Status.SUCCEEDED);
+        claims.onStored.accept(false);
+        assertThat(events).last().isEqualTo("error UNKNOWN_END");
+        store.onStored.run();
+        assertThat(events).filteredOn(event -> event.startsWith("answer")).isEmpty();
+    }
+
+    @Test
+    void runThatFailedIsAnsweredWithAnError() {
+        startOrder();
+        finishRun(Status.FAILED);
+        claims.onStored.accept(true);
+        store.onStored.run();
+        assertThat(events)
+                .containsExactly("store FAILED", "share FAILED", "outcome FAILED", "error FAILED");
+    }
+
+    @Test
+    void deniedClaimEndsARunBeforeItIsMarked() {
+        RequestAttempt attempt = execute(ORDER);
+        claims.listener.onClaimDenied();
+        assertThat(events).containsExactly("reserve", "claim", "cancel", "outcome NOT_DISPATCHED");
+        assertThat(attempt.running()).isFalse();
+    }
+
+    @Test
+    void markerThatIsNotDurableReleasesTheClaim() {
+        execute(ORDER);
+        claims.listener.onClaimGranted();
+        events.clear();
+        store.listener.onMarkerFailed();
+        assertThat(events).containsExactly("release", "cancel", "outcome NOT_DISPATCHED");
+    }
+
+    @Test
+    void leaseThatIsLostWhileTheMarkerIsWrittenTakesMarkerAndClaimBack() {
+        execute(ORDER);
+        claims.listener.onClaimGranted();
+        events.clear();
+        rollout.leaseHeld = false;
+        store.listener.onMarkerDurable();
+        assertThat(events)
+                .containsExactly(
+                        "store NOT_DISPATCHED", "release", "cancel", "outcome NOT_DISPATCHED");
+    }
+
+    @Test
+    void withoutALeaseNothingIsClaimedAndTheOutcomeComesLater() {
+        rollout.leaseHeld = false;
+        execute(ORDER);
+        assertThat(events).containsExactly("reserve");
+        fixture.loop.all();
+        assertThat(events).containsExactly("reserve", "cancel", "outcome NOT_DISPATCHED");
+    }
+
+    @Test
+    void stepThatComesTwiceIsAFault() {
+        startOrder();
+        assertThatThrownBy(() -> store.listener.onMarkerDurable())
+                .isInstanceOf(IllegalStateException.class)
+                .hasMessageContaining("from EXECUTING to EXECUTING");
+    }
+
+    private RequestAttempt startOrder() {
+        RequestAttempt attempt = execute(ORDER);
+        claims.listener.onClaimGranted();
+        store.listener.onMarkerDurable();
+        events.clear();
+        return attempt;
+    }
+
+    private final class FakeClaims implements RunClaims {
+        private ClaimListener listener;
+        private Consumer<Boolean> onStored;
+
+        @Override
+        public void claim(RequestAttempt attempt, ClaimListener claimListener) {
+            events.add("claim");
+            listener = claimListener;
+        }
+
+        @Override
+        public void release(RequestAttempt attempt) {
+            events.add("release");
+        }
+
+        @Override
+        public void onRunFinished(
+                RequestAttempt attempt, Status status, byte[] result, Consumer<Boolean> stored) {
+            events.add("share " + status);
+            onStored = stored;
+        }
+    }
+
+    private final class FakeStore extends VolatileIdempotency {
+        private MarkerListener listener;
+        private Runnable onStored;
+
+        FakeStore(Scheduler scheduler) {
+            super(scheduler);
+        }
+
+        @Override
+        public void writeMarker(RequestAttempt attempt, MarkerListener markerListener) {
+            events.add("mark");
+            listener = markerListener;
+        }
+
+        @Override
+        public void onRunFinished(
+                RequestAttempt attempt, Status status, byte[] result, Runnable stored) {
+            events.add("store " + status);
+            onStored = stored;
+        }
+    }
+
+    private static final class FakeRollout extends NoRollout {
+        private boolean leaseHeld = true;
+
+        @Override
+        public boolean mayRun(RequestAttempt attempt) {
+            return leaseHeld;
+        }
+    }
+
+    /** All operations are in one pool, so that the processor is never asked. */
+    private final class FakePools implements WorkerPools, RunBackend {
+        private RunListener listener;
+
+        @Override
+        public Optional<String> poolOf(Operation operation) {
+            return Optional.of("pool");
+        }
+
+        @Override
+        public int capacity(String pool) {
+            return 1;
+        }
+
+        @Override
+        public int freeSlots(String pool) {
+            return 1;
+        }
+
+        @Override
+        public void reserveSlot(Operation operation) {
+            events.add("reserve");
+        }
+
+        @Override
+        public void cancelReservation(Operation operation) {
+            events.add("cancel");
+        }
+
+        @Override
+        public RunBackend backend() {
+            return this;
+        }
+
+        @Override
+        public Runnable prepareReload(ServerConfiguration next) {
+            throw new UnsupportedOperationException();
+        }
+
+        @Override
+        public void close() {
+            // nothing is open
+        }
+
+        @Override
+        public void startRun(RunRequest request, RunListener runListener) {
+            events.add("start");
+            listener = runListener;
+        }
+
+        @Override
+        public void cancelRun(String requestId) {
+            events.add("stop");
+        }
+    }
+}
--- a/src/test/java/ochretiller/node/WarmUpTest.java
+++ b/src/test/java/ochretiller/node/WarmUpTest.java
@@ -47,7 +47,7 @@
                         new Operation(
                                 "order", SideEffect.KEYED, SECOND, SECOND, 3, 0, SECOND, true, 0)),
                 100);
-        assertThat(warmUp.finishedRuns)
+        assertThat(warmUp.finishedRuns())
                 .isGreaterThan(150); // most are worked off, so that the way of each is well trodden
     }
 }
