--- a/src/main/java/ochretiller/node/AdmissionSession.java
+++ b/src/main/java/ochretiller/node/AdmissionSession.java
@@ -63,41 +63,38 @@
 
     @Override
     public void onRequestRead(RequestAttempt attempt) {
-        Duration arrivedAt = clock.toAdmissionTime(attempt.arrived);
-        InvocationId original =
-                cache.findOriginalOrTrack(
-                        attempt.id,
-                        attempt.operation,
-                        attempt.token,
-                        attempt.object,
-                        arrivedAt,
-                        attempt.t0,
-                        clock.now());
-        boolean conflicts =
-                original != null && cache.conflictsWith(original, attempt.operation, attempt.body);
+        Optional<InvocationId> original =
+                cache.findOriginalOrTrack(attempts.describe(attempt), clock.now());
+        boolean conflicts = original.isPresent() && conflicts(attempt, original.get());
         if (recovery.isAdopted(attempt.rid)) {
             // Else it would be answered with the result of the other request.
             resources.connections().fail(attempt, FailureReason.RID_IN_USE);
             return;
         }
-        if (conflicts && cache.isCompleted(original)) {
+        if (conflicts && cache.isCompleted(original.get())) {
             resources.connections().fail(attempt, FailureReason.OTHER_BODY);
             return;
         }
-        attempts.add(attempt, Optional.ofNullable(original));
+        attempts.add(attempt, original);
         if (conflicts) {
             // Another client may have used the key first with a request that the processor rejects;
             // then this one may run.
-            resources.scheduler().after(CONFLICT_WAIT, () -> recheckConflict(attempt, original));
+            resources
+                    .scheduler()
+                    .after(CONFLICT_WAIT, () -> recheckConflict(attempt, original.get()));
         }
-        execute(admission.onInvocationReceived(invocation(attempt, original, arrivedAt)));
+        execute(admission.onInvocationReceived(invocation(attempt, original)));
+    }
+
+    private boolean conflicts(RequestAttempt attempt, InvocationId original) {
+        return cache.conflictsWith(original, attempt.operation, attempt.body);
     }
 
-    private static Invocation invocation(
-            RequestAttempt attempt, InvocationId original, Duration arrivedAt) {
+    private Invocation invocation(RequestAttempt attempt, Optional<InvocationId> original) {
+        Duration arrivedAt = clock.toAdmissionTime(attempt.arrived);
         return new Invocation(
                 attempt.id,
-                original,
+                original.orElse(null),
                 attempt.operation,
                 attempt.kb,
                 arrivedAt,
@@ -109,7 +106,7 @@
     }
 
     private void recheckConflict(RequestAttempt attempt, InvocationId original) {
-        if (!attempt.answered() && cache.conflictsWith(original, attempt.operation, attempt.body)) {
+        if (!attempt.answered() && conflicts(attempt, original)) {
             resources.connections().fail(attempt, FailureReason.OTHER_BODY);
             onClientGone(attempt);
         }
--- a/src/main/java/ochretiller/node/AttemptTable.java
+++ b/src/main/java/ochretiller/node/AttemptTable.java
@@ -5,6 +5,7 @@
 import java.util.Optional;
 import ochretiller.frontend.ClientConnections;
 import ochretiller.frontend.RequestAttempt;
+import ochretiller.idempotency.Attempt;
 import ochretiller.idempotency.IdempotencyCache;
 import ochretiller.model.InvocationId;
 
@@ -73,6 +74,17 @@
         return entry == null ? Optional.empty() : entry.original;
     }
 
+    /** Describes an attempt to the idempotency cache. */
+    Attempt describe(RequestAttempt attempt) {
+        return new Attempt(
+                attempt.id,
+                attempt.operation,
+                Optional.ofNullable(attempt.token),
+                Optional.ofNullable(attempt.object),
+                clock.toAdmissionTime(attempt.arrived),
+                attempt.t0);
+    }
+
     /** Keeps the body of a call that a run waits for. */
     void putCallBody(RequestAttempt attempt, byte[] body) {
         Entry entry = entries.get(attempt.id);
@@ -97,7 +109,7 @@
         if (!attempt.answered() || attempt.running() || entries.remove(attempt.id) == null) {
             return;
         }
-        cache.complete(attempt.id, attempt.operation.isKeyed(), null, clock.now());
+        cache.complete(attempt.id, Optional.empty(), clock.now());
         connections.forget(attempt);
     }
 }
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -4,8 +4,12 @@
 import java.time.Duration;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
-import ochretiller.audit.AuditRecord;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.AuditEvent;
+import ochretiller.audit.AuditEventKind;
+import ochretiller.audit.ChainFault;
+import ochretiller.audit.ChainHead;
+import ochretiller.audit.InvocationOutcome;
+import ochretiller.audit.KeyedRun;
 import ochretiller.audit.VersionUsage;
 import ochretiller.audit.files.AuditLogWriter;
 import ochretiller.fleet.service.RolloutService;
@@ -57,12 +61,12 @@
         registerMetrics(metrics);
         usage.startPeriod(unixMillis.getAsLong(), scheduler.now());
         addEvent(
-                AuditRecord.AuditEventKind.STARTED,
+                AuditEventKind.STARTED,
                 0,
                 serverName + ", behind record " + writer.head().number());
     }
 
-    private static void log(HashChain.ChainFault fault) {
+    private static void log(ChainFault fault) {
         LOG.severe(() -> "audit: record " + fault.number() + ' ' + fault.description());
     }
 
@@ -96,10 +100,10 @@
         usage.closeIfDue(unixMillis.getAsLong(), scheduler.now()).ifPresent(writer::add);
     }
 
-    private void addEvent(AuditRecord.AuditEventKind kind, long version, String text) {
-        int length = Math.min(text.length(), AuditRecord.AuditEvent.MAX_TEXT_CHARS);
+    private void addEvent(AuditEventKind kind, long version, String text) {
+        int length = Math.min(text.length(), AuditEvent.MAX_TEXT_CHARS);
         writer.add(
-                new AuditRecord.AuditEvent(
+                new AuditEvent(
                         kind, version, unixMillis.getAsLong(), text.substring(0, length)));
     }
 
@@ -116,26 +120,26 @@
         addEvent(kind(event), version, text);
     }
 
-    private static AuditRecord.AuditEventKind kind(RolloutService.What what) {
+    private static AuditEventKind kind(RolloutService.What what) {
         return switch (what) {
-            case CHANGED -> AuditRecord.AuditEventKind.VERSION_CHANGED;
-            case REFUSED -> AuditRecord.AuditEventKind.VERSION_REJECTED;
-            case SHUT_OUT -> AuditRecord.AuditEventKind.FENCED;
-            case LET_IN -> AuditRecord.AuditEventKind.UNFENCED;
-            case PUBLISHED -> AuditRecord.AuditEventKind.VERSION_PUBLISHED;
-            case ROLLOUT -> AuditRecord.AuditEventKind.ROLLOUT_CHANGED;
-            case WITNESSED -> AuditRecord.AuditEventKind.PEER_AUDIT_WITNESSED;
+            case CHANGED -> AuditEventKind.VERSION_CHANGED;
+            case REFUSED -> AuditEventKind.VERSION_REJECTED;
+            case SHUT_OUT -> AuditEventKind.FENCED;
+            case LET_IN -> AuditEventKind.UNFENCED;
+            case PUBLISHED -> AuditEventKind.VERSION_PUBLISHED;
+            case ROLLOUT -> AuditEventKind.ROLLOUT_CHANGED;
+            case WITNESSED -> AuditEventKind.PEER_AUDIT_WITNESSED;
         };
     }
 
     @Override
     public void recordAnswer(RequestAttempt attempt, AnswerKind kind) {
         String operation = attempt.operation.name();
-        usage.count(operation, VersionUsage.InvocationOutcome.RECEIVED);
+        usage.count(operation, InvocationOutcome.RECEIVED);
         switch (kind) {
-            case REPLAYED -> usage.count(operation, VersionUsage.InvocationOutcome.REPLAYED);
-            case THROTTLED -> usage.count(operation, VersionUsage.InvocationOutcome.THROTTLED);
-            case ERRORED -> usage.count(operation, VersionUsage.InvocationOutcome.ERRORED);
+            case REPLAYED -> usage.count(operation, InvocationOutcome.REPLAYED);
+            case THROTTLED -> usage.count(operation, InvocationOutcome.THROTTLED);
+            case ERRORED -> usage.count(operation, InvocationOutcome.ERRORED);
             default -> {
                 // a success is what is left of those received
             }
@@ -144,10 +148,10 @@
 
     @Override
     public void recordRunStarted(RequestAttempt attempt) {
-        usage.count(attempt.operation.name(), VersionUsage.InvocationOutcome.EXECUTED);
+        usage.count(attempt.operation.name(), InvocationOutcome.EXECUTED);
         if (recordsRuns && hasRecordableToken(attempt)) {
             writer.add(
-                    new AuditRecord.KeyedRun(
+                    new KeyedRun(
                             attempt.version(), unixMillis.getAsLong(), attempt.token));
         }
     }
@@ -156,18 +160,18 @@
         String token = attempt.token;
         return token != null
                 && !token.isEmpty()
-                && token.length() <= AuditRecord.KeyedRun.MAX_TOKEN_CHARS;
+                && token.length() <= KeyedRun.MAX_TOKEN_CHARS;
     }
 
     @Override
-    public HashChain.ChainHead chainHead() {
+    public ChainHead chainHead() {
         return writer.head();
     }
 
     @Override
     public void close() {
         writer.add(usage.closePeriod(unixMillis.getAsLong(), scheduler.now()));
-        addEvent(AuditRecord.AuditEventKind.STOPPED, usage.version(), "");
+        addEvent(AuditEventKind.STOPPED, usage.version(), "");
         writer.close();
     }
 }
--- a/src/main/java/ochretiller/node/AuditTrail.java
+++ b/src/main/java/ochretiller/node/AuditTrail.java
@@ -1,6 +1,6 @@
 package ochretiller.node;
 
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.service.RolloutService;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
@@ -24,7 +24,7 @@
     void recordRolloutEvent(RolloutService.What event, long version, String hash, String text);
 
     /** Returns the end of the hash chain on the disk, for other servers to witness. */
-    HashChain.ChainHead chainHead();
+    ChainHead chainHead();
 
     /** Ends the record and closes its files. */
     void close();
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -12,10 +12,10 @@
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.idempotency.IdempotencyCache;
 import ochretiller.idempotency.durable.DurabilityPolicy;
-import ochretiller.idempotency.durable.DurabilityPolicy.RecoveryDecision;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.idempotency.durable.DurabilityTimeouts;
 import ochretiller.idempotency.durable.IdempotencyRecord;
-import ochretiller.idempotency.durable.IdempotencyRecord.Progress;
+import ochretiller.idempotency.durable.InvocationProgress;
 import ochretiller.metrics.Metrics;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
@@ -104,10 +104,10 @@
      * written.
      */
     private void suspendWhileIncomplete() {
-        if (store.incompleteUntilMillis() <= store.nowMillis()) {
+        Duration incomplete = store.incompleteFor();
+        if (incomplete.isZero()) {
             return;
         }
-        Duration incomplete = Duration.ofMillis(store.incompleteUntilMillis() - store.nowMillis());
         policy.suspendNewKeysUntil(scheduler.now().plus(incomplete));
         LOG.severe(
                 "what is damaged may hide a mark: new keyed invocations are throttled for "
@@ -161,7 +161,7 @@
         Duration window = attempt.arrived.plus(attempt.operation.deduplicationWindow()).minus(now);
         long storeNow = store.nowMillis();
         return new IdempotencyRecord(
-                Progress.IN_FLIGHT,
+                InvocationProgress.IN_FLIGHT,
                 attempt.token,
                 attempt.operation.name(),
                 attempt.rid,
@@ -248,7 +248,7 @@
         metrics.previousRunSettled();
         boolean succeeded = status == RunOutcome.Status.SUCCEEDED;
         previousRuns.settle(
-                previous, succeeded ? Progress.SUCCEEDED : Progress.ENDED_WITHOUT_RESULT);
+                previous, succeeded ? InvocationProgress.SUCCEEDED : InvocationProgress.ENDED_WITHOUT_RESULT);
         Duration deadline = scheduler.now().plus(operation.clientTimeout());
         writer.writeOutcome(
                 new FinishedRun(previous, operation, status, result), deadline, onStored);
--- a/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
+++ b/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.idempotency.durable.IdempotencyRecord;
-import ochretiller.idempotency.durable.IdempotencyRecord.Progress;
+import ochretiller.idempotency.durable.InvocationProgress;
 import ochretiller.model.Operation;
 import ochretiller.net.Scheduler;
 import ochretiller.store.AppendResult;
@@ -65,7 +65,7 @@
             }
             default -> {
                 putOutcome(
-                        run.marker().withProgress(Progress.ENDED_WITHOUT_RESULT),
+                        run.marker().withProgress(InvocationProgress.ENDED_WITHOUT_RESULT),
                         run.operation(),
                         NO_VALUE);
                 onStored.run(); // the marker alone keeps the key from running again
@@ -89,12 +89,11 @@
             Duration now = scheduler.now();
             long append = startAppend(now);
             long expiry = expiryMillis(marker, operation);
-            store.put(
+            store.putNew(
                     marker.encodeKey(),
                     marker.encodeMetadata(),
                     NO_VALUE,
                     expiry,
-                    true,
                     result -> {
                         policy.appendCompleted(append);
                         onAppended(result);
@@ -134,7 +133,7 @@
         private boolean released;
 
         ResultWrite(FinishedRun run, Runnable onStored) {
-            this.outcome = run.marker().withProgress(Progress.SUCCEEDED);
+            this.outcome = run.marker().withProgress(InvocationProgress.SUCCEEDED);
             this.operation = run.operation();
             this.value = StoredResults.encode(run.result());
             this.onStored = onStored;
@@ -149,7 +148,6 @@
                     outcome.encodeMetadata(),
                     value,
                     expiry,
-                    false,
                     result -> {
                         policy.appendCompleted(append);
                         onAppended(result == AppendResult.DURABLE);
@@ -196,7 +194,6 @@
                 outcome.encodeMetadata(),
                 value,
                 expiry,
-                false,
                 result -> {
                     if (result != AppendResult.DURABLE) {
                         deferredWrites.defer(
--- a/src/main/java/ochretiller/node/IdempotencyStore.java
+++ b/src/main/java/ochretiller/node/IdempotencyStore.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import ochretiller.frontend.RequestAttempt;
-import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.model.Operation;
 import ochretiller.model.RunOutcome;
 
@@ -59,7 +59,7 @@
      * Decides how retries of a previous run are answered, given how long ago the processor was
      * started.
      */
-    DurabilityPolicy.RecoveryDecision recoveryDecision(
+    RecoveryDecision recoveryDecision(
             IdempotencyRecord previous, Duration processorAge);
 
     /** Returns the time from now until the end of a record's window; negative if it is over. */
--- a/src/main/java/ochretiller/node/InvocationExecutor.java
+++ b/src/main/java/ochretiller/node/InvocationExecutor.java
@@ -1,6 +1,7 @@
 package ochretiller.node;
 
 import java.time.Duration;
+import java.util.Optional;
 import java.util.function.Consumer;
 import ochretiller.execution.RunBackend;
 import ochretiller.execution.RunRequest;
@@ -197,7 +198,7 @@
             enter(RunState.ANSWERED);
             attempt.runs(false);
             if (status == Status.SUCCEEDED) {
-                cache.complete(attempt.id, attempt.operation.isKeyed(), result, clock.now());
+                cache.complete(attempt.id, Optional.of(result), clock.now());
                 resources.connections().succeed(attempt, result);
             } else if (status != Status.NOT_DISPATCHED) {
                 // Also where it was stopped although nobody asked: a client that sent a request is
--- a/src/main/java/ochretiller/node/NoAuditTrail.java
+++ b/src/main/java/ochretiller/node/NoAuditTrail.java
@@ -1,6 +1,6 @@
 package ochretiller.node;
 
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.service.RolloutService;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
@@ -29,8 +29,8 @@
     }
 
     @Override
-    public HashChain.ChainHead chainHead() {
-        return HashChain.ChainHead.EMPTY;
+    public ChainHead chainHead() {
+        return ChainHead.EMPTY;
     }
 
     @Override
--- a/src/main/java/ochretiller/node/PoolVersionApplier.java
+++ b/src/main/java/ochretiller/node/PoolVersionApplier.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.service.RolloutService;
 import ochretiller.operator.OperatorConfig;
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public HashChain.ChainHead audited() {
+    public ChainHead audited() {
         return audit.chainHead();
     }
 }
--- a/src/main/java/ochretiller/node/PreviousRunRecovery.java
+++ b/src/main/java/ochretiller/node/PreviousRunRecovery.java
@@ -3,11 +3,13 @@
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.logging.Logger;
 import ochretiller.admission.AdmissionController;
 import ochretiller.idempotency.IdempotencyCache;
-import ochretiller.idempotency.durable.DurabilityPolicy.RecoveryDecision;
+import ochretiller.idempotency.durable.RecoveryDecision;
+import ochretiller.idempotency.RestoredAttempt;
 import ochretiller.idempotency.durable.IdempotencyRecord;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
@@ -73,7 +75,10 @@
         boolean awaited = decision == RecoveryDecision.AWAIT_OUTCOME;
         Duration windowEnd =
                 actions.now().plus(features.idempotencyStore().remainingWindow(record));
-        cache.restore(id, operation, record.token(), record.bodyDigest(), windowEnd, !awaited);
+        cache.restore(
+                new RestoredAttempt(
+                        id, operation, record.token(), record.bodyDigest(), !awaited),
+                windowEnd);
         Status known =
                 switch (decision) {
                     case REPLAY -> Status.SUCCEEDED;
@@ -122,11 +127,7 @@
                                     outcome,
                                     result,
                                     () -> {
-                                        cache.complete(
-                                                id,
-                                                true,
-                                                outcome == Status.SUCCEEDED ? result : null,
-                                                actions.now());
+                                        cache.complete(id, cached(outcome, result), actions.now());
                                         admission
                                                 .onEntryRestored(id, windowEnd, outcome)
                                                 .execute(actions);
@@ -134,6 +135,10 @@
                 });
     }
 
+    private static Optional<byte[]> cached(Status outcome, byte[] result) {
+        return outcome == Status.SUCCEEDED ? Optional.of(result) : Optional.empty();
+    }
+
     /**
      * Returns whether a run with this request id was started by a previous process and has not
      * ended.
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -10,10 +10,9 @@
 import java.util.function.Consumer;
 import ochretiller.fleet.service.PreviousIncarnation;
 import ochretiller.fleet.service.ReplicationService;
-import ochretiller.idempotency.durable.DurabilityPolicy;
-import ochretiller.idempotency.durable.DurabilityPolicy.RecoveryDecision;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.idempotency.durable.IdempotencyRecord;
-import ochretiller.idempotency.durable.IdempotencyRecord.Progress;
+import ochretiller.idempotency.durable.InvocationProgress;
 import ochretiller.net.Scheduler;
 import ochretiller.store.RecoveredEntry;
 import ochretiller.store.Store;
@@ -44,12 +43,10 @@
         this.scheduler = scheduler;
         this.store = store;
         this.results = results;
-        storeComplete = store.incompleteUntilMillis() <= store.nowMillis();
+        storeComplete = store.incompleteFor().isZero();
         for (RecoveredEntry entry : store.recoveredEntries()) {
-            IdempotencyRecord record = IdempotencyRecord.decode(entry.key(), entry.metadata());
-            if (record != null) {
-                recovered.put(record.token(), record);
-            }
+            IdempotencyRecord.decode(entry.key(), entry.metadata())
+                    .ifPresent(record -> recovered.put(record.token(), record));
         }
     }
 
@@ -67,7 +64,7 @@
     long countInFlight() {
         long count = 0;
         for (IdempotencyRecord record : recovered.values()) {
-            if (record.progress() == Progress.IN_FLIGHT) {
+            if (record.progress() == InvocationProgress.IN_FLIGHT) {
                 count++;
             }
         }
@@ -90,17 +87,17 @@
      */
     RecoveryDecision recoveryDecision(IdempotencyRecord record, Duration processorAge) {
         RecoveryDecision decision =
-                DurabilityPolicy.decideRecovery(
+                RecoveryDecision.of(
                         record, store.nowMillis() - processorAge.toMillis());
         if (decision == RecoveryDecision.REJECT) {
             // Nobody will ever learn its outcome: the fleet need not wait for it either.
-            retained.replace(record.token(), record.withProgress(Progress.ENDED_WITHOUT_RESULT));
+            retained.replace(record.token(), record.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
         }
         return decision;
     }
 
     /** Records the outcome of a previous run that has become known. */
-    void settle(IdempotencyRecord record, Progress outcome) {
+    void settle(IdempotencyRecord record, InvocationProgress outcome) {
         retained.replace(record.token(), record.withProgress(outcome));
     }
 
--- a/src/main/java/ochretiller/node/ResultReplayer.java
+++ b/src/main/java/ochretiller/node/ResultReplayer.java
@@ -37,24 +37,21 @@
      */
     void replay(RequestAttempt retry, Consumer<RunOutcome> onOutcome) {
         // A keyed original that never ran has left its key to another attempt.
-        InvocationId original =
+        Optional<InvocationId> original =
                 retry.token == null
-                        ? attempts.originalOf(retry).orElse(null)
+                        ? attempts.originalOf(retry)
                         : cache.findByToken(retry.token);
-        InvocationId matching =
-                cache.conflictsWith(original, retry.operation, retry.body) ? null : original;
+        Optional<InvocationId> matching =
+                original.filter(id -> !cache.conflictsWith(id, retry.operation, retry.body));
         cache.whenCompleted(
                 matching,
                 result -> {
-                    if (result == null && matching != null && retry.token != null) {
+                    if (result.isEmpty() && matching.isPresent() && retry.token != null) {
                         // It had no room in memory, or a previous process has run it.
                         store.readResult(retry.token, stored -> answer(retry, stored, onOutcome));
                     } else {
-                        // Posted since the admission controller is still at work on the arrival of
-                        // the retry.
-                        resources
-                                .scheduler()
-                                .post(() -> answer(retry, Optional.ofNullable(result), onOutcome));
+                        // Posted since the admission controller is still at work on the arrival.
+                        resources.scheduler().post(() -> answer(retry, result, onOutcome));
                     }
                 });
     }
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -140,13 +140,7 @@
     @Override
     public void putIdempotencyEntry(InvocationId id, Duration window) {
         RequestAttempt attempt = attempts.get(id);
-        cache.track(
-                id,
-                attempt.operation,
-                attempt.token,
-                attempt.body,
-                attempt.t0,
-                clock.now().plus(window));
+        cache.track(attempts.describe(attempt), attempt.body, clock.now().plus(window));
     }
 
     @Override
--- a/src/main/java/ochretiller/node/StoreSetup.java
+++ b/src/main/java/ochretiller/node/StoreSetup.java
@@ -33,10 +33,7 @@
     /** Bytes on disk for each byte that the fleet may keep: dead records stay until compaction. */
     private static final int BYTES_PER_REPLICA_BYTE = 4;
 
-    /** Share of dead bytes from which a segment is compacted. */
-    private static final double COMPACTION_DEAD_RATIO = 0.5;
-
-    /** A segment that expires within so many record lives is not compacted but waited for. */
+/** A segment that expires within so many record lives is not compacted but waited for. */
     private static final int MIN_REMAINING_LIVES = 4;
 
     /** Returns the bounds of the store; what is kept for the fleet has room of its own. */
@@ -49,15 +46,15 @@
                         + replication
                                 .map(fleet -> BYTES_PER_REPLICA_BYTE * fleet.mostBytes())
                                 .orElse(0L);
-        return new StoreLimits(
-                maxEntries,
-                maxBytes,
-                maxEntries * INDEX_BYTES_PER_ENTRY,
-                settings.segmentBytes(),
-                settings.rollAfter(),
-                settings.copyRate(),
-                COMPACTION_DEAD_RATIO,
-                recordLife.multipliedBy(MIN_REMAINING_LIVES),
-                recordLife);
+        return StoreLimits.builder()
+                .maxEntries(maxEntries)
+                .maxBytes(maxBytes)
+                .maxIndexBytes(maxEntries * INDEX_BYTES_PER_ENTRY)
+                .segmentBytes(settings.segmentBytes())
+                .maxSegmentAge(settings.rollAfter())
+                .compactionBytesPerSecond(settings.copyRate())
+                .compactionMinRemainingLife(recordLife.multipliedBy(MIN_REMAINING_LIVES))
+                .maxRecordLife(recordLife)
+                .build();
     }
 }
--- a/src/main/java/ochretiller/node/StoredResults.java
+++ b/src/main/java/ochretiller/node/StoredResults.java
@@ -37,11 +37,13 @@
      * Reads the result under an idempotency key and hands it over later; empty if there is none.
      */
     void read(String token, Consumer<Optional<byte[]>> onRead) {
-        store.read(token.getBytes(StandardCharsets.UTF_8), value -> onRead.accept(decode(value)));
+        store.read(
+                token.getBytes(StandardCharsets.UTF_8),
+                value -> onRead.accept(value.flatMap(this::decode)));
     }
 
     private Optional<byte[]> decode(byte[] value) {
-        if (value == null || value.length < HEADER_BYTES) {
+        if (value.length < HEADER_BYTES) {
             return Optional.empty();
         }
         readBack.add();
--- a/src/main/java/ochretiller/node/VolatileIdempotency.java
+++ b/src/main/java/ochretiller/node/VolatileIdempotency.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import ochretiller.frontend.RequestAttempt;
-import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.model.Operation;
 import ochretiller.model.RunOutcome;
 import ochretiller.net.Scheduler;
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public DurabilityPolicy.RecoveryDecision recoveryDecision(
+    public RecoveryDecision recoveryDecision(
             IdempotencyRecord previous, Duration processorAge) {
         throw noPreviousRuns();
     }
