--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -1,18 +1,11 @@
 package ochretiller.fleet.service;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.security.SecureRandom;
 import java.time.Duration;
-import java.util.EnumMap;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.function.BiConsumer;
 import java.util.logging.Logger;
-import java.util.random.RandomGenerator;
-import ochretiller.collections.BoundedMap;
 import ochretiller.fleet.membership.BootstrapPeers;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
@@ -24,467 +17,269 @@
 import ochretiller.fleet.membership.OutboundPacket;
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.transport.AdminEndpoint;
-import ochretiller.fleet.transport.CommandHandler;
 import ochretiller.fleet.transport.FleetKeys;
 import ochretiller.fleet.transport.PacketCodec;
 import ochretiller.fleet.transport.PeerSocket;
 import ochretiller.fleet.transport.ReceivedPacket;
-import ochretiller.fleet.transport.RejectReason;
-import ochretiller.metrics.Metrics;
-import ochretiller.net.Network;
 import ochretiller.net.Scheduler;
 import ochretiller.store.Store;
 
 /**
- * A server's part in its fleet: drives the decisions on the one thread, carries out what they say,
- * tells the operators.
+ * A server's part in its fleet: drives the membership protocol, passes messages on to replication
+ * and rollout, and answers the operators' commands.
+ *
+ * <p>On the event loop, unless a method says otherwise.
  */
 public final class FleetService {
     private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
 
-    /** Addresses of peers that are kept made: more than a fleet has. */
-    private static final int MAX_CACHED_ADDRESSES = 4096;
-
-    /**
-     * Lines on changes in such a span; a fleet that flaps gets one line with the number of the
-     * rest.
-     */
-    private static final int MAX_LOG_LINES = 20;
-
-    private static final Duration LOG_LINE_INTERVAL = Duration.ofSeconds(10);
-    private static final String NO_VERSIONS = "{\"refused\":\"no versions are brought out here\"}";
-    private static final String NO_COPIES = "{\"copies\":false}";
+    /** Interval at which gauges and the file of known peers are brought up to date. */
     private static final Duration METRICS_INTERVAL = Duration.ofSeconds(1);
 
-    private final Scheduler schedule;
+    private static final int FIRST_STATE_VERSION = 1;
+
+    private final Scheduler scheduler;
     private final FleetSettings settings;
+    private final FleetCallbacks callbacks;
     private final PacketCodec codec;
-    private final MembershipProtocol members;
     private final PeerSocket socket;
-    private final AdminEndpoint door;
-    private final ReplicationService replication;
-
-    /** Null where no versions are brought out. */
-    private final RolloutService rollout;
-
-    /** Null where nothing is kept of who was seen. */
-    private final PeersFile peersFile;
-
-    private final BootstrapPeers acquaintances;
-    private final BiConsumer<Member, Boolean> seen;
-    private final Map<PeerAddress, InetSocketAddress> addresses =
-            BoundedMap.evictingLeastRecentlyUsed(MAX_CACHED_ADDRESSES);
-    private final Map<MemberState, Integer> sizes = new EnumMap<>(MemberState.class);
-    private volatile int[] sizesNow = new int[MemberState.values().length];
-    private volatile int doubtNow;
-    private final Metrics.Counter changed;
-    private Duration linesFrom = Duration.ZERO;
-    private int lines;
-    private long sequence;
-    private boolean closed;
+    private final MembershipProtocol membership;
+    private final PacketSender sender;
+    private final Optional<PeersFile> peersFile;
+    private final BootstrapPeers bootstrapPeers;
+    private final Optional<ReplicationService> replication;
+    private final Optional<RolloutService> rollout;
+    private final FleetMetrics metrics;
+    private final MembershipLog membershipLog = new MembershipLog();
+    private boolean isClosed;
 
     /**
-     * A part in a fleet that has not begun; it listens already, so that an address in use is told
-     * before anything is served.
+     * Creates a service that listens but does not take part yet, so that an address in use is
+     * reported before anything is served.
      *
-     * @param serves where the server serves, unless the operators say otherwise
-     * @param seen told on the one thread of each other member that is there, or no longer is
-     * @param longest the longest window of a token, its client timeout among it
-     * @param store where copies are kept, not started yet; null where they are kept in memory
-     * @param acts what acts on versions, where they are brought out
-     * @param leave run once the operators' command says so
+     * @param maxWindow longest idempotency window, with the client's timeouts
+     * @param store where replicated entries are kept, not started yet; nothing if they are kept in
+     *     memory
+     * @throws IOException if an address cannot be bound
      */
     public FleetService(
-            Scheduler schedule,
-            Network network,
+            FleetRuntime runtime,
             FleetSettings settings,
-            String name,
-            String build,
-            PeerAddress serves,
-            RandomGenerator chance,
-            Metrics metrics,
-            Duration longest,
-            Store store,
-            BiConsumer<Member, Boolean> seen,
-            VersionActivator acts,
-            Runnable leave)
+            LocalServer server,
+            Duration maxWindow,
+            Optional<Store> store,
+            FleetCallbacks callbacks)
             throws IOException {
-        this.schedule = schedule;
         this.settings = settings;
-        this.seen = seen;
+        this.callbacks = callbacks;
+        scheduler = runtime.scheduler();
         codec = new PacketCodec(settings.fleet(), FleetKeys.read(settings.keyFile()));
-        socket = new PeerSocket(schedule, codec, settings.listen(), this::taken);
-        PeerAddress at =
-                settings.advertise() != null
-                        ? settings.advertise()
-                        : new PeerAddress(
-                                settings.listen().getAddress().getHostAddress(),
-                                settings.listen().getPort());
-        // The start must differ from all before it, also where the same configuration is read
-        // again: no seed can say it.
-        long start = new SecureRandom().nextLong() | 1;
-        Member self =
-                new Member(
-                        new MemberId(name, start),
-                        at,
-                        settings.zone(),
-                        build,
-                        settings.serves() == null ? serves : settings.serves(),
-                        1,
-                        MemberState.JOINING);
-        members =
+        socket = new PeerSocket(scheduler, codec, settings.listen(), this::receive);
+        Member self = self(settings, server);
+        membership =
                 new MembershipProtocol(
-                        self, settings.seeds(), settings.pace(), chance, schedule.now());
-        peersFile = settings.peersFile() == null ? null : new PeersFile(settings.peersFile());
-        List<PeerAddress> former = peersFile == null ? List.of() : peersFile.read();
-        acquaintances = new BootstrapPeers(at, former);
-        members.addBootstrapPeers(former);
+                        self,
+                        settings.seeds(),
+                        settings.pace(),
+                        runtime.random(),
+                        scheduler.now());
+        peersFile = Optional.ofNullable(settings.peersFile()).map(PeersFile::new);
+        List<PeerAddress> knownPeers = peersFile.map(PeersFile::read).orElse(List.of());
+        bootstrapPeers = new BootstrapPeers(self.address(), knownPeers);
+        membership.addBootstrapPeers(knownPeers);
+        sender = new PacketSender(membership, codec, socket);
         FleetContext context =
-                new FleetContext(schedule, name, chance, metrics, this::send, members::snapshot);
+                new FleetContext(
+                        scheduler,
+                        server.name(),
+                        runtime.random(),
+                        runtime.metrics(),
+                        sender,
+                        membership::snapshot);
+        Optional<ReplicationSettings> replicationSettings = Optional.ofNullable(settings.copies());
         replication =
-                settings.copies() == null
-                        ? null
-                        : new ReplicationService(
-                                context,
-                                settings.copies(),
-                                start,
-                                longest,
-                                Optional.ofNullable(store));
-        boolean brings = settings.copies() != null && settings.copies().versions() != null;
-        rollout =
-                brings
-                        ? new RolloutService(
-                                context,
-                                settings.copies().versions(),
-                                build,
-                                settings.copies().voters(),
-                                acts)
-                        : null;
-        if (brings) {
-            replication.attachRollout(rollout);
-        }
-        door = new AdminEndpoint(codec, name, words(leave));
-        network.listen("fleet", settings.listen(), door::accepted);
-        changed =
-                metrics.counter(
-                        "fleet_changes_total", "Changes of state that this server has seen");
-        figures(metrics);
+                replicationSettings.map(
+                        present ->
+                                new ReplicationService(
+                                        context,
+                                        present,
+                                        self.incarnation(),
+                                        maxWindow,
+                                        store));
+        rollout = replicationSettings.flatMap(present -> rollout(context, present, server));
+        rollout.ifPresent(present -> replication.orElseThrow().attachRollout(present));
+        listenForCommands(runtime, server);
+        metrics = new FleetMetrics(runtime.metrics(), membership, socket);
     }
 
-    /** What the operators' commands may ask. */
-    private Map<String, CommandHandler> words(Runnable leave) {
-        Map<String, CommandHandler> words = new HashMap<>();
-        words.put("view", with -> MembershipJson.json(settings.fleet(), members, socket));
-        words.put("ping", with -> "{}");
-        words.put(
-                "leave",
-                with -> {
-                    LOG.info("told to leave by the operators' command");
-                    leave.run();
-                    return "{\"leaves\":true}";
-                });
-        words.put("version-status", with -> rollout == null ? NO_VERSIONS : rollout.status());
-        words.put("version-publish", with -> rollout == null ? NO_VERSIONS : rollout.publish(with));
-        for (String word : List.of("pause", "go-on", "take-back")) {
-            words.put(
-                    "version-" + word,
-                    with -> rollout == null ? NO_VERSIONS : rollout.steer(word, with));
-        }
-        words.put(
-                "copies-status",
-                with -> replication == null ? NO_COPIES : replication.statusJson().status());
-        words.put(
-                "copies-show",
-                with -> replication == null ? NO_COPIES : replication.statusJson().show(with));
-        words.put(
-                "copies-digests",
-                with -> replication == null ? NO_COPIES : replication.statusJson().digests());
-        words.put(
-                "copies-range",
-                with -> replication == null ? NO_COPIES : replication.statusJson().range(with));
-        words.put("copies-repair", with -> replication == null ? NO_COPIES : replication.repair());
-        return words;
+    /** The incarnation must differ from all before, also if the same configuration is read again. */
+    private static Member self(FleetSettings settings, LocalServer server) {
+        long incarnation = new SecureRandom().nextLong() | 1;
+        PeerAddress listenAddress =
+                new PeerAddress(
+                        settings.listen().getAddress().getHostAddress(),
+                        settings.listen().getPort());
+        return new Member(
+                new MemberId(server.name(), incarnation),
+                Optional.ofNullable(settings.advertise()).orElse(listenAddress),
+                settings.zone(),
+                server.build(),
+                Optional.ofNullable(settings.serves()).orElse(server.serviceAddress()),
+                FIRST_STATE_VERSION,
+                MemberState.JOINING);
     }
 
-    private void figures(Metrics metrics) {
-        for (MemberState state : MemberState.values()) {
-            String name = state.lowerCaseName();
-            metrics.gauge(
-                    "fleet_members_" + name,
-                    "Members that are seen as " + name + ", this server among them",
-                    () -> sizesNow[state.ordinal()]);
-        }
-        metrics.gauge("fleet_doubt", "How far this server doubts itself, 0 to 8", () -> doubtNow);
-        metrics.counted(
-                "fleet_probes_total",
-                "Members that were asked in turn",
-                () -> members.counters().probes);
-        metrics.counted(
-                "fleet_probes_missed_total",
-                "Members that answered neither directly nor through others",
-                () -> members.counters().failedProbes);
-        metrics.counted(
-                "fleet_probes_indirect_total",
-                "Probes that others were asked to carry on",
-                () -> members.counters().indirectProbes);
-        metrics.counted(
-                "fleet_suspicions_total",
-                "Members that became suspect",
-                () -> members.counters().suspicions);
-        metrics.counted(
-                "fleet_silenced_total",
-                "Members that were judged silent",
-                () -> members.counters().becameUnresponsive);
-        metrics.counted(
-                "fleet_returned_total",
-                "Members that came back",
-                () -> members.counters().returned);
-        metrics.counted(
-                "fleet_refuted_total",
-                "Times that this server said that it is there",
-                () -> members.counters().refutations);
-        metrics.counted(
-                "fleet_twins_total",
-                "Other processes that bear this server's name",
-                () -> members.counters().duplicateNames);
-        metrics.counted(
-                "fleet_late_timers_total",
-                "Timers that came late",
-                () -> members.counters().lateTicks);
-        metrics.counted(
-                "fleet_views_compared_total",
-                "Comparisons of views that this server began",
-                () -> members.counters().syncs);
-        metrics.counted(
-                "fleet_views_refused_total",
-                "Comparisons that were too many",
-                () -> members.counters().syncsRejected);
-        metrics.counted(
-                "fleet_full_total",
-                "Newcomers and questions for which there was no room",
-                () -> members.counters().capacityRejections);
-        metrics.counted(
-                "fleet_sent_packets_total", "Packets sent to peers", socket.traffic()::sentPackets);
-        metrics.counted(
-                "fleet_sent_bytes_total", "Bytes sent to peers", socket.traffic()::sentBytes);
-        metrics.counted(
-                "fleet_unsent_packets_total",
-                "Packets that the socket did not take",
-                socket.traffic()::droppedPackets);
-        metrics.counted(
-                "fleet_read_packets_total",
-                "Packets read, refused ones among them",
-                socket.traffic()::readPackets);
-        metrics.counted(
-                "fleet_read_bytes_total",
-                "Bytes read, refused ones among them",
-                socket.traffic()::readBytes);
-        for (RejectReason why : RejectReason.values()) {
-            metrics.counted(
-                    "fleet_refused_" + why.lowerCaseName() + "_total",
-                    "Packets refused: " + why.externalName(),
-                    () -> socket.rejectedCount(why));
-        }
+    private Optional<RolloutService> rollout(
+            FleetContext context, ReplicationSettings replicationSettings, LocalServer server) {
+        return Optional.ofNullable(replicationSettings.versions())
+                .map(
+                        rolloutSettings ->
+                                new RolloutService(
+                                        context,
+                                        rolloutSettings,
+                                        server.build(),
+                                        replicationSettings.voters(),
+                                        callbacks.versionActivator()));
+    }
+
+    private void listenForCommands(FleetRuntime runtime, LocalServer server) throws IOException {
+        AdminCommands commands =
+                new AdminCommands()
+                        .withMembership(
+                                settings.fleet(), membership, socket, callbacks.leaveRequest())
+                        .withRollout(rollout)
+                        .withReplication(replication);
+        AdminEndpoint endpoint = new AdminEndpoint(codec, server.name(), commands.handlers());
+        runtime.network().listen("fleet", settings.listen(), endpoint::accepted);
     }
 
-    /** Begins; from any thread. */
+    /** Begins to take part. From any thread. */
     public void start() {
         socket.start();
-        schedule.post(
-                () -> {
-                    LOG.info(
-                            () ->
-                                    members.self().id()
-                                            + " takes part in fleet "
-                                            + settings.fleet()
-                                            + " at "
-                                            + members.self().address());
-                    tick();
-                    look();
-                    if (replication != null) {
-                        replication.start();
-                    }
-                });
+        scheduler.post(this::join);
     }
 
-    private void tick() {
-        if (closed) {
-            return;
-        }
-        if (members.nextTick().compareTo(schedule.now()) <= 0) {
-            members.tick(schedule.now());
-            carryOut();
-        }
-        Duration wait = members.nextTick().minus(schedule.now());
-        schedule.after(wait.isNegative() ? Duration.ZERO : wait, this::tick);
+    private void join() {
+        LOG.info(
+                () ->
+                        membership.self().id()
+                                + " takes part in fleet "
+                                + settings.fleet()
+                                + " at "
+                                + membership.self().address());
+        tick();
+        observe();
+        replication.ifPresent(ReplicationService::start);
     }
 
-    private void look() {
-        if (closed) {
+    private void tick() {
+        if (isClosed) {
             return;
         }
-        sizes.clear();
-        List<MemberSnapshot> view = members.snapshot();
-        keep(view);
-        for (MemberSnapshot each : view) {
-            sizes.merge(each.member().state(), 1, Integer::sum);
+        if (membership.nextTick().compareTo(scheduler.now()) <= 0) {
+            membership.tick(scheduler.now());
+            publish();
         }
-        int[] next = new int[MemberState.values().length];
-        sizes.forEach((state, count) -> next[state.ordinal()] = count);
-        sizesNow = next;
-        doubtNow = members.localHealthScore();
-        schedule.after(METRICS_INTERVAL, this::look);
+        Duration wait = membership.nextTick().minus(scheduler.now());
+        scheduler.after(wait.isNegative() ? Duration.ZERO : wait, this::tick);
     }
 
-    private void keep(List<MemberSnapshot> view) {
-        if (peersFile == null) {
+    private void observe() {
+        if (isClosed) {
             return;
         }
-        acquaintances.observe(view, schedule.now());
-        List<PeerAddress> due = acquaintances.takeDue(schedule.now());
-        if (due != null) {
-            peersFile.write(due);
-        }
+        List<MemberSnapshot> view = membership.snapshot();
+        peersFile.ifPresent(file -> storePeers(file, view));
+        metrics.publish(view, membership.localHealthScore());
+        scheduler.after(METRICS_INTERVAL, this::observe);
     }
 
-    private void taken(ReceivedPacket opened) {
-        if (closed) {
-            return;
-        }
-        if (!(opened.message() instanceof MembershipMessage)) {
-            // Only who is in may speak of epochs and tokens: its name is what majorities are
-            // counted by.
-            if (replication != null
-                    && members.isLive(opened.sender().id().name(), opened.sender().incarnation())) {
-                replication.receive(opened.sender().id().name(), opened.message());
-            }
-            return;
-        }
-        members.receive(opened.packet(), schedule.now());
-        carryOut();
+    private void storePeers(PeersFile file, List<MemberSnapshot> view) {
+        bootstrapPeers.observe(view, scheduler.now());
+        Optional.ofNullable(bootstrapPeers.takeDue(scheduler.now())).ifPresent(file::write);
     }
 
-    /**
-     * To whoever bears this name and is in; to nobody where none is, which is a loss like any
-     * other.
-     */
-    private void send(String name, Object message) {
-        PeerAddress to = members.addressOf(name);
-        if (to == null) {
+    private void receive(ReceivedPacket packet) {
+        if (isClosed) {
             return;
         }
-        socket.send(
-                addresses.computeIfAbsent(
-                        to, each -> new InetSocketAddress(each.host(), each.port())),
-                codec.seal(members.self(), message, ++sequence));
-    }
-
-    /** The copies that this fleet keeps of claims and results, or null where it keeps none. */
-    public ReplicationService replication() {
-        return replication;
+        if (packet.message() instanceof MembershipMessage) {
+            membership.receive(packet.packet(), scheduler.now());
+            publish();
+        } else if (isFromLiveMember(packet)) {
+            String server = packet.sender().id().name();
+            replication.ifPresent(present -> present.receive(server, packet.message()));
+        }
     }
 
-    /** What is brought out to the fleet, or null where nothing is. */
-    public RolloutService rollout() {
-        return rollout;
+    /** Majorities are counted by name, so that only the live bearer of a name may take part. */
+    private boolean isFromLiveMember(ReceivedPacket packet) {
+        return membership.isLive(packet.sender().id().name(), packet.sender().incarnation());
     }
 
-    private void carryOut() {
-        for (OutboundPacket send : members.takeOutbound()) {
-            InetSocketAddress to =
-                    addresses.computeIfAbsent(
-                            send.destination(),
-                            each -> new InetSocketAddress(each.host(), each.port()));
-            socket.send(to, codec.seal(send.packet(), ++sequence));
+    private void publish() {
+        for (OutboundPacket each : membership.takeOutbound()) {
+            sender.send(each);
         }
-        for (MembershipChange change : members.takeChanges()) {
-            tell(change);
+        for (MembershipChange each : membership.takeChanges()) {
+            report(each);
         }
     }
 
-    private void tell(MembershipChange change) {
-        changed.add();
-        Member member = change.member();
-        MemberState state = member.state();
-        if (change.kind() == MembershipChange.Kind.STATE_CHANGED
-                && (change.previousState() == null
-                        || change.previousState().isLive() != state.isLive())) {
-            seen.accept(
-                    member,
-                    state.isLive() || members.isServedByLiveMember(member.serviceAddress()));
+    private void report(MembershipChange change) {
+        metrics.countChange();
+        if (isLivenessChange(change)) {
+            Member member = change.member();
+            boolean isServed =
+                    member.state().isLive()
+                            || membership.isServedByLiveMember(member.serviceAddress());
+            callbacks.memberObserver().accept(member, isServed);
         }
-        if (!line()) {
+        if (!membershipLog.tryAcquireLine(scheduler.now())) {
             return;
         }
-        switch (change.kind()) {
-            case STATE_CHANGED -> {
-                if (state != MemberState.SUSPECT) {
-                    LOG.info(
-                            () ->
-                                    "fleet: "
-                                            + member.id()
-                                            + " at "
-                                            + member.address()
-                                            + " is "
-                                            + state.externalName());
-                }
-            }
-            case DUPLICATE_NAME -> {
-                // Two keepers by one name would be counted as one: this one says nothing more until
-                // its operators have seen to it.
-                if (replication != null) {
-                    replication.stopSending();
-                }
-                LOG.warning(
-                        "fleet: another process bears the name of this server: "
-                                + member.id()
-                                + " at "
-                                + member.address());
-            }
-            case JOINED -> LOG.info(() -> "fleet: joined, with " + members.liveCount() + " others");
-            case SUSPICION_REFUTED ->
-                    LOG.info("fleet: was thought to be gone, and says that it is here");
-            case FORGOTTEN -> LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
-            default -> throw new IllegalStateException();
+        if (change.kind() == MembershipChange.Kind.DUPLICATE_NAME) {
+            // Two replicas of one name would be counted as one: this one stays silent until its
+            // operators have seen to it.
+            replication.ifPresent(ReplicationService::stopSending);
         }
+        membershipLog.log(change, membership.liveCount());
     }
 
-    /** Whether there is room for one more line: a fleet that flaps must not fill the log. */
-    private boolean line() {
-        Duration now = schedule.now();
-        if (now.minus(linesFrom).compareTo(LOG_LINE_INTERVAL) >= 0) {
-            if (lines > MAX_LOG_LINES) {
-                int more = lines - MAX_LOG_LINES;
-                LOG.info(() -> "fleet: " + more + " more changes that got no line");
-            }
-            linesFrom = now;
-            lines = 0;
+    private static boolean isLivenessChange(MembershipChange change) {
+        if (change.kind() != MembershipChange.Kind.STATE_CHANGED) {
+            return false;
         }
-        return ++lines <= MAX_LOG_LINES;
+        return change.previousState() == null
+                || change.previousState().isLive() != change.member().state().isLive();
     }
 
-    /** Other keys hold from the next packet on, if the file is good. */
+    /** Returns the replication, or null if there is none. */
+    public ReplicationService replication() {
+        return replication.orElse(null);
+    }
+
+    /** Returns the rollout, or null if there is none. */
+    public RolloutService rollout() {
+        return rollout.orElse(null);
+    }
+
+    /** Reads the key file again; its keys hold from the next packet on. From any thread. */
     public void reload() {
         codec.replaceKeys(FleetKeys.read(settings.keyFile()));
     }
 
-    /**
-     * All others are told that this server leaves; it still answers until it is closed. On the one
-     * thread.
-     */
+    /** Tells the others that this server leaves; it goes on answering until it is closed. */
     public void leave() {
-        members.leave(schedule.now());
-        carryOut();
+        membership.leave(scheduler.now());
+        publish();
     }
 
+    /** Ends its part in the fleet without a message. */
     public void close() {
-        closed = true;
-        if (replication != null) {
-            replication.close();
-        }
-        if (peersFile != null) {
-            peersFile.close();
-        }
+        isClosed = true;
+        replication.ifPresent(ReplicationService::close);
+        peersFile.ifPresent(PeersFile::close);
         socket.close();
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/service/MembershipLog.java
@@ -0,0 +1,73 @@
+package ochretiller.fleet.service;
+
+import java.time.Duration;
+import java.util.logging.Logger;
+import ochretiller.fleet.membership.Member;
+import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.MembershipChange;
+
+/**
+ * Writes the log lines about changes of the membership. Their rate is limited, so that a fleet that
+ * flaps does not fill the log. On the event loop.
+ */
+final class MembershipLog {
+    private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
+
+    /** Lines in an interval; the number of the others is logged in the next one. */
+    private static final int MAX_LOG_LINES = 20;
+
+    private static final Duration LOG_LINE_INTERVAL = Duration.ofSeconds(10);
+
+    private Duration intervalStart = Duration.ZERO;
+    private int lines;
+
+    /** Returns whether a change may be logged, and counts it. */
+    boolean tryAcquireLine(Duration now) {
+        if (now.minus(intervalStart).compareTo(LOG_LINE_INTERVAL) >= 0) {
+            if (lines > MAX_LOG_LINES) {
+                int omitted = lines - MAX_LOG_LINES;
+                LOG.info(() -> "fleet: " + omitted + " more changes that got no line");
+            }
+            intervalStart = now;
+            lines = 0;
+        }
+        lines++;
+        return lines <= MAX_LOG_LINES;
+    }
+
+    /**
+     * Logs a change.
+     *
+     * @param otherLiveMembers live members beside this server
+     */
+    void log(MembershipChange change, int otherLiveMembers) {
+        Member member = change.member();
+        switch (change.kind()) {
+            case STATE_CHANGED -> logState(member);
+            case DUPLICATE_NAME ->
+                    LOG.warning(
+                            "fleet: another process bears the name of this server: "
+                                    + member.id()
+                                    + " at "
+                                    + member.address());
+            case JOINED -> LOG.info(() -> "fleet: joined, with " + otherLiveMembers + " others");
+            case SUSPICION_REFUTED ->
+                    LOG.info("fleet: was thought to be gone, and says that it is here");
+            case FORGOTTEN -> LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
+            default -> throw new IllegalStateException("unknown change " + change.kind());
+        }
+    }
+
+    private static void logState(Member member) {
+        if (member.state() != MemberState.SUSPECT) {
+            LOG.info(
+                    () ->
+                            "fleet: "
+                                    + member.id()
+                                    + " at "
+                                    + member.address()
+                                    + " is "
+                                    + member.state().externalName());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/service/PacketSender.java
@@ -0,0 +1,55 @@
+package ochretiller.fleet.service;
+
+import java.net.InetSocketAddress;
+import java.util.Map;
+import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.membership.MembershipProtocol;
+import ochretiller.fleet.membership.OutboundPacket;
+import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.transport.PacketCodec;
+import ochretiller.fleet.transport.PeerSocket;
+
+/** Numbers, encodes and sends the packets of one server. On the event loop. */
+final class PacketSender implements PeerSender {
+    /** Addresses whose socket address is cached: more than a fleet has. */
+    private static final int MAX_CACHED_ADDRESSES = 4096;
+
+    private final MembershipProtocol membership;
+    private final PacketCodec codec;
+    private final PeerSocket socket;
+    private final Map<PeerAddress, InetSocketAddress> socketAddresses =
+            BoundedMap.evictingLeastRecentlyUsed(MAX_CACHED_ADDRESSES);
+    private long lastSequence;
+
+    PacketSender(MembershipProtocol membership, PacketCodec codec, PeerSocket socket) {
+        this.membership = membership;
+        this.codec = codec;
+        this.socket = socket;
+    }
+
+    /** Sends to the live member of this name; without one the message is lost like any other. */
+    @Override
+    public void send(String server, Object message) {
+        PeerAddress address = membership.addressOf(server);
+        if (address != null) {
+            byte[] packet = codec.seal(membership.self(), message, nextSequence());
+            socket.send(resolve(address), packet);
+        }
+    }
+
+    /** Sends a packet of the membership protocol. */
+    void send(OutboundPacket outbound) {
+        byte[] packet = codec.seal(outbound.packet(), nextSequence());
+        socket.send(resolve(outbound.destination()), packet);
+    }
+
+    private long nextSequence() {
+        lastSequence++;
+        return lastSequence;
+    }
+
+    private InetSocketAddress resolve(PeerAddress address) {
+        return socketAddresses.computeIfAbsent(
+                address, each -> new InetSocketAddress(each.host(), each.port()));
+    }
+}
--- a/src/main/java/ochretiller/node/OperatorWiring.java
+++ b/src/main/java/ochretiller/node/OperatorWiring.java
@@ -7,7 +7,10 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.service.FleetCallbacks;
+import ochretiller.fleet.service.FleetRuntime;
 import ochretiller.fleet.service.FleetService;
+import ochretiller.fleet.service.LocalServer;
 import ochretiller.fleet.service.FleetSettings;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
@@ -145,6 +148,19 @@
                 metrics);
     }
 
+    private FleetCallbacks fleetCallbacks(
+            Optional<ConfiguredWorkerPools> pools, AuditTrail audit) {
+        return new FleetCallbacks(
+                (member, present) -> {
+                    if (pools.isPresent() && member.serviceAddress() != null) {
+                        pools.get()
+                                .onFleetMemberSeen(member.serviceAddress().toString(), present);
+                    }
+                },
+                new PoolVersionApplier(settings, configs -> reconfigure(pools, configs), audit),
+                OperatorWiring::shutDown);
+    }
+
     private Optional<FleetService> fleet(
             Optional<ConfiguredWorkerPools> pools,
             Optional<DurableIdempotency> durable,
@@ -157,26 +173,16 @@
         OperatorConfigResolver.checkFleet(fleetSettings, configuration);
         FleetService fleet =
                 new FleetService(
-                        resources.scheduler(),
-                        resources.network(),
+                        new FleetRuntime(
+                                resources.scheduler(),
+                                resources.network(),
+                                new SplittableRandom(configuration.seed() + 2),
+                                metrics),
                         fleetSettings,
-                        configuration.name(),
-                        build(),
-                        servingAddress(),
-                        new SplittableRandom(configuration.seed() + 2),
-                        metrics,
+                        new LocalServer(configuration.name(), build(), servingAddress()),
                         recordLife(),
-                        durable.map(DurableIdempotency::store).orElse(null),
-                        (member, present) -> {
-                            if (pools.isPresent() && member.serviceAddress() != null) {
-                                pools.get()
-                                        .onFleetMemberSeen(
-                                                member.serviceAddress().toString(), present);
-                            }
-                        },
-                        new PoolVersionApplier(
-                                settings, configs -> reconfigure(pools, configs), audit),
-                        OperatorWiring::shutDown);
+                        durable.map(DurableIdempotency::store),
+                        fleetCallbacks(pools, audit));
         if (fleet.replication() != null && durable.isPresent()) {
             fleet.replication().usePreviousIncarnation(durable.get().previousRuns());
         }
