--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -103,8 +103,7 @@
     private void addEvent(AuditEventKind kind, long version, String text) {
         int length = Math.min(text.length(), AuditEvent.MAX_TEXT_CHARS);
         writer.add(
-                new AuditEvent(
-                        kind, version, unixMillis.getAsLong(), text.substring(0, length)));
+                new AuditEvent(kind, version, unixMillis.getAsLong(), text.substring(0, length)));
     }
 
     @Override
@@ -150,17 +149,13 @@
     public void recordRunStarted(RequestAttempt attempt) {
         usage.count(attempt.operation.name(), InvocationOutcome.EXECUTED);
         if (recordsRuns && hasRecordableToken(attempt)) {
-            writer.add(
-                    new KeyedRun(
-                            attempt.version(), unixMillis.getAsLong(), attempt.token));
+            writer.add(new KeyedRun(attempt.version(), unixMillis.getAsLong(), attempt.token));
         }
     }
 
     private static boolean hasRecordableToken(RequestAttempt attempt) {
         String token = attempt.token;
-        return token != null
-                && !token.isEmpty()
-                && token.length() <= KeyedRun.MAX_TOKEN_CHARS;
+        return token != null && !token.isEmpty() && token.length() <= KeyedRun.MAX_TOKEN_CHARS;
     }
 
     @Override
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -12,10 +12,10 @@
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.idempotency.IdempotencyCache;
 import ochretiller.idempotency.durable.DurabilityPolicy;
-import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.idempotency.durable.DurabilityTimeouts;
 import ochretiller.idempotency.durable.IdempotencyRecord;
 import ochretiller.idempotency.durable.InvocationProgress;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.metrics.Metrics;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
@@ -248,7 +248,8 @@
         metrics.previousRunSettled();
         boolean succeeded = status == RunOutcome.Status.SUCCEEDED;
         previousRuns.settle(
-                previous, succeeded ? InvocationProgress.SUCCEEDED : InvocationProgress.ENDED_WITHOUT_RESULT);
+                previous,
+                succeeded ? InvocationProgress.SUCCEEDED : InvocationProgress.ENDED_WITHOUT_RESULT);
         Duration deadline = scheduler.now().plus(operation.clientTimeout());
         writer.writeOutcome(
                 new FinishedRun(previous, operation, status, result), deadline, onStored);
--- a/src/main/java/ochretiller/node/IdempotencyStore.java
+++ b/src/main/java/ochretiller/node/IdempotencyStore.java
@@ -59,8 +59,7 @@
      * Decides how retries of a previous run are answered, given how long ago the processor was
      * started.
      */
-    RecoveryDecision recoveryDecision(
-            IdempotencyRecord previous, Duration processorAge);
+    RecoveryDecision recoveryDecision(IdempotencyRecord previous, Duration processorAge);
 
     /** Returns the time from now until the end of a record's window; negative if it is over. */
     Duration remainingWindow(IdempotencyRecord previous);
--- a/src/main/java/ochretiller/node/PreviousRunRecovery.java
+++ b/src/main/java/ochretiller/node/PreviousRunRecovery.java
@@ -8,9 +8,9 @@
 import java.util.logging.Logger;
 import ochretiller.admission.AdmissionController;
 import ochretiller.idempotency.IdempotencyCache;
-import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.idempotency.RestoredAttempt;
 import ochretiller.idempotency.durable.IdempotencyRecord;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 import ochretiller.model.RunOutcome.Status;
@@ -76,8 +76,7 @@
         Duration windowEnd =
                 actions.now().plus(features.idempotencyStore().remainingWindow(record));
         cache.restore(
-                new RestoredAttempt(
-                        id, operation, record.token(), record.bodyDigest(), !awaited),
+                new RestoredAttempt(id, operation, record.token(), record.bodyDigest(), !awaited),
                 windowEnd);
         Status known =
                 switch (decision) {
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 import ochretiller.fleet.service.PreviousIncarnation;
 import ochretiller.fleet.service.ReplicationService;
-import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.idempotency.durable.IdempotencyRecord;
 import ochretiller.idempotency.durable.InvocationProgress;
+import ochretiller.idempotency.durable.RecoveryDecision;
 import ochretiller.net.Scheduler;
 import ochretiller.store.RecoveredEntry;
 import ochretiller.store.Store;
@@ -87,11 +87,11 @@
      */
     RecoveryDecision recoveryDecision(IdempotencyRecord record, Duration processorAge) {
         RecoveryDecision decision =
-                RecoveryDecision.of(
-                        record, store.nowMillis() - processorAge.toMillis());
+                RecoveryDecision.of(record, store.nowMillis() - processorAge.toMillis());
         if (decision == RecoveryDecision.REJECT) {
             // Nobody will ever learn its outcome: the fleet need not wait for it either.
-            retained.replace(record.token(), record.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
+            retained.replace(
+                    record.token(), record.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
         }
         return decision;
     }
--- a/src/main/java/ochretiller/node/ResultReplayer.java
+++ b/src/main/java/ochretiller/node/ResultReplayer.java
@@ -38,9 +38,7 @@
     void replay(RequestAttempt retry, Consumer<RunOutcome> onOutcome) {
         // A keyed original that never ran has left its key to another attempt.
         Optional<InvocationId> original =
-                retry.token == null
-                        ? attempts.originalOf(retry)
-                        : cache.findByToken(retry.token);
+                retry.token == null ? attempts.originalOf(retry) : cache.findByToken(retry.token);
         Optional<InvocationId> matching =
                 original.filter(id -> !cache.conflictsWith(id, retry.operation, retry.body));
         cache.whenCompleted(
--- a/src/main/java/ochretiller/node/StoreHealthMonitor.java
+++ b/src/main/java/ochretiller/node/StoreHealthMonitor.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.logging.Logger;
-import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.idempotency.durable.DiskHealth;
+import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.net.Scheduler;
 import ochretiller.store.Store;
 
@@ -67,7 +67,8 @@
         if (reported == DiskHealth.HEALTHY) {
             metrics.stalls.add();
         }
-        String fault = health == DiskHealth.UNAVAILABLE ? ": " + store.stats().fault().orElse("") : "";
+        String fault =
+                health == DiskHealth.UNAVAILABLE ? ": " + store.stats().fault().orElse("") : "";
         String consequence =
                 health == DiskHealth.HEALTHY ? " again" : "; new keyed work is throttled";
         LOG.warning("the store's disk is " + health.externalName() + fault + consequence);
--- a/src/main/java/ochretiller/node/StoreSetup.java
+++ b/src/main/java/ochretiller/node/StoreSetup.java
@@ -33,7 +33,7 @@
     /** Bytes on disk for each byte that the fleet may keep: dead records stay until compaction. */
     private static final int BYTES_PER_REPLICA_BYTE = 4;
 
-/** A segment that expires within so many record lives is not compacted but waited for. */
+    /** A segment that expires within so many record lives is not compacted but waited for. */
     private static final int MIN_REMAINING_LIVES = 4;
 
     /** Returns the bounds of the store; what is kept for the fleet has room of its own. */
--- a/src/main/java/ochretiller/node/VolatileIdempotency.java
+++ b/src/main/java/ochretiller/node/VolatileIdempotency.java
@@ -56,8 +56,7 @@
     }
 
     @Override
-    public RecoveryDecision recoveryDecision(
-            IdempotencyRecord previous, Duration processorAge) {
+    public RecoveryDecision recoveryDecision(IdempotencyRecord previous, Duration processorAge) {
         throw noPreviousRuns();
     }
 
