--- a/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import net.openhft.hashing.LongHashFunction;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimDecision;
 import ochretiller.fleet.replication.ClaimOutcome;
@@ -35,8 +36,7 @@
     private static final int UNDER_WAY = 14;
 
     private static final int SETTLES = 60;
-    private static final List<ReplicaPlacement.ReplicaServer> THREE =
-            List.of(server(0), server(1), server(2));
+    private static final List<ReplicaServer> THREE = List.of(server(0), server(1), server(2));
 
     /** Reckoned once: each path is played anew. */
     private static final ReplicaPlacement FIRST = new ReplicaPlacement(1, THREE, List.of(), 3);
@@ -98,8 +98,8 @@
         }
     }
 
-    private static ReplicaPlacement.ReplicaServer server(int number) {
-        return new ReplicaPlacement.ReplicaServer("k" + number, "z");
+    private static ReplicaServer server(int number) {
+        return new ReplicaServer("k" + number, "z");
     }
 
     private void told(int server, ClaimDecision verdict) {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -8,6 +8,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -20,6 +21,7 @@
 import ochretiller.fleet.membership.MemberSnapshot;
 import ochretiller.fleet.membership.MemberState;
 import ochretiller.fleet.membership.MembershipChange;
+import ochretiller.fleet.membership.MembershipCounter;
 import ochretiller.fleet.membership.MembershipPacket;
 import ochretiller.fleet.membership.MembershipProtocol;
 import ochretiller.fleet.membership.OutboundPacket;
@@ -99,7 +101,7 @@
                             address,
                             "z" + slot.zone(),
                             "build-1",
-                            null,
+                            Optional.empty(),
                             1,
                             MemberState.JOINING);
             // A server's clock begins with its process: no two servers have the same time.
@@ -123,10 +125,7 @@
             }
             if (!paused) {
                 acquaintances.observe(members.snapshot(), events.now());
-                List<PeerAddress> due = acquaintances.takeDue(events.now());
-                if (due != null) {
-                    kept.put(slot.number(), due);
-                }
+                acquaintances.takeDue(events.now()).ifPresent(due -> kept.put(slot.number(), due));
             }
             events.after(KEEPS_S, this::keep);
         }
@@ -259,9 +258,9 @@
             note("unsettled");
         }
         for (Host host : byStart.values()) {
-            outcome.refuted += host.members.counters().refutations;
-            outcome.suspected += host.members.counters().suspicions;
-            outcome.twins += (int) host.members.counters().duplicateNames;
+            outcome.refuted += host.members.counters().get(MembershipCounter.REFUTATIONS);
+            outcome.suspected += host.members.counters().get(MembershipCounter.SUSPICIONS);
+            outcome.twins += (int) host.members.counters().get(MembershipCounter.DUPLICATE_NAMES);
             outcome.memberSeconds +=
                     (Double.isNaN(host.diedS) ? events.seconds() : host.diedS)
                             - Math.max(countS, host.startedS);
@@ -387,9 +386,9 @@
     }
 
     private void changed(Host host, MembershipChange change) {
-        if (change.kind() != MembershipChange.Kind.STATE_CHANGED
+        if (!(change instanceof MembershipChange.StateChanged stateChange)
                 || change.member().state() != MemberState.UNRESPONSIVE
-                || change.previousState() == null) {
+                || stateChange.previousState().isEmpty()) {
             return;
         }
         outcome.verdicts++;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import net.openhft.hashing.LongHashFunction;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
@@ -69,7 +70,7 @@
                             address(i),
                             "z",
                             "b",
-                            null,
+                            Optional.empty(),
                             1,
                             MemberState.JOINING);
             clocks[i] = Duration.ZERO;
@@ -97,7 +98,7 @@
         }
         for (MembershipChange change : all[from].takeChanges()) {
             int of = (int) change.member().incarnation() - 1;
-            if (change.kind() == MembershipChange.Kind.STATE_CHANGED
+            if (change instanceof MembershipChange.StateChanged
                     && change.member().state() == MemberState.LEFT
                     && !left[of]) {
                 broken = "said to have left: " + change;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -17,11 +17,14 @@
 import java.util.function.Consumer;
 import ochretiller.emulator.core.EventQueue;
 import ochretiller.emulator.core.RandomStreams;
+import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.ConsensusMessage;
 import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.OutboundConsensusMessage;
 import ochretiller.fleet.consensus.PlacementPlanner;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
 import ochretiller.fleet.membership.MemberState;
@@ -221,7 +224,7 @@
     private final class Host {
         final int number;
         final String name;
-        final ReplicaPlacement.ReplicaServer server;
+        final ReplicaServer server;
         Replica keeper;
         Image disk = Image.none();
         DurabilityBarrier commit;
@@ -232,7 +235,7 @@
         double placedS;
         final List<Double> lostS = new ArrayList<>();
         EpochConsensus voter;
-        EpochConsensus.AcceptorState voterDisk;
+        AcceptorState voterDisk;
         ClaimCoordinator own;
         PlacementPlanner wish;
         boolean up;
@@ -248,7 +251,7 @@
         Host(int number) {
             this.number = number;
             this.name = "m" + number;
-            this.server = new ReplicaPlacement.ReplicaServer(name, "z" + script.zone(number));
+            this.server = new ReplicaServer(name, "z" + script.zone(number));
         }
 
         /** Whether it claims no more: the servers are told so one after the other. */
@@ -279,7 +282,7 @@
                                 new TreeMap<>(),
                                 new TreeMap<>());
                 voterDisk =
-                        new EpochConsensus.AcceptorState(formed, Ballot.NONE, Ballot.NONE, null, 0);
+                        new AcceptorState(formed, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
             }
             if (!keepsDisk) {
                 lostS.add(events.seconds());
@@ -297,14 +300,7 @@
                 for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
                     names.add("m" + i);
                 }
-                voter =
-                        new EpochConsensus(
-                                name,
-                                names,
-                                voterDisk,
-                                FACTOR,
-                                first && formed == null,
-                                chance.nextLong());
+                voter = startVoter(names, first && formed == null);
             }
             Replica.ReplicaSnapshot found = disk.disk(events.now());
             ReplicaPlacement known =
@@ -333,6 +329,16 @@
             speak(life);
         }
 
+        private EpochConsensus startVoter(Set<String> names, boolean isFirstOfFleet) {
+            long instanceId = chance.nextLong();
+            if (voterDisk != null) {
+                return EpochConsensus.resume(name, names, voterDisk, instanceId);
+            }
+            return isFirstOfFleet
+                    ? EpochConsensus.startFresh(name, names, FACTOR, instanceId)
+                    : EpochConsensus.recover(name, names, FACTOR, instanceId);
+        }
+
         /**
          * What was written and not acknowledged may be there or not: the disk takes some of it, in
          * its order.
@@ -488,7 +494,7 @@
                 return;
             }
             Map<String, Boolean> view = new HashMap<>();
-            List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+            List<ReplicaServer> servers = new ArrayList<>();
             for (Host each : hosts.values()) {
                 if (!each.everUp) {
                     continue;
@@ -648,7 +654,7 @@
         void carryOut() {
             if (voter != null) {
                 learnOwn();
-                for (EpochConsensus.OutboundConsensusMessage out : voter.takeOutbound()) {
+                for (OutboundConsensusMessage out : voter.takeOutbound()) {
                     if (out.recipient().isPresent()) {
                         send(number(out.recipient().get()), out.message());
                     } else {
@@ -808,7 +814,7 @@
                         new PeerAddress("10.0.0.1", 4200),
                         "z1",
                         "build-1",
-                        null,
+                        Optional.empty(),
                         1,
                         MemberState.ALIVE);
         final Map<Integer, Map<Integer, long[]>> bySecond = new TreeMap<>();
@@ -865,15 +871,14 @@
      * keep nothing yet.
      */
     ReplicationSimulation formed() {
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        List<ReplicaServer> servers = new ArrayList<>();
         int members = script.members();
         int keepers = Math.min(members, ReplicaPlacement.MAX_SERVERS);
         for (int i = 0; i < keepers; i++) {
             int number = 1 + (int) ((long) i * members / keepers);
-            servers.add(
-                    new ReplicaPlacement.ReplicaServer("m" + number, "z" + script.zone(number)));
+            servers.add(new ReplicaServer("m" + number, "z" + script.zone(number)));
         }
-        servers.sort(Comparator.comparing(ReplicaPlacement.ReplicaServer::name));
+        servers.sort(Comparator.comparing(ReplicaServer::name));
         formed = new ReplicaPlacement(1, servers, servers, FACTOR);
         return this;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -10,15 +10,21 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import ochretiller.emulator.core.EventQueue;
 import ochretiller.emulator.core.RandomStreams;
+import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.ConsensusMessage;
 import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.OutboundConsensusMessage;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.rollout.Lease;
 import ochretiller.fleet.rollout.LeaseGrantor;
@@ -115,13 +121,13 @@
         boolean paused;
         long life;
         ReplicaPlacement layout = first;
-        RolloutState.PublishedVersion acting = RolloutState.PublishedVersion.NONE;
+        PublishedVersion acting = PublishedVersion.NONE;
         final Set<String> bytes = new HashSet<>();
         final Map<Long, VersionCounters> counts = new HashMap<>();
         final Deque<Sent> waits = new ArrayDeque<>();
         EpochConsensus voter;
-        EpochConsensus.AcceptorState disk =
-                new EpochConsensus.AcceptorState(first, Ballot.NONE, Ballot.NONE, null, 0);
+        AcceptorState disk =
+                new AcceptorState(first, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
         Lease lease;
         LeaseGrantor door;
         RolloutController rollouts;
@@ -156,8 +162,7 @@
             }
             voter =
                     names.contains(name)
-                            ? new EpochConsensus(
-                                    name, names, disk, FACTOR, false, chance.nextLong())
+                            ? EpochConsensus.resume(name, names, disk, chance.nextLong())
                             : null;
             layout = voter != null ? voter.committed() : layout;
             knew.clear();
@@ -390,7 +395,7 @@
         }
 
         private void follow() {
-            RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
+            PublishedVersion target = RolloutStages.targetVersion(layout, name);
             if (target.number() == acting.number()) {
                 return;
             }
@@ -414,7 +419,7 @@
             if (agreed.isEmpty() || known.epoch() > agreed.lastEntry().getValue().epoch()) {
                 agreedOn(known);
             }
-            for (EpochConsensus.OutboundConsensusMessage out : voter.takeOutbound()) {
+            for (OutboundConsensusMessage out : voter.takeOutbound()) {
                 if (out.recipient().isPresent()) {
                     send(out.recipient().get(), out.message());
                 } else {
@@ -457,11 +462,11 @@
         this.faults = new LinkFaults(plan, seeds.of("faults"));
         this.links = seeds.of("links");
         this.chance = seeds.of("versions");
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 1; i <= Math.min(script.members(), ReplicaPlacement.MAX_SERVERS); i++) {
-            servers.add(new ReplicaPlacement.ReplicaServer("m" + i, "z" + script.zone(i)));
+            servers.add(new ReplicaServer("m" + i, "z" + script.zone(i)));
         }
-        servers.sort(Comparator.comparing(ReplicaPlacement.ReplicaServer::name));
+        servers.sort(Comparator.comparing(ReplicaServer::name));
         this.first = new ReplicaPlacement(1, servers, servers, FACTOR);
     }
 
@@ -474,9 +479,7 @@
                 now.isComplete()
                         && now.target().number() == before.target().number() + 1
                         && !before.isComplete();
-        if (back
-                || now.phase() == RolloutState.Phase.HALTED
-                        && before.phase() == RolloutState.Phase.RUNNING) {
+        if (back || now.phase() == RolloutPhase.HALTED && before.phase() == RolloutPhase.RUNNING) {
             boolean harm = harmful.contains(before.target().number());
             if (!harm) {
                 outcomes.harmlessStopped++;
@@ -539,7 +542,7 @@
     private void look() {
         ReplicaPlacement now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
         boolean settled =
-                now.rollout().isComplete() || now.rollout().phase() == RolloutState.Phase.HALTED;
+                now.rollout().isComplete() || now.rollout().phase() == RolloutPhase.HALTED;
         for (Host each : hosts.values()) {
             if (each.up && !each.paused) {
                 settled &=
@@ -563,8 +566,7 @@
         }
         boolean halted =
                 open.stream()
-                        .anyMatch(
-                                each -> each.layout.rollout().phase() == RolloutState.Phase.HALTED);
+                        .anyMatch(each -> each.layout.rollout().phase() == RolloutPhase.HALTED);
         Host at = open.isEmpty() ? null : open.get(chance.nextInt(open.size()));
         if (at == null || !at.layout.rollout().isComplete() || at.wished != null) {
             // People come back; one that was halted they take back.
@@ -578,8 +580,8 @@
         }
         long number = at.layout.rollout().target().number() + 1;
         publications++;
-        RolloutState.PublishedVersion next =
-                new RolloutState.PublishedVersion(
+        PublishedVersion next =
+                new PublishedVersion(
                         number, String.format("%064x", publications), SIZE, "", "person", "why");
         // Its bytes are at a majority of voters before it is wished for.
         int have = 0;
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.service.FleetSettings;
 import ochretiller.fleet.transport.AdminClient;
@@ -36,8 +36,8 @@
     private static final int LOOK_MS = 250;
 
     private static final int FAILED = 1;
-    private static final String DONE = RolloutState.Phase.DONE.externalName();
-    private static final String HALTED = RolloutState.Phase.HALTED.externalName();
+    private static final String DONE = RolloutPhase.DONE.externalName();
+    private static final String HALTED = RolloutPhase.HALTED.externalName();
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
--- a/src/main/java/ochretiller/fleet/consensus/Ballot.java
+++ b/src/main/java/ochretiller/fleet/consensus/Ballot.java
@@ -1,12 +1,13 @@
 package ochretiller.fleet.consensus;
 
 /**
- * The number of an attempt at agreement; a greater one goes over a smaller.
+ * The number of a proposal (Paxos: proposal number, ballot); a higher one overrides a lower one.
  *
- * @param proposer who attempts, so that no two attempts have one number
+ * @param round compared first
+ * @param proposer name of the acceptor that proposes, so that no two proposals have one number
  */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
-    /** Before any attempt. */
+    /** Lower than any proposal's. */
     public static final Ballot NONE = new Ballot(0, "");
 
     @Override
@@ -15,7 +16,8 @@
         return byRound != 0 ? byRound : proposer.compareTo(other.proposer);
     }
 
-    Ballot next(String mine) {
-        return new Ballot(round + 1, mine);
+    /** The lowest ballot of a proposer in the next round. */
+    Ballot next(String nextProposer) {
+        return new Ballot(round + 1, nextProposer);
     }
 }
--- a/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
+++ b/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
@@ -1,53 +1,78 @@
 package ochretiller.fleet.consensus;
 
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * What voters say to one another about the epoch {@code number}, and what all are told once it is
- * agreed on.
+ * What acceptors send one another, and what all servers are told of committed epochs. The bytes are
+ * described in docs/fleet-wire.md.
  */
 public sealed interface ConsensusMessage {
-    /** Will you listen to this attempt? */
+    /** Paxos phase 1a: asks acceptors to promise a ballot. */
     record Prepare(long epoch, Ballot ballot) implements ConsensusMessage {}
 
-    /** To this one and no earlier; {@code accepted} is what was accepted before, or null. */
+    /**
+     * Paxos phase 1b: the sender accepts nothing under lower ballots any more.
+     *
+     * @param acceptedBallot of what it has accepted before; {@link Ballot#NONE} if nothing
+     * @param acceptedPlacement what it has accepted before, if anything
+     */
     record Promise(
-            long epoch, Ballot ballot, Ballot acceptedBallot, ReplicaPlacement acceptedPlacement)
+            long epoch,
+            Ballot ballot,
+            Ballot acceptedBallot,
+            Optional<ReplicaPlacement> acceptedPlacement)
             implements ConsensusMessage {}
 
-    /** Take this. */
+    /** Paxos phase 2a: asks acceptors to accept a placement. */
     record Accept(long epoch, Ballot ballot, ReplicaPlacement placement)
             implements ConsensusMessage {}
 
+    /** Paxos phase 2b: the sender has accepted it. */
     record Accepted(long epoch, Ballot ballot) implements ConsensusMessage {}
 
-    /** A later attempt was promised. */
+    /**
+     * The sender has promised a higher ballot.
+     *
+     * @param ballot that is rejected
+     * @param promisedBallot that was promised to another proposer
+     */
     record Nack(long epoch, Ballot ballot, Ballot promisedBallot) implements ConsensusMessage {}
 
-    /** This is agreed on. */
+    /** A majority has accepted this placement; to all servers. */
     record Committed(ReplicaPlacement placement) implements ConsensusMessage {}
 
-    /** A voter that lost its disk asks what it may have promised. */
+    /** An acceptor that has lost its state asks what it may have promised. */
     record RecoveryQuery(long nonce) implements ConsensusMessage {}
 
-    /** I am without a disk myself, under this drawn number, and know of nothing. */
-    record StateLost(long nonce, long instanceId) implements ConsensusMessage {}
+    /**
+     * Answers a {@link RecoveryQuery}.
+     *
+     * @param highestEpoch the highest epoch that the sender knows of, committed or only proposed
+     * @param placement the committed one
+     */
+    record RecoveryReply(long nonce, long highestEpoch, ReplicaPlacement placement)
+            implements ConsensusMessage {}
 
     /**
-     * Each voter has said at one time that it has nothing: nothing can have been promised. By each
-     * one's drawn number.
+     * Answers a {@link RecoveryQuery}: the sender has lost its state itself.
+     *
+     * @param instanceId drawn at random at its start
      */
-    record AllStateLost(Map<String, Long> instanceIds) implements ConsensusMessage {}
+    record StateLost(long nonce, long instanceId) implements ConsensusMessage {}
 
     /**
-     * The highest number that this voter knows of, agreed on or attempted, and the layout in force.
+     * All acceptors have lost their state at one time, so no promise can still matter: they go on.
+     *
+     * @param instanceIds of all acceptors by name; one that has another was not there
      */
-    record RecoveryReply(long nonce, long highestEpoch, ReplicaPlacement placement)
-            implements ConsensusMessage {}
+    record AllStateLost(Map<String, Long> instanceIds) implements ConsensusMessage {}
 
     /**
-     * A keeper's word to the voters on how far it is: ranges of this epoch that it does not have
-     * whole.
+     * A replica tells the acceptors how far it has caught up.
+     *
+     * @param epoch the latest that it knows
+     * @param laggingRanges ranges of that epoch that it does not have completely
      */
     record ReplicaProgress(long epoch, int laggingRanges) implements ConsensusMessage {}
 }
--- a/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
+++ b/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
@@ -9,128 +9,154 @@
 import java.util.stream.Collectors;
 
 /**
- * Which epoch a voter wishes for, from what it sees: one change at a time, and only of what has
- * stood for a while. A view is an opinion; what follows from it is agreed on, and a keeper that
- * comes back is taken in again.
+ * Decides which placement an acceptor proposes next, from what it observes: one change at a time,
+ * and only from what has been so for a while. Observations are opinions; what follows from them is
+ * agreed on, and a server that comes back is taken in again.
+ *
+ * <p>Owned by one thread.
  */
 public final class PlacementPlanner {
-    /**
-     * A server that is gone is given so many times as long to come back as one that comes is
-     * watched: its disk comes back with it.
-     */
-    private static final int PATIENCE = 4;
-
-    private final Duration calm;
-    private final Duration longest;
-    private final int fewest;
-    private final Map<String, ConsensusMessage.ReplicaProgress> standing = new HashMap<>();
-    private final Map<String, Duration> since = new HashMap<>();
-    private final Map<String, Boolean> there = new HashMap<>();
-    private long epoch = -1;
+    /** Departed servers get so many times the settling time: their disks come back with them. */
+    private static final int DEPARTURE_FACTOR = 4;
+
+    private final Duration settlingTime;
+    private final Duration maxWindow;
+    private final int minServers;
+    private final Map<String, Presence> presences = new HashMap<>();
+    private final Map<String, ConsensusMessage.ReplicaProgress> progress = new HashMap<>();
+    private Optional<Long> observedEpoch = Optional.empty();
     private Duration epochSince = Duration.ZERO;
 
+    /** Whether a server is live, and since when that has been so. */
+    private record Presence(boolean isLive, Duration since) {}
+
     /**
-     * @param calm how long a server has to be there before anything follows from it; one that is
-     *     gone, four times as long
-     * @param longest the longest window: behind it nothing that is not whole can matter
-     * @param fewest keepers that are left in any case: whom nobody sees may still have the only
-     *     copies
+     * A planner that has observed nothing yet.
+     *
+     * @param settlingTime how long a server has to be live before anything follows from it; one
+     *     that departed, four times as long
+     * @param maxWindow the longest idempotency window: behind it no entry that a replica lacks can
+     *     matter
+     * @param minServers servers that stay in any case: those that nobody sees may hold the only
+     *     replicas
      */
-    public PlacementPlanner(Duration calm, Duration longest, int fewest) {
-        this.calm = calm;
-        this.longest = longest;
-        this.fewest = fewest;
+    public PlacementPlanner(Duration settlingTime, Duration maxWindow, int minServers) {
+        this.settlingTime = settlingTime;
+        this.maxWindow = maxWindow;
+        this.minServers = minServers;
     }
 
-    /** What the view says now of all that it knows. */
-    public void observe(Map<String, Boolean> view, Duration now) {
-        view.forEach(
-                (name, is) -> {
-                    if (!is.equals(there.put(name, is))) {
-                        since.put(name, now);
+    /**
+     * Takes the present view.
+     *
+     * @param liveness of all servers that it knows, by name
+     */
+    public void observe(Map<String, Boolean> liveness, Duration now) {
+        liveness.forEach(
+                (name, isLive) -> {
+                    Presence known = presences.get(name);
+                    if (known == null || known.isLive != isLive) {
+                        presences.put(name, new Presence(isLive, now));
                     }
                 });
-        there.keySet().retainAll(view.keySet());
-        since.keySet().retainAll(view.keySet());
-        standing.keySet().retainAll(view.keySet());
+        presences.keySet().retainAll(liveness.keySet());
+        progress.keySet().retainAll(liveness.keySet());
     }
 
-    /** How far a keeper says to be. */
-    public void recordProgress(String name, ConsensusMessage.ReplicaProgress word) {
-        if (there.containsKey(name)) {
-            standing.put(name, word);
+    /** Takes what a replica reports of how far it has caught up. */
+    public void recordProgress(String name, ConsensusMessage.ReplicaProgress report) {
+        if (presences.containsKey(name)) {
+            progress.put(name, report);
         }
     }
 
-    private boolean calmly(String name, boolean is, Duration now) {
-        Duration wait = is ? calm : calm.multipliedBy(PATIENCE);
-        return Boolean.valueOf(is).equals(there.get(name))
-                && now.minus(since.get(name)).compareTo(wait) >= 0;
+    /**
+     * The placement to propose next; empty if the present one is good.
+     *
+     * @param current the committed one
+     * @param candidates servers that may hold replicas
+     */
+    public Optional<ReplicaPlacement> nextPlacement(
+            ReplicaPlacement current, List<ReplicaServer> candidates, Duration now) {
+        observeEpoch(current, now);
+        if (!current.servers().isEmpty() && !mayChange(current, now)) {
+            return Optional.empty();
+        }
+        // Newcomers first: who goes takes replicas along.
+        Optional<ReplicaPlacement> larger = withNewcomer(current, candidates, now);
+        return larger.isPresent() ? larger : withoutDeparted(current, now);
     }
 
-    /** Whether all that the last epoch has moved is where it belongs, at those who can say so. */
-    private boolean whole(ReplicaPlacement layout) {
-        for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
-            if (!Boolean.TRUE.equals(there.get(each.name()))) {
-                continue;
-            }
-            ConsensusMessage.ReplicaProgress word = standing.get(each.name());
-            if (word == null || word.epoch() != layout.epoch() || word.laggingRanges() > 0) {
-                return false;
-            }
+    private void observeEpoch(ReplicaPlacement current, Duration now) {
+        Optional<Long> epoch = Optional.of(current.epoch());
+        if (!epoch.equals(observedEpoch)) {
+            observedEpoch = epoch;
+            epochSince = now;
         }
-        return true;
     }
 
     /**
-     * The next layout, or none where the one in force is good. Newcomers come first: who leaves
-     * takes copies along.
+     * Whether the last change is settled: what it moved has to be complete before the next, or
+     * there would be nobody to fetch it from.
      */
-    public Optional<ReplicaPlacement> nextPlacement(
-            ReplicaPlacement now, List<ReplicaPlacement.ReplicaServer> servers, Duration time) {
-        if (now.epoch() != epoch) {
-            epoch = now.epoch();
-            epochSince = time;
-        }
-        // One change at a time: what the last one moved is to be whole before the next, or there
-        // would be nobody to fetch it from.
-        Duration stood = time.minus(epochSince);
-        if (!now.servers().isEmpty()
-                && (stood.compareTo(calm) < 0 || !whole(now) && stood.compareTo(longest) < 0)) {
-            return Optional.empty();
-        }
-        // Zones with the fewest keepers first: where not all servers can be keepers, no zone is to
-        // have most of them.
-        Map<String, Long> inZone =
-                now.servers().stream()
-                        .collect(
-                                Collectors.groupingBy(
-                                        ReplicaPlacement.ReplicaServer::zone,
-                                        Collectors.counting()));
-        Optional<ReplicaPlacement.ReplicaServer> newcomer =
-                servers.stream()
-                        .filter(
-                                each ->
-                                        !now.contains(each.name())
-                                                && calmly(each.name(), true, time))
-                        .min(
-                                Comparator.comparing(
-                                                (ReplicaPlacement.ReplicaServer each) ->
-                                                        inZone.getOrDefault(each.zone(), 0L))
-                                        .thenComparing(ReplicaPlacement.ReplicaServer::name));
-        // Guards against a list that no packet takes: the rest are served by those who keep, and
-        // take the place of one that is gone.
-        Optional<ReplicaPlacement> more =
-                newcomer.map(now::with).filter(ReplicaPlacement::fitsInPacket);
-        if (more.isPresent()) {
-            return more;
-        }
-        if (now.servers().size() <= fewest) {
+    private boolean mayChange(ReplicaPlacement current, Duration now) {
+        Duration age = now.minus(epochSince);
+        boolean isSettled = age.compareTo(settlingTime) >= 0;
+        return isSettled && (isComplete(current) || age.compareTo(maxWindow) >= 0);
+    }
+
+    /** Whether all servers that are live report all their ranges of this epoch as complete. */
+    private boolean isComplete(ReplicaPlacement current) {
+        return current.servers().stream()
+                .map(ReplicaServer::name)
+                .filter(this::isLive)
+                .allMatch(name -> hasCaughtUp(name, current.epoch()));
+    }
+
+    private boolean isLive(String name) {
+        Presence presence = presences.get(name);
+        return presence != null && presence.isLive;
+    }
+
+    private boolean hasCaughtUp(String name, long epoch) {
+        ConsensusMessage.ReplicaProgress report = progress.get(name);
+        return report != null && report.epoch() == epoch && report.laggingRanges() <= 0;
+    }
+
+    /** Adds a server of the zone with the fewest; empty if there is none or the list is full. */
+    private Optional<ReplicaPlacement> withNewcomer(
+            ReplicaPlacement current, List<ReplicaServer> candidates, Duration now) {
+        Map<String, Long> serversByZone =
+                current.servers().stream()
+                        .collect(Collectors.groupingBy(ReplicaServer::zone, Collectors.counting()));
+        Comparator<ReplicaServer> fewestInZoneFirst =
+                Comparator.comparing(
+                        (ReplicaServer server) -> serversByZone.getOrDefault(server.zone(), 0L));
+        return candidates.stream()
+                .filter(server -> !current.contains(server.name()))
+                .filter(server -> hasBeen(server.name(), true, settlingTime, now))
+                .min(fewestInZoneFirst.thenComparing(ReplicaServer::name))
+                .map(current::with)
+                .filter(ReplicaPlacement::fitsInPacket);
+    }
+
+    /** Removes the first server that has departed for long; empty if there is none to spare. */
+    private Optional<ReplicaPlacement> withoutDeparted(ReplicaPlacement current, Duration now) {
+        if (current.servers().size() <= minServers) {
             return Optional.empty();
         }
-        return now.servers().stream()
-                .filter(each -> calmly(each.name(), false, time))
+        Duration patience = settlingTime.multipliedBy(DEPARTURE_FACTOR);
+        return current.servers().stream()
+                .map(ReplicaServer::name)
+                .filter(name -> hasBeen(name, false, patience, now))
                 .findFirst()
-                .map(gone -> now.without(gone.name()));
+                .map(current::without);
+    }
+
+    private boolean hasBeen(String name, boolean isLive, Duration span, Duration now) {
+        Presence presence = presences.get(name);
+        return presence != null
+                && presence.isLive == isLive
+                && now.minus(presence.since).compareTo(span) >= 0;
     }
 }
--- a/src/main/java/ochretiller/fleet/consensus/ReplicaPlacement.java
+++ b/src/main/java/ochretiller/fleet/consensus/ReplicaPlacement.java
@@ -2,29 +2,29 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Objects;
-import java.util.Set;
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Who keeps what in one epoch. Tokens fall into ranges, and each range has its keepers by
- * rendezvous: a server that comes or goes moves only what it keeps itself. A value; who keeps a
- * range is reckoned once.
+ * What one epoch agrees on: which servers hold replicas, and how far a rollout has come. Tokens
+ * fall into {@value #RANGE_COUNT} ranges by their hash, and each range has its replicas by {@link
+ * RendezvousHashing}. An immutable value; the replicas of all ranges are computed once.
  */
 public final class ReplicaPlacement {
-    /** Parts into which all tokens fall: some for each of a hundred servers, few enough to list. */
+    /** Ranges of tokens: some for each of a hundred servers, few enough to be listed. */
     public static final int RANGE_COUNT = 256;
 
-    /** Keepers at most: two ranges for each at the least, and a list that is soon told. */
+    /** Servers at most: two ranges for each at least, and a list that fits one packet. */
     public static final int MAX_SERVERS = 128;
 
     /**
-     * Characters of names and zones, of both epochs, that go with what is said about a layout in
-     * one packet.
+     * Text of both epochs' servers that fits one packet with all else that is said, in characters.
      */
-    private static final int MOST_TEXT = 5_500;
+    private static final int MAX_TEXT = 5_500;
+
+    /** What each server adds to its name and zone in a packet, in characters. */
+    private static final int TEXT_PER_SERVER = 4;
 
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -33,126 +33,117 @@
     private final List<ReplicaServer> previousServers;
     private final int replicationFactor;
     private final RolloutState rollout;
-    private final List<List<String>> replicasOf = new ArrayList<>();
-    private final List<List<String>> previousReplicasOf = new ArrayList<>();
-
-    /** A server that keeps copies; its name outlives its restarts, as its disk does. */
-    public record ReplicaServer(String name, String zone) {}
+    private final List<List<String>> replicas = new ArrayList<>();
+    private final List<List<String>> previousReplicas = new ArrayList<>();
 
     /**
-     * @param former servers of the epoch before: who has missed some epochs must still know whom to
-     *     ask
-     * @param factor keepers of each range, as long as there are that many
+     * A placement of a fleet in which no version was ever published.
+     *
+     * @param previousServers of the epoch before: a server that has missed some epochs must still
+     *     know whom to ask
+     * @param replicationFactor replicas of each range, as long as there are that many servers
      */
     public ReplicaPlacement(
-            long epoch, List<ReplicaServer> servers, List<ReplicaServer> former, int factor) {
-        this(epoch, servers, former, factor, RolloutState.NONE);
+            long epoch,
+            List<ReplicaServer> servers,
+            List<ReplicaServer> previousServers,
+            int replicationFactor) {
+        this(epoch, servers, previousServers, replicationFactor, RolloutState.NONE);
     }
 
     /**
-     * @param rollout what servers act on
+     * A placement.
+     *
+     * @param previousServers of the epoch before
+     * @param replicationFactor replicas of each range, as long as there are that many servers
+     * @param rollout which version servers act on
      */
     public ReplicaPlacement(
             long epoch,
             List<ReplicaServer> servers,
-            List<ReplicaServer> former,
-            int factor,
+            List<ReplicaServer> previousServers,
+            int replicationFactor,
             RolloutState rollout) {
         this.rollout = rollout;
         this.epoch = epoch;
         this.servers = List.copyOf(servers);
-        this.previousServers = List.copyOf(former);
-        this.replicationFactor = factor;
+        this.previousServers = List.copyOf(previousServers);
+        this.replicationFactor = replicationFactor;
         for (int range = 0; range < RANGE_COUNT; range++) {
-            replicasOf.add(choose(this.servers, range));
-            previousReplicasOf.add(choose(this.previousServers, range));
+            replicas.add(RendezvousHashing.choose(this.servers, range, replicationFactor));
+            previousReplicas.add(
+                    RendezvousHashing.choose(this.previousServers, range, replicationFactor));
         }
     }
 
-    /** Before any epoch is agreed on: nobody keeps anything. */
-    public static ReplicaPlacement empty(int factor) {
-        return new ReplicaPlacement(0, List.of(), List.of(), factor);
+    /** The placement before any epoch is committed: no server holds anything. */
+    public static ReplicaPlacement empty(int replicationFactor) {
+        return new ReplicaPlacement(0, List.of(), List.of(), replicationFactor);
     }
 
+    /** The range that a token falls into, from 0. */
+    public static int rangeOf(String token) {
+        return (int) (HASH.hashChars(token) & (RANGE_COUNT - 1));
+    }
+
+    /** How many of so many replicas or acceptors form a majority. */
+    public static int quorumSize(int count) {
+        return count / 2 + 1;
+    }
+
+    /** The number of the epoch; 0 before any is committed. */
     public long epoch() {
         return epoch;
     }
 
+    /** The servers that hold replicas, by name. */
     public List<ReplicaServer> servers() {
         return servers;
     }
 
-    /** Servers of the epoch before. */
+    /** The servers of the epoch before. */
     public List<ReplicaServer> previousServers() {
         return previousServers;
     }
 
+    /** Replicas of each range, as long as there are that many servers. */
     public int replicationFactor() {
         return replicationFactor;
     }
 
+    /** Which version servers act on. */
     public RolloutState rollout() {
         return rollout;
     }
 
-    /** The range that a token falls into. */
-    public static int rangeOf(String token) {
-        return (int) (HASH.hashChars(token) & (RANGE_COUNT - 1));
-    }
-
-    /** Names of a range's keepers: the highest draws, zones apart as far as there are zones. */
+    /** Names of the servers that hold a range, in different zones as far as there are zones. */
     public List<String> replicasOf(int range) {
-        return replicasOf.get(range);
+        return replicas.get(range);
     }
 
-    /** Names of those that kept a range in the epoch before. */
+    /** Names of the servers that held a range in the epoch before. */
     public List<String> previousReplicasOf(int range) {
-        return previousReplicasOf.get(range);
-    }
-
-    private List<String> choose(List<ReplicaServer> among, int range) {
-        List<ReplicaServer> order = new ArrayList<>(among);
-        order.sort(
-                Comparator.comparingLong(
-                                (ReplicaServer each) ->
-                                        HASH.hashLongs(
-                                                new long[] {range, HASH.hashChars(each.name)}))
-                        .reversed()
-                        .thenComparing(ReplicaServer::name));
-        List<String> chosen = new ArrayList<>();
-        Set<String> zones = new HashSet<>();
-        for (ReplicaServer each : order) {
-            if (chosen.size() < replicationFactor && zones.add(each.zone)) {
-                chosen.add(each.name);
-            }
-        }
-        for (ReplicaServer each : order) {
-            if (chosen.size() < replicationFactor && !chosen.contains(each.name)) {
-                chosen.add(each.name);
-            }
-        }
-        return List.copyOf(chosen);
+        return previousReplicas.get(range);
     }
 
-    /** How many of a range's keepers have to agree. */
-    public static int quorumSize(int keepers) {
-        return keepers / 2 + 1;
+    /** Whether a server of this name holds replicas. */
+    public boolean contains(String name) {
+        return servers.stream().anyMatch(server -> server.name().equals(name));
     }
 
-    /** Whether it can be told in one packet. */
+    /** Whether it can be sent in one packet. */
     public boolean fitsInPacket() {
-        return servers.size() <= MAX_SERVERS && text(servers) + text(previousServers) <= MOST_TEXT;
-    }
-
-    private static int text(List<ReplicaServer> servers) {
-        return servers.stream().mapToInt(each -> each.name.length() + each.zone.length() + 4).sum();
+        return servers.size() <= MAX_SERVERS
+                && textOf(servers) + textOf(previousServers) <= MAX_TEXT;
     }
 
-    public boolean contains(String name) {
-        return servers.stream().anyMatch(each -> each.name.equals(name));
+    private static int textOf(List<ReplicaServer> servers) {
+        return servers.stream()
+                .mapToInt(each -> each.name().length() + each.zone().length() + TEXT_PER_SERVER)
+                .sum();
     }
 
-    /** The next epoch, with one more. */
+    /** The next epoch, with one server more. */
     public ReplicaPlacement with(ReplicaServer server) {
         List<ReplicaServer> next = new ArrayList<>(servers);
         next.add(server);
@@ -160,29 +151,26 @@
         return new ReplicaPlacement(epoch + 1, next, servers, replicationFactor, rollout);
     }
 
-    /** The next epoch, with the same keepers. */
+    /** The next epoch, with the same servers and another state of rollouts. */
     public ReplicaPlacement with(RolloutState next) {
         return new ReplicaPlacement(epoch + 1, servers, servers, replicationFactor, next);
     }
 
-    /** The next epoch, with one less. */
+    /** The next epoch, with one server less. */
     public ReplicaPlacement without(String name) {
-        return new ReplicaPlacement(
-                epoch + 1,
-                servers.stream().filter(each -> !each.name.equals(name)).toList(),
-                servers,
-                replicationFactor,
-                rollout);
+        List<ReplicaServer> next =
+                servers.stream().filter(server -> !server.name().equals(name)).toList();
+        return new ReplicaPlacement(epoch + 1, next, servers, replicationFactor, rollout);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof ReplicaPlacement layout
-                && epoch == layout.epoch
-                && replicationFactor == layout.replicationFactor
-                && servers.equals(layout.servers)
-                && previousServers.equals(layout.previousServers)
-                && rollout.equals(layout.rollout);
+        return other instanceof ReplicaPlacement placement
+                && epoch == placement.epoch
+                && replicationFactor == placement.replicationFactor
+                && servers.equals(placement.servers)
+                && previousServers.equals(placement.previousServers)
+                && rollout.equals(placement.rollout);
     }
 
     @Override
@@ -190,23 +178,26 @@
         return Objects.hash(epoch, servers, previousServers, replicationFactor, rollout);
     }
 
+    /** For log lines: the epoch, its servers and the version that is rolled out. */
     @Override
     public String toString() {
-        String versions =
-                rollout.target().number() == 0
-                        ? ""
-                        : ", version "
-                                + rollout.target().number()
-                                + (rollout.isComplete()
-                                        ? ""
-                                        : " at stage "
-                                                + rollout.stage()
-                                                + ' '
-                                                + rollout.phase().externalName());
-        return "epoch "
-                + epoch
-                + " of "
-                + servers.stream().map(ReplicaServer::name).toList()
-                + versions;
+        String names = servers.stream().map(ReplicaServer::name).toList().toString();
+        return "epoch " + epoch + " of " + names + describeRollout();
+    }
+
+    private String describeRollout() {
+        long version = rollout.target().number();
+        if (version == 0) {
+            return "";
+        }
+        if (rollout.isComplete()) {
+            return ", version " + version;
+        }
+        return ", version "
+                + version
+                + " at stage "
+                + rollout.stage()
+                + ' '
+                + rollout.phase().externalName();
     }
 }
--- a/src/main/java/ochretiller/fleet/consensus/RolloutState.java
+++ b/src/main/java/ochretiller/fleet/consensus/RolloutState.java
@@ -1,136 +1,69 @@
 package ochretiller.fleet.consensus;
 
 /**
- * Which version of what servers act on is being brought out, and how far it has come: a part of
- * what an epoch agrees on.
+ * Which version is being rolled out and how far it has come: a part of what an epoch agrees on.
  *
- * @param target the version that is brought out, or that all act on once it is {@link Phase#DONE}
- * @param previous the version that servers act on that have not come to their turn
- * @param stage how far it has come: at each more servers are to act on it
+ * @param target the version that is rolled out, or that all act on once it is done
+ * @param previous the version of servers whose turn has not come
+ * @param stage at each later stage more servers are to act on the target; from 0
  */
 public record RolloutState(
-        PublishedVersion target, PublishedVersion previous, int stage, Phase phase) {
-    /** Nothing was ever brought out: each server acts on its own files. */
+        PublishedVersion target, PublishedVersion previous, int stage, RolloutPhase phase) {
+    /** No version was ever published: each server acts on its own files. */
     public static final RolloutState NONE =
-            new RolloutState(PublishedVersion.NONE, PublishedVersion.NONE, 0, Phase.DONE);
+            new RolloutState(PublishedVersion.NONE, PublishedVersion.NONE, 0, RolloutPhase.DONE);
 
-    /** How it goes on. */
-    public enum Phase {
-        /** It goes on by itself. */
-        RUNNING("RUNS"),
-        /** A person has stopped it, and lets it go on or takes it back. */
-        PAUSED("PAUSED"),
-        /** It was stopped by itself, for what was seen of it. */
-        HALTED("HALTED"),
-        /** All servers are to act on it. */
-        DONE("DONE");
-
-        private final String externalName;
-
-        Phase(String externalName) {
-            this.externalName = externalName;
-        }
-
-        /**
-         * The word by which JSON, log lines and the audit name it; it stays whatever the constant
-         * is called.
-         */
-        public String externalName() {
-            return externalName;
-        }
-    }
+    /** Highest stage that can be sent. */
+    private static final int MAX_STAGE = 9;
 
     /**
-     * What servers act on.
+     * Guards against a peer that sends what no rollout can be.
      *
-     * @param number grows by one from version to version; 0 where none was ever published
-     * @param hash SHA-256 of its bytes, in hex; empty where each server acts on its own files
-     * @param sizeBytes in bytes
-     * @param minimumBuild the least build that can act on it; empty for any
-     * @param publisher who published it
-     * @param reason their reason
+     * @throws IllegalArgumentException if the stage is out of bounds or versions go back
      */
-    public record PublishedVersion(
-            long number,
-            String hash,
-            int sizeBytes,
-            String minimumBuild,
-            String publisher,
-            String reason) {
-        public static final PublishedVersion NONE = new PublishedVersion(0, "", 0, "", "", "");
-
-        /** Characters of a hash, and of what people say at most. */
-        public static final int HASH_LENGTH = 64;
-
-        public static final int MAX_TEXT_LENGTH = 120;
-
-        /** Bytes of a version at most: what goes with one word at the fleet's door. */
-        public static final int MAX_BYTES = 48 * 1024;
-
-        /** Guards against a peer that says less or more than a version is. */
-        public PublishedVersion {
-            boolean own = hash.isEmpty() && sizeBytes == 0;
-            boolean some =
-                    number > 0
-                            && hash.length() == HASH_LENGTH
-                            && sizeBytes > 0
-                            && sizeBytes <= MAX_BYTES;
-            if (number < 0 || !own && !some) {
-                throw new IllegalArgumentException("no version");
-            }
-            if (minimumBuild.length() > MAX_TEXT_LENGTH
-                    || publisher.length() > MAX_TEXT_LENGTH
-                    || reason.length() > MAX_TEXT_LENGTH) {
-                throw new IllegalArgumentException("too long");
-            }
-        }
-
-        /** Whether each server acts on its own files. */
-        public boolean usesLocalFiles() {
-            return hash.isEmpty();
-        }
-
-        /** The same bytes as a version of their own. */
-        PublishedVersion republishedAs(long next, String whose, String reason) {
-            return new PublishedVersion(next, hash, sizeBytes, minimumBuild, whose, reason);
-        }
-    }
-
-    /** Guards against one that cannot be. */
     public RolloutState {
-        if (stage < 0 || stage > 9 || target.number < previous.number) {
-            throw new IllegalArgumentException("no rollout");
+        if (stage < 0 || stage > MAX_STAGE || target.number() < previous.number()) {
+            throw new IllegalArgumentException(
+                    "no rollout: stage "
+                            + stage
+                            + " from version "
+                            + previous.number()
+                            + " to "
+                            + target.number());
         }
     }
 
-    /** Whether another may begin. */
+    /** Whether all servers are to act on the target, so that another rollout may start. */
     public boolean isComplete() {
-        return phase == Phase.DONE;
+        return phase == RolloutPhase.DONE;
     }
 
-    /** The next version begins at its first stage. */
+    /** The rollout of the next version, at its first stage. */
     public RolloutState startRollout(PublishedVersion next) {
-        return new RolloutState(next, target, 0, Phase.RUNNING);
+        return new RolloutState(next, target, 0, RolloutPhase.RUNNING);
     }
 
-    public RolloutState withStage(int next) {
-        return new RolloutState(target, previous, next, phase);
+    /** The same rollout at another stage. */
+    public RolloutState withStage(int nextStage) {
+        return new RolloutState(target, previous, nextStage, phase);
     }
 
-    public RolloutState withPhase(Phase next) {
-        return new RolloutState(target, previous, stage, next);
+    /** The same rollout in another phase. */
+    public RolloutState withPhase(RolloutPhase nextPhase) {
+        return new RolloutState(target, previous, stage, nextPhase);
     }
 
-    /** All servers act on it; what was before is forgotten. */
+    /** All servers act on the target; the version before is forgotten. */
     public RolloutState completed() {
-        return new RolloutState(target, target, 0, Phase.DONE);
+        return new RolloutState(target, target, 0, RolloutPhase.DONE);
     }
 
     /**
-     * What was before comes back for all at once, as a version of its own: numbers never go back.
+     * The version before comes back for all servers at once, republished under a number of its own:
+     * numbers never go back.
      */
-    public RolloutState rolledBack(String by, String why) {
-        PublishedVersion again = previous.republishedAs(target.number + 1, by, why);
-        return new RolloutState(again, again, 0, Phase.DONE);
+    public RolloutState rolledBack(String publisher, String reason) {
+        PublishedVersion again = previous.republishedAs(target.number() + 1, publisher, reason);
+        return new RolloutState(again, again, 0, RolloutPhase.DONE);
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/membership/AwakeClock.java
@@ -0,0 +1,61 @@
+package ochretiller.fleet.membership;
+
+import java.time.Duration;
+
+/**
+ * Time in which this process was running. A gap between two readings that is longer than {@link
+ * #MAX_GAP_TICKS} ticks means that the process was paused (SIGSTOP, a long garbage collection, a
+ * starved CPU), and counts as that many ticks only: while it was paused nobody had a chance to be
+ * heard, so no timeout may run out by it.
+ */
+final class AwakeClock {
+    /** Longest gap between two readings that counts in full, in ticks. */
+    static final int MAX_GAP_TICKS = 2;
+
+    private final Duration maxGap;
+    private Duration lastReading;
+    private Duration now = Duration.ZERO;
+
+    /**
+     * Creates a clock that stands at zero.
+     *
+     * @param tick expected time between two readings
+     * @param reading the caller's monotonic time
+     */
+    AwakeClock(Duration tick, Duration reading) {
+        this.maxGap = tick.multipliedBy(MAX_GAP_TICKS);
+        this.lastReading = reading;
+    }
+
+    /** Moves on to a reading of the caller's clock; earlier readings are ignored. */
+    void advance(Duration reading) {
+        Duration gap = reading.minus(lastReading);
+        if (gap.isNegative()) {
+            return;
+        }
+        lastReading = reading;
+        now = now.plus(gap.compareTo(maxGap) > 0 ? maxGap : gap);
+    }
+
+    Duration now() {
+        return now;
+    }
+
+    boolean hasElapsed(Duration since, Duration span) {
+        return now.minus(since).compareTo(span) >= 0;
+    }
+
+    boolean hasReached(Duration instant) {
+        return now.compareTo(instant) >= 0;
+    }
+
+    /** Nanoseconds since an instant of this clock. */
+    long nanosSince(Duration instant) {
+        return now.minus(instant).toNanos();
+    }
+
+    /** Nanoseconds until an instant of this clock; 0 once it is reached. */
+    long nanosUntil(Duration instant) {
+        return Math.max(0, instant.minus(now).toNanos());
+    }
+}
--- a/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
+++ b/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
@@ -2,115 +2,113 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import ochretiller.fleet.membership.MembershipMessage.Gossip;
 
 /**
- * News that goes with other messages, each a bounded number of times, what was carried least first.
+ * Members of which there is news to spread. Updates ride on pings and acknowledgements (SWIM,
+ * section 4.1), each a bounded number of times, those that were sent least often first. Only the
+ * member is noted; what is said of it is read from the table when a message goes out, so it is
+ * never stale.
  */
 final class GossipBuffer {
-    private static final class Rumour {
-        final long start;
-        boolean full;
-        int carried;
+    private final Map<Long, Item> items = new LinkedHashMap<>();
 
-        Rumour(long start) {
-            this.start = start;
+    /** One member of which there is news. */
+    private static final class Item {
+        final long incarnation;
+        final boolean sendWhole;
+        int timesSent;
+
+        Item(long incarnation, boolean sendWhole) {
+            this.incarnation = incarnation;
+            this.sendWhole = sendWhole;
         }
     }
 
-    private final Map<Long, Rumour> all = new LinkedHashMap<>();
-
-    /** There is news of this member; what it is, is read from the table when it goes out. */
-    void add(long start, boolean full) {
-        Rumour known = all.remove(start);
-        Rumour fresh = new Rumour(start);
-        fresh.full = full || known != null && known.full;
-        all.put(start, fresh);
+    /**
+     * Notes that there is news of a member; what was sent of it before counts no more.
+     *
+     * @param sendWhole whether recipients may not know the member and need its whole record; stays
+     *     until it has been sent often enough
+     */
+    void add(long incarnation, boolean sendWhole) {
+        Item previous = items.remove(incarnation);
+        boolean whole = sendWhole || previous != null && previous.sendWhole;
+        items.put(incarnation, new Item(incarnation, whole));
     }
 
     int size() {
-        return all.size();
+        return items.size();
     }
 
     /**
-     * News for one message.
+     * Takes the gossip for one message and counts it as sent.
      *
-     * @param most how often each is carried
-     * @param agree whether the receiver has just shown the same digest: it knows who is there, and
-     *     needs to hear of suspicion only
-     * @param first an entry that goes out in any case, or null
+     * @param table where members are looked up
+     * @param self this server's own record
+     * @param first an update that goes out in any case
      */
-    MembershipMessage.Gossip take(
-            MemberTable table, Member self, int most, boolean agree, MembershipUpdate first) {
-        List<MembershipUpdate> entries = new ArrayList<>();
-        List<Member> full = new ArrayList<>();
-        if (first != null) {
-            entries.add(first);
-        }
-        if (all.isEmpty()) {
-            return entries.isEmpty()
-                    ? MembershipMessage.Gossip.NONE
-                    : new MembershipMessage.Gossip(entries, full);
+    Gossip take(
+            MemberTable table, Member self, GossipTerms terms, Optional<MembershipUpdate> first) {
+        if (items.isEmpty() && first.isEmpty()) {
+            return Gossip.NONE;
         }
-        List<Rumour> order = new ArrayList<>(all.values());
-        if (order.size() > MembershipMessage.MAX_GOSSIP_UPDATES) {
-            order.sort(Comparator.comparingInt(each -> each.carried));
-        }
-        for (Rumour each : order) {
-            MemberRecord known = table.get(each.start);
-            Member member =
-                    each.start == self.incarnation() ? self : known == null ? null : known.member;
-            if (member == null || known != null && known.unsaid) {
-                all.remove(each.start);
-                continue;
-            }
-            if (agree && member.state() != MemberState.SUSPECT) {
-                if (++each.carried >= most) {
-                    all.remove(each.start);
-                }
+        List<MembershipUpdate> updates = new ArrayList<>();
+        List<Member> members = new ArrayList<>();
+        first.ifPresent(updates::add);
+        for (Item item : leastSentFirst()) {
+            Optional<MemberRecord> known = table.find(item.incarnation);
+            boolean isSelf = item.incarnation == self.incarnation();
+            boolean isSecret = known.map(MemberRecord::isLocalOnly).orElse(false);
+            if (isSecret || !isSelf && known.isEmpty()) {
+                items.remove(item.incarnation);
                 continue;
             }
-            if (each.full) {
-                if (full.size() == MembershipMessage.MAX_GOSSIP_MEMBERS) {
+            Member member = isSelf ? self : known.get().member();
+            boolean isNews = !terms.digestsAgree() || member.state() == MemberState.SUSPECT;
+            if (isNews && item.sendWhole) {
+                if (members.size() == MembershipMessage.MAX_GOSSIP_MEMBERS) {
                     continue;
                 }
-                full.add(member);
-            } else {
-                if (entries.size() == MembershipMessage.MAX_GOSSIP_UPDATES) {
+                members.add(member);
+            } else if (isNews) {
+                if (updates.size() == MembershipMessage.MAX_GOSSIP_UPDATES) {
                     continue;
                 }
-                entries.add(entry(member, known));
-            }
-            if (++each.carried >= most) {
-                all.remove(each.start);
+                updates.add(known.map(MemberRecord::toUpdate).orElseGet(() -> member.toUpdate(0)));
             }
+            countAsSent(item, terms);
         }
-        return new MembershipMessage.Gossip(entries, full);
+        return new Gossip(updates, members);
     }
 
+    /** The items in the order in which they were added, or by use if not all fit. */
+    private List<Item> leastSentFirst() {
+        List<Item> order = new ArrayList<>(items.values());
+        if (order.size() > MembershipMessage.MAX_GOSSIP_UPDATES) {
+            order.sort(Comparator.comparingInt(item -> item.timesSent));
+        }
+        return order;
+    }
+
+    private void countAsSent(Item item, GossipTerms terms) {
+        item.timesSent++;
+        if (item.timesSent >= terms.transmitLimit()) {
+            items.remove(item.incarnation);
+        }
+    }
+
+    /** Its whole state as text; equal texts go on alike. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        all.values()
-                .forEach(
-                        each ->
-                                text.append('~')
-                                        .append(each.start)
-                                        .append(each.full)
-                                        .append(each.carried));
-        return text.toString();
-    }
-
-    static MembershipUpdate entry(Member member, MemberRecord known) {
-        long by = 0;
-        if (known != null && member.state() == MemberState.SUSPECT) {
-            for (Iterator<Long> i = known.accusers.iterator(); i.hasNext(); ) {
-                by = i.next();
-            }
+        for (Item item : items.values()) {
+            text.append('~').append(item.incarnation).append(item.sendWhole).append(item.timesSent);
         }
-        return member.toUpdate(by);
+        return text.toString();
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/LocalHealth.java
+++ b/src/main/java/ochretiller/fleet/membership/LocalHealth.java
@@ -3,30 +3,44 @@
 import java.time.Duration;
 
 /**
- * How far a server doubts itself before it doubts others: its timers come late, it hears nobody, or
- * others had to be told that it is there. The more it doubts, the longer it waits.
+ * Local health awareness: a saturating score of how likely this server itself is the slow one. Its
+ * timers fire late, it hears nothing, or it had to refute a suspicion; each of these raises the
+ * score, and each answered probe lowers it. The higher the score, the longer this server waits
+ * before it accuses others.
+ *
+ * <p>Source: Lifeguard (Dadgar, Phillips, Currey 2017), "local health multiplier" and "LHA-Probe".
+ * Departures: one step adds a quarter of the timeout and not a whole one, and the score also
+ * stretches suspicion timeouts.
  */
 final class LocalHealth {
-    private static final int MOST = 8;
+    /** Highest score; waits are three times as long then. */
+    private static final int MAX_SCORE = 8;
 
-    /** Each step of doubt lengthens all waits by this part. */
-    private static final double STEP = 0.25;
+    /** Part of a timeout that each step of the score adds. */
+    private static final double STRETCH_PER_STEP = 0.25;
 
-    private int level;
+    private int score;
 
-    void more() {
-        level = Math.min(MOST, level + 1);
+    /** Something suggests that this server is slow or deaf. */
+    void degrade() {
+        score = Math.min(MAX_SCORE, score + 1);
     }
 
-    void less() {
-        level = Math.max(0, level - 1);
+    /** A probe of this server was answered. */
+    void improve() {
+        score = Math.max(0, score - 1);
     }
 
-    int level() {
-        return level;
+    /** From 0, healthy, to {@value #MAX_SCORE}. */
+    int score() {
+        return score;
     }
 
-    Duration stretched(Duration span) {
-        return level == 0 ? span : Duration.ofNanos((long) (span.toNanos() * (1 + STEP * level)));
+    /** A timeout, stretched by the score. */
+    Duration stretch(Duration timeout) {
+        if (score == 0) {
+            return timeout;
+        }
+        return Duration.ofNanos((long) (timeout.toNanos() * (1 + STRETCH_PER_STEP * score)));
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/MembershipCounters.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipCounters.java
@@ -1,23 +1,20 @@
 package ochretiller.fleet.membership;
 
 /**
- * What happened since the start; written by the thread that owns the view, read by another that may
- * see it a little late.
+ * Counts of what happened since the start. Written by the thread that owns the protocol; another
+ * thread may read them and see them a little late.
  */
 public final class MembershipCounters {
-    public long probes;
-    public long failedProbes;
-    public long indirectProbes;
-    public long suspicions;
-    public long refutations;
-    public long becameUnresponsive;
-    public long returned;
-    public long joined;
-    public long left;
-    public long syncs;
-    public long syncsRejected;
-    public long unknownMembers;
-    public long capacityRejections;
-    public long duplicateNames;
-    public long lateTicks;
+    private final long[] counts = new long[MembershipCounter.values().length];
+
+    MembershipCounters() {}
+
+    /** The present count. */
+    public long get(MembershipCounter counter) {
+        return counts[counter.ordinal()];
+    }
+
+    void increment(MembershipCounter counter) {
+        counts[counter.ordinal()]++;
+    }
 }
--- a/src/main/java/ochretiller/fleet/membership/MembershipPacket.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipPacket.java
@@ -1,8 +1,8 @@
 package ochretiller.fleet.membership;
 
 /**
- * One message.
+ * One message between members.
  *
- * @param sender the sender, as it is now
+ * @param sender its own record, as it is when the message is sent
  */
 public record MembershipPacket(Member sender, MembershipMessage message) {}
--- a/src/main/java/ochretiller/fleet/membership/OutboundPacket.java
+++ b/src/main/java/ochretiller/fleet/membership/OutboundPacket.java
@@ -1,4 +1,4 @@
 package ochretiller.fleet.membership;
 
-/** A packet that is to go out. */
+/** A packet to send, and where to. */
 public record OutboundPacket(PeerAddress destination, MembershipPacket packet) {}
--- a/src/main/java/ochretiller/fleet/membership/Probe.java
+++ b/src/main/java/ochretiller/fleet/membership/Probe.java
@@ -1,50 +1,87 @@
 package ochretiller.fleet.membership;
 
 import java.time.Duration;
+import java.util.Optional;
 
-/** One question that waits for its answer. */
+/** A ping that waits for its answer. Owned by {@link PendingProbes}. */
 final class Probe {
-    /** Why it was asked. */
-    enum Kind {
-        /** In turn: a failure makes its target suspect. */
-        TURN,
-        /** To see whether somebody is there who is not thought to be: a failure says nothing. */
-        PROOF,
-        /** For another server. */
-        RELAY
+    private final ProbeRequest request;
+    private final long nonce;
+    private final Duration startedAt;
+    private final long packetsReceivedAtStart;
+    private Duration lastSentAt;
+    private int sendCount = 1;
+    private boolean indirectProbesRequested;
+
+    /**
+     * A probe whose first ping goes out now.
+     *
+     * @param startedAt on the awake clock
+     * @param packetsReceivedAtStart packets that this server had received from anybody by then
+     */
+    Probe(ProbeRequest request, long nonce, Duration startedAt, long packetsReceivedAtStart) {
+        this.request = request;
+        this.nonce = nonce;
+        this.startedAt = startedAt;
+        this.lastSentAt = startedAt;
+        this.packetsReceivedAtStart = packetsReceivedAtStart;
     }
 
-    final Kind kind;
-    final long nonce;
+    ProbeRequest.Kind kind() {
+        return request.kind();
+    }
 
-    /** Whom it asks; 0 for whoever is there. */
-    final long target;
+    long target() {
+        return request.target();
+    }
 
-    final PeerAddress address;
-    final Duration begun;
+    PeerAddress address() {
+        return request.address();
+    }
 
-    /**
-     * Packets that had been heard when it began: whoever has heard nothing since may be the one who
-     * is deaf.
-     */
-    final long heard;
+    Optional<ProbeRequest.Requester> requester() {
+        return request.requester();
+    }
+
+    long nonce() {
+        return nonce;
+    }
+
+    Duration startedAt() {
+        return startedAt;
+    }
 
-    Duration said;
-    int times = 1;
-    boolean asked;
+    Duration lastSentAt() {
+        return lastSentAt;
+    }
 
-    /** Who wants to know, for a {@link AuditEventKind#RELAY}. */
-    PeerAddress origin;
+    long packetsReceivedAtStart() {
+        return packetsReceivedAtStart;
+    }
 
-    long originNonce;
+    int sendCount() {
+        return sendCount;
+    }
 
-    Probe(Kind kind, long nonce, long target, PeerAddress address, Duration begun, long heard) {
-        this.kind = kind;
-        this.nonce = nonce;
-        this.target = target;
-        this.address = address;
-        this.begun = begun;
-        this.said = begun;
-        this.heard = heard;
+    void resentAt(Duration now) {
+        sendCount++;
+        lastSentAt = now;
+    }
+
+    boolean indirectProbesRequested() {
+        return indirectProbesRequested;
+    }
+
+    void markIndirectProbesRequested() {
+        indirectProbesRequested = true;
+    }
+
+    boolean isScheduled() {
+        return kind() == ProbeRequest.Kind.SCHEDULED;
+    }
+
+    /** Whether an answer by this incarnation is one by the target. */
+    boolean isAnsweredBy(long incarnation) {
+        return target() == ProbeRequest.ANY_INCARNATION || target() == incarnation;
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/membership/ProbeSchedule.java
@@ -0,0 +1,77 @@
+package ochretiller.fleet.membership;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.random.RandomGenerator;
+
+/**
+ * The order in which members are probed: round-robin over a list that is shuffled anew for each
+ * round, so that the time until a member is probed is bounded (SWIM, section 4.3).
+ */
+final class ProbeSchedule {
+    private final RandomGenerator random;
+    private final List<Long> round = new ArrayList<>();
+    private int position;
+
+    ProbeSchedule(RandomGenerator random) {
+        this.random = random;
+    }
+
+    /** Starts a round over the live members of the table, if the last one is over. */
+    void startRoundIfOver(MemberTable table) {
+        if (position < round.size()) {
+            return;
+        }
+        round.clear();
+        for (MemberRecord known : table.all()) {
+            if (known.isLive()) {
+                round.add(known.incarnation());
+            }
+        }
+        for (int i = round.size() - 1; i > 0; i--) {
+            Collections.swap(round, i, random.nextInt(i + 1));
+        }
+        position = 0;
+    }
+
+    boolean hasNext() {
+        return position < round.size();
+    }
+
+    long next() {
+        return round.get(position++);
+    }
+
+    /** Inserts a newcomer at a random place of what is left of the round. */
+    void insertAtRandom(long incarnation) {
+        int index = 0;
+        if (!round.isEmpty()) {
+            int done = Math.min(position, round.size());
+            int offset = random.nextInt(round.size() - done + 1);
+            index = Math.min(round.size(), position + offset);
+        }
+        round.add(index, incarnation);
+    }
+
+    /** Has a member that came back probed next. */
+    void insertNext(long incarnation) {
+        round.add(Math.min(round.size(), position), incarnation);
+    }
+
+    /** Whether there is anybody to draw with {@link #drawAny}. */
+    boolean isEmpty() {
+        return round.isEmpty();
+    }
+
+    /** A random member of this round, probed already or not; it may be gone meanwhile. */
+    long drawAny() {
+        return round.get(random.nextInt(round.size()));
+    }
+
+    /** Its whole state as text. */
+    @Override
+    public String toString() {
+        return position + round.toString();
+    }
+}
--- a/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
@@ -16,6 +16,7 @@
 import java.util.random.RandomGenerator;
 import ochretiller.collections.BoundedMap;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 
 /**
  * The way of a server's keyed invocations through the keepers: claimed at a majority before the
@@ -214,7 +215,7 @@
     /** What was heard of others' changes, for a start to come. */
     public Map<String, Long> observedChangeNumbers() {
         Map<String, Long> all = new TreeMap<>();
-        for (ReplicaPlacement.ReplicaServer each : placement.servers()) {
+        for (ReplicaServer each : placement.servers()) {
             if (observedChangeNumbers.containsKey(each.name())) {
                 all.put(each.name(), observedChangeNumbers.get(each.name()));
             }
--- a/src/main/java/ochretiller/fleet/replication/Replica.java
+++ b/src/main/java/ochretiller/fleet/replication/Replica.java
@@ -12,6 +12,7 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 
 /**
  * What one server keeps for all. It answers for its present epoch only, first come first granted,
@@ -381,7 +382,7 @@
      * compared once they are back.
      */
     public void observeLivePeers(Set<String> live) {
-        for (ReplicaPlacement.ReplicaServer each : placement.servers()) {
+        for (ReplicaServer each : placement.servers()) {
             String other = each.name();
             if (other.equals(name)) {
                 continue;
@@ -508,7 +509,7 @@
 
     private void cameBack(Duration now) {
         Set<String> others = new HashSet<>();
-        for (ReplicaPlacement.ReplicaServer each : placement.servers()) {
+        for (ReplicaServer each : placement.servers()) {
             if (!each.name().equals(name)) {
                 others.add(each.name());
             }
--- a/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.ReplicaServer;
 
 /**
  * Whose lease a voter renews: those that act on a version that is in force for them, and for a
@@ -37,7 +38,7 @@
     private double back = BACK_BURST;
     private Duration backAt = Duration.ZERO;
 
-    private record Turn(RolloutState.PublishedVersion target, Duration since) {}
+    private record Turn(PublishedVersion target, Duration since) {}
 
     /**
      * @param grace how long a server may take to come to act on what is in force for it
@@ -104,7 +105,7 @@
             return;
         }
         last = layout;
-        for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
+        for (ReplicaServer each : layout.servers()) {
             turn(layout, each.name(), now);
         }
         for (String each : Set.copyOf(turns.keySet())) {
@@ -113,7 +114,7 @@
     }
 
     private Turn turn(ReplicaPlacement layout, String name, Duration now) {
-        RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
+        PublishedVersion target = RolloutStages.targetVersion(layout, name);
         return turns.merge(
                 name,
                 new Turn(target, now),
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -6,7 +6,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
@@ -89,7 +91,7 @@
         look(rollout, now);
         reports.keySet().retainAll(live);
         baseline.keySet().retainAll(live);
-        if (rollout.phase() != RolloutState.Phase.RUNNING) {
+        if (rollout.phase() != RolloutPhase.RUNNING) {
             return Optional.empty();
         }
         Set<String> turn = new TreeSet<>();
@@ -104,14 +106,14 @@
             return Optional.of(
                     takesBack
                             ? rollout.rolledBack("the fleet", text("taken back: " + haltReason))
-                            : rollout.withPhase(RolloutState.Phase.HALTED));
+                            : rollout.withPhase(RolloutPhase.HALTED));
         }
         // Servers that need longer than any reason for it: it is not known what keeps them.
         boolean stuck =
                 now.minus(since).compareTo(patience.multipliedBy(STUCK)) >= 0 && settled == null;
         if (stuck) {
             haltReason = "its servers do not come to act on it";
-            return Optional.of(rollout.withPhase(RolloutState.Phase.HALTED));
+            return Optional.of(rollout.withPhase(RolloutPhase.HALTED));
         }
         long behind =
                 turn.stream().filter(each -> isBehind(reports.get(each), rollout.target())).count();
@@ -137,15 +139,14 @@
     }
 
     private static String text(String why) {
-        return why.substring(
-                0, Math.min(why.length(), RolloutState.PublishedVersion.MAX_TEXT_LENGTH));
+        return why.substring(0, Math.min(why.length(), PublishedVersion.MAX_TEXT_LENGTH));
     }
 
     /**
      * Whether a server that has come to its turn does not act on the version, as far as it has
      * said.
      */
-    static boolean isBehind(VersionReport report, RolloutState.PublishedVersion version) {
+    static boolean isBehind(VersionReport report, PublishedVersion version) {
         return report == null
                 || report.activeVersion() != version.number()
                 || !report.activeHash().equals(version.hash());
--- a/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
@@ -1,6 +1,6 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 
 /** What is said about versions, from one server to another. */
 public sealed interface RolloutMessage {
@@ -26,9 +26,7 @@
     /** To each voter, before a version is agreed on: have these bytes, from me. */
     record VersionOffer(String hash, int size) implements RolloutMessage {
         public VersionOffer {
-            if (hash.length() != 64
-                    || size <= 0
-                    || size > RolloutState.PublishedVersion.MAX_BYTES) {
+            if (hash.length() != 64 || size <= 0 || size > PublishedVersion.MAX_BYTES) {
                 throw new IllegalArgumentException("no offer");
             }
         }
--- a/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
@@ -8,7 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import net.openhft.hashing.LongHashFunction;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
@@ -32,8 +34,7 @@
     }
 
     /** What this server is to act on. */
-    public static RolloutState.PublishedVersion targetVersion(
-            ReplicaPlacement layout, String name) {
+    public static PublishedVersion targetVersion(ReplicaPlacement layout, String name) {
         RolloutState rollout = layout.rollout();
         return rollout.isComplete() || includes(layout, name)
                 ? rollout.target()
@@ -55,11 +56,10 @@
 
     private static Set<String> first(ReplicaPlacement layout) {
         long number = layout.rollout().target().number();
-        List<ReplicaPlacement.ReplicaServer> order = new ArrayList<>(layout.servers());
+        List<ReplicaServer> order = new ArrayList<>(layout.servers());
         order.sort(
-                Comparator.comparingLong(
-                                (ReplicaPlacement.ReplicaServer each) -> draw(number, each.name()))
-                        .thenComparing(ReplicaPlacement.ReplicaServer::name));
+                Comparator.comparingLong((ReplicaServer each) -> draw(number, each.name()))
+                        .thenComparing(ReplicaServer::name));
         Set<String> first = new HashSet<>();
         if (layout.rollout().stage() == 0) {
             if (!order.isEmpty()) {
@@ -68,7 +68,7 @@
             return first;
         }
         Map<String, List<String>> zones = new TreeMap<>();
-        for (ReplicaPlacement.ReplicaServer each : order) {
+        for (ReplicaServer each : order) {
             zones.computeIfAbsent(each.zone(), ignored -> new ArrayList<>()).add(each.name());
         }
         for (List<String> each : zones.values()) {
@@ -79,7 +79,7 @@
         if (!order.isEmpty()) {
             first.add(order.get(0).name());
         }
-        for (ReplicaPlacement.ReplicaServer each : order) {
+        for (ReplicaServer each : order) {
             if (first.size() < least) {
                 first.add(each.name());
             }
--- a/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 
 /**
  * The bytes of a version on their way to here: some pieces at once, from one source, from another
@@ -24,7 +24,7 @@
     private static final int SILENT = 2;
 
     private final RandomGenerator chance;
-    private RolloutState.PublishedVersion wanted = RolloutState.PublishedVersion.NONE;
+    private PublishedVersion wanted = PublishedVersion.NONE;
     private byte[][] pieces = {};
     private int missing;
     private String source;
@@ -40,7 +40,7 @@
     }
 
     /** This one is needed now; what is under way of another is forgotten. */
-    public void start(RolloutState.PublishedVersion version, Duration now) {
+    public void start(PublishedVersion version, Duration now) {
         if (version.hash().equals(wanted.hash())) {
             return;
         }
--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -2,9 +2,10 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Optional;
+import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.ConsensusMessage;
-import ochretiller.fleet.consensus.EpochConsensus;
 import ochretiller.fleet.transport.PacketCodec;
 import ochretiller.fleet.transport.ReplicationCodec;
 import ochretiller.settings.MalformedException;
@@ -23,7 +24,7 @@
      * What was kept, or null where there is no file; one that is damaged is told, since it may hide
      * a promise.
      */
-    EpochConsensus.AcceptorState read() {
+    AcceptorState read() {
         try {
             return sealed.read(
                     in -> {
@@ -33,11 +34,13 @@
                         ConsensusMessage.Committed agreed =
                                 new ConsensusMessage.Committed(ReplicationCodec.layout(in));
                         boolean accepted = PacketCodec.bool(in);
-                        return new EpochConsensus.AcceptorState(
+                        return new AcceptorState(
                                 agreed.placement(),
                                 ballot,
                                 at,
-                                accepted ? ReplicationCodec.layout(in) : null,
+                                accepted
+                                        ? Optional.of(ReplicationCodec.layout(in))
+                                        : Optional.empty(),
                                 abstains);
                     });
         } catch (SealedFile.DamagedException e) {
@@ -52,7 +55,7 @@
     }
 
     /** Durable once it returns; not on the one thread. */
-    void write(EpochConsensus.AcceptorState promised) throws IOException {
+    void write(AcceptorState promised) throws IOException {
         sealed.write(
                 to -> {
                     to.writeNumber(promised.abstainsThrough());
@@ -61,9 +64,9 @@
                     to.writeNumber(promised.acceptedBallot().round());
                     to.writeString(promised.acceptedBallot().proposer());
                     ReplicationCodec.layout(to, promised.committed());
-                    to.writeBoolean(promised.acceptedPlacement() != null);
-                    if (promised.acceptedPlacement() != null) {
-                        ReplicationCodec.layout(to, promised.acceptedPlacement());
+                    to.writeBoolean(promised.acceptedPlacement().isPresent());
+                    if (promised.acceptedPlacement().isPresent()) {
+                        ReplicationCodec.layout(to, promised.acceptedPlacement().get());
                     }
                 });
     }
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
@@ -18,6 +19,7 @@
 import ochretiller.fleet.membership.MemberSnapshot;
 import ochretiller.fleet.membership.MemberState;
 import ochretiller.fleet.membership.MembershipChange;
+import ochretiller.fleet.membership.MembershipCounter;
 import ochretiller.fleet.membership.MembershipMessage;
 import ochretiller.fleet.membership.MembershipProtocol;
 import ochretiller.fleet.membership.OutboundPacket;
@@ -126,7 +128,7 @@
                         at,
                         settings.zone(),
                         build,
-                        settings.serves() == null ? serves : settings.serves(),
+                        Optional.ofNullable(settings.serves() == null ? serves : settings.serves()),
                         1,
                         MemberState.JOINING);
         members =
@@ -216,51 +218,51 @@
         metrics.counted(
                 "fleet_probes_total",
                 "Members that were asked in turn",
-                () -> members.counters().probes);
+                () -> members.counters().get(MembershipCounter.PROBES));
         metrics.counted(
                 "fleet_probes_missed_total",
                 "Members that answered neither directly nor through others",
-                () -> members.counters().failedProbes);
+                () -> members.counters().get(MembershipCounter.FAILED_PROBES));
         metrics.counted(
                 "fleet_probes_indirect_total",
                 "Probes that others were asked to carry on",
-                () -> members.counters().indirectProbes);
+                () -> members.counters().get(MembershipCounter.INDIRECT_PROBES));
         metrics.counted(
                 "fleet_suspicions_total",
                 "Members that became suspect",
-                () -> members.counters().suspicions);
+                () -> members.counters().get(MembershipCounter.SUSPICIONS));
         metrics.counted(
                 "fleet_silenced_total",
                 "Members that were judged silent",
-                () -> members.counters().becameUnresponsive);
+                () -> members.counters().get(MembershipCounter.BECAME_UNRESPONSIVE));
         metrics.counted(
                 "fleet_returned_total",
                 "Members that came back",
-                () -> members.counters().returned);
+                () -> members.counters().get(MembershipCounter.RETURNED));
         metrics.counted(
                 "fleet_refuted_total",
                 "Times that this server said that it is there",
-                () -> members.counters().refutations);
+                () -> members.counters().get(MembershipCounter.REFUTATIONS));
         metrics.counted(
                 "fleet_twins_total",
                 "Other processes that bear this server's name",
-                () -> members.counters().duplicateNames);
+                () -> members.counters().get(MembershipCounter.DUPLICATE_NAMES));
         metrics.counted(
                 "fleet_late_timers_total",
                 "Timers that came late",
-                () -> members.counters().lateTicks);
+                () -> members.counters().get(MembershipCounter.LATE_TICKS));
         metrics.counted(
                 "fleet_views_compared_total",
                 "Comparisons of views that this server began",
-                () -> members.counters().syncs);
+                () -> members.counters().get(MembershipCounter.SYNCS));
         metrics.counted(
                 "fleet_views_refused_total",
                 "Comparisons that were too many",
-                () -> members.counters().syncsRejected);
+                () -> members.counters().get(MembershipCounter.SYNCS_REJECTED));
         metrics.counted(
                 "fleet_full_total",
                 "Newcomers and questions for which there was no room",
-                () -> members.counters().capacityRejections);
+                () -> members.counters().get(MembershipCounter.CAPACITY_REJECTIONS));
         metrics.counted(
                 "fleet_sent_packets_total", "Packets sent to peers", socket.sentPackets::sum);
         metrics.counted("fleet_sent_bytes_total", "Bytes sent to peers", socket.sentBytes::sum);
@@ -338,10 +340,7 @@
             return;
         }
         acquaintances.observe(view, schedule.now());
-        List<PeerAddress> due = acquaintances.takeDue(schedule.now());
-        if (due != null) {
-            peersFile.write(due);
-        }
+        acquaintances.takeDue(schedule.now()).ifPresent(peersFile::write);
     }
 
     private void taken(PacketCodec.Opened opened) {
@@ -351,8 +350,7 @@
         if (!(opened.body() instanceof MembershipMessage)) {
             // Only who is in may speak of epochs and tokens: its name is what majorities are
             // counted by.
-            if (copies != null
-                    && members.isLive(opened.from().id().name(), opened.from().incarnation())) {
+            if (copies != null && members.isLive(opened.from().id())) {
                 copies.received(opened.from().id().name(), opened.body());
             }
             return;
@@ -366,10 +364,10 @@
      * other.
      */
     private void send(String name, Object message) {
-        PeerAddress to = members.addressOf(name);
-        if (to == null) {
-            return;
-        }
+        members.addressOf(name).ifPresent(to -> send(to, message));
+    }
+
+    private void send(PeerAddress to, Object message) {
         socket.send(
                 addresses.computeIfAbsent(
                         to, each -> new InetSocketAddress(each.host(), each.port())),
@@ -403,46 +401,46 @@
         changed.add();
         Member member = change.member();
         MemberState state = member.state();
-        if (change.kind() == MembershipChange.Kind.STATE_CHANGED
-                && (change.previousState() == null
-                        || change.previousState().isLive() != state.isLive())) {
+        if (change instanceof MembershipChange.StateChanged stateChange
+                && stateChange.changesLiveness()) {
             seen.accept(
                     member,
-                    state.isLive() || members.isServedByLiveMember(member.serviceAddress()));
+                    state.isLive()
+                            || member.serviceAddress()
+                                    .filter(members::isServedByLiveMember)
+                                    .isPresent());
         }
         if (!line()) {
             return;
         }
-        switch (change.kind()) {
-            case STATE_CHANGED -> {
-                if (state != MemberState.SUSPECT) {
-                    LOG.info(
-                            () ->
-                                    "fleet: "
-                                            + member.id()
-                                            + " at "
-                                            + member.address()
-                                            + " is "
-                                            + state.externalName());
-                }
+        if (change instanceof MembershipChange.StateChanged) {
+            if (state != MemberState.SUSPECT) {
+                LOG.info(
+                        () ->
+                                "fleet: "
+                                        + member.id()
+                                        + " at "
+                                        + member.address()
+                                        + " is "
+                                        + state.externalName());
             }
-            case DUPLICATE_NAME -> {
-                // Two keepers by one name would be counted as one: this one says nothing more until
-                // its operators have seen to it.
-                if (copies != null) {
-                    copies.silence();
-                }
-                LOG.warning(
-                        "fleet: another process bears the name of this server: "
-                                + member.id()
-                                + " at "
-                                + member.address());
+        } else if (change instanceof MembershipChange.DuplicateName) {
+            // Two replicas by one name would be counted as one: this one sends nothing more until
+            // its operators have seen to it.
+            if (copies != null) {
+                copies.silence();
             }
-            case JOINED -> LOG.info(() -> "fleet: joined, with " + members.liveCount() + " others");
-            case SUSPICION_REFUTED ->
-                    LOG.info("fleet: was thought to be gone, and says that it is here");
-            case FORGOTTEN -> LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
-            default -> throw new IllegalStateException();
+            LOG.warning(
+                    "fleet: another process bears the name of this server: "
+                            + member.id()
+                            + " at "
+                            + member.address());
+        } else if (change instanceof MembershipChange.Joined) {
+            LOG.info(() -> "fleet: joined, with " + members.liveCount() + " others");
+        } else if (change instanceof MembershipChange.SuspicionRefuted) {
+            LOG.info("fleet: was thought to be gone, and says that it is here");
+        } else if (change instanceof MembershipChange.Forgotten) {
+            LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
         }
     }
 
--- a/src/main/java/ochretiller/fleet/service/MembershipJson.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipJson.java
@@ -34,9 +34,9 @@
                         to.writeStringField("address", seen.member().address().toString());
                         to.writeStringField("zone", seen.member().zone());
                         to.writeStringField("build", seen.member().build());
-                        if (seen.member().serviceAddress() != null) {
+                        if (seen.member().serviceAddress().isPresent()) {
                             to.writeStringField(
-                                    "serves", seen.member().serviceAddress().toString());
+                                    "serves", seen.member().serviceAddress().get().toString());
                         }
                         to.writeNumberField("number", seen.member().stateVersion());
                         to.writeNumberField("for_ms", seen.timeInState().toMillis());
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -18,10 +18,13 @@
 import java.util.logging.Logger;
 import java.util.random.RandomGenerator;
 import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.ConsensusMessage;
 import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.OutboundConsensusMessage;
 import ochretiller.fleet.consensus.PlacementPlanner;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.membership.MemberSnapshot;
 import ochretiller.fleet.replication.ChunkAssembler;
 import ochretiller.fleet.replication.ClaimCoordinator;
@@ -117,9 +120,9 @@
     private EpochConsensus voter;
 
     /** What is on its disk, and what was handed over to be written last. */
-    private EpochConsensus.AcceptorState durable;
+    private AcceptorState durable;
 
-    private EpochConsensus.AcceptorState handed;
+    private AcceptorState handed;
 
     /** Null where no versions are brought out. */
     private RolloutService versions;
@@ -198,13 +201,17 @@
         durable = votes ? file.read() : null;
         voter =
                 votes
-                        ? new EpochConsensus(
-                                name,
-                                Set.copyOf(settings.voters()),
-                                durable,
-                                settings.factor(),
-                                false,
-                                chance.nextLong())
+                        ? (durable == null
+                                ? EpochConsensus.recover(
+                                        name,
+                                        Set.copyOf(settings.voters()),
+                                        settings.factor(),
+                                        chance.nextLong())
+                                : EpochConsensus.resume(
+                                        name,
+                                        Set.copyOf(settings.voters()),
+                                        durable,
+                                        chance.nextLong()))
                         : null;
         writer = votes ? new BackgroundWriter("voter", WRITES) : null;
         bounds =
@@ -542,7 +549,7 @@
             return;
         }
         Map<String, Boolean> there = new HashMap<>();
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        List<ReplicaServer> servers = new ArrayList<>();
         for (MemberSnapshot seen : view.get()) {
             String other = seen.member().id().name();
             boolean live = seen.member().state().isLive();
@@ -550,18 +557,18 @@
                 there.put(other, live); // a start that is gone may have a successor
             }
             if (live) {
-                servers.add(new ReplicaPlacement.ReplicaServer(other, seen.member().zone()));
+                servers.add(new ReplicaServer(other, seen.member().zone()));
             }
         }
         // Whom the view has forgotten altogether is as gone as one that it remembers.
-        for (ReplicaPlacement.ReplicaServer each : voter.committed().servers()) {
+        for (ReplicaServer each : voter.committed().servers()) {
             there.putIfAbsent(each.name(), false);
         }
         wish.observe(there, now);
         if (voter.committed().epoch() > 0) {
-            List<ReplicaPlacement.ReplicaServer> told = new ArrayList<>(servers);
+            List<ReplicaServer> told = new ArrayList<>(servers);
             for (int i = 0; i < TELLS && !told.isEmpty(); i++) {
-                ReplicaPlacement.ReplicaServer each = told.remove(chance.nextInt(told.size()));
+                ReplicaServer each = told.remove(chance.nextInt(told.size()));
                 if (!each.name().equals(name)) {
                     out(each.name(), new ConsensusMessage.Committed(voter.committed()));
                 }
@@ -850,8 +857,8 @@
         if (!voter.hasLostState() && voter.committed().epoch() > epochNow) {
             learn(voter.committed());
         }
-        List<EpochConsensus.OutboundConsensusMessage> outs = voter.takeOutbound();
-        EpochConsensus.AcceptorState promised = voter.durableState();
+        List<OutboundConsensusMessage> outs = voter.takeOutbound();
+        AcceptorState promised = voter.durableState();
         if (voter.hasLostState() || promised.equals(durable)) {
             outs.forEach(this::say);
             return;
@@ -882,7 +889,7 @@
         }
     }
 
-    private void say(EpochConsensus.OutboundConsensusMessage each) {
+    private void say(OutboundConsensusMessage each) {
         if (closed) {
             return;
         }
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
 import ochretiller.fleet.replication.Replica;
@@ -34,7 +35,7 @@
                     to.writeNumberField("epoch", layout.epoch());
                     to.writeNumberField("factor", layout.replicationFactor());
                     to.writeArrayFieldStart("keepers");
-                    for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
+                    for (ReplicaServer each : layout.servers()) {
                         to.writeString(each.name());
                     }
                     to.writeEndArray();
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -23,7 +23,9 @@
 import java.util.random.RandomGenerator;
 import ochretiller.audit.HashChain;
 import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.MemberSnapshot;
 import ochretiller.fleet.rollout.Lease;
@@ -80,7 +82,7 @@
     private final Map<Long, VersionCounters> counts = BoundedMap.evictingOldest(KEPT);
     private final Map<String, VersionReport> reports = new HashMap<>();
     private ReplicaPlacement layout = ReplicaPlacement.empty(1);
-    private RolloutState.PublishedVersion acting = RolloutState.PublishedVersion.NONE;
+    private PublishedVersion acting = PublishedVersion.NONE;
     private long refused;
     private String why = "";
     private RolloutState wished;
@@ -120,7 +122,7 @@
         HashChain.ChainHead audited();
 
         /** Something happened that is to be remembered. */
-        void told(What what, RolloutState.PublishedVersion version, String text);
+        void told(What what, PublishedVersion version, String text);
     }
 
     /** What happened. */
@@ -180,7 +182,7 @@
                     Files.newDirectoryStream(settings.folder(), "*" + SUFFIX)) {
                 for (Path each : files) {
                     byte[] all =
-                            Files.size(each) > RolloutState.PublishedVersion.MAX_BYTES
+                            Files.size(each) > PublishedVersion.MAX_BYTES
                                     ? new byte[0]
                                     : Files.readAllBytes(each);
                     // Others may still need those that this server did not come to act on.
@@ -189,9 +191,9 @@
                     }
                 }
             }
-            RolloutState.PublishedVersion before = state.read(ReplicationCodec::version);
+            PublishedVersion before = state.read(ReplicationCodec::version);
             if (before == null || before.usesLocalFiles()) {
-                acting = before == null ? RolloutState.PublishedVersion.NONE : before;
+                acting = before == null ? PublishedVersion.NONE : before;
                 return;
             }
             byte[] all = bytes.get(before.hash());
@@ -273,7 +275,7 @@
 
     /** Acts on what is in force for this server, or fetches it. */
     private void follow() {
-        RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
+        PublishedVersion target = RolloutStages.targetVersion(layout, name);
         if (target.number() == acting.number() && target.hash().equals(acting.hash())
                 || target.number() == refused) {
             return;
@@ -572,8 +574,7 @@
             return;
         }
         offeredBy = by;
-        taken.start(
-                new RolloutState.PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
+        taken.start(new PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
         take(now);
     }
 
@@ -609,9 +610,8 @@
         if (!voters.contains(name)) {
             return refusal("this server is no voter: ask one of " + voters);
         }
-        if (all.length == 0 || all.length > RolloutState.PublishedVersion.MAX_BYTES) {
-            return refusal(
-                    "a version has 1 to " + RolloutState.PublishedVersion.MAX_BYTES + " bytes");
+        if (all.length == 0 || all.length > PublishedVersion.MAX_BYTES) {
+            return refusal("a version has 1 to " + PublishedVersion.MAX_BYTES + " bytes");
         }
         RolloutState rollout = layout.rollout();
         if (!rollout.isComplete() || wished != null || offered != null) {
@@ -624,10 +624,10 @@
         if (fault != null) {
             return refusal(fault);
         }
-        RolloutState.PublishedVersion next;
+        PublishedVersion next;
         try {
             next =
-                    new RolloutState.PublishedVersion(
+                    new PublishedVersion(
                             rollout.target().number() + 1,
                             hash(all),
                             all.length,
@@ -689,13 +689,13 @@
         RolloutState next =
                 switch (word) {
                     case "pause" ->
-                            rollout.phase() == RolloutState.Phase.RUNNING
-                                    ? rollout.withPhase(RolloutState.Phase.PAUSED)
+                            rollout.phase() == RolloutPhase.RUNNING
+                                    ? rollout.withPhase(RolloutPhase.PAUSED)
                                     : null;
                     case "go-on" ->
-                            rollout.isComplete() || rollout.phase() == RolloutState.Phase.RUNNING
+                            rollout.isComplete() || rollout.phase() == RolloutPhase.RUNNING
                                     ? null
-                                    : rollout.withPhase(RolloutState.Phase.RUNNING);
+                                    : rollout.withPhase(RolloutPhase.RUNNING);
                     case "take-back" ->
                             rollout.target().number() == 0
                                             || rollout.previous().equals(rollout.target())
--- a/src/main/java/ochretiller/fleet/transport/PacketCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/PacketCodec.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
 import ochretiller.fleet.membership.MemberState;
@@ -242,11 +243,11 @@
         address(to, member.address());
         to.writeString(member.zone());
         to.writeString(member.build());
-        if (member.serviceAddress() == null) {
+        if (member.serviceAddress().isEmpty()) {
             to.writeString("");
             to.writeNumber(0);
         } else {
-            address(to, member.serviceAddress());
+            address(to, member.serviceAddress().get());
         }
         to.writeNumber(member.stateVersion());
         to.writeNumber(code(member.state()));
@@ -271,7 +272,7 @@
                         address,
                         zone,
                         build,
-                        serves.port() == 0 ? null : serves,
+                        Optional.of(serves).filter(each -> each.port() != 0),
                         number(from),
                         state(from));
         end(from);
--- a/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
@@ -15,7 +15,10 @@
 import java.util.TreeSet;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.ConsensusMessage;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
@@ -61,7 +64,7 @@
                     ReplicationMessage.ChunkRequest.class,
                     ReplicationMessage.Chunk.class);
 
-    private static final RolloutState.Phase[] ROLLOUTS = RolloutState.Phase.values();
+    private static final RolloutPhase[] ROLLOUTS = RolloutPhase.values();
 
     /**
      * Longest idempotency key in bytes that fits a key of the store beside the names of its claim.
@@ -95,7 +98,7 @@
             to.writeNumber(m.epoch());
             ballot(to, m.ballot());
             ballot(to, m.acceptedBallot());
-            layoutOrNone(to, m.acceptedPlacement());
+            layoutOrNone(to, m.acceptedPlacement().orElse(null));
         } else if (message instanceof ConsensusMessage.Accept m) {
             to.writeNumber(m.epoch());
             ballot(to, m.ballot());
@@ -229,7 +232,10 @@
             case 0 -> new ConsensusMessage.Prepare(PacketCodec.number(in), ballot(in));
             case 1 ->
                     new ConsensusMessage.Promise(
-                            PacketCodec.number(in), ballot(in), ballot(in), layoutOrNone(in));
+                            PacketCodec.number(in),
+                            ballot(in),
+                            ballot(in),
+                            Optional.ofNullable(layoutOrNone(in)));
             case 2 -> new ConsensusMessage.Accept(PacketCodec.number(in), ballot(in), layout(in));
             case 3 -> new ConsensusMessage.Accepted(PacketCodec.number(in), ballot(in));
             case 4 -> new ConsensusMessage.Nack(PacketCodec.number(in), ballot(in), ballot(in));
@@ -446,8 +452,7 @@
         to.writeNumber(rollout.phase().ordinal());
     }
 
-    public static void version(CBORGenerator to, RolloutState.PublishedVersion version)
-            throws IOException {
+    public static void version(CBORGenerator to, PublishedVersion version) throws IOException {
         to.writeNumber(version.number());
         to.writeString(version.hash());
         to.writeNumber(version.sizeBytes());
@@ -456,8 +461,8 @@
         to.writeString(version.reason());
     }
 
-    public static RolloutState.PublishedVersion version(CBORParser in) throws IOException {
-        return new RolloutState.PublishedVersion(
+    public static PublishedVersion version(CBORParser in) throws IOException {
+        return new PublishedVersion(
                 PacketCodec.number(in),
                 PacketCodec.text(in),
                 Math.toIntExact(PacketCodec.number(in)),
@@ -467,8 +472,8 @@
     }
 
     private static RolloutState rollout(CBORParser in) throws IOException {
-        RolloutState.PublishedVersion to = version(in);
-        RolloutState.PublishedVersion from = version(in);
+        PublishedVersion to = version(in);
+        PublishedVersion from = version(in);
         int stage = Math.toIntExact(PacketCodec.number(in));
         long state = PacketCodec.number(in);
         if (state < 0 || state >= ROLLOUTS.length) {
@@ -497,10 +502,9 @@
         return PacketCodec.bool(in) ? layout(in) : null;
     }
 
-    private static void servers(CBORGenerator to, List<ReplicaPlacement.ReplicaServer> servers)
-            throws IOException {
+    private static void servers(CBORGenerator to, List<ReplicaServer> servers) throws IOException {
         to.writeStartArray();
-        for (ReplicaPlacement.ReplicaServer each : servers) {
+        for (ReplicaServer each : servers) {
             to.writeStartArray();
             to.writeString(each.name());
             to.writeString(each.zone());
@@ -509,13 +513,12 @@
         to.writeEndArray();
     }
 
-    private static List<ReplicaPlacement.ReplicaServer> servers(CBORParser in) throws IOException {
+    private static List<ReplicaServer> servers(CBORParser in) throws IOException {
         return PacketCodec.list(
                 in,
                 () -> {
-                    ReplicaPlacement.ReplicaServer server =
-                            new ReplicaPlacement.ReplicaServer(
-                                    PacketCodec.text(in), PacketCodec.text(in));
+                    ReplicaServer server =
+                            new ReplicaServer(PacketCodec.text(in), PacketCodec.text(in));
                     PacketCodec.end(in);
                     return server;
                 });
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 import ochretiller.admission.AdmissionController;
 import ochretiller.audit.HashChain;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.rollout.VersionCounters;
 import ochretiller.fleet.service.FleetService;
@@ -274,8 +274,8 @@
                 longest(),
                 recall == null ? null : recall.store(),
                 (member, there) -> {
-                    if (workers != null && member.serviceAddress() != null) {
-                        workers.seen(member.serviceAddress().toString(), there);
+                    if (workers != null && member.serviceAddress().isPresent()) {
+                        workers.seen(member.serviceAddress().get().toString(), there);
                     }
                 },
                 new Acting(),
@@ -594,8 +594,7 @@
         }
 
         @Override
-        public void told(
-                RolloutService.What what, RolloutState.PublishedVersion version, String text) {
+        public void told(RolloutService.What what, PublishedVersion version, String text) {
             if (auditor != null) {
                 auditor.recordRolloutEvent(what, version.number(), version.hash(), text);
             }
--- a/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementGoldenTest.java
@@ -20,9 +20,9 @@
 
     @Test
     void rangesAndTheirKeepersAreTheGoldenOnes() {
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
-            servers.add(new ReplicaPlacement.ReplicaServer("n" + i, "z" + i % 2));
+            servers.add(new ReplicaServer("n" + i, "z" + i % 2));
         }
         ReplicaPlacement layout = new ReplicaPlacement(4, servers, servers.subList(0, 3), 3);
         Map<String, byte[]> made = new LinkedHashMap<>();
--- a/src/test/java/ochretiller/fleet/membership/BootstrapPeersTest.java
+++ b/src/test/java/ochretiller/fleet/membership/BootstrapPeersTest.java
@@ -5,80 +5,91 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Whom a server keeps for its next start. */
 class BootstrapPeersTest {
     private static final PeerAddress SELF = new PeerAddress("10.0.0.1", 1);
 
-    private static MemberSnapshot seen(int number, String zone, MemberState state) {
+    private static PeerAddress address(int number) {
+        return new PeerAddress("10.0.0." + number, 1);
+    }
+
+    private static MemberSnapshot snapshot(int number, String zone, MemberState state) {
         Member member =
                 new Member(
                         new MemberId("m" + number, number),
-                        new PeerAddress("10.0.0." + number, 1),
+                        address(number),
                         zone,
                         "b",
-                        null,
+                        Optional.empty(),
                         1,
                         state);
         return new MemberSnapshot(member, Duration.ZERO, number == 1);
     }
 
-    private static Duration s(int seconds) {
+    private static MemberSnapshot alive(int number, String zone) {
+        return snapshot(number, zone, MemberState.ALIVE);
+    }
+
+    private static Duration seconds(int seconds) {
         return Duration.ofSeconds(seconds);
     }
 
     @Test
-    void thoseThatAreThereAreKeptAndItselfIsNot() {
-        BootstrapPeers all = new BootstrapPeers(SELF, List.of());
-        all.observe(
-                List.of(
-                        seen(1, "a", MemberState.ALIVE),
-                        seen(2, "a", MemberState.ALIVE),
-                        seen(3, "b", MemberState.UNRESPONSIVE)),
-                s(1));
-        assertThat(all.takeDue(s(1))).containsExactly(new PeerAddress("10.0.0.2", 1));
-        assertThat(all.takeDue(s(60))).as("nothing has changed").isNull();
+    void liveMembersAreStoredAndThisServerIsNot() {
+        BootstrapPeers peers = new BootstrapPeers(SELF, List.of());
+
+        peers.observe(
+                List.of(alive(1, "a"), alive(2, "a"), snapshot(3, "b", MemberState.UNRESPONSIVE)),
+                seconds(1));
+
+        assertThat(peers.takeDue(seconds(1))).contains(List.of(address(2)));
+        assertThat(peers.takeDue(seconds(60))).as("nothing has changed").isEmpty();
     }
 
     @Test
-    void whoIsGoneStaysBehindThoseThatAreThere() {
-        BootstrapPeers all = new BootstrapPeers(SELF, List.of(new PeerAddress("10.0.0.9", 1)));
-        all.observe(
-                List.of(seen(2, "a", MemberState.ALIVE), seen(3, "a", MemberState.ALIVE)), s(1));
-        assertThat(all.takeDue(s(1))).hasSize(3).last().isEqualTo(new PeerAddress("10.0.0.9", 1));
-        all.observe(List.of(seen(3, "a", MemberState.ALIVE)), s(2));
-        all.observe(List.of(), s(3));
-        assertThat(all.takeDue(s(20))).as("all are gone, and all are still known").isNull();
+    void departedPeersAreStoredBehindLiveOnes() {
+        BootstrapPeers peers = new BootstrapPeers(SELF, List.of(address(9)));
+
+        peers.observe(List.of(alive(2, "a"), alive(3, "a")), seconds(1));
+        assertThat(peers.takeDue(seconds(1)).orElseThrow()).hasSize(3).last().isEqualTo(address(9));
+
+        peers.observe(List.of(alive(3, "a")), seconds(2));
+        peers.observe(List.of(), seconds(3));
+        assertThat(peers.takeDue(seconds(20))).as("all departed, all still known").isEmpty();
     }
 
     @Test
-    void aZoneOfManyLeavesPlacesToTheOthers() {
-        BootstrapPeers all = new BootstrapPeers(SELF, List.of());
+    void largeZoneLeavesRoomForTheOthers() {
+        BootstrapPeers peers = new BootstrapPeers(SELF, List.of());
         List<MemberSnapshot> view = new ArrayList<>();
         for (int i = 2; i < 100; i++) {
-            view.add(seen(i, i < 90 ? "big" : "z" + i, MemberState.ALIVE));
+            view.add(alive(i, i < 90 ? "big" : "z" + i));
         }
-        all.observe(view, s(1));
-        List<PeerAddress> kept = all.takeDue(s(1));
-        assertThat(kept).hasSize(BootstrapPeers.MAX_PEERS);
+
+        peers.observe(view, seconds(1));
+
+        List<PeerAddress> stored = peers.takeDue(seconds(1)).orElseThrow();
+        assertThat(stored).hasSize(BootstrapPeers.MAX_PEERS);
         for (int i = 90; i < 100; i++) {
-            assertThat(kept).contains(new PeerAddress("10.0.0." + i, 1));
+            assertThat(stored).contains(address(i));
         }
     }
 
     @Test
-    void aFleetThatStartsIsNotKeptAtEachNewcomer() {
-        BootstrapPeers all = new BootstrapPeers(SELF, List.of());
+    void startingFleetIsNotStoredForEachNewcomer() {
+        BootstrapPeers peers = new BootstrapPeers(SELF, List.of());
         List<MemberSnapshot> view = new ArrayList<>();
-        int kept = 0;
+        int storedLists = 0;
         for (int i = 2; i < 32; i++) {
-            view.add(seen(i, "a", MemberState.ALIVE));
-            all.observe(view, s(i));
-            if (all.takeDue(s(i)) != null) {
-                kept++;
+            view.add(alive(i, "a"));
+            peers.observe(view, seconds(i));
+            if (peers.takeDue(seconds(i)).isPresent()) {
+                storedLists++;
             }
         }
-        assertThat(kept).isEqualTo(3);
+
+        assertThat(storedLists).isEqualTo(3);
     }
 }
--- a/src/test/java/ochretiller/fleet/membership/DigestGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/membership/DigestGoldenTest.java
@@ -4,6 +4,7 @@
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
@@ -17,7 +18,7 @@
                 new PeerAddress("10.0.0.1", 4200),
                 "z",
                 "0.1",
-                null,
+                Optional.empty(),
                 number,
                 state);
     }
@@ -42,7 +43,7 @@
         for (int start = 1; start <= 100; start++) {
             table.add(member(start, start, MemberState.ALIVE), Duration.ZERO);
         }
-        made.put("parts", bytes(table.digests(self)));
+        made.put("parts", bytes(table.bucketDigests(self)));
         DIGESTS.assertHolds(made);
     }
 
--- a/src/test/java/ochretiller/fleet/replication/AntiEntropyTest.java
+++ b/src/test/java/ochretiller/fleet/replication/AntiEntropyTest.java
@@ -13,16 +13,17 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import org.junit.jupiter.api.Test;
 
 /** Copies that become equal, keepers that come back, long results on their way. */
 class AntiEntropyTest {
     private static final Duration WINDOW = Duration.ofSeconds(60);
-    private static final List<ReplicaPlacement.ReplicaServer> THREE =
+    private static final List<ReplicaServer> THREE =
             List.of(
-                    new ReplicaPlacement.ReplicaServer("a", "1"),
-                    new ReplicaPlacement.ReplicaServer("b", "2"),
-                    new ReplicaPlacement.ReplicaServer("c", "3"));
+                    new ReplicaServer("a", "1"),
+                    new ReplicaServer("b", "2"),
+                    new ReplicaServer("c", "3"));
     private static final ReplicaPlacement LAYOUT = new ReplicaPlacement(3, THREE, THREE, 3);
 
     private final Map<String, Replica> keepers = new TreeMap<>();
--- a/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
@@ -9,6 +9,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import org.junit.jupiter.api.Test;
 
 /** Which words leave, and when. */
@@ -92,8 +93,7 @@
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
             ReplicaPlacement layout =
-                    new ReplicaPlacement(
-                            2, List.of(new ReplicaPlacement.ReplicaServer("a", "")), List.of(), 1);
+                    new ReplicaPlacement(2, List.of(new ReplicaServer("a", "")), List.of(), 1);
             Replica keeper =
                     new Replica(
                             "a",
--- a/src/test/java/ochretiller/fleet/replication/ReplicationTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicationTest.java
@@ -9,16 +9,17 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import org.junit.jupiter.api.Test;
 
 /** What a keeper answers, what a server makes of it, how copies become one. */
 class ReplicationTest {
     private static final Duration WINDOW = Duration.ofSeconds(20);
-    private static final List<ReplicaPlacement.ReplicaServer> THREE =
+    private static final List<ReplicaServer> THREE =
             List.of(
-                    new ReplicaPlacement.ReplicaServer("a", "1"),
-                    new ReplicaPlacement.ReplicaServer("b", "2"),
-                    new ReplicaPlacement.ReplicaServer("c", "3"));
+                    new ReplicaServer("a", "1"),
+                    new ReplicaServer("b", "2"),
+                    new ReplicaServer("c", "3"));
     private static final ReplicaPlacement LAYOUT = new ReplicaPlacement(3, THREE, THREE, 3);
     private final ClaimId one = new ClaimId("s", 1, 1);
     private final ClaimId two = new ClaimId("t", 1, 1);
@@ -144,7 +145,7 @@
 
     @Test
     void aRangeIsFetchedPageByPageBeforeANewKeeperCounts() {
-        ReplicaPlacement next = LAYOUT.with(new ReplicaPlacement.ReplicaServer("d", "4"));
+        ReplicaPlacement next = LAYOUT.with(new ReplicaServer("d", "4"));
         Replica b =
                 new Replica(
                         "b",
--- a/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
@@ -11,16 +11,19 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import org.junit.jupiter.api.Test;
 
 /** Who comes when, what halts a version, who is shut out. */
 class RolloutControllerTest {
-    private static final RolloutState.PublishedVersion ONE =
-            new RolloutState.PublishedVersion(1, "a".repeat(64), 10, "", "ann", "first");
-    private static final RolloutState.PublishedVersion TWO =
-            new RolloutState.PublishedVersion(2, "b".repeat(64), 10, "", "ann", "second");
+    private static final PublishedVersion ONE =
+            new PublishedVersion(1, "a".repeat(64), 10, "", "ann", "first");
+    private static final PublishedVersion TWO =
+            new PublishedVersion(2, "b".repeat(64), 10, "", "ann", "second");
     private static final Duration WAIT = Duration.ofSeconds(10);
     private final RolloutController rollouts =
             new RolloutController(WAIT, Duration.ofSeconds(30), true);
@@ -28,27 +31,27 @@
     private Duration now = Duration.ofSeconds(1);
 
     private static ReplicaPlacement fleet(int size, RolloutState rollout) {
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 1; i <= size; i++) {
-            servers.add(new ReplicaPlacement.ReplicaServer("m" + i, "z" + i % 3));
+            servers.add(new ReplicaServer("m" + i, "z" + i % 3));
         }
         return new ReplicaPlacement(5, servers, servers, 3, rollout);
     }
 
     private static RolloutState second(int stage) {
-        return new RolloutState(TWO, ONE, stage, RolloutState.Phase.RUNNING);
+        return new RolloutState(TWO, ONE, stage, RolloutPhase.RUNNING);
     }
 
     private static Set<String> names(ReplicaPlacement layout) {
         Set<String> names = new TreeSet<>();
-        for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
+        for (ReplicaServer each : layout.servers()) {
             names.add(each.name());
         }
         return names;
     }
 
     private static VersionReport acts(
-            RolloutState.PublishedVersion version, VersionCounters on, VersionCounters before) {
+            PublishedVersion version, VersionCounters on, VersionCounters before) {
         return new VersionReport(version.number(), version.hash(), 0, "", 2, on, before);
     }
 
@@ -74,7 +77,7 @@
         ReplicaPlacement part = fleet(24, second(1));
         Set<String> one = new HashSet<>();
         Map<String, Integer> zones = new TreeMap<>();
-        for (ReplicaPlacement.ReplicaServer each : first.servers()) {
+        for (ReplicaServer each : first.servers()) {
             if (RolloutStages.includes(first, each.name())) {
                 one.add(each.name());
             }
@@ -186,7 +189,7 @@
                             counts(400, 4)));
         }
         assertThat(halts.nextState(layout, names(layout), now).orElseThrow().phase())
-                .isEqualTo(RolloutState.Phase.HALTED);
+                .isEqualTo(RolloutPhase.HALTED);
     }
 
     @Test
@@ -243,12 +246,12 @@
                         rollouts.nextState(layout, names(layout), now.plusSeconds(121))
                                 .orElseThrow()
                                 .phase())
-                .isEqualTo(RolloutState.Phase.HALTED);
+                .isEqualTo(RolloutPhase.HALTED);
     }
 
     @Test
     void oneThatIsPausedWaitsForAPerson() {
-        ReplicaPlacement layout = fleet(6, second(0).withPhase(RolloutState.Phase.PAUSED));
+        ReplicaPlacement layout = fleet(6, second(0).withPhase(RolloutPhase.PAUSED));
         tell(layout, counts(1_000, 900), counts(1_000, 0));
         assertThat(rollouts.nextState(layout, names(layout), now.plusSeconds(1_000))).isEmpty();
     }
--- a/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
@@ -5,7 +5,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
@@ -16,19 +19,17 @@
     private static final int SERVERS = 12;
 
     private static ReplicaPlacement layout(int version, int stage) {
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new ReplicaPlacement.ReplicaServer("n" + i, "z" + i % 3));
+            servers.add(new ReplicaServer("n" + i, "z" + i % 3));
         }
-        RolloutState.PublishedVersion to =
-                new RolloutState.PublishedVersion(version, "f".repeat(64), 1, "", "ann", "why");
+        PublishedVersion to = new PublishedVersion(version, "f".repeat(64), 1, "", "ann", "why");
         return new ReplicaPlacement(
                 4,
                 servers,
                 servers,
                 3,
-                new RolloutState(
-                        to, RolloutState.PublishedVersion.NONE, stage, RolloutState.Phase.RUNNING));
+                new RolloutState(to, PublishedVersion.NONE, stage, RolloutPhase.RUNNING));
     }
 
     @Test
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -11,13 +11,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import ochretiller.ManualEventLoop;
 import ochretiller.audit.HashChain;
+import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.Ballot;
-import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.transport.ReplicationCodec;
@@ -36,34 +40,34 @@
     /** SHA-256 of {@link #BYTES}. */
     private static final String HASH = RolloutService.hash(BYTES);
 
-    private static final RolloutState.PublishedVersion VERSION =
-            new RolloutState.PublishedVersion(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
+    private static final PublishedVersion VERSION =
+            new PublishedVersion(3, HASH, BYTES.length, "1.2", "ann", "caf\u00e9");
 
     @TempDir private Path folder;
 
     private static ReplicaPlacement layout(long epoch) {
         return new ReplicaPlacement(
                 epoch,
-                List.of(
-                        new ReplicaPlacement.ReplicaServer("a", "z1"),
-                        new ReplicaPlacement.ReplicaServer("b", "")),
-                List.of(new ReplicaPlacement.ReplicaServer("b", "")),
+                List.of(new ReplicaServer("a", "z1"), new ReplicaServer("b", "")),
+                List.of(new ReplicaServer("b", "")),
                 2,
-                new RolloutState(
-                        VERSION, RolloutState.PublishedVersion.NONE, 2, RolloutState.Phase.HALTED));
+                new RolloutState(VERSION, PublishedVersion.NONE, 2, RolloutPhase.HALTED));
     }
 
-    private static Map<String, EpochConsensus.AcceptorState> promises() {
-        Map<String, EpochConsensus.AcceptorState> all = new LinkedHashMap<>();
-        all.put("nothing", EpochConsensus.AcceptorState.initial(3));
+    private static Map<String, AcceptorState> promises() {
+        Map<String, AcceptorState> all = new LinkedHashMap<>();
+        all.put("nothing", AcceptorState.initial(3));
         all.put(
                 "promised",
-                new EpochConsensus.AcceptorState(
-                        layout(4), new Ballot(7, "b"), Ballot.NONE, null, 9));
+                new AcceptorState(layout(4), new Ballot(7, "b"), Ballot.NONE, Optional.empty(), 9));
         all.put(
                 "accepted",
-                new EpochConsensus.AcceptorState(
-                        layout(4), new Ballot(7, "b"), new Ballot(6, "a"), layout(5), 0));
+                new AcceptorState(
+                        layout(4),
+                        new Ballot(7, "b"),
+                        new Ballot(6, "a"),
+                        Optional.of(layout(5)),
+                        0));
         return all;
     }
 
@@ -82,7 +86,7 @@
     void aVotersPromisesAreWrittenAsTheirGoldenBytes() throws IOException {
         Map<String, byte[]> written = new LinkedHashMap<>();
         Path file = folder.resolve("voter");
-        for (Map.Entry<String, EpochConsensus.AcceptorState> each : promises().entrySet()) {
+        for (Map.Entry<String, AcceptorState> each : promises().entrySet()) {
             new AcceptorFile(file).write(each.getValue());
             written.put(each.getKey(), Files.readAllBytes(file));
         }
@@ -92,7 +96,7 @@
     @Test
     void aVotersGoldenPromisesAreReadBack() throws IOException {
         Path file = folder.resolve("voter");
-        for (Map.Entry<String, EpochConsensus.AcceptorState> each : promises().entrySet()) {
+        for (Map.Entry<String, AcceptorState> each : promises().entrySet()) {
             Files.write(file, VOTERS.bytes(each.getKey()));
             assertThat(new AcceptorFile(file).read()).as(each.getKey()).isEqualTo(each.getValue());
         }
@@ -135,8 +139,7 @@
         }
 
         @Override
-        public void told(
-                RolloutService.What what, RolloutState.PublishedVersion version, String text) {
+        public void told(RolloutService.What what, PublishedVersion version, String text) {
             // nothing here is about what is told
         }
     }
@@ -172,10 +175,10 @@
         versions.become(
                 new ReplicaPlacement(
                         1,
-                        List.of(new ReplicaPlacement.ReplicaServer("a", "")),
+                        List.of(new ReplicaServer("a", "")),
                         List.of(),
                         1,
-                        new RolloutState(VERSION, VERSION, 0, RolloutState.Phase.DONE)));
+                        new RolloutState(VERSION, VERSION, 0, RolloutPhase.DONE)));
         written.put("acting", awaited(folder.resolve("acting")));
         VERSIONS.assertHolds(written);
         versions.close();
@@ -197,7 +200,6 @@
     void theVersionThatIsActedOnIsReadBackWhole() throws IOException {
         Files.write(folder.resolve("acting"), VERSIONS.bytes("acting"));
         SealedFile file = new SealedFile(folder.resolve("acting"));
-        assertThat(file.<RolloutState.PublishedVersion>read(ReplicationCodec::version))
-                .isEqualTo(VERSION);
+        assertThat(file.<PublishedVersion>read(ReplicationCodec::version)).isEqualTo(VERSION);
     }
 }
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
 import ochretiller.fleet.replication.DurabilityBarrier;
@@ -47,10 +48,8 @@
     private static final ReplicaPlacement LAYOUT =
             new ReplicaPlacement(
                     4,
-                    List.of(
-                            new ReplicaPlacement.ReplicaServer("a", "z1"),
-                            new ReplicaPlacement.ReplicaServer("b", "z2")),
-                    List.of(new ReplicaPlacement.ReplicaServer("b", "z2")),
+                    List.of(new ReplicaServer("a", "z1"), new ReplicaServer("b", "z2")),
+                    List.of(new ReplicaServer("b", "z2")),
                     2);
 
     private final VolatileDirectory disk = new VolatileDirectory();
--- a/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
@@ -15,7 +15,10 @@
 import java.util.stream.Stream;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.ConsensusMessage;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
@@ -59,7 +62,7 @@
                     new PeerAddress("10.0.0.1", 4200),
                     "z1",
                     "0.1",
-                    new PeerAddress("10.0.0.1", 4100),
+                    Optional.of(new PeerAddress("10.0.0.1", 4100)),
                     3,
                     MemberState.ALIVE);
 
@@ -84,7 +87,7 @@
                         new PeerAddress("10.0.0.2", 4201),
                         "z2",
                         "0.2",
-                        null,
+                        Optional.empty(),
                         0,
                         MemberState.JOINING);
         MembershipMessage.Gossip news =
@@ -101,36 +104,33 @@
         all.put("8-full", new MembershipMessage.MemberPage(List.of(other, SENDER)));
     }
 
-    private static ReplicaPlacement layout(RolloutState.Phase state) {
-        ReplicaPlacement.ReplicaServer a = new ReplicaPlacement.ReplicaServer("a", "z1");
-        ReplicaPlacement.ReplicaServer b = new ReplicaPlacement.ReplicaServer("b", "z2");
-        ReplicaPlacement.ReplicaServer c = new ReplicaPlacement.ReplicaServer("c", "");
-        RolloutState.PublishedVersion from =
-                new RolloutState.PublishedVersion(2, HASH, 10, "1.2", "ann", "first");
-        RolloutState.PublishedVersion to =
-                new RolloutState.PublishedVersion(3, "f".repeat(64), 11, "1.3", "bob", "caf\u00e9");
+    private static ReplicaPlacement layout(RolloutPhase state) {
+        ReplicaServer a = new ReplicaServer("a", "z1");
+        ReplicaServer b = new ReplicaServer("b", "z2");
+        ReplicaServer c = new ReplicaServer("c", "");
+        PublishedVersion from = new PublishedVersion(2, HASH, 10, "1.2", "ann", "first");
+        PublishedVersion to =
+                new PublishedVersion(3, "f".repeat(64), 11, "1.3", "bob", "caf\u00e9");
         return new ReplicaPlacement(
                 4, List.of(a, b), List.of(b, c), 3, new RolloutState(to, from, 1, state));
     }
 
     private static void addEpochs(Map<String, Object> all) {
-        ReplicaPlacement layout = layout(RolloutState.Phase.RUNNING);
+        ReplicaPlacement layout = layout(RolloutPhase.RUNNING);
         Ballot low = new Ballot(2, "a");
         Ballot high = new Ballot(3, "b");
         all.put("16-prepare", new ConsensusMessage.Prepare(5, low));
-        all.put("17-promise-of-none", new ConsensusMessage.Promise(5, low, Ballot.NONE, null));
-        all.put("17-promise", new ConsensusMessage.Promise(5, high, low, layout));
+        all.put(
+                "17-promise-of-none",
+                new ConsensusMessage.Promise(5, low, Ballot.NONE, Optional.empty()));
+        all.put("17-promise", new ConsensusMessage.Promise(5, high, low, Optional.of(layout)));
         all.put("18-accept", new ConsensusMessage.Accept(5, low, layout));
         all.put("19-accepted", new ConsensusMessage.Accepted(5, low));
         all.put("20-refused", new ConsensusMessage.Nack(5, low, high));
         all.put("21-agreed-runs", new ConsensusMessage.Committed(layout));
-        all.put(
-                "21-agreed-paused",
-                new ConsensusMessage.Committed(layout(RolloutState.Phase.PAUSED)));
-        all.put(
-                "21-agreed-halted",
-                new ConsensusMessage.Committed(layout(RolloutState.Phase.HALTED)));
-        all.put("21-agreed-done", new ConsensusMessage.Committed(layout(RolloutState.Phase.DONE)));
+        all.put("21-agreed-paused", new ConsensusMessage.Committed(layout(RolloutPhase.PAUSED)));
+        all.put("21-agreed-halted", new ConsensusMessage.Committed(layout(RolloutPhase.HALTED)));
+        all.put("21-agreed-done", new ConsensusMessage.Committed(layout(RolloutPhase.DONE)));
         all.put("22-what-is-open", new ConsensusMessage.RecoveryQuery(9));
         all.put("23-open", new ConsensusMessage.RecoveryReply(9, 8, layout));
         all.put("24-blank", new ConsensusMessage.StateLost(1, -2));
@@ -152,7 +152,7 @@
         Duration left = Duration.ofMillis(1_007);
         ClaimOutcome outcome = new ClaimOutcome(true, "body", "caf\u00e9");
         ClaimOutcome failed = new ClaimOutcome(false, "other body", "");
-        ReplicaPlacement layout = layout(RolloutState.Phase.DONE);
+        ReplicaPlacement layout = layout(RolloutPhase.DONE);
         ReplicationMessage.TransferredEntry item =
                 new ReplicationMessage.TransferredEntry(
                         "x",
@@ -345,7 +345,7 @@
         assertThat(pinned)
                 .contains(ReplicationMessage.ClaimVote.values())
                 .contains(ReplicationMessage.WalkOrder.values())
-                .contains(RolloutState.Phase.values())
+                .contains(RolloutPhase.values())
                 .contains(MemberState.values());
     }
 
--- a/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
+++ b/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
@@ -14,7 +14,10 @@
 import java.util.SplittableRandom;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.ConsensusMessage;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
@@ -43,7 +46,7 @@
                     new PeerAddress("10.0.0.1", 4200),
                     "z1",
                     "0.1",
-                    new PeerAddress("10.0.0.1", 4100),
+                    Optional.of(new PeerAddress("10.0.0.1", 4100)),
                     3,
                     MemberState.ALIVE);
     private final MembershipMessage.Gossip news =
@@ -57,7 +60,7 @@
                                     new PeerAddress("10.0.0.2", 4200),
                                     "",
                                     "",
-                                    null,
+                                    Optional.empty(),
                                     0,
                                     MemberState.JOINING)));
 
@@ -96,10 +99,8 @@
         ReplicaPlacement layout =
                 new ReplicaPlacement(
                         4,
-                        List.of(
-                                new ReplicaPlacement.ReplicaServer("a", "1"),
-                                new ReplicaPlacement.ReplicaServer("b", "")),
-                        List.of(new ReplicaPlacement.ReplicaServer("a", "1")),
+                        List.of(new ReplicaServer("a", "1"), new ReplicaServer("b", "")),
+                        List.of(new ReplicaServer("a", "1")),
                         3);
         Ballot ballot = new Ballot(2, "a");
         ochretiller.fleet.replication.ReplicaEntry entry =
@@ -114,8 +115,8 @@
                         new ReplicationMessage.TransferredEntry("y", entry, Duration.ofMillis(6)));
         return List.of(
                 new ConsensusMessage.Prepare(1, ballot),
-                new ConsensusMessage.Promise(1, ballot, Ballot.NONE, null),
-                new ConsensusMessage.Promise(1, ballot, ballot, layout),
+                new ConsensusMessage.Promise(1, ballot, Ballot.NONE, Optional.empty()),
+                new ConsensusMessage.Promise(1, ballot, ballot, Optional.of(layout)),
                 new ConsensusMessage.Accept(1, ballot, layout),
                 new ConsensusMessage.Accepted(1, ballot),
                 new ConsensusMessage.Nack(1, ballot, ballot),
@@ -208,11 +209,11 @@
                 new ConsensusMessage.Committed(
                         layout.with(
                                 new RolloutState(
-                                        new RolloutState.PublishedVersion(
+                                        new PublishedVersion(
                                                 2, "c".repeat(64), 10, "1.2", "ann", "why"),
-                                        RolloutState.PublishedVersion.NONE,
+                                        PublishedVersion.NONE,
                                         1,
-                                        RolloutState.Phase.PAUSED))));
+                                        RolloutPhase.PAUSED))));
     }
 
     @Test
@@ -264,8 +265,8 @@
         }
     }
 
-    private static ReplicaPlacement.ReplicaServer longest(int number, int length) {
-        return new ReplicaPlacement.ReplicaServer(
+    private static ReplicaServer longest(int number, int length) {
+        return new ReplicaServer(
                 number + "n".repeat(Math.max(0, length - 3)),
                 "z" + "z".repeat(Math.max(0, length - 2)) + number % 3);
     }
--- a/src/test/java/ochretiller/golden/ExternalNamesTest.java
+++ b/src/test/java/ochretiller/golden/ExternalNamesTest.java
@@ -5,7 +5,7 @@
 
 import java.util.stream.Stream;
 import ochretiller.audit.FleetTimeline;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.membership.MemberState;
 import ochretiller.fleet.replication.ClaimModes;
 import ochretiller.fleet.transport.RejectReason;
@@ -56,7 +56,7 @@
 
     @Test
     void statesOfRolloutsKeepTheirWords() {
-        assertThat(Stream.of(RolloutState.Phase.values()).map(RolloutState.Phase::externalName))
+        assertThat(Stream.of(RolloutPhase.values()).map(RolloutPhase::externalName))
                 .containsExactly("RUNS", "PAUSED", "HALTED", "DONE");
     }
 
--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -10,8 +10,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
 import ochretiller.fleet.membership.MemberState;
@@ -41,11 +43,11 @@
     /** Beats without a word: what was not answered would have been asked again by then. */
     private static final int QUIET = 20;
 
-    private static final List<ReplicaPlacement.ReplicaServer> THREE =
+    private static final List<ReplicaServer> THREE =
             List.of(
-                    new ReplicaPlacement.ReplicaServer("a", "1"),
-                    new ReplicaPlacement.ReplicaServer("b", "2"),
-                    new ReplicaPlacement.ReplicaServer("c", "3"));
+                    new ReplicaServer("a", "1"),
+                    new ReplicaServer("b", "2"),
+                    new ReplicaServer("c", "3"));
     private static final ReplicaPlacement LAYOUT = new ReplicaPlacement(3, THREE, THREE, 3);
 
     private final SplittableRandom chance = new SplittableRandom(11);
@@ -56,7 +58,7 @@
                     new PeerAddress("127.0.0.1", 1),
                     "1",
                     "bench",
-                    null,
+                    Optional.empty(),
                     1,
                     MemberState.ALIVE);
     private long packets;
