--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import ochretiller.ManualEventLoop;
-import ochretiller.audit.HashChain;
+import ochretiller.audit.ChainHead;
 import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.Ballot;
 import ochretiller.fleet.consensus.PublishedVersion;
@@ -134,8 +134,8 @@
         }
 
         @Override
-        public HashChain.ChainHead audited() {
-            return HashChain.ChainHead.EMPTY;
+        public ChainHead audited() {
+            return ChainHead.EMPTY;
         }
 
         @Override
