--- a/src/main/java/ochretiller/node/PoolVersionApplier.java
+++ b/src/main/java/ochretiller/node/PoolVersionApplier.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import ochretiller.audit.ChainHead;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.service.RolloutService;
 import ochretiller.operator.OperatorConfig;
 import ochretiller.operator.OperatorConfigReader;
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void told(RolloutService.What what, RolloutState.PublishedVersion version, String text) {
+    public void told(RolloutService.What what, PublishedVersion version, String text) {
         audit.recordRolloutEvent(what, version.number(), version.hash(), text);
     }
 
