--- a/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
@@ -5,13 +5,19 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import net.openhft.hashing.LongHashFunction;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimDecision;
+import ochretiller.fleet.replication.ClaimIntent;
 import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.CompletedClaim;
+import ochretiller.fleet.replication.OutboundMessage;
 import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaLimits;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.fleet.replication.ReplicationMessage;
 
 /**
@@ -70,12 +76,10 @@
         this.planted = planted;
         for (int i = 0; i < KEEPERS; i++) {
             keepers[i] =
-                    new Replica(
+                    Replica.recover(
                             "k" + i,
-                            new Replica.ReplicaSnapshot(FIRST, Map.of()),
-                            FIRST,
-                            100,
-                            WINDOW,
+                            new ReplicaSnapshot(FIRST, Map.of()),
+                            ReplicaLimits.ofEntries(100, WINDOW),
                             Duration.ZERO);
         }
         for (int i = 0; i < clocks.length; i++) {
@@ -87,11 +91,7 @@
             running.add(null);
             verdicts.add("");
             servers[i].claim(
-                    TOKEN,
-                    "body",
-                    false,
-                    DUE,
-                    WINDOW,
+                    new ClaimIntent(TOKEN, "body", false, DUE, WINDOW),
                     Duration.ZERO,
                     verdict -> told(server, verdict));
             take(i);
@@ -110,14 +110,14 @@
                 broken = "two runs";
             }
         } else if (verdict.kind() == ClaimDecision.Kind.REPLAY
-                && !results.contains(verdict.outcome().result())) {
+                && !results.contains(verdict.outcome().orElseThrow().result())) {
             broken = "replayed what never was: " + verdict.outcome();
         }
     }
 
     private void take(int node) {
         String name = node < SERVERS ? "s" + node : "k" + (node - SERVERS);
-        for (Replica.OutboundMessage out :
+        for (OutboundMessage out :
                 node < SERVERS
                         ? servers[node].takeOutbound()
                         : keepers[node - SERVERS].takeOutbound()) {
@@ -176,11 +176,12 @@
         String result = "by s" + server;
         results.add(result);
         servers[server].reportOutcome(
-                verdict.claimId(),
-                new ClaimOutcome(true, "body", result),
-                null,
-                DUE,
-                WINDOW,
+                new CompletedClaim(
+                        verdict.claimId().orElseThrow(),
+                        new ClaimOutcome(true, "body", result),
+                        Optional.empty(),
+                        DUE,
+                        WINDOW),
                 clocks[server],
                 kept -> verdicts.set(server, "ENDED " + kept));
         take(server);
@@ -237,10 +238,13 @@
             }
             crashed++;
             ReplicaPlacement layout = keepers[rest].placement();
-            Replica.ReplicaSnapshot kept =
-                    planted ? new Replica.ReplicaSnapshot(layout, Map.of()) : null;
+            ReplicaLimits limits = ReplicaLimits.ofEntries(100, WINDOW);
+            Duration now = clocks[SERVERS + rest];
             keepers[rest] =
-                    new Replica("k" + rest, kept, layout, 100, WINDOW, clocks[SERVERS + rest]);
+                    planted
+                            ? Replica.recover(
+                                    "k" + rest, new ReplicaSnapshot(layout, Map.of()), limits, now)
+                            : Replica.withoutDisk("k" + rest, layout, 0, limits, now);
             return true;
         }
         rest -= KEEPERS;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -26,15 +26,26 @@
 import ochretiller.fleet.membership.MemberId;
 import ochretiller.fleet.membership.MemberState;
 import ochretiller.fleet.membership.PeerAddress;
+import ochretiller.fleet.replication.AssembledResult;
 import ochretiller.fleet.replication.ChunkAssembler;
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimDecision;
+import ochretiller.fleet.replication.ClaimIntent;
+import ochretiller.fleet.replication.ClaimMode;
+import ochretiller.fleet.replication.ClaimModeSettings;
 import ochretiller.fleet.replication.ClaimModes;
 import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.ClaimRequirement;
+import ochretiller.fleet.replication.CompletedClaim;
 import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.OutboundMessage;
+import ochretiller.fleet.replication.PendingWrite;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaLimits;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.fleet.replication.ReplicationMessage;
+import ochretiller.fleet.replication.SubmittedChange;
 import ochretiller.fleet.transport.FleetKeys;
 import ochretiller.fleet.transport.PacketCodec;
 
@@ -45,8 +56,8 @@
 public final class ReplicationSimulation {
     private static final int FACTOR = 3;
     private static final String OPERATION = "order";
-    private static final ClaimModes.ClaimModeSettings SERVERS =
-            new ClaimModes.ClaimModeSettings(ClaimModes.ClaimMode.SERVER, Map.of());
+    private static final ClaimModeSettings SERVERS =
+            new ClaimModeSettings(ClaimMode.SERVER, Map.of());
     private static final int VOTERS = 3;
     private static final int MOST = 100_000;
     private static final Duration TICK = Duration.ofMillis(20);
@@ -88,8 +99,8 @@
     /** Behind a change of mode: all have come to run without claims by then, and go on. */
     private static final double SWITCHES_S = 75;
 
-    private static final Replica.ReplicaLimits BOUNDS =
-            new Replica.ReplicaLimits(MOST, Long.MAX_VALUE, 2 << 20, WINDOW.plusSeconds(10));
+    private static final ReplicaLimits BOUNDS =
+            new ReplicaLimits(MOST, Long.MAX_VALUE, 2 << 20, WINDOW.plusSeconds(10));
 
     private final FleetScenario script;
     private final FaultSchedule plan;
@@ -173,7 +184,7 @@
 
     /** What of a keeper is on its disk. */
     private record Image(
-            Replica.ReplicaSnapshot place,
+            ReplicaSnapshot place,
             Map<String, Long> heard,
             Map<String, ReplicaEntry> entries,
             Map<String, Long> numbers,
@@ -182,7 +193,7 @@
             return new Image(null, Map.of(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
         }
 
-        Image copy(Replica.ReplicaSnapshot now) {
+        Image copy(ReplicaSnapshot now) {
             return new Image(
                     now,
                     heard,
@@ -192,7 +203,7 @@
         }
 
         /** As a start reads it. */
-        Replica.ReplicaSnapshot disk(Duration now) {
+        ReplicaSnapshot disk(Duration now) {
             if (place == null) {
                 return null;
             }
@@ -207,7 +218,7 @@
                     Math.max(
                             place.changeNumber(),
                             numbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
-            return new Replica.ReplicaSnapshot(
+            return new ReplicaSnapshot(
                     place.placement(),
                     live,
                     place.laggingRanges(),
@@ -265,7 +276,7 @@
             local.clear();
             modes =
                     new ClaimModes(
-                            switched() ? SERVERS : ClaimModes.ClaimModeSettings.ALL_FLEET,
+                            switched() ? SERVERS : ClaimModeSettings.ALL_FLEET,
                             BOUNDS.maxWindow(),
                             events.now());
             boolean first = !everUp;
@@ -273,7 +284,7 @@
             if (first && formed != null) {
                 disk =
                         new Image(
-                                new Replica.ReplicaSnapshot(formed, Map.of()),
+                                new ReplicaSnapshot(formed, Map.of()),
                                 Map.of(),
                                 new TreeMap<>(),
                                 new TreeMap<>(),
@@ -306,7 +317,7 @@
                                 first && formed == null,
                                 chance.nextLong());
             }
-            Replica.ReplicaSnapshot found = disk.disk(events.now());
+            ReplicaSnapshot found = disk.disk(events.now());
             ReplicaPlacement known =
                     found != null
                             ? found.placement()
@@ -315,9 +326,9 @@
             // that it may have been in.
             keeper =
                     found != null
-                            ? new Replica(name, found, null, BOUNDS, 0, events.now())
+                            ? Replica.recover(name, found, BOUNDS, events.now())
                             : first
-                                    ? new Replica(name, null, known, BOUNDS, 1, events.now())
+                                    ? Replica.withoutDisk(name, known, 1, BOUNDS, events.now())
                                     : null;
             commit = new DurabilityBarrier(chance.split());
             if (sickDisks && chance.nextInt(6) == 0) {
@@ -386,12 +397,12 @@
                     });
         }
 
-        private void write(DurabilityBarrier.PendingWrite write) {
+        private void write(PendingWrite write) {
             Replica of = keeper;
             Image image = disk;
             long mine = life;
-            String token = write.token();
-            Replica.ReplicaSnapshot place = token == null ? of.metadataSnapshot() : null;
+            String token = write.token().orElse(null);
+            ReplicaSnapshot place = token == null ? of.metadataSnapshot() : null;
             ReplicaEntry entry = token == null ? null : of.entry(token);
             Map<String, Long> heard = token == null ? own.observedChangeNumbers() : Map.of();
             long numbered = token == null ? 0 : of.changeNumber(token);
@@ -412,7 +423,7 @@
                         }
                     },
                     durable -> {
-                        for (Replica.OutboundMessage out :
+                        for (OutboundMessage out :
                                 commit.acknowledge(write, durable, events.now())) {
                             send(number(out.recipient()), out.message());
                         }
@@ -420,7 +431,7 @@
         }
 
         private void keep() {
-            for (ChunkAssembler.AssembledResult whole : keeper.takeAssembledResults()) {
+            for (AssembledResult whole : keeper.takeAssembledResults()) {
                 long mine = life;
                 force(
                         mine,
@@ -605,16 +616,16 @@
                     modes.claimObserved(OPERATION, claim.transitional(), now);
                 }
                 if (message instanceof ReplicationMessage.RangeRequest fetch
-                        && fetch.placement() != null) {
-                    learn(fetch.placement());
+                        && fetch.placement().isPresent()) {
+                    learn(fetch.placement().get());
                 }
                 if (message instanceof ReplicationMessage.ChunkRequest want) {
-                    String result = own.pendingResult(want.claimId());
+                    String result = own.pendingResult(want.claimId()).orElse(null);
                     if (result == null) {
                         result = disk.results.get(want.token() + want.claimId());
                     }
                     ReplicationMessage.Chunk piece =
-                            result == null ? null : ChunkAssembler.slice(want, result);
+                            result == null ? null : ChunkAssembler.slice(want, result).orElse(null);
                     if (piece != null) {
                         send(number(sent.from), piece);
                     }
@@ -631,13 +642,8 @@
             // Numbers of later lives are higher, as those from a clock are.
             if (keeper == null) {
                 keeper =
-                        new Replica(
-                                name,
-                                null,
-                                layout,
-                                BOUNDS,
-                                events.now().toNanos() / 1000,
-                                events.now());
+                        Replica.withoutDisk(
+                                name, layout, events.now().toNanos() / 1000, BOUNDS, events.now());
             } else {
                 keeper.adoptPlacement(layout, events.now());
             }
@@ -668,17 +674,20 @@
                     placedS = events.seconds();
                     place = true;
                 }
-                List<Replica.OutboundMessage> say = new ArrayList<>();
-                commit.submit(tokens, place, keeper.takeOutbound(), say).forEach(this::write);
-                for (Replica.OutboundMessage out : say) {
+                SubmittedChange change = commit.submit(tokens, place, keeper.takeOutbound());
+                change.writes().forEach(this::write);
+                for (OutboundMessage out : change.sendable()) {
                     send(number(out.recipient()), out.message());
                 }
-                outcomes.oldFound = (int) Math.max(outcomes.oldFound, keeper.staleDisks());
+                outcomes.oldFound =
+                        (int) Math.max(outcomes.oldFound, keeper.statistics().staleDisks());
                 outcomes.unsaid = Math.max(outcomes.unsaid, commit.droppedMessages());
-                outcomes.fetchedBytes = Math.max(outcomes.fetchedBytes, keeper.fetchedBytes());
-                outcomes.conflicts = (int) Math.max(outcomes.conflicts, keeper.conflictCount());
+                outcomes.fetchedBytes =
+                        Math.max(outcomes.fetchedBytes, keeper.statistics().receivedBytes());
+                outcomes.conflicts =
+                        (int) Math.max(outcomes.conflicts, keeper.statistics().conflicts());
             }
-            for (Replica.OutboundMessage out : own.takeOutbound()) {
+            for (OutboundMessage out : own.takeOutbound()) {
                 send(number(out.recipient()), out.message());
             }
         }
@@ -981,15 +990,15 @@
         if (claims
                 && host.switched()
                 && host.modes.requirementFor(OPERATION, events.now())
-                        == ClaimModes.ClaimRequirement.REQUIRED) {
+                        == ClaimRequirement.REQUIRED) {
             host.modes = new ClaimModes(SERVERS, BOUNDS.maxWindow(), events.now());
         }
-        ClaimModes.ClaimRequirement before =
+        ClaimRequirement before =
                 claims
                         ? host.modes.requirementFor(OPERATION, events.now())
-                        : ClaimModes.ClaimRequirement.NOT_REQUIRED;
+                        : ClaimRequirement.NOT_REQUIRED;
         // What it runs without a claim each server knows of by itself.
-        if (before == ClaimModes.ClaimRequirement.NOT_REQUIRED || host.local.containsKey(token)) {
+        if (before == ClaimRequirement.NOT_REQUIRED || host.local.containsKey(token)) {
             String kept = host.local.putIfAbsent(token, "");
             if (kept != null) {
                 answered[0] = true;
@@ -1011,7 +1020,9 @@
                         // Its caller has been answered: nothing may begin for it.
                         if (verdict.kind() == ClaimDecision.Kind.RUN) {
                             host.own.releaseClaim(
-                                    verdict.claimId(), events.now().plus(WINDOW), events.now());
+                                    verdict.claimId().orElseThrow(),
+                                    events.now().plus(WINDOW),
+                                    events.now());
                         }
                         return;
                     }
@@ -1019,15 +1030,13 @@
                         case RUN -> {
                             outcomes.claimMs.add((events.seconds() - at) * 1e3);
                             tokens.get(token)
-                                    .claimed(
-                                            before == ClaimModes.ClaimRequirement.REQUIRED,
-                                            events.seconds());
+                                    .claimed(before == ClaimRequirement.REQUIRED, events.seconds());
                             run(host, life, token, body, verdict, due, answered);
                         }
                         case REPLAY -> {
                             answered[0] = true;
                             outcomes.replayed++;
-                            succeeded(token, body, verdict.outcome().result());
+                            succeeded(token, body, verdict.outcome().orElseThrow().result());
                         }
                         case THROTTLED -> {
                             answered[0] = true;
@@ -1044,11 +1053,12 @@
                     }
                 };
         host.own.claim(
-                token,
-                body,
-                before == ClaimModes.ClaimRequirement.REQUIRED_TRANSITIONALLY,
-                due.minusMillis(500),
-                events.now().plus(WINDOW),
+                new ClaimIntent(
+                        token,
+                        body,
+                        before == ClaimRequirement.REQUIRED_TRANSITIONALLY,
+                        due.minusMillis(500),
+                        events.now().plus(WINDOW)),
                 events.now(),
                 then);
         host.carryOut();
@@ -1116,6 +1126,17 @@
         return !names.isEmpty() && lost >= ReplicaPlacement.quorumSize(names.size());
     }
 
+    private CompletedClaim completed(
+            ClaimDecision verdict, String body, String result, Duration due) {
+        boolean big = result.length() > ClaimOutcome.MAX_INLINE_BYTES;
+        return new CompletedClaim(
+                verdict.claimId().orElseThrow(),
+                big ? ClaimOutcome.chunked(body, result) : new ClaimOutcome(true, body, result),
+                big ? Optional.of(result) : Optional.empty(),
+                due,
+                events.now().plus(WINDOW));
+    }
+
     private void finish(
             Host host,
             long life,
@@ -1142,13 +1163,8 @@
             succeeded(token, body, result);
             return;
         }
-        boolean big = result.length() > ClaimOutcome.MAX_INLINE_BYTES;
         host.own.reportOutcome(
-                verdict.claimId(),
-                big ? ClaimOutcome.chunked(body, result) : new ClaimOutcome(true, body, result),
-                big ? result : null,
-                due,
-                events.now().plus(WINDOW),
+                completed(verdict, body, result, due),
                 events.now(),
                 kept -> {
                     if (answered[0]) {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -22,6 +22,7 @@
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.rollout.Lease;
 import ochretiller.fleet.rollout.LeaseGrantor;
+import ochretiller.fleet.rollout.OutboundChunkRequest;
 import ochretiller.fleet.rollout.RolloutController;
 import ochretiller.fleet.rollout.RolloutMessage;
 import ochretiller.fleet.rollout.RolloutStages;
@@ -184,7 +185,7 @@
             }
             if (!paused) {
                 Duration now = events.now();
-                for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+                for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
                     send(ask.recipient(), ask.request());
                 }
                 if (voter != null) {
@@ -369,7 +370,7 @@
                                     bytes.add(piece.hash());
                                     follow();
                                 });
-                for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+                for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
                     send(ask.recipient(), ask.request());
                 }
             }
--- a/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
+++ b/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
@@ -1,482 +1,257 @@
 package ochretiller.fleet.replication;
 
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.TreeMap;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * What a keeper fetches from others, range by range. A range that it is to catch up with counts
- * once it has heard all from as many as it needs; what differs by the way is repaired with what is
- * left of the allowance. Each fetch can be broken off and taken up anywhere: where copies are
- * nearly equal a sketch tells what is lacking, else the range is walked through, the newest first.
+ * Pulls from other replicas what this one lacks, range by range: first for lagging ranges, whose
+ * votes do not count until enough sources have been heard completely, then, with what is left of
+ * the rate, to repair differences that comparisons have found. Anti-entropy in the sense of Demers
+ * et al. 1987 ("Epidemic Algorithms for Replicated Database Maintenance"), with set sketches in
+ * place of Merkle trees. Not thread-safe; time is handed in.
  */
 final class AntiEntropy {
-    /**
-     * Fetches that wait for an answer at once: a whole fleet that comes back must not flood those
-     * that have what it lacks.
-     */
-    private static final int AT_ONCE = 6;
-
-    /** Of these for repair: what serves nobody yet goes before. */
-    private static final int REPAIRS_AT_ONCE = 2;
-
-    /** Repairs that wait; more are found again by the next comparisons. */
-    private static final int MOST_REPAIRS = 512;
-
-    /** A fetch that is not answered is said again. */
-    private static final Duration AGAIN = Duration.ofMillis(300);
-
-    /** A repair whose source says nothing so often is given up: a comparison will find it again. */
-    private static final int TRIES = 5;
-
-    /** Cells of a first sketch, and how much larger the next is where it told nothing. */
-    private static final int FIRST_CELLS = 24;
-
-    private static final int LARGER = 4;
-
-    /**
-     * Cells beside one of whom the count is known, at least, and for each by which the counts
-     * differ.
-     */
-    private static final int LEAST_CELLS = 12;
-
-    private static final double CELLS_EACH = 1.6;
-
-    /** From so many times as many entries on a walk is cheaper than a sketch of what differs. */
-    private static final int FAR = 2;
-
-    private final String name;
-    private final ReplicaEntries stock;
-    private final ByteRateLimiter allowance;
-    private final Map<Integer, Catch> catching = new TreeMap<>();
-    private final Map<Place, Pull> pulls = new LinkedHashMap<>();
-
-    /** Who has said something in this epoch, and needs to be told of it no more. */
-    private final Set<String> know = new HashSet<>();
-
-    private final UnresponsivePeers silence = new UnresponsivePeers();
-    private final Map<String, Duration> probed = new HashMap<>();
-    private long nonce;
-    private long bytes;
-    private long fetched;
-
-    /** A range at a source. */
-    private record Place(int range, String source) {}
-
-    /** A range that is not whole yet. */
-    private static final class Catch {
-        final List<String> sources;
-        final int needed;
-        final Set<String> whole = new HashSet<>();
-
-        /** Whether the range was kept and may be forgotten in part. */
-        final boolean forgot;
-
-        final Duration began;
-        final Duration until;
-
-        Catch(List<String> sources, int needed, boolean forgot, Duration began, Duration until) {
-            this.sources = sources;
-            this.needed = needed;
-            this.forgot = forgot;
-            this.began = began;
-            this.until = until;
-        }
+    /** Pulls that wait at most before a repair is left to later comparisons. */
+    private static final int MAX_PULLS_FOR_REPAIR = 512;
+
+    /** Pulls that wait at most before a lagging range is left to later ticks. */
+    private static final int MAX_PULLS_FOR_CATCH_UP = 2 * MAX_PULLS_FOR_REPAIR;
+
+    private final String self;
+    private final ReplicaEntries entries;
+    private final ByteRateLimiter rateLimiter;
+    private final LaggingRanges lagging = new LaggingRanges();
+    private final Map<PullTarget, RangePull> pulls = new LinkedHashMap<>();
+    private final PullSources sources = new PullSources();
+    private long lastNonce;
+    private long receivedBytes;
+    private long receivedEntries;
+
+    /** A range, and the replica that it is pulled from. */
+    private record PullTarget(int range, String source) {}
+
+    /** What one tick works with. */
+    private record Tick(
+            ReplicaPlacement placement, Duration now, PullSlots slots, Outbox requests) {}
+
+    AntiEntropy(String self, ReplicaEntries entries, ByteRateLimiter rateLimiter) {
+        this.self = self;
+        this.entries = entries;
+        this.rateLimiter = rateLimiter;
     }
 
-    private enum Way {
-        SKETCH,
-        MARKS,
-        NEWEST,
-        TOKEN
+    /** Returns the ranges that this replica does not have completely yet. */
+    LaggingRanges lagging() {
+        return lagging;
     }
 
-    private static final class Pull {
-        final boolean repair;
-        Way way;
-        int cells = FIRST_CELLS;
-        ReplicationMessage.RangeCursor place = ReplicationMessage.RangeCursor.START;
-        long nonce;
-        Duration asked;
-        int silent;
-        boolean walked;
-        long digest;
-        List<Long> marks = List.of();
-
-        Pull(boolean repair, Way way) {
-            this.repair = repair;
-            this.way = way;
-        }
-    }
-
-    AntiEntropy(String name, ReplicaEntries stock, ByteRateLimiter allowance) {
-        this.name = name;
-        this.stock = stock;
-        this.allowance = allowance;
-    }
-
-    /** Bytes of entries that came, as reckoned. */
-    long bytes() {
-        return bytes;
-    }
-
-    /** Entries that came. */
-    long fetched() {
-        return fetched;
-    }
-
-    int behind() {
-        return catching.size();
-    }
-
-    boolean behind(int range) {
-        return catching.containsKey(range);
+    /** Returns the estimated bytes of entries that were received. */
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    Set<Integer> rangesBehind() {
-        return Set.copyOf(catching.keySet());
-    }
-
-    Set<Integer> rangesForgotten() {
-        Set<Integer> all = new HashSet<>();
-        catching.forEach(
-                (range, each) -> {
-                    if (each.forgot) {
-                        all.add(range);
-                    }
-                });
-        return all;
-    }
-
-    /** How long the range that has waited longest is not whole. */
-    Duration oldest(Duration now) {
-        return catching.values().stream()
-                .map(each -> now.minus(each.began))
-                .max(Duration::compareTo)
-                .orElse(Duration.ZERO);
+    long receivedEntries() {
+        return receivedEntries;
     }
 
     /**
-     * Whether this keeper's own copy is one of those that make a range whole, or null where the
-     * range is whole.
+     * Returns whether a range is complete, or this replica's copy at least is one of those that
+     * will make it so.
      */
-    Boolean ownCounts(int range) {
-        Catch each = catching.get(range);
-        return each == null ? null : (Boolean) each.whole.contains(name);
+    boolean ownCopyCounts(int range) {
+        return lagging.get(range).map(catchUp -> catchUp.hasHeard(self)).orElse(true);
     }
 
-    /**
-     * Whoever is asked in a later epoch has to be told of it, and what was under way in the last
-     * one is void.
-     */
-    void epoch() {
-        know.clear();
-        silence.clear();
-        probed.clear();
+    /** Drops all requests: in the new epoch every source has to be told of it. */
+    void resetForEpoch() {
+        sources.reset();
         pulls.clear();
     }
 
-    void whole(int range) {
-        catching.remove(range);
-        pulls.keySet().removeIf(each -> each.range == range);
+    /** Ends the catch-up of a range. */
+    void markComplete(int range) {
+        lagging.remove(range);
+        pulls.keySet().removeIf(target -> target.range == range);
     }
 
     /**
-     * A range counts from when so many of the sources have told all of it.
+     * Starts the catch-up of a range anew.
      *
-     * @param had whether this keeper's own copy is one of them
-     * @param forgot whether it kept the range and may have forgotten some of it
+     * @param ownCopyCounts whether this replica's own copy is one of the complete sources
      */
-    void catchUp(
-            int range,
-            List<String> sources,
-            int needed,
-            boolean had,
-            boolean forgot,
-            Duration now,
-            Duration until) {
-        whole(range);
-        Catch fresh = new Catch(sources, needed, forgot, now, until);
-        if (had) {
-            fresh.whole.add(name);
+    void startCatchUp(int range, RangeCatchUp catchUp, boolean ownCopyCounts) {
+        markComplete(range);
+        if (ownCopyCounts) {
+            catchUp.addCompleteSource(self);
         }
-        if (fresh.whole.size() < needed) {
-            catching.put(range, fresh);
+        if (!catchUp.isComplete()) {
+            lagging.put(range, catchUp);
         }
     }
 
-    /** What differs from another's copy is fetched when there is time. */
-    void repair(int range, String source, int count) {
-        Place place = new Place(range, source);
-        if (catching.containsKey(range)
-                || pulls.containsKey(place)
-                || pulls.size() >= MOST_REPAIRS) {
-            return;
+    /**
+     * Asks for a repair of a range from a source that has so many entries of it, unless it is
+     * pulled anyway.
+     */
+    void requestRepair(int range, String source, int sourceEntryCount) {
+        PullTarget target = new PullTarget(range, source);
+        if (!lagging.contains(range)
+                && !pulls.containsKey(target)
+                && pulls.size() < MAX_PULLS_FOR_REPAIR) {
+            pulls.put(target, RangePull.forRepair(range, entries, sourceEntryCount));
         }
-        Pull pull = new Pull(true, way(range));
-        pull.cells = cells(range, count);
-        pulls.put(place, pull);
     }
 
-    /**
-     * Cells for a sketch beside one who has so many entries: at least as many differ as one has
-     * more than the other.
-     */
-    private int cells(int range, int count) {
-        return Math.max(
-                LEAST_CELLS,
-                Math.min(
-                        SetSketch.MAX_CELLS,
-                        LEAST_CELLS / 2
-                                + (int) (CELLS_EACH * Math.abs(count - stock.entryCount(range)))));
+    /** Returns the requests that are due. */
+    List<OutboundMessage> tick(ReplicaPlacement placement, Duration now) {
+        lagging.overdue(now).forEach(this::markComplete);
+        pulls.values().removeIf(RangePull::isAbandonedRepair);
+        Tick tick = new Tick(placement, now, outstanding(now), new Outbox());
+        addCatchUpPulls();
+        sendDue(false, tick);
+        sendDue(true, tick);
+        return tick.requests.drain();
     }
 
-    private Way way(int range) {
-        return stock.entryCount(range) == 0 ? Way.NEWEST : Way.SKETCH;
+    private PullSlots outstanding(Duration now) {
+        PullSlots slots = new PullSlots();
+        pulls.forEach(
+                (target, pull) -> {
+                    if (pull.isAwaitingReply(now) && !sources.isUnresponsive(target.source)) {
+                        slots.occupy(target.range, pull.isRepair());
+                    }
+                });
+        return slots;
     }
 
-    /** What to ask now. */
-    List<Replica.OutboundMessage> tick(ReplicaPlacement layout, Duration now) {
-        // Behind the longest window nothing that is missing can matter any more.
-        for (Map.Entry<Integer, Catch> each : List.copyOf(catching.entrySet())) {
-            if (now.compareTo(each.getValue().until) >= 0) {
-                whole(each.getKey());
-            }
-        }
-        pulls.values().removeIf(pull -> pull.repair && pull.silent >= TRIES);
-        int waiting = 0;
-        int repairs = 0;
-        Set<Integer> busy = new HashSet<>();
-        for (Map.Entry<Place, Pull> each : pulls.entrySet()) {
-            Pull pull = each.getValue();
-            if (pull.asked == null
-                    || now.minus(pull.asked).compareTo(AGAIN) >= 0
-                    || silence.isUnresponsive(each.getKey().source)) {
-                continue;
-            }
-            busy.add(each.getKey().range);
-            if (pull.repair) {
-                repairs++;
-            } else {
-                waiting++;
-            }
-        }
-        catching.forEach(
-                (range, each) -> {
-                    for (String source : each.sources) {
-                        if (source.equals(name) || each.whole.contains(source)) {
-                            continue;
-                        }
-                        Place place = new Place(range, source);
-                        if (pulls.containsKey(place) || pulls.size() >= 2 * MOST_REPAIRS) {
-                            continue;
+    private void addCatchUpPulls() {
+        lagging.forEach(
+                (range, catchUp) -> {
+                    for (String source : catchUp.sources()) {
+                        PullTarget target = new PullTarget(range, source);
+                        boolean wanted =
+                                !source.equals(self)
+                                        && !catchUp.hasHeard(source)
+                                        && !pulls.containsKey(target);
+                        if (wanted && pulls.size() < MAX_PULLS_FOR_CATCH_UP) {
+                            pulls.put(target, RangePull.forCatchUp(range, entries));
                         }
-                        pulls.put(place, new Pull(false, way(range)));
                     }
                 });
-        List<Replica.OutboundMessage> outs = new ArrayList<>();
-        for (boolean repair : new boolean[] {false, true}) {
-            for (Map.Entry<Place, Pull> each : pulls.entrySet()) {
-                Pull pull = each.getValue();
-                if (pull.repair != repair
-                        || pull.asked != null && now.minus(pull.asked).compareTo(AGAIN) < 0) {
-                    continue;
-                }
-                // One source of a range at a time: what two lack nothing of is fetched once.
-                if (pull.nonce == 0 && busy.contains(each.getKey().range)) {
-                    continue;
-                }
-                if (pull.nonce == 0) {
-                    pull.way = way(each.getKey().range);
-                }
-                if (waiting + repairs >= AT_ONCE
-                        || repair && repairs >= REPAIRS_AT_ONCE
-                        || !allowance.hasTokens(now)) {
-                    break;
-                }
-                String source = each.getKey().source;
-                if (pull.asked != null) {
-                    pull.silent++;
-                    silence.recordUnanswered(source);
-                    know.remove(source); // it may not know of the epoch, and say nothing for that
-                }
-                // Guards against one that is away and keeps all others waiting: it is asked now and
-                // then.
-                if (silence.isUnresponsive(source)) {
-                    Duration last = probed.get(source);
-                    if (last != null && now.minus(last).compareTo(AGAIN) < 0) {
-                        pull.asked = null;
-                        continue;
-                    }
-                    probed.put(source, now);
-                    outs.add(ask(each.getKey(), pull, layout, now));
+    }
+
+    private void sendDue(boolean repairs, Tick tick) {
+        for (Map.Entry<PullTarget, RangePull> each : pulls.entrySet()) {
+            RangePull pull = each.getValue();
+            if (pull.isRepair() != repairs || pull.isAwaitingReply(tick.now)) {
+                continue;
+            }
+            if (!pull.wasRequested()) {
+                // One source of a range at a time, so that what two sources have is transferred
+                // once.
+                if (tick.slots.isBusy(each.getKey().range)) {
                     continue;
                 }
-                if (repair) {
-                    repairs++;
-                } else {
-                    waiting++;
-                }
-                busy.add(each.getKey().range);
-                outs.add(ask(each.getKey(), pull, layout, now));
+                pull.chooseFirstMethod();
+            }
+            if (!tick.slots.hasRoom(repairs) || !rateLimiter.hasTokens(tick.now)) {
+                break;
             }
+            send(each.getKey(), pull, tick);
         }
-        return outs;
     }
 
-    private Replica.OutboundMessage ask(
-            Place at, Pull pull, ReplicaPlacement layout, Duration now) {
-        pull.asked = now;
-        pull.nonce = ++nonce;
-        pull.digest = stock.rangeDigest(at.range);
-        // Beside the layout of a large fleet there is room for a small sketch only.
-        boolean told = know.contains(at.source);
-        if (!told && pull.way == Way.MARKS) {
-            pull.way = Way.SKETCH;
+    private void send(PullTarget target, RangePull pull, Tick tick) {
+        if (pull.hasTimedOut(tick.now)) {
+            pull.recordTimeout();
+            sources.recordTimeout(target.source);
         }
-        SetSketch sketch =
-                pull.way == Way.SKETCH
-                        ? stock.sketch(
-                                at.range, told ? pull.cells : Math.min(pull.cells, FIRST_CELLS))
-                        : null;
-        return new Replica.OutboundMessage(
-                at.source,
-                new ReplicationMessage.RangeRequest(
-                        layout.epoch(),
-                        at.range,
-                        pull.nonce,
-                        pull.way == Way.TOKEN
-                                ? ReplicationMessage.WalkOrder.TOKEN_NAME
-                                : ReplicationMessage.WalkOrder.LATEST_EXPIRY,
-                        pull.place,
-                        sketch,
-                        pull.way == Way.MARKS ? pull.marks : List.of(),
-                        told ? null : layout));
+        if (!sources.isUnresponsive(target.source)) {
+            tick.slots.occupy(target.range, pull.isRepair());
+        } else if (!sources.tryProbe(target.source, tick.now)) {
+            // An unresponsive source takes no slot, so that it does not keep the others waiting.
+            pull.makeDue();
+            return;
+        }
+        tick.requests.send(target.source, nextRequest(target, pull, tick.placement, tick.now));
+    }
+
+    private ReplicationMessage.RangeRequest nextRequest(
+            PullTarget target, RangePull pull, ReplicaPlacement placement, Duration now) {
+        return pull.nextRequest(++lastNonce, placement, sources.knowsEpoch(target.source), now);
     }
 
     /**
-     * A page has come and its items are taken; what to ask next of the same source, if anything.
+     * Takes a page whose entries are stored already, and returns what to ask the same source next,
+     * if anything.
      */
-    Optional<Replica.OutboundMessage> page(
-            String from, ReplicationMessage.RangePage page, ReplicaPlacement layout, Duration now) {
-        Place at = new Place(page.range(), from);
-        Pull pull = pulls.get(at);
-        if (pull == null || pull.nonce != page.nonce()) {
+    Optional<OutboundMessage> acceptPage(
+            String from,
+            ReplicationMessage.RangePage page,
+            ReplicaPlacement placement,
+            Duration now) {
+        PullTarget target = new PullTarget(page.range(), from);
+        RangePull pull = pulls.get(target);
+        if (pull == null || !pull.expects(page.nonce())) {
             return Optional.empty();
         }
-        know.add(from);
-        silence.recordReply(from);
-        pull.silent = 0;
-        for (ReplicationMessage.TransferredEntry item : page.entries()) {
-            allowance.spend(item.estimatedBytes());
-            bytes += item.estimatedBytes();
-            fetched++;
-        }
-        if (over(pull, page)) {
-            pulls.remove(at);
-            Catch each = catching.get(page.range());
-            if (each == null || pull.repair) {
-                return Optional.empty();
-            }
-            if (!page.sourceComplete()) {
-                // It has no more itself, and lacks some: it is asked again in a while.
-                Pull again = new Pull(false, way(page.range()));
-                again.asked = now;
-                pulls.put(at, again);
-                return Optional.empty();
-            }
-            each.whole.add(from);
-            if (each.whole.size() >= each.needed) {
-                whole(page.range());
-            }
+        sources.recordReply(from);
+        pull.recordReply();
+        countReceived(page);
+        if (pull.advance(page)) {
+            finish(target, pull, page, now);
             return Optional.empty();
         }
-        if (!allowance.hasTokens(now)) {
-            pull.asked = null; // the next tick with something left asks
+        if (!rateLimiter.hasTokens(now)) {
+            pull.makeDue();
             return Optional.empty();
         }
-        return Optional.of(ask(at, pull, layout, now));
+        return Optional.of(new OutboundMessage(from, nextRequest(target, pull, placement, now)));
     }
 
-    /**
-     * Whether the source has told all that was lacking as it was asked; else what way the next
-     * question goes.
-     */
-    private boolean over(Pull pull, ReplicationMessage.RangePage page) {
-        if (pull.way == Way.SKETCH) {
-            // Guards against a fetch without end where there is no room for what comes: nothing has
-            // changed by it.
-            if (page.sketchDecoded()) {
-                rest(pull, page);
-                return page.last() || pull.digest == stock.rangeDigest(page.range());
-            }
-            boolean far = page.entryCount() > FAR * stock.entryCount(page.range());
-            if (!far && pull.cells < SetSketch.MAX_CELLS) {
-                pull.cells = Math.min(SetSketch.MAX_CELLS, pull.cells * LARGER);
-            } else {
-                pull.way = pull.walked ? Way.TOKEN : Way.NEWEST;
-                pull.place = ReplicationMessage.RangeCursor.START;
-            }
-            return false;
+    private void countReceived(ReplicationMessage.RangePage page) {
+        for (ReplicationMessage.TransferredEntry entry : page.entries()) {
+            rateLimiter.spend(entry.estimatedBytes());
+            receivedBytes += entry.estimatedBytes();
+            receivedEntries++;
         }
-        if (pull.way == Way.MARKS) {
-            if (pull.digest == stock.rangeDigest(page.range())
-                    || page.last() && page.rangeDigest() == stock.rangeDigest(page.range())) {
-                return true;
-            }
-            // What has changed meanwhile bears another mark: a sketch tells it, once all the others
-            // are here.
-            rest(pull, page);
-            return false;
+    }
+
+    private void finish(
+            PullTarget target, RangePull pull, ReplicationMessage.RangePage page, Duration now) {
+        pulls.remove(target);
+        Optional<RangeCatchUp> catchUp = lagging.get(target.range);
+        if (catchUp.isEmpty() || pull.isRepair()) {
+            return;
         }
-        pull.place = page.cursor();
-        if (!page.last()) {
-            return false;
+        if (!page.sourceComplete()) {
+            // The source lags itself, and is asked again after a while.
+            RangePull next = RangePull.forCatchUp(target.range, entries);
+            next.postpone(now);
+            pulls.put(target, next);
+            return;
         }
-        if (pull.way == Way.TOKEN || page.rangeDigest() == stock.rangeDigest(page.range())) {
-            return true;
+        catchUp.get().addCompleteSource(target.source);
+        if (catchUp.get().isComplete()) {
+            markComplete(target.range);
         }
-        // Guards against what has changed its place during the walk: a sketch tells what is lacking
-        // still.
-        pull.walked = true;
-        pull.way = Way.SKETCH;
-        pull.cells = FIRST_CELLS * LARGER;
-        return false;
     }
 
     /**
-     * What was told and is not here yet is asked for by its marks; with none, or none left, a
-     * sketch is next.
+     * Returns what decides the next steps, as text: equal texts behave alike. For state-space
+     * exploration.
      */
-    private void rest(Pull pull, ReplicationMessage.RangePage page) {
-        pull.way = page.remainingDigests().isEmpty() ? Way.SKETCH : Way.MARKS;
-        pull.marks = page.remainingDigests();
-        pull.cells = cells(page.range(), page.entryCount());
-    }
-
-    String state() {
+    String describeState() {
         StringBuilder text = new StringBuilder();
-        catching.forEach((range, each) -> text.append('c').append(range).append(each.whole));
+        lagging.forEach(
+                (range, catchUp) ->
+                        text.append('c').append(range).append(catchUp.completeSources()));
         pulls.forEach(
-                (at, pull) ->
-                        text.append('p')
-                                .append(at)
-                                .append(pull.repair)
-                                .append(pull.way)
-                                .append(pull.cells)
-                                .append(pull.place)
-                                .append(pull.asked == null)
-                                .append(pull.silent)
-                                .append(pull.walked)
-                                .append(pull.marks));
-        return text.append(know).toString();
+                (target, pull) -> text.append('p').append(target).append(pull.describeState()));
+        return text.append(sources.describeState()).toString();
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ByteRateLimiter.java
+++ b/src/main/java/ochretiller/fleet/replication/ByteRateLimiter.java
@@ -3,54 +3,36 @@
 import java.time.Duration;
 
 /**
- * So many a second, saved up for a moment at most: what is spent beyond it is paid back before the
- * next.
+ * Token bucket for bytes whose number is known only after they were spent: an overdraft is paid
+ * back before the next transfer. Not thread-safe; time is handed in.
  */
 final class ByteRateLimiter {
-    private final double perSecond;
-    private final double most;
-    private double left;
-    private Duration at;
+    private final double bytesPerSecond;
+    private final double capacity;
+    private double available;
+    private Duration lastRefill;
 
     /**
-     * @param perSecond what comes in each second
-     * @param most what is saved up at most; it begins with that
+     * @param bytesPerSecond refill rate
+     * @param capacity bytes that are saved up at most; the bucket starts full
      */
-    ByteRateLimiter(double perSecond, double most, Duration now) {
-        this.perSecond = perSecond;
-        this.most = most;
-        this.left = most;
-        this.at = now;
+    ByteRateLimiter(double bytesPerSecond, double capacity, Duration now) {
+        this.bytesPerSecond = bytesPerSecond;
+        this.capacity = capacity;
+        this.available = capacity;
+        this.lastRefill = now;
     }
 
-    private void fill(Duration now) {
-        double seconds = Math.max(0, now.minus(at).toNanos() / 1e9);
-        at = now;
-        left = Math.min(most, left + seconds * perSecond);
-    }
-
-    /** Whether anything is left; a size is known only once it is spent. */
+    /** Returns whether anything may be transferred now. */
     boolean hasTokens(Duration now) {
-        fill(now);
-        return left > 0;
-    }
-
-    void spend(double amount) {
-        left -= amount;
-    }
-
-    /** Takes this much if it is there. */
-    boolean tryTake(double amount, Duration now) {
-        fill(now);
-        if (left < amount) {
-            return false;
-        }
-        left -= amount;
-        return true;
+        double seconds = Math.max(0, now.minus(lastRefill).toNanos() / 1e9);
+        lastRefill = now;
+        available = Math.min(capacity, available + seconds * bytesPerSecond);
+        return available > 0;
     }
 
-    /** What comes by itself without regard to time, as a share of something else. */
-    void deposit(double amount) {
-        left = Math.min(most, left + amount);
+    /** Takes bytes that were transferred, into overdraft if need be. */
+    void spend(double bytes) {
+        available -= bytes;
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
+++ b/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
@@ -8,165 +8,127 @@
 import java.util.Optional;
 
 /**
- * Long results on their way to here, piece by piece, some at once; what is lost is asked for again,
- * what comes is checked.
+ * Downloads results that are too long for one datagram, chunk by chunk, a few of each result at
+ * once. Lost chunks are requested again; a complete result is checked against the checksum of its
+ * outcome. Bounded in memory; not thread-safe; time is handed in.
  */
 public final class ChunkAssembler {
     /**
-     * Characters of a piece: what fits a datagram beside its envelope, where a byte may take two.
+     * Characters of a chunk: what fits into a datagram beside its envelope, where a byte may take
+     * two.
      */
     public static final int CHUNK_BYTES = 3 * 1024;
 
-    /** Pieces of one result that are asked for at once, and how soon again. */
-    private static final int WINDOW = 4;
-
-    private static final Duration AGAIN = Duration.ofMillis(120);
-
-    /** Times that nothing comes before one is given up: whoever needs it says so again. */
-    private static final int TRIES = 12;
-
-    /** Bytes of all that are under way. */
-    private static final int MOST_BYTES = 4 << 20;
-
-    private final Map<Key, Coming> coming = new LinkedHashMap<>();
-    private long bytes;
-
-    private record Key(String token, ClaimId id) {}
+    /**
+     * Consecutive ticks with repeated requests and no answer after which a download is abandoned
+     * until asked for anew.
+     */
+    private static final int MAX_RETRIES = 12;
 
-    /** A result that has come, from whom it was asked in which epoch. */
-    public record AssembledResult(
-            String token, ClaimId claimId, String result, String source, long epoch) {}
+    /** Bytes of all results that are being downloaded at most. */
+    private static final int MAX_BYTES_IN_PROGRESS = 4 << 20;
 
-    private static final class Coming {
-        final ClaimOutcome outcome;
-        final String[] pieces;
-        final Duration[] asked;
-        String from;
-        long epoch;
-        int missing;
-        int silent;
+    private final Map<ResultKey, ResultDownload> downloads = new LinkedHashMap<>();
+    private long bytesInProgress;
 
-        Coming(ClaimOutcome outcome) {
-            this.outcome = outcome;
-            pieces = new String[(outcome.resultSize() + CHUNK_BYTES - 1) / CHUNK_BYTES];
-            asked = new Duration[pieces.length];
-            missing = pieces.length;
-        }
-    }
+    private record ResultKey(String token, ClaimId claimId) {}
 
     /**
-     * Asks for one, of whoever was named last; without room it is left, and may be asked for again.
+     * Starts the download of a result, or moves it to another source. Without room nothing happens;
+     * it may be asked for again.
+     *
+     * @param source the server to ask from now on
+     * @param epoch the epoch that {@link AssembledResult#epoch} reports
      */
-    void request(
-            String token, ClaimId id, ClaimOutcome outcome, String from, long epoch, Duration now) {
-        if (outcome.resultSize() > ClaimOutcome.MAX_RESULT_BYTES || outcome.resultSize() <= 0) {
+    void request(String token, ClaimId claimId, ClaimOutcome outcome, String source, long epoch) {
+        int size = outcome.resultSize();
+        if (size > ClaimOutcome.MAX_RESULT_BYTES || size <= 0) {
             return;
         }
-        Key key = new Key(token, id);
-        Coming each = coming.get(key);
-        if (each == null) {
-            if (bytes + outcome.resultSize() > MOST_BYTES) {
-                return;
-            }
-            bytes += outcome.resultSize();
-            each = new Coming(outcome);
-            coming.put(key, each);
-        } else if (!from.equals(each.from)) {
-            java.util.Arrays.fill(each.asked, null);
+        ResultKey key = new ResultKey(token, claimId);
+        ResultDownload known = downloads.get(key);
+        if (known != null) {
+            known.askFrom(source, epoch);
+        } else if (bytesInProgress + size <= MAX_BYTES_IN_PROGRESS) {
+            bytesInProgress += size;
+            downloads.put(key, new ResultDownload(outcome, source, epoch));
         }
-        each.from = from;
-        each.epoch = epoch;
     }
 
-    private void gone(Key key) {
-        Coming each = coming.remove(key);
-        if (each != null) {
-            bytes -= each.outcome.resultSize();
+    private void remove(ResultKey key) {
+        ResultDownload removed = downloads.remove(key);
+        if (removed != null) {
+            bytesInProgress -= removed.outcome().resultSize();
         }
     }
 
-    /** What to ask now. */
-    List<Replica.OutboundMessage> tick(Duration now) {
-        List<Replica.OutboundMessage> outs = new ArrayList<>();
-        List<Key> over = new ArrayList<>();
-        coming.forEach(
-                (key, each) -> {
-                    int waiting = 0;
-                    boolean again = false;
-                    for (int i = 0; i < each.pieces.length && waiting < WINDOW; i++) {
-                        if (each.pieces[i] != null) {
-                            continue;
-                        }
-                        waiting++;
-                        if (each.asked[i] != null
-                                && now.minus(each.asked[i]).compareTo(AGAIN) < 0) {
-                            continue;
-                        }
-                        again |= each.asked[i] != null;
-                        each.asked[i] = now;
-                        outs.add(
-                                new Replica.OutboundMessage(
-                                        each.from,
+    /** Returns the chunk requests that are due. */
+    List<OutboundMessage> tick(Duration now) {
+        List<OutboundMessage> requests = new ArrayList<>();
+        List<ResultKey> abandoned = new ArrayList<>();
+        downloads.forEach(
+                (key, download) -> {
+                    for (int offset : download.dueOffsets(now)) {
+                        requests.add(
+                                new OutboundMessage(
+                                        download.source(),
                                         new ReplicationMessage.ChunkRequest(
-                                                key.token, key.id, i * CHUNK_BYTES)));
+                                                key.token, key.claimId, offset)));
                     }
-                    if (again && ++each.silent >= TRIES) {
-                        over.add(key);
+                    if (download.retries() >= MAX_RETRIES) {
+                        abandoned.add(key);
                     }
                 });
-        over.forEach(this::gone);
-        return outs;
+        abandoned.forEach(this::remove);
+        return requests;
     }
 
-    /** The result, once its last piece has come. */
-    Optional<AssembledResult> accept(ReplicationMessage.Chunk piece) {
-        Key key = new Key(piece.token(), piece.claimId());
-        Coming each = coming.get(key);
-        int at = piece.offset() / CHUNK_BYTES;
-        if (each == null
-                || piece.offset() % CHUNK_BYTES != 0
-                || at < 0
-                || at >= each.pieces.length
-                || each.pieces[at] != null) {
-            return Optional.empty();
-        }
-        if (piece.data().length()
-                != Math.min(CHUNK_BYTES, each.outcome.resultSize() - piece.offset())) {
-            return Optional.empty();
-        }
-        each.pieces[at] = piece.data();
-        each.silent = 0;
-        if (--each.missing > 0) {
+    /**
+     * Accepts a chunk, and returns the result once its last chunk has arrived; chunks nobody waits
+     * for are ignored.
+     */
+    Optional<AssembledResult> accept(ReplicationMessage.Chunk chunk) {
+        ResultKey key = new ResultKey(chunk.token(), chunk.claimId());
+        ResultDownload download = downloads.get(key);
+        if (download == null || !download.accept(chunk) || !download.isComplete()) {
             return Optional.empty();
         }
-        gone(key);
-        String result = String.join("", each.pieces);
-        // Guards against a result that is not what its end tells: it is asked for again by whoever
-        // needs it.
-        if (ClaimOutcome.checksum(result) != each.outcome.checksum()) {
+        remove(key);
+        String result = download.result();
+        // A source may have sent other bytes than its outcome promised: whoever needs the result
+        // asks for it again.
+        if (ClaimOutcome.checksum(result) != download.outcome().checksum()) {
             return Optional.empty();
         }
-        return Optional.of(new AssembledResult(key.token, key.id, result, each.from, each.epoch));
+        return Optional.of(
+                new AssembledResult(
+                        key.token, key.claimId, result, download.source(), download.epoch()));
     }
 
-    /** A piece of a result, as it is answered; null where there is none from there on. */
-    public static ReplicationMessage.Chunk slice(
-            ReplicationMessage.ChunkRequest want, String result) {
-        if (want.offset() < 0 || want.offset() >= result.length()) {
-            return null;
+    /** Returns the chunk of a result that was asked for; empty where the result ends before it. */
+    public static Optional<ReplicationMessage.Chunk> slice(
+            ReplicationMessage.ChunkRequest request, String result) {
+        int start = request.offset();
+        if (start < 0 || start >= result.length()) {
+            return Optional.empty();
         }
-        return new ReplicationMessage.Chunk(
-                want.token(),
-                want.claimId(),
-                want.offset(),
-                result.substring(
-                        want.offset(), Math.min(result.length(), want.offset() + CHUNK_BYTES)));
+        String data = result.substring(start, Math.min(result.length(), start + CHUNK_BYTES));
+        return Optional.of(
+                new ReplicationMessage.Chunk(request.token(), request.claimId(), start, data));
     }
 
+    /**
+     * Returns what decides the next steps, as text: equal texts behave alike. For state-space
+     * exploration.
+     */
     String describeState() {
         StringBuilder text = new StringBuilder();
-        coming.forEach(
-                (key, each) -> text.append('w').append(key).append(each.missing).append(each.from));
+        downloads.forEach(
+                (key, download) ->
+                        text.append('w')
+                                .append(key)
+                                .append(download.missingChunks())
+                                .append(download.source()));
         return text.toString();
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
@@ -1,65 +1,43 @@
 package ochretiller.fleet.replication;
 
-import java.time.Duration;
-
 /**
- * How many claims may be under way, and whose silence is known. The limit climbs while claims are
- * granted in time and what is asked for fills it, and halves where one gets no majority, as the run
- * limit does with cores.
+ * Adaptive limit on claims in flight: additive increase while claims are granted in time and fill
+ * the limit, halved when one gets no majority (AIMD, as in TCP congestion avoidance, RFC 5681). Not
+ * thread-safe.
  */
 final class ClaimConcurrencyLimit {
-    private static final int FIRST = 32;
-    private static final int LEAST = 2;
-    private static final int MOST = 4096;
+    private static final int INITIAL = 32;
+    private static final int MIN = 2;
+    private static final int MAX = 4096;
 
-    /** How often keepers that are silent are asked whether they are back. */
-    private static final Duration PROBE = Duration.ofMillis(200);
+    /** Growth of the limit over a full round of timely claims. */
+    private static final int GROWTH_PER_ROUND = 4;
 
-    private double limit = FIRST;
-    private int underWay;
-    private final UnresponsivePeers silence = new UnresponsivePeers();
-    private Duration probed = Duration.ZERO;
+    private double limit = INITIAL;
+    private int inFlight;
 
     boolean hasCapacity() {
-        return underWay < (int) limit;
+        return inFlight < (int) limit;
     }
 
     void started() {
-        underWay++;
+        inFlight++;
     }
 
+    /**
+     * @param timely whether a majority answered in time, with whatever result
+     */
     void finished(boolean timely) {
-        boolean full = underWay >= (int) limit - 1;
-        underWay--;
+        boolean full = inFlight >= (int) limit - 1;
+        inFlight--;
         if (!timely) {
-            limit = Math.max(LEAST, limit / 2);
+            limit = Math.max(MIN, limit / 2);
         } else if (full) {
-            limit = Math.min(MOST, limit + 1 / limit * 4);
+            limit = Math.min(MAX, limit + 1 / limit * GROWTH_PER_ROUND);
         }
     }
 
     double limit() {
         return limit;
     }
-
-    void requestSent(String keeper) {
-        silence.recordUnanswered(keeper);
-    }
-
-    void replyReceived(String keeper) {
-        silence.recordReply(keeper);
-    }
-
-    boolean isUnresponsive(String keeper) {
-        return silence.isUnresponsive(keeper);
-    }
-
-    /** Whether to ask silent keepers now: one question each while, to hear when they are back. */
-    boolean shouldProbe(Duration now) {
-        if (now.minus(probed).compareTo(PROBE) < 0) {
-            return false;
-        }
-        probed = now;
-        return true;
-    }
 }
--- a/src/main/java/ochretiller/fleet/replication/ClaimId.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimId.java
@@ -1,6 +1,13 @@
 package ochretiller.fleet.replication;
 
-/** One claim: which start of which server wants to run, and its how-manieth. Never used again. */
+/**
+ * Names one claim, once and for all: no claim ID is used again. Its order decides between outcomes
+ * of one token that should not both exist, and is the same on every server.
+ *
+ * @param server name of the claiming server
+ * @param incarnation which start of that server's process
+ * @param sequence position among the claims of that incarnation
+ */
 public record ClaimId(String server, long incarnation, long sequence)
         implements Comparable<ClaimId> {
     @Override
@@ -9,10 +16,11 @@
         if (byServer != 0) {
             return byServer;
         }
-        int byStart = Long.compare(incarnation, other.incarnation);
-        return byStart != 0 ? byStart : Long.compare(sequence, other.sequence);
+        int byIncarnation = Long.compare(incarnation, other.incarnation);
+        return byIncarnation != 0 ? byIncarnation : Long.compare(sequence, other.sequence);
     }
 
+    /** Part of stored keys and of entry digests, so its form is fixed. */
     @Override
     public String toString() {
         return server + '/' + Long.toHexString(incarnation) + '#' + sequence;
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
@@ -0,0 +1,49 @@
+package ochretiller.fleet.replication;
+
+import static ochretiller.time.Durations.timeUntil;
+
+import java.time.Duration;
+import java.util.Map;
+import java.util.Set;
+import ochretiller.collections.BoundedMap;
+
+/**
+ * Releases claims that are known never to have run, so that others may claim their tokens, and
+ * repeats that to whoever asks. Not thread-safe; time is handed in.
+ */
+final class ClaimReleases {
+    /** Released claims that are remembered, to repeat their release when asked. */
+    private static final int MAX_REMEMBERED = 20_000;
+
+    private final CoordinatorState state;
+    private final Map<ClaimId, Duration> windowEnds = BoundedMap.evictingOldest(MAX_REMEMBERED);
+
+    ClaimReleases(CoordinatorState state) {
+        this.state = state;
+    }
+
+    void release(String token, ClaimId claimId, Duration windowEnd, Duration now) {
+        windowEnds.put(claimId, windowEnd);
+        for (String replica : state.replicasOf(token)) {
+            sendRelease(replica, token, claimId, timeUntil(windowEnd, now));
+        }
+    }
+
+    /** Answers whether a claim of this server runs; only one that never will is answered for. */
+    void onOwnerQuery(String from, ReplicationMessage.OwnerQuery query, Duration now) {
+        Duration windowEnd = windowEnds.get(query.claimId());
+        if (windowEnd == null) {
+            return;
+        }
+        sendRelease(from, query.token(), query.claimId(), timeUntil(windowEnd, now));
+        release(query.token(), query.claimId(), windowEnd, now);
+    }
+
+    private void sendRelease(String to, String token, ClaimId claimId, Duration remaining) {
+        state.outbox().send(to, new ReplicationMessage.ClaimRelease(token, claimId, remaining));
+    }
+
+    Set<ClaimId> released() {
+        return windowEnds.keySet();
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/replication/CompletedClaim.java
@@ -0,0 +1,25 @@
+package ochretiller.fleet.replication;
+
+import java.time.Duration;
+import java.util.Optional;
+
+/**
+ * A claimed run that has ended.
+ *
+ * @param claimId the claim under which it ran
+ * @param outcome how it ended
+ * @param chunkedResult the result that replicas request in chunks, where the outcome does not carry
+ *     it
+ * @param replyDeadline monotonic time at which the answer has to leave
+ * @param windowEnd monotonic time at which the token's idempotency window ends
+ */
+public record CompletedClaim(
+        ClaimId claimId,
+        ClaimOutcome outcome,
+        Optional<String> chunkedResult,
+        Duration replyDeadline,
+        Duration windowEnd) {
+    CompletedClaim withoutChunkedResult() {
+        return new CompletedClaim(claimId, outcome, Optional.empty(), replyDeadline, windowEnd);
+    }
+}
--- a/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
+++ b/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
@@ -8,186 +8,203 @@
 import java.util.Deque;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
 /**
- * Which of a keeper's words may leave: those whose changes, and all before them, are on the disk.
- * Behind a write that failed nothing is said, as if it were lost on the way, until all that is not
- * on the disk has been written anew.
+ * Holds a replica's messages back until the changes that they rest on, and all changes before them,
+ * are durable: a promise that a crash could take back must not have been heard by anybody.
+ *
+ * <p>After a failed write nothing is sent, as if it were lost on the way, until everything that is
+ * not known to be on disk has been written anew. Retries back off exponentially with jitter. Writes
+ * are acknowledged in their order. Not thread-safe; time and random numbers are handed in.
  */
 public final class DurabilityBarrier {
-    /** Words that wait for the disk; what comes on top is as good as lost. */
-    private static final int MOST_WAITING = 20_000;
+    /** Messages that wait for the disk at most; beyond it the disk counts as failed. */
+    private static final int MAX_WAITING_MESSAGES = 20_000;
 
-    /**
-     * Pauses between two tries of a disk that has failed: doubled from the first to the last, moved
-     * by chance.
-     */
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
+    private static final Duration FIRST_BACKOFF = Duration.ofMillis(100);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(2);
 
-    private static final Duration LAST_PAUSE = Duration.ofSeconds(2);
+    /** Writes that one retry issues at most. */
+    private static final int MAX_WRITES_PER_RETRY = 1_000;
 
-    /** Writes of one try. */
-    private static final int TRIES_AT_ONCE = 1_000;
-
-    private final RandomGenerator chance;
-    private final Deque<Waiting> waitingMessages = new ArrayDeque<>();
-    private final Deque<PendingWrite> writes = new ArrayDeque<>();
-    private final Set<String> unsaved = new LinkedHashSet<>();
-    private boolean placeUnsaved;
+    private final RandomGenerator random;
+    private final Deque<WaitingMessages> waiting = new ArrayDeque<>();
+    private final Deque<PendingWrite> outstandingWrites = new ArrayDeque<>();
+    private final Set<String> unsavedTokens = new LinkedHashSet<>();
+    private boolean metadataUnsaved;
     private long generation;
-    private long asked;
-    private long done;
-    private int words;
+    private long lastSequence;
+    private int waitingMessages;
     private boolean degraded;
-    private Duration pause = FIRST_PAUSE;
-    private Duration tryAt = Duration.ZERO;
+    private Duration backoff = FIRST_BACKOFF;
+    private Duration nextRetry = Duration.ZERO;
     private long droppedMessages;
 
+    /** Messages that may be sent once the write of this sequence is durable. */
+    private record WaitingMessages(long sequence, List<OutboundMessage> messages) {}
+
     /**
-     * One thing to write: what the keeper has of this token now, or its place where that is null.
+     * @param random spreads retries over time
      */
-    public record PendingWrite(long generation, long sequence, String token) {}
-
-    private record Waiting(long behind, List<Replica.OutboundMessage> outs) {}
-
-    public DurabilityBarrier(RandomGenerator chance) {
-        this.chance = chance;
+    public DurabilityBarrier(RandomGenerator random) {
+        this.random = random;
     }
 
+    /** Returns whether a write has failed and not everything has been written anew since. */
     public boolean isDegraded() {
         return degraded;
     }
 
-    /** Words that wait for the disk. */
+    /** Returns how many messages wait for the disk. */
     public int waitingMessages() {
-        return words;
+        return waitingMessages;
     }
 
-    /** Words that were never said, since the disk did not take what they rest on. */
+    /**
+     * Returns how many messages were never sent, since what they rest on did not become durable.
+     */
     public long droppedMessages() {
         return droppedMessages;
     }
 
     /**
-     * Something has changed, and this is to be said of it.
+     * Submits a change of the replica, and the messages that rest on it.
      *
-     * @param place whether the place has changed, too
-     * @param now handed what may be said at once
-     * @return what to write, in this order
+     * @param changedTokens tokens whose entries have changed
+     * @param metadataChanged whether the replica's metadata has changed, too
+     * @param messages what the replica wants to send
      */
-    public List<PendingWrite> submit(
-            List<String> tokens,
-            boolean place,
-            List<Replica.OutboundMessage> outs,
-            List<Replica.OutboundMessage> now) {
-        if (degraded || words + outs.size() > MOST_WAITING) {
-            unsaved.addAll(tokens);
-            placeUnsaved |= place;
-            droppedMessages += outs.size();
-            if (!degraded && !(tokens.isEmpty() && !place)) {
-                fail();
-            }
-            return List.of();
+    public SubmittedChange submit(
+            List<String> changedTokens, boolean metadataChanged, List<OutboundMessage> messages) {
+        if (degraded || waitingMessages + messages.size() > MAX_WAITING_MESSAGES) {
+            postpone(changedTokens, metadataChanged, messages.size());
+            return SubmittedChange.NOTHING;
+        }
+        List<PendingWrite> writes = new ArrayList<>();
+        for (String token : changedTokens) {
+            writes.add(newWrite(Optional.of(token)));
         }
-        List<PendingWrite> all = new ArrayList<>();
-        for (String token : tokens) {
-            all.add(write(token));
+        // After its entries: metadata that states a range to be complete must not be on disk
+        // without them.
+        if (metadataChanged) {
+            writes.add(newWrite(Optional.empty()));
         }
-        // Behind its entries: a place that says a range to be whole must not be there without them.
-        if (place) {
-            all.add(write(null));
+        if (outstandingWrites.isEmpty()) {
+            return new SubmittedChange(writes, messages);
         }
-        if (writes.isEmpty()) {
-            now.addAll(outs);
-        } else if (!outs.isEmpty()) {
-            waitingMessages.add(new Waiting(asked, outs));
-            words += outs.size();
+        if (!messages.isEmpty()) {
+            waiting.add(new WaitingMessages(lastSequence, messages));
+            waitingMessages += messages.size();
+        }
+        return new SubmittedChange(writes, List.of());
+    }
+
+    private void postpone(List<String> changedTokens, boolean metadataChanged, int messages) {
+        unsavedTokens.addAll(changedTokens);
+        metadataUnsaved |= metadataChanged;
+        droppedMessages += messages;
+        boolean anythingToWrite = metadataChanged || !changedTokens.isEmpty();
+        if (!degraded && anythingToWrite) {
+            becomeDegraded();
         }
-        return all;
     }
 
-    private PendingWrite write(String token) {
-        PendingWrite write = new PendingWrite(generation, ++asked, token);
-        writes.add(write);
+    private PendingWrite newWrite(Optional<String> token) {
+        PendingWrite write = new PendingWrite(generation, ++lastSequence, token);
+        outstandingWrites.add(write);
         return write;
     }
 
-    /** One write is over; what may be said by that. */
-    public List<Replica.OutboundMessage> acknowledge(
-            PendingWrite write, boolean durable, Duration now) {
-        if (write.generation != generation) {
+    /**
+     * Records that a write has ended.
+     *
+     * @param durable whether it succeeded; after a failure it may be on disk or not
+     * @return messages that may be sent now
+     */
+    public List<OutboundMessage> acknowledge(PendingWrite write, boolean durable, Duration now) {
+        if (write.generation() != generation) {
             return List.of();
         }
         if (!durable) {
-            fail();
-            tryAt = now.plus(spread(pause));
+            becomeDegraded();
+            nextRetry = now.plus(jittered(backoff));
             return List.of();
         }
-        // Acknowledgements come in the order of the writes.
-        while (!writes.isEmpty() && writes.peek().sequence <= write.sequence) {
-            writes.poll();
+        while (!outstandingWrites.isEmpty()
+                && outstandingWrites.peek().sequence() <= write.sequence()) {
+            outstandingWrites.poll();
         }
-        done = write.sequence;
         if (degraded) {
-            if (!writes.isEmpty() || !unsaved.isEmpty() || placeUnsaved) {
-                return List.of();
-            }
-            degraded = false;
-            pause = FIRST_PAUSE;
+            recoverIfAllSaved();
             return List.of();
         }
-        List<Replica.OutboundMessage> outs = new ArrayList<>();
-        while (!waitingMessages.isEmpty() && waitingMessages.peek().behind <= done) {
-            List<Replica.OutboundMessage> said = waitingMessages.poll().outs;
-            words -= said.size();
-            outs.addAll(said);
+        return takeSendable(write.sequence());
+    }
+
+    private void recoverIfAllSaved() {
+        if (outstandingWrites.isEmpty() && unsavedTokens.isEmpty() && !metadataUnsaved) {
+            degraded = false;
+            backoff = FIRST_BACKOFF;
+        }
+    }
+
+    private List<OutboundMessage> takeSendable(long durableSequence) {
+        List<OutboundMessage> sendable = new ArrayList<>();
+        while (!waiting.isEmpty() && waiting.peek().sequence <= durableSequence) {
+            List<OutboundMessage> messages = waiting.poll().messages;
+            waitingMessages -= messages.size();
+            sendable.addAll(messages);
         }
-        return outs;
+        return sendable;
     }
 
     /**
-     * What was not acknowledged may be there or not: it is written anew, and what rests on it is
-     * not said.
+     * What was not acknowledged may be on disk or not: it is written anew, and the messages that
+     * rest on it are dropped.
      */
-    private void fail() {
-        for (PendingWrite each : writes) {
-            if (each.token == null) {
-                placeUnsaved = true;
+    private void becomeDegraded() {
+        for (PendingWrite write : outstandingWrites) {
+            if (write.token().isPresent()) {
+                unsavedTokens.add(write.token().get());
             } else {
-                unsaved.add(each.token);
+                metadataUnsaved = true;
             }
         }
-        droppedMessages += words;
-        writes.clear();
-        waitingMessages.clear();
-        words = 0;
+        droppedMessages += waitingMessages;
+        outstandingWrites.clear();
+        waiting.clear();
+        waitingMessages = 0;
         generation++;
         degraded = true;
-        pause = min(pause.multipliedBy(2), LAST_PAUSE);
+        backoff = min(backoff.multipliedBy(2), MAX_BACKOFF);
     }
 
-    private Duration spread(Duration span) {
-        return Duration.ofNanos((long) (span.toNanos() * (0.5 + chance.nextDouble())));
+    private Duration jittered(Duration duration) {
+        return Duration.ofNanos((long) (duration.toNanos() * (0.5 + random.nextDouble())));
     }
 
-    /** What to write again, behind a failure. */
+    /**
+     * Returns what to write again after a failure, once the backoff is over; one retry is in
+     * progress at a time.
+     */
     public List<PendingWrite> retryWrites(Duration now) {
-        if (!degraded || !writes.isEmpty() || now.compareTo(tryAt) < 0) {
+        if (!degraded || !outstandingWrites.isEmpty() || now.compareTo(nextRetry) < 0) {
             return List.of();
         }
-        tryAt = now.plus(spread(pause));
-        List<PendingWrite> all = new ArrayList<>();
-        for (String token : List.copyOf(unsaved)) {
-            if (all.size() >= TRIES_AT_ONCE) {
-                return all;
+        nextRetry = now.plus(jittered(backoff));
+        List<PendingWrite> writes = new ArrayList<>();
+        for (String token : List.copyOf(unsavedTokens)) {
+            if (writes.size() >= MAX_WRITES_PER_RETRY) {
+                return writes;
             }
-            unsaved.remove(token);
-            all.add(write(token));
+            unsavedTokens.remove(token);
+            writes.add(newWrite(Optional.of(token)));
         }
-        placeUnsaved = false;
-        all.add(write(null));
-        return all;
+        metadataUnsaved = false;
+        writes.add(newWrite(Optional.empty()));
+        return writes;
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
@@ -0,0 +1,70 @@
+package ochretiller.fleet.replication;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.BiConsumer;
+
+/** The ranges that a replica does not have completely yet, in their order. Not thread-safe. */
+final class LaggingRanges {
+    private final Map<Integer, RangeCatchUp> catchUps = new TreeMap<>();
+
+    int count() {
+        return catchUps.size();
+    }
+
+    boolean contains(int range) {
+        return catchUps.containsKey(range);
+    }
+
+    Optional<RangeCatchUp> get(int range) {
+        return Optional.ofNullable(catchUps.get(range));
+    }
+
+    void put(int range, RangeCatchUp catchUp) {
+        catchUps.put(range, catchUp);
+    }
+
+    void remove(int range) {
+        catchUps.remove(range);
+    }
+
+    void forEach(BiConsumer<Integer, RangeCatchUp> action) {
+        catchUps.forEach(action);
+    }
+
+    Set<Integer> all() {
+        return Set.copyOf(catchUps.keySet());
+    }
+
+    /** Returns the ranges in which this replica may have forgotten claims that it granted. */
+    Set<Integer> forgotten() {
+        Set<Integer> forgotten = new HashSet<>();
+        catchUps.forEach(
+                (range, catchUp) -> {
+                    if (catchUp.mayHaveForgotten()) {
+                        forgotten.add(range);
+                    }
+                });
+        return forgotten;
+    }
+
+    List<Integer> overdue(Duration now) {
+        return catchUps.entrySet().stream()
+                .filter(each -> each.getValue().isOverdue(now))
+                .map(Map.Entry::getKey)
+                .toList();
+    }
+
+    /** Returns for how long the range that has lagged longest has done so, zero where none lags. */
+    Duration oldestLag(Duration now) {
+        return catchUps.values().stream()
+                .map(catchUp -> catchUp.lag(now))
+                .max(Duration::compareTo)
+                .orElse(Duration.ZERO);
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
@@ -0,0 +1,176 @@
+package ochretiller.fleet.replication;
+
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/**
+ * Brings outcomes of claimed runs to a write quorum of their tokens' replicas before the client is
+ * answered, and goes on to the remaining replicas for a while. Knows which claims were granted and
+ * not ended yet. Not thread-safe; time is handed in.
+ */
+final class OutcomeReplication {
+    /** Outcomes that are on their way at most. */
+    private static final int MAX_PENDING = 10_000;
+
+    /**
+     * Characters of chunked results that are held for replicas to request; beyond it replicas get
+     * the outcome alone.
+     */
+    private static final long MAX_HELD_RESULT_CHARACTERS = 8L << 20;
+
+    private final CoordinatorState state;
+    private final Map<ClaimId, GrantedClaim> granted = new LinkedHashMap<>();
+    private final Map<ClaimId, PendingOutcome> pending = new LinkedHashMap<>();
+    private long heldResultCharacters;
+
+    /** A claim that may run, and the changes of its replicas that it rests on. */
+    private record GrantedClaim(String token, Map<String, Long> changeNumbers) {}
+
+    OutcomeReplication(CoordinatorState state) {
+        this.state = state;
+    }
+
+    int pendingCount() {
+        return pending.size();
+    }
+
+    void recordGrant(ClaimId claimId, String token, Map<String, Long> changeNumbers) {
+        granted.put(claimId, new GrantedClaim(token, changeNumbers));
+    }
+
+    /**
+     * Forgets a granted claim that will not run; returns its token, if it was granted and has not
+     * ended.
+     */
+    Optional<String> cancelGrant(ClaimId claimId) {
+        return Optional.ofNullable(granted.remove(claimId)).map(GrantedClaim::token);
+    }
+
+    /**
+     * Starts the replication of an outcome; {@code onStored} is told at once where that is not
+     * possible.
+     */
+    void start(CompletedClaim completed, Duration now, Consumer<Boolean> onStored) {
+        GrantedClaim claim = granted.remove(completed.claimId());
+        if (claim == null || pending.size() >= MAX_PENDING) {
+            onStored.accept(false);
+            return;
+        }
+        CompletedClaim held = withinHeldResults(completed);
+        heldResultCharacters += held.chunkedResult().map(String::length).orElse(0);
+        PendingOutcome outcome =
+                new PendingOutcome(claim.token, held, claim.changeNumbers, onStored, now);
+        pending.put(completed.claimId(), outcome);
+        send(outcome, now);
+    }
+
+    /**
+     * Starts the replication of an outcome of a previous incarnation of this server, unless it is
+     * on its way already.
+     */
+    void startPrevious(String token, CompletedClaim completed, Duration now) {
+        if (!pending.containsKey(completed.claimId())) {
+            recordGrant(completed.claimId(), token, Map.of());
+            start(completed, now, stored -> {});
+        }
+    }
+
+    private CompletedClaim withinHeldResults(CompletedClaim completed) {
+        ClaimOutcome outcome = completed.outcome();
+        boolean fits = heldResultCharacters + outcome.resultSize() <= MAX_HELD_RESULT_CHARACTERS;
+        return outcome.isChunked() && fits ? completed : completed.withoutChunkedResult();
+    }
+
+    /** Returns the chunked result of a run of this server that replicas may still request. */
+    Optional<String> heldResult(ClaimId claimId) {
+        return Optional.ofNullable(pending.get(claimId)).flatMap(PendingOutcome::chunkedResult);
+    }
+
+    private void send(PendingOutcome outcome, Duration now) {
+        outcome.recordSent(now);
+        for (String replica : state.replicasOf(outcome.token())) {
+            if (!outcome.isStoredBy(replica)) {
+                state.sendRequest(replica, outcome.message(state.epoch(), now));
+            }
+        }
+    }
+
+    /** Starts all quorums anew in a later epoch. */
+    void onEpochChange(Duration now) {
+        pending.values()
+                .forEach(
+                        outcome -> {
+                            outcome.forgetStored();
+                            send(outcome, now);
+                        });
+    }
+
+    void onStored(String from, ReplicationMessage.OutcomeStored message, Duration now) {
+        PendingOutcome outcome = pending.get(message.claimId());
+        boolean counts =
+                outcome != null
+                        && message.epoch() == state.epoch()
+                        && state.replicasOf(outcome.token()).contains(from);
+        if (!counts) {
+            return;
+        }
+        // The transfer of a chunked result says nothing about the latency of claims.
+        if (outcome.addStored(from) && outcome.chunkedResult().isEmpty()) {
+            state.latency().record(from, outcome.sinceSent(now));
+        }
+        if (hasQuorum(outcome)) {
+            outcome.answer(true);
+        }
+        if (outcome.storedCount() == state.replicasOf(outcome.token()).size()) {
+            remove(message.claimId());
+        }
+    }
+
+    private boolean hasQuorum(PendingOutcome outcome) {
+        return outcome.storedCount() >= state.quorumOf(outcome.token());
+    }
+
+    private void remove(ClaimId claimId) {
+        PendingOutcome removed = pending.remove(claimId);
+        if (removed != null) {
+            heldResultCharacters -= removed.chunkedResult().map(String::length).orElse(0);
+        }
+    }
+
+    void tick(Duration now) {
+        for (Map.Entry<ClaimId, PendingOutcome> each : List.copyOf(pending.entrySet())) {
+            tick(each.getKey(), each.getValue(), now);
+        }
+    }
+
+    private void tick(ClaimId claimId, PendingOutcome outcome, Duration now) {
+        if (outcome.isPastReplyDeadline(now)) {
+            outcome.answer(false);
+        }
+        boolean quorum = hasQuorum(outcome);
+        if (outcome.isOver(quorum, now)) {
+            remove(claimId);
+            return;
+        }
+        if (!outcome.isRetryDue(now)) {
+            return;
+        }
+        if (quorum) {
+            outcome.countRetryAfterQuorum();
+        }
+        send(outcome, now);
+    }
+
+    /** Returns what decides the next steps, as text. */
+    String describeState(Duration now) {
+        StringBuilder text = new StringBuilder().append(granted);
+        pending.forEach(
+                (claimId, outcome) ->
+                        text.append('e').append(claimId).append(outcome.describeState(now)));
+        return text.toString();
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
@@ -0,0 +1,127 @@
+package ochretiller.fleet.replication;
+
+import static ochretiller.time.Durations.timeUntil;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * One outcome on its way to a write quorum of its token's replicas. Not thread-safe; time is handed
+ * in.
+ */
+final class PendingOutcome {
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(60);
+
+    /** Interval once the client has its answer and only the remaining replicas wait. */
+    private static final Duration LATE_RETRY_INTERVAL = ClaimAttempt.MAX_QUERY_PAUSE;
+
+    /** Repetitions once a quorum has it: anti-entropy brings it to the rest. */
+    private static final int MAX_RETRIES_AFTER_QUORUM = 3;
+
+    private final String token;
+    private final CompletedClaim completed;
+    private final Map<String, Long> changeNumbers;
+    private final Consumer<Boolean> onStored;
+    private final Set<String> storedBy = new HashSet<>();
+    private Duration sentAt;
+    private int retriesAfterQuorum;
+    private boolean answered;
+
+    /**
+     * @param changeNumbers changes that the claim rests on, by replica
+     * @param onStored is told, once, whether a quorum has stored the outcome by the reply deadline
+     */
+    PendingOutcome(
+            String token,
+            CompletedClaim completed,
+            Map<String, Long> changeNumbers,
+            Consumer<Boolean> onStored,
+            Duration now) {
+        this.token = token;
+        this.completed = completed;
+        this.changeNumbers = changeNumbers;
+        this.onStored = onStored;
+        this.sentAt = now;
+    }
+
+    String token() {
+        return token;
+    }
+
+    Optional<String> chunkedResult() {
+        return completed.chunkedResult();
+    }
+
+    ReplicationMessage.ClaimCompleted message(long epoch, Duration now) {
+        return new ReplicationMessage.ClaimCompleted(
+                epoch,
+                token,
+                completed.claimId(),
+                completed.outcome(),
+                timeUntil(completed.windowEnd(), now),
+                changeNumbers);
+    }
+
+    void recordSent(Duration now) {
+        sentAt = now;
+    }
+
+    Duration sinceSent(Duration now) {
+        return now.minus(sentAt);
+    }
+
+    /**
+     * Records that a replica has stored the outcome; returns whether it is its first confirmation.
+     */
+    boolean addStored(String replica) {
+        return storedBy.add(replica);
+    }
+
+    boolean isStoredBy(String replica) {
+        return storedBy.contains(replica);
+    }
+
+    int storedCount() {
+        return storedBy.size();
+    }
+
+    /** Starts anew: confirmations of an older epoch belong to another quorum. */
+    void forgetStored() {
+        storedBy.clear();
+    }
+
+    /** Answers the client's invocation, unless that was done before. */
+    void answer(boolean stored) {
+        if (!answered) {
+            answered = true;
+            onStored.accept(stored);
+        }
+    }
+
+    boolean isPastReplyDeadline(Duration now) {
+        return now.compareTo(completed.replyDeadline()) >= 0;
+    }
+
+    boolean isOver(boolean hasQuorum, Duration now) {
+        boolean expired = now.compareTo(completed.windowEnd()) >= 0;
+        return expired || hasQuorum && retriesAfterQuorum >= MAX_RETRIES_AFTER_QUORUM;
+    }
+
+    boolean isRetryDue(Duration now) {
+        Duration interval = answered ? LATE_RETRY_INTERVAL : RETRY_INTERVAL;
+        return sinceSent(now).compareTo(interval) >= 0;
+    }
+
+    void countRetryAfterQuorum() {
+        retriesAfterQuorum++;
+    }
+
+    /** Returns what decides the next steps, as text. */
+    String describeState(Duration now) {
+        return "" + storedBy + retriesAfterQuorum + sinceSent(now) + answered;
+    }
+}
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/replication/PullSlots.java
@@ -0,0 +1,36 @@
+package ochretiller.fleet.replication;
+
+import java.util.HashSet;
+import java.util.Set;
+
+/**
+ * The requests that wait for an answer during one tick of {@link AntiEntropy}. Bounds them, so that
+ * a fleet that restarts does not flood the replicas that have what it lacks, and keeps repair
+ * behind catch-up, which is what clients wait for.
+ */
+final class PullSlots {
+    private static final int MAX_OUTSTANDING = 6;
+    private static final int MAX_OUTSTANDING_REPAIRS = 2;
+
+    private final Set<Integer> busyRanges = new HashSet<>();
+    private int catchUps;
+    private int repairs;
+
+    void occupy(int range, boolean repair) {
+        busyRanges.add(range);
+        if (repair) {
+            repairs++;
+        } else {
+            catchUps++;
+        }
+    }
+
+    boolean isBusy(int range) {
+        return busyRanges.contains(range);
+    }
+
+    boolean hasRoom(boolean repair) {
+        return catchUps + repairs < MAX_OUTSTANDING
+                && (!repair || repairs < MAX_OUTSTANDING_REPAIRS);
+    }
+}
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntries.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntries.java
@@ -13,52 +13,64 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The entries that a keeper has, by range, with a mark of each and the exclusive or of all marks of
- * a range, so that equal copies are seen to be equal without a look at their entries. It knows what
- * has changed since the disk was told last.
+ * The entries of a replica, by range. Each entry has a digest, and each range the exclusive or of
+ * its entries' digests, so that equal copies of a range are recognised without a look at the
+ * entries. Knows which entries have changed since the storage was told last. Not thread-safe; time
+ * is handed in.
  */
 final class ReplicaEntries {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    /** Between two looks through a range: a window may seem that much longer. */
-    private static final Duration SWEEPS = Duration.ofSeconds(1);
+    /** Least time between two expiry scans of a range: a window may seem that much longer. */
+    private static final Duration EXPIRY_INTERVAL = Duration.ofSeconds(1);
 
-    /** Tokens with two ends that wait to be told of. */
-    private static final int MOST_TOLD = 20;
+    /** Tokens with conflicting outcomes that wait to be reported; further ones are only counted. */
+    private static final int MAX_REPORTED_CONFLICTS = 20;
 
     private final TreeMap<Integer, Range> ranges = new TreeMap<>();
-    private final Set<String> changed = new LinkedHashSet<>();
-    private final List<String> takeConflictingTokens = new ArrayList<>();
+    private final Set<String> changedTokens = new LinkedHashSet<>();
+    private final List<String> conflictingTokens = new ArrayList<>();
     private int size;
     private long estimatedBytes;
     private long conflictCount;
 
+    /**
+     * @param changeNumber the replica's change by which the entry came to be
+     */
+    private record StoredEntry(ReplicaEntry entry, long changeNumber, long digest) {
+        static final StoredEntry ABSENT = new StoredEntry(ReplicaEntry.EMPTY, 0, 0);
+    }
+
     private static final class Range {
-        final TreeMap<String, Kept> entries = new TreeMap<>();
-        long digest;
+        private static final Duration NEVER = Duration.ofSeconds(Long.MAX_VALUE);
 
-        /** No window ends before, and when it was last looked through for those that have ended. */
-        Duration earliest = Duration.ofSeconds(Long.MAX_VALUE);
+        private final TreeMap<String, StoredEntry> entries = new TreeMap<>();
+        private long digest;
 
-        Duration swept;
-    }
+        /** No entry expires before. */
+        private Duration earliestExpiry = NEVER;
 
-    /**
-     * @param number how-manieth change of the keeper this is: what was told of it is remembered
-     *     elsewhere
-     */
-    private record Kept(ReplicaEntry entry, long number, long mark) {}
+        private Duration nextScan = Duration.ofSeconds(Long.MIN_VALUE);
+
+        boolean isScanDue(Duration now) {
+            return earliestExpiry.compareTo(now) <= 0 && now.compareTo(nextScan) >= 0;
+        }
+
+        void noteExpiry(Duration expiry) {
+            if (expiry.compareTo(earliestExpiry) < 0) {
+                earliestExpiry = expiry;
+            }
+        }
+    }
 
     /**
-     * Equal where two have the same of a token; ends of windows are no part of it, as each has them
-     * on its own clock.
+     * The digest of an entry, equal where two replicas hold the same. Expiries are left out, as
+     * each replica has them on its own clock. Peers compare these digests, so the text that is
+     * hashed is fixed.
      */
-    private static long entryDigest(String token, ReplicaEntry entry) {
-        StringBuilder text =
-                new StringBuilder(256)
-                        .append(token)
-                        .append(entry.claims())
-                        .append(entry.releasedClaims());
+    private static long digest(String token, ReplicaEntry entry) {
+        StringBuilder text = new StringBuilder(256);
+        text.append(token).append(entry.claims()).append(entry.releasedClaims());
         entry.outcomes()
                 .forEach(
                         (id, outcome) ->
@@ -78,117 +90,133 @@
         return estimatedBytes;
     }
 
-    /** Tokens with two ends. */
+    /** Returns how many tokens came to have conflicting outcomes. */
     long conflictCount() {
         return conflictCount;
     }
 
     /**
-     * Tokens that came to have two ends since this was asked last, as many as are told of at once.
+     * Returns tokens that came to have conflicting outcomes since the last call; some of them where
+     * there are many.
      */
     List<String> takeConflictingTokens() {
-        List<String> all = List.copyOf(takeConflictingTokens);
-        takeConflictingTokens.clear();
-        return all;
+        List<String> taken = List.copyOf(conflictingTokens);
+        conflictingTokens.clear();
+        return taken;
     }
 
+    /** Returns the entry of a token, {@link ReplicaEntry#EMPTY} where there is none. */
     ReplicaEntry get(String token) {
-        Range range = ranges.get(ReplicaPlacement.rangeOf(token));
-        Kept kept = range == null ? null : range.entries.get(token);
-        return kept == null ? ReplicaEntry.EMPTY : kept.entry;
+        return stored(token).entry;
     }
 
-    /** The number of a token's last change. */
+    /** Returns the number of a token's last change, 0 where there is no entry. */
     long changeNumber(String token) {
+        return stored(token).changeNumber;
+    }
+
+    /** Returns the digest of a token's entry, 0 where there is none. */
+    long entryDigest(String token) {
+        return stored(token).digest;
+    }
+
+    private StoredEntry stored(String token) {
         Range range = ranges.get(ReplicaPlacement.rangeOf(token));
-        Kept kept = range == null ? null : range.entries.get(token);
-        return kept == null ? 0 : kept.number;
+        return range == null
+                ? StoredEntry.ABSENT
+                : range.entries.getOrDefault(token, StoredEntry.ABSENT);
     }
 
-    /** Whether that changed anything. */
-    boolean put(String token, ReplicaEntry entry, long number) {
+    /** Stores an entry, and returns whether it differs from the one before. */
+    boolean put(String token, ReplicaEntry entry, long changeNumber) {
         Range range =
                 ranges.computeIfAbsent(ReplicaPlacement.rangeOf(token), ignored -> new Range());
-        Kept old = range.entries.get(token);
-        if (old != null && old.entry.equals(entry)) {
+        StoredEntry previous = range.entries.get(token);
+        if (previous != null && previous.entry.equals(entry)) {
             return false;
         }
-        Kept kept = new Kept(entry, number, entryDigest(token, entry));
-        range.entries.put(token, kept);
-        range.digest ^= kept.mark ^ (old == null ? 0 : old.mark);
-        estimatedBytes += entry.estimatedBytes() - (old == null ? 0 : old.entry.estimatedBytes());
-        if (old == null) {
+        StoredEntry stored = new StoredEntry(entry, changeNumber, digest(token, entry));
+        range.entries.put(token, stored);
+        range.digest ^= stored.digest;
+        estimatedBytes += entry.estimatedBytes();
+        if (previous == null) {
             size++;
+        } else {
+            range.digest ^= previous.digest;
+            estimatedBytes -= previous.entry.estimatedBytes();
         }
-        if (entry.hasConflict() && (old == null || !old.entry.hasConflict())) {
-            conflictCount++;
-            if (takeConflictingTokens.size() < MOST_TOLD) {
-                takeConflictingTokens.add(token);
-            }
-        }
-        if (entry.expiresAt().compareTo(range.earliest) < 0) {
-            range.earliest = entry.expiresAt();
+        if (entry.hasConflict() && (previous == null || !previous.entry.hasConflict())) {
+            recordConflict(token);
         }
-        changed.add(token);
+        range.noteExpiry(entry.expiresAt());
+        changedTokens.add(token);
         return true;
     }
 
+    private void recordConflict(String token) {
+        conflictCount++;
+        if (conflictingTokens.size() < MAX_REPORTED_CONFLICTS) {
+            conflictingTokens.add(token);
+        }
+    }
+
     /**
-     * Forgets what is past its window; each range is looked through when there is something, and
-     * seldom.
+     * Removes entries whose windows have ended; scans a range only when one may have, and seldom.
      */
     void removeExpired(Duration now) {
         for (Range range : ranges.values()) {
-            if (range.earliest.compareTo(now) > 0
-                    || range.swept != null && now.minus(range.swept).compareTo(SWEEPS) < 0) {
-                continue;
+            if (range.isScanDue(now)) {
+                removeExpired(range, now);
             }
-            range.swept = now;
-            range.earliest = Duration.ofSeconds(Long.MAX_VALUE);
-            range.entries
-                    .entrySet()
-                    .removeIf(
-                            each -> {
-                                Kept kept = each.getValue();
-                                if (kept.entry.expiresAt().compareTo(now) > 0) {
-                                    if (kept.entry.expiresAt().compareTo(range.earliest) < 0) {
-                                        range.earliest = kept.entry.expiresAt();
-                                    }
-                                    return false;
-                                }
-                                range.digest ^= kept.mark;
-                                estimatedBytes -= kept.entry.estimatedBytes();
-                                size--;
-                                changed.remove(each.getKey());
-                                return true;
-                            });
         }
         ranges.values().removeIf(range -> range.entries.isEmpty());
     }
 
-    /** Tokens that have changed since this was asked last. */
-    List<String> takeChangedTokens() {
-        List<String> all = List.copyOf(changed);
-        changed.clear();
-        return all;
+    private void removeExpired(Range range, Duration now) {
+        range.nextScan = now.plus(EXPIRY_INTERVAL);
+        range.earliestExpiry = Range.NEVER;
+        range.entries
+                .entrySet()
+                .removeIf(
+                        each -> {
+                            StoredEntry stored = each.getValue();
+                            if (stored.entry.expiresAt().compareTo(now) > 0) {
+                                range.noteExpiry(stored.entry.expiresAt());
+                                return false;
+                            }
+                            range.digest ^= stored.digest;
+                            estimatedBytes -= stored.entry.estimatedBytes();
+                            size--;
+                            changedTokens.remove(each.getKey());
+                            return true;
+                        });
     }
 
-    boolean hasChanges() {
-        return !changed.isEmpty();
+    /** Returns tokens whose entries have changed since the last call. */
+    List<String> takeChangedTokens() {
+        List<String> taken = List.copyOf(changedTokens);
+        changedTokens.clear();
+        return taken;
     }
 
+    /** Returns a copy of all entries, by token. */
     Map<String, ReplicaEntry> all() {
         Map<String, ReplicaEntry> all = new TreeMap<>();
         ranges.values()
                 .forEach(
                         range ->
-                                range.entries.forEach((token, kept) -> all.put(token, kept.entry)));
+                                range.entries.forEach(
+                                        (token, stored) -> all.put(token, stored.entry)));
         return all;
     }
 
-    int entryCount(int range) {
+    private Map<String, StoredEntry> entriesOf(int range) {
         Range known = ranges.get(range);
-        return known == null ? 0 : known.entries.size();
+        return known == null ? Map.of() : known.entries;
+    }
+
+    int entryCount(int range) {
+        return entriesOf(range).size();
     }
 
     long rangeDigest(int range) {
@@ -196,74 +224,60 @@
         return known == null ? 0 : known.digest;
     }
 
+    /** Returns a sketch of the digests of a range's entries. */
     SetSketch sketch(int range, int cells) {
         SetSketch sketch = new SetSketch(cells);
-        Range known = ranges.get(range);
-        if (known != null) {
-            known.entries.values().forEach(kept -> sketch.add(kept.mark));
-        }
+        entriesOf(range).values().forEach(stored -> sketch.add(stored.digest));
         return sketch;
     }
 
-    /** Tokens of a range with one of these marks, those whose windows end last first. */
-    List<String> tokensWithDigests(int range, Set<Long> marks) {
-        return tokensByExpiry(range, kept -> marks.contains(kept.mark));
-    }
-
-    long entryDigest(String token) {
-        Range range = ranges.get(ReplicaPlacement.rangeOf(token));
-        Kept kept = range == null ? null : range.entries.get(token);
-        return kept == null ? 0 : kept.mark;
+    /**
+     * Returns the tokens of a range whose entries have one of these digests, latest expiry first.
+     */
+    List<String> tokensWithDigests(int range, Set<Long> digests) {
+        return tokensByExpiry(range, stored -> digests.contains(stored.digest));
     }
 
-    /** Tokens of a range behind a place, those whose windows end last first. */
-    List<String> tokensByExpiry(int range, Duration until, String after) {
-        return tokensByExpiry(range, kept -> kept.entry.expiresAt().compareTo(until) <= 0).stream()
+    /** Returns the tokens of a range from this expiry and token on, latest expiry first. */
+    List<String> tokensByExpiry(int range, Duration expiry, String afterToken) {
+        return tokensByExpiry(range, stored -> stored.entry.expiresAt().compareTo(expiry) <= 0)
+                .stream()
                 .filter(
                         token ->
-                                get(token).expiresAt().compareTo(until) < 0
-                                        || token.compareTo(after) > 0)
+                                get(token).expiresAt().compareTo(expiry) < 0
+                                        || token.compareTo(afterToken) > 0)
                 .toList();
     }
 
-    private List<String> tokensByExpiry(int range, Predicate<Kept> which) {
-        Range known = ranges.get(range);
-        if (known == null) {
-            return List.of();
-        }
-        List<Map.Entry<String, Kept>> found = new ArrayList<>();
-        for (Map.Entry<String, Kept> each : known.entries.entrySet()) {
-            if (which.test(each.getValue())) {
-                found.add(each);
-            }
-        }
-        found.sort(
+    private List<String> tokensByExpiry(int range, Predicate<StoredEntry> filter) {
+        Comparator<Map.Entry<String, StoredEntry>> latestFirst =
                 Comparator.comparing(
-                                (Map.Entry<String, Kept> each) -> each.getValue().entry.expiresAt())
-                        .reversed()
-                        .thenComparing(Map.Entry::getKey));
-        return found.stream().map(Map.Entry::getKey).toList();
+                                (Map.Entry<String, StoredEntry> each) ->
+                                        each.getValue().entry.expiresAt())
+                        .reversed();
+        return entriesOf(range).entrySet().stream()
+                .filter(each -> filter.test(each.getValue()))
+                .sorted(latestFirst.thenComparing(Map.Entry::getKey))
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
-    List<Replica.TokenSummary> summarize(int range, int most) {
+    /** Returns the tokens of a range behind this one, in their own order. */
+    Iterable<String> tokensAfter(int range, String token) {
         Range known = ranges.get(range);
-        if (known == null) {
-            return List.of();
-        }
-        return known.entries.entrySet().stream()
-                .limit(most)
+        return known == null ? List.of() : known.entries.tailMap(token, false).keySet();
+    }
+
+    /** Returns the first tokens of a range for the administrator's listing. */
+    List<TokenSummary> summarize(int range, int limit) {
+        return entriesOf(range).entrySet().stream()
+                .limit(limit)
                 .map(
                         each ->
-                                new Replica.TokenSummary(
+                                new TokenSummary(
                                         each.getKey(),
-                                        each.getValue().mark,
+                                        each.getValue().digest,
                                         each.getValue().entry.status()))
                 .toList();
     }
-
-    /** Tokens of a range behind this one, by their names. */
-    Iterable<String> tokensAfter(int range, String token) {
-        Range known = ranges.get(range);
-        return known == null ? List.of() : known.entries.tailMap(token, false).keySet();
-    }
 }
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
@@ -8,26 +8,38 @@
 import java.util.TreeSet;
 
 /**
- * What a keeper has of one token. Two copies become one by {@link #join}, in any order and any
- * number of times with the same outcome: a result goes over claims, a claim over nothing, a claim
- * is released only by the owner's own word, and no window is ever shortened. What must not exist,
- * two results of one token, is kept whole.
+ * What a replica knows about one token: a state-based CRDT (Shapiro et al. 2011) that only grows.
+ * {@link #merge} is commutative, associative and idempotent, so replicas converge whatever the
+ * order and number of transfers. An outcome prevails over claims, a claim over nothing; a claim is
+ * released only on its owner's word; no window is ever shortened. Two outcomes of one token, which
+ * should not exist, are both kept.
  *
- * @param claims who wants to run it, or runs it, with the hash of what was asked for
- * @param releasedClaims claims whose owner has said that they never ran
- * @param outcomes ends of runs, by their claims
- * @param expiresAt end of its window on the keeper's clock
+ * @param claims who wants to run the token, or runs it, with the fingerprint of the request
+ * @param releasedClaims claims whose owner has reported that they never ran
+ * @param outcomes outcomes of runs, by claim
+ * @param expiresAt end of the idempotency window on this replica's monotonic clock
  */
 public record ReplicaEntry(
         Map<ClaimId, String> claims,
         Set<ClaimId> releasedClaims,
         Map<ClaimId, ClaimOutcome> outcomes,
         Duration expiresAt) {
-    /** Claims of one token, released ones among them: more are a caller's who tries without end. */
+    /**
+     * Claims of one token, released ones included; more come only from a client that retries
+     * without end.
+     */
     static final int MAX_CLAIMS = 16;
 
     static final ReplicaEntry EMPTY = new ReplicaEntry(Map.of(), Set.of(), Map.of(), Duration.ZERO);
 
+    /** Estimated memory of an entry, and of each of its parts, without their texts. */
+    private static final int BASE_BYTES = 96;
+
+    private static final int CLAIM_BYTES = 48;
+    private static final int RELEASE_BYTES = 40;
+    private static final int OUTCOME_BYTES = 40;
+
+    /** Returns the union of both entries, with the later expiry. */
     public ReplicaEntry merge(ReplicaEntry other) {
         Map<ClaimId, String> allClaims = new TreeMap<>(claims);
         other.claims.forEach(allClaims::putIfAbsent);
@@ -36,83 +48,101 @@
         Map<ClaimId, ClaimOutcome> allOutcomes = new TreeMap<>(outcomes);
         other.outcomes.forEach(
                 (id, outcome) -> allOutcomes.merge(id, outcome, ClaimOutcome::merge));
-        return new ReplicaEntry(
-                allClaims,
-                allReleased,
-                allOutcomes,
-                expiresAt.compareTo(other.expiresAt) > 0 ? expiresAt : other.expiresAt);
+        Duration latest = expiresAt.compareTo(other.expiresAt) > 0 ? expiresAt : other.expiresAt;
+        return new ReplicaEntry(allClaims, allReleased, allOutcomes, latest);
     }
 
     /**
-     * The claim that may be running, other than this one; the first by its name where there are
-     * several.
+     * Returns a claim other than this one that may be running; the first in the order of claims
+     * where there are several.
      */
-    Optional<ClaimId> competingClaim(ClaimId mine) {
-        for (ClaimId each : claims.keySet()) {
-            if (!each.equals(mine) && !releasedClaims.contains(each)) {
-                return Optional.of(each);
+    Optional<ClaimId> competingClaim(ClaimId own) {
+        for (ClaimId claim : claims.keySet()) {
+            if (!claim.equals(own) && !releasedClaims.contains(claim)) {
+                return Optional.of(claim);
             }
         }
         return Optional.empty();
     }
 
     /**
-     * How it ended; of several ends, which must not exist, the same one everywhere: that of the
-     * first claim by its name.
+     * Returns the outcome; of several, which should not exist, that of the first claim, so that
+     * every replica answers alike.
      */
     Optional<ClaimOutcome> canonicalOutcome() {
         return outcomes.values().stream().findFirst();
     }
 
-    /** The claim whose end that is. */
-    Optional<ClaimId> withOutcome() {
+    /** Returns the claim of {@link #canonicalOutcome}. */
+    Optional<ClaimId> completedClaim() {
         return outcomes.keySet().stream().findFirst();
     }
 
-    /** Two ends of one token: a second run, or a keeper that lies. */
+    /**
+     * Returns whether the token has two different outcomes: a second run, or a replica that does
+     * not tell the truth.
+     */
     public boolean hasConflict() {
         if (outcomes.size() < 2) {
             return false;
         }
+        // A recovered owner may report one outcome under two of its claims: that is one run.
         ClaimOutcome first = outcomes.values().iterator().next();
-        // An owner that has come back may tell one end under two of its claims: that is one run.
-        return outcomes.values().stream()
-                .anyMatch(
-                        each ->
-                                each.succeeded() != first.succeeded()
-                                        || each.checksum() != first.checksum()
-                                        || !each.fingerprint().equals(first.fingerprint()));
+        return outcomes.values().stream().anyMatch(outcome -> differs(outcome, first));
+    }
+
+    private static boolean differs(ClaimOutcome one, ClaimOutcome other) {
+        return one.succeeded() != other.succeeded()
+                || one.checksum() != other.checksum()
+                || !one.fingerprint().equals(other.fingerprint());
     }
 
-    /** As another hears of it: long results have yet to come. */
-    ReplicaEntry forTransfer(Duration window) {
-        Map<ClaimId, ClaimOutcome> told = new TreeMap<>();
-        outcomes.forEach((id, outcome) -> told.put(id, outcome.forTransfer()));
-        return new ReplicaEntry(claims, releasedClaims, told, window);
+    ReplicaEntry withExpiry(Duration expiry) {
+        return new ReplicaEntry(claims, releasedClaims, outcomes, expiry);
+    }
+
+    /**
+     * Returns whether the merged entry holds something besides a later expiry that this one lacks.
+     */
+    boolean lacksAnyOf(ReplicaEntry merged) {
+        return !merged.claims.equals(claims)
+                || !merged.releasedClaims.equals(releasedClaims)
+                || !merged.outcomes.equals(outcomes);
+    }
+
+    /**
+     * Returns this entry as a receiver holds it at first: chunked results have yet to be
+     * transferred.
+     */
+    ReplicaEntry forTransfer(Duration expiry) {
+        Map<ClaimId, ClaimOutcome> transferred = new TreeMap<>();
+        outcomes.forEach((id, outcome) -> transferred.put(id, outcome.forTransfer()));
+        return new ReplicaEntry(claims, releasedClaims, transferred, expiry);
     }
 
-    /** How far it is, in a word. */
+    /** Returns how far the token has come, as {@link TokenSummary#status} documents. */
     String status() {
         if (hasConflict()) {
             return "conflict";
         }
-        if (!outcomes.isEmpty()) {
-            return canonicalOutcome().orElseThrow().succeeded() ? "succeeded" : "failed";
+        Optional<ClaimOutcome> outcome = canonicalOutcome();
+        if (outcome.isPresent()) {
+            return outcome.get().succeeded() ? "succeeded" : "failed";
         }
-        return claims.keySet().stream().allMatch(releasedClaims::contains) ? "free" : "claimed";
+        return releasedClaims.containsAll(claims.keySet()) ? "free" : "claimed";
     }
 
-    /** Memory and way that it takes, in bytes, as reckoned. */
+    /** Returns the bytes that the entry takes in memory and in a message, as an estimate. */
     int estimatedBytes() {
-        int bytes = 96;
-        for (Map.Entry<ClaimId, String> each : claims.entrySet()) {
-            bytes += 48 + each.getKey().server().length() + each.getValue().length();
+        int bytes = BASE_BYTES;
+        for (Map.Entry<ClaimId, String> claim : claims.entrySet()) {
+            bytes += CLAIM_BYTES + claim.getKey().server().length() + claim.getValue().length();
         }
-        for (ClaimId each : releasedClaims) {
-            bytes += 40 + each.server().length();
+        for (ClaimId released : releasedClaims) {
+            bytes += RELEASE_BYTES + released.server().length();
         }
-        for (ClaimOutcome each : outcomes.values()) {
-            bytes += 40 + each.estimatedBytes();
+        for (ClaimOutcome outcome : outcomes.values()) {
+            bytes += OUTCOME_BYTES + outcome.estimatedBytes();
         }
         return bytes;
     }
@@ -121,17 +151,17 @@
         return claims.size() + releasedClaims.size() >= MAX_CLAIMS;
     }
 
-    ReplicaEntry withClaim(ClaimId id, String body, Duration window) {
-        return merge(new ReplicaEntry(Map.of(id, body), Set.of(), Map.of(), window));
+    ReplicaEntry withClaim(ClaimId id, String fingerprint, Duration expiry) {
+        return merge(new ReplicaEntry(Map.of(id, fingerprint), Set.of(), Map.of(), expiry));
     }
 
-    ReplicaEntry withRelease(ClaimId id, Duration window) {
-        return merge(new ReplicaEntry(Map.of(), Set.of(id), Map.of(), window));
+    ReplicaEntry withRelease(ClaimId id, Duration expiry) {
+        return merge(new ReplicaEntry(Map.of(), Set.of(id), Map.of(), expiry));
     }
 
-    ReplicaEntry withOutcome(ClaimId id, ClaimOutcome outcome, Duration window) {
+    ReplicaEntry withOutcome(ClaimId id, ClaimOutcome outcome, Duration expiry) {
         return merge(
                 new ReplicaEntry(
-                        Map.of(id, outcome.fingerprint()), Set.of(), Map.of(id, outcome), window));
+                        Map.of(id, outcome.fingerprint()), Set.of(), Map.of(id, outcome), expiry));
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
@@ -8,71 +8,90 @@
 import java.util.Map;
 
 /**
- * How soon each keeper answers, as measured: whom to ask first, and when to ask one more. Claims go
- * to as many as a majority takes, the quickest; one that is slow is asked only where the others
- * leave it open.
+ * Measured response times of replicas: which to ask first, and after what delay a late reply
+ * justifies a hedged request to one more ("The Tail at Scale", Dean and Barroso 2013). Mean and
+ * deviation are exponentially weighted as in the retransmission timer of TCP (RFC 6298), with one
+ * weight for both. Not thread-safe; time is handed in.
  */
 final class ReplicaLatency {
-    /** Weight of the last answer in what is usual; and of how far answers stray. */
-    private static final double NEW = 0.1;
+    /** Weight of the latest response in mean and deviation. */
+    private static final double LATEST_WEIGHT = 0.1;
+
+    /** Deviations above the mean at which a reply counts as late. */
+    private static final double LATE_DEVIATIONS = 4;
+
+    /** Least hedging delay: below it the timer of the host's event loop would be measured. */
+    private static final Duration MIN_HEDGE_DELAY = Duration.ofMillis(5);
+
+    private static final Duration MAX_HEDGE_DELAY = Duration.ofMillis(50);
 
     /**
-     * An answer that is late by so many times as much as answers stray is worth asking one more.
+     * Replicas that are tracked; guards the memory of a long-lived process against names without
+     * end.
      */
-    private static final double STRAYS = 4;
+    private static final int MAX_TRACKED = 4_096;
 
-    /** Sooner it is the host's own beat that is measured. */
-    private static final Duration SOONEST = Duration.ofMillis(5);
+    private final Map<String, Estimate> estimates = new HashMap<>();
 
-    private static final Duration LATEST = Duration.ofMillis(50);
-    private static final int KEEPERS = 4_096;
+    private static final class Estimate {
+        private double meanNanos;
+        private double deviationNanos;
+
+        Estimate(double firstNanos) {
+            meanNanos = firstNanos;
+            deviationNanos = firstNanos / 2;
+        }
 
-    private final Map<String, Usual> keepers = new HashMap<>();
+        void add(double nanos) {
+            deviationNanos += LATEST_WEIGHT * (Math.abs(nanos - meanNanos) - deviationNanos);
+            meanNanos += LATEST_WEIGHT * (nanos - meanNanos);
+        }
 
-    private static final class Usual {
-        double nanos;
-        double strays;
+        double lateNanos() {
+            return meanNanos + LATE_DEVIATIONS * deviationNanos;
+        }
     }
 
-    void record(String keeper, Duration took) {
-        if (keepers.size() >= KEEPERS && !keepers.containsKey(keeper)) {
+    /** Records how long a replica took to answer. */
+    void record(String replica, Duration elapsed) {
+        if (estimates.size() >= MAX_TRACKED && !estimates.containsKey(replica)) {
             return;
         }
-        double nanos = Math.max(0, took.toNanos());
-        Usual usual = keepers.get(keeper);
-        if (usual == null) {
-            usual = new Usual();
-            usual.nanos = nanos;
-            usual.strays = nanos / 2;
-            keepers.put(keeper, usual);
-            return;
+        double nanos = Math.max(0, elapsed.toNanos());
+        Estimate known = estimates.get(replica);
+        if (known == null) {
+            estimates.put(replica, new Estimate(nanos));
+        } else {
+            known.add(nanos);
         }
-        usual.strays += NEW * (Math.abs(nanos - usual.nanos) - usual.strays);
-        usual.nanos += NEW * (nanos - usual.nanos);
     }
 
     /**
-     * The same in the order in which they are asked: those that are heard from, the quickest first,
-     * then those that are silent.
+     * Returns the replicas in the order in which to ask them: responsive ones by their mean, then
+     * unresponsive ones.
      */
-    List<String> fastestFirst(List<String> all, ClaimConcurrencyLimit limit) {
-        List<String> order = new ArrayList<>(all);
-        order.sort(
-                Comparator.comparing((String each) -> limit.isUnresponsive(each))
-                        .thenComparingDouble(
-                                each -> keepers.containsKey(each) ? keepers.get(each).nanos : 0));
-        return order;
+    List<String> fastestFirst(List<String> replicas, UnresponsivePeers unresponsive) {
+        List<String> ordered = new ArrayList<>(replicas);
+        ordered.sort(
+                Comparator.comparing((String replica) -> unresponsive.isUnresponsive(replica))
+                        .thenComparingDouble(this::meanNanos));
+        return ordered;
+    }
+
+    private double meanNanos(String replica) {
+        Estimate known = estimates.get(replica);
+        return known == null ? 0 : known.meanNanos;
     }
 
-    /** How long an answer of these is waited for before one more is asked. */
-    Duration hedgeDelay(List<String> asked) {
-        double nanos = SOONEST.toNanos();
-        for (String each : asked) {
-            Usual usual = keepers.get(each);
-            if (usual != null) {
-                nanos = Math.max(nanos, usual.nanos + STRAYS * usual.strays);
+    /** Returns how long to wait for these replicas before one more is asked. */
+    Duration hedgeDelay(List<String> replicas) {
+        double nanos = MIN_HEDGE_DELAY.toNanos();
+        for (String replica : replicas) {
+            Estimate known = estimates.get(replica);
+            if (known != null) {
+                nanos = Math.max(nanos, known.lateNanos());
             }
         }
-        return Duration.ofNanos((long) Math.min(LATEST.toNanos(), nanos));
+        return Duration.ofNanos((long) Math.min(MAX_HEDGE_DELAY.toNanos(), nanos));
     }
 }
--- /dev/null
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaState.java
@@ -0,0 +1,132 @@
+package ochretiller.fleet.replication;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+
+/**
+ * What the parts of one {@link Replica} share: the epoch it has adopted, its entries, the number of
+ * its last change, and the messages that wait to be sent. Not thread-safe.
+ */
+final class ReplicaState {
+    private final String name;
+    private final ReplicaLimits limits;
+    private final ReplicaEntries entries = new ReplicaEntries();
+    private final HandoffHints hints = new HandoffHints();
+    private final Outbox outbox = new Outbox();
+    private final Set<Integer> unreliableRanges = new HashSet<>();
+    private ReplicaPlacement placement;
+    private long changeNumber;
+    private boolean metadataChanged;
+
+    ReplicaState(String name, ReplicaLimits limits, ReplicaPlacement placement, long changeNumber) {
+        this.name = name;
+        this.limits = limits;
+        this.placement = placement;
+        this.changeNumber = changeNumber;
+    }
+
+    String name() {
+        return name;
+    }
+
+    ReplicaLimits limits() {
+        return limits;
+    }
+
+    ReplicaEntries entries() {
+        return entries;
+    }
+
+    HandoffHints hints() {
+        return hints;
+    }
+
+    Outbox outbox() {
+        return outbox;
+    }
+
+    /** The epoch that the replica answers for. */
+    ReplicaPlacement placement() {
+        return placement;
+    }
+
+    long epoch() {
+        return placement.epoch();
+    }
+
+    void adopt(ReplicaPlacement next) {
+        placement = next;
+        metadataChanged = true;
+    }
+
+    /**
+     * Ranges that the replica had in the previous epoch, and for which it is no source to others.
+     * Mutable.
+     */
+    Set<Integer> unreliableRanges() {
+        return unreliableRanges;
+    }
+
+    /** The number of the last change. */
+    long changeNumber() {
+        return changeNumber;
+    }
+
+    void advanceChangeNumber(long number) {
+        changeNumber = number;
+    }
+
+    void markMetadataChanged() {
+        metadataChanged = true;
+    }
+
+    /** Returns whether the metadata has changed since the last call. */
+    boolean takeMetadataChanged() {
+        boolean taken = metadataChanged;
+        metadataChanged = false;
+        return taken;
+    }
+
+    void put(String token, ReplicaEntry entry) {
+        if (!entries.put(token, entry, changeNumber + 1)) {
+            return;
+        }
+        changeNumber++;
+        int range = ReplicaPlacement.rangeOf(token);
+        hints.recordChange(range, placement.replicasOf(range));
+    }
+
+    /** Returns whether this server is a replica of the range in the adopted epoch. */
+    boolean replicates(int range) {
+        return placement.replicasOf(range).contains(name);
+    }
+
+    /**
+     * Returns the other replicas of a range, in the placement's order; empty where this server is
+     * none.
+     */
+    List<String> peersOf(int range) {
+        List<String> replicas = placement.replicasOf(range);
+        if (!replicas.contains(name)) {
+            return List.of();
+        }
+        return replicas.stream().filter(replica -> !replica.equals(name)).toList();
+    }
+
+    /**
+     * Returns when a window ends of which a peer reports this much to be left; no window is longer
+     * than the longest.
+     */
+    Duration expiryAfter(Duration remaining, Duration now) {
+        return now.plus(
+                remaining.compareTo(limits.maxWindow()) < 0 ? remaining : limits.maxWindow());
+    }
+
+    ReplicationMessage.RangeDigest rangeDigest(int range, boolean reply) {
+        return new ReplicationMessage.RangeDigest(
+                epoch(), range, entries.rangeDigest(range), entries.entryCount(range), reply);
+    }
+}
--- a/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
@@ -6,11 +6,19 @@
 import java.util.Optional;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
-/** What is said about tokens, from one server to another, each in an epoch. */
+/**
+ * Messages of the replication protocol between the servers of a fleet; {@code docs/fleet-wire.md}
+ * has their encoding.
+ *
+ * <p>Claims and outcomes go to the replicas of a token's range, and a majority of them decides.
+ * Times are sent as remaining durations, since servers have no common clock.
+ */
 public sealed interface ReplicationMessage {
     /**
-     * May I run this? {@code left} is the rest of its window; {@code leaves} is said by a server
-     * that will not claim its like for long.
+     * Asks a replica to grant a claim.
+     *
+     * @param remaining rest of the token's idempotency window
+     * @param transitional whether the sender is about to stop claiming such operations
      */
     record ClaimRequest(
             long epoch,
@@ -20,19 +28,26 @@
             Duration remaining,
             boolean transitional)
             implements ReplicationMessage {
-        public ClaimRequest(long epoch, String token, ClaimId id, String body, Duration left) {
-            this(epoch, token, id, body, left, false);
+        /** A claim of a server that goes on claiming. */
+        public ClaimRequest(
+                long epoch, String token, ClaimId claimId, String fingerprint, Duration remaining) {
+            this(epoch, token, claimId, fingerprint, remaining, false);
         }
     }
 
-    /** What do you know of it? Nothing is claimed by that; {@code id} names the question. */
+    /**
+     * Asks a replica what it knows about a token, without claiming it.
+     *
+     * @param claimId names the query
+     */
     record ClaimQuery(long epoch, String token, ClaimId claimId) implements ReplicationMessage {}
 
     /**
-     * A keeper's word on a claim.
+     * A replica's answer to a {@link ClaimRequest} or a {@link ClaimQuery}.
      *
-     * @param otherClaim the claim that has ended, or else one that may be running
-     * @param changeNumber of the keeper's last change, which its disk has by now
+     * @param otherClaim the claim that has completed, or else one that may be running
+     * @param outcome how the token has ended, if it has
+     * @param changeNumber the replica's last change, which is durable by now
      */
     record ClaimReply(
             long epoch,
@@ -44,28 +59,38 @@
             long changeNumber)
             implements ReplicationMessage {}
 
-    /** What a keeper can say. Silence is no word, and never counted as one. */
+    /**
+     * What a replica can answer. A missing answer is none of these and is never counted as one.
+     * Encoded by position.
+     */
     enum ClaimVote {
-        /** Yours, and on disk. */
+        /** The claim is granted, durably. */
         GRANTED,
-        /** Nobody has claimed it here; nothing is granted by that. */
+        /** Nobody has claimed the token here; nothing is granted by this. */
         UNCLAIMED,
-        /** Another has claimed it, and I know of no end. */
+        /** Another server has claimed it, and this replica knows of no outcome. */
         HELD,
-        /** It has ended. */
+        /** It has completed. */
         COMPLETED,
-        /** Your epoch is over; I know a later one. */
+        /** The sender's epoch is over. */
         STALE_EPOCH,
-        /** I do not have all of that range yet, or not this epoch: no word of mine would count. */
+        /**
+         * The replica does not have all of the range yet, or does not know the epoch: its vote
+         * would not count.
+         */
         LAGGING,
-        /** You have released this claim yourself. */
+        /** The sender has released this claim itself. */
         RELEASED,
-        /** No room, for this token or at all. */
+        /** No capacity, for this token or at all. */
         OVER_CAPACITY
     }
 
     /**
-     * It has ended so. {@code heard} are the numbers of changes that its claim rests on, by keeper.
+     * Reports to a replica how a claimed run has ended.
+     *
+     * @param remaining rest of the token's idempotency window
+     * @param changeNumbers changes that the claim rests on, by replica: one that comes back with
+     *     fewer has a stale disk
      */
     record ClaimCompleted(
             long epoch,
@@ -76,28 +101,28 @@
             Map<String, Long> changeNumbers)
             implements ReplicationMessage {}
 
-    /** That end is on disk, as of the keeper's change of this number. */
+    /** Confirms that an outcome is durable, as of the replica's change of this number. */
     record OutcomeStored(long epoch, String token, ClaimId claimId, long changeNumber)
             implements ReplicationMessage {}
 
-    /** My claim never ran and never will. */
+    /** States that a claim of the sender never ran and never will. */
     record ClaimRelease(String token, ClaimId claimId, Duration remaining)
             implements ReplicationMessage {}
 
-    /** Does this claim of yours run? Its owner releases it if it never will. */
+    /** Asks the owner of a claim whether it runs; the owner releases it if it never will. */
     record OwnerQuery(String token, ClaimId claimId) implements ReplicationMessage {}
 
     /**
-     * What do you have of a range that I lack? Who is asked answers for no older epoch from here
-     * on.
+     * Asks a replica for entries of a range that the sender lacks. The receiver adopts the epoch
+     * first, so that it answers for no older one from then on.
      *
-     * @param nonce names the question
-     * @param order which way a walk goes through the range
-     * @param cursor where the last page ended, and nothing at the first
-     * @param sketch of what the asker has, or null for a walk through all of it
-     * @param entryDigests of entries that the last page has told the asker to lack; empty where
-     *     none were told
-     * @param placement the epoch, for one that may not know it, or null
+     * @param nonce names the request
+     * @param order in which way the range is walked through, where it is
+     * @param cursor where the last page ended
+     * @param sketch what the sender has; empty for a walk or a request by digests
+     * @param entryDigests digests of entries that the sender is known to lack; empty where none are
+     *     known
+     * @param placement the epoch, for a receiver that may not know it
      */
     record RangeRequest(
             long epoch,
@@ -105,40 +130,59 @@
             long nonce,
             WalkOrder order,
             RangeCursor cursor,
-            SetSketch sketch,
+            Optional<SetSketch> sketch,
             List<Long> entryDigests,
-            ReplicaPlacement placement)
-            implements ReplicationMessage {}
+            Optional<ReplicaPlacement> placement)
+            implements ReplicationMessage {
+        /**
+         * Returns whether the range is walked through, rather than compared by a sketch or read by
+         * digests.
+         */
+        boolean isWalk() {
+            return sketch.isEmpty() && entryDigests.isEmpty();
+        }
+    }
 
-    /** Ways through a range. */
+    /** Orders of a walk through a range. Encoded by position. */
     enum WalkOrder {
         /**
-         * Those whose windows end last first: they matter longest. What changes meanwhile may be
+         * Latest expiry first: those entries matter longest. What changes during the walk may be
          * passed over.
          */
         LATEST_EXPIRY,
-        /** By their tokens: nothing that was there all the time is passed over. */
+        /** By token: nothing that was there all the time is passed over. */
         TOKEN_NAME
     }
 
     /**
-     * Where a page ended: the end of a window on the clock of who was asked, in nanoseconds, and a
-     * token.
+     * Where a page of a walk ended.
+     *
+     * @param expiresAtNanos expiry of the last entry, in nanoseconds on the clock of the replica
+     *     that was asked
+     * @param token the last token
      */
     record RangeCursor(long expiresAtNanos, String token) {
         static final RangeCursor START = new RangeCursor(Long.MAX_VALUE, "");
+
+        /** Returns the expiry; of the start of a walk the latest that there is. */
+        Duration expiresAt() {
+            return expiresAtNanos == Long.MAX_VALUE
+                    ? Duration.ofSeconds(Long.MAX_VALUE)
+                    : Duration.ofNanos(expiresAtNanos);
+        }
     }
 
     /**
-     * Some of what a range has.
+     * Some entries of a range.
      *
-     * @param cursor where it ended
-     * @param last whether there is no more that the sender knows the asker to lack
+     * @param cursor where the page ended
+     * @param last whether there is no more that the sender knows the receiver to lack
      * @param sourceComplete whether the sender has all of the range
-     * @param sketchDecoded false where the sketch told nothing, since too much differs
-     * @param remainingDigests marks of what a sketch has told beside what is here, or some of them
-     * @param entryCount entries that the sender has of the range
-     * @param rangeDigest of all of them
+     * @param sketchDecoded false where the sketch could not be decoded, since too much differs
+     * @param remainingDigests digests of entries that the receiver lacks beside those sent, or some
+     *     of them
+     * @param entryCount entries that the sender has in the range
+     * @param rangeDigest digest of all of them
      */
     record RangePage(
             long epoch,
@@ -155,26 +199,28 @@
             implements ReplicationMessage {}
 
     /**
-     * This is how I have that range, with so many entries; whoever has it otherwise fetches what it
-     * lacks, and says how it has it itself.
+     * The digest of a range. A receiver whose digest differs pulls what it lacks and answers with
+     * its own.
+     *
+     * @param reply whether this answers such a message, so that it is not answered again
      */
     record RangeDigest(long epoch, int range, long digest, int entryCount, boolean reply)
             implements ReplicationMessage {}
 
-    /** I have come back: the change of which number did you hear of last from me? */
+    /** Asks a peer which change number of the sender it has heard of last; sent after a restart. */
     record ChangeNumberQuery(long nonce) implements ReplicationMessage {}
 
-    /** That one; 0 for none. */
+    /** Answers a {@link ChangeNumberQuery}; 0 where none was heard of. */
     record ChangeNumberReply(long nonce, long changeNumber) implements ReplicationMessage {}
 
-    /** A piece of a long result, from this byte on. */
+    /** Asks for a chunk of a result, from this byte offset on. */
     record ChunkRequest(String token, ClaimId claimId, int offset) implements ReplicationMessage {}
 
-    /** That piece, a character a byte. */
+    /** A chunk of a result, one character a byte. */
     record Chunk(String token, ClaimId claimId, int offset, String data)
             implements ReplicationMessage {}
 
-    /** One entry on its way; its window's end is told as the rest of it. */
+    /** An entry on its way to another replica; its expiry is sent as the remaining duration. */
     record TransferredEntry(String token, ReplicaEntry entry, Duration remaining) {
         int estimatedBytes() {
             return entry.estimatedBytes() + token.length();
--- a/src/main/java/ochretiller/fleet/replication/SetSketch.java
+++ b/src/main/java/ochretiller/fleet/replication/SetSketch.java
@@ -2,41 +2,53 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
+import java.util.Arrays;
 import java.util.Deque;
 import java.util.HashSet;
 import java.util.Optional;
 import java.util.Set;
 
 /**
- * What a set of marks is, in a size that depends on what differs and not on the set: each mark is
- * put into three cells, one less the other leaves the difference, and cells with one mark alone
- * give it away (Eppstein and others 2011, "What's the difference?"). Some one and a half cells for
- * each that differs are enough; where they are not, nothing is told.
+ * An invertible Bloom lookup table over 64-bit keys (Goodrich and Mitzenmacher 2011, "Invertible
+ * Bloom Lookup Tables"), used for set reconciliation (Eppstein, Goodrich, Uyeda and Varghese 2011,
+ * "What's the Difference?"): subtracting one server's sketch from another's leaves the symmetric
+ * difference, in a size that depends on the difference and not on the sets. Some one and a half
+ * cells for each differing key are enough; with fewer, decoding fails and says so.
+ *
+ * <p>Departure from the papers: no strata estimator; the sender sizes the sketch by the difference
+ * of the entry counts and asks with a larger one where decoding fails.
+ *
+ * <p>Mutable until it is sent; not thread-safe.
  */
 public final class SetSketch {
-    /** Cells in all: what fits one datagram beside its envelope. */
+    /** Cells at most: what fits into one datagram beside its envelope. */
     static final int MAX_CELLS = 384;
 
-    /** Cells that each mark is put into, each in a part of its own. */
-    private static final int PARTS = 3;
-
-    /** Bytes of a cell: how many, their exclusive or, and that of their sums. */
+    /**
+     * Encoded bytes of a cell: count (2), exclusive or of the keys (8) and of their checksums (4).
+     */
     static final int CELL_BYTES = 14;
 
+    /**
+     * Hash functions; each maps a key into a partition of its own, so that its cells are distinct.
+     */
+    private static final int HASHES = 3;
+
     private final int cells;
     private final short[] counts;
-    private final long[] marks;
-    private final int[] sums;
-
-    /** What one has and the other lacks. */
-    public record SetDifference(Set<Long> onlyHere, Set<Long> onlyThere) {}
+    private final long[] keySums;
+    private final int[] checksums;
 
-    /** An empty one of so many cells, rounded to whole parts. */
-    SetSketch(int cells) {
-        this.cells = Math.max(PARTS, Math.min(MAX_CELLS, (cells + PARTS - 1) / PARTS * PARTS));
-        counts = new short[this.cells];
-        marks = new long[this.cells];
-        sums = new int[this.cells];
+    /**
+     * Creates an empty sketch with this many cells, rounded up to whole partitions and bounded by
+     * {@link #MAX_CELLS}.
+     */
+    SetSketch(int requestedCells) {
+        int rounded = (requestedCells + HASHES - 1) / HASHES * HASHES;
+        cells = Math.max(HASHES, Math.min(MAX_CELLS, rounded));
+        counts = new short[cells];
+        keySums = new long[cells];
+        checksums = new int[cells];
     }
 
     int cells() {
@@ -44,123 +56,143 @@
     }
 
     /**
-     * Bits of a mark, mixed anew for each use: marks are hashes already, and a sum must not follow
-     * from them.
+     * The SplitMix64 finaliser (Steele, Lea and Flood 2014), seeded by the use, so that checksums
+     * are independent of cells.
      */
-    private static long mixed(long mark, int use) {
-        long z = mark + (use + 1) * 0x9E3779B97F4A7C15L;
-        z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-        return z ^ z >>> 31;
+    private static long mix(long key, int use) {
+        long mixed = key + (use + 1) * 0x9E3779B97F4A7C15L;
+        mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
+        return mixed ^ mixed >>> 31;
     }
 
-    private int cell(long mark, int part) {
-        int size = cells / PARTS;
-        return part * size + (int) Long.remainderUnsigned(mixed(mark, part), size);
+    private int cellOf(long key, int hash) {
+        int partitionSize = cells / HASHES;
+        return hash * partitionSize + (int) Long.remainderUnsigned(mix(key, hash), partitionSize);
     }
 
-    private static int sum(long mark) {
-        return (int) mixed(mark, PARTS);
+    private static int checksum(long key) {
+        return (int) mix(key, HASHES);
     }
 
-    void add(long mark) {
-        put(mark, 1);
+    void add(long key) {
+        add(key, 1);
     }
 
-    private void put(long mark, int times) {
-        for (int part = 0; part < PARTS; part++) {
-            int at = cell(mark, part);
-            counts[at] += (short) times;
-            marks[at] ^= mark;
-            sums[at] ^= sum(mark);
+    private void add(long key, int times) {
+        for (int hash = 0; hash < HASHES; hash++) {
+            int cell = cellOf(key, hash);
+            counts[cell] += (short) times;
+            keySums[cell] ^= key;
+            checksums[cell] ^= checksum(key);
         }
     }
 
     /**
-     * What is in this one and not in the other, and the other way round; empty where too much
-     * differs to tell.
+     * Returns the difference between this sketch's set and the other's; empty where it is too large
+     * to be decoded.
      */
     Optional<SetDifference> subtract(SetSketch other) {
         if (other.cells != cells) {
             return Optional.empty();
         }
-        SetSketch rest = new SetSketch(cells);
-        Deque<Integer> alone = new ArrayDeque<>();
-        for (int i = 0; i < cells; i++) {
-            rest.counts[i] = (short) (counts[i] - other.counts[i]);
-            rest.marks[i] = marks[i] ^ other.marks[i];
-            rest.sums[i] = sums[i] ^ other.sums[i];
-            alone.add(i);
+        return cellwiseDifference(other).decode();
+    }
+
+    private SetSketch cellwiseDifference(SetSketch other) {
+        SetSketch difference = new SetSketch(cells);
+        for (int cell = 0; cell < cells; cell++) {
+            difference.counts[cell] = (short) (counts[cell] - other.counts[cell]);
+            difference.keySums[cell] = keySums[cell] ^ other.keySums[cell];
+            difference.checksums[cell] = checksums[cell] ^ other.checksums[cell];
+        }
+        return difference;
+    }
+
+    /** Peels cells that hold one key alone until none is left; consumes this sketch. */
+    private Optional<SetDifference> decode() {
+        Set<Long> positive = new HashSet<>();
+        Set<Long> negative = new HashSet<>();
+        Deque<Integer> candidates = new ArrayDeque<>();
+        for (int cell = 0; cell < cells; cell++) {
+            candidates.add(cell);
         }
-        Set<Long> mine = new HashSet<>();
-        Set<Long> theirs = new HashSet<>();
-        // Guards against a sketch of another's making that would go round for ever: no more marks
-        // than cells come out of it.
-        while (!alone.isEmpty() && mine.size() + theirs.size() <= cells) {
-            int at = alone.poll();
-            int count = rest.counts[at];
-            long mark = rest.marks[at];
-            if (count != 1 && count != -1 || rest.sums[at] != sum(mark)) {
+        // A forged sketch could be peeled for ever: no honest one holds more keys than cells.
+        while (!candidates.isEmpty() && positive.size() + negative.size() <= cells) {
+            int cell = candidates.poll();
+            if (!isPure(cell)) {
                 continue;
             }
-            (count == 1 ? mine : theirs).add(mark);
-            rest.put(mark, -count);
-            for (int part = 0; part < PARTS; part++) {
-                alone.add(cell(mark, part));
+            int count = counts[cell];
+            long key = keySums[cell];
+            (count == 1 ? positive : negative).add(key);
+            add(key, -count);
+            for (int hash = 0; hash < HASHES; hash++) {
+                candidates.add(cellOf(key, hash));
             }
         }
-        for (int i = 0; i < cells; i++) {
-            if (rest.counts[i] != 0 || rest.marks[i] != 0 || rest.sums[i] != 0) {
-                return Optional.empty();
+        return isZero() ? Optional.of(new SetDifference(positive, negative)) : Optional.empty();
+    }
+
+    private boolean isPure(int cell) {
+        return (counts[cell] == 1 || counts[cell] == -1)
+                && checksums[cell] == checksum(keySums[cell]);
+    }
+
+    private boolean isZero() {
+        for (int cell = 0; cell < cells; cell++) {
+            if (counts[cell] != 0 || keySums[cell] != 0 || checksums[cell] != 0) {
+                return false;
             }
         }
-        return Optional.of(new SetDifference(mine, theirs));
+        return true;
     }
 
-    /** Its cells as bytes, the highest first. */
+    /** Encodes the cells, each number with its highest byte first. */
     public byte[] toBytes() {
         ByteBuffer out = ByteBuffer.allocate(cells * CELL_BYTES);
-        for (int i = 0; i < cells; i++) {
-            out.putShort(counts[i]).putLong(marks[i]).putInt(sums[i]);
+        for (int cell = 0; cell < cells; cell++) {
+            out.putShort(counts[cell]).putLong(keySums[cell]).putInt(checksums[cell]);
         }
         return out.array();
     }
 
-    /** One as {@link #bytes} has told it. */
+    /**
+     * Decodes what {@link #toBytes} has encoded.
+     *
+     * @throws IllegalArgumentException where the length is not that of a sketch
+     */
     public static SetSketch fromBytes(byte[] bytes) {
         int cells = bytes.length / CELL_BYTES;
         if (cells * CELL_BYTES != bytes.length
-                || cells < PARTS
+                || cells < HASHES
                 || cells > MAX_CELLS
-                || cells % PARTS != 0) {
-            throw new IllegalArgumentException("no sketch");
+                || cells % HASHES != 0) {
+            throw new IllegalArgumentException(
+                    "not the length of a set sketch: " + bytes.length + " bytes");
         }
         SetSketch sketch = new SetSketch(cells);
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        for (int i = 0; i < cells; i++) {
-            sketch.counts[i] = in.getShort();
-            sketch.marks[i] = in.getLong();
-            sketch.sums[i] = in.getInt();
+        for (int cell = 0; cell < cells; cell++) {
+            sketch.counts[cell] = in.getShort();
+            sketch.keySums[cell] = in.getLong();
+            sketch.checksums[cell] = in.getInt();
         }
         return sketch;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof SetSketch sketch
-                && java.util.Arrays.equals(toBytes(), sketch.toBytes());
+        return other instanceof SetSketch sketch && Arrays.equals(toBytes(), sketch.toBytes());
     }
 
     @Override
     public int hashCode() {
-        return java.util.Arrays.hashCode(marks);
+        return Arrays.hashCode(keySums);
     }
 
     @Override
     public String toString() {
-        return "sketch of "
-                + cells
-                + " cells "
-                + Long.toHexString(java.util.Arrays.hashCode(toBytes()));
+        return "sketch of " + cells + " cells " + Long.toHexString(Arrays.hashCode(toBytes()));
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
+++ b/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
@@ -3,28 +3,33 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Whose silence is known: who has left so many questions in a row unanswered. */
+/** Peers that have left several consecutive requests unanswered. Bounded; not thread-safe. */
 final class UnresponsivePeers {
-    private static final int UNANSWERED = 3;
-    private static final int KEEPERS = 4_096;
+    /** Consecutive unanswered requests from which on a peer counts as unresponsive. */
+    private static final int THRESHOLD = 3;
 
-    private final Map<String, Integer> recordUnanswered = new HashMap<>();
+    /**
+     * Peers that are tracked; guards the memory of a long-lived process against names without end.
+     */
+    private static final int MAX_TRACKED = 4_096;
 
-    void recordUnanswered(String keeper) {
-        if (recordUnanswered.size() < KEEPERS) {
-            recordUnanswered.merge(keeper, 1, Integer::sum);
+    private final Map<String, Integer> unansweredRequests = new HashMap<>();
+
+    void recordUnanswered(String peer) {
+        if (unansweredRequests.size() < MAX_TRACKED) {
+            unansweredRequests.merge(peer, 1, Integer::sum);
         }
     }
 
-    void recordReply(String keeper) {
-        recordUnanswered.remove(keeper);
+    void recordReply(String peer) {
+        unansweredRequests.remove(peer);
     }
 
-    boolean isUnresponsive(String keeper) {
-        return recordUnanswered.getOrDefault(keeper, 0) >= UNANSWERED;
+    boolean isUnresponsive(String peer) {
+        return unansweredRequests.getOrDefault(peer, 0) >= THRESHOLD;
     }
 
     void clear() {
-        recordUnanswered.clear();
+        unansweredRequests.clear();
     }
 }
--- a/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
+++ b/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
@@ -1,119 +1,118 @@
 package ochretiller.fleet.rollout;
 
+import java.util.List;
 import java.util.Optional;
+import ochretiller.fleet.rollout.Regression.Share;
 
 /**
- * Whether those that act on a new version do worse than those that do not yet. It may be looked at
- * as often as one likes: for shares that do not differ the chance that it ever says so is bounded
- * (a mixture sequential probability ratio test; Robbins 1970, Johari and others 2022, "Always valid
- * inference").
+ * Compares invocations under a candidate version with those under the baseline, as a canary
+ * analysis does. The test is a mixture sequential probability ratio test (Robbins 1970; Johari,
+ * Koomen, Pekelis and Walsh 2022, "Always Valid Inference"), so it may be evaluated at every
+ * report: for shares that do not differ, the probability that it ever fires is bounded.
+ *
+ * <p>Departure from the papers: invocations are not independent but fail in bursts, so each is
+ * counted as a fifth of an independent one. Stateless.
  */
-public final class CanaryComparison {
-    /** Chance of ever halting a version that does no harm, over all figures together. */
-    public static final double FALSE_ALARM_PROBABILITY = 0.01;
+final class CanaryComparison {
+    /** Bound on the probability of ever stopping a harmless version, over all metrics together. */
+    static final double FALSE_ALARM_PROBABILITY = 0.01;
 
-    private static final int FIGURES = 4;
+    private static final int METRICS = 4;
 
-    /** Difference of shares that is looked for first of all: the mixture's spread. */
-    private static final double LOOKED_FOR = 0.2;
+    /**
+     * Standard deviation of the mixture: the difference of shares that the test is most sensitive
+     * to.
+     */
+    private static final double MIXTURE_DEVIATION = 0.2;
 
-    /** A difference that is less is none to act on. */
-    private static final double LEAST = 0.01;
+    /** Smaller differences are not acted on. */
+    private static final double MIN_DIFFERENCE = 0.01;
 
-    /** Answers on either side that are too few for a share. */
-    private static final long FEWEST = 30;
+    /** Fewer answers on either side make no share. */
+    private static final long MIN_ANSWERS = 30;
 
     /**
-     * Invocations of one moment share their fate, in bursts: each counts as so much of an
-     * independent one. Measured on servers that differ in nothing.
+     * Independent invocations that each one counts for; measured on servers that differ in nothing.
      */
-    private static final double ALONE = 0.2;
+    private static final double EFFECTIVE_SAMPLE_SHARE = 0.2;
 
     private CanaryComparison() {}
 
-    /** What is worse with the new version, with both shares; empty where nothing is known to be. */
-    public static Optional<String> findRegression(
-            VersionCounters changed, VersionCounters unchanged) {
-        if (changed.answered() < FEWEST || unchanged.answered() < FEWEST) {
+    /**
+     * Returns the first metric that is worse under the candidate; empty where none is known to be.
+     */
+    static Optional<Regression> findRegression(
+            VersionCounters candidate, VersionCounters baseline) {
+        if (candidate.answered() < MIN_ANSWERS || baseline.answered() < MIN_ANSWERS) {
             return Optional.empty();
         }
-        if (findRegression(
-                changed.throttled(),
-                changed.answered(),
-                unchanged.throttled(),
-                unchanged.answered())) {
-            return told(
-                    "throttled",
-                    changed.throttled(),
-                    changed.answered(),
-                    unchanged.throttled(),
-                    unchanged.answered());
-        }
-        if (findRegression(
-                changed.errored(), changed.answered(), unchanged.errored(), unchanged.answered())) {
-            return told(
-                    "errored",
-                    changed.errored(),
-                    changed.answered(),
-                    unchanged.errored(),
-                    unchanged.answered());
-        }
-        if (findRegression(
-                changed.late(), changed.answered(), unchanged.late(), unchanged.answered())) {
-            return told(
-                    "late",
-                    changed.late(),
-                    changed.answered(),
-                    unchanged.late(),
-                    unchanged.answered());
-        }
-        double lostHere = lost(changed);
-        double lostThere = lost(unchanged);
-        if (findRegression(
-                lostHere * changed.answered(),
-                changed.answered(),
-                lostThere * unchanged.answered(),
-                unchanged.answered())) {
-            return told(
-                    "lost of the billed value",
-                    lostHere * changed.answered(),
-                    changed.answered(),
-                    lostThere * unchanged.answered(),
-                    unchanged.answered());
-        }
-        return Optional.empty();
+        List<Regression> metrics =
+                List.of(
+                        compare(
+                                "throttled",
+                                candidate.throttled(),
+                                candidate,
+                                baseline.throttled(),
+                                baseline),
+                        compare(
+                                "errored",
+                                candidate.errored(),
+                                candidate,
+                                baseline.errored(),
+                                baseline),
+                        compare("late", candidate.late(), candidate, baseline.late(), baseline),
+                        compare(
+                                "lost of the billed value",
+                                lostValue(candidate),
+                                candidate,
+                                lostValue(baseline),
+                                baseline));
+        return metrics.stream().filter(CanaryComparison::isSignificant).findFirst();
     }
 
-    private static double lost(VersionCounters counts) {
-        return counts.offeredValue() <= 0 ? 0 : 1 - counts.earnedValue() / counts.offeredValue();
+    private static Regression compare(
+            String metric,
+            double candidatePart,
+            VersionCounters candidate,
+            double baselinePart,
+            VersionCounters baseline) {
+        return new Regression(
+                metric,
+                new Share(candidatePart, candidate.answered()),
+                new Share(baselinePart, baseline.answered()));
     }
 
-    private static Optional<String> told(
-            String what, double bad, double all, double otherBad, double otherAll) {
-        return Optional.of(
-                String.format(
-                        java.util.Locale.ROOT,
-                        "%s %.4f of %.0f, not %.4f of %.0f",
-                        what,
-                        bad / all,
-                        all,
-                        otherBad / otherAll,
-                        otherAll));
+    /** Returns the lost share of the value, as a number of invocations. */
+    private static double lostValue(VersionCounters counters) {
+        if (counters.offeredValue() <= 0) {
+            return 0;
+        }
+        return (1 - counters.earnedValue() / counters.offeredValue()) * counters.answered();
     }
 
-    private static boolean findRegression(
-            double bad, double all, double otherBad, double otherAll) {
-        double difference = bad / all - otherBad / otherAll;
-        if (difference < LEAST) {
+    private static boolean isSignificant(Regression regression) {
+        Share candidate = regression.candidate();
+        Share baseline = regression.baseline();
+        double difference = candidate.ratio() - baseline.ratio();
+        if (difference < MIN_DIFFERENCE) {
             return false;
         }
-        // One more of each kind: a share of none has a spread, too.
-        double share = (bad + otherBad + 1) / (all + otherAll + 2);
-        double spread = share * (1 - share) * (1 / (all * ALONE) + 1 / (otherAll * ALONE));
-        double mixed = LOOKED_FOR * LOOKED_FOR;
-        double log =
-                0.5 * Math.log(spread / (spread + mixed))
-                        + difference * difference * mixed / (2 * spread * (spread + mixed));
-        return log > Math.log(FIGURES / FALSE_ALARM_PROBABILITY);
+        // One invocation more of each kind (Laplace): a share of zero has a variance, too.
+        double pooled =
+                (candidate.part() + baseline.part() + 1)
+                        / (candidate.total() + baseline.total() + 2);
+        double variance =
+                pooled
+                        * (1 - pooled)
+                        * (1 / (candidate.total() * EFFECTIVE_SAMPLE_SHARE)
+                                + 1 / (baseline.total() * EFFECTIVE_SAMPLE_SHARE));
+        double mixtureVariance = MIXTURE_DEVIATION * MIXTURE_DEVIATION;
+        double logLikelihoodRatio =
+                0.5 * Math.log(variance / (variance + mixtureVariance))
+                        + difference
+                                * difference
+                                * mixtureVariance
+                                / (2 * variance * (variance + mixtureVariance));
+        return logLikelihoodRatio > Math.log(METRICS / FALSE_ALARM_PROBABILITY);
     }
 }
--- a/src/main/java/ochretiller/fleet/rollout/Lease.java
+++ b/src/main/java/ochretiller/fleet/rollout/Lease.java
@@ -10,63 +10,77 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Whether a server may still act on what it acts on, by its own monotonic clock: a majority of
- * voters has said so, each in answer to a question, and the time counts from the question. A server
- * that slept finds that it ended meanwhile.
+ * The holder's side of a lease (Gray and Cheriton 1989): a server may run its version's keyed work
+ * while a majority of acceptors has granted it, by its own monotonic clock. Each grant counts from
+ * the moment its request was made, so no common clock is needed, and a server that was paused finds
+ * its lease expired before it acts. Not thread-safe.
  */
 public final class Lease {
-    private static final int QUESTIONS = 64;
+    /** Renewals whose replies are waited for. */
+    private static final int MAX_OUTSTANDING = 64;
 
-    private final Set<String> voters;
-    private final Duration span;
-    private final Map<Long, Duration> questions = new HashMap<>();
-    private final Map<String, Duration> good = new HashMap<>();
-    private long nonce;
+    private final Set<String> acceptors;
+    private final Duration duration;
+    private final Map<Long, Duration> requestedAt = new HashMap<>();
+    private final Map<String, Duration> grantedAsOf = new HashMap<>();
+    private long lastRequestId;
 
     /**
-     * @param nonce where its questions begin: answers to a former process are none to this one
+     * @param acceptors names of the acceptors
+     * @param duration how long a grant lasts
+     * @param lastRequestId where request IDs begin: replies to a previous process must not be taken
+     *     for replies to this one
      */
-    public Lease(Set<String> voters, Duration span, long nonce) {
-        this.voters = Set.copyOf(voters);
-        this.span = span;
-        this.nonce = nonce;
+    public Lease(Set<String> acceptors, Duration duration, long lastRequestId) {
+        this.acceptors = Set.copyOf(acceptors);
+        this.duration = duration;
+        this.lastRequestId = lastRequestId;
     }
 
-    /** A question that goes to the voters now. */
+    /** Starts a renewal, and returns the ID of the request to send to the acceptors now. */
     public long startRenewal(Duration now) {
-        questions.values().removeIf(at -> now.minus(at).compareTo(span) > 0);
-        // Guards against a clock that stands: the oldest is of no more use than a new one.
-        if (questions.size() >= QUESTIONS) {
-            questions.remove(
-                    questions.entrySet().stream()
-                            .min(Map.Entry.comparingByValue())
-                            .orElseThrow()
-                            .getKey());
+        requestedAt.values().removeIf(at -> now.minus(at).compareTo(duration) > 0);
+        if (requestedAt.size() >= MAX_OUTSTANDING) {
+            removeOldestRequest();
         }
-        questions.put(++nonce, now);
-        return nonce;
+        requestedAt.put(++lastRequestId, now);
+        return lastRequestId;
     }
 
-    /** A voter has said to this question that the server may. */
-    public void recordGrant(String voter, long question) {
-        Duration at = questions.get(question);
-        if (at == null || !voters.contains(voter)) {
-            return;
+    /**
+     * Bounds the requests also where the clock stands still; the oldest one is of the least use.
+     */
+    private void removeOldestRequest() {
+        requestedAt.entrySet().stream()
+                .min(Map.Entry.comparingByValue())
+                .map(Map.Entry::getKey)
+                .ifPresent(requestedAt::remove);
+    }
+
+    /**
+     * Records that an acceptor has granted a renewal; replies of others, or to unknown requests,
+     * are ignored.
+     */
+    public void recordGrant(String acceptor, long requestId) {
+        Duration at = requestedAt.get(requestId);
+        if (at != null && acceptors.contains(acceptor)) {
+            grantedAsOf.merge(
+                    acceptor, at, (one, other) -> one.compareTo(other) >= 0 ? one : other);
         }
-        good.merge(voter, at, (a, b) -> a.compareTo(b) >= 0 ? a : b);
     }
 
-    /** When it ends, or the beginning of time where there never was one. */
+    /** Returns when the lease expires, in monotonic time; zero where it was never granted. */
     public Duration expiresAt() {
-        int majority = ReplicaPlacement.quorumSize(voters.size());
-        if (good.size() < majority) {
+        int majority = ReplicaPlacement.quorumSize(acceptors.size());
+        if (grantedAsOf.size() < majority) {
             return Duration.ZERO;
         }
-        List<Duration> times = new ArrayList<>(good.values());
-        times.sort(Comparator.reverseOrder());
-        return times.get(majority - 1).plus(span);
+        List<Duration> latestFirst = new ArrayList<>(grantedAsOf.values());
+        latestFirst.sort(Comparator.reverseOrder());
+        return latestFirst.get(majority - 1).plus(duration);
     }
 
+    /** Returns whether the lease is held now. To be asked last before an action that needs it. */
     public boolean isHeld(Duration now) {
         return now.compareTo(expiresAt()) < 0;
     }
--- a/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -4,125 +4,144 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
- * Whose lease a voter renews: those that act on a version that is in force for them, and for a
- * stated while those that have just come to their turn. Who is behind is let run out; who has
- * caught up is let in again, few at a time.
+ * The acceptor's side of leases: renews those of servers that run the version that is committed for
+ * them, and, for a grace period, of servers whose version has just changed. A straggler is fenced:
+ * its lease is left to expire. Servers that have caught up are readmitted at a bounded rate. Not
+ * thread-safe; time and random numbers are handed in.
  */
 public final class LeaseGrantor {
     /**
-     * Part of the servers that may be shut out: where more are behind, nobody is, since that would
-     * be worse than what is behind.
+     * Share of the servers that may be fenced: with more stragglers nobody is, since that would be
+     * the greater harm.
      */
     static final double MAX_FENCED_SHARE = 0.34;
 
-    /** Servers that are let in again in a second. */
-    private static final double BACK_RATE = 2;
+    /** Servers that are readmitted in a second. */
+    private static final double READMISSION_RATE = 2;
 
-    private static final double BACK_BURST = 2;
+    /** Readmissions that are saved up. */
+    private static final double READMISSION_BURST = 2;
 
-    private final Duration grace;
-    private final RandomGenerator chance;
-    private final Set<String> fencedServers = new HashSet<>();
+    private final Duration gracePeriod;
+    private final RandomGenerator random;
+    private final Set<String> fenced = new HashSet<>();
+    private final Map<String, Assignment> assignments = new HashMap<>();
+    private Optional<ReplicaPlacement> adopted = Optional.empty();
+    private double readmissions = READMISSION_BURST;
+    private Duration refilledAt = Duration.ZERO;
 
-    /** What is in force for each server, and since when, as this voter knows. */
-    private final Map<String, Turn> turns = new HashMap<>();
-
-    private ReplicaPlacement last;
-    private double back = BACK_BURST;
-    private Duration backAt = Duration.ZERO;
-
-    private record Turn(RolloutState.PublishedVersion target, Duration since) {}
+    /** The version that a server has to run, and since when, as this acceptor knows. */
+    private record Assignment(RolloutState.PublishedVersion version, Duration since) {}
 
     /**
-     * @param grace how long a server may take to come to act on what is in force for it
+     * @param gracePeriod how long a server may take to activate the version that is committed for
+     *     it
+     * @param random spreads readmissions
      */
-    public LeaseGrantor(Duration grace, RandomGenerator chance) {
-        this.grace = grace;
-        this.chance = chance;
+    public LeaseGrantor(Duration gracePeriod, RandomGenerator random) {
+        this.gracePeriod = gracePeriod;
+        this.random = random;
     }
 
-    /** Servers that are shut out. */
+    /** Returns the names of the servers that are fenced. */
     public Set<String> fencedServers() {
-        return Set.copyOf(fencedServers);
+        return Set.copyOf(fenced);
     }
 
     /**
-     * Whether this server may go on.
+     * Decides whether a server's lease is renewed.
      *
-     * @param reports what each server that is there has said last, this one among them
+     * @param reports the last report of each reachable server, this one among them, by name
      */
     public boolean renew(
-            ReplicaPlacement layout,
+            ReplicaPlacement placement,
             String name,
             Map<String, VersionReport> reports,
             Duration now) {
-        adoptPlacement(layout, now);
-        fencedServers.retainAll(reports.keySet());
-        turns.keySet().removeIf(each -> !reports.containsKey(each) && !layout.contains(each));
-        int late = 0;
-        for (Map.Entry<String, VersionReport> each : reports.entrySet()) {
-            if (late(layout, each.getKey(), each.getValue(), now)) {
-                late++;
-            }
-        }
-        boolean mine = reports.containsKey(name) && late(layout, name, reports.get(name), now);
-        // Of all that there are: a voter that hears few must not take those for the fleet.
-        int all = Math.max(reports.size(), layout.servers().size());
-        if (mine && late <= Math.max(1, MAX_FENCED_SHARE * all)) {
-            fencedServers.add(name);
+        adoptPlacement(placement, now);
+        forgetUnknown(placement, reports.keySet());
+        Set<String> stragglers = stragglers(placement, reports, now);
+        // A share of all servers: an acceptor that hears from few must not take those for the
+        // fleet.
+        int servers = Math.max(reports.size(), placement.servers().size());
+        boolean straggler = stragglers.contains(name);
+        if (straggler && stragglers.size() <= Math.max(1, MAX_FENCED_SHARE * servers)) {
+            fenced.add(name);
             return false;
         }
-        if (mine || !fencedServers.contains(name)) {
+        if (straggler || !fenced.contains(name)) {
             return true;
         }
-        // Guards against all at once: those that were shut out together would come back together.
-        back =
-                Math.min(
-                        BACK_BURST,
-                        back + Math.max(0, now.minus(backAt).toNanos() / 1e9) * BACK_RATE);
-        backAt = now;
-        if (back < 1 || chance.nextInt(2) == 0) {
+        return tryReadmit(name, now);
+    }
+
+    private void forgetUnknown(ReplicaPlacement placement, Set<String> reporting) {
+        fenced.retainAll(reporting);
+        assignments
+                .keySet()
+                .removeIf(name -> !reporting.contains(name) && !placement.contains(name));
+    }
+
+    private Set<String> stragglers(
+            ReplicaPlacement placement, Map<String, VersionReport> reports, Duration now) {
+        Set<String> stragglers = new HashSet<>();
+        reports.forEach(
+                (name, report) -> {
+                    if (isStraggler(placement, name, report, now)) {
+                        stragglers.add(name);
+                    }
+                });
+        return stragglers;
+    }
+
+    private boolean isStraggler(
+            ReplicaPlacement placement, String name, VersionReport report, Duration now) {
+        Assignment assignment = assign(placement, name, now);
+        return !report.isRunning(assignment.version)
+                && now.minus(assignment.since).compareTo(gracePeriod) >= 0;
+    }
+
+    /**
+     * Servers that were fenced together would come back together: a token bucket and chance spread
+     * them.
+     */
+    private boolean tryReadmit(String name, Duration now) {
+        double seconds = Math.max(0, now.minus(refilledAt).toNanos() / 1e9);
+        readmissions = Math.min(READMISSION_BURST, readmissions + seconds * READMISSION_RATE);
+        refilledAt = now;
+        if (readmissions < 1 || random.nextInt(2) == 0) {
             return false;
         }
-        back--;
-        fencedServers.remove(name);
+        readmissions--;
+        fenced.remove(name);
         return true;
     }
 
     /**
-     * This is in force: time counts from here, and not from a server's next word. One that could
-     * not be heard meanwhile has had its time.
+     * Adopts what is committed. Grace periods count from here and not from a server's next report,
+     * so that a server that could not be heard meanwhile has had its time.
      */
-    public void adoptPlacement(ReplicaPlacement layout, Duration now) {
-        if (layout.equals(last)) {
+    public void adoptPlacement(ReplicaPlacement placement, Duration now) {
+        if (adopted.equals(Optional.of(placement))) {
             return;
         }
-        last = layout;
-        for (ReplicaPlacement.ReplicaServer each : layout.servers()) {
-            turn(layout, each.name(), now);
-        }
-        for (String each : Set.copyOf(turns.keySet())) {
-            turn(layout, each, now);
-        }
+        adopted = Optional.of(placement);
+        placement.servers().forEach(server -> assign(placement, server.name(), now));
+        Set.copyOf(assignments.keySet()).forEach(name -> assign(placement, name, now));
     }
 
-    private Turn turn(ReplicaPlacement layout, String name, Duration now) {
-        RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
-        return turns.merge(
+    private Assignment assign(ReplicaPlacement placement, String name, Duration now) {
+        RolloutState.PublishedVersion version = RolloutStages.targetVersion(placement, name);
+        return assignments.merge(
                 name,
-                new Turn(target, now),
-                (before, next) -> before.target.equals(target) ? before : next);
-    }
-
-    private boolean late(ReplicaPlacement layout, String name, VersionReport report, Duration now) {
-        Turn turn = turn(layout, name, now);
-        return RolloutController.isBehind(report, turn.target)
-                && now.minus(turn.since).compareTo(grace) >= 0;
+                new Assignment(version, now),
+                (known, next) -> known.version.equals(version) ? known : next);
     }
 }
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -5,192 +5,217 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.TreeMap;
 import java.util.TreeSet;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
- * How a rollout goes on, as one voter sees it: any of them carries it on from what is agreed, so it
- * outlives whoever began it. What a voter has seen of the servers is its own; what follows is
- * agreed on as an epoch.
+ * Decides how a rollout proceeds, as one acceptor sees it: each stage is observed for a while once
+ * its servers run the version, and a rollout that does harm is rolled back or halted. Every
+ * acceptor carries a rollout on from what is committed, so it outlives whoever started it; what
+ * follows is proposed as the next epoch. Reports are this acceptor's own and are not agreed on. Not
+ * thread-safe; time is handed in.
  */
 public final class RolloutController {
+    /** Share of a stage's servers that may lag or reject the version, and are left so. */
+    private static final double MAX_STRAGGLER_SHARE = 0.2;
+
     /**
-     * Part of the servers that may be behind, or refuse, and are left so: beyond it the rollout
-     * stops.
+     * Multiple of the activation timeout after which a stage that was never complete halts the
+     * rollout.
      */
-    private static final double MOST_OUT = 0.2;
-
-    /** Times its patience that a stage may take before the rollout halts. */
-    private static final int STUCK = 4;
+    private static final int STUCK_FACTOR = 4;
 
-    private final Duration wait;
-    private final Duration patience;
-    private final boolean takesBack;
+    private final Duration observationTime;
+    private final Duration activationTimeout;
+    private final boolean rollsBack;
     private final Map<String, VersionReport> reports = new HashMap<>();
 
-    /** What each server told first of the version before, once this rollout was seen. */
-    private final Map<String, VersionCounters> baseline = new HashMap<>();
+    /** The first counters of the previous version that each server has reported in this rollout. */
+    private final Map<String, VersionCounters> baselineStarts = new HashMap<>();
 
-    private RolloutState seen = RolloutState.NONE;
-    private Duration since = Duration.ZERO;
-    private Duration settled;
+    private RolloutState observed = RolloutState.NONE;
+    private Duration stageStartedAt = Duration.ZERO;
+    private Optional<Duration> stageCompleteSince = Optional.empty();
     private String haltReason = "";
 
     /**
-     * @param wait how long each stage is watched once its servers act on the version
-     * @param patience how long servers may take to come to act on it
-     * @param takesBack whether one that does harm is taken back by itself, and not only halted
+     * @param observationTime how long each stage is observed once its servers run the version
+     * @param activationTimeout how long servers may take to run it
+     * @param rollsBack whether a harmful version is rolled back, and not only halted
      */
-    public RolloutController(Duration wait, Duration patience, boolean takesBack) {
-        this.wait = wait;
-        this.patience = patience;
-        this.takesBack = takesBack;
+    public RolloutController(
+            Duration observationTime, Duration activationTimeout, boolean rollsBack) {
+        this.observationTime = observationTime;
+        this.activationTimeout = activationTimeout;
+        this.rollsBack = rollsBack;
     }
 
-    /** What a server has said last; servers that are no more have to be named by {@link #next}. */
-    public void recordReport(String name, VersionReport report) {
-        reports.put(name, report);
-        counts(name, report);
+    /**
+     * Records a server's last report; servers that are gone are forgotten by {@link #nextState}.
+     */
+    public void recordReport(String server, VersionReport report) {
+        reports.put(server, report);
+        recordBaselineStart(server, report);
     }
 
-    private void counts(String name, VersionReport report) {
-        if (!seen.isComplete() && report.rolloutVersion() == seen.target().number()) {
-            baseline.putIfAbsent(name, report.baseline());
+    private void recordBaselineStart(String server, VersionReport report) {
+        if (!observed.isComplete() && report.rolloutVersion() == observed.target().number()) {
+            baselineStarts.putIfAbsent(server, report.baseline());
         }
     }
 
-    /** Why the last one was halted or taken back; empty where none was. */
+    /** Returns why the last rollout was halted or rolled back; empty where none was. */
     public String haltReason() {
         return haltReason;
     }
 
-    private void look(RolloutState rollout, Duration now) {
-        if (rollout.equals(seen)) {
-            return;
-        }
-        if (rollout.target().number() != seen.target().number()) {
-            baseline.clear();
-        }
-        seen = rollout;
-        since = now;
-        settled = null;
-        reports.forEach(this::counts);
-    }
-
     /**
-     * What is to be agreed on next, or nothing.
+     * Returns what to propose next, if anything.
      *
-     * @param live servers that are there
+     * @param live names of the reachable servers
      */
     public Optional<RolloutState> nextState(
-            ReplicaPlacement layout, Set<String> live, Duration now) {
-        RolloutState rollout = layout.rollout();
-        look(rollout, now);
+            ReplicaPlacement placement, Set<String> live, Duration now) {
+        RolloutState rollout = placement.rollout();
+        observe(rollout, now);
         reports.keySet().retainAll(live);
-        baseline.keySet().retainAll(live);
+        baselineStarts.keySet().retainAll(live);
         if (rollout.phase() != RolloutState.Phase.RUNNING) {
             return Optional.empty();
         }
-        Set<String> turn = new TreeSet<>();
-        for (String each : live) {
-            if (RolloutStages.includes(layout, each)) {
-                turn.add(each);
-            }
-        }
-        Optional<String> harm = harm(rollout, live, turn);
+        Set<String> included = includedServers(placement, live);
+        Optional<String> harm = findHarm(rollout, live, included);
         if (harm.isPresent()) {
-            haltReason = harm.get();
-            return Optional.of(
-                    takesBack
-                            ? rollout.rolledBack("the fleet", text("taken back: " + haltReason))
-                            : rollout.withPhase(RolloutState.Phase.HALTED));
+            return Optional.of(stop(rollout, harm.get()));
         }
-        // Servers that need longer than any reason for it: it is not known what keeps them.
-        boolean stuck =
-                now.minus(since).compareTo(patience.multipliedBy(STUCK)) >= 0 && settled == null;
-        if (stuck) {
+        if (isStuck(now)) {
             haltReason = "its servers do not come to act on it";
             return Optional.of(rollout.withPhase(RolloutState.Phase.HALTED));
         }
-        long behind =
-                turn.stream().filter(each -> isBehind(reports.get(each), rollout.target())).count();
-        boolean enough =
-                behind == 0
-                        || now.minus(since).compareTo(patience) >= 0
-                                && behind <= MOST_OUT * turn.size();
-        if (turn.isEmpty() || !enough) {
-            settled =
-                    null; // who acted on it is gone, and what was seen of it is no reason to go on
+        if (!isStageComplete(rollout, included, now)) {
+            // Servers that ran it may be gone: what was seen of them is no reason to go on.
+            stageCompleteSince = Optional.empty();
             return Optional.empty();
         }
-        if (settled == null) {
-            settled = now;
+        Duration completeSince = stageCompleteSince.orElse(now);
+        stageCompleteSince = Optional.of(completeSince);
+        return now.minus(completeSince).compareTo(observationTime) < 0
+                ? Optional.empty()
+                : Optional.of(next(rollout));
+    }
+
+    private void observe(RolloutState rollout, Duration now) {
+        if (rollout.equals(observed)) {
+            return;
         }
-        if (now.minus(settled).compareTo(wait) < 0) {
-            return Optional.empty();
+        if (rollout.target().number() != observed.target().number()) {
+            baselineStarts.clear();
         }
-        return Optional.of(
-                rollout.stage() < RolloutStages.ALL_SERVERS
-                        ? rollout.withStage(rollout.stage() + 1)
-                        : rollout.completed());
+        observed = rollout;
+        stageStartedAt = now;
+        stageCompleteSince = Optional.empty();
+        reports.forEach(this::recordBaselineStart);
     }
 
-    private static String text(String why) {
-        return why.substring(
-                0, Math.min(why.length(), RolloutState.PublishedVersion.MAX_TEXT_LENGTH));
+    private static Set<String> includedServers(ReplicaPlacement placement, Set<String> live) {
+        Set<String> included = new TreeSet<>();
+        for (String server : live) {
+            if (RolloutStages.includes(placement, server)) {
+                included.add(server);
+            }
+        }
+        return included;
+    }
+
+    private RolloutState stop(RolloutState rollout, String harm) {
+        haltReason = harm;
+        if (!rollsBack) {
+            return rollout.withPhase(RolloutState.Phase.HALTED);
+        }
+        String reason = "taken back: " + harm;
+        int length = Math.min(reason.length(), RolloutState.PublishedVersion.MAX_TEXT_LENGTH);
+        return rollout.rolledBack("the fleet", reason.substring(0, length));
     }
 
     /**
-     * Whether a server that has come to its turn does not act on the version, as far as it has
-     * said.
+     * Servers that take far longer than any known reason explains: something is wrong that nobody
+     * has reported.
      */
-    static boolean isBehind(VersionReport report, RolloutState.PublishedVersion version) {
-        return report == null
-                || report.activeVersion() != version.number()
-                || !report.activeHash().equals(version.hash());
+    private boolean isStuck(Duration now) {
+        Duration limit = activationTimeout.multipliedBy(STUCK_FACTOR);
+        return stageCompleteSince.isEmpty() && now.minus(stageStartedAt).compareTo(limit) >= 0;
     }
 
-    private Optional<String> harm(RolloutState rollout, Set<String> live, Set<String> turn) {
-        long refuse =
-                turn.stream()
-                        .map(reports::get)
+    private boolean isStageComplete(RolloutState rollout, Set<String> included, Duration now) {
+        long behind =
+                included.stream()
                         .filter(
-                                each ->
-                                        each != null
-                                                && each.rejectedVersion()
-                                                        == rollout.target().number())
+                                server ->
+                                        isBehind(
+                                                Optional.ofNullable(reports.get(server)),
+                                                rollout.target()))
                         .count();
-        // At first any refusal counts; at last, one that cannot is a straggler, which is shut out.
-        boolean stops =
-                rollout.stage() < RolloutStages.ALL_SERVERS
-                        ? refuse > 0
-                        : refuse > MOST_OUT * turn.size();
-        if (stops) {
-            String who =
-                    turn.stream()
-                            .filter(
-                                    each ->
-                                            reports.get(each) != null
-                                                    && reports.get(each).rejectedVersion()
-                                                            == rollout.target().number())
-                            .findFirst()
-                            .orElseThrow();
-            return Optional.of(who + " refuses it: " + reports.get(who).rejectionReason());
+        boolean timedOut = now.minus(stageStartedAt).compareTo(activationTimeout) >= 0;
+        boolean fewBehind = timedOut && behind <= MAX_STRAGGLER_SHARE * included.size();
+        return !included.isEmpty() && (behind == 0 || fewBehind);
+    }
+
+    private static RolloutState next(RolloutState rollout) {
+        return rollout.stage() < RolloutStages.ALL_SERVERS
+                ? rollout.withStage(rollout.stage() + 1)
+                : rollout.completed();
+    }
+
+    /** Returns whether a server does not run the version, as far as it has reported. */
+    static boolean isBehind(Optional<VersionReport> report, RolloutState.PublishedVersion version) {
+        return report.isEmpty() || !report.get().isRunning(version);
+    }
+
+    private Optional<String> findHarm(
+            RolloutState rollout, Set<String> live, Set<String> included) {
+        return findRejection(rollout, included).or(() -> findRegression(rollout, live));
+    }
+
+    /**
+     * In early stages any rejection counts; in the last one a few servers that cannot run the
+     * version are left fenced.
+     */
+    private Optional<String> findRejection(RolloutState rollout, Set<String> included) {
+        Map<String, VersionReport> rejections = new TreeMap<>();
+        for (String server : included) {
+            VersionReport report = reports.get(server);
+            if (report != null && report.rejects(rollout.target())) {
+                rejections.put(server, report);
+            }
         }
-        VersionCounters changed = VersionCounters.ZERO;
-        VersionCounters unchanged = VersionCounters.ZERO;
-        for (String each : live) {
-            VersionReport report = reports.get(each);
+        boolean lastStage = rollout.stage() >= RolloutStages.ALL_SERVERS;
+        double tolerated = lastStage ? MAX_STRAGGLER_SHARE * included.size() : 0;
+        if (rejections.size() <= tolerated) {
+            return Optional.empty();
+        }
+        return rejections.entrySet().stream()
+                .findFirst()
+                .map(
+                        first ->
+                                first.getKey()
+                                        + " refuses it: "
+                                        + first.getValue().rejectionReason());
+    }
+
+    private Optional<String> findRegression(RolloutState rollout, Set<String> live) {
+        VersionCounters candidate = VersionCounters.ZERO;
+        VersionCounters baseline = VersionCounters.ZERO;
+        for (String server : live) {
+            VersionReport report = reports.get(server);
             if (report == null || report.rolloutVersion() != rollout.target().number()) {
                 continue;
             }
-            changed = changed.plus(report.candidate());
-            unchanged =
-                    unchanged.plus(
-                            report.baseline()
-                                    .since(baseline.getOrDefault(each, VersionCounters.ZERO)));
+            VersionCounters start = baselineStarts.getOrDefault(server, VersionCounters.ZERO);
+            candidate = candidate.plus(report.candidate());
+            baseline = baseline.plus(report.baseline().since(start));
         }
-        return CanaryComparison.findRegression(changed, unchanged);
+        return CanaryComparison.findRegression(candidate, baseline).map(Regression::describe);
     }
 }
