--- a/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
@@ -1,56 +1,78 @@
 package ochretiller.fleet.rollout;
 
+import java.util.Arrays;
 import ochretiller.fleet.consensus.RolloutState;
 
-/** What is said about versions, from one server to another. */
+/**
+ * Messages about versions between the servers of a fleet; {@code docs/fleet-wire.md} has their
+ * encoding.
+ */
 public sealed interface RolloutMessage {
     /**
-     * To each voter: what I act on; may I go on?
+     * Reports to an acceptor what the sender runs, and asks it to renew the sender's lease.
      *
+     * @param requestId names the renewal
      * @param auditRecordNumber number of the last record of this server's audit, or 0
-     * @param auditHash of that
+     * @param auditHash hash of that record in hex, empty where there is none
      */
     record StatusReport(
             long requestId, VersionReport report, long auditRecordNumber, String auditHash)
             implements RolloutMessage {
+        /**
+         * @throws IllegalArgumentException where record and hash do not belong together
+         */
         public StatusReport {
-            if (auditRecordNumber < 0 || auditHash.length() != (auditRecordNumber == 0 ? 0 : 64)) {
-                throw new IllegalArgumentException("no audit");
+            int hashLength = auditRecordNumber == 0 ? 0 : RolloutState.PublishedVersion.HASH_LENGTH;
+            if (auditRecordNumber < 0 || auditHash.length() != hashLength) {
+                throw new IllegalArgumentException(
+                        "impossible audit position: record " + auditRecordNumber);
             }
         }
     }
 
-    /** A voter's answer. */
+    /** An acceptor's answer to a {@link StatusReport}. */
     record LeaseReply(long requestId, boolean granted) implements RolloutMessage {}
 
-    /** To each voter, before a version is agreed on: have these bytes, from me. */
+    /** Offers the bytes of a version to an acceptor, before the version is agreed on. */
     record VersionOffer(String hash, int size) implements RolloutMessage {
+        /**
+         * @throws IllegalArgumentException where the hash or the size is that of no version
+         */
         public VersionOffer {
-            if (hash.length() != 64
-                    || size <= 0
-                    || size > RolloutState.PublishedVersion.MAX_BYTES) {
-                throw new IllegalArgumentException("no offer");
+            requireHash(hash);
+            if (size <= 0 || size > RolloutState.PublishedVersion.MAX_BYTES) {
+                throw new IllegalArgumentException("impossible size of a version: " + size);
             }
         }
     }
 
-    /** I have them, on my disk. */
+    /** Confirms that the bytes of a version are on the sender's disk. */
     record VersionStored(String hash) implements RolloutMessage {}
 
-    /** Give me the bytes of the version of this hash from here on. */
+    /** Asks for bytes of a version, from this offset on. */
     record ChunkRequest(String hash, int offset) implements RolloutMessage {
+        /**
+         * @throws IllegalArgumentException where the hash is that of no version, or the offset is
+         *     negative
+         */
         public ChunkRequest {
-            if (hash.length() != 64 || offset < 0) {
-                throw new IllegalArgumentException("no question");
-            }
+            requireHash(hash);
+            requireOffset(offset);
         }
     }
 
-    /** Some of them. */
+    /** Some bytes of a version; the array is not copied and must not be changed. */
     record Chunk(String hash, int offset, byte[] data) implements RolloutMessage {
+        /**
+         * @throws IllegalArgumentException where the hash is that of no version, or there are too
+         *     many bytes
+         */
         public Chunk {
-            if (hash.length() != 64 || offset < 0 || data.length > VersionDownload.CHUNK_BYTES) {
-                throw new IllegalArgumentException("no bytes");
+            requireHash(hash);
+            requireOffset(offset);
+            if (data.length > VersionDownload.CHUNK_BYTES) {
+                throw new IllegalArgumentException(
+                        "too long for a chunk: " + data.length + " bytes");
             }
         }
 
@@ -59,7 +81,7 @@
             return other instanceof Chunk that
                     && that.hash.equals(hash)
                     && that.offset == offset
-                    && java.util.Arrays.equals(that.data, data);
+                    && Arrays.equals(that.data, data);
         }
 
         @Override
@@ -67,4 +89,17 @@
             return hash.hashCode() + offset;
         }
     }
+
+    private static void requireHash(String hash) {
+        if (hash.length() != RolloutState.PublishedVersion.HASH_LENGTH) {
+            throw new IllegalArgumentException(
+                    "not the length of a version's hash: " + hash.length());
+        }
+    }
+
+    private static void requireOffset(int offset) {
+        if (offset < 0) {
+            throw new IllegalArgumentException("negative offset: " + offset);
+        }
+    }
 }
--- a/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
@@ -12,78 +12,99 @@
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
- * Which servers act on a version at a stage of its rollout: one; a quarter, spread over the zones;
- * all. Each server can tell by itself, and all tell the same of one layout. Another version draws
- * others, so that it is not always the same ones that are first.
+ * Which servers run a version at each stage of its rollout: one canary; a quarter of all, spread
+ * over the zones; all. Every server derives that from the committed placement by itself, and all
+ * derive the same. The version's number takes part in the draw, so that it is not always the same
+ * servers that come first. Stateless.
  */
 public final class RolloutStages {
-    /** The stage at which all act on it. */
+    /** The stage at which all servers run the version. */
     public static final int ALL_SERVERS = 2;
 
-    /** Part of all servers, and of each zone, at the stage before. */
-    private static final int PART = 4;
+    /** One server in so many, of all and of each zone, runs the version at the stage before. */
+    private static final int PARTIAL_STAGE_DIVISOR = 4;
 
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     private RolloutStages() {}
 
-    private static long draw(long number, String name) {
-        return HASH.hashLongs(new long[] {number, HASH.hashChars(name)}) >>> 1;
+    private static long draw(long version, String server) {
+        return HASH.hashLongs(new long[] {version, HASH.hashChars(server)}) >>> 1;
     }
 
-    /** What this server is to act on. */
+    /** Returns the version that this server has to run. */
     public static RolloutState.PublishedVersion targetVersion(
-            ReplicaPlacement layout, String name) {
-        RolloutState rollout = layout.rollout();
-        return rollout.isComplete() || includes(layout, name)
+            ReplicaPlacement placement, String server) {
+        RolloutState rollout = placement.rollout();
+        return rollout.isComplete() || includes(placement, server)
                 ? rollout.target()
                 : rollout.previous();
     }
 
-    /** Whether a server has come to its turn. */
-    public static boolean includes(ReplicaPlacement layout, String name) {
-        RolloutState rollout = layout.rollout();
+    /** Returns whether the rollout's present stage includes this server. */
+    public static boolean includes(ReplicaPlacement placement, String server) {
+        RolloutState rollout = placement.rollout();
         if (rollout.isComplete() || rollout.stage() >= ALL_SERVERS) {
             return true;
         }
-        if (layout.contains(name)) {
-            return first(layout).contains(name);
+        if (placement.contains(server)) {
+            return earlyServers(placement).contains(server);
         }
-        // One that keeps nothing is in no list: it goes by its own draw, and never first.
-        return rollout.stage() > 0 && draw(rollout.target().number(), name) < Long.MAX_VALUE / PART;
+        // A server that replicates nothing is in no list: its own draw decides, and it is never the
+        // canary.
+        return rollout.stage() > 0
+                && draw(rollout.target().number(), server) < Long.MAX_VALUE / PARTIAL_STAGE_DIVISOR;
     }
 
-    private static Set<String> first(ReplicaPlacement layout) {
-        long number = layout.rollout().target().number();
-        List<ReplicaPlacement.ReplicaServer> order = new ArrayList<>(layout.servers());
+    private static Set<String> earlyServers(ReplicaPlacement placement) {
+        RolloutState rollout = placement.rollout();
+        List<ReplicaPlacement.ReplicaServer> order =
+                inDrawnOrder(placement, rollout.target().number());
+        Set<String> early = new HashSet<>();
+        if (order.isEmpty()) {
+            return early;
+        }
+        String canary = order.get(0).name();
+        if (rollout.stage() > 0) {
+            early.addAll(partOfEachZone(order));
+        }
+        early.add(canary);
+        if (rollout.stage() > 0) {
+            fillUp(early, order);
+        }
+        return early;
+    }
+
+    private static List<ReplicaPlacement.ReplicaServer> inDrawnOrder(
+            ReplicaPlacement placement, long version) {
+        List<ReplicaPlacement.ReplicaServer> order = new ArrayList<>(placement.servers());
         order.sort(
                 Comparator.comparingLong(
-                                (ReplicaPlacement.ReplicaServer each) -> draw(number, each.name()))
+                                (ReplicaPlacement.ReplicaServer server) ->
+                                        draw(version, server.name()))
                         .thenComparing(ReplicaPlacement.ReplicaServer::name));
-        Set<String> first = new HashSet<>();
-        if (layout.rollout().stage() == 0) {
-            if (!order.isEmpty()) {
-                first.add(order.get(0).name());
-            }
-            return first;
-        }
+        return order;
+    }
+
+    private static Set<String> partOfEachZone(List<ReplicaPlacement.ReplicaServer> order) {
         Map<String, List<String>> zones = new TreeMap<>();
-        for (ReplicaPlacement.ReplicaServer each : order) {
-            zones.computeIfAbsent(each.zone(), ignored -> new ArrayList<>()).add(each.name());
+        for (ReplicaPlacement.ReplicaServer server : order) {
+            zones.computeIfAbsent(server.zone(), ignored -> new ArrayList<>()).add(server.name());
         }
-        for (List<String> each : zones.values()) {
-            first.addAll(each.subList(0, each.size() / PART));
+        Set<String> part = new HashSet<>();
+        for (List<String> zone : zones.values()) {
+            part.addAll(zone.subList(0, zone.size() / PARTIAL_STAGE_DIVISOR));
         }
-        int least = (order.size() + PART - 1) / PART;
-        // Who was first stays so, and small zones are drawn from together.
-        if (!order.isEmpty()) {
-            first.add(order.get(0).name());
-        }
-        for (ReplicaPlacement.ReplicaServer each : order) {
-            if (first.size() < least) {
-                first.add(each.name());
+        return part;
+    }
+
+    /** Small zones contribute nothing of their own and are drawn from together. */
+    private static void fillUp(Set<String> early, List<ReplicaPlacement.ReplicaServer> order) {
+        int least = (order.size() + PARTIAL_STAGE_DIVISOR - 1) / PARTIAL_STAGE_DIVISOR;
+        for (ReplicaPlacement.ReplicaServer server : order) {
+            if (early.size() < least) {
+                early.add(server.name());
             }
         }
-        return first;
     }
 }
--- a/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
@@ -9,149 +9,174 @@
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
- * The bytes of a version on their way to here: some pieces at once, from one source, from another
- * where that one is silent, with pauses that grow. What has come stays, whoever it came from.
+ * Downloads the bytes of a version in chunks: several at once from one source, from another where
+ * that one is unresponsive, with exponential backoff and jitter. Chunks that have arrived are kept
+ * whoever sent them. Not thread-safe; time and random numbers are handed in.
  */
 public final class VersionDownload {
-    /** Bytes of a piece: what fits a datagram beside its envelope. */
+    /** Bytes of a chunk: what fits into a datagram beside its envelope. */
     public static final int CHUNK_BYTES = 4 * 1024;
 
-    private static final int AT_ONCE = 4;
-    private static final Duration FIRST = Duration.ofMillis(150);
-    private static final Duration LAST = Duration.ofSeconds(5);
+    /** Chunks that are requested at once. */
+    private static final int WINDOW = 4;
 
-    /** Times that a source is silent before another is asked. */
-    private static final int SILENT = 2;
+    /**
+     * A source is drawn from this many of the likeliest ones, so that not all servers ask the same
+     * one.
+     */
+    private static final int SOURCE_CHOICES = 4;
+
+    /** Consecutive unanswered requests after which another source is asked. */
+    private static final int MAX_TIMEOUTS = 2;
 
-    private final RandomGenerator chance;
-    private RolloutState.PublishedVersion wanted = RolloutState.PublishedVersion.NONE;
-    private byte[][] pieces = {};
-    private int missing;
-    private String source;
-    private int silent;
-    private Duration pause = FIRST;
-    private Duration next = Duration.ZERO;
+    private static final Duration FIRST_BACKOFF = Duration.ofMillis(150);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(5);
+    private static final byte[] MISSING = {};
 
-    /** One question. */
-    public record OutboundChunkRequest(String recipient, RolloutMessage.ChunkRequest request) {}
+    private final RandomGenerator random;
+    private RolloutState.PublishedVersion version = RolloutState.PublishedVersion.NONE;
+    private byte[][] chunks = {};
+    private int missingChunks;
+    private Optional<String> source = Optional.empty();
+    private int timeouts;
+    private Duration backoff = FIRST_BACKOFF;
+    private Duration nextRequest = Duration.ZERO;
 
-    public VersionDownload(RandomGenerator chance) {
-        this.chance = chance;
+    /**
+     * @param random draws sources and spreads requests over time
+     */
+    public VersionDownload(RandomGenerator random) {
+        this.random = random;
     }
 
-    /** This one is needed now; what is under way of another is forgotten. */
-    public void start(RolloutState.PublishedVersion version, Duration now) {
-        if (version.hash().equals(wanted.hash())) {
+    /**
+     * Starts the download of a version, unless it is the present one; what has arrived of another
+     * is forgotten.
+     */
+    public void start(RolloutState.PublishedVersion wanted, Duration now) {
+        if (wanted.hash().equals(version.hash())) {
             return;
         }
-        wanted = version;
-        pieces =
-                version.usesLocalFiles()
-                        ? new byte[0][]
-                        : new byte[(version.sizeBytes() + CHUNK_BYTES - 1) / CHUNK_BYTES][];
-        missing = pieces.length;
-        source = null;
-        silent = 0;
-        pause = FIRST;
-        next = now;
+        version = wanted;
+        missingChunks =
+                wanted.usesLocalFiles() ? 0 : (wanted.sizeBytes() + CHUNK_BYTES - 1) / CHUNK_BYTES;
+        chunks = new byte[missingChunks][];
+        Arrays.fill(chunks, MISSING);
+        source = Optional.empty();
+        timeouts = 0;
+        backoff = FIRST_BACKOFF;
+        nextRequest = now;
     }
 
+    /** Returns whether chunks are missing. */
     public boolean isIncomplete() {
-        return missing > 0;
+        return missingChunks > 0;
     }
 
     /**
-     * What to ask now.
+     * Returns the requests that are due.
      *
-     * @param sources servers that are there and may have it, the likeliest first
+     * @param sources reachable servers that may have the version, the likeliest first
      */
     public List<OutboundChunkRequest> tick(List<String> sources, Duration now) {
-        if (missing == 0 || now.compareTo(next) < 0 || sources.isEmpty()) {
+        if (missingChunks == 0 || now.compareTo(nextRequest) < 0 || sources.isEmpty()) {
             return List.of();
         }
-        if (source == null || !sources.contains(source) || silent >= SILENT) {
-            // Among the first few by chance: a version that all need is not to be asked of one.
-            List<String> others = new ArrayList<>(sources);
-            if (others.size() > 1) {
-                others.remove(source);
-            }
-            source = others.get(chance.nextInt(Math.min(others.size(), AT_ONCE)));
-            silent = 0;
+        if (source.isEmpty() || !sources.contains(source.get()) || timeouts >= MAX_TIMEOUTS) {
+            source = Optional.of(drawSource(sources));
+            timeouts = 0;
+        }
+        timeouts++;
+        Duration jitter = Duration.ofNanos((long) (backoff.toNanos() * random.nextDouble()));
+        nextRequest = now.plus(backoff.dividedBy(2)).plus(jitter);
+        Duration doubled = backoff.multipliedBy(2);
+        backoff = doubled.compareTo(MAX_BACKOFF) < 0 ? doubled : MAX_BACKOFF;
+        return requestsTo(source.get());
+    }
+
+    private String drawSource(List<String> sources) {
+        List<String> others = new ArrayList<>(sources);
+        if (others.size() > 1) {
+            source.ifPresent(others::remove);
         }
-        silent++;
-        next =
-                now.plus(pause.dividedBy(2))
-                        .plus(Duration.ofNanos((long) (pause.toNanos() * chance.nextDouble())));
-        pause = pause.multipliedBy(2).compareTo(LAST) < 0 ? pause.multipliedBy(2) : LAST;
-        return asks();
+        return others.get(random.nextInt(Math.min(others.size(), SOURCE_CHOICES)));
     }
 
-    private List<OutboundChunkRequest> asks() {
-        List<OutboundChunkRequest> asks = new ArrayList<>();
-        for (int i = 0; i < pieces.length && asks.size() < AT_ONCE; i++) {
-            if (pieces[i] == null) {
-                asks.add(
+    private List<OutboundChunkRequest> requestsTo(String recipient) {
+        List<OutboundChunkRequest> requests = new ArrayList<>();
+        for (int chunk = 0; chunk < chunks.length && requests.size() < WINDOW; chunk++) {
+            if (isMissing(chunk)) {
+                requests.add(
                         new OutboundChunkRequest(
-                                source,
-                                new RolloutMessage.ChunkRequest(wanted.hash(), i * CHUNK_BYTES)));
+                                recipient,
+                                new RolloutMessage.ChunkRequest(
+                                        version.hash(), chunk * CHUNK_BYTES)));
             }
         }
-        return asks;
+        return requests;
+    }
+
+    private boolean isMissing(int chunk) {
+        return chunks[chunk].length == 0;
     }
 
     /**
-     * All bytes, once the last piece has come; whether they are what the hash says is to be looked
-     * at by whoever takes them.
+     * Takes a chunk, and returns the version's bytes once the last one has arrived; the caller has
+     * to compare them with the version's hash. Chunks that are not missing are ignored.
      */
-    public Optional<byte[]> accept(RolloutMessage.Chunk message, Duration now) {
-        int which = message.offset() / CHUNK_BYTES;
-        boolean fits =
-                missing > 0
-                        && message.hash().equals(wanted.hash())
-                        && message.offset() % CHUNK_BYTES == 0
-                        && which < pieces.length
-                        && pieces[which] == null
-                        && message.data().length
-                                == Math.min(CHUNK_BYTES, wanted.sizeBytes() - message.offset());
-        if (!fits) {
-            return Optional.empty();
-        }
-        pieces[which] = message.data();
-        missing--;
-        silent = 0;
-        pause = FIRST;
-        next = now; // the next ones at once
-        if (missing > 0) {
+    public Optional<byte[]> accept(RolloutMessage.Chunk received, Duration now) {
+        if (!isExpected(received)) {
             return Optional.empty();
         }
-        byte[] all = new byte[wanted.sizeBytes()];
-        for (int i = 0; i < pieces.length; i++) {
-            System.arraycopy(pieces[i], 0, all, i * CHUNK_BYTES, pieces[i].length);
+        chunks[received.offset() / CHUNK_BYTES] = received.data();
+        missingChunks--;
+        timeouts = 0;
+        backoff = FIRST_BACKOFF;
+        nextRequest = now;
+        return missingChunks > 0 ? Optional.empty() : Optional.of(assemble());
+    }
+
+    private boolean isExpected(RolloutMessage.Chunk received) {
+        int chunk = received.offset() / CHUNK_BYTES;
+        boolean inPlace =
+                received.hash().equals(version.hash())
+                        && received.offset() % CHUNK_BYTES == 0
+                        && chunk < chunks.length
+                        && isMissing(chunk);
+        return inPlace
+                && received.data().length
+                        == Math.min(CHUNK_BYTES, version.sizeBytes() - received.offset());
+    }
+
+    private byte[] assemble() {
+        byte[] bytes = new byte[version.sizeBytes()];
+        for (int chunk = 0; chunk < chunks.length; chunk++) {
+            System.arraycopy(chunks[chunk], 0, bytes, chunk * CHUNK_BYTES, chunks[chunk].length);
         }
-        return Optional.of(all);
+        return bytes;
     }
 
-    /** What came was not what its hash says: all of it is asked for again, of another. */
+    /**
+     * Discards all chunks, since together they do not have the version's hash, and asks another
+     * source for them.
+     */
     public void discardCorrupt(Duration now) {
-        Arrays.fill(pieces, null);
-        missing = pieces.length;
-        silent = SILENT;
-        next = now.plus(pause);
+        Arrays.fill(chunks, MISSING);
+        missingChunks = chunks.length;
+        timeouts = MAX_TIMEOUTS;
+        nextRequest = now.plus(backoff);
     }
 
-    /** A piece of what is here, as it is answered. */
+    /**
+     * Returns the chunk of a version's bytes that was asked for; empty where they end before it.
+     */
     public static Optional<RolloutMessage.Chunk> slice(
-            RolloutMessage.ChunkRequest want, byte[] all) {
-        if (want.offset() >= all.length) {
+            RolloutMessage.ChunkRequest request, byte[] bytes) {
+        int start = request.offset();
+        if (start >= bytes.length) {
             return Optional.empty();
         }
-        return Optional.of(
-                new RolloutMessage.Chunk(
-                        want.hash(),
-                        want.offset(),
-                        Arrays.copyOfRange(
-                                all,
-                                want.offset(),
-                                Math.min(all.length, want.offset() + CHUNK_BYTES))));
+        byte[] data = Arrays.copyOfRange(bytes, start, Math.min(bytes.length, start + CHUNK_BYTES));
+        return Optional.of(new RolloutMessage.Chunk(request.hash(), start, data));
     }
 }
--- a/src/main/java/ochretiller/fleet/rollout/VersionReport.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionReport.java
@@ -1,16 +1,18 @@
 package ochretiller.fleet.rollout;
 
+import ochretiller.fleet.consensus.RolloutState;
+
 /**
- * What a server says of itself to the voters.
+ * What a server reports to the acceptors about the version it runs.
  *
- * @param activeVersion the version that it acts on
- * @param activeHash of that: two of one number and other bytes are a fork
- * @param rejectedVersion the version that it cannot act on, or 0
- * @param rejectionReason why not; empty where it refuses none
- * @param rolloutVersion the version that is brought out, or was last, as this server knows; what it
- *     counts is about that
- * @param candidate what became of invocations under the version that is brought out, as far as it
- *     acts on it
+ * @param activeVersion number of the version that it runs
+ * @param activeHash SHA-256 of that version's bytes, in hex; two hashes of one number are a fork
+ * @param rejectedVersion number of the version that it cannot run, or 0
+ * @param rejectionReason why not; empty where it rejects none
+ * @param rolloutVersion number of the version that is being rolled out, or was last, as this server
+ *     knows; its counters are about that rollout
+ * @param candidate what became of invocations under the version that is rolled out, as far as it
+ *     runs it
  * @param baseline the same under the version before
  */
 public record VersionReport(
@@ -21,16 +23,36 @@
         long rolloutVersion,
         VersionCounters candidate,
         VersionCounters baseline) {
-    /** Characters of a reason. */
+    /** Characters of a rejection's reason at most. */
     public static final int MAX_REASON_LENGTH = 200;
 
+    private static final int MAX_HASH_LENGTH = 64;
+
+    /**
+     * @throws IllegalArgumentException where a peer reports what cannot be
+     */
     public VersionReport {
-        if (rejectionReason.length() > MAX_REASON_LENGTH
-                || activeHash.length() > 64
-                || activeVersion < 0
-                || rolloutVersion < 0
-                || rejectedVersion < 0) {
-            throw new IllegalArgumentException("no report");
+        boolean textsFit =
+                rejectionReason.length() <= MAX_REASON_LENGTH
+                        && activeHash.length() <= MAX_HASH_LENGTH;
+        if (!textsFit || activeVersion < 0 || rolloutVersion < 0 || rejectedVersion < 0) {
+            throw new IllegalArgumentException(
+                    "impossible version report: activeVersion="
+                            + activeVersion
+                            + " rejectedVersion="
+                            + rejectedVersion
+                            + " rolloutVersion="
+                            + rolloutVersion);
         }
     }
+
+    /** Returns whether the server runs exactly this version. */
+    boolean isRunning(RolloutState.PublishedVersion version) {
+        return activeVersion == version.number() && activeHash.equals(version.hash());
+    }
+
+    /** Returns whether the server has rejected this version. */
+    boolean rejects(RolloutState.PublishedVersion version) {
+        return rejectedVersion == version.number();
+    }
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -15,9 +15,10 @@
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 import ochretiller.fleet.replication.ClaimId;
-import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.PendingWrite;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.fleet.replication.ReplicationMessage;
 import ochretiller.fleet.transport.PacketCodec;
 import ochretiller.fleet.transport.ReplicationCodec;
@@ -49,10 +50,7 @@
      * @param place what else is there
      */
     record Found(
-            Replica.ReplicaSnapshot disk,
-            Map<String, ReplicaEntry> entries,
-            long number,
-            Place place) {}
+            ReplicaSnapshot disk, Map<String, ReplicaEntry> entries, long number, Place place) {}
 
     /**
      * What goes with a keeper's place.
@@ -75,7 +73,7 @@
     /** What a former process has left, before the store is started. */
     Found read(Duration now) {
         Map<String, ReplicaEntry> entries = new TreeMap<>();
-        Replica.ReplicaSnapshot[] place = {null};
+        ReplicaSnapshot[] place = {null};
         Place[] with = {Place.NONE};
         long[] number = {0};
         long storeNow = store.nowMillis();
@@ -89,7 +87,7 @@
                             number[0] = Math.max(number[0], PacketCodec.number(in));
                             if (key.length == PLACE.length && key[1] == PLACE[1]) {
                                 place[0] =
-                                        new Replica.ReplicaSnapshot(
+                                        new ReplicaSnapshot(
                                                 ReplicationCodec.layout(in),
                                                 Map.of(),
                                                 ranges(in),
@@ -125,10 +123,10 @@
                     "fleet: what this server kept may lack something, and is fetched from the"
                             + " others");
         }
-        Replica.ReplicaSnapshot disk =
+        ReplicaSnapshot disk =
                 place[0] == null || !good[0]
                         ? null
-                        : new Replica.ReplicaSnapshot(
+                        : new ReplicaSnapshot(
                                 place[0].placement(),
                                 entries,
                                 place[0].laggingRanges(),
@@ -163,13 +161,9 @@
 
     /** Writes what the keeper has now; {@code then} is told whether that is durable. */
     void write(
-            DurabilityBarrier.PendingWrite write,
-            Replica keeper,
-            Place with,
-            Duration now,
-            Consumer<Boolean> then) {
-        if (write.token() == null) {
-            Replica.ReplicaSnapshot place = keeper.metadataSnapshot();
+            PendingWrite write, Replica keeper, Place with, Duration now, Consumer<Boolean> then) {
+        if (write.token().isEmpty()) {
+            ReplicaSnapshot place = keeper.metadataSnapshot();
             store.put(
                     PLACE,
                     NONE,
@@ -188,11 +182,12 @@
                     ack -> then.accept(ack == AppendResult.DURABLE));
             return;
         }
-        ReplicaEntry entry = keeper.entry(write.token());
-        long number = keeper.changeNumber(write.token());
+        String token = write.token().get();
+        ReplicaEntry entry = keeper.entry(token);
+        long number = keeper.changeNumber(token);
         Duration left = entry.expiresAt().minus(now);
         store.put(
-                key(ENTRIES, write.token()),
+                key(ENTRIES, token),
                 NONE,
                 bytes(
                         to -> {
@@ -200,7 +195,7 @@
                             ReplicationCodec.item(
                                     to,
                                     new ReplicationMessage.TransferredEntry(
-                                            write.token(),
+                                            token,
                                             entry,
                                             left.isNegative() ? Duration.ZERO : left));
                         }),
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -23,15 +23,23 @@
 import ochretiller.fleet.consensus.PlacementPlanner;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.replication.AssembledResult;
 import ochretiller.fleet.replication.ChunkAssembler;
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimDecision;
 import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.replication.ClaimIntent;
 import ochretiller.fleet.replication.ClaimModes;
 import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.ClaimRequirement;
+import ochretiller.fleet.replication.CompletedClaim;
 import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.OutboundMessage;
+import ochretiller.fleet.replication.PendingWrite;
 import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaLimits;
 import ochretiller.fleet.replication.ReplicationMessage;
+import ochretiller.fleet.replication.SubmittedChange;
 import ochretiller.fleet.rollout.RolloutMessage;
 import ochretiller.fleet.transport.ReplicationCodec;
 import ochretiller.metrics.Metrics;
@@ -97,7 +105,7 @@
 
     private final ReplicaStorage.Found found;
     private final List<Long> starts;
-    private final Replica.ReplicaLimits bounds;
+    private final ReplicaLimits bounds;
     private final AcceptorFile file;
     private final BackgroundWriter writer;
     private final Map<String, ClaimOutcome> near = BoundedMap.evictingLeastRecentlyUsed(NEAR);
@@ -208,7 +216,7 @@
                         : null;
         writer = votes ? new BackgroundWriter("voter", WRITES) : null;
         bounds =
-                new Replica.ReplicaLimits(
+                new ReplicaLimits(
                         settings.most(), settings.mostBytes(), settings.catchUp(), longest);
         disk = store == null ? null : new ReplicaStorage(store, longest);
         found =
@@ -218,12 +226,12 @@
         shelf = new ResultCache(disk, settings.mostBytes() / 2);
         commit = new DurabilityBarrier(chance);
         if (found.disk() != null) {
-            keeper = new Replica(name, found.disk(), null, bounds, 0, schedule.now());
+            keeper = Replica.recover(name, found.disk(), bounds, schedule.now());
             epochNow = keeper.placement().epoch();
             LOG.info(
                     () ->
                             "fleet: kept "
-                                    + keeper.entryCount()
+                                    + keeper.statistics().entries()
                                     + " tokens of "
                                     + keeper.placement()
                                     + ", "
@@ -462,21 +470,21 @@
                 new Figures(
                         epochNow,
                         keeper.laggingRangeCount(),
-                        keeper.entryCount(),
-                        keeper.estimatedBytes(),
-                        keeper.conflictCount(),
+                        keeper.statistics().entries(),
+                        keeper.statistics().estimatedBytes(),
+                        keeper.statistics().conflicts(),
                         claims.concurrencyLimit(),
-                        keeper.hintCount(),
+                        keeper.statistics().hints(),
                         keeper.oldestLag(now).toNanos() / 1e9,
-                        keeper.fetchedBytes(),
-                        keeper.sentBytes(),
-                        keeper.comparisons(),
-                        keeper.differences(),
+                        keeper.statistics().receivedBytes(),
+                        keeper.statistics().sentBytes(),
+                        keeper.statistics().comparisons(),
+                        keeper.statistics().differences(),
                         commit.waitingMessages(),
                         commit.droppedMessages(),
                         claims.hedgedRequests(),
                         claims.retriedRequests(),
-                        keeper.staleDisks());
+                        keeper.statistics().staleDisks());
     }
 
     /**
@@ -486,7 +494,7 @@
         boolean returning = keeper.isCheckingDisk();
         if (wasReturning && !returning) {
             LOG.info(
-                    keeper.staleDisks() > 0
+                    keeper.statistics().staleDisks() > 0
                             ? "fleet: the disk is older than this server's last word: what it kept"
                                     + " is fetched from the others"
                             : "fleet: nobody knows of a later word than the disk has: it counts as"
@@ -499,7 +507,7 @@
         }
         if (behind != wasBehind) {
             int ranges = keeper.laggingRangeCount();
-            long entries = keeper.fetchedEntries();
+            long entries = keeper.statistics().receivedEntries();
             long took = now.minus(behindSince).toMillis();
             LOG.info(
                     behind
@@ -626,8 +634,8 @@
             }
         } else if (message instanceof ReplicationMessage word) {
             if (word instanceof ReplicationMessage.RangeRequest fetch
-                    && fetch.placement() != null) {
-                learn(fetch.placement());
+                    && fetch.placement().isPresent()) {
+                learn(fetch.placement().get());
             }
             if (word instanceof ReplicationMessage.ClaimRequest claim && !from.equals(name)) {
                 modes.claimObserved(operation(claim.fingerprint()), claim.transitional(), now);
@@ -670,7 +678,7 @@
             // A number over all that it has ever told, as long as the Unix clock is not set back;
             // if it is, its next start finds its disk old, without harm.
             long first = Math.max(found.number() + 1, System.currentTimeMillis() * 1000);
-            keeper = new Replica(name, null, layout, bounds, first, now);
+            keeper = Replica.withoutDisk(name, layout, first, bounds, now);
             found.entries().forEach((token, entry) -> keeper.restore(token, entry));
         } else {
             keeper.adoptPlacement(layout, now);
@@ -685,7 +693,7 @@
         if (voter != null) {
             carryOutVoter();
         }
-        for (Replica.OutboundMessage each : claims.takeOutbound()) {
+        for (OutboundMessage each : claims.takeOutbound()) {
             out(each.recipient(), each.message());
         }
         if (keeper != null) {
@@ -695,7 +703,7 @@
 
     private void carryOutKeeper() {
         Duration now = schedule.now();
-        for (ChunkAssembler.AssembledResult whole : keeper.takeAssembledResults()) {
+        for (AssembledResult whole : keeper.takeAssembledResults()) {
             Duration until = keeper.entry(whole.token()).expiresAt();
             shelf.keep(
                     whole.token(),
@@ -714,7 +722,7 @@
         List<String> tokens = keeper.takeChangedTokens();
         boolean moved = keeper.takeMetadataChanged();
         if (disk == null) {
-            for (Replica.OutboundMessage each : keeper.takeOutbound()) {
+            for (OutboundMessage each : keeper.takeOutbound()) {
                 out(each.recipient(), each.message());
             }
             return;
@@ -728,18 +736,16 @@
             placed = now;
             placedNumber = keeper.changeNumber();
         }
-        List<Replica.OutboundMessage> say = new ArrayList<>();
-        List<DurabilityBarrier.PendingWrite> writes =
-                commit.submit(tokens, moved, keeper.takeOutbound(), say);
-        writes.forEach(this::write);
-        for (Replica.OutboundMessage each : say) {
+        SubmittedChange change = commit.submit(tokens, moved, keeper.takeOutbound());
+        change.writes().forEach(this::write);
+        for (OutboundMessage each : change.sendable()) {
             out(each.recipient(), each.message());
         }
     }
 
-    private void write(DurabilityBarrier.PendingWrite write) {
+    private void write(PendingWrite write) {
         ReplicaStorage.Place with =
-                write.token() != null
+                write.token().isPresent()
                         ? ReplicaStorage.Place.NONE
                         : new ReplicaStorage.Place(claims.observedChangeNumbers(), starts);
         disk.write(
@@ -751,7 +757,7 @@
                     if (closed) {
                         return;
                     }
-                    for (Replica.OutboundMessage each :
+                    for (OutboundMessage each :
                             commit.acknowledge(write, durable, schedule.now())) {
                         out(each.recipient(), each.message());
                     }
@@ -779,7 +785,7 @@
                         && found.disk() != null
                         && keeper != null
                         && !keeper.isCheckingDisk()
-                        && keeper.staleDisks() == 0;
+                        && keeper.statistics().staleDisks() == 0;
         if (!mine || !proves || !ReplicationCodec.tokenFits(whether.token())) {
             return;
         }
@@ -795,14 +801,10 @@
                         claims.releaseClaim(whether.token(), id, now.plus(longest), now);
                     } else if (known.kind() == PreviousIncarnation.Kind.ENDED) {
                         settledEnds.add();
-                        ClaimOutcome outcome = outcome(known.body(), known.result());
-                        claims.reportPreviousOutcome(
-                                whether.token(),
-                                id,
-                                outcome,
-                                outcome.isChunked() ? text(known.result()) : null,
-                                known.windowEnds(),
-                                now);
+                        CompletedClaim completed =
+                                completed(
+                                        id, known.body(), known.result(), now, known.windowEnds());
+                        claims.reportPreviousOutcome(whether.token(), completed, now);
                     }
                     carryOut();
                 });
@@ -812,6 +814,14 @@
         return new String(result, StandardCharsets.ISO_8859_1);
     }
 
+    private static CompletedClaim completed(
+            ClaimId id, String body, byte[] result, Duration due, Duration windowEnds) {
+        ClaimOutcome outcome = outcome(body, result);
+        Optional<String> chunked =
+                outcome.isChunked() ? Optional.of(text(result)) : Optional.empty();
+        return new CompletedClaim(id, outcome, chunked, due, windowEnds);
+    }
+
     /**
      * Of a result that is longer than is kept only its end is told: its repeats elsewhere are
      * errored, and never run.
@@ -827,9 +837,9 @@
 
     /** A piece of a long result is asked for: of a run of this server's, or of what it keeps. */
     private void wanted(String from, ReplicationMessage.ChunkRequest want) {
-        String own = claims.pendingResult(want.claimId());
-        if (own != null) {
-            piece(from, want, own);
+        Optional<String> own = claims.pendingResult(want.claimId());
+        if (own.isPresent()) {
+            piece(from, want, own.get());
         } else {
             shelf.result(want.token(), want.claimId(), result -> piece(from, want, result));
         }
@@ -839,10 +849,7 @@
         if (closed || result == null) {
             return;
         }
-        ReplicationMessage.Chunk piece = ChunkAssembler.slice(want, result);
-        if (piece != null) {
-            out(to, piece);
-        }
+        ChunkAssembler.slice(want, result).ifPresent(piece -> out(to, piece));
     }
 
     /** What a voter says leaves once what it has promised is on disk. */
@@ -984,18 +991,18 @@
             Duration windowEnds,
             Consumer<ClaimDecision> then) {
         Duration began = schedule.now();
-        ClaimModes.ClaimRequirement before = modes.requirementFor(operation(body), began);
-        if (before == ClaimModes.ClaimRequirement.NOT_REQUIRED) {
-            then.accept(new ClaimDecision(ClaimDecision.Kind.RUN, null, null));
+        ClaimRequirement before = modes.requirementFor(operation(body), began);
+        if (before == ClaimRequirement.NOT_REQUIRED) {
+            then.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.RUN));
             return;
         }
         asked.add();
-        if (before == ClaimModes.ClaimRequirement.REQUIRED_TRANSITIONALLY) {
+        if (before == ClaimRequirement.REQUIRED_TRANSITIONALLY) {
             still.add();
         }
         if (!ReplicationCodec.tokenFits(token)) {
             throttled.add();
-            then.accept(new ClaimDecision(ClaimDecision.Kind.THROTTLED, null, null));
+            then.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.THROTTLED));
             return;
         }
         ClaimOutcome known = near.get(token);
@@ -1004,15 +1011,16 @@
                 && known.fingerprint().equals(body)
                 && !known.result().isEmpty()) {
             replayed.add();
-            then.accept(new ClaimDecision(ClaimDecision.Kind.REPLAY, null, known));
+            then.accept(ClaimDecision.replayOf(known));
             return;
         }
         claims.claim(
-                token,
-                body,
-                before == ClaimModes.ClaimRequirement.REQUIRED_TRANSITIONALLY,
-                due,
-                windowEnds,
+                new ClaimIntent(
+                        token,
+                        body,
+                        before == ClaimRequirement.REQUIRED_TRANSITIONALLY,
+                        due,
+                        windowEnds),
                 began,
                 verdict -> told(token, began, windowEnds, verdict, then));
         carryOut();
@@ -1032,10 +1040,10 @@
             case REPLAY -> {
                 replayed.add();
                 // Guards against a memory full of long results: those are fetched again.
-                if (verdict.outcome().isChunked()) {
+                if (verdict.outcome().orElseThrow().isChunked()) {
                     break;
                 }
-                near.put(token, verdict.outcome());
+                near.put(token, verdict.outcome().orElseThrow());
                 // It may be known again by one window more than it should: a repeat behind its
                 // window is its caller's fault.
                 schedule.after(
@@ -1070,13 +1078,8 @@
             Duration due,
             Duration windowEnds,
             Consumer<Boolean> then) {
-        ClaimOutcome outcome = outcome(body, result);
         claims.reportOutcome(
-                claim,
-                outcome,
-                outcome.isChunked() ? text(result) : null,
-                due,
-                windowEnds,
+                completed(claim, body, result, due, windowEnds),
                 schedule.now(),
                 good -> {
                     if (!good) {
--- a/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
-import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.replication.ClaimModeSettings;
 
 /**
  * How a fleet keeps claims and results of tokened invocations.
@@ -28,5 +28,5 @@
         long mostBytes,
         Duration calm,
         long catchUp,
-        ClaimModes.ClaimModeSettings modes,
+        ClaimModeSettings modes,
         RolloutSettings versions) {}
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -10,6 +10,8 @@
 import ochretiller.fleet.replication.ClaimOutcome;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaStatistics;
+import ochretiller.fleet.replication.TokenSummary;
 
 /**
  * What a server keeps for its fleet, as JSON, as the operators' commands read it. Made on the one
@@ -27,6 +29,7 @@
 
     String status() {
         Replica keeper = inside.keeper();
+        ReplicaStatistics figures = keeper == null ? ReplicaStatistics.NONE : keeper.statistics();
         return JsonText.object(
                 to -> {
                     ReplicaPlacement layout = inside.layout();
@@ -40,21 +43,20 @@
                     to.writeEndArray();
                     to.writeStringField("disk", inside.disk());
                     to.writeBooleanField("returning", keeper != null && keeper.isCheckingDisk());
-                    to.writeNumberField("entries", keeper == null ? 0 : keeper.entryCount());
-                    to.writeNumberField("bytes", keeper == null ? 0 : keeper.estimatedBytes());
+                    to.writeNumberField("entries", figures.entries());
+                    to.writeNumberField("bytes", figures.estimatedBytes());
                     to.writeNumberField("ranges", keeper == null ? 0 : ranges(layout));
                     to.writeNumberField("behind", keeper == null ? 0 : keeper.laggingRangeCount());
                     to.writeNumberField(
                             "oldest_gap_ms",
                             keeper == null ? 0 : keeper.oldestLag(inside.now()).toMillis());
-                    to.writeNumberField("hints", keeper == null ? 0 : keeper.hintCount());
-                    to.writeNumberField("conflicts", keeper == null ? 0 : keeper.conflictCount());
-                    to.writeNumberField("fetched", keeper == null ? 0 : keeper.fetchedEntries());
-                    to.writeNumberField(
-                            "fetched_bytes", keeper == null ? 0 : keeper.fetchedBytes());
-                    to.writeNumberField("sent_bytes", keeper == null ? 0 : keeper.sentBytes());
-                    to.writeNumberField("compares", keeper == null ? 0 : keeper.comparisons());
-                    to.writeNumberField("differed", keeper == null ? 0 : keeper.differences());
+                    to.writeNumberField("hints", figures.hints());
+                    to.writeNumberField("conflicts", figures.conflicts());
+                    to.writeNumberField("fetched", figures.receivedEntries());
+                    to.writeNumberField("fetched_bytes", figures.receivedBytes());
+                    to.writeNumberField("sent_bytes", figures.sentBytes());
+                    to.writeNumberField("compares", figures.comparisons());
+                    to.writeNumberField("differed", figures.differences());
                     to.writeNumberField("claims_under_way", inside.underWay());
                     to.writeNumberField("claim_limit", Math.round(inside.limit()));
                     to.writeNumberField("words_waiting", inside.wordsWaiting());
@@ -157,7 +159,7 @@
         } catch (NumberFormatException e) {
             range = -1;
         }
-        List<Replica.TokenSummary> tokens =
+        List<TokenSummary> tokens =
                 keeper == null || range < 0 || range >= ReplicaPlacement.RANGE_COUNT
                         ? List.of()
                         : keeper.listTokens(range, MOST_TOKENS);
@@ -165,7 +167,7 @@
                 to -> {
                     to.writeStringField("name", inside.name());
                     to.writeArrayFieldStart("tokens");
-                    for (Replica.TokenSummary each : tokens) {
+                    for (TokenSummary each : tokens) {
                         to.writeStartArray();
                         to.writeString(each.token());
                         to.writeString(Long.toHexString(each.digest()));
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -28,6 +28,7 @@
 import ochretiller.fleet.membership.MemberSnapshot;
 import ochretiller.fleet.rollout.Lease;
 import ochretiller.fleet.rollout.LeaseGrantor;
+import ochretiller.fleet.rollout.OutboundChunkRequest;
 import ochretiller.fleet.rollout.RolloutController;
 import ochretiller.fleet.rollout.RolloutMessage;
 import ochretiller.fleet.rollout.RolloutStages;
@@ -367,7 +368,7 @@
 
     void tick() {
         Duration now = schedule.now();
-        for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+        for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
             send.accept(ask.recipient(), ask.request());
         }
         take(now);
@@ -520,7 +521,7 @@
                                 keep(piece.hash(), all, () -> {});
                                 follow();
                             });
-            for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+            for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
                 send.accept(ask.recipient(), ask.request());
             }
         }
@@ -546,7 +547,7 @@
 
     private void take(Duration now) {
         if (offeredBy != null) {
-            for (VersionDownload.OutboundChunkRequest ask : taken.tick(List.of(offeredBy), now)) {
+            for (OutboundChunkRequest ask : taken.tick(List.of(offeredBy), now)) {
                 send.accept(ask.recipient(), ask.request());
             }
         }
--- a/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
@@ -180,9 +180,9 @@
             to.writeNumber(m.nonce());
             to.writeNumber(m.order().ordinal());
             place(to, m.cursor());
-            to.writeBinary(m.sketch() == null ? NONE : m.sketch().toBytes());
+            to.writeBinary(m.sketch().map(SetSketch::toBytes).orElse(NONE));
             PacketCodec.numbers(to, m.entryDigests());
-            layoutOrNone(to, m.placement());
+            layoutOrNone(to, m.placement().orElse(null));
         } else if (message instanceof ReplicationMessage.RangePage m) {
             to.writeNumber(m.epoch());
             to.writeNumber(m.range());
@@ -300,7 +300,7 @@
                             place(in),
                             sketch(in),
                             PacketCodec.numbers(in),
-                            layoutOrNone(in));
+                            Optional.ofNullable(layoutOrNone(in)));
             case 8 ->
                     new ReplicationMessage.RangePage(
                             PacketCodec.number(in),
@@ -358,9 +358,9 @@
         return in.getBinaryValue();
     }
 
-    private static SetSketch sketch(CBORParser in) throws IOException {
+    private static Optional<SetSketch> sketch(CBORParser in) throws IOException {
         byte[] bytes = binary(in);
-        return bytes.length == 0 ? null : SetSketch.fromBytes(bytes);
+        return bytes.length == 0 ? Optional.empty() : Optional.of(SetSketch.fromBytes(bytes));
     }
 
     private static ReplicationMessage.WalkOrder order(CBORParser in) throws IOException {
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -395,9 +395,9 @@
                         schedule.post(
                                 () -> {
                                     if (verdict.kind() == ClaimDecision.Kind.RUN) {
-                                        if (verdict.claimId() != null) {
-                                            claimed.put(inv.id, verdict.claimId());
-                                        }
+                                        verdict.claimId()
+                                                .ifPresent(claim -> claimed.put(inv.id, claim));
+
                                         // Looked at last: whose caller has its answer, or who slept
                                         // meanwhile, begins nothing.
                                         if (!inv.answered()
@@ -410,6 +410,7 @@
                                         callers.succeed(
                                                 inv,
                                                 verdict.outcome()
+                                                        .orElseThrow()
                                                         .result()
                                                         .getBytes(StandardCharsets.ISO_8859_1),
                                                 true);
--- a/src/main/java/ochretiller/operator/OperatorConfigReader.java
+++ b/src/main/java/ochretiller/operator/OperatorConfigReader.java
@@ -13,7 +13,8 @@
 import java.util.Set;
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.membership.ProtocolTiming;
-import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.replication.ClaimMode;
+import ochretiller.fleet.replication.ClaimModeSettings;
 import ochretiller.fleet.service.FleetSettings;
 import ochretiller.fleet.service.ReplicationSettings;
 import ochretiller.fleet.service.RolloutSettings;
@@ -196,17 +197,16 @@
         return operator.pools();
     }
 
-    private static ClaimModes.ClaimModeSettings modes(JsonNode node) {
-        Map<String, ClaimModes.ClaimMode> byOperation = new HashMap<>();
+    private static ClaimModeSettings modes(JsonNode node) {
+        Map<String, ClaimMode> byOperation = new HashMap<>();
         node.path("modes")
                 .properties()
                 .forEach(each -> byOperation.put(each.getKey(), mode(each.getValue().asText())));
-        return new ClaimModes.ClaimModeSettings(
-                mode(node.path("mode").asText("fleet")), byOperation);
+        return new ClaimModeSettings(mode(node.path("mode").asText("fleet")), byOperation);
     }
 
-    private static ClaimModes.ClaimMode mode(String text) {
-        return ClaimModes.ClaimMode.fromExternalName(text);
+    private static ClaimMode mode(String text) {
+        return ClaimMode.fromExternalName(text);
     }
 
     private static PeerAddress fleetAddress(JsonNode node) {
--- /dev/null
+++ b/src/test/java/ochretiller/fleet/replication/ClaimCoordinatorTest.java
@@ -0,0 +1,235 @@
+package ochretiller.fleet.replication;
+
+import static ochretiller.fleet.replication.ReplicationFixture.EPOCH;
+import static ochretiller.fleet.replication.ReplicationFixture.PLACEMENT;
+import static ochretiller.fleet.replication.ReplicationFixture.WINDOW;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import ochretiller.fleet.replication.ReplicationMessage.ClaimVote;
+import org.junit.jupiter.api.Test;
+
+/** What a claiming server decides on each mix of replies. */
+class ClaimCoordinatorTest {
+    private static final String TOKEN = "t";
+
+    private final ClaimId competitor = new ClaimId("t", 1, 1);
+    private final ClaimOutcome outcome = new ClaimOutcome(true, "body", "result");
+    private final Duration now = Duration.ofSeconds(5);
+    private final List<ClaimDecision> decisions = new ArrayList<>();
+    private final ClaimCoordinator coordinator =
+            new ClaimCoordinator("s", 1, PLACEMENT, new SplittableRandom(1));
+
+    private void claim(Duration at) {
+        ClaimIntent intent =
+                new ClaimIntent(TOKEN, "body", false, at.plusSeconds(2), at.plus(WINDOW));
+        coordinator.claim(intent, at, decisions::add);
+    }
+
+    private ClaimId startClaim() {
+        coordinator.takeOutbound();
+        claim(now);
+        OutboundMessage request = coordinator.takeOutbound().get(0);
+        return ((ReplicationMessage.ClaimRequest) request.message()).claimId();
+    }
+
+    private void reply(String replica, ClaimId id, ClaimVote vote) {
+        reply(replica, EPOCH, id, vote, now);
+    }
+
+    private void reply(String replica, long epoch, ClaimId id, ClaimVote vote, Duration at) {
+        coordinator.receive(
+                replica,
+                new ReplicationMessage.ClaimReply(
+                        epoch, TOKEN, id, vote, Optional.empty(), Optional.empty(), 1),
+                at);
+    }
+
+    private void replyHeld(String replica, ClaimId id) {
+        coordinator.receive(
+                replica,
+                new ReplicationMessage.ClaimReply(
+                        EPOCH,
+                        TOKEN,
+                        id,
+                        ClaimVote.HELD,
+                        Optional.of(competitor),
+                        Optional.empty(),
+                        1),
+                now);
+    }
+
+    private void replyCompleted(String replica, ClaimId id, ClaimOutcome known) {
+        coordinator.receive(
+                replica,
+                new ReplicationMessage.ClaimReply(
+                        EPOCH,
+                        TOKEN,
+                        id,
+                        ClaimVote.COMPLETED,
+                        Optional.empty(),
+                        Optional.of(known),
+                        1),
+                now);
+    }
+
+    private void tickFor600Ms() {
+        for (int ms = 0; ms < 600; ms += 20) {
+            coordinator.tick(now.plusMillis(ms));
+        }
+    }
+
+    private ClaimDecision.Kind onlyDecision() {
+        assertThat(decisions).hasSize(1);
+        return decisions.get(0).kind();
+    }
+
+    @Test
+    void majorityOfGrantsRuns() {
+        ClaimId id = startClaim();
+        reply("a", id, ClaimVote.GRANTED);
+        assertThat(decisions).isEmpty();
+        reply("a", id, ClaimVote.GRANTED);
+        assertThat(decisions).as("one replica counts once").isEmpty();
+        reply("c", id, ClaimVote.GRANTED);
+        assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.RUN);
+    }
+
+    @Test
+    void grantOfAnotherEpochDoesNotCount() {
+        ClaimId id = startClaim();
+        reply("a", EPOCH - 1, id, ClaimVote.GRANTED, now);
+        reply("b", id, ClaimVote.GRANTED);
+        assertThat(decisions).isEmpty();
+    }
+
+    @Test
+    void oneOutcomeIsEnoughToReplayAndReleasesTheClaim() {
+        ClaimId id = startClaim();
+        replyCompleted("b", id, outcome);
+        assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.REPLAY);
+        assertThat(coordinator.takeOutbound())
+                .as("what it claimed elsewhere is released")
+                .anyMatch(out -> out.message() instanceof ReplicationMessage.ClaimRelease);
+    }
+
+    @Test
+    void anotherRequestsTokenAndAFailedRunAreToldApart() {
+        replyCompleted("b", startClaim(), new ClaimOutcome(true, "other", "result"));
+        replyCompleted("b", startClaim(), new ClaimOutcome(false, "body", ""));
+        assertThat(decisions)
+                .extracting(ClaimDecision::kind)
+                .containsExactly(
+                        ClaimDecision.Kind.FINGERPRINT_MISMATCH,
+                        ClaimDecision.Kind.COMPLETED_WITHOUT_RESULT);
+    }
+
+    @Test
+    void claimWithoutAMajorityIsThrottledAndNeverRuns() {
+        ClaimId id = startClaim();
+        reply("a", id, ClaimVote.GRANTED);
+        tickFor600Ms();
+        assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.THROTTLED);
+        reply("b", id, ClaimVote.GRANTED);
+        assertThat(decisions).as("a grant that comes late").hasSize(1);
+        coordinator.takeOutbound();
+        coordinator.receive("x", new ReplicationMessage.OwnerQuery(TOKEN, id), now);
+        assertThat(coordinator.takeOutbound())
+                .as("asked, it repeats the release")
+                .isNotEmpty()
+                .allMatch(out -> out.message() instanceof ReplicationMessage.ClaimRelease);
+    }
+
+    @Test
+    void unresponsiveReplicasAreProbedAndNotWaitedFor() {
+        startClaim();
+        tickFor600Ms();
+        decisions.clear();
+        coordinator.takeOutbound();
+        Duration later = now.plusSeconds(1);
+        claim(later);
+        claim(later);
+        assertThat(decisions)
+                .as("both are throttled at once")
+                .extracting(ClaimDecision::kind)
+                .containsExactly(ClaimDecision.Kind.THROTTLED, ClaimDecision.Kind.THROTTLED);
+        assertThat(coordinator.takeOutbound())
+                .as("one probe to each replica")
+                .hasSize(3)
+                .allMatch(out -> out.message() instanceof ReplicationMessage.ClaimQuery);
+        ClaimId probe = new ClaimId("s", 1, 1);
+        reply("a", EPOCH, probe, ClaimVote.UNCLAIMED, later);
+        reply("b", EPOCH, probe, ClaimVote.UNCLAIMED, later);
+        decisions.clear();
+        claim(later);
+        assertThat(decisions).as("two of three are back: it is claimed").isEmpty();
+    }
+
+    @Test
+    void serverThatWasPausedDoesNotRunOnAnOldGrant() {
+        ClaimId id = startClaim();
+        reply("a", id, ClaimVote.GRANTED);
+        reply("b", EPOCH, id, ClaimVote.GRANTED, now.plusSeconds(60));
+        assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.THROTTLED);
+    }
+
+    @Test
+    void claimHeldOffByAnotherGivesWayAndQueriesItsOutcome() {
+        ClaimId id = startClaim();
+        replyHeld("a", id);
+        replyHeld("b", id);
+        assertThat(decisions).isEmpty();
+        assertThat(coordinator.takeOutbound())
+                .extracting(out -> out.message().getClass().getSimpleName())
+                .contains("ClaimRelease", "OwnerQuery");
+        coordinator.tick(now.plusMillis(100));
+        ReplicationMessage.ClaimQuery query =
+                coordinator.takeOutbound().stream()
+                        .map(OutboundMessage::message)
+                        .filter(ReplicationMessage.ClaimQuery.class::isInstance)
+                        .map(ReplicationMessage.ClaimQuery.class::cast)
+                        .findFirst()
+                        .orElseThrow();
+        replyCompleted("c", query.claimId(), outcome);
+        assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.REPLAY);
+    }
+
+    @Test
+    void unknownOutcomeIsReportedAsSuchAtTheDeadline() {
+        ClaimId id = startClaim();
+        replyHeld("a", id);
+        replyHeld("b", id);
+        coordinator.tick(now.plusSeconds(2));
+        assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.OUTCOME_UNKNOWN);
+    }
+
+    @Test
+    void answerWaitsForAWriteQuorumOfItsOutcomeUntilTheDeadline() {
+        List<Boolean> stored = new ArrayList<>();
+        ClaimId id = runClaim();
+        coordinator.reportOutcome(completed(id), now, stored::add);
+        coordinator.receive("a", new ReplicationMessage.OutcomeStored(EPOCH, TOKEN, id, 1), now);
+        assertThat(stored).isEmpty();
+        coordinator.receive("c", new ReplicationMessage.OutcomeStored(EPOCH, TOKEN, id, 1), now);
+        assertThat(stored).containsExactly(true);
+        coordinator.reportOutcome(completed(runClaim()), now, stored::add);
+        coordinator.tick(now.plusSeconds(2));
+        assertThat(stored).as("at the deadline, whatever is known").containsExactly(true, false);
+    }
+
+    private ClaimId runClaim() {
+        ClaimId id = startClaim();
+        reply("a", id, ClaimVote.GRANTED);
+        reply("b", id, ClaimVote.GRANTED);
+        return id;
+    }
+
+    private CompletedClaim completed(ClaimId id) {
+        return new CompletedClaim(
+                id, outcome, Optional.empty(), now.plusSeconds(2), now.plus(WINDOW));
+    }
+}
--- /dev/null
+++ b/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
@@ -0,0 +1,38 @@
+package ochretiller.fleet.replication;
+
+import static ochretiller.fleet.replication.ReplicationFixture.WINDOW;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Which operations are claimed, and for how long a server that leaves fleet mode goes on claiming.
+ */
+class ClaimModesTest {
+    private final Duration now = Duration.ofSeconds(5);
+
+    @Test
+    void serverStopsClaimingOnceNobodyCanHoldAPermanentClaim() {
+        ClaimModeSettings settings =
+                new ClaimModeSettings(ClaimMode.SERVER, Map.of("order", ClaimMode.FLEET));
+        ClaimModes modes = new ClaimModes(settings, WINDOW, now);
+        assertThat(modes.requirementFor("order", now)).isEqualTo(ClaimRequirement.REQUIRED);
+        assertThat(modes.requirementFor("other", now))
+                .isEqualTo(ClaimRequirement.REQUIRED_TRANSITIONALLY);
+        assertThat(modes.requirementFor("other", now.plus(WINDOW)))
+                .isEqualTo(ClaimRequirement.NOT_REQUIRED);
+        modes.claimObserved("order", false, now.plusSeconds(15));
+        modes.claimObserved("other", true, now.plusSeconds(15));
+        assertThat(modes.requirementFor("other", now.plus(WINDOW)))
+                .as("an operation that stays in fleet mode, a server that leaves it too")
+                .isEqualTo(ClaimRequirement.NOT_REQUIRED);
+        modes.claimObserved("other", false, now.plusSeconds(15));
+        assertThat(modes.requirementFor("other", now.plus(WINDOW)))
+                .as("another server still claims")
+                .isEqualTo(ClaimRequirement.REQUIRED_TRANSITIONALLY);
+        assertThat(modes.requirementFor("other", now.plusSeconds(15).plus(WINDOW)))
+                .isEqualTo(ClaimRequirement.NOT_REQUIRED);
+    }
+}
--- a/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
@@ -6,144 +6,149 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.random.RandomGenerator;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import org.junit.jupiter.api.Test;
 
-/** Which words leave, and when. */
+/** Which messages leave, and when. */
 class DurabilityBarrierTest {
-    private final DurabilityBarrier commit = new DurabilityBarrier(new SplittableRandom(3));
+    private final DurabilityBarrier barrier = new DurabilityBarrier(new SplittableRandom(3));
+    private final List<OutboundMessage> sent = new ArrayList<>();
     private Duration now = Duration.ofSeconds(1);
 
-    private static Replica.OutboundMessage word(String name) {
-        return new Replica.OutboundMessage(
-                name, new ReplicationMessage.ClaimQuery(1, name, new ClaimId("s", 1, 1)));
+    private static OutboundMessage message(String recipient) {
+        return new OutboundMessage(
+                recipient, new ReplicationMessage.ClaimQuery(1, "x", new ClaimId("s", 1, 1)));
     }
 
-    private List<DurabilityBarrier.PendingWrite> changed(
-            List<String> tokens,
-            boolean place,
-            List<Replica.OutboundMessage> outs,
-            List<Replica.OutboundMessage> said) {
-        return commit.submit(tokens, place, outs, said);
+    /** Submits a change, and records what may be sent at once. */
+    private List<PendingWrite> submit(
+            List<String> tokens, boolean metadata, OutboundMessage... messages) {
+        SubmittedChange change = barrier.submit(tokens, metadata, List.of(messages));
+        sent.addAll(change.sendable());
+        return change.writes();
     }
 
     @Test
-    void aWordLeavesBehindItsChangesAndAllBeforeThem() {
-        List<Replica.OutboundMessage> said = new ArrayList<>();
-        List<DurabilityBarrier.PendingWrite> first =
-                changed(List.of("x", "y"), false, List.of(word("a")), said);
-        List<DurabilityBarrier.PendingWrite> none =
-                changed(List.of(), false, List.of(word("b")), said);
-        assertThat(none).isEmpty();
-        assertThat(said).as("b might tell of x").isEmpty();
-        assertThat(commit.acknowledge(first.get(0), true, now)).isEmpty();
-        assertThat(commit.acknowledge(first.get(1), true, now))
-                .containsExactly(word("a"), word("b"));
-        changed(List.of(), false, List.of(word("c")), said);
-        assertThat(said).as("nothing is under way").containsExactly(word("c"));
+    void messageLeavesAfterItsChangesAndAllBeforeThem() {
+        List<PendingWrite> writes = submit(List.of("x", "y"), false, message("a"));
+        assertThat(submit(List.of(), false, message("b"))).isEmpty();
+        assertThat(sent).as("b might rest on x").isEmpty();
+        assertThat(barrier.acknowledge(writes.get(0), true, now)).isEmpty();
+        assertThat(barrier.acknowledge(writes.get(1), true, now))
+                .containsExactly(message("a"), message("b"));
+        submit(List.of(), false, message("c"));
+        assertThat(sent).as("no write is outstanding").containsExactly(message("c"));
     }
 
     @Test
-    void aPlaceIsWrittenBehindTheEntriesThatItSpeaksOf() {
-        assertThat(changed(List.of("x"), true, List.of(), new ArrayList<>()))
-                .extracting(DurabilityBarrier.PendingWrite::token)
-                .containsExactly("x", null);
+    void metadataIsWrittenAfterTheEntriesItRefersTo() {
+        assertThat(submit(List.of("x"), true))
+                .extracting(PendingWrite::token)
+                .containsExactly(Optional.of("x"), Optional.empty());
     }
 
     @Test
-    void behindAFailureNothingIsSaidUntilAllIsWrittenAnew() {
-        List<Replica.OutboundMessage> said = new ArrayList<>();
-        List<DurabilityBarrier.PendingWrite> first =
-                changed(List.of("x", "y"), false, List.of(word("a")), said);
-        assertThat(commit.acknowledge(first.get(0), false, now)).isEmpty();
-        assertThat(commit.isDegraded()).isTrue();
-        assertThat(changed(List.of("z"), true, List.of(word("b")), said))
-                .as("it waits for the next try")
-                .isEmpty();
-        assertThat(commit.acknowledge(first.get(1), true, now))
-                .as("of before the failure")
+    void nothingIsSentAfterAFailureUntilEverythingIsWrittenAnew() {
+        List<PendingWrite> writes = submit(List.of("x", "y"), false, message("a"));
+        assertThat(barrier.acknowledge(writes.get(0), false, now)).isEmpty();
+        assertThat(barrier.isDegraded()).isTrue();
+        assertThat(submit(List.of("z"), true, message("b"))).as("it waits for the retry").isEmpty();
+        assertThat(barrier.acknowledge(writes.get(1), true, now))
+                .as("a write from before the failure")
                 .isEmpty();
         now = now.plusSeconds(10);
-        List<DurabilityBarrier.PendingWrite> again = commit.retryWrites(now);
-        assertThat(again)
-                .extracting(DurabilityBarrier.PendingWrite::token)
-                .containsExactly("x", "y", "z", null);
-        assertThat(commit.retryWrites(now.plusSeconds(10))).as("one try at a time").isEmpty();
-        for (DurabilityBarrier.PendingWrite each : again) {
-            assertThat(commit.isDegraded()).isTrue();
-            assertThat(commit.acknowledge(each, true, now)).isEmpty();
+        List<PendingWrite> retries = barrier.retryWrites(now);
+        assertThat(retries)
+                .extracting(PendingWrite::token)
+                .containsExactly(
+                        Optional.of("x"), Optional.of("y"), Optional.of("z"), Optional.empty());
+        assertThat(barrier.retryWrites(now.plusSeconds(10))).as("one retry at a time").isEmpty();
+        for (PendingWrite write : retries) {
+            assertThat(barrier.isDegraded()).isTrue();
+            assertThat(barrier.acknowledge(write, true, now)).isEmpty();
         }
-        assertThat(commit.isDegraded()).isFalse();
-        assertThat(said).as("what was not said is lost, as on the way").isEmpty();
-        assertThat(commit.droppedMessages()).isEqualTo(2);
-        changed(List.of(), false, List.of(word("c")), said);
-        assertThat(said).containsExactly(word("c"));
+        assertThat(barrier.isDegraded()).isFalse();
+        assertThat(sent).as("what was not sent is lost, as on the way").isEmpty();
+        assertThat(barrier.droppedMessages()).isEqualTo(2);
+        submit(List.of(), false, message("c"));
+        assertThat(sent).containsExactly(message("c"));
     }
 
-    /**
-     * A keeper on a disk that fails, stalls and loses what was not acknowledged: what it has said
-     * it knows behind each end.
-     */
+    /** A replica on a disk that fails, stalls and loses what was not acknowledged. */
     @Test
-    void whatWasSaidIsOnTheDiskWhateverBecomesOfIt() {
-        int words = 0;
+    void everyGrantThatWasSentIsOnTheDiskWhateverTheDiskDoes() {
+        int grants = 0;
         for (int seed = 0; seed < 300; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
-            ReplicaPlacement layout =
-                    new ReplicaPlacement(
-                            2, List.of(new ReplicaPlacement.ReplicaServer("a", "")), List.of(), 1);
-            Replica keeper =
-                    new Replica(
-                            "a",
-                            new Replica.ReplicaSnapshot(layout, java.util.Map.of()),
-                            layout,
-                            1_000,
-                            Duration.ofMinutes(1),
-                            now);
-            DurabilityBarrier of = new DurabilityBarrier(chance);
-            Set<String> disk = new HashSet<>();
-            List<DurabilityBarrier.PendingWrite> underWay = new ArrayList<>();
-            Set<String> said = new HashSet<>();
-            for (int step = 0; step < 200; step++) {
-                now = now.plusMillis(40);
-                keeper.receive(
-                        "s",
-                        new ReplicationMessage.ClaimRequest(
-                                2,
-                                "t" + chance.nextInt(80),
-                                new ClaimId("s", 1, 1),
-                                "b",
-                                Duration.ofSeconds(50)),
-                        now);
-                List<Replica.OutboundMessage> say = new ArrayList<>();
-                underWay.addAll(
-                        of.submit(
-                                keeper.takeChangedTokens(),
-                                keeper.takeMetadataChanged(),
-                                keeper.takeOutbound(),
-                                say));
-                underWay.addAll(of.retryWrites(now));
-                for (int i = chance.nextInt(4); i > 0 && !underWay.isEmpty(); i--) {
-                    DurabilityBarrier.PendingWrite write = underWay.remove(0);
-                    boolean good = chance.nextInt(60) != 0;
-                    if ((good || chance.nextBoolean()) && write.token() != null) {
-                        disk.add(write.token());
-                    }
-                    say.addAll(of.acknowledge(write, good, now));
-                }
-                for (Replica.OutboundMessage out : say) {
-                    ReplicationMessage.ClaimReply answer =
-                            (ReplicationMessage.ClaimReply) out.message();
-                    if (answer.vote() == ReplicationMessage.ClaimVote.GRANTED) {
-                        said.add(answer.token());
-                    }
-                }
-                assertThat(disk).as("seed " + seed).containsAll(said);
+            grants += grantsOnAFailingDisk(seed);
+        }
+        assertThat(grants).as("it sends what it can").isGreaterThan(5_000);
+    }
+
+    private int grantsOnAFailingDisk(int seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        ReplicaPlacement placement =
+                new ReplicaPlacement(
+                        2, List.of(new ReplicaPlacement.ReplicaServer("a", "")), List.of(), 1);
+        ReplicaLimits limits = ReplicaLimits.ofEntries(1_000, Duration.ofMinutes(1));
+        Replica replica =
+                Replica.recover("a", new ReplicaSnapshot(placement, Map.of()), limits, now);
+        DurabilityBarrier ownBarrier = new DurabilityBarrier(random);
+        Set<String> disk = new HashSet<>();
+        List<PendingWrite> outstanding = new ArrayList<>();
+        Set<String> granted = new HashSet<>();
+        for (int step = 0; step < 200; step++) {
+            now = now.plusMillis(40);
+            String token = "t" + random.nextInt(80);
+            ClaimId id = new ClaimId("s", 1, 1);
+            replica.receive(
+                    "s",
+                    new ReplicationMessage.ClaimRequest(2, token, id, "b", Duration.ofSeconds(50)),
+                    now);
+            SubmittedChange change =
+                    ownBarrier.submit(
+                            replica.takeChangedTokens(),
+                            replica.takeMetadataChanged(),
+                            replica.takeOutbound());
+            outstanding.addAll(change.writes());
+            outstanding.addAll(ownBarrier.retryWrites(now));
+            List<OutboundMessage> sendable = new ArrayList<>(change.sendable());
+            sendable.addAll(acknowledgeSome(ownBarrier, outstanding, disk, random));
+            granted.addAll(grantedTokens(sendable));
+            assertThat(disk).as("seed " + seed).containsAll(granted);
+        }
+        return granted.size();
+    }
+
+    private List<OutboundMessage> acknowledgeSome(
+            DurabilityBarrier ownBarrier,
+            List<PendingWrite> outstanding,
+            Set<String> disk,
+            RandomGenerator random) {
+        List<OutboundMessage> sendable = new ArrayList<>();
+        for (int i = random.nextInt(4); i > 0 && !outstanding.isEmpty(); i--) {
+            PendingWrite write = outstanding.remove(0);
+            boolean durable = random.nextInt(60) != 0;
+            if ((durable || random.nextBoolean()) && write.token().isPresent()) {
+                disk.add(write.token().get());
+            }
+            sendable.addAll(ownBarrier.acknowledge(write, durable, now));
+        }
+        return sendable;
+    }
+
+    private static Set<String> grantedTokens(List<OutboundMessage> messages) {
+        Set<String> tokens = new HashSet<>();
+        for (OutboundMessage out : messages) {
+            ReplicationMessage.ClaimReply reply = (ReplicationMessage.ClaimReply) out.message();
+            if (reply.vote() == ReplicationMessage.ClaimVote.GRANTED) {
+                tokens.add(reply.token());
             }
-            words += said.size();
         }
-        assertThat(words).as("it says what it can").isGreaterThan(5_000);
+        return tokens;
     }
 }
--- /dev/null
+++ b/src/test/java/ochretiller/fleet/replication/ReplicationFixture.java
@@ -0,0 +1,22 @@
+package ochretiller.fleet.replication;
+
+import java.time.Duration;
+import java.util.List;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+
+/**
+ * What the tests of this package share: three servers in three zones that replicate every range.
+ */
+final class ReplicationFixture {
+    static final Duration WINDOW = Duration.ofSeconds(20);
+    static final List<ReplicaPlacement.ReplicaServer> THREE_SERVERS =
+            List.of(
+                    new ReplicaPlacement.ReplicaServer("a", "1"),
+                    new ReplicaPlacement.ReplicaServer("b", "2"),
+                    new ReplicaPlacement.ReplicaServer("c", "3"));
+    static final long EPOCH = 3;
+    static final ReplicaPlacement PLACEMENT =
+            new ReplicaPlacement(EPOCH, THREE_SERVERS, THREE_SERVERS, 3);
+
+    private ReplicationFixture() {}
+}
--- a/src/test/java/ochretiller/fleet/replication/SetSketchTest.java
+++ b/src/test/java/ochretiller/fleet/replication/SetSketchTest.java
@@ -8,16 +8,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What two sketches tell of what their sets differ in. */
+/** What two sketches tell about the difference of their sets. */
 class SetSketchTest {
-    private final SplittableRandom chance = new SplittableRandom(7);
+    private final SplittableRandom random = new SplittableRandom(7);
 
-    private Set<Long> marks(int count) {
-        Set<Long> all = new HashSet<>();
-        while (all.size() < count) {
-            all.add(chance.nextLong());
+    private Set<Long> randomKeys(int count) {
+        Set<Long> keys = new HashSet<>();
+        while (keys.size() < count) {
+            keys.add(random.nextLong());
         }
-        return all;
+        return keys;
     }
 
     private static SetSketch sketch(int cells, Set<Long> first, Set<Long> second) {
@@ -28,43 +28,44 @@
     }
 
     @Test
-    void whatDiffersComesOutWholeOrNotAtAll() {
-        int told = 0;
+    void differenceIsDecodedCompletelyOrNotAtAll() {
+        int decoded = 0;
         for (int i = 0; i < 400; i++) {
-            Set<Long> both = marks(chance.nextInt(2_000));
-            Set<Long> mine = marks(chance.nextInt(60));
-            Set<Long> theirs = marks(chance.nextInt(60));
-            SetSketch here = sketch(192, both, mine);
-            SetSketch there = SetSketch.fromBytes(sketch(192, both, theirs).toBytes());
-            Optional<SetSketch.SetDifference> difference = here.subtract(there);
+            Set<Long> common = randomKeys(random.nextInt(2_000));
+            Set<Long> onlyHere = randomKeys(random.nextInt(60));
+            Set<Long> onlyThere = randomKeys(random.nextInt(60));
+            SetSketch here = sketch(192, common, onlyHere);
+            SetSketch there = SetSketch.fromBytes(sketch(192, common, onlyThere).toBytes());
+            Optional<SetDifference> difference = here.subtract(there);
             if (difference.isEmpty()) {
                 continue;
             }
-            told++;
-            assertThat(difference.get()).isEqualTo(new SetSketch.SetDifference(mine, theirs));
+            decoded++;
+            assertThat(difference.get()).isEqualTo(new SetDifference(onlyHere, onlyThere));
         }
-        assertThat(told)
-                .as("two thirds of a mark for each cell are told nearly always")
+        assertThat(decoded)
+                .as("two thirds of a key for each cell are decoded nearly always")
                 .isGreaterThan(380);
     }
 
     @Test
-    void tooMuchTellsNothingAndEqualOnesTellThatTheyAre() {
-        assertThat(sketch(24, marks(200), Set.of()).subtract(sketch(24, marks(200), Set.of())))
-                .isEmpty();
-        Set<Long> same = marks(5_000);
+    void tooLargeADifferenceIsNotDecodedAndEqualSetsAreRecognised() {
+        SetSketch one = sketch(24, randomKeys(200), Set.of());
+        SetSketch other = sketch(24, randomKeys(200), Set.of());
+        assertThat(one.subtract(other)).isEmpty();
+        Set<Long> same = randomKeys(5_000);
         assertThat(sketch(24, same, Set.of()).subtract(sketch(24, same, Set.of())))
-                .contains(new SetSketch.SetDifference(Set.of(), Set.of()));
+                .contains(new SetDifference(Set.of(), Set.of()));
         assertThat(sketch(24, same, Set.of()).subtract(sketch(48, same, Set.of())))
                 .as("of another size")
                 .isEmpty();
     }
 
     @Test
-    void sketchesOfAnybodysMakingEnd() {
+    void decodingAForgedSketchEnds() {
         for (int i = 0; i < 2_000; i++) {
             byte[] bytes = new byte[24 * SetSketch.CELL_BYTES];
-            chance.nextBytes(bytes);
+            random.nextBytes(bytes);
             assertThat(SetSketch.fromBytes(bytes).subtract(new SetSketch(24))).isEmpty();
         }
     }
--- /dev/null
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
@@ -0,0 +1,55 @@
+package ochretiller.fleet.rollout;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutState;
+
+/**
+ * What the tests of this package share: two versions, and fleets in which the second is rolled out.
+ */
+final class RolloutFixture {
+    static final RolloutState.PublishedVersion ONE =
+            new RolloutState.PublishedVersion(1, "a".repeat(64), 10, "", "ann", "first");
+    static final RolloutState.PublishedVersion TWO =
+            new RolloutState.PublishedVersion(2, "b".repeat(64), 10, "", "ann", "second");
+
+    private RolloutFixture() {}
+
+    /** A fleet of servers m1, m2 and so on, in three zones. */
+    static ReplicaPlacement fleet(int size, RolloutState rollout) {
+        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        for (int i = 1; i <= size; i++) {
+            servers.add(new ReplicaPlacement.ReplicaServer("m" + i, "z" + i % 3));
+        }
+        return new ReplicaPlacement(5, servers, servers, 3, rollout);
+    }
+
+    /** The rollout of the second version at this stage. */
+    static RolloutState second(int stage) {
+        return new RolloutState(TWO, ONE, stage, RolloutState.Phase.RUNNING);
+    }
+
+    static Set<String> names(ReplicaPlacement placement) {
+        Set<String> names = new TreeSet<>();
+        placement.servers().forEach(server -> names.add(server.name()));
+        return names;
+    }
+
+    static VersionReport running(
+            RolloutState.PublishedVersion version,
+            VersionCounters candidate,
+            VersionCounters baseline) {
+        return new VersionReport(version.number(), version.hash(), 0, "", 2, candidate, baseline);
+    }
+
+    static VersionReport running(RolloutState.PublishedVersion version) {
+        return running(version, VersionCounters.ZERO, VersionCounters.ZERO);
+    }
+
+    static VersionCounters counters(long answered, long errored) {
+        return new VersionCounters(answered, 0, errored, 0, answered - errored, answered);
+    }
+}
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.UUID;
@@ -18,9 +19,11 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
-import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.PendingWrite;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaLimits;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.golden.GoldenFile;
 import ochretiller.store.AppendResult;
 import ochretiller.store.BootClock;
@@ -72,13 +75,13 @@
                 NOW.plus(LEFT));
     }
 
-    private static Replica.ReplicaSnapshot before(Set<Integer> forgot) {
-        return new Replica.ReplicaSnapshot(
-                LAYOUT, Map.of(), Set.of(3), forgot, Set.of(7), 41, false);
+    private static ReplicaSnapshot before(Set<Integer> forgot) {
+        return new ReplicaSnapshot(LAYOUT, Map.of(), Set.of(3), forgot, Set.of(7), 41, false);
     }
 
     private static Replica keeper(Set<Integer> forgot) {
-        Replica keeper = new Replica("a", before(forgot), LAYOUT, 100, LONGEST, NOW);
+        Replica keeper =
+                Replica.recover("a", before(forgot), ReplicaLimits.ofEntries(100, LONGEST), NOW);
         keeper.restore(TOKEN, entry());
         return keeper;
     }
@@ -95,8 +98,8 @@
         try (Store store = open()) {
             store.start();
             ReplicaStorage keeperDisk = new ReplicaStorage(store, LONGEST);
-            DurabilityBarrier.PendingWrite place = new DurabilityBarrier.PendingWrite(0, 1, null);
-            DurabilityBarrier.PendingWrite entry = new DurabilityBarrier.PendingWrite(0, 2, TOKEN);
+            PendingWrite place = new PendingWrite(0, 1, Optional.empty());
+            PendingWrite entry = new PendingWrite(0, 2, Optional.of(TOKEN));
             durable(then -> keeperDisk.write(place, keeper, PLACE, NOW, then));
             durable(then -> keeperDisk.write(entry, keeper, PLACE, NOW, then));
             durable(then -> keeperDisk.keep(TOKEN, ID, RESULT, NOW.plus(LEFT), NOW, then));
@@ -147,7 +150,7 @@
             assertThat(keeperDisk.read(NOW))
                     .isEqualTo(
                             new ReplicaStorage.Found(
-                                    new Replica.ReplicaSnapshot(
+                                    new ReplicaSnapshot(
                                             LAYOUT, entries, Set.of(3), forgot, Set.of(7), 42,
                                             true),
                                     entries,
--- a/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
@@ -214,9 +214,9 @@
                         3,
                         ReplicationMessage.WalkOrder.LATEST_EXPIRY,
                         new ReplicationMessage.RangeCursor(Long.MAX_VALUE, ""),
-                        null,
+                        Optional.empty(),
                         List.of(7L, -7L),
-                        layout));
+                        Optional.of(layout)));
         byte[] cells = new byte[42];
         for (int i = 0; i < cells.length; i++) {
             cells[i] = (byte) (i * 7);
@@ -229,9 +229,9 @@
                         3,
                         ReplicationMessage.WalkOrder.TOKEN_NAME,
                         new ReplicationMessage.RangeCursor(-5, "x"),
-                        SetSketch.fromBytes(cells),
+                        Optional.of(SetSketch.fromBytes(cells)),
                         List.of(),
-                        null));
+                        Optional.empty()));
         all.put(
                 "40-page",
                 new ReplicationMessage.RangePage(
--- a/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
+++ b/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
@@ -159,18 +159,18 @@
                         3,
                         ReplicationMessage.WalkOrder.LATEST_EXPIRY,
                         new ReplicationMessage.RangeCursor(Long.MAX_VALUE, ""),
-                        null,
+                        Optional.empty(),
                         List.of(7L, -7L),
-                        layout),
+                        Optional.of(layout)),
                 new ReplicationMessage.RangeRequest(
                         4,
                         255,
                         3,
                         ReplicationMessage.WalkOrder.TOKEN_NAME,
                         new ReplicationMessage.RangeCursor(-5, "x"),
-                        SetSketch.fromBytes(new byte[42]),
+                        Optional.of(SetSketch.fromBytes(new byte[42])),
                         List.of(),
-                        null),
+                        Optional.empty()),
                 new ReplicationMessage.RangePage(
                         4,
                         0,
@@ -256,9 +256,9 @@
                                     Long.MAX_VALUE,
                                     ReplicationMessage.WalkOrder.TOKEN_NAME,
                                     new ReplicationMessage.RangeCursor(-5, "x".repeat(200)),
-                                    SetSketch.fromBytes(new byte[24 * 14]),
+                                    Optional.of(SetSketch.fromBytes(new byte[24 * 14])),
                                     List.of(),
-                                    layout),
+                                    Optional.of(layout)),
                             Long.MAX_VALUE);
             assertThat(codec.open(bytes, bytes.length).body()).isNotNull();
         }
--- a/src/test/java/ochretiller/golden/ExternalNamesTest.java
+++ b/src/test/java/ochretiller/golden/ExternalNamesTest.java
@@ -7,7 +7,7 @@
 import ochretiller.audit.FleetTimeline;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.MemberState;
-import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.replication.ClaimMode;
 import ochretiller.fleet.transport.RejectReason;
 import ochretiller.idempotency.durable.DurabilityPolicy;
 import ochretiller.idempotency.durable.IdempotencyRecord;
@@ -86,13 +86,11 @@
 
     @Test
     void modesOfOperationsKeepTheirWordsBothWays() {
-        assertThat(Stream.of(ClaimModes.ClaimMode.values()).map(ClaimModes.ClaimMode::externalName))
+        assertThat(Stream.of(ClaimMode.values()).map(ClaimMode::externalName))
                 .containsExactly("fleet", "server");
-        assertThat(ClaimModes.ClaimMode.fromExternalName("fleet"))
-                .isSameAs(ClaimModes.ClaimMode.values()[0]);
-        assertThat(ClaimModes.ClaimMode.fromExternalName("server"))
-                .isSameAs(ClaimModes.ClaimMode.values()[1]);
-        assertThatThrownBy(() -> ClaimModes.ClaimMode.fromExternalName("other"))
+        assertThat(ClaimMode.fromExternalName("fleet")).isSameAs(ClaimMode.values()[0]);
+        assertThat(ClaimMode.fromExternalName("server")).isSameAs(ClaimMode.values()[1]);
+        assertThatThrownBy(() -> ClaimMode.fromExternalName("other"))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -18,8 +18,11 @@
 import ochretiller.fleet.membership.PeerAddress;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.OutboundMessage;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaLimits;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.fleet.replication.ReplicationMessage;
 import ochretiller.fleet.transport.FleetKeys;
 import ochretiller.fleet.transport.PacketCodec;
@@ -74,12 +77,10 @@
     }
 
     private Replica keeper(String name, Map<String, ReplicaEntry> entries) {
-        return new Replica(
+        return Replica.recover(
                 name,
-                new Replica.ReplicaSnapshot(LAYOUT, entries),
-                LAYOUT,
-                new Replica.ReplicaLimits(10_000_000, Long.MAX_VALUE, FREE, WINDOW),
-                0,
+                new ReplicaSnapshot(LAYOUT, entries),
+                new ReplicaLimits(10_000_000, Long.MAX_VALUE, FREE, WINDOW),
                 Duration.ZERO);
     }
 
@@ -133,7 +134,7 @@
                         1));
     }
 
-    private record Sent(String from, Replica.OutboundMessage out) {}
+    private record Sent(String from, OutboundMessage out) {}
 
     /** Until nothing more is said; the asker has to have all by then. */
     private void exchange(Map<String, Replica> keepers, Replica asker, int size) {
@@ -148,7 +149,7 @@
             beats++;
             asker.tick(now);
             int said = 0;
-            for (Replica.OutboundMessage out : asker.takeOutbound()) {
+            for (OutboundMessage out : asker.takeOutbound()) {
                 underWay.add(new Sent("a", out));
             }
             while (!underWay.isEmpty()) {
@@ -158,14 +159,15 @@
                 bytes += sealed(sent.out.message());
                 Replica to = keepers.get(sent.out.recipient());
                 to.receive(sent.from, sent.out.message(), now);
-                for (Replica.OutboundMessage back : to.takeOutbound()) {
+                for (OutboundMessage back : to.takeOutbound()) {
                     underWay.add(new Sent(sent.out.recipient(), back));
                 }
             }
             quiet = said == 0 ? quiet + 1 : 0;
         }
-        if (asker.entryCount() != size) {
-            throw new IllegalStateException("it has " + asker.entryCount() + " of " + size);
+        if (asker.statistics().entries() != size) {
+            throw new IllegalStateException(
+                    "it has " + asker.statistics().entries() + " of " + size);
         }
     }
 
@@ -206,7 +208,7 @@
                 table.row(
                         count,
                         String.format(Locale.ROOT, "%.4f", lacks),
-                        a.fetchedEntries(),
+                        a.statistics().receivedEntries(),
                         missing == 0 ? 0.0 : missing / seconds,
                         packets,
                         bytes,
