--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -61,8 +61,12 @@
     private Store open() throws IOException {
         return Store.open(
                 disk,
-                StoreLimits.of(100, 1 << 20, LONGEST),
-                new BootClock(new UUID(1, 2), () -> 5_000),
+                StoreLimits.builder()
+                        .maxEntries(100)
+                        .maxBytes(1 << 20)
+                        .maxRecordLife(LONGEST)
+                        .build(),
+                new BootClock(Optional.of(new UUID(1, 2)), () -> 5_000),
                 Runnable::run);
     }
 
@@ -93,6 +97,7 @@
     }
 
     /** Writes a place, an entry and a long result; their keys and values as the store has them. */
+    @SuppressWarnings("ArrayAsKeyOfSetOrMap") // a list of pairs in order; no key is looked up
     private Map<byte[], byte[]> written(Set<Integer> forgot) throws Exception {
         Replica keeper = keeper(forgot);
         try (Store store = open()) {
@@ -132,7 +137,6 @@
                 new byte[0],
                 RECORDS.bytes(name + "-value"),
                 store.nowMillis() + lives.toMillis(),
-                false,
                 acked::complete);
         assertThat(acked.get(10, TimeUnit.SECONDS)).isEqualTo(AppendResult.DURABLE);
     }
