--- a/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -1,5 +1,6 @@
 package ochretiller.fleet.rollout;
 
+import ochretiller.fleet.consensus.PublishedVersion;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,7 +9,6 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import ochretiller.fleet.consensus.ReplicaPlacement;
-import ochretiller.fleet.consensus.RolloutState;
 
 /**
  * The acceptor's side of leases: renews those of servers that run the version that is committed for
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -1,5 +1,7 @@
 package ochretiller.fleet.rollout;
 
+import ochretiller.fleet.consensus.RolloutPhase;
+import ochretiller.fleet.consensus.PublishedVersion;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
@@ -1,5 +1,7 @@
 package ochretiller.fleet.rollout;
 
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.PublishedVersion;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -58,7 +60,7 @@
 
     private static Set<String> earlyServers(ReplicaPlacement placement) {
         RolloutState rollout = placement.rollout();
-        List<ReplicaPlacement.ReplicaServer> order =
+        List<ReplicaServer> order =
                 inDrawnOrder(placement, rollout.target().number());
         Set<String> early = new HashSet<>();
         if (order.isEmpty()) {
@@ -75,20 +77,20 @@
         return early;
     }
 
-    private static List<ReplicaPlacement.ReplicaServer> inDrawnOrder(
+    private static List<ReplicaServer> inDrawnOrder(
             ReplicaPlacement placement, long version) {
-        List<ReplicaPlacement.ReplicaServer> order = new ArrayList<>(placement.servers());
+        List<ReplicaServer> order = new ArrayList<>(placement.servers());
         order.sort(
                 Comparator.comparingLong(
-                                (ReplicaPlacement.ReplicaServer server) ->
+                                (ReplicaServer server) ->
                                         draw(version, server.name()))
-                        .thenComparing(ReplicaPlacement.ReplicaServer::name));
+                        .thenComparing(ReplicaServer::name));
         return order;
     }
 
-    private static Set<String> partOfEachZone(List<ReplicaPlacement.ReplicaServer> order) {
+    private static Set<String> partOfEachZone(List<ReplicaServer> order) {
         Map<String, List<String>> zones = new TreeMap<>();
-        for (ReplicaPlacement.ReplicaServer server : order) {
+        for (ReplicaServer server : order) {
             zones.computeIfAbsent(server.zone(), ignored -> new ArrayList<>()).add(server.name());
         }
         Set<String> part = new HashSet<>();
@@ -99,9 +101,9 @@
     }
 
     /** Small zones contribute nothing of their own and are drawn from together. */
-    private static void fillUp(Set<String> early, List<ReplicaPlacement.ReplicaServer> order) {
+    private static void fillUp(Set<String> early, List<ReplicaServer> order) {
         int least = (order.size() + PARTIAL_STAGE_DIVISOR - 1) / PARTIAL_STAGE_DIVISOR;
-        for (ReplicaPlacement.ReplicaServer server : order) {
+        for (ReplicaServer server : order) {
             if (early.size() < least) {
                 early.add(server.name());
             }
--- a/src/main/java/ochretiller/fleet/rollout/VersionReport.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionReport.java
@@ -1,6 +1,6 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 
 /**
  * What a server reports to the acceptors about the version it runs.
--- a/src/main/java/ochretiller/node/FleetRunClaims.java
+++ b/src/main/java/ochretiller/node/FleetRunClaims.java
@@ -58,7 +58,7 @@
             case REPLAY ->
                     connections.succeed(
                             attempt,
-                            decision.outcome().result().getBytes(StandardCharsets.ISO_8859_1),
+                            decision.outcome().orElseThrow().result().getBytes(StandardCharsets.ISO_8859_1),
                             true);
             case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.OTHER_BODY);
             case COMPLETED_WITHOUT_RESULT -> connections.fail(attempt, FailureReason.FAILED);
@@ -71,9 +71,7 @@
     }
 
     private void onGranted(RequestAttempt attempt, ClaimDecision decision, ClaimListener listener) {
-        if (decision.claimId() != null) {
-            granted.put(attempt.id, decision.claimId());
-        }
+        decision.claimId().ifPresent(claim -> granted.put(attempt.id, claim));
         // The decision may have come late: a run is not started for a client that has its answer or
         // waits no longer.
         if (!attempt.answered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
--- a/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import ochretiller.fleet.consensus.ReplicaServer;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -93,7 +94,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         ReplicaPlacement placement =
                 new ReplicaPlacement(
-                        2, List.of(new ReplicaPlacement.ReplicaServer("a", "")), List.of(), 1);
+                        2, List.of(new ReplicaServer("a", "")), List.of(), 1);
         ReplicaLimits limits = ReplicaLimits.ofEntries(1_000, Duration.ofMinutes(1));
         Replica replica =
                 Replica.recover("a", new ReplicaSnapshot(placement, Map.of()), limits, now);
--- a/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
@@ -5,6 +5,7 @@
 import static ochretiller.fleet.replication.ReplicationFixture.WINDOW;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import ochretiller.fleet.consensus.ReplicaServer;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -132,7 +133,7 @@
 
     @Test
     void newReplicaFetchesItsRangesPageByPageBeforeItsVotesCount() {
-        ReplicaPlacement next = PLACEMENT.with(new ReplicaPlacement.ReplicaServer("d", "4"));
+        ReplicaPlacement next = PLACEMENT.with(new ReplicaServer("d", "4"));
         Replica b = recovered("b", 10_000);
         Replica c = recovered("c", 10_000);
         List<String> tokens = tokensOf("d", next);
--- a/src/test/java/ochretiller/fleet/replication/ReplicationFixture.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicationFixture.java
@@ -1,5 +1,6 @@
 package ochretiller.fleet.replication;
 
+import ochretiller.fleet.consensus.ReplicaServer;
 import java.time.Duration;
 import java.util.List;
 import ochretiller.fleet.consensus.ReplicaPlacement;
@@ -9,11 +10,11 @@
  */
 final class ReplicationFixture {
     static final Duration WINDOW = Duration.ofSeconds(20);
-    static final List<ReplicaPlacement.ReplicaServer> THREE_SERVERS =
+    static final List<ReplicaServer> THREE_SERVERS =
             List.of(
-                    new ReplicaPlacement.ReplicaServer("a", "1"),
-                    new ReplicaPlacement.ReplicaServer("b", "2"),
-                    new ReplicaPlacement.ReplicaServer("c", "3"));
+                    new ReplicaServer("a", "1"),
+                    new ReplicaServer("b", "2"),
+                    new ReplicaServer("c", "3"));
     static final long EPOCH = 3;
     static final ReplicaPlacement PLACEMENT =
             new ReplicaPlacement(EPOCH, THREE_SERVERS, THREE_SERVERS, 3);
--- a/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
@@ -9,6 +9,7 @@
 import static ochretiller.fleet.rollout.RolloutFixture.second;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import ochretiller.fleet.consensus.RolloutPhase;
 import java.time.Duration;
 import java.util.Optional;
 import ochretiller.fleet.consensus.ReplicaPlacement;
--- a/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
@@ -1,5 +1,8 @@
 package ochretiller.fleet.rollout;
 
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
+import ochretiller.fleet.consensus.PublishedVersion;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -20,9 +23,9 @@
 
     /** A fleet of servers m1, m2 and so on, in three zones. */
     static ReplicaPlacement fleet(int size, RolloutState rollout) {
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+        List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 1; i <= size; i++) {
-            servers.add(new ReplicaPlacement.ReplicaServer("m" + i, "z" + i % 3));
+            servers.add(new ReplicaServer("m" + i, "z" + i % 3));
         }
         return new ReplicaPlacement(5, servers, servers, 3, rollout);
     }
