--- a/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
@@ -82,7 +82,7 @@
     private final DurabilityPolicy memory;
     private long appends;
     private final double startedAt;
-    private final AdmissionController choice;
+    private final AdmissionController admission;
     private final IdempotencyCache keys;
     private final CpuModel cores;
     private final Map<InvocationId, RequestAttempt> tries = new HashMap<>();
@@ -118,7 +118,7 @@
         this.disk = disk;
         this.startedAt = events.seconds();
         this.chance = world.seeds.of(name);
-        this.choice = Settings.admissionController(settings, chance.split(), cold);
+        this.admission = Settings.admissionController(settings, chance.split(), cold);
         this.keys =
                 new IdempotencyCache((long) (plan.memoryKb() * 1024 / KEYS_PART), Duration.ZERO);
         this.memory = new DurabilityPolicy(PATIENCE, chance.split());
@@ -131,7 +131,7 @@
                         plan.coldShare(),
                         plan.coldS(),
                         cold);
-        choice.onStarted().execute(this);
+        admission.onStarted().execute(this);
         if (disk != null) {
             restore();
         }
@@ -150,7 +150,8 @@
                     new RestoredAttempt(kept, operation, mark.token(), mark.bodyDigest(), true),
                     until);
             restored.put(kept, succeeded);
-            choice.onEntryRestored(
+            admission
+                    .onEntryRestored(
                             kept,
                             until,
                             succeeded ? RunOutcome.Status.SUCCEEDED : RunOutcome.Status.FAILED)
@@ -259,7 +260,8 @@
         if (forerunner != null) {
             forerunners.put(message.id, forerunner);
         }
-        choice.onInvocationReceived(
+        admission
+                .onInvocationReceived(
                         new Invocation(
                                 message.id,
                                 forerunner,
@@ -286,7 +288,7 @@
         if (open) {
             rules.died(message.id.value());
         }
-        choice.onClientGone(message.id).execute(this);
+        admission.onClientGone(message.id).execute(this);
         settle(message);
     }
 
@@ -347,7 +349,7 @@
         }
         state = State.LEAVING;
         grace = now().plus(span(plan.graceS()));
-        choice.onShutdownNotice(now().plus(span(plan.stopS()))).execute(this);
+        admission.onShutdownNotice(now().plus(span(plan.stopS()))).execute(this);
         events.after(
                 plan.stopS(),
                 () -> {
@@ -495,7 +497,7 @@
                             stopping.put(
                                     message.id,
                                     () -> ended(message, then, at, RunOutcome.Status.STOPPED));
-                            choice.onCallRequested(message.id).execute(this);
+                            admission.onCallRequested(message.id).execute(this);
                             if (message.answered && !message.called) {
                                 stopped(message.id); // nobody wants its call any more
                             }
--- a/src/main/java/ochretiller/admission/AdmissionControllerBuilder.java
+++ b/src/main/java/ochretiller/admission/AdmissionControllerBuilder.java
@@ -7,8 +7,8 @@
 import ochretiller.model.Tenant;
 
 /**
- * The settings of an {@link AdmissionController}, each with a default that bounds nothing. Memory
- * is in kilobytes. Not thread-safe.
+ * The settings of an {@link AdmissionController}. Defaults are those of one warm core without
+ * tenants, advertisement or any limit but the cores. Memory is in kilobytes. Not thread-safe.
  */
 public final class AdmissionControllerBuilder {
     private int cores = 1;
--- a/src/main/java/ochretiller/admission/Dispatcher.java
+++ b/src/main/java/ochretiller/admission/Dispatcher.java
@@ -53,7 +53,7 @@
         return limits.memory().fits(moreKb, state.idempotency().usedKb(now));
     }
 
-    /** Calls of runs in worker pools are made by the workers and are not counted here. */
+    /** Runs in worker pools make no downstream calls through this server. */
     private boolean mayMakeItsCalls(TrackedInvocation tracked, Duration now) {
         return !tracked.site().isLocal()
                 || !tracked.operation().makesCalls()
