--- a/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
@@ -7,38 +7,59 @@
 import java.util.Map;
 
 /**
- * Reads what a worker answers on one connection: one answer, ended by its length or by the end of
- * the connection.
+ * Decodes a worker's answer on one connection: one answer in HTTP's form, which ends with its
+ * content length or with the connection. Bounded; not safe for use by several threads.
  */
 public final class UwsgiResponseDecoder {
     private static final int LONGEST_HEAD = 16 * 1024;
 
+    /** Bytes of the empty line that ends the head, with the line end before it. */
+    private static final int HEAD_END = 4;
+
+    private static final int UNKNOWN = -1;
+
+    /** Characters of {@code HTTP/1.1} and the blank behind it. */
+    private static final int VERSION_CHARS = 9;
+
+    /** Digits of a length that always fits a long. */
+    private static final int MAX_DIGITS = 18;
+
     private final int longestBody;
-    private byte[] all = {};
+    private byte[] buffer = {};
     private int filled;
-    private int looked;
-    private int bodyAt = -1;
-    private int bodyLength = -1;
+
+    /** How many bytes were searched for the end of the head. */
+    private int searched;
+
+    private int bodyAt = UNKNOWN;
+    private int bodyLength = UNKNOWN;
     private int status;
     private Map<String, String> headers;
 
+    /**
+     * A decoder for one connection.
+     *
+     * @param longestBody bytes that a body may have
+     */
     public UwsgiResponseDecoder(int longestBody) {
         this.longestBody = longestBody;
     }
 
     /**
-     * The answer where it is whole, else null; bytes behind its end are a fault, since they are
-     * nobody's.
+     * Takes bytes as they were read.
+     *
+     * @return the answer once it is complete, else null
+     * @throws UwsgiException where the answer is malformed or too long, or is followed by more
      */
     public UwsgiResponse read(byte[] bytes, int from, int to) {
         int most = LONGEST_HEAD + longestBody;
         if (filled + to - from > most) {
             throw new UwsgiException(0, "an answer over " + most + " bytes");
         }
-        if (all.length < filled + to - from) {
-            all = Arrays.copyOf(all, Math.min(most, (filled + to - from) * 2));
+        if (buffer.length < filled + to - from) {
+            buffer = Arrays.copyOf(buffer, Math.min(most, (filled + to - from) * 2));
         }
-        System.arraycopy(bytes, from, all, filled, to - from);
+        System.arraycopy(bytes, from, buffer, filled, to - from);
         filled += to - from;
         if (bodyAt < 0) {
             head();
@@ -52,46 +73,62 @@
         return answer();
     }
 
-    /** The connection has ended: the answer where it is whole by that, else null. */
+    /**
+     * The connection has ended, which completes an answer without a content length.
+     *
+     * @return the answer, or null where it is incomplete
+     */
     public UwsgiResponse ended() {
         return bodyAt >= 0 && bodyLength < 0 ? answer() : null;
     }
 
     private UwsgiResponse answer() {
-        return new UwsgiResponse(status, headers, Arrays.copyOfRange(all, bodyAt, filled));
+        return new UwsgiResponse(status, headers, Arrays.copyOfRange(buffer, bodyAt, filled));
     }
 
     private void head() {
-        int at = Math.max(0, looked - 3);
-        while (at + 4 <= filled
-                && !(all[at] == '\r'
-                        && all[at + 1] == '\n'
-                        && all[at + 2] == '\r'
-                        && all[at + 3] == '\n')) {
-            at++;
-        }
-        looked = filled;
-        if (at + 4 > filled) {
+        int end = findHeadEnd();
+        if (end < 0) {
             if (filled > LONGEST_HEAD) {
                 throw new UwsgiException(0, "headers over " + LONGEST_HEAD + " bytes");
             }
             return;
         }
-        String[] lines = new String(all, 0, at, StandardCharsets.ISO_8859_1).split("\r\n", -1);
-        boolean line = lines[0].startsWith("HTTP/");
-        if (line) {
-            status = status(lines[0].substring(Math.min(lines[0].length(), 9)));
+        parseHead(new String(buffer, 0, end, StandardCharsets.ISO_8859_1).split("\r\n", -1));
+        bodyAt = end + HEAD_END;
+    }
+
+    /** Where the head ends, or {@link #UNKNOWN}. */
+    private int findHeadEnd() {
+        int at = Math.max(0, searched - (HEAD_END - 1));
+        searched = filled;
+        for (; at + HEAD_END <= filled; at++) {
+            if (buffer[at] == '\r'
+                    && buffer[at + 1] == '\n'
+                    && buffer[at + 2] == '\r'
+                    && buffer[at + 3] == '\n') {
+                return at;
+            }
+        }
+        return UNKNOWN;
+    }
+
+    /** Workers send a status line, as in HTTP, or a header {@code Status}, as in CGI. */
+    private void parseHead(String[] lines) {
+        boolean hasStatusLine = lines[0].startsWith("HTTP/");
+        if (hasStatusLine) {
+            status = status(lines[0].substring(Math.min(lines[0].length(), VERSION_CHARS)));
         }
         headers = new LinkedHashMap<>();
-        for (int i = line ? 1 : 0; i < lines.length; i++) {
+        for (int i = hasStatusLine ? 1 : 0; i < lines.length; i++) {
             header(lines[i]);
         }
-        if (!line) {
-            String said = headers.remove("status");
-            if (said == null) {
+        if (!hasStatusLine) {
+            String value = headers.remove("status");
+            if (value == null) {
                 throw new UwsgiException(0, "an answer without a status");
             }
-            status = status(said);
+            status = status(value);
         }
         if (headers.containsKey("transfer-encoding")) {
             throw new UwsgiException(0, "an answer in chunks");
@@ -100,7 +137,6 @@
         if (length != null) {
             bodyLength = length(length);
         }
-        bodyAt = at + 4;
     }
 
     private void header(String line) {
@@ -135,7 +171,7 @@
 
     private int length(String text) {
         if (text.isEmpty()
-                || text.length() > 18
+                || text.length() > MAX_DIGITS
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new UwsgiException(0, "content-length is no length");
         }
--- /dev/null
+++ b/src/main/java/ochretiller/workers/WorkerConnection.java
@@ -0,0 +1,133 @@
+package ochretiller.workers;
+
+import java.util.logging.Logger;
+import ochretiller.net.CloseCode;
+import ochretiller.net.Connection;
+import ochretiller.net.ConnectionHandler;
+import ochretiller.net.Scheduler;
+import ochretiller.uwsgi.UwsgiException;
+import ochretiller.uwsgi.UwsgiRequest;
+import ochretiller.uwsgi.UwsgiResponse;
+import ochretiller.uwsgi.UwsgiResponseDecoder;
+
+/**
+ * One connection to a worker, which carries one request. Belongs to the event loop, except for
+ * {@link #received}.
+ */
+final class WorkerConnection implements ConnectionHandler {
+    private static final Logger LOG = Logger.getLogger(UwsgiRunBackend.class.getName());
+
+    /** As long as a result on the connection to the processor. */
+    private static final int MAX_ANSWER_BYTES = 64 * 1024;
+
+    private final WorkerRun run;
+    private final int attempt;
+    private final Connection connection;
+    private final UwsgiRunBackend backend;
+    private final UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_ANSWER_BYTES);
+    private boolean awaitsLateAnswer;
+
+    /**
+     * A connection that was established. Called on the I/O thread.
+     *
+     * @param attempt the number of the run's attempt that asked for it
+     */
+    WorkerConnection(
+            WorkerRun run,
+            int attempt,
+            Connection connection,
+            UwsgiRunBackend backend,
+            Scheduler schedule) {
+        this.run = run;
+        this.attempt = attempt;
+        this.connection = connection;
+        this.backend = backend;
+        schedule.post(this::opened);
+    }
+
+    private void opened() {
+        if (!connection.open()) {
+            return; // its end is reported next
+        }
+        backend.add(this);
+        run.onConnected(this);
+    }
+
+    int attempt() {
+        return attempt;
+    }
+
+    void write(UwsgiRequest request) {
+        for (byte[] part : request.encode()) {
+            connection.write(part);
+        }
+    }
+
+    /** Keeps the connection of a timed-out run for some time, to count a late answer. */
+    void awaitLateAnswer(Scheduler schedule) {
+        awaitsLateAnswer = true;
+        run.pool().lateListeners++;
+        schedule.after(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
+    }
+
+    /** Closes the connection at once. */
+    void drop(CloseCode code) {
+        if (connection.open()) {
+            connection.drop(code);
+        }
+    }
+
+    @Override
+    public Runnable received(byte[] bytes, int from, int to) {
+        try {
+            UwsgiResponse answer = decoder.read(bytes, from, to);
+            return answer == null ? null : () -> onAnswer(answer);
+        } catch (UwsgiException e) {
+            String fault = e.getMessage();
+            return () -> onMalformedAnswer(fault);
+        }
+    }
+
+    private void onMalformedAnswer(String fault) {
+        if (!connection.open()) {
+            return;
+        }
+        LOG.warning("bad answer from worker " + run.workerName() + ": " + fault);
+        connection.drop(CloseCode.BAD_INPUT);
+    }
+
+    private void onAnswer(UwsgiResponse answer) {
+        if (!connection.open()) {
+            return;
+        }
+        if (!run.isServedBy(this)) {
+            connection.drop(CloseCode.BAD_INPUT); // nothing was asked on this connection
+            return;
+        }
+        run.onAnswer(answer);
+        connection.close(CloseCode.ANSWERED);
+    }
+
+    /** An answer without a length ends with the connection. */
+    @Override
+    public void inputEnded() {
+        UwsgiResponse answer = run.isServedBy(this) ? decoder.ended() : null;
+        if (answer != null) {
+            run.onAnswer(answer);
+        }
+        drop(answer != null ? CloseCode.ANSWERED : CloseCode.PEER_CLOSED);
+    }
+
+    @Override
+    public void ended(CloseCode code) {
+        backend.remove(this);
+        if (awaitsLateAnswer) {
+            run.pool().lateListeners--;
+        }
+        if (run.isServedBy(this)) {
+            run.onDisconnected();
+        } else {
+            run.onNeverStarted(attempt);
+        }
+    }
+}
--- a/src/main/java/ochretiller/workers/WorkerPool.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -14,128 +14,164 @@
 import ochretiller.pools.WorkerId;
 import ochretiller.pools.WorkerSelector;
 
-/** A pool with the addresses of its workers and its figures. */
+/**
+ * A pool of workers with their addresses and its metrics. Belongs to the event loop; metrics are
+ * read by any thread.
+ */
 final class WorkerPool {
-    private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
-
     /**
-     * Connections of runs that were given up on which a late answer is still listened for: enough
-     * to count them by.
+     * How many connections of timed-out runs are kept open to count late answers: enough to tell
+     * whether there are any.
      */
-    static final int MOST_LATE = 16;
+    static final int MAX_LATE_LISTENERS = 16;
 
+    private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
+
+    /** The pool's name in the operators' configuration. */
     final String name;
-    private final WorkerSelector pool;
-    Duration late;
 
-    /** Addresses are kept while a drained worker still has something. */
-    private final Map<WorkerId, InetSocketAddress> addresses = new LinkedHashMap<>();
+    /** Runs that were handed to workers. */
+    final Metrics.Counter runs;
 
-    /** Runs that were let go and have not reached a worker yet. */
-    int expected;
+    /** Runs that were tried on another worker, since the first had not started them. */
+    final Metrics.Counter retriedElsewhere;
 
-    int listening;
-    final Metrics.Counter runs;
-    final Metrics.Counter elsewhere;
-    final Metrics.Counter unbegun;
+    /** Runs that no worker could take. */
+    final Metrics.Counter neverStarted;
+
+    /** Runs that failed, or whose answer was malformed. */
     final Metrics.Counter failed;
-    final Metrics.Counter silent;
+
+    /** Runs without an answer in time. */
+    final Metrics.Counter timedOut;
+
+    /** Answers that came after their run had timed out. */
     final Metrics.Counter lateAnswers;
-    private volatile int places;
 
-    /** What was free then; a hold of one pool asks for each that it holds. */
-    private Duration freeAt;
+    /** How many runs were admitted and are not started yet; each will need a slot. */
+    int expectedRuns;
 
-    private int free;
+    /** How many connections of timed-out runs are open for late answers. */
+    int lateListeners;
 
-    WorkerPool(WorkerPoolConfig plan, SplittableRandom chance, Metrics metrics) {
-        name = plan.name();
-        pool = new WorkerSelector(plan.settings(), chance);
-        String start = "pool_" + name + "_";
-        runs = metrics.counter(start + "runs_total", "Runs that were handed to workers");
-        elsewhere =
+    private final WorkerSelector selector;
+
+    /** Addresses of the configured workers, and of drained ones that have a request in flight. */
+    private final Map<WorkerId, InetSocketAddress> addresses = new LinkedHashMap<>();
+
+    private Duration lateAnswerTime;
+
+    /** For the metrics' thread. */
+    private volatile int capacity;
+
+    /** The free slots at {@link #freeSlotsAt}: they are asked for many times in one round. */
+    private int freeSlots;
+
+    private Optional<Duration> freeSlotsAt = Optional.empty();
+
+    /** An empty pool; {@link #reconfigure} follows. */
+    WorkerPool(WorkerPoolConfig config, SplittableRandom random, Metrics metrics) {
+        name = config.name();
+        lateAnswerTime = config.late();
+        selector = new WorkerSelector(config.settings(), random);
+        String prefix = "pool_" + name + "_";
+        runs = metrics.counter(prefix + "runs_total", "Runs that were handed to workers");
+        retriedElsewhere =
                 metrics.counter(
-                        start + "second_tries_total",
+                        prefix + "second_tries_total",
                         "Runs tried on another worker, the first not having begun");
-        unbegun =
+        neverStarted =
                 metrics.counter(
-                        start + "not_begun_total",
+                        prefix + "not_begun_total",
                         "Runs that no worker could take; they are throttled");
         failed =
                 metrics.counter(
-                        start + "failed_total", "Runs that failed, or whose answer was spoilt");
-        silent = metrics.counter(start + "silent_total", "Runs without an answer in time");
+                        prefix + "failed_total", "Runs that failed, or whose answer was spoilt");
+        timedOut = metrics.counter(prefix + "silent_total", "Runs without an answer in time");
         lateAnswers =
                 metrics.counter(
-                        start + "late_answers_total",
+                        prefix + "late_answers_total",
                         "Answers behind their time, which are ignored");
-        metrics.gauge(start + "places", "Runs that its workers may have at once", () -> places);
+        metrics.gauge(
+                prefix + "places", "Runs that its workers may have at once", () -> capacity);
     }
 
-    void become(WorkerPoolConfig plan, Duration now) {
-        freeAt = null;
-        late = plan.late();
-        pool.become(plan.settings());
+    /** Takes new settings and workers; removed workers finish what they have. */
+    void reconfigure(WorkerPoolConfig config, Duration now) {
+        freeSlotsAt = Optional.empty();
+        lateAnswerTime = config.late();
+        selector.become(config.settings());
         List<WorkerId> ids = new ArrayList<>();
-        for (InetSocketAddress address : plan.workers()) {
+        for (InetSocketAddress address : config.workers()) {
             WorkerId id =
                     new WorkerId(address.getAddress().getHostAddress() + ':' + address.getPort());
             ids.add(id);
             addresses.put(id, address);
         }
-        pool.become(ids, now);
-        addresses.keySet().removeIf(id -> !ids.contains(id) && pool.inFlight(id) == 0);
+        selector.become(ids, now);
+        addresses.keySet().removeIf(id -> !ids.contains(id) && selector.inFlight(id) == 0);
+    }
+
+    /** How long after its deadline the answer of a keyed run is still awaited. */
+    Duration lateAnswerTime() {
+        return lateAnswerTime;
     }
 
-    void seen(WorkerId id, boolean there) {
-        pool.seen(id, there);
+    /** Notes whether the fleet's membership shows a worker as reachable. */
+    void observe(WorkerId id, boolean isReachable) {
+        selector.seen(id, isReachable);
     }
 
-    InetSocketAddress address(WorkerId id) {
+    InetSocketAddress addressOf(WorkerId id) {
         return addresses.get(id);
     }
 
-    int places(Duration now) {
-        return places = pool.places(now);
+    /** How many runs the workers may have at once, as they are now. */
+    int capacity(Duration now) {
+        int current = selector.places(now);
+        capacity = current;
+        return current;
     }
 
-    int free(Duration now) {
-        if (!now.equals(freeAt)) {
-            free = pool.free(now);
-            freeAt = now;
+    /** How many more runs the workers can take; negative where too many were admitted. */
+    int freeSlots(Duration now) {
+        if (!Optional.of(now).equals(freeSlotsAt)) {
+            freeSlots = selector.free(now);
+            freeSlotsAt = Optional.of(now);
         }
-        return free - expected;
+        return freeSlots - expectedRuns;
     }
 
-    /** A worker for a first try, or none. */
+    /** Chooses the worker for a run, which counts as in flight until {@link #requestEnded}. */
     Optional<WorkerId> choose(Duration now) {
-        freeAt = null;
-        return pool.choose(now);
+        freeSlotsAt = Optional.empty();
+        return selector.choose(now);
     }
 
-    /** Another one for a try that is proven not to have begun, or none. */
-    Optional<WorkerId> chooseAgain(WorkerId before, RequestOutcome end, Duration now) {
-        freeAt = null;
-        return pool.chooseAgain(before, end, now);
+    /** Chooses another worker for a run that provably never started on the one before. */
+    Optional<WorkerId> chooseForRetry(WorkerId before, RequestOutcome outcome, Duration now) {
+        freeSlotsAt = Optional.empty();
+        return selector.chooseAgain(before, outcome, now);
     }
 
-    /** A request to a worker is over; what that changes for it leaves a line. */
-    void ended(WorkerId id, RequestOutcome end, Duration took, Duration now) {
-        freeAt = null;
-        boolean in = pool.in(id);
-        pool.ended(id, end, took, now);
-        if (in && !pool.in(id)) {
+    /** A request to a worker is over; logs whether that ejects the worker or readmits it. */
+    void requestEnded(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
+        freeSlotsAt = Optional.empty();
+        boolean wasIn = selector.in(id);
+        selector.ended(id, outcome, elapsed, now);
+        boolean isIn = selector.in(id);
+        if (wasIn && !isIn) {
             LOG.warning(
                     "pool "
                             + name
                             + " leaves out worker "
                             + id
                             + ", last end: "
-                            + end.externalName());
+                            + outcome.externalName());
         }
-        if (!in && pool.in(id)) {
+        if (!wasIn && isIn) {
             LOG.info("pool " + name + " lets worker " + id + " in again");
         }
-        places(now);
+        capacity(now);
     }
 }
--- a/src/main/java/ochretiller/workers/WorkerPoolConfig.java
+++ b/src/main/java/ochretiller/workers/WorkerPoolConfig.java
@@ -6,11 +6,13 @@
 import ochretiller.pools.PoolSettings;
 
 /**
- * One pool as operators want it.
+ * One pool as the operators configure it.
  *
- * @param late how long the answer of a tokened run is still listened for behind its due time
- * @param workers where they listen
- * @param runs what they carry out
+ * @param name the pool's name
+ * @param settings how workers are selected
+ * @param late how long after its deadline the answer of a keyed run is still awaited
+ * @param workers the workers' addresses
+ * @param runs the operations that the pool carries out
  */
 public record WorkerPoolConfig(
         String name,
@@ -18,11 +20,17 @@
         Duration late,
         List<InetSocketAddress> workers,
         List<Target> runs) {
-    /** What a worker is asked for when an operation is to run. */
+    /**
+     * What a worker is asked for when an operation is to run.
+     *
+     * @param operation the operation's name
+     * @param method the HTTP method of the request
+     * @param path the path of the request
+     */
     public record Target(String operation, String method, String path) {}
 
-    /** Connections that this pool may open at once. */
+    /** How many connections this pool may open at once. */
     public long connections() {
-        return (long) settings.mostInFlight() * workers.size() + WorkerPool.MOST_LATE;
+        return (long) settings.mostInFlight() * workers.size() + WorkerPool.MAX_LATE_LISTENERS;
     }
 }
