--- a/src/main/java/ochretiller/pools/PoolSettings.java
+++ b/src/main/java/ochretiller/pools/PoolSettings.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * What a pool may do.
+ * The settings of a pool.
  *
- * @param mostInFlight requests that one worker may have at once
- * @param failuresInRow ends in a row that are not good from which a worker is left out
- * @param badShare share of bad ends among its last ones from which it is left out, too
- * @param leftOut how long it is left out at first; it doubles each time that its probes fail
- * @param mostLeftOut longest time that it is left out
- * @param probes requests that it may have at once while it is being tried, and good ends that let
- *     it in again
- * @param slowStart time over which a fresh one, or one let in again, comes to its full part
- * @param retryShare second tries allowed for each first try
- * @param retryBurst second tries that may be saved up
+ * @param mostInFlight requests that one worker may have in flight
+ * @param failuresInRow consecutive failures that eject a worker
+ * @param badShare ratio of failures among the recent requests, 0 to 1, that ejects a worker, too
+ * @param leftOut how long a worker is ejected at first; doubled each time that its probes fail
+ * @param mostLeftOut how long a worker is ejected at most
+ * @param probes requests that an ejected worker may have in flight as probes, and how many must
+ *     succeed to readmit it
+ * @param slowStart how long a new or readmitted worker takes to reach its full limit; zero for none
+ * @param retryShare retries allowed for each original request
+ * @param retryBurst retries that may be saved up
  */
 public record PoolSettings(
         int mostInFlight,
@@ -26,7 +26,7 @@
         Duration slowStart,
         double retryShare,
         double retryBurst) {
-    /** Fits workers that take tens to hundreds of milliseconds. */
+    /** Defaults, for workers that take tens to hundreds of milliseconds. */
     public static final PoolSettings USUAL =
             new PoolSettings(
                     32,
--- a/src/main/java/ochretiller/pools/RequestOutcome.java
+++ b/src/main/java/ochretiller/pools/RequestOutcome.java
@@ -1,19 +1,16 @@
 package ochretiller.pools;
 
-/** How a request to a worker ended, as far as its pool must know. */
+/** How a request to a worker ended, as far as the choice of workers depends on it. */
 public enum RequestOutcome {
-    /** It answered, whatever the answer said of the request itself. */
+    /** The worker answered, whatever the answer says about the request. */
     ANSWERED("ANSWERED"),
-    /** It answered that it failed, or spoilt its answer: the request may have run. */
+    /** The worker reported a failure, or its answer was malformed: the request may have run. */
     FAILED("FAILED"),
-    /** Nothing came in time: the request may have run. */
+    /** No answer came in time: the request may have run. */
     SILENT("SILENT"),
-    /** Its caller stopped waiting for it before its time was over: it may have run. */
+    /** The request was cancelled before its deadline: it may have run. */
     GIVEN_UP("GIVEN_UP"),
-    /**
-     * The connection was refused, or nothing of the request was written: it is proven not to have
-     * begun.
-     */
+    /** No connection was established, or nothing was written: the request never ran. */
     NEVER_BEGUN("NEVER_BEGUN");
 
     private final String externalName;
@@ -22,16 +19,17 @@
         this.externalName = externalName;
     }
 
-    /** The word by which log lines name it; it stays whatever the constant is called. */
+    /** The word in log lines, which does not follow the name of the constant. */
     public String externalName() {
         return externalName;
     }
 
-    /** Whether the request may be tried elsewhere; one that may have run never is. */
+    /** Whether another worker may get the request, which never ran. */
     public boolean mayGoElsewhere() {
         return this == NEVER_BEGUN;
     }
 
+    /** Whether the worker counts as healthy by this. */
     boolean good() {
         return this == ANSWERED;
     }
--- a/src/main/java/ochretiller/pools/WorkerHealth.java
+++ b/src/main/java/ochretiller/pools/WorkerHealth.java
@@ -7,47 +7,46 @@
 import java.time.Duration;
 import ochretiller.time.SlidingWindow;
 
-/** What a pool knows of one worker. */
+/** What a pool knows of one worker: its state, its latency and its recent failures. */
 final class WorkerHealth {
-    /** How the worker stands with its pool. */
+    /** Whether the worker gets requests. */
     enum State {
+        /** It gets requests. */
         IN,
-        /** It gets nothing until its time is over. */
+        /** It is ejected and gets nothing for a time. */
         OUT,
-        /** It gets a few requests, to see whether it is well again. */
+        /** It gets a few requests as probes. */
         TRIED,
-        /** It ends what it has and gets nothing more. */
+        /** It was removed, and finishes what it has. */
         DRAINED
     }
 
     /**
-     * Ends are looked back at over two seconds: long enough for a share, short enough to forget a
-     * hiccup.
+     * Width of a bucket of the sliding windows. Two seconds in all are enough for a ratio, and
+     * short enough to forget a hiccup.
      */
     static final Duration BUCKET = Duration.ofMillis(250);
 
+    /** Buckets of the sliding windows. */
     static final int BUCKETS = 8;
 
-    /** Time in which what is known of one that gets nothing halves. */
+    /** Half-life of the measured latency of a worker that gets no requests. */
     private static final Duration FORGETS = Duration.ofSeconds(2);
 
-    /** Ends that a share needs to be one. */
+    /** Requests that a failure ratio needs to count. */
     private static final int ENOUGH = 10;
 
-    /** Least part that a fresh worker gets, so that its first requests come at all. */
+    /** Part of the limit with which slow start begins, so that a new worker gets requests. */
     private static final double LEAST_PART = 0.1;
 
-    /**
-     * A worker that was never measured counts as this fast, seconds: as good as a fast one, so that
-     * it is tried.
-     */
+    /** Assumed latency of a worker without measurements, in seconds: low, so that it is tried. */
     private static final double UNKNOWN = 0.001;
 
     final WorkerId id;
     State state = State.IN;
     int inFlight;
 
-    /** A view of the fleet does not see it. An opinion: it counts only while others are left. */
+    /** Whether the fleet's membership shows it as unreachable; it is then used as a last resort. */
     boolean away;
 
     private Duration inSince;
@@ -71,7 +70,7 @@
         return inFlight < most(settings, now);
     }
 
-    /** Requests that it may have at once. */
+    /** How many requests it may have in flight; readmits to probing where its time is over. */
     int most(PoolSettings settings, Duration now) {
         if (state == State.OUT && now.compareTo(outUntil) >= 0) {
             state = State.TRIED;
@@ -84,7 +83,7 @@
         };
     }
 
-    /** Its part of what a worker gets that has long been in, 0 to 1. */
+    /** Its part of the full limit during slow start, 0 to 1. */
     private double part(PoolSettings settings, Duration now) {
         if (settings.slowStart().isZero()) {
             return 1;
@@ -93,28 +92,28 @@
         return Math.min(1, Math.max(LEAST_PART, since));
     }
 
-    /** Time until one more request would be answered, as far as can be told; less is better. */
+    /** Expected time until one more request is answered, in seconds; less is better. */
     double cost(PoolSettings settings, Duration now) {
         return (inFlight + 1)
-                * Math.max(UNKNOWN, took.mean(now, remembered(now)))
+                * Math.max(UNKNOWN, took.mean(now, decayedMean(now)))
                 / part(settings, now);
     }
 
     /**
-     * Without an end of late the last mean counts, for less and less: a slow one is tried again by
-     * a few, not by a burst.
+     * The last mean, which decays while there are no measurements, so that a slow worker is tried
+     * again by a few requests and not by a burst.
      */
-    private double remembered(Duration now) {
+    private double decayedMean(Duration now) {
         return lastMean * Math.pow(0.5, inSeconds(now.minus(lastAt)) / inSeconds(FORGETS));
     }
 
+    /** A request is over; may change the state. */
     void ended(RequestOutcome end, Duration span, PoolSettings settings, Duration now) {
         inFlight--;
         if (end == RequestOutcome.GIVEN_UP) {
-            return; // no word on whether it is well; a probe that ends so makes room for the next
+            return; // says nothing about the worker; a cancelled probe makes room for the next
         }
-        // A failure that comes fast must not make a worker look fast: only what was answered
-        // measures it.
+        // A quick failure must not make the worker look fast.
         if (end.good() || end == RequestOutcome.SILENT) {
             took.add(now, inSeconds(span), 1);
             lastMean = took.mean(now, UNKNOWN);
@@ -123,35 +122,32 @@
         bad.add(now, end.good() ? 0 : 1, 1);
         badInRow = end.good() ? 0 : badInRow + 1;
         if (state == State.TRIED) {
-            tried(end, settings, now);
-        } else if (state == State.IN && sick(settings, now)) {
-            leaveOut(settings, now);
+            onProbeEnded(end, settings, now);
+        } else if (state == State.IN && isFailing(settings, now)) {
+            eject(settings, now);
         }
     }
 
-    private boolean sick(PoolSettings settings, Duration now) {
+    private boolean isFailing(PoolSettings settings, Duration now) {
         return badInRow >= settings.failuresInRow()
                 || bad.weight(now) >= ENOUGH && bad.mean(now, 0) >= settings.badShare();
     }
 
-    private void tried(RequestOutcome end, PoolSettings settings, Duration now) {
+    private void onProbeEnded(RequestOutcome end, PoolSettings settings, Duration now) {
         if (!end.good()) {
             outFor = min(outFor.multipliedBy(2), settings.mostLeftOut());
-            leaveOut(settings, now);
+            eject(settings, now);
         } else if (++goodProbes >= settings.probes()) {
             state = State.IN;
             inSince = now;
             badInRow = 0;
             bad.clear();
-            outFor =
-                    max(
-                            settings.leftOut(),
-                            outFor.dividedBy(
-                                    2)); // one that falls out again soon waits longer again
+            // Not reset at once: a worker that is soon ejected again stays out longer.
+            outFor = max(settings.leftOut(), outFor.dividedBy(2));
         }
     }
 
-    private void leaveOut(PoolSettings settings, Duration now) {
+    private void eject(PoolSettings settings, Duration now) {
         state = State.OUT;
         outUntil = now.plus(outFor);
     }
--- a/src/main/java/ochretiller/pools/WorkerId.java
+++ b/src/main/java/ochretiller/pools/WorkerId.java
@@ -1,9 +1,9 @@
 package ochretiller.pools;
 
 /**
- * Names a worker of a pool.
+ * Identifies a worker of a pool.
  *
- * @param name as operators write it, such as its address
+ * @param name its address and port
  */
 public record WorkerId(String name) {
     @Override
--- a/src/main/java/ochretiller/pools/WorkerSelector.java
+++ b/src/main/java/ochretiller/pools/WorkerSelector.java
@@ -12,18 +12,18 @@
 import ochretiller.time.SlidingWindow;
 
 /**
- * Chooses workers. Of two that chance picks, the one whose next answer is due sooner gets the
- * request: nearly as good as the best of all, and many choosers that know the same do not all run
- * to the same worker.
+ * Chooses workers by the power of two random choices (Mitzenmacher 2001): of two workers that are
+ * drawn at random, the one with the lower expected delay gets the request. That is nearly as good as
+ * the best of all, and servers that know the same do not all choose the same worker.
  */
 public final class WorkerSelector {
-    /** Workers of one pool: more want more than one pool. */
+    /** Most workers of one pool. */
     private static final int MOST = 1_000;
 
-    /** Times the usual time from which a request that was given up counts against its worker. */
+    /** How many usual latencies a cancelled request must have taken to count as a timeout. */
     private static final double FAR = 4;
 
-    /** The usual time, seconds, where nothing was answered of late. */
+    /** The usual latency where nothing was answered recently, in seconds. */
     private static final double UNKNOWN = 0.25;
 
     private PoolSettings settings;
@@ -31,17 +31,22 @@
     private final Map<WorkerId, WorkerHealth> workers = new LinkedHashMap<>();
     private double retries;
 
-    /** How long good answers of all workers take of late. */
+    /** Recent latencies of all workers, in seconds. */
     private final SlidingWindow usual =
             new SlidingWindow(WorkerHealth.BUCKET, WorkerHealth.BUCKETS);
 
+    /**
+     * A pool without workers.
+     *
+     * @param chance random numbers for the choice
+     */
     public WorkerSelector(PoolSettings settings, SplittableRandom chance) {
         this.settings = settings;
         this.chance = chance;
         this.retries = settings.retryBurst();
     }
 
-    /** A new worker, which comes to its full part slowly; one that was drained comes back. */
+    /** Adds a worker with slow start, or takes back one that is drained. */
     public void add(WorkerId id, Duration now) {
         add(id, now, true);
     }
@@ -58,13 +63,13 @@
                 new WorkerHealth(
                         id, fresh ? now : now.minus(settings.slowStart()), settings.leftOut());
         if (known != null) {
-            worker.inFlight = known.inFlight; // what it still has is its own
+            worker.inFlight = known.inFlight;
             worker.away = known.away;
         }
         workers.put(id, worker);
     }
 
-    /** It gets nothing more; it is forgotten once all that it has is over. */
+    /** Removes a worker once its requests in flight are over; it gets no new ones. */
     public void drain(WorkerId id) {
         WorkerHealth worker = workers.get(id);
         if (worker == null) {
@@ -77,8 +82,8 @@
     }
 
     /**
-     * What a view of the fleet says of a worker: one that is not there gets requests only where no
-     * other can.
+     * Notes what the fleet's membership shows of a worker; one that is unreachable gets requests
+     * only where no other worker can.
      */
     public void seen(WorkerId id, boolean there) {
         WorkerHealth worker = workers.get(id);
@@ -87,21 +92,20 @@
         }
     }
 
-    /** Other settings hold from here on; what is in flight stays. */
+    /** Changes the settings; requests in flight are not affected. */
     public void become(PoolSettings next) {
         settings = next;
         retries = Math.min(retries, next.retryBurst());
     }
 
-    /** Brings the pool to this list, as a new configuration has it. */
+    /** Adds and drains workers so that these are left. */
     public void become(List<WorkerId> ids, Duration now) {
         for (WorkerId id : List.copyOf(workers.keySet())) {
             if (!ids.contains(id)) {
                 drain(id);
             }
         }
-        // The first list names workers that have long been there, as far as can be known: only
-        // later ones come slowly.
+        // At the start all workers are assumed to be warm: slow start is for later ones.
         boolean first = workers.isEmpty();
         for (WorkerId id : ids) {
             add(id, now, !first);
@@ -109,8 +113,9 @@
     }
 
     /**
-     * The worker for a first try, or none where all are full, out or drained; it counts as in
-     * flight until {@link #ended}.
+     * Chooses the worker for an original request, which counts as in flight until {@link #ended}.
+     *
+     * @return the worker, or empty where all are full, ejected or drained
      */
     public Optional<WorkerId> choose(Duration now) {
         retries = Math.min(settings.retryBurst(), retries + settings.retryShare());
@@ -118,9 +123,10 @@
     }
 
     /**
-     * Another worker for a request that is proven not to have begun on the one before, or none:
-     * also where the budget of second tries is spent, since at a total failure they would double
-     * the load on whatever comes back.
+     * Chooses another worker for a request that never ran on the one before.
+     *
+     * @return the worker, or empty where there is none or the retry budget is spent: in a total
+     *     failure retries would double the load on the workers that recover
      */
     public Optional<WorkerId> chooseAgain(WorkerId before, RequestOutcome end, Duration now) {
         if (!end.mayGoElsewhere() || retries < 1) {
@@ -140,40 +146,36 @@
                 open.add(worker);
             }
         }
-        // Guards against a view that sees nobody because its own server is cut off: then the
-        // workers' answers alone count.
+        // Where membership shows no worker as reachable, this server may be cut off from the fleet
+        // only: then it is ignored.
         if (open.stream().anyMatch(worker -> !worker.away)) {
             open.removeIf(worker -> worker.away);
         }
         if (open.isEmpty()) {
             return Optional.empty();
         }
-        // One that is being tried has to get its probes, or it would never come back beside faster
-        // ones.
         WorkerHealth chosen =
                 open.stream()
                         .filter(worker -> worker.state == WorkerHealth.State.TRIED)
-                        .findFirst()
-                        .orElse(null);
-        if (chosen == null) {
-            int first = chance.nextInt(open.size());
-            // Two that differ: one that is drawn twice would be chosen however slow it is.
-            int second =
-                    open.size() == 1
-                            ? first
-                            : (first + 1 + chance.nextInt(open.size() - 1)) % open.size();
-            WorkerHealth one = open.get(first);
-            WorkerHealth other = open.get(second);
-            chosen = one.cost(settings, now) <= other.cost(settings, now) ? one : other;
-        }
+                        .findFirst() // or it would never be readmitted beside faster workers
+                        .orElseGet(() -> betterOfTwo(open, now));
         chosen.inFlight++;
         return Optional.of(chosen.id);
     }
 
-    /**
-     * A request to it is over; an answer that comes after its request was given up is not told here
-     * a second time.
-     */
+    private WorkerHealth betterOfTwo(List<WorkerHealth> open, Duration now) {
+        int first = chance.nextInt(open.size());
+        if (open.size() == 1) {
+            return open.get(first);
+        }
+        // Two different workers: one that is drawn twice would be chosen however slow it is.
+        int second = (first + 1 + chance.nextInt(open.size() - 1)) % open.size();
+        WorkerHealth one = open.get(first);
+        WorkerHealth other = open.get(second);
+        return one.cost(settings, now) <= other.cost(settings, now) ? one : other;
+    }
+
+    /** A request is over; called once for each, also where a late answer follows. */
     public void ended(WorkerId id, RequestOutcome end, Duration took, Duration now) {
         WorkerHealth worker = workers.get(id);
         if (worker == null) {
@@ -182,8 +184,8 @@
         if (end == RequestOutcome.ANSWERED) {
             usual.add(now, inSeconds(took), 1);
         }
-        // Given up after far longer than usual it says as much as silence; sooner it says nothing
-        // of its worker.
+        // A request that was cancelled after far longer than usual counts as timed out; one that was
+        // cancelled sooner says nothing about the worker.
         boolean silent =
                 end == RequestOutcome.GIVEN_UP && inSeconds(took) > FAR * usual.mean(now, UNKNOWN);
         worker.ended(silent ? RequestOutcome.SILENT : end, took, settings, now);
@@ -192,7 +194,7 @@
         }
     }
 
-    /** Requests that all workers may have at once, as they are now. */
+    /** How many requests all workers together may have in flight now. */
     public int places(Duration now) {
         int places = 0;
         for (WorkerHealth worker : workers.values()) {
@@ -210,16 +212,17 @@
         return free;
     }
 
-    /** How many of it are in flight, or 0 where it is not known. */
+    /** How many requests a worker has in flight; 0 where it is unknown. */
     public int inFlight(WorkerId id) {
         return workers.containsKey(id) ? workers.get(id).inFlight : 0;
     }
 
-    /** Whether it gets requests as any other does. */
+    /** Whether a worker is known and neither ejected, probing nor drained. */
     public boolean in(WorkerId id) {
         return workers.containsKey(id) && workers.get(id).state == WorkerHealth.State.IN;
     }
 
+    /** How many workers there are, with those that are drained. */
     public int size() {
         return workers.size();
     }
--- a/src/main/java/ochretiller/pools/package-info.java
+++ b/src/main/java/ochretiller/pools/package-info.java
@@ -1,6 +1,11 @@
 /**
- * Decisions on a pool of workers that do the same: which one gets the next request, how many it may
- * have, when it is left out and how it is let in again, and how much may be tried a second time. No
- * sockets, clocks or threads: time and chance are handed in. {@code docs/pools.md} tells why.
+ * Load balancing over a pool of equivalent workers: which worker gets the next request, how many it
+ * may have in flight, when it is ejected and readmitted (outlier detection, slow start), and the
+ * budget of retries.
+ *
+ * <p>{@link ochretiller.pools.WorkerSelector} decides on {@link ochretiller.pools.WorkerHealth}, what
+ * is known of each worker. Pure decisions: no sockets, clocks or threads; time and random numbers
+ * are passed in, and the caller's one thread owns the state. {@code docs/pools.md} gives the
+ * reasons. Neighbours: {@code workers} carries the decisions out, {@code time} has the windows.
  */
 package ochretiller.pools;
--- a/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
@@ -16,31 +16,36 @@
 import ochretiller.net.Connection;
 
 /**
- * One connection of a front end. It has one request by the protocol; further ones that come behind
- * it on the same connection are answered one after another, since an answer bears no name.
+ * One connection of a web server. By the protocol it carries one request; further ones on the same
+ * connection are answered in order, since an answer does not name its request.
  */
 final class UwsgiConnection extends ClientConnection {
-    /** Requests that may wait for the one before them. */
+    /** Requests that may wait for the answer of an earlier one. */
     private static final int MOST_WAITING = 32;
 
     private final UwsgiFrontend front;
     private final UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(UwsgiFrontend.LONGEST_BODY);
-    private final Queue<Item> waiting = new ArrayDeque<>();
+    private final Queue<Input> waiting = new ArrayDeque<>();
 
-    /** On the network's thread: what follows cannot be read any more. */
+    /** Whether the input was malformed, so that nothing more is decoded. I/O thread only. */
     private boolean lost;
 
     private long numbers;
     private boolean answered;
 
-    /** A request, or what is wrong with what stood in its place. */
-    private record Item(UwsgiRequest request, UwsgiException fault) {}
+    /** What was decoded: a request, or what was malformed in its place. */
+    private sealed interface Input {
+        record Valid(UwsgiRequest request) implements Input {}
+
+        record Malformed(UwsgiException fault) implements Input {}
+    }
 
     UwsgiConnection(Connection connection, ClientConnections callers, UwsgiFrontend front) {
         super(connection, callers);
         this.front = front;
     }
 
+    /** The peer's address without its port. */
     String name() {
         String address = connection.peer();
         int colon = address.lastIndexOf(':');
@@ -52,14 +57,14 @@
         if (lost) {
             return null;
         }
-        List<Item> items = new ArrayList<>(1);
+        List<Input> items = new ArrayList<>(1);
         try {
-            decoder.read(bytes, from, to, request -> items.add(new Item(request, null)));
+            decoder.read(bytes, from, to, request -> items.add(new Input.Valid(request)));
         } catch (UwsgiException e) {
             lost = true;
-            items.add(new Item(null, e));
+            items.add(new Input.Malformed(e));
         }
-        return items.isEmpty() ? null : () -> come(items);
+        return items.isEmpty() ? null : () -> enqueue(items);
     }
 
     @Override
@@ -67,7 +72,7 @@
         return decoder.within();
     }
 
-    private void come(List<Item> items) {
+    private void enqueue(List<Input> items) {
         if (!connection.open()) {
             return;
         }
@@ -79,49 +84,45 @@
         }
     }
 
-    /** The next request, once the one before it is answered. */
+    /** Serves waiting requests until one has to be awaited. */
     private void next() {
         while (connection.open() && open().isEmpty() && !waiting.isEmpty()) {
-            Item item = waiting.poll();
-            if (item.fault != null) {
-                fault(item.fault);
+            Input input = waiting.poll();
+            if (input instanceof Input.Malformed malformed) {
+                fault(malformed.fault());
                 return;
             }
-            if (item.request.ping()) {
-                ping();
-                continue;
-            }
-            try {
-                front.invoke(this, item.request, ++numbers);
-            } catch (UwsgiException e) {
-                // It is whole, and what follows can be read: it alone is refused.
-                front.bad(connection.peer(), e);
-                write(
-                        new UwsgiResponse(
-                                e.status,
-                                Map.of("Content-Type", "text/plain"),
-                                text(e.getMessage())));
-                settle();
-            }
+            serve(((Input.Valid) input).request());
         }
     }
 
-    /** What cannot be read ends the connection, with an answer where a request had begun. */
+    private void serve(UwsgiRequest request) {
+        if (request.ping()) {
+            ping();
+            return;
+        }
+        try {
+            front.invoke(this, request, ++numbers);
+        } catch (UwsgiException e) {
+            // The request was complete, so the ones behind it can still be decoded.
+            front.bad(connection.peer(), e);
+            writeText(e.status, e.getMessage());
+            settle();
+        }
+    }
+
+    /** Malformed input ends the connection, with an answer where that is possible. */
     private void fault(UwsgiException fault) {
         front.bad(connection.peer(), fault);
         if (fault.status == 0) {
             connection.drop(CloseCode.BAD_INPUT);
             return;
         }
-        write(
-                new UwsgiResponse(
-                        fault.status,
-                        Map.of("Content-Type", "text/plain"),
-                        text(fault.getMessage())));
+        writeText(fault.status, fault.getMessage());
         connection.close(CloseCode.BAD_INPUT);
     }
 
-    /** A server that is not well leaves a ping without an answer, as one does that is not there. */
+    /** An unhealthy server closes the connection without an answer, as if it were down. */
     private void ping() {
         if (!front.healthy()) {
             connection.drop(CloseCode.ANSWERED);
@@ -137,6 +138,10 @@
         return (message + "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
+    private void writeText(int status, String message) {
+        write(new UwsgiResponse(status, Map.of("Content-Type", "text/plain"), text(message)));
+    }
+
     private void write(UwsgiResponse answer) {
         answered = true;
         connection.write(answer.encode());
@@ -160,9 +165,8 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "text/plain");
         if (!retryIn.isZero()) {
-            headers.put(
-                    "Retry-After",
-                    "" + Math.max(1, (retryIn.toMillis() + 999) / 1000)); // whole seconds by HTTP
+            // HTTP has whole seconds, RFC 9110, section 10.2.3.
+            headers.put("Retry-After", "" + Math.max(1, (retryIn.toMillis() + 999) / 1000));
             headers.put("X-Backoff-Ms", "" + Math.max(1, retryIn.toMillis()));
         }
         if (last) {
@@ -180,7 +184,7 @@
                     case OTHER_BODY -> 422;
                     case IN_FLIGHT, UNKNOWN_END -> 409;
                 };
-        write(new UwsgiResponse(status, Map.of("Content-Type", "text/plain"), text(why.text)));
+        writeText(status, why.text);
     }
 
     @Override
--- a/src/main/java/ochretiller/uwsgi/UwsgiException.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiException.java
@@ -1,17 +1,15 @@
 package ochretiller.uwsgi;
 
-/** What a peer sent does not follow the protocol. */
+/** A peer violated the uwsgi protocol, or sent a request that cannot be served. */
 public final class UwsgiException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /**
-     * What to say where an answer can still be given, in HTTP's terms; 0 where none is owed and the
-     * connection ends.
-     */
+    /** The HTTP status to answer; 0 where no answer is possible and the connection ends. */
     public final int status;
 
+    /** Made without a stack trace: peers can cause these at will, and the trace costs most. */
     UwsgiException(int status, String message) {
-        super(message, null, false, false); // thrown at a peer's will: no trace, which costs most
+        super(message, null, false, false);
         this.status = status;
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
@@ -20,17 +20,18 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The uwsgi front: requests of front ends become tries of the operations that their routes name.
+ * The uwsgi frontend: turns requests of web servers into attempts of the operations that their
+ * routes name. Belongs to the event loop, except for {@link #accepted}.
  */
 public final class UwsgiFrontend {
     private static final Logger LOG = Logger.getLogger(UwsgiFrontend.class.getName());
 
-    /** Longest body, as on the users' own protocol: all fronts feed one processor. */
+    /** Bytes of the longest body, as for the JSON-RPC frontend: both feed one processor. */
     static final int LONGEST_BODY = 2 * 1024;
 
     private static final int LONGEST_KEY = 255;
 
-    /** Hex digits of a token, as on the users' own protocol. */
+    /** Hex digits of an idempotency key on the JSON-RPC frontend. */
     private static final int TOKEN = 32;
 
     private final ClientConnections callers;
@@ -43,13 +44,17 @@
     private final SplittableRandom chance;
 
     /**
-     * The front ends' side.
+     * A frontend that serves each connection passed to {@link #accepted}.
      *
-     * @param callerVar the variable that names who asks
-     * @param timeVar the variable with the Unix milliseconds at which a request came to the
-     *     machine; it may be absent
-     * @param sinceStart turns Unix milliseconds into a span since the start
-     * @param chance for the names that tries bear on the wires below
+     * @param callers the server's connections of clients
+     * @param schedule the event loop
+     * @param routes the operations that requests lead to
+     * @param callerVar the variable that identifies the client
+     * @param timeVar the variable with the time at which a request reached the machine, in Unix
+     *     milliseconds; requests may lack it
+     * @param sinceStart converts Unix milliseconds to the time since the server's start
+     * @param healthy whether pings are answered
+     * @param chance random numbers for request ids
      */
     public UwsgiFrontend(
             ClientConnections callers,
@@ -70,11 +75,16 @@
         this.chance = chance;
     }
 
-    /** On the network's thread: a connection was accepted. */
+    /**
+     * Takes a connection that was accepted. Called on the I/O thread.
+     *
+     * @return the handler of the connection
+     */
     public ConnectionHandler accepted(Connection connection) {
         return callers.accepted(new UwsgiConnection(connection, callers, this));
     }
 
+    /** Runs work in the next round of the event loop. */
     void later(Runnable work) {
         schedule.post(work);
     }
@@ -83,12 +93,17 @@
         return healthy.getAsBoolean();
     }
 
-    /** The first of a connection is told: guards against a log filled at a peer's will. */
+    /** Logs bad input of a peer. */
     void bad(String peer, UwsgiException fault) {
         LOG.info(() -> "bad input from uwsgi " + peer + ": " + fault.getMessage());
     }
 
-    /** Hands a request over as a try; what is wrong with it is a fault with its status. */
+    /**
+     * Turns a request into an attempt.
+     *
+     * @param number the number of the request on its connection
+     * @throws UwsgiException with the HTTP status of the answer, where the request is wrong
+     */
     void invoke(UwsgiConnection peer, UwsgiRequest request, long number) {
         Map<String, String> vars = request.vars();
         String method = vars.getOrDefault("REQUEST_METHOD", "");
@@ -153,9 +168,9 @@
     }
 
     /**
-     * A key that is a token of the users' own protocol is taken as it is, so that the repeat of one
-     * protocol's try is known on the other. Any other key is its caller's own, bound to method and
-     * route as the source says: two callers that pick the same key never see one another's results.
+     * The idempotency key within the server. A key in the form of the JSON-RPC frontend is taken as
+     * it is, so a retry over the other protocol is recognized. Any other key is scoped to client,
+     * method and route: two clients that pick the same key never see each other's results.
      */
     private static String token(String caller, String method, Route route, String key) {
         if (key.length() == TOKEN
@@ -172,10 +187,11 @@
             return MessageDigest.getInstance("SHA-256")
                     .digest(text.getBytes(StandardCharsets.ISO_8859_1));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each Java platform has it
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 
+    /** A request id that no open attempt has. */
     private String rid() {
         String rid;
         do {
--- a/src/main/java/ochretiller/uwsgi/UwsgiRequest.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequest.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 
 /**
- * One request as a front end sent it.
+ * One request.
  *
- * @param vars by name; bytes are kept one char each
- * @param ping it is a ping (modifier 100): it has neither variables nor body, and is answered in
- *     kind
+ * @param vars the variables by name; each char is one byte
+ * @param body the request body
+ * @param ping whether it is a ping (modifier 100), which has neither variables nor a body
  */
 public record UwsgiRequest(Map<String, String> vars, byte[] body, boolean ping) {
-    /** The bytes that ask a worker for this. */
+    /** The bytes to send to a worker: the block of variables, then the body. */
     public byte[][] encode() {
         return new byte[][] {UwsgiVariables.write(vars), body};
     }
--- a/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
@@ -6,27 +6,29 @@
 import ochretiller.text.Slice;
 
 /**
- * Cuts what is read from one connection into requests, in whatever pieces it comes. It holds one
- * request at most: its variables (64 KiB by the protocol) and a body whose length is checked before
- * a byte of it is kept.
+ * Decodes the requests of one connection, however the input is fragmented. It buffers at most one
+ * request: up to 64 KiB of variables, and a body whose length is checked before a byte of it is
+ * kept. Not safe for use by several threads.
  */
 public final class UwsgiRequestDecoder {
     private static final int HEADER = 4;
 
-    /** A request, and a ping; others (spooling, code to run, reloads) are nobody's to send here. */
+    /** Modifier of a request. Other modifiers (spooling, code to run, reloads) are not served. */
     private static final int REQUEST = 0;
 
+    /** Modifier of a ping. */
     private static final int PING = 100;
 
-    /**
-     * Least room that is taken for what comes in pieces, and most that is kept from one request to
-     * the next.
-     */
+    /** Digits of a length that always fits a long. */
+    private static final int MAX_DIGITS = 18;
+
+    /** Least size of the buffer. */
     private static final int FIRST = 512;
 
+    /** Size up to which the buffer is kept for the next request. */
     private static final int LAST = 8 * 1024;
 
-    /** What is being read. */
+    /** The part of a request that is being read. */
     private enum Part {
         HEADER,
         VARS,
@@ -35,23 +37,34 @@
 
     private final int longestBody;
     private Part part = Part.HEADER;
-    private byte[] rest = {};
+    private byte[] buffer = {};
     private int filled;
     private int need = HEADER;
     private Map<String, String> vars;
 
+    /**
+     * A decoder for one connection.
+     *
+     * @param longestBody bytes that a body may have
+     */
     public UwsgiRequestDecoder(int longestBody) {
         this.longestBody = longestBody;
     }
 
-    /** Whether a request has begun and is not whole: an end now cuts it. */
+    /** Whether a request has begun and is not complete. */
     public boolean within() {
         return part != Part.HEADER || filled > 0;
     }
 
     /**
-     * Hands over each request once it is whole. Behind an {@link UwsgiException} the connection has
-     * to end: where the next request begins is not known.
+     * Takes bytes as they were read.
+     *
+     * @param bytes the read buffer, which is not kept
+     * @param from index of the first byte
+     * @param to index after the last byte
+     * @param request told of each request that is complete
+     * @throws UwsgiException where the input is malformed. The connection has to be closed, since
+     *     the beginning of the next request is unknown
      */
     public void read(byte[] bytes, int from, int to, Consumer<UwsgiRequest> request) {
         for (int at = from; at < to; ) {
@@ -59,25 +72,25 @@
             keep(bytes, at, take);
             at += take;
             if (filled == need) {
-                whole(request);
+                partComplete(request);
             }
         }
     }
 
-    /** Room grows with what has come, not with what a length promises. */
+    /** The buffer grows with what was received, not with the length that a peer announces. */
     private void keep(byte[] bytes, int at, int take) {
-        if (rest.length < filled + take) {
-            rest = Arrays.copyOf(rest, Math.max(FIRST, Math.min(need, (filled + take) * 2)));
+        if (buffer.length < filled + take) {
+            buffer = Arrays.copyOf(buffer, Math.max(FIRST, Math.min(need, (filled + take) * 2)));
         }
-        System.arraycopy(bytes, at, rest, filled, take);
+        System.arraycopy(bytes, at, buffer, filled, take);
         filled += take;
     }
 
-    private void whole(Consumer<UwsgiRequest> request) {
+    private void partComplete(Consumer<UwsgiRequest> request) {
         switch (part) {
             case HEADER -> header(request);
             case VARS -> vars(request);
-            case BODY -> end(request, new UwsgiRequest(vars, Arrays.copyOf(rest, filled), false));
+            case BODY -> end(request, new UwsgiRequest(vars, Arrays.copyOf(buffer, filled), false));
             default -> throw new IllegalStateException();
         }
     }
@@ -89,8 +102,8 @@
     }
 
     private void header(Consumer<UwsgiRequest> request) {
-        int modifier = rest[0] & 0xFF;
-        int length = rest[1] & 0xFF | (rest[2] & 0xFF) << 8;
+        int modifier = buffer[0] & 0xFF;
+        int length = buffer[1] & 0xFF | (buffer[2] & 0xFF) << 8;
         if (modifier == PING && length == 0) {
             end(request, new UwsgiRequest(Map.of(), new byte[0], true));
             return;
@@ -105,10 +118,10 @@
     }
 
     private void vars(Consumer<UwsgiRequest> request) {
-        vars = UwsgiVariables.read(new Slice(rest, 0, filled));
+        vars = UwsgiVariables.read(new Slice(buffer, 0, filled));
         next(Part.BODY, bodyLength(vars.get("CONTENT_LENGTH")));
         if (need == 0) {
-            whole(request);
+            partComplete(request);
         }
     }
 
@@ -116,7 +129,7 @@
         if (text == null || text.isEmpty()) {
             return 0;
         }
-        if (text.length() > 18 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (text.length() > MAX_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new UwsgiException(400, "CONTENT_LENGTH is no length");
         }
         long length = Long.parseLong(text);
@@ -129,9 +142,9 @@
     private void end(Consumer<UwsgiRequest> request, UwsgiRequest whole) {
         vars = null;
         next(Part.HEADER, HEADER);
-        if (rest.length > LAST) {
-            rest = new byte[0]; // one long request must not keep its room for as long as the
-            // connection
+        if (buffer.length > LAST) {
+            // One long request must not take its memory for as long as the connection lives.
+            buffer = new byte[0];
         }
         request.accept(whole);
     }
--- a/src/main/java/ochretiller/uwsgi/UwsgiResponse.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponse.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * An answer in HTTP's terms.
+ * An answer in HTTP's form.
  *
- * @param headers by name as written; those that frame the answer are made here and need not be
- *     among them
+ * @param status the HTTP status
+ * @param headers by name as written; those that delimit the answer are added by {@link #encode}
+ * @param body the body's bytes
  */
 public record UwsgiResponse(int status, Map<String, String> headers, byte[] body) {
-    /** The reply to a ping. */
-    static final byte[] PONG = {100, 0, 0, 0};
+    private static final byte[] PONG = {100, 0, 0, 0};
 
     private static final Map<Integer, String> REASONS =
             Map.ofEntries(
@@ -27,13 +27,12 @@
                     Map.entry(503, "Service Unavailable"),
                     Map.entry(504, "Gateway Timeout"));
 
+    /** The bytes of the reply to a ping. */
     public static byte[] pong() {
         return PONG.clone();
     }
 
-    /**
-     * Status line, headers and body; the connection ends behind it, as front ends of uwsgi expect.
-     */
+    /** The bytes of status line, headers and body; the connection is closed after them. */
     public byte[] encode() {
         StringBuilder head =
                 new StringBuilder(128)
@@ -60,7 +59,7 @@
         return out.toByteArray();
     }
 
-    /** Guards against a text of a peer that would end its header and begin another. */
+    /** Removes line ends, with which a text of a peer could begin another header. */
     private static String clean(String text) {
         return text.replaceAll("[\\r\\n\\x00]", " ");
     }
--- a/src/main/java/ochretiller/uwsgi/UwsgiVariables.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiVariables.java
@@ -6,21 +6,23 @@
 import ochretiller.text.Slice;
 
 /**
- * The block of variables: each a name and a value, both with a 16-bit little-endian length before
- * them.
+ * Codec of the block of variables: names and values, each after its length in 16 bits,
+ * little-endian.
  */
 final class UwsgiVariables {
-    /** Longest block, as its length has 16 bits. */
+    /** Bytes of the longest block, whose length has 16 bits. */
     static final int LONGEST = 65_535;
 
-    /**
-     * Variables of one block: guards against a map that costs a hundred times the bytes that fill
-     * it.
-     */
+    /** Most variables of a block: as a map, short ones take a hundred times their bytes. */
     private static final int MOST = 512;
 
     private UwsgiVariables() {}
 
+    /**
+     * Decodes a block without its header.
+     *
+     * @throws UwsgiException where it is malformed
+     */
     static Map<String, String> read(Slice block) {
         Map<String, String> vars = new LinkedHashMap<>();
         byte[] bytes = block.bytes();
@@ -42,8 +44,8 @@
     }
 
     /**
-     * Headers that come more than once are one list; of anything else two differing values are two
-     * requests in one.
+     * Repeated headers are joined into a list, as in HTTP. Any other variable with two values is
+     * ambiguous, which can be an attempt to smuggle a request past a proxy.
      */
     private static void put(Map<String, String> vars, String name, String value) {
         String before = vars.put(name, value);
@@ -68,10 +70,7 @@
         return length;
     }
 
-    /**
-     * Bytes as they are, one char each; those that end lines or texts elsewhere would make two of
-     * one.
-     */
+    /** One char for each byte; control characters could end a line or a text further on. */
     private static String text(byte[] bytes, int from, int length) {
         for (int i = from; i < from + length; i++) {
             if (bytes[i] == 0 || bytes[i] == '\r' || bytes[i] == '\n') {
@@ -81,7 +80,11 @@
         return new String(bytes, from, length, StandardCharsets.ISO_8859_1);
     }
 
-    /** The block with its header of four bytes. */
+    /**
+     * Encodes a block with its header of four bytes.
+     *
+     * @throws UwsgiException where the variables are too long for one block
+     */
     static byte[] write(Map<String, String> vars) {
         int size = 0;
         for (Map.Entry<String, String> each : vars.entrySet()) {
