--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -4,8 +4,8 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
+import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.Ballot;
-import ochretiller.fleet.consensus.EpochConsensus;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.transport.CborReader;
 import ochretiller.fleet.transport.PlacementCodec;
@@ -27,7 +27,7 @@
      * @return nothing if there is no file
      * @throws MalformedException if the file cannot be read: it may hide a promise
      */
-    Optional<EpochConsensus.AcceptorState> read() {
+    Optional<AcceptorState> read() {
         try {
             return sealedFile.read(AcceptorFile::readState);
         } catch (CorruptFileException e) {
@@ -41,23 +41,22 @@
         }
     }
 
-    private static EpochConsensus.AcceptorState readState(CborReader in) throws IOException {
+    private static AcceptorState readState(CborReader in) throws IOException {
         long abstainsThrough = in.readLong();
         Ballot promisedBallot = PlacementCodec.readBallot(in);
         Ballot acceptedBallot = PlacementCodec.readBallot(in);
         ReplicaPlacement committed = PlacementCodec.readPlacement(in);
-        ReplicaPlacement accepted = PlacementCodec.readOptionalPlacement(in);
-        return new EpochConsensus.AcceptorState(
+        Optional<ReplicaPlacement> accepted = PlacementCodec.readOptionalPlacement(in);
+        return new AcceptorState(
                 committed, promisedBallot, acceptedBallot, accepted, abstainsThrough);
     }
 
     /** Writes the state, which is durable once this returns. Not to be called on the event loop. */
-    void write(EpochConsensus.AcceptorState state) throws IOException {
+    void write(AcceptorState state) throws IOException {
         sealedFile.write(out -> writeState(out, state));
     }
 
-    private static void writeState(CBORGenerator out, EpochConsensus.AcceptorState state)
-            throws IOException {
+    private static void writeState(CBORGenerator out, AcceptorState state) throws IOException {
         out.writeNumber(state.abstainsThrough());
         PlacementCodec.writeBallot(out, state.promisedBallot());
         PlacementCodec.writeBallot(out, state.acceptedBallot());
--- a/src/main/java/ochretiller/fleet/service/AdminCommands.java
+++ b/src/main/java/ochretiller/fleet/service/AdminCommands.java
@@ -79,11 +79,8 @@
                 "copies-digests",
                 (service, arguments) -> service.statusJson().digests());
         addReplication(
-                replication,
-                "copies-range",
-                (service, range) -> service.statusJson().range(range));
-        addReplication(
-                replication, "copies-repair", (service, arguments) -> service.repair());
+                replication, "copies-range", (service, range) -> service.statusJson().range(range));
+        addReplication(replication, "copies-repair", (service, arguments) -> service.repair());
         return this;
     }
 
--- a/src/main/java/ochretiller/fleet/service/AuditWitness.java
+++ b/src/main/java/ochretiller/fleet/service/AuditWitness.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Map;
 import ochretiller.collections.BoundedMap;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.rollout.RolloutMessage;
 
 /**
@@ -28,7 +28,7 @@
     void witness(
             String server,
             RolloutMessage.StatusReport report,
-            RolloutState.PublishedVersion active,
+            PublishedVersion active,
             Duration now) {
         boolean hasLog = report.auditRecordNumber() != 0;
         if (!hasLog || server.equals(serverName) || isRecent(server, now)) {
--- a/src/main/java/ochretiller/fleet/service/ClaimOutcomes.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimOutcomes.java
@@ -1,8 +1,11 @@
 package ochretiller.fleet.service;
 
 import java.nio.charset.StandardCharsets;
+import java.time.Duration;
 import java.util.Optional;
+import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.CompletedClaim;
 
 /** Makes the outcomes that are replicated from the results of runs. */
 final class ClaimOutcomes {
@@ -24,6 +27,19 @@
                 : new ClaimOutcome(true, fingerprint, text);
     }
 
+    /** Returns the report of a run that has ended. */
+    static CompletedClaim completed(
+            ClaimId claimId,
+            String fingerprint,
+            Optional<byte[]> result,
+            Duration deadline,
+            Duration windowEnd) {
+        ClaimOutcome outcome = of(fingerprint, result);
+        Optional<String> chunkedResult =
+                outcome.isChunked() ? result.map(ClaimOutcomes::textOf) : Optional.empty();
+        return new CompletedClaim(claimId, outcome, chunkedResult, deadline, windowEnd);
+    }
+
     /** Returns a text with one character for each byte. */
     static String textOf(byte[] result) {
         return new String(result, StandardCharsets.ISO_8859_1);
--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -8,8 +8,10 @@
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimDecision;
 import ochretiller.fleet.replication.ClaimId;
+import ochretiller.fleet.replication.ClaimIntent;
 import ochretiller.fleet.replication.ClaimModes;
 import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.ClaimRequirement;
 import ochretiller.fleet.transport.ReplicaEntryCodec;
 import ochretiller.net.Scheduler;
 
@@ -70,34 +72,30 @@
             Duration windowEnd,
             Consumer<ClaimDecision> completion) {
         Duration now = scheduler.now();
-        ClaimModes.ClaimRequirement requirement =
+        ClaimRequirement requirement =
                 modes.requirementFor(RequestFingerprint.operationOf(fingerprint), now);
-        if (requirement == ClaimModes.ClaimRequirement.NOT_REQUIRED) {
-            completion.accept(new ClaimDecision(ClaimDecision.Kind.RUN, null, null));
+        if (requirement == ClaimRequirement.NOT_REQUIRED) {
+            completion.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.RUN));
             return;
         }
-        boolean isTransitional = requirement == ClaimModes.ClaimRequirement.REQUIRED_TRANSITIONALLY;
+        boolean isTransitional = requirement == ClaimRequirement.REQUIRED_TRANSITIONALLY;
         metrics.asked.add();
         if (isTransitional) {
             metrics.transitional.add();
         }
         if (!ReplicaEntryCodec.tokenFits(token)) {
             metrics.throttled.add();
-            completion.accept(new ClaimDecision(ClaimDecision.Kind.THROTTLED, null, null));
+            completion.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.THROTTLED));
             return;
         }
         Optional<ClaimOutcome> known = localOutcome(token, fingerprint);
         if (known.isPresent()) {
             metrics.replayed.add();
-            completion.accept(new ClaimDecision(ClaimDecision.Kind.REPLAY, null, known.get()));
+            completion.accept(ClaimDecision.replayOf(known.get()));
             return;
         }
         coordinator.claim(
-                token,
-                fingerprint,
-                isTransitional,
-                deadline,
-                windowEnd,
+                new ClaimIntent(token, fingerprint, isTransitional, deadline, windowEnd),
                 now,
                 decision -> decided(token, now, windowEnd, decision, completion));
         publisher.run();
@@ -123,7 +121,7 @@
             }
             case REPLAY -> {
                 metrics.replayed.add();
-                remember(token, decision.outcome(), windowEnd);
+                remember(token, decision.outcome().orElseThrow(), windowEnd);
             }
             case THROTTLED -> metrics.throttled.add();
             case OUTCOME_UNKNOWN -> metrics.outcomeUnknown.add();
@@ -163,13 +161,8 @@
             Duration deadline,
             Duration windowEnd,
             Consumer<Boolean> completion) {
-        ClaimOutcome outcome = ClaimOutcomes.of(fingerprint, result);
         coordinator.reportOutcome(
-                claimId,
-                outcome,
-                outcome.isChunked() ? ClaimOutcomes.textOf(result.orElseThrow()) : null,
-                deadline,
-                windowEnd,
+                ClaimOutcomes.completed(claimId, fingerprint, result, deadline, windowEnd),
                 scheduler.now(),
                 isStored -> {
                     if (!isStored) {
--- a/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
+++ b/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
@@ -11,10 +11,13 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.logging.Logger;
+import ochretiller.fleet.consensus.AcceptorState;
 import ochretiller.fleet.consensus.ConsensusMessage;
 import ochretiller.fleet.consensus.EpochConsensus;
+import ochretiller.fleet.consensus.OutboundConsensusMessage;
 import ochretiller.fleet.consensus.PlacementPlanner;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.membership.MemberSnapshot;
 
 /**
@@ -41,8 +44,8 @@
     private final AcceptorFile file;
     private final BackgroundWriter writer = new BackgroundWriter("voter", MAX_QUEUED_WRITES);
     private final EpochConsensus consensus;
-    private Optional<EpochConsensus.AcceptorState> durableState;
-    private Optional<EpochConsensus.AcceptorState> submittedState = Optional.empty();
+    private Optional<AcceptorState> durableState;
+    private Optional<AcceptorState> submittedState = Optional.empty();
     private Duration proposedAt = Duration.ZERO.minusSeconds(60);
 
     /**
@@ -61,14 +64,16 @@
         planner = new PlacementPlanner(settings.calm(), maxWindow, settings.replicationFactor());
         file = new AcceptorFile(settings.voterFile());
         durableState = file.read();
-        consensus =
-                new EpochConsensus(
-                        context.serverName(),
-                        Set.copyOf(acceptors),
-                        durableState.orElse(null),
-                        settings.replicationFactor(),
-                        false,
-                        context.random().nextLong());
+        consensus = consensus(settings.replicationFactor());
+    }
+
+    private EpochConsensus consensus(int replicationFactor) {
+        String name = context.serverName();
+        Set<String> names = Set.copyOf(acceptors);
+        long seed = context.random().nextLong();
+        return durableState
+                .map(state -> EpochConsensus.resume(name, names, state, seed))
+                .orElseGet(() -> EpochConsensus.recover(name, names, replicationFactor, seed));
     }
 
     /** Returns the committed placement, or nothing as long as the acceptor's state is lost. */
@@ -102,7 +107,7 @@
             consensus.requestRecovery();
             return;
         }
-        List<ReplicaPlacement.ReplicaServer> liveServers = liveServers();
+        List<ReplicaServer> liveServers = liveServers();
         planner.observe(liveness(), now);
         announce(liveServers);
         boolean isPending =
@@ -122,12 +127,12 @@
         consensus.propose(placement);
     }
 
-    private List<ReplicaPlacement.ReplicaServer> liveServers() {
-        List<ReplicaPlacement.ReplicaServer> servers = new ArrayList<>();
+    private List<ReplicaServer> liveServers() {
+        List<ReplicaServer> servers = new ArrayList<>();
         for (MemberSnapshot each : context.view().get()) {
             if (each.member().state().isLive()) {
                 String server = each.member().id().name();
-                servers.add(new ReplicaPlacement.ReplicaServer(server, each.member().zone()));
+                servers.add(new ReplicaServer(server, each.member().zone()));
             }
         }
         return servers;
@@ -142,18 +147,18 @@
                     each.member().id().name(), each.member().state().isLive(), Boolean::logicalOr);
         }
         // A server that the view has forgotten is as dead as one that it remembers.
-        for (ReplicaPlacement.ReplicaServer each : consensus.committed().servers()) {
+        for (ReplicaServer each : consensus.committed().servers()) {
             liveness.putIfAbsent(each.name(), false);
         }
         return liveness;
     }
 
-    private void announce(List<ReplicaPlacement.ReplicaServer> liveServers) {
+    private void announce(List<ReplicaServer> liveServers) {
         ReplicaPlacement committed = consensus.committed();
         if (committed.epoch() == 0) {
             return;
         }
-        List<ReplicaPlacement.ReplicaServer> remaining = new ArrayList<>(liveServers);
+        List<ReplicaServer> remaining = new ArrayList<>(liveServers);
         for (int i = 0; i < ANNOUNCEMENTS_PER_TICK && !remaining.isEmpty(); i++) {
             int index = context.random().nextInt(remaining.size());
             String server = remaining.remove(index).name();
@@ -165,8 +170,8 @@
 
     /** Sends the acceptor's messages, once the state that they rest on is durable. */
     void publish() {
-        List<EpochConsensus.OutboundConsensusMessage> messages = consensus.takeOutbound();
-        EpochConsensus.AcceptorState state = consensus.durableState();
+        List<OutboundConsensusMessage> messages = consensus.takeOutbound();
+        AcceptorState state = consensus.durableState();
         if (consensus.hasLostState() || isSame(durableState, state)) {
             messages.forEach(this::send);
             return;
@@ -180,15 +185,12 @@
         }
     }
 
-    private static boolean isSame(
-            Optional<EpochConsensus.AcceptorState> stored, EpochConsensus.AcceptorState state) {
+    private static boolean isSame(Optional<AcceptorState> stored, AcceptorState state) {
         return stored.isPresent() && stored.get().equals(state);
     }
 
     /** On the writing thread. If it fails the messages are not sent, as if lost on the way. */
-    private void write(
-            EpochConsensus.AcceptorState state,
-            List<EpochConsensus.OutboundConsensusMessage> messages) {
+    private void write(AcceptorState state, List<OutboundConsensusMessage> messages) {
         try {
             file.write(state);
         } catch (IOException e) {
@@ -203,7 +205,7 @@
                         });
     }
 
-    private void send(EpochConsensus.OutboundConsensusMessage outbound) {
+    private void send(OutboundConsensusMessage outbound) {
         if (link.isClosed()) {
             return;
         }
--- a/src/main/java/ochretiller/fleet/service/FleetMetrics.java
+++ b/src/main/java/ochretiller/fleet/service/FleetMetrics.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import ochretiller.fleet.membership.MemberSnapshot;
 import ochretiller.fleet.membership.MemberState;
+import ochretiller.fleet.membership.MembershipCounter;
 import ochretiller.fleet.membership.MembershipCounters;
 import ochretiller.fleet.membership.MembershipProtocol;
 import ochretiller.fleet.transport.PeerSocket;
@@ -13,8 +14,8 @@
 import ochretiller.metrics.Metrics;
 
 /**
- * The figures of the membership and of the socket. The event loop publishes the sizes; they are read
- * from any thread.
+ * The figures of the membership and of the socket. The event loop publishes the sizes; they are
+ * read from any thread.
  */
 final class FleetMetrics {
     private final Metrics.Counter changes;
@@ -58,63 +59,68 @@
                     () -> membersByState.getOrDefault(state, 0));
         }
         metrics.gauge(
-                "fleet_doubt",
-                "How far this server doubts itself, 0 to 8",
-                () -> localHealthScore);
+                "fleet_doubt", "How far this server doubts itself, 0 to 8", () -> localHealthScore);
     }
 
     private static void registerProbes(Metrics metrics, MembershipCounters counters) {
         metrics.counted(
-                "fleet_probes_total", "Members that were asked in turn", () -> counters.probes);
+                "fleet_probes_total",
+                "Members that were asked in turn",
+                () -> counters.get(MembershipCounter.PROBES));
         metrics.counted(
                 "fleet_probes_missed_total",
                 "Members that answered neither directly nor through others",
-                () -> counters.failedProbes);
+                () -> counters.get(MembershipCounter.FAILED_PROBES));
         metrics.counted(
                 "fleet_probes_indirect_total",
                 "Probes that others were asked to carry on",
-                () -> counters.indirectProbes);
+                () -> counters.get(MembershipCounter.INDIRECT_PROBES));
     }
 
     private static void registerTransitions(Metrics metrics, MembershipCounters counters) {
         metrics.counted(
-                "fleet_suspicions_total", "Members that became suspect", () -> counters.suspicions);
+                "fleet_suspicions_total",
+                "Members that became suspect",
+                () -> counters.get(MembershipCounter.SUSPICIONS));
         metrics.counted(
                 "fleet_silenced_total",
                 "Members that were judged silent",
-                () -> counters.becameUnresponsive);
+                () -> counters.get(MembershipCounter.BECAME_UNRESPONSIVE));
         metrics.counted(
-                "fleet_returned_total", "Members that came back", () -> counters.returned);
+                "fleet_returned_total",
+                "Members that came back",
+                () -> counters.get(MembershipCounter.RETURNED));
         metrics.counted(
                 "fleet_refuted_total",
                 "Times that this server said that it is there",
-                () -> counters.refutations);
+                () -> counters.get(MembershipCounter.REFUTATIONS));
         metrics.counted(
                 "fleet_twins_total",
                 "Other processes that bear this server's name",
-                () -> counters.duplicateNames);
+                () -> counters.get(MembershipCounter.DUPLICATE_NAMES));
     }
 
     private static void registerSynchronization(Metrics metrics, MembershipCounters counters) {
         metrics.counted(
-                "fleet_late_timers_total", "Timers that came late", () -> counters.lateTicks);
+                "fleet_late_timers_total",
+                "Timers that came late",
+                () -> counters.get(MembershipCounter.LATE_TICKS));
         metrics.counted(
                 "fleet_views_compared_total",
                 "Comparisons of views that this server began",
-                () -> counters.syncs);
+                () -> counters.get(MembershipCounter.SYNCS));
         metrics.counted(
                 "fleet_views_refused_total",
                 "Comparisons that were too many",
-                () -> counters.syncsRejected);
+                () -> counters.get(MembershipCounter.SYNCS_REJECTED));
         metrics.counted(
                 "fleet_full_total",
                 "Newcomers and questions for which there was no room",
-                () -> counters.capacityRejections);
+                () -> counters.get(MembershipCounter.CAPACITY_REJECTIONS));
     }
 
     private static void registerTraffic(Metrics metrics, TrafficCounters traffic) {
-        metrics.counted(
-                "fleet_sent_packets_total", "Packets sent to peers", traffic::sentPackets);
+        metrics.counted("fleet_sent_packets_total", "Packets sent to peers", traffic::sentPackets);
         metrics.counted("fleet_sent_bytes_total", "Bytes sent to peers", traffic::sentBytes);
         metrics.counted(
                 "fleet_unsent_packets_total",
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -78,11 +78,7 @@
         Member self = self(settings, server);
         membership =
                 new MembershipProtocol(
-                        self,
-                        settings.seeds(),
-                        settings.pace(),
-                        runtime.random(),
-                        scheduler.now());
+                        self, settings.seeds(), settings.pace(), runtime.random(), scheduler.now());
         peersFile = Optional.ofNullable(settings.peersFile()).map(PeersFile::new);
         List<PeerAddress> knownPeers = peersFile.map(PeersFile::read).orElse(List.of());
         bootstrapPeers = new BootstrapPeers(self.address(), knownPeers);
@@ -101,18 +97,16 @@
                 replicationSettings.map(
                         present ->
                                 new ReplicationService(
-                                        context,
-                                        present,
-                                        self.incarnation(),
-                                        maxWindow,
-                                        store));
+                                        context, present, self.incarnation(), maxWindow, store));
         rollout = replicationSettings.flatMap(present -> rollout(context, present, server));
         rollout.ifPresent(present -> replication.orElseThrow().attachRollout(present));
         listenForCommands(runtime, server);
         metrics = new FleetMetrics(runtime.metrics(), membership, socket);
     }
 
-    /** The incarnation must differ from all before, also if the same configuration is read again. */
+    /**
+     * The incarnation must differ from all before, also if the same configuration is read again.
+     */
     private static Member self(FleetSettings settings, LocalServer server) {
         long incarnation = new SecureRandom().nextLong() | 1;
         PeerAddress listenAddress =
@@ -124,7 +118,8 @@
                 Optional.ofNullable(settings.advertise()).orElse(listenAddress),
                 settings.zone(),
                 server.build(),
-                Optional.ofNullable(settings.serves()).orElse(server.serviceAddress()),
+                Optional.ofNullable(settings.serves())
+                        .or(() -> Optional.of(server.serviceAddress())),
                 FIRST_STATE_VERSION,
                 MemberState.JOINING);
     }
@@ -196,7 +191,7 @@
 
     private void storePeers(PeersFile file, List<MemberSnapshot> view) {
         bootstrapPeers.observe(view, scheduler.now());
-        Optional.ofNullable(bootstrapPeers.takeDue(scheduler.now())).ifPresent(file::write);
+        bootstrapPeers.takeDue(scheduler.now()).ifPresent(file::write);
     }
 
     private void receive(ReceivedPacket packet) {
@@ -214,7 +209,7 @@
 
     /** Majorities are counted by name, so that only the live bearer of a name may take part. */
     private boolean isFromLiveMember(ReceivedPacket packet) {
-        return membership.isLive(packet.sender().id().name(), packet.sender().incarnation());
+        return membership.isLive(packet.sender().id());
     }
 
     private void publish() {
@@ -228,17 +223,20 @@
 
     private void report(MembershipChange change) {
         metrics.countChange();
-        if (isLivenessChange(change)) {
+        if (change instanceof MembershipChange.StateChanged stateChange
+                && stateChange.changesLiveness()) {
             Member member = change.member();
             boolean isServed =
                     member.state().isLive()
-                            || membership.isServedByLiveMember(member.serviceAddress());
+                            || member.serviceAddress()
+                                    .filter(membership::isServedByLiveMember)
+                                    .isPresent();
             callbacks.memberObserver().accept(member, isServed);
         }
         if (!membershipLog.tryAcquireLine(scheduler.now())) {
             return;
         }
-        if (change.kind() == MembershipChange.Kind.DUPLICATE_NAME) {
+        if (change instanceof MembershipChange.DuplicateName) {
             // Two replicas of one name would be counted as one: this one stays silent until its
             // operators have seen to it.
             replication.ifPresent(ReplicationService::stopSending);
@@ -246,14 +244,6 @@
         membershipLog.log(change, membership.liveCount());
     }
 
-    private static boolean isLivenessChange(MembershipChange change) {
-        if (change.kind() != MembershipChange.Kind.STATE_CHANGED) {
-            return false;
-        }
-        return change.previousState() == null
-                || change.previousState().isLive() != change.member().state().isLive();
-    }
-
     /** Returns the replication, or null if there is none. */
     public ReplicationService replication() {
         return replication.orElse(null);
--- a/src/main/java/ochretiller/fleet/service/LeaseHolder.java
+++ b/src/main/java/ochretiller/fleet/service/LeaseHolder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.logging.Logger;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.rollout.Lease;
 
 /**
@@ -53,7 +53,7 @@
     }
 
     /** Logs and records when the lease ends and when there is one again. */
-    void reportTransition(RolloutState.PublishedVersion active) {
+    void reportTransition(PublishedVersion active) {
         boolean isFencedOff = !isAllowedToServe();
         // After a start there has been no lease yet, and nothing to report.
         boolean hadLease = !lease.expiresAt().isZero();
--- a/src/main/java/ochretiller/fleet/service/MembershipLog.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipLog.java
@@ -42,19 +42,20 @@
      */
     void log(MembershipChange change, int otherLiveMembers) {
         Member member = change.member();
-        switch (change.kind()) {
-            case STATE_CHANGED -> logState(member);
-            case DUPLICATE_NAME ->
-                    LOG.warning(
-                            "fleet: another process bears the name of this server: "
-                                    + member.id()
-                                    + " at "
-                                    + member.address());
-            case JOINED -> LOG.info(() -> "fleet: joined, with " + otherLiveMembers + " others");
-            case SUSPICION_REFUTED ->
-                    LOG.info("fleet: was thought to be gone, and says that it is here");
-            case FORGOTTEN -> LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
-            default -> throw new IllegalStateException("unknown change " + change.kind());
+        if (change instanceof MembershipChange.StateChanged) {
+            logState(member);
+        } else if (change instanceof MembershipChange.DuplicateName) {
+            LOG.warning(
+                    "fleet: another process bears the name of this server: "
+                            + member.id()
+                            + " at "
+                            + member.address());
+        } else if (change instanceof MembershipChange.Joined) {
+            LOG.info(() -> "fleet: joined, with " + otherLiveMembers + " others");
+        } else if (change instanceof MembershipChange.SuspicionRefuted) {
+            LOG.info("fleet: was thought to be gone, and says that it is here");
+        } else if (change instanceof MembershipChange.Forgotten) {
+            LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
         }
     }
 
--- a/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
+++ b/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
@@ -3,7 +3,8 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
+import ochretiller.fleet.rollout.OutboundChunkRequest;
 import ochretiller.fleet.rollout.RolloutMessage;
 import ochretiller.fleet.rollout.VersionDownload;
 
@@ -41,8 +42,7 @@
             return;
         }
         offeredBy = Optional.of(server);
-        download.start(
-                new RolloutState.PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
+        download.start(new PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
         tick(now);
     }
 
@@ -52,7 +52,7 @@
     }
 
     private void requestChunks(String server, Duration now) {
-        for (VersionDownload.OutboundChunkRequest each : download.tick(List.of(server), now)) {
+        for (OutboundChunkRequest each : download.tick(List.of(server), now)) {
             context.sender().send(each.recipient(), each.request());
         }
     }
--- a/src/main/java/ochretiller/fleet/service/PacketSender.java
+++ b/src/main/java/ochretiller/fleet/service/PacketSender.java
@@ -30,11 +30,12 @@
     /** Sends to the live member of this name; without one the message is lost like any other. */
     @Override
     public void send(String server, Object message) {
-        PeerAddress address = membership.addressOf(server);
-        if (address != null) {
-            byte[] packet = codec.seal(membership.self(), message, nextSequence());
-            socket.send(resolve(address), packet);
-        }
+        membership.addressOf(server).ifPresent(address -> send(address, message));
+    }
+
+    private void send(PeerAddress address, Object message) {
+        byte[] packet = codec.seal(membership.self(), message, nextSequence());
+        socket.send(resolve(address), packet);
     }
 
     /** Sends a packet of the membership protocol. */
--- a/src/main/java/ochretiller/fleet/service/PreviousClaims.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousClaims.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimId;
-import ochretiller.fleet.replication.ClaimOutcome;
+import ochretiller.fleet.replication.CompletedClaim;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicationMessage;
 import ochretiller.fleet.transport.ReplicaEntryCodec;
@@ -79,7 +79,7 @@
         return recovered.snapshot().isPresent()
                 && replica.isPresent()
                 && !replica.get().isCheckingDisk()
-                && replica.get().staleDisks() == 0;
+                && replica.get().statistics().staleDisks() == 0;
     }
 
     private void settle(ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
@@ -99,14 +99,15 @@
 
     private void reportOutcome(
             ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
-        ClaimOutcome outcome = ClaimOutcomes.of(run.body(), Optional.ofNullable(run.result()));
-        coordinator.reportPreviousOutcome(
-                query.token(),
-                query.claimId(),
-                outcome,
-                outcome.isChunked() ? ClaimOutcomes.textOf(run.result()) : null,
-                run.windowEnds(),
-                scheduler.now());
+        Duration now = scheduler.now();
+        CompletedClaim completed =
+                ClaimOutcomes.completed(
+                        query.claimId(),
+                        run.body(),
+                        Optional.ofNullable(run.result()),
+                        now,
+                        run.windowEnds());
+        coordinator.reportPreviousOutcome(query.token(), completed, now);
     }
 
     /** Nothing is settled from here on. */
--- a/src/main/java/ochretiller/fleet/service/RecoveredReplica.java
+++ b/src/main/java/ochretiller/fleet/service/RecoveredReplica.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import java.util.Optional;
-import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 
 /**
  * What the start of a replica has found on its disk.
@@ -13,7 +13,7 @@
  * @param changeNumber highest number of a change that was found
  */
 record RecoveredReplica(
-        Optional<Replica.ReplicaSnapshot> snapshot,
+        Optional<ReplicaSnapshot> snapshot,
         Map<String, ReplicaEntry> entries,
         long changeNumber,
         ReplicaMetadata metadata) {
--- a/src/main/java/ochretiller/fleet/service/ReplicaHost.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaHost.java
@@ -1,17 +1,21 @@
 package ochretiller.fleet.service;
 
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import ochretiller.fleet.consensus.ReplicaPlacement;
-import ochretiller.fleet.replication.ChunkAssembler;
+import ochretiller.fleet.replication.AssembledResult;
 import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.OutboundMessage;
+import ochretiller.fleet.replication.PendingWrite;
 import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaLimits;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.fleet.replication.ReplicationMessage;
+import ochretiller.fleet.replication.SubmittedChange;
 
 /**
  * Runs this server's replica: gives it time and messages, and sends its messages once the changes
@@ -32,7 +36,7 @@
 
     private final FleetContext context;
     private final FleetLink link;
-    private final Replica.ReplicaLimits limits;
+    private final ReplicaLimits limits;
     private final Optional<ReplicaStorage> storage;
     private final RecoveredReplica recovered;
     private final ResultCache results;
@@ -62,7 +66,7 @@
         this.storage = storage;
         this.metadata = metadata;
         limits =
-                new Replica.ReplicaLimits(
+                new ReplicaLimits(
                         settings.maxEntries(),
                         settings.maxBytes(),
                         settings.antiEntropyBytesPerSecond(),
@@ -74,15 +78,14 @@
         recovered.snapshot().ifPresent(this::restore);
     }
 
-    private void restore(Replica.ReplicaSnapshot snapshot) {
+    private void restore(ReplicaSnapshot snapshot) {
         Replica restored =
-                new Replica(
-                        context.serverName(), snapshot, null, limits, 0, context.scheduler().now());
+                Replica.recover(context.serverName(), snapshot, limits, context.scheduler().now());
         replica = Optional.of(restored);
         LOG.info(
                 () ->
                         "fleet: kept "
-                                + restored.entryCount()
+                                + restored.statistics().entries()
                                 + " tokens of "
                                 + restored.placement()
                                 + ", "
@@ -134,7 +137,7 @@
     private Replica create(ReplicaPlacement placement, Duration now) {
         long clockNumber = System.currentTimeMillis() * CHANGE_NUMBERS_PER_MILLISECOND;
         long first = Math.max(recovered.changeNumber() + 1, clockNumber);
-        Replica created = new Replica(context.serverName(), null, placement, limits, first, now);
+        Replica created = Replica.withoutDisk(context.serverName(), placement, first, limits, now);
         recovered.entries().forEach(created::restore);
         return created;
     }
@@ -194,11 +197,10 @@
             metadataWrittenAt = now;
             writtenChangeNumber = present.changeNumber();
         }
-        List<Replica.OutboundMessage> sendable = new ArrayList<>();
-        List<DurabilityBarrier.PendingWrite> writes =
-                barrier.submit(changedTokens, isMetadataDue, present.takeOutbound(), sendable);
-        writes.forEach(this::write);
-        sendAll(sendable);
+        SubmittedChange submitted =
+                barrier.submit(changedTokens, isMetadataDue, present.takeOutbound());
+        submitted.writes().forEach(this::write);
+        sendAll(submitted.sendable());
     }
 
     /**
@@ -210,7 +212,7 @@
                 && present.changeNumber() != writtenChangeNumber;
     }
 
-    private void storeResult(Replica present, ChunkAssembler.AssembledResult result) {
+    private void storeResult(Replica present, AssembledResult result) {
         results.put(
                 result.token(),
                 result.claimId(),
@@ -225,8 +227,8 @@
                 });
     }
 
-    private void write(DurabilityBarrier.PendingWrite write) {
-        ReplicaMetadata beside = write.token() == null ? metadata.get() : ReplicaMetadata.NONE;
+    private void write(PendingWrite write) {
+        ReplicaMetadata beside = write.token().isEmpty() ? metadata.get() : ReplicaMetadata.NONE;
         storage.orElseThrow()
                 .write(
                         write,
@@ -236,13 +238,13 @@
                         isDurable -> acknowledge(write, isDurable));
     }
 
-    private void acknowledge(DurabilityBarrier.PendingWrite write, boolean isDurable) {
+    private void acknowledge(PendingWrite write, boolean isDurable) {
         if (!link.isClosed()) {
             sendAll(barrier.acknowledge(write, isDurable, context.scheduler().now()));
         }
     }
 
-    private void sendAll(List<Replica.OutboundMessage> messages) {
+    private void sendAll(List<OutboundMessage> messages) {
         messages.forEach(each -> link.send(each.recipient(), each.message()));
     }
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.logging.Logger;
-import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.fleet.replication.ReplicationMessage;
 import ochretiller.fleet.transport.CborReader;
 import ochretiller.fleet.transport.PlacementCodec;
@@ -26,7 +26,7 @@
     private final Duration now;
     private final long storeNowMillis;
     private final Map<String, ReplicaEntry> entries = new TreeMap<>();
-    private Optional<Replica.ReplicaSnapshot> storedPlacement = Optional.empty();
+    private Optional<ReplicaSnapshot> storedPlacement = Optional.empty();
     private ReplicaMetadata metadata = ReplicaMetadata.NONE;
     private long changeNumber;
     private boolean isComplete;
@@ -77,7 +77,7 @@
     private void recoverMetadata(CborReader in) throws IOException {
         storedPlacement =
                 Optional.of(
-                        new Replica.ReplicaSnapshot(
+                        new ReplicaSnapshot(
                                 PlacementCodec.readPlacement(in),
                                 Map.of(),
                                 new HashSet<>(in.readInts()),
@@ -100,13 +100,13 @@
         entries.put(stored.token(), entry);
     }
 
-    private Optional<Replica.ReplicaSnapshot> snapshot() {
+    private Optional<ReplicaSnapshot> snapshot() {
         if (!isComplete) {
             return Optional.empty();
         }
         return storedPlacement.map(
                 stored ->
-                        new Replica.ReplicaSnapshot(
+                        new ReplicaSnapshot(
                                 stored.placement(),
                                 entries,
                                 stored.laggingRanges(),
--- a/src/main/java/ochretiller/fleet/service/ReplicaStatusLog.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStatusLog.java
@@ -32,7 +32,7 @@
         boolean isCheckingDisk = replica.isCheckingDisk();
         if (wasCheckingDisk && !isCheckingDisk) {
             LOG.info(
-                    replica.staleDisks() > 0
+                    replica.statistics().staleDisks() > 0
                             ? "fleet: the disk is older than this server's last word: what it kept"
                                     + " is fetched from the others"
                             : "fleet: nobody knows of a later word than the disk has: it counts as"
@@ -53,7 +53,7 @@
                     "fleet: has all its ranges whole, behind "
                             + now.minus(laggingSince).toMillis()
                             + " ms; fetched "
-                            + replica.fetchedEntries()
+                            + replica.statistics().receivedEntries()
                             + " entries since its start");
         }
         wasLagging = isLagging;
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -10,9 +10,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import ochretiller.fleet.replication.ClaimId;
-import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.PendingWrite;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.fleet.replication.ReplicationMessage;
 import ochretiller.fleet.transport.CborWriter;
 import ochretiller.fleet.transport.PlacementCodec;
@@ -67,29 +68,27 @@
      * @param completion is called with whether the write is durable
      */
     void write(
-            DurabilityBarrier.PendingWrite write,
+            PendingWrite write,
             Replica replica,
             ReplicaMetadata metadata,
             Duration now,
             Consumer<Boolean> completion) {
-        if (write.token() == null) {
+        if (write.token().isEmpty()) {
             writeMetadata(replica.metadataSnapshot(), metadata, completion);
         } else {
-            writeEntry(write.token(), replica, now, completion);
+            writeEntry(write.token().get(), replica, now, completion);
         }
     }
 
     private void writeMetadata(
-            Replica.ReplicaSnapshot snapshot,
-            ReplicaMetadata metadata,
-            Consumer<Boolean> completion) {
+            ReplicaSnapshot snapshot, ReplicaMetadata metadata, Consumer<Boolean> completion) {
         byte[] value = encode(out -> writeMetadata(out, snapshot, metadata));
         long expiresAtMillis = store.nowMillis() + maxLifetime.toMillis() - 1;
         put(METADATA_KEY, value, expiresAtMillis, completion);
     }
 
     private static void writeMetadata(
-            CBORGenerator out, Replica.ReplicaSnapshot snapshot, ReplicaMetadata metadata)
+            CBORGenerator out, ReplicaSnapshot snapshot, ReplicaMetadata metadata)
             throws IOException {
         out.writeNumber(snapshot.changeNumber());
         PlacementCodec.writePlacement(out, snapshot.placement());
--- a/src/main/java/ochretiller/fleet/service/ReplicationFigures.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationFigures.java
@@ -4,6 +4,7 @@
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.DurabilityBarrier;
 import ochretiller.fleet.replication.Replica;
+import ochretiller.fleet.replication.ReplicaStatistics;
 
 /** The figures of replication at one moment, for the gauges, which are read from other threads. */
 record ReplicationFigures(
@@ -36,23 +37,24 @@
             DurabilityBarrier barrier,
             ClaimCoordinator claims,
             Duration now) {
+        ReplicaStatistics statistics = replica.statistics();
         return new ReplicationFigures(
                 epoch,
                 replica.laggingRangeCount(),
-                replica.entryCount(),
-                replica.estimatedBytes(),
-                replica.conflictCount(),
+                statistics.entries(),
+                statistics.estimatedBytes(),
+                statistics.conflicts(),
                 claims.concurrencyLimit(),
-                replica.hintCount(),
+                statistics.hints(),
                 replica.oldestLag(now).toNanos() / NANOS_PER_SECOND,
-                replica.fetchedBytes(),
-                replica.sentBytes(),
-                replica.comparisons(),
-                replica.differences(),
+                statistics.receivedBytes(),
+                statistics.sentBytes(),
+                statistics.comparisons(),
+                statistics.differences(),
                 barrier.waitingMessages(),
                 barrier.droppedMessages(),
                 claims.hedgedRequests(),
                 claims.retriedRequests(),
-                replica.staleDisks());
+                statistics.staleDisks());
     }
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -12,6 +12,7 @@
 import ochretiller.fleet.replication.ClaimDecision;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimModes;
+import ochretiller.fleet.replication.OutboundMessage;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicationMessage;
 import ochretiller.fleet.rollout.RolloutMessage;
@@ -261,8 +262,8 @@
     private void receiveReplication(String sender, ReplicationMessage message) {
         Duration now = context.scheduler().now();
         if (message instanceof ReplicationMessage.RangeRequest request
-                && request.placement() != null) {
-            adoptPlacement(request.placement());
+                && request.placement().isPresent()) {
+            adoptPlacement(request.placement().get());
         } else if (message instanceof ReplicationMessage.ClaimRequest claim
                 && !sender.equals(context.serverName())) {
             claims.observeClaim(claim.fingerprint(), claim.transitional(), now);
@@ -296,7 +297,7 @@
                 .filter(committed -> committed.epoch() > epoch)
                 .ifPresent(this::adoptPlacement);
         consensus.ifPresent(ConsensusDriver::publish);
-        for (Replica.OutboundMessage each : coordinator.takeOutbound()) {
+        for (OutboundMessage each : coordinator.takeOutbound()) {
             link.send(each.recipient(), each.message());
         }
         replicaHost.publish();
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -8,11 +8,14 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.replication.ClaimCoordinator;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaStatistics;
+import ochretiller.fleet.replication.TokenSummary;
 
 /** The state of replication as JSON, as the operators' commands read it. On the event loop. */
 final class ReplicationStatusJson {
@@ -42,7 +45,7 @@
                     out.writeNumberField("epoch", placement.epoch());
                     out.writeNumberField("factor", placement.replicationFactor());
                     out.writeArrayFieldStart("keepers");
-                    for (ReplicaPlacement.ReplicaServer each : placement.servers()) {
+                    for (ReplicaServer each : placement.servers()) {
                         out.writeString(each.name());
                     }
                     out.writeEndArray();
@@ -57,21 +60,23 @@
     }
 
     private void writeReplica(JsonGenerator out, Optional<Replica> replica) throws IOException {
-        out.writeNumberField("entries", replica.map(Replica::entryCount).orElse(0));
-        out.writeNumberField("bytes", replica.map(Replica::estimatedBytes).orElse(0L));
+        ReplicaStatistics statistics =
+                replica.map(Replica::statistics).orElse(ReplicaStatistics.NONE);
+        out.writeNumberField("entries", statistics.entries());
+        out.writeNumberField("bytes", statistics.estimatedBytes());
         out.writeNumberField("ranges", replica.isPresent() ? ownRanges().count() : 0);
         out.writeNumberField("behind", replica.map(Replica::laggingRangeCount).orElse(0));
         Duration now = context.scheduler().now();
         out.writeNumberField(
                 "oldest_gap_ms",
                 replica.map(present -> present.oldestLag(now).toMillis()).orElse(0L));
-        out.writeNumberField("hints", replica.map(Replica::hintCount).orElse(0));
-        out.writeNumberField("conflicts", replica.map(Replica::conflictCount).orElse(0L));
-        out.writeNumberField("fetched", replica.map(Replica::fetchedEntries).orElse(0L));
-        out.writeNumberField("fetched_bytes", replica.map(Replica::fetchedBytes).orElse(0L));
-        out.writeNumberField("sent_bytes", replica.map(Replica::sentBytes).orElse(0L));
-        out.writeNumberField("compares", replica.map(Replica::comparisons).orElse(0L));
-        out.writeNumberField("differed", replica.map(Replica::differences).orElse(0L));
+        out.writeNumberField("hints", statistics.hints());
+        out.writeNumberField("conflicts", statistics.conflicts());
+        out.writeNumberField("fetched", statistics.receivedEntries());
+        out.writeNumberField("fetched_bytes", statistics.receivedBytes());
+        out.writeNumberField("sent_bytes", statistics.sentBytes());
+        out.writeNumberField("compares", statistics.comparisons());
+        out.writeNumberField("differed", statistics.differences());
     }
 
     private IntStream ownRanges() {
@@ -171,7 +176,7 @@
      */
     String range(String number) {
         int range = parseRange(number);
-        List<Replica.TokenSummary> tokens =
+        List<TokenSummary> tokens =
                 range == NO_RANGE
                         ? List.of()
                         : replicaHost
@@ -182,7 +187,7 @@
                 out -> {
                     out.writeStringField("name", context.serverName());
                     out.writeArrayFieldStart("tokens");
-                    for (Replica.TokenSummary each : tokens) {
+                    for (TokenSummary each : tokens) {
                         out.writeStartArray();
                         out.writeString(each.token());
                         out.writeString(Long.toHexString(each.digest()));
--- a/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
+++ b/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
@@ -22,8 +22,7 @@
 
     /** Answers a request, unless the result is not here. */
     void receive(String sender, ReplicationMessage.ChunkRequest request) {
-        Optional<String> ownResult =
-                Optional.ofNullable(coordinator.pendingResult(request.claimId()));
+        Optional<String> ownResult = coordinator.pendingResult(request.claimId());
         if (ownResult.isPresent()) {
             send(sender, request, ownResult);
         } else {
@@ -37,7 +36,7 @@
         if (link.isClosed()) {
             return;
         }
-        result.map(whole -> ChunkAssembler.slice(request, whole))
+        result.flatMap(whole -> ChunkAssembler.slice(request, whole))
                 .ifPresent(chunk -> link.send(receiver, chunk));
     }
 }
--- a/src/main/java/ochretiller/fleet/service/RolloutAcceptor.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutAcceptor.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.rollout.LeaseGrantor;
@@ -44,7 +45,7 @@
             String server,
             RolloutMessage.StatusReport status,
             ReplicaPlacement placement,
-            RolloutState.PublishedVersion active,
+            PublishedVersion active,
             Duration now) {
         witness.witness(server, status, active, now);
         controller.recordReport(server, status.report());
--- a/src/main/java/ochretiller/fleet/service/RolloutProposals.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutProposals.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.rollout.RolloutMessage;
 
@@ -80,10 +82,10 @@
         if (fault.isPresent()) {
             return rejection(fault.get());
         }
-        RolloutState.PublishedVersion next;
+        PublishedVersion next;
         try {
             next =
-                    new RolloutState.PublishedVersion(
+                    new PublishedVersion(
                             committed.target().number() + 1,
                             VersionFiles.hashOf(version),
                             version.length,
@@ -102,9 +104,8 @@
         if (!isAcceptor()) {
             return Optional.of(notAnAcceptor());
         }
-        if (version.length == 0 || version.length > RolloutState.PublishedVersion.MAX_BYTES) {
-            return Optional.of(
-                    "a version has 1 to " + RolloutState.PublishedVersion.MAX_BYTES + " bytes");
+        if (version.length == 0 || version.length > PublishedVersion.MAX_BYTES) {
+            return Optional.of("a version has 1 to " + PublishedVersion.MAX_BYTES + " bytes");
         }
         if (!committed.isComplete() || proposed.isPresent() || offered.isPresent()) {
             return Optional.of(
@@ -162,7 +163,7 @@
         offered.ifPresent(offer -> offerToOthers(offer.target()));
     }
 
-    private void offerToOthers(RolloutState.PublishedVersion version) {
+    private void offerToOthers(PublishedVersion version) {
         for (String acceptor : acceptors) {
             boolean isOther = !acceptor.equals(context.serverName());
             if (isOther && !serversWithBytes.contains(acceptor)) {
@@ -229,16 +230,16 @@
     }
 
     private Optional<RolloutState> steered(String command, String operator) {
-        boolean isRunning = committed.phase() == RolloutState.Phase.RUNNING;
+        boolean isRunning = committed.phase() == RolloutPhase.RUNNING;
         return switch (command) {
             case "pause" ->
                     isRunning
-                            ? Optional.of(committed.withPhase(RolloutState.Phase.PAUSED))
+                            ? Optional.of(committed.withPhase(RolloutPhase.PAUSED))
                             : Optional.empty();
             case "go-on" ->
                     committed.isComplete() || isRunning
                             ? Optional.empty()
-                            : Optional.of(committed.withPhase(RolloutState.Phase.RUNNING));
+                            : Optional.of(committed.withPhase(RolloutPhase.RUNNING));
             case "take-back" ->
                     committed.target().number() == 0
                                     || committed.previous().equals(committed.target())
--- a/src/main/java/ochretiller/fleet/service/VersionActivator.java
+++ b/src/main/java/ochretiller/fleet/service/VersionActivator.java
@@ -1,7 +1,7 @@
 package ochretiller.fleet.service;
 
 import ochretiller.audit.ChainHead;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 
 /** What the rollout needs of the server around it: to put a version into use and to record it. */
 public interface VersionActivator {
@@ -24,5 +24,5 @@
     ChainHead audited();
 
     /** Records an event in the audit log. */
-    void told(RolloutEvent event, RolloutState.PublishedVersion version, String text);
+    void told(RolloutEvent event, PublishedVersion version, String text);
 }
--- a/src/main/java/ochretiller/fleet/service/VersionFiles.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFiles.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.logging.Logger;
 import ochretiller.collections.BoundedMap;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.transport.PlacementCodec;
 import ochretiller.net.Scheduler;
 
@@ -60,7 +60,7 @@
      *
      * @return the version that was in use, or nothing
      */
-    Optional<RolloutState.PublishedVersion> load() throws IOException {
+    Optional<PublishedVersion> load() throws IOException {
         Files.createDirectories(directory);
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, "*" + SUFFIX)) {
             for (Path file : files) {
@@ -71,7 +71,7 @@
     }
 
     private void loadVersion(Path file) throws IOException {
-        boolean isTooLong = Files.size(file) > RolloutState.PublishedVersion.MAX_BYTES;
+        boolean isTooLong = Files.size(file) > PublishedVersion.MAX_BYTES;
         byte[] version = isTooLong ? new byte[0] : Files.readAllBytes(file);
         String hash = hashOf(version);
         if (file.equals(fileOf(hash))) {
@@ -124,7 +124,7 @@
     }
 
     /** Writes the description of the version in use, in the background. */
-    void storeActive(RolloutState.PublishedVersion active) {
+    void storeActive(PublishedVersion active) {
         writer.submit(
                 () -> {
                     try {
--- a/src/main/java/ochretiller/fleet/service/VersionFollower.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFollower.java
@@ -8,9 +8,11 @@
 import java.util.Optional;
 import java.util.logging.Logger;
 import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.MemberSnapshot;
+import ochretiller.fleet.rollout.OutboundChunkRequest;
 import ochretiller.fleet.rollout.RolloutMessage;
 import ochretiller.fleet.rollout.RolloutStages;
 import ochretiller.fleet.rollout.VersionCounters;
@@ -36,7 +38,7 @@
     private final Map<Long, VersionCounters> countersByVersion =
             BoundedMap.evictingOldest(VersionFiles.MAX_CACHED_VERSIONS);
     private ReplicaPlacement placement = ReplicaPlacement.empty(1);
-    private RolloutState.PublishedVersion active = RolloutState.PublishedVersion.NONE;
+    private PublishedVersion active = PublishedVersion.NONE;
     private long rejectedVersion = NONE_REJECTED;
     private String rejectionReason = "";
     private volatile long activeNumberGauge;
@@ -71,7 +73,7 @@
         }
     }
 
-    private void restore(RolloutState.PublishedVersion previous) {
+    private void restore(PublishedVersion previous) {
         if (previous.usesLocalFiles()) {
             active = previous;
             return;
@@ -92,7 +94,7 @@
     }
 
     /** Returns the version in use. */
-    RolloutState.PublishedVersion active() {
+    PublishedVersion active() {
         return active;
     }
 
@@ -118,8 +120,7 @@
     }
 
     private void follow() {
-        RolloutState.PublishedVersion target =
-                RolloutStages.targetVersion(placement, context.serverName());
+        PublishedVersion target = RolloutStages.targetVersion(placement, context.serverName());
         boolean isActive =
                 target.number() == active.number() && target.hash().equals(active.hash());
         if (isActive || target.number() == rejectedVersion) {
@@ -137,7 +138,7 @@
         }
     }
 
-    private void activate(RolloutState.PublishedVersion target, byte[] version) {
+    private void activate(PublishedVersion target, byte[] version) {
         String fault =
                 needsNewerBuild(target)
                         ? "this build is " + build + ", and it needs " + target.minimumBuild()
@@ -154,12 +155,12 @@
         files.storeActive(target);
     }
 
-    private boolean needsNewerBuild(RolloutState.PublishedVersion target) {
+    private boolean needsNewerBuild(PublishedVersion target) {
         return !target.minimumBuild().isEmpty()
                 && BuildNumbers.isOlder(build, target.minimumBuild());
     }
 
-    private void reject(RolloutState.PublishedVersion target, String fault) {
+    private void reject(PublishedVersion target, String fault) {
         rejectedVersion = target.number();
         rejectionReason =
                 fault.substring(0, Math.min(fault.length(), VersionReport.MAX_REASON_LENGTH));
@@ -169,7 +170,7 @@
 
     /** Requests missing chunks. */
     void tick(Duration now) {
-        for (VersionDownload.OutboundChunkRequest each : download.tick(sources(), now)) {
+        for (OutboundChunkRequest each : download.tick(sources(), now)) {
             context.sender().send(each.recipient(), each.request());
         }
     }
--- a/src/main/java/ochretiller/fleet/service/package-info.java
+++ b/src/main/java/ochretiller/fleet/service/package-info.java
@@ -20,7 +20,7 @@
  * {@code fleet.consensus}, {@code fleet.replication} and {@code fleet.rollout} for decisions, and
  * {@code store}. The server node above hands in a {@code FleetRuntime} and {@code FleetCallbacks}.
  *
- * <p>Formats are in {@code docs/fleet-wire.md} and {@code docs/store-format.md}; golden files of the
- * tests pin them.
+ * <p>Formats are in {@code docs/fleet-wire.md} and {@code docs/store-format.md}; golden files of
+ * the tests pin them.
  */
 package ochretiller.fleet.service;
--- a/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.replication.ReplicationMessage.RangeCursor;
 import ochretiller.fleet.replication.ReplicationMessage.RangeDigest;
@@ -52,7 +53,7 @@
         out.writeNumber(message.nonce());
         out.writeNumber(ORDERS.indexOf(message.order()));
         writeCursor(out, message.cursor());
-        out.writeBinary(message.sketch() == null ? NO_SKETCH : message.sketch().toBytes());
+        out.writeBinary(message.sketch().map(SetSketch::toBytes).orElse(NO_SKETCH));
         CborWriter.writeLongs(out, message.entryDigests());
         PlacementCodec.writeOptionalPlacement(out, message.placement());
     }
@@ -128,8 +129,8 @@
         return new RangeCursor(in.readLong(), in.readText());
     }
 
-    private static SetSketch readOptionalSketch(CborReader in) throws IOException {
+    private static Optional<SetSketch> readOptionalSketch(CborReader in) throws IOException {
         byte[] bytes = in.readBytes();
-        return bytes.length == 0 ? null : SetSketch.fromBytes(bytes);
+        return bytes.length == 0 ? Optional.empty() : Optional.of(SetSketch.fromBytes(bytes));
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/MemberCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/MemberCodec.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import ochretiller.fleet.membership.Member;
 import ochretiller.fleet.membership.MemberId;
 import ochretiller.fleet.membership.MemberState;
@@ -57,7 +58,7 @@
         PeerAddress address = readAddress(in);
         String zone = in.readText();
         String build = in.readText();
-        PeerAddress serviceAddress = readServiceAddress(in);
+        Optional<PeerAddress> serviceAddress = readServiceAddress(in);
         long stateVersion = in.readLong();
         MemberState state = readState(in);
         Member member = new Member(id, address, zone, build, serviceAddress, stateVersion, state);
@@ -65,19 +66,19 @@
         return member;
     }
 
-    private static void writeServiceAddress(CBORGenerator out, PeerAddress address)
+    private static void writeServiceAddress(CBORGenerator out, Optional<PeerAddress> address)
             throws IOException {
-        if (address == null) {
+        if (address.isEmpty()) {
             out.writeString("");
             out.writeNumber(NO_PORT);
         } else {
-            writeAddress(out, address);
+            writeAddress(out, address.get());
         }
     }
 
-    private static PeerAddress readServiceAddress(CborReader in) throws IOException {
+    private static Optional<PeerAddress> readServiceAddress(CborReader in) throws IOException {
         PeerAddress address = readAddress(in);
-        return address.port() == NO_PORT ? null : address;
+        return address.port() == NO_PORT ? Optional.empty() : Optional.of(address);
     }
 
     static void writeAddress(CBORGenerator out, PeerAddress address) throws IOException {
--- a/src/main/java/ochretiller/fleet/transport/PlacementCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/PlacementCodec.java
@@ -3,8 +3,12 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import ochretiller.fleet.consensus.Ballot;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
@@ -15,7 +19,7 @@
     private static final int MAX_REPLICATION_FACTOR = 9;
 
     /** The phases in the order of their numbers. */
-    private static final List<RolloutState.Phase> PHASES = List.of(RolloutState.Phase.values());
+    private static final List<RolloutPhase> PHASES = List.of(RolloutPhase.values());
 
     private PlacementCodec() {}
 
@@ -55,38 +59,36 @@
     }
 
     /** Writes whether there is a placement, and the placement. */
-    public static void writeOptionalPlacement(CBORGenerator out, ReplicaPlacement placement)
-            throws IOException {
-        out.writeBoolean(placement != null);
-        if (placement != null) {
-            writePlacement(out, placement);
+    public static void writeOptionalPlacement(
+            CBORGenerator out, Optional<ReplicaPlacement> placement) throws IOException {
+        out.writeBoolean(placement.isPresent());
+        if (placement.isPresent()) {
+            writePlacement(out, placement.get());
         }
     }
 
-    /** Reads a placement, or null if there is none. */
-    public static ReplicaPlacement readOptionalPlacement(CborReader in) throws IOException {
-        return in.readBoolean() ? readPlacement(in) : null;
+    /** Reads a placement, or that there is none. */
+    public static Optional<ReplicaPlacement> readOptionalPlacement(CborReader in)
+            throws IOException {
+        return in.readBoolean() ? Optional.of(readPlacement(in)) : Optional.empty();
     }
 
-    private static void writeServers(
-            CBORGenerator out, List<ReplicaPlacement.ReplicaServer> servers) throws IOException {
+    private static void writeServers(CBORGenerator out, List<ReplicaServer> servers)
+            throws IOException {
         CborWriter.writeList(out, servers, PlacementCodec::writeServer);
     }
 
-    private static void writeServer(CBORGenerator out, ReplicaPlacement.ReplicaServer server)
-            throws IOException {
+    private static void writeServer(CBORGenerator out, ReplicaServer server) throws IOException {
         out.writeStartArray();
         out.writeString(server.name());
         out.writeString(server.zone());
         out.writeEndArray();
     }
 
-    private static List<ReplicaPlacement.ReplicaServer> readServers(CborReader in)
-            throws IOException {
+    private static List<ReplicaServer> readServers(CborReader in) throws IOException {
         return in.readList(
                 () -> {
-                    ReplicaPlacement.ReplicaServer server =
-                            new ReplicaPlacement.ReplicaServer(in.readText(), in.readText());
+                    ReplicaServer server = new ReplicaServer(in.readText(), in.readText());
                     in.readEndArray();
                     return server;
                 });
@@ -105,7 +107,7 @@
     }
 
     /** Writes the description of a published version as fields without an array of their own. */
-    public static void writeVersion(CBORGenerator out, RolloutState.PublishedVersion version)
+    public static void writeVersion(CBORGenerator out, PublishedVersion version)
             throws IOException {
         out.writeNumber(version.number());
         out.writeString(version.hash());
@@ -116,8 +118,8 @@
     }
 
     /** Reads the description of a published version. */
-    public static RolloutState.PublishedVersion readVersion(CborReader in) throws IOException {
-        return new RolloutState.PublishedVersion(
+    public static PublishedVersion readVersion(CborReader in) throws IOException {
+        return new PublishedVersion(
                 in.readLong(),
                 in.readText(),
                 in.readInt(),
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -4,7 +4,6 @@
 import java.time.Duration;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
-import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.audit.AuditEvent;
 import ochretiller.audit.AuditEventKind;
 import ochretiller.audit.ChainFault;
@@ -13,6 +12,7 @@
 import ochretiller.audit.KeyedRun;
 import ochretiller.audit.VersionUsage;
 import ochretiller.audit.files.AuditLogWriter;
+import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.metrics.Metrics;
@@ -103,13 +103,11 @@
     private void addEvent(AuditEventKind kind, long version, String text) {
         int length = Math.min(text.length(), AuditEvent.MAX_TEXT_CHARS);
         writer.add(
-                new AuditEvent(
-                        kind, version, unixMillis.getAsLong(), text.substring(0, length)));
+                new AuditEvent(kind, version, unixMillis.getAsLong(), text.substring(0, length)));
     }
 
     @Override
-    public void recordRolloutEvent(
-            RolloutEvent event, long version, String hash, String text) {
+    public void recordRolloutEvent(RolloutEvent event, long version, String hash, String text) {
         // A period has one version, and is fenced as a whole or not at all.
         if (event == RolloutEvent.CHANGED) {
             usage.switchVersion(version, hash, unixMillis.getAsLong(), scheduler.now())
@@ -150,17 +148,13 @@
     public void recordRunStarted(RequestAttempt attempt) {
         usage.count(attempt.operation.name(), InvocationOutcome.EXECUTED);
         if (recordsRuns && hasRecordableToken(attempt)) {
-            writer.add(
-                    new KeyedRun(
-                            attempt.version(), unixMillis.getAsLong(), attempt.token));
+            writer.add(new KeyedRun(attempt.version(), unixMillis.getAsLong(), attempt.token));
         }
     }
 
     private static boolean hasRecordableToken(RequestAttempt attempt) {
         String token = attempt.token;
-        return token != null
-                && !token.isEmpty()
-                && token.length() <= KeyedRun.MAX_TOKEN_CHARS;
+        return token != null && !token.isEmpty() && token.length() <= KeyedRun.MAX_TOKEN_CHARS;
     }
 
     @Override
--- a/src/main/java/ochretiller/node/AuditTrail.java
+++ b/src/main/java/ochretiller/node/AuditTrail.java
@@ -1,7 +1,7 @@
 package ochretiller.node;
 
-import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.audit.ChainHead;
+import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 
--- a/src/main/java/ochretiller/node/NoAuditTrail.java
+++ b/src/main/java/ochretiller/node/NoAuditTrail.java
@@ -1,7 +1,7 @@
 package ochretiller.node;
 
-import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.audit.ChainHead;
+import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 
@@ -23,8 +23,7 @@
     }
 
     @Override
-    public void recordRolloutEvent(
-            RolloutEvent event, long version, String hash, String text) {
+    public void recordRolloutEvent(RolloutEvent event, long version, String hash, String text) {
         // nothing is kept
     }
 
--- a/src/main/java/ochretiller/node/OperatorWiring.java
+++ b/src/main/java/ochretiller/node/OperatorWiring.java
@@ -10,8 +10,8 @@
 import ochretiller.fleet.service.FleetCallbacks;
 import ochretiller.fleet.service.FleetRuntime;
 import ochretiller.fleet.service.FleetService;
-import ochretiller.fleet.service.LocalServer;
 import ochretiller.fleet.service.FleetSettings;
+import ochretiller.fleet.service.LocalServer;
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.metrics.Metrics;
@@ -148,13 +148,11 @@
                 metrics);
     }
 
-    private FleetCallbacks fleetCallbacks(
-            Optional<ConfiguredWorkerPools> pools, AuditTrail audit) {
+    private FleetCallbacks fleetCallbacks(Optional<ConfiguredWorkerPools> pools, AuditTrail audit) {
         return new FleetCallbacks(
                 (member, present) -> {
                     if (pools.isPresent() && member.serviceAddress() != null) {
-                        pools.get()
-                                .onFleetMemberSeen(member.serviceAddress().toString(), present);
+                        pools.get().onFleetMemberSeen(member.serviceAddress().toString(), present);
                     }
                 },
                 new PoolVersionApplier(settings, configs -> reconfigure(pools, configs), audit),
--- a/src/main/java/ochretiller/node/PoolVersionApplier.java
+++ b/src/main/java/ochretiller/node/PoolVersionApplier.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import ochretiller.fleet.service.VersionActivator;
-import ochretiller.fleet.service.RolloutEvent;
 import ochretiller.audit.ChainHead;
-import ochretiller.fleet.consensus.RolloutState;
+import ochretiller.fleet.consensus.PublishedVersion;
+import ochretiller.fleet.service.RolloutEvent;
+import ochretiller.fleet.service.VersionActivator;
 import ochretiller.operator.OperatorConfig;
 import ochretiller.operator.OperatorConfigReader;
 import ochretiller.settings.MalformedException;
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void told(RolloutEvent what, RolloutState.PublishedVersion version, String text) {
+    public void told(RolloutEvent what, PublishedVersion version, String text) {
         audit.recordRolloutEvent(what, version.number(), version.hash(), text);
     }
 
--- a/src/main/java/ochretiller/node/StoreSetup.java
+++ b/src/main/java/ochretiller/node/StoreSetup.java
@@ -33,14 +33,16 @@
     /** Bytes on disk for each byte that the fleet may keep: dead records stay until compaction. */
     private static final int BYTES_PER_REPLICA_BYTE = 4;
 
-/** A segment that expires within so many record lives is not compacted but waited for. */
+    /** A segment that expires within so many record lives is not compacted but waited for. */
     private static final int MIN_REMAINING_LIVES = 4;
 
     /** Returns the bounds of the store; what is kept for the fleet has room of its own. */
     StoreLimits limits() {
         int maxEntries =
                 settings.mostEntries()
-                        + replication.map(fleet -> KEYS_PER_REPLICA_ENTRY * fleet.maxEntries()).orElse(0);
+                        + replication
+                                .map(fleet -> KEYS_PER_REPLICA_ENTRY * fleet.maxEntries())
+                                .orElse(0);
         long maxBytes =
                 settings.mostBytes()
                         + replication
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -17,11 +17,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.replication.ClaimId;
 import ochretiller.fleet.replication.ClaimOutcome;
-import ochretiller.fleet.replication.DurabilityBarrier;
+import ochretiller.fleet.replication.PendingWrite;
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaEntry;
+import ochretiller.fleet.replication.ReplicaLimits;
+import ochretiller.fleet.replication.ReplicaSnapshot;
 import ochretiller.golden.GoldenFile;
 import ochretiller.store.AppendResult;
 import ochretiller.store.BootClock;
@@ -48,10 +51,8 @@
     private static final ReplicaPlacement LAYOUT =
             new ReplicaPlacement(
                     4,
-                    List.of(
-                            new ReplicaPlacement.ReplicaServer("a", "z1"),
-                            new ReplicaPlacement.ReplicaServer("b", "z2")),
-                    List.of(new ReplicaPlacement.ReplicaServer("b", "z2")),
+                    List.of(new ReplicaServer("a", "z1"), new ReplicaServer("b", "z2")),
+                    List.of(new ReplicaServer("b", "z2")),
                     2);
 
     private final VolatileDirectory disk = new VolatileDirectory();
@@ -77,13 +78,13 @@
                 NOW.plus(LEFT));
     }
 
-    private static Replica.ReplicaSnapshot before(Set<Integer> forgot) {
-        return new Replica.ReplicaSnapshot(
-                LAYOUT, Map.of(), Set.of(3), forgot, Set.of(7), 41, false);
+    private static ReplicaSnapshot before(Set<Integer> forgot) {
+        return new ReplicaSnapshot(LAYOUT, Map.of(), Set.of(3), forgot, Set.of(7), 41, false);
     }
 
     private static Replica keeper(Set<Integer> forgot) {
-        Replica keeper = new Replica("a", before(forgot), LAYOUT, 100, LONGEST, NOW);
+        Replica keeper =
+                Replica.recover("a", before(forgot), ReplicaLimits.ofEntries(100, LONGEST), NOW);
         keeper.restore(TOKEN, entry());
         return keeper;
     }
@@ -101,8 +102,8 @@
         try (Store store = open()) {
             store.start();
             ReplicaStorage keeperDisk = new ReplicaStorage(store, LONGEST);
-            DurabilityBarrier.PendingWrite place = new DurabilityBarrier.PendingWrite(0, 1, null);
-            DurabilityBarrier.PendingWrite entry = new DurabilityBarrier.PendingWrite(0, 2, TOKEN);
+            PendingWrite place = new PendingWrite(0, 1, Optional.empty());
+            PendingWrite entry = new PendingWrite(0, 2, Optional.of(TOKEN));
             durable(then -> keeperDisk.write(place, keeper, PLACE, NOW, then));
             durable(then -> keeperDisk.write(entry, keeper, PLACE, NOW, then));
             durable(then -> keeperDisk.storeResult(TOKEN, ID, RESULT, NOW.plus(LEFT), NOW, then));
@@ -153,7 +154,7 @@
                     .isEqualTo(
                             new RecoveredReplica(
                                     Optional.of(
-                                            new Replica.ReplicaSnapshot(
+                                            new ReplicaSnapshot(
                                                     LAYOUT, entries, Set.of(3), forgot, Set.of(7),
                                                     42, true)),
                                     entries,
