--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -23,11 +23,14 @@
 import java.util.random.RandomGenerator;
 import ochretiller.audit.ChainHead;
 import ochretiller.collections.BoundedMap;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.membership.MemberSnapshot;
 import ochretiller.fleet.rollout.Lease;
 import ochretiller.fleet.rollout.LeaseGrantor;
+import ochretiller.fleet.rollout.OutboundChunkRequest;
 import ochretiller.fleet.rollout.RolloutController;
 import ochretiller.fleet.rollout.RolloutMessage;
 import ochretiller.fleet.rollout.RolloutStages;
@@ -80,7 +83,7 @@
     private final Map<Long, VersionCounters> counts = BoundedMap.evictingOldest(KEPT);
     private final Map<String, VersionReport> reports = new HashMap<>();
     private ReplicaPlacement layout = ReplicaPlacement.empty(1);
-    private RolloutState.PublishedVersion acting = RolloutState.PublishedVersion.NONE;
+    private PublishedVersion acting = PublishedVersion.NONE;
     private long refused;
     private String why = "";
     private RolloutState wished;
@@ -120,7 +123,7 @@
         ChainHead audited();
 
         /** Something happened that is to be remembered. */
-        void told(What what, RolloutState.PublishedVersion version, String text);
+        void told(What what, PublishedVersion version, String text);
     }
 
     /** What happened. */
@@ -180,7 +183,7 @@
                     Files.newDirectoryStream(settings.folder(), "*" + SUFFIX)) {
                 for (Path each : files) {
                     byte[] all =
-                            Files.size(each) > RolloutState.PublishedVersion.MAX_BYTES
+                            Files.size(each) > PublishedVersion.MAX_BYTES
                                     ? new byte[0]
                                     : Files.readAllBytes(each);
                     // Others may still need those that this server did not come to act on.
@@ -189,9 +192,9 @@
                     }
                 }
             }
-            RolloutState.PublishedVersion before = state.read(ReplicationCodec::version);
+            PublishedVersion before = state.read(ReplicationCodec::version);
             if (before == null || before.usesLocalFiles()) {
-                acting = before == null ? RolloutState.PublishedVersion.NONE : before;
+                acting = before == null ? PublishedVersion.NONE : before;
                 return;
             }
             byte[] all = bytes.get(before.hash());
@@ -273,7 +276,7 @@
 
     /** Acts on what is in force for this server, or fetches it. */
     private void follow() {
-        RolloutState.PublishedVersion target = RolloutStages.targetVersion(layout, name);
+        PublishedVersion target = RolloutStages.targetVersion(layout, name);
         if (target.number() == acting.number() && target.hash().equals(acting.hash())
                 || target.number() == refused) {
             return;
@@ -367,7 +370,7 @@
 
     void tick() {
         Duration now = schedule.now();
-        for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+        for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
             send.accept(ask.recipient(), ask.request());
         }
         take(now);
@@ -520,7 +523,7 @@
                                 keep(piece.hash(), all, () -> {});
                                 follow();
                             });
-            for (VersionDownload.OutboundChunkRequest ask : gather.tick(sources(), now)) {
+            for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
                 send.accept(ask.recipient(), ask.request());
             }
         }
@@ -546,7 +549,7 @@
 
     private void take(Duration now) {
         if (offeredBy != null) {
-            for (VersionDownload.OutboundChunkRequest ask : taken.tick(List.of(offeredBy), now)) {
+            for (OutboundChunkRequest ask : taken.tick(List.of(offeredBy), now)) {
                 send.accept(ask.recipient(), ask.request());
             }
         }
@@ -572,8 +575,7 @@
             return;
         }
         offeredBy = by;
-        taken.start(
-                new RolloutState.PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
+        taken.start(new PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
         take(now);
     }
 
@@ -609,9 +611,8 @@
         if (!voters.contains(name)) {
             return refusal("this server is no voter: ask one of " + voters);
         }
-        if (all.length == 0 || all.length > RolloutState.PublishedVersion.MAX_BYTES) {
-            return refusal(
-                    "a version has 1 to " + RolloutState.PublishedVersion.MAX_BYTES + " bytes");
+        if (all.length == 0 || all.length > PublishedVersion.MAX_BYTES) {
+            return refusal("a version has 1 to " + PublishedVersion.MAX_BYTES + " bytes");
         }
         RolloutState rollout = layout.rollout();
         if (!rollout.isComplete() || wished != null || offered != null) {
@@ -624,10 +625,10 @@
         if (fault != null) {
             return refusal(fault);
         }
-        RolloutState.PublishedVersion next;
+        PublishedVersion next;
         try {
             next =
-                    new RolloutState.PublishedVersion(
+                    new PublishedVersion(
                             rollout.target().number() + 1,
                             hash(all),
                             all.length,
@@ -689,13 +690,13 @@
         RolloutState next =
                 switch (word) {
                     case "pause" ->
-                            rollout.phase() == RolloutState.Phase.RUNNING
-                                    ? rollout.withPhase(RolloutState.Phase.PAUSED)
+                            rollout.phase() == RolloutPhase.RUNNING
+                                    ? rollout.withPhase(RolloutPhase.PAUSED)
                                     : null;
                     case "go-on" ->
-                            rollout.isComplete() || rollout.phase() == RolloutState.Phase.RUNNING
+                            rollout.isComplete() || rollout.phase() == RolloutPhase.RUNNING
                                     ? null
-                                    : rollout.withPhase(RolloutState.Phase.RUNNING);
+                                    : rollout.withPhase(RolloutPhase.RUNNING);
                     case "take-back" ->
                             rollout.target().number() == 0
                                             || rollout.previous().equals(rollout.target())
