--- a/src/main/java/ochretiller/node/FleetRunClaims.java
+++ b/src/main/java/ochretiller/node/FleetRunClaims.java
@@ -58,7 +58,10 @@
             case REPLAY ->
                     connections.succeed(
                             attempt,
-                            decision.outcome().orElseThrow().result().getBytes(StandardCharsets.ISO_8859_1),
+                            decision.outcome()
+                                    .orElseThrow()
+                                    .result()
+                                    .getBytes(StandardCharsets.ISO_8859_1),
                             true);
             case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.OTHER_BODY);
             case COMPLETED_WITHOUT_RESULT -> connections.fail(attempt, FailureReason.FAILED);
