--- a/src/main/java/ochretiller/metrics/Metrics.java
+++ b/src/main/java/ochretiller/metrics/Metrics.java
@@ -6,57 +6,62 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The figures of a server by name. Counting costs an addition whether or not anybody reads; a
- * reader, where the operators' file asks for one, goes over {@link #all} on a thread of its own.
+ * The registry of a server's metrics. Counting costs an addition whether or not metrics are
+ * exported; an exporter reads {@link #all} on a thread of its own. Safe for use by several threads.
  */
 public final class Metrics {
-    /** Names are bounded by the code: none is made from what a peer sends. */
+    /** Bounded, since names are constants of the code and the operators' configuration. */
     private final List<Figure> figures = new ArrayList<>();
 
     /**
-     * One figure.
+     * One metric.
      *
-     * @param name lower case with underscores; a counter's ends in {@code _total}, one with a unit
-     *     names it
-     * @param counts it only grows
-     * @param current its value, read from any thread
+     * @param name lower case with underscores, with the unit if any; a counter's ends in {@code
+     *     _total}
+     * @param help what it measures, for people
+     * @param counts whether it is a counter, which only grows, or else a gauge
+     * @param current reads its value, on any thread
      */
     public record Figure(String name, String help, boolean counts, DoubleSupplier current) {}
 
-    /** Counts what happens. */
+    /** Counts events. Any thread. */
     public static final class Counter {
         private final LongAdder sum = new LongAdder();
 
+        /** Counts one event. */
         public void add() {
             sum.increment();
         }
 
+        /** Counts several events. */
         public void add(long more) {
             sum.add(more);
         }
 
+        /** How many events were counted. */
         public long value() {
             return sum.sum();
         }
     }
 
-    /** A count since the start, with a name that ends in {@code _total}. */
+    /** Registers a counter, whose name ends in {@code _total}. */
     public synchronized Counter counter(String name, String help) {
         Counter counter = new Counter();
         figures.add(new Figure(name, help, true, counter::value));
         return counter;
     }
 
-    /** A count that another part keeps. */
+    /** Registers a counter whose value is kept elsewhere and read on any thread. */
     public synchronized void counted(String name, String help, DoubleSupplier current) {
         figures.add(new Figure(name, help, true, current));
     }
 
-    /** A value that goes up and down; it is read from another thread. */
+    /** Registers a gauge, whose value is read on any thread. */
     public synchronized void gauge(String name, String help, DoubleSupplier current) {
         figures.add(new Figure(name, help, false, current));
     }
 
+    /** All metrics, in the order of their registration. */
     public synchronized List<Figure> all() {
         return List.copyOf(figures);
     }
--- a/src/main/java/ochretiller/pools/WorkerSelector.java
+++ b/src/main/java/ochretiller/pools/WorkerSelector.java
@@ -13,8 +13,8 @@
 
 /**
  * Chooses workers by the power of two random choices (Mitzenmacher 2001): of two workers that are
- * drawn at random, the one with the lower expected delay gets the request. That is nearly as good as
- * the best of all, and servers that know the same do not all choose the same worker.
+ * drawn at random, the one with the lower expected delay gets the request. That is nearly as good
+ * as the best of all, and servers that know the same do not all choose the same worker.
  */
 public final class WorkerSelector {
     /** Most workers of one pool. */
@@ -184,7 +184,8 @@
         if (end == RequestOutcome.ANSWERED) {
             usual.add(now, inSeconds(took), 1);
         }
-        // A request that was cancelled after far longer than usual counts as timed out; one that was
+        // A request that was cancelled after far longer than usual counts as timed out; one that
+        // was
         // cancelled sooner says nothing about the worker.
         boolean silent =
                 end == RequestOutcome.GIVEN_UP && inSeconds(took) > FAR * usual.mean(now, UNKNOWN);
--- a/src/main/java/ochretiller/processor/ProcessorConnection.java
+++ b/src/main/java/ochretiller/processor/ProcessorConnection.java
@@ -40,8 +40,7 @@
     private final Connection connection;
     private final InetSocketAddress address;
     private final ProcessorClient client;
-    private final Frames frames =
-            new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
+    private final Frames frames = new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
 
     /**
      * A connection that was established. Called on the I/O thread.
--- a/src/main/java/ochretiller/text/BadInputException.java
+++ b/src/main/java/ochretiller/text/BadInputException.java
@@ -1,10 +1,15 @@
 package ochretiller.text;
 
-/** What a peer sent does not follow its page. */
+/** A peer sent something that violates its protocol. */
 public final class BadInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
+    /**
+     * Made without a stack trace: peers can cause these at will, and the trace costs most.
+     *
+     * @param message what is wrong, for a log line
+     */
     public BadInputException(String message) {
-        super(message, null, false, false); // thrown at a peer's will: no trace, which costs most
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/ochretiller/text/Json.java
+++ b/src/main/java/ochretiller/text/Json.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 
 /**
- * Reads JSON into maps, lists, strings, whole numbers as Long, other numbers as Double, Booleans
- * and NULL.
+ * A JSON parser (RFC 8259) that makes maps, lists, strings, Long for whole numbers, Double for
+ * other numbers, Boolean and {@link #NULL}. One instance parses one text.
  */
 public final class Json {
-    /** JSON's null, which a map tells apart from a member that is absent. */
+    /** JSON's null, to tell it from a member that is absent. */
     public static final Object NULL =
             new Object() {
                 @Override
@@ -23,7 +23,7 @@
                 }
             };
 
-    /** Guards against a stack that runs over on nested brackets. */
+    /** Deepest nesting: each level takes a stack frame. */
     private static final int DEEPEST = 32;
 
     private final byte[] bytes;
@@ -31,16 +31,21 @@
     private int at;
     private int depth;
 
-    /** The members of the outermost object that were read whole. */
+    /** The members of the outermost object that were parsed completely. */
     private final Map<String, Object> members = new LinkedHashMap<>();
 
+    /** A parser of this text in UTF-8. */
     public Json(Slice text) {
         bytes = text.bytes();
         at = text.from();
         end = text.to();
     }
 
-    /** The one value that the text holds. */
+    /**
+     * Parses the text, which holds one value.
+     *
+     * @throws BadInputException where it is malformed
+     */
     public Object read() {
         Object value = value();
         skipBlanks();
@@ -50,7 +55,7 @@
         return value;
     }
 
-    /** What was read of the outermost object, whole or not. */
+    /** The members of the outermost object parsed so far, also after a failure of {@link #read}. */
     public Map<String, Object> members() {
         return members;
     }
--- a/src/main/java/ochretiller/text/package-info.java
+++ b/src/main/java/ochretiller/text/package-info.java
@@ -1,2 +1,7 @@
-/** The project's own parsers: slices of read buffers, JSON, and CR LF lines with counted bodies. */
+/**
+ * Parsers of the wire protocols' text: slices of read buffers, JSON, and lines that end in CR LF
+ * with counted bodies. All are bounded and hold no threads or sockets; each instance belongs to one
+ * caller at a time. Malformed input is reported by {@link ochretiller.text.BadInputException}.
+ * Depends on no other package.
+ */
 package ochretiller.text;
--- a/src/main/java/ochretiller/uwsgi/Route.java
+++ b/src/main/java/ochretiller/uwsgi/Route.java
@@ -33,8 +33,7 @@
         return warnings;
     }
 
-    private static void checkPair(
-            List<Route> routes, int first, int later, List<String> warnings) {
+    private static void checkPair(List<Route> routes, int first, int later, List<String> warnings) {
         Route hiding = routes.get(first);
         Route hidden = routes.get(later);
         String hiddenName =
