--- a/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -1,6 +1,5 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.PublishedVersion;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,6 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -1,7 +1,5 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.RolloutPhase;
-import ochretiller.fleet.consensus.PublishedVersion;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
@@ -9,7 +7,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
--- a/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
@@ -1,7 +1,7 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.PublishedVersion;
 import java.util.Arrays;
+import ochretiller.fleet.consensus.PublishedVersion;
 
 /**
  * Messages about versions between the servers of a fleet; {@code docs/fleet-wire.md} has their
--- a/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
@@ -1,7 +1,5 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.ReplicaServer;
-import ochretiller.fleet.consensus.PublishedVersion;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -10,7 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import net.openhft.hashing.LongHashFunction;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
@@ -35,8 +35,7 @@
     }
 
     /** Returns the version that this server has to run. */
-    public static PublishedVersion targetVersion(
-            ReplicaPlacement placement, String server) {
+    public static PublishedVersion targetVersion(ReplicaPlacement placement, String server) {
         RolloutState rollout = placement.rollout();
         return rollout.isComplete() || includes(placement, server)
                 ? rollout.target()
@@ -60,8 +59,7 @@
 
     private static Set<String> earlyServers(ReplicaPlacement placement) {
         RolloutState rollout = placement.rollout();
-        List<ReplicaServer> order =
-                inDrawnOrder(placement, rollout.target().number());
+        List<ReplicaServer> order = inDrawnOrder(placement, rollout.target().number());
         Set<String> early = new HashSet<>();
         if (order.isEmpty()) {
             return early;
@@ -77,13 +75,10 @@
         return early;
     }
 
-    private static List<ReplicaServer> inDrawnOrder(
-            ReplicaPlacement placement, long version) {
+    private static List<ReplicaServer> inDrawnOrder(ReplicaPlacement placement, long version) {
         List<ReplicaServer> order = new ArrayList<>(placement.servers());
         order.sort(
-                Comparator.comparingLong(
-                                (ReplicaServer server) ->
-                                        draw(version, server.name()))
+                Comparator.comparingLong((ReplicaServer server) -> draw(version, server.name()))
                         .thenComparing(ReplicaServer::name));
         return order;
     }
--- a/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
@@ -1,12 +1,12 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.PublishedVersion;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
+import ochretiller.fleet.consensus.PublishedVersion;
 
 /**
  * Downloads the bytes of a version in chunks: several at once from one source, from another where
--- a/src/main/java/ochretiller/workers/WorkerPool.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -92,8 +92,7 @@
                 metrics.counter(
                         prefix + "late_answers_total",
                         "Answers behind their time, which are ignored");
-        metrics.gauge(
-                prefix + "places", "Runs that its workers may have at once", () -> capacity);
+        metrics.gauge(prefix + "places", "Runs that its workers may have at once", () -> capacity);
     }
 
     /** Takes new settings and workers; removed workers finish what they have. */
--- a/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import ochretiller.fleet.consensus.ReplicaServer;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -13,6 +12,7 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import org.junit.jupiter.api.Test;
 
 /** Which messages leave, and when. */
@@ -93,8 +93,7 @@
     private int grantsOnAFailingDisk(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ReplicaPlacement placement =
-                new ReplicaPlacement(
-                        2, List.of(new ReplicaServer("a", "")), List.of(), 1);
+                new ReplicaPlacement(2, List.of(new ReplicaServer("a", "")), List.of(), 1);
         ReplicaLimits limits = ReplicaLimits.ofEntries(1_000, Duration.ofMinutes(1));
         Replica replica =
                 Replica.recover("a", new ReplicaSnapshot(placement, Map.of()), limits, now);
--- a/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
@@ -5,12 +5,12 @@
 import static ochretiller.fleet.replication.ReplicationFixture.WINDOW;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import ochretiller.fleet.consensus.ReplicaServer;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 import ochretiller.fleet.replication.ReplicationMessage.ClaimVote;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/ochretiller/fleet/replication/ReplicationFixture.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicationFixture.java
@@ -1,9 +1,9 @@
 package ochretiller.fleet.replication;
 
-import ochretiller.fleet.consensus.ReplicaServer;
 import java.time.Duration;
 import java.util.List;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
 
 /**
  * What the tests of this package share: three servers in three zones that replicate every range.
--- a/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
@@ -9,10 +9,10 @@
 import static ochretiller.fleet.rollout.RolloutFixture.second;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import ochretiller.fleet.consensus.RolloutPhase;
 import java.time.Duration;
 import java.util.Optional;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 import org.junit.jupiter.api.Test;
 
@@ -102,8 +102,7 @@
         reportAll(halting, fleet, VersionCounters.ZERO, counters(0, 0));
         next(halting, fleet, now);
         reportAll(halting, fleet, counters(400, 120), counters(400, 4));
-        assertThat(next(halting, fleet, now).orElseThrow().phase())
-                .isEqualTo(RolloutPhase.HALTED);
+        assertThat(next(halting, fleet, now).orElseThrow().phase()).isEqualTo(RolloutPhase.HALTED);
     }
 
     @Test
--- a/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
@@ -1,13 +1,13 @@
 package ochretiller.fleet.rollout;
 
-import ochretiller.fleet.consensus.ReplicaServer;
-import ochretiller.fleet.consensus.RolloutPhase;
-import ochretiller.fleet.consensus.PublishedVersion;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
+import ochretiller.fleet.consensus.PublishedVersion;
 import ochretiller.fleet.consensus.ReplicaPlacement;
+import ochretiller.fleet.consensus.ReplicaServer;
+import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
@@ -42,9 +42,7 @@
     }
 
     static VersionReport running(
-            PublishedVersion version,
-            VersionCounters candidate,
-            VersionCounters baseline) {
+            PublishedVersion version, VersionCounters candidate, VersionCounters baseline) {
         return new VersionReport(version.number(), version.hash(), 0, "", 2, candidate, baseline);
     }
 
