--- a/src/test/java/ochretiller/golden/FleetJsonTest.java
+++ b/src/test/java/ochretiller/golden/FleetJsonTest.java
@@ -56,6 +56,7 @@
                             server.fleetPort));
         }
         WholeServer.until(() -> told("fleet", "view").get("refused").size() > 0);
+        WholeServer.until(() -> state(told("fleet", "view")).equals("HERE"));
         JsonNode view = told("fleet", "view");
         assertThat(Cli.members(view))
                 .containsExactly(
@@ -72,7 +73,11 @@
                 .containsExactly(
                         "name", "start", "state", "address", "zone", "build", "serves", "number",
                         "for_ms", "self");
-        assertThat(view.get("members").get(0).get("state").asText()).isEqualTo("HERE");
+        assertThat(state(view)).isEqualTo("HERE");
+    }
+
+    private static String state(JsonNode view) {
+        return view.get("members").get(0).get("state").asText();
     }
 
     @Test
