--- a/src/main/java/ochretiller/fleet/transport/CborReader.java
+++ b/src/main/java/ochretiller/fleet/transport/CborReader.java
@@ -78,10 +78,14 @@
     /**
      * Reads an integer of 32 bits.
      *
-     * @throws ArithmeticException if it is out of range
+     * @throws IllegalArgumentException if it is out of range, as for all that a peer cannot mean
      */
     public int readInt() throws IOException {
-        return Math.toIntExact(readLong());
+        long value = readLong();
+        if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
+            throw new IllegalArgumentException("not an integer of 32 bits: " + value);
+        }
+        return (int) value;
     }
 
     /**
