--- a/src/main/java/ochretiller/admission/AdmissionController.java
+++ b/src/main/java/ochretiller/admission/AdmissionController.java
@@ -12,16 +12,16 @@
 import ochretiller.server.ServerActions;
 
 /**
- * The admission decisions of one server. The host tells what happens through the {@code on...}
- * methods; each returns the {@link Action} to be executed on the host's {@link ServerActions},
- * where it leaves continuations for the outcomes of runs, calls and timers. The controller only
- * says which steps an event causes, and in which order; each step has a class of its own.
+ * Makes the admission decisions of one server. The host reports events through the {@code on...}
+ * methods; each returns the {@link Action} that the host executes on its {@link ServerActions}.
+ * Continuations that an action registers there receive the outcomes of runs, calls and timers. The
+ * controller only selects and orders the steps that follow an event; each step has its own class.
  *
- * <p>Not thread-safe: events and actions belong on one thread. See the package page for the parts
- * and for the rules that they keep.
+ * <p>Not thread-safe: events and actions must run on one thread. The package documentation lists
+ * the parts and the rules that they enforce.
  */
 public final class AdmissionController {
-    /** Expected duration of nothing: while no run is on the cores there is no stall. */
+    /** Expected run time while no run is on the cores, seconds: too long to count as a stall. */
     private static final double NO_RUN_SECONDS = 1e9;
 
     private final AdmissionState state;
@@ -57,12 +57,12 @@
         deadlines = new DeadlineEnforcer(state, limits, overload, gate, responder);
     }
 
-    /** Returns a builder with the settings of a server that nothing is known of. */
+    /** Returns a builder whose defaults are one warm core and no other limits. */
     public static AdmissionControllerBuilder builder() {
         return new AdmissionControllerBuilder();
     }
 
-    /** The server has started. To be called once, before all other events. */
+    /** Handles the start of the server. Must be called once, before all other events. */
     public Action onStarted() {
         return server -> {
             signals.advertiser().announceStart(server);
@@ -70,7 +70,7 @@
         };
     }
 
-    /** An invocation was read and waits to be decided on. */
+    /** Handles an invocation that the host has read: admits, rejects or replays it. */
     public Action onInvocationReceived(Invocation invocation) {
         return server -> {
             TrackedInvocation tracked = intake.register(server, invocation);
@@ -82,11 +82,11 @@
     }
 
     /**
-     * A keyed attempt of a previous process is known from durable storage. Told again once the end
-     * of its run is known, if it was not at first.
+     * Restores the idempotency entry of a keyed attempt of a previous process from durable storage.
+     * If the end of its run is not known at first, the host calls this again once it is.
      *
-     * @param id the attempt, by a number that no invocation of this process has
-     * @param expiresAt end of its deduplication window, counted from the start of this server
+     * @param id identifier of the attempt, which no invocation of this process may have
+     * @param expiresAt end of its deduplication window, as time since the start of this server
      * @param status how its run ended, or null while that is unknown
      */
     public Action onEntryRestored(InvocationId id, Duration expiresAt, RunOutcome.Status status) {
@@ -100,7 +100,7 @@
         };
     }
 
-    /** A run waits for a downstream call. */
+    /** Handles the request of a run for a downstream call. */
     public Action onCallRequested(InvocationId id) {
         return server -> {
             if (calls.enqueue(server, id)) {
@@ -110,7 +110,7 @@
         };
     }
 
-    /** The client of an invocation is gone; no answer is owed to it. */
+    /** Handles the disconnection of an invocation's client, which needs no answer any more. */
     public Action onClientGone(InvocationId id) {
         return server -> {
             Optional<TrackedInvocation> found = state.registry().find(id);
@@ -122,9 +122,9 @@
     }
 
     /**
-     * The process is to be stopped.
+     * Handles the notice that the process will be stopped.
      *
-     * @param killAt when it is killed at the latest, counted from the start of this server
+     * @param killAt latest time at which it is killed, as time since the start of this server
      */
     public Action onShutdownNotice(Duration killAt) {
         return server -> {
@@ -133,7 +133,7 @@
             Duration lastAnswerAt = killAt.minus(AdmissionTiming.ANSWER_MARGIN);
             server.schedule(timeUntil(lastAnswerAt, now), gauges -> deadlines::enforceAll);
             signals.advertiser().announceDrain(server);
-            // Until the grace period is over it is of use, and its successor may not be known yet.
+            // Clients may not know a replacement yet, and it still runs work in the grace period.
             server.schedule(
                     timeUntil(limits.drain().graceEndsAt(), now),
                     gauges -> signals.advertiser()::closeCapacity);
@@ -153,7 +153,7 @@
         if (tracked.isRunning()) {
             limits.cancellation().cancel(server, tracked);
         } else if (tracked.isAwaitingCall() || tracked.isCalling()) {
-            limits.calls().remove(tracked); // the end of its run follows
+            limits.calls().remove(tracked); // its run is closed when it ends
         } else {
             state.queue().remove(tracked);
             state.idempotency().stopWaiting(tracked);
--- a/src/main/java/ochretiller/admission/AdmissionControllerBuilder.java
+++ b/src/main/java/ochretiller/admission/AdmissionControllerBuilder.java
@@ -7,8 +7,8 @@
 import ochretiller.model.Tenant;
 
 /**
- * The settings of an {@link AdmissionController}. Defaults are those of one warm core without
- * tenants, advertisement or any limit but the cores. Memory is in kilobytes. Not thread-safe.
+ * Builds an {@link AdmissionController}. The defaults are one warm core, without tenants,
+ * advertised capacity or limits other than the cores. Memory is in kilobytes. Not thread-safe.
  */
 public final class AdmissionControllerBuilder {
     private int cores = 1;
@@ -39,13 +39,13 @@
         return this;
     }
 
-    /** Sets how many runs for each core the server survives when it is warm. */
+    /** Sets how many concurrent runs per core the server survives once it is warm. */
     public AdmissionControllerBuilder survivableConcurrencyMultiple(double multiple) {
         this.survivableConcurrencyMultiple = multiple;
         return this;
     }
 
-    /** Sets the speed of the server while it warms up. */
+    /** Sets the speed of the server during warm-up. */
     public AdmissionControllerBuilder slowStart(SlowStart slowStart) {
         this.slowStart = slowStart;
         return this;
@@ -57,19 +57,19 @@
         return this;
     }
 
-    /** Sets the memory of the server, kilobytes. */
+    /** Sets the memory of the server, in kilobytes. */
     public AdmissionControllerBuilder memoryKb(double memoryKb) {
         this.memoryKb = memoryKb;
         return this;
     }
 
-    /** Sets how many times its queued memory an invocation takes while it runs. */
+    /** Sets the memory of a running invocation, as a multiple of its memory while queued. */
     public AdmissionControllerBuilder runMemoryFactor(double factor) {
         this.runMemoryFactor = factor;
         return this;
     }
 
-    /** Sets the memory of one idempotency entry, kilobytes. */
+    /** Sets the memory of one idempotency entry, in kilobytes. */
     public AdmissionControllerBuilder idempotencyEntryKb(double entryKb) {
         this.idempotencyEntryKb = entryKb;
         return this;
@@ -81,31 +81,31 @@
         return this;
     }
 
-    /** Sets the number of servers in the fleet, among which quotas are divided. */
+    /** Sets the number of servers in the fleet, by which quotas are divided. */
     public AdmissionControllerBuilder servers(int servers) {
         this.servers = servers;
         return this;
     }
 
-    /** Sets the factor on the billed value of what exceeds a quota, zero to one. */
+    /** Sets the factor, 0 to 1, on the billed value of invocations over quota. */
     public AdmissionControllerBuilder overQuotaWeight(double weight) {
         this.overQuotaWeight = weight;
         return this;
     }
 
-    /** Sets what the billed value is paid for. */
+    /** Sets whether the billed value is paid per request or per unit of work. */
     public AdmissionControllerBuilder billingBasis(BillingBasis billingBasis) {
         this.billingBasis = billingBasis;
         return this;
     }
 
-    /** Sets how many calls in flight are this server's share of what the service survives. */
+    /** Sets this server's share, in calls in flight, of what the downstream service survives. */
     public AdmissionControllerBuilder downstreamCallShare(double calls) {
         this.downstreamCallShare = calls;
         return this;
     }
 
-    /** Sets how long the downstream service goes on with a call that timed out here. */
+    /** Sets how long the downstream service continues a call that timed out here. */
     public AdmissionControllerBuilder serviceTimeAfterTimeout(Duration duration) {
         this.serviceTimeAfterTimeout = duration;
         return this;
@@ -117,31 +117,31 @@
         return this;
     }
 
-    /** Sets how long after a shutdown notice arrivals may still be run. */
+    /** Sets how long after a shutdown notice new arrivals may still run. */
     public AdmissionControllerBuilder gracePeriod(Duration gracePeriod) {
         this.gracePeriod = gracePeriod;
         return this;
     }
 
-    /** Sets what clients make of the advertised capacity. */
+    /** Sets how clients interpret the advertised capacity. */
     public AdmissionControllerBuilder advertisement(CapacityAdvertisement advertisement) {
         this.advertisement = advertisement;
         return this;
     }
 
-    /** Sets the number of clients, which share an advertised window. */
+    /** Sets the number of clients, by which an advertised window is divided. */
     public AdmissionControllerBuilder clients(int clients) {
         this.clients = clients;
         return this;
     }
 
-    /** Sets the longest Retry-After that clients heed; zero where they are told none. */
+    /** Sets the longest Retry-After that clients respect; zero if they are sent none. */
     public AdmissionControllerBuilder longestRetryAfter(Duration longest) {
         this.longestRetryAfter = longest;
         return this;
     }
 
-    /** Sets the longest idle timeout that the site allows; zero where it sets none. */
+    /** Sets the longest idle timeout of connections; zero if none is configured. */
     public AdmissionControllerBuilder longestIdleTimeout(Duration longest) {
         this.longestIdleTimeout = longest;
         return this;
@@ -150,7 +150,7 @@
     /**
      * Builds a controller.
      *
-     * @param random source of all chance in its decisions, which it keeps
+     * @param random source of randomness for its decisions; the controller retains it
      */
     public AdmissionController build(SplittableRandom random) {
         MemoryBudget memory = new MemoryBudget(memoryKb, runMemoryFactor);
--- a/src/main/java/ochretiller/admission/AdmissionGate.java
+++ b/src/main/java/ochretiller/admission/AdmissionGate.java
@@ -8,12 +8,12 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Decides what becomes of an invocation that has not run: it is queued, rejected, or, if it repeats
- * a keyed attempt, tied to that attempt. Stands for the rule "no effect twice": a retry never runs
- * beside its original attempt, nor after one that may have had its effect.
+ * Decides whether an invocation that has not run is queued, rejected or, if it repeats a keyed
+ * attempt, tied to that attempt. Enforces at-most-once effects: a retry never runs concurrently
+ * with its original attempt, nor after one that may have had its effect.
  *
- * <p>Rejecting and re-admitting are in one class since each causes the other: a keyed invocation
- * that is rejected before it ran gives its place to the retries that waited for it.
+ * <p>Rejection and re-admission are in one class because each causes the other: when a keyed
+ * invocation is rejected before it ran, a retry that waited for it is admitted in its place.
  */
 final class AdmissionGate {
     private final AdmissionState state;
@@ -44,26 +44,26 @@
     }
 
     /**
-     * Ties a retry to its original attempt: it is answered with that attempt's result, or waits for
-     * it, and never runs itself while the attempt may have run.
+     * Ties a retry to its original attempt: the retry waits for the end of that attempt or is
+     * answered from it, and does not run itself while the attempt may have run.
      *
-     * @param original entry of the original attempt; empty if it is known no more
+     * @param original entry of the original attempt; empty if the attempt is unknown
      */
     void followOriginal(
             ServerActions server, TrackedInvocation retry, Optional<IdempotencyEntry> original) {
         if (original.isEmpty() || original.get().isIn(State.SUCCEEDED)) {
             // An unknown attempt may have run: the host answers with its result or with an error.
             retry.startReplay();
-            server.replayResult(retry.id(), outcome -> afterwards -> state.registry().close(retry));
+            server.replayResult(retry.id(), outcome -> unused -> state.registry().close(retry));
         } else if (original.get().isIn(State.INDETERMINATE)) {
-            responder.fail(server, retry); // what failed may have had its effect
+            responder.fail(server, retry); // the failed run may have had its effect
         } else {
             retry.awaitOriginal();
             original.get().addWaitingRetry(retry);
         }
     }
 
-    /** Decides anew on the retries that wait for an attempt. */
+    /** Decides again on the retries that wait for an attempt. */
     void releaseWaitingRetries(ServerActions server, IdempotencyEntry original) {
         for (TrackedInvocation retry : original.takeWaitingRetries()) {
             followOriginal(server, retry, Optional.of(original));
@@ -73,7 +73,7 @@
     /**
      * Rejects an invocation that never ran.
      *
-     * @param isFinal whether no other server could be in time for it either
+     * @param isFinal whether no other server could answer it in time either
      */
     void reject(ServerActions server, TrackedInvocation tracked, boolean isFinal) {
         discardEntry(server, tracked);
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Removes the entry of an attempt that never ran, if it is keyed. The first retry that waited
-     * for it takes its place, and the others wait for that one.
+     * Removes the pending entry, if any, of an attempt that never ran. The first retry that waited
+     * for the attempt is admitted in its place, and the others wait for that retry.
      */
     void discardEntry(ServerActions server, TrackedInvocation tracked) {
         Optional<IdempotencyEntry> entry =
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Queues an invocation, or rejects it where it must not or cannot be run. */
+    /** Queues an invocation, or rejects it if it must not or cannot run. */
     private void admit(ServerActions server, TrackedInvocation tracked) {
         Duration now = server.now();
         boolean isTooLate = tracked.isPastCompletionDeadline(now);
@@ -119,7 +119,7 @@
         }
         Operation operation = tracked.operation();
         if (operation.isKeyed()) {
-            // Set before it runs: a retry of an attempt without an entry is not known as one.
+            // Registered before it runs: without an entry its retries are not recognized.
             state.idempotency().register(tracked.invocation(), now);
             Duration window = operation.deduplicationWindow();
             server.putIdempotencyEntry(
@@ -128,7 +128,7 @@
         state.queue().add(tracked);
     }
 
-    /** A keyed invocation whose entry could not be kept must not run. */
+    /** Returns whether a keyed invocation cannot get an entry, without which it must not run. */
     private boolean lacksIdempotencyCapacity(
             ServerActions server, TrackedInvocation tracked, Duration now) {
         if (!tracked.operation().isKeyed()) {
@@ -140,7 +140,7 @@
                 && server.acceptsIdempotencyEntries());
     }
 
-    /** Only idempotent ones are shed: the client of any other may not simply try again. */
+    /** Only idempotent invocations are shed: a client cannot safely retry any other. */
     private boolean isShedForReadBacklog(TrackedInvocation tracked) {
         if (!tracked.operation().isIdempotent()) {
             return false;
--- a/src/main/java/ochretiller/admission/AdmissionQueue.java
+++ b/src/main/java/ochretiller/admission/AdmissionQueue.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * Invocations that were admitted and wait for a slot. The rules by which they are ordered, found
- * infeasible and evicted are {@link QueueOrder}, {@link FeasibilityCheck} and {@link
- * EvictionPolicy}. Slots are counted by site, while order and eviction look at the whole queue.
+ * Invocations that were admitted and wait for a slot. {@link QueueOrder} orders them, {@link
+ * FeasibilityCheck} finds those that cannot end in time, and {@link EvictionPolicy} chooses which
+ * one to remove. Slots are counted per site; order and eviction consider the whole queue.
  */
 final class AdmissionQueue {
     private final QueueOrder order;
@@ -40,27 +40,27 @@
         return queued.stream().anyMatch(tracked -> tracked.runsAt(site));
     }
 
-    /** Returns what is queued, the one to start first in front, in a list of its own. */
+    /** Returns the queued invocations in starting order, as a new list. */
     List<TrackedInvocation> inOrder(Duration now) {
         return order.sort(queued, now);
     }
 
-    /** Returns what has to go from the queue of a site to keep the rest feasible, if anything. */
+    /** Returns the next invocation to remove to make a site's queue feasible, or empty. */
     Optional<TrackedInvocation> findInfeasible(SiteLoad slots, Duration now) {
         List<TrackedInvocation> ordered = inOrder(now);
         ordered.removeIf(tracked -> !tracked.runsAt(slots.site()));
         return feasibility.findVictim(ordered, queued, slots, now);
     }
 
-    /** Returns what goes where anything has to. The queue must not be empty. */
+    /** Returns the invocation to evict. The queue must not be empty. */
     TrackedInvocation evictionVictim(Duration now) {
         return eviction.chooseVictim(inOrder(now), queued);
     }
 
-    /** Returns the time until a newcomer for the site would start. */
+    /** Returns the expected time until an invocation queued now for the site would start. */
     Duration expectedWait(SiteLoad slots, Duration now) {
-        List<TrackedInvocation> queuedThere =
+        List<TrackedInvocation> queuedForSite =
                 queued.stream().filter(tracked -> tracked.runsAt(slots.site())).toList();
-        return feasibility.expectedWait(queuedThere, slots, now);
+        return feasibility.expectedWait(queuedForSite, slots, now);
     }
 }
--- a/src/main/java/ochretiller/admission/AdmissionState.java
+++ b/src/main/java/ochretiller/admission/AdmissionState.java
@@ -1,13 +1,13 @@
 package ochretiller.admission;
 
 /**
- * The parts of a controller that hold what is open and what was learned.
+ * The parts of a controller that hold its open invocations and its measurements.
  *
- * @param registry all invocations that are not over
- * @param queue those that wait for a slot
- * @param idempotency the keyed attempts
- * @param costs what invocations are expected to cost
- * @param quotas what tenants have sent
+ * @param registry all open invocations
+ * @param queue admitted invocations that wait for a slot
+ * @param idempotency entries of the keyed attempts
+ * @param costs estimated costs of invocations
+ * @param quotas recent usage of the tenants' quotas
  */
 record AdmissionState(
         InvocationRegistry registry,
--- a/src/main/java/ochretiller/admission/BackpressureAdvertiser.java
+++ b/src/main/java/ochretiller/admission/BackpressureAdvertiser.java
@@ -6,11 +6,11 @@
 import ochretiller.server.ServerActions;
 
 /**
- * What the server tells its clients unasked, once a tick: whether it is healthy, how much capacity
- * it advertises, and when idle connections are closed.
+ * Publishes load signals to clients once per tick: the health of the server, its advertised
+ * capacity, and the idle timeout of connections.
  */
 final class BackpressureAdvertiser {
-    /** Expected wait, as a share of the shortest latency objective, at which capacity closes. */
+    /** Share of the shortest latency objective above which an expected wait means overload. */
     private static final double LONG_WAIT_SHARE = 0.4;
 
     private final AdvertisedCapacity capacity;
@@ -25,17 +25,17 @@
         this.overload = overload;
     }
 
-    /** Reports a server that has just started as healthy. */
+    /** Reports the server as healthy when it has started. */
     void announceStart(ServerActions server) {
         server.setHealth(true, true);
     }
 
-    /** Reports a draining server as unhealthy, so that balancers stop sending. */
+    /** Reports a draining server as unhealthy, so that load balancers stop sending requests. */
     void announceDrain(ServerActions server) {
         server.setHealth(false, true);
     }
 
-    /** Advertises no capacity any more. */
+    /** Advertises zero capacity. */
     void closeCapacity(ServerActions server) {
         capacity.close().ifPresent(server::advertiseCapacity);
     }
@@ -43,8 +43,8 @@
     /**
      * Adapts health and advertised capacity to the load.
      *
-     * @param server where they are published
-     * @param expectedWait time until a newcomer would start
+     * @param server server that publishes them
+     * @param expectedWait expected time until an invocation queued now would start
      * @param shortestObjective the shortest latency objective of the operations served
      */
     void onTick(ServerActions server, Duration expectedWait, Duration shortestObjective) {
@@ -56,21 +56,21 @@
         capacity.adapt(isOverloaded).ifPresent(server::advertiseCapacity);
     }
 
-    /** Turns unhealthy at a severe backlog, and healthy again only once there is none at all. */
+    /** Turns unhealthy at a severe backlog, and healthy only when there is no backlog at all. */
     private void updateHealth(ServerActions server, Duration shortestObjective) {
-        boolean changes =
+        boolean mustChange =
                 isHealthy
                         ? overload.hasSevereReadBacklog(shortestObjective)
                         : !overload.hasReadBacklog(shortestObjective);
-        if (changes) {
-            // Guards against a backlog that feeds itself: clients that have given up are never told
-            // when to come back, and retry.
+        if (mustChange) {
+            // Guards against a backlog that sustains itself: clients that time out never receive a
+            // Retry-After, and retry.
             isHealthy = !isHealthy;
             server.setHealth(isHealthy, true);
         }
     }
 
-    /** Adapts the idle timeout to the open connections; NaN where their number is unknown. */
+    /** Adapts the idle timeout to the number of open connections, NaN if unknown. */
     void onConnections(ServerActions server, double openConnections) {
         idleTimeout.adapt(server.now(), openConnections).ifPresent(server::setIdleTimeout);
     }
--- a/src/main/java/ochretiller/admission/ClientOperation.java
+++ b/src/main/java/ochretiller/admission/ClientOperation.java
@@ -4,19 +4,19 @@
 import ochretiller.model.Operation;
 
 /**
- * The stream of invocations of one operation that come from one client.
+ * A client and an operation that it invokes, the key of the queue's round-robin order.
  *
- * @param client who sends them
- * @param operation what they ask for
+ * @param client the client
+ * @param operation the operation
  */
 record ClientOperation(ClientId client, Operation operation) {
-    // Written out, since a record's generated methods are linked at run time, which costs start-up
-    // time and slows each look-up in the queue.
+    // Not generated: a record's generated methods are linked at run time, which costs startup time
+    // and slows each lookup in the queue.
     @Override
     public boolean equals(Object other) {
-        return other instanceof ClientOperation stream
-                && client.equals(stream.client)
-                && operation.equals(stream.operation);
+        return other instanceof ClientOperation that
+                && client.equals(that.client)
+                && operation.equals(that.operation);
     }
 
     @Override
--- a/src/main/java/ochretiller/admission/ConcurrencyLimiter.java
+++ b/src/main/java/ochretiller/admission/ConcurrencyLimiter.java
@@ -6,28 +6,28 @@
 import ochretiller.model.ResourceGauges;
 
 /**
- * How many runs may occupy the cores at once: an adaptive limit, as in Netflix's
- * concurrency-limits, that climbs on throughput.
+ * Adaptive limit on how many runs may occupy the cores at once, driven by throughput as in
+ * Netflix's concurrency-limits.
  *
- * <p>It starts at the number of cores and never goes below. While the cores have room and the limit
- * alone keeps work queued it grows by a step that doubles every window; once completions fall while
- * the cores are busy it steps back by one. It stays under the concurrency that the server survives,
- * which is lower during {@link SlowStart} (rule "nothing falls over").
+ * <p>The limit starts at the number of cores and never falls below it. While the cores have spare
+ * capacity and only the limit delays queued work, it grows by a step that doubles each window. When
+ * throughput falls while the cores are busy, it shrinks by one. It stays below the concurrency that
+ * the server survives, which is lower during {@link SlowStart}.
  */
 final class ConcurrencyLimiter {
-    /** Utilization of the cores under which one more run has room, and over which they are busy. */
+    /** CPU utilization below which the cores have spare capacity; above it they are busy. */
     private static final double BUSY_UTILIZATION = 0.85;
 
     /**
-     * Share of the survivable concurrency that the limit may reach. Runs that come back from a
-     * downstream call are not limited and come on top.
+     * Share of the survivable concurrency that the limit may reach. Runs that resume after a
+     * downstream call are not limited and add to it.
      */
     private static final double SURVIVABLE_SHARE = 0.6;
 
-    /** Completions in a sample: enough to tell a fall of throughput from chance. */
+    /** Completions per throughput sample, enough to distinguish a drop from noise. */
     private static final int SAMPLE_SIZE = 16;
 
-    /** Relative fall of throughput at which the limit steps back. */
+    /** Relative drop of throughput at which the limit shrinks. */
     private static final double THROUGHPUT_DROP = 0.15;
 
     private final int cores;
@@ -45,8 +45,8 @@
      * Creates a limiter whose limit is the number of cores.
      *
      * @param cores cores of the server
-     * @param survivableMultiple runs for each core that the server survives when it is warm
-     * @param slowStart its speed while it warms up
+     * @param survivableMultiple concurrent runs per core that the server survives once warm
+     * @param slowStart speed of the server during warm-up
      */
     ConcurrencyLimiter(int cores, double survivableMultiple, SlowStart slowStart) {
         this.cores = cores;
@@ -55,24 +55,24 @@
         this.limit = cores;
     }
 
-    /** Returns how many runs may occupy the cores at this time. */
+    /** Returns how many runs may occupy the cores now. */
     int currentLimit(Duration now) {
         double speed = slowStart.speedAfter(now);
         double survivable = cores * (1 + (survivableMultiple - 1) * speed);
         return (int) Math.max(cores, Math.min(limit, survivable * SURVIVABLE_SHARE));
     }
 
-    /** A run on the cores has succeeded. */
+    /** Counts a run on the cores that succeeded. */
     void onRunSucceeded() {
         completions++;
     }
 
     /**
-     * Adapts the limit, once a window.
+     * Adapts the limit, once per window.
      *
      * @param now the time
-     * @param gauges the host's gauges; those that are NaN never make the limit grow or shrink
-     * @param isLimiting whether work is queued and the limit is reached
+     * @param gauges the host's gauges; a NaN gauge neither grows nor shrinks the limit
+     * @param isLimiting whether work is queued while the limit is reached
      */
     void onTick(Duration now, ResourceGauges gauges, boolean isLimiting) {
         if (!isLimiting) {
@@ -84,21 +84,21 @@
         grow(now, gauges);
         windowEndsAt = now.plus(MeasurementWindows.BUCKET);
         if (completions >= SAMPLE_SIZE) {
-            stepBackIfThroughputFell(now, gauges);
+            shrinkIfThroughputFell(now, gauges);
         }
     }
 
     private void grow(Duration now, ResourceGauges gauges) {
-        // Room that the gauge saw while less ran than may is no evidence of room for more.
+        // Spare capacity measured below the limit is no evidence that the limit is too low.
         boolean wasLimiting = now.minus(lastUnlimitedAt).compareTo(MeasurementWindows.BUCKET) >= 0;
-        boolean hasRoom = wasLimiting && gauges.cpuUtilization() < BUSY_UTILIZATION;
-        if (hasRoom) {
+        boolean hasSpareCapacity = wasLimiting && gauges.cpuUtilization() < BUSY_UTILIZATION;
+        if (hasSpareCapacity) {
             limit = Math.min(limit + step, cores * survivableMultiple);
         }
-        step = hasRoom ? step * 2 : 1;
+        step = hasSpareCapacity ? step * 2 : 1;
     }
 
-    private void stepBackIfThroughputFell(Duration now, ResourceGauges gauges) {
+    private void shrinkIfThroughputFell(Duration now, ResourceGauges gauges) {
         double throughput = completions / inSeconds(now.minus(sampleStartedAt));
         boolean isBusy = gauges.cpuUtilization() > BUSY_UTILIZATION;
         if (isBusy && throughput < lastThroughput * (1 - THROUGHPUT_DROP)) {
--- a/src/main/java/ochretiller/admission/CostEstimator.java
+++ b/src/main/java/ochretiller/admission/CostEstimator.java
@@ -10,34 +10,34 @@
 import ochretiller.time.SlidingWindow;
 
 /**
- * What an invocation is expected to cost: its prior estimate, times how the measured time of its
- * operation compared with the prior estimates over the last ten seconds. So the current speed of
- * the cores is learned.
+ * Estimates the time that an invocation takes on the cores: its prior estimate, times the ratio of
+ * measured time to prior estimates for its operation over the last ten seconds. The ratio follows
+ * the current speed of the cores.
  */
 final class CostEstimator {
-    /** Prior estimate without a hint, as a share of the operation's latency objective. */
+    /** Prior estimate without a client's hint, as a share of the latency objective. */
     private static final double PRIOR_SHARE_OF_OBJECTIVE = 0.2;
 
-    /** How many standard deviations of the estimate's error are left as room. */
-    private static final double DEVIATIONS_RESERVED = 0.5;
+    /** Safety margin of an estimate, in standard deviations of its relative error. */
+    private static final double MARGIN_DEVIATIONS = 0.5;
 
-    /** Cap on one squared relative error, so that a single slow run does not rule the margin. */
+    /** Cap on one squared relative error, so that one slow run does not dominate the margin. */
     private static final double MAX_SQUARED_ERROR = 9;
 
-    /** Least cost that is divided by, seconds. */
+    /** Smallest cost used as a divisor, seconds. */
     private static final double MIN_COST_S = 1e-6;
 
     private final Map<Operation, SlidingWindow> ratioByOperation = new HashMap<>();
-    private final SlidingWindow ratioOfAll = MeasurementWindows.longWindow();
+    private final SlidingWindow overallRatio = MeasurementWindows.longWindow();
     private final SlidingWindow squaredErrors = MeasurementWindows.longWindow();
-    private final SlidingWindow timesAtCalls = MeasurementWindows.shortWindow();
+    private final SlidingWindow callTimes = MeasurementWindows.shortWindow();
 
     /** Returns the expected time on the cores, seconds. */
     double expectedSeconds(Invocation invocation, Duration now) {
-        // An operation that was not measured of late is expected to do as all others did: a prior
-        // estimate that looks too dear would never be tried, and so never be corrected.
+        // Without recent measurements, an operation gets the ratio of all operations: one with too
+        // high a prior estimate would otherwise never run, and its estimate never be corrected.
         return priorSeconds(invocation)
-                * ratioOf(invocation.operation()).mean(now, ratioOfAll.mean(now, 1));
+                * ratioOf(invocation.operation()).mean(now, overallRatio.mean(now, 1));
     }
 
     /** Returns {@link #expectedSeconds}, at least a microsecond, for use as a divisor. */
@@ -45,30 +45,30 @@
         return Math.max(MIN_COST_S, expectedSeconds(invocation, now));
     }
 
-    /** Learns from a run that succeeded; {@code onCores} leaves out its downstream calls. */
+    /** Records a run that succeeded; {@code onCores} excludes its downstream calls. */
     void onRunSucceeded(TrackedInvocation tracked, Duration onCores, Duration now) {
         Invocation invocation = tracked.invocation();
         double measured = inSeconds(onCores);
         double error = measured / expectedSecondsAboveZero(invocation, now) - 1;
         squaredErrors.add(now, Math.min(error * error, MAX_SQUARED_ERROR), 1);
         ratioOf(invocation.operation()).add(now, measured, priorSeconds(invocation));
-        ratioOfAll.add(now, measured, priorSeconds(invocation));
+        overallRatio.add(now, measured, priorSeconds(invocation));
         if (invocation.operation().makesCalls()) {
-            timesAtCalls.add(now, inSeconds(tracked.timeAtCalls()), 1);
+            callTimes.add(now, inSeconds(tracked.timeAtCalls()), 1);
         }
     }
 
-    /** Returns the factor on an expected cost that leaves room for the spread of such costs. */
+    /** Returns the factor that adds the safety margin to an expected cost. */
     double spreadFactor(Duration now) {
-        return 1 + DEVIATIONS_RESERVED * Math.sqrt(squaredErrors.mean(now, 0));
+        return 1 + MARGIN_DEVIATIONS * Math.sqrt(squaredErrors.mean(now, 0));
     }
 
-    /** Returns the mean time that calling operations spent at calls of late, seconds. */
+    /** Returns the recent mean time of calling operations in downstream calls, seconds. */
     double meanSecondsAtCalls(Duration now) {
-        return timesAtCalls.mean(now, 0);
+        return callTimes.mean(now, 0);
     }
 
-    /** Returns the shortest latency objective among the operations that were estimated so far. */
+    /** Returns the shortest latency objective of the operations estimated so far. */
     Duration shortestObjective() {
         return ratioByOperation.keySet().stream()
                 .map(Operation::latencyObjective)
--- a/src/main/java/ochretiller/admission/DeadlineEnforcer.java
+++ b/src/main/java/ochretiller/admission/DeadlineEnforcer.java
@@ -8,9 +8,9 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Answers what is not answered by itself in time: before the client's deadline, before the process
- * is killed, and earlier where an answer is of no use any more. Stands for the rules "nothing lost"
- * and "safe drain". Work that still runs is no reason to answer late.
+ * Answers invocations that would otherwise be answered too late: before the client's deadline,
+ * before the process is killed, and earlier if a result would be useless. Enforces exactly one
+ * answer per invocation, also while draining. A run in progress does not delay the answer.
  */
 final class DeadlineEnforcer {
     private final AdmissionState state;
@@ -32,24 +32,24 @@
         this.responder = responder;
     }
 
-    /** Sets the timers of an invocation that was just read. */
+    /** Schedules the deadline checks of an invocation that was just read. */
     void scheduleTimers(ServerActions server, TrackedInvocation tracked) {
         scheduleCheck(server, tracked, tracked.completionDeadline());
         scheduleCheck(server, tracked, lastAnswerAt(tracked.invocation().deadline()));
     }
 
     private void scheduleCheck(ServerActions server, TrackedInvocation tracked, Duration at) {
-        server.schedule(timeUntil(at, server.now()), gauges -> then -> enforce(then, tracked));
+        server.schedule(timeUntil(at, server.now()), gauges -> host -> enforce(host, tracked));
     }
 
-    /** Looks at all open invocations, the one read first in front. */
+    /** Checks all open invocations, in the order in which they were read. */
     void enforceAll(ServerActions server) {
         for (TrackedInvocation tracked : state.registry().snapshot()) {
             enforce(server, tracked);
         }
     }
 
-    /** Answers one invocation if it is time to. */
+    /** Answers one invocation if its answer is due or its result would come too late. */
     private void enforce(ServerActions server, TrackedInvocation tracked) {
         if (tracked.isAnswered() || !state.registry().isOpen(tracked)) {
             return;
@@ -57,13 +57,13 @@
         Duration now = server.now();
         Duration end = min(tracked.invocation().deadline(), limits.drain().killAt());
         boolean isDue = now.compareTo(lastAnswerAt(end)) >= 0;
-        if (isWaitingToStart(tracked) && (isDue || isHopeless(tracked, now))) {
+        if (isWaitingToStart(tracked) && (isDue || cannotStartInTime(tracked, now))) {
             state.queue().remove(tracked);
             state.idempotency().stopWaiting(tracked);
             gate.reject(server, tracked, false);
         } else if (isDue) {
-            failDue(server, tracked);
-        } else if (isWorthlessToFinish(tracked, now)
+            failAtDeadline(server, tracked);
+        } else if (isNotWorthFinishing(tracked, now)
                 && (tracked.isRunning() || limits.calls().remove(tracked))) {
             responder.rejectStarted(server, tracked);
         }
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Returns whether an invocation has never run and does not wait for an attempt that has: only
-     * then a rejection, which says that nothing was done, is true.
+     * Returns whether neither the invocation nor the attempt that it waits for has ever started. A
+     * rejection tells the client that nothing was executed, so it is correct only then.
      */
     private boolean isWaitingToStart(TrackedInvocation tracked) {
         if (tracked.isQueued()) {
@@ -88,8 +88,8 @@
                         .isPresent();
     }
 
-    /** A server that stalls or drains does not start it in time, while another still may. */
-    private boolean isHopeless(TrackedInvocation tracked, Duration now) {
+    /** Returns whether this server stalls or drains and so cannot start it in time. */
+    private boolean cannotStartInTime(TrackedInvocation tracked, Duration now) {
         boolean isStalled =
                 overload.isStalled()
                         && tracked.site().isLocal()
@@ -97,8 +97,8 @@
         return isStalled || limits.drain().forbids(tracked.invocation(), now);
     }
 
-    private void failDue(ServerActions server, TrackedInvocation tracked) {
-        // Also a retry whose original attempt has started: to reject it would be untrue.
+    private void failAtDeadline(ServerActions server, TrackedInvocation tracked) {
+        // Includes a retry whose original attempt has started, which must not be rejected.
         state.idempotency().stopWaiting(tracked);
         responder.fail(server, tracked);
         if (tracked.isRunning()) {
@@ -107,10 +107,10 @@
     }
 
     /**
-     * Returns whether a run cannot end by its completion deadline, earns nothing later, may be
-     * cancelled, and others wait for its slot.
+     * Returns whether a run cannot end by its completion deadline, has no value after it, may be
+     * cancelled, and occupies a slot that other invocations wait for.
      */
-    private boolean isWorthlessToFinish(TrackedInvocation tracked, Duration now) {
+    private boolean isNotWorthFinishing(TrackedInvocation tracked, Duration now) {
         Duration earliestEnd =
                 tracked.isAwaitingCall() ? now.plus(limits.calls().meanDuration(now)) : now;
         return tracked.isStarted()
--- a/src/main/java/ochretiller/admission/Dispatcher.java
+++ b/src/main/java/ochretiller/admission/Dispatcher.java
@@ -4,7 +4,7 @@
 import ochretiller.admission.IdempotencyEntry.State;
 import ochretiller.server.ServerActions;
 
-/** Starts queued invocations, in the queue's order, as far as slots, memory and calls allow it. */
+/** Starts queued invocations in queue order, as slots, memory and downstream calls permit. */
 final class Dispatcher {
     private final AdmissionState state;
     private final CapacityLimits limits;
@@ -22,7 +22,7 @@
         this.onRunEnded = onRunEnded;
     }
 
-    /** Starts what may start now. */
+    /** Starts all queued invocations that may start now. */
     void dispatchQueued(ServerActions server) {
         Duration now = server.now();
         int freeOnCores = limits.slots().freeOnCores(now);
@@ -34,14 +34,14 @@
             boolean isLocal = tracked.site().isLocal();
             int freeSlots = isLocal ? freeOnCores : server.freePoolSlots(tracked.site().poolName());
             if (freeSlots <= 0) {
-                continue; // another site may have slots
+                continue; // another site may have free slots
             }
             if (!fitsIntoMemory(tracked, now)) {
                 return;
             }
-            // A run may end while it is started, and what follows from that may have started this
-            // one already: only what is still queued is started here.
-            if (mayMakeItsCalls(tracked, now) && state.queue().remove(tracked)) {
+            // Starting a run may end it at once, and the follow-up may have started this invocation
+            // already: only one that is still queued is started here.
+            if (mayMakeCalls(tracked, now) && state.queue().remove(tracked)) {
                 start(server, tracked);
                 freeOnCores -= isLocal ? 1 : 0;
             }
@@ -53,8 +53,8 @@
         return limits.memory().fits(moreKb, state.idempotency().usedKb(now));
     }
 
-    /** Runs in worker pools make no downstream calls through this server. */
-    private boolean mayMakeItsCalls(TrackedInvocation tracked, Duration now) {
+    /** Returns whether the call limit permits a start; runs in worker pools make no calls here. */
+    private boolean mayMakeCalls(TrackedInvocation tracked, Duration now) {
         return !tracked.site().isLocal()
                 || !tracked.operation().makesCalls()
                 || limits.calls().hasRoomForCaller(now);
--- a/src/main/java/ochretiller/admission/DownstreamCallDispatcher.java
+++ b/src/main/java/ochretiller/admission/DownstreamCallDispatcher.java
@@ -10,37 +10,37 @@
 
 /**
  * Makes the downstream calls of runs as {@link DownstreamCallLimiter} permits them, and decides how
- * a run goes on afterwards. Stands for the rule "no effect twice": a call is made again only after
- * an outcome that proves that it never ran.
+ * a run continues afterwards. Enforces at-most-once effects: a call is made again only after an
+ * outcome that proves that it was not executed.
  */
 final class DownstreamCallDispatcher {
     private final InvocationRegistry registry;
     private final DownstreamCallLimiter limiter;
     private final OverloadDetector overload;
     private final Responder responder;
-    private final Function<InvocationId, Action> requestAgain;
+    private final Function<InvocationId, Action> retryCall;
 
     /**
      * Creates a dispatcher.
      *
-     * @param requestAgain what is done once a call that never ran is to be tried again
+     * @param retryCall requests a call again that was not executed
      */
     DownstreamCallDispatcher(
             InvocationRegistry registry,
             DownstreamCallLimiter limiter,
             OverloadDetector overload,
             Responder responder,
-            Function<InvocationId, Action> requestAgain) {
+            Function<InvocationId, Action> retryCall) {
         this.registry = registry;
         this.limiter = limiter;
         this.overload = overload;
         this.responder = responder;
-        this.requestAgain = requestAgain;
+        this.retryCall = retryCall;
     }
 
     /**
-     * Queues the call that a run needs. Returns whether the run waits for it now: one that was
-     * answered meanwhile makes no call any more.
+     * Queues the call that a run needs. Returns whether the run now waits for it: a run whose
+     * client was already answered makes no more calls.
      */
     boolean enqueue(ServerActions server, InvocationId id) {
         Optional<TrackedInvocation> found = registry.find(id);
@@ -54,7 +54,7 @@
         return true;
     }
 
-    /** Makes the calls that may be made now. */
+    /** Makes all queued calls that may be made now. */
     void dispatchCalls(ServerActions server) {
         Duration now = server.now();
         Optional<DownstreamCallLimiter.PermittedCall> next = limiter.startNext(now);
@@ -76,15 +76,15 @@
             } else if (status.isSafeToRetry()) {
                 caller.stayBlocked();
                 server.schedule(
-                        AdmissionTiming.TICK_INTERVAL, gauges -> requestAgain.apply(caller.id()));
+                        AdmissionTiming.TICK_INTERVAL, gauges -> retryCall.apply(caller.id()));
             } else {
-                goOnAfterFailedCall(server, caller);
+                continueAfterFailedCall(server, caller);
             }
             dispatchCalls(server);
         };
     }
 
-    private void goOnAfterFailedCall(ServerActions server, TrackedInvocation caller) {
+    private void continueAfterFailedCall(ServerActions server, TrackedInvocation caller) {
         boolean isUsefulWithoutCall = caller.operation().degradedValueShare() > 0;
         if (isUsefulWithoutCall && !caller.isAnswered()) {
             caller.resumeWithoutCall();
--- a/src/main/java/ochretiller/admission/DownstreamCallLimiter.java
+++ b/src/main/java/ochretiller/admission/DownstreamCallLimiter.java
@@ -11,23 +11,23 @@
 import ochretiller.time.SlidingWindow;
 
 /**
- * Bounds the calls that this server has in flight at the downstream service, and queues those that
- * wait. Stands for the rule "nothing falls over": the service dies if all servers together hold
- * more calls than it survives, averaged over a period, and each server knows its own part only.
+ * Limits the calls that this server has in flight at the downstream service, and queues the runs
+ * that wait for one. The service fails if all servers together have more calls in flight than it
+ * survives, averaged over a period; each server knows only its own share.
  *
- * <p>A token bucket of call-seconds (one call in flight for one second takes one) fills at a part
- * of the server's share and is charged while calls are in flight. It saves up half a second's
- * worth, since under overload all servers spend at once what they saved.
+ * <p>A token bucket of call-seconds (one call in flight for one second consumes one) fills at a
+ * fraction of the server's share and is charged while calls are in flight. Its capacity is
+ * half a second of filling, because under overload all servers spend their reserves at once.
  */
 final class DownstreamCallLimiter {
-    /** Part of the server's share that its calls may take on average. */
+    /** Fraction of the server's share that its calls may use on average. */
     private static final double USED_PART_OF_SHARE = 0.45;
 
-    /** Where several calls are in flight, the least timeout in mean call durations. */
+    /** Shortest timeout of a call while others are in flight, in mean call durations. */
     private static final double MIN_TIMEOUT_IN_MEANS = 4;
 
-    /** Runs that wait for a call, for each core: more would only fill the memory. */
-    private static final int BLOCKED_RUNS_PER_CORE = 2;
+    /** Maximum runs per core that wait for a call; more would only occupy memory. */
+    private static final int MAX_BLOCKED_RUNS_PER_CORE = 2;
 
     private final double callSecondsPerSecond;
     private final double capacity;
@@ -37,16 +37,16 @@
     private final ArrayDeque<TrackedInvocation> blocked = new ArrayDeque<>();
     private final SlidingWindow durations = MeasurementWindows.longWindow();
     private double level;
-    private double startTimes;
+    private double startTimesSum;
     private int inFlight;
     private Duration filledAt = Duration.ZERO;
 
     /**
      * Creates a limiter whose bucket is full.
      *
-     * @param callShare calls in flight that are this server's share of what the service survives
+     * @param callShare this server's share, in calls in flight, of what the service survives
      * @param cores cores of this server
-     * @param serviceTimeAfterTimeout how long the service goes on with a call that timed out here
+     * @param serviceTimeAfterTimeout how long the service continues a call that timed out here
      * @param averagingPeriod period over which the service averages its calls in flight
      */
     DownstreamCallLimiter(
@@ -59,40 +59,40 @@
         this.capacity = callSecondsPerSecond * inSeconds(MeasurementWindows.BUCKET);
         this.level = capacity;
         this.serviceTimeAfterTimeout = serviceTimeAfterTimeout;
-        this.maxBlocked = BLOCKED_RUNS_PER_CORE * cores;
+        this.maxBlocked = MAX_BLOCKED_RUNS_PER_CORE * cores;
     }
 
-    /** Call-seconds that are left, with those of the calls in flight charged until now. */
+    /** Returns the call-seconds that are left after charging the calls in flight until now. */
     private double available(Duration now) {
         level = Math.min(capacity, level + callSecondsPerSecond * inSeconds(now.minus(filledAt)));
         filledAt = now;
-        return level - (inFlight * inSeconds(now) - startTimes);
+        return level - (inFlight * inSeconds(now) - startTimesSum);
     }
 
-    /** Returns whether a run that will make a call may start: those that wait already go first. */
+    /** Returns whether a run that will make a call may start; waiting runs have priority. */
     boolean hasRoomForCaller(Duration now) {
         double neededByBlocked = blocked.size() * meanSeconds(now);
         return blocked.size() < (available(now) > neededByBlocked ? maxBlocked : 1);
     }
 
-    /** A run waits until its call may be made. */
+    /** Queues a run until its call may be made. */
     void enqueue(TrackedInvocation caller) {
         blocked.add(caller);
     }
 
-    /** Removes a run, and returns whether it waited. */
+    /** Removes a run from the queue, and returns whether it was queued. */
     boolean remove(TrackedInvocation caller) {
         return blocked.remove(caller);
     }
 
-    /** Returns the call to make now, if any, which then counts as in flight. */
+    /** Returns the next call to make and counts it as in flight, or empty if none may be made. */
     Optional<PermittedCall> startNext(Duration now) {
         if (blocked.isEmpty() || inFlight >= 2 * maxBlocked || available(now) <= 0) {
             return Optional.empty();
         }
         // Even if all calls take this long, the average over the period stays within the share.
         double timeoutSeconds = callSecondsPerSecond * averagingSeconds / 2 / (1 + inFlight);
-        // Calls that have become slow are made one by one.
+        // Slow calls are made one at a time.
         if (inFlight > 0 && timeoutSeconds < MIN_TIMEOUT_IN_MEANS * meanSeconds(now)) {
             return Optional.empty();
         }
@@ -102,27 +102,27 @@
         Duration timeout =
                 max(min(untilAnswer, ofSeconds(timeoutSeconds)), AdmissionTiming.TICK_INTERVAL);
         caller.startCall(now);
-        startTimes += inSeconds(now);
+        startTimesSum += inSeconds(now);
         inFlight++;
         return Optional.of(new PermittedCall(caller, timeout));
     }
 
     /**
-     * A call has ended.
+     * Records the end of a call.
      *
      * @param caller the run that made it
      * @param now the time
-     * @param mayGoOn whether the service may still work on it, which is then charged for as well
+     * @param mayStillExecute whether the service may still work on it, which is charged too
      */
-    void onCallEnded(TrackedInvocation caller, Duration now, boolean mayGoOn) {
+    void onCallEnded(TrackedInvocation caller, Duration now, boolean mayStillExecute) {
         double seconds = inSeconds(now.minus(caller.callStartedAt()));
         inFlight--;
-        startTimes -= inSeconds(caller.callStartedAt());
-        level -= mayGoOn ? seconds + inSeconds(serviceTimeAfterTimeout) : seconds;
+        startTimesSum -= inSeconds(caller.callStartedAt());
+        level -= mayStillExecute ? seconds + inSeconds(serviceTimeAfterTimeout) : seconds;
         durations.add(now, seconds, 1);
     }
 
-    /** Returns the mean duration of calls of late, zero where there was none. */
+    /** Returns the mean duration of recent calls, zero without any. */
     Duration meanDuration(Duration now) {
         return ofSeconds(meanSeconds(now));
     }
@@ -132,10 +132,10 @@
     }
 
     /**
-     * A call that is to be made now.
+     * A call that may be made now.
      *
      * @param caller the run that needs it
-     * @param timeout when to give it up, from now
+     * @param timeout time from now after which it is abandoned
      */
     record PermittedCall(TrackedInvocation caller, Duration timeout) {}
 }
--- a/src/main/java/ochretiller/admission/DrainState.java
+++ b/src/main/java/ochretiller/admission/DrainState.java
@@ -6,12 +6,12 @@
 import ochretiller.model.Invocation;
 
 /**
- * Whether the server is draining, and what that forbids. Stands for the rule "safe drain": nothing
- * is run that arrives after the grace period, and all that was read is answered before the process
- * is killed.
+ * Whether the server is draining, and which invocations it may still start. Invocations that arrive
+ * after the grace period do not run, and all that were read are answered before the process is
+ * killed.
  */
 final class DrainState {
-    /** Later than any time that a server reaches. */
+    /** Later than the uptime that any server reaches. */
     private static final Duration NEVER = Duration.ofDays(10_000);
 
     private final Duration gracePeriod;
@@ -22,15 +22,15 @@
     /**
      * Creates the state of a server that is not draining.
      *
-     * @param gracePeriod time from the shutdown notice during which arrivals may still be run
+     * @param gracePeriod time after the shutdown notice during which new arrivals may still run
      */
     DrainState(Duration gracePeriod) {
         this.gracePeriod = gracePeriod;
     }
 
-    /** The process is to be killed at the given time. */
+    /** Starts to drain; the process will be killed at {@code killAt}. */
     void startDraining(Duration now, Duration killAt) {
-        // A tick of margin, so that no rounding of times lets a late arrival run.
+        // One tick earlier, so that rounding of times cannot let a late arrival run.
         this.graceEndsAt = now.plus(gracePeriod).minus(AdmissionTiming.TICK_INTERVAL);
         this.killAt = killAt;
         this.isDraining = true;
@@ -54,7 +54,7 @@
         return killAt;
     }
 
-    /** Returns whether an invocation that has not started must not be started any more. */
+    /** Returns whether an invocation that has not started must no longer be started. */
     boolean forbids(Invocation invocation, Duration now) {
         boolean arrivedAfterGrace = isAfter(invocation.arrivedAt(), graceEndsAt);
         Duration lastAnswerAt = killAt.minus(AdmissionTiming.ANSWER_MARGIN);
--- a/src/main/java/ochretiller/admission/EvictionPolicy.java
+++ b/src/main/java/ochretiller/admission/EvictionPolicy.java
@@ -8,9 +8,9 @@
 import ochretiller.model.TenantId;
 
 /**
- * Which queued invocation loses its place where one has to go: whoever has most in the queue for
- * its share of the service (tenant, else client) loses the one that would start last. A sender that
- * floods the queue so takes no place from the others.
+ * Chooses which queued invocation to evict: the sender (tenant, else client) with the most queued
+ * invocations relative to its share of the service loses the one that would start last. A sender
+ * that floods the queue thus displaces no other sender.
  */
 final class EvictionPolicy {
     /** Share of a sender that is not a configured tenant. */
@@ -25,11 +25,10 @@
     }
 
     /**
-     * Returns the eviction victim.
+     * Returns the invocation to evict.
      *
-     * @param candidates those that one may be chosen from, the one to start first in front; not
-     *     empty
-     * @param queued all that is queued, by which senders are compared
+     * @param candidates invocations to choose from, in starting order; not empty
+     * @param queued all queued invocations, from which the usage of each sender is counted
      */
     TrackedInvocation chooseVictim(
             List<TrackedInvocation> candidates, Collection<TrackedInvocation> queued) {
--- a/src/main/java/ochretiller/admission/ExecutionSite.java
+++ b/src/main/java/ochretiller/admission/ExecutionSite.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Where a run is carried out: on the cores of this server, or in a named pool of workers. */
+/** Where a run executes: on the cores of this server, or in a named pool of workers. */
 final class ExecutionSite {
     /** The cores of this server, bounded by {@link ConcurrencyLimiter}. */
     static final ExecutionSite LOCAL_CORES = new ExecutionSite("");
@@ -13,7 +13,7 @@
         this.poolName = poolName;
     }
 
-    /** Returns the site of a worker pool, or the local cores where no pool is named. */
+    /** Returns the site of a worker pool, or the local cores if no pool is given. */
     static ExecutionSite of(Optional<String> poolName) {
         return poolName.map(ExecutionSite::new).orElse(LOCAL_CORES);
     }
@@ -22,7 +22,7 @@
         return this == LOCAL_CORES;
     }
 
-    /** Returns the name of the worker pool. Only asked of sites that are not local. */
+    /** Returns the name of the worker pool; empty for the local cores. */
     String poolName() {
         return poolName;
     }
--- a/src/main/java/ochretiller/admission/ExecutionSlots.java
+++ b/src/main/java/ochretiller/admission/ExecutionSlots.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ochretiller.server.ServerActions;
 
-/** The slots of each execution site: how many there are, and what occupies them. */
+/** The slots of each execution site: their number, and the runs that occupy them. */
 final class ExecutionSlots {
     private final ConcurrencyLimiter limiter;
     private final InvocationRegistry registry;
@@ -14,7 +14,7 @@
         this.registry = registry;
     }
 
-    /** Returns the slots of a site as they are now; none for a pool without any worker. */
+    /** Returns the current slots of a site; the limit is zero for a pool without workers. */
     SiteLoad load(ServerActions server, ExecutionSite site) {
         int limit =
                 site.isLocal()
@@ -23,12 +23,12 @@
         return new SiteLoad(site, limit, running(site));
     }
 
-    /** Returns how many more runs the local cores take; negative where the limit has fallen. */
+    /** Returns how many more runs may use the local cores; negative after the limit fell. */
     int freeOnCores(Duration now) {
         return limiter.currentLimit(now) - runningOnCores().size();
     }
 
-    /** Returns what runs on the local cores. */
+    /** Returns the runs that occupy the local cores. */
     List<TrackedInvocation> runningOnCores() {
         return running(ExecutionSite.LOCAL_CORES);
     }
--- a/src/main/java/ochretiller/admission/FeasibilityCheck.java
+++ b/src/main/java/ochretiller/admission/FeasibilityCheck.java
@@ -9,19 +9,19 @@
 import java.util.Optional;
 
 /**
- * Whether queued invocations can still end by their completion deadlines, given the work ahead of
- * them, and how long a newcomer would wait. What is infeasible is rejected at once, while another
- * server may still be in time (deadline-aware shedding).
+ * Checks whether queued invocations can still end by their completion deadlines, given the work
+ * ahead of them, and estimates how long a new one would wait. An infeasible invocation is rejected
+ * at once, while another server may still be in time (deadline-aware shedding).
  */
 final class FeasibilityCheck {
     /**
-     * Mean time at downstream calls, as a share of the latency objective, over which it counts
-     * towards the time that an invocation needs. Shorter calls are part of the cost's spread.
+     * Mean time in downstream calls, as a share of the latency objective, above which it is added
+     * to the time that an invocation needs. The safety factor covers shorter calls.
      */
     private static final double LONG_CALL_SHARE = 0.4;
 
-    /** Least part of its expected cost that a run is taken to have left, however long it ran. */
-    private static final double MIN_REMAINING_PART = 1.0 / 4;
+    /** Smallest part of its expected cost assumed to remain of a run, however long it ran. */
+    private static final double MIN_REMAINING_SHARE = 1.0 / 4;
 
     private final CostEstimator costs;
     private final EvictionPolicy eviction;
@@ -32,12 +32,12 @@
     }
 
     /**
-     * Returns what has to leave the queue of a site so that all that stays is expected to end by
-     * its completion deadline, or empty if nothing has to.
+     * Returns an invocation to remove from a site's queue because not all of them can be expected
+     * to end by their completion deadlines, or empty if they can.
      *
-     * @param ordered what is queued for the site, the one to start first in front
-     * @param queued all that is queued
-     * @param slots slots of the site and what occupies them
+     * @param ordered invocations queued for the site, in starting order
+     * @param queued all queued invocations
+     * @param slots slots of the site and the runs that occupy them
      */
     Optional<TrackedInvocation> findVictim(
             List<TrackedInvocation> ordered,
@@ -45,16 +45,16 @@
             SiteLoad slots,
             Duration now) {
         if (slots.limit() == 0 && !ordered.isEmpty()) {
-            return Optional.of(ordered.get(0)); // no worker is there to wait for
+            return Optional.of(ordered.get(0)); // the pool has no worker
         }
         double runningSeconds = secondsUntilFree(slots, now);
         double aheadSeconds = runningSeconds;
-        double spreadFactor = costs.spreadFactor(now);
+        double safetyFactor = costs.spreadFactor(now);
         for (int i = 0; i < ordered.size(); i++) {
             TrackedInvocation tracked = ordered.get(i);
             double expected = costs.expectedSeconds(tracked.invocation(), now);
-            // What fits by its mean alone misses half the time. A free slot is taken all the same.
-            double ownSeconds = expected * (aheadSeconds == 0 ? 1 : spreadFactor);
+            // The mean alone would miss the deadline half the time. A free slot is used regardless.
+            double ownSeconds = expected * (aheadSeconds == 0 ? 1 : safetyFactor);
             double needed =
                     aheadSeconds / slots.limit() + ownSeconds + secondsAtLongCalls(tracked, now);
             if (now.plus(ofSeconds(needed)).compareTo(tracked.completionDeadline()) > 0) {
@@ -68,10 +68,11 @@
         return Optional.empty();
     }
 
-    /** Returns the time until what is queued last for the site would start. */
-    Duration expectedWait(Collection<TrackedInvocation> queuedThere, SiteLoad slots, Duration now) {
+    /** Returns the expected time until an invocation queued now for the site would start. */
+    Duration expectedWait(
+            Collection<TrackedInvocation> queuedForSite, SiteLoad slots, Duration now) {
         double aheadSeconds = secondsUntilFree(slots, now);
-        for (TrackedInvocation tracked : queuedThere) {
+        for (TrackedInvocation tracked : queuedForSite) {
             aheadSeconds += costs.expectedSeconds(tracked.invocation(), now);
         }
         return ofSeconds(aheadSeconds / slots.limit());
@@ -86,7 +87,7 @@
         return seconds > objective * LONG_CALL_SHARE ? seconds : 0;
     }
 
-    /** Seconds of work that a newcomer waits for where no slot is free. */
+    /** Returns the seconds of work ahead of a new invocation; zero if a slot is free. */
     private double secondsUntilFree(SiteLoad slots, Duration now) {
         if (slots.running().size() < slots.limit()) {
             return 0;
@@ -95,8 +96,8 @@
         for (TrackedInvocation tracked : slots.running()) {
             double expected = costs.expectedSeconds(tracked.invocation(), now);
             double done = inSeconds(tracked.timeOnCores(now));
-            remaining += Math.max(expected - done, expected * MIN_REMAINING_PART);
+            remaining += Math.max(expected - done, expected * MIN_REMAINING_SHARE);
         }
-        return remaining / 2; // they end one after another
+        return remaining / 2; // the runs end one after another
     }
 }
--- a/src/main/java/ochretiller/admission/IdempotencyEntry.java
+++ b/src/main/java/ochretiller/admission/IdempotencyEntry.java
@@ -7,20 +7,20 @@
 
 /**
  * The in-flight marker of one keyed attempt, and the retries that wait for it. It is set when the
- * attempt is read and spans queueing, run and store, so that no retry runs beside it.
+ * attempt is read and covers queueing, run and storage, so that no retry runs concurrently.
  */
 final class IdempotencyEntry {
-    /** What is known of the attempt. */
+    /** State of the attempt. */
     enum State {
-        /** It was admitted and its run has not started. */
+        /** Admitted; its run has not started. */
         PENDING,
-        /** Its run has started and has not ended. */
+        /** Its run has started and not ended. */
         RUNNING,
         /** Its result is stored and can be replayed. */
         SUCCEEDED,
-        /** Its run ended without a result; its effect may have happened, so it is not run again. */
+        /** Its run ended without a result. Its effect may have happened, so it is not run again. */
         INDETERMINATE,
-        /** It is known never to have run: a retry may take its place. */
+        /** Known never to have run: a retry may be admitted in its place. */
         DISCARDED
     }
 
@@ -33,7 +33,7 @@
      * Creates the entry of an attempt that has not started.
      *
      * @param id the attempt
-     * @param expiresAt end of its deduplication window, counted from the start of the server
+     * @param expiresAt end of its deduplication window, as time since the start of the server
      */
     IdempotencyEntry(InvocationId id, Duration expiresAt) {
         this.id = id;
@@ -68,7 +68,7 @@
         waitingRetries.remove(retry);
     }
 
-    /** Returns the retries that wait, in the order they came; none waits afterwards. */
+    /** Removes and returns the waiting retries, in the order in which they were added. */
     List<TrackedInvocation> takeWaitingRetries() {
         List<TrackedInvocation> released = waitingRetries;
         waitingRetries = new ArrayList<>();
--- a/src/main/java/ochretiller/admission/IdempotencyTable.java
+++ b/src/main/java/ochretiller/admission/IdempotencyTable.java
@@ -13,13 +13,13 @@
 import ochretiller.model.InvocationId;
 
 /**
- * The keyed attempts of this server by their number. Stands for the rule "no effect twice" and the
- * "lookup, mark, replay" of "Idempotency in one attribute: safe retries for HTTP APIs"
- * (Ball-llovera). It departs from that post in that the mark is set when an attempt is read rather
- * than when it runs, and in that entries are kept for the deduplication window of their operation.
+ * The entries of this server's keyed attempts. Implements at-most-once effects by the "lookup,
+ * mark, replay" of "Idempotency in one attribute: safe retries for HTTP APIs" (Ball-llovera).
+ * Unlike that post, it sets the mark when an attempt is read rather than when it runs, and retains
+ * entries for the deduplication window of their operation.
  */
 final class IdempotencyTable {
-    /** Share of the memory that the entries may take. */
+    /** Share of the server's memory that the entries may use. */
     private static final double MEMORY_SHARE = 0.4;
 
     private final double entryKb;
@@ -44,7 +44,7 @@
         return entryKb;
     }
 
-    /** Returns the memory of the entries whose deduplication window is not over, kilobytes. */
+    /** Returns the memory of the entries whose deduplication window has not ended, kilobytes. */
     double usedKb(Duration now) {
         while (!liveByExpiry.isEmpty() && liveByExpiry.peek().isExpired(now)) {
             liveByExpiry.poll();
@@ -52,27 +52,27 @@
         return liveByExpiry.size() * entryKb;
     }
 
-    /** Returns whether one more entry fits. Live entries are never evicted for a newcomer. */
+    /** Returns whether one more entry fits. Live entries are never evicted for a new one. */
     boolean hasCapacity(Duration now) {
         return usedKb(now) + entryKb <= capacityKb;
     }
 
     /** Adds the entry of an attempt that was just admitted. */
     void register(Invocation attempt, Duration now) {
-        // A retry may be read long after it arrived, so that an entry is found for one client
-        // timeout longer than it takes room.
+        // A retry may be read long after it arrived, so an entry can be found for one client
+        // timeout longer than it counts as used memory.
         Duration forgetBefore = now.minus(attempt.operation().clientTimeout());
         while (!insertionOrder.isEmpty()
                 && isAfter(forgetBefore, insertionOrder.peek().expiresAt())) {
-            IdempotencyEntry old = insertionOrder.poll();
-            // By identity: a discarded attempt that was read again has a later entry.
-            entries.remove(old.id(), old);
+            IdempotencyEntry oldest = insertionOrder.poll();
+            // By identity: a discarded attempt that was read again has a newer entry.
+            entries.remove(oldest.id(), oldest);
         }
         Duration window = attempt.operation().deduplicationWindow();
         add(new IdempotencyEntry(attempt.id(), attempt.arrivedAt().plus(window)));
     }
 
-    /** Adds the entry of an attempt of a previous process, unless it is there already. */
+    /** Adds the entry of an attempt of a previous process, unless it is already present. */
     void restore(InvocationId id, Duration expiresAt) {
         if (!entries.containsKey(id)) {
             add(new IdempotencyEntry(id, expiresAt));
@@ -89,25 +89,25 @@
         return Optional.ofNullable(entries.get(id));
     }
 
-    /** Returns the entry of the attempt that an invocation repeats, if it is one and is known. */
+    /** Returns the entry of the attempt that an invocation repeats, or empty if there is none. */
     Optional<IdempotencyEntry> findOriginal(TrackedInvocation retry) {
         return Optional.ofNullable(entries.get(retry.invocation().originalAttempt()));
     }
 
-    /** Notes what became of an attempt. Returns its entry, or empty for one that is not keyed. */
+    /** Updates the state of an attempt. Returns its entry, or empty if it is not keyed. */
     Optional<IdempotencyEntry> update(InvocationId id, IdempotencyEntry.State state) {
         Optional<IdempotencyEntry> entry = find(id);
         entry.ifPresent(found -> found.transitionTo(state));
         return entry;
     }
 
-    /** Marks the entry of an attempt that is known never to have run, and frees its room. */
+    /** Marks the entry of an attempt that never ran as discarded, and frees its memory. */
     void discard(IdempotencyEntry entry) {
         entry.transitionTo(IdempotencyEntry.State.DISCARDED);
         liveByExpiry.remove(entry);
     }
 
-    /** A retry waits for its original attempt no more. */
+    /** Removes a retry from those that wait for its original attempt. */
     void stopWaiting(TrackedInvocation retry) {
         findOriginal(retry).ifPresent(entry -> entry.removeWaitingRetry(retry));
     }
--- a/src/main/java/ochretiller/admission/IdleTimeoutPolicy.java
+++ b/src/main/java/ochretiller/admission/IdleTimeoutPolicy.java
@@ -7,42 +7,42 @@
 import java.util.Optional;
 
 /**
- * After how long idle connections are closed: sooner, step by step, while many are open. Guards
- * against a full connection table, which turns clients away before they are read.
+ * Determines the idle timeout of connections, which is reduced step by step while many are open.
+ * Guards against a full connection table, which rejects clients before their requests are read.
  */
 final class IdleTimeoutPolicy {
-    /** Open connections for each core over which idle ones are closed sooner. */
+    /** Open connections per core above which the idle timeout shrinks. */
     private static final double MANY_CONNECTIONS_PER_CORE = 8;
 
     private final int cores;
-    private final Duration longest;
+    private final Duration maxTimeout;
     private Duration timeout;
     private Duration nextChangeAt = Duration.ZERO;
 
     /**
-     * Creates a policy that begins with the longest timeout.
+     * Creates a policy that starts with the longest timeout.
      *
      * @param cores cores of the server
-     * @param longest the longest timeout that the site allows; zero where it sets none
+     * @param maxTimeout the longest allowed timeout; zero if none is configured
      */
-    IdleTimeoutPolicy(int cores, Duration longest) {
+    IdleTimeoutPolicy(int cores, Duration maxTimeout) {
         this.cores = cores;
-        this.longest = longest;
-        this.timeout = longest;
+        this.maxTimeout = maxTimeout;
+        this.timeout = maxTimeout;
     }
 
     /**
      * Adapts the timeout to the open connections.
      *
      * @param now the time
-     * @param openConnections the gauge, or NaN where it is unknown, which changes nothing
-     * @return the new timeout, or empty if it stays
+     * @param openConnections number of open connections; NaN if unknown, which changes nothing
+     * @return the new timeout, or empty if it is unchanged
      */
     Optional<Duration> adapt(Duration now, double openConnections) {
         if (now.compareTo(nextChangeAt) < 0) {
             return Optional.empty();
         }
-        // What is closed now shows in the next gauge only.
+        // The effect of a change is visible only in the next gauge.
         nextChangeAt = now.plus(MeasurementWindows.BUCKET);
         Duration next = nextTimeout(openConnections);
         if (next.equals(timeout)) {
@@ -58,7 +58,7 @@
             return max(AdmissionTiming.TICK_INTERVAL, timeout.dividedBy(2));
         }
         if (openConnections < many / 2) {
-            return min(longest, timeout.multipliedBy(2));
+            return min(maxTimeout, timeout.multipliedBy(2));
         }
         return timeout;
     }
--- a/src/main/java/ochretiller/admission/InvocationIntake.java
+++ b/src/main/java/ochretiller/admission/InvocationIntake.java
@@ -5,7 +5,7 @@
 import ochretiller.model.Invocation;
 import ochretiller.server.ServerActions;
 
-/** Takes in an invocation that was read: it is registered, counted and weighted by its quota. */
+/** Registers invocations that were read, with their quota weight, and counts them as load. */
 final class InvocationIntake {
     private final AdmissionState state;
     private final LoadSignals signals;
@@ -15,7 +15,7 @@
         this.signals = signals;
     }
 
-    /** Registers an invocation, and returns what tracks it from now on. */
+    /** Registers an invocation, and returns the object that tracks it. */
     TrackedInvocation register(ServerActions server, Invocation invocation) {
         Duration now = server.now();
         ExecutionSite site =
--- a/src/main/java/ochretiller/admission/InvocationRegistry.java
+++ b/src/main/java/ochretiller/admission/InvocationRegistry.java
@@ -10,12 +10,11 @@
 import ochretiller.model.InvocationId;
 
 /**
- * All invocations that were read and are not over, in the order they were read, with the memory
- * they take. Serves the rules "nothing lost" (what is registered is still owed an answer, or still
- * runs) and "nothing falls over" (memory).
+ * All open invocations, in the order in which they were read, with the memory that they use. An
+ * invocation is open while it still needs an answer or its run has not ended.
  */
 final class InvocationRegistry {
-    private final Map<InvocationId, TrackedInvocation> open = new LinkedHashMap<>();
+    private final Map<InvocationId, TrackedInvocation> openInvocations = new LinkedHashMap<>();
     private final Set<ExecutionSite> workerPools = new LinkedHashSet<>();
     private final MemoryBudget memory;
 
@@ -23,51 +22,51 @@
         this.memory = memory;
     }
 
-    /** Adds an invocation that was read, and takes its memory. */
+    /** Adds an invocation that was read, and reserves its memory. */
     void open(TrackedInvocation invocation) {
-        open.put(invocation.id(), invocation);
+        openInvocations.put(invocation.id(), invocation);
         if (!invocation.site().isLocal()) {
             workerPools.add(invocation.site());
         }
         memory.reserve(invocation.invocation().memoryKb());
     }
 
-    /** Takes the further memory of a run that starts. */
+    /** Marks the run of an invocation as started, and reserves its additional memory. */
     void startRun(TrackedInvocation invocation, Duration now) {
         invocation.startRun(now);
         memory.reserve(memory.runOverheadKb(invocation.invocation().memoryKb()));
     }
 
     /**
-     * Removes an invocation that is over and gives its memory back. Does nothing the second time.
+     * Removes a finished invocation and releases its memory. Does nothing if it is not open.
      */
     void close(TrackedInvocation invocation) {
-        if (open.remove(invocation.id()) != null) {
+        if (openInvocations.remove(invocation.id()) != null) {
             memory.release(invocation.invocation().memoryKb(), invocation.isStarted());
         }
     }
 
     boolean isOpen(TrackedInvocation invocation) {
-        return open.containsKey(invocation.id());
+        return openInvocations.containsKey(invocation.id());
     }
 
     Optional<TrackedInvocation> find(InvocationId id) {
-        return Optional.ofNullable(open.get(id));
+        return Optional.ofNullable(openInvocations.get(id));
     }
 
-    /** Returns a copy of all open invocations, the one read first in front. */
+    /** Returns a copy of all open invocations, in the order in which they were read. */
     List<TrackedInvocation> snapshot() {
-        return List.copyOf(open.values());
+        return List.copyOf(openInvocations.values());
     }
 
-    /** Returns what occupies a core or a worker slot there; what waits at a call does not. */
+    /** Returns the runs that occupy the slots of a site, which runs waiting for calls do not. */
     List<TrackedInvocation> runningAt(ExecutionSite site) {
-        return open.values().stream()
+        return openInvocations.values().stream()
                 .filter(invocation -> invocation.isRunning() && invocation.runsAt(site))
                 .toList();
     }
 
-    /** Returns the worker pools that invocations were read for so far, in order of first use. */
+    /** Returns the worker pools of all invocations read so far, in order of first use. */
     Set<ExecutionSite> workerPools() {
         return workerPools;
     }
--- a/src/main/java/ochretiller/admission/LoadSignals.java
+++ b/src/main/java/ochretiller/admission/LoadSignals.java
@@ -1,12 +1,12 @@
 package ochretiller.admission;
 
 /**
- * The parts of a controller that notice overload and tell clients of it.
+ * The parts of a controller that detect overload and report it to clients.
  *
- * @param overload read backlog and stalls
- * @param retryAfter when rejected clients should come back
- * @param retryElsewhere whether they should try another server at once
- * @param advertiser what is advertised unasked
+ * @param overload detects read backlogs and stalls
+ * @param retryAfter determines when rejected clients should retry
+ * @param retryElsewhere determines whether they should try another server at once
+ * @param advertiser publishes health, capacity and idle timeout every tick
  */
 record LoadSignals(
         OverloadDetector overload,
--- a/src/main/java/ochretiller/admission/MeasurementWindows.java
+++ b/src/main/java/ochretiller/admission/MeasurementWindows.java
@@ -5,13 +5,13 @@
 
 /** The sliding windows over which the admission decisions measure. */
 final class MeasurementWindows {
-    /** Length of a bucket, the same as the period that the host's gauges average over. */
+    /** Length of a bucket, equal to the period over which the host's gauges are averaged. */
     static final Duration BUCKET = Duration.ofMillis(500);
 
-    /** Buckets of a long window: ten seconds hold enough runs for a stable mean. */
+    /** Buckets of a long window: ten seconds contain enough runs for a stable mean. */
     static final int LONG_WINDOW_BUCKETS = 20;
 
-    /** Buckets of a short window: three seconds react to a retry storm and still hold a dozen. */
+    /** Buckets of a short window: three seconds, to react to a retry storm on a dozen samples. */
     private static final int SHORT_WINDOW_BUCKETS = 6;
 
     private MeasurementWindows() {}
--- a/src/main/java/ochretiller/admission/MemoryBudget.java
+++ b/src/main/java/ochretiller/admission/MemoryBudget.java
@@ -1,11 +1,11 @@
 package ochretiller.admission;
 
 /**
- * Memory of the open invocations, in kilobytes. Stands for the rule "nothing falls over": the
- * process dies when invocations, runs and idempotency entries need more than it has.
+ * Memory of the open invocations, in kilobytes. Prevents the process from running out of memory for
+ * invocations, runs and idempotency entries.
  */
 final class MemoryBudget {
-    /** Share of the memory that is used; the rest is left for what is read at any moment. */
+    /** Share of the memory that may be used; the rest is reserved for requests being read. */
     private static final double USABLE_SHARE = 0.9;
 
     private final double limitKb;
@@ -13,32 +13,32 @@
     private double usedKb;
 
     /**
-     * Creates an unused budget.
+     * Creates a budget of which nothing is reserved.
      *
      * @param memoryKb memory of the server, kilobytes
-     * @param runFactor how many times its queued memory an invocation takes while it runs
+     * @param runFactor memory of a running invocation, as a multiple of its memory while queued
      */
     MemoryBudget(double memoryKb, double runFactor) {
         this.limitKb = memoryKb * USABLE_SHARE;
         this.runFactor = runFactor;
     }
 
-    /** Takes so much from the budget, whether it fits or not: what was read is already there. */
+    /** Reserves memory, even above the limit: an invocation that was read already uses it. */
     void reserve(double kb) {
         usedKb += kb;
     }
 
-    /** Gives back what an invocation took, which is more once its run was started. */
+    /** Releases the memory of an invocation, including that of its run if it was started. */
     void release(double queuedKb, boolean wasStarted) {
         usedKb -= wasStarted ? queuedKb * runFactor : queuedKb;
     }
 
-    /** Returns what an invocation takes on top of its queued memory while it runs. */
+    /** Returns the memory that a run needs in addition to the queued memory, kilobytes. */
     double runOverheadKb(double queuedKb) {
         return queuedKb * (runFactor - 1);
     }
 
-    /** Returns whether so much more fits beside the idempotency entries. */
+    /** Returns whether {@code moreKb} fits in addition to the idempotency entries. */
     boolean fits(double moreKb, double idempotencyKb) {
         return usedKb + idempotencyKb + moreKb <= limitKb;
     }
--- a/src/main/java/ochretiller/admission/OverloadDetector.java
+++ b/src/main/java/ochretiller/admission/OverloadDetector.java
@@ -7,26 +7,27 @@
 import java.time.Duration;
 
 /**
- * Two signs that a server is overloaded, neither of which its queue shows.
+ * Detects two kinds of overload that are not visible in the admission queue.
  *
- * <p>The <i>read backlog</i>: invocations lie unread because reading and runs compete for the
- * cores. It feeds itself, since what is read late is retried, which is read as well. Its measure is
- * the smaller age of the last two invocations read: a single one may only have shared its core.
+ * <p>A <i>read backlog</i>: invocations wait unread because reading and runs compete for the cores.
+ * It sustains itself, since clients retry what is read late, and retries must be read too. It is
+ * measured as the smaller age of the last two invocations read, as a single one may be an outlier
+ * that shared its core with a run.
  *
- * <p>A <i>stall</i>: no run on the cores makes progress, as in a long pause of the machine. Its
- * duration counts as read delay too.
+ * <p>A <i>stall</i>: no run on the cores makes progress, for example during a long pause of the
+ * machine. Its duration counts as read delay too.
  */
 final class OverloadDetector {
-    /** Read delay that is a backlog, as a share of the shortest latency objective. */
+    /** Read delay that counts as a backlog, as a share of the shortest latency objective. */
     private static final double BACKLOG_SHARE = 0.2;
 
-    /** The same for an invocation that is a marked retry, which has spent time elsewhere. */
+    /** The same for a marked retry, which has already spent time at another server. */
     private static final double BACKLOG_SHARE_FOR_RETRIES = BACKLOG_SHARE * 0.5;
 
-    /** Read delay that is a severe backlog, as a multiple of the shortest latency objective. */
+    /** Read delay of a severe backlog, as a multiple of the shortest latency objective. */
     private static final double SEVERE_BACKLOG_MULTIPLE = 3;
 
-    /** A stall is no progress for this many times the longest expected run. */
+    /** Time without progress that counts as a stall, as a multiple of the longest expected run. */
     private static final double STALL_MULTIPLE = 3;
 
     private Duration readDelay = Duration.ZERO;
@@ -35,21 +36,19 @@
     private Duration lastProgressAt = Duration.ZERO;
     private boolean isStalled;
 
-    /** An invocation was read that reached the machine {@code age} ago. */
+    /** Records the read of an invocation that reached the machine {@code age} ago. */
     void onRead(Duration now, Duration age) {
         readDelay = min(age, lastAge);
         lastAge = age;
         lastReadAt = now;
     }
 
-    /** A run on the cores has ended or left them, or the first one starts on empty cores. */
+    /** Records progress: a run left the cores, or the first one starts on idle cores. */
     void onProgress(Duration now) {
         lastProgressAt = now;
     }
 
-    /**
-     * Looks for a stall, given the longest time that one of the current runs is expected to take.
-     */
+    /** Checks for a stall, given the longest expected duration of the current runs. */
     void checkStall(Duration now, double longestExpectedSeconds) {
         Duration sinceProgress = now.minus(lastProgressAt);
         isStalled = inSeconds(sinceProgress) > STALL_MULTIPLE * longestExpectedSeconds;
@@ -58,14 +57,14 @@
         }
     }
 
-    /** Forgets the read delay once nothing was read for a while. */
+    /** Resets the read delay if nothing was read for the length of a bucket. */
     void expireReadDelay(Duration now) {
         if (!isStalled && now.minus(lastReadAt).compareTo(MeasurementWindows.BUCKET) > 0) {
             readDelay = Duration.ZERO;
         }
     }
 
-    /** Returns how long invocations lie unread. */
+    /** Returns how long invocations currently wait to be read. */
     Duration readDelay() {
         return readDelay;
     }
@@ -74,17 +73,17 @@
         return isStalled;
     }
 
-    /** Returns whether there is a read backlog, against the shortest latency objective. */
+    /** Returns whether there is a read backlog, relative to the shortest latency objective. */
     boolean hasReadBacklog(Duration shortestObjective) {
         return exceeds(shortestObjective, BACKLOG_SHARE);
     }
 
-    /** Returns the same as {@link #hasReadBacklog} by the lower threshold for marked retries. */
+    /** Like {@link #hasReadBacklog}, but with the lower threshold for marked retries. */
     boolean hasReadBacklogForRetry(Duration shortestObjective) {
         return exceeds(shortestObjective, BACKLOG_SHARE_FOR_RETRIES);
     }
 
-    /** Returns whether the backlog is so long that clients give up before they are answered. */
+    /** Returns whether the backlog is so long that clients time out before they are answered. */
     boolean hasSevereReadBacklog(Duration shortestObjective) {
         return exceeds(shortestObjective, SEVERE_BACKLOG_MULTIPLE);
     }
--- a/src/main/java/ochretiller/admission/QueueOrder.java
+++ b/src/main/java/ochretiller/admission/QueueOrder.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * The order in which queued invocations start: by value density, which is billed value over
- * expected cost (billed value alone where it is paid for work); among equals round-robin over the
- * clients and operations; then the one that arrived first.
+ * Orders queued invocations by value density, which is billed value over expected cost (or billed
+ * value alone if it is paid per unit of work), then round-robin over clients and operations, then
+ * by arrival.
  */
 final class QueueOrder {
     private static final Comparator<Ranked> BY_RANK =
@@ -28,7 +28,7 @@
         this.billing = billing;
     }
 
-    /** Returns the queued invocations, the one to start first in front, in a list of its own. */
+    /** Returns the queued invocations in starting order, as a new list. */
     List<TrackedInvocation> sort(Collection<TrackedInvocation> queued, Duration now) {
         Map<ClientOperation, Integer> rounds = new HashMap<>();
         List<Ranked> ranked = new ArrayList<>(queued.size());
@@ -52,6 +52,6 @@
                 : value / costs.expectedSecondsAboveZero(tracked.invocation(), now);
     }
 
-    /** A queued invocation with what it is ranked by; the round is its round-robin position. */
+    /** A queued invocation with its sort keys; {@code round} is its round-robin position. */
     private record Ranked(TrackedInvocation tracked, double density, int round) {}
 }
--- a/src/main/java/ochretiller/admission/QueueShedder.java
+++ b/src/main/java/ochretiller/admission/QueueShedder.java
@@ -5,8 +5,8 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Rejects queued invocations that cannot end in time any more, or that do not fit into the memory
- * (rule "nothing falls over"), one after another until the rest is feasible.
+ * Rejects queued invocations that can no longer end in time or that do not fit into memory, one at
+ * a time until the rest is feasible.
  */
 final class QueueShedder {
     private final AdmissionState state;
@@ -19,7 +19,7 @@
         this.gate = gate;
     }
 
-    /** Rejects as many queued invocations as have to go. */
+    /** Rejects queued invocations until the rest is feasible and fits into memory. */
     void shed(ServerActions server) {
         while (!state.queue().isEmpty()) {
             Optional<TrackedInvocation> victim = findVictim(server);
@@ -39,9 +39,9 @@
             return infeasible;
         }
         for (ExecutionSite pool : state.registry().workerPools()) {
-            Optional<TrackedInvocation> infeasibleThere = findInfeasible(server, pool, now);
-            if (infeasibleThere.isPresent()) {
-                return infeasibleThere;
+            Optional<TrackedInvocation> infeasibleInPool = findInfeasible(server, pool, now);
+            if (infeasibleInPool.isPresent()) {
+                return infeasibleInPool;
             }
         }
         if (limits.memory().fits(0, state.idempotency().usedKb(now))) {
--- a/src/main/java/ochretiller/admission/QuotaTracker.java
+++ b/src/main/java/ochretiller/admission/QuotaTracker.java
@@ -12,18 +12,18 @@
 import ochretiller.time.SlidingWindow;
 
 /**
- * What each tenant has sent here over the last ten seconds, against its quota. A tenant's quota
- * holds for the whole fleet; this server takes its even part, and one deviation of what chance
- * alone brings. What exceeds it is not rejected but counts with a lower weight.
+ * Compares what each tenant sent to this server over the last ten seconds with its quota. A quota
+ * covers the whole fleet; this server allows an even part of it, plus one standard deviation of
+ * random arrivals. Invocations over quota are not rejected but get a lower weight.
  */
 final class QuotaTracker {
-    /** Weight of what lies within the quota, and of tenants without one. */
+    /** Weight of invocations within the quota, and of tenants without one. */
     private static final double FULL_WEIGHT = 1;
 
-    /** Tolerance over the quota in standard deviations of a Poisson arrival process. */
+    /** Tolerance over the quota, in standard deviations of a Poisson arrival process. */
     private static final double TOLERATED_DEVIATIONS = 1;
 
-    /** Time from the start during which nothing is counted as over quota, seconds. */
+    /** Uptime until which no invocation counts as over quota, seconds. */
     private static final double MIN_PERIOD_S = 1;
 
     private final Map<TenantId, Tenant> tenants = new HashMap<>();
@@ -32,11 +32,11 @@
     private final double overQuotaWeight;
 
     /**
-     * Creates a tracker that has counted nothing.
+     * Creates a tracker without counts.
      *
      * @param tenants tenants with their quotas
      * @param servers servers of the fleet, among which a quota is divided evenly
-     * @param overQuotaWeight weight of what exceeds a quota, zero to one
+     * @param overQuotaWeight weight of invocations over quota, 0 to 1
      */
     QuotaTracker(List<Tenant> tenants, int servers, double overQuotaWeight) {
         for (Tenant tenant : tenants) {
--- a/src/main/java/ochretiller/admission/Responder.java
+++ b/src/main/java/ochretiller/admission/Responder.java
@@ -4,9 +4,8 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Gives the final answers that are not results: rejections, with word when to come back, and
- * errors. Stands for the rule "nothing lost": whoever is answered here is marked as answered, and
- * is forgotten unless its run goes on.
+ * Sends the final answers that are not results: rejections, with a Retry-After, and errors. An
+ * invocation that is answered here is marked as such, and closed unless its run continues.
  */
 final class Responder {
     private final InvocationRegistry registry;
@@ -24,7 +23,7 @@
     /**
      * Rejects an invocation that never ran.
      *
-     * @param isFinal whether no other server could be in time for it either
+     * @param isFinal whether no other server could answer it in time either
      */
     void reject(ServerActions server, TrackedInvocation tracked, boolean isFinal) {
         Duration now = server.now();
@@ -32,24 +31,24 @@
         Duration retryAfter =
                 limits.drain().isGraceOver(now)
                         ? signals.retryAfter().longest()
-                        : drawRetryAfter(server, tracked);
-        boolean staysHere =
+                        : randomRetryAfter(server, tracked);
+        boolean avoidOtherServers =
                 !limits.drain().isDraining()
                         && (isFinal || signals.retryElsewhere().drawFleetIsFull(now, isRetry));
-        server.throttle(tracked.id(), retryAfter, staysHere);
+        server.throttle(tracked.id(), retryAfter, avoidOtherServers);
         signals.retryElsewhere().onRejected(now);
         tracked.markAnswered();
         registry.close(tracked);
     }
 
-    /** Answers an idempotent run that is past its objective as rejected, and cancels it. */
+    /** Rejects an idempotent run that cannot meet its objective, and cancels it. */
     void rejectStarted(ServerActions server, TrackedInvocation tracked) {
         tracked.markAnswered();
-        server.throttle(tracked.id(), drawRetryAfter(server, tracked), true);
+        server.throttle(tracked.id(), randomRetryAfter(server, tracked), true);
         limits.cancellation().cancel(server, tracked);
     }
 
-    /** Answers with an error. A run that was started goes on. */
+    /** Answers with an error. A run that was started continues. */
     void fail(ServerActions server, TrackedInvocation tracked) {
         server.fail(tracked.id());
         tracked.markAnswered();
@@ -61,15 +60,15 @@
         }
     }
 
-    /** Returns the time until a newcomer for the site would start. */
+    /** Returns the expected time until an invocation queued now for the site would start. */
     Duration expectedWait(ServerActions server, ExecutionSite site) {
         SiteLoad load = limits.slots().load(server, site);
-        // A pool without workers takes nothing, but a wait has to be named all the same.
+        // A pool without workers has no slots, but clients still need a finite wait.
         SiteLoad atLeastOneSlot = new SiteLoad(site, Math.max(1, load.limit()), load.running());
         return queue.expectedWait(atLeastOneSlot, server.now());
     }
 
-    private Duration drawRetryAfter(ServerActions server, TrackedInvocation tracked) {
+    private Duration randomRetryAfter(ServerActions server, TrackedInvocation tracked) {
         Duration wait = expectedWait(server, tracked.site());
         return signals.retryAfter().draw(wait.plus(signals.overload().readDelay()));
     }
--- a/src/main/java/ochretiller/admission/RetryAfterPolicy.java
+++ b/src/main/java/ochretiller/admission/RetryAfterPolicy.java
@@ -9,14 +9,15 @@
 import java.util.SplittableRandom;
 
 /**
- * When a rejected client is told to come back (the Retry-After of RFC 9110, section 10.2.3): about
- * half the expected wait, with jitter so that not all return at once.
+ * Determines when a rejected client should retry (Retry-After of RFC 9110, section 10.2.3): after
+ * about half the expected wait, with jitter so that clients do not all retry at the same time.
  */
 final class RetryAfterPolicy {
-    /** Bounds of the jitter, as parts of the expected wait. */
-    private static final double MIN_PART_OF_WAIT = 0.25;
+    /** Lower bound of the delay, as a share of the expected wait. */
+    private static final double MIN_SHARE_OF_WAIT = 0.25;
 
-    private static final double MAX_PART_OF_WAIT = 0.75;
+    /** Upper bound of the delay, as a share of the expected wait. */
+    private static final double MAX_SHARE_OF_WAIT = 0.75;
 
     private final Duration longest;
     private final SplittableRandom random;
@@ -24,7 +25,7 @@
     /**
      * Creates a policy.
      *
-     * @param longest the longest delay that clients heed; zero where they are told none
+     * @param longest the longest delay that clients respect; zero if they are sent none
      * @param random source of the jitter
      */
     RetryAfterPolicy(Duration longest, SplittableRandom random) {
@@ -32,15 +33,15 @@
         this.random = random;
     }
 
-    /** Returns the longest delay that clients heed: for those that had better go elsewhere. */
+    /** Returns the longest delay that clients respect, for those that should use other servers. */
     Duration longest() {
         return longest;
     }
 
-    /** Draws the delay after which a client that would wait so long here should come back. */
+    /** Returns a random delay for a client that would wait {@code expectedWait} here. */
     Duration draw(Duration expectedWait) {
         double seconds = inSeconds(max(AdmissionTiming.TICK_INTERVAL, expectedWait));
-        double part = random.nextDouble(MIN_PART_OF_WAIT, MAX_PART_OF_WAIT);
-        return min(longest, ofSeconds(seconds * part));
+        double waitShare = random.nextDouble(MIN_SHARE_OF_WAIT, MAX_SHARE_OF_WAIT);
+        return min(longest, ofSeconds(seconds * waitShare));
     }
 }
--- a/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
+++ b/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
@@ -5,10 +5,10 @@
 import ochretiller.time.SlidingWindow;
 
 /**
- * Whether a rejected client should try another server at once. Servers know nothing of one another,
- * so the best guess at how full the others are is this server's own rejections and the share of
- * marked retries in what it reads. Guards against retry storms: when the whole fleet is full, a
- * retry at the next server is one more request that is rejected there.
+ * Decides whether a rejected client should try another server at once. Servers do not share their
+ * load, so the load of the others is estimated from this server's own rejections and its share of
+ * marked retries. Guards against retry storms: when the whole fleet is full, a retry at another
+ * server only adds a request that is rejected there.
  */
 final class RetryElsewherePolicy {
     private final SplittableRandom random;
@@ -20,7 +20,7 @@
         this.random = random;
     }
 
-    /** An invocation was read. */
+    /** Records an invocation that was read. */
     void onRead(Duration now, boolean isRetry) {
         reads.add(now, 1, 1);
         if (isRetry) {
@@ -28,20 +28,20 @@
         }
     }
 
-    /** An invocation was rejected. */
+    /** Records an invocation that was rejected. */
     void onRejected(Duration now) {
         rejections.add(now, 1, 1);
     }
 
     /**
-     * Draws whether the next server is taken to be full too. A marked retry has found one full
-     * server already, so the guess is made twice for it.
+     * Decides at random, by the estimated load, whether to assume that the other servers are full.
+     * The probability of a free server is squared for a marked retry, as one server rejected it.
      */
     boolean drawFleetIsFull(Duration now, boolean isRetry) {
         double read = Math.max(1, reads.sum(now));
         double accepted = 1 - rejections.sum(now) / read;
         double firstAttempts = 1 - retries.sum(now) / read;
-        double hasRoom = accepted * firstAttempts;
-        return random.nextDouble() > (isRetry ? hasRoom * hasRoom : hasRoom);
+        double availability = accepted * firstAttempts;
+        return random.nextDouble() > (isRetry ? availability * availability : availability);
     }
 }
--- a/src/main/java/ochretiller/admission/RunCancellation.java
+++ b/src/main/java/ochretiller/admission/RunCancellation.java
@@ -3,8 +3,9 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Cancels runs whose results nobody waits for. Only idempotent ones are cancelled: a keyed run goes
- * on, since its retry can be answered from it, and the effect of any other is not to be cut short.
+ * Cancels runs whose results are no longer needed. Only idempotent runs are cancelled: a keyed run
+ * continues, since its result can answer retries, and the effect of any other run must not be
+ * interrupted.
  */
 final class RunCancellation {
     private final boolean isSupported;
--- a/src/main/java/ochretiller/admission/RunEndListener.java
+++ b/src/main/java/ochretiller/admission/RunEndListener.java
@@ -3,9 +3,9 @@
 import ochretiller.model.RunOutcome;
 import ochretiller.server.Action;
 
-/** Hears of the end of runs that were started. */
+/** Handles the end of runs that were started. */
 @FunctionalInterface
 interface RunEndListener {
-    /** Returns what is to be done about the end of a run. */
+    /** Returns the action that the end of a run requires. */
     Action onRunEnded(TrackedInvocation tracked, RunOutcome outcome);
 }
--- a/src/main/java/ochretiller/admission/RunOutcomeHandler.java
+++ b/src/main/java/ochretiller/admission/RunOutcomeHandler.java
@@ -8,8 +8,8 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Settles a run that is over: its slot is free, what it cost is learned, its idempotency entry
- * tells how it ended, and the retries that waited for it are decided on.
+ * Handles the end of a run: frees its slot, records its cost, updates its idempotency entry, and
+ * decides on the retries that waited for it.
  */
 final class RunOutcomeHandler {
     private final AdmissionState state;
@@ -28,11 +28,11 @@
         this.gate = gate;
     }
 
-    /** Settles a run that was started by {@link Dispatcher}. */
+    /** Handles the end of a run that {@link Dispatcher} started. */
     void settle(ServerActions server, TrackedInvocation tracked, RunOutcome outcome) {
         Duration now = server.now();
         if (tracked.site().isLocal()) {
-            overload.onProgress(now); // an end in a worker pool is no progress of the cores
+            overload.onProgress(now); // a worker pool's run is no progress on the cores
         }
         if (tracked.isCalling()) {
             limits.calls().onCallEnded(tracked, now, true);
@@ -40,17 +40,17 @@
         limits.calls().remove(tracked);
         state.registry().close(tracked);
         if (outcome.status() == RunOutcome.Status.SUCCEEDED) {
-            learn(tracked, outcome, now);
+            recordSuccess(tracked, outcome, now);
         }
         Optional<IdempotencyEntry> entry =
                 state.idempotency().update(tracked.id(), entryState(outcome.status()));
-        if (hasNotRun(outcome.status())) {
-            settleUnrun(server, tracked, outcome.status());
+        if (wasNotExecuted(outcome.status())) {
+            handleNotExecuted(server, tracked, outcome.status());
         }
         entry.ifPresent(original -> gate.releaseWaitingRetries(server, original));
     }
 
-    /** Settles a run of a previous process; one without a result may have had its effect. */
+    /** Handles the end of a run of a previous process; without a result its effect is uncertain. */
     void settleRestored(ServerActions server, InvocationId id, RunOutcome.Status status) {
         boolean hasResult = status == RunOutcome.Status.SUCCEEDED;
         state.idempotency()
@@ -58,7 +58,7 @@
                 .ifPresent(original -> gate.releaseWaitingRetries(server, original));
     }
 
-    private void learn(TrackedInvocation tracked, RunOutcome outcome, Duration now) {
+    private void recordSuccess(TrackedInvocation tracked, RunOutcome outcome, Duration now) {
         if (tracked.site().isLocal()) {
             limits.concurrency().onRunSucceeded();
         }
@@ -66,19 +66,19 @@
         state.costs().onRunSucceeded(tracked, onCores, now);
     }
 
-    /** A run that is proven not to have begun is rejected, and its retries may take its place. */
-    private void settleUnrun(
+    /** Handles a run that was not executed; one of its retries may be admitted in its place. */
+    private void handleNotExecuted(
             ServerActions server, TrackedInvocation tracked, RunOutcome.Status status) {
         if (status == RunOutcome.Status.NOT_DISPATCHED && !tracked.isAnswered()) {
             gate.reject(server, tracked, false);
         } else {
-            // The host refused it, as when a client used another's key: its entry must not stand in
-            // the way of the rightful one.
+            // The host refused it, for example because a client used another client's key: its
+            // entry must not block the owner of the key.
             gate.discardEntry(server, tracked);
         }
     }
 
-    private static boolean hasNotRun(RunOutcome.Status status) {
+    private static boolean wasNotExecuted(RunOutcome.Status status) {
         return status == RunOutcome.Status.NEVER_STARTED
                 || status == RunOutcome.Status.NOT_DISPATCHED;
     }
@@ -87,6 +87,6 @@
         if (status == RunOutcome.Status.SUCCEEDED) {
             return State.SUCCEEDED;
         }
-        return hasNotRun(status) ? State.PENDING : State.INDETERMINATE;
+        return wasNotExecuted(status) ? State.PENDING : State.INDETERMINATE;
     }
 }
--- a/src/main/java/ochretiller/admission/SiteLoad.java
+++ b/src/main/java/ochretiller/admission/SiteLoad.java
@@ -6,7 +6,7 @@
  * The slots of an execution site at one moment.
  *
  * @param site the site
- * @param limit how many runs it takes at once
- * @param running what occupies its slots
+ * @param limit maximum number of concurrent runs
+ * @param running the runs that occupy its slots
  */
 record SiteLoad(ExecutionSite site, int limit, List<TrackedInvocation> running) {}
--- a/src/main/java/ochretiller/admission/SlowStart.java
+++ b/src/main/java/ochretiller/admission/SlowStart.java
@@ -5,19 +5,19 @@
 import java.time.Duration;
 
 /**
- * How fast a server is while it warms up: from an initial share of its full speed it rises linearly
- * to all of it. The term is that of Envoy and HAProxy, where a balancer sends less to a new server;
- * here the server itself takes less.
+ * Speed of a server during warm-up, which rises linearly from an initial share to full speed. The
+ * term is that of Envoy and HAProxy, where a load balancer sends fewer requests to a new server;
+ * here the server itself accepts fewer.
  *
- * @param initialSpeed share of the full speed at the start, one where it starts warm
- * @param duration time from the start until full speed is reached; zero where there is no warm-up
+ * @param initialSpeed share of the full speed at the start; one if the server starts warm
+ * @param duration time from the start until full speed; zero if there is no warm-up
  */
 public record SlowStart(double initialSpeed, Duration duration) {
-    /** A server that has its full speed from the start. */
+    /** A server that runs at full speed from the start. */
     public static final SlowStart NONE = new SlowStart(1, Duration.ZERO);
 
     /**
-     * Returns the share of its full speed that a server has.
+     * Returns the speed of a server, as a share of its full speed.
      *
      * @param uptime time since its start
      */
--- a/src/main/java/ochretiller/admission/TrackedInvocation.java
+++ b/src/main/java/ochretiller/admission/TrackedInvocation.java
@@ -10,15 +10,15 @@
 import ochretiller.model.Operation;
 
 /**
- * One invocation from the moment it was read until it needs no more attention, and how far it has
- * come. Times count from the start of the server.
+ * The progress of one invocation, from when it is read until it is answered and its run has ended.
+ * Points in time are durations since the start of the server.
  */
 final class TrackedInvocation {
-    /** How far an invocation has come. */
+    /** Progress of an invocation. */
     private enum State {
         /** Waits in the admission queue. */
         QUEUED,
-        /** A retry that waits for its original attempt to finish. */
+        /** A retry that waits for the end of its original attempt. */
         AWAITING_ORIGINAL,
         /** A retry whose answer is the stored result of its original attempt. */
         REPLAYING,
@@ -31,12 +31,12 @@
     }
 
     /**
-     * Share of its latency objective that a marked retry is taken to have spent at other servers
-     * already.
+     * Share of its latency objective that a marked retry is assumed to have already spent at other
+     * servers.
      */
     private static final double OBJECTIVE_SPENT_BEFORE_RETRY = 0.5;
 
-    /** A run should end this long before its objective, so that the answer reaches the client. */
+    /** Time before its objective at which a run should end, for its answer to arrive in time. */
     private static final Duration ANSWER_TRANSIT_TIME = Duration.ofMillis(30);
 
     private final Invocation invocation;
@@ -53,10 +53,10 @@
     private Duration timeAtCalls = Duration.ZERO;
 
     /**
-     * Starts to track an invocation that has just been read.
+     * Starts to track an invocation that was just read.
      *
-     * @param invocation what was read
-     * @param site where it would run
+     * @param invocation the invocation
+     * @param site where it runs if it is admitted
      * @param priorityWeight factor on its billed value, from {@link QuotaTracker}
      */
     TrackedInvocation(Invocation invocation, ExecutionSite site, double priorityWeight) {
@@ -88,7 +88,7 @@
         return invocation.operation();
     }
 
-    /** Returns whether it repeats a keyed attempt, which may not run beside it. */
+    /** Returns whether it repeats a keyed attempt and must not run concurrently with it. */
     boolean isKeyedRetry() {
         return operation().isKeyed() && invocation.originalAttempt() != null;
     }
@@ -101,17 +101,17 @@
         return site.equals(other);
     }
 
-    /** Returns the factor on the billed value: below one for what exceeds a tenant's quota. */
+    /** Returns the factor on the billed value; below one if it exceeds its tenant's quota. */
     double priorityWeight() {
         return priorityWeight;
     }
 
-    /** Returns the stream of like invocations among which this one takes its turn. */
+    /** Returns the key of its round-robin order in the queue. */
     ClientOperation clientOperation() {
         return clientOperation;
     }
 
-    /** Returns when a run must have ended to earn the whole billed value. */
+    /** Returns when its run must have ended to earn the full billed value. */
     Duration completionDeadline() {
         return completionDeadline;
     }
@@ -121,29 +121,29 @@
         return now.compareTo(completionDeadline) > 0;
     }
 
-    /** It waits in the admission queue. */
+    /** Marks it as waiting in the admission queue. */
     void enqueue() {
         state = State.QUEUED;
     }
 
-    /** It waits for the end of the attempt that it repeats. */
+    /** Marks it as waiting for the end of the attempt that it repeats. */
     void awaitOriginal() {
         state = State.AWAITING_ORIGINAL;
     }
 
-    /** It is being answered with the stored result of the attempt that it repeats. */
+    /** Marks it as being answered with the stored result of the attempt that it repeats. */
     void startReplay() {
         state = State.REPLAYING;
     }
 
-    /** Its run starts. */
+    /** Marks its run as started. */
     void startRun(Duration now) {
         state = State.RUNNING;
         isStarted = true;
         startedAt = now;
     }
 
-    /** Its run needs a downstream call and leaves the cores until that has ended. */
+    /** Marks its run as waiting for a downstream call, off the cores. */
     void awaitCall(Duration now) {
         if (state == State.RUNNING) {
             blockedAt = now;
@@ -151,29 +151,29 @@
         state = State.AWAITING_CALL;
     }
 
-    /** Its downstream call is made. */
+    /** Marks its downstream call as in flight. */
     void startCall(Duration now) {
         state = State.CALLING;
         callStartedAt = now;
     }
 
-    /** Its downstream call succeeded, and the run goes on. */
+    /** Resumes its run after a downstream call that succeeded. */
     void resumeAfterCall(Duration now) {
         timeAtCalls = timeAtCalls.plus(now.minus(blockedAt));
         state = State.RUNNING;
     }
 
-    /** Its downstream call failed, and the run goes on without the result. */
+    /** Resumes its run without the result of a downstream call that failed. */
     void resumeWithoutCall() {
         state = State.RUNNING;
     }
 
-    /** Its downstream call failed, and the run does not go on for now. */
+    /** Marks its run as still blocked after a downstream call that failed. */
     void stayBlocked() {
         state = State.AWAITING_CALL;
     }
 
-    /** Its client has the final answer, or waits for none any more. */
+    /** Marks it as answered, or as needing no answer since its client has disconnected. */
     void markAnswered() {
         isAnswered = true;
     }
@@ -198,7 +198,7 @@
         return state == State.CALLING;
     }
 
-    /** Returns whether its run has ever been started; such a run may have had its effect. */
+    /** Returns whether its run was ever started, so that its effect may have happened. */
     boolean isStarted() {
         return isStarted;
     }
@@ -212,12 +212,12 @@
         return callStartedAt;
     }
 
-    /** Returns the time spent at downstream calls that succeeded. */
+    /** Returns the time that its run was blocked for downstream calls that succeeded. */
     Duration timeAtCalls() {
         return timeAtCalls;
     }
 
-    /** Returns the time that the run has spent on the cores until now. */
+    /** Returns the time that its run has spent on the cores until now. */
     Duration timeOnCores(Duration now) {
         return now.minus(startedAt).minus(timeAtCalls);
     }
--- a/src/main/java/ochretiller/execution/RunBackend.java
+++ b/src/main/java/ochretiller/execution/RunBackend.java
@@ -8,25 +8,24 @@
     /**
      * Starts a run.
      *
-     * @param listener is told of the end of the run, once, and never before this method has
-     *     returned
+     * @param listener called once, at the end of the run, and never before this method has returned
      */
     void startRun(RunRequest request, RunListener listener);
 
     /**
-     * Stops a run for which nobody waits any more, if the backend can; its end is reported as for
-     * any other run.
+     * Stops a run whose result is no longer needed, if the backend supports that; its end is
+     * reported as for any other run.
      */
     void cancelRun(String requestId);
 
-    /** Is told of the end of a run. */
+    /** Receives the end of a run. */
     @FunctionalInterface
     interface RunListener {
         /**
-         * The run has ended.
+         * Handles the end of the run.
          *
-         * @param elapsed time since it was started, waits included
-         * @param result the result of a run that has succeeded; of no meaning otherwise
+         * @param elapsed time since it was started, including waits
+         * @param result the result if the run succeeded; undefined otherwise
          */
         void onRunFinished(RunOutcome.Status status, Duration elapsed, byte[] result);
     }
--- a/src/main/java/ochretiller/execution/RunRequest.java
+++ b/src/main/java/ochretiller/execution/RunRequest.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * A run that is to be executed.
+ * A request to execute a run.
  *
- * @param requestId identifies it on every wire below this server
+ * @param requestId identifier in all protocols to the backends of this server
  * @param operationName name of its operation
- * @param body what its client sent
- * @param isRetryable whether it may be executed again if it is unknown whether it was executed
- * @param idempotencyKey the key of a keyed invocation, else null
- * @param deadline when its client waits no longer, in event loop time
+ * @param body request body as the client sent it
+ * @param isRetryable whether it may be sent again when it is unknown whether it was executed
+ * @param idempotencyKey key of a keyed invocation, or null
+ * @param deadline when its client stops waiting, in event loop time
  */
 public record RunRequest(
         String requestId,
--- a/src/main/java/ochretiller/model/CallOutcome.java
+++ b/src/main/java/ochretiller/model/CallOutcome.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * How a call to a service below ended.
+ * Outcome of a call to a downstream service.
  *
- * @param status what came of it
- * @param elapsed time since it was made
+ * @param status how the call ended
+ * @param elapsed duration of the call
  */
 public record CallOutcome(Status status, Duration elapsed) {
-    /** What came of a call. */
+    /** How a call ended. */
     public enum Status {
         /** The service replied. */
         SUCCEEDED(false),
--- a/src/main/java/ochretiller/model/CapacityAdvertisement.java
+++ b/src/main/java/ochretiller/model/CapacityAdvertisement.java
@@ -1,13 +1,13 @@
 package ochretiller.model;
 
-/** What clients do with the capacity figure that a server sends with each answer. */
+/** How clients interpret the capacity value that a server sends with each answer. */
 public enum CapacityAdvertisement {
-    /** They ignore it. */
+    /** Clients ignore it. */
     NONE,
-    /** They send no request whose priority is below the figure. */
+    /** Clients send no request whose priority is below the value. */
     PRIORITY_THRESHOLD,
-    /** Each of them has at most so many requests outstanding at this server. */
+    /** Each client has at most this many requests outstanding at the server. */
     CLIENT_WINDOW,
-    /** They choose this server with that probability when it is its turn. */
+    /** Clients choose the server with this probability when it is its turn. */
     ROUTING_PROBABILITY
 }
--- a/src/main/java/ochretiller/model/InvocationId.java
+++ b/src/main/java/ochretiller/model/InvocationId.java
@@ -1,13 +1,13 @@
 package ochretiller.model;
 
 /**
- * Identifies one invocation, by the number under which it was received.
+ * Identifies one invocation by the number assigned when it was received.
  *
- * @param value the identifier itself
+ * @param value the identifier
  */
 public record InvocationId(long value) {
-    // Written out since a record's generated equals and hashCode are linked at run time, which
-    // slows the server's start.
+    // Not generated: a record's generated equals and hashCode are linked at run time, which slows
+    // startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof InvocationId id && id.value == value;
--- a/src/main/java/ochretiller/model/RunOutcome.java
+++ b/src/main/java/ochretiller/model/RunOutcome.java
@@ -3,29 +3,30 @@
 import java.time.Duration;
 
 /**
- * How a run or a replay ended.
+ * Outcome of a run or a replay.
  *
- * @param status what came of it
- * @param elapsed time since it was started, waits included
+ * @param status how it ended
+ * @param elapsed time since it was started, including waits
  */
 public record RunOutcome(Status status, Duration elapsed) {
-    /** What came of a run. */
+    /** How a run ended. */
     public enum Status {
         /** It has a result. */
         SUCCEEDED("SUCCEEDED"),
         /** It has no result, and may have had its effect. */
         FAILED("ERRORED"),
         /**
-         * It was stopped, or ended at a call because its client was answered already or is gone.
+         * It was stopped, or ended at a call because its client was already answered or had
+         * disconnected.
          */
         STOPPED("STOPPED"),
         /**
-         * The backend knows that nothing was executed: the request was over before it could start.
+         * The backend knows that nothing was executed: the request ended before it could start.
          */
         NEVER_STARTED("NOTHING"),
         /**
-         * Nothing was sent to a backend: its marker could not be made durable in time, or no worker
-         * could take it.
+         * Nothing was sent to a backend: the in-flight marker could not be made durable in time, or
+         * no worker could accept the run.
          */
         NOT_DISPATCHED("NOT_BEGUN");
 
@@ -36,7 +37,7 @@
         }
 
         /**
-         * Returns the word by which log lines name it; it stays whatever the constant is called.
+         * Returns the name used in log lines; it must not change when the constant is renamed.
          */
         public String externalName() {
             return externalName;
--- a/src/main/java/ochretiller/model/SideEffect.java
+++ b/src/main/java/ochretiller/model/SideEffect.java
@@ -1,14 +1,14 @@
 package ochretiller.model;
 
-/** What a second run of the same request would do. */
+/** Effect of executing the same request a second time. */
 public enum SideEffect {
-    /** Nothing: it may run any number of times. */
+    /** None: the request may be executed any number of times. */
     IDEMPOTENT,
     /**
-     * A second effect; requests carry an idempotency key by which retries are recognised within a
+     * A second effect; requests carry an idempotency key by which retries are recognized within a
      * window.
      */
     KEYED,
-    /** A second effect, and retries cannot be recognised: it must never run twice. */
+    /** A second effect; retries cannot be recognized, so a request must never run twice. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/ochretiller/model/Tenant.java
+++ b/src/main/java/ochretiller/model/Tenant.java
@@ -1,10 +1,10 @@
 package ochretiller.model;
 
 /**
- * One of those who share the service.
+ * One of the tenants that share the service.
  *
- * @param id its identity
- * @param serviceShare its part of the service, relative to the other tenants
- * @param quotaPerSecond invocations a second that are within its share, over the whole fleet
+ * @param id identifier of the tenant
+ * @param serviceShare its weight in sharing the service, relative to the other tenants
+ * @param quotaPerSecond invocations per second within its quota, over the whole fleet
  */
 public record Tenant(TenantId id, double serviceShare, double quotaPerSecond) {}
--- a/src/main/java/ochretiller/server/Action.java
+++ b/src/main/java/ochretiller/server/Action.java
@@ -1,15 +1,15 @@
 package ochretiller.server;
 
 /**
- * What a decision wants done, to be executed on a server. Actions may register continuations with
- * the server for results that come later.
+ * The steps that follow from a decision, to be executed on a server. An action may register
+ * continuations with the server for results that arrive later.
  */
 @FunctionalInterface
 public interface Action {
     /** Does nothing. */
     Action NONE = server -> {};
 
-    /** Carries the action out on {@code server}. */
+    /** Executes the action on {@code server}. */
     void execute(ServerActions server);
 
     /** Returns an action that executes this one and then {@code next}. */
--- a/src/main/java/ochretiller/server/AnswerActions.java
+++ b/src/main/java/ochretiller/server/AnswerActions.java
@@ -8,7 +8,7 @@
 /** Answers clients. Each invocation gets one final answer; a second one is ignored. */
 public interface AnswerActions {
     /**
-     * Answers a retry with the result of its original attempt, without running anything.
+     * Answers a retry with the result of its original attempt, without a run of its own.
      *
      * @param onOutcome receives the outcome once, never before this method has returned
      */
@@ -18,9 +18,9 @@
      * Rejects an invocation that has not run.
      *
      * @param retryAfter when the client should send it again; zero if no advice is given
-     * @param last asks the client not to try another server
+     * @param isFinal whether to ask the client not to try another server
      */
-    void throttle(InvocationId id, Duration retryAfter, boolean last);
+    void throttle(InvocationId id, Duration retryAfter, boolean isFinal);
 
     /**
      * Answers with an error. A run of the invocation continues until it ends, reaches a call or is
--- a/src/main/java/ochretiller/server/RunActions.java
+++ b/src/main/java/ochretiller/server/RunActions.java
@@ -8,8 +8,8 @@
 import ochretiller.model.RunOutcome;
 
 /**
- * Starts and stops runs, makes the calls that runs wait for, and tells how much the worker pools
- * can take.
+ * Starts and stops runs, makes the calls that runs wait for, and reports the capacity of the worker
+ * pools.
  */
 public interface RunActions {
     /**
@@ -21,7 +21,8 @@
     void startRun(InvocationId id, Function<RunOutcome, Action> onOutcome);
 
     /**
-     * Asks for a run to be stopped; its outcome follows as for any other run. This answers nobody.
+     * Requests that a run be stopped; its outcome is reported as for any other run. The client is
+     * not answered.
      */
     void stopRun(InvocationId id);
 
@@ -37,22 +38,22 @@
     void skipCall(InvocationId id);
 
     /**
-     * Returns the worker pool that runs an operation, or null where it runs on the processor behind
-     * this server.
+     * Returns the worker pool that runs an operation, or null if it runs on the processor of this
+     * server.
      */
     default String poolOf(Operation operation) {
         return null;
     }
 
     /**
-     * Returns how many runs a pool may have at once with the workers that it has now; 0 if none of
-     * them is usable.
+     * Returns how many concurrent runs a pool supports with its current workers; 0 if none of them
+     * is usable.
      */
     default int poolCapacity(String pool) {
         return 0;
     }
 
-    /** Returns how many more runs a pool would accept now. */
+    /** Returns how many more runs a pool accepts now. */
     default int freePoolSlots(String pool) {
         return 0;
     }
--- a/src/main/java/ochretiller/server/TimerActions.java
+++ b/src/main/java/ochretiller/server/TimerActions.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 import ochretiller.model.ResourceGauges;
 
-/** The clock of the decisions. */
+/** Clock and timers for admission decisions. */
 public interface TimerActions {
     /**
      * Returns the time since this server's start; it does not change while one event is handled.
--- a/src/main/java/ochretiller/settings/JsonSettings.java
+++ b/src/main/java/ochretiller/settings/JsonSettings.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Settings from nested JSON, flattened to the paths that the simulator's wire uses for them: {@code
- * {"classes": [{"name": "read"}]}} has {@code classes.count} and {@code classes.0.name}.
+ * Settings from nested JSON, flattened to the paths of the simulator protocol: {@code {"classes":
+ * [{"name": "read"}]}} becomes {@code classes.count} and {@code classes.0.name}.
  */
 public final class JsonSettings implements SettingLookup {
     private final Map<String, String> values = new HashMap<>();
@@ -15,7 +15,7 @@
     /**
      * Flattens a parsed JSON object.
      *
-     * @param object members by name: maps, lists, and values whose text is the setting
+     * @param object members by name: maps, lists, and scalars whose text is the setting
      */
     public JsonSettings(Map<String, Object> object) {
         put("", object);
@@ -32,7 +32,7 @@
         }
     }
 
-    /** A list of plain values is one text; a list of objects has a count and its items. */
+    /** Adds the count and the items of a list; a list of scalars is also one text, with commas. */
     private void putList(String path, List<?> list) {
         if (list.stream().noneMatch(item -> item instanceof Map || item instanceof List)) {
             values.put(path, list.stream().map(Object::toString).collect(Collectors.joining(",")));
--- a/src/main/java/ochretiller/settings/SettingLookup.java
+++ b/src/main/java/ochretiller/settings/SettingLookup.java
@@ -3,17 +3,16 @@
 import java.time.Duration;
 
 /**
- * Settings by their path, such as {@code classes.0.name}. Settings that nobody asks for are
- * ignored, so that a later version may add some. All methods that parse throw {@link
- * MalformedException} for a value of the wrong form, and so do those without a default for a
- * setting that is missing.
+ * Looks up settings by path, such as {@code classes.0.name}. Unknown settings are ignored, so that
+ * a later version may add some. All methods that parse throw {@link MalformedException} for a
+ * malformed value, and methods without a default throw it for a missing setting.
  */
 @FunctionalInterface
 public interface SettingLookup {
     /** Returns the setting as text, or null if it is missing. */
     String find(String name);
 
-    /** Returns whether the setting is there and not empty. */
+    /** Returns whether the setting is present and not empty. */
     default boolean has(String name) {
         return !text(name, "").isEmpty();
     }
@@ -22,7 +21,7 @@
     default String text(String name) {
         String value = find(name);
         if (value == null) {
-            throw new MalformedException("no value for " + name);
+            throw new MalformedException("missing value for " + name);
         }
         return value;
     }
@@ -39,7 +38,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " is no whole number: '" + value + "'", e);
+            throw new MalformedException(name + " is not a whole number: '" + value + "'", e);
         }
     }
 
@@ -56,7 +55,7 @@
         try {
             return Double.parseDouble(text(name));
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " is no number: '" + text(name) + "'", e);
+            throw new MalformedException(name + " is not a number: '" + text(name) + "'", e);
         }
     }
 
@@ -65,7 +64,7 @@
         return has(name) ? Duration.ofNanos(wholeNumber(name)) : defaultValue;
     }
 
-    /** Returns whether the setting is {@code 1} or {@code true}; a missing one is not. */
+    /** Returns whether the setting is {@code 1} or {@code true}; false if it is missing. */
     default boolean flag(String name) {
         String value = text(name, "0");
         return value.equals("1") || value.equals("true");
--- a/src/main/java/ochretiller/settings/Settings.java
+++ b/src/main/java/ochretiller/settings/Settings.java
@@ -16,17 +16,17 @@
 import ochretiller.model.TenantId;
 
 /**
- * Decodes the settings that a server is started with into the operations it serves and the
- * admission controller that decides on them. Durations are settings in nanoseconds, memory is in
- * kilobytes. What is malformed ends in a {@link MalformedException} that names the setting.
+ * Decodes the startup settings of a server into the operations that it serves and its admission
+ * controller. Durations are given in nanoseconds, memory in kilobytes. A malformed setting causes a
+ * {@link MalformedException} that names it.
  */
 public final class Settings {
-    /** Stands for an item that a list of settings does not have. */
-    private static final String NO_ITEM = "0";
+    /** Value of an item that is missing from a comma-separated list. */
+    private static final String MISSING_ITEM = "0";
 
     private Settings() {}
 
-    /** Returns the operations by name, in the order of the settings. */
+    /** Returns the operations by name, in the order in which the settings list them. */
     public static Map<String, Operation> operations(SettingLookup settings) {
         Map<String, Operation> operations = new LinkedHashMap<>();
         for (int i = 0; i < settings.wholeNumber("classes.count", 0); i++) {
@@ -62,7 +62,7 @@
                 degradedValueShare);
     }
 
-    /** An effect that this version does not know is taken as one that must never be repeated. */
+    /** Decodes a side effect; an unknown one is treated as one that must never be repeated. */
     private static SideEffect sideEffect(String name) {
         return switch (name) {
             case "pure" -> SideEffect.IDEMPOTENT;
@@ -71,18 +71,18 @@
         };
     }
 
-    /** Returns an item of a comma-separated list. */
+    /** Returns an item of a comma-separated list, {@code 0} if it is missing or empty. */
     private static String item(SettingLookup settings, String list, int index) {
         String[] items = settings.text(list, "").split(",");
-        return index < items.length && !items[index].isEmpty() ? items[index] : NO_ITEM;
+        return index < items.length && !items[index].isEmpty() ? items[index] : MISSING_ITEM;
     }
 
     /**
      * Builds the admission controller of one server.
      *
-     * @param settings the settings of the start
-     * @param random source of all chance in its decisions
-     * @param isCold whether what works for the server has just been started
+     * @param settings the startup settings
+     * @param random source of randomness for its decisions
+     * @param isCold whether the backend that executes the runs was just started
      */
     public static AdmissionController admissionController(
             SettingLookup settings, SplittableRandom random, boolean isCold) {
--- a/src/main/java/ochretiller/settings/package-info.java
+++ b/src/main/java/ochretiller/settings/package-info.java
@@ -1,13 +1,12 @@
 /**
- * Decodes the settings that a server is started with.
+ * Decodes the startup settings of a server.
  *
- * <p><b>Job.</b> {@link ochretiller.settings.SettingLookup} reads single settings by their path,
- * from the flat fields of the simulator's wire or from nested JSON ({@link
- * ochretiller.settings.JsonSettings}); {@link ochretiller.settings.Settings} makes operations and
- * an admission controller of them. No decision and no tuned value is here.
+ * <p><b>Job.</b> {@link ochretiller.settings.SettingLookup} looks up settings by path, from
+ * the flat fields of the simulator protocol or from nested JSON ({@link
+ * ochretiller.settings.JsonSettings}); {@link ochretiller.settings.Settings} creates
+ * operations and an admission controller from them. This package makes no admission decisions.
  *
- * <p><b>State and thread.</b> Lookups do not change once they are made; there is no other state and
- * no thread.
+ * <p><b>State and thread.</b> Lookups are immutable; there is no other state and no thread.
  *
  * <p><b>Neighbours.</b> Used by the hosts in {@code node}, {@code sim} and the emulator; builds on
  * {@code admission} and {@code model}.
--- a/src/main/java/ochretiller/time/Durations.java
+++ b/src/main/java/ochretiller/time/Durations.java
@@ -2,11 +2,11 @@
 
 import java.time.Duration;
 
-/** Arithmetic on durations, and on points in time that are counted from the start of a server. */
+/** Arithmetic on durations, and on points in time given as durations since the server's start. */
 public final class Durations {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Longest duration that is made from a number of seconds: eleven days. */
+    /** Longest duration created from a number of seconds: eleven days. */
     private static final double MAX_SECONDS = 1e6;
 
     private Durations() {}
@@ -21,12 +21,12 @@
         return a.compareTo(b) > 0 ? a : b;
     }
 
-    /** Returns a duration in seconds with their fractions, unlike {@link Duration#toSeconds}. */
+    /** Returns a duration in seconds, with the fraction that {@link Duration#toSeconds} drops. */
     public static double inSeconds(Duration duration) {
         return duration.toNanos() / NANOS_PER_SECOND;
     }
 
-    /** Returns the duration of so many seconds, cut to whole nanoseconds, eleven days at most. */
+    /** Returns a duration truncated to whole nanoseconds and limited to eleven days. */
     public static Duration ofSeconds(double seconds) {
         return Duration.ofNanos((long) (Math.min(seconds, MAX_SECONDS) * NANOS_PER_SECOND));
     }
@@ -36,7 +36,7 @@
         return a.compareTo(b) > 0;
     }
 
-    /** Returns the time from now until a point in time, zero once that has come. */
+    /** Returns the time from now until a point in time, or zero if it has passed. */
     public static Duration timeUntil(Duration point, Duration now) {
         return max(point.minus(now), Duration.ZERO);
     }
--- a/src/main/java/ochretiller/time/SlidingWindow.java
+++ b/src/main/java/ochretiller/time/SlidingWindow.java
@@ -4,9 +4,9 @@
 import java.util.Arrays;
 
 /**
- * Weighted sums of samples over a sliding window of time, kept in a ring of buckets. The window
- * moves by whole buckets, so that samples leave it a bucket at a time. Not thread-safe; time is
- * handed in and taken never to go back.
+ * Weighted sums of samples over a sliding time window, stored in a ring of buckets. The window
+ * moves by whole buckets, so samples expire one bucket at a time. Not thread-safe; callers pass in
+ * the time, which must not go backwards.
  */
 public final class SlidingWindow {
     private final Duration bucketLength;
@@ -22,7 +22,7 @@
      * Creates an empty window.
      *
      * @param bucketLength length of one bucket
-     * @param buckets how many buckets the window spans, the current one included
+     * @param buckets number of buckets in the window, including the current one
      */
     public SlidingWindow(Duration bucketLength, int buckets) {
         this.bucketLength = bucketLength;
@@ -45,10 +45,10 @@
         return sum;
     }
 
-    /** Returns the sum of the samples over the sum of their weights, or a default without any. */
-    public double mean(Duration now, double withoutSamples) {
+    /** Returns the sum of the samples over the sum of their weights, or {@code defaultMean}. */
+    public double mean(Duration now, double defaultMean) {
         advanceTo(now);
-        return weight > 0 ? sum / weight : withoutSamples;
+        return weight > 0 ? sum / weight : defaultMean;
     }
 
     /** Returns the sum of the weights in the window. */
@@ -57,7 +57,7 @@
         return weight;
     }
 
-    /** Forgets all samples. */
+    /** Removes all samples. */
     public void clear() {
         Arrays.fill(bucketSums, 0);
         Arrays.fill(bucketWeights, 0);
@@ -65,7 +65,7 @@
         weight = 0;
     }
 
-    /** Empties the buckets that have left the window, and returns the index of the current one. */
+    /** Clears the expired buckets, and returns the index of the current one. */
     private int advanceTo(Duration now) {
         int buckets = bucketSums.length;
         long target = Math.max(currentBucket, now.toNanos() / bucketLength.toNanos());
@@ -75,7 +75,7 @@
                 bucketWeights[(int) (i % buckets)] = 0;
             }
             currentBucket = target;
-            // Summed anew, so that rounding errors do not pile up.
+            // Recomputed so that rounding errors do not accumulate.
             sum = Arrays.stream(bucketSums).sum();
             weight = Arrays.stream(bucketWeights).sum();
         }
--- a/src/main/java/ochretiller/time/package-info.java
+++ b/src/main/java/ochretiller/time/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Arithmetic on durations, and sums over sliding windows of time.
  *
- * <p>Pure: there is no clock here, points in time are handed in as the time since the start of a
- * server. Used by all packages that decide; depends on nothing. Objects belong to one thread.
+ * <p>There is no clock here; callers pass in points in time as durations since the server's start.
+ * Used by all packages that make decisions; depends on no other package. Not thread-safe.
  */
 package ochretiller.time;
