--- a/src/main/java/ochretiller/admission/FeasibilityCheck.java
+++ b/src/main/java/ochretiller/admission/FeasibilityCheck.java
@@ -56,7 +56,7 @@
             // The mean alone would miss the deadline half the time. A free slot is used regardless.
             double ownSeconds = expected * (aheadSeconds == 0 ? 1 : safetyFactor);
             double needed =
-                    aheadSeconds / slots.limit() + ownSeconds + secondsAtLongCalls(tracked, now);
+                    aheadSeconds / slots.limit() + ownSeconds + secondsInLongCalls(tracked, now);
             if (now.plus(ofSeconds(needed)).compareTo(tracked.completionDeadline()) > 0) {
                 return Optional.of(
                         aheadSeconds == runningSeconds
@@ -78,7 +78,7 @@
         return ofSeconds(aheadSeconds / slots.limit());
     }
 
-    private double secondsAtLongCalls(TrackedInvocation tracked, Duration now) {
+    private double secondsInLongCalls(TrackedInvocation tracked, Duration now) {
         if (!tracked.operation().makesCalls()) {
             return 0;
         }
--- a/src/test/java/ochretiller/admission/AdmissionFixture.java
+++ b/src/test/java/ochretiller/admission/AdmissionFixture.java
@@ -21,7 +21,7 @@
 import ochretiller.server.Action;
 import ochretiller.server.ServerActions;
 
-/** A host that records what it is told, and a controller on it with two cores and ample memory. */
+/** A host that records its actions, and a controller on it with two cores and ample memory. */
 final class AdmissionFixture implements ServerActions {
     static final Duration SECOND = Duration.ofSeconds(1);
 
@@ -41,7 +41,7 @@
                     .longestRetryAfter(SECOND)
                     .longestIdleTimeout(SECOND);
 
-    /** What the host was told since the last event, in order. */
+    /** Actions executed on the host since the last event, in order. */
     final List<String> actions = new ArrayList<>();
 
     final Map<InvocationId, Function<RunOutcome, Action>> runs = new HashMap<>();
@@ -50,13 +50,13 @@
     Duration now = Duration.ZERO;
     boolean acceptsIdempotencyEntries = true;
 
-    /** Worker pools by the operations that run in them, and what each of them takes. */
+    /** Names of the worker pools, by the operations that run in them. */
     final Map<Operation, String> pools = new HashMap<>();
 
     int poolCapacity = 8;
     int freePoolSlots = 8;
 
-    /** How runs end while they are being started, which no host should do and all must survive. */
+    /** Status of runs that end inside {@code startRun}, which violates the host's contract. */
     Optional<RunOutcome.Status> immediateRunStatus = Optional.empty();
 
     /** The Retry-After of the last rejection. */
@@ -74,12 +74,12 @@
         return controller;
     }
 
-    /** Reads a first attempt that has just arrived, and returns what was done about it. */
+    /** Reads a first attempt that has just arrived, and returns the resulting actions. */
     List<String> receive(long id, Operation operation) {
         return receive(invocation(id, operation).arrivedAt(now).build());
     }
 
-    /** Reads an attempt that repeats another, and returns what was done about it. */
+    /** Reads an attempt that repeats another, and returns the resulting actions. */
     List<String> receiveRetry(long id, Operation operation, long originalId) {
         return receive(invocation(id, operation).repeating(originalId).arrivedAt(now).build());
     }
@@ -88,7 +88,7 @@
         return execute(controller().onInvocationReceived(invocation));
     }
 
-    /** Both cores run, so that what is read next is queued. */
+    /** Occupies both cores, so that the next invocation is queued. */
     void occupyBothCores() {
         receive(101, READ);
         receive(102, READ);
@@ -124,7 +124,7 @@
         return execute(controller().onEntryRestored(new InvocationId(id), expiresAt, status));
     }
 
-    /** Lets time go on, with all timers until then, and returns what they did. */
+    /** Advances the time, fires all timers due until then, and returns their actions. */
     List<String> advanceTo(Duration time) {
         if (!isStarted) {
             controller().onStarted().execute(this);
@@ -172,8 +172,8 @@
     }
 
     @Override
-    public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
-        runs.put(id, then);
+    public void startRun(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        runs.put(id, onOutcome);
         log("startRun", id);
         immediateRunStatus.ifPresent(
                 status ->
@@ -181,15 +181,15 @@
     }
 
     @Override
-    public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
-        runs.put(id, then);
+    public void replayResult(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        runs.put(id, onOutcome);
         log("replayResult", id);
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryIn, boolean last) {
-        lastRetryAfter = retryIn;
-        log(last ? "throttleFinally" : "throttle", id);
+    public void throttle(InvocationId id, Duration retryAfter, boolean isFinal) {
+        lastRetryAfter = retryAfter;
+        log(isFinal ? "throttleFinally" : "throttle", id);
     }
 
     @Override
@@ -203,8 +203,9 @@
     }
 
     @Override
-    public void startCall(InvocationId id, Duration timeout, Function<CallOutcome, Action> then) {
-        calls.put(id, then);
+    public void startCall(
+            InvocationId id, Duration timeout, Function<CallOutcome, Action> onOutcome) {
+        calls.put(id, onOutcome);
         log("startCall", id);
     }
 
@@ -214,7 +215,7 @@
     }
 
     @Override
-    public void putIdempotencyEntry(InvocationId id, Duration duration) {
+    public void putIdempotencyEntry(InvocationId id, Duration window) {
         log("putEntry", id);
     }
 
@@ -229,13 +230,13 @@
     }
 
     @Override
-    public void schedule(Duration delay, Function<ResourceGauges, Action> then) {
-        timers.computeIfAbsent(now.plus(delay), at -> new ArrayList<>()).add(then);
+    public void schedule(Duration delay, Function<ResourceGauges, Action> onTimer) {
+        timers.computeIfAbsent(now.plus(delay), at -> new ArrayList<>()).add(onTimer);
     }
 
     @Override
-    public void setHealth(boolean good, boolean stored) {
-        actions.add(good ? "healthy" : "unhealthy");
+    public void setHealth(boolean healthy, boolean answersDeepChecks) {
+        actions.add(healthy ? "healthy" : "unhealthy");
     }
 
     @Override
--- a/src/test/java/ochretiller/admission/AdmissionGateTest.java
+++ b/src/test/java/ochretiller/admission/AdmissionGateTest.java
@@ -10,7 +10,7 @@
 import ochretiller.model.RunOutcome.Status;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of an invocation that has not run, above all of a retry. */
+/** Tests the decisions on invocations that have not run, in particular on retries. */
 class AdmissionGateTest {
     private final AdmissionFixture server = new AdmissionFixture();
 
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void retryOfRunningAttemptWaitsAndReplays() {
+    void retryOfRunningAttemptWaitsAndIsReplayed() {
         server.receive(1, ORDER);
         assertThat(server.receiveRetry(2, ORDER, 1)).isEmpty();
         assertThat(server.endRun(1, Status.SUCCEEDED)).containsExactly("replayResult 2");
     }
 
     @Test
-    void retryOfSucceededAttemptReplaysAtOnce() {
+    void retryOfSucceededAttemptIsReplayedAtOnce() {
         server.receive(1, ORDER);
         server.endRun(1, Status.SUCCEEDED);
         assertThat(server.receiveRetry(2, ORDER, 1)).containsExactly("replayResult 2");
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void retryOfRunThatNeverStartedTakesItsPlace() {
+    void retryOfRunThatNeverStartedRunsInItsPlace() {
         server.receive(1, ORDER);
         server.receiveRetry(2, ORDER, 1);
         assertThat(server.endRun(1, Status.NEVER_STARTED))
@@ -62,12 +62,12 @@
     }
 
     @Test
-    void retryOfUnknownAttemptReplays() {
+    void retryOfUnknownAttemptIsReplayed() {
         assertThat(server.receiveRetry(2, ORDER, 1)).containsExactly("replayResult 2");
     }
 
     @Test
-    void retryOfAttemptThatNeverRanTakesItsPlace() {
+    void retryOfAttemptThatNeverRanIsAdmittedInItsPlace() {
         server.occupyBothCores();
         server.receive(1, ORDER);
         server.receiveRetry(2, ORDER, 1);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void twoRetriesOfOneDiscardedAttemptShareItsPlace() {
+    void secondRetryOfDiscardedAttemptWaitsForTheFirst() {
         server.occupyBothCores();
         server.receive(1, ORDER);
         server.receiveRetry(2, ORDER, 1);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void fullTableRejectsKeyedNewcomerBeforeItRuns() {
+    void fullTableRejectsNewKeyedInvocationBeforeItRuns() {
         server.settings.idempotencyEntryKb(3_000);
         server.receive(1, ORDER);
         assertThat(server.receive(2, ORDER)).containsExactly("throttle 2");
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void keyedNewcomerWhoseEntryWouldNotBeStoredIsRejectedAndOthersGoOn() {
+    void keyedInvocationIsRejectedAndOthersRunWhileNoEntryIsAccepted() {
         server.acceptsIdempotencyEntries = false;
         assertThat(server.receive(1, ORDER)).containsExactly("throttle 1");
         assertThat(server.receive(2, READ)).containsExactly("startRun 2");
--- a/src/test/java/ochretiller/admission/BackpressureAdvertiserTest.java
+++ b/src/test/java/ochretiller/admission/BackpressureAdvertiserTest.java
@@ -14,7 +14,7 @@
     private final AdmissionFixture server = new AdmissionFixture();
 
     @Test
-    void idleConnectionsAreClosedSoonerWhileManyAreOpen() {
+    void idleTimeoutShrinksWhileManyConnectionsAreOpen() {
         BackpressureAdvertiser advertiser =
                 new BackpressureAdvertiser(
                         new AdvertisedCapacity(CapacityAdvertisement.NONE, 1, CORES),
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void advertisedWindowClosesWhileTheQueueIsLong() {
+    void advertisedWindowShrinksWhileTheQueueIsLong() {
         server.settings.advertisement(CapacityAdvertisement.CLIENT_WINDOW);
         server.occupyBothCores();
         for (long id = 1; id < 5; id++) {
--- a/src/test/java/ochretiller/admission/ConcurrencyLimiterTest.java
+++ b/src/test/java/ochretiller/admission/ConcurrencyLimiterTest.java
@@ -12,9 +12,7 @@
     private static final double SURVIVABLE_MULTIPLE = 8;
     private static final Duration WINDOW = Duration.ofMillis(500);
 
-    /**
-     * Ticks at the ends of the given windows, in all of which the limit alone keeps work queued.
-     */
+    /** Ticks at the end of each given window, during all of which only the limit delays work. */
     private static void tickWhileLimiting(
             ConcurrencyLimiter limiter, int firstWindow, int lastWindow, double cpuUtilization) {
         for (int window = firstWindow; window <= lastWindow; window++) {
@@ -37,7 +35,7 @@
     }
 
     @Test
-    void limitStartsAtTheCoresAndClimbsByDoubling() {
+    void limitStartsAtCoreCountAndGrowsByDoublingSteps() {
         ConcurrencyLimiter limiter = warmLimiter();
         assertThat(limiter.currentLimit(Duration.ZERO)).isEqualTo(6);
         tickWhileLimiting(limiter, 1, 2, 0.5);
@@ -45,7 +43,7 @@
     }
 
     @Test
-    void limitDoesNotClimbOnRoomSeenWhileLessRanThanMay() {
+    void limitDoesNotGrowOnSpareCapacityMeasuredBelowTheLimit() {
         ConcurrencyLimiter limiter = warmLimiter();
         limiter.onTick(Duration.ofMillis(400), gauges(0.5), false);
         limiter.onTick(Duration.ofMillis(500), gauges(0.5), true);
@@ -53,7 +51,7 @@
     }
 
     @Test
-    void limitStaysUnderTheConcurrencyThatAColdServerSurvives() {
+    void limitStaysBelowTheConcurrencyThatAColdServerSurvives() {
         SlowStart slowStart = new SlowStart(0.2, SECOND.multipliedBy(10));
         ConcurrencyLimiter limiter = new ConcurrencyLimiter(CORES, SURVIVABLE_MULTIPLE, slowStart);
         tickWhileLimiting(limiter, 1, 9, 0.5);
@@ -62,7 +60,7 @@
     }
 
     @Test
-    void limitStepsBackOnlyWhenCompletionsFallOnBusyCores() {
+    void limitShrinksOnlyWhenThroughputFallsOnBusyCores() {
         ConcurrencyLimiter limiter = warmLimiter();
         tickWhileLimiting(limiter, 1, 1, 0.5);
         endRuns(limiter, 20);
--- a/src/test/java/ochretiller/admission/CostEstimatorTest.java
+++ b/src/test/java/ochretiller/admission/CostEstimatorTest.java
@@ -10,7 +10,7 @@
 
 class CostEstimatorTest {
     @Test
-    void operationThatWasNeverMeasuredIsNotKeptOutByItsPriorEstimate() {
+    void unmeasuredOperationIsNotExcludedByItsPriorEstimate() {
         AdmissionFixture server = new AdmissionFixture();
         server.occupyBothCores();
         for (long id : new long[] {101, 102}) {
@@ -21,7 +21,7 @@
         server.receive(1, READ);
         server.receive(2, ORDER);
         assertThat(server.endRun(103, Status.SUCCEEDED))
-                .as("reads proved fast, so may orders")
+                .as("reads ran faster than estimated, so orders may too")
                 .containsExactly("startRun 2");
     }
 }
--- a/src/test/java/ochretiller/admission/DeadlineEnforcerTest.java
+++ b/src/test/java/ochretiller/admission/DeadlineEnforcerTest.java
@@ -11,7 +11,7 @@
 import ochretiller.model.RunOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Answers come in time, whatever still runs. */
+/** Tests that answers are sent in time, even for runs that have not ended. */
 class DeadlineEnforcerTest {
     private final AdmissionFixture server = new AdmissionFixture();
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void queuedInvocationPastHopeIsRejectedAtOnce() {
+    void queuedInvocationThatCannotEndInTimeIsRejectedAtOnce() {
         server.occupyBothCores();
         server.receive(1, READ);
         assertThat(server.advanceTo(Duration.ofMillis(1_600)))
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void retryNearItsDeadlineFailsOnceItsOriginalStarted() {
+    void retryNearItsDeadlineFailsIfItsOriginalHasStarted() {
         server.receive(1, ORDER);
         server.now = SECOND;
         server.receiveRetry(2, ORDER, 1);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void runThatWaitsForItsCallAndCannotBeInTimeAnyMoreIsCancelled() {
+    void runThatWaitsForItsCallAndCannotEndInTimeIsCancelled() {
         server.settings.downstreamCallShare(0.5);
         server.receive(9, LOOKUP);
         server.requestCall(9);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void retryOfRestoredRunWithUnknownEndWaitsForItAndFailsWhenDue() {
+    void retryOfRestoredRunWithUnknownOutcomeWaitsAndFailsWhenDue() {
         server.restore(-1, SECOND.multipliedBy(9), null);
         server.restore(-2, SECOND.multipliedBy(9), null);
         assertThat(server.receiveRetry(1, ORDER, -1)).isEmpty();
--- a/src/test/java/ochretiller/admission/DispatcherTest.java
+++ b/src/test/java/ochretiller/admission/DispatcherTest.java
@@ -12,7 +12,7 @@
     private final AdmissionFixture server = new AdmissionFixture();
 
     @Test
-    void runsThatEndWhileTheyAreStartedAreStartedOnce() {
+    void runsThatEndWhileBeingStartedAreStartedOnce() {
         server.pools.put(ORDER, "orders");
         server.freePoolSlots = 0;
         for (long id = 1; id <= 4; id++) {
@@ -26,18 +26,18 @@
     }
 
     @Test
-    void workOfAPoolNeedsNoCoreAndWaitsForSlotsOfItsPool() {
+    void poolRunNeedsNoCoreAndWaitsForASlotOfItsPool() {
         server.pools.put(READ, "reads");
         server.receive(101, ORDER);
         server.receive(102, ORDER);
         assertThat(server.receive(1, READ))
-                .as("the cores are taken, its pool is not")
+                .as("the cores are occupied, its pool is not")
                 .containsExactly("startRun 1");
         server.freePoolSlots = 0;
         assertThat(server.receive(2, READ)).isEmpty();
         server.endRun(101, Status.SUCCEEDED);
         assertThat(server.receive(3, ORDER))
-                .as("what waits for a pool holds up nothing else")
+                .as("an invocation that waits for a pool does not block others")
                 .contains("startRun 3");
         server.freePoolSlots = 1;
         assertThat(server.endRun(1, Status.SUCCEEDED)).containsExactly("startRun 2");
--- a/src/test/java/ochretiller/admission/DownstreamCallDispatcherTest.java
+++ b/src/test/java/ochretiller/admission/DownstreamCallDispatcherTest.java
@@ -11,14 +11,14 @@
     private final AdmissionFixture server = new AdmissionFixture();
 
     @Test
-    void callThatMayHaveRunIsNotMadeAgain() {
+    void callThatMayHaveExecutedIsNotMadeAgain() {
         server.receive(1, ORDER);
         server.requestCall(1);
         assertThat(server.endCall(1, CallOutcome.Status.TIMED_OUT)).containsExactly("fail 1");
     }
 
     @Test
-    void callThatNeverRanIsMadeAgainOnATick() {
+    void callThatWasNotExecutedIsMadeAgainOnATick() {
         server.receive(1, ORDER);
         server.requestCall(1);
         assertThat(server.endCall(1, CallOutcome.Status.REJECTED)).isEmpty();
--- a/src/test/java/ochretiller/admission/DownstreamCallLimiterTest.java
+++ b/src/test/java/ochretiller/admission/DownstreamCallLimiterTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void callsWaitWhileTheShareIsUsedUp() {
-        server.settings.downstreamCallShare(0.5); // 225 ms of calls in a second
+        server.settings.downstreamCallShare(0.5); // 225 ms of calls per second
         server.receive(1, ORDER);
         server.receive(2, ORDER);
         assertThat(server.requestCall(1)).containsExactly("startCall 1");
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void callsFollowOnWhileTheShareLasts() {
+    void callsStartAtOnceWhileTheShareLasts() {
         server.settings.downstreamCallShare(5);
         for (long id = 1; id <= 9; id++) {
             server.receive(id, ORDER);
--- a/src/test/java/ochretiller/admission/DrainStateTest.java
+++ b/src/test/java/ochretiller/admission/DrainStateTest.java
@@ -9,7 +9,7 @@
 import ochretiller.model.CapacityAdvertisement;
 import org.junit.jupiter.api.Test;
 
-/** What a shutdown notice changes. */
+/** Tests the behaviour after a shutdown notice. */
 class DrainStateTest {
     private final AdmissionFixture server = new AdmissionFixture();
 
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void drainingServerNamesTheLongestRetryAfter() {
+    void drainingServerSendsTheLongestRetryAfter() {
         server.noticeShutdown(SECOND.multipliedBy(3));
         server.now = SECOND.multipliedBy(2);
         assertThat(server.receive(1, READ)).containsExactly("throttle 1");
--- a/src/test/java/ochretiller/admission/EvictionPolicyTest.java
+++ b/src/test/java/ochretiller/admission/EvictionPolicyTest.java
@@ -12,7 +12,7 @@
 
 class EvictionPolicyTest {
     @Test
-    void whoeverHasMostInTheQueueLosesTheOneThatWouldStartLast() {
+    void senderWithMostQueuedLosesTheOneThatWouldStartLast() {
         QueueOrder order = new QueueOrder(new CostEstimator(), BillingBasis.PER_REQUEST);
         EvictionPolicy eviction = new EvictionPolicy(List.of());
         List<TrackedInvocation> queued = new ArrayList<>();
--- a/src/test/java/ochretiller/admission/FeasibilityCheckTest.java
+++ b/src/test/java/ochretiller/admission/FeasibilityCheckTest.java
@@ -12,11 +12,11 @@
 import ochretiller.model.RunOutcome;
 import org.junit.jupiter.api.Test;
 
-/** What is queued is rejected once it cannot end in time. */
+/** Tests that queued invocations are rejected when they cannot end in time. */
 class FeasibilityCheckTest {
     private final AdmissionFixture server = new AdmissionFixture();
 
-    /** One lookup after another, each of them long at its call. */
+    /** Runs lookups one after another, each with a slow downstream call. */
     private void makeSlowCalls() {
         for (long id = 1; id <= 3; id++) {
             server.receive(id, LOOKUP);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void longCallsCountInWhatIsFeasible() {
+    void slowCallsCountTowardsFeasibility() {
         makeSlowCalls();
         server.receive(11, REPORT);
         server.receive(12, REPORT);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void withoutAnyWorkerWhatIsQueuedForItIsRejectedAtOnce() {
+    void invocationForPoolWithoutWorkersIsRejectedAtOnce() {
         server.pools.put(READ, "reads");
         server.poolCapacity = 0;
         server.freePoolSlots = 0;
--- a/src/test/java/ochretiller/admission/IdempotencyTableTest.java
+++ b/src/test/java/ochretiller/admission/IdempotencyTableTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void discardedAttemptThatIsReadAgainLateDoesNotUpsetTheTable() {
+    void discardedAttemptThatIsReadAgainDoesNotCorruptTheTable() {
         IdempotencyTable table = new IdempotencyTable(10, 10_000);
         table.register(invocation(1, ORDER).build(), Duration.ZERO);
         table.register(invocation(1, ORDER).build(), Duration.ZERO);
@@ -28,16 +28,16 @@
     }
 
     @Test
-    void restoredEntriesTakeTheirRoom() {
+    void restoredEntriesUseMemory() {
         AdmissionFixture server = new AdmissionFixture();
-        server.settings.memoryKb(100); // four entries of ten
+        server.settings.memoryKb(100); // fits four entries of 10 KB
         for (int i = 1; i <= 4; i++) {
             server.restore(-i, SECOND.multipliedBy(9), Status.SUCCEEDED);
         }
         assertThat(server.receive(1, ORDER)).containsExactly("throttle 1");
         server.now = SECOND.multipliedBy(9);
         assertThat(server.receive(2, ORDER))
-                .as("the windows of the restored ones are over")
+                .as("the windows of the restored entries have ended")
                 .containsExactly("putEntry 2");
     }
 }
--- a/src/test/java/ochretiller/admission/InvocationBuilder.java
+++ b/src/test/java/ochretiller/admission/InvocationBuilder.java
@@ -7,7 +7,7 @@
 import ochretiller.model.Operation;
 import ochretiller.model.TenantId;
 
-/** Builds invocations for tests: first attempts of ten kilobytes, arrived at time zero. */
+/** Builds invocations for tests; by default, first attempts of 10 KB that arrive at time zero. */
 final class InvocationBuilder {
     private final long id;
     private final Operation operation;
@@ -24,7 +24,7 @@
         this.client = new ClientId(id % 2);
     }
 
-    /** One of two clients sends it, by whether its number is even. */
+    /** Returns a builder; even and odd ids belong to two different clients. */
     static InvocationBuilder invocation(long id, Operation operation) {
         return new InvocationBuilder(id, operation);
     }
@@ -59,7 +59,7 @@
         return this;
     }
 
-    /** Its deadline is the client's timeout after it arrived. */
+    /** Builds the invocation, whose deadline is one client timeout after its arrival. */
     Invocation build() {
         return new Invocation(
                 new InvocationId(id),
@@ -74,7 +74,7 @@
                 isRetry);
     }
 
-    /** Builds it as one that the controller has registered, to run on the cores. */
+    /** Builds the invocation and tracks it, to run on the local cores. */
     TrackedInvocation track() {
         return new TrackedInvocation(build(), ExecutionSite.LOCAL_CORES, 1);
     }
--- a/src/test/java/ochretiller/admission/MemoryBudgetTest.java
+++ b/src/test/java/ochretiller/admission/MemoryBudgetTest.java
@@ -9,7 +9,7 @@
     private final AdmissionFixture server = new AdmissionFixture();
 
     @Test
-    void fullMemoryRejectsWhatIsQueued() {
+    void queuedInvocationIsRejectedIfMemoryIsFull() {
         server.settings.memoryKb(245);
         server.occupyBothCores();
         server.receive(1, READ);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void nothingStartsWithoutMemoryToRun() {
+    void invocationStaysQueuedWithoutMemoryToRun() {
         server.settings.memoryKb(150);
         server.receive(1, READ);
         assertThat(server.receive(2, READ)).isEmpty();
--- a/src/test/java/ochretiller/admission/OverloadDetectorTest.java
+++ b/src/test/java/ochretiller/admission/OverloadDetectorTest.java
@@ -10,41 +10,41 @@
 import ochretiller.model.Invocation;
 import org.junit.jupiter.api.Test;
 
-/** Read backlog and stall, and what they cause. */
+/** Tests the effects of read backlogs and stalls. */
 class OverloadDetectorTest {
     private final AdmissionFixture server = new AdmissionFixture();
 
     @Test
-    void twoLateReadsShedIdempotentNewcomersAndOneDoesNot() {
-        Invocation old = invocation(1, READ).build();
-        Invocation next = invocation(2, READ).build();
+    void idempotentInvocationIsShedAfterTwoLateReadsButNotAfterOne() {
+        Invocation firstLate = invocation(1, READ).build();
+        Invocation secondLate = invocation(2, READ).build();
         server.now = Duration.ofMillis(500);
-        assertThat(server.receive(old)).containsExactly("startRun 1");
-        assertThat(server.receive(next)).containsAnyOf("throttle 2", "throttleFinally 2");
+        assertThat(server.receive(firstLate)).containsExactly("startRun 1");
+        assertThat(server.receive(secondLate)).containsAnyOf("throttle 2", "throttleFinally 2");
     }
 
     @Test
     void keyedInvocationsAreNotShedForReadBacklog() {
         server.occupyBothCores();
-        Invocation old = invocation(1, ORDER).build();
+        Invocation firstLate = invocation(1, ORDER).build();
         server.now = Duration.ofMillis(500);
-        assertThat(server.receive(old)).containsExactly("putEntry 1");
+        assertThat(server.receive(firstLate)).containsExactly("putEntry 1");
     }
 
     @Test
-    void severeReadBacklogTurnsHealthBadUntilNothingIsReadLate() {
+    void severeReadBacklogMakesServerUnhealthyUntilNoReadIsLate() {
         server.advanceTo(Duration.ZERO);
-        Invocation old = invocation(1, READ).build();
-        Invocation next = invocation(2, READ).build();
+        Invocation firstLate = invocation(1, READ).build();
+        Invocation secondLate = invocation(2, READ).build();
         server.now = Duration.ofMillis(6_500);
-        server.receive(old);
-        server.receive(next);
+        server.receive(firstLate);
+        server.receive(secondLate);
         assertThat(server.advanceTo(Duration.ofMillis(6_600))).contains("unhealthy");
         assertThat(server.advanceTo(Duration.ofMillis(7_200))).contains("healthy");
     }
 
     @Test
-    void stallRejectsWhatIsQueuedButNotKeyed() {
+    void stallRejectsQueuedInvocationsThatAreNotKeyed() {
         server.occupyBothCores();
         server.receive(1, READ);
         server.receive(2, ORDER);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void slowWorkerPoolDoesNotMakeTheCoresLookStalled() {
+    void slowWorkerPoolIsNotAStallOfTheCores() {
         server.pools.put(ORDER, "orders");
         server.receive(1, ORDER);
         server.advanceTo(SECOND.multipliedBy(3));
--- a/src/test/java/ochretiller/admission/QueueOrderTest.java
+++ b/src/test/java/ochretiller/admission/QueueOrderTest.java
@@ -13,7 +13,7 @@
 
 class QueueOrderTest {
     @Test
-    void queuedStartByBilledValueOverExpectedCost() {
+    void invocationsStartByBilledValueOverExpectedCost() {
         AdmissionFixture server = new AdmissionFixture();
         server.occupyBothCores();
         server.receive(1, READ);
@@ -22,16 +22,16 @@
     }
 
     @Test
-    void queuedOfEqualValueDensityAreOrderedRoundRobinByClient() {
+    void invocationsOfEqualValueDensityAreOrderedRoundRobinByClient() {
         QueueOrder order = new QueueOrder(new CostEstimator(), BillingBasis.PER_REQUEST);
         List<TrackedInvocation> queued = new ArrayList<>();
         for (long id : new long[] {2, 4, 6, 1, 8, 3}) {
-            queued.add(invocation(id, READ).track()); // of two clients: even and odd
+            queued.add(invocation(id, READ).track()); // even and odd ids: two clients
         }
         assertThat(ids(order.sort(queued, Duration.ZERO))).containsExactly(1L, 2L, 3L, 4L, 6L, 8L);
         queued.add(invocation(10, ORDER).track());
         assertThat(ids(order.sort(queued, Duration.ZERO)).get(0))
-                .as("a higher value density goes first whoever sent it")
+                .as("a higher value density goes first whichever client sent it")
                 .isEqualTo(10);
     }
 
--- a/src/test/java/ochretiller/admission/QuotaTrackerTest.java
+++ b/src/test/java/ochretiller/admission/QuotaTrackerTest.java
@@ -14,12 +14,12 @@
 
 class QuotaTrackerTest {
     @Test
-    void whatATenantSendsBeyondItsQuotaCountsLittle() {
+    void invocationOverQuotaGetsLowerWeight() {
         TenantId tenant = new TenantId("one");
         QuotaTracker quotas = new QuotaTracker(List.of(new Tenant(tenant, 1, 2)), 1, 0.1);
         Invocation invocation = invocation(1, READ).tenant(tenant).build();
         Duration now = SECOND.multipliedBy(2);
-        // Four are within the quota of two seconds, and chance alone brings two more.
+        // The quota of two seconds is four, and the tolerance for random arrivals adds two more.
         for (int i = 0; i < 7; i++) {
             assertThat(quotas.priorityWeight(invocation, now)).isEqualTo(1);
         }
--- a/src/test/java/ochretiller/admission/RetryAfterPolicyTest.java
+++ b/src/test/java/ochretiller/admission/RetryAfterPolicyTest.java
@@ -9,7 +9,7 @@
 
 class RetryAfterPolicyTest {
     @Test
-    void retryAfterIsNeverLongerThanWhatClientsHeed() {
+    void retryAfterIsNeverLongerThanClientsRespect() {
         RetryAfterPolicy policy = new RetryAfterPolicy(SECOND, new SplittableRandom(1));
         assertThat(policy.draw(SECOND.multipliedBy(9))).isEqualTo(SECOND);
         assertThat(policy.draw(Duration.ZERO)).isPositive().isLessThan(SECOND);
--- a/src/test/java/ochretiller/admission/RunOutcomeHandlerTest.java
+++ b/src/test/java/ochretiller/admission/RunOutcomeHandlerTest.java
@@ -11,7 +11,7 @@
     private final AdmissionFixture server = new AdmissionFixture();
 
     @Test
-    void runThatWasNotDispatchedIsRejectedAndItsRetryTakesItsPlace() {
+    void runThatWasNotDispatchedIsRejectedAndItsRetryRunsInItsPlace() {
         server.receive(1, ORDER);
         assertThat(server.receiveRetry(2, ORDER, 1)).isEmpty();
         assertThat(server.endRun(1, Status.NOT_DISPATCHED))
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void runThatWasNotDispatchedIsNotAnsweredOnceItsClientIsGone() {
+    void runThatWasNotDispatchedIsNotAnsweredIfItsClientHasDisconnected() {
         server.receive(1, ORDER);
         server.disconnectClient(1);
         assertThat(server.endRun(1, Status.NOT_DISPATCHED)).containsExactly("removeEntry 1");
     }
 
     @Test
-    void whatAPreviousProcessHasRunIsReplayedOrFailedAndNeverRuns() {
+    void retryOfRestoredRunIsReplayedOrFailedAndNeverRuns() {
         server.restore(-1, SECOND.multipliedBy(9), Status.SUCCEEDED);
         server.restore(-2, SECOND.multipliedBy(9), Status.FAILED);
         assertThat(server.receiveRetry(1, ORDER, -1)).containsExactly("replayResult 1");
--- a/src/test/java/ochretiller/admission/SampleOperations.java
+++ b/src/test/java/ochretiller/admission/SampleOperations.java
@@ -6,7 +6,7 @@
 import ochretiller.model.Operation;
 import ochretiller.model.SideEffect;
 
-/** The operations that the tests of admission invoke. */
+/** Sample operations for the admission tests. */
 final class SampleOperations {
     /** An idempotent operation. */
     static final Operation READ =
@@ -21,7 +21,7 @@
                     false,
                     0);
 
-    /** A keyed operation that makes downstream calls and is worth three times as much. */
+    /** A keyed operation that makes downstream calls and has three times the billed value. */
     static final Operation ORDER =
             new Operation(
                     "order",
--- a/src/test/java/ochretiller/admission/SlowStartTest.java
+++ b/src/test/java/ochretiller/admission/SlowStartTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A cold server holds its own limit, whatever each of its clients believes. */
+/** Tests that a cold server limits its concurrency, however many clients it has. */
 class SlowStartTest {
     private static final int CORES = 6;
     private static final double SURVIVABLE_MULTIPLE = 8;
     private static final double COLD_SPEED = 0.3;
     private static final Duration WARM_UP = Duration.ofSeconds(16);
 
-    /** Per client and second: more than a server would queue that counts each client alone. */
-    private static final int ARRIVALS = 12;
+    /** Arrivals per client and second: too many for a limit that counts each client alone. */
+    private static final int ARRIVALS_PER_CLIENT = 12;
 
     private final AdmissionFixture server = new AdmissionFixture();
 
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 30, 100})
-    void concurrencyStaysUnderWhatAColdServerSurvivesForAnyNumberOfClients(int clients) {
+    void concurrencyStaysBelowWhatAColdServerSurvivesForAnyNumberOfClients(int clients) {
         server.settings
                 .cores(CORES)
                 .survivableConcurrencyMultiple(SURVIVABLE_MULTIPLE)
@@ -49,7 +49,7 @@
         long id = 0;
         for (int second = 0; second < 20; second++) {
             server.advanceTo(Duration.ofSeconds(second));
-            for (int i = 0; i < clients * ARRIVALS; i++) {
+            for (int i = 0; i < clients * ARRIVALS_PER_CLIENT; i++) {
                 receiveFrom(i % clients, ++id);
                 assertThat(server.runs.size()).isLessThan(survivableConcurrency(second));
             }
--- a/src/test/java/ochretiller/settings/JsonSettingsTest.java
+++ b/src/test/java/ochretiller/settings/JsonSettingsTest.java
@@ -26,7 +26,7 @@
                             List.of()));
 
     @Test
-    void nestedValuesHaveTheWiresPaths() {
+    void nestedValuesHaveThePathsOfTheSimulatorProtocol() {
         assertThat(settings.wholeNumber("count")).isEqualTo(3);
         assertThat(settings.number("share", 0)).isEqualTo(0.5);
         assertThat(settings.flag("on")).isTrue();
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void wrongValueIsNamed() {
+    void exceptionNamesTheSetting() {
         assertThatThrownBy(() -> settings.wholeNumber("share"))
                 .isInstanceOf(MalformedException.class)
                 .hasMessageContaining("share");
--- a/src/test/java/ochretiller/time/DurationsTest.java
+++ b/src/test/java/ochretiller/time/DurationsTest.java
@@ -10,18 +10,18 @@
     private static final Duration LONG = Duration.ofMillis(1_500);
 
     @Test
-    void secondsKeepTheirFractions() {
+    void conversionToAndFromSecondsRetainsFractions() {
         assertThat(Durations.inSeconds(SHORT)).isEqualTo(1.25);
         assertThat(Durations.ofSeconds(1.25)).isEqualTo(SHORT);
     }
 
     @Test
-    void durationOfVeryManySecondsIsCutToElevenDays() {
+    void durationOfVeryManySecondsIsLimitedToElevenDays() {
         assertThat(Durations.ofSeconds(1e300)).isEqualTo(Duration.ofSeconds(1_000_000));
     }
 
     @Test
-    void shorterAndLongerAreFound() {
+    void minMaxAndIsAfterCompareDurations() {
         assertThat(Durations.min(LONG, SHORT)).isEqualTo(SHORT);
         assertThat(Durations.max(LONG, SHORT)).isEqualTo(LONG);
         assertThat(Durations.isAfter(LONG, SHORT)).isTrue();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void timeUntilIsZeroOnceThePointHasCome() {
+    void timeUntilIsZeroAfterThePoint() {
         assertThat(Durations.timeUntil(LONG, SHORT)).isEqualTo(Duration.ofMillis(250));
         assertThat(Durations.timeUntil(SHORT, LONG)).isEqualTo(Duration.ZERO);
     }
--- a/src/test/java/ochretiller/time/SlidingWindowTest.java
+++ b/src/test/java/ochretiller/time/SlidingWindowTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void samplesLeaveTheWindowByWholeBuckets() {
+    void samplesExpireByWholeBuckets() {
         window.add(millis(100), 1, 1);
         window.add(millis(700), 2, 1);
         assertThat(window.sum(millis(1_999))).isEqualTo(3);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void clearedWindowHasForgottenAllSamples() {
+    void clearRemovesAllSamples() {
         window.add(millis(100), 1, 1);
         window.clear();
         assertThat(window.sum(millis(100))).isZero();
