--- a/src/main/java/ochretiller/admission/AdmissionController.java
+++ b/src/main/java/ochretiller/admission/AdmissionController.java
@@ -21,7 +21,7 @@
  * the parts and the rules that they enforce.
  */
 public final class AdmissionController {
-    /** Expected run time while no run is on the cores, seconds: too long to count as a stall. */
+    /** Expected run time while no run is on the cores, seconds: long enough to rule out a stall. */
     private static final double NO_RUN_SECONDS = 1e9;
 
     private final AdmissionState state;
@@ -110,7 +110,7 @@
         };
     }
 
-    /** Handles the disconnection of an invocation's client, which needs no answer any more. */
+    /** Handles the disconnection of the client of an invocation, which then needs no answer. */
     public Action onClientGone(InvocationId id) {
         return server -> {
             Optional<TrackedInvocation> found = state.registry().find(id);
--- a/src/main/java/ochretiller/admission/DeadlineEnforcer.java
+++ b/src/main/java/ochretiller/admission/DeadlineEnforcer.java
@@ -88,7 +88,7 @@
                         .isPresent();
     }
 
-    /** Returns whether this server stalls or drains and so cannot start it in time. */
+    /** Returns whether this server stalls or drains, while another may start it in time. */
     private boolean cannotStartInTime(TrackedInvocation tracked, Duration now) {
         boolean isStalled =
                 overload.isStalled()
--- a/src/main/java/ochretiller/admission/Dispatcher.java
+++ b/src/main/java/ochretiller/admission/Dispatcher.java
@@ -39,8 +39,8 @@
             if (!fitsIntoMemory(tracked, now)) {
                 return;
             }
-            // Starting a run may end it at once, and the follow-up may have started this invocation
-            // already: only one that is still queued is started here.
+            // A run may end while it is being started, and handling its end may already have
+            // started this invocation: only one that is still queued is started here.
             if (mayMakeCalls(tracked, now) && state.queue().remove(tracked)) {
                 start(server, tracked);
                 freeOnCores -= isLocal ? 1 : 0;
--- a/src/main/java/ochretiller/admission/DownstreamCallLimiter.java
+++ b/src/main/java/ochretiller/admission/DownstreamCallLimiter.java
@@ -17,7 +17,7 @@
  *
  * <p>A token bucket of call-seconds (one call in flight for one second consumes one) fills at a
  * fraction of the server's share and is charged while calls are in flight. Its capacity is
- * half a second of filling, because under overload all servers spend their reserves at once.
+ * the fill of half a second, because under overload all servers spend their reserves at once.
  */
 final class DownstreamCallLimiter {
     /** Fraction of the server's share that its calls may use on average. */
--- a/src/main/java/ochretiller/admission/FeasibilityCheck.java
+++ b/src/main/java/ochretiller/admission/FeasibilityCheck.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns an invocation to remove from a site's queue because not all of them can be expected
-     * to end by their completion deadlines, or empty if they can.
+     * Returns an invocation to remove from a site's queue, or empty if all that are queued for it
+     * are expected to end by their completion deadlines.
      *
      * @param ordered invocations queued for the site, in starting order
      * @param queued all queued invocations
--- a/src/main/java/ochretiller/admission/MeasurementWindows.java
+++ b/src/main/java/ochretiller/admission/MeasurementWindows.java
@@ -11,7 +11,7 @@
     /** Buckets of a long window: ten seconds contain enough runs for a stable mean. */
     static final int LONG_WINDOW_BUCKETS = 20;
 
-    /** Buckets of a short window: three seconds, to react to a retry storm on a dozen samples. */
+    /** Buckets of a short window: three seconds track a retry storm and hold a dozen samples. */
     private static final int SHORT_WINDOW_BUCKETS = 6;
 
     private MeasurementWindows() {}
--- a/src/main/java/ochretiller/admission/OverloadDetector.java
+++ b/src/main/java/ochretiller/admission/OverloadDetector.java
@@ -11,8 +11,7 @@
  *
  * <p>A <i>read backlog</i>: invocations wait unread because reading and runs compete for the cores.
  * It sustains itself, since clients retry what is read late, and retries must be read too. It is
- * measured as the smaller age of the last two invocations read, as a single one may be an outlier
- * that shared its core with a run.
+ * measured as the smaller age of the last two invocations read, as one may have shared its core.
  *
  * <p>A <i>stall</i>: no run on the cores makes progress, for example during a long pause of the
  * machine. Its duration counts as read delay too.
--- a/src/main/java/ochretiller/admission/RetryAfterPolicy.java
+++ b/src/main/java/ochretiller/admission/RetryAfterPolicy.java
@@ -25,11 +25,11 @@
     /**
      * Creates a policy.
      *
-     * @param longest the longest delay that clients respect; zero if they are sent none
+     * @param maxDelay the longest delay that clients respect; zero if they are sent none
      * @param random source of the jitter
      */
-    RetryAfterPolicy(Duration longest, SplittableRandom random) {
-        this.longest = longest;
+    RetryAfterPolicy(Duration maxDelay, SplittableRandom random) {
+        this.longest = maxDelay;
         this.random = random;
     }
 
--- a/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
+++ b/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
@@ -35,7 +35,7 @@
 
     /**
      * Decides at random, by the estimated load, whether to assume that the other servers are full.
-     * The probability of a free server is squared for a marked retry, as one server rejected it.
+     * For a marked retry, which one server has rejected, the estimated availability is squared.
      */
     boolean drawFleetIsFull(Duration now, boolean isRetry) {
         double read = Math.max(1, reads.sum(now));
