--- a/src/test/java/ochretiller/admission/OverloadDetectorTest.java
+++ b/src/test/java/ochretiller/admission/OverloadDetectorTest.java
@@ -26,9 +26,9 @@
     @Test
     void keyedInvocationsAreNotShedForReadBacklog() {
         server.occupyBothCores();
-        Invocation firstLate = invocation(1, ORDER).build();
+        Invocation late = invocation(1, ORDER).build();
         server.now = Duration.ofMillis(500);
-        assertThat(server.receive(firstLate)).containsExactly("putEntry 1");
+        assertThat(server.receive(late)).containsExactly("putEntry 1");
     }
 
     @Test
