--- a/src/main/java/ochretiller/admission/AdmissionController.java
+++ b/src/main/java/ochretiller/admission/AdmissionController.java
@@ -133,7 +133,7 @@
             Duration lastAnswerAt = killAt.minus(AdmissionTiming.ANSWER_MARGIN);
             server.schedule(timeUntil(lastAnswerAt, now), gauges -> deadlines::enforceAll);
             signals.advertiser().announceDrain(server);
-            // Clients may not know a replacement yet, and it still runs work in the grace period.
+            // The server still runs work in the grace period, and clients may know no replacement.
             server.schedule(
                     timeUntil(limits.drain().graceEndsAt(), now),
                     gauges -> signals.advertiser()::closeCapacity);
