--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -20,16 +20,16 @@
 import ochretiller.operator.OperatorConfig;
 
 /**
- * Records in an audit log which version this server acted on and what came of it. Event loop thread
- * only; the writer has a thread of its own for the disk.
+ * Records in an audit log which version this server used and how its invocations ended. Event loop
+ * thread only; the log writer writes to disk on its own thread.
  */
 final class AuditRecorder implements AuditTrail {
     private static final Logger LOG = Logger.getLogger(AuditRecorder.class.getName());
 
-    /** How often it is checked whether the current period is over. */
-    private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
+    /** Interval between the checks whether the current period is over. */
+    private static final Duration PERIOD_CHECK_INTERVAL = Duration.ofSeconds(1);
 
-    /** Faults of existing files that are logged one by one. */
+    /** Limit on the logged faults of existing files; all of them count in the metric. */
     private static final int MAX_LOGGED_FAULTS = 10;
 
     private final Scheduler scheduler;
@@ -39,10 +39,10 @@
     private final boolean recordsRuns;
 
     /**
-     * Opens the audit log. Nothing is written yet.
+     * Opens the audit log; nothing is written before {@link #start}.
      *
-     * @param serverName the name under which the start is recorded
-     * @param unixMillis the wall clock
+     * @param serverName server name in the record of this start
+     * @param unixMillis the wall clock, in Unix milliseconds
      * @throws IOException if the log cannot be read or written
      */
     AuditRecorder(
@@ -57,7 +57,7 @@
         this.recordsRuns = settings.runs();
         this.usage = new VersionUsage(settings.span());
         writer = new AuditLogWriter(settings.folder(), settings.mostBytes(), unixMillis);
-        writer.recoveredFaults().stream().limit(MAX_LOGGED_FAULTS).forEach(AuditRecorder::log);
+        writer.recoveredFaults().stream().limit(MAX_LOGGED_FAULTS).forEach(AuditRecorder::logFault);
         registerMetrics(metrics);
         usage.startPeriod(unixMillis.getAsLong(), scheduler.now());
         addEvent(
@@ -66,7 +66,7 @@
                 serverName + ", behind record " + writer.head().number());
     }
 
-    private static void log(ChainFault fault) {
+    private static void logFault(ChainFault fault) {
         LOG.severe(() -> "audit: record " + fault.number() + ' ' + fault.description());
     }
 
@@ -96,7 +96,7 @@
     }
 
     private void closePeriodIfDue() {
-        scheduler.after(CHECK_INTERVAL, this::closePeriodIfDue);
+        scheduler.after(PERIOD_CHECK_INTERVAL, this::closePeriodIfDue);
         usage.closeIfDue(unixMillis.getAsLong(), scheduler.now()).ifPresent(writer::add);
     }
 
@@ -108,7 +108,7 @@
 
     @Override
     public void recordRolloutEvent(RolloutEvent event, long version, String hash, String text) {
-        // A period has one version, and is fenced as a whole or not at all.
+        // A period covers one version and is either fenced or not, so each change starts a new one.
         if (event == RolloutEvent.CHANGED) {
             usage.switchVersion(version, hash, unixMillis.getAsLong(), scheduler.now())
                     .ifPresent(writer::add);
@@ -118,8 +118,8 @@
         addEvent(kind(event), version, text);
     }
 
-    private static AuditEventKind kind(RolloutEvent what) {
-        return switch (what) {
+    private static AuditEventKind kind(RolloutEvent event) {
+        return switch (event) {
             case CHANGED -> AuditEventKind.VERSION_CHANGED;
             case REFUSED -> AuditEventKind.VERSION_REJECTED;
             case SHUT_OUT -> AuditEventKind.FENCED;
@@ -139,7 +139,7 @@
             case THROTTLED -> usage.count(operation, InvocationOutcome.THROTTLED);
             case ERRORED -> usage.count(operation, InvocationOutcome.ERRORED);
             default -> {
-                // a success is what is left of those received
+                // successes are the received invocations that are not counted otherwise
             }
         }
     }
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -26,9 +26,9 @@
 import ochretiller.store.Store;
 
 /**
- * Idempotency records in a store on disk. A run starts once its marker is durable; an answer waits
- * until its result is, but no longer than its client does. The store has a thread of its own and
- * posts back to the event loop, which alone uses this class.
+ * Keeps idempotency records in a store on disk. A run starts when its marker is durable; an answer
+ * is sent when its result is durable, or shortly before the client's deadline. The store writes on
+ * its own thread and posts completions to the event loop. Event loop thread only.
  */
 final class DurableIdempotency implements IdempotencyStore {
     private static final Logger LOG = Logger.getLogger(DurableIdempotency.class.getName());
@@ -44,24 +44,24 @@
     private final StoredResults results;
     private final PreviousRuns previousRuns;
 
-    /** Durable markers of runs that have not ended. */
+    /** Durable markers of unfinished runs. */
     private final Map<InvocationId, IdempotencyRecord> markers = new HashMap<>();
 
     /**
-     * Opens the store and reads it; nothing is written yet.
+     * Opens the store and recovers its records; nothing is written before {@link #start}.
      *
-     * @param random spreads the probes of an unavailable disk
+     * @param random jitter of the probes of an unavailable disk
      * @throws IOException if the store cannot be opened
      */
     DurableIdempotency(
             Scheduler scheduler, StoreSetup setup, SplittableRandom random, Metrics metrics)
             throws IOException {
         this.scheduler = scheduler;
-        long openedAt = System.nanoTime();
+        long openStartNanos = System.nanoTime();
         store =
                 Store.open(
                         setup.directory(), setup.limits(), BootClock.ofKernel(), scheduler::post);
-        double recoverySeconds = (System.nanoTime() - openedAt) / NANOS_PER_SECOND;
+        double recoverySeconds = (System.nanoTime() - openStartNanos) / NANOS_PER_SECOND;
         policy = new DurabilityPolicy(timeouts(setup.settings()), random);
         this.metrics = new DurabilityMetrics(metrics, store, recoverySeconds);
         deferredWrites = new DeferredWrites(this.metrics.lostWrites);
@@ -96,31 +96,32 @@
                                 + " unknown, read in "
                                 + Math.round(recoverySeconds * MILLIS_PER_SECOND)
                                 + " ms");
-        store.damageReports().forEach(line -> LOG.severe("damage in the store: " + line));
+        store.damageReports().forEach(line -> LOG.severe("idempotency store is damaged: " + line));
     }
 
     /**
-     * Accepts no new markers for as long as damage may hide one that a previous process has
-     * written.
+     * Rejects new markers for as long as a marker of a previous process may be missing because of
+     * damage, since its invocation could run twice.
      */
     private void suspendWhileIncomplete() {
-        Duration incomplete = store.incompleteFor();
-        if (incomplete.isZero()) {
+        Duration suspension = store.incompleteFor();
+        if (suspension.isZero()) {
             return;
         }
-        policy.suspendNewKeysUntil(scheduler.now().plus(incomplete));
+        policy.suspendNewKeysUntil(scheduler.now().plus(suspension));
         LOG.severe(
-                "what is damaged may hide a mark: new keyed invocations are throttled for "
-                        + incomplete.toMillis()
+                "in-flight markers may be missing from the damaged idempotency store: new keyed"
+                        + " invocations are throttled for "
+                        + suspension.toMillis()
                         + " ms");
     }
 
-    /** Returns the store, where others keep records in key spaces of their own. */
+    /** Returns the store, which the fleet uses too, in separate key spaces. */
     Store store() {
         return store;
     }
 
-    /** Returns what previous processes have left, for the fleet to ask about. */
+    /** Returns the recovered records of previous processes, which the fleet may query. */
     PreviousRuns previousRuns() {
         return previousRuns;
     }
@@ -149,7 +150,7 @@
             listener.onMarkerFailed();
             return;
         }
-        IdempotencyRecord marker = marker(attempt, now);
+        IdempotencyRecord marker = createMarker(attempt, now);
         writer.writeMarker(
                 marker,
                 attempt.operation,
@@ -157,20 +158,20 @@
                 new MarkerRegistration(attempt.id, marker, listener));
     }
 
-    private IdempotencyRecord marker(RequestAttempt attempt, Duration now) {
+    private IdempotencyRecord createMarker(RequestAttempt attempt, Duration now) {
         Duration window = attempt.arrived.plus(attempt.operation.deduplicationWindow()).minus(now);
-        long storeNow = store.nowMillis();
+        long storeNowMillis = store.nowMillis();
         return new IdempotencyRecord(
                 InvocationProgress.IN_FLIGHT,
                 attempt.token,
                 attempt.operation.name(),
                 attempt.rid,
                 IdempotencyCache.bodyDigest(attempt.body),
-                storeNow,
-                storeNow + Math.max(0, window.toMillis()) + 1);
+                storeNowMillis,
+                storeNowMillis + Math.max(0, window.toMillis()) + 1);
     }
 
-    /** Remembers a durable marker until its run has ended. */
+    /** Adds the marker to {@link #markers} when it is durable, then notifies the next listener. */
     private final class MarkerRegistration implements MarkerListener {
         private final InvocationId id;
         private final IdempotencyRecord marker;
@@ -260,7 +261,7 @@
         try {
             store.close();
         } catch (IOException e) {
-            LOG.warning("the store cannot be closed: " + e.getMessage());
+            LOG.warning("cannot close the idempotency store: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
+++ b/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
@@ -10,9 +10,9 @@
 import ochretiller.store.Store;
 
 /**
- * Writes markers and outcomes of keyed invocations. Those who wait for a write are released by the
- * store's answer or by a time-out, whichever comes first; what the disk has not taken is written
- * later. Event loop thread only.
+ * Writes markers and outcomes of keyed invocations. A caller is notified when the store completes
+ * the write or when the wait times out, whichever is first. Outcomes and removals that fail are
+ * deferred and repeated. Event loop thread only.
  */
 final class IdempotencyRecordWriter {
     private static final byte[] NO_VALUE = {};
@@ -22,7 +22,7 @@
     private final DurabilityPolicy policy;
     private final DeferredWrites deferredWrites;
     private final DurabilityMetrics metrics;
-    private long appends;
+    private long lastAppend;
 
     IdempotencyRecordWriter(
             Scheduler scheduler,
@@ -40,7 +40,7 @@
     /**
      * Writes the marker of a run that is about to start.
      *
-     * @param deadline when the client waits no longer
+     * @param deadline when the client stops waiting
      */
     void writeMarker(
             IdempotencyRecord marker,
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Writes what became of a run.
+     * Writes the outcome of a run.
      *
-     * @param deadline when the client waits no longer
-     * @param onStored called once, as soon as the client may be answered
+     * @param deadline when the client stops waiting
+     * @param onStored called once, when the client may be answered
      */
     void writeOutcome(FinishedRun run, Duration deadline, Runnable onStored) {
         switch (run.status()) {
@@ -68,7 +68,7 @@
                         run.marker().withProgress(InvocationProgress.ENDED_WITHOUT_RESULT),
                         run.operation(),
                         NO_VALUE);
-                onStored.run(); // the marker alone keeps the key from running again
+                onStored.run(); // not awaited: the marker also prevents another run
             }
         }
     }
@@ -87,7 +87,7 @@
 
         void start(Duration deadline) {
             Duration now = scheduler.now();
-            long append = startAppend(now);
+            long append = registerAppend(now);
             long expiry = expiryMillis(marker, operation);
             store.putNew(
                     marker.encodeKey(),
@@ -109,7 +109,7 @@
                 return;
             }
             if (result == AppendResult.DURABLE || result == AppendResult.UNKNOWN) {
-                // The invocation does not run: its marker must not stop a retry after a restart.
+                // The invocation was not run: its marker must not block a retry after a restart.
                 remove(marker, operation);
             }
             if (!timedOut) {
@@ -130,7 +130,7 @@
         private final Operation operation;
         private final byte[] value;
         private final Runnable onStored;
-        private boolean released;
+        private boolean notified;
 
         ResultWrite(FinishedRun run, Runnable onStored) {
             this.outcome = run.marker().withProgress(InvocationProgress.SUCCEEDED);
@@ -141,7 +141,7 @@
 
         void start(Duration deadline) {
             Duration now = scheduler.now();
-            long append = startAppend(now);
+            long append = registerAppend(now);
             long expiry = expiryMillis(outcome, operation);
             store.put(
                     outcome.encodeKey(),
@@ -152,21 +152,21 @@
                         policy.appendCompleted(append);
                         onAppended(result == AppendResult.DURABLE);
                     });
-            scheduler.after(policy.answerTimeout(deadline, now), () -> release(false));
+            scheduler.after(policy.answerTimeout(deadline, now), () -> notifyStored(false));
         }
 
         private void onAppended(boolean durable) {
             if (!durable) {
                 deferredWrites.defer(outcome.token(), () -> putOutcome(outcome, operation, value));
             }
-            release(durable);
+            notifyStored(durable);
         }
 
-        private void release(boolean durable) {
-            if (released) {
+        private void notifyStored(boolean durable) {
+            if (notified) {
                 return;
             }
-            released = true;
+            notified = true;
             if (!durable) {
                 metrics.answeredEarly.add();
             }
@@ -174,15 +174,15 @@
         }
     }
 
-    private long startAppend(Duration now) {
-        appends++;
-        policy.appendStarted(appends, now);
-        return appends;
+    private long registerAppend(Duration now) {
+        lastAppend++;
+        policy.appendStarted(lastAppend, now);
+        return lastAppend;
     }
 
     /**
-     * Stores an outcome that nobody waits for; repeated while the disk does not take it and it is
-     * still of use.
+     * Stores an outcome that no client waits for. A failed write is deferred and repeated until the
+     * record has expired.
      */
     private void putOutcome(IdempotencyRecord outcome, Operation operation, byte[] value) {
         long expiry = expiryMillis(outcome, operation);
@@ -214,8 +214,8 @@
     }
 
     /**
-     * A retry may be read long after it was sent: a record is of use for one client timeout beyond
-     * its window.
+     * Returns when a record expires: one client timeout after the end of its window, since a retry
+     * may be read that long after it was sent.
      */
     private static long expiryMillis(IdempotencyRecord record, Operation operation) {
         return record.windowEndsAtMillis() + operation.clientTimeout().toMillis();
--- a/src/main/java/ochretiller/node/InvocationExecutor.java
+++ b/src/main/java/ochretiller/node/InvocationExecutor.java
@@ -12,10 +12,10 @@
 import ochretiller.model.RunOutcome.Status;
 
 /**
- * Takes each admitted invocation from its admission to its answer. A keyed one is first claimed in
- * the fleet, then marked as in flight on disk; the lease on this server's version is checked last,
- * and a backend executes it. Its outcome is stored on disk and in the fleet before its client is
- * answered. {@link RunState} has the order of these steps.
+ * Executes admitted invocations. A keyed invocation is claimed in the fleet, then marked as in
+ * flight on disk; after a last check of the lease on this server's version, a backend runs it. The
+ * outcome is stored on disk and in the fleet before the client is answered. {@link RunState}
+ * defines the order of these steps.
  *
  * <p>Event loop thread only.
  */
@@ -48,7 +48,7 @@
         new Execution(attempt, onOutcome).start();
     }
 
-    /** Asks the backend to stop a run; its outcome follows. */
+    /** Asks the backend to stop a run; the backend still reports the outcome. */
     void cancel(RequestAttempt attempt) {
         backendOf(attempt).cancelRun(attempt.rid);
     }
@@ -61,7 +61,7 @@
 
     /** The execution of one invocation. */
     private final class Execution implements ClaimListener, MarkerListener, RunBackend.RunListener {
-        /** The store on disk and the fleet. */
+        /** Each outcome is stored in two places: on disk and in the fleet. */
         private static final int OUTCOME_STORES = 2;
 
         private final RequestAttempt attempt;
@@ -87,10 +87,8 @@
             attempt.runs(true);
             features.pools().reserveSlot(attempt.operation);
             if (!features.rollout().mayRun(attempt)) {
-                resources
-                        .scheduler()
-                        .post(this::abandon); // the admission controller is still at work on
-                // the start
+                // Posted, since the admission controller is still executing the start action.
+                resources.scheduler().post(this::abandon);
             } else if (attempt.operation.isKeyed()) {
                 enter(RunState.CLAIMING);
                 features.claims().claim(attempt, this);
@@ -116,8 +114,8 @@
 
         @Override
         public void onMarkerDurable() {
-            // Checked last: the server may have slept since it was admitted, and lost its lease or
-            // changed its version.
+            // Checked last, since the process may have been suspended since admission and lost its
+            // lease or changed its version meanwhile.
             if (features.rollout().mayRun(attempt)) {
                 dispatch();
                 return;
@@ -163,7 +161,7 @@
         public void onRunFinished(Status status, Duration elapsed, byte[] result) {
             enter(RunState.STORING_OUTCOME);
             resources.records().abandon(attempt.rid);
-            // Both stores hear of it in the same moment; the answer waits for both.
+            // Both stores write concurrently; the answer waits for both.
             features.idempotencyStore()
                     .onRunFinished(attempt, status, result, () -> onOutcomeStored(status, result));
             features.claims()
@@ -173,15 +171,15 @@
                             result,
                             stored -> {
                                 if (!stored) {
-                                    // A result that a retry at another server might not find is not
-                                    // reported as a success.
+                                    // A retry on another server might not find the result, so it
+                                    // must not be reported as a success.
                                     resources
                                             .connections()
                                             .fail(attempt, FailureReason.UNKNOWN_END);
                                 }
                                 onOutcomeStored(status, result);
                             });
-            // Reported although the answer may still wait: the backend has capacity again.
+            // Reported before the answer is sent, since the backend has free capacity again.
             onOutcome.accept(new RunOutcome(status, elapsed));
             outcomeReported = true;
             attempts.forgetIfDone(attempt);
@@ -201,8 +199,7 @@
                 cache.complete(attempt.id, Optional.of(result), clock.now());
                 resources.connections().succeed(attempt, result);
             } else if (status != Status.NOT_DISPATCHED) {
-                // Also where it was stopped although nobody asked: a client that sent a request is
-                // never left unanswered.
+                // Includes runs that were stopped unasked: every client request gets an answer.
                 resources.connections().fail(attempt, FailureReason.FAILED);
             }
             if (outcomeReported) {
--- a/src/main/java/ochretiller/node/OperatorWiring.java
+++ b/src/main/java/ochretiller/node/OperatorWiring.java
@@ -22,14 +22,14 @@
 import ochretiller.workers.WorkerPoolConfig;
 
 /**
- * Builds the parts of a server that its operators have switched on. This class, and with it those
- * parts, is loaded only if there is an operators' file.
+ * Creates the optional components that the operators' file enables. This class and those components
+ * are loaded only if there is an operators' file.
  */
 final class OperatorWiring {
-    /** The clock may go on so far between the computation of a record's expiry and its writing. */
-    private static final Duration RECORD_LIFE_SLACK = Duration.ofSeconds(2);
+    /** Longest time between computing a record's expiry and writing the record. */
+    private static final Duration RECORD_LIFETIME_SLACK = Duration.ofSeconds(2);
 
-    private static final Duration MIN_RECORD_LIFE = Duration.ofMillis(20);
+    private static final Duration MIN_RECORD_LIFETIME = Duration.ofMillis(20);
     private static final String UNPACKAGED = "unpackaged";
 
     private final NodeSettings settings;
@@ -50,16 +50,16 @@
     }
 
     /**
-     * Builds the parts. Nothing of them runs yet.
+     * Creates the components without starting them.
      *
-     * @throws IOException if a file or socket of a part cannot be opened
+     * @throws IOException if a file or socket of a component cannot be opened
      */
     OperatorFeatures wire() throws IOException {
         Optional<UwsgiFrontend> uwsgi = operator.uwsgi().map(this::uwsgiFrontend);
         Optional<ConfiguredWorkerPools> pools = workerPools();
-        Optional<DurableIdempotency> durable = durableIdempotency();
+        Optional<DurableIdempotency> durableStore = durableIdempotency();
         AuditTrail audit = auditTrail();
-        Optional<FleetService> fleet = fleet(pools, durable, audit);
+        Optional<FleetService> fleet = fleet(pools, durableStore, audit);
         RolloutParticipation rollout = rollout(fleet);
         if (operator.audit().isPresent() || rollout instanceof FleetRollout) {
             resources
@@ -67,7 +67,9 @@
                     .ends((attempt, kind) -> recordAnswer(attempt, kind, audit, rollout));
         }
         return new OperatorFeatures(
-                durable.<IdempotencyStore>map(store -> store).orElseGet(this::volatileIdempotency),
+                durableStore
+                        .<IdempotencyStore>map(store -> store)
+                        .orElseGet(this::volatileIdempotency),
                 claims(fleet),
                 rollout,
                 audit,
@@ -111,7 +113,7 @@
                         operator.remember().get(),
                         operator.fleet().map(FleetSettings::copies),
                         settings.storage().orElseThrow(),
-                        recordLife().plus(RECORD_LIFE_SLACK));
+                        recordLifetime().plus(RECORD_LIFETIME_SLACK));
         SplittableRandom random = new SplittableRandom(configuration.seed()).split();
         return Optional.of(new DurableIdempotency(resources.scheduler(), setup, random, metrics));
     }
@@ -121,19 +123,19 @@
     }
 
     /**
-     * The longest window of an operation and its client timeout, once for each end: no record is of
-     * use for longer.
+     * Returns the longest time for which a record can be needed: the maximum over all keyed
+     * operations of the deduplication window plus one client timeout at each end.
      */
-    private Duration recordLife() {
+    private Duration recordLifetime() {
         Duration longest = null;
         for (Operation operation : configuration.operations().values()) {
-            Duration life =
+            Duration lifetime =
                     operation.deduplicationWindow().plus(operation.clientTimeout().multipliedBy(2));
-            if (operation.isKeyed() && (longest == null || life.compareTo(longest) > 0)) {
-                longest = life;
+            if (operation.isKeyed() && (longest == null || lifetime.compareTo(longest) > 0)) {
+                longest = lifetime;
             }
         }
-        return longest == null ? MIN_RECORD_LIFE : longest;
+        return longest == null ? MIN_RECORD_LIFETIME : longest;
     }
 
     private AuditTrail auditTrail() throws IOException {
@@ -150,9 +152,10 @@
 
     private FleetCallbacks fleetCallbacks(Optional<ConfiguredWorkerPools> pools, AuditTrail audit) {
         return new FleetCallbacks(
-                (member, present) -> {
+                (member, isPresent) -> {
                     if (pools.isPresent() && member.serviceAddress() != null) {
-                        pools.get().onFleetMemberSeen(member.serviceAddress().toString(), present);
+                        pools.get()
+                                .onFleetMemberSeen(member.serviceAddress().toString(), isPresent);
                     }
                 },
                 new PoolVersionApplier(settings, configs -> reconfigure(pools, configs), audit),
@@ -161,7 +164,7 @@
 
     private Optional<FleetService> fleet(
             Optional<ConfiguredWorkerPools> pools,
-            Optional<DurableIdempotency> durable,
+            Optional<DurableIdempotency> durableStore,
             AuditTrail audit)
             throws IOException {
         if (operator.fleet().isEmpty()) {
@@ -177,17 +180,17 @@
                                 new SplittableRandom(configuration.seed() + 2),
                                 metrics),
                         fleetSettings,
-                        new LocalServer(configuration.name(), build(), servingAddress()),
-                        recordLife(),
-                        durable.map(DurableIdempotency::store),
+                        new LocalServer(configuration.name(), buildVersion(), servingAddress()),
+                        recordLifetime(),
+                        durableStore.map(DurableIdempotency::store),
                         fleetCallbacks(pools, audit));
-        if (fleet.replication() != null && durable.isPresent()) {
-            fleet.replication().usePreviousIncarnation(durable.get().previousRuns());
+        if (fleet.replication() != null && durableStore.isPresent()) {
+            fleet.replication().usePreviousIncarnation(durableStore.get().previousRuns());
         }
         return Optional.of(fleet);
     }
 
-    private static String build() {
+    private static String buildVersion() {
         String version = ServerNode.class.getPackage().getImplementationVersion();
         return version == null ? UNPACKAGED : version;
     }
@@ -200,15 +203,13 @@
         return new PeerAddress(address.getAddress().getHostAddress(), address.getPort());
     }
 
-    /**
-     * Posted so that a version is adopted as a whole, between two pieces of work of the event loop.
-     */
+    /** Posts the change, so that no event loop task sees a partly applied version. */
     private void reconfigure(
             Optional<ConfiguredWorkerPools> pools, List<WorkerPoolConfig> configs) {
-        pools.ifPresent(present -> resources.scheduler().post(() -> present.reconfigure(configs)));
+        pools.ifPresent(target -> resources.scheduler().post(() -> target.reconfigure(configs)));
     }
 
-    /** Ends the process as a signal would: the shutdown hook drains the server. */
+    /** Exits the process as SIGTERM would; the shutdown hook drains the server. */
     private static void shutDown() {
         new Thread(() -> System.exit(0), "leave").start();
     }
--- a/src/main/java/ochretiller/node/ServerConfiguration.java
+++ b/src/main/java/ochretiller/node/ServerConfiguration.java
@@ -18,17 +18,17 @@
 import ochretiller.text.Slice;
 
 /**
- * The platform's configuration of a server, checked before the server listens.
+ * The configuration that the platform gives to a server, validated before the server listens.
  *
  * @param name the server's name
- * @param listenAddress where gateways connect
- * @param processorAddress where the processor listens
- * @param recordsAddress where the records service listens; null where no operation makes calls
- * @param registryAddress where the registry is told of this server
- * @param seed seed of the server's random numbers
+ * @param listenAddress address on which the server accepts gateways
+ * @param processorAddress address of the processor
+ * @param recordsAddress address of the records service, or null if no operation makes calls
+ * @param registryAddress address to which registry reports are sent
+ * @param seed seed of the server's random number generators
  * @param shutdownTimeout time from the shutdown notice until the process is killed
- * @param memoryLimitMb memory that the process may use, in megabytes
- * @param maxDescriptors file descriptors that the process may hold
+ * @param memoryLimitMb memory limit of the process, in MiB
+ * @param maxDescriptors file descriptor limit of the process
  * @param settings the settings of the admission controller
  */
 public record ServerConfiguration(
@@ -54,14 +54,14 @@
     private static final int MIN_MEMORY_MB = 32;
     private static final int HEX_RADIX = 16;
 
-    /** Addresses are digits and dots, so that no name is ever resolved. */
+    /** Only numeric addresses are accepted, so that no host name is ever resolved. */
     private static final String IPV4 = "\\d{1,3}(\\.\\d{1,3}){3}";
 
     /**
      * Reads and checks a configuration.
      *
-     * @throws MalformedException if it cannot be read or a value is missing or wrong; the message
-     *     names the value
+     * @throws MalformedException if the file cannot be read, or a value is missing or invalid; the
+     *     message names the file or the value
      */
     public static ServerConfiguration read(Path file) {
         Object value;
@@ -91,7 +91,7 @@
     static ServerConfiguration of(Map<String, Object> object) {
         SettingLookup top = new JsonSettings(object);
         if (!(object.get("settings") instanceof Map)) {
-            throw new MalformedException("no value for settings");
+            throw new MalformedException("settings must be a JSON object");
         }
         SettingLookup settings = new JsonSettings(asObject(object.get("settings")));
         REQUIRED_SETTINGS.forEach(settings::text);
@@ -115,32 +115,32 @@
         for (int i = 0; i < settings.wholeNumber("classes.count"); i++) {
             atLeast(settings, "classes." + i + ".giveUpNs", 1);
         }
-        // Decoding the settings reports each that is wrong, by its name.
+        // Decoding throws an exception that names the first invalid setting.
         Settings.admissionController(settings, new SplittableRandom(seed), false);
         boolean makesCalls = false;
         for (Operation operation : operations().values()) {
             makesCalls |= operation.makesCalls();
         }
         if (makesCalls && recordsAddress == null) {
-            top.text("records"); // reports that it is missing
+            top.text("records"); // throws, since the value is missing
         }
     }
 
     /**
-     * Checks that the JVM was sized for this configuration.
+     * Checks that the JVM was sized for the memory limit of this configuration.
      *
-     * @param sizedForMb memory that the start script has sized the JVM for, or null where it has
-     *     not
-     * @throws MalformedException if it differs
+     * @param sizedForMb memory limit in MiB for which the start script sized the JVM, or null if it
+     *     did not
+     * @throws MalformedException if the two limits differ
      */
     public void checkJvmSize(Integer sizedForMb) {
         if (sizedForMb != null && sizedForMb != memoryLimitMb) {
             throw new MalformedException(
                     "limits.memory_mb is "
                             + memoryLimitMb
-                            + ", and the JVM was sized for "
+                            + ", but the start script sized the JVM for "
                             + sizedForMb
-                            + ": write it as plain digits on the line of its name");
+                            + ": write the value as plain digits on the same line as its name");
         }
     }
 
@@ -152,7 +152,7 @@
     private static long atLeast(SettingLookup lookup, String name, long min) {
         long value = lookup.wholeNumber(name);
         if (value < min) {
-            throw new MalformedException(name + " is under " + min + ": " + value);
+            throw new MalformedException(name + " must be at least " + min + ", but is " + value);
         }
         return value;
     }
@@ -161,7 +161,7 @@
         try {
             return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new MalformedException("seed is no number of 16 hex digits: '" + text + "'");
+            throw new MalformedException("seed must be up to 16 hex digits, but is '" + text + "'");
         }
     }
 
@@ -182,6 +182,7 @@
     }
 
     private static MalformedException malformedAddress(String name, String text) {
-        return new MalformedException(name + " is no address: '" + text + "'");
+        return new MalformedException(
+                name + " must be an IPv4 address and a port, as 10.0.0.1:80, but is '" + text + "'");
     }
 }
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -26,37 +26,36 @@
 import ochretiller.settings.Settings;
 
 /**
- * One server, from its start to its end: builds its parts and connects them. {@link #prepare},
- * {@link #listen} and {@link #run} are called once, in this order; the thread that calls {@code
- * run} becomes the event loop, which owns all state. {@link #reload} and {@link #drain} may be
- * called on any thread.
+ * One server process: creates the components and connects them. {@link #prepare}, {@link #listen}
+ * and {@link #run} are called once, in this order; the thread that calls {@code run} becomes the
+ * event loop, which owns all state. {@link #reload} and {@link #drain} may be called on any thread.
  */
 public final class ServerNode {
     private static final Logger LOG = Logger.getLogger(ServerNode.class.getName());
     private static final long BYTES_PER_MB = 1024L * 1024L;
 
-    /** Cached results may take this part of the memory limit. */
-    private static final int CACHE_MEMORY_PART = 8;
+    /** The cache of results may use the memory limit divided by this number. */
+    private static final int CACHE_MEMORY_DIVISOR = 8;
 
-    /** Clients may take this part of the file descriptors. */
-    private static final int CLIENT_DESCRIPTORS_PART = 2;
+    /** Client connections may use the file descriptor limit divided by this number. */
+    private static final int CLIENT_DESCRIPTORS_DIVISOR = 2;
 
-    /** Calls to the records service may take this part of the file descriptors. */
-    private static final int CALL_DESCRIPTORS_PART = 8;
+    /** Calls to the records service may use the file descriptor limit divided by this number. */
+    private static final int CALL_DESCRIPTORS_DIVISOR = 8;
 
     /**
-     * Simulated invocations of each operation before the first real one: enough for the code on
-     * their way to be compiled.
+     * Simulated invocations of each operation before the first real one: enough for the JIT to
+     * compile the code that every invocation executes.
      */
     private static final int WARM_UP_ROUNDS = 250;
 
-    /** Client timeout where no operation is configured. */
-    private static final Duration MIN_CLIENT_TIMEOUT = Duration.ofMillis(20);
+    /** Client timeout to assume if no operation is configured. */
+    private static final Duration DEFAULT_CLIENT_TIMEOUT = Duration.ofMillis(20);
 
     private final NodeSettings settings;
     private final ServerConfiguration configuration;
     private final EventLoop loop = new EventLoop();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch terminated = new CountDownLatch(1);
     private final Metrics metrics = new Metrics();
     private final ServerResources resources;
     private final OperatorFeatures features;
@@ -65,10 +64,10 @@
     private final GracefulShutdown shutdown;
     private final StartupRequestHandler startupRequests;
 
-    /** Handles requests and calls once the processor is available. */
+    /** Handles requests and calls; empty until the processor has become available. */
     private Optional<AdmissionSession> session = Optional.empty();
 
-    /** Starts to build a server with this configuration. */
+    /** Returns a builder for a server with this configuration file. */
     public static ServerNodeBuilder builder(Path configFile) {
         return new ServerNodeBuilder(configFile);
     }
@@ -113,12 +112,12 @@
                         loop,
                         network,
                         configuration.recordsAddress(),
-                        configuration.maxDescriptors() / CALL_DESCRIPTORS_PART);
+                        configuration.maxDescriptors() / CALL_DESCRIPTORS_DIVISOR);
         HealthChecks health = new HealthChecks(processor::trial);
         ClientConnections connections =
                 new ClientConnections(
                         loop,
-                        configuration.maxDescriptors() / CLIENT_DESCRIPTORS_PART,
+                        configuration.maxDescriptors() / CLIENT_DESCRIPTORS_DIVISOR,
                         longestClientTimeout(),
                         configuration.settings().duration("familyInfo.idleNs", Duration.ZERO),
                         this::onRequestRead,
@@ -137,10 +136,15 @@
                 longest = operation.clientTimeout();
             }
         }
-        return longest == null ? MIN_CLIENT_TIMEOUT : longest;
+        return longest == null ? DEFAULT_CLIENT_TIMEOUT : longest;
     }
 
-    /** Does everything that has to be done before the server listens. */
+    /**
+     * Starts the idempotency store, the audit log and the metrics export, and warms up the
+     * admission code. To be called before {@link #listen}.
+     *
+     * @throws IOException if a file cannot be read or written
+     */
     public void prepare() throws IOException {
         features.idempotencyStore().start();
         features.audit().start();
@@ -152,15 +156,15 @@
 
     private void startMetricsFile() {
         if (settings.operator().metrics().isPresent()) {
-            OperatorConfig.Figures figures = settings.operator().metrics().get();
-            new MetricsFile(metrics, figures.file()).start(figures.every());
+            OperatorConfig.Figures export = settings.operator().metrics().get();
+            new MetricsFile(metrics, export.file()).start(export.every());
         }
     }
 
     /**
-     * Starts to listen, and to connect to the processor.
+     * Starts to listen for clients and to connect to the processor.
      *
-     * @throws IOException if an address cannot be listened on
+     * @throws IOException if a listen address cannot be bound
      */
     public void listen() throws IOException {
         Network network = resources.network();
@@ -180,20 +184,21 @@
     public void run() {
         LOG.info(() -> configuration.name() + " listens on " + configuration.listenAddress());
         loop.run(resources.network()::flush);
-        ended.countDown();
+        terminated.countDown();
     }
 
     /**
-     * Reads the configuration again and moves to its addresses; everything else stays as it was. A
-     * configuration that is wrong is logged and ignored. Files are read on the calling thread,
-     * since the event loop must not wait for them.
+     * Reads the configuration files again. The addresses of the processor, the records service and
+     * the registry, the worker pools and the fleet keys are updated; all other settings stay. An
+     * invalid configuration is logged and ignored. Files are read on the calling thread, since the
+     * event loop must not block on them.
      */
     public void reload() {
-        ServerConfiguration next;
+        ServerConfiguration reloaded;
         Runnable poolsReload;
         try {
-            next = ServerConfiguration.read(settings.configFile());
-            poolsReload = features.pools().prepareReload(next);
+            reloaded = ServerConfiguration.read(settings.configFile());
+            poolsReload = features.pools().prepareReload(reloaded);
             features.fleet().reload();
         } catch (MalformedException e) {
             LOG.warning("stays with its configuration: " + e.getMessage());
@@ -203,19 +208,19 @@
                 () -> {
                     poolsReload.run();
                     LOG.info("takes the addresses of its configuration again");
-                    resources.processor().move(next.processorAddress());
-                    resources.records().move(next.recordsAddress());
-                    registry.move(next.registryAddress());
+                    resources.processor().move(reloaded.processorAddress());
+                    resources.records().move(reloaded.recordsAddress());
+                    registry.move(reloaded.registryAddress());
                 });
     }
 
     /**
-     * Gives the server notice to shut down, and returns once it has; a second notice changes
-     * nothing.
+     * Shuts the server down gracefully. Returns when the event loop has stopped, or after the
+     * configured shutdown timeout. Further calls only wait.
      */
     public void drain() throws InterruptedException {
         loop.post(() -> shutdown.start(requestHandler()));
-        ended.await(configuration.shutdownTimeout().toMillis(), TimeUnit.MILLISECONDS);
+        terminated.await(configuration.shutdownTimeout().toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private RequestHandler requestHandler() {
@@ -236,8 +241,8 @@
     }
 
     /**
-     * The processor is available for the first time: admission starts, on a clock that started with
-     * the processor.
+     * Starts admission when the processor becomes available for the first time. The admission clock
+     * counts from the start of the processor, {@code age} ago.
      */
     private void onProcessorUp(boolean cold, Duration age) {
         if (session.isPresent()) {
@@ -250,7 +255,7 @@
                                 + ", started "
                                 + age.toMillis()
                                 + " ms ago");
-        AdmissionSession started =
+        AdmissionSession newSession =
                 new AdmissionSession(
                         resources,
                         features,
@@ -259,19 +264,19 @@
                                 new SplittableRandom(configuration.seed()),
                                 cold),
                         new IdempotencyCache(
-                                memoryLimitBytes() / CACHE_MEMORY_PART,
+                                memoryLimitBytes() / CACHE_MEMORY_DIVISOR,
                                 configuration
                                         .settings()
                                         .duration("familyInfo.freshNs", Duration.ZERO)),
                         age);
-        session = Optional.of(started);
-        started.start(configuration.operations(), age);
+        session = Optional.of(newSession);
+        newSession.start(configuration.operations(), age);
         if (shutdown.isStarted()) {
-            started.onShutdownNotice(Duration.ZERO);
+            newSession.onShutdownNotice(Duration.ZERO);
         }
         for (RequestAttempt attempt : startupRequests.takeWaiting()) {
             if (!attempt.answered()) {
-                started.onRequestRead(attempt);
+                newSession.onRequestRead(attempt);
             }
         }
     }
