--- a/src/main/java/ochretiller/node/AdmissionSession.java
+++ b/src/main/java/ochretiller/node/AdmissionSession.java
@@ -15,11 +15,11 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Handles requests from the moment that the processor is available: tells the admission controller
- * what happens, and has its decisions executed. Event loop thread only.
+ * Handles requests once the processor is available: reports each event to the admission controller
+ * and executes the returned actions. Event loop thread only.
  */
 final class AdmissionSession implements RequestHandler {
-    /** How long a conflicting retry waits to see whether its original is ever run. */
+    /** A retry that still conflicts with its original after this time gets an error. */
     private static final Duration CONFLICT_WAIT = Duration.ofSeconds(1);
 
     private final ServerResources resources;
@@ -31,9 +31,9 @@
     private final PreviousRunRecovery recovery;
 
     /**
-     * Creates a session that has not started.
+     * Creates a session; {@link #start} starts it.
      *
-     * @param processorAge how long ago the processor was started
+     * @param processorAge time since the start of the processor
      */
     AdmissionSession(
             ServerResources resources,
@@ -67,7 +67,7 @@
                 cache.findOriginalOrTrack(attempts.describe(attempt), clock.now());
         boolean conflicts = original.isPresent() && conflicts(attempt, original.get());
         if (recovery.isAdopted(attempt.rid)) {
-            // Else it would be answered with the result of the other request.
+            // Otherwise it would be answered with the result of the adopted run.
             resources.connections().fail(attempt, FailureReason.RID_IN_USE);
             return;
         }
@@ -77,8 +77,7 @@
         }
         attempts.add(attempt, original);
         if (conflicts) {
-            // Another client may have used the key first with a request that the processor rejects;
-            // then this one may run.
+            // If the processor rejects the original without running it, this request may run.
             resources
                     .scheduler()
                     .after(CONFLICT_WAIT, () -> recheckConflict(attempt, original.get()));
@@ -123,11 +122,10 @@
         execute(admission.onShutdownNotice(clock.now().plus(killAfter)));
     }
 
-    /** A run asks for a call to the records service, and waits for its reply. */
+    /** Handles a run's request for a call to the records service; the run waits for the reply. */
     void onCallRequested(String requestId, byte[] body) {
         if (recovery.isAdopted(requestId)) {
-            // The previous process may have made the call, and a call that may have been executed
-            // is never made again.
+            // The previous process may have made the call, and a call must not be executed twice.
             resources.processor().cancelRun(requestId);
             return;
         }
--- a/src/main/java/ochretiller/node/AttemptTable.java
+++ b/src/main/java/ochretiller/node/AttemptTable.java
@@ -10,8 +10,8 @@
 import ochretiller.model.InvocationId;
 
 /**
- * The request attempts that the admission controller knows: from their arrival until they are
- * answered and run no longer. Event loop thread only.
+ * The request attempts that the admission controller handles, from arrival until they have been
+ * answered and no longer run. Event loop thread only.
  */
 final class AttemptTable {
     private static final byte[] EMPTY_BODY = new byte[0];
@@ -25,7 +25,7 @@
         private final RequestAttempt attempt;
         private final Optional<InvocationId> original;
 
-        /** Body of the call that the run waits for. */
+        /** Body of the call that the run waits for; empty if it waits for none. */
         private byte[] callBody = EMPTY_BODY;
 
         Entry(RequestAttempt attempt, Optional<InvocationId> original) {
@@ -43,22 +43,22 @@
     /**
      * Adds an attempt.
      *
-     * @param original the attempt that it repeats, if any
+     * @param original the attempt that this one repeats, if any
      */
     void add(RequestAttempt attempt, Optional<InvocationId> original) {
         entries.put(attempt.id, new Entry(attempt, original));
     }
 
-    /** Returns an attempt, or empty once it is forgotten. */
+    /** Returns an attempt, or empty if it was forgotten. */
     Optional<RequestAttempt> find(InvocationId id) {
         Entry entry = entries.get(id);
         return entry == null ? Optional.empty() : Optional.of(entry.attempt);
     }
 
     /**
-     * Returns an attempt that must be here.
+     * Returns an attempt that must exist.
      *
-     * @throws IllegalStateException if it is not
+     * @throws IllegalStateException if it does not
      */
     RequestAttempt get(InvocationId id) {
         Entry entry = entries.get(id);
@@ -74,7 +74,7 @@
         return entry == null ? Optional.empty() : entry.original;
     }
 
-    /** Describes an attempt to the idempotency cache. */
+    /** Converts an attempt to the type that the idempotency cache uses. */
     Attempt describe(RequestAttempt attempt) {
         return new Attempt(
                 attempt.id,
@@ -85,7 +85,7 @@
                 attempt.t0);
     }
 
-    /** Keeps the body of a call that a run waits for. */
+    /** Stores the body of the call that a run waits for. */
     void putCallBody(RequestAttempt attempt, byte[] body) {
         Entry entry = entries.get(attempt.id);
         if (entry != null) {
@@ -99,12 +99,12 @@
         return entry == null ? EMPTY_BODY : entry.callBody;
     }
 
-    /** Drops the body of a call that was answered. */
+    /** Removes the body of a call that was answered. */
     void removeCallBody(RequestAttempt attempt) {
         putCallBody(attempt, EMPTY_BODY);
     }
 
-    /** Forgets an attempt that is answered and does not run. */
+    /** Forgets an attempt that was answered and is not running; otherwise does nothing. */
     void forgetIfDone(RequestAttempt attempt) {
         if (!attempt.answered() || attempt.running() || entries.remove(attempt.id) == null) {
             return;
--- a/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
+++ b/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
@@ -12,16 +12,16 @@
 /** The worker pools of the operators' file. Event loop thread only. */
 final class ConfiguredWorkerPools implements WorkerPools {
     private final UwsgiRunBackend backend;
-    private final Supplier<OperatorConfig> operatorReload;
+    private final Supplier<OperatorConfig> operatorConfigSupplier;
 
     /**
-     * Creates the port.
+     * Creates the adapter.
      *
-     * @param operatorReload reads the operators' file again
+     * @param operatorConfigSupplier reads the operators' file again
      */
-    ConfiguredWorkerPools(UwsgiRunBackend backend, Supplier<OperatorConfig> operatorReload) {
+    ConfiguredWorkerPools(UwsgiRunBackend backend, Supplier<OperatorConfig> operatorConfigSupplier) {
         this.backend = backend;
-        this.operatorReload = operatorReload;
+        this.operatorConfigSupplier = operatorConfigSupplier;
     }
 
     @Override
@@ -59,25 +59,27 @@
     }
 
     @Override
-    public Runnable prepareReload(ServerConfiguration next) {
+    public Runnable prepareReload(ServerConfiguration reloaded) {
         List<WorkerPoolConfig> configs =
-                OperatorConfigResolver.workerPoolConfigs(operatorReload.get(), next);
+                OperatorConfigResolver.workerPoolConfigs(operatorConfigSupplier.get(), reloaded);
         return () -> reconfigure(configs);
     }
 
     /**
-     * Adopts the workers and settings of a changed configuration; the set of pools stays as it was.
+     * Applies the workers and settings of a changed configuration; the set of pools is fixed.
      */
     void reconfigure(List<WorkerPoolConfig> configs) {
         backend.become(configs);
     }
 
     /**
-     * Records that a server of the fleet at this address, which may be a worker here, has come or
-     * gone.
+     * Notes that a fleet member, which may be a worker of a pool, has joined or left.
+     *
+     * @param address address at which the member serves requests
+     * @param isPresent whether it has joined
      */
-    void onFleetMemberSeen(String address, boolean present) {
-        backend.seen(address, present);
+    void onFleetMemberSeen(String address, boolean isPresent) {
+        backend.seen(address, isPresent);
     }
 
     @Override
--- a/src/main/java/ochretiller/node/DurabilityMetrics.java
+++ b/src/main/java/ochretiller/node/DurabilityMetrics.java
@@ -5,8 +5,8 @@
 import ochretiller.store.Store;
 
 /**
- * The figures of durable idempotency. They are set on the event loop thread and may be read on any
- * other.
+ * The metrics of durable idempotency. They are updated on the event loop thread and may be read on
+ * any thread.
  */
 final class DurabilityMetrics {
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -17,13 +17,13 @@
     final Metrics.Counter stalls;
     final Metrics.Counter lostWrites;
     final Metrics.Counter readBack;
-    private volatile double inDoubt;
+    private volatile double unknownOutcomes;
     private volatile double oldestAppendSeconds;
 
     /**
-     * Registers the figures.
+     * Registers the metrics.
      *
-     * @param recoverySeconds time that it took to read the store
+     * @param recoverySeconds duration of reading the store at startup
      */
     DurabilityMetrics(Metrics metrics, Store store, double recoverySeconds) {
         throttled =
@@ -51,7 +51,7 @@
         metrics.gauge(
                 "ochretiller_remember_in_doubt",
                 "Marks of a former process whose end is unknown",
-                () -> inDoubt);
+                () -> unknownOutcomes);
         metrics.gauge(
                 "ochretiller_remember_oldest_append_seconds",
                 "Age of the append that waits longest",
@@ -124,15 +124,15 @@
                 () -> store.stats().diskFailures());
     }
 
-    /** Sets how many previous runs have an unknown outcome. */
+    /** Sets the number of previous runs whose outcome is unknown. */
     void setInDoubt(long count) {
-        inDoubt = count;
+        unknownOutcomes = count;
     }
 
-    /** One previous run less has an unknown outcome. */
-    @SuppressWarnings("NonAtomicVolatileUpdate") // written by the event loop only, read by others
+    /** Decrements the number of previous runs whose outcome is unknown. */
+    @SuppressWarnings("NonAtomicVolatileUpdate") // only the event loop thread writes it
     void previousRunSettled() {
-        inDoubt--;
+        unknownOutcomes--;
     }
 
     void setOldestAppendAge(Duration age) {
--- a/src/main/java/ochretiller/node/EventLoop.java
+++ b/src/main/java/ochretiller/node/EventLoop.java
@@ -12,9 +12,9 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The one thread that owns all state of a server. It takes the work that is ready and the timers
- * that are due as one batch, runs them one after another, and then has written what came of them.
- * Time stands still within a batch.
+ * The event loop, whose single thread owns all state of a server. It repeatedly runs the posted
+ * tasks and the due timers as one batch, and then a hook that writes the output of the batch.
+ * {@link #now} does not change within a batch.
  *
  * <p>{@link #post} may be called on any thread, everything else on the thread that calls {@link
  * #run}.
@@ -31,7 +31,7 @@
     private long timerSequence;
     private boolean stopped;
 
-    /** Timers with the same due time run in the order in which they were set. */
+    /** A scheduled task; tasks with the same due time run in the order of their sequence. */
     private record Timer(Duration dueAt, long sequence, Runnable work) {}
 
     @Override
@@ -59,15 +59,15 @@
         timers.add(new Timer(now.plus(delay), timerSequence, work));
     }
 
-    /** Has {@link #run} return after the current batch. */
+    /** Makes {@link #run} return after the current batch. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Runs until it is stopped.
+     * Runs batches until {@link #stop} is called.
      *
-     * @param afterBatch run after each batch, to write what came of it
+     * @param afterBatch called after each batch to write its output
      */
     public void run(Runnable afterBatch) {
         List<Runnable> batch = new ArrayList<>();
@@ -91,9 +91,9 @@
                 batch.add(first);
             }
         } catch (InterruptedException e) {
-            // Deliberately not kept: only a shutdown notice ends a server, and a kept interrupt
-            // would make the loop spin.
-            LOG.warning("event loop interrupted, continues");
+            // The interrupt flag is not restored: only a shutdown notice stops a server, and with
+            // the flag set the loop would spin.
+            LOG.warning("ignored an interrupt of the event loop thread");
         }
     }
 
@@ -104,7 +104,7 @@
         return Math.max(0, timers.peek().dueAt.toNanos() - elapsedNanos());
     }
 
-    /** One failed piece of work must not end the server and everything that it holds. */
+    /** Logs exceptions, since one failed task must not stop the server. */
     private static void runGuarded(Runnable work) {
         try {
             work.run();
--- a/src/main/java/ochretiller/node/FleetRollout.java
+++ b/src/main/java/ochretiller/node/FleetRollout.java
@@ -8,7 +8,7 @@
 import ochretiller.model.Operation;
 import ochretiller.net.Scheduler;
 
-/** A server that acts on the versions of its fleet. Event loop thread only. */
+/** Rollout participation of a server that uses its fleet's versions. Event loop thread only. */
 final class FleetRollout implements RolloutParticipation {
     private final Scheduler scheduler;
     private final RolloutService rollouts;
@@ -37,14 +37,14 @@
         Operation operation = attempt.operation;
         boolean succeeded = kind == AnswerKind.SUCCEEDED || kind == AnswerKind.REPLAYED;
         Duration elapsed = scheduler.now().minus(attempt.arrived);
-        boolean late = succeeded && elapsed.compareTo(operation.latencyObjective()) > 0;
+        boolean isLate = succeeded && elapsed.compareTo(operation.latencyObjective()) > 0;
         double value = operation.billedValue();
-        double earned = late ? value * operation.lateValueShare() : value;
+        double earned = isLate ? value * operation.lateValueShare() : value;
         return new VersionCounters(
                 1,
                 kind == AnswerKind.THROTTLED ? 1 : 0,
                 kind == AnswerKind.ERRORED ? 1 : 0,
-                late ? 1 : 0,
+                isLate ? 1 : 0,
                 succeeded ? earned : 0,
                 value);
     }
--- a/src/main/java/ochretiller/node/FleetRunClaims.java
+++ b/src/main/java/ochretiller/node/FleetRunClaims.java
@@ -16,19 +16,19 @@
 import ochretiller.model.RunOutcome;
 import ochretiller.net.Scheduler;
 
-/** Claims that a majority of the fleet's replicas grants. Event loop thread only. */
+/** Claims idempotency keys from a majority of the fleet's replicas. Event loop thread only. */
 final class FleetRunClaims implements RunClaims {
     /**
-     * A claim, and the confirmation that an outcome is stored, come at the latest so long before
-     * the client's deadline.
+     * Time before the client's deadline by which a claim must be granted, and the storage of an
+     * outcome confirmed.
      */
-    private static final Duration SAFETY_MARGIN = Duration.ofMillis(120);
+    private static final Duration ANSWER_MARGIN = Duration.ofMillis(120);
 
     private final Scheduler scheduler;
     private final ClientConnections connections;
     private final ReplicationService replication;
 
-    /** Claims of runs that were started here and have not ended. */
+    /** Granted claims of unfinished runs on this server. */
     private final Map<InvocationId, ClaimId> granted = new HashMap<>();
 
     FleetRunClaims(
@@ -66,7 +66,7 @@
             case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.OTHER_BODY);
             case COMPLETED_WITHOUT_RESULT -> connections.fail(attempt, FailureReason.FAILED);
             case THROTTLED -> {
-                // the admission controller throttles it once it learns that it was not dispatched
+                // the admission controller throttles it when the outcome is NOT_DISPATCHED
             }
             default -> connections.fail(attempt, FailureReason.UNKNOWN_END);
         }
@@ -75,8 +75,7 @@
 
     private void onGranted(RequestAttempt attempt, ClaimDecision decision, ClaimListener listener) {
         decision.claimId().ifPresent(claim -> granted.put(attempt.id, claim));
-        // The decision may have come late: a run is not started for a client that has its answer or
-        // waits no longer.
+        // A late decision must not start a run for a client that was answered or no longer waits.
         if (!attempt.answered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
             listener.onClaimGranted();
             return;
@@ -99,10 +98,10 @@
             RunOutcome.Status status,
             byte[] result,
             Consumer<Boolean> onStored) {
-        boolean executed =
+        boolean wasExecuted =
                 status != RunOutcome.Status.NEVER_STARTED
                         && status != RunOutcome.Status.NOT_DISPATCHED;
-        if (!executed) {
+        if (!wasExecuted) {
             release(attempt);
             onStored.accept(true);
             return;
@@ -121,7 +120,7 @@
                 windowEnd(attempt),
                 succeeded ? onStored : stored -> {});
         if (!succeeded) {
-            onStored.accept(true); // there is no result that could be lost
+            onStored.accept(true); // no result to lose, so the answer need not wait
         }
     }
 
@@ -131,7 +130,7 @@
     }
 
     private static Duration deadline(RequestAttempt attempt) {
-        return attempt.arrived.plus(attempt.operation.clientTimeout()).minus(SAFETY_MARGIN);
+        return attempt.arrived.plus(attempt.operation.clientTimeout()).minus(ANSWER_MARGIN);
     }
 
     private static Duration windowEnd(RequestAttempt attempt) {
--- a/src/main/java/ochretiller/node/GracefulShutdown.java
+++ b/src/main/java/ochretiller/node/GracefulShutdown.java
@@ -5,30 +5,31 @@
 import ochretiller.registry.RegistryReporter;
 
 /**
- * Shuts a server down after its notice. Gateways learn seconds late that it leaves the registry,
- * and a request that finds no listener is lost while one that is rejected goes to another server;
- * so it serves on until just before the process is killed, then closes the listeners, waits for the
- * last answers, closes everything, and waits until clients have read them.
+ * Shuts a server down after a shutdown notice. Gateways learn only seconds later that the server
+ * has left the registry. A request that finds no listener is lost, whereas a rejected one is sent
+ * to another server; so the server keeps serving until shortly before the process is killed. Then
+ * it closes the listeners, waits for the last answers, closes all components, and waits until the
+ * clients have read the answers.
  *
  * <p>Event loop thread only.
  */
 final class GracefulShutdown {
     private static final Logger LOG = Logger.getLogger(GracefulShutdown.class.getName());
 
-    /** Time to write the last answers and end before the kill. */
-    private static final Duration ENDING = Duration.ofMillis(150);
+    /** Time reserved before the kill for writing the last answers and exiting. */
+    private static final Duration TERMINATION_TIME = Duration.ofMillis(150);
 
     /**
-     * A request may be on its way for 50 ms when its client learns that the server leaves; twice
-     * that is waited.
+     * Wait for requests that clients sent before they learned of the shutdown: twice the 50 ms that
+     * a request may be in transit.
      */
-    private static final Duration REQUESTS_IN_TRANSIT = Duration.ofMillis(100);
+    private static final Duration TRANSIT_TIME = Duration.ofMillis(100);
 
-    /** Time for the last runs to be answered and for requests in transit to be rejected. */
-    private static final Duration CLOSING = REQUESTS_IN_TRANSIT.plusMillis(100);
+    /** Time to reject the requests in transit and to answer the last runs. */
+    private static final Duration DRAIN_TIME = TRANSIT_TIME.plusMillis(100);
 
-    /** Time for the process to exit once its threads have ended. */
-    private static final Duration EXIT = Duration.ofMillis(70);
+    /** Part of the termination time that the process needs to exit once its threads have ended. */
+    private static final Duration PROCESS_EXIT_TIME = Duration.ofMillis(70);
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
@@ -40,7 +41,7 @@
     private boolean started;
 
     /**
-     * Creates a shutdown that has not started.
+     * Creates a shutdown; {@link #start} starts it.
      *
      * @param timeout time from the notice until the process is killed
      */
@@ -61,34 +62,34 @@
         return started;
     }
 
-    /** Starts the shutdown; a second call does nothing. */
+    /** Starts the shutdown; further calls do nothing. */
     void start(RequestHandler requests) {
         if (started) {
             return;
         }
         started = true;
         LOG.info("leaves");
-        Duration remaining = timeout.minus(ENDING);
+        Duration remaining = timeout.minus(TERMINATION_TIME);
         registry.leave();
         features.fleet().leave();
         resources.health().set(false, true);
         requests.onShutdownNotice(remaining);
-        Duration serving = remaining.minus(CLOSING);
+        Duration servingTime = remaining.minus(DRAIN_TIME);
         loop.after(
-                serving.isNegative() ? Duration.ZERO : serving,
-                () -> stopListening(remaining.minus(serving)));
+                servingTime.isNegative() ? Duration.ZERO : servingTime,
+                () -> stopListening(remaining.minus(servingTime)));
     }
 
     private void stopListening(Duration remaining) {
         resources.network().closeListeners();
         resources.connections().leave();
-        Duration end = loop.now().plus(remaining);
-        loop.after(REQUESTS_IN_TRANSIT, () -> closeWhenAnswered(end));
+        Duration drainEnd = loop.now().plus(remaining);
+        loop.after(TRANSIT_TIME, () -> closeWhenAnswered(drainEnd));
     }
 
-    private void closeWhenAnswered(Duration end) {
-        if (resources.connections().openTries() > 0 && loop.now().compareTo(end) < 0) {
-            loop.after(POLL_INTERVAL, () -> closeWhenAnswered(end));
+    private void closeWhenAnswered(Duration drainEnd) {
+        if (resources.connections().openTries() > 0 && loop.now().compareTo(drainEnd) < 0) {
+            loop.after(POLL_INTERVAL, () -> closeWhenAnswered(drainEnd));
             return;
         }
         resources.connections().close();
@@ -99,20 +100,20 @@
         features.audit().close();
         features.fleet().close();
         resources.network().flush();
-        Duration exit = end.plus(ENDING).minus(EXIT);
-        loop.after(POLL_INTERVAL, () -> stopWhenRead(exit));
+        Duration exitBy = drainEnd.plus(TERMINATION_TIME).minus(PROCESS_EXIT_TIME);
+        loop.after(POLL_INTERVAL, () -> stopWhenRead(exitBy));
     }
 
     /**
-     * Clients end their side once they have read the last answers; until then the connections stay.
+     * Keeps connections open until their clients, having read the last answers, have closed them.
      */
-    private void stopWhenRead(Duration exit) {
-        if (resources.connections().connections() > 0 && loop.now().compareTo(exit) < 0) {
-            loop.after(POLL_INTERVAL, () -> stopWhenRead(exit));
+    private void stopWhenRead(Duration exitBy) {
+        if (resources.connections().connections() > 0 && loop.now().compareTo(exitBy) < 0) {
+            loop.after(POLL_INTERVAL, () -> stopWhenRead(exitBy));
             return;
         }
         resources.connections().drop();
-        // Later, so that each connection has logged its end before.
+        // Delayed, so that each connection can log its end first.
         loop.after(POLL_INTERVAL, this::stop);
     }
 
--- a/src/main/java/ochretiller/node/IdempotencyStore.java
+++ b/src/main/java/ochretiller/node/IdempotencyStore.java
@@ -11,61 +11,61 @@
 import ochretiller.model.RunOutcome;
 
 /**
- * Port to what is stored of keyed invocations beyond the life of this process: a marker before a
- * run starts, and the result after it. All methods are called on the event loop thread, and so are
- * the listeners.
+ * Stores keyed invocations so that they survive a restart: an in-flight marker before the run
+ * starts, and the result when it has finished. All methods and listeners are called on the event
+ * loop thread.
  */
 interface IdempotencyStore {
-    /** Starts to write. Nothing is written before. */
+    /** Starts writing; nothing is written before. */
     void start();
 
-    /** Returns whether the marker of a new keyed invocation would be stored now. */
+    /** Returns whether the marker of a new keyed invocation would be accepted now. */
     boolean acceptsNewMarkers();
 
     /**
-     * Stores the in-flight marker of an invocation that is about to run. One that is not keyed
-     * needs none.
+     * Stores the in-flight marker of an invocation that is about to run. An invocation that is not
+     * keyed needs none, and the listener is called at once.
      */
     void writeMarker(RequestAttempt attempt, MarkerListener listener);
 
     /**
      * Stores the outcome of a run.
      *
-     * @param result the result of a run that has succeeded; ignored otherwise
-     * @param onStored called once, as soon as the client may be answered: perhaps at once, and in
-     *     time for its deadline even where the disk does not keep up
+     * @param result the result of a successful run; ignored otherwise
+     * @param onStored called once, when the client may be answered; possibly before this method
+     *     returns, and in time for the client's deadline even if the disk is slow
      */
     void onRunFinished(
             RequestAttempt attempt, RunOutcome.Status status, byte[] result, Runnable onStored);
 
     /**
-     * Reads the result that is stored under an idempotency key, and hands it over later; empty if
-     * there is none.
+     * Reads the result stored under an idempotency key.
+     *
+     * @param onRead receives the result after this method has returned; empty if there is none
      */
     void readResult(String token, Consumer<Optional<byte[]>> onRead);
 
     /**
-     * Returns what previous processes have left under a key. It is found until {@link
-     * #takePreviousRuns} is called.
+     * Returns the record that a previous process stored under a key; always empty after {@link
+     * #takePreviousRuns}.
      */
     Optional<IdempotencyRecord> findPreviousRun(String token);
 
-    /**
-     * Hands over everything that previous processes have left, ordered by the end of its window.
-     */
+    /** Removes and returns all records of previous processes, in the order of their window ends. */
     List<IdempotencyRecord> takePreviousRuns();
 
     /**
-     * Decides how retries of a previous run are answered, given how long ago the processor was
-     * started.
+     * Decides how retries of a previous run are answered.
+     *
+     * @param processorAge time since the start of the processor
      */
     RecoveryDecision recoveryDecision(IdempotencyRecord previous, Duration processorAge);
 
-    /** Returns the time from now until the end of a record's window; negative if it is over. */
+    /** Returns the time until the end of a record's window; negative if the window has ended. */
     Duration remainingWindow(IdempotencyRecord previous);
 
     /**
-     * Stores the outcome of a run that a previous process has started; otherwise as {@link
+     * Stores the outcome of a run that a previous process started; otherwise like {@link
      * #onRunFinished}.
      */
     void onPreviousRunFinished(
@@ -75,6 +75,6 @@
             byte[] result,
             Runnable onStored);
 
-    /** Writes what is due and closes the files. */
+    /** Completes pending writes and closes the files. */
     void close();
 }
--- a/src/main/java/ochretiller/node/LoggingSetup.java
+++ b/src/main/java/ochretiller/node/LoggingSetup.java
@@ -12,25 +12,25 @@
 import java.util.logging.Logger;
 
 /**
- * Sets up logging so that it works through the shutdown: the JDK's manager closes all handlers as
- * soon as SIGTERM comes.
+ * Sets up logging so that it still works during shutdown; the JDK's log manager closes all handlers
+ * as soon as the process receives SIGTERM.
  */
 public final class LoggingSetup {
     private static final String TEXT_FORMAT = "%1$tFT%1$tT.%1$tLZ %4$s %5$s%6$s%n";
-    private static final int USUAL_LINE_CHARS = 200;
+    private static final int INITIAL_LINE_CHARS = 200;
 
     private LoggingSetup() {}
 
-    /** Sets the log manager and the text format. To be called before anything is logged. */
+    /** Sets the log manager and the text format. To be called before the first use of a logger. */
     public static void install() {
-        // This class must not be the manager itself: it would be initialized too late.
+        // The manager must be a class of its own; this one would be initialized too late.
         System.setProperty("java.util.logging.manager", NonResettingLogManager.class.getName());
         System.setProperty("java.util.logging.SimpleFormatter.format", TEXT_FORMAT);
     }
 
     /**
-     * Has each line written as a JSON object with {@code at}, {@code level}, {@code part}, {@code
-     * message}, {@code trace}.
+     * Switches all handlers of the root logger to one JSON object a line, with the fields {@code
+     * at}, {@code level}, {@code part}, {@code message} and, for exceptions, {@code trace}.
      */
     public static void useJsonFormat() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
@@ -39,13 +39,12 @@
     }
 
     /**
-     * A log manager that keeps its handlers until the process ends. The JDK instantiates it by
-     * name.
+     * A log manager that never closes its handlers. The JDK instantiates it by name.
      */
     public static final class NonResettingLogManager extends LogManager {
         @Override
         public void reset() {
-            // handlers stay open; the process ends by itself after the shutdown
+            // handlers stay open until the process exits
         }
     }
 
@@ -54,7 +53,7 @@
 
         @Override
         public String format(LogRecord entry) {
-            StringWriter out = new StringWriter(USUAL_LINE_CHARS);
+            StringWriter out = new StringWriter(INITIAL_LINE_CHARS);
             try (JsonGenerator line = json.createGenerator(out)) {
                 line.writeStartObject();
                 line.writeStringField("at", entry.getInstant().toString());
@@ -66,7 +65,7 @@
                 }
                 line.writeEndObject();
             } catch (IOException e) {
-                throw new IllegalStateException("a writer in memory does not fail", e);
+                throw new IllegalStateException("unexpected I/O error of an in-memory writer", e);
             }
             return out.append('\n').toString();
         }
--- a/src/main/java/ochretiller/node/OperatorConfigResolver.java
+++ b/src/main/java/ochretiller/node/OperatorConfigResolver.java
@@ -14,24 +14,24 @@
 import ochretiller.workers.WorkerPoolConfig;
 
 /**
- * Resolves the operations and servers that an operators' file names against the configuration, and
- * checks its bounds. Any thread.
+ * Resolves the operation and server names in an operators' file against the server configuration,
+ * and checks the file's limits. Any thread.
  */
 public final class OperatorConfigResolver {
     private static final Logger LOG = Logger.getLogger(OperatorConfigResolver.class.getName());
 
     /**
-     * Connections to workers may take this part of the file descriptors; those of clients may take
-     * half of them.
+     * Connections to workers may use the file descriptor limit divided by this number; client
+     * connections may use half of the limit.
      */
-    private static final int POOL_DESCRIPTORS_PART = 3;
+    private static final int POOL_DESCRIPTORS_DIVISOR = 3;
 
     private OperatorConfigResolver() {}
 
     /**
-     * Resolves everything without keeping it.
+     * Checks that an operators' file fits the configuration.
      *
-     * @throws MalformedException if something does not fit the configuration
+     * @throws MalformedException if a name is not configured or a limit is exceeded
      */
     public static void check(OperatorConfig operator, ServerConfiguration configuration) {
         uwsgiRoutes(operator, configuration);
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Checks the settings of replication against the server's name and operations.
+     * Checks the replication settings against the server's name and operations.
      *
-     * @throws MalformedException if they do not fit
+     * @throws MalformedException if a voter has no voter file, or an operation is not configured
      */
     static void checkFleet(FleetSettings fleet, ServerConfiguration configuration) {
         ReplicationSettings replication = fleet.copies();
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Resolves the routes of the uwsgi frontend; overlapping ones are logged.
+     * Resolves the routes of the uwsgi frontend; overlapping routes are logged as warnings.
      *
-     * @throws MalformedException if a route names no operation or can never match
+     * @throws MalformedException if a route's operation is not configured, or it can never match
      */
     static List<Route> uwsgiRoutes(OperatorConfig operator, ServerConfiguration configuration) {
         if (operator.uwsgi().isEmpty()) {
@@ -88,8 +88,8 @@
     /**
      * Resolves the worker pools.
      *
-     * @throws MalformedException if a pool names no operation, or the pools may open too many
-     *     connections
+     * @throws MalformedException if a pool's operation is not configured, or the pools may open too
+     *     many connections
      */
     static List<WorkerPoolConfig> workerPoolConfigs(
             OperatorConfig operator, ServerConfiguration configuration) {
@@ -101,12 +101,12 @@
             connections += config.connections();
             configs.add(config);
         }
-        if (connections > configuration.maxDescriptors() / POOL_DESCRIPTORS_PART) {
+        if (connections > configuration.maxDescriptors() / POOL_DESCRIPTORS_DIVISOR) {
             throw new MalformedException(
                     "the pools may open "
                             + connections
                             + " connections, over 1/"
-                            + POOL_DESCRIPTORS_PART
+                            + POOL_DESCRIPTORS_DIVISOR
                             + " of the "
                             + configuration.maxDescriptors()
                             + " descriptors: lower most_in_flight");
--- a/src/main/java/ochretiller/node/OperatorFeatures.java
+++ b/src/main/java/ochretiller/node/OperatorFeatures.java
@@ -5,16 +5,16 @@
 import ochretiller.uwsgi.UwsgiFrontend;
 
 /**
- * The parts of a server that its operators can switch on. One that is off is a no-op, so that
- * nobody has to ask.
+ * The optional components of a server, which its operators enable. A disabled one is a no-op
+ * implementation, so that callers need no checks.
  *
- * @param idempotencyStore what is stored of keyed invocations beyond the life of the process
- * @param claims claims on idempotency keys in the fleet
- * @param rollout versions that the fleet rolls out
- * @param audit record of what the server acted on
- * @param pools worker pools that run operations in the processor's place
+ * @param idempotencyStore stores keyed invocations across restarts
+ * @param claims claims idempotency keys in the fleet
+ * @param rollout follows the versions that the fleet rolls out
+ * @param audit records versions and outcomes in the audit log
+ * @param pools worker pools that run operations instead of the processor
  * @param fleet membership in a fleet
- * @param uwsgi the uwsgi frontend
+ * @param uwsgi the uwsgi frontend, empty if disabled
  */
 record OperatorFeatures(
         IdempotencyStore idempotencyStore,
@@ -24,7 +24,7 @@
         WorkerPools pools,
         FleetMembership fleet,
         Optional<UwsgiFrontend> uwsgi) {
-    /** Returns the features of a server whose operators have switched nothing on. */
+    /** Returns the features of a server on which none is enabled. */
     static OperatorFeatures none(Scheduler scheduler) {
         return new OperatorFeatures(
                 new VolatileIdempotency(scheduler),
--- a/src/main/java/ochretiller/node/PoolVersionApplier.java
+++ b/src/main/java/ochretiller/node/PoolVersionApplier.java
@@ -16,8 +16,8 @@
 
 /**
  * Applies the versions that a fleet rolls out. A version is an operators' file with worker pools;
- * without one the server acts on its own file. {@link #check} may be called on any thread, the rest
- * on the event loop thread.
+ * without a version the server uses its own file. {@link #check} may be called on any thread, the
+ * other methods on the event loop thread.
  */
 final class PoolVersionApplier implements VersionActivator {
     private final NodeSettings settings;
@@ -27,7 +27,7 @@
     /**
      * Creates an applier.
      *
-     * @param pools adopts pools; called on the event loop thread
+     * @param pools applies a new configuration of the pools; called on the event loop thread
      */
     PoolVersionApplier(
             NodeSettings settings, Consumer<List<WorkerPoolConfig>> pools, AuditTrail audit) {
@@ -40,15 +40,18 @@
         List<WorkerPoolConfig> configs =
                 OperatorConfigResolver.workerPoolConfigs(
                         operatorConfig(version), settings.configuration());
-        Set<String> present =
+        Set<String> startedPools =
                 settings.operator().pools().stream()
                         .map(OperatorConfig.Workers::name)
                         .collect(Collectors.toSet());
-        Set<String> wanted =
+        Set<String> versionPools =
                 configs.stream().map(WorkerPoolConfig::name).collect(Collectors.toSet());
-        if (!present.equals(wanted)) {
+        if (!startedPools.equals(versionPools)) {
             throw new MalformedException(
-                    "it has the pools " + wanted + ", and this server was started with " + present);
+                    "it has the pools "
+                            + versionPools
+                            + ", and this server was started with "
+                            + startedPools);
         }
         return configs;
     }
@@ -84,8 +87,8 @@
     }
 
     @Override
-    public void told(RolloutEvent what, PublishedVersion version, String text) {
-        audit.recordRolloutEvent(what, version.number(), version.hash(), text);
+    public void told(RolloutEvent event, PublishedVersion version, String text) {
+        audit.recordRolloutEvent(event, version.number(), version.hash(), text);
     }
 
     @Override
--- a/src/main/java/ochretiller/node/PreviousRunRecovery.java
+++ b/src/main/java/ochretiller/node/PreviousRunRecovery.java
@@ -18,9 +18,9 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Restores the keyed invocations of previous processes, so that their retries are recognised: those
- * with a known outcome are replayed or failed, those that the processor may still execute are
- * adopted until it reports their outcome.
+ * Restores the keyed invocations of previous processes, so that their retries are recognised.
+ * Retries of an invocation with a known outcome are replayed or failed. A run that the processor
+ * may still execute is adopted: its retries wait until the processor reports the outcome.
  *
  * <p>Event loop thread only.
  */
@@ -33,11 +33,12 @@
     private final ProcessorClient processor;
     private final OperatorFeatures features;
 
-    /** Request ids of adopted runs, whose outcomes are unknown. */
+    /** Request ids of the adopted runs whose outcome has not been reported. */
     private final Set<String> adopted = new HashSet<>();
 
     /**
-     * Ids of new invocations count upwards from 1; those of previous ones count downwards from -1.
+     * Last id assigned to a restored invocation. These ids count down from -1; ids of new
+     * invocations count up from 1.
      */
     private long lastId;
 
@@ -55,13 +56,15 @@
     }
 
     /**
-     * Restores everything that previous processes have left; to be called before any request is
-     * handled.
+     * Restores all records of previous processes. To be called before any request is handled.
+     *
+     * @param operations the configured operations by name
+     * @param processorAge time since the start of the processor
      */
     void restore(Map<String, Operation> operations, Duration processorAge) {
         for (IdempotencyRecord record : features.idempotencyStore().takePreviousRuns()) {
             Operation operation = operations.get(record.operation());
-            // Retries of an operation that is not configured any more cannot be sent either.
+            // An operation that is no longer configured gets no retries either.
             if (operation != null && operation.isKeyed()) {
                 restore(record, operation, processorAge);
             }
@@ -72,20 +75,21 @@
         lastId--;
         InvocationId id = new InvocationId(lastId);
         RecoveryDecision decision = decide(record, operation, processorAge);
-        boolean awaited = decision == RecoveryDecision.AWAIT_OUTCOME;
+        boolean isOutcomePending = decision == RecoveryDecision.AWAIT_OUTCOME;
         Duration windowEnd =
                 actions.now().plus(features.idempotencyStore().remainingWindow(record));
         cache.restore(
-                new RestoredAttempt(id, operation, record.token(), record.bodyDigest(), !awaited),
+                new RestoredAttempt(
+                        id, operation, record.token(), record.bodyDigest(), !isOutcomePending),
                 windowEnd);
-        Status known =
+        Status knownStatus =
                 switch (decision) {
                     case REPLAY -> Status.SUCCEEDED;
                     case REJECT -> Status.FAILED;
                     case AWAIT_OUTCOME -> null;
                 };
-        admission.onEntryRestored(id, windowEnd, known).execute(actions);
-        if (awaited) {
+        admission.onEntryRestored(id, windowEnd, knownStatus).execute(actions);
+        if (isOutcomePending) {
             adopt(record, operation, id, windowEnd);
         }
     }
@@ -94,10 +98,10 @@
             IdempotencyRecord record, Operation operation, Duration processorAge) {
         RecoveryDecision decision =
                 features.idempotencyStore().recoveryDecision(record, processorAge);
-        // The processor reports outcomes to a new process; a worker's answer went to the connection
-        // of the old one.
-        boolean pooled = features.pools().poolOf(operation).isPresent();
-        return decision == RecoveryDecision.AWAIT_OUTCOME && pooled
+        // The processor reports outcomes to a new process; a worker has sent its answer on the
+        // connection of the previous process only.
+        boolean isPooled = features.pools().poolOf(operation).isPresent();
+        return decision == RecoveryDecision.AWAIT_OUTCOME && isPooled
                 ? RecoveryDecision.REJECT
                 : decision;
     }
@@ -112,12 +116,11 @@
                     adopted.remove(record.runId());
                     LOG.info(
                             () ->
-                                    "the run "
+                                    "run "
                                             + record.runId()
-                                            + " of a former process has ended: "
+                                            + " of a previous process ended: "
                                             + status.externalName());
-                    // A run that the processor does not know any more may have had its effect all
-                    // the same.
+                    // The processor may have executed a run that it no longer knows.
                     Status outcome = status == Status.NEVER_STARTED ? Status.FAILED : status;
                     features.idempotencyStore()
                             .onPreviousRunFinished(
@@ -126,7 +129,8 @@
                                     outcome,
                                     result,
                                     () -> {
-                                        cache.complete(id, cached(outcome, result), actions.now());
+                                        cache.complete(
+                                                id, resultToCache(outcome, result), actions.now());
                                         admission
                                                 .onEntryRestored(id, windowEnd, outcome)
                                                 .execute(actions);
@@ -134,13 +138,13 @@
                 });
     }
 
-    private static Optional<byte[]> cached(Status outcome, byte[] result) {
+    private static Optional<byte[]> resultToCache(Status outcome, byte[] result) {
         return outcome == Status.SUCCEEDED ? Optional.of(result) : Optional.empty();
     }
 
     /**
-     * Returns whether a run with this request id was started by a previous process and has not
-     * ended.
+     * Returns whether a previous process started a run with this request id and its outcome has not
+     * been reported.
      */
     boolean isAdopted(String requestId) {
         return adopted.contains(requestId);
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -18,27 +18,27 @@
 import ochretiller.store.Store;
 
 /**
- * What previous processes of this server have left in the store. Retries of it are answered from
- * here until the admission controller knows it; the fleet may ask about it for as long as any of it
- * matters. Event loop thread only.
+ * Records of keyed invocations that previous processes of this server left in the store. Retries
+ * are answered from here until the admission controller has taken the records over; the fleet may
+ * query them until the longest window has ended. Event loop thread only.
  */
 final class PreviousRuns implements PreviousIncarnation {
     private final Scheduler scheduler;
     private final Store store;
     private final StoredResults results;
 
-    /** What the admission controller does not know yet; the end of the earliest window first. */
+    /** Records not taken over by the admission controller, by key, earliest window end first. */
     private final Map<String, IdempotencyRecord> recovered = new LinkedHashMap<>();
 
-    /** What the fleet may ask about. */
+    /** Records that the fleet may query, by key. */
     private final Map<String, IdempotencyRecord> retained = new HashMap<>();
 
     /**
-     * Whether the store was read without damage, so that what it does not have was never started.
+     * Whether the store was read without damage, so that a key without a record was never run.
      */
     private final boolean storeComplete;
 
-    /** Takes over what the store has recovered. */
+    /** Decodes the entries that the store recovered. */
     PreviousRuns(Scheduler scheduler, Store store, StoredResults results) {
         this.scheduler = scheduler;
         this.store = store;
@@ -50,17 +50,21 @@
         }
     }
 
-    /** Keeps everything for questions of the fleet, until the longest window of it is over. */
-    void retainForFleet(Duration recordLife) {
+    /**
+     * Retains all records for queries of the fleet.
+     *
+     * @param recordLifetime time after which no record is needed; then all are dropped
+     */
+    void retainForFleet(Duration recordLifetime) {
         retained.putAll(recovered);
-        scheduler.after(recordLife, retained::clear);
+        scheduler.after(recordLifetime, retained::clear);
     }
 
     int size() {
         return recovered.size();
     }
 
-    /** Returns how many runs have an unknown outcome. */
+    /** Returns the number of runs whose outcome is unknown. */
     long countInFlight() {
         long count = 0;
         for (IdempotencyRecord record : recovered.values()) {
@@ -82,21 +86,22 @@
     }
 
     /**
-     * Decides how retries of a previous run are answered, given how long ago the processor was
-     * started.
+     * Decides how retries of a previous run are answered.
+     *
+     * @param processorAge time since the start of the processor
      */
     RecoveryDecision recoveryDecision(IdempotencyRecord record, Duration processorAge) {
         RecoveryDecision decision =
                 RecoveryDecision.of(record, store.nowMillis() - processorAge.toMillis());
         if (decision == RecoveryDecision.REJECT) {
-            // Nobody will ever learn its outcome: the fleet need not wait for it either.
+            // The outcome can no longer be learned, so the fleet must not wait for it either.
             retained.replace(
                     record.token(), record.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
         }
         return decision;
     }
 
-    /** Records the outcome of a previous run that has become known. */
+    /** Records the outcome of a previous run that was still in flight when the store was read. */
     void settle(IdempotencyRecord record, InvocationProgress outcome) {
         retained.replace(record.token(), record.withProgress(outcome));
     }
@@ -114,9 +119,9 @@
         }
         switch (record.progress()) {
             case IN_FLIGHT -> onAnswer.accept(PreviousRun.UNKNOWN);
-            case ENDED_WITHOUT_RESULT -> onAnswer.accept(ended(record, null));
+            case ENDED_WITHOUT_RESULT -> onAnswer.accept(finishedRun(record, null));
             case SUCCEEDED -> {
-                PreviousRun known = ended(record, null);
+                PreviousRun finished = finishedRun(record, null);
                 results.read(
                         token,
                         result ->
@@ -124,17 +129,17 @@
                                         result.map(
                                                         bytes ->
                                                                 new PreviousRun(
-                                                                        known.kind(),
-                                                                        known.body(),
+                                                                        finished.kind(),
+                                                                        finished.body(),
                                                                         bytes,
-                                                                        known.windowEnds()))
+                                                                        finished.windowEnds()))
                                                 .orElse(PreviousRun.UNKNOWN)));
             }
             default -> throw new IllegalStateException("unknown progress " + record.progress());
         }
     }
 
-    private PreviousRun ended(IdempotencyRecord record, byte[] result) {
+    private PreviousRun finishedRun(IdempotencyRecord record, byte[] result) {
         String fingerprint =
                 ReplicationService.requestFingerprint(record.operation(), record.bodyDigest());
         return new PreviousRun(
--- a/src/main/java/ochretiller/node/ProcessLifecycle.java
+++ b/src/main/java/ochretiller/node/ProcessLifecycle.java
@@ -4,9 +4,9 @@
 import java.util.logging.Logger;
 
 /**
- * Decides what SIGHUP and SIGTERM do before a server is ready, while it serves, and after its end.
- * It is installed before anything is read, since a JVM without handlers ends at once. All methods
- * may be called on any thread.
+ * Handles SIGHUP and SIGTERM before the server is ready, while it serves, and after a failed start.
+ * To be installed before any file is read, since either signal ends a JVM without handlers at once.
+ * All methods may be called on any thread.
  */
 public final class ProcessLifecycle {
     private static final Logger LOG = Logger.getLogger(ProcessLifecycle.class.getName());
@@ -17,7 +17,7 @@
 
     private ProcessLifecycle() {}
 
-    /** Handles the signals from here on. */
+    /** Installs the signal handlers. */
     public static ProcessLifecycle install() {
         ProcessLifecycle lifecycle = new ProcessLifecycle();
         ReloadSignal.onHangup(lifecycle::reload);
@@ -25,16 +25,17 @@
         return lifecycle;
     }
 
-    /** The server is ready to listen: from here on the signals are passed on to it. */
+    /** Reports that the server is ready to listen; from now on it receives the signals. */
     public synchronized void serverReady(ServerNode ready) {
         server = Optional.of(ready);
         if (reloadRequested) {
-            ready.reload(); // its configuration may have been read before the signal came
+            ready.reload(); // it may have read its configuration before the signal
         }
     }
 
     /**
-     * The server could not be started: the process ends with the exit code that the start returns.
+     * Reports that the server could not be started; the shutdown hook then leaves the exit code to
+     * the caller.
      */
     public synchronized void startFailed() {
         startFailed = true;
@@ -49,7 +50,7 @@
         current.ifPresent(ServerNode::reload);
     }
 
-    /** Runs as a shutdown hook: after a signal, or because the server's work is over. */
+    /** Shutdown hook, which runs after a signal or when the process exits by itself. */
     private void shutDown() {
         ServerNode current;
         synchronized (this) {
@@ -57,8 +58,7 @@
                 return;
             }
             if (server.isEmpty()) {
-                // Nothing was read yet, and a start that goes on meanwhile must not listen any
-                // more.
+                // No request was accepted, and the concurrent start must not begin to listen.
                 Runtime.getRuntime().halt(0);
             }
             current = server.get();
@@ -69,7 +69,7 @@
             Thread.currentThread().interrupt();
             LOG.warning("interrupted while the server was shutting down");
         }
-        // The exit code after a shutdown is 0; without the halt it would be that of the signal.
+        // A graceful shutdown exits with 0; without the halt the signal would set the exit code.
         Runtime.getRuntime().halt(0);
     }
 }
--- a/src/main/java/ochretiller/node/ReloadSignal.java
+++ b/src/main/java/ochretiller/node/ReloadSignal.java
@@ -12,8 +12,8 @@
     private ReloadSignal() {}
 
     /**
-     * Has {@code action} run at each signal, on a thread of the JDK. The JDK's unsupported signal
-     * types are found by name, since any direct use of them is a compiler warning.
+     * Runs {@code action} at each SIGHUP, on a thread of the JDK. The JDK's unsupported signal types
+     * are loaded by name, since the compiler warns about each direct use.
      */
     public static void onHangup(Runnable action) {
         try {
@@ -24,15 +24,14 @@
                     signalType
                             .getMethod(HANDLER_METHOD, signalType, handlerType)
                             .invoke(null, signal, handler(handlerType, action));
-            // A signal that the parent process ignores stays ignored: the JVM returns this and
-            // installs nothing.
+            // If the parent process ignores SIGHUP, the JVM returns SIG_IGN and installs no handler.
             if (previous == handlerType.getField("SIG_IGN").get(null)) {
                 LOG.warning(
                         "SIGHUP is ignored by whoever started this server: it takes no new"
                                 + " configuration");
             }
         } catch (ReflectiveOperationException e) {
-            LOG.warning("SIGHUP ends this server: the JDK gives no handler for it");
+            LOG.warning("cannot install a SIGHUP handler: SIGHUP terminates this server");
         }
     }
 
--- a/src/main/java/ochretiller/node/ResultReplayer.java
+++ b/src/main/java/ochretiller/node/ResultReplayer.java
@@ -10,8 +10,8 @@
 import ochretiller.model.RunOutcome;
 
 /**
- * Answers retries with the results of their original attempts, from memory or from the store. Event
- * loop thread only.
+ * Answers retries with the results of their original attempts, read from memory or from the store.
+ * Event loop thread only.
  */
 final class ResultReplayer {
     private final ServerResources resources;
@@ -31,12 +31,12 @@
     }
 
     /**
-     * Answers a retry once the result of its original attempt is known.
+     * Answers a retry when the result of its original attempt is known.
      *
      * @param onOutcome receives the outcome once, never before this method has returned
      */
     void replay(RequestAttempt retry, Consumer<RunOutcome> onOutcome) {
-        // A keyed original that never ran has left its key to another attempt.
+        // Looked up by key, since an attempt that did run may have replaced a keyed original.
         Optional<InvocationId> original =
                 retry.token == null ? attempts.originalOf(retry) : cache.findByToken(retry.token);
         Optional<InvocationId> matching =
@@ -45,10 +45,10 @@
                 matching,
                 result -> {
                     if (result.isEmpty() && matching.isPresent() && retry.token != null) {
-                        // It had no room in memory, or a previous process has run it.
+                        // The result did not fit in memory, or a previous process ran the original.
                         store.readResult(retry.token, stored -> answer(retry, stored, onOutcome));
                     } else {
-                        // Posted since the admission controller is still at work on the arrival.
+                        // Posted, since the admission controller is still handling the arrival.
                         resources.scheduler().post(() -> answer(retry, result, onOutcome));
                     }
                 });
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -16,8 +16,9 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Carries out on this server what the admission controller decides: each method passes the action
- * on to the part that does it, and executes what the continuation returns. Event loop thread only.
+ * Executes the actions of the admission controller on this server: each method delegates to the
+ * component that performs the action, and executes the action that the continuation returns. Event
+ * loop thread only.
  */
 final class ServerActionsAdapter implements ServerActions {
     private static final Logger LOG = Logger.getLogger(ServerActionsAdapter.class.getName());
@@ -81,9 +82,8 @@
 
     @Override
     public void skipCall(InvocationId id) {
-        // The settings of a real server never allow it: the processor's protocol has no message for
-        // it.
-        LOG.warning("cannot continue a run without its call id=" + id.value());
+        // Unreachable with a real server's settings: the processor protocol has no message for it.
+        LOG.warning("cannot skip the call of invocation " + id.value() + ": not supported");
     }
 
     @Override
@@ -156,7 +156,7 @@
                         delay,
                         () -> {
                             onTimer.apply(resources.processor().gauges()).execute(this);
-                            resources.processor().askGauges(); // for the timer that follows
+                            resources.processor().askGauges(); // for the next timer
                         });
     }
 
--- a/src/main/java/ochretiller/node/ServerConfiguration.java
+++ b/src/main/java/ochretiller/node/ServerConfiguration.java
@@ -183,6 +183,6 @@
 
     private static MalformedException malformedAddress(String name, String text) {
         return new MalformedException(
-                name + " must be an IPv4 address and a port, as 10.0.0.1:80, but is '" + text + "'");
+                name + " must be an IPv4 address and a port (10.0.0.1:80), but is '" + text + "'");
     }
 }
--- a/src/main/java/ochretiller/node/ServerNodeBuilder.java
+++ b/src/main/java/ochretiller/node/ServerNodeBuilder.java
@@ -9,32 +9,32 @@
 import ochretiller.store.StorageDirectory;
 
 /**
- * Collects what a server is started with. {@link ServerNode#builder} makes one; any single thread
- * may use it.
+ * Builder of {@link ServerNode}, created by {@link ServerNode#builder}. Not safe for use by several
+ * threads at once.
  */
 public final class ServerNodeBuilder {
     private final Path configFile;
     private OperatorConfig operator = OperatorConfig.NONE;
-    private Supplier<OperatorConfig> operatorReload = () -> operator;
+    private Supplier<OperatorConfig> operatorConfigSupplier = () -> operator;
     private Optional<StorageDirectory> storage = Optional.empty();
 
     ServerNodeBuilder(Path configFile) {
         this.configFile = configFile;
     }
 
-    /** Sets what the operators have switched on; nothing by default. */
+    /** Sets the operators' configuration; by default no optional feature is enabled. */
     public ServerNodeBuilder operator(OperatorConfig config) {
         operator = config;
         return this;
     }
 
-    /** Sets what reads the operators' file again; by default it does not change. */
-    public ServerNodeBuilder operatorReload(Supplier<OperatorConfig> reload) {
-        operatorReload = reload;
+    /** Sets how a reload reads the operators' file; by default it returns the initial one. */
+    public ServerNodeBuilder operatorReload(Supplier<OperatorConfig> supplier) {
+        operatorConfigSupplier = supplier;
         return this;
     }
 
-    /** Sets where idempotency records are stored; needed if the operators ask for them. */
+    /** Sets the directory for idempotency records; required if their storage is configured. */
     public ServerNodeBuilder storage(StorageDirectory directory) {
         storage = Optional.of(directory);
         return this;
@@ -43,13 +43,13 @@
     /**
      * Reads the configuration and builds a server that does not listen yet.
      *
-     * @throws MalformedException if the configuration or the operators' file is wrong
+     * @throws MalformedException if the configuration or the operators' file is invalid
      * @throws IOException if a file or socket cannot be opened
      */
     public ServerNode build() throws IOException {
         ServerConfiguration configuration = ServerConfiguration.read(configFile);
         configuration.checkJvmSize(Integer.getInteger("ochretiller.sizedForMb"));
         return new ServerNode(
-                new NodeSettings(configFile, configuration, operator, operatorReload, storage));
+                new NodeSettings(configFile, configuration, operator, operatorConfigSupplier, storage));
     }
 }
--- a/src/main/java/ochretiller/node/StartupRequestHandler.java
+++ b/src/main/java/ochretiller/node/StartupRequestHandler.java
@@ -12,13 +12,13 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Handles requests before the processor is available. A retry of what a previous process has run is
- * answered from the store, or waits for the processor; everything else is rejected, since nothing
- * can run yet. Event loop thread only.
+ * Handles requests before the processor is available. A retry of an invocation that a previous
+ * process ran is answered from the store or waits for the processor; other requests are throttled,
+ * since nothing can run yet. Event loop thread only.
  */
 final class StartupRequestHandler implements RequestHandler {
-    /** A retry that waits for the processor is answered so long before its deadline. */
-    private static final Duration SAFETY_MARGIN = Duration.ofMillis(120);
+    /** Time before its deadline at which a retry that waits for the processor gets an error. */
+    private static final Duration ANSWER_MARGIN = Duration.ofMillis(120);
 
     private final Scheduler scheduler;
     private final ClientConnections connections;
@@ -70,7 +70,7 @@
     private void awaitProcessor(RequestAttempt retry) {
         waiting.add(retry);
         Duration deadline =
-                retry.arrived.plus(retry.operation.clientTimeout()).minus(SAFETY_MARGIN);
+                retry.arrived.plus(retry.operation.clientTimeout()).minus(ANSWER_MARGIN);
         Duration wait = deadline.minus(scheduler.now());
         scheduler.after(
                 wait.isNegative() ? Duration.ZERO : wait,
@@ -86,7 +86,7 @@
         connections.forget(retry);
     }
 
-    /** Hands over the retries that wait for the processor. */
+    /** Removes and returns the retries that wait for the processor. */
     List<RequestAttempt> takeWaiting() {
         List<RequestAttempt> taken = List.copyOf(waiting);
         waiting.clear();
@@ -95,11 +95,11 @@
 
     @Override
     public void onClientGone(RequestAttempt attempt) {
-        // a retry that waits is dropped with its deadline
+        // a waiting retry is removed at its deadline
     }
 
     @Override
     public void onShutdownNotice(Duration killAfter) {
-        // nothing runs
+        // there are no runs to wait for
     }
 }
--- a/src/main/java/ochretiller/node/StoreHealthMonitor.java
+++ b/src/main/java/ochretiller/node/StoreHealthMonitor.java
@@ -8,22 +8,22 @@
 import ochretiller.store.Store;
 
 /**
- * Watches the store's disk: reports its health to the durability policy, logs changes, probes a
- * disk that is unavailable, and has deferred writes made once it is available again. Event loop
+ * Monitors the store's disk: reports its health to the durability policy, logs changes, probes an
+ * unavailable disk, and repeats the deferred writes when the disk is available again. Event loop
  * thread only.
  */
 final class StoreHealthMonitor {
     private static final Logger LOG = Logger.getLogger(StoreHealthMonitor.class.getName());
 
-    /** A fifth of the shortest stall that is worth reporting. */
-    private static final Duration INTERVAL = Duration.ofMillis(50);
+    /** Time between checks: a fifth of the shortest stall worth reporting. */
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final Scheduler scheduler;
     private final Store store;
     private final DurabilityPolicy policy;
     private final DeferredWrites deferredWrites;
     private final DurabilityMetrics metrics;
-    private DiskHealth reported = DiskHealth.HEALTHY;
+    private DiskHealth lastReported = DiskHealth.HEALTHY;
 
     StoreHealthMonitor(
             Scheduler scheduler,
@@ -38,15 +38,15 @@
         this.metrics = metrics;
     }
 
-    /** Checks the store, and again after each interval. */
+    /** Checks the store now and then at each interval. */
     void start() {
-        scheduler.after(INTERVAL, this::start);
+        scheduler.after(CHECK_INTERVAL, this::start);
         Duration now = scheduler.now();
         boolean wasUnavailable = policy.diskHealth(now) == DiskHealth.UNAVAILABLE;
         policy.storeStatusChanged(store.stats().isHealthy(), store.hasRoomForNewKey(), now);
         metrics.setOldestAppendAge(policy.oldestAppendAge(now));
         DiskHealth health = policy.diskHealth(now);
-        if (health != reported) {
+        if (health != lastReported) {
             report(health);
         }
         if (wasUnavailable && health != DiskHealth.UNAVAILABLE) {
@@ -64,14 +64,14 @@
     }
 
     private void report(DiskHealth health) {
-        if (reported == DiskHealth.HEALTHY) {
+        if (lastReported == DiskHealth.HEALTHY) {
             metrics.stalls.add();
         }
-        String fault =
+        String cause =
                 health == DiskHealth.UNAVAILABLE ? ": " + store.stats().fault().orElse("") : "";
         String consequence =
-                health == DiskHealth.HEALTHY ? " again" : "; new keyed work is throttled";
-        LOG.warning("the store's disk is " + health.externalName() + fault + consequence);
-        reported = health;
+                health == DiskHealth.HEALTHY ? " again" : "; new keyed invocations are throttled";
+        LOG.warning("the store's disk is " + health.externalName() + cause + consequence);
+        lastReported = health;
     }
 }
--- a/src/main/java/ochretiller/node/StoreSetup.java
+++ b/src/main/java/ochretiller/node/StoreSetup.java
@@ -8,35 +8,32 @@
 import ochretiller.store.StoreLimits;
 
 /**
- * Where and within which bounds idempotency records are stored.
+ * Location and limits of the store for idempotency records.
  *
- * @param settings the operators' settings
- * @param replication bounds of what is kept in the same store for the fleet, if anything is
- * @param directory where the store's files are
- * @param recordLife no record is of use for longer: the longest window of an operation and its
- *     client timeouts
+ * @param settings the operators' settings of the store
+ * @param replication replication settings, if the store also holds the fleet's replica entries
+ * @param directory directory of the store's files
+ * @param recordLife longest time for which a record is needed: the longest deduplication window
+ *     plus client timeouts
  */
 record StoreSetup(
         OperatorConfig.Remember settings,
         Optional<ReplicationSettings> replication,
         StorageDirectory directory,
         Duration recordLife) {
-    /** Bytes of the store's index that one key may take. */
+    /** Index memory to reserve for each key, in bytes. */
     private static final long INDEX_BYTES_PER_ENTRY = 600;
 
-    /**
-     * Keys that the store may hold for each one that the fleet may keep: its entry and the entry's
-     * changes.
-     */
+    /** Store keys to reserve for each replica entry: the entry itself and its changes. */
     private static final int KEYS_PER_REPLICA_ENTRY = 2;
 
-    /** Bytes on disk for each byte that the fleet may keep: dead records stay until compaction. */
+    /** Disk bytes to reserve for each replica byte, since dead records remain until compaction. */
     private static final int BYTES_PER_REPLICA_BYTE = 4;
 
-    /** A segment that expires within so many record lives is not compacted but waited for. */
-    private static final int MIN_REMAINING_LIVES = 4;
+    /** A segment that expires within this many record lifetimes is left to expire uncompacted. */
+    private static final int MIN_REMAINING_LIFETIMES = 4;
 
-    /** Returns the bounds of the store; what is kept for the fleet has room of its own. */
+    /** Returns the limits of the store: the configured ones plus those for replica entries. */
     StoreLimits limits() {
         int maxEntries =
                 settings.mostEntries()
@@ -55,7 +52,7 @@
                 .segmentBytes(settings.segmentBytes())
                 .maxSegmentAge(settings.rollAfter())
                 .compactionBytesPerSecond(settings.copyRate())
-                .compactionMinRemainingLife(recordLife.multipliedBy(MIN_REMAINING_LIVES))
+                .compactionMinRemainingLife(recordLife.multipliedBy(MIN_REMAINING_LIFETIMES))
                 .maxRecordLife(recordLife)
                 .build();
     }
--- a/src/main/java/ochretiller/node/StoredResults.java
+++ b/src/main/java/ochretiller/node/StoredResults.java
@@ -8,23 +8,23 @@
 import ochretiller.store.Store;
 
 /**
- * Results as values of the store: one byte for the format, which is 0, and the result. Event loop
- * thread only.
+ * Encodes and reads results as values of the store: a format byte, which is 0, and the result. Event
+ * loop thread only.
  */
 final class StoredResults {
     private static final int HEADER_BYTES = 1;
 
     private final Store store;
-    private final Metrics.Counter readBack;
+    private final Metrics.Counter readCounter;
 
     /**
      * Creates a reader.
      *
-     * @param readBack counts results that were read
+     * @param readCounter counts the results that were read
      */
-    StoredResults(Store store, Metrics.Counter readBack) {
+    StoredResults(Store store, Metrics.Counter readCounter) {
         this.store = store;
-        this.readBack = readBack;
+        this.readCounter = readCounter;
     }
 
     static byte[] encode(byte[] result) {
@@ -34,7 +34,9 @@
     }
 
     /**
-     * Reads the result under an idempotency key and hands it over later; empty if there is none.
+     * Reads the result stored under an idempotency key.
+     *
+     * @param onRead receives the result after this method has returned; empty if there is none
      */
     void read(String token, Consumer<Optional<byte[]>> onRead) {
         store.read(
@@ -46,7 +48,7 @@
         if (value.length < HEADER_BYTES) {
             return Optional.empty();
         }
-        readBack.add();
+        readCounter.add();
         return Optional.of(Arrays.copyOfRange(value, HEADER_BYTES, value.length));
     }
 }
--- a/src/main/java/ochretiller/node/VolatileIdempotency.java
+++ b/src/main/java/ochretiller/node/VolatileIdempotency.java
@@ -11,7 +11,7 @@
 import ochretiller.model.RunOutcome;
 import ochretiller.net.Scheduler;
 
-/** Stores nothing beyond the life of this process: runs and answers wait for no disk. */
+/** Stores nothing, so that no run or answer waits for a disk. Used if storage is not configured. */
 class VolatileIdempotency implements IdempotencyStore {
     private final Scheduler scheduler;
 
@@ -21,7 +21,7 @@
 
     @Override
     public void start() {
-        // nothing is written
+        // there is nothing to write
     }
 
     @Override
@@ -81,6 +81,6 @@
     }
 
     private static IllegalStateException noPreviousRuns() {
-        return new IllegalStateException("this server keeps no records of previous runs");
+        return new IllegalStateException("this server stores no records of previous runs");
     }
 }
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -19,15 +19,15 @@
 import ochretiller.text.Slice;
 
 /**
- * Sends simulated invocations through an admission controller that is discarded afterwards, so that
- * a new server does not spend its first seconds on linking and compiling the code that every
- * request needs. Done before the server listens.
+ * Warms up the JVM before the server listens: sends simulated invocations through an admission
+ * controller that is discarded afterwards, so that the code of the request path is already linked
+ * and compiled when the first real request arrives. Otherwise that takes the first seconds.
  */
 final class WarmUp implements ServerActions {
     private static final Duration RUN_TIME = Duration.ofMillis(20);
     private static final Duration CALL_TIME = RUN_TIME.dividedBy(4);
     private static final Duration ARRIVAL_INTERVAL = RUN_TIME.dividedBy(5);
-    private static final Duration TIME_TO_FINISH = Duration.ofSeconds(1);
+    private static final Duration FINAL_WAIT = Duration.ofSeconds(1);
     private static final int CLIENTS = 4;
     private static final ResourceGauges GAUGES = new ResourceGauges(0.5, 1, 0.1, 1);
     private static final String REQUEST =
@@ -54,13 +54,17 @@
     /**
      * Creates a warm-up.
      *
-     * @param admission the controller, of no use afterwards
+     * @param admission the controller, which must not be used afterwards
      */
     WarmUp(AdmissionController admission) {
         this.admission = admission;
     }
 
-    /** Simulates so many invocations of each operation. */
+    /**
+     * Simulates invocations.
+     *
+     * @param rounds number of invocations of each operation
+     */
     void simulate(List<Operation> operations, int rounds) {
         admission.onStarted().execute(this);
         long id = 0;
@@ -72,7 +76,7 @@
                 advanceTo(now.plus(ARRIVAL_INTERVAL));
             }
         }
-        advanceTo(now.plus(TIME_TO_FINISH));
+        advanceTo(now.plus(FINAL_WAIT));
     }
 
     int finishedRuns() {
@@ -141,56 +145,56 @@
 
     @Override
     public void replayResult(InvocationId id, Function<RunOutcome, Action> onOutcome) {
-        // there are no retries
+        // the simulation has no retries
     }
 
     @Override
     public void throttle(InvocationId id, Duration retryAfter, boolean last) {
-        // nobody waits for an answer
+        // simulated clients read no answers
     }
 
     @Override
     public void fail(InvocationId id) {
-        // nobody waits for an answer
+        // simulated clients read no answers
     }
 
     @Override
     public void stopRun(InvocationId id) {
-        // runs end by themselves
+        // simulated runs always finish
     }
 
     @Override
     public void skipCall(InvocationId id) {
-        // all calls succeed
+        // simulated calls always succeed
     }
 
     @Override
     public void putIdempotencyEntry(InvocationId id, Duration window) {
-        // there are no retries
+        // the simulation has no retries
     }
 
     @Override
     public void removeIdempotencyEntry(InvocationId id) {
-        // there are no retries
+        // the simulation has no retries
     }
 
     @Override
     public void setHealth(boolean healthy, boolean stored) {
-        // nobody checks
+        // simulated invocations have no health checks
     }
 
     @Override
     public void advertiseCapacity(double value) {
-        // nobody is connected
+        // no gateway is connected
     }
 
     @Override
     public void setIdleTimeout(Duration timeout) {
-        // nobody is connected
+        // no gateway is connected
     }
 
     @Override
     public void logNote(String text) {
-        // not worth a line
+        // notes about simulated invocations are not logged
     }
 }
--- a/src/main/java/ochretiller/node/WorkerPools.java
+++ b/src/main/java/ochretiller/node/WorkerPools.java
@@ -4,38 +4,36 @@
 import ochretiller.execution.RunBackend;
 import ochretiller.model.Operation;
 
-/**
- * Port to the worker pools that run some operations in the processor's place. Event loop thread.
- */
+/** Worker pools that run some operations instead of the processor. Event loop thread. */
 interface WorkerPools {
-    /** Returns the pool that runs an operation, or empty where the processor runs it. */
+    /** Returns the name of the pool that runs an operation, or empty if the processor runs it. */
     Optional<String> poolOf(Operation operation);
 
-    /** Returns how many runs a pool may have at once with the workers that it has now. */
+    /** Returns how many concurrent runs a pool allows with its current workers. */
     int capacity(String pool);
 
-    /** Returns how many more runs a pool would accept now. */
+    /** Returns how many more runs a pool accepts now. */
     int freeSlots(String pool);
 
     /**
-     * Takes a slot for a run of a pooled operation until it is started or {@link
-     * #cancelReservation} is called.
+     * Reserves a slot for a run until the run starts or {@link #cancelReservation} is called. Does
+     * nothing if the processor runs the operation.
      */
     void reserveSlot(Operation operation);
 
-    /** Gives a reserved slot back. */
+    /** Releases a reserved slot. */
     void cancelReservation(Operation operation);
 
-    /** Returns what executes the runs of pooled operations. */
+    /** Returns the backend that executes runs of pooled operations. */
     RunBackend backend();
 
     /**
-     * Reads the pools of a changed configuration; the set of pools stays as it was. Any thread.
+     * Reads the pools of a changed configuration; the set of pools is fixed. Any thread.
      *
-     * @return what adopts them, to be run on the event loop thread
+     * @return a task that applies the change, to be run on the event loop thread
      * @throws ochretiller.settings.MalformedException if the pools do not fit the configuration
      */
-    Runnable prepareReload(ServerConfiguration next);
+    Runnable prepareReload(ServerConfiguration reloaded);
 
     /** Closes all connections to workers. */
     void close();
