--- a/src/main/java/ochretiller/metrics/Metrics.java
+++ b/src/main/java/ochretiller/metrics/Metrics.java
@@ -6,21 +6,21 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The registry of a server's metrics. Counting costs an addition whether or not metrics are
- * exported; an exporter reads {@link #all} on a thread of its own. Safe for use by several threads.
+ * Registry of a server's metrics. Counting an event costs one addition, whether or not metrics are
+ * exported; an exporter reads {@link #all} on its own thread. Safe for use by several threads.
  */
 public final class Metrics {
-    /** Bounded, since names are constants of the code and the operators' configuration. */
-    private final List<Figure> figures = new ArrayList<>();
+    /** Bounded, since names come only from constants and from the operators' configuration. */
+    private final List<Figure> metrics = new ArrayList<>();
 
     /**
      * One metric.
      *
-     * @param name lower case with underscores, with the unit if any; a counter's ends in {@code
-     *     _total}
-     * @param help what it measures, for people
-     * @param counts whether it is a counter, which only grows, or else a gauge
-     * @param current reads its value, on any thread
+     * @param name lower-case words joined by underscores, including the unit if any; the name of a
+     *     counter ends in {@code _total}
+     * @param help description for people
+     * @param counts whether it is a counter, which only grows; otherwise it is a gauge
+     * @param current returns the current value; called on any thread
      */
     public record Figure(String name, String help, boolean counts, DoubleSupplier current) {}
 
@@ -34,35 +34,35 @@
         }
 
         /** Counts several events. */
-        public void add(long more) {
-            sum.add(more);
+        public void add(long count) {
+            sum.add(count);
         }
 
-        /** How many events were counted. */
+        /** Returns the number of events counted so far. */
         public long value() {
             return sum.sum();
         }
     }
 
-    /** Registers a counter, whose name ends in {@code _total}. */
+    /** Registers and returns a counter; its name must end in {@code _total}. */
     public synchronized Counter counter(String name, String help) {
         Counter counter = new Counter();
-        figures.add(new Figure(name, help, true, counter::value));
+        metrics.add(new Figure(name, help, true, counter::value));
         return counter;
     }
 
-    /** Registers a counter whose value is kept elsewhere and read on any thread. */
+    /** Registers a counter whose value is read from a callback, on any thread. */
     public synchronized void counted(String name, String help, DoubleSupplier current) {
-        figures.add(new Figure(name, help, true, current));
+        metrics.add(new Figure(name, help, true, current));
     }
 
-    /** Registers a gauge, whose value is read on any thread. */
+    /** Registers a gauge whose value is read from a callback, on any thread. */
     public synchronized void gauge(String name, String help, DoubleSupplier current) {
-        figures.add(new Figure(name, help, false, current));
+        metrics.add(new Figure(name, help, false, current));
     }
 
-    /** All metrics, in the order of their registration. */
+    /** Returns a copy of all metrics, in the order of their registration. */
     public synchronized List<Figure> all() {
-        return List.copyOf(figures);
+        return List.copyOf(metrics);
     }
 }
--- a/src/main/java/ochretiller/metrics/MetricsFile.java
+++ b/src/main/java/ochretiller/metrics/MetricsFile.java
@@ -16,73 +16,73 @@
 import java.util.logging.Logger;
 
 /**
- * Writes all figures to a file again and again, in the text format that collectors of files read;
- * never half of it.
+ * Exports all metrics periodically to a file in the Prometheus text format, for file collectors.
+ * The file is replaced atomically, so readers never see a partial one.
  */
 public final class MetricsFile implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(MetricsFile.class.getName());
 
     private final Path file;
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final ScheduledExecutorService thread =
+    private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(
-                    work -> {
-                        Thread made = new Thread(work, "metrics");
-                        made.setDaemon(true);
-                        return made;
+                    task -> {
+                        Thread thread = new Thread(task, "metrics");
+                        thread.setDaemon(true);
+                        return thread;
                     });
-    private boolean failing;
+    private boolean lastWriteFailed;
 
     /**
-     * Figures that are named from here on are not told: it is made once the server is put together.
+     * Creates an exporter of the metrics that are registered now; later ones are not exported.
      */
     public MetricsFile(Metrics metrics, Path file) {
         this.file = file;
-        for (Metrics.Figure figure : metrics.all()) {
-            if (figure.counts()) {
+        for (Metrics.Figure metric : metrics.all()) {
+            if (metric.counts()) {
                 CounterWithCallback.builder()
-                        .name(figure.name())
-                        .help(figure.help())
-                        .callback(told -> told.call(figure.current().getAsDouble()))
+                        .name(metric.name())
+                        .help(metric.help())
+                        .callback(callback -> callback.call(metric.current().getAsDouble()))
                         .register(registry);
             } else {
                 GaugeWithCallback.builder()
-                        .name(figure.name())
-                        .help(figure.help())
-                        .callback(told -> told.call(figure.current().getAsDouble()))
+                        .name(metric.name())
+                        .help(metric.help())
+                        .callback(callback -> callback.call(metric.current().getAsDouble()))
                         .register(registry);
             }
         }
     }
 
-    public MetricsFile start(Duration every) {
-        thread.scheduleAtFixedRate(this::write, 0, every.toMillis(), TimeUnit.MILLISECONDS);
+    public MetricsFile start(Duration interval) {
+        executor.scheduleAtFixedRate(this::write, 0, interval.toMillis(), TimeUnit.MILLISECONDS);
         return this;
     }
 
     private void write() {
-        Path half = file.resolveSibling(file.getFileName() + ".tmp");
+        Path temporary = file.resolveSibling(file.getFileName() + ".tmp");
         try {
-            try (OutputStream out = Files.newOutputStream(half)) {
+            try (OutputStream out = Files.newOutputStream(temporary)) {
                 PrometheusTextFormatWriter.create().write(out, registry.scrape());
             }
             Files.move(
-                    half,
+                    temporary,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
-            failing = false;
+            lastWriteFailed = false;
         } catch (IOException | RuntimeException e) {
-            // One line for a row of failures: figures must not fill the log.
-            if (!failing) {
+            // Only the first of consecutive failures is logged, to keep the log short.
+            if (!lastWriteFailed) {
                 LOG.warning("cannot write the metrics to " + file + ": " + e.getMessage());
             }
-            failing = true;
+            lastWriteFailed = true;
         }
     }
 
     @Override
     public void close() {
-        thread.shutdown();
+        executor.shutdown();
     }
 }
--- a/src/main/java/ochretiller/metrics/package-info.java
+++ b/src/main/java/ochretiller/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One place for the figures that a server tells of itself; they are counted without locks and read
- * by another thread.
+ * Metrics of a server: counters and gauges that are updated without locks, and their export to a
+ * file on a thread of its own.
  */
 package ochretiller.metrics;
--- a/src/main/java/ochretiller/node/AdmissionClock.java
+++ b/src/main/java/ochretiller/node/AdmissionClock.java
@@ -4,8 +4,8 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The clock of admission decisions. It counts from the start of the processor, which may be older
- * or younger than this process, and otherwise advances with the event loop. Event loop thread only.
+ * The clock of the admission controller: event loop time, shifted to count from the start of the
+ * processor, which may be before or after the start of this process. Event loop thread only.
  */
 final class AdmissionClock {
     private final Scheduler scheduler;
@@ -14,7 +14,7 @@
     /**
      * Creates a clock.
      *
-     * @param processorAge how long ago the processor was started
+     * @param processorAge time since the start of the processor
      */
     AdmissionClock(Scheduler scheduler, Duration processorAge) {
         this.scheduler = scheduler;
@@ -25,7 +25,7 @@
         return toAdmissionTime(scheduler.now());
     }
 
-    /** Converts a time of the event loop into a time of this clock. */
+    /** Converts event loop time to the time of this clock. */
     Duration toAdmissionTime(Duration loopTime) {
         return loopTime.plus(offset);
     }
--- a/src/main/java/ochretiller/node/AuditTrail.java
+++ b/src/main/java/ochretiller/node/AuditTrail.java
@@ -5,27 +5,29 @@
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 
-/** Port to the record of what this server acted on and what came of it. Event loop thread. */
+/** Audit log of the versions that this server used and of its invocations. Event loop thread. */
 interface AuditTrail {
-    /** Starts to write. */
+    /** Starts writing to the log. */
     void start();
 
     /** Records that a run is about to start. */
     void recordRunStarted(RequestAttempt attempt);
 
-    /** Counts an answer. */
+    /** Counts an answer of the given kind for the current version. */
     void recordAnswer(RequestAttempt attempt, AnswerKind kind);
 
     /**
-     * Records what happened to a version of the fleet at this server.
+     * Records an event of a rollout on this server.
      *
+     * @param version number of the version
      * @param hash hash of the version's content, in hexadecimal
+     * @param text details of the event
      */
     void recordRolloutEvent(RolloutEvent event, long version, String hash, String text);
 
-    /** Returns the end of the hash chain on the disk, for other servers to witness. */
+    /** Returns the end of the hash chain on disk, which other servers record as witnesses. */
     ChainHead chainHead();
 
-    /** Ends the record and closes its files. */
+    /** Writes the final records and closes the log. */
     void close();
 }
--- a/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
+++ b/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
@@ -19,7 +19,8 @@
      *
      * @param operatorConfigSupplier reads the operators' file again
      */
-    ConfiguredWorkerPools(UwsgiRunBackend backend, Supplier<OperatorConfig> operatorConfigSupplier) {
+    ConfiguredWorkerPools(
+            UwsgiRunBackend backend, Supplier<OperatorConfig> operatorConfigSupplier) {
         this.backend = backend;
         this.operatorConfigSupplier = operatorConfigSupplier;
     }
--- a/src/main/java/ochretiller/node/DeferredWrites.java
+++ b/src/main/java/ochretiller/node/DeferredWrites.java
@@ -7,11 +7,11 @@
 import ochretiller.metrics.Metrics;
 
 /**
- * Writes that an unavailable disk has not taken, to be made once it is available again; the last
- * one for each idempotency key. Event loop thread only.
+ * Writes that failed and are to be repeated when the disk is available again; only the last one for
+ * each idempotency key. Event loop thread only.
  */
 final class DeferredWrites {
-    /** Each write holds a result, some 4 KiB at most. */
+    /** Bounds memory use: each write may hold a result of up to about 4 KiB. */
     private static final int MAX_WRITES = 1_000;
 
     private final Map<String, Runnable> writes = new LinkedHashMap<>();
@@ -20,13 +20,13 @@
     /**
      * Creates an empty list.
      *
-     * @param lostWrites counts writes for which there was no room
+     * @param lostWrites counts writes that were dropped because the list was full
      */
     DeferredWrites(Metrics.Counter lostWrites) {
         this.lostWrites = lostWrites;
     }
 
-    /** Defers a write. Without room for it the write is lost, and counted. */
+    /** Defers a write, replacing the previous one of its key. If the list is full, drops it. */
     void defer(String token, Runnable write) {
         if (writes.size() < MAX_WRITES || writes.containsKey(token)) {
             writes.put(token, write);
@@ -35,10 +35,10 @@
         }
     }
 
-    /** Makes all writes, in the order in which their keys were deferred first. */
+    /** Executes all writes, in the order in which their keys were first deferred. */
     void makeAll() {
-        List<Runnable> due = new ArrayList<>(writes.values());
+        List<Runnable> deferred = new ArrayList<>(writes.values());
         writes.clear();
-        due.forEach(Runnable::run);
+        deferred.forEach(Runnable::run);
     }
 }
--- a/src/main/java/ochretiller/node/FinishedRun.java
+++ b/src/main/java/ochretiller/node/FinishedRun.java
@@ -5,11 +5,12 @@
 import ochretiller.model.RunOutcome;
 
 /**
- * What became of a run whose marker is in the store.
+ * The outcome of a run whose marker is in the store.
  *
- * @param marker the marker
- * @param status what came of the run
- * @param result the result of a run that has succeeded; of no meaning otherwise
+ * @param marker the in-flight marker
+ * @param operation the operation that was run
+ * @param status how the run ended
+ * @param result the result of a successful run; ignored otherwise
  */
 record FinishedRun(
         IdempotencyRecord marker, Operation operation, RunOutcome.Status status, byte[] result) {}
--- a/src/main/java/ochretiller/node/FleetMembership.java
+++ b/src/main/java/ochretiller/node/FleetMembership.java
@@ -1,22 +1,19 @@
 package ochretiller.node;
 
-/**
- * Port to the fleet that this server may be a member of, as far as the life of the server is
- * concerned.
- */
+/** Lifecycle of this server's membership in a fleet. */
 interface FleetMembership {
     /** Joins the fleet. Any thread. */
     void start();
 
-    /** Reads the keys of the fleet again. Any thread. */
+    /** Reads the fleet's key file again. Any thread. */
     void reload();
 
     /**
-     * Tells the others that this server leaves; it still answers them until it is closed. Event
-     * loop thread.
+     * Announces to the other members that this server leaves. It answers them until {@link #close}.
+     * Event loop thread.
      */
     void leave();
 
-    /** Closes the sockets and files of the fleet. Event loop thread. */
+    /** Closes the fleet's sockets and files without a message to the members. Event loop thread. */
     void close();
 }
--- a/src/main/java/ochretiller/node/JoinedFleet.java
+++ b/src/main/java/ochretiller/node/JoinedFleet.java
@@ -2,7 +2,7 @@
 
 import ochretiller.fleet.service.FleetService;
 
-/** Membership in a fleet. */
+/** Fleet membership that delegates to a {@link FleetService}. */
 final class JoinedFleet implements FleetMembership {
     private final FleetService service;
 
--- a/src/main/java/ochretiller/node/NoAuditTrail.java
+++ b/src/main/java/ochretiller/node/NoAuditTrail.java
@@ -5,26 +5,26 @@
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 
-/** Keeps no audit. Stateless. */
+/** Audit trail of a server without an audit log: records nothing. Stateless. */
 class NoAuditTrail implements AuditTrail {
     @Override
     public void start() {
-        // nothing is kept
+        // nothing is recorded
     }
 
     @Override
     public void recordRunStarted(RequestAttempt attempt) {
-        // nothing is kept
+        // nothing is recorded
     }
 
     @Override
     public void recordAnswer(RequestAttempt attempt, AnswerKind kind) {
-        // nothing is kept
+        // nothing is recorded
     }
 
     @Override
     public void recordRolloutEvent(RolloutEvent event, long version, String hash, String text) {
-        // nothing is kept
+        // nothing is recorded
     }
 
     @Override
@@ -34,6 +34,6 @@
 
     @Override
     public void close() {
-        // nothing is kept
+        // nothing is recorded
     }
 }
--- a/src/main/java/ochretiller/node/NoFleet.java
+++ b/src/main/java/ochretiller/node/NoFleet.java
@@ -1,6 +1,6 @@
 package ochretiller.node;
 
-/** A server that is a member of no fleet. Stateless. */
+/** Fleet membership of a server without a fleet: does nothing. Stateless. */
 final class NoFleet implements FleetMembership {
     @Override
     public void start() {
--- a/src/main/java/ochretiller/node/NoRollout.java
+++ b/src/main/java/ochretiller/node/NoRollout.java
@@ -3,7 +3,7 @@
 import ochretiller.frontend.AnswerKind;
 import ochretiller.frontend.RequestAttempt;
 
-/** A server that acts on its own files alone: it has no versions and needs no lease. Stateless. */
+/** A server that takes part in no rollout: it has no versions and needs no lease. Stateless. */
 class NoRollout implements RolloutParticipation {
     @Override
     public void bindVersion(RequestAttempt attempt) {
--- a/src/main/java/ochretiller/node/NoWorkerPools.java
+++ b/src/main/java/ochretiller/node/NoWorkerPools.java
@@ -4,7 +4,7 @@
 import ochretiller.execution.RunBackend;
 import ochretiller.model.Operation;
 
-/** A server whose processor runs everything. Stateless. */
+/** Worker pools of a server whose processor runs all operations: there are none. Stateless. */
 final class NoWorkerPools implements WorkerPools {
     @Override
     public Optional<String> poolOf(Operation operation) {
@@ -23,12 +23,12 @@
 
     @Override
     public void reserveSlot(Operation operation) {
-        // the processor has no slots
+        // the processor needs no reservation
     }
 
     @Override
     public void cancelReservation(Operation operation) {
-        // the processor has no slots
+        // the processor needs no reservation
     }
 
     @Override
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public Runnable prepareReload(ServerConfiguration next) {
+    public Runnable prepareReload(ServerConfiguration reloaded) {
         return () -> {};
     }
 
--- a/src/main/java/ochretiller/node/NodeSettings.java
+++ b/src/main/java/ochretiller/node/NodeSettings.java
@@ -7,13 +7,13 @@
 import ochretiller.store.StorageDirectory;
 
 /**
- * What a server is started with.
+ * The settings with which a server starts.
  *
- * @param configFile the configuration, which is read again on reload
- * @param configuration what it had at the start
- * @param operator what the operators have switched on
+ * @param configFile the configuration file, which is read again at each reload
+ * @param configuration content of the configuration file at startup
+ * @param operator content of the operators' file at startup, or {@code OperatorConfig.NONE}
  * @param operatorReload reads the operators' file again
- * @param storage where idempotency records are stored; present if the operators ask for them
+ * @param storage directory for idempotency records; present if their storage is configured
  */
 record NodeSettings(
         Path configFile,
--- a/src/main/java/ochretiller/node/ReloadSignal.java
+++ b/src/main/java/ochretiller/node/ReloadSignal.java
@@ -12,8 +12,8 @@
     private ReloadSignal() {}
 
     /**
-     * Runs {@code action} at each SIGHUP, on a thread of the JDK. The JDK's unsupported signal types
-     * are loaded by name, since the compiler warns about each direct use.
+     * Runs {@code action} at each SIGHUP, on a thread of the JDK. The JDK's unsupported signal
+     * types are loaded by name, since the compiler warns about each direct use.
      */
     public static void onHangup(Runnable action) {
         try {
@@ -24,7 +24,7 @@
                     signalType
                             .getMethod(HANDLER_METHOD, signalType, handlerType)
                             .invoke(null, signal, handler(handlerType, action));
-            // If the parent process ignores SIGHUP, the JVM returns SIG_IGN and installs no handler.
+            // If the parent process ignores SIGHUP, the JVM returns SIG_IGN and installs nothing.
             if (previous == handlerType.getField("SIG_IGN").get(null)) {
                 LOG.warning(
                         "SIGHUP is ignored by whoever started this server: it takes no new"
--- a/src/main/java/ochretiller/node/RequestHandler.java
+++ b/src/main/java/ochretiller/node/RequestHandler.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 import ochretiller.frontend.RequestAttempt;
 
-/** Handles requests of clients, before or after the processor is available. Event loop thread. */
+/** Handles client requests, before or after the processor is available. Event loop thread. */
 interface RequestHandler {
-    /** A request was read. */
+    /** Handles a request that was just read. */
     void onRequestRead(RequestAttempt attempt);
 
-    /** The client of a request that is not answered is gone. */
+    /** Handles the disconnect of a client whose request was not answered. */
     void onClientGone(RequestAttempt attempt);
 
     /**
-     * The server is to shut down.
+     * Handles the notice that the server will shut down.
      *
      * @param killAfter time until the process is killed
      */
--- a/src/main/java/ochretiller/node/ResultReplayer.java
+++ b/src/main/java/ochretiller/node/ResultReplayer.java
@@ -36,7 +36,7 @@
      * @param onOutcome receives the outcome once, never before this method has returned
      */
     void replay(RequestAttempt retry, Consumer<RunOutcome> onOutcome) {
-        // Looked up by key, since an attempt that did run may have replaced a keyed original.
+        // By key: if a keyed original never ran, another attempt may have become the original.
         Optional<InvocationId> original =
                 retry.token == null ? attempts.originalOf(retry) : cache.findByToken(retry.token);
         Optional<InvocationId> matching =
--- a/src/main/java/ochretiller/node/RunState.java
+++ b/src/main/java/ochretiller/node/RunState.java
@@ -1,23 +1,23 @@
 package ochretiller.node;
 
-/** How far a run has come between its admission and the answer to its client. */
+/** States of a run between its admission and the answer to its client. */
 enum RunState {
-    /** Admission has decided that it runs. */
+    /** The admission controller has admitted it. */
     ADMITTED,
-    /** It waits until the fleet has granted the claim on its idempotency key. */
+    /** It waits for the fleet's decision on the claim to its idempotency key. */
     CLAIMING,
     /** It waits until its in-flight marker is durable. */
     WRITING_MARKER,
     /** A backend executes it. */
     EXECUTING,
-    /** It has ended; the answer waits until the outcome is stored where retries look for it. */
+    /** It has finished; the answer waits until the outcome is stored for retries. */
     STORING_OUTCOME,
-    /** Its client has the answer. */
+    /** Its answer was sent to the client. */
     ANSWERED,
     /** It was abandoned before it reached a backend. */
     NOT_DISPATCHED;
 
-    /** Returns whether a run may come from {@code previous} into this state. */
+    /** Returns whether a run may enter this state from {@code previous}. */
     boolean canFollow(RunState previous) {
         return switch (this) {
             case ADMITTED -> false;
--- a/src/main/java/ochretiller/node/ServerNodeBuilder.java
+++ b/src/main/java/ochretiller/node/ServerNodeBuilder.java
@@ -50,6 +50,7 @@
         ServerConfiguration configuration = ServerConfiguration.read(configFile);
         configuration.checkJvmSize(Integer.getInteger("ochretiller.sizedForMb"));
         return new ServerNode(
-                new NodeSettings(configFile, configuration, operator, operatorConfigSupplier, storage));
+                new NodeSettings(
+                        configFile, configuration, operator, operatorConfigSupplier, storage));
     }
 }
--- a/src/main/java/ochretiller/node/ServerResources.java
+++ b/src/main/java/ochretiller/node/ServerResources.java
@@ -8,12 +8,12 @@
 import ochretiller.records.RecordsClient;
 
 /**
- * What every server has, whatever its operators have switched on.
+ * The components that every server has, independent of the enabled features.
  *
  * @param scheduler the event loop
  * @param network all sockets
- * @param connections the connections of clients, over all frontends
- * @param health what health checks are answered with
+ * @param connections the client connections of all frontends
+ * @param health the state that health checks report
  * @param processor the connection to the processor
  * @param records the connections to the records service
  */
--- a/src/main/java/ochretiller/node/StoredResults.java
+++ b/src/main/java/ochretiller/node/StoredResults.java
@@ -8,8 +8,8 @@
 import ochretiller.store.Store;
 
 /**
- * Encodes and reads results as values of the store: a format byte, which is 0, and the result. Event
- * loop thread only.
+ * Encodes and reads results as values of the store: a format byte, which is 0, and the result.
+ * Event loop thread only.
  */
 final class StoredResults {
     private static final int HEADER_BYTES = 1;
--- a/src/main/java/ochretiller/node/UnsharedRunClaims.java
+++ b/src/main/java/ochretiller/node/UnsharedRunClaims.java
@@ -5,8 +5,8 @@
 import ochretiller.model.RunOutcome;
 
 /**
- * Claims of a server that shares its idempotency keys with no other: each is granted at once.
- * Stateless.
+ * Claims of a server that shares its idempotency keys with no other server: each claim is granted
+ * at once. Stateless.
  */
 final class UnsharedRunClaims implements RunClaims {
     @Override
@@ -16,7 +16,7 @@
 
     @Override
     public void release(RequestAttempt attempt) {
-        // there is no claim
+        // there are no claims to release
     }
 
     @Override
--- a/src/main/java/ochretiller/node/WallClock.java
+++ b/src/main/java/ochretiller/node/WallClock.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import ochretiller.net.Scheduler;
 
-/** Unix time, and its conversion into event loop time. Any thread. */
+/** Wall clock in Unix time, with conversion to event loop time. Any thread. */
 final class WallClock {
     private final Scheduler scheduler;
     private final long errorMillis;
@@ -11,21 +11,21 @@
     /**
      * Creates a clock.
      *
-     * @param error how far the clock is set wrong on purpose, in drills; else zero
+     * @param error deliberate clock error in drills; zero otherwise
      */
     WallClock(Scheduler scheduler, Duration error) {
         this.scheduler = scheduler;
         this.errorMillis = error.toMillis();
     }
 
-    /** Returns the milliseconds since the Unix epoch. */
+    /** Returns the milliseconds since the Unix epoch, including the configured error. */
     long unixMillis() {
         return System.currentTimeMillis() + errorMillis;
     }
 
     /**
-     * Returns a Unix time as event loop time; a time in the future counts as now, in case a clock
-     * was set back.
+     * Converts a Unix time to event loop time. A future time, which occurs when a clock was set
+     * back, is converted to the current time.
      */
     Duration toLoopTime(long unixMillis) {
         return scheduler.now().minusMillis(Math.max(0, unixMillis() - unixMillis));
--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -14,43 +14,45 @@
 import ochretiller.store.StorageFile;
 
 /**
- * The packaged server on a disk that ends the process at a scripted operation, as SIGKILL would:
- * {@code WHAT:N} is the Nth of {@code before-write}, {@code after-write}, {@code after-force} of
- * records, of {@code create}, {@code rename} or {@code truncate}.
+ * The packaged server on a disk that kills the process, as SIGKILL would, at a given operation. The
+ * first argument is {@code POINT:N}, for the Nth time that the point is reached: {@code
+ * before-write}, {@code after-write} or {@code after-force} of records, or {@code create}, {@code
+ * rename} or {@code truncate} of files. The other arguments are the paths of the configuration and
+ * of the operators' file.
  */
 final class CrashingServer {
-    private static final int SEGMENT_HEADER = 72;
+    private static final int SEGMENT_HEADER_BYTES = 72;
 
     private CrashingServer() {}
 
-    public static void main(String[] words) throws Exception {
+    public static void main(String[] args) throws Exception {
         LoggingSetup.install();
-        OperatorConfig operator = OperatorConfigReader.read(Path.of(words[2]));
-        String[] point = words[0].split(":");
+        OperatorConfig operator = OperatorConfigReader.read(Path.of(args[2]));
+        String[] point = args[0].split(":");
         StorageDirectory directory = new LocalDirectory(operator.remember().orElseThrow().folder());
         ServerNode node =
-                ServerNode.builder(Path.of(words[1]))
+                ServerNode.builder(Path.of(args[1]))
                         .operator(operator)
-                        .storage(new Crashing(directory, point[0], Integer.parseInt(point[1])))
+                        .storage(new CrashingDirectory(directory, point[0], Integer.parseInt(point[1])))
                         .build();
         node.prepare();
         node.listen();
         node.run();
     }
 
-    private static final class Crashing implements StorageDirectory {
+    private static final class CrashingDirectory implements StorageDirectory {
         private final StorageDirectory disk;
-        private final String point;
-        private int left;
+        private final String crashPoint;
+        private int remaining;
 
-        Crashing(StorageDirectory disk, String point, int left) {
+        CrashingDirectory(StorageDirectory disk, String crashPoint, int remaining) {
             this.disk = disk;
-            this.point = point;
-            this.left = left;
+            this.crashPoint = crashPoint;
+            this.remaining = remaining;
         }
 
-        private void at(String operation) {
-            if (operation.equals(point) && --left == 0) {
+        private void crashIfDue(String operation) {
+            if (operation.equals(crashPoint) && --remaining == 0) {
                 Runtime.getRuntime().halt(137);
             }
         }
@@ -67,14 +69,14 @@
 
         @Override
         public StorageFile open(String name) throws IOException {
-            return new Watched(disk.open(name));
+            return new CrashingFile(disk.open(name));
         }
 
         @Override
         public StorageFile create(String name) throws IOException {
-            StorageFile made = new Watched(disk.create(name));
-            at("create");
-            return made;
+            StorageFile created = new CrashingFile(disk.create(name));
+            crashIfDue("create");
+            return created;
         }
 
         @Override
@@ -84,7 +86,7 @@
 
         @Override
         public void rename(String from, String to) throws IOException {
-            at("rename");
+            crashIfDue("rename");
             disk.rename(from, to);
         }
 
@@ -93,37 +95,37 @@
             disk.forceDirectory();
         }
 
-        private final class Watched implements StorageFile {
+        private final class CrashingFile implements StorageFile {
             private final StorageFile file;
-            private boolean records;
+            private boolean hasWrittenRecords;
 
-            Watched(StorageFile file) {
+            CrashingFile(StorageFile file) {
                 this.file = file;
             }
 
             @Override
-            public void write(ByteBuffer bytes, long at) throws IOException {
-                records = at >= SEGMENT_HEADER;
-                if (records) {
-                    at("before-write");
+            public void write(ByteBuffer bytes, long position) throws IOException {
+                hasWrittenRecords = position >= SEGMENT_HEADER_BYTES;
+                if (hasWrittenRecords) {
+                    crashIfDue("before-write");
                 }
-                file.write(bytes, at);
-                if (records) {
-                    at("after-write");
+                file.write(bytes, position);
+                if (hasWrittenRecords) {
+                    crashIfDue("after-write");
                 }
             }
 
             @Override
             public void force() throws IOException {
                 file.force();
-                if (records) {
-                    at("after-force");
+                if (hasWrittenRecords) {
+                    crashIfDue("after-force");
                 }
             }
 
             @Override
-            public int read(ByteBuffer into, long at) throws IOException {
-                return file.read(into, at);
+            public int read(ByteBuffer into, long position) throws IOException {
+                return file.read(into, position);
             }
 
             @Override
@@ -134,7 +136,7 @@
             @Override
             public void truncate(long size) throws IOException {
                 file.truncate(size);
-                at("truncate");
+                crashIfDue("truncate");
             }
 
             @Override
--- a/src/test/java/ochretiller/ManualEventLoop.java
+++ b/src/test/java/ochretiller/ManualEventLoop.java
@@ -8,19 +8,19 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The one thread's work in the hands of a test: nothing of it is done, and no time passes, until
- * the test says so.
+ * An event loop that a test drives by hand: no task runs and no time passes until the test calls one
+ * of the methods for it. Tasks may be posted on any thread.
  */
 public final class ManualEventLoop implements Scheduler {
-    private static final long LONGEST_S = 10;
+    private static final long MAX_WAIT_S = 10;
 
     private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::number));
+            new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
     private volatile Duration now = Duration.ofSeconds(100);
-    private long numbers;
+    private long lastSequence;
 
-    private record Timer(Duration at, long number, Runnable work) {}
+    private record Timer(Duration dueAt, long sequence, Runnable work) {}
 
     @Override
     public Duration now() {
@@ -34,47 +34,48 @@
 
     @Override
     public void after(Duration span, Runnable work) {
-        timers.add(new Timer(now.plus(span), ++numbers, work));
+        timers.add(new Timer(now.plus(span), ++lastSequence, work));
     }
 
-    /** Waits until so many pieces of work stand ready, and does none of them. */
-    public void await(int pieces) throws InterruptedException {
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S);
-                posted.size() < pieces;
+    /** Waits until at least this many tasks are posted, without running them. */
+    public void await(int count) throws InterruptedException {
+        for (long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
+                posted.size() < count;
                 Thread.onSpinWait()) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError(posted.size() + " pieces of work, not " + pieces);
+            if (System.nanoTime() > deadline) {
+                throw new AssertionError(
+                        "only " + posted.size() + " of " + count + " expected tasks were posted");
             }
         }
     }
 
-    /** Waits for the next piece of work and does it. */
+    /** Waits for the next posted task and runs it. */
     public void one() throws InterruptedException {
-        Runnable work = posted.poll(LONGEST_S, TimeUnit.SECONDS);
+        Runnable work = posted.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         if (work == null) {
-            throw new AssertionError("no work came");
+            throw new AssertionError("no task was posted within " + MAX_WAIT_S + " s");
         }
         work.run();
     }
 
-    /** Does what stands ready. */
+    /** Runs all posted tasks, including those posted meanwhile. */
     public void all() {
         for (Runnable work = posted.poll(); work != null; work = posted.poll()) {
             work.run();
         }
     }
 
-    /** Lets time pass, with the timers that fall due in it; what stands ready is not done. */
+    /** Advances the time and runs the timers that fall due, but no posted tasks. */
     public void due(Duration span) {
         Duration end = now.plus(span);
-        while (!timers.isEmpty() && timers.peek().at.compareTo(end) <= 0) {
-            now = timers.peek().at;
+        while (!timers.isEmpty() && timers.peek().dueAt.compareTo(end) <= 0) {
+            now = timers.peek().dueAt;
             timers.poll().work.run();
         }
         now = end;
     }
 
-    /** Does what stands ready, and lets time pass. */
+    /** Advances the time and runs all due timers, and the posted tasks before and after them. */
     public void pass(Duration span) {
         all();
         due(span);
--- a/src/test/java/ochretiller/node/AttemptFixture.java
+++ b/src/test/java/ochretiller/node/AttemptFixture.java
@@ -20,7 +20,7 @@
 import ochretiller.net.Connection;
 import ochretiller.net.Network;
 
-/** One connected client whose requests a test makes up, and a list of what happens to them. */
+/** One connected client whose requests a test creates, and a list of the answers it gets. */
 final class AttemptFixture implements AutoCloseable {
     static final Duration SECOND = Duration.ofSeconds(1);
     static final Operation READ =
@@ -56,9 +56,9 @@
     private final BlockingQueue<Client> accepted = new LinkedBlockingQueue<>();
     private final Socket socket;
     private final Client client;
-    private long requests;
+    private long requestCount;
 
-    /** Writes the answers that it gets to the list of events. */
+    /** Adds each answer to the list of events. */
     private final class Client extends ClientConnection {
         Client(Connection connection) {
             super(connection, connections);
@@ -96,30 +96,30 @@
                         attempt -> {},
                         attempt -> {});
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket unusedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = unusedPort.getLocalPort();
         }
         network.listen(
                 "test",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 connection -> {
-                    Client made = new Client(connection);
-                    connections.accepted(made);
-                    accepted.add(made);
-                    return made;
+                    Client newClient = new Client(connection);
+                    connections.accepted(newClient);
+                    accepted.add(newClient);
+                    return newClient;
                 });
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         client = accepted.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         loop.all();
     }
 
-    /** Reads a request; a keyed one has a token. */
+    /** Opens a request of the client; that of a keyed operation has a token. */
     RequestAttempt read(Operation operation, String body) {
-        requests++;
+        requestCount++;
         RequestAttempt attempt =
                 new RequestAttempt(
                         connections.nextId(),
-                        "rid" + requests,
+                        "rid" + requestCount,
                         operation,
                         1,
                         1,
@@ -129,7 +129,7 @@
                         null,
                         body.getBytes(),
                         client,
-                        requests);
+                        requestCount);
         connections.opened(attempt);
         return attempt;
     }
--- a/src/test/java/ochretiller/node/AuditRecorderTest.java
+++ b/src/test/java/ochretiller/node/AuditRecorderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What happens to a version is kept under the number that the audit's files have for it. */
+/** Guards the event numbers in audit files, which must stay the same across releases. */
 class AuditRecorderTest {
     private static final List<RolloutEvent> EVENTS =
             List.of(
@@ -28,26 +28,27 @@
                     RolloutEvent.WITNESSED);
     @TempDir private Path folder;
 
-    private Stream<Integer> kinds() throws Exception {
+    private Stream<Integer> recordedKinds() throws Exception {
         return AuditLogReader.read(folder, List.of()).decodedRecords().stream()
                 .filter(AuditEvent.class::isInstance)
-                .map(entry -> ((AuditEvent) entry).kind().ordinal());
+                .map(record -> ((AuditEvent) record).kind().ordinal());
     }
 
     @Test
-    void eachEventHasItsNumberInTheFile() throws Exception {
-        OperatorConfig.Audit told =
+    void rolloutEventsAreRecordedUnderTheirNumbers() throws Exception {
+        OperatorConfig.Audit settings =
                 new OperatorConfig.Audit(folder, Duration.ofMinutes(1), 1 << 20, true);
-        AuditRecorder auditor =
-                new AuditRecorder(new ManualEventLoop(), told, "n1", () -> 1_000, new Metrics());
-        auditor.start();
-        for (RolloutEvent what : EVENTS) {
-            auditor.recordRolloutEvent(what, 1, "", "");
+        AuditRecorder recorder =
+                new AuditRecorder(
+                        new ManualEventLoop(), settings, "n1", () -> 1_000, new Metrics());
+        recorder.start();
+        for (RolloutEvent event : EVENTS) {
+            recorder.recordRolloutEvent(event, 1, "", "");
         }
-        auditor.close();
+        recorder.close();
         assertThat(EVENTS).containsExactlyInAnyOrder(RolloutEvent.values());
-        assertThat(kinds())
-                .as("started, the events in their order, ended")
+        assertThat(recordedKinds())
+                .as("start, then the events in their order, then stop")
                 .containsExactly(0, 1, 2, 3, 4, 5, 6, 9, 8);
     }
 }
--- a/src/test/java/ochretiller/node/InvocationExecutorTest.java
+++ b/src/test/java/ochretiller/node/InvocationExecutorTest.java
@@ -22,10 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * The steps of a run from its admission to its answer, each in its place whatever becomes of the
- * one before.
- */
+/** Checks the order of the steps of a run, including after each step that fails. */
 class InvocationExecutorTest {
     private static final byte[] RESULT = "done".getBytes();
 
@@ -98,7 +95,7 @@
     }
 
     @Test
-    void answerWaitsForDiskAndFleetAndTheOutcomeIsReportedBefore() {
+    void outcomeIsReportedAtOnceAndAnswerWaitsForDiskAndFleet() {
         RequestAttempt attempt = startOrder();
         finishRun(Status.SUCCEEDED);
         assertThat(events)
@@ -113,7 +110,7 @@
     }
 
     @Test
-    void resultThatTheFleetCannotStoreIsNotReportedAsASuccess() {
+    void resultThatTheFleetCannotStoreIsAnsweredWithAnError() {
         startOrder();
         finishRun(Status.SUCCEEDED);
         claims.onStored.accept(false);
@@ -133,7 +130,7 @@
     }
 
     @Test
-    void deniedClaimEndsARunBeforeItIsMarked() {
+    void deniedClaimAbandonsTheRunBeforeItIsMarked() {
         RequestAttempt attempt = execute(ORDER);
         claims.listener.onClaimDenied();
         assertThat(events).containsExactly("reserve", "claim", "cancel", "outcome NOT_DISPATCHED");
@@ -150,11 +147,11 @@
     }
 
     @Test
-    void leaseThatIsLostWhileTheMarkerIsWrittenTakesMarkerAndClaimBack() {
+    void leaseLostDuringMarkerWriteRemovesMarkerAndReleasesClaim() {
         execute(ORDER);
         claims.listener.onClaimGranted();
         events.clear();
-        rollout.leaseHeld = false;
+        rollout.hasLease = false;
         store.listener.onMarkerDurable();
         assertThat(events)
                 .containsExactly(
@@ -162,8 +159,8 @@
     }
 
     @Test
-    void withoutALeaseNothingIsClaimedAndTheOutcomeComesLater() {
-        rollout.leaseHeld = false;
+    void invocationWithoutLeaseIsNotClaimedAndItsOutcomeIsPosted() {
+        rollout.hasLease = false;
         execute(ORDER);
         assertThat(events).containsExactly("reserve");
         fixture.loop.all();
@@ -171,7 +168,7 @@
     }
 
     @Test
-    void stepThatComesTwiceIsAFault() {
+    void repeatedStepThrowsIllegalStateException() {
         startOrder();
         assertThatThrownBy(() -> store.listener.onMarkerDurable())
                 .isInstanceOf(IllegalStateException.class)
@@ -232,15 +229,15 @@
     }
 
     private static final class FakeRollout extends NoRollout {
-        private boolean leaseHeld = true;
+        private boolean hasLease = true;
 
         @Override
         public boolean mayRun(RequestAttempt attempt) {
-            return leaseHeld;
+            return hasLease;
         }
     }
 
-    /** All operations are in one pool, so that the processor is never asked. */
+    /** Runs all operations in one pool, so that the processor is never used. */
     private final class FakePools implements WorkerPools, RunBackend {
         private RunListener listener;
 
@@ -275,7 +272,7 @@
         }
 
         @Override
-        public Runnable prepareReload(ServerConfiguration next) {
+        public Runnable prepareReload(ServerConfiguration reloaded) {
             throw new UnsupportedOperationException();
         }
 
--- a/src/test/java/ochretiller/node/WarmUpTest.java
+++ b/src/test/java/ochretiller/node/WarmUpTest.java
@@ -14,7 +14,7 @@
     private static final Duration SECOND = Duration.ofSeconds(1);
 
     @Test
-    void madeUpInvocationsRunCallAndEnd() {
+    void simulatedInvocationsRunAndFinish() {
         AdmissionController admission =
                 AdmissionController.builder()
                         .cores(2)
@@ -46,7 +46,7 @@
                         new Operation(
                                 "order", SideEffect.KEYED, SECOND, SECOND, 3, 0, SECOND, true, 0)),
                 100);
-        assertThat(warmUp.finishedRuns())
-                .isGreaterThan(150); // most are worked off, so that the way of each is well trodden
+        // Most of the 200 invocations must run, so that the code of each step is compiled.
+        assertThat(warmUp.finishedRuns()).isGreaterThan(150);
     }
 }
