--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -33,7 +33,9 @@
         ServerNode node =
                 ServerNode.builder(Path.of(args[1]))
                         .operator(operator)
-                        .storage(new CrashingDirectory(directory, point[0], Integer.parseInt(point[1])))
+                        .storage(
+                                new CrashingDirectory(
+                                        directory, point[0], Integer.parseInt(point[1])))
                         .build();
         node.prepare();
         node.listen();
--- a/src/test/java/ochretiller/DegradedDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A server in this process, over sockets, on a disk that stalls, fills and fails by script. */
+/** Runs a server in this process, over sockets, on a disk that stalls, fills up or fails. */
 class DegradedDiskTest {
     private static final OperatorConfig.Remember REMEMBER =
             new OperatorConfig.Remember(
@@ -45,41 +45,41 @@
     @TempDir private Path folder;
     private VolatileDirectory disk = new VolatileDirectory();
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
-    private CountDownLatch linked;
-    private FakeServices outside;
+    private CountDownLatch processorConnected;
+    private FakeServices services;
     private ServerNode node;
     private FakeConnection gateway;
-    private int rids;
+    private int lastRid;
 
     private void start() throws Exception {
-        linked = new CountDownLatch(1);
-        outside =
+        processorConnected = new CountDownLatch(1);
+        services =
                 new FakeServices(
                         "127.0.0.1",
                         new int[3],
                         line -> {
                             if (line.equals("usage fence")) {
-                                linked.countDown();
+                                processorConnected.countDown();
                             }
                         },
                         report -> {});
-        outside.runs =
+        services.runs =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
-                    outside.complete(rid, "result of " + body);
+                    services.complete(rid, "result of " + body);
                 };
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket unusedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = unusedPort.getLocalPort();
         }
         Path config =
                 Files.writeString(
                         folder.resolve("config.json"),
                         GatewayMessages.config(
                                         port,
-                                        outside.processorPort(),
-                                        outside.recordsPort(),
-                                        outside.rosterPort())
+                                        services.processorPort(),
+                                        services.recordsPort(),
+                                        services.rosterPort())
                                 .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
         OperatorConfig operator =
                 new OperatorConfig(
@@ -97,32 +97,32 @@
         Thread loop = new Thread(node::run, "loop");
         loop.setDaemon(true);
         loop.start();
-        assertThat(linked.await(10, TimeUnit.SECONDS)).isTrue();
+        assertThat(processorConnected.await(10, TimeUnit.SECONDS)).isTrue();
         gateway = new FakeConnection(new Socket("127.0.0.1", port));
     }
 
     @AfterEach
     void stop() throws Exception {
-        disk.fault = (operation, name) -> {};
+        disk.fault = (diskOperation, name) -> {};
         gateway.close();
         node.drain();
-        outside.close();
+        services.close();
         assertThat(runs.values()).as("runs of each request").allMatch(count -> count == 1);
     }
 
-    private String ask(int token, String body) throws Exception {
-        String rid = String.format("%016x", ++rids);
+    private String order(int token, String body) throws Exception {
+        String rid = String.format("%016x", ++lastRid);
         gateway.send(
                 message(
-                        rids,
+                        lastRid,
                         "order",
                         GatewayMessages.params(rid, String.format("%032x", token), body)));
         return gateway.line();
     }
 
     private String read() throws Exception {
-        String rid = String.format("%016x", ++rids);
-        gateway.send(message(rids, "read", GatewayMessages.params(rid, null, "read " + rid)));
+        String rid = String.format("%016x", ++lastRid);
+        gateway.send(message(lastRid, "read", GatewayMessages.params(rid, null, "read " + rid)));
         return gateway.line();
     }
 
@@ -130,15 +130,12 @@
         return "\"result\":{\"data\":\"" + GatewayMessages.base64("result of " + body) + "\"";
     }
 
-    /**
-     * Asks until it is no longer throttled; a time-out of the socket ends it where that never
-     * comes.
-     */
-    private String askUntilServed(int token, String body) throws Exception {
-        String answer = ask(token, body);
-        for (int tries = 0; answer.contains("-32014") && tries < 200; tries++) {
-            Thread.sleep(20); // as a client does that heeds the word when to return
-            answer = ask(token, body);
+    /** Repeats an order, at most 200 times, until it is not throttled any more. */
+    private String orderUntilServed(int token, String body) throws Exception {
+        String answer = order(token, body);
+        for (int retries = 0; answer.contains("-32014") && retries < 200; retries++) {
+            Thread.sleep(20); // a client that honours the backoff waits too
+            answer = order(token, body);
         }
         return answer;
     }
@@ -149,143 +146,143 @@
         "write,No space left on device",
         "write,Read-only file system"
     })
-    void keyedWorkIsThrottledUnrunAndOtherWorkGoesOnUntilTheDiskIsWell(
+    void onlyKeyedInvocationsAreThrottledWithoutRunWhileTheDiskFails(
             String operation, String message) throws Exception {
         start();
-        assertThat(ask(1, "before")).contains(result("before"));
+        assertThat(order(1, "before")).contains(result("before"));
         disk.fault =
-                (what, name) -> {
-                    if (what.equals(operation) || what.equals("create")) {
+                (diskOperation, name) -> {
+                    if (diskOperation.equals(operation) || diskOperation.equals("create")) {
                         throw new java.io.IOException(message);
                     }
                 };
         for (int i = 0; i < 5; i++) {
-            assertThat(ask(2, "meanwhile")).contains("-32014").contains("\"backoff\":");
+            assertThat(order(2, "meanwhile")).contains("-32014").contains("\"backoff\":");
             assertThat(read()).contains("\"result\"");
-            assertThat(ask(1, "before"))
-                    .contains(result("before")); // a repeat needs nothing of the disk
+            assertThat(order(1, "before"))
+                    .contains(result("before")); // a retry needs no write
         }
         assertThat(runs).doesNotContainKey("meanwhile");
-        disk.fault = (what, name) -> {};
-        assertThat(askUntilServed(2, "meanwhile")).contains(result("meanwhile"));
-        assertThat(ask(2, "meanwhile")).contains(result("meanwhile"));
+        disk.fault = (diskOperation, name) -> {};
+        assertThat(orderUntilServed(2, "meanwhile")).contains(result("meanwhile"));
+        assertThat(order(2, "meanwhile")).contains(result("meanwhile"));
     }
 
     @Test
-    void markThatStallsIsGivenUpUnrunAndItsLateRecordStopsNoRepeat() throws Exception {
+    void stalledMarkerWriteThrottlesWithoutRunAndLateMarkerBlocksNoRetry() throws Exception {
         start();
-        ask(1, "before");
-        CountDownLatch go = new CountDownLatch(1);
-        disk.fault = VolatileDirectory.stalling("force", go);
-        long began = System.nanoTime();
-        assertThat(ask(2, "slow")).contains("-32014").contains("\"backoff\":");
-        assertThat(System.nanoTime() - began)
-                .isLessThan(2_000_000_000L); // its client waits for four seconds
-        assertThat(ask(3, "behind")).as("stalled by now").contains("-32014");
+        order(1, "before");
+        CountDownLatch released = new CountDownLatch(1);
+        disk.fault = VolatileDirectory.stalling("force", released);
+        long startNanos = System.nanoTime();
+        assertThat(order(2, "slow")).contains("-32014").contains("\"backoff\":");
+        assertThat(System.nanoTime() - startNanos)
+                .isLessThan(2_000_000_000L); // well before the client timeout of 4 s
+        assertThat(order(3, "behind")).as("while the disk is stalled").contains("-32014");
         assertThat(read()).contains("\"result\"");
-        disk.fault = (what, name) -> {};
-        go.countDown();
-        assertThat(askUntilServed(2, "slow")).contains(result("slow"));
-        assertThat(askUntilServed(3, "behind")).contains(result("behind"));
+        disk.fault = (diskOperation, name) -> {};
+        released.countDown();
+        assertThat(orderUntilServed(2, "slow")).contains(result("slow"));
+        assertThat(orderUntilServed(3, "behind")).contains(result("behind"));
     }
 
     @Test
-    void answerLeavesOnTimeThoughItsResultIsNotDurableAndTheMarkStands() throws Exception {
+    void answerIsSentInTimeBeforeItsResultIsDurableAndTheMarkerRemains() throws Exception {
         start();
-        CountDownLatch go = new CountDownLatch(1);
-        outside.runs =
+        CountDownLatch released = new CountDownLatch(1);
+        services.runs =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     disk.fault =
                             VolatileDirectory.stalling(
                                     "force",
-                                    go); // the mark is durable, and nothing behind it will be
-                    outside.complete(rid, "result of " + body);
+                                    released); // the marker is durable, later writes are not
+                    services.complete(rid, "result of " + body);
                 };
-        assertThat(ask(1, "run")).contains(result("run"));
-        assertThat(ask(1, "run")).contains(result("run"));
-        VolatileDirectory left = disk.afterPowerLoss(new java.util.SplittableRandom(4));
-        go.countDown();
+        assertThat(order(1, "run")).contains(result("run"));
+        assertThat(order(1, "run")).contains(result("run"));
+        VolatileDirectory survivor = disk.afterPowerLoss(new java.util.SplittableRandom(4));
+        released.countDown();
         gateway.close();
         node.drain();
-        outside.close();
-        disk = left;
+        services.close();
+        disk = survivor;
         start();
-        assertThat(ask(1, "run")).containsAnyOf(result("run"), "-32000");
+        assertThat(order(1, "run")).containsAnyOf(result("run"), "-32000");
     }
 
     @Test
-    void resultThatASickDiskDidNotTakeIsKeptOnceItIsWell() throws Exception {
+    void resultThatAFailedDiskRejectedIsStoredAfterRecovery() throws Exception {
         start();
-        outside.runs =
+        services.runs =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     if (body.equals("run")) {
                         disk.fault = VolatileDirectory.failing("force", "Input/output error");
                     }
-                    outside.complete(rid, "result of " + body);
+                    services.complete(rid, "result of " + body);
                 };
-        assertThat(ask(1, "run")).contains(result("run"));
-        assertThat(ask(2, "next")).contains("-32014");
-        disk.fault = (what, name) -> {};
-        assertThat(askUntilServed(2, "next")).contains(result("next"));
-        assertThat(askUntilServed(3, "last"))
-                .contains(result("last")); // forced behind what was caught up with
-        VolatileDirectory left = disk.afterProcessKill();
+        assertThat(order(1, "run")).contains(result("run"));
+        assertThat(order(2, "next")).contains("-32014");
+        disk.fault = (diskOperation, name) -> {};
+        assertThat(orderUntilServed(2, "next")).contains(result("next"));
+        assertThat(orderUntilServed(3, "last"))
+                .contains(result("last")); // forced after the deferred writes
+        VolatileDirectory survivor = disk.afterProcessKill();
         gateway.close();
         node.drain();
-        outside.close();
-        disk = left;
+        services.close();
+        disk = survivor;
         start();
-        assertThat(ask(1, "run")).contains(result("run"));
+        assertThat(order(1, "run")).contains(result("run"));
     }
 
     @Test
-    void diskThatCannotBeWrittenAtTheStartThrottlesKeyedWorkOnly() throws Exception {
+    void readOnlyDiskAtStartupThrottlesOnlyKeyedInvocations() throws Exception {
         disk.fault = VolatileDirectory.failing("create", "Read-only file system");
         start();
-        assertThat(ask(1, "early")).contains("-32014");
+        assertThat(order(1, "early")).contains("-32014");
         assertThat(read()).contains("\"result\"");
-        disk.fault = (what, name) -> {};
-        assertThat(askUntilServed(1, "early")).contains(result("early"));
+        disk.fault = (diskOperation, name) -> {};
+        assertThat(orderUntilServed(1, "early")).contains(result("early"));
     }
 
     @Test
-    void fullStoreThrottlesNewKeysUnrunAndLiveOnesStay() throws Exception {
+    void fullStoreThrottlesNewKeysWithoutRunAndKeepsLiveOnes() throws Exception {
         start();
         int served = 0;
         String answer = "\"result\"";
         while (answer.contains("\"result\"") && served < 2_000) {
-            answer = ask(++served, "k" + served);
+            answer = order(++served, "k" + served);
         }
         assertThat(answer).contains("-32014").contains("\"backoff\":");
         assertThat(served)
-                .isBetween(
-                        700, 900); // seven eighths of a thousand entries, the memory's part aside
+                // 7/8 of 1,000 entries, or fewer if the limit on index memory is reached first
+                .isBetween(700, 900);
         assertThat(runs).doesNotContainKey("k" + served);
-        assertThat(ask(1, "k1")).contains(result("k1"));
+        assertThat(order(1, "k1")).contains(result("k1"));
         assertThat(read()).contains("\"result\"");
     }
 
     @Test
-    void damageThrottlesNewKeysForAsLongAsAHiddenMarkCouldLive() throws Exception {
+    void damagedStoreThrottlesNewKeysWhileMarkersMayBeMissing() throws Exception {
         start();
-        assertThat(ask(1, "before")).contains(result("before"));
+        assertThat(order(1, "before")).contains(result("before"));
         Map<String, byte[]> files = disk.contents();
         gateway.close();
         node.drain();
-        outside.close();
+        services.close();
         files.values()
                 .forEach(
                         bytes -> {
                             if (bytes.length > 200) {
-                                bytes[120] ^= 1; // within the first record
+                                bytes[120] ^= 1; // a byte of the first record
                             }
                         });
         disk = VolatileDirectory.withContents(files);
         start();
-        assertThat(ask(2, "new")).contains("-32014");
+        assertThat(order(2, "new")).contains("-32014");
         assertThat(read()).contains("\"result\"");
-        assertThat(ask(1, "before")).containsAnyOf(result("before"), "-32014");
+        assertThat(order(1, "before")).containsAnyOf(result("before"), "-32014");
     }
 }
--- a/src/test/java/ochretiller/ManualEventLoop.java
+++ b/src/test/java/ochretiller/ManualEventLoop.java
@@ -8,8 +8,8 @@
 import ochretiller.net.Scheduler;
 
 /**
- * An event loop that a test drives by hand: no task runs and no time passes until the test calls one
- * of the methods for it. Tasks may be posted on any thread.
+ * An event loop that a test drives by hand: no task runs and no time passes until the test calls
+ * the method for it. Tasks may be posted on any thread.
  */
 public final class ManualEventLoop implements Scheduler {
     private static final long MAX_WAIT_S = 10;
--- a/src/test/java/ochretiller/RestartIT.java
+++ b/src/test/java/ochretiller/RestartIT.java
@@ -22,18 +22,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The packaged program with results that outlive it, killed at every point of a keyed invocation's
- * way.
+ * Kills the packaged server at each step of a keyed invocation and restarts it on the same store:
+ * retries must get the stored result or an error, and must never run again.
  */
 class RestartIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     @TempDir private Path folder;
     private Deployment deployment;
     private FakeConnection gateway;
-    private int rids;
+    private int lastRid;
 
     /**
-     * Runs of each body, which names one request: more than one is an effect that happened twice.
+     * Runs by request body, which identifies a request; more than one run is a duplicate effect.
      */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
@@ -48,27 +48,27 @@
                                 + "  metrics: { file: '"
                                 + folder.resolve("metrics.prom")
                                 + "', every_ms: 100 } }");
-        deployment = new Deployment(operator, this::play);
-        linked();
+        deployment = new Deployment(operator, this::scriptServices);
+        awaitProcessorAndConnect();
     }
 
-    /** The processor survives the server's restarts, and counts. */
-    private void play(Deployment made) {
-        made.outside.keepsNotices = true;
-        made.outside.runs =
+    /** Scripts a processor that survives restarts of the server and counts runs. */
+    private void scriptServices(Deployment created) {
+        created.outside.keepsNotices = true;
+        created.outside.runs =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     if (body.startsWith("done")) {
-                        made.outside.complete(rid, "result of " + body);
+                        created.outside.complete(rid, "result of " + body);
                     } else if (body.startsWith("bad")) {
-                        made.outside.notice("complete", rid + " error 5 0\r\n\r\n");
+                        created.outside.notice("complete", rid + " error 5 0\r\n\r\n");
                     } else if (body.startsWith("call")) {
-                        made.outside.notice("ask", rid + " 4\r\nwhat\r\n");
+                        created.outside.notice("ask", rid + " 4\r\nwhat\r\n");
                     }
                 };
     }
 
-    private void linked() throws IOException {
+    private void awaitProcessorAndConnect() throws IOException {
         await(deployment.heard, "usage fence");
         gateway = deployment.dial();
     }
@@ -87,11 +87,11 @@
 
     private void restart() throws Exception {
         deployment.restart();
-        linked();
+        awaitProcessorAndConnect();
     }
 
     private String rid() {
-        return String.format("%016x", ++rids);
+        return String.format("%016x", ++lastRid);
     }
 
     private String order(long id, String body) {
@@ -99,12 +99,13 @@
     }
 
     /**
-     * Sends an order whose run goes on until it is told to end; the name of the run, once it has
-     * begun.
+     * Sends an order whose run continues until the test completes it, and waits for its start.
+     *
+     * @return the request id of the run
      */
-    private String begun(long id) throws IOException {
+    private String startOrder(long id) throws IOException {
         gateway.send(order(id, "wait"));
-        String rid = String.format("%016x", rids);
+        String rid = String.format("%016x", lastRid);
         await(deployment.heard, "begin " + rid);
         return rid;
     }
@@ -125,7 +126,7 @@
     }
 
     @Test
-    void resultIsReplayedBehindAKillAndBehindTwo() throws Exception {
+    void resultIsReplayedAfterOneAndAfterSeveralKills() throws Exception {
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
         for (int round = 0; round < 2; round++) {
@@ -135,7 +136,7 @@
             expectResult(2, "result of done once");
         }
         kill();
-        deployment.restart(); // and killed again before anything came
+        deployment.restart(); // killed again before any request
         kill();
         restart();
         gateway.send(order(3, "done once"));
@@ -143,7 +144,7 @@
     }
 
     @Test
-    void resultIsReplayedBehindADrain() throws Exception {
+    void resultIsReplayedAfterAGracefulShutdown() throws Exception {
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
         deployment.terminate();
@@ -156,11 +157,9 @@
         }
     }
 
-    /**
-     * Read by the machine, and killed before anything was done: it never ran, and its repeat does.
-     */
+    /** The stopped server never reads the request from its socket, so only the retry runs. */
     @Test
-    void killBeforeTheMarkLetsTheRepeatRun() throws Exception {
+    void retryRunsAfterAKillBeforeTheMarker() throws Exception {
         deployment.signal("STOP");
         gateway.send(order(1, "done late"));
         kill();
@@ -170,35 +169,35 @@
     }
 
     @Test
-    void runThatEndsWhileNobodyIsThereIsHeardOf() throws Exception {
-        String rid = begun(1);
+    void outcomeOfARunThatEndsDuringTheDowntimeIsReplayed() throws Exception {
+        String rid = startOrder(1);
         kill();
         deployment.outside.complete(rid, "done meanwhile");
         restart();
         gateway.send(order(2, "wait"));
         expectResult(2, "done meanwhile");
         kill();
-        restart(); // what was heard of has been kept too
+        restart(); // the reported outcome was stored too
         gateway.send(order(3, "wait"));
         expectResult(3, "done meanwhile");
     }
 
     @Test
-    void repeatWaitsForARunThatGoesOnAndItsRepeatOverTheRestartToo() throws Exception {
-        String rid = begun(1);
+    void retriesWaitForARunThatContinuesAcrossARestart() throws Exception {
+        String rid = startOrder(1);
         gateway.send(order(2, "wait"));
         kill();
         restart();
         gateway.send(order(3, "wait") + order(4, "wait"));
         gateway.send(message(5, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"id\":5"); // both were read before, and wait
+        assertThat(gateway.line()).contains("\"id\":5"); // both orders were read before, and wait
         deployment.outside.complete(rid, "done at last");
         expectResult(3, "done at last");
         expectResult(4, "done at last");
     }
 
     @Test
-    void runWhoseEndNobodyKnowsIsErroredInTimeAndNeverRunAgain() throws Exception {
+    void retryOfARunWithUnknownOutcomeFailsInTimeAndIsNotRun() throws Exception {
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin");
         kill();
@@ -208,7 +207,7 @@
     }
 
     @Test
-    void processorThatWasRestartedTooKnowsNothing() throws Exception {
+    void retryFailsIfTheProcessorWasRestartedToo() throws Exception {
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin");
         kill();
@@ -222,10 +221,10 @@
     }
 
     @Test
-    void runThatWaitsForACallBehindARestartIsStopped() throws Exception {
+    void runThatWaitsForACallIsCancelledAfterARestart() throws Exception {
         gateway.send(order(1, "call"));
         await(deployment.heard, "^OP");
-        String rid = String.format("%016x", rids);
+        String rid = String.format("%016x", lastRid);
         kill();
         restart();
         await(deployment.heard, "interrupt " + rid);
@@ -233,18 +232,19 @@
         gateway.send(order(2, "call"));
         expectError(2);
         kill();
-        restart(); // known to have ended: the repeat is errored at once
+        restart(); // the end of the run is known, so the retry fails at once
         gateway.send(order(3, "call"));
         expectError(3);
     }
 
     @Test
-    void failedRunIsErroredBehindARestart() throws Exception {
+    void retryOfAFailedRunFailsAfterARestart() throws Exception {
         gateway.send(order(1, "bad"));
         expectError(1);
         gateway.send(
                 message(2, "order", GatewayMessages.params(rid(), "1".repeat(32), "done next")));
-        expectResult(2, "result of done next"); // its mark was forced behind the end of the first
+        // The marker of this order was forced after the outcome of the first.
+        expectResult(2, "result of done next");
         kill();
         restart();
         gateway.send(order(3, "bad"));
@@ -252,7 +252,7 @@
     }
 
     @Test
-    void otherBodyIsErroredBehindARestart() throws Exception {
+    void retryWithAnotherBodyFailsAfterARestart() throws Exception {
         gateway.send(order(1, "done mine"));
         expectResult(1, "result of done mine");
         kill();
@@ -266,7 +266,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {3_600_000, -3_600_000})
-    void clockThatWasSetDoesNotShortenAWindow(long step) throws Exception {
+    void clockStepDoesNotShortenAWindow(long stepMillis) throws Exception {
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
         kill();
@@ -276,10 +276,13 @@
                         2,
                         "order",
                         GatewayMessages.params(
-                                rid(), System.currentTimeMillis() + step, TOKEN, "done once")));
-        // By its stamp one from an hour ago has nobody left who waits; it may be errored, but it
-        // neither runs nor is throttled.
-        if (step > 0) {
+                                rid(),
+                                System.currentTimeMillis() + stepMillis,
+                                TOKEN,
+                                "done once")));
+        // The client of a request from an hour ago no longer waits: the retry may fail, but it must
+        // neither run nor be throttled.
+        if (stepMillis > 0) {
             expectResult(2, "result of done once");
         } else {
             assertThat(gateway.line()).contains("\"id\":2").doesNotContain("-32014");
@@ -287,12 +290,12 @@
     }
 
     @Test
-    void repeatBeforeTheProcessorIsThereIsAnsweredAndNeverThrottled() throws Exception {
+    void retryBeforeTheProcessorIsAvailableIsAnsweredAndNotThrottled() throws Exception {
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
         gateway.send(message(2, "order", GatewayMessages.params(rid(), "2".repeat(32), "wait")));
-        await(deployment.heard, "begin .*" + String.format("%016x", rids));
-        String rid = String.format("%016x", rids);
+        await(deployment.heard, "begin .*" + String.format("%016x", lastRid));
+        String rid = String.format("%016x", lastRid);
         kill();
         deployment.outside.silent = true;
         deployment.restart();
@@ -311,7 +314,7 @@
     }
 
     @Test
-    void marksAndResultsAreForcedBeforeTheirSteps() throws Exception {
+    void markersAndResultsAreForcedBeforeTheRunAndTheAnswer() throws Exception {
         for (int i = 0; i < 20; i++) {
             gateway.send(
                     message(
@@ -322,16 +325,16 @@
         }
         gateway.send(message(20, "read", GatewayMessages.params(rid(), null, "done read")));
         expectResult(20, "result of done read");
-        String figures = "";
-        for (int tries = 0;
-                tries < 100 && !figures.contains("ochretiller_store_records_total 40.0");
-                tries++) {
-            Thread.sleep(50); // the file is written each 100 ms
+        String metrics = "";
+        for (int polls = 0;
+                polls < 100 && !metrics.contains("ochretiller_store_records_total 40.0");
+                polls++) {
+            Thread.sleep(50); // the file is written every 100 ms
             if (Files.exists(folder.resolve("metrics.prom"))) {
-                figures = Files.readString(folder.resolve("metrics.prom"));
+                metrics = Files.readString(folder.resolve("metrics.prom"));
             }
         }
-        assertThat(figures)
+        assertThat(metrics)
                 .contains(
                         "ochretiller_store_records_total 40.0",
                         "ochretiller_store_entries 20.0",
@@ -340,7 +343,7 @@
     }
 
     @Test
-    void secondServerOnTheFolderIsRefusedWithOneLine() throws Exception {
+    void secondServerOnTheSameStoreExitsWithAnError() throws Exception {
         Path config =
                 Files.writeString(
                         folder.resolve("second.json"), GatewayMessages.config(1, 2, 3, 4));
@@ -353,7 +356,7 @@
     }
 
     @Test
-    void halfAnAnswerIsRepeatedInFull() throws Exception {
+    void resultIsReplayedInFullAfterAPartialAnswer() throws Exception {
         gateway.send(order(1, "done once"));
         assertThat(gateway.some(20)).startsWith("{\"jsonrpc\"");
         kill();
@@ -363,8 +366,8 @@
     }
 
     @Test
-    void reloadWithWritesUnderWayLosesNothing() throws Exception {
-        String rid = begun(1);
+    void reloadDuringARunLosesNoResult() throws Exception {
+        String rid = startOrder(1);
         deployment.move(json -> json);
         deployment.signal("HUP");
         await(deployment.heard, "hello 0");
@@ -377,8 +380,8 @@
     }
 
     /**
-     * Ended by script between two steps; whoever asks again gets what ran, or an error, and nothing
-     * runs twice.
+     * Crashes the server between two steps: the retry runs, gets the stored result or gets an
+     * error, and nothing runs twice.
      */
     @ParameterizedTest
     @CsvSource({
@@ -389,8 +392,9 @@
         "after-write:2,result",
         "after-force:2,result"
     })
-    void crashBetweenTwoSteps(String point, String expected) throws Exception {
-        crashAt(point);
+    void crashBetweenTwoStepsCausesNoSecondRun(String crashPoint, String expected)
+            throws Exception {
+        startCrashingAt(crashPoint);
         gateway.send(order(1, "done once"));
         assertThat(deployment.exit()).isEqualTo(137);
         assertThat(gateway.line()).isNull();
@@ -405,15 +409,15 @@
         assertThat(runs.getOrDefault("done once", 0)).isEqualTo(expected.equals("unknown") ? 0 : 1);
     }
 
-    /** Ended while it reads what a killed one has left, twice in a row. */
+    /** Crashes twice in a row while reading the store of a killed server. */
     @ParameterizedTest
     @ValueSource(strings = {"truncate:1", "after-write:1", "create:1", "create:2", "rename:1"})
-    void crashDuringRecovery(String point) throws Exception {
+    void crashDuringRecoveryLosesNoResult(String crashPoint) throws Exception {
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
         kill();
-        for (String each : List.of(point, "create:1")) {
-            deployment.start(each);
+        for (String point : List.of(crashPoint, "create:1")) {
+            deployment.start(point);
             assertThat(deployment.exit()).isEqualTo(137);
         }
         restart();
@@ -421,13 +425,13 @@
         expectResult(2, "result of done once");
     }
 
-    private void crashAt(String point) throws Exception {
-        deployment.terminate(); // in order, so that the first record that is written is the first
-        // mark
+    private void startCrashingAt(String crashPoint) throws Exception {
+        // A graceful shutdown, so that the next record to be written is the marker of the test.
+        deployment.terminate();
         assertThat(deployment.exit()).isZero();
         gateway.close();
-        deployment.start(point);
+        deployment.start(crashPoint);
         await(deployment.log, "listens");
-        linked();
+        awaitProcessorAndConnect();
     }
 }
