--- a/src/main/java/ochretiller/node/AuditTrail.java
+++ b/src/main/java/ochretiller/node/AuditTrail.java
@@ -19,9 +19,7 @@
     /**
      * Records an event of a rollout on this server.
      *
-     * @param version number of the version
      * @param hash hash of the version's content, in hexadecimal
-     * @param text details of the event
      */
     void recordRolloutEvent(RolloutEvent event, long version, String hash, String text);
 
--- a/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
+++ b/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
@@ -74,10 +74,8 @@
     }
 
     /**
-     * Notes that a fleet member, which may be a worker of a pool, has joined or left.
-     *
-     * @param address address at which the member serves requests
-     * @param isPresent whether it has joined
+     * Handles a change in the fleet: the member at this address, which may be a worker of a pool,
+     * has joined or left.
      */
     void onFleetMemberSeen(String address, boolean isPresent) {
         backend.seen(address, isPresent);
--- a/src/main/java/ochretiller/node/GracefulShutdown.java
+++ b/src/main/java/ochretiller/node/GracefulShutdown.java
@@ -5,11 +5,10 @@
 import ochretiller.registry.RegistryReporter;
 
 /**
- * Shuts a server down after a shutdown notice. Gateways learn only seconds later that the server
- * has left the registry. A request that finds no listener is lost, whereas a rejected one is sent
- * to another server; so the server keeps serving until shortly before the process is killed. Then
- * it closes the listeners, waits for the last answers, closes all components, and waits until the
- * clients have read the answers.
+ * Shuts a server down. Gateways learn seconds late that it has left the registry, and a request
+ * that finds no listener is lost, while a rejected one goes to another server. So the server serves
+ * until shortly before the process is killed; then it closes the listeners, waits for the last
+ * answers, closes all components, and waits until the clients have read the answers.
  *
  * <p>Event loop thread only.
  */
--- a/src/main/java/ochretiller/node/IdempotencyStore.java
+++ b/src/main/java/ochretiller/node/IdempotencyStore.java
@@ -23,8 +23,8 @@
     boolean acceptsNewMarkers();
 
     /**
-     * Stores the in-flight marker of an invocation that is about to run. An invocation that is not
-     * keyed needs none, and the listener is called at once.
+     * Stores the in-flight marker of an invocation that is about to run. One that is not keyed
+     * needs none.
      */
     void writeMarker(RequestAttempt attempt, MarkerListener listener);
 
@@ -38,11 +38,7 @@
     void onRunFinished(
             RequestAttempt attempt, RunOutcome.Status status, byte[] result, Runnable onStored);
 
-    /**
-     * Reads the result stored under an idempotency key.
-     *
-     * @param onRead receives the result after this method has returned; empty if there is none
-     */
+    /** Reads the result stored under a key and passes it on later; empty if there is none. */
     void readResult(String token, Consumer<Optional<byte[]>> onRead);
 
     /**
--- a/src/main/java/ochretiller/node/PreviousRunRecovery.java
+++ b/src/main/java/ochretiller/node/PreviousRunRecovery.java
@@ -37,8 +37,7 @@
     private final Set<String> adopted = new HashSet<>();
 
     /**
-     * Last id assigned to a restored invocation. These ids count down from -1; ids of new
-     * invocations count up from 1.
+     * Last id of a restored invocation. These count down from -1, new ones count up from 1.
      */
     private long lastId;
 
@@ -56,9 +55,8 @@
     }
 
     /**
-     * Restores all records of previous processes. To be called before any request is handled.
+     * Restores all records of previous processes; to be called before any request is handled.
      *
-     * @param operations the configured operations by name
      * @param processorAge time since the start of the processor
      */
     void restore(Map<String, Operation> operations, Duration processorAge) {
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -50,11 +50,7 @@
         }
     }
 
-    /**
-     * Retains all records for queries of the fleet.
-     *
-     * @param recordLifetime time after which no record is needed; then all are dropped
-     */
+    /** Retains all records for the fleet's queries until the longest of their windows has ended. */
     void retainForFleet(Duration recordLifetime) {
         retained.putAll(recovered);
         scheduler.after(recordLifetime, retained::clear);
--- a/src/main/java/ochretiller/node/ProcessLifecycle.java
+++ b/src/main/java/ochretiller/node/ProcessLifecycle.java
@@ -12,7 +12,7 @@
     private static final Logger LOG = Logger.getLogger(ProcessLifecycle.class.getName());
 
     private Optional<ServerNode> server = Optional.empty();
-    private boolean startFailed;
+    private boolean hasStartFailed;
     private boolean reloadRequested;
 
     private ProcessLifecycle() {}
@@ -38,7 +38,7 @@
      * the caller.
      */
     public synchronized void startFailed() {
-        startFailed = true;
+        hasStartFailed = true;
     }
 
     private void reload() {
@@ -54,7 +54,7 @@
     private void shutDown() {
         ServerNode current;
         synchronized (this) {
-            if (startFailed) {
+            if (hasStartFailed) {
                 return;
             }
             if (server.isEmpty()) {
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -139,12 +139,7 @@
         return longest == null ? DEFAULT_CLIENT_TIMEOUT : longest;
     }
 
-    /**
-     * Starts the idempotency store, the audit log and the metrics export, and warms up the
-     * admission code. To be called before {@link #listen}.
-     *
-     * @throws IOException if a file cannot be read or written
-     */
+    /** Starts the idempotency store, the audit log and the metrics export; warms up the JVM. */
     public void prepare() throws IOException {
         features.idempotencyStore().start();
         features.audit().start();
@@ -188,10 +183,9 @@
     }
 
     /**
-     * Reads the configuration files again. The addresses of the processor, the records service and
-     * the registry, the worker pools and the fleet keys are updated; all other settings stay. An
-     * invalid configuration is logged and ignored. Files are read on the calling thread, since the
-     * event loop must not block on them.
+     * Reloads the addresses of other services, the worker pools and the fleet keys; all other
+     * settings stay. An invalid configuration is logged and ignored. Files are read on the calling
+     * thread, since the event loop must not block on them.
      */
     public void reload() {
         ServerConfiguration reloaded;
@@ -215,8 +209,8 @@
     }
 
     /**
-     * Shuts the server down gracefully. Returns when the event loop has stopped, or after the
-     * configured shutdown timeout. Further calls only wait.
+     * Shuts the server down, and returns when it has stopped or the shutdown timeout is over.
+     * Further calls only wait.
      */
     public void drain() throws InterruptedException {
         loop.post(() -> shutdown.start(requestHandler()));
--- a/src/main/java/ochretiller/node/ServerNodeBuilder.java
+++ b/src/main/java/ochretiller/node/ServerNodeBuilder.java
@@ -15,7 +15,7 @@
 public final class ServerNodeBuilder {
     private final Path configFile;
     private OperatorConfig operator = OperatorConfig.NONE;
-    private Supplier<OperatorConfig> operatorConfigSupplier = () -> operator;
+    private Supplier<OperatorConfig> configSupplier = () -> operator;
     private Optional<StorageDirectory> storage = Optional.empty();
 
     ServerNodeBuilder(Path configFile) {
@@ -30,7 +30,7 @@
 
     /** Sets how a reload reads the operators' file; by default it returns the initial one. */
     public ServerNodeBuilder operatorReload(Supplier<OperatorConfig> supplier) {
-        operatorConfigSupplier = supplier;
+        configSupplier = supplier;
         return this;
     }
 
@@ -50,7 +50,6 @@
         ServerConfiguration configuration = ServerConfiguration.read(configFile);
         configuration.checkJvmSize(Integer.getInteger("ochretiller.sizedForMb"));
         return new ServerNode(
-                new NodeSettings(
-                        configFile, configuration, operator, operatorConfigSupplier, storage));
+                new NodeSettings(configFile, configuration, operator, configSupplier, storage));
     }
 }
--- a/src/main/java/ochretiller/node/StoredResults.java
+++ b/src/main/java/ochretiller/node/StoredResults.java
@@ -33,11 +33,7 @@
         return value;
     }
 
-    /**
-     * Reads the result stored under an idempotency key.
-     *
-     * @param onRead receives the result after this method has returned; empty if there is none
-     */
+    /** Reads the result stored under a key and passes it on later; empty if there is none. */
     void read(String token, Consumer<Optional<byte[]>> onRead) {
         store.read(
                 token.getBytes(StandardCharsets.UTF_8),
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -60,11 +60,7 @@
         this.admission = admission;
     }
 
-    /**
-     * Simulates invocations.
-     *
-     * @param rounds number of invocations of each operation
-     */
+    /** Simulates {@code rounds} invocations of each operation. */
     void simulate(List<Operation> operations, int rounds) {
         admission.onStarted().execute(this);
         long id = 0;
--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -14,11 +14,9 @@
 import ochretiller.store.StorageFile;
 
 /**
- * The packaged server on a disk that kills the process, as SIGKILL would, at a given operation. The
- * first argument is {@code POINT:N}, for the Nth time that the point is reached: {@code
- * before-write}, {@code after-write} or {@code after-force} of records, or {@code create}, {@code
- * rename} or {@code truncate} of files. The other arguments are the paths of the configuration and
- * of the operators' file.
+ * The packaged server on a disk that kills the process at a given operation, as SIGKILL would. The
+ * argument {@code POINT:N} selects the Nth {@code before-write}, {@code after-write} or {@code
+ * after-force} of records, or the Nth {@code create}, {@code rename} or {@code truncate}.
  */
 final class CrashingServer {
     private static final int SEGMENT_HEADER_BYTES = 72;
