--- a/src/main/java/ochretiller/node/OperatorWiring.java
+++ b/src/main/java/ochretiller/node/OperatorWiring.java
@@ -29,7 +29,7 @@
     /** Longest time between computing a record's expiry and writing the record. */
     private static final Duration RECORD_LIFETIME_SLACK = Duration.ofSeconds(2);
 
-    private static final Duration MIN_RECORD_LIFETIME = Duration.ofMillis(20);
+    private static final Duration DEFAULT_RECORD_LIFETIME = Duration.ofMillis(20);
     private static final String UNPACKAGED = "unpackaged";
 
     private final NodeSettings settings;
@@ -135,7 +135,7 @@
                 longest = lifetime;
             }
         }
-        return longest == null ? MIN_RECORD_LIFETIME : longest;
+        return longest == null ? DEFAULT_RECORD_LIFETIME : longest;
     }
 
     private AuditTrail auditTrail() throws IOException {
--- a/src/test/java/ochretiller/DegradedDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -159,8 +159,7 @@
         for (int i = 0; i < 5; i++) {
             assertThat(order(2, "meanwhile")).contains("-32014").contains("\"backoff\":");
             assertThat(read()).contains("\"result\"");
-            assertThat(order(1, "before"))
-                    .contains(result("before")); // a retry needs no write
+            assertThat(order(1, "before")).contains(result("before")); // a retry needs no write
         }
         assertThat(runs).doesNotContainKey("meanwhile");
         disk.fault = (diskOperation, name) -> {};
--- a/src/test/java/ochretiller/RestartIT.java
+++ b/src/test/java/ochretiller/RestartIT.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Kills the packaged server at each step of a keyed invocation and restarts it on the same store:
- * retries must get the stored result or an error, and must never run again.
+ * Kills the packaged server at each step of a keyed invocation and restarts it on the same store.
+ * Retries must get the result if it can be known, and no request may run twice.
  */
 class RestartIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
