--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -171,7 +171,7 @@
                 storeNowMillis + Math.max(0, window.toMillis()) + 1);
     }
 
-    /** Adds the marker to {@link #markers} when it is durable, then notifies the next listener. */
+    /** Registers a marker once it is durable, then notifies the next listener. */
     private final class MarkerRegistration implements MarkerListener {
         private final InvocationId id;
         private final IdempotencyRecord marker;
--- a/src/main/java/ochretiller/node/EventLoop.java
+++ b/src/main/java/ochretiller/node/EventLoop.java
@@ -23,13 +23,13 @@
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
     private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final LinkedBlockingQueue<Runnable> ready = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Runnable> postedTasks = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
     private final long startedNanos = System.nanoTime();
     private volatile Duration now = Duration.ZERO;
     private long timerSequence;
-    private boolean stopped;
+    private boolean isStopped;
 
     /** A scheduled task; tasks with the same due time run in the order of their sequence. */
     private record Timer(Duration dueAt, long sequence, Runnable work) {}
@@ -50,7 +50,7 @@
 
     @Override
     public void post(Runnable work) {
-        ready.add(work);
+        postedTasks.add(work);
     }
 
     @Override
@@ -61,7 +61,7 @@
 
     /** Makes {@link #run} return after the current batch. */
     public void stop() {
-        stopped = true;
+        isStopped = true;
     }
 
     /**
@@ -71,9 +71,9 @@
      */
     public void run(Runnable afterBatch) {
         List<Runnable> batch = new ArrayList<>();
-        while (!stopped) {
+        while (!isStopped) {
             awaitWork(batch);
-            ready.drainTo(batch);
+            postedTasks.drainTo(batch);
             now = Duration.ofNanos(elapsedNanos());
             while (!timers.isEmpty() && timers.peek().dueAt.compareTo(now) <= 0) {
                 batch.add(timers.poll().work);
@@ -86,7 +86,7 @@
 
     private void awaitWork(List<Runnable> batch) {
         try {
-            Runnable first = ready.poll(nanosUntilNextTimer(), TimeUnit.NANOSECONDS);
+            Runnable first = postedTasks.poll(nanosUntilNextTimer(), TimeUnit.NANOSECONDS);
             if (first != null) {
                 batch.add(first);
             }
--- a/src/main/java/ochretiller/node/FleetRunClaims.java
+++ b/src/main/java/ochretiller/node/FleetRunClaims.java
@@ -29,7 +29,7 @@
     private final ReplicationService replication;
 
     /** Granted claims of unfinished runs on this server. */
-    private final Map<InvocationId, ClaimId> granted = new HashMap<>();
+    private final Map<InvocationId, ClaimId> grantedClaims = new HashMap<>();
 
     FleetRunClaims(
             Scheduler scheduler, ClientConnections connections, ReplicationService replication) {
@@ -74,7 +74,7 @@
     }
 
     private void onGranted(RequestAttempt attempt, ClaimDecision decision, ClaimListener listener) {
-        decision.claimId().ifPresent(claim -> granted.put(attempt.id, claim));
+        decision.claimId().ifPresent(claim -> grantedClaims.put(attempt.id, claim));
         // A late decision must not start a run for a client that was answered or no longer waits.
         if (!attempt.answered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
             listener.onClaimGranted();
@@ -86,7 +86,7 @@
 
     @Override
     public void release(RequestAttempt attempt) {
-        ClaimId claim = granted.remove(attempt.id);
+        ClaimId claim = grantedClaims.remove(attempt.id);
         if (claim != null) {
             replication.releaseClaim(claim, windowEnd(attempt));
         }
@@ -106,7 +106,7 @@
             onStored.accept(true);
             return;
         }
-        ClaimId claim = granted.remove(attempt.id);
+        ClaimId claim = grantedClaims.remove(attempt.id);
         if (claim == null) {
             onStored.accept(true);
             return;
--- a/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
+++ b/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
@@ -77,7 +77,7 @@
         private final IdempotencyRecord marker;
         private final Operation operation;
         private final MarkerListener listener;
-        private boolean settled;
+        private boolean isCompleted;
 
         MarkerWrite(IdempotencyRecord marker, Operation operation, MarkerListener listener) {
             this.marker = marker;
@@ -102,9 +102,9 @@
         }
 
         private void onAppended(AppendResult result) {
-            boolean timedOut = settled;
-            settled = true;
-            if (result == AppendResult.DURABLE && !timedOut) {
+            boolean hasTimedOut = isCompleted;
+            isCompleted = true;
+            if (result == AppendResult.DURABLE && !hasTimedOut) {
                 listener.onMarkerDurable();
                 return;
             }
@@ -112,14 +112,14 @@
                 // The invocation was not run: its marker must not block a retry after a restart.
                 remove(marker, operation);
             }
-            if (!timedOut) {
+            if (!hasTimedOut) {
                 listener.onMarkerFailed();
             }
         }
 
         private void onTimeout() {
-            if (!settled) {
-                settled = true;
+            if (!isCompleted) {
+                isCompleted = true;
                 listener.onMarkerFailed();
             }
         }
@@ -130,7 +130,7 @@
         private final Operation operation;
         private final byte[] value;
         private final Runnable onStored;
-        private boolean notified;
+        private boolean isNotified;
 
         ResultWrite(FinishedRun run, Runnable onStored) {
             this.outcome = run.marker().withProgress(InvocationProgress.SUCCEEDED);
@@ -163,10 +163,10 @@
         }
 
         private void notifyStored(boolean durable) {
-            if (notified) {
+            if (isNotified) {
                 return;
             }
-            notified = true;
+            isNotified = true;
             if (!durable) {
                 metrics.answeredEarly.add();
             }
--- a/src/main/java/ochretiller/node/PreviousRunRecovery.java
+++ b/src/main/java/ochretiller/node/PreviousRunRecovery.java
@@ -34,7 +34,7 @@
     private final OperatorFeatures features;
 
     /** Request ids of the adopted runs whose outcome has not been reported. */
-    private final Set<String> adopted = new HashSet<>();
+    private final Set<String> adoptedRequestIds = new HashSet<>();
 
     /**
      * Last id of a restored invocation. These count down from -1, new ones count up from 1.
@@ -106,12 +106,12 @@
 
     private void adopt(
             IdempotencyRecord record, Operation operation, InvocationId id, Duration windowEnd) {
-        adopted.add(record.runId());
+        adoptedRequestIds.add(record.runId());
         processor.adopt(
                 record.runId(),
                 record.operation(),
                 (status, elapsed, result) -> {
-                    adopted.remove(record.runId());
+                    adoptedRequestIds.remove(record.runId());
                     LOG.info(
                             () ->
                                     "run "
@@ -145,6 +145,6 @@
      * been reported.
      */
     boolean isAdopted(String requestId) {
-        return adopted.contains(requestId);
+        return adoptedRequestIds.contains(requestId);
     }
 }
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -28,10 +28,10 @@
     private final StoredResults results;
 
     /** Records not taken over by the admission controller, by key, earliest window end first. */
-    private final Map<String, IdempotencyRecord> recovered = new LinkedHashMap<>();
+    private final Map<String, IdempotencyRecord> recoveredRecords = new LinkedHashMap<>();
 
     /** Records that the fleet may query, by key. */
-    private final Map<String, IdempotencyRecord> retained = new HashMap<>();
+    private final Map<String, IdempotencyRecord> retainedRecords = new HashMap<>();
 
     /**
      * Whether the store was read without damage, so that a key without a record was never run.
@@ -46,24 +46,24 @@
         storeComplete = store.incompleteFor().isZero();
         for (RecoveredEntry entry : store.recoveredEntries()) {
             IdempotencyRecord.decode(entry.key(), entry.metadata())
-                    .ifPresent(record -> recovered.put(record.token(), record));
+                    .ifPresent(record -> recoveredRecords.put(record.token(), record));
         }
     }
 
     /** Retains all records for the fleet's queries until the longest of their windows has ended. */
     void retainForFleet(Duration recordLifetime) {
-        retained.putAll(recovered);
-        scheduler.after(recordLifetime, retained::clear);
+        retainedRecords.putAll(recoveredRecords);
+        scheduler.after(recordLifetime, retainedRecords::clear);
     }
 
     int size() {
-        return recovered.size();
+        return recoveredRecords.size();
     }
 
     /** Returns the number of runs whose outcome is unknown. */
     long countInFlight() {
         long count = 0;
-        for (IdempotencyRecord record : recovered.values()) {
+        for (IdempotencyRecord record : recoveredRecords.values()) {
             if (record.progress() == InvocationProgress.IN_FLIGHT) {
                 count++;
             }
@@ -72,12 +72,12 @@
     }
 
     Optional<IdempotencyRecord> find(String token) {
-        return token == null ? Optional.empty() : Optional.ofNullable(recovered.get(token));
+        return token == null ? Optional.empty() : Optional.ofNullable(recoveredRecords.get(token));
     }
 
     List<IdempotencyRecord> takeAll() {
-        List<IdempotencyRecord> all = new ArrayList<>(recovered.values());
-        recovered.clear();
+        List<IdempotencyRecord> all = new ArrayList<>(recoveredRecords.values());
+        recoveredRecords.clear();
         return all;
     }
 
@@ -91,7 +91,7 @@
                 RecoveryDecision.of(record, store.nowMillis() - processorAge.toMillis());
         if (decision == RecoveryDecision.REJECT) {
             // The outcome can no longer be learned, so the fleet must not wait for it either.
-            retained.replace(
+            retainedRecords.replace(
                     record.token(), record.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
         }
         return decision;
@@ -99,7 +99,7 @@
 
     /** Records the outcome of a previous run that was still in flight when the store was read. */
     void settle(IdempotencyRecord record, InvocationProgress outcome) {
-        retained.replace(record.token(), record.withProgress(outcome));
+        retainedRecords.replace(record.token(), record.withProgress(outcome));
     }
 
     Duration remainingWindow(IdempotencyRecord record) {
@@ -108,7 +108,7 @@
 
     @Override
     public void lookUp(String token, Consumer<PreviousRun> onAnswer) {
-        IdempotencyRecord record = retained.get(token);
+        IdempotencyRecord record = retainedRecords.get(token);
         if (record == null) {
             onAnswer.accept(storeComplete ? PreviousRun.NEVER : PreviousRun.UNKNOWN);
             return;
--- a/src/main/java/ochretiller/node/StartupRequestHandler.java
+++ b/src/main/java/ochretiller/node/StartupRequestHandler.java
@@ -23,7 +23,7 @@
     private final Scheduler scheduler;
     private final ClientConnections connections;
     private final IdempotencyStore store;
-    private final List<RequestAttempt> waiting = new ArrayList<>();
+    private final List<RequestAttempt> waitingRetries = new ArrayList<>();
 
     StartupRequestHandler(
             Scheduler scheduler, ClientConnections connections, IdempotencyStore store) {
@@ -68,14 +68,14 @@
     }
 
     private void awaitProcessor(RequestAttempt retry) {
-        waiting.add(retry);
+        waitingRetries.add(retry);
         Duration deadline =
                 retry.arrived.plus(retry.operation.clientTimeout()).minus(ANSWER_MARGIN);
         Duration wait = deadline.minus(scheduler.now());
         scheduler.after(
                 wait.isNegative() ? Duration.ZERO : wait,
                 () -> {
-                    if (waiting.remove(retry)) {
+                    if (waitingRetries.remove(retry)) {
                         fail(retry, FailureReason.UNKNOWN_END);
                     }
                 });
@@ -88,9 +88,9 @@
 
     /** Removes and returns the retries that wait for the processor. */
     List<RequestAttempt> takeWaiting() {
-        List<RequestAttempt> taken = List.copyOf(waiting);
-        waiting.clear();
-        return taken;
+        List<RequestAttempt> allWaiting = List.copyOf(waitingRetries);
+        waitingRetries.clear();
+        return allWaiting;
     }
 
     @Override
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -28,14 +28,14 @@
     private static final Duration CALL_TIME = RUN_TIME.dividedBy(4);
     private static final Duration ARRIVAL_INTERVAL = RUN_TIME.dividedBy(5);
     private static final Duration FINAL_WAIT = Duration.ofSeconds(1);
-    private static final int CLIENTS = 4;
+    private static final int CLIENT_COUNT = 4;
     private static final ResourceGauges GAUGES = new ResourceGauges(0.5, 1, 0.1, 1);
     private static final String REQUEST =
             "{\"jsonrpc\":\"2.0\",\"id\":7,\"method\":\"any\",\"params\":{"
                     + "\"rid\":\"9b1f03aa5c7e2d41\",\"t0\":1764576000123,\"peer\":4,"
                     + "\"mem\":24.5,\"prio\":0.6250,\"data\":\"Z29vZA==\"}}\n";
     private static final String NOTICE = "complete 7 9b1f03aa5c7e2d41 complete 12.5 4\r\ngood\r\n";
-    private static final int NOTICE_LENGTH_WORD = 5;
+    private static final int NOTICE_LENGTH_WORD_INDEX = 5;
 
     private final AdmissionController admission;
     private final Frames requests = new Frames(REQUEST.length(), false, line -> Frames.NONE);
@@ -43,7 +43,7 @@
             new Frames(
                     NOTICE.length(),
                     true,
-                    line -> Integer.parseInt(line.words().get(NOTICE_LENGTH_WORD)));
+                    line -> Integer.parseInt(line.words().get(NOTICE_LENGTH_WORD_INDEX)));
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>((a, b) -> a.dueAt.compareTo(b.dueAt));
     private Duration now = Duration.ofSeconds(1);
@@ -92,7 +92,7 @@
 
     private Invocation invocation(long id, Operation operation) {
         Duration deadline = now.plus(operation.clientTimeout());
-        ClientId client = new ClientId(id % CLIENTS);
+        ClientId client = new ClientId(id % CLIENT_COUNT);
         return new Invocation(
                 new InvocationId(id), null, operation, 1, now, deadline, null, client, null, false);
     }
--- a/src/test/java/ochretiller/DegradedDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -94,9 +94,9 @@
         node = ServerNode.builder(config).operator(operator).storage(disk).build();
         node.prepare();
         node.listen();
-        Thread loop = new Thread(node::run, "loop");
-        loop.setDaemon(true);
-        loop.start();
+        Thread loopThread = new Thread(node::run, "loop");
+        loopThread.setDaemon(true);
+        loopThread.start();
         assertThat(processorConnected.await(10, TimeUnit.SECONDS)).isTrue();
         gateway = new FakeConnection(new Socket("127.0.0.1", port));
     }
--- a/src/test/java/ochretiller/ManualEventLoop.java
+++ b/src/test/java/ochretiller/ManualEventLoop.java
@@ -14,7 +14,7 @@
 public final class ManualEventLoop implements Scheduler {
     private static final long MAX_WAIT_S = 10;
 
-    private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Runnable> postedTasks = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
     private volatile Duration now = Duration.ofSeconds(100);
@@ -29,7 +29,7 @@
 
     @Override
     public void post(Runnable work) {
-        posted.add(work);
+        postedTasks.add(work);
     }
 
     @Override
@@ -40,18 +40,18 @@
     /** Waits until at least this many tasks are posted, without running them. */
     public void await(int count) throws InterruptedException {
         for (long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
-                posted.size() < count;
+                postedTasks.size() < count;
                 Thread.onSpinWait()) {
             if (System.nanoTime() > deadline) {
                 throw new AssertionError(
-                        "only " + posted.size() + " of " + count + " expected tasks were posted");
+                        "only " + postedTasks.size() + " of " + count + " expected tasks were posted");
             }
         }
     }
 
     /** Waits for the next posted task and runs it. */
     public void one() throws InterruptedException {
-        Runnable work = posted.poll(MAX_WAIT_S, TimeUnit.SECONDS);
+        Runnable work = postedTasks.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         if (work == null) {
             throw new AssertionError("no task was posted within " + MAX_WAIT_S + " s");
         }
@@ -60,7 +60,7 @@
 
     /** Runs all posted tasks, including those posted meanwhile. */
     public void all() {
-        for (Runnable work = posted.poll(); work != null; work = posted.poll()) {
+        for (Runnable work = postedTasks.poll(); work != null; work = postedTasks.poll()) {
             work.run();
         }
     }
--- a/src/test/java/ochretiller/node/AttemptFixture.java
+++ b/src/test/java/ochretiller/node/AttemptFixture.java
@@ -53,7 +53,7 @@
     final Network network = new Network(loop, MEMORY_BYTES);
     final ClientConnections connections;
     private final List<String> events;
-    private final BlockingQueue<Client> accepted = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Client> acceptedClients = new LinkedBlockingQueue<>();
     private final Socket socket;
     private final Client client;
     private long requestCount;
@@ -105,11 +105,11 @@
                 connection -> {
                     Client newClient = new Client(connection);
                     connections.accepted(newClient);
-                    accepted.add(newClient);
+                    acceptedClients.add(newClient);
                     return newClient;
                 });
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        client = accepted.poll(MAX_WAIT_S, TimeUnit.SECONDS);
+        client = acceptedClients.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         loop.all();
     }
 
