--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -20,8 +20,8 @@
 
 /**
  * Warms up the JVM before the server listens: sends simulated invocations through an admission
- * controller that is discarded afterwards, so that the code of the request path is already linked
- * and compiled when the first real request arrives. Otherwise that takes the first seconds.
+ * controller that is discarded afterwards. Without it a new server would spend its first seconds on
+ * linking and compiling the code of the request path.
  */
 final class WarmUp implements ServerActions {
     private static final Duration RUN_TIME = Duration.ofMillis(20);
--- a/src/test/java/ochretiller/ManualEventLoop.java
+++ b/src/test/java/ochretiller/ManualEventLoop.java
@@ -44,7 +44,7 @@
                 Thread.onSpinWait()) {
             if (System.nanoTime() > deadline) {
                 throw new AssertionError(
-                        "only " + postedTasks.size() + " of " + count + " expected tasks were posted");
+                        "posted tasks: " + postedTasks.size() + ", expected: " + count);
             }
         }
     }
