--- a/src/main/java/ochretiller/idempotency/Attempt.java
+++ b/src/main/java/ochretiller/idempotency/Attempt.java
@@ -6,14 +6,14 @@
 import ochretiller.model.Operation;
 
 /**
- * What the cache needs to know of an attempt to tell whether it repeats another one. Immutable.
+ * The properties of an attempt by which the cache recognizes repeats. Immutable.
  *
- * @param id names the attempt within this process
- * @param operation what it asks for
- * @param token the idempotency key that its client chose, where the operation has one
- * @param object what an idempotent read is about, where the client says so
- * @param arrivedAt when it reached the machine, on the monotonic clock
- * @param sentUnixMillis when its client dated it, in Unix milliseconds, or {@link
+ * @param id unique id of the attempt within this process
+ * @param operation the requested operation
+ * @param token the idempotency key chosen by the client; empty if the operation is not keyed
+ * @param object the object that an idempotent read concerns; empty if the client does not name it
+ * @param arrivedAt arrival time at this machine, on the monotonic clock
+ * @param sentUnixMillis client timestamp in Unix milliseconds, or {@link
  *     IdempotencyCache#NO_CLIENT_TIMESTAMP}
  */
 public record Attempt(
--- a/src/main/java/ochretiller/idempotency/CacheEntry.java
+++ b/src/main/java/ochretiller/idempotency/CacheEntry.java
@@ -10,11 +10,11 @@
 import ochretiller.model.Operation;
 
 /**
- * An original attempt with its result, once there is one. Owned by the thread that owns the {@link
- * IdempotencyCache}.
+ * An original attempt and, after it has succeeded, its result. Confined to the thread that owns the
+ * {@link IdempotencyCache}.
  */
 final class CacheEntry {
-    /** Memory of an entry beside its body and result, estimated. */
+    /** Estimated memory of an entry, excluding its body and result. */
     private static final int OVERHEAD_BYTES = 400;
 
     private final CacheKey key;
@@ -29,12 +29,12 @@
     private Optional<byte[]> result = Optional.empty();
 
     /**
-     * An entry whose attempt has not completed.
+     * Creates an entry for an attempt that has not completed.
      *
      * @param attempt id and operation of the original
-     * @param windowEnds attempts that arrive before this repeat it, on the monotonic clock
-     * @param windowEndsUnixMillis the same for attempts that are dated by their clients; empty
-     *     where the original was not dated
+     * @param windowEnds end of the deduplication window for arrival times, on the monotonic clock
+     * @param windowEndsUnixMillis end of the window for client timestamps, in Unix milliseconds;
+     *     empty if the original had no client timestamp
      */
     CacheEntry(
             CacheKey key,
@@ -48,12 +48,12 @@
         this.body = body;
         this.windowEnds = windowEnds;
         this.windowEndsUnixMillis = windowEndsUnixMillis;
-        // A repeat may be read long after it arrived: the entry outlives its window by one client
-        // timeout.
+        // A repeat may be read long after it arrived, so the entry is retained for one client
+        // timeout after its window.
         this.forgetAt = windowEnds.plus(operation.clientTimeout());
     }
 
-    /** Names an original attempt and what it asked for. */
+    /** The id and the requested operation of an original attempt. */
     record Original(InvocationId id, Operation operation) {}
 
     CacheKey key() {
@@ -64,7 +64,7 @@
         return id;
     }
 
-    /** When the entry is dropped, on the monotonic clock. */
+    /** Time at which the entry is removed, on the monotonic clock. */
     Duration forgetAt() {
         return forgetAt;
     }
@@ -77,23 +77,23 @@
         return result;
     }
 
-    /** Bytes that count against the cache's bound. */
+    /** Bytes that count towards the cache's size limit. */
     int sizeBytes() {
         return OVERHEAD_BYTES + body.sizeBytes() + result.map(bytes -> bytes.length).orElse(0);
     }
 
     /**
-     * Whether an attempt falls into the window by either clock; the client's clock may have been
-     * set back meanwhile.
+     * Returns whether an attempt is within the window by either clock, as the client's clock may
+     * have been set back since the original.
      */
     boolean coversArrivalOf(Attempt attempt) {
-        boolean datedWithin =
+        boolean sentWithinWindow =
                 windowEndsUnixMillis.isPresent()
                         && attempt.sentUnixMillis() < windowEndsUnixMillis.getAsLong();
-        return attempt.arrivedAt().compareTo(windowEnds) < 0 || datedWithin;
+        return attempt.arrivedAt().compareTo(windowEnds) < 0 || sentWithinWindow;
     }
 
-    /** Whether a repeat asks for something else than the original did. */
+    /** Returns whether a repeat's operation or body differs from the original's. */
     boolean conflictsWith(Operation otherOperation, byte[] otherBody) {
         if (body instanceof RequestBody.Irrelevant) {
             return false;
@@ -101,15 +101,18 @@
         return !operation.equals(otherOperation) || !body.matches(otherBody);
     }
 
-    /** The attempt has completed; the result is empty where it failed or is not kept. */
-    void complete(Optional<byte[]> keptResult) {
+    /**
+     * Marks the attempt as completed; the result is empty if the attempt failed or the result is
+     * not stored.
+     */
+    void complete(Optional<byte[]> storedResult) {
         completed = true;
-        result = keptResult;
+        result = storedResult;
     }
 
     /**
-     * From now on it is known until then, and no longer; the owner has taken it out of any order by
-     * time.
+     * Sets the end of both the window and the entry. The caller must first remove the entry from
+     * any queue that is ordered by {@link #forgetAt}.
      */
     void expireAt(Duration end) {
         windowEnds = end;
@@ -120,7 +123,7 @@
         waiters.add(waiter);
     }
 
-    /** Hands the result to all that wait for it. */
+    /** Passes the result to all waiters and removes them. */
     void notifyWaiters(Optional<byte[]> outcome) {
         List<Consumer<Optional<byte[]>>> toNotify = List.copyOf(waiters);
         waiters.clear();
--- a/src/main/java/ochretiller/idempotency/CacheKey.java
+++ b/src/main/java/ochretiller/idempotency/CacheKey.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 import ochretiller.model.Operation;
 
-/** What two attempts must share for one to be a repeat of the other. */
+/** The key of an original attempt; a later attempt with an equal key repeats it. */
 sealed interface CacheKey {
-    /** An idempotency key that a client chose. */
+    /** An idempotency key chosen by the client. */
     record Token(String token) implements CacheKey {}
 
     /** An idempotent read of one object. */
     record Read(Operation operation, String object) implements CacheKey {}
 
-    /** The key of an attempt; empty where nothing can repeat it. */
+    /** Returns the key of an attempt; empty if repeats of it cannot be recognized. */
     static Optional<CacheKey> of(Attempt attempt) {
         if (attempt.operation().isKeyed()) {
             return attempt.token().map(Token::new);
--- a/src/main/java/ochretiller/idempotency/IdempotencyCache.java
+++ b/src/main/java/ochretiller/idempotency/IdempotencyCache.java
@@ -12,58 +12,61 @@
 import ochretiller.model.Operation;
 
 /**
- * Tells which attempts repeat an earlier one, and keeps results for their replay. Originals are
- * known by the client's idempotency key, or for idempotent reads by operation and object.
+ * Detects attempts that repeat an earlier one, and caches results for replay. An original attempt
+ * is identified by the client's idempotency key or, for an idempotent read, by operation and
+ * object.
  *
- * <p>Not safe for several threads; owned by the event loop. Time is handed in, on the monotonic
- * clock unless a name says Unix.
+ * <p>Not thread-safe; confined to the event loop. Callers pass the time, on the monotonic clock
+ * unless a name says Unix.
  */
 public final class IdempotencyCache {
-    /** In place of the Unix milliseconds of an attempt that its client has not dated. */
+    /** Value of {@link Attempt#sentUnixMillis} for an attempt without a client timestamp. */
     public static final long NO_CLIENT_TIMESTAMP = Long.MAX_VALUE;
 
     /**
-     * Added to each window: an attempt is dated by one clock and looked up by another, and both are
-     * read once per turn of the event loop, so a repeat at the very end of the window could seem to
-     * be late.
+     * Added to each window: an attempt is timestamped by one clock and looked up by another, and
+     * both are read once per event loop iteration, so a repeat at the very end of the window could
+     * appear late.
      */
     private static final Duration CLOCK_SLACK = Duration.ofMillis(100);
 
-    /** Window of a read that is still running. */
-    private static final Duration WHILE_RUNNING = Duration.ofDays(10_000);
+    /** Deduplication window of a read that is still running: effectively unlimited. */
+    private static final Duration RUNNING_READ_WINDOW = Duration.ofDays(10_000);
 
     private final long maxBytes;
     private final Duration readFreshness;
     private final Map<CacheKey, CacheEntry> entriesByKey = new HashMap<>();
     private final Map<InvocationId, CacheEntry> entriesById = new HashMap<>();
-    private final PriorityQueue<CacheEntry> entriesByEnd =
+    private final PriorityQueue<CacheEntry> entriesByExpiry =
             new PriorityQueue<>(Comparator.comparing(CacheEntry::forgetAt));
     private long bytes;
 
     /**
-     * An empty cache.
+     * Creates an empty cache.
      *
-     * @param maxBytes memory from which on results are no longer kept; entries without a result are
-     * @param readFreshness how long the result of a read may serve others; zero for never
+     * @param maxBytes size limit in bytes; further results are not stored, but entries without a
+     *     result are
+     * @param readFreshness how long the result of a completed read may answer repeats; zero for
+     *     never
      */
     public IdempotencyCache(long maxBytes, Duration readFreshness) {
         this.maxBytes = maxBytes;
         this.readFreshness = readFreshness;
     }
 
-    /** SHA-256 of a body, to compare bodies over a restart. */
+    /** Returns the SHA-256 of a body, by which bodies are compared across restarts. */
     public static byte[] bodyDigest(byte[] body) {
         return RequestBody.sha256(body);
     }
 
     /**
-     * Looks up the original that an attempt repeats. A read that repeats none becomes an original
-     * itself; a keyed attempt does so by {@link #track} once it is admitted.
+     * Looks up the original that an attempt repeats. A read without an original becomes an original
+     * itself; a keyed attempt becomes one by {@link #track} after its admission.
      *
-     * @return empty where the attempt repeats none
+     * @return id of the original; empty if there is none
      */
     public Optional<InvocationId> findOriginalOrTrack(Attempt attempt, Duration now) {
-        forgetExpired(now);
+        removeExpired(now);
         Optional<CacheKey> key = CacheKey.of(attempt);
         if (key.isEmpty()) {
             return Optional.empty();
@@ -78,24 +81,25 @@
                             key.get(),
                             read,
                             new RequestBody.Irrelevant(),
-                            WHILE_RUNNING,
+                            RUNNING_READ_WINDOW,
                             OptionalLong.empty()));
         }
         return original.map(CacheEntry::id);
     }
 
-    private void forgetExpired(Duration now) {
-        while (!entriesByEnd.isEmpty() && entriesByEnd.peek().forgetAt().compareTo(now) <= 0) {
-            remove(entriesByEnd.peek());
+    private void removeExpired(Duration now) {
+        while (!entriesByExpiry.isEmpty()
+                && entriesByExpiry.peek().forgetAt().compareTo(now) <= 0) {
+            remove(entriesByExpiry.peek());
         }
     }
 
     /**
-     * Makes a keyed attempt the original of its key. Attempts without a key are left alone.
+     * Registers a keyed attempt as the original of its key. An attempt without a key is ignored.
      *
-     * @param attempt with its key, where its operation has one
-     * @param body what it asked for; the array is kept
-     * @param windowEnds end of the time in which repeats may arrive
+     * @param attempt the attempt, with its key if it has one
+     * @param body the request body; the array is retained, not copied
+     * @param windowEnds end of the deduplication window
      */
     public void track(Attempt attempt, byte[] body, Duration windowEnds) {
         Operation operation = attempt.operation();
@@ -117,10 +121,11 @@
     }
 
     /**
-     * Adds a keyed attempt of a previous process. Its result, if there is one, is kept elsewhere.
+     * Adds a keyed attempt of a previous process. The cache does not hold its result, if it has
+     * one.
      *
-     * @param restored what is known of it
-     * @param windowEnds end of the time in which repeats may arrive
+     * @param restored the attempt as recovered
+     * @param windowEnds end of the deduplication window
      */
     public void restore(RestoredAttempt restored, Duration windowEnds) {
         CacheEntry entry =
@@ -137,49 +142,49 @@
     }
 
     /**
-     * The original under this token now; empty where there is none. An original that never ran
-     * leaves its token to another.
+     * Returns the current original of a token; empty if there is none. If an original never ran,
+     * its token may get another one.
      */
     public Optional<InvocationId> findByToken(String token) {
         return Optional.ofNullable(entriesByKey.get(new CacheKey.Token(token))).map(CacheEntry::id);
     }
 
     /**
-     * Whether a keyed original asked for something else, so that a repeat with this body is a
-     * client's error; false for unknown ids.
+     * Returns whether a repeat with this operation and body differs from its keyed original, which
+     * is a client error; false for an unknown id.
      */
     public boolean conflictsWith(InvocationId id, Operation operation, byte[] body) {
         CacheEntry entry = entriesById.get(id);
         return entry != null && entry.conflictsWith(operation, body);
     }
 
-    /** Whether an original has run to its end; false for unknown ids. */
+    /** Returns whether an original has completed; false for an unknown id. */
     public boolean isCompleted(InvocationId id) {
         CacheEntry entry = entriesById.get(id);
         return entry != null && entry.isCompleted();
     }
 
-    /** Drops an original that never ran; those that wait for its result get none. */
+    /** Removes an original that never ran; its waiters receive an empty result. */
     public void forget(InvocationId id) {
         Optional.ofNullable(entriesById.get(id)).ifPresent(this::remove);
     }
 
     /**
-     * An original has come to its end; unknown ids are passed over. A keyed one stays until its
-     * window ends, a read only while its result is fresh.
+     * Completes an original; an unknown id is ignored. A keyed original remains until its window
+     * ends, a read only while its result is fresh.
      *
-     * @param result empty unless it succeeded; one that does not fit the bound is handed to those
-     *     that wait and not kept
+     * @param result empty unless the original succeeded; a result over the size limit is passed to
+     *     the waiters but not stored
      */
     public void complete(InvocationId id, Optional<byte[]> result, Duration now) {
         CacheEntry entry = entriesById.get(id);
         if (entry == null || entry.isCompleted()) {
             return;
         }
-        // Without its result an entry still stops repeats from running: they get an error instead.
-        Optional<byte[]> keptResult = result.filter(each -> bytes + each.length <= maxBytes);
-        entry.complete(keptResult);
-        bytes += keptResult.map(each -> each.length).orElse(0);
+        // Even without a stored result, the entry prevents repeats from running: they get an error.
+        Optional<byte[]> storedResult = result.filter(each -> bytes + each.length <= maxBytes);
+        entry.complete(storedResult);
+        bytes += storedResult.map(each -> each.length).orElse(0);
         entry.notifyWaiters(result);
         if (entry.key() instanceof CacheKey.Read) {
             completeRead(entry, result.isPresent(), now);
@@ -191,16 +196,16 @@
             remove(entry);
             return;
         }
-        entriesByEnd.remove(entry);
+        entriesByExpiry.remove(entry);
         entry.expireAt(now.plus(readFreshness));
-        entriesByEnd.add(entry);
+        entriesByExpiry.add(entry);
     }
 
     /**
-     * Hands over the result of an original once it has completed, at once where it has.
+     * Passes the result of an original to the callback when it completes, or at once if it has.
      *
-     * @param id empty for an original that is not known
-     * @param callback receives the result; empty where there is none to be had
+     * @param id id of the original; empty if it is unknown
+     * @param callback receives the result; empty if none is available
      */
     public void whenCompleted(Optional<InvocationId> id, Consumer<Optional<byte[]>> callback) {
         Optional<CacheEntry> entry = id.map(entriesById::get);
@@ -215,14 +220,14 @@
         Optional.ofNullable(entriesByKey.get(entry.key())).ifPresent(this::remove);
         entriesByKey.put(entry.key(), entry);
         entriesById.put(entry.id(), entry);
-        entriesByEnd.add(entry);
+        entriesByExpiry.add(entry);
         bytes += entry.sizeBytes();
     }
 
     private void remove(CacheEntry entry) {
         entriesByKey.remove(entry.key(), entry);
         entriesById.remove(entry.id(), entry);
-        entriesByEnd.remove(entry);
+        entriesByExpiry.remove(entry);
         bytes -= entry.sizeBytes();
         entry.notifyWaiters(Optional.empty());
     }
--- a/src/main/java/ochretiller/idempotency/RequestBody.java
+++ b/src/main/java/ochretiller/idempotency/RequestBody.java
@@ -5,17 +5,20 @@
 import java.util.Arrays;
 
 /**
- * What is known of the body of an original attempt, to tell whether another body under the same key
- * is the same request.
+ * The body of an original attempt, or its digest, to check whether a repeat under the same key is
+ * the same request.
  */
 sealed interface RequestBody {
-    /** Whether a repeat with this body asks for the same; true where nothing is known. */
+    /**
+     * Returns whether a repeat with this body is the same request; always true for {@link
+     * Irrelevant}.
+     */
     boolean matches(byte[] other);
 
-    /** Bytes that count against the cache's bound. */
+    /** Bytes that count towards the cache's size limit. */
     int sizeBytes();
 
-    /** The body itself. */
+    /** The complete body. */
     record Known(byte[] body) implements RequestBody {
         @Override
         public boolean matches(byte[] other) {
@@ -28,7 +31,7 @@
         }
     }
 
-    /** The SHA-256 of a body that a previous process has read. */
+    /** The SHA-256 of a body that a previous process received. */
     record Digested(byte[] digest) implements RequestBody {
         @Override
         public boolean matches(byte[] other) {
@@ -37,11 +40,11 @@
 
         @Override
         public int sizeBytes() {
-            return 0; // part of what is counted for every entry
+            return 0; // included in the fixed overhead of each entry
         }
     }
 
-    /** A read, whose key says all that it asks for. */
+    /** The body of a read, which is not compared because the key identifies the request. */
     record Irrelevant() implements RequestBody {
         @Override
         public boolean matches(byte[] other) {
@@ -54,12 +57,12 @@
         }
     }
 
-    /** SHA-256 of a body. */
+    /** Returns the SHA-256 of a body. */
     static byte[] sha256(byte[] body) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(body);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("this Java platform lacks SHA-256", e);
         }
     }
 }
--- a/src/main/java/ochretiller/idempotency/RestoredAttempt.java
+++ b/src/main/java/ochretiller/idempotency/RestoredAttempt.java
@@ -4,13 +4,13 @@
 import ochretiller.model.Operation;
 
 /**
- * A keyed attempt of a previous process. Immutable, as long as nobody writes to its array.
+ * A keyed attempt of a previous process. Immutable if its array is not modified.
  *
- * @param id an id of this process that no other attempt has
- * @param operation what it asked for
- * @param token the idempotency key that its client chose
+ * @param id unique id of the attempt within this process
+ * @param operation the requested operation
+ * @param token the idempotency key chosen by the client
  * @param bodyDigest {@link IdempotencyCache#bodyDigest} of its body
- * @param isCompleted whether nothing more will be heard of it
+ * @param isCompleted whether the attempt has ended, so that no further outcome will arrive
  */
 public record RestoredAttempt(
         InvocationId id,
--- a/src/main/java/ochretiller/idempotency/durable/DiskHealth.java
+++ b/src/main/java/ochretiller/idempotency/durable/DiskHealth.java
@@ -1,10 +1,10 @@
 package ochretiller.idempotency.durable;
 
-/** How the store's disk is doing, as {@link DurabilityPolicy} sees it. */
+/** Health of the store's disk as determined by {@link DurabilityPolicy}. */
 public enum DiskHealth {
     /** Appends are acknowledged in time. */
     HEALTHY("well"),
-    /** The oldest append has waited for longer than {@link DurabilityTimeouts#stallThreshold}. */
+    /** The oldest pending append is older than {@link DurabilityTimeouts#stallThreshold}. */
     STALLED("stalled"),
     /** The disk has failed, and nothing is written until a probe succeeds. */
     UNAVAILABLE("sick");
@@ -15,7 +15,7 @@
         this.externalName = externalName;
     }
 
-    /** The word by which log lines name it; it stays whatever the constant is called. */
+    /** Name used in log lines; it must not change if the constant is renamed. */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/idempotency/durable/DurabilityPolicy.java
+++ b/src/main/java/ochretiller/idempotency/durable/DurabilityPolicy.java
@@ -8,35 +8,35 @@
 import java.util.TreeMap;
 
 /**
- * Decides how keyed invocations depend on the disk: whether a new one can be marked as in flight,
- * how long its marker and its answer wait to be durable, and when a failed disk is probed. Pure: no
- * I/O, no clock; time is handed in, on the monotonic clock.
+ * Decides how keyed invocations depend on the disk: whether a new one may run, how long its run
+ * waits for a durable in-flight marker and its answer for a durable result, and when a failed disk
+ * is probed. Performs no I/O and reads no clock; callers pass the time on the monotonic clock.
  *
- * <p>Not safe for several threads; owned by the event loop. The owner reports each append by {@link
+ * <p>Not thread-safe; confined to the event loop, which reports each append by {@link
  * #appendStarted} and {@link #appendCompleted}, and the state of the store by {@link
  * #storeStatusChanged}.
  */
 public final class DurabilityPolicy {
     /**
-     * An answer leaves this long before its deadline at the latest: a tick of the event loop and
-     * the way out.
+     * An answer is sent at least this long before its deadline, which allows for one tick of the
+     * event loop and for sending it.
      */
     private static final Duration ANSWER_MARGIN = Duration.ofMillis(120);
 
     private final DurabilityTimeouts timeouts;
     private final ProbeBackoff backoff;
 
-    /** When each append under way was started, by its number; numbers grow with time. */
+    /** Start time of each pending append by its number; numbers increase with time. */
     private final TreeMap<Long, Duration> pendingAppends = new TreeMap<>();
 
     private boolean diskFailed;
-    private boolean hasRoom = true;
+    private boolean hasCapacity = true;
     private Duration suspendedUntil = Duration.ZERO;
 
     /**
-     * A policy that takes the disk for healthy until it hears otherwise.
+     * Creates a policy that assumes a healthy disk until a failure is reported.
      *
-     * @param random jitter of the probes
+     * @param random source of the jitter of probe intervals
      */
     public DurabilityPolicy(DurabilityTimeouts timeouts, SplittableRandom random) {
         this.timeouts = timeouts;
@@ -45,31 +45,29 @@
                         timeouts.initialProbeInterval(), timeouts.maxProbeInterval(), random);
     }
 
-    /**
-     * Markers that were acknowledged may be missing until then: no new keyed invocation may run.
-     */
+    /** Rejects new keyed invocations until this time, as acknowledged markers may be missing. */
     public void suspendNewKeysUntil(Duration until) {
         suspendedUntil = until;
     }
 
-    /** An append was handed to the store; its number is higher than all before. */
+    /** Reports that an append was passed to the store; its number must exceed all earlier ones. */
     public void appendStarted(long number, Duration now) {
         pendingAppends.put(number, now);
     }
 
-    /** The append has ended, however it did. */
+    /** Reports that an append has ended, whatever its result. */
     public void appendCompleted(long number) {
         pendingAppends.remove(number);
     }
 
     /**
-     * The store has reported its state.
+     * Reports the state of the store.
      *
      * @param isHealthy whether its disk works
-     * @param hasRoomForNewKeys whether it would take another key
+     * @param hasCapacityForNewKeys whether the store has capacity for another key
      */
-    public void storeStatusChanged(boolean isHealthy, boolean hasRoomForNewKeys, Duration now) {
-        hasRoom = hasRoomForNewKeys;
+    public void storeStatusChanged(boolean isHealthy, boolean hasCapacityForNewKeys, Duration now) {
+        hasCapacity = hasCapacityForNewKeys;
         if (isHealthy) {
             diskFailed = false;
             backoff.reset();
@@ -79,7 +77,7 @@
         }
     }
 
-    /** How the disk is doing. */
+    /** Returns the health of the disk, including whether a pending append is overdue. */
     public DiskHealth diskHealth(Duration now) {
         if (diskFailed) {
             return DiskHealth.UNAVAILABLE;
@@ -88,51 +86,56 @@
         return isStalled && !pendingAppends.isEmpty() ? DiskHealth.STALLED : DiskHealth.HEALTHY;
     }
 
-    /** How long the oldest append has been under way; zero where none is. */
+    /** Returns the age of the oldest pending append; zero if none is pending. */
     public Duration oldestAppendAge(Duration now) {
         return pendingAppends.isEmpty()
                 ? Duration.ZERO
                 : now.minus(pendingAppends.firstEntry().getValue());
     }
 
-    /** Whether a new keyed invocation may run: its marker is expected to become durable. */
+    /**
+     * Returns whether a new keyed invocation may run, as its marker is expected to become durable.
+     */
     public boolean acceptsNewKeys(Duration now) {
         return diskHealth(now) == DiskHealth.HEALTHY
-                && hasRoom
+                && hasCapacity
                 && now.compareTo(suspendedUntil) >= 0;
     }
 
     /**
-     * How long a run waits for its marker to be durable; zero where its answer would be late in any
-     * case.
+     * Returns how long a run waits for its marker to become durable; zero if its answer would be
+     * late in any case.
      *
-     * @param deadline when its answer is due
+     * @param deadline time at which its answer is due
      */
     public Duration markerTimeout(Duration deadline, Duration now) {
         return boundedByDeadline(timeouts.markerWait(), deadline, now);
     }
 
     /**
-     * How long an answer waits for its result to be durable. It leaves in time in any case, and its
-     * marker stands.
+     * Returns how long an answer waits for its result to become durable. The answer is sent in time
+     * even if the result is not durable; the in-flight marker then remains.
      *
-     * @param deadline when the answer is due
+     * @param deadline time at which the answer is due
      */
     public Duration answerTimeout(Duration deadline, Duration now) {
         return diskFailed ? Duration.ZERO : boundedByDeadline(timeouts.answerWait(), deadline, now);
     }
 
-    private static Duration boundedByDeadline(Duration longest, Duration deadline, Duration now) {
-        Duration untilLastCall = deadline.minus(ANSWER_MARGIN).minus(now);
-        return max(Duration.ZERO, min(longest, untilLastCall));
+    private static Duration boundedByDeadline(Duration maxWait, Duration deadline, Duration now) {
+        Duration remaining = deadline.minus(ANSWER_MARGIN).minus(now);
+        return max(Duration.ZERO, min(maxWait, remaining));
     }
 
-    /** Whether a failed disk is to be probed now; if so the probe counts as started. */
+    /** Returns whether a failed disk is to be probed now, and if so marks the probe as started. */
     public boolean startProbeIfDue(Duration now) {
         return diskFailed && backoff.startIfDue(now);
     }
 
-    /** The probe has failed; each failure doubles the pause before the next one. */
+    /**
+     * Reports a failed probe; each failure doubles the delay before the next probe, up to a
+     * maximum.
+     */
     public void probeFailed(Duration now) {
         backoff.probeFailed(now);
     }
--- a/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
+++ b/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * What is stored of a keyed invocation beside its result. Immutable, as long as nobody writes to
- * its array; safe for any thread.
+ * The stored state of a keyed invocation, excluding its result. Immutable and thread-safe if its
+ * array is not modified.
  *
- * @param progress how far it is known to have come
- * @param token the idempotency key that its client chose; the key in the store
+ * @param progress last known progress of the invocation
+ * @param token the idempotency key chosen by the client; also the key in the store
  * @param operation name of its operation
- * @param runId name of its run on the connection to the processor
+ * @param runId id of its run on the connection to the processor
  * @param bodyDigest SHA-256 of its request body
- * @param markedAtMillis when its run was about to begin, on the store's clock
- * @param windowEndsAtMillis repeats that arrive before this belong to it, on the store's clock
+ * @param markedAtMillis time just before its run, on the store's clock
+ * @param windowEndsAtMillis end of its deduplication window, on the store's clock
  */
 public record IdempotencyRecord(
         InvocationProgress progress,
@@ -25,32 +25,34 @@
         byte[] bodyDigest,
         long markedAtMillis,
         long windowEndsAtMillis) {
-    /** Longest names, in characters, that fit the store's metadata together with the rest. */
+    /**
+     * Longest operation name; with both names at their limits a record fits the store's metadata.
+     */
     private static final int MAX_OPERATION_CHARS = 100;
 
     private static final int MAX_RUN_ID_CHARS = 50;
     private static final int DIGEST_BYTES = 32;
 
-    /** Progress, two times, digest and the lengths of two names. */
+    /** Size of progress, two timestamps, digest and the lengths of two names. */
     private static final int FIXED_BYTES = 1 + 2 * Long.BYTES + DIGEST_BYTES + 2;
 
-    /** The same with another progress. */
+    /** Returns a copy with another progress. */
     public IdempotencyRecord withProgress(InvocationProgress next) {
         return new IdempotencyRecord(
                 next, token, operation, runId, bodyDigest, markedAtMillis, windowEndsAtMillis);
     }
 
-    /** Whether a record with these names can be stored. */
+    /** Returns whether a record with these names fits the store's metadata. */
     public static boolean namesFit(String operation, String runId) {
         return operation.length() <= MAX_OPERATION_CHARS && runId.length() <= MAX_RUN_ID_CHARS;
     }
 
-    /** The key in the store. */
+    /** Returns the key of this record in the store: the token in UTF-8. */
     public byte[] encodeKey() {
         return token.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** All but the token, as the store's metadata. */
+    /** Encodes all fields except the token, as metadata for the store. */
     public byte[] encodeMetadata() {
         byte[] operationBytes = operation.getBytes(StandardCharsets.UTF_8);
         byte[] runIdBytes = runId.getBytes(StandardCharsets.UTF_8);
@@ -68,8 +70,8 @@
     }
 
     /**
-     * Reads what {@link #encodeKey} and {@link #encodeMetadata} have written; empty for bytes that
-     * they cannot have written.
+     * Decodes the output of {@link #encodeKey} and {@link #encodeMetadata}; empty if the metadata
+     * is not valid.
      */
     public static Optional<IdempotencyRecord> decode(byte[] key, byte[] metadata) {
         if (metadata.length < FIXED_BYTES) {
@@ -111,7 +113,7 @@
         return Optional.of(new String(bytes, StandardCharsets.UTF_8));
     }
 
-    /** Whether a request body with this SHA-256 is the one that the invocation came with. */
+    /** Returns whether this is the SHA-256 of the invocation's request body. */
     public boolean hasBodyDigest(byte[] digest) {
         return Arrays.equals(bodyDigest, digest);
     }
--- a/src/main/java/ochretiller/idempotency/durable/InvocationProgress.java
+++ b/src/main/java/ochretiller/idempotency/durable/InvocationProgress.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** How far a keyed invocation is known to have come. */
+/** The last known progress of a keyed invocation. */
 public enum InvocationProgress {
-    /** Its run may have begun; how it ended is unknown. */
+    /** The run may have begun; its outcome is unknown. */
     IN_FLIGHT(0, "MARKED"),
-    /** It has succeeded, and its result is stored. */
+    /** The run has succeeded and its result is stored. */
     SUCCEEDED(1, "SUCCEEDED"),
-    /** It has ended without a result, and may have had its effect. */
+    /** The run has ended without a result and may have taken effect. */
     ENDED_WITHOUT_RESULT(2, "LOST");
 
     private final byte code;
@@ -20,17 +20,17 @@
         this.externalName = externalName;
     }
 
-    /** The number by which it is stored. */
+    /** Number that represents the constant in stored records. */
     byte code() {
         return code;
     }
 
-    /** The constant that is stored by this number; empty where there is none. */
+    /** Returns the constant with this code; empty if there is none. */
     static Optional<InvocationProgress> ofCode(byte code) {
         return Arrays.stream(values()).filter(each -> each.code == code).findFirst();
     }
 
-    /** The word by which {@code store list} names it; it stays whatever the constant is called. */
+    /** Name that {@code store list} prints; it must not change if the constant is renamed. */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/idempotency/durable/ProbeBackoff.java
+++ b/src/main/java/ochretiller/idempotency/durable/ProbeBackoff.java
@@ -6,42 +6,43 @@
 import java.util.SplittableRandom;
 
 /**
- * When a failed disk is probed next: exponential backoff with jitter, one probe at a time. Owned by
- * the thread that owns the {@link DurabilityPolicy}; time is handed in, on the monotonic clock.
+ * Schedules probes of a failed disk with exponential backoff and jitter, one probe at a time.
+ * Confined to the thread that owns the {@link DurabilityPolicy}; callers pass the time on the
+ * monotonic clock.
  */
 final class ProbeBackoff {
     /**
-     * Width of the jitter as a share of the pause, so that many servers on one disk do not probe
-     * together.
+     * Width of the jitter as a fraction of the delay, so that servers that share a disk do not
+     * probe it simultaneously.
      */
-    private static final double JITTER = 0.5;
+    private static final double JITTER_FRACTION = 0.5;
 
-    private final Duration initialPause;
-    private final Duration maxPause;
+    private final Duration initialDelay;
+    private final Duration maxDelay;
     private final SplittableRandom random;
-    private Duration pause;
+    private Duration delay;
     private Duration nextProbeAt = Duration.ZERO;
     private boolean probing;
 
-    ProbeBackoff(Duration initialPause, Duration maxPause, SplittableRandom random) {
-        this.initialPause = initialPause;
-        this.maxPause = maxPause;
+    ProbeBackoff(Duration initialDelay, Duration maxDelay, SplittableRandom random) {
+        this.initialDelay = initialDelay;
+        this.maxDelay = maxDelay;
         this.random = random;
-        this.pause = initialPause;
+        this.delay = initialDelay;
     }
 
-    /** The disk works: the next failure starts from the shortest pause again. */
+    /** Resets the delay to its initial value after the disk has recovered. */
     void reset() {
         probing = false;
-        pause = initialPause;
+        delay = initialDelay;
     }
 
-    /** The disk has failed; the first probe comes after a pause. */
+    /** Schedules the first probe after the disk has failed. */
     void scheduleFirst(Duration now) {
-        nextProbeAt = now.plus(withJitter(pause));
+        nextProbeAt = now.plus(withJitter(delay));
     }
 
-    /** Whether a probe is due now; if so it counts as started. */
+    /** Returns whether a probe is due, and if so marks it as started. */
     boolean startIfDue(Duration now) {
         if (probing || now.compareTo(nextProbeAt) < 0) {
             return false;
@@ -50,15 +51,15 @@
         return true;
     }
 
-    /** The probe has failed; the next one waits for twice as long. */
+    /** Schedules the next probe after a failed one, with twice the delay up to the maximum. */
     void probeFailed(Duration now) {
         probing = false;
-        pause = min(pause.multipliedBy(2), maxPause);
-        nextProbeAt = now.plus(withJitter(pause));
+        delay = min(delay.multipliedBy(2), maxDelay);
+        nextProbeAt = now.plus(withJitter(delay));
     }
 
-    private Duration withJitter(Duration span) {
+    private Duration withJitter(Duration duration) {
         return Duration.ofNanos(
-                (long) (span.toNanos() * (1 + JITTER * (random.nextDouble() - 0.5))));
+                (long) (duration.toNanos() * (1 + JITTER_FRACTION * (random.nextDouble() - 0.5))));
     }
 }
