--- a/src/main/java/ochretiller/store/AppendCallback.java
+++ b/src/main/java/ochretiller/store/AppendCallback.java
@@ -1,11 +1,11 @@
 package ochretiller.store;
 
 /**
- * Receives the outcome of one append. It is run exactly once, on the executor that {@link
- * Store#open} was given, never on the caller's stack unless that executor runs tasks there.
+ * Receives the result of one append. It is called exactly once, on the executor that was passed to
+ * {@link Store#open}, and on the caller's stack only if that executor runs tasks there.
  */
 @FunctionalInterface
 public interface AppendCallback {
-    /** The append is over, with this outcome. */
+    /** Called when the append has ended with this result. */
     void completed(AppendResult result);
 }
--- a/src/main/java/ochretiller/store/AppendQueue.java
+++ b/src/main/java/ochretiller/store/AppendQueue.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The bounded queue between callers and the writer thread, and the admission check in front of it.
- * Callers, one at a time, offer; the writer thread polls and reports what it has worked off.
+ * The bounded queue between callers and the writer thread, with an admission check. One caller at a
+ * time offers tasks; the writer thread polls them and releases their capacity.
  */
 final class AppendQueue {
-    /** Most tasks: some seconds' worth where one arrives each millisecond. */
+    /** Maximum number of tasks: several seconds of one task per millisecond. */
     private static final int MAX_TASKS = 16 * 1024;
 
-    /** Most bytes of records that wait for the disk. */
+    /** Maximum total size of the records that wait for the disk. */
     private static final long MAX_QUEUED_BYTES = 8L << 20;
 
     private final StoreLimits limits;
@@ -25,7 +25,7 @@
     private final AtomicLong queuedBytes = new AtomicLong();
     private volatile boolean closing;
 
-    /** What may be taken by stored and queued records together. */
+    /** Limits for stored and queued records together. */
     private record Bounds(long entries, long bytes, long indexBytes) {}
 
     AppendQueue(StoreLimits limits) {
@@ -35,8 +35,8 @@
     /**
      * Queues an append.
      *
-     * @param stats what is stored already
-     * @return empty where it was queued, else why not
+     * @param stats statistics of what is already stored
+     * @return empty if the append was queued, otherwise why it was rejected
      */
     Optional<AppendResult> offer(AppendRequest request, StoreStats stats) {
         Optional<AppendResult> rejection = check(request, stats);
@@ -62,16 +62,16 @@
         boolean fits =
                 request.isNewKey()
                         ? hasRoomForNewKey(stats)
-                        : hasRoomForKnownKey(request.recordBytes(), stats);
+                        : hasCapacityForExistingKey(request.recordBytes(), stats);
         return fits ? Optional.empty() : Optional.of(AppendResult.CAPACITY_EXCEEDED);
     }
 
-    /** Queues something other than an append; false where the queue is full. */
+    /** Queues a task other than an append; returns false if the queue is full. */
     boolean offerCall(WriterTask.EngineCall call) {
         return tasks.offer(call);
     }
 
-    /** Whether one more key fits without touching the reserve that is kept for known keys. */
+    /** Returns whether one more key fits without using the reserve for existing keys. */
     boolean hasRoomForNewKey(StoreStats stats) {
         Bounds withoutReserve =
                 new Bounds(
@@ -82,8 +82,8 @@
         return fits(RecordFormat.MAX_KEY_BYTES, withoutReserve, stats);
     }
 
-    private boolean hasRoomForKnownKey(int recordBytes, StoreStats stats) {
-        // Its key is counted among the entries already, so they may be as many as the bound says.
+    private boolean hasCapacityForExistingKey(int recordBytes, StoreStats stats) {
+        // Its key is already counted, so the number of entries may equal the limit.
         return fits(
                 recordBytes,
                 new Bounds(limits.maxEntries() + 1L, limits.maxBytes(), limits.maxIndexBytes()),
@@ -102,23 +102,29 @@
                 && indexBytes <= bounds.indexBytes();
     }
 
-    /** Waits for the next task; empty where none comes in time. */
+    /**
+     * Waits for the next task; empty if none arrives within the timeout. Does not wait after {@link
+     * #close}.
+     */
     Optional<WriterTask> poll(long timeoutMillis) throws InterruptedException {
         return Optional.ofNullable(
                 closing ? tasks.poll() : tasks.poll(timeoutMillis, TimeUnit.MILLISECONDS));
     }
 
-    /** Moves all waiting tasks into the list, oldest first. */
+    /** Moves all queued tasks to the end of the list, oldest first. */
     void drainTo(List<WriterTask> batch) {
         tasks.drainTo(batch);
     }
 
-    /** Tasks that wait. */
+    /** Number of queued tasks. */
     int size() {
         return tasks.size();
     }
 
-    /** These appends no longer wait; what became of them is in the store's figures by now. */
+    /**
+     * Releases the capacity of appends that no longer wait; those written are in the store's
+     * statistics by now.
+     */
     void workedOff(List<AppendRequest> requests) {
         for (AppendRequest request : requests) {
             queuedBytes.addAndGet(-request.recordBytes());
@@ -126,7 +132,7 @@
         }
     }
 
-    /** No further append is taken; what waits is worked off. */
+    /** Rejects further appends; queued tasks are still processed. */
     void close() {
         closing = true;
     }
--- a/src/main/java/ochretiller/store/AppendRequest.java
+++ b/src/main/java/ochretiller/store/AppendRequest.java
@@ -1,14 +1,14 @@
 package ochretiller.store;
 
 /**
- * A record that waits to be appended. Immutable, as long as nobody writes to its arrays.
+ * A record to be appended. Immutable if its arrays are not modified.
  *
  * @param kind {@link RecordFormat#PUT} or {@link RecordFormat#TOMBSTONE}
- * @param metadata bytes that the index holds in memory
- * @param value bytes that are on disk only
- * @param expiresAtMillis end of the record's life, on the store's clock
- * @param isNewKey whether it counts against the room for new keys while it waits
- * @param callback receives the outcome, on the store's callback executor
+ * @param metadata bytes that the index keeps in memory
+ * @param value bytes that are stored on disk only
+ * @param expiresAtMillis expiry time of the record, on the store's clock
+ * @param isNewKey whether it counts as a new key towards the limits while it is queued
+ * @param callback receives the result, on the store's callback executor
  */
 record AppendRequest(
         byte kind,
@@ -21,19 +21,19 @@
         implements WriterTask {
     private static final byte[] EMPTY = new byte[0];
 
-    /** A request that removes a key; the tombstone stays until then. */
+    /** Creates a request that removes a key by a tombstone with this expiry time. */
     static AppendRequest tombstone(byte[] key, long expiresAtMillis, AppendCallback callback) {
         StoreKey storeKey = new StoreKey(key);
         return new AppendRequest(
                 RecordFormat.TOMBSTONE, storeKey, EMPTY, EMPTY, expiresAtMillis, false, callback);
     }
 
-    /** Bytes of the record in its segment. */
+    /** Size of the record in its segment, in bytes. */
     int recordBytes() {
         return RecordFormat.recordBytes(key.length(), metadata.length, value.length);
     }
 
-    /** What the index needs of the record once it has this sequence number. */
+    /** Returns the attributes of the record under this sequence number. */
     RecordAttributes attributes(long sequence) {
         return new RecordAttributes(sequence, kind, expiresAtMillis, recordBytes());
     }
--- a/src/main/java/ochretiller/store/BootClock.java
+++ b/src/main/java/ochretiller/store/BootClock.java
@@ -8,11 +8,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * A monotonic clock that keeps counting while no process runs, as far as the machine offers one.
- * Immutable; safe for any thread as long as the supplier is.
+ * A monotonic clock that continues while no process runs, if the machine offers one. Immutable;
+ * thread-safe if the supplier is.
  *
- * @param bootId identifies the boot of the machine, so that a restarted process can tell whether
- *     the clock kept counting; empty where the machine does not say
+ * @param bootId identifies the boot of the machine, so that a restarted process can check whether
+ *     the clock continued; empty if the machine has none
  * @param uptimeMillis milliseconds since an instant that all processes under one {@code bootId}
  *     share
  */
@@ -22,8 +22,8 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /**
-     * The kernel's uptime under its boot id; where the kernel does not tell them, the time since
-     * this call under no boot id.
+     * Returns the kernel's uptime and boot id; if they cannot be read, a clock that starts with
+     * this call and has no boot id.
      */
     public static BootClock ofKernel() {
         try {
--- a/src/main/java/ochretiller/store/Compaction.java
+++ b/src/main/java/ochretiller/store/Compaction.java
@@ -12,16 +12,16 @@
 import java.util.Optional;
 
 /**
- * Copies the live records of one sealed segment into a file beside it, a step at a time, and then
- * replaces the segment by the copy atomically. The segment keeps its number: the order of segments
- * does not matter, as the newest record of a key is known by its sequence number. Owned by the
- * thread that owns the {@link Index}.
+ * Copies the live records of one sealed segment into a temporary file, step by step, and then
+ * atomically replaces the segment with the copy. The segment keeps its number: the order of
+ * segments does not matter, as the sequence number identifies the newest record of a key. Confined
+ * to the thread that owns the {@link Index}.
  */
 final class Compaction {
-    /** Most bytes that one step copies, so that appends wait for no longer. */
+    /** Bytes after which a step stops copying, which bounds how long appends wait for it. */
     private static final int STEP_BYTES = 256 * 1024;
 
-    /** A rate that limits nothing. */
+    /** A rate that disables the limit. */
     static final long UNLIMITED_RATE = Long.MAX_VALUE;
 
     private final Segment segment;
@@ -33,46 +33,46 @@
     private int nextEntry;
     private long copySizeBytes = SegmentHeader.BYTES;
 
-    /** The segment and its copy while it is written. */
+    /** The segment's file and its unfinished copy. */
     private record OpenFiles(StorageFile source, StorageFile copy) implements Closeable {
         @Override
         public void close() throws IOException {
             try (source;
                     copy) {
-                // closes both, whichever fails
+                // closes both files even if closing one fails
             }
         }
     }
 
     /**
-     * A compaction that has not touched the disk yet.
+     * Creates a compaction without accessing the disk.
      *
-     * @param segment sealed, not damaged
-     * @param bytesPerSecond rate at which it may copy, or {@link #UNLIMITED_RATE}
+     * @param segment a sealed and undamaged segment
+     * @param bytesPerSecond maximum copy rate, or {@link #UNLIMITED_RATE}
      */
     Compaction(Segment segment, long bytesPerSecond, long nowMillis) {
         this.segment = segment;
         this.bytesPerSecond = bytesPerSecond;
         this.startedAtMillis = nowMillis;
         this.liveEntries = new ArrayList<>(segment.liveEntries());
-        liveEntries.removeIf(
-                entry -> entry.isExpired(nowMillis)); // an expired tombstone hides nothing any more
+        // An expired tombstone no longer hides an older record.
+        liveEntries.removeIf(entry -> entry.isExpired(nowMillis));
         liveEntries.sort(Comparator.comparingInt(IndexEntry::offset));
     }
 
     /**
-     * The segment with the most dead bytes, among those that are mostly dead and will not soon
-     * expire as a whole.
+     * Returns a compaction of the eligible segment with the most dead bytes; empty if none is
+     * eligible. Eligible segments exceed the dead ratio and will not soon expire as a whole.
      */
     static Optional<Compaction> mostWorthwhile(
             Collection<Segment> candidates, StoreLimits limits, long nowMillis) {
         return candidates.stream()
-                .filter(segment -> isWorthwhile(segment, limits, nowMillis))
+                .filter(segment -> isEligible(segment, limits, nowMillis))
                 .reduce((best, each) -> each.deadBytes() > best.deadBytes() ? each : best)
                 .map(best -> new Compaction(best, limits.compactionBytesPerSecond(), nowMillis));
     }
 
-    private static boolean isWorthwhile(Segment segment, StoreLimits limits, long nowMillis) {
+    private static boolean isEligible(Segment segment, StoreLimits limits, long nowMillis) {
         long remainingLifeMillis = segment.lastExpiryMillis() - nowMillis;
         return segment.isSealed()
                 && !segment.isDamaged()
@@ -89,11 +89,11 @@
     }
 
     /**
-     * Copies as much as the rate allows.
+     * Copies as many records as the rate allows.
      *
-     * @return true once the copy is complete, sealed and on stable storage, so that {@link #finish}
+     * @return whether the copy is complete, sealed and on stable storage, so that {@link #finish}
      *     is due
-     * @throws IOException where the disk fails or a record of the segment turns out to be damaged
+     * @throws IOException if the disk fails or a record of the segment is damaged
      */
     boolean step(StorageDirectory directory, long nowMillis) throws IOException {
         if (files.isEmpty()) {
@@ -153,27 +153,27 @@
         ByteBuffer record = ByteBuffer.allocate(entry.recordBytes());
         source.read(record, entry.offset());
         record.flip();
-        // A record that went bad is not copied, so that damage stays where it is and its segment is
-        // kept.
+        // A damaged record is not copied: the compaction fails and the damaged segment is retained.
         if (RecordFormat.inspect(record) != RecordStatus.VALID) {
-            throw new IOException("damage in " + segment.fileName());
+            throw new IOException(
+                    "damaged record at offset " + entry.offset() + " of " + segment.fileName());
         }
         newOffsets.put(entry, (int) (copySizeBytes + out.position()));
         out.put(record);
     }
 
     /**
-     * Replaces the segment by its complete copy and updates the index.
+     * Replaces the segment with its complete copy and updates the index.
      *
-     * @return bytes of the copy
-     * @throws IOException where the disk fails; either file holds all that is live, whichever a
-     *     restart finds
+     * @return size of the copy in bytes
+     * @throws IOException if the disk fails; both files contain all live records, so a restart may
+     *     find either
      */
     long finish(StorageDirectory directory, Index index) throws IOException {
         closeFiles();
         directory.delete(segment.hintFileName());
         directory.rename(copyFileName(), segment.fileName());
-        // From here on the copy is read, even where forcing the directory fails.
+        // From here on the copy is read, even if forcing the directory fails.
         List<IndexEntry> expired =
                 segment.liveEntries().stream()
                         .filter(entry -> !newOffsets.containsKey(entry))
@@ -190,7 +190,7 @@
         return copySizeBytes;
     }
 
-    /** Gives the copy up; the segment stays as it is. */
+    /** Deletes the copy; the segment remains unchanged. */
     void abandon(StorageDirectory directory) {
         try {
             closeFiles();
--- a/src/main/java/ochretiller/store/CompactionReport.java
+++ b/src/main/java/ochretiller/store/CompactionReport.java
@@ -1,9 +1,9 @@
 package ochretiller.store;
 
 /**
- * Sizes of a store around an offline compaction.
+ * Sizes of a store before and after an offline compaction.
  *
- * @param bytesBefore bytes of all segments before it
- * @param bytesAfter bytes of all segments after it
+ * @param bytesBefore total bytes of all segments before the compaction
+ * @param bytesAfter total bytes of all segments after the compaction
  */
 public record CompactionReport(long bytesBefore, long bytesAfter) {}
--- a/src/main/java/ochretiller/store/GroupCommitWriter.java
+++ b/src/main/java/ochretiller/store/GroupCommitWriter.java
@@ -6,18 +6,21 @@
 import java.util.concurrent.Executor;
 
 /**
- * The writer thread's loop. It takes what is queued, commits appends in groups (one write and one
- * force each, then all callbacks), runs other tasks between two groups, and lets the engine do its
- * maintenance. It owns the {@link StorageEngine} while it runs.
+ * The loop of the writer thread. It takes queued tasks, commits appends in groups (one write and
+ * one force each, then all callbacks), runs other tasks between two groups, and triggers the
+ * engine's maintenance. It owns the {@link StorageEngine} while it runs.
  */
 final class GroupCommitWriter implements Runnable {
-    /** Bytes of a group; a longer one would delay its first record for the sake of its last. */
+    /**
+     * Size in bytes from which a group takes no further append, so that its first append is not
+     * delayed.
+     */
     private static final int MAX_GROUP_BYTES = 1 << 20;
 
-    /** How long the loop sleeps while it has nothing to do, milliseconds. */
+    /** Longest wait for a task, in milliseconds. */
     private static final long IDLE_MILLIS = SegmentCleaner.SWEEP_INTERVAL_MILLIS;
 
-    /** The same while a compaction waits for its rate, milliseconds. */
+    /** Longest wait for a task while a compaction is in progress, in milliseconds. */
     private static final long COMPACTING_IDLE_MILLIS = 10;
 
     private final AppendQueue queue;
@@ -32,8 +35,8 @@
     }
 
     /**
-     * Runs until the queue is closed and empty, or the thread is interrupted, and seals the active
-     * segment at the end.
+     * Runs until the queue is closed and empty, or the thread is interrupted, and then seals the
+     * active segment.
      */
     @Override
     public void run() {
@@ -56,7 +59,10 @@
         }
     }
 
-    /** Waits a while for a task and adds it to the batch; false once there will be none. */
+    /**
+     * Waits for a task and adds it to the batch, if one arrives; false once the queue is closed and
+     * empty.
+     */
     private boolean awaitFirstTask(List<WriterTask> batch) throws InterruptedException {
         Optional<WriterTask> first =
                 queue.poll(engine.isCompacting() ? COMPACTING_IDLE_MILLIS : IDLE_MILLIS);
@@ -65,8 +71,8 @@
     }
 
     /**
-     * Gives callers that were acknowledged just now a moment to come back, so that one force serves
-     * them all.
+     * Waits briefly for the next appends of callers that were just acknowledged, so that these
+     * appends share one force.
      */
     private void awaitGroup() {
         int expected = delay.expectedAppends();
@@ -93,7 +99,10 @@
         }
     }
 
-    /** The appends from this place of the batch on that go out together; there is at least one. */
+    /**
+     * Returns the appends from this index of the batch on that form one group; there is at least
+     * one.
+     */
     private static List<AppendRequest> nextGroup(List<WriterTask> batch, int from) {
         List<AppendRequest> group = new ArrayList<>();
         int bytes = 0;
--- a/src/main/java/ochretiller/store/HintFile.java
+++ b/src/main/java/ochretiller/store/HintFile.java
@@ -7,15 +7,15 @@
 import java.util.Optional;
 
 /**
- * The index entries of a sealed segment, in a file beside it (Bitcask's hint file), so that a start
- * need not read the values. It binds itself to its segment by size and by the checksum of the seal;
- * one that is torn or belongs to another file is ignored. Layout: {@code docs/store-format.md},
- * "Hint". Owned by the thread that owns the {@link Index}.
+ * The index entries of a sealed segment, in a separate file (Bitcask's hint file), so that a start
+ * need not read the values. It identifies its segment by size and by the checksum of the seal; a
+ * hint that is torn or belongs to another file is ignored. Layout: {@code docs/store-format.md},
+ * "Hint". Confined to the thread that owns the {@link Index}.
  *
  * @param entries live entries of the segment
- * @param recordCount records of the segment, the seal included
+ * @param recordCount number of records in the segment, including the seal
  * @param lastSequence highest sequence number in use when the hint was written
- * @param deadBytes bytes of the segment that no entry covers, the seal included
+ * @param deadBytes bytes of the segment that no entry covers, including the seal
  */
 record HintFile(List<IndexEntry> entries, int recordCount, long lastSequence, long deadBytes) {
     /** "OCHREHNT". */
@@ -24,10 +24,10 @@
     private static final int HEADER_BYTES = 48;
     private static final int CHECKSUM_BYTES = 4;
 
-    /** Bytes of an entry beside its key and metadata. */
+    /** Bytes of an entry excluding its key and metadata. */
     private static final int ENTRY_FIXED_BYTES = 31;
 
-    /** Writes the hint of a sealed segment. It is not forced: a start does without it. */
+    /** Writes the hint of a sealed segment. It is not forced, as a start works without it. */
     static void write(StorageDirectory directory, Segment segment, long lastSequence)
             throws IOException {
         ByteBuffer bytes = encode(segment, readSealChecksum(directory, segment), lastSequence);
@@ -83,10 +83,10 @@
     /**
      * Reads the hint of a segment.
      *
-     * @param segmentFile the segment itself, open
-     * @param segment what the entries will refer to; it is not changed
+     * @param segmentFile open file of the segment
+     * @param segment segment that the entries will refer to; not modified
      * @param segmentSize length of the segment's file in bytes
-     * @return empty where the hint is torn, damaged or was written for other contents
+     * @return empty if the hint is torn, damaged or was written for other contents
      */
     static Optional<HintFile> read(
             StorageDirectory directory, StorageFile segmentFile, Segment segment, long segmentSize)
@@ -156,7 +156,7 @@
         return entries;
     }
 
-    /** Checksum of the seal at the end of a segment, 0 where it has none. */
+    /** Returns the checksum of the seal at the end of a segment; 0 if it has none. */
     private static int sealChecksum(StorageFile segmentFile, long segmentSize) throws IOException {
         ByteBuffer seal = ByteBuffer.allocate(RecordFormat.SEAL_BYTES);
         if (segmentSize < SegmentHeader.BYTES + RecordFormat.SEAL_BYTES) {
--- a/src/main/java/ochretiller/store/Index.java
+++ b/src/main/java/ochretiller/store/Index.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 
 /**
- * The in-memory directory of keys (Bitcask's "keydir"): for each key the newest record, and where
- * on disk it lies. Not safe for several threads: the thread that opens the store owns it first, the
- * writer thread from {@link Store#start} on.
+ * The in-memory directory of keys (Bitcask's "keydir"): for each key the newest record and its
+ * position on disk. Not thread-safe: owned by the thread that opens the store until {@link
+ * Store#start}, and by the writer thread afterwards.
  */
 final class Index {
     /**
-     * Memory of an entry beside its key and metadata: two objects, two array headers and its place
-     * in the map.
+     * Estimated memory of an entry excluding its key and metadata: two objects, two array headers
+     * and its slot in the map.
      */
     static final int ENTRY_OVERHEAD_BYTES = 200;
 
@@ -23,12 +23,12 @@
     private int liveKeys;
     private long memoryBytes;
 
-    /** Keys that have a value; tombstones are not counted. */
+    /** Number of keys that have a value; tombstones are not counted. */
     int liveKeys() {
         return liveKeys;
     }
 
-    /** Memory of all entries, estimated. */
+    /** Estimated memory of all entries, in bytes. */
     long memoryBytes() {
         return memoryBytes;
     }
@@ -39,18 +39,18 @@
     }
 
     /**
-     * Adds a record to its segment and here. The highest sequence number wins, in whatever order
-     * records are added.
+     * Adds a record to its segment and to this index. The highest sequence number wins, in whatever
+     * order records are added.
      */
     void put(IndexEntry entry) {
         entry.segment().add(entry);
-        IndexEntry known = entries.get(entry.key());
-        if (known != null && known.sequence() > entry.sequence()) {
+        IndexEntry previous = entries.get(entry.key());
+        if (previous != null && previous.sequence() > entry.sequence()) {
             entry.segment().supersede(entry);
             return;
         }
-        if (known != null) {
-            remove(known);
+        if (previous != null) {
+            remove(previous);
         }
         entries.put(entry.key(), entry);
         liveKeys += entry.isPut() ? 1 : 0;
@@ -65,19 +65,19 @@
     }
 
     /**
-     * Drops entries that expired or whose file is gone; those that newer records have superseded
-     * are left alone.
+     * Removes entries that expired or whose file was deleted. Entries that newer records have
+     * superseded are ignored.
      */
-    void removeAll(List<IndexEntry> gone) {
-        gone.stream().filter(entry -> entries.get(entry.key()) == entry).forEach(this::remove);
+    void removeAll(List<IndexEntry> obsolete) {
+        obsolete.stream().filter(entry -> entries.get(entry.key()) == entry).forEach(this::remove);
     }
 
-    /** Latest end of a life among all entries; empty without entries. */
+    /** Latest expiry time of all entries, on the store's clock; empty without entries. */
     OptionalLong latestExpiryMillis() {
         return entries.values().stream().mapToLong(IndexEntry::expiresAtMillis).max();
     }
 
-    /** Hands over the newest record of each key, in no particular order. */
+    /** Visits the newest record of each key, in no particular order. */
     void forEach(Consumer<IndexEntry> visitor) {
         entries.values().forEach(visitor);
     }
--- a/src/main/java/ochretiller/store/IndexEntry.java
+++ b/src/main/java/ochretiller/store/IndexEntry.java
@@ -1,9 +1,9 @@
 package ochretiller.store;
 
 /**
- * The newest known record of a key and where it lies. A tombstone has an entry too until it
- * expires, so that an older record that is still on disk cannot come back. Owned by the thread that
- * owns the {@link Index}.
+ * The newest known record of a key and its position on disk. A tombstone also has an entry until it
+ * expires, so that an older record that is still on disk cannot reappear. Confined to the thread
+ * that owns the {@link Index}.
  */
 final class IndexEntry {
     private final StoreKey key;
@@ -17,9 +17,9 @@
     private boolean superseded;
 
     /**
-     * An entry that no newer record has superseded yet.
+     * Creates an entry that no newer record has superseded.
      *
-     * @param offset where the record begins, in bytes from the start of its segment
+     * @param offset position of the record, in bytes from the start of its segment
      */
     IndexEntry(
             StoreKey key,
@@ -83,17 +83,20 @@
         return superseded;
     }
 
-    /** A newer record of the key is known. */
+    /** Marks the record as superseded by a newer one of its key. */
     void markSuperseded() {
         superseded = true;
     }
 
-    /** Compaction has put the record elsewhere within its segment. */
+    /** Sets the new offset of the record within its segment after a compaction. */
     void moveTo(int newOffset) {
         offset = newOffset;
     }
 
-    /** Memory that the entry takes, as {@link StoreLimits#maxIndexBytes} counts it. */
+    /**
+     * Estimated memory of the entry in bytes, which counts towards {@link
+     * StoreLimits#maxIndexBytes}.
+     */
     int memoryBytes() {
         return Index.ENTRY_OVERHEAD_BYTES + key.length() + metadata.length;
     }
--- a/src/main/java/ochretiller/store/LocalDirectory.java
+++ b/src/main/java/ochretiller/store/LocalDirectory.java
@@ -17,16 +17,16 @@
 import java.util.stream.Stream;
 
 /**
- * A directory of the local file system. Immutable; its files are opened by {@link FileChannel},
- * which is safe for several threads.
+ * A directory of the local file system. Immutable; its files use {@link FileChannel}, which is
+ * thread-safe.
  */
 public final class LocalDirectory implements StorageDirectory {
     private final Path directory;
 
     /**
-     * A directory that need not exist yet; {@link #acquireLock} creates it.
+     * Refers to a directory that need not exist yet; {@link #acquireLock} creates it.
      *
-     * @param directory where the store's files are
+     * @param directory directory of the store's files
      */
     public LocalDirectory(Path directory) {
         this.directory = directory;
@@ -67,7 +67,7 @@
 
     @Override
     public StorageFile open(String name) throws IOException {
-        // An inspection may read a store that it has no right to change.
+        // An inspection may read a store without permission to write it.
         boolean writable = Files.isWritable(directory.resolve(name));
         return writable
                 ? openChannel(name, StandardOpenOption.READ, StandardOpenOption.WRITE)
@@ -114,19 +114,19 @@
         }
 
         @Override
-        public int read(ByteBuffer into, long position) throws IOException {
-            int start = into.position();
+        public int read(ByteBuffer target, long position) throws IOException {
+            int start = target.position();
             int count = 0;
-            while (into.hasRemaining() && count >= 0) {
-                count = channel.read(into, position + into.position() - start);
+            while (target.hasRemaining() && count >= 0) {
+                count = channel.read(target, position + target.position() - start);
             }
-            return into.position() - start;
+            return target.position() - start;
         }
 
         @Override
         public void force() throws IOException {
-            // Without metadata such as times; the length is forced all the same, as appended bytes
-            // could not be read without it.
+            // Does not force metadata such as timestamps. The file length is forced nevertheless,
+            // as appended bytes could not be read without it.
             channel.force(false);
         }
 
--- a/src/main/java/ochretiller/store/RecordAttributes.java
+++ b/src/main/java/ochretiller/store/RecordAttributes.java
@@ -1,16 +1,16 @@
 package ochretiller.store;
 
 /**
- * What the index needs of a record beside its key and metadata. Immutable.
+ * Attributes of a record that the index needs in addition to its key and metadata. Immutable.
  *
- * @param sequence of two records of one key the one with the higher number holds
+ * @param sequence sequence number; of two records of one key, the higher one is current
  * @param kind {@link RecordFormat#PUT}, {@link RecordFormat#TOMBSTONE}, {@link RecordFormat#SEAL},
- *     or a kind of a later release
- * @param expiresAtMillis end of its life, on the store's clock
- * @param recordBytes bytes of the whole record in its segment, frame included
+ *     or a kind that only later releases know
+ * @param expiresAtMillis expiry time, on the store's clock
+ * @param recordBytes size of the record in its segment in bytes, including the frame
  */
 record RecordAttributes(long sequence, byte kind, long expiresAtMillis, int recordBytes) {
-    /** Whether the record gives a key a value or removes it; the index passes over all others. */
+    /** Returns whether the record sets or removes a key; the index ignores all others. */
     boolean concernsKey() {
         return kind == RecordFormat.PUT || kind == RecordFormat.TOMBSTONE;
     }
--- a/src/main/java/ochretiller/store/RecordFormat.java
+++ b/src/main/java/ochretiller/store/RecordFormat.java
@@ -4,16 +4,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * Encodes and decodes records. All numbers are big-endian; the layout is that of {@code
- * docs/store-format.md}, which golden files pin. Stateless; safe for any thread.
+ * Encodes and decodes records. All numbers are big-endian; the layout is specified in {@code
+ * docs/store-format.md} and checked against golden files. Stateless and thread-safe.
  *
  * <p>A record is a frame (magic, body length, its complement, CRC-32C of the body) and a body
  * (sequence, kind, lengths, expiry, key, metadata, value). The magic lets a reader resynchronize
- * behind a damaged region. The length is stored twice so that a flipped bit in it does not look
- * like a torn write.
+ * after a damaged region. The length is stored twice so that a flipped bit in it does not look like
+ * a torn write.
  */
 final class RecordFormat {
-    /** Format of segments and hints that this release writes, and the newest that it reads. */
+    /**
+     * Format version of segments and hints that this release writes, and the newest that it reads.
+     */
     static final int VERSION = 1;
 
     /** "OCRc". */
@@ -22,7 +24,7 @@
     /** Bytes of magic, length, complement and checksum. */
     static final int FRAME_BYTES = 16;
 
-    /** Bytes of a body beside key, metadata and value. */
+    /** Bytes of a body excluding key, metadata and value. */
     static final int FIXED_FIELDS_BYTES = 20;
 
     static final int MAX_KEY_BYTES = 512;
@@ -37,13 +39,13 @@
     /** Kind of a record that removes a key. */
     static final byte TOMBSTONE = 2;
 
-    /** Kind of the last record of a segment that was ended in order. */
+    /** Kind of the last record of a segment, which marks it as complete. */
     static final byte SEAL = 3;
 
     /** A seal has neither key nor metadata; its value counts the records before it. */
     static final int SEAL_BYTES = recordBytes(0, 0, Long.BYTES);
 
-    /** Where the frame holds the checksum. */
+    /** Offset of the checksum within the frame. */
     static final int CHECKSUM_OFFSET = 12;
 
     private static final int LENGTH_OFFSET = 4;
@@ -59,7 +61,7 @@
 
     private RecordFormat() {}
 
-    /** CRC-32C of a part of an array. */
+    /** Returns the CRC-32C of a range of an array. */
     static int checksum(byte[] bytes, int from, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, from, length);
@@ -67,9 +69,9 @@
     }
 
     /**
-     * Checks what a record is to hold.
+     * Checks the lengths of the parts of a record.
      *
-     * @throws IllegalArgumentException where a part is longer than the format allows
+     * @throws IllegalArgumentException if a part is longer than the format allows
      */
     static void requireLengths(byte[] key, byte[] metadata, byte[] value) {
         requireAtMost(MAX_KEY_BYTES, key.length, "bytes of key");
@@ -77,19 +79,19 @@
         requireAtMost(MAX_VALUE_BYTES, value.length, "bytes of value");
     }
 
-    static void requireAtMost(long bound, long actual, String what) {
-        if (actual > bound) {
+    static void requireAtMost(long limit, long actual, String unit) {
+        if (actual > limit) {
             throw new IllegalArgumentException(
-                    actual + " " + what + " are over the bound of " + bound);
+                    actual + " " + unit + " exceed the limit of " + limit);
         }
     }
 
-    /** Bytes of a whole record with a key, metadata and value of these lengths. */
+    /** Size in bytes of a record with a key, metadata and value of these lengths. */
     static int recordBytes(int keyLength, int metadataLength, int valueLength) {
         return FRAME_BYTES + FIXED_FIELDS_BYTES + keyLength + metadataLength + valueLength;
     }
 
-    /** Appends the request's record to an array-backed buffer that has room for it. */
+    /** Appends the request's record to an array-backed buffer, which must have enough space. */
     static void encode(ByteBuffer out, long sequence, AppendRequest request) {
         encode(
                 out,
@@ -114,7 +116,7 @@
         out.putInt(RECORD_MAGIC);
         out.putInt(length);
         out.putInt(~length);
-        out.putInt(0); // the checksum, once the body is there
+        out.putInt(0); // replaced by the checksum of the body below
         out.putLong(sequence);
         out.put(kind);
         out.put((byte) metadata.length);
@@ -128,7 +130,7 @@
                 checksum(out.array(), out.arrayOffset() + start + FRAME_BYTES, length));
     }
 
-    /** A seal that stands behind so many records, ready to be read from the buffer's start. */
+    /** Returns a buffer, ready for reading, with a seal that follows this many records. */
     static ByteBuffer encodeSeal(long sequence, long recordsBefore) {
         ByteBuffer out = ByteBuffer.allocate(SEAL_BYTES);
         byte[] value = ByteBuffer.allocate(Long.BYTES).putLong(recordsBefore).array();
@@ -137,8 +139,8 @@
     }
 
     /**
-     * Tells what stands at the position of an array-backed buffer, which is not moved. The end of
-     * the buffer is taken for the end of the file.
+     * Checks the bytes at the position of an array-backed buffer, which is not moved. The end of
+     * the buffer is treated as the end of the file.
      */
     static RecordStatus inspect(ByteBuffer in) {
         int start = in.position();
@@ -149,11 +151,11 @@
             return RecordStatus.TRUNCATED;
         }
         int length = in.getInt(start + LENGTH_OFFSET);
-        boolean possible =
+        boolean isLengthValid =
                 length == ~in.getInt(start + COMPLEMENT_OFFSET)
                         && length >= FIXED_FIELDS_BYTES
                         && length <= MAX_RECORD_BYTES - FRAME_BYTES;
-        if (!possible) {
+        if (!isLengthValid) {
             return RecordStatus.CORRUPT;
         }
         if (in.remaining() < FRAME_BYTES + length) {
@@ -164,14 +166,14 @@
                 != checksum(in.array(), in.arrayOffset() + body, length)) {
             return RecordStatus.CORRUPT;
         }
-        boolean fits =
+        boolean fieldsFit =
                 FIXED_FIELDS_BYTES + keyLength(in, body) + metadataLength(in, body) <= length;
-        return fits ? RecordStatus.VALID : RecordStatus.CORRUPT;
+        return fieldsFit ? RecordStatus.VALID : RecordStatus.CORRUPT;
     }
 
     /**
-     * The record at the buffer's position, which is not moved; {@link #inspect} must have found it
-     * {@link RecordStatus#VALID}.
+     * Decodes the record at the buffer's position, which is not moved; {@link #inspect} must have
+     * returned {@link RecordStatus#VALID}.
      */
     static DecodedRecord decode(ByteBuffer in) {
         int start = in.position();
--- a/src/main/java/ochretiller/store/RecordStatus.java
+++ b/src/main/java/ochretiller/store/RecordStatus.java
@@ -1,11 +1,11 @@
 package ochretiller.store;
 
-/** How the bytes at one position of a segment read. */
+/** Result of checking the bytes at one position of a segment. */
 enum RecordStatus {
-    /** A whole record whose checksum matches. */
+    /** A complete record whose checksum matches. */
     VALID,
     /** The bytes end before the record does: a torn write, never acknowledged. */
     TRUNCATED,
-    /** All bytes are there, and they are no record. */
+    /** The bytes are complete but not a valid record. */
     CORRUPT
 }
--- a/src/main/java/ochretiller/store/RecoveredEntry.java
+++ b/src/main/java/ochretiller/store/RecoveredEntry.java
@@ -1,9 +1,9 @@
 package ochretiller.store;
 
 /**
- * A live key that recovery has found. Immutable, as long as nobody writes to its arrays.
+ * A live key found by recovery. Immutable if its arrays are not modified.
  *
- * @param metadata the bytes that are held in memory
- * @param expiresAtMillis end of its life, on the store's clock
+ * @param metadata the bytes that the index keeps in memory
+ * @param expiresAtMillis expiry time, on the store's clock
  */
 public record RecoveredEntry(byte[] key, byte[] metadata, long expiresAtMillis) {}
--- a/src/main/java/ochretiller/store/RecoveredSegment.java
+++ b/src/main/java/ochretiller/store/RecoveredSegment.java
@@ -2,17 +2,17 @@
 
 import java.util.Optional;
 
-/** One segment as {@link Recovery} has read it. Owned by the thread that reads the store. */
+/** One segment as read by {@link Recovery}. Confined to the thread that reads the store. */
 final class RecoveredSegment {
     private final Segment segment;
     private final Optional<SegmentHeader> header;
     private long validEnd = SegmentHeader.BYTES;
-    private boolean takenFromHint;
+    private boolean readFromHint;
 
     /**
-     * A segment of which nothing but the header was read yet.
+     * Creates a segment of which only the header has been read.
      *
-     * @param header empty where it cannot be read
+     * @param header empty if it cannot be read
      */
     RecoveredSegment(Segment segment, Optional<SegmentHeader> header) {
         this.segment = segment;
@@ -28,23 +28,25 @@
     }
 
     /**
-     * Where the last valid record ends, in bytes from the start of the file; what stands behind it
-     * is a torn write or damage.
+     * End of the last valid record, in bytes from the start of the file; bytes after it are a torn
+     * write or damage.
      */
     long validEnd() {
         return validEnd;
     }
 
-    /** Whether its entries are those of its hint, and its records were not read. */
+    /** Returns whether its entries were read from its hint instead of its records. */
     boolean isTakenFromHint() {
-        return takenFromHint;
+        return readFromHint;
     }
 
-    /** Its entries were added from this hint, which covers the whole file. */
+    /**
+     * Sets the state from a hint whose entries were added before; the hint covers the whole file.
+     */
     void takenFromHint(HintFile hint) {
         segment.recoveredFromHint(hint);
         validEnd = segment.sizeBytes();
-        takenFromHint = true;
+        readFromHint = true;
     }
 
     void extendValidEnd(long position) {
--- a/src/main/java/ochretiller/store/Recovery.java
+++ b/src/main/java/ochretiller/store/Recovery.java
@@ -14,13 +14,13 @@
 import java.util.function.Consumer;
 
 /**
- * Reads what a directory holds and builds the index from it. It changes no file, so an inspection
- * reads a store exactly as a start does. Owned by the thread that reads; a store takes its index
- * over.
+ * Reads the files of a store and builds its index. It changes no file, so an inspection reads a
+ * store exactly as a start does. Confined to the reading thread; an opened store takes over the
+ * index.
  *
- * <p>A record that ends behind the end of its file is a torn write: it was never acknowledged and
- * is passed over. Bytes that are there and no record, or missing in front of bytes that are there,
- * are damage.
+ * <p>A record that extends past the end of its file is a torn write: it was never acknowledged and
+ * is ignored. Bytes that are not a valid record, or that are missing before existing bytes, are
+ * damage.
  */
 final class Recovery {
     private final StorageDirectory directory;
@@ -34,14 +34,14 @@
     private long lastSequence;
     private long lastSegmentNumber;
 
-    /** Whether sealed segments may be taken from their hints. */
+    /** Whether the entries of sealed segments may be read from their hints. */
     enum HintPolicy {
         /**
-         * As a start does: hints are trusted where they fit, and values are first read when they
-         * are asked for.
+         * Used at a start: hints that match their segment are trusted, and values are not read
+         * until they are requested.
          */
         USE_HINTS,
-        /** As a check of the store does: every byte of every record is read. */
+        /** Used to verify a store: every byte of every record is read. */
         READ_EVERYTHING
     }
 
@@ -52,17 +52,17 @@
     }
 
     /**
-     * Reads all of the directory.
+     * Reads all files of the directory.
      *
      * @param progress receives the name of each segment file before it is read
-     * @throws StoreException where there is no such directory, or a later release has written it
+     * @throws StoreException if the directory does not exist, or a later release has written it
      */
     static Recovery read(
             StorageDirectory directory, HintPolicy hintPolicy, Consumer<String> progress)
             throws IOException {
         Recovery recovery = new Recovery(directory, hintPolicy, progress);
         recovery.readDirectory();
-        recovery.findMissingEnds();
+        recovery.reportMissingEnds();
         return recovery;
     }
 
@@ -70,7 +70,7 @@
         return index;
     }
 
-    /** Oldest first. */
+    /** All segments, oldest first. */
     Collection<RecoveredSegment> segments() {
         return segments.values();
     }
@@ -80,19 +80,19 @@
     }
 
     /**
-     * Files without use that the next start deletes: unused segments, hints without a segment,
+     * Obsolete files that the next start deletes: unused segments, hints without a segment,
      * unfinished copies.
      */
     List<String> leftoverFiles() {
         return List.copyOf(leftoverFiles);
     }
 
-    /** Files that are not the store's, which it leaves alone. */
+    /** Files that do not belong to the store, which never changes them. */
     List<String> unknownFiles() {
         return List.copyOf(unknownFiles);
     }
 
-    /** What cannot be read, one line each. */
+    /** Descriptions of what cannot be read, one line each. */
     List<String> damageReports() {
         return List.copyOf(damageReports);
     }
@@ -108,13 +108,13 @@
     }
 
     /**
-     * End of the time in which an acknowledged record may be missing, which is when the last record
-     * that damage can hide has expired. Damaged segments are kept until then.
+     * Retains damaged segments until the last record that damage can hide has expired. Until then
+     * an acknowledged record may be missing.
      *
-     * @param maxRecordLifeMillis longest life of a record
-     * @return on the store's clock; empty without damage
+     * @param maxRecordLifetimeMillis longest lifetime of a record
+     * @return that time on the store's clock; empty without damage
      */
-    OptionalLong keepDamagedSegments(long nowMillis, long maxRecordLifeMillis) {
+    OptionalLong keepDamagedSegments(long nowMillis, long maxRecordLifetimeMillis) {
         OptionalLong until = OptionalLong.empty();
         for (RecoveredSegment each : segments.values()) {
             if (each.segment().isDamaged()) {
@@ -124,7 +124,7 @@
                                 .map(entry -> entry.getValue());
                 long writtenBy =
                         next.map(segment -> segment.segment().createdAtMillis()).orElse(nowMillis);
-                long end = writtenBy + maxRecordLifeMillis;
+                long end = writtenBy + maxRecordLifetimeMillis;
                 each.segment().extendLife(end);
                 until = OptionalLong.of(Math.max(until.orElse(end), end));
             }
@@ -197,7 +197,7 @@
         return SegmentHeader.decode(start.flip(), name);
     }
 
-    /** Takes a sealed segment from its hint; false where the hint does not fit the segment. */
+    /** Reads the entries of a sealed segment from its hint; false if the hint does not match. */
     private boolean readHint(RecoveredSegment recovered, StorageFile file, long fileSize)
             throws IOException {
         Optional<HintFile> hint = HintFile.read(directory, file, recovered.segment(), fileSize);
@@ -220,7 +220,7 @@
                 new SegmentScanner.Visitor() {
                     @Override
                     public void recordFound(DecodedRecord record, long position) {
-                        take(recovered, record, position);
+                        addRecord(recovered, record, position);
                     }
 
                     @Override
@@ -232,14 +232,14 @@
                 };
         Optional<SegmentScanner.UnreadableTail> tail =
                 new SegmentScanner(file, fileSize, visitor).scan();
-        // A torn write is expected at the end of the last segment; bytes that are complete and
-        // wrong may have been acknowledged.
+        // A torn write is expected at the end of the last segment; bytes that are complete but
+        // invalid may have been acknowledged.
         if (tail.isPresent() && (segment.isSealed() || !tail.get().isTruncated())) {
             visitor.unreadableBytes(tail.get().position(), fileSize);
         }
     }
 
-    private void take(RecoveredSegment recovered, DecodedRecord record, long position) {
+    private void addRecord(RecoveredSegment recovered, DecodedRecord record, long position) {
         RecordAttributes attributes = record.attributes();
         lastSequence = Math.max(lastSequence, attributes.sequence());
         recovered.extendValidEnd(position + attributes.recordBytes());
@@ -257,10 +257,10 @@
     }
 
     /**
-     * A segment without a seal has lost its end, unless it is the last one or was abandoned, which
-     * the next header tells.
+     * Reports each segment that has lost its end: it has no seal, is not the last one, and the next
+     * header does not mark it as abandoned.
      */
-    private void findMissingEnds() {
+    private void reportMissingEnds() {
         for (RecoveredSegment each : segments.values()) {
             Segment segment = each.segment();
             boolean abandoned =
@@ -273,8 +273,8 @@
         }
     }
 
-    private void reportDamage(Segment segment, String what) {
-        damageReports.add(segment.fileName() + ": " + what);
+    private void reportDamage(Segment segment, String description) {
+        damageReports.add(segment.fileName() + ": " + description);
         segment.markDamaged();
     }
 }
--- a/src/main/java/ochretiller/store/Segment.java
+++ b/src/main/java/ochretiller/store/Segment.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * What is known of one segment file: its size, how much of it is dead, and how long it is needed.
- * Not safe for several threads; owned with the {@link Index}.
+ * State of one segment file: its size, its dead bytes and how long it is needed. Not thread-safe;
+ * confined to the thread that owns the {@link Index}.
  */
 final class Segment {
-    /** Superseded entries that are let stand before it is worth looking for them. */
+    /** Number of superseded entries up to which they are not purged. */
     private static final int MIN_SUPERSEDED_TO_PURGE = 64;
 
     private final long number;
@@ -24,11 +24,11 @@
     private boolean damaged;
 
     /**
-     * A segment that holds nothing but its header.
+     * Creates a segment that contains only its header.
      *
-     * @param createdAtMillis the store's clock at its creation, 0 where the header cannot be read
-     * @param followsAbandoned whether its header says that the segment before has no seal; it must
-     *     stay as long as that one
+     * @param createdAtMillis creation time on the store's clock; 0 if the header cannot be read
+     * @param followsAbandoned whether its header marks the previous segment as having no seal; this
+     *     segment must then be retained as long as that one
      */
     Segment(long number, long createdAtMillis, boolean followsAbandoned) {
         this.number = number;
@@ -56,34 +56,34 @@
         return followsAbandoned;
     }
 
-    /** Bytes of the file, header included. */
+    /** Size of the file in bytes, including the header. */
     long sizeBytes() {
         return sizeBytes;
     }
 
-    /** Bytes of records that newer ones have superseded, and of the seal. */
+    /** Bytes of superseded records and of the seal. */
     long deadBytes() {
         return deadBytes;
     }
 
-    /** Records of the file, the seal included. */
+    /** Number of records in the file, including the seal. */
     int recordCount() {
         return recordCount;
     }
 
-    /** End of the longest life in it, on the store's clock. */
+    /** Latest expiry time of its records, on the store's clock. */
     long lastExpiryMillis() {
         return lastExpiryMillis;
     }
 
-    /** Whether its last record says that it was ended in order. */
+    /** Returns whether its last record is a seal. */
     boolean isSealed() {
         return sealed;
     }
 
     /**
-     * Whether part of it cannot be read; it is kept as it is until all that may have been in it has
-     * expired.
+     * Returns whether part of it cannot be read. It is then retained unchanged until all records
+     * that it may have contained have expired.
      */
     boolean isDamaged() {
         return damaged;
@@ -93,13 +93,13 @@
         return lastExpiryMillis <= nowMillis;
     }
 
-    /** Share of the bytes behind the header that are dead, 0 to 1. */
+    /** Fraction of the bytes after the header that are dead, 0 to 1. */
     double deadRatio() {
         long recordBytes = sizeBytes - SegmentHeader.BYTES;
         return recordBytes <= 0 ? 0 : deadBytes / (double) recordBytes;
     }
 
-    /** Records whose keys have no newer one. */
+    /** Entries that no newer record of their key has superseded. */
     List<IndexEntry> liveEntries() {
         return entries.stream().filter(entry -> !entry.isSuperseded()).toList();
     }
@@ -109,30 +109,30 @@
         extendLife(entry.expiresAtMillis());
     }
 
-    /** The file is needed until then at least. */
+    /** Retains the file at least until this time, on the store's clock. */
     void extendLife(long untilMillis) {
         lastExpiryMillis = Math.max(lastExpiryMillis, untilMillis);
     }
 
-    /** A newer record of the entry's key is known. */
+    /** Marks an entry as superseded by a newer record of its key. */
     void supersede(IndexEntry entry) {
         entry.markSuperseded();
         deadBytes += entry.recordBytes();
         supersededEntries++;
-        // Bounds the list: at most half of it is superseded.
+        // Purging bounds the list: at most half of its entries are superseded.
         if (supersededEntries > MIN_SUPERSEDED_TO_PURGE && supersededEntries > entries.size() / 2) {
             entries.removeIf(IndexEntry::isSuperseded);
             supersededEntries = 0;
         }
     }
 
-    /** A group of records was appended to the file. */
+    /** Updates the counts after a group of records was appended to the file. */
     void recordsAppended(int records, int bytes) {
         recordCount += records;
         sizeBytes += bytes;
     }
 
-    /** A seal was appended to the file. */
+    /** Updates the counts after a seal was appended to the file. */
     void sealAppended() {
         sizeBytes += RecordFormat.SEAL_BYTES;
         deadBytes += RecordFormat.SEAL_BYTES;
@@ -140,32 +140,36 @@
         sealed = true;
     }
 
-    /** The file was found with, or cut to, this length. */
+    /** Sets the length of the file in bytes, as found or truncated. */
     void setSizeBytes(long size) {
         sizeBytes = size;
     }
 
     /**
-     * Recovery has read the next record; only the last one decides whether the segment is sealed.
+     * Counts the next record that recovery has read. The segment is sealed if the last one is a
+     * seal.
      */
     void recordRecovered(boolean isSeal) {
         recordCount++;
         sealed = isSeal;
     }
 
-    /** Recovery has taken the segment from its hint, whose entries were added before. */
+    /** Sets the counts from a hint whose entries were added before. */
     void recoveredFromHint(HintFile hint) {
         deadBytes += hint.deadBytes();
         recordCount = hint.recordCount();
         sealed = true;
     }
 
-    /** Recovery has found that part of it cannot be read. */
+    /** Records that part of the segment cannot be read. */
     void markDamaged() {
         damaged = true;
     }
 
-    /** Compaction has replaced the file by a sealed copy of what was live. */
+    /**
+     * Sets the counts after compaction has replaced the file with a sealed copy of the live
+     * records.
+     */
     void replacedByCopy(long copySizeBytes, long copyDeadBytes, int copyRecordCount) {
         sizeBytes = copySizeBytes;
         deadBytes = copyDeadBytes;
--- a/src/main/java/ochretiller/store/SegmentCleaner.java
+++ b/src/main/java/ochretiller/store/SegmentCleaner.java
@@ -7,11 +7,12 @@
 import java.util.function.Consumer;
 
 /**
- * Frees disk space between two group commits: deletes segments that have expired as a whole, and
- * compacts those that are mostly dead. Not safe for several threads; owned with the {@link Index}.
+ * Frees disk space between two group commits: deletes segments whose records have all expired, and
+ * compacts those with many dead bytes. Not thread-safe; confined to the thread that owns the {@link
+ * Index}.
  */
 final class SegmentCleaner {
-    /** Time between two searches for expired segments, milliseconds. */
+    /** Time between two searches for segments to delete or compact, in milliseconds. */
     static final long SWEEP_INTERVAL_MILLIS = 200;
 
     private final StorageDirectory directory;
@@ -39,7 +40,7 @@
         return compaction.isPresent();
     }
 
-    /** Does what is due: a search for expired segments, one step of a compaction. */
+    /** Performs the work that is due: a search for expired segments, one step of a compaction. */
     void clean(long nowMillis) throws IOException {
         if (nowMillis - lastSweepMillis >= SWEEP_INTERVAL_MILLIS) {
             lastSweepMillis = nowMillis;
@@ -56,21 +57,21 @@
         }
     }
 
-    private void finish(Compaction complete) throws IOException {
-        counters.compacted(complete.finish(directory, index));
-        log.writeHint(complete.segment());
+    private void finish(Compaction completed) throws IOException {
+        counters.compacted(completed.finish(directory, index));
+        log.writeHint(completed.segment());
     }
 
-    /** Deletes each segment once all in it has expired. */
+    /** Deletes each segment whose records have all expired. */
     void deleteExpired(long nowMillis) throws IOException {
         List<Segment> expired = new ArrayList<>();
         for (Segment segment : log.segments()) {
-            // It says of the segment before that it was abandoned: without it that one would look
+            // Its header marks the previous segment as abandoned, which would otherwise look
             // damaged.
             boolean isNeeded =
                     segment.followsAbandoned()
                             && log.before(segment)
-                                    .filter(before -> !expired.contains(before))
+                                    .filter(previous -> !expired.contains(previous))
                                     .isPresent();
             if (!log.isInUse(segment) && segment.isExpired(nowMillis) && !isNeeded) {
                 expired.add(segment);
@@ -82,14 +83,14 @@
         log.delete(expired);
     }
 
-    /** Gives up the compaction under way, if there is one. */
+    /** Abandons the current compaction, if there is one. */
     void abandonCompaction() {
         compaction.ifPresent(each -> each.abandon(directory));
         compaction = Optional.empty();
     }
 
     /**
-     * Compacts every sealed segment that has anything dead, at once.
+     * Compacts every sealed segment that contains dead records, without a rate limit.
      *
      * @param progress receives the name of each segment file before it is copied
      */
@@ -103,13 +104,13 @@
                 continue;
             }
             progress.accept(segment.fileName());
-            Compaction complete =
+            Compaction current =
                     new Compaction(segment, Compaction.UNLIMITED_RATE, clock.nowMillis());
             boolean isComplete = false;
             while (!isComplete) {
-                isComplete = complete.step(directory, clock.nowMillis());
+                isComplete = current.step(directory, clock.nowMillis());
             }
-            finish(complete);
+            finish(current);
         }
     }
 }
--- a/src/main/java/ochretiller/store/SegmentFileName.java
+++ b/src/main/java/ochretiller/store/SegmentFileName.java
@@ -5,32 +5,34 @@
 import java.util.regex.Pattern;
 
 /**
- * The name of one of a store's files, taken apart. Immutable.
+ * The parsed name of one of a store's files. Immutable.
  *
- * @param segmentNumber number of the segment that the file is or belongs to
- * @param kind what the file holds
+ * @param segmentNumber number of the segment that the file belongs to
+ * @param kind type of the file's contents
  */
 record SegmentFileName(long segmentNumber, Kind kind) {
     /** The file whose lock a process holds while it has the store open. */
     static final String LOCK_FILE = "LOCK";
 
-    /** Ending of a file that is still being written, beside the one that it will replace. */
+    /**
+     * Suffix of a file that is still being written and will replace the file without the suffix.
+     */
     static final String TEMPORARY_SUFFIX = ".tmp";
 
     private static final Pattern PATTERN =
             Pattern.compile("seg-([0-9a-f]{16})\\.(log|hint|log\\.tmp|hint\\.tmp)");
 
-    /** What a file holds. */
+    /** Type of a file's contents. */
     enum Kind {
         /** Records. */
         LOG,
         /** The index entries of a sealed segment. */
         HINT,
-        /** The unfinished output of a compaction or of a hint's writing; a start deletes it. */
+        /** The unfinished output of a compaction or of writing a hint; a start deletes it. */
         TEMPORARY
     }
 
-    /** The parts of a name; empty where the file is not the store's. */
+    /** Parses a file name; empty if the file does not belong to the store. */
     static Optional<SegmentFileName> parse(String name) {
         Matcher matcher = PATTERN.matcher(name);
         if (!matcher.matches()) {
--- a/src/main/java/ochretiller/store/SegmentHeader.java
+++ b/src/main/java/ochretiller/store/SegmentHeader.java
@@ -9,13 +9,12 @@
  * docs/store-format.md}, "Segment".
  *
  * @param segmentNumber number of the segment, as in its file name
- * @param firstSequence sequence number of its first record, if one follows
- * @param followsAbandoned whether the segment before was abandoned after a disk failure and
+ * @param firstSequence sequence number of its first record, if it has one
+ * @param followsAbandoned whether the previous segment was abandoned after a disk failure and
  *     therefore has no seal
- * @param bootId boot of the machine under which the segment was created; empty where the machine
- *     does not say
- * @param clockOffsetMillis the store's clock less the uptime of that boot
- * @param createdAtMillis the store's clock when the segment was created
+ * @param bootId boot id of the machine when the segment was created; empty if the machine has none
+ * @param clockOffsetMillis the store's clock minus the uptime of the machine
+ * @param createdAtMillis creation time on the store's clock
  */
 record SegmentHeader(
         long segmentNumber,
@@ -29,7 +28,7 @@
     /** "OCHRELOG". */
     private static final long MAGIC = 0x4F4348_52454C4F47L;
 
-    /** All zero bits stand for a machine without a boot id. */
+    /** All zero bits represent a missing boot id. */
     private static final UUID NO_BOOT_ID = new UUID(0, 0);
 
     private static final int VERSION_OFFSET = 8;
@@ -42,7 +41,7 @@
     private static final int CHECKSUM_OFFSET = 64;
     private static final int FOLLOWS_ABANDONED = 1;
 
-    /** The header's bytes, ready to be read from the buffer's start. */
+    /** Returns the encoded header in a buffer that is ready for reading. */
     ByteBuffer encode() {
         UUID boot = bootId.orElse(NO_BOOT_ID);
         ByteBuffer out = ByteBuffer.allocate(BYTES);
@@ -63,11 +62,11 @@
     /**
      * Reads a header.
      *
-     * @param in the start of a segment file, in a buffer that begins with it
-     * @param fileName named in the error
-     * @return empty where the bytes are no header that was written whole
-     * @throws StoreException where a later release wrote the file in a format that this one does
-     *     not know
+     * @param in a buffer that begins with the start of a segment file
+     * @param fileName file name for the error message
+     * @return empty if the bytes are not a complete, valid header
+     * @throws StoreException if a later release wrote the file in a format that this one does not
+     *     support
      */
     static Optional<SegmentHeader> decode(ByteBuffer in, String fileName) throws StoreException {
         if (in.remaining() < BYTES || in.getLong(0) != MAGIC) {
@@ -83,9 +82,9 @@
                     fileName
                             + " has format "
                             + version
-                            + ", and this program knows "
+                            + ", but this release supports at most format "
                             + RecordFormat.VERSION
-                            + " at most: it was written by a later release");
+                            + "; the file was written by a later release");
         }
         UUID boot = new UUID(in.getLong(BOOT_ID_OFFSET), in.getLong(BOOT_ID_OFFSET + Long.BYTES));
         return Optional.of(
--- a/src/main/java/ochretiller/store/SegmentReport.java
+++ b/src/main/java/ochretiller/store/SegmentReport.java
@@ -1,13 +1,13 @@
 package ochretiller.store;
 
 /**
- * What a check has found of one segment. Immutable.
+ * Result of verifying one segment. Immutable.
  *
  * @param name name of its file
- * @param bytes bytes of the file
- * @param records records, the seal included
- * @param deadBytes bytes of records that newer ones have superseded, and of the seal
- * @param sealed whether it was ended in order
+ * @param bytes size of the file in bytes
+ * @param records number of records, including the seal
+ * @param deadBytes bytes of superseded records and of the seal
+ * @param sealed whether its last record is a seal
  * @param damaged whether part of it cannot be read
  */
 public record SegmentReport(
--- a/src/main/java/ochretiller/store/SegmentScanner.java
+++ b/src/main/java/ochretiller/store/SegmentScanner.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * Reads every record of one segment file and resynchronizes behind what is none. Used once, by the
- * thread that recovers or inspects the store.
+ * Reads every record of one segment file and resynchronizes after bytes that are not a record. Each
+ * instance performs one scan, on the thread that recovers or inspects the store.
  */
 final class SegmentScanner {
-    /** Bytes read ahead of the longest record, so that most reads are large. */
+    /** Bytes of the buffer beyond the longest record, so that most reads are large. */
     private static final int READ_AHEAD_BYTES = 1 << 20;
 
     private final StorageFile file;
@@ -17,23 +17,23 @@
     private final Visitor visitor;
     private final ByteBuffer buffer;
 
-    /** Position within the file of the buffer's first byte. */
+    /** Position in the file of the buffer's first byte. */
     private long bufferStart = SegmentHeader.BYTES;
 
     /** Receives what a scan finds, in the order of the file. */
     interface Visitor {
-        /** A valid record begins at this position of the file. */
+        /** Called for each valid record with its position in the file. */
         void recordFound(DecodedRecord record, long position);
 
-        /** These bytes are no record, and valid records follow. */
+        /** Called for each range, end exclusive, that is not a record and precedes a valid one. */
         void unreadableBytes(long fromPosition, long toPosition);
     }
 
     /**
-     * What stands behind the last valid record.
+     * The bytes after the last valid record.
      *
-     * @param position where it begins in the file
-     * @param isTruncated whether it looks like a torn write rather than damage
+     * @param position start of these bytes in the file
+     * @param isTruncated whether they look like a torn write rather than damage
      */
     record UnreadableTail(long position, boolean isTruncated) {}
 
@@ -54,7 +54,7 @@
     /**
      * Reads the whole file.
      *
-     * @return empty where the file ends with a valid record
+     * @return empty if the file ends with a valid record
      */
     Optional<UnreadableTail> scan() throws IOException {
         Optional<UnreadableTail> skipped = Optional.empty();
@@ -73,17 +73,16 @@
                             Optional.of(
                                     new UnreadableTail(position, status == RecordStatus.TRUNCATED));
                 }
-                buffer.position(
-                        buffer.position()
-                                + 1); // the next record, if there is one, begins with its magic
+                // Searches byte by byte for the magic of the next record.
+                buffer.position(buffer.position() + 1);
             }
         }
         return skipped;
     }
 
     /**
-     * Makes sure that the longest record fits what is in the buffer, or all of the file's rest;
-     * false at the end of the file.
+     * Ensures that the buffer contains enough bytes for the longest record, or the rest of the
+     * file; false at the end of the file.
      */
     private boolean fillBuffer() throws IOException {
         boolean moreInFile = bufferStart + buffer.limit() < fileSize;
--- a/src/main/java/ochretiller/store/SegmentedLog.java
+++ b/src/main/java/ochretiller/store/SegmentedLog.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * The append path on disk: a sequence of segments of which the newest, the active one, takes
- * records. It begins, seals, abandons and continues segments, and puts what is durable into the
- * index. Not safe for several threads; owned with the {@link Index}.
+ * The append path on disk: a sequence of segments, of which only the newest, the active one,
+ * accepts records. Creates, seals, abandons and deletes segments, and adds durable records to the
+ * index. Not thread-safe; confined to the thread that owns the {@link Index}.
  *
  * <p>After a failed write or force the active segment is abandoned: it is never written, forced or
- * sealed again, since a failed {@code fsync} proves nothing about its pages. The next segment's
- * header tells so.
+ * sealed again, since after a failed {@code fsync} it is unknown which pages are on the medium. The
+ * next segment's header records this.
  */
 final class SegmentedLog {
     private static final int INITIAL_GROUP_BUFFER_BYTES = 64 * 1024;
@@ -34,14 +34,14 @@
     private Optional<ActiveSegment> active = Optional.empty();
     private Optional<UnsealedSegment> unsealed = Optional.empty();
 
-    /** The segment that takes records. */
+    /** The segment that accepts records. */
     private record ActiveSegment(Segment segment, StorageFile file) {}
 
     /**
-     * The newest segment where it is not active and has no seal.
+     * The newest segment, if it is neither active nor sealed.
      *
-     * @param validEnd where its last whole record ends; empty where the disk failed, so that nobody
-     *     knows what is on the medium
+     * @param validEnd end of its last complete record, in bytes from the start of the file; empty
+     *     if the disk failed, so that the contents of the medium are unknown
      */
     private record UnsealedSegment(Segment segment, OptionalLong validEnd) {
         UnsealedSegment abandoned() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The log as it was recovered; {@link #startSegment} makes it take records. */
+    /** Creates the log from what was recovered; it accepts records after {@link #startSegment}. */
     SegmentedLog(
             StorageDirectory directory,
             StoreClock clock,
@@ -76,19 +76,19 @@
         return segments.values();
     }
 
-    /** The segment that was created before this one, as far as it is still there. */
+    /** Returns the existing segment with the next lower number; empty if there is none. */
     Optional<Segment> before(Segment segment) {
         return Optional.ofNullable(segments.lowerEntry(segment.number()))
                 .map(entry -> entry.getValue());
     }
 
-    /** Whether the segment is active, or is still to be sealed. */
+    /** Returns whether the segment is active or has yet to be sealed. */
     boolean isInUse(Segment segment) {
         return active.filter(each -> each.segment() == segment).isPresent()
                 || unsealed.filter(each -> each.segment() == segment).isPresent();
     }
 
-    /** Duration of the last successful write and force of a group, nanoseconds. */
+    /** Duration of the last successful write and force of a group, in nanoseconds. */
     long lastForceNanos() {
         return lastForceNanos;
     }
@@ -96,8 +96,7 @@
     /**
      * Appends the records of one group with one write and one force, and indexes them.
      *
-     * @throws IOException where the disk fails; it is not known then what of the group is on the
-     *     medium
+     * @throws IOException if the disk fails; any part of the group may then be on the medium
      */
     void append(List<AppendRequest> group) throws IOException {
         ActiveSegment target = active.orElseThrow();
@@ -140,8 +139,8 @@
     }
 
     /**
-     * Seals the segment before, where it can be sealed, and creates the next one; both are on
-     * stable storage when this returns.
+     * Seals the previous segment if possible, and creates the next one; both are on stable storage
+     * when this returns.
      */
     void startSegment() throws IOException {
         boolean followsAbandoned = unsealed.isPresent() && unsealed.get().validEnd().isEmpty();
@@ -168,9 +167,8 @@
 
     private StorageFile createSegmentFile(Segment segment, SegmentHeader header)
             throws IOException {
-        directory.delete(
-                segment.fileName()); // an attempt that failed may have left a part of it, without
-        // any record
+        // A failed attempt may have left an incomplete file, which contains no record.
+        directory.delete(segment.fileName());
         StorageFile file = directory.create(segment.fileName());
         try {
             file.write(header.encode(), 0);
@@ -183,19 +181,18 @@
         }
     }
 
-    /** Seals the segment that a former process has left open. */
-    private void sealRecovered(UnsealedSegment left) throws IOException {
-        Segment segment = left.segment();
+    /** Seals the segment that a previous process left unsealed. */
+    private void sealRecovered(UnsealedSegment recovered) throws IOException {
+        Segment segment = recovered.segment();
         try (StorageFile file = directory.open(segment.fileName())) {
-            // A torn write is cut off, or it would look like damage once a seal stands behind it.
-            long validEnd = left.validEnd().orElseThrow();
+            // Removes a torn write, which would look like damage if a seal followed it.
+            long validEnd = recovered.validEnd().orElseThrow();
             file.truncate(validEnd);
             segment.setSizeBytes(validEnd);
             writeSeal(file, segment);
         } catch (IOException e) {
-            unsealed =
-                    Optional.of(
-                            left.abandoned()); // one bad file must not keep the store from going on
+            // One unusable file must not prevent the store from starting a new segment.
+            unsealed = Optional.of(recovered.abandoned());
             throw e;
         }
         writeHint(segment);
@@ -210,7 +207,9 @@
         segment.sealAppended();
     }
 
-    /** Writes the hint of a sealed segment; a start reads the segment itself where that fails. */
+    /**
+     * Writes the hint of a sealed segment. If that fails, the next start reads the segment itself.
+     */
     void writeHint(Segment segment) {
         try {
             HintFile.write(directory, segment, lastSequence);
@@ -219,7 +218,7 @@
         }
     }
 
-    /** Goes on with a new segment where the active one has reached its size or its age. */
+    /** Starts a new segment if the active one has reached its maximum size or age. */
     void rollIfDue(StoreLimits limits, long nowMillis) throws IOException {
         ActiveSegment current = active.orElseThrow();
         Segment segment = current.segment();
@@ -238,7 +237,7 @@
         writeHint(segment);
     }
 
-    /** The disk has failed: the active segment, if there is one, is never written again. */
+    /** Abandons the active segment, if there is one, after a disk failure. */
     void abandonActive() {
         active.ifPresent(
                 each -> {
@@ -249,7 +248,7 @@
         active = Optional.empty();
     }
 
-    /** Ends the active segment in order, if there is one. */
+    /** Seals the active segment, if there is one, and writes its hint. */
     void sealActive() throws IOException {
         if (active.isPresent()) {
             writeSeal(active.get().file(), active.get().segment());
@@ -257,12 +256,12 @@
         }
     }
 
-    /** Closes the active segment's file; nothing is appended any more. */
+    /** Closes the active segment's file; nothing may be appended afterwards. */
     void close() {
         active.ifPresent(each -> closeQuietly(each.file()));
     }
 
-    /** Deletes segments, of which none is in use, with all that the index has of them. */
+    /** Deletes segments, none of which may be in use, and removes their entries from the index. */
     void delete(List<Segment> expired) throws IOException {
         for (Segment segment : expired) {
             directory.delete(segment.fileName());
@@ -272,8 +271,8 @@
             counters.segmentExpired();
         }
         if (!expired.isEmpty()) {
-            directory.forceDirectory(); // an old record must not come back once newer ones of its
-            // key are gone
+            // An old record must not reappear after the newer records of its key are gone.
+            directory.forceDirectory();
         }
     }
 
@@ -281,7 +280,7 @@
         try {
             file.close();
         } catch (IOException e) {
-            // Nothing more is asked of the file, and what was acknowledged was forced before.
+            // The file is no longer used, and acknowledged records were forced before.
         }
     }
 }
--- a/src/main/java/ochretiller/store/StorageDirectory.java
+++ b/src/main/java/ochretiller/store/StorageDirectory.java
@@ -5,29 +5,29 @@
 import java.util.List;
 
 /**
- * The port through which a store reaches its directory. {@link LocalDirectory} is the file system;
- * tests use implementations that lose unforced writes, stall and fail.
+ * The directory of a store's files. {@link LocalDirectory} uses the local file system; tests use
+ * implementations that lose unforced writes, stall and fail.
  *
- * <p>Implementations need not be safe for several threads at once, apart from {@link #open}, which
- * readers may call beside the writer.
+ * <p>Implementations need not be thread-safe, except that readers may call {@link #open}
+ * concurrently with the writer.
  */
 public interface StorageDirectory {
     /**
-     * Takes the directory for this process alone, creating it where it does not exist.
+     * Locks the directory for this process, creating it if it does not exist.
      *
-     * @return closing it releases the directory, as the end of the process does
-     * @throws StoreException where another process has it
+     * @return a handle that unlocks the directory when closed, as the end of the process does
+     * @throws StoreException if another process holds the lock
      */
     Closeable acquireLock() throws IOException;
 
     /**
      * Names of the files in the directory, in no particular order.
      *
-     * @throws StoreException where there is no such directory
+     * @throws StoreException if the directory does not exist
      */
     List<String> listFiles() throws IOException;
 
-    /** Opens an existing file for reading, and for writing where it is writable. */
+    /** Opens an existing file for reading, and for writing if it is writable. */
     StorageFile open(String name) throws IOException;
 
     /**
@@ -36,10 +36,10 @@
      */
     StorageFile create(String name) throws IOException;
 
-    /** Deletes a file; one that does not exist is no error. */
+    /** Deletes a file; a missing file is not an error. */
     void delete(String name) throws IOException;
 
-    /** Atomically replaces the file {@code to} by the file {@code from}. */
+    /** Atomically replaces the file {@code to} with the file {@code from}. */
     void rename(String from, String to) throws IOException;
 
     /** Returns once all creations, renames and deletions so far are on stable storage. */
--- a/src/main/java/ochretiller/store/StorageEngine.java
+++ b/src/main/java/ochretiller/store/StorageEngine.java
@@ -10,12 +10,12 @@
 import java.util.function.Consumer;
 
 /**
- * Everything of a store that one thread at a time owns: the index, the segmented log, its cleaner,
- * and whether the disk works. The thread that opens the store owns it until {@link Store#start},
- * the writer thread from then on; {@link #stats} alone may be called by any thread.
+ * The parts of a store that are confined to one thread: the index, the segmented log, its cleaner
+ * and the state of the disk. That is the thread that opens the store until {@link Store#start}, and
+ * the writer thread afterwards; only {@link #stats} may be called by any thread.
  *
- * <p>After a failure of the disk nothing is written until {@link #probe} has begun a new segment.
- * What is stored can be read meanwhile.
+ * <p>After a disk failure nothing is written until {@link #probe} has started a new segment; stored
+ * values remain readable.
  */
 final class StorageEngine {
     private final StorageDirectory directory;
@@ -26,14 +26,14 @@
     private final SegmentedLog log;
     private final SegmentCleaner cleaner;
 
-    /** What the disk failed with; empty while it works. */
+    /** Message of the disk failure; empty while the disk works. */
     private Optional<String> fault = Optional.empty();
 
     private volatile StoreStats stats;
 
     /**
-     * Goes on from what was recovered and begins a segment. A disk that cannot be written is no
-     * error: probes will find it.
+     * Continues a recovered store with a new segment. A disk that cannot be written is no error: it
+     * counts as failed until a {@link #probe} succeeds.
      */
     StorageEngine(
             StorageDirectory directory, StoreLimits limits, StoreClock clock, Recovery recovery) {
@@ -55,7 +55,7 @@
         publishStats();
     }
 
-    /** Figures as of the last step of the owning thread; any thread may ask. */
+    /** Statistics as of the last operation of the owning thread; safe to call from any thread. */
     StoreStats stats() {
         return stats;
     }
@@ -68,12 +68,12 @@
         return cleaner.isCompacting();
     }
 
-    /** Duration of the last successful group commit, nanoseconds. */
+    /** Duration of the last successful group commit, in nanoseconds. */
     long lastForceNanos() {
         return log.lastForceNanos();
     }
 
-    /** Appends a group with one write and one force; all of it shares the outcome. */
+    /** Appends a group with one write and one force; all its records share the result. */
     AppendResult append(List<AppendRequest> group) {
         AppendResult result = isHealthy() ? tryAppend(group) : AppendResult.UNAVAILABLE;
         publishStats();
@@ -90,7 +90,7 @@
         }
     }
 
-    /** The value of a key; empty where it has none, or none that can be read. */
+    /** Returns the value of a key; empty if it has none or it cannot be read. */
     Optional<byte[]> read(StoreKey key) {
         Optional<IndexEntry> entry = index.get(key).filter(IndexEntry::isPut);
         if (entry.isEmpty()) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** After a failure: tries to begin a new segment. Returns whether the disk works. */
+    /** After a failure, tries to start a new segment. Returns whether the disk works. */
     boolean probe() {
         if (!isHealthy()) {
             try {
@@ -118,7 +118,8 @@
     }
 
     /**
-     * Does what is due between two group commits: the next segment, expiry, a step of compaction.
+     * Performs the maintenance that is due between two group commits: starting a segment, expiry, a
+     * step of compaction.
      */
     void maintain() {
         if (!isHealthy()) {
@@ -134,14 +135,14 @@
         publishStats();
     }
 
-    /** Compacts every segment that has anything dead, at once. */
+    /** Compacts every sealed segment that contains dead records, without a rate limit. */
     void compactAll(Consumer<String> progress) throws IOException {
         cleaner.compactAll(progress, clock);
         publishStats();
     }
 
     /**
-     * Ends the log in order, as far as the disk allows; nothing is asked of the engine any more.
+     * Seals and closes the log, as far as the disk allows; the engine must not be used afterwards.
      */
     void seal() {
         if (isHealthy()) {
@@ -156,7 +157,7 @@
         publishStats();
     }
 
-    /** Keys with a value that has not expired, soonest expiry first. */
+    /** Keys with a value that has not expired, earliest expiry first. */
     List<RecoveredEntry> liveEntries() {
         long nowMillis = clock.nowMillis();
         List<RecoveredEntry> entries = new ArrayList<>();
@@ -174,7 +175,7 @@
         return entries;
     }
 
-    /** Hands over the values of live keys that begin with this byte, in the order of the disk. */
+    /** Visits the values of live keys that begin with this byte, in disk order. */
     void forEachValue(byte keyPrefix, ValueVisitor visitor) throws IOException {
         Map<Segment, List<IndexEntry>> bySegment =
                 new TreeMap<>(Comparator.comparingLong(Segment::number));
--- a/src/main/java/ochretiller/store/StorageFile.java
+++ b/src/main/java/ochretiller/store/StorageFile.java
@@ -12,30 +12,30 @@
     /**
      * Writes all remaining bytes at this position.
      *
-     * @throws IOException where the medium does not take them; part of them may have been written
-     *     (a torn write)
+     * @throws IOException if the write fails; some of the bytes may have been written (a torn
+     *     write)
      */
     void write(ByteBuffer bytes, long position) throws IOException;
 
     /**
      * Reads until the buffer is full or the file ends.
      *
-     * @return the number of bytes read, 0 at or behind the end of the file
+     * @return the number of bytes read, 0 at or after the end of the file
      */
-    int read(ByteBuffer into, long position) throws IOException;
+    int read(ByteBuffer target, long position) throws IOException;
 
     /**
      * Returns once everything written to this file is on stable storage ({@code fdatasync}).
      *
-     * @throws IOException where that failed, which proves nothing about any byte written since the
-     *     last successful call
+     * @throws IOException if that fails; the state of all bytes written since the last successful
+     *     call is then unknown
      */
     void force() throws IOException;
 
     /** Length of the file in bytes. */
     long size() throws IOException;
 
-    /** Cuts the file down to this length in bytes; a shorter file stays as it is. */
+    /** Truncates the file to this length in bytes; a shorter file is not changed. */
     void truncate(long size) throws IOException;
 
     @Override
--- a/src/main/java/ochretiller/store/Store.java
+++ b/src/main/java/ochretiller/store/Store.java
@@ -10,24 +10,24 @@
 import java.util.function.Consumer;
 
 /**
- * A durable key-value store in one directory: an append-only log in segments with an index in
- * memory, as in Bitcask (Sheehy and Smith 2010). Every record has an end of life, and segments are
- * deleted as a whole once all in them has expired. Appends are committed in groups: those that
- * arrive while the disk forces go out together with the next force.
+ * A durable key-value store in one directory: an append-only log of segments with an in-memory
+ * index, as in Bitcask (Sheehy and Smith 2010). Every record has an expiry time, and a segment is
+ * deleted when all its records have expired. Appends are committed in groups: those that arrive
+ * during a force share the next one.
  *
- * <p>Life cycle: {@link #open} takes the directory and recovers it; the caller reads what it needs;
- * {@link #start} lets appends go; {@link #close} ends the log in order. Until {@code start}
- * everything is called by one thread. From then on a writer thread owns the files and the index;
- * {@link #putNew}, {@link #put}, {@link #remove}, {@link #read} and {@link #probe} may be called by
- * any one thread at a time and never wait for the disk. Outcomes are handed to the executor that
- * {@code open} was given.
+ * <p>Life cycle: {@link #open} locks the directory and recovers its contents; the caller reads what
+ * it needs; {@link #start} enables appends; {@link #close} seals the log. Before {@code start} all
+ * methods are called by one thread. Afterwards a writer thread owns the files and the index; {@link
+ * #putNew}, {@link #put}, {@link #remove}, {@link #read} and {@link #probe} may be called by one
+ * thread at a time and never wait for the disk. Callbacks run on the executor that was passed to
+ * {@code open}.
  *
- * <p>After a failure of the disk nothing is written until a {@link #probe} has begun a new segment.
- * Appends that were under way end as {@link AppendResult#UNKNOWN} and are never retried here.
+ * <p>After a disk failure nothing is written until a {@link #probe} has started a new segment. The
+ * appends that failed end as {@link AppendResult#UNKNOWN}; the store never retries them.
  */
 public final class Store implements Closeable {
     /**
-     * How long a close waits for what is under way, so that a stalled disk does not keep the
+     * How long {@link #close} waits for the writer thread, so that a stalled disk does not keep the
      * process alive.
      */
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(1);
@@ -41,7 +41,9 @@
     private final Thread writerThread;
     private final List<String> damageReports;
 
-    /** On the store's clock; empty where nothing is damaged. */
+    /**
+     * Until then damage may hide acknowledged records; on the store's clock, empty without damage.
+     */
     private final OptionalLong incompleteUntilMillis;
 
     private List<RecoveredEntry> recoveredEntries;
@@ -56,13 +58,13 @@
         this.limits = limits;
         this.callbackExecutor = callbackExecutor;
         this.lock = lock;
-        long maxRecordLifeMillis = limits.maxRecordLife().toMillis();
+        long maxRecordLifetimeMillis = limits.maxRecordLife().toMillis();
         Recovery recovery =
                 Recovery.read(directory, Recovery.HintPolicy.USE_HINTS, segmentName -> {});
-        clock = StoreClock.continuing(bootClock, recovery, maxRecordLifeMillis);
+        clock = StoreClock.continuing(bootClock, recovery, maxRecordLifetimeMillis);
         damageReports = recovery.damageReports();
         incompleteUntilMillis =
-                recovery.keepDamagedSegments(clock.nowMillis(), maxRecordLifeMillis);
+                recovery.keepDamagedSegments(clock.nowMillis(), maxRecordLifetimeMillis);
         engine = new StorageEngine(directory, limits, clock, recovery);
         recoveredEntries = engine.liveEntries();
         queue = new AppendQueue(limits);
@@ -71,14 +73,14 @@
     }
 
     /**
-     * Takes a directory and recovers what it holds. A disk that cannot be written is no error:
-     * {@link StoreStats#isHealthy} tells.
+     * Locks a directory and recovers its contents. A disk that cannot be written is no error;
+     * {@link StoreStats#isHealthy} reports it.
      *
-     * @param callbackExecutor runs callbacks, on the thread of its choice; it must not wait for the
+     * @param callbackExecutor runs callbacks, on threads of its choice; it must not wait for the
      *     store
-     * @throws StoreException where another process has the directory, or a later release has
-     *     written it
-     * @throws IOException where the directory cannot be read
+     * @throws StoreException if another process uses the directory, or a later release has written
+     *     it
+     * @throws IOException if the directory cannot be read
      */
     public static Store open(
             StorageDirectory directory,
@@ -95,44 +97,46 @@
         }
     }
 
-    /** Starts the writer thread; what was recovered can no longer be listed. */
+    /** Starts the writer thread; {@link #recoveredEntries} is empty from then on. */
     public void start() {
         recoveredEntries = List.of();
         writerThread.start();
     }
 
     /**
-     * Milliseconds on the store's clock, which continues over restarts, never runs ahead of true
-     * time and cannot be set.
+     * Returns the store's clock in milliseconds. It continues across restarts, never runs ahead of
+     * real time and cannot be set.
      */
     public long nowMillis() {
         return clock.nowMillis();
     }
 
-    /** Before {@link #start}: the keys with a value, soonest expiry first. */
+    /**
+     * Returns the recovered keys that have a value, earliest expiry first; empty after {@link
+     * #start}.
+     */
     public List<RecoveredEntry> recoveredEntries() {
         return List.copyOf(recoveredEntries);
     }
 
     /**
-     * Before {@link #start}: hands over each live key that begins with this byte, with its value,
-     * in the order of the disk, so that each file is read once.
+     * Visits each live key that begins with this byte, with its value, in disk order so that each
+     * file is read once. Must be called before {@link #start}.
      *
-     * @throws IOException where a segment cannot be read; some keys may have been handed over by
-     *     then
+     * @throws IOException if a segment cannot be read; some keys may have been visited by then
      */
     public void forEachValue(byte keyPrefix, ValueVisitor visitor) throws IOException {
         engine.forEachValue(keyPrefix, visitor);
     }
 
-    /** What recovery could not read, one line each; empty where all is whole. */
+    /** Returns what recovery could not read, one line each; empty without damage. */
     public List<String> damageReports() {
         return damageReports;
     }
 
     /**
-     * How long from now an acknowledged record may be missing because of damage; zero where nothing
-     * is damaged, or no longer.
+     * Returns for how long from now an acknowledged record may be missing because of damage; zero
+     * without damage or after that time.
      */
     public Duration incompleteFor() {
         if (incompleteUntilMillis.isEmpty()) {
@@ -141,29 +145,28 @@
         return Duration.ofMillis(Math.max(0, incompleteUntilMillis.getAsLong() - nowMillis()));
     }
 
-    /** Figures of a moment ago; any thread may ask. */
+    /** Returns recent statistics; safe to call from any thread. */
     public StoreStats stats() {
         return engine.stats();
     }
 
     /**
-     * Whether {@link #putNew} would be admitted now; an eighth of each bound is reserved for {@link
-     * #put} and {@link #remove}.
+     * Returns whether {@link #putNew} would be accepted now; an eighth of each limit is reserved
+     * for {@link #put} and {@link #remove}.
      */
     public boolean hasRoomForNewKey() {
         return queue.hasRoomForNewKey(engine.stats());
     }
 
     /**
-     * Stores a value under a key that is not there yet. It is rejected where the bounds, less the
-     * reserve, leave no room.
+     * Stores a value under a new key. It is rejected if it exceeds the limits less the reserve.
      *
      * @param key at most 512 bytes
-     * @param metadata at most 255 bytes, held in memory and available right after a start
+     * @param metadata at most 255 bytes, kept in memory and available right after a start
      * @param value at most 1 MiB, on disk only
-     * @param expiresAtMillis end of its life on the store's clock, at most {@link
+     * @param expiresAtMillis expiry time on the store's clock, at most {@link
      *     StoreLimits#maxRecordLife} from now
-     * @throws IllegalArgumentException where one of them is over its bound
+     * @throws IllegalArgumentException if one of them exceeds its limit
      */
     public void putNew(
             byte[] key,
@@ -184,10 +187,10 @@
     }
 
     /**
-     * Stores a value that must have room beside what is there already, such as another value of a
-     * known key: it may use the reserve. The parameters are those of {@link #putNew}.
+     * Stores a value that may use the reserve, such as another value of an existing key. The
+     * parameters are those of {@link #putNew}.
      *
-     * @throws IllegalArgumentException where one of them is over its bound
+     * @throws IllegalArgumentException if one of them exceeds its limit
      */
     public void put(
             byte[] key,
@@ -210,8 +213,8 @@
     /**
      * Removes a key by appending a tombstone.
      *
-     * @param expiresAtMillis how long the tombstone stays: until the removed value would have
-     *     expired
+     * @param expiresAtMillis expiry time of the tombstone on the store's clock: when the removed
+     *     value would have expired
      */
     public void remove(byte[] key, long expiresAtMillis, AppendCallback callback) {
         append(AppendRequest.tombstone(key, expiresAtMillis, callback));
@@ -219,9 +222,9 @@
 
     private void checkBounds(byte[] key, byte[] metadata, byte[] value, long expiresAtMillis) {
         RecordFormat.requireLengths(key, metadata, value);
-        long lifeMillis = expiresAtMillis - nowMillis();
-        long maxLifeMillis = limits.maxRecordLife().toMillis();
-        RecordFormat.requireAtMost(maxLifeMillis, lifeMillis, "milliseconds of life");
+        long lifetimeMillis = expiresAtMillis - nowMillis();
+        long maxLifetimeMillis = limits.maxRecordLife().toMillis();
+        RecordFormat.requireAtMost(maxLifetimeMillis, lifetimeMillis, "milliseconds of lifetime");
     }
 
     private void append(AppendRequest request) {
@@ -233,8 +236,8 @@
     /**
      * Reads the value of a key on the writer thread.
      *
-     * @param callback receives the value; empty where there is none, where it cannot be read, or
-     *     where the queue is full
+     * @param callback receives the value; empty if there is none, it cannot be read, or the queue
+     *     is full
      */
     public void read(byte[] key, Consumer<Optional<byte[]>> callback) {
         StoreKey storeKey = new StoreKey(key);
@@ -247,9 +250,9 @@
     }
 
     /**
-     * After a failure: tries whether the disk works again, by beginning a new segment.
+     * Checks after a failure whether the disk works again, by starting a new segment.
      *
-     * @param callback receives whether the store takes appends now; false also where the queue is
+     * @param callback receives whether the store accepts appends now; false also if the queue is
      *     full
      */
     public void probe(Consumer<Boolean> callback) {
@@ -261,27 +264,29 @@
                 () -> callback.accept(false));
     }
 
-    private void callEngine(Runnable onWriterThread, Runnable ifQueueIsFull) {
-        if (!queue.offerCall(new WriterTask.EngineCall(onWriterThread))) {
-            callbackExecutor.execute(ifQueueIsFull);
+    private void callEngine(Runnable action, Runnable onQueueFull) {
+        if (!queue.offerCall(new WriterTask.EngineCall(action))) {
+            callbackExecutor.execute(onQueueFull);
         }
     }
 
-    /** Before {@link #start}: compacts every segment that has anything dead, whatever its share. */
+    /**
+     * Compacts every sealed segment that contains dead records, whatever their share. Must be
+     * called before {@link #start}.
+     */
     void compactAll(Consumer<String> progress) throws IOException {
         engine.compactAll(progress);
     }
 
     /**
-     * Works off what is queued, seals the log where the disk allows it, and releases the directory.
-     * Waits for a second at most; an interrupt ends the wait and is kept.
+     * Completes the queued tasks, seals the log if the disk works, and unlocks the directory. Waits
+     * for at most one second; an interrupt ends the wait and restores the interrupt status.
      */
     @Override
     public void close() throws IOException {
         queue.close();
-        queue.offerCall(
-                new WriterTask.EngineCall(
-                        () -> {})); // wakes the writer; a full queue keeps it awake anyway
+        // An empty task wakes the writer thread, which is awake anyway if the queue is full.
+        queue.offerCall(new WriterTask.EngineCall(() -> {}));
         try {
             if (writerThread.getState() == Thread.State.NEW) {
                 engine.seal();
--- a/src/main/java/ochretiller/store/StoreClock.java
+++ b/src/main/java/ochretiller/store/StoreClock.java
@@ -4,9 +4,9 @@
 import java.util.UUID;
 
 /**
- * The store's own clock: milliseconds that continue over restarts, never run ahead of true time and
- * cannot be set. It is the uptime of the machine plus an offset that every segment header carries.
- * Immutable; safe for any thread.
+ * The store's clock in milliseconds. It continues across restarts, never runs ahead of real time
+ * and cannot be set. It is the uptime of the machine plus an offset that every segment header
+ * contains. Immutable and thread-safe.
  */
 final class StoreClock {
     private final BootClock bootClock;
@@ -18,14 +18,15 @@
     }
 
     /**
-     * The clock that goes on from what was recovered. Under the same boot the time between two
-     * processes counts; otherwise only the time that is proven does, so that no record's life gets
-     * shorter.
+     * Continues the clock of a recovered store. Within the same boot it includes the time between
+     * two processes; otherwise it resumes at the latest time that it is known to have reached, so
+     * that no record expires early.
      *
-     * @param maxRecordLifeMillis longest life of a record: the newest expiry less this is a proven
-     *     time
+     * @param maxRecordLifetimeMillis longest lifetime of a record; the clock has reached at least
+     *     the latest expiry minus this
      */
-    static StoreClock continuing(BootClock bootClock, Recovery recovery, long maxRecordLifeMillis) {
+    static StoreClock continuing(
+            BootClock bootClock, Recovery recovery, long maxRecordLifetimeMillis) {
         long uptimeMillis = bootClock.uptimeMillis().getAsLong();
         Optional<SegmentHeader> lastHeader =
                 recovery.segments().stream()
@@ -40,23 +41,23 @@
         if (sameBoot) {
             return new StoreClock(bootClock, lastHeader.get().clockOffsetMillis());
         }
-        long provenMillis =
+        long lowerBoundMillis =
                 recovery.index().latestExpiryMillis().stream()
-                        .map(expiry -> expiry - maxRecordLifeMillis)
+                        .map(expiry -> expiry - maxRecordLifetimeMillis)
                         .reduce(lastHeader.get().createdAtMillis(), Math::max);
-        return new StoreClock(bootClock, provenMillis - uptimeMillis);
+        return new StoreClock(bootClock, lowerBoundMillis - uptimeMillis);
     }
 
     long nowMillis() {
         return offsetMillis + bootClock.uptimeMillis().getAsLong();
     }
 
-    /** Boot of the machine; empty where it does not say. */
+    /** Boot id of the machine; empty if it has none. */
     Optional<UUID> bootId() {
         return bootClock.bootId();
     }
 
-    /** This clock less the machine's uptime, as segment headers carry it. */
+    /** This clock minus the machine's uptime, as stored in segment headers. */
     long offsetMillis() {
         return offsetMillis;
     }
--- a/src/main/java/ochretiller/store/StoreCounters.java
+++ b/src/main/java/ochretiller/store/StoreCounters.java
@@ -1,8 +1,8 @@
 package ochretiller.store;
 
 /**
- * Counts what a store has done since it was opened. Owned by the thread that owns the {@link
- * Index}; read through {@link StoreStats}.
+ * Counts the operations of a store since it was opened. Confined to the thread that owns the {@link
+ * Index}; published as {@link StoreStats}.
  */
 final class StoreCounters {
     private long forces;
--- a/src/main/java/ochretiller/store/StoreException.java
+++ b/src/main/java/ochretiller/store/StoreException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A directory that cannot be used as a store; the message is one line for the operator. */
+/** Thrown if a directory cannot be used as a store. The message is one line for the operator. */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** An error with nothing else as its cause. */
+    /** Creates an exception without a cause. */
     public StoreException(String message) {
         super(message);
     }
--- a/src/main/java/ochretiller/store/StoreInspector.java
+++ b/src/main/java/ochretiller/store/StoreInspector.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /**
- * Looks at a store from outside, for the command line. {@link #verify} and {@link #list} change
- * nothing and take no lock, so they may run beside a server; {@link #compact} needs the store for
- * itself. Stateless; each call does its work on the calling thread.
+ * Command-line operations on a store. {@link #verify} and {@link #list} change nothing and take no
+ * lock, so they may run while a server uses the store; {@link #compact} requires exclusive access.
+ * Stateless; each call runs on the calling thread.
  */
 public final class StoreInspector {
     private StoreInspector() {}
 
     /**
-     * Reads every record of every segment and compares its checksum.
+     * Reads every record of every segment and verifies its checksum.
      *
      * @param progress receives the name of each segment file before it is read
      */
@@ -51,7 +51,7 @@
                 segment.isDamaged());
     }
 
-    /** Hands over each key that has a value, in no particular order. */
+    /** Visits each key that has a value, in no particular order. */
     public static void list(StorageDirectory directory, Consumer<StoredEntry> visitor)
             throws IOException {
         Recovery recovery =
@@ -76,20 +76,20 @@
     }
 
     /**
-     * Copies what is live of each segment and drops the rest.
+     * Rewrites each segment that contains dead records without them.
      *
      * @param progress receives the name of each segment file before it is copied
-     * @throws StoreException where the store is in use, does not exist, or its disk cannot be
-     *     written
+     * @throws StoreException if the store is in use, does not exist, or its disk cannot be written
      */
     public static CompactionReport compact(StorageDirectory directory, Consumer<String> progress)
             throws IOException {
-        directory.listFiles(); // fails where there is no store, which opening one would create
+        directory.listFiles(); // fails if there is no store, which Store.open would create
         long bytesBefore = verify(directory, segmentName -> {}).bytes();
         StoreLimits unlimited = StoreLimits.builder().build();
         try (Store store = Store.open(directory, unlimited, BootClock.ofKernel(), Runnable::run)) {
             if (store.stats().fault().isPresent()) {
-                throw new StoreException("the disk is not well: " + store.stats().fault().get());
+                throw new StoreException(
+                        "the disk cannot be written: " + store.stats().fault().get());
             }
             store.compactAll(progress);
         }
--- a/src/main/java/ochretiller/store/StoreKey.java
+++ b/src/main/java/ochretiller/store/StoreKey.java
@@ -2,10 +2,7 @@
 
 import java.util.Arrays;
 
-/**
- * A key's bytes with value semantics, for use in a map. Immutable, as long as nobody writes to the
- * array.
- */
+/** A key's bytes with value semantics, for use in a map. Immutable if the array is not modified. */
 final class StoreKey {
     private final byte[] bytes;
     private final int hash;
--- a/src/main/java/ochretiller/store/StoreLimits.java
+++ b/src/main/java/ochretiller/store/StoreLimits.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * What a store may take, and how it goes about it. Immutable.
+ * Limits of a store and settings of its segments and its compaction. Immutable.
  *
- * @param maxEntries most keys with a value; removed ones are not counted
- * @param maxBytes most bytes of all its segments
- * @param maxIndexBytes most memory of the index, estimated
- * @param segmentBytes size at which the next segment is begun
- * @param maxSegmentAge age at which a segment with records is followed by the next, so that it can
- *     be deleted in time
- * @param compactionBytesPerSecond rate at which compaction may copy
- * @param compactionDeadRatio share of dead bytes, 0 to 1, from which a segment is worth compacting
- * @param compactionMinRemainingLife remaining life below which a segment is not compacted: it will
- *     soon be deleted as a whole
- * @param maxRecordLife longest life of a record, which is also how long damage may hide one
+ * @param maxEntries maximum number of keys with a value; removed keys are not counted
+ * @param maxBytes maximum total size of all segments, in bytes
+ * @param maxIndexBytes maximum estimated memory of the index, in bytes
+ * @param segmentBytes size in bytes at which the next segment is started
+ * @param maxSegmentAge age at which a segment that contains records is sealed and the next one
+ *     started, so that it can be deleted in time
+ * @param compactionBytesPerSecond maximum copy rate of compaction
+ * @param compactionDeadRatio fraction of dead bytes, 0 to 1, from which a segment is compacted
+ * @param compactionMinRemainingLife remaining lifetime up to which a segment is not compacted, as
+ *     it will soon be deleted as a whole
+ * @param maxRecordLife longest lifetime of a record, which is also how long damage may hide one
  */
 public record StoreLimits(
         int maxEntries,
@@ -28,21 +28,24 @@
         Duration compactionMinRemainingLife,
         Duration maxRecordLife) {
     /**
-     * One such part of each bound is reserved for known keys: new values, removals and the ends of
-     * what was begun.
+     * Each limit divided by this is the reserve for existing keys: new values, removals and the
+     * completion of operations in progress.
      */
     static final int RESERVE_DIVISOR = 8;
 
-    /** A builder without any bound but those of the format. */
+    /** Returns a builder whose only limits are those of the format. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Collects limits; what is not set is unbounded, or as the field says. Owned by one thread. */
+    /**
+     * Builds {@link StoreLimits}. What is not set is unlimited or has the default named below. Not
+     * thread-safe.
+     */
     public static final class Builder {
         private static final int DEFAULT_SEGMENT_BYTES = 64 << 20;
         private static final double DEFAULT_DEAD_RATIO = 0.5;
-        private static final Duration UNBOUNDED_LIFE = Duration.ofDays(36_500);
+        private static final Duration UNLIMITED_LIFETIME = Duration.ofDays(36_500);
 
         private int maxEntries = Integer.MAX_VALUE;
         private long maxBytes = Long.MAX_VALUE;
@@ -52,65 +55,65 @@
         private long compactionBytesPerSecond = Compaction.UNLIMITED_RATE;
         private double compactionDeadRatio = DEFAULT_DEAD_RATIO;
         private Duration compactionMinRemainingLife = Duration.ZERO;
-        private Duration maxRecordLife = UNBOUNDED_LIFE;
+        private Duration maxRecordLife = UNLIMITED_LIFETIME;
 
         private Builder() {}
 
-        /** Most keys with a value. */
+        /** Sets the maximum number of keys with a value. */
         public Builder maxEntries(int entries) {
             maxEntries = entries;
             return this;
         }
 
-        /** Most bytes of all segments. */
+        /** Sets the maximum total size of all segments, in bytes. */
         public Builder maxBytes(long bytes) {
             maxBytes = bytes;
             return this;
         }
 
-        /** Most memory of the index. */
+        /** Sets the maximum estimated memory of the index, in bytes. */
         public Builder maxIndexBytes(long bytes) {
             maxIndexBytes = bytes;
             return this;
         }
 
-        /** Size at which the next segment is begun; 64 MiB where not set. */
+        /** Sets the size in bytes at which the next segment is started; 64 MiB by default. */
         public Builder segmentBytes(int bytes) {
             segmentBytes = bytes;
             return this;
         }
 
-        /** Age at which the next segment is begun; a day where not set. */
+        /** Sets the age at which the next segment is started; one day by default. */
         public Builder maxSegmentAge(Duration age) {
             maxSegmentAge = age;
             return this;
         }
 
-        /** Rate of compaction. */
+        /** Sets the maximum copy rate of compaction, in bytes per second. */
         public Builder compactionBytesPerSecond(long rate) {
             compactionBytesPerSecond = rate;
             return this;
         }
 
-        /** Share of dead bytes from which a segment is compacted; a half where not set. */
+        /** Sets the fraction of dead bytes from which a segment is compacted; 0.5 by default. */
         public Builder compactionDeadRatio(double ratio) {
             compactionDeadRatio = ratio;
             return this;
         }
 
-        /** Remaining life below which a segment is not compacted; none where not set. */
-        public Builder compactionMinRemainingLife(Duration life) {
-            compactionMinRemainingLife = life;
+        /** Sets the remaining lifetime up to which a segment is not compacted; zero by default. */
+        public Builder compactionMinRemainingLife(Duration lifetime) {
+            compactionMinRemainingLife = lifetime;
             return this;
         }
 
-        /** Longest life of a record; a hundred years where not set. */
-        public Builder maxRecordLife(Duration life) {
-            maxRecordLife = life;
+        /** Sets the longest lifetime of a record; a hundred years by default. */
+        public Builder maxRecordLife(Duration lifetime) {
+            maxRecordLife = lifetime;
             return this;
         }
 
-        /** The limits as set so far. */
+        /** Returns the limits set so far. */
         public StoreLimits build() {
             return new StoreLimits(
                     maxEntries,
--- a/src/main/java/ochretiller/store/StoreReport.java
+++ b/src/main/java/ochretiller/store/StoreReport.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What a check of every byte of a store has found. Immutable.
+ * Result of verifying every byte of a store. Immutable.
  *
  * @param segments oldest first
- * @param entries keys that have a value
- * @param bytes bytes of all segments
- * @param tornBytes bytes at the end of the last segment that are a torn write, which was never
- *     acknowledged; harmless
- * @param damage what is there and no record, or missing in front of what is there; one line each
- * @param leftoverFiles files without use that the next start deletes
- * @param unknownFiles files that are not the store's
+ * @param entries number of keys that have a value
+ * @param bytes total size of all segments in bytes
+ * @param tornBytes bytes of a torn write at the end of the last segment, which was never
+ *     acknowledged and is harmless
+ * @param damage descriptions of bytes that are no valid record or are missing before existing
+ *     bytes; one line each
+ * @param leftoverFiles obsolete files that the next start deletes
+ * @param unknownFiles files that do not belong to the store
  */
 public record StoreReport(
         List<SegmentReport> segments,
@@ -22,7 +23,7 @@
         List<String> damage,
         List<String> leftoverFiles,
         List<String> unknownFiles) {
-    /** Whether nothing that may have been acknowledged is missing. */
+    /** Returns whether no record that may have been acknowledged is missing. */
     public boolean isUndamaged() {
         return damage.isEmpty();
     }
--- a/src/main/java/ochretiller/store/StoreStats.java
+++ b/src/main/java/ochretiller/store/StoreStats.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * Figures of a store at one instant; counts are since it was opened. Immutable.
+ * Statistics of a store at one instant; counts start when it is opened. Immutable.
  *
- * @param entries keys that have a value
- * @param bytes bytes of all its segments
- * @param indexBytes memory of the index, estimated
+ * @param entries number of keys that have a value
+ * @param bytes total size of all segments in bytes
+ * @param indexBytes estimated memory of the index in bytes
  * @param segments number of segments
- * @param oldestSegmentMillis when the oldest segment was created, on the store's clock; 0 without
+ * @param oldestSegmentMillis creation time of the oldest segment, on the store's clock; 0 without
  *     segments
- * @param forces forces of the disk
- * @param appendedRecords records appended
- * @param appendedBytes bytes appended
- * @param largestGroupCommit most records that shared one force
- * @param compactedBytes bytes that compactions have copied
- * @param expiredSegments segments that were deleted once all in them had expired
- * @param diskFailures failures of the disk
- * @param fault what the disk failed with; empty while it works
+ * @param forces number of forces of the disk
+ * @param appendedRecords number of appended records
+ * @param appendedBytes number of appended bytes
+ * @param largestGroupCommit largest number of records that shared one force
+ * @param compactedBytes number of bytes copied by compactions
+ * @param expiredSegments number of segments deleted after all their records had expired
+ * @param diskFailures number of disk failures
+ * @param fault message of the disk failure; empty while the disk works
  */
 public record StoreStats(
         int entries,
@@ -35,12 +35,12 @@
         long expiredSegments,
         long diskFailures,
         Optional<String> fault) {
-    /** Whether the disk works, as far as its last use tells. */
+    /** Returns whether the last use of the disk succeeded. */
     public boolean isHealthy() {
         return fault.isEmpty();
     }
 
-    /** Figures of these parts of a store. */
+    /** Collects the statistics of these parts of a store. */
     static StoreStats of(
             Index index,
             Collection<Segment> segments,
--- a/src/main/java/ochretiller/store/ValueReader.java
+++ b/src/main/java/ochretiller/store/ValueReader.java
@@ -4,16 +4,16 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 
-/** Reads values from segments. Stateless; safe for any thread. */
+/** Reads values from segments. Stateless and thread-safe. */
 final class ValueReader {
     private ValueReader() {}
 
     /**
-     * The value of an entry.
+     * Reads the value of an entry.
      *
-     * @param file the entry's segment
-     * @return empty where the record on disk is no longer the one that was written: a value that
-     *     went bad is never handed out
+     * @param file open file of the entry's segment
+     * @return empty if the record on disk is no longer the one that was written, so that a corrupt
+     *     value is never returned
      */
     static Optional<byte[]> read(StorageFile file, IndexEntry entry) throws IOException {
         ByteBuffer in = ByteBuffer.allocate(entry.recordBytes());
--- a/src/main/java/ochretiller/store/ValueVisitor.java
+++ b/src/main/java/ochretiller/store/ValueVisitor.java
@@ -1,12 +1,12 @@
 package ochretiller.store;
 
-/** Receives keys with their values, on the thread that asked for them. */
+/** Receives keys with their values, on the thread that requested them. */
 @FunctionalInterface
 public interface ValueVisitor {
     /**
-     * One key.
+     * Visits one key.
      *
-     * @param expiresAtMillis end of its life, on the store's clock
+     * @param expiresAtMillis expiry time, on the store's clock
      */
     void visit(byte[] key, byte[] value, long expiresAtMillis);
 }
--- a/src/main/java/ochretiller/store/WriterTask.java
+++ b/src/main/java/ochretiller/store/WriterTask.java
@@ -1,11 +1,11 @@
 package ochretiller.store;
 
-/** Something that the writer thread is asked to do. */
+/** A task for the writer thread. */
 sealed interface WriterTask permits AppendRequest, WriterTask.EngineCall {
     /**
-     * Something other than an append, done between two group commits.
+     * A task other than an append, run between two group commits.
      *
-     * @param action run on the writer thread
+     * @param action runs on the writer thread
      */
     record EngineCall(Runnable action) implements WriterTask {}
 }
--- a/src/test/java/ochretiller/store/CrashPointTest.java
+++ b/src/test/java/ochretiller/store/CrashPointTest.java
@@ -74,8 +74,7 @@
             String what = operation + " " + count + " of " + name;
             SplittableRandom random = new SplittableRandom(points.size());
             // What is there at the end is no older than what was acknowledged before the disk is
-            // looked at, and no newer than what
-            // was begun after.
+            // looked at, and no newer than what was begun after.
             Map<String, Integer> acknowledgedBefore = new TreeMap<>(acknowledged);
             List<VolatileDirectory> outcomes =
                     List.of(
