--- a/src/test/java/ochretiller/idempotency/IdempotencyCacheTest.java
+++ b/src/test/java/ochretiller/idempotency/IdempotencyCacheTest.java
@@ -43,29 +43,35 @@
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private static Attempt order(long id, String token, double arrived, long sentUnixMillis) {
+    private static Attempt order(
+            long id, String token, double arrivedSeconds, long sentUnixMillis) {
         return new Attempt(
-                id(id), ORDER, Optional.of(token), Optional.empty(), at(arrived), sentUnixMillis);
+                id(id),
+                ORDER,
+                Optional.of(token),
+                Optional.empty(),
+                at(arrivedSeconds),
+                sentUnixMillis);
     }
 
-    private static Attempt order(long id, double arrived) {
-        return order(id, "token", arrived, IdempotencyCache.NO_CLIENT_TIMESTAMP);
+    private static Attempt order(long id, double arrivedSeconds) {
+        return order(id, "token", arrivedSeconds, IdempotencyCache.NO_CLIENT_TIMESTAMP);
     }
 
-    private Optional<InvocationId> findOriginal(long id, double arrived, double now) {
-        return cache.findOriginalOrTrack(order(id, arrived), at(now));
+    private Optional<InvocationId> findOriginal(long id, double arrivedSeconds, double nowSeconds) {
+        return cache.findOriginalOrTrack(order(id, arrivedSeconds), at(nowSeconds));
     }
 
-    private Optional<InvocationId> read(long id, double now) {
+    private Optional<InvocationId> read(long id, double nowSeconds) {
         Attempt attempt =
                 new Attempt(
                         id(id),
                         READ,
                         Optional.empty(),
                         Optional.of("object"),
-                        at(now),
+                        at(nowSeconds),
                         IdempotencyCache.NO_CLIENT_TIMESTAMP);
-        return cache.findOriginalOrTrack(attempt, at(now));
+        return cache.findOriginalOrTrack(attempt, at(nowSeconds));
     }
 
     private void track(long id) {
@@ -77,8 +83,8 @@
         cache.restore(new RestoredAttempt(id(id), ORDER, "token", digest, isCompleted), at(10));
     }
 
-    private void succeed(long id, String result, double now) {
-        cache.complete(id(id), Optional.of(result.getBytes()), at(now));
+    private void succeed(long id, String result, double nowSeconds) {
+        cache.complete(id(id), Optional.of(result.getBytes()), at(nowSeconds));
     }
 
     private String result(long id) {
@@ -90,14 +96,14 @@
     }
 
     @Test
-    void repeatIsTiedToItsOriginal() {
+    void repeatFindsItsOriginal() {
         assertThat(findOriginal(1, 0, 0)).isEmpty();
         track(1);
         assertThat(findOriginal(2, 0, 0)).contains(id(1));
     }
 
     @Test
-    void windowCountsByArrivalHoweverLateTheRepeatIsRead() {
+    void windowAppliesToTheArrivalTimeHoweverLateTheRepeatIsRead() {
         track(1);
         succeed(1, "done", 1);
         assertThat(findOriginal(2, 9.9, 11.5)).contains(id(1));
@@ -105,19 +111,19 @@
     }
 
     @Test
-    void repeatAtTheEdgeOfTheWindowIsTiedThoughTheClocksAreReadOncePerTurn() {
+    void repeatAtTheEndOfTheWindowFindsItsOriginalDespiteCoarseClocks() {
         track(1);
         succeed(1, "done", 1);
         assertThat(findOriginal(2, 10.099, 10.1))
-                .contains(id(1)); // it came at 9.99 by the clock of who dated it
+                .contains(id(1)); // arrived at 9.99 s by the clock that timestamped it
     }
 
     @Test
-    void repeatWithinTheWindowByTheUnixClockIsTiedThoughThatWasSetBack() {
+    void repeatWithinTheWindowByTheUnixClockFindsItsOriginalAfterTheClockWasSetBack() {
         long sent = 1_764_576_000_000L;
         cache.track(order(1, "token", 0, sent), BODY, at(10));
         succeed(1, "done", 1);
-        // 11 s later the clock shows 6 s more, as it was set back by 5.
+        // After 11 s the client's clock shows only 6 s more, because it was set back by 5 s.
         assertThat(cache.findOriginalOrTrack(order(2, "token", 11, sent + 6_000), at(11)))
                 .contains(id(1));
         assertThat(cache.findOriginalOrTrack(order(3, "token", 11, sent + 10_100), at(11)))
@@ -125,7 +131,7 @@
     }
 
     @Test
-    void otherBodyOrOperationUnderOneTokenConflicts() {
+    void differentBodyOrOperationUnderTheSameTokenConflicts() {
         track(1);
         assertThat(cache.conflictsWith(id(1), ORDER, new byte[] {1})).isFalse();
         assertThat(cache.conflictsWith(id(1), ORDER, OTHER_BODY)).isTrue();
@@ -134,7 +140,7 @@
     }
 
     @Test
-    void entryIsDroppedAfterItsWindow() {
+    void entryIsRemovedAfterItsWindow() {
         track(1);
         succeed(1, "done", 1);
         assertThat(findOriginal(2, 9.9, 12.1)).isEmpty();
@@ -142,14 +148,14 @@
     }
 
     @Test
-    void forgottenEntryTiesNobody() {
+    void repeatOfARemovedEntryHasNoOriginal() {
         track(1);
         cache.forget(id(1));
         assertThat(findOriginal(2, 0, 0)).isEmpty();
     }
 
     @Test
-    void resultIsHandedToThoseThatWaitAndThenKept() {
+    void resultIsPassedToWaitersAndStored() {
         track(1);
         List<Optional<byte[]>> results = new ArrayList<>();
         cache.whenCompleted(Optional.of(id(1)), results::add);
@@ -160,7 +166,7 @@
     }
 
     @Test
-    void resultThatDoesNotFitLeavesItsEntry() {
+    void entryRemainsWhenItsResultExceedsTheSizeLimit() {
         track(1);
         succeed(1, "x".repeat(20_000), 1);
         assertThat(findOriginal(2, 2, 2)).contains(id(1));
@@ -168,7 +174,7 @@
     }
 
     @Test
-    void bytesOfDroppedResultsAreFree() {
+    void removedResultsReleaseTheirBytes() {
         for (int i = 0; i < 5; i++) {
             Attempt original = order(i, "token" + i, 0, IdempotencyCache.NO_CLIENT_TIMESTAMP);
             cache.track(original, BODY, at(10 + 20 * i));
@@ -180,7 +186,7 @@
     }
 
     @Test
-    void readIsTiedWhileAnotherIsRunningOrFresh() {
+    void readFindsAnOriginalThatIsRunningOrFresh() {
         assertThat(read(1, 0)).isEmpty();
         assertThat(read(2, 0)).contains(id(1));
         succeed(1, "seen", 1);
@@ -190,27 +196,27 @@
     }
 
     @Test
-    void failedReadTiesNobody() {
+    void readAfterAFailedReadHasNoOriginal() {
         read(1, 0);
         cache.complete(id(1), Optional.empty(), at(1));
         assertThat(read(2, 1)).isEmpty();
     }
 
     @Test
-    void restoredAttemptIsKnownByTheDigestOfItsBody() {
+    void restoredAttemptIsComparedByItsBodyDigest() {
         restore(-1, true);
         assertThat(findOriginal(1, 5, 5)).contains(id(-1));
         assertThat(cache.conflictsWith(id(-1), ORDER, BODY)).isFalse();
         assertThat(cache.conflictsWith(id(-1), ORDER, OTHER_BODY)).isTrue();
         assertThat(cache.conflictsWith(id(-1), operation("other", SideEffect.KEYED), BODY))
                 .isTrue();
-        assertThat(result(-1)).isEqualTo(NO_RESULT); // its result is kept elsewhere
+        assertThat(result(-1)).isEqualTo(NO_RESULT); // the cache does not hold its result
         assertThat(findOriginal(2, 9.999, 9.999)).contains(id(-1));
         assertThat(findOriginal(3, 10, 10)).isEmpty();
     }
 
     @Test
-    void restoredAttemptWhoseResultComesLaterHandsItOver() {
+    void restoredAttemptPassesOnAResultThatArrivesLater() {
         restore(-1, false);
         assertThat(result(-1)).isEqualTo(PENDING);
         succeed(-1, "done", 1);
--- a/src/test/java/ochretiller/idempotency/durable/DurabilityPolicyTest.java
+++ b/src/test/java/ochretiller/idempotency/durable/DurabilityPolicyTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void oldAppendCountsAsAStallUntilItEnds() {
+    void diskIsStalledUntilAnOldAppendEnds() {
         policy.appendStarted(1, ms(0));
         policy.appendStarted(2, ms(90));
         assertThat(policy.acceptsNewKeys(ms(100))).isTrue();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void newKeysAreNotAcceptedWithoutRoom() {
+    void newKeysAreNotAcceptedWithoutCapacity() {
         policy.storeStatusChanged(true, false, ms(0));
         assertThat(policy.acceptsNewKeys(ms(1))).isFalse();
         assertThat(policy.diskHealth(ms(1))).isEqualTo(DiskHealth.HEALTHY);
@@ -42,33 +42,33 @@
     }
 
     @Test
-    void failedDiskIsProbedLessAndLessOftenAndServesAgainOnceItWorks() {
+    void failedDiskIsProbedWithBackoffAndUsedAgainAfterItRecovers() {
         policy.storeStatusChanged(false, true, ms(0));
         assertThat(policy.diskHealth(ms(0))).isEqualTo(DiskHealth.UNAVAILABLE);
         assertThat(policy.startProbeIfDue(ms(149)))
                 .as("jitter shortens the first pause by a quarter at most")
                 .isFalse();
-        Duration at = ms(251);
-        long lastPause = 0;
+        Duration time = ms(251);
+        long lastDelay = 0;
         for (int i = 0; i < 6; i++) {
-            assertThat(policy.startProbeIfDue(at)).isTrue();
-            assertThat(policy.startProbeIfDue(at)).as("one at a time").isFalse();
-            policy.probeFailed(at);
-            long pause = 1;
-            while (!policy.startProbeIfDue(at.plus(ms(pause)))) {
-                pause++;
+            assertThat(policy.startProbeIfDue(time)).isTrue();
+            assertThat(policy.startProbeIfDue(time)).as("one at a time").isFalse();
+            policy.probeFailed(time);
+            long delay = 1;
+            while (!policy.startProbeIfDue(time.plus(ms(delay)))) {
+                delay++;
             }
-            assertThat(pause).isBetween(150L, 1_250L);
+            assertThat(delay).isBetween(150L, 1_250L);
             if (i < 2) {
-                assertThat(pause).isGreaterThan(lastPause);
+                assertThat(delay).isGreaterThan(lastDelay);
             }
-            lastPause = pause;
-            policy.probeFailed(at.plus(ms(pause)));
-            at = at.plus(ms(pause + 1_251));
+            lastDelay = delay;
+            policy.probeFailed(time.plus(ms(delay)));
+            time = time.plus(ms(delay + 1_251));
         }
-        policy.storeStatusChanged(true, true, at);
-        assertThat(policy.acceptsNewKeys(at)).isTrue();
-        assertThat(policy.startProbeIfDue(at.plus(ms(5_000)))).isFalse();
+        policy.storeStatusChanged(true, true, time);
+        assertThat(policy.acceptsNewKeys(time)).isTrue();
+        assertThat(policy.startProbeIfDue(time.plus(ms(5_000)))).isFalse();
     }
 
     @Test
@@ -86,7 +86,7 @@
         "500,380,0,0",
         "500,900,0,0"
     })
-    void nobodyWaitsBeyondTheDeadline(long deadline, long now, long marker, long answer) {
+    void waitsEndBeforeTheDeadline(long deadline, long now, long marker, long answer) {
         assertThat(policy.markerTimeout(ms(deadline), ms(now))).isEqualTo(ms(marker));
         assertThat(policy.answerTimeout(ms(deadline), ms(now))).isEqualTo(ms(answer));
     }
--- a/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordGoldenTest.java
+++ b/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordGoldenTest.java
@@ -7,7 +7,7 @@
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** What the store holds of a keyed invocation beside its result, as it is on disk. */
+/** Compares the stored form of a keyed invocation, without its result, with golden bytes. */
 class IdempotencyRecordGoldenTest {
     private static final GoldenFile RECORDS = new GoldenFile("marks");
 
@@ -29,17 +29,17 @@
     }
 
     @Test
-    void eachRecordIsWrittenAsItsGoldenBytes() {
-        Map<String, byte[]> written = new LinkedHashMap<>();
-        records().forEach((name, record) -> written.put(name, record.encodeMetadata()));
-        RECORDS.assertHolds(written);
+    void recordsEncodeToTheirGoldenBytes() {
+        Map<String, byte[]> encoded = new LinkedHashMap<>();
+        records().forEach((name, record) -> encoded.put(name, record.encodeMetadata()));
+        RECORDS.assertHolds(encoded);
         assertThat(record(InvocationProgress.IN_FLIGHT).encodeKey())
                 .asHexString()
                 .isEqualTo("6120746F6B656E");
     }
 
     @Test
-    void eachGoldenRecordIsReadBack() {
+    void goldenRecordsAreDecoded() {
         records()
                 .forEach(
                         (name, record) ->
--- a/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordTest.java
+++ b/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordTest.java
@@ -13,7 +13,7 @@
     }
 
     @Test
-    void repeatsOfWhatARestartFindsAreNeverRun() {
+    void recoveryDecisionDependsOnProgressAndProcessorStart() {
         IdempotencyRecord succeeded = record(InvocationProgress.SUCCEEDED, 100);
         IdempotencyRecord ended = record(InvocationProgress.ENDED_WITHOUT_RESULT, 100);
         IdempotencyRecord inFlight = record(InvocationProgress.IN_FLIGHT, 100);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void bytesOfNoRecordAreRejected() {
+    void invalidMetadataIsRejected() {
         SplittableRandom random = new SplittableRandom(6);
         byte[] metadata = record(InvocationProgress.IN_FLIGHT, 1).encodeMetadata();
         for (int length = 0; length < metadata.length; length++) {
@@ -60,12 +60,12 @@
         for (int i = 0; i < 10_000; i++) {
             byte[] noise = new byte[random.nextInt(256)];
             random.nextBytes(noise);
-            IdempotencyRecord.decode(new byte[4], noise); // does not throw
+            IdempotencyRecord.decode(new byte[4], noise); // must not throw
         }
     }
 
     @Test
-    void longestNamesFitTheStoresMetadata() {
+    void recordWithTheLongestNamesFitsTheStoreMetadata() {
         assertThat(IdempotencyRecord.namesFit("o".repeat(100), "r".repeat(50))).isTrue();
         assertThat(IdempotencyRecord.namesFit("o".repeat(101), "r")).isFalse();
         assertThat(IdempotencyRecord.namesFit("o", "r".repeat(51))).isFalse();
--- a/src/test/java/ochretiller/store/CrashPointTest.java
+++ b/src/test/java/ochretiller/store/CrashPointTest.java
@@ -15,49 +15,52 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** A kill and power losses before every single operation of the disk. */
+/**
+ * Simulates a process kill and power losses before every disk operation, while segments roll,
+ * expire and are compacted: recovery must find every acknowledged record.
+ */
 class CrashPointTest {
-    /** The key of the nth put of the run below. */
+    /** Returns the key of the nth put of the test. */
     private static String nthKey(int number) {
         return number % 5 == 0 ? "long" + number : "again" + number % 3;
     }
 
-    /** What a crash before one operation of the disk has left, and what must be found in it. */
+    /** The directory after a crash before one disk operation, and what recovery must find in it. */
     private record CrashPoint(
-            VolatileDirectory left,
+            VolatileDirectory directory,
             Map<String, Integer> acknowledged,
-            int lastBegun,
+            int lastStarted,
             long uptimeMillis,
-            String what) {
+            String context) {
         void check() {
             try (StoreFixture fixture =
-                    new StoreFixture(left, StoreFixture.SMALL_SEGMENTS, uptimeMillis)) {
+                    new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, uptimeMillis)) {
                 Map<String, String> recovered = fixture.recovered();
-                // Pages that came through in another order may look like damage behind what was
-                // acknowledged; none of that is lost.
-                assertThat(recovered.keySet()).as(what).containsAll(acknowledged.keySet());
+                // Pages written out of order may look like damage after the acknowledged records,
+                // none of which may be lost.
+                assertThat(recovered.keySet()).as(context).containsAll(acknowledged.keySet());
                 recovered.forEach(
                         (key, value) -> {
                             int number = Integer.parseInt(value.substring(1));
                             assertThat(number)
-                                    .as(what + " " + key)
-                                    .isBetween(acknowledged.getOrDefault(key, 0), lastBegun);
-                            assertThat(nthKey(number)).as(what).isEqualTo(key);
+                                    .as(context + " " + key)
+                                    .isBetween(acknowledged.getOrDefault(key, 0), lastStarted);
+                            assertThat(nthKey(number)).as(context).isEqualTo(key);
                         });
             } catch (IOException e) {
-                throw new AssertionError(what, e);
+                throw new AssertionError(context, e);
             }
         }
     }
 
     /**
-     * Collects crash points while a store runs. Operations of the writer thread come in while puts
-     * go on.
+     * Collects crash points while a store runs. The writer thread reports its operations
+     * concurrently with the puts.
      */
     private static final class CrashPoints {
         private final VolatileDirectory directory;
         private final Map<String, Integer> acknowledged = new ConcurrentHashMap<>();
-        private final AtomicInteger lastBegun = new AtomicInteger();
+        private final AtomicInteger lastStarted = new AtomicInteger();
         private final AtomicLong uptimeMillis = new AtomicLong();
         private final Map<String, Integer> operations = new ConcurrentSkipListMap<>();
         private final List<CrashPoint> points = Collections.synchronizedList(new ArrayList<>());
@@ -71,30 +74,30 @@
                 return;
             }
             int count = operations.merge(operation, 1, Integer::sum);
-            String what = operation + " " + count + " of " + name;
+            String context = operation + " " + count + " of " + name;
             SplittableRandom random = new SplittableRandom(points.size());
-            // What is there at the end is no older than what was acknowledged before the disk is
-            // looked at, and no newer than what was begun after.
+            // Recovery must find at least what was acknowledged before the directory is copied, and
+            // at most what was started before lastStarted is read below.
             Map<String, Integer> acknowledgedBefore = new TreeMap<>(acknowledged);
-            List<VolatileDirectory> outcomes =
+            List<VolatileDirectory> directoriesAfterCrash =
                     List.of(
                             directory.afterProcessKill(),
                             directory.afterPowerLoss(random),
                             directory.afterPowerLoss(random));
-            for (VolatileDirectory left : outcomes) {
+            for (VolatileDirectory afterCrash : directoriesAfterCrash) {
                 points.add(
                         new CrashPoint(
-                                left,
+                                afterCrash,
                                 acknowledgedBefore,
-                                lastBegun.get(),
+                                lastStarted.get(),
                                 uptimeMillis.get(),
-                                what));
+                                context));
             }
         }
     }
 
     @Test
-    void crashBeforeAnyOperationLosesNothingAcknowledgedThroughRollsExpiryAndCompaction()
+    void crashBeforeAnyOperationLosesNoAcknowledgedRecord()
             throws IOException {
         VolatileDirectory directory = new VolatileDirectory();
         CrashPoints crashes = new CrashPoints(directory);
@@ -103,7 +106,7 @@
                 StoreFixture.limits().segmentBytes(1_500).compactionDeadRatio(0.3).build();
         try (StoreFixture fixture = new StoreFixture(directory, limits, 0).start()) {
             for (int i = 0; i < 150; i++) {
-                crashes.lastBegun.set(i);
+                crashes.lastStarted.set(i);
                 assertThat(fixture.put(nthKey(i), "v" + i)).isEqualTo(AppendResult.DURABLE);
                 crashes.acknowledged.put(nthKey(i), i);
                 crashes.uptimeMillis.set(fixture.uptimeMillis.addAndGet(50));
--- a/src/test/java/ochretiller/store/CrashRecoveryTest.java
+++ b/src/test/java/ochretiller/store/CrashRecoveryTest.java
@@ -16,13 +16,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Files that are cut, flipped, torn and forgotten: nothing acknowledged is lost, and nothing is
- * invented.
+ * Recovers stores whose files were truncated or corrupted: no acknowledged record may be lost and
+ * no value returned that was never written.
  */
 class CrashRecoveryTest {
-    /** A store's files, the value that each key holds, and every value that it ever held. */
+    /** The files of a store, the current value of each key, and all values that it ever had. */
     private record Written(
-            Map<String, byte[]> files, Map<String, String> live, Map<String, Set<String>> ever) {
+            Map<String, byte[]> files,
+            Map<String, String> currentValues,
+            Map<String, Set<String>> allValues) {
         String lastSegment() {
             return logs().stream().max(String::compareTo).orElseThrow();
         }
@@ -38,11 +40,14 @@
         }
     }
 
-    /** As a kill leaves it: the last segment has no seal, and a compaction may be half way. */
+    /**
+     * Writes a store and kills its process: the last segment has no seal, and a compaction may be
+     * incomplete.
+     */
     private static Written write(int records) throws IOException {
         VolatileDirectory directory = new VolatileDirectory();
-        Map<String, String> live = new TreeMap<>();
-        Map<String, Set<String>> ever = new HashMap<>();
+        Map<String, String> currentValues = new TreeMap<>();
+        Map<String, Set<String>> allValues = new HashMap<>();
         try (StoreFixture fixture =
                 new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, 0).start()) {
             SplittableRandom random = new SplittableRandom(3);
@@ -50,68 +55,72 @@
                 String key = "k" + random.nextInt(12);
                 if (random.nextInt(5) == 0) {
                     assertThat(fixture.remove(key)).isEqualTo(AppendResult.DURABLE);
-                    live.remove(key);
+                    currentValues.remove(key);
                 } else {
                     String value = "v" + i + "x".repeat(random.nextInt(20));
                     assertThat(fixture.put(key, value)).isEqualTo(AppendResult.DURABLE);
-                    live.put(key, value);
-                    ever.computeIfAbsent(key, ignored -> new HashSet<>()).add(value);
+                    currentValues.put(key, value);
+                    allValues.computeIfAbsent(key, ignored -> new HashSet<>()).add(value);
                 }
             }
-            return new Written(directory.afterProcessKill().contents(), live, ever);
+            return new Written(directory.afterProcessKill().contents(), currentValues, allValues);
         }
     }
 
     /**
-     * Opens what is left, compares it with what was written, and goes on with it; returns whether
+     * Recovers a directory, compares it with what was written, and appends to it; returns whether
      * damage was reported.
      */
     private static boolean reopen(
-            VolatileDirectory directory, Written written, String what, boolean allMustBeThere)
+            VolatileDirectory directory, Written written, String context, boolean expectsAllKeys)
             throws IOException {
         boolean damaged;
         try (StoreFixture fixture = new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, 100)) {
             damaged = !fixture.store.damageReports().isEmpty();
-            assertThat(!fixture.store.incompleteFor().isZero()).as(what).isEqualTo(damaged);
+            assertThat(!fixture.store.incompleteFor().isZero()).as(context).isEqualTo(damaged);
             fixture.recovered()
                     .forEach(
                             (key, value) ->
-                                    assertThat(written.ever.get(key)).as(what).contains(value));
-            if (!damaged && allMustBeThere) {
-                assertThat(fixture.recovered()).as(what).isEqualTo(written.live);
+                                    assertThat(written.allValues.get(key))
+                                            .as(context)
+                                            .contains(value));
+            if (!damaged && expectsAllKeys) {
+                assertThat(fixture.recovered()).as(context).isEqualTo(written.currentValues);
             }
             fixture.start();
-            assertThat(fixture.put("next", "works")).as(what).isEqualTo(AppendResult.DURABLE);
-            assertThat(fixture.read("next")).as(what).contains("works");
+            assertThat(fixture.put("next", "works")).as(context).isEqualTo(AppendResult.DURABLE);
+            assertThat(fixture.read("next")).as(context).contains("works");
         }
         try (StoreFixture fixture =
                 new StoreFixture(directory.afterProcessKill(), StoreFixture.SMALL_SEGMENTS, 200)) {
-            assertThat(fixture.recovered()).as(what).containsEntry("next", "works");
+            assertThat(fixture.recovered()).as(context).containsEntry("next", "works");
         }
         return damaged;
     }
 
     @Test
-    void cutAtEveryByteOfEveryFileIsReportedUnlessItIsATornWrite() throws IOException {
+    void truncationAtAnyByteIsReportedUnlessItIsATornWrite() throws IOException {
         Written written = write(120);
         assertThat(written.logs()).hasSizeGreaterThan(3);
         for (Map.Entry<String, byte[]> file : written.files.entrySet()) {
             String name = file.getKey();
-            // The end of the last segment was never written; a part of any other one was, and is
-            // missed.
+            // A truncated last segment looks like a torn write; a truncated earlier one has lost
+            // bytes that were known to be written.
             boolean mayBeTorn = name.equals(written.lastSegment()) || !name.endsWith(".log");
             for (int length = 0; length < file.getValue().length; length++) {
-                byte[] cut = Arrays.copyOf(file.getValue(), length);
+                byte[] truncated = Arrays.copyOf(file.getValue(), length);
                 VolatileDirectory directory =
-                        VolatileDirectory.withContents(written.filesWith(name, cut));
-                String what = name + " cut to " + length;
-                assertThat(reopen(directory, written, what, false)).as(what).isEqualTo(!mayBeTorn);
+                        VolatileDirectory.withContents(written.filesWith(name, truncated));
+                String context = name + " cut to " + length;
+                assertThat(reopen(directory, written, context, false))
+                        .as(context)
+                        .isEqualTo(!mayBeTorn);
             }
         }
     }
 
     @Test
-    void tornLastRecordLosesNoneBeforeIt() throws IOException {
+    void tornLastRecordDoesNotAffectEarlierRecords() throws IOException {
         VolatileDirectory directory = new VolatileDirectory();
         String segment = SegmentFileName.ofLog(1);
         StoreLimits oneSegment =
@@ -131,40 +140,42 @@
         }
         for (int length = SegmentHeader.BYTES; length <= file.length; length++) {
             int end = length;
-            long wholeRecords = recordEnds.stream().filter(recordEnd -> recordEnd <= end).count();
-            Map<String, byte[]> cut = Map.of(segment, Arrays.copyOf(file, length));
+            long completeRecords =
+                    recordEnds.stream().filter(recordEnd -> recordEnd <= end).count();
+            Map<String, byte[]> truncated = Map.of(segment, Arrays.copyOf(file, length));
             try (StoreFixture fixture =
-                    new StoreFixture(VolatileDirectory.withContents(cut), oneSegment, 0)) {
-                assertThat(fixture.recovered()).as("cut to " + length).hasSize((int) wholeRecords);
+                    new StoreFixture(VolatileDirectory.withContents(truncated), oneSegment, 0)) {
+                assertThat(fixture.recovered())
+                        .as("cut to " + length)
+                        .hasSize((int) completeRecords);
                 assertThat(fixture.store.damageReports()).isEmpty();
             }
         }
     }
 
     @Test
-    void flippedBitIsReportedAndSpoilsNothingElse() throws IOException {
+    void flippedBitIsReportedAndAffectsNoOtherRecord() throws IOException {
         Written written = write(60);
         SplittableRandom random = new SplittableRandom(11);
         int reported = 0;
         int flips = 0;
         for (Map.Entry<String, byte[]> file : written.files.entrySet()) {
             String name = file.getKey();
-            for (int at = 0; at < file.getValue().length; at++) {
+            for (int offset = 0; offset < file.getValue().length; offset++) {
                 byte[] flipped = file.getValue().clone();
-                flipped[at] ^= (byte) (1 << random.nextInt(8));
+                flipped[offset] ^= (byte) (1 << random.nextInt(8));
                 Map<String, byte[]> files = written.filesWith(name, flipped);
-                // Without other hints: a start that trusts one reads the values only when they are
-                // asked for.
+                // Removes the other hints: a start that trusts a hint does not read the values.
                 files.keySet().removeIf(each -> each.endsWith(".hint") && !each.equals(name));
-                // The checksum of the header and its last four bytes, which mean nothing.
-                boolean isHeaderEnd = at >= 64 && at < SegmentHeader.BYTES;
-                String what = "flip of byte " + at + " in " + name;
+                // The checksum of the header and its last four bytes, which are unused.
+                boolean isHeaderEnd = offset >= 64 && offset < SegmentHeader.BYTES;
+                String context = "flip of byte " + offset + " in " + name;
                 flips++;
-                if (reopen(VolatileDirectory.withContents(files), written, what, !isHeaderEnd)) {
+                if (reopen(VolatileDirectory.withContents(files), written, context, !isHeaderEnd)) {
                     reported++;
                 } else {
-                    boolean mustBeReported = name.endsWith(".log") && !isHeaderEnd && at != 9;
-                    assertThat(mustBeReported).as(what + " was reported").isFalse();
+                    boolean mustBeReported = name.endsWith(".log") && !isHeaderEnd && offset != 9;
+                    assertThat(mustBeReported).as(context + " was reported").isFalse();
                 }
             }
         }
@@ -172,14 +183,17 @@
     }
 
     @Test
-    void valueThatWentBadBehindAHintIsNotHandedOut() throws IOException {
+    void corruptValueIsNotReturnedThoughItsHintIsValid() throws IOException {
         Written written = write(60);
         String first = written.logs().get(0);
-        byte[] bad = written.files.get(first).clone();
-        for (int at = SegmentHeader.BYTES; at < bad.length - RecordFormat.SEAL_BYTES; at++) {
-            bad[at] ^= 1;
+        byte[] corrupt = written.files.get(first).clone();
+        for (int offset = SegmentHeader.BYTES;
+                offset < corrupt.length - RecordFormat.SEAL_BYTES;
+                offset++) {
+            corrupt[offset] ^= 1;
         }
-        VolatileDirectory directory = VolatileDirectory.withContents(written.filesWith(first, bad));
+        VolatileDirectory directory =
+                VolatileDirectory.withContents(written.filesWith(first, corrupt));
         try (StoreFixture fixture = new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, 100)) {
             Map<String, String> recovered = fixture.recovered();
             fixture.start();
--- a/src/test/java/ochretiller/store/GroupCommitDelayTest.java
+++ b/src/test/java/ochretiller/store/GroupCommitDelayTest.java
@@ -8,7 +8,7 @@
     private final GroupCommitDelay delay = new GroupCommitDelay();
 
     @Test
-    void firstGroupAndLoneAppendsDoNotWait() {
+    void firstGroupAndSingleAppendsDoNotWait() {
         assertThat(delay.expectedAppends()).isEqualTo(1);
         delay.forceCompleted(1, 0, 1_000_000);
         assertThat(delay.expectedAppends()).isEqualTo(1);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void waitsInVainAreFollowedByMoreAndMoreGroupsThatDoNotWait() {
+    void timedOutWaitsAreFollowedByMoreAndMoreGroupsThatSkipTheWait() {
         int waits = 0;
         for (int group = 0; group < 1_000; group++) {
             delay.forceCompleted(4, 4, 400_000);
@@ -36,7 +36,7 @@
         while (delay.expectedAppends() == 1) {
             delay.waitEnded(1);
         }
-        delay.waitEnded(8); // they come again
+        delay.waitEnded(8); // all expected appends arrive again
         delay.forceCompleted(4, 4, 400_000);
         assertThat(delay.expectedAppends()).isEqualTo(8);
     }
--- a/src/test/java/ochretiller/store/RandomLifeTest.java
+++ b/src/test/java/ochretiller/store/RandomLifeTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A store against a plain map: puts, removals, ageing, disk failures, kills and power losses at any
- * time.
+ * Compares a store with a map over random puts, removals, expiry, disk failures, process kills and
+ * power losses.
  */
 class RandomLifeTest {
-    private static final int LIVES = 6;
+    private static final int SESSIONS = 6;
     private static final int APPENDS = 60;
     private static final int NO_FAILURE = -1;
 
-    /** Stands for a key without a value. */
+    /** Represents a key without a value. */
     private static final String NONE = "";
 
     static IntStream seeds() {
@@ -30,16 +30,16 @@
 
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
-    void randomLifeAgreesWithAPlainMap(int seed) throws IOException {
+    void storeAgreesWithAMapUnderRandomOperations(int seed) throws IOException {
         Model model = new Model(seed);
         VolatileDirectory directory = new VolatileDirectory();
         long uptimeMillis = 0;
-        for (int life = 0; life < LIVES; life++) {
+        for (int session = 0; session < SESSIONS; session++) {
             try (StoreFixture fixture =
                     new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, uptimeMillis)) {
-                model.compareAfterRecovery(fixture, life);
+                model.compareAfterRecovery(fixture, session);
                 fixture.start();
-                model.live(fixture, directory, life);
+                model.runSession(fixture, directory, session);
                 uptimeMillis = fixture.uptimeMillis.get();
                 directory.fault = VolatileDirectory.NO_FAULT;
                 directory = model.crash(directory);
@@ -47,14 +47,14 @@
         }
     }
 
-    /** The plain map, and the random choices of one seed. */
+    /** The reference map, and the random choices of one seed. */
     private static final class Model {
         private final int seed;
         private final SplittableRandom random;
 
         /**
-         * What each key may hold: one value where it was acknowledged, more where the disk has left
-         * it open.
+         * The possible values of each key: one after an acknowledged append, several after an
+         * append with an unknown result.
          */
         private final Map<String, Set<String>> possibleValues = new HashMap<>();
 
@@ -65,13 +65,13 @@
             this.random = new SplittableRandom(seed);
         }
 
-        private String describe(int life) {
-            return "seed " + seed + ", life " + life;
+        private String describe(int session) {
+            return "seed " + seed + ", life " + session;
         }
 
-        /** Compares what was recovered; what was read is what holds from here on. */
-        void compareAfterRecovery(StoreFixture fixture, int life) {
-            String what = describe(life);
+        /** Compares the recovered values with the model, which then adopts them. */
+        void compareAfterRecovery(StoreFixture fixture, int session) {
+            String context = describe(session);
             Map<String, String> recovered = fixture.recovered();
             boolean incomplete = !fixture.store.incompleteFor().isZero();
             long nowMillis = fixture.store.nowMillis();
@@ -80,44 +80,46 @@
                         boolean expired = expiresAtMillis.get(key) <= nowMillis;
                         if (!expired && !incomplete) {
                             assertThat(values)
-                                    .as(what + " " + key)
+                                    .as(context + " " + key)
                                     .contains(recovered.getOrDefault(key, NONE));
                         }
                         if (!expired && incomplete && recovered.containsKey(key)) {
-                            assertThat(recovered.get(key)).as(what).startsWith("v");
+                            assertThat(recovered.get(key)).as(context).startsWith("v");
                         }
                     });
-            recovered.keySet().forEach(key -> assertThat(possibleValues).as(what).containsKey(key));
+            recovered
+                    .keySet()
+                    .forEach(key -> assertThat(possibleValues).as(context).containsKey(key));
             possibleValues.replaceAll(
                     (key, values) -> new HashSet<>(Set.of(recovered.getOrDefault(key, NONE))));
         }
 
-        void live(StoreFixture fixture, VolatileDirectory directory, int life) {
-            int failsAt = random.nextInt(3) == 0 ? random.nextInt(APPENDS) : NO_FAILURE;
+        void runSession(StoreFixture fixture, VolatileDirectory directory, int session) {
+            int failingAppend = random.nextInt(3) == 0 ? random.nextInt(APPENDS) : NO_FAILURE;
             for (int i = 0; i < APPENDS; i++) {
-                if (i == failsAt) {
+                if (i == failingAppend) {
                     String operation = random.nextBoolean() ? "force" : "write";
                     directory.fault = VolatileDirectory.failing(operation, "I/O error");
                 }
-                if (i == failsAt + 5) {
+                if (i == failingAppend + 5) {
                     directory.fault = VolatileDirectory.NO_FAULT;
-                    assertThat(fixture.probe()).as(describe(life)).isTrue();
+                    assertThat(fixture.probe()).as(describe(session)).isTrue();
                 }
                 if (random.nextInt(20) == 0) {
                     fixture.uptimeMillis.addAndGet(random.nextInt(2_000));
                 }
-                append(fixture, life, i);
+                append(fixture, session, i);
             }
         }
 
-        private void append(StoreFixture fixture, int life, int number) {
+        private void append(StoreFixture fixture, int session, int number) {
             String key = "k" + random.nextInt(10);
             boolean removes = random.nextInt(4) == 0;
             String value =
-                    removes ? NONE : "v" + life + "." + number + "y".repeat(random.nextInt(30));
-            long lifeMillis = 1_000L + random.nextInt(8_000);
+                    removes ? NONE : "v" + session + "." + number + "y".repeat(random.nextInt(30));
+            long lifetimeMillis = 1_000L + random.nextInt(8_000);
             AppendResult result =
-                    removes ? fixture.remove(key) : fixture.put(key, value, lifeMillis);
+                    removes ? fixture.remove(key) : fixture.put(key, value, lifetimeMillis);
             if (result == AppendResult.DURABLE) {
                 possibleValues.put(key, new HashSet<>(Set.of(value)));
             } else if (result == AppendResult.UNKNOWN) {
@@ -125,10 +127,10 @@
                         .computeIfAbsent(key, ignored -> new HashSet<>(Set.of(NONE)))
                         .add(value);
             }
-            // Where it is open which of two values holds, the longer life is no proof: the key may
-            // be gone earlier.
+            // If it is unknown which of two values is stored, the key may expire at the earlier of
+            // their expiry times.
             if (result == AppendResult.DURABLE && !removes) {
-                expiresAtMillis.put(key, fixture.store.nowMillis() + lifeMillis);
+                expiresAtMillis.put(key, fixture.store.nowMillis() + lifetimeMillis);
             } else if (result == AppendResult.UNKNOWN) {
                 expiresAtMillis.put(key, Long.MIN_VALUE);
             } else {
--- a/src/test/java/ochretiller/store/StoreFixture.java
+++ b/src/test/java/ochretiller/store/StoreFixture.java
@@ -10,17 +10,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/**
- * A store in a directory of the tests, asked one thing at a time, with a clock that is set by hand.
- */
+/** A store in a test directory, with blocking operations and a clock that the test advances. */
 final class StoreFixture implements AutoCloseable {
     static final UUID BOOT_ID = new UUID(1, 2);
     static final long LIFE_MILLIS = 1_000_000;
 
-    /**
-     * Small segments, so that few records roll them; a segment that is 0.4 dead is worth
-     * compacting.
-     */
+    /** Small segments, so that few records fill one; compaction starts at a dead ratio of 0.4. */
     static final StoreLimits SMALL_SEGMENTS = limits().build();
 
     final AtomicLong uptimeMillis;
@@ -46,7 +41,7 @@
                         Runnable::run);
     }
 
-    /** Those of {@link #SMALL_SEGMENTS}, to be changed. */
+    /** Returns a builder that is set to {@link #SMALL_SEGMENTS}. */
     static StoreLimits.Builder limits() {
         return StoreLimits.builder()
                 .maxEntries(1000)
@@ -69,24 +64,24 @@
         try {
             return result.get(10, TimeUnit.SECONDS);
         } catch (Exception e) {
-            throw new AssertionError("no answer of the store", e);
+            throw new AssertionError("the operation did not succeed within 10 s", e);
         }
     }
 
-    CompletableFuture<AppendResult> startPut(String key, String value, long lifeMillis) {
+    CompletableFuture<AppendResult> startPut(String key, String value, long lifetimeMillis) {
         CompletableFuture<AppendResult> result = new CompletableFuture<>();
         byte[] metadata = ("meta of " + value).getBytes();
         store.putNew(
                 key.getBytes(),
                 metadata,
                 value.getBytes(),
-                store.nowMillis() + lifeMillis,
+                store.nowMillis() + lifetimeMillis,
                 result::complete);
         return result;
     }
 
-    AppendResult put(String key, String value, long lifeMillis) {
-        return await(startPut(key, value, lifeMillis));
+    AppendResult put(String key, String value, long lifetimeMillis) {
+        return await(startPut(key, value, lifetimeMillis));
     }
 
     AppendResult put(String key, String value) {
@@ -111,7 +106,7 @@
         return await(isHealthy);
     }
 
-    /** Returns once what is done between two groups has been done. */
+    /** Returns after the maintenance between two group commits has run. */
     StoreFixture awaitMaintenance() {
         for (int i = 0; i < 3; i++) {
             read("nothing");
@@ -119,7 +114,10 @@
         return this;
     }
 
-    /** All that recovery has found, key by what its value was; only before {@link #start}. */
+    /**
+     * Returns the recovered keys and the values that their metadata records; only before {@link
+     * #start}.
+     */
     Map<String, String> recovered() {
         Map<String, String> valuesByKey = new TreeMap<>();
         for (RecoveredEntry entry : store.recoveredEntries()) {
--- a/src/test/java/ochretiller/store/StoreGoldenTest.java
+++ b/src/test/java/ochretiller/store/StoreGoldenTest.java
@@ -14,7 +14,9 @@
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** A segment, its hint and their parts as they are on disk, by {@code docs/store-format.md}. */
+/**
+ * Compares a segment, its hint and their parts with golden files, see {@code docs/store-format.md}.
+ */
 class StoreGoldenTest {
     private static final GoldenFile FILES = new GoldenFile("store-files");
     private static final GoldenFile PARTS = new GoldenFile("store-parts");
@@ -24,7 +26,7 @@
     private static final long SEQUENCE = 42;
     private static final long EXPIRES_AT_MILLIS = 1_234_567;
 
-    /** Records of the segment with its seal. */
+    /** Number of records in the golden segment, including its seal. */
     private static final int RECORDS = 5;
 
     private static StoreFixture open(StorageDirectory directory) throws IOException {
@@ -86,7 +88,7 @@
     }
 
     @Test
-    void storeWritesItsGoldenSegmentAndHint() throws IOException {
+    void storeWritesTheGoldenSegmentAndHint() throws IOException {
         VolatileDirectory directory = new VolatileDirectory();
         try (StoreFixture fixture = open(directory).start()) {
             fixture.put("a", "1", 10_000);
@@ -98,7 +100,7 @@
     }
 
     @Test
-    void storeReadsItsGoldenSegmentAndHint() throws IOException {
+    void storeReadsTheGoldenSegmentAndHint() throws IOException {
         VolatileDirectory directory = VolatileDirectory.withContents(FILES.all());
         StoreReport report = StoreInspector.verify(directory, segmentName -> {});
         assertThat(report.damage()).isEmpty();
@@ -121,7 +123,7 @@
     }
 
     @Test
-    void goldenHintTellsWhatTheGoldenSegmentTells() throws IOException {
+    void goldenHintAgreesWithTheGoldenSegment() throws IOException {
         VolatileDirectory directory = VolatileDirectory.withContents(FILES.all());
         Recovery fromHint =
                 Recovery.read(directory, Recovery.HintPolicy.USE_HINTS, segmentName -> {});
@@ -160,7 +162,7 @@
     }
 
     @Test
-    void fileNamesAreThoseOfTheFormat() {
+    void fileNamesFollowTheFormat() {
         assertThat(SegmentFileName.ofLog(1)).isEqualTo(SEGMENT);
         assertThat(SegmentFileName.ofHint(1)).isEqualTo(HINT);
         assertThat(SegmentFileName.parse(SEGMENT))
@@ -175,12 +177,12 @@
     }
 
     @Test
-    void headersAndRecordsAreWrittenAsTheirGoldenBytes() {
+    void headersAndRecordsEncodeToTheirGoldenBytes() {
         PARTS.assertHolds(parts());
     }
 
     @Test
-    void goldenHeadersAreReadBack() throws IOException {
+    void goldenHeadersAreDecoded() throws IOException {
         for (Map.Entry<String, SegmentHeader> each : headers().entrySet()) {
             ByteBuffer bytes = ByteBuffer.wrap(PARTS.bytes(each.getKey()));
             assertThat(SegmentHeader.decode(bytes, "a file")).contains(each.getValue());
@@ -188,7 +190,7 @@
     }
 
     @Test
-    void goldenRecordsAreReadBack() {
+    void goldenRecordsAreDecoded() {
         assertLengths(decodeGolden("put", RecordFormat.PUT), 2, 1, 3);
         assertLengths(decodeGolden("remove", RecordFormat.TOMBSTONE), 2, 0, 0);
         assertLengths(decodeGolden("seal", RecordFormat.SEAL), 0, 0, 8);
--- a/src/test/java/ochretiller/store/StoreTest.java
+++ b/src/test/java/ochretiller/store/StoreTest.java
@@ -50,13 +50,14 @@
     void appendsThatArriveDuringAForceShareTheNextOne() throws Exception {
         try (StoreFixture fixture = open().start()) {
             CountDownLatch forceBegun = new CountDownLatch(1);
-            CountDownLatch released = new CountDownLatch(1);
-            VolatileDirectory.Fault stall = VolatileDirectory.stalling("force", released);
+            CountDownLatch forceReleased = new CountDownLatch(1);
+            VolatileDirectory.Fault stallingFault =
+                    VolatileDirectory.stalling("force", forceReleased);
             directory.fault =
                     (operation, name) -> {
                         if (operation.equals("force")) {
                             forceBegun.countDown();
-                            stall.before(operation, name);
+                            stallingFault.before(operation, name);
                         }
                     };
             CompletableFuture<AppendResult> first =
@@ -67,7 +68,7 @@
                 results.add(fixture.startPut("k" + i, "v", StoreFixture.LIFE_MILLIS));
             }
             assertThat(first).isNotDone();
-            released.countDown();
+            forceReleased.countDown();
             results.forEach(
                     result ->
                             assertThat(StoreFixture.await(result)).isEqualTo(AppendResult.DURABLE));
@@ -76,7 +77,7 @@
     }
 
     @Test
-    void segmentIsDeletedOnceAllInItHasExpired() throws IOException {
+    void segmentIsDeletedAfterAllItsRecordsHaveExpired() throws IOException {
         try (StoreFixture fixture = open().start()) {
             for (int i = 0; i < 50; i++) {
                 fixture.put("k" + i, "some value", 1_000);
@@ -104,7 +105,7 @@
                 fixture.remove("live" + (round - 1));
             }
             for (int i = 0; i < 100; i++) {
-                fixture.uptimeMillis.addAndGet(300); // more than the time between two sweeps
+                fixture.uptimeMillis.addAndGet(300); // longer than the sweep interval
                 fixture.awaitMaintenance();
             }
             StoreStats stats = fixture.store.stats();
@@ -169,23 +170,23 @@
     }
 
     @Test
-    void stalledDiskRejectsAppendsOnceTheBoundIsReached() throws IOException {
-        CountDownLatch released = new CountDownLatch(1);
+    void appendsAreRejectedAtTheLimitWhileTheDiskStalls() throws IOException {
+        CountDownLatch forceReleased = new CountDownLatch(1);
         try (StoreFixture fixture = open().start()) {
-            directory.fault = VolatileDirectory.stalling("force", released);
+            directory.fault = VolatileDirectory.stalling("force", forceReleased);
             List<CompletableFuture<AppendResult>> results = new ArrayList<>();
             for (int i = 0; i < 2_000; i++) {
                 results.add(fixture.startPut("k" + i, "v", StoreFixture.LIFE_MILLIS));
             }
             assertThat(results.get(1_999)).isCompletedWithValue(AppendResult.CAPACITY_EXCEEDED);
             assertThat(results.get(0)).isNotDone();
-            released.countDown();
+            forceReleased.countDown();
             assertThat(StoreFixture.await(results.get(0))).isEqualTo(AppendResult.DURABLE);
         }
     }
 
     @Test
-    void newKeysAreRejectedAtTheBoundWhileKnownKeysUseTheReserve() throws IOException {
+    void newKeysAreRejectedAtTheLimitWhileExistingKeysUseTheReserve() throws IOException {
         StoreLimits fewEntries = StoreFixture.limits().maxEntries(80).build();
         try (StoreFixture fixture = new StoreFixture(directory, fewEntries, 0).start()) {
             AppendResult last = AppendResult.DURABLE;
@@ -207,7 +208,7 @@
     }
 
     @Test
-    void timeBetweenTwoProcessesCountsUnderTheSameBoot() throws IOException {
+    void clockIncludesTheTimeBetweenTwoProcessesOfOneBoot() throws IOException {
         try (StoreFixture fixture = open().start()) {
             fixture.put("short", "1", 1_000);
             fixture.put("long", "2", 60_000);
@@ -220,14 +221,14 @@
     }
 
     @Test
-    void noLifeIsShortenedUnderAnotherBoot() throws IOException {
+    void recordsDoNotExpireEarlyAfterAReboot() throws IOException {
         try (StoreFixture fixture = open().start()) {
             fixture.put("short", "1", 1_000);
         }
         for (Optional<UUID> bootId : List.of(Optional.of(new UUID(7, 7)), Optional.<UUID>empty())) {
-            VolatileDirectory left = directory.afterProcessKill();
+            VolatileDirectory afterKill = directory.afterProcessKill();
             try (StoreFixture fixture =
-                    new StoreFixture(left, StoreFixture.SMALL_SEGMENTS, 99_000_000, bootId)) {
+                    new StoreFixture(afterKill, StoreFixture.SMALL_SEGMENTS, 99_000_000, bootId)) {
                 assertThat(fixture.recovered()).isEqualTo(Map.of("short", "1"));
                 fixture.uptimeMillis.addAndGet(1_001);
                 fixture.start().awaitMaintenance();
@@ -237,7 +238,7 @@
     }
 
     @Test
-    void unknownFilesAreLeftAlone() throws IOException {
+    void unknownFilesAreNotChanged() throws IOException {
         Map<String, byte[]> files =
                 Map.of("notes.txt", "mine".getBytes(), "seg-1.log", "no".getBytes());
         directory = VolatileDirectory.withContents(files);
@@ -248,7 +249,7 @@
     }
 
     @Test
-    void formatOfALaterReleaseIsRejectedWithOneLine() throws IOException {
+    void formatOfALaterReleaseIsRejected() throws IOException {
         byte[] header = new SegmentHeader(1, 1, false, Optional.empty(), 0, 0).encode().array();
         header[9] = 2;
         ByteBuffer.wrap(header).putInt(64, RecordFormat.checksum(header, 0, 64));
@@ -259,7 +260,7 @@
     }
 
     @Test
-    void directoryBelongsToOneProcessAtATime(@TempDir Path folder) throws IOException {
+    void directoryCanBeOpenedByOneStoreAtATime(@TempDir Path folder) throws IOException {
         StorageDirectory local = new LocalDirectory(folder.resolve("made"));
         try (StoreFixture fixture =
                 new StoreFixture(local, StoreFixture.SMALL_SEGMENTS, 0).start()) {
@@ -276,7 +277,7 @@
     }
 
     @Test
-    void storeOnADiskThatCannotBeWrittenIsStillReadable() throws IOException {
+    void storeOnAReadOnlyDiskIsReadable() throws IOException {
         try (StoreFixture fixture = open().start()) {
             fixture.put("a", "1");
         }
--- a/src/test/java/ochretiller/store/VolatileDirectory.java
+++ b/src/test/java/ochretiller/store/VolatileDirectory.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A directory in memory that loses unforced writes at a power loss, as far as a seed says, and that
- * stalls and fails on demand. Safe for any thread.
+ * An in-memory directory that simulates power losses, in which a random part of the unforced writes
+ * is lost, and stalls and failures on demand. Thread-safe.
  */
 public final class VolatileDirectory implements StorageDirectory {
     /** A fault that does nothing. */
     public static final Fault NO_FAULT = (operation, name) -> {};
 
-    /** Unforced bytes are kept or lost in pages of this size. */
+    /** Unforced bytes survive or are lost in pages of this size. */
     private static final int PAGE_BYTES = 64;
 
     /** Applied before each operation; replaced by tests while the store is running. */
@@ -27,20 +27,20 @@
 
     private final Map<String, Contents> files = new TreeMap<>();
 
-    /** The names as they were when the directory was last forced. */
+    /** The files by name when the directory was last forced. */
     private Map<String, Contents> forcedNames = new TreeMap<>();
 
     private boolean locked;
 
-    /** What a test does to an operation before it is carried out: nothing, wait, or fail it. */
+    /** Called before an operation; may return at once, block, or fail the operation. */
     @FunctionalInterface
     public interface Fault {
         /**
-         * An operation is about to be carried out.
+         * Called before an operation is executed.
          *
          * @param operation {@code read}, {@code write}, {@code force}, {@code truncate}, {@code
          *     create}, {@code delete}, {@code rename} or {@code folder}, which forces the directory
-         * @param name of the file, empty for {@code folder}
+         * @param name name of the file; empty for {@code folder}
          */
         void before(String operation, String name) throws IOException;
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /** A directory with these files, all of them forced. */
+    /** Creates a directory with these files, all of them forced. */
     public static VolatileDirectory withContents(Map<String, byte[]> contents) {
         VolatileDirectory directory = new VolatileDirectory();
         contents.forEach(
@@ -66,7 +66,10 @@
         return directory;
     }
 
-    /** What a power loss leaves: unforced pages and unforced names come through by chance. */
+    /**
+     * Returns the directory after a power loss: unforced pages and unforced names survive at
+     * random.
+     */
     public synchronized VolatileDirectory afterPowerLoss(SplittableRandom random) {
         Map<String, Contents> survivingNames = random.nextBoolean() ? files : forcedNames;
         Map<String, byte[]> survivors = new TreeMap<>();
@@ -78,39 +81,39 @@
     private static byte[] afterPowerLoss(Contents contents, SplittableRandom random) {
         byte[] written = contents.written;
         byte[] forced = contents.forced;
-        int how = random.nextInt(3);
-        if (how == 0) {
+        int mode = random.nextInt(3);
+        if (mode == 0) {
             return forced.clone();
         }
         if (written.length < forced.length) {
             return random.nextBoolean() ? written.clone() : forced.clone();
         }
         int length = forced.length + random.nextInt(written.length - forced.length + 1);
-        byte[] left = Arrays.copyOf(written, length);
+        byte[] surviving = Arrays.copyOf(written, length);
         for (int page = 0; page < length; page += PAGE_BYTES) {
-            // Reordered: a later page may have come through without the one before it.
-            boolean isLost = how == 2 && random.nextInt(4) == 0;
+            // Simulates reordered writes: a page may survive although an earlier one is lost.
+            boolean isLost = mode == 2 && random.nextInt(4) == 0;
             int end = isLost ? Math.min(page + PAGE_BYTES, length) : page;
             for (int i = page; i < end; i++) {
-                left[i] = i < forced.length ? forced[i] : 0;
+                surviving[i] = i < forced.length ? forced[i] : 0;
             }
         }
-        return left;
+        return surviving;
     }
 
-    /** What a killed process leaves: the operating system has all that was written. */
+    /** Returns the directory after a process kill: all writes survive in the operating system. */
     public synchronized VolatileDirectory afterProcessKill() {
         return withContents(contents());
     }
 
-    /** Copies of all files as they were written. */
+    /** Returns copies of all files as they were written. */
     public synchronized Map<String, byte[]> contents() {
         Map<String, byte[]> copies = new TreeMap<>();
         files.forEach((name, contents) -> copies.put(name, contents.written.clone()));
         return copies;
     }
 
-    /** Fails an operation each time. */
+    /** Returns a fault that fails an operation each time. */
     public static Fault failing(String operation, String message) {
         return (each, name) -> {
             if (each.equals(operation)) {
@@ -119,7 +122,7 @@
         };
     }
 
-    /** Holds an operation up until the latch is open. */
+    /** Returns a fault that blocks an operation until the latch opens. */
     public static Fault stalling(String operation, CountDownLatch released) {
         return (each, name) -> {
             if (!each.equals(operation)) {
@@ -151,7 +154,7 @@
     public synchronized StorageFile open(String name) throws IOException {
         Contents contents = files.get(name);
         if (contents == null) {
-            throw new IOException("no file " + name);
+            throw new IOException("file does not exist: " + name);
         }
         return new VolatileFile(name, contents);
     }
@@ -161,7 +164,7 @@
         fault.before("create", name);
         synchronized (this) {
             if (files.containsKey(name)) {
-                throw new IOException("there is a file " + name);
+                throw new IOException("file already exists: " + name);
             }
             files.put(name, new Contents());
             return open(name);
@@ -206,7 +209,7 @@
             fault.before("write", name);
             synchronized (VolatileDirectory.this) {
                 int end = (int) position + bytes.remaining();
-                // A copy in any case: what was forced shares its bytes.
+                // Always copies, as the forced contents share the array.
                 contents.written =
                         Arrays.copyOf(contents.written, Math.max(contents.written.length, end));
                 bytes.get(contents.written, (int) position, bytes.remaining());
@@ -214,12 +217,12 @@
         }
 
         @Override
-        public int read(ByteBuffer into, long position) throws IOException {
+        public int read(ByteBuffer target, long position) throws IOException {
             fault.before("read", name);
             synchronized (VolatileDirectory.this) {
                 int available = (int) Math.max(0, contents.written.length - position);
-                int length = Math.min(into.remaining(), available);
-                into.put(
+                int length = Math.min(target.remaining(), available);
+                target.put(
                         contents.written,
                         (int) Math.min(position, contents.written.length),
                         length);
@@ -254,7 +257,7 @@
 
         @Override
         public void close() {
-            // Nothing is held.
+            // There is nothing to release.
         }
     }
 }
