--- a/src/main/java/ochretiller/store/AppendQueue.java
+++ b/src/main/java/ochretiller/store/AppendQueue.java
@@ -25,7 +25,7 @@
     private final AtomicLong queuedBytes = new AtomicLong();
     private volatile boolean closing;
 
-    /** Limits for stored and queued records together. */
+    /** Limits on the totals of stored and queued records. */
     private record Bounds(long entries, long bytes, long indexBytes) {}
 
     AppendQueue(StoreLimits limits) {
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Releases the capacity of appends that no longer wait; those written are in the store's
-     * statistics by now.
+     * Releases the capacity of appends that are no longer queued; the store's statistics already
+     * include those that were written.
      */
     void workedOff(List<AppendRequest> requests) {
         for (AppendRequest request : requests) {
--- a/src/main/java/ochretiller/store/BootClock.java
+++ b/src/main/java/ochretiller/store/BootClock.java
@@ -12,7 +12,7 @@
  * thread-safe if the supplier is.
  *
  * @param bootId identifies the boot of the machine, so that a restarted process can check whether
- *     the clock continued; empty if the machine has none
+ *     the clock continued; empty if the machine does not provide one
  * @param uptimeMillis milliseconds since an instant that all processes under one {@code bootId}
  *     share
  */
--- a/src/main/java/ochretiller/store/Compaction.java
+++ b/src/main/java/ochretiller/store/Compaction.java
@@ -30,7 +30,7 @@
     private final List<IndexEntry> liveEntries;
     private final Map<IndexEntry, Integer> newOffsets = new HashMap<>();
     private Optional<OpenFiles> files = Optional.empty();
-    private int nextEntry;
+    private int nextEntryIndex;
     private long copySizeBytes = SegmentHeader.BYTES;
 
     /** The segment's file and its unfinished copy. */
@@ -62,7 +62,7 @@
 
     /**
      * Returns a compaction of the eligible segment with the most dead bytes; empty if none is
-     * eligible. Eligible segments exceed the dead ratio and will not soon expire as a whole.
+     * eligible. An eligible segment has reached the dead ratio and will not soon expire as a whole.
      */
     static Optional<Compaction> mostWorthwhile(
             Collection<Segment> candidates, StoreLimits limits, long nowMillis) {
@@ -102,9 +102,9 @@
         OpenFiles open = files.get();
         ByteBuffer out = ByteBuffer.allocate(STEP_BYTES + RecordFormat.MAX_RECORD_BYTES);
         long allowedBytes = allowedBytes(nowMillis);
-        while (nextEntry < liveEntries.size() && out.position() < allowedBytes) {
-            IndexEntry entry = liveEntries.get(nextEntry);
-            nextEntry++;
+        while (nextEntryIndex < liveEntries.size() && out.position() < allowedBytes) {
+            IndexEntry entry = liveEntries.get(nextEntryIndex);
+            nextEntryIndex++;
             if (!entry.isSuperseded()) {
                 copyRecord(open.source(), entry, out);
             }
@@ -115,7 +115,7 @@
             open.copy().force();
             copySizeBytes += bytes;
         }
-        if (nextEntry < liveEntries.size()) {
+        if (nextEntryIndex < liveEntries.size()) {
             return false;
         }
         long lastSequence = liveEntries.stream().mapToLong(IndexEntry::sequence).max().orElse(0);
--- a/src/main/java/ochretiller/store/HintFile.java
+++ b/src/main/java/ochretiller/store/HintFile.java
@@ -18,7 +18,7 @@
  * @param deadBytes bytes of the segment that no entry covers, including the seal
  */
 record HintFile(List<IndexEntry> entries, int recordCount, long lastSequence, long deadBytes) {
-    /** "OCHREHNT". */
+    /** ASCII "OCHREHNT". */
     private static final long MAGIC = 0x4F4348_5245484E54L;
 
     private static final int HEADER_BYTES = 48;
--- a/src/main/java/ochretiller/store/LocalDirectory.java
+++ b/src/main/java/ochretiller/store/LocalDirectory.java
@@ -17,8 +17,8 @@
 import java.util.stream.Stream;
 
 /**
- * A directory of the local file system. Immutable; its files use {@link FileChannel}, which is
- * thread-safe.
+ * A directory of the local file system. Immutable; files are accessed by {@link FileChannel}, which
+ * is thread-safe.
  */
 public final class LocalDirectory implements StorageDirectory {
     private final Path directory;
--- a/src/main/java/ochretiller/store/RecordFormat.java
+++ b/src/main/java/ochretiller/store/RecordFormat.java
@@ -18,7 +18,7 @@
      */
     static final int VERSION = 1;
 
-    /** "OCRc". */
+    /** ASCII "OCRc". */
     static final int RECORD_MAGIC = 0x4F435263;
 
     /** Bytes of magic, length, complement and checksum. */
--- a/src/main/java/ochretiller/store/Segment.java
+++ b/src/main/java/ochretiller/store/Segment.java
@@ -8,7 +8,7 @@
  * confined to the thread that owns the {@link Index}.
  */
 final class Segment {
-    /** Number of superseded entries up to which they are not purged. */
+    /** Superseded entries are purged only if there are more than this. */
     private static final int MIN_SUPERSEDED_TO_PURGE = 64;
 
     private final long number;
--- a/src/main/java/ochretiller/store/SegmentHeader.java
+++ b/src/main/java/ochretiller/store/SegmentHeader.java
@@ -12,7 +12,8 @@
  * @param firstSequence sequence number of its first record, if it has one
  * @param followsAbandoned whether the previous segment was abandoned after a disk failure and
  *     therefore has no seal
- * @param bootId boot id of the machine when the segment was created; empty if the machine has none
+ * @param bootId boot id of the machine when the segment was created; empty if the machine does not
+ *     provide one
  * @param clockOffsetMillis the store's clock minus the uptime of the machine
  * @param createdAtMillis creation time on the store's clock
  */
@@ -25,7 +26,7 @@
         long createdAtMillis) {
     static final int BYTES = 72;
 
-    /** "OCHRELOG". */
+    /** ASCII "OCHRELOG". */
     private static final long MAGIC = 0x4F4348_52454C4F47L;
 
     /** All zero bits represent a missing boot id. */
@@ -65,7 +66,7 @@
      * @param in a buffer that begins with the start of a segment file
      * @param fileName file name for the error message
      * @return empty if the bytes are not a complete, valid header
-     * @throws StoreException if a later release wrote the file in a format that this one does not
+     * @throws StoreException if the file has a format of a later release that this one does not
      *     support
      */
     static Optional<SegmentHeader> decode(ByteBuffer in, String fileName) throws StoreException {
--- a/src/main/java/ochretiller/store/StorageEngine.java
+++ b/src/main/java/ochretiller/store/StorageEngine.java
@@ -50,7 +50,7 @@
             cleaner.deleteExpired(clock.nowMillis());
             log.startSegment();
         } catch (IOException e) {
-            diskFailed(e);
+            handleDiskFailure(e);
         }
         publishStats();
     }
@@ -85,7 +85,7 @@
             log.append(group);
             return AppendResult.DURABLE;
         } catch (IOException e) {
-            diskFailed(e);
+            handleDiskFailure(e);
             return AppendResult.UNKNOWN;
         }
     }
@@ -110,7 +110,7 @@
                 log.startSegment();
                 fault = Optional.empty();
             } catch (IOException e) {
-                diskFailed(e);
+                handleDiskFailure(e);
             }
         }
         publishStats();
@@ -130,7 +130,7 @@
             log.rollIfDue(limits, nowMillis);
             cleaner.clean(nowMillis);
         } catch (IOException e) {
-            diskFailed(e);
+            handleDiskFailure(e);
         }
         publishStats();
     }
@@ -149,7 +149,7 @@
             try {
                 log.sealActive();
             } catch (IOException e) {
-                diskFailed(e);
+                handleDiskFailure(e);
             }
         }
         log.close();
@@ -204,7 +204,7 @@
         }
     }
 
-    private void diskFailed(IOException cause) {
+    private void handleDiskFailure(IOException cause) {
         counters.diskFailed();
         fault =
                 Optional.of(
--- a/src/main/java/ochretiller/store/Store.java
+++ b/src/main/java/ochretiller/store/Store.java
@@ -22,8 +22,9 @@
  * thread at a time and never wait for the disk. Callbacks run on the executor that was passed to
  * {@code open}.
  *
- * <p>After a disk failure nothing is written until a {@link #probe} has started a new segment. The
- * appends that failed end as {@link AppendResult#UNKNOWN}; the store never retries them.
+ * <p>After a disk failure nothing is written until a {@link #probe} has started a new segment.
+ * Appends whose write or force failed end as {@link AppendResult#UNKNOWN}; the store never retries
+ * them.
  */
 public final class Store implements Closeable {
     /**
@@ -145,7 +146,7 @@
         return Duration.ofMillis(Math.max(0, incompleteUntilMillis.getAsLong() - nowMillis()));
     }
 
-    /** Returns recent statistics; safe to call from any thread. */
+    /** Returns the statistics after the last completed operation; safe to call from any thread. */
     public StoreStats stats() {
         return engine.stats();
     }
--- a/src/main/java/ochretiller/store/StoreClock.java
+++ b/src/main/java/ochretiller/store/StoreClock.java
@@ -52,7 +52,7 @@
         return offsetMillis + bootClock.uptimeMillis().getAsLong();
     }
 
-    /** Boot id of the machine; empty if it has none. */
+    /** Boot id of the machine; empty if the machine does not provide one. */
     Optional<UUID> bootId() {
         return bootClock.bootId();
     }
--- a/src/main/java/ochretiller/store/StoreInspector.java
+++ b/src/main/java/ochretiller/store/StoreInspector.java
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Rewrites each segment that contains dead records without them.
+     * Removes the dead records of each segment by copying the live ones.
      *
      * @param progress receives the name of each segment file before it is copied
      * @throws StoreException if the store is in use, does not exist, or its disk cannot be written
--- a/src/main/java/ochretiller/store/StoreLimits.java
+++ b/src/main/java/ochretiller/store/StoreLimits.java
@@ -11,7 +11,7 @@
  * @param segmentBytes size in bytes at which the next segment is started
  * @param maxSegmentAge age at which a segment that contains records is sealed and the next one
  *     started, so that it can be deleted in time
- * @param compactionBytesPerSecond maximum copy rate of compaction
+ * @param compactionBytesPerSecond maximum rate at which compaction copies
  * @param compactionDeadRatio fraction of dead bytes, 0 to 1, from which a segment is compacted
  * @param compactionMinRemainingLife remaining lifetime up to which a segment is not compacted, as
  *     it will soon be deleted as a whole
