--- a/src/main/java/ochretiller/store/Compaction.java
+++ b/src/main/java/ochretiller/store/Compaction.java
@@ -155,8 +155,7 @@
         record.flip();
         // A damaged record is not copied: the compaction fails and the damaged segment is retained.
         if (RecordFormat.inspect(record) != RecordStatus.VALID) {
-            throw new IOException(
-                    "damaged record at offset " + entry.offset() + " of " + segment.fileName());
+            throw new IOException("damaged record in " + segment.fileName());
         }
         newOffsets.put(entry, (int) (copySizeBytes + out.position()));
         out.put(record);
