--- a/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
+++ b/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 
 /**
- * How an acceptor that has lost its state finds out what it may have promised. It asks the others
- * until a majority has told it the highest epoch that they know of: any majority that it was part
- * of has somebody among those.
+ * Recovery of an acceptor that has lost its state: finds out which epochs it may have promised. It
+ * queries the other acceptors until a majority has reported its highest known epochs; any majority
+ * of which it was a part overlaps with these.
  *
- * <p>If all acceptors say in one round, and in {@value #LOST_ROUNDS} rounds running, that they have
- * lost their states, then nothing was ever promised or it is lost for good. Source: the recovery
- * protocol of viewstamped replication (Liskov, Cowling: "Viewstamped Replication Revisited", 2012,
- * section 4.3); the case in which all have lost their states is this project's own.
+ * <p>If in {@value #LOST_ROUNDS} consecutive rounds all acceptors answer that they have lost their
+ * states, then nothing was promised or all promises are lost. Source: the recovery protocol of
+ * viewstamped replication (Liskov, Cowling: "Viewstamped Replication Revisited", 2012, section
+ * 4.3); the handling of states lost by all acceptors is an addition.
  */
 final class AcceptorRecovery {
-    /** Rounds in which all have lost their states, so that servers have time to tell an epoch. */
+    /** Rounds in which all have lost their states, so that servers can still report an epoch. */
     private static final int LOST_ROUNDS = 4;
 
     private final String name;
@@ -32,8 +32,8 @@
     /**
      * Creates the recovery of one acceptor.
      *
-     * @param acceptors names of all, this one included
-     * @param instanceId tells this start from any other
+     * @param acceptors the names of all acceptors, this one included
+     * @param instanceId a random number that identifies this start of the process
      */
     AcceptorRecovery(String name, Set<String> acceptors, long instanceId) {
         this.name = name;
@@ -46,7 +46,7 @@
         return instanceId;
     }
 
-    /** Starts a round; answers to earlier ones count no more. */
+    /** Starts a round; answers to earlier rounds are ignored from now on. */
     ConsensusMessage.RecoveryQuery startRound() {
         if (lostInstances.size() < acceptors.size()) {
             roundsAllLost = 0;
@@ -58,15 +58,15 @@
         return new ConsensusMessage.RecoveryQuery(nonce);
     }
 
-    /** Whether an answer is one to the present round, by an acceptor. */
+    /** Whether an answer belongs to the current round and comes from an acceptor. */
     boolean isCurrent(String from, long answeredNonce) {
         return answeredNonce == nonce && acceptors.contains(from);
     }
 
     /**
-     * Takes a current answer by an acceptor that has its state.
+     * Processes a current answer from an acceptor that has its state.
      *
-     * @return the highest epoch that may have been promised, once a majority has answered
+     * @return the highest epoch that may have been promised; empty until a majority has answered
      */
     OptionalLong replied(String from, long highestEpoch) {
         highestEpochs.put(from, highestEpoch);
@@ -77,12 +77,13 @@
     }
 
     /**
-     * Takes a current answer by an acceptor that has lost its state too.
+     * Processes a current answer from an acceptor that has lost its state too.
      *
-     * @return the message for all acceptors, once this has been so for all for some rounds
+     * @return the message for all acceptors; empty until all have lost their states in {@value
+     *     #LOST_ROUNDS} rounds
      */
-    Optional<ConsensusMessage> stateLost(String from, long itsInstanceId) {
-        boolean isRepeated = lostInstances.put(from, itsInstanceId) != null;
+    Optional<ConsensusMessage> stateLost(String from, long peerInstanceId) {
+        boolean isRepeated = lostInstances.put(from, peerInstanceId) != null;
         if (isRepeated || lostInstances.size() < acceptors.size()) {
             return Optional.empty();
         }
@@ -93,7 +94,7 @@
         return Optional.of(new ConsensusMessage.AllStateLost(Map.copyOf(lostInstances)));
     }
 
-    /** Whether this very start was among those that had all lost their states. */
+    /** Whether a message applies to this start of the process, not to an earlier one. */
     boolean includes(ConsensusMessage.AllStateLost allLost) {
         return Long.valueOf(instanceId).equals(allLost.instanceIds().get(name));
     }
--- a/src/main/java/ochretiller/fleet/consensus/AcceptorState.java
+++ b/src/main/java/ochretiller/fleet/consensus/AcceptorState.java
@@ -3,14 +3,15 @@
 import java.util.Optional;
 
 /**
- * What an acceptor has to remember beyond a crash; on disk before any message that rests on it is
+ * The durable state of an acceptor, which must be on disk before any message that depends on it is
  * sent.
  *
- * @param committed the latest placement that it knows to be committed
- * @param promisedBallot the highest ballot promised for the epoch after that
- * @param acceptedBallot of what was accepted for it; {@link Ballot#NONE} if nothing
- * @param acceptedPlacement what was accepted for it, if anything
- * @param abstainsThrough it votes on no epoch up to this one, since it may have forgotten a promise
+ * @param committed the latest known committed placement
+ * @param promisedBallot the highest ballot promised for the next epoch
+ * @param acceptedBallot the ballot of the accepted placement; {@link Ballot#NONE} if there is none
+ * @param acceptedPlacement the placement accepted for the next epoch, if any
+ * @param abstainsThrough the last epoch that it never votes on, since it may have lost a promise; 0
+ *     if there is none
  */
 public record AcceptorState(
         ReplicaPlacement committed,
@@ -18,7 +19,7 @@
         Ballot acceptedBallot,
         Optional<ReplicaPlacement> acceptedPlacement,
         long abstainsThrough) {
-    /** The state of an acceptor that has not promised anything yet. */
+    /** The state of an acceptor that has made no promises. */
     public static AcceptorState initial(int replicationFactor) {
         return new AcceptorState(
                 ReplicaPlacement.empty(replicationFactor),
@@ -28,12 +29,12 @@
                 0);
     }
 
-    /** The epoch that it may vote on. */
+    /** The only epoch that the acceptor may vote on. */
     long nextEpoch() {
         return committed.epoch() + 1;
     }
 
-    /** Whether it has promised or accepted anything for the next epoch. */
+    /** Whether the acceptor has promised or accepted anything for the next epoch. */
     boolean hasOpenEpoch() {
         return !promisedBallot.equals(Ballot.NONE) || acceptedPlacement.isPresent();
     }
@@ -48,7 +49,7 @@
                 committed, ballot, ballot, Optional.of(placement), abstainsThrough);
     }
 
-    /** What was promised for an epoch is of no more use once it is committed. */
+    /** Replaces the committed placement and discards the votes, which a commit makes obsolete. */
     AcceptorState commit(ReplicaPlacement placement) {
         return new AcceptorState(
                 placement, Ballot.NONE, Ballot.NONE, Optional.empty(), abstainsThrough);
--- a/src/main/java/ochretiller/fleet/consensus/Ballot.java
+++ b/src/main/java/ochretiller/fleet/consensus/Ballot.java
@@ -1,13 +1,13 @@
 package ochretiller.fleet.consensus;
 
 /**
- * The number of a proposal (Paxos: proposal number, ballot); a higher one overrides a lower one.
+ * The number of a Paxos proposal; a higher ballot overrides a lower one.
  *
  * @param round compared first
- * @param proposer name of the acceptor that proposes, so that no two proposals have one number
+ * @param proposer the name of the proposing acceptor, which makes ballots unique
  */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
-    /** Lower than any proposal's. */
+    /** Lower than the ballot of any proposal. */
     public static final Ballot NONE = new Ballot(0, "");
 
     @Override
@@ -16,7 +16,7 @@
         return byRound != 0 ? byRound : proposer.compareTo(other.proposer);
     }
 
-    /** The lowest ballot of a proposer in the next round. */
+    /** The ballot of a proposer in the next round. */
     Ballot next(String nextProposer) {
         return new Ballot(round + 1, nextProposer);
     }
--- a/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
+++ b/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * What acceptors send one another, and what all servers are told of committed epochs. The bytes are
- * described in docs/fleet-wire.md.
+ * Messages between acceptors, and messages that distribute committed epochs to all servers. The
+ * encoding is described in docs/fleet-wire.md.
  */
 public sealed interface ConsensusMessage {
     /** Paxos phase 1a: asks acceptors to promise a ballot. */
     record Prepare(long epoch, Ballot ballot) implements ConsensusMessage {}
 
     /**
-     * Paxos phase 1b: the sender accepts nothing under lower ballots any more.
+     * Paxos phase 1b: the sender no longer accepts proposals with lower ballots.
      *
-     * @param acceptedBallot of what it has accepted before; {@link Ballot#NONE} if nothing
-     * @param acceptedPlacement what it has accepted before, if anything
+     * @param acceptedBallot the ballot of the accepted placement; {@link Ballot#NONE} if none
+     * @param acceptedPlacement the placement that the sender has already accepted, if any
      */
     record Promise(
             long epoch,
@@ -28,51 +28,53 @@
     record Accept(long epoch, Ballot ballot, ReplicaPlacement placement)
             implements ConsensusMessage {}
 
-    /** Paxos phase 2b: the sender has accepted it. */
+    /** Paxos phase 2b: the sender has accepted the placement proposed under this ballot. */
     record Accepted(long epoch, Ballot ballot) implements ConsensusMessage {}
 
     /**
-     * The sender has promised a higher ballot.
+     * Rejects a proposal because the sender has promised a higher ballot.
      *
-     * @param ballot that is rejected
-     * @param promisedBallot that was promised to another proposer
+     * @param ballot the rejected ballot
+     * @param promisedBallot the ballot promised to another proposer
      */
     record Nack(long epoch, Ballot ballot, Ballot promisedBallot) implements ConsensusMessage {}
 
-    /** A majority has accepted this placement; to all servers. */
+    /** Informs all servers that a majority has accepted this placement. */
     record Committed(ReplicaPlacement placement) implements ConsensusMessage {}
 
-    /** An acceptor that has lost its state asks what it may have promised. */
+    /** Asks for the epochs that the sender, which has lost its state, may have promised. */
     record RecoveryQuery(long nonce) implements ConsensusMessage {}
 
     /**
      * Answers a {@link RecoveryQuery}.
      *
-     * @param highestEpoch the highest epoch that the sender knows of, committed or only proposed
-     * @param placement the committed one
+     * @param highestEpoch the highest epoch known to the sender, committed or only proposed
+     * @param placement the latest committed placement known to the sender
      */
     record RecoveryReply(long nonce, long highestEpoch, ReplicaPlacement placement)
             implements ConsensusMessage {}
 
     /**
-     * Answers a {@link RecoveryQuery}: the sender has lost its state itself.
+     * Answers a {@link RecoveryQuery}: the sender has lost its state too.
      *
-     * @param instanceId drawn at random at its start
+     * @param instanceId a random number that identifies the start of the sender's process
      */
     record StateLost(long nonce, long instanceId) implements ConsensusMessage {}
 
     /**
-     * All acceptors have lost their state at one time, so no promise can still matter: they go on.
+     * All acceptors have lost their states at the same time, so no promise can still matter and they
+     * resume voting.
      *
-     * @param instanceIds of all acceptors by name; one that has another was not there
+     * @param instanceIds the instance IDs of all acceptors by name; an acceptor with a different ID
+     *     has restarted since and ignores the message
      */
     record AllStateLost(Map<String, Long> instanceIds) implements ConsensusMessage {}
 
     /**
-     * A replica tells the acceptors how far it has caught up.
+     * Reports to the acceptors how far a replica has caught up.
      *
-     * @param epoch the latest that it knows
-     * @param laggingRanges ranges of that epoch that it does not have completely
+     * @param epoch the latest epoch known to the replica
+     * @param laggingRanges the number of its ranges in that epoch that are incomplete
      */
     record ReplicaProgress(long epoch, int laggingRanges) implements ConsensusMessage {}
 }
--- a/src/main/java/ochretiller/fleet/consensus/EpochAcceptor.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochAcceptor.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * The acceptor and learner of Paxos for one epoch after the other (Lamport, "Paxos Made Simple",
- * 2001, sections 2.2 and 2.3). It votes on the epoch after the committed one only. Departure: a
- * rejected proposer is told the ballot that was promised (a nack), and one that is behind the
- * committed epoch.
+ * The Paxos acceptor and learner for one epoch after the other (Lamport, "Paxos Made Simple", 2001,
+ * sections 2.2 and 2.3). It votes only on the epoch after the committed one. Departure: it answers a
+ * rejected proposal with the promised ballot (a nack), and a proposal for an old epoch with the
+ * committed placement.
  */
 final class EpochAcceptor {
     private AcceptorState state;
@@ -15,8 +15,8 @@
     /**
      * Creates an acceptor.
      *
-     * @param hasLostState whether it may have promised what {@code state} does not tell: then it
-     *     does not vote until one of the resume methods is called
+     * @param hasLostState whether it may have made promises that {@code state} does not contain; if
+     *     so, it does not vote until one of the resume methods is called
      */
     EpochAcceptor(AcceptorState state, boolean hasLostState) {
         this.state = state;
@@ -31,24 +31,24 @@
         return hasLostState;
     }
 
-    /** The highest epoch for which it has promised, accepted or learned anything. */
+    /** The highest epoch that it has promised, accepted, learned or abstains from. */
     long highestEpoch() {
         long highest = state.hasOpenEpoch() ? state.nextEpoch() : state.committed().epoch();
         return Math.max(highest, state.abstainsThrough());
     }
 
-    /** Votes again from the epoch behind this one on. */
+    /** Resumes voting, but only on epochs after this one. */
     void resumeAbstainingThrough(long epoch) {
         state = state.abstainThrough(epoch);
         hasLostState = false;
     }
 
-    /** Votes again, since nothing that it has forgotten can matter. */
+    /** Resumes voting on all epochs, since none of its lost promises can still matter. */
     void resume() {
         hasLostState = false;
     }
 
-    /** Learns a committed placement; returns false if it is known already or older. */
+    /** Learns a committed placement; returns false if it is not newer than the known one. */
     boolean learn(ReplicaPlacement placement) {
         if (placement.epoch() <= state.committed().epoch()) {
             return false;
@@ -57,7 +57,7 @@
         return true;
     }
 
-    /** Phase 1: returns the answer to a proposer, or nothing where it must not vote. */
+    /** Phase 1: returns the answer to a proposer; empty if it must not vote. */
     Optional<ConsensusMessage> prepare(ConsensusMessage.Prepare prepare) {
         Ballot ballot = prepare.ballot();
         Optional<ConsensusMessage> rejection = reject(prepare.epoch(), ballot);
@@ -73,7 +73,7 @@
                         state.acceptedPlacement()));
     }
 
-    /** Phase 2: returns the answer to a proposer, or nothing where it must not vote. */
+    /** Phase 2: returns the answer to a proposer; empty if it must not vote. */
     Optional<ConsensusMessage> accept(ConsensusMessage.Accept accept) {
         Ballot ballot = accept.ballot();
         Optional<ConsensusMessage> rejection = reject(accept.epoch(), ballot);
@@ -84,7 +84,7 @@
         return Optional.of(new ConsensusMessage.Accepted(accept.epoch(), ballot));
     }
 
-    /** The answer to a proposal that is behind the committed epoch or a promised ballot. */
+    /** The answer to a proposal for an old epoch or under a ballot lower than the promised one. */
     private Optional<ConsensusMessage> reject(long epoch, Ballot ballot) {
         if (epoch <= state.committed().epoch()) {
             return Optional.of(new ConsensusMessage.Committed(state.committed()));
--- a/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * One acceptor's part in agreeing on epochs: acceptor, proposer and learner of Paxos in one, as in
- * "Paxos Made Simple" (Lamport 2001), for one epoch after the other.
+ * Paxos acceptor, proposer and learner of one server, for one epoch after the other ("Paxos Made
+ * Simple", Lamport 2001).
  *
- * <p>Usage: hand in each message by {@link #receive}; then have {@link #durableState} on disk, and
- * only then send what {@link #takeOutbound} returns. All methods belong to one thread.
+ * <p>Usage: pass each message to {@link #receive}, write {@link #durableState} to disk, and only
+ * then send the messages of {@link #takeOutbound}. All methods must be called on one thread.
  */
 public final class EpochConsensus {
     private final String name;
@@ -30,10 +30,10 @@
     }
 
     /**
-     * An acceptor that starts again with the state that it had.
+     * Creates an acceptor that restarts with its stored state.
      *
-     * @param acceptors names of all acceptors, this one included
-     * @param instanceId drawn at random at each start
+     * @param acceptors the names of all acceptors, this one included
+     * @param instanceId a random number that identifies this start of the process
      */
     public static EpochConsensus resume(
             String name, Set<String> acceptors, AcceptorState state, long instanceId) {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * An acceptor without a state, which may have lost it: it does not vote until the others have
-     * told it what it may have promised.
+     * Creates an acceptor that has no stored state and may have lost it. It does not vote until
+     * other acceptors have reported which epochs it may have made promises for.
      */
     public static EpochConsensus recover(
             String name, Set<String> acceptors, int replicationFactor, long instanceId) {
@@ -50,47 +50,47 @@
         return new EpochConsensus(name, acceptors, new EpochAcceptor(state, true), instanceId);
     }
 
-    /** An acceptor of a fleet that is known never to have had an epoch: it may vote at once. */
+    /** Creates an acceptor of a new fleet without any epochs, which may vote at once. */
     public static EpochConsensus startFresh(
             String name, Set<String> acceptors, int replicationFactor, long instanceId) {
         return resume(name, acceptors, AcceptorState.initial(replicationFactor), instanceId);
     }
 
-    /** What has to be on disk before the messages of {@link #takeOutbound} are sent. */
+    /** The state to write to disk before the messages of {@link #takeOutbound} are sent. */
     public AcceptorState durableState() {
         return acceptor.state();
     }
 
-    /** The latest placement that this acceptor knows to be committed. */
+    /** The latest committed placement known to this acceptor. */
     public ReplicaPlacement committed() {
         return acceptor.state().committed();
     }
 
-    /** Whether it has lost its state and does not vote yet. */
+    /** Whether this acceptor may have lost its state and does not vote yet. */
     public boolean hasLostState() {
         return acceptor.hasLostState();
     }
 
-    /** Whether a proposal of its own waits for answers. */
+    /** Whether a proposal of this server is in progress. */
     public boolean isProposing() {
         return proposer.isActive();
     }
 
-    /** Messages to send since the last call, in order. */
+    /** Removes and returns the messages to send, in order. */
     public List<OutboundConsensusMessage> takeOutbound() {
         List<OutboundConsensusMessage> all = List.copyOf(outbound);
         outbound.clear();
         return all;
     }
 
-    /** Asks all servers what it may have promised; called again and again until it knows. */
+    /** Starts a round of recovery if the state is lost; to be called until it is recovered. */
     public void requestRecovery() {
         if (acceptor.hasLostState()) {
             broadcast(recovery.startRound());
         }
     }
 
-    /** Proposes a placement as the next epoch; does nothing if it is not the next one. */
+    /** Proposes a placement; does nothing unless its epoch follows the committed one. */
     public void propose(ReplicaPlacement placement) {
         AcceptorState state = acceptor.state();
         if (placement.epoch() == state.nextEpoch()) {
@@ -98,16 +98,16 @@
         }
     }
 
-    /** Takes a message of another server. */
+    /** Processes a message from another server. */
     public void receive(String from, ConsensusMessage message) {
         if (message instanceof ConsensusMessage.Committed committed) {
             learn(committed.placement());
         } else if (message instanceof ConsensusMessage.RecoveryQuery query) {
             reply(from, answer(query));
         } else if (message instanceof ConsensusMessage.RecoveryReply reply) {
-            recoveryReplied(from, reply);
+            receiveRecoveryReply(from, reply);
         } else if (message instanceof ConsensusMessage.StateLost lost) {
-            stateLost(from, lost);
+            receiveStateLost(from, lost);
         } else if (message instanceof ConsensusMessage.AllStateLost allLost) {
             if (recovery.includes(allLost)) {
                 acceptor.resume();
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Messages that count for acceptors among themselves only. */
+    /** Processes a Paxos message, which is valid between acceptors only. */
     private void receiveVote(String from, ConsensusMessage message) {
         if (message instanceof ConsensusMessage.Prepare prepare) {
             acceptor.prepare(prepare).ifPresent(answer -> reply(from, answer));
@@ -152,7 +152,7 @@
                 query.nonce(), acceptor.highestEpoch(), committed());
     }
 
-    private void recoveryReplied(String from, ConsensusMessage.RecoveryReply reply) {
+    private void receiveRecoveryReply(String from, ConsensusMessage.RecoveryReply reply) {
         if (!acceptor.hasLostState() || !recovery.isCurrent(from, reply.nonce())) {
             return;
         }
@@ -160,7 +160,7 @@
         recovery.replied(from, reply.highestEpoch()).ifPresent(acceptor::resumeAbstainingThrough);
     }
 
-    private void stateLost(String from, ConsensusMessage.StateLost lost) {
+    private void receiveStateLost(String from, ConsensusMessage.StateLost lost) {
         if (!acceptor.hasLostState() || !recovery.isCurrent(from, lost.nonce())) {
             return;
         }
@@ -184,7 +184,7 @@
         outbound.add(new OutboundConsensusMessage(Optional.empty(), message));
     }
 
-    /** To all other acceptors, and to this one without a way through the network. */
+    /** Sends a message to all other acceptors and processes it locally. */
     private void broadcastAndReceive(ConsensusMessage message) {
         broadcast(message);
         receive(name, message);
--- a/src/main/java/ochretiller/fleet/consensus/EpochProposer.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochProposer.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * The proposer of Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2): has one placement at a
- * time accepted as the next epoch. If acceptors have accepted another one before, it carries that
- * through in place of its own. When to try again, after a random pause, is the caller's decision.
+ * The Paxos proposer (Lamport, "Paxos Made Simple", 2001, section 2.2), with one proposal for the
+ * next epoch at a time. If acceptors have already accepted another placement, it completes that one
+ * instead of its own. The caller retries a failed proposal after a random delay.
  */
 final class EpochProposer {
     private final String name;
@@ -21,34 +21,34 @@
     private final Set<String> accepts = new HashSet<>();
 
     private enum Phase {
-        /** No proposal, or the last one is decided or rejected. */
+        /** No proposal, or the last one was committed or rejected. */
         IDLE,
-        /** Phase 1: gathers promises. */
+        /** Phase 1: collects promises. */
         PREPARING,
-        /** Phase 2: gathers acceptances. */
+        /** Phase 2: collects acceptances. */
         ACCEPTING
     }
 
     /**
      * Creates a proposer without a proposal.
      *
-     * @param name its acceptor's name, which is part of its ballots
-     * @param quorum acceptors that form a majority
+     * @param name the name of this server's acceptor, used in ballots
+     * @param quorum the number of acceptors in a majority
      */
     EpochProposer(String name, int quorum) {
         this.name = name;
         this.quorum = quorum;
     }
 
-    /** Whether a proposal waits for answers. */
+    /** Whether a proposal is in progress. */
     boolean isActive() {
         return phase != Phase.IDLE;
     }
 
     /**
-     * Starts a proposal, with a ballot above all that it knows of.
+     * Starts a proposal with a ballot higher than all those that it knows.
      *
-     * @param promisedBallot the highest that its own acceptor has promised
+     * @param promisedBallot the highest ballot promised by this server's acceptor
      * @return the message for all acceptors
      */
     ConsensusMessage.Prepare start(ReplicaPlacement placement, Ballot promisedBallot) {
@@ -63,13 +63,13 @@
         return new ConsensusMessage.Prepare(placement.epoch(), ballot);
     }
 
-    /** Gives up, since an epoch was committed meanwhile. */
+    /** Abandons the proposal, since an epoch has been committed. */
     void abandon() {
         proposed = Optional.empty();
         phase = Phase.IDLE;
     }
 
-    /** Takes a promise; returns the message for all acceptors once a majority has promised. */
+    /** Processes a promise; returns the message for all acceptors when a majority has promised. */
     Optional<ConsensusMessage> promised(String from, ConsensusMessage.Promise promise) {
         if (phase != Phase.PREPARING || !promise.ballot().equals(ballot)) {
             return Optional.empty();
@@ -87,12 +87,12 @@
         return Optional.of(new ConsensusMessage.Accept(promise.epoch(), ballot, value()));
     }
 
-    /** What was accepted under the highest ballot, or its own proposal if nothing was. */
+    /** The placement accepted under the highest ballot, or else this server's own proposal. */
     private ReplicaPlacement value() {
         return highestAccepted.or(() -> proposed).orElseThrow();
     }
 
-    /** Takes an acceptance; returns the message for all servers once a majority has accepted. */
+    /** Processes an acceptance; returns the message for all servers when a majority has accepted. */
     Optional<ConsensusMessage> accepted(String from, ConsensusMessage.Accepted accepted) {
         if (phase != Phase.ACCEPTING || !accepted.ballot().equals(ballot)) {
             return Optional.empty();
@@ -104,7 +104,7 @@
         return Optional.of(new ConsensusMessage.Committed(value()));
     }
 
-    /** Takes a rejection; the next proposal's ballot is above the one that was promised. */
+    /** Processes a rejection; the next ballot will be higher than the promised one. */
     void rejected(ConsensusMessage.Nack nack) {
         if (phase == Phase.IDLE || !nack.ballot().equals(ballot)) {
             return;
--- a/src/main/java/ochretiller/fleet/consensus/OutboundConsensusMessage.java
+++ b/src/main/java/ochretiller/fleet/consensus/OutboundConsensusMessage.java
@@ -5,6 +5,6 @@
 /**
  * A message to send.
  *
- * @param recipient name of the server; empty for all other acceptors
+ * @param recipient the name of a server; empty for all other acceptors
  */
 public record OutboundConsensusMessage(Optional<String> recipient, ConsensusMessage message) {}
--- a/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
+++ b/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
@@ -9,14 +9,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides which placement an acceptor proposes next, from what it observes: one change at a time,
- * and only from what has been so for a while. Observations are opinions; what follows from them is
- * agreed on, and a server that comes back is taken in again.
- *
- * <p>Owned by one thread.
+ * Decides which placement an acceptor proposes next: one change at a time, and only for servers
+ * whose liveness has been stable for a while. The liveness comes from the local membership view and
+ * may be wrong, but the change takes effect only by consensus, and a removed server that returns is
+ * added again. Not thread-safe.
  */
 public final class PlacementPlanner {
-    /** Departed servers get so many times the settling time: their disks come back with them. */
+    /** Settling times after which a departed server is removed, as it may return with its disk. */
     private static final int DEPARTURE_FACTOR = 4;
 
     private final Duration settlingTime;
@@ -27,18 +26,18 @@
     private Optional<Long> observedEpoch = Optional.empty();
     private Duration epochSince = Duration.ZERO;
 
-    /** Whether a server is live, and since when that has been so. */
+    /** Whether a server is live, and since when. */
     private record Presence(boolean isLive, Duration since) {}
 
     /**
-     * A planner that has observed nothing yet.
+     * Creates a planner without observations.
      *
-     * @param settlingTime how long a server has to be live before anything follows from it; one
-     *     that departed, four times as long
-     * @param maxWindow the longest idempotency window: behind it no entry that a replica lacks can
-     *     matter
-     * @param minServers servers that stay in any case: those that nobody sees may hold the only
-     *     replicas
+     * @param settlingTime how long a server must be live before it is added; a server must have
+     *     departed for {@value #DEPARTURE_FACTOR} times as long before it is removed
+     * @param maxWindow the longest idempotency window; entries missing from a replica for longer
+     *     have expired
+     * @param minServers number of servers below which none is removed, since departed servers may
+     *     hold the only replicas
      */
     public PlacementPlanner(Duration settlingTime, Duration maxWindow, int minServers) {
         this.settlingTime = settlingTime;
@@ -47,15 +46,15 @@
     }
 
     /**
-     * Takes the present view.
+     * Processes the current membership view.
      *
-     * @param liveness of all servers that it knows, by name
+     * @param liveness whether each known server is live, by name
      */
     public void observe(Map<String, Boolean> liveness, Duration now) {
         liveness.forEach(
                 (name, isLive) -> {
-                    Presence known = presences.get(name);
-                    if (known == null || known.isLive != isLive) {
+                    Presence previous = presences.get(name);
+                    if (previous == null || previous.isLive != isLive) {
                         presences.put(name, new Presence(isLive, now));
                     }
                 });
@@ -63,7 +62,7 @@
         progress.keySet().retainAll(liveness.keySet());
     }
 
-    /** Takes what a replica reports of how far it has caught up. */
+    /** Records a replica's progress report; ignored for unknown servers. */
     public void recordProgress(String name, ConsensusMessage.ReplicaProgress report) {
         if (presences.containsKey(name)) {
             progress.put(name, report);
@@ -71,9 +70,9 @@
     }
 
     /**
-     * The placement to propose next; empty if the present one is good.
+     * The placement to propose next; empty if no change is needed or allowed yet.
      *
-     * @param current the committed one
+     * @param current the committed placement
      * @param candidates servers that may hold replicas
      */
     public Optional<ReplicaPlacement> nextPlacement(
@@ -82,8 +81,8 @@
         if (!current.servers().isEmpty() && !mayChange(current, now)) {
             return Optional.empty();
         }
-        // Newcomers first: who goes takes replicas along.
-        Optional<ReplicaPlacement> larger = withNewcomer(current, candidates, now);
+        // Add servers before removing any, as a removal takes replicas away.
+        Optional<ReplicaPlacement> larger = withNewServer(current, candidates, now);
         return larger.isPresent() ? larger : withoutDeparted(current, now);
     }
 
@@ -96,8 +95,8 @@
     }
 
     /**
-     * Whether the last change is settled: what it moved has to be complete before the next, or
-     * there would be nobody to fetch it from.
+     * Whether the last change is complete: the ranges that it moved must have been copied before
+     * the next change, which might otherwise remove their only source.
      */
     private boolean mayChange(ReplicaPlacement current, Duration now) {
         Duration age = now.minus(epochSince);
@@ -105,7 +104,7 @@
         return isSettled && (isComplete(current) || age.compareTo(maxWindow) >= 0);
     }
 
-    /** Whether all servers that are live report all their ranges of this epoch as complete. */
+    /** Whether all live servers have reported that all their ranges of this epoch are complete. */
     private boolean isComplete(ReplicaPlacement current) {
         return current.servers().stream()
                 .map(ReplicaServer::name)
@@ -123,8 +122,8 @@
         return report != null && report.epoch() == epoch && report.laggingRanges() <= 0;
     }
 
-    /** Adds a server of the zone with the fewest; empty if there is none or the list is full. */
-    private Optional<ReplicaPlacement> withNewcomer(
+    /** Adds a candidate of the zone with the fewest servers; empty if none is live or fits. */
+    private Optional<ReplicaPlacement> withNewServer(
             ReplicaPlacement current, List<ReplicaServer> candidates, Duration now) {
         Map<String, Long> serversByZone =
                 current.servers().stream()
@@ -140,15 +139,15 @@
                 .filter(ReplicaPlacement::fitsInPacket);
     }
 
-    /** Removes the first server that has departed for long; empty if there is none to spare. */
+    /** Removes a server that departed long enough ago; empty if there is none or too few remain. */
     private Optional<ReplicaPlacement> withoutDeparted(ReplicaPlacement current, Duration now) {
         if (current.servers().size() <= minServers) {
             return Optional.empty();
         }
-        Duration patience = settlingTime.multipliedBy(DEPARTURE_FACTOR);
+        Duration departureTime = settlingTime.multipliedBy(DEPARTURE_FACTOR);
         return current.servers().stream()
                 .map(ReplicaServer::name)
-                .filter(name -> hasBeen(name, false, patience, now))
+                .filter(name -> hasBeen(name, false, departureTime, now))
                 .findFirst()
                 .map(current::without);
     }
--- a/src/main/java/ochretiller/fleet/consensus/PublishedVersion.java
+++ b/src/main/java/ochretiller/fleet/consensus/PublishedVersion.java
@@ -1,14 +1,15 @@
 package ochretiller.fleet.consensus;
 
 /**
- * A version of what servers act on: its bytes are known by their hash and are distributed apart.
+ * A published version of the configuration that servers use. Its content is identified by a hash and
+ * distributed separately.
  *
- * @param number grows by one from version to version; 0 if none was ever published
- * @param hash SHA-256 of its bytes, in hexadecimal; empty if each server acts on its own files
- * @param sizeBytes of its content
- * @param minimumBuild the lowest build that can act on it; empty for any
- * @param publisher who published it
- * @param reason why
+ * @param number the version number, which increases by one; 0 if none has been published
+ * @param hash the SHA-256 of the content, in hexadecimal; empty if servers use their own files
+ * @param sizeBytes the size of the content; 0 if servers use their own files
+ * @param minimumBuild the lowest build that supports the version; empty for any
+ * @param publisher the person who published the version
+ * @param reason the publisher's reason
  */
 public record PublishedVersion(
         long number,
@@ -17,22 +18,22 @@
         String minimumBuild,
         String publisher,
         String reason) {
-    /** Before any version is published: each server acts on its own files. */
+    /** No version has been published: each server uses its own files. */
     public static final PublishedVersion NONE = new PublishedVersion(0, "", 0, "", "", "");
 
-    /** Characters of a hash. */
+    /** Length of a hash in characters. */
     public static final int HASH_LENGTH = 64;
 
-    /** Longest build, publisher or reason in characters. */
+    /** Maximum length of a build, publisher or reason, in characters. */
     public static final int MAX_TEXT_LENGTH = 120;
 
-    /** Largest content in bytes: what goes with one command to the admin endpoint. */
+    /** Maximum content in bytes, which fits one command to the admin endpoint. */
     public static final int MAX_BYTES = 48 * 1024;
 
     /**
-     * Guards against a peer that sends what no version can be.
+     * Validates the version, since a peer may send anything.
      *
-     * @throws IllegalArgumentException if a number is out of bounds or a text is too long
+     * @throws IllegalArgumentException if number, hash or size is invalid or a text too long
      */
     public PublishedVersion {
         boolean hasNoContent = hash.isEmpty() && sizeBytes == 0;
@@ -53,12 +54,12 @@
         return text.length() > MAX_TEXT_LENGTH;
     }
 
-    /** Whether each server acts on its own files. */
+    /** Whether each server uses its own files. */
     public boolean usesLocalFiles() {
         return hash.isEmpty();
     }
 
-    /** The same content as a version of its own. */
+    /** Returns a new version with the same content. */
     PublishedVersion republishedAs(long nextNumber, String nextPublisher, String nextReason) {
         return new PublishedVersion(
                 nextNumber, hash, sizeBytes, minimumBuild, nextPublisher, nextReason);
--- a/src/main/java/ochretiller/fleet/consensus/RendezvousHashing.java
+++ b/src/main/java/ochretiller/fleet/consensus/RendezvousHashing.java
@@ -10,19 +10,19 @@
 /**
  * Chooses the servers of a range by rendezvous hashing, also called highest random weight (Thaler,
  * Ravishankar: "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM Transactions on
- * Networking 6(1), 1998): each server's weight for a range is a hash of both, and the highest
- * weights win. A server that comes or goes moves only the ranges that it gets or had. Departure:
- * servers of different zones are taken first.
+ * Networking 6(1), 1998): each server's weight for a range is a hash of both, and the servers with
+ * the highest weights are chosen. Adding or removing a server moves only the ranges assigned to it.
+ * Departure: servers of different zones are preferred.
  *
- * <p>Every server computes the same choice by itself, so the hash (XXH3, 64 bits, seed 0) and the
- * signed order of weights must not change.
+ * <p>Every server must compute the same choice on its own, so the hash (XXH3, 64 bits, seed 0) and
+ * the signed order of weights must not change.
  */
 final class RendezvousHashing {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     private RendezvousHashing() {}
 
-    /** Names of the servers of a range, by descending weight within and then beyond one a zone. */
+    /** Chooses the server with the highest weight in each zone, then the highest of the others. */
     static List<String> choose(List<ReplicaServer> servers, int range, int count) {
         List<ReplicaServer> byWeight = new ArrayList<>(servers);
         byWeight.sort(
--- a/src/main/java/ochretiller/fleet/consensus/ReplicaPlacement.java
+++ b/src/main/java/ochretiller/fleet/consensus/ReplicaPlacement.java
@@ -7,24 +7,23 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * What one epoch agrees on: which servers hold replicas, and how far a rollout has come. Tokens
- * fall into {@value #RANGE_COUNT} ranges by their hash, and each range has its replicas by {@link
- * RendezvousHashing}. An immutable value; the replicas of all ranges are computed once.
+ * The value agreed on for one epoch: the servers that hold replicas, and the state of the rollout.
+ * Tokens are divided into {@value #RANGE_COUNT} ranges by their hash, and the replicas of each range
+ * are chosen by {@link RendezvousHashing}. Immutable; the replicas of all ranges are computed by the
+ * constructor.
  */
 public final class ReplicaPlacement {
-    /** Ranges of tokens: some for each of a hundred servers, few enough to be listed. */
+    /** The number of token ranges: several for each of a hundred servers, few enough to list. */
     public static final int RANGE_COUNT = 256;
 
-    /** Servers at most: two ranges for each at least, and a list that fits one packet. */
+    /** Maximum servers: each has at least two ranges, and the list fits one packet. */
     public static final int MAX_SERVERS = 128;
 
-    /**
-     * Text of both epochs' servers that fits one packet with all else that is said, in characters.
-     */
-    private static final int MAX_TEXT = 5_500;
+    /** Maximum encoded length of both server lists in a packet, in characters. */
+    private static final int MAX_SERVER_LIST_LENGTH = 5_500;
 
-    /** What each server adds to its name and zone in a packet, in characters. */
-    private static final int TEXT_PER_SERVER = 4;
+    /** Overhead of a server in a packet besides its name and zone, in characters. */
+    private static final int OVERHEAD_PER_SERVER = 4;
 
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -37,11 +36,11 @@
     private final List<List<String>> previousReplicas = new ArrayList<>();
 
     /**
-     * A placement of a fleet in which no version was ever published.
+     * Creates a placement for a fleet in which no version has been published.
      *
-     * @param previousServers of the epoch before: a server that has missed some epochs must still
-     *     know whom to ask
-     * @param replicationFactor replicas of each range, as long as there are that many servers
+     * @param previousServers the servers of the previous epoch, which a server that missed some
+     *     epochs needs in order to fetch its ranges
+     * @param replicationFactor replicas of each range; fewer if there are not that many servers
      */
     public ReplicaPlacement(
             long epoch,
@@ -52,11 +51,11 @@
     }
 
     /**
-     * A placement.
+     * Creates a placement.
      *
-     * @param previousServers of the epoch before
-     * @param replicationFactor replicas of each range, as long as there are that many servers
-     * @param rollout which version servers act on
+     * @param previousServers the servers of the previous epoch
+     * @param replicationFactor replicas of each range; fewer if there are not that many servers
+     * @param rollout the state of the rollout, which decides the version that servers use
      */
     public ReplicaPlacement(
             long epoch,
@@ -76,52 +75,52 @@
         }
     }
 
-    /** The placement before any epoch is committed: no server holds anything. */
+    /** The placement before any epoch is committed, without servers. */
     public static ReplicaPlacement empty(int replicationFactor) {
         return new ReplicaPlacement(0, List.of(), List.of(), replicationFactor);
     }
 
-    /** The range that a token falls into, from 0. */
+    /** The range of a token, from 0 to {@link #RANGE_COUNT} - 1. */
     public static int rangeOf(String token) {
         return (int) (HASH.hashChars(token) & (RANGE_COUNT - 1));
     }
 
-    /** How many of so many replicas or acceptors form a majority. */
+    /** The size of a majority of this many replicas or acceptors. */
     public static int quorumSize(int count) {
         return count / 2 + 1;
     }
 
-    /** The number of the epoch; 0 before any is committed. */
+    /** The epoch number; 0 before any epoch is committed. */
     public long epoch() {
         return epoch;
     }
 
-    /** The servers that hold replicas, by name. */
+    /** The servers that hold replicas, in the order in which they were given. */
     public List<ReplicaServer> servers() {
         return servers;
     }
 
-    /** The servers of the epoch before. */
+    /** The servers of the previous epoch. */
     public List<ReplicaServer> previousServers() {
         return previousServers;
     }
 
-    /** Replicas of each range, as long as there are that many servers. */
+    /** The configured replicas of each range; fewer exist if there are fewer servers. */
     public int replicationFactor() {
         return replicationFactor;
     }
 
-    /** Which version servers act on. */
+    /** The state of the rollout, which decides the version that servers use. */
     public RolloutState rollout() {
         return rollout;
     }
 
-    /** Names of the servers that hold a range, in different zones as far as there are zones. */
+    /** Names of the servers that hold a range, in different zones as far as possible. */
     public List<String> replicasOf(int range) {
         return replicas.get(range);
     }
 
-    /** Names of the servers that held a range in the epoch before. */
+    /** Names of the servers that held a range in the previous epoch. */
     public List<String> previousReplicasOf(int range) {
         return previousReplicas.get(range);
     }
@@ -131,19 +130,20 @@
         return servers.stream().anyMatch(server -> server.name().equals(name));
     }
 
-    /** Whether it can be sent in one packet. */
+    /** Whether the placement can be sent in one packet. */
     public boolean fitsInPacket() {
         return servers.size() <= MAX_SERVERS
-                && textOf(servers) + textOf(previousServers) <= MAX_TEXT;
+                && encodedLength(servers) + encodedLength(previousServers)
+                        <= MAX_SERVER_LIST_LENGTH;
     }
 
-    private static int textOf(List<ReplicaServer> servers) {
+    private static int encodedLength(List<ReplicaServer> servers) {
         return servers.stream()
-                .mapToInt(each -> each.name().length() + each.zone().length() + TEXT_PER_SERVER)
+                .mapToInt(each -> each.name().length() + each.zone().length() + OVERHEAD_PER_SERVER)
                 .sum();
     }
 
-    /** The next epoch, with one server more. */
+    /** The placement of the next epoch, with an additional server. */
     public ReplicaPlacement with(ReplicaServer server) {
         List<ReplicaServer> next = new ArrayList<>(servers);
         next.add(server);
@@ -151,12 +151,12 @@
         return new ReplicaPlacement(epoch + 1, next, servers, replicationFactor, rollout);
     }
 
-    /** The next epoch, with the same servers and another state of rollouts. */
+    /** The placement of the next epoch, with the same servers and another rollout state. */
     public ReplicaPlacement with(RolloutState next) {
         return new ReplicaPlacement(epoch + 1, servers, servers, replicationFactor, next);
     }
 
-    /** The next epoch, with one server less. */
+    /** The placement of the next epoch, without the named server. */
     public ReplicaPlacement without(String name) {
         List<ReplicaServer> next =
                 servers.stream().filter(server -> !server.name().equals(name)).toList();
@@ -178,7 +178,7 @@
         return Objects.hash(epoch, servers, previousServers, replicationFactor, rollout);
     }
 
-    /** For log lines: the epoch, its servers and the version that is rolled out. */
+    /** The epoch, its servers and its version with the stage of a rollout, for log lines. */
     @Override
     public String toString() {
         String names = servers.stream().map(ReplicaServer::name).toList().toString();
--- a/src/main/java/ochretiller/fleet/consensus/RolloutPhase.java
+++ b/src/main/java/ochretiller/fleet/consensus/RolloutPhase.java
@@ -1,14 +1,14 @@
 package ochretiller.fleet.consensus;
 
-/** How a rollout goes on. */
+/** The phase of a rollout. */
 public enum RolloutPhase {
-    /** It advances by itself. */
+    /** It advances from stage to stage automatically. */
     RUNNING("RUNS"),
-    /** A person has stopped it, and resumes it or rolls it back. */
+    /** An operator has stopped it and may resume it or roll it back. */
     PAUSED("PAUSED"),
-    /** It was stopped by itself, for the harm that was seen of it. */
+    /** It stopped automatically because harmful effects of the version were detected. */
     HALTED("HALTED"),
-    /** All servers are to act on its target. */
+    /** All servers are to use its target version. */
     DONE("DONE");
 
     private final String externalName;
@@ -17,7 +17,7 @@
         this.externalName = externalName;
     }
 
-    /** The word for it in JSON, log lines and the audit, whatever the constant is called. */
+    /** The name of the phase in JSON, log lines and audit records. */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/fleet/membership/AwakeClock.java
+++ b/src/main/java/ochretiller/fleet/membership/AwakeClock.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * Time in which this process was running. A gap between two readings that is longer than {@link
- * #MAX_GAP_TICKS} ticks means that the process was paused (SIGSTOP, a long garbage collection, a
- * starved CPU), and counts as that many ticks only: while it was paused nobody had a chance to be
- * heard, so no timeout may run out by it.
+ * A clock that excludes pauses of this process (SIGSTOP, long garbage collections, CPU starvation).
+ * A gap between two readings longer than {@link #MAX_GAP_TICKS} ticks is taken for a pause and
+ * counts as that many ticks only: a paused process receives nothing, so its timeouts must not
+ * expire.
  */
 final class AwakeClock {
-    /** Longest gap between two readings that counts in full, in ticks. */
+    /** Longest gap between two readings that counts fully, in ticks. */
     static final int MAX_GAP_TICKS = 2;
 
     private final Duration maxGap;
@@ -17,7 +17,7 @@
     private Duration now = Duration.ZERO;
 
     /**
-     * Creates a clock that stands at zero.
+     * Creates a clock that starts at zero.
      *
      * @param tick expected time between two readings
      * @param reading the caller's monotonic time
@@ -27,7 +27,7 @@
         this.lastReading = reading;
     }
 
-    /** Moves on to a reading of the caller's clock; earlier readings are ignored. */
+    /** Advances to a reading of the caller's clock; earlier readings are ignored. */
     void advance(Duration reading) {
         Duration gap = reading.minus(lastReading);
         if (gap.isNegative()) {
@@ -54,7 +54,7 @@
         return now.minus(instant).toNanos();
     }
 
-    /** Nanoseconds until an instant of this clock; 0 once it is reached. */
+    /** Nanoseconds until an instant of this clock; 0 if it has passed. */
     long nanosUntil(Duration instant) {
         return Math.max(0, instant.minus(now).toNanos());
     }
--- a/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
+++ b/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
@@ -13,38 +13,35 @@
 import java.util.TreeMap;
 
 /**
- * Chooses the peers whose addresses a server stores for its next start: some of those that it has
- * seen, from as many zones as there are. Its configured seeds may all be gone by then, while others
- * are still there.
+ * Chooses the peers whose addresses a server stores for its next start, spread over all zones. By
+ * then the configured seeds may all be gone while other peers are still up.
  *
- * <p>Fed with snapshots of the view; the caller stores what {@link #takeDue} returns. Not
- * thread-safe.
+ * <p>The caller passes in snapshots of the view and stores the list that {@link #takeDue} returns.
+ * Not thread-safe.
  */
 public final class BootstrapPeers {
-    /**
-     * Addresses that are stored: one that is alive is enough, and so many do not all move at once.
-     */
+    /** Maximum stored addresses. One live peer is enough, and so many rarely all move at once. */
     public static final int MAX_PEERS = 32;
 
-    /** Time between two lists that are stored. */
+    /** Minimum time between two lists to store. */
     private static final Duration STORE_INTERVAL = Duration.ofSeconds(10);
 
-    /** Time until the first: a fleet that starts would else store a list for each newcomer. */
-    private static final Duration FIRST_STORE = Duration.ofSeconds(1);
+    /** Delay of the first list, so that a starting fleet does not store one per new member. */
+    private static final Duration FIRST_STORE_DELAY = Duration.ofSeconds(1);
 
     private final PeerAddress self;
     private final Map<PeerAddress, Candidate> candidates = new HashMap<>();
     private Set<PeerAddress> stored;
-    private Duration nextStore = FIRST_STORE;
+    private Duration nextStore = FIRST_STORE_DELAY;
 
-    /** A peer that may be stored; {@code lastSeen} counts for those that are not live. */
+    /** A peer that may be stored; {@code lastSeen} ranks those that are not live. */
     private record Candidate(String zone, boolean isLive, Duration lastSeen) {}
 
     /**
-     * Starts from what a previous process has stored.
+     * Creates a chooser that starts from the list stored by a previous process.
      *
      * @param self this server's own address, which is never stored
-     * @param previous the best first; they count as gone until they are seen
+     * @param previous the stored list, best first; its peers count as gone until seen
      */
     public BootstrapPeers(PeerAddress self, List<PeerAddress> previous) {
         this.self = self;
@@ -56,13 +53,14 @@
         }
     }
 
-    /** Takes the present view. Peers that are no longer live stay while nobody better is known. */
+    /** Processes the current view. Peers no longer live remain until better ones replace them. */
     public void observe(Collection<MemberSnapshot> view, Duration now) {
-        candidates.replaceAll((address, known) -> new Candidate(known.zone, false, known.lastSeen));
+        candidates.replaceAll(
+                (address, peer) -> new Candidate(peer.zone, false, peer.lastSeen));
         for (MemberSnapshot snapshot : view) {
             Member member = snapshot.member();
-            boolean isOwn = snapshot.isSelf() || member.address().equals(self);
-            if (!isOwn && member.state().isLive()) {
+            boolean isThisServer = snapshot.isSelf() || member.address().equals(self);
+            if (!isThisServer && member.state().isLive()) {
                 candidates.put(member.address(), new Candidate(member.zone(), true, now));
             }
         }
@@ -71,7 +69,7 @@
         }
     }
 
-    /** The list to store now; empty if it is stored already or another was stored lately. */
+    /** The list to store now; empty if it is unchanged or the last one was stored recently. */
     public Optional<List<PeerAddress>> takeDue(Duration now) {
         if (now.compareTo(nextStore) < 0) {
             return Optional.empty();
@@ -85,9 +83,9 @@
         return Optional.of(best);
     }
 
-    /** Live peers, the zones in turn, then those that were seen last. */
+    /** Live peers, alternating between zones, then gone ones, the most recently seen first. */
     private List<PeerAddress> chooseBest() {
-        // Those that are stored already come first: the list need not change for others as good.
+        // Prefer peers that are stored already, so that equally good ones cause no rewrite.
         Comparator<PeerAddress> storedFirst =
                 Comparator.comparing((PeerAddress address) -> !stored.contains(address))
                         .thenComparing(PeerAddress::toString);
@@ -108,13 +106,13 @@
                 Comparator.comparing((PeerAddress address) -> candidates.get(address).lastSeen)
                         .reversed()
                         .thenComparing(storedFirst));
-        Set<PeerAddress> best = new LinkedHashSet<>(takeInTurn(liveByZone.values()));
+        Set<PeerAddress> best = new LinkedHashSet<>(interleave(liveByZone.values()));
         gone.stream().limit(MAX_PEERS - best.size()).forEach(best::add);
         return List.copyOf(best);
     }
 
-    /** The first of each list, then the second of each, until there are enough. */
-    private static List<PeerAddress> takeInTurn(Collection<List<PeerAddress>> zones) {
+    /** The first address of each list, then the second of each, up to {@link #MAX_PEERS}. */
+    private static List<PeerAddress> interleave(Collection<List<PeerAddress>> zones) {
         List<PeerAddress> taken = new ArrayList<>();
         int longest = zones.stream().mapToInt(List::size).max().orElse(0);
         for (int index = 0; index < longest; index++) {
--- a/src/main/java/ochretiller/fleet/membership/DuplicateNameDetector.java
+++ b/src/main/java/ochretiller/fleet/membership/DuplicateNameDetector.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * Reports other live processes that bear this server's name or use its address: a mistake of
- * deployment that only operators can put right. Each incarnation is reported once in a while.
+ * Reports other live processes with this server's name or address, a deployment mistake that only
+ * operators can correct. Each incarnation is reported at most once in {@link #REPORT_PERIODS}.
  */
 final class DuplicateNameDetector {
-    /** Incarnations remembered as reported; by then the operators know. */
-    private static final int MAX_REMEMBERED = 9;
+    /** Maximum incarnations reported at a time; more would tell the operators nothing new. */
+    private static final int MAX_REPORTED = 9;
 
     /** Protocol periods after which an incarnation is reported again. */
     private static final int REPORT_PERIODS = 600;
@@ -22,10 +22,10 @@
         this.context = context;
     }
 
-    /** Reports a process, unless it was reported lately. */
+    /** Reports a process, unless it was reported recently or too many were. */
     void report(Member duplicate) {
         if (reportedAt.containsKey(duplicate.incarnation())
-                || reportedAt.size() >= MAX_REMEMBERED) {
+                || reportedAt.size() >= MAX_REPORTED) {
             return;
         }
         reportedAt.put(duplicate.incarnation(), context.clock().now());
@@ -33,9 +33,9 @@
         context.report(new MembershipChange.DuplicateName(duplicate));
     }
 
-    /** Forgets reports that are old. */
+    /** Removes old reports, so that the processes can be reported again. */
     void forgetOldReports() {
         Duration retention = context.timing().probeIntervals(REPORT_PERIODS);
-        reportedAt.values().removeIf(since -> context.clock().hasElapsed(since, retention));
+        reportedAt.values().removeIf(time -> context.clock().hasElapsed(time, retention));
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/FailureDetector.java
+++ b/src/main/java/ochretiller/fleet/membership/FailureDetector.java
@@ -6,17 +6,18 @@
 import java.util.Optional;
 
 /**
- * Failure detection: probes one member in each protocol period, directly and then through others,
- * makes members that fail suspect, and takes suspects for unresponsive once their time has run out.
+ * Failure detection: probes one member per protocol period, first directly and then through other
+ * members. A member that does not answer becomes suspect, and unresponsive when its suspicion
+ * timeout expires.
  *
  * <p>Sources: SWIM (Das, Gupta, Motivala 2002), sections 3.1 (ping, ping-req) and 4.2 (suspicion);
  * Lifeguard (Dadgar, Phillips, Currey 2017), "LHA-Probe" (timeouts stretched by local health) and
  * "LHA-Suspicion" (a suspicion shortens as more members confirm it). Departures: a server that has
- * heard nothing at all since a probe started keeps the suspicion to itself, and goes on probing the
- * suspects that its own probes found.
+ * received no packet since the probe started does not publish the suspicion, and a server keeps
+ * probing the suspects that failed its own probes.
  */
 final class FailureDetector {
-    /** Suspects that are probed again in each protocol period, beside the round. */
+    /** Suspects probed again in each protocol period, in addition to the round. */
     private static final int REPROBED_SUSPECTS = 2;
 
     private final ProtocolContext context;
@@ -39,13 +40,13 @@
         this.nextProbeAt = context.randomPartOf(context.timing().probeInterval());
     }
 
-    /** Repeats pings, has others probe, and gives up probes that have run out. */
+    /** Repeats pings, requests indirect probes and handles probes that have timed out. */
     void advancePendingProbes() {
         List<Probe> expired = probes.advance(indirectProbers::request);
-        expired.forEach(this::probeExpired);
+        expired.forEach(this::handleExpiredProbe);
     }
 
-    private void probeExpired(Probe probe) {
+    private void handleExpiredProbe(Probe probe) {
         if (!probe.isScheduled() || context.hasLeft()) {
             return;
         }
@@ -54,24 +55,23 @@
             return;
         }
         context.counters().increment(MembershipCounter.FAILED_PROBES);
-        // A server that hears nobody may be the one that is cut off: it must not tell the fleet
-        // that
-        // all others are gone.
-        boolean heardNothing = probes.nothingReceivedSince(probe);
-        if (heardNothing) {
+        // A server that receives nothing may itself be cut off: it must not announce to the fleet
+        // that all other members are gone.
+        boolean receivedNothing = probes.nothingReceivedSince(probe);
+        if (receivedNothing) {
             context.health().degrade();
         }
-        MemberRecord known = target.get();
+        MemberRecord record = target.get();
         transitions.suspect(
-                known, known.stateVersion(), context.self().incarnation(), heardNothing);
-        known.markOwnProbeFailed();
+                record, record.stateVersion(), context.self().incarnation(), receivedNothing);
+        record.markOwnProbeFailed();
     }
 
     private Optional<MemberRecord> liveMember(long incarnation) {
         return context.table().find(incarnation).filter(MemberRecord::isLive);
     }
 
-    /** Takes suspects for unresponsive whose time to refute has run out. */
+    /** Marks suspects whose suspicion timeout has expired as unresponsive. */
     void expireSuspicions() {
         List<MemberRecord> expired = new ArrayList<>();
         for (MemberRecord suspect : context.table().suspects()) {
@@ -91,7 +91,7 @@
         return timing.suspicionTimeout(context.fleetSize(), suspect.accusers().size());
     }
 
-    /** Probes the next member of the round, and some suspects, once in each protocol period. */
+    /** Once per protocol period, probes the next member of the round and some suspects. */
     void probeIfDue() {
         if (!context.clock().hasReached(nextProbeAt)) {
             return;
@@ -128,11 +128,11 @@
         }
     }
 
-    /** The answer to a probe of this server has come, from the address that was asked. */
+    /** Completes a probe that was answered from the probed address. */
     void probeAnswered(Probe probe, Member responder) {
         probes.remove(probe);
         if (!probe.isAnsweredBy(responder.incarnation())) {
-            replacedByOther(probe.target());
+            markReplaced(probe.target());
             return;
         }
         if (probe.isScheduled()) {
@@ -147,24 +147,24 @@
                                                 requester.nonce(), responder.toUpdate(0))));
     }
 
-    /** Another incarnation answers at the target's address: the target cannot be there any more. */
-    private void replacedByOther(long target) {
+    /** Another incarnation answered at the target's address, so the target no longer runs. */
+    private void markReplaced(long target) {
         liveMember(target)
                 .ifPresent(
-                        known -> {
-                            known.publish();
-                            transitions.markUnresponsive(known);
+                        record -> {
+                            record.publish();
+                            transitions.markUnresponsive(record);
                         });
     }
 
-    /** Carries out a probe for another member. */
+    /** Probes a member on behalf of another one. */
     void relay(MembershipMessage.PingRequest request, Member requester) {
         if (!context.isSelf(request.target())) {
             probes.start(ProbeRequest.relayed(request, requester.address()));
         }
     }
 
-    /** Another member reports that the target of a probe has answered it. */
+    /** Completes a probe whose target has answered another member. */
     void indirectAck(MembershipMessage.IndirectAck ack) {
         MembershipUpdate target = ack.target();
         Optional<Probe> found =
@@ -178,14 +178,14 @@
             context.health().improve();
         }
         liveMember(probe.target())
-                .filter(known -> known.isRefutedBy(target.stateVersion()))
+                .filter(record -> record.isRefutedBy(target.stateVersion()))
                 .ifPresent(
-                        known ->
+                        record ->
                                 transitions.markAlive(
-                                        known, target.state(), target.stateVersion()));
+                                        record, target.state(), target.stateVersion()));
     }
 
-    /** Appends all that decides how it goes on, with times relative to now. */
+    /** Appends the state as text, with times relative to now. */
     void describe(StringBuilder text) {
         text.append(" t").append(schedule);
         text.append(" n").append(context.clock().nanosUntil(nextProbeAt));
--- a/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
+++ b/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
@@ -9,36 +9,35 @@
 import ochretiller.fleet.membership.MembershipMessage.Gossip;
 
 /**
- * Members of which there is news to spread. Updates ride on pings and acknowledgements (SWIM,
- * section 4.1), each a bounded number of times, those that were sent least often first. Only the
- * member is noted; what is said of it is read from the table when a message goes out, so it is
- * never stale.
+ * Members with updates to disseminate. Updates are piggybacked on pings and acknowledgements (SWIM,
+ * section 4.1), each a bounded number of times, the least often sent first. The buffer holds
+ * incarnations only; updates are read from the table when a message is sent, so none is stale.
  */
 final class GossipBuffer {
     private final Map<Long, Item> items = new LinkedHashMap<>();
 
-    /** One member of which there is news. */
+    /** A member with an update to disseminate. */
     private static final class Item {
         final long incarnation;
-        final boolean sendWhole;
+        final boolean sendFullRecord;
         int timesSent;
 
-        Item(long incarnation, boolean sendWhole) {
+        Item(long incarnation, boolean sendFullRecord) {
             this.incarnation = incarnation;
-            this.sendWhole = sendWhole;
+            this.sendFullRecord = sendFullRecord;
         }
     }
 
     /**
-     * Notes that there is news of a member; what was sent of it before counts no more.
+     * Adds an update of a member and resets the count of its transmissions.
      *
-     * @param sendWhole whether recipients may not know the member and need its whole record; stays
-     *     until it has been sent often enough
+     * @param sendFullRecord whether recipients may not know the member and need its full record;
+     *     remains in force until the record has been sent often enough
      */
-    void add(long incarnation, boolean sendWhole) {
+    void add(long incarnation, boolean sendFullRecord) {
         Item previous = items.remove(incarnation);
-        boolean whole = sendWhole || previous != null && previous.sendWhole;
-        items.put(incarnation, new Item(incarnation, whole));
+        boolean isFull = sendFullRecord || previous != null && previous.sendFullRecord;
+        items.put(incarnation, new Item(incarnation, isFull));
     }
 
     int size() {
@@ -46,11 +45,11 @@
     }
 
     /**
-     * Takes the gossip for one message and counts it as sent.
+     * Returns the gossip for one message and counts it as sent.
      *
-     * @param table where members are looked up
+     * @param table the members of the view
      * @param self this server's own record
-     * @param first an update that goes out in any case
+     * @param first an update to include in any case
      */
     Gossip take(
             MemberTable table, Member self, GossipTerms terms, Optional<MembershipUpdate> first) {
@@ -61,32 +60,33 @@
         List<Member> members = new ArrayList<>();
         first.ifPresent(updates::add);
         for (Item item : leastSentFirst()) {
-            Optional<MemberRecord> known = table.find(item.incarnation);
+            Optional<MemberRecord> found = table.find(item.incarnation);
             boolean isSelf = item.incarnation == self.incarnation();
-            boolean isSecret = known.map(MemberRecord::isLocalOnly).orElse(false);
-            if (isSecret || !isSelf && known.isEmpty()) {
+            boolean isLocalOnly = found.map(MemberRecord::isLocalOnly).orElse(false);
+            if (isLocalOnly || !isSelf && found.isEmpty()) {
                 items.remove(item.incarnation);
                 continue;
             }
-            Member member = isSelf ? self : known.get().member();
-            boolean isNews = !terms.digestsAgree() || member.state() == MemberState.SUSPECT;
-            if (isNews && item.sendWhole) {
+            Member member = isSelf ? self : found.get().member();
+            boolean isNewToRecipient =
+                    !terms.digestsAgree() || member.state() == MemberState.SUSPECT;
+            if (isNewToRecipient && item.sendFullRecord) {
                 if (members.size() == MembershipMessage.MAX_GOSSIP_MEMBERS) {
                     continue;
                 }
                 members.add(member);
-            } else if (isNews) {
+            } else if (isNewToRecipient) {
                 if (updates.size() == MembershipMessage.MAX_GOSSIP_UPDATES) {
                     continue;
                 }
-                updates.add(known.map(MemberRecord::toUpdate).orElseGet(() -> member.toUpdate(0)));
+                updates.add(found.map(MemberRecord::toUpdate).orElseGet(() -> member.toUpdate(0)));
             }
             countAsSent(item, terms);
         }
         return new Gossip(updates, members);
     }
 
-    /** The items in the order in which they were added, or by use if not all fit. */
+    /** The items in insertion order or, if not all fit one message, the least often sent first. */
     private List<Item> leastSentFirst() {
         List<Item> order = new ArrayList<>(items.values());
         if (order.size() > MembershipMessage.MAX_GOSSIP_UPDATES) {
@@ -102,12 +102,15 @@
         }
     }
 
-    /** Its whole state as text; equal texts go on alike. */
+    /** The state as text; buffers with equal texts behave alike. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
         for (Item item : items.values()) {
-            text.append('~').append(item.incarnation).append(item.sendWhole).append(item.timesSent);
+            text.append('~')
+                    .append(item.incarnation)
+                    .append(item.sendFullRecord)
+                    .append(item.timesSent);
         }
         return text.toString();
     }
--- a/src/main/java/ochretiller/fleet/membership/GossipTerms.java
+++ b/src/main/java/ochretiller/fleet/membership/GossipTerms.java
@@ -1,10 +1,10 @@
 package ochretiller.fleet.membership;
 
 /**
- * How much gossip goes with one message.
+ * Selects the gossip for one message.
  *
- * @param transmitLimit how often each item is sent
- * @param digestsAgree whether the recipient has just shown the same digest: then it knows who is
- *     live, and only suspicions are news to it
+ * @param transmitLimit how often each update is sent
+ * @param digestsAgree whether the recipient has just sent an equal digest: then its view has the
+ *     same live members, and only suspicions may be new to it
  */
 record GossipTerms(int transmitLimit, boolean digestsAgree) {}
--- a/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
+++ b/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
@@ -8,8 +8,8 @@
 
 /**
  * Chooses the members that are asked to probe a target that has not answered (the k members of
- * SWIM's ping-req, section 3.1; k = 3). Departure from SWIM: they are drawn from different zones,
- * so that a cut between two zones leaves a way round.
+ * SWIM's ping-req, section 3.1; k = 3). Departure from SWIM: they are chosen from different zones,
+ * so that a network failure between two zones leaves another path.
  */
 final class IndirectProbers {
     private final ProtocolContext context;
@@ -20,7 +20,7 @@
         this.schedule = schedule;
     }
 
-    /** Asks one member of the target's zone, one of this server's, and one of any other. */
+    /** Asks one member of the target's zone, one of this server's zone, and one of another zone. */
     void request(Probe probe) {
         Optional<MemberRecord> target = context.table().find(probe.target());
         if (target.isEmpty() || schedule.isEmpty()) {
@@ -36,7 +36,7 @@
                         zone -> !zone.equals(targetZone) && !zone.equals(ownZone));
         Set<Long> excluded = new HashSet<>(Set.of(probe.target()));
         for (Predicate<String> preferred : zonePreferences) {
-            Optional<Member> helper = draw(preferred, excluded, 2 * zonePreferences.size());
+            Optional<Member> helper = chooseHelper(preferred, excluded, 2 * zonePreferences.size());
             if (helper.isPresent()) {
                 excluded.add(helper.get().incarnation());
                 context.send(
@@ -47,8 +47,8 @@
         }
     }
 
-    /** The first of some drawn members whose zone is preferred, else the first that will do. */
-    private Optional<Member> draw(
+    /** Draws members at random: the first in the preferred zone, or else the first suitable one. */
+    private Optional<Member> chooseHelper(
             Predicate<String> preferredZone, Set<Long> excluded, int attempts) {
         Optional<Member> fallback = Optional.empty();
         for (int attempt = 0; attempt < attempts; attempt++) {
--- a/src/main/java/ochretiller/fleet/membership/LeaveAnnouncer.java
+++ b/src/main/java/ochretiller/fleet/membership/LeaveAnnouncer.java
@@ -2,45 +2,45 @@
 
 import java.util.List;
 
-/** Announces to all live members that this server leaves, several times, against loss. */
+/** Announces to all live members that this server leaves, repeatedly in case packets are lost. */
 final class LeaveAnnouncer {
-    private static final int ANNOUNCEMENTS = 3;
+    private static final int ANNOUNCEMENT_COUNT = 3;
 
     private final ProtocolContext context;
-    private int announcementsLeft;
+    private int remainingAnnouncements;
 
     LeaveAnnouncer(ProtocolContext context) {
         this.context = context;
     }
 
-    /** Leaves; does nothing if this server has left already. */
+    /** Marks this server as left and announces it; does nothing if it has left already. */
     void leave() {
         if (context.hasLeft()) {
             return;
         }
         context.updateSelf(MemberState.LEFT, context.self().stateVersion() + 1);
         context.gossip().add(context.self().incarnation(), false);
-        announcementsLeft = ANNOUNCEMENTS;
+        remainingAnnouncements = ANNOUNCEMENT_COUNT;
         announceAgain();
     }
 
-    /** Announces it once more, if it has not been announced often enough; once a tick. */
+    /** Repeats the announcement until it has been sent often enough; called once per tick. */
     void announceAgain() {
-        if (announcementsLeft == 0) {
+        if (remainingAnnouncements == 0) {
             return;
         }
-        announcementsLeft--;
+        remainingAnnouncements--;
         MembershipMessage announcement =
                 new MembershipMessage.UpdatePage(List.of(context.self().toUpdate(0)));
-        for (MemberRecord known : context.table().all()) {
-            if (known.isLive()) {
-                context.send(known.member().address(), announcement);
+        for (MemberRecord record : context.table().all()) {
+            if (record.isLive()) {
+                context.send(record.member().address(), announcement);
             }
         }
     }
 
-    /** Appends all that decides how it goes on. */
+    /** Appends the state as text. */
     void describe(StringBuilder text) {
-        text.append(" l").append(announcementsLeft);
+        text.append(" l").append(remainingAnnouncements);
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/Member.java
+++ b/src/main/java/ochretiller/fleet/membership/Member.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * A member's record, as it describes itself and as it is sent between servers.
+ * A member's record, which the member describes itself and servers exchange.
  *
- * @param address where its peers reach it
+ * @param address the address for messages from other members
  * @param zone the failure domain that it shares with others
- * @param build the program that it runs
- * @param serviceAddress where it serves callers, if it does
- * @param stateVersion SWIM's incarnation number: raised each time the member itself answers what is
- *     said of it, and by the member only
+ * @param build the build of the program that it runs
+ * @param serviceAddress the address at which it serves callers; empty if it serves none
+ * @param stateVersion SWIM's incarnation number; only the member itself raises it, whenever it
+ *     changes its state or refutes an accusation
  */
 public record Member(
         MemberId id,
@@ -21,37 +21,37 @@
         Optional<PeerAddress> serviceAddress,
         long stateVersion,
         MemberState state) {
-    /** Longest name, zone or build in characters. */
+    /** Maximum length of a name, zone or build, in characters. */
     public static final int MAX_TEXT_LENGTH = 64;
 
     /**
-     * Guards against a peer that sends what no member can be.
+     * Validates the record, since a peer may send anything.
      *
-     * @throws IllegalArgumentException if a text is too long or a number out of bounds
+     * @throws IllegalArgumentException if the name is empty, a text too long or a number invalid
      */
     public Member {
         requireText("name", id.name());
         requireText("zone", zone);
         requireText("build", build);
         if (id.name().isEmpty()) {
-            throw new IllegalArgumentException("a member without a name");
+            throw new IllegalArgumentException("member name is empty");
         }
         Objects.requireNonNull(address);
         Objects.requireNonNull(serviceAddress);
         Objects.requireNonNull(state);
         if (stateVersion < 0 || id.incarnation() == 0) {
             throw new IllegalArgumentException(
-                    "out of bounds: state version "
+                    "state version must not be negative, and incarnation not 0: "
                             + stateVersion
-                            + ", incarnation "
+                            + ", "
                             + id.incarnation());
         }
     }
 
-    private static void requireText(String what, String text) {
+    private static void requireText(String component, String text) {
         if (text.length() > MAX_TEXT_LENGTH) {
             throw new IllegalArgumentException(
-                    what + " has " + text.length() + " of at most " + MAX_TEXT_LENGTH);
+                    component + " has " + text.length() + " characters, limit " + MAX_TEXT_LENGTH);
         }
     }
 
@@ -65,7 +65,7 @@
         return new Member(id, address, zone, build, serviceAddress, nextStateVersion, nextState);
     }
 
-    /** What is said of it to those who have its record. */
+    /** The update to send to servers that have its record. */
     MembershipUpdate toUpdate(long accuser) {
         return new MembershipUpdate(incarnation(), stateVersion, state, accuser);
     }
--- a/src/main/java/ochretiller/fleet/membership/MemberId.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberId.java
@@ -1,16 +1,16 @@
 package ochretiller.fleet.membership;
 
 /**
- * One process of one server. A server that is started again keeps its name and gets another
- * incarnation, so that what is said of the old process never meets the new one.
+ * Identifies one process of one server. A restarted server keeps its name but has a new
+ * incarnation, so that updates of the old process never apply to the new one.
  *
- * @param name as configured
- * @param incarnation drawn at random when the process starts, and never 0: a clock that was set
- *     back could give an old number again. Not SWIM's incarnation number; see {@link
+ * @param name the configured name
+ * @param incarnation a random number, never 0, drawn when the process starts; a timestamp could
+ *     repeat after a clock is set back. Not SWIM's incarnation number; see {@link
  *     Member#stateVersion}
  */
 public record MemberId(String name, long incarnation) {
-    /** For log lines. */
+    /** Name and hexadecimal incarnation, for log lines. */
     @Override
     public String toString() {
         return name + '/' + Long.toHexString(incarnation);
--- a/src/main/java/ochretiller/fleet/membership/MemberRecord.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberRecord.java
@@ -5,19 +5,18 @@
 import java.util.Set;
 
 /**
- * One member in the {@link MemberTable}: what it says of itself, and what this server thinks of it
- * beside that.
+ * One member in the {@link MemberTable}: its own record and this server's suspicions against it.
  */
 final class MemberRecord {
-    /** Accusers are counted up to one more than the confirmations that a suspicion needs. */
+    /** The first accuser and as many others as a suspicion needs confirmations. */
     private static final int MAX_ACCUSERS = ProtocolTiming.MAX_CONFIRMATIONS + 1;
 
     private Member member;
     private Duration stateSince;
     private final Set<Long> accusers = new LinkedHashSet<>();
-    private boolean ownProbeFailed;
+    private boolean probeFailed;
     private boolean localOnly;
-    private boolean condemnedByPeer;
+    private boolean reportedUnresponsive;
 
     MemberRecord(Member member, Duration stateSince) {
         this.member = member;
@@ -52,12 +51,12 @@
         return member.state() == MemberState.UNRESPONSIVE;
     }
 
-    /** Since when it is in its state, on the awake clock. */
+    /** When it entered its state or its suspicion started anew, on the {@link AwakeClock}. */
     Duration stateSince() {
         return stateSince;
     }
 
-    /** Takes another state or state version; called by {@link MemberTable} only. */
+    /** Replaces the member; called by {@link MemberTable} only, which updates its digests. */
     void update(Member next, Duration now) {
         if (member.state() != next.state()) {
             stateSince = now;
@@ -65,43 +64,43 @@
         member = next;
     }
 
-    /** Begins a suspicion, with nobody's accusation yet. */
+    /** Starts a suspicion without accusers, dropping those of an earlier one. */
     void startSuspicion(Duration now, boolean keepLocal) {
         stateSince = now;
         accusers.clear();
-        ownProbeFailed = false;
-        condemnedByPeer = false;
+        probeFailed = false;
+        reportedUnresponsive = false;
         localOnly = keepLocal;
     }
 
-    /** Drops all that was held against it. */
+    /** Clears the suspicion and its accusers, since the member is alive. */
     void clearSuspicion() {
         accusers.clear();
-        ownProbeFailed = false;
+        probeFailed = false;
         localOnly = false;
-        condemnedByPeer = false;
+        reportedUnresponsive = false;
     }
 
-    /** A suspicion has run out; whether it is known here only stays as it is. */
+    /** Ends a suspicion that has timed out; {@link #isLocalOnly} does not change. */
     void endSuspicion() {
-        ownProbeFailed = false;
-        condemnedByPeer = false;
+        probeFailed = false;
+        reportedUnresponsive = false;
     }
 
     /**
-     * Members that it did not answer while it is suspect, the latest last; 0 stands for a verdict
-     * whose author is not known.
+     * Incarnations of the members that have accused it in this suspicion, the latest last; 0 for
+     * an accuser that is not known.
      */
     Set<Long> accusers() {
         return accusers;
     }
 
-    /** Adds an accuser; returns whether this made a difference to the suspicion. */
+    /** Adds an accuser; returns false if it is known already or there are enough. */
     boolean addAccuser(long incarnation) {
         return accusers.size() < MAX_ACCUSERS && accusers.add(incarnation);
     }
 
-    /** The latest accuser, or 0. */
+    /** The latest accuser, or 0 if there is none. */
     private long lastAccuser() {
         long last = 0;
         for (long accuser : accusers) {
@@ -110,46 +109,46 @@
         return last;
     }
 
-    /** Whether this server's own probe failed: it goes on probing the suspect then. */
+    /** Whether this server's own probe failed, so that it keeps probing the suspect. */
     boolean ownProbeFailed() {
-        return ownProbeFailed;
+        return probeFailed;
     }
 
     void markOwnProbeFailed() {
-        ownProbeFailed = true;
+        probeFailed = true;
     }
 
     /**
-     * Whether its present state is this server's own opinion that others are not told: a server
-     * that hears nobody keeps its verdicts to itself.
+     * Whether the state is not gossiped to others, because this server receives no packets or has
+     * yet to check another member's report.
      */
     boolean isLocalOnly() {
         return localOnly;
     }
 
-    /** From now on others are told of its state. */
+    /** Allows the state to be gossiped to others. */
     void publish() {
         localOnly = false;
     }
 
-    /** Whether others call it unresponsive already: it gets the shortest suspicion timeout. */
+    /** Whether a peer reported it unresponsive, so that the shortest suspicion timeout applies. */
     boolean isCondemnedByPeer() {
-        return condemnedByPeer;
+        return reportedUnresponsive;
     }
 
     void markCondemnedByPeer() {
-        condemnedByPeer = true;
+        reportedUnresponsive = true;
     }
 
     /**
-     * Whether the member's own word, by its state version, overrides what is held against it here.
-     * Against an opinion that others were never told an equal version suffices.
+     * Whether a state version reported by the member itself refutes its state in this view. An
+     * equal version suffices if the state was never gossiped, as the member cannot know of it.
      */
     boolean isRefutedBy(long version) {
         return version > stateVersion() || localOnly && version == stateVersion();
     }
 
-    /** What others are told of it. */
+    /** The update to gossip, with the latest accuser of a suspect. */
     MembershipUpdate toUpdate() {
         return member.toUpdate(isSuspect() ? lastAccuser() : 0);
     }
--- a/src/main/java/ochretiller/fleet/membership/MemberSnapshot.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberSnapshot.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * A member as one server sees it at one moment.
+ * A member in one server's view at one moment.
  *
- * @param timeInState how long it has been in its state, pauses of this server left out
- * @param isSelf whether it is the server whose view this is
+ * @param timeInState how long it has been in its state, excluding pauses of this server
+ * @param isSelf whether the member is the server that owns the view
  */
 public record MemberSnapshot(Member member, Duration timeInState, boolean isSelf) {}
--- a/src/main/java/ochretiller/fleet/membership/MemberState.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberState.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 
 /**
- * What a server thinks of a member (SWIM, section 4.2, with states of their own for those that join
- * and that leave). At one state version a later constant overrides an earlier one; {@link
- * UpdateMerger} has the rule.
+ * The state of a member in a server's view (SWIM, section 4.2, with additional states for members
+ * that join and leave). At equal state versions a later constant overrides an earlier one; {@link
+ * UpdateMerger} implements the rule and its exceptions.
  */
 public enum MemberState {
-    /** Alive, without a view of its own yet. */
+    /** Alive, but without a view of the fleet yet. */
     JOINING("JOINING"),
     /** Alive and part of the fleet. */
     ALIVE("HERE"),
-    /** It did not answer somebody, and has some time to refute that. */
+    /** It did not answer a probe and may still refute the suspicion. */
     SUSPECT("SUSPECT"),
-    /** It answers nobody: its process is dead or paused, or it is cut off. */
+    /** Its suspicion has timed out: it has crashed, is paused or is unreachable. */
     UNRESPONSIVE("SILENT"),
-    /** It has announced that it leaves; final for its incarnation. */
+    /** It has announced its leave; final for its incarnation. */
     LEFT("LEFT");
 
     private final String externalName;
@@ -25,17 +25,17 @@
         this.externalName = externalName;
     }
 
-    /** The word for it in JSON and log lines, whatever the constant is called. */
+    /** The name of the state in JSON and log lines. */
     public String externalName() {
         return externalName;
     }
 
-    /** The same in lower case, as in names of metrics. */
+    /** The external name in lower case, for names of metrics. */
     public String lowerCaseName() {
         return externalName.toLowerCase(Locale.ROOT);
     }
 
-    /** Whether it is probed and counted as one that is there; a suspect is. */
+    /** Whether the member is probed and counted as present; a suspect is. */
     public boolean isLive() {
         return this == JOINING || this == ALIVE || this == SUSPECT;
     }
--- a/src/main/java/ochretiller/fleet/membership/MemberTable.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberTable.java
@@ -13,26 +13,24 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * All members that this server knows, itself excluded, with digests of those that are live.
+ * All members known to this server, itself excluded, with digests of the live ones.
  *
- * <p>Two views are compared by digests: a digest is the exclusive or of one hash for each live
- * member, so it is maintained with each change and does not depend on order. The members fall into
- * {@link MembershipMessage#DIGEST_BUCKETS} buckets by the hash of their incarnation, each with a
- * digest of its own, so that only buckets that differ need to be sent. The hash is XXH3 (64 bits,
- * seed 0) and part of the wire format (docs/fleet-wire.md).
+ * <p>Two views are compared by their digests. A digest is the exclusive or of one hash per live
+ * member, so it is updated incrementally and does not depend on order. Members are divided into
+ * {@link MembershipMessage#DIGEST_BUCKETS} buckets by the hash of their incarnation; each bucket
+ * has a digest, so that only buckets that differ need to be sent. The hash is XXH3 (64 bits, seed
+ * 0) and part of the wire format (docs/fleet-wire.md).
  */
 final class MemberTable {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    /**
-     * By incarnation: the order of the map decides the order of probes before they are shuffled.
-     */
+    /** Sorted by incarnation, so that probe rounds start from a deterministic order. */
     private final Map<Long, MemberRecord> byIncarnation = new TreeMap<>();
 
     private final Set<MemberRecord> suspects = new LinkedHashSet<>();
     private final Set<MemberRecord> unresponsive = new LinkedHashSet<>();
 
-    /** Unresponsive members and those that left, the longest departed first. */
+    /** Members that are unresponsive or have left; the first has been departed the longest. */
     private final Set<MemberRecord> departed = new LinkedHashSet<>();
 
     private final long[] bucketDigests = new long[MembershipMessage.DIGEST_BUCKETS];
@@ -45,8 +43,8 @@
     }
 
     /**
-     * The hash by which a member counts in a digest; 0 if it is not live. A suspect counts like a
-     * member that is alive, so that views differ by membership alone and not by passing doubts.
+     * The hash of a member in the digests; 0 if it is not live. A suspect has the same hash as an
+     * alive member, so that temporary suspicions do not make views differ.
      */
     private static long digestTerm(Member member) {
         if (!member.state().isLive()) {
@@ -56,16 +54,15 @@
         return HASH.hashLongs(new long[] {member.incarnation(), member.stateVersion(), joining});
     }
 
-    /** The record of an incarnation, if it is known. */
     Optional<MemberRecord> find(long incarnation) {
         return Optional.ofNullable(byIncarnation.get(incarnation));
     }
 
-    /** The live member with this name; of several the one with the lowest incarnation. */
+    /** The live member with this name; if there are several, the lowest incarnation. */
     Optional<MemberRecord> findLive(String name) {
-        for (MemberRecord known : byIncarnation.values()) {
-            if (known.isLive() && known.member().id().name().equals(name)) {
-                return Optional.of(known);
+        for (MemberRecord record : byIncarnation.values()) {
+            if (record.isLive() && record.member().id().name().equals(name)) {
+                return Optional.of(record);
             }
         }
         return Optional.empty();
@@ -73,9 +70,9 @@
 
     /** Whether a live member serves callers at this address. */
     boolean anyLiveServesAt(PeerAddress address) {
-        Optional<PeerAddress> wanted = Optional.of(address);
-        for (MemberRecord known : byIncarnation.values()) {
-            if (known.isLive() && known.member().serviceAddress().equals(wanted)) {
+        Optional<PeerAddress> expected = Optional.of(address);
+        for (MemberRecord record : byIncarnation.values()) {
+            if (record.isLive() && record.member().serviceAddress().equals(expected)) {
                 return true;
             }
         }
@@ -86,7 +83,7 @@
         return byIncarnation.containsKey(incarnation);
     }
 
-    /** Adds a member that is not known yet. */
+    /** Adds a member; its incarnation must not be in the table yet. */
     MemberRecord add(Member member, Duration now) {
         MemberRecord added = new MemberRecord(member, now);
         byIncarnation.put(member.incarnation(), added);
@@ -95,26 +92,26 @@
         return added;
     }
 
-    /** Replaces what a known member says of itself, or its state. */
-    void update(MemberRecord known, Member next, Duration now) {
-        excludeFromDigests(known.member());
-        known.update(next, now);
+    /** Replaces the member of a record and updates digests and indexes. */
+    void update(MemberRecord record, Member next, Duration now) {
+        excludeFromDigests(record.member());
+        record.update(next, now);
         includeInDigests(next);
-        updateIndexes(known);
+        updateIndexes(record);
     }
 
-    /** Removes a member; does nothing if it is not there. */
-    void remove(MemberRecord known) {
-        if (byIncarnation.remove(known.incarnation()) == null) {
+    /** Removes a member; does nothing if it is not in the table. */
+    void remove(MemberRecord record) {
+        if (byIncarnation.remove(record.incarnation()) == null) {
             return;
         }
-        excludeFromDigests(known.member());
-        suspects.remove(known);
-        unresponsive.remove(known);
-        departed.remove(known);
+        excludeFromDigests(record.member());
+        suspects.remove(record);
+        unresponsive.remove(record);
+        departed.remove(record);
     }
 
-    /** Makes room for a newcomer; returns false if no member is departed. */
+    /** Removes the member that departed first; returns false if none has departed. */
     boolean removeLongestDeparted() {
         Iterator<MemberRecord> oldestFirst = departed.iterator();
         if (!oldestFirst.hasNext()) {
@@ -124,12 +121,12 @@
         return true;
     }
 
-    /** Digest of the whole view, the record of this server itself included. */
+    /** Digest of the whole view, this server included. */
     long digest(Member self) {
         return digest ^ digestTerm(self);
     }
 
-    /** Digests of the buckets, the record of this server itself included. */
+    /** Digests of all buckets in order, this server included. */
     List<Long> bucketDigests(Member self) {
         List<Long> digests = new ArrayList<>(bucketDigests.length);
         for (long each : bucketDigests) {
@@ -140,17 +137,17 @@
         return digests;
     }
 
-    /** Other members that are live. */
+    /** The number of live members, this server excluded. */
     int liveCount() {
         return liveCount;
     }
 
-    /** All other members, departed ones included. */
+    /** The number of members, departed ones included, this server excluded. */
     int size() {
         return byIncarnation.size();
     }
 
-    /** All records by ascending incarnation. */
+    /** A view of all records by ascending incarnation. */
     Collection<MemberRecord> all() {
         return byIncarnation.values();
     }
@@ -167,28 +164,28 @@
         return departed;
     }
 
-    /** All members with how long they have been in their states; a list of the caller's own. */
+    /** Snapshots of all members, in a new list that the caller may modify. */
     List<MemberSnapshot> snapshots(AwakeClock clock) {
         List<MemberSnapshot> all = new ArrayList<>();
-        for (MemberRecord known : byIncarnation.values()) {
-            Duration timeInState = clock.now().minus(known.stateSince());
-            all.add(new MemberSnapshot(known.member(), timeInState, false));
+        for (MemberRecord record : byIncarnation.values()) {
+            Duration timeInState = clock.now().minus(record.stateSince());
+            all.add(new MemberSnapshot(record.member(), timeInState, false));
         }
         return all;
     }
 
-    /** Appends all members with what is thought of them, with times relative to now. */
+    /** Appends the state of all members as text, with times relative to now. */
     void describe(StringBuilder text, AwakeClock clock) {
-        for (MemberRecord known : byIncarnation.values()) {
-            text.append('|').append(known.incarnation());
-            text.append(known.state()).append(known.stateVersion());
-            if (known.isSuspect()) {
-                text.append(known.accusers())
-                        .append(clock.nanosSince(known.stateSince()))
-                        .append(known.ownProbeFailed())
-                        .append(known.isCondemnedByPeer());
+        for (MemberRecord record : byIncarnation.values()) {
+            text.append('|').append(record.incarnation());
+            text.append(record.state()).append(record.stateVersion());
+            if (record.isSuspect()) {
+                text.append(record.accusers())
+                        .append(clock.nanosSince(record.stateSince()))
+                        .append(record.ownProbeFailed())
+                        .append(record.isCondemnedByPeer());
             }
-            if (known.isLocalOnly()) {
+            if (record.isLocalOnly()) {
                 text.append('u');
             }
         }
@@ -214,17 +211,18 @@
         digest ^= term;
     }
 
-    private void updateIndexes(MemberRecord known) {
-        setContained(suspects, known, known.isSuspect());
-        setContained(unresponsive, known, known.isUnresponsive());
-        setContained(departed, known, !known.isLive());
+    private void updateIndexes(MemberRecord record) {
+        setContained(suspects, record, record.isSuspect());
+        setContained(unresponsive, record, record.isUnresponsive());
+        setContained(departed, record, !record.isLive());
     }
 
-    private static void setContained(Set<MemberRecord> set, MemberRecord known, boolean contained) {
+    private static void setContained(
+            Set<MemberRecord> set, MemberRecord record, boolean contained) {
         if (contained) {
-            set.add(known);
+            set.add(record);
         } else {
-            set.remove(known);
+            set.remove(record);
         }
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/MemberTransitions.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberTransitions.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Carries out changes of members' states: alive, suspect, unresponsive, left, forgotten (SWIM,
- * section 4.2). Each change updates the table, the round of probes, the gossip and the counters,
- * and is reported. Whether a change is due is decided by the callers.
+ * Applies state changes of members: alive, suspect, unresponsive, left, forgotten (SWIM, section
+ * 4.2). Each change updates the table, the probe schedule, the gossip and the counters and is
+ * reported. The callers decide whether a change is due.
  */
 final class MemberTransitions {
     private final ProtocolContext context;
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Adds a member that is not known yet.
+     * Adds a member that is not in the table yet.
      *
-     * @param announce whether others are told of it
-     * @return its record; empty if the table is full
+     * @param announce whether it is gossiped to others
+     * @return its record; empty if the table is full of live members
      */
     Optional<MemberRecord> add(Member member, boolean announce) {
         MemberTable table = context.table();
@@ -43,93 +43,93 @@
         if (announce) {
             context.gossip().add(member.incarnation(), true);
         }
-        // It may be a previous incarnation of this server, or another process that bears its name:
-        // only its own answer tells.
+        // It may be a previous incarnation of this server or another process with the same name:
+        // a ping tells which.
         if (member.id().name().equals(context.self().id().name()) && added.isLive()) {
             verifier.enqueue(member);
         }
         return Optional.of(added);
     }
 
-    /** The member has shown that it is alive; drops all suspicion. */
-    void markAlive(MemberRecord known, MemberState state, long stateVersion) {
-        boolean returned = !known.isLive();
-        changeState(known, state, stateVersion);
-        known.clearSuspicion();
+    /** Marks a member as alive and clears any suspicion. */
+    void markAlive(MemberRecord record, MemberState state, long stateVersion) {
+        boolean returned = !record.isLive();
+        changeState(record, state, stateVersion);
+        record.clearSuspicion();
         if (returned) {
             context.counters().increment(MembershipCounter.RETURNED);
-            schedule.insertNext(known.incarnation());
+            schedule.insertNext(record.incarnation());
         }
-        context.gossip().add(known.incarnation(), returned);
+        context.gossip().add(record.incarnation(), returned);
     }
 
     /**
-     * Someone accuses the member of not answering.
+     * Records an accusation that a member does not answer, and makes it suspect if it is not.
      *
-     * @param stateVersion of the member that the accuser knows
-     * @param accuser its incarnation, or 0 if it is not known
-     * @param keepLocal whether a new suspicion is kept from others for now
+     * @param stateVersion the member's state version as known to the accuser
+     * @param accuser the accuser's incarnation, or 0 if it is not known
+     * @param keepLocal whether a new suspicion is not gossiped to others for now
      */
-    void suspect(MemberRecord known, long stateVersion, long accuser, boolean keepLocal) {
-        if (!known.isSuspect() || stateVersion > known.stateVersion()) {
-            startSuspicion(known, stateVersion, keepLocal);
+    void suspect(MemberRecord record, long stateVersion, long accuser, boolean keepLocal) {
+        if (!record.isSuspect() || stateVersion > record.stateVersion()) {
+            startSuspicion(record, stateVersion, keepLocal);
         }
-        boolean isNewAccuser = known.addAccuser(accuser);
-        boolean becomesPublic = known.isLocalOnly() && !keepLocal;
+        boolean isNewAccuser = record.addAccuser(accuser);
+        boolean becomesPublic = record.isLocalOnly() && !keepLocal;
         if (becomesPublic) {
-            known.publish();
+            record.publish();
         }
-        if (!known.isLocalOnly() && (isNewAccuser || becomesPublic)) {
-            context.gossip().add(known.incarnation(), false);
+        if (!record.isLocalOnly() && (isNewAccuser || becomesPublic)) {
+            context.gossip().add(record.incarnation(), false);
         }
     }
 
-    private void startSuspicion(MemberRecord known, long stateVersion, boolean keepLocal) {
-        boolean wasUnresponsive = known.isUnresponsive();
+    private void startSuspicion(MemberRecord record, long stateVersion, boolean keepLocal) {
+        boolean wasUnresponsive = record.isUnresponsive();
         context.counters().increment(MembershipCounter.SUSPICIONS);
-        changeState(known, MemberState.SUSPECT, stateVersion);
-        known.startSuspicion(context.clock().now(), keepLocal);
+        changeState(record, MemberState.SUSPECT, stateVersion);
+        record.startSuspicion(context.clock().now(), keepLocal);
         if (wasUnresponsive) {
-            schedule.insertNext(known.incarnation());
+            schedule.insertNext(record.incarnation());
         }
     }
 
-    /** The suspicion has run out, or another process answers in the member's place. */
-    void markUnresponsive(MemberRecord known) {
+    /** Marks a member as unresponsive: its suspicion timed out, or its address was taken over. */
+    void markUnresponsive(MemberRecord record) {
         context.counters().increment(MembershipCounter.BECAME_UNRESPONSIVE);
-        changeState(known, MemberState.UNRESPONSIVE, known.stateVersion());
-        known.endSuspicion();
-        if (!known.isLocalOnly()) {
-            context.gossip().add(known.incarnation(), false);
+        changeState(record, MemberState.UNRESPONSIVE, record.stateVersion());
+        record.endSuspicion();
+        if (!record.isLocalOnly()) {
+            context.gossip().add(record.incarnation(), false);
         }
     }
 
-    /** The member has announced that it leaves; final for its incarnation. */
-    void markLeft(MemberRecord known, long stateVersion) {
+    /** Marks a member that announced its leave; final for its incarnation. */
+    void markLeft(MemberRecord record, long stateVersion) {
         context.counters().increment(MembershipCounter.LEFT);
-        changeState(known, MemberState.LEFT, Math.max(stateVersion, known.stateVersion()));
-        known.publish();
-        context.gossip().add(known.incarnation(), false);
+        changeState(record, MemberState.LEFT, Math.max(stateVersion, record.stateVersion()));
+        record.publish();
+        context.gossip().add(record.incarnation(), false);
     }
 
-    /** Takes another state or state version, and reports a change of state. */
-    void changeState(MemberRecord known, MemberState state, long stateVersion) {
-        MemberState previous = known.state();
-        Member next = known.member().withState(state, stateVersion);
-        context.table().update(known, next, context.clock().now());
+    /** Sets the state and state version of a member; reports it if the state differs. */
+    void changeState(MemberRecord record, MemberState state, long stateVersion) {
+        MemberState previous = record.state();
+        Member next = record.member().withState(state, stateVersion);
+        context.table().update(record, next, context.clock().now());
         if (previous != state) {
             context.report(new MembershipChange.StateChanged(next, Optional.of(previous)));
         }
     }
 
-    /** Forgets departed members that have been gone for long, or that are too many. */
+    /** Removes departed members that are past their retention time or exceed the limit. */
     void forgetDeparted() {
         MemberTable table = context.table();
         ProtocolTiming timing = context.timing();
         Set<MemberRecord> forgotten = new LinkedHashSet<>();
-        for (MemberRecord known : table.departed()) {
-            if (context.clock().hasElapsed(known.stateSince(), timing.departedRetention())) {
-                forgotten.add(known);
+        for (MemberRecord record : table.departed()) {
+            if (context.clock().hasElapsed(record.stateSince(), timing.departedRetention())) {
+                forgotten.add(record);
             }
         }
         int excess = table.departed().size() - forgotten.size() - timing.maxDeparted();
@@ -139,9 +139,9 @@
                 excess--;
             }
         }
-        for (MemberRecord known : forgotten) {
-            table.remove(known);
-            context.report(new MembershipChange.Forgotten(known.member()));
+        for (MemberRecord record : forgotten) {
+            table.remove(record);
+            context.report(new MembershipChange.Forgotten(record.member()));
         }
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/MembershipChange.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipChange.java
@@ -2,37 +2,35 @@
 
 import java.util.Optional;
 
-/**
- * Something that happened to the view, for the operators and for parts of the server that use it.
- */
+/** An event in the view, for log lines and for components of the server that use the view. */
 public sealed interface MembershipChange {
-    /** The member that it is about; this server itself for some. */
+    /** The member concerned; this server itself for some changes. */
     Member member();
 
     /**
-     * A member is seen in another state.
+     * A member is new or has changed its state.
      *
-     * @param member as it is now
-     * @param previousState empty if it was not known before
+     * @param member the member in its new state
+     * @param previousState empty if the member is new
      */
     record StateChanged(Member member, Optional<MemberState> previousState)
             implements MembershipChange {
-        /** Whether the member became live or ceased to be, or is new. */
+        /** Whether the member is new, became live or ceased to be live. */
         public boolean changesLiveness() {
             boolean isLive = member.state().isLive();
             return previousState.map(previous -> previous.isLive() != isLive).orElse(true);
         }
     }
 
-    /** Another live process bears this server's name or uses its address. */
+    /** Another live process has this server's name or address. */
     record DuplicateName(Member member) implements MembershipChange {}
 
-    /** This server was accused of not answering and has refuted it. */
+    /** This server has refuted an accusation that it does not answer. */
     record SuspicionRefuted(Member member) implements MembershipChange {}
 
-    /** This server has got its first view, or goes on alone. */
+    /** This server has received its first view, or has joined alone. */
     record Joined(Member member) implements MembershipChange {}
 
-    /** A departed member is no longer remembered. */
+    /** A departed member was removed from the view. */
     record Forgotten(Member member) implements MembershipChange {}
 }
--- a/src/main/java/ochretiller/fleet/membership/MembershipCounter.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipCounter.java
@@ -1,35 +1,35 @@
 package ochretiller.fleet.membership;
 
-/** What {@link MembershipCounters} count since the start of the process. */
+/** The events that {@link MembershipCounters} count. */
 public enum MembershipCounter {
-    /** Members probed in the round. */
+    /** Probes of the round; further probes of suspects are not counted. */
     PROBES,
-    /** Scheduled probes that were answered neither directly nor through others. */
+    /** Scheduled probes that were answered neither directly nor indirectly. */
     FAILED_PROBES,
-    /** Scheduled probes for which other members were asked to probe. */
+    /** Scheduled probes for which indirect probes were requested. */
     INDIRECT_PROBES,
-    /** Times that a member became suspect, or was accused anew. */
+    /** Times that a suspicion started, also of a suspect with a new state version. */
     SUSPICIONS,
-    /** Times that this server refuted an accusation. */
+    /** Accusations that this server refuted. */
     REFUTATIONS,
-    /** Times that a member was taken for unresponsive. */
+    /** Times that a member became unresponsive. */
     BECAME_UNRESPONSIVE,
-    /** Times that an unresponsive member came back. */
+    /** Times that an unresponsive member became alive again. */
     RETURNED,
     /** Members added to the view. */
     JOINED,
-    /** Members that announced that they leave. */
+    /** Members that announced their leave. */
     LEFT,
-    /** Comparisons of views that this server began. */
+    /** Comparisons of views started by this server. */
     SYNCS,
-    /** Comparisons that it refused to answer, for their number or their form. */
+    /** Comparisons not answered because there were too many or they were malformed. */
     SYNCS_REJECTED,
-    /** Updates of live members that are not in the view. */
+    /** Updates of live members that are not in this view. */
     UNKNOWN_MEMBERS,
-    /** Newcomers and verifications for which there was no room. */
+    /** New members and verifications rejected because the table or queue was full. */
     CAPACITY_REJECTIONS,
-    /** Other processes found with this server's name or address. */
+    /** Reports of other processes with this server's name or address. */
     DUPLICATE_NAMES,
-    /** Ticks that came late, a sign of an overloaded or paused process. */
+    /** Ticks that were late, a sign of an overloaded or paused process. */
     LATE_TICKS
 }
--- a/src/main/java/ochretiller/fleet/membership/MembershipCounters.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipCounters.java
@@ -1,15 +1,15 @@
 package ochretiller.fleet.membership;
 
 /**
- * Counts of what happened since the start. Written by the thread that owns the protocol; another
- * thread may read them and see them a little late.
+ * Counts of protocol events since the start of the process. Written by the thread that owns the
+ * protocol without synchronization; other threads may read slightly outdated values.
  */
 public final class MembershipCounters {
     private final long[] counts = new long[MembershipCounter.values().length];
 
     MembershipCounters() {}
 
-    /** The present count. */
+    /** The current count. */
     public long get(MembershipCounter counter) {
         return counts[counter.ordinal()];
     }
--- a/src/main/java/ochretiller/fleet/membership/MembershipMessage.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipMessage.java
@@ -3,81 +3,81 @@
 import java.util.List;
 
 /**
- * What members send one another. The sender's own record goes with each message in a {@link
- * MembershipPacket}. The bytes are described in docs/fleet-wire.md.
+ * Messages between members. Each is sent in a {@link MembershipPacket}, which adds the sender's own
+ * record. The encoding is described in docs/fleet-wire.md.
  */
 public sealed interface MembershipMessage {
-    /** Updates that ride on one message at most, so that it fits a datagram of 1,400 bytes. */
+    /** Maximum updates in a {@link Gossip}, so that a message fits a datagram of 1,400 bytes. */
     int MAX_GOSSIP_UPDATES = 48;
 
-    /** Whole records that ride on one message at most, for the same reason. */
+    /** Maximum full records in a {@link Gossip}, for the same reason. */
     int MAX_GOSSIP_MEMBERS = 4;
 
-    /** Updates in an {@link UpdatePage} at most. */
+    /** Maximum updates in an {@link UpdatePage}. */
     int MAX_PAGE_UPDATES = 60;
 
-    /** Records in a {@link MemberPage} at most. */
+    /** Maximum records in a {@link MemberPage}. */
     int MAX_PAGE_MEMBERS = 10;
 
-    /** Buckets into which a view is divided to find what differs. */
+    /** Buckets into which a view is divided to locate differences. */
     int DIGEST_BUCKETS = 64;
 
     /**
      * Asks for an {@link Ack} (SWIM's ping).
      *
-     * @param nonce returned with the answer
-     * @param target the incarnation that is asked; 0 for whoever is at the address
-     * @param digest of the sender's whole view
+     * @param nonce echoed in the answer
+     * @param target the probed incarnation; 0 for any process at the address
+     * @param digest the digest of the sender's view
      */
     record Ping(long nonce, long target, Gossip gossip, long digest) implements MembershipMessage {}
 
     /**
-     * Answers a {@link Ping}, by whoever received it.
+     * Answers a {@link Ping}, even one whose target is another incarnation.
      *
-     * @param nonce of the ping
-     * @param digest of the sender's whole view
+     * @param nonce the nonce of the ping
+     * @param digest the digest of the sender's view
      */
     record Ack(long nonce, Gossip gossip, long digest) implements MembershipMessage {}
 
     /**
      * Asks the recipient to ping another member for the sender (SWIM's ping-req).
      *
-     * @param nonce returned with the answer
+     * @param nonce echoed in the answer
      * @param target the incarnation to ping
-     * @param address where the target is reached
+     * @param address the address of the target
      */
     record PingRequest(long nonce, long target, PeerAddress address) implements MembershipMessage {}
 
     /**
      * Reports that the target of a {@link PingRequest} has answered the sender.
      *
-     * @param nonce of the request
-     * @param target what the target says of itself
+     * @param nonce the nonce of the request
+     * @param target the target's own state and state version
      */
     record IndirectAck(long nonce, MembershipUpdate target) implements MembershipMessage {}
 
     /**
-     * Compares views; answered by {@link UpdatePage}s of the buckets that differ.
+     * Starts a comparison of views; answered by {@link UpdatePage}s for the buckets that differ.
      *
-     * @param digests one for each bucket
-     * @param reciprocal whether the recipient is to compare in the same way
+     * @param digests one digest per bucket
+     * @param reciprocal whether the recipient, if its view differs, also starts a comparison
      */
     record DigestSync(List<Long> digests, boolean reciprocal) implements MembershipMessage {}
 
-    /** Updates that nobody else carries: the answer to a comparison, or that a member leaves. */
+    /** Updates sent without a ping: the answer to a comparison, or an announcement of a leave. */
     record UpdatePage(List<MembershipUpdate> updates) implements MembershipMessage {}
 
-    /** Requests the records of members that the sender does not know. */
+    /** Requests the full records of members that the sender does not know. */
     record MemberRequest(List<Long> incarnations) implements MembershipMessage {}
 
-    /** The records that a {@link MemberRequest} asks for. */
+    /** Full records that answer a {@link MemberRequest}. */
     record MemberPage(List<Member> members) implements MembershipMessage {}
 
     /**
-     * News of members that rides on a message (SWIM's piggybacked dissemination).
+     * Updates piggybacked on a message (SWIM's dissemination).
      *
-     * @param updates of members that the recipient should know
-     * @param members whole records of those that it may not know
+     * @param updates updates of members that the recipient should know
+     * @param members full records of members that the recipient may not know
      */
     record Gossip(List<MembershipUpdate> updates, List<Member> members) {
         static final Gossip NONE = new Gossip(List.of(), List.of());
--- a/src/main/java/ochretiller/fleet/membership/MembershipPacket.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipPacket.java
@@ -1,8 +1,8 @@
 package ochretiller.fleet.membership;
 
 /**
- * One message between members.
+ * A message between members, with its sender.
  *
- * @param sender its own record, as it is when the message is sent
+ * @param sender the sender's own record at the time of sending
  */
 public record MembershipPacket(Member sender, MembershipMessage message) {}
--- a/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
@@ -7,19 +7,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One server's part in the group membership protocol, and its view of the fleet.
+ * The group membership protocol of one server, with its view of the fleet.
  *
- * <p>Usage: call {@link #tick} when {@link #nextTick} is due and {@link #receive} for each packet;
- * after each of them send what {@link #takeOutbound} returns and act on {@link #takeChanges}. The
- * time handed in is monotonic; a span for which the caller did not call counts as a pause and not
- * as time in which others could have answered ({@link AwakeClock}).
+ * <p>Usage: call {@link #tick} when {@link #nextTick} is due and {@link #receive} for each packet.
+ * After each call, send the packets of {@link #takeOutbound} and process {@link #takeChanges}. The
+ * caller's time is monotonic. A long gap between calls counts as a pause of this process, not as
+ * time in which other members could have answered ({@link AwakeClock}).
  *
- * <p>All methods belong to the one thread that owns the protocol. It draws random numbers from the
- * generator it is given and does nothing else that could differ between two runs, so that
- * simulations can be replayed. Sources and departures from them: see the package.
+ * <p>All methods must be called on the thread that owns the protocol. The given random generator is
+ * the only source of nondeterminism, so that simulations can be replayed. The package documentation
+ * lists the papers and the departures from them.
  */
 public final class MembershipProtocol {
-    private static final Duration FORGET_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration CLEANUP_INTERVAL = Duration.ofSeconds(1);
 
     private final ProtocolContext context;
     private final AwakeClock clock;
@@ -35,17 +35,17 @@
     private final SenderTracker senders;
     private final LeaveAnnouncer leaveAnnouncer;
 
-    /** On the caller's clock; all other times are on the awake clock. */
+    /** On the caller's clock; all other times are on {@link #clock}. */
     private Duration nextTick;
 
-    private Duration nextForget = Duration.ZERO;
+    private Duration nextCleanup = Duration.ZERO;
 
     /**
-     * Creates a view that has nobody in it yet.
+     * Creates a protocol whose view contains only this server.
      *
-     * @param self this server, with an incarnation of its own
-     * @param seeds where other members may be; one that is alive is enough
-     * @param random drawn from in a fixed order
+     * @param self this server's record, with an incarnation that no other process has
+     * @param seeds addresses of possible members; one live seed is enough to join
+     * @param random used in a fixed order, so that runs with the same seed are identical
      * @param now the caller's monotonic time
      */
     public MembershipProtocol(
@@ -57,8 +57,7 @@
         clock = new AwakeClock(timing.tickInterval(), now);
         Member joining = self.withState(MemberState.JOINING, self.stateVersion());
         context = new ProtocolContext(joining, timing, random, clock);
-        // A random first tick, against a fleet whose timers are in step because all started at
-        // once.
+        // The first tick is random: servers that start at the same time must not tick in step.
         nextTick = now.plus(context.randomPartOf(timing.tickInterval()));
         schedule = new ProbeSchedule(random);
         probes = new PendingProbes(context);
@@ -73,17 +72,17 @@
         leaveAnnouncer = new LeaveAnnouncer(context);
     }
 
-    /** Addresses that a previous process knew, asked beside the seeds while nobody is known. */
+    /** Adds peers of a previous process, contacted besides the seeds while no member is live. */
     public void addBootstrapPeers(List<PeerAddress> peers) {
         joiner.addBootstrapPeers(peers);
     }
 
-    /** When {@link #tick} is due, on the caller's clock. */
+    /** Returns when {@link #tick} is due, on the caller's clock. */
     public Duration nextTick() {
         return nextTick;
     }
 
-    /** Does what is due; called at {@link #nextTick} or later. */
+    /** Runs all actions that are due; must be called at {@link #nextTick} or later. */
     public void tick(Duration now) {
         ProtocolTiming timing = context.timing();
         Duration delay = now.minus(nextTick);
@@ -106,27 +105,27 @@
         verifier.pingUnresponsive();
         joiner.contactSeedsIfDue();
         joiner.joinAloneIfDue();
-        forgetIfDue();
+        cleanUpIfDue();
     }
 
-    private void forgetIfDue() {
-        if (!clock.hasReached(nextForget)) {
+    private void cleanUpIfDue() {
+        if (!clock.hasReached(nextCleanup)) {
             return;
         }
-        nextForget = clock.now().plus(FORGET_INTERVAL);
+        nextCleanup = clock.now().plus(CLEANUP_INTERVAL);
         transitions.forgetDeparted();
         duplicates.forgetOldReports();
     }
 
-    /** Takes another server's packet, whose seal has shown that its sender belongs to the fleet. */
+    /** Processes a packet; its verified seal has shown that the sender belongs to the fleet. */
     public void receive(MembershipPacket packet, Duration now) {
         clock.advance(now);
         Member sender = packet.sender();
         if (context.isSelf(sender.incarnation())) {
-            return; // a packet of its own that was reflected
+            return; // this server's own packet, reflected by the network
         }
         if (sender.address().equals(context.self().address())) {
-            // Its answers would come here: nothing that it says can be verified.
+            // Pings to this address reach this server, so the sender cannot be verified.
             duplicates.report(sender);
             return;
         }
@@ -139,7 +138,7 @@
         dispatch(packet.message(), sender, answered, isTrusted);
     }
 
-    /** The probe that a packet answers, if it comes from the address that was asked. */
+    /** The probe that a packet answers, if the packet comes from the probed address. */
     private Optional<Probe> answeredProbe(MembershipPacket packet) {
         if (packet.message() instanceof MembershipMessage.Ack ack) {
             return probes.find(ack.nonce())
@@ -184,20 +183,20 @@
     }
 
     /**
-     * Leaves the fleet: all live members are told at once, and again with the next ticks. It still
-     * answers pings afterwards.
+     * Leaves the fleet: announces it to all live members now and again on the next ticks. The
+     * server still answers pings afterwards.
      */
     public void leave(Duration now) {
         clock.advance(now);
         leaveAnnouncer.leave();
     }
 
-    /** Packets to send since the last call, in order. */
+    /** Removes and returns the packets to send, in order. */
     public List<OutboundPacket> takeOutbound() {
         return context.takeOutbound();
     }
 
-    /** What has happened since the last call, in order. */
+    /** Removes and returns the changes since the last call, in order. */
     public List<MembershipChange> takeChanges() {
         return context.takeChanges();
     }
@@ -207,53 +206,53 @@
         return context.self();
     }
 
-    /** What happened since the start. */
+    /** The counters of events since the start. */
     public MembershipCounters counters() {
         return context.counters();
     }
 
-    /** How far this server doubts its own health: 0, healthy, to 8. */
+    /** The local health score, from 0 (healthy) to 8; see {@link LocalHealth}. */
     public int localHealthScore() {
         return context.health().score();
     }
 
-    /** Other members that are live. */
+    /** The number of live members, this server excluded. */
     public int liveCount() {
         return context.table().liveCount();
     }
 
-    /** Digest of who is live with which state version: equal in two views that agree. */
+    /** Digest of all live members and their state versions; equal views have equal digests. */
     public long digest() {
         return context.digest();
     }
 
-    /** Members of which news is still spread. */
+    /** The number of members with updates that are still being gossiped. */
     public int pendingGossip() {
         return context.gossip().size();
     }
 
-    /** Whether a live member serves callers at this address: one incarnation may follow another. */
+    /** Whether any live member, of whatever incarnation, serves callers at this address. */
     public boolean isServedByLiveMember(PeerAddress address) {
         return context.table().anyLiveServesAt(address);
     }
 
-    /** The address of the live member with this name; this server's own for its own name. */
+    /** The address of the live member with this name, which may be this server itself. */
     public Optional<PeerAddress> addressOf(String name) {
         if (name.equals(context.self().id().name())) {
             return Optional.of(context.self().address());
         }
-        return context.table().findLive(name).map(known -> known.member().address());
+        return context.table().findLive(name).map(record -> record.member().address());
     }
 
-    /** Whether this very process is a live member. */
+    /** Whether a live member has both this name and this incarnation. */
     public boolean isLive(MemberId id) {
         return context.table()
                 .find(id.incarnation())
-                .filter(known -> known.isLive() && known.member().id().equals(id))
+                .filter(record -> record.isLive() && record.member().id().equals(id))
                 .isPresent();
     }
 
-    /** All known members, departed ones included: this server first, then by name. */
+    /** All known members, departed ones included: this server first, the others by name. */
     public List<MemberSnapshot> snapshot() {
         List<MemberSnapshot> all = context.table().snapshots(clock);
         all.sort(Comparator.comparing(each -> each.member().id().name()));
@@ -262,9 +261,9 @@
     }
 
     /**
-     * All that decides what this server does next, as text: equal texts go on alike. Times are
-     * relative to now, so that states that differ only in when they are reached are equal. For
-     * explorers of all orders of events.
+     * Returns the protocol state as text, for state-space exploration: instances with equal texts
+     * behave alike from here on. Times are relative to now, so that states that differ only in the
+     * time at which they were reached are equal.
      */
     public String describeState() {
         Member self = context.self();
--- a/src/main/java/ochretiller/fleet/membership/MembershipUpdate.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipUpdate.java
@@ -1,10 +1,10 @@
 package ochretiller.fleet.membership;
 
 /**
- * What is said of a member whose record the recipient has.
+ * An update of the state of a member whose record the recipient has.
  *
- * @param accuser for {@link MemberState#SUSPECT} the incarnation of the member that it did not
- *     answer; 0 otherwise
+ * @param accuser for {@link MemberState#SUSPECT}, the incarnation of the member whose probe was not
+ *     answered; otherwise 0
  */
 public record MembershipUpdate(
         long incarnation, long stateVersion, MemberState state, long accuser) {}
--- a/src/main/java/ochretiller/fleet/membership/OutboundPacket.java
+++ b/src/main/java/ochretiller/fleet/membership/OutboundPacket.java
@@ -1,4 +1,4 @@
 package ochretiller.fleet.membership;
 
-/** A packet to send, and where to. */
+/** A packet to send and its destination. */
 public record OutboundPacket(PeerAddress destination, MembershipPacket packet) {}
--- a/src/main/java/ochretiller/fleet/membership/PendingProbes.java
+++ b/src/main/java/ochretiller/fleet/membership/PendingProbes.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Sends pings and keeps the probes that wait for their answers, in the order they were started. */
+/** Sends pings and tracks the probes that wait for answers, in the order of their start. */
 final class PendingProbes {
-    /** Probes that wait at once: one second of all kinds at their peak. */
+    /** Maximum pending probes: one second of probes of all kinds at their highest rates. */
     private static final int MAX_PENDING = 512;
 
-    /** Pings a probe sends at most: with two of three lost on a bad link one still arrives. */
+    /** Maximum pings per probe: if a bad link loses two of three, one still arrives. */
     private static final int MAX_PINGS = 3;
 
-    /** Spreads the nonces of different servers; any odd number would do. */
+    /** Separates the nonces of different servers; any odd number works. */
     private static final long NONCE_FACTOR = 31;
 
     private final ProtocolContext context;
@@ -29,7 +29,7 @@
         this.context = context;
     }
 
-    /** Sends the first ping of a probe; does nothing if too many are pending. */
+    /** Starts a probe and sends its first ping; does nothing if too many are pending. */
     void start(ProbeRequest request) {
         if (byNonce.size() >= MAX_PENDING) {
             return;
@@ -55,7 +55,6 @@
                         context.digest()));
     }
 
-    /** The pending probe with this nonce. */
     Optional<Probe> find(long nonce) {
         return Optional.ofNullable(byNonce.get(nonce));
     }
@@ -74,21 +73,21 @@
         return false;
     }
 
-    /** Counts a packet from any other server. */
+    /** Counts a packet received from any other server. */
     void packetReceived() {
         packetsReceived++;
     }
 
-    /** Whether nothing was received from anybody since a probe started. */
+    /** Whether no packet from any other server has arrived since a probe started. */
     boolean nothingReceivedSince(Probe probe) {
         return packetsReceived == probe.packetsReceivedAtStart();
     }
 
     /**
-     * Repeats pings that are due, and removes probes that have run out.
+     * Repeats pings that are due and removes probes that have timed out.
      *
-     * @param needsIndirect called for a scheduled probe once it is time to ask others to probe
-     * @return the probes that have run out, in the order they were started
+     * @param needsIndirect called for each scheduled probe for which indirect probes are due
+     * @return the probes that have timed out, in the order of their start
      */
     List<Probe> advance(Consumer<Probe> needsIndirect) {
         ProtocolTiming timing = context.timing();
@@ -116,7 +115,7 @@
         return expired;
     }
 
-    /** Appends all that decides how it goes on, with times relative to now. */
+    /** Appends the state as text, with times relative to now. */
     void describe(StringBuilder text) {
         AwakeClock clock = context.clock();
         for (Probe probe : byNonce.values()) {
--- a/src/main/java/ochretiller/fleet/membership/Probe.java
+++ b/src/main/java/ochretiller/fleet/membership/Probe.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** A ping that waits for its answer. Owned by {@link PendingProbes}. */
+/** A probe that waits for its answer. Owned by {@link PendingProbes}. */
 final class Probe {
     private final ProbeRequest request;
     private final long nonce;
@@ -11,13 +11,13 @@
     private final long packetsReceivedAtStart;
     private Duration lastSentAt;
     private int sendCount = 1;
-    private boolean indirectProbesRequested;
+    private boolean indirectRequested;
 
     /**
-     * A probe whose first ping goes out now.
+     * Creates a probe whose first ping is sent now.
      *
-     * @param startedAt on the awake clock
-     * @param packetsReceivedAtStart packets that this server had received from anybody by then
+     * @param startedAt on the {@link AwakeClock}
+     * @param packetsReceivedAtStart packets that this server had received by then from all others
      */
     Probe(ProbeRequest request, long nonce, Duration startedAt, long packetsReceivedAtStart) {
         this.request = request;
@@ -69,18 +69,18 @@
     }
 
     boolean indirectProbesRequested() {
-        return indirectProbesRequested;
+        return indirectRequested;
     }
 
     void markIndirectProbesRequested() {
-        indirectProbesRequested = true;
+        indirectRequested = true;
     }
 
     boolean isScheduled() {
         return kind() == ProbeRequest.Kind.SCHEDULED;
     }
 
-    /** Whether an answer by this incarnation is one by the target. */
+    /** Whether an answer by this incarnation comes from the target. */
     boolean isAnsweredBy(long incarnation) {
         return target() == ProbeRequest.ANY_INCARNATION || target() == incarnation;
     }
--- a/src/main/java/ochretiller/fleet/membership/ProbeRequest.java
+++ b/src/main/java/ochretiller/fleet/membership/ProbeRequest.java
@@ -3,30 +3,30 @@
 import java.util.Optional;
 
 /**
- * Whom to ping and why.
+ * The target of a probe and its purpose.
  *
- * @param target incarnation that has to answer, or {@link #ANY_INCARNATION}
+ * @param target the incarnation that must answer, or {@link #ANY_INCARNATION}
  * @param requester present for {@link Kind#RELAYED}
  */
 record ProbeRequest(Kind kind, long target, PeerAddress address, Optional<Requester> requester) {
-    /** Target of a probe that asks whoever is at the address; no incarnation is 0. */
+    /** Target of a probe that any process at the address may answer; no incarnation is 0. */
     static final long ANY_INCARNATION = 0;
 
-    /** Why a member is pinged. */
+    /** The purpose of a probe. */
     enum Kind {
-        /** Its turn in the round of probes (SWIM, section 3.1): a failure makes it suspect. */
+        /** A probe of the round or of a suspect (SWIM, section 3.1): failure makes it suspect. */
         SCHEDULED,
-        /** Checks that somebody who does not count as alive can answer: a failure says nothing. */
+        /** Checks whether a process that does not count as alive answers; failure has no effect. */
         VERIFICATION,
-        /** Carried out for another member that sent a ping request (SWIM's ping-req). */
+        /** Probes on behalf of a member that sent a ping request (SWIM's ping-req). */
         RELAYED
     }
 
     /**
-     * The member that asked for a {@link Kind#RELAYED} probe.
+     * The member that requested a {@link Kind#RELAYED} probe.
      *
-     * @param address where it awaits the indirect acknowledgement
-     * @param nonce of its own probe
+     * @param address where to send the indirect acknowledgement
+     * @param nonce the nonce of the requester's own probe
      */
     record Requester(PeerAddress address, long nonce) {}
 
--- a/src/main/java/ochretiller/fleet/membership/ProbeSchedule.java
+++ b/src/main/java/ochretiller/fleet/membership/ProbeSchedule.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The order in which members are probed: round-robin over a list that is shuffled anew for each
- * round, so that the time until a member is probed is bounded (SWIM, section 4.3).
+ * The order in which members are probed: round-robin over a list that is shuffled for each round,
+ * so that the time until a member is probed is bounded (SWIM, section 4.3).
  */
 final class ProbeSchedule {
     private final RandomGenerator random;
@@ -18,15 +18,15 @@
         this.random = random;
     }
 
-    /** Starts a round over the live members of the table, if the last one is over. */
+    /** Starts a round over the live members of the table if the current one is complete. */
     void startRoundIfOver(MemberTable table) {
         if (position < round.size()) {
             return;
         }
         round.clear();
-        for (MemberRecord known : table.all()) {
-            if (known.isLive()) {
-                round.add(known.incarnation());
+        for (MemberRecord record : table.all()) {
+            if (record.isLive()) {
+                round.add(record.incarnation());
             }
         }
         for (int i = round.size() - 1; i > 0; i--) {
@@ -43,33 +43,33 @@
         return round.get(position++);
     }
 
-    /** Inserts a newcomer at a random place of what is left of the round. */
+    /** Inserts a new member at a random position in the rest of the round. */
     void insertAtRandom(long incarnation) {
         int index = 0;
         if (!round.isEmpty()) {
-            int done = Math.min(position, round.size());
-            int offset = random.nextInt(round.size() - done + 1);
+            int probed = Math.min(position, round.size());
+            int offset = random.nextInt(round.size() - probed + 1);
             index = Math.min(round.size(), position + offset);
         }
         round.add(index, incarnation);
     }
 
-    /** Has a member that came back probed next. */
+    /** Inserts a member that has returned, to be probed next. */
     void insertNext(long incarnation) {
         round.add(Math.min(round.size(), position), incarnation);
     }
 
-    /** Whether there is anybody to draw with {@link #drawAny}. */
+    /** Whether the round has no members, so that {@link #drawAny} must not be called. */
     boolean isEmpty() {
         return round.isEmpty();
     }
 
-    /** A random member of this round, probed already or not; it may be gone meanwhile. */
+    /** A random member of the round, whether probed already or not; it may no longer be live. */
     long drawAny() {
         return round.get(random.nextInt(round.size()));
     }
 
-    /** Its whole state as text. */
+    /** The state as text. */
     @Override
     public String toString() {
         return position + round.toString();
--- a/src/main/java/ochretiller/fleet/membership/ProtocolContext.java
+++ b/src/main/java/ochretiller/fleet/membership/ProtocolContext.java
@@ -8,8 +8,8 @@
 import ochretiller.fleet.membership.MembershipMessage.Gossip;
 
 /**
- * What the parts of one server's membership protocol share: its own record, the table, what is
- * waiting to be sent and reported. Owned by one {@link MembershipProtocol}.
+ * State shared by the components of one {@link MembershipProtocol}: this server's record, the
+ * member table, and the packets and changes that the caller has yet to take.
  */
 final class ProtocolContext {
     private final ProtocolTiming timing;
@@ -74,12 +74,12 @@
         return self.state() == MemberState.LEFT;
     }
 
-    /** Raises this server's own state version, which overrides whatever is said of it. */
+    /** Sets this server's state and state version; a higher version refutes accusations. */
     void updateSelf(MemberState state, long stateVersion) {
         self = self.withState(state, stateVersion);
     }
 
-    /** Members that are live, this server included. */
+    /** The number of live members, this server included. */
     int fleetSize() {
         return table.liveCount() + 1;
     }
@@ -88,40 +88,40 @@
         return table.digest(self);
     }
 
-    /** A random part of a span, against timers that fire in step. */
+    /** A random duration below a span, which keeps timers of servers from firing in step. */
     Duration randomPartOf(Duration span) {
         return Duration.ofNanos((long) (span.toNanos() * random.nextDouble()));
     }
 
-    /** Has a message sent, with this server's own record as it is now. */
+    /** Queues a message to send, together with this server's current record. */
     void send(PeerAddress destination, MembershipMessage message) {
         outbound.add(new OutboundPacket(destination, new MembershipPacket(self, message)));
     }
 
     /**
-     * Takes the gossip for a message to a member. If the member itself is held to be suspect or
-     * unresponsive it is told so first, so that it can refute it ("buddy system" of Lifeguard).
+     * Takes the gossip for a message to a member. If the recipient is suspect or unresponsive in
+     * this view, that update comes first, so that it can refute it (Lifeguard's "buddy system").
      */
     Gossip gossipFor(long recipient, boolean digestsAgree) {
         Optional<MembershipUpdate> accusation =
                 table.find(recipient)
-                        .filter(known -> known.isSuspect() || known.isUnresponsive())
+                        .filter(record -> record.isSuspect() || record.isUnresponsive())
                         .map(MemberRecord::toUpdate);
         int limit = timing.retransmitLimit(fleetSize());
         return gossip.take(table, self, new GossipTerms(limit, digestsAgree), accusation);
     }
 
-    /** Records a change of the view, for the operators and for other parts of the server. */
+    /** Queues a change of the view, for log lines and for other components of the server. */
     void report(MembershipChange change) {
         changes.add(change);
     }
 
-    /** Packets to send since the last call, in order. */
+    /** Removes and returns the queued packets, in order. */
     List<OutboundPacket> takeOutbound() {
         return drain(outbound);
     }
 
-    /** Changes since the last call, in order. */
+    /** Removes and returns the queued changes, in order. */
     List<MembershipChange> takeChanges() {
         return drain(changes);
     }
--- a/src/main/java/ochretiller/fleet/membership/ProtocolTiming.java
+++ b/src/main/java/ochretiller/fleet/membership/ProtocolTiming.java
@@ -3,18 +3,19 @@
 import java.time.Duration;
 
 /**
- * How fast members probe one another; all waits follow from the probe interval. All servers of a
- * fleet should have the same.
+ * Timing of the membership protocol; all timeouts are multiples of the probe interval. All servers
+ * of a fleet should use the same timing.
  *
  * <p>Sources: SWIM (Das, Gupta, Motivala 2002) for the protocol period and the logarithmic growth
  * of suspicion and dissemination; Lifeguard (Dadgar, Phillips, Currey 2017), "LHA-Suspicion", for
- * suspicions that shorten with each confirmation.
+ * suspicion timeouts that shorten with each confirmation.
  *
- * @param probeInterval SWIM's protocol period: one member is probed in each
- * @param departedRetention how long departed members are remembered
- * @param maxDeparted departed members that are remembered at most
- * @param ticksPerProbe how often the clock is looked at in a probe interval
- * @param suspicionMultiplier shortest suspicion in probe intervals, times the logarithm of the size
+ * @param probeInterval SWIM's protocol period, in which one member is probed
+ * @param departedRetention how long departed members stay in the table
+ * @param maxDeparted maximum number of departed members in the table
+ * @param ticksPerProbe ticks of the protocol per probe interval
+ * @param suspicionMultiplier shortest suspicion timeout in probe intervals, to be multiplied by the
+ *     decimal logarithm of the fleet size
  */
 public record ProtocolTiming(
         Duration probeInterval,
@@ -23,42 +24,43 @@
         int ticksPerProbe,
         double suspicionMultiplier) {
     /**
-     * The usual timing. 100 ms is some hundred round trips within a machine room, and ten probes a
-     * second find each death soon; 20 minutes outlast most network partitions.
+     * The default timing. A probe interval of 100 ms is about a hundred round trips within a data
+     * center, and ten probes per second detect a crash soon. Departed members are retained for 20
+     * minutes, which is longer than most network partitions.
      */
     public static final ProtocolTiming DEFAULT =
             new ProtocolTiming(Duration.ofMillis(100), Duration.ofMinutes(20), 1_000);
 
-    /** Members, departed ones included: what is said of each goes through all. */
+    /** Maximum members, departed ones included, as updates of each are gossiped to all. */
     static final int MAX_MEMBERS = 3_000;
 
-    /** How many times longer a suspicion lasts that nobody confirms. */
+    /** Ratio of the timeout of an unconfirmed suspicion to the shortest timeout. */
     static final int MAX_SUSPICION_FACTOR = 3;
 
-    /** Confirmations, beside the first accuser, that make a suspicion shortest. */
+    /** Confirmations after the first accuser that reduce the timeout to the shortest. */
     static final int MAX_CONFIRMATIONS = 3;
 
     private static final int DEFAULT_TICKS_PER_PROBE = 3;
 
     /**
-     * With the probe before it, long enough to ride out a pause of a second; a longer suspicion
-     * makes each death known later.
+     * Together with the preceding probe timeout, long enough to tolerate a pause of one second; a
+     * longer suspicion would delay the detection of each crash.
      */
     private static final double DEFAULT_SUSPICION_MULTIPLIER = 7.5;
 
-    /** Part of the probe interval after which others are asked to probe. */
-    private static final double INDIRECT_PROBE_DELAY = 0.66;
+    /** Delay before indirect probes are requested, in probe intervals. */
+    private static final double INDIRECT_PROBE_DELAY_INTERVALS = 0.66;
 
-    /** Probe intervals after which a probe has failed. */
-    private static final double PROBE_TIMEOUT = 1.66;
+    /** Probe timeout, in probe intervals. */
+    private static final double PROBE_TIMEOUT_INTERVALS = 1.66;
 
-    /** Smaller fleets suspect as long as one of this size: a pause is as long in any. */
-    private static final int MIN_SUSPICION_SIZE = 24;
+    /** Smaller fleets use the timeout of this size, as pauses do not get shorter with the size. */
+    private static final int MIN_SUSPICION_FLEET_SIZE = 24;
 
-    /** Times that an update is sent, times the logarithm of the size. */
+    /** Transmissions of each update, times the decimal logarithm of the fleet size. */
     private static final int RETRANSMIT_MULTIPLIER = 4;
 
-    /** The usual timing but for the parameters. */
+    /** Creates a timing with default ticks and suspicion multiplier. */
     public ProtocolTiming(Duration probeInterval, Duration departedRetention, int maxDeparted) {
         this(
                 probeInterval,
@@ -68,7 +70,7 @@
                 DEFAULT_SUSPICION_MULTIPLIER);
     }
 
-    /** Time between two looks at the clock. */
+    /** Time between two ticks of the protocol. */
     Duration tickInterval() {
         return probeInterval.dividedBy(ticksPerProbe);
     }
@@ -78,28 +80,27 @@
         return tickInterval();
     }
 
-    /** Time after which others are asked to probe a member that has not answered. */
+    /** Time after which indirect probes of a member that has not answered are requested. */
     Duration indirectProbeDelay() {
-        return probeIntervals(INDIRECT_PROBE_DELAY);
+        return probeIntervals(INDIRECT_PROBE_DELAY_INTERVALS);
     }
 
-    /** Time after which a probe has failed. */
     Duration probeTimeout() {
-        return probeIntervals(PROBE_TIMEOUT);
+        return probeIntervals(PROBE_TIMEOUT_INTERVALS);
     }
 
-    /** How long a suspicion lasts at least, in a fleet of this size. */
+    /** The shortest suspicion timeout in a fleet of this size. */
     Duration minSuspicionTimeout(int fleetSize) {
-        int size = Math.max(MIN_SUSPICION_SIZE, fleetSize);
+        int size = Math.max(MIN_SUSPICION_FLEET_SIZE, fleetSize);
         return probeIntervals(suspicionMultiplier * Math.log10(size + 1));
     }
 
     /**
-     * How long a member stays suspect before it counts as unresponsive: from {@link
-     * #MAX_SUSPICION_FACTOR} times the shortest, with one accuser, down to the shortest.
+     * How long a member stays suspect before it becomes unresponsive: from {@link
+     * #MAX_SUSPICION_FACTOR} times the shortest timeout, with one accuser, down to the shortest.
      *
-     * @param fleetSize this server included
-     * @param accusers members that it did not answer
+     * @param fleetSize live members, this server included
+     * @param accusers the number of members whose probes it did not answer
      */
     Duration suspicionTimeout(int fleetSize, int accusers) {
         double shortest = minSuspicionTimeout(fleetSize).toNanos();
@@ -113,12 +114,12 @@
         return Duration.ofNanos((long) (shortest * factor));
     }
 
-    /** How often each update is sent, in a fleet of this size. */
+    /** The number of transmissions of each update in a fleet of this size. */
     int retransmitLimit(int fleetSize) {
         return RETRANSMIT_MULTIPLIER * (int) Math.ceil(Math.log10(fleetSize + 1));
     }
 
-    /** A number of probe intervals, also in parts. */
+    /** A duration of this many probe intervals, which may be fractional. */
     Duration probeIntervals(double count) {
         return Duration.ofNanos((long) (probeInterval.toNanos() * count));
     }
--- a/src/main/java/ochretiller/fleet/membership/ReachabilityVerifier.java
+++ b/src/main/java/ochretiller/fleet/membership/ReachabilityVerifier.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * Pings those who do not count as alive, to see whether they can answer. That a packet of theirs
- * arrived shows only that they can send; under a cut in one direction nobody may be taken in by
- * that. Neither SWIM nor Lifeguard has this step.
+ * Pings processes that do not count as alive, to verify that they can receive and answer. A packet
+ * from a process proves only that it can send, which is not enough if packets are lost in one
+ * direction. Neither SWIM nor Lifeguard has this step.
  */
 final class ReachabilityVerifier {
-    /** Members that wait to be pinged; further ones are dropped and counted, and come again. */
+    /** Maximum queued members; others are counted and dropped until their next packet. */
     private static final int MAX_QUEUED = 256;
 
-    /** Members that are pinged in one tick, so that a crowd of newcomers is spread over time. */
+    /** Queued members pinged per tick, so that many new members are spread over time. */
     private static final int PINGS_PER_TICK = 2;
 
-    /** Unresponsive members that this server pings in a second, at most. */
+    /** Maximum pings of unresponsive members by this server, per second. */
     private static final double MAX_UNRESPONSIVE_RATE = 0.5;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -29,7 +29,7 @@
         this.probes = probes;
     }
 
-    /** Has a member pinged soon. */
+    /** Queues a member for a ping. */
     void enqueue(Member member) {
         if (queued.size() < MAX_QUEUED) {
             queued.putIfAbsent(member.incarnation(), member);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Pings the first of those that wait. */
+    /** Pings the first queued members; called once per tick. */
     void pingQueued() {
         for (int i = 0; i < PINGS_PER_TICK && !queued.isEmpty(); i++) {
             Member member = queued.values().iterator().next();
@@ -48,30 +48,32 @@
     }
 
     /**
-     * Now and then pings a member that is unresponsive, so that the halves of a partition find each
-     * other. The whole fleet together pings each about once a second, whatever its size.
+     * Pings a random unresponsive member, in some ticks only, so that the halves of a partition
+     * rediscover each other. The live members together ping each unresponsive one about once per
+     * second, whatever the fleet size.
      */
     void pingUnresponsive() {
         int count = context.table().unresponsive().size();
         if (count == 0) {
             return;
         }
-        double perSecond = Math.min(MAX_UNRESPONSIVE_RATE, (double) count / context.fleetSize());
+        double pingsPerSecond =
+                Math.min(MAX_UNRESPONSIVE_RATE, (double) count / context.fleetSize());
         double seconds = context.timing().tickInterval().toNanos() / NANOS_PER_SECOND;
-        if (context.random().nextDouble() >= perSecond * seconds) {
+        if (context.random().nextDouble() >= pingsPerSecond * seconds) {
             return;
         }
-        int drawn = context.random().nextInt(count);
-        for (MemberRecord known : context.table().unresponsive()) {
-            if (drawn == 0) {
-                probes.start(ProbeRequest.verification(known.member()));
+        int index = context.random().nextInt(count);
+        for (MemberRecord record : context.table().unresponsive()) {
+            if (index == 0) {
+                probes.start(ProbeRequest.verification(record.member()));
                 return;
             }
-            drawn--;
+            index--;
         }
     }
 
-    /** Incarnations that wait to be pinged, as text. */
+    /** The queued incarnations as text. */
     @Override
     public String toString() {
         return queued.keySet().toString();
--- a/src/main/java/ochretiller/fleet/membership/SeedJoiner.java
+++ b/src/main/java/ochretiller/fleet/membership/SeedJoiner.java
@@ -7,18 +7,18 @@
 import java.util.List;
 
 /**
- * Joins the fleet through seeds, and goes on asking seeds that are not in the view, so that
- * separate fleets of the same seeds merge. While nobody is known, addresses that a previous process
- * knew ({@link BootstrapPeers}) are asked too, since all seeds may be gone by then.
+ * Joins the fleet through seeds, and keeps pinging seeds that are not live in the view, so that
+ * separate fleets with the same seeds merge. While no other member is live, the peers stored by a
+ * previous process ({@link BootstrapPeers}) are pinged too, since all seeds may be gone.
  */
 final class SeedJoiner {
-    /** First pause between two attempts, in protocol periods; it doubles while nobody is known. */
+    /** Initial pause between attempts, in protocol periods; doubles while no member is live. */
     private static final int FIRST_PAUSE_PERIODS = 3;
 
-    /** Longest pause while nobody is known, in protocol periods. */
+    /** Longest pause while no member is live, in protocol periods. */
     private static final int MAX_PAUSE_PERIODS = 50;
 
-    /** A newcomer whose seeds do not answer counts as joined after so many protocol periods. */
+    /** Protocol periods after which a server that has received no view joins alone. */
     private static final int JOIN_ALONE_PERIODS = 20;
 
     private final ProtocolContext context;
@@ -39,7 +39,7 @@
         this.pause = timing.probeIntervals(FIRST_PAUSE_PERIODS);
     }
 
-    /** Addresses to ask beside the seeds while nobody is known. */
+    /** Sets the peers to ping in addition to the seeds while no member is live. */
     void addBootstrapPeers(List<PeerAddress> peers) {
         bootstrapPeers = List.copyOf(peers);
         if (!bootstrapPeers.isEmpty()) {
@@ -47,15 +47,15 @@
         }
     }
 
-    /** Asks a seed, once its time has come. */
+    /** Pings one seed, and one bootstrap peer while no member is live, if an attempt is due. */
     void contactSeedsIfDue() {
-        boolean hasNobodyToAsk = seeds.isEmpty() && bootstrapPeers.isEmpty();
-        if (hasNobodyToAsk || !context.clock().hasReached(nextAttemptAt)) {
+        boolean hasNoAddresses = seeds.isEmpty() && bootstrapPeers.isEmpty();
+        if (hasNoAddresses || !context.clock().hasReached(nextAttemptAt)) {
             return;
         }
         contactOneOf(seeds);
-        // Bootstrap peers get a ping of their own: many that have moved since must not stand
-        // between a newcomer and the one seed that is there.
+        // A separate ping: many bootstrap peers that have moved must not delay the ping to the one
+        // seed that is up.
         if (context.table().liveCount() == 0) {
             contactOneOf(bootstrapPeers);
         }
@@ -67,38 +67,38 @@
         return context.randomPartOf(pause);
     }
 
-    /** In a large fleet the pause grows with its size: a seed that returns is not asked by all. */
+    /** Grows with the fleet size, so that a returning seed is not pinged by all members at once. */
     private Duration nextPause() {
         ProtocolTiming timing = context.timing();
-        int known = context.table().liveCount();
-        if (known == 0) {
+        int liveMembers = context.table().liveCount();
+        if (liveMembers == 0) {
             return min(pause.multipliedBy(2), timing.probeIntervals(MAX_PAUSE_PERIODS));
         }
-        return timing.probeIntervals(Math.max(MAX_PAUSE_PERIODS, known));
+        return timing.probeIntervals(Math.max(MAX_PAUSE_PERIODS, liveMembers));
     }
 
     private void contactOneOf(List<PeerAddress> addresses) {
-        List<PeerAddress> unknown = new ArrayList<>(addresses);
-        unknown.remove(context.self().address());
-        for (MemberRecord known : context.table().all()) {
-            if (known.isLive()) {
-                unknown.remove(known.member().address());
+        List<PeerAddress> notLive = new ArrayList<>(addresses);
+        notLive.remove(context.self().address());
+        for (MemberRecord record : context.table().all()) {
+            if (record.isLive()) {
+                notLive.remove(record.member().address());
             }
         }
-        if (!unknown.isEmpty()) {
-            PeerAddress drawn = unknown.get(context.random().nextInt(unknown.size()));
-            probes.start(ProbeRequest.verification(drawn));
+        if (!notLive.isEmpty()) {
+            PeerAddress address = notLive.get(context.random().nextInt(notLive.size()));
+            probes.start(ProbeRequest.verification(address));
         }
     }
 
-    /** Joins without a view of others if no seed has answered for long. */
+    /** Completes the join without a view from others after {@link #JOIN_ALONE_PERIODS}. */
     void joinAloneIfDue() {
         if (context.isJoining() && context.clock().hasReached(joinAloneAt)) {
             completeJoin();
         }
     }
 
-    /** A view of the fleet has arrived; does nothing if this server has joined already. */
+    /** Completes the join when a view has arrived; does nothing if it is complete already. */
     void viewReceived() {
         if (context.isJoining()) {
             completeJoin();
@@ -111,7 +111,7 @@
         context.report(new MembershipChange.Joined(context.self()));
     }
 
-    /** Appends all that decides how it goes on, with times relative to now. */
+    /** Appends the state as text, with times relative to now. */
     void describe(StringBuilder text) {
         if (context.isJoining()) {
             text.append(" j").append(context.clock().nanosUntil(joinAloneAt));
--- a/src/main/java/ochretiller/fleet/membership/SenderTracker.java
+++ b/src/main/java/ochretiller/fleet/membership/SenderTracker.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Takes a sender's own record, which comes with each packet, before the message itself: newcomers
- * that have answered a ping are added, unresponsive members that have answered one are alive again.
+ * Processes the sender's record in each packet, before the message itself. Unknown senders that
+ * have answered a ping are added; unresponsive members that have answered one become alive again.
  */
 final class SenderTracker {
     private final ProtocolContext context;
@@ -28,23 +28,23 @@
     }
 
     /**
-     * Takes the record of a packet's sender.
+     * Processes the record of a packet's sender.
      *
      * @param answersProbe whether the packet answers a ping of this server, which proves that the
      *     sender can be reached
-     * @return what is known of the sender now; empty if it is not in the view
+     * @return the sender's record in the table; empty if it is not in the view
      */
     Optional<MemberRecord> observe(Member sender, boolean answersProbe) {
         boolean hasOwnName = sender.id().name().equals(context.self().id().name());
         if (hasOwnName && sender.state().isLive()) {
             duplicates.report(sender);
         }
-        Optional<MemberRecord> known = context.table().find(sender.incarnation());
-        if (known.isEmpty()) {
+        Optional<MemberRecord> found = context.table().find(sender.incarnation());
+        if (found.isEmpty()) {
             return observeUnknown(sender, answersProbe);
         }
-        observeKnown(known.get(), sender, answersProbe);
-        return known;
+        observeKnown(found.get(), sender, answersProbe);
+        return found;
     }
 
     private Optional<MemberRecord> observeUnknown(Member sender, boolean answersProbe) {
@@ -57,7 +57,7 @@
         }
         Optional<MemberRecord> added = transitions.add(sender, true);
         if (added.isPresent()) {
-            displaceOthersAt(sender);
+            markOthersAtAddressUnresponsive(sender);
         }
         if (context.isJoining()) {
             synchronizer.startSync(sender);
@@ -65,33 +65,33 @@
         return added;
     }
 
-    private void observeKnown(MemberRecord known, Member sender, boolean answersProbe) {
-        if (known.state() == MemberState.LEFT) {
+    private void observeKnown(MemberRecord record, Member sender, boolean answersProbe) {
+        if (record.state() == MemberState.LEFT) {
             return;
         }
         if (sender.state() == MemberState.LEFT) {
-            transitions.markLeft(known, sender.stateVersion());
+            transitions.markLeft(record, sender.stateVersion());
             return;
         }
-        if (known.isUnresponsive() && !answersProbe) {
-            // Under a cut in one direction it would come and go: only an answer brings it back.
+        if (record.isUnresponsive() && !answersProbe) {
+            // If packets are lost in one direction, it would flap: only an answer makes it alive.
             verifier.enqueue(sender);
             return;
         }
-        boolean isRaised = sender.stateVersion() > known.stateVersion();
-        if (isRaised || answersProbe && known.isRefutedBy(sender.stateVersion())) {
-            transitions.markAlive(known, sender.state(), sender.stateVersion());
+        boolean hasHigherVersion = sender.stateVersion() > record.stateVersion();
+        if (hasHigherVersion || answersProbe && record.isRefutedBy(sender.stateVersion())) {
+            transitions.markAlive(record, sender.state(), sender.stateVersion());
         }
     }
 
-    /** Whoever was at the address of a member that has answered is not there any more. */
-    private void displaceOthersAt(Member sender) {
-        for (MemberRecord known : List.copyOf(context.table().all())) {
-            boolean isOther = known.incarnation() != sender.incarnation();
-            boolean hasSameAddress = known.member().address().equals(sender.address());
-            if (isOther && hasSameAddress && known.isLive()) {
-                known.publish();
-                transitions.markUnresponsive(known);
+    /** A member has answered at its address, so no other process can be running there. */
+    private void markOthersAtAddressUnresponsive(Member sender) {
+        for (MemberRecord record : List.copyOf(context.table().all())) {
+            boolean isOther = record.incarnation() != sender.incarnation();
+            boolean hasSameAddress = record.member().address().equals(sender.address());
+            if (isOther && hasSameAddress && record.isLive()) {
+                record.publish();
+                transitions.markUnresponsive(record);
             }
         }
     }
--- a/src/main/java/ochretiller/fleet/membership/UpdateMerger.java
+++ b/src/main/java/ochretiller/fleet/membership/UpdateMerger.java
@@ -4,13 +4,13 @@
 import ochretiller.fleet.membership.MembershipMessage.Gossip;
 
 /**
- * Merges what other members say of members into this server's view, and refutes what is said of
- * this server itself.
+ * Merges updates from other members into this server's view, and refutes accusations against this
+ * server.
  *
  * <p>Precedence follows SWIM, section 4.2: a higher state version overrides a lower one; at the
- * same version, suspect overrides alive, and left is final. Departure: "unresponsive" from another
- * member overrides nothing at once but leads to a suspicion with the shortest timeout, in which the
- * member is asked by this server itself.
+ * same version, suspect overrides alive; left is final. Departure: an "unresponsive" update from
+ * another member does not take effect at once. It starts a suspicion with the shortest timeout,
+ * during which this server pings the member itself.
  */
 final class UpdateMerger {
     private static final long UNKNOWN_ACCUSER = 0;
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Takes the gossip of a message.
+     * Merges the gossip of a message.
      *
-     * @param isTrusted whether its sender is live here; of others only what they say of this server
-     *     is taken
+     * @param isTrusted whether the sender is live in this view; from other senders only updates
+     *     about this server itself are processed
      */
     void merge(Gossip gossip, boolean isTrusted) {
         for (MembershipUpdate update : gossip.updates()) {
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Refutes an accusation against this server by a higher state version (SWIM, section 4.2;
-     * Lifeguard takes it for a sign of poor local health).
+     * Refutes an accusation against this server by raising its state version (SWIM, section 4.2).
+     * A suspicion also counts as a sign of poor local health (Lifeguard).
      */
     void mergeOfSelf(MembershipUpdate update) {
         Member self = context.self();
@@ -66,68 +66,69 @@
         context.report(new MembershipChange.SuspicionRefuted(context.self()));
     }
 
-    /** Takes an update of a member by a sender that is live here. */
+    /** Merges an update from a sender that is live in this view. */
     void merge(MembershipUpdate update) {
         Optional<MemberRecord> found = context.table().find(update.incarnation());
         if (found.isEmpty()) {
             if (update.state().isLive()) {
-                // The next comparison of views brings its whole record.
+                // The next comparison of views fetches the full record.
                 context.counters().increment(MembershipCounter.UNKNOWN_MEMBERS);
             }
             return;
         }
-        MemberRecord known = found.get();
-        if (known.state() == MemberState.LEFT) {
+        MemberRecord record = found.get();
+        if (record.state() == MemberState.LEFT) {
             return;
         }
         switch (update.state()) {
-            case LEFT -> transitions.markLeft(known, update.stateVersion());
-            case JOINING, ALIVE -> mergeAlive(known, update);
-            case SUSPECT -> mergeSuspect(known, update);
-            case UNRESPONSIVE -> mergeUnresponsive(known, update.stateVersion());
+            case LEFT -> transitions.markLeft(record, update.stateVersion());
+            case JOINING, ALIVE -> mergeAlive(record, update);
+            case SUSPECT -> mergeSuspect(record, update);
+            case UNRESPONSIVE -> mergeUnresponsive(record, update.stateVersion());
             default -> throw new IllegalStateException("unknown state " + update.state());
         }
     }
 
-    private void mergeAlive(MemberRecord known, MembershipUpdate update) {
-        if (known.isRefutedBy(update.stateVersion())) {
-            transitions.markAlive(known, update.state(), update.stateVersion());
+    private void mergeAlive(MemberRecord record, MembershipUpdate update) {
+        if (record.isRefutedBy(update.stateVersion())) {
+            transitions.markAlive(record, update.state(), update.stateVersion());
         }
     }
 
-    private void mergeSuspect(MemberRecord known, MembershipUpdate update) {
-        boolean isCurrent = update.stateVersion() >= known.stateVersion();
-        boolean isSettled = known.isUnresponsive() && update.stateVersion() == known.stateVersion();
-        if (isCurrent && !isSettled) {
-            transitions.suspect(known, update.stateVersion(), update.accuser(), false);
+    private void mergeSuspect(MemberRecord record, MembershipUpdate update) {
+        boolean isCurrent = update.stateVersion() >= record.stateVersion();
+        boolean isAlreadyUnresponsive =
+                record.isUnresponsive() && update.stateVersion() == record.stateVersion();
+        if (isCurrent && !isAlreadyUnresponsive) {
+            transitions.suspect(record, update.stateVersion(), update.accuser(), false);
         }
     }
 
-    private void mergeUnresponsive(MemberRecord known, long stateVersion) {
-        if (stateVersion < known.stateVersion()) {
+    private void mergeUnresponsive(MemberRecord record, long stateVersion) {
+        if (stateVersion < record.stateVersion()) {
             return;
         }
-        if (known.isUnresponsive()) {
-            if (stateVersion > known.stateVersion()) {
-                transitions.changeState(known, MemberState.UNRESPONSIVE, stateVersion);
+        if (record.isUnresponsive()) {
+            if (stateVersion > record.stateVersion()) {
+                transitions.changeState(record, MemberState.UNRESPONSIVE, stateVersion);
             }
-            known.publish();
+            record.publish();
             return;
         }
-        boolean isNewAccusation = !known.isSuspect() || stateVersion > known.stateVersion();
-        if (!isNewAccusation && hasBeenSuspectForLong(known)) {
-            known.publish();
-            transitions.markUnresponsive(known);
+        boolean isNewAccusation = !record.isSuspect() || stateVersion > record.stateVersion();
+        if (!isNewAccusation && hasBeenSuspectForLong(record)) {
+            record.publish();
+            transitions.markUnresponsive(record);
             return;
         }
         if (isNewAccusation) {
-            transitions.suspect(known, stateVersion, UNKNOWN_ACCUSER, true);
-            verifier.enqueue(known.member());
+            transitions.suspect(record, stateVersion, UNKNOWN_ACCUSER, true);
+            verifier.enqueue(record.member());
         }
-        known.markCondemnedByPeer();
+        record.markCondemnedByPeer();
     }
 
-    /** Whether a suspect has had half of the shortest timeout to refute already. */
+    /** Whether a member has been suspect for at least half of the shortest timeout. */
     private boolean hasBeenSuspectForLong(MemberRecord suspect) {
         return context.clock()
                 .hasElapsed(
@@ -136,9 +137,9 @@
     }
 
     /**
-     * Takes the whole record of a member from a sender that is live here.
+     * Merges a full member record from a sender that is live in this view.
      *
-     * @param announce whether others are told of a newcomer
+     * @param announce whether a member that is new to this view is gossiped to others
      */
     void merge(Member member, boolean announce) {
         boolean isLive = member.state().isLive();
@@ -147,8 +148,8 @@
         } else if (context.table().contains(member.incarnation())) {
             merge(member.toUpdate(0));
         } else if (isLive && member.address().equals(context.self().address())) {
-            // A previous process at this server's own address: nobody can know better that it is
-            // gone.
+            // A previous process at this server's address: it must have ended, as this server now
+            // uses the address.
             transitions.add(
                     member.withState(MemberState.UNRESPONSIVE, member.stateVersion()), true);
         } else if (isLive) {
--- a/src/main/java/ochretiller/fleet/membership/ViewSynchronizer.java
+++ b/src/main/java/ochretiller/fleet/membership/ViewSynchronizer.java
@@ -14,25 +14,25 @@
 
 /**
  * Push-pull anti-entropy between views. Each ping and acknowledgement carries a digest of the
- * sender's view; if digests go on differing, one side sends the digests of its buckets, the other
- * answers with the updates of those that differ, and whole records are requested of members that
- * are unknown.
+ * sender's view. If digests keep differing, one server sends the digests of its buckets and the
+ * other answers with the updates of the buckets that differ; full records of unknown members are
+ * then requested separately.
  *
  * <p>Source: anti-entropy by comparison (Demers et al., "Epidemic Algorithms for Replicated
- * Database Maintenance", 1987); it replaces the full state exchange that implementations of SWIM
- * add.
+ * Database Maintenance", 1987). It replaces the full state exchange that SWIM implementations
+ * usually add.
  */
 final class ViewSynchronizer {
-    /** Protocol periods for which digests must differ before views are compared. */
+    /** Protocol periods for which digests must differ before a comparison starts. */
     private static final int DIFFERENCE_PERIODS = 3;
 
-    /** Protocol periods between two comparisons that this server begins. */
+    /** Protocol periods between two comparisons started by this server. */
     private static final int COMPARISON_PERIODS = 9;
 
-    /** Comparisons answered in a second, so that a whole fleet cannot overload one server. */
+    /** Comparisons answered per second, so that a large fleet cannot overload one server. */
     private static final int MAX_REPLIES_PER_SECOND = 10;
 
-    /** Pages in one answer: a whole fleet of a thousand. */
+    /** Maximum pages in one answer; enough for a fleet of a thousand members. */
     private static final int MAX_PAGES = 24;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -41,7 +41,7 @@
     private final UpdateMerger merger;
     private final SeedJoiner joiner;
     private Optional<Duration> differentSince = Optional.empty();
-    private Duration comparisonPauseFrom = Duration.ZERO;
+    private Duration comparisonPauseStart = Duration.ZERO;
     private double replyTokens = MAX_REPLIES_PER_SECOND;
 
     ViewSynchronizer(ProtocolContext context, UpdateMerger merger, SeedJoiner joiner) {
@@ -50,14 +50,14 @@
         this.joiner = joiner;
     }
 
-    /** Refills the budget of answers; once a tick. */
+    /** Refills the token bucket that limits answers; called once per tick. */
     void refillReplyBudget() {
         double seconds = context.timing().tickInterval().toNanos() / NANOS_PER_SECOND;
         replyTokens =
                 Math.min(MAX_REPLIES_PER_SECOND, replyTokens + MAX_REPLIES_PER_SECOND * seconds);
     }
 
-    /** A member has shown the digest of its view. */
+    /** Compares a member's digest with this server's; starts a comparison of views if due. */
     void compareDigest(Member sender, long digest, boolean isTrusted) {
         if (digest == context.digest()) {
             differentSince = Optional.empty();
@@ -70,14 +70,14 @@
         Duration comparisonPause = timing.probeIntervals(COMPARISON_PERIODS);
         boolean isDue =
                 clock.hasElapsed(since, timing.probeIntervals(DIFFERENCE_PERIODS))
-                        && clock.hasElapsed(comparisonPauseFrom, comparisonPause);
+                        && clock.hasElapsed(comparisonPauseStart, comparisonPause);
         if (isTrusted && isDue) {
-            comparisonPauseFrom = clock.now().plus(context.randomPartOf(comparisonPause));
+            comparisonPauseStart = clock.now().plus(context.randomPartOf(comparisonPause));
             startSync(sender);
         }
     }
 
-    /** Begins a comparison of views with a member. */
+    /** Starts a comparison of views with a member. */
     void startSync(Member peer) {
         context.counters().increment(MembershipCounter.SYNCS);
         context.send(
@@ -85,7 +85,7 @@
                 new DigestSync(context.table().bucketDigests(context.self()), true));
     }
 
-    /** Answers a comparison that another member has begun. */
+    /** Answers a comparison started by another member. */
     void answerSync(DigestSync request, Member sender) {
         boolean isWellFormed = request.digests().size() == MembershipMessage.DIGEST_BUCKETS;
         if (replyTokens < 1 || !isWellFormed) {
@@ -101,10 +101,10 @@
         }
     }
 
-    private static Set<Integer> differingBuckets(List<Long> own, List<Long> others) {
+    private static Set<Integer> differingBuckets(List<Long> own, List<Long> received) {
         Set<Integer> differing = new HashSet<>();
         for (int bucket = 0; bucket < own.size(); bucket++) {
-            if (!own.get(bucket).equals(others.get(bucket))) {
+            if (!own.get(bucket).equals(received.get(bucket))) {
                 differing.add(bucket);
             }
         }
@@ -116,20 +116,20 @@
         if (buckets.contains(MemberTable.bucketOf(context.self().incarnation()))) {
             updates.add(context.self().toUpdate(0));
         }
-        for (MemberRecord known : context.table().all()) {
-            boolean isIncluded = buckets.contains(MemberTable.bucketOf(known.incarnation()));
-            if (isIncluded && !known.isLocalOnly()) {
-                updates.add(known.toUpdate());
+        for (MemberRecord record : context.table().all()) {
+            boolean isIncluded = buckets.contains(MemberTable.bucketOf(record.incarnation()));
+            if (isIncluded && !record.isLocalOnly()) {
+                updates.add(record.toUpdate());
             }
         }
         return updates;
     }
 
-    /** Sends at least one page: an empty one says that nothing differs. */
+    /** Sends at least one page; an empty page means that nothing differs. */
     private void sendPages(List<MembershipUpdate> updates, PeerAddress destination) {
         int pageSize = MembershipMessage.MAX_PAGE_UPDATES;
         if (updates.size() > MAX_PAGES * pageSize) {
-            // Not all can be sent: each time others come first.
+            // Not all updates can be sent: start at a random one, so that each is sent at times.
             Collections.rotate(updates, -context.random().nextInt(updates.size()));
         }
         int needed = (updates.size() + pageSize - 1) / pageSize;
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Takes a page of updates, and requests the records of members that are not known. */
+    /** Merges a page of updates and requests the records of unknown members. */
     void receivePage(UpdatePage page, Member sender, boolean isTrusted) {
         List<Long> unknown = new ArrayList<>();
         for (MembershipUpdate update : page.updates()) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Sends the whole records that a member has requested, of those that are live. */
+    /** Sends the requested records of members that are live. */
     void answerMemberRequest(MemberRequest request, Member sender) {
         List<Member> found = new ArrayList<>();
         for (long incarnation : request.incarnations()) {
@@ -171,7 +171,7 @@
             context.table()
                     .find(incarnation)
                     .filter(MemberRecord::isLive)
-                    .ifPresent(known -> found.add(known.member()));
+                    .ifPresent(record -> found.add(record.member()));
         }
         int pageSize = MembershipMessage.MAX_PAGE_MEMBERS;
         for (int from = 0; from < found.size(); from += pageSize) {
@@ -180,16 +180,16 @@
         }
     }
 
-    /** Takes whole records from a member that is live here. */
+    /** Merges full records sent by a member that is live in this view. */
     void receiveMembers(MemberPage page) {
         page.members().forEach(member -> merger.merge(member, false));
         joiner.viewReceived();
     }
 
-    /** Appends all that decides how it goes on, with times relative to now. */
+    /** Appends the state as text, with times relative to now. */
     void describe(StringBuilder text) {
         AwakeClock clock = context.clock();
-        text.append(" c").append(clock.nanosUntil(comparisonPauseFrom));
+        text.append(" c").append(clock.nanosUntil(comparisonPauseStart));
         differentSince.ifPresent(since -> text.append(" f").append(clock.nanosSince(since)));
     }
 }
