--- a/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
+++ b/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
@@ -17,7 +17,7 @@
  * 4.3); the handling of states lost by all acceptors is an addition.
  */
 final class AcceptorRecovery {
-    /** Rounds in which all have lost their states, so that servers can still report an epoch. */
+    /** Rounds to wait when all have lost their states, so that servers can report an epoch. */
     private static final int LOST_ROUNDS = 4;
 
     private final String name;
--- a/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
+++ b/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
@@ -62,8 +62,8 @@
     record StateLost(long nonce, long instanceId) implements ConsensusMessage {}
 
     /**
-     * All acceptors have lost their states at the same time, so no promise can still matter and they
-     * resume voting.
+     * All acceptors have lost their states at the same time, so no promise can still matter and
+     * they resume voting.
      *
      * @param instanceIds the instance IDs of all acceptors by name; an acceptor with a different ID
      *     has restarted since and ignores the message
--- a/src/main/java/ochretiller/fleet/consensus/EpochAcceptor.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochAcceptor.java
@@ -4,8 +4,8 @@
 
 /**
  * The Paxos acceptor and learner for one epoch after the other (Lamport, "Paxos Made Simple", 2001,
- * sections 2.2 and 2.3). It votes only on the epoch after the committed one. Departure: it answers a
- * rejected proposal with the promised ballot (a nack), and a proposal for an old epoch with the
+ * sections 2.2 and 2.3). It votes only on the epoch after the committed one. Departure: it answers
+ * a rejected proposal with the promised ballot (a nack), and a proposal for an old epoch with the
  * committed placement.
  */
 final class EpochAcceptor {
--- a/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
+++ b/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
@@ -122,7 +122,7 @@
         return report != null && report.epoch() == epoch && report.laggingRanges() <= 0;
     }
 
-    /** Adds a candidate of the zone with the fewest servers; empty if none is live or fits. */
+    /** Adds a live candidate of the zone with the fewest servers; empty if there is none. */
     private Optional<ReplicaPlacement> withNewServer(
             ReplicaPlacement current, List<ReplicaServer> candidates, Duration now) {
         Map<String, Long> serversByZone =
--- a/src/main/java/ochretiller/fleet/consensus/PublishedVersion.java
+++ b/src/main/java/ochretiller/fleet/consensus/PublishedVersion.java
@@ -1,7 +1,7 @@
 package ochretiller.fleet.consensus;
 
 /**
- * A published version of the configuration that servers use. Its content is identified by a hash and
+ * A published version of the servers' configuration. Its content is identified by a hash and
  * distributed separately.
  *
  * @param number the version number, which increases by one; 0 if none has been published
--- a/src/main/java/ochretiller/fleet/consensus/RendezvousHashing.java
+++ b/src/main/java/ochretiller/fleet/consensus/RendezvousHashing.java
@@ -22,7 +22,7 @@
 
     private RendezvousHashing() {}
 
-    /** Chooses the server with the highest weight in each zone, then the highest of the others. */
+    /** Names of the servers of a range by descending weight: one per zone first, then others. */
     static List<String> choose(List<ReplicaServer> servers, int range, int count) {
         List<ReplicaServer> byWeight = new ArrayList<>(servers);
         byWeight.sort(
--- a/src/main/java/ochretiller/fleet/consensus/ReplicaPlacement.java
+++ b/src/main/java/ochretiller/fleet/consensus/ReplicaPlacement.java
@@ -8,9 +8,9 @@
 
 /**
  * The value agreed on for one epoch: the servers that hold replicas, and the state of the rollout.
- * Tokens are divided into {@value #RANGE_COUNT} ranges by their hash, and the replicas of each range
- * are chosen by {@link RendezvousHashing}. Immutable; the replicas of all ranges are computed by the
- * constructor.
+ * Tokens are divided into {@value #RANGE_COUNT} ranges by their hash, and the replicas of each
+ * range are chosen by {@link RendezvousHashing}. Immutable; the constructor computes the replicas
+ * of all ranges.
  */
 public final class ReplicaPlacement {
     /** The number of token ranges: several for each of a hundred servers, few enough to list. */
@@ -38,8 +38,8 @@
     /**
      * Creates a placement for a fleet in which no version has been published.
      *
-     * @param previousServers the servers of the previous epoch, which a server that missed some
-     *     epochs needs in order to fetch its ranges
+     * @param previousServers the servers of the previous epoch, so that a server that missed some
+     *     epochs knows whom to query
      * @param replicationFactor replicas of each range; fewer if there are not that many servers
      */
     public ReplicaPlacement(
@@ -95,7 +95,7 @@
         return epoch;
     }
 
-    /** The servers that hold replicas, in the order in which they were given. */
+    /** The servers that hold replicas, sorted by name. */
     public List<ReplicaServer> servers() {
         return servers;
     }
--- a/src/main/java/ochretiller/fleet/consensus/package-info.java
+++ b/src/main/java/ochretiller/fleet/consensus/package-info.java
@@ -2,7 +2,7 @@
  * Consensus on numbered epochs: which servers hold replicas of which token ranges, and which
  * published version the servers use.
  *
- * <p><b>Purpose.</b> {@link ochretiller.fleet.consensus.EpochConsensus} runs one acceptor of a
+ * <p><b>Job.</b> {@link ochretiller.fleet.consensus.EpochConsensus} runs one acceptor of a
  * sequence of single-decree Paxos instances (Lamport, "Paxos Made Simple", 2001), one per epoch. A
  * value is committed when a majority of the configured acceptors has accepted it under one ballot;
  * only then does the next epoch begin. The value is a {@link
@@ -24,11 +24,11 @@
  *       have lost their disks, they continue from the latest epoch that any server knows.
  * </ul>
  *
- * <p><b>State and threads.</b> All state is owned by one thread. The code is pure: the caller passes
- * in messages, the time and random numbers, and takes out messages to send. Before sending them, it
- * must write {@link ochretiller.fleet.consensus.EpochConsensus#durableState} to disk.
+ * <p><b>State and threads.</b> All state is owned by one thread. The code is pure: the caller
+ * passes in messages, the time and random numbers, and takes out messages to send. Before sending
+ * them, it must write {@link ochretiller.fleet.consensus.EpochConsensus#durableState} to disk.
  *
- * <p><b>Dependencies.</b> {@code fleet.service} runs the protocol over sockets and files, the
+ * <p><b>Neighbours.</b> {@code fleet.service} runs the protocol over sockets and files, the
  * emulator in virtual time; {@code fleet.replication} and {@code fleet.rollout} act on committed
  * epochs; {@code fleet.transport} encodes the messages.
  */
--- a/src/main/java/ochretiller/fleet/membership/LocalHealth.java
+++ b/src/main/java/ochretiller/fleet/membership/LocalHealth.java
@@ -5,9 +5,8 @@
 /**
  * Local health awareness: a bounded score of how likely it is that this server itself is slow. A
  * late timer, a failed probe during which no packet arrived, and a refuted suspicion each raise the
- * score; each answered scheduled probe
- * lowers it. The higher the score, the longer this server waits before
- * it accuses others.
+ * score; each answered scheduled probe lowers it. The higher the score, the longer this server
+ * waits before it accuses others.
  *
  * <p>Source: Lifeguard (Dadgar, Phillips, Currey 2017), "local health multiplier" and "LHA-Probe".
  * Departures: each step adds a quarter of the timeout instead of a whole one, and the score also
--- a/src/test/java/ochretiller/fleet/consensus/EpochConsensusTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/EpochConsensusTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Acceptors that agree, with messages in any order, lost and duplicated, and acceptors that come
- * back with and without their disks.
+ * Consensus between acceptors while messages are reordered, lost and duplicated, and acceptors
+ * restart with or without their disks.
  */
 class EpochConsensusTest {
-    private static final List<String> IN_ORDER = List.of("a", "b", "c");
-    private static final Set<String> NAMES = Set.copyOf(IN_ORDER);
+    private static final List<String> ORDERED_NAMES = List.of("a", "b", "c");
+    private static final Set<String> NAMES = Set.copyOf(ORDERED_NAMES);
     private static final int FACTOR = 3;
 
     private final Map<String, EpochConsensus> acceptors = new TreeMap<>();
@@ -33,14 +33,14 @@
     }
 
     private void startAllFresh() {
-        for (String name : IN_ORDER) {
+        for (String name : ORDERED_NAMES) {
             acceptors.put(name, EpochConsensus.startFresh(name, NAMES, FACTOR, 0));
         }
     }
 
     private void collect(String from) {
         for (OutboundConsensusMessage each : acceptors.get(from).takeOutbound()) {
-            for (String to : IN_ORDER) {
+            for (String to : ORDERED_NAMES) {
                 if (!to.equals(from) && each.recipient().map(to::equals).orElse(true)) {
                     inFlight.add(new InFlight(from, to, each.message()));
                 }
@@ -49,10 +49,10 @@
     }
 
     private void deliver(int index) {
-        InFlight sent = inFlight.remove(index);
-        if (acceptors.containsKey(sent.to())) {
-            acceptors.get(sent.to()).receive(sent.from(), sent.message());
-            collect(sent.to());
+        InFlight delivered = inFlight.remove(index);
+        if (acceptors.containsKey(delivered.to())) {
+            acceptors.get(delivered.to()).receive(delivered.from(), delivered.message());
+            collect(delivered.to());
         }
     }
 
@@ -95,11 +95,11 @@
     }
 
     @Test
-    void placementAcceptedByAMajorityIsCarriedThroughByTheNextProposer() {
+    void placementAcceptedByAMajorityIsCompletedByTheNextProposer() {
         startAllFresh();
         acceptors.get("a").propose(firstEpochOf("x"));
         collect("a");
-        // b promises and accepts; c receives nothing, and a is gone before it learns that.
+        // b promises and accepts, c receives nothing, and a crashes before it learns of the accept.
         for (int i = 0; i < 3; i++) {
             dropAllTo("c");
             deliver(0);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void acceptorWithoutItsDiskAbstainsFromWhatItMayHavePromised() {
+    void acceptorThatLostItsDiskAbstainsFromEpochsItMayHavePromised() {
         startAllFresh();
         acceptors.get("a").propose(firstEpochOf("x"));
         collect("a");
@@ -125,14 +125,14 @@
         acceptors.put("b", recovered);
 
         recovered.receive("c", new ConsensusMessage.Prepare(1, new Ballot(9, "c")));
-        assertThat(recovered.takeOutbound()).as("before it knows what was open").isEmpty();
+        assertThat(recovered.takeOutbound()).as("before it has recovered").isEmpty();
 
         recovered.requestRecovery();
         collect("b");
         deliverAll();
         assertThat(recovered.hasLostState()).isFalse();
         recovered.receive("c", new ConsensusMessage.Prepare(1, new Ballot(9, "c")));
-        assertThat(recovered.takeOutbound()).as("the first epoch was open").isEmpty();
+        assertThat(recovered.takeOutbound()).as("it may have voted on the first epoch").isEmpty();
 
         proposeAndDeliverAll("a", firstEpochOf("x"));
         assertThat(recovered.committed().epoch()).isEqualTo(1);
@@ -141,22 +141,22 @@
     }
 
     @Test
-    void acceptorsThatHaveAllLostTheirStatesResumeTogether() {
+    void acceptorsResumeWhenAllHaveLostTheirStates() {
         int instanceId = 0;
-        for (String name : IN_ORDER) {
+        for (String name : ORDERED_NAMES) {
             instanceId++;
             acceptors.put(name, EpochConsensus.recover(name, NAMES, FACTOR, instanceId));
         }
         proposeAndDeliverAll("a", firstEpochOf("x"));
-        assertThat(committedBy("b").epoch()).as("nobody votes before it knows").isZero();
+        assertThat(committedBy("b").epoch()).as("no acceptor votes before recovery").isZero();
 
-        ReplicaPlacement knownElsewhere =
+        ReplicaPlacement committedEarlier =
                 new ReplicaPlacement(7, List.of(server("x")), List.of(), FACTOR);
         for (int round = 0; round < 4; round++) {
             assertThat(acceptors.get("a").hasLostState())
-                    .as("servers that know of an epoch have the time to tell")
+                    .as("servers have time to report a committed epoch")
                     .isTrue();
-            acceptors.get("a").receive("x", new ConsensusMessage.Committed(knownElsewhere));
+            acceptors.get("a").receive("x", new ConsensusMessage.Committed(committedEarlier));
             acceptors.get("a").requestRecovery();
             collect("a");
             deliverAll();
@@ -164,7 +164,7 @@
 
         assertThat(acceptors.values()).noneMatch(EpochConsensus::hasLostState);
         assertThat(committedBy("a").epoch())
-                .as("they go on from the latest that anybody knew of")
+                .as("they continue from the latest epoch reported by any server")
                 .isEqualTo(7);
         acceptors
                 .get("b")
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void acceptorDoesNotResumeByWhatWasToldToAnEarlierStart() {
+    void acceptorIgnoresAllStateLostMessageForAnEarlierStart() {
         EpochConsensus restarted = EpochConsensus.recover("b", NAMES, FACTOR, 99);
 
         restarted.receive(
@@ -184,16 +184,16 @@
     }
 
     @Test
-    void noEpochIsCommittedTwiceInRandomSchedules() {
+    void randomSchedulesCommitOnePlacementPerEpoch() {
         for (long seed = 1; seed <= 3_000; seed++) {
             acceptors.clear();
             inFlight.clear();
             startAllFresh();
-            new RandomSchedule(seed).play();
+            new RandomSchedule(seed).run();
         }
     }
 
-    /** A schedule drawn by its seed; the order of draws decides what it covers. */
+    /** A schedule determined by its seed; the order of random calls must not change. */
     private final class RandomSchedule {
         private static final int STEPS = 120;
 
@@ -207,9 +207,9 @@
             this.random = new SplittableRandom(seed);
         }
 
-        void play() {
+        void run() {
             for (int step = 0; step < STEPS; step++) {
-                String name = IN_ORDER.get(random.nextInt(IN_ORDER.size()));
+                String name = ORDERED_NAMES.get(random.nextInt(ORDERED_NAMES.size()));
                 act(name, step);
                 collect(name);
                 checkThatCommittedPlacementsAgree();
@@ -230,7 +230,7 @@
             }
         }
 
-        /** One disk at most is lost: two that forget the same are a majority that has forgotten. */
+        /** At most one disk is lost: two acceptors without their promises would be a majority. */
         private void restart(String name, int step) {
             EpochConsensus acceptor = acceptors.get(name);
             boolean anyLost = acceptors.values().stream().anyMatch(EpochConsensus::hasLostState);
--- a/src/test/java/ochretiller/fleet/consensus/PlacementPlannerTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/PlacementPlannerTest.java
@@ -35,30 +35,30 @@
     }
 
     @Test
-    void changesFollowOneByOneFromWhatHasSettled() {
+    void changesAreProposedOneAtATimeForStableServers() {
         ReplicaPlacement four =
                 new ReplicaPlacement(4, CANDIDATES.subList(0, 4), List.of(), FACTOR);
         planner.observe(
                 Map.of("a", true, "b", true, "c", true, "d", false, "e", true), Duration.ZERO);
-        assertThat(planAt(1, four)).as("nothing has settled").isEmpty();
-        assertThat(planAt(3, four)).as("no replica has reported").isEmpty();
+        assertThat(planAt(1, four)).as("no server has been live long enough").isEmpty();
+        assertThat(planAt(3, four)).as("no replica has reported its progress").isEmpty();
 
         List.of("a", "b", "c").forEach(name -> report(name, 4, 0));
         ReplicaPlacement five = planAt(4, four).orElseThrow();
-        assertThat(five.contains("e")).as("the newcomer before the one that departs").isTrue();
+        assertThat(five.contains("e")).as("a server is added before one is removed").isTrue();
         assertThat(planAt(5, five)).as("one change at a time").isEmpty();
 
         List.of("a", "b", "c").forEach(name -> report(name, 5, 0));
         report("e", 5, 17);
-        assertThat(planAt(10, five)).as("a replica lags").isEmpty();
+        assertThat(planAt(10, five)).as("a replica is incomplete").isEmpty();
         report("e", 5, 0);
         assertThat(planAt(10, five).orElseThrow().contains("d")).isFalse();
         report("e", 5, 3);
-        assertThat(planAt(70, five)).as("no entry that is missing can matter").isPresent();
+        assertThat(planAt(70, five)).as("missing entries are older than the window").isPresent();
     }
 
     @Test
-    void smallestFleetKeepsServersThatDeparted() {
+    void departedServersAreNotRemovedFromSmallestFleet() {
         ReplicaPlacement three =
                 new ReplicaPlacement(4, CANDIDATES.subList(0, 3), List.of(), FACTOR);
         planner.observe(Map.of("a", true, "b", false, "c", false), Duration.ZERO);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void largeFleetHasABoundedNumberOfReplicasSpreadOverItsZones() {
+    void largeFleetHasABoundedNumberOfServersSpreadOverZones() {
         List<ReplicaServer> known = new ArrayList<>();
         Map<String, Boolean> liveness = new TreeMap<>();
         for (int i = 0; i < 400; i++) {
@@ -83,7 +83,7 @@
         Duration now = Duration.ZERO;
         ReplicaPlacement placement = ReplicaPlacement.empty(FACTOR);
         for (int i = 0; i < 400; i++) {
-            planner.nextPlacement(placement, known, now); // it learns of the epoch
+            planner.nextPlacement(placement, known, now); // observes the epoch
             now = now.plusSeconds(3);
             Optional<ReplicaPlacement> next = planner.nextPlacement(placement, known, now);
             if (next.isEmpty()) {
@@ -107,7 +107,7 @@
         planner.nextPlacement(placement, known, now.plusSeconds(30));
         placement = planner.nextPlacement(placement, known, now.plusSeconds(40)).orElseThrow();
         assertThat(placement.servers())
-                .as("another takes its place")
+                .as("another server replaces the departed one")
                 .hasSize(ReplicaPlacement.MAX_SERVERS);
     }
 
--- a/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementGoldenTest.java
@@ -8,9 +8,9 @@
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** Which range a token falls into and who keeps it: servers of several releases agree on that. */
+/** Token ranges and their replicas must be stable, as servers of all releases must agree. */
 class ReplicaPlacementGoldenTest {
-    private static final GoldenFile DRAWS = new GoldenFile("layout-draws");
+    private static final GoldenFile PLACEMENTS = new GoldenFile("layout-draws");
     private static final List<String> TOKENS =
             List.of("", "a", "a token", "caf\u00e9", "order-17", "x".repeat(200));
 
@@ -19,18 +19,19 @@
     }
 
     @Test
-    void rangesAndTheirKeepersAreTheGoldenOnes() {
+    void rangesAndTheirReplicasMatchGoldenFile() {
         List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
             servers.add(new ReplicaServer("n" + i, "z" + i % 2));
         }
-        ReplicaPlacement layout = new ReplicaPlacement(4, servers, servers.subList(0, 3), 3);
-        Map<String, byte[]> made = new LinkedHashMap<>();
-        made.put("ranges-of-tokens", text(TOKENS.stream().map(ReplicaPlacement::rangeOf).toList()));
+        ReplicaPlacement placement = new ReplicaPlacement(4, servers, servers.subList(0, 3), 3);
+        Map<String, byte[]> actual = new LinkedHashMap<>();
+        actual.put(
+                "ranges-of-tokens", text(TOKENS.stream().map(ReplicaPlacement::rangeOf).toList()));
         for (int range = 0; range < ReplicaPlacement.RANGE_COUNT; range += 5) {
-            made.put("keepers-of-" + range, text(layout.replicasOf(range)));
-            made.put("former-keepers-of-" + range, text(layout.previousReplicasOf(range)));
+            actual.put("keepers-of-" + range, text(placement.replicasOf(range)));
+            actual.put("former-keepers-of-" + range, text(placement.previousReplicasOf(range)));
         }
-        DRAWS.assertHolds(made);
+        PLACEMENTS.assertHolds(actual);
     }
 }
--- a/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void serverThatGoesMovesOnlyTheRangesThatItHeld() {
+    void removingAServerMovesOnlyTheRangesThatItHeld() {
         ReplicaPlacement before = placementOf(12);
 
         ReplicaPlacement after = before.without("s4");
--- a/src/test/java/ochretiller/fleet/membership/BootstrapPeersTest.java
+++ b/src/test/java/ochretiller/fleet/membership/BootstrapPeersTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void liveMembersAreStoredAndThisServerIsNot() {
+    void liveMembersExceptThisServerAreStored() {
         BootstrapPeers peers = new BootstrapPeers(SELF, List.of());
 
         peers.observe(
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void departedPeersAreStoredBehindLiveOnes() {
+    void departedPeersAreStoredAfterLiveOnes() {
         BootstrapPeers peers = new BootstrapPeers(SELF, List.of(address(9)));
 
         peers.observe(List.of(alive(2, "a"), alive(3, "a")), seconds(1));
@@ -57,11 +57,11 @@
 
         peers.observe(List.of(alive(3, "a")), seconds(2));
         peers.observe(List.of(), seconds(3));
-        assertThat(peers.takeDue(seconds(20))).as("all departed, all still known").isEmpty();
+        assertThat(peers.takeDue(seconds(20))).as("departed peers are still listed").isEmpty();
     }
 
     @Test
-    void largeZoneLeavesRoomForTheOthers() {
+    void storedListIncludesPeersOfSmallZones() {
         BootstrapPeers peers = new BootstrapPeers(SELF, List.of());
         List<MemberSnapshot> view = new ArrayList<>();
         for (int i = 2; i < 100; i++) {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void startingFleetIsNotStoredForEachNewcomer() {
+    void startingFleetDoesNotStoreAListForEachNewMember() {
         BootstrapPeers peers = new BootstrapPeers(SELF, List.of());
         List<MemberSnapshot> view = new ArrayList<>();
         int storedLists = 0;
--- a/src/test/java/ochretiller/fleet/membership/DigestGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/membership/DigestGoldenTest.java
@@ -8,46 +8,46 @@
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** Digests of a view, which servers of several releases compare; {@code docs/fleet-wire.md}. */
+/** View digests must be stable, as servers of different releases compare them. */
 class DigestGoldenTest {
     private static final GoldenFile DIGESTS = new GoldenFile("member-digests");
 
-    private static Member member(long start, long number, MemberState state) {
+    private static Member member(long incarnation, long stateVersion, MemberState state) {
         return new Member(
-                new MemberId("n" + start, start),
+                new MemberId("n" + incarnation, incarnation),
                 new PeerAddress("10.0.0.1", 4200),
                 "z",
                 "0.1",
                 Optional.empty(),
-                number,
+                stateVersion,
                 state);
     }
 
-    private static byte[] bytes(Iterable<Long> numbers) {
+    private static byte[] bytes(Iterable<Long> digests) {
         ByteBuffer out = ByteBuffer.allocate(MembershipMessage.DIGEST_BUCKETS * Long.BYTES);
-        numbers.forEach(out::putLong);
+        digests.forEach(out::putLong);
         return out.array();
     }
 
     @Test
-    void digestsOfAViewAreTheGoldenOnes() {
+    void viewDigestsMatchGoldenFile() {
         Member self = member(-5, 3, MemberState.ALIVE);
-        Map<String, byte[]> made = new LinkedHashMap<>();
+        Map<String, byte[]> actual = new LinkedHashMap<>();
         for (MemberState state : MemberState.values()) {
             MemberTable table = new MemberTable();
             table.add(member(7, 2, state), Duration.ZERO);
             byte[] digest = ByteBuffer.allocate(Long.BYTES).putLong(table.digest(self)).array();
-            made.put("one-of-state-" + code(state), digest);
+            actual.put("one-of-state-" + code(state), digest);
         }
         MemberTable table = new MemberTable();
-        for (int start = 1; start <= 100; start++) {
-            table.add(member(start, start, MemberState.ALIVE), Duration.ZERO);
+        for (int incarnation = 1; incarnation <= 100; incarnation++) {
+            table.add(member(incarnation, incarnation, MemberState.ALIVE), Duration.ZERO);
         }
-        made.put("parts", bytes(table.bucketDigests(self)));
-        DIGESTS.assertHolds(made);
+        actual.put("parts", bytes(table.bucketDigests(self)));
+        DIGESTS.assertHolds(actual);
     }
 
-    /** The code that a state has on the wire. */
+    /** The code of a state in the wire format. */
     private static int code(MemberState state) {
         return switch (state) {
             case JOINING -> 1;
--- a/src/test/java/ochretiller/fleet/membership/MemberTableTest.java
+++ b/src/test/java/ochretiller/fleet/membership/MemberTableTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void longestDepartedMemberMakesRoom() {
+    void memberThatDepartedFirstIsRemovedFirst() {
         MemberTable table = new MemberTable();
         for (int i = 2; i < 30; i++) {
             table.add(unresponsive(i), NOW);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void noMemberMakesRoomWhileAllAreLive() {
+    void noMemberIsRemovedWhileAllAreLive() {
         MemberTable table = new MemberTable();
         table.add(member(2, 1), NOW);
 
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void digestDoesNotDependOnTheOrderOfAdditions() {
+    void digestDoesNotDependOnInsertionOrder() {
         MemberTable ascending = new MemberTable();
         MemberTable descending = new MemberTable();
         for (int i = 2; i < 9; i++) {
@@ -61,18 +61,18 @@
     }
 
     @Test
-    void digestCountsSuspectsAndNotUnresponsiveMembers() {
+    void digestIncludesSuspectsButNotUnresponsiveMembers() {
         MemberTable table = new MemberTable();
         for (int i = 2; i < 9; i++) {
             table.add(member(i, i), NOW);
         }
         long before = table.digest(SELF);
-        MemberRecord known = table.find(5).orElseThrow();
+        MemberRecord record = table.find(5).orElseThrow();
 
-        table.update(known, known.member().withState(MemberState.SUSPECT, 5), NOW);
+        table.update(record, record.member().withState(MemberState.SUSPECT, 5), NOW);
         assertThat(table.digest(SELF)).as("a suspect is still live").isEqualTo(before);
 
-        table.update(known, known.member().withState(MemberState.UNRESPONSIVE, 5), NOW);
+        table.update(record, record.member().withState(MemberState.UNRESPONSIVE, 5), NOW);
         assertThat(table.digest(SELF)).isNotEqualTo(before);
     }
 }
--- a/src/test/java/ochretiller/fleet/membership/MembershipProtocolTest.java
+++ b/src/test/java/ochretiller/fleet/membership/MembershipProtocolTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** One server's protocol, with its peers played by hand. */
+/** Tests the protocol of one server; the tests send the packets of its peers. */
 class MembershipProtocolTest {
     private static final ProtocolTiming TIMING = ProtocolTiming.DEFAULT;
 
@@ -46,7 +46,7 @@
         return new MembershipMessage.Ping(7, 1, gossip, 0);
     }
 
-    /** Ticks until the span is over; what is sent meanwhile is lost. */
+    /** Ticks until the span is over and discards the packets sent meanwhile. */
     private void passTime(Duration span) {
         Duration until = now.plus(span);
         while (now.compareTo(until) < 0) {
@@ -64,22 +64,22 @@
         protocol.receive(new MembershipPacket(sender, message), now);
     }
 
-    /** Has a newcomer heard, and answers the ping that it is sent. */
+    /** Sends a packet of a new member and answers the ping that verifies it. */
     private void join(Member newcomer) {
         receive(newcomer, ping());
         for (int i = 0; i < 40; i++) {
             for (OutboundPacket packet : tick()) {
                 if (packet.destination().equals(newcomer.address())
-                        && packet.packet().message() instanceof MembershipMessage.Ping asked
-                        && asked.target() == newcomer.incarnation()) {
+                        && packet.packet().message() instanceof MembershipMessage.Ping ping
+                        && ping.target() == newcomer.incarnation()) {
                     MembershipMessage.Gossip none = MembershipMessage.Gossip.NONE;
-                    receive(newcomer, new MembershipMessage.Ack(asked.nonce(), none, 0));
+                    receive(newcomer, new MembershipMessage.Ack(ping.nonce(), none, 0));
                     protocol.takeOutbound();
                     return;
                 }
             }
         }
-        throw new AssertionError("never pinged");
+        throw new AssertionError("not pinged within 40 ticks: " + newcomer.id());
     }
 
     private MemberState stateOf(long incarnation) {
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void senderIsNoMemberUntilItAnswersAPing() {
+    void senderIsNotAMemberUntilItAnswersAPing() {
         receive(member("b", 2, 1), ping());
         assertThat(protocol.liveCount()).isZero();
 
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void memberThatAnswersNobodyBecomesSuspectThenUnresponsive() {
+    void memberThatDoesNotAnswerBecomesSuspectThenUnresponsive() {
         join(member("b", 2, 1));
         for (int i = 0; i < 40 && stateOf(2) == MemberState.ALIVE; i++) {
             tick();
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void suspectRefutesByAHigherStateVersion() {
+    void higherStateVersionRefutesSuspicion() {
         join(member("b", 2, 1));
         join(member("c", 3, 1));
         receive(member("c", 3, 1), ping(update(2, 1, MemberState.SUSPECT, 3)));
@@ -123,11 +123,11 @@
         assertThat(stateOf(2)).isEqualTo(MemberState.ALIVE);
 
         receive(member("c", 3, 1), ping(update(2, 1, MemberState.SUSPECT, 3)));
-        assertThat(stateOf(2)).as("an accusation that is refuted").isEqualTo(MemberState.ALIVE);
+        assertThat(stateOf(2)).as("accusation already refuted").isEqualTo(MemberState.ALIVE);
     }
 
     @Test
-    void accusationOfThisServerIsRefutedOnce() {
+    void accusationAgainstThisServerIsRefutedOnce() {
         join(member("b", 2, 1));
         long version = protocol.self().stateVersion();
 
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void verdictOfAnotherMemberOnlyMakesSuspect() {
+    void unresponsiveUpdateFromAnotherMemberOnlyStartsSuspicion() {
         join(member("b", 2, 1));
         join(member("c", 3, 1));
 
@@ -158,7 +158,7 @@
 
         receive(member("b", 2, 5), ping());
         assertThat(stateOf(2))
-                .as("it can send, which need not mean that it can receive")
+                .as("a packet proves that it can send, not that it can receive")
                 .isEqualTo(MemberState.UNRESPONSIVE);
 
         join(member("b", 2, 5));
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void gossipOfAStrangerIsIgnored() {
+    void gossipFromUnknownSenderIsIgnored() {
         join(member("b", 2, 1));
 
         receive(member("x", 9, 1), ping(update(2, 4, MemberState.LEFT, 0)));
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void pauseOfThisServerMakesNobodyUnresponsive() {
+    void pauseOfThisServerDoesNotMakeMembersUnresponsive() {
         join(member("b", 2, 1));
 
         now = now.plusSeconds(60);
@@ -185,12 +185,12 @@
         for (int i = 0; i < 3; i++) {
             tick();
         }
-        assertThat(stateOf(2)).as("nobody had the chance to answer").isEqualTo(MemberState.ALIVE);
+        assertThat(stateOf(2)).as("no member had time to answer").isEqualTo(MemberState.ALIVE);
         assertThat(protocol.localHealthScore()).isPositive();
     }
 
     @Test
-    void leavingIsAnnouncedToAllMembers() {
+    void leaveIsAnnouncedToAllMembers() {
         join(member("b", 2, 1));
         join(member("c", 3, 1));
 
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void memberThatLeftStaysLeft() {
+    void leftStateIsFinal() {
         join(member("b", 2, 1));
         join(member("c", 3, 1));
         protocol.leave(now);
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void previousIncarnationAtItsOwnAddressIsKnownToBeGone() {
+    void previousIncarnationAtOwnAddressIsUnresponsive() {
         join(member("b", 2, 1));
 
         Member previous = member("a", 77, "10.0.0.1", 4);
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void answerByAnotherIncarnationDisplacesTheOneBeforeAtThatAddress() {
+    void answerFromNewIncarnationMakesPreviousOneAtThatAddressUnresponsive() {
         join(member("b", 2, 1));
 
         join(member("d", 22, "10.0.0.2", 1));
@@ -247,7 +247,7 @@
     }
 
     @Test
-    void newViewHasThisServerOnly() {
+    void newViewContainsOnlyThisServer() {
         ProtocolTiming shortRetention =
                 new ProtocolTiming(TIMING.probeInterval(), Duration.ofSeconds(5), 10);
 
--- a/src/test/java/ochretiller/fleet/membership/ProtocolTimingTest.java
+++ b/src/test/java/ochretiller/fleet/membership/ProtocolTimingTest.java
@@ -9,7 +9,7 @@
     private static final ProtocolTiming TIMING = ProtocolTiming.DEFAULT;
 
     @Test
-    void suspicionShortensWithEachConfirmation() {
+    void suspicionTimeoutShortensWithEachConfirmation() {
         Duration shortest = TIMING.minSuspicionTimeout(24);
 
         assertThat(TIMING.suspicionTimeout(24, 4)).isEqualTo(shortest);
@@ -19,13 +19,13 @@
     }
 
     @Test
-    void suspicionLastsLongerInLargeFleetsAndNoShorterInSmallOnes() {
+    void suspicionTimeoutGrowsInLargeFleetsButDoesNotShrinkInSmallOnes() {
         Duration shortest = TIMING.minSuspicionTimeout(24);
 
         assertThat(TIMING.minSuspicionTimeout(1000))
                 .isBetween(shortest.multipliedBy(2), shortest.multipliedBy(3));
         assertThat(TIMING.minSuspicionTimeout(3))
-                .as("a pause is as long in a small fleet")
+                .as("pauses are not shorter in a small fleet")
                 .isEqualTo(shortest);
     }
 }
