--- a/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
+++ b/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
@@ -133,7 +133,7 @@
                         (ReplicaServer server) -> serversByZone.getOrDefault(server.zone(), 0L));
         return candidates.stream()
                 .filter(server -> !current.contains(server.name()))
-                .filter(server -> hasBeen(server.name(), true, settlingTime, now))
+                .filter(server -> isStable(server.name(), true, settlingTime, now))
                 .min(fewestInZoneFirst.thenComparing(ReplicaServer::name))
                 .map(current::with)
                 .filter(ReplicaPlacement::fitsInPacket);
@@ -147,12 +147,12 @@
         Duration departureTime = settlingTime.multipliedBy(DEPARTURE_FACTOR);
         return current.servers().stream()
                 .map(ReplicaServer::name)
-                .filter(name -> hasBeen(name, false, departureTime, now))
+                .filter(name -> isStable(name, false, departureTime, now))
                 .findFirst()
                 .map(current::without);
     }
 
-    private boolean hasBeen(String name, boolean isLive, Duration span, Duration now) {
+    private boolean isStable(String name, boolean isLive, Duration span, Duration now) {
         Presence presence = presences.get(name);
         return presence != null
                 && presence.isLive == isLive
--- a/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
+++ b/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
@@ -31,7 +31,7 @@
 
     private final PeerAddress self;
     private final Map<PeerAddress, Candidate> candidates = new HashMap<>();
-    private Set<PeerAddress> stored;
+    private Set<PeerAddress> storedPeers;
     private Duration nextStore = FIRST_STORE_DELAY;
 
     /** A peer that may be stored; {@code lastSeen} ranks those that are not live. */
@@ -45,7 +45,7 @@
      */
     public BootstrapPeers(PeerAddress self, List<PeerAddress> previous) {
         this.self = self;
-        this.stored = Set.copyOf(previous);
+        this.storedPeers = Set.copyOf(previous);
         for (PeerAddress address : previous) {
             if (candidates.size() < MAX_PEERS && !address.equals(self)) {
                 candidates.put(address, new Candidate("", false, Duration.ZERO));
@@ -55,8 +55,7 @@
 
     /** Processes the current view. Peers no longer live remain until better ones replace them. */
     public void observe(Collection<MemberSnapshot> view, Duration now) {
-        candidates.replaceAll(
-                (address, peer) -> new Candidate(peer.zone, false, peer.lastSeen));
+        candidates.replaceAll((address, peer) -> new Candidate(peer.zone, false, peer.lastSeen));
         for (MemberSnapshot snapshot : view) {
             Member member = snapshot.member();
             boolean isThisServer = snapshot.isSelf() || member.address().equals(self);
@@ -75,11 +74,11 @@
             return Optional.empty();
         }
         List<PeerAddress> best = chooseBest();
-        if (Set.copyOf(best).equals(stored)) {
+        if (Set.copyOf(best).equals(storedPeers)) {
             return Optional.empty();
         }
         nextStore = now.plus(STORE_INTERVAL);
-        stored = Set.copyOf(best);
+        storedPeers = Set.copyOf(best);
         return Optional.of(best);
     }
 
@@ -87,7 +86,7 @@
     private List<PeerAddress> chooseBest() {
         // Prefer peers that are stored already, so that equally good ones cause no rewrite.
         Comparator<PeerAddress> storedFirst =
-                Comparator.comparing((PeerAddress address) -> !stored.contains(address))
+                Comparator.comparing((PeerAddress address) -> !storedPeers.contains(address))
                         .thenComparing(PeerAddress::toString);
         Map<String, List<PeerAddress>> liveByZone = new TreeMap<>();
         List<PeerAddress> gone = new ArrayList<>();
--- a/src/main/java/ochretiller/fleet/membership/DuplicateNameDetector.java
+++ b/src/main/java/ochretiller/fleet/membership/DuplicateNameDetector.java
@@ -6,7 +6,8 @@
 
 /**
  * Reports other live processes with this server's name or address, a deployment mistake that only
- * operators can correct. Each incarnation is reported at most once in {@link #REPORT_PERIODS}.
+ * operators can correct. Each incarnation is reported at most once per {@link #REPORT_PERIODS}
+ * protocol periods.
  */
 final class DuplicateNameDetector {
     /** Maximum incarnations reported at a time; more would tell the operators nothing new. */
@@ -24,8 +25,7 @@
 
     /** Reports a process, unless it was reported recently or too many were. */
     void report(Member duplicate) {
-        if (reportedAt.containsKey(duplicate.incarnation())
-                || reportedAt.size() >= MAX_REPORTED) {
+        if (reportedAt.containsKey(duplicate.incarnation()) || reportedAt.size() >= MAX_REPORTED) {
             return;
         }
         reportedAt.put(duplicate.incarnation(), context.clock().now());
--- a/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
+++ b/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
@@ -52,7 +52,7 @@
      * @param first an update to include in any case
      */
     Gossip take(
-            MemberTable table, Member self, GossipTerms terms, Optional<MembershipUpdate> first) {
+            MemberTable table, Member self, GossipTerms options, Optional<MembershipUpdate> first) {
         if (items.isEmpty() && first.isEmpty()) {
             return Gossip.NONE;
         }
@@ -69,7 +69,7 @@
             }
             Member member = isSelf ? self : found.get().member();
             boolean isNewToRecipient =
-                    !terms.digestsAgree() || member.state() == MemberState.SUSPECT;
+                    !options.digestsAgree() || member.state() == MemberState.SUSPECT;
             if (isNewToRecipient && item.sendFullRecord) {
                 if (members.size() == MembershipMessage.MAX_GOSSIP_MEMBERS) {
                     continue;
@@ -81,7 +81,7 @@
                 }
                 updates.add(found.map(MemberRecord::toUpdate).orElseGet(() -> member.toUpdate(0)));
             }
-            countAsSent(item, terms);
+            countAsSent(item, options);
         }
         return new Gossip(updates, members);
     }
@@ -95,9 +95,9 @@
         return order;
     }
 
-    private void countAsSent(Item item, GossipTerms terms) {
+    private void countAsSent(Item item, GossipTerms options) {
         item.timesSent++;
-        if (item.timesSent >= terms.transmitLimit()) {
+        if (item.timesSent >= options.transmitLimit()) {
             items.remove(item.incarnation);
         }
     }
--- a/src/main/java/ochretiller/fleet/membership/MemberRecord.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberRecord.java
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Incarnations of the members that have accused it in this suspicion, the latest last; 0 for
-     * an accuser that is not known.
+     * Incarnations of the members that have accused it in this suspicion, the latest last; 0 for an
+     * accuser that is not known.
      */
     Set<Long> accusers() {
         return accusers;
--- a/src/main/java/ochretiller/fleet/membership/ReachabilityVerifier.java
+++ b/src/main/java/ochretiller/fleet/membership/ReachabilityVerifier.java
@@ -22,7 +22,7 @@
 
     private final ProtocolContext context;
     private final PendingProbes probes;
-    private final Map<Long, Member> queued = new LinkedHashMap<>();
+    private final Map<Long, Member> queue = new LinkedHashMap<>();
 
     ReachabilityVerifier(ProtocolContext context, PendingProbes probes) {
         this.context = context;
@@ -31,8 +31,8 @@
 
     /** Queues a member for a ping. */
     void enqueue(Member member) {
-        if (queued.size() < MAX_QUEUED) {
-            queued.putIfAbsent(member.incarnation(), member);
+        if (queue.size() < MAX_QUEUED) {
+            queue.putIfAbsent(member.incarnation(), member);
         } else {
             context.counters().increment(MembershipCounter.CAPACITY_REJECTIONS);
         }
@@ -40,9 +40,9 @@
 
     /** Pings the first queued members; called once per tick. */
     void pingQueued() {
-        for (int i = 0; i < PINGS_PER_TICK && !queued.isEmpty(); i++) {
-            Member member = queued.values().iterator().next();
-            queued.remove(member.incarnation());
+        for (int i = 0; i < PINGS_PER_TICK && !queue.isEmpty(); i++) {
+            Member member = queue.values().iterator().next();
+            queue.remove(member.incarnation());
             probes.start(ProbeRequest.verification(member));
         }
     }
@@ -76,6 +76,6 @@
     /** The queued incarnations as text. */
     @Override
     public String toString() {
-        return queued.keySet().toString();
+        return queue.keySet().toString();
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/UpdateMerger.java
+++ b/src/main/java/ochretiller/fleet/membership/UpdateMerger.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Refutes an accusation against this server by raising its state version (SWIM, section 4.2).
-     * A suspicion also counts as a sign of poor local health (Lifeguard).
+     * Refutes an accusation against this server by raising its state version (SWIM, section 4.2). A
+     * suspicion also counts as a sign of poor local health (Lifeguard).
      */
     void mergeOfSelf(MembershipUpdate update) {
         Member self = context.self();
