--- a/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
+++ b/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
@@ -32,11 +32,11 @@
     /**
      * Creates a planner without observations.
      *
-     * @param settlingTime how long a server must be live before it is added; a server must have
-     *     departed for {@value #DEPARTURE_FACTOR} times as long before it is removed
+     * @param settlingTime how long a server must be live before it is added; a server is removed
+     *     only after it has been gone for four times as long
      * @param maxWindow the longest idempotency window; entries missing from a replica for longer
      *     have expired
-     * @param minServers number of servers below which none is removed, since departed servers may
+     * @param minServers the number of servers that are never removed, since departed servers may
      *     hold the only replicas
      */
     public PlacementPlanner(Duration settlingTime, Duration maxWindow, int minServers) {
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Whether the last change is complete: the ranges that it moved must have been copied before
-     * the next change, which might otherwise remove their only source.
+     * Whether the last change is complete or older than the longest window. The ranges that it
+     * moved must be copied before the next change, which might otherwise remove their only source.
      */
     private boolean mayChange(ReplicaPlacement current, Duration now) {
         Duration age = now.minus(epochSince);
@@ -122,7 +122,9 @@
         return report != null && report.epoch() == epoch && report.laggingRanges() <= 0;
     }
 
-    /** Adds a live candidate of the zone with the fewest servers; empty if there is none. */
+    /**
+     * Adds a live candidate of the zone with the fewest servers; empty if there is none that fits.
+     */
     private Optional<ReplicaPlacement> withNewServer(
             ReplicaPlacement current, List<ReplicaServer> candidates, Duration now) {
         Map<String, Long> serversByZone =
--- a/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
@@ -72,7 +72,7 @@
         leaveAnnouncer = new LeaveAnnouncer(context);
     }
 
-    /** Adds peers of a previous process, contacted besides the seeds while no member is live. */
+    /** Sets the stored peers to contact in addition to the seeds while no member is live. */
     public void addBootstrapPeers(List<PeerAddress> peers) {
         joiner.addBootstrapPeers(peers);
     }
@@ -117,7 +117,7 @@
         duplicates.forgetOldReports();
     }
 
-    /** Processes a packet; its verified seal has shown that the sender belongs to the fleet. */
+    /** Processes a packet whose seal the caller has verified: its sender belongs to the fleet. */
     public void receive(MembershipPacket packet, Duration now) {
         clock.advance(now);
         Member sender = packet.sender();
--- a/src/main/java/ochretiller/fleet/membership/ProtocolContext.java
+++ b/src/main/java/ochretiller/fleet/membership/ProtocolContext.java
@@ -100,7 +100,8 @@
 
     /**
      * Takes the gossip for a message to a member. If the recipient is suspect or unresponsive in
-     * this view, that update comes first, so that it can refute it (Lifeguard's "buddy system").
+     * this view, that update comes first so that the recipient can refute it (Lifeguard's "buddy
+     * system").
      */
     Gossip gossipFor(long recipient, boolean digestsAgree) {
         Optional<MembershipUpdate> accusation =
