--- a/src/test/java/ochretiller/fleet/consensus/PlacementPlannerTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/PlacementPlannerTest.java
@@ -72,20 +72,20 @@
 
     @Test
     void largeFleetHasABoundedNumberOfServersSpreadOverZones() {
-        List<ReplicaServer> known = new ArrayList<>();
+        List<ReplicaServer> candidates = new ArrayList<>();
         Map<String, Boolean> liveness = new TreeMap<>();
         for (int i = 0; i < 400; i++) {
-            known.add(new ReplicaServer("m" + i, i < 340 ? "big" : "z" + i % 2));
+            candidates.add(new ReplicaServer("m" + i, i < 340 ? "big" : "z" + i % 2));
         }
-        known.forEach(each -> liveness.put(each.name(), true));
+        candidates.forEach(each -> liveness.put(each.name(), true));
         planner.observe(liveness, Duration.ZERO);
 
         Duration now = Duration.ZERO;
         ReplicaPlacement placement = ReplicaPlacement.empty(FACTOR);
         for (int i = 0; i < 400; i++) {
-            planner.nextPlacement(placement, known, now); // observes the epoch
+            planner.nextPlacement(placement, candidates, now); // observes the epoch
             now = now.plusSeconds(3);
-            Optional<ReplicaPlacement> next = planner.nextPlacement(placement, known, now);
+            Optional<ReplicaPlacement> next = planner.nextPlacement(placement, candidates, now);
             if (next.isEmpty()) {
                 break;
             }
@@ -99,13 +99,13 @@
         String departed = placement.servers().get(0).name();
         liveness.put(departed, false);
         planner.observe(liveness, now);
-        planner.nextPlacement(placement, known, now);
-        placement = planner.nextPlacement(placement, known, now.plusSeconds(30)).orElseThrow();
+        planner.nextPlacement(placement, candidates, now);
+        placement = planner.nextPlacement(placement, candidates, now.plusSeconds(30)).orElseThrow();
         assertThat(placement.contains(departed)).isFalse();
 
         reportAllComplete(placement);
-        planner.nextPlacement(placement, known, now.plusSeconds(30));
-        placement = planner.nextPlacement(placement, known, now.plusSeconds(40)).orElseThrow();
+        planner.nextPlacement(placement, candidates, now.plusSeconds(30));
+        placement = planner.nextPlacement(placement, candidates, now.plusSeconds(40)).orElseThrow();
         assertThat(placement.servers())
                 .as("another server replaces the departed one")
                 .hasSize(ReplicaPlacement.MAX_SERVERS);
