--- a/src/test/java/ochretiller/fleet/consensus/PlacementPlannerTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/PlacementPlannerTest.java
@@ -35,30 +35,30 @@
     }
 
     @Test
-    void changesFollowOneByOneFromWhatHasSettled() {
+    void changesAreProposedOneAtATimeForStableServers() {
         ReplicaPlacement four =
                 new ReplicaPlacement(4, CANDIDATES.subList(0, 4), List.of(), FACTOR);
         planner.observe(
                 Map.of("a", true, "b", true, "c", true, "d", false, "e", true), Duration.ZERO);
-        assertThat(planAt(1, four)).as("nothing has settled").isEmpty();
-        assertThat(planAt(3, four)).as("no replica has reported").isEmpty();
+        assertThat(planAt(1, four)).as("no server has been live long enough").isEmpty();
+        assertThat(planAt(3, four)).as("no replica has reported its progress").isEmpty();
 
         List.of("a", "b", "c").forEach(name -> report(name, 4, 0));
         ReplicaPlacement five = planAt(4, four).orElseThrow();
-        assertThat(five.contains("e")).as("the newcomer before the one that departs").isTrue();
+        assertThat(five.contains("e")).as("a server is added before one is removed").isTrue();
         assertThat(planAt(5, five)).as("one change at a time").isEmpty();
 
         List.of("a", "b", "c").forEach(name -> report(name, 5, 0));
         report("e", 5, 17);
-        assertThat(planAt(10, five)).as("a replica lags").isEmpty();
+        assertThat(planAt(10, five)).as("a replica is incomplete").isEmpty();
         report("e", 5, 0);
         assertThat(planAt(10, five).orElseThrow().contains("d")).isFalse();
         report("e", 5, 3);
-        assertThat(planAt(70, five)).as("no entry that is missing can matter").isPresent();
+        assertThat(planAt(70, five)).as("missing entries are older than the window").isPresent();
     }
 
     @Test
-    void smallestFleetKeepsServersThatDeparted() {
+    void departedServersAreNotRemovedFromSmallestFleet() {
         ReplicaPlacement three =
                 new ReplicaPlacement(4, CANDIDATES.subList(0, 3), List.of(), FACTOR);
         planner.observe(Map.of("a", true, "b", false, "c", false), Duration.ZERO);
@@ -71,21 +71,21 @@
     }
 
     @Test
-    void largeFleetHasABoundedNumberOfReplicasSpreadOverItsZones() {
-        List<ReplicaServer> known = new ArrayList<>();
+    void largeFleetHasABoundedNumberOfServersSpreadOverZones() {
+        List<ReplicaServer> candidates = new ArrayList<>();
         Map<String, Boolean> liveness = new TreeMap<>();
         for (int i = 0; i < 400; i++) {
-            known.add(new ReplicaServer("m" + i, i < 340 ? "big" : "z" + i % 2));
+            candidates.add(new ReplicaServer("m" + i, i < 340 ? "big" : "z" + i % 2));
         }
-        known.forEach(each -> liveness.put(each.name(), true));
+        candidates.forEach(each -> liveness.put(each.name(), true));
         planner.observe(liveness, Duration.ZERO);
 
         Duration now = Duration.ZERO;
         ReplicaPlacement placement = ReplicaPlacement.empty(FACTOR);
         for (int i = 0; i < 400; i++) {
-            planner.nextPlacement(placement, known, now); // it learns of the epoch
+            planner.nextPlacement(placement, candidates, now); // observes the epoch
             now = now.plusSeconds(3);
-            Optional<ReplicaPlacement> next = planner.nextPlacement(placement, known, now);
+            Optional<ReplicaPlacement> next = planner.nextPlacement(placement, candidates, now);
             if (next.isEmpty()) {
                 break;
             }
@@ -99,15 +99,15 @@
         String departed = placement.servers().get(0).name();
         liveness.put(departed, false);
         planner.observe(liveness, now);
-        planner.nextPlacement(placement, known, now);
-        placement = planner.nextPlacement(placement, known, now.plusSeconds(30)).orElseThrow();
+        planner.nextPlacement(placement, candidates, now);
+        placement = planner.nextPlacement(placement, candidates, now.plusSeconds(30)).orElseThrow();
         assertThat(placement.contains(departed)).isFalse();
 
         reportAllComplete(placement);
-        planner.nextPlacement(placement, known, now.plusSeconds(30));
-        placement = planner.nextPlacement(placement, known, now.plusSeconds(40)).orElseThrow();
+        planner.nextPlacement(placement, candidates, now.plusSeconds(30));
+        placement = planner.nextPlacement(placement, candidates, now.plusSeconds(40)).orElseThrow();
         assertThat(placement.servers())
-                .as("another takes its place")
+                .as("another server replaces the departed one")
                 .hasSize(ReplicaPlacement.MAX_SERVERS);
     }
 
