--- a/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
+++ b/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
@@ -8,17 +8,20 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Pulls from other replicas what this one lacks, range by range: first for lagging ranges, whose
- * votes do not count until enough sources have been heard completely, then, with what is left of
- * the rate, to repair differences that comparisons have found. Anti-entropy in the sense of Demers
- * et al. 1987 ("Epidemic Algorithms for Replicated Database Maintenance"), with set sketches in
- * place of Merkle trees. Not thread-safe; time is handed in.
+ * Pulls missing entries from other replicas, range by range. Lagging ranges come first: their votes
+ * do not count until enough sources have been pulled completely. The rest of the transfer rate is
+ * used to repair differences that comparisons have found. Anti-entropy in the sense of Demers et
+ * al. 1987 ("Epidemic Algorithms for Replicated Database Maintenance"), with set sketches in place
+ * of Merkle trees. Not thread-safe; callers pass the current time.
  */
 final class AntiEntropy {
-    /** Pulls that wait at most before a repair is left to later comparisons. */
+    /**
+     * Number of pulls from which on no repair is added; a later comparison finds the difference
+     * again.
+     */
     private static final int MAX_PULLS_FOR_REPAIR = 512;
 
-    /** Pulls that wait at most before a lagging range is left to later ticks. */
+    /** Number of pulls from which on no catch-up is added; a later tick adds it. */
     private static final int MAX_PULLS_FOR_CATCH_UP = 2 * MAX_PULLS_FOR_REPAIR;
 
     private final String self;
@@ -31,11 +34,11 @@
     private long receivedBytes;
     private long receivedEntries;
 
-    /** A range, and the replica that it is pulled from. */
+    /** A range and the replica to pull it from. */
     private record PullTarget(int range, String source) {}
 
-    /** What one tick works with. */
-    private record Tick(
+    /** Values shared by the steps of one tick. */
+    private record TickContext(
             ReplicaPlacement placement, Duration now, PullSlots slots, Outbox requests) {}
 
     AntiEntropy(String self, ReplicaEntries entries, ByteRateLimiter rateLimiter) {
@@ -44,12 +47,12 @@
         this.rateLimiter = rateLimiter;
     }
 
-    /** Returns the ranges that this replica does not have completely yet. */
+    /** Returns the ranges that this replica is still catching up on. */
     LaggingRanges lagging() {
         return lagging;
     }
 
-    /** Returns the estimated bytes of entries that were received. */
+    /** Returns the estimated size of all received entries, in bytes. */
     long receivedBytes() {
         return receivedBytes;
     }
@@ -59,33 +62,33 @@
     }
 
     /**
-     * Returns whether a range is complete, or this replica's copy at least is one of those that
-     * will make it so.
+     * Returns whether this replica's copy of a range is a complete source: the range does not lag,
+     * or its catch-up counts the local copy as complete.
      */
     boolean ownCopyCounts(int range) {
         return lagging.get(range).map(catchUp -> catchUp.hasHeard(self)).orElse(true);
     }
 
-    /** Drops all requests: in the new epoch every source has to be told of it. */
+    /** Drops all pulls, and marks all sources as not knowing the new epoch. */
     void resetForEpoch() {
         sources.reset();
         pulls.clear();
     }
 
-    /** Ends the catch-up of a range. */
+    /** Ends the catch-up of a range and drops its pulls. */
     void markComplete(int range) {
         lagging.remove(range);
         pulls.keySet().removeIf(target -> target.range == range);
     }
 
     /**
-     * Starts the catch-up of a range anew.
+     * Starts the catch-up of a range; replaces one in progress.
      *
-     * @param ownCopyCounts whether this replica's own copy is one of the complete sources
+     * @param ownCopyReliable whether this replica's own copy counts as a complete source
      */
-    void startCatchUp(int range, RangeCatchUp catchUp, boolean ownCopyCounts) {
+    void startCatchUp(int range, RangeCatchUp catchUp, boolean ownCopyReliable) {
         markComplete(range);
-        if (ownCopyCounts) {
+        if (ownCopyReliable) {
             catchUp.addCompleteSource(self);
         }
         if (!catchUp.isComplete()) {
@@ -94,8 +97,8 @@
     }
 
     /**
-     * Asks for a repair of a range from a source that has so many entries of it, unless it is
-     * pulled anyway.
+     * Adds a repair pull of a range from a source with {@code sourceEntryCount} entries in it,
+     * unless the range lags or this pull exists already.
      */
     void requestRepair(int range, String source, int sourceEntryCount) {
         PullTarget target = new PullTarget(range, source);
@@ -110,14 +113,14 @@
     List<OutboundMessage> tick(ReplicaPlacement placement, Duration now) {
         lagging.overdue(now).forEach(this::markComplete);
         pulls.values().removeIf(RangePull::isAbandonedRepair);
-        Tick tick = new Tick(placement, now, outstanding(now), new Outbox());
+        TickContext tick = new TickContext(placement, now, occupiedSlots(now), new Outbox());
         addCatchUpPulls();
         sendDue(false, tick);
         sendDue(true, tick);
         return tick.requests.drain();
     }
 
-    private PullSlots outstanding(Duration now) {
+    private PullSlots occupiedSlots(Duration now) {
         PullSlots slots = new PullSlots();
         pulls.forEach(
                 (target, pull) -> {
@@ -144,16 +147,16 @@
                 });
     }
 
-    private void sendDue(boolean repairs, Tick tick) {
-        for (Map.Entry<PullTarget, RangePull> each : pulls.entrySet()) {
-            RangePull pull = each.getValue();
+    private void sendDue(boolean repairs, TickContext tick) {
+        for (Map.Entry<PullTarget, RangePull> entry : pulls.entrySet()) {
+            RangePull pull = entry.getValue();
             if (pull.isRepair() != repairs || pull.isAwaitingReply(tick.now)) {
                 continue;
             }
             if (!pull.wasRequested()) {
-                // One source of a range at a time, so that what two sources have is transferred
-                // once.
-                if (tick.slots.isBusy(each.getKey().range)) {
+                // Pull a range from one source at a time, so that entries that several sources have
+                // are transferred once.
+                if (tick.slots.isBusy(entry.getKey().range)) {
                     continue;
                 }
                 pull.chooseFirstMethod();
@@ -161,11 +164,11 @@
             if (!tick.slots.hasRoom(repairs) || !rateLimiter.hasTokens(tick.now)) {
                 break;
             }
-            send(each.getKey(), pull, tick);
+            send(entry.getKey(), pull, tick);
         }
     }
 
-    private void send(PullTarget target, RangePull pull, Tick tick) {
+    private void send(PullTarget target, RangePull pull, TickContext tick) {
         if (pull.hasTimedOut(tick.now)) {
             pull.recordTimeout();
             sources.recordTimeout(target.source);
@@ -173,7 +176,7 @@
         if (!sources.isUnresponsive(target.source)) {
             tick.slots.occupy(target.range, pull.isRepair());
         } else if (!sources.tryProbe(target.source, tick.now)) {
-            // An unresponsive source takes no slot, so that it does not keep the others waiting.
+            // An unresponsive source takes no slot, so that it does not delay the others.
             pull.makeDue();
             return;
         }
@@ -186,8 +189,8 @@
     }
 
     /**
-     * Takes a page whose entries are stored already, and returns what to ask the same source next,
-     * if anything.
+     * Processes a page whose entries have been stored, and returns the next request to its source,
+     * if there is one.
      */
     Optional<OutboundMessage> acceptPage(
             String from,
@@ -229,7 +232,7 @@
             return;
         }
         if (!page.sourceComplete()) {
-            // The source lags itself, and is asked again after a while.
+            // The source itself lags: pull from it again after the retry interval.
             RangePull next = RangePull.forCatchUp(target.range, entries);
             next.postpone(now);
             pulls.put(target, next);
@@ -242,8 +245,8 @@
     }
 
     /**
-     * Returns what decides the next steps, as text: equal texts behave alike. For state-space
-     * exploration.
+     * Returns the state that determines future behaviour, as text, for state-space exploration:
+     * instances with equal texts behave alike.
      */
     String describeState() {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/ochretiller/fleet/replication/ByteRateLimiter.java
+++ b/src/main/java/ochretiller/fleet/replication/ByteRateLimiter.java
@@ -3,8 +3,9 @@
 import java.time.Duration;
 
 /**
- * Token bucket for bytes whose number is known only after they were spent: an overdraft is paid
- * back before the next transfer. Not thread-safe; time is handed in.
+ * Token bucket for transfers whose size is known only afterwards: the balance may become negative,
+ * and the next transfer waits until it is positive again. Not thread-safe; callers pass the current
+ * time.
  */
 final class ByteRateLimiter {
     private final double bytesPerSecond;
@@ -14,7 +15,7 @@
 
     /**
      * @param bytesPerSecond refill rate
-     * @param capacity bytes that are saved up at most; the bucket starts full
+     * @param capacity maximum balance in bytes; the bucket starts full
      */
     ByteRateLimiter(double bytesPerSecond, double capacity, Duration now) {
         this.bytesPerSecond = bytesPerSecond;
@@ -23,7 +24,7 @@
         this.lastRefill = now;
     }
 
-    /** Returns whether anything may be transferred now. */
+    /** Refills the bucket, and returns whether a transfer may start now. */
     boolean hasTokens(Duration now) {
         double seconds = Math.max(0, now.minus(lastRefill).toNanos() / 1e9);
         lastRefill = now;
@@ -31,7 +32,7 @@
         return available > 0;
     }
 
-    /** Takes bytes that were transferred, into overdraft if need be. */
+    /** Deducts transferred bytes; the balance may become negative. */
     void spend(double bytes) {
         available -= bytes;
     }
--- a/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
+++ b/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
@@ -8,24 +8,24 @@
 import java.util.Optional;
 
 /**
- * Downloads results that are too long for one datagram, chunk by chunk, a few of each result at
- * once. Lost chunks are requested again; a complete result is checked against the checksum of its
- * outcome. Bounded in memory; not thread-safe; time is handed in.
+ * Downloads results that do not fit into one datagram, with several chunk requests of each result
+ * in flight. Lost chunks are requested again; a complete result is verified against the checksum of
+ * its outcome. Bounded in memory. Not thread-safe; callers pass the current time.
  */
 public final class ChunkAssembler {
     /**
-     * Characters of a chunk: what fits into a datagram beside its envelope, where a byte may take
-     * two.
+     * Length of a chunk in characters, one per byte of the result. Fits into a datagram with its
+     * envelope even if every character takes two bytes.
      */
     public static final int CHUNK_BYTES = 3 * 1024;
 
     /**
-     * Consecutive ticks with repeated requests and no answer after which a download is abandoned
-     * until asked for anew.
+     * Consecutive ticks with repeated requests and no reply after which a download is abandoned; a
+     * new {@link #request} restarts it.
      */
     private static final int MAX_RETRIES = 12;
 
-    /** Bytes of all results that are being downloaded at most. */
+    /** Maximum total size of the results being downloaded. */
     private static final int MAX_BYTES_IN_PROGRESS = 4 << 20;
 
     private final Map<ResultKey, ResultDownload> downloads = new LinkedHashMap<>();
@@ -34,10 +34,10 @@
     private record ResultKey(String token, ClaimId claimId) {}
 
     /**
-     * Starts the download of a result, or moves it to another source. Without room nothing happens;
-     * it may be asked for again.
+     * Starts the download of a result, or moves a running one to another source. Does nothing if
+     * the size is invalid or too many bytes are in progress; the caller may try again.
      *
-     * @param source the server to ask from now on
+     * @param source the server to request missing chunks from
      * @param epoch the epoch that {@link AssembledResult#epoch} reports
      */
     void request(String token, ClaimId claimId, ClaimOutcome outcome, String source, long epoch) {
@@ -46,9 +46,9 @@
             return;
         }
         ResultKey key = new ResultKey(token, claimId);
-        ResultDownload known = downloads.get(key);
-        if (known != null) {
-            known.askFrom(source, epoch);
+        ResultDownload existing = downloads.get(key);
+        if (existing != null) {
+            existing.askFrom(source, epoch);
         } else if (bytesInProgress + size <= MAX_BYTES_IN_PROGRESS) {
             bytesInProgress += size;
             downloads.put(key, new ResultDownload(outcome, source, epoch));
@@ -84,8 +84,7 @@
     }
 
     /**
-     * Accepts a chunk, and returns the result once its last chunk has arrived; chunks nobody waits
-     * for are ignored.
+     * Accepts a chunk, and returns the result if that completes it. Unexpected chunks are ignored.
      */
     Optional<AssembledResult> accept(ReplicationMessage.Chunk chunk) {
         ResultKey key = new ResultKey(chunk.token(), chunk.claimId());
@@ -95,8 +94,8 @@
         }
         remove(key);
         String result = download.result();
-        // A source may have sent other bytes than its outcome promised: whoever needs the result
-        // asks for it again.
+        // The source sent bytes that do not match its outcome. A caller that still needs the result
+        // requests it again.
         if (ClaimOutcome.checksum(result) != download.outcome().checksum()) {
             return Optional.empty();
         }
@@ -105,7 +104,7 @@
                         key.token, key.claimId, result, download.source(), download.epoch()));
     }
 
-    /** Returns the chunk of a result that was asked for; empty where the result ends before it. */
+    /** Returns the requested chunk of a result; empty if its offset is outside the result. */
     public static Optional<ReplicationMessage.Chunk> slice(
             ReplicationMessage.ChunkRequest request, String result) {
         int start = request.offset();
@@ -118,8 +117,8 @@
     }
 
     /**
-     * Returns what decides the next steps, as text: equal texts behave alike. For state-space
-     * exploration.
+     * Returns the state that determines future behaviour, as text, for state-space exploration:
+     * instances with equal texts behave alike.
      */
     String describeState() {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/ochretiller/fleet/replication/ChunkedReplays.java
+++ b/src/main/java/ochretiller/fleet/replication/ChunkedReplays.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Downloads chunked results of claims that other servers have completed, so that repeats can be
- * answered with them. Not thread-safe; time is handed in.
+ * Downloads chunked results of claims that other servers have completed, so that repeated
+ * invocations can be answered with them. Not thread-safe; callers pass the current time.
  */
 final class ChunkedReplays {
     private final CoordinatorState state;
@@ -17,20 +17,20 @@
     }
 
     /**
-     * Requests the result of a completed claim from a replica that has it; returns whether there is
-     * one.
+     * Requests the result of a completed claim from a replica that has it; returns false if none
+     * has.
      */
     boolean requestResult(ClaimAttempt attempt, Duration now) {
-        for (Map.Entry<String, ReplicationMessage.ClaimReply> each :
+        for (Map.Entry<String, ReplicationMessage.ClaimReply> entry :
                 attempt.repliesByReplica().entrySet()) {
-            ReplicationMessage.ClaimReply reply = each.getValue();
+            ReplicationMessage.ClaimReply reply = entry.getValue();
             if (!offersResult(reply)) {
                 continue;
             }
-            ClaimId completed = reply.otherClaim().orElseThrow();
+            ClaimId completedClaim = reply.otherClaim().orElseThrow();
             ClaimOutcome outcome = reply.outcome().orElseThrow();
-            attempt.awaitResultOf(completed);
-            chunks.request(attempt.token(), completed, outcome, each.getKey(), state.epoch());
+            attempt.awaitResultOf(completedClaim);
+            chunks.request(attempt.token(), completedClaim, outcome, entry.getKey(), state.epoch());
             tick(now);
             return true;
         }
@@ -43,7 +43,7 @@
                 && reply.otherClaim().isPresent();
     }
 
-    /** Takes a chunk, and returns the result once its last chunk has arrived. */
+    /** Accepts a chunk, and returns the result if that completes it. */
     Optional<AssembledResult> accept(ReplicationMessage.Chunk chunk) {
         return chunks.accept(chunk);
     }
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
@@ -14,12 +14,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One keyed invocation on its way to a decision. It either claims its token, or, after it gave way
- * to another server's claim, queries the replicas from time to time for that claim's outcome. Not
- * thread-safe; time and random numbers are handed in.
+ * A keyed invocation that awaits a decision. It either claims its token or, after yielding to
+ * another server's claim, polls the replicas for that claim's outcome. Not thread-safe; the caller
+ * passes the time and random numbers.
  */
 final class ClaimAttempt {
-    /** Pause between two queries: doubled from the first to the longest, and spread by chance. */
+    /**
+     * First pause between two queries. Each pause is twice the previous one, up to {@link
+     * #MAX_QUERY_PAUSE}, with random jitter.
+     */
     private static final Duration FIRST_QUERY_PAUSE = Duration.ofMillis(40);
 
     static final Duration MAX_QUERY_PAUSE = Duration.ofMillis(640);
@@ -27,12 +30,10 @@
     private final ClaimIntent intent;
     private final Consumer<ClaimDecision> onDecision;
 
-    /** Replies to the present claim or query, by replica. */
+    /** Replies to the current claim or query, by replica. */
     private final Map<String, ReplicationMessage.ClaimReply> replies = new TreeMap<>();
 
-    /**
-     * Competing claims whose owners were asked whether they run, under the present claim or query.
-     */
+    /** Competing claims whose owners were queried during the current claim or query. */
     private final Set<ClaimId> queriedOwners = new HashSet<>();
 
     private ClaimId claimId;
@@ -42,11 +43,11 @@
     private Duration queryPause = FIRST_QUERY_PAUSE;
     private Optional<Duration> nextQueryAt = Optional.empty();
 
-    /** Replicas in the order in which they are asked. */
+    /** Replicas in the order in which they are contacted. */
     private List<String> replicas = List.of();
 
-    /** How many of them were asked. */
-    private int contacted;
+    /** Number of replicas contacted so far. */
+    private int contactedCount;
 
     private Optional<ClaimId> awaitedResult = Optional.empty();
     private boolean competitorSeen;
@@ -68,7 +69,7 @@
         return intent.token();
     }
 
-    /** The claim, or the name of the present query. */
+    /** Returns the ID of the current claim or query. */
     ClaimId claimId() {
         return claimId;
     }
@@ -81,7 +82,7 @@
         onDecision.accept(new ClaimDecision(kind, Optional.of(claimId), outcome));
     }
 
-    /** Returns the decision that follows from an outcome of the token. */
+    /** Returns the decision implied by an outcome of the token. */
     ClaimDecision.Kind kindOf(ClaimOutcome outcome) {
         if (!outcome.fingerprint().equals(intent.fingerprint())) {
             return ClaimDecision.Kind.FINGERPRINT_MISMATCH;
@@ -91,12 +92,12 @@
                 : ClaimDecision.Kind.COMPLETED_WITHOUT_RESULT;
     }
 
-    /** Returns the decision that is left at the deadline. */
+    /** Returns the decision to report when the start deadline has passed. */
     ClaimDecision.Kind kindAtDeadline() {
         return competitorSeen ? ClaimDecision.Kind.OUTCOME_UNKNOWN : ClaimDecision.Kind.THROTTLED;
     }
 
-    /** Goes on under a new name; what was answered under the old one is void. */
+    /** Continues under a new claim ID, and discards the replies to the previous one. */
     void renew(ClaimId next) {
         claimId = next;
         replies.clear();
@@ -123,31 +124,31 @@
 
     // Requests
 
-    /** Starts a round of requests to these replicas, of which the first ones are asked now. */
+    /** Starts a round of requests, and returns the first {@code firstWave} replicas to contact. */
     List<String> startRound(List<String> ordered, int firstWave, Duration now) {
         requestedAt = now;
         replicas = ordered;
-        contacted = Math.min(ordered.size(), firstWave);
+        contactedCount = Math.min(ordered.size(), firstWave);
         return contactedReplicas();
     }
 
     List<String> contactedReplicas() {
-        return replicas.subList(0, contacted);
+        return replicas.subList(0, contactedCount);
     }
 
-    /** Returns the next replica that was not asked yet, and counts it as asked. */
+    /** Returns the next replica not contacted yet, and counts it as contacted. */
     Optional<String> contactNext() {
-        return hasUncontacted() ? Optional.of(replicas.get(contacted++)) : Optional.empty();
+        return hasUncontacted() ? Optional.of(replicas.get(contactedCount++)) : Optional.empty();
     }
 
     boolean hasUncontacted() {
-        return contacted < replicas.size();
+        return contactedCount < replicas.size();
     }
 
-    /** Starts a retry of all replicas whose replies are missing, and returns those. */
+    /** Starts a retry, and returns all replicas whose replies are missing. */
     List<String> startRetry(Duration now) {
         requestedAt = now;
-        contacted = replicas.size();
+        contactedCount = replicas.size();
         return replicas.stream().filter(replica -> !replies.containsKey(replica)).toList();
     }
 
@@ -156,12 +157,12 @@
     }
 
     int missingReplies() {
-        return contacted - replies.size();
+        return contactedCount - replies.size();
     }
 
     // Replies
 
-    /** Takes a reply, and returns whether it is the replica's first one. */
+    /** Stores a reply, and returns whether it is the replica's first one. */
     boolean addReply(String replica, ReplicationMessage.ClaimReply reply) {
         return replies.put(replica, reply) == null;
     }
@@ -178,9 +179,7 @@
         replies.clear();
     }
 
-    /**
-     * Forgets replies of replicas that may have caught up with the range or the epoch meanwhile.
-     */
+    /** Discards replies of replicas that may since have caught up with the range or the epoch. */
     void forgetLaggingReplies() {
         replies.values()
                 .removeIf(
@@ -190,7 +189,7 @@
                                                 == ReplicationMessage.ClaimVote.STALE_EPOCH);
     }
 
-    /** Returns the change numbers that the replies rest on, by replica. */
+    /** Returns the change numbers reported in the replies, by replica. */
     Map<String, Long> changeNumbers() {
         Map<String, Long> numbers = new TreeMap<>();
         replies.forEach((replica, reply) -> numbers.put(replica, reply.changeNumber()));
@@ -208,8 +207,7 @@
     }
 
     /**
-     * Returns whether the owner of a competing claim has yet to be asked about it, and records that
-     * it is.
+     * Records the owner of a competing claim as queried; returns false if it was queried before.
      */
     boolean shouldQueryOwner(ClaimId competitor) {
         return queriedOwners.add(competitor);
@@ -234,14 +232,14 @@
                 && awaitedResult.equals(Optional.of(result.claimId()));
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
         return claimId.toString()
                 + claiming
                 + replies
                 + competitorSeen
                 + replicas
-                + contacted
+                + contactedCount
                 + awaitedResult
                 + sinceRequest(now)
                 + claimingFor(now)
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
@@ -9,18 +9,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Brings keyed invocations to a decision: gathers the replicas' replies to each attempt, and
- * decides once they suffice or its time is over. {@code docs/copies.md} has the table of what each
- * mix of replies allows. Not thread-safe; time and random numbers are handed in.
+ * Decides keyed invocations: collects the replicas' replies to each attempt, and decides once they
+ * suffice or the attempt times out. {@code docs/copies.md} has a table of the decision for each
+ * combination of replies. Not thread-safe; the caller passes the time and random numbers.
  */
 final class ClaimAttempts {
-    /** A request whose reply is missing is repeated after this. */
+    /** Interval after which unanswered requests are repeated. */
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(60);
 
-    /** A claim without a quorum by then is given up: some dozen round trips. */
+    /** Time after which a claim without a quorum is abandoned: about a dozen round trips. */
     private static final Duration CLAIM_TIMEOUT = Duration.ofMillis(400);
 
-    /** Invocations that wait for a decision at most. */
+    /** Maximum number of invocations that await a decision. */
     private static final int MAX_ATTEMPTS = 10_000;
 
     private final CoordinatorState state;
@@ -55,15 +55,14 @@
     }
 
     /**
-     * Starts an attempt; {@code onDecision} is handed the one decision, perhaps before this
-     * returns.
+     * Starts an attempt. {@code onDecision} is called once, possibly before this method returns.
      */
     void start(ClaimIntent intent, Duration now, Consumer<ClaimDecision> onDecision) {
         boolean quorumReachable = dispatcher.isQuorumReachable(intent.token());
         if (!quorumReachable) {
             dispatcher.probeUnresponsive(intent.token(), now);
         }
-        // What cannot be claimed is throttled at once, and waits for nobody.
+        // Throttle at once if no claim is possible now, without waiting for replicas.
         if (!quorumReachable || !concurrency.hasCapacity() || attempts.size() >= MAX_ATTEMPTS) {
             onDecision.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.THROTTLED));
             return;
@@ -75,7 +74,7 @@
         dispatcher.startRound(attempt, now);
     }
 
-    /** Asks the replicas of a new epoch anew. */
+    /** Restarts all attempts at the replicas of a new epoch. */
     void onEpochChange(Duration now) {
         for (ClaimAttempt attempt : List.copyOf(attempts.values())) {
             attempt.forgetReplies();
@@ -96,16 +95,16 @@
     }
 
     /**
-     * @param timely whether the replicas answered in time, which the concurrency limit follows
+     * @param answeredInTime whether the replicas answered in time; adjusts the concurrency limit
      */
     private void decide(
             ClaimAttempt attempt,
             ClaimDecision.Kind kind,
             Optional<ClaimOutcome> outcome,
-            boolean timely) {
+            boolean answeredInTime) {
         attempts.remove(attempt.claimId());
         if (attempt.isClaiming()) {
-            concurrency.finished(timely);
+            concurrency.finished(answeredInTime);
         }
         attempt.decide(kind, outcome);
     }
@@ -115,7 +114,7 @@
         decide(attempt, kind, Optional.empty(), false);
     }
 
-    /** Takes a replica's reply. */
+    /** Processes a replica's reply to a claim or query. */
     void onReply(String from, ReplicationMessage.ClaimReply reply, Duration now) {
         ClaimAttempt attempt = attempts.get(reply.claimId());
         if (attempt == null || !state.replicasOf(attempt.token()).contains(from)) {
@@ -131,7 +130,9 @@
         evaluate(attempt, now);
     }
 
-    /** Decides what the replies so far allow; {@code docs/replication.md} has the table. */
+    /**
+     * Makes the decision that the replies so far allow; {@code docs/replication.md} has the table.
+     */
     private void evaluate(ClaimAttempt attempt, Duration now) {
         ReplyTally tally = new ReplyTally(state.epoch());
         for (ReplicationMessage.ClaimReply reply : attempt.replies()) {
@@ -154,13 +155,13 @@
                 claimAgain(attempt, now);
             }
         } else if (tally.granted() >= quorum) {
-            run(attempt, now);
+            startRun(attempt, now);
         } else if (tally.excludesQuorum(state.replicasOf(attempt.token()).size(), quorum)) {
-            giveWay(attempt, now);
+            yieldToCompetitor(attempt, now);
         }
     }
 
-    /** One completed reply is enough, unless its result has to be transferred first. */
+    /** One reply with an outcome is enough, unless its result has to be downloaded first. */
     private static boolean isDecisive(ClaimAttempt attempt, ReplicationMessage.ClaimReply reply) {
         if (reply.vote() != ReplicationMessage.ClaimVote.COMPLETED) {
             return false;
@@ -187,7 +188,7 @@
         }
     }
 
-    /** Takes a chunk of the result of a completed claim. */
+    /** Processes a chunk of a completed claim's result. */
     void onChunk(ReplicationMessage.Chunk chunk, Duration now) {
         replays.accept(chunk).ifPresent(result -> onAssembled(result, now));
         replays.tick(now);
@@ -209,8 +210,8 @@
         decide(attempt, attempt.kindOf(outcome), Optional.of(outcome), true);
     }
 
-    private void run(ClaimAttempt attempt, Duration now) {
-        // Checked last: a server that was paused must not act on a grant that is too old.
+    private void startRun(ClaimAttempt attempt, Duration now) {
+        // Checked just before the run: a server that was paused must not run on an outdated grant.
         if (attempt.isPastDeadline(now)) {
             timeOut(attempt, ClaimDecision.Kind.THROTTLED, now);
             return;
@@ -220,10 +221,10 @@
     }
 
     /**
-     * Takes the claim back, since it can get no quorum now, and waits for the other claim's
+     * Releases the claim, which can no longer get a quorum, and polls for the competing claim's
      * outcome.
      */
-    private void giveWay(ClaimAttempt attempt, Duration now) {
+    private void yieldToCompetitor(ClaimAttempt attempt, Duration now) {
         releaseIfClaiming(attempt, now);
         attempt.stopClaiming();
         concurrency.finished(true);
@@ -231,7 +232,7 @@
         attempt.scheduleQuery(random, now);
     }
 
-    /** Claims again: whoever held the token has released it, as a quorum says. */
+    /** Claims again after a quorum has reported the token as unclaimed. */
     private void claimAgain(ClaimAttempt attempt, Duration now) {
         concurrency.started();
         renew(attempt);
@@ -239,7 +240,7 @@
         dispatcher.startRound(attempt, now);
     }
 
-    /** Repeats, hedges and gives up requests. */
+    /** Repeats, hedges and times out requests. */
     void tick(Duration now) {
         for (ClaimAttempt attempt : List.copyOf(attempts.values())) {
             if (attempts.containsKey(attempt.claimId())) {
@@ -253,7 +254,7 @@
         if (attempt.isPastDeadline(now)) {
             timeOut(attempt, attempt.kindAtDeadline(), now);
         } else if (attempt.isClaiming() && attempt.claimingFor(now).compareTo(CLAIM_TIMEOUT) >= 0) {
-            giveUpClaim(attempt, now);
+            onClaimTimeout(attempt, now);
         } else if (attempt.isClaiming()
                 && attempt.sinceRequest(now).compareTo(RETRY_INTERVAL) >= 0) {
             attempt.forgetLaggingReplies();
@@ -268,18 +269,18 @@
     }
 
     /**
-     * Two claims with half of the replicas each would wait for each other: both give way and come
-     * back by chance.
+     * Two claims with half of the replicas each would block each other, so both yield and retry
+     * after random pauses.
      */
-    private void giveUpClaim(ClaimAttempt attempt, Duration now) {
+    private void onClaimTimeout(ClaimAttempt attempt, Duration now) {
         if (attempt.isCompetitorSeen()) {
-            giveWay(attempt, now);
+            yieldToCompetitor(attempt, now);
         } else {
             timeOut(attempt, ClaimDecision.Kind.THROTTLED, now);
         }
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
         StringBuilder text = new StringBuilder();
         attempts.values().forEach(attempt -> text.append('a').append(attempt.describeState(now)));
--- a/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
@@ -1,19 +1,19 @@
 package ochretiller.fleet.replication;
 
 /**
- * Adaptive limit on claims in flight: additive increase while claims are granted in time and fill
- * the limit, halved when one gets no majority (AIMD, as in TCP congestion avoidance, RFC 5681). Not
- * thread-safe.
+ * Adaptive limit on claims in flight (AIMD, as in TCP congestion avoidance, RFC 5681): increases
+ * additively while claims that fill the limit are answered in time, and is halved when a claim gets
+ * no majority. Not thread-safe.
  */
 final class ClaimConcurrencyLimit {
-    private static final int INITIAL = 32;
-    private static final int MIN = 2;
-    private static final int MAX = 4096;
+    private static final int INITIAL_LIMIT = 32;
+    private static final int MIN_LIMIT = 2;
+    private static final int MAX_LIMIT = 4096;
 
-    /** Growth of the limit over a full round of timely claims. */
-    private static final int GROWTH_PER_ROUND = 4;
+    /** Increase of the limit per full window of claims that are answered in time. */
+    private static final int INCREASE_PER_WINDOW = 4;
 
-    private double limit = INITIAL;
+    private double limit = INITIAL_LIMIT;
     private int inFlight;
 
     boolean hasCapacity() {
@@ -25,15 +25,15 @@
     }
 
     /**
-     * @param timely whether a majority answered in time, with whatever result
+     * @param answeredInTime whether a majority answered in time, whatever the decision
      */
-    void finished(boolean timely) {
+    void finished(boolean answeredInTime) {
         boolean full = inFlight >= (int) limit - 1;
         inFlight--;
-        if (!timely) {
-            limit = Math.max(MIN, limit / 2);
+        if (!answeredInTime) {
+            limit = Math.max(MIN_LIMIT, limit / 2);
         } else if (full) {
-            limit = Math.min(MAX, limit + 1 / limit * GROWTH_PER_ROUND);
+            limit = Math.min(MAX_LIMIT, limit + 1 / limit * INCREASE_PER_WINDOW);
         }
     }
 
--- a/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
@@ -10,17 +10,17 @@
 
 /**
  * The claiming server's side of replication: a keyed invocation is claimed at a majority of its
- * token's replicas before it runs, and its outcome is stored by a majority before it is answered.
- * Majorities intersect, so at most one claim of a token is granted (Gifford 1979, "Weighted Voting
- * for Replicated Data").
+ * token's replicas before it runs, and its outcome is stored by a majority before the client is
+ * answered. Majorities intersect, so at most one claim of a token is granted (Gifford 1979,
+ * "Weighted Voting for Replicated Data").
  *
- * <p>A missing reply leaves a claim undecided: it may have been granted, and is released on its
- * owner's word and never run afterwards. There is no leader; two claims that block each other both
- * give way and come back after a random pause. Unlike a lease, a granted claim does not expire
- * within its window, since its run may have had its effect.
+ * <p>A replica whose reply is missing may have granted the claim, so an owner that gives up
+ * releases the claim explicitly and never runs it afterwards. There is no leader; two claims that
+ * block each other both yield and retry after a random pause. Unlike a lease, a granted claim does
+ * not expire within its window, since its run may have had side effects.
  *
- * <p>Not thread-safe; owned by the thread that owns the fleet's decisions. Time and random numbers
- * are handed in; after each call the host sends {@link #takeOutbound}.
+ * <p>Not thread-safe; confined to the fleet's decision thread. The caller passes the time and
+ * random numbers, and after each call sends the messages of {@link #takeOutbound}.
  */
 public final class ClaimCoordinator {
     private final CoordinatorState state;
@@ -32,10 +32,10 @@
 
     /**
      * @param name this server's name
-     * @param incarnation this start of its process: claims of another incarnation belong to another
-     *     owner
-     * @param placement the epoch that is known
-     * @param random spreads pauses
+     * @param incarnation identifies this start of the server's process; claims of other
+     *     incarnations have another owner
+     * @param placement the placement of the latest known epoch
+     * @param random source of the jitter of pauses
      */
     public ClaimCoordinator(
             String name, long incarnation, ReplicaPlacement placement, RandomGenerator random) {
@@ -46,17 +46,17 @@
         this.attempts = new ClaimAttempts(state, random, dispatcher, releases, outcomes);
     }
 
-    /** Returns the messages that were decided on since the last call. */
+    /** Returns the messages to send that were added since the last call. */
     public List<OutboundMessage> takeOutbound() {
         return state.outbox().drain();
     }
 
-    /** Returns the epoch that is known. */
+    /** Returns the placement of the adopted epoch. */
     public ReplicaPlacement placement() {
         return state.placement();
     }
 
-    /** Returns the invocations and outcomes that wait for replicas. */
+    /** Returns the number of invocations and outcomes that await replies of replicas. */
     public int inFlight() {
         return attempts.count() + outcomes.pendingCount();
     }
@@ -66,30 +66,33 @@
         return attempts.concurrencyLimit();
     }
 
-    /** Returns the requests that were sent to one more replica since another was late. */
+    /** Returns how many requests were sent to one more replica because a reply was late. */
     public long hedgedRequests() {
         return dispatcher.hedgedRequests();
     }
 
-    /** Returns the requests that were repeated. */
+    /** Returns how many requests were repeated. */
     public long retriedRequests() {
         return dispatcher.retriedRequests();
     }
 
     /**
-     * Returns the highest change numbers that were heard of, by replica, to be stored for the next
+     * Returns the highest change number observed from each replica, to be stored for the next
      * start.
      */
     public Map<String, Long> observedChangeNumbers() {
         return changeNumbers.ofServersIn(state.placement());
     }
 
-    /** Restores what a previous incarnation had heard of. */
+    /** Restores the change numbers that a previous incarnation observed. */
     public void restoreChangeNumbers(Map<String, Long> previous) {
         previous.forEach(changeNumbers::record);
     }
 
-    /** Adopts a later epoch: what is in flight is asked anew of the replicas that it has there. */
+    /**
+     * Adopts a later epoch, and restarts everything in flight at its replicas; an older epoch is
+     * ignored.
+     */
     public void adoptPlacement(ReplicaPlacement next, Duration now) {
         if (next.epoch() <= state.epoch()) {
             return;
@@ -100,18 +103,15 @@
     }
 
     /**
-     * Asks the replicas whether an invocation may run here.
+     * Claims an invocation's token at its replicas.
      *
-     * @param onDecision is handed the one decision, perhaps before this returns
+     * @param onDecision called once, possibly before this method returns
      */
     public void claim(ClaimIntent intent, Duration now, Consumer<ClaimDecision> onDecision) {
         attempts.start(intent, now, onDecision);
     }
 
-    /**
-     * Takes a message from another server; those that are not meant for a claiming server are
-     * ignored.
-     */
+    /** Processes a message from another server; messages for other components are ignored. */
     public void receive(String from, ReplicationMessage message, Duration now) {
         if (message instanceof ReplicationMessage.ClaimReply reply) {
             recordReply(from, reply.changeNumber());
@@ -138,48 +138,48 @@
     }
 
     /**
-     * Releases a granted claim whose run has never begun after all, so that another server may
-     * claim its token.
+     * Releases a granted claim whose run never started, so that another server may claim its token;
+     * does nothing for any other claim.
      */
     public void releaseClaim(ClaimId claimId, Duration windowEnd, Duration now) {
         outcomes.cancelGrant(claimId)
                 .ifPresent(token -> releases.release(token, claimId, windowEnd, now));
     }
 
-    /** Releases a claim, of this incarnation or a previous one, that is known never to have run. */
+    /** Releases a claim of this or a previous incarnation that never ran. */
     public void releaseClaim(String token, ClaimId claimId, Duration windowEnd, Duration now) {
         releases.release(token, claimId, windowEnd, now);
     }
 
     /**
-     * Reports that a claimed run has ended.
+     * Replicates the outcome of a claimed run that has ended.
      *
-     * @param onStored is told, once, whether a majority has stored the outcome by the reply
+     * @param onStored called once with whether a majority has stored the outcome by the reply
      *     deadline
      */
     public void reportOutcome(CompletedClaim completed, Duration now, Consumer<Boolean> onStored) {
         outcomes.start(completed, now, onStored);
     }
 
-    /** Reports the outcome of a claim of a previous incarnation of this server. */
+    /** Replicates the outcome of a claim of a previous incarnation of this server. */
     public void reportPreviousOutcome(String token, CompletedClaim completed, Duration now) {
         outcomes.startPrevious(token, completed, now);
     }
 
-    /** Returns the chunked result of a run of this server that replicas may still request. */
+    /** Returns the chunked result of a claim of this server while replicas may still request it. */
     public Optional<String> pendingResult(ClaimId claimId) {
         return outcomes.heldResult(claimId);
     }
 
-    /** Repeats, hedges and gives up requests. To be called some dozen times a second. */
+    /** Repeats, hedges and times out requests. To be called a few dozen times per second. */
     public void tick(Duration now) {
         attempts.tick(now);
         outcomes.tick(now);
     }
 
     /**
-     * Returns what decides the next steps, as text: equal texts behave alike. For state-space
-     * exploration.
+     * Returns the state that determines future behaviour, as text, for state-space exploration:
+     * instances with equal texts behave alike.
      */
     public String describeState(Duration now) {
         return ""
--- a/src/main/java/ochretiller/fleet/replication/ClaimDecision.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimDecision.java
@@ -3,40 +3,44 @@
 import java.util.Optional;
 
 /**
- * What a server may do with a keyed invocation, once enough replicas have answered.
+ * The decision on a keyed invocation, made once enough replicas have answered or time has run out.
  *
- * @param kind what to do
- * @param claimId the claim under which it may run, or under which it was asked for; empty where
- *     none was made
- * @param outcome how the token has ended before; present exactly for {@link Kind#REPLAY}, {@link
+ * @param kind what the server does with the invocation
+ * @param claimId the claim or query that led to the decision; empty if there was none
+ * @param outcome the token's stored outcome; present exactly for {@link Kind#REPLAY}, {@link
  *     Kind#COMPLETED_WITHOUT_RESULT} and {@link Kind#FINGERPRINT_MISMATCH}
  */
 public record ClaimDecision(Kind kind, Optional<ClaimId> claimId, Optional<ClaimOutcome> outcome) {
     /** Kinds of decisions. */
     public enum Kind {
-        /** A majority has granted the claim: this server, and no other, may run it now. */
+        /**
+         * A majority has granted the claim: this server, and no other, may run the invocation now.
+         */
         RUN,
-        /** It has run: its result is the answer. */
+        /** The invocation has run before: the stored result is the answer. */
         REPLAY,
-        /** It has run and left no result; it is never run again. */
+        /** The invocation has run without a result, and is never run again. */
         COMPLETED_WITHOUT_RESULT,
-        /** The token belongs to another request. */
+        /** The token was used for a different request. */
         FINGERPRINT_MISMATCH,
         /**
-         * Another server has claimed it and its outcome is not known: an error, after which a
-         * repeat may learn more.
+         * Another server has claimed the token, and the outcome is unknown: reported as an error; a
+         * later retry may find the outcome.
          */
         OUTCOME_UNKNOWN,
-        /** No majority answers, or there is no capacity: it was not run, and may come again. */
+        /**
+         * No majority answered, or there is no capacity: the invocation was not run and may be
+         * retried.
+         */
         THROTTLED
     }
 
-    /** A decision that was made without a claim and without an outcome. */
+    /** Creates a decision made without a claim and without an outcome. */
     public static ClaimDecision withoutClaim(Kind kind) {
         return new ClaimDecision(kind, Optional.empty(), Optional.empty());
     }
 
-    /** The answer with an outcome that is known already, without a claim. */
+    /** Creates a replay of a known outcome, made without a claim. */
     public static ClaimDecision replayOf(ClaimOutcome outcome) {
         return new ClaimDecision(Kind.REPLAY, Optional.empty(), Optional.of(outcome));
     }
--- a/src/main/java/ochretiller/fleet/replication/ClaimDispatcher.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimDispatcher.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * Sends the requests of claim attempts: at first to as many replicas as a quorum takes, the
- * fastest; to one more where a reply is late (a hedged request) or is no grant; and to all again
- * where replies are missing. Hedged and repeated requests draw on a budget that grows with the
- * claims. Not thread-safe; time is handed in.
+ * Sends the requests of claim attempts: first to the fastest replicas that form a quorum, then to
+ * one more if a reply is late (a hedged request) or is not a grant, and finally again to all
+ * replicas whose replies are missing. Hedged and repeated requests draw on a {@link RetryBudget}.
+ * Not thread-safe; callers pass the current time.
  */
 final class ClaimDispatcher {
-    /** Unresponsive replicas are probed at this interval while they leave no quorum. */
+    /** Minimum interval between probes of unresponsive replicas while no quorum is responsive. */
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(200);
 
     private final CoordinatorState state;
@@ -25,12 +25,12 @@
         this.state = state;
     }
 
-    /** Returns the requests that were sent to one more replica since another was late. */
+    /** Returns how many requests were sent to one more replica because a reply was late. */
     long hedgedRequests() {
         return hedgedRequests;
     }
 
-    /** Returns the requests that were repeated. */
+    /** Returns how many requests were repeated. */
     long retriedRequests() {
         return retriedRequests;
     }
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Asks unresponsive replicas, at intervals and apart from any invocation, whether they are
-     * back.
+     * Probes unresponsive replicas, at most once per {@link #PROBE_INTERVAL} and independently of
+     * any invocation.
      */
     void probeUnresponsive(String token, Duration now) {
         if (now.minus(lastProbe).compareTo(PROBE_INTERVAL) < 0) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Starts a round: asks the fastest replicas, as many as a quorum takes. */
+    /** Starts a round of requests to the fastest replicas that form a quorum. */
     void startRound(ClaimAttempt attempt, Duration now) {
         List<String> ordered =
                 state.latency()
@@ -79,12 +79,12 @@
         }
     }
 
-    /** Asks one more replica, if there is one that was not asked. */
+    /** Contacts one more replica, if any has not been contacted yet. */
     void askOneMore(ClaimAttempt attempt, Duration now) {
         attempt.contactNext().ifPresent(replica -> send(attempt, replica, now));
     }
 
-    /** Asks one more replica where a reply is late, as far as the budget allows. */
+    /** Contacts one more replica if a reply is late and the retry budget allows it. */
     void hedgeIfLate(ClaimAttempt attempt, Duration now) {
         if (attempt.hasUncontacted() && isLate(attempt, now) && budget.trySpend()) {
             hedgedRequests++;
@@ -97,7 +97,9 @@
         return attempt.sinceRequest(now).compareTo(delay) >= 0;
     }
 
-    /** Asks all replicas whose replies are missing again, as far as the budget allows. */
+    /**
+     * Repeats the request to all replicas whose replies are missing, as far as the budget allows.
+     */
     void retryUnanswered(ClaimAttempt attempt, Duration now) {
         for (String replica : attempt.startRetry(now)) {
             if (!budget.trySpend()) {
--- a/src/main/java/ochretiller/fleet/replication/ClaimId.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimId.java
@@ -1,11 +1,11 @@
 package ochretiller.fleet.replication;
 
 /**
- * Names one claim, once and for all: no claim ID is used again. Its order decides between outcomes
- * of one token that should not both exist, and is the same on every server.
+ * The unique ID of a claim or query; never reused. Its order is the same on every server, and
+ * selects one outcome if a token has several by mistake.
  *
  * @param server name of the claiming server
- * @param incarnation which start of that server's process
+ * @param incarnation identifies the start of that server's process
  * @param sequence position among the claims of that incarnation
  */
 public record ClaimId(String server, long incarnation, long sequence)
@@ -20,7 +20,7 @@
         return byIncarnation != 0 ? byIncarnation : Long.compare(sequence, other.sequence);
     }
 
-    /** Part of stored keys and of entry digests, so its form is fixed. */
+    /** The format must not change: it is part of stored keys and of entry digests. */
     @Override
     public String toString() {
         return server + '/' + Long.toHexString(incarnation) + '#' + sequence;
--- a/src/main/java/ochretiller/fleet/replication/ClaimIntent.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimIntent.java
@@ -7,9 +7,9 @@
  *
  * @param token the idempotency token
  * @param fingerprint operation and hash of the request
- * @param transitional whether this server is about to stop claiming such operations, so that others
- *     need not mind its claim
- * @param startDeadline monotonic time by which the run has to begin or be given up
+ * @param transitional whether this server is about to stop claiming the operation, so that its
+ *     claim does not make other servers continue to claim
+ * @param startDeadline monotonic time by which the run must have started
  * @param windowEnd monotonic time at which the token's idempotency window ends
  */
 public record ClaimIntent(
--- a/src/main/java/ochretiller/fleet/replication/ClaimMode.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimMode.java
@@ -1,6 +1,6 @@
 package ochretiller.fleet.replication;
 
-/** How widely a token is protected against a second run. */
+/** The scope in which a token is protected against a second run. */
 public enum ClaimMode {
     /** The token runs at most once in the whole fleet: it is claimed at a majority of replicas. */
     FLEET("fleet"),
@@ -13,22 +13,23 @@
         this.externalName = externalName;
     }
 
-    /** Returns the word of the operators' file; it stays whatever the constant is called. */
+    /** Returns the name used in the operators' file; it is independent of the constant's name. */
     public String externalName() {
         return externalName;
     }
 
     /**
-     * Returns the mode of this word of the operators' file, in whatever case.
+     * Returns the mode with this name in the operators' file, ignoring case.
      *
-     * @throws IllegalArgumentException where there is no such mode
+     * @throws IllegalArgumentException if there is no such mode
      */
-    public static ClaimMode fromExternalName(String word) {
+    public static ClaimMode fromExternalName(String name) {
         for (ClaimMode mode : values()) {
-            if (mode.externalName.equalsIgnoreCase(word)) {
+            if (mode.externalName.equalsIgnoreCase(name)) {
                 return mode;
             }
         }
-        throw new IllegalArgumentException("no mode: '" + word + "'");
+        throw new IllegalArgumentException(
+                "unknown claim mode '" + name + "'; expected 'fleet' or 'server'");
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ClaimModeSettings.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimModeSettings.java
@@ -6,10 +6,10 @@
  * The claim modes that the operators have configured.
  *
  * @param defaultMode mode of operations that are not listed
- * @param byOperation modes of those that are, by the operation's name
+ * @param byOperation modes of listed operations, by operation name
  */
 public record ClaimModeSettings(ClaimMode defaultMode, Map<String, ClaimMode> byOperation) {
-    /** Every operation is claimed in the fleet. */
+    /** Settings with which every operation is claimed in the fleet. */
     public static final ClaimModeSettings ALL_FLEET =
             new ClaimModeSettings(ClaimMode.FLEET, Map.of());
 
--- a/src/main/java/ochretiller/fleet/replication/ClaimModes.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimModes.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Decides whether a run of an operation has to be claimed, also while the operators change an
- * operation from fleet mode to server mode.
+ * Decides whether a run of an operation has to be claimed, including while an operation changes
+ * from fleet mode to server mode.
  *
- * <p>A token stays in the mode of its first claim. A server that merely looked whether a token is
- * claimed could run it beside a server that claims it at the same moment, so a server that leaves
- * fleet mode goes on claiming until every token that others may have claimed permanently is past
- * its idempotency window. Its own claims are marked as transitional, so that two servers that both
- * leave do not keep each other claiming.
+ * <p>A token stays in the mode of its first claim. Merely checking for an existing claim would race
+ * with a server that claims the token at the same moment. A server that leaves fleet mode therefore
+ * continues to claim until the idempotency window of every token that others may have claimed
+ * non-transitionally has ended. It marks its own claims as transitional, so that two servers that
+ * both leave fleet mode do not prolong each other's transition.
  *
- * <p>Not thread-safe; owned by the thread that owns the fleet's decisions. Time is handed in.
+ * <p>Not thread-safe; confined to the fleet's decision thread. Callers pass the current time.
  */
 public final class ClaimModes {
     private final ClaimModeSettings settings;
@@ -20,30 +20,31 @@
     private Duration transitionEnd;
 
     /**
-     * @param maxWindow longest idempotency window of a token: no claim is remembered longer
+     * @param maxWindow longest idempotency window of a token; no claim is stored for longer
      * @param now monotonic time
      */
     public ClaimModes(ClaimModeSettings settings, Duration maxWindow, Duration now) {
         this.settings = settings;
         this.maxWindow = maxWindow;
-        // A previous process of this server, and any other server, may have claimed until just now.
+        // A previous process of this server, and any other server, may have claimed tokens until
+        // now.
         this.transitionEnd = now.plus(maxWindow);
     }
 
     /**
-     * Records that another server has asked for a claim of this operation.
+     * Records that another server has requested a claim for this operation.
      *
-     * @param transitional whether that server is leaving fleet mode itself, so that its claim need
-     *     not be waited for
+     * @param transitional whether that server is leaving fleet mode itself, so that its claim does
+     *     not prolong the transition
      */
     public void claimObserved(String operation, boolean transitional, Duration now) {
-        // Claims of operations that stay in fleet mode here say nothing about those that leave it.
+        // Claims of operations that stay in fleet mode do not affect those that leave it.
         if (!transitional && settings.modeOf(operation) == ClaimMode.SERVER) {
             transitionEnd = now.plus(maxWindow);
         }
     }
 
-    /** Returns what has to happen before a run of this operation. */
+    /** Returns whether a run of this operation has to be claimed first. */
     public ClaimRequirement requirementFor(String operation, Duration now) {
         if (settings.modeOf(operation) == ClaimMode.FLEET) {
             return ClaimRequirement.REQUIRED;
--- a/src/main/java/ochretiller/fleet/replication/ClaimOutcome.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimOutcome.java
@@ -3,17 +3,17 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * How a claimed run has ended.
+ * The outcome of a claimed run.
  *
- * @param succeeded whether there is a result; a run that failed may have had its effect and is
- *     never run again
- * @param fingerprint operation and hash of the request, so that a token used for another request is
- *     recognised
- * @param result the result that repeats are answered with, one character a byte (ISO 8859-1); empty
- *     where the run failed or the result is chunked
- * @param resultSize bytes of the result
+ * @param succeeded whether the run produced a result; a failed run may have had side effects and is
+ *     never repeated
+ * @param fingerprint operation and hash of the request, to detect a token that is reused for
+ *     another request
+ * @param result the result that repeated invocations are answered with, one character per byte (ISO
+ *     8859-1); empty if the run failed or the result is chunked
+ * @param resultSize size of the result in bytes
  * @param checksum XXH3 (64 bits, seed 0) of the result
- * @param resultPresent whether whoever holds this outcome holds the result too; a chunked result is
+ * @param resultPresent whether the holder of this outcome also has the result; a chunked result is
  *     stored separately
  */
 public record ClaimOutcome(
@@ -24,28 +24,28 @@
         long checksum,
         boolean resultPresent) {
     /**
-     * Bytes of a result that travels within its entry at most; a longer one is transferred in
-     * chunks.
+     * Maximum size in bytes of a result that is part of its entry; longer results are transferred
+     * in chunks.
      */
     public static final int MAX_INLINE_BYTES = 2_048;
 
-    /** Bytes of a result that is stored at all. */
+    /** Maximum size in bytes of a result that is stored. */
     public static final int MAX_RESULT_BYTES = 512 * 1024;
 
-    /** Estimated memory of an outcome without its texts. */
+    /** Estimated memory of an outcome without its strings. */
     private static final int BASE_BYTES = 64;
 
-    /** An outcome that carries its result. */
+    /** Creates an outcome that contains its result. */
     public ClaimOutcome(boolean succeeded, String fingerprint, String result) {
         this(succeeded, fingerprint, result, result.length(), checksum(result), true);
     }
 
-    /** A successful outcome whose result is stored separately. */
+    /** Creates a successful outcome whose result is stored separately. */
     public static ClaimOutcome chunked(String fingerprint, String result) {
         return new ClaimOutcome(true, fingerprint, "", result.length(), checksum(result), true);
     }
 
-    /** Returns the checksum of a result. */
+    /** Returns the XXH3 checksum (64 bits, seed 0) of a result. */
     public static long checksum(String result) {
         return LongHashFunction.xx3().hashChars(result);
     }
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns this outcome as a receiver holds it at first: a chunked result has yet to be
-     * transferred.
+     * Returns this outcome as sent to other replicas: a chunked result is marked as not present,
+     * since it is transferred separately.
      */
     ClaimOutcome forTransfer() {
         return isChunked() ? withResultPresent(false) : this;
--- a/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
@@ -8,11 +8,11 @@
 import ochretiller.collections.BoundedMap;
 
 /**
- * Releases claims that are known never to have run, so that others may claim their tokens, and
- * repeats that to whoever asks. Not thread-safe; time is handed in.
+ * Releases claims that never ran, so that other servers may claim their tokens, and repeats a
+ * release on request. Not thread-safe; callers pass the current time.
  */
 final class ClaimReleases {
-    /** Released claims that are remembered, to repeat their release when asked. */
+    /** Maximum number of released claims kept in memory to repeat their releases on request. */
     private static final int MAX_REMEMBERED = 20_000;
 
     private final CoordinatorState state;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Answers whether a claim of this server runs; only one that never will is answered for. */
+    /** Repeats the release if the claim in question was released; ignores the query otherwise. */
     void onOwnerQuery(String from, ReplicationMessage.OwnerQuery query, Duration now) {
         Duration windowEnd = windowEnds.get(query.claimId());
         if (windowEnd == null) {
--- a/src/main/java/ochretiller/fleet/replication/ClaimRequirement.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimRequirement.java
@@ -2,13 +2,13 @@
 
 /** Whether a run has to be claimed first. */
 public enum ClaimRequirement {
-    /** It has to be claimed in the fleet. */
+    /** The run has to be claimed in the fleet. */
     REQUIRED,
     /**
-     * It is claimed for as long as others may hold permanent claims; the claim itself does not
-     * prolong that.
+     * The run has to be claimed while other servers may have non-transitional claims; its own claim
+     * does not prolong that time.
      */
     REQUIRED_TRANSITIONALLY,
-    /** It may run without a claim. */
+    /** The operation may run without a claim. */
     NOT_REQUIRED
 }
--- a/src/main/java/ochretiller/fleet/replication/ClaimVoter.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimVoter.java
@@ -7,22 +7,23 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The replica's side of claims: grants each token to the first claim that arrives, in the present
- * epoch and in complete ranges only, and stores outcomes. Not thread-safe; time is handed in.
+ * The replica's side of claims: grants each token to the first claim that arrives, in the current
+ * epoch and in complete ranges only, and stores outcomes. Not thread-safe; callers pass the current
+ * time.
  */
 final class ClaimVoter {
     private final ReplicaState state;
-    private final LaggingRanges lagging;
+    private final LaggingRanges laggingRanges;
     private final DiskFreshnessCheck diskCheck;
     private final ChunkAssembler chunks;
 
     ClaimVoter(
             ReplicaState state,
-            LaggingRanges lagging,
+            LaggingRanges laggingRanges,
             DiskFreshnessCheck diskCheck,
             ChunkAssembler chunks) {
         this.state = state;
-        this.lagging = lagging;
+        this.laggingRanges = laggingRanges;
         this.diskCheck = diskCheck;
         this.chunks = chunks;
     }
@@ -39,7 +40,7 @@
 
     private ReplicationMessage.ClaimVote grant(
             ReplicaEntry entry, ReplicationMessage.ClaimRequest request, Duration now) {
-        // A repeated request left later than the first one, whose expiry was late enough.
+        // A repeated request needs no new expiry: that of the first one is late enough.
         if (entry.claims().containsKey(request.claimId())) {
             return ReplicationMessage.ClaimVote.GRANTED;
         }
@@ -88,14 +89,14 @@
 
     private ReplicationMessage.ClaimVote vote(
             ReplicaEntry entry, String token, ClaimId claimId, long epoch) {
-        // An outcome holds in every epoch; everything else is answered for the present one only.
+        // An outcome is valid in every epoch; all other votes are for the current epoch only.
         if (entry.canonicalOutcome().isPresent()) {
             return ReplicationMessage.ClaimVote.COMPLETED;
         }
         if (epoch < state.epoch()) {
             return ReplicationMessage.ClaimVote.STALE_EPOCH;
         }
-        if (!votesOn(token, epoch)) {
+        if (!canVoteOn(token, epoch)) {
             return ReplicationMessage.ClaimVote.LAGGING;
         }
         if (entry.releasedClaims().contains(claimId)) {
@@ -106,12 +107,12 @@
                 : ReplicationMessage.ClaimVote.UNCLAIMED;
     }
 
-    private boolean votesOn(String token, long epoch) {
+    private boolean canVoteOn(String token, long epoch) {
         int range = ReplicaPlacement.rangeOf(token);
         return epoch == state.epoch()
                 && !diskCheck.isInProgress()
                 && state.replicates(range)
-                && !lagging.contains(range);
+                && !laggingRanges.contains(range);
     }
 
     void onCompleted(String from, ReplicationMessage.ClaimCompleted completed, Duration now) {
@@ -127,13 +128,13 @@
             confirmStored(from, completed.epoch(), token, claimId);
             return;
         }
-        // The outcome counts as stored once its result has been transferred, too.
+        // The outcome counts as stored only after its result has been transferred.
         chunks.request(token, claimId, stored, from, completed.epoch());
         state.outbox().sendAll(chunks.tick(now));
     }
 
     private void confirmStored(String to, long epoch, String token, ClaimId claimId) {
-        if (votesOn(token, epoch)) {
+        if (canVoteOn(token, epoch)) {
             state.outbox()
                     .send(
                             to,
@@ -143,14 +144,14 @@
     }
 
     /**
-     * Records that a chunked result is stored for as long as its entry, and confirms it to whoever
-     * it came from.
+     * Records that a chunked result is stored until its entry expires, and confirms the outcome to
+     * the server that it came from.
      */
     void onResultStored(AssembledResult result) {
         ReplicaEntry entry = state.entries().get(result.token());
         ClaimOutcome outcome = entry.outcomes().get(result.claimId());
         if (outcome == null) {
-            return; // its window has ended meanwhile
+            return; // its window has ended
         }
         Map<ClaimId, ClaimOutcome> present =
                 Map.of(result.claimId(), outcome.withResultPresent(true));
@@ -162,14 +163,14 @@
 
     void onRelease(ReplicationMessage.ClaimRelease release, Duration now) {
         ReplicaEntry entry = state.entries().get(release.token());
-        boolean known = entry.releasedClaims().contains(release.claimId());
+        boolean alreadyReleased = entry.releasedClaims().contains(release.claimId());
         boolean tooMany = entry.releasedClaims().size() >= ReplicaEntry.MAX_CLAIMS;
         boolean noCapacity = entry == ReplicaEntry.EMPTY && !hasCapacityFor(entry);
-        if (known || tooMany || noCapacity) {
+        if (alreadyReleased || tooMany || noCapacity) {
             return;
         }
-        // Stored for an unknown token as well: the claim may arrive after its release, and must
-        // find itself released.
+        // Stored for an unknown token as well: a claim that arrives after its release must not be
+        // granted.
         Duration expiry = state.expiryAfter(release.remaining(), now);
         state.put(release.token(), entry.withRelease(release.claimId(), expiry));
     }
--- a/src/main/java/ochretiller/fleet/replication/CompletedClaim.java
+++ b/src/main/java/ochretiller/fleet/replication/CompletedClaim.java
@@ -8,9 +8,9 @@
  *
  * @param claimId the claim under which it ran
  * @param outcome how it ended
- * @param chunkedResult the result that replicas request in chunks, where the outcome does not carry
- *     it
- * @param replyDeadline monotonic time at which the answer has to leave
+ * @param chunkedResult the result for replicas to request in chunks, if the outcome does not
+ *     contain it
+ * @param replyDeadline monotonic time by which the client has to be answered
  * @param windowEnd monotonic time at which the token's idempotency window ends
  */
 public record CompletedClaim(
--- a/src/main/java/ochretiller/fleet/replication/CoordinatorState.java
+++ b/src/main/java/ochretiller/fleet/replication/CoordinatorState.java
@@ -4,9 +4,8 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * What the parts of a {@link ClaimCoordinator} share: who this server is, the epoch it has adopted,
- * what it knows about the replicas' responsiveness, and the messages that wait to be sent. Not
- * thread-safe.
+ * State shared by the parts of a {@link ClaimCoordinator}: this server's identity, the adopted
+ * epoch, the latency and responsiveness of replicas, and the messages to send. Not thread-safe.
  */
 final class CoordinatorState {
     private final String name;
@@ -61,8 +60,8 @@
     }
 
     /**
-     * Sends a message that the replica has to answer: until it does, it may turn out to be
-     * unresponsive.
+     * Sends a message that the replica has to answer, and counts it as unanswered until the replica
+     * replies.
      */
     void sendRequest(String replica, ReplicationMessage request) {
         unresponsive.recordUnanswered(replica);
--- a/src/main/java/ochretiller/fleet/replication/DiskFreshnessCheck.java
+++ b/src/main/java/ochretiller/fleet/replication/DiskFreshnessCheck.java
@@ -8,20 +8,20 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Finds out, after a restart, whether the disk is as new as what the replica has sent: an image
- * that was put back, or a file that was cut off, lacks changes that others rely on. All peers are
- * asked for the highest change number that they have heard of; a replica whose own number is lower
- * is treated as one without its disk. Until the answer is known the replica does not count (compare
- * recovery in "Viewstamped Replication Revisited", Liskov and Cowling 2012, section 4.3). Not
- * thread-safe; time is handed in.
+ * Checks, after a restart, whether the disk contains all changes that the replica has sent: a
+ * restored disk image or a truncated file lacks changes that others rely on. Asks all peers for the
+ * highest change number that they have observed from this replica; if its own number is lower, the
+ * replica is treated as one that has lost its disk. It does not vote until the check has ended
+ * (compare recovery in "Viewstamped Replication Revisited", Liskov and Cowling 2012, section 4.3).
+ * Not thread-safe; callers pass the current time.
  */
 final class DiskFreshnessCheck {
     private static final Duration QUERY_INTERVAL = Duration.ofMillis(100);
 
-    /** How long all peers are waited for where one at least has answered. */
+    /** Maximum wait for the replies of all peers if at least one has answered. */
     private static final Duration MAX_WAIT_FOR_ALL = Duration.ofMillis(1_500);
 
-    /** How long any peer is waited for. */
+    /** Maximum wait if no peer has answered. */
     private static final Duration MAX_WAIT_FOR_ANY = Duration.ofSeconds(5);
 
     private final ReplicaState state;
@@ -32,13 +32,13 @@
     private Duration nextQuery;
     private long staleDisks;
 
-    /** Results of a look at the replies. */
+    /** Results of evaluating the replies. */
     enum Progress {
-        /** More replies are waited for. */
+        /** More replies are needed. */
         WAITING,
-        /** Nobody has heard of a later change. */
+        /** No peer has observed a later change than the disk has. */
         FRESH,
-        /** A peer has heard of a later change than the disk has. */
+        /** A peer has observed a later change than the disk has. */
         STALE
     }
 
@@ -62,7 +62,7 @@
         return staleDisks;
     }
 
-    /** Takes a peer's reply; returns whether it belongs to this check. */
+    /** Records a peer's reply; returns whether it belongs to this check. */
     boolean accept(String from, ReplicationMessage.ChangeNumberReply reply) {
         if (!inProgress || reply.nonce() != nonce) {
             return false;
@@ -71,7 +71,10 @@
         return true;
     }
 
-    /** Ends the check if the replies suffice, and asks again for missing ones otherwise. */
+    /**
+     * Ends the check if the replies suffice; otherwise repeats the query to the missing peers when
+     * it is due.
+     */
     Progress advance(Duration now) {
         long highest = reportedNumbers.values().stream().mapToLong(Long::longValue).max().orElse(0);
         if (highest > state.changeNumber()) {
@@ -108,7 +111,7 @@
         if (missing.isEmpty() || waited.compareTo(MAX_WAIT_FOR_ANY) >= 0) {
             return true;
         }
-        // Unreachable peers need not be waited for once most others have answered.
+        // Do not wait for unreachable peers if a majority of all peers has answered.
         boolean majority = reportedNumbers.size() >= ReplicaPlacement.quorumSize(peers.size());
         if (majority && state.hints().areUnreachable(missing)) {
             return true;
@@ -124,7 +127,7 @@
         }
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState() {
         return inProgress ? reportedNumbers.toString() : "";
     }
--- a/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
+++ b/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
@@ -13,21 +13,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Holds a replica's messages back until the changes that they rest on, and all changes before them,
- * are durable: a promise that a crash could take back must not have been heard by anybody.
+ * Holds a replica's messages back until the changes that they depend on, and all earlier changes,
+ * are durable: no other server may act on a promise that a crash could undo.
  *
- * <p>After a failed write nothing is sent, as if it were lost on the way, until everything that is
- * not known to be on disk has been written anew. Retries back off exponentially with jitter. Writes
- * are acknowledged in their order. Not thread-safe; time and random numbers are handed in.
+ * <p>After a failed write all messages are dropped, as if the network had lost them, until
+ * everything that is not known to be on disk has been rewritten. Retries back off exponentially
+ * with jitter. Writes are acknowledged in order. Not thread-safe; the caller passes the time and
+ * random numbers.
  */
 public final class DurabilityBarrier {
-    /** Messages that wait for the disk at most; beyond it the disk counts as failed. */
+    /** Maximum number of messages that wait for the disk; beyond it the disk counts as failed. */
     private static final int MAX_WAITING_MESSAGES = 20_000;
 
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(100);
     private static final Duration MAX_BACKOFF = Duration.ofSeconds(2);
 
-    /** Writes that one retry issues at most. */
+    /** Maximum number of entries that one retry writes. */
     private static final int MAX_WRITES_PER_RETRY = 1_000;
 
     private final RandomGenerator random;
@@ -43,17 +44,17 @@
     private Duration nextRetry = Duration.ZERO;
     private long droppedMessages;
 
-    /** Messages that may be sent once the write of this sequence is durable. */
+    /** Messages that may be sent once the write with this sequence number is durable. */
     private record WaitingMessages(long sequence, List<OutboundMessage> messages) {}
 
     /**
-     * @param random spreads retries over time
+     * @param random source of the jitter of retries
      */
     public DurabilityBarrier(RandomGenerator random) {
         this.random = random;
     }
 
-    /** Returns whether a write has failed and not everything has been written anew since. */
+    /** Returns whether a write has failed and not everything has been rewritten since. */
     public boolean isDegraded() {
         return degraded;
     }
@@ -64,18 +65,19 @@
     }
 
     /**
-     * Returns how many messages were never sent, since what they rest on did not become durable.
+     * Returns how many messages were dropped because the changes that they depend on did not become
+     * durable.
      */
     public long droppedMessages() {
         return droppedMessages;
     }
 
     /**
-     * Submits a change of the replica, and the messages that rest on it.
+     * Submits a change of the replica, and the messages that depend on it.
      *
      * @param changedTokens tokens whose entries have changed
      * @param metadataChanged whether the replica's metadata has changed, too
-     * @param messages what the replica wants to send
+     * @param messages messages to send once the change is durable
      */
     public SubmittedChange submit(
             List<String> changedTokens, boolean metadataChanged, List<OutboundMessage> messages) {
@@ -87,7 +89,7 @@
         for (String token : changedTokens) {
             writes.add(newWrite(Optional.of(token)));
         }
-        // After its entries: metadata that states a range to be complete must not be on disk
+        // Written after the entries: metadata that marks a range as complete must not be on disk
         // without them.
         if (metadataChanged) {
             writes.add(newWrite(Optional.empty()));
@@ -108,7 +110,7 @@
         droppedMessages += messages;
         boolean anythingToWrite = metadataChanged || !changedTokens.isEmpty();
         if (!degraded && anythingToWrite) {
-            becomeDegraded();
+            enterDegradedMode();
         }
     }
 
@@ -119,9 +121,9 @@
     }
 
     /**
-     * Records that a write has ended.
+     * Records the result of a write.
      *
-     * @param durable whether it succeeded; after a failure it may be on disk or not
+     * @param durable whether the write succeeded; a failed write may or may not be on disk
      * @return messages that may be sent now
      */
     public List<OutboundMessage> acknowledge(PendingWrite write, boolean durable, Duration now) {
@@ -129,7 +131,7 @@
             return List.of();
         }
         if (!durable) {
-            becomeDegraded();
+            enterDegradedMode();
             nextRetry = now.plus(jittered(backoff));
             return List.of();
         }
@@ -162,10 +164,10 @@
     }
 
     /**
-     * What was not acknowledged may be on disk or not: it is written anew, and the messages that
-     * rest on it are dropped.
+     * Unacknowledged writes may or may not be on disk: schedules them to be repeated, and drops the
+     * messages that depend on them.
      */
-    private void becomeDegraded() {
+    private void enterDegradedMode() {
         for (PendingWrite write : outstandingWrites) {
             if (write.token().isPresent()) {
                 unsavedTokens.add(write.token().get());
@@ -187,8 +189,8 @@
     }
 
     /**
-     * Returns what to write again after a failure, once the backoff is over; one retry is in
-     * progress at a time.
+     * Returns the writes to repeat after a failure, when the backoff has elapsed and no earlier
+     * retry is in progress.
      */
     public List<PendingWrite> retryWrites(Duration now) {
         if (!degraded || !outstandingWrites.isEmpty() || now.compareTo(nextRetry) < 0) {
--- a/src/main/java/ochretiller/fleet/replication/EpochHandover.java
+++ b/src/main/java/ochretiller/fleet/replication/EpochHandover.java
@@ -6,10 +6,11 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Hands ranges over between epochs. A new replica of a range lags until it has heard a majority of
- * the previous replicas completely; those adopt the epoch by being asked, and grant nothing in the
- * old one from then on. Any majority that granted a claim before has a member in common with the
- * majority that was asked, so no granted claim is missed. Not thread-safe; time is handed in.
+ * Hands ranges over between epochs. A new replica of a range lags until it has pulled the range
+ * completely from a majority of the previous replicas. Its requests make them adopt the new epoch,
+ * and they grant nothing in the old one from then on. Any majority that granted a claim before has
+ * a replica in common with the majority that was pulled from, so no granted claim is missed. Not
+ * thread-safe; callers pass the current time.
  */
 final class EpochHandover {
     private final ReplicaState state;
@@ -36,8 +37,7 @@
         Set<Integer> laggingBefore = antiEntropy.lagging().all();
         antiEntropy.resetForEpoch();
         for (int range = 0; range < ReplicaPlacement.RANGE_COUNT; range++) {
-            // A replica that has yet to hear whether its disk is stale may have forgotten claims
-            // that it granted.
+            // A replica whose disk check has not ended may have lost claims that it granted.
             boolean reliable =
                     consecutive && !laggingBefore.contains(range) && !diskCheck.isInProgress();
             adopt(range, consecutive, reliable, now);
@@ -55,30 +55,27 @@
             antiEntropy.markComplete(range);
             return;
         }
-        // Who has missed an epoch in between is as one that never was a replica of the range.
+        // A replica that skipped an epoch is treated as if it had not replicated the range before.
         boolean sameReplicas = consecutive && Set.copyOf(previous).equals(Set.copyOf(replicas));
         if (!previous.isEmpty() && !sameReplicas) {
             catchUpFromPreviousEpoch(range, wasReplica && reliable, now);
         }
     }
 
-    /**
-     * Starts the catch-up of a range from a majority of the replicas that it had in the previous
-     * epoch.
-     */
-    private void catchUpFromPreviousEpoch(int range, boolean ownCopyCounts, Duration now) {
+    /** Starts the catch-up of a range from a majority of its replicas in the previous epoch. */
+    private void catchUpFromPreviousEpoch(int range, boolean ownCopyReliable, Duration now) {
         List<String> previous = state.placement().previousReplicasOf(range);
         int required = ReplicaPlacement.quorumSize(previous.size());
-        antiEntropy.startCatchUp(range, catchUp(previous, required, false, now), ownCopyCounts);
+        antiEntropy.startCatchUp(range, catchUp(previous, required, false, now), ownCopyReliable);
         state.markMetadataChanged();
     }
 
     /**
-     * Recovers a range in which this replica may have forgotten claims that it granted: all other
-     * replicas have to be heard, since only with all of them every majority that it may have been
-     * part of is met.
+     * Recovers a range in which this replica may have lost claims that it granted. Pulls from all
+     * other replicas, since only all of them together intersect every majority that this replica
+     * was part of.
      */
-    private void recoverForgotten(int range, Duration now) {
+    private void recoverLostGrants(int range, Duration now) {
         state.markMetadataChanged();
         if (state.placement().previousReplicasOf(range).contains(state.name())) {
             state.unreliableRanges().add(range);
@@ -90,23 +87,23 @@
     }
 
     private RangeCatchUp catchUp(
-            List<String> sources, int required, boolean mayHaveForgotten, Duration now) {
+            List<String> sources, int required, boolean mayHaveLostGrants, Duration now) {
         Duration deadline = now.plus(state.limits().maxWindow());
-        return new RangeCatchUp(sources, required, mayHaveForgotten, now, deadline);
+        return new RangeCatchUp(sources, required, mayHaveLostGrants, now, deadline);
     }
 
     /** Recovers every range, after the disk was lost or found to be stale. */
     void recoverAll(Duration now) {
         for (int range = 0; range < ReplicaPlacement.RANGE_COUNT; range++) {
-            recoverForgotten(range, now);
+            recoverLostGrants(range, now);
         }
     }
 
     /** Resumes the catch-ups that a previous process of this replica had not finished. */
-    void resume(Set<Integer> laggingRanges, Set<Integer> forgottenRanges, Duration now) {
+    void resume(Set<Integer> laggingRanges, Set<Integer> lostGrantRanges, Duration now) {
         for (int range : laggingRanges) {
-            if (forgottenRanges.contains(range)) {
-                recoverForgotten(range, now);
+            if (lostGrantRanges.contains(range)) {
+                recoverLostGrants(range, now);
             } else {
                 catchUpFromPreviousEpoch(range, false, now);
             }
@@ -114,8 +111,8 @@
     }
 
     /**
-     * Returns whether others may rely on this replica for all of a range, as of this epoch or the
-     * previous one.
+     * Returns whether this replica is a complete source of a range that it replicates in this epoch
+     * or replicated in the previous one.
      */
     boolean isReliableSource(int range) {
         if (state.unreliableRanges().contains(range) || diskCheck.isInProgress()) {
--- a/src/main/java/ochretiller/fleet/replication/HandoffHints.java
+++ b/src/main/java/ochretiller/fleet/replication/HandoffHints.java
@@ -10,17 +10,17 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Remembers which ranges have changed while a replica of them was unreachable, so that they are
- * compared with it first once it is back. In the manner of hinted handoff (Dynamo, DeCandia et al.
- * 2007), with a bit for each range in place of the writes themselves: anti-entropy then transfers
- * what is lacking. Nothing rests on it, since a comparison of all ranges goes on anyway. Not
- * thread-safe.
+ * Records which ranges have changed while one of their replicas was unreachable, so that they are
+ * compared with it first when it returns. A variant of hinted handoff (Dynamo, DeCandia et al.
+ * 2007) that stores one bit per range instead of the writes, and leaves the transfer to
+ * anti-entropy. Hints are not needed for correctness, since all ranges are compared continuously
+ * anyway. Not thread-safe.
  */
 final class HandoffHints {
-    /** Comparisons that hints cause in one tick at most. */
+    /** Maximum number of comparisons that hints start per tick. */
     private static final int MAX_COMPARISONS_PER_TICK = 4;
 
-    /** Unreachable replicas that are remembered. */
+    /** Maximum number of unreachable replicas that are tracked. */
     private static final int MAX_UNREACHABLE = 1_024;
 
     private final Map<String, BitSet> missedByUnreachable = new TreeMap<>();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Takes note of which servers are reachable, as the membership view has them. */
+    /** Updates which servers are reachable according to the membership view. */
     void observeLivePeers(Set<String> live, String self, ReplicaPlacement placement) {
         placement.servers().stream()
                 .map(server -> server.name())
@@ -65,17 +65,20 @@
         }
     }
 
-    /** Returns whether all of these are known to be unreachable. */
+    /** Returns whether all of these replicas are known to be unreachable. */
     boolean areUnreachable(Set<String> replicas) {
         return missedByUnreachable.keySet().containsAll(replicas);
     }
 
-    /** Asks for a comparison of a range with a replica, whether it has missed anything or not. */
+    /** Schedules a comparison of a range with a replica, whether or not it has missed changes. */
     void schedule(String replica, int range) {
         dueByReachable.computeIfAbsent(replica, ignored -> new BitSet()).set(range);
     }
 
-    /** Returns the ranges of replicas that are unreachable, or yet to be compared with. */
+    /**
+     * Returns the number of hints: ranges to compare, summed over reachable and unreachable
+     * replicas.
+     */
     int count() {
         return cardinality(dueByReachable) + cardinality(missedByUnreachable);
     }
@@ -84,7 +87,7 @@
         return hints.values().stream().mapToInt(BitSet::cardinality).sum();
     }
 
-    /** Returns the next comparisons to make, and forgets them. */
+    /** Removes and returns the next comparisons to make. */
     List<DueComparison> takeDue(ReplicaPlacement placement) {
         List<DueComparison> due = new ArrayList<>();
         Iterator<Map.Entry<String, BitSet>> hints = dueByReachable.entrySet().iterator();
--- a/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
+++ b/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** The ranges that a replica does not have completely yet, in their order. Not thread-safe. */
+/** The ranges that a replica is still catching up on, in ascending order. Not thread-safe. */
 final class LaggingRanges {
     private final Map<Integer, RangeCatchUp> catchUps = new TreeMap<>();
 
@@ -41,16 +41,16 @@
         return Set.copyOf(catchUps.keySet());
     }
 
-    /** Returns the ranges in which this replica may have forgotten claims that it granted. */
+    /** Returns the ranges in which this replica may have lost claims that it granted. */
     Set<Integer> forgotten() {
-        Set<Integer> forgotten = new HashSet<>();
+        Set<Integer> lostGrants = new HashSet<>();
         catchUps.forEach(
                 (range, catchUp) -> {
                     if (catchUp.mayHaveForgotten()) {
-                        forgotten.add(range);
+                        lostGrants.add(range);
                     }
                 });
-        return forgotten;
+        return lostGrants;
     }
 
     List<Integer> overdue(Duration now) {
@@ -60,7 +60,7 @@
                 .toList();
     }
 
-    /** Returns for how long the range that has lagged longest has done so, zero where none lags. */
+    /** Returns how long the longest-lagging range has been lagging; zero if none lags. */
     Duration oldestLag(Duration now) {
         return catchUps.values().stream()
                 .map(catchUp -> catchUp.lag(now))
--- a/src/main/java/ochretiller/fleet/replication/ObservedChangeNumbers.java
+++ b/src/main/java/ochretiller/fleet/replication/ObservedChangeNumbers.java
@@ -6,13 +6,13 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The highest change number that was heard of from each replica: one that restarts with a lower one
+ * The highest change number observed from each replica: a replica that restarts with a lower one
  * has a stale disk ({@link DiskFreshnessCheck}). Bounded; not thread-safe.
  */
 final class ObservedChangeNumbers {
     /**
-     * Replicas that are tracked; guards the memory of a long-lived process against names without
-     * end.
+     * Maximum number of replicas tracked, so that ever new names do not exhaust the memory of a
+     * long-lived process.
      */
     private static final int MAX_TRACKED = 4_096;
 
@@ -24,12 +24,12 @@
         }
     }
 
-    /** Returns the highest number of a replica, 0 where none was heard of. */
+    /** Returns the highest number observed from a replica; 0 if none was. */
     long highest(String replica) {
         return highest.getOrDefault(replica, 0L);
     }
 
-    /** Returns the highest numbers of the servers of a placement that were heard of. */
+    /** Returns the highest numbers observed from servers of a placement, by server name. */
     Map<String, Long> ofServersIn(ReplicaPlacement placement) {
         Map<String, Long> numbers = new TreeMap<>();
         placement.servers().stream()
--- a/src/main/java/ochretiller/fleet/replication/OutboundMessage.java
+++ b/src/main/java/ochretiller/fleet/replication/OutboundMessage.java
@@ -5,6 +5,6 @@
  * transport may lose, delay, duplicate or reorder it.
  *
  * @param recipient name of the server
- * @param message what to send
+ * @param message the message to send
  */
 public record OutboundMessage(String recipient, ReplicationMessage message) {}
--- a/src/main/java/ochretiller/fleet/replication/Outbox.java
+++ b/src/main/java/ochretiller/fleet/replication/Outbox.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages that wait to be handed to the transport, in the order in which they were decided on. */
+/** Messages to pass to the transport, in the order in which they were added. */
 final class Outbox {
     private final List<OutboundMessage> messages = new ArrayList<>();
 
@@ -11,11 +11,11 @@
         messages.add(new OutboundMessage(recipient, message));
     }
 
-    void sendAll(List<OutboundMessage> more) {
-        messages.addAll(more);
+    void sendAll(List<OutboundMessage> newMessages) {
+        messages.addAll(newMessages);
     }
 
-    /** Returns all messages that wait, and forgets them. */
+    /** Removes and returns all messages. */
     List<OutboundMessage> drain() {
         List<OutboundMessage> drained = List.copyOf(messages);
         messages.clear();
--- a/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
+++ b/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
@@ -8,26 +8,26 @@
 import java.util.function.Consumer;
 
 /**
- * Brings outcomes of claimed runs to a write quorum of their tokens' replicas before the client is
- * answered, and goes on to the remaining replicas for a while. Knows which claims were granted and
- * not ended yet. Not thread-safe; time is handed in.
+ * Replicates outcomes of claimed runs to a write quorum of their tokens' replicas before the client
+ * is answered, and afterwards to the remaining replicas with a few retries. Tracks granted claims
+ * that have not ended. Not thread-safe; callers pass the current time.
  */
 final class OutcomeReplication {
-    /** Outcomes that are on their way at most. */
+    /** Maximum number of outcomes being replicated. */
     private static final int MAX_PENDING = 10_000;
 
     /**
-     * Characters of chunked results that are held for replicas to request; beyond it replicas get
-     * the outcome alone.
+     * Maximum total length of chunked results retained for replicas to request; beyond it replicas
+     * get the outcome alone.
      */
-    private static final long MAX_HELD_RESULT_CHARACTERS = 8L << 20;
+    private static final long MAX_RETAINED_RESULT_CHARACTERS = 8L << 20;
 
     private final CoordinatorState state;
     private final Map<ClaimId, GrantedClaim> granted = new LinkedHashMap<>();
     private final Map<ClaimId, PendingOutcome> pending = new LinkedHashMap<>();
-    private long heldResultCharacters;
+    private long retainedResultCharacters;
 
-    /** A claim that may run, and the changes of its replicas that it rests on. */
+    /** A claim that may run, and the replicas' change numbers when they granted it. */
     private record GrantedClaim(String token, Map<String, Long> changeNumbers) {}
 
     OutcomeReplication(CoordinatorState state) {
@@ -43,16 +43,16 @@
     }
 
     /**
-     * Forgets a granted claim that will not run; returns its token, if it was granted and has not
-     * ended.
+     * Removes a granted claim that will not run; returns its token, or empty if it was not granted
+     * or has ended.
      */
     Optional<String> cancelGrant(ClaimId claimId) {
         return Optional.ofNullable(granted.remove(claimId)).map(GrantedClaim::token);
     }
 
     /**
-     * Starts the replication of an outcome; {@code onStored} is told at once where that is not
-     * possible.
+     * Starts the replication of an outcome; calls {@code onStored} with false at once if that is
+     * not possible.
      */
     void start(CompletedClaim completed, Duration now, Consumer<Boolean> onStored) {
         GrantedClaim claim = granted.remove(completed.claimId());
@@ -60,17 +60,17 @@
             onStored.accept(false);
             return;
         }
-        CompletedClaim held = withinHeldResults(completed);
-        heldResultCharacters += held.chunkedResult().map(String::length).orElse(0);
+        CompletedClaim retained = withinRetentionLimit(completed);
+        retainedResultCharacters += retained.chunkedResult().map(String::length).orElse(0);
         PendingOutcome outcome =
-                new PendingOutcome(claim.token, held, claim.changeNumbers, onStored, now);
+                new PendingOutcome(claim.token, retained, claim.changeNumbers, onStored, now);
         pending.put(completed.claimId(), outcome);
         send(outcome, now);
     }
 
     /**
      * Starts the replication of an outcome of a previous incarnation of this server, unless it is
-     * on its way already.
+     * already in progress.
      */
     void startPrevious(String token, CompletedClaim completed, Duration now) {
         if (!pending.containsKey(completed.claimId())) {
@@ -79,13 +79,14 @@
         }
     }
 
-    private CompletedClaim withinHeldResults(CompletedClaim completed) {
+    private CompletedClaim withinRetentionLimit(CompletedClaim completed) {
         ClaimOutcome outcome = completed.outcome();
-        boolean fits = heldResultCharacters + outcome.resultSize() <= MAX_HELD_RESULT_CHARACTERS;
+        boolean fits =
+                retainedResultCharacters + outcome.resultSize() <= MAX_RETAINED_RESULT_CHARACTERS;
         return outcome.isChunked() && fits ? completed : completed.withoutChunkedResult();
     }
 
-    /** Returns the chunked result of a run of this server that replicas may still request. */
+    /** Returns the chunked result of a claim of this server while replicas may still request it. */
     Optional<String> heldResult(ClaimId claimId) {
         return Optional.ofNullable(pending.get(claimId)).flatMap(PendingOutcome::chunkedResult);
     }
@@ -99,7 +100,7 @@
         }
     }
 
-    /** Starts all quorums anew in a later epoch. */
+    /** Restarts the replication of all pending outcomes in a later epoch. */
     void onEpochChange(Duration now) {
         pending.values()
                 .forEach(
@@ -111,14 +112,14 @@
 
     void onStored(String from, ReplicationMessage.OutcomeStored message, Duration now) {
         PendingOutcome outcome = pending.get(message.claimId());
-        boolean counts =
+        boolean countsTowardsQuorum =
                 outcome != null
                         && message.epoch() == state.epoch()
                         && state.replicasOf(outcome.token()).contains(from);
-        if (!counts) {
+        if (!countsTowardsQuorum) {
             return;
         }
-        // The transfer of a chunked result says nothing about the latency of claims.
+        // The time to transfer a chunked result is no measure of claim latency.
         if (outcome.addStored(from) && outcome.chunkedResult().isEmpty()) {
             state.latency().record(from, outcome.sinceSent(now));
         }
@@ -137,7 +138,7 @@
     private void remove(ClaimId claimId) {
         PendingOutcome removed = pending.remove(claimId);
         if (removed != null) {
-            heldResultCharacters -= removed.chunkedResult().map(String::length).orElse(0);
+            retainedResultCharacters -= removed.chunkedResult().map(String::length).orElse(0);
         }
     }
 
@@ -165,7 +166,7 @@
         send(outcome, now);
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
         StringBuilder text = new StringBuilder().append(granted);
         pending.forEach(
--- a/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
+++ b/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
@@ -10,16 +10,16 @@
 import java.util.function.Consumer;
 
 /**
- * One outcome on its way to a write quorum of its token's replicas. Not thread-safe; time is handed
- * in.
+ * An outcome being replicated to a write quorum of its token's replicas. Not thread-safe; callers
+ * pass the current time.
  */
 final class PendingOutcome {
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(60);
 
-    /** Interval once the client has its answer and only the remaining replicas wait. */
+    /** Retry interval after the client has been answered, for the remaining replicas. */
     private static final Duration LATE_RETRY_INTERVAL = ClaimAttempt.MAX_QUERY_PAUSE;
 
-    /** Repetitions once a quorum has it: anti-entropy brings it to the rest. */
+    /** Retries after a quorum has stored the outcome; anti-entropy transfers it to the others. */
     private static final int MAX_RETRIES_AFTER_QUORUM = 3;
 
     private final String token;
@@ -32,8 +32,9 @@
     private boolean answered;
 
     /**
-     * @param changeNumbers changes that the claim rests on, by replica
-     * @param onStored is told, once, whether a quorum has stored the outcome by the reply deadline
+     * @param changeNumbers the replicas' change numbers when they granted the claim
+     * @param onStored called once with whether a quorum has stored the outcome by the reply
+     *     deadline
      */
     PendingOutcome(
             String token,
@@ -75,7 +76,8 @@
     }
 
     /**
-     * Records that a replica has stored the outcome; returns whether it is its first confirmation.
+     * Records that a replica has stored the outcome; returns whether this is its first
+     * confirmation.
      */
     boolean addStored(String replica) {
         return storedBy.add(replica);
@@ -89,12 +91,12 @@
         return storedBy.size();
     }
 
-    /** Starts anew: confirmations of an older epoch belong to another quorum. */
+    /** Discards all confirmations, since those of an older epoch belong to another quorum. */
     void forgetStored() {
         storedBy.clear();
     }
 
-    /** Answers the client's invocation, unless that was done before. */
+    /** Reports whether the outcome is stored, unless that was reported before. */
     void answer(boolean stored) {
         if (!answered) {
             answered = true;
@@ -120,7 +122,7 @@
         retriesAfterQuorum++;
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
         return "" + storedBy + retriesAfterQuorum + sinceSent(now) + answered;
     }
--- a/src/main/java/ochretiller/fleet/replication/PullSlots.java
+++ b/src/main/java/ochretiller/fleet/replication/PullSlots.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * The requests that wait for an answer during one tick of {@link AntiEntropy}. Bounds them, so that
- * a fleet that restarts does not flood the replicas that have what it lacks, and keeps repair
- * behind catch-up, which is what clients wait for.
+ * Counts the outstanding requests during one tick of {@link AntiEntropy} and bounds them, so that a
+ * restarting fleet does not overload the replicas that it pulls from. Repairs have a lower bound
+ * than catch-up, which clients wait for.
  */
 final class PullSlots {
     private static final int MAX_OUTSTANDING = 6;
--- a/src/main/java/ochretiller/fleet/replication/PullSources.java
+++ b/src/main/java/ochretiller/fleet/replication/PullSources.java
@@ -7,47 +7,45 @@
 import java.util.Set;
 
 /**
- * What {@link AntiEntropy} knows about the peers that it pulls from in the present epoch: who has
- * answered in it, and who is unresponsive and therefore only probed now and then. Not thread-safe.
+ * The state of the peers that {@link AntiEntropy} pulls from: which of them have answered in the
+ * current epoch, and which are unresponsive and therefore only probed at intervals. Not
+ * thread-safe.
  */
 final class PullSources {
     private static final Duration PROBE_INTERVAL = RangePull.RETRY_INTERVAL;
 
-    private final Set<String> epochKnown = new HashSet<>();
+    private final Set<String> epochAwareSources = new HashSet<>();
     private final UnresponsivePeers unresponsive = new UnresponsivePeers();
     private final Map<String, Duration> probedAt = new HashMap<>();
 
-    /** Forgets all, since in a new epoch each source has to be told of it. */
+    /** Clears all state: in a new epoch no source is known to have adopted it. */
     void reset() {
-        epochKnown.clear();
+        epochAwareSources.clear();
         unresponsive.clear();
         probedAt.clear();
     }
 
-    /** Returns whether the source is known to have adopted the present epoch. */
+    /** Returns whether the source is known to have adopted the current epoch. */
     boolean knowsEpoch(String source) {
-        return epochKnown.contains(source);
+        return epochAwareSources.contains(source);
     }
 
     void recordReply(String source) {
-        epochKnown.add(source);
+        epochAwareSources.add(source);
         unresponsive.recordReply(source);
     }
 
     void recordTimeout(String source) {
         unresponsive.recordUnanswered(source);
-        // It may not know the epoch, and not answer for that reason.
-        epochKnown.remove(source);
+        // The source may not have answered because it does not know the epoch.
+        epochAwareSources.remove(source);
     }
 
     boolean isUnresponsive(String source) {
         return unresponsive.isUnresponsive(source);
     }
 
-    /**
-     * Returns whether an unresponsive source may be asked now whether it is back, and records that
-     * it is.
-     */
+    /** Returns whether a probe of an unresponsive source is due, and records it as sent if so. */
     boolean tryProbe(String source, Duration now) {
         Duration last = probedAt.get(source);
         if (last != null && now.minus(last).compareTo(PROBE_INTERVAL) < 0) {
@@ -57,8 +55,8 @@
         return true;
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState() {
-        return epochKnown.toString();
+        return epochAwareSources.toString();
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/RangeCatchUp.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeCatchUp.java
@@ -6,33 +6,33 @@
 import java.util.Set;
 
 /**
- * A range that a replica has to fetch before its votes on it count: from whom, and from how many of
- * them.
+ * The catch-up of a range, which a replica has to pull completely from enough sources before its
+ * votes on the range count.
  */
 final class RangeCatchUp {
     private final List<String> sources;
     private final int requiredSources;
-    private final boolean mayHaveForgotten;
+    private final boolean mayHaveLostGrants;
     private final Duration startedAt;
     private final Duration deadline;
     private final Set<String> completeSources = new HashSet<>();
 
     /**
-     * @param sources replicas that may have what is lacking, perhaps this server itself
-     * @param requiredSources how many of them have to be heard completely
-     * @param mayHaveForgotten whether this server was a replica of the range and may have forgotten
-     *     claims it granted
-     * @param deadline when nothing that is still lacking can matter any more
+     * @param sources replicas that may have missing entries, possibly including this server
+     * @param requiredSources number of sources that have to be pulled completely
+     * @param mayHaveLostGrants whether this server was a replica of the range and may have lost
+     *     claims that it granted
+     * @param deadline monotonic time at which all missing entries have expired
      */
     RangeCatchUp(
             List<String> sources,
             int requiredSources,
-            boolean mayHaveForgotten,
+            boolean mayHaveLostGrants,
             Duration startedAt,
             Duration deadline) {
         this.sources = sources;
         this.requiredSources = requiredSources;
-        this.mayHaveForgotten = mayHaveForgotten;
+        this.mayHaveLostGrants = mayHaveLostGrants;
         this.startedAt = startedAt;
         this.deadline = deadline;
     }
@@ -42,7 +42,7 @@
     }
 
     boolean mayHaveForgotten() {
-        return mayHaveForgotten;
+        return mayHaveLostGrants;
     }
 
     Duration lag(Duration now) {
@@ -53,7 +53,7 @@
         return now.compareTo(deadline) >= 0;
     }
 
-    /** Records that everything of this source is here. */
+    /** Records that all entries of this source have been received. */
     void addCompleteSource(String source) {
         completeSources.add(source);
     }
--- a/src/main/java/ochretiller/fleet/replication/RangeComparison.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeComparison.java
@@ -5,9 +5,9 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Compares ranges with other replicas by digest, all the time and at a rate that does not depend on
- * what differs, and has differences repaired by {@link AntiEntropy}. Not thread-safe; random
- * numbers are handed in.
+ * Compares ranges with other replicas by digest, continuously and at a rate that does not depend on
+ * the differences, and requests repairs from {@link AntiEntropy}. Not thread-safe; the caller
+ * passes the random generator.
  */
 final class RangeComparison {
     private final ReplicaState state;
@@ -20,19 +20,19 @@
         this.antiEntropy = antiEntropy;
     }
 
-    /** Returns the random comparisons that this replica has started. */
+    /** Returns how many random comparisons this replica has started. */
     long comparisons() {
         return comparisons;
     }
 
-    /** Returns the comparisons, started by either side, that found a difference. */
+    /** Returns how many comparisons, started by either side, found a difference. */
     long differences() {
         return differences;
     }
 
     /**
-     * Compares one range, drawn from all, with one of its other replicas; nothing happens where
-     * this server is none.
+     * Compares a random range with a random other replica of it; does nothing if this server does
+     * not replicate the range.
      */
     void compareRandomRange(RandomGenerator random) {
         int range = random.nextInt(ReplicaPlacement.RANGE_COUNT);
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Schedules comparisons of all ranges with all their other replicas, and returns how many those
-     * are.
+     * Schedules a comparison of each replicated range with each of its other replicas; returns the
+     * number of comparisons.
      */
     int scheduleAll() {
         int scheduled = 0;
--- a/src/main/java/ochretiller/fleet/replication/RangePager.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePager.java
@@ -8,21 +8,21 @@
 
 /**
  * Answers requests for entries of a range with pages that fit into one datagram each, at a bounded
- * rate. A request that exceeds the rate is not answered, as if it were lost. Not thread-safe; time
- * is handed in.
+ * rate. A request that exceeds the rate is dropped, as if the network had lost it. Not thread-safe;
+ * callers pass the current time.
  */
 final class RangePager {
-    /** Estimated bytes of the entries of a page. */
+    /** Maximum estimated size of the entries of a page; a larger single entry is sent alone. */
     static final int MAX_PAGE_BYTES = 5 * 1024;
 
-    /** Digests of entries without room in a page that are sent in it. */
+    /** Maximum number of digests in a page, which list entries that did not fit into it. */
     private static final int MAX_REMAINING_DIGESTS = 200;
 
     /**
-     * Estimated bytes that are spent on a page beside its entries, so that empty pages are not
-     * free.
+     * Bytes charged to the rate limit for each page in addition to its entries, so that empty pages
+     * are not free.
      */
-    private static final int PAGE_OVERHEAD = SetSketch.CELL_BYTES;
+    private static final int PAGE_OVERHEAD_BYTES = SetSketch.CELL_BYTES;
 
     private final ReplicaState state;
     private final ByteRateLimiter rateLimiter;
@@ -33,15 +33,15 @@
         this.rateLimiter = rateLimiter;
     }
 
-    /** Returns the estimated bytes of entries that were sent. */
+    /** Returns the estimated size of all sent entries, in bytes. */
     long sentBytes() {
         return sentBytes;
     }
 
     /**
-     * Returns the next page for a request of the present epoch; empty where the rate is exceeded.
+     * Returns the next page for a request of the current epoch; empty if the rate is exceeded.
      *
-     * @param reliableSource whether others may rely on this replica for all of the range
+     * @param reliableSource whether this replica is a complete source of the range
      */
     Optional<ReplicationMessage.RangePage> page(
             ReplicationMessage.RangeRequest request, boolean reliableSource, Duration now) {
@@ -58,13 +58,13 @@
                 break;
             }
         }
-        rateLimiter.spend(page.bytes + PAGE_OVERHEAD);
+        rateLimiter.spend(page.bytes + PAGE_OVERHEAD_BYTES);
         sentBytes += page.bytes;
         return Optional.of(page.build(reliableSource));
     }
 
-    private Optional<SetDifference> difference(int range, SetSketch theirs) {
-        return state.entries().sketch(range, theirs.cells()).subtract(theirs);
+    private Optional<SetDifference> difference(int range, SetSketch remoteSketch) {
+        return state.entries().sketch(range, remoteSketch.cells()).subtract(remoteSketch);
     }
 
     private Iterable<String> tokens(
@@ -86,7 +86,7 @@
         return entries.tokensAfter(range, cursor.token());
     }
 
-    /** A page while entries are added to it. */
+    /** Collects the entries of a page. */
     private final class PageBuilder {
         private final ReplicationMessage.RangeRequest request;
         private final boolean sketchDecoded;
@@ -103,9 +103,7 @@
             this.last = sketchDecoded;
         }
 
-        /**
-         * Adds an entry, or its digest once there is no room; returns whether more may be added.
-         */
+        /** Adds an entry, or its digest if the page is full; returns whether more may be added. */
         boolean add(String token, ReplicaEntry entry, Duration now) {
             Duration remaining = entry.expiresAt().minus(now);
             ReplicationMessage.TransferredEntry item =
@@ -123,7 +121,7 @@
         }
 
         private boolean addDigest(String token) {
-            // A walk goes on from the cursor and needs no digests.
+            // A walk continues from the cursor and needs no digests.
             if (request.isWalk() || remainingDigests.size() == MAX_REMAINING_DIGESTS) {
                 return false;
             }
--- a/src/main/java/ochretiller/fleet/replication/RangePull.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePull.java
@@ -6,48 +6,51 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The pull of what one range lacks from one source, page by page. Nearly equal copies are told
- * apart by a sketch; where too much differs the range is walked through, entries with the latest
- * expiry first, and a sketch at the end finds what has changed meanwhile. Every request stands for
- * itself, so that a pull may be broken off and resumed anywhere. Not thread-safe.
+ * Pulls the missing entries of one range from one source, page by page. A sketch identifies the
+ * differences of nearly equal copies. If too much differs, the range is walked, entries with the
+ * latest expiry first, and a final sketch finds entries that changed during the walk. Requests are
+ * self-contained, so that a pull can be aborted and resumed at any point. Not thread-safe; callers
+ * pass the current time.
  */
 final class RangePull {
-    /** A request that is not answered for so long is repeated. */
+    /** Interval after which an unanswered request is repeated. */
     static final Duration RETRY_INTERVAL = Duration.ofMillis(300);
 
     /**
-     * Cells of a sketch beside a whole placement, and of the first one where the source's count is
-     * not known.
+     * Cells of a sketch that is sent with a whole placement, and of the first sketch if the
+     * source's entry count is unknown.
      */
     private static final int SMALL_SKETCH_CELLS = 24;
 
-    /** Factor by which the next sketch is larger after one that could not be decoded. */
+    /** Factor by which the sketch grows if the previous one could not be decoded. */
     private static final int SKETCH_GROWTH = 4;
 
-    /** Cells of a sketch where the source's entry count is known: at least so many, */
+    /** Minimum number of cells of a sketch if the source's entry count is known. */
     private static final int MIN_SKETCH_CELLS = 12;
 
-    /** and so many for each entry by which the counts differ. */
+    /** Cells added to a sketch for each entry by which the two entry counts differ. */
     private static final double CELLS_PER_DIFFERENCE = 1.6;
 
-    /** From so many times as many entries on, a walk is cheaper than a sketch of the difference. */
+    /**
+     * Ratio of the source's to the local entry count above which a walk is cheaper than a sketch.
+     */
     private static final int WALK_FACTOR = 2;
 
     /**
-     * Unanswered requests after which a repair is abandoned: a later comparison finds the
-     * difference again.
+     * Consecutive unanswered requests after which a repair is abandoned; a later comparison finds
+     * the difference again.
      */
     private static final int MAX_REPAIR_TIMEOUTS = 5;
 
-    /** How the next page is asked for. */
+    /** How the next page is requested. */
     private enum Method {
-        /** A sketch of what is here. */
+        /** By a sketch of the local entries. */
         SKETCH,
-        /** The digests of entries that the source has told of. */
+        /** By digests of missing entries that the source has listed. */
         DIGESTS,
-        /** A walk, latest expiry first. */
+        /** By a walk, latest expiry first. */
         WALK_BY_EXPIRY,
-        /** A walk by token. */
+        /** By a walk in token order. */
         WALK_BY_TOKEN
     }
 
@@ -58,7 +61,7 @@
     private int sketchCells = SMALL_SKETCH_CELLS;
     private ReplicationMessage.RangeCursor cursor = ReplicationMessage.RangeCursor.START;
     private List<Long> missingDigests = List.of();
-    private boolean walked;
+    private boolean expiryWalkDone;
     private long nonce;
     private Optional<Duration> requestedAt = Optional.empty();
     private int timeouts;
@@ -71,12 +74,12 @@
         chooseFirstMethod();
     }
 
-    /** A pull that a lagging range needs. */
+    /** Creates a pull for a lagging range. */
     static RangePull forCatchUp(int range, ReplicaEntries entries) {
         return new RangePull(range, false, entries);
     }
 
-    /** A pull of a difference that a comparison has found, from a source with so many entries. */
+    /** Creates a pull for a difference that a comparison has found. */
     static RangePull forRepair(int range, ReplicaEntries entries, int sourceEntryCount) {
         RangePull pull = new RangePull(range, true, entries);
         pull.sketchCells = pull.cellsFor(sourceEntryCount);
@@ -117,22 +120,28 @@
         return repair && timeouts >= MAX_REPAIR_TIMEOUTS;
     }
 
-    /** Lets the next tick ask, whenever the last request was. */
+    /** Makes the next request due at once, whenever the last one was sent. */
     void makeDue() {
         requestedAt = Optional.empty();
     }
 
-    /** Lets the next request wait as long as if one had been sent now. */
+    /** Delays the next request by {@link #RETRY_INTERVAL}. */
     void postpone(Duration now) {
         requestedAt = Optional.of(now);
     }
 
-    /** Chooses the method of the first request by what is here now. */
+    /**
+     * Chooses the method of the first request: a walk if there are no local entries, or else a
+     * sketch.
+     */
     void chooseFirstMethod() {
         method = entries.entryCount(range) == 0 ? Method.WALK_BY_EXPIRY : Method.SKETCH;
     }
 
-    /** At least as many entries differ as one side has more than the other. */
+    /**
+     * Sizes a sketch by the difference of the entry counts, the least number of entries that
+     * differ.
+     */
     private int cellsFor(int sourceEntryCount) {
         int difference = Math.abs(sourceEntryCount - entries.entryCount(range));
         int cells = MIN_SKETCH_CELLS / 2 + (int) (CELLS_PER_DIFFERENCE * difference);
@@ -140,10 +149,10 @@
     }
 
     /**
-     * Returns the next request, and records that it is sent.
+     * Returns the next request, and records it as sent.
      *
-     * @param sourceKnowsEpoch whether the placement need not be sent along; beside it there is room
-     *     for a small sketch only
+     * @param sourceKnowsEpoch whether the placement need not be included; if it is, only a small
+     *     sketch fits into the request
      */
     ReplicationMessage.RangeRequest nextRequest(
             long newNonce, ReplicaPlacement placement, boolean sourceKnowsEpoch, Duration now) {
@@ -175,10 +184,10 @@
     }
 
     /**
-     * Takes the reply to the last request, whose entries are stored already, and decides how to ask
-     * next.
+     * Processes the reply to the last request, whose entries have been stored, and chooses the
+     * method of the next one.
      *
-     * @return whether the pull is over, since the source has sent everything that was lacking
+     * @return whether the pull is finished and needs no further request
      */
     boolean advance(ReplicationMessage.RangePage page) {
         return switch (method) {
@@ -190,16 +199,16 @@
 
     private boolean advanceAfterSketch(ReplicationMessage.RangePage page) {
         if (page.sketchDecoded()) {
-            askForRemaining(page);
-            // Where there is no capacity for what comes nothing changes, and the pull would never
-            // end.
+            requestRemaining(page);
+            // If there is no capacity for the received entries, nothing changes and the pull would
+            // never end.
             return page.last() || isUnchangedSinceRequest();
         }
         boolean sourceHasFarMore = page.entryCount() > WALK_FACTOR * entries.entryCount(range);
         if (!sourceHasFarMore && sketchCells < SetSketch.MAX_CELLS) {
             sketchCells = Math.min(SetSketch.MAX_CELLS, sketchCells * SKETCH_GROWTH);
         } else {
-            method = walked ? Method.WALK_BY_TOKEN : Method.WALK_BY_EXPIRY;
+            method = expiryWalkDone ? Method.WALK_BY_TOKEN : Method.WALK_BY_EXPIRY;
             cursor = ReplicationMessage.RangeCursor.START;
         }
         return false;
@@ -209,9 +218,9 @@
         if (isUnchangedSinceRequest() || page.last() && isEqualTo(page)) {
             return true;
         }
-        // Entries that have changed meanwhile have other digests: a sketch finds them once the
-        // others are here.
-        askForRemaining(page);
+        // Entries that have changed meanwhile have new digests: a sketch finds them after the
+        // others have been received.
+        requestRemaining(page);
         return false;
     }
 
@@ -223,9 +232,8 @@
         if (method == Method.WALK_BY_TOKEN || isEqualTo(page)) {
             return true;
         }
-        // An entry whose expiry has changed during the walk may have been passed over: a sketch
-        // finds what is lacking.
-        walked = true;
+        // The walk may have missed entries whose expiry changed meanwhile: a sketch finds them.
+        expiryWalkDone = true;
         method = Method.SKETCH;
         sketchCells = SMALL_SKETCH_CELLS * SKETCH_GROWTH;
         return false;
@@ -239,13 +247,13 @@
         return page.rangeDigest() == entries.rangeDigest(range);
     }
 
-    private void askForRemaining(ReplicationMessage.RangePage page) {
+    private void requestRemaining(ReplicationMessage.RangePage page) {
         method = page.remainingDigests().isEmpty() ? Method.SKETCH : Method.DIGESTS;
         missingDigests = page.remainingDigests();
         sketchCells = cellsFor(page.entryCount());
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState() {
         return ""
                 + repair
@@ -254,7 +262,7 @@
                 + cursor
                 + requestedAt.isEmpty()
                 + timeouts
-                + walked
+                + expiryWalkDone
                 + missingDigests;
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/RangeReceiver.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeReceiver.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * Takes pages of entries from other replicas, merges them into this one's, and has chunked results
- * downloaded. Not thread-safe; time is handed in.
+ * Merges pages of entries from other replicas into the local entries, and starts downloads of their
+ * chunked results. Not thread-safe; callers pass the current time.
  */
 final class RangeReceiver {
     private final ReplicaState state;
@@ -22,14 +22,14 @@
             return;
         }
         for (ReplicationMessage.TransferredEntry item : page.entries()) {
-            take(from, item, now);
+            mergeEntry(from, item, now);
         }
         int laggingBefore = antiEntropy.lagging().count();
         antiEntropy
                 .acceptPage(from, page, state.placement(), now)
                 .ifPresent(next -> state.outbox().send(next.recipient(), next.message()));
-        // The next range at once: waiting for the host's tick would keep clients from claiming in
-        // it for longer.
+        // Request the next range at once: until it is complete, clients cannot claim tokens in it,
+        // and waiting for the host's tick would prolong that.
         if (antiEntropy.lagging().count() > 0) {
             state.outbox().sendAll(antiEntropy.tick(state.placement(), now));
         }
@@ -38,18 +38,19 @@
         }
     }
 
-    private void take(String from, ReplicationMessage.TransferredEntry item, Duration now) {
-        // An entry that was on its way for the rest of its window must not come back to life.
+    private void mergeEntry(String from, ReplicationMessage.TransferredEntry item, Duration now) {
+        // An entry whose window ended in transit must not be stored again.
         if (item.remaining().isNegative() || item.remaining().isZero()) {
             return;
         }
-        ReplicaEntry known = state.entries().get(item.token());
-        if (known == ReplicaEntry.EMPTY && state.entries().size() >= state.limits().maxEntries()) {
+        ReplicaEntry existing = state.entries().get(item.token());
+        if (existing == ReplicaEntry.EMPTY
+                && state.entries().size() >= state.limits().maxEntries()) {
             return;
         }
         ReplicaEntry received = item.entry().withExpiry(state.expiryAfter(item.remaining(), now));
-        ReplicaEntry merged = known.merge(received);
-        if (known.lacksAnyOf(merged)) {
+        ReplicaEntry merged = existing.merge(received);
+        if (existing.lacksAnyOf(merged)) {
             state.put(item.token(), merged);
         }
         state.entries()
--- a/src/main/java/ochretiller/fleet/replication/Replica.java
+++ b/src/main/java/ochretiller/fleet/replication/Replica.java
@@ -8,21 +8,22 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * One server's replica of claims and outcomes: messages, time and random numbers in; messages and
- * changes to store out. It answers for its present epoch only, first come, first granted. A range
- * whose replicas have changed, or whose disk was lost, has to be fetched from enough of the
- * previous replicas before its votes count; a replica that was merely unreachable needs nothing to
- * count, since it knows what it granted.
+ * One server's replica of claims and outcomes. Performs no I/O: the host passes messages, time and
+ * random numbers, and carries out the returned sends and writes. A replica votes in its current
+ * epoch only, and grants each token to the first claim. After a change of replicas or the loss of
+ * its disk, it has to fetch a range from enough of the previous replicas before its votes on the
+ * range count; a replica that was merely unreachable may vote at once, since it knows what it
+ * granted.
  *
- * <p>After each call the host stores {@link #takeChangedTokens} and, where {@link
- * #takeMetadataChanged} says so, {@link #metadataSnapshot}, and sends {@link #takeOutbound} once
- * both are durable ({@link DurabilityBarrier}). It stores {@link #takeAssembledResults} and then
- * reports each with {@link #resultStored}.
+ * <p>After each call the host stores the entries of {@link #takeChangedTokens} and, if {@link
+ * #takeMetadataChanged} returns true, {@link #metadataSnapshot}; when both are durable, it sends
+ * the messages of {@link #takeOutbound} ({@link DurabilityBarrier}). It stores the results of
+ * {@link #takeAssembledResults} and then reports each with {@link #resultStored}.
  *
- * <p>Not thread-safe; owned by the thread that owns the fleet's decisions.
+ * <p>Not thread-safe; confined to the fleet's decision thread.
  */
 public final class Replica {
-    /** Estimated bytes that are saved up of the transfer rates: some pages. */
+    /** Burst size of the transfer rate limits, in estimated bytes: a few dozen pages. */
     private static final double TRANSFER_BURST_BYTES = 256 * 1024;
 
     private final ReplicaState state;
@@ -47,7 +48,7 @@
                         state, antiEntropy, handover, diskCheck, comparison, chunks, sendLimiter);
     }
 
-    /** A replica that goes on from what is on its disk. */
+    /** Creates a replica from the state on its disk. */
     public static Replica recover(
             String name, ReplicaSnapshot snapshot, ReplicaLimits limits, Duration now) {
         ReplicaState state =
@@ -61,11 +62,11 @@
     }
 
     /**
-     * A replica without anything on disk, which may have forgotten claims that it granted.
+     * Creates a replica without state on disk, which may have lost claims that it granted.
      *
-     * @param placement the epoch that it knows of
-     * @param changeNumber a number above all that it may have sent before, or 0 where no peer can
-     *     have heard of any
+     * @param placement the placement of the latest epoch that it knows
+     * @param changeNumber a number above all that it may have sent before, or 0 if no peer can have
+     *     observed any
      */
     public static Replica withoutDisk(
             String name,
@@ -80,8 +81,8 @@
     }
 
     /**
-     * Returns what has to be on disk beside the entries before {@link #takeOutbound} may be sent;
-     * without entries.
+     * Returns the metadata, without entries, that has to be on disk in addition to the entries
+     * before {@link #takeOutbound} may be sent.
      */
     public ReplicaSnapshot metadataSnapshot() {
         LaggingRanges lagging = antiEntropy.lagging();
@@ -105,7 +106,7 @@
         return state.takeMetadataChanged();
     }
 
-    /** Returns the messages that were decided on since the last call. */
+    /** Returns the messages to send that were added since the last call. */
     public List<OutboundMessage> takeOutbound() {
         return state.outbox().drain();
     }
@@ -115,27 +116,27 @@
         return messages.takeAssembledResults();
     }
 
-    /** Returns the epoch that the replica answers for. */
+    /** Returns the placement of the adopted epoch. */
     public ReplicaPlacement placement() {
         return state.placement();
     }
 
-    /** Returns how many of its ranges the replica does not have completely. */
+    /** Returns how many ranges the replica is still catching up on. */
     public int laggingRangeCount() {
         return antiEntropy.lagging().count();
     }
 
-    /** Returns whether the replica does not have a range completely. */
+    /** Returns whether the replica is still catching up on a range. */
     public boolean isLagging(int range) {
         return antiEntropy.lagging().contains(range);
     }
 
-    /** Returns for how long the range that has lagged longest has done so. */
+    /** Returns how long the longest-lagging range has been lagging; zero if none lags. */
     public Duration oldestLag(Duration now) {
         return antiEntropy.lagging().oldestLag(now);
     }
 
-    /** Returns whether the replica waits to hear whether its disk is as new as its last message. */
+    /** Returns whether the check for a stale disk is still in progress. */
     public boolean isCheckingDisk() {
         return diskCheck.isInProgress();
     }
@@ -145,17 +146,17 @@
         return state.changeNumber();
     }
 
-    /** Returns the number of a token's last change, 0 where nothing is known of it. */
+    /** Returns the number of a token's last change; 0 if the token is unknown. */
     public long changeNumber(String token) {
         return state.entries().changeNumber(token);
     }
 
-    /** Returns the entry of a token, an empty one where nothing is known of it. */
+    /** Returns the entry of a token; an empty one if the token is unknown. */
     public ReplicaEntry entry(String token) {
         return state.entries().get(token);
     }
 
-    /** Returns the digest of a range's entries, equal where two replicas hold the same. */
+    /** Returns the digest of a range's entries; equal on replicas with equal entries. */
     public long rangeDigest(int range) {
         return state.entries().rangeDigest(range);
     }
@@ -165,20 +166,23 @@
         return state.entries().entryCount(range);
     }
 
-    /** Returns the first tokens of a range, in their order, for the administrator's listing. */
+    /**
+     * Returns up to {@code limit} tokens of a range, in token order, for the administrator's
+     * listing.
+     */
     public List<TokenSummary> listTokens(int range, int limit) {
         return state.entries().summarize(range, limit);
     }
 
     /**
-     * Returns tokens that came to have conflicting outcomes since the last call; some of them where
-     * there are many.
+     * Returns tokens whose outcomes were found to conflict since the last call; only some if there
+     * are many.
      */
     public List<String> takeConflictingTokens() {
         return state.entries().takeConflictingTokens();
     }
 
-    /** Returns the present figures. */
+    /** Returns the current statistics. */
     public ReplicaStatistics statistics() {
         ReplicaEntries entries = state.entries();
         return new ReplicaStatistics(
@@ -195,8 +199,8 @@
     }
 
     /**
-     * Adds an entry from storage that may lack others: what it holds is true, and makes no range
-     * complete. An entry whose window has ended is ignored.
+     * Merges an entry from a storage that may lack other entries: the entry is valid, but does not
+     * make its range complete. An expired entry is ignored.
      */
     public void restore(String token, ReplicaEntry entry) {
         if (entry.expiresAt().compareTo(Duration.ZERO) > 0) {
@@ -205,24 +209,24 @@
     }
 
     /**
-     * Takes note of the reachable servers, as the membership view has them, so that what others
-     * miss is remembered.
+     * Updates the reachable servers according to the membership view, so that changes that the
+     * others miss are recorded.
      */
     public void observeLivePeers(Set<String> live) {
         state.hints().observeLivePeers(live, state.name(), state.placement());
     }
 
     /**
-     * Adopts a later epoch: from here on the replica answers for no older one. An older epoch is
-     * ignored.
+     * Adopts a later epoch, after which the replica no longer votes in older ones. An older epoch
+     * is ignored.
      */
     public void adoptPlacement(ReplicaPlacement next, Duration now) {
         handover.adopt(next, now);
     }
 
     /**
-     * Fetches what is lacking, at its rate, and removes expired entries. To be called some dozen
-     * times a second.
+     * Fetches missing entries within the rate limit, and removes expired ones. To be called a few
+     * dozen times per second.
      */
     public void tick(Duration now) {
         if (diskCheck.isInProgress()) {
@@ -238,34 +242,32 @@
         state.entries().removeExpired(now);
     }
 
-    /** Takes a message from another server; those that are not meant for a replica are ignored. */
+    /** Processes a message from another server; messages for other components are ignored. */
     public void receive(String from, ReplicationMessage message, Duration now) {
         messages.receive(from, message, now);
     }
 
-    /**
-     * Records that the host has stored a chunked result, which makes its outcome count as stored.
-     */
+    /** Records that the host has stored a chunked result, so that its outcome counts as stored. */
     public void resultStored(AssembledResult result) {
         messages.onResultStored(result);
     }
 
-    /** Compares one range, drawn from all, with another replica of it. */
+    /** Compares a random range with another replica of it, if this server replicates the range. */
     public void compareRandomRange(RandomGenerator random) {
         comparison.compareRandomRange(random);
     }
 
     /**
-     * Schedules a comparison of all ranges with all their other replicas, and returns how many
-     * comparisons those are.
+     * Schedules a comparison of each replicated range with each of its other replicas; returns the
+     * number of comparisons.
      */
     public int compareAllRanges() {
         return comparison.scheduleAll();
     }
 
     /**
-     * Returns what decides the next steps, as text: equal texts behave alike. For state-space
-     * exploration.
+     * Returns the state that determines future behaviour, as text, for state-space exploration:
+     * instances with equal texts behave alike.
      */
     public String describeState(Duration now) {
         StringBuilder text =
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntries.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntries.java
@@ -13,18 +13,23 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The entries of a replica, by range. Each entry has a digest, and each range the exclusive or of
- * its entries' digests, so that equal copies of a range are recognised without a look at the
- * entries. Knows which entries have changed since the storage was told last. Not thread-safe; time
- * is handed in.
+ * The entries of a replica, by range. Each entry has a digest, and each range the XOR of its
+ * entries' digests, so that equal copies of a range are detected without comparing entries. Tracks
+ * entries that have changed since the last call of {@link #takeChangedTokens}. Not thread-safe;
+ * callers pass the current time.
  */
 final class ReplicaEntries {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    /** Least time between two expiry scans of a range: a window may seem that much longer. */
+    /**
+     * Minimum time between two expiry scans of a range; entries may outlive their windows by as
+     * much.
+     */
     private static final Duration EXPIRY_INTERVAL = Duration.ofSeconds(1);
 
-    /** Tokens with conflicting outcomes that wait to be reported; further ones are only counted. */
+    /**
+     * Maximum number of conflicting tokens kept until they are reported; others are only counted.
+     */
     private static final int MAX_REPORTED_CONFLICTS = 20;
 
     private final TreeMap<Integer, Range> ranges = new TreeMap<>();
@@ -35,7 +40,7 @@
     private long conflictCount;
 
     /**
-     * @param changeNumber the replica's change by which the entry came to be
+     * @param changeNumber number of the replica's change that wrote the entry
      */
     private record StoredEntry(ReplicaEntry entry, long changeNumber, long digest) {
         static final StoredEntry ABSENT = new StoredEntry(ReplicaEntry.EMPTY, 0, 0);
@@ -47,7 +52,7 @@
         private final TreeMap<String, StoredEntry> entries = new TreeMap<>();
         private long digest;
 
-        /** No entry expires before. */
+        /** Lower bound on the expiry of all entries. */
         private Duration earliestExpiry = NEVER;
 
         private Duration nextScan = Duration.ofSeconds(Long.MIN_VALUE);
@@ -56,7 +61,7 @@
             return earliestExpiry.compareTo(now) <= 0 && now.compareTo(nextScan) >= 0;
         }
 
-        void noteExpiry(Duration expiry) {
+        void lowerEarliestExpiry(Duration expiry) {
             if (expiry.compareTo(earliestExpiry) < 0) {
                 earliestExpiry = expiry;
             }
@@ -64,9 +69,9 @@
     }
 
     /**
-     * The digest of an entry, equal where two replicas hold the same. Expiries are left out, as
-     * each replica has them on its own clock. Peers compare these digests, so the text that is
-     * hashed is fixed.
+     * Returns the digest of an entry; equal on replicas with equal entries. Excludes the expiry,
+     * which each replica stores on its own clock. Peers compare digests, so the hashed text must
+     * not change.
      */
     private static long digest(String token, ReplicaEntry entry) {
         StringBuilder text = new StringBuilder(256);
@@ -90,14 +95,14 @@
         return estimatedBytes;
     }
 
-    /** Returns how many tokens came to have conflicting outcomes. */
+    /** Returns how many tokens were found to have conflicting outcomes. */
     long conflictCount() {
         return conflictCount;
     }
 
     /**
-     * Returns tokens that came to have conflicting outcomes since the last call; some of them where
-     * there are many.
+     * Returns tokens whose outcomes were found to conflict since the last call; only some if there
+     * are many.
      */
     List<String> takeConflictingTokens() {
         List<String> taken = List.copyOf(conflictingTokens);
@@ -105,29 +110,29 @@
         return taken;
     }
 
-    /** Returns the entry of a token, {@link ReplicaEntry#EMPTY} where there is none. */
+    /** Returns the entry of a token; {@link ReplicaEntry#EMPTY} if there is none. */
     ReplicaEntry get(String token) {
-        return stored(token).entry;
+        return storedEntry(token).entry;
     }
 
-    /** Returns the number of a token's last change, 0 where there is no entry. */
+    /** Returns the number of a token's last change; 0 if there is no entry. */
     long changeNumber(String token) {
-        return stored(token).changeNumber;
+        return storedEntry(token).changeNumber;
     }
 
-    /** Returns the digest of a token's entry, 0 where there is none. */
+    /** Returns the digest of a token's entry; 0 if there is none. */
     long entryDigest(String token) {
-        return stored(token).digest;
+        return storedEntry(token).digest;
     }
 
-    private StoredEntry stored(String token) {
+    private StoredEntry storedEntry(String token) {
         Range range = ranges.get(ReplicaPlacement.rangeOf(token));
         return range == null
                 ? StoredEntry.ABSENT
                 : range.entries.getOrDefault(token, StoredEntry.ABSENT);
     }
 
-    /** Stores an entry, and returns whether it differs from the one before. */
+    /** Stores an entry; returns whether it differs from the previous one. */
     boolean put(String token, ReplicaEntry entry, long changeNumber) {
         Range range =
                 ranges.computeIfAbsent(ReplicaPlacement.rangeOf(token), ignored -> new Range());
@@ -148,7 +153,7 @@
         if (entry.hasConflict() && (previous == null || !previous.entry.hasConflict())) {
             recordConflict(token);
         }
-        range.noteExpiry(entry.expiresAt());
+        range.lowerEarliestExpiry(entry.expiresAt());
         changedTokens.add(token);
         return true;
     }
@@ -161,7 +166,8 @@
     }
 
     /**
-     * Removes entries whose windows have ended; scans a range only when one may have, and seldom.
+     * Removes expired entries. Scans a range only if one may have expired, and at most once per
+     * {@link #EXPIRY_INTERVAL}.
      */
     void removeExpired(Duration now) {
         for (Range range : ranges.values()) {
@@ -181,7 +187,7 @@
                         each -> {
                             StoredEntry stored = each.getValue();
                             if (stored.entry.expiresAt().compareTo(now) > 0) {
-                                range.noteExpiry(stored.entry.expiresAt());
+                                range.lowerEarliestExpiry(stored.entry.expiresAt());
                                 return false;
                             }
                             range.digest ^= stored.digest;
@@ -211,8 +217,8 @@
     }
 
     private Map<String, StoredEntry> entriesOf(int range) {
-        Range known = ranges.get(range);
-        return known == null ? Map.of() : known.entries;
+        Range existing = ranges.get(range);
+        return existing == null ? Map.of() : existing.entries;
     }
 
     int entryCount(int range) {
@@ -220,8 +226,8 @@
     }
 
     long rangeDigest(int range) {
-        Range known = ranges.get(range);
-        return known == null ? 0 : known.digest;
+        Range existing = ranges.get(range);
+        return existing == null ? 0 : existing.digest;
     }
 
     /** Returns a sketch of the digests of a range's entries. */
@@ -238,7 +244,7 @@
         return tokensByExpiry(range, stored -> digests.contains(stored.digest));
     }
 
-    /** Returns the tokens of a range from this expiry and token on, latest expiry first. */
+    /** Returns the tokens of a range that follow this expiry and token, latest expiry first. */
     List<String> tokensByExpiry(int range, Duration expiry, String afterToken) {
         return tokensByExpiry(range, stored -> stored.entry.expiresAt().compareTo(expiry) <= 0)
                 .stream()
@@ -262,13 +268,13 @@
                 .toList();
     }
 
-    /** Returns the tokens of a range behind this one, in their own order. */
+    /** Returns the tokens of a range that follow this one, in token order. */
     Iterable<String> tokensAfter(int range, String token) {
-        Range known = ranges.get(range);
-        return known == null ? List.of() : known.entries.tailMap(token, false).keySet();
+        Range existing = ranges.get(range);
+        return existing == null ? List.of() : existing.entries.tailMap(token, false).keySet();
     }
 
-    /** Returns the first tokens of a range for the administrator's listing. */
+    /** Returns up to {@code limit} tokens of a range for the administrator's listing. */
     List<TokenSummary> summarize(int range, int limit) {
         return entriesOf(range).entrySet().stream()
                 .limit(limit)
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
@@ -8,13 +8,13 @@
 import java.util.TreeSet;
 
 /**
- * What a replica knows about one token: a state-based CRDT (Shapiro et al. 2011) that only grows.
- * {@link #merge} is commutative, associative and idempotent, so replicas converge whatever the
- * order and number of transfers. An outcome prevails over claims, a claim over nothing; a claim is
- * released only on its owner's word; no window is ever shortened. Two outcomes of one token, which
- * should not exist, are both kept.
+ * A replica's state of one token: a state-based CRDT (Shapiro et al. 2011) that only grows. {@link
+ * #merge} is commutative, associative and idempotent, so replicas converge regardless of the order
+ * and number of transfers. Outcomes take precedence over claims. Only its owner can release a
+ * claim, and no window is ever shortened. If a token has two outcomes by mistake, both are stored.
  *
- * @param claims who wants to run the token, or runs it, with the fingerprint of the request
+ * @param claims claims of the token, whether running or not, with the fingerprints of their
+ *     requests
  * @param releasedClaims claims whose owner has reported that they never ran
  * @param outcomes outcomes of runs, by claim
  * @param expiresAt end of the idempotency window on this replica's monotonic clock
@@ -25,14 +25,14 @@
         Map<ClaimId, ClaimOutcome> outcomes,
         Duration expiresAt) {
     /**
-     * Claims of one token, released ones included; more come only from a client that retries
-     * without end.
+     * Maximum number of claims of one token, including released ones; only a client that retries
+     * endlessly makes more.
      */
     static final int MAX_CLAIMS = 16;
 
     static final ReplicaEntry EMPTY = new ReplicaEntry(Map.of(), Set.of(), Map.of(), Duration.ZERO);
 
-    /** Estimated memory of an entry, and of each of its parts, without their texts. */
+    /** Estimated memory of an entry, and of each of its parts, without their strings. */
     private static final int BASE_BYTES = 96;
 
     private static final int CLAIM_BYTES = 48;
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Returns a claim other than this one that may be running; the first in the order of claims
-     * where there are several.
+     * Returns a claim other than {@code own} that may be running; the first in claim order if there
+     * are several.
      */
     Optional<ClaimId> competingClaim(ClaimId own) {
         for (ClaimId claim : claims.keySet()) {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns the outcome; of several, which should not exist, that of the first claim, so that
-     * every replica answers alike.
+     * Returns the outcome. If there are several by mistake, returns that of the first claim, so
+     * that all replicas give the same answer.
      */
     Optional<ClaimOutcome> canonicalOutcome() {
         return outcomes.values().stream().findFirst();
@@ -79,14 +79,14 @@
     }
 
     /**
-     * Returns whether the token has two different outcomes: a second run, or a replica that does
-     * not tell the truth.
+     * Returns whether the token has two different outcomes, because it ran twice or a replica
+     * reported a false one.
      */
     public boolean hasConflict() {
         if (outcomes.size() < 2) {
             return false;
         }
-        // A recovered owner may report one outcome under two of its claims: that is one run.
+        // A recovered owner may report one outcome under two of its claims: that is a single run.
         ClaimOutcome first = outcomes.values().iterator().next();
         return outcomes.values().stream().anyMatch(outcome -> differs(outcome, first));
     }
@@ -101,9 +101,7 @@
         return new ReplicaEntry(claims, releasedClaims, outcomes, expiry);
     }
 
-    /**
-     * Returns whether the merged entry holds something besides a later expiry that this one lacks.
-     */
+    /** Returns whether the merged entry differs from this one in more than its expiry. */
     boolean lacksAnyOf(ReplicaEntry merged) {
         return !merged.claims.equals(claims)
                 || !merged.releasedClaims.equals(releasedClaims)
@@ -111,8 +109,8 @@
     }
 
     /**
-     * Returns this entry as a receiver holds it at first: chunked results have yet to be
-     * transferred.
+     * Returns this entry as sent to other replicas: chunked results are marked as not present,
+     * since they are transferred separately.
      */
     ReplicaEntry forTransfer(Duration expiry) {
         Map<ClaimId, ClaimOutcome> transferred = new TreeMap<>();
@@ -120,7 +118,7 @@
         return new ReplicaEntry(claims, releasedClaims, transferred, expiry);
     }
 
-    /** Returns how far the token has come, as {@link TokenSummary#status} documents. */
+    /** Returns the status of the token, as {@link TokenSummary#status} documents it. */
     String status() {
         if (hasConflict()) {
             return "conflict";
@@ -132,7 +130,7 @@
         return releasedClaims.containsAll(claims.keySet()) ? "free" : "claimed";
     }
 
-    /** Returns the bytes that the entry takes in memory and in a message, as an estimate. */
+    /** Returns the estimated size of the entry in memory and in a message, in bytes. */
     int estimatedBytes() {
         int bytes = BASE_BYTES;
         for (Map.Entry<ClaimId, String> claim : claims.entrySet()) {
--- a/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
@@ -8,26 +8,28 @@
 import java.util.Map;
 
 /**
- * Measured response times of replicas: which to ask first, and after what delay a late reply
- * justifies a hedged request to one more ("The Tail at Scale", Dean and Barroso 2013). Mean and
- * deviation are exponentially weighted as in the retransmission timer of TCP (RFC 6298), with one
- * weight for both. Not thread-safe; time is handed in.
+ * Tracks response times of replicas, to choose which to contact first and after what delay to send
+ * a hedged request to one more ("The Tail at Scale", Dean and Barroso 2013). Mean and deviation are
+ * exponentially weighted as in the retransmission timer of TCP (RFC 6298), with one weight for
+ * both. Not thread-safe; callers pass the measured times.
  */
 final class ReplicaLatency {
     /** Weight of the latest response in mean and deviation. */
     private static final double LATEST_WEIGHT = 0.1;
 
-    /** Deviations above the mean at which a reply counts as late. */
+    /** Number of deviations above the mean from which on a reply counts as late. */
     private static final double LATE_DEVIATIONS = 4;
 
-    /** Least hedging delay: below it the timer of the host's event loop would be measured. */
+    /**
+     * Minimum hedge delay; shorter delays are below the timer resolution of the host's event loop.
+     */
     private static final Duration MIN_HEDGE_DELAY = Duration.ofMillis(5);
 
     private static final Duration MAX_HEDGE_DELAY = Duration.ofMillis(50);
 
     /**
-     * Replicas that are tracked; guards the memory of a long-lived process against names without
-     * end.
+     * Maximum number of replicas tracked, so that ever new names do not exhaust the memory of a
+     * long-lived process.
      */
     private static final int MAX_TRACKED = 4_096;
 
@@ -58,17 +60,17 @@
             return;
         }
         double nanos = Math.max(0, elapsed.toNanos());
-        Estimate known = estimates.get(replica);
-        if (known == null) {
+        Estimate estimate = estimates.get(replica);
+        if (estimate == null) {
             estimates.put(replica, new Estimate(nanos));
         } else {
-            known.add(nanos);
+            estimate.add(nanos);
         }
     }
 
     /**
-     * Returns the replicas in the order in which to ask them: responsive ones by their mean, then
-     * unresponsive ones.
+     * Returns the replicas in the order in which to contact them: responsive ones by mean latency,
+     * then unresponsive ones.
      */
     List<String> fastestFirst(List<String> replicas, UnresponsivePeers unresponsive) {
         List<String> ordered = new ArrayList<>(replicas);
@@ -79,17 +81,17 @@
     }
 
     private double meanNanos(String replica) {
-        Estimate known = estimates.get(replica);
-        return known == null ? 0 : known.meanNanos;
+        Estimate estimate = estimates.get(replica);
+        return estimate == null ? 0 : estimate.meanNanos;
     }
 
-    /** Returns how long to wait for these replicas before one more is asked. */
+    /** Returns how long to wait for these replicas before contacting one more. */
     Duration hedgeDelay(List<String> replicas) {
         double nanos = MIN_HEDGE_DELAY.toNanos();
         for (String replica : replicas) {
-            Estimate known = estimates.get(replica);
-            if (known != null) {
-                nanos = Math.max(nanos, known.lateNanos());
+            Estimate estimate = estimates.get(replica);
+            if (estimate != null) {
+                nanos = Math.max(nanos, estimate.lateNanos());
             }
         }
         return Duration.ofNanos((long) Math.min(MAX_HEDGE_DELAY.toNanos(), nanos));
--- a/src/main/java/ochretiller/fleet/replication/ReplicaMessageHandler.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaMessageHandler.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Hands each message that a {@link Replica} receives to the part that it is for. Not thread-safe;
- * time is handed in.
+ * Dispatches each message that a {@link Replica} receives to the component that handles it. Not
+ * thread-safe; callers pass the current time.
  */
 final class ReplicaMessageHandler {
     private final ReplicaState state;
@@ -37,7 +37,7 @@
         this.receiver = new RangeReceiver(state, antiEntropy, chunks);
     }
 
-    /** Takes a message from another server; those that are not meant for a replica are ignored. */
+    /** Processes a message from another server; messages for other components are ignored. */
     void receive(String from, ReplicationMessage message, Duration now) {
         if (message instanceof ReplicationMessage.ClaimRequest request) {
             voter.onRequest(from, request, now);
@@ -72,7 +72,7 @@
                 .ifPresent(page -> state.outbox().send(to, page));
     }
 
-    /** Goes on with the check of the disk, and acts on its result. */
+    /** Advances the disk check, and acts on its result. */
     void checkDisk(Duration now) {
         DiskFreshnessCheck.Progress progress = diskCheck.advance(now);
         if (progress == DiskFreshnessCheck.Progress.STALE) {
@@ -93,7 +93,7 @@
         voter.onResultStored(result);
     }
 
-    /** Returns the estimated bytes of entries that were sent. */
+    /** Returns the estimated size of all sent entries, in bytes. */
     long sentBytes() {
         return pager.sentBytes();
     }
--- a/src/main/java/ochretiller/fleet/replication/ReplicaSnapshot.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaSnapshot.java
@@ -5,19 +5,19 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The durable state of a replica: what it writes beside its entries, and what it recovers from
- * after a restart.
+ * The durable state of a replica: the metadata that it writes and, for recovery after a restart,
+ * its entries.
  *
- * @param placement the epoch that it had adopted
- * @param entries entries by token; empty where only the metadata is meant
- * @param laggingRanges ranges that it did not have completely
- * @param forgottenRanges those among them that it had replicated, and in which it may have
- *     forgotten claims it granted
- * @param unreliableRanges ranges that it had in the previous epoch, and for which it is no source
- *     to others
- * @param changeNumber number of the last change that is stored
- * @param mayBeStale whether the disk may be older than what the replica has sent, so that the peers
- *     are asked first
+ * @param placement the placement of the adopted epoch
+ * @param entries entries by token; empty in a snapshot of the metadata alone
+ * @param laggingRanges ranges that the replica was still catching up on
+ * @param forgottenRanges those lagging ranges that the replica had replicated, and in which it may
+ *     have lost claims that it granted
+ * @param unreliableRanges ranges that the replica had in the previous epoch, but of which it is not
+ *     a reliable source
+ * @param changeNumber number of the last stored change
+ * @param mayBeStale whether the disk may be older than the replica's last message, so that the
+ *     peers have to be queried first
  */
 public record ReplicaSnapshot(
         ReplicaPlacement placement,
@@ -27,7 +27,7 @@
         Set<Integer> unreliableRanges,
         long changeNumber,
         boolean mayBeStale) {
-    /** A snapshot that is known to be complete and as new as the last message sent. */
+    /** Creates a snapshot that is known to be complete and as new as the last message sent. */
     public ReplicaSnapshot(ReplicaPlacement placement, Map<String, ReplicaEntry> entries) {
         this(placement, entries, Set.of(), Set.of(), Set.of(), 0, false);
     }
--- a/src/main/java/ochretiller/fleet/replication/ReplicaState.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaState.java
@@ -7,8 +7,8 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * What the parts of one {@link Replica} share: the epoch it has adopted, its entries, the number of
- * its last change, and the messages that wait to be sent. Not thread-safe.
+ * State shared by the parts of one {@link Replica}: the adopted epoch, the entries, the number of
+ * the last change, and the messages to send. Not thread-safe.
  */
 final class ReplicaState {
     private final String name;
@@ -48,7 +48,7 @@
         return outbox;
     }
 
-    /** The epoch that the replica answers for. */
+    /** Returns the placement of the adopted epoch. */
     ReplicaPlacement placement() {
         return placement;
     }
@@ -63,14 +63,14 @@
     }
 
     /**
-     * Ranges that the replica had in the previous epoch, and for which it is no source to others.
-     * Mutable.
+     * Returns the ranges that the replica had in the previous epoch, but of which it is not a
+     * reliable source. Mutable.
      */
     Set<Integer> unreliableRanges() {
         return unreliableRanges;
     }
 
-    /** The number of the last change. */
+    /** Returns the number of the last change. */
     long changeNumber() {
         return changeNumber;
     }
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Returns the other replicas of a range, in the placement's order; empty where this server is
-     * none.
+     * Returns the other replicas of a range, in the placement's order; empty if this server does
+     * not replicate it.
      */
     List<String> peersOf(int range) {
         List<String> replicas = placement.replicasOf(range);
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Returns when a window ends of which a peer reports this much to be left; no window is longer
-     * than the longest.
+     * Returns the end of a window of which a peer reports this remaining time, capped at the
+     * longest window.
      */
     Duration expiryAfter(Duration remaining, Duration now) {
         return now.plus(
--- a/src/main/java/ochretiller/fleet/replication/ReplicaStatistics.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaStatistics.java
@@ -1,20 +1,20 @@
 package ochretiller.fleet.replication;
 
 /**
- * Figures of a {@link Replica} at one moment. All but the first, second and fourth only grow during
- * a process.
+ * Statistics of a {@link Replica} at one moment. {@code entries}, {@code estimatedBytes} and {@code
+ * hints} may fall; the others are counters that only grow during a process.
  *
- * @param entries tokens that are stored
- * @param estimatedBytes estimated bytes of their entries
- * @param conflicts tokens that came to have conflicting outcomes
- * @param hints ranges that changed while a replica of them is unreachable, or is yet to be compared
- *     with
- * @param receivedEntries entries that anti-entropy has received
- * @param receivedBytes estimated bytes of those
- * @param sentBytes estimated bytes of entries that were sent to other replicas
- * @param comparisons random comparisons of ranges that this replica has started
+ * @param entries number of stored entries
+ * @param estimatedBytes estimated size of the stored entries, in bytes
+ * @param conflicts tokens that were found to have conflicting outcomes
+ * @param hints ranges to compare with replicas that missed changes, summed over those replicas
+ * @param receivedEntries entries received by anti-entropy
+ * @param receivedBytes estimated size of the received entries, in bytes
+ * @param sentBytes estimated size of the entries sent to other replicas, in bytes
+ * @param comparisons random range comparisons started by this replica
  * @param differences comparisons, started by either side, that found a difference
- * @param staleDisks times that the disk was found to be older than what the replica had sent
+ * @param staleDisks number of times that the disk was found to be older than the replica's last
+ *     message
  */
 public record ReplicaStatistics(
         int entries,
@@ -27,7 +27,7 @@
         long comparisons,
         long differences,
         long staleDisks) {
-    /** The figures of a server that is no replica. */
+    /** The statistics of a server that is not a replica. */
     public static final ReplicaStatistics NONE =
             new ReplicaStatistics(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 }
--- a/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
@@ -8,7 +8,7 @@
 
 /**
  * Messages of the replication protocol between the servers of a fleet; {@code docs/fleet-wire.md}
- * has their encoding.
+ * specifies their encoding.
  *
  * <p>Claims and outcomes go to the replicas of a token's range, and a majority of them decides.
  * Times are sent as remaining durations, since servers have no common clock.
@@ -17,8 +17,8 @@
     /**
      * Asks a replica to grant a claim.
      *
-     * @param remaining rest of the token's idempotency window
-     * @param transitional whether the sender is about to stop claiming such operations
+     * @param remaining remaining time of the token's idempotency window
+     * @param transitional whether the sender is about to stop claiming the operation
      */
     record ClaimRequest(
             long epoch,
@@ -28,7 +28,7 @@
             Duration remaining,
             boolean transitional)
             implements ReplicationMessage {
-        /** A claim of a server that goes on claiming. */
+        /** Creates a request of a server that will continue to claim the operation. */
         public ClaimRequest(
                 long epoch, String token, ClaimId claimId, String fingerprint, Duration remaining) {
             this(epoch, token, claimId, fingerprint, remaining, false);
@@ -36,18 +36,19 @@
     }
 
     /**
-     * Asks a replica what it knows about a token, without claiming it.
+     * Asks a replica for its state of a token, without claiming the token.
      *
-     * @param claimId names the query
+     * @param claimId ID of the query
      */
     record ClaimQuery(long epoch, String token, ClaimId claimId) implements ReplicationMessage {}
 
     /**
      * A replica's answer to a {@link ClaimRequest} or a {@link ClaimQuery}.
      *
-     * @param otherClaim the claim that has completed, or else one that may be running
-     * @param outcome how the token has ended, if it has
-     * @param changeNumber the replica's last change, which is durable by now
+     * @param otherClaim the completed claim, or else another claim that may be running
+     * @param outcome the token's outcome, if the replica has one
+     * @param changeNumber number of the replica's last change, which is durable before the reply is
+     *     sent
      */
     record ClaimReply(
             long epoch,
@@ -59,38 +60,37 @@
             long changeNumber)
             implements ReplicationMessage {}
 
-    /**
-     * What a replica can answer. A missing answer is none of these and is never counted as one.
-     * Encoded by position.
-     */
+    /** Votes of a replica. A missing reply is never counted as a vote. Encoded by ordinal. */
     enum ClaimVote {
-        /** The claim is granted, durably. */
+        /** The claim is granted and the grant is durable. */
         GRANTED,
-        /** Nobody has claimed the token here; nothing is granted by this. */
+        /** The replica knows no other claim of the token. This vote grants nothing. */
         UNCLAIMED,
-        /** Another server has claimed it, and this replica knows of no outcome. */
+        /** The token is claimed by another claim, and the replica has no outcome. */
         HELD,
-        /** It has completed. */
+        /** The token has an outcome. */
         COMPLETED,
-        /** The sender's epoch is over. */
+        /** The sender's epoch is older than that of the replica. */
         STALE_EPOCH,
         /**
-         * The replica does not have all of the range yet, or does not know the epoch: its vote
-         * would not count.
+         * The replica does not have the complete range or does not know the epoch, so it must not
+         * vote.
          */
         LAGGING,
-        /** The sender has released this claim itself. */
+        /** The sender has already released this claim. */
         RELEASED,
-        /** No capacity, for this token or at all. */
+        /**
+         * The replica has no capacity for more claims of this token, or for new claims in general.
+         */
         OVER_CAPACITY
     }
 
     /**
-     * Reports to a replica how a claimed run has ended.
+     * Reports the outcome of a claimed run to a replica.
      *
-     * @param remaining rest of the token's idempotency window
-     * @param changeNumbers changes that the claim rests on, by replica: one that comes back with
-     *     fewer has a stale disk
+     * @param remaining remaining time of the token's idempotency window
+     * @param changeNumbers the replicas' change numbers when they granted the claim: a replica that
+     *     restarts with a lower one has a stale disk
      */
     record ClaimCompleted(
             long epoch,
@@ -101,7 +101,7 @@
             Map<String, Long> changeNumbers)
             implements ReplicationMessage {}
 
-    /** Confirms that an outcome is durable, as of the replica's change of this number. */
+    /** Confirms that an outcome is durable as of the replica's change with this number. */
     record OutcomeStored(long epoch, String token, ClaimId claimId, long changeNumber)
             implements ReplicationMessage {}
 
@@ -109,20 +109,20 @@
     record ClaimRelease(String token, ClaimId claimId, Duration remaining)
             implements ReplicationMessage {}
 
-    /** Asks the owner of a claim whether it runs; the owner releases it if it never will. */
+    /** Asks the owner of a claim whether it runs; the owner releases the claim if it never will. */
     record OwnerQuery(String token, ClaimId claimId) implements ReplicationMessage {}
 
     /**
-     * Asks a replica for entries of a range that the sender lacks. The receiver adopts the epoch
-     * first, so that it answers for no older one from then on.
+     * Asks a replica for entries of a range that the sender lacks. The receiver first adopts the
+     * epoch, and no longer votes in older ones.
      *
-     * @param nonce names the request
-     * @param order in which way the range is walked through, where it is
-     * @param cursor where the last page ended
-     * @param sketch what the sender has; empty for a walk or a request by digests
-     * @param entryDigests digests of entries that the sender is known to lack; empty where none are
+     * @param nonce identifies the request
+     * @param order order of a walk; ignored by other requests
+     * @param cursor position at which the last page of a walk ended
+     * @param sketch sketch of the sender's entries; empty for a walk or a request by digests
+     * @param entryDigests digests of entries that the sender is known to lack; empty if none are
      *     known
-     * @param placement the epoch, for a receiver that may not know it
+     * @param placement the placement of the epoch, for a receiver that may not know it
      */
     record RangeRequest(
             long epoch,
@@ -135,7 +135,7 @@
             Optional<ReplicaPlacement> placement)
             implements ReplicationMessage {
         /**
-         * Returns whether the range is walked through, rather than compared by a sketch or read by
+         * Returns whether this request continues a walk, rather than asking by sketch or by
          * digests.
          */
         boolean isWalk() {
@@ -143,28 +143,28 @@
         }
     }
 
-    /** Orders of a walk through a range. Encoded by position. */
+    /** Orders of a walk through a range. Encoded by ordinal. */
     enum WalkOrder {
         /**
-         * Latest expiry first: those entries matter longest. What changes during the walk may be
-         * passed over.
+         * Latest expiry first, since those entries matter longest. Entries that change during the
+         * walk may be missed.
          */
         LATEST_EXPIRY,
-        /** By token: nothing that was there all the time is passed over. */
+        /** By token. No entry that exists throughout the walk is missed. */
         TOKEN_NAME
     }
 
     /**
-     * Where a page of a walk ended.
+     * The position at which a page of a walk ended.
      *
      * @param expiresAtNanos expiry of the last entry, in nanoseconds on the clock of the replica
-     *     that was asked
+     *     that sent the page
      * @param token the last token
      */
     record RangeCursor(long expiresAtNanos, String token) {
         static final RangeCursor START = new RangeCursor(Long.MAX_VALUE, "");
 
-        /** Returns the expiry; of the start of a walk the latest that there is. */
+        /** Returns the expiry; the maximum value for {@link #START}. */
         Duration expiresAt() {
             return expiresAtNanos == Long.MAX_VALUE
                     ? Duration.ofSeconds(Long.MAX_VALUE)
@@ -173,16 +173,16 @@
     }
 
     /**
-     * Some entries of a range.
+     * A page of entries of a range.
      *
-     * @param cursor where the page ended
-     * @param last whether there is no more that the sender knows the receiver to lack
-     * @param sourceComplete whether the sender has all of the range
-     * @param sketchDecoded false where the sketch could not be decoded, since too much differs
-     * @param remainingDigests digests of entries that the receiver lacks beside those sent, or some
-     *     of them
-     * @param entryCount entries that the sender has in the range
-     * @param rangeDigest digest of all of them
+     * @param cursor position at which the page ended
+     * @param last whether the sender knows of no further entries that the receiver lacks
+     * @param sourceComplete whether the sender has the complete range
+     * @param sketchDecoded false if the sketch could not be decoded because too much differs
+     * @param remainingDigests digests of further entries that the receiver lacks, possibly not of
+     *     all
+     * @param entryCount number of entries that the sender has in the range
+     * @param rangeDigest digest of all entries that the sender has in the range
      */
     record RangePage(
             long epoch,
@@ -202,25 +202,28 @@
      * The digest of a range. A receiver whose digest differs pulls what it lacks and answers with
      * its own.
      *
-     * @param reply whether this answers such a message, so that it is not answered again
+     * @param reply whether this answers a digest message, and is not answered itself
      */
     record RangeDigest(long epoch, int range, long digest, int entryCount, boolean reply)
             implements ReplicationMessage {}
 
-    /** Asks a peer which change number of the sender it has heard of last; sent after a restart. */
+    /**
+     * Asks a peer for the highest change number that it has observed from the sender; sent after a
+     * restart.
+     */
     record ChangeNumberQuery(long nonce) implements ReplicationMessage {}
 
-    /** Answers a {@link ChangeNumberQuery}; 0 where none was heard of. */
+    /** Answers a {@link ChangeNumberQuery}; 0 if the peer has observed none. */
     record ChangeNumberReply(long nonce, long changeNumber) implements ReplicationMessage {}
 
-    /** Asks for a chunk of a result, from this byte offset on. */
+    /** Asks for the chunk of a result at this byte offset. */
     record ChunkRequest(String token, ClaimId claimId, int offset) implements ReplicationMessage {}
 
-    /** A chunk of a result, one character a byte. */
+    /** A chunk of a result, one character per byte. */
     record Chunk(String token, ClaimId claimId, int offset, String data)
             implements ReplicationMessage {}
 
-    /** An entry on its way to another replica; its expiry is sent as the remaining duration. */
+    /** An entry sent to another replica; its expiry is sent as the remaining duration. */
     record TransferredEntry(String token, ReplicaEntry entry, Duration remaining) {
         int estimatedBytes() {
             return entry.estimatedBytes() + token.length();
--- a/src/main/java/ochretiller/fleet/replication/ReplyTally.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplyTally.java
@@ -5,10 +5,10 @@
     private final long epoch;
     private int granted;
     private int unclaimed;
-    private int opposed;
+    private int refusals;
 
     /**
-     * @param epoch the present epoch: a grant of another one belongs to another majority
+     * @param epoch the current epoch: grants of another epoch belong to another majority
      */
     ReplyTally(long epoch) {
         this.epoch = epoch;
@@ -16,13 +16,13 @@
 
     void add(ReplicationMessage.ClaimReply reply) {
         switch (reply.vote()) {
-            case GRANTED -> granted += countsInEpoch(reply);
-            case UNCLAIMED -> unclaimed += countsInEpoch(reply);
-            default -> opposed++;
+            case GRANTED -> granted += currentEpochCount(reply);
+            case UNCLAIMED -> unclaimed += currentEpochCount(reply);
+            default -> refusals++;
         }
     }
 
-    private int countsInEpoch(ReplicationMessage.ClaimReply reply) {
+    private int currentEpochCount(ReplicationMessage.ClaimReply reply) {
         return reply.epoch() == epoch ? 1 : 0;
     }
 
@@ -34,14 +34,18 @@
         return unclaimed;
     }
 
-    /** Returns whether so many replicas have not granted the claim that the rest is no quorum. */
+    /**
+     * Returns whether too many replicas have not granted the claim for the rest to form a quorum.
+     */
     boolean excludesQuorum(int replicas, int quorum) {
-        return replicas - opposed < quorum;
+        return replicas - refusals < quorum;
     }
 
-    /** Returns whether one more replica has to be asked, since those asked can no longer decide. */
+    /**
+     * Returns whether one more replica has to be contacted because those contacted cannot decide.
+     */
     boolean needsAnotherReplica(int missingReplies, int quorum) {
-        return opposed > 0
+        return refusals > 0
                 && (granted + unclaimed + missingReplies < quorum || missingReplies == 0);
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ResultDownload.java
+++ b/src/main/java/ochretiller/fleet/replication/ResultDownload.java
@@ -6,19 +6,16 @@
 import java.util.List;
 
 /**
- * The download of one result in chunks: which chunks have arrived, and when the others were
- * requested last.
+ * The download of one result in chunks. Tracks which chunks have arrived, and when the others were
+ * last requested.
  */
 final class ResultDownload {
-    /** Chunks of one result that are requested at once. */
-    private static final int WINDOW = 4;
+    /** Maximum number of outstanding chunk requests of one result. */
+    private static final int MAX_OUTSTANDING = 4;
 
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(120);
 
-    /**
-     * Time of the last request of a chunk that was not requested yet, or not from the present
-     * source.
-     */
+    /** Request time of a chunk that has not been requested from the current source. */
     private static final Duration NOT_REQUESTED = Duration.ofSeconds(Long.MIN_VALUE);
 
     private static final String MISSING = "";
@@ -64,12 +61,12 @@
         return missingChunks == 0;
     }
 
-    /** Returns in how many ticks requests were repeated since a chunk has arrived last. */
+    /** Returns the number of ticks with repeated requests since the last chunk arrived. */
     int retries() {
         return retries;
     }
 
-    /** Asks another source for what is missing; what has arrived stays. */
+    /** Requests missing chunks from another source; chunks that have arrived are kept. */
     void askFrom(String newSource, long newEpoch) {
         if (!newSource.equals(source)) {
             Arrays.fill(requestedAt, NOT_REQUESTED);
@@ -78,12 +75,12 @@
         epoch = newEpoch;
     }
 
-    /** Returns the offsets of chunks to request now, and records that they were. */
+    /** Returns the offsets of chunks to request now, and records them as requested. */
     List<Integer> dueOffsets(Duration now) {
         List<Integer> offsets = new ArrayList<>();
         int outstanding = 0;
         boolean repeated = false;
-        for (int chunk = 0; chunk < chunks.length && outstanding < WINDOW; chunk++) {
+        for (int chunk = 0; chunk < chunks.length && outstanding < MAX_OUTSTANDING; chunk++) {
             if (!chunks[chunk].equals(MISSING)) {
                 continue;
             }
@@ -102,15 +99,13 @@
         return offsets;
     }
 
-    /**
-     * Accepts a chunk that is missing and has the right place and length; returns whether it did.
-     */
+    /** Accepts a missing chunk with the expected offset and length; returns false for any other. */
     boolean accept(ReplicationMessage.Chunk chunk) {
         int offset = chunk.offset();
         int index = offset / ChunkAssembler.CHUNK_BYTES;
-        boolean misplaced =
+        boolean invalidOffset =
                 offset % ChunkAssembler.CHUNK_BYTES != 0 || index < 0 || index >= chunks.length;
-        if (misplaced || !chunks[index].equals(MISSING)) {
+        if (invalidOffset || !chunks[index].equals(MISSING)) {
             return false;
         }
         if (chunk.data().length()
@@ -123,7 +118,7 @@
         return true;
     }
 
-    /** Returns the result, once it is complete. */
+    /** Returns the result; only valid if it is complete. */
     String result() {
         return String.join("", chunks);
     }
--- a/src/main/java/ochretiller/fleet/replication/SetDifference.java
+++ b/src/main/java/ochretiller/fleet/replication/SetDifference.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /**
- * How two sets differ.
+ * The difference between two sets.
  *
  * @param onlyHere keys that only the first set has
  * @param onlyThere keys that only the second set has
--- a/src/main/java/ochretiller/fleet/replication/SetSketch.java
+++ b/src/main/java/ochretiller/fleet/replication/SetSketch.java
@@ -12,27 +12,28 @@
  * An invertible Bloom lookup table over 64-bit keys (Goodrich and Mitzenmacher 2011, "Invertible
  * Bloom Lookup Tables"), used for set reconciliation (Eppstein, Goodrich, Uyeda and Varghese 2011,
  * "What's the Difference?"): subtracting one server's sketch from another's leaves the symmetric
- * difference, in a size that depends on the difference and not on the sets. Some one and a half
- * cells for each differing key are enough; with fewer, decoding fails and says so.
+ * difference, with a size that depends on the difference and not on the sets. About 1.5 cells per
+ * differing key are enough; with fewer, decoding fails detectably.
  *
- * <p>Departure from the papers: no strata estimator; the sender sizes the sketch by the difference
- * of the entry counts and asks with a larger one where decoding fails.
+ * <p>Unlike in the papers, there is no strata estimator: the sender sizes the sketch by the
+ * difference of the entry counts, and retries with a larger one if decoding fails.
  *
  * <p>Mutable until it is sent; not thread-safe.
  */
 public final class SetSketch {
-    /** Cells at most: what fits into one datagram beside its envelope. */
+    /** Maximum number of cells, so that a sketch fits into one datagram with its envelope. */
     static final int MAX_CELLS = 384;
 
     /**
-     * Encoded bytes of a cell: count (2), exclusive or of the keys (8) and of their checksums (4).
+     * Encoded size of a cell in bytes: count (2), XOR of the keys (8) and of their checksums (4).
      */
     static final int CELL_BYTES = 14;
 
     /**
-     * Hash functions; each maps a key into a partition of its own, so that its cells are distinct.
+     * Number of hash functions; each maps keys into its own partition, so that a key's cells are
+     * distinct.
      */
-    private static final int HASHES = 3;
+    private static final int HASH_COUNT = 3;
 
     private final int cells;
     private final short[] counts;
@@ -44,8 +45,8 @@
      * {@link #MAX_CELLS}.
      */
     SetSketch(int requestedCells) {
-        int rounded = (requestedCells + HASHES - 1) / HASHES * HASHES;
-        cells = Math.max(HASHES, Math.min(MAX_CELLS, rounded));
+        int rounded = (requestedCells + HASH_COUNT - 1) / HASH_COUNT * HASH_COUNT;
+        cells = Math.max(HASH_COUNT, Math.min(MAX_CELLS, rounded));
         counts = new short[cells];
         keySums = new long[cells];
         checksums = new int[cells];
@@ -56,41 +57,41 @@
     }
 
     /**
-     * The SplitMix64 finaliser (Steele, Lea and Flood 2014), seeded by the use, so that checksums
-     * are independent of cells.
+     * The SplitMix64 finaliser (Steele, Lea and Flood 2014), seeded so that checksums are
+     * independent of cell positions.
      */
-    private static long mix(long key, int use) {
-        long mixed = key + (use + 1) * 0x9E3779B97F4A7C15L;
+    private static long mix(long key, int seed) {
+        long mixed = key + (seed + 1) * 0x9E3779B97F4A7C15L;
         mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
         return mixed ^ mixed >>> 31;
     }
 
     private int cellOf(long key, int hash) {
-        int partitionSize = cells / HASHES;
+        int partitionSize = cells / HASH_COUNT;
         return hash * partitionSize + (int) Long.remainderUnsigned(mix(key, hash), partitionSize);
     }
 
     private static int checksum(long key) {
-        return (int) mix(key, HASHES);
+        return (int) mix(key, HASH_COUNT);
     }
 
     void add(long key) {
         add(key, 1);
     }
 
-    private void add(long key, int times) {
-        for (int hash = 0; hash < HASHES; hash++) {
+    private void add(long key, int count) {
+        for (int hash = 0; hash < HASH_COUNT; hash++) {
             int cell = cellOf(key, hash);
-            counts[cell] += (short) times;
+            counts[cell] += (short) count;
             keySums[cell] ^= key;
             checksums[cell] ^= checksum(key);
         }
     }
 
     /**
-     * Returns the difference between this sketch's set and the other's; empty where it is too large
-     * to be decoded.
+     * Returns the difference between this sketch's set and the other's; empty if it is too large to
+     * decode or the sketches differ in size.
      */
     Optional<SetDifference> subtract(SetSketch other) {
         if (other.cells != cells) {
@@ -109,7 +110,9 @@
         return difference;
     }
 
-    /** Peels cells that hold one key alone until none is left; consumes this sketch. */
+    /**
+     * Removes the keys of cells with a single key until no such cell is left; modifies this sketch.
+     */
     private Optional<SetDifference> decode() {
         Set<Long> positive = new HashSet<>();
         Set<Long> negative = new HashSet<>();
@@ -117,7 +120,7 @@
         for (int cell = 0; cell < cells; cell++) {
             candidates.add(cell);
         }
-        // A forged sketch could be peeled for ever: no honest one holds more keys than cells.
+        // Decoding a forged sketch might never end: no valid sketch contains more keys than cells.
         while (!candidates.isEmpty() && positive.size() + negative.size() <= cells) {
             int cell = candidates.poll();
             if (!isPure(cell)) {
@@ -127,7 +130,7 @@
             long key = keySums[cell];
             (count == 1 ? positive : negative).add(key);
             add(key, -count);
-            for (int hash = 0; hash < HASHES; hash++) {
+            for (int hash = 0; hash < HASH_COUNT; hash++) {
                 candidates.add(cellOf(key, hash));
             }
         }
@@ -148,7 +151,7 @@
         return true;
     }
 
-    /** Encodes the cells, each number with its highest byte first. */
+    /** Encodes the cells as big-endian numbers. */
     public byte[] toBytes() {
         ByteBuffer out = ByteBuffer.allocate(cells * CELL_BYTES);
         for (int cell = 0; cell < cells; cell++) {
@@ -158,18 +161,26 @@
     }
 
     /**
-     * Decodes what {@link #toBytes} has encoded.
+     * Decodes the output of {@link #toBytes}.
      *
-     * @throws IllegalArgumentException where the length is not that of a sketch
+     * @throws IllegalArgumentException if the length is not that of a sketch
      */
     public static SetSketch fromBytes(byte[] bytes) {
         int cells = bytes.length / CELL_BYTES;
         if (cells * CELL_BYTES != bytes.length
-                || cells < HASHES
+                || cells < HASH_COUNT
                 || cells > MAX_CELLS
-                || cells % HASHES != 0) {
+                || cells % HASH_COUNT != 0) {
             throw new IllegalArgumentException(
-                    "not the length of a set sketch: " + bytes.length + " bytes");
+                    "set sketch has "
+                            + bytes.length
+                            + " bytes; expected at most "
+                            + MAX_CELLS
+                            + " cells, a multiple of "
+                            + HASH_COUNT
+                            + ", of "
+                            + CELL_BYTES
+                            + " bytes each");
         }
         SetSketch sketch = new SetSketch(cells);
         ByteBuffer in = ByteBuffer.wrap(bytes);
--- a/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
+++ b/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
@@ -5,11 +5,12 @@
 
 /** Peers that have left several consecutive requests unanswered. Bounded; not thread-safe. */
 final class UnresponsivePeers {
-    /** Consecutive unanswered requests from which on a peer counts as unresponsive. */
-    private static final int THRESHOLD = 3;
+    /** Number of consecutive unanswered requests from which on a peer counts as unresponsive. */
+    private static final int UNRESPONSIVE_THRESHOLD = 3;
 
     /**
-     * Peers that are tracked; guards the memory of a long-lived process against names without end.
+     * Maximum number of peers tracked, so that ever new names do not exhaust the memory of a
+     * long-lived process.
      */
     private static final int MAX_TRACKED = 4_096;
 
@@ -26,7 +27,7 @@
     }
 
     boolean isUnresponsive(String peer) {
-        return unansweredRequests.getOrDefault(peer, 0) >= THRESHOLD;
+        return unansweredRequests.getOrDefault(peer, 0) >= UNRESPONSIVE_THRESHOLD;
     }
 
     void clear() {
--- a/src/test/java/ochretiller/fleet/replication/AntiEntropyTest.java
+++ b/src/test/java/ochretiller/fleet/replication/AntiEntropyTest.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How replicas converge over a network that loses messages. */
+/** Checks that replicas converge over a network that loses messages. */
 class AntiEntropyTest {
     private final ReplicationCluster cluster = new ReplicationCluster();
 
     @Test
-    void differencesAreTransferredAndNothingElse() {
+    void onlyDifferencesAreTransferred() {
         Map<String, ReplicaEntry> all = cluster.entries(2_000, "result ");
         Map<String, ReplicaEntry> fewer = new HashMap<>(all);
         for (int i = 0; i < 30; i++) {
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void entriesWithoutRoomInAPageAreRequestedByTheirDigests() {
+    void entriesThatDoNotFitIntoAPageAreRequestedByDigest() {
         Map<String, ReplicaEntry> all = cluster.entries(2_000, "r".repeat(1_500));
         Map<String, ReplicaEntry> fewer = new HashMap<>(all);
         for (int i = 0; i < 900; i++) {
@@ -41,7 +41,7 @@
         cluster.replicas.put("c", cluster.recovered("c", all));
         cluster.replicas.get("a").compareAllRanges();
         cluster.lossRate = 0.05;
-        // Entries that change meanwhile get other digests.
+        // Entries that change during the transfer get new digests.
         for (int i = 0; i < 300; i++) {
             cluster.runTicks(1);
             ClaimId id = new ClaimId("x", 1, i);
@@ -57,12 +57,12 @@
         cluster.runTicks(400);
         cluster.assertReplicasEqual();
         assertThat(cluster.replicas.get("a").statistics().receivedEntries())
-                .as("each once, and those that changed again")
+                .as("each missing entry once, plus those that changed")
                 .isLessThan(900 + 300 + 300);
     }
 
     @Test
-    void replicaWithoutItsDiskRecoversDespiteLossAndTransfersLittleTwice() {
+    void replicaWithLostDiskRecoversDespiteMessageLossWithFewDuplicates() {
         Map<String, ReplicaEntry> all = cluster.entries(3_000, "result ");
         cluster.replicas.put("a", cluster.withoutDisk("a", ReplicationCluster.FAST));
         cluster.replicas.put("b", cluster.recovered("b", all));
@@ -73,26 +73,26 @@
         assertThat(a.laggingRangeCount()).isZero();
         assertThat(a.statistics().entries()).isEqualTo(3_000);
         assertThat(a.statistics().receivedEntries())
-                .as("the second source sends only what the first did not")
+                .as("the second source sends only entries that the first did not")
                 .isLessThan(4_000);
         cluster.assertReplicasEqual();
     }
 
     @Test
-    void catchUpStaysWithinItsRate() {
+    void catchUpStaysWithinTheRateLimit() {
         Map<String, ReplicaEntry> all = cluster.entries(9_000, "result ");
         cluster.replicas.put("a", cluster.withoutDisk("a", 200_000));
         cluster.replicas.put("b", cluster.recovered("b", all));
         cluster.replicas.put("c", cluster.recovered("c", all));
         cluster.runTicks(100);
         assertThat(cluster.pageBytes)
-                .as("two seconds of the rate, and the burst")
+                .as("two seconds at the rate limit, plus the burst")
                 .isLessThan(2 * 200_000 + 256 * 1024 + 6 * RangePager.MAX_PAGE_BYTES + 5_000);
         assertThat(cluster.replicas.get("a").laggingRangeCount()).isPositive();
     }
 
     @Test
-    void changesThatAnUnreachableReplicaMissedAreHandedOffOnceItIsBack() {
+    void changesMissedByAnUnreachableReplicaAreTransferredWhenItReturns() {
         cluster.replicas.put("a", cluster.recovered("a", Map.of()));
         cluster.replicas.put("b", cluster.recovered("b", Map.of()));
         cluster.replicas.put("c", cluster.recovered("c", Map.of()));
--- a/src/test/java/ochretiller/fleet/replication/ChunkedResultTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ChunkedResultTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** How a long result reaches a write quorum. */
+/** Checks that a chunked result reaches a write quorum. */
 class ChunkedResultTest {
     private final ReplicationCluster cluster = new ReplicationCluster();
 
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void chunkedResultCountsAsStoredOnceAllItsChunksHaveArrived() {
+    void chunkedResultCountsAsStoredAfterAllItsChunksHaveArrived() {
         for (String name : List.of("a", "b", "c")) {
             cluster.replicas.put(name, cluster.recovered(name, Map.of()));
         }
@@ -51,7 +51,7 @@
         }
         assertThat(decisions).containsExactly(ClaimDecision.Kind.RUN);
         assertThat(stored).containsExactly(true);
-        long complete =
+        long completeReplicas =
                 cluster.replicas.values().stream()
                         .filter(
                                 replica ->
@@ -60,6 +60,6 @@
                                                 .map(ClaimOutcome::resultPresent)
                                                 .orElse(false))
                         .count();
-        assertThat(complete).as("a majority has the bytes").isGreaterThanOrEqualTo(2);
+        assertThat(completeReplicas).as("a majority has the result").isGreaterThanOrEqualTo(2);
     }
 }
