--- a/src/test/java/ochretiller/fleet/replication/ClaimCoordinatorTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ClaimCoordinatorTest.java
@@ -13,7 +13,7 @@
 import ochretiller.fleet.replication.ReplicationMessage.ClaimVote;
 import org.junit.jupiter.api.Test;
 
-/** What a claiming server decides on each mix of replies. */
+/** Checks a claiming server's decision for each combination of replies. */
 class ClaimCoordinatorTest {
     private static final String TOKEN = "t";
 
@@ -49,7 +49,7 @@
                 at);
     }
 
-    private void replyHeld(String replica, ClaimId id) {
+    private void replyClaimedByOther(String replica, ClaimId id) {
         coordinator.receive(
                 replica,
                 new ReplicationMessage.ClaimReply(
@@ -63,7 +63,7 @@
                 now);
     }
 
-    private void replyCompleted(String replica, ClaimId id, ClaimOutcome known) {
+    private void replyCompleted(String replica, ClaimId id, ClaimOutcome reported) {
         coordinator.receive(
                 replica,
                 new ReplicationMessage.ClaimReply(
@@ -72,7 +72,7 @@
                         id,
                         ClaimVote.COMPLETED,
                         Optional.empty(),
-                        Optional.of(known),
+                        Optional.of(reported),
                         1),
                 now);
     }
@@ -89,12 +89,12 @@
     }
 
     @Test
-    void majorityOfGrantsRuns() {
+    void majorityOfGrantsAllowsTheRun() {
         ClaimId id = startClaim();
         reply("a", id, ClaimVote.GRANTED);
         assertThat(decisions).isEmpty();
         reply("a", id, ClaimVote.GRANTED);
-        assertThat(decisions).as("one replica counts once").isEmpty();
+        assertThat(decisions).as("each replica counts once").isEmpty();
         reply("c", id, ClaimVote.GRANTED);
         assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.RUN);
     }
@@ -113,12 +113,12 @@
         replyCompleted("b", id, outcome);
         assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.REPLAY);
         assertThat(coordinator.takeOutbound())
-                .as("what it claimed elsewhere is released")
+                .as("the claim is released")
                 .anyMatch(out -> out.message() instanceof ReplicationMessage.ClaimRelease);
     }
 
     @Test
-    void anotherRequestsTokenAndAFailedRunAreToldApart() {
+    void fingerprintMismatchAndFailedRunAreDistinguished() {
         replyCompleted("b", startClaim(), new ClaimOutcome(true, "other", "result"));
         replyCompleted("b", startClaim(), new ClaimOutcome(false, "body", ""));
         assertThat(decisions)
@@ -135,17 +135,17 @@
         tickFor600Ms();
         assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.THROTTLED);
         reply("b", id, ClaimVote.GRANTED);
-        assertThat(decisions).as("a grant that comes late").hasSize(1);
+        assertThat(decisions).as("a late grant is ignored").hasSize(1);
         coordinator.takeOutbound();
         coordinator.receive("x", new ReplicationMessage.OwnerQuery(TOKEN, id), now);
         assertThat(coordinator.takeOutbound())
-                .as("asked, it repeats the release")
+                .as("the owner repeats the release on request")
                 .isNotEmpty()
                 .allMatch(out -> out.message() instanceof ReplicationMessage.ClaimRelease);
     }
 
     @Test
-    void unresponsiveReplicasAreProbedAndNotWaitedFor() {
+    void unresponsiveReplicasAreProbedWithoutDelayingClaims() {
         startClaim();
         tickFor600Ms();
         decisions.clear();
@@ -166,11 +166,13 @@
         reply("b", EPOCH, probe, ClaimVote.UNCLAIMED, later);
         decisions.clear();
         claim(later);
-        assertThat(decisions).as("two of three are back: it is claimed").isEmpty();
+        assertThat(decisions)
+                .as("two of three replicas respond, so the token is claimed")
+                .isEmpty();
     }
 
     @Test
-    void serverThatWasPausedDoesNotRunOnAnOldGrant() {
+    void pausedServerDoesNotRunOnAnOutdatedGrant() {
         ClaimId id = startClaim();
         reply("a", id, ClaimVote.GRANTED);
         reply("b", EPOCH, id, ClaimVote.GRANTED, now.plusSeconds(60));
@@ -178,10 +180,10 @@
     }
 
     @Test
-    void claimHeldOffByAnotherGivesWayAndQueriesItsOutcome() {
+    void claimBlockedByACompetitorYieldsAndQueriesTheOutcome() {
         ClaimId id = startClaim();
-        replyHeld("a", id);
-        replyHeld("b", id);
+        replyClaimedByOther("a", id);
+        replyClaimedByOther("b", id);
         assertThat(decisions).isEmpty();
         assertThat(coordinator.takeOutbound())
                 .extracting(out -> out.message().getClass().getSimpleName())
@@ -199,16 +201,16 @@
     }
 
     @Test
-    void unknownOutcomeIsReportedAsSuchAtTheDeadline() {
+    void unknownOutcomeIsReportedAtTheDeadline() {
         ClaimId id = startClaim();
-        replyHeld("a", id);
-        replyHeld("b", id);
+        replyClaimedByOther("a", id);
+        replyClaimedByOther("b", id);
         coordinator.tick(now.plusSeconds(2));
         assertThat(onlyDecision()).isEqualTo(ClaimDecision.Kind.OUTCOME_UNKNOWN);
     }
 
     @Test
-    void answerWaitsForAWriteQuorumOfItsOutcomeUntilTheDeadline() {
+    void answerWaitsForAWriteQuorumUntilTheReplyDeadline() {
         List<Boolean> stored = new ArrayList<>();
         ClaimId id = runClaim();
         coordinator.reportOutcome(completed(id), now, stored::add);
@@ -218,7 +220,9 @@
         assertThat(stored).containsExactly(true);
         coordinator.reportOutcome(completed(runClaim()), now, stored::add);
         coordinator.tick(now.plusSeconds(2));
-        assertThat(stored).as("at the deadline, whatever is known").containsExactly(true, false);
+        assertThat(stored)
+                .as("reported as not stored at the deadline")
+                .containsExactly(true, false);
     }
 
     private ClaimId runClaim() {
--- a/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
@@ -8,13 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which operations are claimed, and for how long a server that leaves fleet mode goes on claiming.
+ * Checks which operations are claimed, and how long a server that leaves fleet mode continues to
+ * claim.
  */
 class ClaimModesTest {
     private final Duration now = Duration.ofSeconds(5);
 
     @Test
-    void serverStopsClaimingOnceNobodyCanHoldAPermanentClaim() {
+    void serverStopsClaimingWhenNoNonTransitionalClaimCanExist() {
         ClaimModeSettings settings =
                 new ClaimModeSettings(ClaimMode.SERVER, Map.of("order", ClaimMode.FLEET));
         ClaimModes modes = new ClaimModes(settings, WINDOW, now);
@@ -26,11 +27,11 @@
         modes.claimObserved("order", false, now.plusSeconds(15));
         modes.claimObserved("other", true, now.plusSeconds(15));
         assertThat(modes.requirementFor("other", now.plus(WINDOW)))
-                .as("an operation that stays in fleet mode, a server that leaves it too")
+                .as("neither an operation in fleet mode nor a leaving server prolongs it")
                 .isEqualTo(ClaimRequirement.NOT_REQUIRED);
         modes.claimObserved("other", false, now.plusSeconds(15));
         assertThat(modes.requirementFor("other", now.plus(WINDOW)))
-                .as("another server still claims")
+                .as("another server still claims the operation")
                 .isEqualTo(ClaimRequirement.REQUIRED_TRANSITIONALLY);
         assertThat(modes.requirementFor("other", now.plusSeconds(15).plus(WINDOW)))
                 .isEqualTo(ClaimRequirement.NOT_REQUIRED);
--- a/src/test/java/ochretiller/fleet/replication/DiskFreshnessCheckTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DiskFreshnessCheckTest.java
@@ -7,16 +7,18 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** How a replica that comes back finds out whether its disk is as new as what it has sent. */
+/**
+ * Checks that a restarted replica detects whether its disk contains all changes that it has sent.
+ */
 class DiskFreshnessCheckTest {
     private final ReplicationCluster cluster = new ReplicationCluster();
 
     @Test
-    void diskOlderThanTheLastMessageIsFoundAndTreatedAsLost() {
+    void diskOlderThanTheLastMessageIsDetectedAndTreatedAsLost() {
         Map<String, ReplicaEntry> all = cluster.entries(200, "result ");
         cluster.replicas.put("b", cluster.recovered("b", all));
         cluster.replicas.put("c", cluster.recovered("c", all));
-        ReplicationMessage heard =
+        ReplicationMessage laterReply =
                 new ReplicationMessage.ClaimReply(
                         EPOCH,
                         "x",
@@ -25,7 +27,7 @@
                         Optional.empty(),
                         Optional.empty(),
                         900);
-        cluster.owner.receive("a", heard, cluster.now);
+        cluster.owner.receive("a", laterReply, cluster.now);
         cluster.replicas.put("a", cluster.recovered("a", Map.of(), 850, true));
         Replica a = cluster.replicas.get("a");
         a.receive(
@@ -36,7 +38,7 @@
         ReplicationMessage.ClaimReply reply =
                 (ReplicationMessage.ClaimReply) a.takeOutbound().get(0).message();
         assertThat(reply.vote())
-                .as("before it knows")
+                .as("while the check is in progress")
                 .isEqualTo(ReplicationMessage.ClaimVote.LAGGING);
         cluster.runTicks(100);
         assertThat(a.statistics().staleDisks()).isEqualTo(1);
@@ -46,7 +48,7 @@
     }
 
     @Test
-    void diskAsNewAsTheLastMessageCountsOnceThePeersHaveConfirmedIt() {
+    void diskAsNewAsTheLastMessageIsAcceptedAfterPeersHaveConfirmedIt() {
         cluster.replicas.put("b", cluster.recovered("b", Map.of()));
         cluster.replicas.put("c", cluster.recovered("c", Map.of()));
         cluster.owner.receive(
--- a/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
@@ -15,7 +15,7 @@
 import ochretiller.fleet.consensus.ReplicaServer;
 import org.junit.jupiter.api.Test;
 
-/** Which messages leave, and when. */
+/** Checks which messages are sent, and when. */
 class DurabilityBarrierTest {
     private final DurabilityBarrier barrier = new DurabilityBarrier(new SplittableRandom(3));
     private final List<OutboundMessage> sent = new ArrayList<>();
@@ -35,10 +35,10 @@
     }
 
     @Test
-    void messageLeavesAfterItsChangesAndAllBeforeThem() {
+    void messageIsSentWhenItsChangesAndAllEarlierOnesAreDurable() {
         List<PendingWrite> writes = submit(List.of("x", "y"), false, message("a"));
         assertThat(submit(List.of(), false, message("b"))).isEmpty();
-        assertThat(sent).as("b might rest on x").isEmpty();
+        assertThat(sent).as("message b might depend on token x").isEmpty();
         assertThat(barrier.acknowledge(writes.get(0), true, now)).isEmpty();
         assertThat(barrier.acknowledge(writes.get(1), true, now))
                 .containsExactly(message("a"), message("b"));
@@ -54,13 +54,15 @@
     }
 
     @Test
-    void nothingIsSentAfterAFailureUntilEverythingIsWrittenAnew() {
+    void nothingIsSentAfterAFailureUntilEverythingIsRewritten() {
         List<PendingWrite> writes = submit(List.of("x", "y"), false, message("a"));
         assertThat(barrier.acknowledge(writes.get(0), false, now)).isEmpty();
         assertThat(barrier.isDegraded()).isTrue();
-        assertThat(submit(List.of("z"), true, message("b"))).as("it waits for the retry").isEmpty();
+        assertThat(submit(List.of("z"), true, message("b")))
+                .as("writes wait for the retry")
+                .isEmpty();
         assertThat(barrier.acknowledge(writes.get(1), true, now))
-                .as("a write from before the failure")
+                .as("the write was issued before the failure")
                 .isEmpty();
         now = now.plusSeconds(10);
         List<PendingWrite> retries = barrier.retryWrites(now);
@@ -74,20 +76,20 @@
             assertThat(barrier.acknowledge(write, true, now)).isEmpty();
         }
         assertThat(barrier.isDegraded()).isFalse();
-        assertThat(sent).as("what was not sent is lost, as on the way").isEmpty();
+        assertThat(sent).as("unsent messages are dropped, as if lost by the network").isEmpty();
         assertThat(barrier.droppedMessages()).isEqualTo(2);
         submit(List.of(), false, message("c"));
         assertThat(sent).containsExactly(message("c"));
     }
 
-    /** A replica on a disk that fails, stalls and loses what was not acknowledged. */
+    /** Runs a replica on a disk that fails, stalls and loses unacknowledged writes. */
     @Test
-    void everyGrantThatWasSentIsOnTheDiskWhateverTheDiskDoes() {
+    void everySentGrantIsDurableDespiteDiskFailures() {
         int grants = 0;
         for (int seed = 0; seed < 300; seed++) {
             grants += grantsOnAFailingDisk(seed);
         }
-        assertThat(grants).as("it sends what it can").isGreaterThan(5_000);
+        assertThat(grants).as("grants sent despite the failures").isGreaterThan(5_000);
     }
 
     private int grantsOnAFailingDisk(int seed) {
--- a/src/test/java/ochretiller/fleet/replication/MarkGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/replication/MarkGoldenTest.java
@@ -14,11 +14,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Marks, digests and sketches of what keepers have: several releases compare them. A mark is made
- * from texts of claims, as {@link ClaimId#toString} gives them, in the order of their names.
+ * Compares entry digests, range digests and sketches with golden values, since replicas of
+ * different releases exchange them. An entry digest covers the texts of its claims, formatted by
+ * {@link ClaimId#toString}, in claim order.
  */
 class MarkGoldenTest {
-    private static final GoldenFile MARKS = new GoldenFile("entry-marks");
+    private static final GoldenFile GOLDEN = new GoldenFile("entry-marks");
     private static final String TOKEN = "a token";
     private static final ClaimId FIRST = new ClaimId("s", -7, 3);
     private static final ClaimId SECOND = new ClaimId("t", 8, 1);
@@ -58,27 +59,27 @@
     }
 
     @Test
-    void marksDigestsAndSketchesAreTheGoldenOnes() {
-        Map<String, byte[]> made = new LinkedHashMap<>();
+    void digestsAndSketchesEqualTheGoldenValues() {
+        Map<String, byte[]> actual = new LinkedHashMap<>();
         for (Map.Entry<String, ReplicaEntry> each : entries().entrySet()) {
-            ReplicaEntries stock = new ReplicaEntries();
-            stock.put(TOKEN, each.getValue(), 1);
-            made.put("mark-of-" + each.getKey(), bytes(stock.entryDigest(TOKEN)));
+            ReplicaEntries replicaEntries = new ReplicaEntries();
+            replicaEntries.put(TOKEN, each.getValue(), 1);
+            actual.put("mark-of-" + each.getKey(), bytes(replicaEntries.entryDigest(TOKEN)));
         }
-        ReplicaEntries stock = new ReplicaEntries();
+        ReplicaEntries replicaEntries = new ReplicaEntries();
         int range = ReplicaPlacement.rangeOf(TOKEN);
         for (int i = 0; i < 1_000; i++) {
-            stock.put("token " + i, entries().get("claimed"), 1);
+            replicaEntries.put("token " + i, entries().get("claimed"), 1);
         }
-        stock.put(TOKEN, entries().get("ended"), 1);
-        made.put("digest-of-range", bytes(stock.rangeDigest(range)));
-        made.put("sketch-of-range", stock.sketch(range, 6).toBytes());
-        MARKS.assertHolds(made);
+        replicaEntries.put(TOKEN, entries().get("ended"), 1);
+        actual.put("digest-of-range", bytes(replicaEntries.rangeDigest(range)));
+        actual.put("sketch-of-range", replicaEntries.sketch(range, 6).toBytes());
+        GOLDEN.assertHolds(actual);
     }
 
     @Test
-    void aGoldenSketchIsReadBack() {
-        byte[] bytes = MARKS.bytes("sketch-of-range");
+    void goldenSketchIsDecodedAndEncodedUnchanged() {
+        byte[] bytes = GOLDEN.bytes("sketch-of-range");
         assertThat(SetSketch.fromBytes(bytes).toBytes()).isEqualTo(bytes);
     }
 }
--- a/src/test/java/ochretiller/fleet/replication/ReplicaEntryTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicaEntryTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** How entries of two replicas merge. */
+/** Checks how entries of several replicas merge. */
 class ReplicaEntryTest {
     @Test
     void mergeIsCommutativeAssociativeAndIdempotentAndNeverShortensAWindow() {
--- a/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
@@ -14,7 +14,7 @@
 import ochretiller.fleet.replication.ReplicationMessage.ClaimVote;
 import org.junit.jupiter.api.Test;
 
-/** How a replica votes on claims, and when its votes count. */
+/** Checks how a replica votes on claims, and when its votes count. */
 class ReplicaTest {
     private static final String TOKEN = "t";
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void grantsTheFirstClaimAndHoldsItAgainstOthersUntilItIsReleased() {
+    void grantsTheFirstClaimAndRejectsOthersUntilItIsReleased() {
         assertThat(claim(replica, first, EPOCH)).isEqualTo(ClaimVote.GRANTED);
         assertThat(claim(replica, first, EPOCH))
                 .as("a repeated request")
@@ -54,28 +54,30 @@
         assertThat(claim(replica, second, EPOCH)).isEqualTo(ClaimVote.HELD);
         replica.receive("s", new ReplicationMessage.ClaimRelease(TOKEN, first, WINDOW), now);
         assertThat(claim(replica, second, EPOCH)).isEqualTo(ClaimVote.GRANTED);
-        assertThat(claim(replica, first, EPOCH)).as("never again").isEqualTo(ClaimVote.RELEASED);
+        assertThat(claim(replica, first, EPOCH))
+                .as("a released claim is never granted again")
+                .isEqualTo(ClaimVote.RELEASED);
     }
 
     @Test
-    void releaseThatOvertakesItsClaimIsRemembered() {
+    void releaseThatArrivesBeforeItsClaimIsStored() {
         replica.receive("s", new ReplicationMessage.ClaimRelease(TOKEN, first, WINDOW), now);
         assertThat(claim(replica, first, EPOCH)).isEqualTo(ClaimVote.RELEASED);
     }
 
     @Test
-    void votesInThePresentEpochOnlyButReportsOutcomesInAny() {
+    void votesInTheCurrentEpochOnlyButReportsOutcomesInAny() {
         assertThat(claim(replica, first, EPOCH - 1)).isEqualTo(ClaimVote.STALE_EPOCH);
         assertThat(claim(replica, first, EPOCH + 1)).isEqualTo(ClaimVote.LAGGING);
         replica.receive("s", completed(EPOCH - 1, first, outcome), now);
-        assertThat(replica.takeOutbound()).as("stored, and not counted").isEmpty();
+        assertThat(replica.takeOutbound()).as("the outcome is stored but not confirmed").isEmpty();
         assertThat(claim(replica, second, EPOCH - 1))
                 .as("an outcome holds in any epoch")
                 .isEqualTo(ClaimVote.COMPLETED);
     }
 
     @Test
-    void expiredEntryIsRemovedAndNotBroughtBackByALatePage() {
+    void expiredEntryIsRemovedAndNotRestoredByALatePage() {
         claim(replica, first, EPOCH);
         replica.tick(now.plus(WINDOW));
         assertThat(replica.statistics().entries()).isZero();
@@ -111,24 +113,24 @@
     }
 
     @Test
-    void replicaWithoutItsDiskLagsUntilAllOtherReplicasHaveBeenHeard() {
-        Replica blank =
+    void replicaWithLostDiskLagsUntilItHasPulledFromAllOtherReplicas() {
+        Replica diskless =
                 Replica.withoutDisk("a", PLACEMENT, 0, ReplicaLimits.ofEntries(100, WINDOW), now);
         Replica b = recovered("b", 100);
         Replica c = recovered("c", 100);
         claim(b, first, EPOCH);
-        assertThat(claim(blank, second, EPOCH)).isEqualTo(ClaimVote.LAGGING);
+        assertThat(claim(diskless, second, EPOCH)).isEqualTo(ClaimVote.LAGGING);
         for (int i = 0; i < 200; i++) {
-            exchange(blank, Map.of("b", b));
+            exchange(diskless, Map.of("b", b));
         }
-        assertThat(claim(blank, second, EPOCH))
-                .as("one of two others is not enough")
+        assertThat(claim(diskless, second, EPOCH))
+                .as("one of the two other replicas is not enough")
                 .isEqualTo(ClaimVote.LAGGING);
-        for (int i = 0; i < 200 && blank.laggingRangeCount() > 0; i++) {
-            exchange(blank, Map.of("b", b, "c", c));
+        for (int i = 0; i < 200 && diskless.laggingRangeCount() > 0; i++) {
+            exchange(diskless, Map.of("b", b, "c", c));
         }
-        assertThat(blank.laggingRangeCount()).isZero();
-        assertThat(claim(blank, second, EPOCH)).isEqualTo(ClaimVote.HELD);
+        assertThat(diskless.laggingRangeCount()).isZero();
+        assertThat(claim(diskless, second, EPOCH)).isEqualTo(ClaimVote.HELD);
     }
 
     @Test
@@ -156,14 +158,14 @@
         }
         assertThat(d.laggingRangeCount()).isZero();
         assertThat(b.placement().epoch())
-                .as("who is asked answers for no older epoch")
+                .as("a source adopts the epoch of the request")
                 .isEqualTo(EPOCH + 1);
         for (String token : tokens) {
             assertThat(d.entry(token).claims()).hasSize(1);
         }
     }
 
-    /** A hundred tokens that this server replicates. */
+    /** Returns 100 tokens that this server replicates. */
     private static List<String> tokensOf(String server, ReplicaPlacement placement) {
         List<String> tokens = new ArrayList<>();
         for (int i = 0; tokens.size() < 100; i++) {
@@ -182,12 +184,12 @@
     }
 
     /**
-     * Delivers the asker's requests and the pages that answer them; an unreachable server answers
-     * nothing.
+     * Delivers the requester's requests, and the pages that answer them; servers not in {@code
+     * others} are unreachable.
      */
-    private void exchange(Replica asker, Map<String, Replica> others) {
-        asker.tick(now.plusMillis(++exchanges * 20L));
-        for (OutboundMessage request : asker.takeOutbound()) {
+    private void exchange(Replica requester, Map<String, Replica> others) {
+        requester.tick(now.plusMillis(++exchanges * 20L));
+        for (OutboundMessage request : requester.takeOutbound()) {
             Replica other = others.get(request.recipient());
             if (other == null) {
                 continue;
@@ -195,14 +197,14 @@
             other.receive("x", request.message(), now);
             for (OutboundMessage answer : other.takeOutbound()) {
                 if (answer.message() instanceof ReplicationMessage.RangePage page) {
-                    asker.receive(request.recipient(), page, now);
+                    requester.receive(request.recipient(), page, now);
                 }
             }
         }
     }
 
     @Test
-    void conflictingOutcomesAreCountedAndAnsweredWithTheSameOneEverywhere() {
+    void conflictingOutcomesAreCountedAndTheFirstClaimsOutcomeIsReported() {
         replica.receive(
                 "s", completed(EPOCH, second, new ClaimOutcome(true, "body", "second")), now);
         replica.receive("s", completed(EPOCH, first, outcome), now);
@@ -215,7 +217,7 @@
     }
 
     @Test
-    void windowReportedByAPeerIsCappedAtTheLongest() {
+    void windowReportedByAPeerIsCappedAtTheMaximum() {
         ReplicationMessage request =
                 new ReplicationMessage.ClaimRequest(
                         EPOCH, TOKEN, first, "body", Duration.ofDays(900));
--- a/src/test/java/ochretiller/fleet/replication/ReplicationCluster.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicationCluster.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Lets time pass, and delivers all messages of each tick at once, those that the network does
-     * not lose.
+     * Runs ticks of 20 ms of virtual time, and delivers the messages of each tick that are not
+     * lost.
      */
     void runTicks(int count) {
         for (int i = 0; i < count; i++) {
--- a/src/test/java/ochretiller/fleet/replication/ReplicationFixture.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicationFixture.java
@@ -5,9 +5,7 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import ochretiller.fleet.consensus.ReplicaServer;
 
-/**
- * What the tests of this package share: three servers in three zones that replicate every range.
- */
+/** Shared test data: three servers in three zones that replicate every range. */
 final class ReplicationFixture {
     static final Duration WINDOW = Duration.ofSeconds(20);
     static final List<ReplicaServer> THREE_SERVERS =
--- a/src/test/java/ochretiller/fleet/replication/SetSketchTest.java
+++ b/src/test/java/ochretiller/fleet/replication/SetSketchTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What two sketches tell about the difference of their sets. */
+/** Checks the set difference that is decoded from two sketches. */
 class SetSketchTest {
     private final SplittableRandom random = new SplittableRandom(7);
 
@@ -44,12 +44,12 @@
             assertThat(difference.get()).isEqualTo(new SetDifference(onlyHere, onlyThere));
         }
         assertThat(decoded)
-                .as("two thirds of a key for each cell are decoded nearly always")
+                .as("two thirds of a key per cell are nearly always decoded")
                 .isGreaterThan(380);
     }
 
     @Test
-    void tooLargeADifferenceIsNotDecodedAndEqualSetsAreRecognised() {
+    void excessiveDifferenceIsNotDecodedAndEqualSetsAreRecognised() {
         SetSketch one = sketch(24, randomKeys(200), Set.of());
         SetSketch other = sketch(24, randomKeys(200), Set.of());
         assertThat(one.subtract(other)).isEmpty();
@@ -57,12 +57,12 @@
         assertThat(sketch(24, same, Set.of()).subtract(sketch(24, same, Set.of())))
                 .contains(new SetDifference(Set.of(), Set.of()));
         assertThat(sketch(24, same, Set.of()).subtract(sketch(48, same, Set.of())))
-                .as("of another size")
+                .as("sketches of different sizes")
                 .isEmpty();
     }
 
     @Test
-    void decodingAForgedSketchEnds() {
+    void decodingAForgedSketchTerminates() {
         for (int i = 0; i < 2_000; i++) {
             byte[] bytes = new byte[24 * SetSketch.CELL_BYTES];
             random.nextBytes(bytes);
