--- a/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
+++ b/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
@@ -16,12 +16,12 @@
  */
 final class AntiEntropy {
     /**
-     * Number of pulls from which on no repair is added; a later comparison finds the difference
+     * Repairs are added only while there are fewer pulls; a later comparison finds the difference
      * again.
      */
     private static final int MAX_PULLS_FOR_REPAIR = 512;
 
-    /** Number of pulls from which on no catch-up is added; a later tick adds it. */
+    /** Catch-ups are added only while there are fewer pulls; a later tick adds the others. */
     private static final int MAX_PULLS_FOR_CATCH_UP = 2 * MAX_PULLS_FOR_REPAIR;
 
     private final String self;
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
@@ -141,7 +141,7 @@
                 return;
             }
             tally.add(reply);
-            noteCompetitor(attempt, reply);
+            recordCompetitor(attempt, reply);
         }
         if (replays.requestResult(attempt, now)) {
             return;
@@ -171,7 +171,7 @@
                 || !outcome.fingerprint().equals(attempt.intent().fingerprint());
     }
 
-    private void noteCompetitor(ClaimAttempt attempt, ReplicationMessage.ClaimReply reply) {
+    private void recordCompetitor(ClaimAttempt attempt, ReplicationMessage.ClaimReply reply) {
         if (reply.vote() == ReplicationMessage.ClaimVote.COMPLETED) {
             attempt.noteCompetitor();
         } else if (reply.vote() == ReplicationMessage.ClaimVote.HELD) {
--- a/src/main/java/ochretiller/fleet/replication/ClaimMode.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimMode.java
@@ -4,7 +4,7 @@
 public enum ClaimMode {
     /** The token runs at most once in the whole fleet: it is claimed at a majority of replicas. */
     FLEET("fleet"),
-    /** The token runs at most once on each server, as without a fleet. */
+    /** The token runs at most once on each server, without a claim in the fleet. */
     SERVER("server");
 
     private final String externalName;
--- a/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
@@ -13,10 +13,11 @@
  */
 final class ClaimReleases {
     /** Maximum number of released claims kept in memory to repeat their releases on request. */
-    private static final int MAX_REMEMBERED = 20_000;
+    private static final int MAX_RELEASED_CLAIMS = 20_000;
 
     private final CoordinatorState state;
-    private final Map<ClaimId, Duration> windowEnds = BoundedMap.evictingOldest(MAX_REMEMBERED);
+    private final Map<ClaimId, Duration> windowEnds =
+            BoundedMap.evictingOldest(MAX_RELEASED_CLAIMS);
 
     ClaimReleases(CoordinatorState state) {
         this.state = state;
--- a/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
+++ b/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
@@ -29,7 +29,7 @@
     private final Set<String> storedBy = new HashSet<>();
     private Duration sentAt;
     private int retriesAfterQuorum;
-    private boolean answered;
+    private boolean reported;
 
     /**
      * @param changeNumbers the replicas' change numbers when they granted the claim
@@ -98,8 +98,8 @@
 
     /** Reports whether the outcome is stored, unless that was reported before. */
     void answer(boolean stored) {
-        if (!answered) {
-            answered = true;
+        if (!reported) {
+            reported = true;
             onStored.accept(stored);
         }
     }
@@ -114,7 +114,7 @@
     }
 
     boolean isRetryDue(Duration now) {
-        Duration interval = answered ? LATE_RETRY_INTERVAL : RETRY_INTERVAL;
+        Duration interval = reported ? LATE_RETRY_INTERVAL : RETRY_INTERVAL;
         return sinceSent(now).compareTo(interval) >= 0;
     }
 
@@ -124,6 +124,6 @@
 
     /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
-        return "" + storedBy + retriesAfterQuorum + sinceSent(now) + answered;
+        return "" + storedBy + retriesAfterQuorum + sinceSent(now) + reported;
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/PullSlots.java
+++ b/src/main/java/ochretiller/fleet/replication/PullSlots.java
@@ -5,7 +5,7 @@
 
 /**
  * Counts the outstanding requests during one tick of {@link AntiEntropy} and bounds them, so that a
- * restarting fleet does not overload the replicas that it pulls from. Repairs have a lower bound
+ * restarting fleet does not overload the replicas that it pulls from. Repairs have a smaller limit
  * than catch-up, which clients wait for.
  */
 final class PullSlots {
--- a/src/main/java/ochretiller/fleet/replication/RangeCatchUp.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeCatchUp.java
@@ -12,7 +12,7 @@
 final class RangeCatchUp {
     private final List<String> sources;
     private final int requiredSources;
-    private final boolean mayHaveLostGrants;
+    private final boolean mayHaveForgotten;
     private final Duration startedAt;
     private final Duration deadline;
     private final Set<String> completeSources = new HashSet<>();
@@ -32,7 +32,7 @@
             Duration deadline) {
         this.sources = sources;
         this.requiredSources = requiredSources;
-        this.mayHaveLostGrants = mayHaveLostGrants;
+        this.mayHaveForgotten = mayHaveLostGrants;
         this.startedAt = startedAt;
         this.deadline = deadline;
     }
@@ -42,7 +42,7 @@
     }
 
     boolean mayHaveForgotten() {
-        return mayHaveLostGrants;
+        return mayHaveForgotten;
     }
 
     Duration lag(Duration now) {
--- a/src/main/java/ochretiller/fleet/replication/RangePull.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePull.java
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Sizes a sketch by the difference of the entry counts, the least number of entries that
-     * differ.
+     * Sizes a sketch by the difference of the entry counts, a lower bound on the number of
+     * differing entries.
      */
     private int cellsFor(int sourceEntryCount) {
         int difference = Math.abs(sourceEntryCount - entries.entryCount(range));
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
@@ -13,8 +13,7 @@
  * and number of transfers. Outcomes take precedence over claims. Only its owner can release a
  * claim, and no window is ever shortened. If a token has two outcomes by mistake, both are stored.
  *
- * @param claims claims of the token, whether running or not, with the fingerprints of their
- *     requests
+ * @param claims claims to run the token, with the fingerprints of their requests
  * @param releasedClaims claims whose owner has reported that they never ran
  * @param outcomes outcomes of runs, by claim
  * @param expiresAt end of the idempotency window on this replica's monotonic clock
@@ -26,7 +25,7 @@
         Duration expiresAt) {
     /**
      * Maximum number of claims of one token, including released ones; only a client that retries
-     * endlessly makes more.
+     * endlessly exceeds it.
      */
     static final int MAX_CLAIMS = 16;
 
--- a/src/main/java/ochretiller/fleet/replication/ReplicaLimits.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLimits.java
@@ -10,11 +10,11 @@
  *     of granted claims
  * @param bytesPerSecond rate limit for entries sent to other replicas, and, separately, for entries
  *     received from them
- * @param maxWindow longest idempotency window; losses older than it do not matter
+ * @param maxWindow longest idempotency window; data lost earlier than that does not matter
  */
 public record ReplicaLimits(
         int maxEntries, long maxBytes, double bytesPerSecond, Duration maxWindow) {
-    /** Divisor of the byte limit that gives the part reserved from new claims. */
+    /** The byte limit divided by this is not available to new claims. */
     private static final int RESERVED_DIVISOR = 8;
 
     private static final double DEFAULT_BYTES_PER_SECOND = 8 << 20;
--- a/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
@@ -64,9 +64,9 @@
     enum ClaimVote {
         /** The claim is granted and the grant is durable. */
         GRANTED,
-        /** The replica knows no other claim of the token. This vote grants nothing. */
+        /** No other claim of the token is active at the replica. This vote grants nothing. */
         UNCLAIMED,
-        /** The token is claimed by another claim, and the replica has no outcome. */
+        /** Another claim of the token is active at the replica, which has no outcome. */
         HELD,
         /** The token has an outcome. */
         COMPLETED,
