--- a/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
+++ b/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
@@ -12,16 +12,13 @@
  * do not count until enough sources have been pulled completely. The rest of the transfer rate is
  * used to repair differences that comparisons have found. Anti-entropy in the sense of Demers et
  * al. 1987 ("Epidemic Algorithms for Replicated Database Maintenance"), with set sketches in place
- * of Merkle trees. Not thread-safe; callers pass the current time.
+ * of Merkle trees. Not thread-safe; callers pass the time.
  */
 final class AntiEntropy {
-    /**
-     * Repairs are added only while there are fewer pulls; a later comparison finds the difference
-     * again.
-     */
+    /** Number of pulls at which new repairs are left to a later comparison. */
     private static final int MAX_PULLS_FOR_REPAIR = 512;
 
-    /** Catch-ups are added only while there are fewer pulls; a later tick adds the others. */
+    /** Number of pulls at which new catch-ups are left to a later tick. */
     private static final int MAX_PULLS_FOR_CATCH_UP = 2 * MAX_PULLS_FOR_REPAIR;
 
     private final String self;
--- a/src/main/java/ochretiller/fleet/replication/ByteRateLimiter.java
+++ b/src/main/java/ochretiller/fleet/replication/ByteRateLimiter.java
@@ -3,9 +3,8 @@
 import java.time.Duration;
 
 /**
- * Token bucket for transfers whose size is known only afterwards: the balance may become negative,
- * and the next transfer waits until it is positive again. Not thread-safe; callers pass the current
- * time.
+ * Token bucket for transfers whose size is known only afterwards: no transfer starts while the
+ * balance is negative. Not thread-safe; callers pass the time.
  */
 final class ByteRateLimiter {
     private final double bytesPerSecond;
--- a/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
+++ b/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
@@ -10,7 +10,7 @@
 /**
  * Downloads results that do not fit into one datagram, with several chunk requests of each result
  * in flight. Lost chunks are requested again; a complete result is verified against the checksum of
- * its outcome. Bounded in memory. Not thread-safe; callers pass the current time.
+ * its outcome. Bounded in memory. Not thread-safe; callers pass the time.
  */
 public final class ChunkAssembler {
     /**
--- a/src/main/java/ochretiller/fleet/replication/ChunkedReplays.java
+++ b/src/main/java/ochretiller/fleet/replication/ChunkedReplays.java
@@ -6,7 +6,7 @@
 
 /**
  * Downloads chunked results of claims that other servers have completed, so that repeated
- * invocations can be answered with them. Not thread-safe; callers pass the current time.
+ * invocations can be answered with them. Not thread-safe; callers pass the time.
  */
 final class ChunkedReplays {
     private final CoordinatorState state;
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
@@ -19,10 +19,7 @@
  * passes the time and random numbers.
  */
 final class ClaimAttempt {
-    /**
-     * First pause between two queries. Each pause is twice the previous one, up to {@link
-     * #MAX_QUERY_PAUSE}, with random jitter.
-     */
+    /** First pause between queries, doubled up to {@link #MAX_QUERY_PAUSE}, with random jitter. */
     private static final Duration FIRST_QUERY_PAUSE = Duration.ofMillis(40);
 
     static final Duration MAX_QUERY_PAUSE = Duration.ofMillis(640);
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
@@ -130,9 +130,7 @@
         evaluate(attempt, now);
     }
 
-    /**
-     * Makes the decision that the replies so far allow; {@code docs/replication.md} has the table.
-     */
+    /** Decides if the replies so far suffice; {@code docs/replication.md} has the table. */
     private void evaluate(ClaimAttempt attempt, Duration now) {
         ReplyTally tally = new ReplyTally(state.epoch());
         for (ReplicationMessage.ClaimReply reply : attempt.replies()) {
--- a/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
@@ -89,10 +89,7 @@
         previous.forEach(changeNumbers::record);
     }
 
-    /**
-     * Adopts a later epoch, and restarts everything in flight at its replicas; an older epoch is
-     * ignored.
-     */
+    /** Adopts a later epoch, and restarts everything in flight at its replicas. */
     public void adoptPlacement(ReplicaPlacement next, Duration now) {
         if (next.epoch() <= state.epoch()) {
             return;
--- a/src/main/java/ochretiller/fleet/replication/ClaimDecision.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimDecision.java
@@ -13,9 +13,7 @@
 public record ClaimDecision(Kind kind, Optional<ClaimId> claimId, Optional<ClaimOutcome> outcome) {
     /** Kinds of decisions. */
     public enum Kind {
-        /**
-         * A majority has granted the claim: this server, and no other, may run the invocation now.
-         */
+        /** A majority has granted the claim: only this server may run the invocation. */
         RUN,
         /** The invocation has run before: the stored result is the answer. */
         REPLAY,
@@ -28,10 +26,7 @@
          * later retry may find the outcome.
          */
         OUTCOME_UNKNOWN,
-        /**
-         * No majority answered, or there is no capacity: the invocation was not run and may be
-         * retried.
-         */
+        /** No majority or no capacity: the invocation did not run, and may be retried. */
         THROTTLED
     }
 
--- a/src/main/java/ochretiller/fleet/replication/ClaimDispatcher.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimDispatcher.java
@@ -9,7 +9,7 @@
  * Sends the requests of claim attempts: first to the fastest replicas that form a quorum, then to
  * one more if a reply is late (a hedged request) or is not a grant, and finally again to all
  * replicas whose replies are missing. Hedged and repeated requests draw on a {@link RetryBudget}.
- * Not thread-safe; callers pass the current time.
+ * Not thread-safe; callers pass the time.
  */
 final class ClaimDispatcher {
     /** Minimum interval between probes of unresponsive replicas while no quorum is responsive. */
@@ -97,9 +97,7 @@
         return attempt.sinceRequest(now).compareTo(delay) >= 0;
     }
 
-    /**
-     * Repeats the request to all replicas whose replies are missing, as far as the budget allows.
-     */
+    /** Repeats the request to replicas whose replies are missing, within the budget. */
     void retryUnanswered(ClaimAttempt attempt, Duration now) {
         for (String replica : attempt.startRetry(now)) {
             if (!budget.trySpend()) {
--- a/src/main/java/ochretiller/fleet/replication/ClaimModes.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimModes.java
@@ -12,7 +12,7 @@
  * non-transitionally has ended. It marks its own claims as transitional, so that two servers that
  * both leave fleet mode do not prolong each other's transition.
  *
- * <p>Not thread-safe; confined to the fleet's decision thread. Callers pass the current time.
+ * <p>Not thread-safe; confined to the fleet's decision thread. Callers pass the time.
  */
 public final class ClaimModes {
     private final ClaimModeSettings settings;
@@ -26,8 +26,7 @@
     public ClaimModes(ClaimModeSettings settings, Duration maxWindow, Duration now) {
         this.settings = settings;
         this.maxWindow = maxWindow;
-        // A previous process of this server, and any other server, may have claimed tokens until
-        // now.
+        // A previous process of this server, or another server, may have claimed until now.
         this.transitionEnd = now.plus(maxWindow);
     }
 
--- a/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
@@ -9,7 +9,7 @@
 
 /**
  * Releases claims that never ran, so that other servers may claim their tokens, and repeats a
- * release on request. Not thread-safe; callers pass the current time.
+ * release on request. Not thread-safe; callers pass the time.
  */
 final class ClaimReleases {
     /** Maximum number of released claims kept in memory to repeat their releases on request. */
--- a/src/main/java/ochretiller/fleet/replication/ClaimVoter.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimVoter.java
@@ -8,8 +8,7 @@
 
 /**
  * The replica's side of claims: grants each token to the first claim that arrives, in the current
- * epoch and in complete ranges only, and stores outcomes. Not thread-safe; callers pass the current
- * time.
+ * epoch and in complete ranges only, and stores outcomes. Not thread-safe; callers pass the time.
  */
 final class ClaimVoter {
     private final ReplicaState state;
--- a/src/main/java/ochretiller/fleet/replication/DiskFreshnessCheck.java
+++ b/src/main/java/ochretiller/fleet/replication/DiskFreshnessCheck.java
@@ -13,7 +13,7 @@
  * highest change number that they have observed from this replica; if its own number is lower, the
  * replica is treated as one that has lost its disk. It does not vote until the check has ended
  * (compare recovery in "Viewstamped Replication Revisited", Liskov and Cowling 2012, section 4.3).
- * Not thread-safe; callers pass the current time.
+ * Not thread-safe; callers pass the time.
  */
 final class DiskFreshnessCheck {
     private static final Duration QUERY_INTERVAL = Duration.ofMillis(100);
@@ -71,10 +71,7 @@
         return true;
     }
 
-    /**
-     * Ends the check if the replies suffice; otherwise repeats the query to the missing peers when
-     * it is due.
-     */
+    /** Ends the check if the replies suffice; otherwise queries missing peers when due. */
     Progress advance(Duration now) {
         long highest = reportedNumbers.values().stream().mapToLong(Long::longValue).max().orElse(0);
         if (highest > state.changeNumber()) {
--- a/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
+++ b/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
@@ -14,12 +14,11 @@
 
 /**
  * Holds a replica's messages back until the changes that they depend on, and all earlier changes,
- * are durable: no other server may act on a promise that a crash could undo.
+ * are durable: no peer may see a promise that a crash could undo.
  *
- * <p>After a failed write all messages are dropped, as if the network had lost them, until
- * everything that is not known to be on disk has been rewritten. Retries back off exponentially
- * with jitter. Writes are acknowledged in order. Not thread-safe; the caller passes the time and
- * random numbers.
+ * <p>After a failed write all messages are dropped, as if lost by the network, until everything not
+ * known to be on disk has been rewritten. Retries back off exponentially with jitter. Writes are
+ * acknowledged in order. Not thread-safe; the caller passes the time and random numbers.
  */
 public final class DurabilityBarrier {
     /** Maximum number of messages that wait for the disk; beyond it the disk counts as failed. */
@@ -64,10 +63,7 @@
         return waitingMessages;
     }
 
-    /**
-     * Returns how many messages were dropped because the changes that they depend on did not become
-     * durable.
-     */
+    /** Returns how many messages were dropped because changes they depend on were not durable. */
     public long droppedMessages() {
         return droppedMessages;
     }
--- a/src/main/java/ochretiller/fleet/replication/EpochHandover.java
+++ b/src/main/java/ochretiller/fleet/replication/EpochHandover.java
@@ -7,10 +7,9 @@
 
 /**
  * Hands ranges over between epochs. A new replica of a range lags until it has pulled the range
- * completely from a majority of the previous replicas. Its requests make them adopt the new epoch,
- * and they grant nothing in the old one from then on. Any majority that granted a claim before has
- * a replica in common with the majority that was pulled from, so no granted claim is missed. Not
- * thread-safe; callers pass the current time.
+ * from a majority of the previous replicas. Its requests make them adopt the epoch, after which
+ * they grant nothing in the old one. Any majority that granted a claim before intersects that
+ * majority, so no grant is missed. Not thread-safe; callers pass the time.
  */
 final class EpochHandover {
     private final ReplicaState state;
--- a/src/main/java/ochretiller/fleet/replication/HandoffHints.java
+++ b/src/main/java/ochretiller/fleet/replication/HandoffHints.java
@@ -75,10 +75,7 @@
         dueByReachable.computeIfAbsent(replica, ignored -> new BitSet()).set(range);
     }
 
-    /**
-     * Returns the number of hints: ranges to compare, summed over reachable and unreachable
-     * replicas.
-     */
+    /** Returns the number of ranges to compare, summed over all replicas. */
     int count() {
         return cardinality(dueByReachable) + cardinality(missedByUnreachable);
     }
--- a/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
+++ b/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
@@ -10,7 +10,7 @@
 /**
  * Replicates outcomes of claimed runs to a write quorum of their tokens' replicas before the client
  * is answered, and afterwards to the remaining replicas with a few retries. Tracks granted claims
- * that have not ended. Not thread-safe; callers pass the current time.
+ * that have not ended. Not thread-safe; callers pass the time.
  */
 final class OutcomeReplication {
     /** Maximum number of outcomes being replicated. */
--- a/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
+++ b/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
@@ -11,7 +11,7 @@
 
 /**
  * An outcome being replicated to a write quorum of its token's replicas. Not thread-safe; callers
- * pass the current time.
+ * pass the time.
  */
 final class PendingOutcome {
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(60);
@@ -33,8 +33,7 @@
 
     /**
      * @param changeNumbers the replicas' change numbers when they granted the claim
-     * @param onStored called once with whether a quorum has stored the outcome by the reply
-     *     deadline
+     * @param onStored called once with whether a quorum stored the outcome in time
      */
     PendingOutcome(
             String token,
@@ -75,10 +74,7 @@
         return now.minus(sentAt);
     }
 
-    /**
-     * Records that a replica has stored the outcome; returns whether this is its first
-     * confirmation.
-     */
+    /** Records that a replica has stored the outcome; returns false if that was known. */
     boolean addStored(String replica) {
         return storedBy.add(replica);
     }
--- a/src/main/java/ochretiller/fleet/replication/PullSources.java
+++ b/src/main/java/ochretiller/fleet/replication/PullSources.java
@@ -7,9 +7,8 @@
 import java.util.Set;
 
 /**
- * The state of the peers that {@link AntiEntropy} pulls from: which of them have answered in the
- * current epoch, and which are unresponsive and therefore only probed at intervals. Not
- * thread-safe.
+ * The peers that {@link AntiEntropy} pulls from: tracks which have answered in the current epoch,
+ * and which are unresponsive and therefore only probed at intervals. Not thread-safe.
  */
 final class PullSources {
     private static final Duration PROBE_INTERVAL = RangePull.RETRY_INTERVAL;
--- a/src/main/java/ochretiller/fleet/replication/RangePager.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePager.java
@@ -9,7 +9,7 @@
 /**
  * Answers requests for entries of a range with pages that fit into one datagram each, at a bounded
  * rate. A request that exceeds the rate is dropped, as if the network had lost it. Not thread-safe;
- * callers pass the current time.
+ * callers pass the time.
  */
 final class RangePager {
     /** Maximum estimated size of the entries of a page; a larger single entry is sent alone. */
--- a/src/main/java/ochretiller/fleet/replication/RangePull.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePull.java
@@ -6,11 +6,10 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Pulls the missing entries of one range from one source, page by page. A sketch identifies the
- * differences of nearly equal copies. If too much differs, the range is walked, entries with the
- * latest expiry first, and a final sketch finds entries that changed during the walk. Requests are
- * self-contained, so that a pull can be aborted and resumed at any point. Not thread-safe; callers
- * pass the current time.
+ * Pulls the missing entries of one range from one source, page by page. A sketch finds the
+ * differences of nearly equal copies. If too much differs, the range is walked, latest expiry
+ * first, and a final sketch finds entries that changed meanwhile. Requests are self-contained, so
+ * that a pull can be aborted and resumed at any point. Not thread-safe; callers pass the time.
  */
 final class RangePull {
     /** Interval after which an unanswered request is repeated. */
@@ -31,9 +30,7 @@
     /** Cells added to a sketch for each entry by which the two entry counts differ. */
     private static final double CELLS_PER_DIFFERENCE = 1.6;
 
-    /**
-     * Ratio of the source's to the local entry count above which a walk is cheaper than a sketch.
-     */
+    /** Ratio of the source's to the local entry count above which a walk is cheaper. */
     private static final int WALK_FACTOR = 2;
 
     /**
@@ -130,18 +127,12 @@
         requestedAt = Optional.of(now);
     }
 
-    /**
-     * Chooses the method of the first request: a walk if there are no local entries, or else a
-     * sketch.
-     */
+    /** Chooses the first method: a walk if there are no local entries, else a sketch. */
     void chooseFirstMethod() {
         method = entries.entryCount(range) == 0 ? Method.WALK_BY_EXPIRY : Method.SKETCH;
     }
 
-    /**
-     * Sizes a sketch by the difference of the entry counts, a lower bound on the number of
-     * differing entries.
-     */
+    /** The difference of the counts is a lower bound on the number of differing entries. */
     private int cellsFor(int sourceEntryCount) {
         int difference = Math.abs(sourceEntryCount - entries.entryCount(range));
         int cells = MIN_SKETCH_CELLS / 2 + (int) (CELLS_PER_DIFFERENCE * difference);
--- a/src/main/java/ochretiller/fleet/replication/RangeReceiver.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeReceiver.java
@@ -4,7 +4,7 @@
 
 /**
  * Merges pages of entries from other replicas into the local entries, and starts downloads of their
- * chunked results. Not thread-safe; callers pass the current time.
+ * chunked results. Not thread-safe; callers pass the time.
  */
 final class RangeReceiver {
     private final ReplicaState state;
--- a/src/main/java/ochretiller/fleet/replication/Replica.java
+++ b/src/main/java/ochretiller/fleet/replication/Replica.java
@@ -9,11 +9,10 @@
 
 /**
  * One server's replica of claims and outcomes. Performs no I/O: the host passes messages, time and
- * random numbers, and carries out the returned sends and writes. A replica votes in its current
- * epoch only, and grants each token to the first claim. After a change of replicas or the loss of
- * its disk, it has to fetch a range from enough of the previous replicas before its votes on the
- * range count; a replica that was merely unreachable may vote at once, since it knows what it
- * granted.
+ * random numbers, and performs the sends and writes. Votes in its current epoch only, and grants
+ * each token to the first claim. After a change of replicas or the loss of its disk, it has to
+ * fetch a range from enough of the previous replicas before its votes count; a replica that was
+ * merely unreachable may vote at once, since it knows what it granted.
  *
  * <p>After each call the host stores the entries of {@link #takeChangedTokens} and, if {@link
  * #takeMetadataChanged} returns true, {@link #metadataSnapshot}; when both are durable, it sends
@@ -166,10 +165,7 @@
         return state.entries().entryCount(range);
     }
 
-    /**
-     * Returns up to {@code limit} tokens of a range, in token order, for the administrator's
-     * listing.
-     */
+    /** Returns the first tokens of a range, in token order, for the administrator's listing. */
     public List<TokenSummary> listTokens(int range, int limit) {
         return state.entries().summarize(range, limit);
     }
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntries.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntries.java
@@ -16,20 +16,15 @@
  * The entries of a replica, by range. Each entry has a digest, and each range the XOR of its
  * entries' digests, so that equal copies of a range are detected without comparing entries. Tracks
  * entries that have changed since the last call of {@link #takeChangedTokens}. Not thread-safe;
- * callers pass the current time.
+ * callers pass the time.
  */
 final class ReplicaEntries {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    /**
-     * Minimum time between two expiry scans of a range; entries may outlive their windows by as
-     * much.
-     */
+    /** Minimum time between two expiry scans of a range; delays the removal of entries. */
     private static final Duration EXPIRY_INTERVAL = Duration.ofSeconds(1);
 
-    /**
-     * Maximum number of conflicting tokens kept until they are reported; others are only counted.
-     */
+    /** Maximum number of conflicting tokens to report; further ones are only counted. */
     private static final int MAX_REPORTED_CONFLICTS = 20;
 
     private final TreeMap<Integer, Range> ranges = new TreeMap<>();
@@ -165,10 +160,7 @@
         }
     }
 
-    /**
-     * Removes expired entries. Scans a range only if one may have expired, and at most once per
-     * {@link #EXPIRY_INTERVAL}.
-     */
+    /** Removes expired entries; scans a range only if one may have expired, and at intervals. */
     void removeExpired(Duration now) {
         for (Range range : ranges.values()) {
             if (range.isScanDue(now)) {
--- a/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
@@ -20,17 +20,12 @@
     /** Number of deviations above the mean from which on a reply counts as late. */
     private static final double LATE_DEVIATIONS = 4;
 
-    /**
-     * Minimum hedge delay; shorter delays are below the timer resolution of the host's event loop.
-     */
+    /** Minimum hedge delay, to stay above the timer resolution of the host's event loop. */
     private static final Duration MIN_HEDGE_DELAY = Duration.ofMillis(5);
 
     private static final Duration MAX_HEDGE_DELAY = Duration.ofMillis(50);
 
-    /**
-     * Maximum number of replicas tracked, so that ever new names do not exhaust the memory of a
-     * long-lived process.
-     */
+    /** Maximum number of replicas tracked; bounds memory if ever new names appear. */
     private static final int MAX_TRACKED = 4_096;
 
     private final Map<String, Estimate> estimates = new HashMap<>();
--- a/src/main/java/ochretiller/fleet/replication/ReplicaMessageHandler.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaMessageHandler.java
@@ -6,7 +6,7 @@
 
 /**
  * Dispatches each message that a {@link Replica} receives to the component that handles it. Not
- * thread-safe; callers pass the current time.
+ * thread-safe; callers pass the time.
  */
 final class ReplicaMessageHandler {
     private final ReplicaState state;
--- a/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
@@ -47,8 +47,7 @@
      *
      * @param otherClaim the completed claim, or else another claim that may be running
      * @param outcome the token's outcome, if the replica has one
-     * @param changeNumber number of the replica's last change, which is durable before the reply is
-     *     sent
+     * @param changeNumber number of the replica's last change, durable before the reply
      */
     record ClaimReply(
             long epoch,
@@ -79,9 +78,7 @@
         LAGGING,
         /** The sender has already released this claim. */
         RELEASED,
-        /**
-         * The replica has no capacity for more claims of this token, or for new claims in general.
-         */
+        /** The replica has no capacity for this claim, or for any new claim. */
         OVER_CAPACITY
     }
 
@@ -207,10 +204,7 @@
     record RangeDigest(long epoch, int range, long digest, int entryCount, boolean reply)
             implements ReplicationMessage {}
 
-    /**
-     * Asks a peer for the highest change number that it has observed from the sender; sent after a
-     * restart.
-     */
+    /** Asks a peer, after a restart, for the highest change number observed from the sender. */
     record ChangeNumberQuery(long nonce) implements ReplicationMessage {}
 
     /** Answers a {@link ChangeNumberQuery}; 0 if the peer has observed none. */
--- a/src/main/java/ochretiller/fleet/replication/ReplyTally.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplyTally.java
@@ -34,16 +34,12 @@
         return unclaimed;
     }
 
-    /**
-     * Returns whether too many replicas have not granted the claim for the rest to form a quorum.
-     */
+    /** Returns whether too many replicas refused for the others to form a quorum. */
     boolean excludesQuorum(int replicas, int quorum) {
         return replicas - refusals < quorum;
     }
 
-    /**
-     * Returns whether one more replica has to be contacted because those contacted cannot decide.
-     */
+    /** Returns whether the contacted replicas cannot decide, so that one more is needed. */
     boolean needsAnotherReplica(int missingReplies, int quorum) {
         return refusals > 0
                 && (granted + unclaimed + missingReplies < quorum || missingReplies == 0);
--- a/src/main/java/ochretiller/fleet/replication/SetSketch.java
+++ b/src/main/java/ochretiller/fleet/replication/SetSketch.java
@@ -29,10 +29,7 @@
      */
     static final int CELL_BYTES = 14;
 
-    /**
-     * Number of hash functions; each maps keys into its own partition, so that a key's cells are
-     * distinct.
-     */
+    /** Hash functions; each maps into its own partition, so that a key's cells are distinct. */
     private static final int HASH_COUNT = 3;
 
     private final int cells;
@@ -110,9 +107,7 @@
         return difference;
     }
 
-    /**
-     * Removes the keys of cells with a single key until no such cell is left; modifies this sketch.
-     */
+    /** Peels cells with a single key until none is left; modifies this sketch. */
     private Optional<SetDifference> decode() {
         Set<Long> positive = new HashSet<>();
         Set<Long> negative = new HashSet<>();
--- a/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
+++ b/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
@@ -8,10 +8,7 @@
     /** Number of consecutive unanswered requests from which on a peer counts as unresponsive. */
     private static final int UNRESPONSIVE_THRESHOLD = 3;
 
-    /**
-     * Maximum number of peers tracked, so that ever new names do not exhaust the memory of a
-     * long-lived process.
-     */
+    /** Maximum number of peers tracked; bounds memory if ever new names appear. */
     private static final int MAX_TRACKED = 4_096;
 
     private final Map<String, Integer> unansweredRequests = new HashMap<>();
--- a/src/main/java/ochretiller/fleet/replication/package-info.java
+++ b/src/main/java/ochretiller/fleet/replication/package-info.java
@@ -1,7 +1,6 @@
 /**
  * Replication of claims and outcomes of keyed (idempotency-token) invocations: each token runs at
- * most once in the fleet within its window, and a repeated invocation at any server gets the stored
- * answer.
+ * most once in the fleet within its window, and a repeat at any server gets the stored answer.
  *
  * <p><b>Job.</b> Tokens are partitioned into ranges. A numbered epoch ({@link
  * ochretiller.fleet.consensus.ReplicaPlacement}) assigns replicas to each range. Before a server
@@ -14,14 +13,13 @@
  * operations are claimed at all.
  *
  * <p><b>State.</b> Entries per token ({@link ochretiller.fleet.replication.ReplicaEntry}), which
- * only grow and can be merged in any order, and claims and outcomes in flight. All of it is
- * bounded.
+ * only grow and merge in any order, and claims and outcomes in flight. All of it is bounded.
  *
- * <p><b>Thread.</b> Decision logic only: no I/O, clock or threads. Callers pass the time and random
- * numbers, and carry out the returned messages and writes. Each object is confined to one thread.
+ * <p><b>Thread.</b> Decision logic only: no I/O, clock or threads. Callers pass time and random
+ * numbers, and perform the returned sends and writes. Each object is confined to one thread.
  *
  * <p><b>Neighbours.</b> {@code fleet.consensus} agrees on placements; {@code fleet.service}
- * performs the network and disk I/O; the emulator does so in virtual time. {@code docs/copies.md}
- * describes the design.
+ * performs the I/O; the emulator does so in virtual time. {@code docs/copies.md} describes the
+ * design.
  */
 package ochretiller.fleet.replication;
--- a/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
@@ -7,10 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/**
- * Checks which operations are claimed, and how long a server that leaves fleet mode continues to
- * claim.
- */
+/** Checks which operations are claimed, and for how long during a change to server mode. */
 class ClaimModesTest {
     private final Duration now = Duration.ofSeconds(5);
 
--- a/src/test/java/ochretiller/fleet/replication/DiskFreshnessCheckTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DiskFreshnessCheckTest.java
@@ -7,9 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/**
- * Checks that a restarted replica detects whether its disk contains all changes that it has sent.
- */
+/** Checks that a restarted replica detects a disk that lacks changes it has sent. */
 class DiskFreshnessCheckTest {
     private final ReplicationCluster cluster = new ReplicationCluster();
 
--- a/src/test/java/ochretiller/fleet/replication/MarkGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/replication/MarkGoldenTest.java
@@ -14,9 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares entry digests, range digests and sketches with golden values, since replicas of
- * different releases exchange them. An entry digest covers the texts of its claims, formatted by
- * {@link ClaimId#toString}, in claim order.
+ * Compares digests and sketches with golden values, since replicas of different releases exchange
+ * them. An entry digest covers its claims as {@link ClaimId#toString} formats them, in claim order.
  */
 class MarkGoldenTest {
     private static final GoldenFile GOLDEN = new GoldenFile("entry-marks");
