--- a/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
@@ -8,15 +8,16 @@
 import ochretiller.collections.BoundedMap;
 
 /**
- * Releases claims that are known never to have run, so that others may claim their tokens, and
- * repeats that to whoever asks. Not thread-safe; time is handed in.
+ * Releases claims that never ran, so that other servers may claim their tokens, and repeats a
+ * release on request. Not thread-safe; callers pass the time.
  */
 final class ClaimReleases {
-    /** Released claims that are remembered, to repeat their release when asked. */
-    private static final int MAX_REMEMBERED = 20_000;
+    /** Maximum number of released claims kept in memory to repeat their releases on request. */
+    private static final int MAX_RELEASED_CLAIMS = 20_000;
 
     private final CoordinatorState state;
-    private final Map<ClaimId, Duration> windowEnds = BoundedMap.evictingOldest(MAX_REMEMBERED);
+    private final Map<ClaimId, Duration> windowEnds =
+            BoundedMap.evictingOldest(MAX_RELEASED_CLAIMS);
 
     ClaimReleases(CoordinatorState state) {
         this.state = state;
@@ -29,7 +30,7 @@
         }
     }
 
-    /** Answers whether a claim of this server runs; only one that never will is answered for. */
+    /** Repeats the release if the claim in question was released; ignores the query otherwise. */
     void onOwnerQuery(String from, ReplicationMessage.OwnerQuery query, Duration now) {
         Duration windowEnd = windowEnds.get(query.claimId());
         if (windowEnd == null) {
