--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -16,11 +16,11 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The claims of this server's own invocations: decides whether one is needed, answers repeats from
- * a local cache, and counts what comes of them. On the event loop.
+ * Handles the claims of this server's own invocations: decides whether a claim is required, answers
+ * retries from a local cache, and counts the decisions. Confined to the event loop.
  */
 final class ClaimService {
-    /** Outcomes that were learned lately and are answered without asking the replicas. */
+    /** Maximum number of cached outcomes, which are replayed without asking the replicas. */
     private static final int MAX_LOCAL_OUTCOMES = 1_000;
 
     private final Scheduler scheduler;
@@ -35,7 +35,7 @@
     /**
      * Creates the service.
      *
-     * @param publisher sends what the coordinator has to send
+     * @param publisher sends the coordinator's queued messages
      */
     ClaimService(
             FleetContext context,
@@ -54,17 +54,17 @@
         return metrics;
     }
 
-    /** Returns how long granted claims took. */
+    /** Returns the latency statistics of granted claims. */
     ClaimLatency latency() {
         return latency;
     }
 
-    /** Notes that another server claims such operations. */
+    /** Records that another server claims invocations of the fingerprint's operation. */
     void observeClaim(String fingerprint, boolean isTransitional, Duration now) {
         modes.claimObserved(RequestFingerprint.operationOf(fingerprint), isTransitional, now);
     }
 
-    /** Asks whether an invocation may run; see {@link ReplicationService#claim}. */
+    /** Decides whether an invocation may run; see {@link ReplicationService#claim}. */
     void claim(
             String token,
             String fingerprint,
@@ -97,7 +97,7 @@
         coordinator.claim(
                 new ClaimIntent(token, fingerprint, isTransitional, deadline, windowEnd),
                 now,
-                decision -> decided(token, now, windowEnd, decision, completion));
+                decision -> handleDecision(token, now, windowEnd, decision, completion));
         publisher.run();
     }
 
@@ -108,7 +108,7 @@
                 .filter(outcome -> !outcome.result().isEmpty());
     }
 
-    private void decided(
+    private void handleDecision(
             String token,
             Duration claimedAt,
             Duration windowEnd,
@@ -121,22 +121,23 @@
             }
             case REPLAY -> {
                 metrics.replayed.add();
-                remember(token, decision.outcome().orElseThrow(), windowEnd);
+                cacheOutcome(token, decision.outcome().orElseThrow(), windowEnd);
             }
             case THROTTLED -> metrics.throttled.add();
             case OUTCOME_UNKNOWN -> metrics.outcomeUnknown.add();
             default -> {
-                // Other decisions are counted where they are made.
+                // Not counted: these kinds have no counter of their own.
             }
         }
         completion.accept(decision);
     }
 
     /**
-     * Long results are not cached, since they would fill the memory. An outcome may be known for up
-     * to one window longer than it should: a repeat after its window is a fault of the client.
+     * Caches an outcome, unless its result is long, since long results would fill the memory. An
+     * outcome may stay cached for up to one window too long, which is harmless: a client must not
+     * retry after the window.
      */
-    private void remember(String token, ClaimOutcome outcome, Duration windowEnd) {
+    private void cacheOutcome(String token, ClaimOutcome outcome, Duration windowEnd) {
         if (outcome.isChunked()) {
             return;
         }
@@ -147,13 +148,13 @@
                 () -> localOutcomes.remove(token));
     }
 
-    /** A claimed run has never begun: its token is free again. */
+    /** Reports that a claimed run was never started, so that its token is released. */
     void releaseClaim(ClaimId claimId, Duration windowEnd) {
         coordinator.releaseClaim(claimId, windowEnd, scheduler.now());
         publisher.run();
     }
 
-    /** A claimed run has ended; see {@link ReplicationService#reportOutcome}. */
+    /** Reports that a claimed run has ended; see {@link ReplicationService#reportOutcome}. */
     void reportOutcome(
             ClaimId claimId,
             String fingerprint,
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -25,15 +25,15 @@
 import ochretiller.store.Store;
 
 /**
- * A server's part in its fleet: drives the membership protocol, passes messages on to replication
- * and rollout, and answers the operators' commands.
+ * Runs a server as a member of its fleet: drives the membership protocol, dispatches messages to
+ * replication and rollout, and handles admin commands.
  *
- * <p>On the event loop, unless a method says otherwise.
+ * <p>Methods run on the event loop unless stated otherwise.
  */
 public final class FleetService {
     private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
 
-    /** Interval at which gauges and the file of known peers are brought up to date. */
+    /** Interval at which the gauges and the file of known peers are updated. */
     private static final Duration METRICS_INTERVAL = Duration.ofSeconds(1);
 
     private static final int FIRST_STATE_VERSION = 1;
@@ -54,12 +54,11 @@
     private boolean isClosed;
 
     /**
-     * Creates a service that listens but does not take part yet, so that an address in use is
-     * reported before anything is served.
+     * Creates a service that listens but does not join the fleet yet, so that an address conflict
+     * is reported before the server accepts any request.
      *
-     * @param maxWindow longest idempotency window, with the client's timeouts
-     * @param store where replicated entries are kept, not started yet; nothing if they are kept in
-     *     memory
+     * @param maxWindow longest idempotency window, including the client's timeouts
+     * @param store store for replicated entries, not started yet; empty to use memory only
      * @throws IOException if an address cannot be bound
      */
     public FleetService(
@@ -75,7 +74,7 @@
         scheduler = runtime.scheduler();
         codec = new PacketCodec(settings.fleet(), FleetKeys.read(settings.keyFile()));
         socket = new PeerSocket(scheduler, codec, settings.listen(), this::receive);
-        Member self = self(settings, server);
+        Member self = createSelf(settings, server);
         membership =
                 new MembershipProtocol(
                         self, settings.seeds(), settings.pace(), runtime.random(), scheduler.now());
@@ -95,19 +94,19 @@
         Optional<ReplicationSettings> replicationSettings = Optional.ofNullable(settings.copies());
         replication =
                 replicationSettings.map(
-                        present ->
+                        configured ->
                                 new ReplicationService(
-                                        context, present, self.incarnation(), maxWindow, store));
-        rollout = replicationSettings.flatMap(present -> rollout(context, present, server));
-        rollout.ifPresent(present -> replication.orElseThrow().attachRollout(present));
+                                        context, configured, self.incarnation(), maxWindow, store));
+        rollout =
+                replicationSettings.flatMap(
+                        configured -> createRollout(context, configured, server));
+        rollout.ifPresent(service -> replication.orElseThrow().attachRollout(service));
         listenForCommands(runtime, server);
         metrics = new FleetMetrics(runtime.metrics(), membership, socket);
     }
 
-    /**
-     * The incarnation must differ from all before, also if the same configuration is read again.
-     */
-    private static Member self(FleetSettings settings, LocalServer server) {
+    /** The random incarnation differs at each start, even if the configuration is the same. */
+    private static Member createSelf(FleetSettings settings, LocalServer server) {
         long incarnation = new SecureRandom().nextLong() | 1;
         PeerAddress listenAddress =
                 new PeerAddress(
@@ -124,7 +123,7 @@
                 MemberState.JOINING);
     }
 
-    private Optional<RolloutService> rollout(
+    private Optional<RolloutService> createRollout(
             FleetContext context, ReplicationSettings replicationSettings, LocalServer server) {
         return Optional.ofNullable(replicationSettings.versions())
                 .map(
@@ -148,7 +147,7 @@
         runtime.network().listen("fleet", settings.listen(), endpoint::accepted);
     }
 
-    /** Begins to take part. From any thread. */
+    /** Starts the socket and joins the fleet. Callable from any thread. */
     public void start() {
         socket.start();
         scheduler.post(this::join);
@@ -163,7 +162,7 @@
                                 + " at "
                                 + membership.self().address());
         tick();
-        observe();
+        publishView();
         replication.ifPresent(ReplicationService::start);
     }
 
@@ -173,20 +172,20 @@
         }
         if (membership.nextTick().compareTo(scheduler.now()) <= 0) {
             membership.tick(scheduler.now());
-            publish();
+            flush();
         }
         Duration wait = membership.nextTick().minus(scheduler.now());
         scheduler.after(wait.isNegative() ? Duration.ZERO : wait, this::tick);
     }
 
-    private void observe() {
+    private void publishView() {
         if (isClosed) {
             return;
         }
         List<MemberSnapshot> view = membership.snapshot();
         peersFile.ifPresent(file -> storePeers(file, view));
         metrics.publish(view, membership.localHealthScore());
-        scheduler.after(METRICS_INTERVAL, this::observe);
+        scheduler.after(METRICS_INTERVAL, this::publishView);
     }
 
     private void storePeers(PeersFile file, List<MemberSnapshot> view) {
@@ -200,72 +199,72 @@
         }
         if (packet.message() instanceof MembershipMessage) {
             membership.receive(packet.packet(), scheduler.now());
-            publish();
+            flush();
         } else if (isFromLiveMember(packet)) {
             String server = packet.sender().id().name();
-            replication.ifPresent(present -> present.receive(server, packet.message()));
+            replication.ifPresent(service -> service.receive(server, packet.message()));
         }
     }
 
-    /** Majorities are counted by name, so that only the live bearer of a name may take part. */
+    /** Majorities count servers by name, so only the live member of a name may vote. */
     private boolean isFromLiveMember(ReceivedPacket packet) {
         return membership.isLive(packet.sender().id());
     }
 
-    private void publish() {
+    private void flush() {
         for (OutboundPacket each : membership.takeOutbound()) {
             sender.send(each);
         }
         for (MembershipChange each : membership.takeChanges()) {
-            report(each);
+            handleChange(each);
         }
     }
 
-    private void report(MembershipChange change) {
+    private void handleChange(MembershipChange change) {
         metrics.countChange();
         if (change instanceof MembershipChange.StateChanged stateChange
                 && stateChange.changesLiveness()) {
             Member member = change.member();
-            boolean isServed =
+            boolean isAddressServed =
                     member.state().isLive()
                             || member.serviceAddress()
                                     .filter(membership::isServedByLiveMember)
                                     .isPresent();
-            callbacks.memberObserver().accept(member, isServed);
+            callbacks.memberObserver().accept(member, isAddressServed);
         }
         if (!membershipLog.tryAcquireLine(scheduler.now())) {
             return;
         }
         if (change instanceof MembershipChange.DuplicateName) {
-            // Two replicas of one name would be counted as one: this one stays silent until its
-            // operators have seen to it.
+            // Two replicas with one name would be counted as one. This one stops sending until an
+            // operator resolves the conflict.
             replication.ifPresent(ReplicationService::stopSending);
         }
         membershipLog.log(change, membership.liveCount());
     }
 
-    /** Returns the replication, or null if there is none. */
+    /** Returns the replication service, or null if replication is not configured. */
     public ReplicationService replication() {
         return replication.orElse(null);
     }
 
-    /** Returns the rollout, or null if there is none. */
+    /** Returns the rollout service, or null if rollouts are not configured. */
     public RolloutService rollout() {
         return rollout.orElse(null);
     }
 
-    /** Reads the key file again; its keys hold from the next packet on. From any thread. */
+    /** Reloads the key file; its keys apply from the next packet on. Callable from any thread. */
     public void reload() {
         codec.replaceKeys(FleetKeys.read(settings.keyFile()));
     }
 
-    /** Tells the others that this server leaves; it goes on answering until it is closed. */
+    /** Announces that this server is leaving; it keeps responding until it is closed. */
     public void leave() {
         membership.leave(scheduler.now());
-        publish();
+        flush();
     }
 
-    /** Ends its part in the fleet without a message. */
+    /** Leaves the fleet without notifying other members, and closes the socket. */
     public void close() {
         isClosed = true;
         replication.ifPresent(ReplicationService::close);
--- a/src/main/java/ochretiller/fleet/service/PreviousClaims.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousClaims.java
@@ -11,11 +11,11 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Settles the claims of previous incarnations of this server when replicas ask about them.
+ * Resolves claims of previous incarnations of this server when replicas ask about them.
  *
  * <p>The in-flight marker of a run was durable before the run began. A disk that is complete and as
- * new as this server's last message therefore tells whether a claim ever ran; one that may lack
- * anything proves nothing, and no answer is given. On the event loop.
+ * recent as this server's last message therefore proves whether a claim ever ran. A disk that may
+ * lack records proves nothing, and the question is ignored. Confined to the event loop.
  */
 final class PreviousClaims {
     private final Scheduler scheduler;
@@ -29,11 +29,11 @@
     private boolean isClosed;
 
     /**
-     * Creates an instance that gives no answer until {@link #use} is called.
+     * Creates an instance that ignores all questions until {@link #use} is called.
      *
-     * @param ownClaim a claim of this incarnation, to compare others with
+     * @param ownClaim any claim ID of this incarnation; gives its server name and incarnation
      * @param maxWindow longest idempotency window
-     * @param publisher sends what the coordinator has to send
+     * @param publisher sends the coordinator's queued messages
      */
     PreviousClaims(
             Scheduler scheduler,
@@ -52,20 +52,20 @@
         this.publisher = publisher;
     }
 
-    /** Sets what knows about previous runs. */
+    /** Sets the lookup of previous runs. */
     void use(PreviousIncarnation previous) {
         previousIncarnation = Optional.of(previous);
     }
 
-    /** Answers a replica that asks whether a claim of this server runs, if that can be proved. */
+    /** Handles a replica's question about a claim of this server, if the disk proves its state. */
     void receive(ReplicationMessage.OwnerQuery query, Optional<Replica> replica) {
-        boolean canBeSettled =
+        boolean isProvable =
                 isOfPreviousIncarnation(query.claimId())
                         && isDiskConclusive(replica)
                         && ReplicaEntryCodec.tokenFits(query.token());
-        if (canBeSettled) {
+        if (isProvable) {
             previousIncarnation.ifPresent(
-                    previous -> previous.lookUp(query.token(), run -> settle(query, run)));
+                    previous -> previous.lookUp(query.token(), run -> resolve(query, run)));
         }
     }
 
@@ -82,7 +82,7 @@
                 && replica.get().statistics().staleDisks() == 0;
     }
 
-    private void settle(ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
+    private void resolve(ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
         if (isClosed) {
             return;
         }
@@ -110,7 +110,7 @@
         coordinator.reportPreviousOutcome(query.token(), completed, now);
     }
 
-    /** Nothing is settled from here on. */
+    /** Stops resolving claims; pending lookups have no effect. */
     void close() {
         isClosed = true;
     }
--- a/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
@@ -3,22 +3,25 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** What former processes of this server have left of a token, as far as its disk can prove. */
+/** Looks up whether previous processes of this server ran an invocation, as its disk proves. */
 public interface PreviousIncarnation {
-    /** How far one is known to have come. */
+    /** Progress of a previous run. */
     enum Finding {
-        /** Nothing under it was ever begun: its mark would be on the disk. */
+        /** No run with this token was ever started, or its in-flight marker would be on the disk. */
         NEVER,
-        /** It may have been begun, and its end is not known. */
+        /** A run may have been started, and its outcome is not known. */
         UNKNOWN,
-        /** It has ended. */
+        /** The run has ended. */
         ENDED
     }
 
     /**
-     * @param body hash of what was asked for, its operation among it; of an end only
-     * @param result null where it did not succeed
-     * @param windowEnds end of its window, of an end only
+     * A previous run of an invocation. Only a run that has ended has a fingerprint and a window.
+     *
+     * @param kind progress of the run
+     * @param body request fingerprint: operation and body hash; null unless the run has ended
+     * @param result null if the run did not succeed
+     * @param windowEnds end of its idempotency window; zero unless the run has ended
      */
     record PreviousRun(Finding kind, String body, byte[] result, Duration windowEnds) {
         public static final PreviousRun NEVER =
@@ -27,6 +30,10 @@
                 new PreviousRun(Finding.UNKNOWN, null, null, Duration.ZERO);
     }
 
-    /** Hands over what is known, perhaps at once. */
-    void lookUp(String token, Consumer<PreviousRun> then);
+    /**
+     * Looks up the run of a token.
+     *
+     * @param completion called once with the run, possibly before this method returns
+     */
+    void lookUp(String token, Consumer<PreviousRun> completion);
 }
--- a/src/main/java/ochretiller/fleet/service/RecoveredReplica.java
+++ b/src/main/java/ochretiller/fleet/service/RecoveredReplica.java
@@ -6,18 +6,18 @@
 import ochretiller.fleet.replication.ReplicaSnapshot;
 
 /**
- * What the start of a replica has found on its disk.
+ * State of a replica that was recovered from its disk.
  *
- * @param snapshot nothing if there was none, or if the disk may lack some of it
- * @param entries all entries that were found, by token; each of them holds on its own
- * @param changeNumber highest number of a change that was found
+ * @param snapshot empty if the disk has no placement or may be incomplete
+ * @param entries all entries that were read, by token; each is valid even if others are missing
+ * @param changeNumber highest change number that was read
  */
 record RecoveredReplica(
         Optional<ReplicaSnapshot> snapshot,
         Map<String, ReplicaEntry> entries,
         long changeNumber,
         ReplicaMetadata metadata) {
-    /** Nothing is recovered where entries are kept in memory. */
+    /** The state without a disk, or with an empty one. */
     static final RecoveredReplica NOTHING =
             new RecoveredReplica(Optional.empty(), Map.of(), 0, ReplicaMetadata.NONE);
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicaHost.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaHost.java
@@ -18,17 +18,18 @@
 import ochretiller.fleet.replication.SubmittedChange;
 
 /**
- * Runs this server's replica: gives it time and messages, and sends its messages once the changes
- * that they rest on are durable. Without a storage the entries are in memory, and a replica that
- * was restarted counts again once others have filled it. On the event loop.
+ * Runs this server's replica: passes it ticks and messages, and sends its messages once the changes
+ * that they depend on are durable. Without a storage the entries are in memory only, and a
+ * restarted replica votes again once it has fetched them from other replicas. Confined to the event
+ * loop.
  */
 final class ReplicaHost {
     private static final Logger LOG = Logger.getLogger(ReplicationService.class.getName());
 
-    /** One of so many ticks compares a range with another replica. */
+    /** Mean number of ticks between two comparisons of a range with another replica. */
     private static final int TICKS_PER_COMPARISON = 25;
 
-    /** While entries change, the metadata is written at least so often. */
+    /** Maximum time between two writes of the metadata while entries change. */
     private static final Duration METADATA_INTERVAL = Duration.ofSeconds(1);
 
     private static final long NO_CHANGE_NUMBER = -1;
@@ -48,11 +49,11 @@
     private long writtenChangeNumber = NO_CHANGE_NUMBER;
 
     /**
-     * Recovers the replica of a previous process, if the storage has one that may be used.
+     * Recovers the replica of a previous process, if the storage has a complete one.
      *
      * @param maxWindow longest idempotency window
-     * @param storage of a store that is not started yet
-     * @param metadata returns what is written beside the placement
+     * @param storage storage in a store that is not started yet; empty to use memory only
+     * @param metadata returns the metadata that is written together with the placement
      */
     ReplicaHost(
             FleetContext context,
@@ -84,36 +85,36 @@
         replica = Optional.of(restored);
         LOG.info(
                 () ->
-                        "fleet: kept "
+                        "fleet: recovered "
                                 + restored.statistics().entries()
                                 + " tokens of "
                                 + restored.placement()
                                 + ", "
                                 + restored.laggingRangeCount()
-                                + " ranges behind; asks the others whether it missed any");
+                                + " ranges lagging; asking other replicas for later changes");
     }
 
-    /** Returns what the disk had at the start. */
+    /** Returns the state that was found on the disk at the start. */
     RecoveredReplica recovered() {
         return recovered;
     }
 
-    /** Returns the long results that the replica keeps. */
+    /** Returns the long results that the replica stores. */
     ResultCache results() {
         return results;
     }
 
-    /** Returns the replica, or nothing as long as no epoch is known. */
+    /** Returns the replica, or empty as long as no epoch is known. */
     Optional<Replica> replica() {
         return replica;
     }
 
-    /** Returns what keeps the replica's messages back until its changes are durable. */
+    /** Returns the barrier that holds back messages until the changes before them are durable. */
     DurabilityBarrier barrier() {
         return barrier;
     }
 
-    /** Returns the state of the disk in the word that the operators' commands print. */
+    /** Returns the state of the disk as admin commands print it. */
     String diskState() {
         if (storage.isEmpty()) {
             return "none";
@@ -121,7 +122,7 @@
         return barrier.isDegraded() ? "sick" : "well";
     }
 
-    /** Takes a placement that has been committed; the first one creates the replica. */
+    /** Adopts a committed placement; the first one creates the replica. */
     void adoptPlacement(ReplicaPlacement placement, Duration now) {
         if (replica.isPresent()) {
             replica.get().adoptPlacement(placement, now);
@@ -131,8 +132,8 @@
     }
 
     /**
-     * Change numbers begin above all that this server has ever used, as long as its clock is not
-     * set back; if it is, the next start finds its disk stale, without harm.
+     * Creates a replica whose change numbers exceed all that this server has ever used, unless its
+     * wall clock was set back. In that case the next start treats its disk as stale, which is safe.
      */
     private Replica create(ReplicaPlacement placement, Duration now) {
         long clockNumber = System.currentTimeMillis() * CHANGE_NUMBERS_PER_MILLISECOND;
@@ -142,7 +143,7 @@
         return created;
     }
 
-    /** Gives the replica time, and sometimes compares a range with another replica. */
+    /** Ticks the replica, and at random ticks compares a range with another replica. */
     void tick(Duration now) {
         if (replica.isEmpty()) {
             return;
@@ -153,7 +154,7 @@
         }
     }
 
-    /** Tells the replica which servers are live, and reports its conflicts. */
+    /** Passes the names of live servers to the replica and logs its conflicts. */
     void observeLivePeers(Set<String> live) {
         if (replica.isPresent()) {
             replica.get().observeLivePeers(live);
@@ -161,24 +162,24 @@
         }
     }
 
-    /** Repeats writes that have failed. */
+    /** Retries failed writes. */
     void retryWrites(Duration now) {
         if (storage.isPresent()) {
             barrier.retryWrites(now).forEach(this::write);
         }
     }
 
-    /** Writes log lines about what has changed. */
+    /** Logs changes of the replica's status. */
     void logStatus(Duration now) {
         replica.ifPresent(present -> statusLog.update(present, barrier, now));
     }
 
-    /** Takes a message of another replica or of a coordinator. */
+    /** Handles a message from another replica or from a coordinator. */
     void receive(String sender, ReplicationMessage message, Duration now) {
         replica.ifPresent(present -> present.receive(sender, message, now));
     }
 
-    /** Stores what the replica has assembled and changed, and sends its messages. */
+    /** Stores assembled results and changed entries, and sends messages that may be sent. */
     void publish() {
         replica.ifPresent(this::publish);
     }
@@ -204,8 +205,8 @@
     }
 
     /**
-     * Entries expire: without the metadata a start would not know how far the replica had come when
-     * all that it wrote since is gone.
+     * Returns whether the metadata must be rewritten to record the latest change number, since the
+     * entries that also record it may all have expired by the next start.
      */
     private boolean isMetadataStale(Replica present, Duration now) {
         return now.minus(metadataWrittenAt).compareTo(METADATA_INTERVAL) >= 0
@@ -228,12 +229,12 @@
     }
 
     private void write(PendingWrite write) {
-        ReplicaMetadata beside = write.token().isEmpty() ? metadata.get() : ReplicaMetadata.NONE;
+        ReplicaMetadata written = write.token().isEmpty() ? metadata.get() : ReplicaMetadata.NONE;
         storage.orElseThrow()
                 .write(
                         write,
                         replica.orElseThrow(),
-                        beside,
+                        written,
                         context.scheduler().now(),
                         isDurable -> acknowledge(write, isDurable));
     }
--- a/src/main/java/ochretiller/fleet/service/ReplicaMetadata.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaMetadata.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * What is stored beside the placement of a replica.
+ * Metadata that is stored together with the placement of a replica.
  *
- * @param observedChangeNumbers highest change number that this server has heard of, by replica
- * @param incarnations last incarnations of this server that used this disk, oldest first
+ * @param observedChangeNumbers highest change number that this server has received, by replica
+ * @param incarnations latest incarnations of this server that used this disk, oldest first
  */
 record ReplicaMetadata(Map<String, Long> observedChangeNumbers, List<Long> incarnations) {
     static final ReplicaMetadata NONE = new ReplicaMetadata(Map.of(), List.of());
--- a/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
@@ -16,8 +16,8 @@
 import ochretiller.store.Store;
 
 /**
- * Reads what a previous process of a replica has left in the store, before the store is started.
- * Used once, on the thread that starts the server.
+ * Recovers the state of a replica of a previous process from the store, before the store is
+ * started. Used once, on the thread that starts the server.
  */
 final class ReplicaRecovery {
     private static final Logger LOG = Logger.getLogger(ReplicaStorage.class.getName());
@@ -34,7 +34,7 @@
     /**
      * Prepares a recovery.
      *
-     * @param now time of the event loop; entries expire relative to it
+     * @param now current time of the event loop, to which entries' expiry is converted
      */
     ReplicaRecovery(Store store, Duration now) {
         this.store = store;
@@ -49,12 +49,12 @@
             store.forEachValue(ReplicaStorage.ENTRY_KEY_PREFIX, this::recoverValue);
         } catch (IOException e) {
             isComplete = false;
-            LOG.warning("the keeper's entries cannot be read: " + e.getMessage());
+            LOG.warning("fleet: cannot read the replica's entries: " + e.getMessage());
         }
         if (!isComplete && storedPlacement.isPresent()) {
             LOG.severe(
-                    "fleet: what this server kept may lack something, and is fetched from the"
-                            + " others");
+                    "fleet: the replica's entries on disk may be incomplete; fetching them from"
+                            + " other replicas");
         }
         return new RecoveredReplica(snapshot(), entries, changeNumber, metadata);
     }
@@ -69,7 +69,7 @@
                 recoverEntry(in, expiresAtMillis);
             }
         } catch (IOException | IllegalArgumentException e) {
-            // Its checksum matched, but another program has written it.
+            // The checksum matched, so the value was written in a format unknown to this build.
             isComplete = false;
         }
     }
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -22,14 +22,14 @@
 import ochretiller.store.Store;
 
 /**
- * A replica's entries, metadata and long results in the store of idempotency records. Their keys
- * begin with bytes that no UTF-8 text begins with, so that no token can have them; {@code
- * docs/store-format.md} has the values.
+ * Stores a replica's entries, metadata and long results in the store of idempotency records. Their
+ * keys begin with bytes that never occur in UTF-8, so that they cannot equal a token. {@code
+ * docs/store-format.md} specifies the values.
  *
- * <p>Used on the event loop; writes are completed there later.
+ * <p>Confined to the event loop, which also runs the completions of writes.
  */
 public final class ReplicaStorage {
-    /** First byte of the keys of entries and of the metadata. */
+    /** First byte of the keys of entries and of the metadata key. */
     static final byte ENTRY_KEY_PREFIX = (byte) 0xFF;
 
     /** First byte of the keys of long results. */
@@ -46,14 +46,14 @@
     /**
      * Creates the storage in a store that has not been started yet.
      *
-     * @param maxLifetime longest lifetime that the store allows
+     * @param maxLifetime longest lifetime that the store accepts
      */
     ReplicaStorage(Store store, Duration maxLifetime) {
         this.store = store;
         this.maxLifetime = maxLifetime;
     }
 
-    /** Reads what a previous process has left; to be called before the store is started. */
+    /** Recovers the state of a previous process; must be called before the store is started. */
     RecoveredReplica recover(Duration now) {
         return new ReplicaRecovery(store, now).recover();
     }
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Writes the replica's present state of an entry, or its metadata.
+     * Writes the current state of an entry, or the metadata if the write names no token.
      *
-     * @param completion is called with whether the write is durable
+     * @param completion called with whether the write is durable
      */
     void write(
             PendingWrite write,
@@ -121,9 +121,9 @@
     }
 
     /**
-     * Stores a long result for as long as its entry.
+     * Stores a long result until its entry expires.
      *
-     * @param completion is called with whether the write is durable
+     * @param completion called with whether the write is durable
      */
     void storeResult(
             String token,
@@ -138,7 +138,7 @@
     /**
      * Reads a long result.
      *
-     * @param completion is called with the result, or nothing if there is none
+     * @param completion called with the result, or empty if there is none
      */
     void readResult(String token, ClaimId claimId, Consumer<Optional<byte[]>> completion) {
         store.read(resultKey(token, claimId), completion);
@@ -153,7 +153,7 @@
                 result -> completion.accept(result == AppendResult.DURABLE));
     }
 
-    /** Limits the lifetime to what the store allows, whatever a peer has stated. */
+    /** Returns the expiry on the store's clock, limited to what the store accepts. */
     private long expiryMillis(Duration expiresAt, Duration now) {
         long remainingMillis = expiresAt.minus(now).toMillis();
         long maxMillis = maxLifetime.toMillis() - 1;
@@ -179,17 +179,17 @@
             writer.write(generator);
             generator.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("a buffer in memory cannot fail", e);
+            throw new IllegalStateException("writing CBOR to memory failed", e);
         }
         return out.toByteArray();
     }
 
-    /** Describes a key for an operator who inspects a store; nothing for a key that is not ours. */
+    /** Describes a replica's key to operators who inspect a store; empty for other keys. */
     public static Optional<String> describeKey(byte[] key) {
-        boolean isOurs =
+        boolean isReplicaKey =
                 key.length >= METADATA_KEY.length
                         && (key[0] == ENTRY_KEY_PREFIX || key[0] == RESULT_KEY_PREFIX);
-        if (!isOurs) {
+        if (!isReplicaKey) {
             return Optional.empty();
         }
         String text = new String(key, 1, key.length - 1, StandardCharsets.UTF_8);
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -19,24 +19,24 @@
 import ochretiller.store.Store;
 
 /**
- * A server's part in the replication of claims and outcomes: distributes time and messages to the
- * acceptor, the replica, the claims of this server and the rollout, and makes committed placements
- * known to each of them. On the event loop.
+ * Runs a server's part in the replication of claims and outcomes: dispatches ticks and messages to
+ * the acceptor, the replica, the claims of this server and the rollout, and applies committed
+ * placements to each of them. Confined to the event loop.
  */
 public final class ReplicationService {
     private static final Logger LOG = Logger.getLogger(ReplicationService.class.getName());
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
-    /** Replicas report and acceptors announce and propose at about this interval. */
+    /** Approximate interval of replicas' reports and of acceptors' announcements and proposals. */
     private static final Duration PROGRESS_REPORT_INTERVAL = Duration.ofMillis(500);
 
-    /** Reports come up to this part of the interval early, so that servers do not keep step. */
+    /** Divisor of the interval; reports are early by up to the quotient, at random. */
     private static final int REPORT_JITTER_DIVISOR = 2;
 
-    /** Interval at which the replica learns who is live and the gauges are brought up to date. */
+    /** Interval at which the replica's view of live peers and the gauges are updated. */
     private static final Duration OBSERVATION_INTERVAL = Duration.ofMillis(500);
 
-    /** Incarnations with one disk that are remembered. */
+    /** Incarnations that are recorded on the disk, including the present one. */
     private static final int MAX_REMEMBERED_INCARNATIONS = 64;
 
     private final FleetContext context;
@@ -56,11 +56,11 @@
     private Duration observedAt = Duration.ZERO;
 
     /**
-     * Creates the service and recovers what a previous process has left.
+     * Creates the service and recovers the state of a previous process.
      *
-     * @param incarnation of this server
+     * @param incarnation incarnation of this server
      * @param maxWindow longest idempotency window
-     * @param store where entries are kept, not started yet; nothing if they are kept in memory
+     * @param store store for replicated entries, not started yet; empty to use memory only
      */
     ReplicationService(
             FleetContext context,
@@ -77,7 +77,7 @@
                         ? Optional.of(new ConsensusDriver(context, link, settings, maxWindow))
                         : Optional.empty();
         Optional<ReplicaStorage> storage =
-                store.map(present -> new ReplicaStorage(present, maxWindow));
+                store.map(opened -> new ReplicaStorage(opened, maxWindow));
         replicaHost = new ReplicaHost(context, link, settings, maxWindow, storage, this::metadata);
         RecoveredReplica recovered = replicaHost.recovered();
         incarnations = incarnations(recovered.metadata().incarnations(), incarnation);
@@ -91,7 +91,7 @@
                 new ClaimCoordinator(
                         context.serverName(), incarnation, placement, context.random());
         coordinator.restoreChangeNumbers(recovered.metadata().observedChangeNumbers());
-        claims = new ClaimService(context, coordinator, modes, this::publish);
+        claims = new ClaimService(context, coordinator, modes, this::flush);
         previousClaims =
                 new PreviousClaims(
                         context.scheduler(),
@@ -100,12 +100,12 @@
                         recovered,
                         coordinator,
                         claims.metrics(),
-                        this::publish);
+                        this::flush);
         resultChunks = new ResultChunkSender(link, coordinator, replicaHost.results());
         metrics = new ReplicationMetrics(context.metrics(), claims.latency());
     }
 
-    /** Returns the last incarnations that used this disk, with this one at the end. */
+    /** Returns the latest incarnations that used this disk, oldest first and this one last. */
     private static List<Long> incarnations(List<Long> previous, long incarnation) {
         List<Long> all = new ArrayList<>(previous);
         all.add(incarnation);
@@ -117,19 +117,19 @@
         return new ReplicaMetadata(coordinator.observedChangeNumbers(), incarnations);
     }
 
-    /** Lets a rollout follow the epochs of this replication. */
+    /** Sets the rollout service, which receives committed placements and rollout messages. */
     void attachRollout(RolloutService attached) {
         rollout = Optional.of(attached);
     }
 
-    /** Begins with what was recovered. */
+    /** Applies the recovered placement and starts ticking. */
     void start() {
         if (epoch > 0) {
             ReplicaPlacement recovered = coordinator.placement();
-            rollout.ifPresent(present -> present.adoptPlacement(recovered));
+            rollout.ifPresent(service -> service.adoptPlacement(recovered));
             consensus.ifPresent(
-                    present ->
-                            present.receive(
+                    driver ->
+                            driver.receive(
                                     context.serverName(),
                                     new ConsensusMessage.Committed(recovered)));
         }
@@ -137,12 +137,12 @@
         tick();
     }
 
-    /** Another process bears this server's name: nothing that this one sends may count. */
+    /** Stops sending and receiving, because another process uses this server's name. */
     void stopSending() {
         link.silence();
     }
 
-    /** Ends all of it; what is completed later has no effect. */
+    /** Stops all parts; operations that complete later have no effect. */
     void close() {
         link.close();
         previousClaims.close();
@@ -163,9 +163,9 @@
             double jitterNanos = maxJitterNanos * context.random().nextDouble();
             reportedAt = now.minus(Duration.ofNanos((long) jitterNanos));
             reportProgress();
-            consensus.ifPresent(present -> present.tick(now, this::rolloutProposal));
+            consensus.ifPresent(driver -> driver.tick(now, this::rolloutProposal));
         }
-        publish();
+        flush();
         context.scheduler().after(TICK_INTERVAL, this::tick);
     }
 
@@ -194,18 +194,18 @@
         if (committed.epoch() == 0) {
             return Optional.empty();
         }
-        return rollout.flatMap(present -> present.nextPlacement(committed));
+        return rollout.flatMap(service -> service.nextPlacement(committed));
     }
 
     /**
-     * Replicas report to all acceptors, since the next epoch waits for them; other servers report
-     * to one, which tells them of an epoch that they have missed.
+     * Reports a replica's progress to all acceptors, since the next epoch waits for it. A server
+     * without a replica reports to a random acceptor, which sends it the epoch if it has missed it.
      */
     private void reportProgress() {
         Optional<Replica> replica =
                 replicaHost
                         .replica()
-                        .filter(present -> coordinator.placement().contains(context.serverName()));
+                        .filter(ignored -> coordinator.placement().contains(context.serverName()));
         if (replica.isPresent()) {
             int laggingRanges =
                     replica.get().isCheckingDisk()
@@ -219,7 +219,7 @@
         }
     }
 
-    /** Takes a message of a live server, or of this one. */
+    /** Handles a message from a live server or from this one. */
     void receive(String sender, Object message) {
         if (!link.isReceiving()) {
             return;
@@ -227,17 +227,17 @@
         if (message instanceof ConsensusMessage consensusMessage) {
             receiveConsensus(sender, consensusMessage);
         } else if (message instanceof RolloutMessage rolloutMessage) {
-            rollout.ifPresent(present -> present.receive(sender, rolloutMessage));
+            rollout.ifPresent(service -> service.receive(sender, rolloutMessage));
         } else if (message instanceof ReplicationMessage replicationMessage) {
             receiveReplication(sender, replicationMessage);
         }
-        publish();
+        flush();
     }
 
     private void receiveConsensus(String sender, ConsensusMessage message) {
-        consensus.ifPresent(present -> present.receive(sender, message));
+        consensus.ifPresent(driver -> driver.receive(sender, message));
         if (message instanceof ConsensusMessage.ReplicaProgress progress) {
-            consensus.ifPresent(present -> present.receiveProgress(sender, progress));
+            consensus.ifPresent(driver -> driver.receiveProgress(sender, progress));
         }
         if (!acceptors.contains(sender)) {
             return;
@@ -245,13 +245,13 @@
         if (message instanceof ConsensusMessage.Committed committed) {
             adoptPlacement(committed.placement());
         }
-        // Guards against acceptors that have all lost their state: other servers know the epoch.
-        if (asksForEpoch(message) && epoch > 0 && !sender.equals(context.serverName())) {
+        // If all acceptors have lost their state, they recover the epoch from other servers.
+        if (needsCommittedEpoch(message) && epoch > 0 && !sender.equals(context.serverName())) {
             link.send(sender, new ConsensusMessage.Committed(coordinator.placement()));
         }
     }
 
-    private boolean asksForEpoch(ConsensusMessage message) {
+    private boolean needsCommittedEpoch(ConsensusMessage message) {
         return message instanceof ConsensusMessage.RecoveryQuery
                 || message instanceof ConsensusMessage.Committed committed
                         && committed.placement().epoch() < epoch;
@@ -285,11 +285,11 @@
         epoch = Math.max(epoch, placement.epoch());
         replicaHost.adoptPlacement(placement, now);
         coordinator.adoptPlacement(placement, now);
-        rollout.ifPresent(present -> present.adoptPlacement(coordinator.placement()));
+        rollout.ifPresent(service -> service.adoptPlacement(coordinator.placement()));
     }
 
-    /** Sends and stores what the decisions have left to be carried out. */
-    private void publish() {
+    /** Adopts a newly committed placement, sends queued messages and starts pending writes. */
+    private void flush() {
         consensus
                 .flatMap(ConsensusDriver::committed)
                 .filter(committed -> committed.epoch() > epoch)
@@ -301,27 +301,27 @@
         replicaHost.publish();
     }
 
-    /** Sets what knows about the runs of previous processes. */
+    /** Sets the lookup of runs by previous processes of this server. */
     public void usePreviousIncarnation(PreviousIncarnation previous) {
         previousClaims.use(previous);
     }
 
-    /** Returns the JSON for the operators' commands. */
+    /** Returns the source of the JSON for admin commands. */
     ReplicationStatusJson statusJson() {
         return new ReplicationStatusJson(context, coordinator, replicaHost);
     }
 
-    /** Compares all ranges with all other replicas, one after another, for the operators. */
+    /** Starts comparing all ranges with all other replicas; returns the number, as JSON. */
     String repair() {
         int comparisons = replicaHost.replica().map(Replica::compareAllRanges).orElse(0);
         LOG.info(
-                "fleet: told by the operators' command to compare all ranges, "
+                "fleet: admin command starts a comparison of all ranges, "
                         + comparisons
                         + " comparisons");
         return "{\"compares\":" + comparisons + "}";
     }
 
-    /** Returns what a request asks for, as claims and outcomes name it. */
+    /** Returns the fingerprint by which claims and outcomes identify a request's content. */
     public static String requestFingerprint(String operation, byte[] bodyHash) {
         return RequestFingerprint.of(operation, bodyHash);
     }
@@ -330,9 +330,9 @@
      * Asks the fleet whether an invocation with an idempotency key may run here.
      *
      * @param fingerprint {@link #requestFingerprint} of the request
-     * @param deadline when its run has to begin at the latest
+     * @param deadline latest time at which its run may begin
      * @param windowEnd end of its idempotency window
-     * @param completion is called once with the decision, perhaps at once
+     * @param completion called once with the decision, possibly before this method returns
      */
     public void claim(
             String token,
@@ -343,7 +343,7 @@
         claims.claim(token, fingerprint, deadline, windowEnd, completion);
     }
 
-    /** Reports that a claimed run has never begun: its token is free again. */
+    /** Reports that a claimed run was never started, so that its token is released. */
     public void releaseClaim(ClaimId claimId, Duration windowEnd) {
         claims.releaseClaim(claimId, windowEnd);
     }
@@ -352,8 +352,8 @@
      * Reports that a claimed run has ended.
      *
      * @param result null if the run did not succeed
-     * @param deadline when the answer is due
-     * @param completion is called once with whether a majority has stored the outcome in time
+     * @param deadline when the response is due
+     * @param completion called once with whether a majority stored the outcome by the deadline
      */
     public void reportOutcome(
             ClaimId claimId,
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -14,18 +14,17 @@
 import ochretiller.metrics.Metrics;
 
 /**
- * A server's part in the rollout of versions: puts into use what is committed for it, reports to
- * the acceptors and holds a lease of them. On an acceptor it also grants leases, carries rollouts
- * on and takes the operators' commands.
+ * Runs a server's part in the rollout of versions: activates the version that is committed for this
+ * server, reports to the acceptors and renews its lease. On an acceptor it also grants leases,
+ * advances rollouts and handles admin commands.
  *
- * <p>It distributes time and messages to its parts. On the event loop, unless a method says
- * otherwise.
+ * <p>Methods run on the event loop unless stated otherwise.
  */
 public final class RolloutService {
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
-    /** Reports come up to this part of the interval early, so that servers do not keep step. */
+    /** Divisor of the interval; reports are early by up to the quotient, at random. */
     private static final int REPORT_JITTER_DIVISOR = 4;
 
     private final FleetContext context;
@@ -43,9 +42,9 @@
     private boolean isClosed;
 
     /**
-     * Creates the service and puts the version into use that a previous process has used.
+     * Creates the service and activates the version that a previous process used last.
      *
-     * @param build of this program
+     * @param build build number of this program
      * @param acceptors names of all acceptors
      */
     RolloutService(
@@ -83,25 +82,25 @@
                 leaseHolder::remainingSecondsGauge);
     }
 
-    /** Returns the version in use: an invocation that is read now is bound to it. */
+    /** Returns the number of the active version, to which an invocation is bound when it is read. */
     public long activeVersion() {
         return follower.active().number();
     }
 
     /**
-     * Returns whether this server may serve; to be asked last, immediately before a run with an
-     * idempotency key begins.
+     * Returns whether this server's lease allows it to serve. Must be checked immediately before a
+     * run with an idempotency key starts.
      */
     public boolean isAllowedToServe() {
         return leaseHolder.isAllowedToServe();
     }
 
-    /** Counts how an invocation has ended that was read under a version. */
+    /** Counts the outcome of an invocation that was bound to a version. */
     public void recordOutcome(long version, VersionCounters outcome) {
         follower.recordOutcome(version, outcome);
     }
 
-    /** Takes a placement that has been committed; older ones are ignored. */
+    /** Adopts a committed placement, unless its epoch is older than the current one. */
     void adoptPlacement(ReplicaPlacement committed) {
         if (committed.epoch() <= placement.epoch() && !placement.servers().isEmpty()) {
             return;
@@ -129,7 +128,7 @@
         activator.told(RolloutEvent.ROLLOUT, rollout.target(), text);
     }
 
-    /** Requests missing chunks, checks the lease and reports when it is time. */
+    /** Requests missing chunks, logs lease changes, and reports to the acceptors when due. */
     void tick() {
         Duration now = context.scheduler().now();
         follower.tick(now);
@@ -162,7 +161,7 @@
         }
     }
 
-    /** Takes a message of another server or of this one. */
+    /** Handles a message from another server or from this one. */
     void receive(String sender, RolloutMessage message) {
         if (isClosed) {
             return;
@@ -205,8 +204,8 @@
     }
 
     /**
-     * Returns what this acceptor proposes next: what a person has asked for, or else what follows
-     * from the servers' reports.
+     * Returns the placement that this acceptor proposes next, if any: an operator's request, or else
+     * the next step that the servers' reports allow.
      */
     Optional<ReplicaPlacement> nextPlacement(ReplicaPlacement committed) {
         Set<String> live = context.liveServers();
@@ -217,17 +216,17 @@
                 .map(committed::with);
     }
 
-    /** Publishes a version for an operators' command; returns what came of it, as JSON. */
+    /** Publishes a version for an admin command; returns the result as JSON. */
     String publish(String arguments) {
         return proposals.publish(arguments);
     }
 
-    /** Publishes a version; returns what came of it, as JSON. */
+    /** Publishes a version; returns the result as JSON. */
     String publish(String publisher, String reason, String minimumBuild, byte[] version) {
         return proposals.publish(publisher, reason, minimumBuild, version);
     }
 
-    /** Steers the rollout for an operators' command; returns what came of it, as JSON. */
+    /** Pauses, resumes or rolls back the rollout for an admin command; returns JSON. */
     String steer(String command, String operator) {
         return proposals.steer(command, operator);
     }
@@ -237,7 +236,7 @@
         return statusJson.status(placement.rollout());
     }
 
-    /** Ignores messages from here on and writes what is queued. */
+    /** Ignores messages from now on and completes queued file writes. */
     void close() {
         isClosed = true;
         proposals.close();
