--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -11,7 +11,7 @@
 import ochretiller.fleet.transport.PlacementCodec;
 import ochretiller.settings.MalformedException;
 
-/** The durable state of an acceptor (the promises of a voter) in a file of its own. */
+/** The file of an acceptor's durable state, which operators know as the voter file. */
 final class AcceptorFile {
     private final Path file;
     private final SealedFile sealedFile;
@@ -24,20 +24,21 @@
     /**
      * Reads the state.
      *
-     * @return nothing if there is no file
-     * @throws MalformedException if the file cannot be read: it may hide a promise
+     * @return the state, or empty if there is no file
+     * @throws MalformedException if the file cannot be read, since it may contain a promise that
+     *     the acceptor must not break
      */
     Optional<AcceptorState> read() {
         try {
             return sealedFile.read(AcceptorFile::readState);
         } catch (CorruptFileException e) {
             throw new MalformedException(
-                    "the voter's file "
+                    "the voter file "
                             + file
-                            + " is damaged: take it away, and the voter asks the others what it may"
-                            + " have promised");
+                            + " is corrupt; remove it to let this voter recover its state from the"
+                            + " other servers");
         } catch (IOException e) {
-            throw new MalformedException("cannot read the voter's file " + file);
+            throw new MalformedException("cannot read the voter file " + file);
         }
     }
 
@@ -51,7 +52,7 @@
                 committed, promisedBallot, acceptedBallot, accepted, abstainsThrough);
     }
 
-    /** Writes the state, which is durable once this returns. Not to be called on the event loop. */
+    /** Writes the state durably. Blocks on the disk, so it must not run on the event loop. */
     void write(AcceptorState state) throws IOException {
         sealedFile.write(out -> writeState(out, state));
     }
--- a/src/main/java/ochretiller/fleet/service/AdminCommands.java
+++ b/src/main/java/ochretiller/fleet/service/AdminCommands.java
@@ -10,21 +10,21 @@
 import ochretiller.fleet.transport.CommandHandler;
 import ochretiller.fleet.transport.PeerSocket;
 
-/** The operators' commands that a server answers, by the names that the wire has for them. */
+/** Handlers of the admin commands that a server accepts, by their names on the wire. */
 final class AdminCommands {
     private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
     private static final String NO_ROLLOUT = "{\"refused\":\"no versions are brought out here\"}";
     private static final String NO_REPLICATION = "{\"copies\":false}";
-    private static final List<String> STEERING_COMMANDS = List.of("pause", "go-on", "take-back");
+    private static final List<String> CONTROL_COMMANDS = List.of("pause", "go-on", "take-back");
 
     private final Map<String, CommandHandler> handlers = new HashMap<>();
 
-    /** Returns the handlers by name. */
+    /** Returns the handlers by command name. */
     Map<String, CommandHandler> handlers() {
         return Map.copyOf(handlers);
     }
 
-    /** Adds the commands about the membership. */
+    /** Adds the membership commands. */
     AdminCommands withMembership(
             String fleetName,
             MembershipProtocol membership,
@@ -37,16 +37,16 @@
     }
 
     private static String leave(Runnable leaveRequest) {
-        LOG.info("told to leave by the operators' command");
+        LOG.info("fleet: admin command requests this server to leave");
         leaveRequest.run();
         return "{\"leaves\":true}";
     }
 
-    /** Adds the commands about versions; without a rollout they are rejected. */
+    /** Adds the version commands; without a rollout service they are rejected. */
     AdminCommands withRollout(Optional<RolloutService> rollout) {
         addRollout(rollout, "version-status", (service, arguments) -> service.status());
         addRollout(rollout, "version-publish", RolloutService::publish);
-        for (String command : STEERING_COMMANDS) {
+        for (String command : CONTROL_COMMANDS) {
             addRollout(
                     rollout,
                     "version-" + command,
@@ -66,7 +66,7 @@
                                 .orElse(NO_ROLLOUT));
     }
 
-    /** Adds the commands about replication; without it they tell that there is none. */
+    /** Adds the replication commands; without replication they respond {@code copies: false}. */
     AdminCommands withReplication(Optional<ReplicationService> replication) {
         addReplication(
                 replication,
--- a/src/main/java/ochretiller/fleet/service/AuditWitness.java
+++ b/src/main/java/ochretiller/fleet/service/AuditWitness.java
@@ -7,8 +7,8 @@
 import ochretiller.fleet.rollout.RolloutMessage;
 
 /**
- * Records on an acceptor where the audit logs of other servers end, so that a log that has lost its
- * tail, or was written anew, is found by comparison. On the event loop.
+ * Records on an acceptor the last record number and hash of other servers' audit logs, so that a
+ * truncated or rewritten log can be detected by comparison. Confined to the event loop.
  */
 final class AuditWitness {
     private static final Duration WITNESS_INTERVAL = Duration.ofSeconds(10);
@@ -24,7 +24,7 @@
         this.activator = activator;
     }
 
-    /** Records a server's report, at most once in an interval. */
+    /** Records a server's audit position, at most once per interval. */
     void witness(
             String server,
             RolloutMessage.StatusReport report,
--- a/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
+++ b/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
@@ -5,23 +5,26 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** A thread for writes that are small and seldom: it is there while there are any. */
+/** Executes small, infrequent writes in order on a daemon thread that ends when it is idle. */
 final class BackgroundWriter {
     private static final int IDLE_SECONDS = 10;
 
-    private final ThreadPoolExecutor thread;
+    private final ThreadPoolExecutor executor;
 
     /**
-     * @param most writes that wait; what comes on top is not taken
+     * Creates a writer without a running thread.
+     *
+     * @param name name of the thread
+     * @param maxQueuedWrites capacity of the queue; further writes are rejected
      */
-    BackgroundWriter(String name, int most) {
-        thread =
+    BackgroundWriter(String name, int maxQueuedWrites) {
+        executor =
                 new ThreadPoolExecutor(
                         0,
                         1,
                         IDLE_SECONDS,
                         TimeUnit.SECONDS,
-                        new ArrayBlockingQueue<>(most),
+                        new ArrayBlockingQueue<>(maxQueuedWrites),
                         work -> {
                             Thread each = new Thread(work, name);
                             each.setDaemon(true);
@@ -29,10 +32,10 @@
                         });
     }
 
-    /** Whether it will be carried out. */
+    /** Queues a write; returns false if the queue is full or the writer is closed. */
     boolean submit(Runnable write) {
         try {
-            thread.execute(write);
+            executor.execute(write);
             return true;
         } catch (RejectedExecutionException e) {
             return false;
@@ -40,6 +43,6 @@
     }
 
     void close() {
-        thread.shutdown();
+        executor.shutdown();
     }
 }
--- a/src/main/java/ochretiller/fleet/service/BuildNumbers.java
+++ b/src/main/java/ochretiller/fleet/service/BuildNumbers.java
@@ -11,8 +11,8 @@
     private BuildNumbers() {}
 
     /**
-     * Returns whether a build is older than another. Numbers are compared by their value and other
-     * parts as text; a part that is no number is older than one that is.
+     * Returns whether a build is older than a minimum. Numeric parts are compared by value and
+     * others as text; a part that is not numeric is older than a numeric one.
      */
     static boolean isOlder(String build, String minimumBuild) {
         String[] parts = SEPARATOR.split(build);
--- a/src/main/java/ochretiller/fleet/service/ClaimLatency.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimLatency.java
@@ -3,26 +3,27 @@
 import java.time.Duration;
 import java.util.Arrays;
 
-/** How long the last claims that were granted took; written on the one thread, read from any. */
+/** Latencies of recently granted claims. Written on the event loop; percentiles from any thread. */
 final class ClaimLatency {
-    /** Claims that are told of: what a second of a busy server has. */
-    private static final int LAST = 1_024;
+    /** Number of latencies in the window: about one second on a busy server. */
+    private static final int WINDOW_SIZE = 1_024;
 
-    private final long[] nanos = new long[LAST];
+    private final long[] nanos = new long[WINDOW_SIZE];
     private long count;
     private volatile long[] sorted = {};
 
-    void add(Duration took) {
-        nanos[(int) (count++ % LAST)] = took.toNanos();
+    void add(Duration latency) {
+        nanos[(int) (count++ % WINDOW_SIZE)] = latency.toNanos();
     }
 
-    /** From here on the percentiles are of what has come so far. */
+    /** Updates the percentiles with all latencies added so far. */
     void publish() {
-        long[] all = Arrays.copyOf(nanos, (int) Math.min(count, LAST));
+        long[] all = Arrays.copyOf(nanos, (int) Math.min(count, WINDOW_SIZE));
         Arrays.sort(all);
         sorted = all;
     }
 
+    /** Returns a percentile, given from 0 to 100, in seconds; zero if there are no latencies. */
     double seconds(double percentile) {
         long[] all = sorted;
         return all.length == 0
--- a/src/main/java/ochretiller/fleet/service/ClaimMetrics.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimMetrics.java
@@ -2,7 +2,7 @@
 
 import ochretiller.metrics.Metrics;
 
-/** Counters of claims by what came of them. Counted on the event loop. */
+/** Counters of claims and their outcomes. Incremented on the event loop. */
 final class ClaimMetrics {
     final Metrics.Counter asked;
     final Metrics.Counter granted;
--- a/src/main/java/ochretiller/fleet/service/ClaimOutcomes.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimOutcomes.java
@@ -7,15 +7,15 @@
 import ochretiller.fleet.replication.ClaimOutcome;
 import ochretiller.fleet.replication.CompletedClaim;
 
-/** Makes the outcomes that are replicated from the results of runs. */
+/** Converts results of runs to the outcomes that are replicated. */
 final class ClaimOutcomes {
     private ClaimOutcomes() {}
 
     /**
-     * Returns the outcome of a run. For a result that is too long to be replicated only the failure
-     * is: repeats at other servers are answered with an error and never run.
+     * Returns the outcome of a run. A result that is too long to be replicated counts as a failure:
+     * retries at other servers are answered with an error and never run.
      *
-     * @param result nothing if the run did not succeed
+     * @param result empty if the run did not succeed
      */
     static ClaimOutcome of(String fingerprint, Optional<byte[]> result) {
         if (result.isEmpty() || result.get().length > ClaimOutcome.MAX_RESULT_BYTES) {
@@ -27,7 +27,7 @@
                 : new ClaimOutcome(true, fingerprint, text);
     }
 
-    /** Returns the report of a run that has ended. */
+    /** Returns the completed claim of a run that has ended. */
     static CompletedClaim completed(
             ClaimId claimId,
             String fingerprint,
@@ -40,7 +40,7 @@
         return new CompletedClaim(claimId, outcome, chunkedResult, deadline, windowEnd);
     }
 
-    /** Returns a text with one character for each byte. */
+    /** Returns a string with one character per byte. */
     static String textOf(byte[] result) {
         return new String(result, StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -126,7 +126,7 @@
             case THROTTLED -> metrics.throttled.add();
             case OUTCOME_UNKNOWN -> metrics.outcomeUnknown.add();
             default -> {
-                // Not counted: these kinds have no counter of their own.
+                // The other kinds are counted where the invocation fails.
             }
         }
         completion.accept(decision);
--- a/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
+++ b/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
@@ -21,18 +21,18 @@
 import ochretiller.fleet.membership.MemberSnapshot;
 
 /**
- * Drives the consensus on an acceptor: what the acceptor has promised is durable before a message
- * that rests on it is sent. It also proposes placements and tells other servers what is committed.
+ * Drives the consensus on an acceptor: writes the acceptor's state durably before it sends messages
+ * that depend on it, proposes placements, and announces the committed placement to other servers.
  *
- * <p>On the event loop; the acceptor's file is written on a thread named {@code voter}.
+ * <p>Confined to the event loop; the acceptor's file is written on a thread named {@code voter}.
  */
 final class ConsensusDriver {
     private static final Logger LOG = Logger.getLogger(ReplicationService.class.getName());
 
-    /** Servers that are told of the epoch each time; one that has missed it says so itself. */
+    /** Servers that receive the epoch in each tick; a progress report reveals a missed epoch. */
     private static final int ANNOUNCEMENTS_PER_TICK = 4;
 
-    /** A proposal that is not committed by then is made again. */
+    /** Time after which a proposal that is not committed is made again. */
     private static final Duration PROPOSAL_RETRY_INTERVAL = Duration.ofSeconds(1);
 
     private static final int MAX_QUEUED_WRITES = 64;
@@ -49,7 +49,7 @@
     private Duration proposedAt = Duration.ZERO.minusSeconds(60);
 
     /**
-     * Reads what a previous process of this acceptor has promised.
+     * Creates a driver with the state that a previous process of this acceptor wrote.
      *
      * @param maxWindow longest idempotency window
      */
@@ -76,17 +76,17 @@
                 .orElseGet(() -> EpochConsensus.recover(name, names, replicationFactor, seed));
     }
 
-    /** Returns the committed placement, or nothing as long as the acceptor's state is lost. */
+    /** Returns the committed placement, or empty while the acceptor has lost its state. */
     Optional<ReplicaPlacement> committed() {
         return consensus.hasLostState() ? Optional.empty() : Optional.of(consensus.committed());
     }
 
-    /** Takes a message of another acceptor or of this one. */
+    /** Handles a message from another server or from this one. */
     void receive(String sender, ConsensusMessage message) {
         consensus.receive(sender, message);
     }
 
-    /** Takes a replica's progress, and tells it of the epoch if it has missed that. */
+    /** Records a server's progress, and sends it the committed epoch if it has missed it. */
     void receiveProgress(String sender, ConsensusMessage.ReplicaProgress progress) {
         planner.recordProgress(sender, progress);
         boolean hasMissedEpoch =
@@ -97,9 +97,9 @@
     }
 
     /**
-     * Announces the committed epoch to some servers and proposes the next one if there is a reason.
+     * Announces the committed epoch to random servers and proposes the next one if needed.
      *
-     * @param rolloutProposal returns what the rollout proposes, if the placement may stay
+     * @param rolloutProposal returns the rollout's proposal; called if the replicas stay the same
      */
     void tick(
             Duration now, Function<ReplicaPlacement, Optional<ReplicaPlacement>> rolloutProposal) {
@@ -138,15 +138,15 @@
         return servers;
     }
 
-    /** Returns the servers of the view and of the placement, each with whether it is live. */
+    /** Returns whether each server of the view and of the placement is live, by name. */
     private Map<String, Boolean> liveness() {
         Map<String, Boolean> liveness = new HashMap<>();
         for (MemberSnapshot each : context.view().get()) {
-            // An incarnation that is gone may have a successor that is live.
+            // The view may contain a dead and a live incarnation of one server.
             liveness.merge(
                     each.member().id().name(), each.member().state().isLive(), Boolean::logicalOr);
         }
-        // A server that the view has forgotten is as dead as one that it remembers.
+        // A server of the placement that the view no longer contains is dead.
         for (ReplicaServer each : consensus.committed().servers()) {
             liveness.putIfAbsent(each.name(), false);
         }
@@ -168,7 +168,7 @@
         }
     }
 
-    /** Sends the acceptor's messages, once the state that they rest on is durable. */
+    /** Sends the acceptor's messages once the state that they depend on is durable. */
     void publish() {
         List<OutboundConsensusMessage> messages = consensus.takeOutbound();
         AcceptorState state = consensus.durableState();
@@ -181,7 +181,7 @@
         }
         submittedState = Optional.of(state);
         if (!writer.submit(() -> write(state, messages))) {
-            LOG.fine("the voter's disk is far behind");
+            LOG.fine("fleet: write queue of the voter file is full; messages are not sent");
         }
     }
 
@@ -189,12 +189,12 @@
         return stored.isPresent() && stored.get().equals(state);
     }
 
-    /** On the writing thread. If it fails the messages are not sent, as if lost on the way. */
+    /** Runs on the writer thread. If the write fails, the messages count as lost. */
     private void write(AcceptorState state, List<OutboundConsensusMessage> messages) {
         try {
             file.write(state);
         } catch (IOException e) {
-            LOG.warning("the voter's file cannot be written: " + e.getMessage());
+            LOG.warning("fleet: cannot write the voter file: " + e.getMessage());
             return;
         }
         context.scheduler()
@@ -216,7 +216,7 @@
         }
         Set<String> recipients = new LinkedHashSet<>(acceptors);
         if (message instanceof ConsensusMessage.RecoveryQuery) {
-            // Servers that are no acceptors may know the epoch that this one has forgotten.
+            // Any live server may know the epoch that this acceptor has lost.
             liveServers().forEach(server -> recipients.add(server.name()));
         }
         if (message instanceof ConsensusMessage.Committed committed) {
@@ -226,7 +226,7 @@
         recipients.forEach(server -> link.send(server, message));
     }
 
-    /** Ends the writing thread once it has written what is queued. */
+    /** Stops the writer thread after it has completed queued writes. */
     void close() {
         writer.close();
     }
--- a/src/main/java/ochretiller/fleet/service/CorruptFileException.java
+++ b/src/main/java/ochretiller/fleet/service/CorruptFileException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A file is not as this program writes it: cut short, altered, or of another content. */
+/** Thrown if a file is truncated or altered, or its content is not as expected. */
 final class CorruptFileException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/ochretiller/fleet/service/FleetCallbacks.java
+++ b/src/main/java/ochretiller/fleet/service/FleetCallbacks.java
@@ -4,12 +4,12 @@
 import ochretiller.fleet.membership.Member;
 
 /**
- * What the fleet service calls in the server around it, on the event loop.
+ * Callbacks from the fleet service to its server, all on the event loop.
  *
- * @param memberObserver is told of each member that becomes live or dead, with whether its service
- *     address is served
- * @param versionActivator puts versions into use
- * @param leaveRequest is run when an operators' command asks this server to leave
+ * @param memberObserver called when a member becomes live or ceases to be; the flag tells whether
+ *     any live member serves its service address
+ * @param versionActivator activates versions
+ * @param leaveRequest run when an admin command requests this server to leave
  */
 public record FleetCallbacks(
         BiConsumer<Member, Boolean> memberObserver,
--- a/src/main/java/ochretiller/fleet/service/FleetContext.java
+++ b/src/main/java/ochretiller/fleet/service/FleetContext.java
@@ -10,13 +10,14 @@
 import ochretiller.net.Scheduler;
 
 /**
- * What the services of one server share. All of it is used on the event loop.
+ * Dependencies that the fleet services of one server share. Confined to the event loop.
  *
- * @param scheduler the event loop and its time
+ * @param scheduler the event loop and its clock
  * @param serverName name of this server in the fleet
- * @param random source of all random numbers, seeded by tests
- * @param sender sends to other servers
- * @param view returns the present membership view
+ * @param random source of random numbers, seeded by tests
+ * @param metrics registry for the services' metrics
+ * @param sender sends messages to other servers
+ * @param view returns the current membership view
  */
 record FleetContext(
         Scheduler scheduler,
--- a/src/main/java/ochretiller/fleet/service/FleetLink.java
+++ b/src/main/java/ochretiller/fleet/service/FleetLink.java
@@ -3,19 +3,19 @@
 import java.util.function.BiConsumer;
 
 /**
- * Sends the messages of the replication service to other servers, and posts those to this server
- * itself to the event loop. On the event loop.
+ * Sends messages of the replication service to other servers, and posts messages to this server
+ * itself to the event loop. Confined to the event loop.
  */
 final class FleetLink implements PeerSender {
     private final FleetContext context;
     private final BiConsumer<String, Object> localReceiver;
-    private boolean isSilenced;
+    private boolean isDisabled;
     private boolean isClosed;
 
     /**
      * Creates an open link.
      *
-     * @param localReceiver takes messages to this server, with its name as the sender
+     * @param localReceiver receives messages to this server, with its name as the sender
      */
     FleetLink(FleetContext context, BiConsumer<String, Object> localReceiver) {
         this.context = context;
@@ -24,7 +24,7 @@
 
     @Override
     public void send(String server, Object message) {
-        if (isSilenced) {
+        if (isDisabled) {
             return;
         }
         if (server.equals(context.serverName())) {
@@ -34,12 +34,12 @@
         }
     }
 
-    /** Nothing is sent or received from here on: another process bears this server's name. */
+    /** Disables sending and receiving for good, because another process uses this server's name. */
     void silence() {
-        isSilenced = true;
+        isDisabled = true;
     }
 
-    /** Nothing is received from here on, and what is completed later has no effect. */
+    /** Stops receiving; operations that complete later have no effect. */
     void close() {
         isClosed = true;
     }
@@ -48,8 +48,8 @@
         return isClosed;
     }
 
-    /** Returns whether messages are taken. */
+    /** Returns whether received messages are processed. */
     boolean isReceiving() {
-        return !isClosed && !isSilenced;
+        return !isClosed && !isDisabled;
     }
 }
--- a/src/main/java/ochretiller/fleet/service/FleetMetrics.java
+++ b/src/main/java/ochretiller/fleet/service/FleetMetrics.java
@@ -14,8 +14,8 @@
 import ochretiller.metrics.Metrics;
 
 /**
- * The figures of the membership and of the socket. The event loop publishes the sizes; they are
- * read from any thread.
+ * Registers the metrics of the membership and of the socket. The event loop publishes the values of
+ * the gauges, which are read from any thread.
  */
 final class FleetMetrics {
     private final Metrics.Counter changes;
@@ -35,18 +35,18 @@
         registerRejections(metrics, socket);
     }
 
-    /** Counts a change of the membership. */
+    /** Counts a membership change. */
     void countChange() {
         changes.add();
     }
 
-    /** Replaces the figures of the membership view. */
+    /** Publishes the number of members by state and this server's health score. */
     void publish(List<MemberSnapshot> view, int healthScore) {
-        Map<MemberState, Integer> sizes = new EnumMap<>(MemberState.class);
+        Map<MemberState, Integer> counts = new EnumMap<>(MemberState.class);
         for (MemberSnapshot each : view) {
-            sizes.merge(each.member().state(), 1, Integer::sum);
+            counts.merge(each.member().state(), 1, Integer::sum);
         }
-        membersByState = sizes;
+        membersByState = counts;
         localHealthScore = healthScore;
     }
 
--- a/src/main/java/ochretiller/fleet/service/FleetRuntime.java
+++ b/src/main/java/ochretiller/fleet/service/FleetRuntime.java
@@ -6,12 +6,12 @@
 import ochretiller.net.Scheduler;
 
 /**
- * What a process lends to its fleet service.
+ * Process-wide dependencies of the fleet service.
  *
  * @param scheduler the event loop
- * @param network listens for the operators' commands
- * @param random source of all random numbers but the incarnation
- * @param metrics where the figures of the fleet are registered
+ * @param network accepts admin connections
+ * @param random source of all random numbers except the incarnation
+ * @param metrics registry for the metrics of the fleet
  */
 public record FleetRuntime(
         Scheduler scheduler, Network network, RandomGenerator random, Metrics metrics) {}
--- a/src/main/java/ochretiller/fleet/service/FleetSettings.java
+++ b/src/main/java/ochretiller/fleet/service/FleetSettings.java
@@ -7,15 +7,18 @@
 import ochretiller.fleet.membership.ProtocolTiming;
 
 /**
- * A server's part in a fleet, as the operators tell it.
+ * Operators' settings for a server's membership in a fleet.
  *
- * @param fleet its name; packets of others are refused
- * @param listen where peers and the operators' commands come to
- * @param advertise where peers are told to come to, if that is another address
- * @param serves what else is told of it: where it serves
- * @param keyFile keys that seal and open
- * @param peersFile where this server keeps whom it has seen, for its next start; or null
- * @param copies what is kept for one another, or null
+ * @param fleet name of the fleet; packets of other fleets are rejected
+ * @param listen address for packets from peers and for admin connections
+ * @param advertise address that peers send to; null if it is the listen address
+ * @param serves address where clients are served, as told to peers; null for the server's default
+ * @param keyFile file of the keys that authenticate packets
+ * @param peersFile file of known peers for the next start; null for none
+ * @param seeds addresses of members through which the server joins the fleet
+ * @param zone failure domain of this server
+ * @param pace intervals and timeouts of the membership protocol
+ * @param copies settings of replication; null if there is none
  */
 public record FleetSettings(
         String fleet,
--- a/src/main/java/ochretiller/fleet/service/JsonText.java
+++ b/src/main/java/ochretiller/fleet/service/JsonText.java
@@ -5,26 +5,26 @@
 import java.io.IOException;
 import java.io.StringWriter;
 
-/** An object of JSON as text, as the operators' commands read it. */
+/** Builds JSON objects as strings, for responses to admin commands. */
 final class JsonText {
     private static final JsonFactory JSON = new JsonFactory();
 
     private JsonText() {}
 
-    /** What is in the object. */
+    /** Writes the members of the object. */
     @FunctionalInterface
     interface Members {
-        void to(JsonGenerator out) throws IOException;
+        void to(JsonGenerator generator) throws IOException;
     }
 
     static String object(Members members) {
         StringWriter out = new StringWriter(1024);
-        try (JsonGenerator to = JSON.createGenerator(out)) {
-            to.writeStartObject();
-            members.to(to);
-            to.writeEndObject();
+        try (JsonGenerator generator = JSON.createGenerator(out)) {
+            generator.writeStartObject();
+            members.to(generator);
+            generator.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // a writer in memory does not fail
+            throw new IllegalStateException(e); // cannot occur when writing to memory
         }
         return out.toString();
     }
--- a/src/main/java/ochretiller/fleet/service/LeaseHolder.java
+++ b/src/main/java/ochretiller/fleet/service/LeaseHolder.java
@@ -8,14 +8,14 @@
 import ochretiller.fleet.rollout.Lease;
 
 /**
- * This server's lease (Gray and Cheriton 1989): without one from a majority of the acceptors it
- * throttles invocations with an idempotency key, since it may have missed a version. On the event
- * loop.
+ * Holds this server's lease (Gray and Cheriton 1989). Without a lease from a majority of the
+ * acceptors, this server throttles invocations with an idempotency key, since it may have missed a
+ * version. Confined to the event loop.
  */
 final class LeaseHolder {
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
 
-    /** Leaves room for all requests of one incarnation above the first number. */
+    /** Limits the first request ID, so that later IDs of this incarnation do not overflow. */
     private static final int REQUEST_ID_SHIFT = 16;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -30,7 +30,7 @@
     /**
      * Creates a holder without a lease.
      *
-     * @param duration of a lease; zero if none is required
+     * @param duration duration of a lease; zero if no lease is required
      */
     LeaseHolder(
             FleetContext context,
@@ -47,50 +47,50 @@
                         context.random().nextLong() >>> REQUEST_ID_SHIFT);
     }
 
-    /** Returns whether this server may serve at this moment, by its own monotonic clock. */
+    /** Returns whether this server may serve now, by its own monotonic clock. */
     boolean isAllowedToServe() {
         return !isRequired || lease.isHeld(context.scheduler().exact());
     }
 
-    /** Logs and records when the lease ends and when there is one again. */
+    /** Logs and audits when the lease expires and when it is renewed after that. */
     void reportTransition(PublishedVersion active) {
         boolean isFencedOff = !isAllowedToServe();
-        // After a start there has been no lease yet, and nothing to report.
+        // Before the first lease after a start there is no transition to report.
         boolean hadLease = !lease.expiresAt().isZero();
         if (isFencedOff != wasFencedOff && hadLease) {
             if (isFencedOff) {
                 LOG.warning(
-                        "fleet: the voters do not renew this server's lease: keyed work is"
-                                + " throttled");
+                        "fleet: this server's lease was not renewed and has expired; throttling"
+                                + " keyed invocations");
                 activator.told(RolloutEvent.SHUT_OUT, active, "its lease has ended");
             } else {
-                LOG.warning("fleet: this server's lease holds: keyed work is let in");
+                LOG.warning("fleet: this server's lease is valid; accepting keyed invocations");
                 activator.told(RolloutEvent.LET_IN, active, "its lease holds");
             }
         }
         wasFencedOff = isFencedOff;
     }
 
-    /** Begins a renewal and returns the number that names it. */
+    /** Starts a renewal and returns its request ID. */
     long startRenewal(Duration now) {
         remainingSecondsGauge =
                 Math.max(0, lease.expiresAt().minus(now).toNanos() / NANOS_PER_SECOND);
         return lease.startRenewal(now);
     }
 
-    /** Takes an acceptor's answer. */
+    /** Handles an acceptor's reply to a renewal. */
     void receiveReply(String acceptor, long requestId, boolean isGranted) {
         if (isGranted) {
             lease.recordGrant(acceptor, requestId);
         }
     }
 
-    /** Returns the rest of the lease; negative if it has ended. */
+    /** Returns the remaining time of the lease; negative if it has expired. */
     Duration remaining() {
         return lease.expiresAt().minus(context.scheduler().now());
     }
 
-    /** Returns the rest of the lease in seconds as of the last renewal. From any thread. */
+    /** Returns the remaining seconds as of the last renewal request. Callable from any thread. */
     double remainingSecondsGauge() {
         return remainingSecondsGauge;
     }
--- a/src/main/java/ochretiller/fleet/service/LocalServer.java
+++ b/src/main/java/ochretiller/fleet/service/LocalServer.java
@@ -3,10 +3,10 @@
 import ochretiller.fleet.membership.PeerAddress;
 
 /**
- * What a server tells its fleet about itself.
+ * Description of this server that it shares with its fleet.
  *
- * @param name unique in the fleet
- * @param build of the program
- * @param serviceAddress where it serves clients, unless the operators' configuration says otherwise
+ * @param name name of the server, unique in the fleet
+ * @param build build number of the program
+ * @param serviceAddress address for clients, unless the operators' configuration overrides it
  */
 public record LocalServer(String name, String build, PeerAddress serviceAddress) {}
--- a/src/main/java/ochretiller/fleet/service/MembershipJson.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipJson.java
@@ -5,45 +5,47 @@
 import ochretiller.fleet.transport.PeerSocket;
 import ochretiller.fleet.transport.RejectReason;
 
-/** A view as JSON, as the operators' commands read it. */
+/** Encodes the membership view as JSON for admin commands. */
 final class MembershipJson {
     private MembershipJson() {}
 
-    static String json(String fleet, MembershipProtocol members, PeerSocket socket) {
+    static String json(String fleetName, MembershipProtocol protocol, PeerSocket socket) {
         return JsonText.object(
-                to -> {
-                    to.writeStringField("fleet", fleet);
-                    to.writeStringField("digest", Long.toHexString(members.digest()));
-                    to.writeNumberField("doubt", members.localHealthScore());
-                    to.writeNumberField("news", members.pendingGossip());
-                    to.writeNumberField("sent_bytes", socket.traffic().sentBytes());
-                    to.writeNumberField("read_bytes", socket.traffic().readBytes());
-                    to.writeObjectFieldStart("refused");
-                    for (RejectReason why : RejectReason.values()) {
-                        if (socket.rejectedCount(why) > 0) {
-                            to.writeNumberField(why.lowerCaseName(), socket.rejectedCount(why));
+                out -> {
+                    out.writeStringField("fleet", fleetName);
+                    out.writeStringField("digest", Long.toHexString(protocol.digest()));
+                    out.writeNumberField("doubt", protocol.localHealthScore());
+                    out.writeNumberField("news", protocol.pendingGossip());
+                    out.writeNumberField("sent_bytes", socket.traffic().sentBytes());
+                    out.writeNumberField("read_bytes", socket.traffic().readBytes());
+                    out.writeObjectFieldStart("refused");
+                    for (RejectReason reason : RejectReason.values()) {
+                        if (socket.rejectedCount(reason) > 0) {
+                            out.writeNumberField(
+                                    reason.lowerCaseName(), socket.rejectedCount(reason));
                         }
                     }
-                    to.writeEndObject();
-                    to.writeArrayFieldStart("members");
-                    for (MemberSnapshot seen : members.snapshot()) {
-                        to.writeStartObject();
-                        to.writeStringField("name", seen.member().id().name());
-                        to.writeStringField("start", Long.toHexString(seen.member().incarnation()));
-                        to.writeStringField("state", seen.member().state().externalName());
-                        to.writeStringField("address", seen.member().address().toString());
-                        to.writeStringField("zone", seen.member().zone());
-                        to.writeStringField("build", seen.member().build());
-                        if (seen.member().serviceAddress().isPresent()) {
-                            to.writeStringField(
-                                    "serves", seen.member().serviceAddress().get().toString());
+                    out.writeEndObject();
+                    out.writeArrayFieldStart("members");
+                    for (MemberSnapshot snapshot : protocol.snapshot()) {
+                        out.writeStartObject();
+                        out.writeStringField("name", snapshot.member().id().name());
+                        out.writeStringField(
+                                "start", Long.toHexString(snapshot.member().incarnation()));
+                        out.writeStringField("state", snapshot.member().state().externalName());
+                        out.writeStringField("address", snapshot.member().address().toString());
+                        out.writeStringField("zone", snapshot.member().zone());
+                        out.writeStringField("build", snapshot.member().build());
+                        if (snapshot.member().serviceAddress().isPresent()) {
+                            out.writeStringField(
+                                    "serves", snapshot.member().serviceAddress().get().toString());
                         }
-                        to.writeNumberField("number", seen.member().stateVersion());
-                        to.writeNumberField("for_ms", seen.timeInState().toMillis());
-                        to.writeBooleanField("self", seen.isSelf());
-                        to.writeEndObject();
+                        out.writeNumberField("number", snapshot.member().stateVersion());
+                        out.writeNumberField("for_ms", snapshot.timeInState().toMillis());
+                        out.writeBooleanField("self", snapshot.isSelf());
+                        out.writeEndObject();
                     }
-                    to.writeEndArray();
+                    out.writeEndArray();
                 });
     }
 }
--- a/src/main/java/ochretiller/fleet/service/MembershipLog.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipLog.java
@@ -7,13 +7,13 @@
 import ochretiller.fleet.membership.MembershipChange;
 
 /**
- * Writes the log lines about changes of the membership. Their rate is limited, so that a fleet that
- * flaps does not fill the log. On the event loop.
+ * Logs membership changes at a limited rate, so that a flapping fleet does not flood the log.
+ * Confined to the event loop.
  */
 final class MembershipLog {
     private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
 
-    /** Lines in an interval; the number of the others is logged in the next one. */
+    /** Maximum lines per interval; the number of omitted lines is logged in a later one. */
     private static final int MAX_LOG_LINES = 20;
 
     private static final Duration LOG_LINE_INTERVAL = Duration.ofSeconds(10);
@@ -26,7 +26,7 @@
         if (now.minus(intervalStart).compareTo(LOG_LINE_INTERVAL) >= 0) {
             if (lines > MAX_LOG_LINES) {
                 int omitted = lines - MAX_LOG_LINES;
-                LOG.info(() -> "fleet: " + omitted + " more changes that got no line");
+                LOG.info(() -> "fleet: omitted " + omitted + " log lines about membership changes");
             }
             intervalStart = now;
             lines = 0;
@@ -38,7 +38,7 @@
     /**
      * Logs a change.
      *
-     * @param otherLiveMembers live members beside this server
+     * @param otherLiveMembers number of live members, not counting this server
      */
     void log(MembershipChange change, int otherLiveMembers) {
         Member member = change.member();
@@ -46,16 +46,16 @@
             logState(member);
         } else if (change instanceof MembershipChange.DuplicateName) {
             LOG.warning(
-                    "fleet: another process bears the name of this server: "
+                    "fleet: another process uses the name or address of this server: "
                             + member.id()
                             + " at "
                             + member.address());
         } else if (change instanceof MembershipChange.Joined) {
             LOG.info(() -> "fleet: joined, with " + otherLiveMembers + " others");
         } else if (change instanceof MembershipChange.SuspicionRefuted) {
-            LOG.info("fleet: was thought to be gone, and says that it is here");
+            LOG.info("fleet: refuted another member's report that this server does not respond");
         } else if (change instanceof MembershipChange.Forgotten) {
-            LOG.fine(() -> "fleet: " + member.id() + " is forgotten");
+            LOG.fine(() -> "fleet: " + member.id() + " is removed from the view");
         }
     }
 
--- a/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
+++ b/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
@@ -9,8 +9,8 @@
 import ochretiller.fleet.rollout.VersionDownload;
 
 /**
- * Downloads on an acceptor the version that another acceptor offers, and confirms once it is
- * durable. On the event loop.
+ * Downloads a version that another acceptor offers to this acceptor, and confirms it once it is
+ * durable. Confined to the event loop.
  */
 final class OfferedVersionReceiver {
     private final FleetContext context;
@@ -32,7 +32,7 @@
         this.download = new VersionDownload(context.random());
     }
 
-    /** Takes an offer: confirms at once if the version is here, or downloads it. */
+    /** Handles an offer: confirms a version that is stored here, or starts to download it. */
     void receiveOffer(String server, RolloutMessage.VersionOffer offer, Duration now) {
         if (!acceptors.contains(context.serverName()) || !acceptors.contains(server)) {
             return;
@@ -46,7 +46,7 @@
         tick(now);
     }
 
-    /** Requests missing chunks of the server that has made the last offer. */
+    /** Requests missing chunks from the server that made the latest offer. */
     void tick(Duration now) {
         offeredBy.ifPresent(server -> requestChunks(server, now));
     }
@@ -57,13 +57,13 @@
         }
     }
 
-    /** Takes a chunk, and requests the next ones. */
+    /** Handles a chunk and requests the next ones. */
     void receive(RolloutMessage.Chunk chunk, Duration now) {
-        download.accept(chunk, now).ifPresent(version -> downloaded(chunk.hash(), version, now));
+        download.accept(chunk, now).ifPresent(version -> onDownloaded(chunk.hash(), version, now));
         tick(now);
     }
 
-    private void downloaded(String hash, byte[] version, Duration now) {
+    private void onDownloaded(String hash, byte[] version, Duration now) {
         if (!VersionFiles.hashOf(version).equals(hash)) {
             download.discardCorrupt(now);
             return;
--- a/src/main/java/ochretiller/fleet/service/PacketSender.java
+++ b/src/main/java/ochretiller/fleet/service/PacketSender.java
@@ -9,9 +9,9 @@
 import ochretiller.fleet.transport.PacketCodec;
 import ochretiller.fleet.transport.PeerSocket;
 
-/** Numbers, encodes and sends the packets of one server. On the event loop. */
+/** Assigns sequence numbers to packets, seals and sends them. Confined to the event loop. */
 final class PacketSender implements PeerSender {
-    /** Addresses whose socket address is cached: more than a fleet has. */
+    /** Maximum number of cached socket addresses; exceeds the size of a fleet. */
     private static final int MAX_CACHED_ADDRESSES = 4096;
 
     private final MembershipProtocol membership;
@@ -27,7 +27,7 @@
         this.socket = socket;
     }
 
-    /** Sends to the live member of this name; without one the message is lost like any other. */
+    /** Sends to the live member with this name; if there is none, the message is dropped. */
     @Override
     public void send(String server, Object message) {
         membership.addressOf(server).ifPresent(address -> send(address, message));
--- a/src/main/java/ochretiller/fleet/service/PeerSender.java
+++ b/src/main/java/ochretiller/fleet/service/PeerSender.java
@@ -6,8 +6,8 @@
     /**
      * Sends a message, which may be lost.
      *
-     * @param server name of the receiver; if nobody live bears it, the message is lost
-     * @param message of consensus, replication or rollout
+     * @param server name of the receiver; without a live member of this name the message is dropped
+     * @param message message of consensus, replication or rollout
      */
     void send(String server, Object message);
 }
--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -7,34 +7,36 @@
 import ochretiller.fleet.membership.PeerAddress;
 
 /**
- * Addresses of those whom a server has seen, for its next start. It is a hint: what is damaged is
- * passed over, and written anew.
+ * Stores the addresses of known peers for the next start of this server. The content is only a
+ * hint, so an unreadable file is ignored and overwritten later.
+ *
+ * <p>Reading blocks on the disk; files are written on a thread named {@code peers}.
  */
 final class PeersFile {
     private static final Logger LOG = Logger.getLogger(PeersFile.class.getName());
 
     private final Path file;
-    private final SealedFile sealed;
-    private final BackgroundWriter writes = new BackgroundWriter("peers", 1);
-    private volatile boolean sick;
+    private final SealedFile sealedFile;
+    private final BackgroundWriter writer = new BackgroundWriter("peers", 1);
+    private volatile boolean lastWriteFailed;
 
     PeersFile(Path file) {
         this.file = file;
-        this.sealed = new SealedFile(file);
+        this.sealedFile = new SealedFile(file);
     }
 
     List<PeerAddress> read() {
         try {
             List<PeerAddress> all =
-                    sealed.read(in -> in.readTexts().stream().map(PeerAddress::parse).toList())
+                    sealedFile.read(in -> in.readTexts().stream().map(PeerAddress::parse).toList())
                             .orElse(List.of());
             return all;
         } catch (IOException e) {
             LOG.warning(
                     () ->
-                            "fleet: whom this server knew cannot be read from "
+                            "fleet: cannot read the known peers from "
                                     + file
-                                    + ", it asks its seeds alone: "
+                                    + ", using only the configured seeds: "
                                     + (e instanceof CorruptFileException
                                             ? "damaged"
                                             : e.getMessage()));
@@ -42,37 +44,34 @@
         }
     }
 
-    /**
-     * Kept in the background; where the last one is still being written, this one is not: there
-     * will be another.
-     */
+    /** Writes the list in the background; skipped if another write is waiting. */
     void write(List<PeerAddress> all) {
-        writes.submit(
+        writer.submit(
                 () -> {
                     try {
-                        sealed.write(
-                                to -> {
-                                    to.writeStartArray();
+                        sealedFile.write(
+                                out -> {
+                                    out.writeStartArray();
                                     for (PeerAddress each : all) {
-                                        to.writeString(each.toString());
+                                        out.writeString(each.toString());
                                     }
-                                    to.writeEndArray();
+                                    out.writeEndArray();
                                 });
-                        sick = false;
+                        lastWriteFailed = false;
                     } catch (IOException e) {
-                        if (!sick) {
+                        if (!lastWriteFailed) {
                             LOG.warning(
-                                    "fleet: whom this server sees cannot be kept in "
+                                    "fleet: cannot write the known peers to "
                                             + file
                                             + ": "
                                             + e.getMessage());
                         }
-                        sick = true;
+                        lastWriteFailed = true;
                     }
                 });
     }
 
     void close() {
-        writes.close();
+        writer.close();
     }
 }
--- a/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
@@ -7,7 +7,7 @@
 public interface PreviousIncarnation {
     /** Progress of a previous run. */
     enum Finding {
-        /** No run with this token was ever started, or its in-flight marker would be on the disk. */
+        /** No run was ever started, since the disk has no in-flight marker of it. */
         NEVER,
         /** A run may have been started, and its outcome is not known. */
         UNKNOWN,
--- a/src/main/java/ochretiller/fleet/service/ReplicaStatusLog.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStatusLog.java
@@ -6,13 +6,13 @@
 import ochretiller.fleet.replication.Replica;
 
 /**
- * Writes the log lines about a replica that operators wait for: one when a state begins and one
- * when it ends. On the event loop.
+ * Logs a replica's status for operators: one line when a condition starts and one when it ends.
+ * Confined to the event loop.
  */
 final class ReplicaStatusLog {
     private static final Logger LOG = Logger.getLogger(ReplicationService.class.getName());
 
-    /** Conflicts that get a line each. */
+    /** Maximum number of conflicts that are logged. */
     private static final int MAX_CONFLICT_LOG_LINES = 20;
 
     private boolean wasCheckingDisk;
@@ -21,57 +21,57 @@
     private Duration laggingSince = Duration.ZERO;
     private int conflictLines;
 
-    /** Writes lines about states that have changed since the last call. */
+    /** Logs conditions that have changed since the last call. */
     void update(Replica replica, DurabilityBarrier barrier, Duration now) {
-        updateDiskCheck(replica);
-        updateLagging(replica, now);
-        updateDegraded(barrier);
+        logDiskCheck(replica);
+        logLagging(replica, now);
+        logDegraded(barrier);
     }
 
-    private void updateDiskCheck(Replica replica) {
+    private void logDiskCheck(Replica replica) {
         boolean isCheckingDisk = replica.isCheckingDisk();
         if (wasCheckingDisk && !isCheckingDisk) {
             LOG.info(
                     replica.statistics().staleDisks() > 0
-                            ? "fleet: the disk is older than this server's last word: what it kept"
-                                    + " is fetched from the others"
-                            : "fleet: nobody knows of a later word than the disk has: it counts as"
-                                    + " a keeper");
+                            ? "fleet: the replica's disk lacks changes that other replicas have"
+                                    + " seen; fetching entries from them"
+                            : "fleet: no other replica reports changes that the disk lacks; this"
+                                    + " replica votes again");
         }
         wasCheckingDisk = isCheckingDisk;
     }
 
-    private void updateLagging(Replica replica, Duration now) {
+    private void logLagging(Replica replica, Duration now) {
         int laggingRanges = replica.laggingRangeCount();
         boolean isLagging = laggingRanges > 0;
         if (isLagging && !wasLagging) {
             laggingSince = now;
-            LOG.info("fleet: fetches " + laggingRanges + " ranges");
+            LOG.info("fleet: fetching " + laggingRanges + " ranges from other replicas");
         }
         if (!isLagging && wasLagging) {
             LOG.info(
-                    "fleet: has all its ranges whole, behind "
+                    "fleet: all ranges are complete after "
                             + now.minus(laggingSince).toMillis()
                             + " ms; fetched "
                             + replica.statistics().receivedEntries()
-                            + " entries since its start");
+                            + " entries since the start");
         }
         wasLagging = isLagging;
     }
 
-    private void updateDegraded(DurabilityBarrier barrier) {
+    private void logDegraded(DurabilityBarrier barrier) {
         boolean isDegraded = barrier.isDegraded();
         if (isDegraded != wasDegraded) {
             LOG.warning(
                     isDegraded
-                            ? "fleet: the disk does not take what this server keeps: it says"
-                                    + " nothing as a keeper"
-                            : "fleet: the disk takes what this server keeps again");
+                            ? "fleet: cannot write the replica's changes to disk; its messages"
+                                    + " are withheld"
+                            : "fleet: the replica's changes are written to disk again");
         }
         wasDegraded = isDegraded;
     }
 
-    /** Writes a line for each new conflict, up to a limit. */
+    /** Logs each new conflict, up to a limit. */
     void reportConflicts(Replica replica) {
         for (String token : replica.takeConflictingTokens()) {
             conflictLines++;
@@ -82,9 +82,9 @@
                     () ->
                             "fleet: token "
                                     + token
-                                    + " has two ends, which must not be: "
+                                    + " has conflicting outcomes of the claims "
                                     + replica.entry(token).outcomes().keySet()
-                                    + "; it is answered with the first");
+                                    + "; the first one is replayed");
         }
     }
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicationFigures.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationFigures.java
@@ -6,7 +6,7 @@
 import ochretiller.fleet.replication.Replica;
 import ochretiller.fleet.replication.ReplicaStatistics;
 
-/** The figures of replication at one moment, for the gauges, which are read from other threads. */
+/** Values of the replication metrics at one moment. Immutable, since other threads read them. */
 record ReplicationFigures(
         long epoch,
         int laggingRanges,
@@ -25,7 +25,7 @@
         long hedgedRequests,
         long retriedRequests,
         long staleDisks) {
-    /** The figures before an epoch is known. */
+    /** The values before an epoch is known. */
     static final ReplicationFigures NONE =
             new ReplicationFigures(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
--- a/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
@@ -6,19 +6,19 @@
 import ochretiller.fleet.replication.ClaimModeSettings;
 
 /**
- * How a fleet keeps claims and results of tokened invocations.
+ * Settings for replicating claims and results of invocations with an idempotency key.
  *
- * @param voters names of the servers that agree on epochs, the same everywhere
- * @param voterFile where this server keeps what it has promised, if it is a voter; null otherwise
- * @param replicationFactor keepers of each token
- * @param maxEntries entries that this server keeps
- * @param maxBytes of those entries, as reckoned, and half as much for long results that are kept in
+ * @param voters names of the acceptors, which agree on epochs; the same on all servers
+ * @param voterFile file of this server's acceptor state; null if it is not an acceptor
+ * @param replicationFactor number of replicas of each token
+ * @param maxEntries maximum number of entries that this server stores
+ * @param maxBytes maximum estimated size of those entries; half of it limits the long results in
  *     memory
- * @param calm how long a server is there, or gone, before it is taken in or out
- * @param antiEntropyBytesPerSecond bytes a second that are fetched by one that catches up, and as
- *     many that are sent to others who do
- * @param versions how versions are brought out, or null
- * @param modes which operations run once in the fleet
+ * @param calm time that a server must be live, or not live, before the placement adds or removes it
+ * @param antiEntropyBytesPerSecond rate limit for entries that this server fetches while catching
+ *     up, and the same limit for entries that it sends to others
+ * @param modes operations whose invocations the fleet runs only once
+ * @param versions settings of rollouts; null if there are none
  */
 public record ReplicationSettings(
         List<String> voters,
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -17,9 +17,9 @@
 import ochretiller.fleet.replication.ReplicaStatistics;
 import ochretiller.fleet.replication.TokenSummary;
 
-/** The state of replication as JSON, as the operators' commands read it. On the event loop. */
+/** Encodes the replication status as JSON for admin commands. Confined to the event loop. */
 final class ReplicationStatusJson {
-    /** Tokens of a range that are listed; bounds the length of an answer. */
+    /** Maximum number of listed tokens of a range; bounds the length of a response. */
     private static final int MAX_LISTED_TOKENS = 5_000;
 
     private static final int NO_RANGE = -1;
@@ -35,7 +35,7 @@
         this.replicaHost = replicaHost;
     }
 
-    /** Returns the figures of this server. */
+    /** Returns the status of this server's replica and claims. */
     String status() {
         ReplicaPlacement placement = coordinator.placement();
         Optional<Replica> replica = replicaHost.replica();
@@ -87,7 +87,7 @@
         return coordinator.placement().replicasOf(range).contains(context.serverName());
     }
 
-    /** Returns what is known of a token. */
+    /** Returns a token's range, replicas and local entry. */
     String show(String token) {
         Optional<Replica> replica = replicaHost.replica();
         int range = ReplicaPlacement.rangeOf(token);
@@ -145,7 +145,7 @@
         out.writeEndObject();
     }
 
-    /** Returns for each range of this server its entry count, digest and completeness. */
+    /** Returns the entry count, digest and completeness of each range of this server. */
     String digests() {
         return JsonText.object(
                 out -> {
@@ -172,7 +172,7 @@
     /**
      * Returns the tokens of a range, each with a digest and its status.
      *
-     * @param number of the range; no tokens are listed if there is no such range
+     * @param number decimal number of the range; no tokens are listed if it is invalid
      */
     String range(String number) {
         int range = parseRange(number);
--- a/src/main/java/ochretiller/fleet/service/RequestFingerprint.java
+++ b/src/main/java/ochretiller/fleet/service/RequestFingerprint.java
@@ -2,7 +2,7 @@
 
 import java.util.HexFormat;
 
-/** The text by which claims tell whether two requests ask for the same: operation and body hash. */
+/** Identifies a request's content in claims and outcomes by its operation and its body's hash. */
 final class RequestFingerprint {
     private static final char SEPARATOR = ' ';
 
@@ -12,7 +12,7 @@
         return operation + SEPARATOR + HexFormat.of().formatHex(bodyHash);
     }
 
-    /** Returns the operation, or an empty text if the fingerprint has none. */
+    /** Returns the operation, or an empty string if the fingerprint has none. */
     static String operationOf(String fingerprint) {
         int end = fingerprint.lastIndexOf(SEPARATOR);
         return end < 0 ? "" : fingerprint.substring(0, end);
--- a/src/main/java/ochretiller/fleet/service/ResultCache.java
+++ b/src/main/java/ochretiller/fleet/service/ResultCache.java
@@ -10,12 +10,12 @@
 import ochretiller.fleet.replication.ClaimId;
 
 /**
- * The long results that this server's replica keeps. With a storage they are on the disk and the
- * ones used last are cached in memory; without one they are in memory alone, and none that is kept
- * makes way for a new one. On the event loop.
+ * Stores the long results of this server's replica. With a storage, results are on disk and the
+ * most recently used ones are cached in memory. Without one, they are in memory only, and a new
+ * result is rejected rather than evicting an unexpired one. Confined to the event loop.
  */
 final class ResultCache {
-    /** Cached characters beside a storage: a repeat fetches a result chunk by chunk. */
+    /** Cache limit if there is a storage; a retry fetches a result in many small chunks. */
     private static final long MAX_CACHED_BYTES = 2L << 20;
 
     private static final int INITIAL_CAPACITY = 16;
@@ -24,7 +24,7 @@
     private final Optional<ReplicaStorage> storage;
     private final long maxBytes;
 
-    /** By last access, the one that was used longest ago first. */
+    /** In order of access, least recently used first. */
     private final Map<String, CachedResult> cached =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
@@ -35,7 +35,7 @@
     /**
      * Creates an empty cache.
      *
-     * @param maxBytesInMemory limit if there is no storage
+     * @param maxBytesInMemory limit in bytes if there is no storage
      */
     ResultCache(Optional<ReplicaStorage> storage, long maxBytesInMemory) {
         this.storage = storage;
@@ -45,7 +45,7 @@
     /**
      * Stores a result.
      *
-     * @param completion is called with whether the result is stored, on the disk if there is one
+     * @param completion called with whether the result is stored, durably if there is a storage
      */
     void put(
             String token,
@@ -111,9 +111,9 @@
     }
 
     /**
-     * Looks a result up.
+     * Looks up a result.
      *
-     * @param completion is called with the result, or nothing if it is not here
+     * @param completion called with the result, or empty if it is not stored here
      */
     void get(String token, ClaimId claimId, Consumer<Optional<String>> completion) {
         CachedResult known = cached.get(keyOf(token, claimId));
--- a/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
+++ b/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
@@ -6,8 +6,8 @@
 import ochretiller.fleet.replication.ReplicationMessage;
 
 /**
- * Sends chunks of long results to the servers that request them: of runs of this server, or of the
- * results that its replica stores. On the event loop.
+ * Sends chunks of long results to the servers that request them. The results are those of this
+ * server's own runs and those that its replica stores. Confined to the event loop.
  */
 final class ResultChunkSender {
     private final FleetLink link;
@@ -20,7 +20,7 @@
         this.results = results;
     }
 
-    /** Answers a request, unless the result is not here. */
+    /** Sends the requested chunk; ignores the request if the result is not stored here. */
     void receive(String sender, ReplicationMessage.ChunkRequest request) {
         Optional<String> ownResult = coordinator.pendingResult(request.claimId());
         if (ownResult.isPresent()) {
--- a/src/main/java/ochretiller/fleet/service/RolloutAcceptor.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutAcceptor.java
@@ -15,8 +15,8 @@
 import ochretiller.fleet.rollout.VersionReport;
 
 /**
- * An acceptor's part in a rollout: grants leases by the servers' reports, fences off stragglers and
- * carries a rollout from stage to stage. On the event loop.
+ * Runs an acceptor's part in a rollout: grants leases according to the servers' reports, fences
+ * stragglers and advances the rollout from stage to stage. Confined to the event loop.
  */
 final class RolloutAcceptor {
     private final LeaseGrantor leaseGrantor;
@@ -35,12 +35,12 @@
         witness = new AuditWitness(context.serverName(), activator);
     }
 
-    /** Takes a placement that has been committed. */
+    /** Adopts a committed placement. */
     void adoptPlacement(ReplicaPlacement committed, Duration now) {
         leaseGrantor.adoptPlacement(committed, now);
     }
 
-    /** Takes a server's report and returns whether its lease is granted. */
+    /** Handles a server's report and returns whether its lease is renewed. */
     boolean receiveReport(
             String server,
             RolloutMessage.StatusReport status,
@@ -53,18 +53,18 @@
         return leaseGrantor.renew(placement, server, reports, now);
     }
 
-    /** Forgets the reports of servers that are gone. */
+    /** Removes the reports of servers that are not live and updates the gauge. */
     void observeLiveServers(Set<String> live) {
         reports.keySet().retainAll(live);
         fencedServersGauge = leaseGrantor.fencedServers().size();
     }
 
-    /** Returns the next state of the rollout, if it is to change. */
+    /** Returns the next state of the rollout, or empty if it must not change now. */
     Optional<RolloutState> nextState(ReplicaPlacement committed, Set<String> live, Duration now) {
         return controller.nextState(committed, live, now);
     }
 
-    /** Returns the last report of each server, sorted by name. */
+    /** Returns the latest report of each live server, sorted by name. */
     Map<String, VersionReport> reports() {
         return new TreeMap<>(reports);
     }
@@ -73,12 +73,12 @@
         return leaseGrantor.fencedServers().contains(server);
     }
 
-    /** Returns why the rollout was halted, or an empty text. */
+    /** Returns why the rollout was halted or rolled back, or an empty string. */
     String haltReason() {
         return controller.haltReason();
     }
 
-    /** Returns how many servers are fenced off. From any thread. */
+    /** Returns the number of fenced servers. Callable from any thread. */
     int fencedServersGauge() {
         return fencedServersGauge;
     }
--- a/src/main/java/ochretiller/fleet/service/RolloutEvent.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutEvent.java
@@ -2,18 +2,18 @@
 
 /** Events of a rollout that are recorded in the audit log. */
 public enum RolloutEvent {
-    /** This server has put another version into use. */
+    /** This server activated another version. */
     CHANGED,
-    /** This server cannot use a version that it is to use. */
+    /** This server cannot activate its committed version. */
     REFUSED,
-    /** This server's lease has ended: it is fenced off. */
+    /** This server's lease expired, so the server is fenced. */
     SHUT_OUT,
-    /** This server has a lease again. */
+    /** This server's lease is valid again. */
     LET_IN,
-    /** A version was published at this server. */
+    /** A version was published through this server. */
     PUBLISHED,
-    /** The rollout has come to another stage or phase. */
+    /** The rollout reached another stage or phase. */
     ROLLOUT,
-    /** The end of another server's audit log, as that server has reported it. */
+    /** Another server reported the head of its audit chain. */
     WITNESSED
 }
--- a/src/main/java/ochretiller/fleet/service/RolloutProposals.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutProposals.java
@@ -13,15 +13,15 @@
 import ochretiller.fleet.rollout.RolloutMessage;
 
 /**
- * What the operators' commands ask an acceptor to propose: to publish a version, to pause, resume
- * or roll back a rollout. A version is proposed once a majority of the acceptors has its bytes, so
- * that its publisher may fail from then on. On the event loop.
+ * Rollout changes that admin commands request from an acceptor: publishing a version, and pausing,
+ * resuming or rolling back a rollout. A version is proposed only after a majority of the acceptors
+ * has stored its bytes, so the publishing server may fail from then on. Confined to the event loop.
  */
 final class RolloutProposals {
-    /** A person's request that is not committed by then is dropped and has to be repeated. */
+    /** Time after which an uncommitted request is dropped; the operator has to repeat it. */
     private static final Duration PROPOSAL_LIFETIME = Duration.ofSeconds(10);
 
-    /** Publisher, reason, minimum build and the version, separated by line feeds. */
+    /** Number of arguments: publisher, reason, minimum build and version. */
     private static final int PUBLISH_ARGUMENTS = 4;
 
     private final FleetContext context;
@@ -31,7 +31,7 @@
     private final VersionActivator activator;
     private final Set<String> serversWithBytes = new HashSet<>();
     private RolloutState committed = ReplicaPlacement.empty(1).rollout();
-    private Optional<RolloutState> offered = Optional.empty();
+    private Optional<RolloutState> pendingOffer = Optional.empty();
     private Optional<RolloutState> proposed = Optional.empty();
     private boolean isClosed;
 
@@ -48,7 +48,7 @@
         this.activator = activator;
     }
 
-    /** Takes the state that has been committed. */
+    /** Adopts the committed state, and drops the proposal if it is the one that was committed. */
     void adoptState(RolloutState next) {
         committed = next;
         if (proposed.isPresent() && proposed.get().equals(next)) {
@@ -56,16 +56,16 @@
         }
     }
 
-    /** Returns the state that is to be proposed. */
+    /** Returns the state to propose, if an operator has requested one. */
     Optional<RolloutState> proposed() {
         return proposed;
     }
 
     /**
-     * Publishes a version for an operators' command.
+     * Publishes a version for an admin command.
      *
-     * @param arguments publisher, reason, minimum build and version, one a line
-     * @return what came of it, as JSON
+     * @param arguments publisher, reason and minimum build, one per line, followed by the version
+     * @return the result as JSON
      */
     String publish(String arguments) {
         String[] lines = arguments.split("\n", PUBLISH_ARGUMENTS);
@@ -76,7 +76,7 @@
         return publish(lines[0], lines[1], lines[2], version);
     }
 
-    /** Publishes a version and returns what came of it, as JSON. */
+    /** Publishes a version; returns the result as JSON. */
     String publish(String publisher, String reason, String minimumBuild, byte[] version) {
         Optional<String> fault = faultOf(version);
         if (fault.isPresent()) {
@@ -107,7 +107,7 @@
         if (version.length == 0 || version.length > PublishedVersion.MAX_BYTES) {
             return Optional.of("a version has 1 to " + PublishedVersion.MAX_BYTES + " bytes");
         }
-        if (!committed.isComplete() || proposed.isPresent() || offered.isPresent()) {
+        if (!committed.isComplete() || proposed.isPresent() || pendingOffer.isPresent()) {
             return Optional.of(
                     "version "
                             + committed.target().number()
@@ -129,14 +129,14 @@
     }
 
     private void startOffering(RolloutState offer, byte[] version) {
-        offered = Optional.of(offer);
+        pendingOffer = Optional.of(offer);
         serversWithBytes.clear();
         String hash = offer.target().hash();
-        files.store(hash, version, follower.active().hash(), () -> storedHere(offer));
+        files.store(hash, version, follower.active().hash(), () -> onStoredLocally(offer));
         context.scheduler().after(PROPOSAL_LIFETIME, () -> expireOffer(offer));
     }
 
-    private void storedHere(RolloutState offer) {
+    private void onStoredLocally(RolloutState offer) {
         if (!isOffered(offer)) {
             return;
         }
@@ -146,21 +146,21 @@
         }
     }
 
-    /** Whether this very offer stands, and not a later one that is equal to it. */
+    /** Returns whether exactly this offer is pending, and not an equal later one. */
     private boolean isOffered(RolloutState offer) {
-        return offered.isPresent() && offered.get() == offer;
+        return pendingOffer.isPresent() && pendingOffer.get() == offer;
     }
 
-    /** No majority of the acceptors has answered. */
+    /** Drops an offer that a majority of the acceptors has not confirmed in time. */
     private void expireOffer(RolloutState offer) {
         if (isOffered(offer)) {
-            offered = Optional.empty();
+            pendingOffer = Optional.empty();
         }
     }
 
-    /** Offers a version that was published here to the acceptors that do not have it. */
+    /** Offers the version that was published here to the acceptors that have not confirmed it. */
     void offerToOthers() {
-        offered.ifPresent(offer -> offerToOthers(offer.target()));
+        pendingOffer.ifPresent(offer -> offerToOthers(offer.target()));
     }
 
     private void offerToOthers(PublishedVersion version) {
@@ -176,25 +176,25 @@
         }
     }
 
-    /** Takes an acceptor's confirmation that it has the bytes of a version. */
+    /** Handles an acceptor's confirmation that it has stored the bytes of a version. */
     void receiveStored(String server, String hash) {
         boolean isExpected =
-                offered.isPresent()
+                pendingOffer.isPresent()
                         && acceptors.contains(server)
-                        && hash.equals(offered.get().target().hash());
+                        && hash.equals(pendingOffer.get().target().hash());
         if (isClosed || !isExpected) {
             return;
         }
         serversWithBytes.add(server);
         if (serversWithBytes.size() >= ReplicaPlacement.quorumSize(acceptors.size())) {
-            propose(offered.get());
-            offered = Optional.empty();
+            propose(pendingOffer.get());
+            pendingOffer = Optional.empty();
         }
     }
 
     private void propose(RolloutState next) {
         proposed = Optional.of(next);
-        // Another acceptor's proposal may have been committed instead: a person decides anew.
+        // If another proposal was committed instead, the operator has to decide again.
         context.scheduler().after(PROPOSAL_LIFETIME, () -> expireProposal(next));
     }
 
@@ -205,17 +205,17 @@
     }
 
     /**
-     * Pauses, resumes or rolls back the rollout for an operators' command.
+     * Pauses, resumes or rolls back the rollout for an admin command.
      *
      * @param command {@code pause}, {@code go-on} or {@code take-back}
-     * @param operator who has given it
-     * @return what came of it, as JSON
+     * @param operator name of the operator who issued the command
+     * @return the result as JSON
      */
     String steer(String command, String operator) {
         if (!isAcceptor()) {
             return rejection(notAnAcceptor());
         }
-        Optional<RolloutState> next = steered(command, operator);
+        Optional<RolloutState> next = stateAfter(command, operator);
         if (next.isEmpty()) {
             return rejection(
                     "there is nothing to "
@@ -229,7 +229,7 @@
         return JsonText.object(out -> out.writeStringField("wished", command));
     }
 
-    private Optional<RolloutState> steered(String command, String operator) {
+    private Optional<RolloutState> stateAfter(String command, String operator) {
         boolean isRunning = committed.phase() == RolloutPhase.RUNNING;
         return switch (command) {
             case "pause" ->
@@ -250,7 +250,7 @@
         };
     }
 
-    /** Confirmations are ignored from here on. */
+    /** Ignores confirmations from now on. */
     void close() {
         isClosed = true;
     }
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -82,7 +82,7 @@
                 leaseHolder::remainingSecondsGauge);
     }
 
-    /** Returns the number of the active version, to which an invocation is bound when it is read. */
+    /** Returns the number of the active version, to which newly read invocations are bound. */
     public long activeVersion() {
         return follower.active().number();
     }
@@ -204,8 +204,8 @@
     }
 
     /**
-     * Returns the placement that this acceptor proposes next, if any: an operator's request, or else
-     * the next step that the servers' reports allow.
+     * Returns the placement that this acceptor proposes next, if any: an operator's request, or
+     * else the next step that the servers' reports allow.
      */
     Optional<ReplicaPlacement> nextPlacement(ReplicaPlacement committed) {
         Set<String> live = context.liveServers();
--- a/src/main/java/ochretiller/fleet/service/RolloutSettings.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutSettings.java
@@ -4,17 +4,17 @@
 import java.time.Duration;
 
 /**
- * How a fleet brings versions out.
+ * Settings for the rollout of versions.
  *
- * @param folder where versions, and the one that is acted on, are kept over restarts
- * @param lease how long a server acts on without a word of a majority of voters; zero for as long
- *     as it likes
- * @param fencingGrace how long a server may take to act on what is in force for it before it is
- *     shut out
- * @param observationTime how long each stage is watched
- * @param stageTimeout how long servers of a stage may take
- * @param rollsBackAutomatically whether a version that does harm is taken back by itself, and not
- *     only halted
+ * @param folder directory of the files of versions, which outlive a restart
+ * @param lease how long a server may serve without a renewal by a majority of the acceptors; zero
+ *     if no lease is required
+ * @param fencingGrace how long a server may take to activate its committed version before it is
+ *     fenced
+ * @param observationTime how long each stage is observed
+ * @param stageTimeout how long the servers of a stage may take to activate the version
+ * @param rollsBackAutomatically whether a harmful version is rolled back; otherwise its rollout is
+ *     halted
  */
 public record RolloutSettings(
         Path folder,
--- a/src/main/java/ochretiller/fleet/service/RolloutStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutStatusJson.java
@@ -6,7 +6,7 @@
 import ochretiller.fleet.consensus.RolloutState;
 import ochretiller.fleet.rollout.VersionReport;
 
-/** The state of the rollout as JSON, as the operators' commands read it. On the event loop. */
+/** Encodes the rollout status as JSON for admin commands. Confined to the event loop. */
 final class RolloutStatusJson {
     private final String serverName;
     private final VersionFollower follower;
@@ -24,7 +24,7 @@
         this.acceptor = acceptor;
     }
 
-    /** Returns the status under the state that has been committed. */
+    /** Returns the status of this server and, on an acceptor, of all reporting servers. */
     String status(RolloutState committed) {
         return JsonText.object(
                 out -> {
--- a/src/main/java/ochretiller/fleet/service/SealedFile.java
+++ b/src/main/java/ochretiller/fleet/service/SealedFile.java
@@ -16,10 +16,9 @@
 import ochretiller.fleet.transport.CborReader;
 
 /**
- * A small file that is replaced as a whole: an array in CBOR, followed by its CRC-32C in eight
- * bytes.
+ * A small file that is replaced as a whole: a CBOR array followed by its CRC-32C in eight bytes.
  *
- * <p>Its methods block on the disk and must not be called on the event loop, except at the start.
+ * <p>Methods block on the disk and must not be called on the event loop, except during startup.
  */
 final class SealedFile {
     private static final CBORFactory CBOR = new CBORFactory();
@@ -32,7 +31,7 @@
         this.file = file;
     }
 
-    /** Reads the elements of the array; an exception means that the file is corrupt. */
+    /** Reads the elements of the array; throws an exception if they are not as expected. */
     @FunctionalInterface
     interface ContentReader<T> {
         T read(CborReader in) throws IOException;
@@ -47,14 +46,14 @@
     /**
      * Reads the file.
      *
-     * @return the content, or nothing if there is no file
-     * @throws CorruptFileException if the file is not as it was written
+     * @return the content, or empty if there is no file
+     * @throws CorruptFileException if length, checksum or content is invalid
      */
     <T> Optional<T> read(ContentReader<T> reader) throws IOException {
         byte[] bytes;
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new CorruptFileException(file, "too long");
+                throw new CorruptFileException(file, "longer than " + MAX_FILE_BYTES + " bytes");
             }
             bytes = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
@@ -62,7 +61,7 @@
         }
         int contentLength = bytes.length - CHECKSUM_BYTES;
         if (contentLength < 0) {
-            throw new CorruptFileException(file, "too short");
+            throw new CorruptFileException(file, "too short for a checksum");
         }
         long storedChecksum = ByteBuffer.wrap(bytes, contentLength, CHECKSUM_BYTES).getLong();
         if (checksum(bytes, contentLength) != storedChecksum) {
@@ -82,7 +81,7 @@
         return checksum.getValue();
     }
 
-    /** Writes the file: once this returns, all of the new content is durable. */
+    /** Replaces the content of the file atomically; it is durable once this method returns. */
     void write(ContentWriter writer) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (CBORGenerator generator = CBOR.createGenerator(out)) {
@@ -95,7 +94,7 @@
         replaceAtomically(file, out.toByteArray());
     }
 
-    /** Replaces the content of a file or leaves it as it was; durable once this returns. */
+    /** Replaces a file completely or not at all; the change is durable once this method returns. */
     static void replaceAtomically(Path file, byte[] content) throws IOException {
         Path temporary = file.resolveSibling(file.getFileName() + ".tmp");
         try (FileChannel channel =
@@ -118,7 +117,7 @@
         forceDirectory(file.toAbsolutePath().getParent());
     }
 
-    /** Without it the new name of a file may be lost in a crash. */
+    /** Forces the directory to disk; otherwise a crash may undo the rename. */
     private static void forceDirectory(Path directory) throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
--- a/src/main/java/ochretiller/fleet/service/VersionActivator.java
+++ b/src/main/java/ochretiller/fleet/service/VersionActivator.java
@@ -3,26 +3,26 @@
 import ochretiller.audit.ChainHead;
 import ochretiller.fleet.consensus.PublishedVersion;
 
-/** What the rollout needs of the server around it: to put a version into use and to record it. */
+/** Activates versions and records rollout events on behalf of the rollout service. */
 public interface VersionActivator {
     /**
-     * Checks a version without any effect. From any thread.
+     * Validates a version without side effects. Callable from any thread.
      *
-     * @return what is wrong with it, or null
+     * @return why the version is invalid, or null if it is valid
      */
     String check(byte[] version);
 
     /**
-     * Puts a version into use as a whole, between two rounds of the event loop.
+     * Activates a version atomically. Must be called on the event loop.
      *
-     * @param version null for the server's own files
-     * @return what is wrong with it, or null; in that case nothing has changed
+     * @param version bytes of the version, or null to use the server's local files
+     * @return why the version cannot be activated, in which case nothing has changed; or null
      */
     String become(byte[] version);
 
-    /** Returns the end of this server's audit log, or the empty one if there is no log. */
+    /** Returns the head of this server's audit chain, or the empty head if there is no log. */
     ChainHead audited();
 
-    /** Records an event in the audit log. */
+    /** Records a rollout event in the audit log. */
     void told(RolloutEvent event, PublishedVersion version, String text);
 }
--- a/src/main/java/ochretiller/fleet/service/VersionFiles.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFiles.java
@@ -18,15 +18,15 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The last versions that this server has the bytes of, in memory and in files, and a file with the
- * description of the version in use. Versions are named by the SHA-256 of their bytes.
+ * Stores the bytes of the versions used last, in memory and in files, and the description of the
+ * active version in a file of its own. Files of versions are named by the SHA-256 of their bytes.
  *
- * <p>Used on the event loop; files are written on a thread named {@code versions}.
+ * <p>Confined to the event loop; files are written on a thread named {@code versions}.
  */
 final class VersionFiles {
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
 
-    /** Versions whose bytes are cached. */
+    /** Maximum number of versions whose bytes are cached. */
     static final int MAX_CACHED_VERSIONS = 8;
 
     private static final int MAX_QUEUED_WRITES = 16;
@@ -50,15 +50,15 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(version));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each JDK has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available in this JDK", e);
         }
     }
 
     /**
-     * Reads all versions that a previous process has left, also those that this server has not put
-     * into use: others may need them.
+     * Loads all versions that a previous process stored. This includes versions that this server
+     * has not activated, since other servers may request them.
      *
-     * @return the version that was in use, or nothing
+     * @return the version that was active last, or empty if none is recorded
      */
     Optional<PublishedVersion> load() throws IOException {
         Files.createDirectories(directory);
@@ -83,16 +83,16 @@
         return directory.resolve(hash + SUFFIX);
     }
 
-    /** Returns the bytes of a version, or nothing if they are not here. */
+    /** Returns the bytes of a version, or empty if they are not cached. */
     Optional<byte[]> find(String hash) {
         return Optional.ofNullable(versions.get(hash));
     }
 
     /**
-     * Caches a version and writes it to its file; files of versions that are no longer cached are
-     * deleted, except for the one in use.
+     * Caches a version and writes it to its file in the background. Then deletes the files of
+     * versions that are no longer cached, except for the active one.
      *
-     * @param completion is run on the event loop once the version is durable
+     * @param completion run on the event loop once the version is durable
      */
     void store(String hash, byte[] version, String activeHash, Runnable completion) {
         versions.put(hash, version);
@@ -105,7 +105,7 @@
                         scheduler.post(completion);
                         deleteOthers(neededHashes);
                     } catch (IOException e) {
-                        LOG.warning("fleet: a version's bytes cannot be kept: " + e.getMessage());
+                        LOG.warning("fleet: cannot write version " + hash + ": " + e.getMessage());
                     }
                 });
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Writes the description of the version in use, in the background. */
+    /** Writes the description of the active version in the background. */
     void storeActive(PublishedVersion active) {
         writer.submit(
                 () -> {
@@ -131,13 +131,15 @@
                         activeFile.write(out -> PlacementCodec.writeVersion(out, active));
                     } catch (IOException e) {
                         LOG.warning(
-                                "fleet: what version is acted on cannot be kept: "
+                                "fleet: cannot record version "
+                                        + active.number()
+                                        + " as active: "
                                         + e.getMessage());
                     }
                 });
     }
 
-    /** Writes what is queued and ends the writing thread. */
+    /** Stops the writer thread after it has completed queued writes. */
     void close() {
         writer.close();
     }
--- a/src/main/java/ochretiller/fleet/service/VersionFollower.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFollower.java
@@ -20,14 +20,14 @@
 import ochretiller.fleet.rollout.VersionReport;
 
 /**
- * Puts the version that is committed for this server into use: downloads it if necessary, checks
- * it, and counts how the invocations under it end. On the event loop.
+ * Activates the version that is committed for this server, after downloading it if necessary, and
+ * counts the outcomes of invocations by version. Confined to the event loop.
  */
 final class VersionFollower {
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
 
-    /** No version has been rejected. */
-    private static final long NONE_REJECTED = 0;
+    /** Value of {@link #rejectedVersion} if no version has been rejected. */
+    private static final long NO_VERSION = 0;
 
     private final FleetContext context;
     private final String build;
@@ -39,15 +39,15 @@
             BoundedMap.evictingOldest(VersionFiles.MAX_CACHED_VERSIONS);
     private ReplicaPlacement placement = ReplicaPlacement.empty(1);
     private PublishedVersion active = PublishedVersion.NONE;
-    private long rejectedVersion = NONE_REJECTED;
+    private long rejectedVersion = NO_VERSION;
     private String rejectionReason = "";
     private volatile long activeNumberGauge;
 
     /**
      * Creates the follower.
      *
-     * @param build of this program, compared with the minimum that a version needs
-     * @param acceptors names of the servers that have all versions first
+     * @param build build number of this program, compared with the minimum build of a version
+     * @param acceptors names of the acceptors; a majority has a version before it is committed
      */
     VersionFollower(
             FleetContext context,
@@ -63,13 +63,13 @@
         this.download = new VersionDownload(context.random());
     }
 
-    /** Puts the version into use that a previous process has used. */
+    /** Reactivates the version that a previous process used last. */
     void restore() {
         try {
             files.load().ifPresent(this::restore);
         } catch (IOException e) {
             LOG.warning(
-                    "fleet: what version was acted on before cannot be read: " + e.getMessage());
+                    "fleet: cannot read the previously active version: " + e.getMessage());
         }
     }
 
@@ -80,12 +80,12 @@
         }
         byte[] version = files.find(previous.hash()).orElse(null);
         String fault =
-                version == null ? "its bytes are not what they were" : activator.become(version);
+                version == null ? "its bytes are missing or corrupt" : activator.become(version);
         if (fault != null) {
             LOG.severe(
-                    "fleet: version "
+                    "fleet: cannot reactivate version "
                             + previous.number()
-                            + " cannot be acted on any more, it is fetched again: "
+                            + ", downloading it again: "
                             + fault);
             return;
         }
@@ -93,33 +93,33 @@
         activeNumberGauge = previous.number();
     }
 
-    /** Returns the version in use. */
+    /** Returns the active version. */
     PublishedVersion active() {
         return active;
     }
 
-    /** Returns the number of the version in use. From any thread. */
+    /** Returns the number of the active version. Callable from any thread. */
     long activeNumberGauge() {
         return activeNumberGauge;
     }
 
-    /** Returns the number and the reason of the last version that was rejected, or nothing. */
+    /** Returns the number of the version rejected last and the reason, or an empty string. */
     String rejection() {
-        return rejectedVersion == NONE_REJECTED ? "" : rejectedVersion + ": " + rejectionReason;
+        return rejectedVersion == NO_VERSION ? "" : rejectedVersion + ": " + rejectionReason;
     }
 
-    /** Counts how an invocation has ended that was read under a version. */
+    /** Counts the outcome of an invocation that was bound to a version. */
     void recordOutcome(long version, VersionCounters outcome) {
         countersByVersion.merge(version, outcome, VersionCounters::plus);
     }
 
-    /** Follows a placement that has been committed. */
+    /** Adopts a committed placement and activates the version that it assigns to this server. */
     void adoptPlacement(ReplicaPlacement committed) {
         placement = committed;
-        follow();
+        activateOrDownload();
     }
 
-    private void follow() {
+    private void activateOrDownload() {
         PublishedVersion target = RolloutStages.targetVersion(placement, context.serverName());
         boolean isActive =
                 target.number() == active.number() && target.hash().equals(active.hash());
@@ -150,7 +150,7 @@
         active = target;
         activeNumberGauge = target.number();
         rejectionReason = "";
-        LOG.info("fleet: acts on version " + target.number());
+        LOG.info("fleet: activated version " + target.number());
         activator.told(RolloutEvent.CHANGED, target, "");
         files.storeActive(target);
     }
@@ -164,7 +164,7 @@
         rejectedVersion = target.number();
         rejectionReason =
                 fault.substring(0, Math.min(fault.length(), VersionReport.MAX_REASON_LENGTH));
-        LOG.severe("fleet: version " + target.number() + " is refused: " + fault);
+        LOG.severe("fleet: rejected version " + target.number() + ": " + fault);
         activator.told(RolloutEvent.REFUSED, target, rejectionReason);
     }
 
@@ -175,22 +175,22 @@
         }
     }
 
-    /** Takes a chunk of the version that is being downloaded, and requests the next ones. */
+    /** Handles a chunk of the version that is being downloaded, and requests the next ones. */
     void receive(RolloutMessage.Chunk chunk, Duration now) {
-        download.accept(chunk, now).ifPresent(version -> downloaded(chunk.hash(), version, now));
+        download.accept(chunk, now).ifPresent(version -> onDownloaded(chunk.hash(), version, now));
         tick(now);
     }
 
-    private void downloaded(String hash, byte[] version, Duration now) {
+    private void onDownloaded(String hash, byte[] version, Duration now) {
         if (!VersionFiles.hashOf(version).equals(hash)) {
             download.discardCorrupt(now);
             return;
         }
         files.store(hash, version, active.hash(), () -> {});
-        follow();
+        activateOrDownload();
     }
 
-    /** Acceptors and servers of the first stages may have the bytes; those of our zone go first. */
+    /** Returns the acceptors and early-stage servers, with those of this server's zone first. */
     private List<String> sources() {
         if (!download.isIncomplete()) {
             return List.of();
@@ -204,8 +204,8 @@
             }
             String server = each.member().id().name();
             if (acceptors.contains(server) || RolloutStages.includes(placement, server)) {
-                boolean isNear = each.member().zone().equals(ownZone);
-                (isNear ? sameZone : otherZones).add(server);
+                boolean isSameZone = each.member().zone().equals(ownZone);
+                (isSameZone ? sameZone : otherZones).add(server);
             }
         }
         sameZone.addAll(otherZones);
@@ -222,7 +222,7 @@
         return zone;
     }
 
-    /** Returns what this server reports to the acceptors. */
+    /** Returns this server's report to the acceptors. */
     VersionReport report() {
         RolloutState rollout = placement.rollout();
         long candidate = rollout.target().number();
