--- a/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
+++ b/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
@@ -5,42 +5,35 @@
 import ochretiller.fleet.rollout.Regression.Share;
 
 /**
- * Compares invocations under a candidate version with those under the baseline, as a canary
- * analysis does. The test is a mixture sequential probability ratio test (Robbins 1970; Johari,
- * Koomen, Pekelis and Walsh 2022, "Always Valid Inference"), so it may be evaluated at every
- * report: for shares that do not differ, the probability that it ever fires is bounded.
+ * Canary analysis: compares invocations under a candidate version with those under the baseline.
+ * The test is a mixture sequential probability ratio test (Robbins 1970; Johari, Koomen, Pekelis
+ * and Walsh 2022, "Always Valid Inference"). It may therefore be evaluated at every report: if the
+ * shares do not differ, the probability that it ever reports a regression is bounded.
  *
- * <p>Departure from the papers: invocations are not independent but fail in bursts, so each is
- * counted as a fifth of an independent one. Stateless.
+ * <p>The test departs from the papers in one point: invocations fail in bursts rather than
+ * independently, so each counts as a fifth of an independent one. Stateless.
  */
 final class CanaryComparison {
-    /** Bound on the probability of ever stopping a harmless version, over all metrics together. */
+    /** Bound on the probability of ever stopping a harmless version, for all metrics together. */
     static final double FALSE_ALARM_PROBABILITY = 0.01;
 
     private static final int METRICS = 4;
 
-    /**
-     * Standard deviation of the mixture: the difference of shares that the test is most sensitive
-     * to.
-     */
+    /** Standard deviation of the mixture: the difference to which the test is most sensitive. */
     private static final double MIXTURE_DEVIATION = 0.2;
 
-    /** Smaller differences are not acted on. */
+    /** Minimum difference between the shares that counts as a regression. */
     private static final double MIN_DIFFERENCE = 0.01;
 
-    /** Fewer answers on either side make no share. */
+    /** Minimum number of answers on each side for a comparison. */
     private static final long MIN_ANSWERS = 30;
 
-    /**
-     * Independent invocations that each one counts for; measured on servers that differ in nothing.
-     */
+    /** Independent invocations that each invocation counts for, since failures come in bursts. */
     private static final double EFFECTIVE_SAMPLE_SHARE = 0.2;
 
     private CanaryComparison() {}
 
-    /**
-     * Returns the first metric that is worse under the candidate; empty where none is known to be.
-     */
+    /** Returns the first metric that is significantly worse under the candidate, if any. */
     static Optional<Regression> findRegression(
             VersionCounters candidate, VersionCounters baseline) {
         if (candidate.answered() < MIN_ANSWERS || baseline.answered() < MIN_ANSWERS) {
@@ -82,7 +75,7 @@
                 new Share(baselinePart, baseline.answered()));
     }
 
-    /** Returns the lost share of the value, as a number of invocations. */
+    /** Returns the lost share of the billed value, scaled to a number of invocations. */
     private static double lostValue(VersionCounters counters) {
         if (counters.offeredValue() <= 0) {
             return 0;
@@ -97,7 +90,7 @@
         if (difference < MIN_DIFFERENCE) {
             return false;
         }
-        // One invocation more of each kind (Laplace): a share of zero has a variance, too.
+        // Laplace smoothing adds one invocation of each kind, so that the variance is never zero.
         double pooled =
                 (candidate.part() + baseline.part() + 1)
                         / (candidate.total() + baseline.total() + 2);
--- a/src/main/java/ochretiller/fleet/rollout/Lease.java
+++ b/src/main/java/ochretiller/fleet/rollout/Lease.java
@@ -10,13 +10,13 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The holder's side of a lease (Gray and Cheriton 1989): a server may run its version's keyed work
- * while a majority of acceptors has granted it, by its own monotonic clock. Each grant counts from
- * the moment its request was made, so no common clock is needed, and a server that was paused finds
- * its lease expired before it acts. Not thread-safe.
+ * The holder's side of a lease (Gray and Cheriton 1989). A server may run keyed invocations while a
+ * majority of the acceptors has granted its lease, by its own monotonic clock. Each grant counts
+ * from the time of its request, so no common clock is needed, and a server that resumes after a
+ * pause finds its lease expired before it acts. Not thread-safe.
  */
 public final class Lease {
-    /** Renewals whose replies are waited for. */
+    /** Maximum number of renewal requests whose replies are accepted. */
     private static final int MAX_OUTSTANDING = 64;
 
     private final Set<String> acceptors;
@@ -26,10 +26,12 @@
     private long lastRequestId;
 
     /**
+     * Creates a lease that is not held.
+     *
      * @param acceptors names of the acceptors
      * @param duration how long a grant lasts
-     * @param lastRequestId where request IDs begin: replies to a previous process must not be taken
-     *     for replies to this one
+     * @param lastRequestId the first request ID is the next number; choose it at random, so that
+     *     replies to a previous process do not match requests of this one
      */
     public Lease(Set<String> acceptors, Duration duration, long lastRequestId) {
         this.acceptors = Set.copyOf(acceptors);
@@ -37,7 +39,7 @@
         this.lastRequestId = lastRequestId;
     }
 
-    /** Starts a renewal, and returns the ID of the request to send to the acceptors now. */
+    /** Starts a renewal and returns the ID of the request, to be sent to the acceptors now. */
     public long startRenewal(Duration now) {
         requestedAt.values().removeIf(at -> now.minus(at).compareTo(duration) > 0);
         if (requestedAt.size() >= MAX_OUTSTANDING) {
@@ -47,9 +49,7 @@
         return lastRequestId;
     }
 
-    /**
-     * Bounds the requests also where the clock stands still; the oldest one is of the least use.
-     */
+    /** Bounds the number of requests even if the clock does not advance. */
     private void removeOldestRequest() {
         requestedAt.entrySet().stream()
                 .min(Map.Entry.comparingByValue())
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Records that an acceptor has granted a renewal; replies of others, or to unknown requests,
-     * are ignored.
+     * Records that an acceptor has granted a renewal. Replies from other servers or to unknown
+     * requests are ignored.
      */
     public void recordGrant(String acceptor, long requestId) {
         Duration at = requestedAt.get(requestId);
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Returns when the lease expires, in monotonic time; zero where it was never granted. */
+    /** Returns when the lease expires, in monotonic time; zero if no majority ever granted it. */
     public Duration expiresAt() {
         int majority = ReplicaPlacement.quorumSize(acceptors.size());
         if (grantedAsOf.size() < majority) {
@@ -80,7 +80,7 @@
         return latestFirst.get(majority - 1).plus(duration);
     }
 
-    /** Returns whether the lease is held now. To be asked last before an action that needs it. */
+    /** Returns whether the lease is held; must be checked immediately before a protected action. */
     public boolean isHeld(Duration now) {
         return now.compareTo(expiresAt()) < 0;
     }
--- a/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -11,39 +11,40 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * The acceptor's side of leases: renews those of servers that run the version that is committed for
- * them, and, for a grace period, of servers whose version has just changed. A straggler is fenced:
- * its lease is left to expire. Servers that have caught up are readmitted at a bounded rate. Not
- * thread-safe; time and random numbers are handed in.
+ * The acceptor's side of leases. Renews the leases of servers that run the version committed for
+ * them and, during a grace period, of servers whose committed version has just changed. A straggler
+ * is fenced: its lease is not renewed and expires. Servers that have caught up are readmitted at a
+ * bounded rate. Not thread-safe; time and random numbers are passed in.
  */
 public final class LeaseGrantor {
     /**
-     * Share of the servers that may be fenced: with more stragglers nobody is, since that would be
-     * the greater harm.
+     * Maximum share of servers that may be fenced. If more are stragglers, none is fenced, since
+     * fencing them would do more harm than the old version.
      */
     static final double MAX_FENCED_SHARE = 0.34;
 
-    /** Servers that are readmitted in a second. */
+    /** Readmitted servers per second. */
     private static final double READMISSION_RATE = 2;
 
-    /** Readmissions that are saved up. */
+    /** Capacity of the token bucket that limits readmissions. */
     private static final double READMISSION_BURST = 2;
 
     private final Duration gracePeriod;
     private final RandomGenerator random;
     private final Set<String> fenced = new HashSet<>();
     private final Map<String, Assignment> assignments = new HashMap<>();
-    private Optional<ReplicaPlacement> adopted = Optional.empty();
+    private Optional<ReplicaPlacement> adoptedPlacement = Optional.empty();
     private double readmissions = READMISSION_BURST;
     private Duration refilledAt = Duration.ZERO;
 
-    /** The version that a server has to run, and since when, as this acceptor knows. */
+    /** The version that a server has to run, and since when this acceptor knows of it. */
     private record Assignment(PublishedVersion version, Duration since) {}
 
     /**
-     * @param gracePeriod how long a server may take to activate the version that is committed for
-     *     it
-     * @param random spreads readmissions
+     * Creates a grantor that has fenced no server.
+     *
+     * @param gracePeriod how long a server may take to activate its committed version
+     * @param random source of random numbers to spread readmissions
      */
     public LeaseGrantor(Duration gracePeriod, RandomGenerator random) {
         this.gracePeriod = gracePeriod;
@@ -56,9 +57,9 @@
     }
 
     /**
-     * Decides whether a server's lease is renewed.
+     * Decides whether to renew a server's lease.
      *
-     * @param reports the last report of each reachable server, this one among them, by name
+     * @param reports the latest report of each reachable server by name, including the named one
      */
     public boolean renew(
             ReplicaPlacement placement,
@@ -66,10 +67,10 @@
             Map<String, VersionReport> reports,
             Duration now) {
         adoptPlacement(placement, now);
-        forgetUnknown(placement, reports.keySet());
+        removeUnknown(placement, reports.keySet());
         Set<String> stragglers = stragglers(placement, reports, now);
-        // A share of all servers: an acceptor that hears from few must not take those for the
-        // fleet.
+        // The placement counts too: an acceptor with few reports must not mistake their senders
+        // for the whole fleet.
         int servers = Math.max(reports.size(), placement.servers().size());
         boolean straggler = stragglers.contains(name);
         if (straggler && stragglers.size() <= Math.max(1, MAX_FENCED_SHARE * servers)) {
@@ -82,7 +83,7 @@
         return tryReadmit(name, now);
     }
 
-    private void forgetUnknown(ReplicaPlacement placement, Set<String> reporting) {
+    private void removeUnknown(ReplicaPlacement placement, Set<String> reporting) {
         fenced.retainAll(reporting);
         assignments
                 .keySet()
@@ -108,10 +109,7 @@
                 && now.minus(assignment.since).compareTo(gracePeriod) >= 0;
     }
 
-    /**
-     * Servers that were fenced together would come back together: a token bucket and chance spread
-     * them.
-     */
+    /** Spreads the readmission of servers that were fenced together, by tokens and at random. */
     private boolean tryReadmit(String name, Duration now) {
         double seconds = Math.max(0, now.minus(refilledAt).toNanos() / 1e9);
         readmissions = Math.min(READMISSION_BURST, readmissions + seconds * READMISSION_RATE);
@@ -125,14 +123,14 @@
     }
 
     /**
-     * Adopts what is committed. Grace periods count from here and not from a server's next report,
-     * so that a server that could not be heard meanwhile has had its time.
+     * Adopts a committed placement. Grace periods start now rather than at a server's next report,
+     * so that they also elapse for servers that are unreachable meanwhile.
      */
     public void adoptPlacement(ReplicaPlacement placement, Duration now) {
-        if (adopted.equals(Optional.of(placement))) {
+        if (adoptedPlacement.equals(Optional.of(placement))) {
             return;
         }
-        adopted = Optional.of(placement);
+        adoptedPlacement = Optional.of(placement);
         placement.servers().forEach(server -> assign(placement, server.name(), now));
         Set.copyOf(assignments.keySet()).forEach(name -> assign(placement, name, now));
     }
--- a/src/main/java/ochretiller/fleet/rollout/OutboundChunkRequest.java
+++ b/src/main/java/ochretiller/fleet/rollout/OutboundChunkRequest.java
@@ -1,9 +1,9 @@
 package ochretiller.fleet.rollout;
 
 /**
- * A chunk request and the server that it is addressed to.
+ * A chunk request and its recipient.
  *
- * @param recipient name of the server
- * @param request what to send
+ * @param recipient name of the server to send to
+ * @param request the message to send
  */
 public record OutboundChunkRequest(String recipient, RolloutMessage.ChunkRequest request) {}
--- a/src/main/java/ochretiller/fleet/rollout/Regression.java
+++ b/src/main/java/ochretiller/fleet/rollout/Regression.java
@@ -5,16 +5,16 @@
 /**
  * A share of invocations that is higher under the candidate version than under the baseline.
  *
- * @param metric what the share is of, as operators read it
- * @param candidate the share under the version that is rolled out
- * @param baseline the share under the version before
+ * @param metric name of the metric as shown to operators
+ * @param candidate the share under the version that is being rolled out
+ * @param baseline the share under the previous version
  */
 record Regression(String metric, Share candidate, Share baseline) {
     /**
-     * A part of all invocations.
+     * A share of all invocations.
      *
-     * @param part the part, perhaps weighted by value
-     * @param total all of them
+     * @param part number of counted invocations, possibly weighted by billed value
+     * @param total number of all invocations
      */
     record Share(double part, double total) {
         double ratio() {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Returns one line for operators. */
+    /** Returns a one-line description for operators. */
     String describe() {
         return String.format(
                 Locale.ROOT,
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -13,20 +13,17 @@
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
- * Decides how a rollout proceeds, as one acceptor sees it: each stage is observed for a while once
- * its servers run the version, and a rollout that does harm is rolled back or halted. Every
- * acceptor carries a rollout on from what is committed, so it outlives whoever started it; what
- * follows is proposed as the next epoch. Reports are this acceptor's own and are not agreed on. Not
- * thread-safe; time is handed in.
+ * Decides how a rollout proceeds, as seen by one acceptor. Each stage is observed for a while after
+ * its servers run the version, and a harmful rollout is rolled back or halted. Each step is
+ * proposed as the next epoch. Any acceptor continues from the committed state, so a rollout
+ * survives the failure of the acceptor that started it. Reports are local to this acceptor and not
+ * agreed on. Not thread-safe; time is passed in.
  */
 public final class RolloutController {
-    /** Share of a stage's servers that may lag or reject the version, and are left so. */
+    /** Maximum share of a stage's servers that may lag behind or reject the version. */
     private static final double MAX_STRAGGLER_SHARE = 0.2;
 
-    /**
-     * Multiple of the activation timeout after which a stage that was never complete halts the
-     * rollout.
-     */
+    /** Multiple of the activation timeout after which an incomplete stage halts the rollout. */
     private static final int STUCK_FACTOR = 4;
 
     private final Duration observationTime;
@@ -34,7 +31,7 @@
     private final boolean rollsBack;
     private final Map<String, VersionReport> reports = new HashMap<>();
 
-    /** The first counters of the previous version that each server has reported in this rollout. */
+    /** Each server's counters of the previous version in its first report of this rollout. */
     private final Map<String, VersionCounters> baselineStarts = new HashMap<>();
 
     private RolloutState observed = RolloutState.NONE;
@@ -43,9 +40,11 @@
     private String haltReason = "";
 
     /**
-     * @param observationTime how long each stage is observed once its servers run the version
-     * @param activationTimeout how long servers may take to run it
-     * @param rollsBack whether a harmful version is rolled back, and not only halted
+     * Creates a controller without reports.
+     *
+     * @param observationTime how long each stage is observed after its servers run the version
+     * @param activationTimeout how long servers may take to activate the version
+     * @param rollsBack whether a harmful version is rolled back; otherwise its rollout is halted
      */
     public RolloutController(
             Duration observationTime, Duration activationTimeout, boolean rollsBack) {
@@ -54,9 +53,7 @@
         this.rollsBack = rollsBack;
     }
 
-    /**
-     * Records a server's last report; servers that are gone are forgotten by {@link #nextState}.
-     */
+    /** Records a server's latest report; {@link #nextState} drops reports of servers not live. */
     public void recordReport(String server, VersionReport report) {
         reports.put(server, report);
         recordBaselineStart(server, report);
@@ -68,15 +65,15 @@
         }
     }
 
-    /** Returns why the last rollout was halted or rolled back; empty where none was. */
+    /** Returns why a rollout was last halted or rolled back, or an empty string. */
     public String haltReason() {
         return haltReason;
     }
 
     /**
-     * Returns what to propose next, if anything.
+     * Returns the next state to propose, or empty if the rollout must not change now.
      *
-     * @param live names of the reachable servers
+     * @param live names of the live servers
      */
     public Optional<RolloutState> nextState(
             ReplicaPlacement placement, Set<String> live, Duration now) {
@@ -97,7 +94,7 @@
             return Optional.of(rollout.withPhase(RolloutPhase.HALTED));
         }
         if (!isStageComplete(rollout, included, now)) {
-            // Servers that ran it may be gone: what was seen of them is no reason to go on.
+            // The servers that completed the stage may be gone, so the observation starts again.
             stageCompleteSince = Optional.empty();
             return Optional.empty();
         }
@@ -141,10 +138,7 @@
         return rollout.rolledBack("the fleet", reason.substring(0, length));
     }
 
-    /**
-     * Servers that take far longer than any known reason explains: something is wrong that nobody
-     * has reported.
-     */
+    /** Returns whether a stage takes so long that an unreported fault must be assumed. */
     private boolean isStuck(Duration now) {
         Duration limit = activationTimeout.multipliedBy(STUCK_FACTOR);
         return stageCompleteSince.isEmpty() && now.minus(stageStartedAt).compareTo(limit) >= 0;
@@ -159,9 +153,9 @@
                                                 Optional.ofNullable(reports.get(server)),
                                                 rollout.target()))
                         .count();
-        boolean timedOut = now.minus(stageStartedAt).compareTo(activationTimeout) >= 0;
-        boolean fewBehind = timedOut && behind <= MAX_STRAGGLER_SHARE * included.size();
-        return !included.isEmpty() && (behind == 0 || fewBehind);
+        boolean isTimedOut = now.minus(stageStartedAt).compareTo(activationTimeout) >= 0;
+        boolean hasFewStragglers = isTimedOut && behind <= MAX_STRAGGLER_SHARE * included.size();
+        return !included.isEmpty() && (behind == 0 || hasFewStragglers);
     }
 
     private static RolloutState next(RolloutState rollout) {
@@ -170,7 +164,7 @@
                 : rollout.completed();
     }
 
-    /** Returns whether a server does not run the version, as far as it has reported. */
+    /** Returns whether a server has not reported that it runs the version. */
     static boolean isBehind(Optional<VersionReport> report, PublishedVersion version) {
         return report.isEmpty() || !report.get().isRunning(version);
     }
@@ -181,8 +175,8 @@
     }
 
     /**
-     * In early stages any rejection counts; in the last one a few servers that cannot run the
-     * version are left fenced.
+     * Returns a rejection that stops the rollout. In early stages any rejection does; in the last
+     * one, a few servers that cannot run the version are tolerated and remain fenced.
      */
     private Optional<String> findRejection(RolloutState rollout, Set<String> included) {
         Map<String, VersionReport> rejections = new TreeMap<>();
@@ -192,8 +186,8 @@
                 rejections.put(server, report);
             }
         }
-        boolean lastStage = rollout.stage() >= RolloutStages.ALL_SERVERS;
-        double tolerated = lastStage ? MAX_STRAGGLER_SHARE * included.size() : 0;
+        boolean isLastStage = rollout.stage() >= RolloutStages.ALL_SERVERS;
+        double tolerated = isLastStage ? MAX_STRAGGLER_SHARE * included.size() : 0;
         if (rejections.size() <= tolerated) {
             return Optional.empty();
         }
--- a/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
@@ -4,56 +4,66 @@
 import ochretiller.fleet.consensus.PublishedVersion;
 
 /**
- * Messages about versions between the servers of a fleet; {@code docs/fleet-wire.md} has their
- * encoding.
+ * Messages about rollouts between the servers of a fleet. {@code docs/fleet-wire.md} specifies
+ * their encoding.
  */
 public sealed interface RolloutMessage {
     /**
-     * Reports to an acceptor what the sender runs, and asks it to renew the sender's lease.
+     * Reports the sender's version to an acceptor and requests a renewal of the sender's lease.
      *
-     * @param requestId names the renewal
-     * @param auditRecordNumber number of the last record of this server's audit, or 0
-     * @param auditHash hash of that record in hex, empty where there is none
+     * @param requestId ID of the renewal request
+     * @param report the sender's version and its counters
+     * @param auditRecordNumber number of the last record in the sender's audit log; 0 for no log
+     * @param auditHash hash of that record in hex; empty if there is none
      */
     record StatusReport(
             long requestId, VersionReport report, long auditRecordNumber, String auditHash)
             implements RolloutMessage {
         /**
-         * @throws IllegalArgumentException where record and hash do not belong together
+         * Validates a message from a peer.
+         *
+         * @throws IllegalArgumentException if the hash does not fit the record number
          */
         public StatusReport {
             int hashLength = auditRecordNumber == 0 ? 0 : PublishedVersion.HASH_LENGTH;
             if (auditRecordNumber < 0 || auditHash.length() != hashLength) {
                 throw new IllegalArgumentException(
-                        "impossible audit position: record " + auditRecordNumber);
+                        "invalid audit position: record "
+                                + auditRecordNumber
+                                + " with a hash of "
+                                + auditHash.length()
+                                + " characters");
             }
         }
     }
 
-    /** An acceptor's answer to a {@link StatusReport}. */
+    /** An acceptor's reply to a {@link StatusReport}. */
     record LeaseReply(long requestId, boolean granted) implements RolloutMessage {}
 
-    /** Offers the bytes of a version to an acceptor, before the version is agreed on. */
+    /** Offers the bytes of a version to an acceptor before the version is proposed. */
     record VersionOffer(String hash, int size) implements RolloutMessage {
         /**
-         * @throws IllegalArgumentException where the hash or the size is that of no version
+         * Validates a message from a peer.
+         *
+         * @throws IllegalArgumentException if the hash or the size is invalid
          */
         public VersionOffer {
             requireHash(hash);
             if (size <= 0 || size > PublishedVersion.MAX_BYTES) {
-                throw new IllegalArgumentException("impossible size of a version: " + size);
+                throw new IllegalArgumentException("invalid size of a version: " + size);
             }
         }
     }
 
-    /** Confirms that the bytes of a version are on the sender's disk. */
+    /** Confirms that the sender has stored the bytes of a version durably. */
     record VersionStored(String hash) implements RolloutMessage {}
 
-    /** Asks for bytes of a version, from this offset on. */
+    /** Requests the chunk of a version that starts at an offset in bytes. */
     record ChunkRequest(String hash, int offset) implements RolloutMessage {
         /**
-         * @throws IllegalArgumentException where the hash is that of no version, or the offset is
-         *     negative
+         * Validates a message from a peer.
+         *
+         * @throws IllegalArgumentException if the hash is invalid or the offset is negative
          */
         public ChunkRequest {
             requireHash(hash);
@@ -61,18 +71,20 @@
         }
     }
 
-    /** Some bytes of a version; the array is not copied and must not be changed. */
+    /** A chunk of a version's bytes; the array is not copied and must not be modified. */
     record Chunk(String hash, int offset, byte[] data) implements RolloutMessage {
         /**
-         * @throws IllegalArgumentException where the hash is that of no version, or there are too
-         *     many bytes
+         * Validates a message from a peer.
+         *
+         * @throws IllegalArgumentException if the hash is invalid, the offset is negative or the
+         *     chunk is too long
          */
         public Chunk {
             requireHash(hash);
             requireOffset(offset);
             if (data.length > VersionDownload.CHUNK_BYTES) {
                 throw new IllegalArgumentException(
-                        "too long for a chunk: " + data.length + " bytes");
+                        "chunk is too long: " + data.length + " bytes");
             }
         }
 
@@ -93,7 +105,7 @@
     private static void requireHash(String hash) {
         if (hash.length() != PublishedVersion.HASH_LENGTH) {
             throw new IllegalArgumentException(
-                    "not the length of a version's hash: " + hash.length());
+                    "invalid length of a version's hash: " + hash.length());
         }
     }
 
--- a/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
@@ -14,23 +14,23 @@
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
- * Which servers run a version at each stage of its rollout: one canary; a quarter of all, spread
- * over the zones; all. Every server derives that from the committed placement by itself, and all
- * derive the same. The version's number takes part in the draw, so that it is not always the same
- * servers that come first. Stateless.
+ * Selects the servers that run a version at each stage of its rollout: one canary, then a quarter
+ * of the servers spread over the zones, then all. Every server computes the same selection from the
+ * committed placement. The hash includes the version number, so that versions start on different
+ * servers. Stateless.
  */
 public final class RolloutStages {
     /** The stage at which all servers run the version. */
     public static final int ALL_SERVERS = 2;
 
-    /** One server in so many, of all and of each zone, runs the version at the stage before. */
+    /** Divisor of the number of servers, in total and per zone, for the stage before the last. */
     private static final int PARTIAL_STAGE_DIVISOR = 4;
 
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     private RolloutStages() {}
 
-    private static long draw(long version, String server) {
+    private static long hashOf(long version, String server) {
         return HASH.hashLongs(new long[] {version, HASH.hashChars(server)}) >>> 1;
     }
 
@@ -42,7 +42,7 @@
                 : rollout.previous();
     }
 
-    /** Returns whether the rollout's present stage includes this server. */
+    /** Returns whether the rollout's current stage includes this server. */
     public static boolean includes(ReplicaPlacement placement, String server) {
         RolloutState rollout = placement.rollout();
         if (rollout.isComplete() || rollout.stage() >= ALL_SERVERS) {
@@ -51,15 +51,16 @@
         if (placement.contains(server)) {
             return earlyServers(placement).contains(server);
         }
-        // A server that replicates nothing is in no list: its own draw decides, and it is never the
-        // canary.
+        // Servers without a replica are not in the placement. Each decides by its own hash and is
+        // never the canary.
         return rollout.stage() > 0
-                && draw(rollout.target().number(), server) < Long.MAX_VALUE / PARTIAL_STAGE_DIVISOR;
+                && hashOf(rollout.target().number(), server)
+                        < Long.MAX_VALUE / PARTIAL_STAGE_DIVISOR;
     }
 
     private static Set<String> earlyServers(ReplicaPlacement placement) {
         RolloutState rollout = placement.rollout();
-        List<ReplicaServer> order = inDrawnOrder(placement, rollout.target().number());
+        List<ReplicaServer> order = inHashOrder(placement, rollout.target().number());
         Set<String> early = new HashSet<>();
         if (order.isEmpty()) {
             return early;
@@ -75,10 +76,10 @@
         return early;
     }
 
-    private static List<ReplicaServer> inDrawnOrder(ReplicaPlacement placement, long version) {
+    private static List<ReplicaServer> inHashOrder(ReplicaPlacement placement, long version) {
         List<ReplicaServer> order = new ArrayList<>(placement.servers());
         order.sort(
-                Comparator.comparingLong((ReplicaServer server) -> draw(version, server.name()))
+                Comparator.comparingLong((ReplicaServer server) -> hashOf(version, server.name()))
                         .thenComparing(ReplicaServer::name));
         return order;
     }
@@ -95,11 +96,11 @@
         return part;
     }
 
-    /** Small zones contribute nothing of their own and are drawn from together. */
+    /** Adds servers in hash order up to a quarter of all, since small zones contribute none. */
     private static void fillUp(Set<String> early, List<ReplicaServer> order) {
-        int least = (order.size() + PARTIAL_STAGE_DIVISOR - 1) / PARTIAL_STAGE_DIVISOR;
+        int minSize = (order.size() + PARTIAL_STAGE_DIVISOR - 1) / PARTIAL_STAGE_DIVISOR;
         for (ReplicaServer server : order) {
-            if (early.size() < least) {
+            if (early.size() < minSize) {
                 early.add(server.name());
             }
         }
--- a/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
@@ -1,14 +1,14 @@
 package ochretiller.fleet.rollout;
 
 /**
- * What became of the invocations that were handled under one version, since a server activated it.
+ * Outcomes of the invocations that a server has handled under a version since activating it.
  *
- * @param answered all invocations that have their answer
- * @param throttled those that were throttled
- * @param errored those that failed, or whose outcome is not known
- * @param late those that succeeded beyond their latency objective
- * @param earnedValue billed value of those that succeeded within it
- * @param offeredValue billed value of all of them
+ * @param answered number of all answered invocations
+ * @param throttled number of throttled invocations
+ * @param errored number of invocations that failed or whose outcome is unknown
+ * @param late number of invocations that succeeded but exceeded their latency objective
+ * @param earnedValue billed value of invocations that succeeded within the objective
+ * @param offeredValue billed value of all answered invocations
  */
 public record VersionCounters(
         long answered,
@@ -17,27 +17,29 @@
         long late,
         double earnedValue,
         double offeredValue) {
-    /** No invocations. */
+    /** The counters of no invocations. */
     public static final VersionCounters ZERO = new VersionCounters(0, 0, 0, 0, 0, 0);
 
-    /** Largest value that a peer may report; sums of many reports stay exact enough below it. */
+    /** Limit of a reported value; below it, sums of many reports keep sufficient precision. */
     private static final double MAX_VALUE = 1e15;
 
     /**
-     * @throws IllegalArgumentException where a peer reports what cannot be
+     * Validates counters from a peer.
+     *
+     * @throws IllegalArgumentException if the counters contradict each other
      */
     public VersionCounters {
-        boolean countsValid =
+        boolean areCountsValid =
                 answered >= 0
                         && throttled >= 0
                         && errored >= 0
                         && late >= 0
                         && throttled + errored + late <= answered;
-        boolean valuesValid =
+        boolean areValuesValid =
                 earnedValue >= 0 && offeredValue >= earnedValue && offeredValue < MAX_VALUE;
-        if (!countsValid || !valuesValid) {
+        if (!areCountsValid || !areValuesValid) {
             throw new IllegalArgumentException(
-                    "impossible counters: answered="
+                    "inconsistent counters: answered="
                             + answered
                             + " throttled="
                             + throttled
@@ -52,7 +54,7 @@
         }
     }
 
-    /** Returns the sum of both. */
+    /** Returns the sum of these counters and others. */
     public VersionCounters plus(VersionCounters more) {
         return new VersionCounters(
                 answered + more.answered,
@@ -64,11 +66,11 @@
     }
 
     /**
-     * Returns what was counted since the earlier counters; all of it where the server has restarted
-     * meanwhile.
+     * Returns the difference to earlier counters, or these counters if the server has restarted
+     * since then.
      */
     public VersionCounters since(VersionCounters earlier) {
-        if (!continues(earlier)) {
+        if (!isContinuationOf(earlier)) {
             return this;
         }
         return new VersionCounters(
@@ -80,8 +82,8 @@
                 offeredValue - earlier.offeredValue);
     }
 
-    private boolean continues(VersionCounters earlier) {
-        boolean grown =
+    private boolean isContinuationOf(VersionCounters earlier) {
+        boolean hasNoDecrease =
                 earlier.answered <= answered
                         && earlier.throttled <= throttled
                         && earlier.errored <= errored
@@ -90,9 +92,9 @@
                         && earlier.offeredValue <= offeredValue;
         long unsuccessful =
                 throttled - earlier.throttled + errored - earlier.errored + late - earlier.late;
-        boolean consistent =
+        boolean isConsistent =
                 unsuccessful <= answered - earlier.answered
                         && offeredValue - earlier.offeredValue >= earnedValue - earlier.earnedValue;
-        return grown && consistent;
+        return hasNoDecrease && isConsistent;
     }
 }
--- a/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
@@ -9,24 +9,22 @@
 import ochretiller.fleet.consensus.PublishedVersion;
 
 /**
- * Downloads the bytes of a version in chunks: several at once from one source, from another where
- * that one is unresponsive, with exponential backoff and jitter. Chunks that have arrived are kept
- * whoever sent them. Not thread-safe; time and random numbers are handed in.
+ * Downloads the bytes of a version in chunks. Requests several chunks at once from one source,
+ * retries with exponential backoff and jitter, and switches to another source if the first one is
+ * unresponsive. Chunks are accepted from any sender. Not thread-safe; time and random numbers are
+ * passed in.
  */
 public final class VersionDownload {
-    /** Bytes of a chunk: what fits into a datagram beside its envelope. */
+    /** Size of a chunk in bytes; it fits into a datagram together with the envelope. */
     public static final int CHUNK_BYTES = 4 * 1024;
 
-    /** Chunks that are requested at once. */
+    /** Number of chunks that are requested at once. */
     private static final int WINDOW = 4;
 
-    /**
-     * A source is drawn from this many of the likeliest ones, so that not all servers ask the same
-     * one.
-     */
+    /** Number of top sources to choose from at random, so that servers spread their requests. */
     private static final int SOURCE_CHOICES = 4;
 
-    /** Consecutive unanswered requests after which another source is asked. */
+    /** Consecutive timeouts after which another source is chosen. */
     private static final int MAX_TIMEOUTS = 2;
 
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(150);
@@ -43,16 +41,15 @@
     private Duration nextRequest = Duration.ZERO;
 
     /**
-     * @param random draws sources and spreads requests over time
+     * Creates a download that has nothing to do until {@link #start} is called.
+     *
+     * @param random source of random numbers to choose sources and to jitter retries
      */
     public VersionDownload(RandomGenerator random) {
         this.random = random;
     }
 
-    /**
-     * Starts the download of a version, unless it is the present one; what has arrived of another
-     * is forgotten.
-     */
+    /** Starts to download a version and discards any other one; no effect if already started. */
     public void start(PublishedVersion wanted, Duration now) {
         if (wanted.hash().equals(version.hash())) {
             return;
@@ -76,14 +73,14 @@
     /**
      * Returns the requests that are due.
      *
-     * @param sources reachable servers that may have the version, the likeliest first
+     * @param sources live servers that may have the version, in order of preference
      */
     public List<OutboundChunkRequest> tick(List<String> sources, Duration now) {
         if (missingChunks == 0 || now.compareTo(nextRequest) < 0 || sources.isEmpty()) {
             return List.of();
         }
         if (source.isEmpty() || !sources.contains(source.get()) || timeouts >= MAX_TIMEOUTS) {
-            source = Optional.of(drawSource(sources));
+            source = Optional.of(chooseSource(sources));
             timeouts = 0;
         }
         timeouts++;
@@ -94,7 +91,7 @@
         return requestsTo(source.get());
     }
 
-    private String drawSource(List<String> sources) {
+    private String chooseSource(List<String> sources) {
         List<String> others = new ArrayList<>(sources);
         if (others.size() > 1) {
             source.ifPresent(others::remove);
@@ -121,8 +118,8 @@
     }
 
     /**
-     * Takes a chunk, and returns the version's bytes once the last one has arrived; the caller has
-     * to compare them with the version's hash. Chunks that are not missing are ignored.
+     * Accepts a chunk, and returns all bytes of the version if it was the last missing one. The
+     * caller must verify their hash. Chunks that are not missing are ignored.
      */
     public Optional<byte[]> accept(RolloutMessage.Chunk received, Duration now) {
         if (!isExpected(received)) {
@@ -138,12 +135,12 @@
 
     private boolean isExpected(RolloutMessage.Chunk received) {
         int chunk = received.offset() / CHUNK_BYTES;
-        boolean inPlace =
+        boolean isExpectedPosition =
                 received.hash().equals(version.hash())
                         && received.offset() % CHUNK_BYTES == 0
                         && chunk < chunks.length
                         && isMissing(chunk);
-        return inPlace
+        return isExpectedPosition
                 && received.data().length
                         == Math.min(CHUNK_BYTES, version.sizeBytes() - received.offset());
     }
@@ -157,8 +154,8 @@
     }
 
     /**
-     * Discards all chunks, since together they do not have the version's hash, and asks another
-     * source for them.
+     * Discards all chunks, whose bytes do not match the version's hash, and restarts the download
+     * from another source.
      */
     public void discardCorrupt(Duration now) {
         Arrays.fill(chunks, MISSING);
@@ -167,9 +164,7 @@
         nextRequest = now.plus(backoff);
     }
 
-    /**
-     * Returns the chunk of a version's bytes that was asked for; empty where they end before it.
-     */
+    /** Returns the requested chunk of a version's bytes; empty if the offset is past their end. */
     public static Optional<RolloutMessage.Chunk> slice(
             RolloutMessage.ChunkRequest request, byte[] bytes) {
         int start = request.offset();
--- a/src/main/java/ochretiller/fleet/rollout/VersionReport.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionReport.java
@@ -3,17 +3,16 @@
 import ochretiller.fleet.consensus.PublishedVersion;
 
 /**
- * What a server reports to the acceptors about the version it runs.
+ * A server's report to the acceptors about its active version.
  *
- * @param activeVersion number of the version that it runs
- * @param activeHash SHA-256 of that version's bytes, in hex; two hashes of one number are a fork
- * @param rejectedVersion number of the version that it cannot run, or 0
- * @param rejectionReason why not; empty where it rejects none
- * @param rolloutVersion number of the version that is being rolled out, or was last, as this server
- *     knows; its counters are about that rollout
- * @param candidate what became of invocations under the version that is rolled out, as far as it
- *     runs it
- * @param baseline the same under the version before
+ * @param activeVersion number of the active version
+ * @param activeHash SHA-256 of that version's bytes in hex; a second hash of a number is a fork
+ * @param rejectedVersion number of the version that the server cannot activate, or 0
+ * @param rejectionReason reason of that rejection; empty if there is none
+ * @param rolloutVersion number of the version in the latest rollout that the server knows, to which
+ *     the counters refer
+ * @param candidate outcomes of invocations under the version that is rolled out
+ * @param baseline outcomes of invocations under the previous version
  */
 public record VersionReport(
         long activeVersion,
@@ -23,21 +22,23 @@
         long rolloutVersion,
         VersionCounters candidate,
         VersionCounters baseline) {
-    /** Characters of a rejection's reason at most. */
+    /** Maximum length of a rejection reason in characters. */
     public static final int MAX_REASON_LENGTH = 200;
 
     private static final int MAX_HASH_LENGTH = 64;
 
     /**
-     * @throws IllegalArgumentException where a peer reports what cannot be
+     * Validates a report from a peer.
+     *
+     * @throws IllegalArgumentException if a text is too long or a number is negative
      */
     public VersionReport {
-        boolean textsFit =
+        boolean areLengthsValid =
                 rejectionReason.length() <= MAX_REASON_LENGTH
                         && activeHash.length() <= MAX_HASH_LENGTH;
-        if (!textsFit || activeVersion < 0 || rolloutVersion < 0 || rejectedVersion < 0) {
+        if (!areLengthsValid || activeVersion < 0 || rolloutVersion < 0 || rejectedVersion < 0) {
             throw new IllegalArgumentException(
-                    "impossible version report: activeVersion="
+                    "invalid version report: activeVersion="
                             + activeVersion
                             + " rejectedVersion="
                             + rejectedVersion
--- a/src/main/java/ochretiller/fleet/rollout/package-info.java
+++ b/src/main/java/ochretiller/fleet/rollout/package-info.java
@@ -1,22 +1,22 @@
 /**
- * Rollout of configuration versions to a fleet, by stages, with canary analysis and leases.
+ * Staged rollout of configuration versions to a fleet, with canary analysis and leases.
  *
- * <p><b>Job.</b> {@link ochretiller.fleet.rollout.RolloutStages} says which servers run a version
- * at which stage. An acceptor's {@link ochretiller.fleet.rollout.RolloutController} proposes the
- * next stage, or a rollback where {@link ochretiller.fleet.rollout.CanaryComparison} finds a
- * regression, and its {@link ochretiller.fleet.rollout.LeaseGrantor} fences stragglers by not
- * renewing their leases. Every server holds a {@link ochretiller.fleet.rollout.Lease} and fetches
- * the bytes of versions with a {@link ochretiller.fleet.rollout.VersionDownload}.
+ * <p><b>Job.</b> {@link ochretiller.fleet.rollout.RolloutStages} selects the servers that run a
+ * version at each stage. An acceptor's {@link ochretiller.fleet.rollout.RolloutController} proposes
+ * the next stage, or a rollback if {@link ochretiller.fleet.rollout.CanaryComparison} finds a
+ * regression. Its {@link ochretiller.fleet.rollout.LeaseGrantor} fences stragglers by not renewing
+ * their leases. Every server has a {@link ochretiller.fleet.rollout.Lease} and downloads the bytes
+ * of versions with a {@link ochretiller.fleet.rollout.VersionDownload}.
  *
- * <p><b>State.</b> The rollout itself is part of the committed epoch ({@link
- * ochretiller.fleet.consensus.RolloutState}); reports of servers, leases and chunks of one version
- * are held in memory.
+ * <p><b>State.</b> The state of the rollout is part of the committed epoch ({@link
+ * ochretiller.fleet.consensus.RolloutState}). Servers' reports, leases and the chunks of one
+ * version are in memory only.
  *
- * <p><b>Thread.</b> Pure decisions: no I/O, clock or thread. Time, random numbers and bytes are
- * handed in. Each object belongs to the one thread that drives it.
+ * <p><b>Thread.</b> Classes use no I/O, clock or threads; time, random numbers and bytes are passed
+ * in. Each object is confined to the thread that calls it.
  *
- * <p><b>Neighbours.</b> {@code fleet.consensus} agrees on rollouts; {@code fleet.service} carries
- * decisions out; the emulator does the same in virtual time. {@code docs/versions.md} has the
- * design.
+ * <p><b>Neighbours.</b> {@code fleet.consensus} commits rollouts, and {@code fleet.service}
+ * executes the decisions, as does the emulator in virtual time. {@code docs/versions.md} describes
+ * the design.
  */
 package ochretiller.fleet.rollout;
--- a/src/main/java/ochretiller/fleet/service/LeaseHolder.java
+++ b/src/main/java/ochretiller/fleet/service/LeaseHolder.java
@@ -24,7 +24,7 @@
     private final VersionActivator activator;
     private final boolean isRequired;
     private final Lease lease;
-    private boolean wasFencedOff;
+    private boolean wasFenced;
     private volatile double remainingSecondsGauge;
 
     /**
@@ -54,11 +54,11 @@
 
     /** Logs and audits when the lease expires and when it is renewed after that. */
     void reportTransition(PublishedVersion active) {
-        boolean isFencedOff = !isAllowedToServe();
+        boolean isFenced = !isAllowedToServe();
         // Before the first lease after a start there is no transition to report.
         boolean hadLease = !lease.expiresAt().isZero();
-        if (isFencedOff != wasFencedOff && hadLease) {
-            if (isFencedOff) {
+        if (isFenced != wasFenced && hadLease) {
+            if (isFenced) {
                 LOG.warning(
                         "fleet: this server's lease was not renewed and has expired; throttling"
                                 + " keyed invocations");
@@ -68,7 +68,7 @@
                 activator.told(RolloutEvent.LET_IN, active, "its lease holds");
             }
         }
-        wasFencedOff = isFencedOff;
+        wasFenced = isFenced;
     }
 
     /** Starts a renewal and returns its request ID. */
--- a/src/main/java/ochretiller/fleet/service/package-info.java
+++ b/src/main/java/ochretiller/fleet/service/package-info.java
@@ -1,26 +1,28 @@
 /**
- * The services of a server in its fleet: they carry out what the decision packages decide.
+ * Fleet services of a server, which perform the I/O that the decision packages request.
  *
  * <p><b>Job.</b> {@link ochretiller.fleet.service.FleetService} drives the membership protocol and
- * passes messages on. {@link ochretiller.fleet.service.ReplicationService} gives time and messages
- * to the consensus on epochs, to this server's replica and to its claims, and sends their messages
- * once the state that they rest on is durable. {@link ochretiller.fleet.service.RolloutService}
- * downloads versions and puts them into use, holds this server's lease and, on an acceptor, grants
- * leases and carries rollouts on. The operators' commands are answered here, as JSON.
+ * dispatches messages. {@link ochretiller.fleet.service.ReplicationService} ticks the consensus on
+ * epochs, this server's replica and its claims, and sends their messages once the state that they
+ * depend on is durable. {@link ochretiller.fleet.service.RolloutService} downloads and activates
+ * versions, renews this server's lease and, on an acceptor, grants leases and advances rollouts.
+ * Admin commands are handled here and answered as JSON.
  *
- * <p><b>State.</b> In files: the acceptor's state, the peers that were known last, the versions and
- * which of them is in use ({@code SealedFile}); in the store: the replica's entries, metadata and
- * long results ({@code ReplicaStorage}). The rest is in memory and is rebuilt after a start.
+ * <p><b>State.</b> Files with a checksum hold the acceptor's state, the known peers and the
+ * description of the active version; files of versions are named by their hash. The store holds the
+ * replica's entries, metadata and long results. All other state is in memory and is rebuilt after a
+ * start.
  *
- * <p><b>Threads.</b> The event loop runs all of it; small files are written by a {@code
- * BackgroundWriter} thread each, which posts its completion back to the event loop. Gauges are read
- * from other threads and are published as immutable objects.
+ * <p><b>Threads.</b> The services run on the event loop. Each kind of small file has a background
+ * thread for its writes, which posts completions to the event loop. Gauges are read from other
+ * threads, so their values are published as immutable objects.
  *
- * <p><b>Neighbours.</b> Below are {@code fleet.transport} for bytes, {@code fleet.membership},
- * {@code fleet.consensus}, {@code fleet.replication} and {@code fleet.rollout} for decisions, and
- * {@code store}. The server node above hands in a {@code FleetRuntime} and {@code FleetCallbacks}.
+ * <p><b>Neighbours.</b> This package uses {@code fleet.transport} for encoding and sockets, {@code
+ * fleet.membership}, {@code fleet.consensus}, {@code fleet.replication} and {@code fleet.rollout}
+ * for decisions, and {@code store}. The server node passes in a {@link
+ * ochretiller.fleet.service.FleetRuntime} and {@link ochretiller.fleet.service.FleetCallbacks}.
  *
- * <p>Formats are in {@code docs/fleet-wire.md} and {@code docs/store-format.md}; golden files of
- * the tests pin them.
+ * <p>{@code docs/fleet-wire.md} and {@code docs/store-format.md} specify the formats; tests compare
+ * them with golden files.
  */
 package ochretiller.fleet.service;
