--- a/src/test/java/ochretiller/FleetIT.java
+++ b/src/test/java/ochretiller/FleetIT.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A packaged server's part in a fleet and its door for operators. Several servers and faults
- * between them are the drills'.
+ * Integration test of one packaged server in a fleet and of its admin commands. The drills test
+ * several servers and faults between them.
  */
 class FleetIT {
     @TempDir private Path folder;
 
-    private Path operator(int port, String key) throws IOException {
+    private Path writeOperatorConfig(int port, String key) throws IOException {
         Path file = Files.writeString(folder.resolve("key-" + key.hashCode()), key);
         return Files.writeString(
                 folder.resolve("operator-" + key.hashCode() + ".json5"),
@@ -32,23 +32,23 @@
                         + "', zone: 'a' } }");
     }
 
-    private static String said(int code, String... words) throws Exception {
-        Process process = Deployment.start(null, words);
-        assertThat(process.waitFor(30, TimeUnit.SECONDS)).as("it ends").isTrue();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(process.exitValue()).as(said).isEqualTo(code);
-        return said;
+    private static String runCommand(int expectedExitCode, String... arguments) throws Exception {
+        Process process = Deployment.start(null, arguments);
+        assertThat(process.waitFor(30, TimeUnit.SECONDS)).as("process exits").isTrue();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(process.exitValue()).as(output).isEqualTo(expectedExitCode);
+        return output;
     }
 
     @Test
-    void operatorsAskAndFloodsHarmNobody() throws Exception {
+    void adminCommandsSucceedAndInvalidInputIsRejected() throws Exception {
         int port = Deployment.freePort();
-        Path operator = operator(port, "a key that is long enough");
-        try (Deployment server = new Deployment(operator, deployment -> {})) {
+        Path operatorConfig = writeOperatorConfig(port, "a key that is long enough");
+        try (Deployment server = new Deployment(operatorConfig, deployment -> {})) {
             Deployment.await(server.log, "takes part in fleet parts");
             Deployment.await(server.log, "joined, with 0 others");
             try (DatagramSocket socket = new DatagramSocket();
-                    Socket door = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                    Socket adminConnection = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 for (int i = 0; i < 200; i++) {
                     byte[] bytes =
                             ("OF"
@@ -62,42 +62,53 @@
                             new DatagramPacket(
                                     bytes, bytes.length, InetAddress.getLoopbackAddress(), port));
                 }
-                door.getOutputStream()
+                adminConnection.getOutputStream()
                         .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                assertThat(door.getInputStream().read()).as("closed").isNegative();
+                assertThat(adminConnection.getInputStream().read())
+                        .as("connection is closed")
+                        .isNegative();
             }
             Deployment.await(server.log, "connection fleet .* ended: BAD_INPUT");
-            assertThat(said(0, "fleet", "view", "--operator", operator.toString()))
+            assertThat(runCommand(0, "fleet", "view", "--operator", operatorConfig.toString()))
                     .contains("n1", "HERE", "{HERE=1}", "refused packets");
-            assertThat(said(0, "fleet", "ping", "--operator", operator.toString(), "--json"))
+            assertThat(
+                            runCommand(
+                                    0,
+                                    "fleet",
+                                    "ping",
+                                    "--operator",
+                                    operatorConfig.toString(),
+                                    "--json"))
                     .contains("\"name\":\"n1\"", "p50_us");
             assertThat(
-                            said(
+                            runCommand(
                                     2,
                                     "fleet",
                                     "view",
                                     "--operator",
-                                    operator(port, "a key of somebody else's").toString()))
+                                    writeOperatorConfig(port, "a key of somebody else's")
+                                            .toString()))
                     .contains("not sealed with this key");
-            assertThat(said(0, "fleet", "leave", "--operator", operator.toString()))
+            assertThat(runCommand(0, "fleet", "leave", "--operator", operatorConfig.toString()))
                     .contains("n1 is gone");
             assertThat(server.exit()).isZero();
         }
     }
 
     @Test
-    void whatIsWrongWithAFleetIsToldAtTheStart() throws Exception {
-        Path operator = operator(Deployment.freePort(), "short");
-        assertThat(said(2, "check", "--operator", operator.toString()))
+    void configurationAndConnectionErrorsAreReported() throws Exception {
+        Path operatorConfig = writeOperatorConfig(Deployment.freePort(), "short");
+        assertThat(runCommand(2, "check", "--operator", operatorConfig.toString()))
                 .contains("a key of under 16 bytes")
                 .doesNotContain("short");
         assertThat(
-                        said(
+                        runCommand(
                                 1,
                                 "fleet",
                                 "view",
                                 "--operator",
-                                operator(Deployment.freePort(), "a key that is long enough")
+                                writeOperatorConfig(
+                                                Deployment.freePort(), "a key that is long enough")
                                         .toString()))
                 .contains("cannot ask");
     }
--- a/src/test/java/ochretiller/fleet/rollout/CanaryComparisonTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/CanaryComparisonTest.java
@@ -6,19 +6,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** How often the test on shares fires, with and without a difference. */
+/** Checks how often the test reports a regression, with and without a difference. */
 class CanaryComparisonTest {
     /**
-     * Evaluates the test after each small step, for as long as a stage may last; returns whether it
-     * ever fires.
+     * Evaluates the test after each small step for the maximum length of a stage, and returns
+     * whether it ever reports a regression.
      */
-    private static boolean fires(
+    private static boolean reportsRegression(
             SplittableRandom random, double candidateRate, double baselineRate, int step) {
         VersionCounters candidate = VersionCounters.ZERO;
         VersionCounters baseline = VersionCounters.ZERO;
         for (int evaluation = 0; evaluation < 200; evaluation++) {
-            // Errors come in bursts: a crowded moment spoils those of both sides together, more or
-            // less.
+            // Errors come in bursts that affect the candidate and the baseline together.
             double burst = random.nextInt(20) == 0 ? 3 : 1;
             candidate =
                     candidate.plus(
@@ -44,12 +43,12 @@
     }
 
     @Test
-    void harmlessVersionsAreStoppedNoMoreOftenThanStated() {
+    void harmlessVersionsAreStoppedWithinTheStatedProbability() {
         SplittableRandom random = new SplittableRandom(11);
         int stopped = 0;
         for (int i = 0; i < 1_000; i++) {
             double rate = 0.02 + 0.2 * (i % 5) / 5;
-            if (fires(random, rate, rate, 3 + i % 30)) {
+            if (reportsRegression(random, rate, rate, 3 + i % 30)) {
                 stopped++;
             }
         }
@@ -62,7 +61,7 @@
         SplittableRandom random = new SplittableRandom(12);
         int stopped = 0;
         for (int i = 0; i < 200; i++) {
-            if (fires(random, 0.25, 0.02, 5)) {
+            if (reportsRegression(random, 0.25, 0.02, 5)) {
                 stopped++;
             }
         }
--- a/src/test/java/ochretiller/fleet/rollout/LeaseGrantorTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/LeaseGrantorTest.java
@@ -17,7 +17,7 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import org.junit.jupiter.api.Test;
 
-/** Whose lease is renewed. */
+/** Tests which servers' leases are renewed. */
 class LeaseGrantorTest {
     private final Map<String, VersionReport> reports = new TreeMap<>();
     private final Duration now = Duration.ofSeconds(1);
@@ -30,7 +30,7 @@
         return fleet(servers, second(RolloutStages.ALL_SERVERS));
     }
 
-    private void reportAllRunningTheSecond(ReplicaPlacement fleet) {
+    private void reportAllRunningSecondVersion(ReplicaPlacement fleet) {
         names(fleet).forEach(server -> reports.put(server, running(TWO)));
     }
 
@@ -38,25 +38,25 @@
     void stragglerIsFencedAfterItsGracePeriodAndReadmittedOnceItHasCaughtUp() {
         LeaseGrantor grantor = grantor(Duration.ofSeconds(3));
         ReplicaPlacement fleet = lastStage(9);
-        reportAllRunningTheSecond(fleet);
+        reportAllRunningSecondVersion(fleet);
         reports.put("m4", running(ONE));
         assertThat(grantor.renew(fleet, "m5", reports, now)).isTrue();
         assertThat(grantor.renew(fleet, "m4", reports, now.plusSeconds(2)))
-                .as("its version has just changed")
+                .as("within the grace period")
                 .isTrue();
         assertThat(grantor.renew(fleet, "m4", reports, now.plusSeconds(4))).isFalse();
         assertThat(grantor.renew(fleet, "m5", reports, now.plusSeconds(4))).isTrue();
         reports.put("m4", running(TWO));
-        boolean readmitted = false;
-        for (int i = 0; i < 20 && !readmitted; i++) {
-            readmitted = grantor.renew(fleet, "m4", reports, now.plusSeconds(5));
+        boolean isReadmitted = false;
+        for (int i = 0; i < 20 && !isReadmitted; i++) {
+            isReadmitted = grantor.renew(fleet, "m4", reports, now.plusSeconds(5));
         }
-        assertThat(readmitted).isTrue();
+        assertThat(isReadmitted).isTrue();
         assertThat(grantor.fencedServers()).isEmpty();
     }
 
     @Test
-    void nobodyIsFencedWhereManyAreStragglers() {
+    void noServerIsFencedIfManyAreStragglers() {
         LeaseGrantor grantor = grantor(Duration.ofSeconds(3));
         ReplicaPlacement fleet = lastStage(9);
         for (String server : names(fleet)) {
@@ -64,22 +64,24 @@
         }
         grantor.renew(fleet, "m1", reports, now);
         assertThat(grantor.renew(fleet, "m1", reports, now.plusSeconds(10)))
-                .as("four of nine are behind")
+                .as("four of nine servers are stragglers")
                 .isTrue();
     }
 
     @Test
-    void serversFencedTogetherAreReadmittedFewAtATime() {
+    void serversFencedTogetherAreReadmittedAtABoundedRate() {
         LeaseGrantor grantor = grantor(Duration.ZERO);
         ReplicaPlacement fleet = lastStage(40);
-        reportAllRunningTheSecond(fleet);
+        reportAllRunningSecondVersion(fleet);
         List<String> stragglers = new ArrayList<>(names(fleet)).subList(0, 12);
         stragglers.forEach(server -> reports.put(server, running(ONE)));
         stragglers.forEach(server -> grantor.renew(fleet, server, reports, now));
         assertThat(grantor.fencedServers()).hasSize(12);
         stragglers.forEach(server -> reports.put(server, running(TWO)));
         renewRepeatedly(grantor, fleet, stragglers, 10);
-        assertThat(grantor.fencedServers().size()).as("in the first second").isBetween(7, 11);
+        assertThat(grantor.fencedServers().size())
+                .as("fenced after the first second")
+                .isBetween(7, 11);
         renewRepeatedly(grantor, fleet, stragglers, 100);
         assertThat(grantor.fencedServers()).isEmpty();
     }
--- a/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
@@ -16,7 +16,7 @@
 import ochretiller.fleet.consensus.RolloutState;
 import org.junit.jupiter.api.Test;
 
-/** When a rollout goes on, and what stops it. */
+/** Tests when a rollout advances and what stops it. */
 class RolloutControllerTest {
     private static final Duration OBSERVATION = Duration.ofSeconds(10);
 
@@ -24,26 +24,27 @@
             new RolloutController(OBSERVATION, Duration.ofSeconds(30), true);
     private final Duration now = Duration.ofSeconds(1);
 
-    /** All servers report that they run what they have to. */
+    /** Reports from all servers that they run their target version. */
     private static void reportAll(
-            RolloutController to,
+            RolloutController target,
             ReplicaPlacement fleet,
             VersionCounters candidate,
             VersionCounters baseline) {
         for (String server : names(fleet)) {
             VersionCounters own =
                     RolloutStages.includes(fleet, server) ? candidate : VersionCounters.ZERO;
-            to.recordReport(
+            target.recordReport(
                     server, running(RolloutStages.targetVersion(fleet, server), own, baseline));
         }
     }
 
-    private static void reportAllIdle(RolloutController to, ReplicaPlacement fleet) {
-        reportAll(to, fleet, VersionCounters.ZERO, VersionCounters.ZERO);
+    private static void reportAllIdle(RolloutController target, ReplicaPlacement fleet) {
+        reportAll(target, fleet, VersionCounters.ZERO, VersionCounters.ZERO);
     }
 
-    private static void reportAllRunningTheFirst(RolloutController to, ReplicaPlacement fleet) {
-        names(fleet).forEach(server -> to.recordReport(server, running(ONE)));
+    private static void reportAllRunningFirstVersion(
+            RolloutController target, ReplicaPlacement fleet) {
+        names(fleet).forEach(server -> target.recordReport(server, running(ONE)));
     }
 
     private static Optional<RolloutState> next(
@@ -61,8 +62,8 @@
     @Test
     void eachStageIsObservedOnceItsServersRunTheVersion() {
         ReplicaPlacement fleet = fleet(6, second(0));
-        reportAllRunningTheFirst(controller, fleet);
-        assertThat(next(controller, fleet, now)).as("nobody runs it yet").isEmpty();
+        reportAllRunningFirstVersion(controller, fleet);
+        assertThat(next(controller, fleet, now)).as("no server runs the version yet").isEmpty();
         assertThat(next(controller, fleet, now.plusSeconds(20))).isEmpty();
         controller.recordReport(firstIncluded(fleet), running(TWO));
         assertThat(next(controller, fleet, now.plusSeconds(21))).isEmpty();
@@ -76,7 +77,7 @@
     }
 
     @Test
-    void anotherAcceptorGoesOnFromWhatIsCommitted() {
+    void anotherAcceptorContinuesFromTheCommittedState() {
         ReplicaPlacement fleet = fleet(6, second(1));
         RolloutController fresh = new RolloutController(OBSERVATION, OBSERVATION, true);
         reportAllIdle(fresh, fleet);
@@ -86,17 +87,17 @@
     }
 
     @Test
-    void harmfulVersionIsRolledBackAsAVersionOfItsOwnOrHalted() {
+    void harmfulVersionIsRolledBackByANewVersionOrHalted() {
         ReplicaPlacement fleet = fleet(12, second(1));
         reportAll(controller, fleet, VersionCounters.ZERO, counters(5_000, 900));
         assertThat(next(controller, fleet, now))
-                .as("what was before it began does not count")
+                .as("counters from before the rollout do not count")
                 .isEmpty();
         reportAll(controller, fleet, counters(400, 120), counters(5_400, 904));
-        RolloutState back = next(controller, fleet, now.plusSeconds(1)).orElseThrow();
-        assertThat(back.target().number()).isEqualTo(3);
-        assertThat(back.target().hash()).isEqualTo(ONE.hash());
-        assertThat(back.isComplete()).isTrue();
+        RolloutState rolledBack = next(controller, fleet, now.plusSeconds(1)).orElseThrow();
+        assertThat(rolledBack.target().number()).isEqualTo(3);
+        assertThat(rolledBack.target().hash()).isEqualTo(ONE.hash());
+        assertThat(rolledBack.isComplete()).isTrue();
         assertThat(controller.haltReason()).contains("errored 0.3000");
         RolloutController halting = new RolloutController(OBSERVATION, OBSERVATION, false);
         reportAll(halting, fleet, VersionCounters.ZERO, counters(0, 0));
@@ -109,31 +110,33 @@
     void rejectionStopsAnEarlyStage() {
         for (int stage = 0; stage < RolloutStages.ALL_SERVERS; stage++) {
             ReplicaPlacement fleet = fleet(12, second(stage));
-            RolloutController each = new RolloutController(OBSERVATION, OBSERVATION, true);
-            String rejecting = reportAllWithOneRejection(each, fleet);
-            next(each, fleet, now);
-            RolloutState next = next(each, fleet, now.plusSeconds(11)).orElseThrow();
+            RolloutController freshController =
+                    new RolloutController(OBSERVATION, OBSERVATION, true);
+            String rejecting = reportAllWithOneRejection(freshController, fleet);
+            next(freshController, fleet, now);
+            RolloutState next = next(freshController, fleet, now.plusSeconds(11)).orElseThrow();
             assertThat(next.target().hash()).isEqualTo(ONE.hash());
-            assertThat(each.haltReason()).contains(rejecting).contains("too old");
+            assertThat(freshController.haltReason()).contains(rejecting).contains("too old");
         }
     }
 
     @Test
     void rejectionOfOneServerDoesNotStopTheLastStage() {
         ReplicaPlacement fleet = fleet(12, second(RolloutStages.ALL_SERVERS));
-        RolloutController each = new RolloutController(OBSERVATION, OBSERVATION, true);
-        reportAllWithOneRejection(each, fleet);
-        next(each, fleet, now);
-        next(each, fleet, now.plusSeconds(11));
-        next(each, fleet, now.plusSeconds(11));
-        assertThat(next(each, fleet, now.plusSeconds(25)).orElseThrow())
+        RolloutController freshController = new RolloutController(OBSERVATION, OBSERVATION, true);
+        reportAllWithOneRejection(freshController, fleet);
+        next(freshController, fleet, now);
+        next(freshController, fleet, now.plusSeconds(11));
+        next(freshController, fleet, now.plusSeconds(11));
+        assertThat(next(freshController, fleet, now.plusSeconds(25)).orElseThrow())
                 .isEqualTo(fleet.rollout().completed());
     }
 
-    private static String reportAllWithOneRejection(RolloutController to, ReplicaPlacement fleet) {
-        reportAllIdle(to, fleet);
+    private static String reportAllWithOneRejection(
+            RolloutController target, ReplicaPlacement fleet) {
+        reportAllIdle(target, fleet);
         String rejecting = firstIncluded(fleet);
-        to.recordReport(
+        target.recordReport(
                 rejecting,
                 new VersionReport(
                         1,
@@ -147,9 +150,9 @@
     }
 
     @Test
-    void versionThatNobodyComesToRunHalts() {
+    void rolloutHaltsIfNoServerActivatesTheVersion() {
         ReplicaPlacement fleet = fleet(6, second(0));
-        reportAllRunningTheFirst(controller, fleet);
+        reportAllRunningFirstVersion(controller, fleet);
         next(controller, fleet, now);
         assertThat(next(controller, fleet, now.plusSeconds(100))).isEmpty();
         assertThat(next(controller, fleet, now.plusSeconds(121)).orElseThrow().phase())
@@ -157,7 +160,7 @@
     }
 
     @Test
-    void pausedRolloutWaitsForAPerson() {
+    void pausedRolloutDoesNotAdvance() {
         ReplicaPlacement fleet = fleet(6, second(0).withPhase(RolloutPhase.PAUSED));
         reportAll(controller, fleet, counters(1_000, 900), counters(1_000, 0));
         assertThat(next(controller, fleet, now.plusSeconds(1_000))).isEmpty();
--- a/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
@@ -10,9 +10,7 @@
 import ochretiller.fleet.consensus.RolloutPhase;
 import ochretiller.fleet.consensus.RolloutState;
 
-/**
- * What the tests of this package share: two versions, and fleets in which the second is rolled out.
- */
+/** Test data of this package: two versions, and fleets in which the second one is rolled out. */
 final class RolloutFixture {
     static final PublishedVersion ONE =
             new PublishedVersion(1, "a".repeat(64), 10, "", "ann", "first");
@@ -21,7 +19,7 @@
 
     private RolloutFixture() {}
 
-    /** A fleet of servers m1, m2 and so on, in three zones. */
+    /** Returns a placement of servers m1, m2 and so on in three zones. */
     static ReplicaPlacement fleet(int size, RolloutState rollout) {
         List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 1; i <= size; i++) {
@@ -30,7 +28,7 @@
         return new ReplicaPlacement(5, servers, servers, 3, rollout);
     }
 
-    /** The rollout of the second version at this stage. */
+    /** Returns a running rollout of the second version at a stage. */
     static RolloutState second(int stage) {
         return new RolloutState(TWO, ONE, stage, RolloutPhase.RUNNING);
     }
--- a/src/test/java/ochretiller/fleet/rollout/RolloutStagesTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutStagesTest.java
@@ -12,7 +12,7 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 import org.junit.jupiter.api.Test;
 
-/** Which servers a stage includes. */
+/** Tests which servers each stage includes. */
 class RolloutStagesTest {
     @Test
     void stagesAreOneCanaryThenAQuarterOfEachZoneThenAll() {
--- a/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
@@ -13,41 +13,42 @@
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** Who acts on a new version at each stage: servers of several releases agree on that. */
+/** Pins the servers that each stage selects, since servers of different releases must agree. */
 class StagesGoldenTest {
-    private static final GoldenFile DRAWS = new GoldenFile("stage-draws");
+    private static final GoldenFile SELECTIONS = new GoldenFile("stage-draws");
     private static final int SERVERS = 12;
 
-    private static ReplicaPlacement layout(int version, int stage) {
+    private static ReplicaPlacement createPlacement(int version, int stage) {
         List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new ReplicaServer("n" + i, "z" + i % 3));
         }
-        PublishedVersion to = new PublishedVersion(version, "f".repeat(64), 1, "", "ann", "why");
+        PublishedVersion target =
+                new PublishedVersion(version, "f".repeat(64), 1, "", "ann", "why");
         return new ReplicaPlacement(
                 4,
                 servers,
                 servers,
                 3,
-                new RolloutState(to, PublishedVersion.NONE, stage, RolloutPhase.RUNNING));
+                new RolloutState(target, PublishedVersion.NONE, stage, RolloutPhase.RUNNING));
     }
 
     @Test
-    void whoActsOnAVersionAtEachStageIsAsBefore() {
-        Map<String, byte[]> made = new LinkedHashMap<>();
+    void selectedServersMatchTheGoldenFile() {
+        Map<String, byte[]> selections = new LinkedHashMap<>();
         for (int version = 1; version <= 3; version++) {
             for (int stage = 0; stage <= 2; stage++) {
-                ReplicaPlacement layout = layout(version, stage);
-                StringBuilder on = new StringBuilder();
-                // Some of these names are in no layout: they go by their own draw.
+                ReplicaPlacement placement = createPlacement(version, stage);
+                StringBuilder flags = new StringBuilder();
+                // Names outside the placement are selected by their own hash.
                 for (int i = 0; i < 3 * SERVERS; i++) {
-                    on.append(RolloutStages.includes(layout, "n" + i) ? '1' : '0');
+                    flags.append(RolloutStages.includes(placement, "n" + i) ? '1' : '0');
                 }
-                made.put(
+                selections.put(
                         "version-" + version + "-stage-" + stage,
-                        on.toString().getBytes(StandardCharsets.US_ASCII));
+                        flags.toString().getBytes(StandardCharsets.US_ASCII));
             }
         }
-        DRAWS.assertHolds(made);
+        SELECTIONS.assertHolds(selections);
     }
 }
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The small files of a server in a fleet: what a voter promised, whom it knew, what it acts on. */
+/** Compares the files of acceptor state, known peers and versions with golden bytes. */
 class FleetFilesGoldenTest {
     private static final GoldenFile VOTERS = new GoldenFile("voter-files");
     private static final GoldenFile PEERS = new GoldenFile("peers-files");
@@ -45,7 +45,7 @@
 
     @TempDir private Path folder;
 
-    private static ReplicaPlacement layout(long epoch) {
+    private static ReplicaPlacement createPlacement(long epoch) {
         return new ReplicaPlacement(
                 epoch,
                 List.of(new ReplicaServer("a", "z1"), new ReplicaServer("b", "")),
@@ -54,28 +54,33 @@
                 new RolloutState(VERSION, PublishedVersion.NONE, 2, RolloutPhase.HALTED));
     }
 
-    private static Map<String, AcceptorState> promises() {
-        Map<String, AcceptorState> all = new LinkedHashMap<>();
-        all.put("nothing", AcceptorState.initial(3));
-        all.put(
+    private static Map<String, AcceptorState> acceptorStates() {
+        Map<String, AcceptorState> states = new LinkedHashMap<>();
+        states.put("nothing", AcceptorState.initial(3));
+        states.put(
                 "promised",
-                new AcceptorState(layout(4), new Ballot(7, "b"), Ballot.NONE, Optional.empty(), 9));
-        all.put(
+                new AcceptorState(
+                        createPlacement(4),
+                        new Ballot(7, "b"),
+                        Ballot.NONE,
+                        Optional.empty(),
+                        9));
+        states.put(
                 "accepted",
                 new AcceptorState(
-                        layout(4),
+                        createPlacement(4),
                         new Ballot(7, "b"),
                         new Ballot(6, "a"),
-                        Optional.of(layout(5)),
+                        Optional.of(createPlacement(5)),
                         0));
-        return all;
+        return states;
     }
 
     private static List<PeerAddress> addresses() {
         return List.of(new PeerAddress("10.0.0.2", 4200), new PeerAddress("10.0.0.3", 65_535));
     }
 
-    private static byte[] awaited(Path file) throws IOException, InterruptedException {
+    private static byte[] awaitFile(Path file) throws IOException, InterruptedException {
         for (int i = 0; i < 1_000 && !Files.exists(file); i++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
@@ -83,10 +88,10 @@
     }
 
     @Test
-    void aVotersPromisesAreWrittenAsTheirGoldenBytes() throws IOException {
+    void acceptorStatesAreWrittenAsGoldenBytes() throws IOException {
         Map<String, byte[]> written = new LinkedHashMap<>();
         Path file = folder.resolve("voter");
-        for (Map.Entry<String, AcceptorState> each : promises().entrySet()) {
+        for (Map.Entry<String, AcceptorState> each : acceptorStates().entrySet()) {
             new AcceptorFile(file).write(each.getValue());
             written.put(each.getKey(), Files.readAllBytes(file));
         }
@@ -94,33 +99,33 @@
     }
 
     @Test
-    void aVotersGoldenPromisesAreReadBack() throws IOException {
+    void goldenAcceptorStatesAreReadBack() throws IOException {
         Path file = folder.resolve("voter");
-        for (Map.Entry<String, AcceptorState> each : promises().entrySet()) {
+        for (Map.Entry<String, AcceptorState> each : acceptorStates().entrySet()) {
             Files.write(file, VOTERS.bytes(each.getKey()));
             assertThat(new AcceptorFile(file).read()).as(each.getKey()).contains(each.getValue());
         }
     }
 
     @Test
-    void whomAServerKnewIsWrittenAsItsGoldenBytes() throws Exception {
+    void knownPeersAreWrittenAsGoldenBytes() throws Exception {
         PeersFile peers = new PeersFile(folder.resolve("peers"));
         peers.write(addresses());
-        PEERS.assertHolds(Map.of("peers", awaited(folder.resolve("peers"))));
+        PEERS.assertHolds(Map.of("peers", awaitFile(folder.resolve("peers"))));
         peers.close();
     }
 
     @Test
-    void whomAServerKnewIsReadBackFromItsGoldenBytes() throws IOException {
+    void knownPeersAreReadBackFromGoldenBytes() throws IOException {
         Files.write(folder.resolve("peers"), PEERS.bytes("peers"));
         PeersFile peers = new PeersFile(folder.resolve("peers"));
         assertThat(peers.read()).isEqualTo(addresses());
         peers.close();
     }
 
-    /** A server that remembers what it was to act on. */
+    /** Records the versions that are activated. */
     private static final class Recorder implements VersionActivator {
-        private final List<byte[]> acted = new ArrayList<>();
+        private final List<byte[]> activated = new ArrayList<>();
 
         @Override
         public String check(byte[] version) {
@@ -129,7 +134,7 @@
 
         @Override
         public String become(byte[] version) {
-            acted.add(version);
+            activated.add(version);
             return null;
         }
 
@@ -139,12 +144,12 @@
         }
 
         @Override
-        public void told(RolloutEvent what, PublishedVersion version, String text) {
-            // nothing here is about what is told
+        public void told(RolloutEvent event, PublishedVersion version, String text) {
+            // these tests do not check audit events
         }
     }
 
-    private RolloutService versions(Recorder recorder) {
+    private RolloutService createService(Recorder recorder) {
         RolloutSettings settings =
                 new RolloutSettings(
                         folder,
@@ -168,37 +173,37 @@
     }
 
     @Test
-    void aVersionAndThatItIsActedOnAreWrittenAsTheirGoldenBytes() throws Exception {
-        RolloutService versions = versions(new Recorder());
-        versions.publish("ann", "caf\u00e9", "1.2", BYTES);
+    void versionAndItsActivationAreWrittenAsGoldenBytes() throws Exception {
+        RolloutService service = createService(new Recorder());
+        service.publish("ann", "caf\u00e9", "1.2", BYTES);
         Map<String, byte[]> written = new LinkedHashMap<>();
-        written.put(HASH + ".version", awaited(folder.resolve(HASH + ".version")));
-        versions.adoptPlacement(
+        written.put(HASH + ".version", awaitFile(folder.resolve(HASH + ".version")));
+        service.adoptPlacement(
                 new ReplicaPlacement(
                         1,
                         List.of(new ReplicaServer("a", "")),
                         List.of(),
                         1,
                         new RolloutState(VERSION, VERSION, 0, RolloutPhase.DONE)));
-        written.put("acting", awaited(folder.resolve("acting")));
+        written.put("acting", awaitFile(folder.resolve("acting")));
         VERSIONS.assertHolds(written);
-        versions.close();
+        service.close();
     }
 
     @Test
-    void aServerActsOnItsGoldenVersionFromTheStart() throws IOException {
+    void goldenVersionIsActivatedAtTheStart() throws IOException {
         for (Map.Entry<String, byte[]> each : VERSIONS.all().entrySet()) {
             Files.write(folder.resolve(each.getKey()), each.getValue());
         }
         Recorder recorder = new Recorder();
-        RolloutService versions = versions(recorder);
-        assertThat(versions.activeVersion()).isEqualTo(VERSION.number());
-        assertThat(recorder.acted).containsExactly(BYTES);
-        versions.close();
+        RolloutService service = createService(recorder);
+        assertThat(service.activeVersion()).isEqualTo(VERSION.number());
+        assertThat(recorder.activated).containsExactly(BYTES);
+        service.close();
     }
 
     @Test
-    void theVersionThatIsActedOnIsReadBackWhole() throws IOException {
+    void activeVersionIsReadBack() throws IOException {
         Files.write(folder.resolve("acting"), VERSIONS.bytes("acting"));
         SealedFile file = new SealedFile(folder.resolve("acting"));
         assertThat(file.<PublishedVersion>read(PlacementCodec::readVersion)).contains(VERSION);
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -35,20 +35,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a keeper has in the store, keys and values, by {@code docs/store-format.md}. Ranges are
- * pinned one at a time: several are written in an order that differs from run to run.
+ * Compares the keys and values of a replica in the store, as specified in {@code
+ * docs/store-format.md}, with golden bytes. The tests use sets of one range, since the order in
+ * which several ranges are written differs from run to run.
  */
 class KeeperGoldenTest {
     private static final GoldenFile RECORDS = new GoldenFile("keeper-records");
-    private static final Duration LONGEST = Duration.ofMinutes(10);
+    private static final Duration MAX_LIFETIME = Duration.ofMinutes(10);
     private static final Duration NOW = Duration.ofSeconds(100);
-    private static final Duration LEFT = Duration.ofSeconds(60);
+    private static final Duration REMAINING_WINDOW = Duration.ofSeconds(60);
     private static final String TOKEN = "a token";
-    private static final ClaimId ID = new ClaimId("s", -7, 3);
+    private static final ClaimId CLAIM_ID = new ClaimId("s", -7, 3);
     private static final byte[] RESULT = {1, 2, 3, -4};
-    private static final ReplicaMetadata PLACE =
+    private static final ReplicaMetadata METADATA =
             new ReplicaMetadata(new TreeMap<>(Map.of("b", 5L, "c", 6L)), List.of(-8L, 9L));
-    private static final ReplicaPlacement LAYOUT =
+    private static final ReplicaPlacement PLACEMENT =
             new ReplicaPlacement(
                     4,
                     List.of(new ReplicaServer("a", "z1"), new ReplicaServer("b", "z2")),
@@ -63,50 +64,63 @@
                 StoreLimits.builder()
                         .maxEntries(100)
                         .maxBytes(1 << 20)
-                        .maxRecordLife(LONGEST)
+                        .maxRecordLife(MAX_LIFETIME)
                         .build(),
                 new BootClock(Optional.of(new UUID(1, 2)), () -> 5_000),
                 Runnable::run);
     }
 
     private static ReplicaEntry entry() {
-        ClaimId other = new ClaimId("t", 8, 1);
+        ClaimId otherClaim = new ClaimId("t", 8, 1);
         return new ReplicaEntry(
-                new TreeMap<>(Map.of(ID, "body", other, "b")),
+                new TreeMap<>(Map.of(CLAIM_ID, "body", otherClaim, "b")),
                 Set.of(new ClaimId("u", 1, 2)),
-                new TreeMap<>(Map.of(ID, new ClaimOutcome(true, "body", "caf\u00e9"))),
-                NOW.plus(LEFT));
+                new TreeMap<>(Map.of(CLAIM_ID, new ClaimOutcome(true, "body", "caf\u00e9"))),
+                NOW.plus(REMAINING_WINDOW));
     }
 
-    private static ReplicaSnapshot before(Set<Integer> forgot) {
-        return new ReplicaSnapshot(LAYOUT, Map.of(), Set.of(3), forgot, Set.of(7), 41, false);
+    private static ReplicaSnapshot previousSnapshot(Set<Integer> forgottenRanges) {
+        return new ReplicaSnapshot(
+                PLACEMENT, Map.of(), Set.of(3), forgottenRanges, Set.of(7), 41, false);
     }
 
-    private static Replica keeper(Set<Integer> forgot) {
-        Replica keeper =
-                Replica.recover("a", before(forgot), ReplicaLimits.ofEntries(100, LONGEST), NOW);
-        keeper.restore(TOKEN, entry());
-        return keeper;
+    private static Replica createReplica(Set<Integer> forgottenRanges) {
+        Replica replica =
+                Replica.recover(
+                        "a",
+                        previousSnapshot(forgottenRanges),
+                        ReplicaLimits.ofEntries(100, MAX_LIFETIME),
+                        NOW);
+        replica.restore(TOKEN, entry());
+        return replica;
     }
 
-    private static void durable(Consumer<Consumer<Boolean>> write) throws Exception {
-        CompletableFuture<Boolean> acked = new CompletableFuture<>();
-        write.accept(acked::complete);
-        assertThat(acked.get(10, TimeUnit.SECONDS)).isTrue();
+    private static void awaitDurable(Consumer<Consumer<Boolean>> write) throws Exception {
+        CompletableFuture<Boolean> acknowledged = new CompletableFuture<>();
+        write.accept(acknowledged::complete);
+        assertThat(acknowledged.get(10, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** Writes a place, an entry and a long result; their keys and values as the store has them. */
+    /** Writes metadata, an entry and a long result; returns their keys and values in the store. */
     @SuppressWarnings("ArrayAsKeyOfSetOrMap") // a list of pairs in order; no key is looked up
-    private Map<byte[], byte[]> written(Set<Integer> forgot) throws Exception {
-        Replica keeper = keeper(forgot);
+    private Map<byte[], byte[]> writeRecords(Set<Integer> forgottenRanges) throws Exception {
+        Replica replica = createReplica(forgottenRanges);
         try (Store store = open()) {
             store.start();
-            ReplicaStorage keeperDisk = new ReplicaStorage(store, LONGEST);
-            PendingWrite place = new PendingWrite(0, 1, Optional.empty());
+            ReplicaStorage storage = new ReplicaStorage(store, MAX_LIFETIME);
+            PendingWrite metadata = new PendingWrite(0, 1, Optional.empty());
             PendingWrite entry = new PendingWrite(0, 2, Optional.of(TOKEN));
-            durable(then -> keeperDisk.write(place, keeper, PLACE, NOW, then));
-            durable(then -> keeperDisk.write(entry, keeper, PLACE, NOW, then));
-            durable(then -> keeperDisk.storeResult(TOKEN, ID, RESULT, NOW.plus(LEFT), NOW, then));
+            awaitDurable(completion -> storage.write(metadata, replica, METADATA, NOW, completion));
+            awaitDurable(completion -> storage.write(entry, replica, METADATA, NOW, completion));
+            awaitDurable(
+                    completion ->
+                            storage.storeResult(
+                                    TOKEN,
+                                    CLAIM_ID,
+                                    RESULT,
+                                    NOW.plus(REMAINING_WINDOW),
+                                    NOW,
+                                    completion));
         }
         Map<byte[], byte[]> all = new LinkedHashMap<>();
         try (Store store = open()) {
@@ -118,75 +132,83 @@
         return all;
     }
 
-    private Map<String, byte[]> named(Set<Integer> forgot, String... names) throws Exception {
-        Map<String, byte[]> named = new LinkedHashMap<>();
-        List<Map.Entry<byte[], byte[]>> all = new ArrayList<>(written(forgot).entrySet());
+    private Map<String, byte[]> recordsByName(Set<Integer> forgottenRanges, String... names)
+            throws Exception {
+        Map<String, byte[]> records = new LinkedHashMap<>();
+        List<Map.Entry<byte[], byte[]>> all =
+                new ArrayList<>(writeRecords(forgottenRanges).entrySet());
         assertThat(all).hasSize(3);
         for (int i = 0; i < names.length; i++) {
-            named.put(names[i] + "-key", all.get(i).getKey());
-            named.put(names[i] + "-value", all.get(i).getValue());
+            records.put(names[i] + "-key", all.get(i).getKey());
+            records.put(names[i] + "-value", all.get(i).getValue());
         }
-        return named;
+        return records;
     }
 
-    private void put(Store store, String name, Duration lives) throws Exception {
-        CompletableFuture<AppendResult> acked = new CompletableFuture<>();
+    private void put(Store store, String name, Duration lifetime) throws Exception {
+        CompletableFuture<AppendResult> acknowledged = new CompletableFuture<>();
         store.put(
                 RECORDS.bytes(name + "-key"),
                 new byte[0],
                 RECORDS.bytes(name + "-value"),
-                store.nowMillis() + lives.toMillis(),
-                acked::complete);
-        assertThat(acked.get(10, TimeUnit.SECONDS)).isEqualTo(AppendResult.DURABLE);
+                store.nowMillis() + lifetime.toMillis(),
+                acknowledged::complete);
+        assertThat(acknowledged.get(10, TimeUnit.SECONDS)).isEqualTo(AppendResult.DURABLE);
     }
 
-    private void assertReadBack(String place, Set<Integer> forgot) throws Exception {
+    private void assertReadBack(String metadataName, Set<Integer> forgottenRanges)
+            throws Exception {
         try (Store store = open()) {
             store.start();
-            put(store, place, LONGEST.minusMillis(1));
-            put(store, "entry", LEFT);
-            put(store, "result", LEFT);
+            put(store, metadataName, MAX_LIFETIME.minusMillis(1));
+            put(store, "entry", REMAINING_WINDOW);
+            put(store, "result", REMAINING_WINDOW);
         }
         Map<String, ReplicaEntry> entries = Map.of(TOKEN, entry());
         try (Store store = open()) {
-            ReplicaStorage keeperDisk = new ReplicaStorage(store, LONGEST);
-            assertThat(keeperDisk.recover(NOW))
+            ReplicaStorage storage = new ReplicaStorage(store, MAX_LIFETIME);
+            assertThat(storage.recover(NOW))
                     .isEqualTo(
                             new RecoveredReplica(
                                     Optional.of(
                                             new ReplicaSnapshot(
-                                                    LAYOUT, entries, Set.of(3), forgot, Set.of(7),
-                                                    42, true)),
+                                                    PLACEMENT,
+                                                    entries,
+                                                    Set.of(3),
+                                                    forgottenRanges,
+                                                    Set.of(7),
+                                                    42,
+                                                    true)),
                                     entries,
                                     42,
-                                    PLACE));
+                                    METADATA));
             store.start();
             CompletableFuture<Optional<byte[]>> result = new CompletableFuture<>();
-            keeperDisk.readResult(TOKEN, ID, result::complete);
+            storage.readResult(TOKEN, CLAIM_ID, result::complete);
             assertThat(result.get(10, TimeUnit.SECONDS).orElseThrow()).isEqualTo(RESULT);
         }
     }
 
     @Test
-    void aKeeperWritesItsGoldenRecords() throws Exception {
-        Map<String, byte[]> written = named(Set.of(), "place", "entry", "result");
-        written.putAll(new KeeperGoldenTest().named(Set.of(3), "place-that-forgot"));
+    void replicaWritesGoldenRecords() throws Exception {
+        Map<String, byte[]> written = recordsByName(Set.of(), "place", "entry", "result");
+        written.putAll(new KeeperGoldenTest().recordsByName(Set.of(3), "place-that-forgot"));
         RECORDS.assertHolds(written);
     }
 
     @Test
-    void aKeeperReadsItsGoldenRecords() throws Exception {
+    void replicaReadsGoldenRecords() throws Exception {
         assertReadBack("place", Set.of());
     }
 
     @Test
-    void aKeeperThatForgotReadsItsGoldenRecords() throws Exception {
+    void replicaWithForgottenRangesReadsGoldenRecords() throws Exception {
         assertReadBack("place-that-forgot", Set.of(3));
     }
 
     @Test
-    void recordsOfAKeeperExpireWithTheirWindow() throws Exception {
-        written(Set.of());
+    void recordsExpireWithTheirWindow() throws Exception {
+        writeRecords(Set.of());
         Map<String, Long> expires = new TreeMap<>();
         StoreInspector.list(
                 disk,
@@ -198,15 +220,15 @@
                 .isEqualTo(
                         Map.of(
                                 "this server's place in its fleet",
-                                LONGEST.toMillis() - 1,
+                                MAX_LIFETIME.toMillis() - 1,
                                 "kept for the fleet: " + TOKEN,
-                                LEFT.toMillis(),
-                                "a long result kept for the fleet: " + TOKEN + " " + ID,
-                                LEFT.toMillis()));
+                                REMAINING_WINDOW.toMillis(),
+                                "a long result kept for the fleet: " + TOKEN + " " + CLAIM_ID,
+                                REMAINING_WINDOW.toMillis()));
     }
 
     @Test
-    void keysOfAKeeperAreNoText() {
+    void keysAreNotValidUtf8() {
         assertThat(new String(RECORDS.bytes("entry-key"), StandardCharsets.UTF_8))
                 .isEqualTo("\ufffd" + TOKEN);
     }
--- a/src/test/java/ochretiller/fleet/service/SealedFileTest.java
+++ b/src/test/java/ochretiller/fleet/service/SealedFileTest.java
@@ -13,34 +13,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Small files that are whole or told to be damaged, whatever became of their bytes. */
+/** Tests that truncated and altered files are detected. */
 class SealedFileTest {
     @TempDir private Path folder;
 
     @Test
-    void eachCutAndEachSpoiltByteIsTold() throws IOException {
+    void eachTruncationAndEachAlteredByteIsDetected() throws IOException {
         Path path = folder.resolve("small");
         SealedFile file = new SealedFile(path);
-        assertThat(file.<String>read(CborReader::readText)).as("there is none").isEmpty();
+        assertThat(file.<String>read(CborReader::readText)).as("no file").isEmpty();
         file.write(to -> to.writeString("what was kept"));
         assertThat(file.read(CborReader::readText)).contains("what was kept");
-        byte[] whole = Files.readAllBytes(path);
-        for (int i = 0; i < whole.length; i++) {
-            Files.write(path, Arrays.copyOf(whole, i));
+        byte[] bytes = Files.readAllBytes(path);
+        for (int i = 0; i < bytes.length; i++) {
+            Files.write(path, Arrays.copyOf(bytes, i));
             assertThatThrownBy(() -> file.read(CborReader::readText))
-                    .as("cut at " + i)
+                    .as("truncated to " + i + " bytes")
                     .isInstanceOf(CorruptFileException.class);
-            byte[] spoilt = whole.clone();
-            spoilt[i] ^= 0x10;
-            Files.write(path, spoilt);
+            byte[] altered = bytes.clone();
+            altered[i] ^= 0x10;
+            Files.write(path, altered);
             assertThatThrownBy(() -> file.read(CborReader::readText))
-                    .as("spoilt at " + i)
+                    .as("altered at byte " + i)
                     .isInstanceOf(CorruptFileException.class);
         }
     }
 
     @Test
-    void whomAServerKnewIsReadBackAndADamagedFileIsNoFault() throws Exception {
+    void knownPeersAreReadBackAndACorruptFileIsIgnored() throws Exception {
         Path path = folder.resolve("peers");
         PeersFile file = new PeersFile(path);
         assertThat(file.read()).isEmpty();
--- a/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
@@ -43,8 +43,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each message of the fleet as it is on the wire, seal and all, by {@code docs/fleet-wire.md}. The
- * names of the lines are the kind's number and the page's word for it.
+ * Compares sealed messages of the fleet, as specified in {@code docs/fleet-wire.md}, with golden
+ * bytes. A line of a golden file is named after the number and name of its message kind.
  */
 class WireGoldenTest {
     private static final GoldenFile PACKETS = new GoldenFile("fleet-packets");
@@ -70,19 +70,19 @@
 
     private final PacketCodec codec = new PacketCodec("parts", KEYS);
 
-    private static Map<MemberState, MembershipUpdate> entries() {
-        Map<MemberState, MembershipUpdate> entries = new EnumMap<>(MemberState.class);
-        entries.put(MemberState.JOINING, new MembershipUpdate(11, 1, MemberState.JOINING, 0));
-        entries.put(MemberState.ALIVE, new MembershipUpdate(12, 2, MemberState.ALIVE, 0));
-        entries.put(MemberState.SUSPECT, new MembershipUpdate(-13, 3, MemberState.SUSPECT, 8));
-        entries.put(
+    private static Map<MemberState, MembershipUpdate> updatesByState() {
+        Map<MemberState, MembershipUpdate> updates = new EnumMap<>(MemberState.class);
+        updates.put(MemberState.JOINING, new MembershipUpdate(11, 1, MemberState.JOINING, 0));
+        updates.put(MemberState.ALIVE, new MembershipUpdate(12, 2, MemberState.ALIVE, 0));
+        updates.put(MemberState.SUSPECT, new MembershipUpdate(-13, 3, MemberState.SUSPECT, 8));
+        updates.put(
                 MemberState.UNRESPONSIVE, new MembershipUpdate(14, 4, MemberState.UNRESPONSIVE, 0));
-        entries.put(MemberState.LEFT, new MembershipUpdate(15, 5, MemberState.LEFT, 0));
-        return entries;
+        updates.put(MemberState.LEFT, new MembershipUpdate(15, 5, MemberState.LEFT, 0));
+        return updates;
     }
 
-    private static void addMembers(Map<String, Object> all) {
-        List<MembershipUpdate> entries = new ArrayList<>(entries().values());
+    private static void addMembershipMessages(Map<String, Object> all) {
+        List<MembershipUpdate> updates = new ArrayList<>(updatesByState().values());
         Member other =
                 new Member(
                         new MemberId("n2", 6),
@@ -92,49 +92,55 @@
                         Optional.empty(),
                         0,
                         MemberState.JOINING);
-        MembershipMessage.Gossip news =
-                new MembershipMessage.Gossip(entries.subList(2, 4), List.of(other));
-        all.put("1-ping", new MembershipMessage.Ping(1, -2, news, Long.MIN_VALUE));
-        all.put("2-ack", new MembershipMessage.Ack(Long.MAX_VALUE, news, 5));
+        MembershipMessage.Gossip gossip =
+                new MembershipMessage.Gossip(updates.subList(2, 4), List.of(other));
+        all.put("1-ping", new MembershipMessage.Ping(1, -2, gossip, Long.MIN_VALUE));
+        all.put("2-ack", new MembershipMessage.Ack(Long.MAX_VALUE, gossip, 5));
         all.put(
                 "3-ask",
                 new MembershipMessage.PingRequest(3, 4, new PeerAddress("10.0.0.9", 65535)));
-        all.put("4-reached", new MembershipMessage.IndirectAck(9, entries.get(1)));
+        all.put("4-reached", new MembershipMessage.IndirectAck(9, updates.get(1)));
         all.put("5-sync", new MembershipMessage.DigestSync(List.of(1L, -1L, 0L), true));
-        all.put("6-states", new MembershipMessage.UpdatePage(entries));
+        all.put("6-states", new MembershipMessage.UpdatePage(updates));
         all.put("7-want", new MembershipMessage.MemberRequest(List.of(4L, 5L)));
         all.put("8-full", new MembershipMessage.MemberPage(List.of(other, SENDER)));
     }
 
-    private static ReplicaPlacement layout(RolloutPhase state) {
+    private static ReplicaPlacement createPlacement(RolloutPhase phase) {
         ReplicaServer a = new ReplicaServer("a", "z1");
         ReplicaServer b = new ReplicaServer("b", "z2");
         ReplicaServer c = new ReplicaServer("c", "");
-        PublishedVersion from = new PublishedVersion(2, HASH, 10, "1.2", "ann", "first");
-        PublishedVersion to =
+        PublishedVersion previous = new PublishedVersion(2, HASH, 10, "1.2", "ann", "first");
+        PublishedVersion target =
                 new PublishedVersion(3, "f".repeat(64), 11, "1.3", "bob", "caf\u00e9");
         return new ReplicaPlacement(
-                4, List.of(a, b), List.of(b, c), 3, new RolloutState(to, from, 1, state));
+                4, List.of(a, b), List.of(b, c), 3, new RolloutState(target, previous, 1, phase));
     }
 
-    private static void addEpochs(Map<String, Object> all) {
-        ReplicaPlacement layout = layout(RolloutPhase.RUNNING);
+    private static void addConsensusMessages(Map<String, Object> all) {
+        ReplicaPlacement placement = createPlacement(RolloutPhase.RUNNING);
         Ballot low = new Ballot(2, "a");
         Ballot high = new Ballot(3, "b");
         all.put("16-prepare", new ConsensusMessage.Prepare(5, low));
         all.put(
                 "17-promise-of-none",
                 new ConsensusMessage.Promise(5, low, Ballot.NONE, Optional.empty()));
-        all.put("17-promise", new ConsensusMessage.Promise(5, high, low, Optional.of(layout)));
-        all.put("18-accept", new ConsensusMessage.Accept(5, low, layout));
+        all.put("17-promise", new ConsensusMessage.Promise(5, high, low, Optional.of(placement)));
+        all.put("18-accept", new ConsensusMessage.Accept(5, low, placement));
         all.put("19-accepted", new ConsensusMessage.Accepted(5, low));
         all.put("20-refused", new ConsensusMessage.Nack(5, low, high));
-        all.put("21-agreed-runs", new ConsensusMessage.Committed(layout));
-        all.put("21-agreed-paused", new ConsensusMessage.Committed(layout(RolloutPhase.PAUSED)));
-        all.put("21-agreed-halted", new ConsensusMessage.Committed(layout(RolloutPhase.HALTED)));
-        all.put("21-agreed-done", new ConsensusMessage.Committed(layout(RolloutPhase.DONE)));
+        all.put("21-agreed-runs", new ConsensusMessage.Committed(placement));
+        all.put(
+                "21-agreed-paused",
+                new ConsensusMessage.Committed(createPlacement(RolloutPhase.PAUSED)));
+        all.put(
+                "21-agreed-halted",
+                new ConsensusMessage.Committed(createPlacement(RolloutPhase.HALTED)));
+        all.put(
+                "21-agreed-done",
+                new ConsensusMessage.Committed(createPlacement(RolloutPhase.DONE)));
         all.put("22-what-is-open", new ConsensusMessage.RecoveryQuery(9));
-        all.put("23-open", new ConsensusMessage.RecoveryReply(9, 8, layout));
+        all.put("23-open", new ConsensusMessage.RecoveryReply(9, 8, placement));
         all.put("24-blank", new ConsensusMessage.StateLost(1, -2));
         all.put(
                 "25-fresh",
@@ -142,20 +148,20 @@
         all.put("26-standing", new ConsensusMessage.ReplicaProgress(4, 17));
     }
 
-    private static ReplicationMessage.ClaimReply answer(ReplicationMessage.ClaimVote word) {
+    private static ReplicationMessage.ClaimReply claimReply(ReplicationMessage.ClaimVote vote) {
         ClaimId id = new ClaimId("s", -7, 3);
         return new ReplicationMessage.ClaimReply(
-                4, "x", id, word, Optional.empty(), Optional.empty(), 17);
+                4, "x", id, vote, Optional.empty(), Optional.empty(), 17);
     }
 
-    private static void addCopies(Map<String, Object> all) {
+    private static void addReplicationMessages(Map<String, Object> all) {
         ClaimId id = new ClaimId("s", -7, 3);
         ClaimId other = new ClaimId("t", 8, 1);
-        Duration left = Duration.ofMillis(1_007);
+        Duration remaining = Duration.ofMillis(1_007);
         ClaimOutcome outcome = new ClaimOutcome(true, "body", "caf\u00e9");
         ClaimOutcome failed = new ClaimOutcome(false, "other body", "");
-        ReplicaPlacement layout = layout(RolloutPhase.DONE);
-        ReplicationMessage.TransferredEntry item =
+        ReplicaPlacement placement = createPlacement(RolloutPhase.DONE);
+        ReplicationMessage.TransferredEntry transferredEntry =
                 new ReplicationMessage.TransferredEntry(
                         "x",
                         new ochretiller.fleet.replication.ReplicaEntry(
@@ -163,11 +169,13 @@
                                 Set.of(new ClaimId("u", 1, 2)),
                                 new TreeMap<>(Map.of(id, outcome, other, failed)),
                                 Duration.ZERO),
-                        left);
-        all.put("32-claim", new ReplicationMessage.ClaimRequest(4, "x", id, "body", left, true));
+                        remaining);
+        all.put(
+                "32-claim",
+                new ReplicationMessage.ClaimRequest(4, "x", id, "body", remaining, true));
         all.put("33-look", new ReplicationMessage.ClaimQuery(4, "x", id));
-        all.put("34-answer-granted", answer(ReplicationMessage.ClaimVote.GRANTED));
-        all.put("34-answer-free", answer(ReplicationMessage.ClaimVote.UNCLAIMED));
+        all.put("34-answer-granted", claimReply(ReplicationMessage.ClaimVote.GRANTED));
+        all.put("34-answer-free", claimReply(ReplicationMessage.ClaimVote.UNCLAIMED));
         all.put(
                 "34-answer-held",
                 new ReplicationMessage.ClaimReply(
@@ -188,14 +196,14 @@
                         Optional.of(other),
                         Optional.of(outcome),
                         -1));
-        all.put("34-answer-stale", answer(ReplicationMessage.ClaimVote.STALE_EPOCH));
-        all.put("34-answer-behind", answer(ReplicationMessage.ClaimVote.LAGGING));
-        all.put("34-answer-released", answer(ReplicationMessage.ClaimVote.RELEASED));
-        all.put("34-answer-full", answer(ReplicationMessage.ClaimVote.OVER_CAPACITY));
+        all.put("34-answer-stale", claimReply(ReplicationMessage.ClaimVote.STALE_EPOCH));
+        all.put("34-answer-behind", claimReply(ReplicationMessage.ClaimVote.LAGGING));
+        all.put("34-answer-released", claimReply(ReplicationMessage.ClaimVote.RELEASED));
+        all.put("34-answer-full", claimReply(ReplicationMessage.ClaimVote.OVER_CAPACITY));
         all.put(
                 "35-ended",
                 new ReplicationMessage.ClaimCompleted(
-                        4, "x", id, outcome, left, new TreeMap<>(Map.of("a", 5L, "b", 6L))));
+                        4, "x", id, outcome, remaining, new TreeMap<>(Map.of("a", 5L, "b", 6L))));
         all.put(
                 "35-ended-long",
                 new ReplicationMessage.ClaimCompleted(
@@ -203,10 +211,10 @@
                         "x",
                         id,
                         ClaimOutcome.chunked("body", "r".repeat(9_000)),
-                        left,
+                        remaining,
                         Map.of()));
         all.put("36-kept", new ReplicationMessage.OutcomeStored(4, "x", id, 8));
-        all.put("37-release", new ReplicationMessage.ClaimRelease("x", id, left));
+        all.put("37-release", new ReplicationMessage.ClaimRelease("x", id, remaining));
         all.put("38-whether", new ReplicationMessage.OwnerQuery("x", id));
         all.put(
                 "39-fetch-newest",
@@ -218,7 +226,7 @@
                         new ReplicationMessage.RangeCursor(Long.MAX_VALUE, ""),
                         Optional.empty(),
                         List.of(7L, -7L),
-                        Optional.of(layout)));
+                        Optional.of(placement)));
         byte[] cells = new byte[42];
         for (int i = 0; i < cells.length; i++) {
             cells[i] = (byte) (i * 7);
@@ -240,7 +248,7 @@
                         4,
                         1,
                         3,
-                        List.of(item),
+                        List.of(transferredEntry),
                         new ReplicationMessage.RangeCursor(7, "y"),
                         true,
                         false,
@@ -255,7 +263,7 @@
         all.put("45-piece", new ReplicationMessage.Chunk("x", id, 3_072, "caf\u00e9"));
     }
 
-    private static void addVersions(Map<String, Object> all) {
+    private static void addRolloutMessages(Map<String, Object> all) {
         VersionReport report =
                 new VersionReport(
                         2,
@@ -275,10 +283,10 @@
 
     private static Map<String, Object> messages() {
         Map<String, Object> all = new LinkedHashMap<>();
-        addMembers(all);
-        addEpochs(all);
-        addCopies(all);
-        addVersions(all);
+        addMembershipMessages(all);
+        addConsensusMessages(all);
+        addReplicationMessages(all);
+        addRolloutMessages(all);
         return all;
     }
 
@@ -321,24 +329,24 @@
     }
 
     @Test
-    void eachValueThatIsSentAsItsNumberHasAGoldenPacket() {
+    void eachEnumValueSentByNumberHasAGoldenPacket() {
         Map<String, Object> all = messages();
         Set<Enum<?>> pinned =
                 all.values().stream()
                         .flatMap(
                                 message -> {
-                                    if (message instanceof ReplicationMessage.ClaimReply answer) {
-                                        return Stream.<Enum<?>>of(answer.vote());
+                                    if (message instanceof ReplicationMessage.ClaimReply reply) {
+                                        return Stream.<Enum<?>>of(reply.vote());
                                     }
-                                    if (message instanceof ReplicationMessage.RangeRequest fetch) {
-                                        return Stream.<Enum<?>>of(fetch.order());
+                                    if (message instanceof ReplicationMessage.RangeRequest range) {
+                                        return Stream.<Enum<?>>of(range.order());
                                     }
-                                    if (message instanceof ConsensusMessage.Committed agreed) {
+                                    if (message instanceof ConsensusMessage.Committed committed) {
                                         return Stream.<Enum<?>>of(
-                                                agreed.placement().rollout().phase());
+                                                committed.placement().rollout().phase());
                                     }
-                                    if (message instanceof MembershipMessage.UpdatePage states) {
-                                        return states.updates().stream()
+                                    if (message instanceof MembershipMessage.UpdatePage page) {
+                                        return page.updates().stream()
                                                 .<Enum<?>>map(MembershipUpdate::state);
                                     }
                                     return Stream.<Enum<?>>empty();
@@ -352,10 +360,10 @@
     }
 
     @Test
-    void theOperatorsFramesAreWrittenAsTheirGoldenBytesAndReadBack()
+    void adminFramesAreWrittenAsGoldenBytesAndReadBack()
             throws RejectedPacketException {
         Map<String, byte[]> written = new LinkedHashMap<>();
-        frames().forEach((name, said) -> written.put(name, SealedFrame.seal(KEYS, said)));
+        frames().forEach((name, frame) -> written.put(name, SealedFrame.seal(KEYS, frame)));
         FRAMES.assertHolds(written);
         for (Map.Entry<String, AdminMessage> each : frames().entrySet()) {
             byte[] bytes = FRAMES.bytes(each.getKey());
