--- a/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
+++ b/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
@@ -28,7 +28,7 @@
     /** Minimum number of answers on each side for a comparison. */
     private static final long MIN_ANSWERS = 30;
 
-    /** Independent invocations that each invocation counts for, since failures come in bursts. */
+    /** Number of independent invocations that one counts for, since failures come in bursts. */
     private static final double EFFECTIVE_SAMPLE_SHARE = 0.2;
 
     private CanaryComparison() {}
--- a/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -34,7 +34,7 @@
     private final Set<String> fenced = new HashSet<>();
     private final Map<String, Assignment> assignments = new HashMap<>();
     private Optional<ReplicaPlacement> adoptedPlacement = Optional.empty();
-    private double readmissions = READMISSION_BURST;
+    private double readmissionTokens = READMISSION_BURST;
     private Duration refilledAt = Duration.ZERO;
 
     /** The version that a server has to run, and since when this acceptor knows of it. */
@@ -69,15 +69,15 @@
         adoptPlacement(placement, now);
         removeUnknown(placement, reports.keySet());
         Set<String> stragglers = stragglers(placement, reports, now);
-        // The placement counts too: an acceptor with few reports must not mistake their senders
-        // for the whole fleet.
+        // Includes the placement, so that an acceptor with few reports does not mistake their
+        // senders for the whole fleet.
         int servers = Math.max(reports.size(), placement.servers().size());
-        boolean straggler = stragglers.contains(name);
-        if (straggler && stragglers.size() <= Math.max(1, MAX_FENCED_SHARE * servers)) {
+        boolean isStraggler = stragglers.contains(name);
+        if (isStraggler && stragglers.size() <= Math.max(1, MAX_FENCED_SHARE * servers)) {
             fenced.add(name);
             return false;
         }
-        if (straggler || !fenced.contains(name)) {
+        if (isStraggler || !fenced.contains(name)) {
             return true;
         }
         return tryReadmit(name, now);
@@ -112,12 +112,13 @@
     /** Spreads the readmission of servers that were fenced together, by tokens and at random. */
     private boolean tryReadmit(String name, Duration now) {
         double seconds = Math.max(0, now.minus(refilledAt).toNanos() / 1e9);
-        readmissions = Math.min(READMISSION_BURST, readmissions + seconds * READMISSION_RATE);
+        readmissionTokens =
+                Math.min(READMISSION_BURST, readmissionTokens + seconds * READMISSION_RATE);
         refilledAt = now;
-        if (readmissions < 1 || random.nextInt(2) == 0) {
+        if (readmissionTokens < 1 || random.nextInt(2) == 0) {
             return false;
         }
-        readmissions--;
+        readmissionTokens--;
         fenced.remove(name);
         return true;
     }
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -34,7 +34,7 @@
     /** Each server's counters of the previous version in its first report of this rollout. */
     private final Map<String, VersionCounters> baselineStarts = new HashMap<>();
 
-    private RolloutState observed = RolloutState.NONE;
+    private RolloutState observedRollout = RolloutState.NONE;
     private Duration stageStartedAt = Duration.ZERO;
     private Optional<Duration> stageCompleteSince = Optional.empty();
     private String haltReason = "";
@@ -60,7 +60,8 @@
     }
 
     private void recordBaselineStart(String server, VersionReport report) {
-        if (!observed.isComplete() && report.rolloutVersion() == observed.target().number()) {
+        if (!observedRollout.isComplete()
+                && report.rolloutVersion() == observedRollout.target().number()) {
             baselineStarts.putIfAbsent(server, report.baseline());
         }
     }
@@ -106,13 +107,13 @@
     }
 
     private void observe(RolloutState rollout, Duration now) {
-        if (rollout.equals(observed)) {
+        if (rollout.equals(observedRollout)) {
             return;
         }
-        if (rollout.target().number() != observed.target().number()) {
+        if (rollout.target().number() != observedRollout.target().number()) {
             baselineStarts.clear();
         }
-        observed = rollout;
+        observedRollout = rollout;
         stageStartedAt = now;
         stageCompleteSince = Optional.empty();
         reports.forEach(this::recordBaselineStart);
--- a/src/main/java/ochretiller/fleet/service/ClaimLatency.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimLatency.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Arrays;
 
-/** Latencies of recently granted claims. Written on the event loop; percentiles from any thread. */
+/** Latencies of recently granted claims. Recorded on the event loop, read from any thread. */
 final class ClaimLatency {
     /** Number of latencies in the window: about one second on a busy server. */
     private static final int WINDOW_SIZE = 1_024;
--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -88,10 +88,10 @@
             completion.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.THROTTLED));
             return;
         }
-        Optional<ClaimOutcome> known = localOutcome(token, fingerprint);
-        if (known.isPresent()) {
+        Optional<ClaimOutcome> cachedOutcome = localOutcome(token, fingerprint);
+        if (cachedOutcome.isPresent()) {
             metrics.replayed.add();
-            completion.accept(ClaimDecision.replayOf(known.get()));
+            completion.accept(ClaimDecision.replayOf(cachedOutcome.get()));
             return;
         }
         coordinator.claim(
--- a/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
+++ b/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
@@ -18,7 +18,7 @@
     private final VersionFiles files;
     private final VersionFollower follower;
     private final VersionDownload download;
-    private Optional<String> offeredBy = Optional.empty();
+    private Optional<String> offeringServer = Optional.empty();
 
     OfferedVersionReceiver(
             FleetContext context,
@@ -41,14 +41,14 @@
             context.sender().send(server, new RolloutMessage.VersionStored(offer.hash()));
             return;
         }
-        offeredBy = Optional.of(server);
+        offeringServer = Optional.of(server);
         download.start(new PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
         tick(now);
     }
 
     /** Requests missing chunks from the server that made the latest offer. */
     void tick(Duration now) {
-        offeredBy.ifPresent(server -> requestChunks(server, now));
+        offeringServer.ifPresent(server -> requestChunks(server, now));
     }
 
     private void requestChunks(String server, Duration now) {
@@ -68,7 +68,7 @@
             download.discardCorrupt(now);
             return;
         }
-        String server = offeredBy.orElseThrow();
+        String server = offeringServer.orElseThrow();
         files.store(
                 hash,
                 version,
--- a/src/main/java/ochretiller/fleet/service/PreviousClaims.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousClaims.java
@@ -25,7 +25,7 @@
     private final ClaimCoordinator coordinator;
     private final ClaimMetrics metrics;
     private final Runnable publisher;
-    private Optional<PreviousIncarnation> previousIncarnation = Optional.empty();
+    private Optional<PreviousIncarnation> previousRunLookup = Optional.empty();
     private boolean isClosed;
 
     /**
@@ -53,8 +53,8 @@
     }
 
     /** Sets the lookup of previous runs. */
-    void use(PreviousIncarnation previous) {
-        previousIncarnation = Optional.of(previous);
+    void use(PreviousIncarnation lookup) {
+        previousRunLookup = Optional.of(lookup);
     }
 
     /** Handles a replica's question about a claim of this server, if the disk proves its state. */
@@ -64,8 +64,8 @@
                         && isDiskConclusive(replica)
                         && ReplicaEntryCodec.tokenFits(query.token());
         if (isProvable) {
-            previousIncarnation.ifPresent(
-                    previous -> previous.lookUp(query.token(), run -> resolve(query, run)));
+            previousRunLookup.ifPresent(
+                    lookup -> lookup.lookUp(query.token(), run -> resolve(query, run)));
         }
     }
 
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -302,8 +302,8 @@
     }
 
     /** Sets the lookup of runs by previous processes of this server. */
-    public void usePreviousIncarnation(PreviousIncarnation previous) {
-        previousClaims.use(previous);
+    public void usePreviousIncarnation(PreviousIncarnation lookup) {
+        previousClaims.use(lookup);
     }
 
     /** Returns the source of the JSON for admin commands. */
--- a/src/main/java/ochretiller/fleet/service/RolloutProposals.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutProposals.java
@@ -32,7 +32,7 @@
     private final Set<String> serversWithBytes = new HashSet<>();
     private RolloutState committed = ReplicaPlacement.empty(1).rollout();
     private Optional<RolloutState> pendingOffer = Optional.empty();
-    private Optional<RolloutState> proposed = Optional.empty();
+    private Optional<RolloutState> pendingProposal = Optional.empty();
     private boolean isClosed;
 
     RolloutProposals(
@@ -51,14 +51,14 @@
     /** Adopts the committed state, and drops the proposal if it is the one that was committed. */
     void adoptState(RolloutState next) {
         committed = next;
-        if (proposed.isPresent() && proposed.get().equals(next)) {
-            proposed = Optional.empty();
+        if (pendingProposal.isPresent() && pendingProposal.get().equals(next)) {
+            pendingProposal = Optional.empty();
         }
     }
 
     /** Returns the state to propose, if an operator has requested one. */
     Optional<RolloutState> proposed() {
-        return proposed;
+        return pendingProposal;
     }
 
     /**
@@ -107,7 +107,7 @@
         if (version.length == 0 || version.length > PublishedVersion.MAX_BYTES) {
             return Optional.of("a version has 1 to " + PublishedVersion.MAX_BYTES + " bytes");
         }
-        if (!committed.isComplete() || proposed.isPresent() || pendingOffer.isPresent()) {
+        if (!committed.isComplete() || pendingProposal.isPresent() || pendingOffer.isPresent()) {
             return Optional.of(
                     "version "
                             + committed.target().number()
@@ -193,14 +193,14 @@
     }
 
     private void propose(RolloutState next) {
-        proposed = Optional.of(next);
+        pendingProposal = Optional.of(next);
         // If another proposal was committed instead, the operator has to decide again.
         context.scheduler().after(PROPOSAL_LIFETIME, () -> expireProposal(next));
     }
 
     private void expireProposal(RolloutState next) {
-        if (proposed.isPresent() && proposed.get().equals(next)) {
-            proposed = Optional.empty();
+        if (pendingProposal.isPresent() && pendingProposal.get().equals(next)) {
+            pendingProposal = Optional.empty();
         }
     }
 
