--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -103,7 +103,7 @@
         stageCompleteSince = Optional.of(completeSince);
         return now.minus(completeSince).compareTo(observationTime) < 0
                 ? Optional.empty()
-                : Optional.of(next(rollout));
+                : Optional.of(nextStage(rollout));
     }
 
     private void observe(RolloutState rollout, Duration now) {
@@ -159,7 +159,7 @@
         return !included.isEmpty() && (behind == 0 || hasFewStragglers);
     }
 
-    private static RolloutState next(RolloutState rollout) {
+    private static RolloutState nextStage(RolloutState rollout) {
         return rollout.stage() < RolloutStages.ALL_SERVERS
                 ? rollout.withStage(rollout.stage() + 1)
                 : rollout.completed();
--- a/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
@@ -83,8 +83,7 @@
             requireHash(hash);
             requireOffset(offset);
             if (data.length > VersionDownload.CHUNK_BYTES) {
-                throw new IllegalArgumentException(
-                        "chunk is too long: " + data.length + " bytes");
+                throw new IllegalArgumentException("chunk is too long: " + data.length + " bytes");
             }
         }
 
--- a/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
@@ -55,14 +55,14 @@
     }
 
     /** Returns the sum of these counters and others. */
-    public VersionCounters plus(VersionCounters more) {
+    public VersionCounters plus(VersionCounters other) {
         return new VersionCounters(
-                answered + more.answered,
-                throttled + more.throttled,
-                errored + more.errored,
-                late + more.late,
-                earnedValue + more.earnedValue,
-                offeredValue + more.offeredValue);
+                answered + other.answered,
+                throttled + other.throttled,
+                errored + other.errored,
+                late + other.late,
+                earnedValue + other.earnedValue,
+                offeredValue + other.offeredValue);
     }
 
     /**
--- a/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
+++ b/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
@@ -64,10 +64,10 @@
         planner = new PlacementPlanner(settings.calm(), maxWindow, settings.replicationFactor());
         file = new AcceptorFile(settings.voterFile());
         durableState = file.read();
-        consensus = consensus(settings.replicationFactor());
+        consensus = createConsensus(settings.replicationFactor());
     }
 
-    private EpochConsensus consensus(int replicationFactor) {
+    private EpochConsensus createConsensus(int replicationFactor) {
         String name = context.serverName();
         Set<String> names = Set.copyOf(acceptors);
         long seed = context.random().nextLong();
--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -27,10 +27,10 @@
 
     List<PeerAddress> read() {
         try {
-            List<PeerAddress> all =
+            List<PeerAddress> addresses =
                     sealedFile.read(in -> in.readTexts().stream().map(PeerAddress::parse).toList())
                             .orElse(List.of());
-            return all;
+            return addresses;
         } catch (IOException e) {
             LOG.warning(
                     () ->
@@ -38,21 +38,21 @@
                                     + file
                                     + ", using only the configured seeds: "
                                     + (e instanceof CorruptFileException
-                                            ? "damaged"
+                                            ? "the file is corrupt"
                                             : e.getMessage()));
             return List.of();
         }
     }
 
     /** Writes the list in the background; skipped if another write is waiting. */
-    void write(List<PeerAddress> all) {
+    void write(List<PeerAddress> addresses) {
         writer.submit(
                 () -> {
                     try {
                         sealedFile.write(
                                 out -> {
                                     out.writeStartArray();
-                                    for (PeerAddress each : all) {
+                                    for (PeerAddress each : addresses) {
                                         out.writeString(each.toString());
                                     }
                                     out.writeEndArray();
--- a/src/main/java/ochretiller/fleet/service/ReplicaHost.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaHost.java
@@ -73,7 +73,7 @@
                         settings.antiEntropyBytesPerSecond(),
                         maxWindow);
         Duration now = context.scheduler().now();
-        recovered = storage.map(present -> present.recover(now)).orElse(RecoveredReplica.NOTHING);
+        recovered = storage.map(opened -> opened.recover(now)).orElse(RecoveredReplica.NOTHING);
         results = new ResultCache(storage, settings.maxBytes() / 2);
         barrier = new DurabilityBarrier(context.random());
         recovered.snapshot().ifPresent(this::restore);
@@ -171,12 +171,12 @@
 
     /** Logs changes of the replica's status. */
     void logStatus(Duration now) {
-        replica.ifPresent(present -> statusLog.update(present, barrier, now));
+        replica.ifPresent(existing -> statusLog.update(existing, barrier, now));
     }
 
     /** Handles a message from another replica or from a coordinator. */
     void receive(String sender, ReplicationMessage message, Duration now) {
-        replica.ifPresent(present -> present.receive(sender, message, now));
+        replica.ifPresent(existing -> existing.receive(sender, message, now));
     }
 
     /** Stores assembled results and changed entries, and sends messages that may be sent. */
@@ -184,22 +184,22 @@
         replica.ifPresent(this::publish);
     }
 
-    private void publish(Replica present) {
-        present.takeAssembledResults().forEach(result -> storeResult(present, result));
-        List<String> changedTokens = present.takeChangedTokens();
-        boolean isMetadataChanged = present.takeMetadataChanged();
+    private void publish(Replica source) {
+        source.takeAssembledResults().forEach(result -> storeResult(source, result));
+        List<String> changedTokens = source.takeChangedTokens();
+        boolean isMetadataChanged = source.takeMetadataChanged();
         if (storage.isEmpty()) {
-            sendAll(present.takeOutbound());
+            sendAll(source.takeOutbound());
             return;
         }
         Duration now = context.scheduler().now();
-        boolean isMetadataDue = isMetadataChanged || isMetadataStale(present, now);
+        boolean isMetadataDue = isMetadataChanged || isMetadataStale(source, now);
         if (isMetadataDue) {
             metadataWrittenAt = now;
-            writtenChangeNumber = present.changeNumber();
+            writtenChangeNumber = source.changeNumber();
         }
         SubmittedChange submitted =
-                barrier.submit(changedTokens, isMetadataDue, present.takeOutbound());
+                barrier.submit(changedTokens, isMetadataDue, source.takeOutbound());
         submitted.writes().forEach(this::write);
         sendAll(submitted.sendable());
     }
@@ -208,21 +208,21 @@
      * Returns whether the metadata must be rewritten to record the latest change number, since the
      * entries that also record it may all have expired by the next start.
      */
-    private boolean isMetadataStale(Replica present, Duration now) {
+    private boolean isMetadataStale(Replica source, Duration now) {
         return now.minus(metadataWrittenAt).compareTo(METADATA_INTERVAL) >= 0
-                && present.changeNumber() != writtenChangeNumber;
+                && source.changeNumber() != writtenChangeNumber;
     }
 
-    private void storeResult(Replica present, AssembledResult result) {
+    private void storeResult(Replica source, AssembledResult result) {
         results.put(
                 result.token(),
                 result.claimId(),
                 result.result(),
-                present.entry(result.token()).expiresAt(),
+                source.entry(result.token()).expiresAt(),
                 context.scheduler().now(),
                 isStored -> {
                     if (isStored && !link.isClosed()) {
-                        present.resultStored(result);
+                        source.resultStored(result);
                         publish();
                     }
                 });
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -36,7 +36,7 @@
     /** Interval at which the replica's view of live peers and the gauges are updated. */
     private static final Duration OBSERVATION_INTERVAL = Duration.ofMillis(500);
 
-    /** Incarnations that are recorded on the disk, including the present one. */
+    /** Incarnations that are recorded on the disk, including the current one. */
     private static final int MAX_REMEMBERED_INCARNATIONS = 64;
 
     private final FleetContext context;
@@ -80,7 +80,7 @@
                 store.map(opened -> new ReplicaStorage(opened, maxWindow));
         replicaHost = new ReplicaHost(context, link, settings, maxWindow, storage, this::metadata);
         RecoveredReplica recovered = replicaHost.recovered();
-        incarnations = incarnations(recovered.metadata().incarnations(), incarnation);
+        incarnations = appendIncarnation(recovered.metadata().incarnations(), incarnation);
         ReplicaPlacement placement =
                 replicaHost
                         .replica()
@@ -106,7 +106,7 @@
     }
 
     /** Returns the latest incarnations that used this disk, oldest first and this one last. */
-    private static List<Long> incarnations(List<Long> previous, long incarnation) {
+    private static List<Long> appendIncarnation(List<Long> previous, long incarnation) {
         List<Long> all = new ArrayList<>(previous);
         all.add(incarnation);
         int first = Math.max(0, all.size() - MAX_REMEMBERED_INCARNATIONS);
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -69,7 +69,7 @@
         Duration now = context.scheduler().now();
         out.writeNumberField(
                 "oldest_gap_ms",
-                replica.map(present -> present.oldestLag(now).toMillis()).orElse(0L));
+                replica.map(existing -> existing.oldestLag(now).toMillis()).orElse(0L));
         out.writeNumberField("hints", statistics.hints());
         out.writeNumberField("conflicts", statistics.conflicts());
         out.writeNumberField("fetched", statistics.receivedEntries());
@@ -104,7 +104,7 @@
                     out.writeEndArray();
                     out.writeBooleanField(
                             "behind",
-                            replica.map(present -> present.isLagging(range)).orElse(false));
+                            replica.map(existing -> existing.isLagging(range)).orElse(false));
                     if (replica.isPresent()) {
                         writeEntry(out, replica.get().entry(token));
                     }
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -100,7 +100,7 @@
         follower.recordOutcome(version, outcome);
     }
 
-    /** Adopts a committed placement, unless its epoch is older than the current one. */
+    /** Adopts a committed placement; placements that are not newer are ignored. */
     void adoptPlacement(ReplicaPlacement committed) {
         if (committed.epoch() <= placement.epoch() && !placement.servers().isEmpty()) {
             return;
@@ -109,13 +109,13 @@
         placement = committed;
         acceptor.adoptPlacement(committed, context.scheduler().now());
         if (!committed.rollout().equals(before)) {
-            reportProgress(committed.rollout());
+            recordProgress(committed.rollout());
         }
         proposals.adoptState(committed.rollout());
         follower.adoptPlacement(committed);
     }
 
-    private void reportProgress(RolloutState rollout) {
+    private void recordProgress(RolloutState rollout) {
         String progress =
                 rollout.isComplete()
                         ? " is in force"
--- a/src/main/java/ochretiller/fleet/service/VersionActivator.java
+++ b/src/main/java/ochretiller/fleet/service/VersionActivator.java
@@ -13,7 +13,7 @@
     String check(byte[] version);
 
     /**
-     * Activates a version atomically. Must be called on the event loop.
+     * Activates a version atomically with respect to tasks of the event loop.
      *
      * @param version bytes of the version, or null to use the server's local files
      * @return why the version cannot be activated, in which case nothing has changed; or null
--- a/src/main/java/ochretiller/fleet/service/VersionFollower.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFollower.java
@@ -68,8 +68,7 @@
         try {
             files.load().ifPresent(this::restore);
         } catch (IOException e) {
-            LOG.warning(
-                    "fleet: cannot read the previously active version: " + e.getMessage());
+            LOG.warning("fleet: cannot read the previously active version: " + e.getMessage());
         }
     }
 
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -60,11 +60,7 @@
         states.put(
                 "promised",
                 new AcceptorState(
-                        createPlacement(4),
-                        new Ballot(7, "b"),
-                        Ballot.NONE,
-                        Optional.empty(),
-                        9));
+                        createPlacement(4), new Ballot(7, "b"), Ballot.NONE, Optional.empty(), 9));
         states.put(
                 "accepted",
                 new AcceptorState(
