--- a/src/main/java/ochretiller/fleet/rollout/Lease.java
+++ b/src/main/java/ochretiller/fleet/rollout/Lease.java
@@ -49,7 +49,7 @@
         return lastRequestId;
     }
 
-    /** Bounds the number of requests even if the clock does not advance. */
+    /** Bounds the number of requests even if the clock stands still; old ones are least useful. */
     private void removeOldestRequest() {
         requestedAt.entrySet().stream()
                 .min(Map.Entry.comparingByValue())
--- a/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutMessage.java
@@ -20,8 +20,6 @@
             long requestId, VersionReport report, long auditRecordNumber, String auditHash)
             implements RolloutMessage {
         /**
-         * Validates a message from a peer.
-         *
          * @throws IllegalArgumentException if the hash does not fit the record number
          */
         public StatusReport {
@@ -43,8 +41,6 @@
     /** Offers the bytes of a version to an acceptor before the version is proposed. */
     record VersionOffer(String hash, int size) implements RolloutMessage {
         /**
-         * Validates a message from a peer.
-         *
          * @throws IllegalArgumentException if the hash or the size is invalid
          */
         public VersionOffer {
@@ -61,8 +57,6 @@
     /** Requests the chunk of a version that starts at an offset in bytes. */
     record ChunkRequest(String hash, int offset) implements RolloutMessage {
         /**
-         * Validates a message from a peer.
-         *
          * @throws IllegalArgumentException if the hash is invalid or the offset is negative
          */
         public ChunkRequest {
@@ -74,10 +68,7 @@
     /** A chunk of a version's bytes; the array is not copied and must not be modified. */
     record Chunk(String hash, int offset, byte[] data) implements RolloutMessage {
         /**
-         * Validates a message from a peer.
-         *
-         * @throws IllegalArgumentException if the hash is invalid, the offset is negative or the
-         *     chunk is too long
+         * @throws IllegalArgumentException if the hash, the offset or the length is invalid
          */
         public Chunk {
             requireHash(hash);
--- a/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
@@ -24,9 +24,7 @@
     private static final double MAX_VALUE = 1e15;
 
     /**
-     * Validates counters from a peer.
-     *
-     * @throws IllegalArgumentException if the counters contradict each other
+     * @throws IllegalArgumentException if a peer's counters contradict each other
      */
     public VersionCounters {
         boolean areCountsValid =
--- a/src/main/java/ochretiller/fleet/rollout/VersionReport.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionReport.java
@@ -28,9 +28,7 @@
     private static final int MAX_HASH_LENGTH = 64;
 
     /**
-     * Validates a report from a peer.
-     *
-     * @throws IllegalArgumentException if a text is too long or a number is negative
+     * @throws IllegalArgumentException if a peer's text is too long or a number is negative
      */
     public VersionReport {
         boolean areLengthsValid =
--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -25,8 +25,7 @@
      * Reads the state.
      *
      * @return the state, or empty if there is no file
-     * @throws MalformedException if the file cannot be read, since it may contain a promise that
-     *     the acceptor must not break
+     * @throws MalformedException if the file cannot be read, since it may contain a promise
      */
     Optional<AcceptorState> read() {
         try {
--- a/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
+++ b/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
@@ -12,8 +12,6 @@
     private final ThreadPoolExecutor executor;
 
     /**
-     * Creates a writer without a running thread.
-     *
      * @param name name of the thread
      * @param maxQueuedWrites capacity of the queue; further writes are rejected
      */
--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -133,9 +133,8 @@
     }
 
     /**
-     * Caches an outcome, unless its result is long, since long results would fill the memory. An
-     * outcome may stay cached for up to one window too long, which is harmless: a client must not
-     * retry after the window.
+     * Caches an outcome unless its result is long, which would fill the memory. It may stay cached
+     * for one window too long, which is harmless: clients must not retry after the window.
      */
     private void cacheOutcome(String token, ClaimOutcome outcome, Duration windowEnd) {
         if (outcome.isChunked()) {
--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Writes the list in the background; skipped if another write is waiting. */
+    /** Writes the list in the background; dropped if a write is waiting, since a later one follows. */
     void write(List<PeerAddress> addresses) {
         writer.submit(
                 () -> {
--- a/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
@@ -16,12 +16,11 @@
     }
 
     /**
-     * A previous run of an invocation. Only a run that has ended has a fingerprint and a window.
+     * A previous run of an invocation.
      *
-     * @param kind progress of the run
-     * @param body request fingerprint: operation and body hash; null unless the run has ended
+     * @param body fingerprint of operation and request body; null unless the run has ended
      * @param result null if the run did not succeed
-     * @param windowEnds end of its idempotency window; zero unless the run has ended
+     * @param windowEnds end of the idempotency window; zero unless the run has ended
      */
     record PreviousRun(Finding kind, String body, byte[] result, Duration windowEnds) {
         public static final PreviousRun NEVER =
@@ -30,10 +29,6 @@
                 new PreviousRun(Finding.UNKNOWN, null, null, Duration.ZERO);
     }
 
-    /**
-     * Looks up the run of a token.
-     *
-     * @param completion called once with the run, possibly before this method returns
-     */
+    /** Looks up the run of a token; calls the completion once, possibly before returning. */
     void lookUp(String token, Consumer<PreviousRun> completion);
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicaHost.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaHost.java
@@ -18,10 +18,9 @@
 import ochretiller.fleet.replication.SubmittedChange;
 
 /**
- * Runs this server's replica: passes it ticks and messages, and sends its messages once the changes
- * that they depend on are durable. Without a storage the entries are in memory only, and a
- * restarted replica votes again once it has fetched them from other replicas. Confined to the event
- * loop.
+ * Runs this server's replica: passes it ticks and messages, and sends its messages once their
+ * changes are durable. Without a storage the entries are in memory only, and a restarted replica
+ * votes again after it has fetched them from other replicas. Confined to the event loop.
  */
 final class ReplicaHost {
     private static final Logger LOG = Logger.getLogger(ReplicationService.class.getName());
--- a/src/main/java/ochretiller/fleet/service/package-info.java
+++ b/src/main/java/ochretiller/fleet/service/package-info.java
@@ -8,10 +8,9 @@
  * versions, renews this server's lease and, on an acceptor, grants leases and advances rollouts.
  * Admin commands are handled here and answered as JSON.
  *
- * <p><b>State.</b> Files with a checksum hold the acceptor's state, the known peers and the
- * description of the active version; files of versions are named by their hash. The store holds the
- * replica's entries, metadata and long results. All other state is in memory and is rebuilt after a
- * start.
+ * <p><b>State.</b> Files hold the acceptor's state, the known peers, the versions and the
+ * description of the active one. The store holds the replica's entries, metadata and long results.
+ * All other state is in memory and is rebuilt after a start.
  *
  * <p><b>Threads.</b> The services run on the event loop. Each kind of small file has a background
  * thread for its writes, which posts completions to the event loop. Gauges are read from other
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -35,9 +35,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares the keys and values of a replica in the store, as specified in {@code
- * docs/store-format.md}, with golden bytes. The tests use sets of one range, since the order in
- * which several ranges are written differs from run to run.
+ * Pins a replica's keys and values in the store; {@code docs/store-format.md} specifies them. Range
+ * sets have one element each, since the order of several ranges differs from run to run.
  */
 class KeeperGoldenTest {
     private static final GoldenFile RECORDS = new GoldenFile("keeper-records");
