--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Writes the list in the background; dropped if a write is waiting, since a later one follows. */
+    /** Writes the list in the background; dropped if a write is waiting, as later ones follow. */
     void write(List<PeerAddress> addresses) {
         writer.submit(
                 () -> {
