--- a/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
+++ b/src/main/java/ochretiller/fleet/service/OfferedVersionReceiver.java
@@ -9,8 +9,8 @@
 import ochretiller.fleet.rollout.VersionDownload;
 
 /**
- * Downloads on an acceptor the version that another acceptor offers, and confirms once it is
- * durable. On the event loop.
+ * Downloads a version that another acceptor offers to this acceptor, and confirms it once it is
+ * durable. Confined to the event loop.
  */
 final class OfferedVersionReceiver {
     private final FleetContext context;
@@ -18,7 +18,7 @@
     private final VersionFiles files;
     private final VersionFollower follower;
     private final VersionDownload download;
-    private Optional<String> offeredBy = Optional.empty();
+    private Optional<String> offeringServer = Optional.empty();
 
     OfferedVersionReceiver(
             FleetContext context,
@@ -32,7 +32,7 @@
         this.download = new VersionDownload(context.random());
     }
 
-    /** Takes an offer: confirms at once if the version is here, or downloads it. */
+    /** Handles an offer: confirms a version that is stored here, or starts to download it. */
     void receiveOffer(String server, RolloutMessage.VersionOffer offer, Duration now) {
         if (!acceptors.contains(context.serverName()) || !acceptors.contains(server)) {
             return;
@@ -41,14 +41,14 @@
             context.sender().send(server, new RolloutMessage.VersionStored(offer.hash()));
             return;
         }
-        offeredBy = Optional.of(server);
+        offeringServer = Optional.of(server);
         download.start(new PublishedVersion(1, offer.hash(), offer.size(), "", "", ""), now);
         tick(now);
     }
 
-    /** Requests missing chunks of the server that has made the last offer. */
+    /** Requests missing chunks from the server that made the latest offer. */
     void tick(Duration now) {
-        offeredBy.ifPresent(server -> requestChunks(server, now));
+        offeringServer.ifPresent(server -> requestChunks(server, now));
     }
 
     private void requestChunks(String server, Duration now) {
@@ -57,18 +57,18 @@
         }
     }
 
-    /** Takes a chunk, and requests the next ones. */
+    /** Handles a chunk and requests the next ones. */
     void receive(RolloutMessage.Chunk chunk, Duration now) {
-        download.accept(chunk, now).ifPresent(version -> downloaded(chunk.hash(), version, now));
+        download.accept(chunk, now).ifPresent(version -> onDownloaded(chunk.hash(), version, now));
         tick(now);
     }
 
-    private void downloaded(String hash, byte[] version, Duration now) {
+    private void onDownloaded(String hash, byte[] version, Duration now) {
         if (!VersionFiles.hashOf(version).equals(hash)) {
             download.discardCorrupt(now);
             return;
         }
-        String server = offeredBy.orElseThrow();
+        String server = offeringServer.orElseThrow();
         files.store(
                 hash,
                 version,
--- a/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousIncarnation.java
@@ -3,22 +3,24 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** What former processes of this server have left of a token, as far as its disk can prove. */
+/** Looks up whether previous processes of this server ran an invocation, as its disk proves. */
 public interface PreviousIncarnation {
-    /** How far one is known to have come. */
+    /** Progress of a previous run. */
     enum Finding {
-        /** Nothing under it was ever begun: its mark would be on the disk. */
+        /** No run was ever started, since the disk has no in-flight marker of it. */
         NEVER,
-        /** It may have been begun, and its end is not known. */
+        /** A run may have been started, and its outcome is not known. */
         UNKNOWN,
-        /** It has ended. */
+        /** The run has ended. */
         ENDED
     }
 
     /**
-     * @param body hash of what was asked for, its operation among it; of an end only
-     * @param result null where it did not succeed
-     * @param windowEnds end of its window, of an end only
+     * A previous run of an invocation.
+     *
+     * @param body fingerprint of operation and request body; null unless the run has ended
+     * @param result null if the run did not succeed
+     * @param windowEnds end of the idempotency window; zero unless the run has ended
      */
     record PreviousRun(Finding kind, String body, byte[] result, Duration windowEnds) {
         public static final PreviousRun NEVER =
@@ -27,6 +29,6 @@
                 new PreviousRun(Finding.UNKNOWN, null, null, Duration.ZERO);
     }
 
-    /** Hands over what is known, perhaps at once. */
-    void lookUp(String token, Consumer<PreviousRun> then);
+    /** Looks up the run of a token; calls the completion once, possibly before returning. */
+    void lookUp(String token, Consumer<PreviousRun> completion);
 }
