--- a/src/main/java/ochretiller/fleet/transport/AdminClient.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminClient.java
@@ -7,8 +7,8 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * The side of an operators' command: sends requests to one server and waits for each answer, at
- * most {@value #TIMEOUT_MILLIS} ms. For one thread.
+ * Client of a server's {@link AdminEndpoint} for operators' commands. Each request waits at
+ * most {@value #TIMEOUT_MILLIS} ms for its answer. Not thread-safe.
  */
 public final class AdminClient implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 5_000;
@@ -23,7 +23,7 @@
      * Connects and waits for the server's challenge.
      *
      * @throws IOException if the server cannot be reached or does not answer in time
-     * @throws MalformedException if the server is of another fleet or has other keys
+     * @throws MalformedException if the server belongs to another fleet or uses other keys
      */
     public AdminClient(InetSocketAddress address, String fleetName, FleetKeys keys)
             throws IOException {
@@ -43,28 +43,29 @@
         }
     }
 
-    /** Returns the name of the server that was reached. */
+    /** Returns the name that the server has sent when the connection was opened. */
     public String serverName() {
         return serverName;
     }
 
-    /** Returns the answer to a command without arguments. */
+    /** Sends a command without arguments and returns the answer, as JSON. */
     public String request(String command) throws IOException {
         return request(command, "");
     }
 
     /**
-     * Returns the answer to a command.
+     * Sends a command and returns the answer, as JSON.
      *
-     * @throws IOException if the connection fails, the answer is late or it belongs to another
-     *     request
+     * @throws IOException if the connection fails, the answer takes longer than the timeout or it
+     *     belongs to another request
      */
     public String request(String command, String arguments) throws IOException {
         AdminMessage request = new AdminMessage(fleetName, challenge, command, arguments);
         socket.getOutputStream().write(SealedFrame.seal(keys, request));
         AdminMessage answer = read();
         if (!answer.challenge().equals(challenge) || !answer.command().equals(command)) {
-            throw new IOException("the server answered something else");
+            throw new IOException(
+                    "the server's answer to " + command + " belongs to another request");
         }
         return answer.text();
     }
@@ -74,7 +75,8 @@
         try {
             AdminMessage message = SealedFrame.open(keys, frame);
             if (!message.fleet().equals(fleetName)) {
-                throw new MalformedException("the server is of fleet " + message.fleet());
+                throw new MalformedException(
+                        "the server belongs to fleet " + message.fleet() + ", not " + fleetName);
             }
             return message;
         } catch (RejectedPacketException e) {
@@ -88,7 +90,8 @@
         in.readFully(prefix);
         int length = SealedFrame.length(prefix, prefix.length);
         if (length < prefix.length || length > SealedFrame.MAX_RESPONSE_BYTES) {
-            throw new IOException("the server's answer has no good length");
+            throw new IOException(
+                    "the server's answer has an invalid length: " + length + " bytes");
         }
         byte[] frame = new byte[length];
         System.arraycopy(prefix, 0, frame, 0, prefix.length);
--- a/src/main/java/ochretiller/fleet/transport/AdminConnection.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminConnection.java
@@ -7,70 +7,75 @@
 import ochretiller.text.BadInputException;
 
 /**
- * One connection of an operators' command, on the server's side. Read by one thread at a time; what
- * it returns is run on the event loop.
+ * Server side of an admin connection, which an operator's command opens. Input is read by one
+ * thread at a time; the tasks returned for it run on the event loop.
  */
 final class AdminConnection implements ConnectionHandler {
-    /** Guards against an endless connection: a command that polls connects anew after these. */
+    /** Bounds the life of a connection: a command that polls reconnects after this many. */
     private static final int MAX_REQUESTS_PER_CONNECTION = 100;
 
     private final AdminEndpoint endpoint;
     private final Connection connection;
     private final String challenge;
-    private final boolean isSurplus;
-    private final ByteArrayOutputStream unread = new ByteArrayOutputStream();
-    private int requests;
+    private final boolean isOverLimit;
+    private final ByteArrayOutputStream pendingBytes = new ByteArrayOutputStream();
+    private int requestCount;
     private boolean isGreeted;
 
     /**
      * Creates the handler of a new connection.
      *
-     * @param isSurplus whether there are too many connections: this one is closed
+     * @param isOverLimit whether too many connections are open; this one is then closed
      */
     AdminConnection(
-            AdminEndpoint endpoint, Connection connection, String challenge, boolean isSurplus) {
+            AdminEndpoint endpoint, Connection connection, String challenge, boolean isOverLimit) {
         this.endpoint = endpoint;
         this.connection = connection;
         this.challenge = challenge;
-        this.isSurplus = isSurplus;
+        this.isOverLimit = isOverLimit;
     }
 
     @Override
     public Runnable received(byte[] bytes, int from, int to) throws BadInputException {
-        if (isSurplus) {
+        if (isOverLimit) {
             connection.drop(CloseCode.TOO_MANY);
             return null;
         }
-        unread.write(bytes, from, to - from);
+        pendingBytes.write(bytes, from, to - from);
         return isGreeted ? readRequest() : readGreeting();
     }
 
-    /** Whoever connects and sends nothing costs no challenge and no seal. */
+    /** Seals and sends the challenge only to a peer that has sent the greeting byte. */
     private Runnable readGreeting() throws BadInputException {
-        byte[] bytes = unread.toByteArray();
+        byte[] bytes = pendingBytes.toByteArray();
         if (bytes.length == 0 || bytes[0] != AdminEndpoint.GREETING) {
-            throw new BadInputException("no question at the fleet's door");
+            throw new BadInputException(
+                    "an admin connection starts without the greeting byte");
         }
         isGreeted = true;
-        unread.reset();
-        unread.write(bytes, 1, bytes.length - 1);
+        pendingBytes.reset();
+        pendingBytes.write(bytes, 1, bytes.length - 1);
         return () -> connection.write(endpoint.seal(challenge, "hello", endpoint.serverName()));
     }
 
     private Runnable readRequest() throws BadInputException {
-        byte[] bytes = unread.toByteArray();
+        byte[] bytes = pendingBytes.toByteArray();
         int length = SealedFrame.length(bytes, bytes.length);
         if (length < 0 || length > SealedFrame.MAX_REQUEST_BYTES) {
-            throw new BadInputException("a frame at the fleet's door is too long");
+            throw new BadInputException(
+                    "an admin request has an invalid length: " + length + " bytes");
         }
         if (length == 0 || bytes.length < length) {
             return null;
         }
-        // A command waits for each answer before it sends the next request.
-        if (bytes.length > length || ++requests > MAX_REQUESTS_PER_CONNECTION) {
-            throw new BadInputException("too much at the fleet's door");
+        // A client waits for each answer before it sends the next request.
+        if (bytes.length > length || ++requestCount > MAX_REQUESTS_PER_CONNECTION) {
+            throw new BadInputException(
+                    "an admin connection sent a request too early, or more than "
+                            + MAX_REQUESTS_PER_CONNECTION
+                            + " requests");
         }
-        unread.reset();
+        pendingBytes.reset();
         AdminMessage request = open(bytes);
         return () -> {
             String answer = endpoint.handle(request);
@@ -84,11 +89,11 @@
             request = endpoint.open(frame);
         } catch (RejectedPacketException e) {
             throw new BadInputException(
-                    "a frame at the fleet's door is refused: " + e.reason().externalName());
+                    "an admin request was rejected: " + e.reason().externalName());
         }
         if (!endpoint.accepts(request) || !request.challenge().equals(challenge)) {
             throw new BadInputException(
-                    "a word at the fleet's door is for another fleet or connection, or unknown");
+                    "an admin request has another fleet or challenge, or an unknown command");
         }
         return request;
     }
--- a/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
@@ -7,19 +7,18 @@
 import ochretiller.net.ConnectionHandler;
 
 /**
- * Accepts the connections of operators' commands on the fleet's TCP port and answers their
- * requests. Each request has to bear the challenge of its connection and a seal.
+ * Accepts admin connections of operators' commands on the fleet's TCP port and answers their
+ * requests. Each request must contain the challenge of its connection and a valid seal.
  *
- * <p>Thread-safe; connections are read on the threads of the network, commands are carried out on
- * the event loop.
+ * <p>Thread-safe: connections are read on network threads, commands are executed on the event loop.
  */
 public final class AdminEndpoint {
-    /** The first byte that a command sends: it asks for the challenge. */
+    /** First byte that a client sends, to request the challenge. */
     static final byte GREETING = '?';
 
     /**
-     * Connections at one time. People need no more, and a flood must not take the file descriptors
-     * of clients.
+     * Maximum number of open connections: enough for operators, while a flood cannot use up the
+     * file descriptors that clients need.
      */
     private static final int MAX_CONNECTIONS = 8;
 
@@ -32,8 +31,8 @@
     /**
      * Creates the endpoint.
      *
-     * @param codec has the name and the keys of the fleet
-     * @param handlers commands by name
+     * @param codec provides the name and the keys of the fleet
+     * @param handlers handlers by command name
      */
     public AdminEndpoint(
             PacketCodec codec, String serverName, Map<String, CommandHandler> handlers) {
@@ -44,10 +43,10 @@
 
     /** Returns the handler of a new connection. */
     public ConnectionHandler accepted(Connection connection) {
-        boolean isSurplus = openConnections.incrementAndGet() > MAX_CONNECTIONS;
+        boolean isOverLimit = openConnections.incrementAndGet() > MAX_CONNECTIONS;
         String challenge =
                 Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
-        return new AdminConnection(this, connection, challenge, isSurplus);
+        return new AdminConnection(this, connection, challenge, isOverLimit);
     }
 
     void connectionEnded() {
@@ -71,7 +70,7 @@
         return serverName;
     }
 
-    /** Carries out a request that is accepted. On the event loop. */
+    /** Executes a request that {@link #accepts} has accepted. Called on the event loop. */
     String handle(AdminMessage request) {
         return handlers.get(request.command()).handle(request.text());
     }
--- a/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
@@ -13,19 +13,19 @@
 import ochretiller.fleet.replication.SetSketch;
 
 /**
- * Encodes and decodes the messages by which replicas bring their ranges in step: kinds 39 to 41.
- * Stateless.
+ * Encodes and decodes the messages with which replicas compare and synchronize their ranges: kinds
+ * 39 to 41. Stateless.
  */
 final class AntiEntropyCodec {
     private static final int RANGE_REQUEST = 39;
     private static final int RANGE_PAGE = 40;
     private static final int RANGE_DIGEST = 41;
 
-    /** Stands for a request without a sketch. */
+    /** Encoding of an absent sketch. */
     private static final byte[] NO_SKETCH = {};
 
-    /** The orders of a walk in the order of their numbers. */
-    private static final List<WalkOrder> ORDERS = List.of(WalkOrder.values());
+    /** Walk orders in the order of their numbers on the wire. */
+    private static final List<WalkOrder> WALK_ORDERS = List.of(WalkOrder.values());
 
     static final List<MessageFormat<?>> FORMATS =
             List.of(
@@ -51,7 +51,7 @@
         out.writeNumber(message.epoch());
         out.writeNumber(message.range());
         out.writeNumber(message.nonce());
-        out.writeNumber(ORDERS.indexOf(message.order()));
+        out.writeNumber(WALK_ORDERS.indexOf(message.order()));
         writeCursor(out, message.cursor());
         out.writeBinary(message.sketch().map(SetSketch::toBytes).orElse(NO_SKETCH));
         CborWriter.writeLongs(out, message.entryDigests());
@@ -63,7 +63,7 @@
                 in.readLong(),
                 readRange(in),
                 in.readLong(),
-                in.readConstant(ORDERS),
+                in.readConstant(WALK_ORDERS),
                 readCursor(in),
                 readOptionalSketch(in),
                 in.readLongs(),
@@ -115,7 +115,7 @@
     private static int readRange(CborReader in) throws IOException {
         long range = in.readLong();
         if (range < 0 || range >= ReplicaPlacement.RANGE_COUNT) {
-            throw new IllegalArgumentException("no range has the number " + range);
+            throw new IllegalArgumentException("range number out of bounds: " + range);
         }
         return (int) range;
     }
--- a/src/main/java/ochretiller/fleet/transport/CborWriter.java
+++ b/src/main/java/ochretiller/fleet/transport/CborWriter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes the composite values that several codecs share. Stateless. */
+/** Writes composite CBOR values for several codecs. Stateless. */
 public final class CborWriter {
     private CborWriter() {}
 
@@ -15,7 +15,7 @@
         void write(CBORGenerator out, T element) throws IOException;
     }
 
-    /** Writes an array that is preceded by its length. */
+    /** Writes a definite-length array. */
     static <T> void writeSizedList(CBORGenerator out, List<T> elements, ElementWriter<T> writer)
             throws IOException {
         out.writeStartArray(null, elements.size());
@@ -25,7 +25,7 @@
         out.writeEndArray();
     }
 
-    /** Writes an array of indefinite length. */
+    /** Writes an indefinite-length array. */
     static <T> void writeList(CBORGenerator out, Iterable<T> elements, ElementWriter<T> writer)
             throws IOException {
         out.writeStartArray();
@@ -35,22 +35,22 @@
         out.writeEndArray();
     }
 
-    /** Writes a list of integers, preceded by its length. */
+    /** Writes integers as a definite-length array. */
     public static void writeLongs(CBORGenerator out, List<Long> numbers) throws IOException {
         writeSizedList(out, numbers, CBORGenerator::writeNumber);
     }
 
-    /** Writes a list of pairs of a name and a number, in the order of the map. */
+    /** Writes a list of name-number pairs in the iteration order of the map. */
     public static void writeNumbersByName(CBORGenerator out, Map<String, Long> numbers)
             throws IOException {
         writeList(out, numbers.entrySet(), CborWriter::writeNamedNumber);
     }
 
-    private static void writeNamedNumber(CBORGenerator out, Map.Entry<String, Long> named)
+    private static void writeNamedNumber(CBORGenerator out, Map.Entry<String, Long> entry)
             throws IOException {
         out.writeStartArray();
-        out.writeString(named.getKey());
-        out.writeNumber(named.getValue());
+        out.writeString(entry.getKey());
+        out.writeNumber(entry.getValue());
         out.writeEndArray();
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/CommandHandler.java
+++ b/src/main/java/ochretiller/fleet/transport/CommandHandler.java
@@ -1,8 +1,8 @@
 package ochretiller.fleet.transport;
 
-/** Carries out one of the operators' commands. Called on the event loop. */
+/** Executes one of the operators' commands on a server. Called on the event loop. */
 @FunctionalInterface
 public interface CommandHandler {
-    /** Returns the answer to a command with these arguments, as JSON. */
+    /** Executes the command with these arguments and returns the answer, as JSON. */
     String handle(String arguments);
 }
--- a/src/main/java/ochretiller/fleet/transport/ConsensusCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ConsensusCodec.java
@@ -16,7 +16,7 @@
 import ochretiller.fleet.consensus.ConsensusMessage.ReplicaProgress;
 import ochretiller.fleet.consensus.ConsensusMessage.StateLost;
 
-/** Encodes and decodes the messages of the consensus on epochs: kinds 16 to 26. Stateless. */
+/** Encodes and decodes the messages of the epoch consensus: kinds 16 to 26. Stateless. */
 final class ConsensusCodec {
     private static final int PREPARE = 16;
     private static final int PROMISE = 17;
--- a/src/main/java/ochretiller/fleet/transport/FleetKeys.java
+++ b/src/main/java/ochretiller/fleet/transport/FleetKeys.java
@@ -15,14 +15,14 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * The keys of a fleet, by which packets are sealed: HMAC-SHA-256 (RFC 2104), truncated to 16 bytes.
- * The first key seals and each of them is accepted, so that a key can be rotated: add the new one
- * at the end everywhere, move it to the front, then remove the old one.
+ * The shared keys of a fleet. A seal is an HMAC-SHA-256 (RFC 2104) truncated to 16 bytes. The first
+ * key seals and all keys verify, so that keys can be rotated: on all servers, append the new key,
+ * then move it to the front, then remove the old one.
  *
  * <p>Thread-safe.
  */
 public final class FleetKeys {
-    /** Bytes of a seal: half of the hash, the least that RFC 2104, section 5, recommends. */
+    /** Length of a seal in bytes: half the hash, the minimum that RFC 2104, section 5, suggests. */
     public static final int SEAL_BYTES = 16;
 
     private static final int MIN_KEY_BYTES = 16;
@@ -37,22 +37,23 @@
         this.keys = keys.stream().map(key -> new SecretKeySpec(key, MAC_ALGORITHM)).toList();
     }
 
-    /** Returns keys made of texts. */
+    /** Returns the UTF-8 bytes of texts as keys; their length is not checked. */
     public static FleetKeys of(String... keys) {
         return new FleetKeys(
                 Stream.of(keys).map(key -> key.getBytes(StandardCharsets.UTF_8)).toList());
     }
 
     /**
-     * Reads a file with one key in each line.
+     * Reads a file with one key per line.
      *
-     * @throws MalformedException with what is wrong with the file, but none of its content
+     * @throws MalformedException if the file is invalid; the message has no part of its content
      */
     public static FleetKeys read(Path file) {
         List<byte[]> keys = new ArrayList<>();
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new MalformedException("the fleet's key file " + file + " is too long");
+                throw new MalformedException(
+                        "fleet key file " + file + " exceeds " + MAX_FILE_BYTES + " bytes");
             }
             for (String line : Files.readAllLines(file)) {
                 if (!line.isBlank()) {
@@ -60,11 +61,16 @@
                 }
             }
         } catch (IOException e) {
-            throw new MalformedException("cannot read the fleet's key file " + file);
+            throw new MalformedException("cannot read fleet key file " + file);
         }
         if (keys.isEmpty() || keys.size() > MAX_KEYS) {
             throw new MalformedException(
-                    "the fleet's key file " + file + " needs 1 to " + MAX_KEYS + " keys");
+                    "fleet key file "
+                            + file
+                            + " must have 1 to "
+                            + MAX_KEYS
+                            + " keys, not "
+                            + keys.size());
         }
         return new FleetKeys(keys);
     }
@@ -73,7 +79,7 @@
         byte[] key = line.strip().getBytes(StandardCharsets.UTF_8);
         if (key.length < MIN_KEY_BYTES) {
             throw new MalformedException(
-                    "the fleet's key file "
+                    "fleet key file "
                             + file
                             + " has a key of under "
                             + MIN_KEY_BYTES
@@ -83,20 +89,20 @@
     }
 
     private List<Mac> createMacs() {
-        List<Mac> created = new ArrayList<>();
+        List<Mac> initialized = new ArrayList<>();
         try {
             for (SecretKeySpec key : keys) {
                 Mac mac = Mac.getInstance(MAC_ALGORITHM);
                 mac.init(key);
-                created.add(mac);
+                initialized.add(mac);
             }
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("each JDK has " + MAC_ALGORITHM, e);
+            throw new IllegalStateException(MAC_ALGORITHM + " is not available", e);
         }
-        return created;
+        return initialized;
     }
 
-    /** Returns the seal over the first bytes. */
+    /** Returns the seal of the first {@code length} bytes. */
     byte[] seal(byte[] bytes, int length) {
         return seal(macs.get().get(0), bytes, length);
     }
@@ -106,11 +112,11 @@
         return Arrays.copyOf(mac.doFinal(), SEAL_BYTES);
     }
 
-    /** Returns whether the first bytes are followed by a seal with one of the keys. */
+    /** Returns whether the first {@code length} bytes are followed by a valid seal. */
     boolean isAuthentic(byte[] bytes, int length) {
-        byte[] stated = Arrays.copyOfRange(bytes, length, length + SEAL_BYTES);
+        byte[] receivedSeal = Arrays.copyOfRange(bytes, length, length + SEAL_BYTES);
         for (Mac mac : macs.get()) {
-            if (MessageDigest.isEqual(seal(mac, bytes, length), stated)) {
+            if (MessageDigest.isEqual(seal(mac, bytes, length), receivedSeal)) {
                 return true;
             }
         }
--- a/src/main/java/ochretiller/fleet/transport/MemberCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/MemberCodec.java
@@ -11,9 +11,9 @@
 import ochretiller.fleet.membership.MembershipUpdate;
 import ochretiller.fleet.membership.PeerAddress;
 
-/** Encodes and decodes members, their updates and their addresses. Stateless. */
+/** Encodes and decodes members, membership updates and peer addresses. Stateless. */
 final class MemberCodec {
-    /** The states in the order of their numbers, which begin with 1. */
+    /** States in the order of their numbers on the wire, which start at 1. */
     private static final List<MemberState> STATES =
             List.of(
                     MemberState.JOINING,
@@ -26,10 +26,10 @@
     private static final int UPDATE_FIELDS = 3;
     private static final int MAX_PORT = 0xffff;
 
-    /** Stands for a member that serves no clients. */
+    /** Port that encodes an absent service address: the member serves no clients. */
     private static final int NO_PORT = 0;
 
-    /** Stands for an update without an accuser. */
+    /** Accuser of an update that has none. */
     private static final long NO_ACCUSER = 0;
 
     private MemberCodec() {}
@@ -49,11 +49,11 @@
 
     static Member readMember(CborReader in) throws IOException {
         in.readStartArray();
-        return readStartedMember(in);
+        return readMemberFields(in);
     }
 
-    /** Reads the rest of a member whose array has been started. */
-    private static Member readStartedMember(CborReader in) throws IOException {
+    /** Reads a member after the start of its array. */
+    private static Member readMemberFields(CborReader in) throws IOException {
         MemberId id = new MemberId(in.readText(), in.readLong());
         PeerAddress address = readAddress(in);
         String zone = in.readText();
@@ -90,7 +90,7 @@
         String host = in.readText();
         long port = in.readLong();
         if (host.length() > PeerAddress.MAX_LENGTH || port < 0 || port > MAX_PORT) {
-            throw new IllegalArgumentException("no address: " + host + ":" + port);
+            throw new IllegalArgumentException("invalid address: " + host + ":" + port);
         }
         return new PeerAddress(host, (int) port);
     }
@@ -109,16 +109,16 @@
 
     static MembershipUpdate readUpdate(CborReader in) throws IOException {
         in.readStartArray();
-        return readStartedUpdate(in);
+        return readUpdateFields(in);
     }
 
-    /** Reads the rest of an update whose array has been started. */
-    private static MembershipUpdate readStartedUpdate(CborReader in) throws IOException {
+    /** Reads an update after the start of its array. */
+    private static MembershipUpdate readUpdateFields(CborReader in) throws IOException {
         long incarnation = in.readLong();
         long stateVersion = in.readLong();
         MemberState state = readState(in);
         if (stateVersion < 0) {
-            throw new IllegalArgumentException("a state's version is " + stateVersion);
+            throw new IllegalArgumentException("state version is negative: " + stateVersion);
         }
         if (in.readIsEndOfArray()) {
             return new MembershipUpdate(incarnation, stateVersion, state, NO_ACCUSER);
@@ -133,7 +133,7 @@
     }
 
     static List<Member> readMembers(CborReader in) throws IOException {
-        return in.readList(() -> readStartedMember(in));
+        return in.readList(() -> readMemberFields(in));
     }
 
     static void writeUpdates(CBORGenerator out, List<MembershipUpdate> updates) throws IOException {
@@ -141,7 +141,7 @@
     }
 
     static List<MembershipUpdate> readUpdates(CborReader in) throws IOException {
-        return in.readList(() -> readStartedUpdate(in));
+        return in.readList(() -> readUpdateFields(in));
     }
 
     static void writeGossip(CBORGenerator out, MembershipMessage.Gossip gossip) throws IOException {
@@ -160,7 +160,7 @@
     private static MemberState readState(CborReader in) throws IOException {
         long number = in.readLong();
         if (number < 1 || number > STATES.size()) {
-            throw new IllegalArgumentException("no state has the number " + number);
+            throw new IllegalArgumentException("unknown member state number: " + number);
         }
         return STATES.get((int) number - 1);
     }
--- a/src/main/java/ochretiller/fleet/transport/MessageFormat.java
+++ b/src/main/java/ochretiller/fleet/transport/MessageFormat.java
@@ -4,11 +4,10 @@
 import java.io.IOException;
 
 /**
- * How the body of one type of message is encoded: a CBOR array of fields in a fixed order.
+ * Format of the body of one message type: a CBOR array of fields in a fixed order.
  *
  * @param kind number of the type in the envelope
- * @param fieldCount fields that are written, or {@link #INDEFINITE} for an array of indefinite
- *     length
+ * @param fieldCount number of fields written, or {@link #INDEFINITE} for an indefinite-length array
  */
 record MessageFormat<T>(
         int kind, Class<T> type, int fieldCount, Encoder<T> encoder, Decoder<T> decoder) {
@@ -26,13 +25,13 @@
         T decode(CborReader in) throws IOException;
     }
 
-    /** A body that is an array of indefinite length. */
+    /** Returns a format whose body is an indefinite-length array. */
     static <T> MessageFormat<T> of(
             int kind, Class<T> type, Encoder<T> encoder, Decoder<T> decoder) {
         return new MessageFormat<>(kind, type, INDEFINITE, encoder, decoder);
     }
 
-    /** A body that is an array preceded by its length. */
+    /** Returns a format whose body is a definite-length array. */
     static <T> MessageFormat<T> sized(
             int kind, Class<T> type, int fieldCount, Encoder<T> encoder, Decoder<T> decoder) {
         return new MessageFormat<>(kind, type, fieldCount, encoder, decoder);
--- a/src/main/java/ochretiller/fleet/transport/MessageFormats.java
+++ b/src/main/java/ochretiller/fleet/transport/MessageFormats.java
@@ -8,7 +8,7 @@
 
 /** The formats of all messages, by kind number and by type. Immutable. */
 final class MessageFormats {
-    /** All messages that this program knows. */
+    /** Formats of all messages that this version supports. */
     static final MessageFormats ALL =
             new MessageFormats(
                     List.of(
@@ -29,11 +29,12 @@
         boolean isNewKind = byKind.put((long) format.kind(), format) == null;
         boolean isNewType = byType.put(format.type(), format) == null;
         if (!isNewKind || !isNewType) {
-            throw new IllegalStateException("kind " + format.kind() + " is defined twice");
+            throw new IllegalStateException(
+                    "message kind " + format.kind() + " or its type has two formats");
         }
     }
 
-    /** Returns the format of a kind, or nothing for one of a newer program. */
+    /** Returns the format of a kind; empty if only a newer version knows the kind. */
     Optional<MessageFormat<?>> ofKind(long kind) {
         return Optional.ofNullable(byKind.get(kind));
     }
@@ -41,12 +42,13 @@
     /**
      * Returns the format of a message.
      *
-     * @throws IllegalArgumentException if it is none that can be sent
+     * @throws IllegalArgumentException if its class has no format
      */
     MessageFormat<?> ofMessage(Object message) {
         MessageFormat<?> format = byType.get(message.getClass());
         if (format == null) {
-            throw new IllegalArgumentException("no message: " + message.getClass().getName());
+            throw new IllegalArgumentException(
+                    "no message format for " + message.getClass().getName());
         }
         return format;
     }
--- a/src/main/java/ochretiller/fleet/transport/PacketCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/PacketCodec.java
@@ -9,21 +9,21 @@
 
 /**
  * Encodes and decodes the envelope of a packet as {@code docs/fleet-wire.md} defines it: magic
- * bytes, versions, length, a CBOR array with the message, and a seal (HMAC). The bodies are left to
- * the codec of each message family.
+ * bytes, versions, length, a CBOR array with the message, and a seal (HMAC). The codec of each
+ * message family encodes the message bodies.
  *
  * <p>Thread-safe.
  */
 public final class PacketCodec {
-    /** Version of the protocol that is spoken, and the least one that can read what is sent. */
+    /** Protocol version of sent packets, and the minimum version that can read them. */
     static final int PROTOCOL_VERSION = 1;
 
-    /** Longest packet in bytes that is read: a page of members with the longest names. */
+    /** Maximum length of a packet in bytes: fits a page of members with the longest names. */
     public static final int MAX_PACKET_BYTES = 8 * 1024;
 
     private static final byte FIRST_MAGIC_BYTE = 'O';
     private static final byte SECOND_MAGIC_BYTE = 'F';
-    private static final int LEAST_VERSION_OFFSET = 3;
+    private static final int MIN_VERSION_OFFSET = 3;
     private static final int LENGTH_OFFSET = 4;
     private static final int HEADER_BYTES = 6;
     private static final int ENVELOPE_FIELDS = 6;
@@ -37,16 +37,16 @@
     /**
      * Creates the codec of one fleet.
      *
-     * @param fleetName packets of other fleets are rejected
+     * @param fleetName name of the fleet; packets of other fleets are rejected
      */
     public PacketCodec(String fleetName, FleetKeys keys) {
         this.fleetName = fleetName;
         this.keys = keys;
     }
 
-    /** Replaces the keys that packets are sealed and checked with. */
-    public void replaceKeys(FleetKeys next) {
-        keys = next;
+    /** Replaces the keys that seal and verify packets. */
+    public void replaceKeys(FleetKeys newKeys) {
+        keys = newKeys;
     }
 
     FleetKeys keys() {
@@ -65,7 +65,7 @@
     /**
      * Encodes and seals a packet with a message of any family.
      *
-     * @param sequence has to grow with each packet of one incarnation of the sender
+     * @param sequence must increase with each packet of the sender's incarnation
      */
     public byte[] seal(Member sender, Object message, long sequence) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(TYPICAL_PACKET_BYTES);
@@ -73,7 +73,7 @@
         try (CBORGenerator generator = CBOR.createGenerator(out)) {
             writeContent(generator, sender, message, sequence);
         } catch (IOException e) {
-            throw new IllegalStateException("a buffer in memory cannot fail", e);
+            throw new IllegalStateException("I/O error on an in-memory buffer", e);
         }
         int unsealedLength = out.size();
         byte[] packet = new byte[unsealedLength + FleetKeys.SEAL_BYTES];
@@ -85,7 +85,7 @@
         return packet;
     }
 
-    /** The length is filled in once it is known. */
+    /** Returns the header with a length of 0, which {@link #seal} replaces. */
     private static byte[] header() {
         return new byte[] {
             FIRST_MAGIC_BYTE, SECOND_MAGIC_BYTE, PROTOCOL_VERSION, PROTOCOL_VERSION, 0, 0
@@ -106,10 +106,10 @@
     }
 
     /**
-     * Checks and decodes a packet. The cheap checks come first, then the seal; the content is only
-     * read if its author has a key of the fleet.
+     * Verifies and decodes a packet. The cheap header checks come first, then the seal; the content
+     * is only decoded if its sender has a key of the fleet.
      *
-     * @throws RejectedPacketException with the reason, if the packet cannot be used
+     * @throws RejectedPacketException if the packet cannot be used, with the reason
      */
     public ReceivedPacket open(byte[] bytes, int length) throws RejectedPacketException {
         checkHeader(bytes, length);
@@ -131,7 +131,7 @@
         if (bytes[0] != FIRST_MAGIC_BYTE || bytes[1] != SECOND_MAGIC_BYTE) {
             throw new RejectedPacketException(RejectReason.NOT_OURS);
         }
-        if (Byte.toUnsignedInt(bytes[LEAST_VERSION_OFFSET]) > PROTOCOL_VERSION) {
+        if (Byte.toUnsignedInt(bytes[MIN_VERSION_OFFSET]) > PROTOCOL_VERSION) {
             throw new RejectedPacketException(RejectReason.NEWER);
         }
         int statedLength =
--- a/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
@@ -5,26 +5,26 @@
 import ochretiller.collections.BoundedMap;
 
 /**
- * Limits packets and bytes per second by source address with token buckets, before anything is
- * decoded: a flood from one address costs a look-up and delays nobody else. Used by the reading
- * thread alone.
+ * Limits packets and bytes per second with token buckets, by source address and in total. Applied
+ * before decoding: a packet of a flood costs one map lookup, and one source does not delay others.
+ * Confined to the reader thread.
  */
 final class PeerRateLimiter {
     /**
-     * A server sends some 20 packets a second to all others together, and some more for each
-     * invocation with an idempotency key.
+     * Limit for each source address. A server sends about 20 packets per second to all peers
+     * together, and a few more for each keyed invocation.
      */
     private static final double PACKETS_PER_SECOND = 2_000;
 
     private static final double BYTES_PER_SECOND = 2_000_000;
 
-    /** Limit for all addresses together: to check their seals takes a tenth of a core. */
+    /** Limit for all addresses together: verifying their seals takes a tenth of a core. */
     private static final double TOTAL_PACKETS_PER_SECOND = 12_000;
 
     private static final double TOTAL_BYTES_PER_SECOND =
             TOTAL_PACKETS_PER_SECOND * PacketCodec.MAX_PACKET_BYTES;
 
-    /** Addresses that are told apart; a flood from more of them meets the limit for all. */
+    /** Addresses with a bucket each; floods from more addresses are limited in total only. */
     private static final int MAX_TRACKED_PEERS = 4096;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -36,13 +36,13 @@
     /**
      * Creates a limiter with full buckets.
      *
-     * @param nowNanos of {@link System#nanoTime()}
+     * @param nowNanos current {@link System#nanoTime()}
      */
     PeerRateLimiter(long nowNanos) {
         total = new Bucket(TOTAL_PACKETS_PER_SECOND, TOTAL_BYTES_PER_SECOND, nowNanos);
     }
 
-    /** Returns whether a packet of this size may be read. */
+    /** Returns whether a packet of {@code size} bytes is within the limits, and counts it. */
     boolean tryAcquire(InetSocketAddress source, int size, long nowNanos) {
         Bucket peer =
                 peers.computeIfAbsent(
@@ -51,7 +51,7 @@
         return peer.tryAcquire(size, nowNanos) && total.tryAcquire(size, nowNanos);
     }
 
-    /** A token bucket for packets and bytes, which holds what accrues in one second. */
+    /** Token bucket for packets and bytes that holds the allowance of one second. */
     private static final class Bucket {
         private final double packetsPerSecond;
         private final double bytesPerSecond;
--- a/src/main/java/ochretiller/fleet/transport/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerSocket.java
@@ -15,19 +15,19 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The UDP socket of a server. A reading thread applies the limits, decodes each packet and posts it
- * to the event loop; packets are sent from the event loop and never wait.
+ * UDP socket for packets between the servers of a fleet. A reader thread applies the rate limits,
+ * decodes packets and posts them to the event loop. The event loop sends packets without blocking.
  *
- * <p>It uses a channel of the JDK and not an acceptor of MINA, which keeps a session for each
- * address that ever sent: a flood from forged addresses would fill the memory.
+ * <p>Uses a JDK channel because a MINA acceptor keeps a session for each source address: a flood
+ * from forged addresses would exhaust the memory.
  */
 public final class PeerSocket {
     private static final Logger LOG = Logger.getLogger(PeerSocket.class.getName());
 
-    /** Packets that wait for the event loop: many times what a synchronization of views needs. */
+    /** Maximum number of packets queued for the event loop: many times that of a view sync. */
     private static final int MAX_QUEUED_PACKETS = 1024;
 
-    /** Buffer of the kernel: a pause of one second while views are synchronized. */
+    /** Kernel receive buffer: covers a pause of one second while views are synchronized. */
     private static final int SOCKET_BUFFER_BYTES = 512 * 1024;
 
     private final Scheduler scheduler;
@@ -42,9 +42,9 @@
     private final TrafficCounters traffic = new TrafficCounters();
 
     /**
-     * Binds the socket; packets are read once {@link #start()} is called.
+     * Binds the socket. Packets are read after {@link #start()}.
      *
-     * @param receiver is called on the event loop with each packet that was accepted
+     * @param receiver called on the event loop with each accepted packet
      * @throws IOException if the address cannot be bound
      */
     public PeerSocket(
@@ -63,9 +63,9 @@
         } catch (IOException e) {
             channel.close();
             throw new IOException(
-                    "cannot listen for the fleet on "
+                    "cannot bind the fleet's UDP socket to "
                             + listenAddress
-                            + ": it is in use or not this machine's",
+                            + ": the address is in use or not local",
                     e);
         }
         channel.configureBlocking(false);
@@ -73,7 +73,7 @@
         channel.register(selector, SelectionKey.OP_READ);
     }
 
-    /** Starts the reading thread, which ends when the socket is closed. */
+    /** Starts the reader thread, which ends when the socket is closed. */
     public void start() {
         Thread thread = new Thread(this::readUntilClosed, "fleet");
         thread.setDaemon(true);
@@ -85,7 +85,7 @@
         return traffic;
     }
 
-    /** Returns how many packets were rejected for a reason. From any thread. */
+    /** Returns the number of packets rejected for this reason. Thread-safe. */
     public long rejectedCount(RejectReason reason) {
         return rejectedCounts.get(reason.ordinal());
     }
@@ -95,7 +95,7 @@
     }
 
     private void readUntilClosed() {
-        // One byte more than is allowed shows that a packet is too long.
+        // The extra byte reveals a packet that is longer than the maximum.
         ByteBuffer buffer = ByteBuffer.allocate(PacketCodec.MAX_PACKET_BYTES + 1);
         PeerRateLimiter rateLimiter = new PeerRateLimiter(System.nanoTime());
         while (channel.isOpen()) {
@@ -106,8 +106,8 @@
             } catch (ClosedSelectorException e) {
                 return;
             } catch (IOException e) {
-                // An ICMP error for a packet of ours is reported here; reading goes on.
-                LOG.fine(() -> "fleet's socket: " + e.getMessage());
+                // An ICMP error for a sent packet is reported here; reading continues.
+                LOG.fine(() -> "cannot receive from the fleet's socket: " + e.getMessage());
             }
         }
     }
@@ -156,8 +156,8 @@
     }
 
     /**
-     * Sends a packet without waiting. One that the socket does not take is counted and lost, as it
-     * could be lost on the way; the protocols repeat what matters.
+     * Sends a packet without blocking. A packet that the kernel does not accept is counted and
+     * dropped, like one lost on the network; the protocols retry where necessary.
      */
     public void send(InetSocketAddress destination, byte[] packet) {
         try {
@@ -166,18 +166,18 @@
                 return;
             }
         } catch (IOException | RuntimeException e) {
-            LOG.fine(() -> "fleet's socket: " + e.getMessage());
+            LOG.fine(() -> "cannot send a packet to " + destination + ": " + e.getMessage());
         }
         traffic.packetDropped();
     }
 
-    /** Closes the socket and ends the reading thread. */
+    /** Closes the socket and thereby ends the reader thread. */
     public void close() {
         try {
             channel.close();
             selector.close();
         } catch (IOException e) {
-            LOG.fine(() -> "fleet's socket: " + e.getMessage());
+            LOG.fine(() -> "cannot close the fleet's socket: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/PlacementCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/PlacementCodec.java
@@ -12,13 +12,13 @@
 import ochretiller.fleet.consensus.RolloutState;
 
 /**
- * Encodes and decodes what the acceptors agree on: ballots, replica placements, rollout states and
- * versions. Packets and the files of acceptors, replicas and rollouts share it. Stateless.
+ * Encodes and decodes the values of the epoch consensus: ballots, placements, rollout states and
+ * versions. Used for packets and for files of acceptors, replicas and rollouts. Stateless.
  */
 public final class PlacementCodec {
     private static final int MAX_REPLICATION_FACTOR = 9;
 
-    /** The phases in the order of their numbers. */
+    /** Phases in the order of their numbers on the wire and in files. */
     private static final List<RolloutPhase> PHASES = List.of(RolloutPhase.values());
 
     private PlacementCodec() {}
@@ -29,14 +29,12 @@
         out.writeString(ballot.proposer());
     }
 
-    /** Reads a ballot. */
+    /** Reads the two fields of a ballot. */
     public static Ballot readBallot(CborReader in) throws IOException {
         return new Ballot(in.readLong(), in.readText());
     }
 
-    /**
-     * Writes a placement, with the state of the rollout, as fields without an array of their own.
-     */
+    /** Writes a placement and its rollout state as fields of the enclosing array. */
     public static void writePlacement(CBORGenerator out, ReplicaPlacement placement)
             throws IOException {
         out.writeNumber(placement.epoch());
@@ -46,19 +44,19 @@
         writeRollout(out, placement.rollout());
     }
 
-    /** Reads a placement. */
+    /** Reads the fields of a placement, whose epoch and factor must be within bounds. */
     public static ReplicaPlacement readPlacement(CborReader in) throws IOException {
         long epoch = in.readLong();
         long factor = in.readLong();
         if (epoch < 0 || factor < 1 || factor > MAX_REPLICATION_FACTOR) {
             throw new IllegalArgumentException(
-                    "no placement: epoch " + epoch + ", replication factor " + factor);
+                    "invalid placement: epoch " + epoch + ", replication factor " + factor);
         }
         return new ReplicaPlacement(
                 epoch, readServers(in), readServers(in), (int) factor, readRollout(in));
     }
 
-    /** Writes whether there is a placement, and the placement. */
+    /** Writes whether a placement is present, followed by the placement if it is. */
     public static void writeOptionalPlacement(
             CBORGenerator out, Optional<ReplicaPlacement> placement) throws IOException {
         out.writeBoolean(placement.isPresent());
@@ -67,7 +65,7 @@
         }
     }
 
-    /** Reads a placement, or that there is none. */
+    /** Reads a placement that {@link #writeOptionalPlacement} has written. */
     public static Optional<ReplicaPlacement> readOptionalPlacement(CborReader in)
             throws IOException {
         return in.readBoolean() ? Optional.of(readPlacement(in)) : Optional.empty();
@@ -106,7 +104,7 @@
                 readVersion(in), readVersion(in), in.readInt(), in.readConstant(PHASES));
     }
 
-    /** Writes the description of a published version as fields without an array of their own. */
+    /** Writes a published version as fields of the enclosing array. */
     public static void writeVersion(CBORGenerator out, PublishedVersion version)
             throws IOException {
         out.writeNumber(version.number());
@@ -117,7 +115,7 @@
         out.writeString(version.reason());
     }
 
-    /** Reads the description of a published version. */
+    /** Reads the fields of a published version. */
     public static PublishedVersion readVersion(CborReader in) throws IOException {
         return new PublishedVersion(
                 in.readLong(),
--- a/src/main/java/ochretiller/fleet/transport/ReceivedPacket.java
+++ b/src/main/java/ochretiller/fleet/transport/ReceivedPacket.java
@@ -7,14 +7,14 @@
 /**
  * A packet that has been authenticated and decoded.
  *
- * @param sender as the sender described itself
+ * @param sender the sender's description of itself
  * @param message a {@link MembershipMessage}, or a message of consensus, replication or rollout
- * @param sequence grows with each packet of one incarnation of the sender
+ * @param sequence number that increases with each packet of the sender's incarnation
  * @param epoch always 0 in version 1 of the protocol
  */
 public record ReceivedPacket(Member sender, Object message, long sequence, long epoch) {
     /**
-     * Returns the packet as the membership protocol takes it.
+     * Returns this packet as one of the membership protocol.
      *
      * @throws ClassCastException if the message is of another family
      */
--- a/src/main/java/ochretiller/fleet/transport/RejectReason.java
+++ b/src/main/java/ochretiller/fleet/transport/RejectReason.java
@@ -2,27 +2,27 @@
 
 import java.util.Locale;
 
-/** Why a packet was rejected. Each reason has a counter of its own. */
+/** Reasons for rejecting a packet or frame. Rejected packets are counted by reason. */
 public enum RejectReason {
-    /** It is shorter than an envelope, too long, or not as long as it states. */
+    /** The packet is shorter than an envelope, too long, or differs from its stated length. */
     LENGTH("LENGTH"),
-    /** It does not begin with the magic bytes. */
+    /** The packet does not start with the magic bytes. */
     NOT_OURS("NOT_OURS"),
-    /** Only newer versions of the protocol can read it. */
+    /** The packet requires a newer protocol version. */
     NEWER("NEWER"),
-    /** It is not sealed with a key of this fleet. */
+    /** The packet is not sealed with a key of this fleet. */
     FORGED("FORGED"),
-    /** It names another fleet. */
+    /** The packet names another fleet. */
     OTHER_FLEET("OTHER_FLEET"),
-    /** It is authentic, but its content does not follow the protocol. */
+    /** The packet is authentic, but its content violates the protocol. */
     MALFORMED("MALFORMED"),
-    /** It was received before, or is too old to tell. */
+    /** The packet was received before, or is older than the replay window. */
     REPLAYED("REPLAYED"),
-    /** The kind of its message is unknown: a newer program has sent it. */
+    /** The message kind is unknown, as in packets of a newer version. */
     KIND("KIND"),
-    /** Its sender exceeds the rate that is allowed to one peer, or all of them together do. */
+    /** The source address exceeds its rate limit, or all addresses exceed the total limit. */
     OVER_BUDGET("OVER_BUDGET"),
-    /** Too many packets wait for the event loop. */
+    /** Too many packets are queued for the event loop. */
     BEHIND("BEHIND");
 
     private final String externalName;
@@ -32,14 +32,14 @@
     }
 
     /**
-     * Returns the name that log lines, metrics and JSON are made from; it is independent of the
-     * constant's name.
+     * Returns the name used in log lines, metrics and JSON. It does not depend on the constant's
+     * name.
      */
     public String externalName() {
         return externalName;
     }
 
-    /** Returns the external name in lower case, as metrics and members of JSON have it. */
+    /** Returns the external name in lower case, as used in metric names and JSON members. */
     public String lowerCaseName() {
         return externalName.toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/ochretiller/fleet/transport/RejectedPacketException.java
+++ b/src/main/java/ochretiller/fleet/transport/RejectedPacketException.java
@@ -1,7 +1,8 @@
 package ochretiller.fleet.transport;
 
 /**
- * A packet or frame cannot be used. It has no stack trace, so that a flood of them costs little.
+ * Thrown for a packet or frame that cannot be used. It has no stack trace, so that a flood of
+ * invalid packets costs little.
  */
 public final class RejectedPacketException extends Exception {
     private static final long serialVersionUID = 1;
--- a/src/main/java/ochretiller/fleet/transport/ReplayWindow.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplayWindow.java
@@ -5,43 +5,43 @@
 import ochretiller.collections.BoundedMap;
 
 /**
- * Recognizes packets that were received before, by a sliding window over the sequence numbers of
- * each incarnation (as RFC 4303, section 3.4.3, does for IPsec). Used by the reading thread alone.
+ * Detects replayed packets with a sliding window over the sequence numbers of each incarnation, as
+ * RFC 4303, section 3.4.3, does for IPsec. Confined to the reader thread.
  */
 final class ReplayWindow {
-    /** Packets that may overtake one another: what a server sends in some seconds. */
+    /** Size of a window, which allows reordering among the packets of a few seconds. */
     private static final int WINDOW_PACKETS = 1024;
 
-    /** Incarnations that are remembered: more than a fleet has. */
+    /** Maximum number of incarnations with a window: more than a fleet has. */
     private static final int MAX_INCARNATIONS = 4096;
 
     private final Map<Long, Window> windows =
             BoundedMap.evictingLeastRecentlyUsed(MAX_INCARNATIONS);
 
-    /** Returns whether a packet is received for the first time, and remembers it. */
+    /** Records a packet as received; false if it is a replay or older than the window. */
     boolean take(long incarnation, long sequence) {
         if (sequence <= 0) {
             return false;
         }
-        return windows.computeIfAbsent(incarnation, ignored -> new Window()).take(sequence);
+        return windows.computeIfAbsent(incarnation, ignored -> new Window()).markReceived(sequence);
     }
 
-    /** The window of one incarnation: a ring of bits. */
+    /** Window of one incarnation: a circular bit set. */
     private static final class Window {
         private final long[] bits = new long[WINDOW_PACKETS / Long.SIZE];
         private long highest;
 
-        boolean take(long sequence) {
+        boolean markReceived(long sequence) {
             if (sequence > highest) {
-                moveTo(sequence);
-            } else if (sequence <= highest - WINDOW_PACKETS || isTaken(sequence)) {
+                advanceTo(sequence);
+            } else if (sequence <= highest - WINDOW_PACKETS || isReceived(sequence)) {
                 return false;
             }
             bits[wordOf(sequence)] |= maskOf(sequence);
             return true;
         }
 
-        private void moveTo(long sequence) {
+        private void advanceTo(long sequence) {
             if (sequence - highest >= WINDOW_PACKETS) {
                 Arrays.fill(bits, 0);
             } else {
@@ -52,7 +52,7 @@
             highest = sequence;
         }
 
-        private boolean isTaken(long sequence) {
+        private boolean isReceived(long sequence) {
             return (bits[wordOf(sequence)] & maskOf(sequence)) != 0;
         }
 
--- a/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
@@ -15,12 +15,12 @@
 import ochretiller.fleet.replication.ReplicationMessage.TransferredEntry;
 
 /**
- * Encodes and decodes the entries of a replica with their claims and outcomes. Packets and the
- * replica's files share it. Stateless.
+ * Encodes and decodes the entries of a replica with their claims and outcomes, for packets and for
+ * the replica's files. Stateless.
  */
 public final class ReplicaEntryCodec {
     /**
-     * Longest idempotency key in bytes that fits a key of the store beside the names of its claim.
+     * Maximum length of an idempotency key in bytes: a key of the store must fit it and a claim ID.
      */
     private static final int MAX_TOKEN_BYTES = 200;
 
@@ -32,11 +32,12 @@
                 && token.getBytes(StandardCharsets.UTF_8).length <= MAX_TOKEN_BYTES;
     }
 
-    /** Guards against a peer that replicates longer keys than this program can store. */
+    /** Rejects an idempotency key that is longer than this version can store. */
     static String readToken(CborReader in) throws IOException {
         String token = in.readText();
         if (!tokenFits(token)) {
-            throw new IllegalArgumentException("an idempotency key is too long");
+            throw new IllegalArgumentException(
+                    "idempotency key exceeds " + MAX_TOKEN_BYTES + " bytes");
         }
         return token;
     }
@@ -79,12 +80,13 @@
                         in.readLong(),
                         in.readBoolean());
         if (outcome.resultSize() < 0 || outcome.resultSize() > ClaimOutcome.MAX_RESULT_BYTES) {
-            throw new IllegalArgumentException("a result has " + outcome.resultSize() + " bytes");
+            throw new IllegalArgumentException(
+                    "result size out of bounds: " + outcome.resultSize() + " bytes");
         }
         return outcome;
     }
 
-    /** Writes a text, each character of which stands for one byte, as a byte string. */
+    /** Writes a text of ISO 8859-1 characters, each of which is one byte, as a byte string. */
     static void writeByteText(CBORGenerator out, String text) throws IOException {
         out.writeBinary(text.getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -115,7 +117,7 @@
         out.writeEndArray();
     }
 
-    /** Reads the rest of an entry whose array has been started. */
+    /** Reads an entry after the start of its array. */
     public static TransferredEntry readStartedEntry(CborReader in) throws IOException {
         String token = readToken(in);
         Duration remaining = readDuration(in);
--- a/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
@@ -18,8 +18,8 @@
 import ochretiller.fleet.replication.ReplicationMessage.OwnerQuery;
 
 /**
- * Encodes and decodes the messages about claims and results: kinds 32 to 38 and 42 to 45. Those on
- * ranges are in {@link AntiEntropyCodec}. Stateless.
+ * Encodes and decodes the messages about claims and results: kinds 32 to 38 and 42 to 45. {@link
+ * AntiEntropyCodec} has those about ranges. Stateless.
  */
 final class ReplicationCodec {
     private static final int CLAIM_REQUEST = 32;
@@ -34,7 +34,7 @@
     private static final int CHUNK_REQUEST = 44;
     private static final int CHUNK = 45;
 
-    /** The votes in the order of their numbers. */
+    /** Votes in the order of their numbers on the wire. */
     private static final List<ClaimVote> VOTES = List.of(ClaimVote.values());
 
     static final List<MessageFormat<?>> FORMATS =
--- a/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
@@ -52,7 +52,7 @@
 
     private RolloutCodec() {}
 
-    /** Bodies of this family are only taken if their array ends, as its last element or later. */
+    /** Returns a format that also requires the end of the body's array, after any new elements. */
     private static <T> MessageFormat<T> format(
             int kind,
             Class<T> type,
--- a/src/main/java/ochretiller/fleet/transport/SealedFrame.java
+++ b/src/main/java/ochretiller/fleet/transport/SealedFrame.java
@@ -6,21 +6,21 @@
 import java.util.Arrays;
 
 /**
- * Encodes and decodes a frame of an operators' connection: a length in four bytes, a text of four
- * parts separated by line feeds, and a seal. Stateless.
+ * Encodes and decodes a frame of an admin connection: a length of four bytes, four text fields
+ * separated by line feeds, and a seal. Stateless.
  */
 public final class SealedFrame {
-    /** Longest frame in bytes that a server reads. */
+    /** Maximum length of a request frame in bytes. */
     static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    /** Longest frame in bytes that a command reads: the membership view of the largest fleet. */
+    /** Maximum length of a response frame in bytes: fits the view of the largest fleet. */
     static final int MAX_RESPONSE_BYTES = 2 << 20;
 
-    /** Bytes that have to be there before the length of a frame is known. */
+    /** Size in bytes of the length at the start of a frame. */
     static final int LENGTH_PREFIX_BYTES = 4;
 
     private static final String SEPARATOR = "\n";
-    private static final int PARTS = 4;
+    private static final int FIELD_COUNT = 4;
 
     private SealedFrame() {}
 
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Returns the length of the frame at the start of the bytes, including its prefix, or 0 as long
-     * as the prefix is incomplete. A peer may state any length, also a negative one.
+     * Returns the length in bytes of the frame at the start of the buffer, including its prefix, or
+     * 0 if the prefix is incomplete. The length comes from the peer and may be negative.
      */
     public static int length(byte[] bytes, int count) {
         if (count < LENGTH_PREFIX_BYTES) {
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Checks and decodes a whole frame.
+     * Verifies and decodes a complete frame.
      *
      * @throws RejectedPacketException if it is too short, not authentic or malformed
      */
@@ -68,11 +68,12 @@
         if (!keys.isAuthentic(sealed, textLength)) {
             throw new RejectedPacketException(RejectReason.FORGED);
         }
-        String[] parts =
-                new String(sealed, 0, textLength, StandardCharsets.UTF_8).split(SEPARATOR, PARTS);
-        if (parts.length < PARTS) {
+        String[] fields =
+                new String(sealed, 0, textLength, StandardCharsets.UTF_8)
+                        .split(SEPARATOR, FIELD_COUNT);
+        if (fields.length < FIELD_COUNT) {
             throw new RejectedPacketException(RejectReason.MALFORMED);
         }
-        return new AdminMessage(parts[0], parts[1], parts[2], parts[3]);
+        return new AdminMessage(fields[0], fields[1], fields[2], fields[3]);
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
+++ b/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a {@link PeerSocket} has sent and read. Read from any thread. */
+/** Counts the packets and bytes that a {@link PeerSocket} sends and receives. Thread-safe. */
 public final class TrafficCounters {
     private final LongAdder sentPackets = new LongAdder();
     private final LongAdder sentBytes = new LongAdder();
@@ -24,27 +24,27 @@
         readBytes.add(size);
     }
 
-    /** Packets that the socket has taken. */
+    /** Returns the number of packets that were handed to the kernel. */
     public long sentPackets() {
         return sentPackets.sum();
     }
 
-    /** Bytes that the socket has taken. */
+    /** Returns the number of bytes that were handed to the kernel. */
     public long sentBytes() {
         return sentBytes.sum();
     }
 
-    /** Packets that the socket did not take. */
+    /** Returns the number of packets that the kernel did not accept for sending. */
     public long droppedPackets() {
         return droppedPackets.sum();
     }
 
-    /** Packets that came in, including rejected ones. */
+    /** Returns the number of received packets, including rejected ones. */
     public long readPackets() {
         return readPackets.sum();
     }
 
-    /** Bytes that came in, including those of rejected packets. */
+    /** Returns the number of received bytes, including those of rejected packets. */
     public long readBytes() {
         return readBytes.sum();
     }
