--- a/src/main/java/ochretiller/audit/AuditEventKind.java
+++ b/src/main/java/ochretiller/audit/AuditEventKind.java
@@ -3,29 +3,29 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Kinds of events. */
+/** Kinds of {@link AuditEvent}, each stored as its code. */
 public enum AuditEventKind {
-    /** A process began; what was before it is known as far as its file tells. */
+    /** The server's process started; what its predecessor did last may not be recorded. */
     STARTED(0),
-    /** From here on another version is acted on. */
+    /** Another version became active. */
     VERSION_CHANGED(1),
-    /** A version cannot be acted on here. */
+    /** The server cannot activate a version. */
     VERSION_REJECTED(2),
-    /** The lease has ended: keyed work is fenced off. */
+    /** The lease expired: keyed invocations are no longer admitted. */
     FENCED(3),
-    /** Keyed work is admitted again. */
+    /** Keyed invocations are admitted again. */
     UNFENCED(4),
-    /** A version was published here. */
+    /** A version was published on this server. */
     VERSION_PUBLISHED(5),
-    /** A rollout has gone on, halted or was rolled back. */
+    /** A rollout advanced, halted or was rolled back. */
     ROLLOUT_CHANGED(6),
-    /** Some of the audit could not be written: what is missing is not known. */
+    /** Records could not be written; their content is lost. */
     RECORDS_LOST(7),
-    /** The process ended in order. */
+    /** The process shut down cleanly. */
     STOPPED(8),
     /**
-     * Where a peer's audit ended when this server last heard of it: its name, the number of its
-     * last record, that record's hash.
+     * The last record of a peer's audit that the peer has reported to this server. The text is the
+     * peer's name, the record's number and its hash, separated by spaces.
      */
     PEER_AUDIT_WITNESSED(9);
 
@@ -35,12 +35,12 @@
         this.code = code;
     }
 
-    /** The number by which it is stored. */
+    /** Returns the number that represents this kind in stored records. */
     public int code() {
         return code;
     }
 
-    /** The kind that is stored by this number; empty where there is none. */
+    /** Returns the kind with this code; empty if there is none. */
     public static Optional<AuditEventKind> ofCode(long code) {
         return Arrays.stream(values()).filter(kind -> kind.code == code).findFirst();
     }
--- a/src/main/java/ochretiller/audit/AuditRecord.java
+++ b/src/main/java/ochretiller/audit/AuditRecord.java
@@ -1,13 +1,12 @@
 package ochretiller.audit;
 
 /**
- * One record of a server's audit. Immutable. Times are Unix milliseconds, as the server's clock had
- * them.
+ * One record of a server's audit. Immutable. Times are Unix milliseconds of the server's clock.
  */
 public sealed interface AuditRecord permits VersionPeriod, AuditEvent, KeyedRun {
-    /** When what it tells of began. */
+    /** Returns the start of the recorded period, or the time of the recorded event. */
     long startMillis();
 
-    /** When what it tells of ended; for an instant the same as {@link #startMillis}. */
+    /** Returns the end of the recorded period; for an event equal to {@link #startMillis}. */
     long endMillis();
 }
--- a/src/main/java/ochretiller/audit/ChainFault.java
+++ b/src/main/java/ochretiller/audit/ChainFault.java
@@ -1,9 +1,9 @@
 package ochretiller.audit;
 
 /**
- * What is wrong with a chain. Immutable.
+ * A fault of a hash chain or of its files. Immutable.
  *
- * @param number the record from which on it is wrong
- * @param description what is wrong with it, for people
+ * @param number number of the first record affected
+ * @param description description for operators, of which that record is the subject
  */
 public record ChainFault(long number, String description) {}
--- a/src/main/java/ochretiller/audit/ChainHead.java
+++ b/src/main/java/ochretiller/audit/ChainHead.java
@@ -1,24 +1,25 @@
 package ochretiller.audit;
 
 /**
- * Where a chain ends, or ended when somebody looked. Immutable.
+ * The last record of a hash chain at some time. Immutable.
  *
- * @param number number of the last record, 0 without any
- * @param hash that record's hash in hexadecimal, empty without any
+ * @param number number of that record, 0 for an empty chain
+ * @param hash hash of that record in hexadecimal, empty for an empty chain
  */
 public record ChainHead(long number, String hash) {
-    /** The head of a chain without records. */
+    /** The head of an empty chain. */
     public static final ChainHead EMPTY = new ChainHead(0, "");
 
     /**
-     * Checks the form.
+     * Checks the bounds.
      *
-     * @throws IllegalArgumentException where the number is negative or the hash has another length
+     * @throws IllegalArgumentException if the number is negative or the hash has the wrong length
      */
     public ChainHead {
-        boolean isHash = hash.isEmpty() || hash.length() == 2 * HashChain.HASH_BYTES;
-        if (number < 0 || !isHash) {
-            throw new IllegalArgumentException("no head");
+        boolean isValidHash = hash.isEmpty() || hash.length() == 2 * HashChain.HASH_BYTES;
+        if (number < 0 || !isValidHash) {
+            throw new IllegalArgumentException(
+                    "invalid chain head: number " + number + ", hash '" + hash + "'");
         }
     }
 }
--- a/src/main/java/ochretiller/audit/ChainVerifier.java
+++ b/src/main/java/ochretiller/audit/ChainVerifier.java
@@ -7,19 +7,19 @@
 import java.util.Optional;
 
 /**
- * Checks the records of a {@link HashChain} against one another and against what others know of it.
- * Stateless; safe for any thread.
+ * Verifies the records of a {@link HashChain} against each other and against heads of the chain
+ * that peers have recorded. Stateless and thread-safe.
  */
 public final class ChainVerifier {
     private ChainVerifier() {}
 
     /**
-     * Checks a chain.
+     * Verifies a chain.
      *
-     * @param records as they were found, oldest first; the first may have any number, as old ones
-     *     are deleted by rule
-     * @param knownHeads heads of this chain that others were told of, in any order
-     * @return what is wrong; empty for a chain that is as it was
+     * @param records records found, oldest first; the first may have any number because old records
+     *     are deleted
+     * @param knownHeads heads of this chain that peers have recorded, in any order
+     * @return the faults; empty if the chain is unchanged
      */
     public static List<ChainFault> verify(List<ChainedRecord> records, List<ChainHead> knownHeads) {
         List<ChainFault> faults = new ArrayList<>();
@@ -42,8 +42,8 @@
     }
 
     private static Optional<ChainFault> checkFirst(ChainedRecord record) {
-        boolean isFirstOfAll = record.number() == 1;
-        return isFirstOfAll && !HashChain.isNoPreviousHash(record.previousHash())
+        boolean isFirstOfChain = record.number() == 1;
+        return isFirstOfChain && !HashChain.isNoPreviousHash(record.previousHash())
                 ? Optional.of(new ChainFault(1, "is no first record"))
                 : Optional.empty();
     }
@@ -75,15 +75,15 @@
             return Optional.of(new ChainFault(last + 1, description));
         }
         if (head.number() < first || head.number() == 0) {
-            return Optional.empty(); // deleted by rule, or nothing to compare with
+            return Optional.empty(); // the record was deleted due to its age, or the head is empty
         }
-        boolean isKnown = records.stream().anyMatch(record -> isAt(record, head));
-        return isKnown
+        boolean isPresent = records.stream().anyMatch(record -> matches(record, head));
+        return isPresent
                 ? Optional.empty()
                 : Optional.of(new ChainFault(head.number(), "others know it otherwise"));
     }
 
-    private static boolean isAt(ChainedRecord record, ChainHead head) {
+    private static boolean matches(ChainedRecord record, ChainHead head) {
         return record.number() == head.number()
                 && HexFormat.of().formatHex(record.hash()).equals(head.hash());
     }
--- a/src/main/java/ochretiller/audit/ChainedRecord.java
+++ b/src/main/java/ochretiller/audit/ChainedRecord.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 
 /**
- * One record of a {@link HashChain}. Immutable, as long as nobody writes to its arrays.
+ * One record of a {@link HashChain}. Its arrays must not be modified.
  *
- * @param number 1 for the first, one more each
- * @param previousHash hash of the record before, zeros for the first
- * @param hash hash over number, previous hash and body
- * @param body what it says
+ * @param number position in the chain, starting at 1
+ * @param previousHash hash of the previous record, zeros for the first
+ * @param hash hash of number, previous hash and body
+ * @param body encoded content of the record
  */
 public record ChainedRecord(long number, byte[] previousHash, byte[] hash, byte[] body) {
-    /** Whether its hash is that of what it says. */
+    /** Returns whether the stored hash matches the other components. */
     public boolean isIntact() {
         return Arrays.equals(hash, HashChain.hash(number, previousHash, body));
     }
--- a/src/main/java/ochretiller/audit/FleetTimeline.java
+++ b/src/main/java/ochretiller/audit/FleetTimeline.java
@@ -8,44 +8,45 @@
 import java.util.TreeMap;
 
 /**
- * What the audits of several servers tell together. What is not known is an interval of its own:
- * between two periods, behind a fault of a chain, while a process was away. Not safe for several
- * threads.
+ * Combines the audits of several servers into one timeline. Time without records is an interval of
+ * its own: between two periods, after a chain fault, or while a process was down. Not thread-safe.
  */
 public final class FleetTimeline {
-    /** A peer's name, the number of its last record, that record's hash. */
-    private static final int WITNESS_WORDS = 3;
+    /** Fields of a witness event: a peer's name, the number and the hash of its last record. */
+    private static final int WITNESS_FIELD_COUNT = 3;
 
     private final Map<String, List<AuditRecord>> recordsByServer = new TreeMap<>();
 
     /**
-     * Collects what one server's records know of where the audits of its peers ended.
+     * Collects the chain heads of peers that one server's audit has recorded.
      *
-     * @param headsByServer heads by the peer's name, to which what is found is added
+     * @param headsByServer heads by peer name, to which the collected ones are added
      */
     public static void collectWitnessedHeads(
             List<AuditRecord> records, Map<String, List<ChainHead>> headsByServer) {
         for (AuditRecord record : records) {
             if (record instanceof AuditEvent event
                     && event.kind() == AuditEventKind.PEER_AUDIT_WITNESSED) {
-                String[] words = event.text().split(" ");
-                if (words.length == WITNESS_WORDS) {
-                    ChainHead head = new ChainHead(Long.parseLong(words[1]), words[2]);
-                    headsByServer.computeIfAbsent(words[0], ignored -> new ArrayList<>()).add(head);
+                String[] fields = event.text().split(" ");
+                if (fields.length == WITNESS_FIELD_COUNT) {
+                    ChainHead head = new ChainHead(Long.parseLong(fields[1]), fields[2]);
+                    headsByServer
+                            .computeIfAbsent(fields[0], ignored -> new ArrayList<>())
+                            .add(head);
                 }
             }
         }
     }
 
-    /** Adds a server's records, oldest first. */
+    /** Adds a server's records, oldest first, and returns this timeline. */
     public FleetTimeline addServer(String server, List<AuditRecord> records) {
         recordsByServer.put(server, List.copyOf(records));
         return this;
     }
 
     /**
-     * Each server's intervals between two times, without holes, by server and then by time. Times
-     * are Unix milliseconds.
+     * Returns the intervals of all servers between two times in Unix milliseconds, without gaps,
+     * ordered by server and then by time.
      */
     public List<TimelineInterval> intervals(long fromMillis, long toMillis) {
         List<TimelineInterval> all = new ArrayList<>();
@@ -57,8 +58,8 @@
     }
 
     /**
-     * Which servers acted on a version between two times, or may have: those of which not all is
-     * known are among them.
+     * Returns the servers on which a version was active between two times in Unix milliseconds, and
+     * as {@link VersionStatus#UNKNOWN} those on which it may have been, due to unrecorded time.
      */
     public Map<String, VersionStatus> serversOnVersion(
             long version, long fromMillis, long toMillis) {
@@ -68,18 +69,18 @@
                 statusByServer.putIfAbsent(interval.server(), VersionStatus.UNKNOWN);
             } else if (interval.version() == version) {
                 statusByServer.merge(
-                        interval.server(), interval.status(), FleetTimeline::moreTelling);
+                        interval.server(), interval.status(), FleetTimeline::preferActive);
             }
         }
         return statusByServer;
     }
 
-    private static VersionStatus moreTelling(VersionStatus earlier, VersionStatus later) {
+    private static VersionStatus preferActive(VersionStatus earlier, VersionStatus later) {
         boolean wasActive = earlier == VersionStatus.ACTIVE || later == VersionStatus.ACTIVE;
         return wasActive ? VersionStatus.ACTIVE : later;
     }
 
-    /** Runs of a token on any server, oldest first. */
+    /** Returns the runs of a token on all servers, oldest first. */
     public List<TokenRun> runsOfToken(String token) {
         List<TokenRun> runs = new ArrayList<>();
         recordsByServer.forEach(
@@ -95,8 +96,8 @@
     }
 
     /**
-     * Milliseconds for which each server acted on an older version than the newest that any server
-     * acted on at that time.
+     * Returns the milliseconds during which a server's active version was older than the newest one
+     * active on any server, by server name. Servers without such time are absent.
      */
     public Map<String, Long> stragglerMillis(long fromMillis, long toMillis) {
         List<TimelineInterval> intervals = intervals(fromMillis, toMillis);
--- a/src/main/java/ochretiller/audit/HashChain.java
+++ b/src/main/java/ochretiller/audit/HashChain.java
@@ -8,13 +8,13 @@
 import java.util.Optional;
 
 /**
- * The end of a hash chain, to which records are appended. Each record has the SHA-256 of its
- * number, of the hash of the record before and of its body, so whoever knows a later hash can tell
- * whether everything before it is unchanged (Haber and Stornetta 1991). {@link ChainVerifier} does
- * that. Not safe for several threads; owned by who appends.
+ * The end of a hash chain, to which records are appended. The hash of a record is the SHA-256 of
+ * its number, the previous record's hash and its body, so that a known hash proves that all records
+ * up to it are unchanged (Haber and Stornetta 1991); {@link ChainVerifier} checks this. Not
+ * thread-safe; owned by the thread that appends.
  */
 public final class HashChain {
-    /** Bytes of a hash. */
+    /** Length of a hash in bytes. */
     public static final int HASH_BYTES = 32;
 
     private static final byte[] NO_PREVIOUS_HASH = new byte[HASH_BYTES];
@@ -27,30 +27,27 @@
         this.lastHash = lastHash;
     }
 
-    /** A chain without records. */
+    /** Returns an empty chain. */
     public static HashChain empty() {
         return new HashChain(0, NO_PREVIOUS_HASH);
     }
 
-    /** A chain that goes on after this record. */
+    /** Returns a chain that continues after this record. */
     public static HashChain continuing(ChainedRecord last) {
         return new HashChain(last.number(), last.hash());
     }
 
-    /** A chain that goes on after the last record, or a new one without it. */
+    /** Returns a chain that continues after the last record, or an empty chain without one. */
     public static HashChain continuing(Optional<ChainedRecord> last) {
         return last.map(HashChain::continuing).orElseGet(HashChain::empty);
     }
 
-    /**
-     * A chain that goes on where another one ends now; appending to either does not change the
-     * other.
-     */
+    /** Returns a copy of a chain; appending to either does not change the other. */
     public static HashChain copyOf(HashChain other) {
         return new HashChain(other.lastNumber, other.lastHash);
     }
 
-    /** Appends the next record. */
+    /** Appends a record with this body and returns it. */
     public ChainedRecord append(byte[] body) {
         long number = lastNumber + 1;
         ChainedRecord record =
@@ -60,14 +57,14 @@
         return record;
     }
 
-    /** Where it ends. */
+    /** Returns the number and the hash of the last record. */
     public ChainHead head() {
         return lastNumber == 0
                 ? ChainHead.EMPTY
                 : new ChainHead(lastNumber, HexFormat.of().formatHex(lastHash));
     }
 
-    /** Whether this is what the first record of a chain has for the hash before it. */
+    /** Returns whether this is the previous hash that the first record of a chain has. */
     static boolean isNoPreviousHash(byte[] hash) {
         return Arrays.equals(hash, NO_PREVIOUS_HASH);
     }
@@ -79,7 +76,7 @@
             digest.update(previousHash);
             return digest.digest(body);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/src/main/java/ochretiller/audit/InvocationCounts.java
+++ b/src/main/java/ochretiller/audit/InvocationCounts.java
@@ -1,13 +1,13 @@
 package ochretiller.audit;
 
 /**
- * How many invocations of one operation came to which end. Immutable.
+ * Numbers of invocations of one operation by outcome. Immutable.
  *
- * @param received invocations read
- * @param executed runs begun
- * @param replayed answered with an earlier result
- * @param throttled asked to come again
- * @param errored answered with an error
+ * @param received invocations received
+ * @param executed runs started
+ * @param replayed invocations answered with an earlier result
+ * @param throttled invocations answered with a request to retry later
+ * @param errored invocations answered with an error
  */
 public record InvocationCounts(
         long received, long executed, long replayed, long throttled, long errored) {
@@ -16,7 +16,7 @@
     /**
      * Checks that no count is negative.
      *
-     * @throws IllegalArgumentException where one is
+     * @throws IllegalArgumentException if one is
      */
     public InvocationCounts {
         if (received < 0 || executed < 0 || replayed < 0 || throttled < 0 || errored < 0) {
@@ -33,7 +33,7 @@
                 errored + other.errored);
     }
 
-    /** The same with one more of this outcome. */
+    /** Returns these counts with this outcome counted once more. */
     InvocationCounts plusOne(InvocationOutcome outcome) {
         return plus(
                 switch (outcome) {
--- a/src/main/java/ochretiller/audit/InvocationOutcome.java
+++ b/src/main/java/ochretiller/audit/InvocationOutcome.java
@@ -1,15 +1,15 @@
 package ochretiller.audit;
 
-/** What {@link VersionUsage} counts of an invocation; several may apply to one. */
+/** Outcomes that {@link VersionUsage} counts; an invocation may have several of them. */
 public enum InvocationOutcome {
-    /** It was read. */
+    /** The invocation was received. */
     RECEIVED,
-    /** Its run was begun. */
+    /** A run of the invocation was started. */
     EXECUTED,
-    /** It was answered with an earlier result. */
+    /** The invocation was answered with an earlier result. */
     REPLAYED,
-    /** It was asked to come again. */
+    /** The invocation was answered with a request to retry later. */
     THROTTLED,
-    /** It was answered with an error. */
+    /** The invocation was answered with an error. */
     ERRORED
 }
--- a/src/main/java/ochretiller/audit/KeyedRun.java
+++ b/src/main/java/ochretiller/audit/KeyedRun.java
@@ -1,21 +1,21 @@
 package ochretiller.audit;
 
 /**
- * A run of a keyed invocation, so that it can be told later under which version a token ran.
- * Immutable.
+ * A run of a keyed invocation, recorded so that the versions under which a token ran can be looked
+ * up. Immutable.
  *
- * @param version the version in force
- * @param atMillis when it was begun, Unix milliseconds
- * @param token the idempotency key of its client
+ * @param version number of the active version
+ * @param atMillis start of the run, Unix milliseconds
+ * @param token idempotency key sent by the client
  */
 public record KeyedRun(long version, long atMillis, String token) implements AuditRecord {
-    /** Longest token, in characters. */
+    /** Maximum length of a token in characters. */
     public static final int MAX_TOKEN_CHARS = 200;
 
     /**
      * Checks the bounds.
      *
-     * @throws IllegalArgumentException where the token is empty or too long, or the version
+     * @throws IllegalArgumentException if the token is empty or too long, or the version is
      *     negative
      */
     public KeyedRun {
--- a/src/main/java/ochretiller/audit/ServerIntervals.java
+++ b/src/main/java/ochretiller/audit/ServerIntervals.java
@@ -4,15 +4,12 @@
 import java.util.List;
 
 /**
- * Turns one server's records into intervals without holes: what no record covers becomes an
- * interval of its own, with what is known of the reason. Used once, by one thread.
+ * Converts one server's records into contiguous intervals. Time that no record covers becomes an
+ * interval of its own, which states the known reason. Not thread-safe; used once.
  */
 final class ServerIntervals {
-    /**
-     * So much may pass between the end of one period and the start of the next without anything
-     * being missing.
-     */
-    private static final long JOINT_MILLIS = 1_000;
+    /** Longest time between two periods that does not count as a gap. */
+    private static final long GAP_TOLERANCE_MILLIS = 1_000;
 
     private static final String NOTHING_RECORDED = "nothing was recorded";
 
@@ -21,10 +18,10 @@
     private final long toMillis;
     private final List<TimelineInterval> intervals = new ArrayList<>();
 
-    /** Up to here everything is in an interval. */
+    /** End of the last interval; all time before it is covered. */
     private long coveredUntilMillis;
 
-    /** Why nothing is known where the next period does not follow at once. */
+    /** Reason that is stated for the gap, if there is one before the next period. */
     private String reasonForGap = NOTHING_RECORDED;
 
     private boolean fenced;
@@ -36,7 +33,7 @@
         this.coveredUntilMillis = fromMillis;
     }
 
-    /** The intervals between the two times, oldest first. */
+    /** Returns the intervals between the two times, oldest first. */
     List<TimelineInterval> build(List<AuditRecord> records) {
         for (AuditRecord record : records) {
             if (record instanceof AuditEvent event) {
@@ -45,7 +42,7 @@
                 addPeriod(period);
             }
         }
-        if (toMillis - coveredUntilMillis > JOINT_MILLIS) {
+        if (toMillis - coveredUntilMillis > GAP_TOLERANCE_MILLIS) {
             addGap(toMillis, "nothing is recorded yet, or it is lost");
         }
         return intervals;
@@ -61,7 +58,7 @@
             }
             case RECORDS_LOST -> reasonForGap = "records were lost: " + event.text();
             default -> {
-                // changes no status
+                // other events change neither the status nor the reason
             }
         }
     }
@@ -73,11 +70,11 @@
             return;
         }
         long gap = start - coveredUntilMillis;
-        if (gap > JOINT_MILLIS) {
+        if (gap > GAP_TOLERANCE_MILLIS) {
             addGap(start, reasonForGap);
         } else {
-            // A clock that was set back makes periods overlap: what was recorded first stands, and
-            // the rest goes on after it.
+            // Periods overlap if the clock was set back: the earlier record keeps its time, and
+            // this interval covers the rest.
             start = coveredUntilMillis;
         }
         if (end > start) {
--- a/src/main/java/ochretiller/audit/TimelineInterval.java
+++ b/src/main/java/ochretiller/audit/TimelineInterval.java
@@ -1,12 +1,12 @@
 package ochretiller.audit;
 
 /**
- * A stretch of one server's time with one status. Immutable.
+ * An interval during which a server had one status. Immutable.
  *
- * @param startMillis its start, Unix milliseconds
- * @param endMillis its end, Unix milliseconds
- * @param version the version in force, 0 where nothing is known
- * @param text a remark for people, empty where there is none
+ * @param startMillis start, Unix milliseconds
+ * @param endMillis end, Unix milliseconds
+ * @param version number of the active version, 0 if unknown
+ * @param text remark for operators, empty if there is none
  */
 public record TimelineInterval(
         String server,
--- a/src/main/java/ochretiller/audit/TokenRun.java
+++ b/src/main/java/ochretiller/audit/TokenRun.java
@@ -1,9 +1,9 @@
 package ochretiller.audit;
 
 /**
- * A run of a token, as one server's audit has it. Immutable.
+ * A run of a token in one server's audit. Immutable.
  *
- * @param version the version in force
- * @param atMillis when it was begun, Unix milliseconds
+ * @param version number of the active version
+ * @param atMillis start of the run, Unix milliseconds
  */
 public record TokenRun(String server, long version, long atMillis) {}
--- a/src/main/java/ochretiller/audit/VersionPeriod.java
+++ b/src/main/java/ochretiller/audit/VersionPeriod.java
@@ -4,15 +4,15 @@
 import java.util.TreeMap;
 
 /**
- * A period in which a server acted on one version, and what it did meanwhile. Immutable.
+ * A period in which one version was active on a server, with its invocation counts. Immutable.
  *
  * @param version number of the version, 0 before the first
- * @param versionHash SHA-256 of the version in hexadecimal, empty where it has none
- * @param startMillis its start, Unix milliseconds
- * @param endMillis its end, Unix milliseconds
- * @param monotonicMillis its length by a clock that nobody sets: where it differs from the times,
- *     the Unix clock was stepped
- * @param operations counts by the name of the operation
+ * @param versionHash SHA-256 of the version in hexadecimal, empty if it has none
+ * @param startMillis start, Unix milliseconds
+ * @param endMillis end, Unix milliseconds
+ * @param monotonicMillis length by the monotonic clock; it differs from the Unix times if the Unix
+ *     clock was stepped
+ * @param operations counts by operation name
  */
 public record VersionPeriod(
         long version,
@@ -24,7 +24,7 @@
         implements AuditRecord {
     private static final int MAX_HASH_CHARS = 64;
 
-    /** Two clocks may differ by this much at any time, and by a thousandth of what has passed. */
+    /** Tolerated difference of the two clocks, plus a thousandth of the period's length. */
     private static final long CLOCK_DRIFT_MILLIS = 50;
 
     private static final long CLOCK_DRIFT_DIVISOR = 1_000;
@@ -32,7 +32,7 @@
     /**
      * Checks the bounds.
      *
-     * @throws IllegalArgumentException where the version or the length is negative, or the hash too
+     * @throws IllegalArgumentException if the version or the length is negative, or the hash too
      *     long
      */
     public VersionPeriod {
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Milliseconds by which the Unix clock was stepped forward, negative for back; 0 where it ran
-     * as it should.
+     * Returns the milliseconds by which the Unix clock was stepped forward, negative if it was
+     * stepped backward; 0 if it only drifted.
      */
     public long clockStepMillis() {
         long step = endMillis - startMillis - monotonicMillis;
@@ -52,13 +52,13 @@
         return Math.abs(step) <= drift ? 0 : step;
     }
 
-    /** Counts over all operations. */
+    /** Returns the sum of the counts of all operations. */
     public InvocationCounts totals() {
         return operations.values().stream().reduce(InvocationCounts.NONE, InvocationCounts::plus);
     }
 
     @Override
     public String toString() {
-        return "span of version " + version + ' ' + new TreeMap<>(operations);
+        return "period of version " + version + ' ' + new TreeMap<>(operations);
     }
 }
--- a/src/main/java/ochretiller/audit/VersionStatus.java
+++ b/src/main/java/ochretiller/audit/VersionStatus.java
@@ -1,12 +1,12 @@
 package ochretiller.audit;
 
-/** What is known of a server over one {@link TimelineInterval}. */
+/** Status of a server during one {@link TimelineInterval}. */
 public enum VersionStatus {
-    /** It acted on the version. */
+    /** The version was active. */
     ACTIVE("ACTED"),
-    /** It was on the version, and keyed work was fenced off. */
+    /** The version was active, but keyed invocations were not admitted. */
     FENCED("SHUT_OUT"),
-    /** Nothing was recorded: its process was away, or its records are lost. */
+    /** Nothing is recorded: the process was down, or its records are lost. */
     UNKNOWN("UNKNOWN");
 
     private final String externalName;
@@ -15,7 +15,7 @@
         this.externalName = externalName;
     }
 
-    /** The word by which JSON names it; it stays whatever the constant is called. */
+    /** Returns the name used in JSON, which does not depend on the constant's name. */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/audit/VersionUsage.java
+++ b/src/main/java/ochretiller/audit/VersionUsage.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * Counts what becomes of invocations under the version that is acted on. A period ends with its
- * version, and after a while in any case. Not safe for several threads; owned by the event loop.
- * Time is handed in.
+ * Counts the outcomes of invocations under the active version, by period. A period ends when
+ * another version is activated, or at its maximum length. Not thread-safe; confined to the event
+ * loop. Callers pass the time.
  */
 public final class VersionUsage {
-    /** Counts together all operations over the bound of those that are told apart. */
+    /** Name under which the operations beyond the maximum number are counted together. */
     static final String OTHER_OPERATIONS = "(others)";
 
-    /** Most operations that are told apart in one period. */
+    /** Maximum number of operations that are counted separately in one period. */
     private static final int MAX_OPERATIONS = 64;
 
     private final Duration maxPeriod;
@@ -26,68 +26,68 @@
     private record PeriodStart(long unixMillis, Duration monotonic) {}
 
     /**
-     * Counts nothing in particular before {@link #startPeriod}.
+     * Creates an instance without a period; {@link #startPeriod} starts the first.
      *
-     * @param maxPeriod age at which {@link #closeIfDue} ends a period
+     * @param maxPeriod length at which {@link #closeIfDue} ends a period
      */
     public VersionUsage(Duration maxPeriod) {
         this.maxPeriod = maxPeriod;
     }
 
-    /** The version that is acted on; 0 before the first. */
+    /** Returns the number of the active version; 0 before the first. */
     public long version() {
         return version;
     }
 
-    /** Begins to count. */
+    /** Starts a period at these times of the Unix clock and the monotonic clock. */
     public void startPeriod(long unixMillis, Duration now) {
         start = Optional.of(new PeriodStart(unixMillis, now));
     }
 
     /**
-     * From now on another version is acted on.
+     * Activates another version and ends the period of the previous one.
      *
-     * @return the period of the version before; empty before the first period
+     * @return the ended period; empty before {@link #startPeriod}
      */
     public Optional<VersionPeriod> switchVersion(
             long nextVersion, String nextHash, long unixMillis, Duration now) {
-        Optional<VersionPeriod> ended = start.map(each -> closePeriod(unixMillis, now));
+        Optional<VersionPeriod> ended = start.map(ignored -> closePeriod(unixMillis, now));
         version = nextVersion;
         versionHash = nextHash;
         return ended;
     }
 
-    /** Counts one invocation. */
+    /** Counts one outcome of an invocation. */
     public void count(String operation, InvocationOutcome outcome) {
-        boolean isToldApart =
+        boolean isCountedSeparately =
                 countsByOperation.containsKey(operation)
                         || countsByOperation.size() < MAX_OPERATIONS;
-        String name = isToldApart ? operation : OTHER_OPERATIONS;
+        String name = isCountedSeparately ? operation : OTHER_OPERATIONS;
         countsByOperation.merge(
                 name,
                 InvocationCounts.NONE.plusOne(outcome),
                 (counted, ignored) -> counted.plusOne(outcome));
     }
 
-    /** Ends the period where it has lasted long enough; the next begins here. */
+    /** Ends the period if it has reached the maximum length; the next one starts at this time. */
     public Optional<VersionPeriod> closeIfDue(long unixMillis, Duration now) {
-        return start.filter(each -> now.minus(each.monotonic()).compareTo(maxPeriod) >= 0)
-                .map(each -> closePeriod(unixMillis, now));
+        return start.filter(started -> now.minus(started.monotonic()).compareTo(maxPeriod) >= 0)
+                .map(ignored -> closePeriod(unixMillis, now));
     }
 
     /**
-     * Ends the period; the next begins here.
+     * Ends the period; the next one starts at this time.
      *
      * @throws java.util.NoSuchElementException before {@link #startPeriod}
      */
     public VersionPeriod closePeriod(long unixMillis, Duration now) {
-        PeriodStart ended = start.orElseThrow();
-        long monotonicMillis = Math.max(0, now.minus(ended.monotonic()).toMillis());
+        PeriodStart started = start.orElseThrow();
+        long monotonicMillis = Math.max(0, now.minus(started.monotonic()).toMillis());
         VersionPeriod period =
                 new VersionPeriod(
                         version,
                         versionHash,
-                        ended.unixMillis(),
+                        started.unixMillis(),
                         unixMillis,
                         monotonicMillis,
                         Map.copyOf(countsByOperation));
--- a/src/main/java/ochretiller/audit/files/AuditFileFormat.java
+++ b/src/main/java/ochretiller/audit/files/AuditFileFormat.java
@@ -12,27 +12,27 @@
 import ochretiller.audit.HashChain;
 
 /**
- * Names of an audit's files, and the frame of a record: {@code docs/audit-format.md}. Stateless;
- * safe for any thread.
+ * Names of an audit's files and the frame of a record, as {@code docs/audit-format.md} specifies
+ * them. Stateless and thread-safe.
  */
 final class AuditFileFormat {
     private static final String PREFIX = "audit-";
     private static final String SUFFIX = ".log";
 
-    /** Length, number, hash of the record before and hash. */
+    /** Size in bytes of body length, record number, previous hash and hash. */
     private static final int FRAME_BYTES = Integer.BYTES + Long.BYTES + 2 * HashChain.HASH_BYTES;
 
-    /** Longest body: a period with all operations that are told apart. */
+    /** Maximum length of a body: fits a period with the maximum number of operations. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private AuditFileFormat() {}
 
-    /** Name of the file whose first record has this number. */
+    /** Returns the name of the file whose first record has this number. */
     static String fileName(long firstRecordNumber) {
         return String.format("%s%019d%s", PREFIX, firstRecordNumber, SUFFIX);
     }
 
-    /** The files of an audit, oldest first; none where there is no such directory. */
+    /** Returns the audit files in a directory, oldest first; none if it does not exist. */
     static List<Path> listFiles(Path directory) throws IOException {
         try (Stream<Path> all = Files.list(directory)) {
             return all.filter(AuditFileFormat::isAuditFile).sorted().toList();
@@ -46,7 +46,7 @@
         return name.startsWith(PREFIX) && name.endsWith(SUFFIX);
     }
 
-    /** The frame and the body of a record. */
+    /** Returns the frame and the body of a record. */
     static byte[] encode(ChainedRecord record) {
         ByteBuffer out = ByteBuffer.allocate(FRAME_BYTES + record.body().length);
         out.putInt(record.body().length);
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Reads the record at the buffer's position and moves behind it; empty, without moving, where
-     * none is whole there.
+     * Reads the record at the buffer's position and advances past it. Returns empty without
+     * advancing if the record there is incomplete.
      */
     static Optional<ChainedRecord> decode(ByteBuffer in) {
         if (in.remaining() < FRAME_BYTES) {
--- a/src/main/java/ochretiller/audit/files/AuditLog.java
+++ b/src/main/java/ochretiller/audit/files/AuditLog.java
@@ -10,14 +10,14 @@
 import ochretiller.audit.HashChain;
 
 /**
- * What a directory of an audit holds. Immutable.
+ * Content of an audit directory. Immutable.
  *
- * @param records oldest first
- * @param faults of the files and of the chain; empty where all is as it was written
- * @param lastRecordEnd where the last whole record of the last file ends, in bytes from its start
+ * @param records records of all files, oldest first
+ * @param faults faults of the files and of the chain; empty if they are unchanged
+ * @param lastRecordEnd end of the last complete record, in bytes from the start of the last file
  */
 public record AuditLog(List<ChainedRecord> records, List<ChainFault> faults, long lastRecordEnd) {
-    /** The records that can be read; each of the others is among the faults. */
+    /** Returns the records that can be decoded; the faults include all others. */
     public List<AuditRecord> decodedRecords() {
         List<AuditRecord> decoded = new ArrayList<>();
         for (ChainedRecord record : records) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Where the chain ends. */
+    /** Returns the head of the chain. */
     public ChainHead head() {
         return HashChain.continuing(lastRecord()).head();
     }
--- a/src/main/java/ochretiller/audit/files/AuditLogFile.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogFile.java
@@ -14,12 +14,12 @@
 import ochretiller.audit.HashChain;
 
 /**
- * The end of an audit on disk: appends groups of records to the newest file, goes on with the next
- * one at its size, and deletes the oldest. Not safe for several threads; owned by who opened it,
- * then by the writer's thread.
+ * Appends groups of records to the newest file of an audit, starts the next file when the maximum
+ * size is reached, and deletes the oldest files. Not thread-safe; owned by its creator, then by the
+ * writer thread.
  */
 final class AuditLogFile implements Closeable {
-    /** The bytes of an audit are spread over this many files; the oldest goes as a whole. */
+    /** Number of files that make up an audit; the oldest is deleted as a whole. */
     private static final int MAX_FILES = 16;
 
     private static final long MIN_FILE_BYTES = 64 * 1024;
@@ -31,10 +31,10 @@
     private long fileBytes;
 
     /**
-     * Goes on after what is there; a record that a crash has torn is cut off.
+     * Opens the newest file, and truncates it if a crash left an incomplete record at its end.
      *
-     * @param existing what {@link AuditLogReader} has read in the directory
-     * @param maxBytes of all files together, approximately
+     * @param existing content of the directory, read by {@link AuditLogReader}
+     * @param maxBytes approximate maximum size of all files together
      */
     AuditLogFile(Path directory, AuditLog existing, long maxBytes) throws IOException {
         this.directory = directory;
@@ -51,16 +51,16 @@
         }
     }
 
-    /** Where the chain on disk ends. */
+    /** Returns the head of the chain on disk. */
     ChainHead head() {
         return chain.head();
     }
 
     /**
-     * Appends a group of records and forces it. Either all of it is on stable storage, or the chain
-     * stays as it was.
+     * Appends a group of records and forces it to stable storage. The chain changes only if all of
+     * the group was stored.
      *
-     * @throws IOException where the disk does not take the group
+     * @throws IOException if the group cannot be written
      */
     void append(List<AuditRecord> group) throws IOException {
         if (file.isEmpty() || fileBytes >= maxFileBytes) {
@@ -68,7 +68,7 @@
         }
         HashChain extended = HashChain.copyOf(chain);
         FileChannel channel = file.orElseThrow();
-        long before = fileBytes;
+        long sizeBefore = fileBytes;
         try {
             long bytes = 0;
             for (AuditRecord record : group) {
@@ -81,10 +81,10 @@
             channel.force(false);
             fileBytes += bytes;
         } catch (IOException e) {
-            // Part of the group may have been written: without the cut the next record would stand
-            // behind half a record.
-            channel.truncate(before);
-            channel.position(before);
+            // Part of the group may have been written: without truncation the next record would
+            // follow an incomplete one.
+            channel.truncate(sizeBefore);
+            channel.position(sizeBefore);
             throw e;
         }
         chain = extended;
--- a/src/main/java/ochretiller/audit/files/AuditLogReader.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogReader.java
@@ -13,8 +13,8 @@
 import ochretiller.audit.ChainedRecord;
 
 /**
- * Reads the files of any server's audit, and changes nothing. Used once, by one thread, through
- * {@link #read}.
+ * Reads and verifies the audit files of any server without changing them. Each instance serves one
+ * call of {@link #read}.
  */
 public final class AuditLogReader {
     private final List<ChainedRecord> records = new ArrayList<>();
@@ -24,11 +24,11 @@
     private AuditLogReader() {}
 
     /**
-     * Reads all files and checks them against themselves and against what others know.
+     * Reads all files and verifies their chain, also against the known heads.
      *
-     * @param knownHeads heads of this chain that others were told of
-     * @throws IOException where a file cannot be read; damage in what was read is among the
-     *     result's faults instead
+     * @param knownHeads heads of this chain that peers have recorded
+     * @throws IOException if a file cannot be read; damaged content is reported in the result's
+     *     faults instead
      */
     public static AuditLog read(Path directory, List<ChainHead> knownHeads) throws IOException {
         AuditLogReader reader = new AuditLogReader();
@@ -57,8 +57,8 @@
     }
 
     /**
-     * At the end of the last file it is a torn write, of which nobody was told; anywhere else it is
-     * damage.
+     * Reports an incomplete record. At the end of the last file it is a torn write, which no peer
+     * was told of; elsewhere it is damage.
      */
     private void reportTornRecord(Path file, boolean isLast) {
         long number = records.isEmpty() ? 1 : records.get(records.size() - 1).number() + 1;
@@ -70,7 +70,7 @@
     private void checkBodies() {
         for (ChainedRecord record : records) {
             if (!record.isIntact()) {
-                continue; // the chain's check has reported it
+                continue; // reported by ChainVerifier
             }
             try {
                 AuditRecordCodec.decode(record.body());
--- a/src/main/java/ochretiller/audit/files/AuditLogWriter.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogWriter.java
@@ -20,30 +20,26 @@
 import ochretiller.audit.ChainHead;
 
 /**
- * Writes a server's audit on a thread of its own. {@link #add} never waits for the disk and may be
- * called by any thread, as may the getters. Records that the disk does not take, or that come
- * faster than it takes them, are lost; the next record that can be written says how many.
+ * Writes a server's audit on a thread of its own. {@link #add} never blocks on the disk; it and the
+ * getters are thread-safe. Records are lost if the queue is full or writing fails; the next group
+ * that is written starts with a record of their number.
  */
 public final class AuditLogWriter implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(AuditLogWriter.class.getName());
 
-    /** Most records that wait for the disk. */
-    private static final int MAX_QUEUED = 20_000;
+    /** Maximum number of records that wait for the disk. */
+    private static final int MAX_QUEUED_RECORDS = 20_000;
 
-    /** Most records of one force; fewer than make a file. */
-    private static final int MAX_GROUP = 200;
+    /** Maximum number of records per force; smaller than a file. */
+    private static final int MAX_GROUP_RECORDS = 200;
 
-    /**
-     * How long the thread waits for a record before it looks whether it is to end, milliseconds.
-     */
+    /** Maximum time to wait for a record before checking whether the writer is closed. */
     private static final long IDLE_MILLIS = 200;
 
-    /**
-     * How long others may gather behind a group, so that they go out with one force, milliseconds.
-     */
-    private static final long GATHER_MILLIS = IDLE_MILLIS / 4;
+    /** Pause after a group, during which more records are queued for the next force. */
+    private static final long GROUPING_PAUSE_MILLIS = IDLE_MILLIS / 4;
 
-    /** Pause after a failure of the disk, milliseconds. */
+    /** Pause after a failed write. */
     private static final long FAILURE_PAUSE_MILLIS = 5 * IDLE_MILLIS;
 
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
@@ -51,10 +47,10 @@
     private final LongSupplier unixMillis;
     private final AuditLogFile log;
     private final List<ChainFault> recoveredFaults;
-    private final BlockingQueue<AuditRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED);
+    private final BlockingQueue<AuditRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED_RECORDS);
     private final Thread thread = new Thread(this::run, "audit");
 
-    /** Counted by those who add and by the writer's thread. */
+    /** Incremented by callers of {@link #add} and by the writer thread. */
     private final AtomicLong lostRecords = new AtomicLong();
 
     private final AtomicLong writtenRecords = new AtomicLong();
@@ -62,19 +58,19 @@
     private volatile boolean closing;
 
     /**
-     * The writer thread's own: how many lost records the log tells of, and whether the last write
-     * failed.
+     * Number of lost records that the audit on disk states. Used by the writer thread only, as is
+     * {@link #diskFailed}.
      */
     private long reportedLosses;
 
     private boolean diskFailed;
 
     /**
-     * Goes on after what the directory holds, creating it where it does not exist.
+     * Continues the audit in the directory, which is created if it does not exist.
      *
-     * @param maxBytes of all files together, approximately
+     * @param maxBytes approximate maximum size of all files together
      * @param unixMillis clock for the records that the writer itself adds
-     * @throws IOException where the directory cannot be read or its newest file not be written
+     * @throws IOException if the directory cannot be read or its newest file cannot be written
      */
     public AuditLogWriter(Path directory, long maxBytes, LongSupplier unixMillis)
             throws IOException {
@@ -87,62 +83,62 @@
         thread.setDaemon(true);
     }
 
-    /** What was wrong with what the directory held. */
+    /** Returns the faults found in the directory when it was opened. */
     public List<ChainFault> recoveredFaults() {
         return recoveredFaults;
     }
 
-    /** Starts the writer's thread; records may be added before. */
+    /** Starts the writer thread. Records may be added before. */
     public void start() {
         thread.start();
     }
 
-    /** Queues a record; where the queue is full it is lost, and counted. */
+    /** Queues a record; if the queue is full, the record is dropped and counted as lost. */
     public void add(AuditRecord record) {
         if (!queue.offer(record)) {
             lostRecords.incrementAndGet();
         }
     }
 
-    /** Where the chain on disk ends. */
+    /** Returns the head of the chain on disk. */
     public ChainHead head() {
         return head;
     }
 
-    /** Records that the disk did not take. */
+    /** Returns the number of records lost because the queue was full or writing failed. */
     public long lostRecords() {
         return lostRecords.get();
     }
 
-    /** Records that are on stable storage. */
+    /** Returns the number of records that this writer has stored durably. */
     public long writtenRecords() {
         return writtenRecords.get();
     }
 
-    /** Records that wait for the disk. */
+    /** Returns the number of records that wait for the disk. */
     public int queuedRecords() {
         return queue.size();
     }
 
     private void run() {
-        boolean isOver = false;
-        while (!isOver) {
+        boolean isFinished = false;
+        while (!isFinished) {
             try {
-                isOver = !writeNextGroup();
+                isFinished = !writeNextGroup();
             } catch (InterruptedException e) {
-                LOG.warning("the audit's thread is interrupted, and goes on");
+                LOG.warning("audit: the writer thread was interrupted and continues");
             }
         }
         try {
             log.close();
         } catch (IOException e) {
-            LOG.warning("the audit cannot be closed: " + e.getMessage());
+            LOG.warning("audit: cannot close the newest file: " + e.getMessage());
         }
     }
 
     /**
-     * Waits for records and writes a group of them; false once the writer is closed and nothing is
-     * left.
+     * Waits for records and writes a group of them. Returns false if the writer is closed and the
+     * queue is empty.
      */
     private boolean writeNextGroup() throws InterruptedException {
         Optional<AuditRecord> first =
@@ -152,7 +148,7 @@
         }
         List<AuditRecord> group = new ArrayList<>();
         group.add(first.get());
-        queue.drainTo(group, MAX_GROUP - group.size());
+        queue.drainTo(group, MAX_GROUP_RECORDS - group.size());
         long losses = lostRecords.get();
         if (losses > reportedLosses) {
             group.add(0, lossEvent(losses - reportedLosses));
@@ -180,7 +176,7 @@
             log.append(group);
         } catch (IOException e) {
             if (!diskFailed) {
-                LOG.warning("the audit's disk does not take records: " + e.getMessage());
+                LOG.warning("audit: cannot write records: " + e.getMessage());
             }
             diskFailed = true;
             return false;
@@ -188,7 +184,7 @@
         head = log.head();
         writtenRecords.addAndGet(group.size());
         if (diskFailed) {
-            LOG.info("the audit's disk takes records again");
+            LOG.info("audit: records can be written again");
         }
         diskFailed = false;
         return true;
@@ -197,14 +193,14 @@
     private void pause() throws InterruptedException {
         if (diskFailed) {
             Thread.sleep(FAILURE_PAUSE_MILLIS);
-        } else if (queue.size() < MAX_GROUP && !closing) {
-            Thread.sleep(GATHER_MILLIS);
+        } else if (queue.size() < MAX_GROUP_RECORDS && !closing) {
+            Thread.sleep(GROUPING_PAUSE_MILLIS);
         }
     }
 
     /**
-     * Writes what is queued; returns once it is written, or after two seconds. An interrupt ends
-     * the wait and is kept.
+     * Writes the queued records and returns when they are written, or after two seconds. If the
+     * caller is interrupted, the wait ends and the interrupt status is set.
      */
     @Override
     public void close() {
--- a/src/main/java/ochretiller/audit/files/AuditRecordCodec.java
+++ b/src/main/java/ochretiller/audit/files/AuditRecordCodec.java
@@ -17,8 +17,8 @@
 import ochretiller.audit.VersionPeriod;
 
 /**
- * Encodes and decodes records: an array in CBOR (RFC 8949), its kind first. Layout: {@code
- * docs/audit-format.md}, which golden files pin. Stateless; safe for any thread.
+ * Encodes and decodes records as CBOR arrays (RFC 8949) that start with the kind. {@code
+ * docs/audit-format.md} specifies the layout; golden files pin it. Stateless and thread-safe.
  */
 final class AuditRecordCodec {
     private static final CBORFactory CBOR = new CBORFactory();
@@ -26,68 +26,68 @@
     private static final int EVENT = 2;
     private static final int KEYED_RUN = 3;
     private static final int MAX_OPERATIONS = 1_000;
-    private static final int INITIAL_BYTES = 128;
+    private static final int INITIAL_BUFFER_BYTES = 128;
 
     private AuditRecordCodec() {}
 
     static byte[] encode(AuditRecord record) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
-        try (CBORGenerator to = CBOR.createGenerator(out)) {
-            to.writeStartArray();
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
+        try (CBORGenerator generator = CBOR.createGenerator(out)) {
+            generator.writeStartArray();
             if (record instanceof VersionPeriod period) {
-                write(to, period);
+                write(generator, period);
             } else if (record instanceof AuditEvent event) {
-                write(to, event);
+                write(generator, event);
             } else if (record instanceof KeyedRun run) {
-                write(to, run);
+                write(generator, run);
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("a buffer in memory does not fail", e);
+            throw new UncheckedIOException("I/O error on an in-memory buffer", e);
         }
         return out.toByteArray();
     }
 
-    private static void write(CBORGenerator to, VersionPeriod period) throws IOException {
-        to.writeNumber(VERSION_PERIOD);
-        to.writeNumber(period.version());
-        to.writeString(period.versionHash());
-        to.writeNumber(period.startMillis());
-        to.writeNumber(period.endMillis());
-        to.writeNumber(period.monotonicMillis());
-        to.writeStartArray();
+    private static void write(CBORGenerator out, VersionPeriod period) throws IOException {
+        out.writeNumber(VERSION_PERIOD);
+        out.writeNumber(period.version());
+        out.writeString(period.versionHash());
+        out.writeNumber(period.startMillis());
+        out.writeNumber(period.endMillis());
+        out.writeNumber(period.monotonicMillis());
+        out.writeStartArray();
         for (Map.Entry<String, InvocationCounts> operation :
                 new TreeMap<>(period.operations()).entrySet()) {
             InvocationCounts counts = operation.getValue();
-            to.writeString(operation.getKey());
-            to.writeNumber(counts.received());
-            to.writeNumber(counts.executed());
-            to.writeNumber(counts.replayed());
-            to.writeNumber(counts.throttled());
-            to.writeNumber(counts.errored());
+            out.writeString(operation.getKey());
+            out.writeNumber(counts.received());
+            out.writeNumber(counts.executed());
+            out.writeNumber(counts.replayed());
+            out.writeNumber(counts.throttled());
+            out.writeNumber(counts.errored());
         }
-        to.writeEndArray();
+        out.writeEndArray();
     }
 
-    private static void write(CBORGenerator to, AuditEvent event) throws IOException {
-        to.writeNumber(EVENT);
-        to.writeNumber(event.kind().code());
-        to.writeNumber(event.version());
-        to.writeNumber(event.atMillis());
-        to.writeString(event.text());
+    private static void write(CBORGenerator out, AuditEvent event) throws IOException {
+        out.writeNumber(EVENT);
+        out.writeNumber(event.kind().code());
+        out.writeNumber(event.version());
+        out.writeNumber(event.atMillis());
+        out.writeString(event.text());
     }
 
-    private static void write(CBORGenerator to, KeyedRun run) throws IOException {
-        to.writeNumber(KEYED_RUN);
-        to.writeNumber(run.version());
-        to.writeNumber(run.atMillis());
-        to.writeString(run.token());
+    private static void write(CBORGenerator out, KeyedRun run) throws IOException {
+        out.writeNumber(KEYED_RUN);
+        out.writeNumber(run.version());
+        out.writeNumber(run.atMillis());
+        out.writeString(run.token());
     }
 
     /**
      * Decodes a record.
      *
-     * @throws IllegalArgumentException where the bytes are none, or one of a later release
+     * @throws IllegalArgumentException if the bytes are not a record that this release knows
      */
     static AuditRecord decode(byte[] bytes) {
         try (CBORParser in = CBOR.createParser(bytes)) {
--- a/src/main/java/ochretiller/audit/files/package-info.java
+++ b/src/main/java/ochretiller/audit/files/package-info.java
@@ -1,17 +1,17 @@
 /**
- * A server's audit on disk: files of chained records, one after the other, that nobody changes.
+ * A server's audit on disk, in append-only files of chained records.
  *
- * <p><b>Job.</b> {@link ochretiller.audit.files.AuditLogWriter} appends records without ever making
- * a caller wait; {@link ochretiller.audit.files.AuditLogReader} reads and checks the files of any
+ * <p><b>Job.</b> {@link ochretiller.audit.files.AuditLogWriter} appends records without blocking
+ * its callers; {@link ochretiller.audit.files.AuditLogReader} reads and verifies the files of any
  * server.
  *
- * <p><b>State.</b> One directory of files, bounded in bytes; the queue in front of the writer; the
+ * <p><b>State.</b> One directory of files of bounded total size, the queue of the writer and the
  * end of the hash chain.
  *
- * <p><b>Threads.</b> A writer thread, named {@code audit}, owns the newest file. Adding and the
- * getters are safe for any thread; a reader belongs to who calls it.
+ * <p><b>Threads.</b> A writer thread, named {@code audit}, owns the newest file. Adding records and
+ * the getters are thread-safe; a reader is confined to its caller.
  *
- * <p><b>Neighbours.</b> {@code audit} has the records and the chain; {@code node} writes; the
+ * <p><b>Neighbours.</b> {@code audit} defines the records and the chain; {@code node} writes; the
  * command {@code audit} reads.
  *
  * <p><b>Format.</b> {@code docs/audit-format.md}.
--- a/src/main/java/ochretiller/audit/package-info.java
+++ b/src/main/java/ochretiller/audit/package-info.java
@@ -1,21 +1,22 @@
 /**
- * What a server acted on and when, recorded so that a gap, an edit or a lost tail is noticed.
+ * Records which version was active on a server and when; missing, edited and truncated records are
+ * detected.
  *
- * <p><b>Job.</b> The records ({@link ochretiller.audit.AuditRecord}), the hash chain that ties them
- * together ({@link ochretiller.audit.HashChain}) and its check ({@link
+ * <p><b>Job.</b> The records ({@link ochretiller.audit.AuditRecord}), the hash chain that links
+ * them ({@link ochretiller.audit.HashChain}) and its verification ({@link
  * ochretiller.audit.ChainVerifier}), the counts of one period ({@link
- * ochretiller.audit.VersionUsage}), and what can be answered from the records of several servers
- * ({@link ochretiller.audit.FleetTimeline}).
+ * ochretiller.audit.VersionUsage}), and queries over the records of several servers ({@link
+ * ochretiller.audit.FleetTimeline}).
  *
- * <p><b>State.</b> The counts of the period under way and the end of the chain; everything else is
+ * <p><b>State.</b> The counts of the current period and the end of the chain; everything else is
  * immutable.
  *
- * <p><b>Threads.</b> Nothing here is safe for several threads. Pure: no files, clocks or packets;
- * time is handed in.
+ * <p><b>Threads.</b> The mutable classes are not thread-safe. There is no access to files, clocks
+ * or the network; callers pass the time.
  *
- * <p><b>Neighbours.</b> {@code node} reports what happens; {@code audit.files} keeps the records on
- * disk; the command {@code audit} asks the questions. Peers witness one another's chain heads
- * through {@code fleet.service}.
+ * <p><b>Neighbours.</b> {@code node} reports events; {@code audit.files} stores the records on
+ * disk; the command {@code audit} queries them. Peers record each other's chain heads through
+ * {@code fleet.service}.
  *
  * <p><b>Format.</b> {@code docs/audit-format.md}.
  */
