--- a/src/test/java/ochretiller/audit/FleetTimelineTest.java
+++ b/src/test/java/ochretiller/audit/FleetTimelineTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What can be told from the records of several servers. */
+/** Queries over the records of several servers. */
 class FleetTimelineTest {
     private static VersionPeriod period(long version, long startMillis, long endMillis) {
         return new VersionPeriod(
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void unknownTimeIsAnIntervalOfItsOwn() {
+    void timeWithoutRecordsIsAnUnknownInterval() {
         FleetTimeline timeline =
                 new FleetTimeline()
                         .addServer(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void fencedServersAndStragglersAreTold() {
+    void fencedServersAndStragglersAreReported() {
         FleetTimeline timeline =
                 new FleetTimeline()
                         .addServer("a", List.of(period(1, 0, 10_000), period(2, 10_000, 60_000)))
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void clockThatWasSetBackTellsNothingTwice() {
+    void clockSetBackCausesNoOverlappingIntervals() {
         FleetTimeline timeline =
                 new FleetTimeline()
                         .addServer("a", List.of(period(1, 0, 10_000), period(2, 5_000, 20_000)));
--- a/src/test/java/ochretiller/audit/HashChainTest.java
+++ b/src/test/java/ochretiller/audit/HashChainTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Chains in which each change is noticed. */
+/** ChainVerifier detects each change of a chain. */
 class HashChainTest {
     private static List<ChainedRecord> chain(int count, String text) {
         HashChain chain = HashChain.empty();
@@ -39,20 +39,20 @@
         assertThat(ChainVerifier.verify(records, known)).isEmpty();
         List<ChainHead> olderKnown = List.of(head(records.get(0)), head(records.get(4)));
         assertThat(ChainVerifier.verify(records.subList(3, 6), olderKnown))
-                .as("old ones are deleted by rule")
+                .as("old records may be deleted")
                 .isEmpty();
         HashChain continued = HashChain.continuing(records.get(5));
         records.add(continued.append(new byte[] {7}));
         assertThat(ChainVerifier.verify(records, List.of(continued.head())))
-                .as("it goes on after a restart")
+                .as("the chain continues after a restart")
                 .isEmpty();
     }
 
     @Test
-    void eachChangedByteIsNoticed() {
+    void eachChangedByteIsDetected() {
         List<ChainedRecord> good = chain(4);
-        for (int which = 0; which < 4; which++) {
-            ChainedRecord record = good.get(which);
+        for (int index = 0; index < 4; index++) {
+            ChainedRecord record = good.get(index);
             long number = record.number();
             byte[] previousHash = record.previousHash();
             byte[] hash = record.hash();
@@ -60,30 +60,30 @@
             for (int i = 0; i < body.length; i++) {
                 ChainedRecord changed =
                         new ChainedRecord(number, previousHash, hash, flipped(body, i));
-                assertThat(faults(good, which, changed)).isNotEmpty();
+                assertThat(faults(good, index, changed)).isNotEmpty();
             }
             for (int i = 0; i < HashChain.HASH_BYTES; i++) {
                 ChainedRecord changedPrevious =
                         new ChainedRecord(number, flipped(previousHash, i), hash, body);
-                assertThat(faults(good, which, changedPrevious)).isNotEmpty();
+                assertThat(faults(good, index, changedPrevious)).isNotEmpty();
                 ChainedRecord changedHash =
                         new ChainedRecord(number, previousHash, flipped(hash, i), body);
-                assertThat(faults(good, which, changedHash)).isNotEmpty();
+                assertThat(faults(good, index, changedHash)).isNotEmpty();
             }
             ChainedRecord renumbered = new ChainedRecord(number + 1, previousHash, hash, body);
-            assertThat(faults(good, which, renumbered)).isNotEmpty();
+            assertThat(faults(good, index, renumbered)).isNotEmpty();
         }
     }
 
     private static List<ChainFault> faults(
-            List<ChainedRecord> good, int which, ChainedRecord replacement) {
+            List<ChainedRecord> good, int index, ChainedRecord replacement) {
         List<ChainedRecord> records = new ArrayList<>(good);
-        records.set(which, replacement);
+        records.set(index, replacement);
         return ChainVerifier.verify(records, List.of(head(good.get(3))));
     }
 
     @Test
-    void missingSwappedAndLostRecordsAreNoticed() {
+    void missingSwappedAndLostRecordsAreDetected() {
         List<ChainedRecord> records = chain(6);
         ChainHead last = head(records.get(5));
         List<ChainedRecord> gap = new ArrayList<>(records);
@@ -99,15 +99,15 @@
                 .extracting(ChainFault::description)
                 .anyMatch(text -> text.contains("the last 2 records are lost"));
         assertThat(ChainVerifier.verify(List.of(), List.of(last)))
-                .as("all of it is gone")
+                .as("all records are lost")
                 .isNotEmpty();
     }
 
     @Test
-    void chainThatWasWrittenAnewIsNoticedByWhatOthersKnow() {
+    void rewrittenChainIsDetectedByAKnownHead() {
         ChainHead last = head(chain(6).get(5));
         List<ChainedRecord> forged = chain(6, "forged ");
-        assertThat(ChainVerifier.verify(forged, List.of())).as("its hashes fit").isEmpty();
+        assertThat(ChainVerifier.verify(forged, List.of())).as("its hashes match").isEmpty();
         assertThat(ChainVerifier.verify(forged, List.of(last)))
                 .extracting(ChainFault::description)
                 .containsExactly("others know it otherwise");
--- a/src/test/java/ochretiller/audit/VersionUsageTest.java
+++ b/src/test/java/ochretiller/audit/VersionUsageTest.java
@@ -7,7 +7,7 @@
 
 class VersionUsageTest {
     @Test
-    void periodEndsWithItsVersionAndHasWhatWasCountedMeanwhile() {
+    void periodEndsWithItsVersionAndContainsItsCounts() {
         VersionUsage usage = new VersionUsage(Duration.ofSeconds(60));
         usage.startPeriod(1_000, Duration.ZERO);
         usage.switchVersion(1, "", 1_000, Duration.ZERO);
@@ -21,7 +21,7 @@
         assertThat(first.clockStepMillis()).isZero();
         VersionPeriod stepped = usage.closeIfDue(3_711_000, Duration.ofSeconds(110)).orElseThrow();
         assertThat(stepped.clockStepMillis())
-                .as("its clock was set forward by an hour")
+                .as("the Unix clock was set forward by an hour")
                 .isEqualTo(3_600_000);
         assertThat(stepped.totals()).isEqualTo(InvocationCounts.NONE);
         for (int i = 0; i < 1_000; i++) {
--- a/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An audit's records and its file as they are on disk, by {@code docs/audit-format.md}. */
+/** Records and files have the bytes that {@code docs/audit-format.md} specifies. */
 class AuditGoldenTest {
     private static final GoldenFile RECORDS = new GoldenFile("audit-records");
     private static final GoldenFile FILES = new GoldenFile("audit-files");
@@ -66,14 +66,14 @@
     }
 
     @Test
-    void eachRecordIsWrittenAsItsGoldenBytes() {
+    void eachRecordIsEncodedAsItsGoldenBytes() {
         Map<String, byte[]> written = new LinkedHashMap<>();
         records().forEach((name, record) -> written.put(name, AuditRecordCodec.encode(record)));
         RECORDS.assertHolds(written);
     }
 
     @Test
-    void eachGoldenRecordIsReadBack() {
+    void eachGoldenRecordIsDecoded() {
         records()
                 .forEach(
                         (name, record) ->
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void goldenFileIsReadBackAsAChainWithoutFault() throws IOException {
+    void goldenFileIsReadAsAChainWithoutFaults() throws IOException {
         Files.write(directory.resolve(FILE), FILES.bytes(FILE));
         HashChain chain = HashChain.empty();
         records().values().forEach(record -> chain.append(AuditRecordCodec.encode(record)));
--- a/src/test/java/ochretiller/audit/files/AuditLogReaderTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditLogReaderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An audit's files: read back as written, each damage reported, and continued after a crash. */
+/** Audit files are read as written, damage is reported, and writing resumes after a crash. */
 class AuditLogReaderTest {
     private static final long MAX_BYTES = 1 << 20;
     private static final List<AuditRecord> RECORDS =
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void recordsAreReadBackAsWrittenOverRestarts() throws IOException {
+    void recordsAreReadAsWrittenAcrossRestarts() throws IOException {
         write(RECORDS);
         ChainHead head = write(RECORDS);
         assertThat(head.number()).isEqualTo(8);
@@ -65,22 +65,22 @@
     }
 
     @Test
-    void cutAtEachByteIsReportedAndTheLogGoesOnBehindIt() throws IOException {
+    void truncationAtEachByteIsReportedAndWritingResumes() throws IOException {
         ChainHead head = write(RECORDS);
         byte[] whole = Files.readAllBytes(onlyFile());
         for (int length = 0; length < whole.length; length++) {
             Files.write(onlyFile(), Arrays.copyOf(whole, length));
             assertThat(AuditLogReader.read(directory, List.of(head)).faults())
-                    .as("cut at " + length)
+                    .as("truncated to " + length + " bytes")
                     .isNotEmpty();
         }
         Files.write(onlyFile(), Arrays.copyOf(whole, whole.length - 3));
         write(List.of(new AuditEvent(AuditEventKind.STARTED, 1, 3_000, "again")));
         AuditLog log = AuditLogReader.read(directory, List.of());
-        assertThat(log.faults()).as("half a record is cut off").isEmpty();
+        assertThat(log.faults()).as("the incomplete record is removed").isEmpty();
         assertThat(log.decodedRecords()).hasSize(4);
         assertThat(AuditLogReader.read(directory, List.of(head)).faults())
-                .as("others know what was there")
+                .as("the known head shows the lost record")
                 .isNotEmpty();
     }
 
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void oldFilesAreDeletedAsAWholeAndTheRestIsStillAChain() throws IOException {
+    void oldFilesAreDeletedAndTheOthersRemainAValidChain() throws IOException {
         AuditLogWriter writer = new AuditLogWriter(directory, MAX_BYTES, () -> 0);
         writer.start();
         for (int i = 0; i < 15_000; i++) {
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void recordsThatTheDiskDoesNotTakeAreCountedAndReported() throws Exception {
+    void recordsBeyondTheQueueLimitAreCountedAndReported() throws Exception {
         AuditLogWriter writer = new AuditLogWriter(directory, 16 * MAX_BYTES, () -> 77);
         for (int i = 0; i < 20_010; i++) {
             writer.add(new KeyedRun(1, i, "token " + i));
--- a/src/test/java/ochretiller/fleet/transport/CborReaderTest.java
+++ b/src/test/java/ochretiller/fleet/transport/CborReaderTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Values that a peer sends, and how those that cannot be are told. */
+/** Integers from peers: those that do not fit are reported as malformed content. */
 class CborReaderTest {
     private static CborReader readerOf(long value) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -21,15 +21,15 @@
     }
 
     @Test
-    void anIntegerOf32BitsIsRead() throws IOException {
+    void largest32BitIntegerIsRead() throws IOException {
         try (CborReader reader = readerOf(Integer.MAX_VALUE)) {
             assertThat(reader.readInt()).isEqualTo(Integer.MAX_VALUE);
         }
     }
 
-    /** The packet's decoder knows this exception; another one would end the thread that reads. */
+    /** PacketCodec catches this exception; any other would end the reader thread. */
     @Test
-    void anIntegerBeyond32BitsIsMalformed() throws IOException {
+    void integerBeyond32BitsIsRejected() throws IOException {
         try (CborReader reader = readerOf(1L + Integer.MAX_VALUE)) {
             assertThatThrownBy(reader::readInt)
                     .isInstanceOf(IllegalArgumentException.class)
--- a/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
+++ b/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
@@ -36,11 +36,11 @@
 import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
 import org.junit.jupiter.api.Test;
 
-/** The envelope: what goes in comes out, and nothing else is taken. */
+/** Packets are decoded as they were encoded; altered, replayed or excess ones are rejected. */
 class PacketCodecTest {
     private static final String KEY = "a key that is long enough";
     private final PacketCodec codec = new PacketCodec("parts", FleetKeys.of(KEY));
-    private final Member from =
+    private final Member sender =
             new Member(
                     new MemberId("n1", -5),
                     new PeerAddress("10.0.0.1", 4200),
@@ -49,7 +49,7 @@
                     Optional.of(new PeerAddress("10.0.0.1", 4100)),
                     3,
                     MemberState.ALIVE);
-    private final MembershipMessage.Gossip news =
+    private final MembershipMessage.Gossip gossip =
             new MembershipMessage.Gossip(
                     List.of(
                             new MembershipUpdate(-9, 4, MemberState.SUSPECT, 8),
@@ -64,39 +64,40 @@
                                     0,
                                     MemberState.JOINING)));
 
-    private List<MembershipMessage> all() {
+    private List<MembershipMessage> membershipMessages() {
         return List.of(
-                new MembershipMessage.Ping(1, -2, news, Long.MIN_VALUE),
-                new MembershipMessage.Ack(Long.MAX_VALUE, news, 5),
+                new MembershipMessage.Ping(1, -2, gossip, Long.MIN_VALUE),
+                new MembershipMessage.Ack(Long.MAX_VALUE, gossip, 5),
                 new MembershipMessage.PingRequest(3, 4, new PeerAddress("10.0.0.9", 65535)),
                 new MembershipMessage.IndirectAck(
                         9, new MembershipUpdate(1, 2, MemberState.ALIVE, 0)),
                 new MembershipMessage.DigestSync(List.of(1L, -1L, 0L), true),
-                new MembershipMessage.UpdatePage(news.updates()),
+                new MembershipMessage.UpdatePage(gossip.updates()),
                 new MembershipMessage.MemberRequest(List.of(4L, 5L)),
-                new MembershipMessage.MemberPage(news.members()));
+                new MembershipMessage.MemberPage(gossip.members()));
     }
 
-    private static void refused(ThrowingCallable call, RejectReason why) {
+    private static void assertRejected(ThrowingCallable call, RejectReason expectedReason) {
         assertThatThrownBy(call)
                 .isInstanceOfSatisfying(
-                        RejectedPacketException.class, e -> assertThat(e.reason()).isEqualTo(why));
+                        RejectedPacketException.class,
+                        e -> assertThat(e.reason()).isEqualTo(expectedReason));
     }
 
     @Test
-    void eachKindComesBackAsItWas() throws RejectedPacketException {
-        for (MembershipMessage message : all()) {
-            byte[] bytes = codec.seal(new MembershipPacket(from, message), 77);
+    void membershipMessagesAreDecodedAsEncoded() throws RejectedPacketException {
+        for (MembershipMessage message : membershipMessages()) {
+            byte[] bytes = codec.seal(new MembershipPacket(sender, message), 77);
             ReceivedPacket opened = codec.open(bytes, bytes.length);
-            assertThat(opened.packet()).isEqualTo(new MembershipPacket(from, message));
+            assertThat(opened.packet()).isEqualTo(new MembershipPacket(sender, message));
             assertThat(opened.sequence()).isEqualTo(77);
         }
     }
 
-    private static List<Object> aboutCopies() {
+    private static List<Object> otherMessages() {
         ClaimId id = new ClaimId("s", -7, 3);
         ClaimOutcome outcome = new ClaimOutcome(true, "body", "caf\u00e9");
-        ReplicaPlacement layout =
+        ReplicaPlacement placement =
                 new ReplicaPlacement(
                         4,
                         List.of(new ReplicaServer("a", "1"), new ReplicaServer("b", "")),
@@ -109,20 +110,20 @@
                         Set.of(new ClaimId("t", 1, 1)),
                         Map.of(id, outcome),
                         Duration.ZERO);
-        List<ReplicationMessage.TransferredEntry> items =
+        List<ReplicationMessage.TransferredEntry> entries =
                 List.of(
                         new ReplicationMessage.TransferredEntry("x", entry, Duration.ofMillis(5)),
                         new ReplicationMessage.TransferredEntry("y", entry, Duration.ofMillis(6)));
         return List.of(
                 new ConsensusMessage.Prepare(1, ballot),
                 new ConsensusMessage.Promise(1, ballot, Ballot.NONE, Optional.empty()),
-                new ConsensusMessage.Promise(1, ballot, ballot, Optional.of(layout)),
-                new ConsensusMessage.Accept(1, ballot, layout),
+                new ConsensusMessage.Promise(1, ballot, ballot, Optional.of(placement)),
+                new ConsensusMessage.Accept(1, ballot, placement),
                 new ConsensusMessage.Accepted(1, ballot),
                 new ConsensusMessage.Nack(1, ballot, ballot),
-                new ConsensusMessage.Committed(layout),
+                new ConsensusMessage.Committed(placement),
                 new ConsensusMessage.RecoveryQuery(9),
-                new ConsensusMessage.RecoveryReply(9, 8, layout),
+                new ConsensusMessage.RecoveryReply(9, 8, placement),
                 new ConsensusMessage.StateLost(1, -2),
                 new ConsensusMessage.AllStateLost(Map.of("a", 1L, "b", -2L)),
                 new ConsensusMessage.ReplicaProgress(4, 17),
@@ -162,7 +163,7 @@
                         new ReplicationMessage.RangeCursor(Long.MAX_VALUE, ""),
                         Optional.empty(),
                         List.of(7L, -7L),
-                        Optional.of(layout)),
+                        Optional.of(placement)),
                 new ReplicationMessage.RangeRequest(
                         4,
                         255,
@@ -176,7 +177,7 @@
                         4,
                         0,
                         3,
-                        items,
+                        entries,
                         new ReplicationMessage.RangeCursor(7, "y"),
                         true,
                         false,
@@ -207,7 +208,7 @@
                 new RolloutMessage.VersionOffer("b".repeat(64), 9),
                 new RolloutMessage.VersionStored("b".repeat(64)),
                 new ConsensusMessage.Committed(
-                        layout.with(
+                        placement.with(
                                 new RolloutState(
                                         new PublishedVersion(
                                                 2, "c".repeat(64), 10, "1.2", "ann", "why"),
@@ -217,16 +218,16 @@
     }
 
     @Test
-    void whatIsSaidOfEpochsAndTokensComesBackAsItWas() throws RejectedPacketException {
-        for (Object message : aboutCopies()) {
-            byte[] bytes = codec.seal(from, message, 5);
+    void otherMessagesAreDecodedAsEncodedAndAlteredOnesDoNoHarm() throws RejectedPacketException {
+        for (Object message : otherMessages()) {
+            byte[] bytes = codec.seal(sender, message, 5);
             assertThat(codec.open(bytes, bytes.length).message()).isEqualTo(message);
             for (int i = 6; i < bytes.length - FleetKeys.SEAL_BYTES; i++) {
-                byte[] bad = bytes.clone();
-                bad[i] ^= 0x15;
-                sealed(bad);
+                byte[] altered = bytes.clone();
+                altered[i] ^= 0x15;
+                reseal(altered);
                 try {
-                    codec.open(bad, bad.length);
+                    codec.open(altered, altered.length);
                 } catch (RejectedPacketException e) {
                     assertThat(e.reason())
                             .isIn(
@@ -239,43 +240,43 @@
     }
 
     @Test
-    void theLargestLayoutThatIsWishedForGoesInOnePacket() throws RejectedPacketException {
+    void largestPlacementFitsInOnePacket() throws RejectedPacketException {
         for (int length : new int[] {1, 6, 30, 64}) {
-            ReplicaPlacement layout = ReplicaPlacement.empty(3);
-            for (int i = 0; i < 1_000 && layout.with(longest(i, length)).fitsInPacket(); i++) {
-                layout = layout.with(longest(i, length));
+            ReplicaPlacement placement = ReplicaPlacement.empty(3);
+            for (int i = 0; i < 1_000 && placement.with(server(i, length)).fitsInPacket(); i++) {
+                placement = placement.with(server(i, length));
             }
-            assertThat(layout.servers().size())
+            assertThat(placement.servers().size())
                     .isGreaterThan(15)
                     .isLessThanOrEqualTo(ReplicaPlacement.MAX_SERVERS);
             byte[] bytes =
                     codec.seal(
-                            from,
+                            sender,
                             new ReplicationMessage.RangeRequest(
-                                    layout.epoch(),
+                                    placement.epoch(),
                                     255,
                                     Long.MAX_VALUE,
                                     ReplicationMessage.WalkOrder.TOKEN_NAME,
                                     new ReplicationMessage.RangeCursor(-5, "x".repeat(200)),
                                     Optional.of(SetSketch.fromBytes(new byte[24 * 14])),
                                     List.of(),
-                                    Optional.of(layout)),
+                                    Optional.of(placement)),
                             Long.MAX_VALUE);
             assertThat(codec.open(bytes, bytes.length).message()).isNotNull();
         }
     }
 
-    private static ReplicaServer longest(int number, int length) {
+    private static ReplicaServer server(int number, int length) {
         return new ReplicaServer(
                 number + "n".repeat(Math.max(0, length - 3)),
                 "z" + "z".repeat(Math.max(0, length - 2)) + number % 3);
     }
 
     @Test
-    void aTokenThatNoKeyHasRoomForIsRefused() {
+    void tokenThatDoesNotFitAStoreKeyIsRejected() {
         byte[] bytes =
                 codec.seal(
-                        from,
+                        sender,
                         new ReplicationMessage.ClaimQuery(
                                 1, "\u20ac".repeat(90), new ClaimId("s", 1, 1)),
                         5);
@@ -284,117 +285,124 @@
     }
 
     @Test
-    void eachByteThatIsAnotherIsRefused() {
-        byte[] good = codec.seal(new MembershipPacket(from, all().get(0)), 1);
-        for (int i = 0; i < good.length; i++) {
-            byte[] bad = good.clone();
-            bad[i] ^= 0x41;
-            assertThatThrownBy(() -> codec.open(bad, bad.length))
+    void eachAlteredByteAndEachTruncationIsRejected() {
+        byte[] packet = codec.seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
+        for (int i = 0; i < packet.length; i++) {
+            byte[] altered = packet.clone();
+            altered[i] ^= 0x41;
+            assertThatThrownBy(() -> codec.open(altered, altered.length))
                     .isInstanceOf(RejectedPacketException.class);
         }
-        for (int length = 0; length < good.length; length++) {
-            int cut = length;
-            assertThatThrownBy(() -> codec.open(Arrays.copyOf(good, cut), cut))
+        for (int length = 0; length < packet.length; length++) {
+            int truncatedLength = length;
+            assertThatThrownBy(
+                            () ->
+                                    codec.open(
+                                            Arrays.copyOf(packet, truncatedLength),
+                                            truncatedLength))
                     .isInstanceOf(RejectedPacketException.class);
         }
     }
 
     @Test
-    void anotherKeyOrFleetIsNamed() {
-        byte[] other =
+    void packetsOfAnotherKeyOrFleetAreRejectedWithTheirReason() {
+        byte[] otherKey =
                 new PacketCodec("parts", FleetKeys.of("a key of somebody else's"))
-                        .seal(new MembershipPacket(from, all().get(0)), 1);
-        refused(() -> codec.open(other, other.length), RejectReason.FORGED);
-        byte[] fleet =
+                        .seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
+        assertRejected(() -> codec.open(otherKey, otherKey.length), RejectReason.FORGED);
+        byte[] otherFleet =
                 new PacketCodec("orders", FleetKeys.of(KEY))
-                        .seal(new MembershipPacket(from, all().get(0)), 1);
-        refused(() -> codec.open(fleet, fleet.length), RejectReason.OTHER_FLEET);
+                        .seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
+        assertRejected(() -> codec.open(otherFleet, otherFleet.length), RejectReason.OTHER_FLEET);
     }
 
     @Test
-    void aKeyIsChangedWithoutAPacketLost() throws RejectedPacketException {
-        PacketCodec both = new PacketCodec("parts", FleetKeys.of("the key that comes next", KEY));
-        byte[] old = codec.seal(new MembershipPacket(from, all().get(0)), 1);
-        assertThat(both.open(old, old.length).packet().sender()).isEqualTo(from);
-        PacketCodec adds = new PacketCodec("parts", FleetKeys.of(KEY, "the key that comes next"));
-        byte[] next = both.seal(new MembershipPacket(from, all().get(0)), 1);
-        assertThat(adds.open(next, next.length).packet().sender()).isEqualTo(from);
+    void keyRotationLosesNoPacket() throws RejectedPacketException {
+        PacketCodec newKeyFirst =
+                new PacketCodec("parts", FleetKeys.of("the key that comes next", KEY));
+        byte[] oldSeal = codec.seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
+        assertThat(newKeyFirst.open(oldSeal, oldSeal.length).packet().sender()).isEqualTo(sender);
+        PacketCodec newKeyLast =
+                new PacketCodec("parts", FleetKeys.of(KEY, "the key that comes next"));
+        byte[] newSeal =
+                newKeyFirst.seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
+        assertThat(newKeyLast.open(newSeal, newSeal.length).packet().sender()).isEqualTo(sender);
     }
 
-    /** What stands between head and seal, sealed anew: only somebody with the key can write it. */
-    private byte[] sealed(byte[] bytes) {
+    /** Replaces the seal of an altered packet, as only a holder of the key can. */
+    private byte[] reseal(byte[] bytes) {
         int body = bytes.length - FleetKeys.SEAL_BYTES;
         System.arraycopy(FleetKeys.of(KEY).seal(bytes, body), 0, bytes, body, FleetKeys.SEAL_BYTES);
         return bytes;
     }
 
     @Test
-    void aNewerProgramIsHeardWhereItAllowsIt() throws RejectedPacketException {
-        byte[] newer = codec.seal(new MembershipPacket(from, all().get(0)), 1);
+    void newerPacketIsAcceptedIfItsMinimumVersionIsSupported() throws RejectedPacketException {
+        byte[] newer = codec.seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
         newer[2] = 9;
-        assertThat(codec.open(sealed(newer), newer.length).packet().sender()).isEqualTo(from);
+        assertThat(codec.open(reseal(newer), newer.length).packet().sender()).isEqualTo(sender);
         newer[3] = 9;
-        refused(() -> codec.open(sealed(newer), newer.length), RejectReason.NEWER);
+        assertRejected(() -> codec.open(reseal(newer), newer.length), RejectReason.NEWER);
     }
 
     @Test
-    void noBytesHoweverSealedDoHarm() {
-        SplittableRandom chance = new SplittableRandom(3);
-        List<byte[]> good = new ArrayList<>();
-        for (MembershipMessage message : all()) {
-            good.add(codec.seal(new MembershipPacket(from, message), 1));
+    void randomBytesWithValidSealDoNoHarm() {
+        SplittableRandom random = new SplittableRandom(3);
+        List<byte[]> packets = new ArrayList<>();
+        for (MembershipMessage message : membershipMessages()) {
+            packets.add(codec.seal(new MembershipPacket(sender, message), 1));
         }
-        int taken = 0;
+        int accepted = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = good.get(i % good.size()).clone();
-            for (int hits = 1 + chance.nextInt(3); hits > 0; hits--) {
-                bytes[6 + chance.nextInt(bytes.length - 6 - FleetKeys.SEAL_BYTES)] =
-                        (byte) chance.nextInt();
+            byte[] bytes = packets.get(i % packets.size()).clone();
+            for (int changes = 1 + random.nextInt(3); changes > 0; changes--) {
+                bytes[6 + random.nextInt(bytes.length - 6 - FleetKeys.SEAL_BYTES)] =
+                        (byte) random.nextInt();
             }
-            sealed(bytes);
+            reseal(bytes);
             try {
                 codec.open(bytes, bytes.length);
-                taken++;
+                accepted++;
             } catch (RejectedPacketException e) {
                 assertThat(e.reason())
                         .isIn(RejectReason.MALFORMED, RejectReason.KIND, RejectReason.OTHER_FLEET);
             }
         }
-        assertThat(taken).as("some spoil a number only").isPositive();
+        assertThat(accepted).as("some changes alter only a number").isPositive();
     }
 
     @Test
-    void aPacketIsTakenOnceInAnyOrder() {
+    void packetIsAcceptedOnceInAnyOrder() {
         ReplayWindow window = new ReplayWindow();
-        List<Long> order = new ArrayList<>();
+        List<Long> sequences = new ArrayList<>();
         for (long i = 1; i <= 500; i++) {
-            order.add(i);
+            sequences.add(i);
         }
-        java.util.Collections.shuffle(order, new java.util.Random(1));
-        for (long i : order) {
+        java.util.Collections.shuffle(sequences, new java.util.Random(1));
+        for (long i : sequences) {
             assertThat(window.take(5, i)).isTrue();
         }
-        for (long i : order) {
+        for (long i : sequences) {
             assertThat(window.take(5, i)).isFalse();
         }
-        assertThat(window.take(6, 3)).as("another start").isTrue();
+        assertThat(window.take(6, 3)).as("another incarnation").isTrue();
         assertThat(window.take(5, 100_000)).isTrue();
-        assertThat(window.take(5, 501)).as("too far behind").isFalse();
+        assertThat(window.take(5, 501)).as("older than the window").isFalse();
         assertThat(window.take(5, 0)).isFalse();
     }
 
     @Test
-    void aFloodSpendsItsOwnBudget() {
-        PeerRateLimiter budget = new PeerRateLimiter(0);
-        InetSocketAddress loud = new InetSocketAddress("127.0.0.1", 1);
-        int taken = 0;
+    void floodIsLimitedAndDoesNotAffectOtherSources() {
+        PeerRateLimiter rateLimiter = new PeerRateLimiter(0);
+        InetSocketAddress floodSource = new InetSocketAddress("127.0.0.1", 1);
+        int accepted = 0;
         for (int i = 0; i < 10_000; i++) {
-            if (budget.tryAcquire(loud, 100, 1_000_000)) {
-                taken++;
+            if (rateLimiter.tryAcquire(floodSource, 100, 1_000_000)) {
+                accepted++;
             }
         }
-        assertThat(taken).isBetween(1_800, 2_100);
-        assertThat(budget.tryAcquire(new InetSocketAddress("127.0.0.1", 2), 100, 1_000_000))
+        assertThat(accepted).isBetween(1_800, 2_100);
+        assertThat(rateLimiter.tryAcquire(new InetSocketAddress("127.0.0.1", 2), 100, 1_000_000))
                 .isTrue();
     }
 }
