--- a/src/main/java/ochretiller/audit/AuditEventKind.java
+++ b/src/main/java/ochretiller/audit/AuditEventKind.java
@@ -5,7 +5,7 @@
 
 /** Kinds of {@link AuditEvent}, each stored as its code. */
 public enum AuditEventKind {
-    /** The server's process started; what its predecessor did last may not be recorded. */
+    /** The server's process started; the end of the previous process may be unrecorded. */
     STARTED(0),
     /** Another version became active. */
     VERSION_CHANGED(1),
--- a/src/main/java/ochretiller/audit/HashChain.java
+++ b/src/main/java/ochretiller/audit/HashChain.java
@@ -17,7 +17,7 @@
     /** Length of a hash in bytes. */
     public static final int HASH_BYTES = 32;
 
-    private static final byte[] NO_PREVIOUS_HASH = new byte[HASH_BYTES];
+    private static final byte[] INITIAL_PREVIOUS_HASH = new byte[HASH_BYTES];
 
     private long lastNumber;
     private byte[] lastHash;
@@ -29,7 +29,7 @@
 
     /** Returns an empty chain. */
     public static HashChain empty() {
-        return new HashChain(0, NO_PREVIOUS_HASH);
+        return new HashChain(0, INITIAL_PREVIOUS_HASH);
     }
 
     /** Returns a chain that continues after this record. */
@@ -66,7 +66,7 @@
 
     /** Returns whether this is the previous hash that the first record of a chain has. */
     static boolean isNoPreviousHash(byte[] hash) {
-        return Arrays.equals(hash, NO_PREVIOUS_HASH);
+        return Arrays.equals(hash, INITIAL_PREVIOUS_HASH);
     }
 
     static byte[] hash(long number, byte[] previousHash, byte[] body) {
--- a/src/main/java/ochretiller/audit/files/AuditFileFormat.java
+++ b/src/main/java/ochretiller/audit/files/AuditFileFormat.java
@@ -59,7 +59,7 @@
 
     /**
      * Reads the record at the buffer's position and advances past it. Returns empty without
-     * advancing if the record there is incomplete.
+     * advancing if there is no complete record.
      */
     static Optional<ChainedRecord> decode(ByteBuffer in) {
         if (in.remaining() < FRAME_BYTES) {
--- a/src/main/java/ochretiller/audit/files/AuditLogFile.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogFile.java
@@ -31,7 +31,7 @@
     private long fileBytes;
 
     /**
-     * Opens the newest file, and truncates it if a crash left an incomplete record at its end.
+     * Opens the newest file for appending and truncates an incomplete record that a crash has left.
      *
      * @param existing content of the directory, read by {@link AuditLogReader}
      * @param maxBytes approximate maximum size of all files together
--- a/src/main/java/ochretiller/audit/files/AuditLogReader.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogReader.java
@@ -48,7 +48,7 @@
         while (in.hasRemaining()) {
             Optional<ChainedRecord> record = AuditFileFormat.decode(in);
             if (record.isEmpty()) {
-                reportTornRecord(file, isLast);
+                reportIncompleteRecord(file, isLast);
                 return;
             }
             records.add(record.get());
@@ -60,11 +60,11 @@
      * Reports an incomplete record. At the end of the last file it is a torn write, which no peer
      * was told of; elsewhere it is damage.
      */
-    private void reportTornRecord(Path file, boolean isLast) {
+    private void reportIncompleteRecord(Path file, boolean isLast) {
         long number = records.isEmpty() ? 1 : records.get(records.size() - 1).number() + 1;
-        String what =
+        String problem =
                 isLast ? " ends in the midst of a record, at byte " : " is damaged from byte ";
-        faults.add(new ChainFault(number, file.getFileName() + what + lastRecordEnd));
+        faults.add(new ChainFault(number, file.getFileName() + problem + lastRecordEnd));
     }
 
     private void checkBodies() {
--- a/src/main/java/ochretiller/audit/files/AuditLogWriter.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogWriter.java
@@ -30,7 +30,7 @@
     /** Maximum number of records that wait for the disk. */
     private static final int MAX_QUEUED_RECORDS = 20_000;
 
-    /** Maximum number of records per force; smaller than a file. */
+    /** Maximum number of records per force; such a group is smaller than a file. */
     private static final int MAX_GROUP_RECORDS = 200;
 
     /** Maximum time to wait for a record before checking whether the writer is closed. */
@@ -58,7 +58,7 @@
     private volatile boolean closing;
 
     /**
-     * Number of lost records that the audit on disk states. Used by the writer thread only, as is
+     * Number of lost records reported in the audit on disk. Used by the writer thread only, as is
      * {@link #diskFailed}.
      */
     private long reportedLosses;
--- a/src/main/java/ochretiller/fleet/transport/AdminConnection.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminConnection.java
@@ -11,7 +11,7 @@
  * thread at a time; the tasks returned for it run on the event loop.
  */
 final class AdminConnection implements ConnectionHandler {
-    /** Bounds the life of a connection: a command that polls reconnects after this many. */
+    /** Bounds the life of a connection: a polling command reconnects after this many requests. */
     private static final int MAX_REQUESTS_PER_CONNECTION = 100;
 
     private final AdminEndpoint endpoint;
--- a/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
@@ -115,7 +115,8 @@
     private static int readRange(CborReader in) throws IOException {
         long range = in.readLong();
         if (range < 0 || range >= ReplicaPlacement.RANGE_COUNT) {
-            throw new IllegalArgumentException("range number out of bounds: " + range);
+            throw new IllegalArgumentException(
+                    "range number must be below " + ReplicaPlacement.RANGE_COUNT + ": " + range);
         }
         return (int) range;
     }
--- a/src/main/java/ochretiller/fleet/transport/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerSocket.java
@@ -24,7 +24,7 @@
 public final class PeerSocket {
     private static final Logger LOG = Logger.getLogger(PeerSocket.class.getName());
 
-    /** Maximum number of packets queued for the event loop: many times that of a view sync. */
+    /** Maximum number of packets queued for the event loop: many times what a view sync sends. */
     private static final int MAX_QUEUED_PACKETS = 1024;
 
     /** Kernel receive buffer: covers a pause of one second while views are synchronized. */
--- a/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
@@ -19,9 +19,7 @@
  * the replica's files. Stateless.
  */
 public final class ReplicaEntryCodec {
-    /**
-     * Maximum length of an idempotency key in bytes: a key of the store must fit it and a claim ID.
-     */
+    /** Maximum length of an idempotency key in bytes; a store key also holds a claim ID. */
     private static final int MAX_TOKEN_BYTES = 200;
 
     private ReplicaEntryCodec() {}
@@ -81,7 +79,10 @@
                         in.readBoolean());
         if (outcome.resultSize() < 0 || outcome.resultSize() > ClaimOutcome.MAX_RESULT_BYTES) {
             throw new IllegalArgumentException(
-                    "result size out of bounds: " + outcome.resultSize() + " bytes");
+                    "result size must be 0 to "
+                            + ClaimOutcome.MAX_RESULT_BYTES
+                            + " bytes: "
+                            + outcome.resultSize());
         }
         return outcome;
     }
--- a/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
@@ -52,7 +52,7 @@
 
     private RolloutCodec() {}
 
-    /** Returns a format that also requires the end of the body's array, after any new elements. */
+    /** Returns a format that requires the body's array to end, possibly after newer elements. */
     private static <T> MessageFormat<T> format(
             int kind,
             Class<T> type,
--- a/src/main/java/ochretiller/fleet/transport/SealedFrame.java
+++ b/src/main/java/ochretiller/fleet/transport/SealedFrame.java
@@ -13,7 +13,7 @@
     /** Maximum length of a request frame in bytes. */
     static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    /** Maximum length of a response frame in bytes: fits the view of the largest fleet. */
+    /** Maximum length of a response frame in bytes: fits the largest fleet's membership view. */
     static final int MAX_RESPONSE_BYTES = 2 << 20;
 
     /** Size in bytes of the length at the start of a frame. */
--- a/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
+++ b/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
@@ -34,7 +34,7 @@
         return sentBytes.sum();
     }
 
-    /** Returns the number of packets that the kernel did not accept for sending. */
+    /** Returns the number of packets that could not be sent. */
     public long droppedPackets() {
         return droppedPackets.sum();
     }
