--- a/src/main/java/ochretiller/audit/AuditRecord.java
+++ b/src/main/java/ochretiller/audit/AuditRecord.java
@@ -1,8 +1,6 @@
 package ochretiller.audit;
 
-/**
- * One record of a server's audit. Immutable. Times are Unix milliseconds of the server's clock.
- */
+/** One record of a server's audit. Immutable. Times are Unix milliseconds of the server's clock. */
 public sealed interface AuditRecord permits VersionPeriod, AuditEvent, KeyedRun {
     /** Returns the start of the recorded period, or the time of the recorded event. */
     long startMillis();
--- a/src/main/java/ochretiller/fleet/transport/AdminClient.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminClient.java
@@ -7,8 +7,8 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Client of a server's {@link AdminEndpoint} for operators' commands. Each request waits at
- * most {@value #TIMEOUT_MILLIS} ms for its answer. Not thread-safe.
+ * Client of a server's {@link AdminEndpoint} for operators' commands. Each request waits at most
+ * {@value #TIMEOUT_MILLIS} ms for its answer. Not thread-safe.
  */
 public final class AdminClient implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 5_000;
--- a/src/main/java/ochretiller/fleet/transport/AdminConnection.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminConnection.java
@@ -49,8 +49,7 @@
     private Runnable readGreeting() throws BadInputException {
         byte[] bytes = pendingBytes.toByteArray();
         if (bytes.length == 0 || bytes[0] != AdminEndpoint.GREETING) {
-            throw new BadInputException(
-                    "an admin connection starts without the greeting byte");
+            throw new BadInputException("an admin connection starts without the greeting byte");
         }
         isGreeted = true;
         pendingBytes.reset();
--- a/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
@@ -116,7 +116,10 @@
         long range = in.readLong();
         if (range < 0 || range >= ReplicaPlacement.RANGE_COUNT) {
             throw new IllegalArgumentException(
-                    "range number must be below " + ReplicaPlacement.RANGE_COUNT + ": " + range);
+                    "range number must be from 0, below "
+                            + ReplicaPlacement.RANGE_COUNT
+                            + ": "
+                            + range);
         }
         return (int) range;
     }
