--- a/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
@@ -116,10 +116,11 @@
         long range = in.readLong();
         if (range < 0 || range >= ReplicaPlacement.RANGE_COUNT) {
             throw new IllegalArgumentException(
-                    "range number must be from 0, below "
+                    "invalid range number "
+                            + range
+                            + ", there are "
                             + ReplicaPlacement.RANGE_COUNT
-                            + ": "
-                            + range);
+                            + " ranges");
         }
         return (int) range;
     }
