--- a/src/main/java/ochretiller/audit/FleetTimeline.java
+++ b/src/main/java/ochretiller/audit/FleetTimeline.java
@@ -109,9 +109,9 @@
         }
         Map<String, Long> millisByServer = new TreeMap<>();
         for (TimelineInterval interval : intervals) {
-            long behind = millisBehind(interval, firstActiveMillis);
-            if (behind > 0) {
-                millisByServer.merge(interval.server(), behind, Long::sum);
+            long lagMillis = millisBehind(interval, firstActiveMillis);
+            if (lagMillis > 0) {
+                millisByServer.merge(interval.server(), lagMillis, Long::sum);
             }
         }
         return millisByServer;
--- a/src/test/java/ochretiller/audit/HashChainTest.java
+++ b/src/test/java/ochretiller/audit/HashChainTest.java
@@ -26,9 +26,9 @@
         return HashChain.continuing(record).head();
     }
 
-    private static byte[] flipped(byte[] bytes, int at) {
+    private static byte[] flipped(byte[] bytes, int index) {
         byte[] changed = bytes.clone();
-        changed[at] ^= 1;
+        changed[index] ^= 1;
         return changed;
     }
 
@@ -50,9 +50,9 @@
 
     @Test
     void eachChangedByteIsDetected() {
-        List<ChainedRecord> good = chain(4);
+        List<ChainedRecord> original = chain(4);
         for (int index = 0; index < 4; index++) {
-            ChainedRecord record = good.get(index);
+            ChainedRecord record = original.get(index);
             long number = record.number();
             byte[] previousHash = record.previousHash();
             byte[] hash = record.hash();
@@ -60,26 +60,26 @@
             for (int i = 0; i < body.length; i++) {
                 ChainedRecord changed =
                         new ChainedRecord(number, previousHash, hash, flipped(body, i));
-                assertThat(faults(good, index, changed)).isNotEmpty();
+                assertThat(faults(original, index, changed)).isNotEmpty();
             }
             for (int i = 0; i < HashChain.HASH_BYTES; i++) {
                 ChainedRecord changedPrevious =
                         new ChainedRecord(number, flipped(previousHash, i), hash, body);
-                assertThat(faults(good, index, changedPrevious)).isNotEmpty();
+                assertThat(faults(original, index, changedPrevious)).isNotEmpty();
                 ChainedRecord changedHash =
                         new ChainedRecord(number, previousHash, flipped(hash, i), body);
-                assertThat(faults(good, index, changedHash)).isNotEmpty();
+                assertThat(faults(original, index, changedHash)).isNotEmpty();
             }
             ChainedRecord renumbered = new ChainedRecord(number + 1, previousHash, hash, body);
-            assertThat(faults(good, index, renumbered)).isNotEmpty();
+            assertThat(faults(original, index, renumbered)).isNotEmpty();
         }
     }
 
     private static List<ChainFault> faults(
-            List<ChainedRecord> good, int index, ChainedRecord replacement) {
-        List<ChainedRecord> records = new ArrayList<>(good);
+            List<ChainedRecord> original, int index, ChainedRecord replacement) {
+        List<ChainedRecord> records = new ArrayList<>(original);
         records.set(index, replacement);
-        return ChainVerifier.verify(records, List.of(head(good.get(3))));
+        return ChainVerifier.verify(records, List.of(head(original.get(3))));
     }
 
     @Test
