--- a/src/main/java/ochretiller/net/AcceptedSessionHandler.java
+++ b/src/main/java/ochretiller/net/AcceptedSessionHandler.java
@@ -4,30 +4,30 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Sessions that clients opened. A client that sends too much, or violates the protocol, is read no
- * further; what it sent before is processed and answered first.
+ * Handles sessions that clients opened. After a client exceeds its input limit or violates the
+ * protocol, nothing more is read from it; earlier input is processed and answered before the close.
  */
 final class AcceptedSessionHandler extends SessionHandler {
     /**
-     * Bytes of one connection that may wait for the event loop: as many requests of full length as
-     * a connection may have open.
+     * Input bytes of one connection that may be queued for the event loop: as many requests of
+     * maximum length as a connection may have open.
      */
     private static final int MAX_QUEUED_BYTES = 128 * 1024;
 
-    /** The same limit while the queue takes much of the server's memory. */
+    /** The same limit while the queue of all connections exceeds its share of the memory. */
     private static final int MAX_QUEUED_BYTES_UNDER_PRESSURE = 8 * 1024;
 
     private final String kind;
-    private final Function<Connection, ConnectionHandler> handlers;
+    private final Function<Connection, ConnectionHandler> handlerFactory;
 
     AcceptedSessionHandler(
             Network network,
-            Scheduler schedule,
+            Scheduler scheduler,
             String kind,
-            Function<Connection, ConnectionHandler> handlers) {
-        super(network, schedule);
+            Function<Connection, ConnectionHandler> handlerFactory) {
+        super(network, scheduler);
         this.kind = kind;
-        this.handlers = handlers;
+        this.handlerFactory = handlerFactory;
     }
 
     @Override
@@ -37,7 +37,7 @@
 
     @Override
     Function<Connection, ConnectionHandler> handlerFactory(IoSession session) {
-        return handlers;
+        return handlerFactory;
     }
 
     @Override
@@ -45,7 +45,7 @@
         return true;
     }
 
-    /** The connection that has most in the queue is read no further, so others still are. */
+    /** Under memory pressure, only connections with much queued input are no longer read. */
     @Override
     boolean enqueue(int queuedBytes, long queuedBytesOfAll) {
         return queuedBytes <= MAX_QUEUED_BYTES
@@ -55,7 +55,7 @@
 
     @Override
     void dequeue() {
-        // Nothing was acquired.
+        // enqueue acquires nothing that would have to be released.
     }
 
     @Override
--- a/src/main/java/ochretiller/net/Acceptor.java
+++ b/src/main/java/ochretiller/net/Acceptor.java
@@ -6,7 +6,7 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** A listener that accepts every connection in the kernel's backlog before it closes. */
+/** A listener that accepts all connections in the kernel's backlog before it closes. */
 class Acceptor extends NioSocketAcceptor {
     private final IoProcessor<NioSession> processor;
 
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Accepts what is left in the backlog, then closes. Closing a listening socket resets the
-     * connections that the kernel has completed but the process has not accepted, and any request
-     * on them would be lost. MINA accepts one connection a round and may close in the same round.
+     * Accepts the connections left in the backlog, then closes. Closing a listening socket resets
+     * connections that the kernel has completed but the process has not accepted, and loses any
+     * request on them. MINA accepts one connection per round and may close in the same round.
      */
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
--- a/src/main/java/ochretiller/net/CloseCode.java
+++ b/src/main/java/ochretiller/net/CloseCode.java
@@ -1,6 +1,6 @@
 package ochretiller.net;
 
-/** Why a connection was closed. Each closed connection leaves one log line with its code. */
+/** Why a connection was closed. The log line of each closed connection contains the code. */
 public enum CloseCode {
     /** The peer closed the connection. */
     PEER_CLOSED("PEER_CLOSED"),
@@ -12,21 +12,21 @@
     IDLE("IDLE"),
     /** The peer violated the protocol. */
     BAD_INPUT("BAD_INPUT"),
-    /** The client sent no complete request within the time that new connections have for it. */
+    /** The client sent no complete request before the timeout for new connections. */
     SILENT("SILENT"),
-    /** The peer sent more unprocessed input than one connection may have. */
+    /** The unprocessed input of the connection exceeded its limit. */
     FLOOD("FLOOD"),
     /** The peer does not read, and its output buffer is full. */
     NOT_READING("NOT_READING"),
-    /** The connection limit is exceeded, and this connection was the least busy. */
+    /** The connection limit was exceeded, and this connection was chosen to be closed. */
     TOO_MANY("TOO_MANY"),
-    /** A new configuration names another address for the peer. */
+    /** A reloaded configuration has a different address for the peer. */
     MOVED("MOVED"),
     /** The call on the connection timed out or was cancelled. */
     GIVEN_UP("GIVEN_UP"),
-    /** The request was answered, and the protocol allows one request a connection. */
+    /** The request was answered, and the protocol allows one request per connection. */
     ANSWERED("ANSWERED"),
-    /** This server shuts down. */
+    /** This server is shutting down. */
     LEAVING("LEAVING");
 
     private final String externalName;
@@ -35,7 +35,7 @@
         this.externalName = externalName;
     }
 
-    /** The code in the log line, which does not follow the name of the constant. */
+    /** Returns the code in log lines, which stays the same if the constant is renamed. */
     public String externalName() {
         return externalName;
     }
--- a/src/main/java/ochretiller/net/Connection.java
+++ b/src/main/java/ochretiller/net/Connection.java
@@ -10,31 +10,31 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One TCP connection. Writes are buffered and go out once a round of the event loop, in one write.
+ * One TCP connection. Output is buffered and sent in a single write per event loop round.
  *
- * <p>Belongs to the event loop, except for the members that are said to run on the I/O thread.
+ * <p>Confined to the event loop, except for methods documented otherwise.
  */
 public final class Connection {
     /**
-     * Unread output, in bytes, beyond which a peer is disconnected: the longest answer to each
-     * request that it may have open.
+     * A peer with more unread output than this is disconnected. Room for the longest response to
+     * each of the requests that a connection may have open.
      */
-    private static final long UNREAD = 192 * 1024;
+    private static final long MAX_UNREAD_BYTES = 192 * 1024;
 
-    /** The same limit while unread output takes much of the server's memory. */
-    private static final long SOME_UNREAD = 16 * 1024;
+    /** The same limit while unread output of all clients exceeds its share of the memory. */
+    private static final long MAX_UNREAD_BYTES_UNDER_PRESSURE = 16 * 1024;
 
     /**
-     * How long a closed connection waits for the peer to close its side: twice the time in which a
-     * request may cross the close on its way.
+     * Interval between checks whether a closing connection can be closed for good. Twice the time
+     * for which a request of the peer may still be in transit.
      */
-    private static final Duration LINGERS = Duration.ofMillis(100);
+    private static final Duration LINGER_INTERVAL = Duration.ofMillis(100);
 
     /**
-     * How many times {@link #LINGERS} a close waits for a slow peer to read its output: as long as
-     * the longest timeouts of clients.
+     * Number of {@link #LINGER_INTERVAL}s for which a close waits for a slow peer to read its
+     * output; together as long as the longest timeout of clients.
      */
-    private static final int SLOW = 50;
+    private static final int MAX_LINGER_INTERVALS = 50;
 
     private static final int INITIAL_OUTPUT_BYTES = 512;
 
@@ -43,56 +43,56 @@
     private final boolean lingers;
     private final ByteArrayOutputStream output = new ByteArrayOutputStream(INITIAL_OUTPUT_BYTES);
     private final AtomicInteger queuedBytes = new AtomicInteger();
-    private volatile Optional<CloseCode> code = Optional.empty();
+    private volatile Optional<CloseCode> closeCode = Optional.empty();
     private volatile boolean inputEnded;
-    private volatile boolean deaf;
-    private volatile Optional<Duration> within = Optional.empty();
+    private volatile boolean readingStopped;
+    private volatile Optional<Duration> incompleteSince = Optional.empty();
     private Optional<WriteFuture> lastWrite = Optional.empty();
-    private Duration usedAt;
+    private Duration lastUsedAt;
 
     /**
      * Wraps an open session.
      *
-     * @param lingers whether a close lets a slow peer read its output and waits for the peer's own
-     *     close, as connections of clients need
+     * @param lingers whether a close waits until the peer has read its output and closed its side,
+     *     as client connections require
      */
     Connection(IoSession session, Network network, boolean lingers, Duration now) {
         this.session = session;
         this.lingers = lingers;
         this.network = network;
-        this.usedAt = now;
+        this.lastUsedAt = now;
     }
 
-    /** Why the connection is closed or closing; empty while it is open. Any thread. */
+    /** Returns why the connection is closed or closing; empty while it is open. Any thread. */
     Optional<CloseCode> code() {
-        return code;
+        return closeCode;
     }
 
-    /** Notes why the connection is closed; the first reason stays. Any thread. */
+    /** Records why the connection is closed, unless a reason is already recorded. Any thread. */
     void reason(CloseCode reason) {
-        if (code.isEmpty()) {
-            code = Optional.of(reason);
+        if (closeCode.isEmpty()) {
+            closeCode = Optional.of(reason);
         }
     }
 
-    /** Whether the connection is neither closed nor closing. Any thread. */
+    /** Returns whether the connection is neither closed nor closing. Any thread. */
     public boolean open() {
-        return code.isEmpty();
+        return closeCode.isEmpty();
     }
 
-    /** The peer's address as text, for log lines. Any thread. */
+    /** Returns the peer's address as text, for log lines. Any thread. */
     public String peer() {
         return String.valueOf(session.getRemoteAddress());
     }
 
-    /** When something was last read or written, since the server's start. */
+    /** Returns the time of the last read or write, measured from the start of the server. */
     public Duration usedAt() {
-        return usedAt;
+        return lastUsedAt;
     }
 
-    /** Notes that something was read or written. */
+    /** Records a read or write at time {@code now}. */
     public void used(Duration now) {
-        usedAt = now;
+        lastUsedAt = now;
     }
 
     /** Buffers text to be sent in ISO 8859-1. Does nothing on a closed connection. */
@@ -112,13 +112,14 @@
         return this;
     }
 
-    /** Sends what is buffered, or disconnects a peer that has left too much unread. */
+    /** Sends the buffered output, or disconnects a peer whose unread output exceeds the limit. */
     void flush() {
         if (!open() || output.size() == 0) {
             return;
         }
         long unread = session.getScheduledWriteBytes() + output.size();
-        if (unread > UNREAD || unread > SOME_UNREAD && network.crowded()) {
+        if (unread > MAX_UNREAD_BYTES
+                || unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && network.crowded()) {
             drop(CloseCode.NOT_READING);
             return;
         }
@@ -127,11 +128,11 @@
     }
 
     /**
-     * Closes the connection once its output has gone out. Input is ignored from here on. A
-     * connection that lingers shuts down its output first and is closed when the peer has closed
-     * its side, or has had time for it.
+     * Closes the connection after its output has been sent; further input is ignored. A lingering
+     * connection first shuts down its output, and is closed when the peer closes its side or the
+     * linger time expires.
      *
-     * @param reason the code in the log line, unless the connection is closing already
+     * @param reason the code in the log line; ignored if the connection is already closing
      */
     public void close(CloseCode reason) {
         flush();
@@ -139,8 +140,8 @@
             return;
         }
         reason(reason);
-        // Closing a socket that has unread input resets the connection, and the peer would lose
-        // answers that it has not read.
+        // Closing a socket with unread input resets the connection, and the peer would lose the
+        // responses that it has not read yet.
         if (!lingers || inputEnded) {
             session.closeOnFlush();
         } else if (lastWrite.isEmpty()) {
@@ -161,10 +162,10 @@
 
     private void scheduleForcedClose(int earlierChecks) {
         network.after(
-                LINGERS,
+                LINGER_INTERVAL,
                 () -> {
                     boolean flushed = session.getScheduledWriteBytes() == 0;
-                    if (flushed && earlierChecks > 0 || earlierChecks == SLOW) {
+                    if (flushed && earlierChecks > 0 || earlierChecks == MAX_LINGER_INTERVALS) {
                         session.closeNow();
                     } else {
                         scheduleForcedClose(earlierChecks + 1);
@@ -172,7 +173,7 @@
                 });
     }
 
-    /** Whether all output has gone out. */
+    /** Returns whether all output has been sent. */
     public boolean sent() {
         return output.size() == 0 && session.getScheduledWriteBytes() == 0;
     }
@@ -185,45 +186,45 @@
         }
     }
 
-    /** Stops reading for good. Any thread. */
+    /** Stops reading from the peer permanently. Any thread. */
     public void deafen() {
-        deaf = true;
-        // Never resumed: MINA's suspendRead and resumeRead, called by two threads, can undo each
-        // other's change.
+        readingStopped = true;
+        // Never resumed: suspendRead and resumeRead of MINA, called on two threads, can undo each
+        // other's effect.
         session.suspendRead();
     }
 
-    /** Whether reading was stopped. Any thread. */
+    /** Returns whether reading was stopped. Any thread. */
     public boolean deaf() {
-        return deaf;
+        return readingStopped;
     }
 
-    /** Notes since when a message has been incomplete. Called on the I/O thread. */
+    /** Records when the current incomplete message began. Called on the I/O thread. */
     void within(Optional<Duration> since) {
-        within = since;
+        incompleteSince = since;
     }
 
-    /** Since when a message has been incomplete; empty between messages. Any thread. */
+    /** Returns when the current incomplete message began; empty between messages. Any thread. */
     public Optional<Duration> within() {
-        return within;
+        return incompleteSince;
     }
 
-    /** Closes the connection at once; output that has not gone out is lost. Any thread. */
+    /** Closes the connection at once and discards unsent output. Any thread. */
     public void drop(CloseCode reason) {
         reason(reason);
         session.closeNow();
     }
 
-    /** Whether all input that was read has been processed on the event loop. */
+    /** Returns whether the event loop has processed all input that was read. */
     public boolean quiet() {
         return queuedBytes.get() == 0;
     }
 
     /**
-     * Counts input that waits for the event loop. Any thread.
+     * Changes the number of input bytes that are queued for the event loop. Any thread.
      *
-     * @param bytes how many bytes more wait; negative once they are processed
-     * @return how many bytes wait now
+     * @param bytes the bytes that were added; negative if they have been processed
+     * @return the number of bytes now queued
      */
     int queued(int bytes) {
         return queuedBytes.addAndGet(bytes);
--- a/src/main/java/ochretiller/net/ConnectionHandler.java
+++ b/src/main/java/ochretiller/net/ConnectionHandler.java
@@ -1,50 +1,50 @@
 package ochretiller.net;
 
 /**
- * The protocol side of one {@link Connection}: decodes what was read and reacts to its end. Each
- * method names the thread that calls it.
+ * Protocol handler of one {@link Connection}: decodes the input and reacts to the end of the
+ * connection. Each method documents the thread that calls it.
  */
 public interface ConnectionHandler {
     /**
-     * Decodes bytes as they were read. Called on the I/O thread.
+     * Decodes one read of input. Called on the I/O thread.
      *
      * @param bytes the read buffer, which is reused after the call
      * @param from index of the first byte read
      * @param to index after the last byte read
-     * @return work for the event loop, or null where no message is complete
-     * @throws ochretiller.text.BadInputException where the bytes violate the protocol
+     * @return work for the event loop, or null if no message is complete
+     * @throws ochretiller.text.BadInputException if the bytes violate the protocol
      */
     Runnable received(byte[] bytes, int from, int to);
 
-    /** Whether a message has begun and is not complete. Called on the I/O thread. */
+    /** Returns whether a message is partially received. Called on the I/O thread. */
     default boolean within() {
         return false;
     }
 
     /**
-     * The peer violated the protocol or its limits, and nothing more is read from it. Called on the
-     * event loop, after the work that was decoded before.
+     * Called when the peer has violated the protocol or a limit, and is no longer read from. Called
+     * on the event loop, after the work that was decoded before the violation.
      *
-     * @param code why the connection is to be closed
-     * @return whether this handler closes the connection itself once it has sent what it owes;
-     *     otherwise the network closes it at once
+     * @param code the reason for closing the connection
+     * @return true if this handler closes the connection itself after it has sent all pending
+     *     responses; false if the network is to close it at once
      */
     default boolean spoilt(CloseCode code) {
         return false;
     }
 
-    /** The peer has shut down its output but may still read. Called on the event loop. */
+    /** Called on the event loop when the peer has shut down its output; it may still read. */
     void inputEnded();
 
-    /** The connection's file descriptor has been released. Called on the I/O thread. */
+    /** Called on the I/O thread when the file descriptor of the connection is released. */
     default void closed() {
-        // Only handlers that count connections need this.
+        // Needed only by handlers that count connections.
     }
 
     /**
-     * The connection has ended; the last call. Called on the event loop.
+     * Called on the event loop when the connection is closed; always the last call.
      *
-     * @param code why it ended
+     * @param code why the connection was closed
      */
     void ended(CloseCode code);
 }
--- a/src/main/java/ochretiller/net/HalfClose.java
+++ b/src/main/java/ochretiller/net/HalfClose.java
@@ -8,7 +8,7 @@
 
 /**
  * Shuts down the output of a connection while its input stays open (a TCP half-close). MINA has no
- * operation for it, so the channel of the session is taken by reflection.
+ * API for this, so the channel of the session is read by reflection.
  */
 final class HalfClose {
     private static final Field CHANNEL = channelField();
@@ -22,15 +22,15 @@
             return field;
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(
-                    "NioSession has no accessible field 'channel': not the pinned release of MINA",
+                    "NioSession has no accessible field 'channel': not the pinned MINA release",
                     e);
         }
     }
 
     /**
-     * Shuts down the output of a session whose writes have all gone out.
+     * Shuts down the output of a session whose writes have all been sent.
      *
-     * @return whether it was shut down; false where the connection is broken already
+     * @return false if the connection is already broken
      */
     static boolean end(IoSession session) {
         try {
--- a/src/main/java/ochretiller/net/Network.java
+++ b/src/main/java/ochretiller/net/Network.java
@@ -19,53 +19,53 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * All TCP connections of the server, on Apache MINA, with one I/O thread for connections of clients
- * and one for outbound connections. The I/O threads only decode and enqueue; everything else runs
- * on the event loop.
+ * All TCP connections of the server, on Apache MINA, with one I/O thread for client connections and
+ * one for outbound connections. The I/O threads only decode and enqueue; everything else runs on
+ * the event loop.
  *
- * <p>Members are called on the event loop, or before it runs.
+ * <p>Methods must be called on the event loop, or before it starts, unless documented otherwise.
  */
 public final class Network {
-    /** Bytes that one read takes at most: a few of the longest messages. */
-    private static final int READ = 8 * 1024;
+    /** Maximum bytes of one read: a few messages of maximum length. */
+    private static final int MAX_READ_BYTES = 8 * 1024;
 
-    private static final int FIRST_READ = 4 * 1024;
+    private static final int INITIAL_READ_BYTES = 4 * 1024;
 
-    /** Part of the server's memory that output may take which clients have not read. */
-    private static final int UNREAD_PART = 24;
+    /** Output that clients have not read may take 1/24 of the server's memory. */
+    private static final int UNREAD_MEMORY_DIVISOR = 24;
 
     /**
-     * Part of the server's memory that queued input may take, counted in bytes as read: decoded, it
+     * Queued input may take 1/96 of the server's memory, counted in bytes as read; decoded, it
      * takes about ten times as much.
      */
-    private static final int BEHIND_PART = 96;
+    private static final int QUEUED_MEMORY_DIVISOR = 96;
 
     private static final int BACKLOG = 1024;
-    private static final long CONNECT_MS = 2_000;
+    private static final long CONNECT_TIMEOUT_MS = 2_000;
 
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final ExecutorService threads = Executors.newCachedThreadPool(Network::daemonThread);
     private final NioProcessor acceptedProcessor = new NioProcessor(threads);
     private final NioProcessor outboundProcessor = new NioProcessor(threads);
     private final NioSocketConnector connector = new NioSocketConnector(threads, outboundProcessor);
     private final AtomicLong queuedBytes = new AtomicLong();
-    private final long memory;
-    private final Set<Connection> dirty = new LinkedHashSet<>();
+    private final long memoryBytes;
+    private final Set<Connection> dirtyConnections = new LinkedHashSet<>();
     private final Set<InetSocketAddress> unreachable = ConcurrentHashMap.newKeySet();
     private final List<Acceptor> acceptors = new ArrayList<>();
 
     /**
-     * A network that neither listens nor connects yet.
+     * Creates a network without listeners and connections.
      *
-     * @param schedule the event loop
-     * @param memory bytes that the server may take; the limits on buffers follow it
+     * @param scheduler the event loop
+     * @param memoryBytes memory of the server in bytes; the buffer limits are fractions of it
      */
-    public Network(Scheduler schedule, long memory) {
-        this.schedule = schedule;
-        this.memory = memory;
+    public Network(Scheduler scheduler, long memoryBytes) {
+        this.scheduler = scheduler;
+        this.memoryBytes = memoryBytes;
         configure(connector.getSessionConfig());
-        connector.setConnectTimeoutMillis(CONNECT_MS);
-        connector.setHandler(new OutboundSessionHandler(this, schedule));
+        connector.setConnectTimeoutMillis(CONNECT_TIMEOUT_MS);
+        connector.setHandler(new OutboundSessionHandler(this, scheduler));
     }
 
     private static Thread daemonThread(Runnable work) {
@@ -76,29 +76,30 @@
 
     private static void configure(SocketSessionConfig config) {
         config.setTcpNoDelay(true);
-        config.setMaxReadBufferSize(READ);
-        config.setReadBufferSize(FIRST_READ);
+        config.setMaxReadBufferSize(MAX_READ_BYTES);
+        config.setReadBufferSize(INITIAL_READ_BYTES);
     }
 
     /**
-     * Listens on one more address.
+     * Listens on an additional address.
      *
-     * @param kind what the connections are for, in log lines
-     * @param address where to listen
-     * @param receivers makes the protocol handler of each accepted connection, on the I/O thread
-     * @throws IOException where the address is in use or not one of this machine
+     * @param kind the purpose of the connections, for log lines
+     * @param address the address to listen on
+     * @param handlerFactory creates the protocol handler of an accepted connection; called on the
+     *     I/O thread
+     * @throws IOException if the address is in use or does not belong to this machine
      */
     public void listen(
             String kind,
             InetSocketAddress address,
-            Function<Connection, ConnectionHandler> receivers)
+            Function<Connection, ConnectionHandler> handlerFactory)
             throws IOException {
         Acceptor acceptor = new Acceptor(threads, acceptedProcessor);
         acceptors.add(acceptor);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(BACKLOG);
         configure(acceptor.getSessionConfig());
-        acceptor.setHandler(new AcceptedSessionHandler(this, schedule, kind, receivers));
+        acceptor.setHandler(new AcceptedSessionHandler(this, scheduler, kind, handlerFactory));
         try {
             acceptor.bind(address);
         } catch (IOException e) {
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Closes the listeners; connections that are open stay. */
+    /** Closes the listeners; open connections are not affected. */
     public void closeListeners() {
         for (Acceptor acceptor : acceptors) {
             acceptor.setCloseOnDeactivation(false);
@@ -116,97 +117,100 @@
     }
 
     /**
-     * Connects to a peer whose connections are logged as {@code link}; otherwise as {@link
-     * #connect(String, InetSocketAddress, Function, Runnable)}.
+     * Like {@link #connect(String, InetSocketAddress, Function, Runnable)}, for a connection that
+     * is logged as {@code link}.
      */
     public void connect(
             InetSocketAddress address,
-            Function<Connection, ConnectionHandler> receivers,
-            Runnable failed) {
-        connect("link", address, receivers, failed);
+            Function<Connection, ConnectionHandler> handlerFactory,
+            Runnable onFailure) {
+        connect("link", address, handlerFactory, onFailure);
     }
 
     /**
      * Connects to a peer.
      *
-     * @param kind what the connection is for, in log lines
+     * @param kind the purpose of the connection, for log lines
      * @param address the peer's address
-     * @param receivers makes the protocol handler once connected, on the I/O thread
-     * @param failed run on the event loop where the connection could not be established
+     * @param handlerFactory creates the protocol handler when connected; called on the I/O thread
+     * @param onFailure run on the event loop if the connection cannot be established
      */
     public void connect(
             String kind,
             InetSocketAddress address,
-            Function<Connection, ConnectionHandler> receivers,
-            Runnable failed) {
+            Function<Connection, ConnectionHandler> handlerFactory,
+            Runnable onFailure) {
         ConnectFuture connecting =
                 connector.connect(
                         address,
                         (session, future) ->
-                                OutboundSessionHandler.initialize(session, kind, receivers));
+                                OutboundSessionHandler.initialize(
+                                        session, kind, handlerFactory));
         connecting.addListener(
                 (IoFutureListener<ConnectFuture>)
-                        future -> connected(future.isConnected(), kind, address, failed));
+                        future ->
+                                onConnectFinished(
+                                        future.isConnected(), kind, address, onFailure));
     }
 
-    private void connected(
-            boolean succeeded, String kind, InetSocketAddress address, Runnable failed) {
+    private void onConnectFinished(
+            boolean succeeded, String kind, InetSocketAddress address, Runnable onFailure) {
         if (succeeded) {
             unreachable.remove(address);
             return;
         }
-        // One log line for a series of failures: connects to a peer that is down are retried.
+        // Connects to a peer that is down are retried: only the first failure is logged.
         if (unreachable.add(address)) {
             SessionHandler.logEnd(kind, address, CloseCode.REFUSED);
         }
-        schedule.post(failed);
+        scheduler.post(onFailure);
     }
 
     /** Runs work on the event loop after a delay. */
-    void after(Duration span, Runnable work) {
-        schedule.after(span, work);
+    void after(Duration delay, Runnable work) {
+        scheduler.after(delay, work);
     }
 
-    /** Notes that a connection has output for the next {@link #flush}. */
+    /** Marks a connection as having output for the next {@link #flush}. */
     void dirty(Connection connection) {
-        dirty.add(connection);
+        dirtyConnections.add(connection);
     }
 
-    /** Whether output that clients have not read takes its part of the memory. */
+    /** Returns whether the output that clients have not read exceeds its share of the memory. */
     boolean crowded() {
         long unread = 0;
         for (Acceptor acceptor : acceptors) {
             unread += acceptor.getScheduledWriteBytes();
         }
-        return unread > memory / UNREAD_PART;
+        return unread > memoryBytes / UNREAD_MEMORY_DIVISOR;
     }
 
     /**
-     * Counts input of all connections that waits for the event loop. Any thread.
+     * Changes the number of input bytes of all connections queued for the event loop. Any thread.
      *
-     * @param bytes how many bytes more wait; negative once they are processed
-     * @return how many bytes wait now
+     * @param bytes the bytes that were added; negative if they have been processed
+     * @return the number of bytes now queued
      */
     long countQueued(int bytes) {
         return queuedBytes.addAndGet(bytes);
     }
 
-    /** Whether this much queued input takes its part of the memory. Any thread. */
+    /** Returns whether this much queued input exceeds its share of the memory. Any thread. */
     boolean isQueueLong(long queued) {
-        return queued > memory / BEHIND_PART;
+        return queued > memoryBytes / QUEUED_MEMORY_DIVISOR;
     }
 
-    /** Sends what a round of the event loop has written, in one write for each connection. */
+    /** Sends the output of the current event loop round, in a single write per connection. */
     public void flush() {
-        if (dirty.isEmpty()) {
+        if (dirtyConnections.isEmpty()) {
             return;
         }
-        List<Connection> written = new ArrayList<>(dirty);
-        dirty.clear();
+        List<Connection> written = new ArrayList<>(dirtyConnections);
+        dirtyConnections.clear();
         written.forEach(Connection::flush);
     }
 
-    /** Closes all connections and ends the I/O threads; output that has not gone out is lost. */
+    /** Closes all connections, discards unsent output and stops the I/O threads. */
     public void stop() {
         acceptors.forEach(acceptor -> acceptor.dispose(false));
         connector.dispose(false);
--- a/src/main/java/ochretiller/net/OutboundSessionHandler.java
+++ b/src/main/java/ochretiller/net/OutboundSessionHandler.java
@@ -5,30 +5,32 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Sessions that this server opened. A peer that sends faster than the event loop works is read more
- * slowly; one that violates the protocol is disconnected at once.
+ * Handles sessions that this server opened. Reading slows down while a peer sends faster than the
+ * event loop can process; a peer that violates the protocol is disconnected at once.
  */
 final class OutboundSessionHandler extends SessionHandler {
-    /** Read buffers of all sessions that may wait for the event loop: a few bursts. */
+    /** Read buffers of all sessions that may be queued for the event loop: a few bursts. */
     private static final int MAX_QUEUED_BUFFERS = 256;
 
     private static final String KIND = "kind";
 
     private final Semaphore queueSlots = new Semaphore(MAX_QUEUED_BUFFERS);
 
-    OutboundSessionHandler(Network network, Scheduler schedule) {
-        super(network, schedule);
+    OutboundSessionHandler(Network network, Scheduler scheduler) {
+        super(network, scheduler);
     }
 
     /**
-     * Prepares a session that is being connected.
+     * Stores the parameters of a session that is being connected.
      *
-     * @param kind what it is for, in log lines
-     * @param handlers makes its protocol handler once it is connected
+     * @param kind the purpose of the connection, for log lines
+     * @param handlerFactory creates the protocol handler when the session is connected
      */
     static void initialize(
-            IoSession session, String kind, Function<Connection, ConnectionHandler> handlers) {
-        session.setAttribute(Function.class, handlers);
+            IoSession session,
+            String kind,
+            Function<Connection, ConnectionHandler> handlerFactory) {
+        session.setAttribute(Function.class, handlerFactory);
         session.setAttribute(KIND, kind);
     }
 
@@ -49,8 +51,8 @@
     }
 
     /**
-     * Blocks the I/O thread while the queue is full, so the peer's socket fills. MINA's suspendRead
-     * and resumeRead, called by two threads, can undo each other's change.
+     * Blocks the I/O thread while the queue is full, so that TCP slows the peer down. MINA's
+     * suspendRead and resumeRead, called on two threads, could undo each other's effect.
      */
     @Override
     boolean enqueue(int queuedBytes, long queuedBytesOfAll) {
@@ -68,7 +70,7 @@
         connection.drop(code);
     }
 
-    /** A connection for each run would fill the log; the pools' metrics count those. */
+    /** Not logged after a completed run, which would fill the log; pool metrics count those. */
     @Override
     boolean isLogged(CloseCode code) {
         return code != CloseCode.ANSWERED;
--- a/src/main/java/ochretiller/net/Scheduler.java
+++ b/src/main/java/ochretiller/net/Scheduler.java
@@ -3,33 +3,33 @@
 import java.time.Duration;
 
 /**
- * The event loop: the one thread that owns the server's state. It runs tasks one after another, in
- * rounds; within a round the time stands still.
+ * The event loop: the single thread that owns the server's state. It runs tasks one after another,
+ * in rounds; {@link #now} does not advance within a round.
  */
 public interface Scheduler {
-    /** The time since the server's start, as it was at the beginning of the current round. */
+    /** Returns the time from the server's start to the beginning of the current round. */
     Duration now();
 
     /**
-     * The time since the server's start at this instant, for decisions that must not use the time
-     * of the round's beginning, as {@link #now} does.
+     * Returns the time since the server's start, read from the clock at this call, for decisions
+     * that the start time of the round, {@link #now}, is too old for.
      */
     default Duration exact() {
         return now();
     }
 
     /**
-     * Runs {@code work} in the next round. May be called from any thread.
+     * Runs {@code work} in the next round. Any thread.
      *
      * @param work the task
      */
     void post(Runnable work);
 
     /**
-     * Runs {@code work} once after a delay. To be called on the event loop only.
+     * Runs {@code work} once after a delay. Must be called on the event loop.
      *
-     * @param span the delay
+     * @param delay the delay
      * @param work the task
      */
-    void after(Duration span, Runnable work);
+    void after(Duration delay, Runnable work);
 }
--- a/src/main/java/ochretiller/net/SessionHandler.java
+++ b/src/main/java/ochretiller/net/SessionHandler.java
@@ -12,9 +12,9 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Turns MINA's events of a session into calls of its {@link ConnectionHandler}: decoding on the I/O
+ * Translates MINA's session events into calls of the {@link ConnectionHandler}: decoding on the I/O
  * thread, everything else on the event loop. The subclasses differ in how they treat a peer that
- * sends too much or violates the protocol.
+ * exceeds its input limit or violates the protocol.
  */
 abstract class SessionHandler extends IoHandlerAdapter {
     private static final Logger LOG = Logger.getLogger(Network.class.getName());
@@ -25,41 +25,41 @@
     /** The event loop. */
     final Scheduler schedule;
 
-    SessionHandler(Network network, Scheduler schedule) {
+    SessionHandler(Network network, Scheduler scheduler) {
         this.network = network;
-        this.schedule = schedule;
+        this.schedule = scheduler;
     }
 
-    /** What the connection is for, in log lines. */
+    /** Returns the purpose of the connection, for log lines. */
     abstract String kind(IoSession session);
 
-    /** Makes the protocol handler of a new session; called once for each session. */
+    /** Returns the factory of the protocol handler; called once for each new session. */
     abstract Function<Connection, ConnectionHandler> handlerFactory(IoSession session);
 
-    /** Whether a close waits for a slow peer, as {@link Connection} says. */
+    /** Returns whether {@link Connection#close} waits until the peer has read its output. */
     abstract boolean lingers();
 
     /**
-     * Takes input into the queue for the event loop; may block the I/O thread.
+     * Called before input is queued for the event loop; may block the I/O thread.
      *
-     * @param queuedBytes bytes of this connection in the queue, with these
-     * @param queuedBytesOfAll bytes of all connections in the queue, with these
-     * @return whether the connection may go on sending
+     * @param queuedBytes queued bytes of this connection, including the new input
+     * @param queuedBytesOfAll queued bytes of all connections, including the new input
+     * @return false if the connection has exceeded its input limit
      */
     abstract boolean enqueue(int queuedBytes, long queuedBytesOfAll);
 
-    /** Input has left the queue. Called on the event loop. */
+    /** Called on the event loop when input has been taken from the queue. */
     abstract void dequeue();
 
-    /** Stops reading from a peer that broke a rule, and has the connection closed. */
+    /** Stops reading from a peer that violated the protocol or a limit, and closes. */
     abstract void disconnect(Connection connection, ConnectionHandler handler, CloseCode code);
 
-    /** Whether the end of a connection is logged. */
+    /** Returns whether a connection that was closed with this code is logged. */
     boolean isLogged(CloseCode code) {
         return true;
     }
 
-    /** The one log line of a connection that has ended or could not be established. */
+    /** Logs that a connection was closed or could not be established. */
     static void logEnd(String kind, Object peer, CloseCode code) {
         LOG.info(() -> "connection " + kind + ' ' + peer + " ended: " + code.externalName());
     }
@@ -106,20 +106,20 @@
         LOG.info(() -> "bad input from " + kind + " " + peer + ": " + fault.getMessage());
     }
 
-    /** A message that began behind a complete one is as old as that one's last byte. */
+    /** The age of an incomplete message counts from the read that completed the one before. */
     private void notePartialMessage(
             Connection connection, ConnectionHandler handler, boolean completed) {
-        Optional<Duration> since = connection.within();
+        Optional<Duration> incompleteSince = connection.within();
         if (!handler.within()) {
             connection.within(Optional.empty());
-        } else if (since.isEmpty() || completed) {
+        } else if (incompleteSince.isEmpty() || completed) {
             connection.within(Optional.of(schedule.now()));
         }
     }
 
     private void post(Connection connection, ConnectionHandler handler, int bytes, Runnable work) {
         int queuedBytes = connection.queued(bytes);
-        boolean mayGoOn = enqueue(queuedBytes, network.countQueued(bytes));
+        boolean withinLimit = enqueue(queuedBytes, network.countQueued(bytes));
         schedule.post(
                 () -> {
                     dequeue();
@@ -128,14 +128,14 @@
                     connection.used(schedule.now());
                     work.run();
                 });
-        if (!mayGoOn) {
+        if (!withinLimit) {
             disconnect(connection, handler, CloseCode.FLOOD);
         }
     }
 
     @Override
     public void inputClosed(IoSession session) {
-        session.suspendRead(); // the selector would report the end of input again and again
+        session.suspendRead(); // else the selector would report the end of input repeatedly
         connection(session).inputEnds();
         ConnectionHandler handler = handler(session);
         schedule.post(handler::inputEnded);
@@ -161,10 +161,10 @@
     public void exceptionCaught(IoSession session, Throwable cause) {
         Connection connection = connection(session);
         if (connection == null) {
-            return; // the session failed before it was set up
+            return; // the session failed before sessionCreated
         }
         if (!(cause instanceof IOException)) {
-            LOG.log(Level.WARNING, "fault at " + connection.peer(), cause);
+            LOG.log(Level.WARNING, "unexpected exception from " + connection.peer(), cause);
         }
         connection.drop(CloseCode.BROKEN);
     }
--- a/src/main/java/ochretiller/net/package-info.java
+++ b/src/main/java/ochretiller/net/package-info.java
@@ -4,15 +4,15 @@
  *
  * <p>{@link ochretiller.net.Network} owns the listeners and the I/O threads; each connection is a
  * {@link ochretiller.net.Connection} with one {@link ochretiller.net.ConnectionHandler}, which
- * decodes its protocol. State: the connections, what each has to send, and how many bytes were read
- * but are not worked off yet.
+ * decodes its protocol. State: the connections, their unsent output, and the number of bytes that
+ * were read but not processed yet.
  *
- * <p>Threads: MINA's I/O threads read, decode and hand work to the event loop through {@link
- * ochretiller.net.Scheduler}; everything else runs on the event loop. Members say where they may be
- * called.
+ * <p>Threads: MINA's I/O threads read, decode and post work to the event loop through {@link
+ * ochretiller.net.Scheduler}; everything else runs on the event loop. Methods document the thread
+ * that may call them.
  *
- * <p>Neighbours: {@code frontend} (connections of clients), {@code processor}, {@code records} and
- * {@code workers} (outbound connections) build on this package; it depends on {@code text} for
- * malformed input only.
+ * <p>Neighbours: {@code frontend} (client connections), {@code processor}, {@code records} and
+ * {@code workers} (outbound connections) build on this package; it depends on {@code text} only for
+ * the exception that reports malformed input.
  */
 package ochretiller.net;
