--- a/src/main/java/ochretiller/frontend/AnswerKind.java
+++ b/src/main/java/ochretiller/frontend/AnswerKind.java
@@ -1,13 +1,13 @@
 package ochretiller.frontend;
 
-/** How a request attempt was answered. */
+/** The kind of response that a request attempt received. */
 public enum AnswerKind {
-    /** With the result of its own run. */
+    /** The result of the attempt's own run. */
     SUCCEEDED,
-    /** With the stored result of an earlier attempt that had the same idempotency key. */
+    /** The stored result of an earlier attempt with the same idempotency key. */
     REPLAYED,
-    /** It was rejected before it ran, and the client may retry. */
+    /** Rejected before it ran; the client may retry. */
     THROTTLED,
-    /** With an error. */
+    /** An error. */
     ERRORED
 }
--- a/src/main/java/ochretiller/frontend/ClientConnection.java
+++ b/src/main/java/ochretiller/frontend/ClientConnection.java
@@ -9,124 +9,125 @@
 import ochretiller.net.ConnectionHandler;
 
 /**
- * One connection of a client and the requests that are open on it. A frontend's subclass decodes
- * its protocol and writes the answers. Belongs to the event loop, except for {@link #received},
- * {@link #within} and {@link #closed}, which the I/O thread calls.
+ * One client connection and its open requests. Each frontend has a subclass that decodes its
+ * protocol and writes the responses. Confined to the event loop, except for {@link #received},
+ * {@link #within} and {@link #closed}, which are called on the I/O thread.
  */
 public abstract class ClientConnection implements ConnectionHandler {
-    /** The connection under this protocol. */
+    /** The underlying TCP connection. */
     protected final Connection connection;
 
-    private final ClientConnections callers;
-    private final Duration madeAt;
-    private final Map<Long, RequestAttempt> open = new LinkedHashMap<>();
-    private boolean shown;
-    private boolean surplus;
+    private final ClientConnections clientConnections;
+    private final Duration acceptedAt;
+    private final Map<Long, RequestAttempt> openAttempts = new LinkedHashMap<>();
+    private boolean hasSentValidMessage;
+    private boolean isSurplus;
     private int pendingChecks;
     private boolean inputEnded;
-    private boolean unreadable;
-    private boolean dropped;
+    private boolean hasViolatedProtocol;
+    private boolean isDropped;
 
-    /** Why the connection is to be closed, once the client was told or can no longer be read. */
+    /** Set when the client was asked to close the connection or has violated the protocol. */
     private Optional<CloseCode> closingReason = Optional.empty();
 
     /**
-     * A new connection, which has yet to be passed to {@link ClientConnections#accepted}.
+     * Creates a connection, which the caller must pass to {@link ClientConnections#accepted}.
      *
-     * @param connection the connection under this protocol
-     * @param callers the server's connections of clients
+     * @param connection the underlying TCP connection
+     * @param clientConnections all client connections of the server
      */
-    protected ClientConnection(Connection connection, ClientConnections callers) {
+    protected ClientConnection(Connection connection, ClientConnections clientConnections) {
         this.connection = connection;
-        this.callers = callers;
-        this.madeAt = callers.now();
+        this.clientConnections = clientConnections;
+        this.acceptedAt = clientConnections.now();
     }
 
     /**
      * Writes a result.
      *
-     * @param inv the attempt
+     * @param attempt the attempt to answer
      * @param result the result's bytes
-     * @param replayed whether it is the stored result of an earlier attempt
+     * @param replayed whether this is the stored result of an earlier attempt
      */
-    protected abstract void succeeds(RequestAttempt inv, byte[] result, boolean replayed);
+    protected abstract void succeeds(RequestAttempt attempt, byte[] result, boolean replayed);
 
     /**
      * Writes that the attempt was rejected before it ran.
      *
-     * @param inv the attempt
-     * @param retryIn when to retry; zero where nothing is said about that
-     * @param last whether a retry is of no use
+     * @param attempt the attempt to answer
+     * @param retryAfter the delay to advise before a retry; zero to advise none
+     * @param isFinal whether to tell the client that a retry is of no use
      */
-    protected abstract void throttles(RequestAttempt inv, Duration retryIn, boolean last);
+    protected abstract void throttles(
+            RequestAttempt attempt, Duration retryAfter, boolean isFinal);
 
     /**
      * Writes an error.
      *
-     * @param inv the attempt
-     * @param why the reason
+     * @param attempt the attempt to answer
+     * @param reason why it failed
      */
-    protected abstract void fails(RequestAttempt inv, FailureReason why);
+    protected abstract void fails(RequestAttempt attempt, FailureReason reason);
 
     /**
-     * Asks the client to send nothing more on this connection.
+     * Asks the client to send no further requests on this connection.
      *
-     * @return false where the protocol has no message for that
+     * @return false if the protocol has no message for this
      */
     protected boolean leaves() {
         return false;
     }
 
-    /** Whether the protocol allows no further request, so that the connection is to be closed. */
+    /** Returns whether the protocol allows no further request, so the connection can be closed. */
     protected boolean done() {
         return false;
     }
 
-    /** Notes that the client has sent a valid request or health check. */
+    /** Records that the client has sent a valid request or health check. */
     public void shows() {
-        shown = true;
-        callers.shows(this);
+        hasSentValidMessage = true;
+        clientConnections.shows(this);
     }
 
-    /** Whether the client has ever sent a valid request or health check. */
+    /** Returns whether the client has ever sent a valid request or health check. */
     boolean shown() {
-        return shown;
+        return hasSentValidMessage;
     }
 
-    /** Whether the connection exceeds the limit, so that its requests are rejected. */
+    /** Returns whether the connection exceeds the limit, so that its requests are rejected. */
     boolean surplus() {
-        return surplus;
+        return isSurplus;
     }
 
     void makeSurplus() {
-        surplus = true;
+        isSurplus = true;
     }
 
-    /** When the connection was accepted, since the server's start. */
+    /** Returns when the connection was accepted, measured from the start of the server. */
     Duration madeAt() {
-        return madeAt;
+        return acceptedAt;
     }
 
-    /** The unanswered attempts on this connection, by their numbers; the oldest first. */
+    /** Returns the unanswered attempts on this connection by request number, the oldest first. */
     public Map<Long, RequestAttempt> open() {
-        return open;
+        return openAttempts;
     }
 
     /**
-     * Counts health checks that are under way.
+     * Changes the number of health checks in progress.
      *
-     * @param more how many more; negative once they are over
+     * @param change the number of checks that were started; negative if they have ended
      */
-    public void checks(int more) {
-        pendingChecks += more;
+    public void checks(int change) {
+        pendingChecks += change;
     }
 
     private boolean isBusy() {
-        return !open.isEmpty() || pendingChecks > 0 || waits();
+        return !openAttempts.isEmpty() || pendingChecks > 0 || waits();
     }
 
     /**
-     * Whether requests that were read wait until an earlier one is answered, as in protocols that
+     * Returns whether requests are queued behind an earlier unanswered one, in protocols that
      * answer in order.
      */
     protected boolean waits() {
@@ -140,77 +141,83 @@
     }
 
     /**
-     * Whether the connection can be closed without loss: nothing is open on it, no input waits, and
-     * no message is incomplete that the client may still wait for. Where no valid message ever
-     * came, an incomplete one is no reason to keep the connection.
+     * Returns whether the connection can be closed without loss: it has no open request, no
+     * unprocessed input, and no incomplete message that the client may still want answered. An
+     * incomplete message does not count if the client has never sent a valid one.
      *
-     * @param patience the age from which nobody waits for an incomplete message
+     * @param longestWait the age from which no client waits for an incomplete message
      */
-    boolean quiet(Duration patience) {
+    boolean quiet(Duration longestWait) {
         boolean isSending =
-                shown
+                hasSentValidMessage
                         && connection
                                 .within()
-                                .filter(since -> callers.now().minus(since).compareTo(patience) < 0)
+                                .filter(
+                                        since ->
+                                                clientConnections
+                                                                .now()
+                                                                .minus(since)
+                                                                .compareTo(longestWait)
+                                                        < 0)
                                 .isPresent();
         return !isBusy() && connection.quiet() && !isSending;
     }
 
     /**
-     * Asks the client once to send nothing more.
+     * Asks the client to send no further requests, unless it was asked before.
      *
-     * @param why the code with which the connection is then closed
-     * @return false where the protocol has no message for that
+     * @param code the code to close the connection with later
+     * @return false if the protocol has no message for this
      */
-    boolean part(CloseCode why) {
+    boolean part(CloseCode code) {
         if (closingReason.isPresent()) {
             return true;
         }
         if (!leaves()) {
             return false;
         }
-        closingReason = Optional.of(why);
+        closingReason = Optional.of(code);
         return true;
     }
 
-    /** Closes a connection whose client was asked to send nothing more and had time to react. */
+    /** Closes a connection whose client was asked to send nothing more, with that code. */
     void close() {
         connection.close(closingReason.orElseThrow());
     }
 
     /**
      * Drops a connection that is closing, or whose client was asked to send nothing more, unless
-     * that would lose a request or an answer.
+     * that would lose a request or a response.
      *
-     * @param patience as for {@link #quiet}
-     * @return whether it was dropped by this call
+     * @param longestWait the age from which no client waits for an incomplete message
+     * @return whether this call dropped the connection
      */
-    boolean hurry(Duration patience) {
+    boolean hurry(Duration longestWait) {
         boolean isLeaving = closingReason.isPresent() || !connection.open();
-        if (dropped || !isLeaving || !quiet(patience) || !connection.sent()) {
+        if (isDropped || !isLeaving || !quiet(longestWait) || !connection.sent()) {
             return false;
         }
-        dropped = true;
+        isDropped = true;
         connection.drop(closingReason.orElse(CloseCode.TOO_MANY));
         return true;
     }
 
-    /** Answers what was read before the violation, then closes the connection. */
+    /** Answers the requests that were read before the violation, then closes the connection. */
     @Override
     public boolean spoilt(CloseCode code) {
-        unreadable = true;
+        hasViolatedProtocol = true;
         closingReason = Optional.of(code);
-        callers.goes(this);
+        clientConnections.goes(this);
         settle();
         return true;
     }
 
-    /** Whether the client has violated the protocol, so that nothing more is read from it. */
+    /** Returns whether the client has violated the protocol and is no longer read from. */
     protected boolean unreadable() {
-        return unreadable;
+        return hasViolatedProtocol;
     }
 
-    /** Closes the connection where nothing is owed and nothing more is to come. */
+    /** Closes the connection if everything is answered and no further request can arrive. */
     public void settle() {
         if (isBusy()) {
             return;
@@ -218,20 +225,20 @@
         finalCloseCode()
                 .ifPresent(
                         code -> {
-                            callers.goes(this);
+                            clientConnections.goes(this);
                             connection.close(code);
                         });
     }
 
-    /** Why an idle connection is to be closed now, or empty where it stays open. */
+    /** Returns why a connection without open requests is to be closed, or empty to keep it. */
     private Optional<CloseCode> finalCloseCode() {
-        if (unreadable) {
+        if (hasViolatedProtocol) {
             return closingReason;
         }
         if (inputEnded) {
             return Optional.of(closingReason.orElse(CloseCode.PEER_CLOSED));
         }
-        if (surplus) {
+        if (isSurplus) {
             return Optional.of(CloseCode.TOO_MANY);
         }
         return done() ? Optional.of(CloseCode.ANSWERED) : Optional.empty();
@@ -239,11 +246,11 @@
 
     @Override
     public void closed() {
-        callers.closed();
+        clientConnections.closed();
     }
 
     @Override
     public void ended(CloseCode code) {
-        callers.ended(this);
+        clientConnections.ended(this);
     }
 }
--- a/src/main/java/ochretiller/frontend/ClientConnections.java
+++ b/src/main/java/ochretiller/frontend/ClientConnections.java
@@ -12,83 +12,83 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The clients' side of the server, over all protocols: attempts that come in go to the server's
- * decisions, and each attempt gets at most one answer. Belongs to the event loop, except for {@link
+ * All client connections of the server, over all protocols. Passes arriving attempts to a listener
+ * and ensures that each is answered at most once. Confined to the event loop, except for {@link
  * #accepted}.
  */
 public final class ClientConnections {
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final ConnectionTable connections;
-    private final Consumer<RequestAttempt> arrived;
-    private final Consumer<RequestAttempt> gone;
+    private final Consumer<RequestAttempt> onArrived;
+    private final Consumer<RequestAttempt> onAborted;
     private final Map<String, RequestAttempt> attempts = new HashMap<>();
     private long lastId;
-    private int openTries;
+    private int openAttempts;
     private BiConsumer<RequestAttempt, AnswerKind> answerListener = (attempt, kind) -> {};
 
     /**
-     * No connection yet.
+     * Creates the server's client side, without connections.
      *
-     * @param schedule the event loop
-     * @param limit connections that may be open, over all frontends
-     * @param longest how long a client waits for anything at most; an incomplete message that is
-     *     older is ignored
-     * @param idleAfter how long a connection may be idle at first
-     * @param arrived told of each attempt that is read
-     * @param gone told of each attempt whose client no longer waits
+     * @param scheduler the event loop
+     * @param limit the maximum number of open connections, over all frontends
+     * @param longestWait the longest time for which a client waits for a response; an incomplete
+     *     message that is older is ignored
+     * @param idleTimeout initial value for {@link #idleAfter}
+     * @param onArrived called with each attempt that was read
+     * @param onAborted called with each attempt whose client no longer waits
      */
     public ClientConnections(
-            Scheduler schedule,
+            Scheduler scheduler,
             int limit,
-            Duration longest,
-            Duration idleAfter,
-            Consumer<RequestAttempt> arrived,
-            Consumer<RequestAttempt> gone) {
-        this.schedule = schedule;
-        this.connections = new ConnectionTable(schedule, limit, longest, idleAfter);
-        this.arrived = arrived;
-        this.gone = gone;
+            Duration longestWait,
+            Duration idleTimeout,
+            Consumer<RequestAttempt> onArrived,
+            Consumer<RequestAttempt> onAborted) {
+        this.scheduler = scheduler;
+        this.connections = new ConnectionTable(scheduler, limit, longestWait, idleTimeout);
+        this.onArrived = onArrived;
+        this.onAborted = onAborted;
     }
 
     /**
-     * Sets the listener of answers.
+     * Sets the listener for answered attempts.
      *
-     * @param listener told of each answer, once
+     * @param listener called once for each attempt that is answered
      */
     public void ends(BiConsumer<RequestAttempt, AnswerKind> listener) {
         answerListener = listener;
     }
 
     Duration now() {
-        return schedule.now();
+        return scheduler.now();
     }
 
     /**
-     * Takes a connection that was accepted. Called on the I/O thread.
+     * Registers an accepted connection. Called on the I/O thread.
      *
-     * @return the same, as the handler of its connection
+     * @return {@code peer}
      */
     public ConnectionHandler accepted(ClientConnection peer) {
         connections.accept(peer);
         return peer;
     }
 
-    /** A connection has sent its first valid message. */
+    /** Called when a connection has sent a valid message. */
     void shows(ClientConnection peer) {
         connections.markActive(peer);
     }
 
-    /** A connection is about to be closed. */
+    /** Called when a connection is about to be closed. */
     void goes(ClientConnection peer) {
         connections.startLeaving(peer);
     }
 
-    /** A connection has released its file descriptor. Called on the I/O thread. */
+    /** Called on the I/O thread when a connection has released its file descriptor. */
     void closed() {
         connections.countReleased();
     }
 
-    /** A connection has ended: its clients no longer wait. */
+    /** Called when a connection has been closed: aborts its open attempts. */
     void ended(ClientConnection peer) {
         connections.remove(peer);
         for (RequestAttempt attempt : List.copyOf(peer.open().values())) {
@@ -96,143 +96,140 @@
         }
     }
 
-    /** The client no longer waits for this attempt, which gets no answer. */
-    public void abort(RequestAttempt inv) {
-        settle(inv);
-        gone.accept(inv);
+    /** Aborts an attempt whose client no longer waits; it is not answered. */
+    public void abort(RequestAttempt attempt) {
+        settle(attempt);
+        onAborted.accept(attempt);
     }
 
-    /** Whether an attempt with this request id is open or still runs. */
+    /** Returns whether an attempt with this request id is open or still running. */
     public boolean knows(String rid) {
         return attempts.containsKey(rid);
     }
 
-    /** An id that no other attempt of this process has. */
+    /** Returns an attempt id that is unique within this process. */
     public InvocationId nextId() {
         return new InvocationId(++lastId);
     }
 
-    /**
-     * Takes an attempt that was read. It goes to the server's decisions; on a surplus connection it
-     * is rejected at once.
-     */
-    public void opened(RequestAttempt inv) {
-        ClientConnection peer = inv.peer;
+    /** Registers an attempt that was read; throttles it at once on a surplus connection. */
+    public void opened(RequestAttempt attempt) {
+        ClientConnection peer = attempt.peer;
         peer.shows();
-        peer.open().put(inv.number, inv);
-        attempts.put(inv.rid, inv);
-        openTries++;
+        peer.open().put(attempt.number, attempt);
+        attempts.put(attempt.rid, attempt);
+        openAttempts++;
         if (peer.surplus()) {
-            throttle(inv, Duration.ZERO, false); // it never ran, and another server may have room
+            throttle(attempt, Duration.ZERO, false); // another server may have capacity
         } else {
-            arrived.accept(inv);
+            onArrived.accept(attempt);
         }
-        if (inv.answered() && !inv.running()) {
-            forget(inv);
+        if (attempt.answered() && !attempt.running()) {
+            forget(attempt);
         }
     }
 
     /**
-     * Finds an attempt that is open or still runs.
+     * Finds an attempt that is open or still running.
      *
      * @param rid its request id
-     * @return the attempt, or null where there is none
+     * @return the attempt, or null if there is none
      */
     public RequestAttempt find(String rid) {
         return attempts.get(rid);
     }
 
-    /** Removes an attempt that is answered and whose run is over. */
-    public void forget(RequestAttempt inv) {
-        attempts.remove(inv.rid, inv);
+    /** Removes an attempt that is answered and whose run has ended. */
+    public void forget(RequestAttempt attempt) {
+        attempts.remove(attempt.rid, attempt);
     }
 
-    /** Marks an attempt as answered; false where it was answered before. */
+    /** Marks an attempt as answered; returns false if it already was. */
     private boolean settle(RequestAttempt attempt) {
         if (attempt.answered()) {
             return false;
         }
         attempt.settle();
         attempt.peer.open().remove(attempt.number);
-        openTries--;
+        openAttempts--;
         return true;
     }
 
     private void onAnswered(RequestAttempt attempt, AnswerKind kind) {
         answerListener.accept(attempt, kind);
-        attempt.peer.connection.used(schedule.now());
+        attempt.peer.connection.used(scheduler.now());
         attempt.peer.settle();
     }
 
-    /** Answers with the result of the attempt's own run, unless it was answered before. */
-    public void succeed(RequestAttempt inv, byte[] result) {
-        succeed(inv, result, false);
+    /** Answers with the result of the attempt's own run, unless already answered. */
+    public void succeed(RequestAttempt attempt, byte[] result) {
+        succeed(attempt, result, false);
     }
 
     /**
-     * Answers with a result, unless the attempt was answered before.
+     * Answers with a result, unless already answered.
      *
-     * @param replayed whether it is the stored result of an earlier attempt
+     * @param replayed whether this is the stored result of an earlier attempt
      */
-    public void succeed(RequestAttempt inv, byte[] result, boolean replayed) {
-        if (!settle(inv)) {
+    public void succeed(RequestAttempt attempt, byte[] result, boolean replayed) {
+        if (!settle(attempt)) {
             return;
         }
-        inv.peer.succeeds(inv, result, replayed);
-        onAnswered(inv, replayed ? AnswerKind.REPLAYED : AnswerKind.SUCCEEDED);
+        attempt.peer.succeeds(attempt, result, replayed);
+        onAnswered(attempt, replayed ? AnswerKind.REPLAYED : AnswerKind.SUCCEEDED);
     }
 
     /**
-     * Rejects an attempt that never ran, unless it was answered before.
+     * Rejects an attempt that never ran, unless already answered.
      *
-     * @param retryIn when to retry; zero where nothing is said about that
-     * @param last whether a retry is of no use
+     * @param retryAfter the delay to advise before a retry; zero to advise none
+     * @param isFinal whether to tell the client that a retry is of no use
      */
-    public void throttle(RequestAttempt inv, Duration retryIn, boolean last) {
-        if (!settle(inv)) {
+    public void throttle(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
+        if (!settle(attempt)) {
             return;
         }
-        inv.peer.throttles(inv, retryIn, last);
-        onAnswered(inv, AnswerKind.THROTTLED);
+        attempt.peer.throttles(attempt, retryAfter, isFinal);
+        onAnswered(attempt, AnswerKind.THROTTLED);
     }
 
-    /** Answers with an error, unless the attempt was answered before. */
-    public void fail(RequestAttempt inv, FailureReason why) {
-        if (!settle(inv)) {
+    /** Answers with an error, unless already answered. */
+    public void fail(RequestAttempt attempt, FailureReason reason) {
+        if (!settle(attempt)) {
             return;
         }
-        inv.peer.fails(inv, why);
-        onAnswered(inv, AnswerKind.ERRORED);
+        attempt.peer.fails(attempt, reason);
+        onAnswered(attempt, AnswerKind.ERRORED);
     }
 
-    /** How many attempts are not answered yet. */
+    /** Returns the number of unanswered attempts. */
     public int openTries() {
-        return openTries;
+        return openAttempts;
     }
 
     /** Sets how long a connection may be idle before it is closed. */
-    public void idleAfter(Duration span) {
-        connections.setIdleTimeout(span);
+    public void idleAfter(Duration timeout) {
+        connections.setIdleTimeout(timeout);
     }
 
-    /** Asks all clients, and each that connects from here on, to send nothing more. */
+    /** Asks all current and future clients to send no further requests. */
     public void leave() {
         connections.startDrain();
     }
 
-    /** How many connections have not ended. */
+    /** Returns the number of connections that are open or closing. */
     public int connections() {
         return connections.size();
     }
 
-    /** Closes all connections at once; answers that have not gone out are lost. */
+    /** Closes all connections at once and discards unsent responses. */
     public void drop() {
         for (ClientConnection peer : connections.all()) {
             peer.connection.drop(CloseCode.LEAVING);
         }
     }
 
-    /** Closes all connections once their output has gone out. */
+    /** Closes all connections after their output has been sent. */
     public void close() {
         for (ClientConnection peer : connections.all()) {
             peer.connection.close(CloseCode.LEAVING);
--- a/src/main/java/ochretiller/frontend/ConnectionTable.java
+++ b/src/main/java/ochretiller/frontend/ConnectionTable.java
@@ -12,96 +12,96 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The open connections of clients, and which of them are closed: the least useful where there are
- * too many, those that are idle, and all of them when the server shuts down. A connection on which
- * something is open, or on its way, is never closed to make room.
+ * The open client connections. Closes idle connections, the least useful ones when there are too
+ * many, and all of them when the server shuts down. A connection with an open request, or a request
+ * in transit, is never closed to make room.
  *
- * <p>Belongs to the event loop, except for {@link #accept} and {@link #countReleased}.
+ * <p>Confined to the event loop, except for {@link #accept} and {@link #countReleased}.
  */
 final class ConnectionTable {
     /**
-     * Part of the limit by which it may be exceeded until others are closed, so that health checks
-     * still get in.
+     * The limit may be exceeded by 1/4 until other connections are closed, so that health checks
+     * can still connect.
      */
-    private static final int SURPLUS_PART = 4;
+    private static final int SURPLUS_DIVISOR = 4;
 
-    /** Part of the limit that connections without a valid message may take. */
-    private static final int NEWCOMER_PART = 4;
+    /** Connections that have sent no valid message may take 1/4 of the limit. */
+    private static final int NEWCOMER_DIVISOR = 4;
 
-    /** Part of the limit beyond which newcomers are dropped without being asked to leave. */
-    private static final int FLOOD_PART = 2;
+    /** Above 1/2 of the limit, newcomers are dropped without being asked to leave. */
+    private static final int FLOOD_DIVISOR = 2;
 
     /**
-     * How long a connection has for its first valid message; a client is owed an answer or a close
+     * Timeout for the first valid message of a connection. A client must get a response or a close
      * within 3 s.
      */
     private static final Duration FIRST_MESSAGE_TIMEOUT = Duration.ofSeconds(2);
 
     /**
-     * How long the first request of a new connection may be on its way, and how long a client that
-     * is asked to leave may still bring a request that crosses the message.
+     * Longest transit time of a request: the first one of a new connection, or one that was sent
+     * before the client received the message that asks it to leave.
      */
-    private static final Duration CROSSING_TIME = Duration.ofMillis(100);
+    private static final Duration REQUEST_TRANSIT_TIME = Duration.ofMillis(100);
 
-    /** How long an idle client has to close its side: many times {@link #CROSSING_TIME}. */
-    private static final Duration IDLE_CLOSE_TIME = Duration.ofSeconds(1);
+    /** Time for an idle client to close its side, many times {@link #REQUEST_TRANSIT_TIME}. */
+    private static final Duration IDLE_CLOSE_TIMEOUT = Duration.ofSeconds(1);
 
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
 
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final int limit;
     private final Duration longestWait;
 
-    /** Connections that were not asked to leave, the oldest first. */
+    /** Connections that have not been asked to leave, the oldest first. */
     private final Set<ClientConnection> staying = new LinkedHashSet<>();
 
     /** Those of {@link #staying} that have sent no valid message yet, the oldest first. */
     private final Set<ClientConnection> newcomers = new LinkedHashSet<>();
 
-    /** Connections that were asked to leave, cannot be read any more, or are closing. */
+    /** Connections that were asked to leave, violated the protocol, or are closing. */
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
 
-    /** Connections that hold a file descriptor. */
-    private final AtomicInteger descriptors = new AtomicInteger();
+    /** The number of connections that hold a file descriptor. */
+    private final AtomicInteger descriptorCount = new AtomicInteger();
 
     private Duration idleTimeout;
     private boolean draining;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param schedule the event loop
-     * @param limit how many connections may be open
-     * @param longestWait the age from which nobody waits for an incomplete message
-     * @param idleTimeout how long a connection may be idle at first
+     * @param scheduler the event loop
+     * @param limit the maximum number of open connections
+     * @param longestWait the age from which no client waits for an incomplete message
+     * @param idleTimeout initial value for {@link #setIdleTimeout}
      */
-    ConnectionTable(Scheduler schedule, int limit, Duration longestWait, Duration idleTimeout) {
-        this.schedule = schedule;
+    ConnectionTable(Scheduler scheduler, int limit, Duration longestWait, Duration idleTimeout) {
+        this.scheduler = scheduler;
         this.limit = limit;
         this.longestWait = longestWait;
         this.idleTimeout = idleTimeout;
-        schedule.after(SWEEP_INTERVAL, this::sweep);
+        scheduler.after(SWEEP_INTERVAL, this::sweep);
     }
 
-    /** Takes a connection that was accepted. Called on the I/O thread. */
+    /** Adds an accepted connection, or drops it above the limit. Called on the I/O thread. */
     void accept(ClientConnection peer) {
-        if (descriptors.incrementAndGet() > limit + limit / SURPLUS_PART) {
+        if (descriptorCount.incrementAndGet() > limit + limit / SURPLUS_DIVISOR) {
             peer.connection.drop(CloseCode.TOO_MANY);
         }
-        schedule.post(() -> add(peer));
+        scheduler.post(() -> add(peer));
     }
 
     /**
-     * A connection has released its file descriptor. Called on the I/O thread, since on the event
-     * loop the ends of connections could wait behind a flood of new ones, which would be dropped.
+     * Counts a released file descriptor. Called on the I/O thread: on the event loop, it could be
+     * queued behind a flood of new connections, which would then be dropped.
      */
     void countReleased() {
-        descriptors.decrementAndGet();
+        descriptorCount.decrementAndGet();
     }
 
     private void add(ClientConnection peer) {
         if (!peer.connection.open()) {
-            return; // its end is reported next
+            return; // remove is called next
         }
         staying.add(peer);
         newcomers.add(peer);
@@ -112,17 +112,18 @@
     }
 
     /**
-     * Closes the connection that is missed least where there are too many: the oldest newcomer,
-     * then the one that has been idle longest. Where all are busy, the new one is surplus.
+     * If there are too many connections, closes the oldest newcomer or else the one that has been
+     * idle longest. If all are busy, marks the new one as surplus.
      */
     private void makeRoom(ClientConnection newcomer) {
-        dropOneThatLeaves();
+        dropOneLeaving();
         boolean full = staying.size() > limit;
-        boolean manyNewcomers = newcomers.size() > limit / NEWCOMER_PART;
+        boolean manyNewcomers = newcomers.size() > limit / NEWCOMER_DIVISOR;
         if (manyNewcomers || full) {
             Optional<ClientConnection> oldest =
-                    newcomers.stream().filter(this::isQuiet).findFirst();
-            if (oldest.isPresent() && (manyNewcomers || isOlderThan(oldest.get(), CROSSING_TIME))) {
+                    newcomers.stream().filter(this::isClosable).findFirst();
+            if (oldest.isPresent()
+                    && (manyNewcomers || isOlderThan(oldest.get(), REQUEST_TRANSIT_TIME))) {
                 closeNewcomer(oldest.get());
                 return;
             }
@@ -132,9 +133,9 @@
         }
     }
 
-    /** Frees a descriptor, so that no newcomer is dropped for clients that were asked to leave. */
-    private void dropOneThatLeaves() {
-        if (descriptors.get() <= limit) {
+    /** Frees a descriptor of a client that was asked to leave, for the new connection. */
+    private void dropOneLeaving() {
+        if (descriptorCount.get() <= limit) {
             return;
         }
         for (ClientConnection peer : leaving) {
@@ -145,10 +146,10 @@
     }
 
     private void closeNewcomer(ClientConnection oldest) {
-        if (descriptors.get() <= limit / FLOOD_PART) {
-            // Clients that reconnect all at once lose nothing: a request that crosses the message
-            // is answered.
-            release(oldest, CloseCode.TOO_MANY, CROSSING_TIME);
+        if (descriptorCount.get() <= limit / FLOOD_DIVISOR) {
+            // No loss for clients that all reconnect at once: a request that was sent before the
+            // client received the message is still answered.
+            release(oldest, CloseCode.TOO_MANY, REQUEST_TRANSIT_TIME);
         } else {
             // A flood would fill the table before the clients could react.
             startLeaving(oldest);
@@ -159,29 +160,29 @@
     private void closeLongestIdle(ClientConnection newcomer) {
         Optional<ClientConnection> longestIdle =
                 staying.stream()
-                        .filter(peer -> peer != newcomer && peer.shown() && isQuiet(peer))
+                        .filter(peer -> peer != newcomer && peer.shown() && isClosable(peer))
                         .min(Comparator.comparing(peer -> peer.connection.usedAt()));
         if (longestIdle.isPresent()) {
-            release(longestIdle.get(), CloseCode.TOO_MANY, CROSSING_TIME);
+            release(longestIdle.get(), CloseCode.TOO_MANY, REQUEST_TRANSIT_TIME);
         } else {
             newcomer.makeSurplus();
         }
     }
 
-    private boolean isQuiet(ClientConnection peer) {
+    private boolean isClosable(ClientConnection peer) {
         return peer.quiet(longestWait);
     }
 
     private boolean isOlderThan(ClientConnection peer, Duration age) {
-        return schedule.now().minus(peer.madeAt()).compareTo(age) > 0;
+        return scheduler.now().minus(peer.madeAt()).compareTo(age) > 0;
     }
 
-    /** A connection has sent its first valid message. */
+    /** Called when a connection has sent a valid message: it is no newcomer any more. */
     void markActive(ClientConnection peer) {
         newcomers.remove(peer);
     }
 
-    /** A connection is about to be closed. */
+    /** Called when a connection is about to be closed. */
     void startLeaving(ClientConnection peer) {
         newcomers.remove(peer);
         if (staying.remove(peer)) {
@@ -190,33 +191,33 @@
     }
 
     /**
-     * Closes a quiet connection. Where the protocol allows it the client is asked to leave first,
-     * and a request that crosses the message is still answered; the connection is then closed here
-     * only if the client does not close it.
+     * Closes a connection without open requests. If the protocol has a message for it, the client
+     * is first asked to leave: requests already in transit are still answered, and the connection
+     * is closed from this side only if the client does not close it within the timeout.
      */
-    private void release(ClientConnection peer, CloseCode code, Duration patience) {
+    private void release(ClientConnection peer, CloseCode code, Duration timeout) {
         startLeaving(peer);
         if (peer.part(code)) {
-            schedule.after(patience, () -> closeOnceQuiet(peer, patience));
+            scheduler.after(timeout, () -> closeWhenClosable(peer, timeout));
         } else if (peer.shown()) {
             peer.connection.close(code);
         } else {
-            peer.connection.drop(code); // nothing was written on it, so nothing can be lost
+            peer.connection.drop(code); // nothing was written on it that could be lost
         }
     }
 
-    private void closeOnceQuiet(ClientConnection peer, Duration interval) {
+    private void closeWhenClosable(ClientConnection peer, Duration interval) {
         if (!peer.connection.open()) {
             return;
         }
-        if (isQuiet(peer)) {
+        if (isClosable(peer)) {
             peer.close();
         } else {
-            schedule.after(interval, () -> closeOnceQuiet(peer, interval));
+            scheduler.after(interval, () -> closeWhenClosable(peer, interval));
         }
     }
 
-    /** A connection has ended. */
+    /** Removes a connection that has been closed. */
     void remove(ClientConnection peer) {
         staying.remove(peer);
         newcomers.remove(peer);
@@ -229,24 +230,24 @@
     }
 
     private void sweep() {
-        schedule.after(SWEEP_INTERVAL, this::sweep);
+        scheduler.after(SWEEP_INTERVAL, this::sweep);
         for (ClientConnection peer : List.copyOf(staying)) {
-            if (!isQuiet(peer)) {
-                continue; // a close could lose input that is not processed yet
+            if (!isClosable(peer)) {
+                continue; // a close could lose unprocessed input
             }
             if (!peer.shown() && isOlderThan(peer, FIRST_MESSAGE_TIMEOUT)) {
-                release(peer, CloseCode.SILENT, CROSSING_TIME);
+                release(peer, CloseCode.SILENT, REQUEST_TRANSIT_TIME);
             } else if (isIdle(peer)) {
-                release(peer, CloseCode.IDLE, IDLE_CLOSE_TIME);
+                release(peer, CloseCode.IDLE, IDLE_CLOSE_TIMEOUT);
             }
         }
     }
 
     private boolean isIdle(ClientConnection peer) {
-        return schedule.now().minus(peer.connection.usedAt()).compareTo(idleTimeout) > 0;
+        return scheduler.now().minus(peer.connection.usedAt()).compareTo(idleTimeout) > 0;
     }
 
-    /** Asks all clients, and each that connects from here on, to send nothing more. */
+    /** Asks all current and future clients to send no further requests. */
     void startDrain() {
         draining = true;
         for (ClientConnection peer : List.copyOf(staying)) {
@@ -256,12 +257,12 @@
         }
     }
 
-    /** How many connections have not ended. */
+    /** Returns the number of connections that are open or closing. */
     int size() {
         return staying.size() + leaving.size();
     }
 
-    /** All connections that have not ended. */
+    /** Returns all connections that are open or closing. */
     List<ClientConnection> all() {
         List<ClientConnection> all = new ArrayList<>(staying);
         all.addAll(leaving);
--- a/src/main/java/ochretiller/frontend/RequestAttempt.java
+++ b/src/main/java/ochretiller/frontend/RequestAttempt.java
@@ -5,14 +5,14 @@
 import ochretiller.model.Operation;
 
 /**
- * One attempt of a client's request, from its arrival until it is answered and its run is over.
- * Belongs to the event loop.
+ * One attempt of a client's request, from its arrival until it is answered and its run has ended.
+ * Confined to the event loop.
  */
 public final class RequestAttempt {
-    /** Identifies the attempt within this process. */
+    /** The id of the attempt, unique within this process. */
     public final InvocationId id;
 
-    /** The request id, by which the processor and the records service know the attempt. */
+    /** The request id, which identifies the attempt to the processor and the records service. */
     public final String rid;
 
     /** The operation to run. */
@@ -21,10 +21,10 @@
     /** Memory to reserve for the attempt, in KB. */
     public final double kb;
 
-    /** Identifies the client. */
+    /** The id of the client. */
     public final long caller;
 
-    /** When the attempt reached the machine, since the server's start. */
+    /** When the attempt reached this machine, measured from the start of the server. */
     public final Duration arrived;
 
     /**
@@ -33,10 +33,10 @@
      */
     public final long t0;
 
-    /** The idempotency key; null where the operation has none. */
+    /** The idempotency key; null unless the operation is keyed. */
     public final String token;
 
-    /** The object that a read is about; null where it names none. */
+    /** The object that the request reads; null if it names none or the operation is keyed. */
     public final String object;
 
     /** The request body. */
@@ -51,11 +51,11 @@
     private long version;
 
     /**
-     * An attempt as it was read.
+     * Creates an attempt that is not answered and not running.
      *
-     * @param token the idempotency key or null; kept only where the operation is keyed
-     * @param object the object of a read or null; kept only where the operation is not keyed
-     * @param peer the connection that gets the answer
+     * @param token the idempotency key or null; ignored unless the operation is keyed
+     * @param object the object that is read or null; ignored if the operation is keyed
+     * @param peer the connection to answer on
      */
     public RequestAttempt(
             InvocationId id,
@@ -84,29 +84,29 @@
         this.number = number;
     }
 
-    /** Whether the client has been answered, or no longer waits. */
+    /** Returns whether the client has been answered or no longer waits. */
     public boolean answered() {
         return answered;
     }
 
-    /** Whether a run of this attempt was started and is not over. */
+    /** Returns whether a run of this attempt is in progress. */
     public boolean running() {
         return running;
     }
 
-    /** Notes whether a run of this attempt is under way. */
-    public void runs(boolean now) {
-        running = now;
+    /** Sets whether a run of this attempt is in progress. */
+    public void runs(boolean isRunning) {
+        running = isRunning;
     }
 
-    /** The version of the fleet's configuration that the attempt is bound to; 0 for none. */
+    /** Returns the version of the fleet configuration that the attempt is bound to, 0 if none. */
     public long version() {
         return version;
     }
 
-    /** Binds the attempt to a version of the fleet's configuration until its end. */
-    public void bind(long to) {
-        version = to;
+    /** Binds the attempt to a version of the fleet configuration until it ends. */
+    public void bind(long fleetVersion) {
+        version = fleetVersion;
     }
 
     void settle() {
--- a/src/main/java/ochretiller/frontend/package-info.java
+++ b/src/main/java/ochretiller/frontend/package-info.java
@@ -1,16 +1,15 @@
 /**
- * What the frontends of all protocols share: the connections of clients, the requests that are open
- * on them, and the limits on both.
+ * Code that is common to the frontends of all protocols: client connections, the open requests on
+ * them, and the limits on both.
  *
  * <p>A frontend ({@code jsonrpc}, {@code uwsgi}) extends {@link
  * ochretiller.frontend.ClientConnection}, which turns bytes into {@link
- * ochretiller.frontend.RequestAttempt}s and answers into bytes. {@link
- * ochretiller.frontend.ClientConnections} passes attempts to the server's decisions and makes sure
- * that each is answered once; {@link ochretiller.frontend.ConnectionTable} decides which
- * connections are closed where there are too many, where they are idle, and when the server shuts
- * down.
+ * ochretiller.frontend.RequestAttempt}s and responses into bytes. {@link
+ * ochretiller.frontend.ClientConnections} passes attempts on for admission and ensures that each is
+ * answered at most once; {@link ochretiller.frontend.ConnectionTable} decides which connections to
+ * close when there are too many, when they are idle, and when the server shuts down.
  *
- * <p>State: open connections and open attempts. Everything belongs to the event loop, except for
- * accepting and releasing a connection, which are counted on the I/O threads.
+ * <p>State: open connections and open attempts. Everything is confined to the event loop, except
+ * that accepted and released connections are counted on the I/O threads.
  */
 package ochretiller.frontend;
--- a/src/main/java/ochretiller/jsonrpc/HealthChecks.java
+++ b/src/main/java/ochretiller/jsonrpc/HealthChecks.java
@@ -4,61 +4,62 @@
 import java.util.function.Consumer;
 
 /**
- * Answers health checks, and holds the advertised capacity that goes out with each answer. Belongs
+ * Answers health checks and holds the advertised capacity, which every response includes. Confined
  * to the event loop.
  */
 public final class HealthChecks {
-    private final Consumer<Consumer<Boolean>> deep;
-    private boolean good;
-    private boolean stored = true;
-    private OptionalDouble hint = OptionalDouble.empty();
+    private final Consumer<Consumer<Boolean>> deepCheck;
+    private boolean healthy;
+    private boolean answersFullChecks = true;
+    private OptionalDouble advertisedCapacity = OptionalDouble.empty();
 
     /**
-     * Checks that fail until {@link #set} is called.
+     * Creates an instance whose checks fail until {@link #set} is called.
      *
-     * @param deep starts a deep check and tells its callback whether the check succeeded
+     * @param deepCheck starts a deep check and passes its result to the callback
      */
-    public HealthChecks(Consumer<Consumer<Boolean>> deep) {
-        this.deep = deep;
+    public HealthChecks(Consumer<Consumer<Boolean>> deepCheck) {
+        this.deepCheck = deepCheck;
     }
 
     /**
-     * Sets what checks are answered.
+     * Sets the result of the following checks.
      *
-     * @param nowGood whether the server is healthy
-     * @param nowStored whether that also answers full checks; otherwise each starts a deep check
+     * @param nowHealthy whether the server is healthy
+     * @param nowAnswersFullChecks whether a full check is also answered with {@code nowHealthy};
+     *     otherwise a full check of a healthy server starts a deep check
      */
-    public void set(boolean nowGood, boolean nowStored) {
-        good = nowGood;
-        stored = nowStored;
+    public void set(boolean nowHealthy, boolean nowAnswersFullChecks) {
+        healthy = nowHealthy;
+        answersFullChecks = nowAnswersFullChecks;
     }
 
     /** Sets the capacity that is advertised to gateways. */
-    public void advertise(double value) {
-        hint = OptionalDouble.of(value);
+    public void advertise(double capacity) {
+        advertisedCapacity = OptionalDouble.of(capacity);
     }
 
-    /** Whether the server is healthy. */
+    /** Returns whether the server is healthy. */
     public boolean good() {
-        return good;
+        return healthy;
     }
 
-    /** The advertised capacity; empty until one was set. */
+    /** Returns the advertised capacity; empty until it is first set. */
     OptionalDouble hint() {
-        return hint;
+        return advertisedCapacity;
     }
 
     /**
-     * Answers a check, at once or when the deep check is over.
+     * Answers a check, at once or when the deep check has ended.
      *
-     * @param full whether the client asked for a full check
-     * @param then told whether the server is healthy
+     * @param full whether the client requested a full check
+     * @param callback receives whether the server is healthy
      */
-    void check(boolean full, Consumer<Boolean> then) {
-        if (full && good && !stored) {
-            deep.accept(then);
+    void check(boolean full, Consumer<Boolean> callback) {
+        if (full && healthy && !answersFullChecks) {
+            deepCheck.accept(callback);
         } else {
-            then.accept(good);
+            callback.accept(healthy);
         }
     }
 }
--- a/src/main/java/ochretiller/jsonrpc/InvocationParams.java
+++ b/src/main/java/ochretiller/jsonrpc/InvocationParams.java
@@ -7,17 +7,20 @@
  * The validated parameters of an invocation.
  *
  * @param rid the request id, 16 hex digits
- * @param t0 when the client sent it, in Unix milliseconds
- * @param caller identifies the client
- * @param kb memory to reserve, in KB
- * @param token the idempotency key, 32 hex digits; null where there is none
- * @param object the object that a read is about, 16 hex digits; null where there is none
+ * @param t0 when the client sent the request, in Unix milliseconds
+ * @param caller the client's id
+ * @param kb the memory to reserve, in KB
+ * @param token the idempotency key, 32 hex digits; null if absent
+ * @param object the object that is read, 16 hex digits; null if absent
  * @param body the request body, decoded from Base64
  */
 record InvocationParams(
         String rid, long t0, long caller, double kb, String token, String object, byte[] body) {
-    private static final int LONGEST_BODY = 2 * 1024;
-    private static final double MOST_KB = 2_000;
+    private static final int MAX_BODY_BYTES = 2 * 1024;
+
+    /** Exclusive limit, in KB. */
+    private static final double MAX_MEMORY_KB = 2_000;
+
     private static final int REQUEST_ID_DIGITS = 16;
     private static final int KEY_DIGITS = 32;
     private static final int OBJECT_DIGITS = 16;
@@ -25,26 +28,26 @@
     /**
      * Validates the parameters of a message.
      *
-     * @throws JsonRpcException where one is missing or wrong
+     * @throws JsonRpcException if a parameter is missing or invalid
      */
     static InvocationParams of(Map<String, Object> members) {
         InvocationParams params =
                 new InvocationParams(
                         hex(members, "rid", REQUEST_ID_DIGITS),
-                        whole(members, "t0", 1),
-                        whole(members, "peer", 0),
-                        number(members, "mem", MOST_KB),
+                        integer(members, "t0", 1),
+                        integer(members, "peer", 0),
+                        number(members, "mem", MAX_MEMORY_KB),
                         optionalHex(members, "token", KEY_DIGITS),
                         optionalHex(members, "obj", OBJECT_DIGITS),
                         body(members));
         if (params.kb == 0) {
-            throw wrong("mem");
+            throw invalid("mem");
         }
         number(members, "prio", 1);
         return params;
     }
 
-    private static JsonRpcException wrong(String name) {
+    private static JsonRpcException invalid(String name) {
         return new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: " + name);
     }
 
@@ -54,48 +57,48 @@
                 && text.chars().allMatch(InvocationParams::isHexDigit)) {
             return text;
         }
-        throw wrong(name);
+        throw invalid(name);
     }
 
-    /** Character.digit would take digits of other scripts, too. */
+    /** Used instead of Character.digit, which also accepts digits of other scripts. */
     private static boolean isHexDigit(int c) {
         return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F';
     }
 
-    /** Null where there is no such member. */
+    /** Returns null if the member is absent. */
     private static String optionalHex(Map<String, Object> members, String name, int digits) {
         return members.containsKey(name) ? hex(members, name, digits) : null;
     }
 
-    private static long whole(Map<String, Object> members, String name, long least) {
-        if (members.get(name) instanceof Long value && value >= least) {
+    private static long integer(Map<String, Object> members, String name, long min) {
+        if (members.get(name) instanceof Long value && value >= min) {
             return value;
         }
-        throw wrong(name);
+        throw invalid(name);
     }
 
-    /** A number from 0 to below {@code bound}. */
-    private static double number(Map<String, Object> members, String name, double bound) {
+    /** Returns a number of at least 0 and less than {@code limit}. */
+    private static double number(Map<String, Object> members, String name, double limit) {
         if (members.get(name) instanceof Number value
                 && value.doubleValue() >= 0
-                && value.doubleValue() < bound) {
+                && value.doubleValue() < limit) {
             return value.doubleValue();
         }
-        throw wrong(name);
+        throw invalid(name);
     }
 
     private static byte[] body(Map<String, Object> members) {
         if (!(members.get("data") instanceof String text)) {
-            throw wrong("data");
+            throw invalid("data");
         }
         byte[] body;
         try {
             body = Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
-            throw wrong("data");
+            throw invalid("data");
         }
-        if (body.length > LONGEST_BODY) {
-            throw wrong("data");
+        if (body.length > MAX_BODY_BYTES) {
+            throw invalid("data");
         }
         return body;
     }
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
@@ -9,25 +9,25 @@
 import ochretiller.text.Json;
 import ochretiller.text.Slice;
 
-/** Parses messages of gateways and writes those of the server, one a line. Any thread. */
+/** Parses messages from gateways and formats those of the server, one per line. Any thread. */
 final class JsonRpcCodec {
-    /** Error code of an attempt that was rejected before it ran. */
+    /** Error code for an attempt that was rejected before it ran. */
     static final int THROTTLED = -32014;
 
-    /** Error code of an attempt that failed. */
+    /** Error code for an attempt that failed. */
     static final int FAILED = -32000;
 
-    /** The notification that asks a gateway to send nothing more on the connection. */
+    /** Notification that asks a gateway to send no further requests on the connection. */
     static final String SHUTDOWN = "{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}\n";
 
-    private static final int TYPICAL_ANSWER_CHARS = 128;
+    private static final int TYPICAL_RESPONSE_CHARS = 128;
 
     private JsonRpcCodec() {}
 
     /**
      * Parses one line.
      *
-     * @throws BadInputException where not even an id can be read, so that no answer is possible
+     * @throws BadInputException if the id cannot be read, so that no response is possible
      */
     static JsonRpcMessage read(Slice line) {
         Json json = new Json(line);
@@ -59,7 +59,7 @@
                 : OptionalLong.empty();
     }
 
-    @SuppressWarnings("unchecked") // the parser makes maps with names as keys only
+    @SuppressWarnings("unchecked") // the parser creates only maps with string keys
     private static JsonRpcMessage call(OptionalLong id, Map<String, Object> members) {
         if (!"2.0".equals(members.get("jsonrpc"))) {
             throw new JsonRpcException(JsonRpcException.REQUEST, "not JSON-RPC 2.0");
@@ -77,79 +77,81 @@
         return new JsonRpcMessage.Call(id, method, (Map<String, Object>) params);
     }
 
-    private static StringBuilder open(long id, String part) {
-        return new StringBuilder(TYPICAL_ANSWER_CHARS)
+    private static StringBuilder open(long id, String member) {
+        return new StringBuilder(TYPICAL_RESPONSE_CHARS)
                 .append("{\"jsonrpc\":\"2.0\",\"id\":")
                 .append(id)
                 .append(",\"")
-                .append(part)
+                .append(member)
                 .append("\":{");
     }
 
-    /** Appends the advertised capacity, if any, behind a separator. */
-    private static StringBuilder hint(StringBuilder out, OptionalDouble hint, String separator) {
+    /** Appends a separator and the advertised capacity, if present. */
+    private static StringBuilder appendHint(
+            StringBuilder out, OptionalDouble hint, String separator) {
         if (hint.isPresent()) {
             out.append(separator).append("\"hint\":").append(hint.getAsDouble());
         }
         return out;
     }
 
-    /** The answer with a result. */
+    /** Formats the response with a result. */
     static String result(long id, byte[] result, OptionalDouble hint) {
         StringBuilder out =
                 open(id, "result")
                         .append("\"data\":\"")
                         .append(Base64.getEncoder().encodeToString(result))
                         .append('"');
-        return hint(out, hint, ",").append("}}\n").toString();
+        return appendHint(out, hint, ",").append("}}\n").toString();
     }
 
-    /** The answer to a health check. */
-    static String health(long id, boolean good, OptionalDouble hint) {
-        StringBuilder out = open(id, "result").append("\"green\":").append(good);
-        return hint(out, hint, ",").append("}}\n").toString();
+    /** Formats the response to a health check. */
+    static String health(long id, boolean healthy, OptionalDouble hint) {
+        StringBuilder out = open(id, "result").append("\"green\":").append(healthy);
+        return appendHint(out, hint, ",").append("}}\n").toString();
     }
 
-    /** The answer to a request that has no result. */
+    /** Formats the response to a request that has no result. */
     static String done(long id) {
         return open(id, "result").append("}}\n").toString();
     }
 
     /**
-     * The answer to an attempt that was rejected before it ran.
+     * Formats the response to an attempt that was rejected before it ran.
      *
-     * @param retryIn when to retry, in whole milliseconds of at least one; zero to leave it out
-     * @param last whether a retry is of no use
+     * @param retryAfter the delay before a retry, sent as at least 1 ms; zero to omit it
+     * @param isFinal whether a retry is of no use
      */
-    static String throttled(long id, Duration retryIn, boolean last, OptionalDouble hint) {
+    static String throttled(
+            long id, Duration retryAfter, boolean isFinal, OptionalDouble hint) {
         StringBuilder out = error(id, THROTTLED, "throttled").append(",\"data\":{");
         String separator = "";
-        if (!retryIn.isZero()) {
-            out.append("\"backoff\":").append(Math.max(1, retryIn.toMillis()));
+        if (!retryAfter.isZero()) {
+            out.append("\"backoff\":").append(Math.max(1, retryAfter.toMillis()));
             separator = ",";
         }
-        if (last) {
+        if (isFinal) {
             out.append(separator).append("\"final\":1");
             separator = ",";
         }
-        return hint(out, hint, separator).append("}}}\n").toString();
+        return appendHint(out, hint, separator).append("}}}\n").toString();
     }
 
-    /** The answer to an attempt that failed. */
+    /** Formats the response to an attempt that failed. */
     static String failed(long id, String message, OptionalDouble hint) {
         StringBuilder out = error(id, FAILED, message);
         if (hint.isPresent()) {
-            hint(out.append(",\"data\":{"), hint, "").append('}');
+            appendHint(out.append(",\"data\":{"), hint, "").append('}');
         }
         return out.append("}}\n").toString();
     }
 
-    /** The answer to a request that violates the protocol. */
-    static String fault(long id, JsonRpcException fault) {
-        return error(id, fault.code, fault.getMessage()).append("}}\n").toString();
+    /** Formats the response to a request that violates the protocol. */
+    static String fault(long id, JsonRpcException violation) {
+        return error(id, violation.code, violation.getMessage()).append("}}\n").toString();
     }
 
-    /** Messages are constants of this server, so they need no escapes. */
+    /** The message is not escaped, so it must be a constant of this server. */
     private static StringBuilder error(long id, int code, String message) {
         return open(id, "error")
                 .append("\"code\":")
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
@@ -12,20 +12,21 @@
 import ochretiller.text.BadInputException;
 import ochretiller.text.Frames;
 
-/** One connection of a gateway: cuts its input into messages and writes the answers. */
+/** One gateway connection: splits its input into messages and writes the responses. */
 final class JsonRpcConnection extends ClientConnection {
-    private static final int LONGEST_LINE = 8 * 1024;
+    private static final int MAX_LINE_BYTES = 8 * 1024;
 
     private final JsonRpcFrontend frontend;
-    private final Frames frames = new Frames(LONGEST_LINE, false, line -> Frames.NONE);
+    private final Frames frames = new Frames(MAX_LINE_BYTES, false, line -> Frames.NONE);
     private boolean hasSentBadInput;
 
-    JsonRpcConnection(Connection connection, ClientConnections callers, JsonRpcFrontend frontend) {
-        super(connection, callers);
+    JsonRpcConnection(
+            Connection connection, ClientConnections clientConnections, JsonRpcFrontend frontend) {
+        super(connection, clientConnections);
         this.frontend = frontend;
     }
 
-    /** Messages that were complete before a violation are still processed. */
+    /** Messages that precede a protocol violation are still processed. */
     @Override
     public Runnable received(byte[] bytes, int from, int to) {
         List<JsonRpcMessage> messages = new ArrayList<>(1);
@@ -39,14 +40,14 @@
             violation = Optional.of(e);
             connection.deafen();
         }
-        return messages.isEmpty() ? null : processing(messages, violation);
+        return messages.isEmpty() ? null : processingTask(messages, violation);
     }
 
-    private Runnable processing(
+    private Runnable processingTask(
             List<JsonRpcMessage> messages, Optional<BadInputException> violation) {
         return () -> {
             messages.forEach(message -> frontend.read(this, message));
-            violation.ifPresent(fault -> frontend.unreadable(this, fault));
+            violation.ifPresent(exception -> frontend.unreadable(this, exception));
         };
     }
 
@@ -59,7 +60,7 @@
         return connection.open() && !unreadable();
     }
 
-    /** The peer's address, for log lines. */
+    /** Returns the peer's address, for log lines. */
     String name() {
         return connection.peer();
     }
@@ -68,7 +69,7 @@
         connection.write(text);
     }
 
-    /** Notes bad input; true for the first of this connection. */
+    /** Records bad input and returns whether it is the first on this connection. */
     boolean isFirstBadInput() {
         boolean first = !hasSentBadInput;
         hasSentBadInput = true;
@@ -76,18 +77,18 @@
     }
 
     @Override
-    protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
-        write(JsonRpcCodec.result(inv.number, result, frontend.hint()));
+    protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
+        write(JsonRpcCodec.result(attempt.number, result, frontend.hint()));
     }
 
     @Override
-    protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
-        write(JsonRpcCodec.throttled(inv.number, retryIn, last, frontend.hint()));
+    protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
+        write(JsonRpcCodec.throttled(attempt.number, retryAfter, isFinal, frontend.hint()));
     }
 
     @Override
-    protected void fails(RequestAttempt inv, FailureReason why) {
-        write(JsonRpcCodec.failed(inv.number, why.text, frontend.hint()));
+    protected void fails(RequestAttempt attempt, FailureReason reason) {
+        write(JsonRpcCodec.failed(attempt.number, reason.text, frontend.hint()));
     }
 
     @Override
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcException.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcException.java
@@ -1,6 +1,6 @@
 package ochretiller.jsonrpc;
 
-/** A request that is answered with one of the errors that JSON-RPC 2.0 defines, section 5.1. */
+/** Reports a request that is answered with an error of JSON-RPC 2.0, section 5.1. */
 final class JsonRpcException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -16,10 +16,10 @@
     /** Invalid params. */
     static final int PARAMS = -32602;
 
-    /** The error code of the answer. */
+    /** The error code in the response. */
     final int code;
 
-    /** Made without a stack trace: peers can cause these at will, and the trace costs most. */
+    /** Has no stack trace: peers can trigger this at will, and the trace is the main cost. */
     JsonRpcException(int code, String message) {
         super(message, null, false, false);
         this.code = code;
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
@@ -16,54 +16,55 @@
 import ochretiller.text.BadInputException;
 
 /**
- * The JSON-RPC frontend: turns messages of gateways into request attempts, health checks and
- * aborts. Belongs to the event loop, except for {@link #accepted}.
+ * The JSON-RPC frontend: turns messages from gateways into request attempts, health checks and
+ * aborts. Confined to the event loop, except for {@link #accepted}.
  */
 public final class JsonRpcFrontend {
     private static final Logger LOG = Logger.getLogger(JsonRpcFrontend.class.getName());
 
-    /** Requests that may be open on one connection. */
-    private static final int OPEN = 32;
+    /** Maximum number of open requests on one connection. */
+    private static final int MAX_OPEN_REQUESTS = 32;
 
-    private final ClientConnections callers;
+    private final ClientConnections clientConnections;
     private final Map<String, Operation> operations;
     private final LongFunction<Duration> sinceStart;
     private final HealthChecks health;
 
     /**
-     * A frontend that serves each connection passed to {@link #accepted}.
+     * Creates a frontend that serves the connections passed to {@link #accepted}.
      *
-     * @param callers the server's connections of clients
+     * @param clientConnections all client connections of the server
      * @param operations the operations that can be invoked, by name
      * @param health answers health checks
      * @param sinceStart converts Unix milliseconds to the time since the server's start
      */
     public JsonRpcFrontend(
-            ClientConnections callers,
+            ClientConnections clientConnections,
             Map<String, Operation> operations,
             HealthChecks health,
             LongFunction<Duration> sinceStart) {
-        this.callers = callers;
+        this.clientConnections = clientConnections;
         this.operations = operations;
         this.health = health;
         this.sinceStart = sinceStart;
     }
 
     /**
-     * Takes a connection that was accepted. Called on the I/O thread.
+     * Registers an accepted connection. Called on the I/O thread.
      *
      * @return the handler of the connection
      */
     public ConnectionHandler accepted(Connection connection) {
-        return callers.accepted(new JsonRpcConnection(connection, callers, this));
+        return clientConnections.accepted(
+                new JsonRpcConnection(connection, clientConnections, this));
     }
 
-    /** The advertised capacity that goes out with each answer. */
+    /** Returns the advertised capacity, which every response includes. */
     OptionalDouble hint() {
         return health.hint();
     }
 
-    /** Acts on one message. */
+    /** Handles one message. */
     void read(JsonRpcConnection peer, JsonRpcMessage message) {
         if (!peer.isOpen()) {
             return;
@@ -88,9 +89,9 @@
         }
     }
 
-    /** Answers an error; a notification that is wrong ends the connection instead. */
+    /** Answers with an error, or closes the connection if the message was a notification. */
     private void reject(JsonRpcConnection peer, OptionalLong id, JsonRpcException error) {
-        // Only the first of a connection is logged at INFO, or a peer could fill the log.
+        // Only the first error of a connection is logged at INFO, else a peer could fill the log.
         Level level = peer.isFirstBadInput() ? Level.INFO : Level.FINE;
         LOG.log(
                 level,
@@ -109,9 +110,9 @@
         peer.settle();
     }
 
-    /** Input that cannot be parsed followed messages that could. */
-    void unreadable(JsonRpcConnection peer, BadInputException fault) {
-        LOG.info(() -> "bad input from gateway " + peer.name() + ": " + fault.getMessage());
+    /** Closes a connection on which unparsable input followed valid messages. */
+    void unreadable(JsonRpcConnection peer, BadInputException violation) {
+        LOG.info(() -> "bad input from gateway " + peer.name() + ": " + violation.getMessage());
         peer.spoilt(CloseCode.BAD_INPUT);
     }
 
@@ -129,39 +130,39 @@
         peer.checks(1);
         health.check(
                 full,
-                good -> {
+                healthy -> {
                     peer.checks(-1);
-                    peer.write(JsonRpcCodec.health(id, good, health.hint()));
+                    peer.write(JsonRpcCodec.health(id, healthy, health.hint()));
                     peer.settle();
                 });
     }
 
     /**
-     * The client no longer waits for an attempt, which it names by the id of its request or by its
-     * request id. An attempt that is not open is no error: its answer crossed the abort.
+     * Aborts the attempt with the given message id or request id. It is no error if the attempt is
+     * not open, since its response may have been sent before the abort arrived.
      */
     private void abort(JsonRpcConnection peer, JsonRpcMessage.Call call) {
         Map<String, Object> params = call.params();
         boolean isByRequestId = params.containsKey("rid");
         Object ownId = call.id().isPresent() ? (Object) call.id().getAsLong() : null;
-        Object named = params.getOrDefault("id", isByRequestId ? null : ownId);
-        RequestAttempt attempt = findOpen(peer, named, params.get("rid"));
+        Object targetId = params.getOrDefault("id", isByRequestId ? null : ownId);
+        RequestAttempt attempt = findOpen(peer, targetId, params.get("rid"));
         if (attempt != null) {
-            callers.abort(attempt);
-        } else if (!(named instanceof Long) && !isByRequestId) {
+            clientConnections.abort(attempt);
+        } else if (!(targetId instanceof Long) && !isByRequestId) {
             throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: id");
         }
-        if (call.id().isPresent() && !ownId.equals(named)) {
+        if (call.id().isPresent() && !ownId.equals(targetId)) {
             peer.write(JsonRpcCodec.done(call.id().getAsLong()));
         }
         peer.settle();
     }
 
-    /** The open attempt of this connection with this number or else this request id, or null. */
+    /** Finds an open attempt of this connection by number or else request id; null if none. */
     private RequestAttempt findOpen(JsonRpcConnection peer, Object number, Object requestId) {
         RequestAttempt attempt = peer.open().get(number);
         if (attempt == null && requestId instanceof String rid) {
-            attempt = callers.find(rid);
+            attempt = clientConnections.find(rid);
         }
         return peer.open().containsValue(attempt) ? attempt : null;
     }
@@ -179,15 +180,15 @@
         if (peer.open().containsKey(id)) {
             throw new JsonRpcException(JsonRpcException.REQUEST, "id is in use");
         }
-        if (peer.open().size() >= OPEN) {
+        if (peer.open().size() >= MAX_OPEN_REQUESTS) {
             throw new JsonRpcException(JsonRpcException.REQUEST, "too many open requests");
         }
-        if (callers.knows(params.rid())) {
+        if (clientConnections.knows(params.rid())) {
             throw new JsonRpcException(JsonRpcException.PARAMS, "rid is in use");
         }
-        callers.opened(
+        clientConnections.opened(
                 new RequestAttempt(
-                        callers.nextId(),
+                        clientConnections.nextId(),
                         params.rid(),
                         operation,
                         params.kb(),
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcMessage.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcMessage.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** A message of a gateway as it was parsed. */
+/** A parsed message from a gateway. */
 sealed interface JsonRpcMessage {
     /**
      * A well-formed message.
@@ -16,10 +16,10 @@
             implements JsonRpcMessage {}
 
     /**
-     * A message of which only the id could be read.
+     * A malformed message whose id could be read.
      *
      * @param id the request's id
-     * @param error what is wrong with the rest
+     * @param error the error to answer with
      */
     record Invalid(long id, JsonRpcException error) implements JsonRpcMessage {}
 }
