--- a/src/main/java/ochretiller/jsonrpc/package-info.java
+++ b/src/main/java/ochretiller/jsonrpc/package-info.java
@@ -5,6 +5,7 @@
  * <p>{@link ochretiller.jsonrpc.JsonRpcConnection} splits the input into lines on the I/O thread
  * and {@code JsonRpcCodec} parses them; {@link ochretiller.jsonrpc.JsonRpcFrontend} handles the
  * messages on the event loop. State: the health and capacity in {@link
- * ochretiller.jsonrpc.HealthChecks}. The {@code frontend} package holds the open attempts.
+ * ochretiller.jsonrpc.HealthChecks}, and the health checks in progress. The {@code frontend}
+ * package holds the open attempts.
  */
 package ochretiller.jsonrpc;
--- a/src/main/java/ochretiller/processor/ActiveRun.java
+++ b/src/main/java/ochretiller/processor/ActiveRun.java
@@ -6,29 +6,29 @@
 import ochretiller.model.RunOutcome;
 
 /**
- * A run whose end is not known yet, with what a new connection must be told of it. Belongs to the
- * event loop.
+ * A run that is not known to have ended, with the data needed to repeat its commands on a new
+ * connection. Confined to the event loop.
  */
 final class ActiveRun {
     /** The request id of the run. */
     final String requestId;
 
-    /** The name of its operation. */
+    /** The name of the operation. */
     final String operation;
 
     /** The request body; empty for a resumed run. */
     final byte[] body;
 
-    /** Whether it may run a second time where it is not known whether it did. */
+    /** Whether it may be started again if it is unknown whether it has run. */
     final boolean isRetryable;
 
-    /** Whether a previous process started it, so that it is never started here. */
+    /** Whether a previous process started it; this process never does. */
     final boolean isResumed;
 
-    /** Whether it is to be stopped. */
+    /** Whether it has been cancelled. */
     boolean isCancelled;
 
-    /** The reply to its last call, until the next call or its end shows that it was received. */
+    /** The reply to the last call, until the next call or the end of the run confirms receipt. */
     Optional<byte[]> callReply = Optional.empty();
 
     private final RunListener listener;
@@ -48,7 +48,7 @@
         this.listener = listener;
     }
 
-    /** A run that this process starts. */
+    /** Creates a run that this process starts. */
     static ActiveRun started(
             String requestId,
             String operation,
@@ -58,17 +58,17 @@
         return new ActiveRun(requestId, operation, body, isRetryable, false, listener);
     }
 
-    /** A run that a previous process has started. */
+    /** Creates a run that a previous process has started. */
     static ActiveRun resumed(String requestId, String operation, RunListener listener) {
         return new ActiveRun(requestId, operation, new byte[0], false, true, listener);
     }
 
     /**
-     * Reports the end of the run, once.
+     * Reports the end of the run to its listener. Must be called once.
      *
-     * @param status how it ended
-     * @param elapsed how long it took, as the processor says
-     * @param result the result's bytes, or null where none came
+     * @param status how the run ended
+     * @param elapsed the duration that the processor reported
+     * @param result the result's bytes, or null if there is none
      */
     void finish(RunOutcome.Status status, Duration elapsed, byte[] result) {
         listener.onRunFinished(status, elapsed, result);
--- a/src/main/java/ochretiller/processor/GaugeDecoder.java
+++ b/src/main/java/ochretiller/processor/GaugeDecoder.java
@@ -6,19 +6,19 @@
 import ochretiller.text.BadInputException;
 
 /**
- * Decodes the processor's gauges, whose order the configuration gives, and keeps the last ones.
- * Belongs to the event loop.
+ * Decodes the processor's gauges, which arrive in the configured order, and stores the last values.
+ * Confined to the event loop.
  */
 final class GaugeDecoder {
-    /** Older gauges say nothing about the present. */
+    /** Gauges older than this are reported as unknown. */
     private static final Duration MAX_AGE = Duration.ofSeconds(1);
 
     private final List<String> names;
-    private ResourceGauges last = ResourceGauges.UNKNOWN;
+    private ResourceGauges lastGauges = ResourceGauges.UNKNOWN;
     private Duration updatedAt = Duration.ZERO;
 
     /**
-     * Gauges that are unknown until the first {@link #update}.
+     * Creates a decoder whose gauges are unknown until the first {@link #update}.
      *
      * @param names the names of the gauges, in the order in which they are sent
      */
@@ -27,18 +27,19 @@
     }
 
     /**
-     * Takes new gauges.
+     * Decodes and stores new values.
      *
-     * @param values the numbers as they were sent
+     * @param values the numbers as received
      * @param now the time since the server's start
-     * @throws BadInputException where there are fewer values than names
-     * @throws NumberFormatException where a value is no number
+     * @throws BadInputException if there are fewer values than names
+     * @throws NumberFormatException if a value is not a number
      */
     void update(List<String> values, Duration now) {
         if (values.size() < names.size()) {
-            throw new BadInputException("too few gauges");
+            throw new BadInputException(
+                    "received " + values.size() + " gauges, expected " + names.size());
         }
-        last =
+        lastGauges =
                 new ResourceGauges(
                         value("core_use", values),
                         value("on_cores", values),
@@ -52,9 +53,9 @@
         return index < 0 ? Double.NaN : Double.parseDouble(values.get(index));
     }
 
-    /** The last gauges, or unknown ones where those are too old. */
+    /** Returns the last gauges, or unknown ones if they are too old. */
     ResourceGauges gaugesAt(Duration now) {
         boolean isStale = now.minus(updatedAt).compareTo(MAX_AGE) > 0;
-        return isStale ? ResourceGauges.UNKNOWN : last;
+        return isStale ? ResourceGauges.UNKNOWN : lastGauges;
     }
 }
--- a/src/main/java/ochretiller/processor/NoticeSequence.java
+++ b/src/main/java/ochretiller/processor/NoticeSequence.java
@@ -3,26 +3,26 @@
 import ochretiller.text.BadInputException;
 
 /**
- * The numbers of the processor's notices, which count up from 1. Tells new notices from repeated
- * ones and finds gaps. Belongs to the event loop.
+ * Tracks the sequence numbers of the processor's notices, which start at 1. Distinguishes new
+ * notices from repeated ones and detects gaps. Confined to the event loop.
  */
 final class NoticeSequence {
     private long last;
     private boolean hasGap;
 
-    /** The number of the last notice; 0 before the first. */
+    /** Returns the number of the last notice; 0 before the first. */
     long last() {
         return last;
     }
 
     /**
-     * Takes the number of a notice. A number that was left out can be asked for again by a new
-     * connection; where the new connection leaves it out, too, the notice is lost for good.
+     * Processes the number of a received notice. A new connection requests skipped numbers again;
+     * if the processor skips them there too, those notices are lost permanently.
      *
-     * @param number the number
-     * @param isCaughtUp whether the connection has already repeated the notices that were missed
-     * @return whether the notice is new; false for one that was seen before
-     * @throws BadInputException where a number was left out and a new connection may still get it
+     * @param number the number of the notice
+     * @param isCaughtUp whether the connection has already repeated all missed notices
+     * @return whether the notice is new; false if it was received before
+     * @throws BadInputException if numbers were skipped that a new connection may still receive
      */
     boolean accept(long number, boolean isCaughtUp) {
         if (number <= last) {
@@ -30,7 +30,8 @@
         }
         if (number > last + 1) {
             if (isCaughtUp) {
-                throw new BadInputException("notice " + number + " behind " + last);
+                throw new BadInputException(
+                        "expected notice " + (last + 1) + " but received notice " + number);
             }
             hasGap = true;
         }
@@ -38,10 +39,10 @@
         return true;
     }
 
-    /** Whether notices were lost since the last call. */
+    /** Returns whether notices were lost since the last call. */
     boolean takeGap() {
-        boolean had = hasGap;
+        boolean hadGap = hasGap;
         hasGap = false;
-        return had;
+        return hadGap;
     }
 }
--- a/src/main/java/ochretiller/processor/ProcessorClient.java
+++ b/src/main/java/ochretiller/processor/ProcessorClient.java
@@ -18,18 +18,18 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Keeps a connection to the processor. Runs survive a reconnect: the end of each is reported once.
- * Belongs to the event loop.
+ * Maintains a connection to the processor. Runs survive a reconnect: the end of each is reported
+ * once. Confined to the event loop.
  */
 public final class ProcessorClient implements RunBackend {
     private static final Duration RECONNECT_DELAY = Duration.ofMillis(100);
 
-    /** Least time between two requests for gauges, each of which covers half a second. */
-    private static final Duration GAUGE_INTERVAL = Duration.ofMillis(80);
+    /** Minimum interval between gauge requests; each reply covers half a second. */
+    private static final Duration MIN_GAUGE_INTERVAL = Duration.ofMillis(80);
 
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final Network network;
-    private final GaugeDecoder gauges;
+    private final GaugeDecoder gaugeDecoder;
     private final BiConsumer<Boolean, Duration> onUp;
     private final BiConsumer<String, byte[]> onCall;
     private final NoticeSequence notices = new NoticeSequence();
@@ -47,32 +47,32 @@
     private Duration gaugesRequestedAt = Duration.ZERO;
 
     /**
-     * A client that is not connected yet.
+     * Creates a client that is not connected.
      *
-     * @param schedule the event loop
-     * @param network makes the connections
+     * @param scheduler the event loop
+     * @param network creates the connections
      * @param address the processor's address
-     * @param meters the names of the gauges, in the order in which they are sent
-     * @param up told once the processor is there: whether it was cold at its start, and how long
-     *     ago that was
-     * @param asked told of a run that waits for a call: its request id and the call's body
+     * @param gaugeNames the names of the gauges, in the order in which they are sent
+     * @param onUp called on each connect with whether the processor was cold at its start, and the
+     *     time since then
+     * @param onCall called when a run makes a call, with the run's request id and the call's body
      */
     public ProcessorClient(
-            Scheduler schedule,
+            Scheduler scheduler,
             Network network,
             InetSocketAddress address,
-            List<String> meters,
-            BiConsumer<Boolean, Duration> up,
-            BiConsumer<String, byte[]> asked) {
-        this.schedule = schedule;
+            List<String> gaugeNames,
+            BiConsumer<Boolean, Duration> onUp,
+            BiConsumer<String, byte[]> onCall) {
+        this.scheduler = scheduler;
         this.network = network;
         this.address = address;
-        this.gauges = new GaugeDecoder(meters);
-        this.onUp = up;
-        this.onCall = asked;
+        this.gaugeDecoder = new GaugeDecoder(gaugeNames);
+        this.onUp = onUp;
+        this.onCall = onCall;
     }
 
-    /** Connects, unless a connection to the current address is there or being made. */
+    /** Connects, unless a connection to the current address exists or is being established. */
     public void connect() {
         boolean isConnected =
                 connection.filter(current -> address.equals(current.address())).isPresent();
@@ -83,82 +83,82 @@
         InetSocketAddress to = address;
         network.connect(
                 to,
-                made -> new ProcessorConnection(made, to, this, schedule),
+                established -> new ProcessorConnection(established, to, this, scheduler),
                 () -> {
                     isConnecting = false;
-                    schedule.after(RECONNECT_DELAY, this::connect);
+                    scheduler.after(RECONNECT_DELAY, this::connect);
                 });
     }
 
     /**
-     * Changes the processor's address. The old connection is used until there is a new one.
+     * Changes the processor's address. The old connection is used until the new one is established.
      *
-     * @param to the new address
+     * @param newAddress the new address
      */
-    public void move(InetSocketAddress to) {
-        address = to;
+    public void move(InetSocketAddress newAddress) {
+        address = newAddress;
         connect();
     }
 
-    /** Closes the connection for good. */
+    /** Closes the connection permanently. */
     public void close() {
         isClosing = true;
         connection.ifPresent(current -> current.close(CloseCode.LEAVING));
     }
 
-    /** The processor's gauges, or unknown ones where those are too old. */
+    /** Returns the processor's last gauges, or unknown ones if they are too old. */
     public ResourceGauges gauges() {
-        return gauges.gaugesAt(schedule.now());
+        return gaugeDecoder.gaugesAt(scheduler.now());
     }
 
-    /** Requests new gauges, unless that was done a moment ago. */
+    /** Requests new gauges, at most once in {@link #MIN_GAUGE_INTERVAL}. */
     public void askGauges() {
-        Duration sinceLast = schedule.now().minus(gaugesRequestedAt);
-        if (!isCaughtUp || sinceLast.compareTo(GAUGE_INTERVAL) < 0) {
+        Duration sinceLast = scheduler.now().minus(gaugesRequestedAt);
+        if (!isCaughtUp || sinceLast.compareTo(MIN_GAUGE_INTERVAL) < 0) {
             return;
         }
-        gaugesRequestedAt = schedule.now();
+        gaugesRequestedAt = scheduler.now();
         ready().ifPresent(current -> current.requestGauges("g" + ++lastTag));
     }
 
     /**
-     * Starts a deep check, in which the processor does a piece of work.
+     * Starts a deep check, in which the processor does a small amount of work.
      *
-     * @param then told whether the work was done; at once where there is no connection
+     * @param callback receives whether the work was done; false at once if there is no connection
      */
-    public void trial(Consumer<Boolean> then) {
+    public void trial(Consumer<Boolean> callback) {
         if (!isCaughtUp) {
-            then.accept(false);
+            callback.accept(false);
             return;
         }
         String tag = "t" + ++lastTag;
-        deepChecks.put(tag, then);
+        deepChecks.put(tag, callback);
         ready().ifPresent(current -> current.startDeepCheck(tag));
     }
 
     @Override
-    public void startRun(RunRequest task, RunListener then) {
+    public void startRun(RunRequest request, RunListener listener) {
         ActiveRun run =
                 ActiveRun.started(
-                        task.requestId(),
-                        task.operationName(),
-                        task.body(),
-                        task.isRetryable(),
-                        then);
+                        request.requestId(),
+                        request.operationName(),
+                        request.body(),
+                        request.isRetryable(),
+                        listener);
         runs.put(run.requestId, run);
         ready().ifPresent(current -> current.begin(run));
     }
 
     /**
-     * Resumes a run that a previous process has started: its end is reported if the processor still
-     * knows it, and it is never started here.
+     * Resumes a run that a previous process has started. It is never started here; its end is
+     * reported if the processor still knows the run.
      *
-     * @param rid its request id
+     * @param rid the run's request id
      * @param operation the name of its operation
-     * @param then told of its end
+     * @param listener receives the end of the run
      */
-    public void adopt(String rid, String operation, RunListener then) {
-        runs.put(rid, ActiveRun.resumed(rid, operation, then));
+    public void adopt(String rid, String operation, RunListener listener) {
+        runs.put(rid, ActiveRun.resumed(rid, operation, listener));
     }
 
     @Override
@@ -172,7 +172,7 @@
     }
 
     /**
-     * Passes the reply to the call that a run waits for; ignored where the run is over.
+     * Sends the reply to the call that a run waits for; does nothing if the run has ended.
      *
      * @param rid the run's request id
      * @param reply the reply's bytes
@@ -186,7 +186,7 @@
         ready().ifPresent(current -> current.answerCall(rid, reply));
     }
 
-    /** The connection that takes commands; empty until it has repeated the missed notices. */
+    /** Returns the connection for commands; empty until it has repeated all missed notices. */
     private Optional<ProcessorConnection> ready() {
         return isCaughtUp ? connection : Optional.empty();
     }
@@ -195,33 +195,33 @@
         return connection.filter(current -> current == candidate).isPresent();
     }
 
-    /** A connection is established: it replaces the one before it. */
-    void onConnected(ProcessorConnection made) {
+    /** Called when a connection is established: it replaces the previous one. */
+    void onConnected(ProcessorConnection established) {
         isConnecting = false;
-        if (!made.isOpen()) {
-            return; // its end is reported next
+        if (!established.isOpen()) {
+            return; // onDisconnected is called next
         }
         if (isClosing) {
-            made.close(CloseCode.LEAVING);
+            established.close(CloseCode.LEAVING);
             return;
         }
         Optional<ProcessorConnection> old = connection;
-        connection = Optional.of(made);
+        connection = Optional.of(established);
         onUnavailable();
         old.ifPresent(replaced -> replaced.drop(CloseCode.MOVED));
-        made.requestNoticesAfter(notices.last());
-        connect(); // the address may have changed meanwhile
+        established.requestNoticesAfter(notices.last());
+        connect(); // the address may have changed in the meantime
     }
 
-    void onDisconnected(ProcessorConnection ended) {
-        if (isCurrent(ended)) {
+    void onDisconnected(ProcessorConnection closed) {
+        if (isCurrent(closed)) {
             connection = Optional.empty();
             onUnavailable();
         }
-        schedule.after(RECONNECT_DELAY, this::connect);
+        scheduler.after(RECONNECT_DELAY, this::connect);
     }
 
-    /** No command can be sent until a connection has caught up; deep checks under way fail. */
+    /** Suspends commands until a connection has caught up; fails the pending deep checks. */
     private void onUnavailable() {
         isCaughtUp = false;
         List<Consumer<Boolean>> failed = new ArrayList<>(deepChecks.values());
@@ -229,7 +229,7 @@
         failed.forEach(listener -> listener.accept(false));
     }
 
-    /** Whether the notice with this number is new, as {@link NoticeSequence#accept} says. */
+    /** Records the number of a notice and returns whether the notice is new. */
     boolean isNewNotice(long number) {
         return notices.accept(number, isCaughtUp);
     }
@@ -238,14 +238,13 @@
         onUp.accept(wasCold, age);
     }
 
-    /** All missed notices were repeated: commands that may have been lost are sent again. */
+    /** Called when all missed notices were repeated: repeats commands that may have been lost. */
     void onCaughtUp() {
         isCaughtUp = true;
         boolean lostNotices = notices.takeGap();
         for (ActiveRun run : new ArrayList<>(runs.values())) {
             if (lostNotices && !run.isRetryable && !run.isResumed) {
-                // It may be over: its end may be among the lost notices, and a second run would
-                // have a second effect.
+                // Its end may be among the lost notices; a second run would repeat its effect.
                 onRunFinished(run.requestId, RunOutcome.Status.FAILED, Duration.ZERO, null);
             } else {
                 ready().ifPresent(current -> repeatCommands(current, run));
@@ -271,7 +270,7 @@
         }
     }
 
-    /** A run waits for a call, which shows that it has received the reply to the one before. */
+    /** Called when a run makes a call, which confirms receipt of the reply to the previous one. */
     void onCall(String requestId, byte[] body) {
         ActiveRun run = runs.get(requestId);
         if (run == null) {
@@ -282,7 +281,7 @@
     }
 
     void onGauges(List<String> values) {
-        gauges.update(values, schedule.now());
+        gaugeDecoder.update(values, scheduler.now());
     }
 
     void onDeepCheckFinished(String tag, boolean succeeded) {
--- a/src/main/java/ochretiller/processor/ProcessorConnection.java
+++ b/src/main/java/ochretiller/processor/ProcessorConnection.java
@@ -16,26 +16,26 @@
 
 /**
  * One connection to the processor: writes commands, and passes notices to {@link ProcessorClient}
- * for as long as it is the client's current connection. Commands and notices are lines of words
- * that end in CR LF; some are followed by a body whose length is the last word.
+ * while it is the client's current connection. Commands and notices are lines of words that end in
+ * CR LF; some are followed by a body whose length is the last word.
  *
- * <p>Belongs to the event loop, except for {@link #received}.
+ * <p>Confined to the event loop, except for {@link #received}.
  */
 final class ProcessorConnection implements ConnectionHandler {
     private static final Logger LOG = Logger.getLogger(ProcessorClient.class.getName());
 
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** The tag of the gauges that mark the end of the repeated notices. */
+    /** The tag of the gauge request whose reply marks the end of the repeated notices. */
     private static final String FENCE = "fence";
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Milliseconds, some 30 years: longer times are malformed. */
+    /** Limit for durations, about 30 years; larger values are malformed. */
     private static final double MAX_MILLIS = 1e12;
 
-    private static final int COMPLETE_WORDS = 6;
-    private static final int ASK_WORDS = 4;
+    private static final int COMPLETE_WORDS_WITH_BODY = 6;
+    private static final int ASK_WORDS_WITH_BODY = 4;
 
     private final Connection connection;
     private final InetSocketAddress address;
@@ -43,19 +43,19 @@
     private final Frames frames = new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
 
     /**
-     * A connection that was established. Called on the I/O thread.
+     * Creates the handler of an established connection. Called on the I/O thread.
      *
-     * @param address the address that was connected to
+     * @param address the remote address
      */
     ProcessorConnection(
             Connection connection,
             InetSocketAddress address,
             ProcessorClient client,
-            Scheduler schedule) {
+            Scheduler scheduler) {
         this.connection = connection;
         this.address = address;
         this.client = client;
-        schedule.post(() -> client.onConnected(this));
+        scheduler.post(() -> client.onConnected(this));
     }
 
     InetSocketAddress address() {
@@ -66,7 +66,7 @@
         return connection.open();
     }
 
-    /** Closes the connection once its output has gone out. */
+    /** Closes the connection after its output has been sent. */
     void close(CloseCode code) {
         connection.close(code);
     }
@@ -76,7 +76,7 @@
         connection.drop(code);
     }
 
-    /** Asks for all notices behind this number. */
+    /** Requests all notices with higher numbers. */
     void requestNoticesAfter(long lastNotice) {
         connection.write("hello " + lastNotice + "\r\n");
     }
@@ -89,7 +89,7 @@
         connection.write("interrupt " + requestId + "\r\n");
     }
 
-    /** Passes the reply to the call that a run waits for. */
+    /** Sends the reply to the call that a run waits for. */
     void answerCall(String requestId, byte[] reply) {
         writeWithBody("answer " + requestId, reply);
     }
@@ -167,11 +167,11 @@
     }
 
     /**
-     * A run whose begin is rejected never starts. Other commands may come too late, and then do
-     * nothing.
+     * A run whose {@code begin} is rejected never starts. Any other command is rejected if it
+     * arrives after the end of the run, which needs no reaction.
      */
     private void onRejected(String command, String requestId) {
-        LOG.warning("the processor rejects " + command + " of " + requestId);
+        LOG.warning("the processor rejected command " + command + " for run " + requestId);
         if (command.equals("begin")) {
             client.onRunFinished(
                     requestId, RunOutcome.Status.NEVER_STARTED, Duration.ZERO, new byte[0]);
@@ -200,8 +200,8 @@
     private static int bodyLength(Slice line) {
         List<String> words = line.words();
         boolean hasBody =
-                words.get(0).equals("complete") && words.size() == COMPLETE_WORDS
-                        || words.get(0).equals("ask") && words.size() == ASK_WORDS;
+                words.get(0).equals("complete") && words.size() == COMPLETE_WORDS_WITH_BODY
+                        || words.get(0).equals("ask") && words.size() == ASK_WORDS_WITH_BODY;
         if (!hasBody) {
             return Frames.NONE;
         }
@@ -217,7 +217,7 @@
         } catch (NumberFormatException e) {
             // Reported below, like a negative number.
         }
-        throw new BadInputException("no number: '" + word + "'");
+        throw new BadInputException("not a number of at least 0: '" + word + "'");
     }
 
     private static Duration duration(String millis) {
@@ -229,6 +229,6 @@
         } catch (NumberFormatException e) {
             // Reported below, like a number out of range.
         }
-        throw new BadInputException("no time: '" + millis + "'");
+        throw new BadInputException("not a duration in milliseconds: '" + millis + "'");
     }
 }
--- a/src/main/java/ochretiller/records/CallListener.java
+++ b/src/main/java/ochretiller/records/CallListener.java
@@ -2,13 +2,13 @@
 
 import ochretiller.model.CallOutcome;
 
-/** Told of the end of a call, once, on the event loop. */
+/** Receives the outcome of a call. Called once, on the event loop. */
 @FunctionalInterface
 public interface CallListener {
     /**
-     * The call is over.
+     * Called when the call has ended.
      *
-     * @param outcome how it ended and how long it took
+     * @param outcome the status and duration of the call
      * @param reply the reply's bytes; empty unless the call succeeded
      */
     void onCallFinished(CallOutcome outcome, byte[] reply);
--- a/src/main/java/ochretiller/records/PendingCall.java
+++ b/src/main/java/ochretiller/records/PendingCall.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** A call that is not over. Belongs to the event loop. */
+/** A call that has not ended. Confined to the event loop. */
 final class PendingCall {
-    /** The request id of the run that makes the call. */
+    /** The request id of the run that made the call. */
     final String requestId;
 
     /** How long the run waits for the reply. */
@@ -14,12 +14,12 @@
     /** The call's body. */
     final byte[] body;
 
-    /** When the call was made, since the server's start. */
+    /** When the call was made, measured from the start of the server. */
     final Duration startedAt;
 
     final CallListener listener;
 
-    /** The connection that the call was written to. */
+    /** The connection that the call was written to; empty until it is written. */
     Optional<RecordsConnection> connection = Optional.empty();
 
     PendingCall(
--- a/src/main/java/ochretiller/records/RecordsClient.java
+++ b/src/main/java/ochretiller/records/RecordsClient.java
@@ -18,69 +18,70 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Makes calls to the records service over a pool of connections. Connections are made when they are
- * needed and carry one call at a time, so a connection that breaks affects one call only. The one
- * that was used last is used next, and idle ones are closed before the service closes them. Belongs
- * to the event loop.
+ * Makes calls to the records service over a pool of connections. Connections are opened on demand
+ * and carry one call at a time, so a broken connection affects only one call. The most recently
+ * used connection is reused first, and idle ones are closed before the service closes them.
+ * Confined to the event loop.
  */
 public final class RecordsClient {
     /**
-     * The service closes idle connections, at the earliest some time after this; a call must not
-     * cross such a close.
+     * Shorter than the idle timeout of the service, so that no call is written to a connection that
+     * the service is closing.
      */
     private static final Duration IDLE_TIMEOUT = Duration.ofMillis(500);
 
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
     private static final byte[] NO_REPLY = {};
 
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final Network network;
     private final int maxConnections;
-    private final Map<String, PendingCall> calls = new LinkedHashMap<>();
+    private final Map<String, PendingCall> pendingCalls = new LinkedHashMap<>();
     private final Set<PendingCall> unsent = new LinkedHashSet<>();
     private final Set<RecordsConnection> connections = new LinkedHashSet<>();
 
-    /** Connections without a call, the one used last first. */
+    /** Connections without a call, the most recently used first. */
     private final Deque<RecordsConnection> idle = new ArrayDeque<>();
 
     private Optional<InetSocketAddress> address;
 
-    /** How many connections to the current address are being made. */
-    private int connecting;
+    /** The number of connects in progress to the current address. */
+    private int connectCount;
 
-    /** Counts changes of the address, to tell connects to it from those to earlier ones. */
+    /** Incremented on each address change, to recognise connects to an earlier address. */
     private long generation;
 
     /**
-     * A client without connections.
+     * Creates a client without connections.
      *
-     * @param schedule the event loop
-     * @param network makes the connections
-     * @param address the service's address, or null where there is no such service
-     * @param most connections that may be open at once; further calls wait for one
+     * @param scheduler the event loop
+     * @param network creates the connections
+     * @param address the service's address, or null if there is no records service
+     * @param maxConnections the maximum number of connections; further calls are queued
      */
-    public RecordsClient(Scheduler schedule, Network network, InetSocketAddress address, int most) {
-        this.schedule = schedule;
+    public RecordsClient(
+            Scheduler scheduler, Network network, InetSocketAddress address, int maxConnections) {
+        this.scheduler = scheduler;
         this.network = network;
         this.address = Optional.ofNullable(address);
-        this.maxConnections = most;
-        schedule.after(SWEEP_INTERVAL, this::sweep);
+        this.maxConnections = maxConnections;
+        scheduler.after(SWEEP_INTERVAL, this::sweep);
     }
 
     /**
      * Makes a call.
      *
-     * @param rid the request id of the run that makes it; one call of a run at a time
-     * @param patience how long to wait for the reply
+     * @param rid the request id of the run that makes the call; a run has one call at a time
+     * @param timeout how long to wait for the reply
      * @param body the call's body
-     * @param then told of the call's end, unless it is cancelled by {@link #abandon}
+     * @param listener receives the outcome, unless the call is cancelled by {@link #abandon}
      */
-    public void call(String rid, Duration patience, byte[] body, CallListener then) {
-        PendingCall call = new PendingCall(rid, patience, body, schedule.now(), then);
-        calls.put(rid, call);
+    public void call(String rid, Duration timeout, byte[] body, CallListener listener) {
+        PendingCall call = new PendingCall(rid, timeout, body, scheduler.now(), listener);
+        pendingCalls.put(rid, call);
         unsent.add(call);
-        schedule.after(
-                patience,
+        scheduler.after(
+                timeout,
                 () -> {
                     if (isPending(call)) {
                         timeOut(call);
@@ -90,19 +91,19 @@
     }
 
     /**
-     * Changes the service's address. Calls that were written may end on their old connections; all
-     * others go to the new address.
+     * Changes the service's address. Calls already written are completed on their old connections;
+     * all others are sent to the new address.
      *
-     * @param to the new address, or null where there is no such service any more
+     * @param newAddress the new address, or null if there is no records service any more
      */
-    public void move(InetSocketAddress to) {
-        if (Objects.equals(to, address.orElse(null))) {
+    public void move(InetSocketAddress newAddress) {
+        if (Objects.equals(newAddress, address.orElse(null))) {
             return;
         }
-        address = Optional.ofNullable(to);
-        // Calls must not wait for connects to the old address, where nobody may listen any more.
+        address = Optional.ofNullable(newAddress);
+        // Calls must not wait for connects to the old address, which may be out of service.
         generation++;
-        connecting = 0;
+        connectCount = 0;
         for (RecordsConnection connection : new ArrayList<>(idle)) {
             close(connection, CloseCode.MOVED);
         }
@@ -110,19 +111,20 @@
     }
 
     private boolean isPending(PendingCall call) {
-        return calls.get(call.requestId) == call;
+        return pendingCalls.get(call.requestId) == call;
     }
 
-    /** Gives idle connections to calls that wait, and makes more where there are too few. */
+    /** Writes queued calls to idle connections, and opens connections if there are too few. */
     private void sendUnsent() {
         if (address.isEmpty()) {
-            schedule.post(this::failUnsent);
+            scheduler.post(this::failUnsent);
             return;
         }
         while (!unsent.isEmpty() && !idle.isEmpty()) {
             send(idle.poll(), unsent.iterator().next());
         }
-        while (connecting < unsent.size() && connections.size() + connecting < maxConnections) {
+        while (connectCount < unsent.size()
+                && connections.size() + connectCount < maxConnections) {
             connect(address.get());
         }
     }
@@ -134,20 +136,21 @@
     }
 
     private void connect(InetSocketAddress to) {
-        connecting++;
-        long begunIn = generation;
+        connectCount++;
+        long connectGeneration = generation;
         network.connect(
                 to,
-                made -> new RecordsConnection(made, to, begunIn, this, schedule),
+                established ->
+                        new RecordsConnection(established, to, connectGeneration, this, scheduler),
                 () -> {
-                    if (begunIn == generation) {
-                        connecting--;
+                    if (connectGeneration == generation) {
+                        connectCount--;
                         failUnsent();
                     }
                 });
     }
 
-    /** The service cannot be reached, which proves that calls that were not written never ran. */
+    /** Fails all queued calls as unreachable: none of them was written, so none has run. */
     private void failUnsent() {
         List<PendingCall> failed = new ArrayList<>(unsent);
         unsent.clear();
@@ -155,7 +158,7 @@
     }
 
     private void timeOut(PendingCall call) {
-        // A call that was not written is known not to have run.
+        // A call that was not written cannot have run.
         CallOutcome.Status status =
                 call.connection.isPresent()
                         ? CallOutcome.Status.TIMED_OUT
@@ -165,16 +168,16 @@
     }
 
     /**
-     * Cancels a call whose run is over; its listener is not told.
+     * Cancels the call of a run that has ended; its listener is not called.
      *
-     * @param rid the run's request id; ignored where it has no call
+     * @param rid the run's request id; ignored if the run has no call
      */
     public void abandon(String rid) {
-        PendingCall call = calls.remove(rid);
+        PendingCall call = pendingCalls.remove(rid);
         if (call == null || unsent.remove(call)) {
             return;
         }
-        // The connection is not used again: the reply may still come, and be taken for another's.
+        // The connection is not reused: a late reply could be mistaken for that of another call.
         call.connection.ifPresent(
                 connection -> {
                     connection.cancel(rid);
@@ -183,20 +186,20 @@
     }
 
     private void finish(PendingCall call, CallOutcome.Status status, byte[] reply) {
-        calls.remove(call.requestId, call);
-        Duration elapsed = schedule.now().minus(call.startedAt);
+        pendingCalls.remove(call.requestId, call);
+        Duration elapsed = scheduler.now().minus(call.startedAt);
         call.listener.onCallFinished(new CallOutcome(status, elapsed), reply);
     }
 
     private void sweep() {
-        schedule.after(SWEEP_INTERVAL, this::sweep);
+        scheduler.after(SWEEP_INTERVAL, this::sweep);
         while (!idle.isEmpty() && isIdleTooLong(idle.peekLast())) {
             close(idle.peekLast(), CloseCode.IDLE);
         }
     }
 
     private boolean isIdleTooLong(RecordsConnection connection) {
-        return schedule.now().minus(connection.lastUsedAt()).compareTo(IDLE_TIMEOUT) > 0;
+        return scheduler.now().minus(connection.lastUsedAt()).compareTo(IDLE_TIMEOUT) > 0;
     }
 
     /** Closes all connections. */
@@ -212,7 +215,7 @@
         connection.close(code);
     }
 
-    /** The connection has no call: the next may use it, if it leads to the current address. */
+    /** Makes a connection available for the next call, or closes it if its address is outdated. */
     private void release(RecordsConnection connection) {
         connection.clearCall();
         if (address.filter(connection.address()::equals).isPresent()) {
@@ -225,7 +228,7 @@
     void onConnected(RecordsConnection connection) {
         boolean isCurrent = connection.generation() == generation;
         if (isCurrent) {
-            connecting--;
+            connectCount--;
         }
         if (!connection.isOpen()) {
             if (isCurrent) {
@@ -238,7 +241,7 @@
         sendUnsent();
     }
 
-    /** A reply that was repeated, or that belongs to no call, is ignored. */
+    /** Ends the call that a reply belongs to; a duplicate or unexpected reply is ignored. */
     void onReply(
             RecordsConnection connection,
             String requestId,
@@ -260,7 +263,7 @@
     void onDisconnected(RecordsConnection connection) {
         connections.remove(connection);
         idle.remove(connection);
-        // The call may have run: a connection that breaks does not tell.
+        // It is unknown whether a call on a broken connection has run.
         connection
                 .call()
                 .filter(this::isPending)
--- a/src/main/java/ochretiller/records/RecordsConnection.java
+++ b/src/main/java/ochretiller/records/RecordsConnection.java
@@ -15,39 +15,39 @@
 import ochretiller.text.Slice;
 
 /**
- * One connection to the records service, with at most one call on it. Belongs to the event loop,
+ * One connection to the records service, with at most one call on it. Confined to the event loop,
  * except for {@link #received}.
  */
 final class RecordsConnection implements ConnectionHandler {
     private static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final int WORDS_WITH_BODY = 3;
+    private static final int REPLY_WORDS_WITH_BODY = 3;
 
     private final Connection connection;
     private final InetSocketAddress address;
     private final long generation;
     private final RecordsClient client;
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final Frames frames = new Frames(MAX_BODY_BYTES, true, RecordsConnection::bodyLength);
     private Optional<PendingCall> call = Optional.empty();
 
     /**
-     * A connection that was established. Called on the I/O thread.
+     * Creates the handler of an established connection. Called on the I/O thread.
      *
-     * @param address the address that was connected to
-     * @param generation the generation of addresses in which the connection was begun
+     * @param address the remote address
+     * @param generation the client's address generation when the connect was started
      */
     RecordsConnection(
             Connection connection,
             InetSocketAddress address,
             long generation,
             RecordsClient client,
-            Scheduler schedule) {
+            Scheduler scheduler) {
         this.connection = connection;
         this.address = address;
         this.generation = generation;
         this.client = client;
-        this.schedule = schedule;
-        schedule.post(() -> client.onConnected(this));
+        this.scheduler = scheduler;
+        scheduler.post(() -> client.onConnected(this));
     }
 
     InetSocketAddress address() {
@@ -62,12 +62,12 @@
         return connection.open();
     }
 
-    /** When something was last read or written, since the server's start. */
+    /** Returns the time of the last read or write, measured from the start of the server. */
     Duration lastUsedAt() {
         return connection.usedAt();
     }
 
-    /** The call that was written last and has had no reply. */
+    /** Returns the call that is awaiting its reply; empty if there is none. */
     Optional<PendingCall> call() {
         return call;
     }
@@ -76,24 +76,24 @@
         call = Optional.empty();
     }
 
-    /** Writes a call, with the time that is left for its reply in milliseconds. */
+    /** Writes a call, with the remaining time for its reply in milliseconds. */
     void send(PendingCall next) {
         call = Optional.of(next);
-        Duration waited = schedule.now().minus(next.startedAt);
+        Duration waited = scheduler.now().minus(next.startedAt);
         long millisLeft = Math.max(1, next.timeout.minus(waited).toMillis());
         connection
                 .write("OP " + next.requestId + ' ' + millisLeft + ' ' + next.body.length + "\r\n")
                 .write(next.body)
                 .write("\r\n");
-        connection.used(schedule.now());
+        connection.used(scheduler.now());
     }
 
-    /** Tells the service that nobody waits for a call any more. */
+    /** Notifies the service that a call has been cancelled. */
     void cancel(String requestId) {
         connection.write("UNOP " + requestId + "\r\n");
     }
 
-    /** Closes the connection once its output has gone out. */
+    /** Closes the connection after its output has been sent. */
     void close(CloseCode code) {
         connection.close(code);
     }
@@ -108,10 +108,10 @@
     private Runnable reply(Slice line, Slice body) {
         List<String> words = line.words();
         if (words.size() < 2) {
-            throw new BadInputException("no reply: '" + line.text() + "'");
+            throw new BadInputException("incomplete reply: '" + line.text() + "'");
         }
         CallOutcome.Status status = status(words.get(1));
-        byte[] copy = body.copy(); // it outlives the read buffer
+        byte[] copy = body.copy(); // the reply outlives the read buffer
         return () -> client.onReply(this, words.get(0), status, copy);
     }
 
@@ -132,13 +132,13 @@
             case "ERROR" -> CallOutcome.Status.FAILED;
             case "PAST" -> CallOutcome.Status.TIMED_OUT;
             case "EMPTY" -> CallOutcome.Status.UNREACHABLE;
-            default -> throw new BadInputException("unknown reply '" + word + "'");
+            default -> throw new BadInputException("unknown reply status '" + word + "'");
         };
     }
 
     private static int bodyLength(Slice line) {
         List<String> words = line.words();
-        if (words.size() != WORDS_WITH_BODY || !words.get(1).equals("DONE")) {
+        if (words.size() != REPLY_WORDS_WITH_BODY || !words.get(1).equals("DONE")) {
             return Frames.NONE;
         }
         try {
@@ -149,6 +149,6 @@
         } catch (NumberFormatException e) {
             // Reported below, like a negative number.
         }
-        throw new BadInputException("no length: '" + words.get(2) + "'");
+        throw new BadInputException("not a body length: '" + words.get(2) + "'");
     }
 }
--- a/src/main/java/ochretiller/registry/RegistryReporter.java
+++ b/src/main/java/ochretiller/registry/RegistryReporter.java
@@ -9,56 +9,57 @@
 import java.util.logging.Logger;
 import ochretiller.net.Scheduler;
 
-/** Reports this server to the registry by UDP datagrams. Belongs to the event loop. */
+/** Reports this server to the registry by UDP datagrams. Confined to the event loop. */
 public final class RegistryReporter {
     private static final Logger LOG = Logger.getLogger(RegistryReporter.class.getName());
 
     /**
-     * The registry drops an entry after 3 s without a report: at this interval many may be lost.
+     * The registry drops an entry after 3 s without a report, so several reports in a row may be
+     * lost.
      */
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(250);
 
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final String name;
     private final DatagramSocket socket;
     private InetSocketAddress address;
     private boolean isLeaving;
 
     /**
-     * A reporter that has sent nothing yet.
+     * Creates a reporter that is not started.
      *
-     * @param schedule the event loop
+     * @param scheduler the event loop
      * @param address the registry's address
      * @param name the name of this server
-     * @throws IOException where no UDP socket can be opened
+     * @throws IOException if no UDP socket can be opened
      */
-    public RegistryReporter(Scheduler schedule, InetSocketAddress address, String name)
+    public RegistryReporter(Scheduler scheduler, InetSocketAddress address, String name)
             throws IOException {
-        this.schedule = schedule;
+        this.scheduler = scheduler;
         this.address = address;
         this.name = name;
         this.socket = new DatagramSocket();
     }
 
-    /** Reports this server as present, now and at intervals until {@link #leave}. */
+    /** Reports this server as available, now and periodically until {@link #leave}. */
     public void start() {
         if (isLeaving) {
             return;
         }
         report("on");
-        schedule.after(REPORT_INTERVAL, this::start);
+        scheduler.after(REPORT_INTERVAL, this::start);
     }
 
-    /** Changes the registry's address. */
-    public void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    /** Changes the registry's address and reports to the new one at once. */
+    public void move(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
+        address = newAddress;
         report(isLeaving ? "off" : "on");
     }
 
-    /** Reports once that this server leaves; later reports would keep its entry. */
+    /** Reports once that this server is shutting down, and stops the periodic reports. */
     public void leave() {
         isLeaving = true;
         report("off");
@@ -69,8 +70,8 @@
         try {
             socket.send(new DatagramPacket(message, message.length, address));
         } catch (IOException e) {
-            // The next report follows soon; until then gateways know of this server later only.
-            LOG.fine(() -> "no report to the roster: " + e.getMessage());
+            // The next report follows soon; the only effect is that gateways are informed later.
+            LOG.fine(() -> "cannot send a report to the registry: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/ochretiller/registry/package-info.java
+++ b/src/main/java/ochretiller/registry/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Announces this server to the registry, the service (called roster on the wire) that tells
- * gateways which servers there are. {@link ochretiller.registry.RegistryReporter} sends one UDP
- * datagram a report; nothing is received. Belongs to the event loop; it depends on {@code net} for
- * the event loop only.
+ * Announces this server to the registry (called roster in settings), the service that gives
+ * gateways the list of servers. {@link ochretiller.registry.RegistryReporter} sends one UDP datagram
+ * per report and receives nothing. Confined to the event loop; depends on {@code net} only for the
+ * interface of the event loop.
  */
 package ochretiller.registry;
