--- a/src/main/java/ochretiller/Main.java
+++ b/src/main/java/ochretiller/Main.java
@@ -29,7 +29,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The program's entry point: parses the command line and runs the sub-command that it names. */
+/** The program's entry point: parses the command line and runs the selected sub-command. */
 @Command(
         name = "ochretiller",
         description = "Admission and scheduling for servers behind other people's balancers.",
@@ -58,27 +58,27 @@
 
     private Main() {}
 
-    /** Runs the program, and exits the JVM with its exit code. */
+    /** Runs the program and exits the JVM with its exit code. */
     public static void main(String[] args) {
-        // The command line parser's classes are too old for class data sharing: they would double
-        // the CPU time of a start.
+        // A plain "serve" bypasses picocli: its classes are too old for class data sharing and
+        // would double the CPU time of a start.
         if (args.length == 1 && args[0].equals(SERVE)) {
             System.exit(exitCode(() -> serve(null, null)));
         }
         CommandLine line = new CommandLine(new Main());
         line.setExecutionExceptionHandler(
-                (fault, command, parsed) ->
+                (exception, command, parseResult) ->
                         exitCode(
                                 () -> {
-                                    throw fault;
+                                    throw exception;
                                 }));
         System.exit(line.execute(args));
     }
 
-    /** Returns the exit code; a failure is reported in one line. */
-    private static int exitCode(Callable<Integer> work) {
+    /** Runs a command and returns the exit code; prints one line to standard error if it fails. */
+    private static int exitCode(Callable<Integer> command) {
         try {
-            return work.call();
+            return command.call();
         } catch (Exception e) {
             System.err.println("ochretiller: " + e.getMessage());
             return e instanceof MalformedException ? EXIT_MALFORMED : EXIT_FAILED;
@@ -90,7 +90,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    /** Tells the version that the package was built as. */
+    /** Provides the version of the built package for {@code --version}. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -103,16 +103,16 @@
         return "ochretiller " + (version == null ? "unpackaged" : version);
     }
 
-    /** Returns the configuration that an option names, or else the environment. */
-    private static Path configuration(Path option) {
+    /** Returns the path in the option, or else the one in the environment variable. */
+    private static Path configurationFile(Path option) {
         if (option != null) {
             return option;
         }
-        String file = System.getenv(CONFIG_VARIABLE);
-        if (file == null) {
+        String path = System.getenv(CONFIG_VARIABLE);
+        if (path == null) {
             throw new MalformedException("no configuration: EDGE_CONFIG is not set");
         }
-        return Path.of(file);
+        return Path.of(path);
     }
 
     @Command(
@@ -126,7 +126,7 @@
         LoggingSetup.install();
         ProcessLifecycle lifecycle = ProcessLifecycle.install();
         try {
-            ServerNode node = node(file, operatorFile);
+            ServerNode node = prepareNode(file, operatorFile);
             lifecycle.serverReady(node);
             node.listen();
             node.run();
@@ -137,7 +137,7 @@
         }
     }
 
-    private static ServerNode node(Path file, Path operatorFile) throws IOException {
+    private static ServerNode prepareNode(Path file, Path operatorFile) throws IOException {
         Supplier<OperatorConfig> operatorReload =
                 () ->
                         operatorFile == null
@@ -148,7 +148,7 @@
             LoggingSetup.useJsonFormat();
         }
         ServerNodeBuilder builder =
-                ServerNode.builder(configuration(file))
+                ServerNode.builder(configurationFile(file))
                         .operator(operator)
                         .operatorReload(operatorReload);
         if (operator.remember().isPresent()) {
@@ -161,8 +161,8 @@
 
     private static StorageDirectory storage(OperatorConfig operator) {
         StorageDirectory directory = new LocalDirectory(operator.remember().orElseThrow().folder());
-        Path faults = operator.drill().diskFault();
-        return faults == null ? directory : new FaultyDirectory(directory, faults);
+        Path faultFile = operator.drill().diskFault();
+        return faultFile == null ? directory : new FaultyDirectory(directory, faultFile);
     }
 
     @Command(
@@ -174,10 +174,10 @@
             @Option(names = "--operator", description = OPERATOR_HELP) Path operatorFile) {
         Optional<OperatorConfig> operator =
                 Optional.ofNullable(operatorFile).map(OperatorConfigReader::read);
-        boolean configured = file != null || System.getenv(CONFIG_VARIABLE) != null;
+        boolean hasConfiguration = file != null || System.getenv(CONFIG_VARIABLE) != null;
         Optional<ServerConfiguration> configuration =
-                configured || operator.isEmpty()
-                        ? Optional.of(ServerConfiguration.read(configuration(file)))
+                hasConfiguration || operator.isEmpty()
+                        ? Optional.of(ServerConfiguration.read(configurationFile(file)))
                         : Optional.empty();
         if (operator.isPresent()) {
             configuration.ifPresent(
--- a/src/main/java/ochretiller/collections/BoundedMap.java
+++ b/src/main/java/ochretiller/collections/BoundedMap.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * Maps of bounded size: one entry more than the capacity evicts another. For what is remembered of
- * the outside, whose number this server does not choose. Not thread-safe.
+ * Maps of bounded size: an entry beyond the capacity evicts another one. For data about peers or
+ * clients, whose number this server does not control. Not thread-safe.
  */
 public final class BoundedMap {
     private BoundedMap() {}
 
-    /** Returns an empty map that evicts the entry that was put or looked up longest ago (LRU). */
+    /** Returns an empty map that evicts the least recently accessed entry (LRU). */
     public static <K, V> Map<K, V> evictingLeastRecentlyUsed(int capacity) {
         return new Evicting<>(capacity, true);
     }
 
-    /** Returns an empty map that evicts the entry that was put first (FIFO). */
+    /** Returns an empty map that evicts the entry that was added first (FIFO). */
     public static <K, V> Map<K, V> evictingOldest(int capacity) {
         return new Evicting<>(capacity, false);
     }
--- a/src/main/java/ochretiller/collections/package-info.java
+++ b/src/main/java/ochretiller/collections/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Collections of bounded size. Without state of their own and without threads; used wherever
- * something is remembered for peers or clients, whose number is not known beforehand.
+ * Collections of bounded size, for data about peers or clients, whose number this server does not
+ * control. No static state, no threads.
  */
 package ochretiller.collections;
--- a/src/main/java/ochretiller/json5/Json5.java
+++ b/src/main/java/ochretiller/json5/Json5.java
@@ -26,32 +26,32 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Reads files in JSON5 and holds them against a schema. What is wrong is told by a {@link
- * MalformedException}, one line with file, line and column of each fault.
+ * Reads JSON5 files and validates them against a JSON schema. Errors are reported by a {@link
+ * MalformedException} whose one-line message has the file, line and column of each error.
  */
 public final class Json5 {
-    /** Longest file that is read: a hundred times the longest example. */
-    private static final int LONGEST = 1 << 20;
+    /** Maximum size of a file, about a hundred times the longest example. */
+    private static final int MAX_FILE_BYTES = 1 << 20;
 
     private final Class<?> owner;
-    private final String schema;
+    private final String schemaName;
 
     /**
-     * A kind of file.
+     * Creates a reader for files with a given schema.
      *
-     * @param owner the class whose package has the schema as a resource
-     * @param schema the resource's name
+     * @param owner the class that loads the schema as a resource
+     * @param schemaName the name of the resource
      */
-    public Json5(Class<?> owner, String schema) {
+    public Json5(Class<?> owner, String schemaName) {
         this.owner = owner;
-        this.schema = schema;
+        this.schemaName = schemaName;
     }
 
     /**
-     * JSON5 as far as its page and the library agree: comments, bare names, single quotes, commas
-     * at the end, hex, signs.
+     * Returns a mapper for the subset of JSON5 that the library supports: comments, unquoted names,
+     * single quotes, trailing commas, explicit plus signs, leading and trailing decimal points.
      */
-    private static ObjectMapper json5() {
+    private static ObjectMapper mapper() {
         JsonFactory factory =
                 JsonFactory.builder()
                         .enable(
@@ -71,7 +71,7 @@
                 .build();
     }
 
-    /** A file's name without its ending. */
+    /** Returns the name of a file up to its first dot. */
     public static String name(Path file) {
         String name = file.getFileName().toString();
         int dot = name.indexOf('.');
@@ -79,46 +79,53 @@
     }
 
     /**
-     * The file's value.
+     * Reads and validates a file.
      *
-     * @param what the file's name in words, for one that cannot be read
+     * @param description what the file is, for the message if it cannot be read
+     * @throws MalformedException if the file cannot be read, is too long or is invalid
      */
-    public JsonNode read(Path file, String what) {
+    public JsonNode read(Path file, String description) {
         String text;
         try {
-            if (Files.size(file) > LONGEST) {
-                throw new MalformedException(file + " is longer than " + LONGEST + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new MalformedException(
+                        file + " is longer than " + MAX_FILE_BYTES + " bytes");
             }
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new MalformedException("cannot read " + what + ' ' + file);
+            throw new MalformedException("cannot read " + description + ' ' + file);
         }
         return of(text, file.toString());
     }
 
-    /** The value of a text that goes by this name. */
+    /**
+     * Parses and validates a text.
+     *
+     * @param name the name of the text, for error messages
+     * @throws MalformedException if the text is invalid
+     */
     public JsonNode of(String text, String name) {
         JsonNode root;
         try {
-            root = JsonNodes.readTree(json5(), text, new LocationJsonNodeFactoryFactory());
+            root = JsonNodes.readTree(mapper(), text, new LocationJsonNodeFactoryFactory());
         } catch (RuntimeException e) {
-            throw new MalformedException(name + unread(e));
+            throw new MalformedException(name + parseError(e));
         }
         List<Error> errors = schema().validate(root);
         if (!errors.isEmpty()) {
-            throw new MalformedException(name + told(root, errors));
+            throw new MalformedException(name + schemaErrors(root, errors));
         }
         return root;
     }
 
-    /** A reader's own words for the first thing that is no JSON5, in one line with its place. */
-    private static String unread(Throwable thrown) {
+    /** Returns the location and message of the parser's syntax error, as one line. */
+    private static String parseError(Throwable thrown) {
         for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
-            if (cause instanceof JsonProcessingException fault) {
-                JsonLocation at = fault.getLocation();
+            if (cause instanceof JsonProcessingException exception) {
+                JsonLocation at = exception.getLocation();
                 return (at == null ? "" : ":" + at.getLineNr() + ":" + at.getColumnNr())
                         + ": "
-                        + fault.getOriginalMessage()
+                        + exception.getOriginalMessage()
                                 .replaceAll("\\s+", " ")
                                 .replaceAll(" (for `ObjectNode`|\\(bound as).*", "");
             }
@@ -127,7 +134,7 @@
     }
 
     private Schema schema() {
-        try (InputStream in = owner.getResourceAsStream(schema)) {
+        try (InputStream in = owner.getResourceAsStream(schemaName)) {
             String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
             return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                     .getSchema(text, InputFormat.JSON);
@@ -136,26 +143,26 @@
         }
     }
 
-    private static String told(JsonNode root, List<Error> errors) {
-        List<String> lines = new ArrayList<>();
+    /** Returns the location and message of each schema violation, as one line. */
+    private static String schemaErrors(JsonNode root, List<Error> errors) {
+        List<String> messages = new ArrayList<>();
         for (Error error : errors) {
             JsonNode node = root;
             for (int i = 0; i < error.getInstanceLocation().getNameCount() && node != null; i++) {
                 node = JsonNodes.get(node, error.getInstanceLocation().getElement(i));
             }
-            // Where a member is one too many, its own place is told, not that of the object round
-            // it.
+            // For a member that is not allowed, report its own location, not that of its object.
             if (node != null && error.getProperty() != null && node.has(error.getProperty())) {
                 node = node.get(error.getProperty());
             }
             JsonLocation at = node == null ? null : JsonNodes.tokenStreamLocationOf(node);
             String path = error.getInstanceLocation().toString();
-            lines.add(
+            messages.add(
                     (at == null ? "" : ":" + at.getLineNr() + ":" + at.getColumnNr())
                             + ": "
                             + (path.isEmpty() || path.equals("$") ? "" : path + ": ")
                             + error.getMessage());
         }
-        return String.join("; ", lines);
+        return String.join("; ", messages);
     }
 }
--- a/src/main/java/ochretiller/json5/package-info.java
+++ b/src/main/java/ochretiller/json5/package-info.java
@@ -1,2 +1,2 @@
-/** Files in JSON5 that are held against a schema: operators' files, scripts of rehearsals. */
+/** Reads JSON5 files and validates them against a schema: operators' files, emulator scripts. */
 package ochretiller.json5;
--- a/src/main/java/ochretiller/package-info.java
+++ b/src/main/java/ochretiller/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The program's entry point: {@link ochretiller.Main} parses the command line and runs the
- * sub-command that it names.
+ * The program's entry point: {@link ochretiller.Main} parses the command line and runs the selected
+ * sub-command.
  *
- * <p>State: none. Thread: the main thread, which becomes the event loop of a server. Neighbours: it
- * uses {@code commands}, {@code node} for a server and {@code sim} for the simulator's wire; no
+ * <p>State: none. Thread: the main thread, which runs the event loop when serving. Neighbours: uses
+ * {@code commands}, {@code node} for a server and {@code sim} for the simulator's protocol; no
  * other package uses it.
  */
 package ochretiller;
--- a/src/main/java/ochretiller/paths/PathPattern.java
+++ b/src/main/java/ochretiller/paths/PathPattern.java
@@ -10,31 +10,39 @@
 import org.jparsec.pattern.Patterns;
 
 /**
- * A pattern such as {@code /orders/{id}/lines} or, with a tail, {@code /files/**}: a name in braces
- * stands for one part that is not empty, two stars at the end for whatever follows.
+ * A path pattern such as {@code /orders/{id}/lines} or {@code /files/**}. A name in braces matches
+ * one non-empty path segment; two stars at the end match any number of further segments.
  *
- * @param parts literals, and null for what stands for any part
- * @param tail whether anything may follow
+ * @param text the pattern as it was written
+ * @param parts one entry per segment: a literal, or <code>{}</code> for a name in braces
+ * @param tail whether the pattern ends with two stars
  */
 public record PathPattern(String text, List<String> parts, boolean tail) {
-    /** A part that stands for any other. */
-    private static final String ANY = "{}";
+    /** Marks a segment of a pattern that matches any non-empty segment. */
+    private static final String ANY_SEGMENT = "{}";
 
     private static final String TAIL = "**";
 
     private static final Parser<String> LITERAL =
             Patterns.regex("[A-Za-z0-9._~%!$&'()+,;=:@-]+").toScanner("a literal").source();
     private static final Parser<String> NAMED =
-            Patterns.regex("\\{[A-Za-z][A-Za-z0-9_]*\\}").toScanner("a name in braces").retn(ANY);
-    private static final Parser<String> REST = Scanners.string(TAIL).retn(TAIL);
+            Patterns.regex("\\{[A-Za-z][A-Za-z0-9_]*\\}")
+                    .toScanner("a name in braces")
+                    .retn(ANY_SEGMENT);
+    private static final Parser<String> TAIL_PARSER = Scanners.string(TAIL).retn(TAIL);
     private static final Parser<List<String>> PATH =
-            Scanners.isChar('/').next(Parsers.or(REST, NAMED, LITERAL).sepBy(Scanners.isChar('/')));
+            Scanners.isChar('/')
+                    .next(Parsers.or(TAIL_PARSER, NAMED, LITERAL).sepBy(Scanners.isChar('/')));
 
-    /** Reads one; what is wrong is told with its place. */
+    /**
+     * Parses a pattern.
+     *
+     * @throws MalformedException if the pattern is invalid, with the column of a syntax error
+     */
     public static PathPattern of(String text) {
-        List<String> read;
+        List<String> parsed;
         try {
-            read = PATH.parse(text);
+            parsed = PATH.parse(text);
         } catch (ParserException e) {
             throw new MalformedException(
                     "path '"
@@ -48,40 +56,41 @@
                                             : "unexpected "
                                                     + e.getErrorDetails().getEncountered()));
         }
-        int star = read.indexOf(TAIL);
-        if (star >= 0 && star < read.size() - 1) {
-            throw new MalformedException("path '" + text + "': ** stands at the end only");
+        int tailIndex = parsed.indexOf(TAIL);
+        if (tailIndex >= 0 && tailIndex < parsed.size() - 1) {
+            throw new MalformedException("path '" + text + "': ** is allowed only at the end");
         }
-        List<String> parts = new ArrayList<>(star < 0 ? read : read.subList(0, star));
-        return new PathPattern(text, List.copyOf(parts), star >= 0);
+        List<String> parts =
+                new ArrayList<>(tailIndex < 0 ? parsed : parsed.subList(0, tailIndex));
+        return new PathPattern(text, List.copyOf(parts), tailIndex >= 0);
     }
 
     private static List<String> split(String path) {
         return List.of(path.substring(1).split("/", -1));
     }
 
-    /** Whether it is one of these paths; a query is no part of it. */
+    /** Returns whether this pattern matches a path, given without a query string. */
     public boolean matches(String path) {
         if (!path.startsWith("/")) {
             return false;
         }
-        List<String> given = path.equals("/") ? List.of() : split(path);
-        if (given.size() < parts.size() || given.size() > parts.size() && !tail) {
+        List<String> segments = path.equals("/") ? List.of() : split(path);
+        if (segments.size() < parts.size() || segments.size() > parts.size() && !tail) {
             return false;
         }
         for (int i = 0; i < parts.size(); i++) {
-            boolean fits =
-                    parts.get(i).equals(ANY)
-                            ? !given.get(i).isEmpty()
-                            : parts.get(i).equals(given.get(i));
-            if (!fits) {
+            boolean matches =
+                    parts.get(i).equals(ANY_SEGMENT)
+                            ? !segments.get(i).isEmpty()
+                            : parts.get(i).equals(segments.get(i));
+            if (!matches) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether all that the other matches is matched by this one. */
+    /** Returns whether this pattern matches every path that the other one matches. */
     public boolean covers(PathPattern other) {
         if (tail
                 ? other.parts.size() < parts.size()
@@ -89,23 +98,26 @@
             return false;
         }
         for (int i = 0; i < parts.size(); i++) {
-            if (!parts.get(i).equals(ANY) && !parts.get(i).equals(other.parts.get(i))) {
+            if (!parts.get(i).equals(ANY_SEGMENT)
+                    && !parts.get(i).equals(other.parts.get(i))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether there is a path that both match. */
+    /** Returns whether at least one path is matched by both patterns. */
     public boolean overlaps(PathPattern other) {
-        int both = Math.min(parts.size(), other.parts.size());
-        if (parts.size() > both && !other.tail || other.parts.size() > both && !tail) {
+        int common = Math.min(parts.size(), other.parts.size());
+        if (parts.size() > common && !other.tail || other.parts.size() > common && !tail) {
             return false;
         }
-        for (int i = 0; i < both; i++) {
-            String mine = parts.get(i);
-            String its = other.parts.get(i);
-            if (!mine.equals(ANY) && !its.equals(ANY) && !mine.equals(its)) {
+        for (int i = 0; i < common; i++) {
+            String part = parts.get(i);
+            String otherPart = other.parts.get(i);
+            if (!part.equals(ANY_SEGMENT)
+                    && !otherPart.equals(ANY_SEGMENT)
+                    && !part.equals(otherPart)) {
                 return false;
             }
         }
--- a/src/main/java/ochretiller/paths/package-info.java
+++ b/src/main/java/ochretiller/paths/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Patterns of paths: read by a parser, matched, and held against one another so that none hides
- * another unseen.
+ * Path patterns of routes: parsing, matching, and comparison, which detects patterns that hide each
+ * other.
  */
 package ochretiller.paths;
--- a/src/main/java/ochretiller/registry/RegistryReporter.java
+++ b/src/main/java/ochretiller/registry/RegistryReporter.java
@@ -59,7 +59,7 @@
         report(isLeaving ? "off" : "on");
     }
 
-    /** Reports once that this server is shutting down, and stops the periodic reports. */
+    /** Reports once that this server is leaving; ends the periodic reports, which would undo it. */
     public void leave() {
         isLeaving = true;
         report("off");
--- a/src/main/java/ochretiller/text/BadInputException.java
+++ b/src/main/java/ochretiller/text/BadInputException.java
@@ -1,13 +1,14 @@
 package ochretiller.text;
 
-/** A peer sent something that violates its protocol. */
+/** Reports that input from a peer violates the protocol. */
 public final class BadInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /**
-     * Made without a stack trace: peers can cause these at will, and the trace costs most.
+     * Creates an exception without a stack trace: peers can trigger it at will, and the trace is
+     * the main cost.
      *
-     * @param message what is wrong, for a log line
+     * @param message describes the violation, for log lines
      */
     public BadInputException(String message) {
         super(message, null, false, false);
--- a/src/main/java/ochretiller/text/Frames.java
+++ b/src/main/java/ochretiller/text/Frames.java
@@ -5,31 +5,32 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Cuts the input of one connection into lines, some of which are followed by a counted body and CR
- * LF. Input that is not complete is kept for the next read.
+ * Splits the input of one connection into messages: lines, some of which are followed by a body of
+ * a given length and CR LF. Buffers an incomplete message until the next read.
  */
 public final class Frames {
-    /** A line without a body. */
+    /** Returned by {@code bodyLength} for a line without a body. */
     public static final int NONE = -1;
 
-    /** Bytes of a line besides its body. */
+    /** Bytes that a message may have in addition to the maximum body. */
     private static final int MAX_LINE_OVERHEAD = 256;
 
     private static final int LINE_END_BYTES = 2;
 
-    private final int longest;
-    private final boolean strict;
+    private final int maxBytes;
+    private final boolean requiresCrLf;
     private final ToIntFunction<Slice> bodyLength;
 
-    /** An incomplete message; once a slice was cut from the buffer, it is not written again. */
+    /** Holds an incomplete message. Not modified after a slice of it has been passed on. */
     private byte[] rest = Slice.EMPTY.bytes();
 
+    /** The number of bytes in {@link #rest} that are in use. */
     private int filled;
 
-    /** How many bytes of {@link #rest} were searched for the end of the line. */
+    /** The number of bytes of {@link #rest} already searched for the end of the line. */
     private int scanned;
 
-    /** A buffer that is being cut: the next message begins at {@code at}. */
+    /** A position in a buffer that is being split: the next message begins at {@code at}. */
     private static final class Cursor {
         private final byte[] buffer;
         private final int end;
@@ -43,7 +44,7 @@
             this.scanned = scanned;
         }
 
-        /** The index of the next line feed, or the end. */
+        /** Returns the index of the next line feed, or {@code end} if there is none. */
         int findLineFeed() {
             int index = scanned;
             while (index < end && buffer[index] != '\n') {
@@ -54,40 +55,40 @@
     }
 
     /**
-     * Frames of one connection.
+     * Creates a splitter for the input of one connection.
      *
-     * @param longest bytes that a message or a body may have
-     * @param strict whether lines must end in CR LF; otherwise LF alone is accepted, too
-     * @param bodyLength the length of the body that follows a line, or {@link #NONE}
+     * @param maxBytes the maximum length of a line or a body, in bytes
+     * @param requiresCrLf whether lines must end in CR LF; otherwise LF alone is also accepted
+     * @param bodyLength returns the length of the body that follows a line, or {@link #NONE}
      */
-    public Frames(int longest, boolean strict, ToIntFunction<Slice> bodyLength) {
-        this.longest = longest;
-        this.strict = strict;
+    public Frames(int maxBytes, boolean requiresCrLf, ToIntFunction<Slice> bodyLength) {
+        this.maxBytes = maxBytes;
+        this.requiresCrLf = requiresCrLf;
         this.bodyLength = bodyLength;
     }
 
     /**
-     * Takes bytes as they were read.
+     * Processes one read of input.
      *
-     * @param bytes the read buffer, which must not be written while the slices are in use
+     * @param bytes the read buffer, which must not be modified while the slices are in use
      * @param from index of the first byte
      * @param to index after the last byte
-     * @param message told of each complete message: its line without line end, and its body
-     * @throws BadInputException where the input is malformed or too long
+     * @param consumer receives each complete message: the line without its line end, and the body
+     * @throws BadInputException if the input is malformed or too long
      */
-    public void read(byte[] bytes, int from, int to, BiConsumer<Slice, Slice> message) {
+    public void read(byte[] bytes, int from, int to, BiConsumer<Slice, Slice> consumer) {
         Cursor cursor = filled > 0 ? append(bytes, from, to) : new Cursor(bytes, from, to, from);
-        boolean hasCut = false;
-        while (cutMessage(cursor, message)) {
-            hasCut = true;
+        boolean hasConsumed = false;
+        while (consumeMessage(cursor, consumer)) {
+            hasConsumed = true;
         }
-        if (cursor.end - cursor.at > longest + MAX_LINE_OVERHEAD) {
-            throw new BadInputException("message over " + longest + " bytes");
+        if (cursor.end - cursor.at > maxBytes + MAX_LINE_OVERHEAD) {
+            throw new BadInputException("message is longer than " + maxBytes + " bytes");
         }
-        keep(cursor, hasCut);
+        retainRest(cursor, hasConsumed);
     }
 
-    /** Whether a message has begun and is not complete. */
+    /** Returns whether a message is partially received. */
     public boolean within() {
         return filled > 0;
     }
@@ -101,52 +102,54 @@
         return new Cursor(rest, 0, length, scanned);
     }
 
-    /** Passes on the next message; false where it is not complete. */
-    private boolean cutMessage(Cursor cursor, BiConsumer<Slice, Slice> message) {
-        int feed = cursor.findLineFeed();
-        if (feed == cursor.end) {
-            cursor.scanned = feed;
+    /** Passes the next message to the consumer; returns false if it is not complete. */
+    private boolean consumeMessage(Cursor cursor, BiConsumer<Slice, Slice> consumer) {
+        int lineFeed = cursor.findLineFeed();
+        if (lineFeed == cursor.end) {
+            cursor.scanned = lineFeed;
             return false;
         }
-        Slice line = line(cursor.buffer, cursor.at, feed);
+        Slice line = line(cursor.buffer, cursor.at, lineFeed);
         int length = bodyLength.applyAsInt(line);
-        if (length > longest) {
-            throw new BadInputException("body of " + length + " bytes");
+        if (length > maxBytes) {
+            throw new BadInputException(
+                    "body of " + length + " bytes is longer than " + maxBytes + " bytes");
         }
-        int next = feed + 1;
+        int next = lineFeed + 1;
         Slice body = Slice.EMPTY;
         if (length >= 0) {
             if (cursor.end - next < length + LINE_END_BYTES) {
-                cursor.scanned = feed; // the line is parsed again once its body has arrived
+                cursor.scanned = lineFeed; // the line is parsed again when its body has arrived
                 return false;
             }
             body = body(cursor.buffer, next, length);
             next += length + LINE_END_BYTES;
         }
-        message.accept(line, body);
+        consumer.accept(line, body);
         cursor.at = next;
         cursor.scanned = next;
         return true;
     }
 
-    private Slice line(byte[] buffer, int at, int feed) {
-        boolean hasReturn = feed > at && buffer[feed - 1] == '\r';
-        if (strict && !hasReturn) {
-            throw new BadInputException("line without CR LF");
+    private Slice line(byte[] buffer, int at, int lineFeed) {
+        boolean hasReturn = lineFeed > at && buffer[lineFeed - 1] == '\r';
+        if (requiresCrLf && !hasReturn) {
+            throw new BadInputException("line does not end in CR LF");
         }
-        return new Slice(buffer, at, hasReturn ? feed - 1 : feed);
+        return new Slice(buffer, at, hasReturn ? lineFeed - 1 : lineFeed);
     }
 
     private static Slice body(byte[] buffer, int from, int length) {
         int to = from + length;
         if (buffer[to] != '\r' || buffer[to + 1] != '\n') {
-            throw new BadInputException("no line end behind a body of " + length + " bytes");
+            throw new BadInputException(
+                    "body of " + length + " bytes is not followed by CR LF");
         }
         return new Slice(buffer, from, to);
     }
 
-    private void keep(Cursor cursor, boolean hasCut) {
-        if (cursor.buffer != rest || hasCut) {
+    private void retainRest(Cursor cursor, boolean hasConsumed) {
+        if (cursor.buffer != rest || hasConsumed) {
             rest =
                     cursor.at == cursor.end
                             ? Slice.EMPTY.bytes()
--- a/src/main/java/ochretiller/text/Json.java
+++ b/src/main/java/ochretiller/text/Json.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 
 /**
- * A JSON parser (RFC 8259) that makes maps, lists, strings, Long for whole numbers, Double for
- * other numbers, Boolean and {@link #NULL}. One instance parses one text.
+ * A JSON parser (RFC 8259) that returns maps, lists, strings, Long for integers of at most 18
+ * characters, Double for other numbers, Boolean and {@link #NULL}. One instance parses one text.
  */
 public final class Json {
-    /** JSON's null, to tell it from a member that is absent. */
+    /** Represents a JSON null, which differs from an absent member. */
     public static final Object NULL =
             new Object() {
                 @Override
@@ -23,18 +23,18 @@
                 }
             };
 
-    /** Deepest nesting: each level takes a stack frame. */
-    private static final int DEEPEST = 32;
+    /** Maximum nesting depth; parsing a level takes several stack frames. */
+    private static final int MAX_DEPTH = 32;
 
     private final byte[] bytes;
     private final int end;
     private int at;
     private int depth;
 
-    /** The members of the outermost object that were parsed completely. */
+    /** The completely parsed members of the outermost object. */
     private final Map<String, Object> members = new LinkedHashMap<>();
 
-    /** A parser of this text in UTF-8. */
+    /** Creates a parser for a text in UTF-8. */
     public Json(Slice text) {
         bytes = text.bytes();
         at = text.from();
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Parses the text, which holds one value.
+     * Parses the text, which must consist of exactly one value.
      *
-     * @throws BadInputException where it is malformed
+     * @throws BadInputException if the text is malformed
      */
     public Object read() {
         Object value = value();
@@ -55,13 +55,13 @@
         return value;
     }
 
-    /** The members of the outermost object parsed so far, also after a failure of {@link #read}. */
+    /** Returns the outermost object's members parsed so far, even if {@link #read} has failed. */
     public Map<String, Object> members() {
         return members;
     }
 
-    private BadInputException bad(String what) {
-        return new BadInputException(what + " at byte " + at);
+    private BadInputException bad(String problem) {
+        return new BadInputException(problem + " at byte " + at);
     }
 
     private void skipBlanks() {
@@ -79,9 +79,9 @@
         return at < end ? bytes[at] : 0;
     }
 
-    private void take(char wanted) {
-        if (next() != wanted) {
-            throw bad("no '" + wanted + "'");
+    private void expect(char expected) {
+        if (next() != expected) {
+            throw bad("no '" + expected + "'");
         }
         at++;
     }
@@ -105,17 +105,17 @@
         }
     }
 
-    private Object word(String word, Object meaning) {
+    private Object word(String word, Object value) {
         for (int i = 0; i < word.length(); i++, at++) {
             if (at >= end || bytes[at] != word.charAt(i)) {
                 throw bad("unknown word");
             }
         }
-        return meaning;
+        return value;
     }
 
     private void enter() {
-        if (++depth > DEEPEST) {
+        if (++depth > MAX_DEPTH) {
             throw bad("nested too deep");
         }
         at++;
@@ -131,13 +131,13 @@
         enter();
         for (boolean first = true; next() != '}'; first = false) {
             if (!first) {
-                take(',');
+                expect(',');
             }
             if (next() != '"') {
                 throw bad("no name");
             }
             String name = string();
-            take(':');
+            expect(':');
             object.put(name, value());
         }
         leave();
@@ -149,7 +149,7 @@
         enter();
         for (boolean first = true; next() != ']'; first = false) {
             if (!first) {
-                take(',');
+                expect(',');
             }
             list.add(value());
         }
@@ -159,23 +159,23 @@
 
     private String string() {
         int from = ++at;
-        boolean plain = true;
+        boolean isPlainAscii = true;
         while (at < end && bytes[at] != '"') {
             if (bytes[at] >= 0 && bytes[at] < ' ') {
                 throw bad("a control character in a string");
             }
-            plain &= bytes[at] > 0 && bytes[at] != '\\';
+            isPlainAscii &= bytes[at] > 0 && bytes[at] != '\\';
             at += bytes[at] == '\\' ? 2 : 1;
         }
         if (at >= end) {
             throw bad("a string without its end");
         }
-        String raw =
-                plain
+        String text =
+                isPlainAscii
                         ? new String(bytes, from, at - from, StandardCharsets.ISO_8859_1)
                         : decoded(from);
         at++;
-        return raw;
+        return text;
     }
 
     private String decoded(int from) {
@@ -201,9 +201,9 @@
                 continue;
             }
             char escape = raw.charAt(++i);
-            int plain = "\"\\/bfnrt".indexOf(escape);
-            if (plain >= 0) {
-                out.append("\"\\/\b\f\n\r\t".charAt(plain));
+            int index = "\"\\/bfnrt".indexOf(escape);
+            if (index >= 0) {
+                out.append("\"\\/\b\f\n\r\t".charAt(index));
             } else if (escape == 'u'
                     && raw.length() >= i + 5
                     && raw.substring(i + 1, i + 5).matches("[0-9a-fA-F]+")) {
@@ -233,17 +233,17 @@
         if (!digits() || bytes[first] == '0' && at > first + 1) {
             throw bad("no value");
         }
-        boolean whole = true;
+        boolean isInteger = true;
         if (at < end && bytes[at] == '.') {
             at++;
-            whole = false;
+            isInteger = false;
             if (!digits()) {
                 throw bad("no digits");
             }
         }
         if (at < end && (bytes[at] == 'e' || bytes[at] == 'E')) {
             at++;
-            whole = false;
+            isInteger = false;
             if (at < end && (bytes[at] == '+' || bytes[at] == '-')) {
                 at++;
             }
@@ -252,7 +252,7 @@
             }
         }
         String text = new String(bytes, from, at - from, StandardCharsets.ISO_8859_1);
-        return whole && text.length() < 19
+        return isInteger && text.length() < 19
                 ? (Object) Long.valueOf(text)
                 : (Object) Double.valueOf(text);
     }
--- a/src/main/java/ochretiller/text/Slice.java
+++ b/src/main/java/ochretiller/text/Slice.java
@@ -5,38 +5,38 @@
 import java.util.List;
 
 /**
- * A part of a read buffer, which is never written again.
+ * A range of bytes in a read buffer, which must not be modified while the slice is in use.
  *
  * @param bytes the buffer
  * @param from index of the first byte
  * @param to index after the last byte
  */
 public record Slice(byte[] bytes, int from, int to) {
-    /** A slice without bytes. */
+    /** An empty slice. */
     public static final Slice EMPTY = new Slice(new byte[0], 0, 0);
 
-    /** The bytes of a text in UTF-8. */
+    /** Returns a slice with the UTF-8 bytes of a text. */
     public static Slice of(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return new Slice(bytes, 0, bytes.length);
     }
 
-    /** The number of bytes. */
+    /** Returns the number of bytes. */
     public int length() {
         return to - from;
     }
 
-    /** A copy of the bytes, for what outlives the buffer: a slice keeps all of it in memory. */
+    /** Returns a copy of the bytes; unlike the slice, it does not retain the whole buffer. */
     public byte[] copy() {
         return Arrays.copyOfRange(bytes, from, to);
     }
 
-    /** The bytes as text in ISO 8859-1, one char each. */
+    /** Returns the bytes decoded as ISO 8859-1, one char each. */
     public String text() {
         return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    /** The words of {@link #text} between single blanks; some may be empty. */
+    /** Returns the words of {@link #text}, split at each space; words may be empty. */
     public List<String> words() {
         return List.of(text().split(" ", -1));
     }
--- a/src/main/java/ochretiller/text/package-info.java
+++ b/src/main/java/ochretiller/text/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Parsers of the wire protocols' text: slices of read buffers, JSON, and lines that end in CR LF
- * with counted bodies. All are bounded and hold no threads or sockets; each instance belongs to one
- * caller at a time. Malformed input is reported by {@link ochretiller.text.BadInputException}.
- * Depends on no other package.
+ * Parsers for text protocols: slices of read buffers, JSON, and lines that end in CR LF, with
+ * bodies of a given length. All limit the size of their input and use no threads or sockets. Not
+ * thread-safe. Malformed input is reported by {@link ochretiller.text.BadInputException}. Depends
+ * on no other package.
  */
 package ochretiller.text;
