--- a/src/main/java/ochretiller/paths/PathPattern.java
+++ b/src/main/java/ochretiller/paths/PathPattern.java
@@ -14,7 +14,7 @@
  * one non-empty path segment; two stars at the end match any number of further segments.
  *
  * @param text the pattern as it was written
- * @param parts one entry per segment: a literal, or <code>{}</code> for a name in braces
+ * @param parts one entry per segment: a literal, or {@code {}} for a name in braces
  * @param tail whether the pattern ends with two stars
  */
 public record PathPattern(String text, List<String> parts, boolean tail) {
--- a/src/main/java/ochretiller/processor/NoticeSequence.java
+++ b/src/main/java/ochretiller/processor/NoticeSequence.java
@@ -31,7 +31,7 @@
         if (number > last + 1) {
             if (isCaughtUp) {
                 throw new BadInputException(
-                        "expected notice " + (last + 1) + " but received notice " + number);
+                        "received notice " + number + " directly after notice " + last);
             }
             hasGap = true;
         }
--- a/src/test/java/ochretiller/collections/BoundedMapTest.java
+++ b/src/test/java/ochretiller/collections/BoundedMapTest.java
@@ -7,7 +7,7 @@
 
 class BoundedMapTest {
     @Test
-    void oneEntryTooManyEvictsTheLeastRecentlyUsed() {
+    void entryBeyondTheCapacityEvictsTheLeastRecentlyUsed() {
         Map<String, Integer> map = BoundedMap.evictingLeastRecentlyUsed(2);
         map.put("a", 1);
         map.put("b", 2);
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void oneEntryTooManyEvictsTheOldest() {
+    void entryBeyondTheCapacityEvictsTheOldest() {
         Map<String, Integer> map = BoundedMap.evictingOldest(2);
         map.put("a", 1);
         map.put("b", 2);
--- a/src/test/java/ochretiller/frontend/ClientConnectionsTest.java
+++ b/src/test/java/ochretiller/frontend/ClientConnectionsTest.java
@@ -22,20 +22,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What crosses on real sockets, in the order that a test forces: the one thread's work is in its
- * hands.
+ * Races between clients and the server on real sockets. The test runs the event loop's tasks itself
+ * and so determines the order of events.
  */
 class ClientConnectionsTest {
-    private static final Duration MS = Duration.ofMillis(1);
-    private static final Duration IDLE = Duration.ofSeconds(2);
-    private static final Duration LONGEST = Duration.ofSeconds(4);
+    private static final Duration ONE_MS = Duration.ofMillis(1);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration LONGEST_WAIT = Duration.ofSeconds(4);
     private static final int LIMIT = 16;
     private static final Operation READ =
             new Operation(
                     "read",
                     SideEffect.IDEMPOTENT,
                     Duration.ofSeconds(1),
-                    LONGEST,
+                    LONGEST_WAIT,
                     1,
                     0,
                     Duration.ZERO,
@@ -45,31 +45,31 @@
     private final ManualEventLoop loop = new ManualEventLoop();
     private final Network network = new Network(loop, 64L * 1024 * 1024);
     private final List<RequestAttempt> arrived = new ArrayList<>();
-    private final List<RequestAttempt> gone = new ArrayList<>();
-    private final AtomicInteger accepted = new AtomicInteger();
-    private volatile Connection last;
-    private final List<CloseCode> spoilt = new ArrayList<>();
-    private final List<FakeConnection> wires = new ArrayList<>();
-    private ClientConnections callers;
+    private final List<RequestAttempt> aborted = new ArrayList<>();
+    private final AtomicInteger acceptedCount = new AtomicInteger();
+    private volatile Connection lastAccepted;
+    private final List<CloseCode> violations = new ArrayList<>();
+    private final List<FakeConnection> clients = new ArrayList<>();
+    private ClientConnections clientConnections;
     private int port;
 
     /**
-     * A front of one letter a message: {@code R} asks, {@code o} does nothing, {@code !} cannot be
-     * read, {@code .} has only begun.
+     * A protocol with one letter per message: {@code R} is a request, {@code o} has no effect,
+     * {@code !} is a protocol violation, {@code .} is the start of an incomplete message.
      */
-    private final class Letters extends ClientConnection {
-        private boolean begun;
-        private long numbers;
+    private final class LetterProtocol extends ClientConnection {
+        private boolean hasPartial;
+        private long lastNumber;
 
-        Letters(Connection connection) {
-            super(connection, callers);
-            last = connection;
+        LetterProtocol(Connection connection) {
+            super(connection, clientConnections);
+            lastAccepted = connection;
         }
 
         @Override
         public Runnable received(byte[] bytes, int from, int to) {
             String text = new String(bytes, from, to - from);
-            begun = text.endsWith(".");
+            hasPartial = text.endsWith(".");
             String requests = text.replaceAll("[^R]", "");
             if (text.contains("!")) {
                 connection.deafen();
@@ -79,20 +79,20 @@
             }
             return () -> {
                 for (int i = 0; i < requests.length(); i++) {
-                    callers.opened(
+                    clientConnections.opened(
                             new RequestAttempt(
-                                    callers.nextId(),
-                                    connection.peer() + '/' + ++numbers,
+                                    clientConnections.nextId(),
+                                    connection.peer() + '/' + ++lastNumber,
                                     READ,
                                     1,
                                     1,
-                                    callers.now(),
+                                    clientConnections.now(),
                                     0,
                                     null,
                                     null,
                                     new byte[0],
                                     this,
-                                    numbers));
+                                    lastNumber));
                 }
                 if (text.contains("!")) {
                     spoilt(CloseCode.BAD_INPUT);
@@ -102,12 +102,12 @@
 
         @Override
         public boolean within() {
-            return begun;
+            return hasPartial;
         }
 
         @Override
         public boolean spoilt(CloseCode code) {
-            spoilt.add(code);
+            violations.add(code);
             return super.spoilt(code);
         }
 
@@ -118,24 +118,27 @@
         }
 
         @Override
-        protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
+        protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
             connection.write("done\n");
         }
 
         @Override
-        protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
+        protected void throttles(
+                RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
             connection.write("throttled\n");
         }
 
         @Override
-        protected void fails(RequestAttempt inv, FailureReason why) {
+        protected void fails(RequestAttempt attempt, FailureReason reason) {
             connection.write("failed\n");
         }
     }
 
     @BeforeEach
     void listen() throws IOException {
-        callers = new ClientConnections(loop, LIMIT, LONGEST, IDLE, arrived::add, gone::add);
+        clientConnections =
+                new ClientConnections(
+                        loop, LIMIT, LONGEST_WAIT, IDLE_TIMEOUT, arrived::add, aborted::add);
         try (var free = new java.net.ServerSocket(0)) {
             port = free.getLocalPort();
         }
@@ -143,124 +146,124 @@
                 "test",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 connection -> {
-                    var peer = callers.accepted(new Letters(connection));
-                    accepted.incrementAndGet();
+                    var peer = clientConnections.accepted(new LetterProtocol(connection));
+                    acceptedCount.incrementAndGet();
                     return peer;
                 });
     }
 
     @AfterEach
     void stop() throws IOException {
-        for (FakeConnection wire : wires) {
-            wire.close();
+        for (FakeConnection client : clients) {
+            client.close();
         }
         network.stop();
     }
 
-    private FakeConnection dial() throws Exception {
-        int before = accepted.get();
-        FakeConnection wire =
+    private FakeConnection connect() throws Exception {
+        int before = acceptedCount.get();
+        FakeConnection client =
                 new FakeConnection(new Socket(InetAddress.getLoopbackAddress(), port));
-        wires.add(wire);
-        while (accepted.get() == before) {
+        clients.add(client);
+        while (acceptedCount.get() == before) {
             Thread.onSpinWait();
         }
         loop.all();
-        return wire;
+        return client;
     }
 
-    /** A caller that has asked once and has its answer. */
-    private FakeConnection known() throws Exception {
-        FakeConnection wire = dial();
-        expectServed(wire);
-        return wire;
+    /** Connects a client that has sent one request and received the response. */
+    private FakeConnection connectActive() throws Exception {
+        FakeConnection client = connect();
+        expectServed(client);
+        return client;
     }
 
-    private void expectServed(FakeConnection wire) throws Exception {
-        ask(wire);
+    private void expectServed(FakeConnection client) throws Exception {
+        sendRequest(client);
         answer();
-        assertThat(wire.line()).isEqualTo("done");
+        assertThat(client.line()).isEqualTo("done");
     }
 
-    /** Its request has come to the owner. */
-    private void ask(FakeConnection wire) throws Exception {
+    /** Sends a request and waits until its attempt arrives on the event loop. */
+    private void sendRequest(FakeConnection client) throws Exception {
         int before = arrived.size();
-        wire.send("R");
+        client.send("R");
         while (arrived.size() == before) {
             loop.one();
         }
     }
 
     private void answer() {
-        callers.succeed(arrived.remove(0), new byte[0]);
+        clientConnections.succeed(arrived.remove(0), new byte[0]);
         network.flush();
     }
 
-    private void pass(Duration span) {
-        // In small steps: what is written goes out behind each gathering.
-        for (Duration left = span;
+    private void advanceTime(Duration duration) {
+        // In small steps, because output is sent only by the flush after each step.
+        for (Duration left = duration;
                 !left.isZero() && !left.isNegative();
                 left = left.minusMillis(50)) {
-            loop.pass(MS.multipliedBy(50));
+            loop.pass(ONE_MS.multipliedBy(50));
             network.flush();
         }
     }
 
     @Test
-    void restingConnectionIsToldAndARequestThatCrossesTheWordIsAnswered() throws Exception {
-        FakeConnection resting = known();
-        pass(IDLE.plusMillis(150));
-        assertThat(resting.line()).isEqualTo("shutdown");
-        expectServed(resting);
-        pass(Duration.ofMillis(1_200));
-        assertThat(resting.line()).isNull();
+    void idleConnectionIsShutDownAndARequestInTransitIsAnswered() throws Exception {
+        FakeConnection idle = connectActive();
+        advanceTime(IDLE_TIMEOUT.plusMillis(150));
+        assertThat(idle.line()).isEqualTo("shutdown");
+        expectServed(idle);
+        advanceTime(Duration.ofMillis(1_200));
+        assertThat(idle.line()).isNull();
     }
 
     @Test
-    void requestThatIsReadButNotWorkedOffAsTheTimeComesIsAnswered() throws Exception {
-        FakeConnection resting = known();
-        pass(IDLE);
-        resting.send("R");
+    void requestReadButNotProcessedAtTheIdleTimeoutIsAnswered() throws Exception {
+        FakeConnection idle = connectActive();
+        advanceTime(IDLE_TIMEOUT);
+        idle.send("R");
         loop.await(1);
-        loop.due(Duration.ofMillis(1_500)); // the sweeps come before it is worked off
+        loop.due(Duration.ofMillis(1_500)); // runs the sweeps before the request is processed
         network.flush();
         loop.all();
         answer();
-        assertThat(resting.line()).isEqualTo("done");
+        assertThat(idle.line()).isEqualTo("done");
     }
 
     @Test
-    void halfAMessageIsNoRestUntilNobodyWaitsForItAnyMore() throws Exception {
-        FakeConnection slow = known();
-        FakeConnection rests = known();
+    void incompleteMessagePreventsTheIdleTimeoutUntilTheLongestWaitIsOver() throws Exception {
+        FakeConnection slow = connectActive();
+        FakeConnection idle = connectActive();
         slow.send(".");
-        settleReads();
-        pass(IDLE.plusMillis(300));
-        assertThat(rests.line()).isEqualTo("shutdown");
+        awaitEarlierReads();
+        advanceTime(IDLE_TIMEOUT.plusMillis(300));
+        assertThat(idle.line()).isEqualTo("shutdown");
         expectServed(slow);
         slow.send(".");
-        settleReads();
-        pass(LONGEST.plusMillis(300));
+        awaitEarlierReads();
+        advanceTime(LONGEST_WAIT.plusMillis(300));
         assertThat(slow.line()).isEqualTo("shutdown");
     }
 
     /**
-     * Half a message leaves no work: what is read behind it on another connection shows that it was
-     * read.
+     * An incomplete message posts no work to wait for. A later request on another connection, once
+     * served, shows that the message was read.
      */
-    private void settleReads() throws Exception {
-        expectServed(dial());
+    private void awaitEarlierReads() throws Exception {
+        expectServed(connect());
     }
 
     @Test
-    void callerThatCannotBeReadAnyMoreGetsWhatItIsOwed() throws Exception {
-        FakeConnection bad = dial();
+    void requestsBeforeAProtocolViolationAreAnswered() throws Exception {
+        FakeConnection bad = connect();
         bad.send("RR!");
         while (arrived.size() < 2) {
             loop.one();
         }
         answer();
-        bad.send("R"); // behind what cannot be read: nothing of it counts
+        bad.send("R"); // after the violation, so it is ignored
         answer();
         assertThat(bad.line()).isEqualTo("done");
         assertThat(bad.line()).isEqualTo("done");
@@ -270,107 +273,105 @@
     }
 
     @Test
-    void floodedCallerGetsWhatItIsOwed() throws Exception {
-        FakeConnection flood = dial();
-        ask(flood);
-        assertThat(flood.sendsUntilItEnds("o".repeat(64 * 1024), 4)).isFalse();
-        while (!last.deaf()) {
-            Thread.onSpinWait(); // nothing of it is worked off until the bound is passed
+    void requestBeforeAFloodIsAnswered() throws Exception {
+        FakeConnection flooding = connect();
+        sendRequest(flooding);
+        assertThat(flooding.sendsUntilItEnds("o".repeat(64 * 1024), 4)).isFalse();
+        while (!lastAccepted.deaf()) {
+            Thread.onSpinWait(); // no input is processed until the queue limit is exceeded
         }
-        while (spoilt.isEmpty()) {
+        while (violations.isEmpty()) {
             loop.one();
         }
-        assertThat(spoilt).containsExactly(CloseCode.FLOOD);
+        assertThat(violations).containsExactly(CloseCode.FLOOD);
         network.flush();
-        assertThat(gone).isEmpty();
+        assertThat(aborted).isEmpty();
         answer();
-        assertThat(flood.line()).isEqualTo("done");
-        assertThat(flood.line()).isNull();
+        assertThat(flooding.line()).isEqualTo("done");
+        assertThat(flooding.line()).isNull();
     }
 
     @Test
-    void answersBeforeACloseOverUnreadBytesArrive() throws Exception {
-        FakeConnection bad = dial();
+    void answerArrivesAlthoughTheConnectionIsClosedWithUnreadInput() throws Exception {
+        FakeConnection bad = connect();
         bad.send("R!");
         while (arrived.isEmpty()) {
             loop.one();
         }
-        bad.send("x".repeat(4_096)); // nobody reads it
+        bad.send("x".repeat(4_096)); // never read
         answer();
         assertThat(bad.line()).isEqualTo("done");
         assertThat(bad.line()).isNull();
     }
 
     @Test
-    void waveOfCallersLosesNoFirstRequestToTheRoomThatItNeeds() throws Exception {
-        List<FakeConnection> wave = new ArrayList<>();
+    void firstRequestsOfManySimultaneousClientsAreAnswered() throws Exception {
+        List<FakeConnection> newcomers = new ArrayList<>();
         for (int i = 0; i < LIMIT / 2; i++) {
-            wave.add(dial());
+            newcomers.add(connect());
         }
         network.flush();
-        int told = 0;
-        for (FakeConnection wire : wave) {
-            ask(wire);
+        int shutdowns = 0;
+        for (FakeConnection client : newcomers) {
+            sendRequest(client);
             answer();
-            String line = wire.line();
+            String line = client.line();
             if (line.equals("shutdown")) {
-                told++;
-                line = wire.line();
+                shutdowns++;
+                line = client.line();
             }
             assertThat(line).isEqualTo("done");
         }
-        assertThat(told)
-                .isEqualTo(
-                        LIMIT / 2 - LIMIT / 4); // as many as had shown nothing beyond their part of
-        // the table
+        // The number of newcomers beyond their share of the table.
+        assertThat(shutdowns).isEqualTo(LIMIT / 2 - LIMIT / 4);
     }
 
     @Test
-    void tooManyThatSayNothingMakeRoomOldestFirstAndLeaveWhoHasShownSomething() throws Exception {
-        FakeConnection known = known();
+    void tooManySilentClientsAreClosedOldestFirstAndActiveOnesStay() throws Exception {
+        FakeConnection active = connectActive();
         List<FakeConnection> silent = new ArrayList<>();
         for (int i = 0; i < LIMIT / 2 - 1; i++) {
-            silent.add(dial());
+            silent.add(connect());
         }
-        pass(Duration.ofMillis(250));
+        advanceTime(Duration.ofMillis(250));
         for (int i = 0; i < LIMIT / 4 - 1; i++) {
             assertThat(silent.get(i).line()).isEqualTo("shutdown");
             assertThat(silent.get(i).line()).isNull();
         }
-        for (FakeConnection wire : List.of(known, silent.get(LIMIT / 2 - 2))) {
-            expectServed(wire);
+        for (FakeConnection client : List.of(active, silent.get(LIMIT / 2 - 2))) {
+            expectServed(client);
         }
     }
 
     @Test
-    void floodOfThoseThatSayNothingMakesRoomAtOnceAndLeavesWhoHasShownSomething() throws Exception {
-        FakeConnection known = known();
+    void floodOfSilentClientsIsDroppedAtOnceAndActiveOnesStay() throws Exception {
+        FakeConnection active = connectActive();
         List<FakeConnection> flood = new ArrayList<>();
         for (int i = 0; i < 10 * LIMIT; i++) {
-            flood.add(dial());
+            flood.add(connect());
         }
-        expectServed(known);
-        while (callers.connections() > LIMIT / 2 + 1) {
-            loop.one(); // what was dropped has ended; a few were told
+        expectServed(active);
+        while (clientConnections.connections() > LIMIT / 2 + 1) {
+            loop.one(); // processes the ends of the dropped connections
         }
-        expectServed(dial());
+        expectServed(connect());
     }
 
     @Test
-    void leavingTellsAndClosesOnceAllIsAnswered() throws Exception {
-        FakeConnection busy = known();
-        ask(busy);
-        callers.leave();
+    void drainAsksClientsToLeaveAndClosesAfterAllIsAnswered() throws Exception {
+        FakeConnection busy = connectActive();
+        sendRequest(busy);
+        clientConnections.leave();
         network.flush();
         assertThat(busy.line()).isEqualTo("shutdown");
         answer();
         assertThat(busy.line()).isEqualTo("done");
-        callers.close();
+        clientConnections.close();
         network.flush();
         assertThat(busy.line()).isNull();
-        assertThat(callers.connections()).isOne(); // until it has ended its side
+        assertThat(clientConnections.connections()).isOne(); // until the client closes its side
         busy.close();
-        while (callers.connections() > 0) {
+        while (clientConnections.connections() > 0) {
             loop.one();
         }
     }
--- a/src/test/java/ochretiller/net/AcceptorTest.java
+++ b/src/test/java/ochretiller/net/AcceptorTest.java
@@ -22,68 +22,68 @@
 import org.junit.jupiter.api.Test;
 
 class AcceptorTest {
-    private static final int WAITING = 20;
+    private static final int PENDING_CONNECTIONS = 20;
 
-    /** Stands still in its first round until it is let go. */
-    private static final class Held extends Acceptor {
-        private final CountDownLatch first = new CountDownLatch(1);
-        private final CountDownLatch go = new CountDownLatch(1);
+    /** An acceptor that blocks in its first accept until {@code release} is counted down. */
+    private static final class BlockingAcceptor extends Acceptor {
+        private final CountDownLatch firstAccept = new CountDownLatch(1);
+        private final CountDownLatch release = new CountDownLatch(1);
 
-        Held(ExecutorService threads, NioProcessor processor) {
+        BlockingAcceptor(ExecutorService threads, NioProcessor processor) {
             super(threads, processor);
         }
 
         @Override
         protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
                 throws Exception {
-            if (first.getCount() > 0) {
-                first.countDown();
-                go.await();
+            if (firstAccept.getCount() > 0) {
+                firstAccept.countDown();
+                release.await();
             }
             return super.accept(processor, handle);
         }
     }
 
     @Test
-    void whatTheKernelHasAcceptedIsTakenBeforeTheListenerCloses() throws Exception {
+    void connectionsInTheBacklogAreAcceptedBeforeTheListenerCloses() throws Exception {
         ExecutorService threads = Executors.newCachedThreadPool();
         NioProcessor processor = new NioProcessor(threads);
-        Held acceptor = new Held(threads, processor);
-        LinkedBlockingQueue<String> read = new LinkedBlockingQueue<>();
-        acceptor.setBacklog(WAITING * 2);
+        BlockingAcceptor acceptor = new BlockingAcceptor(threads, processor);
+        LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
+        acceptor.setBacklog(PENDING_CONNECTIONS * 2);
         acceptor.setCloseOnDeactivation(false);
         acceptor.setHandler(
                 new IoHandlerAdapter() {
                     @Override
                     public void messageReceived(IoSession session, Object message) {
-                        read.add(((IoBuffer) message).getHexDump());
+                        received.add(((IoBuffer) message).getHexDump());
                         session.write(IoBuffer.wrap(new byte[] {7}));
                     }
                 });
         acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         int port = acceptor.getLocalAddress().getPort();
-        List<Socket> callers = new ArrayList<>();
-        for (int i = 0; i < WAITING; i++) {
-            Socket caller = new Socket(InetAddress.getLoopbackAddress(), port);
-            caller.setSoTimeout(10_000);
-            caller.getOutputStream().write(i);
-            callers.add(caller);
+        List<Socket> clients = new ArrayList<>();
+        for (int i = 0; i < PENDING_CONNECTIONS; i++) {
+            Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
+            client.setSoTimeout(10_000);
+            client.getOutputStream().write(i);
+            clients.add(client);
         }
-        assertThat(acceptor.first.await(10, TimeUnit.SECONDS)).isTrue();
+        assertThat(acceptor.firstAccept.await(10, TimeUnit.SECONDS)).isTrue();
         Thread closing = new Thread(acceptor::unbind);
         closing.start();
         while (closing.getState() != Thread.State.WAITING
                 && closing.getState() != Thread.State.TIMED_WAITING) {
             Thread.onSpinWait();
         }
-        acceptor.go.countDown();
-        for (Socket caller : callers) {
-            assertThat(caller.getInputStream().read()).isEqualTo(7);
+        acceptor.release.countDown();
+        for (Socket client : clients) {
+            assertThat(client.getInputStream().read()).isEqualTo(7);
         }
-        assertThat(read).hasSize(WAITING);
+        assertThat(received).hasSize(PENDING_CONNECTIONS);
         closing.join();
-        for (Socket caller : callers) {
-            caller.close();
+        for (Socket client : clients) {
+            client.close();
         }
         acceptor.dispose();
         processor.dispose();
--- a/src/test/java/ochretiller/pages/MessageTemplates.java
+++ b/src/test/java/ochretiller/pages/MessageTemplates.java
@@ -6,18 +6,19 @@
 import java.util.regex.Pattern;
 
 /**
- * The messages that the sources write, each with its variable parts replaced by {@code ...}.
+ * Patterns of the messages in the sources, for comparison with quotations in which {@code ...}
+ * replaces a variable part.
  *
- * <p>A message is the argument of a call: its string literals are taken as they stand, a choice
- * between two literals counts as both, and any other operand is a variable part.
+ * <p>A message is the argument of a call. Its string literals match literally, a conditional of two
+ * literals matches either, and any other operand is a variable part.
  */
 final class MessageTemplates {
-    /** A call that writes a line of the log; the group is the method's name. */
+    /** A call that writes a log line; the group is the name of the method. */
     static final Pattern LOG_CALL =
             Pattern.compile(
                     "\\b(?:LOG|LOGGER|log|logger)\\.(log|severe|warning|info|config|fine)\\(");
 
-    /** The making of an exception, whose message the command line prints. */
+    /** The creation of an exception, whose message the command line prints. */
     static final Pattern EXCEPTION = Pattern.compile("\\bnew \\w+(Exception)\\(");
 
     private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
@@ -27,46 +28,46 @@
                     "\\(?[^\"]*\\?\\s*" + LITERAL + "\\s*:\\s*" + LITERAL + "\\s*\\)?",
                     Pattern.DOTALL);
 
-    /** What a page writes for a variable part: dots, or a word in capitals. */
+    /** The notation for a variable part in a quotation: three dots, or a word in capitals. */
     private static final String VARIABLE_PART = "(?:\\.\\.\\.|[A-Z]+)";
 
-    private static final String ENDING = "...";
+    private static final String ELLIPSIS = "...";
 
-    /** A quotation that is cut short has at least so many characters before its dots. */
-    private static final int SHORTEST_PREFIX = 6;
+    /** Minimum number of characters before the final dots of a shortened quotation. */
+    private static final int MIN_PREFIX_CHARS = 6;
 
     private final List<Pattern> templates = new ArrayList<>();
 
-    /** Collects the messages of all calls that a pattern finds in some sources. */
+    /** Collects the messages of all calls in the sources that match a pattern. */
     static MessageTemplates of(Pattern call, List<String> sources) {
-        MessageTemplates found = new MessageTemplates();
+        MessageTemplates templates = new MessageTemplates();
         for (String source : sources) {
             Matcher calls = call.matcher(source);
             while (calls.find()) {
                 for (String argument : split(source, calls.end(), ',')) {
-                    found.add(argument);
+                    templates.add(argument);
                 }
             }
         }
-        return found;
+        return templates;
     }
 
     /**
-     * Whether some message reads like a quotation. In it {@code ...} or a word in capitals stands
-     * for a variable part; dots at its end stand for all that follows.
+     * Returns whether a message matches the quotation, in which {@code ...} or a word in capitals
+     * replaces a variable part, and {@code ...} at the end replaces the rest of the message.
      */
     boolean contain(String quotation) {
-        boolean isCutShort = quotation.endsWith(ENDING);
-        String fixed =
-                isCutShort
-                        ? quotation.substring(0, quotation.length() - ENDING.length())
+        boolean isShortened = quotation.endsWith(ELLIPSIS);
+        String prefix =
+                isShortened
+                        ? quotation.substring(0, quotation.length() - ELLIPSIS.length())
                         : quotation;
-        if (isCutShort && fixed.length() < SHORTEST_PREFIX) {
+        if (isShortened && prefix.length() < MIN_PREFIX_CHARS) {
             return false;
         }
         return templates.stream()
-                .map(template -> template.matcher(fixed))
-                .anyMatch(matcher -> matcher.matches() || isCutShort && matcher.hitEnd());
+                .map(template -> template.matcher(prefix))
+                .anyMatch(matcher -> matcher.matches() || isShortened && matcher.hitEnd());
     }
 
     int size() {
@@ -104,8 +105,8 @@
     }
 
     /**
-     * Splits an expression at a separator that stands outside of its brackets and literals, up to
-     * the bracket that closes it or the end of the text.
+     * Splits an expression at a separator outside of brackets and literals. The expression ends at
+     * an unmatched closing bracket or at the end of the text.
      */
     private static List<String> split(String text, int from, char separator) {
         List<String> parts = new ArrayList<>();
--- a/src/test/java/ochretiller/pages/OnCallPageTest.java
+++ b/src/test/java/ochretiller/pages/OnCallPageTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each exit code, error, close code, log line and metric that {@code docs/oncall.md} names is
- * written by the program. They stand in backticks in the first column of the table below the
- * section's title.
+ * Tests that the program writes each exit code, error, close code, log line and metric listed in
+ * {@code docs/oncall.md}. The page quotes them in backticks in the first column of the table in each
+ * section.
  */
 class OnCallPageTest {
     private static final String PAGE = SourceTree.text(Path.of("docs/oncall.md"));
@@ -23,9 +23,9 @@
     private static String section(String title) {
         String heading = "\n## " + title + "\n";
         assertThat(PAGE).contains(heading);
-        String behind = PAGE.substring(PAGE.indexOf(heading) + heading.length());
-        int next = behind.indexOf("\n## ");
-        return next < 0 ? behind : behind.substring(0, next);
+        String rest = PAGE.substring(PAGE.indexOf(heading) + heading.length());
+        int next = rest.indexOf("\n## ");
+        return next < 0 ? rest : rest.substring(0, next);
     }
 
     private static List<String> firstColumn(String title) {
@@ -41,36 +41,36 @@
         return quoted;
     }
 
-    private static List<String> without(MessageTemplates written, List<String> quoted) {
-        assertThat(written.size()).as("messages found in the sources").isGreaterThan(20);
-        return quoted.stream().filter(line -> !written.contain(line)).toList();
+    private static List<String> missing(MessageTemplates templates, List<String> quoted) {
+        assertThat(templates.size()).as("messages found in the sources").isGreaterThan(20);
+        return quoted.stream().filter(line -> !templates.contain(line)).toList();
     }
 
     @Test
     void logLinesAreWrittenByALogCall() {
-        MessageTemplates written =
+        MessageTemplates templates =
                 MessageTemplates.of(MessageTemplates.LOG_CALL, SourceTree.texts("src/main/java"));
-        assertThat(without(written, firstColumn("Log lines"))).as("no log call writes").isEmpty();
+        assertThat(missing(templates, firstColumn("Log lines"))).as("no log call writes").isEmpty();
     }
 
     @Test
-    void errorsAtTheStartAreMessagesOfExceptions() {
-        MessageTemplates written =
+    void startupErrorsAreExceptionMessages() {
+        MessageTemplates templates =
                 MessageTemplates.of(MessageTemplates.EXCEPTION, SourceTree.texts("src/main/java"));
-        assertThat(without(written, firstColumn("Errors at the start")))
-                .as("no exception says")
+        assertThat(missing(templates, firstColumn("Errors at the start")))
+                .as("no exception has the message")
                 .isEmpty();
     }
 
     @Test
-    void closeCodesAreThoseOfConnections() {
+    void closeCodesMatchTheEnum() {
         assertThat(firstColumn("Close codes"))
                 .containsExactlyInAnyOrderElementsOf(
                         Arrays.stream(CloseCode.values()).map(CloseCode::externalName).toList());
     }
 
     @Test
-    void exitCodesAreThoseOfTheReadme() {
+    void exitCodesMatchTheReadme() {
         String readme = SourceTree.text(Path.of("README.md"));
         String table = readme.substring(readme.indexOf("| exit code | meaning |"));
         assertThat(firstColumn("Exit codes"))
@@ -83,12 +83,12 @@
     }
 
     @Test
-    void metricsAreThoseThatAServerPublishes() {
-        String pinned =
+    void metricsArePublishedByAServer() {
+        String golden =
                 SourceTree.text(Path.of("src/test/resources/ochretiller/golden/metrics.txt"));
         assertThat(
                         Pattern.compile("^# TYPE (\\w+) ", Pattern.MULTILINE)
-                                .matcher(pinned)
+                                .matcher(golden)
                                 .results()
                                 .map((MatchResult line) -> line.group(1))
                                 .collect(Collectors.toSet()))
@@ -96,21 +96,21 @@
     }
 
     @Test
-    void aLineThatNoCallWritesIsFound() {
-        MessageTemplates written =
+    void quotationThatNoLogCallWritesIsDetected() {
+        MessageTemplates templates =
                 MessageTemplates.of(
                         MessageTemplates.LOG_CALL,
                         List.of(
                                 "LOG.info(() -> \"link \" + peer + \" is \" + (up ? \"up\" :"
                                         + " \"down\"));",
                                 "LOG.log(Level.SEVERE, \"fault\", e);"));
-        assertThat(written.contain("link ... is up")).isTrue();
-        assertThat(written.contain("link ADDRESS is down")).isTrue();
-        assertThat(written.contain("link ... is ...")).isTrue();
-        assertThat(written.contain("fault")).isTrue();
-        assertThat(written.contain("link ... is idle")).isFalse();
-        assertThat(written.contain("link ... went ...")).isFalse();
-        assertThat(written.contain("faults")).isFalse();
-        assertThat(written.contain("...")).isFalse();
+        assertThat(templates.contain("link ... is up")).isTrue();
+        assertThat(templates.contain("link ADDRESS is down")).isTrue();
+        assertThat(templates.contain("link ... is ...")).isTrue();
+        assertThat(templates.contain("fault")).isTrue();
+        assertThat(templates.contain("link ... is idle")).isFalse();
+        assertThat(templates.contain("link ... went ...")).isFalse();
+        assertThat(templates.contain("faults")).isFalse();
+        assertThat(templates.contain("...")).isFalse();
     }
 }
--- a/src/test/java/ochretiller/pages/PageNamesTest.java
+++ b/src/test/java/ochretiller/pages/PageNamesTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Each class that a page names in backticks is declared or imported by this repository's code. */
+/** Tests that each class that a page names in backticks is declared or imported in the code. */
 class PageNamesTest {
     private static final Pattern QUOTED = Pattern.compile("`([^`\n]+)`");
 
-    /** A class in UpperCamelCase, with packages before it and a member behind it, if any. */
+    /** A class name in UpperCamelCase, optionally with packages before and a member after it. */
     private static final Pattern CLASS_NAME =
             Pattern.compile("((?:[a-z]\\w*\\.)*)([A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)*)(\\.\\S+)?");
 
@@ -32,11 +32,11 @@
 
     private static final Set<String> CLASSES = new HashSet<>();
 
-    /** Classes with all of their package, such as {@code ochretiller.net.CloseCode}. */
+    /** Fully qualified class names, such as {@code ochretiller.net.CloseCode}. */
     private static final Set<String> QUALIFIED = new HashSet<>();
 
     @BeforeAll
-    static void readTheCode() {
+    static void readSources() {
         for (String source :
                 SourceTree.texts(
                         "src/main/java",
@@ -44,7 +44,7 @@
                         "emulator/src",
                         "drill/src",
                         "tools/src")) {
-            String home =
+            String packageName =
                     PACKAGE.matcher(source)
                             .results()
                             .map(found -> found.group(1))
@@ -56,7 +56,7 @@
                     .forEach(
                             name -> {
                                 CLASSES.add(name);
-                                QUALIFIED.add(home + '.' + name);
+                                QUALIFIED.add(packageName + '.' + name);
                             });
             IMPORTED.matcher(source)
                     .results()
@@ -79,23 +79,23 @@
     }
 
     private static boolean exists(MatchResult name) {
-        String packages = name.group(1);
-        if (packages.isEmpty()) {
+        String packagePrefix = name.group(1);
+        if (packagePrefix.isEmpty()) {
             return CLASSES.contains(name.group(2));
         }
-        String named = packages + name.group(2);
-        return QUALIFIED.contains(named) || QUALIFIED.contains("ochretiller." + named);
+        String qualified = packagePrefix + name.group(2);
+        return QUALIFIED.contains(qualified) || QUALIFIED.contains("ochretiller." + qualified);
     }
 
     @Test
-    void classesThatPagesNameAreInTheCode() throws IOException {
+    void classesNamedByPagesExistInTheCode() throws IOException {
         List<String> unknown = new ArrayList<>();
-        int found = 0;
+        int count = 0;
         for (Path page : pages()) {
             for (MatchResult quoted : QUOTED.matcher(SourceTree.text(page)).results().toList()) {
                 var name = CLASS_NAME.matcher(quoted.group(1));
                 if (name.matches()) {
-                    found++;
+                    count++;
                     if (!exists(name.toMatchResult())) {
                         unknown.add(page + ": " + quoted.group(1));
                     }
@@ -103,6 +103,6 @@
             }
         }
         assertThat(unknown).as("named by a page, not in the code").isEmpty();
-        assertThat(found).as("classes named by pages").isGreaterThan(50);
+        assertThat(count).as("classes named by pages").isGreaterThan(50);
     }
 }
--- a/src/test/java/ochretiller/pages/SourceTree.java
+++ b/src/test/java/ochretiller/pages/SourceTree.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Reads the Java sources of this repository; a test starts in its root. */
+/** Reads the Java sources of this repository. Tests run in its root directory. */
 final class SourceTree {
     private SourceTree() {}
 
     /**
-     * The texts of all Java files below some folders.
+     * Returns the contents of all Java files below the given folders.
      *
-     * @throws UncheckedIOException if a folder is not there or cannot be read
+     * @throws UncheckedIOException if a folder does not exist or cannot be read
      */
     static List<String> texts(String... folders) {
         return Stream.of(folders).flatMap(SourceTree::files).map(SourceTree::text).toList();
@@ -29,7 +29,7 @@
     }
 
     /**
-     * The text of one file.
+     * Returns the contents of a file.
      *
      * @throws UncheckedIOException if it cannot be read
      */
--- a/src/test/java/ochretiller/pages/package-info.java
+++ b/src/test/java/ochretiller/pages/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests that hold the pages to the code: names of classes, log lines, codes and metrics that a page
- * names exist.
+ * Tests of the documentation against the code: the classes, log lines, codes and metrics that a page
+ * mentions must exist.
  */
 package ochretiller.pages;
--- a/src/test/java/ochretiller/paths/PathPatternTest.java
+++ b/src/test/java/ochretiller/paths/PathPatternTest.java
@@ -52,23 +52,23 @@
                 "//",
                 "/a/"
             })
-    void wrongOnesAreNamed(String pattern) {
+    void errorForAnInvalidPatternNamesIt(String pattern) {
         assertThatThrownBy(() -> PathPattern.of(pattern))
                 .isInstanceOf(MalformedException.class)
                 .hasMessageContaining("'" + pattern + "'");
     }
 
-    /** What covering and overlapping say is held against every path of a small world. */
+    /** Checks covers and overlaps against matching all paths of up to five segments. */
     @Test
-    void coversAndOverlapsAsEveryPathSays() {
+    void coversAndOverlapsAgreeWithMatchingAllPaths() {
         String[] parts = {"a", "b", "{x}", "**"};
         List<PathPattern> patterns = new ArrayList<>();
-        SplittableRandom chance = new SplittableRandom(1);
+        SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 120; i++) {
             StringBuilder text = new StringBuilder();
-            int length = chance.nextInt(4);
+            int length = random.nextInt(4);
             for (int n = 0; n < length; n++) {
-                text.append('/').append(parts[chance.nextInt(n == length - 1 ? 4 : 3)]);
+                text.append('/').append(parts[random.nextInt(n == length - 1 ? 4 : 3)]);
             }
             patterns.add(PathPattern.of(text.length() == 0 ? "/" : text.toString()));
         }
@@ -83,15 +83,15 @@
         }
         for (PathPattern one : patterns) {
             for (PathPattern other : patterns) {
-                String what = one.text() + " and " + other.text();
+                String pair = one.text() + " and " + other.text();
                 assertThat(one.overlaps(other))
-                        .as(what)
+                        .as(pair)
                         .isEqualTo(
                                 paths.stream()
                                         .anyMatch(
                                                 path -> one.matches(path) && other.matches(path)));
                 assertThat(one.covers(other))
-                        .as(what)
+                        .as(pair)
                         .isEqualTo(
                                 paths.stream()
                                         .allMatch(
--- a/src/test/java/ochretiller/records/RecordsClientTest.java
+++ b/src/test/java/ochretiller/records/RecordsClientTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 
 class RecordsClientTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private final ManualEventLoop loop = new ManualEventLoop();
     private final Network network = new Network(loop, 64L * 1024 * 1024);
-    private final List<CallOutcome.Status> ends = new ArrayList<>();
+    private final List<CallOutcome.Status> outcomes = new ArrayList<>();
 
     private static InetSocketAddress address(ServerSocket service) {
         return new InetSocketAddress(service.getInetAddress(), service.getLocalPort());
@@ -33,22 +33,26 @@
         return service;
     }
 
-    private RecordsClient records(ServerSocket service) {
+    private RecordsClient client(ServerSocket service) {
         return new RecordsClient(loop, network, address(service), 8);
     }
 
     private void call(RecordsClient records, String rid) {
-        records.call(rid, PATIENCE, new byte[] {1}, (end, reply) -> ends.add(end.status()));
+        records.call(
+                rid,
+                TIMEOUT,
+                new byte[] {1},
+                (outcome, reply) -> outcomes.add(outcome.status()));
     }
 
-    /** A service whose backlog is full: who connects hangs. */
-    private static ServerSocket full(List<Socket> held) throws IOException {
+    /** Creates a service whose backlog is full, so that further connects hang. */
+    private static ServerSocket fullService(List<Socket> pending) throws IOException {
         ServerSocket service = service(1);
         while (true) {
             Socket socket = new Socket();
             try {
                 socket.connect(address(service), 200);
-                held.add(socket);
+                pending.add(socket);
             } catch (SocketTimeoutException e) {
                 socket.close();
                 return service;
@@ -57,24 +61,24 @@
     }
 
     @Test
-    void callThatWaitsForAHangingConnectionIsWrittenToTheNextAddressAtOnce() throws Exception {
-        List<Socket> held = new ArrayList<>();
-        try (ServerSocket old = full(held);
+    void callThatWaitsForAHangingConnectIsWrittenToTheNewAddressAtOnce() throws Exception {
+        List<Socket> pending = new ArrayList<>();
+        try (ServerSocket old = fullService(pending);
                 ServerSocket next = service(50)) {
-            RecordsClient records = records(old);
+            RecordsClient records = client(old);
             call(records, "a");
             records.move(address(next));
-            FakeConnection wire = new FakeConnection(next.accept());
-            loop.one(); // the connection is there
+            FakeConnection connection = new FakeConnection(next.accept());
+            loop.one(); // processes the new connection
             network.flush();
-            assertThat(wire.line()).startsWith("OP a ");
-            assertThat(wire.bytes(1)).isEqualTo("\u0001");
-            wire.send("a DONE 0\r\n\r\n");
+            assertThat(connection.line()).startsWith("OP a ");
+            assertThat(connection.bytes(1)).isEqualTo("\u0001");
+            connection.send("a DONE 0\r\n\r\n");
             loop.one();
-            assertThat(ends).containsExactly(CallOutcome.Status.SUCCEEDED);
-            wire.close();
+            assertThat(outcomes).containsExactly(CallOutcome.Status.SUCCEEDED);
+            connection.close();
         } finally {
-            for (Socket socket : held) {
+            for (Socket socket : pending) {
                 socket.close();
             }
             network.stop();
@@ -82,10 +86,10 @@
     }
 
     @Test
-    void addressThatMovesWithCallsConnectingWaitingAndWrittenLosesNone() throws Exception {
+    void addressChangeLosesNeitherConnectingNorWrittenCalls() throws Exception {
         try (ServerSocket old = service(50);
                 ServerSocket next = service(50)) {
-            RecordsClient records = records(old);
+            RecordsClient records = client(old);
             call(records, "written");
             FakeConnection first = new FakeConnection(old.accept());
             loop.one();
@@ -94,7 +98,7 @@
             first.bytes(1);
             call(records, "connecting");
             FakeConnection second = new FakeConnection(old.accept());
-            loop.await(1); // its connection is made, and the loop does not know yet
+            loop.await(1); // connected, but not yet processed on the event loop
             records.move(address(next));
             FakeConnection third = new FakeConnection(next.accept());
             loop.await(2);
@@ -102,13 +106,13 @@
             network.flush();
             assertThat(third.line()).startsWith("OP connecting ");
             third.bytes(1);
-            assertThat(second.line()).isNull(); // nothing was written on it
+            assertThat(second.line()).isNull(); // closed without a call
             first.send("written DONE 0\r\n\r\n");
             third.send("connecting DONE 0\r\n\r\n");
-            for (int i = 0; ends.size() < 2 && i < 10; i++) {
+            for (int i = 0; outcomes.size() < 2 && i < 10; i++) {
                 loop.one();
             }
-            assertThat(ends)
+            assertThat(outcomes)
                     .containsExactly(CallOutcome.Status.SUCCEEDED, CallOutcome.Status.SUCCEEDED);
         } finally {
             network.stop();
@@ -116,67 +120,67 @@
     }
 
     @Test
-    void callWhereThereIsNoServiceIsKnownNotToHaveRun() throws Exception {
+    void callWithoutARecordsServiceIsUnreachable() throws Exception {
         RecordsClient records = new RecordsClient(loop, network, null, 8);
         records.move(null);
         call(records, "a");
         loop.one();
-        assertThat(ends).containsExactly(CallOutcome.Status.UNREACHABLE);
+        assertThat(outcomes).containsExactly(CallOutcome.Status.UNREACHABLE);
         network.stop();
     }
 
     @Test
-    void connectionThatBreaksUnderACallProvesNothingAndARefusedOneThatItNeverRan()
-            throws Exception {
+    void brokenConnectionEndsTheCallAsResetAndARefusedOneAsUnreachable() throws Exception {
         ServerSocket service = service(50);
-        RecordsClient records = records(service);
+        RecordsClient records = client(service);
         call(records, "a");
-        FakeConnection wire = new FakeConnection(service.accept());
+        FakeConnection connection = new FakeConnection(service.accept());
         loop.one();
         network.flush();
-        assertThat(wire.line()).startsWith("OP a ");
+        assertThat(connection.line()).startsWith("OP a ");
         service.close();
-        wire.reset();
-        for (int i = 0; ends.isEmpty() && i < 10; i++) {
+        connection.reset();
+        for (int i = 0; outcomes.isEmpty() && i < 10; i++) {
             loop.one();
         }
-        assertThat(ends).containsExactly(CallOutcome.Status.RESET);
+        assertThat(outcomes).containsExactly(CallOutcome.Status.RESET);
         call(records, "b");
-        for (int i = 0; ends.size() < 2 && i < 10; i++) {
+        for (int i = 0; outcomes.size() < 2 && i < 10; i++) {
             loop.one();
         }
-        assertThat(ends).containsExactly(CallOutcome.Status.RESET, CallOutcome.Status.UNREACHABLE);
+        assertThat(outcomes)
+                .containsExactly(CallOutcome.Status.RESET, CallOutcome.Status.UNREACHABLE);
         network.stop();
     }
 
     @Test
-    void replyThatCrossesTheGivingUpOfItsCallIsNobodysElse() throws Exception {
+    void replyToACancelledCallIsNotTakenForAnotherCall() throws Exception {
         try (ServerSocket service = service(50)) {
-            RecordsClient records = records(service);
+            RecordsClient records = client(service);
             call(records, "a");
-            FakeConnection wire = new FakeConnection(service.accept());
+            FakeConnection first = new FakeConnection(service.accept());
             loop.one();
             network.flush();
-            wire.line();
-            wire.bytes(1);
-            wire.send("a DONE 0\r\n\r\n");
-            loop.await(1); // the reply is read, and not worked off
+            first.line();
+            first.bytes(1);
+            first.send("a DONE 0\r\n\r\n");
+            loop.await(1); // the reply is read but not processed
             records.abandon("a");
             call(records, "b");
-            FakeConnection other = new FakeConnection(service.accept());
-            loop.one(); // the late reply
-            assertThat(ends).isEmpty();
-            assertThat(wire.line()).isEqualTo("UNOP a");
-            assertThat(wire.line()).isNull();
+            FakeConnection second = new FakeConnection(service.accept());
+            loop.one(); // processes the late reply
+            assertThat(outcomes).isEmpty();
+            assertThat(first.line()).isEqualTo("UNOP a");
+            assertThat(first.line()).isNull();
             for (int i = 0; i < 2; i++) {
-                loop.one(); // the end of that connection, and the new one
+                loop.one(); // processes the close of the first and the connect of the second
             }
             network.flush();
-            assertThat(other.line()).startsWith("OP b ");
-            other.bytes(1);
-            other.send("b DONE 0\r\n\r\n");
+            assertThat(second.line()).startsWith("OP b ");
+            second.bytes(1);
+            second.send("b DONE 0\r\n\r\n");
             loop.one();
-            assertThat(ends).containsExactly(CallOutcome.Status.SUCCEEDED);
+            assertThat(outcomes).containsExactly(CallOutcome.Status.SUCCEEDED);
         } finally {
             network.stop();
         }
--- a/src/test/java/ochretiller/registry/RegistryReporterTest.java
+++ b/src/test/java/ochretiller/registry/RegistryReporterTest.java
@@ -11,38 +11,37 @@
 import org.junit.jupiter.api.Test;
 
 class RegistryReporterTest {
-    private static final Duration STEP = Duration.ofMillis(250);
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(250);
     private final ManualEventLoop loop = new ManualEventLoop();
 
-    private static String next(DatagramSocket list) throws Exception {
+    private static String receive(DatagramSocket registry) throws Exception {
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
-        list.receive(packet);
+        registry.receive(packet);
         return new String(packet.getData(), 0, packet.getLength());
     }
 
     @Test
-    void reportsGoOnBehindARosterThatIsDownAndOneThatCannotBeSentTo() throws Exception {
+    void reportsContinueAfterARegistryIsDownAndAfterSendErrors() throws Exception {
         InetAddress host = InetAddress.getLoopbackAddress();
-        DatagramSocket list = new DatagramSocket(0, host);
-        list.setSoTimeout(10_000);
-        InetSocketAddress address = new InetSocketAddress(host, list.getLocalPort());
-        RegistryReporter roster = new RegistryReporter(loop, address, "n1");
-        roster.start();
-        assertThat(next(list)).isEqualTo("HERE n1 on");
-        list.close();
-        loop.pass(
-                STEP.multipliedBy(
-                        4)); // nobody listens: each report is answered by an error of the network
-        roster.move(new InetSocketAddress(host, 0));
-        loop.pass(STEP.multipliedBy(2)); // this cannot even be sent
-        DatagramSocket back = new DatagramSocket(0, host);
-        back.setSoTimeout(10_000);
-        roster.move(new InetSocketAddress(host, back.getLocalPort()));
-        assertThat(next(back)).isEqualTo("HERE n1 on");
-        loop.pass(STEP);
-        assertThat(next(back)).isEqualTo("HERE n1 on");
-        roster.leave();
-        assertThat(next(back)).isEqualTo("HERE n1 off");
-        back.close();
+        DatagramSocket registry = new DatagramSocket(0, host);
+        registry.setSoTimeout(10_000);
+        InetSocketAddress address = new InetSocketAddress(host, registry.getLocalPort());
+        RegistryReporter reporter = new RegistryReporter(loop, address, "n1");
+        reporter.start();
+        assertThat(receive(registry)).isEqualTo("HERE n1 on");
+        registry.close();
+        // No socket listens: each report is answered by an ICMP error.
+        loop.pass(REPORT_INTERVAL.multipliedBy(4));
+        reporter.move(new InetSocketAddress(host, 0));
+        loop.pass(REPORT_INTERVAL.multipliedBy(2)); // sending to port 0 fails
+        DatagramSocket newRegistry = new DatagramSocket(0, host);
+        newRegistry.setSoTimeout(10_000);
+        reporter.move(new InetSocketAddress(host, newRegistry.getLocalPort()));
+        assertThat(receive(newRegistry)).isEqualTo("HERE n1 on");
+        loop.pass(REPORT_INTERVAL);
+        assertThat(receive(newRegistry)).isEqualTo("HERE n1 on");
+        reporter.leave();
+        assertThat(receive(newRegistry)).isEqualTo("HERE n1 off");
+        newRegistry.close();
     }
 }
--- a/src/test/java/ochretiller/text/FramesTest.java
+++ b/src/test/java/ochretiller/text/FramesTest.java
@@ -20,10 +20,10 @@
                                 : Frames.NONE;
                     });
 
-    private List<String> feed(Frames to, String text) {
+    private List<String> feed(Frames target, String text) {
         messages.clear();
         Slice slice = Slice.of(text);
-        to.read(
+        target.read(
                 slice.bytes(),
                 slice.from(),
                 slice.to(),
@@ -32,13 +32,13 @@
     }
 
     @Test
-    void cutsLinesAndBodies() {
+    void splitsLinesAndBodies() {
         assertThat(feed(frames, "one\r\nbody 4\r\na\r\nb\r\nbody 0\r\n\r\ntwo\r\n"))
                 .containsExactly("one|", "body 4|a\r\nb", "body 0|", "two|");
     }
 
     @Test
-    void joinsWhatComesInPieces() {
+    void assemblesMessagesFromSingleBytes() {
         List<String> all = new ArrayList<>();
         for (char c : "one\r\nbody 4\r\na\r\nb\r\ntwo\r\n".toCharArray()) {
             all.addAll(feed(frames, "" + c));
@@ -47,17 +47,17 @@
     }
 
     @Test
-    void messagesOutliveWhatIsReadNext() {
-        List<Slice> kept = new ArrayList<>();
+    void linesStayIntactDuringLaterReads() {
+        List<Slice> lines = new ArrayList<>();
         for (String text : List.of("fi", "rst\r\nse", "cond\r\nthi")) {
             Slice slice = Slice.of(text);
-            frames.read(slice.bytes(), slice.from(), slice.to(), (line, body) -> kept.add(line));
+            frames.read(slice.bytes(), slice.from(), slice.to(), (line, body) -> lines.add(line));
         }
-        assertThat(kept).extracting(Slice::text).containsExactly("first", "second");
+        assertThat(lines).extracting(Slice::text).containsExactly("first", "second");
     }
 
     @Test
-    void refusesWhatIsTooLongOrLies() {
+    void rejectsTooLongOrMalformedInput() {
         assertThatThrownBy(() -> feed(new Frames(10, false, line -> Frames.NONE), "x".repeat(400)))
                 .isInstanceOf(BadInputException.class);
         assertThatThrownBy(() -> feed(frames, "body 101\r\n"))
--- a/src/test/java/ochretiller/text/JsonTest.java
+++ b/src/test/java/ochretiller/text/JsonTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void readsEveryKindOfValue() {
+    void parsesAllTypesOfValues() {
         assertThat(read(" {\"a\":[1,-2.5,1e3,true,false,null,\"\"],\"b\":{}} "))
                 .isEqualTo(
                         Map.of(
@@ -26,19 +26,19 @@
     }
 
     @Test
-    void readsEscapesAndUtf8() {
+    void parsesEscapesAndUtf8() {
         assertThat(read("\"\\\"\\\\\\/\\b\\f\\n\\r\\t\\u00e8 \u00e8\""))
                 .isEqualTo("\"\\/\b\f\n\r\t\u00e8 \u00e8");
     }
 
     @Test
-    void readsOnlyItsSlice() {
+    void parsesOnlyTheSlice() {
         Slice text = Slice.of("xx[1]yy");
         assertThat(new Json(new Slice(text.bytes(), 2, 5)).read()).isEqualTo(List.of(1L));
     }
 
     @Test
-    void keepsTheMembersReadBeforeAFault() {
+    void membersParsedBeforeAnErrorAreAvailable() {
         Json json = new Json(Slice.of("{\"id\":7,\"inner\":{\"id\":8},\"x\":"));
         assertThatThrownBy(json::read).isInstanceOf(BadInputException.class);
         assertThat(json.members()).containsEntry("id", 7L);
@@ -72,19 +72,19 @@
                 "{}x",
                 "'a'"
             })
-    void refusesWhatIsNotJson(String text) {
+    void rejectsInvalidJson(String text) {
         assertThatThrownBy(() -> read(text)).isInstanceOf(BadInputException.class);
     }
 
     @Test
-    void refusesWhatIsNotUtf8() {
+    void rejectsInvalidUtf8() {
         assertThatThrownBy(
                         () -> new Json(new Slice(new byte[] {'"', (byte) 0xff, '"'}, 0, 3)).read())
                 .isInstanceOf(BadInputException.class);
     }
 
     @Test
-    void refusesDeepNesting() {
+    void rejectsDeepNesting() {
         assertThatThrownBy(() -> read("[".repeat(100_000))).isInstanceOf(BadInputException.class);
     }
 }
