--- a/src/test/java/ochretiller/ArchitectureTest.java
+++ b/src/test/java/ochretiller/ArchitectureTest.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How the packages may lean on one another: downwards only, and decisions on nothing that acts. */
+/** Tests the package dependencies: layers depend only on lower ones, decision code does no I/O. */
 class ArchitectureTest {
-    /** From the top down: a package may use those of the rows below its own, and none beside it. */
-    private static final List<List<String>> ROWS =
+    /** Layers from top to bottom. A package may use only packages of lower layers. */
+    private static final List<List<String>> LAYERS =
             List.of(
                     List.of(""),
                     List.of("commands"),
@@ -45,8 +45,8 @@
                     List.of("server", "time", "collections"),
                     List.of("model"));
 
-    /** Settings put the decisions together; they read values and do nothing else. */
-    private static final List<String> DECISIONS =
+    /** Packages with decision logic, which must not use I/O, clocks or threads. */
+    private static final List<String> DECISION_PACKAGES =
             List.of(
                     "admission",
                     "time",
@@ -68,48 +68,49 @@
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("ochretiller");
 
-    private static String part(JavaClass type) {
+    private static String packageOf(JavaClass type) {
         String name = type.getPackageName();
         return name.equals("ochretiller") ? "" : name.substring("ochretiller.".length());
     }
 
-    private static int row(String part) {
-        for (int i = 0; i < ROWS.size(); i++) {
-            if (ROWS.get(i).contains(part)) {
+    private static int layerOf(String packageName) {
+        for (int i = 0; i < LAYERS.size(); i++) {
+            if (LAYERS.get(i).contains(packageName)) {
                 return i;
             }
         }
-        throw new AssertionError("package " + part + " has no place in the rows");
+        throw new AssertionError("package " + packageName + " is not in any layer");
     }
 
     @Test
-    void arrowsGoDownwardsOnly() {
-        List<String> wrong = new ArrayList<>();
+    void packagesDependOnLowerLayersOnly() {
+        List<String> violations = new ArrayList<>();
         for (JavaClass type : classes) {
-            for (var arrow : type.getDirectDependenciesFromSelf()) {
-                JavaClass to = arrow.getTargetClass().getBaseComponentType();
-                if (!to.getPackageName().startsWith("ochretiller") || part(to).equals(part(type))) {
+            for (var dependency : type.getDirectDependenciesFromSelf()) {
+                JavaClass target = dependency.getTargetClass().getBaseComponentType();
+                if (!target.getPackageName().startsWith("ochretiller")
+                        || packageOf(target).equals(packageOf(type))) {
                     continue;
                 }
-                if (row(part(to)) <= row(part(type))) {
-                    wrong.add(arrow.getDescription());
+                if (layerOf(packageOf(target)) <= layerOf(packageOf(type))) {
+                    violations.add(dependency.getDescription());
                 }
             }
         }
-        assertThat(wrong).isEmpty();
+        assertThat(violations).isEmpty();
     }
 
     @Test
-    void noCircles() {
+    void packagesHaveNoCycles() {
         slices().matching("ochretiller.(*)..").should().beFreeOfCycles().check(classes);
     }
 
     @Test
-    void decisionsKnowNoSocketsFilesClocksOrThreads() {
-        for (String part : DECISIONS) {
+    void decisionPackagesUseNoSocketsFilesClocksOrThreads() {
+        for (String packageName : DECISION_PACKAGES) {
             noClasses()
                     .that()
-                    .resideInAPackage("ochretiller." + part)
+                    .resideInAPackage("ochretiller." + packageName)
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
--- a/src/test/java/ochretiller/CheckExceptionsTest.java
+++ b/src/test/java/ochretiller/CheckExceptionsTest.java
@@ -11,85 +11,85 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The verdicts of {@code checks/CheckExceptions.java}, run as CI runs it. */
+/** Tests {@code checks/CheckExceptions.java}, run in the same way as in CI. */
 class CheckExceptionsTest {
-    private static final String BRACES = "NeedBraces a/One.java ";
+    private static final String BRACES_ENTRY = "NeedBraces a/One.java ";
 
     @TempDir private Path root;
     private Path report;
     private Path list;
 
-    private record Verdict(int code, String said) {}
+    private record Verdict(int code, String output) {}
 
     @BeforeEach
-    void twoViolations() throws Exception {
+    void writeReportWithTwoViolations() throws Exception {
         report = root.resolve("report.xml");
         list = root.resolve("list.txt");
-        reportOf("a/One.java", "NeedBraces", "NeedBraces");
+        writeReport("a/One.java", "NeedBraces", "NeedBraces");
     }
 
     @Test
-    void whatIsListedPasses() throws Exception {
-        assertThat(judge(BRACES + 2).code).isZero();
+    void listedViolationsPass() throws Exception {
+        assertThat(check(BRACES_ENTRY + 2).code).isZero();
     }
 
     @Test
-    void aViolationThatIsNotListedFails() throws Exception {
-        Verdict verdict = judge("# nothing");
+    void unlistedViolationFails() throws Exception {
+        Verdict verdict = check("# nothing");
 
         assertThat(verdict.code).isEqualTo(1);
-        assertThat(verdict.said)
+        assertThat(verdict.output)
                 .contains(
                         "a/One.java:7: NeedBraces: planted",
-                        BRACES.strip() + ": 2 found, 0 listed");
+                        BRACES_ENTRY.strip() + ": 2 found, 0 listed");
     }
 
     @Test
-    void oneMoreThanListedFails() throws Exception {
-        Verdict verdict = judge(BRACES + 1);
+    void moreViolationsThanListedFail() throws Exception {
+        Verdict verdict = check(BRACES_ENTRY + 1);
 
         assertThat(verdict.code).isEqualTo(1);
-        assertThat(verdict.said).contains("2 found, 1 listed");
+        assertThat(verdict.output).contains("2 found, 1 listed");
     }
 
     @Test
-    void anotherFileOrCheckIsNoExcuse() throws Exception {
-        assertThat(judge("NeedBraces a/Two.java 2").said).contains("2 found, 0 listed");
-        assertThat(judge("FileLength a/One.java 2").said).contains("2 found, 0 listed");
+    void entryForAnotherFileOrCheckDoesNotApply() throws Exception {
+        assertThat(check("NeedBraces a/Two.java 2").output).contains("2 found, 0 listed");
+        assertThat(check("FileLength a/One.java 2").output).contains("2 found, 0 listed");
     }
 
     @Test
-    void anEntryThatIsNotNeededFails() throws Exception {
-        Verdict verdict = judge(BRACES + 2, "FileLength a/One.java 1");
+    void unneededEntryFails() throws Exception {
+        Verdict verdict = check(BRACES_ENTRY + 2, "FileLength a/One.java 1");
 
         assertThat(verdict.code).isEqualTo(1);
-        assertThat(verdict.said).contains("FileLength a/One.java: exception not needed");
+        assertThat(verdict.output).contains("FileLength a/One.java: exception not needed");
     }
 
     @Test
-    void aCountThatIsTooHighFails() throws Exception {
-        Verdict verdict = judge(BRACES + 3);
+    void tooHighCountFails() throws Exception {
+        Verdict verdict = check(BRACES_ENTRY + 3);
 
         assertThat(verdict.code).isEqualTo(1);
-        assertThat(verdict.said).contains("3 listed, lower it to 2");
+        assertThat(verdict.output).contains("3 listed, lower it to 2");
     }
 
     @Test
-    void listAndReportThatCannotBeUsedFail() throws Exception {
-        assertThat(judge("NeedBraces a/One.java").code).isEqualTo(2);
-        assertThat(judge(BRACES + 2, BRACES + 2).code).isEqualTo(2);
+    void malformedListAndReportFail() throws Exception {
+        assertThat(check("NeedBraces a/One.java").code).isEqualTo(2);
+        assertThat(check(BRACES_ENTRY + 2, BRACES_ENTRY + 2).code).isEqualTo(2);
         Files.writeString(report, "<checkstyle/>");
-        assertThat(judge(BRACES + 2).code).isEqualTo(2);
+        assertThat(check(BRACES_ENTRY + 2).code).isEqualTo(2);
     }
 
     @Test
-    void aListThatIsWrittenAnewPasses() throws Exception {
+    void newlyWrittenListPasses() throws Exception {
         assertThat(run("--write").code).isZero();
-        assertThat(Files.readString(list)).endsWith("\n" + BRACES + "2\n");
+        assertThat(Files.readString(list)).endsWith("\n" + BRACES_ENTRY + "2\n");
         assertThat(run().code).isZero();
     }
 
-    private void reportOf(String path, String... checks) throws Exception {
+    private void writeReport(String path, String... checks) throws Exception {
         StringBuilder text =
                 new StringBuilder(
                         "<checkstyle><file name='" + root.toRealPath().resolve(path) + "'>");
@@ -103,7 +103,7 @@
         Files.writeString(report, text + "</file></checkstyle>");
     }
 
-    private Verdict judge(String... lines) throws Exception {
+    private Verdict check(String... lines) throws Exception {
         Files.writeString(list, String.join("\n", lines) + "\n");
         return run();
     }
@@ -114,13 +114,13 @@
         command.add(Path.of("checks", "CheckExceptions.java").toString());
         command.addAll(List.of(options));
         command.addAll(List.of(report.toString(), list.toString(), root.toString()));
-        Path said = root.resolve("said.txt");
+        Path output = root.resolve("said.txt");
         Process process =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
-                        .redirectOutput(said.toFile())
+                        .redirectOutput(output.toFile())
                         .start();
         assertThat(process.waitFor(60, TimeUnit.SECONDS)).isTrue();
-        return new Verdict(process.exitValue(), Files.readString(said));
+        return new Verdict(process.exitValue(), Files.readString(output));
     }
 }
--- a/src/test/java/ochretiller/Deployment.java
+++ b/src/test/java/ochretiller/Deployment.java
@@ -23,14 +23,14 @@
 import ochretiller.fakes.GatewayMessages;
 
 /**
- * The packaged program with small stand-ins for processor, records service and roster, written from
- * their page.
+ * The packaged program together with fakes of the processor, the records service and the registry,
+ * which were written from the protocol documentation.
  */
 final class Deployment implements AutoCloseable {
     final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
-    /** All of the log since the start, whatever was taken from it. */
+    /** The complete log since the start, including lines already taken from {@link #log}. */
     final List<String> said = new CopyOnWriteArrayList<>();
 
     final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
@@ -45,62 +45,62 @@
         this(json -> json);
     }
 
-    Deployment(UnaryOperator<String> change) throws IOException {
-        this(change, deployment -> {}, "exec sh deploy/serve.sh");
+    Deployment(UnaryOperator<String> configChange) throws IOException {
+        this(configChange, deployment -> {}, "exec sh deploy/serve.sh");
     }
 
     /**
-     * With stand-ins that are told what to play before the server is there, and a shell's way to
-     * start it.
+     * Starts the server with a shell command.
+     *
+     * @param configChange applied to the text of the default configuration
+     * @param setUp called before the server starts, for example to prepare the fakes
      */
-    Deployment(UnaryOperator<String> change, Consumer<Deployment> play, String command)
+    Deployment(UnaryOperator<String> configChange, Consumer<Deployment> setUp, String command)
             throws IOException {
-        configure(change);
+        configure(configChange);
         operator = null;
-        play.accept(this);
+        setUp.accept(this);
         ProcessBuilder builder = new ProcessBuilder("sh", "-c", command).redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
-        read(builder.start());
+        readOutput(builder.start());
         await(log, "listens|ochretiller: ");
     }
 
-    /**
-     * With an operators' file, and stand-ins that are told what to play before the server is there.
-     */
-    Deployment(Path operator, Consumer<Deployment> play) throws IOException {
+    /** Starts the server with an operators' file; {@code setUp} is called before the start. */
+    Deployment(Path operator, Consumer<Deployment> setUp) throws IOException {
         configure(json -> json);
         this.operator = operator;
-        play.accept(this);
+        setUp.accept(this);
         restart();
     }
 
-    /** The server again, on the same address and the same files. */
+    /** Starts the server again with the same address and files. */
     void restart() throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
         builder.environment().put("OPERATOR_FILE", operator.toString());
-        read(builder.start());
+        readOutput(builder.start());
         await(log, "listens|ochretiller: ");
     }
 
-    /** The server on a disk that ends it at this point; it may not come to listen. */
-    void start(String point) throws IOException {
-        read(
+    /** Starts the server so that it crashes at a disk operation, perhaps before it listens. */
+    void start(String crashPoint) throws IOException {
+        readOutput(
                 new ProcessBuilder(
                                 "java",
                                 "-XX:TieredStopAtLevel=1",
                                 "-cp",
                                 "target/ochretiller.jar:target/test-classes",
                                 CrashingServer.class.getName(),
-                                point,
+                                crashPoint,
                                 config.toString(),
                                 operator.toString())
                         .redirectErrorStream(true)
                         .start());
     }
 
-    private void read(Process started) {
+    private void readOutput(Process started) {
         process = started;
         log.clear();
         said.clear();
@@ -119,15 +119,15 @@
                 });
     }
 
-    /** SIGKILL, and the end of the process. */
+    /** Sends SIGKILL and waits until the process has exited. */
     void kill() throws Exception {
         process.destroyForcibly().waitFor();
     }
 
-    private void configure(UnaryOperator<String> change) throws IOException {
+    private void configure(UnaryOperator<String> configChange) throws IOException {
         Files.writeString(
                 config,
-                change.apply(
+                configChange.apply(
                         GatewayMessages.config(
                                 port,
                                 outside.processorPort(),
@@ -135,10 +135,10 @@
                                 outside.rosterPort())));
     }
 
-    /** The stand-ins go on at new addresses, which the configuration's file now has. */
-    void move(UnaryOperator<String> change) throws IOException {
+    /** Moves the fakes to new addresses and writes these to the configuration file. */
+    void move(UnaryOperator<String> configChange) throws IOException {
         outside.move();
-        configure(change);
+        configure(configChange);
     }
 
     static ServerSocket open() throws IOException {
@@ -151,12 +151,12 @@
         }
     }
 
-    /** The program, served as operators do. */
-    static Process start(Path config, String... words) throws IOException {
+    /** Starts the program: with the operators' script to serve, else directly with java. */
+    static Process start(Path config, String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of("sh", "deploy/serve.sh"));
-        if (!List.of(words).equals(List.of("serve"))) {
+        if (!List.of(arguments).equals(List.of("serve"))) {
             command = new ArrayList<>(List.of("java", "-jar", "target/ochretiller.jar"));
-            command.addAll(List.of(words));
+            command.addAll(List.of(arguments));
         }
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().remove("EDGE_CONFIG");
@@ -171,31 +171,31 @@
     }
 
     /**
-     * The first entry that matches, others passed over; a failure after ten seconds without one.
+     * Takes entries until one contains a match, and returns it; fails after 10 s without a match.
      */
     static String await(BlockingQueue<String> queue, String pattern) {
-        Pattern wanted = Pattern.compile(pattern);
-        long until = System.nanoTime() + 10_000_000_000L;
-        List<String> passed = new ArrayList<>();
+        Pattern expected = Pattern.compile(pattern);
+        long deadline = System.nanoTime() + 10_000_000_000L;
+        List<String> skipped = new ArrayList<>();
         try {
             for (String next;
-                    (next = queue.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS))
+                    (next = queue.poll(deadline - System.nanoTime(), TimeUnit.NANOSECONDS))
                             != null; ) {
-                if (wanted.matcher(next).find()) {
+                if (expected.matcher(next).find()) {
                     return next;
                 }
-                passed.add(next);
+                skipped.add(next);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        throw new AssertionError("no '" + pattern + "' among " + passed);
+        throw new AssertionError("no entry matches '" + pattern + "': " + skipped);
     }
 
-    /** SIGTERM; the exit code follows from {@link #exit}. */
+    /** Sends SIGTERM. Process.destroy would also close the stream that the log is read from. */
     void terminate() {
         process.toHandle().destroy();
-    } // Process.destroy would close the log too
+    }
 
     void signal(String name) throws Exception {
         new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
@@ -205,9 +205,10 @@
         return process.pid();
     }
 
+    /** Waits until the process exits, for at most 10 s, and returns its exit code. */
     int exit() throws InterruptedException {
         if (!process.waitFor(10, TimeUnit.SECONDS)) {
-            throw new AssertionError("still runs");
+            throw new AssertionError("the process still runs after 10 s");
         }
         return process.exitValue();
     }
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The packaged program's command line: what it says and its exit codes. */
+/** Tests the output and exit codes of the packaged program's command line. */
 class MainIT {
     @TempDir private Path folder;
 
-    /** What the process said until it ended by itself. */
-    private static String said(Process process, int code) throws Exception {
+    /** Waits until the process exits with this code, and returns its output. */
+    private static String outputOf(Process process, int expectedCode) throws Exception {
         try {
-            assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("it ends").isTrue();
-            assertThat(process.exitValue()).isEqualTo(code);
+            assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("it has exited").isTrue();
+            assertThat(process.exitValue()).isEqualTo(expectedCode);
             return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } finally {
             process.destroyForcibly();
@@ -35,16 +35,16 @@
     }
 
     private static void expect(Process process, int code, String... texts) throws Exception {
-        assertThat(said(process, code)).contains(texts);
+        assertThat(outputOf(process, code)).contains(texts);
     }
 
-    /** One line that names what is wrong, and the exit code of what an operator has to mend. */
-    private static void expectWrong(Process process, String named) throws Exception {
-        assertThat(said(process, 2).lines().toList())
+    /** Expects exit code 2, for invalid input, and one line of output that contains a text. */
+    private static void expectInvalid(Process process, String text) throws Exception {
+        assertThat(outputOf(process, 2).lines().toList())
                 .singleElement()
                 .asString()
                 .startsWith("ochretiller: ")
-                .contains(named);
+                .contains(text);
     }
 
     private Path config(String text) throws IOException {
@@ -52,22 +52,23 @@
     }
 
     @Test
-    void versionAndHelpAreTold() throws Exception {
+    void versionAndHelpArePrinted() throws Exception {
         expect(Deployment.start(null, "version"), 0, "ochretiller 0.");
         expect(Deployment.start(null, "--help"), 0, "serve", "check", "simhost", "version");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"unknown", "serve --unknown", "version more", ""})
-    void wrongWordsGetUsageAndCodeTwo(String words) throws Exception {
+    void invalidArgumentsPrintUsageAndExitWithTwo(String arguments) throws Exception {
         expect(
-                Deployment.start(null, words.isEmpty() ? new String[0] : words.split(" ")),
+                Deployment.start(
+                        null, arguments.isEmpty() ? new String[0] : arguments.split(" ")),
                 2,
                 "Usage: ochretiller");
     }
 
     @Test
-    void goodConfigurationIsToldSo() throws Exception {
+    void validConfigurationIsConfirmed() throws Exception {
         expect(
                 Deployment.start(config(GatewayMessages.config(1, 2, 3, 4)), "check"),
                 0,
@@ -75,8 +76,8 @@
     }
 
     @Test
-    void wrongOperationIsNamedByTheCheckToo() throws Exception {
-        expectWrong(
+    void checkReportsAnInvalidOperation() throws Exception {
+        expectInvalid(
                 Deployment.start(
                         config(
                                 GatewayMessages.config(1, 2, 3, 4)
@@ -86,23 +87,23 @@
     }
 
     @Test
-    void recordsServiceIsNeededOnlyWhereAnOperationCalls() throws Exception {
+    void recordsServiceIsRequiredOnlyIfAnOperationMakesCalls() throws Exception {
         String without = GatewayMessages.config(1, 2, 3, 4).replace("\"records\":", "\"x\":");
         expect(
                 Deployment.start(config(without.replace("[true,true]", "[false,false]")), "check"),
                 0,
                 "the configuration of n1 is good");
-        expectWrong(
+        expectInvalid(
                 Deployment.start(config(without.replace("[true,true]", "[false,true]")), "check"),
                 "records");
     }
 
     @Test
-    void absentOrUnreadableConfigurationIsNamed() throws Exception {
-        expectWrong(Deployment.start(null, "serve"), "EDGE_CONFIG");
-        expectWrong(Deployment.start(folder.resolve("none"), "serve"), "cannot read");
-        expectWrong(Deployment.start(config("{\"name\":"), "serve"), "not JSON");
-        expectWrong(Deployment.start(config("[]"), "serve"), "no JSON object");
+    void missingOrUnreadableConfigurationIsReported() throws Exception {
+        expectInvalid(Deployment.start(null, "serve"), "EDGE_CONFIG");
+        expectInvalid(Deployment.start(folder.resolve("none"), "serve"), "cannot read");
+        expectInvalid(Deployment.start(config("{\"name\":"), "serve"), "not JSON");
+        expectInvalid(Deployment.start(config("[]"), "serve"), "no JSON object");
     }
 
     @ParameterizedTest
@@ -122,21 +123,21 @@
         "idleNs",
         "stopSendingWithinNs"
     })
-    void missingOrWrongSettingIsNamed(String name) throws Exception {
+    void missingOrInvalidSettingIsNamed(String name) throws Exception {
         String good = GatewayMessages.config(1, 2, 3, 4);
-        expectWrong(
+        expectInvalid(
                 Deployment.start(config(good.replace("\"" + name + "\":", "\"x\":")), "serve"),
                 name);
-        String wrong =
+        String invalid =
                 good.replaceFirst(
                         "\"" + name + "\":(\"[^\"]*\"|[^,{}]*)", "\"" + name + "\":\"%\"");
         if (!name.equals("name") && !name.equals("settings")) {
-            expectWrong(Deployment.start(config(wrong), "check"), name);
+            expectInvalid(Deployment.start(config(invalid), "check"), name);
         }
     }
 
     @Test
-    void addressInUseIsToldWithCodeOne() throws Exception {
+    void addressInUseExitsWithOne() throws Exception {
         try (Deployment deployment = new Deployment()) {
             Path config = config(GatewayMessages.config(deployment.port, 2, 3, 4));
             expect(Deployment.start(config, "serve"), 1, "ochretiller: ", "in use");
@@ -144,8 +145,8 @@
     }
 
     /**
-     * A configuration that is there only once somebody writes it: the program has come so far, and
-     * waits.
+     * Creates a named pipe to use as the configuration file. The program blocks in reading it until
+     * the test writes the configuration, so a test can act at this point of the start.
      */
     private Path pipe() throws Exception {
         Path pipe = folder.resolve("pipe");
@@ -153,7 +154,7 @@
         return pipe;
     }
 
-    private static Process unsized(Path config) throws IOException {
+    private static Process startWithoutScript(Path config) throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder(
                                 "java",
@@ -172,13 +173,13 @@
     }
 
     @Test
-    void hangupBeforeThereIsAServerIsNoEndAndItsConfigurationIsReadAgain() throws Exception {
+    void hangupDuringTheStartReloadsTheConfiguration() throws Exception {
         Path pipe = pipe();
         int port = Deployment.freePort();
-        Process process = unsized(pipe);
+        Process process = startWithoutScript(pipe);
         try (BufferedReader log = process.inputReader()) {
-            try (Writer first = Files.newBufferedWriter(pipe)) { // opened once the program reads it
-                // What is read again, before or behind the listening, is a file of another kind.
+            try (Writer first = Files.newBufferedWriter(pipe)) { // opens when the program reads
+                // The reload, before or after the server listens, reads a regular file.
                 Path next =
                         Files.writeString(
                                 folder.resolve("next"), GatewayMessages.config(port, 2, 3, 5));
@@ -186,9 +187,9 @@
                 signal(process, "HUP");
                 first.write(GatewayMessages.config(port, 2, 3, 4));
             }
-            List<String> said = new ArrayList<>();
-            while (said.stream().noneMatch(line -> line.contains("takes the addresses"))) {
-                said.add(log.readLine());
+            List<String> lines = new ArrayList<>();
+            while (lines.stream().noneMatch(line -> line.contains("takes the addresses"))) {
+                lines.add(log.readLine());
             }
             signal(process, "TERM");
             assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
@@ -199,20 +200,20 @@
     }
 
     @Test
-    void noticeToLeaveBeforeThereIsAServerEndsItWithoutListening() throws Exception {
+    void terminationDuringTheStartEndsTheProgramWithoutListening() throws Exception {
         Path pipe = pipe();
-        Process process = unsized(pipe);
+        Process process = startWithoutScript(pipe);
         try (Writer first = Files.newBufferedWriter(pipe)) {
             signal(process, "TERM");
             signal(process, "HUP");
-            said(process, 0);
-            first.flush(); // nothing was written: it has ended without a configuration
+            outputOf(process, 0);
+            first.flush(); // the program has exited although no configuration was written
         }
     }
 
     @Test
-    void failedStartKeepsItsCodeWhateverTheHooksDo() throws Exception {
-        expectWrong(unsized(config("{}")), "settings");
+    void failedStartKeepsItsExitCodeDespiteShutdownHooks() throws Exception {
+        expectInvalid(startWithoutScript(config("{}")), "settings");
     }
 
     @ParameterizedTest
@@ -222,24 +223,24 @@
                 "\"memory_mb\":192|\"memory_mb\" : 96|96",
                 "\"memory_mb\":192|\"memory_mb\":\t144 |144"
             })
-    void sizesAreThoseOfTheConfigurationWithoutAnotherProcess(String from, String to, int mb)
+    void scriptSizesTheHeapWithoutStartingAnotherProcess(String from, String to, int mb)
             throws Exception {
         Path config = config(GatewayMessages.config(1, 2, 3, 4).replace(from, to));
-        // Nothing but java is found on this path: where the shell needs help, the start fails.
-        Path java = Files.createDirectory(folder.resolve("bin" + mb));
-        Files.writeString(java.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
-        assertThat(java.resolve("java").toFile().setExecutable(true)).isTrue();
+        // PATH contains only java, so the start fails if the script runs any other program.
+        Path bin = Files.createDirectory(folder.resolve("bin" + mb));
+        Files.writeString(bin.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
+        assertThat(bin.resolve("java").toFile().setExecutable(true)).isTrue();
         ProcessBuilder builder =
                 new ProcessBuilder("/bin/sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
-        builder.environment().put("PATH", java.toString());
+        builder.environment().put("PATH", bin.toString());
         expect(builder.start(), 0, "-Xmx" + (mb - 32) / 2 + "m ", "-Dochretiller.sizedForMb=" + mb);
     }
 
     @Test
-    void sizeThatTheShellReadsDifferentlyIsNamed() throws Exception {
+    void memorySizeThatTheScriptMisreadsIsReported() throws Exception {
         String good = GatewayMessages.config(1, 2, 3, 4);
-        expectWrong(
+        expectInvalid(
                 Deployment.start(
                         config(good.replace("\"memory_mb\":192", "\"memory_mb\":\n192")), "serve"),
                 "memory_mb");
--- a/src/test/java/ochretiller/RaceConditionsIT.java
+++ b/src/test/java/ochretiller/RaceConditionsIT.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Events that cross, on the packaged program; a process that stands still while both come is what
- * makes them one moment.
+ * Tests simultaneous events on the packaged program. Stopping the process with SIGSTOP while both
+ * events arrive makes them simultaneous.
  */
 class RaceConditionsIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -61,14 +61,14 @@
                                 + "\"");
     }
 
-    private long begun(int id) {
+    private long beginCount(int id) {
         return deployment.heard.stream()
                 .filter(line -> line.startsWith("begin " + rid(id)))
                 .count();
     }
 
     @Test
-    void tokenedRunThatEndsAsItIsAbortedAndRepeatedRunsOnceAndIsReplayed() throws Exception {
+    void keyedRunThatEndsWhileItIsAbortedAndRetriedRunsOnceAndIsReplayed() throws Exception {
         start();
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
@@ -79,18 +79,18 @@
         deployment.outside.complete(rid(1), "once");
         deployment.signal("CONT");
         String answer = gateway.line();
-        // The end may be read first: then the first has its answer too.
+        // If the end of the run is read before the abort, the first attempt is answered too.
         if (answer.contains("\"id\":1,")) {
             answer = gateway.line();
         }
         assertThat(answer)
                 .contains(
                         "\"id\":2,\"result\":{\"data\":\"" + GatewayMessages.base64("once") + "\"");
-        assertThat(begun(1) + begun(2)).isZero();
+        assertThat(beginCount(1) + beginCount(2)).isZero();
     }
 
     @Test
-    void repeatOfAWaitingOneThatIsAbortedGetsItsRun() throws Exception {
+    void retriesOfAnAbortedAttemptGetTheResultOfItsRun() throws Exception {
         start();
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
@@ -99,15 +99,15 @@
                         + "{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n"
                         + order(3, "wait"));
         gateway.send(message(9, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"id\":9,"); // all before it was worked off
+        assertThat(gateway.line()).contains("\"id\":9,"); // all earlier messages are processed
         deployment.outside.complete(rid(1), "once");
         expectResult(2, "once");
         expectResult(3, "once");
-        assertThat(begun(2) + begun(3)).isZero();
+        assertThat(beginCount(2) + beginCount(3)).isZero();
     }
 
     @Test
-    void linkThatIsReplacedWithANoticeInFlightTellsItOnce() throws Exception {
+    void noticeInTransitDuringAReconnectIsProcessedOnce() throws Exception {
         start();
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
@@ -121,12 +121,12 @@
         gateway.send(order(2, "wait"));
         expectResult(2, "kept");
         gateway.send(message(3, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"id\":3,"); // and nothing twice
-        assertThat(begun(1) + begun(2)).isZero();
+        assertThat(gateway.line()).contains("\"id\":3,"); // no response is repeated before it
+        assertThat(beginCount(1) + beginCount(2)).isZero();
     }
 
     @Test
-    void noticeToLeaveAndANewConfigurationInOneMomentLoseNothing() throws Exception {
+    void simultaneousTerminationAndReloadLoseNothing() throws Exception {
         start();
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
@@ -136,7 +136,7 @@
         deployment.signal("HUP");
         gateway.send(read(2, "good"));
         deployment.signal("CONT");
-        await(deployment.heard, "begin " + rid(1)); // said again on the new link
+        await(deployment.heard, "begin " + rid(1)); // repeated on the new connection
         deployment.outside.complete(rid(1), "moved");
         Stream.of(gateway.line(), gateway.line())
                 .forEach(line -> assertThat(line).contains("\"result\":"));
@@ -146,11 +146,11 @@
     }
 
     @Test
-    void noticeToLeaveWithoutAProcessorTurnsAwayAndRunsNothingOnceThereIsOne() throws Exception {
+    void terminationBeforeTheProcessorConnectsThrottlesAllAndRunsNothing() throws Exception {
         deployment =
                 new Deployment(
                         json -> json,
-                        each -> each.outside.silent = true,
+                        created -> created.outside.silent = true,
                         "exec sh deploy/serve.sh");
         await(deployment.heard, "hello 0");
         gateway = deployment.dial();
@@ -169,13 +169,13 @@
     }
 
     @Test
-    void requestThatCrossesTheLastWordOfADrainIsAnsweredOrMayBeSentElsewhere() throws Exception {
+    void requestInTransitAtTheEndOfADrainIsThrottled() throws Exception {
         start();
         gateway.send(message(1, "ping", "{}"));
         assertThat(gateway.line()).contains("\"id\":1,");
         deployment.terminate();
         assertThat(gateway.line()).contains(SHUTDOWN);
-        gateway.send(order(2, "good")); // the word crossed it
+        gateway.send(order(2, "good")); // as if sent before the shutdown message arrived
         assertThat(gateway.line()).contains("\"id\":2,").contains("-32014");
         assertThat(gateway.line()).isNull();
         assertThat(deployment.exit()).isZero();
@@ -183,44 +183,47 @@
     }
 
     @Test
-    void idleClientsOnAllDescriptorsLeaveRoomForCallsFilesAndTheLink() throws Exception {
-        int most = 128;
+    void idleClientsLeaveDescriptorsForCallsFilesAndTheProcessor() throws Exception {
+        int maxDescriptors = 128;
         deployment =
                 new Deployment(
-                        json -> json.replace("\"sockets\":1024", "\"sockets\":" + most),
-                        each -> {},
-                        "ulimit -n " + most + "; exec sh deploy/serve.sh");
+                        json ->
+                                json.replace(
+                                        "\"sockets\":1024", "\"sockets\":" + maxDescriptors),
+                        created -> {},
+                        "ulimit -n " + maxDescriptors + "; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         gateway = deployment.dial();
         gateway.send(read(1, "good"));
         expectResult(1, "result of " + rid(1));
         List<FakeConnection> idle = new ArrayList<>();
-        long held = 0;
-        for (int i = 0; i < 2 * most; i++) {
+        long maxUsed = 0;
+        for (int i = 0; i < 2 * maxDescriptors; i++) {
             idle.add(deployment.dial());
             try (Stream<Path> files = Files.list(Path.of("/proc/" + deployment.pid() + "/fd"))) {
-                held = Math.max(held, files.count());
+                maxUsed = Math.max(maxUsed, files.count());
             }
         }
         await(deployment.log, "connection gateway .* ended: TOO_MANY");
-        gateway.send(read(2, "call DONE")); // a call below
+        gateway.send(read(2, "call DONE")); // needs a descriptor for a call
         expectResult(2, "after reply");
-        deployment.move(json -> json.replace("\"sockets\":1024", "\"sockets\":" + most));
-        deployment.signal("HUP"); // a file and a link
+        deployment.move(
+                json -> json.replace("\"sockets\":1024", "\"sockets\":" + maxDescriptors));
+        deployment.signal("HUP"); // needs descriptors for a file and a connection
         await(deployment.log, "takes the addresses");
         await(deployment.heard, "usage fence");
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
-        assertThat(held).isLessThanOrEqualTo(most);
-        for (FakeConnection wire : idle) {
-            wire.close();
+        assertThat(maxUsed).isLessThanOrEqualTo(maxDescriptors);
+        for (FakeConnection client : idle) {
+            client.close();
         }
     }
 
     @Test
-    void hangupIsTakenWhereWhoeverStartedTheServerIgnoresIt() throws Exception {
+    void hangupIgnoredByTheParentIsHandledWhenStartedByTheScript() throws Exception {
         deployment =
-                new Deployment(json -> json, each -> {}, "trap '' HUP; exec sh deploy/serve.sh");
+                new Deployment(json -> json, created -> {}, "trap '' HUP; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         deployment.move(json -> json);
         deployment.signal("HUP");
@@ -232,11 +235,11 @@
     }
 
     @Test
-    void hangupThatCannotBeTakenIsSaid() throws Exception {
+    void hangupThatCannotBeHandledIsLogged() throws Exception {
         deployment =
                 new Deployment(
                         json -> json,
-                        each -> {},
+                        created -> {},
                         "trap '' HUP; exec java -jar target/ochretiller.jar serve");
         await(deployment.heard, "usage fence");
         assertThat(deployment.said)
--- a/src/test/java/ochretiller/ServeIT.java
+++ b/src/test/java/ochretiller/ServeIT.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The packaged program over sockets, as gateways, a processor, a records service and a roster see
- * it.
+ * Tests the packaged program over sockets, with a test gateway and fakes of the processor, the
+ * records service and the registry.
  */
 class ServeIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     private Deployment deployment;
     private FakeConnection gateway;
-    private int rids;
+    private int lastRid;
 
     @BeforeEach
     void start() throws Exception {
@@ -42,7 +42,7 @@
     }
 
     private String rid() {
-        return rid(++rids);
+        return rid(++lastRid);
     }
 
     private static String rid(int number) {
@@ -53,13 +53,13 @@
         return Base64.getEncoder().encodeToString(text.getBytes());
     }
 
-    private String params(String body, String more) {
+    private String params(String body, String extraMembers) {
         return "{\"rid\":\""
                 + rid()
                 + "\",\"t0\":"
                 + System.currentTimeMillis()
                 + ",\"peer\":4,\"mem\":24.5,\"prio\":0.5,"
-                + more
+                + extraMembers
                 + "\"data\":\""
                 + base64(body)
                 + "\"}";
@@ -89,28 +89,28 @@
                         "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",");
     }
 
-    /** The same server still serves a good request on a new connection. */
+    /** Expects that the server still answers a valid request on a new connection. */
     private void expectServes() throws IOException {
         gateway.close();
         gateway = deployment.dial();
         gateway.send(read(1, "good"));
-        expectResult(1, "result of " + rid(rids));
+        expectResult(1, "result of " + rid(lastRid));
     }
 
-    /** The connection ends without a line, and the log has one with its code. */
+    /** Expects that the connection is closed without further output, and logged with the code. */
     private void expectClosed(String code) throws IOException {
         assertThat(gateway.line()).isNull();
         await(deployment.log, "connection gateway .* ended: " + code + "$");
     }
 
     @Test
-    void succeedsWithTheBytesOfTheRun() throws IOException {
+    void successfulRunIsAnsweredWithItsResult() throws IOException {
         gateway.send(read(7, "good"));
         expectResult(7, "result of " + rid(1));
     }
 
     @Test
-    void answersInTheOrderOfTheEnds() throws IOException {
+    void requestsAreAnsweredInTheOrderInWhichRunsEnd() throws IOException {
         gateway.send(read(1, "wait") + read(2, "good"));
         expectResult(2, "result of " + rid(2));
         deployment.outside.complete(rid(1), "late");
@@ -118,13 +118,13 @@
     }
 
     @Test
-    void failedRunIsErrored() throws IOException {
+    void failedRunIsAnsweredWithAnError() throws IOException {
         gateway.send(read(1, "bad"));
         expectError(1, -32000);
     }
 
     @Test
-    void lateArrivalIsThrottledWithoutARun() throws IOException {
+    void requestThatArrivesLateIsThrottledWithoutARun() throws IOException {
         gateway.send(
                 read(1, "good")
                         .replaceFirst(
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void repeatIsAnsweredFromTheRunOfTheFirst() throws IOException {
+    void retryIsAnsweredWithTheResultOfTheFirstRun() throws IOException {
         gateway.send(order(1, "good"));
         expectResult(1, "result of " + rid(1));
         gateway.send(order(2, "good"));
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void repeatReadTogetherWithTheFirstWaitsForIt() throws IOException {
+    void retryReadTogetherWithTheOriginalWaitsForItsRun() throws IOException {
         gateway.send(order(1, "wait") + order(2, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.complete(rid(1), "one");
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void repeatOfAFailedRunIsErroredAndNeverRuns() throws IOException {
+    void retryOfAFailedRunIsAnsweredWithAnErrorAndNeverRuns() throws IOException {
         gateway.send(order(1, "bad"));
         expectError(1, -32000);
         gateway.send(order(2, "bad"));
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void abortOwesNoAnswerAndStopsAnIdempotentRun() throws IOException {
+    void abortedRequestIsNotAnsweredAndItsIdempotentRunIsCancelled() throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n");
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void resetWithRequestsOpenStopsTheirRuns() throws IOException {
+    void resetConnectionCancelsTheRunsOfItsRequests() throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         gateway.reset();
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void halfClosedConnectionGetsWhatItIsOwed() throws IOException {
+    void openRequestOnAHalfClosedConnectionIsAnswered() throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         gateway.halfClose();
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void replyOfACallGoesToTheRun() throws IOException {
+    void replyToACallIsSentToTheRun() throws IOException {
         gateway.send(read(1, "call DONE"));
         expectResult(1, "after reply");
         assertThat(await(deployment.heard, "^OP")).matches("OP " + rid(1) + " \\d+ 9");
@@ -203,7 +203,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"ERROR", "PAST", "cut"})
-    void callThatMayHaveRunIsNotRepeated(String ending) throws IOException {
+    void callThatMayHaveRunIsNotRetried(String ending) throws IOException {
         gateway.send(read(1, "call " + ending));
         expectError(1, -32000);
         await(deployment.heard, "^OP");
@@ -212,21 +212,21 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"WAIT", "EMPTY"})
-    void callThatNeverRanIsMadeAgain(String ending) throws IOException {
+    void callThatNeverRanIsRetried(String ending) throws IOException {
         gateway.send(read(1, "call " + ending));
         await(deployment.heard, "^OP");
         await(deployment.heard, "^OP");
     }
 
     @Test
-    void callGivenUpIsToldToTheRecords() throws IOException {
+    void timedOutCallIsCancelledAtTheRecordsService() throws IOException {
         gateway.send(read(1, "call silence"));
         await(deployment.heard, "^UNOP " + rid(1));
         expectError(1, -32000);
     }
 
     @Test
-    void callToRefusingRecordsIsMadeAgain() throws IOException {
+    void callIsRetriedWhenTheRecordsServiceRefusesConnections() throws IOException {
         int port = deployment.outside.recordsPort();
         deployment.outside.closeRecords();
         gateway.send(read(1, "call DONE"));
@@ -236,7 +236,7 @@
     }
 
     @Test
-    void runThatEndsWithoutALinkIsHeardOfOnTheNext() throws IOException {
+    void endOfARunWhileDisconnectedIsReceivedAfterTheReconnect() throws IOException {
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.greeting =
@@ -248,7 +248,7 @@
     }
 
     @Test
-    void runThatAnOldLinkLostIsBegunAgain() throws IOException {
+    void runThatMayHaveBeenLostIsStartedAgainAfterTheReconnect() throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.link.reset();
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void tokenedRunIsNotBegunAgainWhereNoticesAreLost() throws IOException {
+    void keyedRunIsNotStartedAgainIfNoticesAreLost() throws IOException {
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.greeting = "hi hot 3600000\r\nremark 9 lost\r\n";
@@ -282,7 +282,7 @@
                 "no line end\n",
                 "hi hot never\r\n"
             })
-    void badInputRebuildsTheLinkAndAnswersOnce(String input) throws IOException {
+    void badInputFromTheProcessorCausesAReconnectAndOneAnswer(String input) throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.link.send(input.replace("ID", rid(1)));
@@ -294,7 +294,7 @@
     }
 
     @Test
-    void noticesForNobodyAndOldOnesDoNothing() throws IOException {
+    void unknownAndRepeatedNoticesAreIgnored() throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.complete(rid(99), "nobody");
@@ -309,7 +309,7 @@
     }
 
     @Test
-    void rejectedTryIsErroredAndLeavesItsTokenToTheNext() throws IOException {
+    void rejectedBeginIsAnsweredWithAnErrorAndTheRetryRuns() throws IOException {
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         gateway.send(order(2, "good") + order(3, "good"));
@@ -320,7 +320,7 @@
     }
 
     @Test
-    void otherBodyUnderOneTokenIsErroredAndNeverRuns() throws IOException {
+    void otherBodyWithTheSameTokenIsAnsweredWithAnErrorAndNeverRuns() throws IOException {
         gateway.send(order(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         gateway.send(order(2, "good"));
@@ -341,7 +341,7 @@
                 "0000000000000001 DONE x",
                 "0000000000000001 HM"
             })
-    void badInputOfTheRecordsEndsTheCallOnce(String reply) throws IOException {
+    void badInputFromTheRecordsServiceEndsTheCallOnce(String reply) throws IOException {
         gateway.send(read(1, "call silence"));
         await(deployment.heard, "^OP");
         deployment.outside.calls.send(reply + "\r\n");
@@ -352,14 +352,14 @@
     }
 
     @Test
-    void healthIsGoodAndCarriesTheFreeValue() throws IOException {
+    void healthCheckReportsAHealthyServer() throws IOException {
         gateway.send(message(1, "ping", "{\"full\":true}"));
         assertThat(gateway.line())
                 .startsWith("{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"green\":true");
     }
 
     @Test
-    void drainAnswersAllAndEnds() throws Exception {
+    void drainAnswersAllRequestsAndExits() throws Exception {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.terminate();
@@ -371,21 +371,21 @@
         expectResult(1, "late");
         String answer = "\"result\"";
         for (int id = 3; answer.contains("\"result\""); id++) {
-            gateway.send(read(id, "good")); // until the grace is over
+            gateway.send(read(id, "good")); // until the grace period ends
             answer = gateway.line();
         }
         assertThat(answer)
                 .contains("\"code\":-32014")
                 .contains("\"backoff\":1000")
                 .doesNotContain("final");
-        deployment.dial().close(); // it still listens: who comes is told to go on to others
+        deployment.dial().close(); // the server still listens, to send clients elsewhere
         assertThat(gateway.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
         assertThat(deployment.exit()).isZero();
         await(deployment.log, "connection gateway .* ended: LEAVING");
     }
 
     @Test
-    void drainAnswersWhatStillRunsBeforeTheKill() throws Exception {
+    void drainAnswersPendingRequestsBeforeTheShutdownTimeout() throws Exception {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.terminate();
@@ -395,13 +395,13 @@
     }
 
     @Test
-    void pauseOfTheMachineNeitherLosesNorDoublesAnAnswer() throws Exception {
+    void pauseOfTheProcessNeitherLosesNorRepeatsAnAnswer() throws Exception {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.signal("STOP");
         deployment.outside.complete(rid(1), "once");
         gateway.send(read(2, "good"));
-        Thread.sleep(500); // the pause itself: timers fall due in it
+        Thread.sleep(500); // the length of the pause, during which timers become due
         deployment.signal("CONT");
         expectResult(1, "once");
         expectResult(2, "result of " + rid(2));
@@ -409,23 +409,23 @@
     }
 
     @Test
-    void newConfigurationMovesAllLinksWhileRunsGoOnAndABadOneIsNotTaken() throws Exception {
+    void reloadMovesAllConnectionsDuringARunAndAnInvalidConfigurationIsIgnored() throws Exception {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         deployment.outside.closeRecords();
         deployment.move(json -> json.replace("\"n1\"", "\"n2\""));
         deployment.signal("HUP");
         await(deployment.heard, "hello 0");
-        await(deployment.heard, "begin " + rid(1)); // what the old link may have lost is said again
+        await(deployment.heard, "begin " + rid(1)); // may have been lost, so it is repeated
         await(deployment.log, "connection link .* ended: MOVED");
         deployment.outside.complete(rid(1), "moved");
         expectResult(1, "moved");
         gateway.send(read(2, "call DONE"));
         expectResult(2, "after reply");
         deployment.reports.clear();
-        await(deployment.reports, "HERE n1 on"); // a server keeps its name
-        for (String wrong : List.of("{", "{}")) {
-            deployment.move(json -> wrong);
+        await(deployment.reports, "HERE n1 on"); // a reload does not change the name
+        for (String invalid : List.of("{", "{}")) {
+            deployment.move(json -> invalid);
             deployment.signal("HUP");
             await(deployment.log, "WARNING stays with its configuration: ");
         }
@@ -434,7 +434,7 @@
     }
 
     @Test
-    void spoiltReplyEndsNoOtherCall() throws IOException {
+    void malformedReplyEndsNoOtherCall() throws IOException {
         gateway.send(read(1, "call silence"));
         await(deployment.heard, "^OP");
         FakeConnection good = deployment.outside.calls;
@@ -449,36 +449,32 @@
     }
 
     @Test
-    void reportsToTheRoster() {
+    void reportsPeriodicallyToTheRegistry() {
         await(deployment.reports, "HERE n1 on");
         await(deployment.reports, "HERE n1 on");
     }
 
-    /**
-     * The word that nothing more may come, and the end of the connection where its caller does not
-     * end it.
-     */
-    private static void expectTold(FakeConnection wire) throws IOException {
-        assertThat(wire.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
-        assertThat(wire.line()).isNull();
+    /** Expects the shutdown message, followed by the close of the connection. */
+    private static void expectShutdown(FakeConnection client) throws IOException {
+        assertThat(client.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
+        assertThat(client.line()).isNull();
     }
 
     @Test
-    void connectionThatHasShownNothingIsClosedSoonAndAnotherLater() throws IOException {
+    void silentConnectionIsClosedBeforeAnIdleOne() throws IOException {
         FakeConnection other = deployment.dial();
         other.send(message(1, "ping", "{}"));
         gateway.send(read(1, "good").substring(0, 40));
-        expectTold(gateway);
+        expectShutdown(gateway);
         await(deployment.log, "connection gateway .* ended: SILENT$");
         assertThat(other.line()).contains("\"green\":true");
-        expectTold(other);
-        await(
-                deployment.log,
-                "connection gateway .* ended: IDLE"); // after the two seconds of the settings
+        expectShutdown(other);
+        // The idle timeout is 2 s.
+        await(deployment.log, "connection gateway .* ended: IDLE");
     }
 
     @Test
-    void requestThatCrossesTheWordOfARestingConnectionIsAnswered() throws IOException {
+    void requestInTransitOnAnIdleConnectionIsAnswered() throws IOException {
         gateway.send(message(1, "ping", "{}"));
         assertThat(gateway.line()).contains("\"green\":true");
         assertThat(gateway.line()).contains("\"shutdown\"");
@@ -489,7 +485,7 @@
     }
 
     @Test
-    void goodRequestsBeforeAndOpenBesideUnreadableInputAreAnswered() throws IOException {
+    void openRequestsAndThoseBeforeUnparsableInputAreAnswered() throws IOException {
         gateway.send(read(1, "wait"));
         await(deployment.heard, "begin " + rid(1));
         gateway.send(read(2, "good") + "not JSON\n" + read(3, "good") + "x".repeat(5_000));
@@ -518,10 +514,10 @@
                 "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"ping\",\"params\":{\"full\":\"yes\"}}|-32602",
                 "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{\"more\":1e999}}|-32602"
             })
-    void badMessageWithAnIdGetsTheStandardError(String input, int code) throws IOException {
+    void invalidMessageWithAnIdIsAnsweredWithTheStandardError(String input, int code) throws IOException {
         gateway.send(input + "\n");
         expectError(5, code);
-        gateway.send(read(6, "good")); // and the connection goes on
+        gateway.send(read(6, "good")); // the connection stays open
         expectResult(6, "result of " + rid(1));
     }
 
@@ -545,13 +541,13 @@
         "obj,\"7f\"",
         "token,\"7f\""
     })
-    void wrongParameterIsNamed(String name, String value) throws IOException {
-        String good = params("good", "\"token\":\"" + TOKEN + "\",\"obj\":\"7f3a9c21e0b4d655\",");
+    void invalidParameterIsNamed(String name, String value) throws IOException {
+        String valid = params("good", "\"token\":\"" + TOKEN + "\",\"obj\":\"7f3a9c21e0b4d655\",");
         gateway.send(
                 message(
                         5,
                         "order",
-                        good.replaceFirst(
+                        valid.replaceFirst(
                                 "\"" + name + "\":(\"[^\"]*\"|[^,}]*)",
                                 "\"" + name + "\":" + value)));
         assertThat(gateway.line())
@@ -561,7 +557,7 @@
     }
 
     @Test
-    void bodyOverTheLimitAndMissingTokenAreWrong() throws IOException {
+    void bodyOverTheLimitAndMissingTokenAreInvalid() throws IOException {
         gateway.send(read(1, "x".repeat(2049)));
         expectError(1, -32602);
         gateway.send(message(2, "order", params("good", "")));
@@ -571,7 +567,7 @@
     }
 
     @Test
-    void usedIdsAndTooManyOpenAreWrong() throws IOException {
+    void idsInUseAndTooManyOpenRequestsAreRejected() throws IOException {
         String first = order(1, "wait");
         gateway.send(first);
         gateway.send(order(1, "wait"));
@@ -579,15 +575,15 @@
         gateway.send(first.replace("\"id\":1,", "\"id\":2,"));
         expectError(2, -32602);
         for (int id = 3; id <= 34; id++) {
-            gateway.send(order(id, "wait")); // all wait for the first
+            gateway.send(order(id, "wait")); // all wait for the run of the first
         }
         expectError(34, -32600);
     }
 
     @Test
-    void moreThanIsReadAtOnceIsAnsweredInFull() throws IOException {
-        String one = message(1, "ping", "{}");
-        gateway.send(one.repeat(1_000));
+    void inputLargerThanTheReadBufferIsAnsweredCompletely() throws IOException {
+        String request = message(1, "ping", "{}");
+        gateway.send(request.repeat(1_000));
         for (int i = 0; i < 1_000; i++) {
             assertThat(gateway.line()).contains("\"green\":true");
         }
@@ -615,7 +611,7 @@
     }
 
     @Test
-    void endlessLineAndDeepNestingCloseTheConnection() throws IOException {
+    void tooLongLineAndDeepNestingCloseTheConnection() throws IOException {
         gateway.send("x".repeat(9000));
         expectClosed("BAD_INPUT");
         gateway = deployment.dial();
@@ -625,7 +621,7 @@
     }
 
     @Test
-    void messageInSinglesAndAbortOfTheUnknownDoNothingWrong() throws IOException {
+    void messageSentByteByByteAndAbortsOfUnknownRequestsAreHandled() throws IOException {
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":77}}\n");
         for (byte b : read(1, "good").getBytes()) {
             gateway.send(new byte[] {b});
@@ -644,7 +640,7 @@
     }
 
     @Test
-    void connectionsThatSayNothingGoBeforeThoseThatHaveShownSomething() throws Exception {
+    void silentConnectionsAreClosedBeforeActiveOnes() throws Exception {
         restartWithFewSockets();
         gateway.send(message(1, "ping", "{}"));
         assertThat(gateway.line()).contains("\"green\":true");
@@ -654,12 +650,10 @@
             if (i < 8) {
                 continue;
             }
-            String word =
-                    silent.get(i - 8)
-                            .line(); // each beyond the eighth ends the oldest; a flood leaves no
-            // time to tell it
-            if (word != null) {
-                assertThat(word).contains("\"shutdown\"");
+            // Each connection beyond the eighth closes the oldest, in a flood without a message.
+            String line = silent.get(i - 8).line();
+            if (line != null) {
+                assertThat(line).contains("\"shutdown\"");
             }
         }
         for (int i = 0; i < 72; i++) {
@@ -667,36 +661,36 @@
         }
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(1));
-        for (FakeConnection wire : silent) {
-            wire.close();
+        for (FakeConnection client : silent) {
+            client.close();
         }
         expectServes();
     }
 
     @Test
-    void whoWasSilentLongestMakesRoomInAFullTable() throws Exception {
+    void longestIdleConnectionIsClosedAtTheConnectionLimit() throws Exception {
         restartWithFewSockets();
         gateway.send(message(1, "ping", "{}"));
         assertThat(gateway.line()).contains("\"green\":true");
         for (int i = 0; i < 32; i++) {
-            FakeConnection wire = deployment.dial();
-            wire.send(message(1, "ping", "{}"));
-            assertThat(wire.line()).contains("\"green\":true");
+            FakeConnection client = deployment.dial();
+            client.send(message(1, "ping", "{}"));
+            assertThat(client.line()).contains("\"green\":true");
         }
-        expectTold(gateway);
+        expectShutdown(gateway);
         await(deployment.log, "connection gateway .* ended: TOO_MANY$");
     }
 
     @Test
-    void fullTableLetsHealthChecksInAndTurnsInvocationsAway() throws Exception {
+    void healthChecksAreAnsweredAndInvocationsThrottledAboveTheConnectionLimit() throws Exception {
         restartWithFewSockets();
         gateway.close();
-        List<FakeConnection> wires = new ArrayList<>();
+        List<FakeConnection> clients = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
             FakeConnection busy = deployment.dial();
-            busy.send(message(1, "ping", "{}") + order(2, "wait")); // all wait for the first
+            busy.send(message(1, "ping", "{}") + order(2, "wait")); // wait for the first run
             assertThat(busy.line()).contains("\"green\":true");
-            wires.add(busy);
+            clients.add(busy);
         }
         for (String request : List.of(message(1, "ping", "{}"), read(1, "good"))) {
             gateway = deployment.dial();
@@ -706,11 +700,11 @@
             expectClosed("TOO_MANY");
         }
         for (int i = 0; i < 9; i++) {
-            wires.add(deployment.dial());
+            clients.add(deployment.dial());
         }
-        assertThat(wires.get(40).line()).isNull();
-        for (FakeConnection wire : wires) {
-            wire.close();
+        assertThat(clients.get(40).line()).isNull();
+        for (FakeConnection client : clients) {
+            client.close();
         }
     }
 
--- a/src/test/java/ochretiller/golden/AuditJsonTest.java
+++ b/src/test/java/ochretiller/golden/AuditJsonTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the audit's commands print as JSON: their members, words and exit codes. */
+/** Pins the JSON output and the exit codes of the audit commands. */
 class AuditJsonTest {
-    private static final int FAULTS = 3;
+    private static final int EXIT_FAULTS = 3;
     @TempDir private Path folder;
 
     @BeforeEach
-    void write() throws Exception {
+    void writeAuditLogs() throws Exception {
         Map<String, InvocationCounts> none = Map.of();
         write(
                 "m1",
@@ -39,45 +39,45 @@
         write("m3", List.of(new VersionPeriod(2, "", 5_000, 9_000, 4_000, none)));
     }
 
-    private void write(String name, List<AuditRecord> entries) throws Exception {
-        Path own = Files.createDirectory(folder.resolve(name));
-        AuditLogWriter writer = new AuditLogWriter(own, 1 << 20, () -> 0);
+    private void write(String server, List<AuditRecord> entries) throws Exception {
+        Path serverFolder = Files.createDirectory(folder.resolve(server));
+        AuditLogWriter writer = new AuditLogWriter(serverFolder, 1 << 20, () -> 0);
         writer.start();
         entries.forEach(writer::add);
         writer.close();
     }
 
-    private Cli audit(String word, String... more) {
-        String[] words = new String[6 + more.length];
-        words[0] = "audit";
-        words[1] = word;
-        words[2] = "--json";
-        System.arraycopy(more, 0, words, 3, more.length);
+    private Cli audit(String command, String... options) {
+        String[] arguments = new String[6 + options.length];
+        arguments[0] = "audit";
+        arguments[1] = command;
+        arguments[2] = "--json";
+        System.arraycopy(options, 0, arguments, 3, options.length);
         for (int i = 1; i <= 3; i++) {
-            words[2 + more.length + i] = "m" + i + "=" + folder.resolve("m" + i);
+            arguments[2 + options.length + i] = "m" + i + "=" + folder.resolve("m" + i);
         }
-        return Cli.run(words);
+        return Cli.run(arguments);
     }
 
     @Test
-    void serversOfAVersionAreToldHowWellTheyAreKnown() {
+    void whoPrintsTheStatusOfEachServer() {
         Cli cli = audit("who", "--version-number", "1");
         assertThat(cli.out())
                 .isEqualTo("{\"m1\":\"ACTED\",\"m2\":\"SHUT_OUT\",\"m3\":\"UNKNOWN\"}\n");
-        assertThat(cli.code()).isEqualTo(FAULTS);
+        assertThat(cli.code()).isEqualTo(EXIT_FAULTS);
     }
 
     @Test
-    void stretchesHaveTheirMembers() {
+    void whenAndGapsPrintPeriods() {
         Cli cli = audit("when", "--until", "3000");
         assertThat(cli.out())
                 .isEqualTo(
                         "["
                                 + String.join(
                                         ",",
-                                        stretch("m1", "ACTED", 1, ""),
-                                        stretch("m2", "SHUT_OUT", 1, ""),
-                                        stretch(
+                                        period("m1", "ACTED", 1, ""),
+                                        period("m2", "SHUT_OUT", 1, ""),
+                                        period(
                                                 "m3",
                                                 "UNKNOWN",
                                                 0,
@@ -88,16 +88,16 @@
         assertThat(gaps.out())
                 .isEqualTo(
                         "["
-                                + stretch(
+                                + period(
                                         "m3",
                                         "UNKNOWN",
                                         0,
                                         "nothing is recorded yet, or it is lost")
                                 + "]\n");
-        assertThat(gaps.code()).isEqualTo(FAULTS);
+        assertThat(gaps.code()).isEqualTo(EXIT_FAULTS);
     }
 
-    private static String stretch(String server, String known, long version, String text) {
+    private static String period(String server, String known, long version, String text) {
         return "{\"server\":\""
                 + server
                 + "\",\"from\":1000,\"until\":3000,\"known\":\""
@@ -110,19 +110,19 @@
     }
 
     @Test
-    void runsOfATokenHaveTheirMembers() {
+    void tokenPrintsTheRunsOfAToken() {
         assertThat(audit("token", "--token", "token").out())
                 .isEqualTo("[{\"server\":\"m1\",\"version\":1,\"at\":1500}]\n");
-        assertThat(audit("token", "--token", "other").code()).isEqualTo(FAULTS);
+        assertThat(audit("token", "--token", "other").code()).isEqualTo(EXIT_FAULTS);
     }
 
     @Test
-    void thoseBehindAreToldInMilliseconds() {
+    void behindPrintsLaggingServers() {
         assertThat(audit("behind").out()).isEqualTo("{}\n");
     }
 
     @Test
-    void auditsThatAreHeldAgainstThemselvesHaveTheirMembers() throws Exception {
+    void verifyPrintsFaults() throws Exception {
         String hash = AuditLogReader.read(folder.resolve("m3"), List.of()).head().hash();
         Cli good = audit("verify");
         assertThat(good.json().get("m3").toString())
@@ -138,6 +138,6 @@
         Cli bad = audit("verify");
         assertThat(Cli.members(bad.json().get("m3").get("faults").get(0)))
                 .containsExactly("record", "what");
-        assertThat(bad.code()).isEqualTo(FAULTS);
+        assertThat(bad.code()).isEqualTo(EXIT_FAULTS);
     }
 }
--- a/src/test/java/ochretiller/golden/Cli.java
+++ b/src/test/java/ochretiller/golden/Cli.java
@@ -12,29 +12,31 @@
 import ochretiller.Main;
 import picocli.CommandLine;
 
-/** The program's command line in this process: its exit code and what it prints. */
+/** The exit code and standard output of a command that was run in this process. */
 record Cli(int code, String out) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    static Cli run(String... words) {
+    static Cli run(String... arguments) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        PrintStream before = System.out;
+        PrintStream originalOut = System.out;
         try (PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8)) {
             System.setOut(out);
             int code =
-                    new CommandLine(Main.class).setOut(new PrintWriter(out, true)).execute(words);
+                    new CommandLine(Main.class)
+                            .setOut(new PrintWriter(out, true))
+                            .execute(arguments);
             return new Cli(code, bytes.toString(StandardCharsets.UTF_8));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
     }
 
-    /** The first line of what was printed, as JSON. */
+    /** Parses the first line of the output as JSON. */
     JsonNode json() throws IOException {
         return JSON.readTree(out.lines().findFirst().orElseThrow());
     }
 
-    /** Names of an object's members in their order. */
+    /** Returns the names of an object's members in document order. */
     static List<String> members(JsonNode object) {
         List<String> names = new ArrayList<>();
         object.fieldNames().forEachRemaining(names::add);
--- a/src/test/java/ochretiller/golden/ContractTextTest.java
+++ b/src/test/java/ochretiller/golden/ContractTextTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole text that the contracts' commands print. */
+/** Pins the complete output of the contract commands. */
 class ContractTextTest {
     @TempDir private Path folder;
 
     @BeforeEach
-    void write() throws IOException {
+    void writeContracts() throws IOException {
         Files.writeString(folder.resolve("broker.json5"), "{ work_per_s: 10 }");
         Files.writeString(
                 folder.resolve("parts.json5"),
@@ -46,8 +46,8 @@
 
     @Test
     void contractsAreCheckedAndCompared() {
-        String text = folder.toString();
-        assertThat(Cli.run("contract", "check", text).out()).isEqualTo("2 contracts are good\n");
-        assertThat(Cli.run("contract", "diff", text, text).out()).isEqualTo("nothing changes\n");
+        String path = folder.toString();
+        assertThat(Cli.run("contract", "check", path).out()).isEqualTo("2 contracts are good\n");
+        assertThat(Cli.run("contract", "diff", path, path).out()).isEqualTo("nothing changes\n");
     }
 }
--- a/src/test/java/ochretiller/golden/ExitCodesTest.java
+++ b/src/test/java/ochretiller/golden/ExitCodesTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program's exit codes, and the one line on standard error of what went wrong. */
+/** Pins the program's exit codes and its single line of error output. */
 class ExitCodesTest {
     @TempDir private Path folder;
 
-    private String said(int code, String... words) throws Exception {
+    private String outputOf(int expectedCode, String... arguments) throws Exception {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -26,14 +26,14 @@
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 Main.class.getName()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().remove("EDGE_CONFIG");
         Process process = builder.start();
-        assertThat(process.waitFor(30, TimeUnit.SECONDS)).as("it ends").isTrue();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(process.exitValue()).as(said).isEqualTo(code);
-        return said;
+        assertThat(process.waitFor(30, TimeUnit.SECONDS)).as("the process has exited").isTrue();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(process.exitValue()).as(output).isEqualTo(expectedCode);
+        return output;
     }
 
     private Path operator(String text) throws IOException {
@@ -41,27 +41,29 @@
     }
 
     @Test
-    void whatIsDoneEndsWithZero() throws Exception {
-        assertThat(said(0, "version")).startsWith("ochretiller ");
+    void successExitsWithZero() throws Exception {
+        assertThat(outputOf(0, "version")).startsWith("ochretiller ");
         Path operator = operator("{}");
-        assertThat(said(0, "check", "--operator", operator.toString()))
+        assertThat(outputOf(0, "check", "--operator", operator.toString()))
                 .isEqualTo("the operators' file " + operator + " is good\n");
     }
 
     @Test
-    void whatCannotBeCarriedOutEndsWithOne() throws Exception {
-        String none = folder.resolve("none").toString();
-        assertThat(said(1, "store", "verify", none)).startsWith("ochretiller: ").hasLineCount(1);
+    void failureExitsWithOne() throws Exception {
+        String missing = folder.resolve("none").toString();
+        assertThat(outputOf(1, "store", "verify", missing))
+                .startsWith("ochretiller: ")
+                .hasLineCount(1);
     }
 
     @Test
-    void whatIsToBeMendedEndsWithTwo() throws Exception {
-        assertThat(said(2, "check"))
+    void invalidInputExitsWithTwo() throws Exception {
+        assertThat(outputOf(2, "check"))
                 .isEqualTo("ochretiller: no configuration: EDGE_CONFIG is not set\n");
-        assertThat(said(2, "check", "--operator", operator("{ unknown: 1 }").toString()))
+        assertThat(outputOf(2, "check", "--operator", operator("{ unknown: 1 }").toString()))
                 .startsWith("ochretiller: ")
                 .hasLineCount(1);
-        assertThat(said(2, "unknown")).contains("Usage: ochretiller");
-        assertThat(said(2)).startsWith("a sub-command is needed\n");
+        assertThat(outputOf(2, "unknown")).contains("Usage: ochretiller");
+        assertThat(outputOf(2)).startsWith("a sub-command is needed\n");
     }
 }
--- a/src/test/java/ochretiller/golden/ExternalNamesTest.java
+++ b/src/test/java/ochretiller/golden/ExternalNamesTest.java
@@ -16,10 +16,10 @@
 import ochretiller.pools.RequestOutcome;
 import org.junit.jupiter.api.Test;
 
-/** The words of each enum whose constants are named outside the process, in their order. */
+/** Pins the external names of enum constants, in the order of declaration. */
 class ExternalNamesTest {
     @Test
-    void reasonsOfRefusedPacketsKeepTheirWords() {
+    void rejectReasonsKeepTheirExternalNames() {
         assertThat(Stream.of(RejectReason.values()).map(RejectReason::externalName))
                 .containsExactly(
                         "LENGTH",
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void statesOfMembersKeepTheirWords() {
+    void memberStatesKeepTheirExternalNames() {
         assertThat(Stream.of(MemberState.values()).map(MemberState::externalName))
                 .containsExactly("JOINING", "HERE", "SUSPECT", "SILENT", "LEFT");
         assertThat(Stream.of(MemberState.values()).map(MemberState::lowerCaseName))
@@ -55,31 +55,31 @@
     }
 
     @Test
-    void statesOfRolloutsKeepTheirWords() {
+    void rolloutPhasesKeepTheirExternalNames() {
         assertThat(Stream.of(RolloutPhase.values()).map(RolloutPhase::externalName))
                 .containsExactly("RUNS", "PAUSED", "HALTED", "DONE");
     }
 
     @Test
-    void knowledgeOfAStretchKeepsItsWords() {
+    void versionStatusesKeepTheirExternalNames() {
         assertThat(Stream.of(VersionStatus.values()).map(VersionStatus::externalName))
                 .containsExactly("ACTED", "SHUT_OUT", "UNKNOWN");
     }
 
     @Test
-    void statesOfStoredResultsKeepTheirWords() {
+    void invocationProgressKeepsItsExternalNames() {
         assertThat(Stream.of(InvocationProgress.values()).map(InvocationProgress::externalName))
                 .containsExactly("MARKED", "SUCCEEDED", "LOST");
     }
 
     @Test
-    void statesOfTheDiskKeepTheirWords() {
+    void diskHealthKeepsItsExternalNames() {
         assertThat(Stream.of(DiskHealth.values()).map(DiskHealth::externalName))
                 .containsExactly("well", "stalled", "sick");
     }
 
     @Test
-    void modesOfOperationsKeepTheirWordsBothWays() {
+    void claimModesKeepTheirExternalNamesBothWays() {
         assertThat(Stream.of(ClaimMode.values()).map(ClaimMode::externalName))
                 .containsExactly("fleet", "server");
         assertThat(ClaimMode.fromExternalName("fleet")).isSameAs(ClaimMode.values()[0]);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void codesOfConnectionsThatEndKeepTheirWords() {
+    void closeCodesKeepTheirExternalNames() {
         assertThat(Stream.of(CloseCode.values()).map(CloseCode::externalName))
                 .containsExactly(
                         "PEER_CLOSED",
@@ -108,13 +108,13 @@
     }
 
     @Test
-    void endsOfRequestsToWorkersKeepTheirWords() {
+    void requestOutcomesKeepTheirExternalNames() {
         assertThat(Stream.of(RequestOutcome.values()).map(RequestOutcome::externalName))
                 .containsExactly("ANSWERED", "FAILED", "SILENT", "GIVEN_UP", "NEVER_BEGUN");
     }
 
     @Test
-    void endsOfRunsKeepTheirWords() {
+    void runStatusesKeepTheirExternalNames() {
         assertThat(Stream.of(RunOutcome.Status.values()).map(RunOutcome.Status::externalName))
                 .containsExactly("SUCCEEDED", "ERRORED", "STOPPED", "NOTHING", "NOT_BEGUN");
     }
--- a/src/test/java/ochretiller/golden/FleetJsonTest.java
+++ b/src/test/java/ochretiller/golden/FleetJsonTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members of the JSON that commands print of a server that runs, asked at its fleet's door. */
+/** Pins the members of the JSON that the fleet and copies commands print of a running server. */
 class FleetJsonTest {
     @TempDir private static Path folder;
     private static WholeServer server;
@@ -27,25 +27,26 @@
         server.close();
     }
 
-    private static Cli asked(String command, String word, String... more) {
-        String[] words = new String[5 + more.length];
-        words[0] = command;
-        words[1] = word;
-        words[2] = "--operator";
-        words[3] = server.operator.toString();
-        words[4] = "--json";
-        System.arraycopy(more, 0, words, 5, more.length);
-        return Cli.run(words);
+    private static Cli run(String command, String subCommand, String... options) {
+        String[] arguments = new String[5 + options.length];
+        arguments[0] = command;
+        arguments[1] = subCommand;
+        arguments[2] = "--operator";
+        arguments[3] = server.operator.toString();
+        arguments[4] = "--json";
+        System.arraycopy(options, 0, arguments, 5, options.length);
+        return Cli.run(arguments);
     }
 
-    private static JsonNode told(String command, String word, String... more) throws Exception {
-        Cli cli = asked(command, word, more);
+    private static JsonNode json(String command, String subCommand, String... options)
+            throws Exception {
+        Cli cli = run(command, subCommand, options);
         assertThat(cli.code()).as(cli.out()).isZero();
         return cli.json();
     }
 
     @Test
-    void viewHasItsMembers() throws Exception {
+    void viewPrintsAllMembers() throws Exception {
         try (DatagramSocket socket = new DatagramSocket()) {
             byte[] bytes = new byte[100];
             socket.send(
@@ -55,9 +56,9 @@
                             InetAddress.getLoopbackAddress(),
                             server.fleetPort));
         }
-        WholeServer.until(() -> told("fleet", "view").get("refused").size() > 0);
-        WholeServer.until(() -> state(told("fleet", "view")).equals("HERE"));
-        JsonNode view = told("fleet", "view");
+        WholeServer.until(() -> json("fleet", "view").get("refused").size() > 0);
+        WholeServer.until(() -> state(json("fleet", "view")).equals("HERE"));
+        JsonNode view = json("fleet", "view");
         assertThat(Cli.members(view))
                 .containsExactly(
                         "fleet",
@@ -81,15 +82,15 @@
     }
 
     @Test
-    void pingHasItsMembers() throws Exception {
-        assertThat(Cli.members(told("fleet", "ping")))
+    void pingPrintsAllMembers() throws Exception {
+        assertThat(Cli.members(json("fleet", "ping")))
                 .containsExactly("name", "times", "least_us", "p50_us", "most_us");
     }
 
     @Test
-    void versionsHaveTheirMembers() throws Exception {
-        WholeServer.until(() -> told("fleet", "versions").get("servers").has("n1"));
-        JsonNode versions = told("fleet", "versions");
+    void versionsPrintsAllMembers() throws Exception {
+        WholeServer.until(() -> json("fleet", "versions").get("servers").has("n1"));
+        JsonNode versions = json("fleet", "versions");
         assertThat(Cli.members(versions))
                 .containsExactly(
                         "name",
@@ -112,21 +113,21 @@
     }
 
     @Test
-    void refusedStepsOfARolloutNameItsState() {
-        for (String word : new String[] {"pause", "go-on", "take-back"}) {
-            Cli cli = asked("fleet", word);
+    void rejectedRolloutStepsNameTheRolloutState() {
+        for (String step : new String[] {"pause", "go-on", "take-back"}) {
+            Cli cli = run("fleet", step);
             assertThat(cli.code()).isEqualTo(1);
             assertThat(cli.out())
                     .isEqualTo(
                             "{\"refused\":\"there is nothing to "
-                                    + word
+                                    + step
                                     + ": DONE at version 0\"}\n");
         }
     }
 
     @Test
-    void statusOfCopiesHasItsMembers() throws Exception {
-        JsonNode status = told("copies", "status");
+    void copiesStatusPrintsAllMembers() throws Exception {
+        JsonNode status = json("copies", "status");
         assertThat(Cli.members(status))
                 .containsExactly(
                         "name",
@@ -154,16 +155,16 @@
     }
 
     @Test
-    void differenceOfCopiesHasItsMembers() throws Exception {
-        JsonNode difference = told("copies", "diff", "--with", "127.0.0.1:" + server.fleetPort);
+    void copiesDiffPrintsAllMembers() throws Exception {
+        JsonNode difference = json("copies", "diff", "--with", "127.0.0.1:" + server.fleetPort);
         assertThat(Cli.members(difference))
                 .containsExactly(
                         "here", "there", "epoch_here", "epoch_there", "ranges", "differ", "tokens");
     }
 
     @Test
-    void repairOfCopiesHasItsMembers() throws Exception {
-        assertThat(Cli.members(told("copies", "repair")))
+    void copiesRepairPrintsAllMembers() throws Exception {
+        assertThat(Cli.members(json("copies", "repair")))
                 .containsExactly("name", "compares", "fetched");
     }
 }
--- a/src/test/java/ochretiller/golden/GoldenFile.java
+++ b/src/test/java/ochretiller/golden/GoldenFile.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * Bytes that a format is to keep: a line of a name, a space and hex for each. Tests only read them;
- * {@code -Dgolden.write=true} writes them anew, for a format that is meant to change.
+ * A file of expected bytes of a format, one line per entry: name, space, hex. Tests only read it;
+ * after an intended change of the format, {@code -Dgolden.write=true} rewrites it.
  */
 public final class GoldenFile {
     private static final Path FOLDER = Path.of("src", "test", "resources", "ochretiller", "golden");
@@ -26,30 +26,30 @@
         this.file = FOLDER.resolve(name + ".hex");
     }
 
-    /** Fails unless these bytes, under these names and in this order, are all that the file has. */
-    public void assertHolds(Map<String, byte[]> written) {
+    /** Fails unless the file has exactly these entries, in this order. */
+    public void assertHolds(Map<String, byte[]> actual) {
         if (Boolean.getBoolean("golden.write")) {
-            write(written);
+            write(actual);
         }
         Map<String, String> golden = lines();
-        written.forEach(
+        actual.forEach(
                 (name, bytes) ->
                         assertThat(HEX.formatHex(bytes))
                                 .as("%s of %s", name, file)
                                 .isEqualTo(golden.get(name)));
         assertThat(golden.keySet())
                 .as("names in %s", file)
-                .containsExactlyElementsOf(written.keySet());
+                .containsExactlyElementsOf(actual.keySet());
     }
 
-    /** The bytes under this name. */
+    /** Returns the bytes of the entry with this name; fails if there is none. */
     public byte[] bytes(String name) {
         String hex = lines().get(name);
         assertThat(hex).as("%s of %s", name, file).isNotNull();
         return HEX.parseHex(hex);
     }
 
-    /** All bytes by their names, in the file's order. */
+    /** Returns the bytes of all entries by name, in file order. */
     public Map<String, byte[]> all() {
         Map<String, byte[]> all = new LinkedHashMap<>();
         lines().forEach((name, hex) -> all.put(name, HEX.parseHex(hex)));
@@ -61,8 +61,8 @@
         try {
             for (String line : Files.readAllLines(file)) {
                 int space = line.indexOf(' ');
-                String before = lines.put(line.substring(0, space), line.substring(space + 1));
-                assertThat(before).as("an earlier line of that name: %s", line).isNull();
+                String previous = lines.put(line.substring(0, space), line.substring(space + 1));
+                assertThat(previous).as("an earlier line with this name: %s", line).isNull();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -70,9 +70,9 @@
         return lines;
     }
 
-    private void write(Map<String, byte[]> written) {
+    private void write(Map<String, byte[]> actual) {
         List<String> lines = new ArrayList<>();
-        written.forEach((name, bytes) -> lines.add(name + ' ' + HEX.formatHex(bytes)));
+        actual.forEach((name, bytes) -> lines.add(name + ' ' + HEX.formatHex(bytes)));
         try {
             Files.createDirectories(FOLDER);
             Files.write(file, lines);
--- a/src/test/java/ochretiller/golden/HelpTextTest.java
+++ b/src/test/java/ochretiller/golden/HelpTextTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import picocli.CommandLine;
 
-/** The whole help text of the program and of each of its sub-commands. */
+/** Pins the complete help text of the program and of each sub-command. */
 class HelpTextTest {
     private static final List<String> COMMANDS =
             List.of(
@@ -60,15 +60,15 @@
     }
 
     private static void collect(String path, CommandLine line, List<String> all) {
-        for (Map.Entry<String, CommandLine> each : line.getSubcommands().entrySet()) {
-            String name = path.isEmpty() ? each.getKey() : path + ' ' + each.getKey();
+        for (Map.Entry<String, CommandLine> entry : line.getSubcommands().entrySet()) {
+            String name = path.isEmpty() ? entry.getKey() : path + ' ' + entry.getKey();
             all.add(name);
-            collect(name, each.getValue(), all);
+            collect(name, entry.getValue(), all);
         }
     }
 
     @Test
-    void subCommandsAreThoseThatAreKnown() {
+    void allSubCommandsAreListed() {
         List<String> all = new ArrayList<>(List.of("ochretiller"));
         collect("", new CommandLine(Main.class), all);
         assertThat(all).containsExactlyInAnyOrderElementsOf(COMMANDS);
@@ -76,7 +76,7 @@
 
     @ParameterizedTest
     @MethodSource("commands")
-    void helpIsAsItWas(String command) throws IOException {
+    void helpTextIsUnchanged(String command) throws IOException {
         CommandLine line = new CommandLine(Main.class);
         if (!command.equals("ochretiller")) {
             for (String word : command.split(" ")) {
--- a/src/test/java/ochretiller/golden/LogLinesTest.java
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lines of the log that pages name, and the forms of a line. */
+/** Pins the log lines that pages quote, and the JSON format of a log line. */
 class LogLinesTest {
     @TempDir private Path folder;
 
@@ -30,13 +30,13 @@
             try {
                 WholeServer.until(() -> server.logged(pattern));
             } catch (AssertionError e) {
-                throw new AssertionError("no '" + pattern + "' among " + server.log, e);
+                throw new AssertionError("no line matches '" + pattern + "': " + server.log, e);
             }
         }
     }
 
     @Test
-    void codesInTheTableOfTheReadmeAreThoseOfConnections() throws Exception {
+    void readmeListsAllCloseCodes() throws Exception {
         String readme = Files.readString(Path.of("README.md"));
         String table = readme.substring(readme.indexOf("| code | meaning |"));
         assertThat(
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void startReloadAndDrainLeaveTheLinesThatPagesName() throws Exception {
+    void startReloadAndDrainWriteTheQuotedLines() throws Exception {
         WholeServer server = new WholeServer(folder);
         try (server) {
             expect(
@@ -86,11 +86,11 @@
     }
 
     @Test
-    void aLineOfJsonHasItsMembers() throws Exception {
+    void jsonLogLineHasTheExpectedMembers() throws Exception {
         Logger root = Logger.getLogger("");
-        Map<Handler, Formatter> before = new LinkedHashMap<>();
-        for (Handler each : root.getHandlers()) {
-            before.put(each, each.getFormatter());
+        Map<Handler, Formatter> originalFormatters = new LinkedHashMap<>();
+        for (Handler handler : root.getHandlers()) {
+            originalFormatters.put(handler, handler.getFormatter());
         }
         LogRecord entry = new LogRecord(Level.WARNING, "a message");
         entry.setLoggerName("a.package.Part");
@@ -100,7 +100,7 @@
             LoggingSetup.useJsonFormat();
             line = new ObjectMapper().readTree(root.getHandlers()[0].getFormatter().format(entry));
         } finally {
-            before.forEach(Handler::setFormatter);
+            originalFormatters.forEach(Handler::setFormatter);
         }
         assertThat(Cli.members(line)).isEqualTo(List.of("at", "level", "part", "message", "trace"));
         assertThat(line.get("level").asText()).isEqualTo("WARNING");
--- a/src/test/java/ochretiller/golden/MetricNamesTest.java
+++ b/src/test/java/ochretiller/golden/MetricNamesTest.java
@@ -10,29 +10,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The names and types of all metrics, as a server with every optional part on writes them. */
+/** Pins the names and types of all metrics of a server with all optional features enabled. */
 class MetricNamesTest {
     @TempDir private Path folder;
 
-    private List<String> written() throws Exception {
+    private List<String> writtenMetrics() throws Exception {
         try (WholeServer server = new WholeServer(folder)) {
             WholeServer.until(() -> Files.exists(server.metrics));
             return Files.readAllLines(server.metrics);
         }
     }
 
-    private static List<String> golden() throws IOException {
+    private static List<String> expectedTypeLines() throws IOException {
         try (var in = MetricNamesTest.class.getResourceAsStream("metrics.txt")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
 
     @Test
-    void namesTypesAndWordsOfHelpAreThoseThatCollectorsKnow() throws Exception {
-        List<String> lines = written();
+    void namesTypesAndHelpTextsAreUnchanged() throws Exception {
+        List<String> lines = writtenMetrics();
         assertThat(lines)
                 .filteredOn(line -> line.startsWith("# TYPE "))
-                .containsExactlyElementsOf(golden());
+                .containsExactlyElementsOf(expectedTypeLines());
         assertThat(lines)
                 .filteredOn(line -> line.contains("Packets refused: "))
                 .containsExactly(
@@ -49,6 +49,6 @@
         assertThat(lines)
                 .filteredOn(line -> !line.startsWith("#"))
                 .allMatch(line -> line.matches("[a-z0-9_]+ [-+0-9.eENa]+"))
-                .hasSameSizeAs(golden());
+                .hasSameSizeAs(expectedTypeLines());
     }
 }
--- a/src/test/java/ochretiller/golden/WholeServer.java
+++ b/src/test/java/ochretiller/golden/WholeServer.java
@@ -22,10 +22,10 @@
 import ochretiller.store.LocalDirectory;
 import ochretiller.store.StorageDirectory;
 
-/** A server in this process with every optional part on, alone in its fleet, and its log. */
+/** A server in this process with all optional features enabled, the only member of its fleet. */
 final class WholeServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("ochretiller");
-    private static final long LONGEST_NS = 30_000_000_000L;
+    private static final long TIMEOUT_NS = 30_000_000_000L;
 
     final List<String> log = new CopyOnWriteArrayList<>();
     final int port = freePort();
@@ -37,7 +37,7 @@
     final Path audit;
     final ServerNode node;
     private final Thread loop;
-    private final FakeServices outside;
+    private final FakeServices services;
     private final Handler handler =
             new Handler() {
                 @Override
@@ -47,40 +47,40 @@
 
                 @Override
                 public void flush() {
-                    // Lines are in memory at once.
+                    // Log lines are not buffered.
                 }
 
                 @Override
                 public void close() {
-                    // Nothing is open.
+                    // No resources are held.
                 }
             };
-    private int requests;
+    private int requestCount;
 
     WholeServer(Path folder) throws Exception {
         this(folder, new LocalDirectory(folder.resolve("store")));
     }
 
-    WholeServer(Path folder, StorageDirectory disk) throws Exception {
+    WholeServer(Path folder, StorageDirectory storage) throws Exception {
         store = folder.resolve("store");
         audit = folder.resolve("audit");
-        // Not in the test's folder: metrics are written for as long as the process lives.
+        // Not in the test's folder, because metrics are written until the process exits.
         metrics = Path.of("target", "whole-server-" + port + ".prom").toAbsolutePath();
         LOG.addHandler(handler);
-        outside = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
-        outside.runs = (rid, operation, body) -> outside.complete(rid, "done");
+        services = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
+        services.runs = (rid, operation, body) -> services.complete(rid, "done");
         config =
                 Files.writeString(
                         folder.resolve("config.json"),
                         GatewayMessages.config(
                                         port,
-                                        outside.processorPort(),
-                                        outside.recordsPort(),
-                                        outside.rosterPort())
+                                        services.processorPort(),
+                                        services.recordsPort(),
+                                        services.rosterPort())
                                 .replace("\"stop_ms\":2000", "\"stop_ms\":500"));
         operator = Files.writeString(folder.resolve("operator.json5"), operator(folder));
-        OperatorConfig told = OperatorConfigReader.read(operator);
-        node = ServerNode.builder(config).operator(told).storage(disk).build();
+        OperatorConfig operatorConfig = OperatorConfigReader.read(operator);
+        node = ServerNode.builder(config).operator(operatorConfig).storage(storage).build();
         node.prepare();
         node.listen();
         loop = new Thread(node::run, "loop");
@@ -112,12 +112,12 @@
         }
     }
 
-    /** Waits until something holds; a failure after half a minute. */
-    static void until(Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + LONGEST_NS;
-        while (!holds.call()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("it did not come to hold");
+    /** Waits until a condition is true; fails after 30 s. */
+    static void until(Callable<Boolean> condition) throws Exception {
+        long deadline = System.nanoTime() + TIMEOUT_NS;
+        while (!condition.call()) {
+            if (System.nanoTime() > deadline) {
+                throw new AssertionError("the condition is still false after the timeout");
             }
             Thread.sleep(20);
         }
@@ -131,14 +131,14 @@
         return new FakeConnection(new Socket("127.0.0.1", port));
     }
 
-    /** The answer to a keyed request. */
+    /** Sends a keyed request and returns the response. */
     String order(FakeConnection gateway, String token) throws IOException {
-        String rid = String.format("%016x", ++requests);
+        String rid = String.format("%016x", ++requestCount);
         String params = GatewayMessages.params(rid, token, "two bolts");
-        return gateway.send(GatewayMessages.message(requests, "order", params)).line();
+        return gateway.send(GatewayMessages.message(requestCount, "order", params)).line();
     }
 
-    /** A keyed request that has run: it comes again until the server has its part in the fleet. */
+    /** Repeats a keyed request until it succeeds, once the server has joined the fleet. */
     void ran(String token) throws Exception {
         try (FakeConnection gateway = dial()) {
             until(() -> order(gateway, token).contains("\"result\""));
@@ -149,13 +149,13 @@
     public void close() throws IOException {
         try {
             node.drain();
-            // The notice returns at the time of the kill; on a busy machine the server ends later.
-            loop.join(LONGEST_NS / 1_000_000);
+            // drain waits at most stop_ms; on a busy machine the event loop ends later.
+            loop.join(TIMEOUT_NS / 1_000_000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("interrupted while it drains");
+            throw new InterruptedIOException("interrupted while the server was draining");
         } finally {
-            outside.close();
+            services.close();
             LOG.removeHandler(handler);
         }
     }
--- a/src/test/java/ochretiller/golden/package-info.java
+++ b/src/test/java/ochretiller/golden/package-info.java
@@ -1,2 +1,2 @@
-/** Pins of what leaves the process: names and words that no rename of code may change. */
+/** Tests that pin output and formats visible outside the process, which renames must not change. */
 package ochretiller.golden;
--- a/src/test/java/ochretiller/pages/MessageTemplates.java
+++ b/src/test/java/ochretiller/pages/MessageTemplates.java
@@ -40,16 +40,16 @@
 
     /** Collects the messages of all calls in the sources that match a pattern. */
     static MessageTemplates of(Pattern call, List<String> sources) {
-        MessageTemplates templates = new MessageTemplates();
+        MessageTemplates result = new MessageTemplates();
         for (String source : sources) {
             Matcher calls = call.matcher(source);
             while (calls.find()) {
                 for (String argument : split(source, calls.end(), ',')) {
-                    templates.add(argument);
+                    result.add(argument);
                 }
             }
         }
-        return templates;
+        return result;
     }
 
     /**
--- a/src/test/java/ochretiller/pages/OnCallPageTest.java
+++ b/src/test/java/ochretiller/pages/OnCallPageTest.java
@@ -13,8 +13,8 @@
 
 /**
  * Tests that the program writes each exit code, error, close code, log line and metric listed in
- * {@code docs/oncall.md}. The page quotes them in backticks in the first column of the table in each
- * section.
+ * {@code docs/oncall.md}. The page quotes them in backticks in the first column of each section's
+ * table.
  */
 class OnCallPageTest {
     private static final String PAGE = SourceTree.text(Path.of("docs/oncall.md"));
