--- a/src/main/java/ochretiller/frontend/ClientConnections.java
+++ b/src/main/java/ochretiller/frontend/ClientConnections.java
@@ -18,12 +18,12 @@
  */
 public final class ClientConnections {
     private final Scheduler scheduler;
-    private final ConnectionTable connections;
+    private final ConnectionTable table;
     private final Consumer<RequestAttempt> onArrived;
     private final Consumer<RequestAttempt> onAborted;
     private final Map<String, RequestAttempt> attempts = new HashMap<>();
     private long lastId;
-    private int openAttempts;
+    private int openAttemptCount;
     private BiConsumer<RequestAttempt, AnswerKind> answerListener = (attempt, kind) -> {};
 
     /**
@@ -45,7 +45,7 @@
             Consumer<RequestAttempt> onArrived,
             Consumer<RequestAttempt> onAborted) {
         this.scheduler = scheduler;
-        this.connections = new ConnectionTable(scheduler, limit, longestWait, idleTimeout);
+        this.table = new ConnectionTable(scheduler, limit, longestWait, idleTimeout);
         this.onArrived = onArrived;
         this.onAborted = onAborted;
     }
@@ -69,28 +69,28 @@
      * @return {@code peer}
      */
     public ConnectionHandler accepted(ClientConnection peer) {
-        connections.accept(peer);
+        table.accept(peer);
         return peer;
     }
 
     /** Called when a connection has sent a valid message. */
     void shows(ClientConnection peer) {
-        connections.markActive(peer);
+        table.markActive(peer);
     }
 
     /** Called when a connection is about to be closed. */
     void goes(ClientConnection peer) {
-        connections.startLeaving(peer);
+        table.startLeaving(peer);
     }
 
     /** Called on the I/O thread when a connection has released its file descriptor. */
     void closed() {
-        connections.countReleased();
+        table.countReleased();
     }
 
     /** Called when a connection has been closed: aborts its open attempts. */
     void ended(ClientConnection peer) {
-        connections.remove(peer);
+        table.remove(peer);
         for (RequestAttempt attempt : List.copyOf(peer.open().values())) {
             abort(attempt);
         }
@@ -98,7 +98,7 @@
 
     /** Aborts an attempt whose client no longer waits; it is not answered. */
     public void abort(RequestAttempt attempt) {
-        settle(attempt);
+        markAnswered(attempt);
         onAborted.accept(attempt);
     }
 
@@ -118,7 +118,7 @@
         peer.shows();
         peer.open().put(attempt.number, attempt);
         attempts.put(attempt.rid, attempt);
-        openAttempts++;
+        openAttemptCount++;
         if (peer.surplus()) {
             throttle(attempt, Duration.ZERO, false); // another server may have capacity
         } else {
@@ -145,13 +145,13 @@
     }
 
     /** Marks an attempt as answered; returns false if it already was. */
-    private boolean settle(RequestAttempt attempt) {
+    private boolean markAnswered(RequestAttempt attempt) {
         if (attempt.answered()) {
             return false;
         }
         attempt.settle();
         attempt.peer.open().remove(attempt.number);
-        openAttempts--;
+        openAttemptCount--;
         return true;
     }
 
@@ -172,7 +172,7 @@
      * @param replayed whether this is the stored result of an earlier attempt
      */
     public void succeed(RequestAttempt attempt, byte[] result, boolean replayed) {
-        if (!settle(attempt)) {
+        if (!markAnswered(attempt)) {
             return;
         }
         attempt.peer.succeeds(attempt, result, replayed);
@@ -186,7 +186,7 @@
      * @param isFinal whether to tell the client that a retry is of no use
      */
     public void throttle(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
-        if (!settle(attempt)) {
+        if (!markAnswered(attempt)) {
             return;
         }
         attempt.peer.throttles(attempt, retryAfter, isFinal);
@@ -195,7 +195,7 @@
 
     /** Answers with an error, unless already answered. */
     public void fail(RequestAttempt attempt, FailureReason reason) {
-        if (!settle(attempt)) {
+        if (!markAnswered(attempt)) {
             return;
         }
         attempt.peer.fails(attempt, reason);
@@ -204,34 +204,34 @@
 
     /** Returns the number of unanswered attempts. */
     public int openTries() {
-        return openAttempts;
+        return openAttemptCount;
     }
 
     /** Sets how long a connection may be idle before it is closed. */
     public void idleAfter(Duration timeout) {
-        connections.setIdleTimeout(timeout);
+        table.setIdleTimeout(timeout);
     }
 
     /** Asks all current and future clients to send no further requests. */
     public void leave() {
-        connections.startDrain();
+        table.startDrain();
     }
 
     /** Returns the number of connections that are open or closing. */
     public int connections() {
-        return connections.size();
+        return table.size();
     }
 
     /** Closes all connections at once and discards unsent responses. */
     public void drop() {
-        for (ClientConnection peer : connections.all()) {
+        for (ClientConnection peer : table.all()) {
             peer.connection.drop(CloseCode.LEAVING);
         }
     }
 
     /** Closes all connections after their output has been sent. */
     public void close() {
-        for (ClientConnection peer : connections.all()) {
+        for (ClientConnection peer : table.all()) {
             peer.connection.close(CloseCode.LEAVING);
         }
     }
--- a/src/main/java/ochretiller/frontend/RequestAttempt.java
+++ b/src/main/java/ochretiller/frontend/RequestAttempt.java
@@ -46,8 +46,8 @@
     public final long number;
 
     final ClientConnection peer;
-    private boolean answered;
-    private boolean running;
+    private boolean isAnswered;
+    private boolean isRunning;
     private long version;
 
     /**
@@ -61,10 +61,10 @@
             InvocationId id,
             String rid,
             Operation operation,
-            double kb,
-            long caller,
-            Duration arrived,
-            long t0,
+            double memoryKb,
+            long clientId,
+            Duration arrivedAt,
+            long sentAtMillis,
             String token,
             String object,
             byte[] body,
@@ -73,10 +73,10 @@
         this.id = id;
         this.rid = rid;
         this.operation = operation;
-        this.kb = kb;
-        this.caller = caller;
-        this.arrived = arrived;
-        this.t0 = t0;
+        this.kb = memoryKb;
+        this.caller = clientId;
+        this.arrived = arrivedAt;
+        this.t0 = sentAtMillis;
         this.token = operation.isKeyed() ? token : null;
         this.object = operation.isKeyed() ? null : object;
         this.body = body;
@@ -86,17 +86,17 @@
 
     /** Returns whether the client has been answered or no longer waits. */
     public boolean answered() {
-        return answered;
+        return isAnswered;
     }
 
     /** Returns whether a run of this attempt is in progress. */
     public boolean running() {
-        return running;
+        return isRunning;
     }
 
     /** Sets whether a run of this attempt is in progress. */
-    public void runs(boolean isRunning) {
-        running = isRunning;
+    public void runs(boolean nowRunning) {
+        isRunning = nowRunning;
     }
 
     /** Returns the version of the fleet configuration that the attempt is bound to, 0 if none. */
@@ -110,6 +110,6 @@
     }
 
     void settle() {
-        answered = true;
+        isAnswered = true;
     }
 }
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
@@ -17,7 +17,7 @@
     private static final int MAX_LINE_BYTES = 8 * 1024;
 
     private final JsonRpcFrontend frontend;
-    private final Frames frames = new Frames(MAX_LINE_BYTES, false, line -> Frames.NONE);
+    private final Frames decoder = new Frames(MAX_LINE_BYTES, false, line -> Frames.NONE);
     private boolean hasSentBadInput;
 
     JsonRpcConnection(
@@ -32,7 +32,7 @@
         List<JsonRpcMessage> messages = new ArrayList<>(1);
         Optional<BadInputException> violation = Optional.empty();
         try {
-            frames.read(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.read(line)));
+            decoder.read(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.read(line)));
         } catch (BadInputException e) {
             if (messages.isEmpty()) {
                 throw e;
@@ -53,7 +53,7 @@
 
     @Override
     public boolean within() {
-        return frames.within();
+        return decoder.within();
     }
 
     boolean isOpen() {
--- a/src/main/java/ochretiller/processor/ProcessorConnection.java
+++ b/src/main/java/ochretiller/processor/ProcessorConnection.java
@@ -40,7 +40,7 @@
     private final Connection connection;
     private final InetSocketAddress address;
     private final ProcessorClient client;
-    private final Frames frames = new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
+    private final Frames decoder = new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
 
     /**
      * Creates the handler of an established connection. Called on the I/O thread.
@@ -109,7 +109,7 @@
     @Override
     public Runnable received(byte[] bytes, int from, int to) {
         List<Runnable> notices = new ArrayList<>();
-        frames.read(
+        decoder.read(
                 bytes,
                 from,
                 to,
--- a/src/main/java/ochretiller/records/RecordsConnection.java
+++ b/src/main/java/ochretiller/records/RecordsConnection.java
@@ -27,7 +27,7 @@
     private final long generation;
     private final RecordsClient client;
     private final Scheduler scheduler;
-    private final Frames frames = new Frames(MAX_BODY_BYTES, true, RecordsConnection::bodyLength);
+    private final Frames decoder = new Frames(MAX_BODY_BYTES, true, RecordsConnection::bodyLength);
     private Optional<PendingCall> call = Optional.empty();
 
     /**
@@ -101,7 +101,7 @@
     @Override
     public Runnable received(byte[] bytes, int from, int to) {
         List<Runnable> replies = new ArrayList<>();
-        frames.read(bytes, from, to, (line, body) -> replies.add(reply(line, body)));
+        decoder.read(bytes, from, to, (line, body) -> replies.add(reply(line, body)));
         return () -> replies.forEach(Runnable::run);
     }
 
