--- a/src/main/java/ochretiller/frontend/ClientConnection.java
+++ b/src/main/java/ochretiller/frontend/ClientConnection.java
@@ -17,7 +17,7 @@
     /** The underlying TCP connection. */
     protected final Connection connection;
 
-    private final ClientConnections clientConnections;
+    private final ClientConnections clients;
     private final Duration acceptedAt;
     private final Map<Long, RequestAttempt> openAttempts = new LinkedHashMap<>();
     private boolean hasSentValidMessage;
@@ -34,12 +34,12 @@
      * Creates a connection, which the caller must pass to {@link ClientConnections#accepted}.
      *
      * @param connection the underlying TCP connection
-     * @param clientConnections all client connections of the server
+     * @param clients all client connections of the server
      */
-    protected ClientConnection(Connection connection, ClientConnections clientConnections) {
+    protected ClientConnection(Connection connection, ClientConnections clients) {
         this.connection = connection;
-        this.clientConnections = clientConnections;
-        this.acceptedAt = clientConnections.now();
+        this.clients = clients;
+        this.acceptedAt = clients.now();
     }
 
     /**
@@ -86,7 +86,7 @@
     /** Records that the client has sent a valid request or health check. */
     public void shows() {
         hasSentValidMessage = true;
-        clientConnections.shows(this);
+        clients.shows(this);
     }
 
     /** Returns whether the client has ever sent a valid request or health check. */
@@ -145,20 +145,14 @@
      * unprocessed input, and no incomplete message that the client may still want answered. An
      * incomplete message does not count if the client has never sent a valid one.
      *
-     * @param longestWait the age from which no client waits for an incomplete message
+     * @param maxAge the age from which no client waits for an incomplete message
      */
-    boolean quiet(Duration longestWait) {
+    boolean quiet(Duration maxAge) {
         boolean isSending =
                 hasSentValidMessage
                         && connection
                                 .within()
-                                .filter(
-                                        since ->
-                                                clientConnections
-                                                                .now()
-                                                                .minus(since)
-                                                                .compareTo(longestWait)
-                                                        < 0)
+                                .filter(since -> clients.now().minus(since).compareTo(maxAge) < 0)
                                 .isPresent();
         return !isBusy() && connection.quiet() && !isSending;
     }
@@ -189,12 +183,12 @@
      * Drops a connection that is closing, or whose client was asked to send nothing more, unless
      * that would lose a request or a response.
      *
-     * @param longestWait the age from which no client waits for an incomplete message
+     * @param maxAge the age from which no client waits for an incomplete message
      * @return whether this call dropped the connection
      */
-    boolean hurry(Duration longestWait) {
+    boolean hurry(Duration maxAge) {
         boolean isLeaving = closingReason.isPresent() || !connection.open();
-        if (isDropped || !isLeaving || !quiet(longestWait) || !connection.sent()) {
+        if (isDropped || !isLeaving || !quiet(maxAge) || !connection.sent()) {
             return false;
         }
         isDropped = true;
@@ -207,7 +201,7 @@
     public boolean spoilt(CloseCode code) {
         hasViolatedProtocol = true;
         closingReason = Optional.of(code);
-        clientConnections.goes(this);
+        clients.goes(this);
         settle();
         return true;
     }
@@ -225,7 +219,7 @@
         finalCloseCode()
                 .ifPresent(
                         code -> {
-                            clientConnections.goes(this);
+                            clients.goes(this);
                             connection.close(code);
                         });
     }
@@ -246,11 +240,11 @@
 
     @Override
     public void closed() {
-        clientConnections.closed();
+        clients.closed();
     }
 
     @Override
     public void ended(CloseCode code) {
-        clientConnections.ended(this);
+        clients.ended(this);
     }
 }
--- a/src/main/java/ochretiller/frontend/ClientConnections.java
+++ b/src/main/java/ochretiller/frontend/ClientConnections.java
@@ -27,7 +27,7 @@
     private BiConsumer<RequestAttempt, AnswerKind> answerListener = (attempt, kind) -> {};
 
     /**
-     * Creates the server's client side, without connections.
+     * Creates an instance without connections.
      *
      * @param scheduler the event loop
      * @param limit the maximum number of open connections, over all frontends
