--- a/src/main/java/ochretiller/processor/ProcessorConnection.java
+++ b/src/main/java/ochretiller/processor/ProcessorConnection.java
@@ -40,7 +40,8 @@
     private final Connection connection;
     private final InetSocketAddress address;
     private final ProcessorClient client;
-    private final Frames decoder = new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
+    private final Frames decoder =
+            new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
 
     /**
      * Creates the handler of an established connection. Called on the I/O thread.
