--- a/src/main/java/ochretiller/pools/PoolSettings.java
+++ b/src/main/java/ochretiller/pools/PoolSettings.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * The settings of a pool.
+ * The settings of a worker pool.
  *
- * @param mostInFlight requests that one worker may have in flight
- * @param failuresInRow consecutive failures that eject a worker
- * @param badShare ratio of failures among the recent requests, 0 to 1, that ejects a worker, too
- * @param leftOut how long a worker is ejected at first; doubled each time that its probes fail
- * @param mostLeftOut how long a worker is ejected at most
- * @param probes requests that an ejected worker may have in flight as probes, and how many must
- *     succeed to readmit it
- * @param slowStart how long a new or readmitted worker takes to reach its full limit; zero for none
- * @param retryShare retries allowed for each original request
- * @param retryBurst retries that may be saved up
+ * @param mostInFlight maximum requests in flight of one worker
+ * @param failuresInRow consecutive failures after which a worker is ejected
+ * @param badShare ratio of failures among recent requests, 0 to 1, that also ejects a worker
+ * @param leftOut duration of the first ejection; doubled each time that a probe fails
+ * @param mostLeftOut maximum duration of an ejection
+ * @param probes maximum probes in flight of a worker whose ejection has ended, and the number that
+ *     must succeed to readmit it
+ * @param slowStart time in which a new or readmitted worker reaches its full limit; zero for none
+ * @param retryShare retries allowed per original request
+ * @param retryBurst maximum unused retries that accumulate
  */
 public record PoolSettings(
         int mostInFlight,
--- a/src/main/java/ochretiller/pools/RequestOutcome.java
+++ b/src/main/java/ochretiller/pools/RequestOutcome.java
@@ -1,12 +1,12 @@
 package ochretiller.pools;
 
-/** How a request to a worker ended, as far as the choice of workers depends on it. */
+/** How a request to a worker ended, as far as it matters for choosing workers. */
 public enum RequestOutcome {
-    /** The worker answered, whatever the answer says about the request. */
+    /** The worker answered, with or without success of the request itself. */
     ANSWERED("ANSWERED"),
     /** The worker reported a failure, or its answer was malformed: the request may have run. */
     FAILED("FAILED"),
-    /** No answer came in time: the request may have run. */
+    /** No answer arrived in time: the request may have run. */
     SILENT("SILENT"),
     /** The request was cancelled before its deadline: it may have run. */
     GIVEN_UP("GIVEN_UP"),
@@ -19,17 +19,17 @@
         this.externalName = externalName;
     }
 
-    /** The word in log lines, which does not follow the name of the constant. */
+    /** Returns the name in log lines, which stays the same if the constant is renamed. */
     public String externalName() {
         return externalName;
     }
 
-    /** Whether another worker may get the request, which never ran. */
+    /** Returns whether another worker may get the request, because it never ran. */
     public boolean mayGoElsewhere() {
         return this == NEVER_BEGUN;
     }
 
-    /** Whether the worker counts as healthy by this. */
+    /** Returns whether this counts as a success of the worker. */
     boolean good() {
         return this == ANSWERED;
     }
--- a/src/main/java/ochretiller/pools/WorkerHealth.java
+++ b/src/main/java/ochretiller/pools/WorkerHealth.java
@@ -7,148 +7,153 @@
 import java.time.Duration;
 import ochretiller.time.SlidingWindow;
 
-/** What a pool knows of one worker: its state, its latency and its recent failures. */
+/** The health of one worker as a pool observes it: state, latency and recent failures. */
 final class WorkerHealth {
-    /** Whether the worker gets requests. */
+    /** Whether a worker gets requests. */
     enum State {
-        /** It gets requests. */
+        /** The worker gets requests. */
         IN,
-        /** It is ejected and gets nothing for a time. */
+        /** The worker is ejected and gets no requests until its ejection ends. */
         OUT,
-        /** It gets a few requests as probes. */
+        /** The worker gets a few requests as probes. */
         TRIED,
-        /** It was removed, and finishes what it has. */
+        /** The worker was removed and finishes its requests in flight. */
         DRAINED
     }
 
     /**
-     * Width of a bucket of the sliding windows. Two seconds in all are enough for a ratio, and
-     * short enough to forget a hiccup.
+     * Length of a bucket of the sliding windows. The whole window of two seconds is long enough for
+     * a failure ratio and short enough to drop a brief disturbance.
      */
     static final Duration BUCKET = Duration.ofMillis(250);
 
-    /** Buckets of the sliding windows. */
+    /** Number of buckets of the sliding windows. */
     static final int BUCKETS = 8;
 
-    /** Half-life of the measured latency of a worker that gets no requests. */
-    private static final Duration FORGETS = Duration.ofSeconds(2);
+    /** Half-life of the mean latency while a worker gets no requests. */
+    private static final Duration LATENCY_HALF_LIFE = Duration.ofSeconds(2);
 
-    /** Requests that a failure ratio needs to count. */
-    private static final int ENOUGH = 10;
+    /** Minimum requests in the window for the failure ratio to count. */
+    private static final int MIN_RATIO_SAMPLES = 10;
 
-    /** Part of the limit with which slow start begins, so that a new worker gets requests. */
-    private static final double LEAST_PART = 0.1;
+    /** Fraction of the limit at which slow start begins, so that a new worker gets requests. */
+    private static final double MIN_SLOW_START_FRACTION = 0.1;
 
-    /** Assumed latency of a worker without measurements, in seconds: low, so that it is tried. */
-    private static final double UNKNOWN = 0.001;
+    /** Assumed latency of a worker without measurements; low, so that it gets requests. */
+    private static final double MIN_LATENCY_SECONDS = 0.001;
 
     final WorkerId id;
     State state = State.IN;
     int inFlight;
 
-    /** Whether the fleet's membership shows it as unreachable; it is then used as a last resort. */
+    /** Whether the fleet's membership shows the worker as unreachable; it is then a last resort. */
     boolean away;
 
-    private Duration inSince;
-    private Duration outUntil = Duration.ZERO;
-    private Duration outFor;
-    private double lastMean = UNKNOWN;
-    private Duration lastAt = Duration.ZERO;
-    private int badInRow;
-    private int goodProbes;
-    private final SlidingWindow took = new SlidingWindow(BUCKET, BUCKETS);
-    private final SlidingWindow bad = new SlidingWindow(BUCKET, BUCKETS);
-
-    WorkerHealth(WorkerId id, Duration now, Duration outFor) {
+    private Duration activeSince;
+    private Duration ejectedUntil = Duration.ZERO;
+    private Duration ejectionDuration;
+    private double lastMeanSeconds = MIN_LATENCY_SECONDS;
+    private Duration lastSampleAt = Duration.ZERO;
+    private int consecutiveFailures;
+    private int successfulProbes;
+    private final SlidingWindow latencies = new SlidingWindow(BUCKET, BUCKETS);
+    private final SlidingWindow failures = new SlidingWindow(BUCKET, BUCKETS);
+
+    WorkerHealth(WorkerId id, Duration now, Duration ejectionDuration) {
         this.id = id;
-        this.inSince = now;
-        this.outFor = outFor;
+        this.activeSince = now;
+        this.ejectionDuration = ejectionDuration;
     }
 
-    /** Whether it may have one more request. */
+    /** Returns whether the worker may get one more request. */
     boolean takes(PoolSettings settings, Duration now) {
         return inFlight < most(settings, now);
     }
 
-    /** How many requests it may have in flight; readmits to probing where its time is over. */
+    /** Returns the limit of requests in flight; starts probing if the ejection has ended. */
     int most(PoolSettings settings, Duration now) {
-        if (state == State.OUT && now.compareTo(outUntil) >= 0) {
+        if (state == State.OUT && now.compareTo(ejectedUntil) >= 0) {
             state = State.TRIED;
-            goodProbes = 0;
+            successfulProbes = 0;
         }
         return switch (state) {
-            case IN -> Math.max(1, (int) (settings.mostInFlight() * part(settings, now)));
+            case IN ->
+                    Math.max(
+                            1, (int) (settings.mostInFlight() * slowStartFraction(settings, now)));
             case TRIED -> settings.probes();
             case OUT, DRAINED -> 0;
         };
     }
 
-    /** Its part of the full limit during slow start, 0 to 1. */
-    private double part(PoolSettings settings, Duration now) {
+    /** Returns the fraction of the full limit that slow start allows, 0 to 1. */
+    private double slowStartFraction(PoolSettings settings, Duration now) {
         if (settings.slowStart().isZero()) {
             return 1;
         }
-        double since = inSeconds(now.minus(inSince)) / inSeconds(settings.slowStart());
-        return Math.min(1, Math.max(LEAST_PART, since));
+        double fraction = inSeconds(now.minus(activeSince)) / inSeconds(settings.slowStart());
+        return Math.min(1, Math.max(MIN_SLOW_START_FRACTION, fraction));
     }
 
-    /** Expected time until one more request is answered, in seconds; less is better. */
+    /** Returns the expected seconds until one more request is answered; lower is better. */
     double cost(PoolSettings settings, Duration now) {
         return (inFlight + 1)
-                * Math.max(UNKNOWN, took.mean(now, decayedMean(now)))
-                / part(settings, now);
+                * Math.max(MIN_LATENCY_SECONDS, latencies.mean(now, decayedMeanSeconds(now)))
+                / slowStartFraction(settings, now);
     }
 
     /**
-     * The last mean, which decays while there are no measurements, so that a slow worker is tried
-     * again by a few requests and not by a burst.
+     * Returns the last mean latency, which decays while there are no samples, so that a slow worker
+     * is tried again with a few requests and not with a burst.
      */
-    private double decayedMean(Duration now) {
-        return lastMean * Math.pow(0.5, inSeconds(now.minus(lastAt)) / inSeconds(FORGETS));
+    private double decayedMeanSeconds(Duration now) {
+        return lastMeanSeconds
+                * Math.pow(
+                        0.5, inSeconds(now.minus(lastSampleAt)) / inSeconds(LATENCY_HALF_LIFE));
     }
 
-    /** A request is over; may change the state. */
-    void ended(RequestOutcome end, Duration span, PoolSettings settings, Duration now) {
+    /** Records the end of a request, which may change the state. */
+    void ended(RequestOutcome outcome, Duration elapsed, PoolSettings settings, Duration now) {
         inFlight--;
-        if (end == RequestOutcome.GIVEN_UP) {
-            return; // says nothing about the worker; a cancelled probe makes room for the next
+        if (outcome == RequestOutcome.GIVEN_UP) {
+            return; // no evidence about the worker; a cancelled probe only frees its slot
         }
-        // A quick failure must not make the worker look fast.
-        if (end.good() || end == RequestOutcome.SILENT) {
-            took.add(now, inSeconds(span), 1);
-            lastMean = took.mean(now, UNKNOWN);
-            lastAt = now;
+        // Failures other than timeouts are not counted: quick ones would make the worker look fast.
+        if (outcome.good() || outcome == RequestOutcome.SILENT) {
+            latencies.add(now, inSeconds(elapsed), 1);
+            lastMeanSeconds = latencies.mean(now, MIN_LATENCY_SECONDS);
+            lastSampleAt = now;
         }
-        bad.add(now, end.good() ? 0 : 1, 1);
-        badInRow = end.good() ? 0 : badInRow + 1;
+        failures.add(now, outcome.good() ? 0 : 1, 1);
+        consecutiveFailures = outcome.good() ? 0 : consecutiveFailures + 1;
         if (state == State.TRIED) {
-            onProbeEnded(end, settings, now);
+            onProbeEnded(outcome, settings, now);
         } else if (state == State.IN && isFailing(settings, now)) {
             eject(now);
         }
     }
 
     private boolean isFailing(PoolSettings settings, Duration now) {
-        return badInRow >= settings.failuresInRow()
-                || bad.weight(now) >= ENOUGH && bad.mean(now, 0) >= settings.badShare();
+        return consecutiveFailures >= settings.failuresInRow()
+                || failures.weight(now) >= MIN_RATIO_SAMPLES
+                        && failures.mean(now, 0) >= settings.badShare();
     }
 
-    private void onProbeEnded(RequestOutcome end, PoolSettings settings, Duration now) {
-        if (!end.good()) {
-            outFor = min(outFor.multipliedBy(2), settings.mostLeftOut());
+    private void onProbeEnded(RequestOutcome outcome, PoolSettings settings, Duration now) {
+        if (!outcome.good()) {
+            ejectionDuration = min(ejectionDuration.multipliedBy(2), settings.mostLeftOut());
             eject(now);
-        } else if (++goodProbes >= settings.probes()) {
+        } else if (++successfulProbes >= settings.probes()) {
             state = State.IN;
-            inSince = now;
-            badInRow = 0;
-            bad.clear();
-            // Not reset at once: a worker that is soon ejected again stays out longer.
-            outFor = max(settings.leftOut(), outFor.dividedBy(2));
+            activeSince = now;
+            consecutiveFailures = 0;
+            failures.clear();
+            // Halved, not reset: a worker that is soon ejected again stays ejected for longer.
+            ejectionDuration = max(settings.leftOut(), ejectionDuration.dividedBy(2));
         }
     }
 
     private void eject(Duration now) {
         state = State.OUT;
-        outUntil = now.plus(outFor);
+        ejectedUntil = now.plus(ejectionDuration);
     }
 }
--- a/src/main/java/ochretiller/pools/WorkerId.java
+++ b/src/main/java/ochretiller/pools/WorkerId.java
@@ -3,7 +3,7 @@
 /**
  * Identifies a worker of a pool.
  *
- * @param name its address and port
+ * @param name the address and port, separated by a colon
  */
 public record WorkerId(String name) {
     @Override
--- a/src/main/java/ochretiller/pools/WorkerSelector.java
+++ b/src/main/java/ochretiller/pools/WorkerSelector.java
@@ -12,64 +12,67 @@
 import ochretiller.time.SlidingWindow;
 
 /**
- * Chooses workers by the power of two random choices (Mitzenmacher 2001): of two workers that are
- * drawn at random, the one with the lower expected delay gets the request. That is nearly as good
- * as the best of all, and servers that know the same do not all choose the same worker.
+ * Chooses workers by the power of two random choices (Mitzenmacher 2001): of two random workers,
+ * the one with the lower expected delay gets the request. That is nearly as good as the best of all
+ * workers, and servers with the same view do not all choose the same one.
  */
 public final class WorkerSelector {
-    /** Most workers of one pool. */
-    private static final int MOST = 1_000;
+    /** Maximum workers of one pool. */
+    private static final int MAX_WORKERS = 1_000;
 
-    /** How many usual latencies a cancelled request must have taken to count as a timeout. */
-    private static final double FAR = 4;
+    /** A cancelled request that took this many times the mean latency counts as a timeout. */
+    private static final double TIMEOUT_LATENCY_FACTOR = 4;
 
-    /** The usual latency where nothing was answered recently, in seconds. */
-    private static final double UNKNOWN = 0.25;
+    /** The mean latency to assume if no request was answered recently. */
+    private static final double DEFAULT_LATENCY_SECONDS = 0.25;
 
     private PoolSettings settings;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Map<WorkerId, WorkerHealth> workers = new LinkedHashMap<>();
-    private double retries;
+    private double availableRetries;
 
     /** Recent latencies of all workers, in seconds. */
-    private final SlidingWindow usual =
+    private final SlidingWindow latencies =
             new SlidingWindow(WorkerHealth.BUCKET, WorkerHealth.BUCKETS);
 
     /**
-     * A pool without workers.
+     * Creates a selector without workers.
      *
-     * @param chance random numbers for the choice
+     * @param random random numbers for the choice
      */
-    public WorkerSelector(PoolSettings settings, SplittableRandom chance) {
+    public WorkerSelector(PoolSettings settings, SplittableRandom random) {
         this.settings = settings;
-        this.chance = chance;
-        this.retries = settings.retryBurst();
+        this.random = random;
+        this.availableRetries = settings.retryBurst();
     }
 
-    /** Adds a worker with slow start, or takes back one that is drained. */
+    /** Adds a worker with slow start, or takes back one that is draining. */
     public void add(WorkerId id, Duration now) {
         add(id, now, true);
     }
 
-    private void add(WorkerId id, Duration now, boolean fresh) {
-        WorkerHealth known = workers.get(id);
-        if (known != null && known.state != WorkerHealth.State.DRAINED) {
+    private void add(WorkerId id, Duration now, boolean hasSlowStart) {
+        WorkerHealth existing = workers.get(id);
+        if (existing != null && existing.state != WorkerHealth.State.DRAINED) {
             return;
         }
-        if (known == null && workers.size() >= MOST) {
-            throw new IllegalStateException("over " + MOST + " workers in a pool");
+        if (existing == null && workers.size() >= MAX_WORKERS) {
+            throw new IllegalStateException(
+                    "a pool cannot have more than " + MAX_WORKERS + " workers");
         }
         WorkerHealth worker =
                 new WorkerHealth(
-                        id, fresh ? now : now.minus(settings.slowStart()), settings.leftOut());
-        if (known != null) {
-            worker.inFlight = known.inFlight;
-            worker.away = known.away;
+                        id,
+                        hasSlowStart ? now : now.minus(settings.slowStart()),
+                        settings.leftOut());
+        if (existing != null) {
+            worker.inFlight = existing.inFlight;
+            worker.away = existing.away;
         }
         workers.put(id, worker);
     }
 
-    /** Removes a worker once its requests in flight are over; it gets no new ones. */
+    /** Stops sending requests to a worker and removes it once none are in flight. */
     public void drain(WorkerId id) {
         WorkerHealth worker = workers.get(id);
         if (worker == null) {
@@ -82,148 +85,152 @@
     }
 
     /**
-     * Notes what the fleet's membership shows of a worker; one that is unreachable gets requests
-     * only where no other worker can.
+     * Records whether the fleet's membership shows a worker as reachable. An unreachable one gets
+     * requests only if no other worker can take them.
      */
-    public void seen(WorkerId id, boolean there) {
+    public void seen(WorkerId id, boolean isReachable) {
         WorkerHealth worker = workers.get(id);
         if (worker != null) {
-            worker.away = !there;
+            worker.away = !isReachable;
         }
     }
 
     /** Changes the settings; requests in flight are not affected. */
     public void become(PoolSettings next) {
         settings = next;
-        retries = Math.min(retries, next.retryBurst());
+        availableRetries = Math.min(availableRetries, next.retryBurst());
     }
 
-    /** Adds and drains workers so that these are left. */
+    /** Adds and drains workers so that exactly the given ones stay. */
     public void become(List<WorkerId> ids, Duration now) {
         for (WorkerId id : List.copyOf(workers.keySet())) {
             if (!ids.contains(id)) {
                 drain(id);
             }
         }
-        // At the start all workers are assumed to be warm: slow start is for later ones.
-        boolean first = workers.isEmpty();
+        // The initial workers are assumed to be warm: only those added later have slow start.
+        boolean isInitial = workers.isEmpty();
         for (WorkerId id : ids) {
-            add(id, now, !first);
+            add(id, now, !isInitial);
         }
     }
 
     /**
      * Chooses the worker for an original request, which counts as in flight until {@link #ended}.
      *
-     * @return the worker, or empty where all are full, ejected or drained
+     * @return the worker, or empty if all are full, ejected or draining
      */
     public Optional<WorkerId> choose(Duration now) {
-        retries = Math.min(settings.retryBurst(), retries + settings.retryShare());
+        availableRetries =
+                Math.min(settings.retryBurst(), availableRetries + settings.retryShare());
         return pick(now, null);
     }
 
     /**
-     * Chooses another worker for a request that never ran on the one before.
+     * Chooses another worker for a request that never ran on the previous one.
      *
-     * @return the worker, or empty where there is none or the retry budget is spent: in a total
-     *     failure retries would double the load on the workers that recover
+     * @return the worker, or empty if there is none or the retry budget is spent: in a total
+     *     failure retries would double the load on workers that recover
      */
-    public Optional<WorkerId> chooseAgain(WorkerId before, RequestOutcome end, Duration now) {
-        if (!end.mayGoElsewhere() || retries < 1) {
+    public Optional<WorkerId> chooseAgain(WorkerId previous, RequestOutcome outcome, Duration now) {
+        if (!outcome.mayGoElsewhere() || availableRetries < 1) {
             return Optional.empty();
         }
-        Optional<WorkerId> other = pick(now, before);
+        Optional<WorkerId> other = pick(now, previous);
         if (other.isPresent()) {
-            retries--;
+            availableRetries--;
         }
         return other;
     }
 
-    private Optional<WorkerId> pick(Duration now, WorkerId not) {
-        List<WorkerHealth> open = new ArrayList<>();
+    private Optional<WorkerId> pick(Duration now, WorkerId excluded) {
+        List<WorkerHealth> candidates = new ArrayList<>();
         for (WorkerHealth worker : workers.values()) {
-            if (!worker.id.equals(not) && worker.takes(settings, now)) {
-                open.add(worker);
+            if (!worker.id.equals(excluded) && worker.takes(settings, now)) {
+                candidates.add(worker);
             }
         }
-        // Where membership shows no worker as reachable, this server may be cut off from the fleet
-        // only: then it is ignored.
-        if (open.stream().anyMatch(worker -> !worker.away)) {
-            open.removeIf(worker -> worker.away);
+        // If membership shows no worker as reachable, this server may only be partitioned from the
+        // fleet, so the membership is ignored.
+        if (candidates.stream().anyMatch(worker -> !worker.away)) {
+            candidates.removeIf(worker -> worker.away);
         }
-        if (open.isEmpty()) {
+        if (candidates.isEmpty()) {
             return Optional.empty();
         }
         WorkerHealth chosen =
-                open.stream()
+                candidates.stream()
                         .filter(worker -> worker.state == WorkerHealth.State.TRIED)
-                        .findFirst() // or it would never be readmitted beside faster workers
-                        .orElseGet(() -> betterOfTwo(open, now));
+                        .findFirst() // first, or faster workers would keep it from being readmitted
+                        .orElseGet(() -> betterOfTwo(candidates, now));
         chosen.inFlight++;
         return Optional.of(chosen.id);
     }
 
-    private WorkerHealth betterOfTwo(List<WorkerHealth> open, Duration now) {
-        int first = chance.nextInt(open.size());
-        if (open.size() == 1) {
-            return open.get(first);
+    private WorkerHealth betterOfTwo(List<WorkerHealth> candidates, Duration now) {
+        int firstIndex = random.nextInt(candidates.size());
+        if (candidates.size() == 1) {
+            return candidates.get(firstIndex);
         }
-        // Two different workers: one that is drawn twice would be chosen however slow it is.
-        int second = (first + 1 + chance.nextInt(open.size() - 1)) % open.size();
-        WorkerHealth one = open.get(first);
-        WorkerHealth other = open.get(second);
-        return one.cost(settings, now) <= other.cost(settings, now) ? one : other;
+        // Two different workers: a slow one that is drawn twice would be chosen.
+        int secondIndex =
+                (firstIndex + 1 + random.nextInt(candidates.size() - 1)) % candidates.size();
+        WorkerHealth first = candidates.get(firstIndex);
+        WorkerHealth second = candidates.get(secondIndex);
+        return first.cost(settings, now) <= second.cost(settings, now) ? first : second;
     }
 
-    /** A request is over; called once for each, also where a late answer follows. */
-    public void ended(WorkerId id, RequestOutcome end, Duration took, Duration now) {
+    /** Records the end of a request; called once for each, even if a late answer follows. */
+    public void ended(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
         WorkerHealth worker = workers.get(id);
         if (worker == null) {
             return;
         }
-        if (end == RequestOutcome.ANSWERED) {
-            usual.add(now, inSeconds(took), 1);
-        }
-        // A request that was cancelled after far longer than usual counts as timed out; one that
-        // was
-        // cancelled sooner says nothing about the worker.
-        boolean silent =
-                end == RequestOutcome.GIVEN_UP && inSeconds(took) > FAR * usual.mean(now, UNKNOWN);
-        worker.ended(silent ? RequestOutcome.SILENT : end, took, settings, now);
+        if (outcome == RequestOutcome.ANSWERED) {
+            latencies.add(now, inSeconds(elapsed), 1);
+        }
+        // A request that was cancelled after a multiple of the mean latency counts as timed out; an
+        // earlier cancellation is no evidence about the worker.
+        boolean isTimeout =
+                outcome == RequestOutcome.GIVEN_UP
+                        && inSeconds(elapsed)
+                                > TIMEOUT_LATENCY_FACTOR
+                                        * latencies.mean(now, DEFAULT_LATENCY_SECONDS);
+        worker.ended(isTimeout ? RequestOutcome.SILENT : outcome, elapsed, settings, now);
         if (worker.state == WorkerHealth.State.DRAINED && worker.inFlight == 0) {
             workers.remove(id);
         }
     }
 
-    /** How many requests all workers together may have in flight now. */
+    /** Returns how many requests all workers together may have in flight now. */
     public int places(Duration now) {
-        int places = 0;
+        int total = 0;
         for (WorkerHealth worker : workers.values()) {
-            places += worker.most(settings, now);
+            total += worker.most(settings, now);
         }
-        return places;
+        return total;
     }
 
-    /** How many more requests the workers would take now. */
+    /** Returns how many more requests the workers can take now. */
     public int free(Duration now) {
-        int free = 0;
+        int total = 0;
         for (WorkerHealth worker : workers.values()) {
-            free += Math.max(0, worker.most(settings, now) - worker.inFlight);
+            total += Math.max(0, worker.most(settings, now) - worker.inFlight);
         }
-        return free;
+        return total;
     }
 
-    /** How many requests a worker has in flight; 0 where it is unknown. */
+    /** Returns how many requests a worker has in flight; 0 if the worker is unknown. */
     public int inFlight(WorkerId id) {
         return workers.containsKey(id) ? workers.get(id).inFlight : 0;
     }
 
-    /** Whether a worker is known and neither ejected, probing nor drained. */
+    /** Returns whether a worker is known and neither ejected, probing nor draining. */
     public boolean in(WorkerId id) {
         return workers.containsKey(id) && workers.get(id).state == WorkerHealth.State.IN;
     }
 
-    /** How many workers there are, with those that are drained. */
+    /** Returns the number of workers, including draining ones. */
     public int size() {
         return workers.size();
     }
--- a/src/main/java/ochretiller/uwsgi/Route.java
+++ b/src/main/java/ochretiller/uwsgi/Route.java
@@ -7,44 +7,43 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Maps requests to an operation. Of several routes that match a request, the first counts.
+ * Maps requests to an operation. If several routes match a request, the first one applies.
  *
  * @param method the HTTP method
- * @param path the pattern of the path
+ * @param path the pattern that the request path must match
  * @param operation the operation to run
  * @param kb memory to reserve for an attempt, in KB
  */
 public record Route(String method, PathPattern path, Operation operation, double kb) {
     /**
-     * Checks a list of routes.
+     * Checks the routes of one frontend against each other.
      *
-     * @return warnings on routes that overlap an earlier one, a line each
-     * @throws MalformedException where a route can never be reached
+     * @return one warning for each pair of overlapping routes
+     * @throws MalformedException if a route is never reached because an earlier one covers it
      */
     public static List<String> check(List<Route> routes) {
         List<String> warnings = new ArrayList<>();
-        for (int later = 0; later < routes.size(); later++) {
-            for (int first = 0; first < later; first++) {
-                if (routes.get(first).method.equals(routes.get(later).method)) {
-                    checkPair(routes, first, later, warnings);
+        for (int index = 0; index < routes.size(); index++) {
+            for (int earlierIndex = 0; earlierIndex < index; earlierIndex++) {
+                if (routes.get(earlierIndex).method.equals(routes.get(index).method)) {
+                    checkPair(routes, earlierIndex, index, warnings);
                 }
             }
         }
         return warnings;
     }
 
-    private static void checkPair(List<Route> routes, int first, int later, List<String> warnings) {
-        Route hiding = routes.get(first);
-        Route hidden = routes.get(later);
-        String hiddenName =
-                "route " + (later + 1) + " (" + hidden.method + " " + hidden.path.text() + ")";
-        String hidingName = "route " + (first + 1) + " (" + hiding.path.text() + ")";
-        if (hiding.path.covers(hidden.path)) {
-            throw new MalformedException(
-                    hiddenName + " is never reached: " + hidingName + " covers it");
+    private static void checkPair(
+            List<Route> routes, int earlierIndex, int index, List<String> warnings) {
+        Route earlier = routes.get(earlierIndex);
+        Route route = routes.get(index);
+        String name = "route " + (index + 1) + " (" + route.method + " " + route.path.text() + ")";
+        String earlierName = "route " + (earlierIndex + 1) + " (" + earlier.path.text() + ")";
+        if (earlier.path.covers(route.path)) {
+            throw new MalformedException(name + " is never reached: " + earlierName + " covers it");
         }
-        if (hiding.path.overlaps(hidden.path)) {
-            warnings.add(hiddenName + " overlaps " + hidingName + ", which comes first");
+        if (earlier.path.overlaps(route.path)) {
+            warnings.add(name + " overlaps " + earlierName + ", which comes first");
         }
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
@@ -16,36 +16,36 @@
 import ochretiller.net.Connection;
 
 /**
- * One connection of a web server. By the protocol it carries one request; further ones on the same
- * connection are answered in order, since an answer does not name its request.
+ * One connection from a web server. The protocol sends one request per connection; if more arrive,
+ * they are answered in order, because a response does not identify its request.
  */
 final class UwsgiConnection extends ClientConnection {
-    /** Requests that may wait for the answer of an earlier one. */
-    private static final int MOST_WAITING = 32;
+    /** Requests that may wait while an earlier one is served; a peer that sends more is dropped. */
+    private static final int MAX_WAITING_REQUESTS = 32;
 
-    private final UwsgiFrontend front;
+    private final UwsgiFrontend frontend;
     private final UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(UwsgiFrontend.LONGEST_BODY);
-    private final Queue<Input> waiting = new ArrayDeque<>();
+    private final Queue<Input> waitingInputs = new ArrayDeque<>();
 
-    /** Whether the input was malformed, so that nothing more is decoded. I/O thread only. */
-    private boolean lost;
+    /** Whether malformed input was received, after which decoding stops. I/O thread only. */
+    private boolean isInputMalformed;
 
-    private long numbers;
-    private boolean answered;
+    private long lastRequestNumber;
+    private boolean hasAnswered;
 
-    /** What was decoded: a request, or what was malformed in its place. */
+    /** The result of decoding: a request, or the violation that was found instead. */
     private sealed interface Input {
         record Valid(UwsgiRequest request) implements Input {}
 
         record Malformed(UwsgiException fault) implements Input {}
     }
 
-    UwsgiConnection(Connection connection, ClientConnections callers, UwsgiFrontend front) {
-        super(connection, callers);
-        this.front = front;
+    UwsgiConnection(Connection connection, ClientConnections connections, UwsgiFrontend frontend) {
+        super(connection, connections);
+        this.frontend = frontend;
     }
 
-    /** The peer's address without its port. */
+    /** Returns the peer's address without its port. */
     String name() {
         String address = connection.peer();
         int colon = address.lastIndexOf(':');
@@ -54,17 +54,17 @@
 
     @Override
     public Runnable received(byte[] bytes, int from, int to) {
-        if (lost) {
+        if (isInputMalformed) {
             return null;
         }
-        List<Input> items = new ArrayList<>(1);
+        List<Input> inputs = new ArrayList<>(1);
         try {
-            decoder.read(bytes, from, to, request -> items.add(new Input.Valid(request)));
+            decoder.read(bytes, from, to, request -> inputs.add(new Input.Valid(request)));
         } catch (UwsgiException e) {
-            lost = true;
-            items.add(new Input.Malformed(e));
+            isInputMalformed = true;
+            inputs.add(new Input.Malformed(e));
         }
-        return items.isEmpty() ? null : () -> enqueue(items);
+        return inputs.isEmpty() ? null : () -> enqueue(inputs);
     }
 
     @Override
@@ -72,48 +72,48 @@
         return decoder.within();
     }
 
-    private void enqueue(List<Input> items) {
+    private void enqueue(List<Input> inputs) {
         if (!connection.open()) {
             return;
         }
-        waiting.addAll(items);
-        if (waiting.size() > MOST_WAITING) {
+        waitingInputs.addAll(inputs);
+        if (waitingInputs.size() > MAX_WAITING_REQUESTS) {
             connection.drop(CloseCode.FLOOD);
         } else {
-            next();
+            serveWaiting();
         }
     }
 
-    /** Serves waiting requests until one has to be awaited. */
-    private void next() {
-        while (connection.open() && open().isEmpty() && !waiting.isEmpty()) {
-            Input input = waiting.poll();
+    /** Serves waiting requests in order, up to the first that is not answered at once. */
+    private void serveWaiting() {
+        while (connection.open() && open().isEmpty() && !waitingInputs.isEmpty()) {
+            Input input = waitingInputs.poll();
             if (input instanceof Input.Malformed malformed) {
-                fault(malformed.fault());
+                closeMalformed(malformed.fault());
                 return;
             }
-            serve(((Input.Valid) input).request());
+            serveRequest(((Input.Valid) input).request());
         }
     }
 
-    private void serve(UwsgiRequest request) {
+    private void serveRequest(UwsgiRequest request) {
         if (request.ping()) {
-            ping();
+            answerPing();
             return;
         }
         try {
-            front.invoke(this, request, ++numbers);
+            frontend.invoke(this, request, ++lastRequestNumber);
         } catch (UwsgiException e) {
-            // The request was complete, so the ones behind it can still be decoded.
-            front.bad(connection.peer(), e);
+            // The request was complete, so the requests after it can still be decoded.
+            frontend.bad(connection.peer(), e);
             writeText(e.status, e.getMessage());
             settle();
         }
     }
 
-    /** Malformed input ends the connection, with an answer where that is possible. */
-    private void fault(UwsgiException fault) {
-        front.bad(connection.peer(), fault);
+    /** Answers malformed input if its status allows that, and closes the connection. */
+    private void closeMalformed(UwsgiException fault) {
+        frontend.bad(connection.peer(), fault);
         if (fault.status == 0) {
             connection.drop(CloseCode.BAD_INPUT);
             return;
@@ -122,31 +122,31 @@
         connection.close(CloseCode.BAD_INPUT);
     }
 
-    /** An unhealthy server closes the connection without an answer, as if it were down. */
-    private void ping() {
-        if (!front.healthy()) {
+    /** Answers a ping; an unhealthy server drops the connection instead, as if it were down. */
+    private void answerPing() {
+        if (!frontend.healthy()) {
             connection.drop(CloseCode.ANSWERED);
             return;
         }
         shows();
-        answered = true;
+        hasAnswered = true;
         connection.write(UwsgiResponse.pong());
         settle();
     }
 
-    private static byte[] text(String message) {
+    private static byte[] encodeText(String message) {
         return (message + "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private void writeText(int status, String message) {
-        write(new UwsgiResponse(status, Map.of("Content-Type", "text/plain"), text(message)));
+        write(new UwsgiResponse(status, Map.of("Content-Type", "text/plain"), encodeText(message)));
     }
 
     private void write(UwsgiResponse answer) {
-        answered = true;
+        hasAnswered = true;
         connection.write(answer.encode());
-        if (!waiting.isEmpty()) {
-            front.later(this::next);
+        if (!waitingInputs.isEmpty()) {
+            frontend.later(this::serveWaiting);
         }
     }
 
@@ -165,14 +165,14 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "text/plain");
         if (!retryIn.isZero()) {
-            // HTTP has whole seconds, RFC 9110, section 10.2.3.
+            // Retry-After is in whole seconds (RFC 9110, section 10.2.3).
             headers.put("Retry-After", "" + Math.max(1, (retryIn.toMillis() + 999) / 1000));
             headers.put("X-Backoff-Ms", "" + Math.max(1, retryIn.toMillis()));
         }
         if (last) {
             headers.put("X-Final", "1");
         }
-        write(new UwsgiResponse(503, headers, text("throttled")));
+        write(new UwsgiResponse(503, headers, encodeText("throttled")));
     }
 
     @Override
@@ -189,11 +189,11 @@
 
     @Override
     protected boolean waits() {
-        return !waiting.isEmpty();
+        return !waitingInputs.isEmpty();
     }
 
     @Override
     protected boolean done() {
-        return answered;
+        return hasAnswered;
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiException.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiException.java
@@ -1,13 +1,16 @@
 package ochretiller.uwsgi;
 
-/** A peer violated the uwsgi protocol, or sent a request that cannot be served. */
+/** Thrown if a peer violates the uwsgi protocol or sends a request that cannot be served. */
 public final class UwsgiException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The HTTP status to answer; 0 where no answer is possible and the connection ends. */
+    /** The HTTP status of the answer, or 0 if the connection is closed without one. */
     public final int status;
 
-    /** Made without a stack trace: peers can cause these at will, and the trace costs most. */
+    /**
+     * Creates an exception without a stack trace: peers can cause any number of them, and the trace
+     * is most of their cost.
+     */
     UwsgiException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
@@ -20,126 +20,126 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The uwsgi frontend: turns requests of web servers into attempts of the operations that their
- * routes name. Belongs to the event loop, except for {@link #accepted}.
+ * The uwsgi frontend: turns requests from web servers into attempts of the operations that the
+ * routes select. Confined to the event loop thread, except for {@link #accepted}.
  */
 public final class UwsgiFrontend {
     private static final Logger LOG = Logger.getLogger(UwsgiFrontend.class.getName());
 
-    /** Bytes of the longest body, as for the JSON-RPC frontend: both feed one processor. */
+    /** Maximum size of a request body, as on the JSON-RPC frontend: both feed one processor. */
     static final int LONGEST_BODY = 2 * 1024;
 
-    private static final int LONGEST_KEY = 255;
+    private static final int MAX_KEY_CHARS = 255;
 
     /** Hex digits of an idempotency key on the JSON-RPC frontend. */
-    private static final int TOKEN = 32;
+    private static final int TOKEN_HEX_DIGITS = 32;
 
-    private final ClientConnections callers;
-    private final Scheduler schedule;
+    private final ClientConnections connections;
+    private final Scheduler scheduler;
     private final List<Route> routes;
-    private final String callerVar;
-    private final String timeVar;
-    private final LongFunction<Duration> sinceStart;
-    private final BooleanSupplier healthy;
-    private final SplittableRandom chance;
+    private final String clientVariable;
+    private final String timestampVariable;
+    private final LongFunction<Duration> toServerTime;
+    private final BooleanSupplier healthCheck;
+    private final SplittableRandom random;
 
     /**
-     * A frontend that serves each connection passed to {@link #accepted}.
+     * Creates a frontend that serves each connection passed to {@link #accepted}.
      *
-     * @param callers the server's connections of clients
-     * @param schedule the event loop
-     * @param routes the operations that requests lead to
-     * @param callerVar the variable that identifies the client
-     * @param timeVar the variable with the time at which a request reached the machine, in Unix
-     *     milliseconds; requests may lack it
-     * @param sinceStart converts Unix milliseconds to the time since the server's start
-     * @param healthy whether pings are answered
-     * @param chance random numbers for request ids
+     * @param connections the server's client connections
+     * @param scheduler the event loop
+     * @param routes select the operation of a request; the first match applies
+     * @param clientVariable the request variable that identifies the client
+     * @param timestampVariable the optional request variable with the time at which the request
+     *     reached the machine, in Unix milliseconds
+     * @param toServerTime converts Unix milliseconds to the time since the server's start
+     * @param healthCheck whether pings are answered
+     * @param random generates request ids
      */
     public UwsgiFrontend(
-            ClientConnections callers,
-            Scheduler schedule,
+            ClientConnections connections,
+            Scheduler scheduler,
             List<Route> routes,
-            String callerVar,
-            String timeVar,
-            LongFunction<Duration> sinceStart,
-            BooleanSupplier healthy,
-            SplittableRandom chance) {
-        this.callers = callers;
-        this.schedule = schedule;
+            String clientVariable,
+            String timestampVariable,
+            LongFunction<Duration> toServerTime,
+            BooleanSupplier healthCheck,
+            SplittableRandom random) {
+        this.connections = connections;
+        this.scheduler = scheduler;
         this.routes = routes;
-        this.callerVar = callerVar;
-        this.timeVar = timeVar;
-        this.sinceStart = sinceStart;
-        this.healthy = healthy;
-        this.chance = chance;
+        this.clientVariable = clientVariable;
+        this.timestampVariable = timestampVariable;
+        this.toServerTime = toServerTime;
+        this.healthCheck = healthCheck;
+        this.random = random;
     }
 
     /**
-     * Takes a connection that was accepted. Called on the I/O thread.
+     * Registers an accepted connection. Called on the I/O thread.
      *
      * @return the handler of the connection
      */
     public ConnectionHandler accepted(Connection connection) {
-        return callers.accepted(new UwsgiConnection(connection, callers, this));
+        return connections.accepted(new UwsgiConnection(connection, connections, this));
     }
 
-    /** Runs work in the next round of the event loop. */
-    void later(Runnable work) {
-        schedule.post(work);
+    /** Runs a task in the next iteration of the event loop. */
+    void later(Runnable task) {
+        scheduler.post(task);
     }
 
     boolean healthy() {
-        return healthy.getAsBoolean();
+        return healthCheck.getAsBoolean();
     }
 
-    /** Logs bad input of a peer. */
+    /** Logs a request or packet that is rejected. */
     void bad(String peer, UwsgiException fault) {
-        LOG.info(() -> "bad input from uwsgi " + peer + ": " + fault.getMessage());
+        LOG.info(() -> "bad input from uwsgi client " + peer + ": " + fault.getMessage());
     }
 
     /**
-     * Turns a request into an attempt.
+     * Turns a request into an attempt and passes it on.
      *
      * @param number the number of the request on its connection
-     * @throws UwsgiException with the HTTP status of the answer, where the request is wrong
+     * @throws UwsgiException with the HTTP status of the answer, if the request is invalid
      */
     void invoke(UwsgiConnection peer, UwsgiRequest request, long number) {
         Map<String, String> vars = request.vars();
         String method = vars.getOrDefault("REQUEST_METHOD", "");
-        Route route = route(method, path(vars));
+        Route route = findRoute(method, requestPath(vars));
         if (route == null) {
             throw new UwsgiException(404, "no such route");
         }
-        String caller = vars.getOrDefault(callerVar, peer.name());
+        String client = vars.getOrDefault(clientVariable, peer.name());
         String key = vars.get("HTTP_IDEMPOTENCY_KEY");
         if (route.operation().isKeyed() && (key == null || key.isEmpty())) {
             throw new UwsgiException(400, "no Idempotency-Key");
         }
-        if (key != null && key.length() > LONGEST_KEY) {
+        if (key != null && key.length() > MAX_KEY_CHARS) {
             throw new UwsgiException(400, "a long Idempotency-Key");
         }
-        byte[] named = hash(caller);
-        long t0 = t0(vars.get(timeVar));
-        callers.opened(
+        byte[] clientHash = hash(client);
+        long sentAtMillis = parseTimestamp(vars.get(timestampVariable));
+        connections.opened(
                 new RequestAttempt(
-                        callers.nextId(),
-                        rid(),
+                        connections.nextId(),
+                        newRequestId(),
                         route.operation(),
                         route.kb(),
-                        ByteBuffer.wrap(named).getLong() & Long.MAX_VALUE,
-                        t0 == IdempotencyCache.NO_CLIENT_TIMESTAMP
-                                ? schedule.now()
-                                : sinceStart.apply(t0),
-                        t0,
-                        key == null ? null : token(caller, method, route, key),
+                        ByteBuffer.wrap(clientHash).getLong() & Long.MAX_VALUE,
+                        sentAtMillis == IdempotencyCache.NO_CLIENT_TIMESTAMP
+                                ? scheduler.now()
+                                : toServerTime.apply(sentAtMillis),
+                        sentAtMillis,
+                        key == null ? null : token(client, method, route, key),
                         null,
                         request.body(),
                         peer,
                         number));
     }
 
-    private Route route(String method, String path) {
+    private Route findRoute(String method, String path) {
         for (Route route : routes) {
             if (route.method().equals(method) && route.path().matches(path)) {
                 return route;
@@ -148,7 +148,7 @@
         return null;
     }
 
-    private static String path(Map<String, String> vars) {
+    private static String requestPath(Map<String, String> vars) {
         String path =
                 vars.containsKey("PATH_INFO")
                         ? vars.get("PATH_INFO")
@@ -157,7 +157,7 @@
         return query < 0 ? path : path.substring(0, query);
     }
 
-    private static long t0(String text) {
+    private static long parseTimestamp(String text) {
         if (text == null || text.isEmpty()) {
             return IdempotencyCache.NO_CLIENT_TIMESTAMP;
         }
@@ -168,18 +168,19 @@
     }
 
     /**
-     * The idempotency key within the server. A key in the form of the JSON-RPC frontend is taken as
-     * it is, so a retry over the other protocol is recognized. Any other key is scoped to client,
-     * method and route: two clients that pick the same key never see each other's results.
+     * Returns the key under which the server stores the result. A key in the format of the JSON-RPC
+     * frontend is used as it is, so that a retry over the other protocol is recognized. Any other
+     * key is scoped to client, method and route, so that clients which choose the same key never
+     * see each other's results.
      */
-    private static String token(String caller, String method, Route route, String key) {
-        if (key.length() == TOKEN
+    private static String token(String client, String method, Route route, String key) {
+        if (key.length() == TOKEN_HEX_DIGITS
                 && key.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
             return key;
         }
         return HexFormat.of()
-                .formatHex(hash(caller + '\n' + method + '\n' + route.path().text() + '\n' + key))
-                .substring(0, TOKEN);
+                .formatHex(hash(client + '\n' + method + '\n' + route.path().text() + '\n' + key))
+                .substring(0, TOKEN_HEX_DIGITS);
     }
 
     private static byte[] hash(String text) {
@@ -191,12 +192,12 @@
         }
     }
 
-    /** A request id that no open attempt has. */
-    private String rid() {
+    /** Returns a random request id that no open attempt uses. */
+    private String newRequestId() {
         String rid;
         do {
-            rid = HexFormat.of().toHexDigits(chance.nextLong());
-        } while (callers.knows(rid));
+            rid = HexFormat.of().toHexDigits(random.nextLong());
+        } while (connections.knows(rid));
         return rid;
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
@@ -6,146 +6,153 @@
 import ochretiller.text.Slice;
 
 /**
- * Decodes the requests of one connection, however the input is fragmented. It buffers at most one
- * request: up to 64 KiB of variables, and a body whose length is checked before a byte of it is
- * kept. Not safe for use by several threads.
+ * Decodes the requests of one connection from input in arbitrary fragments. Buffers at most one
+ * request: up to 64 KiB of variables, and a body whose length is checked before any of it is
+ * buffered. Not thread-safe.
  */
 public final class UwsgiRequestDecoder {
-    private static final int HEADER = 4;
+    private static final int HEADER_BYTES = 4;
 
-    /** Modifier of a request. Other modifiers (spooling, code to run, reloads) are not served. */
-    private static final int REQUEST = 0;
+    /** Modifier of a request. Others (spooling, code execution, reloads) are not supported. */
+    private static final int REQUEST_MODIFIER = 0;
 
     /** Modifier of a ping. */
-    private static final int PING = 100;
+    private static final int PING_MODIFIER = 100;
 
-    /** Digits of a length that always fits a long. */
-    private static final int MAX_DIGITS = 18;
+    /** Maximum digits of a length, so that it always fits a long. */
+    private static final int MAX_LENGTH_DIGITS = 18;
 
-    /** Least size of the buffer. */
-    private static final int FIRST = 512;
+    /** Initial size of the buffer. */
+    private static final int MIN_BUFFER_BYTES = 512;
 
-    /** Size up to which the buffer is kept for the next request. */
-    private static final int LAST = 8 * 1024;
+    /** A larger buffer is released after the request. */
+    private static final int MAX_RETAINED_BUFFER_BYTES = 8 * 1024;
 
-    /** The part of a request that is being read. */
+    /** The part of a request that is read next. */
     private enum Part {
         HEADER,
         VARS,
         BODY
     }
 
-    private final int longestBody;
+    private final int maxBodyBytes;
     private Part part = Part.HEADER;
     private byte[] buffer = {};
     private int filled;
-    private int need = HEADER;
+    private int partLength = HEADER_BYTES;
     private Map<String, String> vars;
 
     /**
-     * A decoder for one connection.
+     * Creates a decoder for one connection.
      *
-     * @param longestBody bytes that a body may have
+     * @param maxBodyBytes maximum size of a request body
      */
-    public UwsgiRequestDecoder(int longestBody) {
-        this.longestBody = longestBody;
+    public UwsgiRequestDecoder(int maxBodyBytes) {
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Whether a request has begun and is not complete. */
+    /** Returns whether a request has been received in part. */
     public boolean within() {
         return part != Part.HEADER || filled > 0;
     }
 
     /**
-     * Takes bytes as they were read.
+     * Decodes bytes as they were received.
      *
-     * @param bytes the read buffer, which is not kept
+     * @param bytes the read buffer, which is not retained
      * @param from index of the first byte
      * @param to index after the last byte
-     * @param request told of each request that is complete
-     * @throws UwsgiException where the input is malformed. The connection has to be closed, since
-     *     the beginning of the next request is unknown
+     * @param consumer is passed each complete request
+     * @throws UwsgiException if the input is malformed. The connection must be closed, because the
+     *     start of the next request is unknown
      */
-    public void read(byte[] bytes, int from, int to, Consumer<UwsgiRequest> request) {
-        for (int at = from; at < to; ) {
-            int take = Math.min(need - filled, to - at);
-            keep(bytes, at, take);
-            at += take;
-            if (filled == need) {
-                partComplete(request);
+    public void read(byte[] bytes, int from, int to, Consumer<UwsgiRequest> consumer) {
+        for (int offset = from; offset < to; ) {
+            int count = Math.min(partLength - filled, to - offset);
+            append(bytes, offset, count);
+            offset += count;
+            if (filled == partLength) {
+                onPartComplete(consumer);
             }
         }
     }
 
-    /** The buffer grows with what was received, not with the length that a peer announces. */
-    private void keep(byte[] bytes, int at, int take) {
-        if (buffer.length < filled + take) {
-            buffer = Arrays.copyOf(buffer, Math.max(FIRST, Math.min(need, (filled + take) * 2)));
+    /** Grows the buffer with the bytes received, not with the length that the peer announces. */
+    private void append(byte[] bytes, int offset, int count) {
+        if (buffer.length < filled + count) {
+            buffer =
+                    Arrays.copyOf(
+                            buffer,
+                            Math.max(
+                                    MIN_BUFFER_BYTES, Math.min(partLength, (filled + count) * 2)));
         }
-        System.arraycopy(bytes, at, buffer, filled, take);
-        filled += take;
+        System.arraycopy(bytes, offset, buffer, filled, count);
+        filled += count;
     }
 
-    private void partComplete(Consumer<UwsgiRequest> request) {
+    private void onPartComplete(Consumer<UwsgiRequest> consumer) {
         switch (part) {
-            case HEADER -> header(request);
-            case VARS -> vars(request);
-            case BODY -> end(request, new UwsgiRequest(vars, Arrays.copyOf(buffer, filled), false));
+            case HEADER -> parseHeader(consumer);
+            case VARS -> parseVariables(consumer);
+            case BODY ->
+                    deliver(consumer, new UwsgiRequest(vars, Arrays.copyOf(buffer, filled), false));
             default -> throw new IllegalStateException();
         }
     }
 
-    private void next(Part then, int length) {
-        part = then;
-        need = length;
+    private void startPart(Part next, int length) {
+        part = next;
+        partLength = length;
         filled = 0;
     }
 
-    private void header(Consumer<UwsgiRequest> request) {
+    private void parseHeader(Consumer<UwsgiRequest> consumer) {
         int modifier = buffer[0] & 0xFF;
         int length = buffer[1] & 0xFF | (buffer[2] & 0xFF) << 8;
-        if (modifier == PING && length == 0) {
-            end(request, new UwsgiRequest(Map.of(), new byte[0], true));
+        if (modifier == PING_MODIFIER && length == 0) {
+            deliver(consumer, new UwsgiRequest(Map.of(), new byte[0], true));
             return;
         }
-        if (modifier != REQUEST) {
-            throw new UwsgiException(0, "modifier " + modifier + " is not served");
+        if (modifier != REQUEST_MODIFIER) {
+            throw new UwsgiException(
+                    0, "modifier " + modifier + " with length " + length + " is not supported");
         }
-        next(Part.VARS, length);
+        startPart(Part.VARS, length);
         if (length == 0) {
-            vars(request);
+            parseVariables(consumer);
         }
     }
 
-    private void vars(Consumer<UwsgiRequest> request) {
+    private void parseVariables(Consumer<UwsgiRequest> consumer) {
         vars = UwsgiVariables.read(new Slice(buffer, 0, filled));
-        next(Part.BODY, bodyLength(vars.get("CONTENT_LENGTH")));
-        if (need == 0) {
-            partComplete(request);
+        startPart(Part.BODY, parseBodyLength(vars.get("CONTENT_LENGTH")));
+        if (partLength == 0) {
+            onPartComplete(consumer);
         }
     }
 
-    private int bodyLength(String text) {
+    private int parseBodyLength(String text) {
         if (text == null || text.isEmpty()) {
             return 0;
         }
-        if (text.length() > MAX_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (text.length() > MAX_LENGTH_DIGITS
+                || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new UwsgiException(400, "CONTENT_LENGTH is no length");
         }
         long length = Long.parseLong(text);
-        if (length > longestBody) {
+        if (length > maxBodyBytes) {
             throw new UwsgiException(413, "a body of " + length + " bytes");
         }
         return (int) length;
     }
 
-    private void end(Consumer<UwsgiRequest> request, UwsgiRequest whole) {
+    private void deliver(Consumer<UwsgiRequest> consumer, UwsgiRequest request) {
         vars = null;
-        next(Part.HEADER, HEADER);
-        if (buffer.length > LAST) {
-            // One long request must not take its memory for as long as the connection lives.
+        startPart(Part.HEADER, HEADER_BYTES);
+        if (buffer.length > MAX_RETAINED_BUFFER_BYTES) {
+            // One long request must not occupy memory until the connection is closed.
             buffer = new byte[0];
         }
-        request.accept(whole);
+        consumer.accept(request);
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiResponse.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponse.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 
 /**
- * An answer in HTTP's form.
+ * A response with status line, headers and body as in HTTP.
  *
  * @param status the HTTP status
- * @param headers by name as written; those that delimit the answer are added by {@link #encode}
- * @param body the body's bytes
+ * @param headers by name, written in the given case; {@link #encode} sets those that delimit the
+ *     body
+ * @param body the bytes of the body
  */
 public record UwsgiResponse(int status, Map<String, String> headers, byte[] body) {
     private static final byte[] PONG = {100, 0, 0, 0};
@@ -27,12 +28,12 @@
                     Map.entry(503, "Service Unavailable"),
                     Map.entry(504, "Gateway Timeout"));
 
-    /** The bytes of the reply to a ping. */
+    /** Returns the packet that answers a ping. */
     public static byte[] pong() {
         return PONG.clone();
     }
 
-    /** The bytes of status line, headers and body; the connection is closed after them. */
+    /** Returns status line, headers and body; the sender closes the connection afterwards. */
     public byte[] encode() {
         StringBuilder head =
                 new StringBuilder(128)
@@ -41,26 +42,29 @@
                         .append(' ')
                         .append(REASONS.getOrDefault(status, "Status"))
                         .append("\r\n");
-        Map<String, String> all = new LinkedHashMap<>(headers);
-        all.keySet()
+        Map<String, String> allHeaders = new LinkedHashMap<>(headers);
+        allHeaders.keySet()
                 .removeIf(
                         name ->
                                 name.equalsIgnoreCase("content-length")
                                         || name.equalsIgnoreCase("connection")
                                         || name.equalsIgnoreCase("transfer-encoding"));
-        all.put("Content-Length", "" + body.length);
-        all.put("Connection", "close");
-        all.forEach(
+        allHeaders.put("Content-Length", "" + body.length);
+        allHeaders.put("Connection", "close");
+        allHeaders.forEach(
                 (name, value) ->
-                        head.append(clean(name)).append(": ").append(clean(value)).append("\r\n"));
+                        head.append(sanitize(name))
+                                .append(": ")
+                                .append(sanitize(value))
+                                .append("\r\n"));
         ByteArrayOutputStream out = new ByteArrayOutputStream(head.length() + 2 + body.length);
         out.writeBytes(head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
         out.writeBytes(body);
         return out.toByteArray();
     }
 
-    /** Removes line ends, with which a text of a peer could begin another header. */
-    private static String clean(String text) {
+    /** Replaces line breaks and NUL, with which text from a peer could start another header. */
+    private static String sanitize(String text) {
         return text.replaceAll("[\\r\\n\\x00]", " ");
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
@@ -7,156 +7,159 @@
 import java.util.Map;
 
 /**
- * Decodes a worker's answer on one connection: one answer in HTTP's form, which ends with its
- * content length or with the connection. Bounded; not safe for use by several threads.
+ * Decodes the response of a worker on one connection. It has the form of an HTTP response and ends
+ * at its content length or at the end of the connection. The size is limited. Not thread-safe.
  */
 public final class UwsgiResponseDecoder {
-    private static final int LONGEST_HEAD = 16 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-    /** Bytes of the empty line that ends the head, with the line end before it. */
-    private static final int HEAD_END = 4;
+    /** Length of the empty line that ends the head, including the line break before it. */
+    private static final int HEAD_END_BYTES = 4;
 
     private static final int UNKNOWN = -1;
 
-    /** Characters of {@code HTTP/1.1} and the blank behind it. */
+    /** Length of {@code HTTP/1.1} and the space after it. */
     private static final int VERSION_CHARS = 9;
 
-    /** Digits of a length that always fits a long. */
-    private static final int MAX_DIGITS = 18;
+    /** Maximum digits of a length, so that it always fits a long. */
+    private static final int MAX_LENGTH_DIGITS = 18;
 
-    private final int longestBody;
+    private final int maxBodyBytes;
     private byte[] buffer = {};
     private int filled;
 
-    /** How many bytes were searched for the end of the head. */
+    /** Number of bytes already searched for the end of the head. */
     private int searched;
 
-    private int bodyAt = UNKNOWN;
+    private int bodyOffset = UNKNOWN;
     private int bodyLength = UNKNOWN;
     private int status;
     private Map<String, String> headers;
 
     /**
-     * A decoder for one connection.
+     * Creates a decoder for one connection.
      *
-     * @param longestBody bytes that a body may have
+     * @param maxBodyBytes maximum size of a response body
      */
-    public UwsgiResponseDecoder(int longestBody) {
-        this.longestBody = longestBody;
+    public UwsgiResponseDecoder(int maxBodyBytes) {
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     /**
-     * Takes bytes as they were read.
+     * Decodes bytes as they were received.
      *
-     * @return the answer once it is complete, else null
-     * @throws UwsgiException where the answer is malformed or too long, or is followed by more
+     * @return the response once it is complete, else null
+     * @throws UwsgiException if the response is malformed, too long or followed by more input
      */
     public UwsgiResponse read(byte[] bytes, int from, int to) {
-        int most = LONGEST_HEAD + longestBody;
-        if (filled + to - from > most) {
-            throw new UwsgiException(0, "an answer over " + most + " bytes");
+        int maxBytes = MAX_HEAD_BYTES + maxBodyBytes;
+        if (filled + to - from > maxBytes) {
+            throw new UwsgiException(0, "response is longer than " + maxBytes + " bytes");
         }
         if (buffer.length < filled + to - from) {
-            buffer = Arrays.copyOf(buffer, Math.min(most, (filled + to - from) * 2));
+            buffer = Arrays.copyOf(buffer, Math.min(maxBytes, (filled + to - from) * 2));
         }
         System.arraycopy(bytes, from, buffer, filled, to - from);
         filled += to - from;
-        if (bodyAt < 0) {
-            head();
+        if (bodyOffset < 0) {
+            decodeHead();
         }
-        if (bodyAt < 0 || bodyLength < 0 || filled - bodyAt < bodyLength) {
+        if (bodyOffset < 0 || bodyLength < 0 || filled - bodyOffset < bodyLength) {
             return null;
         }
-        if (filled - bodyAt > bodyLength) {
-            throw new UwsgiException(0, "more than the answer's length");
+        if (filled - bodyOffset > bodyLength) {
+            throw new UwsgiException(
+                    0, "response is longer than its content length of " + bodyLength + " bytes");
         }
-        return answer();
+        return response();
     }
 
     /**
-     * The connection has ended, which completes an answer without a content length.
+     * Handles the end of the connection, which completes a response without a content length.
      *
-     * @return the answer, or null where it is incomplete
+     * @return the response, or null if it is incomplete
      */
     public UwsgiResponse ended() {
-        return bodyAt >= 0 && bodyLength < 0 ? answer() : null;
+        return bodyOffset >= 0 && bodyLength < 0 ? response() : null;
     }
 
-    private UwsgiResponse answer() {
-        return new UwsgiResponse(status, headers, Arrays.copyOfRange(buffer, bodyAt, filled));
+    private UwsgiResponse response() {
+        return new UwsgiResponse(status, headers, Arrays.copyOfRange(buffer, bodyOffset, filled));
     }
 
-    private void head() {
+    private void decodeHead() {
         int end = findHeadEnd();
         if (end < 0) {
-            if (filled > LONGEST_HEAD) {
-                throw new UwsgiException(0, "headers over " + LONGEST_HEAD + " bytes");
+            if (filled > MAX_HEAD_BYTES) {
+                throw new UwsgiException(
+                        0, "response headers are longer than " + MAX_HEAD_BYTES + " bytes");
             }
             return;
         }
         parseHead(new String(buffer, 0, end, StandardCharsets.ISO_8859_1).split("\r\n", -1));
-        bodyAt = end + HEAD_END;
+        bodyOffset = end + HEAD_END_BYTES;
     }
 
-    /** Where the head ends, or {@link #UNKNOWN}. */
+    /** Returns the offset of the end of the head, or {@link #UNKNOWN}. */
     private int findHeadEnd() {
-        int at = Math.max(0, searched - (HEAD_END - 1));
+        int index = Math.max(0, searched - (HEAD_END_BYTES - 1));
         searched = filled;
-        for (; at + HEAD_END <= filled; at++) {
-            if (buffer[at] == '\r'
-                    && buffer[at + 1] == '\n'
-                    && buffer[at + 2] == '\r'
-                    && buffer[at + 3] == '\n') {
-                return at;
+        for (; index + HEAD_END_BYTES <= filled; index++) {
+            if (buffer[index] == '\r'
+                    && buffer[index + 1] == '\n'
+                    && buffer[index + 2] == '\r'
+                    && buffer[index + 3] == '\n') {
+                return index;
             }
         }
         return UNKNOWN;
     }
 
-    /** Workers send a status line, as in HTTP, or a header {@code Status}, as in CGI. */
+    /** Parses a head with an HTTP status line or, as in CGI, a {@code Status} header. */
     private void parseHead(String[] lines) {
         boolean hasStatusLine = lines[0].startsWith("HTTP/");
         if (hasStatusLine) {
-            status = status(lines[0].substring(Math.min(lines[0].length(), VERSION_CHARS)));
+            status = parseStatus(lines[0].substring(Math.min(lines[0].length(), VERSION_CHARS)));
         }
         headers = new LinkedHashMap<>();
         for (int i = hasStatusLine ? 1 : 0; i < lines.length; i++) {
-            header(lines[i]);
+            parseHeader(lines[i]);
         }
         if (!hasStatusLine) {
             String value = headers.remove("status");
             if (value == null) {
-                throw new UwsgiException(0, "an answer without a status");
+                throw new UwsgiException(
+                        0, "response has neither a status line nor a status header");
             }
-            status = status(value);
+            status = parseStatus(value);
         }
         if (headers.containsKey("transfer-encoding")) {
-            throw new UwsgiException(0, "an answer in chunks");
+            throw new UwsgiException(0, "response has a transfer-encoding, which is not supported");
         }
         String length = headers.get("content-length");
         if (length != null) {
-            bodyLength = length(length);
+            bodyLength = parseLength(length);
         }
     }
 
-    private void header(String line) {
+    private void parseHeader(String line) {
         int colon = line.indexOf(':');
         if (colon < 1) {
-            throw new UwsgiException(0, "a header without a name");
+            throw new UwsgiException(0, "response has a header line without a name");
         }
         String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = line.substring(colon + 1).trim();
-        String before = headers.put(name, value);
-        if (before == null || before.equals(value)) {
+        String previous = headers.put(name, value);
+        if (previous == null || previous.equals(value)) {
             return;
         }
         if (name.equals("content-length") || name.equals("status")) {
-            throw new UwsgiException(0, "two values of " + name);
+            throw new UwsgiException(0, "response has two different values of " + name);
         }
-        headers.put(name, before + ", " + value);
+        headers.put(name, previous + ", " + value);
     }
 
-    private static int status(String text) {
+    private static int parseStatus(String text) {
         String code = text.trim();
         if (code.length() >= 3
                 && code.substring(0, 3).chars().allMatch(c -> c >= '0' && c <= '9')
@@ -166,18 +169,25 @@
                 return status;
             }
         }
-        throw new UwsgiException(0, "no status");
+        throw new UwsgiException(0, "response status is not a three-digit number from 100 to 599");
     }
 
-    private int length(String text) {
+    private int parseLength(String text) {
         if (text.isEmpty()
-                || text.length() > MAX_DIGITS
+                || text.length() > MAX_LENGTH_DIGITS
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new UwsgiException(0, "content-length is no length");
+            throw new UwsgiException(
+                    0, "response content-length is not a number of at most 18 digits");
         }
         long length = Long.parseLong(text);
-        if (length > longestBody) {
-            throw new UwsgiException(0, "an answer of " + length + " bytes");
+        if (length > maxBodyBytes) {
+            throw new UwsgiException(
+                    0,
+                    "response body of "
+                            + length
+                            + " bytes exceeds the limit of "
+                            + maxBodyBytes
+                            + " bytes");
         }
         return (int) length;
     }
--- a/src/main/java/ochretiller/uwsgi/package-info.java
+++ b/src/main/java/ochretiller/uwsgi/package-info.java
@@ -1,14 +1,15 @@
 /**
- * The uwsgi protocol in both directions, and the frontend for web servers that speak it.
+ * The uwsgi protocol in both directions, and the frontend for web servers that use it.
  *
  * <p>Codec: {@link ochretiller.uwsgi.UwsgiRequestDecoder} and {@link
- * ochretiller.uwsgi.UwsgiResponse} serve web servers, {@link ochretiller.uwsgi.UwsgiRequest} and
- * {@link ochretiller.uwsgi.UwsgiResponseDecoder} talk to workers. All are bounded and have no
- * sockets; {@code docs/uwsgi-protocol.md} says what is supported.
+ * ochretiller.uwsgi.UwsgiResponse} are used towards web servers, {@link
+ * ochretiller.uwsgi.UwsgiRequest} and {@link ochretiller.uwsgi.UwsgiResponseDecoder} towards
+ * workers. They limit the size of their input and do no I/O; {@code docs/uwsgi-protocol.md} lists
+ * what is supported.
  *
- * <p>Frontend: {@link ochretiller.uwsgi.UwsgiFrontend} turns requests into attempts by its {@link
- * ochretiller.uwsgi.Route}s; {@link ochretiller.uwsgi.UwsgiConnection} answers them in order. It
- * belongs to the event loop, decoding to the I/O thread. Neighbours: {@code frontend}, {@code
- * paths}, {@code net}.
+ * <p>Frontend: {@link ochretiller.uwsgi.UwsgiFrontend} turns requests into attempts according to
+ * its {@link ochretiller.uwsgi.Route}s; {@link ochretiller.uwsgi.UwsgiConnection} answers them in
+ * order. The frontend runs on the event loop thread, decoding on the I/O thread. Neighbours: {@code
+ * frontend}, {@code paths}, {@code net}.
  */
 package ochretiller.uwsgi;
--- a/src/main/java/ochretiller/workers/UwsgiRunBackend.java
+++ b/src/main/java/ochretiller/workers/UwsgiRunBackend.java
@@ -18,13 +18,13 @@
 import ochretiller.pools.WorkerId;
 
 /**
- * Runs operations as requests to pools of uwsgi workers, with one request a connection as their
- * protocol has it. Belongs to the event loop.
+ * Runs operations as requests to pools of uwsgi workers. As the protocol requires, each connection
+ * carries one request. Confined to the event loop thread.
  */
 public final class UwsgiRunBackend implements RunBackend {
     private static final Logger LOG = Logger.getLogger(UwsgiRunBackend.class.getName());
 
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final Network network;
     private final Map<String, WorkerPool> pools = new LinkedHashMap<>();
     private final Map<String, WorkerPool> poolsByOperation = new LinkedHashMap<>();
@@ -33,25 +33,25 @@
     private final Set<WorkerConnection> connections = new LinkedHashSet<>();
 
     /**
-     * A backend without connections.
+     * Creates a backend, which opens connections when runs are started.
      *
-     * @param schedule the event loop
-     * @param network makes the connections
-     * @param plans the pools; each operation belongs to one of them at most
-     * @param chance random numbers for choosing workers
-     * @param metrics takes the pools' metrics
+     * @param scheduler the event loop
+     * @param network opens the connections
+     * @param configs the pools; each operation belongs to at most one of them
+     * @param random random numbers for choosing workers
+     * @param metrics the registry for the metrics of the pools
      */
     public UwsgiRunBackend(
-            Scheduler schedule,
+            Scheduler scheduler,
             Network network,
-            List<WorkerPoolConfig> plans,
-            SplittableRandom chance,
+            List<WorkerPoolConfig> configs,
+            SplittableRandom random,
             Metrics metrics) {
-        this.schedule = schedule;
+        this.scheduler = scheduler;
         this.network = network;
-        for (WorkerPoolConfig config : plans) {
-            WorkerPool pool = new WorkerPool(config, chance.split(), metrics);
-            pool.reconfigure(config, schedule.now());
+        for (WorkerPoolConfig config : configs) {
+            WorkerPool pool = new WorkerPool(config, random.split(), metrics);
+            pool.reconfigure(config, scheduler.now());
             pools.put(config.name(), pool);
             for (WorkerPoolConfig.Target target : config.runs()) {
                 poolsByOperation.put(target.operation(), pool);
@@ -61,85 +61,85 @@
     }
 
     /**
-     * Takes new workers and settings for the pools that are there; removed workers finish what they
-     * have. Pools that are new or gone need a restart, which is logged.
+     * Changes the workers and settings of the existing pools; removed workers finish their requests
+     * in flight. Added and removed pools only take effect after a restart, which is logged.
      *
-     * @param plans the new configuration
+     * @param configs the new configuration
      */
-    public void become(List<WorkerPoolConfig> plans) {
-        Duration now = schedule.now();
-        for (WorkerPoolConfig config : plans) {
+    public void become(List<WorkerPoolConfig> configs) {
+        Duration now = scheduler.now();
+        for (WorkerPoolConfig config : configs) {
             WorkerPool pool = pools.get(config.name());
             if (pool == null) {
-                LOG.warning("pool " + config.name() + " is new: it needs a restart");
+                LOG.warning("pool " + config.name() + " is new and inactive until a restart");
             } else {
                 pool.reconfigure(config, now);
             }
         }
         for (String name : pools.keySet()) {
-            if (plans.stream().noneMatch(config -> config.name().equals(name))) {
+            if (configs.stream().noneMatch(config -> config.name().equals(name))) {
                 LOG.warning(
                         "pool "
                                 + name
-                                + " is gone from the operators' file: it stays until a restart");
+                                + " is no longer in the configuration but active until a restart");
             }
         }
     }
 
     /**
-     * Notes what the fleet's membership shows of a worker.
+     * Records whether the fleet's membership shows a worker as reachable.
      *
      * @param address the worker's address
-     * @param there whether it is reachable
+     * @param isReachable whether it is reachable
      */
-    public void seen(String address, boolean there) {
-        pools.values().forEach(pool -> pool.observe(new WorkerId(address), there));
+    public void seen(String address, boolean isReachable) {
+        pools.values().forEach(pool -> pool.observe(new WorkerId(address), isReachable));
     }
 
     /**
-     * The pool of an operation.
-     *
-     * @return the pool's name, or null where the operation runs on the processor
+     * Returns the name of the pool that runs an operation, or null if the operation runs on the
+     * processor.
      */
     public String pool(String operation) {
         WorkerPool pool = poolsByOperation.get(operation);
         return pool == null ? null : pool.name;
     }
 
-    /** How many runs the workers of a pool may have at once. */
+    /** Returns how many runs the workers of a pool may have at once. */
     public int places(String pool) {
-        return pools.get(pool).capacity(schedule.now());
+        return pools.get(pool).capacity(scheduler.now());
     }
 
-    /** How many more runs the workers of a pool can take. */
+    /** Returns how many more runs the workers of a pool can take. */
     public int free(String pool) {
-        return pools.get(pool).freeSlots(schedule.now());
+        return pools.get(pool).freeSlots(scheduler.now());
     }
 
     /**
-     * Counts admitted runs that are not started yet, so that each finds a free slot.
+     * Changes the number of admitted runs that are not started yet, for each of which a slot is
+     * reserved.
      *
      * @param operation the operation's name
-     * @param more how many more; negative where runs will not be started after all. {@link
-     *     #startRun} takes one off itself
+     * @param delta runs to add; negative for runs that will not be started. {@link #startRun}
+     *     itself subtracts the run that it starts
      */
-    public void expect(String operation, int more) {
-        poolsByOperation.get(operation).expectedRuns += more;
+    public void expect(String operation, int delta) {
+        poolsByOperation.get(operation).expectedRuns += delta;
     }
 
     @Override
-    public void startRun(RunRequest task, RunListener then) {
-        WorkerPool pool = poolsByOperation.get(task.operationName());
-        WorkerPoolConfig.Target target = targets.get(task.operationName());
-        WorkerRun run = new WorkerRun(this, schedule, network, pool, target, task, then);
+    public void startRun(RunRequest request, RunListener listener) {
+        WorkerPool pool = poolsByOperation.get(request.operationName());
+        WorkerPoolConfig.Target target = targets.get(request.operationName());
+        WorkerRun run = new WorkerRun(this, scheduler, network, pool, target, request, listener);
         pool.expectedRuns--;
-        runs.put(task.requestId(), run);
+        runs.put(request.requestId(), run);
         run.start();
     }
 
     @Override
-    public void cancelRun(String rid) {
-        WorkerRun run = runs.get(rid);
+    public void cancelRun(String requestId) {
+        WorkerRun run = runs.get(requestId);
         if (run != null) {
             run.abandon(RequestOutcome.GIVEN_UP);
         }
@@ -158,7 +158,7 @@
         connections.remove(connection);
     }
 
-    /** A run is over. */
+    /** Removes a run that has finished. */
     void remove(WorkerRun run) {
         runs.remove(run.requestId(), run);
     }
--- a/src/main/java/ochretiller/workers/WorkerConnection.java
+++ b/src/main/java/ochretiller/workers/WorkerConnection.java
@@ -11,13 +11,13 @@
 import ochretiller.uwsgi.UwsgiResponseDecoder;
 
 /**
- * One connection to a worker, which carries one request. Belongs to the event loop, except for
- * {@link #received}.
+ * One connection to a worker, which carries one request. Confined to the event loop thread, except
+ * for {@link #received}.
  */
 final class WorkerConnection implements ConnectionHandler {
     private static final Logger LOG = Logger.getLogger(UwsgiRunBackend.class.getName());
 
-    /** As long as a result on the connection to the processor. */
+    /** The same limit as for a result on the connection to the processor. */
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
     private final WorkerRun run;
@@ -28,26 +28,26 @@
     private boolean awaitsLateAnswer;
 
     /**
-     * A connection that was established. Called on the I/O thread.
+     * Wraps an established connection. Called on the I/O thread.
      *
-     * @param attempt the number of the run's attempt that asked for it
+     * @param attempt the number of the attempt of the run that opened the connection
      */
     WorkerConnection(
             WorkerRun run,
             int attempt,
             Connection connection,
             UwsgiRunBackend backend,
-            Scheduler schedule) {
+            Scheduler scheduler) {
         this.run = run;
         this.attempt = attempt;
         this.connection = connection;
         this.backend = backend;
-        schedule.post(this::opened);
+        scheduler.post(this::opened);
     }
 
     private void opened() {
         if (!connection.open()) {
-            return; // its end is reported next
+            return; // ended() is called next
         }
         backend.add(this);
         run.onConnected(this);
@@ -63,11 +63,11 @@
         }
     }
 
-    /** Keeps the connection of a timed-out run for some time, to count a late answer. */
-    void awaitLateAnswer(Scheduler schedule) {
+    /** Keeps the connection of a timed-out run open for a while, to count a late answer. */
+    void awaitLateAnswer(Scheduler scheduler) {
         awaitsLateAnswer = true;
         run.pool().lateListeners++;
-        schedule.after(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
+        scheduler.after(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
     }
 
     /** Closes the connection at once. */
@@ -92,7 +92,7 @@
         if (!connection.open()) {
             return;
         }
-        LOG.warning("bad answer from worker " + run.workerName() + ": " + fault);
+        LOG.warning("malformed response from worker " + run.workerName() + ": " + fault);
         connection.drop(CloseCode.BAD_INPUT);
     }
 
@@ -101,14 +101,14 @@
             return;
         }
         if (!run.isServedBy(this)) {
-            connection.drop(CloseCode.BAD_INPUT); // nothing was asked on this connection
+            connection.drop(CloseCode.BAD_INPUT); // no request was written on this connection
             return;
         }
         run.onAnswer(answer);
         connection.close(CloseCode.ANSWERED);
     }
 
-    /** An answer without a length ends with the connection. */
+    /** Handles the end of the input, which completes an answer without a content length. */
     @Override
     public void inputEnded() {
         UwsgiResponse answer = run.isServedBy(this) ? decoder.ended() : null;
--- a/src/main/java/ochretiller/workers/WorkerPool.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -15,25 +15,25 @@
 import ochretiller.pools.WorkerSelector;
 
 /**
- * A pool of workers with their addresses and its metrics. Belongs to the event loop; metrics are
- * read by any thread.
+ * A pool of workers with their addresses and its metrics. Confined to the event loop thread, except
+ * that metrics are read by any thread.
  */
 final class WorkerPool {
     /**
-     * How many connections of timed-out runs are kept open to count late answers: enough to tell
-     * whether there are any.
+     * Maximum connections of timed-out runs that are kept open to count late answers; a few are
+     * enough to show that late answers occur.
      */
     static final int MAX_LATE_LISTENERS = 16;
 
     private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
 
-    /** The pool's name in the operators' configuration. */
+    /** The pool's name in the operators' file. */
     final String name;
 
     /** Runs that were handed to workers. */
     final Metrics.Counter runs;
 
-    /** Runs that were tried on another worker, since the first had not started them. */
+    /** Runs that were retried on another worker because the first one never started them. */
     final Metrics.Counter retriedElsewhere;
 
     /** Runs that no worker could take. */
@@ -42,34 +42,34 @@
     /** Runs that failed, or whose answer was malformed. */
     final Metrics.Counter failed;
 
-    /** Runs without an answer in time. */
+    /** Runs that were not answered in time. */
     final Metrics.Counter timedOut;
 
-    /** Answers that came after their run had timed out. */
+    /** Answers that arrived after their run had timed out. */
     final Metrics.Counter lateAnswers;
 
-    /** How many runs were admitted and are not started yet; each will need a slot. */
+    /** Number of runs that are admitted but not started; a slot is reserved for each. */
     int expectedRuns;
 
-    /** How many connections of timed-out runs are open for late answers. */
+    /** Number of connections of timed-out runs that are kept open for late answers. */
     int lateListeners;
 
     private final WorkerSelector selector;
 
-    /** Addresses of the configured workers, and of drained ones that have a request in flight. */
+    /** Addresses of the configured workers, and of draining ones with requests in flight. */
     private final Map<WorkerId, InetSocketAddress> addresses = new LinkedHashMap<>();
 
     private Duration lateAnswerTime;
 
-    /** For the metrics' thread. */
+    /** The last computed capacity; read by the metrics thread. */
     private volatile int capacity;
 
-    /** The free slots at {@link #freeSlotsAt}: they are asked for many times in one round. */
+    /** The free slots at {@link #freeSlotsAt}, cached because one round asks for them often. */
     private int freeSlots;
 
     private Optional<Duration> freeSlotsAt = Optional.empty();
 
-    /** An empty pool; {@link #reconfigure} follows. */
+    /** Creates a pool without workers; {@link #reconfigure} adds them. */
     WorkerPool(WorkerPoolConfig config, SplittableRandom random, Metrics metrics) {
         name = config.name();
         lateAnswerTime = config.late();
@@ -95,7 +95,7 @@
         metrics.gauge(prefix + "places", "Runs that its workers may have at once", () -> capacity);
     }
 
-    /** Takes new settings and workers; removed workers finish what they have. */
+    /** Changes settings and workers; removed workers finish their requests in flight. */
     void reconfigure(WorkerPoolConfig config, Duration now) {
         freeSlotsAt = Optional.empty();
         lateAnswerTime = config.late();
@@ -111,12 +111,12 @@
         addresses.keySet().removeIf(id -> !ids.contains(id) && selector.inFlight(id) == 0);
     }
 
-    /** How long after its deadline the answer of a keyed run is still awaited. */
+    /** Returns how long after its deadline the answer of a keyed run is still awaited. */
     Duration lateAnswerTime() {
         return lateAnswerTime;
     }
 
-    /** Notes whether the fleet's membership shows a worker as reachable. */
+    /** Records whether the fleet's membership shows a worker as reachable. */
     void observe(WorkerId id, boolean isReachable) {
         selector.seen(id, isReachable);
     }
@@ -125,14 +125,14 @@
         return addresses.get(id);
     }
 
-    /** How many runs the workers may have at once, as they are now. */
+    /** Returns how many runs the workers may have at once in their current state. */
     int capacity(Duration now) {
         int current = selector.places(now);
         capacity = current;
         return current;
     }
 
-    /** How many more runs the workers can take; negative where too many were admitted. */
+    /** Returns how many more runs the workers can take; negative if too many are admitted. */
     int freeSlots(Duration now) {
         if (!Optional.of(now).equals(freeSlotsAt)) {
             freeSlots = selector.free(now);
@@ -147,29 +147,29 @@
         return selector.choose(now);
     }
 
-    /** Chooses another worker for a run that provably never started on the one before. */
-    Optional<WorkerId> chooseForRetry(WorkerId before, RequestOutcome outcome, Duration now) {
+    /** Chooses another worker for a run that provably never started on the previous one. */
+    Optional<WorkerId> chooseForRetry(WorkerId previous, RequestOutcome outcome, Duration now) {
         freeSlotsAt = Optional.empty();
-        return selector.chooseAgain(before, outcome, now);
+        return selector.chooseAgain(previous, outcome, now);
     }
 
-    /** A request to a worker is over; logs whether that ejects the worker or readmits it. */
+    /** Records the end of a request; logs if it causes the worker to be ejected or readmitted. */
     void requestEnded(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
         freeSlotsAt = Optional.empty();
-        boolean wasIn = selector.in(id);
+        boolean wasActive = selector.in(id);
         selector.ended(id, outcome, elapsed, now);
-        boolean isIn = selector.in(id);
-        if (wasIn && !isIn) {
+        boolean isActive = selector.in(id);
+        if (wasActive && !isActive) {
             LOG.warning(
                     "pool "
                             + name
-                            + " leaves out worker "
+                            + " ejects worker "
                             + id
-                            + ", last end: "
+                            + "; outcome of its last request: "
                             + outcome.externalName());
         }
-        if (!wasIn && isIn) {
-            LOG.info("pool " + name + " lets worker " + id + " in again");
+        if (!wasActive && isActive) {
+            LOG.info("pool " + name + " readmits worker " + id);
         }
         capacity(now);
     }
--- a/src/main/java/ochretiller/workers/WorkerPoolConfig.java
+++ b/src/main/java/ochretiller/workers/WorkerPoolConfig.java
@@ -6,13 +6,13 @@
 import ochretiller.pools.PoolSettings;
 
 /**
- * One pool as the operators configure it.
+ * The configuration of one pool in the operators' file.
  *
  * @param name the pool's name
  * @param settings how workers are selected
  * @param late how long after its deadline the answer of a keyed run is still awaited
  * @param workers the workers' addresses
- * @param runs the operations that the pool carries out
+ * @param runs the operations that the pool runs
  */
 public record WorkerPoolConfig(
         String name,
@@ -21,7 +21,7 @@
         List<InetSocketAddress> workers,
         List<Target> runs) {
     /**
-     * What a worker is asked for when an operation is to run.
+     * The request that is sent to a worker to run an operation.
      *
      * @param operation the operation's name
      * @param method the HTTP method of the request
@@ -29,7 +29,7 @@
      */
     public record Target(String operation, String method, String path) {}
 
-    /** How many connections this pool may open at once. */
+    /** Returns how many connections this pool may have open at once. */
     public long connections() {
         return (long) settings.mostInFlight() * workers.size() + WorkerPool.MAX_LATE_LISTENERS;
     }
--- a/src/main/java/ochretiller/workers/WorkerRun.java
+++ b/src/main/java/ochretiller/workers/WorkerRun.java
@@ -16,23 +16,23 @@
 import ochretiller.uwsgi.UwsgiResponse;
 
 /**
- * One run on a pool of workers. It is offered to a few workers until one accepts the connection;
- * once the request is written, the run may have started, and no other worker gets it. Belongs to
- * the event loop.
+ * One run on a pool of workers. It tries a few workers until one accepts the connection. Once the
+ * request is written, the run may have started, and no other worker gets it. Confined to the event
+ * loop thread.
  */
 final class WorkerRun {
-    /** A worker that accepts no connection in this time is down: usual are milliseconds. */
+    /** A worker that takes longer to accept a connection is down: normal are a few milliseconds. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** Workers that one run is offered to; the pool's retry budget bounds all runs together. */
+    /** Maximum attempts of one run; the retry budget of the pool limits those of all runs. */
     private static final int MAX_ATTEMPTS = 3;
 
-    private static final int FIRST_SUCCESS = 200;
-    private static final int FIRST_AFTER_SUCCESS = 300;
-    private static final int FIRST_SERVER_ERROR = 500;
+    private static final int MIN_SUCCESS_STATUS = 200;
+    private static final int MIN_REDIRECTION_STATUS = 300;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     private final UwsgiRunBackend backend;
-    private final Scheduler schedule;
+    private final Scheduler scheduler;
     private final Network network;
     private final WorkerPool pool;
     private final WorkerPoolConfig.Target target;
@@ -40,10 +40,10 @@
     private final RunListener listener;
     private final Duration startedAt;
     private Optional<WorkerId> worker = Optional.empty();
-    private Duration attemptedAt = Duration.ZERO;
+    private Duration attemptStartedAt = Duration.ZERO;
     private int attempts;
 
-    /** The number of the current attempt; connections of earlier ones may still come up. */
+    /** Number of the current attempt; connections of earlier ones may still be established. */
     private int currentAttempt;
 
     private boolean isWritten;
@@ -52,20 +52,20 @@
 
     WorkerRun(
             UwsgiRunBackend backend,
-            Scheduler schedule,
+            Scheduler scheduler,
             Network network,
             WorkerPool pool,
             WorkerPoolConfig.Target target,
             RunRequest request,
             RunListener listener) {
         this.backend = backend;
-        this.schedule = schedule;
+        this.scheduler = scheduler;
         this.network = network;
         this.pool = pool;
         this.target = target;
         this.request = request;
         this.listener = listener;
-        this.startedAt = schedule.now();
+        this.startedAt = scheduler.now();
     }
 
     String requestId() {
@@ -76,12 +76,12 @@
         return pool;
     }
 
-    /** The worker that has the run, for log lines. */
+    /** Returns the address of the current worker for log lines. */
     String workerName() {
         return worker.map(WorkerId::toString).orElse("unknown");
     }
 
-    /** Whether the request was written on this connection. */
+    /** Returns whether the request was written on this connection. */
     boolean isServedBy(WorkerConnection candidate) {
         return connection.filter(serving -> serving == candidate).isPresent();
     }
@@ -91,10 +91,10 @@
         pool.runs.add();
         Duration timeout = request.deadline().minus(startedAt);
         if (request.idempotencyKey() != null) {
-            // A keyed run may take effect after its deadline, and its result serves the retries.
+            // A keyed run may complete after its deadline; its result then answers the retries.
             timeout = timeout.plus(pool.lateAnswerTime());
         }
-        schedule.after(
+        scheduler.after(
                 timeout.isNegative() ? Duration.ZERO : timeout,
                 () -> abandon(RequestOutcome.SILENT));
         offerTo(pool.choose(startedAt));
@@ -107,35 +107,35 @@
             return;
         }
         worker = next;
-        attemptedAt = schedule.now();
+        attemptStartedAt = scheduler.now();
         attempts++;
         currentAttempt++;
         int attempt = currentAttempt;
         network.connect(
                 "worker",
                 pool.addressOf(next.get()),
-                made -> new WorkerConnection(this, attempt, made, backend, schedule),
+                established -> new WorkerConnection(this, attempt, established, backend, scheduler),
                 () -> onNeverStarted(attempt));
-        schedule.after(CONNECT_TIMEOUT, () -> onNeverStarted(attempt));
+        scheduler.after(CONNECT_TIMEOUT, () -> onNeverStarted(attempt));
     }
 
     private boolean isCurrent(int attempt) {
         return !isOver && !isWritten && attempt == currentAttempt;
     }
 
-    /** An attempt ended before its request was written; ignored where another one is current. */
+    /** Handles the end of an attempt before its request was written; ignored if not current. */
     void onNeverStarted(int attempt) {
         if (!isCurrent(attempt)) {
             return;
         }
         currentAttempt++;
-        Duration now = schedule.now();
-        WorkerId before = worker.orElseThrow();
+        Duration now = scheduler.now();
+        WorkerId previous = worker.orElseThrow();
         reportOutcome(RequestOutcome.NEVER_BEGUN);
         boolean mayRetry = attempts < MAX_ATTEMPTS && now.compareTo(request.deadline()) < 0;
         Optional<WorkerId> next =
                 mayRetry
-                        ? pool.chooseForRetry(before, RequestOutcome.NEVER_BEGUN, now)
+                        ? pool.chooseForRetry(previous, RequestOutcome.NEVER_BEGUN, now)
                         : Optional.empty();
         if (next.isPresent()) {
             pool.retriedElsewhere.add();
@@ -143,14 +143,14 @@
         offerTo(next);
     }
 
-    /** A connection is established: the request is written, unless the attempt was passed over. */
-    void onConnected(WorkerConnection made) {
-        if (!isCurrent(made.attempt())) {
-            made.drop(CloseCode.GIVEN_UP);
+    /** Writes the request on an established connection if its attempt is still current. */
+    void onConnected(WorkerConnection established) {
+        if (!isCurrent(established.attempt())) {
+            established.drop(CloseCode.GIVEN_UP);
             return;
         }
-        connection = Optional.of(made);
-        made.write(encodeRequest());
+        connection = Optional.of(established);
+        established.write(encodeRequest());
         isWritten = true;
     }
 
@@ -167,33 +167,33 @@
         if (request.idempotencyKey() != null) {
             variables.put("HTTP_IDEMPOTENCY_KEY", request.idempotencyKey());
         }
-        long millisLeft = request.deadline().minus(schedule.now()).toMillis();
+        long millisLeft = request.deadline().minus(scheduler.now()).toMillis();
         variables.put("HTTP_X_TIME_LEFT_MS", "" + Math.max(0, millisLeft));
         return new UwsgiRequest(variables, request.body(), false);
     }
 
     /**
-     * An answer came. A status of 5xx counts against the worker; any other says something about the
-     * request only.
+     * Handles an answer. A 5xx status counts as a failure of the worker; any other concerns only the
+     * request.
      */
     void onAnswer(UwsgiResponse answer) {
         if (isOver) {
             pool.lateAnswers.add();
             return;
         }
-        boolean isWorkerHealthy = answer.status() < FIRST_SERVER_ERROR;
+        boolean isWorkerHealthy = answer.status() < MIN_SERVER_ERROR_STATUS;
         if (!isWorkerHealthy) {
             pool.failed.add();
         }
         reportOutcome(isWorkerHealthy ? RequestOutcome.ANSWERED : RequestOutcome.FAILED);
-        if (answer.status() >= FIRST_SUCCESS && answer.status() < FIRST_AFTER_SUCCESS) {
+        if (answer.status() >= MIN_SUCCESS_STATUS && answer.status() < MIN_REDIRECTION_STATUS) {
             finish(RunOutcome.Status.SUCCEEDED, answer.body());
         } else {
             finish(RunOutcome.Status.FAILED, null);
         }
     }
 
-    /** The connection ended without a well-formed answer: the run may have taken place. */
+    /** Handles the end of the connection without a valid answer; the run may have taken place. */
     void onDisconnected() {
         if (isOver) {
             return;
@@ -204,16 +204,16 @@
     }
 
     /**
-     * Nobody waits for the run any more.
+     * Ends the run because its client no longer waits.
      *
-     * @param outcome whether it timed out or was cancelled
+     * @param outcome whether the run timed out or was cancelled
      */
     void abandon(RequestOutcome outcome) {
         if (isOver) {
             return;
         }
         if (!isWritten) {
-            // The client is told that it never ran, so nothing of it may be sent from here on.
+            // The client is told that the run never started, so nothing may be sent any more.
             if (worker.isPresent()) {
                 reportOutcome(RequestOutcome.NEVER_BEGUN);
             }
@@ -231,20 +231,20 @@
         if (pool.lateListeners >= WorkerPool.MAX_LATE_LISTENERS) {
             serving.drop(CloseCode.GIVEN_UP);
         } else {
-            serving.awaitLateAnswer(schedule);
+            serving.awaitLateAnswer(scheduler);
         }
     }
 
     private void reportOutcome(RequestOutcome outcome) {
-        Duration now = schedule.now();
-        pool.requestEnded(worker.orElseThrow(), outcome, now.minus(attemptedAt), now);
+        Duration now = scheduler.now();
+        pool.requestEnded(worker.orElseThrow(), outcome, now.minus(attemptStartedAt), now);
     }
 
     private void finish(RunOutcome.Status status, byte[] result) {
         isOver = true;
         backend.remove(this);
-        Duration elapsed = schedule.now().minus(startedAt);
-        // In the next round, since the caller of startRun must not be told before that returns.
-        schedule.post(() -> listener.onRunFinished(status, elapsed, result));
+        Duration elapsed = scheduler.now().minus(startedAt);
+        // Posted, because the listener must not be called before startRun returns.
+        scheduler.post(() -> listener.onRunFinished(status, elapsed, result));
     }
 }
