--- a/src/main/java/ochretiller/budgets/BudgetDecision.java
+++ b/src/main/java/ochretiller/budgets/BudgetDecision.java
@@ -3,22 +3,23 @@
 import java.time.Duration;
 
 /**
- * What becomes of a wish.
+ * The decision on a request for work.
  *
- * @param kind whose work it uses
- * @param backoff when to come back, for one that is refused; zero for others
+ * @param kind whether the request is granted, and from which capacity
+ * @param backoff how long to wait before a retry; zero if the request is granted
  */
 public record BudgetDecision(Kind kind, Duration backoff) {
-    /** Whose work is used. */
+    /** Whether a request is granted, and from which capacity. */
     public enum Kind {
-        /** The team's own, which nobody can take from it. */
+        /** Granted from the guaranteed rate of the team, which no other team can use up. */
         PROMISED,
-        /** What is idle: there is no claim on it. */
+        /** Granted from idle capacity, to which no team is entitled. */
         LENT,
-        /** Nobody's: it is throttled before it runs. */
+        /** Rejected: the request is throttled before it runs. */
         REFUSED
     }
 
+    /** Returns whether the work may be done. */
     public boolean given() {
         return kind != Kind.REFUSED;
     }
--- a/src/main/java/ochretiller/budgets/Budgets.java
+++ b/src/main/java/ochretiller/budgets/Budgets.java
@@ -8,181 +8,194 @@
 import java.util.Map;
 
 /**
- * Shares work among teams. Each has its promised rate in a purse of its own; what no purse can
- * keep, and what was promised to nobody, is idle and lent by weight. Nothing is borrowed from
- * another's purse, so that a promise holds at once whatever others do.
+ * Divides the capacity of a broker among teams. Each team has a token bucket that is filled at its
+ * guaranteed rate. Work that overflows the buckets and capacity that is guaranteed to no team are
+ * idle, and shared by weight. No team can use the bucket of another, so that a guarantee holds at
+ * any time, whatever other teams do.
  */
 public final class Budgets {
-    /** Teams of one broker: each takes some hundred bytes. */
-    private static final int MOST = 10_000;
+    /** Maximum teams of one broker; each takes a few hundred bytes. */
+    private static final int MAX_TEAMS = 10_000;
 
-    /**
-     * Idle work that is kept for lending, seconds of the capacity: what nobody wanted for longer is
-     * gone.
-     */
-    private static final double IDLE_S = 0.05;
+    /** Maximum idle work that accumulates, in seconds at the full capacity; the rest is lost. */
+    private static final double MAX_IDLE_SECONDS = 0.05;
 
     /**
-     * How far one team may run ahead of others that want idle work, seconds of the capacity over
-     * its weight.
+     * How much more idle work a team may get than the other teams that want some, in seconds at the
+     * full capacity divided by its weight.
      */
-    private static final double AHEAD_S = 0.01;
+    private static final double MAX_LEAD_SECONDS = 0.01;
 
-    /** A team wants idle work if it asked for some so lately. */
-    private static final Duration WANTS = Duration.ofMillis(200);
+    /** A team counts as wanting idle work for this long after it requested some. */
+    private static final Duration DEMAND_WINDOW = Duration.ofMillis(200);
 
-    /** Longest time that a refused one is told to stay away: promises change. */
-    private static final Duration LONGEST = Duration.ofSeconds(10);
+    /** Maximum backoff after a rejection; guaranteed rates may change in the meantime. */
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(10);
 
-    private static final Duration SHORTEST = Duration.ofMillis(10);
+    private static final Duration MIN_BACKOFF = Duration.ofMillis(10);
 
     private final double capacity;
-    private final Map<TeamId, TokenBucket> purses = new LinkedHashMap<>();
-    private final Map<TeamId, Duration> wanted = new LinkedHashMap<>();
-    private double idle;
-    private double promised;
-    private Duration filledAt;
+    private final Map<TeamId, TokenBucket> buckets = new LinkedHashMap<>();
+    private final Map<TeamId, Duration> lastDemandAt = new LinkedHashMap<>();
+    private double idleBalance;
+    private double guaranteedSum;
+    private Duration refilledAt;
 
     /**
-     * No team yet.
+     * Creates budgets without teams.
      *
-     * @param capacity core seconds a second that the broker can have done
+     * @param capacity core seconds per second that the broker has available
+     * @throws IllegalArgumentException if the capacity is not positive
      */
     public Budgets(double capacity, Duration now) {
         if (!(capacity > 0)) {
-            throw new IllegalArgumentException("no capacity: " + capacity);
+            throw new IllegalArgumentException("capacity must be positive: " + capacity);
         }
         this.capacity = capacity;
-        this.filledAt = now;
+        this.refilledAt = now;
     }
 
     /**
-     * Promises hold from here on, all in one step; what a team has in hand or owes stays its own.
+     * Replaces the guaranteed rates of all teams. A team that stays keeps its balance or debt.
+     *
+     * @throws IllegalArgumentException if there are too many teams, or their rates exceed the
+     *     capacity; nothing has changed then
      */
-    public void become(Map<TeamId, GuaranteedRate> promises, Duration now) {
-        if (promises.size() > MOST) {
-            throw new IllegalArgumentException("over " + MOST + " teams");
+    public void become(Map<TeamId, GuaranteedRate> guarantees, Duration now) {
+        if (guarantees.size() > MAX_TEAMS) {
+            throw new IllegalArgumentException(
+                    guarantees.size() + " teams exceed the limit of " + MAX_TEAMS);
         }
-        double sum = promises.values().stream().mapToDouble(GuaranteedRate::rate).sum();
+        double sum = guarantees.values().stream().mapToDouble(GuaranteedRate::rate).sum();
         if (sum > capacity * (1 + 1e-9)) {
             throw new IllegalArgumentException(
-                    "promises of "
+                    "guaranteed rates of "
                             + sum
-                            + " core seconds a second are over the capacity of "
+                            + " core seconds per second exceed the capacity of "
                             + capacity);
         }
-        fill(now);
-        purses.keySet().retainAll(promises.keySet());
-        wanted.keySet().retainAll(promises.keySet());
-        promises.forEach(
-                (team, promise) -> {
-                    TokenBucket purse =
-                            purses.computeIfAbsent(team, id -> new TokenBucket(promise, now));
-                    purse.promise = promise;
-                    purse.fill(now);
+        refill(now);
+        buckets.keySet().retainAll(guarantees.keySet());
+        lastDemandAt.keySet().retainAll(guarantees.keySet());
+        guarantees.forEach(
+                (team, guarantee) -> {
+                    TokenBucket bucket =
+                            buckets.computeIfAbsent(team, key -> new TokenBucket(guarantee, now));
+                    bucket.promise = guarantee;
+                    bucket.fill(now);
                 });
-        promised = sum;
+        guaranteedSum = sum;
     }
 
-    private void fill(Duration now) {
-        if (now.equals(filledAt)) {
-            return; // many ask in one gathering, and no time has passed between them
+    private void refill(Duration now) {
+        if (now.equals(refilledAt)) {
+            return; // no time has passed, as between requests of one event loop round
         }
-        idle += Math.max(0, inSeconds(now.minus(filledAt))) * (capacity - promised);
-        filledAt = now;
-        for (TokenBucket purse : purses.values()) {
-            idle += purse.fill(now);
+        idleBalance += Math.max(0, inSeconds(now.minus(refilledAt))) * (capacity - guaranteedSum);
+        refilledAt = now;
+        for (TokenBucket bucket : buckets.values()) {
+            idleBalance += bucket.fill(now);
         }
-        idle = Math.min(idle, capacity * IDLE_S);
+        idleBalance = Math.min(idleBalance, capacity * MAX_IDLE_SECONDS);
     }
 
-    /** A first try of so much expected work, reading included. Whoever is not known has nothing. */
+    /**
+     * Decides on a first attempt; an unknown team is rejected.
+     *
+     * @param work expected core seconds, including the cost of reading the request
+     */
     public BudgetDecision ask(TeamId team, double work, Duration now) {
-        fill(now);
-        TokenBucket purse = purses.get(team);
-        if (purse == null) {
-            return new BudgetDecision(BudgetDecision.Kind.REFUSED, LONGEST);
+        refill(now);
+        TokenBucket bucket = buckets.get(team);
+        if (bucket == null) {
+            return new BudgetDecision(BudgetDecision.Kind.REFUSED, MAX_BACKOFF);
         }
-        if (purse.affords(work)) {
-            purse.takes(work);
+        if (bucket.affords(work)) {
+            bucket.takes(work);
             return new BudgetDecision(BudgetDecision.Kind.PROMISED, Duration.ZERO);
         }
-        if (lends(team, purse, work, now)) {
-            idle -= work;
-            purse.takesLent(work);
+        if (canUseIdle(team, bucket, work, now)) {
+            idleBalance -= work;
+            bucket.takesLent(work);
             return new BudgetDecision(BudgetDecision.Kind.LENT, Duration.ZERO);
         }
-        return refused(purse, work);
+        return reject(bucket, work);
     }
 
-    /** One that asks again is charged to its own retries, and to its work as a first try is. */
+    /** Decides on a retry, which needs retry budget and is also charged like a first attempt. */
     public BudgetDecision askAgain(TeamId team, double work, Duration now) {
-        TokenBucket purse = purses.get(team);
-        if (purse == null || !purse.affordsRetry(work)) {
-            fill(now);
-            return purse == null
-                    ? new BudgetDecision(BudgetDecision.Kind.REFUSED, LONGEST)
-                    : refused(purse, work);
+        TokenBucket bucket = buckets.get(team);
+        if (bucket == null || !bucket.affordsRetry(work)) {
+            refill(now);
+            return bucket == null
+                    ? new BudgetDecision(BudgetDecision.Kind.REFUSED, MAX_BACKOFF)
+                    : reject(bucket, work);
         }
-        BudgetDecision grant = ask(team, work, now);
-        if (grant.given()) {
-            purse.takesRetry(work * (1 + purse.promise.retryShare())); // it earns no retries itself
+        BudgetDecision decision = ask(team, work, now);
+        if (decision.given()) {
+            bucket.takesRetry(work * (1 + bucket.promise.retryShare())); // a retry earns no retries
         }
-        return grant;
+        return decision;
     }
 
     /**
-     * By weight among those that want it: who has had least is never behind by more than a little.
+     * Records that a team wants idle work, and returns whether it may use some. Teams get it in
+     * proportion to their weights: one whose lead over another is too large has to wait.
      */
-    private boolean lends(TeamId team, TokenBucket purse, double work, Duration now) {
-        if (purse.promise.weight() == 0) {
+    private boolean canUseIdle(TeamId team, TokenBucket bucket, double work, Duration now) {
+        if (bucket.promise.weight() == 0) {
             return false;
         }
-        boolean joins =
-                !wanted.containsKey(team) || now.minus(wanted.get(team)).compareTo(WANTS) > 0;
-        wanted.put(team, now);
-        wanted.values().removeIf(at -> now.minus(at).compareTo(WANTS) > 0);
-        double least = Double.POSITIVE_INFINITY;
-        for (TeamId other : wanted.keySet()) {
+        boolean isNewDemand =
+                !lastDemandAt.containsKey(team)
+                        || now.minus(lastDemandAt.get(team)).compareTo(DEMAND_WINDOW) > 0;
+        lastDemandAt.put(team, now);
+        lastDemandAt
+                .values()
+                .removeIf(lastDemand -> now.minus(lastDemand).compareTo(DEMAND_WINDOW) > 0);
+        double leastIdlePerWeight = Double.POSITIVE_INFINITY;
+        for (TeamId other : lastDemandAt.keySet()) {
             if (!other.equals(team)) {
-                least = Math.min(least, purses.get(other).lent);
+                leastIdlePerWeight = Math.min(leastIdlePerWeight, buckets.get(other).lent);
             }
         }
-        // Who was away has not saved up a claim on what is idle: it begins where the others are.
-        if (joins && least < Double.POSITIVE_INFINITY) {
-            purse.lent = Math.max(purse.lent, least);
+        // A team that returns starts level with the others: it is owed nothing for its absence.
+        if (isNewDemand && leastIdlePerWeight < Double.POSITIVE_INFINITY) {
+            bucket.lent = Math.max(bucket.lent, leastIdlePerWeight);
         }
-        return idle >= Math.min(work, capacity * IDLE_S)
-                && purse.lent <= least + capacity * AHEAD_S / purse.promise.weight();
+        return idleBalance >= Math.min(work, capacity * MAX_IDLE_SECONDS)
+                && bucket.lent
+                        <= leastIdlePerWeight
+                                + capacity * MAX_LEAD_SECONDS / bucket.promise.weight();
     }
 
-    private BudgetDecision refused(TokenBucket purse, double work) {
-        double own = purse.wait(work);
-        Duration back = own > inSeconds(LONGEST) ? LONGEST : ofSeconds(own);
+    private BudgetDecision reject(TokenBucket bucket, double work) {
+        double seconds = bucket.wait(work);
+        Duration backoff = seconds > inSeconds(MAX_BACKOFF) ? MAX_BACKOFF : ofSeconds(seconds);
         return new BudgetDecision(
-                BudgetDecision.Kind.REFUSED, back.compareTo(SHORTEST) < 0 ? SHORTEST : back);
+                BudgetDecision.Kind.REFUSED,
+                backoff.compareTo(MIN_BACKOFF) < 0 ? MIN_BACKOFF : backoff);
     }
 
-    /**
-     * A run is over: what it cost beside what was expected is its team's to pay, or to have back.
-     */
+    /** Charges or refunds the difference between actual and expected work of a finished run. */
     public void settle(TeamId team, double expected, double cost, Duration now) {
-        TokenBucket purse = purses.get(team);
-        if (purse == null) {
+        TokenBucket bucket = buckets.get(team);
+        if (bucket == null) {
             return;
         }
-        fill(now);
-        purse.settles(cost - expected);
+        refill(now);
+        bucket.settles(cost - expected);
     }
 
-    /** Work in hand; under zero it is owed. */
+    /** Returns the available guaranteed work of a team; negative if it is in debt. */
     public double inHand(TeamId team, Duration now) {
-        fill(now);
-        return purses.containsKey(team) ? purses.get(team).own() : 0;
+        refill(now);
+        return buckets.containsKey(team) ? buckets.get(team).own() : 0;
     }
 
+    /** Returns the idle work that is available to all teams. */
     public double idle(Duration now) {
-        fill(now);
-        return idle;
+        refill(now);
+        return idleBalance;
     }
 }
--- a/src/main/java/ochretiller/budgets/GuaranteedRate.java
+++ b/src/main/java/ochretiller/budgets/GuaranteedRate.java
@@ -1,19 +1,20 @@
 package ochretiller.budgets;
 
 /**
- * What a team is promised. Work is core seconds.
+ * The capacity that a team is guaranteed. Work is measured in core seconds.
  *
- * @param rate work a second that is always there for it
- * @param burst work that it may save up of that
- * @param weight its part of what is idle, among those that want it
- * @param retryShare work of further tries for each of first ones
- * @param retryBurst work of further tries that may be saved up
+ * @param rate work per second that is always available to the team
+ * @param burst maximum unused work of that rate that accumulates
+ * @param weight weight of the team when teams compete for idle capacity; 0 excludes it
+ * @param retryShare work of retries allowed per work of first attempts
+ * @param retryBurst maximum unused work of retries that accumulates
  */
 public record GuaranteedRate(
         double rate, double burst, double weight, double retryShare, double retryBurst) {
     public GuaranteedRate {
         if (!(rate >= 0 && burst >= 0 && weight >= 0 && retryShare >= 0 && retryBurst >= 0)) {
-            throw new IllegalArgumentException("no promise: a part of it is negative or no number");
+            throw new IllegalArgumentException(
+                    "each value of a guaranteed rate must be a number of at least 0");
         }
     }
 }
--- a/src/main/java/ochretiller/budgets/TeamId.java
+++ b/src/main/java/ochretiller/budgets/TeamId.java
@@ -1,9 +1,9 @@
 package ochretiller.budgets;
 
 /**
- * Names a team.
+ * Identifies a team.
  *
- * @param name as its contract has it
+ * @param name the name of the team in its contract
  */
 public record TeamId(String name) {
     @Override
--- a/src/main/java/ochretiller/budgets/TokenBucket.java
+++ b/src/main/java/ochretiller/budgets/TokenBucket.java
@@ -4,79 +4,83 @@
 
 import java.time.Duration;
 
-/** What one team has in hand. */
+/** The token bucket of one team: its available work and retries, in core seconds. */
 final class TokenBucket {
     GuaranteedRate promise;
 
-    /** Its own work in hand; under zero it owes for work that cost more than was expected. */
-    private double own;
+    /** Available guaranteed work; negative after work that cost more than expected. */
+    private double availableWork;
 
-    private double retries;
-    private Duration filledAt;
+    private double availableRetryWork;
+    private Duration refilledAt;
 
-    /** Work lent to it, over its weight: who has least is next. */
+    /** Idle work granted, divided by the weight; the team with the least has precedence. */
     double lent;
 
     TokenBucket(GuaranteedRate promise, Duration now) {
         this.promise = promise;
-        this.own = promise.burst();
-        this.retries = promise.retryBurst();
-        this.filledAt = now;
+        this.availableWork = promise.burst();
+        this.availableRetryWork = promise.retryBurst();
+        this.refilledAt = now;
     }
 
-    /** Adds what time has brought; tells what it cannot keep, which is idle. */
+    /** Adds the work for the elapsed time; returns the part over the burst, which is idle. */
     double fill(Duration now) {
-        double span = Math.max(0, inSeconds(now.minus(filledAt)));
-        filledAt = now;
-        double filled = own + span * promise.rate();
-        own = Math.min(filled, promise.burst());
-        return filled - own;
+        double elapsedSeconds = Math.max(0, inSeconds(now.minus(refilledAt)));
+        refilledAt = now;
+        double uncapped = availableWork + elapsedSeconds * promise.rate();
+        availableWork = Math.min(uncapped, promise.burst());
+        return uncapped - availableWork;
     }
 
     /**
-     * The least that must be in hand for a wish: work dearer than the burst may start once the
-     * burst is there.
+     * Returns the balance that a request needs: work that costs more than the burst may start once
+     * the balance reaches the burst.
      */
-    private double needed(double work) {
+    private double requiredBalance(double work) {
         return Math.min(work, promise.burst());
     }
 
     boolean affords(double work) {
-        return promise.rate() > 0 && own >= needed(work);
+        return promise.rate() > 0 && availableWork >= requiredBalance(work);
     }
 
     void takes(double work) {
-        own -= work;
-        retries = Math.min(promise.retryBurst(), retries + work * promise.retryShare());
+        availableWork -= work;
+        availableRetryWork =
+                Math.min(
+                        promise.retryBurst(), availableRetryWork + work * promise.retryShare());
     }
 
-    /** Work that was lent counts as a first try too. */
+    /** Takes idle work, which earns retries as guaranteed work does. */
     void takesLent(double work) {
         lent += work / promise.weight();
-        retries = Math.min(promise.retryBurst(), retries + work * promise.retryShare());
+        availableRetryWork =
+                Math.min(
+                        promise.retryBurst(), availableRetryWork + work * promise.retryShare());
     }
 
     boolean affordsRetry(double work) {
-        return retries >= work;
+        return availableRetryWork >= work;
     }
 
     void takesRetry(double work) {
-        retries -= work;
+        availableRetryWork -= work;
     }
 
-    /** What it cost beside what was expected; an overestimate comes back, not beyond the burst. */
-    void settles(double more) {
-        own = Math.min(promise.burst(), own - more);
+    /** Charges the cost over the expected work; an overestimate is refunded, up to the burst. */
+    void settles(double excess) {
+        availableWork = Math.min(promise.burst(), availableWork - excess);
     }
 
-    /** Seconds until so much is in hand. */
+    /** Returns the seconds until the work is affordable; infinity if the rate is 0. */
     double wait(double work) {
         return promise.rate() == 0
                 ? Double.POSITIVE_INFINITY
-                : Math.max(0, needed(work) - own) / promise.rate();
+                : Math.max(0, requiredBalance(work) - availableWork) / promise.rate();
     }
 
     double own() {
-        return own;
+        return availableWork;
     }
 }
--- a/src/main/java/ochretiller/budgets/package-info.java
+++ b/src/main/java/ochretiller/budgets/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decisions on what each team may use of the work that a broker can do: promised parts, bursts,
- * what is idle lent by weight, debts, retries. No sockets, clocks or threads: time is handed in.
- * {@code docs/budgets.md} tells why.
+ * Decides how much of the capacity of a broker each team may use: guaranteed rates, bursts, sharing
+ * of idle capacity by weight, debts and retries. The package has no sockets, clocks or threads:
+ * time is passed in. {@code docs/budgets.md} gives the reasons.
  */
 package ochretiller.budgets;
--- a/src/main/java/ochretiller/contracts/AddressPrefix.java
+++ b/src/main/java/ochretiller/contracts/AddressPrefix.java
@@ -1,36 +1,37 @@
 package ochretiller.contracts;
 
 /**
- * Addresses of IPv4 that begin alike.
+ * An IPv4 address prefix, as in CIDR notation.
  *
- * @param bits the address, its host part zero
- * @param length bits that count, 0 to 32
+ * @param bits the address; its host bits are zero
+ * @param length number of leading bits that identify the network, 0 to 32
  */
 record AddressPrefix(int bits, int length) {
     /**
-     * From {@code 10.1.0.0/16} or a plain address; null for anything else, also where the host part
-     * is not zero.
+     * Parses a prefix such as {@code 10.1.0.0/16} or a plain address.
+     *
+     * @return the prefix, or null if the text is neither or has non-zero host bits
      */
     static AddressPrefix of(String text) {
         int slash = text.indexOf('/');
-        String[] parts = (slash < 0 ? text : text.substring(0, slash)).split("\\.", -1);
-        if (parts.length != 4) {
+        String[] octets = (slash < 0 ? text : text.substring(0, slash)).split("\\.", -1);
+        if (octets.length != 4) {
             return null;
         }
         int bits = 0;
-        for (String part : parts) {
-            if (!part.matches("0|[1-9][0-9]{0,2}") || Integer.parseInt(part) > 255) {
+        for (String octet : octets) {
+            if (!octet.matches("0|[1-9][0-9]{0,2}") || Integer.parseInt(octet) > 255) {
                 return null;
             }
-            bits = bits << 8 | Integer.parseInt(part);
+            bits = bits << 8 | Integer.parseInt(octet);
         }
         int length = 32;
         if (slash >= 0) {
-            String told = text.substring(slash + 1);
-            if (!told.matches("0|[1-9][0-9]?") || Integer.parseInt(told) > 32) {
+            String lengthText = text.substring(slash + 1);
+            if (!lengthText.matches("0|[1-9][0-9]?") || Integer.parseInt(lengthText) > 32) {
                 return null;
             }
-            length = Integer.parseInt(told);
+            length = Integer.parseInt(lengthText);
         }
         return (bits & ~mask(length)) == 0 ? new AddressPrefix(bits, length) : null;
     }
@@ -39,7 +40,7 @@
         return length == 0 ? 0 : -1 << 32 - length;
     }
 
-    /** Whether one lies in the other. */
+    /** Returns whether one prefix contains the other. */
     boolean meets(AddressPrefix other) {
         int mask = mask(Math.min(length, other.length));
         return (bits & mask) == (other.bits & mask);
--- a/src/main/java/ochretiller/contracts/Contract.java
+++ b/src/main/java/ochretiller/contracts/Contract.java
@@ -6,10 +6,14 @@
 import ochretiller.budgets.TeamId;
 
 /**
- * What one team and the broker have agreed on.
+ * The contract between one team and the broker.
  *
- * @param version grows with each change; an invocation belongs to the one that it was read under
- * @param known addresses or prefixes that its callers come from, in the form of {@code 10.1.0.0/16}
+ * @param version increases with each change; an invocation is bound to the version that was in
+ *     force when it was read
+ * @param known addresses and prefixes of the team's clients, such as {@code 10.1.0.0/16}
+ * @param publishes the services that the team provides
+ * @param calls the services that the team uses
+ * @param promise the capacity that the team is guaranteed
  */
 public record Contract(
         TeamId team,
@@ -19,20 +23,21 @@
         List<Call> calls,
         GuaranteedRate promise) {
     /**
-     * A service that the team serves.
+     * A service that the team provides.
      *
-     * @param objective time within which it promises nearly all answers
+     * @param pool the worker pool that runs the service
+     * @param objective time within which nearly all requests are answered
      */
     public record Service(String name, String pool, Duration objective) {}
 
     /**
-     * A service that the team calls.
+     * A service that the team uses.
      *
-     * @param work core seconds a second that it expects to cause there
-     * @param inFlight most of its requests there at once
+     * @param work core seconds per second that the team expects to use there
+     * @param inFlight maximum requests of the team in flight there
      * @param objective time within which an answer earns its value
-     * @param timeout when its caller no longer waits
-     * @param value billed value of one
+     * @param timeout time after which the client no longer waits
+     * @param value billed value of one answer
      */
     public record Call(
             String service,
--- a/src/main/java/ochretiller/contracts/Contracts.java
+++ b/src/main/java/ochretiller/contracts/Contracts.java
@@ -16,43 +16,45 @@
 /**
  * All contracts of a broker.
  *
- * @param capacity core seconds a second that it can have done
+ * @param capacity core seconds per second that the broker has available
+ * @param byTeam the contract of each team
  */
 public record Contracts(double capacity, Map<TeamId, Contract> byTeam) {
-    /** A sum of promises may pass the capacity by what rounding leaves. */
+    /** Relative rounding error by which a sum may exceed its limit. */
     private static final double ROUNDING = 1e-9;
 
+    /** Collects contracts; of several contracts of one team, the last one counts. */
     public static Contracts of(double capacity, List<Contract> contracts) {
         Map<TeamId, Contract> byTeam = new LinkedHashMap<>();
-        for (Contract each : contracts) {
-            byTeam.put(each.team(), each);
+        for (Contract contract : contracts) {
+            byTeam.put(contract.team(), contract);
         }
         return new Contracts(capacity, byTeam);
     }
 
-    /** What each team is promised, as budgets want it. */
+    /** Returns the guaranteed rate of each team, for the budgets. */
     public Map<TeamId, GuaranteedRate> promises() {
-        Map<TeamId, GuaranteedRate> promises = new LinkedHashMap<>();
-        byTeam.forEach((team, contract) -> promises.put(team, contract.promise()));
-        return promises;
+        Map<TeamId, GuaranteedRate> rates = new LinkedHashMap<>();
+        byTeam.forEach((team, contract) -> rates.put(team, contract.promise()));
+        return rates;
     }
 
-    /** Core seconds a second that are promised to all together. */
+    /** Returns the sum of all guaranteed rates in core seconds per second. */
     public double promised() {
-        return byTeam.values().stream().mapToDouble(each -> each.promise().rate()).sum();
+        return byTeam.values().stream().mapToDouble(contract -> contract.promise().rate()).sum();
     }
 
     private Map<String, Contract> publishers() {
         Map<String, Contract> publishers = new TreeMap<>();
         for (Contract contract : byTeam.values()) {
-            for (Contract.Service each : contract.publishes()) {
-                publishers.put(each.name(), contract);
+            for (Contract.Service service : contract.publishes()) {
+                publishers.put(service.name(), contract);
             }
         }
         return publishers;
     }
 
-    /** What is wrong with them as a whole, a line each; none is good unless all are. */
+    /** Returns the faults of the contracts as a whole, one line each; empty if they are valid. */
     public List<String> faults() {
         List<String> faults = new ArrayList<>();
         double sum = promised();
@@ -64,25 +66,25 @@
                             sum,
                             capacity));
         }
-        published(faults);
-        known(faults);
+        checkPublishers(faults);
+        checkAddresses(faults);
         Map<String, Contract> publishers = publishers();
         for (Contract contract : byTeam.values()) {
-            calls(contract, publishers, faults);
+            checkCalls(contract, publishers, faults);
         }
-        circles(publishers, faults);
+        checkCycles(publishers, faults);
         return faults;
     }
 
-    private void published(List<String> faults) {
-        Map<String, TeamId> first = new HashMap<>();
+    private void checkPublishers(List<String> faults) {
+        Map<String, TeamId> publisherByService = new HashMap<>();
         for (Contract contract : byTeam.values()) {
-            for (Contract.Service each : contract.publishes()) {
-                TeamId other = first.putIfAbsent(each.name(), contract.team());
+            for (Contract.Service service : contract.publishes()) {
+                TeamId other = publisherByService.putIfAbsent(service.name(), contract.team());
                 if (other != null) {
                     faults.add(
                             "service "
-                                    + each.name()
+                                    + service.name()
                                     + " is published by "
                                     + other
                                     + " and by "
@@ -93,9 +95,9 @@
     }
 
     /**
-     * Whom an address belongs to must be certain: prefixes of two teams may not lie in one another.
+     * Checks that the prefixes of two teams never overlap, so that an address identifies one team.
      */
-    private void known(List<String> faults) {
+    private void checkAddresses(List<String> faults) {
         List<AddressPrefix> prefixes = new ArrayList<>();
         List<TeamId> owners = new ArrayList<>();
         for (Contract contract : byTeam.values()) {
@@ -124,27 +126,27 @@
         }
     }
 
-    private static void calls(
+    private static void checkCalls(
             Contract contract, Map<String, Contract> publishers, List<String> faults) {
         Set<String> seen = new LinkedHashSet<>();
         for (Contract.Call call : contract.calls()) {
-            String of = contract.team() + " calls " + call.service();
+            String description = contract.team() + " calls " + call.service();
             if (!seen.add(call.service())) {
-                faults.add(of + " twice");
+                faults.add(description + " twice");
             }
             Contract publisher = publishers.get(call.service());
             if (publisher == null) {
-                faults.add(of + ", which nobody publishes");
+                faults.add(description + ", which nobody publishes");
                 continue;
             }
             if (call.objective().compareTo(call.timeout()) > 0) {
-                faults.add(of + " with an objective behind its timeout");
+                faults.add(description + " with an objective behind its timeout");
             }
             for (Contract.Service service : publisher.publishes()) {
                 if (service.name().equals(call.service())
                         && service.objective().compareTo(call.objective()) > 0) {
                     faults.add(
-                            of
+                            description
                                     + " within "
                                     + call.objective().toMillis()
                                     + " ms, which promises "
@@ -153,176 +155,182 @@
                 }
             }
         }
-        double work = contract.calls().stream().mapToDouble(Contract.Call::work).sum();
-        if (work > contract.promise().rate() * (1 + ROUNDING)) {
+        double expectedWork = contract.calls().stream().mapToDouble(Contract.Call::work).sum();
+        if (expectedWork > contract.promise().rate() * (1 + ROUNDING)) {
             faults.add(
                     String.format(
                             Locale.ROOT,
                             "%s expects to cause %.3f core seconds a second and is promised %.3f",
                             contract.team(),
-                            work,
+                            expectedWork,
                             contract.promise().rate()));
         }
     }
 
     /**
-     * A service that calls itself over others would hold places while it waits for them: each
-     * circle is told once, from its first name.
+     * Reports each cycle of calls once. A service that calls itself through others would occupy
+     * in-flight slots while it waits for itself.
      */
-    private static void circles(Map<String, Contract> publishers, List<String> faults) {
-        Map<String, Set<String>> next = new TreeMap<>();
+    private static void checkCycles(Map<String, Contract> publishers, List<String> faults) {
+        Map<String, Set<String>> callsByService = new TreeMap<>();
         publishers.forEach(
                 (service, contract) -> {
                     Set<String> called = new TreeSet<>();
                     for (Contract.Call call : contract.calls()) {
                         called.add(call.service());
                     }
-                    next.put(service, called);
+                    callsByService.put(service, called);
                 });
-        Set<String> done = new LinkedHashSet<>();
-        for (String service : next.keySet()) {
-            walk(service, next, new ArrayList<>(), done, faults);
+        Set<String> visited = new LinkedHashSet<>();
+        for (String service : callsByService.keySet()) {
+            findCycles(service, callsByService, new ArrayList<>(), visited, faults);
         }
     }
 
-    private static void walk(
-            String at,
-            Map<String, Set<String>> next,
-            List<String> way,
-            Set<String> done,
+    private static void findCycles(
+            String service,
+            Map<String, Set<String>> callsByService,
+            List<String> path,
+            Set<String> visited,
             List<String> faults) {
-        int met = way.indexOf(at);
-        if (met >= 0) {
-            List<String> circle = new ArrayList<>(way.subList(met, way.size()));
-            circle.add(at);
-            faults.add("services call one another in a circle: " + String.join(" -> ", circle));
+        int cycleStart = path.indexOf(service);
+        if (cycleStart >= 0) {
+            List<String> cycle = new ArrayList<>(path.subList(cycleStart, path.size()));
+            cycle.add(service);
+            faults.add("services call one another in a circle: " + String.join(" -> ", cycle));
             return;
         }
-        if (done.contains(at) || !next.containsKey(at)) {
+        if (visited.contains(service) || !callsByService.containsKey(service)) {
             return;
         }
-        way.add(at);
-        for (String called : next.get(at)) {
-            walk(called, next, way, done, faults);
+        path.add(service);
+        for (String called : callsByService.get(service)) {
+            findCycles(called, callsByService, path, visited, faults);
         }
-        way.remove(way.size() - 1);
-        done.add(at);
+        path.remove(path.size() - 1);
+        visited.add(service);
     }
 
     /**
-     * What going over to {@code to} would do to each team, a line each; nothing for those whom it
-     * does not touch.
+     * Describes the effect of replacing these contracts with others, one line per change; a team
+     * that is not affected has none.
      */
-    public List<String> changes(Contracts to) {
+    public List<String> changes(Contracts replacement) {
         List<String> lines = new ArrayList<>();
-        if (capacity != to.capacity) {
+        if (capacity != replacement.capacity) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "capacity %.3f -> %.3f core seconds a second",
                             capacity,
-                            to.capacity));
+                            replacement.capacity));
         }
-        Set<TeamId> all = new LinkedHashSet<>(byTeam.keySet());
-        all.addAll(to.byTeam.keySet());
-        for (TeamId team : all) {
-            Contract old = byTeam.get(team);
-            Contract now = to.byTeam.get(team);
-            if (old == null) {
-                lines.add(team + " comes, promised " + shown(now.promise().rate()));
-            } else if (now == null) {
+        Set<TeamId> teams = new LinkedHashSet<>(byTeam.keySet());
+        teams.addAll(replacement.byTeam.keySet());
+        for (TeamId team : teams) {
+            Contract previous = byTeam.get(team);
+            Contract updated = replacement.byTeam.get(team);
+            if (previous == null) {
+                lines.add(team + " comes, promised " + formatRate(updated.promise().rate()));
+            } else if (updated == null) {
                 lines.add(
                         team
                                 + " goes: what it asks from then on is refused, what was read is"
                                 + " answered");
             } else {
-                changes(old, now, to, lines);
+                addChanges(previous, updated, replacement, lines);
             }
         }
         return lines;
     }
 
-    private static String shown(double rate) {
+    private static String formatRate(double rate) {
         return String.format(Locale.ROOT, "%.3f core seconds a second", rate);
     }
 
-    private void changes(Contract old, Contract now, Contracts to, List<String> lines) {
-        String team = old.team() + " ";
-        if (!old.equals(now) && now.version() <= old.version()) {
+    private void addChanges(
+            Contract previous, Contract updated, Contracts replacement, List<String> lines) {
+        String team = previous.team() + " ";
+        if (!previous.equals(updated) && updated.version() <= previous.version()) {
             lines.add(
                     team
                             + "changes without a higher version: "
-                            + old.version()
+                            + previous.version()
                             + " -> "
-                            + now.version());
+                            + updated.version());
         }
-        if (old.promise().rate() != now.promise().rate()) {
+        if (previous.promise().rate() != updated.promise().rate()) {
             lines.add(
                     team
                             + "promised "
-                            + shown(old.promise().rate())
+                            + formatRate(previous.promise().rate())
                             + " -> "
-                            + shown(now.promise().rate()));
+                            + formatRate(updated.promise().rate()));
         }
-        double oldPart = part(old);
-        double newPart = to.part(now);
-        if (Math.abs(oldPart - newPart) > 0.0005) {
+        double oldFraction = idleFraction(previous);
+        double newFraction = replacement.idleFraction(updated);
+        if (Math.abs(oldFraction - newFraction) > 0.0005) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "%shas %.3f -> %.3f of what is idle where all want it",
                             team,
-                            oldPart,
-                            newPart));
+                            oldFraction,
+                            newFraction));
         }
-        if (old.promise().burst() != now.promise().burst()) {
+        if (previous.promise().burst() != updated.promise().burst()) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "%sburst %.3f -> %.3f core seconds",
                             team,
-                            old.promise().burst(),
-                            now.promise().burst()));
+                            previous.promise().burst(),
+                            updated.promise().burst()));
         }
-        if (old.promise().retryShare() != now.promise().retryShare()) {
+        if (previous.promise().retryShare() != updated.promise().retryShare()) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "%sretries %.3f -> %.3f of first tries",
                             team,
-                            old.promise().retryShare(),
-                            now.promise().retryShare()));
+                            previous.promise().retryShare(),
+                            updated.promise().retryShare()));
         }
-        named(
+        addListChanges(
                 team,
                 "calls",
-                old.calls().stream().map(Contract.Call::service).toList(),
-                now.calls().stream().map(Contract.Call::service).toList(),
+                previous.calls().stream().map(Contract.Call::service).toList(),
+                updated.calls().stream().map(Contract.Call::service).toList(),
                 lines);
-        named(
+        addListChanges(
                 team,
                 "publishes",
-                old.publishes().stream().map(Contract.Service::name).toList(),
-                now.publishes().stream().map(Contract.Service::name).toList(),
+                previous.publishes().stream().map(Contract.Service::name).toList(),
+                updated.publishes().stream().map(Contract.Service::name).toList(),
                 lines);
     }
 
-    private static void named(
-            String team, String does, List<String> old, List<String> now, List<String> lines) {
-        for (String each : old) {
-            if (!now.contains(each)) {
-                lines.add(team + does + " " + each + " no more");
+    private static void addListChanges(
+            String team,
+            String verb,
+            List<String> previous,
+            List<String> updated,
+            List<String> lines) {
+        for (String service : previous) {
+            if (!updated.contains(service)) {
+                lines.add(team + verb + " " + service + " no more");
             }
         }
-        for (String each : now) {
-            if (!old.contains(each)) {
-                lines.add(team + does + " " + each);
+        for (String service : updated) {
+            if (!previous.contains(service)) {
+                lines.add(team + verb + " " + service);
             }
         }
     }
 
-    private double part(Contract contract) {
-        double all = byTeam.values().stream().mapToDouble(each -> each.promise().weight()).sum();
-        return all == 0 ? 0 : contract.promise().weight() / all;
+    /** Returns the fraction of idle capacity that a team gets if all teams want some, 0 to 1. */
+    private double idleFraction(Contract contract) {
+        double sum = byTeam.values().stream().mapToDouble(other -> other.promise().weight()).sum();
+        return sum == 0 ? 0 : contract.promise().weight() / sum;
     }
 }
--- a/src/main/java/ochretiller/contracts/package-info.java
+++ b/src/main/java/ochretiller/contracts/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Contracts between teams and a broker, held against one another as a whole. Plain values and
- * decisions; files are read elsewhere.
+ * Contracts between teams and a broker, and the checks that they are consistent as a whole. Files
+ * are read elsewhere.
  */
 package ochretiller.contracts;
--- a/src/main/java/ochretiller/operator/ContractFiles.java
+++ b/src/main/java/ochretiller/operator/ContractFiles.java
@@ -18,30 +18,30 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Reads a folder of contracts: {@code broker.json5} says what there is, each other file is a
- * team's.
+ * Reads a folder of contracts: {@code broker.json5} has the capacity of the broker, each other
+ * JSON5 file the contract of one team.
  */
 public final class ContractFiles {
-    private static final String BROKER = "broker.json5";
-    private static final Json5 CONTRACT = new Json5(ContractFiles.class, "contract.schema.json");
-    private static final Json5 CAPACITY = new Json5(ContractFiles.class, "broker.schema.json");
+    private static final String BROKER_FILE = "broker.json5";
+    private static final Json5 CONTRACT_FORMAT =
+            new Json5(ContractFiles.class, "contract.schema.json");
+    private static final Json5 BROKER_FORMAT = new Json5(ContractFiles.class, "broker.schema.json");
 
-    /** Contracts of one folder. */
-    private static final int MOST = 10_000;
+    /** Maximum contracts in one folder. */
+    private static final int MAX_CONTRACTS = 10_000;
 
-    /**
-     * Where a contract says nothing: a tenth of a second of the rate saved up, and a tenth of all
-     * tries tried again.
-     */
-    private static final double BURST_S = 0.1;
+    /** Default of a burst, of work as of retries, in seconds at the guaranteed rate. */
+    private static final double DEFAULT_BURST_SECONDS = 0.1;
 
-    private static final double RETRY_SHARE = 0.1;
+    private static final double DEFAULT_RETRY_RATIO = 0.1;
 
     private ContractFiles() {}
 
     /**
-     * All contracts; what is wrong with a file, or with all of them together, is one exception with
-     * a line each.
+     * Reads and checks all contracts.
+     *
+     * @throws MalformedException if a file or the contracts as a whole are invalid; the message has
+     *     one line per fault
      */
     public static Contracts read(Path folder) {
         List<Path> files;
@@ -52,17 +52,17 @@
                                             file.toString().endsWith(".json5")
                                                     && !file.getFileName()
                                                             .toString()
-                                                            .equals(BROKER))
+                                                            .equals(BROKER_FILE))
                             .sorted()
                             .toList();
         } catch (IOException e) {
             throw new MalformedException("cannot read the contracts' folder " + folder);
         }
-        if (files.size() > MOST) {
-            throw new MalformedException(folder + " has over " + MOST + " contracts");
+        if (files.size() > MAX_CONTRACTS) {
+            throw new MalformedException(folder + " has over " + MAX_CONTRACTS + " contracts");
         }
         double capacity =
-                CAPACITY.read(folder.resolve(BROKER), "the broker's file")
+                BROKER_FORMAT.read(folder.resolve(BROKER_FILE), "the broker's file")
                         .get("work_per_s")
                         .asDouble();
         List<Contract> contracts = new ArrayList<>();
@@ -70,7 +70,7 @@
         Set<TeamId> teams = new HashSet<>();
         for (Path file : files) {
             try {
-                Contract contract = contract(CONTRACT.read(file, "the contract"));
+                Contract contract = parseContract(CONTRACT_FORMAT.read(file, "the contract"));
                 if (teams.add(contract.team())) {
                     contracts.add(contract);
                 } else {
@@ -90,7 +90,7 @@
         return all;
     }
 
-    private static Contract contract(JsonNode root) {
+    private static Contract parseContract(JsonNode root) {
         List<String> known = new ArrayList<>();
         root.path("known").forEach(each -> known.add(each.asText()));
         List<Contract.Service> publishes = new ArrayList<>();
@@ -126,9 +126,9 @@
                 List.copyOf(calls),
                 new GuaranteedRate(
                         rate,
-                        promise.path("burst").asDouble(rate * BURST_S),
+                        promise.path("burst").asDouble(rate * DEFAULT_BURST_SECONDS),
                         promise.path("weight").asDouble(rate),
-                        promise.path("retry_share").asDouble(RETRY_SHARE),
-                        promise.path("retry_burst").asDouble(rate * BURST_S)));
+                        promise.path("retry_share").asDouble(DEFAULT_RETRY_RATIO),
+                        promise.path("retry_burst").asDouble(rate * DEFAULT_BURST_SECONDS)));
     }
 }
--- a/src/main/java/ochretiller/operator/OperatorConfig.java
+++ b/src/main/java/ochretiller/operator/OperatorConfig.java
@@ -9,16 +9,17 @@
 import ochretiller.pools.PoolSettings;
 
 /**
- * What operators switch on beside the platform's configuration.
+ * The content of the operators' file: optional features that the platform's configuration does not
+ * have.
  *
- * @param jsonLog whether log lines are JSON
- * @param metrics where figures are written, if anywhere
- * @param remember how keyed results outlive a restart, if they do
- * @param uwsgi where front ends of uwsgi connect, if any do
- * @param pools workers that carry out operations in the processor's place
- * @param fleet the fleet that the server takes part in, if any
- * @param audit how it is kept what this server acts on, if it is
- * @param drill faults of the machine, in drills only
+ * @param jsonLog whether log lines are in JSON
+ * @param metrics the file to which metrics are written; empty for none
+ * @param remember how results of keyed operations survive a restart; empty if they do not
+ * @param uwsgi the uwsgi frontend; empty for none
+ * @param pools workers that run operations instead of the processor
+ * @param fleet the fleet that the server joins; empty for none
+ * @param audit the audit log of this server; empty for none
+ * @param drill simulated faults of the machine, only allowed in drills
  */
 public record OperatorConfig(
         boolean jsonLog,
@@ -29,7 +30,7 @@
         Optional<FleetSettings> fleet,
         Optional<Audit> audit,
         Drill drill) {
-    /** Nothing is switched on. */
+    /** All features are off. */
     public static final OperatorConfig NONE =
             new OperatorConfig(
                     false,
@@ -41,44 +42,46 @@
                     Optional.empty(),
                     Drill.NONE);
 
-    /** The same with other pools. */
-    public OperatorConfig with(List<Workers> others) {
-        return new OperatorConfig(jsonLog, metrics, remember, uwsgi, others, fleet, audit, drill);
+    /** Returns a copy with other pools. */
+    public OperatorConfig with(List<Workers> newPools) {
+        return new OperatorConfig(jsonLog, metrics, remember, uwsgi, newPools, fleet, audit, drill);
     }
 
     /**
-     * An audit.
+     * The audit log.
      *
-     * @param folder where it is kept; one process has it at a time
-     * @param span longest span of what is counted together
-     * @param mostBytes of all its files; the oldest go
-     * @param runs whether each run of a token is kept, so that its version can be told
+     * @param folder the folder of its files; only one process at a time may use it
+     * @param span maximum period whose invocations are counted in one record
+     * @param mostBytes maximum size of all files; the oldest are deleted
+     * @param runs whether each run of a token is recorded, so that its version can be looked up
      */
     public record Audit(Path folder, Duration span, long mostBytes, boolean runs) {}
 
     /**
-     * What drills put on a machine and its disk.
+     * Faults of the machine and its disk that are simulated in drills.
      *
-     * @param clock how far the Unix clock is set wrong
-     * @param diskFault a file that says, while it is there, what is wrong with the disk; or null
+     * @param clock error of the Unix clock
+     * @param diskFault a file that describes the fault of the disk while it exists; or null
      */
     public record Drill(Duration clock, Path diskFault) {
+        /** No faults. */
         public static final Drill NONE = new Drill(Duration.ZERO, null);
     }
 
     /**
-     * A front that speaks uwsgi.
+     * The uwsgi frontend.
      *
-     * @param callerVar the variable that names who asks
-     * @param timeVar the variable with the Unix milliseconds at which a request came to the machine
+     * @param callerVar the request variable that identifies the client
+     * @param timeVar the request variable with the time at which the request reached the machine,
+     *     in Unix milliseconds
      */
     public record Uwsgi(
             InetSocketAddress listen, List<Route> routes, String callerVar, String timeVar) {}
 
     /**
-     * A pool of uwsgi workers that do the same.
+     * A pool of equivalent uwsgi workers.
      *
-     * @param late how long a late answer is listened for
+     * @param late how long after its deadline the answer of a keyed run is still awaited
      */
     public record Workers(
             String name,
@@ -87,37 +90,37 @@
             PoolSettings settings,
             Duration late) {}
 
-    /** What a worker is asked for when an operation runs. */
+    /** The request that is sent to a worker to run an operation. */
     public record Run(String operation, String method, String path) {}
 
     /**
-     * Which operation a path asks for.
+     * Maps requests with a method and path to an operation.
      *
-     * @param kb memory that is booked for one while it is held, in KB
+     * @param kb memory to reserve for an attempt, in KB
      */
     public record Route(String method, String path, String operation, double kb) {}
 
     /**
-     * Figures in a file.
+     * The file of metrics.
      *
-     * @param every how often it is written
+     * @param every how often the file is written
      */
     public record Figures(Path file, Duration every) {}
 
     /**
-     * Results that outlive a restart.
+     * The store of results that survive a restart.
      *
-     * @param folder where they are kept; one process has it at a time
-     * @param mostEntries keys that are kept together
-     * @param mostBytes bytes on disk
-     * @param segmentBytes size of one of its files
-     * @param rollAfter age of one of its files
-     * @param copyRate bytes a second that compaction copies at most
-     * @param markWait longest wait of a run for its mark
-     * @param answerWait longest wait of an answer for its result to be durable
-     * @param stall age of an append from which the disk counts as stalled
-     * @param probe first pause before a sick disk is tried again
-     * @param mostProbe longest such pause
+     * @param folder the folder of its files; only one process at a time may use it
+     * @param mostEntries maximum keys in the store
+     * @param mostBytes maximum size on disk
+     * @param segmentBytes size at which a new segment file is started
+     * @param rollAfter age at which a new segment file is started
+     * @param copyRate maximum bytes per second that compaction copies
+     * @param markWait how long a run waits for its in-flight marker before it is throttled
+     * @param answerWait how long an answer waits for its result to be durable
+     * @param stall age of a pending append at which the disk counts as stalled
+     * @param probe first delay before a failed disk is probed again
+     * @param mostProbe maximum delay between such probes
      */
     public record Remember(
             Path folder,
--- a/src/main/java/ochretiller/operator/OperatorConfigReader.java
+++ b/src/main/java/ochretiller/operator/OperatorConfigReader.java
@@ -23,23 +23,29 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Reads an operators' file. What is wrong is told by a {@link MalformedException}, one line with
- * file, line and column.
+ * Reads an operators' file. Faults are reported as a {@link MalformedException} whose message is
+ * one line with file, line and column.
  */
 public final class OperatorConfigReader {
-    private static final Json5 FILE = new Json5(OperatorConfigReader.class, "operator.schema.json");
+    private static final Json5 FORMAT =
+            new Json5(OperatorConfigReader.class, "operator.schema.json");
 
     private OperatorConfigReader() {}
 
+    /**
+     * Reads and checks a file.
+     *
+     * @throws MalformedException if it cannot be read or is invalid
+     */
     public static OperatorConfig read(Path file) {
-        return operator(FILE.read(file, "the operators' file"));
+        return parseOperator(FORMAT.read(file, "the operators' file"));
     }
 
     static OperatorConfig of(String text, String name) {
-        return operator(FILE.of(text, name));
+        return parseOperator(FORMAT.of(text, name));
     }
 
-    private static OperatorConfig operator(JsonNode root) {
+    private static OperatorConfig parseOperator(JsonNode root) {
         JsonNode metrics = root.path("metrics");
         JsonNode remember = root.path("remember");
         return new OperatorConfig(
@@ -50,26 +56,33 @@
                                 new OperatorConfig.Figures(
                                         Path.of(metrics.get("file").asText()),
                                         millis(metrics, "every_ms", 5_000))),
-                remember.isMissingNode() ? Optional.empty() : Optional.of(remember(remember)),
-                root.has("uwsgi") ? Optional.of(uwsgi(root.get("uwsgi"))) : Optional.empty(),
-                pools(root.path("pools")),
-                root.has("fleet") ? Optional.of(fleet(root.get("fleet"))) : Optional.empty(),
-                root.has("audit") ? Optional.of(audit(root.get("audit"))) : Optional.empty(),
-                drill(root.path("drill")));
+                remember.isMissingNode() ? Optional.empty() : Optional.of(parseRemember(remember)),
+                root.has("uwsgi") ? Optional.of(parseUwsgi(root.get("uwsgi"))) : Optional.empty(),
+                parsePools(root.path("pools")),
+                root.has("fleet") ? Optional.of(parseFleet(root.get("fleet"))) : Optional.empty(),
+                root.has("audit") ? Optional.of(parseAudit(root.get("audit"))) : Optional.empty(),
+                parseDrill(root.path("drill")));
     }
 
-    private static List<OperatorConfig.Workers> pools(JsonNode pools) {
+    private static List<OperatorConfig.Workers> parsePools(JsonNode pools) {
         List<OperatorConfig.Workers> all = new ArrayList<>();
-        Set<String> operations = new HashSet<>();
+        Set<String> assignedOperations = new HashSet<>();
         pools.properties()
-                .forEach(each -> all.add(pool(each.getKey(), each.getValue(), operations)));
+                .forEach(
+                        each ->
+                                all.add(
+                                        parsePool(
+                                                each.getKey(),
+                                                each.getValue(),
+                                                assignedOperations)));
         return List.copyOf(all);
     }
 
-    private static OperatorConfig.Workers pool(String name, JsonNode node, Set<String> operations) {
+    private static OperatorConfig.Workers parsePool(
+            String name, JsonNode node, Set<String> assignedOperations) {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonNode worker : node.get("workers")) {
-            InetSocketAddress address = address(worker.asText());
+            InetSocketAddress address = parseAddress(worker.asText());
             if (addresses.contains(address)) {
                 throw new MalformedException("pool " + name + ": twice " + worker.asText());
             }
@@ -78,7 +91,7 @@
         List<OperatorConfig.Run> runs = new ArrayList<>();
         for (JsonNode run : node.get("runs")) {
             String operation = run.get("operation").asText();
-            if (!operations.add(operation)) {
+            if (!assignedOperations.add(operation)) {
                 throw new MalformedException(
                         "pool " + name + ": " + operation + " has a pool already");
             }
@@ -88,14 +101,14 @@
                             run.path("method").asText("POST"),
                             run.get("path").asText()));
         }
-        PoolSettings usual = PoolSettings.USUAL;
-        Duration leftOut = millis(node, "left_out_ms", usual.leftOut().toMillis());
-        Duration most =
+        PoolSettings defaults = PoolSettings.USUAL;
+        Duration initialEjection = millis(node, "left_out_ms", defaults.leftOut().toMillis());
+        Duration maxEjection =
                 millis(
                         node,
                         "most_left_out_ms",
-                        Math.max(leftOut.toMillis(), usual.mostLeftOut().toMillis()));
-        if (most.compareTo(leftOut) < 0) {
+                        Math.max(initialEjection.toMillis(), defaults.mostLeftOut().toMillis()));
+        if (maxEjection.compareTo(initialEjection) < 0) {
             throw new MalformedException(
                     "pool " + name + ": most_left_out_ms is under left_out_ms");
         }
@@ -104,51 +117,51 @@
                 List.copyOf(addresses),
                 List.copyOf(runs),
                 new PoolSettings(
-                        node.path("most_in_flight").asInt(usual.mostInFlight()),
-                        node.path("failures_in_row").asInt(usual.failuresInRow()),
-                        node.path("bad_share").asDouble(usual.badShare()),
-                        leftOut,
-                        most,
-                        node.path("probes").asInt(usual.probes()),
-                        millis(node, "slow_start_ms", usual.slowStart().toMillis()),
-                        node.path("retry_share").asDouble(usual.retryShare()),
-                        node.path("retry_burst").asDouble(usual.retryBurst())),
+                        node.path("most_in_flight").asInt(defaults.mostInFlight()),
+                        node.path("failures_in_row").asInt(defaults.failuresInRow()),
+                        node.path("bad_share").asDouble(defaults.badShare()),
+                        initialEjection,
+                        maxEjection,
+                        node.path("probes").asInt(defaults.probes()),
+                        millis(node, "slow_start_ms", defaults.slowStart().toMillis()),
+                        node.path("retry_share").asDouble(defaults.retryShare()),
+                        node.path("retry_burst").asDouble(defaults.retryBurst())),
                 millis(node, "late_ms", 10_000));
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private static FleetSettings fleet(JsonNode node) {
+    private static FleetSettings parseFleet(JsonNode node) {
         List<PeerAddress> seeds = new ArrayList<>();
-        node.path("seeds").forEach(each -> seeds.add(fleetAddress(each)));
-        ProtocolTiming usual = ProtocolTiming.DEFAULT;
+        node.path("seeds").forEach(each -> seeds.add(parsePeerAddress(each)));
+        ProtocolTiming defaults = ProtocolTiming.DEFAULT;
         return new FleetSettings(
                 node.get("name").asText(),
-                address(node.get("listen").asText()),
-                node.has("advertise") ? fleetAddress(node.get("advertise")) : null,
-                node.has("serves") ? fleetAddress(node.get("serves")) : null,
+                parseAddress(node.get("listen").asText()),
+                node.has("advertise") ? parsePeerAddress(node.get("advertise")) : null,
+                node.has("serves") ? parsePeerAddress(node.get("serves")) : null,
                 Path.of(node.get("key_file").asText()),
                 node.has("peers_file") ? Path.of(node.get("peers_file").asText()) : null,
                 List.copyOf(seeds),
                 node.path("zone").asText(""),
                 new ProtocolTiming(
-                        millis(node, "probe_ms", usual.probeInterval().toMillis()),
+                        millis(node, "probe_ms", defaults.probeInterval().toMillis()),
                         Duration.ofSeconds(
                                 node.path("forget_s")
-                                        .asLong(usual.departedRetention().toSeconds())),
-                        node.path("most_gone").asInt(usual.maxDeparted())),
-                node.has("copies") ? copies(node.get("copies")) : null);
+                                        .asLong(defaults.departedRetention().toSeconds())),
+                        node.path("most_gone").asInt(defaults.maxDeparted())),
+                node.has("copies") ? parseReplication(node.get("copies")) : null);
     }
 
-    private static ReplicationSettings copies(JsonNode node) {
+    private static ReplicationSettings parseReplication(JsonNode node) {
         List<String> voters = new ArrayList<>();
         node.get("voters").forEach(each -> voters.add(each.asText()));
         if (new HashSet<>(voters).size() < voters.size()) {
-            throw new MalformedException("fleet: a voter is named twice");
+            throw new MalformedException("fleet: a name is listed twice in voters");
         }
         return new ReplicationSettings(
                 List.copyOf(voters),
@@ -158,11 +171,11 @@
                 node.path("most_mb").asLong(16) << 20,
                 millis(node, "calm_ms", 5_000),
                 node.path("catch_up_kb_per_s").asLong(2_048) << 10,
-                modes(node),
-                node.has("versions") ? versions(node.get("versions")) : null);
+                parseClaimModes(node),
+                node.has("versions") ? parseRollout(node.get("versions")) : null);
     }
 
-    private static OperatorConfig.Audit audit(JsonNode node) {
+    private static OperatorConfig.Audit parseAudit(JsonNode node) {
         return new OperatorConfig.Audit(
                 Path.of(node.get("folder").asText()),
                 millis(node, "span_ms", 60_000),
@@ -170,7 +183,7 @@
                 node.path("runs").asBoolean(true));
     }
 
-    private static RolloutSettings versions(JsonNode node) {
+    private static RolloutSettings parseRollout(JsonNode node) {
         return new RolloutSettings(
                 Path.of(node.get("folder").asText()),
                 millis(node, "lease_ms", 10_000),
@@ -180,10 +193,14 @@
                 node.path("on_harm").asText("take-back").equals("take-back"));
     }
 
-    /** What a fleet brings out as a version: the pools of an operators' file, and nothing else. */
+    /**
+     * Parses a version that the fleet rolls out: an operators' file that has only pools.
+     *
+     * @throws MalformedException if it is invalid or has other settings
+     */
     public static List<OperatorConfig.Workers> version(String text, String name) {
         OperatorConfig operator = of(text, name);
-        boolean more =
+        boolean isInvalid =
                 operator.metrics().isPresent()
                         || operator.remember().isPresent()
                         || operator.uwsgi().isPresent()
@@ -191,49 +208,53 @@
                         || operator.jsonLog()
                         || operator.audit().isPresent()
                         || operator.pools().isEmpty();
-        if (more) {
+        if (isInvalid) {
             throw new MalformedException(name + ": a version has pools, and nothing else");
         }
         return operator.pools();
     }
 
-    private static ClaimModeSettings modes(JsonNode node) {
+    private static ClaimModeSettings parseClaimModes(JsonNode node) {
         Map<String, ClaimMode> byOperation = new HashMap<>();
         node.path("modes")
                 .properties()
-                .forEach(each -> byOperation.put(each.getKey(), mode(each.getValue().asText())));
-        return new ClaimModeSettings(mode(node.path("mode").asText("fleet")), byOperation);
+                .forEach(
+                        each ->
+                                byOperation.put(
+                                        each.getKey(), parseClaimMode(each.getValue().asText())));
+        return new ClaimModeSettings(
+                parseClaimMode(node.path("mode").asText("fleet")), byOperation);
     }
 
-    private static ClaimMode mode(String text) {
+    private static ClaimMode parseClaimMode(String text) {
         return ClaimMode.fromExternalName(text);
     }
 
-    private static PeerAddress fleetAddress(JsonNode node) {
+    private static PeerAddress parsePeerAddress(JsonNode node) {
         try {
             return PeerAddress.parse(node.asText());
         } catch (IllegalArgumentException e) {
-            throw new MalformedException("fleet: no address: '" + node.asText() + "'");
+            throw new MalformedException("fleet: invalid address: '" + node.asText() + "'");
         }
     }
 
     /**
-     * Drills set a server's clock wrong and its disk faulty; anywhere else that would be a fault
-     * nobody could see.
+     * Parses the simulated faults of the clock and disk. They are only allowed in drills, since
+     * elsewhere nobody would notice that they are set.
      */
-    private static OperatorConfig.Drill drill(JsonNode drill) {
+    private static OperatorConfig.Drill parseDrill(JsonNode drill) {
         if (drill.isMissingNode()) {
             return OperatorConfig.Drill.NONE;
         }
         if (System.getenv("OCHRETILLER_DRILL") == null) {
-            throw new MalformedException("drill: only drills may set clocks and disks wrong");
+            throw new MalformedException("drill: only drills may set clock_ms and disk_fault");
         }
         return new OperatorConfig.Drill(
                 Duration.ofMillis(drill.path("clock_ms").asLong(0)),
                 drill.has("disk_fault") ? Path.of(drill.get("disk_fault").asText()) : null);
     }
 
-    private static OperatorConfig.Uwsgi uwsgi(JsonNode node) {
+    private static OperatorConfig.Uwsgi parseUwsgi(JsonNode node) {
         List<OperatorConfig.Route> routes = new ArrayList<>();
         for (JsonNode route : node.get("routes")) {
             routes.add(
@@ -244,13 +265,13 @@
                             route.path("kb").asDouble(20)));
         }
         return new OperatorConfig.Uwsgi(
-                address(node.get("listen").asText()),
+                parseAddress(node.get("listen").asText()),
                 List.copyOf(routes),
                 node.path("caller_var").asText("REMOTE_ADDR"),
                 node.path("time_var").asText("HTTP_X_REQUEST_START"));
     }
 
-    private static OperatorConfig.Remember remember(JsonNode node) {
+    private static OperatorConfig.Remember parseRemember(JsonNode node) {
         long mostBytes = node.path("most_mb").asLong(64) << 20;
         return new OperatorConfig.Remember(
                 Path.of(node.get("folder").asText()),
@@ -272,7 +293,7 @@
                 millis(node, "most_probe_ms", 5_000));
     }
 
-    private static Duration millis(JsonNode node, String name, long otherwise) {
-        return Duration.ofMillis(node.path(name).asLong(otherwise));
+    private static Duration millis(JsonNode node, String name, long defaultMillis) {
+        return Duration.ofMillis(node.path(name).asLong(defaultMillis));
     }
 }
--- a/src/main/java/ochretiller/workers/UwsgiRunBackend.java
+++ b/src/main/java/ochretiller/workers/UwsgiRunBackend.java
@@ -116,8 +116,7 @@
     }
 
     /**
-     * Changes the number of admitted runs that are not started yet, for each of which a slot is
-     * reserved.
+     * Changes the number of admitted runs that are not started yet; each of them reserves a slot.
      *
      * @param operation the operation's name
      * @param delta runs to add; negative for runs that will not be started. {@link #startRun}
--- a/src/main/java/ochretiller/workers/WorkerRun.java
+++ b/src/main/java/ochretiller/workers/WorkerRun.java
@@ -21,7 +21,7 @@
  * loop thread.
  */
 final class WorkerRun {
-    /** A worker that takes longer to accept a connection is down: normal are a few milliseconds. */
+    /** A worker that takes longer to accept a connection counts as down; most take milliseconds. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     /** Maximum attempts of one run; the retry budget of the pool limits those of all runs. */
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Handles an answer. A 5xx status counts as a failure of the worker; any other concerns only the
-     * request.
+     * Handles an answer. A 5xx status counts as a failure of the worker; any other status concerns
+     * only the request.
      */
     void onAnswer(UwsgiResponse answer) {
         if (isOver) {
@@ -186,7 +186,8 @@
             pool.failed.add();
         }
         reportOutcome(isWorkerHealthy ? RequestOutcome.ANSWERED : RequestOutcome.FAILED);
-        if (answer.status() >= MIN_SUCCESS_STATUS && answer.status() < MIN_REDIRECTION_STATUS) {
+        if (answer.status() >= MIN_SUCCESS_STATUS
+                && answer.status() < MIN_REDIRECTION_STATUS) {
             finish(RunOutcome.Status.SUCCEEDED, answer.body());
         } else {
             finish(RunOutcome.Status.FAILED, null);
@@ -204,7 +205,7 @@
     }
 
     /**
-     * Ends the run because its client no longer waits.
+     * Ends the run because nobody waits for it any more.
      *
      * @param outcome whether the run timed out or was cancelled
      */
