--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -30,16 +30,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * The packaged program with a uwsgi front beside its own, as front ends and gateways see it
- * together.
- */
+/** The packaged program with its uwsgi and JSON-RPC frontends, as their clients see it. */
 class UwsgiIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     @TempDir private Path folder;
     private Deployment deployment;
     private int port;
-    private int rids;
+    private int lastRid;
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
     @BeforeEach
@@ -56,16 +53,16 @@
         deployment =
                 new Deployment(
                         operator,
-                        made ->
-                                made.outside.runs =
+                        prepared ->
+                                prepared.outside.runs =
                                         (rid, operation, body) -> {
                                             if (operation.equals("order")) {
                                                 runs.merge(body, 1, Integer::sum);
                                             }
                                             if (body.startsWith("done")) {
-                                                made.outside.complete(rid, "result of " + body);
+                                                prepared.outside.complete(rid, "result of " + body);
                                             } else if (body.startsWith("bad")) {
-                                                made.outside.notice(
+                                                prepared.outside.notice(
                                                         "complete", rid + " error 5 0\r\n\r\n");
                                             }
                                         });
@@ -82,7 +79,7 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** One request on a connection of its own, as front ends do. */
+    /** One request on a connection of its own, as web servers send it. */
     private final class Call implements AutoCloseable {
         final Socket socket = new Socket("127.0.0.1", port);
 
@@ -90,7 +87,7 @@
             socket.setSoTimeout(10_000);
         }
 
-        Call send(String method, String path, String key, String body, String... more)
+        Call send(String method, String path, String key, String body, String... extraVars)
                 throws IOException {
             Map<String, String> vars = new LinkedHashMap<>();
             vars.put("REQUEST_METHOD", method);
@@ -100,8 +97,8 @@
             if (key != null) {
                 vars.put("HTTP_IDEMPOTENCY_KEY", key);
             }
-            for (int i = 0; i < more.length; i += 2) {
-                vars.put(more[i], more[i + 1]);
+            for (int i = 0; i < extraVars.length; i += 2) {
+                vars.put(extraVars[i], extraVars[i + 1]);
             }
             for (byte[] part : new UwsgiRequest(vars, bytes(body), false).encode()) {
                 socket.getOutputStream().write(part);
@@ -109,19 +106,19 @@
             return this;
         }
 
-        /** The answer, or null where the connection ended without a whole one. */
+        /** Returns the response, or null if the connection ended before it was complete. */
         UwsgiResponse answer() throws IOException {
             UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(8_192);
             byte[] buffer = new byte[1];
             try {
                 while (socket.getInputStream().read(buffer) > 0) {
-                    UwsgiResponse whole = decoder.read(buffer, 0, 1);
-                    if (whole != null) {
-                        return whole;
+                    UwsgiResponse response = decoder.read(buffer, 0, 1);
+                    if (response != null) {
+                        return response;
                     }
                 }
             } catch (java.net.SocketException e) {
-                return null; // a reset ends it too
+                return null; // the connection was reset
             }
             return decoder.ended();
         }
@@ -132,19 +129,20 @@
         }
     }
 
-    private UwsgiResponse ask(String method, String path, String key, String body, String... more)
+    private UwsgiResponse exchange(
+            String method, String path, String key, String body, String... extraVars)
             throws IOException {
         try (Call call = new Call()) {
-            UwsgiResponse answer = call.send(method, path, key, body, more).answer();
+            UwsgiResponse answer = call.send(method, path, key, body, extraVars).answer();
             assertThat(call.socket.getInputStream().read())
-                    .as("the connection ends behind it")
+                    .as("the connection is closed after the response")
                     .isNegative();
             return answer;
         }
     }
 
     private UwsgiResponse order(String key, String body) throws IOException {
-        return ask("POST", "/orders", key, body);
+        return exchange("POST", "/orders", key, body);
     }
 
     private static void expect(UwsgiResponse answer, int status, String body) {
@@ -153,71 +151,78 @@
         assertThat(new String(answer.body(), StandardCharsets.ISO_8859_1).trim()).isEqualTo(body);
     }
 
-    private String rid() {
-        return String.format("%016x", ++rids);
+    private String nextRid() {
+        return String.format("%016x", ++lastRid);
     }
 
     @Test
-    void readAndOrderSucceedAndARepeatIsMarkedAsOne() throws Exception {
-        expect(ask("GET", "/parts/7?x=y", null, "done read"), 200, "result of done read");
+    void readAndOrderSucceedAndRetryIsMarkedAsReplay() throws Exception {
+        expect(exchange("GET", "/parts/7?x=y", null, "done read"), 200, "result of done read");
         UwsgiResponse first = order("key 1", "done one");
         expect(first, 200, "result of done one");
         assertThat(first.headers()).doesNotContainKey("x-idempotent-replay");
-        UwsgiResponse again = order("key 1", "done one");
-        expect(again, 200, "result of done one");
-        assertThat(again.headers()).containsEntry("x-idempotent-replay", "true");
+        UwsgiResponse replay = order("key 1", "done one");
+        expect(replay, 200, "result of done one");
+        assertThat(replay.headers()).containsEntry("x-idempotent-replay", "true");
     }
 
     @Test
-    void keyBelongsToItsCallerAndRoute() throws Exception {
+    void keyIsScopedToClientAndRoute() throws Exception {
         order("key 1", "done one");
         expect(
-                ask("POST", "/orders", "key 1", "done two", "REMOTE_ADDR", "10.9.9.9"),
+                exchange("POST", "/orders", "key 1", "done two", "REMOTE_ADDR", "10.9.9.9"),
                 200,
                 "result of done two");
-        expect(ask("POST", "/other/7", "key 1", "done three"), 200, "result of done three");
+        expect(exchange("POST", "/other/7", "key 1", "done three"), 200, "result of done three");
         expect(order("key 1", "done other"), 422, "another request is known under this token");
         assertThat(runs).doesNotContainKey("done other");
     }
 
     @Test
-    void repeatOverTheOtherProtocolGetsTheKeptResult() throws Exception {
+    void retryOverTheOtherProtocolGetsTheStoredResult() throws Exception {
         expect(order(TOKEN, "done one"), 200, "result of done one");
         try (FakeConnection gateway = deployment.dial()) {
-            gateway.send(message(1, "order", GatewayMessages.params(rid(), TOKEN, "done one")));
+            gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "done one")));
             assertThat(gateway.line()).contains(GatewayMessages.base64("result of done one"));
-            String other = "0".repeat(32);
-            gateway.send(message(2, "order", GatewayMessages.params(rid(), other, "done two")));
+            String otherToken = "0".repeat(32);
+            gateway.send(
+                    message(2, "order", GatewayMessages.params(nextRid(), otherToken, "done two")));
             assertThat(gateway.line()).contains(GatewayMessages.base64("result of done two"));
-            UwsgiResponse replay = order(other, "done two");
+            UwsgiResponse replay = order(otherToken, "done two");
             expect(replay, 200, "result of done two");
             assertThat(replay.headers()).containsEntry("x-idempotent-replay", "true");
         }
     }
 
     @Test
-    void callerThatVanishesLeavesItsRunToTheRepeat() throws Exception {
+    void retryGetsTheResultAfterTheClientDisconnected() throws Exception {
         Call call = new Call().send("POST", "/orders", TOKEN, "wait");
-        String begin = await(deployment.heard, "begin .* order");
+        String started = await(deployment.heard, "begin .* order");
         call.socket.setSoLinger(true, 0);
         call.close();
         await(deployment.log, "connection uwsgi .* ended: BROKEN");
         try (FakeConnection gateway = deployment.dial()) {
-            gateway.send(message(1, "order", GatewayMessages.params(rid(), TOKEN, "wait")));
+            gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait")));
             gateway.send(message(2, "ping", "{}"));
             assertThat(gateway.line()).contains("\"id\":2");
-            deployment.outside.complete(begin.split(" ")[1], "done in the end");
+            deployment.outside.complete(started.split(" ")[1], "done in the end");
             assertThat(gateway.line()).contains(GatewayMessages.base64("done in the end"));
         }
     }
 
     @Test
-    void repeatOfARunThatDoesNotEndInTimeIsInFlight() throws Exception {
+    void retryOfAnUnfinishedRunIsAnsweredAsInFlight() throws Exception {
         try (Call first = new Call().send("POST", "/orders", TOKEN, "wait")) {
             await(deployment.heard, "begin .* order");
-            long stamp = System.currentTimeMillis() - 2_500;
+            long sentAtMillis = System.currentTimeMillis() - 2_500;
             expect(
-                    ask("POST", "/orders", TOKEN, "wait", "HTTP_X_REQUEST_START", "" + stamp),
+                    exchange(
+                            "POST",
+                            "/orders",
+                            TOKEN,
+                            "wait",
+                            "HTTP_X_REQUEST_START",
+                            "" + sentAtMillis),
                     409,
                     "its forerunner is still in flight");
             expect(first.answer(), 504, "given up");
@@ -225,16 +230,22 @@
     }
 
     @Test
-    void failedRunIsErroredAndSoIsItsRepeat() throws Exception {
+    void failedRunAndItsRetryAreAnsweredWithAnError() throws Exception {
         expect(order("key 1", "bad"), 500, "failed");
         expect(order("key 1", "bad"), 500, "failed");
     }
 
     @Test
-    void lateArrivalIsThrottledWithWordWhenToReturn() throws Exception {
-        long stamp = System.currentTimeMillis() - 3_000;
+    void lateRequestIsThrottledWithRetryAfter() throws Exception {
+        long sentAtMillis = System.currentTimeMillis() - 3_000;
         UwsgiResponse answer =
-                ask("POST", "/orders", "key 1", "done", "HTTP_X_REQUEST_START", "" + stamp);
+                exchange(
+                        "POST",
+                        "/orders",
+                        "key 1",
+                        "done",
+                        "HTTP_X_REQUEST_START",
+                        "" + sentAtMillis);
         assertThat(answer.status()).isEqualTo(503);
         assertThat(Integer.parseInt(answer.headers().get("retry-after"))).isPositive();
         assertThat(answer.headers()).containsKey("x-backoff-ms");
@@ -249,16 +260,16 @@
         "POST,/orders,k,BIG,413",
         "GET,/parts/,,,404"
     })
-    void requestThatCannotBeServedIsToldWhy(
+    void invalidRequestIsAnsweredWithItsStatus(
             String method, String path, String key, String body, int status) throws Exception {
         String sent = body == null ? "" : body.equals("BIG") ? "x".repeat(2_049) : body;
-        assertThat(ask(method, path, key, sent).status()).isEqualTo(status);
-        expect(ask("GET", "/parts/7", null, "done read"), 200, "result of done read");
+        assertThat(exchange(method, path, key, sent).status()).isEqualTo(status);
+        expect(exchange("GET", "/parts/7", null, "done read"), 200, "result of done read");
     }
 
     @ParameterizedTest
     @CsvSource({"0,9,400", "5,0,0", "22,0,0", "255,255,0"})
-    void malformedHeaderMidBurstEndsItsOwnConnectionOnly(int modifier, int size, int status)
+    void malformedHeaderClosesOnlyItsOwnConnection(int modifier, int size, int status)
             throws Exception {
         List<Call> others = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -279,26 +290,26 @@
             }
         }
         await(deployment.log, "connection uwsgi .* ended: BAD_INPUT");
-        for (int i = 0; i < 2; i++) { // two cores: two run, the others are held
+        for (int i = 0; i < 2; i++) { // on two cores two requests run and the others are queued
             String rid = await(deployment.heard, "begin .* read").split(" ")[1];
             deployment.outside.complete(rid, "result");
         }
-        int served = 0;
+        int successes = 0;
         for (Call call : others) {
             UwsgiResponse answer = null;
-            if (served < 2) {
+            if (successes < 2) {
                 answer = call.answer();
             }
             if (answer != null && answer.status() == 200) {
-                served++;
+                successes++;
             }
             call.close();
         }
-        assertThat(served).isPositive();
+        assertThat(successes).isPositive();
     }
 
     @Test
-    void severalOnOneConnectionAreAnsweredInTurnAndAPingInKind() throws Exception {
+    void requestsOnOneConnectionAreAnsweredInOrderAndPingsAreAnswered() throws Exception {
         try (Call call = new Call()) {
             call.send("GET", "/parts/1", null, "done a")
                     .send("GET", "/none", null, "")
@@ -315,11 +326,11 @@
     }
 
     @Test
-    void drainAnswersWhatBothFrontsHaveRead() throws Exception {
+    void drainAnswersRequestsOfBothFrontends() throws Exception {
         try (FakeConnection gateway = deployment.dial();
                 Call call = new Call().send("POST", "/orders", "key 1", "wait one")) {
             String first = await(deployment.heard, "begin .* order").split(" ")[1];
-            gateway.send(message(1, "order", GatewayMessages.params(rid(), TOKEN, "wait two")));
+            gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait two")));
             String second = await(deployment.heard, "begin .* order").split(" ")[1];
             deployment.terminate();
             await(deployment.log, "leaves");
@@ -332,17 +343,19 @@
     }
 
     @Test
-    void floodOfSilentConnectionsKeepsNobodyOut() throws Exception {
+    void floodOfIdleConnectionsBlocksNoOtherClient() throws Exception {
         List<Socket> flood = new ArrayList<>();
         try (FakeConnection gateway = deployment.dial()) {
-            gateway.send(message(1, "read", GatewayMessages.params(rid(), null, "done before")));
+            gateway.send(
+                    message(1, "read", GatewayMessages.params(nextRid(), null, "done before")));
             assertThat(gateway.line()).contains("\"result\"");
             for (int i = 0; i < 700; i++) {
                 flood.add(
-                        new Socket("127.0.0.1", port)); // half of 1024 descriptors are for callers
+                        new Socket("127.0.0.1", port)); // clients may use 512 of 1024 descriptors
             }
             expect(order("k", "done meanwhile"), 200, "result of done meanwhile");
-            gateway.send(message(2, "read", GatewayMessages.params(rid(), null, "done behind")));
+            gateway.send(
+                    message(2, "read", GatewayMessages.params(nextRid(), null, "done behind")));
             assertThat(gateway.line()).contains("\"result\"");
             await(deployment.log, "connection uwsgi .* ended: (TOO_MANY|SILENT)");
         } finally {
@@ -353,15 +366,15 @@
     }
 
     @Test
-    void peerThatSendsOnAndReadsNothingLosesItsOwnConnectionOnly() throws Exception {
-        try (Call greedy = new Call()) {
-            greedy.send("GET", "/parts/7", null, "open");
+    void floodingPeerLosesOnlyItsOwnConnection() throws Exception {
+        try (Call flooding = new Call()) {
+            flooding.send("GET", "/parts/7", null, "open");
             try {
                 for (int i = 0; i < 200; i++) {
-                    greedy.send("GET", "/parts/7", null, "done " + i);
+                    flooding.send("GET", "/parts/7", null, "done " + i);
                 }
             } catch (IOException e) {
-                // it was closed while it still sent
+                // the server closed the connection during a write
             }
             await(deployment.log, "connection uwsgi .* ended: FLOOD");
             expect(order("k", "done beside"), 200, "result of done beside");
@@ -369,47 +382,47 @@
     }
 
     /**
-     * Both protocols at once, tokens shared between them, callers that vanish: one answer each, one
-     * run a token.
+     * Sends requests over both protocols at once, with shared tokens and with clients that
+     * disconnect: each other request gets one answer, and each token runs once.
      */
     @Test
-    void mixedLoadRunsEachTokenOnceAndAnswersAll() throws Exception {
-        int workers = 8;
-        ExecutorService threads = Executors.newFixedThreadPool(workers);
-        List<Future<int[]>> ends = new ArrayList<>();
-        for (int worker = 0; worker < workers; worker++) {
-            SplittableRandom chance = new SplittableRandom(worker);
-            int mine = worker;
-            ends.add(threads.submit(() -> load(chance, mine)));
+    void mixedLoadRunsEachTokenOnceAndAnswersEachRequest() throws Exception {
+        int clientCount = 8;
+        ExecutorService executor = Executors.newFixedThreadPool(clientCount);
+        List<Future<int[]>> results = new ArrayList<>();
+        for (int clientIndex = 0; clientIndex < clientCount; clientIndex++) {
+            SplittableRandom random = new SplittableRandom(clientIndex);
+            int client = clientIndex;
+            results.add(executor.submit(() -> sendMixedRequests(random, client)));
         }
-        int[] sum = new int[3];
-        for (Future<int[]> end : ends) {
+        int[] totals = new int[3];
+        for (Future<int[]> result : results) {
             for (int i = 0; i < 3; i++) {
-                sum[i] += end.get()[i];
+                totals[i] += result.get()[i];
             }
         }
-        threads.shutdown();
-        assertThat(sum[0]).as("answered").isEqualTo(sum[1]);
-        assertThat(sum[2]).as("succeeded").isPositive();
+        executor.shutdown();
+        assertThat(totals[0]).as("answered").isEqualTo(totals[1]);
+        assertThat(totals[2]).as("succeeded").isPositive();
         assertThat(runs).isNotEmpty();
     }
 
-    private int[] load(SplittableRandom chance, int worker) throws IOException {
+    private int[] sendMixedRequests(SplittableRandom random, int clientIndex) throws IOException {
         int[] counts = new int[3];
         try (FakeConnection gateway = deployment.dial()) {
             for (int i = 1; i <= 60; i++) {
                 int number =
-                        chance.nextInt(100); // tokens are shared by all workers and both protocols
+                        random.nextInt(100); // tokens are shared by all threads and protocols
                 String token = String.format("%032x", number);
                 String body = "done " + number;
-                if (chance.nextInt(10) == 0) {
-                    try (Call gone = new Call().send("POST", "/orders", token, body)) {
-                        gone.socket.setSoLinger(true, 0);
+                if (random.nextInt(10) == 0) {
+                    try (Call abandoned = new Call().send("POST", "/orders", token, body)) {
+                        abandoned.socket.setSoLinger(true, 0);
                     }
                     continue;
                 }
                 counts[1]++;
-                if (chance.nextBoolean()) {
+                if (random.nextBoolean()) {
                     UwsgiResponse answer = order(token, body);
                     if (answer == null) {
                         continue;
@@ -425,7 +438,9 @@
                                     i,
                                     "order",
                                     GatewayMessages.params(
-                                            String.format("%08x%08x", worker, i), token, body)));
+                                            String.format("%08x%08x", clientIndex, i),
+                                            token,
+                                            body)));
                     String line = gateway.line();
                     if (line == null) {
                         continue;
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -36,16 +36,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The packaged program whose operations run on scripted uwsgi workers: what fails there, and what
- * callers of both fronts see.
+ * The packaged program whose operations run on scripted uwsgi workers: failures of workers, and the
+ * answers that clients of both frontends get.
  */
 class WorkersIT {
-    private static final int READS = 5_000;
+    private static final int READ_TIMEOUT_MILLIS = 5_000;
     @TempDir private Path folder;
     private final List<FakeWorker> workers = new ArrayList<>();
     private Deployment deployment;
     private int port;
-    private int rids;
+    private int lastRid;
 
     @BeforeEach
     void start() throws Exception {
@@ -53,13 +53,13 @@
         for (int i = 0; i < 4; i++) {
             workers.add(new FakeWorker("127.0.0.1", 0, ran -> Manner.ANSWERS));
         }
-        deployment = new Deployment(configured(List.of(0, 1, 2)), made -> {});
+        deployment = new Deployment(writeOperatorFile(List.of(0, 1, 2)), prepared -> {});
         await(deployment.heard, "usage fence");
     }
 
-    private Path configured(List<Integer> which) throws IOException {
+    private Path writeOperatorFile(List<Integer> indices) throws IOException {
         String addresses =
-                which.stream()
+                indices.stream()
                         .map(i -> "'127.0.0.1:" + workers.get(i).port() + "'")
                         .collect(Collectors.joining(", "));
         return Files.writeString(
@@ -92,18 +92,18 @@
         assertThat(runs.values()).as("runs of each order").allMatch(count -> count == 1);
     }
 
-    private void all(FakeWorker.Script script) {
+    private void scriptAll(FakeWorker.Script script) {
         workers.forEach(worker -> worker.script = script);
     }
 
-    private int ran() {
+    private int runCount() {
         return workers.stream().mapToInt(worker -> worker.ran().size()).sum();
     }
 
-    private UwsgiResponse ask(String method, String path, String key, String body)
+    private UwsgiResponse exchange(String method, String path, String key, String body)
             throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout(READS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             Map<String, String> vars =
                     new LinkedHashMap<>(
                             Map.of(
@@ -124,12 +124,12 @@
             }
             UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(8_192);
             byte[] buffer = new byte[4_096];
-            for (int got = socket.getInputStream().read(buffer);
-                    got > 0;
-                    got = socket.getInputStream().read(buffer)) {
-                UwsgiResponse whole = decoder.read(buffer, 0, got);
-                if (whole != null) {
-                    return whole;
+            for (int length = socket.getInputStream().read(buffer);
+                    length > 0;
+                    length = socket.getInputStream().read(buffer)) {
+                UwsgiResponse response = decoder.read(buffer, 0, length);
+                if (response != null) {
+                    return response;
                 }
             }
             return decoder.ended();
@@ -137,23 +137,23 @@
     }
 
     private UwsgiResponse read(String body) throws IOException {
-        return ask("GET", "/parts/7", null, body);
+        return exchange("GET", "/parts/7", null, body);
     }
 
     private UwsgiResponse order(String key, String body) throws IOException {
-        return ask("POST", "/orders", key, body);
+        return exchange("POST", "/orders", key, body);
     }
 
-    /** So many reads at once by some threads; how many ended with which status. */
+    /** Sends reads from several threads and returns the number of answers by status. */
     private Map<Integer, Integer> reads(int count, int threads) throws Exception {
         ExecutorService callers = Executors.newFixedThreadPool(threads);
         try {
-            List<Callable<Integer>> asks =
+            List<Callable<Integer>> calls =
                     IntStream.range(0, count)
                             .<Callable<Integer>>mapToObj(i -> () -> read("r" + i).status())
                             .toList();
             Map<Integer, Integer> statuses = new HashMap<>();
-            for (Future<Integer> each : callers.invokeAll(asks)) {
+            for (Future<Integer> each : callers.invokeAll(calls)) {
                 statuses.merge(each.get(), 1, Integer::sum);
             }
             return statuses;
@@ -168,8 +168,8 @@
         assertThat(answer.status()).isEqualTo(status);
     }
 
-    private double figure(String name) throws Exception {
-        Thread.sleep(250); // the file is written ten times a second
+    private double metric(String name) throws Exception {
+        Thread.sleep(250); // the metrics file is written ten times per second
         return Files.readAllLines(folder.resolve("figures")).stream()
                 .filter(line -> line.contains(name) && !line.startsWith("#"))
                 .mapToDouble(line -> Double.parseDouble(line.split(" ")[1]))
@@ -177,16 +177,16 @@
     }
 
     @Test
-    void bothFrontsRunOnWorkersAndShareTheirKeys() throws Exception {
+    void bothFrontendsRunOnWorkersAndShareKeys() throws Exception {
         expect(read("one"), 200, "result of one");
         expect(order("5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two"), 200, "result of two");
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(
+        try (FakeConnection gateway = deployment.dial()) {
+            gateway.send(
                     message(
                             1,
                             "order",
                             params("0000000000000001", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two")));
-            assertThat(wire.line())
+            assertThat(gateway.line())
                     .contains("\"id\":1")
                     .contains(ochretiller.fakes.GatewayMessages.base64("result of two"));
         }
@@ -207,24 +207,24 @@
     @EnumSource(
             value = Manner.class,
             names = {"FAILS", "HALF", "RESETS", "GARBAGE", "WRONG_LENGTH", "TOO_LONG", "ENDS"})
-    void spoiltAnswerIsAnErrorAndNeverRunsAgain(Manner manner) throws Exception {
-        all(ran -> ran.body().startsWith("bad") ? manner : Manner.ANSWERS);
+    void malformedAnswerIsAnErrorAndIsNotRetried(Manner manner) throws Exception {
+        scriptAll(ran -> ran.body().startsWith("bad") ? manner : Manner.ANSWERS);
         expect(order("k", "bad"), 500, "failed");
         expect(order("k", "bad"), 500, "failed");
         expect(order("l", "good"), 200, "result of good");
-        assertThat(ran()).isEqualTo(2);
+        assertThat(runCount()).isEqualTo(2);
     }
 
     @Test
-    void refusedConnectionsAreTriedElsewhereAndNothingIsLost() throws Exception {
+    void refusedConnectionsAreRetriedElsewhereWithoutErrors() throws Exception {
         workers.get(0).die();
         workers.get(1).die();
         Map<Integer, Integer> ended = reads(100, 4);
         assertThat(ended.keySet())
-                .isSubsetOf(200, 503); // throttled where the budget of second tries was spent
+                .isSubsetOf(200, 503); // 503 if the retry budget was spent
         assertThat(ended.get(200)).isGreaterThan(70);
-        assertThat(figure("second_tries_total")).isPositive();
-        Thread.sleep(400); // both are left out by now: nothing is offered to them but probes
+        assertThat(metric("second_tries_total")).isPositive();
+        Thread.sleep(400); // both are ejected by now and get only probes
         workers.get(0).rise();
         workers.get(1).rise();
         Thread.sleep(700);
@@ -236,7 +236,7 @@
     }
 
     @Test
-    void withAllWorkersGoneCallersAreToldWhenToComeBackAndAreServedThen() throws Exception {
+    void withoutWorkersClientsAreThrottledAndServedAfterRecovery() throws Exception {
         for (FakeWorker worker : workers) {
             worker.die();
         }
@@ -252,24 +252,24 @@
         for (int i = 0; i < 20 && read("again").status() != 200; i++) {
             Thread.sleep(50);
         }
-        expect(order("k", "kept"), 200, "result of kept"); // what never ran may be asked for again
+        expect(order("k", "kept"), 200, "result of kept"); // a throttled order may be retried
     }
 
     @Test
-    void silentWorkerIsLeftOutAndAnOrderThatItHasIsErroredOnTime() throws Exception {
-        all(ran -> ran.body().equals("silent") ? Manner.SILENT : Manner.ANSWERS);
-        long began = System.nanoTime();
+    void orderOnASilentWorkerFailsInTime() throws Exception {
+        scriptAll(ran -> ran.body().equals("silent") ? Manner.SILENT : Manner.ANSWERS);
+        long startNanos = System.nanoTime();
         UwsgiResponse answer = order("k", "silent");
-        assertThat((System.nanoTime() - began) / 1e9).isBetween(3.0, 4.8);
+        assertThat((System.nanoTime() - startNanos) / 1e9).isBetween(3.0, 4.8);
         assertThat(answer.status()).isIn(409, 504);
-        Thread.sleep(1_800); // past the time for a late answer
+        Thread.sleep(1_800); // until the time for a late answer has passed
         expect(order("k", "silent"), 500, "failed");
-        assertThat(figure("silent_total")).isEqualTo(1);
+        assertThat(metric("silent_total")).isEqualTo(1);
     }
 
     @Test
-    void answerOfAnOrderBehindItsDueTimeIsKeptForItsRepeat() throws Exception {
-        all(
+    void lateAnswerOfAnOrderIsStoredForItsRetry() throws Exception {
+        scriptAll(
                 ran -> {
                     if (ran.body().equals("slow")) {
                         Thread.sleep(4_600);
@@ -282,7 +282,7 @@
     }
 
     @Test
-    void oneThatFailsFastDoesNotDrawTheLoad() throws Exception {
+    void fastFailingWorkerDoesNotAttractLoad() throws Exception {
         workers.get(1).script = ran -> Manner.FAILS;
         for (int i : new int[] {0, 2}) {
             workers.get(i).script =
@@ -297,64 +297,65 @@
     }
 
     @Test
-    void workersComeAndGoUnderLoadAndNothingIsLost() throws Exception {
-        all(
+    void workersAreReplacedUnderLoadWithoutErrors() throws Exception {
+        scriptAll(
                 ran -> {
                     Thread.sleep(5);
                     return Manner.ANSWERS;
                 });
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean isStopped = new AtomicBoolean();
         ExecutorService load = Executors.newFixedThreadPool(4);
-        List<Future<Integer>> asked = new ArrayList<>();
-        for (int thread = 0; thread < 4; thread++) {
-            asked.add(
+        List<Future<Integer>> pending = new ArrayList<>();
+        for (int index = 0; index < 4; index++) {
+            pending.add(
                     load.submit(
                             () -> {
                                 int done = 0;
-                                for (; !over.get(); done++) {
+                                for (; !isStopped.get(); done++) {
                                     expect(read("x"), 200, "result of x");
                                 }
                                 return done;
                             }));
         }
         Thread.sleep(300);
-        configured(List.of(2, 3));
+        writeOperatorFile(List.of(2, 3));
         deployment.signal("HUP");
         await(deployment.log, "takes the addresses");
-        int before = workers.get(3).ran().size();
-        int left = workers.get(0).ran().size();
-        for (int i = 0; i < 500 && workers.get(3).ran().size() <= before; i++) {
-            Thread.sleep(20); // as soon as it has one
+        int countBefore = workers.get(3).ran().size();
+        int countAtRemoval = workers.get(0).ran().size();
+        for (int i = 0; i < 500 && workers.get(3).ran().size() <= countBefore; i++) {
+            Thread.sleep(20); // until the new worker has a request
         }
-        assertThat(workers.get(3).ran().size()).isGreaterThan(before);
-        assertThat(workers.get(0).ran().size()).isLessThanOrEqualTo(left + 4); // what was under way
+        assertThat(workers.get(3).ran().size()).isGreaterThan(countBefore);
+        // At most four requests were in flight at the reload.
+        assertThat(workers.get(0).ran().size()).isLessThanOrEqualTo(countAtRemoval + 4);
         Files.writeString(folder.resolve("operator.json5"), "{ pools: 7 }");
         deployment.signal("HUP");
         await(deployment.log, "stays with its configuration.*pools");
-        over.set(true);
-        for (Future<Integer> each : asked) {
+        isStopped.set(true);
+        for (Future<Integer> each : pending) {
             assertThat(each.get()).isPositive();
         }
         load.shutdown();
     }
 
     @Test
-    void callerThatIsGoneLeavesAnOrderRunningAndItsRepeatIsAnsweredFromIt() throws Exception {
-        all(
+    void orderCompletesAfterDisconnectAndAnswersItsRetry() throws Exception {
+        scriptAll(
                 ran -> {
                     Thread.sleep(400);
                     return Manner.ANSWERS;
                 });
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(
+        try (FakeConnection gateway = deployment.dial()) {
+            gateway.send(
                     message(
                             1,
                             "order",
                             params(
-                                    "000000000000000" + ++rids,
+                                    "000000000000000" + ++lastRid,
                                     "5c0f6e1a2b3d4c59a8b7c6d5e4f30212",
                                     "left")));
-            for (int i = 0; i < 100 && ran() == 0; i++) {
+            for (int i = 0; i < 100 && runCount() == 0; i++) {
                 Thread.sleep(10);
             }
         }
@@ -362,29 +363,29 @@
     }
 
     @Test
-    void drainAnswersWhatRunsOnWorkers() throws Exception {
-        all(
+    void drainAnswersRunsOnWorkers() throws Exception {
+        scriptAll(
                 ran -> {
                     Thread.sleep(600);
                     return Manner.ANSWERS;
                 });
-        ExecutorService one = Executors.newSingleThreadExecutor();
-        Future<UwsgiResponse> asked = one.submit(() -> order("k", "last"));
-        for (int i = 0; i < 200 && ran() == 0; i++) {
+        ExecutorService executor = Executors.newSingleThreadExecutor();
+        Future<UwsgiResponse> pending = executor.submit(() -> order("k", "last"));
+        for (int i = 0; i < 200 && runCount() == 0; i++) {
             Thread.sleep(10);
         }
         deployment.terminate();
-        expect(asked.get(), 200, "result of last");
+        expect(pending.get(), 200, "result of last");
         assertThat(deployment.exit()).isZero();
-        one.shutdown();
+        executor.shutdown();
     }
 
     /**
-     * Killed while a worker runs an order: nobody tells of its end, so the repeat is errored on
-     * either protocol, and never runs.
+     * The server is killed while a worker runs an order. The outcome is never reported, so a retry
+     * fails over either protocol and never runs.
      */
     @Test
-    void behindARestartWhatAWorkerHasRunIsReplayedOrErroredOverBothProtocols() throws Exception {
+    void afterARestartOrdersOnWorkersAreReplayedOrFail() throws Exception {
         String file = Files.readString(folder.resolve("operator.json5"));
         Files.writeString(
                 folder.resolve("operator.json5"),
@@ -395,28 +396,28 @@
         deployment.kill();
         deployment.restart();
         await(deployment.heard, "usage fence");
-        String kept = "5c0f6e1a2b3d4c59a8b7c6d5e4f30213";
-        String cut = "5c0f6e1a2b3d4c59a8b7c6d5e4f30214";
-        all(ran -> ran.body().equals("cut") ? Manner.SILENT : Manner.ANSWERS);
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(message(1, "order", params("0000000000000011", kept, "kept")));
-            assertThat(wire.line()).contains("\"result\"");
-            wire.send(message(2, "order", params("0000000000000012", cut, "cut")));
-            for (int i = 0; i < 200 && ran() < 2; i++) {
+        String completedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30213";
+        String interruptedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30214";
+        scriptAll(ran -> ran.body().equals("cut") ? Manner.SILENT : Manner.ANSWERS);
+        try (FakeConnection gateway = deployment.dial()) {
+            gateway.send(message(1, "order", params("0000000000000011", completedKey, "kept")));
+            assertThat(gateway.line()).contains("\"result\"");
+            gateway.send(message(2, "order", params("0000000000000012", interruptedKey, "cut")));
+            for (int i = 0; i < 200 && runCount() < 2; i++) {
                 Thread.sleep(10);
             }
         }
         deployment.kill();
         deployment.restart();
         await(deployment.heard, "usage fence");
-        UwsgiResponse replayed = order(kept, "kept");
+        UwsgiResponse replayed = order(completedKey, "kept");
         expect(replayed, 200, "result of kept");
         assertThat(replayed.headers()).containsEntry("x-idempotent-replay", "true");
-        expect(order(cut, "cut"), 500, "failed");
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(message(3, "order", params("0000000000000013", cut, "cut")));
-            assertThat(wire.line()).contains("\"error\"");
+        expect(order(interruptedKey, "cut"), 500, "failed");
+        try (FakeConnection gateway = deployment.dial()) {
+            gateway.send(message(3, "order", params("0000000000000013", interruptedKey, "cut")));
+            assertThat(gateway.line()).contains("\"error\"");
         }
-        assertThat(ran()).isEqualTo(2);
+        assertThat(runCount()).isEqualTo(2);
     }
 }
--- a/src/test/java/ochretiller/budgets/BudgetsTest.java
+++ b/src/test/java/ochretiller/budgets/BudgetsTest.java
@@ -21,180 +21,190 @@
         return Duration.ofNanos((long) (millis * 1e6));
     }
 
-    private static GuaranteedRate promise(double rate, double weight) {
+    private static GuaranteedRate guarantee(double rate, double weight) {
         return new GuaranteedRate(rate, 0.1, weight, 0.1, 0.05);
     }
 
-    private void three() {
+    private void setThreeTeams() {
         budgets.become(
-                Map.of(PARTS, promise(5, 1), FIT, promise(3, 3), ORDERING, promise(1, 0)),
+                Map.of(PARTS, guarantee(5, 1), FIT, guarantee(3, 3), ORDERING, guarantee(1, 0)),
                 Duration.ZERO);
     }
 
     /**
-     * Work granted to a team that asks for so much a second, in pieces of a hundredth, between two
-     * times in milliseconds.
+     * Returns the work granted to a team that requests {@code rate} core seconds per second in
+     * pieces of 0.01 between two times in milliseconds, while another team does the same.
      */
-    private double asks(
-            TeamId team, double rate, int from, int to, TeamId beside, double besideRate) {
-        double got = 0;
+    private double grantedWork(
+            TeamId team, double rate, int from, int to, TeamId other, double otherRate) {
+        double granted = 0;
         double due = 0;
-        double besideDue = 0;
-        for (int at = from; at < to; at++) {
+        double otherDue = 0;
+        for (int nowMillis = from; nowMillis < to; nowMillis++) {
             for (due += rate / 1e3; due >= 0.01; due -= 0.01) {
-                if (budgets.ask(team, 0.01, ms(at)).given()) {
-                    got += 0.01;
+                if (budgets.ask(team, 0.01, ms(nowMillis)).given()) {
+                    granted += 0.01;
                 }
             }
-            for (besideDue += besideRate / 1e3; besideDue >= 0.01; besideDue -= 0.01) {
-                budgets.ask(beside, 0.01, ms(at));
+            for (otherDue += otherRate / 1e3; otherDue >= 0.01; otherDue -= 0.01) {
+                budgets.ask(other, 0.01, ms(nowMillis));
             }
         }
-        return got;
+        return granted;
     }
 
     @Test
-    void promiseHoldsBesideATeamThatWantsEverything() {
-        three();
-        asks(FIT, 50, 0, 2_000, PARTS, 50);
-        double got = asks(ORDERING, 0.99, 2_000, 4_000, FIT, 500);
-        assertThat(got)
-                .as("all that it asked, from the first millisecond on")
+    void guaranteeHoldsAgainstGreedyTeam() {
+        setThreeTeams();
+        grantedWork(FIT, 50, 0, 2_000, PARTS, 50);
+        double granted = grantedWork(ORDERING, 0.99, 2_000, 4_000, FIT, 500);
+        assertThat(granted)
+                .as("all requested work, from the first millisecond on")
                 .isBetween(1.96, 1.99);
     }
 
     @Test
-    void whatIsIdleIsLentAndTakenBackAtOnce() {
-        three();
-        double alone = asks(PARTS, 50, 0, 2_000, ORDERING, 0);
-        assertThat(alone).as("its own and what others leave").isBetween(19.0, 20.9);
-        double back = asks(FIT, 2.99, 2_000, 2_100, PARTS, 50);
-        assertThat(back).isGreaterThan(0.28);
+    void idleWorkIsSharedAndReclaimedAtOnce() {
+        setThreeTeams();
+        double alone = grantedWork(PARTS, 50, 0, 2_000, ORDERING, 0);
+        assertThat(alone).as("its guarantee and the idle work").isBetween(19.0, 20.9);
+        double reclaimed = grantedWork(FIT, 2.99, 2_000, 2_100, PARTS, 50);
+        assertThat(reclaimed).isGreaterThan(0.28);
     }
 
     @Test
     void idleWorkIsSharedByWeight() {
-        three();
-        double fit = asks(FIT, 50, 0, 4_000, PARTS, 50);
-        // Idle is what was promised to nobody, one, and ordering's one; three of four parts of it
-        // are for this team.
+        setThreeTeams();
+        double fit = grantedWork(FIT, 50, 0, 4_000, PARTS, 50);
+        // Idle are 1 core second per second that no team is guaranteed and 1 that ordering does not
+        // use; three quarters of that go to this team.
         assertThat(fit).isBetween(3 * 4 + 2 * 4 * 0.75 - 0.6, 3 * 4 + 2 * 4 * 0.75 + 0.6);
     }
 
     @Test
-    void unusedPromiseIsSavedUpToItsBurstOnly() {
-        three();
+    void unusedGuaranteeAccumulatesUpToTheBurst() {
+        setThreeTeams();
         assertThat(budgets.inHand(ORDERING, ms(60_000))).isEqualTo(0.1);
-        assertThat(budgets.idle(ms(60_000))).as("nor is what is idle").isLessThanOrEqualTo(0.5);
+        assertThat(budgets.idle(ms(60_000)))
+                .as("idle work is limited as well")
+                .isLessThanOrEqualTo(0.5);
     }
 
     @Test
-    void workThatCostMoreThanExpectedIsPaidLaterByItsOwnTeam() {
-        three();
+    void teamRepaysWorkThatCostMoreThanExpected() {
+        setThreeTeams();
         assertThat(budgets.ask(ORDERING, 0.01, ms(0)).kind())
                 .isEqualTo(BudgetDecision.Kind.PROMISED);
         budgets.settle(ORDERING, 0.01, 1.01, ms(0));
-        BudgetDecision refused = budgets.ask(ORDERING, 0.01, ms(1));
-        assertThat(refused.kind()).isEqualTo(BudgetDecision.Kind.REFUSED);
-        assertThat(refused.backoff()).isBetween(ms(900), ms(930));
+        BudgetDecision rejection = budgets.ask(ORDERING, 0.01, ms(1));
+        assertThat(rejection.kind()).isEqualTo(BudgetDecision.Kind.REFUSED);
+        assertThat(rejection.backoff()).isBetween(ms(900), ms(930));
         assertThat(budgets.ask(PARTS, 0.01, ms(1)).kind()).isEqualTo(BudgetDecision.Kind.PROMISED);
         assertThat(budgets.ask(ORDERING, 0.01, ms(930)).kind())
                 .isEqualTo(BudgetDecision.Kind.PROMISED);
     }
 
     @Test
-    void workDearerThanTheBurstStartsOnceTheBurstIsThereAndIsPaidBehindIt() {
-        three();
+    void workLargerThanTheBurstStartsAtFullBurstAndLeavesDebt() {
+        setThreeTeams();
         assertThat(budgets.ask(ORDERING, 0.5, ms(0)).kind())
                 .isEqualTo(BudgetDecision.Kind.PROMISED);
         assertThat(budgets.inHand(ORDERING, ms(0))).isEqualTo(-0.4);
     }
 
     @Test
-    void retriesAreBoundByFirstTriesWhateverElseIsIdle() {
-        three();
-        double first = 0;
-        double again = 0;
-        for (int at = 0; at < 10_000; at++) {
-            if (at % 10 == 0 && budgets.ask(PARTS, 0.01, ms(at)).given()) {
-                first += 0.01;
+    void firstAttemptsLimitRetriesEvenIfWorkIsIdle() {
+        setThreeTeams();
+        double firstAttempts = 0;
+        double retries = 0;
+        for (int nowMillis = 0; nowMillis < 10_000; nowMillis++) {
+            if (nowMillis % 10 == 0 && budgets.ask(PARTS, 0.01, ms(nowMillis)).given()) {
+                firstAttempts += 0.01;
             }
             for (int i = 0; i < 5; i++) {
-                if (budgets.askAgain(PARTS, 0.01, ms(at)).given()) {
-                    again += 0.01;
+                if (budgets.askAgain(PARTS, 0.01, ms(nowMillis)).given()) {
+                    retries += 0.01;
                 }
             }
         }
-        assertThat(first).isGreaterThan(9.9);
-        assertThat(again).isBetween(0.08 * first, 0.1 * first + 0.05 + 0.02);
+        assertThat(firstAttempts).isGreaterThan(9.9);
+        assertThat(retries).isBetween(0.08 * firstAttempts, 0.1 * firstAttempts + 0.05 + 0.02);
     }
 
     @Test
-    void unknownTeamHasNothingAndPromisesOverTheCapacityAreRefusedAsAWhole() {
-        three();
+    void unknownTeamAndExcessiveGuaranteesAreRejected() {
+        setThreeTeams();
         assertThat(budgets.ask(new TeamId("stranger"), 0.01, ms(0)).given()).isFalse();
         assertThatThrownBy(
                         () ->
                                 budgets.become(
-                                        Map.of(PARTS, promise(8, 1), FIT, promise(3, 1)), ms(0)))
-                .hasMessageContaining("over the capacity");
+                                        Map.of(PARTS, guarantee(8, 1), FIT, guarantee(3, 1)),
+                                        ms(0)))
+                .hasMessageContaining("exceed the capacity");
         assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given())
-                .as("the old promises stand")
+                .as("the previous guarantees still apply")
                 .isTrue();
     }
 
     @Test
-    void newPromisesKeepWhatIsInHandOrOwed() {
-        three();
+    void newGuaranteesKeepBalanceAndDebt() {
+        setThreeTeams();
         budgets.settle(FIT, 0, 2, ms(0));
-        Map<TeamId, GuaranteedRate> next =
-                new LinkedHashMap<>(Map.of(PARTS, promise(5, 1), FIT, promise(4, 3)));
-        budgets.become(next, ms(0));
+        Map<TeamId, GuaranteedRate> nextGuarantees =
+                new LinkedHashMap<>(Map.of(PARTS, guarantee(5, 1), FIT, guarantee(4, 3)));
+        budgets.become(nextGuarantees, ms(0));
         assertThat(budgets.inHand(FIT, ms(0))).isEqualTo(-1.9);
-        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given()).as("its contract is over").isFalse();
+        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given())
+                .as("it has no guarantee any more")
+                .isFalse();
     }
 
     /**
-     * Whatever teams ask for: no more is given than there is, and who keeps to its promise gets
-     * all.
+     * Under random requests no more work is granted than the capacity allows, and a team that stays
+     * within its guarantee gets all that it requests.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void noMoreIsGivenThanThereIsAndThePromiseIsKept(long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void grantsStayWithinCapacityAndGuaranteeHolds(long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         TeamId[] teams = {PARTS, FIT, ORDERING, new TeamId("careless")};
-        Map<TeamId, GuaranteedRate> promises = new LinkedHashMap<>();
-        double left = 10;
+        Map<TeamId, GuaranteedRate> guarantees = new LinkedHashMap<>();
+        double unguaranteed = 10;
         for (TeamId team : teams) {
-            double rate = left * chance.nextDouble(0.1, 0.6);
-            left -= rate;
-            promises.put(team, new GuaranteedRate(rate, 0.2, chance.nextDouble(0.1, 5), 0.1, 0.1));
+            double rate = unguaranteed * random.nextDouble(0.1, 0.6);
+            unguaranteed -= rate;
+            guarantees.put(
+                    team, new GuaranteedRate(rate, 0.2, random.nextDouble(0.1, 5), 0.1, 0.1));
         }
-        budgets.become(promises, Duration.ZERO);
-        double given = 0;
+        budgets.become(guarantees, Duration.ZERO);
+        double grantedTotal = 0;
         double due = 0;
-        double modest = promises.get(PARTS).rate() * 0.98;
-        for (int at = 0; at < 5_000; at++) {
-            for (due += modest / 1e3; due >= 0.02; due -= 0.02) {
-                assertThat(budgets.ask(PARTS, 0.02, ms(at)).kind())
-                        .as("seed %d at %d ms", seed, at)
+        double requestedRate = guarantees.get(PARTS).rate() * 0.98;
+        for (int nowMillis = 0; nowMillis < 5_000; nowMillis++) {
+            for (due += requestedRate / 1e3; due >= 0.02; due -= 0.02) {
+                assertThat(budgets.ask(PARTS, 0.02, ms(nowMillis)).kind())
+                        .as("seed %d at %d ms", seed, nowMillis)
                         .isEqualTo(BudgetDecision.Kind.PROMISED);
-                given += 0.02;
+                grantedTotal += 0.02;
             }
-            for (int i = chance.nextInt(8); i > 0; i--) {
-                TeamId team = teams[1 + chance.nextInt(3)];
-                double work = chance.nextDouble(0.001, 0.1);
-                if (budgets.ask(team, work, ms(at)).given()) {
-                    given += work;
+            for (int i = random.nextInt(8); i > 0; i--) {
+                TeamId team = teams[1 + random.nextInt(3)];
+                double work = random.nextDouble(0.001, 0.1);
+                if (budgets.ask(team, work, ms(nowMillis)).given()) {
+                    grantedTotal += work;
                 }
             }
-            double most =
-                    10 * at / 1e3
+            double limit =
+                    10 * nowMillis / 1e3
                             + 4 * 0.2
                             + 0.5
-                            + 4 * 0.1; // bursts, idle in hand, and one piece of work each
-            assertThat(given).as("seed %d at %d ms", seed, at).isLessThanOrEqualTo(most);
+                            + 4 * 0.1; // bursts, accumulated idle work, one request of each team
+            assertThat(grantedTotal)
+                    .as("seed %d at %d ms", seed, nowMillis)
+                    .isLessThanOrEqualTo(limit);
         }
-        assertThat(given).as("asked for far more than there is").isGreaterThan(0.9 * 10 * 5);
+        assertThat(grantedTotal)
+                .as("the demand far exceeds the capacity")
+                .isGreaterThan(0.9 * 10 * 5);
     }
 }
--- a/src/test/java/ochretiller/contracts/ContractsTest.java
+++ b/src/test/java/ochretiller/contracts/ContractsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ContractsTest {
-    private final List<Contract> all = new ArrayList<>();
+    private final List<Contract> contracts = new ArrayList<>();
 
     private static Duration ms(long millis) {
         return Duration.ofMillis(millis);
@@ -22,43 +22,43 @@
         return new Contract.Call(service, work, 10, ms(500), ms(2_000), 1);
     }
 
-    /** A team that publishes a service of its own name, and calls others. */
-    private void team(String name, double rate, String known, Contract.Call... calls) {
-        all.add(
+    /** Adds a team that publishes a service of its own name and calls others. */
+    private void addTeam(String name, double rate, String address, Contract.Call... calls) {
+        contracts.add(
                 new Contract(
                         new TeamId(name),
                         1,
-                        List.of(known),
+                        List.of(address),
                         List.of(new Contract.Service(name, name + "-pool", ms(200))),
                         List.of(calls),
                         new GuaranteedRate(rate, 0.1, 1, 0.1, 0.1)));
     }
 
     private List<String> faults() {
-        return Contracts.of(10, all).faults();
+        return Contracts.of(10, contracts).faults();
     }
 
     @Test
-    void goodOnesHaveNoFault() {
-        team("parts", 4, "10.1.0.0/16");
-        team("fit", 3, "10.2.0.0/16", call("parts", 2));
-        team("ordering", 3, "10.3.0.0/16", call("parts", 1), call("fit", 1));
+    void validContractsHaveNoFaults() {
+        addTeam("parts", 4, "10.1.0.0/16");
+        addTeam("fit", 3, "10.2.0.0/16", call("parts", 2));
+        addTeam("ordering", 3, "10.3.0.0/16", call("parts", 1), call("fit", 1));
         assertThat(faults()).isEmpty();
     }
 
     @Test
-    void promisesOverTheCapacityAreTold() {
-        team("parts", 6, "10.1.0.0/16");
-        team("fit", 5, "10.2.0.0/16");
+    void reportsGuaranteesOverTheCapacity() {
+        addTeam("parts", 6, "10.1.0.0/16");
+        addTeam("fit", 5, "10.2.0.0/16");
         assertThat(faults())
                 .containsExactly(
                         "promises of 11.000 core seconds a second are over the capacity of 10.000");
     }
 
     @Test
-    void unknownAndDoubledServicesAreTold() {
-        team("parts", 1, "10.1.0.0/16", call("fit", 0.1), call("fit", 0.1));
-        all.add(
+    void reportsUnknownAndDuplicateServices() {
+        addTeam("parts", 1, "10.1.0.0/16", call("fit", 0.1), call("fit", 0.1));
+        contracts.add(
                 new Contract(
                         new TeamId("other"),
                         1,
@@ -75,11 +75,11 @@
     }
 
     @Test
-    void circlesAreToldOnceEachWithTheirWay() {
-        team("a", 1, "10.1.0.0/16", call("b", 0.1));
-        team("b", 1, "10.2.0.0/16", call("c", 0.1));
-        team("c", 1, "10.3.0.0/16", call("a", 0.1), call("d", 0.1));
-        team("d", 1, "10.4.0.0/16", call("d", 0.1));
+    void reportsEachCycleOnceWithItsPath() {
+        addTeam("a", 1, "10.1.0.0/16", call("b", 0.1));
+        addTeam("b", 1, "10.2.0.0/16", call("c", 0.1));
+        addTeam("c", 1, "10.3.0.0/16", call("a", 0.1), call("d", 0.1));
+        addTeam("d", 1, "10.4.0.0/16", call("d", 0.1));
         assertThat(faults())
                 .containsExactlyInAnyOrder(
                         "services call one another in a circle: a -> b -> c -> a",
@@ -87,9 +87,9 @@
     }
 
     @Test
-    void objectivesThatNobodyCanMeetAndWorkBeyondThePromiseAreTold() {
-        team("parts", 1, "10.1.0.0/16");
-        team("fit", 1, "10.2.0.0/16", new Contract.Call("parts", 2, 10, ms(100), ms(50), 1));
+    void reportsUnreachableObjectivesAndWorkOverTheGuarantee() {
+        addTeam("parts", 1, "10.1.0.0/16");
+        addTeam("fit", 1, "10.2.0.0/16", new Contract.Call("parts", 2, 10, ms(100), ms(50), 1));
         assertThat(faults())
                 .containsExactly(
                         "fit calls parts with an objective behind its timeout",
@@ -99,10 +99,10 @@
     }
 
     @Test
-    void addressesOfTwoTeamsMayNotMeet() {
-        team("parts", 1, "10.1.0.0/16");
-        team("fit", 1, "10.1.7.9");
-        team("odd", 1, "10.1.0.1/16");
+    void reportsInvalidAndOverlappingAddresses() {
+        addTeam("parts", 1, "10.1.0.0/16");
+        addTeam("fit", 1, "10.1.7.9");
+        addTeam("odd", 1, "10.1.0.1/16");
         assertThat(faults())
                 .containsExactly(
                         "10.1.7.9 of fit meets 10.1.0.0/16 of parts",
@@ -123,21 +123,21 @@
         "::1, false",
         "10.128.0.0/8, false"
     })
-    void prefixesAreReadStrictly(String text, boolean good) {
-        assertThat(AddressPrefix.of(text) != null).isEqualTo(good);
-        if (good) {
+    void parsesPrefixesStrictly(String text, boolean isValid) {
+        assertThat(AddressPrefix.of(text) != null).isEqualTo(isValid);
+        if (isValid) {
             assertThat(AddressPrefix.of(text)).hasToString(text);
         }
     }
 
     @Test
-    void changesTellWhatBecomesOfEachTeam() {
-        team("parts", 4, "10.1.0.0/16");
-        team("fit", 3, "10.2.0.0/16", call("parts", 2));
-        team("ordering", 3, "10.3.0.0/16");
-        Contracts old = Contracts.of(10, List.copyOf(all));
-        all.clear();
-        all.add(
+    void describesTheChangesOfEachTeam() {
+        addTeam("parts", 4, "10.1.0.0/16");
+        addTeam("fit", 3, "10.2.0.0/16", call("parts", 2));
+        addTeam("ordering", 3, "10.3.0.0/16");
+        Contracts previous = Contracts.of(10, List.copyOf(contracts));
+        contracts.clear();
+        contracts.add(
                 new Contract(
                         new TeamId("parts"),
                         2,
@@ -145,9 +145,9 @@
                         List.of(new Contract.Service("parts", "parts-pool", ms(200))),
                         List.of(),
                         new GuaranteedRate(5, 0.1, 3, 0.1, 0.1)));
-        team("fit", 3, "10.2.0.0/16");
-        team("new", 1, "10.4.0.0/16");
-        assertThat(old.changes(Contracts.of(10, all)))
+        addTeam("fit", 3, "10.2.0.0/16");
+        addTeam("new", 1, "10.4.0.0/16");
+        assertThat(previous.changes(Contracts.of(10, contracts)))
                 .containsExactly(
                         "parts promised 4.000 core seconds a second -> 5.000 core seconds a second",
                         "parts has 0.333 -> 0.600 of what is idle where all want it",
@@ -157,6 +157,6 @@
                         "ordering goes: what it asks from then on is refused, what was read is"
                                 + " answered",
                         "new comes, promised 1.000 core seconds a second");
-        assertThat(old.changes(old)).isEmpty();
+        assertThat(previous.changes(previous)).isEmpty();
     }
 }
--- a/src/test/java/ochretiller/operator/OperatorConfigReaderTest.java
+++ b/src/test/java/ochretiller/operator/OperatorConfigReaderTest.java
@@ -13,7 +13,7 @@
 
 class OperatorConfigReaderTest {
     @Test
-    void exampleIsGood() {
+    void readsTheExample() {
         OperatorConfig example = OperatorConfigReader.read(Path.of("deploy/operator.json5"));
         assertThat(example.jsonLog()).isTrue();
         assertThat(example.remember())
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void emptyOneSwitchesNothingOn() {
+    void emptyFileEnablesNothing() {
         assertThat(OperatorConfigReader.of("{ /* nothing */ }", "f"))
                 .isEqualTo(OperatorConfig.NONE);
     }
@@ -51,8 +51,8 @@
                 "{ log:                                      | f:1: ; f",
                 "log                                         | f:1:1: ; log"
             })
-    void faultIsNamedWithItsPlace(String text, String named) {
-        String[] parts = named.split(" ; ");
+    void reportsFaultWithItsPosition(String text, String expected) {
+        String[] parts = expected.split(" ; ");
         assertThatThrownBy(() -> OperatorConfigReader.of(text.replace("\\n", "\n"), "f"))
                 .isInstanceOf(MalformedException.class)
                 .message()
@@ -62,13 +62,13 @@
     }
 
     @Test
-    void fleetIsReadWithWhatIsUsual() {
-        OperatorConfig told =
+    void readsFleetWithDefaults() {
+        OperatorConfig config =
                 OperatorConfigReader.of(
                         "{ fleet: { name: 'parts', listen: '127.0.0.1:4200', key_file: '/k', seeds:"
                                 + " ['10.0.0.2:4200'], forget_s: 60 } }",
                         "f");
-        assertThat(told.fleet())
+        assertThat(config.fleet())
                 .hasValueSatisfying(
                         fleet -> {
                             assertThat(fleet.seeds())
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void absentFileIsNamed() {
+    void reportsMissingFile() {
         assertThatThrownBy(() -> OperatorConfigReader.read(Path.of("none.json5")))
                 .hasMessageContaining("none.json5");
     }
--- a/src/test/java/ochretiller/uwsgi/UwsgiTest.java
+++ b/src/test/java/ochretiller/uwsgi/UwsgiTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class UwsgiTest {
-    private static final int LONGEST = 2_048;
+    private static final int MAX_BODY_BYTES = 2_048;
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -31,7 +31,7 @@
         return out.toByteArray();
     }
 
-    private static byte[] order(String body) {
+    private static byte[] orderPacket(String body) {
         Map<String, String> vars = new LinkedHashMap<>();
         vars.put("REQUEST_METHOD", "POST");
         vars.put("PATH_INFO", "/orders/7\u00e9");
@@ -50,11 +50,11 @@
     }
 
     private static List<UwsgiRequest> read(byte[]... pieces) {
-        return read(new UwsgiRequestDecoder(LONGEST), pieces);
+        return read(new UwsgiRequestDecoder(MAX_BODY_BYTES), pieces);
     }
 
-    /** A block of variables as raw numbers: name length, name, value length, value. */
-    private static byte[] raw(int modifier, int size, String block) {
+    /** Builds a packet of an encoded block of name length, name, value length and value. */
+    private static byte[] rawPacket(int modifier, int size, String block) {
         byte[] out = new byte[4 + block.length()];
         out[0] = (byte) modifier;
         out[1] = (byte) size;
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void packetOfThePublishedFormIsRead() {
+    void decodesPacketAsSpecified() {
         // modifier1 0, 16 bytes of variables little-endian, modifier2 0; "KEY" = "value", "A" = ""
         byte[] packet = {
             0, 17, 0, 0, 3, 0, 'K', 'E', 'Y', 5, 0, 'v', 'a', 'l', 'u', 'e', 1, 0, 'A', 0, 0
@@ -79,8 +79,8 @@
     }
 
     @Test
-    void eachSplitGivesTheSame() {
-        byte[] packet = order("two bolts");
+    void decodesRequestSplitAtAnyByte() {
+        byte[] packet = orderPacket("two bolts");
         for (int cut = 0; cut <= packet.length; cut++) {
             List<UwsgiRequest> all =
                     read(
@@ -92,7 +92,7 @@
                     .containsEntry("EMPTY", "");
             assertThat(all.get(0).body()).isEqualTo(bytes("two bolts"));
         }
-        UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(LONGEST);
+        UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(MAX_BODY_BYTES);
         List<UwsgiRequest> all = new ArrayList<>();
         for (byte each : packet) {
             decoder.read(new byte[] {each}, 0, 1, all::add);
@@ -102,25 +102,25 @@
     }
 
     @Test
-    void severalOnOneConnectionAndPingsBetweenThem() {
+    void decodesRequestsAndPingsOfOneConnection() {
         byte[] ping = {100, 0, 0, 0};
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(order("a"));
+        out.writeBytes(orderPacket("a"));
         out.writeBytes(ping);
-        out.writeBytes(order(""));
-        out.writeBytes(order("bc"));
+        out.writeBytes(orderPacket(""));
+        out.writeBytes(orderPacket("bc"));
         assertThat(read(out.toByteArray()))
                 .extracting(request -> request.ping() ? "ping" : new String(request.body()))
                 .containsExactly("a", "ping", "", "bc");
     }
 
     @Test
-    void cutRequestIsKnownAsSuch() {
-        UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(LONGEST);
+    void reportsPartialRequest() {
+        UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(MAX_BODY_BYTES);
         assertThat(decoder.within()).isFalse();
-        byte[] packet = order("two bolts");
+        byte[] packet = orderPacket("two bolts");
         for (int length : new int[] {1, 4, 20, packet.length - 1}) {
-            UwsgiRequestDecoder cut = new UwsgiRequestDecoder(LONGEST);
+            UwsgiRequestDecoder cut = new UwsgiRequestDecoder(MAX_BODY_BYTES);
             assertThat(read(cut, Arrays.copyOf(packet, length))).isEmpty();
             assertThat(cut.within()).isTrue();
         }
@@ -138,7 +138,7 @@
         "999999999999999999999999,400",
         "5 5,400"
     })
-    void lengthThatIsNoneIsRefusedBeforeABodyIsKept(String length, int status) {
+    void rejectsInvalidContentLengthBeforeTheBody(String length, int status) {
         byte[] packet = packet(Map.of("CONTENT_LENGTH", length), "");
         assertThatThrownBy(() -> read(packet))
                 .isInstanceOfSatisfying(
@@ -146,11 +146,11 @@
     }
 
     @Test
-    void longestBodyAndLongestVariablesAreTaken() {
-        String body = "x".repeat(LONGEST);
-        assertThat(read(order(body)))
+    void acceptsBodyAndVariablesOfMaximumSize() {
+        String body = "x".repeat(MAX_BODY_BYTES);
+        assertThat(read(orderPacket(body)))
                 .singleElement()
-                .satisfies(r -> assertThat(r.body()).hasSize(LONGEST));
+                .satisfies(r -> assertThat(r.body()).hasSize(MAX_BODY_BYTES));
         String value = "v".repeat(65_535 - 4 - 1);
         byte[] packet = packet(Map.of("N", value), "");
         assertThat(packet).hasSize(4 + 65_535);
@@ -175,14 +175,14 @@
                 "\u0001\0A\u0001\0\0",
                 "\u0001\0A\u0001\0x\u0001\0A\u0001\0y"
             })
-    void blockWhoseLengthsLieIsMalformed(String block) {
-        assertThatThrownBy(() -> read(raw(0, block.length(), block)))
+    void rejectsMalformedVariables(String block) {
+        assertThatThrownBy(() -> read(rawPacket(0, block.length(), block)))
                 .isInstanceOfSatisfying(
                         UwsgiException.class, e -> assertThat(e.status).isEqualTo(400));
     }
 
     @Test
-    void tooManyVariablesAreRefused() {
+    void rejectsTooManyVariables() {
         Map<String, String> vars = new LinkedHashMap<>();
         for (int i = 0; i < 513; i++) {
             vars.put("V" + i, "");
@@ -193,67 +193,64 @@
     }
 
     @Test
-    void headersThatComeTwiceAreOneList() {
+    void joinsRepeatedHeaders() {
         String block = "\u0006\0HTTP_A\u0001\0x\u0006\0HTTP_A\u0001\0y";
-        assertThat(read(raw(0, block.length(), block)).get(0).vars())
+        assertThat(read(rawPacket(0, block.length(), block)).get(0).vars())
                 .containsEntry("HTTP_A", "x, y");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 17, 22, 72, 99, 101, 173, 255})
-    void otherModifiersEndTheConnection(int modifier) {
-        assertThatThrownBy(() -> read(raw(modifier, 0, "")))
+    void rejectsOtherModifiersWithoutStatus(int modifier) {
+        assertThatThrownBy(() -> read(rawPacket(modifier, 0, "")))
                 .isInstanceOfSatisfying(UwsgiException.class, e -> assertThat(e.status).isZero());
-        assertThatThrownBy(() -> read(raw(100, 1, "x"))).isInstanceOf(UwsgiException.class);
+        assertThatThrownBy(() -> read(rawPacket(100, 1, "x"))).isInstanceOf(UwsgiException.class);
     }
 
-    /**
-     * Whatever comes is requests, a fault or a wait; never another exception, and never more kept
-     * than was sent.
-     */
+    /** A mutated packet is decoded, rejected or incomplete, and causes no other exception. */
     @Test
-    void millionMutationsOfGoodPackets() {
-        SplittableRandom chance = new SplittableRandom(20);
-        byte[][] good = {
-            order("two bolts"),
-            order(""),
+    void mutatedPacketsCauseNoOtherException() {
+        SplittableRandom random = new SplittableRandom(20);
+        byte[][] validPackets = {
+            orderPacket("two bolts"),
+            orderPacket(""),
             packet(Map.of("CONTENT_LENGTH", "3"), "abc"),
             {100, 0, 0, 0}
         };
         int faults = 0;
         int requests = 0;
         for (int i = 0; i < 1_000_000; i++) {
-            byte[] bytes = good[chance.nextInt(good.length)].clone();
-            for (int flips = chance.nextInt(4); flips >= 0; flips--) {
-                bytes[chance.nextInt(bytes.length)] = (byte) chance.nextInt(256);
+            byte[] bytes = validPackets[random.nextInt(validPackets.length)].clone();
+            for (int flips = random.nextInt(4); flips >= 0; flips--) {
+                bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
-            int cut = chance.nextInt(bytes.length + 1);
-            int[] got = {0};
+            int cut = random.nextInt(bytes.length + 1);
+            int[] decodedCount = {0};
             try {
-                UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(LONGEST);
-                decoder.read(bytes, 0, cut, request -> got[0]++);
-                decoder.read(bytes, cut, bytes.length, request -> got[0]++);
+                UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(MAX_BODY_BYTES);
+                decoder.read(bytes, 0, cut, request -> decodedCount[0]++);
+                decoder.read(bytes, cut, bytes.length, request -> decodedCount[0]++);
             } catch (UwsgiException e) {
                 faults++;
             }
-            requests += got[0];
+            requests += decodedCount[0];
         }
         assertThat(faults).isGreaterThan(100_000);
         assertThat(requests).isGreaterThan(100_000);
     }
 
     @Test
-    void roundTripsOfRandomRequests() {
-        SplittableRandom chance = new SplittableRandom(21);
+    void decodesRandomRequestsAsEncoded() {
+        SplittableRandom random = new SplittableRandom(21);
         for (int i = 0; i < 5_000; i++) {
             Map<String, String> vars = new LinkedHashMap<>();
-            for (int n = chance.nextInt(20); n > 0; n--) {
-                vars.put("N" + chance.nextInt(1_000), "v".repeat(chance.nextInt(300)));
+            for (int n = random.nextInt(20); n > 0; n--) {
+                vars.put("N" + random.nextInt(1_000), "v".repeat(random.nextInt(300)));
             }
-            String body = "b".repeat(chance.nextInt(LONGEST));
+            String body = "b".repeat(random.nextInt(MAX_BODY_BYTES));
             vars.put("CONTENT_LENGTH", "" + body.length());
             byte[] packet = packet(vars, body);
-            int cut = chance.nextInt(packet.length);
+            int cut = random.nextInt(packet.length);
             UwsgiRequest read =
                     read(Arrays.copyOf(packet, cut), Arrays.copyOfRange(packet, cut, packet.length))
                             .get(0);
@@ -262,22 +259,25 @@
         }
     }
 
-    private static UwsgiResponse answer(String text, boolean ends) {
-        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
+    private static UwsgiResponse decodeResponse(String text, boolean isEndOfInput) {
+        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
         UwsgiResponse read = decoder.read(bytes(text), 0, text.length());
-        return read != null || !ends ? read : decoder.ended();
+        return read != null || !isEndOfInput ? read : decoder.ended();
     }
 
     @Test
-    void answersOfBothFormsAreRead() {
-        assertThat(answer("HTTP/1.1 201 Created\r\nX-A: b\r\nContent-Length: 2\r\n\r\nok", false))
+    void decodesStatusLineAndStatusHeader() {
+        assertThat(
+                        decodeResponse(
+                                "HTTP/1.1 201 Created\r\nX-A: b\r\nContent-Length: 2\r\n\r\nok",
+                                false))
                 .satisfies(
                         read -> {
                             assertThat(read.status()).isEqualTo(201);
                             assertThat(read.headers()).containsEntry("x-a", "b");
                             assertThat(new String(read.body())).isEqualTo("ok");
                         });
-        assertThat(answer("Status: 404 Not Found\r\n\r\nnone", true))
+        assertThat(decodeResponse("Status: 404 Not Found\r\n\r\nnone", true))
                 .satisfies(
                         read -> {
                             assertThat(read.status()).isEqualTo(404);
@@ -286,11 +286,11 @@
     }
 
     @Test
-    void eachSplitOfAnAnswerGivesTheSame() {
+    void decodesResponseSplitAtAnyByte() {
         byte[] whole =
                 new UwsgiResponse(200, Map.of("X-Run", "7"), bytes("result\r\n\r\n")).encode();
         for (int cut = 0; cut <= whole.length; cut++) {
-            UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
+            UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
             UwsgiResponse first = decoder.read(whole, 0, cut);
             UwsgiResponse read = first != null ? first : decoder.read(whole, cut, whole.length);
             assertThat(read.status()).isEqualTo(200);
@@ -302,10 +302,10 @@
     }
 
     @Test
-    void answerThatEndsEarlyIsNone() {
-        assertThat(answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", true)).isNull();
-        assertThat(answer("HTTP/1.1 200 OK\r\nX: y", true)).isNull();
-        assertThat(answer("", true)).isNull();
+    void returnsNullForTruncatedResponse() {
+        assertThat(decodeResponse("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", true)).isNull();
+        assertThat(decodeResponse("HTTP/1.1 200 OK\r\nX: y", true)).isNull();
+        assertThat(decodeResponse("", true)).isNull();
     }
 
     @ParameterizedTest
@@ -323,25 +323,25 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
                 "HTTP/1.1 2000 OK\r\n\r\n"
             })
-    void spoiltAnswerIsAFault(String text) {
-        assertThatThrownBy(() -> answer(text, true)).isInstanceOf(UwsgiException.class);
+    void rejectsMalformedResponse(String text) {
+        assertThatThrownBy(() -> decodeResponse(text, true)).isInstanceOf(UwsgiException.class);
     }
 
     @Test
-    void answerThatNeverEndsIsBounded() {
-        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
-        byte[] more = new byte[1_000];
+    void rejectsEndlessResponse() {
+        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
+        byte[] chunk = new byte[1_000];
         assertThatThrownBy(
                         () -> {
                             for (int i = 0; i < 100; i++) {
-                                decoder.read(more, 0, more.length);
+                                decoder.read(chunk, 0, chunk.length);
                             }
                         })
                 .isInstanceOf(UwsgiException.class);
     }
 
     @Test
-    void textOfAPeerMakesNoHeaderOfItsOwn() {
+    void peerTextCannotInjectHeader() {
         String text =
                 new String(
                         new UwsgiResponse(
