--- a/src/main/java/ochretiller/budgets/TokenBucket.java
+++ b/src/main/java/ochretiller/budgets/TokenBucket.java
@@ -17,10 +17,10 @@
     /** Idle work granted, divided by the weight; the team with the least has precedence. */
     double lent;
 
-    TokenBucket(GuaranteedRate promise, Duration now) {
-        this.promise = promise;
-        this.availableWork = promise.burst();
-        this.availableRetryWork = promise.retryBurst();
+    TokenBucket(GuaranteedRate guarantee, Duration now) {
+        this.promise = guarantee;
+        this.availableWork = guarantee.burst();
+        this.availableRetryWork = guarantee.retryBurst();
         this.refilledAt = now;
     }
 
--- a/src/main/java/ochretiller/workers/UwsgiRunBackend.java
+++ b/src/main/java/ochretiller/workers/UwsgiRunBackend.java
@@ -81,7 +81,7 @@
                 LOG.warning(
                         "pool "
                                 + name
-                                + " is no longer in the configuration but active until a restart");
+                                + " is no longer configured but stays active until a restart");
             }
         }
     }
--- a/src/main/java/ochretiller/workers/WorkerPool.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -30,7 +30,7 @@
     /** The pool's name in the operators' file. */
     final String name;
 
-    /** Runs that were handed to workers. */
+    /** Runs that were started, including those that no worker could take. */
     final Metrics.Counter runs;
 
     /** Runs that were retried on another worker because the first one never started them. */
