--- a/src/main/java/ochretiller/budgets/Budgets.java
+++ b/src/main/java/ochretiller/budgets/Budgets.java
@@ -8,10 +8,9 @@
 import java.util.Map;
 
 /**
- * Divides the capacity of a broker among teams. Each team has a token bucket that is filled at its
- * guaranteed rate. Work that overflows the buckets and capacity that is guaranteed to no team are
- * idle, and shared by weight. No team can use the bucket of another, so that a guarantee holds at
- * any time, whatever other teams do.
+ * Divides the capacity of a broker among teams. Each has a token bucket, filled at its guaranteed
+ * rate. Overflow, and capacity that is guaranteed to no team, is idle work and shared by weight. No
+ * team can use the bucket of another, so that a guarantee holds at once whatever others do.
  */
 public final class Budgets {
     /** Maximum teams of one broker; each takes a few hundred bytes. */
@@ -99,11 +98,7 @@
         idleBalance = Math.min(idleBalance, capacity * MAX_IDLE_SECONDS);
     }
 
-    /**
-     * Decides on a first attempt; an unknown team is rejected.
-     *
-     * @param work expected core seconds, including the cost of reading the request
-     */
+    /** Decides on a first attempt by its expected work, with reading; rejects unknown teams. */
     public BudgetDecision ask(TeamId team, double work, Duration now) {
         refill(now);
         TokenBucket bucket = buckets.get(team);
--- a/src/main/java/ochretiller/contracts/Contracts.java
+++ b/src/main/java/ochretiller/contracts/Contracts.java
@@ -17,7 +17,6 @@
  * All contracts of a broker.
  *
  * @param capacity core seconds per second that the broker has available
- * @param byTeam the contract of each team
  */
 public record Contracts(double capacity, Map<TeamId, Contract> byTeam) {
     /** Relative rounding error by which a sum may exceed its limit. */
--- a/src/main/java/ochretiller/operator/ContractFiles.java
+++ b/src/main/java/ochretiller/operator/ContractFiles.java
@@ -38,10 +38,8 @@
     private ContractFiles() {}
 
     /**
-     * Reads and checks all contracts.
-     *
-     * @throws MalformedException if a file or the contracts as a whole are invalid; the message has
-     *     one line per fault
+     * Reads and checks all contracts. The faults of the files, or of the contracts as a whole, are
+     * reported as one {@link MalformedException} with one line per fault.
      */
     public static Contracts read(Path folder) {
         List<Path> files;
--- a/src/main/java/ochretiller/operator/OperatorConfig.java
+++ b/src/main/java/ochretiller/operator/OperatorConfig.java
@@ -9,8 +9,7 @@
 import ochretiller.pools.PoolSettings;
 
 /**
- * The content of the operators' file: optional features that the platform's configuration does not
- * have.
+ * The operators' file: optional features in addition to the platform's configuration.
  *
  * @param jsonLog whether log lines are in JSON
  * @param metrics the file to which metrics are written; empty for none
--- a/src/main/java/ochretiller/operator/OperatorConfigReader.java
+++ b/src/main/java/ochretiller/operator/OperatorConfigReader.java
@@ -32,11 +32,7 @@
 
     private OperatorConfigReader() {}
 
-    /**
-     * Reads and checks a file.
-     *
-     * @throws MalformedException if it cannot be read or is invalid
-     */
+    /** Reads and checks a file; a file that cannot be read counts as malformed. */
     public static OperatorConfig read(Path file) {
         return parseOperator(FORMAT.read(file, "the operators' file"));
     }
@@ -193,11 +189,7 @@
                 node.path("on_harm").asText("take-back").equals("take-back"));
     }
 
-    /**
-     * Parses a version that the fleet rolls out: an operators' file that has only pools.
-     *
-     * @throws MalformedException if it is invalid or has other settings
-     */
+    /** Parses a version that the fleet rolls out: an operators' file that has only pools. */
     public static List<OperatorConfig.Workers> version(String text, String name) {
         OperatorConfig operator = of(text, name);
         boolean isInvalid =
--- a/src/main/java/ochretiller/uwsgi/UwsgiException.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiException.java
@@ -7,10 +7,7 @@
     /** The HTTP status of the answer, or 0 if the connection is closed without one. */
     public final int status;
 
-    /**
-     * Creates an exception without a stack trace: peers can cause any number of them, and the trace
-     * is most of their cost.
-     */
+    /** Has no stack trace: peers can cause any number of exceptions, and it is most of the cost. */
     UwsgiException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/src/main/java/ochretiller/workers/package-info.java
+++ b/src/main/java/ochretiller/workers/package-info.java
@@ -5,8 +5,8 @@
  *
  * <p>{@link ochretiller.workers.UwsgiRunBackend} implements the interface of {@code execution}; a
  * {@link ochretiller.workers.WorkerRun} is one run, a {@link ochretiller.workers.WorkerConnection}
- * one connection. State: the pools, the runs that have not finished and the open connections. All
- * code runs on the event loop thread, except that answers are decoded on the I/O thread.
- * Neighbours: {@code uwsgi} (the protocol), {@code pools}, {@code net}, {@code metrics}.
+ * one connection. State: the pools, the unfinished runs and the open connections. Runs on the event
+ * loop thread; only decoding runs on the I/O thread. Neighbours: {@code uwsgi} (the protocol),
+ * {@code pools}, {@code net}, {@code metrics}.
  */
 package ochretiller.workers;
