--- a/src/main/java/ochretiller/pools/WorkerHealth.java
+++ b/src/main/java/ochretiller/pools/WorkerHealth.java
@@ -39,7 +39,7 @@
     /** Fraction of the limit at which slow start begins, so that a new worker gets requests. */
     private static final double MIN_SLOW_START_FRACTION = 0.1;
 
-    /** Lower bound of the latency, assumed for a worker without samples so that it gets requests. */
+    /** Lower bound of the latency; assumed without samples, so that the worker gets requests. */
     private static final double MIN_LATENCY_SECONDS = 0.001;
 
     final WorkerId id;
--- a/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Returns the key under which the result is stored. A key in the format of the JSON-RPC frontend
-     * is used as it is, so that a retry over that protocol is recognized. Any other key is scoped to
+     * Returns the key under which the result is stored. A key in the JSON-RPC frontend's format is
+     * used as it is, so that a retry over that protocol is recognized. Any other key is scoped to
      * client, method and route: clients with the same key never see each other's results.
      */
     private static String token(String client, String method, Route route, String key) {
--- a/src/test/java/ochretiller/uwsgi/UwsgiTest.java
+++ b/src/test/java/ochretiller/uwsgi/UwsgiTest.java
@@ -65,7 +65,7 @@
 
     @Test
     void decodesPacketAsSpecified() {
-        // modifier1 0, 17 bytes of variables (little-endian), modifier2 0; "KEY" = "value", "A" = ""
+        // modifier1 0, variables of 17 bytes, little-endian, modifier2 0; "KEY"="value", "A"=""
         byte[] packet = {
             0, 17, 0, 0, 3, 0, 'K', 'E', 'Y', 5, 0, 'v', 'a', 'l', 'u', 'e', 1, 0, 'A', 0, 0
         };
