--- a/src/main/java/ochretiller/operator/ContractFiles.java
+++ b/src/main/java/ochretiller/operator/ContractFiles.java
@@ -43,9 +43,9 @@
      */
     public static Contracts read(Path folder) {
         List<Path> files;
-        try (Stream<Path> all = Files.list(folder)) {
+        try (Stream<Path> entries = Files.list(folder)) {
             files =
-                    all.filter(
+                    entries.filter(
                                     file ->
                                             file.toString().endsWith(".json5")
                                                     && !file.getFileName()
@@ -78,42 +78,42 @@
                 faults.add(e.getMessage());
             }
         }
-        Contracts all = Contracts.of(capacity, contracts);
+        Contracts result = Contracts.of(capacity, contracts);
         if (faults.isEmpty()) {
-            all.faults().forEach(fault -> faults.add(folder + ": " + fault));
+            result.faults().forEach(fault -> faults.add(folder + ": " + fault));
         }
         if (!faults.isEmpty()) {
             throw new MalformedException(String.join("\n", faults));
         }
-        return all;
+        return result;
     }
 
     private static Contract parseContract(JsonNode root) {
         List<String> known = new ArrayList<>();
-        root.path("known").forEach(each -> known.add(each.asText()));
+        root.path("known").forEach(node -> known.add(node.asText()));
         List<Contract.Service> publishes = new ArrayList<>();
         root.path("publishes")
                 .forEach(
-                        each ->
+                        node ->
                                 publishes.add(
                                         new Contract.Service(
-                                                each.get("service").asText(),
-                                                each.get("pool").asText(),
+                                                node.get("service").asText(),
+                                                node.get("pool").asText(),
                                                 Duration.ofMillis(
-                                                        each.get("objective_ms").asLong()))));
+                                                        node.get("objective_ms").asLong()))));
         List<Contract.Call> calls = new ArrayList<>();
         root.path("calls")
                 .forEach(
-                        each ->
+                        node ->
                                 calls.add(
                                         new Contract.Call(
-                                                each.get("service").asText(),
-                                                each.get("work_per_s").asDouble(),
-                                                each.path("in_flight").asInt(100),
+                                                node.get("service").asText(),
+                                                node.get("work_per_s").asDouble(),
+                                                node.path("in_flight").asInt(100),
                                                 Duration.ofMillis(
-                                                        each.get("objective_ms").asLong()),
-                                                Duration.ofMillis(each.get("timeout_ms").asLong()),
-                                                each.path("value").asDouble(1))));
+                                                        node.get("objective_ms").asLong()),
+                                                Duration.ofMillis(node.get("timeout_ms").asLong()),
+                                                node.path("value").asDouble(1))));
         JsonNode promise = root.get("promise");
         double rate = promise.get("work_per_s").asDouble();
         return new Contract(
--- a/src/main/java/ochretiller/operator/OperatorConfigReader.java
+++ b/src/main/java/ochretiller/operator/OperatorConfigReader.java
@@ -61,17 +61,17 @@
     }
 
     private static List<OperatorConfig.Workers> parsePools(JsonNode pools) {
-        List<OperatorConfig.Workers> all = new ArrayList<>();
+        List<OperatorConfig.Workers> result = new ArrayList<>();
         Set<String> assignedOperations = new HashSet<>();
         pools.properties()
                 .forEach(
-                        each ->
-                                all.add(
+                        entry ->
+                                result.add(
                                         parsePool(
-                                                each.getKey(),
-                                                each.getValue(),
+                                                entry.getKey(),
+                                                entry.getValue(),
                                                 assignedOperations)));
-        return List.copyOf(all);
+        return List.copyOf(result);
     }
 
     private static OperatorConfig.Workers parsePool(
@@ -133,7 +133,7 @@
 
     private static FleetSettings parseFleet(JsonNode node) {
         List<PeerAddress> seeds = new ArrayList<>();
-        node.path("seeds").forEach(each -> seeds.add(parsePeerAddress(each)));
+        node.path("seeds").forEach(seed -> seeds.add(parsePeerAddress(seed)));
         ProtocolTiming defaults = ProtocolTiming.DEFAULT;
         return new FleetSettings(
                 node.get("name").asText(),
@@ -155,7 +155,7 @@
 
     private static ReplicationSettings parseReplication(JsonNode node) {
         List<String> voters = new ArrayList<>();
-        node.get("voters").forEach(each -> voters.add(each.asText()));
+        node.get("voters").forEach(voter -> voters.add(voter.asText()));
         if (new HashSet<>(voters).size() < voters.size()) {
             throw new MalformedException("fleet: a name is listed twice in voters");
         }
@@ -211,9 +211,9 @@
         node.path("modes")
                 .properties()
                 .forEach(
-                        each ->
+                        entry ->
                                 byOperation.put(
-                                        each.getKey(), parseClaimMode(each.getValue().asText())));
+                                        entry.getKey(), parseClaimMode(entry.getValue().asText())));
         return new ClaimModeSettings(
                 parseClaimMode(node.path("mode").asText("fleet")), byOperation);
     }
--- a/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
@@ -151,7 +151,7 @@
     }
 
     @Override
-    protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
+    protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "application/octet-stream");
         if (replayed) {
@@ -161,30 +161,30 @@
     }
 
     @Override
-    protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
+    protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "text/plain");
-        if (!retryIn.isZero()) {
+        if (!retryAfter.isZero()) {
             // Retry-After is in whole seconds (RFC 9110, section 10.2.3).
-            headers.put("Retry-After", "" + Math.max(1, (retryIn.toMillis() + 999) / 1000));
-            headers.put("X-Backoff-Ms", "" + Math.max(1, retryIn.toMillis()));
+            headers.put("Retry-After", "" + Math.max(1, (retryAfter.toMillis() + 999) / 1000));
+            headers.put("X-Backoff-Ms", "" + Math.max(1, retryAfter.toMillis()));
         }
-        if (last) {
+        if (isFinal) {
             headers.put("X-Final", "1");
         }
         write(new UwsgiResponse(503, headers, encodeText("throttled")));
     }
 
     @Override
-    protected void fails(RequestAttempt inv, FailureReason why) {
+    protected void fails(RequestAttempt attempt, FailureReason reason) {
         int status =
-                switch (why) {
+                switch (reason) {
                     case FAILED, NO_RESULT, RID_IN_USE -> 500;
                     case GIVEN_UP -> 504;
                     case OTHER_BODY -> 422;
                     case IN_FLIGHT, UNKNOWN_END -> 409;
                 };
-        writeText(status, why.text);
+        writeText(status, reason.text);
     }
 
     @Override
--- a/src/test/java/ochretiller/uwsgi/UwsgiTest.java
+++ b/src/test/java/ochretiller/uwsgi/UwsgiTest.java
@@ -42,11 +42,11 @@
     }
 
     private static List<UwsgiRequest> read(UwsgiRequestDecoder decoder, byte[]... pieces) {
-        List<UwsgiRequest> all = new ArrayList<>();
+        List<UwsgiRequest> requests = new ArrayList<>();
         for (byte[] piece : pieces) {
-            decoder.read(piece, 0, piece.length, all::add);
+            decoder.read(piece, 0, piece.length, requests::add);
         }
-        return all;
+        return requests;
     }
 
     private static List<UwsgiRequest> read(byte[]... pieces) {
@@ -82,22 +82,22 @@
     void decodesRequestSplitAtAnyByte() {
         byte[] packet = orderPacket("two bolts");
         for (int cut = 0; cut <= packet.length; cut++) {
-            List<UwsgiRequest> all =
+            List<UwsgiRequest> requests =
                     read(
                             Arrays.copyOf(packet, cut),
                             Arrays.copyOfRange(packet, cut, packet.length));
-            assertThat(all).as("cut at " + cut).hasSize(1);
-            assertThat(all.get(0).vars())
+            assertThat(requests).as("cut at " + cut).hasSize(1);
+            assertThat(requests.get(0).vars())
                     .containsEntry("PATH_INFO", "/orders/7\u00e9")
                     .containsEntry("EMPTY", "");
-            assertThat(all.get(0).body()).isEqualTo(bytes("two bolts"));
+            assertThat(requests.get(0).body()).isEqualTo(bytes("two bolts"));
         }
         UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(MAX_BODY_BYTES);
-        List<UwsgiRequest> all = new ArrayList<>();
+        List<UwsgiRequest> requests = new ArrayList<>();
         for (byte each : packet) {
-            decoder.read(new byte[] {each}, 0, 1, all::add);
+            decoder.read(new byte[] {each}, 0, 1, requests::add);
         }
-        assertThat(all).hasSize(1);
+        assertThat(requests).hasSize(1);
         assertThat(decoder.within()).isFalse();
     }
 
@@ -120,9 +120,9 @@
         assertThat(decoder.within()).isFalse();
         byte[] packet = orderPacket("two bolts");
         for (int length : new int[] {1, 4, 20, packet.length - 1}) {
-            UwsgiRequestDecoder cut = new UwsgiRequestDecoder(MAX_BODY_BYTES);
-            assertThat(read(cut, Arrays.copyOf(packet, length))).isEmpty();
-            assertThat(cut.within()).isTrue();
+            UwsgiRequestDecoder partial = new UwsgiRequestDecoder(MAX_BODY_BYTES);
+            assertThat(read(partial, Arrays.copyOf(packet, length))).isEmpty();
+            assertThat(partial.within()).isTrue();
         }
     }
 
@@ -251,18 +251,18 @@
             vars.put("CONTENT_LENGTH", "" + body.length());
             byte[] packet = packet(vars, body);
             int cut = random.nextInt(packet.length);
-            UwsgiRequest read =
+            UwsgiRequest request =
                     read(Arrays.copyOf(packet, cut), Arrays.copyOfRange(packet, cut, packet.length))
                             .get(0);
-            assertThat(read.vars()).isEqualTo(vars);
-            assertThat(new String(read.body())).isEqualTo(body);
+            assertThat(request.vars()).isEqualTo(vars);
+            assertThat(new String(request.body())).isEqualTo(body);
         }
     }
 
     private static UwsgiResponse decodeResponse(String text, boolean isEndOfInput) {
         UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
-        UwsgiResponse read = decoder.read(bytes(text), 0, text.length());
-        return read != null || !isEndOfInput ? read : decoder.ended();
+        UwsgiResponse response = decoder.read(bytes(text), 0, text.length());
+        return response != null || !isEndOfInput ? response : decoder.ended();
     }
 
     @Test
@@ -272,30 +272,31 @@
                                 "HTTP/1.1 201 Created\r\nX-A: b\r\nContent-Length: 2\r\n\r\nok",
                                 false))
                 .satisfies(
-                        read -> {
-                            assertThat(read.status()).isEqualTo(201);
-                            assertThat(read.headers()).containsEntry("x-a", "b");
-                            assertThat(new String(read.body())).isEqualTo("ok");
+                        response -> {
+                            assertThat(response.status()).isEqualTo(201);
+                            assertThat(response.headers()).containsEntry("x-a", "b");
+                            assertThat(new String(response.body())).isEqualTo("ok");
                         });
         assertThat(decodeResponse("Status: 404 Not Found\r\n\r\nnone", true))
                 .satisfies(
-                        read -> {
-                            assertThat(read.status()).isEqualTo(404);
-                            assertThat(new String(read.body())).isEqualTo("none");
+                        response -> {
+                            assertThat(response.status()).isEqualTo(404);
+                            assertThat(new String(response.body())).isEqualTo("none");
                         });
     }
 
     @Test
     void decodesResponseSplitAtAnyByte() {
-        byte[] whole =
+        byte[] encoded =
                 new UwsgiResponse(200, Map.of("X-Run", "7"), bytes("result\r\n\r\n")).encode();
-        for (int cut = 0; cut <= whole.length; cut++) {
+        for (int cut = 0; cut <= encoded.length; cut++) {
             UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
-            UwsgiResponse first = decoder.read(whole, 0, cut);
-            UwsgiResponse read = first != null ? first : decoder.read(whole, cut, whole.length);
-            assertThat(read.status()).isEqualTo(200);
-            assertThat(new String(read.body())).isEqualTo("result\r\n\r\n");
-            if (cut < whole.length) {
+            UwsgiResponse first = decoder.read(encoded, 0, cut);
+            UwsgiResponse response =
+                    first != null ? first : decoder.read(encoded, cut, encoded.length);
+            assertThat(response.status()).isEqualTo(200);
+            assertThat(new String(response.body())).isEqualTo("result\r\n\r\n");
+            if (cut < encoded.length) {
                 assertThat(first).isNull();
             }
         }
