--- a/src/main/java/ochretiller/budgets/Budgets.java
+++ b/src/main/java/ochretiller/budgets/Budgets.java
@@ -62,8 +62,7 @@
      */
     public void become(Map<TeamId, GuaranteedRate> guarantees, Duration now) {
         if (guarantees.size() > MAX_TEAMS) {
-            throw new IllegalArgumentException(
-                    guarantees.size() + " teams exceed the limit of " + MAX_TEAMS);
+            throw new IllegalArgumentException("more than " + MAX_TEAMS + " teams");
         }
         double sum = guarantees.values().stream().mapToDouble(GuaranteedRate::rate).sum();
         if (sum > capacity * (1 + 1e-9)) {
