--- a/src/main/java/ochretiller/commands/CopiesCommand.java
+++ b/src/main/java/ochretiller/commands/CopiesCommand.java
@@ -20,8 +20,9 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * What the servers of a fleet keep for one another. Exit codes: 0 done, 1 it could not be asked, 2
- * wrong words or file, 3 something differs that should not.
+ * Inspects and repairs the replicated claims and results of a fleet. Exit codes: 0 success, 1 a
+ * server could not be reached or a repair timed out, 2 bad arguments or file, 3 replicas differ or
+ * have conflicting results.
  */
 @Command(
         name = "copies",
@@ -29,17 +30,17 @@
         description = "What the servers of a fleet keep of claims and results.")
 public final class CopiesCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int DIFFERS = 3;
-    private static final int FAILED = 1;
+    private static final int EXIT_DIFFERENT = 3;
+    private static final int EXIT_FAILED = 1;
 
-    /** Between two looks at a repair. */
-    private static final int LOOK_MS = 250;
+    /** Time between two status requests during a repair. */
+    private static final int POLL_INTERVAL_MS = 250;
 
-    /** Words on one connection, fewer than a server answers there. */
-    private static final int WORDS = 90;
+    /** Ranges compared between two lines of progress. */
+    private static final int RANGES_PER_PROGRESS_LINE = 90;
 
-    /** Tokens that are listed of a difference. */
-    private static final int LISTED = 50;
+    /** Most differing tokens that are printed as text; JSON has all of them. */
+    private static final int MAX_PRINTED_TOKENS = 50;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -48,68 +49,69 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    private static JsonNode ask(FleetCommand.Whom whom, String word, String with)
+    private static JsonNode request(FleetCommand.Whom target, String command, String arguments)
             throws IOException {
-        try (AdminClient client = whom.dial()) {
-            return answer(client, word, with);
+        try (AdminClient client = target.dial()) {
+            return sendRequest(client, command, arguments);
         }
     }
 
-    private static JsonNode answer(AdminClient client, String word, String with)
+    private static JsonNode sendRequest(AdminClient client, String command, String arguments)
             throws IOException {
-        JsonNode told = JSON.readTree(client.request(word, with));
-        if (told.has("copies") && !told.get("copies").asBoolean()) {
-            throw new MalformedException(client.serverName() + " keeps no copies");
+        JsonNode response = JSON.readTree(client.request(command, arguments));
+        if (response.has("copies") && !response.get("copies").asBoolean()) {
+            throw new MalformedException(
+                    "server " + client.serverName() + " has no replication configured");
         }
-        return told;
+        return response;
     }
 
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
             description = "What a server keeps, and whether it is whole.")
-    int status(@CommandLine.Mixin FleetCommand.Whom whom) throws IOException {
-        JsonNode told = ask(whom, "copies-status", "");
+    int status(@CommandLine.Mixin FleetCommand.Whom target) throws IOException {
+        JsonNode status = request(target, "copies-status", "");
         PrintWriter out = spec.commandLine().getOut();
-        if (whom.json) {
-            out.println(told);
+        if (target.json) {
+            out.println(status);
         } else {
             out.printf(
                     "%s in epoch %d of %d keepers, factor %d; disk %s%s%n",
-                    told.get("name").asText(),
-                    told.get("epoch").asLong(),
-                    told.get("keepers").size(),
-                    told.get("factor").asInt(),
-                    told.get("disk").asText(),
-                    told.get("returning").asBoolean() ? ", asks whether it is old" : "");
+                    status.get("name").asText(),
+                    status.get("epoch").asLong(),
+                    status.get("keepers").size(),
+                    status.get("factor").asInt(),
+                    status.get("disk").asText(),
+                    status.get("returning").asBoolean() ? ", asks whether it is old" : "");
             out.printf(
                     "keeps %d tokens (%d bytes) in %d ranges, %d of them not whole%s%n",
-                    told.get("entries").asLong(),
-                    told.get("bytes").asLong(),
-                    told.get("ranges").asInt(),
-                    told.get("behind").asInt(),
-                    told.get("behind").asInt() > 0
-                            ? " for up to " + told.get("oldest_gap_ms").asLong() + " ms"
+                    status.get("entries").asLong(),
+                    status.get("bytes").asLong(),
+                    status.get("ranges").asInt(),
+                    status.get("behind").asInt(),
+                    status.get("behind").asInt() > 0
+                            ? " for up to " + status.get("oldest_gap_ms").asLong() + " ms"
                             : "");
             out.printf(
                     "ranges that others have yet to hear of: %d; conflicts: %d%n",
-                    told.get("hints").asInt(), told.get("conflicts").asLong());
+                    status.get("hints").asInt(), status.get("conflicts").asLong());
             out.printf(
                     "fetched %d entries (%d bytes), sent %d bytes; compared %d ranges, %d"
                             + " differed%n",
-                    told.get("fetched").asLong(),
-                    told.get("fetched_bytes").asLong(),
-                    told.get("sent_bytes").asLong(),
-                    told.get("compares").asLong(),
-                    told.get("differed").asLong());
+                    status.get("fetched").asLong(),
+                    status.get("fetched_bytes").asLong(),
+                    status.get("sent_bytes").asLong(),
+                    status.get("compares").asLong(),
+                    status.get("differed").asLong());
             out.printf(
                     "claims under way: %d of %d; words that wait for the disk: %d%n",
-                    told.get("claims_under_way").asInt(),
-                    told.get("claim_limit").asInt(),
-                    told.get("words_waiting").asInt());
+                    status.get("claims_under_way").asInt(),
+                    status.get("claim_limit").asInt(),
+                    status.get("words_waiting").asInt());
         }
         out.flush();
-        return told.get("conflicts").asLong() > 0 ? DIFFERS : 0;
+        return status.get("conflicts").asLong() > 0 ? EXIT_DIFFERENT : 0;
     }
 
     @Command(
@@ -117,93 +119,94 @@
             mixinStandardHelpOptions = true,
             description = "What each keeper of a token has of it.")
     int show(
-            @CommandLine.Mixin FleetCommand.Whom whom,
+            @CommandLine.Mixin FleetCommand.Whom target,
             @Parameters(paramLabel = "TOKEN") String token)
             throws IOException {
-        JsonNode first = ask(whom, "copies-show", token);
-        Map<String, String> addresses = addresses(whom);
-        ArrayNode all = JSON.createArrayNode();
-        for (JsonNode keeper : first.get("keepers")) {
+        JsonNode asked = request(target, "copies-show", token);
+        Map<String, String> addressByName = aliveAddresses(target);
+        ArrayNode replicas = JSON.createArrayNode();
+        for (JsonNode keeper : asked.get("keepers")) {
             String name = keeper.asText();
-            if (name.equals(first.get("name").asText())) {
-                all.add(first);
+            if (name.equals(asked.get("name").asText())) {
+                replicas.add(asked);
                 continue;
             }
             try {
-                if (!addresses.containsKey(name)) {
+                if (!addressByName.containsKey(name)) {
                     throw new IOException("it is not there");
                 }
-                all.add(ask(whom.at(addresses.get(name)), "copies-show", token));
+                replicas.add(request(target.at(addressByName.get(name)), "copies-show", token));
             } catch (IOException e) {
-                // What cannot be asked is told as such, and not as nothing.
-                all.add(JSON.createObjectNode().put("name", name).put("unknown", e.getMessage()));
+                // An unreachable replica is unknown; it must not look like one without an entry.
+                replicas.add(
+                        JSON.createObjectNode().put("name", name).put("unknown", e.getMessage()));
             }
         }
         PrintWriter out = spec.commandLine().getOut();
-        if (whom.json) {
+        if (target.json) {
             out.println(
                     JSON.createObjectNode()
                             .put("token", token)
-                            .put("range", first.get("range").asInt())
-                            .put("epoch", first.get("epoch").asLong())
-                            .set("keepers", all));
+                            .put("range", asked.get("range").asInt())
+                            .put("epoch", asked.get("epoch").asLong())
+                            .set("keepers", replicas));
         } else {
             out.printf(
                     "token %s, range %d, epoch %d%n",
-                    token, first.get("range").asInt(), first.get("epoch").asLong());
-            for (JsonNode each : all) {
-                one(out, each);
+                    token, asked.get("range").asInt(), asked.get("epoch").asLong());
+            for (JsonNode replica : replicas) {
+                printReplica(out, replica);
             }
         }
         out.flush();
-        boolean conflict = false;
-        for (JsonNode each : all) {
-            conflict |= each.path("conflict").asBoolean();
+        boolean hasConflict = false;
+        for (JsonNode replica : replicas) {
+            hasConflict |= replica.path("conflict").asBoolean();
         }
-        return conflict ? DIFFERS : 0;
+        return hasConflict ? EXIT_DIFFERENT : 0;
     }
 
-    private static void one(PrintWriter out, JsonNode each) {
-        if (each.has("unknown")) {
+    private static void printReplica(PrintWriter out, JsonNode replica) {
+        if (replica.has("unknown")) {
             out.printf(
                     "%-12s not known: %s%n",
-                    each.get("name").asText(), each.get("unknown").asText());
+                    replica.get("name").asText(), replica.get("unknown").asText());
             return;
         }
         out.printf(
                 "%-12s %s%s%s%n",
-                each.get("name").asText(),
-                !each.path("known").asBoolean()
+                replica.get("name").asText(),
+                !replica.path("known").asBoolean()
                         ? "knows nothing of it"
-                        : "window ends in " + each.get("window_left_ms").asLong() + " ms",
-                each.get("behind").asBoolean() ? "; its range is not whole" : "",
-                each.path("conflict").asBoolean() ? "; TWO ENDS" : "");
-        for (JsonNode claim : each.path("claims")) {
+                        : "window ends in " + replica.get("window_left_ms").asLong() + " ms",
+                replica.get("behind").asBoolean() ? "; its range is not whole" : "",
+                replica.path("conflict").asBoolean() ? "; TWO ENDS" : "");
+        for (JsonNode claim : replica.path("claims")) {
             out.printf(
                     "  %s %s%n",
                     claim.get("claim").asText(),
                     claim.get("released").asBoolean() ? "never ran" : "claimed it");
         }
-        for (JsonNode end : each.path("ends")) {
+        for (JsonNode outcome : replica.path("ends")) {
             out.printf(
                     "  %s %s, %d bytes, sum %s%s%n",
-                    end.get("claim").asText(),
-                    end.get("succeeded").asBoolean() ? "succeeded" : "failed",
-                    end.get("bytes").asLong(),
-                    end.get("sum").asText(),
-                    end.get("here").asBoolean() ? "" : ", the result is not here yet");
+                    outcome.get("claim").asText(),
+                    outcome.get("succeeded").asBoolean() ? "succeeded" : "failed",
+                    outcome.get("bytes").asLong(),
+                    outcome.get("sum").asText(),
+                    outcome.get("here").asBoolean() ? "" : ", the result is not here yet");
         }
     }
 
-    private static Map<String, String> addresses(FleetCommand.Whom whom) throws IOException {
-        try (AdminClient client = whom.dial()) {
-            Map<String, String> all = new HashMap<>();
-            for (JsonNode each : JSON.readTree(client.request("view")).get("members")) {
-                if (each.get("state").asText().equals(MemberState.ALIVE.externalName())) {
-                    all.put(each.get("name").asText(), each.get("address").asText());
+    private static Map<String, String> aliveAddresses(FleetCommand.Whom target) throws IOException {
+        try (AdminClient client = target.dial()) {
+            Map<String, String> addressByName = new HashMap<>();
+            for (JsonNode member : JSON.readTree(client.request("view")).get("members")) {
+                if (member.get("state").asText().equals(MemberState.ALIVE.externalName())) {
+                    addressByName.put(member.get("name").asText(), member.get("address").asText());
                 }
             }
-            return all;
+            return addressByName;
         }
     }
 
@@ -212,47 +215,47 @@
             mixinStandardHelpOptions = true,
             description = "What two servers have otherwise, of the ranges that both keep.")
     int diff(
-            @CommandLine.Mixin FleetCommand.Whom whom,
+            @CommandLine.Mixin FleetCommand.Whom target,
             @Option(
                             names = "--with",
                             required = true,
                             paramLabel = "ADDRESS",
                             description = "The other server, by its address in the fleet.")
-                    String with)
+                    String otherAddress)
             throws IOException {
-        JsonNode here = ask(whom, "copies-digests", "");
-        JsonNode there = ask(whom.at(with), "copies-digests", "");
+        JsonNode here = request(target, "copies-digests", "");
+        JsonNode there = request(target.at(otherAddress), "copies-digests", "");
         PrintWriter out = spec.commandLine().getOut();
-        int both = 0;
-        TreeSet<Integer> differ = new TreeSet<>();
-        for (Map.Entry<String, JsonNode> each : here.get("ranges").properties()) {
-            JsonNode other = there.get("ranges").get(each.getKey());
+        int commonRanges = 0;
+        TreeSet<Integer> differingRanges = new TreeSet<>();
+        for (Map.Entry<String, JsonNode> range : here.get("ranges").properties()) {
+            JsonNode other = there.get("ranges").get(range.getKey());
             if (other == null) {
                 continue;
             }
-            both++;
-            if (!other.get(1).equals(each.getValue().get(1))) {
-                differ.add(Integer.valueOf(each.getKey()));
+            commonRanges++;
+            if (!other.get(1).equals(range.getValue().get(1))) {
+                differingRanges.add(Integer.valueOf(range.getKey()));
             }
         }
         ArrayNode tokens = JSON.createArrayNode();
-        int index = 0;
-        for (int range : differ) {
-            if (index++ % WORDS == 0 && !whom.json) {
-                System.err.println(index - 1 + " of " + differ.size() + " ranges");
+        int compared = 0;
+        for (int range : differingRanges) {
+            if (compared++ % RANGES_PER_PROGRESS_LINE == 0 && !target.json) {
+                System.err.println(compared - 1 + " of " + differingRanges.size() + " ranges");
             }
-            tokens(whom, with, range, tokens);
+            addDifferingTokens(target, otherAddress, range, tokens);
         }
-        if (whom.json) {
-            ObjectNode told =
+        if (target.json) {
+            ObjectNode summary =
                     JSON.createObjectNode()
                             .put("here", here.get("name").asText())
                             .put("there", there.get("name").asText())
                             .put("epoch_here", here.get("epoch").asLong())
                             .put("epoch_there", there.get("epoch").asLong())
-                            .put("ranges", both)
-                            .put("differ", differ.size());
-            out.println(told.set("tokens", tokens));
+                            .put("ranges", commonRanges)
+                            .put("differ", differingRanges.size());
+            out.println(summary.set("tokens", tokens));
         } else {
             out.printf(
                     "%s in epoch %d, %s in epoch %d: %d ranges in common, %d differ, %d tokens%n",
@@ -260,50 +263,56 @@
                     here.get("epoch").asLong(),
                     there.get("name").asText(),
                     there.get("epoch").asLong(),
-                    both,
-                    differ.size(),
+                    commonRanges,
+                    differingRanges.size(),
                     tokens.size());
-            for (int i = 0; i < Math.min(LISTED, tokens.size()); i++) {
-                JsonNode each = tokens.get(i);
+            for (int i = 0; i < Math.min(MAX_PRINTED_TOKENS, tokens.size()); i++) {
+                JsonNode token = tokens.get(i);
                 out.printf(
                         "  %s: %s here, %s there%n",
-                        each.get("token").asText(),
-                        each.get("here").asText(),
-                        each.get("there").asText());
+                        token.get("token").asText(),
+                        token.get("here").asText(),
+                        token.get("there").asText());
             }
-            if (tokens.size() > LISTED) {
-                out.println("  and " + (tokens.size() - LISTED) + " more; --json lists them all");
+            if (tokens.size() > MAX_PRINTED_TOKENS) {
+                out.println(
+                        "  and "
+                                + (tokens.size() - MAX_PRINTED_TOKENS)
+                                + " more; --json lists them all");
             }
         }
         out.flush();
-        return differ.isEmpty() ? 0 : DIFFERS;
+        return differingRanges.isEmpty() ? 0 : EXIT_DIFFERENT;
     }
 
-    private static void tokens(FleetCommand.Whom whom, String with, int range, ArrayNode into)
+    private static void addDifferingTokens(
+            FleetCommand.Whom target, String otherAddress, int range, ArrayNode differingTokens)
             throws IOException {
-        Map<String, JsonNode> mine = listed(ask(whom, "copies-range", Integer.toString(range)));
-        Map<String, JsonNode> theirs =
-                listed(ask(whom.at(with), "copies-range", Integer.toString(range)));
-        TreeSet<String> all = new TreeSet<>(mine.keySet());
-        all.addAll(theirs.keySet());
-        for (String token : all) {
-            JsonNode a = mine.get(token);
-            JsonNode b = theirs.get(token);
-            if (a != null && b != null && a.get(1).equals(b.get(1))) {
+        Map<String, JsonNode> entriesHere =
+                entriesByToken(request(target, "copies-range", Integer.toString(range)));
+        Map<String, JsonNode> entriesThere =
+                entriesByToken(
+                        request(target.at(otherAddress), "copies-range", Integer.toString(range)));
+        TreeSet<String> allTokens = new TreeSet<>(entriesHere.keySet());
+        allTokens.addAll(entriesThere.keySet());
+        for (String token : allTokens) {
+            JsonNode here = entriesHere.get(token);
+            JsonNode there = entriesThere.get(token);
+            if (here != null && there != null && here.get(1).equals(there.get(1))) {
                 continue;
             }
-            into.addObject()
+            differingTokens.addObject()
                     .put("token", token)
                     .put("range", range)
-                    .put("here", a == null ? "nothing" : a.get(2).asText())
-                    .put("there", b == null ? "nothing" : b.get(2).asText());
+                    .put("here", here == null ? "nothing" : here.get(2).asText())
+                    .put("there", there == null ? "nothing" : there.get(2).asText());
         }
     }
 
-    private static Map<String, JsonNode> listed(JsonNode told) {
-        Map<String, JsonNode> all = new TreeMap<>();
-        told.get("tokens").forEach(each -> all.put(each.get(0).asText(), each));
-        return all;
+    private static Map<String, JsonNode> entriesByToken(JsonNode response) {
+        Map<String, JsonNode> entries = new TreeMap<>();
+        response.get("tokens").forEach(entry -> entries.put(entry.get(0).asText(), entry));
+        return entries;
     }
 
     @Command(
@@ -313,47 +322,48 @@
                     "Let a server compare all it keeps with the other keepers, and wait until that"
                             + " is over.")
     int repair(
-            @CommandLine.Mixin FleetCommand.Whom whom,
+            @CommandLine.Mixin FleetCommand.Whom target,
             @Option(names = "--within", defaultValue = "300", description = "Seconds to wait.")
-                    int within)
+                    int timeoutSeconds)
             throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
-        long began = System.nanoTime();
-        JsonNode before = ask(whom, "copies-status", "");
-        int compares = ask(whom, "copies-repair", "").get("compares").asInt();
-        JsonNode now = before;
-        int quiet = 0;
-        while (quiet < 2) {
-            if ((System.nanoTime() - began) / 1e9 > within) {
-                System.err.println("not over within " + within + " s; it goes on by itself");
-                return FAILED;
+        long startNanos = System.nanoTime();
+        JsonNode before = request(target, "copies-status", "");
+        int comparisons = request(target, "copies-repair", "").get("compares").asInt();
+        JsonNode current = before;
+        int idlePolls = 0;
+        while (idlePolls < 2) {
+            if ((System.nanoTime() - startNanos) / 1e9 > timeoutSeconds) {
+                System.err.println(
+                        "not over within " + timeoutSeconds + " s; it goes on by itself");
+                return EXIT_FAILED;
             }
-            Thread.sleep(LOOK_MS);
-            JsonNode next = ask(whom, "copies-status", "");
-            boolean idle =
-                    next.get("hints").asInt() == 0
-                            && next.get("fetched").equals(now.get("fetched"));
-            quiet = idle ? quiet + 1 : 0;
-            now = next;
-            if (!whom.json) {
+            Thread.sleep(POLL_INTERVAL_MS);
+            JsonNode latest = request(target, "copies-status", "");
+            boolean isIdle =
+                    latest.get("hints").asInt() == 0
+                            && latest.get("fetched").equals(current.get("fetched"));
+            idlePolls = isIdle ? idlePolls + 1 : 0;
+            current = latest;
+            if (!target.json) {
                 System.err.printf(
                         Locale.ROOT,
                         "%d comparisons left, %d entries fetched%n",
-                        now.get("hints").asInt(),
-                        now.get("fetched").asLong() - before.get("fetched").asLong());
+                        current.get("hints").asInt(),
+                        current.get("fetched").asLong() - before.get("fetched").asLong());
             }
         }
-        long fetched = now.get("fetched").asLong() - before.get("fetched").asLong();
-        if (whom.json) {
+        long fetched = current.get("fetched").asLong() - before.get("fetched").asLong();
+        if (target.json) {
             out.println(
                     JSON.createObjectNode()
-                            .put("name", now.get("name").asText())
-                            .put("compares", compares)
+                            .put("name", current.get("name").asText())
+                            .put("compares", comparisons)
                             .put("fetched", fetched));
         } else {
             out.printf(
                     "%s compared %d ranges and fetched %d entries%n",
-                    now.get("name").asText(), compares, fetched);
+                    current.get("name").asText(), comparisons, fetched);
         }
         out.flush();
         return 0;
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -24,7 +24,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Asks a server of a fleet. Exit codes: 0 done, 1 it could not be asked, 2 wrong words or file. */
+/**
+ * Sends operators' commands to one server of a fleet. Exit codes: 0 success, 1 the server could not
+ * be reached or refused the command, 2 bad arguments or file.
+ */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -32,16 +35,16 @@
 public final class FleetCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Between two looks at a server that leaves. */
-    private static final int LOOK_MS = 250;
+    /** Shortest time between two requests to a polled server. */
+    private static final int POLL_INTERVAL_MS = 250;
 
-    private static final int FAILED = 1;
+    private static final int EXIT_FAILED = 1;
     private static final String DONE = RolloutPhase.DONE.externalName();
     private static final String HALTED = RolloutPhase.HALTED.externalName();
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Whom to ask. */
+    /** Options that select the server to send requests to. */
     static final class Whom {
         @Option(
                 names = "--operator",
@@ -61,7 +64,7 @@
         @Option(names = "--json", description = "Say it as JSON.")
         boolean json;
 
-        /** The same at another server of the fleet. */
+        /** Returns these options for the server at another address of the fleet. */
         Whom at(String address) {
             Whom other = new Whom();
             other.operator = operator;
@@ -74,14 +77,16 @@
             FleetSettings settings =
                     OperatorConfigReader.read(operator)
                             .fleet()
-                            .orElseThrow(() -> new MalformedException(operator + " has no fleet"));
+                            .orElseThrow(
+                                    () -> new MalformedException(operator + " has no 'fleet'"));
             InetSocketAddress address = settings.listen();
             if (at != null) {
                 try {
-                    PeerAddress told = PeerAddress.parse(at);
-                    address = new InetSocketAddress(told.host(), told.port());
+                    PeerAddress peer = PeerAddress.parse(at);
+                    address = new InetSocketAddress(peer.host(), peer.port());
                 } catch (IllegalArgumentException e) {
-                    throw new MalformedException("--at is no address: '" + at + "'");
+                    throw new MalformedException(
+                            "--at must be an IP address and a port, not '" + at + "'");
                 }
             }
             try {
@@ -104,7 +109,7 @@
             mixinStandardHelpOptions = true,
             description = "How a server sees its fleet.")
     int view(
-            @CommandLine.Mixin Whom whom,
+            @CommandLine.Mixin Whom target,
             @Option(
                             names = "--watch",
                             paramLabel = "SECONDS",
@@ -113,38 +118,37 @@
             @Option(names = "--times", description = "With --watch: end behind so many looks.")
                     Integer times)
             throws IOException, InterruptedException {
-        JsonNode view = ask(whom, "view");
-        show(view, whom.json);
+        JsonNode view = request(target, "view");
+        printView(view, target.json);
         if (watch == null) {
             return 0;
         }
         for (int i = 1; times == null || i < times; i++) {
-            Thread.sleep((long) Math.max(LOOK_MS, watch * 1000));
+            Thread.sleep((long) Math.max(POLL_INTERVAL_MS, watch * 1000));
             JsonNode next;
             try {
-                next = ask(whom, "view");
+                next = request(target, "view");
             } catch (IOException e) {
-                System.err.println(
-                        e.getMessage()); // a watch outlives the restart of whom it watches
+                System.err.println(e.getMessage()); // keep watching while the server restarts
                 continue;
             }
-            if (whom.json) {
-                show(next, true);
+            if (target.json) {
+                printView(next, true);
             } else {
-                changes(view, next);
+                printChanges(view, next);
             }
             view = next;
         }
         return 0;
     }
 
-    private static JsonNode ask(Whom whom, String word) throws IOException {
-        try (AdminClient client = whom.dial()) {
-            return JSON.readTree(client.request(word));
+    private static JsonNode request(Whom target, String command) throws IOException {
+        try (AdminClient client = target.dial()) {
+            return JSON.readTree(client.request(command));
         }
     }
 
-    private void show(JsonNode view, boolean json) {
+    private void printView(JsonNode view, boolean json) {
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
             out.println(view);
@@ -155,19 +159,19 @@
         out.printf(
                 "%-20s %-8s %-22s %-10s %-18s %9s %s%n",
                 "member", "state", "address", "zone", "build", "for", "start");
-        for (JsonNode each : view.get("members")) {
-            states.merge(each.get("state").asText(), 1, Integer::sum);
+        for (JsonNode member : view.get("members")) {
+            states.merge(member.get("state").asText(), 1, Integer::sum);
             out.printf(
                     Locale.ROOT,
                     "%-20s %-8s %-22s %-10s %-18s %8.1fs %s%s%n",
-                    each.get("name").asText(),
-                    each.get("state").asText(),
-                    each.get("address").asText(),
-                    each.get("zone").asText(),
-                    each.get("build").asText(),
-                    each.get("for_ms").asLong() / 1e3,
-                    each.get("start").asText(),
-                    each.get("self").asBoolean() ? "  (asked)" : "");
+                    member.get("name").asText(),
+                    member.get("state").asText(),
+                    member.get("address").asText(),
+                    member.get("zone").asText(),
+                    member.get("build").asText(),
+                    member.get("for_ms").asLong() / 1e3,
+                    member.get("start").asText(),
+                    member.get("self").asBoolean() ? "  (asked)" : "");
         }
         out.printf(
                 "fleet %s: %s; digest %s, doubt %d%n",
@@ -185,27 +189,33 @@
         Map<String, String> states = new TreeMap<>();
         view.get("members")
                 .forEach(
-                        each ->
+                        member ->
                                 states.put(
-                                        each.get("name").asText()
+                                        member.get("name").asText()
                                                 + '/'
-                                                + each.get("start").asText(),
-                                        each.get("state").asText()));
+                                                + member.get("start").asText(),
+                                        member.get("state").asText()));
         return states;
     }
 
-    private void changes(JsonNode before, JsonNode after) {
+    private void printChanges(JsonNode earlier, JsonNode later) {
         PrintWriter out = spec.commandLine().getOut();
-        Map<String, String> was = states(before);
-        Map<String, String> is = states(after);
-        is.forEach(
+        Map<String, String> earlierStates = states(earlier);
+        Map<String, String> laterStates = states(later);
+        laterStates.forEach(
                 (member, state) -> {
-                    String old = was.remove(member);
-                    if (!state.equals(old)) {
-                        out.println(member + ": " + (old == null ? "new" : old) + " -> " + state);
+                    String earlierState = earlierStates.remove(member);
+                    if (!state.equals(earlierState)) {
+                        out.println(
+                                member
+                                        + ": "
+                                        + (earlierState == null ? "new" : earlierState)
+                                        + " -> "
+                                        + state);
                     }
                 });
-        was.forEach((member, state) -> out.println(member + ": " + state + " -> forgotten"));
+        earlierStates.forEach(
+                (member, state) -> out.println(member + ": " + state + " -> forgotten"));
         out.flush();
     }
 
@@ -214,7 +224,7 @@
             mixinStandardHelpOptions = true,
             description = "How fast a server answers at its fleet's door.")
     int ping(
-            @CommandLine.Mixin Whom whom,
+            @CommandLine.Mixin Whom target,
             @Option(
                             names = "--times",
                             defaultValue = "10",
@@ -222,27 +232,30 @@
                     int times)
             throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        try (AdminClient client = whom.dial()) {
+        try (AdminClient client = target.dial()) {
             long[] micros = new long[Math.max(1, Math.min(99, times))];
             for (int i = 0; i < micros.length; i++) {
-                long began = System.nanoTime();
+                long startNanos = System.nanoTime();
                 client.request("ping");
-                micros[i] = (System.nanoTime() - began) / 1000;
+                micros[i] = (System.nanoTime() - startNanos) / 1000;
             }
             Arrays.sort(micros);
-            long least = micros[0];
-            long middle = micros[micros.length / 2];
-            long most = micros[micros.length - 1];
-            if (whom.json) {
-                ObjectNode told =
+            long minMicros = micros[0];
+            long medianMicros = micros[micros.length / 2];
+            long maxMicros = micros[micros.length - 1];
+            if (target.json) {
+                ObjectNode summary =
                         JSON.createObjectNode()
                                 .put("name", client.serverName())
                                 .put("times", micros.length);
-                out.println(told.put("least_us", least).put("p50_us", middle).put("most_us", most));
+                out.println(
+                        summary.put("least_us", minMicros)
+                                .put("p50_us", medianMicros)
+                                .put("most_us", maxMicros));
             } else {
                 out.printf(
                         "%s: %d answers, least %d us, p50 %d us, most %d us%n",
-                        client.serverName(), micros.length, least, middle, most);
+                        client.serverName(), micros.length, minMicros, medianMicros, maxMicros);
             }
             out.flush();
         }
@@ -256,61 +269,64 @@
                     "Bring a version out to the fleet, by stages; one of its voters has to be"
                         + " asked. A version is an operators' file with pools and nothing else.")
     int publish(
-            @CommandLine.Mixin Whom whom,
+            @CommandLine.Mixin Whom target,
             @CommandLine.Parameters(description = "The version.") Path file,
-            @Option(names = "--why", required = true, description = "Why, in a line.") String why,
-            @Option(names = "--by", description = "Who; the user's name by default.") String by,
+            @Option(names = "--why", required = true, description = "Why, in a line.")
+                    String reason,
+            @Option(names = "--by", description = "Who; the user's name by default.")
+                    String authorOption,
             @Option(
                             names = "--build",
                             defaultValue = "",
                             description = "The least build that can act on it.")
-                    String least,
+                    String minBuild,
             @Option(
                             names = "--wait",
                             description = "Wait until it is in force, halted or taken back.")
-                    boolean wait)
+                    boolean waitForEnd)
             throws IOException, InterruptedException {
-        String text = Files.readString(file);
-        String who = by == null ? System.getProperty("user.name") : by;
-        for (String each : new String[] {who, why, least}) {
-            if (each.contains("\n")) {
-                throw new MalformedException("a line has no end of a line in it");
+        String version = Files.readString(file);
+        String author = authorOption == null ? System.getProperty("user.name") : authorOption;
+        for (String line : new String[] {author, reason, minBuild}) {
+            if (line.contains("\n")) {
+                throw new MalformedException(
+                        "--by, --why and --build must not contain a line break: '" + line + "'");
             }
         }
-        JsonNode told;
-        try (AdminClient client = whom.dial()) {
-            told =
+        JsonNode response;
+        try (AdminClient client = target.dial()) {
+            response =
                     JSON.readTree(
                             client.request(
                                     "version-publish",
-                                    who + '\n' + why + '\n' + least + '\n' + text));
+                                    author + '\n' + reason + '\n' + minBuild + '\n' + version));
         }
-        if (refused(whom, told)) {
-            return FAILED;
+        if (reportRefusal(target, response)) {
+            return EXIT_FAILED;
         }
-        long number = told.get("published").asLong();
+        long number = response.get("published").asLong();
         PrintWriter out = spec.commandLine().getOut();
-        if (!whom.json) {
+        if (!target.json) {
             out.println("version " + number + " is brought out");
         }
         out.flush();
-        return wait ? follow(whom, number) : 0;
+        return waitForEnd ? follow(target, number) : 0;
     }
 
-    /** Tells each step of a rollout until it is over. */
-    private int follow(Whom whom, long number) throws InterruptedException {
-        String last = "";
+    /** Prints each state of a rollout until it has ended, and returns the exit code. */
+    private int follow(Whom target, long number) throws InterruptedException {
+        String lastLine = "";
         while (true) {
-            Thread.sleep(LOOK_MS);
-            JsonNode told;
+            Thread.sleep(POLL_INTERVAL_MS);
+            JsonNode status;
             try {
-                told = ask(whom, "version-status");
+                status = request(target, "version-status");
             } catch (IOException e) {
-                continue; // any voter carries it on; this one may be back
+                continue; // any voter may drive the rollout; this one may come back
             }
-            long version = told.get("version").asLong();
-            String state = told.get("state").asText();
-            boolean over =
+            long version = status.get("version").asLong();
+            String state = status.get("state").asText();
+            boolean hasEnded =
                     version > number
                             || version == number && (state.equals(DONE) || state.equals(HALTED));
             String line =
@@ -319,46 +335,53 @@
                             : "version "
                                     + version
                                     + ", "
-                                    + (over
+                                    + (hasEnded
                                             ? state
-                                            : "stage " + told.get("stage").asInt() + ", " + state);
-            if (!line.equals(last)) {
+                                            : "stage "
+                                                    + status.get("stage").asInt()
+                                                    + ", "
+                                                    + state);
+            if (!line.equals(lastLine)) {
                 System.err.println(line);
             }
-            last = line;
-            if (!over) {
+            lastLine = line;
+            if (!hasEnded) {
                 continue;
             }
-            boolean good = version == number && state.equals(DONE);
-            show(
-                    whom,
-                    told,
-                    good
+            boolean isInForce = version == number && state.equals(DONE);
+            printResult(
+                    target,
+                    status,
+                    isInForce
                             ? "version " + number + " is in force"
                             : "version "
                                     + number
                                     + " is not: "
-                                    + told.get("halted").asText()
-                                    + told.get("why").asText());
-            return good ? 0 : FAILED;
+                                    + status.get("halted").asText()
+                                    + status.get("why").asText());
+            return isInForce ? 0 : EXIT_FAILED;
         }
     }
 
-    private void show(Whom whom, JsonNode told, String text) {
+    private void printResult(Whom target, JsonNode response, String text) {
         PrintWriter out = spec.commandLine().getOut();
-        out.println(whom.json ? told.toString() : text);
+        out.println(target.json ? response.toString() : text);
         out.flush();
     }
 
-    private boolean refused(Whom whom, JsonNode told) {
-        String why = told.path("refused").asText();
-        if (why.isEmpty() || told.has("servers")) {
+    /**
+     * Prints a refusal and returns true, if the response is one. A version status also has a member
+     * {@code refused}, the reason of a rejected version; its member {@code servers} identifies it.
+     */
+    private boolean reportRefusal(Whom target, JsonNode response) {
+        String reason = response.path("refused").asText();
+        if (reason.isEmpty() || response.has("servers")) {
             return false;
         }
-        if (whom.json) {
-            show(whom, told, "");
+        if (target.json) {
+            printResult(target, response, "");
         } else {
-            System.err.println("refused: " + why);
+            System.err.println("refused: " + reason);
         }
         return true;
     }
@@ -368,45 +391,45 @@
             mixinStandardHelpOptions = true,
             description =
                     "Which version is in force, how far the next has come, and who acts on which.")
-    int versions(@CommandLine.Mixin Whom whom) throws IOException {
-        JsonNode told = ask(whom, "version-status");
-        if (refused(whom, told)) {
-            return FAILED;
+    int versions(@CommandLine.Mixin Whom target) throws IOException {
+        JsonNode status = request(target, "version-status");
+        if (reportRefusal(target, status)) {
+            return EXIT_FAILED;
         }
         PrintWriter out = spec.commandLine().getOut();
-        if (whom.json) {
-            out.println(told);
+        if (target.json) {
+            out.println(status);
         } else {
             out.printf(
                     Locale.ROOT,
                     "version %d, %s at stage %d, before it %d; by %s: %s%n",
-                    told.get("version").asLong(),
-                    told.get("state").asText(),
-                    told.get("stage").asInt(),
-                    told.get("before").asLong(),
-                    told.get("by").asText(),
-                    told.get("why").asText());
-            if (!told.get("halted").asText().isEmpty()) {
-                out.println("the last one that was stopped: " + told.get("halted").asText());
+                    status.get("version").asLong(),
+                    status.get("state").asText(),
+                    status.get("stage").asInt(),
+                    status.get("before").asLong(),
+                    status.get("by").asText(),
+                    status.get("why").asText());
+            if (!status.get("halted").asText().isEmpty()) {
+                out.println("the last one that was stopped: " + status.get("halted").asText());
             }
             out.printf(
                     Locale.ROOT,
                     "%s acts on %d; its lease %s%n",
-                    told.get("name").asText(),
-                    told.get("acts").asLong(),
-                    told.get("may").asBoolean()
-                            ? "holds for " + told.get("lease_left_ms").asLong() + " ms"
+                    status.get("name").asText(),
+                    status.get("acts").asLong(),
+                    status.get("may").asBoolean()
+                            ? "holds for " + status.get("lease_left_ms").asLong() + " ms"
                             : "has ended: keyed work is throttled");
-            for (Map.Entry<String, JsonNode> each : told.get("servers").properties()) {
+            for (Map.Entry<String, JsonNode> server : status.get("servers").properties()) {
                 out.printf(
                         Locale.ROOT,
                         "%-20s acts on %d%s%s%n",
-                        each.getKey(),
-                        each.getValue().get("acts").asLong(),
-                        each.getValue().get("refused").asLong() == 0
+                        server.getKey(),
+                        server.getValue().get("acts").asLong(),
+                        server.getValue().get("refused").asLong() == 0
                                 ? ""
-                                : ", refuses " + each.getValue().get("refused").asLong(),
-                        each.getValue().get("out").asBoolean() ? ", shut out" : "");
+                                : ", refuses " + server.getValue().get("refused").asLong(),
+                        server.getValue().get("out").asBoolean() ? ", shut out" : "");
             }
         }
         out.flush();
@@ -417,37 +440,37 @@
             name = "pause",
             mixinStandardHelpOptions = true,
             description = "Stop a rollout where it is.")
-    int pause(@CommandLine.Mixin Whom whom) throws IOException {
-        return steer(whom, "pause");
+    int pause(@CommandLine.Mixin Whom target) throws IOException {
+        return requestRolloutChange(target, "pause");
     }
 
     @Command(
             name = "go-on",
             mixinStandardHelpOptions = true,
             description = "Let a rollout go on that was paused or halted.")
-    int goOn(@CommandLine.Mixin Whom whom) throws IOException {
-        return steer(whom, "go-on");
+    int goOn(@CommandLine.Mixin Whom target) throws IOException {
+        return requestRolloutChange(target, "go-on");
     }
 
     @Command(
             name = "take-back",
             mixinStandardHelpOptions = true,
             description = "Bring back what was before, for all at once, as a version of its own.")
-    int takeBack(@CommandLine.Mixin Whom whom) throws IOException {
-        return steer(whom, "take-back");
+    int takeBack(@CommandLine.Mixin Whom target) throws IOException {
+        return requestRolloutChange(target, "take-back");
     }
 
-    private int steer(Whom whom, String word) throws IOException {
-        JsonNode told;
-        try (AdminClient client = whom.dial()) {
-            told =
+    private int requestRolloutChange(Whom target, String change) throws IOException {
+        JsonNode response;
+        try (AdminClient client = target.dial()) {
+            response =
                     JSON.readTree(
-                            client.request("version-" + word, System.getProperty("user.name")));
+                            client.request("version-" + change, System.getProperty("user.name")));
         }
-        if (refused(whom, told)) {
-            return FAILED;
+        if (reportRefusal(target, response)) {
+            return EXIT_FAILED;
         }
-        show(whom, told, word + " is asked for; see `fleet versions`");
+        printResult(target, response, change + " is asked for; see `fleet versions`");
         return 0;
     }
 
@@ -457,31 +480,31 @@
             description =
                     "Tell a server to drain and end, as SIGTERM does; waits until it is gone.")
     int leave(
-            @CommandLine.Mixin Whom whom,
+            @CommandLine.Mixin Whom target,
             @Option(names = "--within", defaultValue = "60", description = "Seconds to wait.")
-                    int within)
+                    int timeoutSeconds)
             throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         String name;
-        try (AdminClient client = whom.dial()) {
+        try (AdminClient client = target.dial()) {
             name = client.serverName();
             client.request("leave");
         }
-        long until = System.nanoTime() + within * 1_000_000_000L;
-        while (System.nanoTime() < until) {
-            Thread.sleep(LOOK_MS);
+        long deadlineNanos = System.nanoTime() + timeoutSeconds * 1_000_000_000L;
+        while (System.nanoTime() < deadlineNanos) {
+            Thread.sleep(POLL_INTERVAL_MS);
             try {
-                ask(whom, "ping");
-                if (!whom.json) {
+                request(target, "ping");
+                if (!target.json) {
                     System.err.println(name + " drains");
                 }
             } catch (IOException e) {
-                boolean gone = e.getCause() instanceof ConnectException;
-                if (!gone) {
-                    continue; // it was cut off in the midst of an answer: not gone yet, or just now
+                boolean isGone = e.getCause() instanceof ConnectException;
+                if (!isGone) {
+                    continue; // the connection broke, but only a refused one shows that it is gone
                 }
                 out.println(
-                        whom.json
+                        target.json
                                 ? JSON.createObjectNode()
                                         .put("name", name)
                                         .put("gone", true)
@@ -491,7 +514,7 @@
                 return 0;
             }
         }
-        System.err.println(name + " still answers after " + within + " s");
-        return FAILED;
+        System.err.println(name + " still answers after " + timeoutSeconds + " s");
+        return EXIT_FAILED;
     }
 }
