--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -28,8 +28,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * What servers acted on, from their audits. Exit codes: 0 done, 2 wrong words or files, 3 something
- * is damaged, missing or not known.
+ * Reports from servers' audit logs which versions the servers acted on, and when. Exit codes: 0
+ * success, 2 bad arguments or files, 3 an audit log is damaged or does not know the whole answer.
  */
 @Command(
         name = "audit",
@@ -37,7 +37,7 @@
         description = "What servers acted on and when, from the folders of their audits.")
 public final class AuditCommand implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int FAULTS = 3;
+    private static final int EXIT_FAULTS = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -46,106 +46,116 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    /** Which folders, and between which times. */
+    /** Options that select the audit logs to read and the period to report on. */
     static final class What {
         @Parameters(
                 paramLabel = "NAME=FOLDER",
                 arity = "1..*",
                 description =
                         "A server's name and the folder of its audit, a copy of it is as good.")
-        private Map<String, Path> folders;
+        private Map<String, Path> directories;
 
         @Option(
                 names = "--from",
                 paramLabel = "<from>",
                 description =
                         "As 2026-01-31T08:00:00Z, or Unix milliseconds; the beginning by default.")
-        private String from;
+        private String fromOption;
 
         @Option(
                 names = "--until",
                 paramLabel = "<until>",
                 description = "The same; the end by default.")
-        private String until;
+        private String untilOption;
 
         @Option(names = "--json", description = "JSON instead of text.")
         private boolean json;
 
-        private final Map<String, AuditLog> found = new LinkedHashMap<>();
+        private final Map<String, AuditLog> logs = new LinkedHashMap<>();
 
-        /** Reads all of it; what each server's audit knows of another's is held against that. */
+        /** Reads all logs, and checks each against the chain heads that its peers recorded. */
         What read() throws IOException {
-            Map<String, List<ChainHead>> known = new LinkedHashMap<>();
-            for (Map.Entry<String, Path> each : folders.entrySet()) {
-                if (!Files.isDirectory(each.getValue())) {
-                    throw new MalformedException("there is no folder " + each.getValue());
+            Map<String, List<ChainHead>> witnessedHeads = new LinkedHashMap<>();
+            for (Map.Entry<String, Path> log : directories.entrySet()) {
+                if (!Files.isDirectory(log.getValue())) {
+                    throw new MalformedException(
+                            "the audit log of "
+                                    + log.getKey()
+                                    + " is not a directory: "
+                                    + log.getValue());
                 }
                 FleetTimeline.collectWitnessedHeads(
-                        AuditLogReader.read(each.getValue(), List.of()).decodedRecords(), known);
+                        AuditLogReader.read(log.getValue(), List.of()).decodedRecords(),
+                        witnessedHeads);
             }
-            for (Map.Entry<String, Path> each : folders.entrySet()) {
-                found.put(
-                        each.getKey(),
+            for (Map.Entry<String, Path> log : directories.entrySet()) {
+                logs.put(
+                        log.getKey(),
                         AuditLogReader.read(
-                                each.getValue(), known.getOrDefault(each.getKey(), List.of())));
+                                log.getValue(),
+                                witnessedHeads.getOrDefault(log.getKey(), List.of())));
             }
             return this;
         }
 
         FleetTimeline line() {
-            FleetTimeline line = new FleetTimeline();
-            found.forEach((name, each) -> line.addServer(name, each.decodedRecords()));
-            return line;
+            FleetTimeline timeline = new FleetTimeline();
+            logs.forEach((name, log) -> timeline.addServer(name, log.decodedRecords()));
+            return timeline;
         }
 
         int faults() {
-            return found.values().stream().mapToInt(each -> each.faults().size()).sum();
+            return logs.values().stream().mapToInt(log -> log.faults().size()).sum();
         }
 
         long from() {
-            if (from != null) {
-                return time(from);
+            if (fromOption != null) {
+                return parseTimeMillis(fromOption);
             }
-            return found.values().stream()
-                    .flatMap(each -> each.decodedRecords().stream())
+            return logs.values().stream()
+                    .flatMap(log -> log.decodedRecords().stream())
                     .mapToLong(AuditRecord::startMillis)
                     .min()
                     .orElse(0);
         }
 
         long until() {
-            if (until != null) {
-                return time(until);
+            if (untilOption != null) {
+                return parseTimeMillis(untilOption);
             }
-            return found.values().stream()
-                    .flatMap(each -> each.decodedRecords().stream())
+            return logs.values().stream()
+                    .flatMap(log -> log.decodedRecords().stream())
                     .mapToLong(AuditRecord::endMillis)
                     .max()
                     .orElse(0);
         }
 
-        private static long time(String text) {
+        private static long parseTimeMillis(String text) {
             if (text.matches("[0-9]{1,18}")) {
                 return Long.parseLong(text);
             }
             try {
                 return Instant.parse(text).toEpochMilli();
             } catch (DateTimeParseException e) {
-                throw new MalformedException("no time: '" + text + "'");
+                throw new MalformedException(
+                        "not an ISO 8601 time with a zone, nor Unix milliseconds: '" + text + "'");
             }
         }
     }
 
-    private static String at(long ms) {
-        return Instant.ofEpochMilli(ms).toString();
+    private static String isoTime(long unixMillis) {
+        return Instant.ofEpochMilli(unixMillis).toString();
     }
 
-    /** Where something is damaged, no answer is whole: it is told with each. */
-    private int end(What what, boolean unknown) {
-        if (what.faults() > 0) {
-            System.err.println(what.faults() + " faults in these audits: see audit verify");
+    /**
+     * Returns the exit code. Damage is reported after every answer, since it makes each of them
+     * incomplete.
+     */
+    private int exitCode(What selection, boolean hasUnknown) {
+        if (selection.faults() > 0) {
+            System.err.println(selection.faults() + " faults in these audits: see audit verify");
         }
-        return what.faults() > 0 || unknown ? FAULTS : 0;
+        return selection.faults() > 0 || hasUnknown ? EXIT_FAULTS : 0;
     }
 
     @Command(
@@ -153,36 +163,36 @@
             mixinStandardHelpOptions = true,
             description =
                     "Hold audits against themselves and against what the others know of them.")
-    int verify(@CommandLine.Mixin What what) throws IOException {
+    int verify(@CommandLine.Mixin What selection) throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        ObjectNode all = JSON.createObjectNode();
-        what.read()
-                .found
+        ObjectNode json = JSON.createObjectNode();
+        selection.read()
+                .logs
                 .forEach(
-                        (name, each) -> {
-                            ObjectNode one =
-                                    all.putObject(name)
-                                            .put("records", each.records().size())
-                                            .put("last", each.head().number())
-                                            .put("hash", each.head().hash());
-                            ArrayNode faults = one.putArray("faults");
-                            each.faults()
+                        (name, log) -> {
+                            ObjectNode logJson =
+                                    json.putObject(name)
+                                            .put("records", log.records().size())
+                                            .put("last", log.head().number())
+                                            .put("hash", log.head().hash());
+                            ArrayNode faults = logJson.putArray("faults");
+                            log.faults()
                                     .forEach(
                                             fault ->
                                                     faults.addObject()
                                                             .put("record", fault.number())
                                                             .put("what", fault.description()));
-                            if (what.json) {
+                            if (selection.json) {
                                 return;
                             }
                             out.printf(
                                     Locale.ROOT,
                                     "%s: %d records, the last is %d %s%n",
                                     name,
-                                    each.records().size(),
-                                    each.head().number(),
-                                    each.faults().isEmpty() ? "; whole" : "");
-                            each.faults()
+                                    log.records().size(),
+                                    log.head().number(),
+                                    log.faults().isEmpty() ? "; whole" : "");
+                            log.faults()
                                     .forEach(
                                             fault ->
                                                     out.println(
@@ -191,11 +201,11 @@
                                                                     + ' '
                                                                     + fault.description()));
                         });
-        if (what.json) {
-            out.println(all);
+        if (selection.json) {
+            out.println(json);
         }
         out.flush();
-        return what.faults() > 0 ? FAULTS : 0;
+        return selection.faults() > 0 ? EXIT_FAULTS : 0;
     }
 
     @Command(
@@ -205,22 +215,25 @@
     int who(
             @Option(names = "--version-number", required = true, description = "The version.")
                     long version,
-            @CommandLine.Mixin What what)
+            @CommandLine.Mixin What selection)
             throws IOException {
-        Map<String, VersionStatus> who =
-                what.read().line().serversOnVersion(version, what.from(), what.until());
+        Map<String, VersionStatus> statusByServer =
+                selection
+                        .read()
+                        .line()
+                        .serversOnVersion(version, selection.from(), selection.until());
         PrintWriter out = spec.commandLine().getOut();
-        if (what.json) {
-            ObjectNode all = JSON.createObjectNode();
-            who.forEach((name, known) -> all.put(name, known.externalName()));
-            out.println(all);
+        if (selection.json) {
+            ObjectNode json = JSON.createObjectNode();
+            statusByServer.forEach((name, status) -> json.put(name, status.externalName()));
+            out.println(json);
         } else {
-            who.forEach(
-                    (name, known) ->
+            statusByServer.forEach(
+                    (name, status) ->
                             out.println(
                                     name
                                             + ' '
-                                            + switch (known) {
+                                            + switch (status) {
                                                 case ACTIVE -> "acted on it";
                                                 case FENCED ->
                                                         "was on it, and shut out from keyed work";
@@ -229,60 +242,62 @@
                                             }));
         }
         out.flush();
-        return end(what, who.containsValue(VersionStatus.UNKNOWN));
+        return exitCode(selection, statusByServer.containsValue(VersionStatus.UNKNOWN));
     }
 
     @Command(
             name = "when",
             mixinStandardHelpOptions = true,
             description = "What each server acted on, stretch by stretch.")
-    int when(@CommandLine.Mixin What what) throws IOException {
-        List<TimelineInterval> all = what.read().line().intervals(what.from(), what.until());
-        stretches(what, all);
-        return end(what, false);
+    int when(@CommandLine.Mixin What selection) throws IOException {
+        List<TimelineInterval> intervals =
+                selection.read().line().intervals(selection.from(), selection.until());
+        printIntervals(selection, intervals);
+        return exitCode(selection, false);
     }
 
     @Command(name = "gaps", mixinStandardHelpOptions = true, description = "What is not known.")
-    int gaps(@CommandLine.Mixin What what) throws IOException {
+    int gaps(@CommandLine.Mixin What selection) throws IOException {
         List<TimelineInterval> gaps =
-                what.read().line().intervals(what.from(), what.until()).stream()
-                        .filter(each -> each.status() == VersionStatus.UNKNOWN)
+                selection.read().line().intervals(selection.from(), selection.until()).stream()
+                        .filter(interval -> interval.status() == VersionStatus.UNKNOWN)
                         .toList();
-        stretches(what, gaps);
-        return end(what, !gaps.isEmpty());
+        printIntervals(selection, gaps);
+        return exitCode(selection, !gaps.isEmpty());
     }
 
-    private void stretches(What what, List<TimelineInterval> all) {
+    private void printIntervals(What selection, List<TimelineInterval> intervals) {
         PrintWriter out = spec.commandLine().getOut();
-        ArrayNode array = JSON.createArrayNode();
-        for (TimelineInterval each : all) {
-            array.addObject()
-                    .put("server", each.server())
-                    .put("from", each.startMillis())
-                    .put("until", each.endMillis())
-                    .put("known", each.status().externalName())
-                    .put("version", each.version())
-                    .put("text", each.text());
-            if (what.json) {
+        ArrayNode json = JSON.createArrayNode();
+        for (TimelineInterval interval : intervals) {
+            json.addObject()
+                    .put("server", interval.server())
+                    .put("from", interval.startMillis())
+                    .put("until", interval.endMillis())
+                    .put("known", interval.status().externalName())
+                    .put("version", interval.version())
+                    .put("text", interval.text());
+            if (selection.json) {
                 continue;
             }
-            String acted =
-                    switch (each.status()) {
-                        case ACTIVE -> "version " + each.version();
-                        case FENCED -> "version " + each.version() + ", shut out from keyed work";
+            String description =
+                    switch (interval.status()) {
+                        case ACTIVE -> "version " + interval.version();
+                        case FENCED ->
+                                "version " + interval.version() + ", shut out from keyed work";
                         case UNKNOWN -> "not known";
                     };
             out.printf(
                     Locale.ROOT,
                     "%-16s %s to %s  %s%s%n",
-                    each.server(),
-                    at(each.startMillis()),
-                    at(each.endMillis()),
-                    acted,
-                    each.text().isEmpty() ? "" : "; " + each.text());
+                    interval.server(),
+                    isoTime(interval.startMillis()),
+                    isoTime(interval.endMillis()),
+                    description,
+                    interval.text().isEmpty() ? "" : "; " + interval.text());
         }
-        if (what.json) {
-            out.println(array);
+        if (selection.json) {
+            out.println(json);
         }
         out.flush();
     }
@@ -292,50 +307,53 @@
             mixinStandardHelpOptions = true,
             description = "Under which version a token ran.")
     int token(
-            @Option(names = "--token", required = true) String token, @CommandLine.Mixin What what)
+            @Option(names = "--token", required = true) String token,
+            @CommandLine.Mixin What selection)
             throws IOException {
-        List<TokenRun> runs = what.read().line().runsOfToken(token);
+        List<TokenRun> runs = selection.read().line().runsOfToken(token);
         PrintWriter out = spec.commandLine().getOut();
-        ArrayNode array = JSON.createArrayNode();
-        for (TokenRun each : runs) {
-            array.addObject()
-                    .put("server", each.server())
-                    .put("version", each.version())
-                    .put("at", each.atMillis());
-            if (!what.json) {
+        ArrayNode json = JSON.createArrayNode();
+        for (TokenRun run : runs) {
+            json.addObject()
+                    .put("server", run.server())
+                    .put("version", run.version())
+                    .put("at", run.atMillis());
+            if (!selection.json) {
                 out.printf(
                         Locale.ROOT,
                         "%s  %s under version %d%n",
-                        at(each.atMillis()),
-                        each.server(),
-                        each.version());
+                        isoTime(run.atMillis()),
+                        run.server(),
+                        run.version());
             }
         }
-        if (what.json) {
-            out.println(array);
+        if (selection.json) {
+            out.println(json);
         } else if (runs.isEmpty()) {
             out.println("no run of it is known in these audits");
         }
         out.flush();
-        return end(what, runs.isEmpty());
+        return exitCode(selection, runs.isEmpty());
     }
 
     @Command(
             name = "behind",
             mixinStandardHelpOptions = true,
             description = "Who acted on something older than others did, and for how long.")
-    int behind(@CommandLine.Mixin What what) throws IOException {
-        Map<String, Long> behind = what.read().line().stragglerMillis(what.from(), what.until());
+    int behind(@CommandLine.Mixin What selection) throws IOException {
+        Map<String, Long> lagByServer =
+                selection.read().line().stragglerMillis(selection.from(), selection.until());
         PrintWriter out = spec.commandLine().getOut();
-        if (what.json) {
-            out.println(JSON.valueToTree(behind).toString());
+        if (selection.json) {
+            out.println(JSON.valueToTree(lagByServer).toString());
         } else {
-            behind.forEach(
-                    (name, ms) ->
-                            out.printf(Locale.ROOT, "%s was behind for %.1f s%n", name, ms / 1e3));
+            lagByServer.forEach(
+                    (name, millis) ->
+                            out.printf(
+                                    Locale.ROOT, "%s was behind for %.1f s%n", name, millis / 1e3));
         }
         out.flush();
-        return end(what, false);
+        return exitCode(selection, false);
     }
 
     @Command(
@@ -343,11 +361,13 @@
             mixinStandardHelpOptions = true,
             description = "A lane a server, in an HTML page.")
     int chart(
-            @Option(names = "--out", required = true, description = "The page.") Path page,
-            @CommandLine.Mixin What what)
+            @Option(names = "--out", required = true, description = "The page.") Path file,
+            @CommandLine.Mixin What selection)
             throws IOException {
-        List<TimelineInterval> all = what.read().line().intervals(what.from(), what.until());
-        Files.writeString(page, VersionTimelineChart.page(all, what.from(), what.until()));
-        return end(what, false);
+        List<TimelineInterval> intervals =
+                selection.read().line().intervals(selection.from(), selection.until());
+        Files.writeString(
+                file, VersionTimelineChart.page(intervals, selection.from(), selection.until()));
+        return exitCode(selection, false);
     }
 }
--- a/src/main/java/ochretiller/commands/ContractCommand.java
+++ b/src/main/java/ochretiller/commands/ContractCommand.java
@@ -11,13 +11,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks at folders of contracts. */
+/** Checks, compares and prints folders of contracts. */
 @Command(
         name = "contract",
         mixinStandardHelpOptions = true,
         description = "Check contracts, show them, tell what a change would do.")
 public final class ContractCommand implements Runnable {
-    private static final String FOLDER = "A folder with broker.json5 and a file for each team.";
+    private static final String FOLDER_HELP =
+            "A folder with broker.json5 and a file for each team.";
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -30,7 +31,7 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description = "Whether they are good, each and as a whole.")
-    int check(@Parameters(description = FOLDER) Path folder) {
+    int check(@Parameters(description = FOLDER_HELP) Path folder) {
         int count = ContractFiles.read(folder).byTeam().size();
         out().println(count + (count == 1 ? " contract is good" : " contracts are good"));
         return 0;
@@ -41,8 +42,8 @@
             mixinStandardHelpOptions = true,
             description = "What going over from one folder to another would do to each team.")
     int diff(
-            @Parameters(description = FOLDER) Path from,
-            @Parameters(description = FOLDER) Path to) {
+            @Parameters(description = FOLDER_HELP) Path from,
+            @Parameters(description = FOLDER_HELP) Path to) {
         List<String> changes = ContractFiles.read(from).changes(ContractFiles.read(to));
         changes.forEach(out()::println);
         if (changes.isEmpty()) {
@@ -55,30 +56,30 @@
             name = "show",
             mixinStandardHelpOptions = true,
             description = "What each team is promised, calls and publishes.")
-    int show(@Parameters(description = FOLDER) Path folder) {
+    int show(@Parameters(description = FOLDER_HELP) Path folder) {
         Contracts contracts = ContractFiles.read(folder);
         out().printf(
                         Locale.ROOT,
                         "capacity %.3f core seconds a second, %.3f promised%n",
                         contracts.capacity(),
                         contracts.promised());
-        for (Contract each : contracts.byTeam().values()) {
+        for (Contract contract : contracts.byTeam().values()) {
             out().printf(
                             Locale.ROOT,
                             "%s, version %d: %.3f a second, burst %.3f, weight %.3f, retries"
                                     + " %.3f%n",
-                            each.team(),
-                            each.version(),
-                            each.promise().rate(),
-                            each.promise().burst(),
-                            each.promise().weight(),
-                            each.promise().retryShare());
-            for (Contract.Service service : each.publishes()) {
+                            contract.team(),
+                            contract.version(),
+                            contract.promise().rate(),
+                            contract.promise().burst(),
+                            contract.promise().weight(),
+                            contract.promise().retryShare());
+            for (Contract.Service service : contract.publishes()) {
                 out().printf(
                                 "  publishes %s on %s within %d ms%n",
                                 service.name(), service.pool(), service.objective().toMillis());
             }
-            for (Contract.Call call : each.calls()) {
+            for (Contract.Call call : contract.calls()) {
                 out().printf(
                                 Locale.ROOT,
                                 "  calls %s: %.3f a second, %d at once, objective %d ms, timeout %d"
--- a/src/main/java/ochretiller/commands/StoreCommand.java
+++ b/src/main/java/ochretiller/commands/StoreCommand.java
@@ -19,20 +19,23 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Looks at a store's folder. Exit codes: 0 good, 1 cannot be read or is in use, 3 damaged. */
+/**
+ * Inspects and compacts a store's folder. Exit codes: 0 success, 1 the store cannot be read or is
+ * in use, 3 it is damaged.
+ */
 @Command(
         name = "store",
         description = "Look at the store in which results are remembered.",
         mixinStandardHelpOptions = true)
 public final class StoreCommand implements Runnable {
-    /** Something in the store is damaged. */
+    /** Exit code for a store with a damaged file. */
     public static final int DAMAGED = 3;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** The options that all of them have. */
+    /** Options that all sub-commands share. */
     static final class Common {
         @Parameters(index = "0", paramLabel = "DIR", description = "The store's folder.")
         Path folder;
@@ -50,13 +53,13 @@
         }
 
         /**
-         * A line for each file, on standard error, so that long work can be watched and its result
-         * still be piped.
+         * Returns a consumer that prints each file's name to standard error, so that progress is
+         * visible while the result is piped.
          */
-        Consumer<String> progress(String doing) {
+        Consumer<String> progress(String activity) {
             return file -> {
                 if (!quiet) {
-                    System.err.println(doing + " " + file);
+                    System.err.println(activity + " " + file);
                 }
             };
         }
@@ -67,17 +70,17 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    private static void say(Object text) {
-        System.out.println(text);
+    private static void print(Object value) {
+        System.out.println(value);
     }
 
-    private static ObjectNode report(StoreReport report) {
-        ObjectNode all = JSON.createObjectNode();
-        all.put("good", report.isUndamaged())
+    private static ObjectNode toJson(StoreReport report) {
+        ObjectNode json = JSON.createObjectNode();
+        json.put("good", report.isUndamaged())
                 .put("entries", report.entries())
                 .put("bytes", report.bytes())
                 .put("unfinished", report.tornBytes());
-        ArrayNode files = all.putArray("files");
+        ArrayNode files = json.putArray("files");
         for (SegmentReport file : report.segments()) {
             files.addObject()
                     .put("name", file.name())
@@ -87,10 +90,10 @@
                     .put("sealed", file.sealed())
                     .put("damaged", file.damaged());
         }
-        report.damage().forEach(all.putArray("damage")::add);
-        report.leftoverFiles().forEach(all.putArray("useless")::add);
-        report.unknownFiles().forEach(all.putArray("foreign")::add);
-        return all;
+        report.damage().forEach(json.putArray("damage")::add);
+        report.leftoverFiles().forEach(json.putArray("useless")::add);
+        report.unknownFiles().forEach(json.putArray("foreign")::add);
+        return json;
     }
 
     @Command(
@@ -100,18 +103,18 @@
     int verify(@CommandLine.Mixin Common common) throws IOException {
         StoreReport report = StoreInspector.verify(common.disk(), common.progress("reads"));
         if (common.json) {
-            say(report(report));
+            print(toJson(report));
         } else {
-            report.damage().forEach(line -> say("damage: " + line));
+            report.damage().forEach(line -> print("damage: " + line));
             report.leftoverFiles()
-                    .forEach(name -> say("half: " + name + ", deleted at the next start"));
-            report.unknownFiles().forEach(name -> say("not the store's: " + name));
+                    .forEach(name -> print("half: " + name + ", deleted at the next start"));
+            report.unknownFiles().forEach(name -> print("not the store's: " + name));
             if (report.tornBytes() > 0) {
-                say(
+                print(
                         report.tornBytes()
                                 + " bytes were never written to their record's end: harmless");
             }
-            say(
+            print(
                     (report.isUndamaged() ? "good: " : "DAMAGED: ")
                             + report.entries()
                             + " entries in "
@@ -128,12 +131,14 @@
     int stat(@CommandLine.Mixin Common common) throws IOException {
         StoreReport report = StoreInspector.verify(common.disk(), common.progress("reads"));
         if (common.json) {
-            say(report(report));
+            print(toJson(report));
             return 0;
         }
-        say(String.format("%-24s %12s %9s %12s  %s", "file", "bytes", "records", "dead", "state"));
+        print(
+                String.format(
+                        "%-24s %12s %9s %12s  %s", "file", "bytes", "records", "dead", "state"));
         for (SegmentReport file : report.segments()) {
-            say(
+            print(
                     String.format(
                             "%-24s %12d %9d %12d  %s",
                             file.name(),
@@ -142,7 +147,7 @@
                             file.deadBytes(),
                             file.damaged() ? "damaged" : file.sealed() ? "sealed" : "open"));
         }
-        say(report.entries() + " entries, " + report.bytes() + " bytes");
+        print(report.entries() + " entries, " + report.bytes() + " bytes");
         return 0;
     }
 
@@ -153,55 +158,56 @@
     int list(@CommandLine.Mixin Common common) throws IOException {
         StoreInspector.list(
                 common.disk(),
-                item -> {
-                    IdempotencyRecord mark =
-                            IdempotencyRecord.decode(item.key(), item.metadata()).orElse(null);
+                entry -> {
+                    IdempotencyRecord record =
+                            IdempotencyRecord.decode(entry.key(), entry.metadata()).orElse(null);
                     if (common.json) {
                         ObjectNode line = JSON.createObjectNode();
-                        if (mark != null) {
-                            line.put("token", mark.token())
-                                    .put("state", mark.progress().externalName())
-                                    .put("operation", mark.operation())
-                                    .put("rid", mark.runId())
-                                    .put("until", mark.windowEndsAtMillis());
+                        if (record != null) {
+                            line.put("token", record.token())
+                                    .put("state", record.progress().externalName())
+                                    .put("operation", record.operation())
+                                    .put("rid", record.runId())
+                                    .put("until", record.windowEndsAtMillis());
                         } else {
-                            String about = ReplicaStorage.describeKey(item.key()).orElse(null);
-                            if (about == null) {
-                                line.put("key", item.key());
+                            String description =
+                                    ReplicaStorage.describeKey(entry.key()).orElse(null);
+                            if (description == null) {
+                                line.put("key", entry.key());
                             } else {
-                                line.put("about", about);
+                                line.put("about", description);
                             }
                         }
-                        say(
-                                line.put("expires", item.expiresAtMillis())
-                                        .put("file", item.file())
-                                        .put("at", item.offset())
-                                        .put("bytes", item.bytes()));
-                    } else if (mark == null) {
-                        String about = ReplicaStorage.describeKey(item.key()).orElse(null);
-                        say(
-                                (about == null
+                        print(
+                                line.put("expires", entry.expiresAtMillis())
+                                        .put("file", entry.file())
+                                        .put("at", entry.offset())
+                                        .put("bytes", entry.bytes()));
+                    } else if (record == null) {
+                        String description = ReplicaStorage.describeKey(entry.key()).orElse(null);
+                        print(
+                                (description == null
                                                 ? "a key of "
-                                                        + item.key().length
+                                                        + entry.key().length
                                                         + " bytes that is no mark"
-                                                : about)
+                                                : description)
                                         + ", in "
-                                        + item.file()
+                                        + entry.file()
                                         + " at "
-                                        + item.offset());
+                                        + entry.offset());
                     } else {
-                        say(
-                                mark.token()
+                        print(
+                                record.token()
                                         + " "
-                                        + mark.progress().externalName()
+                                        + record.progress().externalName()
                                         + " "
-                                        + mark.operation()
+                                        + record.operation()
                                         + " run "
-                                        + mark.runId()
+                                        + record.runId()
                                         + ", "
-                                        + item.bytes()
+                                        + entry.bytes()
                                         + " bytes in "
-                                        + item.file());
+                                        + entry.file());
                     }
                 });
         return 0;
@@ -214,12 +220,12 @@
     int compact(@CommandLine.Mixin Common common) throws IOException {
         CompactionReport report = StoreInspector.compact(common.disk(), common.progress("copies"));
         if (common.json) {
-            say(
+            print(
                     JSON.createObjectNode()
                             .put("before", report.bytesBefore())
                             .put("after", report.bytesAfter()));
         } else {
-            say(report.bytesBefore() + " bytes before, " + report.bytesAfter() + " after");
+            print(report.bytesBefore() + " bytes before, " + report.bytesAfter() + " after");
         }
         return 0;
     }
--- a/src/main/java/ochretiller/commands/TryCommand.java
+++ b/src/main/java/ochretiller/commands/TryCommand.java
@@ -25,8 +25,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * A server that can be seen to work with nothing else installed: its outside is played by stand-ins
- * in this process.
+ * Demonstrates a server without anything else installed: the processor, the records service and the
+ * roster are fakes in this process.
  */
 @Command(
         name = "try",
@@ -67,9 +67,9 @@
         if (!log) {
             Logger.getLogger("").setLevel(Level.WARNING);
         }
-        int listen = port != 0 ? port : freePort();
+        int listenPort = port != 0 ? port : freePort();
         CountDownLatch linked = new CountDownLatch(1);
-        FakeServices outside =
+        FakeServices services =
                 new FakeServices(
                         "127.0.0.1",
                         new int[3],
@@ -79,45 +79,46 @@
                             }
                         },
                         report -> {});
-        outside.runs =
+        services.runs =
                 (rid, operation, body) ->
-                        outside.complete(
+                        services.complete(
                                 rid,
                                 "done by run "
                                         + runs.incrementAndGet()
                                         + " of "
                                         + ProcessHandle.current().pid());
-        Path config = Files.createTempFile("ochretiller-try", ".json");
+        Path configFile = Files.createTempFile("ochretiller-try", ".json");
         Files.writeString(
-                config,
+                configFile,
                 GatewayMessages.config(
-                                listen,
-                                outside.processorPort(),
-                                outside.recordsPort(),
-                                outside.rosterPort())
+                                listenPort,
+                                services.processorPort(),
+                                services.recordsPort(),
+                                services.rosterPort())
                         .replace("\"windowNs\":10000000000", "\"windowNs\":600000000000"));
-        config.toFile().deleteOnExit();
+        configFile.toFile().deleteOnExit();
         OperatorConfig operator = operator();
-        ServerNodeBuilder builder = ServerNode.builder(config).operator(operator);
+        ServerNodeBuilder builder = ServerNode.builder(configFile).operator(operator);
         operator.remember()
                 .ifPresent(remember -> builder.storage(new LocalDirectory(remember.folder())));
         ServerNode node = builder.build();
         node.prepare();
         node.listen();
-        Thread serving =
+        Thread serverThread =
                 new Thread(
                         () -> {
                             node.run();
                         },
                         "loop");
-        serving.start();
+        serverThread.start();
         if (!linked.await(10, TimeUnit.SECONDS)) {
-            throw new IOException("the server has not found its processor");
+            throw new IOException(
+                    "the server has not linked to the stand-in processor within 10 s");
         }
-        show(listen);
+        demonstrate(listenPort);
         if (!once) {
             Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(node)));
-            serving.join();
+            serverThread.join();
         } else {
             drain(node);
         }
@@ -137,9 +138,9 @@
             return OperatorConfig.NONE;
         }
         Path file = Files.createTempFile("ochretiller-try", ".json5");
-        String quoted =
+        String quotedFolder =
                 folder.toAbsolutePath().toString().replace("\\", "\\\\").replace("'", "\\'");
-        Files.writeString(file, "{ remember: { folder: '" + quoted + "' } }");
+        Files.writeString(file, "{ remember: { folder: '" + quotedFolder + "' } }");
         try {
             return OperatorConfigReader.read(file);
         } finally {
@@ -148,17 +149,17 @@
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
-    private void show(int listen) throws IOException {
+    private void demonstrate(int listenPort) throws IOException {
         System.out.println(
                 "serves on 127.0.0.1:"
-                        + listen
+                        + listenPort
                         + "; its processor, records service and roster are stand-ins here");
-        try (FakeConnection gateway = new FakeConnection(new Socket("127.0.0.1", listen))) {
+        try (FakeConnection gateway = new FakeConnection(new Socket("127.0.0.1", listenPort))) {
             for (int id = 1; id <= 2; id++) {
                 String rid = String.format("%08x%08x", (int) System.nanoTime(), id);
                 String request =
@@ -168,13 +169,13 @@
                         (id == 1 ? "a keyed request:   " : "its repeat:        ") + request.trim());
                 String answer = gateway.send(request).line();
                 System.out.println("the answer:        " + answer);
-                System.out.println("the run's result:  " + result(answer));
+                System.out.println("the run's result:  " + decodeResult(answer));
             }
         }
         System.out.println("runs of the processor here: " + runs.get());
-        // Its time is the moment of sending: a request that is older than its client waits is
-        // turned away unrun.
-        String byHand =
+        // The shell fills in the time of sending: a request older than its client's timeout is
+        // rejected before it runs.
+        String command =
                 GatewayMessages.message(
                                 1, "order", GatewayMessages.params("$R", 0, "$R$R", "by hand"))
                         .trim()
@@ -182,17 +183,17 @@
                         .replace("\"t0\\\":0", "\"t0\\\":$(date +%s%3N)");
         System.out.println("by hand, twice the same for a replay:");
         System.out.println(
-                "  R=00000000000000aa; echo \"" + byHand + "\" | nc -q1 127.0.0.1 " + listen);
+                "  R=00000000000000aa; echo \"" + command + "\" | nc -q1 127.0.0.1 " + listenPort);
         System.out.println(once ? "ends" : "Ctrl-C ends it");
     }
 
-    private static String result(String answer) {
-        String mark = "\"data\":\"";
-        int at = answer == null ? -1 : answer.indexOf(mark);
-        if (at < 0) {
+    private static String decodeResult(String answer) {
+        String prefix = "\"data\":\"";
+        int index = answer == null ? -1 : answer.indexOf(prefix);
+        if (index < 0) {
             return "none";
         }
-        int from = at + mark.length();
+        int from = index + prefix.length();
         return new String(
                 java.util.Base64.getDecoder()
                         .decode(answer.substring(from, answer.indexOf('"', from))));
--- a/src/main/java/ochretiller/commands/VersionTimelineChart.java
+++ b/src/main/java/ochretiller/commands/VersionTimelineChart.java
@@ -11,18 +11,18 @@
 import ochretiller.audit.VersionStatus;
 
 /**
- * Stretches of servers' time as a page with a drawing: a lane a server, a colour a version, what is
- * not known hatched.
+ * Draws servers' timelines as an HTML page with an SVG chart: one lane for each server and one
+ * colour for each version. Intervals with an unknown version are hatched.
  */
 final class VersionTimelineChart {
-    private static final int WIDTH = 900;
-    private static final int LEFT = 140;
-    private static final int LANE = 26;
-    private static final int TOP = 30;
+    private static final int WIDTH_PX = 900;
+    private static final int LABEL_WIDTH_PX = 140;
+    private static final int LANE_HEIGHT_PX = 26;
+    private static final int TOP_MARGIN_PX = 30;
 
     private VersionTimelineChart() {}
 
-    private static String colour(long version) {
+    private static String versionColour(long version) {
         return version == 0
                 ? "#b0b0b0"
                 : String.format(
@@ -32,25 +32,26 @@
                         45 + version % 3 * 10);
     }
 
-    private static String text(String raw) {
-        return raw.replace("&", "&amp;")
+    private static String escape(String value) {
+        return value.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
                 .replace("\"", "&quot;");
     }
 
-    static String page(List<TimelineInterval> all, long fromMs, long untilMs) {
-        Set<String> lanes = new LinkedHashSet<>();
+    static String page(List<TimelineInterval> intervals, long fromMillis, long untilMillis) {
+        Set<String> servers = new LinkedHashSet<>();
         Set<Long> versions = new TreeSet<>();
-        for (TimelineInterval each : all) {
-            lanes.add(each.server());
-            if (each.status() != VersionStatus.UNKNOWN) {
-                versions.add(each.version());
+        for (TimelineInterval interval : intervals) {
+            servers.add(interval.server());
+            if (interval.status() != VersionStatus.UNKNOWN) {
+                versions.add(interval.version());
             }
         }
-        List<String> order = new ArrayList<>(lanes);
-        int height = TOP + LANE * order.size() + 60;
-        double perMs = (double) (WIDTH - LEFT - 10) / Math.max(1, untilMs - fromMs);
+        List<String> lanes = new ArrayList<>(servers);
+        int height = TOP_MARGIN_PX + LANE_HEIGHT_PX * lanes.size() + 60;
+        double pixelsPerMilli =
+                (double) (WIDTH_PX - LABEL_WIDTH_PX - 10) / Math.max(1, untilMillis - fromMillis);
         StringBuilder svg =
                 new StringBuilder(
                         String.format(
@@ -61,37 +62,37 @@
                                     + " height=\"6\" patternUnits=\"userSpaceOnUse\"><path d=\"M0"
                                     + " 6L6 0\" stroke=\"#c00\""
                                     + " stroke-width=\"1\"/></pattern></defs>%n",
-                                WIDTH,
+                                WIDTH_PX,
                                 height));
         svg.append(
                 String.format(
                         Locale.ROOT,
                         "<text x=\"%d\" y=\"18\">%s</text><text x=\"%d\" y=\"18\""
                                 + " text-anchor=\"end\">%s</text>%n",
-                        LEFT,
-                        Instant.ofEpochMilli(fromMs),
-                        WIDTH - 10,
-                        Instant.ofEpochMilli(untilMs)));
-        for (int i = 0; i < order.size(); i++) {
+                        LABEL_WIDTH_PX,
+                        Instant.ofEpochMilli(fromMillis),
+                        WIDTH_PX - 10,
+                        Instant.ofEpochMilli(untilMillis)));
+        for (int i = 0; i < lanes.size(); i++) {
             svg.append(
                     String.format(
                             Locale.ROOT,
                             "<text x=\"4\" y=\"%d\">%s</text>%n",
-                            TOP + LANE * i + 16,
-                            text(order.get(i))));
+                            TOP_MARGIN_PX + LANE_HEIGHT_PX * i + 16,
+                            escape(lanes.get(i))));
         }
-        for (TimelineInterval each : all) {
-            int y = TOP + LANE * order.indexOf(each.server());
+        for (TimelineInterval interval : intervals) {
+            int y = TOP_MARGIN_PX + LANE_HEIGHT_PX * lanes.indexOf(interval.server());
             String fill =
-                    each.status() == VersionStatus.UNKNOWN
+                    interval.status() == VersionStatus.UNKNOWN
                             ? "url(#unknown)"
-                            : colour(each.version());
-            String what =
-                    each.status() == VersionStatus.UNKNOWN
+                            : versionColour(interval.version());
+            String label =
+                    interval.status() == VersionStatus.UNKNOWN
                             ? "not known"
                             : "version "
-                                    + each.version()
-                                    + (each.status() == VersionStatus.FENCED
+                                    + interval.version()
+                                    + (interval.status() == VersionStatus.FENCED
                                             ? ", shut out from keyed work"
                                             : "");
             svg.append(
@@ -99,26 +100,31 @@
                             Locale.ROOT,
                             "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\""
                                     + " fill=\"%s\"%s><title>%s</title></rect>%n",
-                            LEFT + (each.startMillis() - fromMs) * perMs,
+                            LABEL_WIDTH_PX + (interval.startMillis() - fromMillis) * pixelsPerMilli,
                             y,
-                            Math.max(1, (each.endMillis() - each.startMillis()) * perMs),
-                            LANE - 6,
+                            Math.max(
+                                    1,
+                                    (interval.endMillis() - interval.startMillis())
+                                            * pixelsPerMilli),
+                            LANE_HEIGHT_PX - 6,
                             fill,
-                            each.status() == VersionStatus.FENCED
+                            interval.status() == VersionStatus.FENCED
                                     ? " stroke=\"#000\" stroke-width=\"2\" stroke-dasharray=\"3\""
                                     : "",
-                            text(
-                                    each.server()
+                            escape(
+                                    interval.server()
                                             + ", "
-                                            + Instant.ofEpochMilli(each.startMillis())
+                                            + Instant.ofEpochMilli(interval.startMillis())
                                             + " to "
-                                            + Instant.ofEpochMilli(each.endMillis())
+                                            + Instant.ofEpochMilli(interval.endMillis())
                                             + ": "
-                                            + what
-                                            + (each.text().isEmpty() ? "" : "; " + each.text()))));
+                                            + label
+                                            + (interval.text().isEmpty()
+                                                    ? ""
+                                                    : "; " + interval.text()))));
         }
-        int x = LEFT;
-        int y = TOP + LANE * order.size() + 20;
+        int x = LABEL_WIDTH_PX;
+        int y = TOP_MARGIN_PX + LANE_HEIGHT_PX * lanes.size() + 20;
         for (long version : versions) {
             svg.append(
                     String.format(
@@ -127,7 +133,7 @@
                                     + " x=\"%d\" y=\"%d\">%s</text>%n",
                             x,
                             y,
-                            colour(version),
+                            versionColour(version),
                             x + 18,
                             y + 12,
                             version == 0 ? "own files" : "version " + version));
--- a/src/main/java/ochretiller/commands/package-info.java
+++ b/src/main/java/ochretiller/commands/package-info.java
@@ -1,2 +1,2 @@
-/** Sub-commands of the command line that are more than a few lines. */
+/** The larger sub-commands of the command line; {@code Main} contains the short ones. */
 package ochretiller.commands;
