--- a/src/main/java/ochretiller/sim/EventDecoder.java
+++ b/src/main/java/ochretiller/sim/EventDecoder.java
@@ -13,11 +13,11 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Decodes the fields of the simulator's events into values of the model. Stateless apart from the
- * server's settings.
+ * Decodes the fields of the simulator's events into model values. Stateless apart from the server's
+ * settings.
  */
 final class EventDecoder {
-    /** The wire's name for the absence of a tenant. */
+    /** The tenant's name on the wire if an arrival has no tenant. */
     private static final String NO_TENANT = "0";
 
     private final Map<String, Operation> operations;
@@ -27,7 +27,7 @@
      * Creates a decoder for the events of one server.
      *
      * @param operations the server's operations by name
-     * @param deadlinesOnWire whether arrivals carry the time that is left until their deadline
+     * @param deadlinesOnWire whether arrivals carry the time left until their deadline
      */
     EventDecoder(Map<String, Operation> operations, boolean deadlinesOnWire) {
         this.operations = operations;
@@ -37,7 +37,8 @@
     Invocation invocation(WireFields fields, Duration now) {
         Operation operation = operations.get(fields.text("kind"));
         if (operation == null) {
-            throw new MalformedException("unknown kind '" + fields.text("kind") + "'");
+            throw new MalformedException(
+                    "unknown operation in field kind: '" + fields.text("kind") + "'");
         }
         long original = fields.wholeNumber("prior", 0);
         Duration arrivedAt = now.minus(fields.duration("ageNs", Duration.ZERO));
@@ -57,9 +58,9 @@
 
     private Duration deadline(
             WireFields fields, Operation operation, Duration arrivedAt, Duration now) {
-        Duration left = timeBudget(fields);
-        return deadlinesOnWire && !left.isZero()
-                ? now.plus(left)
+        Duration timeBudget = timeBudget(fields);
+        return deadlinesOnWire && !timeBudget.isZero()
+                ? now.plus(timeBudget)
                 : arrivedAt.plus(operation.clientTimeout());
     }
 
@@ -84,7 +85,8 @@
                     case "CXL" -> RunOutcome.Status.STOPPED;
                     case "NOP" -> RunOutcome.Status.NEVER_STARTED;
                     default ->
-                            throw new MalformedException("unknown ending of a run '" + how + "'");
+                            throw new MalformedException(
+                                    "unknown run outcome in field how: '" + how + "'");
                 };
         return new RunOutcome(status, elapsed(fields));
     }
@@ -100,7 +102,8 @@
                     case "FULL" -> CallOutcome.Status.REJECTED;
                     case "NOCONN", "NOP" -> CallOutcome.Status.UNREACHABLE;
                     default ->
-                            throw new MalformedException("unknown ending of a call '" + how + "'");
+                            throw new MalformedException(
+                                    "unknown call outcome in field how: '" + how + "'");
                 };
         return new CallOutcome(status, elapsed(fields));
     }
--- a/src/main/java/ochretiller/sim/SimulatedServer.java
+++ b/src/main/java/ochretiller/sim/SimulatedServer.java
@@ -16,8 +16,8 @@
 import ochretiller.settings.Settings;
 
 /**
- * One server of the simulator: its events go to an admission controller, whose actions are written
- * as lines. Continuations wait here until the simulator reports their results.
+ * One server of the simulator: passes the server's events to an admission controller and writes the
+ * resulting actions as lines. Holds each continuation until the simulator reports its result.
  */
 final class SimulatedServer implements ServerActions {
     private final String serverId;
@@ -29,13 +29,13 @@
     private final Map<InvocationId, Function<CallOutcome, Action>> calls = new HashMap<>();
     private final Map<Long, Function<ResourceGauges, Action>> timers = new HashMap<>();
     private Duration now = Duration.ZERO;
-    private long lastTimerName;
+    private long lastTimerId;
 
     /**
      * Starts a server.
      *
-     * @param settings its settings
-     * @param startedAt the simulator's time
+     * @param settings the server's settings
+     * @param startedAt the current time of the simulator
      * @param out receives the actions, one line each
      */
     SimulatedServer(String serverId, WireFields settings, Duration startedAt, StringBuilder out) {
@@ -56,7 +56,7 @@
     /**
      * Handles an event.
      *
-     * @param time the simulator's time
+     * @param time the current time of the simulator
      * @throws MalformedException if the event cannot be decoded
      */
     void handleEvent(String event, WireFields fields, Duration time) {
@@ -70,25 +70,25 @@
                     case "drain" ->
                             admission.onShutdownNotice(now.plus(EventDecoder.timeBudget(fields)));
                     case "run_over" ->
-                            continuation(
+                            resume(
                                     runs.remove(EventDecoder.invocationId(fields)),
                                     EventDecoder.runOutcome(fields));
                     case "call_ended" ->
-                            continuation(
+                            resume(
                                     calls.remove(EventDecoder.invocationId(fields)),
                                     EventDecoder.callOutcome(fields));
                     case "timeout_fired" ->
-                            continuation(
+                            resume(
                                     timers.remove(EventDecoder.timerName(fields)),
                                     EventDecoder.gauges(fields));
-                    default -> throw new MalformedException("unknown event " + event);
+                    default -> throw new MalformedException("unknown event '" + event + "'");
                 };
         action.execute(this);
     }
 
-    /** Nobody waits for the result of something that was over already. */
-    private static <T> Action continuation(Function<T, Action> waiting, T result) {
-        return waiting == null ? Action.NONE : waiting.apply(result);
+    /** Resumes a continuation; does nothing if the run, call or timer had already ended. */
+    private static <T> Action resume(Function<T, Action> continuation, T result) {
+        return continuation == null ? Action.NONE : continuation.apply(result);
     }
 
     private StringBuilder write(String action) {
@@ -163,13 +163,13 @@
 
     @Override
     public void schedule(Duration delay, Function<ResourceGauges, Action> onTimer) {
-        lastTimerName++;
-        timers.put(lastTimerName, onTimer);
+        lastTimerId++;
+        timers.put(lastTimerId, onTimer);
         write("defer")
                 .append("\toffsetNs=")
                 .append(delay.toNanos())
                 .append("\tname=")
-                .append(lastTimerName)
+                .append(lastTimerId)
                 .append('\n');
     }
 
--- a/src/main/java/ochretiller/sim/SimulatorHost.java
+++ b/src/main/java/ochretiller/sim/SimulatorHost.java
@@ -13,8 +13,8 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Hosts the servers that the simulator names, and answers each batch of its events with the actions
- * that follow from them.
+ * Hosts the simulator's servers, and answers each batch of events with the actions that the servers
+ * decide on.
  */
 public final class SimulatorHost {
     private static final int INPUT_BUFFER_CHARS = 1 << 16;
@@ -32,8 +32,8 @@
     /**
      * Serves batches until the input ends or a line is malformed.
      *
-     * @param errors receives a line about a malformed one
-     * @return the exit code
+     * @param errors receives one line that describes the malformed line
+     * @return the exit code, 0 at the end of the input or 1 after a malformed line
      * @throws IOException if the input cannot be read or a reply cannot be written
      */
     public static int serve(InputStream in, OutputStream out, PrintStream errors)
@@ -78,7 +78,7 @@
                     "timeout_fired" ->
                     handleEvent(name, WireFields.parse(line));
             default -> {
-                // an empty line, the end of the batch, or a message of a later version of the wire
+                // an empty line, the end of a batch, or a message of a later protocol version
             }
         }
     }
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Reports a fault of the decisions as one of their server, so that the simulation stops and
-     * shows its text.
+     * Runs work for a server, and writes an unexpected exception as that server's bug: the
+     * simulator stops at it and shows its text.
      */
     private void runGuarded(String id, Runnable work) {
         try {
--- a/src/main/java/ochretiller/sim/WireFields.java
+++ b/src/main/java/ochretiller/sim/WireFields.java
@@ -5,7 +5,7 @@
 import ochretiller.settings.MalformedException;
 import ochretiller.settings.SettingLookup;
 
-/** The {@code name=value} fields of one line. Names that nobody asks for are ignored. */
+/** The {@code name=value} fields of one line. Names that no caller looks up are ignored. */
 final class WireFields implements SettingLookup {
     private static final char SEPARATOR = '\t';
 
@@ -14,17 +14,19 @@
     private WireFields() {}
 
     /**
-     * Parses the fields of a line, which follow its message name.
+     * Parses the tab-separated fields of a line, which follow its message name.
      *
      * @throws MalformedException if a field is not {@code name=value}
      */
     static WireFields parse(String line) {
         WireFields fields = new WireFields();
-        int from = line.indexOf(SEPARATOR);
-        while (from >= 0) {
-            int to = line.indexOf(SEPARATOR, from + 1);
-            fields.put(line.substring(from + 1, to < 0 ? line.length() : to));
-            from = to;
+        int separator = line.indexOf(SEPARATOR);
+        while (separator >= 0) {
+            int nextSeparator = line.indexOf(SEPARATOR, separator + 1);
+            fields.put(
+                    line.substring(
+                            separator + 1, nextSeparator < 0 ? line.length() : nextSeparator));
+            separator = nextSeparator;
         }
         return fields;
     }
@@ -47,7 +49,7 @@
     private void put(String field) {
         int equals = field.indexOf('=');
         if (equals < 1) {
-            throw new MalformedException("not name=value: '" + field + "'");
+            throw new MalformedException("expected name=value, got '" + field + "'");
         }
         values.put(field.substring(0, equals), field.substring(equals + 1));
     }
--- a/src/main/java/ochretiller/sim/package-info.java
+++ b/src/main/java/ochretiller/sim/package-info.java
@@ -1,11 +1,10 @@
 /**
- * The adapter for the simulator's wire: a protocol of lines on standard input and output, by which
- * an external simulator of a whole fleet asks this program for the decisions of each of its
- * servers.
+ * The adapter for an external simulator of a whole fleet, which obtains the decisions of each of
+ * its servers from this program over a line protocol on standard input and output.
  *
- * <p>State: {@link ochretiller.sim.SimulatorHost} holds one {@code SimulatedServer}, with an
- * admission controller of its own, for each server that the simulator names. Thread: the one that
- * serves the input. Neighbours: {@code admission} decides, {@code settings} decodes a server's
- * settings, {@code server} is the port that is implemented here.
+ * <p>State: {@link ochretiller.sim.SimulatorHost} holds one {@code SimulatedServer} for each server
+ * of the simulator, each with its own admission controller. Thread: the one that reads the input.
+ * Neighbours: {@code admission} makes the decisions, {@code settings} decodes a server's settings,
+ * and {@code server} has the interfaces that are implemented here.
  */
 package ochretiller.sim;
--- a/src/test/java/ochretiller/commands/ContractCommandTest.java
+++ b/src/test/java/ochretiller/commands/ContractCommandTest.java
@@ -19,7 +19,7 @@
     @TempDir private Path folder;
 
     @BeforeEach
-    void write() throws IOException {
+    void writeContracts() throws IOException {
         Files.writeString(folder.resolve("broker.json5"), "{ work_per_s: 10 }");
         Files.writeString(
                 folder.resolve("parts.json5"),
@@ -32,17 +32,18 @@
                     + " } }");
     }
 
-    private String said(String... words) {
+    private String output(String... args) {
         StringWriter out = new StringWriter();
-        CommandLine line = new CommandLine(new ContractCommand()).setOut(new PrintWriter(out));
-        assertThat(line.execute(words)).isZero();
+        CommandLine commandLine =
+                new CommandLine(new ContractCommand()).setOut(new PrintWriter(out));
+        assertThat(commandLine.execute(args)).isZero();
         return out.toString();
     }
 
     @Test
-    void goodOnesAreCheckedAndShown() {
-        assertThat(said("check", folder.toString())).contains("2 contracts are good");
-        assertThat(said("show", folder.toString()))
+    void validContractsAreCheckedAndShown() {
+        assertThat(output("check", folder.toString())).contains("2 contracts are good");
+        assertThat(output("show", folder.toString()))
                 .contains(
                         "capacity 10.000",
                         "6.000 promised",
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void changesAreTold(@TempDir Path next) throws IOException {
+    void diffListsChangedContractsOnly(@TempDir Path next) throws IOException {
         for (String file : new String[] {"broker.json5", "fit.json5"}) {
             Files.copy(folder.resolve(file), next.resolve(file));
         }
@@ -62,14 +63,15 @@
                 Files.readString(folder.resolve("parts.json5"))
                         .replace("version: 1", "version: 2")
                         .replace("work_per_s: 4", "work_per_s: 8, weight: 4"));
-        assertThat(said("diff", folder.toString(), next.toString()))
+        assertThat(output("diff", folder.toString(), next.toString()))
                 .contains("parts promised 4.000 core seconds a second -> 8.000")
                 .doesNotContain("fit");
-        assertThat(said("diff", folder.toString(), folder.toString())).contains("nothing changes");
+        assertThat(output("diff", folder.toString(), folder.toString()))
+                .contains("nothing changes");
     }
 
     @Test
-    void eachFaultIsALineWithItsPlace() throws IOException {
+    void faultsAreReportedWithFileAndLine() throws IOException {
         Files.writeString(
                 folder.resolve("fit.json5"),
                 "{ team: 'fit', version: 0,\n promise: { work_per_s: -1 } }");
@@ -83,7 +85,7 @@
     }
 
     @Test
-    void faultsOfAllTogetherAreToldOnceEachIsGoodByItself() throws IOException {
+    void faultsAcrossContractsAreReportedIfEachContractIsValid() throws IOException {
         Files.writeString(
                 folder.resolve("big.json5"),
                 "{ team: 'big', version: 1, promise: { work_per_s: 5 } }");
