--- a/src/main/java/ochretiller/fakes/DaemonThreads.java
+++ b/src/main/java/ochretiller/fakes/DaemonThreads.java
@@ -2,12 +2,9 @@
 
 import java.io.IOException;
 
-/**
- * Threads that stand-ins work on; the end of a socket ends them, and none keeps its process from
- * ending.
- */
+/** Starts daemon threads for fakes. Each runs until its socket is closed or its peer is gone. */
 public final class DaemonThreads {
-    /** What is done on one. */
+    /** The work of one thread. */
     @FunctionalInterface
     public interface Work {
         void run() throws IOException, InterruptedException;
@@ -22,7 +19,7 @@
                             try {
                                 work.run();
                             } catch (IOException | InterruptedException e) {
-                                // its socket was closed, or its peer is gone: the play is over
+                                // the socket was closed or the peer is gone: the thread ends
                             }
                         });
         thread.setDaemon(true);
--- a/src/main/java/ochretiller/fakes/FakeConnection.java
+++ b/src/main/java/ochretiller/fakes/FakeConnection.java
@@ -7,7 +7,7 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** A socket of a stand-in: text lines and counted bytes, all within a bounded time. */
+/** A blocking connection for text lines and counted bytes; a read times out after 10 seconds. */
 public final class FakeConnection implements AutoCloseable {
     private final Socket socket;
     private final InputStream in;
@@ -28,18 +28,18 @@
         return this;
     }
 
-    /** The next bytes, as many as there are at first, and this many at most. */
-    public String some(int most) throws IOException {
-        byte[] bytes = new byte[most];
+    /** Returns the bytes of one read as text, at most this many; empty at the end of the stream. */
+    public String some(int maxBytes) throws IOException {
+        byte[] bytes = new byte[maxBytes];
         return new String(bytes, 0, Math.max(0, in.read(bytes)), StandardCharsets.ISO_8859_1);
     }
 
-    /** Waits as long as it takes: a stand-in that listens is told when it is over. */
+    /** Removes the read timeout, for a fake service that reads until its peer closes. */
     void patient() throws IOException {
         socket.setSoTimeout(0);
     }
 
-    /** The next line without its end, or null once the connection has ended. */
+    /** Returns the next line without its line end, or null at the end of the connection. */
     public String line() throws IOException {
         StringBuilder line = new StringBuilder();
         try {
@@ -52,18 +52,18 @@
                 }
             }
         } catch (SocketException e) {
-            return null; // a reset ends it too
+            return null; // a reset is an end too
         }
         return line.toString();
     }
 
     public String bytes(int length) throws IOException {
         String text = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-        in.readNBytes(2);
+        in.readNBytes(2); // the line end
         return text;
     }
 
-    /** Writes without reading; tells whether the peer ended it for that. */
+    /** Writes a text repeatedly without reading; returns whether a write failed. */
     public boolean sendsUntilItEnds(String text, int times) {
         try {
             for (int i = 0; i < times; i++) {
@@ -79,7 +79,7 @@
         socket.shutdownOutput();
     }
 
-    /** Ends it with a reset, as a broken machine does. */
+    /** Closes the connection with a TCP reset, as a crash of its machine does. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/main/java/ochretiller/fakes/FakeServices.java
+++ b/src/main/java/ochretiller/fakes/FakeServices.java
@@ -14,90 +14,91 @@
 import java.util.function.Consumer;
 
 /**
- * A processor, a records service and a roster that do what the body of a request says, or what a
- * script is told to do.
+ * A fake processor, records service and roster on loopback sockets. The body of a request selects
+ * what becomes of it, unless {@link #runs} is replaced.
  */
 public final class FakeServices implements AutoCloseable {
-    /** Notices that are told again to a new link; as many as the page says. */
-    private static final int NOTICES = 4_000;
+    /** Most notices resent over a new link; the number is from the protocol's specification. */
+    private static final int MAX_RESENT_NOTICES = 4_000;
 
     private final InetAddress host;
-    private final Consumer<String> heard;
-    private final Consumer<String> reports;
+    private final Consumer<String> commandListener;
+    private final Consumer<String> reportListener;
     private final List<String> notices = new ArrayList<>();
-    private final Set<String> begun = new HashSet<>();
+    private final Set<String> begunRuns = new HashSet<>();
     private ServerSocket processor;
     private ServerSocket records;
     private DatagramSocket roster;
-    private long noticed;
+    private long noticeCount;
 
-    /** The link of the processor and the connection for calls that were made last. */
+    /** The latest link to the processor and the latest connection to the records service. */
     public volatile FakeConnection link;
 
     public volatile FakeConnection calls;
 
-    /** What the processor says as its greeting. */
+    /** The text with which the processor greets a new link. */
     public volatile String greeting = "hi hot 3600000\r\n";
 
-    /**
-     * Whether notices are told again to a new link, and a run that was begun is never begun again.
-     */
+    /** Whether unread notices are resent over a new link and a repeated begin is ignored. */
     public volatile boolean keepsNotices;
 
-    /** Whether the processor is not up: a link is accepted and not greeted until {@link #speak}. */
+    /** Whether the processor is still starting: it greets no link until {@link #speak}. */
     public volatile boolean silent;
 
-    private FakeConnection ungreeted;
-    private long ungreetedRead;
+    private FakeConnection waitingLink;
+    private long waitingLinkLastRead;
 
-    /** What becomes of a run; by default its body says so. */
-    public volatile Runs runs = this::asTheBodySays;
+    /** Decides what becomes of a run; by default its body does. */
+    public volatile Runs runs = this::followBody;
 
-    /**
-     * What a run does: it calls back to {@link #complete} or {@link #notice}, or leaves it open.
-     */
+    /** Handles a begun run: calls {@link #complete} or {@link #notice}, or leaves the run open. */
     @FunctionalInterface
     public interface Runs {
         void begun(String rid, String operation, String body) throws IOException;
     }
 
     /**
-     * Opens all three.
+     * Opens all three services.
      *
-     * @param ports of processor, records service and roster; 0 for free ones
-     * @param heard told of each command and call, on threads of the stand-ins
-     * @param reports told of each report to the roster
+     * @param host the address to listen on
+     * @param ports of processor, records service and roster, in this order; 0 selects a free port
+     * @param commandListener receives the line of each command and call, on the fakes' threads
+     * @param reportListener receives the text of each report to the roster, on a fake's thread
      */
-    public FakeServices(String host, int[] ports, Consumer<String> heard, Consumer<String> reports)
+    public FakeServices(
+            String host,
+            int[] ports,
+            Consumer<String> commandListener,
+            Consumer<String> reportListener)
             throws IOException {
         this.host = InetAddress.getByName(host);
-        this.heard = heard;
-        this.reports = reports;
+        this.commandListener = commandListener;
+        this.reportListener = reportListener;
         open(ports);
     }
 
-    /** The stand-ins go on at new addresses; connections to the old ones stay. */
+    /** Opens all three services on new free ports; the old connections stay open. */
     public void move() throws IOException {
         open(new int[] {0, 0, 0});
     }
 
     private void open(int[] ports) throws IOException {
-        ServerSocket engine = processor = listen(ports[0]);
+        ServerSocket processorSocket = processor = listen(ports[0]);
         DaemonThreads.start(
                 () -> {
                     while (true) {
-                        FakeConnection wire = new FakeConnection(engine.accept());
-                        DaemonThreads.start(() -> serveProcessor(wire));
+                        FakeConnection connection = new FakeConnection(processorSocket.accept());
+                        DaemonThreads.start(() -> serveProcessor(connection));
                     }
                 });
         openRecords(ports[1]);
-        DatagramSocket list = roster = new DatagramSocket(ports[2], host);
+        DatagramSocket rosterSocket = roster = new DatagramSocket(ports[2], host);
         DaemonThreads.start(
                 () -> {
                     while (true) {
                         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
-                        list.receive(packet);
-                        reports.accept(
+                        rosterSocket.receive(packet);
+                        reportListener.accept(
                                 new String(
                                         packet.getData(),
                                         0,
@@ -108,10 +109,10 @@
     }
 
     private ServerSocket listen(int port) throws IOException {
-        ServerSocket listening = new ServerSocket();
-        listening.setReuseAddress(true);
-        listening.bind(new InetSocketAddress(host, port), 50);
-        return listening;
+        ServerSocket socket = new ServerSocket();
+        socket.setReuseAddress(true);
+        socket.bind(new InetSocketAddress(host, port), 50);
+        return socket;
     }
 
     public int processorPort() {
@@ -126,68 +127,68 @@
         return roster.getLocalPort();
     }
 
-    private void serveProcessor(FakeConnection wire) throws IOException {
-        wire.patient();
-        for (String line = wire.line(); line != null; line = wire.line()) {
+    private void serveProcessor(FakeConnection connection) throws IOException {
+        connection.patient();
+        for (String line = connection.line(); line != null; line = connection.line()) {
             String[] words = line.split(" ");
             switch (words[0]) {
-                case "hello" -> greet(wire, Long.parseLong(words[1]));
+                case "hello" -> greet(connection, Long.parseLong(words[1]));
                 case "usage" -> {
-                    wire.send("used " + words[1] + " 0.1 0 0.1 1\r\n");
+                    connection.send("used " + words[1] + " 0.1 0 0.1 1\r\n");
                     if (!words[1].equals("fence")) {
-                        continue; // gauges are asked for all the time
+                        continue; // the gauges are polled, which would flood the listener
                     }
                 }
-                case "trial" -> wire.send("tried " + words[1] + " complete\r\n");
+                case "trial" -> connection.send("tried " + words[1] + " complete\r\n");
                 case "begin" -> {
-                    String body = wire.bytes(Integer.parseInt(words[3]));
-                    heard.accept(line);
-                    if (begins(words[1])) {
+                    String body = connection.bytes(Integer.parseInt(words[3]));
+                    commandListener.accept(line);
+                    if (shouldRun(words[1])) {
                         runs.begun(words[1], words[2], body);
                     }
                     continue;
                 }
                 case "answer" ->
-                        complete(words[1], "after " + wire.bytes(Integer.parseInt(words[2])));
-                default -> {} // an interrupt is only heard
+                        complete(words[1], "after " + connection.bytes(Integer.parseInt(words[2])));
+                default -> {} // an interrupt is only passed to the listener
             }
-            heard.accept(line);
+            commandListener.accept(line);
         }
     }
 
-    private synchronized boolean begins(String rid) {
-        return begun.add(rid) || !keepsNotices;
+    private synchronized boolean shouldRun(String rid) {
+        return begunRuns.add(rid) || !keepsNotices;
     }
 
-    private synchronized void greet(FakeConnection wire, long read) throws IOException {
+    private synchronized void greet(FakeConnection connection, long lastRead) throws IOException {
         if (silent) {
-            ungreeted = wire;
-            ungreetedRead = read;
+            waitingLink = connection;
+            waitingLinkLastRead = lastRead;
             return;
         }
-        link = wire;
-        wire.send(greeting);
+        link = connection;
+        connection.send(greeting);
         if (!keepsNotices) {
             return;
         }
-        long first = noticed - notices.size();
+        long droppedCount = noticeCount - notices.size();
         for (int i = 0; i < notices.size(); i++) {
-            if (first + i + 1 > read) {
-                wire.send(notices.get(i));
+            if (droppedCount + i + 1 > lastRead) {
+                connection.send(notices.get(i));
             }
         }
     }
 
-    /** The processor is up: the link that waits is greeted. */
+    /** Ends the start of the processor: it greets the waiting link, if any, and all later ones. */
     public synchronized void speak() throws IOException {
         silent = false;
-        if (ungreeted != null) {
-            greet(ungreeted, ungreetedRead);
+        if (waitingLink != null) {
+            greet(waitingLink, waitingLinkLastRead);
         }
-        ungreeted = null;
+        waitingLink = null;
     }
 
-    private void asTheBodySays(String rid, String operation, String body) throws IOException {
+    private void followBody(String rid, String operation, String body) throws IOException {
         if (body.equals("good")) {
             complete(rid, "result of " + rid);
         }
@@ -200,20 +201,20 @@
     }
 
     /**
-     * Says the next notice on the link; without one it waits for the next link, where notices are
-     * kept.
+     * Sends the next notice over the latest link. If notices are resent, one that cannot be sent is
+     * kept for the next link.
      */
     public synchronized void notice(String verb, String rest) throws IOException {
-        String text = verb + " " + ++noticed + " " + rest;
+        String text = verb + " " + ++noticeCount + " " + rest;
         if (keepsNotices) {
             notices.add(text);
-            if (notices.size() > NOTICES) {
+            if (notices.size() > MAX_RESENT_NOTICES) {
                 notices.remove(0);
             }
             try {
                 link.send(text);
             } catch (IOException e) {
-                // the next link gets it
+                // it is resent over the next link
             }
         } else {
             link.send(text);
@@ -224,11 +225,11 @@
         notice("complete", rid + " complete 5 " + result.length() + "\r\n" + result + "\r\n");
     }
 
-    /** The processor was restarted: it knows nothing of what was before. */
+    /** Makes the processor forget all runs and notices, as a restart does. */
     public synchronized void restarted() {
         notices.clear();
-        begun.clear();
-        noticed = 0;
+        begunRuns.clear();
+        noticeCount = 0;
         greeting = "hi hot 0\r\n";
     }
 
@@ -236,35 +237,35 @@
         records.close();
     }
 
-    /** The records service is back at this port. */
+    /** Opens the records service on a port, after {@link #closeRecords}. */
     public void openRecords(int port) throws IOException {
-        ServerSocket service = records = listen(port);
+        ServerSocket recordsSocket = records = listen(port);
         DaemonThreads.start(
                 () -> {
                     while (true) {
-                        FakeConnection wire = new FakeConnection(service.accept());
-                        DaemonThreads.start(() -> serveRecords(wire));
+                        FakeConnection connection = new FakeConnection(recordsSocket.accept());
+                        DaemonThreads.start(() -> serveRecords(connection));
                     }
                 });
     }
 
-    private void serveRecords(FakeConnection wire) throws IOException {
-        wire.patient();
-        calls = wire;
-        for (String line = wire.line(); line != null; line = wire.line()) {
-            heard.accept(line);
+    private void serveRecords(FakeConnection connection) throws IOException {
+        connection.patient();
+        calls = connection;
+        for (String line = connection.line(); line != null; line = connection.line()) {
+            commandListener.accept(line);
             String[] words = line.split(" ");
             if (!words[0].equals("OP")) {
                 continue;
             }
-            String body = wire.bytes(Integer.parseInt(words[3]));
-            String ending = body.startsWith("call ") ? body.substring("call ".length()) : "DONE";
-            if (ending.equals("DONE")) {
-                wire.send(words[1] + " DONE 5\r\nreply\r\n");
-            } else if (ending.equals("cut")) {
-                wire.reset();
-            } else if (!ending.equals("silence")) {
-                wire.send(words[1] + " " + ending + "\r\n");
+            String body = connection.bytes(Integer.parseInt(words[3]));
+            String outcome = body.startsWith("call ") ? body.substring("call ".length()) : "DONE";
+            if (outcome.equals("DONE")) {
+                connection.send(words[1] + " DONE 5\r\nreply\r\n");
+            } else if (outcome.equals("cut")) {
+                connection.reset();
+            } else if (!outcome.equals("silence")) {
+                connection.send(words[1] + " " + outcome + "\r\n");
             }
         }
     }
--- a/src/main/java/ochretiller/fakes/FakeWorker.java
+++ b/src/main/java/ochretiller/fakes/FakeWorker.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A uwsgi worker that does what it is told and notes what it ran. Its reading of the protocol is
- * its own, from the published page, so that it finds what the server's own coding gets wrong.
+ * A fake uwsgi worker that records each request and responds as a script decides. It has a decoder
+ * of its own, written from the published specification, to detect faults of the server's encoder.
  */
 public final class FakeWorker implements AutoCloseable {
-    /** What it does with a request, once it has run it. */
+    /** How the worker responds to a request that it has run. */
     public enum Manner {
         ANSWERS,
         FAILS,
@@ -33,10 +33,10 @@
         ENDS
     }
 
-    /** A request that it ran. */
+    /** A request that the worker has run. */
     public record Ran(Map<String, String> vars, String body) {}
 
-    /** Chooses a manner for a request, after as long a wait as it likes. */
+    /** Selects how to respond to a request; may block, which delays the response. */
     @FunctionalInterface
     public interface Script {
         Manner play(Ran ran) throws InterruptedException;
@@ -45,22 +45,22 @@
     private final InetAddress host;
     private final int port;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final List<Ran> ran = new ArrayList<>();
-    private volatile ServerSocket listening;
+    private final List<Ran> receivedRequests = new ArrayList<>();
+    private volatile ServerSocket listener;
     public volatile Script script;
 
-    /** A worker on this port, or on a free one for 0. */
+    /** Starts a worker on a port; 0 selects a free one. */
     public FakeWorker(String host, int port, Script script) throws IOException {
         this.host = InetAddress.getByName(host);
         this.script = script;
-        listening = listen(port);
-        this.port = listening.getLocalPort();
+        listener = listen(port);
+        this.port = listener.getLocalPort();
     }
 
-    private ServerSocket listen(int on) throws IOException {
+    private ServerSocket listen(int listenPort) throws IOException {
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
-        socket.bind(new InetSocketAddress(host, on), 200);
+        socket.bind(new InetSocketAddress(host, listenPort), 200);
         DaemonThreads.start(
                 () -> {
                     while (true) {
@@ -77,11 +77,11 @@
     }
 
     public synchronized List<Ran> ran() {
-        return List.copyOf(ran);
+        return List.copyOf(receivedRequests);
     }
 
-    private synchronized void note(Ran one) {
-        ran.add(one);
+    private synchronized void addRequest(Ran request) {
+        receivedRequests.add(request);
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
@@ -92,71 +92,77 @@
             byte[] header = new byte[4];
             in.readFully(header);
             if (header[0] != 0 || header[3] != 0) {
-                throw new IOException("modifiers " + header[0] + ' ' + header[3]);
+                throw new IOException(
+                        "expected uwsgi modifiers 0 0, got " + header[0] + ' ' + header[3]);
             }
             byte[] block = new byte[header[1] & 0xFF | (header[2] & 0xFF) << 8];
             in.readFully(block);
             Map<String, String> vars = new LinkedHashMap<>();
-            for (int at = 0; at < block.length; ) {
-                int name = block[at] & 0xFF | (block[at + 1] & 0xFF) << 8;
-                String key = new String(block, at + 2, name, StandardCharsets.ISO_8859_1);
-                at += 2 + name;
-                int value = block[at] & 0xFF | (block[at + 1] & 0xFF) << 8;
-                vars.put(key, new String(block, at + 2, value, StandardCharsets.ISO_8859_1));
-                at += 2 + value;
+            for (int offset = 0; offset < block.length; ) {
+                int nameLength = block[offset] & 0xFF | (block[offset + 1] & 0xFF) << 8;
+                String name =
+                        new String(block, offset + 2, nameLength, StandardCharsets.ISO_8859_1);
+                offset += 2 + nameLength;
+                int valueLength = block[offset] & 0xFF | (block[offset + 1] & 0xFF) << 8;
+                vars.put(
+                        name,
+                        new String(block, offset + 2, valueLength, StandardCharsets.ISO_8859_1));
+                offset += 2 + valueLength;
             }
             byte[] body = new byte[Integer.parseInt(vars.getOrDefault("CONTENT_LENGTH", "0"))];
             in.readFully(body);
-            Ran one = new Ran(vars, new String(body, StandardCharsets.ISO_8859_1));
-            note(one);
-            answer(script.play(one), one, socket, out);
+            Ran request = new Ran(vars, new String(body, StandardCharsets.ISO_8859_1));
+            addRequest(request);
+            respond(script.play(request), request, socket, out);
         } finally {
             sockets.remove(socket);
         }
     }
 
-    private static void answer(Manner manner, Ran one, Socket socket, OutputStream out)
+    private static void respond(Manner mode, Ran request, Socket socket, OutputStream out)
             throws IOException {
-        String result = "result of " + one.body;
+        String result = "result of " + request.body;
         String head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: ";
-        switch (manner) {
-            case ANSWERS -> say(out, head + result.length() + "\r\n\r\n" + result);
+        switch (mode) {
+            case ANSWERS -> write(out, head + result.length() + "\r\n\r\n" + result);
             case FAILS ->
-                    say(out, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3\r\n\r\nbad");
-            case SILENT -> socket.getInputStream().read(); // until the caller has enough
+                    write(
+                            out,
+                            "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3\r\n\r\nbad");
+            case SILENT -> socket.getInputStream().read(); // until the server closes the connection
             case HALF ->
-                    say(
+                    write(
                             out,
                             head
                                     + result.length()
                                     + "\r\n\r\n"
                                     + result.substring(0, result.length() / 2));
             case RESETS -> socket.setSoLinger(true, 0);
-            case GARBAGE -> say(out, "\u0000\u0001 no answer at all\r\n\r\n");
-            case WRONG_LENGTH -> say(out, head + (result.length() - 1) + "\r\n\r\n" + result);
-            case TOO_LONG -> say(out, head + "99999999\r\n\r\n" + result);
-            case ENDS -> {} // the connection ends without a word
+            case GARBAGE -> write(out, "\u0000\u0001 no answer at all\r\n\r\n");
+            case WRONG_LENGTH -> write(out, head + (result.length() - 1) + "\r\n\r\n" + result);
+            case TOO_LONG -> write(out, head + "99999999\r\n\r\n" + result);
+            case ENDS -> {} // the connection is closed without a response
             default -> throw new IllegalStateException();
         }
     }
 
-    private static void say(OutputStream out, String text) throws IOException {
+    private static void write(OutputStream out, String text) throws IOException {
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
     }
 
-    /** It dies: nothing is accepted, and what is open is reset. */
+    /** Stops listening and resets all open connections, as a killed process does. */
     public void die() throws IOException {
-        listening.close();
+        listener.close();
         for (Socket socket : sockets) {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    /** It is back at its port. */
+    /** Listens on the same port again. */
     public void rise() throws IOException {
-        listening = listen(port);
+        listener = listen(port);
     }
 
     @Override
--- a/src/main/java/ochretiller/fakes/FaultyDirectory.java
+++ b/src/main/java/ochretiller/fakes/FaultyDirectory.java
@@ -12,33 +12,33 @@
 import ochretiller.store.StorageFile;
 
 /**
- * A disk with a fault for as long as a file is there that names it: {@code full}, where it takes
- * nothing, or {@code stall}, where it waits.
+ * Injects the fault that a file names, for as long as the file exists: {@code full} fails every
+ * change, and any other text, such as {@code stall}, blocks it. Reads and deletions go on.
  */
 public final class FaultyDirectory implements StorageDirectory {
-    private static final long LOOKS_NANOS = 5_000_000;
+    private static final long POLL_INTERVAL_NANOS = 5_000_000;
 
-    private final StorageDirectory disk;
-    private final Path fault;
+    private final StorageDirectory directory;
+    private final Path faultFile;
 
-    public FaultyDirectory(StorageDirectory disk, Path fault) {
-        this.disk = disk;
-        this.fault = fault;
+    public FaultyDirectory(StorageDirectory directory, Path faultFile) {
+        this.directory = directory;
+        this.faultFile = faultFile;
     }
 
-    /** Returns once a change may be tried. */
-    private void changes() throws IOException {
-        for (String what = fault(); what != null; what = fault()) {
-            if (what.equals("full")) {
-                throw new IOException("no space left on the disk, says the drill");
+    /** Returns as soon as a change is permitted; throws while the disk is to be full. */
+    private void awaitWritable() throws IOException {
+        for (String fault = currentFault(); fault != null; fault = currentFault()) {
+            if (fault.equals("full")) {
+                throw new IOException("no space left on the disk (injected fault)");
             }
-            LockSupport.parkNanos(LOOKS_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
-    private String fault() throws IOException {
+    private String currentFault() throws IOException {
         try {
-            return Files.readString(fault).strip();
+            return Files.readString(faultFile).strip();
         } catch (NoSuchFileException e) {
             return null;
         }
@@ -46,63 +46,63 @@
 
     @Override
     public Closeable acquireLock() throws IOException {
-        return disk.acquireLock();
+        return directory.acquireLock();
     }
 
     @Override
     public List<String> listFiles() throws IOException {
-        return disk.listFiles();
+        return directory.listFiles();
     }
 
     @Override
     public StorageFile open(String name) throws IOException {
-        return new Faulty(disk.open(name));
+        return new FaultyFile(directory.open(name));
     }
 
     @Override
     public StorageFile create(String name) throws IOException {
-        changes();
-        return new Faulty(disk.create(name));
+        awaitWritable();
+        return new FaultyFile(directory.create(name));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        disk.delete(name);
+        directory.delete(name);
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        changes();
-        disk.rename(from, to);
+        awaitWritable();
+        directory.rename(from, to);
     }
 
     @Override
     public void forceDirectory() throws IOException {
-        changes();
-        disk.forceDirectory();
+        awaitWritable();
+        directory.forceDirectory();
     }
 
-    private final class Faulty implements StorageFile {
+    private final class FaultyFile implements StorageFile {
         private final StorageFile file;
 
-        Faulty(StorageFile file) {
+        FaultyFile(StorageFile file) {
             this.file = file;
         }
 
         @Override
-        public void write(ByteBuffer bytes, long at) throws IOException {
-            changes();
-            file.write(bytes, at);
+        public void write(ByteBuffer bytes, long offset) throws IOException {
+            awaitWritable();
+            file.write(bytes, offset);
         }
 
         @Override
-        public int read(ByteBuffer into, long at) throws IOException {
-            return file.read(into, at);
+        public int read(ByteBuffer into, long offset) throws IOException {
+            return file.read(into, offset);
         }
 
         @Override
         public void force() throws IOException {
-            changes();
+            awaitWritable();
             file.force();
         }
 
@@ -113,7 +113,7 @@
 
         @Override
         public void truncate(long size) throws IOException {
-            changes();
+            awaitWritable();
             file.truncate(size);
         }
 
--- a/src/main/java/ochretiller/fakes/GatewayMessages.java
+++ b/src/main/java/ochretiller/fakes/GatewayMessages.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
-/** What gateways write. */
+/** Messages that gateways send, and a server configuration with the operations they name. */
 public final class GatewayMessages {
     private GatewayMessages() {}
 
@@ -17,7 +17,7 @@
                 + "}\n";
     }
 
-    /** Parameters of a request that came to the machine now; {@code token} may be null. */
+    /** Returns the parameters of a request that arrived now; a null token makes it unkeyed. */
     public static String params(String rid, String token, String body) {
         return params(rid, System.currentTimeMillis(), token, body);
     }
@@ -39,8 +39,8 @@
     }
 
     /**
-     * A configuration of a server between these ports, with a {@code read} and a tokened {@code
-     * order}.
+     * Returns the configuration of a server that listens on and connects to these ports, with the
+     * operations {@code read}, which is pure, and {@code order}, which is keyed.
      */
     public static String config(int listen, int processor, int records, int roster) {
         return """
