--- a/checks/CheckExceptions.java
+++ b/checks/CheckExceptions.java
@@ -12,20 +12,20 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Holds Checkstyle's report against the list of exceptions, which can only shrink.
+ * Compares Checkstyle's report with the list of permitted violations, which can only shrink.
  *
  * <p>Run from the root: {@code java checks/CheckExceptions.java [--write] [REPORT LIST ROOT]}. A
- * line of the list is {@code CheckName path count}: so often the file at the path, seen from the
- * root, may break the check. The program fails where a file breaks a check more often than that,
- * and also where it does so less often: then the line is to be lowered or dropped. {@code --write}
- * writes the list anew from the report; it is meant for a clean-up only.
+ * line of the list is {@code CheckName path count}: how many violations of the check the file may
+ * have, with its path relative to the root. The program fails if a file has more violations, and
+ * also if it has fewer, so that the count is lowered or the line removed. {@code --write} writes a
+ * new list from the report; it is meant for clean-ups only.
  */
 public final class CheckExceptions {
     private static final String HEAD =
             "# What does not meet a rule of checkstyle.xml yet: check, file, how often. Lines only"
                     + " go or get lower.\n";
 
-    /** What the list is kept by: a check and a file. */
+    /** A check and a file, the key of the list. */
     private record Place(String check, String path) implements Comparable<Place> {
         @Override
         public int compareTo(Place other) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Says that what was given can't be judged. */
+    /** Thrown if the report or the list is unusable. */
     private static final class Unusable extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -51,10 +51,10 @@
     private CheckExceptions() {}
 
     /**
-     * Exits with 0 where report and list agree, 1 where they don't, 2 where one of them can't be
-     * used.
+     * Exits with 0 if report and list agree, 1 if they differ, and 2 for bad arguments or an
+     * unusable report or list.
      *
-     * @param words {@code --write} or nothing, then nothing or the paths of report, list and root
+     * @param words optionally {@code --write}, then optionally the paths of report, list and root
      */
     public static void main(String[] words) throws IOException {
         List<String> left = new ArrayList<>(List.of(words));
@@ -96,7 +96,7 @@
         return faults.isEmpty() ? 0 : 1;
     }
 
-    /** What differs between what was found and what is listed, one line each. */
+    /** Returns the differences between the violations found and those listed, one line each. */
     private static List<String> compare(
             Map<Place, List<String>> found, Map<Place, Integer> listed) {
         List<String> faults = new ArrayList<>();
@@ -120,7 +120,7 @@
         return faults;
     }
 
-    /** Reads the list. */
+    /** Returns the permitted number of violations by check and file. */
     private static Map<Place, Integer> listed(Path list) throws IOException, Unusable {
         Map<Place, Integer> listed = new TreeMap<>();
         for (String line : Files.readAllLines(list)) {
@@ -138,7 +138,7 @@
         return listed;
     }
 
-    /** Reads the report: for each check and file a line for each violation. */
+    /** Returns the report's violations by check and file, one line of text each. */
     private static Map<Place, List<String>> found(Path report, Path root)
             throws IOException, Unusable {
         Map<Place, List<String>> found = new TreeMap<>();
@@ -168,7 +168,7 @@
         return found;
     }
 
-    /** A check's name from that of its class. */
+    /** Returns a check's name, given the name of its class. */
     private static String check(String source) {
         return source.substring(source.lastIndexOf('.') + 1).replaceAll("Check$", "");
     }
--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Keeps the server's loaded classes in target/ochretiller.jsa, which saves most of the CPU of a start and of the first
-# requests. For that a server is started once, serves a few requests of the rehearsal of the stand-ins, and is told to leave. Without the
-# file a start is slower and nothing else.
+# Writes the server's loaded classes to the JVM archive target/ochretiller.jsa, which saves most of the CPU time of a start
+# and of the first requests. To load the classes, a server serves a few requests against fake services and is stopped.
+# A server without the archive only starts more slowly.
 set -eu
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -16,7 +16,7 @@
  "permissions":{"retryAfter":true,"maxRetryAfterNs":1000000000},"guarantees":{"stopSendingWithinNs":100000000}}}
 JSON
 rm -f target/ochretiller.jsa
-# The flags are those of a server: an archive serves only a JVM like the one that made it.
+# Uses the server's own flags: an archive is valid only for a JVM with the same ones.
 EDGE_CONFIG="$work/config.json" sh deploy/serve.sh -XX:SharedArchiveFile= -XX:ArchiveClassesAtExit=target/ochretiller.jsa \
     > "$work/log" 2>&1 &
 server=$!
--- a/deploy/serve.sh
+++ b/deploy/serve.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# Starts the server on a JVM that fits limits.memory_mb of the configuration. The heap has its full size from the start,
-# so that memory which grows is a leak and not a heap that was not needed before.
+# Starts the server on a JVM that fits into limits.memory_mb of the configuration. The heap has its full size from the
+# start, so that any later growth of the process's memory is a leak.
 set -eu
-trap : HUP # what it asks for is done: the configuration is still to be read
-# The shell reads it by itself: a pipeline sizes the JVM wrongly, without a word, where no process can be started for it.
-# What it found goes along, and the server holds it against what it reads.
+trap : HUP # a reload request before the JVM starts needs no action: the configuration has not been read yet
+# Reads memory_mb with shell built-ins only: where no process can be started, a pipeline would silently yield a wrong size.
+# The value is passed to the server, which compares it with the one in the configuration.
 mb=0
 if [ -r "${EDGE_CONFIG:-}" ]; then
     while IFS= read -r line || [ -n "$line" ]; do
@@ -19,8 +19,8 @@
     done < "$EDGE_CONFIG"
 fi
 mb=${mb:-0}
-# Guards against a server that never takes a new configuration: nohup and its like start it with SIGHUP ignored, the JVM takes no
-# handler for a signal that was ignored at its start, and a shell may not undo that.
+# Restores SIGHUP, without which the server could not reload its configuration: nohup and similar tools start it with the
+# signal ignored, the JVM installs no handler for a signal ignored at its start, and a shell cannot reset it.
 clean=
 if [ -r "/proc/$$/status" ]; then
     while read -r name mask; do
--- a/drill/run.sh
+++ b/drill/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Builds server, emulator and drill, then drills: sh drill/run.sh run|check SCRIPT ...
+# Builds the server, the emulator and the drill, then runs the drill: sh drill/run.sh run|check SCRIPT ...
 set -eu
 cd "$(dirname "$0")/.."
 [ -n "${BUILT:-}" ] || mvn -q -B -ntp -DskipTests install
--- a/emulator/run.sh
+++ b/emulator/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Builds the server and the emulator, then rehearses: sh emulator/run.sh run|compare|sweep|replay|hunt|check SCRIPT ...
+# Builds the server and the emulator, then runs the emulator: sh emulator/run.sh run|compare|sweep|replay|hunt|check SCRIPT ...
 set -eu
 cd "$(dirname "$0")/.."
 [ -n "${BUILT:-}" ] || mvn -q -B -ntp -DskipTests install
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# All tests: the form of the code, the server's units, the packaged program over sockets, a short rehearsal, and short drills of
-# several servers. -Pcheck compiles with Error Prone. The tools are compiled only.
+# Runs all checks and tests: format and lint, unit tests, the packaged program over sockets, a short emulator run, and
+# short drills with several servers. -Pcheck compiles with Error Prone. The tools are only compiled.
 set -eu
 cd "$(dirname "$0")"
 mvn -B -ntp -f checks.xml verify
