--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -147,10 +147,7 @@
         return Instant.ofEpochMilli(unixMillis).toString();
     }
 
-    /**
-     * Returns the exit code. Damage is reported after every answer, since it makes each of them
-     * incomplete.
-     */
+    /** Reports damage, which makes every answer incomplete, and returns the exit code. */
     private int exitCode(What selection, boolean hasUnknown) {
         if (selection.faults() > 0) {
             System.err.println(selection.faults() + " faults in these audits: see audit verify");
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -94,7 +94,7 @@
                         address, settings.fleet(), FleetKeys.read(settings.keyFile()));
             } catch (IOException e) {
                 throw new IOException(
-                        "cannot ask the server at " + address + ": " + e.getMessage(), e);
+                        "cannot connect to the server at " + address + ": " + e.getMessage(), e);
             }
         }
     }
@@ -289,8 +289,7 @@
         String author = authorOption == null ? System.getProperty("user.name") : authorOption;
         for (String line : new String[] {author, reason, minBuild}) {
             if (line.contains("\n")) {
-                throw new MalformedException(
-                        "--by, --why and --build must not contain a line break: '" + line + "'");
+                throw new MalformedException("--by, --why and --build must not have a line break");
             }
         }
         JsonNode response;
@@ -370,8 +369,8 @@
     }
 
     /**
-     * Prints a refusal and returns true, if the response is one. A version status also has a member
-     * {@code refused}, the reason of a rejected version; its member {@code servers} identifies it.
+     * Prints the response and returns true if it is a refusal. A version status is not one: its
+     * {@code refused} says why a version was rejected, and only a status has {@code servers}.
      */
     private boolean reportRefusal(Whom target, JsonNode response) {
         String reason = response.path("refused").asText();
@@ -501,7 +500,7 @@
             } catch (IOException e) {
                 boolean isGone = e.getCause() instanceof ConnectException;
                 if (!isGone) {
-                    continue; // the connection broke, but only a refused one shows that it is gone
+                    continue; // a connection cut in mid-answer does not prove the server gone
                 }
                 out.println(
                         target.json
--- a/src/main/java/ochretiller/fakes/FakeConnection.java
+++ b/src/main/java/ochretiller/fakes/FakeConnection.java
@@ -28,7 +28,7 @@
         return this;
     }
 
-    /** Returns the bytes of one read as text, at most this many; empty at the end of the stream. */
+    /** Returns what one read delivers, at most {@code maxBytes} bytes; empty at the end of input. */
     public String some(int maxBytes) throws IOException {
         byte[] bytes = new byte[maxBytes];
         return new String(bytes, 0, Math.max(0, in.read(bytes)), StandardCharsets.ISO_8859_1);
@@ -52,7 +52,7 @@
                 }
             }
         } catch (SocketException e) {
-            return null; // a reset is an end too
+            return null; // a reset counts as the end
         }
         return line.toString();
     }
--- a/src/main/java/ochretiller/fakes/FakeServices.java
+++ b/src/main/java/ochretiller/fakes/FakeServices.java
@@ -31,9 +31,10 @@
     private DatagramSocket roster;
     private long noticeCount;
 
-    /** The latest link to the processor and the latest connection to the records service. */
+    /** The latest greeted link to the processor; null before the first. */
     public volatile FakeConnection link;
 
+    /** The latest connection to the records service; null before the first. */
     public volatile FakeConnection calls;
 
     /** The text with which the processor greets a new link. */
@@ -60,7 +61,6 @@
     /**
      * Opens all three services.
      *
-     * @param host the address to listen on
      * @param ports of processor, records service and roster, in this order; 0 selects a free port
      * @param commandListener receives the line of each command and call, on the fakes' threads
      * @param reportListener receives the text of each report to the roster, on a fake's thread
--- a/src/main/java/ochretiller/fakes/FakeWorker.java
+++ b/src/main/java/ochretiller/fakes/FakeWorker.java
@@ -39,7 +39,7 @@
     /** Selects how to respond to a request; may block, which delays the response. */
     @FunctionalInterface
     public interface Script {
-        Manner play(Ran ran) throws InterruptedException;
+        Manner play(Ran request) throws InterruptedException;
     }
 
     private final InetAddress host;
--- a/src/main/java/ochretiller/sim/SimulatedServer.java
+++ b/src/main/java/ochretiller/sim/SimulatedServer.java
@@ -81,7 +81,7 @@
                             resume(
                                     timers.remove(EventDecoder.timerName(fields)),
                                     EventDecoder.gauges(fields));
-                    default -> throw new MalformedException("unknown event '" + event + "'");
+                    default -> throw new MalformedException("unknown event: " + event);
                 };
         action.execute(this);
     }
