--- a/src/main/java/ochretiller/fakes/FakeConnection.java
+++ b/src/main/java/ochretiller/fakes/FakeConnection.java
@@ -28,7 +28,7 @@
         return this;
     }
 
-    /** Returns what one read delivers, at most {@code maxBytes} bytes; empty at the end of input. */
+    /** Returns what one read delivers, at most {@code maxBytes} bytes; empty at end of input. */
     public String some(int maxBytes) throws IOException {
         byte[] bytes = new byte[maxBytes];
         return new String(bytes, 0, Math.max(0, in.read(bytes)), StandardCharsets.ISO_8859_1);
