--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -53,73 +53,73 @@
 import ochretiller.fleet.transport.PacketCodec;
 
 /**
- * A fleet that keeps claims and results for one another, in virtual time: voters, keepers and the
- * way of keyed invocations are the server's own decisions; callers bring repeats to any server.
+ * Simulates in virtual time a fleet that replicates claims and results. Voters, replicas and claim
+ * coordinators are the server's own classes; clients repeat keyed invocations at any server.
  */
 public final class ReplicationSimulation {
-    private static final int FACTOR = 3;
+    private static final int REPLICATION_FACTOR = 3;
     private static final String OPERATION = "order";
-    private static final ClaimModeSettings SERVERS =
+    private static final ClaimModeSettings SERVER_MODE =
             new ClaimModeSettings(ClaimMode.SERVER, Map.of());
-    private static final int VOTERS = 3;
-    private static final int MOST = 100_000;
-    private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration SPEAKS = Duration.ofMillis(500);
+    private static final int VOTER_COUNT = 3;
+    private static final int MAX_ENTRIES = 100_000;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration ANNOUNCEMENT_INTERVAL = Duration.ofMillis(500);
 
-    /** Servers that each voter tells of the epoch each time. */
-    private static final int TELLS = 4;
+    /** Servers to which a voter sends the committed placement, each announcement interval. */
+    private static final int ANNOUNCEMENT_RECIPIENTS = 4;
 
-    private static final Duration CALM = Duration.ofSeconds(2);
+    private static final Duration STABLE_PERIOD = Duration.ofSeconds(2);
 
-    /** A token's window, the longest that there is, and the due time of a try. */
-    private static final Duration WINDOW = Duration.ofSeconds(20);
+    /** Validity of a token, which is also the longest window the replicas accept. */
+    private static final Duration TOKEN_WINDOW = Duration.ofSeconds(20);
 
-    private static final Duration DUE = Duration.ofSeconds(4);
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(4);
 
-    /** The view knows of what has come or gone so much later. */
-    private static final double SEES_S = 1.5;
+    /** Delay, in seconds, until the membership view reflects that a server started or stopped. */
+    private static final double VIEW_DELAY_S = 1.5;
 
-    /** A socket's room for a paused process. */
-    private static final int ROOM = 5_000;
+    /** Messages that the socket buffer of a paused process holds; further ones are lost. */
+    private static final int MAX_QUEUED_MESSAGES = 5_000;
 
     /**
-     * A force of the disk, seconds, at least and by chance on top; and how long one that has failed
-     * stays so.
+     * Duration of a disk force: a minimum plus a random part up to the jitter. A failing disk fails
+     * for {@code DISK_FAILURE_S}.
      */
-    private static final double FORCE_S = 0.0005;
+    private static final double MIN_FORCE_S = 0.0005;
 
-    private static final double FORCE_MORE_S = 0.002;
-    private static final double SICK_S = 4;
+    private static final double FORCE_JITTER_S = 0.002;
+    private static final double DISK_FAILURE_S = 4;
 
-    /** Images of disks are taken this often, and so many are kept: some of them are put back. */
-    private static final double IMAGES_S = 3;
+    /** Interval between disk images; a restarted server may get one of the latest images back. */
+    private static final double IMAGE_INTERVAL_S = 3;
 
-    private static final int IMAGES = 4;
+    private static final int MAX_IMAGES = 4;
 
-    /** Every so many tokens have a result that goes by pieces. */
-    private static final int LONG_RESULTS = 8;
+    /** One token in this many has a result that is sent in chunks. */
+    private static final int TOKENS_PER_CHUNKED_RESULT = 8;
 
-    /** Behind a change of mode: all have come to run without claims by then, and go on. */
-    private static final double SWITCHES_S = 75;
+    /** Time after a mode switch by which all servers run without claims, in seconds. */
+    private static final double MODE_SWITCH_DURATION_S = 75;
 
-    private static final ReplicaLimits BOUNDS =
-            new ReplicaLimits(MOST, Long.MAX_VALUE, 2 << 20, WINDOW.plusSeconds(10));
+    private static final ReplicaLimits LIMITS =
+            new ReplicaLimits(MAX_ENTRIES, Long.MAX_VALUE, 2 << 20, TOKEN_WINDOW.plusSeconds(10));
 
-    private final FleetScenario script;
-    private final FaultSchedule plan;
+    private final FleetScenario scenario;
+    private final FaultSchedule schedule;
     private final EventQueue events = new EventQueue();
     private final LinkFaults faults;
-    private final SplittableRandom links;
-    private final SplittableRandom chance;
-    private final double lostDisks;
-    private final double oldDisks;
-    private final boolean sickDisks;
-    private final boolean claims;
+    private final SplittableRandom linkRandom;
+    private final SplittableRandom random;
+    private final double lostDiskShare;
+    private final double staleDiskShare;
+    private final boolean injectsDiskFailures;
+    private final boolean usesClaims;
     private final Map<Integer, Host> hosts = new TreeMap<>();
-    private final Map<String, Token> tokens = new HashMap<>();
+    private final Map<String, TokenHistory> tokens = new HashMap<>();
     private final Outcomes outcomes = new Outcomes();
 
-    /** What was seen. */
+    /** Counts and rule violations of a simulation run. */
     public static final class Outcomes {
         public int tries;
         public int succeeded;
@@ -135,17 +135,17 @@
         public int conflicts;
         public int oldFound;
 
-        /** Runs without a claim. */
+        /** Runs that began without a claim. */
         public int unclaimed;
 
-        /** Second runs of tokens whose keepers, a majority of them, had lost their disks. */
+        /** Repeated runs of tokens for which a majority of replicas had lost their disks. */
         public int excused;
 
         public int oldPutBack;
         public long unsaid;
         public long fetchedBytes;
 
-        /** Milliseconds from a claim to its majority. */
+        /** Milliseconds from the start of each claim until a majority granted it. */
         public final List<Double> claimMs = new ArrayList<>();
 
         public final List<String> broken = new ArrayList<>();
@@ -160,54 +160,54 @@
         }
     }
 
-    private static final class Token {
+    private static final class TokenHistory {
         final String body;
-        final List<Double> ranAt = new ArrayList<>();
+        final List<Double> runTimesS = new ArrayList<>();
 
-        /** Who kept it as it ran, as the server that ran it knew. */
-        final List<List<String>> keptBy = new ArrayList<>();
+        /** Replicas of the token at each run, as known to the server that ran it. */
+        final List<List<String>> replicasAtRun = new ArrayList<>();
 
         final Set<String> results = new HashSet<>();
 
-        /** Whether its first run within the window had a claim of a server that claims for good. */
+        /** Whether the first run within the window had a claim that was not transitional. */
         boolean claimed;
 
-        Token(String body) {
+        TokenHistory(String body) {
             this.body = body;
         }
 
-        void claimed(boolean forGood, double now) {
-            if (ranAt.isEmpty() || now - ranAt.get(ranAt.size() - 1) >= WINDOW.toSeconds()) {
-                claimed = forGood;
+        void recordClaim(boolean isPermanent, double now) {
+            if (runTimesS.isEmpty() || now - runTimesS.get(runTimesS.size() - 1) >= TOKEN_WINDOW.toSeconds()) {
+                claimed = isPermanent;
             }
         }
     }
 
-    private record Sent(String from, Object message) {}
+    private record Delivery(String from, Object message) {}
 
-    /** What of a keeper is on its disk. */
-    private record Image(
-            ReplicaSnapshot place,
-            Map<String, Long> heard,
+    /** Replica state that is durable on disk. */
+    private record DiskImage(
+            ReplicaSnapshot metadata,
+            Map<String, Long> observedChanges,
             Map<String, ReplicaEntry> entries,
-            Map<String, Long> numbers,
+            Map<String, Long> changeNumbers,
             Map<String, String> results) {
-        static Image none() {
-            return new Image(null, Map.of(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
+        static DiskImage empty() {
+            return new DiskImage(null, Map.of(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
         }
 
-        Image copy(ReplicaSnapshot now) {
-            return new Image(
+        DiskImage copy(ReplicaSnapshot now) {
+            return new DiskImage(
                     now,
-                    heard,
+                    observedChanges,
                     new TreeMap<>(entries),
-                    new TreeMap<>(numbers),
+                    new TreeMap<>(changeNumbers),
                     new TreeMap<>(results));
         }
 
-        /** As a start reads it. */
-        ReplicaSnapshot disk(Duration now) {
-            if (place == null) {
+        /** Returns the snapshot that a starting replica recovers; null if the disk is empty. */
+        ReplicaSnapshot toSnapshot(Duration now) {
+            if (metadata == null) {
                 return null;
             }
             Map<String, ReplicaEntry> live = new TreeMap<>();
@@ -219,14 +219,14 @@
                     });
             long number =
                     Math.max(
-                            place.changeNumber(),
-                            numbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
+                            metadata.changeNumber(),
+                            changeNumbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
             return new ReplicaSnapshot(
-                    place.placement(),
+                    metadata.placement(),
                     live,
-                    place.laggingRanges(),
-                    place.forgottenRanges(),
-                    place.unreliableRanges(),
+                    metadata.laggingRanges(),
+                    metadata.forgottenRanges(),
+                    metadata.unreliableRanges(),
                     number,
                     true);
         }
@@ -236,270 +236,267 @@
         final int number;
         final String name;
         final ReplicaServer server;
-        Replica keeper;
-        Image disk = Image.none();
-        DurabilityBarrier commit;
-        final Deque<Image> images = new ArrayDeque<>();
-        double imagedS;
-        double sickUntilS;
-        double forcedS;
-        double placedS;
-        final List<Double> lostS = new ArrayList<>();
+        Replica replica;
+        DiskImage disk = DiskImage.empty();
+        DurabilityBarrier barrier;
+        final Deque<DiskImage> images = new ArrayDeque<>();
+        double lastImageS;
+        double diskFailsUntilS;
+        double forceCompletionS;
+        double metadataSavedS;
+        final List<Double> diskLossTimesS = new ArrayList<>();
         EpochConsensus voter;
         AcceptorState voterDisk;
-        ClaimCoordinator own;
-        PlacementPlanner wish;
-        boolean up;
-        boolean paused;
-        boolean everUp;
-        double changedS;
-        long life;
-        long attempted;
-        final Deque<Sent> waits = new ArrayDeque<>();
-        final Map<String, String> local = new HashMap<>();
-        ClaimModes modes;
+        ClaimCoordinator coordinator;
+        PlacementPlanner planner;
+        boolean isUp;
+        boolean isPaused;
+        boolean hasStarted;
+        double stateChangedS;
+        long incarnation;
+        long lastProposalEvent;
+        final Deque<Delivery> queuedMessages = new ArrayDeque<>();
+        final Map<String, String> localResults = new HashMap<>();
+        ClaimModes claimModes;
 
         Host(int number) {
             this.number = number;
             this.name = "m" + number;
-            this.server = new ReplicaServer(name, "z" + script.zone(number));
+            this.server = new ReplicaServer(name, "z" + scenario.zone(number));
         }
 
-        /** Whether it claims no more: the servers are told so one after the other. */
-        boolean switched() {
-            return switchS >= 0 && played() >= switchS + number * switchEachS;
+        /** Whether the server's mode was switched; servers are switched one after the other. */
+        boolean hasSwitchedMode() {
+            return modeSwitchS >= 0 && scenarioSeconds() >= modeSwitchS + number * modeSwitchStepS;
         }
 
         void start(boolean keepsDisk) {
-            up = true;
-            paused = false;
-            changedS = events.seconds();
-            life++;
-            waits.clear();
-            local.clear();
-            modes =
+            isUp = true;
+            isPaused = false;
+            stateChangedS = events.seconds();
+            incarnation++;
+            queuedMessages.clear();
+            localResults.clear();
+            claimModes =
                     new ClaimModes(
-                            switched() ? SERVERS : ClaimModeSettings.ALL_FLEET,
-                            BOUNDS.maxWindow(),
+                            hasSwitchedMode() ? SERVER_MODE : ClaimModeSettings.ALL_FLEET,
+                            LIMITS.maxWindow(),
                             events.now());
-            boolean first = !everUp;
-            everUp = true;
-            if (first && formed != null) {
+            boolean first = !hasStarted;
+            hasStarted = true;
+            if (first && initialPlacement != null) {
                 disk =
-                        new Image(
-                                new ReplicaSnapshot(formed, Map.of()),
+                        new DiskImage(
+                                new ReplicaSnapshot(initialPlacement, Map.of()),
                                 Map.of(),
                                 new TreeMap<>(),
                                 new TreeMap<>(),
                                 new TreeMap<>());
                 voterDisk =
-                        new AcceptorState(formed, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
+                        new AcceptorState(initialPlacement, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
             }
             if (!keepsDisk) {
-                lostS.add(events.seconds());
-                disk = Image.none();
+                diskLossTimesS.add(events.seconds());
+                disk = DiskImage.empty();
                 images.clear();
                 voterDisk = null;
-            } else if (!first && !images.isEmpty() && chance.nextDouble() < oldDisks) {
-                List<Image> all = new ArrayList<>(images);
-                disk = all.get(chance.nextInt(all.size()));
-                disk = disk.copy(disk.place);
+            } else if (!first && !images.isEmpty() && random.nextDouble() < staleDiskShare) {
+                List<DiskImage> all = new ArrayList<>(images);
+                disk = all.get(random.nextInt(all.size()));
+                disk = disk.copy(disk.metadata);
                 outcomes.oldPutBack++;
             }
-            if (number <= VOTERS) {
-                Set<String> names = new HashSet<>();
-                for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
-                    names.add("m" + i);
+            if (number <= VOTER_COUNT) {
+                Set<String> voterNames = new HashSet<>();
+                for (int i = 1; i <= Math.min(VOTER_COUNT, scenario.members()); i++) {
+                    voterNames.add("m" + i);
                 }
-                voter = startVoter(names, first && formed == null);
+                voter = startVoter(voterNames, first && initialPlacement == null);
             }
-            ReplicaSnapshot found = disk.disk(events.now());
-            ReplicaPlacement known =
-                    found != null
-                            ? found.placement()
-                            : voter != null ? voter.committed() : ReplicaPlacement.empty(FACTOR);
-            // Without its disk it knows of no epoch: the first that it is told of, it takes as one
-            // that it may have been in.
-            keeper =
-                    found != null
-                            ? Replica.recover(name, found, BOUNDS, events.now())
+            ReplicaSnapshot recovered = disk.toSnapshot(events.now());
+            ReplicaPlacement knownPlacement =
+                    recovered != null
+                            ? recovered.placement()
+                            : voter != null ? voter.committed() : ReplicaPlacement.empty(REPLICATION_FACTOR);
+            // A server that lost its disk knows no epoch: it treats the first placement it learns
+            // as one in which it may already have been a replica.
+            replica =
+                    recovered != null
+                            ? Replica.recover(name, recovered, LIMITS, events.now())
                             : first
-                                    ? Replica.withoutDisk(name, known, 1, BOUNDS, events.now())
+                                    ? Replica.withoutDisk(name, knownPlacement, 1, LIMITS, events.now())
                                     : null;
-            commit = new DurabilityBarrier(chance.split());
-            if (sickDisks && chance.nextInt(6) == 0) {
-                sickUntilS = events.seconds() + 30 * chance.nextDouble() + SICK_S;
+            barrier = new DurabilityBarrier(random.split());
+            if (injectsDiskFailures && random.nextInt(6) == 0) {
+                diskFailsUntilS = events.seconds() + 30 * random.nextDouble() + DISK_FAILURE_S;
             }
-            own = new ClaimCoordinator(name, life, known, chance.split());
-            own.restoreChangeNumbers(disk.heard);
-            wish = new PlacementPlanner(CALM, BOUNDS.maxWindow(), FACTOR);
-            if (voter != null && known.epoch() > 0) {
-                voter.receive(name, new ConsensusMessage.Committed(known));
+            coordinator = new ClaimCoordinator(name, incarnation, knownPlacement, random.split());
+            coordinator.restoreChangeNumbers(disk.observedChanges);
+            planner = new PlacementPlanner(STABLE_PERIOD, LIMITS.maxWindow(), REPLICATION_FACTOR);
+            if (voter != null && knownPlacement.epoch() > 0) {
+                voter.receive(name, new ConsensusMessage.Committed(knownPlacement));
             }
-            tick(life);
-            speak(life);
+            tick(incarnation);
+            announce(incarnation);
         }
 
-        private EpochConsensus startVoter(Set<String> names, boolean isFirstOfFleet) {
-            long instanceId = chance.nextLong();
+        private EpochConsensus startVoter(Set<String> voterNames, boolean isFirstOfFleet) {
+            long instanceId = random.nextLong();
             if (voterDisk != null) {
-                return EpochConsensus.resume(name, names, voterDisk, instanceId);
+                return EpochConsensus.resume(name, voterNames, voterDisk, instanceId);
             }
             return isFirstOfFleet
-                    ? EpochConsensus.startFresh(name, names, FACTOR, instanceId)
-                    : EpochConsensus.recover(name, names, FACTOR, instanceId);
+                    ? EpochConsensus.startFresh(name, voterNames, REPLICATION_FACTOR, instanceId)
+                    : EpochConsensus.recover(name, voterNames, REPLICATION_FACTOR, instanceId);
         }
 
-        /**
-         * What was written and not acknowledged may be there or not: the disk takes some of it, in
-         * its order.
-         */
-        void end() {
-            for (Runnable each : underWay) {
-                if (chance.nextInt(2) == 0) {
+        /** Stops the process; a random prefix of the unacknowledged writes reaches the disk. */
+        void stop() {
+            for (Runnable each : pendingWrites) {
+                if (random.nextInt(2) == 0) {
                     break;
                 }
                 each.run();
             }
-            underWay.clear();
+            pendingWrites.clear();
             voterDisk = voter == null || voter.hasLostState() ? null : voter.durableState();
-            up = false;
-            changedS = events.seconds();
+            isUp = false;
+            stateChangedS = events.seconds();
         }
 
-        private final Deque<Runnable> underWay = new ArrayDeque<>();
+        private final Deque<Runnable> pendingWrites = new ArrayDeque<>();
 
-        private boolean sick() {
-            return events.seconds() < sickUntilS && events.seconds() > sickUntilS - SICK_S;
+        private boolean isDiskFailing() {
+            return events.seconds() < diskFailsUntilS && events.seconds() > diskFailsUntilS - DISK_FAILURE_S;
         }
 
-        /** One write at a time: a force takes a while, and may fail. */
-        private void force(long mine, Runnable written, java.util.function.Consumer<Boolean> then) {
-            double at =
-                    Math.max(events.seconds(), forcedS)
-                            + FORCE_S
-                            + FORCE_MORE_S * chance.nextDouble();
-            if (forcedS > events.seconds()) {
-                at = forcedS; // it goes out with the force that is under way
+        /** Writes asynchronously; forces run one at a time, and one on a failing disk fails. */
+        private void forceWrite(long scheduledIncarnation, Runnable applyWrite, java.util.function.Consumer<Boolean> onDone) {
+            double completionS =
+                    Math.max(events.seconds(), forceCompletionS)
+                            + MIN_FORCE_S
+                            + FORCE_JITTER_S * random.nextDouble();
+            if (forceCompletionS > events.seconds()) {
+                completionS = forceCompletionS; // joins the pending force
             }
-            forcedS = at;
-            underWay.add(written);
+            forceCompletionS = completionS;
+            pendingWrites.add(applyWrite);
             events.after(
-                    at - events.seconds(),
+                    completionS - events.seconds(),
                     () -> {
-                        if (life != mine || !up) {
+                        if (incarnation != scheduledIncarnation || !isUp) {
                             return;
                         }
-                        underWay.remove(written);
-                        if (sick()) {
-                            if (chance.nextInt(2) == 0) {
-                                written.run();
+                        pendingWrites.remove(applyWrite);
+                        if (isDiskFailing()) {
+                            if (random.nextInt(2) == 0) {
+                                applyWrite.run();
                             }
-                            then.accept(false);
+                            onDone.accept(false);
                         } else {
-                            written.run();
-                            then.accept(true);
+                            applyWrite.run();
+                            onDone.accept(true);
                         }
                     });
         }
 
         private void write(PendingWrite write) {
-            Replica of = keeper;
-            Image image = disk;
-            long mine = life;
+            Replica source = replica;
+            DiskImage image = disk;
+            long currentIncarnation = incarnation;
             String token = write.token().orElse(null);
-            ReplicaSnapshot place = token == null ? of.metadataSnapshot() : null;
-            ReplicaEntry entry = token == null ? null : of.entry(token);
-            Map<String, Long> heard = token == null ? own.observedChangeNumbers() : Map.of();
-            long numbered = token == null ? 0 : of.changeNumber(token);
-            force(
-                    mine,
+            ReplicaSnapshot metadata = token == null ? source.metadataSnapshot() : null;
+            ReplicaEntry entry = token == null ? null : source.entry(token);
+            Map<String, Long> observedChanges = token == null ? coordinator.observedChangeNumbers() : Map.of();
+            long changeNumber = token == null ? 0 : source.changeNumber(token);
+            forceWrite(
+                    currentIncarnation,
                     () -> {
                         if (token == null) {
                             disk =
-                                    new Image(
-                                            place,
-                                            heard,
+                                    new DiskImage(
+                                            metadata,
+                                            observedChanges,
                                             image.entries,
-                                            image.numbers,
+                                            image.changeNumbers,
                                             image.results);
                         } else {
                             disk.entries.put(token, entry);
-                            disk.numbers.put(token, numbered);
+                            disk.changeNumbers.put(token, changeNumber);
                         }
                     },
                     durable -> {
-                        for (OutboundMessage out :
-                                commit.acknowledge(write, durable, events.now())) {
-                            send(number(out.recipient()), out.message());
+                        for (OutboundMessage outbound :
+                                barrier.acknowledge(write, durable, events.now())) {
+                            send(numberOf(outbound.recipient()), outbound.message());
                         }
                     });
         }
 
-        private void keep() {
-            for (AssembledResult whole : keeper.takeAssembledResults()) {
-                long mine = life;
-                force(
-                        mine,
-                        () -> disk.results.put(whole.token() + whole.claimId(), whole.result()),
+        private void storeAssembledResults() {
+            for (AssembledResult assembled : replica.takeAssembledResults()) {
+                long currentIncarnation = incarnation;
+                forceWrite(
+                        currentIncarnation,
+                        () -> disk.results.put(assembled.token() + assembled.claimId(), assembled.result()),
                         durable -> {
                             if (!durable) {
                                 return;
                             }
-                            keeper.resultStored(whole);
-                            carryOut();
+                            replica.resultStored(assembled);
+                            processOutputs();
                         });
             }
         }
 
-        private void tick(long mine) {
-            if (!up || life != mine) {
+        private void tick(long scheduledIncarnation) {
+            if (!isUp || incarnation != scheduledIncarnation) {
                 return;
             }
-            if (!paused) {
+            if (!isPaused) {
                 Duration now = events.now();
-                own.tick(now);
-                if (keeper != null) {
-                    keeper.tick(now);
-                    if (chance.nextInt(25) == 0) {
-                        keeper.compareRandomRange(chance);
+                coordinator.tick(now);
+                if (replica != null) {
+                    replica.tick(now);
+                    if (random.nextInt(25) == 0) {
+                        replica.compareRandomRange(random);
                     }
-                    if (chance.nextInt(25) == 0) {
-                        keeper.observeLivePeers(seen());
+                    if (random.nextInt(25) == 0) {
+                        replica.observeLivePeers(liveServers());
                     }
-                    commit.retryWrites(now).forEach(this::write);
-                    if (events.seconds() - imagedS > IMAGES_S) {
-                        imagedS = events.seconds();
-                        images.add(disk.copy(disk.place));
-                        if (images.size() > IMAGES) {
+                    barrier.retryWrites(now).forEach(this::write);
+                    if (events.seconds() - lastImageS > IMAGE_INTERVAL_S) {
+                        lastImageS = events.seconds();
+                        images.add(disk.copy(disk.metadata));
+                        if (images.size() > MAX_IMAGES) {
                             images.poll();
                         }
                     }
-                    outcomes.behind = Math.max(outcomes.behind, keeper.laggingRangeCount());
+                    outcomes.behind = Math.max(outcomes.behind, replica.laggingRangeCount());
                 }
                 if (voter != null) {
-                    vote(now);
+                    proposePlacement(now);
                 }
-                carryOut();
+                processOutputs();
             }
             events.after(
-                    TICK.plus(Duration.ofNanos((long) (faults.lateMs(number, played()) * 1e6))),
-                    () -> tick(mine));
+                    TICK_INTERVAL.plus(Duration.ofNanos((long) (faults.lateMs(number, scenarioSeconds()) * 1e6))),
+                    () -> tick(scheduledIncarnation));
         }
 
-        private Set<String> seen() {
+        private Set<String> liveServers() {
             Set<String> live = new HashSet<>();
             for (Host each : hosts.values()) {
-                if (each.up && !each.paused) {
+                if (each.isUp && !each.isPaused) {
                     live.add(each.name);
                 }
             }
             return live;
         }
 
-        private void vote(Duration now) {
+        private void proposePlacement(Duration now) {
             if (voter.hasLostState()) {
-                if (chance.nextInt(10) == 0) {
+                if (random.nextInt(10) == 0) {
                     voter.requestRecovery();
                 }
                 return;
@@ -507,223 +504,224 @@
             Map<String, Boolean> view = new HashMap<>();
             List<ReplicaServer> servers = new ArrayList<>();
             for (Host each : hosts.values()) {
-                if (!each.everUp) {
+                if (!each.hasStarted) {
                     continue;
                 }
-                boolean is = each.up && !each.paused;
-                boolean lately = events.seconds() - each.changedS < SEES_S;
-                view.put(each.name, lately ? !is : is);
+                boolean isLive = each.isUp && !each.isPaused;
+                boolean changedRecently = events.seconds() - each.stateChangedS < VIEW_DELAY_S;
+                view.put(each.name, changedRecently ? !isLive : isLive);
                 servers.add(each.server);
             }
-            wish.observe(view, now);
-            if (voter.isProposing() && events.done() - attempted < 2_000
-                    || chance.nextInt(10) != 0) {
+            planner.observe(view, now);
+            if (voter.isProposing() && events.done() - lastProposalEvent < 2_000
+                    || random.nextInt(10) != 0) {
                 return;
             }
-            wish.nextPlacement(voter.committed(), servers, now)
+            planner.nextPlacement(voter.committed(), servers, now)
                     .ifPresent(
-                            layout -> {
-                                attempted = events.done();
-                                voter.propose(layout);
+                            placement -> {
+                                lastProposalEvent = events.done();
+                                voter.propose(placement);
                             });
         }
 
-        private void speak(long mine) {
-            if (!up || life != mine) {
+        private void announce(long scheduledIncarnation) {
+            if (!isUp || incarnation != scheduledIncarnation) {
                 return;
             }
-            if (!paused
+            if (!isPaused
                     && voter != null
                     && !voter.hasLostState()
                     && voter.committed().epoch() > 0) {
-                for (int i = 0; i < TELLS; i++) {
-                    int to = 1 + chance.nextInt(hosts.size());
+                for (int i = 0; i < ANNOUNCEMENT_RECIPIENTS; i++) {
+                    int to = 1 + random.nextInt(hosts.size());
                     if (to != number) {
                         send(to, new ConsensusMessage.Committed(voter.committed()));
                     }
                 }
             }
-            if (!paused) {
-                stand();
+            if (!isPaused) {
+                reportProgress();
             }
-            events.after(SPEAKS, () -> speak(mine));
+            events.after(ANNOUNCEMENT_INTERVAL, () -> announce(scheduledIncarnation));
         }
 
-        private void stand() {
-            boolean keeps = keeper != null && own.placement().contains(name);
-            int behind =
-                    !keeps
+        private void reportProgress() {
+            boolean isReplica = replica != null && coordinator.placement().contains(name);
+            int laggingRanges =
+                    !isReplica
                             ? 0
-                            : keeper.isCheckingDisk()
+                            : replica.isCheckingDisk()
                                     ? ReplicaPlacement.RANGE_COUNT
-                                    : keeper.laggingRangeCount();
-            ConsensusMessage.ReplicaProgress standing =
-                    new ConsensusMessage.ReplicaProgress(own.placement().epoch(), behind);
-            int voters = Math.min(VOTERS, script.members());
-            if (!keeps) {
-                send(1 + chance.nextInt(voters), standing);
+                                    : replica.laggingRangeCount();
+            ConsensusMessage.ReplicaProgress progress =
+                    new ConsensusMessage.ReplicaProgress(coordinator.placement().epoch(), laggingRanges);
+            int voterCount = Math.min(VOTER_COUNT, scenario.members());
+            if (!isReplica) {
+                send(1 + random.nextInt(voterCount), progress);
             } else {
-                for (int i = 1; i <= voters; i++) {
-                    send(i, standing);
+                for (int i = 1; i <= voterCount; i++) {
+                    send(i, progress);
                 }
             }
         }
 
-        void take(Sent sent) {
-            if (!up) {
+        void deliver(Delivery delivery) {
+            if (!isUp) {
                 return;
             }
-            if (traced != null && sent.message.toString().contains("token=" + traced + ",")) {
+            if (tracedToken != null && delivery.message.toString().contains("token=" + tracedToken + ",")) {
                 System.out.printf(
                         Locale.ROOT,
                         "%9.4f %s -> %s%s (epoch %d): %s%n",
-                        played(),
-                        sent.from,
+                        scenarioSeconds(),
+                        delivery.from,
                         name,
-                        paused ? " (paused)" : "",
-                        keeper == null ? 0 : keeper.placement().epoch(),
-                        sent.message);
+                        isPaused ? " (paused)" : "",
+                        replica == null ? 0 : replica.placement().epoch(),
+                        delivery.message);
             }
-            if (paused) {
-                if (waits.size() < ROOM) {
-                    waits.add(sent);
+            if (isPaused) {
+                if (queuedMessages.size() < MAX_QUEUED_MESSAGES) {
+                    queuedMessages.add(delivery);
                 }
                 return;
             }
             Duration now = events.now();
-            if (sent.message instanceof ConsensusMessage message) {
+            if (delivery.message instanceof ConsensusMessage message) {
                 if (voter != null) {
-                    voter.receive(sent.from, message);
+                    voter.receive(delivery.from, message);
                 }
-                if (message instanceof ConsensusMessage.ReplicaProgress standing) {
-                    wish.recordProgress(sent.from, standing);
-                    boolean missed =
+                if (message instanceof ConsensusMessage.ReplicaProgress progress) {
+                    planner.recordProgress(delivery.from, progress);
+                    boolean missedEpoch =
                             voter != null
                                     && !voter.hasLostState()
-                                    && standing.epoch() < voter.committed().epoch();
-                    if (missed && !sent.from.equals(name)) {
-                        send(number(sent.from), new ConsensusMessage.Committed(voter.committed()));
+                                    && progress.epoch() < voter.committed().epoch();
+                    if (missedEpoch && !delivery.from.equals(name)) {
+                        send(numberOf(delivery.from), new ConsensusMessage.Committed(voter.committed()));
                     }
                 }
-                if (message instanceof ConsensusMessage.Committed agreed) {
-                    learn(agreed.placement());
+                if (message instanceof ConsensusMessage.Committed committed) {
+                    applyPlacement(committed.placement());
                 }
-                long mine = own.placement().epoch();
-                boolean asks =
+                long ownEpoch = coordinator.placement().epoch();
+                boolean needsPlacement =
                         message instanceof ConsensusMessage.RecoveryQuery
-                                || message instanceof ConsensusMessage.Committed agreed
-                                        && agreed.placement().epoch() < mine;
-                if (asks && mine > 0 && number(sent.from) <= VOTERS && !sent.from.equals(name)) {
-                    send(number(sent.from), new ConsensusMessage.Committed(own.placement()));
+                                || message instanceof ConsensusMessage.Committed committed
+                                        && committed.placement().epoch() < ownEpoch;
+                if (needsPlacement && ownEpoch > 0 && numberOf(delivery.from) <= VOTER_COUNT && !delivery.from.equals(name)) {
+                    send(numberOf(delivery.from), new ConsensusMessage.Committed(coordinator.placement()));
                 }
-            } else if (sent.message instanceof ReplicationMessage message) {
-                if (message instanceof ReplicationMessage.ClaimRequest claim
-                        && !sent.from.equals(name)) {
-                    modes.claimObserved(OPERATION, claim.transitional(), now);
+            } else if (delivery.message instanceof ReplicationMessage message) {
+                if (message instanceof ReplicationMessage.ClaimRequest claimRequest
+                        && !delivery.from.equals(name)) {
+                    claimModes.claimObserved(OPERATION, claimRequest.transitional(), now);
                 }
-                if (message instanceof ReplicationMessage.RangeRequest fetch
-                        && fetch.placement().isPresent()) {
-                    learn(fetch.placement().get());
+                if (message instanceof ReplicationMessage.RangeRequest rangeRequest
+                        && rangeRequest.placement().isPresent()) {
+                    applyPlacement(rangeRequest.placement().get());
                 }
-                if (message instanceof ReplicationMessage.ChunkRequest want) {
-                    String result = own.pendingResult(want.claimId()).orElse(null);
+                if (message instanceof ReplicationMessage.ChunkRequest chunkRequest) {
+                    String result = coordinator.pendingResult(chunkRequest.claimId()).orElse(null);
                     if (result == null) {
-                        result = disk.results.get(want.token() + want.claimId());
+                        result = disk.results.get(chunkRequest.token() + chunkRequest.claimId());
                     }
-                    ReplicationMessage.Chunk piece =
-                            result == null ? null : ChunkAssembler.slice(want, result).orElse(null);
-                    if (piece != null) {
-                        send(number(sent.from), piece);
+                    ReplicationMessage.Chunk chunk =
+                            result == null ? null : ChunkAssembler.slice(chunkRequest, result).orElse(null);
+                    if (chunk != null) {
+                        send(numberOf(delivery.from), chunk);
                     }
                 }
-                if (keeper != null) {
-                    keeper.receive(sent.from, message, now);
+                if (replica != null) {
+                    replica.receive(delivery.from, message, now);
                 }
-                own.receive(sent.from, message, now);
+                coordinator.receive(delivery.from, message, now);
             }
-            carryOut();
+            processOutputs();
         }
 
-        private void learn(ReplicaPlacement layout) {
-            // Numbers of later lives are higher, as those from a clock are.
-            if (keeper == null) {
-                keeper =
+        private void applyPlacement(ReplicaPlacement placement) {
+            // Change numbers of later incarnations must be higher, as they are when taken from a
+            // clock.
+            if (replica == null) {
+                replica =
                         Replica.withoutDisk(
-                                name, layout, events.now().toNanos() / 1000, BOUNDS, events.now());
+                                name, placement, events.now().toNanos() / 1000, LIMITS, events.now());
             } else {
-                keeper.adoptPlacement(layout, events.now());
+                replica.adoptPlacement(placement, events.now());
             }
-            own.adoptPlacement(layout, events.now());
-            outcomes.epochs = (int) Math.max(outcomes.epochs, layout.epoch());
+            coordinator.adoptPlacement(placement, events.now());
+            outcomes.epochs = (int) Math.max(outcomes.epochs, placement.epoch());
         }
 
-        void carryOut() {
+        void processOutputs() {
             if (voter != null) {
-                learnOwn();
-                for (OutboundConsensusMessage out : voter.takeOutbound()) {
-                    if (out.recipient().isPresent()) {
-                        send(number(out.recipient().get()), out.message());
+                applyCommittedPlacement();
+                for (OutboundConsensusMessage outbound : voter.takeOutbound()) {
+                    if (outbound.recipient().isPresent()) {
+                        send(numberOf(outbound.recipient().get()), outbound.message());
                     } else {
                         for (Host each : hosts.values()) {
                             if (each != this) {
-                                send(each.number, out.message());
+                                send(each.number, outbound.message());
                             }
                         }
                     }
                 }
             }
-            if (keeper != null) {
-                keep();
-                List<String> tokens = keeper.takeChangedTokens();
-                boolean place = keeper.takeMetadataChanged();
-                if (events.seconds() - placedS > 1) {
-                    placedS = events.seconds();
-                    place = true;
+            if (replica != null) {
+                storeAssembledResults();
+                List<String> tokens = replica.takeChangedTokens();
+                boolean saveMetadata = replica.takeMetadataChanged();
+                if (events.seconds() - metadataSavedS > 1) {
+                    metadataSavedS = events.seconds();
+                    saveMetadata = true;
                 }
-                SubmittedChange change = commit.submit(tokens, place, keeper.takeOutbound());
+                SubmittedChange change = barrier.submit(tokens, saveMetadata, replica.takeOutbound());
                 change.writes().forEach(this::write);
-                for (OutboundMessage out : change.sendable()) {
-                    send(number(out.recipient()), out.message());
+                for (OutboundMessage outbound : change.sendable()) {
+                    send(numberOf(outbound.recipient()), outbound.message());
                 }
                 outcomes.oldFound =
-                        (int) Math.max(outcomes.oldFound, keeper.statistics().staleDisks());
-                outcomes.unsaid = Math.max(outcomes.unsaid, commit.droppedMessages());
+                        (int) Math.max(outcomes.oldFound, replica.statistics().staleDisks());
+                outcomes.unsaid = Math.max(outcomes.unsaid, barrier.droppedMessages());
                 outcomes.fetchedBytes =
-                        Math.max(outcomes.fetchedBytes, keeper.statistics().receivedBytes());
+                        Math.max(outcomes.fetchedBytes, replica.statistics().receivedBytes());
                 outcomes.conflicts =
-                        (int) Math.max(outcomes.conflicts, keeper.statistics().conflicts());
+                        (int) Math.max(outcomes.conflicts, replica.statistics().conflicts());
             }
-            for (OutboundMessage out : own.takeOutbound()) {
-                send(number(out.recipient()), out.message());
+            for (OutboundMessage outbound : coordinator.takeOutbound()) {
+                send(numberOf(outbound.recipient()), outbound.message());
             }
         }
 
-        private void learnOwn() {
+        private void applyCommittedPlacement() {
             if (voter.committed().epoch() > 0
-                    && (keeper == null
-                            || keeper.placement().epoch() < voter.committed().epoch()
-                            || own.placement().epoch() < voter.committed().epoch())) {
-                learn(voter.committed());
+                    && (replica == null
+                            || replica.placement().epoch() < voter.committed().epoch()
+                            || coordinator.placement().epoch() < voter.committed().epoch())) {
+                applyPlacement(voter.committed());
             }
         }
 
-        private int number(String other) {
+        private int numberOf(String other) {
             return Integer.parseInt(other.substring(1));
         }
 
         private void send(int to, Object message) {
             outcomes.messages++;
-            if (to != number && counts != null) {
-                counts.sent(number, played(), message);
+            if (to != number && trafficCounts != null) {
+                trafficCounts.sent(number, scenarioSeconds(), message);
             }
-            Host at = hosts.get(to);
-            if (at == null) {
+            Host receiver = hosts.get(to);
+            if (receiver == null) {
                 return;
             }
             List<LinkFaults.Copy> copies =
                     to == number
                             ? List.of(new LinkFaults.Copy(0, false))
-                            : faults.fate(number, to, played());
+                            : faults.fate(number, to, scenarioSeconds());
             for (LinkFaults.Copy copy : copies) {
                 if (copy.spoilt()) {
                     continue;
@@ -731,87 +729,86 @@
                 double ms =
                         to == number
                                 ? 0
-                                : script.delayMs()
-                                        + script.jitterMs() * links.nextDouble()
+                                : scenario.delayMs()
+                                        + scenario.jitterMs() * linkRandom.nextDouble()
                                         + copy.delayMs()
-                                        + faults.lateMs(to, played());
-                events.after(ms / 1e3, () -> hosts.get(to).take(new Sent(name, message)));
+                                        + faults.lateMs(to, scenarioSeconds());
+                events.after(ms / 1e3, () -> hosts.get(to).deliver(new Delivery(name, message)));
             }
         }
     }
 
     /**
-     * @param lostDisks share of kills that take the disk along
-     * @param oldDisks share of starts with a disk that find an image of some seconds ago in its
-     *     place
-     * @param sickDisks whether disks fail for some seconds now and then
-     * @param claims whether a run is claimed; without it each server knows of its own runs alone
+     * @param lostDiskShare share of kills that destroy the disk
+     * @param staleDiskShare share of starts with a disk that find an image some seconds old instead
+     * @param injectsDiskFailures whether disks occasionally fail for some seconds
+     * @param usesClaims whether runs are claimed; if not, each server knows only its own runs
      */
     public ReplicationSimulation(
-            FleetScenario script,
+            FleetScenario scenario,
             long seed,
-            double lostDisks,
-            double oldDisks,
-            boolean sickDisks,
-            boolean claims) {
-        this.script = script;
-        this.plan = FaultSchedule.of(script);
-        RandomStreams seeds = new RandomStreams(seed);
-        this.faults = new LinkFaults(plan, seeds.of("faults"));
-        this.links = seeds.of("links");
-        this.chance = seeds.of("chance");
-        this.lostDisks = lostDisks;
-        this.oldDisks = oldDisks;
-        this.sickDisks = sickDisks;
-        this.claims = claims;
+            double lostDiskShare,
+            double staleDiskShare,
+            boolean injectsDiskFailures,
+            boolean usesClaims) {
+        this.scenario = scenario;
+        this.schedule = FaultSchedule.of(scenario);
+        RandomStreams streams = new RandomStreams(seed);
+        this.faults = new LinkFaults(schedule, streams.of("faults"));
+        this.linkRandom = streams.of("links");
+        this.random = streams.of("chance");
+        this.lostDiskShare = lostDiskShare;
+        this.staleDiskShare = staleDiskShare;
+        this.injectsDiskFailures = injectsDiskFailures;
+        this.usesClaims = usesClaims;
     }
 
     /**
-     * Plays it: the fleet forms, then callers ask while the script's faults come and go, and some
-     * time after.
+     * Runs the simulation: the fleet forms, then clients send attempts during the scenario's faults
+     * and for some time after the last one.
+     *
+     * @param formationS seconds before the scenario starts, in which the fleet forms
      */
-    public Outcomes play(int tokenCount, double forms) {
-        faultsShift = forms;
-        for (FaultSchedule.Slot slot : plan.slots()) {
+    public Outcomes play(int tokenCount, double formationS) {
+        scenarioStartS = formationS;
+        for (FaultSchedule.Slot slot : schedule.slots()) {
             hosts.put(slot.number(), new Host(slot.number()));
         }
-        for (FaultSchedule.Action action : plan.actions()) {
-            double at =
-                    action.act() == FaultSchedule.Act.START && action.atS() <= script.startS()
+        for (FaultSchedule.Action action : schedule.actions()) {
+            double startS =
+                    action.act() == FaultSchedule.Act.START && action.atS() <= scenario.startS()
                             ? action.atS()
-                            : action.atS() + forms;
-            events.after(at, () -> act(action));
+                            : action.atS() + formationS;
+            events.after(startS, () -> perform(action));
         }
-        double span = Math.max(plan.lastS(), switchS + SWITCHES_S) + 8;
+        double durationS = Math.max(schedule.lastS(), modeSwitchS + MODE_SWITCH_DURATION_S) + 8;
         for (int i = 0; i < tokenCount; i++) {
             String token = "token-" + i;
-            double at = forms + chance.nextDouble() * span;
-            Token known = new Token("body-" + i);
-            tokens.put(token, known);
-            int times = 1 + chance.nextInt(4);
-            for (int t = 0; t < times; t++) {
-                double later =
-                        t == 0
+            double startS = formationS + random.nextDouble() * durationS;
+            TokenHistory history = new TokenHistory("body-" + i);
+            tokens.put(token, history);
+            int attemptCount = 1 + random.nextInt(4);
+            for (int attempt = 0; attempt < attemptCount; attempt++) {
+                double delayS =
+                        attempt == 0
                                 ? 0
-                                : switch (chance.nextInt(3)) {
-                                    case 0 -> 0.001 * chance.nextDouble();
-                                    case 1 -> chance.nextDouble();
-                                    default -> 12 * chance.nextDouble();
+                                : switch (random.nextInt(3)) {
+                                    case 0 -> 0.001 * random.nextDouble();
+                                    case 1 -> random.nextDouble();
+                                    default -> 12 * random.nextDouble();
                                 };
-                String body = chance.nextInt(20) == 0 ? "other" : known.body;
-                events.after(at + later, () -> ask(token, body));
+                String body = random.nextInt(20) == 0 ? "other" : history.body;
+                events.after(startS + delayS, () -> submitAttempt(token, body));
             }
         }
-        if (counts != null) {
-            events.after(forms, this::lookBehind);
+        if (trafficCounts != null) {
+            events.after(formationS, this::sampleLaggingRanges);
         }
-        events.run(forms + span + 25);
+        events.run(formationS + durationS + 25);
         return outcomes;
     }
 
-    /**
-     * What servers send, by server and second, and when their ranges are whole; for measurements.
-     */
+    /** Traffic per server and second, and the number of lagging ranges over time. */
     static final class Counts {
         private static final double LOOK_S = 0.05;
 
@@ -828,399 +825,403 @@
                         MemberState.ALIVE);
         final Map<Integer, Map<Integer, long[]>> bySecond = new TreeMap<>();
 
-        /** Times at which some range was not whole. */
+        /** Scenario times in seconds at which at least one range lagged. */
         final List<Double> behindAt = new ArrayList<>();
 
         final List<double[]> behind = new ArrayList<>();
 
-        void sent(int from, double atS, Object message) {
-            long[] both =
+        void sent(int serverNumber, double atS, Object message) {
+            long[] totals =
                     bySecond.computeIfAbsent((int) Math.floor(atS), ignored -> new HashMap<>())
-                            .computeIfAbsent(from, ignored -> new long[2]);
-            both[0]++;
-            both[1] += codec.seal(sender, message, 1L << 40).length;
+                            .computeIfAbsent(serverNumber, ignored -> new long[2]);
+            totals[0]++;
+            totals[1] += codec.seal(sender, message, 1L << 40).length;
         }
 
         /**
-         * Of one server in a second: packets (0) or bytes (1), on the mean and at most, between two
-         * times.
+         * Returns the mean and the maximum per server and second, from {@code startS} inclusive to
+         * {@code endS} exclusive.
+         *
+         * @param index 0 for packets, 1 for bytes
          */
-        double[] each(int which, int fromS, int untilS, int servers) {
+        double[] each(int index, int startS, int endS, int servers) {
             double sum = 0;
-            double most = 0;
-            for (int second = fromS; second < untilS; second++) {
-                for (long[] both : bySecond.getOrDefault(second, Map.of()).values()) {
-                    sum += both[which];
-                    most = Math.max(most, both[which]);
+            double max = 0;
+            for (int second = startS; second < endS; second++) {
+                for (long[] totals : bySecond.getOrDefault(second, Map.of()).values()) {
+                    sum += totals[index];
+                    max = Math.max(max, totals[index]);
                 }
             }
-            return new double[] {sum / servers / (untilS - fromS), most};
+            return new double[] {sum / servers / (endS - startS), max};
         }
     }
 
-    private Counts counts;
+    private Counts trafficCounts;
 
-    /** Counts what is sent, and looks when all ranges are whole. */
+    /** Enables the traffic counts and the sampling of lagging ranges. */
     Counts counting() {
-        counts = new Counts();
-        return counts;
+        trafficCounts = new Counts();
+        return trafficCounts;
     }
 
-    private void lookBehind() {
-        int behind = behind();
-        if (behind > 0) {
-            counts.behindAt.add(played());
+    private void sampleLaggingRanges() {
+        int laggingRanges = behind();
+        if (laggingRanges > 0) {
+            trafficCounts.behindAt.add(scenarioSeconds());
         }
-        counts.behind.add(new double[] {played(), behind});
-        events.after(Counts.LOOK_S, this::lookBehind);
+        trafficCounts.behind.add(new double[] {scenarioSeconds(), laggingRanges});
+        events.after(Counts.LOOK_S, this::sampleLaggingRanges);
     }
 
     /**
-     * A fleet that has formed long ago: its keepers are agreed on, as many as a layout takes, and
-     * keep nothing yet.
+     * Starts with a formed fleet: a placement with as many servers as allowed is committed, and the
+     * replicas are empty.
      */
     ReplicationSimulation formed() {
         List<ReplicaServer> servers = new ArrayList<>();
-        int members = script.members();
-        int keepers = Math.min(members, ReplicaPlacement.MAX_SERVERS);
-        for (int i = 0; i < keepers; i++) {
-            int number = 1 + (int) ((long) i * members / keepers);
-            servers.add(new ReplicaServer("m" + number, "z" + script.zone(number)));
+        int memberCount = scenario.members();
+        int replicaServerCount = Math.min(memberCount, ReplicaPlacement.MAX_SERVERS);
+        for (int i = 0; i < replicaServerCount; i++) {
+            int number = 1 + (int) ((long) i * memberCount / replicaServerCount);
+            servers.add(new ReplicaServer("m" + number, "z" + scenario.zone(number)));
         }
         servers.sort(Comparator.comparing(ReplicaServer::name));
-        formed = new ReplicaPlacement(1, servers, servers, FACTOR);
+        initialPlacement = new ReplicaPlacement(1, servers, servers, REPLICATION_FACTOR);
         return this;
     }
 
-    private ReplicaPlacement formed;
+    private ReplicaPlacement initialPlacement;
 
-    /** Time on the script, which begins when the fleet has formed. */
-    private double played() {
-        return events.seconds() - faultsShift;
+    /** Seconds since the start of the scenario, which starts when the fleet has formed. */
+    private double scenarioSeconds() {
+        return events.seconds() - scenarioStartS;
     }
 
-    private double faultsShift;
+    private double scenarioStartS;
 
-    /** All that is said of this token is printed, and all that happens to servers. */
+    /** Prints all messages about this token, and all faults of servers; null for no trace. */
     public ReplicationSimulation trace(String token) {
-        traced = token;
+        tracedToken = token;
         return this;
     }
 
-    private String traced;
+    private String tracedToken;
 
     /**
-     * From then on the servers claim no more, one after the other; it is played until long behind
-     * that.
+     * Switches the servers to server mode one after the other, and extends the run to cover it.
+     *
+     * @param startS scenario time in seconds of the first switch; negative infinity for no switch
+     * @param stepS seconds between the switches of two servers
      */
-    public ReplicationSimulation switching(double atS, double eachS) {
-        switchS = atS;
-        switchEachS = eachS;
+    public ReplicationSimulation switching(double startS, double stepS) {
+        modeSwitchS = startS;
+        modeSwitchStepS = stepS;
         return this;
     }
 
-    private double switchS = Double.NEGATIVE_INFINITY;
-    private double switchEachS;
+    private double modeSwitchS = Double.NEGATIVE_INFINITY;
+    private double modeSwitchStepS;
 
-    private void act(FaultSchedule.Action action) {
+    private void perform(FaultSchedule.Action action) {
         Host host = hosts.get(action.slot());
-        if (traced != null) {
-            System.out.printf(Locale.ROOT, "%9.4f %s %s%n", played(), action.act(), host.name);
+        if (tracedToken != null) {
+            System.out.printf(Locale.ROOT, "%9.4f %s %s%n", scenarioSeconds(), action.act(), host.name);
         }
         switch (action.act()) {
             case START -> {
-                if (!host.up) {
-                    host.start(host.everUp && chance.nextDouble() >= lostDisks || !host.everUp);
+                if (!host.isUp) {
+                    host.start(host.hasStarted && random.nextDouble() >= lostDiskShare || !host.hasStarted);
                 }
             }
             case IMAGE -> {}
             case KILL, LEAVE -> {
-                if (host.up) {
-                    host.end();
+                if (host.isUp) {
+                    host.stop();
                 }
             }
             case PAUSE -> {
-                if (host.up) {
-                    host.paused = true;
-                    host.changedS = events.seconds();
+                if (host.isUp) {
+                    host.isPaused = true;
+                    host.stateChangedS = events.seconds();
                 }
             }
             case RESUME -> {
-                if (!host.up || !host.paused) {
+                if (!host.isUp || !host.isPaused) {
                     return;
                 }
-                host.paused = false;
-                host.changedS = events.seconds();
-                host.own.tick(events.now());
-                host.carryOut();
-                while (!host.waits.isEmpty() && host.up) {
-                    host.take(host.waits.poll());
+                host.isPaused = false;
+                host.stateChangedS = events.seconds();
+                host.coordinator.tick(events.now());
+                host.processOutputs();
+                while (!host.queuedMessages.isEmpty() && host.isUp) {
+                    host.deliver(host.queuedMessages.poll());
                 }
             }
             default -> throw new IllegalStateException();
         }
     }
 
-    private void ask(String token, String body) {
-        List<Host> open = new ArrayList<>();
+    private void submitAttempt(String token, String body) {
+        List<Host> available = new ArrayList<>();
         for (Host each : hosts.values()) {
-            if (each.up && !each.paused) {
-                open.add(each);
+            if (each.isUp && !each.isPaused) {
+                available.add(each);
             }
         }
-        if (open.isEmpty()) {
+        if (available.isEmpty()) {
             return;
         }
-        Host host = open.get(chance.nextInt(open.size()));
-        long life = host.life;
+        Host host = available.get(random.nextInt(available.size()));
+        long incarnation = host.incarnation;
         outcomes.tries++;
-        double at = events.seconds();
-        Duration due = events.now().plus(DUE);
-        boolean[] answered = {false};
-        // What has no end by its due time is errored then, whatever becomes of it, by a server that
-        // is there to say so.
+        double submittedS = events.seconds();
+        Duration deadline = events.now().plus(ATTEMPT_TIMEOUT);
+        boolean[] isAnswered = {false};
+        // An attempt without an outcome at its deadline is answered with an error, provided that
+        // its server is still up; a later outcome is ignored.
         events.after(
-                DUE,
+                ATTEMPT_TIMEOUT,
                 () -> {
-                    if (answered[0]) {
+                    if (isAnswered[0]) {
                         return;
                     }
-                    answered[0] = true;
-                    if (host.life != life || !host.up || host.paused) {
+                    isAnswered[0] = true;
+                    if (host.incarnation != incarnation || !host.isUp || host.isPaused) {
                         outcomes.unanswered++;
                     } else {
                         outcomes.errored++;
                     }
                 });
-        if (claims
-                && host.switched()
-                && host.modes.requirementFor(OPERATION, events.now())
+        if (usesClaims
+                && host.hasSwitchedMode()
+                && host.claimModes.requirementFor(OPERATION, events.now())
                         == ClaimRequirement.REQUIRED) {
-            host.modes = new ClaimModes(SERVERS, BOUNDS.maxWindow(), events.now());
+            host.claimModes = new ClaimModes(SERVER_MODE, LIMITS.maxWindow(), events.now());
         }
-        ClaimRequirement before =
-                claims
-                        ? host.modes.requirementFor(OPERATION, events.now())
+        ClaimRequirement requirement =
+                usesClaims
+                        ? host.claimModes.requirementFor(OPERATION, events.now())
                         : ClaimRequirement.NOT_REQUIRED;
-        // What it runs without a claim each server knows of by itself.
-        if (before == ClaimRequirement.NOT_REQUIRED || host.local.containsKey(token)) {
-            String kept = host.local.putIfAbsent(token, "");
-            if (kept != null) {
-                answered[0] = true;
-                if (kept.isEmpty()) {
+        // A run without a claim is known only to the server that ran it.
+        if (requirement == ClaimRequirement.NOT_REQUIRED || host.localResults.containsKey(token)) {
+            String localResult = host.localResults.putIfAbsent(token, "");
+            if (localResult != null) {
+                isAnswered[0] = true;
+                if (localResult.isEmpty()) {
                     outcomes.errored++;
-                } else if (kept.startsWith(body + " by ")) {
-                    succeeded(token, body, kept);
+                } else if (localResult.startsWith(body + " by ")) {
+                    recordSuccess(token, body, localResult);
                 } else {
                     outcomes.otherBody++;
                 }
                 return;
             }
-            run(host, life, token, body, null, due, answered);
+            startRun(host, incarnation, token, body, null, deadline, isAnswered);
             return;
         }
-        Consumer<ClaimDecision> then =
-                verdict -> {
-                    if (answered[0]) {
-                        // Its caller has been answered: nothing may begin for it.
-                        if (verdict.kind() == ClaimDecision.Kind.RUN) {
-                            host.own.releaseClaim(
-                                    verdict.claimId().orElseThrow(),
-                                    events.now().plus(WINDOW),
+        Consumer<ClaimDecision> onDecision =
+                decision -> {
+                    if (isAnswered[0]) {
+                        // The client was already answered: the run must not start.
+                        if (decision.kind() == ClaimDecision.Kind.RUN) {
+                            host.coordinator.releaseClaim(
+                                    decision.claimId().orElseThrow(),
+                                    events.now().plus(TOKEN_WINDOW),
                                     events.now());
                         }
                         return;
                     }
-                    switch (verdict.kind()) {
+                    switch (decision.kind()) {
                         case RUN -> {
-                            outcomes.claimMs.add((events.seconds() - at) * 1e3);
+                            outcomes.claimMs.add((events.seconds() - submittedS) * 1e3);
                             tokens.get(token)
-                                    .claimed(before == ClaimRequirement.REQUIRED, events.seconds());
-                            run(host, life, token, body, verdict, due, answered);
+                                    .recordClaim(requirement == ClaimRequirement.REQUIRED, events.seconds());
+                            startRun(host, incarnation, token, body, decision, deadline, isAnswered);
                         }
                         case REPLAY -> {
-                            answered[0] = true;
+                            isAnswered[0] = true;
                             outcomes.replayed++;
-                            succeeded(token, body, verdict.outcome().orElseThrow().result());
+                            recordSuccess(token, body, decision.outcome().orElseThrow().result());
                         }
                         case THROTTLED -> {
-                            answered[0] = true;
+                            isAnswered[0] = true;
                             outcomes.throttled++;
                         }
                         case FINGERPRINT_MISMATCH -> {
-                            answered[0] = true;
+                            isAnswered[0] = true;
                             outcomes.otherBody++;
                         }
                         default -> {
-                            answered[0] = true;
+                            isAnswered[0] = true;
                             outcomes.errored++;
                         }
                     }
                 };
-        host.own.claim(
+        host.coordinator.claim(
                 new ClaimIntent(
                         token,
                         body,
-                        before == ClaimRequirement.REQUIRED_TRANSITIONALLY,
-                        due.minusMillis(500),
-                        events.now().plus(WINDOW)),
+                        requirement == ClaimRequirement.REQUIRED_TRANSITIONALLY,
+                        deadline.minusMillis(500),
+                        events.now().plus(TOKEN_WINDOW)),
                 events.now(),
-                then);
-        host.carryOut();
+                onDecision);
+        host.processOutputs();
     }
 
-    private void run(
+    private void startRun(
             Host host,
-            long life,
+            long incarnation,
             String token,
             String body,
-            ClaimDecision verdict,
-            Duration due,
-            boolean[] answered) {
-        Token known = tokens.get(token);
+            ClaimDecision decision,
+            Duration deadline,
+            boolean[] isAnswered) {
+        TokenHistory history = tokens.get(token);
         outcomes.runs++;
-        for (int i = 0; i < known.ranAt.size(); i++) {
-            double before = known.ranAt.get(i);
-            // A token whose first run was no fleet's stays so.
-            if (events.seconds() - before >= WINDOW.toSeconds() || claims && !known.claimed) {
+        for (int i = 0; i < history.runTimesS.size(); i++) {
+            double runS = history.runTimesS.get(i);
+            // Only tokens whose first run was claimed are guaranteed to run once.
+            if (events.seconds() - runS >= TOKEN_WINDOW.toSeconds() || usesClaims && !history.claimed) {
                 continue;
             }
-            if (forgotten(known.keptBy.get(i), before)) {
+            if (isExcused(history.replicasAtRun.get(i), runS)) {
                 outcomes.excused++;
             } else {
-                broken(token + " was run again by " + host.name + ", " + verdict);
+                recordViolation(token + " was run again by " + host.name + ", " + decision);
             }
         }
-        if (verdict == null && claims) {
-            known.claimed(false, events.seconds());
+        if (decision == null && usesClaims) {
+            history.recordClaim(false, events.seconds());
             outcomes.unclaimed++;
         }
-        known.ranAt.add(events.seconds());
-        known.keptBy.add(host.own.placement().replicasOf(ReplicaPlacement.rangeOf(token)));
-        double work = chance.nextInt(8) == 0 ? 3 * chance.nextDouble() : 0.05 * chance.nextDouble();
-        String result = body + " by " + host.name + " " + life + " " + outcomes.runs;
-        if (token.hashCode() % LONG_RESULTS == 0) {
-            result += ".".repeat(ClaimOutcome.MAX_INLINE_BYTES + chance.nextInt(20_000));
+        history.runTimesS.add(events.seconds());
+        history.replicasAtRun.add(host.coordinator.placement().replicasOf(ReplicaPlacement.rangeOf(token)));
+        double durationS = random.nextInt(8) == 0 ? 3 * random.nextDouble() : 0.05 * random.nextDouble();
+        String result = body + " by " + host.name + " " + incarnation + " " + outcomes.runs;
+        if (token.hashCode() % TOKENS_PER_CHUNKED_RESULT == 0) {
+            result += ".".repeat(ClaimOutcome.MAX_INLINE_BYTES + random.nextInt(20_000));
         }
-        String whole = result;
-        events.after(work, () -> finish(host, life, token, body, whole, verdict, due, answered));
+        String finalResult = result;
+        events.after(durationS, () -> finishRun(host, incarnation, token, body, finalResult, decision, deadline, isAnswered));
     }
 
     /**
-     * Whether a majority of these, or of all voters, has lost its disks since: nothing is promised
-     * beyond that.
+     * Whether a majority of these replicas, or of the voters, has lost its disks since then: the
+     * fleet gives no guarantee in that case.
      */
-    private boolean forgotten(List<String> keepers, double sinceS) {
-        return lost(keepers, sinceS)
-                || lost(
+    private boolean isExcused(List<String> replicas, double sinceS) {
+        return hasLostQuorum(replicas, sinceS)
+                || hasLostQuorum(
                         hosts.values().stream()
-                                .filter(each -> each.number <= VOTERS)
+                                .filter(each -> each.number <= VOTER_COUNT)
                                 .map(each -> each.name)
                                 .toList(),
                         sinceS);
     }
 
-    private boolean lost(List<String> names, double sinceS) {
-        long lost =
+    private boolean hasLostQuorum(List<String> names, double sinceS) {
+        long lostCount =
                 hosts.values().stream()
                         .filter(
                                 each ->
                                         names.contains(each.name)
-                                                && each.lostS.stream().anyMatch(at -> at >= sinceS))
+                                                && each.diskLossTimesS.stream().anyMatch(at -> at >= sinceS))
                         .count();
-        return !names.isEmpty() && lost >= ReplicaPlacement.quorumSize(names.size());
+        return !names.isEmpty() && lostCount >= ReplicaPlacement.quorumSize(names.size());
     }
 
-    private CompletedClaim completed(
-            ClaimDecision verdict, String body, String result, Duration due) {
-        boolean big = result.length() > ClaimOutcome.MAX_INLINE_BYTES;
+    private CompletedClaim completedClaim(
+            ClaimDecision decision, String body, String result, Duration deadline) {
+        boolean isChunked = result.length() > ClaimOutcome.MAX_INLINE_BYTES;
         return new CompletedClaim(
-                verdict.claimId().orElseThrow(),
-                big ? ClaimOutcome.chunked(body, result) : new ClaimOutcome(true, body, result),
-                big ? Optional.of(result) : Optional.empty(),
-                due,
-                events.now().plus(WINDOW));
+                decision.claimId().orElseThrow(),
+                isChunked ? ClaimOutcome.chunked(body, result) : new ClaimOutcome(true, body, result),
+                isChunked ? Optional.of(result) : Optional.empty(),
+                deadline,
+                events.now().plus(TOKEN_WINDOW));
     }
 
-    private void finish(
+    private void finishRun(
             Host host,
-            long life,
+            long incarnation,
             String token,
             String body,
             String result,
-            ClaimDecision verdict,
-            Duration due,
-            boolean[] answered) {
-        if (!host.up || host.life != life) {
+            ClaimDecision decision,
+            Duration deadline,
+            boolean[] isAnswered) {
+        if (!host.isUp || host.incarnation != incarnation) {
             return;
         }
-        if (host.paused) {
+        if (host.isPaused) {
             events.after(
-                    0.1, () -> finish(host, life, token, body, result, verdict, due, answered));
+                    0.1, () -> finishRun(host, incarnation, token, body, result, decision, deadline, isAnswered));
             return;
         }
-        if (verdict == null) {
-            host.local.put(token, result);
-            if (answered[0]) {
+        if (decision == null) {
+            host.localResults.put(token, result);
+            if (isAnswered[0]) {
                 return;
             }
-            answered[0] = true;
-            succeeded(token, body, result);
+            isAnswered[0] = true;
+            recordSuccess(token, body, result);
             return;
         }
-        host.own.reportOutcome(
-                completed(verdict, body, result, due),
+        host.coordinator.reportOutcome(
+                completedClaim(decision, body, result, deadline),
                 events.now(),
-                kept -> {
-                    if (answered[0]) {
+                isStored -> {
+                    if (isAnswered[0]) {
                         return;
                     }
-                    answered[0] = true;
-                    // Not kept by a majority in time: nothing is claimed that could be lost.
-                    if (kept) {
-                        succeeded(token, body, result);
+                    isAnswered[0] = true;
+                    // A result that no majority stored in time could be lost: answer an error.
+                    if (isStored) {
+                        recordSuccess(token, body, result);
                     } else {
                         outcomes.errored++;
                     }
                 });
-        host.carryOut();
+        host.processOutputs();
     }
 
-    private void succeeded(String token, String body, String result) {
+    private void recordSuccess(String token, String body, String result) {
         outcomes.succeeded++;
-        Token known = tokens.get(token);
-        known.results.add(result);
-        if (known.results.size() > 1
-                && (known.claimed || !claims)
-                && !(known.ranAt.size() > 1
-                        && forgotten(known.keptBy.get(0), known.ranAt.get(0)))) {
-            broken(token + " was answered with two results " + known.results);
+        TokenHistory history = tokens.get(token);
+        history.results.add(result);
+        if (history.results.size() > 1
+                && (history.claimed || !usesClaims)
+                && !(history.runTimesS.size() > 1
+                        && isExcused(history.replicasAtRun.get(0), history.runTimesS.get(0)))) {
+            recordViolation(token + " was answered with two results " + history.results);
         }
         if (!result.startsWith(body + " by ")) {
-            broken(token + " was answered with another body's result");
+            recordViolation(token + " was answered with another body's result");
         }
     }
 
-    private void broken(String text) {
+    private void recordViolation(String text) {
         if (outcomes.broken.size() < 20) {
             outcomes.broken.add(
-                    String.format(Locale.ROOT, "%.3f s: %s", events.seconds() - faultsShift, text));
+                    String.format(Locale.ROOT, "%.3f s: %s", events.seconds() - scenarioStartS, text));
         }
     }
 
-    /** The layout that most servers know of at the end. */
+    /** The placement with the highest epoch known to a running server; empty if there is none. */
     public Optional<ReplicaPlacement> layout() {
         return hosts.values().stream()
-                .filter(each -> each.up && each.keeper != null)
-                .map(each -> each.keeper.placement())
+                .filter(each -> each.isUp && each.replica != null)
+                .map(each -> each.replica.placement())
                 .max((a, b) -> Long.compare(a.epoch(), b.epoch()));
     }
 
-    /** Ranges that are not whole at servers that are up. */
+    /** Number of lagging ranges, summed over the running servers. */
     public int behind() {
         return hosts.values().stream()
-                .filter(each -> each.up && each.keeper != null)
-                .mapToInt(each -> each.keeper.laggingRangeCount())
+                .filter(each -> each.isUp && each.replica != null)
+                .mapToInt(each -> each.replica.laggingRangeCount())
                 .sum();
     }
 }
