--- a/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -37,53 +37,53 @@
 import ochretiller.fleet.rollout.VersionReport;
 
 /**
- * A fleet to which versions are brought out, in virtual time: voters, rollouts, leases and the way
- * of the bytes are the server's own decisions; some versions do harm. It notes on what each keyed
- * run acted, and holds that against what was agreed on.
+ * Simulates in virtual time the rollout of versions to a fleet. Consensus, rollout control, leases
+ * and version downloads are the server's own classes; some versions are harmful. The version that
+ * each keyed run uses is checked against the committed rollout states.
  */
 public final class RolloutSimulation {
-    private static final int VOTERS = 3;
-    private static final int FACTOR = 3;
-    private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration SPEAK = Duration.ofMillis(500);
-    private static final Duration LEASE = Duration.ofSeconds(4);
-    private static final Duration GRACE = Duration.ofSeconds(3);
-    private static final Duration WATCH = Duration.ofSeconds(4);
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    private static final int VOTER_COUNT = 3;
+    private static final int REPLICATION_FACTOR = 3;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
+    private static final Duration LEASE_DURATION = Duration.ofSeconds(4);
+    private static final Duration GRACE_PERIOD = Duration.ofSeconds(3);
+    private static final Duration OBSERVATION_TIME = Duration.ofSeconds(4);
+    private static final Duration ACTIVATION_TIMEOUT = Duration.ofSeconds(6);
 
     /**
-     * What is in force for a server is so at a voter by then: an epoch's way, a report's, and that
-     * of the doubt whether it is late.
+     * Seconds for a committed epoch and the following status report to reach the voters, and for the
+     * voters to detect that a server is outdated.
      */
-    private static final double SLACK_S = 2.5;
+    private static final double PROPAGATION_S = 2.5;
 
-    private static final double READ_EVERY_S = 0.05;
+    private static final double INVOCATION_INTERVAL_S = 0.05;
 
-    /** Shares of answers that are errored: usually, and where a version does harm. */
-    private static final double USUAL = 0.02;
+    /** Share of runs that end with an error: for a harmless and for a harmful version. */
+    private static final double BASE_ERROR_SHARE = 0.02;
 
-    private static final double HARM = 0.25;
-    private static final int SIZE = 3 * VersionDownload.CHUNK_BYTES - 100;
-    private static final int ROOM = 2_000;
+    private static final double HARMFUL_ERROR_SHARE = 0.25;
+    private static final int VERSION_BYTES = 3 * VersionDownload.CHUNK_BYTES - 100;
+    private static final int MAX_QUEUED_MESSAGES = 2_000;
 
-    private final FleetScenario script;
-    private final FaultSchedule plan;
+    private final FleetScenario scenario;
+    private final FaultSchedule schedule;
     private final EventQueue events = new EventQueue();
     private final LinkFaults faults;
-    private final SplittableRandom links;
-    private final SplittableRandom chance;
+    private final SplittableRandom linkRandom;
+    private final SplittableRandom random;
     private final Map<Integer, Host> hosts = new TreeMap<>();
-    private final Set<Long> harmful = new HashSet<>();
+    private final Set<Long> harmfulVersions = new HashSet<>();
 
-    /** When each epoch was first known to be agreed on. */
-    private final TreeMap<Double, ReplicaPlacement> agreed = new TreeMap<>();
+    /** Committed placements by the time, in seconds, at which a voter first knew of the commit. */
+    private final TreeMap<Double, ReplicaPlacement> committedPlacements = new TreeMap<>();
 
     private final Outcomes outcomes = new Outcomes();
-    private final ReplicaPlacement first;
-    private final boolean leases;
+    private final ReplicaPlacement initialPlacement;
+    private final boolean enforcesLeases;
     private long publications;
 
-    /** What was seen. */
+    /** Counts and rule violations of a simulation run. */
     public static final class Outcomes {
         public int published;
         public int harmless;
@@ -91,7 +91,7 @@
         public int harmfulOnes;
         public int harmfulStopped;
 
-        /** Of those: stopped before all servers acted on them. */
+        /** Harmful versions that were stopped before the stage that includes all servers. */
         public int stoppedEarly;
 
         public long runs;
@@ -99,50 +99,50 @@
         public long messages;
 
         /**
-         * From the last fault, or the last word, until all live servers act on what is in force;
-         * infinite where they do not come to.
+         * Seconds from the last fault or publication until every live server runs its target
+         * version and holds a lease; infinite if that never happens.
          */
         public double settledS = Double.POSITIVE_INFINITY;
 
-        /** From each publication until it was in force everywhere. */
+        /** Seconds from each publication until its rollout was complete. */
         public final List<Double> rolloutS = new ArrayList<>();
 
         public final List<String> broken = new ArrayList<>();
 
-        /** What kept a fleet from settling. */
+        /** Description of the fleet's final state if it did not settle. */
         public final List<String> notes = new ArrayList<>();
     }
 
-    private record Sent(String from, Object message) {}
+    private record Delivery(String from, Object message) {}
 
     private final class Host {
         final int number;
         final String name;
-        boolean up;
-        boolean paused;
-        long life;
-        ReplicaPlacement layout = first;
-        PublishedVersion acting = PublishedVersion.NONE;
-        final Set<String> bytes = new HashSet<>();
-        final Map<Long, VersionCounters> counts = new HashMap<>();
-        final Deque<Sent> waits = new ArrayDeque<>();
+        boolean isUp;
+        boolean isPaused;
+        long incarnation;
+        ReplicaPlacement placement = initialPlacement;
+        PublishedVersion activeVersion = PublishedVersion.NONE;
+        final Set<String> availableHashes = new HashSet<>();
+        final Map<Long, VersionCounters> countersByVersion = new HashMap<>();
+        final Deque<Delivery> queuedMessages = new ArrayDeque<>();
         EpochConsensus voter;
         AcceptorState disk =
-                new AcceptorState(first, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
+                new AcceptorState(initialPlacement, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
         Lease lease;
-        LeaseGrantor door;
-        RolloutController rollouts;
-        VersionDownload gather;
+        LeaseGrantor leaseGrantor;
+        RolloutController rolloutController;
+        VersionDownload download;
         final Map<String, VersionReport> reports = new HashMap<>();
-        RolloutState wished;
+        RolloutState requestedState;
 
-        /** When this process came to know of epochs. */
-        final TreeMap<Long, Double> knew = new TreeMap<>();
+        /** Time in seconds at which this process learned of each epoch. */
+        final TreeMap<Long, Double> epochKnownS = new TreeMap<>();
 
-        double attemptedS = -10;
+        double lastProposalS = -10;
 
-        /** When it was last seen to act on something else than what is in force for it. */
-        double lateS = Double.NEGATIVE_INFINITY;
+        /** Last time in seconds at which its version differed from the committed target. */
+        double lastOutdatedS = Double.NEGATIVE_INFINITY;
 
         Host(int number) {
             this.number = number;
@@ -150,67 +150,67 @@
         }
 
         void start() {
-            up = true;
-            paused = false;
-            life++;
-            waits.clear();
-            counts.clear();
+            isUp = true;
+            isPaused = false;
+            incarnation++;
+            queuedMessages.clear();
+            countersByVersion.clear();
             reports.clear();
-            wished = null;
-            Set<String> names = new HashSet<>();
-            for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
-                names.add("m" + i);
+            requestedState = null;
+            Set<String> voterNames = new HashSet<>();
+            for (int i = 1; i <= Math.min(VOTER_COUNT, scenario.members()); i++) {
+                voterNames.add("m" + i);
             }
             voter =
-                    names.contains(name)
-                            ? EpochConsensus.resume(name, names, disk, chance.nextLong())
+                    voterNames.contains(name)
+                            ? EpochConsensus.resume(name, voterNames, disk, random.nextLong())
                             : null;
-            layout = voter != null ? voter.committed() : layout;
-            knew.clear();
-            knew.put(layout.epoch(), events.seconds());
-            lease = new Lease(names, LEASE, chance.nextLong() >>> 16);
-            door = new LeaseGrantor(GRACE, chance.split());
-            rollouts = new RolloutController(WATCH, PATIENCE, true);
-            gather = new VersionDownload(chance.split());
-            tick(life);
-            speak(life);
-            read(life);
-        }
-
-        void end() {
+            placement = voter != null ? voter.committed() : placement;
+            epochKnownS.clear();
+            epochKnownS.put(placement.epoch(), events.seconds());
+            lease = new Lease(voterNames, LEASE_DURATION, random.nextLong() >>> 16);
+            leaseGrantor = new LeaseGrantor(GRACE_PERIOD, random.split());
+            rolloutController = new RolloutController(OBSERVATION_TIME, ACTIVATION_TIMEOUT, true);
+            download = new VersionDownload(random.split());
+            tick(incarnation);
+            report(incarnation);
+            attemptRun(incarnation);
+        }
+
+        void stop() {
             if (voter != null) {
                 disk = voter.durableState();
             }
-            up = false;
+            isUp = false;
         }
 
-        private void tick(long mine) {
-            if (!up || life != mine) {
+        private void tick(long scheduledIncarnation) {
+            if (!isUp || incarnation != scheduledIncarnation) {
                 return;
             }
-            if (!paused) {
+            if (!isPaused) {
                 Duration now = events.now();
-                for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
-                    send(ask.recipient(), ask.request());
+                for (OutboundChunkRequest chunkRequest : download.tick(sources(), now)) {
+                    send(chunkRequest.recipient(), chunkRequest.request());
                 }
                 if (voter != null) {
-                    vote();
+                    proposeRollout();
                 }
             }
             events.after(
-                    TICK.plus(
+                    TICK_INTERVAL.plus(
                             Duration.ofNanos(
                                     (long) (faults.lateMs(number, events.seconds()) * 1e6))),
-                    () -> tick(mine));
+                    () -> tick(scheduledIncarnation));
         }
 
         private List<String> sources() {
             List<String> all = new ArrayList<>();
-            if (gather.isIncomplete()) {
+            if (download.isIncomplete()) {
                 for (Host each : hosts.values()) {
-                    if (each.up
+                    if (each.isUp
                             && each != this
-                            && (each.voter != null || RolloutStages.includes(layout, each.name))) {
+                            && (each.voter != null || RolloutStages.includes(placement, each.name))) {
                         all.add(each.name);
                     }
                 }
@@ -218,217 +218,217 @@
             return all;
         }
 
-        private void vote() {
+        private void proposeRollout() {
             Set<String> live = new HashSet<>();
             for (Host each : hosts.values()) {
-                if (each.up && !each.paused) {
+                if (each.isUp && !each.isPaused) {
                     live.add(each.name);
                 }
             }
             reports.keySet().retainAll(live);
-            if (voter.isProposing() && events.seconds() - attemptedS < 1
-                    || chance.nextInt(10) != 0) {
+            if (voter.isProposing() && events.seconds() - lastProposalS < 1
+                    || random.nextInt(10) != 0) {
                 return;
             }
-            ReplicaPlacement now = voter.committed();
-            RolloutState next =
-                    wished != null
-                            ? wished
-                            : rollouts.nextState(now, live, events.now()).orElse(null);
-            if (next == null) {
+            ReplicaPlacement committed = voter.committed();
+            RolloutState proposed =
+                    requestedState != null
+                            ? requestedState
+                            : rolloutController.nextState(committed, live, events.now()).orElse(null);
+            if (proposed == null) {
                 return;
             }
-            attemptedS = events.seconds();
-            voter.propose(now.with(next));
-            carryOut();
+            lastProposalS = events.seconds();
+            voter.propose(committed.with(proposed));
+            processOutputs();
         }
 
-        private void speak(long mine) {
-            if (!up || life != mine) {
+        private void report(long scheduledIncarnation) {
+            if (!isUp || incarnation != scheduledIncarnation) {
                 return;
             }
-            if (!agreed.isEmpty()
-                    && acting.number()
-                            != RolloutStages.targetVersion(agreed.lastEntry().getValue(), name)
+            if (!committedPlacements.isEmpty()
+                    && activeVersion.number()
+                            != RolloutStages.targetVersion(committedPlacements.lastEntry().getValue(), name)
                                     .number()) {
-                lateS = events.seconds();
+                lastOutdatedS = events.seconds();
             }
-            if (!paused) {
-                RolloutState rollout = layout.rollout();
-                VersionCounters before =
+            if (!isPaused) {
+                RolloutState rollout = placement.rollout();
+                VersionCounters previousCounters =
                         rollout.previous().number() == rollout.target().number()
                                 ? VersionCounters.ZERO
-                                : counts.getOrDefault(
+                                : countersByVersion.getOrDefault(
                                         rollout.previous().number(), VersionCounters.ZERO);
                 VersionReport report =
                         new VersionReport(
-                                acting.number(),
-                                acting.hash(),
+                                activeVersion.number(),
+                                activeVersion.hash(),
                                 0,
                                 "",
                                 rollout.target().number(),
-                                counts.getOrDefault(
+                                countersByVersion.getOrDefault(
                                         rollout.target().number(), VersionCounters.ZERO),
-                                before);
-                RolloutMessage.StatusReport tell =
+                                previousCounters);
+                RolloutMessage.StatusReport statusReport =
                         new RolloutMessage.StatusReport(
                                 lease.startRenewal(events.now()), report, 0, "");
-                for (int i = 1; i <= Math.min(VOTERS, script.members()); i++) {
+                for (int i = 1; i <= Math.min(VOTER_COUNT, scenario.members()); i++) {
                     if (i == number) {
-                        received(name, tell);
+                        receive(name, statusReport);
                     } else {
-                        send("m" + i, tell);
+                        send("m" + i, statusReport);
                     }
                 }
                 if (voter != null) {
                     for (int i = 0; i < 4; i++) {
-                        Host to = hosts.get(1 + chance.nextInt(hosts.size()));
+                        Host to = hosts.get(1 + random.nextInt(hosts.size()));
                         if (to != this) {
                             send(to.name, new ConsensusMessage.Committed(voter.committed()));
                         }
                     }
                 }
             }
-            events.after(SPEAK, () -> speak(mine));
+            events.after(REPORT_INTERVAL, () -> report(scheduledIncarnation));
         }
 
-        /** A keyed invocation is read, and begun if this server may. */
-        private void read(long mine) {
-            if (!up || life != mine) {
+        /** Receives a keyed invocation and runs it if the server holds a lease. */
+        private void attemptRun(long scheduledIncarnation) {
+            if (!isUp || incarnation != scheduledIncarnation) {
                 return;
             }
-            if (!paused) {
-                boolean may = !leases || lease.isHeld(events.now());
-                if (may) {
-                    ran();
+            if (!isPaused) {
+                boolean mayRun = !enforcesLeases || lease.isHeld(events.now());
+                if (mayRun) {
+                    recordRun();
                 } else {
                     outcomes.refusedRuns++;
                 }
             }
-            events.after(READ_EVERY_S * (0.5 + chance.nextDouble()), () -> read(mine));
+            events.after(INVOCATION_INTERVAL_S * (0.5 + random.nextDouble()), () -> attemptRun(scheduledIncarnation));
         }
 
-        private void ran() {
+        private void recordRun() {
             outcomes.runs++;
-            boolean bad = chance.nextDouble() < (harmful.contains(acting.number()) ? HARM : USUAL);
-            counts.merge(
-                    acting.number(),
-                    new VersionCounters(1, 0, bad ? 1 : 0, 0, bad ? 0 : 1, 1),
+            boolean isErrored = random.nextDouble() < (harmfulVersions.contains(activeVersion.number()) ? HARMFUL_ERROR_SHARE : BASE_ERROR_SHARE);
+            countersByVersion.merge(
+                    activeVersion.number(),
+                    new VersionCounters(1, 0, isErrored ? 1 : 0, 0, isErrored ? 0 : 1, 1),
                     VersionCounters::plus);
-            String wrong = wrong(this);
-            if (wrong != null && outcomes.broken.size() < 20) {
+            String violation = describeViolation(this);
+            if (violation != null && outcomes.broken.size() < 20) {
                 outcomes.broken.add(
-                        String.format(Locale.ROOT, "%.3f s: %s", events.seconds(), wrong));
+                        String.format(Locale.ROOT, "%.3f s: %s", events.seconds(), violation));
             }
         }
 
-        void take(Sent sent) {
-            if (!up) {
+        void deliver(Delivery delivery) {
+            if (!isUp) {
                 return;
             }
-            if (paused) {
-                if (waits.size() < ROOM) {
-                    waits.add(sent);
+            if (isPaused) {
+                if (queuedMessages.size() < MAX_QUEUED_MESSAGES) {
+                    queuedMessages.add(delivery);
                 }
                 return;
             }
-            received(sent.from, sent.message);
+            receive(delivery.from, delivery.message);
         }
 
-        private void received(String from, Object message) {
+        private void receive(String from, Object message) {
             Duration now = events.now();
-            if (message instanceof ConsensusMessage word) {
+            if (message instanceof ConsensusMessage consensusMessage) {
                 if (voter != null) {
-                    voter.receive(from, word);
+                    voter.receive(from, consensusMessage);
                 }
-                if (word instanceof ConsensusMessage.Committed told) {
-                    learn(told.placement());
+                if (consensusMessage instanceof ConsensusMessage.Committed committed) {
+                    adoptPlacement(committed.placement());
                 }
-            } else if (message instanceof RolloutMessage.StatusReport tell) {
-                rollouts.recordReport(from, tell.report());
-                reports.put(from, tell.report());
-                boolean may = door.renew(layout, from, reports, now);
+            } else if (message instanceof RolloutMessage.StatusReport statusReport) {
+                rolloutController.recordReport(from, statusReport.report());
+                reports.put(from, statusReport.report());
+                boolean isGranted = leaseGrantor.renew(placement, from, reports, now);
                 if (from.equals(name)) {
-                    if (may) {
-                        lease.recordGrant(name, tell.requestId());
+                    if (isGranted) {
+                        lease.recordGrant(name, statusReport.requestId());
                     }
                 } else {
-                    send(from, new RolloutMessage.LeaseReply(tell.requestId(), may));
-                    // As a standing does: who reports on an older version has missed the epoch.
-                    if (tell.report().rolloutVersion() < layout.rollout().target().number()) {
-                        send(from, new ConsensusMessage.Committed(layout));
+                    send(from, new RolloutMessage.LeaseReply(statusReport.requestId(), isGranted));
+                    // A report for an older rollout shows that its sender missed an epoch.
+                    if (statusReport.report().rolloutVersion() < placement.rollout().target().number()) {
+                        send(from, new ConsensusMessage.Committed(placement));
                     }
                 }
-            } else if (message instanceof RolloutMessage.LeaseReply renewed) {
-                if (renewed.granted()) {
-                    lease.recordGrant(from, renewed.requestId());
+            } else if (message instanceof RolloutMessage.LeaseReply leaseReply) {
+                if (leaseReply.granted()) {
+                    lease.recordGrant(from, leaseReply.requestId());
                 }
-            } else if (message instanceof RolloutMessage.ChunkRequest want) {
-                if (bytes.contains(want.hash())) {
-                    VersionDownload.slice(want, new byte[SIZE])
-                            .ifPresent(piece -> send(from, piece));
+            } else if (message instanceof RolloutMessage.ChunkRequest chunkRequest) {
+                if (availableHashes.contains(chunkRequest.hash())) {
+                    VersionDownload.slice(chunkRequest, new byte[VERSION_BYTES])
+                            .ifPresent(chunk -> send(from, chunk));
                 }
-            } else if (message instanceof RolloutMessage.Chunk piece) {
-                gather.accept(piece, now)
+            } else if (message instanceof RolloutMessage.Chunk chunk) {
+                download.accept(chunk, now)
                         .ifPresent(
-                                all -> {
-                                    bytes.add(piece.hash());
-                                    follow();
+                                content -> {
+                                    availableHashes.add(chunk.hash());
+                                    applyTargetVersion();
                                 });
-                for (OutboundChunkRequest ask : gather.tick(sources(), now)) {
-                    send(ask.recipient(), ask.request());
+                for (OutboundChunkRequest chunkRequest : download.tick(sources(), now)) {
+                    send(chunkRequest.recipient(), chunkRequest.request());
                 }
             }
-            carryOut();
+            processOutputs();
         }
 
-        private void learn(ReplicaPlacement next) {
-            if (next.epoch() <= layout.epoch()) {
+        private void adoptPlacement(ReplicaPlacement next) {
+            if (next.epoch() <= placement.epoch()) {
                 return;
             }
-            layout = next;
-            door.adoptPlacement(next, events.now());
-            knew.put(next.epoch(), events.seconds());
-            if (next.rollout().equals(wished)) {
-                wished = null;
+            placement = next;
+            leaseGrantor.adoptPlacement(next, events.now());
+            epochKnownS.put(next.epoch(), events.seconds());
+            if (next.rollout().equals(requestedState)) {
+                requestedState = null;
             }
-            follow();
+            applyTargetVersion();
         }
 
-        private void follow() {
-            PublishedVersion target = RolloutStages.targetVersion(layout, name);
-            if (target.number() == acting.number()) {
+        private void applyTargetVersion() {
+            PublishedVersion target = RolloutStages.targetVersion(placement, name);
+            if (target.number() == activeVersion.number()) {
                 return;
             }
-            if (!target.usesLocalFiles() && !bytes.contains(target.hash())) {
-                gather.start(target, events.now());
+            if (!target.usesLocalFiles() && !availableHashes.contains(target.hash())) {
+                download.start(target, events.now());
             } else {
-                acting = target;
+                activeVersion = target;
             }
         }
 
-        void carryOut() {
+        void processOutputs() {
             if (voter == null) {
                 return;
             }
-            if (voter.committed().epoch() > layout.epoch()) {
-                learn(voter.committed());
+            if (voter.committed().epoch() > placement.epoch()) {
+                adoptPlacement(voter.committed());
             }
-            // A majority may have accepted it before anybody knows: what is agreed on is so from
-            // the first that does.
+            // A majority may accept a placement before any voter learns so: it counts as committed
+            // from when the first voter knows.
             ReplicaPlacement known = voter.committed();
-            if (agreed.isEmpty() || known.epoch() > agreed.lastEntry().getValue().epoch()) {
-                agreedOn(known);
+            if (committedPlacements.isEmpty() || known.epoch() > committedPlacements.lastEntry().getValue().epoch()) {
+                recordCommitted(known);
             }
-            for (OutboundConsensusMessage out : voter.takeOutbound()) {
-                if (out.recipient().isPresent()) {
-                    send(out.recipient().get(), out.message());
+            for (OutboundConsensusMessage outbound : voter.takeOutbound()) {
+                if (outbound.recipient().isPresent()) {
+                    send(outbound.recipient().get(), outbound.message());
                 } else {
                     for (Host each : hosts.values()) {
                         if (each != this
                                 && (each.voter != null
-                                        || out.message() instanceof ConsensusMessage.Committed)) {
-                            send(each.name, out.message());
+                                        || outbound.message() instanceof ConsensusMessage.Committed)) {
+                            send(each.name, outbound.message());
                         }
                     }
                 }
@@ -437,97 +437,103 @@
 
         private void send(String to, Object message) {
             outcomes.messages++;
-            int other = Integer.parseInt(to.substring(1));
-            for (LinkFaults.Copy copy : faults.fate(number, other, events.seconds())) {
+            int receiver = Integer.parseInt(to.substring(1));
+            for (LinkFaults.Copy copy : faults.fate(number, receiver, events.seconds())) {
                 if (copy.spoilt()) {
                     continue;
                 }
                 double ms =
-                        script.delayMs()
-                                + script.jitterMs() * links.nextDouble()
+                        scenario.delayMs()
+                                + scenario.jitterMs() * linkRandom.nextDouble()
                                 + copy.delayMs()
-                                + faults.lateMs(other, events.seconds());
-                events.after(ms / 1e3, () -> hosts.get(other).take(new Sent(name, message)));
+                                + faults.lateMs(receiver, events.seconds());
+                events.after(ms / 1e3, () -> hosts.get(receiver).deliver(new Delivery(name, message)));
             }
         }
     }
 
     /**
-     * @param leases whether servers heed them; without, stragglers are to be seen
+     * @param enforcesLeases whether servers run keyed invocations only with a lease; without that,
+     *     violations by outdated servers are expected
      */
-    public RolloutSimulation(FleetScenario script, long seed, boolean leases) {
-        this.script = script;
-        this.plan = FaultSchedule.of(script);
-        this.leases = leases;
-        RandomStreams seeds = new RandomStreams(seed);
-        this.faults = new LinkFaults(plan, seeds.of("faults"));
-        this.links = seeds.of("links");
-        this.chance = seeds.of("versions");
+    public RolloutSimulation(FleetScenario scenario, long seed, boolean enforcesLeases) {
+        this.scenario = scenario;
+        this.schedule = FaultSchedule.of(scenario);
+        this.enforcesLeases = enforcesLeases;
+        RandomStreams streams = new RandomStreams(seed);
+        this.faults = new LinkFaults(schedule, streams.of("faults"));
+        this.linkRandom = streams.of("links");
+        this.random = streams.of("versions");
         List<ReplicaServer> servers = new ArrayList<>();
-        for (int i = 1; i <= Math.min(script.members(), ReplicaPlacement.MAX_SERVERS); i++) {
-            servers.add(new ReplicaServer("m" + i, "z" + script.zone(i)));
+        for (int i = 1; i <= Math.min(scenario.members(), ReplicaPlacement.MAX_SERVERS); i++) {
+            servers.add(new ReplicaServer("m" + i, "z" + scenario.zone(i)));
         }
         servers.sort(Comparator.comparing(ReplicaServer::name));
-        this.first = new ReplicaPlacement(1, servers, servers, FACTOR);
+        this.initialPlacement = new ReplicaPlacement(1, servers, servers, REPLICATION_FACTOR);
     }
 
-    private void agreedOn(ReplicaPlacement layout) {
+    private void recordCommitted(ReplicaPlacement placement) {
         RolloutState before =
-                agreed.isEmpty() ? RolloutState.NONE : agreed.lastEntry().getValue().rollout();
-        RolloutState now = layout.rollout();
-        agreed.put(events.seconds(), layout);
-        boolean back =
+                committedPlacements.isEmpty() ? RolloutState.NONE : committedPlacements.lastEntry().getValue().rollout();
+        RolloutState now = placement.rollout();
+        committedPlacements.put(events.seconds(), placement);
+        boolean isRolledBack =
                 now.isComplete()
                         && now.target().number() == before.target().number() + 1
                         && !before.isComplete();
-        if (back || now.phase() == RolloutPhase.HALTED && before.phase() == RolloutPhase.RUNNING) {
-            boolean harm = harmful.contains(before.target().number());
-            if (!harm) {
+        if (isRolledBack || now.phase() == RolloutPhase.HALTED && before.phase() == RolloutPhase.RUNNING) {
+            boolean isHarmful = harmfulVersions.contains(before.target().number());
+            if (!isHarmful) {
                 outcomes.harmlessStopped++;
             } else {
                 outcomes.harmfulStopped++;
             }
-            if (harm && before.stage() < RolloutStages.ALL_SERVERS) {
+            if (isHarmful && before.stage() < RolloutStages.ALL_SERVERS) {
                 outcomes.stoppedEarly++;
             }
         }
-        if (now.isComplete() && !before.isComplete() && !back) {
-            outcomes.rolloutS.add(events.seconds() - startedS);
+        if (now.isComplete() && !before.isComplete() && !isRolledBack) {
+            outcomes.rolloutS.add(events.seconds() - rolloutStartS);
         }
     }
 
-    private double startedS;
+    private double rolloutStartS;
 
-    /** Plays it, with so many publications spread over its faults and somewhat behind them. */
-    public Outcomes play(int count, double harmShare) {
-        for (FaultSchedule.Slot slot : plan.slots()) {
+    /**
+     * Runs the simulation with versions published at fixed intervals, during the faults and, if
+     * there are more versions, after them.
+     *
+     * @param harmfulShare probability that a version is harmful
+     */
+    public Outcomes play(int versionCount, double harmfulShare) {
+        for (FaultSchedule.Slot slot : schedule.slots()) {
             hosts.put(slot.number(), new Host(slot.number()));
         }
-        for (FaultSchedule.Action action : plan.actions()) {
-            events.after(action.atS(), () -> act(action));
+        for (FaultSchedule.Action action : schedule.actions()) {
+            events.after(action.atS(), () -> perform(action));
         }
-        double lastFault = plan.lastS();
-        for (int i = 0; i < count; i++) {
-            events.after(3 + 24.0 * i, () -> publish(chance.nextDouble() < harmShare, 40));
+        double lastFault = schedule.lastS();
+        for (int i = 0; i < versionCount; i++) {
+            events.after(3 + 24.0 * i, () -> publish(random.nextDouble() < harmfulShare, 40));
         }
-        double words = 3 + 24.0 * count;
-        double end = Math.max(lastFault, words) + 60;
-        events.after(Math.max(lastFault, words), this::look);
-        lastWordS = Math.max(lastFault, words);
-        events.run(end);
+        double lastPublicationS = 3 + 24.0 * versionCount;
+        double endS = Math.max(lastFault, lastPublicationS) + 60;
+        events.after(Math.max(lastFault, lastPublicationS), this::checkSettled);
+        lastEventS = Math.max(lastFault, lastPublicationS);
+        events.run(endS);
         if (Double.isInfinite(outcomes.settledS)) {
             StringBuilder text =
                     new StringBuilder(
                             "unsettled: "
-                                    + (agreed.isEmpty() ? first : agreed.lastEntry().getValue()));
+                                    + (committedPlacements.isEmpty() ? initialPlacement : committedPlacements.lastEntry().getValue()));
             for (Host each : hosts.values()) {
                 text.append("; ")
                         .append(each.name)
-                        .append(each.up ? each.paused ? " paused" : "" : " down")
+                        .append(each.isUp ? each.isPaused ? " paused" : "" : " down")
                         .append(" epoch ")
-                        .append(each.layout.epoch())
+                        .append(each.placement.epoch())
                         .append(" acts ")
-                        .append(each.acting.number())
+                        .append(each.activeVersion.number())
                         .append(
                                 each.lease != null && each.lease.isHeld(events.now())
                                         ? ""
@@ -538,115 +544,115 @@
         return outcomes;
     }
 
-    private double lastWordS;
+    private double lastEventS;
 
-    private void look() {
-        ReplicaPlacement now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
-        boolean settled =
+    private void checkSettled() {
+        ReplicaPlacement now = committedPlacements.isEmpty() ? initialPlacement : committedPlacements.lastEntry().getValue();
+        boolean isSettled =
                 now.rollout().isComplete() || now.rollout().phase() == RolloutPhase.HALTED;
         for (Host each : hosts.values()) {
-            if (each.up && !each.paused) {
-                settled &=
-                        each.acting.number() == RolloutStages.targetVersion(now, each.name).number()
+            if (each.isUp && !each.isPaused) {
+                isSettled &=
+                        each.activeVersion.number() == RolloutStages.targetVersion(now, each.name).number()
                                 && each.lease.isHeld(events.now());
             }
         }
-        if (settled) {
-            outcomes.settledS = events.seconds() - lastWordS;
+        if (isSettled) {
+            outcomes.settledS = events.seconds() - lastEventS;
             return;
         }
-        events.after(0.1, this::look);
+        events.after(0.1, this::checkSettled);
     }
 
-    private void publish(boolean harm, int tries) {
-        List<Host> open = new ArrayList<>();
+    private void publish(boolean isHarmful, int remainingTries) {
+        List<Host> voters = new ArrayList<>();
         for (Host each : hosts.values()) {
-            if (each.up && !each.paused && each.voter != null) {
-                open.add(each);
+            if (each.isUp && !each.isPaused && each.voter != null) {
+                voters.add(each);
             }
         }
         boolean halted =
-                open.stream()
-                        .anyMatch(each -> each.layout.rollout().phase() == RolloutPhase.HALTED);
-        Host at = open.isEmpty() ? null : open.get(chance.nextInt(open.size()));
-        if (at == null || !at.layout.rollout().isComplete() || at.wished != null) {
-            // People come back; one that was halted they take back.
-            if (at != null && halted && at.wished == null) {
-                at.wished = at.layout.rollout().rolledBack("person", "halted");
+                voters.stream()
+                        .anyMatch(each -> each.placement.rollout().phase() == RolloutPhase.HALTED);
+        Host voter = voters.isEmpty() ? null : voters.get(random.nextInt(voters.size()));
+        if (voter == null || !voter.placement.rollout().isComplete() || voter.requestedState != null) {
+            // The operator rolls a halted rollout back and tries again later.
+            if (voter != null && halted && voter.requestedState == null) {
+                voter.requestedState = voter.placement.rollout().rolledBack("person", "halted");
             }
-            if (tries > 0) {
-                events.after(1, () -> publish(harm, tries - 1));
+            if (remainingTries > 0) {
+                events.after(1, () -> publish(isHarmful, remainingTries - 1));
             }
             return;
         }
-        long number = at.layout.rollout().target().number() + 1;
+        long number = voter.placement.rollout().target().number() + 1;
         publications++;
         PublishedVersion next =
                 new PublishedVersion(
-                        number, String.format("%064x", publications), SIZE, "", "person", "why");
-        // Its bytes are at a majority of voters before it is wished for.
-        int have = 0;
-        for (Host each : open) {
-            each.bytes.add(next.hash());
-            have++;
+                        number, String.format("%064x", publications), VERSION_BYTES, "", "person", "why");
+        // A majority of the voters must hold the content before the rollout is requested.
+        int holders = 0;
+        for (Host each : voters) {
+            each.availableHashes.add(next.hash());
+            holders++;
         }
-        if (have < ReplicaPlacement.quorumSize(Math.min(VOTERS, script.members()))) {
-            if (tries > 0) {
-                events.after(1, () -> publish(harm, tries - 1));
+        if (holders < ReplicaPlacement.quorumSize(Math.min(VOTER_COUNT, scenario.members()))) {
+            if (remainingTries > 0) {
+                events.after(1, () -> publish(isHarmful, remainingTries - 1));
             }
             return;
         }
-        if (harm) {
-            harmful.add(number);
+        if (isHarmful) {
+            harmfulVersions.add(number);
         }
         outcomes.published++;
-        if (harm) {
+        if (isHarmful) {
             outcomes.harmfulOnes++;
         } else {
             outcomes.harmless++;
         }
-        startedS = events.seconds();
-        RolloutState wish = at.layout.rollout().startRollout(next);
-        at.wished = wish;
+        rolloutStartS = events.seconds();
+        RolloutState requested = voter.placement.rollout().startRollout(next);
+        voter.requestedState = requested;
         events.after(
                 10,
                 () -> {
-                    if (wish.equals(at.wished)) {
-                        at.wished = null;
+                    if (requested.equals(voter.requestedState)) {
+                        voter.requestedState = null;
                     }
                 });
     }
 
-    private void act(FaultSchedule.Action action) {
+    private void perform(FaultSchedule.Action action) {
         Host host = hosts.get(action.slot());
         switch (action.act()) {
             case START -> {
-                if (!host.up) {
+                if (!host.isUp) {
                     host.start();
                 }
             }
             case KILL, LEAVE -> {
-                if (host.up) {
-                    host.end();
+                if (host.isUp) {
+                    host.stop();
                 }
             }
             case PAUSE -> {
-                if (host.up) {
-                    host.paused = true;
+                if (host.isUp) {
+                    host.isPaused = true;
                 }
             }
             case RESUME -> {
-                if (!host.up || !host.paused) {
+                if (!host.isUp || !host.isPaused) {
                     return;
                 }
-                host.paused = false;
-                // It acts once more before it reads anything.
-                boolean may = !leases || host.lease.isHeld(events.now());
-                if (may) {
-                    host.ran();
+                host.isPaused = false;
+                // A resumed process may finish a run before it reads any queued message.
+                boolean mayRun = !enforcesLeases || host.lease.isHeld(events.now());
+                if (mayRun) {
+                    host.recordRun();
                 }
-                while (!host.waits.isEmpty() && host.up) {
-                    host.take(host.waits.poll());
+                while (!host.queuedMessages.isEmpty() && host.isUp) {
+                    host.deliver(host.queuedMessages.poll());
                 }
             }
             default -> {}
@@ -654,49 +660,49 @@
     }
 
     /**
-     * Whether what a server acts on now was in force for it within the stated bound; what is wrong,
-     * or null.
+     * Checks that the server's version was its target at some time within the guaranteed bound:
+     * lease duration, grace period and propagation. Returns the violation, or null.
      */
-    private String wrong(Host host) {
-        double bound = LEASE.toSeconds() + GRACE.toSeconds() + SLACK_S;
-        double from = events.seconds() - bound;
-        List<ReplicaPlacement> all = new ArrayList<>();
-        all.add(first);
-        for (ReplicaPlacement each : agreed.values()) {
-            // From when a majority of voters knows, each since its start, a majority of them renews
-            // no lease by an older one.
-            long know =
+    private String describeViolation(Host host) {
+        double boundS = LEASE_DURATION.toSeconds() + GRACE_PERIOD.toSeconds() + PROPAGATION_S;
+        double sinceS = events.seconds() - boundS;
+        List<ReplicaPlacement> permitted = new ArrayList<>();
+        permitted.add(initialPlacement);
+        for (ReplicaPlacement each : committedPlacements.values()) {
+            // Once a majority of the voters has learned of an epoch since starting, no lease can be
+            // renewed under an older one.
+            long informedVoters =
                     hosts.values().stream()
                             .filter(
                                     voter ->
                                             voter.voter != null
-                                                    && voter.up
+                                                    && voter.isUp
                                                     && voter
-                                                            .knew
+                                                            .epochKnownS
                                                             .tailMap(each.epoch())
                                                             .values()
                                                             .stream()
-                                                            .anyMatch(at -> at <= from))
+                                                            .anyMatch(at -> at <= sinceS))
                             .count();
-            if (know >= ReplicaPlacement.quorumSize(Math.min(VOTERS, script.members()))) {
-                all.clear();
+            if (informedVoters >= ReplicaPlacement.quorumSize(Math.min(VOTER_COUNT, scenario.members()))) {
+                permitted.clear();
             }
-            all.add(each);
+            permitted.add(each);
         }
-        for (ReplicaPlacement each : all) {
-            if (RolloutStages.targetVersion(each, host.name).number() == host.acting.number()) {
+        for (ReplicaPlacement each : permitted) {
+            if (RolloutStages.targetVersion(each, host.name).number() == host.activeVersion.number()) {
                 return null;
             }
         }
-        // Where too many are behind nobody is shut out, by rule, and what was renewed then lasts
-        // for a lease.
-        ReplicaPlacement now = agreed.isEmpty() ? first : agreed.lastEntry().getValue();
-        long live = hosts.values().stream().filter(each -> each.up).count();
-        long late =
+        // By rule, no server is fenced while too many are outdated; a lease renewed during that
+        // time remains valid for its full duration.
+        ReplicaPlacement now = committedPlacements.isEmpty() ? initialPlacement : committedPlacements.lastEntry().getValue();
+        long liveCount = hosts.values().stream().filter(each -> each.isUp).count();
+        long lateCount =
                 hosts.values().stream()
-                        .filter(each -> events.seconds() - each.lateS < LEASE.toSeconds() + SLACK_S)
+                        .filter(each -> events.seconds() - each.lastOutdatedS < LEASE_DURATION.toSeconds() + PROPAGATION_S)
                         .count();
-        if (late > 0.25 * live) {
+        if (lateCount > 0.25 * liveCount) {
             return null;
         }
         StringBuilder voters = new StringBuilder();
@@ -704,22 +710,22 @@
             if (each.voter != null) {
                 voters.append(' ')
                         .append(each.name)
-                        .append(each.up ? each.paused ? " paused" : "" : " down")
+                        .append(each.isUp ? each.isPaused ? " paused" : "" : " down")
                         .append(" epoch ")
-                        .append(each.layout.epoch());
+                        .append(each.placement.epoch());
             }
         }
         return host.name
                 + " ran on version "
-                + host.acting.number()
+                + host.activeVersion.number()
                 + ", which was not in force for it in the last "
-                + bound
+                + boundS
                 + " s; now it is "
                 + RolloutStages.targetVersion(now, host.name).number()
                 + ", in epoch "
                 + now.epoch()
                 + " of "
-                + agreed.lastKey()
+                + committedPlacements.lastKey()
                 + " s, voters:"
                 + voters;
     }
