--- a/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
@@ -9,16 +9,16 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * A script as what is done when: to processes, and to links between them. Played alike on virtual
- * servers and on processes.
+ * The actions on processes and the faults of links that a scenario consists of, with their times in
+ * seconds. The emulator applies them to simulated servers, the drill to real processes.
  *
- * @param slots all servers that are ever started, newcomers among them
- * @param actions in the order of their times
- * @param lastS when the last fault is over
+ * @param slots all servers that are started at any time, including those that join later
+ * @param actions sorted by time
+ * @param lastS end of the last fault, in seconds
  */
 public record FaultSchedule(
         List<Slot> slots, List<Action> actions, List<Fault> faults, double lastS) {
-    /** What is done to a process. */
+    /** An action on a process. */
     public enum Act {
         START,
         KILL,
@@ -28,7 +28,7 @@
         IMAGE
     }
 
-    /** What a link does. */
+    /** A kind of fault of a link, or of a server's clock, disk or CPU. */
     public enum Link {
         CUT,
         LOSS,
@@ -46,19 +46,25 @@
     /**
      * A server that is started at some time.
      *
-     * @param number from 1; those of the script come first
-     * @param address a number for each address, shared by servers that have it one after the other
+     * @param number from 1; the scenario's initial members come first
+     * @param address index of its address, which several servers may use one after the other
      */
     public record Slot(int number, String name, int zone, int address) {}
 
     /**
-     * @param address where a {@link Act#START} has it listen
-     * @param disk what a {@link Act#START} finds; for an old one an {@link Act#IMAGE} was taken
-     *     before
+     * An action on a process at a time.
+     *
+     * @param slot number of the slot
+     * @param address index of the address on which the process listens after {@link Act#START}
+     * @param disk disk contents at {@link Act#START}; {@link FleetScenario.Disk#OLD} restores the
+     *     image that an earlier {@link Act#IMAGE} took
      */
     public record Action(double atS, Act act, int slot, int address, FleetScenario.Disk disk) {}
 
-    /** A fault of links, from senders to receivers, or of servers ({@code to}). */
+    /**
+     * A fault of the links from some slots to others; a fault of servers affects those in {@code to}
+     * and has an empty {@code from}.
+     */
     public record Fault(
             double atS,
             double untilS,
@@ -71,131 +77,131 @@
         }
     }
 
-    /** Time over which a server that was told to leave ends. */
+    /** Seconds within which a server that was asked to leave terminates. */
     public static final double LEAVES_S = 1.2;
 
-    public static FaultSchedule of(FleetScenario script) {
-        return new Builder(script).build();
+    public static FaultSchedule of(FleetScenario scenario) {
+        return new Builder(scenario).build();
     }
 
     private static final class Builder {
-        private final FleetScenario script;
+        private final FleetScenario scenario;
         private final List<Slot> slots = new ArrayList<>();
         private final List<Action> actions = new ArrayList<>();
         private final List<Fault> faults = new ArrayList<>();
         private int addresses;
-        private double last;
+        private double lastEndS;
 
-        Builder(FleetScenario script) {
-            this.script = script;
+        Builder(FleetScenario scenario) {
+            this.scenario = scenario;
         }
 
-        private Slot slot(String name, int zone, int address) {
+        private Slot addSlot(String name, int zone, int address) {
             Slot slot = new Slot(slots.size() + 1, name, zone, address);
             slots.add(slot);
             return slot;
         }
 
-        private void act(double at, Act act, int slot, int address) {
-            act(at, act, slot, address, FleetScenario.Disk.KEPT);
+        private void addAction(double atS, Act kind, int slot, int address) {
+            addAction(atS, kind, slot, address, FleetScenario.Disk.KEPT);
         }
 
-        private void act(double at, Act act, int slot, int address, FleetScenario.Disk disk) {
-            actions.add(new Action(at, act, slot, address, disk));
-            last = Math.max(last, at);
+        private void addAction(double atS, Act kind, int slot, int address, FleetScenario.Disk disk) {
+            actions.add(new Action(atS, kind, slot, address, disk));
+            lastEndS = Math.max(lastEndS, atS);
         }
 
-        private void fault(
-                FleetScenario.Incident each, Link what, Set<Integer> from, Set<Integer> to) {
+        private void addFault(
+                FleetScenario.Incident each, Link kind, Set<Integer> from, Set<Integer> to) {
             faults.add(
                     new Fault(
-                            each.atS(), each.atS() + each.forS(), what, from, to, each.strength()));
-            last = Math.max(last, each.atS() + each.forS());
+                            each.atS(), each.atS() + each.forS(), kind, from, to, each.strength()));
+            lastEndS = Math.max(lastEndS, each.atS() + each.forS());
         }
 
-        private Set<Integer> others(Set<Integer> these) {
-            Set<Integer> others = new TreeSet<>(script.members(""));
-            others.removeAll(these);
+        private Set<Integer> others(Set<Integer> excluded) {
+            Set<Integer> others = new TreeSet<>(scenario.members(""));
+            others.removeAll(excluded);
             return others;
         }
 
         FaultSchedule build() {
-            for (int i = 1; i <= script.members(); i++) {
-                slot("m" + i, script.zone(i), ++addresses);
+            for (int i = 1; i <= scenario.members(); i++) {
+                addSlot("m" + i, scenario.zone(i), ++addresses);
                 actions.add(
                         new Action(
-                                script.members() == 1
+                                scenario.members() == 1
                                         ? 0
-                                        : script.startS() * (i - 1) / (script.members() - 1),
+                                        : scenario.startS() * (i - 1) / (scenario.members() - 1),
                                 Act.START,
                                 i,
                                 i,
                                 FleetScenario.Disk.KEPT));
-                last = script.startS();
+                lastEndS = scenario.startS();
             }
-            for (FleetScenario.Incident each : script.incidents()) {
+            for (FleetScenario.Incident each : scenario.incidents()) {
                 expand(each);
             }
             actions.sort(Comparator.comparingDouble(Action::atS));
             return new FaultSchedule(
-                    List.copyOf(slots), List.copyOf(actions), List.copyOf(faults), last);
+                    List.copyOf(slots), List.copyOf(actions), List.copyOf(faults), lastEndS);
         }
 
         private void expand(FleetScenario.Incident each) {
             double at = each.atS();
             double end = at + each.forS();
-            Set<Integer> who = script.members(each.who());
-            Set<Integer> from = script.members(each.from());
-            Set<Integer> to = script.members(each.to());
+            Set<Integer> who = scenario.members(each.who());
+            Set<Integer> from = scenario.members(each.from());
+            Set<Integer> to = scenario.members(each.to());
             switch (each.what()) {
                 case "kill" ->
                         who.forEach(
                                 i -> {
                                     if (each.disk() == FleetScenario.Disk.OLD) {
-                                        act(Math.max(0, at - each.strength()), Act.IMAGE, i, i);
+                                        addAction(Math.max(0, at - each.strength()), Act.IMAGE, i, i);
                                     }
-                                    act(at, Act.KILL, i, i);
+                                    addAction(at, Act.KILL, i, i);
                                     if (each.forS() > 0) {
-                                        act(end, Act.START, i, i, each.disk());
+                                        addAction(end, Act.START, i, i, each.disk());
                                     }
                                 });
                 case "move" ->
                         who.forEach(
                                 i -> {
-                                    act(at, Act.KILL, i, i);
-                                    act(end, Act.START, i, ++addresses);
+                                    addAction(at, Act.KILL, i, i);
+                                    addAction(end, Act.START, i, ++addresses);
                                 });
                 case "take" ->
                         who.forEach(
                                 i -> {
-                                    act(at, Act.KILL, i, i);
-                                    act(
+                                    addAction(at, Act.KILL, i, i);
+                                    addAction(
                                             end,
                                             Act.START,
-                                            slot("x" + i, script.zone(i), i).number(),
+                                            addSlot("x" + i, scenario.zone(i), i).number(),
                                             i);
                                 });
                 case "pause" ->
                         who.forEach(
                                 i -> {
-                                    act(at, Act.PAUSE, i, i);
-                                    act(end, Act.RESUME, i, i);
+                                    addAction(at, Act.PAUSE, i, i);
+                                    addAction(end, Act.RESUME, i, i);
                                 });
                 case "leave" ->
                         who.forEach(
                                 i -> {
-                                    act(at, Act.LEAVE, i, i);
+                                    addAction(at, Act.LEAVE, i, i);
                                     if (each.forS() > 0) {
-                                        act(Math.max(end, at + LEAVES_S + 0.1), Act.START, i, i);
+                                        addAction(Math.max(end, at + LEAVES_S + 0.1), Act.START, i, i);
                                     }
                                 });
                 case "release" -> {
-                    double each1 = who.isEmpty() ? 0 : each.forS() / who.size();
-                    int n = 0;
+                    double spacingS = who.isEmpty() ? 0 : each.forS() / who.size();
+                    int index = 0;
                     for (int i : who) {
-                        act(at + each1 * n, Act.LEAVE, i, i);
-                        act(
-                                at + each1 * n++ + Math.max(each1, LEAVES_S + 0.1),
+                        addAction(at + spacingS * index, Act.LEAVE, i, i);
+                        addAction(
+                                at + spacingS * index++ + Math.max(spacingS, LEAVES_S + 0.1),
                                 Act.START,
                                 i,
                                 i,
@@ -206,53 +212,53 @@
                     int count = (int) each.strength();
                     for (int i = 0; i < count; i++) {
                         int zone =
-                                script.zone(
+                                scenario.zone(
                                         1
                                                 + i
-                                                        * script.members()
+                                                        * scenario.members()
                                                         / Math.max(1, count)
-                                                        % script.members());
-                        act(
+                                                        % scenario.members());
+                        addAction(
                                 at + each.forS() * i / Math.max(1, count),
                                 Act.START,
-                                slot("j" + (slots.size() + 1), zone, ++addresses).number(),
+                                addSlot("j" + (slots.size() + 1), zone, ++addresses).number(),
                                 addresses);
                     }
                 }
                 case "twin" ->
                         who.forEach(
                                 i -> {
-                                    Slot twin = slot("m" + i, script.zone(i), ++addresses);
-                                    act(at, Act.START, twin.number(), addresses);
+                                    Slot twin = addSlot("m" + i, scenario.zone(i), ++addresses);
+                                    addAction(at, Act.START, twin.number(), addresses);
                                     if (each.forS() > 0) {
-                                        act(end, Act.KILL, twin.number(), addresses);
+                                        addAction(end, Act.KILL, twin.number(), addresses);
                                     }
                                 });
                 case "cut" -> {
-                    fault(each, Link.CUT, who, others(who));
-                    fault(each, Link.CUT, others(who), who);
+                    addFault(each, Link.CUT, who, others(who));
+                    addFault(each, Link.CUT, others(who), who);
                 }
-                case "deaf" -> fault(each, Link.CUT, others(who), who);
-                case "mute" -> fault(each, Link.CUT, who, others(who));
-                case "one-way" -> fault(each, Link.CUT, from, to);
-                case "loss" -> fault(each, Link.LOSS, from, to);
-                case "delay" -> fault(each, Link.DELAY, from, to);
-                case "duplicate" -> fault(each, Link.DUPLICATE, from, to);
-                case "reorder" -> fault(each, Link.REORDER, from, to);
-                case "corrupt" -> fault(each, Link.CORRUPT, from, to);
-                case "crowd" -> fault(each, Link.CROWD, Set.of(), who);
-                case "flood" -> fault(each, Link.FLOOD, Set.of(), who);
-                case "full" -> fault(each, Link.FULL, Set.of(), who);
-                case "stall" -> fault(each, Link.STALL, Set.of(), who);
-                case "clock" -> fault(each, Link.CLOCK, Set.of(), who);
-                default -> throw new MalformedException(script.name() + ": unknown " + each.what());
+                case "deaf" -> addFault(each, Link.CUT, others(who), who);
+                case "mute" -> addFault(each, Link.CUT, who, others(who));
+                case "one-way" -> addFault(each, Link.CUT, from, to);
+                case "loss" -> addFault(each, Link.LOSS, from, to);
+                case "delay" -> addFault(each, Link.DELAY, from, to);
+                case "duplicate" -> addFault(each, Link.DUPLICATE, from, to);
+                case "reorder" -> addFault(each, Link.REORDER, from, to);
+                case "corrupt" -> addFault(each, Link.CORRUPT, from, to);
+                case "crowd" -> addFault(each, Link.CROWD, Set.of(), who);
+                case "flood" -> addFault(each, Link.FLOOD, Set.of(), who);
+                case "full" -> addFault(each, Link.FULL, Set.of(), who);
+                case "stall" -> addFault(each, Link.STALL, Set.of(), who);
+                case "clock" -> addFault(each, Link.CLOCK, Set.of(), who);
+                default -> throw new MalformedException(scenario.name() + ": unknown " + each.what());
             }
         }
     }
 
     /**
-     * Slots for which something is wrong now that others cannot tell from silence: what they think
-     * of them is no fault of theirs.
+     * Slots at either end of a cut link at this time. Others cannot distinguish them from failed
+     * servers, so verdicts that involve them are not counted as false.
      */
     public Set<Integer> unheard(double seconds) {
         Set<Integer> all = new HashSet<>();
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -31,119 +31,119 @@
 import ochretiller.fleet.transport.PacketCodec;
 
 /**
- * A fleet in virtual time: each server's own decisions, links that lose and delay, processes that
- * die and pause.
+ * Simulates the membership protocol of a fleet in virtual time: the server's own protocol code, links
+ * that lose and delay packets, and processes that are killed and paused.
  */
 public final class MembershipSimulation {
-    /** Packets that a socket keeps for a paused process. */
-    private static final int ROOM = 2_000;
+    /** Packets that the socket buffer of a paused process holds; further ones are lost. */
+    private static final int MAX_QUEUED_PACKETS = 2_000;
 
-    /** How often it is looked at whether all views are equal and right. */
-    private static final double LOOK_S = 0.1;
+    /** Interval at which the views are checked for being equal and correct, in seconds. */
+    private static final double CHECK_INTERVAL_S = 0.1;
 
-    /** Views that stay equal and right for so long have settled. */
-    private static final double STAYS_S = 3;
+    /** Seconds for which the views must stay equal and correct to count as settled. */
+    private static final double STABLE_S = 3;
 
-    private static final double KEEPS_S = 1;
+    private static final double PEER_SAVE_INTERVAL_S = 1;
 
-    /** A kill is one fault; a member that is judged again within this time of it counts to it. */
-    private static final double FAULT_S = 30;
+    /** Seconds after a kill within which repeated verdicts on a member belong to that kill. */
+    private static final double SAME_FAULT_S = 30;
 
-    private final FleetScenario script;
-    private final FaultSchedule plan;
-    private final RandomStreams seeds;
+    private final FleetScenario scenario;
+    private final FaultSchedule schedule;
+    private final RandomStreams streams;
     private final EventQueue events = new EventQueue();
     private final LinkFaults faults;
-    private final SplittableRandom links;
-    private final SplittableRandom starts;
-    private final boolean measure;
-    private final double countS;
+    private final SplittableRandom linkRandom;
+    private final SplittableRandom incarnationRandom;
+    private final boolean measuresCost;
+    private final double countingStartS;
     private final PacketCodec codec =
             new PacketCodec("emulated", FleetKeys.of("a key of the emulator's own"));
     private final Map<Integer, Host> bySlot = new TreeMap<>();
     private final Map<PeerAddress, Host> byAddress = new HashMap<>();
-    private final Map<Long, Host> byStart = new HashMap<>();
+    private final Map<Long, Host> byIncarnation = new HashMap<>();
 
-    /** What each slot's disk has of whom it saw. */
-    private final Map<Integer, List<PeerAddress>> kept = new HashMap<>();
+    /** Peer addresses saved on disk, by slot number. */
+    private final Map<Integer, List<PeerAddress>> savedPeers = new HashMap<>();
 
     private final FleetOutcome outcome = new FleetOutcome();
-    private final Map<String, Integer> judged = new HashMap<>();
-    private double settledSince = Double.NaN;
-    private double lastKill = Double.NEGATIVE_INFINITY;
+    private final Map<String, Integer> verdictCounts = new HashMap<>();
+    private double settledSinceS = Double.NaN;
+    private double lastKillS = Double.NEGATIVE_INFINITY;
 
     private final class Host {
         final FaultSchedule.Slot slot;
-        final MembershipProtocol members;
-        final BootstrapPeers acquaintances;
-        final Deque<MembershipPacket> waits = new ArrayDeque<>();
-        final Set<Long> knows = new HashSet<>();
+        final MembershipProtocol protocol;
+        final BootstrapPeers bootstrapPeers;
+        final Deque<MembershipPacket> queuedPackets = new ArrayDeque<>();
+        final Set<Long> detectedIncarnations = new HashSet<>();
         final double startedS = events.seconds();
-        boolean up = true;
-        boolean paused;
-        boolean leaves;
-        double diedS = Double.NaN;
+        boolean isUp = true;
+        boolean isPaused;
+        boolean isLeaving;
+        double stoppedS = Double.NaN;
         double pausedS = Double.NaN;
         double resumedS = Double.NEGATIVE_INFINITY;
-        int second;
-        int packets;
-        double bytes;
+        int currentSecond;
+        int packetsInSecond;
+        double bytesInSecond;
 
         Host(FaultSchedule.Slot slot, PeerAddress address) {
             this.slot = slot;
-            List<PeerAddress> told = new ArrayList<>();
-            for (int i = 1; i <= script.seeds(); i++) {
-                told.add(address(i));
+            List<PeerAddress> seedAddresses = new ArrayList<>();
+            for (int i = 1; i <= scenario.seeds(); i++) {
+                seedAddresses.add(address(i));
             }
             Member self =
                     new Member(
-                            new MemberId(slot.name(), starts.nextLong() | 1),
+                            new MemberId(slot.name(), incarnationRandom.nextLong() | 1),
                             address,
                             "z" + slot.zone(),
                             "build-1",
                             Optional.empty(),
                             1,
                             MemberState.JOINING);
-            // A server's clock begins with its process: no two servers have the same time.
-            members =
+            // Named by host and event, so that each process has its own random stream.
+            protocol =
                     new MembershipProtocol(
                             self,
-                            told,
-                            pace(),
-                            seeds.of("host " + slot.number() + " " + events.done()),
+                            seedAddresses,
+                            protocolTiming(),
+                            streams.of("host " + slot.number() + " " + events.done()),
                             events.now());
-            List<PeerAddress> former = kept.getOrDefault(slot.number(), List.of());
-            acquaintances = new BootstrapPeers(address, former);
-            members.addBootstrapPeers(former);
-            events.after(KEEPS_S, this::keep);
+            List<PeerAddress> previousPeers = savedPeers.getOrDefault(slot.number(), List.of());
+            bootstrapPeers = new BootstrapPeers(address, previousPeers);
+            protocol.addBootstrapPeers(previousPeers);
+            events.after(PEER_SAVE_INTERVAL_S, this::savePeers);
         }
 
-        /** Whom it sees is kept on its disk for its next start, as by the server. */
-        void keep() {
-            if (!up) {
+        /** Saves the addresses of known peers for the next start, as the server does. */
+        void savePeers() {
+            if (!isUp) {
                 return;
             }
-            if (!paused) {
-                acquaintances.observe(members.snapshot(), events.now());
-                acquaintances.takeDue(events.now()).ifPresent(due -> kept.put(slot.number(), due));
+            if (!isPaused) {
+                bootstrapPeers.observe(protocol.snapshot(), events.now());
+                bootstrapPeers.takeDue(events.now()).ifPresent(peers -> savedPeers.put(slot.number(), peers));
             }
-            events.after(KEEPS_S, this::keep);
+            events.after(PEER_SAVE_INTERVAL_S, this::savePeers);
         }
 
         void tick() {
-            if (!up || paused) {
+            if (!isUp || isPaused) {
                 return;
             }
-            long began = measure ? System.nanoTime() : 0;
-            members.tick(events.now());
-            spent(began);
+            long startNanos = measuresCost ? System.nanoTime() : 0;
+            protocol.tick(events.now());
+            recordDecisionTime(startNanos);
             outcome.ticks++;
-            carryOut();
-            schedule();
+            processOutputs();
+            scheduleTick();
         }
 
-        void schedule() {
-            Duration wait = members.nextTick().minus(events.now());
+        void scheduleTick() {
+            Duration wait = protocol.nextTick().minus(events.now());
             events.after(
                     wait.plus(
                             Duration.ofNanos(
@@ -151,68 +151,68 @@
                     this::tick);
         }
 
-        void take(MembershipPacket packet) {
-            if (!up) {
+        void receive(MembershipPacket packet) {
+            if (!isUp) {
                 return;
             }
-            if (paused) {
-                if (waits.size() < ROOM) {
-                    waits.add(packet);
+            if (isPaused) {
+                if (queuedPackets.size() < MAX_QUEUED_PACKETS) {
+                    queuedPackets.add(packet);
                 }
                 return;
             }
-            long began = measure ? System.nanoTime() : 0;
-            members.receive(packet, events.now());
-            spent(began);
-            carryOut();
+            long startNanos = measuresCost ? System.nanoTime() : 0;
+            protocol.receive(packet, events.now());
+            recordDecisionTime(startNanos);
+            processOutputs();
         }
 
-        private void spent(long began) {
-            if (measure && events.seconds() >= countS) {
-                outcome.decisionNanos += System.nanoTime() - began;
+        private void recordDecisionTime(long startNanos) {
+            if (measuresCost && events.seconds() >= countingStartS) {
+                outcome.decisionNanos += System.nanoTime() - startNanos;
             }
         }
 
-        void carryOut() {
-            for (OutboundPacket send : members.takeOutbound()) {
-                deliver(this, send);
+        void processOutputs() {
+            for (OutboundPacket outbound : protocol.takeOutbound()) {
+                deliver(this, outbound);
             }
-            for (MembershipChange change : members.takeChanges()) {
-                changed(this, change);
+            for (MembershipChange change : protocol.takeChanges()) {
+                recordChange(this, change);
             }
         }
 
         boolean unpausedFor(double span) {
-            return !paused && events.seconds() - resumedS > span;
+            return !isPaused && events.seconds() - resumedS > span;
         }
     }
 
-    /** A fleet whose cost is not counted. */
-    public MembershipSimulation(FleetScenario script, long seed) {
-        this(script, seed, false, 0);
+    /** Creates a simulation that does not measure cost. */
+    public MembershipSimulation(FleetScenario scenario, long seed) {
+        this(scenario, seed, false, 0);
     }
 
     /**
-     * A fleet that has not begun.
+     * Creates a simulation; {@link #play} starts it.
      *
-     * @param measure whether each packet's bytes are counted, by sealing it, and time in the
-     *     decisions too
-     * @param countS from when on they are
+     * @param measuresCost whether packet sizes, by sealing each packet, and the processing time of
+     *     the protocol are measured
+     * @param countingStartS virtual time in seconds from which they are measured
      */
-    public MembershipSimulation(FleetScenario script, long seed, boolean measure, double countS) {
-        this.countS = countS;
-        this.script = script;
-        this.plan = FaultSchedule.of(script);
-        this.seeds = new RandomStreams(seed);
-        this.faults = new LinkFaults(plan, seeds.of("faults"));
-        this.links = seeds.of("links");
-        this.starts = seeds.of("starts");
-        this.measure = measure;
+    public MembershipSimulation(FleetScenario scenario, long seed, boolean measuresCost, double countingStartS) {
+        this.countingStartS = countingStartS;
+        this.scenario = scenario;
+        this.schedule = FaultSchedule.of(scenario);
+        this.streams = new RandomStreams(seed);
+        this.faults = new LinkFaults(schedule, streams.of("faults"));
+        this.linkRandom = streams.of("links");
+        this.incarnationRandom = streams.of("starts");
+        this.measuresCost = measuresCost;
     }
 
-    private ProtocolTiming pace() {
+    private ProtocolTiming protocolTiming() {
         return new ProtocolTiming(
-                Duration.ofMillis(script.probeMs()),
+                Duration.ofMillis(scenario.probeMs()),
                 ProtocolTiming.DEFAULT.departedRetention(),
                 ProtocolTiming.DEFAULT.maxDeparted());
     }
@@ -221,112 +221,112 @@
         return new PeerAddress("10.0." + number / 250 + '.' + (1 + number % 250), 4200);
     }
 
-    /**
-     * Views of all servers that are up, with all that they hold: for what they take of the memory.
-     */
+    /** Number of members in the views of all running servers, to calculate memory per member. */
     public int views() {
         int known = 0;
-        for (Host host : byStart.values()) {
-            if (host.up) {
-                known += host.members.snapshot().size();
+        for (Host host : byIncarnation.values()) {
+            if (host.isUp) {
+                known += host.protocol.snapshot().size();
             }
         }
         return known;
     }
 
-    /** Plays it to its end, or until all views have settled. */
+    /**
+     * Runs to the end of the scenario; without cost measurement only until all faults are over and
+     * the views have settled.
+     */
     public FleetOutcome play() {
-        for (FaultSchedule.Action action : plan.actions()) {
-            events.after(action.atS(), () -> act(action));
+        for (FaultSchedule.Action action : schedule.actions()) {
+            events.after(action.atS(), () -> perform(action));
         }
-        events.after(LOOK_S, this::look);
-        double until = script.seconds();
-        for (double at = 0; at < until; at += 1) {
-            events.run(Math.min(until, at + 1));
-            // Settled for good, and nothing more is to come: what is left of the script shows
-            // nothing.
-            if (events.seconds() > plan.lastS()
-                    && !Double.isNaN(settledSince)
-                    && events.seconds() - settledSince > STAYS_S
-                    && !measure) {
+        events.after(CHECK_INTERVAL_S, this::checkViews);
+        double endS = scenario.seconds();
+        for (double secondS = 0; secondS < endS; secondS += 1) {
+            events.run(Math.min(endS, secondS + 1));
+            // The views have settled and no fault is left: the rest of the scenario is idle.
+            if (events.seconds() > schedule.lastS()
+                    && !Double.isNaN(settledSinceS)
+                    && events.seconds() - settledSinceS > STABLE_S
+                    && !measuresCost) {
                 break;
             }
         }
-        if (!Double.isNaN(settledSince)) {
-            outcome.settledS = Math.max(0, settledSince - plan.lastS());
+        if (!Double.isNaN(settledSinceS)) {
+            outcome.settledS = Math.max(0, settledSinceS - schedule.lastS());
         } else {
             note("unsettled");
         }
-        for (Host host : byStart.values()) {
-            outcome.refuted += host.members.counters().get(MembershipCounter.REFUTATIONS);
-            outcome.suspected += host.members.counters().get(MembershipCounter.SUSPICIONS);
-            outcome.twins += (int) host.members.counters().get(MembershipCounter.DUPLICATE_NAMES);
+        for (Host host : byIncarnation.values()) {
+            outcome.refuted += host.protocol.counters().get(MembershipCounter.REFUTATIONS);
+            outcome.suspected += host.protocol.counters().get(MembershipCounter.SUSPICIONS);
+            outcome.twins += (int) host.protocol.counters().get(MembershipCounter.DUPLICATE_NAMES);
             outcome.memberSeconds +=
-                    (Double.isNaN(host.diedS) ? events.seconds() : host.diedS)
-                            - Math.max(countS, host.startedS);
+                    (Double.isNaN(host.stoppedS) ? events.seconds() : host.stoppedS)
+                            - Math.max(countingStartS, host.startedS);
         }
-        for (int times : judged.values()) {
+        for (int times : verdictCounts.values()) {
             outcome.changesEach = Math.max(outcome.changesEach, times);
         }
         return outcome;
     }
 
-    private void act(FaultSchedule.Action action) {
+    private void perform(FaultSchedule.Action action) {
         Host host = bySlot.get(action.slot());
         switch (action.act()) {
             case START -> {
-                if (host != null && host.up) {
-                    end(host);
+                if (host != null && host.isUp) {
+                    stop(host);
                 }
-                Host fresh =
-                        new Host(plan.slots().get(action.slot() - 1), address(action.address()));
-                bySlot.put(action.slot(), fresh);
-                Host before = byAddress.put(fresh.members.self().address(), fresh);
-                if (before != null && before.up) {
-                    end(before);
+                Host started =
+                        new Host(schedule.slots().get(action.slot() - 1), address(action.address()));
+                bySlot.put(action.slot(), started);
+                Host previous = byAddress.put(started.protocol.self().address(), started);
+                if (previous != null && previous.isUp) {
+                    stop(previous);
                 }
-                byStart.put(fresh.members.self().incarnation(), fresh);
-                fresh.schedule();
+                byIncarnation.put(started.protocol.self().incarnation(), started);
+                started.scheduleTick();
             }
             case KILL -> {
-                if (host == null || !host.up) {
+                if (host == null || !host.isUp) {
                     return;
                 }
-                end(host);
-                lastKill = events.seconds();
+                stop(host);
+                lastKillS = events.seconds();
             }
             case IMAGE -> {}
             case PAUSE -> {
-                if (host == null || !host.up) {
+                if (host == null || !host.isUp) {
                     return;
                 }
-                host.paused = true;
+                host.isPaused = true;
                 host.pausedS = events.seconds();
             }
             case RESUME -> {
-                if (host == null || !host.up || !host.paused) {
+                if (host == null || !host.isUp || !host.isPaused) {
                     return;
                 }
-                host.paused = false;
+                host.isPaused = false;
                 host.resumedS = events.seconds();
-                // Its timers are long due and are looked at before the first packet is read.
+                // The overdue timers of a resumed process fire before it reads a packet.
                 host.tick();
-                while (!host.waits.isEmpty() && host.up) {
-                    host.take(host.waits.poll());
+                while (!host.queuedPackets.isEmpty() && host.isUp) {
+                    host.receive(host.queuedPackets.poll());
                 }
             }
             case LEAVE -> {
-                if (host == null || !host.up || host.paused) {
+                if (host == null || !host.isUp || host.isPaused) {
                     return;
                 }
-                host.leaves = true;
-                host.members.leave(events.now());
-                host.carryOut();
+                host.isLeaving = true;
+                host.protocol.leave(events.now());
+                host.processOutputs();
                 events.after(
                         FaultSchedule.LEAVES_S,
                         () -> {
-                            if (host.up) {
-                                end(host);
+                            if (host.isUp) {
+                                stop(host);
                             }
                         });
             }
@@ -334,89 +334,89 @@
         }
     }
 
-    private void end(Host host) {
-        host.up = false;
-        host.diedS = events.seconds();
-        if (byAddress.get(host.members.self().address()) == host) {
-            byAddress.remove(host.members.self().address());
+    private void stop(Host host) {
+        host.isUp = false;
+        host.stoppedS = events.seconds();
+        if (byAddress.get(host.protocol.self().address()) == host) {
+            byAddress.remove(host.protocol.self().address());
         }
     }
 
-    private void deliver(Host from, OutboundPacket send) {
-        if (measure && events.seconds() >= countS) {
-            count(from, send);
+    private void deliver(Host sender, OutboundPacket outbound) {
+        if (measuresCost && events.seconds() >= countingStartS) {
+            countPacket(sender, outbound);
         }
-        Host at = byAddress.get(send.destination());
-        if (at == null) {
+        Host receiver = byAddress.get(outbound.destination());
+        if (receiver == null) {
             return;
         }
         for (LinkFaults.Copy copy :
-                faults.fate(from.slot.number(), at.slot.number(), events.seconds())) {
+                faults.fate(sender.slot.number(), receiver.slot.number(), events.seconds())) {
             if (copy.spoilt()) {
-                continue; // its seal is broken: it is refused at the door
+                continue; // the receiver rejects a packet with an invalid seal
             }
             double ms =
-                    script.delayMs()
-                            + script.jitterMs() * links.nextDouble()
+                    scenario.delayMs()
+                            + scenario.jitterMs() * linkRandom.nextDouble()
                             + copy.delayMs()
-                            + faults.lateMs(at.slot.number(), events.seconds());
+                            + faults.lateMs(receiver.slot.number(), events.seconds());
             events.after(
                     ms / 1e3,
                     () -> {
-                        Host now = byAddress.get(send.destination());
-                        if (now != null) {
-                            now.take(send.packet());
+                        Host currentReceiver = byAddress.get(outbound.destination());
+                        if (currentReceiver != null) {
+                            currentReceiver.receive(outbound.packet());
                         }
                     });
         }
     }
 
-    private void count(Host from, OutboundPacket send) {
-        int bytes = codec.seal(send.packet(), ++outcome.packets).length;
-        outcome.bytes += bytes;
-        if (from.second != (int) events.seconds()) {
-            from.second = (int) events.seconds();
-            from.packets = 0;
-            from.bytes = 0;
+    private void countPacket(Host sender, OutboundPacket outbound) {
+        int length = codec.seal(outbound.packet(), ++outcome.packets).length;
+        outcome.bytes += length;
+        if (sender.currentSecond != (int) events.seconds()) {
+            sender.currentSecond = (int) events.seconds();
+            sender.packetsInSecond = 0;
+            sender.bytesInSecond = 0;
         }
-        from.packets++;
-        from.bytes += bytes;
-        outcome.mostPackets = Math.max(outcome.mostPackets, from.packets);
-        outcome.mostBytes = Math.max(outcome.mostBytes, from.bytes);
+        sender.packetsInSecond++;
+        sender.bytesInSecond += length;
+        outcome.mostPackets = Math.max(outcome.mostPackets, sender.packetsInSecond);
+        outcome.mostBytes = Math.max(outcome.mostBytes, sender.bytesInSecond);
     }
 
-    private void changed(Host host, MembershipChange change) {
+    private void recordChange(Host observer, MembershipChange change) {
         if (!(change instanceof MembershipChange.StateChanged stateChange)
                 || change.member().state() != MemberState.UNRESPONSIVE
                 || stateChange.previousState().isEmpty()) {
             return;
         }
         outcome.verdicts++;
-        Host of = byStart.get(change.member().incarnation());
-        if (of == null) {
+        Host subject = byIncarnation.get(change.member().incarnation());
+        if (subject == null) {
             return;
         }
         double now = events.seconds();
-        if (!of.up) {
-            if (of.diedS <= lastKill
-                    && host.knows.add(change.member().incarnation())
-                    && !of.leaves) {
-                outcome.knownMs.add((now - of.diedS) * 1e3);
+        if (!subject.isUp) {
+            if (subject.stoppedS <= lastKillS
+                    && observer.detectedIncarnations.add(change.member().incarnation())
+                    && !subject.isLeaving) {
+                outcome.knownMs.add((now - subject.stoppedS) * 1e3);
             }
             return;
         }
-        String pair = host.slot.number() + " of " + change.member().id();
-        judged.merge(pair, 1, Integer::sum);
-        Set<Integer> unheard = plan.unheard(now);
-        unheard.addAll(plan.unheard(Math.max(0, now - 1)));
-        boolean excused =
-                of.paused
-                        || !of.unpausedFor(1)
-                        || unheard.contains(of.slot.number())
-                        || unheard.contains(host.slot.number());
-        if (!excused) {
+        String observerAndSubject = observer.slot.number() + " of " + change.member().id();
+        verdictCounts.merge(observerAndSubject, 1, Integer::sum);
+        Set<Integer> unreachable = schedule.unheard(now);
+        unreachable.addAll(schedule.unheard(Math.max(0, now - 1)));
+        boolean isExcused =
+                subject.isPaused
+                        || !subject.unpausedFor(1)
+                        || unreachable.contains(subject.slot.number())
+                        || unreachable.contains(observer.slot.number());
+        if (!isExcused) {
             outcome.falseVerdicts++;
-            note(pair + " falsely silent");
+            note(observerAndSubject + " falsely silent");
         }
     }
 
@@ -427,57 +427,57 @@
         }
     }
 
-    private void look() {
-        String wrong = wrong();
-        if (wrong != null) {
-            settledSince = Double.NaN;
-            if (events.seconds() > script.seconds() - LOOK_S * 1.5) {
-                note(wrong);
+    private void checkViews() {
+        String mismatch = describeMismatch();
+        if (mismatch != null) {
+            settledSinceS = Double.NaN;
+            if (events.seconds() > scenario.seconds() - CHECK_INTERVAL_S * 1.5) {
+                note(mismatch);
             }
-        } else if (Double.isNaN(settledSince)) {
-            settledSince = events.seconds();
+        } else if (Double.isNaN(settledSinceS)) {
+            settledSinceS = events.seconds();
         }
-        events.after(LOOK_S, this::look);
+        events.after(CHECK_INTERVAL_S, this::checkViews);
     }
 
-    /** What keeps the views from being equal and right, or null. */
-    private String wrong() {
-        Set<Long> there = new TreeSet<>();
+    /** Describes why the views are not equal and correct; null if they are. */
+    private String describeMismatch() {
+        Set<Long> liveIncarnations = new TreeSet<>();
         List<Host> hosts = new ArrayList<>();
-        for (Host host : byStart.values()) {
-            if (!host.up || host.leaves) {
+        for (Host host : byIncarnation.values()) {
+            if (!host.isUp || host.isLeaving) {
                 continue;
             }
-            if (host.paused) {
+            if (host.isPaused) {
                 return "one is paused";
             }
             hosts.add(host);
-            there.add(host.members.self().incarnation());
+            liveIncarnations.add(host.protocol.self().incarnation());
         }
-        long digest = hosts.isEmpty() ? 0 : hosts.get(0).members.digest();
+        long digest = hosts.isEmpty() ? 0 : hosts.get(0).protocol.digest();
         for (Host host : hosts) {
-            if (host.members.self().state() != MemberState.ALIVE) {
-                return host.slot.name() + " is " + host.members.self().state();
+            if (host.protocol.self().state() != MemberState.ALIVE) {
+                return host.slot.name() + " is " + host.protocol.self().state();
             }
-            if (host.members.digest() != digest || host.members.liveCount() != there.size() - 1) {
-                return host.slot.name() + " sees " + seen(host) + " of " + there.size();
+            if (host.protocol.digest() != digest || host.protocol.liveCount() != liveIncarnations.size() - 1) {
+                return host.slot.name() + " sees " + describeView(host) + " of " + liveIncarnations.size();
             }
         }
         if (hosts.isEmpty()) {
             return null;
         }
-        for (MemberSnapshot seen : hosts.get(0).members.snapshot()) {
+        for (MemberSnapshot seen : hosts.get(0).protocol.snapshot()) {
             boolean live = seen.member().state().isLive();
-            if (live != there.contains(seen.member().incarnation())) {
+            if (live != liveIncarnations.contains(seen.member().incarnation())) {
                 return "views agree and are wrong on " + seen.member().id();
             }
         }
         return null;
     }
 
-    private static String seen(Host host) {
+    private static String describeView(Host host) {
         StringBuilder text = new StringBuilder();
-        for (MemberSnapshot seen : host.members.snapshot()) {
+        for (MemberSnapshot seen : host.protocol.snapshot()) {
             if (!seen.isSelf()) {
                 text.append(seen.member().id().name())
                         .append(' ')
