--- a/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
@@ -22,79 +22,79 @@
 import ochretiller.fleet.replication.ReplicationMessage;
 
 /**
- * Two servers that are asked for one token at once, three keepers, and a change of epoch that puts
- * a fourth in the place of one. Any message may come at any time or never; any server may learn of
- * the epoch at any time, be ended for good, and a keeper may come back with its disk or without it.
- * At most one run is ever begun, and all that is said to have ended has ended so.
+ * Models two servers that claim the same token concurrently, three replicas, and a change of epoch
+ * that replaces one of them by a fourth. Any message may arrive at any time or never; any server may
+ * learn of the new epoch at any time or crash for good, and a replica may restart without its disk.
+ * Rules: at most one run starts, and only a result that was reported is replayed.
  */
 public final class ClaimStateModel implements StateModel {
     private static final String TOKEN = "token";
     private static final Duration WINDOW = Duration.ofSeconds(60);
-    private static final Duration DUE = Duration.ofSeconds(10);
+    private static final Duration DEADLINE = Duration.ofSeconds(10);
 
-    /** One look at the clock: a question is said again by then. */
-    private static final Duration STEP = Duration.ofMillis(310);
+    /** Time by which a tick advances a clock; long enough for requests to be sent again. */
+    private static final Duration CLOCK_STEP = Duration.ofMillis(310);
 
-    private static final int SERVERS = 2;
-    private static final int KEEPERS = 4;
+    private static final int SERVER_COUNT = 2;
+    private static final int REPLICA_COUNT = 4;
 
-    /** Messages under way at once; what comes on top is lost. */
-    private static final int UNDER_WAY = 14;
+    /** Maximum number of messages in flight; further ones are lost. */
+    private static final int MAX_IN_FLIGHT = 14;
 
-    private static final int SETTLES = 60;
-    private static final List<ReplicaServer> THREE = List.of(server(0), server(1), server(2));
+    private static final int MAX_SETTLE_ROUNDS = 60;
+    private static final List<ReplicaServer> INITIAL_SERVERS = List.of(server(0), server(1), server(2));
 
-    /** Reckoned once: each path is played anew. */
-    private static final ReplicaPlacement FIRST = new ReplicaPlacement(1, THREE, List.of(), 3);
+    /** Computed once, since each path of actions is replayed from the start. */
+    private static final ReplicaPlacement FIRST_PLACEMENT = new ReplicaPlacement(1, INITIAL_SERVERS, List.of(), 3);
 
-    private static final ReplicaPlacement SECOND =
-            new ReplicaPlacement(2, List.of(server(0), server(1), server(3)), THREE, 3);
+    private static final ReplicaPlacement SECOND_PLACEMENT =
+            new ReplicaPlacement(2, List.of(server(0), server(1), server(3)), INITIAL_SERVERS, 3);
 
-    private final int crashes;
-    private final boolean planted;
-    private final Replica[] keepers = new Replica[KEEPERS];
-    private final ClaimCoordinator[] servers = new ClaimCoordinator[SERVERS];
-    private final boolean[] dead = new boolean[SERVERS];
-    private final Duration[] clocks = new Duration[SERVERS + KEEPERS];
-    private final List<Sent> underWay = new ArrayList<>();
-    private final List<ClaimDecision> running = new ArrayList<>();
-    private final List<String> verdicts = new ArrayList<>();
-    private final Set<String> results = new HashSet<>();
-    private int runs;
-    private int crashed;
-    private String broken;
+    private final int maxCrashes;
+    private final boolean losesGrants;
+    private final Replica[] replicas = new Replica[REPLICA_COUNT];
+    private final ClaimCoordinator[] coordinators = new ClaimCoordinator[SERVER_COUNT];
+    private final boolean[] isCrashed = new boolean[SERVER_COUNT];
+    private final Duration[] clocks = new Duration[SERVER_COUNT + REPLICA_COUNT];
+    private final List<InFlightMessage> inFlight = new ArrayList<>();
+    private final List<ClaimDecision> runningClaims = new ArrayList<>();
+    private final List<String> decisions = new ArrayList<>();
+    private final Set<String> reportedResults = new HashSet<>();
+    private int runCount;
+    private int crashCount;
+    private String violation;
 
-    private record Sent(String from, String to, ReplicationMessage message) {}
+    private record InFlightMessage(String from, String to, ReplicationMessage message) {}
 
     /**
-     * @param crashes ends of servers and returns of keepers, at most
-     * @param planted whether keepers forget what they granted when they come back, which has to be
-     *     found
+     * @param maxCrashes maximum number of server crashes and replica restarts together
+     * @param losesGrants whether a restarted replica loses its grants without knowing so: a fault
+     *     that the exploration must find
      */
-    public ClaimStateModel(int crashes, boolean planted) {
-        this.crashes = crashes;
-        this.planted = planted;
-        for (int i = 0; i < KEEPERS; i++) {
-            keepers[i] =
+    public ClaimStateModel(int maxCrashes, boolean losesGrants) {
+        this.maxCrashes = maxCrashes;
+        this.losesGrants = losesGrants;
+        for (int i = 0; i < REPLICA_COUNT; i++) {
+            replicas[i] =
                     Replica.recover(
                             "k" + i,
-                            new ReplicaSnapshot(FIRST, Map.of()),
+                            new ReplicaSnapshot(FIRST_PLACEMENT, Map.of()),
                             ReplicaLimits.ofEntries(100, WINDOW),
                             Duration.ZERO);
         }
         for (int i = 0; i < clocks.length; i++) {
             clocks[i] = Duration.ZERO;
         }
-        for (int i = 0; i < SERVERS; i++) {
-            int server = i;
-            servers[i] = new ClaimCoordinator("s" + i, 1, FIRST, new ConstantRandom());
-            running.add(null);
-            verdicts.add("");
-            servers[i].claim(
-                    new ClaimIntent(TOKEN, "body", false, DUE, WINDOW),
+        for (int i = 0; i < SERVER_COUNT; i++) {
+            int serverIndex = i;
+            coordinators[i] = new ClaimCoordinator("s" + i, 1, FIRST_PLACEMENT, new ConstantRandom());
+            runningClaims.add(null);
+            decisions.add("");
+            coordinators[i].claim(
+                    new ClaimIntent(TOKEN, "body", false, DEADLINE, WINDOW),
                     Duration.ZERO,
-                    verdict -> told(server, verdict));
-            take(i);
+                    decision -> recordDecision(serverIndex, decision));
+            collectOutbound(i);
         }
     }
 
@@ -102,206 +102,206 @@
         return new ReplicaServer("k" + number, "z");
     }
 
-    private void told(int server, ClaimDecision verdict) {
-        verdicts.set(server, verdict.kind().name());
-        if (verdict.kind() == ClaimDecision.Kind.RUN) {
-            running.set(server, verdict);
-            if (++runs > 1) {
-                broken = "two runs";
+    private void recordDecision(int server, ClaimDecision decision) {
+        decisions.set(server, decision.kind().name());
+        if (decision.kind() == ClaimDecision.Kind.RUN) {
+            runningClaims.set(server, decision);
+            if (++runCount > 1) {
+                violation = "two runs";
             }
-        } else if (verdict.kind() == ClaimDecision.Kind.REPLAY
-                && !results.contains(verdict.outcome().orElseThrow().result())) {
-            broken = "replayed what never was: " + verdict.outcome();
+        } else if (decision.kind() == ClaimDecision.Kind.REPLAY
+                && !reportedResults.contains(decision.outcome().orElseThrow().result())) {
+            violation = "replayed what never was: " + decision.outcome();
         }
     }
 
-    private void take(int node) {
-        String name = node < SERVERS ? "s" + node : "k" + (node - SERVERS);
-        for (OutboundMessage out :
-                node < SERVERS
-                        ? servers[node].takeOutbound()
-                        : keepers[node - SERVERS].takeOutbound()) {
-            // Only the first keeper that is asked for a range that nobody has changed matters here:
-            // other ranges stay empty.
-            if (out.message() instanceof ReplicationMessage.RangeRequest fetch
-                    && fetch.range() != ReplicaPlacement.rangeOf(TOKEN)) {
+    private void collectOutbound(int node) {
+        String name = node < SERVER_COUNT ? "s" + node : "k" + (node - SERVER_COUNT);
+        for (OutboundMessage outbound :
+                node < SERVER_COUNT
+                        ? coordinators[node].takeOutbound()
+                        : replicas[node - SERVER_COUNT].takeOutbound()) {
+            // Only the token's range has entries; requests for the other, empty ranges are dropped.
+            if (outbound.message() instanceof ReplicationMessage.RangeRequest rangeRequest
+                    && rangeRequest.range() != ReplicaPlacement.rangeOf(TOKEN)) {
                 continue;
             }
-            if (underWay.size() < UNDER_WAY) {
-                underWay.add(new Sent(name, out.recipient(), out.message()));
+            if (inFlight.size() < MAX_IN_FLIGHT) {
+                inFlight.add(new InFlightMessage(name, outbound.recipient(), outbound.message()));
             }
         }
     }
 
-    private void deliver(int which) {
-        Sent sent = underWay.remove(which);
-        int number = sent.to.charAt(1) - '0';
-        if (sent.to.charAt(0) == 's') {
-            if (dead[number]) {
+    private void deliver(int index) {
+        InFlightMessage message = inFlight.remove(index);
+        int receiver = message.to.charAt(1) - '0';
+        if (message.to.charAt(0) == 's') {
+            if (isCrashed[receiver]) {
                 return;
             }
-            if (sent.message instanceof ReplicationMessage.ClaimReply answer
-                    && answer.vote() == ReplicationMessage.ClaimVote.STALE_EPOCH) {
-                servers[number].adoptPlacement(SECOND, clocks[number]);
+            if (message.message instanceof ReplicationMessage.ClaimReply claimReply
+                    && claimReply.vote() == ReplicationMessage.ClaimVote.STALE_EPOCH) {
+                coordinators[receiver].adoptPlacement(SECOND_PLACEMENT, clocks[receiver]);
             }
-            servers[number].receive(sent.from, sent.message, clocks[number]);
-            take(number);
+            coordinators[receiver].receive(message.from, message.message, clocks[receiver]);
+            collectOutbound(receiver);
         } else {
-            keepers[number].receive(sent.from, sent.message, clocks[SERVERS + number]);
-            take(SERVERS + number);
+            replicas[receiver].receive(message.from, message.message, clocks[SERVER_COUNT + receiver]);
+            collectOutbound(SERVER_COUNT + receiver);
         }
     }
 
-    private void time(int node) {
-        clocks[node] = clocks[node].plus(STEP);
-        if (node < SERVERS) {
-            servers[node].tick(clocks[node]);
+    private void advanceClock(int node) {
+        clocks[node] = clocks[node].plus(CLOCK_STEP);
+        if (node < SERVER_COUNT) {
+            coordinators[node].tick(clocks[node]);
         } else {
-            keepers[node - SERVERS].tick(clocks[node]);
+            replicas[node - SERVER_COUNT].tick(clocks[node]);
         }
-        take(node);
+        collectOutbound(node);
     }
 
-    private void learn(int node) {
-        if (node < SERVERS) {
-            servers[node].adoptPlacement(SECOND, clocks[node]);
+    private void adoptSecondPlacement(int node) {
+        if (node < SERVER_COUNT) {
+            coordinators[node].adoptPlacement(SECOND_PLACEMENT, clocks[node]);
         } else {
-            keepers[node - SERVERS].adoptPlacement(SECOND, clocks[node]);
+            replicas[node - SERVER_COUNT].adoptPlacement(SECOND_PLACEMENT, clocks[node]);
         }
-        take(node);
+        collectOutbound(node);
     }
 
-    private void finish(int server) {
-        ClaimDecision verdict = running.set(server, null);
+    private void finishRun(int server) {
+        ClaimDecision decision = runningClaims.set(server, null);
         String result = "by s" + server;
-        results.add(result);
-        servers[server].reportOutcome(
+        reportedResults.add(result);
+        coordinators[server].reportOutcome(
                 new CompletedClaim(
-                        verdict.claimId().orElseThrow(),
+                        decision.claimId().orElseThrow(),
                         new ClaimOutcome(true, "body", result),
                         Optional.empty(),
-                        DUE,
+                        DEADLINE,
                         WINDOW),
                 clocks[server],
-                kept -> verdicts.set(server, "ENDED " + kept));
-        take(server);
+                isStored -> decisions.set(server, "ENDED " + isStored));
+        collectOutbound(server);
     }
 
     /**
-     * In this order: time of each, what each learns, ends of runs, crashes and returns, messages.
+     * Actions are numbered in this order: clock ticks of all nodes, learning of the new epoch, ends
+     * of runs, server crashes, replica restarts, deliveries of messages.
      */
     @Override
     public boolean act(int action) {
-        int nodes = SERVERS + KEEPERS;
-        int rest = action;
-        if (rest < nodes) {
-            if (rest < SERVERS && dead[rest]
-                    || rest >= SERVERS && keepers[rest - SERVERS].laggingRangeCount() == 0) {
+        int nodes = SERVER_COUNT + REPLICA_COUNT;
+        int offset = action;
+        if (offset < nodes) {
+            if (offset < SERVER_COUNT && isCrashed[offset]
+                    || offset >= SERVER_COUNT && replicas[offset - SERVER_COUNT].laggingRangeCount() == 0) {
                 return false;
             }
-            time(rest);
+            advanceClock(offset);
             return true;
         }
-        rest -= nodes;
-        if (rest < nodes) {
+        offset -= nodes;
+        if (offset < nodes) {
             long epoch =
-                    rest < SERVERS
-                            ? servers[rest].placement().epoch()
-                            : keepers[rest - SERVERS].placement().epoch();
-            if (epoch == 2 || rest < SERVERS && dead[rest]) {
+                    offset < SERVER_COUNT
+                            ? coordinators[offset].placement().epoch()
+                            : replicas[offset - SERVER_COUNT].placement().epoch();
+            if (epoch == 2 || offset < SERVER_COUNT && isCrashed[offset]) {
                 return false;
             }
-            learn(rest);
+            adoptSecondPlacement(offset);
             return true;
         }
-        rest -= nodes;
-        if (rest < SERVERS) {
-            if (dead[rest] || running.get(rest) == null) {
+        offset -= nodes;
+        if (offset < SERVER_COUNT) {
+            if (isCrashed[offset] || runningClaims.get(offset) == null) {
                 return false;
             }
-            finish(rest);
+            finishRun(offset);
             return true;
         }
-        rest -= SERVERS;
-        if (rest < SERVERS) {
-            if (dead[rest] || crashed == crashes) {
+        offset -= SERVER_COUNT;
+        if (offset < SERVER_COUNT) {
+            if (isCrashed[offset] || crashCount == maxCrashes) {
                 return false;
             }
-            crashed++;
-            dead[rest] = true;
+            crashCount++;
+            isCrashed[offset] = true;
             return true;
         }
-        rest -= SERVERS;
-        if (rest < KEEPERS) {
-            if (crashed == crashes) {
+        offset -= SERVER_COUNT;
+        if (offset < REPLICA_COUNT) {
+            if (crashCount == maxCrashes) {
                 return false;
             }
-            crashed++;
-            ReplicaPlacement layout = keepers[rest].placement();
+            crashCount++;
+            ReplicaPlacement placement = replicas[offset].placement();
             ReplicaLimits limits = ReplicaLimits.ofEntries(100, WINDOW);
-            Duration now = clocks[SERVERS + rest];
-            keepers[rest] =
-                    planted
+            Duration now = clocks[SERVER_COUNT + offset];
+            replicas[offset] =
+                    losesGrants
                             ? Replica.recover(
-                                    "k" + rest, new ReplicaSnapshot(layout, Map.of()), limits, now)
-                            : Replica.withoutDisk("k" + rest, layout, 0, limits, now);
+                                    "k" + offset, new ReplicaSnapshot(placement, Map.of()), limits, now)
+                            : Replica.withoutDisk("k" + offset, placement, 0, limits, now);
             return true;
         }
-        rest -= KEEPERS;
-        if (rest >= underWay.size()) {
+        offset -= REPLICA_COUNT;
+        if (offset >= inFlight.size()) {
             return false;
         }
-        deliver(rest);
+        deliver(offset);
         return true;
     }
 
     @Override
     public int actions() {
-        return 2 * (SERVERS + KEEPERS) + 2 * SERVERS + KEEPERS + underWay.size();
+        return 2 * (SERVER_COUNT + REPLICA_COUNT) + 2 * SERVER_COUNT + REPLICA_COUNT + inFlight.size();
     }
 
     @Override
     public long fingerprint() {
         StringBuilder text = new StringBuilder(2048);
-        for (int i = 0; i < SERVERS; i++) {
+        for (int i = 0; i < SERVER_COUNT; i++) {
             text.append(
-                            dead[i]
+                            isCrashed[i]
                                     ? "dead"
-                                    : servers[i].describeState(clocks[i]) + DUE.minus(clocks[i]))
-                    .append(verdicts.get(i))
-                    .append(running.get(i) != null);
+                                    : coordinators[i].describeState(clocks[i]) + DEADLINE.minus(clocks[i]))
+                    .append(decisions.get(i))
+                    .append(runningClaims.get(i) != null);
         }
-        for (int i = 0; i < KEEPERS; i++) {
-            text.append(keepers[i].describeState(clocks[SERVERS + i]));
+        for (int i = 0; i < REPLICA_COUNT; i++) {
+            text.append(replicas[i].describeState(clocks[SERVER_COUNT + i]));
         }
-        text.append(underWay.stream().map(Sent::toString).sorted().toList())
-                .append(crashed)
-                .append(runs);
+        text.append(inFlight.stream().map(InFlightMessage::toString).sorted().toList())
+                .append(crashCount)
+                .append(runCount);
         return LongHashFunction.xx3().hashChars(text);
     }
 
     @Override
     public String broken() {
-        return broken;
+        return violation;
     }
 
-    /** Each try has its verdict once its due time is over, whatever became of the messages. */
+    /** Settled means that each attempt has a decision, which it must have after its deadline. */
     @Override
     public int settles() {
-        for (int i = 0; i < SETTLES; i++) {
-            boolean open = false;
-            for (int s = 0; s < SERVERS; s++) {
-                open |= !dead[s] && verdicts.get(s).isEmpty();
+        for (int i = 0; i < MAX_SETTLE_ROUNDS; i++) {
+            boolean hasUndecided = false;
+            for (int server = 0; server < SERVER_COUNT; server++) {
+                hasUndecided |= !isCrashed[server] && decisions.get(server).isEmpty();
             }
-            if (!open) {
-                return broken == null ? i : -1;
+            if (!hasUndecided) {
+                return violation == null ? i : -1;
             }
-            for (int s = 0; s < SERVERS; s++) {
-                if (!dead[s]) {
-                    time(s);
+            for (int server = 0; server < SERVER_COUNT; server++) {
+                if (!isCrashed[server]) {
+                    advanceClock(server);
                 }
             }
-            while (!underWay.isEmpty()) {
+            while (!inFlight.isEmpty()) {
                 deliver(0);
             }
         }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ConstantRandom.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ConstantRandom.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Always the same: where all orders of events are explored, chance is no choice. */
+/** Returns constants, since state exploration requires models without random decisions. */
 final class ConstantRandom implements RandomGenerator {
     @Override
     public long nextLong() {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -104,7 +104,7 @@
                             Optional.empty(),
                             1,
                             MemberState.JOINING);
-            // Named by host and event, so that each process has its own random stream.
+            // The protocol's clock starts with its process: no two servers have the same time.
             protocol =
                     new MembershipProtocol(
                             self,
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
@@ -16,53 +16,49 @@
 import ochretiller.fleet.membership.ProtocolTiming;
 
 /**
- * Delivery, loss, passing time and crash in a fleet of a few, round the decisions themselves. In
- * each state nobody knows a member by a number that the member never had, and nobody is said to
- * have left who did not; from each state, with the faults gone, all views become equal and right
- * within a bound.
+ * Models delivery, loss, passing time and crashes in a small fleet that runs the membership protocol.
+ * Rules: in each state no view contains a state version that the member never had, and no member is
+ * reported as having left that did not leave. From each state, without further faults, all views
+ * become equal and correct within a bound.
  */
 public final class MembershipStateModel implements StateModel {
-    /**
-     * One look at the clock a probe, and suspicion as short as it can be: verdicts come within the
-     * depth.
-     */
-    private static final ProtocolTiming PACE =
+    /** One tick per probe and the shortest suspicion, so that verdicts occur within the depth. */
+    private static final ProtocolTiming TIMING =
             new ProtocolTiming(Duration.ofMillis(100), Duration.ofHours(1), 100, 1, 0.72);
 
-    /**
-     * Packets on one way from one to another; one more pushes the oldest out, which is a loss like
-     * any other.
-     */
-    private static final int ON_A_WAY = 2;
+    /** Maximum packets in flight from one member to another; a further one drops the oldest. */
+    private static final int MAX_IN_FLIGHT_PER_LINK = 2;
 
-    /** Looks at the clock within which a fleet without faults has settled. */
-    private static final int SETTLES = 120;
+    /** Rounds within which a fleet without faults must settle. */
+    private static final int MAX_SETTLE_ROUNDS = 120;
 
-    private static final int CALM = 40;
+    private static final int STARTUP_ROUNDS = 40;
 
-    private final int members;
-    private final int crashes;
-    private final boolean planted;
-    private final MembershipProtocol[] all;
+    private final int memberCount;
+    private final int maxCrashes;
+    private final boolean hasPlantedFault;
+    private final MembershipProtocol[] protocols;
     private final Duration[] clocks;
-    private final boolean[] dead;
-    private final boolean[] left;
-    private final List<List<OutboundPacket>> ways = new ArrayList<>();
-    private int deadCount;
-    private String broken;
+    private final boolean[] isCrashed;
+    private final boolean[] hasLeft;
+    private final List<List<OutboundPacket>> links = new ArrayList<>();
+    private int crashCount;
+    private String violation;
 
     /**
-     * @param planted whether a fault is planted that has to be found
+     * @param maxCrashes maximum number of members that crash
+     * @param hasPlantedFault whether the last member ignores the first one's packets: a fault that
+     *     the exploration must find
      */
-    public MembershipStateModel(int members, int crashes, boolean planted) {
-        this.members = members;
-        this.crashes = crashes;
-        this.planted = planted;
-        all = new MembershipProtocol[members];
-        clocks = new Duration[members];
-        dead = new boolean[members];
-        left = new boolean[members];
-        for (int i = 0; i < members; i++) {
+    public MembershipStateModel(int memberCount, int maxCrashes, boolean hasPlantedFault) {
+        this.memberCount = memberCount;
+        this.maxCrashes = maxCrashes;
+        this.hasPlantedFault = hasPlantedFault;
+        protocols = new MembershipProtocol[memberCount];
+        clocks = new Duration[memberCount];
+        isCrashed = new boolean[memberCount];
+        hasLeft = new boolean[memberCount];
+        for (int i = 0; i < memberCount; i++) {
             List<PeerAddress> seeds = i == 0 ? List.of() : List.of(address(0));
             Member self =
                     new Member(
@@ -74,13 +70,13 @@
                             1,
                             MemberState.JOINING);
             clocks[i] = Duration.ZERO;
-            all[i] = new MembershipProtocol(self, seeds, PACE, new ConstantRandom(), Duration.ZERO);
+            protocols[i] = new MembershipProtocol(self, seeds, TIMING, new ConstantRandom(), Duration.ZERO);
         }
-        for (int i = 0; i < members * members; i++) {
-            ways.add(new ArrayList<>());
+        for (int i = 0; i < memberCount * memberCount; i++) {
+            links.add(new ArrayList<>());
         }
-        for (int i = 0; i < CALM; i++) {
-            round();
+        for (int i = 0; i < STARTUP_ROUNDS; i++) {
+            runCalmRound();
         }
     }
 
@@ -88,106 +84,103 @@
         return new PeerAddress("m", i + 1);
     }
 
-    private void take(int from) {
-        for (OutboundPacket send : all[from].takeOutbound()) {
-            List<OutboundPacket> way = ways.get(from * members + send.destination().port() - 1);
-            if (way.size() == ON_A_WAY) {
-                way.remove(0);
+    private void collectOutbound(int from) {
+        for (OutboundPacket outbound : protocols[from].takeOutbound()) {
+            List<OutboundPacket> link = links.get(from * memberCount + outbound.destination().port() - 1);
+            if (link.size() == MAX_IN_FLIGHT_PER_LINK) {
+                link.remove(0);
             }
-            way.add(send);
+            link.add(outbound);
         }
-        for (MembershipChange change : all[from].takeChanges()) {
-            int of = (int) change.member().incarnation() - 1;
+        for (MembershipChange change : protocols[from].takeChanges()) {
+            int subject = (int) change.member().incarnation() - 1;
             if (change instanceof MembershipChange.StateChanged
                     && change.member().state() == MemberState.LEFT
-                    && !left[of]) {
-                broken = "said to have left: " + change;
+                    && !hasLeft[subject]) {
+                violation = "said to have left: " + change;
             }
         }
     }
 
-    private void time(int who) {
-        clocks[who] = all[who].nextTick();
-        all[who].tick(clocks[who]);
-        take(who);
+    private void advanceClock(int member) {
+        clocks[member] = protocols[member].nextTick();
+        protocols[member].tick(clocks[member]);
+        collectOutbound(member);
     }
 
-    private void deliver(int way, int which) {
-        int to = way % members;
-        OutboundPacket send = ways.get(way).remove(which);
-        if (dead[to]) {
+    private void deliver(int link, int index) {
+        int to = link % memberCount;
+        OutboundPacket outbound = links.get(link).remove(index);
+        if (isCrashed[to]) {
             return;
         }
-        // A planted fault, to see that it is found: a member that never answers what is said of it.
-        if (planted && to == members - 1 && send.packet().sender().incarnation() == 1) {
+        // The planted fault: the last member never refutes what the first one reports about it.
+        if (hasPlantedFault && to == memberCount - 1 && outbound.packet().sender().incarnation() == 1) {
             return;
         }
-        all[to].receive(send.packet(), clocks[to]);
-        take(to);
+        protocols[to].receive(outbound.packet(), clocks[to]);
+        collectOutbound(to);
     }
 
-    /** One calm look at the clock by each, and all packets delivered in order. */
-    private void round() {
-        for (int i = 0; i < members; i++) {
-            if (!dead[i]) {
-                time(i);
+    /** Ticks each member's clock once and then delivers all packets in order. */
+    private void runCalmRound() {
+        for (int i = 0; i < memberCount; i++) {
+            if (!isCrashed[i]) {
+                advanceClock(i);
             }
         }
-        for (boolean more = true; more; ) {
-            more = false;
-            for (int way = 0; way < ways.size(); way++) {
-                while (!ways.get(way).isEmpty()) {
-                    deliver(way, 0);
-                    more = true;
+        for (boolean hasMore = true; hasMore; ) {
+            hasMore = false;
+            for (int link = 0; link < links.size(); link++) {
+                while (!links.get(link).isEmpty()) {
+                    deliver(link, 0);
+                    hasMore = true;
                 }
             }
         }
     }
 
-    /**
-     * Numbered from 0: first the clocks, then crashes, then deliveries and losses of what is on its
-     * way.
-     */
+    /** Numbered from 0: first the clock ticks, then crashes, then deliveries and losses. */
     @Override
     public boolean act(int action) {
-        int rest = action;
-        if (rest < members) {
-            if (dead[rest]) {
+        int offset = action;
+        if (offset < memberCount) {
+            if (isCrashed[offset]) {
                 return false;
             }
-            time(rest);
+            advanceClock(offset);
             return true;
         }
-        rest -= members;
-        if (rest < members) {
-            if (dead[rest] || deadCount == crashes) {
+        offset -= memberCount;
+        if (offset < memberCount) {
+            if (isCrashed[offset] || crashCount == maxCrashes) {
                 return false;
             }
-            dead[rest] = true;
-            deadCount++;
+            isCrashed[offset] = true;
+            crashCount++;
             return true;
         }
-        rest -= members;
-        for (int way = 0; way < ways.size(); way++) {
-            int size = ways.get(way).size();
-            if (rest < 2 * size) {
-                if (rest % 2 == 0) {
-                    deliver(way, rest / 2);
+        offset -= memberCount;
+        for (int link = 0; link < links.size(); link++) {
+            int size = links.get(link).size();
+            if (offset < 2 * size) {
+                if (offset % 2 == 0) {
+                    deliver(link, offset / 2);
                 } else {
-                    ways.get(way).remove(rest / 2);
+                    links.get(link).remove(offset / 2);
                 }
                 return true;
             }
-            rest -= 2 * size;
+            offset -= 2 * size;
         }
         return false;
     }
 
     @Override
     public int actions() {
-        int count = 2 * members;
-        for (List<OutboundPacket> way : ways) {
-            count += 2 * way.size();
+        int count = 2 * memberCount;
+        for (List<OutboundPacket> link : links) {
+            count += 2 * link.size();
         }
         return count;
     }
@@ -195,70 +188,70 @@
     @Override
     public long fingerprint() {
         StringBuilder text = new StringBuilder(1024);
-        for (int i = 0; i < members; i++) {
-            text.append(dead[i] ? "dead" : all[i].describeState())
-                    .append(all[i].nextTick().minus(clocks[i]))
+        for (int i = 0; i < memberCount; i++) {
+            text.append(isCrashed[i] ? "dead" : protocols[i].describeState())
+                    .append(protocols[i].nextTick().minus(clocks[i]))
                     .append('\n');
         }
-        for (List<OutboundPacket> way : ways) {
-            text.append(way.stream().map(send -> told(send)).toList());
+        for (List<OutboundPacket> link : links) {
+            text.append(link.stream().map(outbound -> describe(outbound)).toList());
         }
         return LongHashFunction.xx3().hashChars(text);
     }
 
-    private String told(OutboundPacket send) {
-        return send.packet().toString();
+    private String describe(OutboundPacket outbound) {
+        return outbound.packet().toString();
     }
 
     @Override
     public String broken() {
-        for (int i = 0; i < members && broken == null; i++) {
-            if (dead[i]) {
+        for (int i = 0; i < memberCount && violation == null; i++) {
+            if (isCrashed[i]) {
                 continue;
             }
-            for (MemberSnapshot seen : all[i].snapshot()) {
-                int of = (int) seen.member().incarnation() - 1;
-                if (seen.member().stateVersion() > all[of].self().stateVersion()) {
-                    broken = "a number that " + of + " never had: " + seen;
+            for (MemberSnapshot seen : protocols[i].snapshot()) {
+                int subject = (int) seen.member().incarnation() - 1;
+                if (seen.member().stateVersion() > protocols[subject].self().stateVersion()) {
+                    violation = "a number that " + subject + " never had: " + seen;
                 }
             }
         }
-        return broken;
+        return violation;
     }
 
-    private boolean right() {
+    private boolean hasSettled() {
         long digest = 0;
-        boolean first = true;
-        for (int i = 0; i < members; i++) {
-            if (dead[i]) {
+        boolean isFirst = true;
+        for (int i = 0; i < memberCount; i++) {
+            if (isCrashed[i]) {
                 continue;
             }
-            if (all[i].liveCount() != members - deadCount - 1
-                    || all[i].self().state() != MemberState.ALIVE) {
+            if (protocols[i].liveCount() != memberCount - crashCount - 1
+                    || protocols[i].self().state() != MemberState.ALIVE) {
                 return false;
             }
-            for (MemberSnapshot seen : all[i].snapshot()) {
-                if (dead[(int) seen.member().incarnation() - 1] && seen.member().state().isLive()) {
+            for (MemberSnapshot seen : protocols[i].snapshot()) {
+                if (isCrashed[(int) seen.member().incarnation() - 1] && seen.member().state().isLive()) {
                     return false;
                 }
             }
-            if (!first && digest != all[i].digest()) {
+            if (!isFirst && digest != protocols[i].digest()) {
                 return false;
             }
-            digest = all[i].digest();
-            first = false;
+            digest = protocols[i].digest();
+            isFirst = false;
         }
         return true;
     }
 
-    /** Looks at the clock until all is right without faults, or -1. */
+    /** Returns the number of rounds without faults until all views are equal and correct, or -1. */
     @Override
     public int settles() {
-        for (int i = 0; i <= SETTLES; i++) {
-            if (right()) {
+        for (int i = 0; i <= MAX_SETTLE_ROUNDS; i++) {
+            if (hasSettled()) {
                 return i;
             }
-            round();
+            runCalmRound();
         }
         return -1;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
@@ -1,22 +1,22 @@
 package ochretiller.emulator.fleet;
 
 /**
- * A small world whose orders of events are all explored: made anew, and led along a path of
- * actions.
+ * A small system whose orders of events are explored exhaustively. Each state is reached by creating
+ * a new model and performing a path of actions on it.
  */
 public interface StateModel {
-    /** Actions that may be tried now, numbered from 0; some of them may turn out to be none. */
+    /** Number of actions in this state, numbered from 0; some of them may not be possible. */
     int actions();
 
-    /** Does one; false where there is no such action now. */
+    /** Performs an action; returns false if it is not possible in this state. */
     boolean act(int action);
 
-    /** Equal where two states go on alike. */
+    /** A hash that is equal for states with the same behaviour from here on. */
     long fingerprint();
 
-    /** What rule is broken in this state, or null. */
+    /** The rule that this state violates, or null. */
     String broken();
 
-    /** With all faults gone: steps until all is well, or -1 where it never is. */
+    /** Runs on without faults; returns the steps until the model settles, or -1 if it does not. */
     int settles();
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
@@ -14,14 +14,20 @@
 import java.util.function.Supplier;
 
 /**
- * Goes through all orders of events of a {@link StateModel} to a depth, breadth first. States that
- * go on alike are one. In each state no rule may be broken, and from each all has to become well
- * once nothing more goes wrong.
+ * Explores all orders of events of a {@link StateModel} breadth first, to a given depth. States with
+ * equal fingerprints are explored once. No state may violate a rule, and from each one the model
+ * must settle if no further fault occurs.
  */
 public final class StateSpaceExplorer {
     private final Supplier<StateModel> models;
 
-    /** What came of it. */
+    /**
+     * The result of an exploration.
+     *
+     * @param depth last depth that was explored completely, or at which a violation was found
+     * @param worstSettles most steps without faults until a state settled
+     * @param broken the violation with the path of actions to it; null if there is none
+     */
     public record Found(int depth, long states, long edges, int worstSettles, String broken) {}
 
     public StateSpaceExplorer(Supplier<StateModel> models) {
@@ -29,43 +35,43 @@
     }
 
     private StateModel replay(byte[] path) {
-        StateModel fleet = models.get();
+        StateModel model = models.get();
         for (byte action : path) {
-            fleet.act(action);
+            model.act(action);
         }
-        return fleet;
+        return model;
     }
 
-    /** One state that was reached: what of it is kept. */
-    private record Reached(long fingerprint, byte[] path, String broken) {}
+    /** A state that was reached, by the path of actions that leads to it. */
+    private record Reached(long fingerprint, byte[] path, String violation) {}
 
     private List<Reached> expand(byte[] path, int actions) {
-        List<Reached> all = new ArrayList<>();
+        List<Reached> reached = new ArrayList<>();
         for (int action = 0; action < actions; action++) {
-            StateModel fleet = replay(path);
-            if (!fleet.act(action)) {
+            StateModel model = replay(path);
+            if (!model.act(action)) {
                 continue;
             }
             byte[] next = Arrays.copyOf(path, path.length + 1);
             next[path.length] = (byte) action;
-            long fingerprint = fleet.fingerprint();
-            all.add(new Reached(fingerprint, next, fleet.broken()));
+            long fingerprint = model.fingerprint();
+            reached.add(new Reached(fingerprint, next, model.broken()));
         }
-        return all;
+        return reached;
     }
 
     /**
-     * Explores breadth first, each depth whole, until a depth would bring more states than are
-     * wanted.
+     * Explores depth by depth until there are no new states, the first violation, or a completed
+     * depth with more than {@code maxStates} states in all. Uses one thread per processor.
      */
-    public Found explore(int depth, long mostStates, Consumer<String> progress) throws Exception {
-        Set<Long> known = new HashSet<>();
-        List<byte[]> front = List.of(new byte[0]);
-        known.add(models.get().fingerprint());
-        long edges = 0;
-        int worst = 0;
-        int done = 0;
-        ExecutorService threads =
+    public Found explore(int depth, long maxStates, Consumer<String> progress) throws Exception {
+        Set<Long> fingerprints = new HashSet<>();
+        List<byte[]> frontier = List.of(new byte[0]);
+        fingerprints.add(models.get().fingerprint());
+        long transitions = 0;
+        int maxRounds = 0;
+        int completedDepth = 0;
+        ExecutorService executor =
                 Executors.newFixedThreadPool(
                         Runtime.getRuntime().availableProcessors(),
                         work -> {
@@ -76,60 +82,60 @@
         try {
             for (int level = 1; level <= depth; level++) {
                 List<Callable<List<Reached>>> work = new ArrayList<>();
-                for (byte[] path : front) {
+                for (byte[] path : frontier) {
                     work.add(() -> expand(path, replay(path).actions()));
                 }
                 List<byte[]> next = new ArrayList<>();
-                for (Future<List<Reached>> each : threads.invokeAll(work)) {
+                for (Future<List<Reached>> each : executor.invokeAll(work)) {
                     for (Reached reached : each.get()) {
-                        edges++;
-                        if (reached.broken != null) {
+                        transitions++;
+                        if (reached.violation != null) {
                             return new Found(
                                     level,
-                                    known.size(),
-                                    edges,
-                                    worst,
-                                    reached.broken + " by " + Arrays.toString(reached.path));
+                                    fingerprints.size(),
+                                    transitions,
+                                    maxRounds,
+                                    reached.violation + " by " + Arrays.toString(reached.path));
                         }
-                        if (known.add(reached.fingerprint)) {
+                        if (fingerprints.add(reached.fingerprint)) {
                             next.add(reached.path);
                         }
                     }
                 }
-                List<Callable<Integer>> heals = new ArrayList<>();
+                List<Callable<Integer>> settleTasks = new ArrayList<>();
                 for (byte[] path : next) {
-                    heals.add(() -> replay(path).settles());
+                    settleTasks.add(() -> replay(path).settles());
                 }
                 int index = 0;
-                for (Future<Integer> each : threads.invokeAll(heals)) {
+                for (Future<Integer> each : executor.invokeAll(settleTasks)) {
                     if (each.get() < 0) {
                         return new Found(
                                 level,
-                                known.size(),
-                                edges,
-                                worst,
+                                fingerprints.size(),
+                                transitions,
+                                maxRounds,
                                 "does not settle, by " + Arrays.toString(next.get(index)));
                     }
-                    worst = Math.max(worst, each.get());
+                    maxRounds = Math.max(maxRounds, each.get());
                     index++;
                 }
-                done = level;
+                completedDepth = level;
                 progress.accept(
                         String.format(
                                 Locale.ROOT,
                                 "depth %d: %d states, %d steps, settles within %d looks",
                                 level,
-                                known.size(),
-                                edges,
-                                worst));
-                front = next;
-                if (front.isEmpty() || known.size() > mostStates) {
+                                fingerprints.size(),
+                                transitions,
+                                maxRounds));
+                frontier = next;
+                if (frontier.isEmpty() || fingerprints.size() > maxStates) {
                     break;
                 }
             }
         } finally {
-            threads.shutdownNow();
+            executor.shutdownNow();
         }
-        return new Found(done, known.size(), edges, worst, null);
+        return new Found(completedDepth, fingerprints.size(), transitions, maxRounds, null);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Fleets of servers with faults between them: scripts, their plans, and the servers' own decisions
- * on members in virtual time. Scripts and plans are what {@code drill} plays on processes.
+ * Simulations of server fleets in virtual time, with faults of processes and links: scenarios, their
+ * fault schedules, and models that run the server's own membership, replication and rollout code.
+ * {@code drill} applies the same scenarios and schedules to real processes.
  */
 package ochretiller.emulator.fleet;
