--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetOutcome.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetOutcome.java
@@ -4,21 +4,21 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a played script showed. */
+/** Results of a membership simulation. */
 public final class FleetOutcome {
     /**
-     * Time behind the last fault until all views were equal and right for good; infinite where they
-     * never were.
+     * Seconds from the last fault until all views stayed equal and correct; infinite if they never
+     * did.
      */
     public double settledS = Double.POSITIVE_INFINITY;
 
-    /** Verdicts on members that were alive and could be heard. */
+    /** Verdicts that a member is unresponsive although it was alive and reachable. */
     public int falseVerdicts;
 
-    /** Most times that one member was judged silent by another within one fault. */
+    /** Most verdicts of one member that the same other member is unresponsive. */
     public int changesEach;
 
-    /** Milliseconds from a kill until each survivor knew. */
+    /** Milliseconds from each kill until a survivor detected it, one value for each survivor. */
     public final List<Double> knownMs = new ArrayList<>();
 
     public int verdicts;
@@ -29,18 +29,18 @@
     public long suspected;
     public double memberSeconds;
 
-    /** Most packets that one server sent in a second. */
+    /** Most packets that any server sent in one second. */
     public int mostPackets;
 
     public double mostBytes;
 
-    /** Time in the decisions, on the machine that plays it. */
+    /** Processing time of the protocol code, in nanoseconds of real time. */
     public long decisionNanos;
 
     public int twins;
     public final List<String> notes = new ArrayList<>();
 
-    /** What was expected and did not come. */
+    /** Describes each expectation that was not met; empty if all were. */
     public List<String> missed(FleetScenario.Expect expect) {
         List<String> missed = new ArrayList<>();
         if (expect.settledS() > 0 && settledS > expect.settledS()) {
@@ -66,7 +66,7 @@
         return missed;
     }
 
-    /** Of the times from kills until survivors knew, in milliseconds. */
+    /** Returns a percentile of the detection times, in milliseconds; NaN if there are none. */
     public double knownMs(double percentile) {
         if (knownMs.isEmpty()) {
             return Double.NaN;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
@@ -6,14 +6,15 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * What is played on a fleet. Members are numbered from 1, zones too; the first members are the
- * seeds.
+ * A fleet with its incidents and expected results. Members and zones are numbered from 1; the first
+ * members are the seeds.
  *
- * @param startS time over which the members start
- * @param copies whether the fleet keeps claims and results of tokened invocations; the drill's
- *     alone
- * @param store whether each server remembers results, and keeps its copies, on a disk
- * @param expect what is to come out
+ * @param startS seconds over which the starts of the members are spread
+ * @param probeMs interval between membership probes, in milliseconds
+ * @param copies whether the fleet replicates claims and results of keyed invocations; used by the
+ *     drill only
+ * @param store whether each server stores its results and replicated entries on disk
+ * @param expect the expected results
  */
 public record FleetScenario(
         String name,
@@ -31,23 +32,26 @@
         List<Incident> incidents,
         Expect expect) {
     /**
-     * What callers send to all members together while it is played; the drill sends it, the
-     * emulator has no callers here.
+     * Load from clients on all members together, used by the drill only.
+     *
+     * @param perSecond invocations a second
+     * @param workMs duration of a run, in milliseconds
      */
     public record Load(double perSecond, double workMs) {}
 
     /**
-     * One that happens.
+     * A fault of processes or links.
      *
-     * @param forS how long; for a kill, how long until it starts again, 0 for never
+     * @param atS start time in seconds
+     * @param forS duration in seconds; for a kill, the time until the restart, 0 for no restart
+     * @param what kind of fault, for example {@code kill} or {@code loss}
      * @param who members, as {@code all}, {@code 2-5}, {@code z1}, {@code 1/3} (the last third), or
-     *     some of them with commas
-     * @param from senders, for faults of links; all where it is empty
-     * @param to receivers
-     * @param strength share, milliseconds, count or rate, as its kind says; for an old disk, the
-     *     seconds by which it is old
-     * @param disk what a server finds that starts again: all it had, nothing, an image of some time
-     *     ago, or all but its last bytes
+     *     several of these separated by commas
+     * @param from senders, for faults of links; all members if empty
+     * @param to receivers, for faults of links; all members if empty
+     * @param strength share, milliseconds, count or rate, depending on the kind; for an old disk,
+     *     its age in seconds
+     * @param disk state of the disk at a restart
      */
     public record Incident(
             double atS,
@@ -70,7 +74,7 @@
         }
     }
 
-    /** What is left of a disk. */
+    /** State of a disk at a restart: unchanged, empty, an older image, or without its last bytes. */
     public enum Disk {
         KEPT,
         EMPTY,
@@ -79,38 +83,44 @@
     }
 
     /**
-     * @param settledS longest time behind the last fault until all views are equal and right; 0 for
-     *     no bound
-     * @param falseVerdicts most verdicts on members that were alive and could be heard; negative
+     * Bounds on the results of a scenario.
+     *
+     * @param settledS maximum seconds from the last fault until all views are equal and correct; 0
      *     for no bound
-     * @param changesEach most times that one member counts as silent for another, for each fault;
+     * @param falseVerdicts maximum number of verdicts on members that were alive and reachable;
+     *     negative for no bound
+     * @param changesEach maximum number of verdicts of one member on the same other member;
      *     negative for no bound
-     * @param valueShare least share of the billed value
+     * @param valueShare minimum share of the billed value
      */
     public record Expect(double settledS, int falseVerdicts, int changesEach, double valueShare) {
         public static final Expect NOTHING = new Expect(0, -1, -1, 0);
     }
 
-    /** The zone of a member, from 1: neighbours share one. */
+    /** The zone of a member, from 1; each zone is a contiguous range of members. */
     public int zone(int member) {
         return 1 + (member - 1) % members * zones / members;
     }
 
-    /** The members that a text names. */
+    /**
+     * Parses a member selection, see {@link Incident#who}.
+     *
+     * @throws MalformedException if it selects no member or one that does not exist
+     */
     public Set<Integer> members(String who) {
-        Set<Integer> all = new TreeSet<>();
+        Set<Integer> numbers = new TreeSet<>();
         if (who.isEmpty() || who.equals("all")) {
             for (int i = 1; i <= members; i++) {
-                all.add(i);
+                numbers.add(i);
             }
-            return all;
+            return numbers;
         }
         for (String part : who.split(",")) {
             if (part.startsWith("z")) {
                 int zone = Integer.parseInt(part.substring(1));
                 for (int i = 1; i <= members; i++) {
                     if (zone(i) == zone) {
-                        all.add(i);
+                        numbers.add(i);
                     }
                 }
             } else if (part.contains("/")) {
@@ -121,24 +131,24 @@
                                         * (part.charAt(0) - '0')
                                         / Math.max(1, part.charAt(2) - '0'));
                 for (int i = members - count + 1; i <= members; i++) {
-                    all.add(i);
+                    numbers.add(i);
                 }
             } else {
                 int dash = part.indexOf('-');
                 int first = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
                 int last = dash < 0 ? first : Integer.parseInt(part.substring(dash + 1));
                 for (int i = first; i <= last; i++) {
-                    all.add(i);
+                    numbers.add(i);
                 }
             }
         }
-        if (all.isEmpty() || all.iterator().next() < 1 || all.stream().anyMatch(i -> i > members)) {
+        if (numbers.isEmpty() || numbers.iterator().next() < 1 || numbers.stream().anyMatch(i -> i > members)) {
             throw new MalformedException(name + ": no members '" + who + "' among " + members);
         }
-        return all;
+        return numbers;
     }
 
-    /** The same with another number of members. */
+    /** Returns this scenario with another number of members. */
     public FleetScenario sized(int count) {
         return new FleetScenario(
                 name, seconds, count, zones, seeds, startS, probeMs, delayMs, jitterMs, copies,
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenarioReader.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenarioReader.java
@@ -8,22 +8,22 @@
 import ochretiller.json5.Json5;
 import ochretiller.settings.MalformedException;
 
-/** Reads scripts of fleets; each fault is told with its place. */
+/** Reads fleet scenarios from JSON5; an invalid one is rejected with the position of the error. */
 public final class FleetScenarioReader {
-    private static final Json5 FILE =
+    private static final Json5 SCHEMA =
             new Json5(FleetScenarioReader.class, "/ochretiller/emulator/fleet.schema.json");
 
     private FleetScenarioReader() {}
 
     public static FleetScenario read(Path file) {
-        return script(FILE.read(file, "the script"), Json5.name(file));
+        return toScenario(SCHEMA.read(file, "the script"), Json5.name(file));
     }
 
     public static FleetScenario of(String text, String name) {
-        return script(FILE.of(text, name), name);
+        return toScenario(SCHEMA.of(text, name), name);
     }
 
-    private static FleetScenario script(JsonNode root, String file) {
+    private static FleetScenario toScenario(JsonNode root, String file) {
         JsonNode net = root.path("network");
         JsonNode load = root.path("load");
         JsonNode expect = root.path("expect");
@@ -45,7 +45,7 @@
                                                                 .asText("kept")
                                                                 .toUpperCase(Locale.ROOT)))));
         int members = root.path("members").asInt();
-        FleetScenario script =
+        FleetScenario scenario =
                 new FleetScenario(
                         root.path("name").asText(file),
                         root.path("seconds").asDouble(),
@@ -67,14 +67,14 @@
                                 expect.path("false_verdicts").asInt(-1),
                                 expect.path("changes_each").asInt(-1),
                                 expect.path("value_share").asDouble(0)));
-        FaultSchedule plan = FaultSchedule.of(script);
-        if (plan.lastS() > script.seconds()) {
+        FaultSchedule schedule = FaultSchedule.of(scenario);
+        if (schedule.lastS() > scenario.seconds()) {
             throw new MalformedException(
-                    script.name()
+                    scenario.name()
                             + ": its last fault ends at "
-                            + plan.lastS()
-                            + " s, behind its end");
+                            + schedule.lastS()
+                            + " s, after the scenario ends");
         }
-        return script;
+        return scenario;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
@@ -7,140 +7,140 @@
 import ochretiller.emulator.core.RandomStreams;
 
 /**
- * What is measured beside: each server tells all others that it is there, and whoever was not heard
- * for a fixed time counts as silent. It plays the same plans over the same links; kills, pauses,
- * cuts, losses and crowds are all that it knows.
+ * A baseline for comparison: each server sends heartbeats to all others and considers a server silent
+ * if it has not heard from it for a fixed time. It uses the same schedules and link faults as the
+ * membership simulation, but supports no actions other than kill, pause and resume.
  */
 final class HeartbeatBaseline {
-    /** Half a second between two words, and three of them missed. */
-    private static final double EVERY_S = 0.5;
+    /** A server counts as silent after three missed heartbeats. */
+    private static final double HEARTBEAT_INTERVAL_S = 0.5;
 
-    private static final double SILENT_S = 1.5;
-    private static final double LOOK_S = 0.1;
+    private static final double SILENCE_TIMEOUT_S = 1.5;
+    private static final double CHECK_INTERVAL_S = 0.1;
 
-    private final FleetScenario script;
-    private final FaultSchedule plan;
+    private final FleetScenario scenario;
+    private final FaultSchedule schedule;
     private final EventQueue events = new EventQueue();
     private final LinkFaults faults;
     private final FleetOutcome outcome = new FleetOutcome();
     private final Host[] hosts;
 
     private static final class Host {
-        boolean up = true;
-        boolean paused;
-        double diedS = Double.NaN;
+        boolean isUp = true;
+        boolean isPaused;
+        double stoppedS = Double.NaN;
         double resumedS = Double.NEGATIVE_INFINITY;
-        final double[] heard;
-        final boolean[] silent;
+        final double[] lastHeardS;
+        final boolean[] isSilent;
 
         Host(int members) {
-            heard = new double[members];
-            silent = new boolean[members];
-            Arrays.fill(heard, 0);
+            lastHeardS = new double[members];
+            isSilent = new boolean[members];
+            Arrays.fill(lastHeardS, 0);
         }
     }
 
-    HeartbeatBaseline(FleetScenario script, long seed) {
-        this.script = script;
-        this.plan = FaultSchedule.of(script);
-        RandomStreams seeds = new RandomStreams(seed);
-        faults = new LinkFaults(plan, seeds.of("faults"));
-        hosts = new Host[script.members()];
+    HeartbeatBaseline(FleetScenario scenario, long seed) {
+        this.scenario = scenario;
+        this.schedule = FaultSchedule.of(scenario);
+        RandomStreams streams = new RandomStreams(seed);
+        faults = new LinkFaults(schedule, streams.of("faults"));
+        hosts = new Host[scenario.members()];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = new Host(hosts.length);
             int host = i;
-            events.after(seeds.of("phase " + i).nextDouble() * EVERY_S, () -> say(host));
-            events.after(seeds.of("look " + i).nextDouble() * LOOK_S, () -> look(host));
+            events.after(streams.of("phase " + i).nextDouble() * HEARTBEAT_INTERVAL_S, () -> sendHeartbeats(host));
+            events.after(streams.of("look " + i).nextDouble() * CHECK_INTERVAL_S, () -> checkSilence(host));
         }
-        for (FaultSchedule.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : schedule.actions()) {
             if (action.act() != FaultSchedule.Act.START) {
-                events.after(action.atS(), () -> act(action));
+                events.after(action.atS(), () -> perform(action));
             }
         }
     }
 
     FleetOutcome play() {
-        events.run(script.seconds());
-        outcome.memberSeconds = script.seconds() * script.members();
+        events.run(scenario.seconds());
+        outcome.memberSeconds = scenario.seconds() * scenario.members();
         return outcome;
     }
 
-    private void act(FaultSchedule.Action action) {
+    private void perform(FaultSchedule.Action action) {
         Host host = hosts[action.slot() - 1];
         switch (action.act()) {
             case KILL -> {
-                host.up = false;
-                host.diedS = events.seconds();
+                host.isUp = false;
+                host.stoppedS = events.seconds();
             }
-            case PAUSE -> host.paused = true;
+            case PAUSE -> host.isPaused = true;
             case RESUME -> {
-                host.paused = false;
+                host.isPaused = false;
                 host.resumedS = events.seconds();
             }
-            default -> throw new IllegalArgumentException("heartbeats do not play " + action.act());
+            default -> throw new IllegalArgumentException("unsupported action in heartbeat baseline: " + action.act());
         }
     }
 
-    private double late(int host) {
+    private double delayS(int host) {
         return faults.lateMs(host + 1, events.seconds()) / 1e3;
     }
 
-    private void say(int from) {
-        if (!hosts[from].up) {
+    private void sendHeartbeats(int sender) {
+        if (!hosts[sender].isUp) {
             return;
         }
-        if (!hosts[from].paused) {
-            for (int to = 0; to < hosts.length; to++) {
-                if (to == from) {
+        if (!hosts[sender].isPaused) {
+            for (int recipient = 0; recipient < hosts.length; recipient++) {
+                if (recipient == sender) {
                     continue;
                 }
                 outcome.packets++;
-                int receiver = to;
-                for (LinkFaults.Copy copy : faults.fate(from + 1, to + 1, events.seconds())) {
+                int receiver = recipient;
+                for (LinkFaults.Copy copy : faults.fate(sender + 1, recipient + 1, events.seconds())) {
                     events.after(
-                            (script.delayMs() + copy.delayMs()) / 1e3 + late(to),
-                            () -> hear(receiver, from));
+                            (scenario.delayMs() + copy.delayMs()) / 1e3 + delayS(recipient),
+                            () -> receiveHeartbeat(receiver, sender));
                 }
             }
         }
-        events.after(EVERY_S + late(from), () -> say(from));
+        events.after(HEARTBEAT_INTERVAL_S + delayS(sender), () -> sendHeartbeats(sender));
     }
 
-    private void hear(int to, int from) {
-        if (!hosts[to].up || hosts[to].paused) {
+    private void receiveHeartbeat(int recipient, int sender) {
+        if (!hosts[recipient].isUp || hosts[recipient].isPaused) {
             return;
         }
-        hosts[to].heard[from] = events.seconds();
-        hosts[to].silent[from] = false;
+        hosts[recipient].lastHeardS[sender] = events.seconds();
+        hosts[recipient].isSilent[sender] = false;
     }
 
-    private void look(int who) {
-        Host host = hosts[who];
-        if (!host.up) {
+    private void checkSilence(int observer) {
+        Host host = hosts[observer];
+        if (!host.isUp) {
             return;
         }
         double now = events.seconds();
-        for (int of = 0; of < hosts.length && !host.paused; of++) {
-            if (of == who || host.silent[of] || now - host.heard[of] < SILENT_S) {
+        for (int subject = 0; subject < hosts.length && !host.isPaused; subject++) {
+            if (subject == observer || host.isSilent[subject] || now - host.lastHeardS[subject] < SILENCE_TIMEOUT_S) {
                 continue;
             }
-            host.silent[of] = true;
+            host.isSilent[subject] = true;
             outcome.verdicts++;
-            if (!hosts[of].up) {
-                outcome.knownMs.add((now - hosts[of].diedS) * 1e3);
+            if (!hosts[subject].isUp) {
+                outcome.knownMs.add((now - hosts[subject].stoppedS) * 1e3);
                 continue;
             }
-            Set<Integer> unheard = plan.unheard(now);
-            unheard.addAll(plan.unheard(Math.max(0, now - 1)));
-            List<Integer> both = List.of(who + 1, of + 1);
-            boolean excused =
-                    hosts[of].paused
-                            || now - hosts[of].resumedS < 1
-                            || both.stream().anyMatch(unheard::contains);
-            if (!excused) {
+            Set<Integer> unreachable = schedule.unheard(now);
+            unreachable.addAll(schedule.unheard(Math.max(0, now - 1)));
+            List<Integer> observerAndSubject = List.of(observer + 1, subject + 1);
+            boolean isExcused =
+                    hosts[subject].isPaused
+                            || now - hosts[subject].resumedS < 1
+                            || observerAndSubject.stream().anyMatch(unreachable::contains);
+            if (!isExcused) {
                 outcome.falseVerdicts++;
             }
         }
-        events.after(LOOK_S + late(who), () -> look(who));
+        events.after(CHECK_INTERVAL_S + delayS(observer), () -> checkSilence(observer));
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/LinkFaults.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/LinkFaults.java
@@ -5,33 +5,33 @@
 import java.util.SplittableRandom;
 
 /**
- * What becomes of each packet between two servers. One decision for the emulator's links and for
- * the drill's.
+ * Decides for each packet between two servers whether it is lost, delayed, duplicated or corrupted.
+ * Used for the links of the emulator and of the drill alike.
  */
 public final class LinkFaults {
-    /** Reordered packets come as many milliseconds late. */
-    private static final double LATE_MS = 40;
+    /** Maximum delay of a reordered or duplicated packet, in milliseconds. */
+    private static final double MAX_REORDER_DELAY_MS = 40;
 
     private final List<FaultSchedule.Fault> faults;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
 
     /**
      * A copy of a packet that arrives.
      *
-     * @param delayMs beyond what the link takes anyway
-     * @param spoilt whether a byte of it is another
+     * @param delayMs milliseconds in addition to the link's normal latency
+     * @param spoilt whether one of its bytes is corrupted
      */
     public record Copy(double delayMs, boolean spoilt) {}
 
-    public LinkFaults(FaultSchedule plan, SplittableRandom chance) {
-        this.faults = plan.faults();
-        this.chance = chance;
+    public LinkFaults(FaultSchedule schedule, SplittableRandom random) {
+        this.faults = schedule.faults();
+        this.random = random;
     }
 
-    /** The copies that arrive of a packet sent now: none where it is lost. */
+    /** Returns the copies of a packet sent now that arrive; empty if it is lost. */
     public List<Copy> fate(int from, int to, double seconds) {
         double delay = 0;
-        boolean spoilt = false;
+        boolean isCorrupted = false;
         int copies = 1;
         for (FaultSchedule.Fault fault : faults) {
             if (!fault.on(seconds) || !fault.to().contains(to) || !fault.from().contains(from)) {
@@ -42,33 +42,34 @@
                     return List.of();
                 }
                 case LOSS -> {
-                    if (chance.nextDouble() < fault.strength()) {
+                    if (random.nextDouble() < fault.strength()) {
                         return List.of();
                     }
                 }
-                case DELAY -> delay += fault.strength() * (0.5 + chance.nextDouble());
+                case DELAY -> delay += fault.strength() * (0.5 + random.nextDouble());
                 case REORDER ->
                         delay +=
-                                chance.nextDouble() < fault.strength()
-                                        ? LATE_MS * chance.nextDouble()
+                                random.nextDouble() < fault.strength()
+                                        ? MAX_REORDER_DELAY_MS * random.nextDouble()
                                         : 0;
-                case DUPLICATE -> copies += chance.nextDouble() < fault.strength() ? 1 : 0;
-                case CORRUPT -> spoilt |= chance.nextDouble() < fault.strength();
+                case DUPLICATE -> copies += random.nextDouble() < fault.strength() ? 1 : 0;
+                case CORRUPT -> isCorrupted |= random.nextDouble() < fault.strength();
                 default -> {}
             }
         }
         if (copies == 1) {
-            return List.of(new Copy(delay, spoilt));
+            return List.of(new Copy(delay, isCorrupted));
         }
-        List<Copy> all = new ArrayList<>();
+        List<Copy> deliveries = new ArrayList<>();
         for (int i = 0; i < copies; i++) {
-            all.add(new Copy(delay + i * chance.nextDouble() * LATE_MS, spoilt));
+            deliveries.add(new Copy(delay + i * random.nextDouble() * MAX_REORDER_DELAY_MS, isCorrupted));
         }
-        return all;
+        return deliveries;
     }
 
     /**
-     * Milliseconds by which a server's work comes late now, by chance; 0 where its core is its own.
+     * Returns a random delay of a server's processing now, in milliseconds; 0 if no fault crowds its
+     * core.
      */
     public double lateMs(int slot, double seconds) {
         double late = 0;
@@ -76,7 +77,7 @@
             if (fault.what() == FaultSchedule.Link.CROWD
                     && fault.on(seconds)
                     && fault.to().contains(slot)) {
-                late += -Math.log(1 - chance.nextDouble()) * fault.strength();
+                late += -Math.log(1 - random.nextDouble()) * fault.strength();
             }
         }
         return late;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
@@ -15,14 +15,14 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 
-/** Tables and charts of what a view costs and how fast and how rightly it judges. */
+/** Writes tables and charts of the cost, detection time and false verdicts of the membership view. */
 public final class MembershipMeasurement {
-    /** Members join within so many seconds, and the cost is counted from some seconds later on. */
-    private static final double JOIN_S = 10;
+    /** Seconds in which the members join; cost is counted from {@code COUNTING_START_S} on. */
+    private static final double JOIN_DURATION_S = 10;
 
-    private static final double CALM_S = 25;
-    private static final double COUNT_S = 20;
-    private static final int MIDDLE = 24;
+    private static final double IDLE_DURATION_S = 25;
+    private static final double COUNTING_START_S = 20;
+    private static final int VERDICT_MEMBERS = 24;
 
     private final Path folder;
     private final int seeds;
@@ -32,7 +32,7 @@
         this.seeds = seeds;
     }
 
-    private static FleetScenario script(
+    private static FleetScenario scenario(
             String name, int members, double seconds, List<FleetScenario.Incident> incidents) {
         return new FleetScenario(
                 name,
@@ -40,7 +40,7 @@
                 members,
                 3,
                 5,
-                JOIN_S,
+                JOIN_DURATION_S,
                 100,
                 0.3,
                 0.3,
@@ -52,8 +52,8 @@
     }
 
     private static FleetScenario.Incident incident(
-            double at, double span, String what, String who, double strength) {
-        return new FleetScenario.Incident(at, span, what, who, "", "", strength);
+            double atS, double durationS, String what, String who, double strength) {
+        return new FleetScenario.Incident(atS, durationS, what, who, "", "", strength);
     }
 
     public void write(List<Integer> sizes, double seconds, Consumer<String> progress)
@@ -73,77 +73,77 @@
             double heal,
             double perKnown) {}
 
-    private void sizes(List<Integer> counts, Consumer<String> progress) throws IOException {
+    private void sizes(List<Integer> memberCounts, Consumer<String> progress) throws IOException {
         List<Size> sizes = new ArrayList<>();
-        new MembershipSimulation(script("warm", 100, JOIN_S + CALM_S, List.of()), 1, true, COUNT_S)
+        new MembershipSimulation(scenario("warm", 100, JOIN_DURATION_S + IDLE_DURATION_S, List.of()), 1, true, COUNTING_START_S)
                 .play();
-        for (int members : counts) {
-            int plays = members >= 300 ? 1 : seeds;
+        for (int members : memberCounts) {
+            int runs = members >= 300 ? 1 : seeds;
             DescriptiveStatistics known = new DescriptiveStatistics();
-            List<FleetOutcome> calm = new ArrayList<>();
+            List<FleetOutcome> idleOutcomes = new ArrayList<>();
             double perKnown = 0;
-            int most = 0;
-            int heal = 0;
-            for (int seed = 1; seed <= plays; seed++) {
-                MembershipSimulation world =
+            int maxPacketsAfterMassKill = 0;
+            int maxPacketsAfterHeal = 0;
+            for (int seed = 1; seed <= runs; seed++) {
+                MembershipSimulation simulation =
                         new MembershipSimulation(
-                                script("calm", members, JOIN_S + CALM_S, List.of()),
+                                scenario("calm", members, JOIN_DURATION_S + IDLE_DURATION_S, List.of()),
                                 seed,
                                 true,
-                                COUNT_S);
-                calm.add(world.play());
-                if (seed == plays) {
-                    perKnown = heap(world);
+                                COUNTING_START_S);
+                idleOutcomes.add(simulation.play());
+                if (seed == runs) {
+                    perKnown = heapBytesPerMember(simulation);
                 }
-                double at = JOIN_S + CALM_S - 5;
+                double faultStartS = JOIN_DURATION_S + IDLE_DURATION_S - 5;
                 int victims = 3;
                 List<FleetScenario.Incident> kills = new ArrayList<>();
                 for (int i = 0; i < victims; i++) {
-                    kills.add(incident(at + 6 * i, 0, "kill", "" + (members - i), 1));
+                    kills.add(incident(faultStartS + 6 * i, 0, "kill", "" + (members - i), 1));
                 }
-                new MembershipSimulation(script("kill", members, at + 30, kills), seed, true, 0)
+                new MembershipSimulation(scenario("kill", members, faultStartS + 30, kills), seed, true, 0)
                         .play()
                         .knownMs
                         .forEach(known::addValue);
-                most =
+                maxPacketsAfterMassKill =
                         Math.max(
-                                most,
+                                maxPacketsAfterMassKill,
                                 new MembershipSimulation(
-                                                script(
+                                                scenario(
                                                         "third",
                                                         members,
-                                                        at + 25,
-                                                        List.of(incident(at, 0, "kill", "1/3", 1))),
+                                                        faultStartS + 25,
+                                                        List.of(incident(faultStartS, 0, "kill", "1/3", 1))),
                                                 seed,
                                                 true,
-                                                at)
+                                                faultStartS)
                                         .play()
                                         .mostPackets);
-                heal =
+                maxPacketsAfterHeal =
                         Math.max(
-                                heal,
+                                maxPacketsAfterHeal,
                                 new MembershipSimulation(
-                                                script(
+                                                scenario(
                                                         "heal",
                                                         members,
-                                                        at + 40,
-                                                        List.of(incident(at, 15, "cut", "z2", 1))),
+                                                        faultStartS + 40,
+                                                        List.of(incident(faultStartS, 15, "cut", "z2", 1))),
                                                 seed,
                                                 true,
-                                                at + 15)
+                                                faultStartS + 15)
                                         .play()
                                         .mostPackets);
             }
             sizes.add(
                     new Size(
                             members,
-                            mean(calm, o -> o.packets / o.memberSeconds),
-                            mean(calm, o -> o.bytes / o.memberSeconds),
-                            mean(calm, o -> o.decisionNanos / 1e3 / o.memberSeconds),
+                            mean(idleOutcomes, o -> o.packets / o.memberSeconds),
+                            mean(idleOutcomes, o -> o.bytes / o.memberSeconds),
+                            mean(idleOutcomes, o -> o.decisionNanos / 1e3 / o.memberSeconds),
                             known.getPercentile(50),
                             known.getPercentile(99),
-                            most,
-                            heal,
+                            maxPacketsAfterMassKill,
+                            maxPacketsAfterHeal,
                             perKnown));
             progress.accept(members + " members: " + sizes.get(sizes.size() - 1));
         }
@@ -186,19 +186,16 @@
         save(known, "fleet-known");
     }
 
-    private static double mean(List<FleetOutcome> all, ToDoubleFunction<FleetOutcome> of) {
-        return all.stream().mapToDouble(of).average().orElse(Double.NaN);
+    private static double mean(List<FleetOutcome> outcomes, ToDoubleFunction<FleetOutcome> value) {
+        return outcomes.stream().mapToDouble(value).average().orElse(Double.NaN);
     }
 
-    /**
-     * Bytes for each member that each server knows: all views of a fleet together, over all that is
-     * in them.
-     */
-    private static double heap(MembershipSimulation world) {
+    /** Heap use, in bytes, divided by the number of members in the views of all servers. */
+    private static double heapBytesPerMember(MembershipSimulation simulation) {
         Runtime runtime = Runtime.getRuntime();
         System.gc();
-        long used = runtime.totalMemory() - runtime.freeMemory();
-        return (double) used / Math.max(1, world.views());
+        long usedBytes = runtime.totalMemory() - runtime.freeMemory();
+        return (double) usedBytes / Math.max(1, simulation.views());
     }
 
     private static XYChart chart(String title, String y) {
@@ -224,83 +221,87 @@
                 VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
     }
 
-    /** Two dozen members for long under what is no fault of theirs, beside heartbeats. */
+    /**
+     * Counts false verdicts under packet loss, crowded cores and pauses, compared with heartbeats.
+     *
+     * @param seconds duration of the faults
+     */
     private void verdicts(double seconds, Consumer<String> progress) throws IOException {
         StringBuilder csv =
                 new StringBuilder(
                         "what,seconds,seeds,view: false verdicts,view: suspicions,view: packets a"
                             + " member a second,heartbeats: false verdicts,heartbeats: packets a"
                             + " member a second\n");
-        double end = JOIN_S + 5 + seconds;
+        double endS = JOIN_DURATION_S + 5 + seconds;
         List<FleetScenario.Incident> pauses = new ArrayList<>();
-        SplittableRandom chance = new SplittableRandom(5);
-        for (double at = JOIN_S + 5; at < end - 4; at += 0.5 + 2 * chance.nextDouble()) {
-            pauses.add(incident(at, 1, "pause", "" + (1 + chance.nextInt(MIDDLE)), 1));
+        SplittableRandom random = new SplittableRandom(5);
+        for (double atS = JOIN_DURATION_S + 5; atS < endS - 4; atS += 0.5 + 2 * random.nextDouble()) {
+            pauses.add(incident(atS, 1, "pause", "" + (1 + random.nextInt(VERDICT_MEMBERS)), 1));
         }
-        List<FleetScenario> scripts =
+        List<FleetScenario> scenarios =
                 List.of(
-                        script(
+                        scenario(
                                 "a fifth of all packets lost",
-                                MIDDLE,
-                                end,
-                                List.of(incident(JOIN_S + 5, seconds - 1, "loss", "", 0.2))),
-                        script(
+                                VERDICT_MEMBERS,
+                                endS,
+                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "loss", "", 0.2))),
+                        scenario(
                                 "three in ten lost",
-                                MIDDLE,
-                                end,
-                                List.of(incident(JOIN_S + 5, seconds - 1, "loss", "", 0.3))),
-                        script(
+                                VERDICT_MEMBERS,
+                                endS,
+                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "loss", "", 0.3))),
+                        scenario(
                                 "cores crowded: 50 ms late on average",
-                                MIDDLE,
-                                end,
-                                List.of(incident(JOIN_S + 5, seconds - 1, "crowd", "all", 50))),
-                        script(
+                                VERDICT_MEMBERS,
+                                endS,
+                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "crowd", "all", 50))),
+                        scenario(
                                 "cores crowded: 150 ms late on average",
-                                MIDDLE,
-                                end,
-                                List.of(incident(JOIN_S + 5, seconds - 1, "crowd", "all", 150))),
-                        script("pauses of a second", MIDDLE, end, clear(pauses)));
-        for (FleetScenario script : scripts) {
-            List<FleetOutcome> views = new ArrayList<>();
-            List<FleetOutcome> beats = new ArrayList<>();
+                                VERDICT_MEMBERS,
+                                endS,
+                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "crowd", "all", 150))),
+                        scenario("pauses of a second", VERDICT_MEMBERS, endS, withoutOverlaps(pauses)));
+        for (FleetScenario scenario : scenarios) {
+            List<FleetOutcome> membershipOutcomes = new ArrayList<>();
+            List<FleetOutcome> heartbeatOutcomes = new ArrayList<>();
             for (int seed = 1; seed <= seeds; seed++) {
-                views.add(new MembershipSimulation(script, seed, true, COUNT_S).play());
-                beats.add(new HeartbeatBaseline(script, seed).play());
+                membershipOutcomes.add(new MembershipSimulation(scenario, seed, true, COUNTING_START_S).play());
+                heartbeatOutcomes.add(new HeartbeatBaseline(scenario, seed).play());
             }
             csv.append(
                     String.format(
                             Locale.ROOT,
                             "%s,%.0f,%d,%d,%d,%.1f,%d,%.1f%n",
-                            script.name(),
+                            scenario.name(),
                             seconds,
                             seeds,
-                            views.stream().mapToInt(o -> o.falseVerdicts).sum(),
-                            views.stream().mapToLong(o -> o.suspected).sum(),
-                            mean(views, o -> o.packets / o.memberSeconds),
-                            beats.stream().mapToInt(o -> o.falseVerdicts).sum(),
-                            mean(beats, o -> o.packets / o.memberSeconds)));
+                            membershipOutcomes.stream().mapToInt(o -> o.falseVerdicts).sum(),
+                            membershipOutcomes.stream().mapToLong(o -> o.suspected).sum(),
+                            mean(membershipOutcomes, o -> o.packets / o.memberSeconds),
+                            heartbeatOutcomes.stream().mapToInt(o -> o.falseVerdicts).sum(),
+                            mean(heartbeatOutcomes, o -> o.packets / o.memberSeconds)));
             progress.accept(
-                    script.name()
+                    scenario.name()
                             + ": view "
-                            + views.stream().mapToInt(o -> o.falseVerdicts).sum()
+                            + membershipOutcomes.stream().mapToInt(o -> o.falseVerdicts).sum()
                             + " false, heartbeats "
-                            + beats.stream().mapToInt(o -> o.falseVerdicts).sum());
+                            + heartbeatOutcomes.stream().mapToInt(o -> o.falseVerdicts).sum());
         }
         Files.writeString(folder.resolve("fleet-verdicts.csv"), csv.toString());
     }
 
-    /** Without pauses of one member that overlap: it cannot be paused while it is. */
-    private static List<FleetScenario.Incident> clear(List<FleetScenario.Incident> pauses) {
-        List<FleetScenario.Incident> clear = new ArrayList<>();
+    /** Drops pauses that overlap another one of the same member, which is already paused then. */
+    private static List<FleetScenario.Incident> withoutOverlaps(List<FleetScenario.Incident> pauses) {
+        List<FleetScenario.Incident> separate = new ArrayList<>();
         for (FleetScenario.Incident each : pauses) {
-            if (clear.stream()
+            if (separate.stream()
                     .noneMatch(
                             other ->
                                     other.who().equals(each.who())
                                             && each.atS() < other.atS() + other.forS() + 2)) {
-                clear.add(each);
+                separate.add(each);
             }
         }
-        return clear;
+        return separate;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import ochretiller.emulator.core.RandomStreams;
 
-/** Scripts drawn by chance: 5 to 50 members, up to six faults that overlap as they like. */
+/** Creates random scenarios, reproducibly from a seed, with up to six faults that may overlap. */
 public final class RandomScenarios {
     private static final List<String> KINDS =
             List.of(
@@ -32,32 +32,36 @@
                     "crowd",
                     "twin");
 
-    /** Faults begin within so many seconds, and last no longer. */
-    private static final double BEGIN_S = 12;
+    /** Latest start of a fault, in seconds after the first second. */
+    private static final double START_WITHIN_S = 12;
 
-    private static final double LONGEST_S = 10;
-    private static final int SEEDS = 3;
+    private static final double MAX_DURATION_S = 10;
+    private static final int SEED_COUNT = 3;
 
     private RandomScenarios() {}
 
-    /** The script of this number. */
+    /**
+     * Returns a scenario for a membership simulation: 5 to 50 members and one to six faults.
+     *
+     * @param settledS bound on the settling time, in seconds
+     */
     public static FleetScenario script(long seed, double settledS) {
-        SplittableRandom chance = new RandomStreams(seed).of("schedule");
-        int members = 5 + chance.nextInt(46);
-        int zones = 1 + chance.nextInt(4);
+        SplittableRandom random = new RandomStreams(seed).of("schedule");
+        int members = 5 + random.nextInt(46);
+        int zones = 1 + random.nextInt(4);
         List<FleetScenario.Incident> incidents = new ArrayList<>();
-        int count = 1 + chance.nextInt(6);
+        int count = 1 + random.nextInt(6);
         for (int i = 0; i < count; i++) {
-            incidents.add(incident(chance, members));
+            incidents.add(randomIncident(random, members));
         }
-        FleetScenario free =
+        FleetScenario unbounded =
                 new FleetScenario(
                         "drawn-" + seed,
                         1,
                         members,
                         zones,
-                        SEEDS,
-                        3 * chance.nextDouble(),
+                        SEED_COUNT,
+                        3 * random.nextDouble(),
                         100,
                         0.3,
                         0.3,
@@ -66,36 +70,37 @@
                         new FleetScenario.Load(0, 0),
                         incidents,
                         FleetScenario.Expect.NOTHING);
-        double last = FaultSchedule.of(free).lastS();
+        double lastEndS = FaultSchedule.of(unbounded).lastS();
         return new FleetScenario(
-                free.name(),
-                last + settledS + 15,
+                unbounded.name(),
+                lastEndS + settledS + 15,
                 members,
                 zones,
-                SEEDS,
-                free.startS(),
+                SEED_COUNT,
+                unbounded.startS(),
                 100,
                 0.3,
                 0.3,
                 false,
                 false,
-                free.load(),
+                unbounded.load(),
                 incidents,
                 new FleetScenario.Expect(settledS, -1, -1, 0));
     }
 
     /**
-     * A script for a fleet that keeps copies: 3 to 9 members, faults of what lasts and comes back.
+     * Returns a scenario for a fleet that replicates claims: 3 to 9 members and up to six faults, of
+     * the kinds that change neither names nor addresses; who leaves comes back.
      */
     public static FleetScenario copies(long seed) {
-        SplittableRandom chance = new RandomStreams(seed).of("copies");
-        int members = 3 + chance.nextInt(7);
-        int zones = 1 + chance.nextInt(3);
+        SplittableRandom random = new RandomStreams(seed).of("copies");
+        int members = 3 + random.nextInt(7);
+        int zones = 1 + random.nextInt(3);
         List<FleetScenario.Incident> incidents = new ArrayList<>();
-        int count = chance.nextInt(7);
+        int count = random.nextInt(7);
         while (incidents.size() < count) {
-            FleetScenario.Incident each = incident(chance, members);
-            boolean plays =
+            FleetScenario.Incident candidate = randomIncident(random, members);
+            boolean isSupported =
                     List.of(
                                     "kill",
                                     "pause",
@@ -110,9 +115,9 @@
                                     "duplicate",
                                     "reorder",
                                     "crowd")
-                            .contains(each.what());
-            if (plays && (each.forS() > 0 || !each.what().equals("leave"))) {
-                incidents.add(each);
+                            .contains(candidate.what());
+            if (isSupported && (candidate.forS() > 0 || !candidate.what().equals("leave"))) {
+                incidents.add(candidate);
             }
         }
         return new FleetScenario(
@@ -132,48 +137,48 @@
                 FleetScenario.Expect.NOTHING);
     }
 
-    private static FleetScenario.Incident incident(SplittableRandom chance, int members) {
-        String what = KINDS.get(chance.nextInt(KINDS.size()));
-        double at = 1 + chance.nextDouble() * BEGIN_S;
-        double span = 0.2 + chance.nextDouble() * LONGEST_S;
+    private static FleetScenario.Incident randomIncident(SplittableRandom random, int members) {
+        String what = KINDS.get(random.nextInt(KINDS.size()));
+        double startS = 1 + random.nextDouble() * START_WITHIN_S;
+        double durationS = 0.2 + random.nextDouble() * MAX_DURATION_S;
         double strength = 1;
-        String who = who(chance, members);
+        String who = randomMembers(random, members);
         switch (what) {
             case "kill" -> {
-                // Who stays dead is no seed: a fleet whose seeds are all gone for good takes nobody
-                // in.
-                if (chance.nextInt(3) == 0) {
-                    span = 0;
-                    int first = Math.min(members, SEEDS + 1);
-                    who = first + "-" + (first + chance.nextInt(Math.max(1, members - SEEDS)));
+                // A member that is not restarted must not be a seed: without any seed no server can
+                // join the fleet.
+                if (random.nextInt(3) == 0) {
+                    durationS = 0;
+                    int first = Math.min(members, SEED_COUNT + 1);
+                    who = first + "-" + (first + random.nextInt(Math.max(1, members - SEED_COUNT)));
                 }
             }
             case "move", "take", "twin", "leave" -> {
                 who =
                         ""
-                                + (Math.min(members, SEEDS + 1)
-                                        + chance.nextInt(Math.max(1, members - SEEDS)));
-                if (what.equals("leave") && chance.nextBoolean()) {
-                    span = 0;
+                                + (Math.min(members, SEED_COUNT + 1)
+                                        + random.nextInt(Math.max(1, members - SEED_COUNT)));
+                if (what.equals("leave") && random.nextBoolean()) {
+                    durationS = 0;
                 }
             }
-            case "join" -> strength = 1 + chance.nextInt(20);
-            case "loss" -> strength = 0.05 + 0.35 * chance.nextDouble();
-            case "delay" -> strength = 5 + 60 * chance.nextDouble();
-            case "duplicate", "reorder" -> strength = 0.5 * chance.nextDouble();
-            case "crowd" -> strength = 10 + 150 * chance.nextDouble();
+            case "join" -> strength = 1 + random.nextInt(20);
+            case "loss" -> strength = 0.05 + 0.35 * random.nextDouble();
+            case "delay" -> strength = 5 + 60 * random.nextDouble();
+            case "duplicate", "reorder" -> strength = 0.5 * random.nextDouble();
+            case "crowd" -> strength = 10 + 150 * random.nextDouble();
             default -> {}
         }
         return new FleetScenario.Incident(
-                at, span, what, who, who(chance, members), who(chance, members), strength);
+                startS, durationS, what, who, randomMembers(random, members), randomMembers(random, members), strength);
     }
 
-    private static String who(SplittableRandom chance, int members) {
-        int first = 1 + chance.nextInt(members);
-        return switch (chance.nextInt(4)) {
+    private static String randomMembers(SplittableRandom random, int members) {
+        int first = 1 + random.nextInt(members);
+        return switch (random.nextInt(4)) {
             case 0 -> "" + first;
-            case 1 -> first + "-" + (first + chance.nextInt(members - first + 1));
-            case 2 -> "1/" + (2 + chance.nextInt(3));
+            case 1 -> first + "-" + (first + random.nextInt(members - first + 1));
+            case 2 -> "1/" + (2 + random.nextInt(3));
             default -> "z1";
         };
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationMeasurement.java
@@ -13,18 +13,18 @@
 import org.knowm.xchart.style.Styler;
 
 /**
- * What copies cost by the size of the fleet, and how long it takes until all ranges are whole when
- * a third comes back empty.
+ * Measures the cost of replication by fleet size, and how long the ranges lag after a third of the
+ * servers has restarted with empty disks.
  */
 public final class ReplicationMeasurement {
-    /** Tokened invocations of each server in a second. */
-    private static final int LOAD = 5;
+    /** Keyed invocations per server and second. */
+    private static final int INVOCATIONS_PER_SERVER_PER_S = 5;
 
-    private static final double FORMS_S = 6;
-    private static final int CALM_FROM_S = 4;
-    private static final int DIES_S = 16;
-    private static final int BACK_S = 2;
-    private static final double ENDS_S = 40;
+    private static final double FORMATION_S = 6;
+    private static final int IDLE_START_S = 4;
+    private static final int KILL_S = 16;
+    private static final int RESTART_DELAY_S = 2;
+    private static final double END_S = 40;
 
     private final Path folder;
 
@@ -32,12 +32,12 @@
         this.folder = Files.createDirectories(folder);
     }
 
-    private static FleetScenario script(int members) {
+    private static FleetScenario scenario(int members) {
         FleetScenario.Incident third =
-                new FleetScenario.Incident(DIES_S, BACK_S, "kill", "1/3", "", "", 1);
-        // One that changes nothing, so that there is load until long behind the return.
+                new FleetScenario.Incident(KILL_S, RESTART_DELAY_S, "kill", "1/3", "", "", 1);
+        // A delay of zero has no effect; it extends the load until well after the restart.
         FleetScenario.Incident last =
-                new FleetScenario.Incident(ENDS_S, 0.1, "delay", "", "1", "1", 0);
+                new FleetScenario.Incident(END_S, 0.1, "delay", "", "1", "1", 0);
         return new FleetScenario(
                 "third",
                 60,
@@ -75,33 +75,33 @@
                 .setLegendLayout(Styler.LegendLayout.Horizontal)
                 .setMarkerSize(0);
         for (int size : sizes) {
-            ReplicationSimulation world =
-                    new ReplicationSimulation(script(size), 1, 1, 0, false, true).formed();
-            ReplicationSimulation.Counts counts = world.counting();
+            ReplicationSimulation simulation =
+                    new ReplicationSimulation(scenario(size), 1, 1, 0, false, true).formed();
+            ReplicationSimulation.Counts traffic = simulation.counting();
             ReplicationSimulation.Outcomes outcomes =
-                    world.play((int) (LOAD * size * (ENDS_S + 8)), FORMS_S);
-            double[] packets = counts.each(0, CALM_FROM_S, DIES_S, size);
-            double[] bytes = counts.each(1, CALM_FROM_S, DIES_S, size);
-            double whole =
-                    counts.behindAt.stream()
-                            .filter(at -> at > DIES_S + BACK_S)
-                            .mapToDouble(at -> at - DIES_S - BACK_S)
+                    simulation.play((int) (INVOCATIONS_PER_SERVER_PER_S * size * (END_S + 8)), FORMATION_S);
+            double[] packets = traffic.each(0, IDLE_START_S, KILL_S, size);
+            double[] bytes = traffic.each(1, IDLE_START_S, KILL_S, size);
+            double recoveryS =
+                    traffic.behindAt.stream()
+                            .filter(at -> at > KILL_S + RESTART_DELAY_S)
+                            .mapToDouble(at -> at - KILL_S - RESTART_DELAY_S)
                             .max()
                             .orElse(0);
-            double[] back = counts.each(0, DIES_S, (int) ENDS_S, size);
-            double[] backBytes = counts.each(1, DIES_S, (int) ENDS_S, size);
+            double[] packetsAfterKill = traffic.each(0, KILL_S, (int) END_S, size);
+            double[] bytesAfterKill = traffic.each(1, KILL_S, (int) END_S, size);
             String row =
                     String.format(
                             Locale.ROOT,
                             "%d,%d,%.1f,%.0f,%.0f,%.2f,%.0f,%.0f,%.4f,%d,%d",
                             size,
-                            world.layout().orElseThrow().servers().size(),
+                            simulation.layout().orElseThrow().servers().size(),
                             packets[0],
                             bytes[0],
                             packets[1],
-                            whole,
-                            back[1],
-                            backBytes[1],
+                            recoveryS,
+                            packetsAfterKill[1],
+                            bytesAfterKill[1],
                             (double) outcomes.throttled / outcomes.tries,
                             outcomes.excused,
                             outcomes.broken.size());
@@ -109,13 +109,13 @@
             progress.accept(row);
             List<Double> x = new ArrayList<>();
             List<Double> y = new ArrayList<>();
-            double most = counts.behind.stream().mapToDouble(each -> each[1]).max().orElse(1);
-            for (double[] each : counts.behind) {
-                if (each[0] < DIES_S || each[0] > DIES_S + BACK_S + 15) {
+            double maxLaggingRanges = traffic.behind.stream().mapToDouble(each -> each[1]).max().orElse(1);
+            for (double[] each : traffic.behind) {
+                if (each[0] < KILL_S || each[0] > KILL_S + RESTART_DELAY_S + 15) {
                     continue;
                 }
                 x.add(each[0]);
-                y.add(each[1] / Math.max(1, most));
+                y.add(each[1] / Math.max(1, maxLaggingRanges));
             }
             chart.addSeries(size + " servers", x, y);
         }
