--- a/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
@@ -25,13 +25,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Fleets in virtual time. Exit codes as those of {@link SimulateCommand}. */
+/** Commands that simulate fleets; their exit codes are those of {@link SimulateCommand}. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = "Play faults on a fleet of servers and between them.")
 final class FleetSimulateCommand implements Runnable {
-    private static final int MISSED = 1;
+    private static final int EXIT_FAILED = 1;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -54,22 +54,22 @@
                     Integer members)
             throws Exception {
         FleetScenario read = FleetScenarioReader.read(file);
-        FleetScenario script = members == null ? read : read.sized(members);
+        FleetScenario scenario = members == null ? read : read.sized(members);
         List<Callable<FleetOutcome>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
-            runs.add(() -> new MembershipSimulation(script, each, true, 0).play());
+            long runSeed = seed + i;
+            runs.add(() -> new MembershipSimulation(scenario, runSeed, true, 0).play());
         }
-        int missed = 0;
-        int number = 0;
-        for (Future<FleetOutcome> each : all(runs)) {
-            FleetOutcome outcome = each.get();
+        int missedCount = 0;
+        int index = 0;
+        for (Future<FleetOutcome> future : submitAll(runs)) {
+            FleetOutcome outcome = future.get();
             System.out.printf(
                     Locale.ROOT,
                     "seed %d: settled %.1f s, verdicts %d, false %d, changes of one at most %d,"
                         + " known p50 %.0f p99 %.0f ms, packets a member a second %.1f, bytes %.0f,"
                         + " most packets %d, refuted %d of %d suspicions, twins %d%n",
-                    seed + number,
+                    seed + index,
                     outcome.settledS,
                     outcome.verdicts,
                     outcome.falseVerdicts,
@@ -82,15 +82,15 @@
                     outcome.refuted,
                     outcome.suspected,
                     outcome.twins);
-            List<String> wrong = outcome.missed(script.expect());
-            for (String line : wrong) {
+            List<String> missedExpectations = outcome.missed(scenario.expect());
+            for (String line : missedExpectations) {
                 System.out.println("  missed: " + line);
             }
             outcome.notes.forEach(line -> System.out.println("  " + line));
-            missed += wrong.size();
-            number++;
+            missedCount += missedExpectations.size();
+            index++;
         }
-        return missed == 0 ? 0 : MISSED;
+        return missedCount == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -116,39 +116,39 @@
                             new MembershipSimulation(RandomScenarios.script(each, settled), each)
                                     .play());
         }
-        List<Double> times = new ArrayList<>();
+        List<Double> settleTimesS = new ArrayList<>();
         int failed = 0;
-        int falsely = 0;
-        int number = 0;
-        for (Future<FleetOutcome> each : all(runs)) {
+        int falseVerdicts = 0;
+        int index = 0;
+        for (Future<FleetOutcome> each : submitAll(runs)) {
             FleetOutcome outcome = each.get();
-            falsely += outcome.falseVerdicts;
-            times.add(outcome.settledS);
+            falseVerdicts += outcome.falseVerdicts;
+            settleTimesS.add(outcome.settledS);
             if (outcome.settledS > settled) {
                 failed++;
                 System.out.printf(
-                        Locale.ROOT, "seed %d: settled %.1f s%n", seed + number, outcome.settledS);
+                        Locale.ROOT, "seed %d: settled %.1f s%n", seed + index, outcome.settledS);
                 outcome.notes.forEach(line -> System.out.println("  " + line));
             }
             if (seeds == 1) {
                 System.out.println(RandomScenarios.script(seed, settled) + "\n" + outcome.notes);
             }
-            if (++number % 1000 == 0) {
-                System.err.println(number + " of " + seeds);
+            if (++index % 1000 == 0) {
+                System.err.println(index + " of " + seeds);
             }
         }
-        times.sort(null);
+        settleTimesS.sort(null);
         System.out.printf(
                 Locale.ROOT,
                 "%d schedules, %d unsettled; settled p50 %.1f s, p99 %.1f s, most %.1f s; %d false"
                         + " verdicts%n",
                 seeds,
                 failed,
-                times.get(seeds / 2),
-                times.get((int) Math.min(seeds - 1L, seeds * 99L / 100)),
-                times.get(seeds - 1),
-                falsely);
-        return failed == 0 ? 0 : MISSED;
+                settleTimesS.get(seeds / 2),
+                settleTimesS.get((int) Math.min(seeds - 1L, seeds * 99L / 100)),
+                settleTimesS.get(seeds - 1),
+                falseVerdicts);
+        return failed == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -178,11 +178,11 @@
                             paramLabel = "SECONDS",
                             description =
                                     "From then on the servers claim no more, one after the other.")
-                    Double switchS,
+                    Double modeSwitchS,
             @Option(
                             names = "--server-mode",
                             description = "Each server for itself, as without a fleet.")
-                    boolean alone)
+                    boolean isServerMode)
             throws Exception {
         List<Callable<ReplicationSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
@@ -195,46 +195,46 @@
                                             each % 3 * 0.4,
                                             each / 3 % 2 * oldDisks,
                                             each % 4 == 0,
-                                            !alone)
+                                            !isServerMode)
                                     .trace(trace)
                                     .switching(
-                                            switchS == null ? Double.NEGATIVE_INFINITY : switchS,
+                                            modeSwitchS == null ? Double.NEGATIVE_INFINITY : modeSwitchS,
                                             each % 5 * 0.5)
                                     .play(tokens, 25));
         }
-        ReplicationSimulation.Outcomes all = new ReplicationSimulation.Outcomes();
-        int broken = 0;
-        int number = 0;
-        for (Future<ReplicationSimulation.Outcomes> each : all(runs)) {
-            ReplicationSimulation.Outcomes one = each.get();
-            all.tries += one.tries;
-            all.succeeded += one.succeeded;
-            all.replayed += one.replayed;
-            all.throttled += one.throttled;
-            all.errored += one.errored;
-            all.otherBody += one.otherBody;
-            all.unanswered += one.unanswered;
-            all.runs += one.runs;
-            all.conflicts += one.conflicts;
-            all.oldFound += one.oldFound;
-            all.unclaimed += one.unclaimed;
-            all.excused += one.excused;
-            all.oldPutBack += one.oldPutBack;
-            all.unsaid += one.unsaid;
-            all.messages += one.messages;
-            all.epochs = Math.max(all.epochs, one.epochs);
-            all.claimMs.addAll(one.claimMs);
-            if (!one.broken.isEmpty() && broken++ < 10) {
+        ReplicationSimulation.Outcomes total = new ReplicationSimulation.Outcomes();
+        int brokenCount = 0;
+        int index = 0;
+        for (Future<ReplicationSimulation.Outcomes> each : submitAll(runs)) {
+            ReplicationSimulation.Outcomes outcomes = each.get();
+            total.tries += outcomes.tries;
+            total.succeeded += outcomes.succeeded;
+            total.replayed += outcomes.replayed;
+            total.throttled += outcomes.throttled;
+            total.errored += outcomes.errored;
+            total.otherBody += outcomes.otherBody;
+            total.unanswered += outcomes.unanswered;
+            total.runs += outcomes.runs;
+            total.conflicts += outcomes.conflicts;
+            total.oldFound += outcomes.oldFound;
+            total.unclaimed += outcomes.unclaimed;
+            total.excused += outcomes.excused;
+            total.oldPutBack += outcomes.oldPutBack;
+            total.unsaid += outcomes.unsaid;
+            total.messages += outcomes.messages;
+            total.epochs = Math.max(total.epochs, outcomes.epochs);
+            total.claimMs.addAll(outcomes.claimMs);
+            if (!outcomes.broken.isEmpty() && brokenCount++ < 10) {
                 System.out.println(
                         "seed "
-                                + (seed + number)
+                                + (seed + index)
                                 + ": "
-                                + one.broken.get(0)
-                                + (one.broken.size() > 1
-                                        ? " and " + (one.broken.size() - 1) + " more"
+                                + outcomes.broken.get(0)
+                                + (outcomes.broken.size() > 1
+                                        ? " and " + (outcomes.broken.size() - 1) + " more"
                                         : ""));
             }
-            number++;
+            index++;
         }
         System.out.printf(
                 Locale.ROOT,
@@ -244,25 +244,25 @@
                     + " servers that found one %d, words unsaid %d; second runs where a majority"
                     + " lost its disks %d, runs without a claim %d%n",
                 seeds,
-                broken,
-                all.tries,
-                all.succeeded,
-                all.replayed,
-                all.throttled,
-                all.errored,
-                all.otherBody,
-                all.unanswered,
-                all.runs,
-                all.conflicts,
-                all.epochs,
-                all.claimMs(50),
-                all.claimMs(99),
-                all.oldPutBack,
-                all.oldFound,
-                all.unsaid,
-                all.excused,
-                all.unclaimed);
-        return broken == 0 ? 0 : MISSED;
+                brokenCount,
+                total.tries,
+                total.succeeded,
+                total.replayed,
+                total.throttled,
+                total.errored,
+                total.otherBody,
+                total.unanswered,
+                total.runs,
+                total.conflicts,
+                total.epochs,
+                total.claimMs(50),
+                total.claimMs(99),
+                total.oldPutBack,
+                total.oldFound,
+                total.unsaid,
+                total.excused,
+                total.unclaimed);
+        return brokenCount == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -299,93 +299,93 @@
             @Option(names = "--harmful", defaultValue = "0.3", description = "Share of them.")
                     double harmful,
             @Option(names = "--no-faults", description = "The same fleets without any fault.")
-                    boolean calm,
+                    boolean withoutFaults,
             @Option(
                             names = "--no-leases",
                             description = "Servers heed no lease: stragglers have to be seen.")
-                    boolean open)
+                    boolean withoutLeases)
             throws Exception {
         List<Callable<RolloutSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
             long each = seed + i;
             runs.add(
                     () -> {
-                        FleetScenario drawn = RandomScenarios.copies(each);
-                        FleetScenario script =
-                                calm
+                        FleetScenario randomScenario = RandomScenarios.copies(each);
+                        FleetScenario scenario =
+                                withoutFaults
                                         ? new FleetScenario(
-                                                drawn.name(),
-                                                drawn.seconds(),
-                                                drawn.members(),
-                                                drawn.zones(),
-                                                drawn.seeds(),
-                                                drawn.startS(),
-                                                drawn.probeMs(),
-                                                drawn.delayMs(),
-                                                drawn.jitterMs(),
+                                                randomScenario.name(),
+                                                randomScenario.seconds(),
+                                                randomScenario.members(),
+                                                randomScenario.zones(),
+                                                randomScenario.seeds(),
+                                                randomScenario.startS(),
+                                                randomScenario.probeMs(),
+                                                randomScenario.delayMs(),
+                                                randomScenario.jitterMs(),
                                                 true,
                                                 true,
-                                                drawn.load(),
+                                                randomScenario.load(),
                                                 List.of(),
-                                                drawn.expect())
-                                        : drawn;
-                        return new RolloutSimulation(script, each, !open).play(publish, harmful);
+                                                randomScenario.expect())
+                                        : randomScenario;
+                        return new RolloutSimulation(scenario, each, !withoutLeases).play(publish, harmful);
                     });
         }
-        RolloutSimulation.Outcomes all = new RolloutSimulation.Outcomes();
+        RolloutSimulation.Outcomes total = new RolloutSimulation.Outcomes();
         List<Double> settled = new ArrayList<>();
-        int broken = 0;
-        int unsettled = 0;
-        int number = 0;
-        for (Future<RolloutSimulation.Outcomes> each : all(runs)) {
-            RolloutSimulation.Outcomes one = each.get();
-            all.published += one.published;
-            all.harmless += one.harmless;
-            all.harmlessStopped += one.harmlessStopped;
-            all.harmfulOnes += one.harmfulOnes;
-            all.harmfulStopped += one.harmfulStopped;
-            all.stoppedEarly += one.stoppedEarly;
-            all.runs += one.runs;
-            all.refusedRuns += one.refusedRuns;
-            all.rolloutS.addAll(one.rolloutS);
-            settled.add(one.settledS);
-            if (Double.isInfinite(one.settledS) && unsettled++ < 5) {
-                System.out.println("seed " + (seed + number) + ": " + one.notes);
+        int brokenCount = 0;
+        int unsettledCount = 0;
+        int index = 0;
+        for (Future<RolloutSimulation.Outcomes> each : submitAll(runs)) {
+            RolloutSimulation.Outcomes outcomes = each.get();
+            total.published += outcomes.published;
+            total.harmless += outcomes.harmless;
+            total.harmlessStopped += outcomes.harmlessStopped;
+            total.harmfulOnes += outcomes.harmfulOnes;
+            total.harmfulStopped += outcomes.harmfulStopped;
+            total.stoppedEarly += outcomes.stoppedEarly;
+            total.runs += outcomes.runs;
+            total.refusedRuns += outcomes.refusedRuns;
+            total.rolloutS.addAll(outcomes.rolloutS);
+            settled.add(outcomes.settledS);
+            if (Double.isInfinite(outcomes.settledS) && unsettledCount++ < 5) {
+                System.out.println("seed " + (seed + index) + ": " + outcomes.notes);
             }
-            if (!one.broken.isEmpty() && broken++ < 10) {
+            if (!outcomes.broken.isEmpty() && brokenCount++ < 10) {
                 System.out.println(
                         "seed "
-                                + (seed + number)
+                                + (seed + index)
                                 + ": "
-                                + one.broken.get(0)
-                                + (one.broken.size() > 1
-                                        ? " and " + (one.broken.size() - 1) + " more"
+                                + outcomes.broken.get(0)
+                                + (outcomes.broken.size() > 1
+                                        ? " and " + (outcomes.broken.size() - 1) + " more"
                                         : ""));
             }
-            number++;
+            index++;
         }
         settled.sort(null);
-        all.rolloutS.sort(null);
+        total.rolloutS.sort(null);
         System.out.printf(
                 Locale.ROOT,
                 "%d schedules, %d broken, %d unsettled: %d versions, harmless %d of which stopped"
                     + " %d, harmful %d of which stopped %d, %d before all acted on them; keyed runs"
                     + " %d, shut out %d; settled p50 %.1f p99 %.1f s; a rollout p50 %.1f s%n",
                 seeds,
-                broken,
-                unsettled,
-                all.published,
-                all.harmless,
-                all.harmlessStopped,
-                all.harmfulOnes,
-                all.harmfulStopped,
-                all.stoppedEarly,
-                all.runs,
-                all.refusedRuns,
+                brokenCount,
+                unsettledCount,
+                total.published,
+                total.harmless,
+                total.harmlessStopped,
+                total.harmfulOnes,
+                total.harmfulStopped,
+                total.stoppedEarly,
+                total.runs,
+                total.refusedRuns,
                 settled.get(seeds / 2),
                 settled.get(seeds * 99 / 100),
-                all.rolloutS.isEmpty() ? Double.NaN : all.rolloutS.get(all.rolloutS.size() / 2));
-        return broken + unsettled == 0 ? 0 : MISSED;
+                total.rolloutS.isEmpty() ? Double.NaN : total.rolloutS.get(total.rolloutS.size() / 2));
+        return brokenCount + unsettledCount == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -429,7 +429,7 @@
                             description = "With a planted fault, which has to be found.")
                     boolean planted)
             throws Exception {
-        StateSpaceExplorer.Found found =
+        StateSpaceExplorer.Found result =
                 new StateSpaceExplorer(
                                 () ->
                                         claims
@@ -442,16 +442,16 @@
                 "%s, %d crashes: depth %d whole, %d states, %d steps, settles within %d steps%s%n",
                 claims ? "claims" : members + " members",
                 crashes,
-                found.depth(),
-                found.states(),
-                found.edges(),
-                found.worstSettles(),
-                found.broken() == null ? "; nothing broken" : "; BROKEN: " + found.broken());
-        return found.broken() == null ? 0 : MISSED;
+                result.depth(),
+                result.states(),
+                result.edges(),
+                result.worstSettles(),
+                result.broken() == null ? "; nothing broken" : "; BROKEN: " + result.broken());
+        return result.broken() == null ? 0 : EXIT_FAILED;
     }
 
-    private static <T> List<Future<T>> all(List<Callable<T>> runs) throws InterruptedException {
-        ExecutorService threads =
+    private static <T> List<Future<T>> submitAll(List<Callable<T>> runs) throws InterruptedException {
+        ExecutorService executor =
                 Executors.newFixedThreadPool(
                         Runtime.getRuntime().availableProcessors(),
                         work -> {
@@ -461,7 +461,7 @@
                         });
         List<Future<T>> futures = new ArrayList<>();
         for (Callable<T> each : runs) {
-            futures.add(threads.submit(each));
+            futures.add(executor.submit(each));
         }
         return futures;
     }
--- a/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
@@ -29,8 +29,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The rehearsal's command line. Exit codes: 0 good, 1 an expectation was missed or a rule broken, 2
- * wrong words or script.
+ * Command line of the emulator. Exit codes: 0 for success, 1 for a missed expectation or a broken
+ * rule, 2 for invalid arguments or an invalid script.
  */
 @Command(
         name = "rehearse",
@@ -38,13 +38,13 @@
         subcommands = FleetSimulateCommand.class,
         description = "Play incidents in virtual time round the server's decisions.")
 final class SimulateCommand implements Runnable {
-    private static final int MISSED = 1;
-    private static final int WRONG = 2;
-    private static final String SCRIPT = "The script, in JSON5.";
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_INVALID = 2;
+    private static final String SCRIPT_DESCRIPTION = "The script, in JSON5.";
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** What all experiments share. */
+    /** Options of the commands that run an experiment. */
     static final class Shared {
         @Option(
                 names = "--seed",
@@ -84,7 +84,7 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description = "Read a script and say whether it is good.")
-    int check(@Parameters(description = SCRIPT) Path script) {
+    int check(@Parameters(description = SCRIPT_DESCRIPTION) Path script) {
         System.out.println("the script " + ScenarioReader.read(script).name() + " is good");
         return 0;
     }
@@ -93,9 +93,9 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description = "Play a script with some seeds.")
-    int run(@Parameters(description = SCRIPT) Path script, @CommandLine.Mixin Shared shared)
+    int run(@Parameters(description = SCRIPT_DESCRIPTION) Path script, @CommandLine.Mixin Shared options)
             throws Exception {
-        return experiment(List.of("as written"), List.of(ScenarioReader.read(script)), shared);
+        return experiment(List.of("as written"), List.of(ScenarioReader.read(script)), options);
     }
 
     @Command(
@@ -105,7 +105,7 @@
                     "Play a script beside others, or beside itself with other settings, on the same"
                             + " seeds.")
     int compare(
-            @Parameters(description = SCRIPT) Path script,
+            @Parameters(description = SCRIPT_DESCRIPTION) Path script,
             @Option(
                             names = "--with",
                             description =
@@ -114,7 +114,7 @@
                     List<String> with,
             @Option(names = "--beside", description = "Another script; may be given often.")
                     List<Path> beside,
-            @CommandLine.Mixin Shared shared)
+            @CommandLine.Mixin Shared options)
             throws Exception {
         Scenario first = ScenarioReader.read(script);
         List<String> names = new ArrayList<>(List.of(first.name()));
@@ -128,9 +128,9 @@
             names.add(scripts.get(scripts.size() - 1).name());
         }
         if (scripts.size() < 2) {
-            throw new MalformedException("nothing to compare with: --with or --beside");
+            throw new MalformedException("nothing to compare with: --with or --beside is required");
         }
-        return experiment(names, scripts, shared);
+        return experiment(names, scripts, options);
     }
 
     @Command(
@@ -138,7 +138,7 @@
             mixinStandardHelpOptions = true,
             description = "Play a script with several values of one setting.")
     int sweep(
-            @Parameters(description = SCRIPT) Path script,
+            @Parameters(description = SCRIPT_DESCRIPTION) Path script,
             @Option(
                             names = "--setting",
                             required = true,
@@ -147,7 +147,7 @@
                     String setting,
             @Option(names = "--values", required = true, split = ",", description = "Its values.")
                     List<String> values,
-            @CommandLine.Mixin Shared shared)
+            @CommandLine.Mixin Shared options)
             throws Exception {
         List<String> names = new ArrayList<>();
         List<Scenario> scripts = new ArrayList<>();
@@ -155,49 +155,49 @@
             names.add(setting + '=' + value);
             scripts.add(ScenarioReader.variant(script, setting + '=' + value));
         }
-        return experiment(names, scripts, shared);
+        return experiment(names, scripts, options);
     }
 
-    private static int experiment(List<String> names, List<Scenario> scripts, Shared shared)
+    private static int experiment(List<String> names, List<Scenario> scripts, Shared options)
             throws Exception {
         Experiment experiment =
                 new Experiment(
                         scripts,
-                        shared.seed,
-                        shared.seeds,
-                        shared.within,
+                        options.seed,
+                        options.seeds,
+                        options.within,
                         SimulationResult::valueShare);
-        long began = System.nanoTime();
-        try (ParallelRunner runs = new ParallelRunner(shared.cores())) {
-            int round = Math.max(1, shared.cores() / scripts.size());
+        long startNanos = System.nanoTime();
+        try (ParallelRunner runner = new ParallelRunner(options.cores())) {
+            int runsPerRound = Math.max(1, options.cores() / scripts.size());
             experiment.play(
-                    runs,
-                    round,
-                    said -> {
-                        double spent = (System.nanoTime() - began) / 1e9;
-                        double left =
-                                spent
+                    runner,
+                    runsPerRound,
+                    progress -> {
+                        double elapsedS = (System.nanoTime() - startNanos) / 1e9;
+                        double remainingS =
+                                elapsedS
                                         / Math.max(1, experiment.seeds())
-                                        * (shared.seeds - experiment.seeds());
+                                        * (options.seeds - experiment.seeds());
                         System.err.printf(
                                 Locale.ROOT,
                                 "%s, %.0f s spent, at most %.0f s left%n",
-                                said,
-                                spent,
-                                left);
+                                progress,
+                                elapsedS,
+                                remainingS);
                     });
         }
-        int missed = 0;
-        for (int v = 0; v < names.size(); v++) {
-            missed += tell(System.out, experiment, names, v, shared.seed);
+        int missedCount = 0;
+        for (int variant = 0; variant < names.size(); variant++) {
+            missedCount += printVariant(System.out, experiment, names, variant, options.seed);
         }
-        if (shared.out != null) {
-            new Report(shared.out, experiment, names, scripts, shared.seed).write();
+        if (options.out != null) {
+            new Report(options.out, experiment, names, scripts, options.seed).write();
         }
-        return missed == 0 ? 0 : MISSED;
+        return missedCount == 0 ? 0 : EXIT_FAILED;
     }
 
-    private static int tell(
+    private static int printVariant(
             PrintStream out, Experiment experiment, List<String> names, int variant, long seed) {
         out.println(names.get(variant));
         Report.FIGURES.forEach(
@@ -218,14 +218,14 @@
                                             difference.half(),
                                             experiment.chance(variant, figure)));
                 });
-        int missed = 0;
+        int missedCount = 0;
         for (int i = 0; i < experiment.seeds(); i++) {
             for (String line : experiment.outcomes(variant).get(i).missed()) {
                 out.println("  missed, seed " + (seed + i) + ": " + line);
-                missed++;
+                missedCount++;
             }
         }
-        return missed;
+        return missedCount;
     }
 
     @Command(
@@ -233,30 +233,30 @@
             mixinStandardHelpOptions = true,
             description = "Play one seed and tell all that it shows.")
     int replay(
-            @Parameters(description = SCRIPT) Path file,
+            @Parameters(description = SCRIPT_DESCRIPTION) Path file,
             @Option(names = "--seed", required = true) long seed) {
         Scenario script = ScenarioReader.read(file);
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         SimulationResult outcome = new Simulation(script, seed).play();
-        double spent = (System.nanoTime() - began) / 1e9;
+        double elapsedS = (System.nanoTime() - startNanos) / 1e9;
         Report.FIGURES.forEach(
                 (name, figure) ->
                         System.out.printf(
                                 Locale.ROOT, "%-14s %.4f%n", name, figure.applyAsDouble(outcome)));
         outcome.byOperation()
                 .forEach(
-                        (name, all) ->
+                        (name, counts) ->
                                 System.out.printf(
                                         Locale.ROOT,
                                         "%-14s asked %d, succeeded %d, throttled %d, errored %d,"
                                                 + " timed out %d, value %.3f%n",
                                         name,
-                                        all.asked,
-                                        all.succeeded,
-                                        all.throttled,
-                                        all.errored,
-                                        all.timedOut,
-                                        all.offered == 0 ? 1 : all.earned / all.offered));
+                                        counts.asked,
+                                        counts.succeeded,
+                                        counts.throttled,
+                                        counts.errored,
+                                        counts.timedOut,
+                                        counts.offered == 0 ? 1 : counts.earned / counts.offered));
         System.out.printf(
                 Locale.ROOT,
                 "read %d, answered %d, run %d; calls %d, falls of the records service %d%n",
@@ -269,9 +269,9 @@
                 Locale.ROOT,
                 "%d events, %.0f times real time%n",
                 outcome.events(),
-                script.seconds() / spent);
+                script.seconds() / elapsedS);
         outcome.rules().broken().forEach(System.out::println);
-        return outcome.missed().isEmpty() ? 0 : MISSED;
+        return outcome.missed().isEmpty() ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -281,7 +281,7 @@
                     "Draw incidents round a script's fleet, hunt for broken rules and the greatest"
                             + " loss, cut the find down.")
     int hunt(
-            @Parameters(description = SCRIPT) Path file,
+            @Parameters(description = SCRIPT_DESCRIPTION) Path file,
             @Option(names = "--seed", defaultValue = "1") long seed,
             @Option(names = "--tries", defaultValue = "100") int tries,
             @Option(names = "--cores", description = "Runs at once; by default one a core.")
@@ -290,17 +290,17 @@
             throws Exception {
         Scenario base = ScenarioReader.read(file);
         int cores = atOnce == null ? Runtime.getRuntime().availableProcessors() : atOnce;
-        try (ParallelRunner runs = new ParallelRunner(cores)) {
-            FaultSearch hunt = new FaultSearch(runs, base, seed);
-            FaultSearch.Find found = hunt.search(tries, cores * 2, System.err::println);
-            FaultSearch.Find cut = hunt.cut(found, System.err::println);
+        try (ParallelRunner runner = new ParallelRunner(cores)) {
+            FaultSearch search = new FaultSearch(runner, base, seed);
+            FaultSearch.Find finding = search.search(tries, cores * 2, System.err::println);
+            FaultSearch.Find reduced = search.cut(finding, System.err::println);
             System.out.printf(
                     Locale.ROOT,
                     "%s, seed %d, value %.4f%n",
-                    cut.broken() ? "a rule is broken: " + cut.line() : "greatest loss",
-                    cut.seed(),
-                    cut.value());
-            for (Scenario.Incident each : cut.script().incidents()) {
+                    reduced.broken() ? "a rule is broken: " + reduced.line() : "greatest loss",
+                    reduced.seed(),
+                    reduced.value());
+            for (Scenario.Incident each : reduced.script().incidents()) {
                 System.out.printf(
                         Locale.ROOT,
                         "  { at_s: %s, for_s: %s, what: '%s', share: %s, strength: %s },%n",
@@ -311,9 +311,9 @@
                         each.strength());
             }
             if (save != null) {
-                save(file, cut, save);
+                save(file, reduced, save);
             }
-            return cut.broken() ? MISSED : 0;
+            return reduced.broken() ? EXIT_FAILED : 0;
         }
     }
 
@@ -323,49 +323,46 @@
             description =
                     "Events a second and memory by the size of the fleet, on one core; as CSV.")
     int sizes(
-            @Parameters(description = SCRIPT) Path file,
+            @Parameters(description = SCRIPT_DESCRIPTION) Path file,
             @Option(names = "--boxes", split = ",", defaultValue = "10,100,1000")
                     List<Integer> boxes) {
         Scenario base = ScenarioReader.read(file);
         System.out.println("boxes,events,events a second,times real time,MB");
-        for (int pass = 0; pass < 2; pass++) { // the first makes the code warm
+        for (int pass = 0; pass < 2; pass++) { // the first pass warms the JIT up
             for (int count : boxes) {
                 Scenario script = base.scaled((double) count / base.fleet().boxes());
-                long began = System.nanoTime();
-                Simulation world = new Simulation(script, 1);
-                SimulationResult outcome = world.play();
-                double spent = (System.nanoTime() - began) / 1e9;
+                long startNanos = System.nanoTime();
+                Simulation simulation = new Simulation(script, 1);
+                SimulationResult outcome = simulation.play();
+                double elapsedS = (System.nanoTime() - startNanos) / 1e9;
                 System.gc();
-                long used = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+                long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
                 if (pass > 0) {
                     System.out.printf(
                             Locale.ROOT,
                             "%d,%d,%.0f,%.2f,%d%n",
                             count,
                             outcome.events(),
-                            outcome.events() / spent,
-                            script.seconds() / spent,
-                            used >> 20);
+                            outcome.events() / elapsedS,
+                            script.seconds() / elapsedS,
+                            usedBytes >> 20);
                 }
-                if (world.time() < script.seconds()) {
+                if (simulation.time() < script.seconds()) {
                     throw new IllegalStateException(
-                            "it ended early"); // keeps the world alive to here
+                            "simulation ended early"); // keeps it reachable to here
                 }
             }
         }
         return 0;
     }
 
-    /**
-     * The script as it stands in its file, with the incidents that were found in the place of its
-     * own.
-     */
-    private static void save(Path file, FaultSearch.Find found, Path to) throws IOException {
+    /** Writes a copy of the script file in which the found incidents replace its own. */
+    private static void save(Path file, FaultSearch.Find finding, Path to) throws IOException {
         ObjectMapper mapper =
                 JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
         Map<String, Object> root = ScenarioReader.members(file);
         List<Object> incidents = new ArrayList<>();
-        for (Scenario.Incident each : found.script().incidents()) {
+        for (Scenario.Incident each : finding.script().incidents()) {
             Map<String, Object> incident = new LinkedHashMap<>();
             incident.put("at_s", each.atS());
             incident.put("for_s", each.forS());
@@ -378,34 +375,34 @@
         Files.writeString(
                 to,
                 "// Found by a hunt; replay with --seed "
-                        + found.seed()
+                        + finding.seed()
                         + ".\n"
                         + mapper.writeValueAsString(root)
                         + "\n");
     }
 
-    /** The exit code; what went wrong is told in one line. */
+    /** Runs a command and returns its exit code; invalid input is reported in one line on stderr. */
     static int execute(String... words) {
-        CommandLine line = new CommandLine(new SimulateCommand());
-        line.setExecutionExceptionHandler(
-                (fault, command, parsed) ->
-                        told(
-                                fault,
+        CommandLine commandLine = new CommandLine(new SimulateCommand());
+        commandLine.setExecutionExceptionHandler(
+                (exception, command, parsed) ->
+                        reportInvalidInput(
+                                exception,
                                 () -> {
-                                    throw fault;
+                                    throw exception;
                                 }));
-        return line.execute(words);
+        return commandLine.execute(args);
     }
 
-    private static int told(Exception fault, Callable<Integer> otherwise) throws Exception {
-        if (!(fault instanceof MalformedException)) {
-            return otherwise.call();
+    private static int reportInvalidInput(Exception exception, Callable<Integer> rethrow) throws Exception {
+        if (!(exception instanceof MalformedException)) {
+            return rethrow.call();
         }
-        System.err.println("rehearse: " + fault.getMessage());
-        return WRONG;
+        System.err.println("rehearse: " + exception.getMessage());
+        return EXIT_INVALID;
     }
 
-    public static void main(String[] words) {
-        System.exit(execute(words));
+    public static void main(String[] args) {
+        System.exit(execute(args));
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
@@ -58,8 +58,8 @@
 
     public void write(List<Integer> sizes, double seconds, Consumer<String> progress)
             throws IOException {
-        sizes(sizes, progress);
-        verdicts(seconds, progress);
+        measureSizes(sizes, progress);
+        measureVerdicts(seconds, progress);
     }
 
     private record Size(
@@ -73,7 +73,7 @@
             double heal,
             double perKnown) {}
 
-    private void sizes(List<Integer> memberCounts, Consumer<String> progress) throws IOException {
+    private void measureSizes(List<Integer> memberCounts, Consumer<String> progress) throws IOException {
         List<Size> sizes = new ArrayList<>();
         new MembershipSimulation(scenario("warm", 100, JOIN_DURATION_S + IDLE_DURATION_S, List.of()), 1, true, COUNTING_START_S)
                 .play();
@@ -226,7 +226,7 @@
      *
      * @param seconds duration of the faults
      */
-    private void verdicts(double seconds, Consumer<String> progress) throws IOException {
+    private void measureVerdicts(double seconds, Consumer<String> progress) throws IOException {
         StringBuilder csv =
                 new StringBuilder(
                         "what,seconds,seeds,view: false verdicts,view: suspicions,view: packets a"
--- a/emulator/src/test/java/ochretiller/emulator/FleetTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/FleetTest.java
@@ -23,58 +23,58 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Fleets in virtual time: what the drills show on processes, on many more schedules. */
+/** Simulates fleets in virtual time, on many more schedules than the drills run on processes. */
 class FleetTest {
-    /** The bound that the design note states. */
-    private static final double SETTLED_S = 15;
+    /** Guaranteed settling time of the membership protocol after the last fault, in seconds. */
+    private static final double MAX_SETTLE_TIME_S = 15;
 
-    static List<Path> scripts() throws IOException {
+    static List<Path> scenarioFiles() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("scripts/fleet"))) {
             return files.filter(file -> file.toString().endsWith(".json5")).sorted().toList();
         }
     }
 
     @ParameterizedTest
-    @MethodSource("scripts")
-    void eachScriptComesOutAsItExpects(Path file) {
-        FleetScenario script = FleetScenarioReader.read(file);
+    @MethodSource("scenarioFiles")
+    void everyScenarioMeetsItsExpectations(Path file) {
+        FleetScenario scenario = FleetScenarioReader.read(file);
         for (long seed = 1; seed <= 3; seed++) {
-            assertThat(new MembershipSimulation(script, seed).play().missed(script.expect()))
+            assertThat(new MembershipSimulation(scenario, seed).play().missed(scenario.expect()))
                     .as("seed " + seed)
                     .isEmpty();
         }
     }
 
     @Test
-    void drawnSchedulesSettleWithinTheBound() {
+    void randomScenariosSettleWithinTheBound() {
         for (long seed = 1; seed <= 120; seed++) {
             FleetOutcome outcome =
-                    new MembershipSimulation(RandomScenarios.script(seed, SETTLED_S), seed).play();
+                    new MembershipSimulation(RandomScenarios.script(seed, MAX_SETTLE_TIME_S), seed).play();
             assertThat(outcome.settledS)
                     .as("seed " + seed + ": " + outcome.notes)
-                    .isLessThanOrEqualTo(SETTLED_S);
+                    .isLessThanOrEqualTo(MAX_SETTLE_TIME_S);
         }
     }
 
     @Test
-    void aSeedPlaysTheSameTwice() {
-        FleetScenario script = RandomScenarios.script(7, SETTLED_S);
-        FleetOutcome one = new MembershipSimulation(script, 7).play();
-        FleetOutcome other = new MembershipSimulation(script, 7).play();
-        assertThat(one.settledS).isEqualTo(other.settledS);
-        assertThat(one.ticks).isEqualTo(other.ticks);
-        assertThat(one.knownMs).isEqualTo(other.knownMs);
+    void sameSeedGivesTheSameOutcome() {
+        FleetScenario scenario = RandomScenarios.script(7, MAX_SETTLE_TIME_S);
+        FleetOutcome first = new MembershipSimulation(scenario, 7).play();
+        FleetOutcome second = new MembershipSimulation(scenario, 7).play();
+        assertThat(first.settledS).isEqualTo(second.settledS);
+        assertThat(first.ticks).isEqualTo(second.ticks);
+        assertThat(first.knownMs).isEqualTo(second.knownMs);
     }
 
     @Test
-    void aFaultThatNeverEndsIsSeenToLeaveViewsWrong() {
-        FleetScenario script =
+    void viewsDoNotSettleWhileACutLasts() {
+        FleetScenario scenario =
                 FleetScenarioReader.of(
                         "{ seconds: 40, members: 6, zones: 2, incidents: [ { at_s: 5, for_s: 5,"
                                 + " what: 'cut', who: 'z1' } ] }",
                         "cut");
-        assertThat(new MembershipSimulation(script, 1).play().settledS).isFinite();
-        FleetScenario never =
+        assertThat(new MembershipSimulation(scenario, 1).play().settledS).isFinite();
+        FleetScenario cutUntilEnd =
                 new FleetScenario(
                         "never",
                         40,
@@ -87,16 +87,16 @@
                         0.3,
                         false,
                         false,
-                        script.load(),
+                        scenario.load(),
                         List.of(new FleetScenario.Incident(5, 100, "cut", "z1", "", "", 1)),
-                        new FleetScenario.Expect(SETTLED_S, 0, 0, 0));
-        assertThat(new MembershipSimulation(never, 1).play().missed(never.expect()))
+                        new FleetScenario.Expect(MAX_SETTLE_TIME_S, 0, 0, 0));
+        assertThat(new MembershipSimulation(cutUntilEnd, 1).play().missed(cutUntilEnd.expect()))
                 .anyMatch(line -> line.startsWith("settled"))
                 .anyMatch(line -> line.contains("changes of verdict"));
     }
 
     @Test
-    void allOrdersOfEventsAreExploredAndAPlantedFaultIsFound() throws Exception {
+    void membershipExplorationFindsOnlyThePlantedFault() throws Exception {
         assertThat(
                         new StateSpaceExplorer(() -> new MembershipStateModel(2, 1, false))
                                 .explore(7, 10_000, line -> {})
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void noTokenIsRunTwiceInDrawnSchedulesWithCopies() {
+    void noTokenRunsTwiceInRandomScenariosWithReplication() {
         int replayed = 0;
         for (long seed = 1; seed <= 16; seed++) {
             ReplicationSimulation.Outcomes outcome =
@@ -136,12 +136,12 @@
                         new ReplicationSimulation(RandomScenarios.copies(1), 1, 0, 0, false, false)
                                 .play(60, 25)
                                 .broken)
-                .as("each server for itself")
+                .as("without claims")
                 .anyMatch(line -> line.contains("run again"));
     }
 
     @Test
-    void claimsAreExploredAndKeepersThatForgetAreFound() throws Exception {
+    void claimExplorationFindsOnlyTheReplicasThatLoseGrants() throws Exception {
         assertThat(
                         new StateSpaceExplorer(() -> new ClaimStateModel(1, false))
                                 .explore(3, 100_000, line -> {})
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void noKeyedRunActsOnAVersionThatWasNotInForceAndStragglersAreFoundWithoutLeases() {
+    void keyedRunsUseCommittedVersionsAndViolationsAppearWithoutLeases() {
         int harmful = 0;
         int stopped = 0;
         for (long seed = 1; seed <= 80; seed++) {
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void aScriptThatCannotBePlayedIsToldSo() {
+    void invalidScenarioIsRejected() {
         assertThatThrownBy(
                         () ->
                                 FleetScenarioReader.of(
@@ -184,7 +184,7 @@
                                                 + " 9, what: 'cut', who: '1' } ] }",
                                         "s"))
                 .isInstanceOf(MalformedException.class)
-                .hasMessageContaining("behind its end");
+                .hasMessageContaining("after the scenario ends");
         assertThatThrownBy(
                         () ->
                                 FleetScenarioReader.of(
