--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Parses a member selection, see {@link Incident#who}.
+     * Parses a member selection, see {@link Incident#who()}.
      *
      * @throws MalformedException if it selects no member or one that does not exist
      */
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -810,7 +810,7 @@
 
     /** Traffic per server and second, and the number of lagging ranges over time. */
     static final class Counts {
-        private static final double LOOK_S = 0.05;
+        private static final double SAMPLE_INTERVAL_S = 0.05;
 
         private final PacketCodec codec =
                 new PacketCodec("emulated", FleetKeys.of("a key of the emulator's own"));
@@ -871,7 +871,7 @@
             trafficCounts.behindAt.add(scenarioSeconds());
         }
         trafficCounts.behind.add(new double[] {scenarioSeconds(), laggingRanges});
-        events.after(Counts.LOOK_S, this::sampleLaggingRanges);
+        events.after(Counts.SAMPLE_INTERVAL_S, this::sampleLaggingRanges);
     }
 
     /**
