--- a/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
@@ -381,7 +381,7 @@
                         + "\n");
     }
 
-    /** Runs a command and returns its exit code; invalid input is reported in one line on stderr. */
+    /** Runs a command and returns its exit code; prints invalid input in one line to stderr. */
     static int execute(String... words) {
         CommandLine commandLine = new CommandLine(new SimulateCommand());
         commandLine.setExecutionExceptionHandler(
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
@@ -23,9 +23,9 @@
 
 /**
  * Models two servers that claim the same token concurrently, three replicas, and a change of epoch
- * that replaces one of them by a fourth. Any message may arrive at any time or never; any server may
- * learn of the new epoch at any time or crash for good, and a replica may restart without its disk.
- * Rules: at most one run starts, and only a result that was reported is replayed.
+ * that replaces one of them by a fourth. Any message may arrive at any time or never, any server
+ * may learn of the new epoch at any time or crash for good, and a replica may restart without its
+ * disk. Rules: at most one run starts, and only a result that was reported is replayed.
  */
 public final class ClaimStateModel implements StateModel {
     private static final String TOKEN = "token";
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
@@ -62,8 +62,8 @@
     public record Action(double atS, Act act, int slot, int address, FleetScenario.Disk disk) {}
 
     /**
-     * A fault of the links from some slots to others; a fault of servers affects those in {@code to}
-     * and has an empty {@code from}.
+     * A fault of the links from some slots to others; a fault of servers affects those in {@code
+     * to} and has an empty {@code from}.
      */
     public record Fault(
             double atS,
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
@@ -74,7 +74,7 @@
         }
     }
 
-    /** State of a disk at a restart: unchanged, empty, an older image, or without its last bytes. */
+    /** State of a disk at a restart: unchanged, empty, an older image, or cut at the end. */
     public enum Disk {
         KEPT,
         EMPTY,
--- a/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
@@ -7,9 +7,9 @@
 import ochretiller.emulator.core.RandomStreams;
 
 /**
- * A baseline for comparison: each server sends heartbeats to all others and considers a server silent
- * if it has not heard from it for a fixed time. It uses the same schedules and link faults as the
- * membership simulation, but supports no actions other than kill, pause and resume.
+ * A baseline for comparison: each server sends heartbeats to all others and considers a server
+ * silent if no heartbeat arrives for a fixed time. It uses the same schedules and link faults as
+ * the membership simulation, but the only actions it supports are kill, pause and resume.
  */
 final class HeartbeatBaseline {
     /** A server counts as silent after three missed heartbeats. */
--- a/emulator/src/main/java/ochretiller/emulator/fleet/LinkFaults.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/LinkFaults.java
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Returns a random delay of a server's processing now, in milliseconds; 0 if no fault crowds its
-     * core.
+     * Returns a random delay of a server's processing now, in milliseconds; 0 if its core is not
+     * crowded.
      */
     public double lateMs(int slot, double seconds) {
         double late = 0;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
@@ -15,7 +15,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 
-/** Writes tables and charts of the cost, detection time and false verdicts of the membership view. */
+/** Writes tables and charts of the membership view's cost, detection time and false verdicts. */
 public final class MembershipMeasurement {
     /** Seconds in which the members join; cost is counted from {@code COUNTING_START_S} on. */
     private static final double JOIN_DURATION_S = 10;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -31,8 +31,8 @@
 import ochretiller.fleet.transport.PacketCodec;
 
 /**
- * Simulates the membership protocol of a fleet in virtual time: the server's own protocol code, links
- * that lose and delay packets, and processes that are killed and paused.
+ * Simulates the membership protocol of a fleet in virtual time: the server's own protocol code,
+ * links that lose and delay packets, and processes that are killed and paused.
  */
 public final class MembershipSimulation {
     /** Packets that the socket buffer of a paused process holds; further ones are lost. */
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
@@ -16,10 +16,10 @@
 import ochretiller.fleet.membership.ProtocolTiming;
 
 /**
- * Models delivery, loss, passing time and crashes in a small fleet that runs the membership protocol.
- * Rules: in each state no view contains a state version that the member never had, and no member is
- * reported as having left that did not leave. From each state, without further faults, all views
- * become equal and correct within a bound.
+ * Models delivery, loss, passing time and crashes in a small fleet that runs the membership
+ * protocol. Rules: in each state no view contains a state version that the member never had, and no
+ * member is reported as having left that did not leave. From each state, without further faults,
+ * all views become equal and correct within a bound.
  */
 public final class MembershipStateModel implements StateModel {
     /** One tick per probe and the shortest suspicion, so that verdicts occur within the depth. */
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Returns a scenario for a fleet that replicates claims: 3 to 9 members and up to six faults, of
-     * the kinds that change neither names nor addresses; who leaves comes back.
+     * Returns a scenario for a fleet that replicates claims: 3 to 9 members and up to six faults,
+     * of the kinds that change neither names nor addresses; a member that leaves is restarted.
      */
     public static FleetScenario copies(long seed) {
         SplittableRandom random = new RandomStreams(seed).of("copies");
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -135,7 +135,6 @@
         public int conflicts;
         public int oldFound;
 
-        /** Runs that began without a claim. */
         public int unclaimed;
 
         /** Repeated runs of tokens for which a majority of replicas had lost their disks. */
@@ -170,7 +169,7 @@
         final Set<String> results = new HashSet<>();
 
         /** Whether the first run within the window had a claim that was not transitional. */
-        boolean claimed;
+        boolean hasClaim;
 
         TokenHistory(String body) {
             this.body = body;
@@ -178,7 +177,7 @@
 
         void recordClaim(boolean isPermanent, double now) {
             if (runTimesS.isEmpty() || now - runTimesS.get(runTimesS.size() - 1) >= TOKEN_WINDOW.toSeconds()) {
-                claimed = isPermanent;
+                hasClaim = isPermanent;
             }
         }
     }
@@ -196,9 +195,9 @@
             return new DiskImage(null, Map.of(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
         }
 
-        DiskImage copy(ReplicaSnapshot now) {
+        DiskImage copy(ReplicaSnapshot currentMetadata) {
             return new DiskImage(
-                    now,
+                    currentMetadata,
                     observedChanges,
                     new TreeMap<>(entries),
                     new TreeMap<>(changeNumbers),
@@ -217,7 +216,7 @@
                             live.put(token, entry);
                         }
                     });
-            long number =
+            long maxChangeNumber =
                     Math.max(
                             metadata.changeNumber(),
                             changeNumbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
@@ -227,7 +226,7 @@
                     metadata.laggingRanges(),
                     metadata.forgottenRanges(),
                     metadata.unreliableRanges(),
-                    number,
+                    maxChangeNumber,
                     true);
         }
     }
@@ -371,7 +370,7 @@
         }
 
         /** Writes asynchronously; forces run one at a time, and one on a failing disk fails. */
-        private void forceWrite(long scheduledIncarnation, Runnable applyWrite, java.util.function.Consumer<Boolean> onDone) {
+        private void forceWrite(long expectedIncarnation, Runnable applyWrite, java.util.function.Consumer<Boolean> onDone) {
             double completionS =
                     Math.max(events.seconds(), forceCompletionS)
                             + MIN_FORCE_S
@@ -384,7 +383,7 @@
             events.after(
                     completionS - events.seconds(),
                     () -> {
-                        if (incarnation != scheduledIncarnation || !isUp) {
+                        if (incarnation != expectedIncarnation || !isUp) {
                             return;
                         }
                         pendingWrites.remove(applyWrite);
@@ -449,8 +448,8 @@
             }
         }
 
-        private void tick(long scheduledIncarnation) {
-            if (!isUp || incarnation != scheduledIncarnation) {
+        private void tick(long expectedIncarnation) {
+            if (!isUp || incarnation != expectedIncarnation) {
                 return;
             }
             if (!isPaused) {
@@ -481,7 +480,7 @@
             }
             events.after(
                     TICK_INTERVAL.plus(Duration.ofNanos((long) (faults.lateMs(number, scenarioSeconds()) * 1e6))),
-                    () -> tick(scheduledIncarnation));
+                    () -> tick(expectedIncarnation));
         }
 
         private Set<String> liveServers() {
@@ -525,8 +524,8 @@
                             });
         }
 
-        private void announce(long scheduledIncarnation) {
-            if (!isUp || incarnation != scheduledIncarnation) {
+        private void announce(long expectedIncarnation) {
+            if (!isUp || incarnation != expectedIncarnation) {
                 return;
             }
             if (!isPaused
@@ -543,7 +542,7 @@
             if (!isPaused) {
                 reportProgress();
             }
-            events.after(ANNOUNCEMENT_INTERVAL, () -> announce(scheduledIncarnation));
+            events.after(ANNOUNCEMENT_INTERVAL, () -> announce(expectedIncarnation));
         }
 
         private void reportProgress() {
@@ -1083,7 +1082,7 @@
         for (int i = 0; i < history.runTimesS.size(); i++) {
             double runS = history.runTimesS.get(i);
             // Only tokens whose first run was claimed are guaranteed to run once.
-            if (events.seconds() - runS >= TOKEN_WINDOW.toSeconds() || usesClaims && !history.claimed) {
+            if (events.seconds() - runS >= TOKEN_WINDOW.toSeconds() || usesClaims && !history.hasClaim) {
                 continue;
             }
             if (isExcused(history.replicasAtRun.get(i), runS)) {
@@ -1192,7 +1191,7 @@
         TokenHistory history = tokens.get(token);
         history.results.add(result);
         if (history.results.size() > 1
-                && (history.claimed || !usesClaims)
+                && (history.hasClaim || !usesClaims)
                 && !(history.runTimesS.size() > 1
                         && isExcused(history.replicasAtRun.get(0), history.runTimesS.get(0)))) {
             recordViolation(token + " was answered with two results " + history.results);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -52,8 +52,8 @@
     private static final Duration ACTIVATION_TIMEOUT = Duration.ofSeconds(6);
 
     /**
-     * Seconds for a committed epoch and the following status report to reach the voters, and for the
-     * voters to detect that a server is outdated.
+     * Seconds for a committed epoch and the following status report to reach the voters, and for
+     * the voters to detect that a server is outdated.
      */
     private static final double PROPAGATION_S = 2.5;
 
@@ -184,8 +184,8 @@
             isUp = false;
         }
 
-        private void tick(long scheduledIncarnation) {
-            if (!isUp || incarnation != scheduledIncarnation) {
+        private void tick(long expectedIncarnation) {
+            if (!isUp || incarnation != expectedIncarnation) {
                 return;
             }
             if (!isPaused) {
@@ -201,7 +201,7 @@
                     TICK_INTERVAL.plus(
                             Duration.ofNanos(
                                     (long) (faults.lateMs(number, events.seconds()) * 1e6))),
-                    () -> tick(scheduledIncarnation));
+                    () -> tick(expectedIncarnation));
         }
 
         private List<String> sources() {
@@ -243,8 +243,8 @@
             processOutputs();
         }
 
-        private void report(long scheduledIncarnation) {
-            if (!isUp || incarnation != scheduledIncarnation) {
+        private void report(long expectedIncarnation) {
+            if (!isUp || incarnation != expectedIncarnation) {
                 return;
             }
             if (!committedPlacements.isEmpty()
@@ -289,12 +289,12 @@
                     }
                 }
             }
-            events.after(REPORT_INTERVAL, () -> report(scheduledIncarnation));
+            events.after(REPORT_INTERVAL, () -> report(expectedIncarnation));
         }
 
         /** Receives a keyed invocation and runs it if the server holds a lease. */
-        private void attemptRun(long scheduledIncarnation) {
-            if (!isUp || incarnation != scheduledIncarnation) {
+        private void attemptRun(long expectedIncarnation) {
+            if (!isUp || incarnation != expectedIncarnation) {
                 return;
             }
             if (!isPaused) {
@@ -305,7 +305,7 @@
                     outcomes.refusedRuns++;
                 }
             }
-            events.after(INVOCATION_INTERVAL_S * (0.5 + random.nextDouble()), () -> attemptRun(scheduledIncarnation));
+            events.after(INVOCATION_INTERVAL_S * (0.5 + random.nextDouble()), () -> attemptRun(expectedIncarnation));
         }
 
         private void recordRun() {
@@ -512,14 +512,14 @@
         for (FaultSchedule.Action action : schedule.actions()) {
             events.after(action.atS(), () -> perform(action));
         }
-        double lastFault = schedule.lastS();
+        double lastFaultS = schedule.lastS();
         for (int i = 0; i < versionCount; i++) {
             events.after(3 + 24.0 * i, () -> publish(random.nextDouble() < harmfulShare, 40));
         }
         double lastPublicationS = 3 + 24.0 * versionCount;
-        double endS = Math.max(lastFault, lastPublicationS) + 60;
-        events.after(Math.max(lastFault, lastPublicationS), this::checkSettled);
-        lastEventS = Math.max(lastFault, lastPublicationS);
+        double endS = Math.max(lastFaultS, lastPublicationS) + 60;
+        events.after(Math.max(lastFaultS, lastPublicationS), this::checkSettled);
+        lastEventS = Math.max(lastFaultS, lastPublicationS);
         events.run(endS);
         if (Double.isInfinite(outcomes.settledS)) {
             StringBuilder text =
@@ -646,7 +646,7 @@
                     return;
                 }
                 host.isPaused = false;
-                // A resumed process may finish a run before it reads any queued message.
+                // A resumed process runs once more before it reads the queued messages.
                 boolean mayRun = !enforcesLeases || host.lease.isHeld(events.now());
                 if (mayRun) {
                     host.recordRun();
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
@@ -1,8 +1,8 @@
 package ochretiller.emulator.fleet;
 
 /**
- * A small system whose orders of events are explored exhaustively. Each state is reached by creating
- * a new model and performing a path of actions on it.
+ * A small system whose orders of events are explored exhaustively. Each state is reached by
+ * creating a new model and performing a path of actions on it.
  */
 public interface StateModel {
     /** Number of actions in this state, numbered from 0; some of them may not be possible. */
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
@@ -14,9 +14,9 @@
 import java.util.function.Supplier;
 
 /**
- * Explores all orders of events of a {@link StateModel} breadth first, to a given depth. States with
- * equal fingerprints are explored once. No state may violate a rule, and from each one the model
- * must settle if no further fault occurs.
+ * Explores all orders of events of a {@link StateModel} breadth first, to a given depth. States
+ * with equal fingerprints are explored once. No state may violate a rule, and from each one the
+ * model must settle if no further fault occurs.
  */
 public final class StateSpaceExplorer {
     private final Supplier<StateModel> models;
