--- a/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
@@ -28,7 +28,7 @@
         IMAGE
     }
 
-    /** A kind of fault of a link, or of a server's clock, disk or CPU. */
+    /** A kind of fault of links, or of a server's clock, disk, CPU or inbound traffic. */
     public enum Link {
         CUT,
         LOSS,
@@ -112,11 +112,11 @@
         }
 
         private void addFault(
-                FleetScenario.Incident each, Link kind, Set<Integer> from, Set<Integer> to) {
+                FleetScenario.Incident incident, Link kind, Set<Integer> from, Set<Integer> to) {
             faults.add(
                     new Fault(
-                            each.atS(), each.atS() + each.forS(), kind, from, to, each.strength()));
-            lastEndS = Math.max(lastEndS, each.atS() + each.forS());
+                            incident.atS(), incident.atS() + incident.forS(), kind, from, to, incident.strength()));
+            lastEndS = Math.max(lastEndS, incident.atS() + incident.forS());
         }
 
         private Set<Integer> others(Set<Integer> excluded) {
@@ -139,30 +139,30 @@
                                 FleetScenario.Disk.KEPT));
                 lastEndS = scenario.startS();
             }
-            for (FleetScenario.Incident each : scenario.incidents()) {
-                expand(each);
+            for (FleetScenario.Incident incident : scenario.incidents()) {
+                expand(incident);
             }
             actions.sort(Comparator.comparingDouble(Action::atS));
             return new FaultSchedule(
                     List.copyOf(slots), List.copyOf(actions), List.copyOf(faults), lastEndS);
         }
 
-        private void expand(FleetScenario.Incident each) {
-            double at = each.atS();
-            double end = at + each.forS();
-            Set<Integer> who = scenario.members(each.who());
-            Set<Integer> from = scenario.members(each.from());
-            Set<Integer> to = scenario.members(each.to());
-            switch (each.what()) {
+        private void expand(FleetScenario.Incident incident) {
+            double at = incident.atS();
+            double end = at + incident.forS();
+            Set<Integer> who = scenario.members(incident.who());
+            Set<Integer> from = scenario.members(incident.from());
+            Set<Integer> to = scenario.members(incident.to());
+            switch (incident.what()) {
                 case "kill" ->
                         who.forEach(
                                 i -> {
-                                    if (each.disk() == FleetScenario.Disk.OLD) {
-                                        addAction(Math.max(0, at - each.strength()), Act.IMAGE, i, i);
+                                    if (incident.disk() == FleetScenario.Disk.OLD) {
+                                        addAction(Math.max(0, at - incident.strength()), Act.IMAGE, i, i);
                                     }
                                     addAction(at, Act.KILL, i, i);
-                                    if (each.forS() > 0) {
-                                        addAction(end, Act.START, i, i, each.disk());
+                                    if (incident.forS() > 0) {
+                                        addAction(end, Act.START, i, i, incident.disk());
                                     }
                                 });
                 case "move" ->
@@ -191,12 +191,12 @@
                         who.forEach(
                                 i -> {
                                     addAction(at, Act.LEAVE, i, i);
-                                    if (each.forS() > 0) {
+                                    if (incident.forS() > 0) {
                                         addAction(Math.max(end, at + LEAVES_S + 0.1), Act.START, i, i);
                                     }
                                 });
                 case "release" -> {
-                    double spacingS = who.isEmpty() ? 0 : each.forS() / who.size();
+                    double spacingS = who.isEmpty() ? 0 : incident.forS() / who.size();
                     int index = 0;
                     for (int i : who) {
                         addAction(at + spacingS * index, Act.LEAVE, i, i);
@@ -205,11 +205,11 @@
                                 Act.START,
                                 i,
                                 i,
-                                each.disk());
+                                incident.disk());
                     }
                 }
                 case "join" -> {
-                    int count = (int) each.strength();
+                    int count = (int) incident.strength();
                     for (int i = 0; i < count; i++) {
                         int zone =
                                 scenario.zone(
@@ -219,7 +219,7 @@
                                                         / Math.max(1, count)
                                                         % scenario.members());
                         addAction(
-                                at + each.forS() * i / Math.max(1, count),
+                                at + incident.forS() * i / Math.max(1, count),
                                 Act.START,
                                 addSlot("j" + (slots.size() + 1), zone, ++addresses).number(),
                                 addresses);
@@ -230,28 +230,28 @@
                                 i -> {
                                     Slot twin = addSlot("m" + i, scenario.zone(i), ++addresses);
                                     addAction(at, Act.START, twin.number(), addresses);
-                                    if (each.forS() > 0) {
+                                    if (incident.forS() > 0) {
                                         addAction(end, Act.KILL, twin.number(), addresses);
                                     }
                                 });
                 case "cut" -> {
-                    addFault(each, Link.CUT, who, others(who));
-                    addFault(each, Link.CUT, others(who), who);
+                    addFault(incident, Link.CUT, who, others(who));
+                    addFault(incident, Link.CUT, others(who), who);
                 }
-                case "deaf" -> addFault(each, Link.CUT, others(who), who);
-                case "mute" -> addFault(each, Link.CUT, who, others(who));
-                case "one-way" -> addFault(each, Link.CUT, from, to);
-                case "loss" -> addFault(each, Link.LOSS, from, to);
-                case "delay" -> addFault(each, Link.DELAY, from, to);
-                case "duplicate" -> addFault(each, Link.DUPLICATE, from, to);
-                case "reorder" -> addFault(each, Link.REORDER, from, to);
-                case "corrupt" -> addFault(each, Link.CORRUPT, from, to);
-                case "crowd" -> addFault(each, Link.CROWD, Set.of(), who);
-                case "flood" -> addFault(each, Link.FLOOD, Set.of(), who);
-                case "full" -> addFault(each, Link.FULL, Set.of(), who);
-                case "stall" -> addFault(each, Link.STALL, Set.of(), who);
-                case "clock" -> addFault(each, Link.CLOCK, Set.of(), who);
-                default -> throw new MalformedException(scenario.name() + ": unknown " + each.what());
+                case "deaf" -> addFault(incident, Link.CUT, others(who), who);
+                case "mute" -> addFault(incident, Link.CUT, who, others(who));
+                case "one-way" -> addFault(incident, Link.CUT, from, to);
+                case "loss" -> addFault(incident, Link.LOSS, from, to);
+                case "delay" -> addFault(incident, Link.DELAY, from, to);
+                case "duplicate" -> addFault(incident, Link.DUPLICATE, from, to);
+                case "reorder" -> addFault(incident, Link.REORDER, from, to);
+                case "corrupt" -> addFault(incident, Link.CORRUPT, from, to);
+                case "crowd" -> addFault(incident, Link.CROWD, Set.of(), who);
+                case "flood" -> addFault(incident, Link.FLOOD, Set.of(), who);
+                case "full" -> addFault(incident, Link.FULL, Set.of(), who);
+                case "stall" -> addFault(incident, Link.STALL, Set.of(), who);
+                case "clock" -> addFault(incident, Link.CLOCK, Set.of(), who);
+                default -> throw new MalformedException(scenario.name() + ": unknown incident kind " + incident.what());
             }
         }
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -60,9 +60,9 @@
     private final double countingStartS;
     private final PacketCodec codec =
             new PacketCodec("emulated", FleetKeys.of("a key of the emulator's own"));
-    private final Map<Integer, Host> bySlot = new TreeMap<>();
-    private final Map<PeerAddress, Host> byAddress = new HashMap<>();
-    private final Map<Long, Host> byIncarnation = new HashMap<>();
+    private final Map<Integer, Host> hostsBySlot = new TreeMap<>();
+    private final Map<PeerAddress, Host> hostsByAddress = new HashMap<>();
+    private final Map<Long, Host> hostsByIncarnation = new HashMap<>();
 
     /** Peer addresses saved on disk, by slot number. */
     private final Map<Integer, List<PeerAddress>> savedPeers = new HashMap<>();
@@ -136,7 +136,7 @@
             }
             long startNanos = measuresCost ? System.nanoTime() : 0;
             protocol.tick(events.now());
-            recordDecisionTime(startNanos);
+            recordProtocolTime(startNanos);
             outcome.ticks++;
             processOutputs();
             scheduleTick();
@@ -163,11 +163,11 @@
             }
             long startNanos = measuresCost ? System.nanoTime() : 0;
             protocol.receive(packet, events.now());
-            recordDecisionTime(startNanos);
+            recordProtocolTime(startNanos);
             processOutputs();
         }
 
-        private void recordDecisionTime(long startNanos) {
+        private void recordProtocolTime(long startNanos) {
             if (measuresCost && events.seconds() >= countingStartS) {
                 outcome.decisionNanos += System.nanoTime() - startNanos;
             }
@@ -182,8 +182,8 @@
             }
         }
 
-        boolean unpausedFor(double span) {
-            return !isPaused && events.seconds() - resumedS > span;
+        boolean hasRunUnpausedFor(double durationS) {
+            return !isPaused && events.seconds() - resumedS > durationS;
         }
     }
 
@@ -224,7 +224,7 @@
     /** Number of members in the views of all running servers, to calculate memory per member. */
     public int views() {
         int known = 0;
-        for (Host host : byIncarnation.values()) {
+        for (Host host : hostsByIncarnation.values()) {
             if (host.isUp) {
                 known += host.protocol.snapshot().size();
             }
@@ -242,8 +242,8 @@
         }
         events.after(CHECK_INTERVAL_S, this::checkViews);
         double endS = scenario.seconds();
-        for (double secondS = 0; secondS < endS; secondS += 1) {
-            events.run(Math.min(endS, secondS + 1));
+        for (double startS = 0; startS < endS; startS += 1) {
+            events.run(Math.min(endS, startS + 1));
             // The views have settled and no fault is left: the rest of the scenario is idle.
             if (events.seconds() > schedule.lastS()
                     && !Double.isNaN(settledSinceS)
@@ -257,7 +257,7 @@
         } else {
             note("unsettled");
         }
-        for (Host host : byIncarnation.values()) {
+        for (Host host : hostsByIncarnation.values()) {
             outcome.refuted += host.protocol.counters().get(MembershipCounter.REFUTATIONS);
             outcome.suspected += host.protocol.counters().get(MembershipCounter.SUSPICIONS);
             outcome.twins += (int) host.protocol.counters().get(MembershipCounter.DUPLICATE_NAMES);
@@ -272,7 +272,7 @@
     }
 
     private void perform(FaultSchedule.Action action) {
-        Host host = bySlot.get(action.slot());
+        Host host = hostsBySlot.get(action.slot());
         switch (action.act()) {
             case START -> {
                 if (host != null && host.isUp) {
@@ -280,12 +280,12 @@
                 }
                 Host started =
                         new Host(schedule.slots().get(action.slot() - 1), address(action.address()));
-                bySlot.put(action.slot(), started);
-                Host previous = byAddress.put(started.protocol.self().address(), started);
+                hostsBySlot.put(action.slot(), started);
+                Host previous = hostsByAddress.put(started.protocol.self().address(), started);
                 if (previous != null && previous.isUp) {
                     stop(previous);
                 }
-                byIncarnation.put(started.protocol.self().incarnation(), started);
+                hostsByIncarnation.put(started.protocol.self().incarnation(), started);
                 started.scheduleTick();
             }
             case KILL -> {
@@ -337,8 +337,8 @@
     private void stop(Host host) {
         host.isUp = false;
         host.stoppedS = events.seconds();
-        if (byAddress.get(host.protocol.self().address()) == host) {
-            byAddress.remove(host.protocol.self().address());
+        if (hostsByAddress.get(host.protocol.self().address()) == host) {
+            hostsByAddress.remove(host.protocol.self().address());
         }
     }
 
@@ -346,7 +346,7 @@
         if (measuresCost && events.seconds() >= countingStartS) {
             countPacket(sender, outbound);
         }
-        Host receiver = byAddress.get(outbound.destination());
+        Host receiver = hostsByAddress.get(outbound.destination());
         if (receiver == null) {
             return;
         }
@@ -363,7 +363,7 @@
             events.after(
                     ms / 1e3,
                     () -> {
-                        Host currentReceiver = byAddress.get(outbound.destination());
+                        Host currentReceiver = hostsByAddress.get(outbound.destination());
                         if (currentReceiver != null) {
                             currentReceiver.receive(outbound.packet());
                         }
@@ -392,7 +392,7 @@
             return;
         }
         outcome.verdicts++;
-        Host subject = byIncarnation.get(change.member().incarnation());
+        Host subject = hostsByIncarnation.get(change.member().incarnation());
         if (subject == null) {
             return;
         }
@@ -411,7 +411,7 @@
         unreachable.addAll(schedule.unheard(Math.max(0, now - 1)));
         boolean isExcused =
                 subject.isPaused
-                        || !subject.unpausedFor(1)
+                        || !subject.hasRunUnpausedFor(1)
                         || unreachable.contains(subject.slot.number())
                         || unreachable.contains(observer.slot.number());
         if (!isExcused) {
@@ -444,7 +444,7 @@
     private String describeMismatch() {
         Set<Long> liveIncarnations = new TreeSet<>();
         List<Host> hosts = new ArrayList<>();
-        for (Host host : byIncarnation.values()) {
+        for (Host host : hostsByIncarnation.values()) {
             if (!host.isUp || host.isLeaving) {
                 continue;
             }
