--- a/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
@@ -110,18 +110,18 @@
             throws Exception {
         List<Callable<FleetOutcome>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
+            long runSeed = seed + i;
             runs.add(
                     () ->
-                            new MembershipSimulation(RandomScenarios.script(each, settled), each)
+                            new MembershipSimulation(RandomScenarios.script(runSeed, settled), runSeed)
                                     .play());
         }
         List<Double> settleTimesS = new ArrayList<>();
         int failed = 0;
         int falseVerdicts = 0;
         int index = 0;
-        for (Future<FleetOutcome> each : submitAll(runs)) {
-            FleetOutcome outcome = each.get();
+        for (Future<FleetOutcome> future : submitAll(runs)) {
+            FleetOutcome outcome = future.get();
             falseVerdicts += outcome.falseVerdicts;
             settleTimesS.add(outcome.settledS);
             if (outcome.settledS > settled) {
@@ -186,27 +186,27 @@
             throws Exception {
         List<Callable<ReplicationSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
+            long runSeed = seed + i;
             runs.add(
                     () ->
                             new ReplicationSimulation(
-                                            RandomScenarios.copies(each),
-                                            each,
-                                            each % 3 * 0.4,
-                                            each / 3 % 2 * oldDisks,
-                                            each % 4 == 0,
+                                            RandomScenarios.copies(runSeed),
+                                            runSeed,
+                                            runSeed % 3 * 0.4,
+                                            runSeed / 3 % 2 * oldDisks,
+                                            runSeed % 4 == 0,
                                             !isServerMode)
                                     .trace(trace)
                                     .switching(
                                             modeSwitchS == null ? Double.NEGATIVE_INFINITY : modeSwitchS,
-                                            each % 5 * 0.5)
+                                            runSeed % 5 * 0.5)
                                     .play(tokens, 25));
         }
         ReplicationSimulation.Outcomes total = new ReplicationSimulation.Outcomes();
         int brokenCount = 0;
         int index = 0;
-        for (Future<ReplicationSimulation.Outcomes> each : submitAll(runs)) {
-            ReplicationSimulation.Outcomes outcomes = each.get();
+        for (Future<ReplicationSimulation.Outcomes> future : submitAll(runs)) {
+            ReplicationSimulation.Outcomes outcomes = future.get();
             total.tries += outcomes.tries;
             total.succeeded += outcomes.succeeded;
             total.replayed += outcomes.replayed;
@@ -307,10 +307,10 @@
             throws Exception {
         List<Callable<RolloutSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
+            long runSeed = seed + i;
             runs.add(
                     () -> {
-                        FleetScenario randomScenario = RandomScenarios.copies(each);
+                        FleetScenario randomScenario = RandomScenarios.copies(runSeed);
                         FleetScenario scenario =
                                 withoutFaults
                                         ? new FleetScenario(
@@ -329,7 +329,7 @@
                                                 List.of(),
                                                 randomScenario.expect())
                                         : randomScenario;
-                        return new RolloutSimulation(scenario, each, !withoutLeases).play(publish, harmful);
+                        return new RolloutSimulation(scenario, runSeed, !withoutLeases).play(publish, harmful);
                     });
         }
         RolloutSimulation.Outcomes total = new RolloutSimulation.Outcomes();
@@ -337,8 +337,8 @@
         int brokenCount = 0;
         int unsettledCount = 0;
         int index = 0;
-        for (Future<RolloutSimulation.Outcomes> each : submitAll(runs)) {
-            RolloutSimulation.Outcomes outcomes = each.get();
+        for (Future<RolloutSimulation.Outcomes> future : submitAll(runs)) {
+            RolloutSimulation.Outcomes outcomes = future.get();
             total.published += outcomes.published;
             total.harmless += outcomes.harmless;
             total.harmlessStopped += outcomes.harmlessStopped;
@@ -460,8 +460,8 @@
                             return thread;
                         });
         List<Future<T>> futures = new ArrayList<>();
-        for (Callable<T> each : runs) {
-            futures.add(executor.submit(each));
+        for (Callable<T> task : runs) {
+            futures.add(executor.submit(task));
         }
         return futures;
     }
--- a/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
@@ -382,7 +382,7 @@
     }
 
     /** Runs a command and returns its exit code; prints invalid input in one line to stderr. */
-    static int execute(String... words) {
+    static int execute(String... args) {
         CommandLine commandLine = new CommandLine(new SimulateCommand());
         commandLine.setExecutionExceptionHandler(
                 (exception, command, parsed) ->
