--- a/drill/src/main/java/ochretiller/drill/History.java
+++ b/drill/src/main/java/ochretiller/drill/History.java
@@ -10,61 +10,63 @@
 import java.util.List;
 import java.util.Map;
 
-/** All that happened, in the order in which it was seen; a checker reads nothing else. */
+/** The events of one run in the order of their recording, which is all that a checker reads. */
 final class History {
     private static final ObjectMapper JSON =
             new ObjectMapper().setDefaultPropertyInclusion(JsonInclude.Include.NON_NULL);
 
-    /** Events of one run: a quarter of an hour of a large fleet under load. */
-    private static final int MOST = 4_000_000;
+    /** Enough for 15 minutes of a large fleet under load; later events are dropped. */
+    private static final int MAX_EVENTS = 4_000_000;
 
-    /** Kinds of events. */
     enum What {
-        /** A process takes part in the fleet, under this start. */
+        /** A process has joined the fleet; {@code id} is its incarnation, {@code text} its name. */
         STARTED,
-        /** A process was told something, or has ended. */
+        /** A process was killed, paused, resumed or asked to leave, or has exited. */
         KILLED,
         PAUSED,
         RESUMED,
         LEAVES,
         ENDED,
-        /** What a server sees, where that has changed: states by start. */
+        /** A server's membership view has changed; {@code view} has states by incarnation. */
         VIEW,
-        /** A request was sent to a server, and its one end. */
+        /** A request was sent to a server, and its one answer or failure. */
         ASKED,
         ANSWERED,
-        /** A stand-in was told to run one. */
+        /** A fake processor began the run of a request; {@code id} is the request's body. */
         RAN,
         /**
-         * What a server keeps at the end, by range: how many entries, a digest of them, whether it
-         * is whole.
+         * Replicas of a server at the end, as JSON by range: the entry count, a digest and whether
+         * the range is complete.
          */
         COPIES,
-        /** The script could not be carried out as it is written. */
+        /** The script could not be run as written, so that the run proves nothing. */
         VOID,
         /** The script has ended. */
         OVER
     }
 
     /**
-     * One.
+     * An event, stored as one JSON object.
      *
-     * @param id of a request, or the start of a process
-     * @param text more, as its kind has it
+     * @param atS seconds of script time
+     * @param id a request's number or body, or the incarnation of a process
+     * @param text details that depend on the event type
+     * @param view member states by incarnation; null unless the event is a {@link What#VIEW}
      */
     record Event(
             double atS, What what, int slot, String id, String text, Map<String, String> view) {}
 
     private final List<Event> events = new ArrayList<>();
-    private final long zero;
+    private final long zeroNanos;
 
-    /** A history whose time began at {@code zero}, by the monotonic clock. */
-    History(long zero) {
-        this.zero = zero;
+    /** Counts time from {@code zeroNanos}, a value of {@link System#nanoTime}. */
+    History(long zeroNanos) {
+        this.zeroNanos = zeroNanos;
     }
 
+    /** Returns the script time in seconds. */
     double now() {
-        return (System.nanoTime() - zero) / 1e9;
+        return (System.nanoTime() - zeroNanos) / 1e9;
     }
 
     void add(What what, int slot, String id, String text) {
@@ -76,7 +78,7 @@
     }
 
     synchronized void put(Event event) {
-        if (events.size() < MOST) {
+        if (events.size() < MAX_EVENTS) {
             events.add(event);
         }
     }
@@ -94,10 +96,10 @@
     }
 
     static List<Event> read(Path file) throws IOException {
-        List<Event> all = new ArrayList<>();
+        List<Event> events = new ArrayList<>();
         for (String line : Files.readAllLines(file)) {
-            all.add(JSON.readValue(line, Event.class));
+            events.add(JSON.readValue(line, Event.class));
         }
-        return all;
+        return events;
     }
 }
--- a/drill/src/main/java/ochretiller/drill/HistoryChecker.java
+++ b/drill/src/main/java/ochretiller/drill/HistoryChecker.java
@@ -15,49 +15,46 @@
 import ochretiller.emulator.fleet.FaultSchedule;
 import ochretiller.emulator.fleet.FleetScenario;
 
-/**
- * Holds a history against the rules. It reads the history and the script, and nothing of the
- * program.
- */
+/** Checks a history against the rules, from the history and the script alone. */
 final class HistoryChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A process that was let go this lately may still be judged by what it did not answer. */
-    private static final double GRACE_S = 2;
+    /** A verdict of silence is excused for so long after a pause or a network fault ended. */
+    private static final double VERDICT_GRACE_S = 2;
 
-    /** Billed value is earned within so long. */
-    private static final double OBJECTIVE_S = 2;
+    /** A result counts towards the billed value if it arrives within this time. */
+    private static final double ANSWER_OBJECTIVE_S = 2;
 
-    /** An answer later than this is none. */
-    private static final double DUE_S = 4.5;
+    /** An answer that takes longer than this breaks a rule. */
+    private static final double ANSWER_TIMEOUT_S = 4.5;
 
     private final FleetScenario script;
-    private final FaultSchedule plan;
+    private final FaultSchedule schedule;
     private final List<History.Event> events;
-    private final List<String> broken = new ArrayList<>();
-    private final List<Double> knownMs = new ArrayList<>();
+    private final List<String> ruleViolations = new ArrayList<>();
+    private final List<Double> detectionTimesMs = new ArrayList<>();
     private double settledS = Double.POSITIVE_INFINITY;
     private int falseVerdicts;
     private int changesEach;
-    private int asked;
-    private int earned;
-    private int lost;
-    private int ranTwice;
-    private int throttled;
-    private boolean voided;
+    private int sentCount;
+    private int onTimeCount;
+    private int lostCount;
+    private int runTwiceCount;
+    private int throttledCount;
+    private boolean hasVoidEvent;
 
     HistoryChecker(FleetScenario script, List<History.Event> events) {
         this.script = script;
-        this.plan = FaultSchedule.of(script);
+        this.schedule = FaultSchedule.of(script);
         this.events = events;
         for (History.Event event : events) {
-            voided |= event.what() == History.What.VOID;
+            hasVoidEvent |= event.what() == History.What.VOID;
         }
-        views();
-        answers();
-        copies();
+        checkViews();
+        checkAnswers();
+        checkReplicas();
         if (script.expect().valueShare() > 0 && valueShare() < script.expect().valueShare()) {
-            broken.add(
+            ruleViolations.add(
                     String.format(
                             Locale.ROOT,
                             "value: %.4f of the billed value, under %.4f",
@@ -66,13 +63,13 @@
         }
     }
 
-    /** What was broken, each with its rule; nothing where the script could not be carried out. */
+    /** Returns the violations, each starting with its rule; none if the run is void. */
     List<String> broken() {
-        return voided ? List.of() : broken;
+        return hasVoidEvent ? List.of() : ruleViolations;
     }
 
     boolean voided() {
-        return voided;
+        return hasVoidEvent;
     }
 
     double settledS() {
@@ -88,32 +85,32 @@
     }
 
     int asked() {
-        return asked;
+        return sentCount;
     }
 
-    /** Tokens that were run more than once. */
+    /** Returns how many tokens were run more than once. */
     int ranTwice() {
-        return ranTwice;
+        return runTwiceCount;
     }
 
     int throttled() {
-        return throttled;
+        return throttledCount;
     }
 
     int lost() {
-        return lost;
+        return lostCount;
     }
 
     double valueShare() {
-        return asked == 0 ? 1 : (double) earned / asked;
+        return sentCount == 0 ? 1 : (double) onTimeCount / sentCount;
     }
 
-    /** Of the times from each kill until each survivor knew, in milliseconds. */
+    /** Returns a percentile of the times from a kill to each survivor's verdict, in ms, or NaN. */
     double knownMs(double percentile) {
-        if (knownMs.isEmpty()) {
+        if (detectionTimesMs.isEmpty()) {
             return Double.NaN;
         }
-        List<Double> sorted = new ArrayList<>(knownMs);
+        List<Double> sorted = new ArrayList<>(detectionTimesMs);
         sorted.sort(null);
         return sorted.get(
                 (int)
@@ -122,122 +119,125 @@
                                 Math.max(0, Math.ceil(percentile / 100 * sorted.size()) - 1)));
     }
 
-    // ---- views
+    // ---- membership views
 
-    private void views() {
-        Map<Integer, String> up = new TreeMap<>();
-        Map<String, Double> died = new HashMap<>();
-        Map<String, Integer> slots = new HashMap<>();
-        Map<Integer, Double> letGo = new HashMap<>();
+    private void checkViews() {
+        Map<Integer, String> running = new TreeMap<>();
+        Map<String, Double> killedAtS = new HashMap<>();
+        Map<String, Integer> slotByIncarnation = new HashMap<>();
+        Map<Integer, Double> resumedAtS = new HashMap<>();
         Set<Integer> paused = new HashSet<>();
         Set<Integer> leaving = new HashSet<>();
-        Map<Integer, Map<String, String>> seen = new TreeMap<>();
+        Map<Integer, Map<String, String>> views = new TreeMap<>();
         Map<Integer, String> digests = new TreeMap<>();
-        Map<String, Integer> judged = new TreeMap<>();
-        double last = plan.lastS();
-        double rightSince = Double.NaN;
-        double end = 0;
+        Map<String, Integer> silentCounts = new TreeMap<>();
+        double lastFaultS = schedule.lastS();
+        double convergedSinceS = Double.NaN;
+        double endS = 0;
         for (History.Event event : events) {
-            end = event.atS();
+            endS = event.atS();
             int slot = event.slot();
             switch (event.what()) {
                 case STARTED -> {
-                    up.put(slot, event.id());
-                    slots.put(event.id(), slot);
-                    seen.remove(slot);
-                    last = Math.max(last, event.atS());
+                    running.put(slot, event.id());
+                    slotByIncarnation.put(event.id(), slot);
+                    views.remove(slot);
+                    lastFaultS = Math.max(lastFaultS, event.atS());
                 }
                 case KILLED, ENDED -> {
-                    String start = up.remove(slot);
-                    if (start != null && event.what() == History.What.KILLED) {
-                        died.put(start, event.atS());
+                    String incarnation = running.remove(slot);
+                    if (incarnation != null && event.what() == History.What.KILLED) {
+                        killedAtS.put(incarnation, event.atS());
                     }
-                    seen.remove(slot);
+                    views.remove(slot);
                     paused.remove(slot);
                     leaving.remove(slot);
                 }
                 case PAUSED -> paused.add(slot);
                 case RESUMED -> {
                     paused.remove(slot);
-                    letGo.put(slot, event.atS());
-                    last = Math.max(last, event.atS());
+                    resumedAtS.put(slot, event.atS());
+                    lastFaultS = Math.max(lastFaultS, event.atS());
                 }
                 case LEAVES -> leaving.add(slot);
                 case VIEW -> {
-                    Map<String, String> before = seen.getOrDefault(slot, Map.of());
-                    for (Map.Entry<String, String> each : event.view().entrySet()) {
-                        boolean was =
-                                !"SILENT".equals(before.get(each.getKey()))
-                                        && before.containsKey(each.getKey());
-                        if (!each.getValue().equals("SILENT") || !was) {
+                    Map<String, String> previousView = views.getOrDefault(slot, Map.of());
+                    for (Map.Entry<String, String> member : event.view().entrySet()) {
+                        boolean wasKnown =
+                                !"SILENT".equals(previousView.get(member.getKey()))
+                                        && previousView.containsKey(member.getKey());
+                        if (!member.getValue().equals("SILENT") || !wasKnown) {
                             continue;
                         }
-                        Integer of = slots.get(each.getKey());
-                        boolean alive =
-                                of != null
-                                        && each.getKey().equals(up.get(of))
-                                        && !leaving.contains(of);
-                        if (!alive) {
-                            Double at = died.get(each.getKey());
-                            if (at != null && event.atS() - at < script.seconds()) {
-                                knownMs.add((event.atS() - at) * 1e3);
+                        Integer memberSlot = slotByIncarnation.get(member.getKey());
+                        boolean memberRunning =
+                                memberSlot != null
+                                        && member.getKey().equals(running.get(memberSlot))
+                                        && !leaving.contains(memberSlot);
+                        if (!memberRunning) {
+                            Double killedS = killedAtS.get(member.getKey());
+                            if (killedS != null && event.atS() - killedS < script.seconds()) {
+                                detectionTimesMs.add((event.atS() - killedS) * 1e3);
                             }
                             continue;
                         }
                         changesEach =
                                 Math.max(
                                         changesEach,
-                                        judged.merge(slot + " of " + of, 1, Integer::sum));
-                        Set<Integer> unheard = new HashSet<>(plan.unheard(event.atS()));
-                        unheard.addAll(plan.unheard(Math.max(0, event.atS() - GRACE_S)));
+                                        silentCounts.merge(
+                                                slot + " of " + memberSlot, 1, Integer::sum));
+                        Set<Integer> unreachable = new HashSet<>(schedule.unheard(event.atS()));
+                        unreachable.addAll(
+                                schedule.unheard(Math.max(0, event.atS() - VERDICT_GRACE_S)));
                         boolean excused =
-                                paused.contains(of)
-                                        || event.atS() - letGo.getOrDefault(of, -1e9) < GRACE_S
-                                        || unheard.contains(of)
-                                        || unheard.contains(slot);
+                                paused.contains(memberSlot)
+                                        || event.atS() - resumedAtS.getOrDefault(memberSlot, -1e9)
+                                                < VERDICT_GRACE_S
+                                        || unreachable.contains(memberSlot)
+                                        || unreachable.contains(slot);
                         if (excused) {
                             continue;
                         }
                         falseVerdicts++;
                         if (script.expect().falseVerdicts() >= 0
                                 && falseVerdicts > script.expect().falseVerdicts()) {
-                            broken.add(
+                            ruleViolations.add(
                                     String.format(
                                             Locale.ROOT,
                                             "verdicts: at %.2f s member %d saw %d silent, which was"
                                                     + " alive",
                                             event.atS(),
                                             slot,
-                                            of));
+                                            memberSlot));
                         }
                     }
-                    seen.put(slot, event.view());
+                    views.put(slot, event.view());
                     digests.put(slot, event.text());
                 }
                 default -> {}
             }
-            boolean right = right(up, leaving, paused, seen, digests);
-            if (!right) {
-                rightSince = Double.NaN;
-            } else if (Double.isNaN(rightSince)) {
-                rightSince = event.atS();
+            boolean converged = hasConverged(running, leaving, paused, views, digests);
+            if (!converged) {
+                convergedSinceS = Double.NaN;
+            } else if (Double.isNaN(convergedSinceS)) {
+                convergedSinceS = event.atS();
             }
         }
-        if (!Double.isNaN(rightSince)) {
-            settledS = Math.max(0, rightSince - last);
+        if (!Double.isNaN(convergedSinceS)) {
+            settledS = Math.max(0, convergedSinceS - lastFaultS);
         }
         if (script.expect().settledS() > 0 && settledS > script.expect().settledS()) {
-            broken.add(
+            ruleViolations.add(
                     String.format(
                             Locale.ROOT,
                             "settled: views were equal and right %.1f s behind the last fault, not"
                                     + " within %.1f; watched until %.1f s",
                             settledS,
                             script.expect().settledS(),
-                            end));
+                            endS));
         }
         if (script.expect().changesEach() >= 0 && changesEach > script.expect().changesEach()) {
-            broken.add(
+            ruleViolations.add(
                     "changes: one member was judged silent "
                             + changesEach
                             + " times, over "
@@ -245,41 +245,41 @@
         }
     }
 
-    /** Whether all views are equal and right. */
-    private static boolean right(
-            Map<Integer, String> up,
+    /** Whether the views of all running members are equal and show exactly these members. */
+    private static boolean hasConverged(
+            Map<Integer, String> running,
             Set<Integer> leaving,
             Set<Integer> paused,
-            Map<Integer, Map<String, String>> seen,
+            Map<Integer, Map<String, String>> views,
             Map<Integer, String> digests) {
-        Set<String> there = new TreeSet<>();
+        Set<String> expected = new TreeSet<>();
         String digest = null;
-        up.forEach(
-                (slot, start) -> {
+        running.forEach(
+                (slot, incarnation) -> {
                     if (!leaving.contains(slot)) {
-                        there.add(start);
+                        expected.add(incarnation);
                     }
                 });
-        for (Map.Entry<Integer, String> each : up.entrySet()) {
-            int slot = each.getKey();
+        for (Map.Entry<Integer, String> process : running.entrySet()) {
+            int slot = process.getKey();
             if (leaving.contains(slot)) {
                 continue;
             }
             if (paused.contains(slot)) {
                 return false;
             }
-            Map<String, String> view = seen.get(slot);
+            Map<String, String> view = views.get(slot);
             if (view == null) {
                 return false;
             }
-            Set<String> live = new TreeSet<>();
+            Set<String> members = new TreeSet<>();
             view.forEach(
-                    (start, state) -> {
+                    (incarnation, state) -> {
                         if (state.equals("HERE")) {
-                            live.add(start);
+                            members.add(incarnation);
                         }
                     });
-            if (!live.equals(there)) {
+            if (!members.equals(expected)) {
                 return false;
             }
             if (digest != null && !digest.equals(digests.get(slot))) {
@@ -290,34 +290,35 @@
         return true;
     }
 
-    // ---- copies
+    // ---- replicas
 
     /**
-     * At the end, with all faults healed and all ranges compared, the keepers of a range have the
-     * same of it, and all of it.
+     * Checks that at the end, after all faults and a comparison of all ranges, the replicas of each
+     * range are complete and equal.
      */
-    private void copies() {
-        Map<String, String> first = new HashMap<>();
+    private void checkReplicas() {
+        Map<String, String> firstDigests = new HashMap<>();
         for (History.Event event : events) {
             if (event.what() != History.What.COPIES) {
                 continue;
             }
             if (event.text().equals("none")) {
-                broken.add("copies: server " + event.slot() + " did not tell what it keeps");
+                ruleViolations.add(
+                        "copies: server " + event.slot() + " did not tell what it keeps");
                 continue;
             }
             try {
                 for (Map.Entry<String, JsonNode> range : JSON.readTree(event.text()).properties()) {
                     String digest = range.getValue().get(1).asText();
-                    String other = first.putIfAbsent(range.getKey(), digest);
+                    String other = firstDigests.putIfAbsent(range.getKey(), digest);
                     if (!range.getValue().get(2).asBoolean()) {
-                        broken.add(
+                        ruleViolations.add(
                                 "copies: range "
                                         + range.getKey()
                                         + " is not whole at server "
                                         + event.slot());
                     } else if (other != null && !other.equals(digest)) {
-                        broken.add(
+                        ruleViolations.add(
                                 "copies: server "
                                         + event.slot()
                                         + " has range "
@@ -326,93 +327,95 @@
                     }
                 }
             } catch (IOException e) {
-                broken.add("copies: what server " + event.slot() + " told is no JSON");
+                ruleViolations.add("copies: what server " + event.slot() + " told is no JSON");
             }
         }
     }
 
     // ---- answers and runs
 
-    private void answers() {
-        Map<String, History.Event> open = new HashMap<>();
-        Map<String, Integer> answers = new HashMap<>();
-        Map<String, Integer> runs = new HashMap<>();
-        Map<Integer, String> starts = new HashMap<>();
-        Set<String> ran = new HashSet<>();
+    private void checkAnswers() {
+        Map<String, History.Event> requests = new HashMap<>();
+        Map<String, Integer> answerCounts = new HashMap<>();
+        Map<String, Integer> runCounts = new HashMap<>();
+        Map<Integer, String> incarnations = new HashMap<>();
+        Set<String> bodiesRun = new HashSet<>();
         Map<String, String> results = new HashMap<>();
         for (History.Event event : events) {
             switch (event.what()) {
-                case STARTED -> starts.put(event.slot(), event.id());
+                case STARTED -> incarnations.put(event.slot(), event.id());
                 case ASKED -> {
-                    asked++;
-                    open.put(event.id(), event);
+                    sentCount++;
+                    requests.put(event.id(), event);
                 }
                 case RAN -> {
-                    ran.add(event.id());
-                    // At most once on a server within its window; a process that was killed has
-                    // forgotten, as long as no results are kept.
+                    bodiesRun.add(event.id());
+                    // At most once on a server within the token's window. Without replication a
+                    // killed process loses its results, so runs are counted by incarnation.
                     boolean keyed = script.copies() && event.id().startsWith("order ");
-                    int times =
-                            runs.merge(
+                    int runCount =
+                            runCounts.merge(
                                     keyed
                                             ? event.id()
-                                            : event.id() + " on " + starts.get(event.slot()),
+                                            : event.id() + " on " + incarnations.get(event.slot()),
                                     1,
                                     Integer::sum);
-                    if (times == 2) {
-                        broken.add(
+                    if (runCount == 2) {
+                        ruleViolations.add(
                                 "twice: token "
                                         + event.id()
                                         + " was run twice, now by server "
                                         + event.slot());
                     }
-                    ranTwice += times == 2 ? 1 : 0;
+                    runTwiceCount += runCount == 2 ? 1 : 0;
                 }
                 case ANSWERED -> {
-                    History.Event ask = open.get(event.id());
-                    if (ask == null) {
-                        broken.add("answers: " + event.id() + " was answered and never asked");
+                    History.Event request = requests.get(event.id());
+                    if (request == null) {
+                        ruleViolations.add(
+                                "answers: " + event.id() + " was answered and never asked");
                         continue;
                     }
-                    double took = event.atS() - ask.atS();
-                    if (answers.merge(event.id(), 1, Integer::sum) > 1) {
-                        broken.add("answers: " + event.id() + " was answered twice");
+                    double tookS = event.atS() - request.atS();
+                    if (answerCounts.merge(event.id(), 1, Integer::sum) > 1) {
+                        ruleViolations.add("answers: " + event.id() + " was answered twice");
                     }
                     if (event.text().equals("broken")) {
-                        lost++;
+                        lostCount++;
                     }
                     if (event.text().equals("throttled")) {
-                        throttled++;
+                        throttledCount++;
                     }
                     if (event.text().equals("none")) {
-                        broken.add("answers: " + event.id() + " had no answer");
-                    } else if (!event.text().equals("broken") && took > DUE_S) {
-                        broken.add("answers: " + event.id() + " was answered late");
+                        ruleViolations.add("answers: " + event.id() + " had no answer");
+                    } else if (!event.text().equals("broken") && tookS > ANSWER_TIMEOUT_S) {
+                        ruleViolations.add("answers: " + event.id() + " was answered late");
                     }
                     if (event.text().startsWith("succeeded")) {
-                        if (script.copies() && ask.text().startsWith("order ")) {
-                            String other = results.putIfAbsent(ask.text(), event.text());
+                        if (script.copies() && request.text().startsWith("order ")) {
+                            String other = results.putIfAbsent(request.text(), event.text());
                             if (other != null && !other.equals(event.text())) {
-                                broken.add(
+                                ruleViolations.add(
                                         "replays: "
-                                                + ask.text()
+                                                + request.text()
                                                 + " was answered with two results");
                             }
                         }
-                        if (took <= OBJECTIVE_S) {
-                            earned++;
+                        if (tookS <= ANSWER_OBJECTIVE_S) {
+                            onTimeCount++;
                         }
-                        if (!ran.contains(ask.text())) {
-                            broken.add("explained: " + event.id() + " succeeded and was never run");
+                        if (!bodiesRun.contains(request.text())) {
+                            ruleViolations.add(
+                                    "explained: " + event.id() + " succeeded and was never run");
                         }
                     }
                 }
                 default -> {}
             }
         }
-        for (String id : open.keySet()) {
-            if (!answers.containsKey(id)) {
-                broken.add("answers: " + id + " had no answer");
+        for (String id : requests.keySet()) {
+            if (!answerCounts.containsKey(id)) {
+                ruleViolations.add("answers: " + id + " had no answer");
             }
         }
     }
--- a/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
+++ b/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
@@ -29,111 +29,109 @@
 import ochretiller.fleet.transport.AdminClient;
 
 /**
- * Plays a script on processes: starts them, puts the faults on, watches, and ends with all faults
- * healed.
+ * Runs a fleet scenario on real server processes: starts them, injects the scheduled faults, polls
+ * the membership views and waits for convergence after the last fault.
  */
 final class ScenarioRunner implements AutoCloseable {
-    /** A fault that comes later than this behind its time makes the run void. */
-    private static final double LATE_S = 1.5;
+    /** An action that runs more than this after its scheduled time makes the run void. */
+    private static final double MAX_ACTION_DELAY_S = 1.5;
 
-    /** Views that stay equal and right for so long have settled. */
-    private static final double STAYS_S = 2.5;
+    /** The views have converged once they have been equal and correct for this long. */
+    private static final double STABLE_S = 2.5;
 
-    /** Burners for each step of a crowd's strength, and that step in milliseconds of lateness. */
-    private static final double CROWD_STEP = 50;
+    /** A crowd fault starts one busy loop per core for each such step of its strength. */
+    private static final double CROWD_STEP_MS = 50;
 
-    private static final int WATCH_MS = 100;
+    private static final int POLL_MS = 100;
 
-    /** They come in one by one, each within this. */
-    private static final int KEEPERS_S = 10;
+    /** Members join one by one; each is given this long. */
+    private static final int JOIN_S_PER_MEMBER = 10;
 
-    /** Ranges are whole so soon behind an epoch. */
-    private static final double SETTLED_S = 1.5;
+    /** Time after an epoch change within which all ranges are complete. */
+    private static final double EPOCH_SETTLE_S = 1.5;
 
-    /**
-     * Copies are the same so soon behind a comparison of all of them; and how often that is looked
-     * at.
-     */
-    private static final double COPIES_S = 25;
+    /** Time within which replicas become equal after all of them have been compared. */
+    private static final double COMPARE_TIMEOUT_S = 25;
 
-    private static final int COMPARE_MS = 250;
+    private static final int COMPARE_POLL_MS = 250;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final FleetScenario script;
-    private final FaultSchedule plan;
+    private final FaultSchedule schedule;
     private final Path folder;
-    private final boolean viewOn;
-    private final boolean copiesOn;
-    private final boolean stores;
+    private final boolean fleetEnabled;
+    private final boolean replicationEnabled;
+    private final boolean storeEnabled;
     private final Consumer<String> progress;
-    private final Map<Integer, ServerProcess> boxes = new TreeMap<>();
-    private final Map<Integer, Integer> real = new HashMap<>();
-    private final Map<Integer, Integer> relayed = new HashMap<>();
-    private final List<MembershipPoller> watches = new ArrayList<>();
-    private final List<Process> burners = new ArrayList<>();
-    private final FaultProxy links;
-    private final SplittableRandom chance;
+    private final Map<Integer, ServerProcess> servers = new TreeMap<>();
+    private final Map<Integer, Integer> serverPorts = new HashMap<>();
+    private final Map<Integer, Integer> proxyPorts = new HashMap<>();
+    private final List<MembershipPoller> pollers = new ArrayList<>();
+    private final List<Process> busyLoops = new ArrayList<>();
+    private final FaultProxy proxy;
+    private final SplittableRandom random;
     private final long seed;
     private History history;
-    private volatile boolean over;
+    private volatile boolean closed;
 
-    /** Whether servers are told one another's own addresses, and nothing lies between them. */
-    private boolean direct;
+    /** Whether servers get one another's real addresses, without the fault proxy in between. */
+    private boolean bypassesProxy;
 
-    private boolean forLoad;
-    private String more;
+    private boolean benchmarkLimits;
+    private String extraOperatorSettings;
 
     /**
-     * A stage with nobody on it yet.
+     * Starts no process yet.
      *
-     * @param viewOn whether the servers take part in a fleet; without it the same is played for
-     *     what callers get
-     * @param copiesOn whether they keep copies, where the script has them
+     * @param fleetEnabled whether the servers form a fleet; if not, the same scenario measures what
+     *     clients get from independent servers
+     * @param replicationEnabled whether the servers replicate results, if the script has it
      */
     ScenarioRunner(
             FleetScenario script,
             long seed,
             Path folder,
-            boolean viewOn,
-            boolean copiesOn,
+            boolean fleetEnabled,
+            boolean replicationEnabled,
             Consumer<String> progress)
             throws IOException {
         this.script = script;
         this.seed = seed;
-        this.plan = FaultSchedule.of(script);
+        this.schedule = FaultSchedule.of(script);
         this.folder = folder;
-        this.viewOn = viewOn;
-        this.copiesOn = copiesOn && viewOn && script.copies();
-        this.stores = this.copiesOn && script.store();
+        this.fleetEnabled = fleetEnabled;
+        this.replicationEnabled = replicationEnabled && fleetEnabled && script.copies();
+        this.storeEnabled = this.replicationEnabled && script.store();
         this.progress = progress;
         RandomStreams seeds = new RandomStreams(seed);
-        this.chance = seeds.of("floods");
+        this.random = seeds.of("floods");
         this.history = new History(System.nanoTime());
-        this.links = new FaultProxy(new LinkFaults(plan, seeds.of("faults")), () -> history.now());
+        this.proxy =
+                new FaultProxy(new LinkFaults(schedule, seeds.of("faults")), () -> history.now());
     }
 
-    /** Plays it; the history of all that happened. */
+    /** Runs the whole script and returns the history of its events. */
     History play() throws IOException, InterruptedException {
-        // Script time begins when the members of the script are there; before it they start as they
-        // can.
+        // Script time begins once all initial members are ready, whatever their scheduled start
+        // times. Until then zero lies an hour ahead.
         history = new History(System.nanoTime() + 3_600_000_000_000L);
-        for (FaultSchedule.Slot slot : plan.slots()) {
-            box(slot, this::ran);
+        for (FaultSchedule.Slot slot : schedule.slots()) {
+            createServer(slot, this::recordRun);
         }
-        links.start();
-        for (FaultSchedule.Action action : plan.actions()) {
-            if (first(action)) {
+        proxy.start();
+        for (FaultSchedule.Action action : schedule.actions()) {
+            if (isInitialStart(action)) {
                 start(action);
             }
         }
-        for (FaultSchedule.Action action : plan.actions()) {
-            if (first(action) && !boxes.get(action.slot()).awaitPart()) {
-                throw new IOException("server " + action.slot() + " did not start");
+        for (FaultSchedule.Action action : schedule.actions()) {
+            if (isInitialStart(action) && !servers.get(action.slot()).awaitPart()) {
+                throw new IOException("server " + action.slot() + " was not ready in time");
             }
         }
-        History begun = new History(System.nanoTime() - (long) (script.startS() * 1e9));
+        History started = new History(System.nanoTime() - (long) (script.startS() * 1e9));
         for (History.Event event : history.all()) {
-            begun.put(
+            started.put(
                     new History.Event(
                             script.startS(),
                             event.what(),
@@ -142,34 +140,34 @@
                             event.text(),
                             null));
         }
-        become(begun);
+        switchHistory(started);
         progress.accept(script.members() + " servers are there");
-        if (copiesOn) {
-            awaitKeepers();
+        if (replicationEnabled) {
+            awaitEpochOfAllMembers();
         }
         LoadGenerator load =
                 new LoadGenerator(
                         history,
-                        List.copyOf(boxes.values()),
+                        List.copyOf(servers.values()),
                         script.load().perSecond(),
                         seed,
                         script.copies());
         load.start();
-        for (FaultSchedule.Fault fault : plan.faults()) {
-            put(fault);
+        for (FaultSchedule.Fault fault : schedule.faults()) {
+            scheduleFault(fault);
         }
-        for (FaultSchedule.Action action : plan.actions()) {
-            if (first(action)) {
+        for (FaultSchedule.Action action : schedule.actions()) {
+            if (isInitialStart(action)) {
                 continue;
             }
-            until(action.atS());
-            double late = history.now() - action.atS();
-            if (late > LATE_S) {
+            sleepUntil(action.atS());
+            double lateS = history.now() - action.atS();
+            if (lateS > MAX_ACTION_DELAY_S) {
                 history.add(
                         History.What.VOID,
                         action.slot(),
                         "",
-                        String.format(Locale.ROOT, "%s came %.1f s late", action.act(), late));
+                        String.format(Locale.ROOT, "%s came %.1f s late", action.act(), lateS));
             }
             progress.accept(
                     String.format(
@@ -178,123 +176,136 @@
                             history.now(),
                             action.act(),
                             action.slot()));
-            act(action);
-        }
-        until(plan.lastS());
-        for (FaultSchedule.Action action : plan.actions()) {
-            ServerProcess box = boxes.get(action.slot());
-            if (action.act() == FaultSchedule.Act.START && !first(action) && !box.awaitPart()) {
+            apply(action);
+        }
+        sleepUntil(schedule.lastS());
+        for (FaultSchedule.Action action : schedule.actions()) {
+            ServerProcess server = servers.get(action.slot());
+            if (action.act() == FaultSchedule.Act.START
+                    && !isInitialStart(action)
+                    && !server.awaitPart()) {
                 history.add(History.What.VOID, action.slot(), "", "it did not start");
             }
         }
-        double last = history.now();
-        progress.accept(String.format(Locale.ROOT, "%.1f s: all faults are over", last));
-        double bound =
+        double lastFaultS = history.now();
+        progress.accept(String.format(Locale.ROOT, "%.1f s: all faults are over", lastFaultS));
+        double deadlineS =
                 Math.max(
-                        script.seconds(), last + Math.max(script.expect().settledS(), 5) + STAYS_S);
-        settle(bound, last);
+                        script.seconds(),
+                        lastFaultS + Math.max(script.expect().settledS(), 5) + STABLE_S);
+        awaitConvergence(deadlineS, lastFaultS);
         load.end();
-        if (copiesOn) {
-            compare();
+        if (replicationEnabled) {
+            recordReplicaDigests();
         }
         history.add(History.What.OVER, 0, "", "");
         return history;
     }
 
     /**
-     * Servers speak to one another without links between: for measurements of what they do
-     * themselves.
+     * Lets the servers talk to one another without the fault proxy, for measurements of the servers
+     * alone.
      */
     ScenarioRunner direct() {
-        direct = true;
+        bypassesProxy = true;
         return this;
     }
 
-    /** Versions are brought out to the servers, which have this in their operators' files, too. */
-    ScenarioRunner versions(String members) {
-        more = members;
+    /**
+     * Enables configuration rollouts.
+     *
+     * @param operatorSettings JSON5 members that are added to each server's operator file
+     */
+    ScenarioRunner versions(String operatorSettings) {
+        extraOperatorSettings = operatorSettings;
         return this;
     }
 
     /**
-     * Servers have room for what they are measured with: else it would be the bounds on what is
-     * kept that are measured.
+     * Raises the servers' memory and entry limits for a benchmark, which would otherwise measure
+     * those limits.
      */
     ScenarioRunner forLoad() {
-        forLoad = true;
+        benchmarkLimits = true;
         return this;
     }
 
     /**
-     * Starts all servers of the script, and tells of each run that is begun; nothing else is
-     * played.
+     * Starts all servers of the script and waits until they are ready; runs no other action.
+     *
+     * @param onRun called with the slot and the request body for each run that a processor begins
      */
-    void raise(BiConsumer<Integer, String> ran) throws IOException, InterruptedException {
-        for (FaultSchedule.Slot slot : plan.slots()) {
-            box(slot, ran);
+    void raise(BiConsumer<Integer, String> onRun) throws IOException, InterruptedException {
+        for (FaultSchedule.Slot slot : schedule.slots()) {
+            createServer(slot, onRun);
         }
-        links.start();
-        for (FaultSchedule.Action action : plan.actions()) {
+        proxy.start();
+        for (FaultSchedule.Action action : schedule.actions()) {
             start(action);
         }
-        for (ServerProcess box : boxes.values()) {
-            if (!box.awaitPart()) {
-                throw new IOException("server " + box.slot.number() + " did not start");
+        for (ServerProcess server : servers.values()) {
+            if (!server.awaitPart()) {
+                throw new IOException(
+                        "server " + server.slot.number() + " was not ready in time");
             }
         }
-        if (copiesOn) {
-            awaitKeepers();
+        if (replicationEnabled) {
+            awaitEpochOfAllMembers();
         }
     }
 
-    /** From now on these are cut off from all others. */
-    void cut(Set<Integer> these) {
-        links.cut(these);
+    /** Cuts these servers off from all others until the next call; an empty set ends the cut. */
+    void cut(Set<Integer> slots) {
+        proxy.cut(slots);
     }
 
     ServerProcess box(int number) {
-        return boxes.get(number);
+        return servers.get(number);
     }
 
-    /** Starts a server again, with the disk that it has. */
+    /** Starts a stopped server again, on its current disk. */
     void again(int number) throws IOException, InterruptedException {
-        for (FaultSchedule.Action action : plan.actions()) {
+        for (FaultSchedule.Action action : schedule.actions()) {
             if (action.slot() == number && action.act() == FaultSchedule.Act.START) {
                 start(action);
             }
         }
     }
 
-    /** From here on all that is noted has its time from the script's beginning. */
-    private void become(History begun) {
-        history = begun;
-        Map<Integer, ServerProcess> there = new TreeMap<>(boxes);
-        there.forEach((number, box) -> box.become(begun));
-        for (ServerProcess box : boxes.values()) {
-            if (viewOn) {
-                watch(box);
+    /** Records all further events in {@code started}, whose time is script time. */
+    private void switchHistory(History started) {
+        history = started;
+        Map<Integer, ServerProcess> currentServers = new TreeMap<>(servers);
+        currentServers.forEach((number, server) -> server.become(started));
+        for (ServerProcess server : servers.values()) {
+            if (fleetEnabled) {
+                startPoller(server);
             }
         }
     }
 
     /**
-     * Keyed work is throttled until the fleet has agreed on who keeps it: the script begins once
-     * all its members do.
+     * Waits for an epoch of all members, since keyed requests are throttled until then, and starts
+     * script time anew.
      */
-    private void awaitKeepers() throws InterruptedException, IOException {
-        // All of them, in whatever epoch that comes to be.
-        String wanted = "of \\[" + "[^, ]+, ".repeat(script.members() - 1) + "[^, ]+\\]";
-        for (ServerProcess box : boxes.values()) {
-            if (box.slot.number() <= script.members()
-                    && !box.awaitLine(Pattern.compile(wanted), KEEPERS_S * script.members())) {
-                throw new IOException("no keepers were agreed on at server " + box.slot.number());
+    private void awaitEpochOfAllMembers() throws InterruptedException, IOException {
+        // The epoch's number does not matter.
+        String epochOfAll = "of \\[" + "[^, ]+, ".repeat(script.members() - 1) + "[^, ]+\\]";
+        for (ServerProcess server : servers.values()) {
+            if (server.slot.number() <= script.members()
+                    && !server.awaitLine(
+                            Pattern.compile(epochOfAll), JOIN_S_PER_MEMBER * script.members())) {
+                throw new IOException(
+                        "server "
+                                + server.slot.number()
+                                + " did not report an epoch of all members in time");
             }
         }
-        Thread.sleep((long) (SETTLED_S * 1000));
-        History begun = new History(System.nanoTime() - (long) (script.startS() * 1e9));
+        Thread.sleep((long) (EPOCH_SETTLE_S * 1000));
+        History started = new History(System.nanoTime() - (long) (script.startS() * 1e9));
         for (History.Event event : history.all()) {
             if (event.what() == History.What.STARTED) {
-                begun.put(
+                started.put(
                         new History.Event(
                                 script.startS(),
                                 event.what(),
@@ -304,22 +315,22 @@
                                 null));
             }
         }
-        for (MembershipPoller watch : watches) {
-            watch.become(begun);
+        for (MembershipPoller poller : pollers) {
+            poller.become(started);
         }
-        history = begun;
-        boxes.forEach((number, box) -> box.become(begun));
+        history = started;
+        servers.forEach((number, server) -> server.become(started));
     }
 
-    private boolean first(FaultSchedule.Action action) {
+    private boolean isInitialStart(FaultSchedule.Action action) {
         return action.act() == FaultSchedule.Act.START
                 && action.slot() <= script.members()
                 && action.atS() <= script.startS()
-                && !repeated(action);
+                && !isRestart(action);
     }
 
-    private boolean repeated(FaultSchedule.Action action) {
-        for (FaultSchedule.Action each : plan.actions()) {
+    private boolean isRestart(FaultSchedule.Action action) {
+        for (FaultSchedule.Action each : schedule.actions()) {
             if (each == action) {
                 return false;
             }
@@ -330,180 +341,181 @@
         return false;
     }
 
-    private void box(FaultSchedule.Slot slot, BiConsumer<Integer, String> ran) throws IOException {
-        ServerProcess box =
+    private void createServer(FaultSchedule.Slot slot, BiConsumer<Integer, String> onRun)
+            throws IOException {
+        ServerProcess server =
                 new ServerProcess(
                         slot,
                         folder,
                         history,
-                        (rid, operation, body) -> ran.accept(slot.number(), body));
-        box.forLoad = forLoad;
-        box.versions = more != null;
-        box.more = more == null ? "" : more;
-        boxes.put(slot.number(), box);
+                        (rid, operation, body) -> onRun.accept(slot.number(), body));
+        server.forLoad = benchmarkLimits;
+        server.versions = extraOperatorSettings != null;
+        server.more = extraOperatorSettings == null ? "" : extraOperatorSettings;
+        servers.put(slot.number(), server);
     }
 
-    private void ran(int slot, String body) {
+    private void recordRun(int slot, String body) {
         history.add(History.What.RAN, slot, body, "");
     }
 
-    private int real(int address) throws IOException {
-        Integer port = real.get(address);
+    private int serverPort(int address) throws IOException {
+        Integer port = serverPorts.get(address);
         if (port != null) {
             return port;
         }
-        int fresh = ServerProcess.freePort();
-        real.put(address, fresh);
-        relayed.put(address, links.open(address, fresh));
-        return fresh;
+        int newPort = ServerProcess.freePort();
+        serverPorts.put(address, newPort);
+        proxyPorts.put(address, proxy.open(address, newPort));
+        return newPort;
     }
 
-    /** Where others are told that an address is. */
-    private int told(int address) {
-        return direct ? real.get(address) : relayed.get(address);
+    /** Returns the port at which other servers reach an address. */
+    private int advertisedPort(int address) {
+        return bypassesProxy ? serverPorts.get(address) : proxyPorts.get(address);
     }
 
-    private final Map<Integer, Integer> addressOf = new HashMap<>();
+    private final Map<Integer, Integer> addressBySlot = new HashMap<>();
 
     private void start(FaultSchedule.Action action) throws IOException, InterruptedException {
-        ServerProcess box = boxes.get(action.slot());
-        box.awaitEnd();
-        int listen = real(action.address());
-        links.at(action.address(), action.slot());
-        addressOf.put(action.slot(), action.address());
+        ServerProcess server = servers.get(action.slot());
+        server.awaitEnd();
+        int listenPort = serverPort(action.address());
+        proxy.at(action.address(), action.slot());
+        addressBySlot.put(action.slot(), action.address());
         List<Integer> seeds = new ArrayList<>();
         for (int i = 1; i <= script.seeds(); i++) {
-            real(i);
-            seeds.add(told(i));
+            serverPort(i);
+            seeds.add(advertisedPort(i));
         }
-        box.start(
-                listen,
-                told(action.address()),
+        server.start(
+                listenPort,
+                advertisedPort(action.address()),
                 seeds,
                 script.probeMs(),
-                viewOn,
-                clock(action),
-                copiesOn ? Math.min(3, script.members()) : 0,
-                stores);
+                fleetEnabled,
+                clockSetbackS(action),
+                replicationEnabled ? Math.min(3, script.members()) : 0,
+                storeEnabled);
     }
 
-    private double clock(FaultSchedule.Action action) {
-        double back = 0;
-        for (FaultSchedule.Fault fault : plan.faults()) {
-            boolean on = action.atS() >= fault.atS() && action.atS() <= fault.untilS();
+    private double clockSetbackS(FaultSchedule.Action action) {
+        double setbackS = 0;
+        for (FaultSchedule.Fault fault : schedule.faults()) {
+            boolean active = action.atS() >= fault.atS() && action.atS() <= fault.untilS();
             if (fault.what() == FaultSchedule.Link.CLOCK
-                    && on
+                    && active
                     && fault.to().contains(action.slot())) {
-                back += fault.strength();
+                setbackS += fault.strength();
             }
         }
-        return back;
+        return setbackS;
     }
 
-    private void watch(ServerProcess box) {
-        Integer address = addressOf.get(box.slot.number());
+    private void startPoller(ServerProcess server) {
+        Integer address = addressBySlot.get(server.slot.number());
         if (address == null) {
             return;
         }
-        watches.add(new MembershipPoller(box, real.get(address), history, WATCH_MS));
+        pollers.add(new MembershipPoller(server, serverPorts.get(address), history, POLL_MS));
     }
 
-    private void act(FaultSchedule.Action action) throws IOException, InterruptedException {
-        ServerProcess box = boxes.get(action.slot());
+    private void apply(FaultSchedule.Action action) throws IOException, InterruptedException {
+        ServerProcess server = servers.get(action.slot());
         switch (action.act()) {
             case START -> {
-                Integer before = addressOf.get(action.slot());
-                box.awaitEnd();
-                if (stores) {
-                    box.disk(action.disk());
+                Integer previousAddress = addressBySlot.get(action.slot());
+                server.awaitEnd();
+                if (storeEnabled) {
+                    server.disk(action.disk());
                 }
                 start(action);
-                if (viewOn && (before == null || before != action.address())) {
-                    watch(box);
+                if (fleetEnabled
+                        && (previousAddress == null || previousAddress != action.address())) {
+                    startPoller(server);
                 }
             }
             case IMAGE -> {
-                if (stores) {
-                    box.takeImage();
+                if (storeEnabled) {
+                    server.takeImage();
                 }
             }
-            case KILL -> box.kill();
-            case PAUSE -> box.pause();
-            case RESUME -> box.resume();
-            case LEAVE -> box.leave();
+            case KILL -> server.kill();
+            case PAUSE -> server.pause();
+            case RESUME -> server.resume();
+            case LEAVE -> server.leave();
             default -> throw new IllegalStateException();
         }
     }
 
-    /**
-     * All copies are compared at all servers' doors, until they are the same or the bound has come;
-     * how they are is noted.
-     */
-    private void compare() throws InterruptedException {
+    /** Records the replica digests of each server, equal or not, for the checker. */
+    private void recordReplicaDigests() throws InterruptedException {
         compared()
                 .forEach(
                         (slot, digests) ->
                                 history.add(
                                         History.What.COPIES,
                                         slot,
-                                        boxes.get(slot).start,
+                                        servers.get(slot).start,
                                         digests == null
                                                 ? "none"
                                                 : digests.get("ranges").toString()));
     }
 
     /**
-     * What each server keeps, by range, once all have compared all of it; whether or not it has
-     * become the same.
+     * Lets all servers compare their replicas and returns each server's digests by slot, once they
+     * are equal or the timeout has passed. The value of a server that did not answer is null.
      */
     Map<Integer, JsonNode> compared() throws InterruptedException {
-        double bound = history.now() + COPIES_S;
-        Map<Integer, JsonNode> told = new TreeMap<>();
-        for (ServerProcess box : boxes.values()) {
-            if (box.up) {
-                door(box, "copies-repair");
+        double deadlineS = history.now() + COMPARE_TIMEOUT_S;
+        Map<Integer, JsonNode> digests = new TreeMap<>();
+        for (ServerProcess server : servers.values()) {
+            if (server.up) {
+                door(server, "copies-repair");
             }
         }
-        while (history.now() < bound) {
-            told.clear();
-            for (ServerProcess box : boxes.values()) {
-                if (box.up) {
-                    told.put(box.slot.number(), door(box, "copies-digests"));
+        while (history.now() < deadlineS) {
+            digests.clear();
+            for (ServerProcess server : servers.values()) {
+                if (server.up) {
+                    digests.put(server.slot.number(), door(server, "copies-digests"));
                 }
             }
-            if (!told.containsValue(null) && same(told.values())) {
+            if (!digests.containsValue(null) && digestsMatch(digests.values())) {
                 break;
             }
-            Thread.sleep(COMPARE_MS);
+            Thread.sleep(COMPARE_POLL_MS);
         }
-        return told;
+        return digests;
     }
 
-    /** What a server tells operators; null where it does not. */
-    JsonNode door(ServerProcess box, String word) {
-        return door(box, word, "");
+    /** Returns the answer to an operator command, or null if the server cannot be reached. */
+    JsonNode door(ServerProcess server, String command) {
+        return door(server, command, "");
     }
 
-    JsonNode door(ServerProcess box, String word, String with) {
-        Integer address = addressOf.get(box.slot.number());
+    JsonNode door(ServerProcess server, String command, String arguments) {
+        Integer address = addressBySlot.get(server.slot.number());
         try (AdminClient client =
                 new AdminClient(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), real.get(address)),
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), serverPorts.get(address)),
                         "drill",
                         MembershipPoller.KEYS)) {
-            return JSON.readTree(client.request(word, with));
+            return JSON.readTree(client.request(command, arguments));
         } catch (IOException e) {
-            progress.accept("server " + box.slot.number() + " cannot be asked: " + e.getMessage());
+            progress.accept(
+                    "server " + server.slot.number() + " cannot be asked: " + e.getMessage());
             return null;
         }
     }
 
-    private static boolean same(Collection<JsonNode> told) {
+    private static boolean digestsMatch(Collection<JsonNode> responses) {
         Map<String, JsonNode> first = new HashMap<>();
-        for (JsonNode each : told) {
-            for (Map.Entry<String, JsonNode> range : each.get("ranges").properties()) {
-                JsonNode before = first.putIfAbsent(range.getKey(), range.getValue());
-                if (before != null && !before.equals(range.getValue())
+        for (JsonNode response : responses) {
+            for (Map.Entry<String, JsonNode> range : response.get("ranges").properties()) {
+                JsonNode other = first.putIfAbsent(range.getKey(), range.getValue());
+                if (other != null && !other.equals(range.getValue())
                         || !range.getValue().get(2).asBoolean()) {
                     return false;
                 }
@@ -512,36 +524,37 @@
         return true;
     }
 
-    /** Faults that are not the links' own: crowds on the cores, floods at a port. */
-    private void put(FaultSchedule.Fault fault) {
+    /** Starts threads for faults outside the network links: CPU load, disk faults and floods. */
+    private void scheduleFault(FaultSchedule.Fault fault) {
         if (fault.what() == FaultSchedule.Link.CROWD) {
             DaemonThreads.start(
                     () -> {
-                        until(fault.atS());
+                        sleepUntil(fault.atS());
                         int count =
-                                (int) Math.ceil(fault.strength() / CROWD_STEP)
+                                (int) Math.ceil(fault.strength() / CROWD_STEP_MS)
                                         * Runtime.getRuntime().availableProcessors();
-                        List<Process> mine = new ArrayList<>();
+                        List<Process> started = new ArrayList<>();
                         for (int i = 0; i < count; i++) {
-                            mine.add(new ProcessBuilder("sh", "-c", "while :; do :; done").start());
+                            started.add(
+                                    new ProcessBuilder("sh", "-c", "while :; do :; done").start());
                         }
-                        synchronized (burners) {
-                            burners.addAll(mine);
+                        synchronized (busyLoops) {
+                            busyLoops.addAll(started);
                         }
-                        until(fault.untilS());
-                        mine.forEach(Process::destroyForcibly);
+                        sleepUntil(fault.untilS());
+                        started.forEach(Process::destroyForcibly);
                     });
         } else if (fault.what() == FaultSchedule.Link.FULL
                 || fault.what() == FaultSchedule.Link.STALL) {
             DaemonThreads.start(
                     () -> {
-                        until(fault.atS());
+                        sleepUntil(fault.atS());
                         for (int slot : fault.to()) {
-                            boxes.get(slot).diskIs(fault.what().name().toLowerCase(Locale.ROOT));
+                            servers.get(slot).diskIs(fault.what().name().toLowerCase(Locale.ROOT));
                         }
-                        until(fault.untilS());
+                        sleepUntil(fault.untilS());
                         for (int slot : fault.to()) {
-                            boxes.get(slot).diskIs(null);
+                            servers.get(slot).diskIs(null);
                         }
                     });
         } else if (fault.what() == FaultSchedule.Link.FLOOD) {
@@ -551,118 +564,126 @@
         }
     }
 
-    /** Garbage, packets with a byte spoilt, and packets that went by before, as fast as told. */
+    /**
+     * Sends random bytes, corrupted packets and replayed packets at the fault's rate, in packets a
+     * second.
+     */
     private void flood(FaultSchedule.Fault fault, int slot)
             throws IOException, InterruptedException {
-        until(fault.atS());
-        SplittableRandom mine;
-        synchronized (chance) {
-            mine = chance.split();
+        sleepUntil(fault.atS());
+        SplittableRandom floodRandom;
+        synchronized (random) {
+            floodRandom = random.split();
         }
         try (DatagramSocket socket = new DatagramSocket()) {
-            int port = real.get(addressOf.get(slot));
-            long sent = 0;
-            long began = System.nanoTime();
-            while (!over && history.now() < fault.untilS()) {
-                List<byte[]> heard = links.heard();
+            int port = serverPorts.get(addressBySlot.get(slot));
+            long sentPackets = 0;
+            long startNanos = System.nanoTime();
+            while (!closed && history.now() < fault.untilS()) {
+                List<byte[]> recentPackets = proxy.heard();
                 for (int i = 0; i < 20; i++) {
-                    byte[] bytes = new byte[1 + mine.nextInt(1400)];
-                    mine.nextBytes(bytes);
-                    if (!heard.isEmpty() && i % 3 != 0) {
-                        bytes = heard.get(mine.nextInt(heard.size())).clone();
+                    byte[] bytes = new byte[1 + floodRandom.nextInt(1400)];
+                    floodRandom.nextBytes(bytes);
+                    if (!recentPackets.isEmpty() && i % 3 != 0) {
+                        bytes =
+                                recentPackets
+                                        .get(floodRandom.nextInt(recentPackets.size()))
+                                        .clone();
                         if (i % 3 == 1) {
-                            bytes[mine.nextInt(bytes.length)] ^= 0x11;
+                            bytes[floodRandom.nextInt(bytes.length)] ^= 0x11;
                         }
                     }
                     socket.send(
                             new DatagramPacket(
                                     bytes, bytes.length, InetAddress.getLoopbackAddress(), port));
-                    sent++;
+                    sentPackets++;
                 }
-                long ahead =
-                        (long) (sent / Math.max(1, fault.strength()) * 1e9)
-                                - (System.nanoTime() - began);
-                if (ahead > 0) {
-                    Thread.sleep(ahead / 1_000_000, (int) (ahead % 1_000_000));
+                long aheadNanos =
+                        (long) (sentPackets / Math.max(1, fault.strength()) * 1e9)
+                                - (System.nanoTime() - startNanos);
+                if (aheadNanos > 0) {
+                    Thread.sleep(aheadNanos / 1_000_000, (int) (aheadNanos % 1_000_000));
                 }
             }
         }
     }
 
-    private void until(double at) throws InterruptedException {
-        for (double left = at - history.now(); left > 0; left = at - history.now()) {
-            Thread.sleep((long) Math.ceil(Math.min(left, 1) * 1000));
+    private void sleepUntil(double atS) throws InterruptedException {
+        for (double leftS = atS - history.now(); leftS > 0; leftS = atS - history.now()) {
+            Thread.sleep((long) Math.ceil(Math.min(leftS, 1) * 1000));
         }
     }
 
-    /** Until all views have been equal and right for some time, or the bound has come. */
-    private void settle(double bound, double last) throws InterruptedException {
-        double since = Double.NaN;
-        while (history.now() < bound) {
-            boolean right = !viewOn || right();
-            if (!right) {
-                since = Double.NaN;
-            } else if (Double.isNaN(since)) {
-                since = history.now();
+    /** Returns once all views have been equal and correct for a while, or at the deadline. */
+    private void awaitConvergence(double deadlineS, double lastFaultS) throws InterruptedException {
+        double convergedSinceS = Double.NaN;
+        while (history.now() < deadlineS) {
+            boolean converged = !fleetEnabled || hasConverged();
+            if (!converged) {
+                convergedSinceS = Double.NaN;
+            } else if (Double.isNaN(convergedSinceS)) {
+                convergedSinceS = history.now();
             }
-            if (right && history.now() - since > STAYS_S && history.now() >= script.seconds()) {
+            if (converged
+                    && history.now() - convergedSinceS > STABLE_S
+                    && history.now() >= script.seconds()) {
                 return;
             }
-            if (right
-                    && history.now() - since > STAYS_S
+            if (converged
+                    && history.now() - convergedSinceS > STABLE_S
                     && script.expect().settledS() > 0
-                    && history.now() > last + STAYS_S) {
+                    && history.now() > lastFaultS + STABLE_S) {
                 return;
             }
-            Thread.sleep(WATCH_MS);
+            Thread.sleep(POLL_MS);
         }
     }
 
-    private boolean right() {
-        Set<String> there = new TreeSet<>();
-        for (ServerProcess box : boxes.values()) {
-            if (box.up && !box.leaves) {
-                there.add(box.start);
+    private boolean hasConverged() {
+        Set<String> expected = new TreeSet<>();
+        for (ServerProcess server : servers.values()) {
+            if (server.up && !server.leaves) {
+                expected.add(server.start);
             }
         }
         String digest = null;
-        Set<String> looked = new TreeSet<>();
-        for (MembershipPoller watch : watches) {
-            if (watch.start == null || !there.contains(watch.start)) {
+        Set<String> polled = new TreeSet<>();
+        for (MembershipPoller poller : pollers) {
+            if (poller.start == null || !expected.contains(poller.start)) {
                 continue;
             }
-            looked.add(watch.start);
-            Set<String> live = new TreeSet<>();
-            watch.states.forEach(
+            polled.add(poller.start);
+            Set<String> members = new TreeSet<>();
+            poller.states.forEach(
                     (start, state) -> {
                         if (state.equals("HERE")) {
-                            live.add(start);
+                            members.add(start);
                         }
                     });
-            if (!live.equals(there) || digest != null && !digest.equals(watch.digest)) {
+            if (!members.equals(expected) || digest != null && !digest.equals(poller.digest)) {
                 return false;
             }
-            digest = watch.digest;
+            digest = poller.digest;
         }
-        return looked.equals(there);
+        return polled.equals(expected);
     }
 
     long passed() {
-        return links.passed.get();
+        return proxy.passed.get();
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
-        for (MembershipPoller watch : watches) {
-            watch.end();
+        closed = true;
+        for (MembershipPoller poller : pollers) {
+            poller.end();
         }
-        synchronized (burners) {
-            burners.forEach(Process::destroyForcibly);
+        synchronized (busyLoops) {
+            busyLoops.forEach(Process::destroyForcibly);
         }
-        for (ServerProcess box : boxes.values()) {
-            box.close();
+        for (ServerProcess server : servers.values()) {
+            server.close();
         }
-        links.close();
+        proxy.close();
     }
 }
