--- a/drill/src/main/java/ochretiller/drill/DiskFaults.java
+++ b/drill/src/main/java/ochretiller/drill/DiskFaults.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Folders that are copied, emptied and cut off behind a server's back. */
+/** Copies, deletes and truncates the store folders of servers. */
 final class DiskFaults {
-    /** Bytes that are lost at the end of a disk that is cut: some records. */
-    private static final long CUT = 700;
+    /** Bytes removed from the end of a store: a few records. */
+    private static final long CUT_BYTES = 700;
 
-    /** A folder that changes while it is copied is copied again, so often. */
-    private static final int TRIES = 5;
+    /** Retries of a copy that failed because a file was deleted meanwhile. */
+    private static final int MAX_COPY_RETRIES = 5;
 
     private DiskFaults() {}
 
@@ -25,56 +25,56 @@
         if (!Files.exists(folder)) {
             return;
         }
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.deleteIfExists(each);
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+                Files.deleteIfExists(path);
             }
         }
     }
 
     static void copy(Path from, Path to) throws IOException {
-        for (int tries = 0; ; tries++) {
+        for (int retries = 0; ; retries++) {
             try {
                 Files.createDirectories(to);
-                // Later files are written later: the oldest first, so that the copy is how the disk
-                // was at some moment before its end.
-                for (Path each : files(from)) {
-                    if (!each.getFileName().toString().equals("LOCK")) {
-                        Files.copy(each, to.resolve(each.getFileName()));
+                // Copies the oldest file first, as only newer files are still written to: the
+                // result is a state that the disk had before the copy ended.
+                for (Path file : files(from)) {
+                    if (!file.getFileName().toString().equals("LOCK")) {
+                        Files.copy(file, to.resolve(file.getFileName()));
                     }
                 }
                 return;
             } catch (NoSuchFileException | UncheckedIOException e) {
-                if (tries == TRIES) {
-                    throw e; // a file was dropped meanwhile
+                if (retries == MAX_COPY_RETRIES) {
+                    throw e; // files were deleted during each attempt
                 }
                 delete(to);
             }
         }
     }
 
-    /** Takes the last bytes of the newest file that has any records. */
+    /** Truncates the newest log file that is large enough and deletes shorter, newer ones. */
     static void cut(Path folder) throws IOException {
         List<Path> logs =
-                files(folder).stream().filter(each -> each.toString().endsWith(".log")).toList();
+                files(folder).stream().filter(file -> file.toString().endsWith(".log")).toList();
         for (int i = logs.size() - 1; i >= 0; i--) {
             long size = Files.size(logs.get(i));
-            // What a hint tells of a file that is cut is no use: the start reads the file itself.
+            // The hint does not match a truncated file; without it the server reads the log.
             Files.deleteIfExists(Path.of(logs.get(i).toString().replace(".log", ".hint")));
-            if (size < 2 * CUT) {
+            if (size < 2 * CUT_BYTES) {
                 Files.delete(logs.get(i));
                 continue;
             }
             try (FileChannel file = FileChannel.open(logs.get(i), StandardOpenOption.WRITE)) {
-                file.truncate(size - CUT);
+                file.truncate(size - CUT_BYTES);
             }
             return;
         }
     }
 
     private static List<Path> files(Path folder) throws IOException {
-        try (Stream<Path> all = Files.list(folder)) {
-            return all.sorted().toList();
+        try (Stream<Path> entries = Files.list(folder)) {
+            return entries.sorted().toList();
         }
     }
 }
--- a/drill/src/main/java/ochretiller/drill/Drill.java
+++ b/drill/src/main/java/ochretiller/drill/Drill.java
@@ -18,8 +18,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The drills' command line. Exit codes: 0 good, 1 a rule was broken, 2 wrong words or script, 4 the
- * run counts for nothing.
+ * The command line of the drills. Exit codes: 0 if all rules hold, 1 if a rule was broken, 2 for
+ * invalid arguments or an invalid script, 4 for a void run, whose script could not be carried out.
  */
 @Command(
         name = "drill",
@@ -28,9 +28,9 @@
                 "Start several packaged servers, put faults on them and between them, check what"
                         + " came of it.")
 public final class Drill implements Runnable {
-    private static final int BROKEN = 1;
-    private static final int WRONG = 2;
-    private static final int VOID = 4;
+    private static final int EXIT_RULE_BROKEN = 1;
+    private static final int EXIT_INVALID_INPUT = 2;
+    private static final int EXIT_VOID = 4;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -57,55 +57,55 @@
             @Option(
                             names = "--no-view",
                             description = "The same without a fleet: what callers get then.")
-                    boolean without,
+                    boolean noView,
             @Option(
                             names = "--no-copies",
                             description =
                                     "Each server for itself, with the same repeats anywhere: double"
                                             + " runs are counted.")
-                    boolean alone,
+                    boolean noCopies,
             @Option(
                             names = {"-q", "--quiet"},
                             description = "No progress on standard error.")
                     boolean quiet)
             throws Exception {
-        FleetScenario read = FleetScenarioReader.read(file);
-        FleetScenario script = members == null ? read : read.sized(members);
+        FleetScenario scenario = FleetScenarioReader.read(file);
+        FleetScenario script = members == null ? scenario : scenario.sized(members);
         Path folder = out != null ? out : Files.createTempDirectory("drill");
-        HistoryChecker checker = play(script, seed, folder, !without, !alone, quiet);
-        return tell(script, seed, checker, without);
+        HistoryChecker checker = play(script, seed, folder, !noView, !noCopies, quiet);
+        return report(script, seed, checker, noView);
     }
 
     static HistoryChecker play(
             FleetScenario script,
             long seed,
             Path folder,
-            boolean viewOn,
-            boolean copiesOn,
+            boolean fleetEnabled,
+            boolean replicationEnabled,
             boolean quiet)
             throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                 new ScenarioRunner(
                         script,
                         seed,
                         folder,
-                        viewOn,
-                        copiesOn,
+                        fleetEnabled,
+                        replicationEnabled,
                         line -> {
                             if (!quiet) {
                                 System.err.println(line);
                             }
                         })) {
-            History history = stage.play();
+            History history = runner.play();
             history.write(folder.resolve("history.jsonl"));
             MembershipChart.write(folder.resolve("views.svg"), script.name(), history.all());
             return new HistoryChecker(script, history.all());
         }
     }
 
-    private static int tell(
-            FleetScenario script, long seed, HistoryChecker checker, boolean without) {
+    private static int report(
+            FleetScenario script, long seed, HistoryChecker checker, boolean noView) {
         System.out.printf(
                 Locale.ROOT,
                 "%s, seed %d%s: settled %.1f s, false verdicts %d, changes of one at most %d, known"
@@ -113,7 +113,7 @@
                     + " throttled %d, run twice %d%n",
                 script.name(),
                 seed,
-                without ? ", without a view" : "",
+                noView ? ", without a view" : "",
                 checker.settledS(),
                 checker.falseVerdicts(),
                 checker.changesEach(),
@@ -127,14 +127,14 @@
         if (checker.voided()) {
             System.out.println(
                     "void: the script could not be carried out; this run counts for nothing");
-            return VOID;
+            return EXIT_VOID;
         }
-        List<String> broken = checker.broken();
-        broken.stream().limit(20).forEach(line -> System.out.println("broken: " + line));
-        if (!broken.isEmpty()) {
+        List<String> violations = checker.broken();
+        violations.stream().limit(20).forEach(line -> System.out.println("broken: " + line));
+        if (!violations.isEmpty()) {
             System.out.println("play it again with --seed " + seed);
         }
-        return broken.isEmpty() ? 0 : BROKEN;
+        return violations.isEmpty() ? 0 : EXIT_RULE_BROKEN;
     }
 
     @Command(
@@ -149,16 +149,17 @@
                             names = "--no-copies",
                             description =
                                     "Each server for itself: the steps have to be seen to break.")
-                    boolean alone)
+                    boolean noCopies)
             throws Exception {
         Path folder = out != null ? out : Files.createTempDirectory("steps");
-        try (FailoverScenario steps = new FailoverScenario(folder, !alone, System.err::println)) {
-            List<String> broken = steps.play();
-            broken.forEach(line -> System.out.println("broken: " + line));
-            if (broken.isEmpty()) {
+        try (FailoverScenario scenario =
+                new FailoverScenario(folder, !noCopies, System.err::println)) {
+            List<String> violations = scenario.play();
+            violations.forEach(line -> System.out.println("broken: " + line));
+            if (violations.isEmpty()) {
                 System.out.println("each step came out as it has to");
             }
-            return broken.isEmpty() ? 0 : BROKEN;
+            return violations.isEmpty() ? 0 : EXIT_RULE_BROKEN;
         }
     }
 
@@ -171,13 +172,13 @@
     int versions(@Option(names = "--out", description = "A folder for stores and logs.") Path out)
             throws Exception {
         Path folder = out != null ? out : Files.createTempDirectory("versions");
-        try (RolloutScenario steps = new RolloutScenario(folder, System.err::println)) {
-            List<String> broken = steps.play();
-            broken.forEach(line -> System.out.println("broken: " + line));
-            if (broken.isEmpty()) {
+        try (RolloutScenario scenario = new RolloutScenario(folder, System.err::println)) {
+            List<String> violations = scenario.play();
+            violations.forEach(line -> System.out.println("broken: " + line));
+            if (violations.isEmpty()) {
                 System.out.println("each step came out as it has to");
             }
-            return broken.isEmpty() ? 0 : BROKEN;
+            return violations.isEmpty() ? 0 : EXIT_RULE_BROKEN;
         }
     }
 
@@ -251,10 +252,10 @@
                     boolean copies)
             throws Exception {
         if (copies) {
-            try (FailoverScenario steps =
+            try (FailoverScenario scenario =
                     new FailoverScenario(
                             Files.createTempDirectory("example"), true, System.err::println)) {
-                return steps.example(System.out::println) ? 0 : BROKEN;
+                return scenario.example(System.out::println) ? 0 : EXIT_RULE_BROKEN;
             }
         }
         FleetScenario script =
@@ -266,7 +267,7 @@
                         "example");
         Path folder = Files.createTempDirectory("drill");
         HistoryChecker checker = play(script, 1, folder, true, true, false);
-        Map<Integer, String> last = new TreeMap<>();
+        Map<Integer, String> lastViews = new TreeMap<>();
         Map<String, String> names = new HashMap<>();
         for (History.Event event : History.read(folder.resolve("history.jsonl"))) {
             if (event.what() == History.What.STARTED) {
@@ -279,16 +280,18 @@
             if (event.what() != History.What.VIEW) {
                 continue;
             }
-            Map<String, String> seen = new TreeMap<>();
+            Map<String, String> view = new TreeMap<>();
             event.view()
-                    .forEach((start, state) -> seen.put(names.getOrDefault(start, start), state));
-            if (!seen.toString().equals(last.put(event.slot(), seen.toString()))) {
+                    .forEach(
+                            (incarnation, state) ->
+                                    view.put(names.getOrDefault(incarnation, incarnation), state));
+            if (!view.toString().equals(lastViews.put(event.slot(), view.toString()))) {
                 System.out.printf(
-                        Locale.ROOT, "%5.1f s  m%d sees %s%n", event.atS(), event.slot(), seen);
+                        Locale.ROOT, "%5.1f s  m%d sees %s%n", event.atS(), event.slot(), view);
             }
         }
         System.out.println("a picture of who sees whom: " + folder.resolve("views.svg"));
-        return tell(script, 1, checker, false);
+        return report(script, 1, checker, false);
     }
 
     @Command(
@@ -300,26 +303,27 @@
             @Parameters(description = "The history.") Path history,
             @Option(names = "--members") Integer members)
             throws IOException {
-        FleetScenario read = FleetScenarioReader.read(script);
-        return tell(
-                members == null ? read : read.sized(members),
+        FleetScenario scenario = FleetScenarioReader.read(script);
+        return report(
+                members == null ? scenario : scenario.sized(members),
                 0,
                 new HistoryChecker(
-                        members == null ? read : read.sized(members), History.read(history)),
+                        members == null ? scenario : scenario.sized(members),
+                        History.read(history)),
                 false);
     }
 
-    public static void main(String[] words) {
-        CommandLine line = new CommandLine(new Drill());
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionExceptionHandler(
-                (fault, command, parsed) -> {
-                    if (!(fault instanceof MalformedException)) {
-                        throw fault;
+    public static void main(String[] arguments) {
+        CommandLine commandLine = new CommandLine(new Drill());
+        commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+        commandLine.setExecutionExceptionHandler(
+                (exception, command, parsed) -> {
+                    if (!(exception instanceof MalformedException)) {
+                        throw exception;
                     }
-                    System.err.println("drill: " + fault.getMessage());
-                    return WRONG;
+                    System.err.println("drill: " + exception.getMessage());
+                    return EXIT_INVALID_INPUT;
                 });
-        System.exit(line.execute(words));
+        System.exit(commandLine.execute(arguments));
     }
 }
--- a/drill/src/main/java/ochretiller/drill/FaultProxy.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -20,46 +20,46 @@
 import ochretiller.emulator.fleet.LinkFaults;
 
 /**
- * What lies between servers: whoever is told a server's address is told a relay's, and the relay
- * does to each packet what the script says for its sender and its receiver.
+ * Relays UDP packets between servers and applies the script's network faults. Each server
+ * advertises the port of its relay, and a fault depends on the packet's sender and receiver.
  */
 final class FaultProxy implements AutoCloseable {
-    private static final int LONGEST = 64 * 1024;
+    private static final int MAX_PACKET_BYTES = 64 * 1024;
 
-    /** Packets that are under way at once. */
-    private static final int MOST = 100_000;
+    /** Limit on delayed packets at one time; packets beyond it are lost. */
+    private static final int MAX_DELAYED_PACKETS = 100_000;
 
-    /** Packets of each address that are kept to be replayed. */
-    private static final int KEPT = 256;
+    /** Packets of all relays that are kept for replays. */
+    private static final int MAX_RECENT_PACKETS = 256;
 
     private final LinkFaults faults;
     private final DoubleSupplier now;
     private final Selector selector = Selector.open();
     private final Map<Integer, Relay> relays = new ConcurrentHashMap<>();
-    private final Map<Integer, Integer> byPort = new ConcurrentHashMap<>();
-    private final PriorityQueue<Late> late =
-            new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    private final Map<Integer, Integer> slots = new ConcurrentHashMap<>();
-    private final List<byte[]> kept = new ArrayList<>();
+    private final Map<Integer, Integer> addressByPort = new ConcurrentHashMap<>();
+    private final PriorityQueue<DelayedPacket> delayed =
+            new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
+    private final Map<Integer, Integer> slotByAddress = new ConcurrentHashMap<>();
+    private final List<byte[]> packetHistory = new ArrayList<>();
 
-    /** Servers that are cut off from all others, beside what the script says. */
-    private volatile Set<Integer> apart = Set.of();
+    /** Slots that are cut off from all others, in addition to the script's faults. */
+    private volatile Set<Integer> isolatedSlots = Set.of();
 
     final AtomicLong passed = new AtomicLong();
     final AtomicLong dropped = new AtomicLong();
 
-    private record Late(long at, Relay relay, byte[] bytes) {}
+    private record DelayedPacket(long dueNanos, Relay relay, byte[] bytes) {}
 
-    /** One address, and the server behind it. */
+    /** The relay of one address and the socket address of its server. */
     private static final class Relay {
         final int address;
         final DatagramChannel channel;
-        final InetSocketAddress real;
+        final InetSocketAddress serverAddress;
 
-        Relay(int address, DatagramChannel channel, InetSocketAddress real) {
+        Relay(int address, DatagramChannel channel, InetSocketAddress serverAddress) {
             this.address = address;
             this.channel = channel;
-            this.real = real;
+            this.serverAddress = serverAddress;
         }
     }
 
@@ -68,7 +68,7 @@
         this.now = now;
     }
 
-    /** Opens the way to an address; its relay's port. */
+    /** Opens the relay of an address and returns the relay's port. */
     int open(int address, int realPort) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
         channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -79,38 +79,40 @@
                         channel,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), realPort));
         relays.put(address, relay);
-        byPort.put(realPort, address);
+        addressByPort.put(realPort, address);
         selector.wakeup();
         channel.register(selector, SelectionKey.OP_READ, relay);
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** Who is at an address from now on. */
+    /** Sets the slot of the server that now uses an address. */
     void at(int address, int slot) {
-        slots.put(address, slot);
+        slotByAddress.put(address, slot);
     }
 
-    /** From now on these are apart from all others. */
-    void cut(Set<Integer> these) {
-        apart = Set.copyOf(these);
+    /** Cuts these slots off from all others until the next call; an empty set ends the cut. */
+    void cut(Set<Integer> slots) {
+        isolatedSlots = Set.copyOf(slots);
     }
 
     void start() {
-        Thread thread = new Thread(this::work, "links");
+        Thread thread = new Thread(this::forwardPackets, "links");
         thread.setDaemon(true);
         thread.setPriority(Thread.MAX_PRIORITY);
         thread.start();
     }
 
-    private void work() {
-        ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
+    private void forwardPackets() {
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_PACKET_BYTES);
         try {
             while (selector.isOpen()) {
-                long wait =
-                        late.isEmpty()
+                long waitMs =
+                        delayed.isEmpty()
                                 ? 50
-                                : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
-                selector.select(Math.min(wait, 50));
+                                : Math.max(
+                                        1,
+                                        (delayed.peek().dueNanos - System.nanoTime()) / 1_000_000);
+                selector.select(Math.min(waitMs, 50));
                 for (SelectionKey key : selector.selectedKeys()) {
                     Relay relay = (Relay) key.attachment();
                     InetSocketAddress from;
@@ -120,36 +122,36 @@
                     }
                 }
                 selector.selectedKeys().clear();
-                while (!late.isEmpty() && late.peek().at <= System.nanoTime()) {
-                    send(late.poll());
+                while (!delayed.isEmpty() && delayed.peek().dueNanos <= System.nanoTime()) {
+                    send(delayed.poll());
                 }
             }
         } catch (ClosedSelectorException | ClosedChannelException e) {
-            // the drill is over
+            // the proxy was closed
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private void pass(Relay relay, InetSocketAddress from, ByteBuffer packet) {
-        Integer sender = byPort.get(from.getPort());
+        Integer sender = addressByPort.get(from.getPort());
         byte[] bytes = new byte[packet.remaining()];
         packet.get(bytes);
-        synchronized (kept) {
-            if (kept.size() == KEPT) {
-                kept.remove(0);
+        synchronized (packetHistory) {
+            if (packetHistory.size() == MAX_RECENT_PACKETS) {
+                packetHistory.remove(0);
             }
-            kept.add(bytes);
+            packetHistory.add(bytes);
         }
-        int fromSlot = sender == null ? 0 : slots.getOrDefault(sender, 0);
-        int toSlot = slots.getOrDefault(relay.address, 0);
-        boolean cut = apart.contains(fromSlot) != apart.contains(toSlot);
-        List<LinkFaults.Copy> fate =
-                cut ? List.of() : faults.fate(fromSlot, toSlot, now.getAsDouble());
-        if (fate.isEmpty()) {
+        int fromSlot = sender == null ? 0 : slotByAddress.getOrDefault(sender, 0);
+        int toSlot = slotByAddress.getOrDefault(relay.address, 0);
+        boolean isolated = isolatedSlots.contains(fromSlot) != isolatedSlots.contains(toSlot);
+        List<LinkFaults.Copy> copies =
+                isolated ? List.of() : faults.fate(fromSlot, toSlot, now.getAsDouble());
+        if (copies.isEmpty()) {
             dropped.incrementAndGet();
         }
-        for (LinkFaults.Copy copy : fate) {
+        for (LinkFaults.Copy copy : copies) {
             byte[] sent = bytes;
             if (copy.spoilt()) {
                 sent = bytes.clone();
@@ -157,25 +159,27 @@
             }
             passed.incrementAndGet();
             if (copy.delayMs() <= 0) {
-                send(new Late(0, relay, sent));
-            } else if (late.size() < MOST) {
-                late.add(new Late(System.nanoTime() + (long) (copy.delayMs() * 1e6), relay, sent));
+                send(new DelayedPacket(0, relay, sent));
+            } else if (delayed.size() < MAX_DELAYED_PACKETS) {
+                delayed.add(
+                        new DelayedPacket(
+                                System.nanoTime() + (long) (copy.delayMs() * 1e6), relay, sent));
             }
         }
     }
 
-    private static void send(Late packet) {
+    private static void send(DelayedPacket packet) {
         try {
-            packet.relay.channel.send(ByteBuffer.wrap(packet.bytes), packet.relay.real);
+            packet.relay.channel.send(ByteBuffer.wrap(packet.bytes), packet.relay.serverAddress);
         } catch (IOException e) {
-            // nobody is there: the packet is lost, as on a network
+            // no server listens there: the packet is lost, as on a network
         }
     }
 
-    /** Packets that went by, for floods that replay them. */
+    /** Returns the packets received last, for floods that replay them. */
     List<byte[]> heard() {
-        synchronized (kept) {
-            return List.copyOf(kept);
+        synchronized (packetHistory) {
+            return List.copyOf(packetHistory);
         }
     }
 
--- a/drill/src/main/java/ochretiller/drill/LoadGenerator.java
+++ b/drill/src/main/java/ochretiller/drill/LoadGenerator.java
@@ -16,157 +16,164 @@
 import ochretiller.fakes.GatewayMessages;
 
 /**
- * Callers of all servers together: reads and orders, some of the orders asked again, each end noted
- * once.
+ * Sends reads and keyed orders to all servers at random times, repeats some of the orders and
+ * records one outcome for each request.
  */
 final class LoadGenerator {
-    /** Every so many is a keyed order; every other order is asked twice. */
-    private static final int ORDERS = 4;
+    /** One in this many requests is a keyed order; every second order is sent twice. */
+    private static final int KEYED_INTERVAL = 4;
 
-    /** Tokens that repeats are drawn from: those of the last seconds. */
-    private static final int LATELY = 150;
+    /** Number of tokens available for repeats, which are those of the last seconds. */
+    private static final int RECENT_TOKENS = 150;
 
-    /** Requests open on one connection, fewer than a server lets be. */
-    private static final int OPEN = 24;
+    /** Open requests on one connection, below the server's limit. */
+    private static final int MAX_OPEN_REQUESTS = 24;
 
     private final History history;
-    private final List<ServerProcess> boxes;
+    private final List<ServerProcess> servers;
     private final double perSecond;
 
-    /** Whether repeats go to any server, as in a fleet that keeps copies. */
-    private final boolean elsewhere;
+    /** Whether all requests are keyed and repeats go to any server, as replication allows. */
+    private final boolean repeatsAnywhere;
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final AtomicLong numbers = new AtomicLong();
-    private final Map<Integer, Line> lines = new ConcurrentHashMap<>();
-    private final List<String> asked = new ArrayList<>();
+    private final Map<Integer, Connection> connections = new ConcurrentHashMap<>();
+    private final List<String> tokens = new ArrayList<>();
 
-    /** All that are not gone, those too on which nothing more is asked. */
-    private final Set<Line> all = ConcurrentHashMap.newKeySet();
+    /** All open connections, including retired ones, which get no new requests. */
+    private final Set<Connection> allConnections = ConcurrentHashMap.newKeySet();
 
-    private final Thread asking = new Thread(this::askOn, "load");
-    private volatile boolean over;
+    private final Thread sender = new Thread(this::sendRequests, "load");
+    private volatile boolean stopped;
 
     LoadGenerator(
             History history,
-            List<ServerProcess> boxes,
+            List<ServerProcess> servers,
             double perSecond,
             long seed,
-            boolean elsewhere) {
-        this.elsewhere = elsewhere;
+            boolean repeatsAnywhere) {
+        this.repeatsAnywhere = repeatsAnywhere;
         this.history = history;
-        this.boxes = boxes;
+        this.servers = servers;
         this.perSecond = perSecond;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
     }
 
     void start() {
         if (perSecond <= 0) {
             return;
         }
-        asking.setDaemon(true);
-        asking.start();
+        sender.setDaemon(true);
+        sender.start();
     }
 
-    private void askOn() {
-        long next = System.nanoTime();
-        while (!over) {
-            next += (long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1e9);
-            for (long wait = next - System.nanoTime();
-                    wait > 0 && !over;
-                    wait = next - System.nanoTime()) {
-                LockSupport.parkNanos(wait);
+    private void sendRequests() {
+        long nextNanos = System.nanoTime();
+        while (!stopped) {
+            nextNanos += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
+            for (long waitNanos = nextNanos - System.nanoTime();
+                    waitNanos > 0 && !stopped;
+                    waitNanos = nextNanos - System.nanoTime()) {
+                LockSupport.parkNanos(waitNanos);
             }
-            if (!over) {
-                ask();
+            if (!stopped) {
+                sendRequest();
             }
         }
     }
 
-    private void ask() {
-        List<ServerProcess> open = new ArrayList<>();
-        for (ServerProcess box : boxes) {
-            if (box.up && !box.paused && !box.leaves) {
-                open.add(box);
+    private void sendRequest() {
+        List<ServerProcess> available = new ArrayList<>();
+        for (ServerProcess server : servers) {
+            if (server.up && !server.paused && !server.leaves) {
+                available.add(server);
             }
         }
-        if (open.isEmpty()) {
+        if (available.isEmpty()) {
             return;
         }
-        ServerProcess box = open.get(chance.nextInt(open.size()));
+        ServerProcess server = available.get(random.nextInt(available.size()));
         long number = numbers.incrementAndGet();
         try {
-            Line line = line(box);
-            boolean order = number % ORDERS == 0 || elsewhere;
-            String token = order ? String.format("%032x", number) : null;
-            line.send(box.slot.number(), number, token);
-            if (elsewhere && !asked.isEmpty() && chance.nextInt(2) == 0) {
-                // A repeat of what was asked anywhere in the last seconds, some of them in the same
-                // moment.
+            Connection connection = connectionTo(server);
+            boolean keyed = number % KEYED_INTERVAL == 0 || repeatsAnywhere;
+            String token = keyed ? String.format("%032x", number) : null;
+            connection.send(server.slot.number(), number, token);
+            if (repeatsAnywhere && !tokens.isEmpty() && random.nextInt(2) == 0) {
+                // Repeats the order just sent, or three times out of four any recent one.
                 String repeat =
-                        chance.nextInt(4) == 0 ? token : asked.get(chance.nextInt(asked.size()));
-                ServerProcess other = open.get(chance.nextInt(open.size()));
-                line(other).send(other.slot.number(), numbers.incrementAndGet(), repeat);
-            } else if (!elsewhere && order && number % (2 * ORDERS) == 0) {
-                line.send(
-                        box.slot.number(), numbers.addAndGet(2L * ORDERS) - 2 * ORDERS + 1, token);
+                        random.nextInt(4) == 0 ? token : tokens.get(random.nextInt(tokens.size()));
+                ServerProcess other = available.get(random.nextInt(available.size()));
+                connectionTo(other).send(other.slot.number(), numbers.incrementAndGet(), repeat);
+            } else if (!repeatsAnywhere && keyed && number % (2 * KEYED_INTERVAL) == 0) {
+                connection.send(
+                        server.slot.number(),
+                        numbers.addAndGet(2L * KEYED_INTERVAL) - 2 * KEYED_INTERVAL + 1,
+                        token);
             }
             if (token != null) {
-                if (asked.size() == LATELY) {
-                    asked.remove(0);
+                if (tokens.size() == RECENT_TOKENS) {
+                    tokens.remove(0);
                 }
-                asked.add(token);
+                tokens.add(token);
             }
         } catch (IOException e) {
-            // nobody listens there any more: no request was sent
+            // the server no longer listens: no request was sent
         }
     }
 
-    private Line line(ServerProcess box) throws IOException {
-        Line line = lines.get(box.slot.number());
-        if (line == null || line.gone || line.open.size() >= OPEN) {
-            if (line != null && !line.gone) {
-                line.retired = true;
+    private Connection connectionTo(ServerProcess server) throws IOException {
+        Connection connection = connections.get(server.slot.number());
+        if (connection == null
+                || connection.disconnected
+                || connection.openRequests.size() >= MAX_OPEN_REQUESTS) {
+            if (connection != null && !connection.disconnected) {
+                connection.retired = true;
             }
-            line = new Line(box.serves);
-            lines.put(box.slot.number(), line);
+            connection = new Connection(server.serves);
+            connections.put(server.slot.number(), connection);
         }
-        return line;
+        return connection;
     }
 
-    /** No more is asked; what is open gets its end. */
+    /** Stops sending, waits at most 5 s for open requests and closes all connections. */
     void end() throws InterruptedException {
-        over = true;
-        // What is asked in this very moment would else come behind the look at what is open, and
-        // its connection be closed upon it.
-        asking.join();
-        for (int i = 0; i < 500 && all.stream().anyMatch(line -> !line.open.isEmpty()); i++) {
+        stopped = true;
+        // A request that is being sent now could otherwise miss the wait below and have its
+        // connection closed before the answer.
+        sender.join();
+        for (int i = 0;
+                i < 500
+                        && allConnections.stream()
+                                .anyMatch(connection -> !connection.openRequests.isEmpty());
+                i++) {
             Thread.sleep(10);
         }
-        for (Line line : all) {
-            line.close();
+        for (Connection connection : allConnections) {
+            connection.close();
         }
     }
 
-    /** One connection and what is open on it. */
-    private final class Line {
+    /** A connection and its open requests, as slots by request number. */
+    private final class Connection {
         private final FakeConnection wire;
-        private final Map<Long, Integer> open = new ConcurrentHashMap<>();
-        private volatile boolean gone;
+        private final Map<Long, Integer> openRequests = new ConcurrentHashMap<>();
+        private volatile boolean disconnected;
         private volatile boolean retired;
         private volatile boolean closed;
 
-        Line(int port) throws IOException {
+        Connection(int port) throws IOException {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             wire = new FakeConnection(socket);
-            all.add(this);
-            DaemonThreads.start(this::read);
+            allConnections.add(this);
+            DaemonThreads.start(this::readAnswers);
         }
 
         void send(int slot, long number, String token) throws IOException {
             String id = "r" + number;
             String body = token == null ? id : "order " + token;
-            open.put(number, slot);
+            openRequests.put(number, slot);
             history.add(History.What.ASKED, slot, id, body);
             try {
                 wire.send(
@@ -176,60 +183,61 @@
                                 GatewayMessages.params(
                                         String.format("%016x", number), token, body)));
             } catch (IOException e) {
-                end(number, "broken");
+                complete(number, "broken");
             }
-            // Its reader may have ended all that was open just before this was: then nobody else
-            // does.
-            if (gone) {
-                end(number, "broken");
+            // The reader may have completed all open requests just before this one was added.
+            if (disconnected) {
+                complete(number, "broken");
             }
         }
 
-        private void end(long number, String how) {
-            Integer slot = open.remove(number);
+        private void complete(long number, String outcome) {
+            Integer slot = openRequests.remove(number);
             if (slot != null) {
-                history.add(History.What.ANSWERED, slot, "r" + number, how);
+                history.add(History.What.ANSWERED, slot, "r" + number, outcome);
             }
         }
 
-        private void read() {
+        private void readAnswers() {
             try {
                 for (String line = wire.line(); line != null; line = wire.line()) {
-                    int at = line.indexOf("\"id\":");
-                    if (at < 0) {
+                    int idAt = line.indexOf("\"id\":");
+                    if (idAt < 0) {
                         continue;
                     }
-                    long number = Long.parseLong(line.substring(at + 5, line.indexOf(',', at)));
-                    String how =
+                    long number = Long.parseLong(line.substring(idAt + 5, line.indexOf(',', idAt)));
+                    String outcome =
                             line.contains("\"result\"")
                                     ? "succeeded"
                                     : line.contains("-32014") ? "throttled" : "errored";
-                    end(number, how.equals("succeeded") ? how + ' ' + result(line) : how);
-                    if (retired && open.isEmpty()) {
+                    complete(
+                            number,
+                            outcome.equals("succeeded") ? outcome + ' ' + result(line) : outcome);
+                    if (retired && openRequests.isEmpty()) {
                         break;
                     }
                 }
             } catch (IOException e) {
-                // the server was killed, or said nothing for long
+                // the server was killed, or sent nothing until the read timed out
             }
-            gone = true;
-            // What is left when the callers end had its time and no answer; a connection that
-            // breaks ends what was on it.
-            for (long number : List.copyOf(open.keySet())) {
-                end(number, closed ? "none" : "broken");
+            disconnected = true;
+            // Requests that are still open when the load ends had no answer; those on a broken
+            // connection are lost with it.
+            for (long number : List.copyOf(openRequests.keySet())) {
+                complete(number, closed ? "none" : "broken");
             }
-            all.remove(this);
+            allConnections.remove(this);
             try {
                 wire.close();
             } catch (IOException e) {
-                // it is gone anyway
+                // already closed
             }
         }
 
-        /** What tells results apart: the data that the server gave. */
+        /** Returns the Base64 data of a result, by which results are compared. */
         private String result(String line) {
-            int at = line.indexOf("\"data\":\"");
-            return at < 0 ? "" : line.substring(at + 8, line.indexOf('"', at + 8));
+            int dataAt = line.indexOf("\"data\":\"");
+            return dataAt < 0 ? "" : line.substring(dataAt + 8, line.indexOf('"', dataAt + 8));
         }
 
         void close() {
@@ -237,7 +245,7 @@
             try {
                 wire.close();
             } catch (IOException e) {
-                // it is gone anyway
+                // already closed
             }
         }
     }
--- a/drill/src/main/java/ochretiller/drill/MembershipChart.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipChart.java
@@ -10,38 +10,38 @@
 import java.util.TreeMap;
 
 /**
- * Who sees whom, as SVG: a row a server, in it a strip a member, in each strip the time from left
- * to right. A view that is right everywhere is a picture of columns without a break.
+ * Draws membership views over time as SVG: a row per observing server, in it a cell per member with
+ * time from left to right. If all views agree, each column looks the same in all rows.
  */
 final class MembershipChart {
     private static final Map<String, String> COLOURS =
             Map.of(
                     "HERE", "#4c9f70", "JOINING", "#8ecae6", "SUSPECT", "#f4c95d", "SILENT",
                     "#b23a48", "LEFT", "#9a9a9a");
-    private static final int CELL = 60;
-    private static final int HIGH = 14;
-    private static final int LEFT = 70;
-    private static final int TOP = 60;
+    private static final int CELL_WIDTH = 60;
+    private static final int ROW_HEIGHT = 14;
+    private static final int MARGIN_LEFT = 70;
+    private static final int MARGIN_TOP = 60;
 
     private MembershipChart() {}
 
-    static void write(Path file, String name, List<History.Event> events) throws IOException {
-        Map<String, Integer> slots = new HashMap<>();
-        Map<Integer, String> names = new TreeMap<>();
-        double from = Double.POSITIVE_INFINITY;
-        double to = 0;
+    static void write(Path file, String title, List<History.Event> events) throws IOException {
+        Map<String, Integer> slotByIncarnation = new HashMap<>();
+        Map<Integer, String> nameBySlot = new TreeMap<>();
+        double startS = Double.POSITIVE_INFINITY;
+        double endS = 0;
         for (History.Event event : events) {
             if (event.what() == History.What.STARTED) {
-                slots.put(event.id(), event.slot());
-                names.put(event.slot(), event.text());
+                slotByIncarnation.put(event.id(), event.slot());
+                nameBySlot.put(event.slot(), event.text());
             }
-            from = Math.min(from, event.atS());
-            to = Math.max(to, event.atS());
+            startS = Math.min(startS, event.atS());
+            endS = Math.max(endS, event.atS());
         }
-        int count = names.keySet().stream().max(Integer::compare).orElse(0);
+        int slotCount = nameBySlot.keySet().stream().max(Integer::compare).orElse(0);
         StringBuilder svg = new StringBuilder();
-        int width = LEFT + count * CELL + 20;
-        int height = TOP + count * HIGH + 40;
+        int width = MARGIN_LEFT + slotCount * CELL_WIDTH + 20;
+        int height = MARGIN_TOP + slotCount * ROW_HEIGHT + 40;
         svg.append(
                 String.format(
                         Locale.ROOT,
@@ -55,9 +55,9 @@
                         "<rect width='100%%' height='100%%' fill='white'/><text x='8' y='16'"
                                 + " font-size='13'>%s: who sees whom, %.0f to %.0f s in each"
                                 + " cell</text>%n",
-                        name,
-                        from,
-                        to));
+                        title,
+                        startS,
+                        endS));
         int x = 8;
         for (String state : List.of("JOINING", "HERE", "SUSPECT", "SILENT", "LEFT")) {
             svg.append(
@@ -71,98 +71,100 @@
                             state.toLowerCase(Locale.ROOT)));
             x += 80;
         }
-        names.forEach(
+        nameBySlot.forEach(
                 (slot, text) -> {
                     svg.append(
                             String.format(
                                     Locale.ROOT,
                                     "<text x='%d' y='%d'>%s</text>%n",
-                                    LEFT + (slot - 1) * CELL + 4,
-                                    TOP - 6,
+                                    MARGIN_LEFT + (slot - 1) * CELL_WIDTH + 4,
+                                    MARGIN_TOP - 6,
                                     text));
                     svg.append(
                             String.format(
                                     Locale.ROOT,
                                     "<text x='8' y='%d'>%s sees</text>%n",
-                                    TOP + slot * HIGH - 4,
+                                    MARGIN_TOP + slot * ROW_HEIGHT - 4,
                                     text));
                 });
-        Map<Integer, Map<String, String>> seen = new HashMap<>();
-        Map<Integer, Double> since = new HashMap<>();
+        Map<Integer, Map<String, String>> views = new HashMap<>();
+        Map<Integer, Double> viewSince = new HashMap<>();
         for (History.Event event : events) {
-            boolean view = event.what() == History.What.VIEW;
-            boolean ends =
+            boolean hasView = event.what() == History.What.VIEW;
+            boolean stopped =
                     event.what() == History.What.KILLED
                             || event.what() == History.What.ENDED
                             || event.what() == History.What.OVER;
             if (event.what() == History.What.OVER) {
-                for (int slot : List.copyOf(seen.keySet())) {
-                    strips(
+                for (int slot : List.copyOf(views.keySet())) {
+                    appendStrips(
                             svg,
                             slot,
-                            seen.get(slot),
-                            slots,
-                            since.get(slot),
+                            views.get(slot),
+                            slotByIncarnation,
+                            viewSince.get(slot),
                             event.atS(),
-                            from,
-                            to);
+                            startS,
+                            endS);
                 }
-            } else if (view || ends) {
-                if (seen.containsKey(event.slot())) {
-                    strips(
+            } else if (hasView || stopped) {
+                if (views.containsKey(event.slot())) {
+                    appendStrips(
                             svg,
                             event.slot(),
-                            seen.get(event.slot()),
-                            slots,
-                            since.get(event.slot()),
+                            views.get(event.slot()),
+                            slotByIncarnation,
+                            viewSince.get(event.slot()),
                             event.atS(),
-                            from,
-                            to);
+                            startS,
+                            endS);
                 }
-                seen.remove(event.slot());
-                if (view) {
-                    seen.put(event.slot(), event.view());
-                    since.put(event.slot(), event.atS());
+                views.remove(event.slot());
+                if (hasView) {
+                    views.put(event.slot(), event.view());
+                    viewSince.put(event.slot(), event.atS());
                 }
             }
         }
         Files.writeString(file, svg.append("</svg>\n").toString());
     }
 
-    private static void strips(
+    private static void appendStrips(
             StringBuilder svg,
             int observer,
             Map<String, String> states,
-            Map<String, Integer> slots,
-            double since,
-            double until,
-            double from,
-            double to) {
+            Map<String, Integer> slotByIncarnation,
+            double sinceS,
+            double untilS,
+            double startS,
+            double endS) {
         states.forEach(
-                (start, state) -> {
-                    Integer slot = slots.get(start);
+                (incarnation, state) -> {
+                    Integer slot = slotByIncarnation.get(incarnation);
                     if (slot == null
                             || state.equals("SILENT")
                                     && states.entrySet().stream()
                                             .anyMatch(
                                                     other ->
-                                                            !other.getKey().equals(start)
+                                                            !other.getKey().equals(incarnation)
                                                                     && slot.equals(
-                                                                            slots.get(
+                                                                            slotByIncarnation.get(
                                                                                     other.getKey()))
                                                                     && !other.getValue()
                                                                             .equals("SILENT"))) {
-                        return; // its successor has the strip
+                        return; // a newer incarnation in the same slot is drawn instead
                     }
-                    double scale = (CELL - 4) / Math.max(1e-9, to - from);
+                    double scale = (CELL_WIDTH - 4) / Math.max(1e-9, endS - startS);
                     svg.append(
                             String.format(
                                     Locale.ROOT,
                                     "<rect x='%.1f' y='%d' width='%.1f' height='%d' fill='%s'/>%n",
-                                    LEFT + (slot - 1) * CELL + (since - from) * scale,
-                                    TOP + (observer - 1) * HIGH + 2,
-                                    Math.max(0.3, (until - since) * scale),
-                                    HIGH - 3,
+                                    MARGIN_LEFT
+                                            + (slot - 1) * CELL_WIDTH
+                                            + (sinceS - startS) * scale,
+                                    MARGIN_TOP + (observer - 1) * ROW_HEIGHT + 2,
+                                    Math.max(0.3, (untilS - sinceS) * scale),
+                                    ROW_HEIGHT - 3,
                                     COLOURS.getOrDefault(state, "black")));
                 });
     }
--- a/drill/src/main/java/ochretiller/drill/MembershipPoller.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipPoller.java
@@ -10,48 +10,53 @@
 import ochretiller.fleet.transport.AdminClient;
 import ochretiller.fleet.transport.FleetKeys;
 
-/** Asks one server again and again how it sees the fleet, and notes what has changed. */
+/** Polls the membership view of one server on its own thread and records each change. */
 final class MembershipPoller {
-    /** Asks on one connection, fewer than the server answers there. */
-    private static final int ASKS = 90;
+    /** Below the number of requests that the server answers on one connection. */
+    private static final int REQUESTS_PER_CONNECTION = 90;
 
     private static final ObjectMapper JSON = new ObjectMapper();
     static final FleetKeys KEYS = FleetKeys.of("a key that only drills have");
 
-    private final ServerProcess box;
+    private final ServerProcess server;
     private final int port;
     private volatile History history;
-    private final int everyMs;
-    private volatile boolean over;
+    private final int intervalMs;
+    private volatile boolean stopped;
+
+    /** Member states by incarnation, as last polled. */
     volatile Map<String, String> states = Map.of();
+
     volatile String digest = "";
+
+    /** The incarnation that answered last; null before the first answer. */
     volatile String start;
 
-    MembershipPoller(ServerProcess box, int port, History history, int everyMs) {
-        this.box = box;
+    MembershipPoller(ServerProcess server, int port, History history, int intervalMs) {
+        this.server = server;
         this.port = port;
         this.history = history;
-        this.everyMs = everyMs;
-        Thread thread = new Thread(this::work, "watch-" + box.slot.number());
+        this.intervalMs = intervalMs;
+        Thread thread = new Thread(this::poll, "watch-" + server.slot.number());
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** What is seen from here on is noted there, all of it once more. */
+    /** Records further changes in {@code next}, beginning with the whole current view. */
     void become(History next) {
         history = next;
         digest = "";
     }
 
     void end() {
-        over = true;
+        stopped = true;
     }
 
-    private void work() {
+    private void poll() {
         try {
-            while (!over) {
-                if (!box.up || box.paused) {
-                    Thread.sleep(everyMs);
+            while (!stopped) {
+                if (!server.up || server.paused) {
+                    Thread.sleep(intervalMs);
                     continue;
                 }
                 try (AdminClient client =
@@ -59,12 +64,17 @@
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                                 "drill",
                                 KEYS)) {
-                    for (int i = 0; i < ASKS && !over && box.up && !box.paused; i++) {
-                        look(JSON.readTree(client.request("view")));
-                        Thread.sleep(everyMs);
+                    for (int i = 0;
+                            i < REQUESTS_PER_CONNECTION
+                                    && !stopped
+                                    && server.up
+                                    && !server.paused;
+                            i++) {
+                        recordChange(JSON.readTree(client.request("view")));
+                        Thread.sleep(intervalMs);
                     }
                 } catch (IOException e) {
-                    Thread.sleep(everyMs); // it was killed or paused in the midst of it
+                    Thread.sleep(intervalMs); // the server was killed or paused meanwhile
                 }
             }
         } catch (InterruptedException e) {
@@ -72,22 +82,22 @@
         }
     }
 
-    private void look(JsonNode view) {
-        Map<String, String> next = new TreeMap<>();
-        String self = null;
-        for (JsonNode each : view.get("members")) {
-            next.put(each.get("start").asText(), each.get("state").asText());
-            if (each.get("self").asBoolean()) {
-                self = each.get("start").asText();
+    private void recordChange(JsonNode view) {
+        Map<String, String> newStates = new TreeMap<>();
+        String ownIncarnation = null;
+        for (JsonNode member : view.get("members")) {
+            newStates.put(member.get("start").asText(), member.get("state").asText());
+            if (member.get("self").asBoolean()) {
+                ownIncarnation = member.get("start").asText();
             }
         }
-        String nextDigest = view.get("digest").asText();
-        if (next.equals(states) && nextDigest.equals(digest) && self.equals(start)) {
+        String newDigest = view.get("digest").asText();
+        if (newStates.equals(states) && newDigest.equals(digest) && ownIncarnation.equals(start)) {
             return;
         }
-        states = next;
-        digest = nextDigest;
-        start = self;
-        history.view(box.slot.number(), self, nextDigest, next);
+        states = newStates;
+        digest = newDigest;
+        start = ownIncarnation;
+        history.view(server.slot.number(), ownIncarnation, newDigest, newStates);
     }
 }
--- a/drill/src/main/java/ochretiller/drill/ServerProcess.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -28,63 +28,65 @@
 import ochretiller.fakes.FakeServices;
 import ochretiller.fakes.GatewayMessages;
 
-/** One slot: a packaged server with stand-ins of its own, started as often as the script says. */
+/** A packaged server with its own fake services, started and stopped as the script requires. */
 final class ServerProcess {
-    private static final Pattern PART = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
+    private static final Pattern JOINED = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
 
-    /** Two dozen servers fit the machine beside what they are drilled with. */
+    /** Low enough for two dozen servers and the drill itself on one machine. */
     private static final int MEMORY_MB = 64;
 
-    private static final int LOAD_MB = 256;
+    private static final int BENCHMARK_MEMORY_MB = 256;
 
-    /** Spans short enough to be drilled. */
-    private static final String VERSIONS =
+    /** Durations are shorter than in production to keep the drill short. */
+    private static final String ROLLOUT_SETTINGS =
             ", versions: { folder: '%s', lease_ms: 2000, grace_ms: 3000, watch_ms: 3000,"
                     + " patience_ms: 4000 }";
 
-    private static final int STARTS_S = 40;
+    private static final int START_TIMEOUT_S = 40;
 
-    /** The repository, whose package is drilled. */
+    /** The root of the repository, whose packaged server is started. */
     private static final Path ROOT =
             Path.of(System.getProperty("drill.root", ".")).toAbsolutePath();
 
     private static final int FIRST_PORT = 15_000;
-    private static final int PORTS = 15_000;
-    private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORTS));
+    private static final int PORT_COUNT = 15_000;
+    private static final AtomicInteger NEXT_PORT =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORT_COUNT));
 
     final FaultSchedule.Slot slot;
     final int serves;
     private final Path folder;
-    private final FakeServices outside;
+    private final FakeServices services;
     private volatile History history;
     private Process process;
-    private CountDownLatch part = new CountDownLatch(1);
+    private CountDownLatch readyLatch = new CountDownLatch(1);
 
-    /** Its lines about the fleet, which are bounded by the server itself. */
-    private final Queue<String> said = new ConcurrentLinkedQueue<>();
+    /** Log lines about the fleet; the server itself limits their number. */
+    private final Queue<String> fleetLogLines = new ConcurrentLinkedQueue<>();
 
+    /** The incarnation of the process, or its pid in hexadecimal if it is not in a fleet. */
     volatile String start;
+
     volatile boolean up;
     volatile boolean paused;
     volatile boolean leaves;
 
-    /** What becomes of the end of a run that was begun: by default it comes at once. */
+    /** Receives the action that completes a run; runs it at once by default. */
     volatile Consumer<Runnable> ends = Runnable::run;
 
-    /** Whether it has room for a load that is measured. */
+    /** Whether memory and entry limits are raised for a benchmark. */
     boolean forLoad;
 
-    /** What else its operators' file says, as members of it. */
+    /** Additional JSON5 members of the operator file, each with a trailing comma. */
     String more = "";
 
-    /** Whether versions are brought out to it. */
+    /** Whether configuration rollouts and the audit log are enabled. */
     boolean versions;
 
-    /** How its next process claims, as the operators' file says it. */
+    /** The claim mode of the next process: {@code fleet} or {@code server}. */
     volatile String mode = "fleet";
 
-    /** Characters on top of each result. */
+    /** Number of characters appended to each result. */
     volatile int longer;
 
     ServerProcess(FaultSchedule.Slot slot, Path folder, History history, FakeServices.Runs runs)
@@ -92,23 +94,23 @@
         this.slot = slot;
         this.folder = Files.createDirectories(folder.resolve("server-" + slot.number()));
         this.history = history;
-        // Of another run.
+        // Left over from an earlier run in the same folder.
         Files.deleteIfExists(this.folder.resolve("voter"));
         Files.deleteIfExists(this.folder.resolve("peers"));
         DiskFaults.delete(this.folder.resolve("versions"));
         DiskFaults.delete(audit());
         diskIs(null);
-        DiskFaults.delete(store());
-        DiskFaults.delete(image());
+        DiskFaults.delete(storeFolder());
+        DiskFaults.delete(imageFolder());
         this.serves = freePort();
-        outside = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
-        outside.runs =
+        services = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
+        services.runs =
                 (rid, operation, body) -> {
                     runs.begun(rid, operation, body);
                     ends.accept(
                             () -> {
                                 try {
-                                    outside.complete(
+                                    services.complete(
                                             rid,
                                             "done "
                                                     + body
@@ -124,211 +126,218 @@
                 };
     }
 
-    private Path store() {
+    private Path storeFolder() {
         return folder.resolve("store");
     }
 
-    private Path image() {
+    private Path imageFolder() {
         return folder.resolve("image");
     }
 
-    /** Takes an image of its disk as it is, in the midst of whatever is written. */
+    /** Copies the store while the server may be writing to it. */
     void takeImage() throws IOException {
-        DiskFaults.delete(image());
-        DiskFaults.copy(store(), image());
+        DiskFaults.delete(imageFolder());
+        DiskFaults.copy(storeFolder(), imageFolder());
     }
 
     /**
-     * Makes its disk what the script says, while it is down; what a voter has promised is on
-     * another disk.
+     * Puts the store into the given state while the server is down. The voter file is kept, as if
+     * it were on another disk.
      */
-    void disk(FleetScenario.Disk what) throws IOException {
-        switch (what) {
-            case EMPTY -> DiskFaults.delete(store());
+    void disk(FleetScenario.Disk disk) throws IOException {
+        switch (disk) {
+            case EMPTY -> DiskFaults.delete(storeFolder());
             case OLD -> {
-                DiskFaults.delete(store());
-                DiskFaults.copy(image(), store());
+                DiskFaults.delete(storeFolder());
+                DiskFaults.copy(imageFolder(), storeFolder());
             }
-            case CUT -> DiskFaults.cut(store());
+            case CUT -> DiskFaults.cut(storeFolder());
             default -> {}
         }
     }
 
-    /** Where what it acted on is kept. */
+    /** Returns the folder of the audit log. */
     Path audit() {
         return folder.resolve("audit");
     }
 
-    private Path fault() {
+    private Path diskFaultFile() {
         return folder.resolve("disk-fault");
     }
 
     /**
-     * Its disk takes nothing any more ({@code full}), or waits ({@code stall}); null makes it well.
+     * Sets the disk fault: {@code full} makes writes fail, {@code stall} makes them wait, null ends
+     * the fault.
      */
-    void diskIs(String what) throws IOException {
-        if (what == null) {
-            Files.deleteIfExists(fault());
+    void diskIs(String fault) throws IOException {
+        if (fault == null) {
+            Files.deleteIfExists(diskFaultFile());
             return;
         }
-        Path half = folder.resolve("disk-fault.tmp");
-        Files.writeString(half, what);
-        Files.move(half, fault(), StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = folder.resolve("disk-fault.tmp");
+        Files.writeString(temporary, fault);
+        Files.move(temporary, diskFaultFile(), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** What happens from here on is noted there. */
+    /** Records further events in {@code next}. */
     void become(History next) {
         history = next;
     }
 
     /**
-     * A port that is free for streams and datagrams, below those that the system hands out by
-     * itself: one of those could be somebody's end of a connection by the time a server listens.
+     * Returns a port that is free for TCP and UDP. Ephemeral ports are avoided, since an outgoing
+     * connection could take one before the server listens on it.
      */
     static int freePort() throws IOException {
-        for (int tries = 0; tries < PORTS; tries++) {
-            int port = FIRST_PORT + Math.floorMod(NEXT.getAndIncrement(), PORTS);
-            try (ServerSocket stream = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
-                    DatagramSocket datagrams =
+        for (int attempt = 0; attempt < PORT_COUNT; attempt++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), PORT_COUNT);
+            try (ServerSocket tcp = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
+                    DatagramSocket udp =
                             new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
-                if (stream.isBound() && datagrams.isBound()) {
+                if (tcp.isBound() && udp.isBound()) {
                     return port;
                 }
             } catch (BindException e) {
-                // the next one
+                // try the next port
             }
         }
-        throw new IOException("no free port");
+        throw new IOException(
+                "no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1));
     }
 
     /**
-     * Starts the program on this address; returns at once.
+     * Starts the server process and returns without waiting until it is ready.
      *
-     * @param seeds where it is told that others are
-     * @param on whether it takes part in a fleet at all
-     * @param clockS seconds that its clock is set back
-     * @param voters how many of the first servers agree on epochs; 0 where the fleet keeps no
-     *     copies
-     * @param stores whether it remembers results on its disk
+     * @param listenPort its fleet port on the loopback address
+     * @param advertisedPort the port at which the other servers reach it
+     * @param seedPorts advertised ports of the seeds
+     * @param fleetEnabled whether it joins a fleet
+     * @param clockSetbackS seconds by which its clock is set back
+     * @param voterCount how many of the first servers vote on epochs; 0 without replication
+     * @param storeEnabled whether it stores results on disk
      */
     void start(
-            int listen,
-            int advertise,
-            List<Integer> seeds,
+            int listenPort,
+            int advertisedPort,
+            List<Integer> seedPorts,
             int probeMs,
-            boolean on,
-            double clockS,
-            int voters,
-            boolean stores)
+            boolean fleetEnabled,
+            double clockSetbackS,
+            int voterCount,
+            boolean storeEnabled)
             throws IOException {
-        Path config = folder.resolve("config.json");
+        Path configFile = folder.resolve("config.json");
         Files.writeString(
-                config,
+                configFile,
                 GatewayMessages.config(
                                 serves,
-                                outside.processorPort(),
-                                outside.recordsPort(),
-                                outside.rosterPort())
+                                services.processorPort(),
+                                services.recordsPort(),
+                                services.rosterPort())
                         .replace("\"name\":\"n1\"", "\"name\":\"" + slot.name() + "\"")
                         .replace(
                                 "\"memory_mb\":192",
-                                "\"memory_mb\":" + (forLoad ? LOAD_MB : MEMORY_MB))
+                                "\"memory_mb\":" + (forLoad ? BENCHMARK_MEMORY_MB : MEMORY_MB))
                         .replace("\"keyKb\":10", "\"keyKb\":" + (forLoad ? 1 : 10))
                         .replace(
                                 "\"windowNs\":10000000000",
                                 "\"windowNs\":" + (forLoad ? 1 : 10) + "000000000"));
-        Path key = folder.resolve("key");
-        Files.writeString(key, "a key that only drills have\n");
-        Path operator = folder.resolve("operator.json5");
-        List<String> told = new ArrayList<>();
-        for (int port : seeds) {
-            told.add("'127.0.0.1:" + port + "'");
+        Path keyFile = folder.resolve("key");
+        Files.writeString(keyFile, "a key that only drills have\n");
+        Path operatorFile = folder.resolve("operator.json5");
+        List<String> seedAddresses = new ArrayList<>();
+        for (int port : seedPorts) {
+            seedAddresses.add("'127.0.0.1:" + port + "'");
         }
-        String audit = versions ? "audit: { folder: '" + audit() + "', span_ms: 2000 }, " : "";
+        String auditSettings =
+                versions ? "audit: { folder: '" + audit() + "', span_ms: 2000 }, " : "";
         Files.writeString(
-                operator,
+                operatorFile,
                 "{ "
-                        + audit
+                        + auditSettings
                         + more
                         + " metrics: { file: '"
                         + folder.resolve("metrics.prom")
                         + "', every_ms: 1000 },"
-                        + (stores ? "remember: { folder: '" + store() + "' }," : "")
-                        + (on
+                        + (storeEnabled ? "remember: { folder: '" + storeFolder() + "' }," : "")
+                        + (fleetEnabled
                                 ? """
                                 fleet: { name: 'drill', listen: '127.0.0.1:%d', advertise: '127.0.0.1:%d', key_file: '%s', peers_file: '%s', seeds: [%s], zone: 'z%d', probe_ms: %d%s }
                                 """
                                         .formatted(
-                                                listen,
-                                                advertise,
-                                                key,
+                                                listenPort,
+                                                advertisedPort,
+                                                keyFile,
                                                 folder.resolve("peers"),
-                                                String.join(",", told),
+                                                String.join(",", seedAddresses),
                                                 slot.zone(),
                                                 probeMs,
-                                                copies(voters))
+                                                replicationSettings(voterCount))
                                 : "")
                         + ", drill: { clock_ms: "
-                        + (long) (-clockS * 1000)
+                        + (long) (-clockSetbackS * 1000)
                         + ", disk_fault: '"
-                        + fault()
+                        + diskFaultFile()
                         + "' } }");
         ProcessBuilder builder =
                 new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.directory(ROOT.toFile()).environment().put("OCHRETILLER_DRILL", "1");
-        builder.environment().put("EDGE_CONFIG", config.toString());
-        builder.environment().put("OPERATOR_FILE", operator.toString());
-        // A server that was killed takes its processor along: the next one knows nothing of its
-        // runs and counts its notices anew.
-        outside.keepsNotices = true;
+        builder.environment().put("EDGE_CONFIG", configFile.toString());
+        builder.environment().put("OPERATOR_FILE", operatorFile.toString());
+        // The processor restarts together with the server: it then knows no earlier runs and
+        // numbers its notices from the start.
+        services.keepsNotices = true;
         if (process != null) {
-            outside.restarted();
+            services.restarted();
         }
-        part = new CountDownLatch(1);
-        Process started = process = builder.start();
-        CountDownLatch mine = part;
+        readyLatch = new CountDownLatch(1);
+        Process newProcess = process = builder.start();
+        CountDownLatch newReadyLatch = readyLatch;
         leaves = false;
         paused = false;
         DaemonThreads.start(
                 () -> {
-                    try (BufferedReader lines =
+                    try (BufferedReader output =
                                     new BufferedReader(
-                                            new InputStreamReader(started.getInputStream()));
+                                            new InputStreamReader(newProcess.getInputStream()));
                             BufferedWriter log =
                                     Files.newBufferedWriter(
-                                            folder.resolve("log-" + started.pid()))) {
-                        for (String line = lines.readLine();
+                                            folder.resolve("log-" + newProcess.pid()))) {
+                        for (String line = output.readLine();
                                 line != null;
-                                line = lines.readLine()) {
+                                line = output.readLine()) {
                             log.append(line).append('\n');
                             if (line.contains("fleet:")) {
-                                said.add(line);
+                                fleetLogLines.add(line);
                             }
                             log.flush();
-                            Matcher begins = PART.matcher(line);
-                            boolean serving = !on && line.contains(" listens on ");
-                            if (!begins.find() && !serving) {
+                            Matcher joined = JOINED.matcher(line);
+                            boolean listening = !fleetEnabled && line.contains(" listens on ");
+                            if (!joined.find() && !listening) {
                                 continue;
                             }
-                            start = serving ? Long.toHexString(started.pid()) : begins.group(2);
+                            start =
+                                    listening
+                                            ? Long.toHexString(newProcess.pid())
+                                            : joined.group(2);
                             up = true;
                             history.add(History.What.STARTED, slot.number(), start, slot.name());
-                            mine.countDown();
+                            newReadyLatch.countDown();
                         }
                     }
                 });
     }
 
-    private String copies(int voters) {
-        if (voters == 0) {
+    private String replicationSettings(int voterCount) {
+        if (voterCount == 0) {
             return "";
         }
-        List<String> names = new ArrayList<>();
-        for (int i = 1; i <= voters; i++) {
-            names.add("'m" + i + "'");
+        List<String> voters = new ArrayList<>();
+        for (int i = 1; i <= voterCount; i++) {
+            voters.add("'m" + i + "'");
         }
         return ", copies: { voters: ["
-                + String.join(",", names)
+                + String.join(",", voters)
                 + "], voter_file: '"
                 + folder.resolve("voter")
                 + "', calm_ms: 1500, "
@@ -336,14 +345,14 @@
                 + "mode: '"
                 + mode
                 + "'"
-                + (versions ? VERSIONS.formatted(folder.resolve("versions")) : "")
+                + (versions ? ROLLOUT_SETTINGS.formatted(folder.resolve("versions")) : "")
                 + " }";
     }
 
-    /** Whether it has logged a line with this in it, within a bounded time. */
-    boolean awaitLine(Pattern text, int withinS) throws InterruptedException {
-        for (int i = 0; i < withinS * 20; i++) {
-            if (said.stream().anyMatch(line -> text.matcher(line).find())) {
+    /** Waits for a log line about the fleet that contains the pattern; false after the timeout. */
+    boolean awaitLine(Pattern pattern, int timeoutS) throws InterruptedException {
+        for (int i = 0; i < timeoutS * 20; i++) {
+            if (fleetLogLines.stream().anyMatch(line -> pattern.matcher(line).find())) {
                 return true;
             }
             Thread.sleep(50);
@@ -351,9 +360,9 @@
         return false;
     }
 
-    /** Whether it has come to take part, within a bounded time. */
+    /** Waits until the server has joined the fleet, or listens if it has none; false if late. */
     boolean awaitPart() throws InterruptedException {
-        return part.await(STARTS_S, TimeUnit.SECONDS);
+        return readyLatch.await(START_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private void signal(String name) throws IOException, InterruptedException {
@@ -394,12 +403,12 @@
         }
         leaves = true;
         history.add(History.What.LEAVES, slot.number(), start, "");
-        Process leaving = process;
-        leaving.toHandle().destroy();
-        leaving.onExit()
+        Process exiting = process;
+        exiting.toHandle().destroy();
+        exiting.onExit()
                 .thenRun(
                         () -> {
-                            if (leaving != process) {
+                            if (exiting != process) {
                                 return;
                             }
                             up = false;
@@ -407,7 +416,7 @@
                         });
     }
 
-    /** Waits until a process that was told to leave has ended. */
+    /** Waits at most 10 s for a process that was asked to leave to exit. */
     void awaitEnd() throws InterruptedException {
         if (process != null && process.isAlive() && leaves) {
             process.waitFor(10, TimeUnit.SECONDS);
@@ -419,6 +428,6 @@
         if (process != null) {
             process.destroyForcibly();
         }
-        outside.close();
+        services.close();
     }
 }
