--- a/drill/src/main/java/ochretiller/drill/FailoverScenario.java
+++ b/drill/src/main/java/ochretiller/drill/FailoverScenario.java
@@ -25,37 +25,35 @@
 import ochretiller.fakes.GatewayMessages;
 
 /**
- * One keyed invocation at a time in a fleet of three servers with disks: its owner is killed,
- * paused or cut off at a step of it, by what is seen of that step and not by the clock, and its
- * repeats go to each server, at once and later. Each case says what has to come out.
+ * Runs keyed invocations one at a time in a fleet of three servers with disk stores. The owner is
+ * killed, paused or cut off at some step, which is detected rather than timed, and the request is
+ * repeated at each server, at once and later. Each case checks the outcomes that it expects.
  */
 final class FailoverScenario implements AutoCloseable {
-    /**
-     * Long enough for a start under load, for what has to come to do so, and for a window that
-     * keepers have of a token.
-     */
-    private static final long WITHIN_S = 40;
+    /** Covers a server start under load and the window for which replicas keep a token. */
+    private static final long TIMEOUT_S = 40;
 
-    /** A repeat that is told to come again does so after this. */
-    private static final long AGAIN_MS = 200;
+    /** Delay before a request is sent again. */
+    private static final long RETRY_MS = 200;
 
-    private final ScenarioRunner stage;
+    private final ScenarioRunner runner;
     private final Consumer<String> progress;
-    private final AtomicInteger numbers = new AtomicInteger();
+    private final AtomicInteger counter = new AtomicInteger();
 
-    /** Runs that were begun, by what was asked for: of all but one case that is the token. */
-    private final Map<String, Integer> runs = new ConcurrentHashMap<>();
+    /** Number of runs begun by request body, which is the token in all cases but one. */
+    private final Map<String, Integer> runCounts = new ConcurrentHashMap<>();
 
-    private final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
-    private final List<String> broken = new ArrayList<>();
+    private final BlockingQueue<Runnable> pendingCompletions = new LinkedBlockingQueue<>();
+    private final List<String> violations = new ArrayList<>();
 
-    /** Lets the run that was begun last end. */
-    private Runnable end;
+    /** Completes the run that was begun last. */
+    private Runnable completion;
 
     /**
-     * @param copiesOn without it each server is for itself, and the steps have to be seen to break
+     * @param replicationEnabled if false, the servers are independent, and cases must fail
      */
-    FailoverScenario(Path folder, boolean copiesOn, Consumer<String> progress) throws IOException {
+    FailoverScenario(Path folder, boolean replicationEnabled, Consumer<String> progress)
+            throws IOException {
         this.progress = progress;
         FleetScenario script =
                 FleetScenarioReader.of(
@@ -63,400 +61,409 @@
                         { name: 'steps', seconds: 1, members: 3, zones: 3, seeds: 3, copies: true, store: true }\
                         """,
                         "steps");
-        stage = new ScenarioRunner(script, 1, folder, true, copiesOn, progress);
+        runner = new ScenarioRunner(script, 1, folder, true, replicationEnabled, progress);
     }
 
-    /** Plays all of it; what was broken, a line each. */
+    /** Runs all cases and returns the violations, one line each. */
     List<String> play() throws Exception {
-        stage.raise((slot, body) -> ran(body));
-        killedWithItsClaimOnTheWay();
-        killedAsItRuns();
-        killedBehindItsAnswer();
-        killedAsItEnds();
-        pausedAsItRuns();
-        twoAtOnce(false);
-        twoAtOnce(true);
+        runner.raise((slot, body) -> recordRun(body));
+        ownerKilledWithClaimInTransit();
+        ownerKilledDuringRun();
+        ownerKilledAfterAnswer();
+        ownerKilledAsRunCompletes();
+        ownerPausedDuringRun();
+        concurrentRequests(false);
+        concurrentRequests(true);
         longResult();
-        windowEndsInACut();
-        serverMode();
-        diskFillsAsItRuns();
-        allKilledBehindTheAnswer();
-        return broken;
+        windowExpiresDuringPartition();
+        serverClaimMode();
+        replicaDiskFillsDuringRun();
+        allServersKilledAfterAnswer();
+        return violations;
     }
 
     /**
-     * A keyed request at one server, which is then killed, and its repeat at another, shown as they
-     * happen; whether they were alike.
+     * Sends a keyed request to one server, kills it and repeats the request at another, printing
+     * each event. Returns whether both results were equal and the request was run once.
      */
     boolean example(Consumer<String> out) throws Exception {
-        stage.raise(
+        runner.raise(
                 (slot, body) -> {
-                    ran(body);
+                    recordRun(body);
                     out.accept("m" + slot + "'s processor runs " + body);
                 });
-        String token = token("example");
-        String first = until(1, token, token, how -> how.startsWith("succeeded"));
-        out.accept("m1 answers: " + plain(first));
-        stage.box(1).kill();
+        String token = beginStep("example");
+        String firstOutcome = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
+        out.accept("m1 answers: " + describe(firstOutcome));
+        runner.box(1).kill();
         out.accept("m1 is killed with SIGKILL");
-        String second = until(2, token, token, how -> how.startsWith("succeeded"));
-        out.accept("m2 answers the repeat: " + plain(second));
-        out.accept("runs of it in the fleet: " + runs(token));
-        return first.equals(second) && runs(token) == 1;
+        String secondOutcome = retry(2, token, token, outcome -> outcome.startsWith("succeeded"));
+        out.accept("m2 answers the repeat: " + describe(secondOutcome));
+        out.accept("runs of it in the fleet: " + runCount(token));
+        return firstOutcome.equals(secondOutcome) && runCount(token) == 1;
     }
 
-    private static String plain(String how) {
-        int space = how.indexOf(' ');
+    private static String describe(String outcome) {
+        int space = outcome.indexOf(' ');
         return space < 0
-                ? how
-                : how.substring(0, space)
+                ? outcome
+                : outcome.substring(0, space)
                         + ", "
                         + new String(
-                                Base64.getDecoder().decode(how.substring(space + 1)),
+                                Base64.getDecoder().decode(outcome.substring(space + 1)),
                                 StandardCharsets.ISO_8859_1);
     }
 
     // ---- the cases
 
     /**
-     * The keepers hear of its claim only when it is gone; once it is back its disk proves that
-     * nothing was begun.
+     * The replicas receive the claim only after the owner was killed. Once it is back, its disk
+     * proves that no run was begun.
      */
-    private void killedWithItsClaimOnTheWay() throws Exception {
-        String token = token("claim on the way");
-        stage.box(2).pause();
-        stage.box(3).pause();
-        ask(1, token, token);
-        Thread.sleep(
-                AGAIN_MS / 4); // the claim is in the keepers' sockets by then, or it is not: both
-        // have to come out well
-        stage.box(1).kill();
-        stage.box(2).resume();
-        stage.box(3).resume();
-        String first = answer(ask(2, token, token));
-        need(
+    private void ownerKilledWithClaimInTransit() throws Exception {
+        String token = beginStep("claim on the way");
+        runner.box(2).pause();
+        runner.box(3).pause();
+        sendRequest(1, token, token);
+        // The claim may or may not have reached the replicas' sockets by then; the outcome must be
+        // right in both cases.
+        Thread.sleep(RETRY_MS / 4);
+        runner.box(1).kill();
+        runner.box(2).resume();
+        runner.box(3).resume();
+        String repeat = awaitOutcome(sendRequest(2, token, token));
+        check(
                 token,
-                !first.startsWith("succeeded") || runs(token) == 1,
-                "the repeat elsewhere: " + first);
+                !repeat.startsWith("succeeded") || runCount(token) == 1,
+                "the repeat elsewhere: " + repeat);
         restart(1);
-        String second = until(2, token, token, how -> how.startsWith("succeeded"));
-        need(token, second.startsWith("succeeded"), "once the owner is back: " + second);
-        need(token, runs(token) == 1, "runs: " + runs(token));
+        String recovered = retry(2, token, token, outcome -> outcome.startsWith("succeeded"));
+        check(token, recovered.startsWith("succeeded"), "once the owner is back: " + recovered);
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
-    private void killedAsItRuns() throws Exception {
-        String token = token("run under way");
-        begunAt(1, token);
-        stage.box(1).kill();
+    private void ownerKilledDuringRun() throws Exception {
+        String token = beginStep("run under way");
+        startRunAt(1, token);
+        runner.box(1).kill();
         for (int slot : new int[] {2, 3}) {
-            String how = answer(ask(slot, token, token));
-            need(token, how.equals("errored"), "the repeat at " + slot + ": " + how);
+            String repeat = awaitOutcome(sendRequest(slot, token, token));
+            check(token, repeat.equals("errored"), "the repeat at " + slot + ": " + repeat);
         }
         restart(1);
-        String later = until(3, token, token, how -> how.equals("errored"));
-        need(token, later.equals("errored"), "once the owner is back: " + later);
-        need(token, runs(token) == 1, "runs: " + runs(token));
+        String recovered = retry(3, token, token, outcome -> outcome.equals("errored"));
+        check(token, recovered.equals("errored"), "once the owner is back: " + recovered);
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
-    private void killedBehindItsAnswer() throws Exception {
-        String token = token("answered");
-        String first = until(1, token, token, how -> how.startsWith("succeeded"));
-        need(token, first.startsWith("succeeded"), "the first: " + first);
-        stage.box(1).kill();
+    private void ownerKilledAfterAnswer() throws Exception {
+        String token = beginStep("answered");
+        String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
+        check(token, first.startsWith("succeeded"), "the first: " + first);
+        runner.box(1).kill();
         for (int slot : new int[] {2, 3}) {
-            same(token, first, slot);
+            checkSameResult(token, first, slot);
         }
         restart(1);
-        same(token, first, 1);
-        need(token, runs(token) == 1, "runs: " + runs(token));
+        checkSameResult(token, first, 1);
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
     /**
-     * Killed in the moment in which its run ends: whatever it had told of that, all repeats are
-     * answered alike.
+     * Kills the owner as its run completes. Whatever it had sent about that, all repeats must get
+     * the same answer.
      */
-    private void killedAsItEnds() throws Exception {
-        String token = token("ends");
-        begunAt(1, token);
-        end.run();
-        stage.box(1).kill();
-        String second = until(2, token, token, how -> !how.equals("throttled"));
+    private void ownerKilledAsRunCompletes() throws Exception {
+        String token = beginStep("ends");
+        startRunAt(1, token);
+        completion.run();
+        runner.box(1).kill();
+        String afterKill = retry(2, token, token, outcome -> !outcome.equals("throttled"));
         restart(1);
         for (int slot : new int[] {1, 2, 3}) {
-            String how = until(slot, token, token, each -> !each.equals("throttled"));
-            need(
+            String repeat = retry(slot, token, token, outcome -> !outcome.equals("throttled"));
+            check(
                     token,
-                    how.equals(second) || !second.startsWith("succeeded"),
-                    "the repeat at " + slot + ": " + how + ", and before " + second);
+                    repeat.equals(afterKill) || !afterKill.startsWith("succeeded"),
+                    "the repeat at " + slot + ": " + repeat + ", and before " + afterKill);
         }
-        need(token, runs(token) == 1, "runs: " + runs(token));
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
-    private void pausedAsItRuns() throws Exception {
-        String token = token("paused");
-        BlockingQueue<String> first = begunAt(1, token);
-        stage.box(1).pause();
-        String meanwhile = answer(ask(2, token, token));
-        need(token, meanwhile.equals("errored"), "the repeat meanwhile: " + meanwhile);
-        end.run();
-        stage.box(1).resume();
-        String late = answer(first);
-        need(
+    private void ownerPausedDuringRun() throws Exception {
+        String token = beginStep("paused");
+        BlockingQueue<String> ownerAnswer = startRunAt(1, token);
+        runner.box(1).pause();
+        String duringPause = awaitOutcome(sendRequest(2, token, token));
+        check(token, duringPause.equals("errored"), "the repeat meanwhile: " + duringPause);
+        completion.run();
+        runner.box(1).resume();
+        String ownerOutcome = awaitOutcome(ownerAnswer);
+        check(
                 token,
-                !late.equals("throttled"),
-                "the owner's own answer: " + late); // in time or not: it ran
-        String second = until(3, token, token, how -> how.startsWith("succeeded"));
-        need(token, second.startsWith("succeeded"), "once it was let go: " + second);
-        need(token, runs(token) == 1, "runs: " + runs(token));
+                !ownerOutcome.equals("throttled"),
+                "the owner's own answer: " + ownerOutcome); // late or not, the request was run
+        String afterResume = retry(3, token, token, outcome -> outcome.startsWith("succeeded"));
+        check(token, afterResume.startsWith("succeeded"), "once it was let go: " + afterResume);
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
-    private void twoAtOnce(boolean otherBody) throws Exception {
-        String token = token(otherBody ? "two bodies at once" : "two at once");
-        BlockingQueue<String> one = ask(2, token, token);
-        BlockingQueue<String> two = ask(3, token, otherBody ? "other" : token);
-        String first = answer(one);
-        String second = answer(two);
-        if (otherBody) {
-            need(
+    private void concurrentRequests(boolean differentBodies) throws Exception {
+        String token = beginStep(differentBodies ? "two bodies at once" : "two at once");
+        BlockingQueue<String> firstAnswer = sendRequest(2, token, token);
+        BlockingQueue<String> secondAnswer =
+                sendRequest(3, token, differentBodies ? "other" : token);
+        String first = awaitOutcome(firstAnswer);
+        String second = awaitOutcome(secondAnswer);
+        if (differentBodies) {
+            check(
                     token,
                     !(first.startsWith("succeeded") && second.startsWith("succeeded")),
                     "two bodies: " + first + ", " + second);
         } else {
-            String last = until(1, token, token, how -> how.startsWith("succeeded"));
-            for (String each : new String[] {first, second}) {
-                need(
+            String later = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
+            for (String outcome : new String[] {first, second}) {
+                check(
                         token,
-                        !each.startsWith("succeeded") || each.equals(last),
-                        "two at once: " + each + ", then " + last);
+                        !outcome.startsWith("succeeded") || outcome.equals(later),
+                        "two at once: " + outcome + ", then " + later);
             }
-            need(token, runs(token) == 1, "runs: " + runs(token));
+            check(token, runCount(token) == 1, "runs: " + runCount(token));
         }
     }
 
-    /** A result that goes by pieces, at all servers, and behind the owner's end. */
+    /** All servers replay a result that is sent in fragments, also after the owner was killed. */
     private void longResult() throws Exception {
-        String token = token("long result");
-        stage.box(1).longer = 60_000;
-        String first = until(1, token, token, how -> how.startsWith("succeeded"));
-        stage.box(1).longer = 0;
-        need(
+        String token = beginStep("long result");
+        runner.box(1).longer = 60_000;
+        String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
+        runner.box(1).longer = 0;
+        check(
                 token,
                 first.startsWith("succeeded") && first.length() > 60_000,
                 "the first: " + first.length() + " characters");
-        same(token, first, 2);
-        stage.box(1).kill();
-        same(token, first, 3);
+        checkSameResult(token, first, 2);
+        runner.box(1).kill();
+        checkSameResult(token, first, 3);
         restart(1);
-        need(token, runs(token) == 1, "runs: " + runs(token));
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
     /**
-     * What is past its window when a cut heals is not brought back to life by the side that heard
-     * of it last.
+     * When a partition heals, a token whose window has expired must not be restored by the side
+     * that received its last update.
      */
-    private void windowEndsInACut() throws Exception {
-        String token = token("window ends in a cut");
-        String first = until(1, token, token, how -> how.startsWith("succeeded"));
+    private void windowExpiresDuringPartition() throws Exception {
+        String token = beginStep("window ends in a cut");
+        String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         for (int slot : new int[] {1, 2, 3}) {
-            need(token, keeps(slot, token, true), "not kept at " + slot);
+            check(token, awaitHolds(slot, token, true), "not kept at " + slot);
         }
-        stage.cut(Set.of(3));
+        runner.cut(Set.of(3));
         for (int slot : new int[] {1, 2, 3}) {
-            need(token, keeps(slot, token, false), "kept past its window at " + slot);
+            check(token, awaitHolds(slot, token, false), "kept past its window at " + slot);
         }
-        stage.cut(Set.of());
-        stage.compared();
+        runner.cut(Set.of());
+        runner.compared();
         for (int slot : new int[] {1, 2, 3}) {
-            need(token, !keeps(slot, token), "back to life at " + slot);
+            check(token, !holds(slot, token), "back to life at " + slot);
         }
-        need(token, runs(token) == 1, "runs: " + runs(token));
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
-    /** Within a bounded time: whether a server keeps something of the token, or no longer does. */
-    private boolean keeps(int slot, String token, boolean wanted) throws Exception {
-        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L;
-                System.nanoTime() < until;
-                Thread.sleep(AGAIN_MS)) {
-            if (keeps(slot, token) == wanted) {
+    /** Waits until a server has state of the token, or has none; false after the timeout. */
+    private boolean awaitHolds(int slot, String token, boolean expected) throws Exception {
+        for (long deadlineNanos = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
+                System.nanoTime() < deadlineNanos;
+                Thread.sleep(RETRY_MS)) {
+            if (holds(slot, token) == expected) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean keeps(int slot, String token) {
-        JsonNode told = stage.door(stage.box(slot), "copies-show", token);
-        if (told == null) {
-            broken.add(token + ": server " + slot + " did not tell what it keeps");
+    private boolean holds(int slot, String token) {
+        JsonNode response = runner.door(runner.box(slot), "copies-show", token);
+        if (response == null) {
+            violations.add(token + ": server " + slot + " did not tell what it keeps");
         }
-        return told != null && told.path("claims").size() + told.path("ends").size() > 0;
+        return response != null
+                && response.path("claims").size() + response.path("ends").size() > 0;
     }
 
     /**
-     * One server is to claim no more, and others still do: tokens of the fleet stay the fleet's
-     * there, and nothing runs unclaimed.
+     * One server is restarted in claim mode {@code server}, the others stay in mode {@code fleet}.
+     * It must respect tokens that the fleet knows and run nothing without a claim.
      */
-    private void serverMode() throws Exception {
-        String before = token("server mode, a token of the fleet");
-        String first = until(1, before, before, how -> how.startsWith("succeeded"));
-        String open = token("server mode, a run under way");
-        begunAt(1, open);
-        Runnable ends = end;
-        stage.box(3).kill();
-        stage.box(3).mode = "server";
+    private void serverClaimMode() throws Exception {
+        String oldToken = beginStep("server mode, a token of the fleet");
+        String first = retry(1, oldToken, oldToken, outcome -> outcome.startsWith("succeeded"));
+        String openToken = beginStep("server mode, a run under way");
+        startRunAt(1, openToken);
+        Runnable runCompletion = completion;
+        runner.box(3).kill();
+        runner.box(3).mode = "server";
         restart(3);
-        same(before, first, 3);
-        String how = answer(ask(3, open, open));
-        need(open, how.equals("errored"), "the repeat at the server that claims no more: " + how);
-        ends.run();
-        until(3, open, open, each -> each.startsWith("succeeded"));
-        need(open, runs(open) == 1, "runs: " + runs(open));
-        need(before, runs(before) == 1, "runs: " + runs(before));
-        String own = token("server mode, a new token");
-        String here = until(3, own, own, each -> each.startsWith("succeeded"));
-        same(own, here, 3);
-        same(own, here, 1);
-        need(own, runs(own) == 1, "runs: " + runs(own));
-        String unsure = token("server mode, keepers that do not answer");
-        stage.cut(Set.of(3));
-        String apart = answer(ask(3, unsure, unsure));
-        need(
-                unsure,
-                apart.equals("throttled") && runs(unsure) == 0,
-                "cut off from the keepers: " + apart);
-        stage.cut(Set.of());
-        stage.box(3).kill();
-        stage.box(3).mode = "fleet";
+        checkSameResult(oldToken, first, 3);
+        String repeat = awaitOutcome(sendRequest(3, openToken, openToken));
+        check(
+                openToken,
+                repeat.equals("errored"),
+                "the repeat at the server that claims no more: " + repeat);
+        runCompletion.run();
+        retry(3, openToken, openToken, outcome -> outcome.startsWith("succeeded"));
+        check(openToken, runCount(openToken) == 1, "runs: " + runCount(openToken));
+        check(oldToken, runCount(oldToken) == 1, "runs: " + runCount(oldToken));
+        String newToken = beginStep("server mode, a new token");
+        String newResult = retry(3, newToken, newToken, outcome -> outcome.startsWith("succeeded"));
+        checkSameResult(newToken, newResult, 3);
+        checkSameResult(newToken, newResult, 1);
+        check(newToken, runCount(newToken) == 1, "runs: " + runCount(newToken));
+        String cutToken = beginStep("server mode, keepers that do not answer");
+        runner.cut(Set.of(3));
+        String duringCut = awaitOutcome(sendRequest(3, cutToken, cutToken));
+        check(
+                cutToken,
+                duringCut.equals("throttled") && runCount(cutToken) == 0,
+                "cut off from the keepers: " + duringCut);
+        runner.cut(Set.of());
+        runner.box(3).kill();
+        runner.box(3).mode = "fleet";
         restart(3);
-        until(3, token("server mode, over"), "over", each -> each.startsWith("succeeded"));
+        retry(3, beginStep("server mode, over"), "over", result -> result.startsWith("succeeded"));
     }
 
     /**
-     * A keeper's disk is full: the other two are a majority, and what the full one has said before
-     * is true behind it.
+     * A replica's disk fills up. The other two are a majority, and what the replica acknowledged
+     * before stays valid.
      */
-    private void diskFillsAsItRuns() throws Exception {
-        String token = token("a keeper's disk is full");
-        begunAt(1, token);
-        Runnable ends = end;
-        stage.box(2).diskIs("full");
-        ends.run();
-        String second = until(3, token, token, how -> how.startsWith("succeeded"));
-        need(token, second.startsWith("succeeded"), "while it is full: " + second);
-        stage.box(2).diskIs("stall");
-        same(token, second, 3);
-        stage.box(2).diskIs(null);
-        same(token, second, 2);
-        need(token, runs(token) == 1, "runs: " + runs(token));
+    private void replicaDiskFillsDuringRun() throws Exception {
+        String token = beginStep("a keeper's disk is full");
+        startRunAt(1, token);
+        Runnable runCompletion = completion;
+        runner.box(2).diskIs("full");
+        runCompletion.run();
+        String whileFull = retry(3, token, token, outcome -> outcome.startsWith("succeeded"));
+        check(token, whileFull.startsWith("succeeded"), "while it is full: " + whileFull);
+        runner.box(2).diskIs("stall");
+        checkSameResult(token, whileFull, 3);
+        runner.box(2).diskIs(null);
+        checkSameResult(token, whileFull, 2);
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
-    private void allKilledBehindTheAnswer() throws Exception {
-        String token = token("all killed");
-        String first = until(1, token, token, how -> how.startsWith("succeeded"));
-        need(token, first.startsWith("succeeded"), "the first: " + first);
+    private void allServersKilledAfterAnswer() throws Exception {
+        String token = beginStep("all killed");
+        String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
+        check(token, first.startsWith("succeeded"), "the first: " + first);
         for (int slot : new int[] {1, 2, 3}) {
-            stage.box(slot).kill();
+            runner.box(slot).kill();
         }
         for (int slot : new int[] {1, 2, 3}) {
-            stage.again(slot);
+            runner.again(slot);
         }
         for (int slot : new int[] {1, 2, 3}) {
-            stage.box(slot).awaitPart();
+            runner.box(slot).awaitPart();
         }
         for (int slot : new int[] {3, 2, 1}) {
-            same(token, first, slot);
+            checkSameResult(token, first, slot);
         }
-        need(token, runs(token) == 1, "runs: " + runs(token));
+        check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
-    // ---- what they are made of
+    // ---- helpers
 
-    private String token(String name) {
+    private String beginStep(String name) {
         progress.accept("step: " + name);
-        return String.format(Locale.ROOT, "%032x", numbers.incrementAndGet() * 0x9E3779B97F4AL);
+        return String.format(Locale.ROOT, "%032x", counter.incrementAndGet() * 0x9E3779B97F4AL);
     }
 
-    private void need(String token, boolean good, String what) {
-        if (!good) {
-            broken.add(token + ": " + what);
+    private void check(String token, boolean holds, String message) {
+        if (!holds) {
+            violations.add(token + ": " + message);
         }
     }
 
-    private void ran(String token) {
-        runs.merge(token, 1, Integer::sum);
+    private void recordRun(String token) {
+        runCounts.merge(token, 1, Integer::sum);
     }
 
-    private int runs(String token) {
-        return runs.getOrDefault(token, 0);
+    private int runCount(String token) {
+        return runCounts.getOrDefault(token, 0);
     }
 
-    /** Asks one whose run is begun and does not end. */
-    private BlockingQueue<String> begunAt(int slot, String token) throws Exception {
-        held.clear();
-        stage.box(slot).ends = held::add;
-        BlockingQueue<String> answer = ask(slot, token, token);
-        // A server that has just come back may throttle the first: nothing was begun then, and it
-        // is asked again.
-        for (int i = 0; i < WITHIN_S && (end = held.poll(1, TimeUnit.SECONDS)) == null; i++) {
+    /** Sends a request whose run begins but completes only when {@link #completion} is run. */
+    private BlockingQueue<String> startRunAt(int slot, String token) throws Exception {
+        pendingCompletions.clear();
+        runner.box(slot).ends = pendingCompletions::add;
+        BlockingQueue<String> answer = sendRequest(slot, token, token);
+        // A server that was just restarted may throttle the first request; it began no run then,
+        // and the request is sent again.
+        for (int i = 0;
+                i < TIMEOUT_S
+                        && (completion = pendingCompletions.poll(1, TimeUnit.SECONDS)) == null;
+                i++) {
             if (!answer.isEmpty()) {
-                answer = ask(slot, token, token);
+                answer = sendRequest(slot, token, token);
             }
         }
-        stage.box(slot).ends = Runnable::run;
-        if (end == null) {
-            throw new IOException("nothing was begun");
+        runner.box(slot).ends = Runnable::run;
+        if (completion == null) {
+            throw new IOException("server " + slot + " began no run of token " + token);
         }
         return answer;
     }
 
     private void restart(int slot) throws Exception {
-        stage.again(slot);
-        if (!stage.box(slot).awaitPart()) {
-            throw new IOException("server " + slot + " did not start");
+        runner.again(slot);
+        if (!runner.box(slot).awaitPart()) {
+            throw new IOException("server " + slot + " was not ready in time");
         }
     }
 
-    private void same(String token, String first, int slot) throws Exception {
-        String how = until(slot, token, token, each -> each.startsWith("succeeded"));
-        need(
+    private void checkSameResult(String token, String first, int slot) throws Exception {
+        String outcome = retry(slot, token, token, candidate -> candidate.startsWith("succeeded"));
+        check(
                 token,
-                how.equals(first),
+                outcome.equals(first),
                 "the repeat at "
                         + slot
                         + ": "
-                        + (how.length() > 200 ? how.length() + " characters" : how));
+                        + (outcome.length() > 200 ? outcome.length() + " characters" : outcome));
     }
 
-    /** Asks again and again until an answer is as it has to become. */
-    private String until(int slot, String token, String body, Predicate<String> enough)
+    /** Repeats a request until its outcome is accepted; returns the last one on a timeout. */
+    private String retry(int slot, String token, String body, Predicate<String> accepted)
             throws Exception {
-        String how = "nothing";
-        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L;
-                System.nanoTime() < until; ) {
+        String outcome = "nothing";
+        for (long deadlineNanos = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
+                System.nanoTime() < deadlineNanos; ) {
             try {
-                how = answer(ask(slot, token, body));
-                if (enough.test(how)) {
-                    return how;
+                outcome = awaitOutcome(sendRequest(slot, token, body));
+                if (accepted.test(outcome)) {
+                    return outcome;
                 }
             } catch (IOException e) {
-                how = "no connection";
+                outcome = "no connection";
             }
-            Thread.sleep(AGAIN_MS);
+            Thread.sleep(RETRY_MS);
         }
-        return how;
+        return outcome;
     }
 
-    private static String answer(BlockingQueue<String> from) throws InterruptedException {
-        String how = from.poll(WITHIN_S, TimeUnit.SECONDS);
-        return how == null ? "none" : how;
+    private static String awaitOutcome(BlockingQueue<String> answer) throws InterruptedException {
+        String outcome = answer.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        return outcome == null ? "none" : outcome;
     }
 
-    private BlockingQueue<String> ask(int slot, String token, String body) throws IOException {
+    private BlockingQueue<String> sendRequest(int slot, String token, String body)
+            throws IOException {
         BlockingQueue<String> answer = new LinkedBlockingQueue<>();
-        int number = numbers.incrementAndGet();
+        int number = counter.incrementAndGet();
         FakeConnection wire =
                 new FakeConnection(
-                        new Socket(InetAddress.getLoopbackAddress(), stage.box(slot).serves));
+                        new Socket(InetAddress.getLoopbackAddress(), runner.box(slot).serves));
         wire.send(
                 GatewayMessages.message(
                         number,
@@ -490,6 +497,6 @@
 
     @Override
     public void close() throws IOException {
-        stage.close();
+        runner.close();
     }
 }
