--- a/drill/src/main/java/ochretiller/drill/FailoverScenario.java
+++ b/drill/src/main/java/ochretiller/drill/FailoverScenario.java
@@ -461,10 +461,10 @@
             throws IOException {
         BlockingQueue<String> answer = new LinkedBlockingQueue<>();
         int number = counter.incrementAndGet();
-        FakeConnection wire =
+        FakeConnection connection =
                 new FakeConnection(
                         new Socket(InetAddress.getLoopbackAddress(), runner.box(slot).serves));
-        wire.send(
+        connection.send(
                 GatewayMessages.message(
                         number,
                         "order",
@@ -472,16 +472,17 @@
         Thread reader =
                 new Thread(
                         () -> {
-                            try (wire) {
-                                String line = wire.line();
-                                int at = line == null ? -1 : line.indexOf("\"data\":\"");
+                            try (connection) {
+                                String line = connection.line();
+                                int dataAt = line == null ? -1 : line.indexOf("\"data\":\"");
                                 if (line == null) {
                                     answer.add("broken");
                                 } else if (line.contains("\"result\"")) {
                                     answer.add(
                                             "succeeded "
                                                     + line.substring(
-                                                            at + 8, line.indexOf('"', at + 8)));
+                                                            dataAt + 8,
+                                                            line.indexOf('"', dataAt + 8)));
                                 } else {
                                     answer.add(line.contains("-32014") ? "throttled" : "errored");
                                 }
--- a/drill/src/main/java/ochretiller/drill/LoadGenerator.java
+++ b/drill/src/main/java/ochretiller/drill/LoadGenerator.java
@@ -157,7 +157,7 @@
 
     /** A connection and its open requests, as slots by request number. */
     private final class Connection {
-        private final FakeConnection wire;
+        private final FakeConnection transport;
         private final Map<Long, Integer> openRequests = new ConcurrentHashMap<>();
         private volatile boolean disconnected;
         private volatile boolean retired;
@@ -165,7 +165,7 @@
 
         Connection(int port) throws IOException {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            wire = new FakeConnection(socket);
+            transport = new FakeConnection(socket);
             allConnections.add(this);
             DaemonThreads.start(this::readAnswers);
         }
@@ -176,7 +176,7 @@
             openRequests.put(number, slot);
             history.add(History.What.ASKED, slot, id, body);
             try {
-                wire.send(
+                transport.send(
                         GatewayMessages.message(
                                 number,
                                 token == null ? "read" : "order",
@@ -200,7 +200,7 @@
 
         private void readAnswers() {
             try {
-                for (String line = wire.line(); line != null; line = wire.line()) {
+                for (String line = transport.line(); line != null; line = transport.line()) {
                     int idAt = line.indexOf("\"id\":");
                     if (idAt < 0) {
                         continue;
@@ -228,7 +228,7 @@
             }
             allConnections.remove(this);
             try {
-                wire.close();
+                transport.close();
             } catch (IOException e) {
                 // already closed
             }
@@ -243,7 +243,7 @@
         void close() {
             closed = true;
             try {
-                wire.close();
+                transport.close();
             } catch (IOException e) {
                 // already closed
             }
--- a/drill/src/main/java/ochretiller/drill/RolloutScenario.java
+++ b/drill/src/main/java/ochretiller/drill/RolloutScenario.java
@@ -34,33 +34,33 @@
 import ochretiller.fakes.GatewayMessages;
 
 /**
- * Versions that are brought out to servers whose pools have stand-ins for workers, while callers
- * read: one after the other, with a fault at a step of each, put on by what is seen of that step.
- * Each case says what has to come out.
+ * Rolls out configuration versions, one at a time, to servers with a fake worker while clients send
+ * requests. A fault is injected at some step of each rollout, which is detected rather than timed,
+ * and each case checks the outcomes that it expects.
  */
 final class RolloutScenario implements AutoCloseable {
-    private static final int SERVERS = 4;
-    private static final long WITHIN_S = 60;
-    private static final long LOOK_MS = 50;
+    private static final int SERVER_COUNT = 4;
+    private static final long TIMEOUT_S = 60;
+    private static final long POLL_MS = 50;
 
-    /** Reads a second at each server meanwhile. */
-    private static final int READS = 40;
+    /** Upper limit of the request rate at each server. */
+    private static final int REQUESTS_PER_SECOND = 40;
 
-    /** Every so many is a keyed order. */
-    private static final int ORDERS = 8;
+    /** One in this many requests is a keyed order; the others are reads. */
+    private static final int ORDER_INTERVAL = 8;
 
-    /** A run in the last moments of a process that was killed may not have come to its disk. */
-    private static final int LOST = 12;
+    /** The last runs of a killed process may not have reached its audit log on disk. */
+    private static final int MAX_MISSING_RUNS = 12;
 
-    private final ScenarioRunner stage;
+    private final ScenarioRunner runner;
     private final Consumer<String> progress;
     private final FakeWorker worker;
-    private final List<String> broken = new ArrayList<>();
-    private final Map<String, Integer> runs = new ConcurrentHashMap<>();
-    private final AtomicInteger numbers = new AtomicInteger();
-    private final AtomicLong reads = new AtomicLong();
-    private final AtomicLong good = new AtomicLong();
-    private volatile boolean over;
+    private final List<String> violations = new ArrayList<>();
+    private final Map<String, Integer> runCounts = new ConcurrentHashMap<>();
+    private final AtomicInteger counter = new AtomicInteger();
+    private final AtomicLong readCount = new AtomicLong();
+    private final AtomicLong succeededReads = new AtomicLong();
+    private volatile boolean stopped;
 
     RolloutScenario(Path folder, Consumer<String> progress) throws IOException {
         this.progress = progress;
@@ -68,17 +68,17 @@
         FleetScenario script =
                 FleetScenarioReader.of(
                         "{ name: 'versions', seconds: 1000, members: "
-                                + SERVERS
+                                + SERVER_COUNT
                                 + ", zones: 2, seeds: "
-                                + SERVERS
+                                + SERVER_COUNT
                                 + ", copies: true, store: true }",
                         "versions");
-        stage =
+        runner =
                 new ScenarioRunner(script, 1, folder, true, true, progress)
-                        .versions(pools(worker.port(), 50) + ",");
+                        .versions(poolSettings(worker.port(), 50) + ",");
     }
 
-    private static String pools(int port, int inFlight) {
+    private static String poolSettings(int port, int inFlight) {
         return "pools: { lookups: { workers: ['127.0.0.1:"
                 + port
                 + "'], most_in_flight: "
@@ -86,65 +86,66 @@
                 + ", runs: [ { operation: 'read', path: '/read' } ] } }";
     }
 
-    /** Plays all of it; what was broken, a line each. */
+    /** Runs all cases and returns the violations, one line each. */
     List<String> play() throws Exception {
-        stage.raise((slot, body) -> runs.merge(body, 1, Integer::sum));
-        for (int slot = 1; slot <= SERVERS; slot++) {
-            callers(slot);
+        runner.raise((slot, body) -> runCounts.merge(body, 1, Integer::sum));
+        for (int slot = 1; slot <= SERVER_COUNT; slot++) {
+            startRequests(slot);
         }
-        allComeToActOnIt();
-        refusedOnTheSpot();
-        pausedThroughOne();
-        itsPublisherIsKilled();
-        harmIsTakenBack();
-        over = true;
-        audits();
-        return broken;
+        versionReachesAllServers();
+        invalidVersionsAreRefused();
+        pausedServerCatchesUp();
+        publisherIsKilled();
+        harmfulVersionIsRolledBack();
+        stopped = true;
+        auditLogsMatchRuns();
+        return violations;
     }
 
-    /** Reads at one server all the time; what is answered well is counted. */
-    private void callers(int slot) {
+    /** Sends requests to one server until the last case is over; counts successful reads. */
+    private void startRequests(int slot) {
         DaemonThreads.start(
                 () -> {
-                    while (!over) {
-                        Thread.sleep(1000 / READS);
-                        ServerProcess box = stage.box(slot);
-                        if (!box.up || box.paused) {
+                    while (!stopped) {
+                        Thread.sleep(1000 / REQUESTS_PER_SECOND);
+                        ServerProcess server = runner.box(slot);
+                        if (!server.up || server.paused) {
                             continue;
                         }
-                        try (FakeConnection wire =
+                        try (FakeConnection connection =
                                 new FakeConnection(
-                                        new Socket(InetAddress.getLoopbackAddress(), box.serves))) {
-                            while (!over && box.up && !box.paused) {
-                                int number = numbers.incrementAndGet();
-                                boolean order = number % ORDERS == 0;
+                                        new Socket(
+                                                InetAddress.getLoopbackAddress(), server.serves))) {
+                            while (!stopped && server.up && !server.paused) {
+                                int number = counter.incrementAndGet();
+                                boolean keyed = number % ORDER_INTERVAL == 0;
                                 String token =
-                                        order
+                                        keyed
                                                 ? String.format(
                                                         Locale.ROOT, "%032x", 5_000_000 + number)
                                                 : null;
-                                wire.send(
+                                connection.send(
                                         GatewayMessages.message(
                                                 number,
-                                                order ? "order" : "read",
+                                                keyed ? "order" : "read",
                                                 GatewayMessages.params(
                                                         String.format("%016x", number),
                                                         token,
-                                                        order ? token : "r" + number)));
-                                String line = wire.line();
+                                                        keyed ? token : "r" + number)));
+                                String line = connection.line();
                                 if (line == null) {
                                     break;
                                 }
-                                if (!order) {
-                                    reads.incrementAndGet();
+                                if (!keyed) {
+                                    readCount.incrementAndGet();
                                     if (line.contains("\"result\"")) {
-                                        good.incrementAndGet();
+                                        succeededReads.incrementAndGet();
                                     }
                                 }
-                                Thread.sleep(1000 / READS);
+                                Thread.sleep(1000 / REQUESTS_PER_SECOND);
                             }
                         } catch (IOException e) {
-                            // it was killed or paused: another connection once it is back
+                            // the server was killed or paused: reconnects once it is back
                         }
                     }
                 });
@@ -152,278 +153,291 @@
 
     // ---- the cases
 
-    private void allComeToActOnIt() throws Exception {
-        step("a version comes to all");
-        long number = publish(1, pools(worker.port(), 60), "more in flight");
-        need(
-                until(
-                        told ->
-                                told.get("version").asLong() == number
-                                        && told.get("state").asText().equals("DONE")),
+    private void versionReachesAllServers() throws Exception {
+        beginStep("a version comes to all");
+        long version = publish(1, poolSettings(worker.port(), 60), "more in flight");
+        check(
+                awaitStatus(
+                        status ->
+                                status.get("version").asLong() == version
+                                        && status.get("state").asText().equals("DONE")),
                 "it is not in force: " + status(1));
-        need(all(Set.of(1, 2, 3, 4), number), "not all act on " + number);
+        check(allApply(Set.of(1, 2, 3, 4), version), "not all act on " + version);
     }
 
-    private void refusedOnTheSpot() throws Exception {
-        step("one that cannot be acted on is refused on the spot");
-        JsonNode told =
-                stage.door(
-                        stage.box(1),
+    private void invalidVersionsAreRefused() throws Exception {
+        beginStep("one that cannot be acted on is refused on the spot");
+        JsonNode response =
+                runner.door(
+                        runner.box(1),
                         "version-publish",
                         "drill\n"
                             + "wrong\n\n"
                             + "{ pools: { others: { workers: ['127.0.0.1:1'], runs: [ { operation:"
                             + " 'read', path: '/' } ] } } }");
-        need(told.path("refused").asText().contains("lookups"), "another pool: " + told);
-        told = stage.door(stage.box(1), "version-publish", "drill\nwrong\n\nno version at all");
-        need(!told.path("refused").asText().isEmpty(), "no JSON5: " + told);
-        told =
-                stage.door(
-                        stage.box(4),
+        check(response.path("refused").asText().contains("lookups"), "another pool: " + response);
+        response =
+                runner.door(
+                        runner.box(1), "version-publish", "drill\nwrong\n\nno version at all");
+        check(!response.path("refused").asText().isEmpty(), "no JSON5: " + response);
+        response =
+                runner.door(
+                        runner.box(4),
                         "version-publish",
-                        "drill\nnot here\n\n{ " + pools(worker.port(), 61) + " }");
-        need(
-                told.path("refused").asText().contains("no voter"),
-                "at a server that is no voter: " + told);
+                        "drill\nnot here\n\n{ " + poolSettings(worker.port(), 61) + " }");
+        check(
+                response.path("refused").asText().contains("no voter"),
+                "at a server that is no voter: " + response);
     }
 
-    /** A straggler: paused through a version, let go with a keyed request already sent to it. */
-    private void pausedThroughOne() throws Exception {
-        step("paused through a version");
-        stage.box(4).pause();
-        long number = publish(2, pools(worker.port(), 70), "while one sleeps");
-        need(
-                until(
-                        told ->
-                                told.get("version").asLong() == number
-                                        && told.get("state").asText().equals("DONE")),
+    /** Resumes a server after a rollout that it missed, with a keyed request already sent to it. */
+    private void pausedServerCatchesUp() throws Exception {
+        beginStep("paused through a version");
+        runner.box(4).pause();
+        long version = publish(2, poolSettings(worker.port(), 70), "while one sleeps");
+        check(
+                awaitStatus(
+                        status ->
+                                status.get("version").asLong() == version
+                                        && status.get("state").asText().equals("DONE")),
                 "it is not in force without the one that sleeps: " + status(1));
-        String token = String.format(Locale.ROOT, "%032x", 77_000 + number);
-        BlockingQueue<String> early = ask(4, token);
-        stage.box(4).resume();
-        String how = early.poll(WITHIN_S, TimeUnit.SECONDS);
-        need(
-                !"succeeded".equals(how) || acts(4) == number,
-                "it ran keyed work on what it slept through: " + how);
-        need(all(Set.of(4), number), "it is not brought up");
-        need(untilKeyed(4), "it is not let in again");
-        need(runs.getOrDefault(token, 0) <= 1, "runs: " + runs.get(token));
+        String token = String.format(Locale.ROOT, "%032x", 77_000 + version);
+        BlockingQueue<String> answer = sendKeyedRequest(4, token);
+        runner.box(4).resume();
+        String outcome = answer.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        check(
+                !"succeeded".equals(outcome) || appliedVersion(4) == version,
+                "it ran keyed work on what it slept through: " + outcome);
+        check(allApply(Set.of(4), version), "it is not brought up");
+        check(awaitKeyedSuccess(4), "it is not let in again");
+        check(runCounts.getOrDefault(token, 0) <= 1, "runs: " + runCounts.get(token));
     }
 
-    private void itsPublisherIsKilled() throws Exception {
-        step("whoever published it is killed");
-        long number = publish(1, pools(worker.port(), 80), "and then its publisher dies");
-        until(2, told -> told.get("version").asLong() == number);
-        stage.box(1).kill();
-        need(
-                until(
+    private void publisherIsKilled() throws Exception {
+        beginStep("whoever published it is killed");
+        long version = publish(1, poolSettings(worker.port(), 80), "and then its publisher dies");
+        awaitStatus(2, status -> status.get("version").asLong() == version);
+        runner.box(1).kill();
+        check(
+                awaitStatus(
                         2,
-                        told ->
-                                told.get("version").asLong() == number
-                                        && told.get("state").asText().equals("DONE")),
+                        status ->
+                                status.get("version").asLong() == version
+                                        && status.get("state").asText().equals("DONE")),
                 "nobody carried it on: " + status(2));
-        stage.again(1);
-        need(
-                stage.box(1).awaitPart() && all(Set.of(1), number),
+        runner.again(1);
+        check(
+                runner.box(1).awaitPart() && allApply(Set.of(1), version),
                 "its publisher does not act on it once it is back");
     }
 
-    private void harmIsTakenBack() throws Exception {
-        step("a version that does harm");
-        long before = acts(1);
-        String hash = status(1).get("hash").asText();
-        int nobody = ServerProcess.freePort();
-        long readBefore = reads.get();
-        long goodBefore = good.get();
-        long number = publish(1, pools(nobody, 80), "its workers do not exist");
-        need(
-                until(
-                        told ->
-                                told.get("version").asLong() == number + 1
-                                        && told.get("state").asText().equals("DONE")),
+    private void harmfulVersionIsRolledBack() throws Exception {
+        beginStep("a version that does harm");
+        long previousVersion = appliedVersion(1);
+        String previousHash = status(1).get("hash").asText();
+        int unusedPort = ServerProcess.freePort();
+        long readsBefore = readCount.get();
+        long succeededBefore = succeededReads.get();
+        long version = publish(1, poolSettings(unusedPort, 80), "its workers do not exist");
+        check(
+                awaitStatus(
+                        status ->
+                                status.get("version").asLong() == version + 1
+                                        && status.get("state").asText().equals("DONE")),
                 "it is not taken back: " + status(1));
-        need(all(Set.of(1, 2, 3, 4), number + 1), "not all act on what was before");
-        need(
-                status(1).get("hash").asText().equals(hash) && before < number,
+        check(allApply(Set.of(1, 2, 3, 4), version + 1), "not all act on what was before");
+        check(
+                status(1).get("hash").asText().equals(previousHash) && previousVersion < version,
                 "what came back is not what was before");
-        long asked = reads.get() - readBefore;
+        long readsDuring = readCount.get() - readsBefore;
         progress.accept(
                 String.format(
                         Locale.ROOT,
                         "of %d reads meanwhile %d were answered well",
-                        asked,
-                        good.get() - goodBefore));
-        need(good.get() - goodBefore > asked / 2, "most reads were lost meanwhile");
+                        readsDuring,
+                        succeededReads.get() - succeededBefore));
+        check(
+                succeededReads.get() - succeededBefore > readsDuring / 2,
+                "most reads were lost meanwhile");
     }
 
-    /** All audits together tell of each run that the stand-ins saw, and each of them is whole. */
-    private void audits() throws Exception {
-        step("audits held against what was run");
-        for (int slot = 1; slot <= SERVERS; slot++) {
-            stage.box(slot).leave();
+    /** Checks that all audit logs are intact and together have the runs of the fake processors. */
+    private void auditLogsMatchRuns() throws Exception {
+        beginStep("audits held against what was run");
+        for (int slot = 1; slot <= SERVER_COUNT; slot++) {
+            runner.box(slot).leave();
         }
-        Map<String, List<ChainHead>> known = new HashMap<>();
-        Map<String, AuditLog> found = new TreeMap<>();
-        for (int slot = 1; slot <= SERVERS; slot++) {
-            stage.box(slot).awaitEnd();
+        Map<String, List<ChainHead>> witnessedHeads = new HashMap<>();
+        Map<String, AuditLog> auditLogs = new TreeMap<>();
+        for (int slot = 1; slot <= SERVER_COUNT; slot++) {
+            runner.box(slot).awaitEnd();
             FleetTimeline.collectWitnessedHeads(
-                    AuditLogReader.read(stage.box(slot).audit(), List.of()).decodedRecords(),
-                    known);
+                    AuditLogReader.read(runner.box(slot).audit(), List.of()).decodedRecords(),
+                    witnessedHeads);
         }
-        FleetTimeline line = new FleetTimeline();
-        for (int slot = 1; slot <= SERVERS; slot++) {
+        FleetTimeline timeline = new FleetTimeline();
+        for (int slot = 1; slot <= SERVER_COUNT; slot++) {
             String name = "m" + slot;
-            AuditLog each =
+            AuditLog log =
                     AuditLogReader.read(
-                            stage.box(slot).audit(), known.getOrDefault(name, List.of()));
-            found.put(name, each);
-            line.addServer(name, each.decodedRecords());
-            need(each.faults().isEmpty(), "the audit of " + name + ": " + each.faults());
-            need(
-                    !known.getOrDefault(name, List.of()).isEmpty(),
+                            runner.box(slot).audit(), witnessedHeads.getOrDefault(name, List.of()));
+            auditLogs.put(name, log);
+            timeline.addServer(name, log.decodedRecords());
+            check(log.faults().isEmpty(), "the audit of " + name + ": " + log.faults());
+            check(
+                    !witnessedHeads.getOrDefault(name, List.of()).isEmpty(),
                     "nobody knows where the audit of " + name + " ends");
         }
         int missing = 0;
-        for (Map.Entry<String, Integer> each : runs.entrySet()) {
-            int told = line.runsOfToken(each.getKey()).size();
-            if (told > each.getValue()) {
-                broken.add("the audits tell of more runs than there were of " + each.getKey());
+        for (Map.Entry<String, Integer> run : runCounts.entrySet()) {
+            int auditedRuns = timeline.runsOfToken(run.getKey()).size();
+            if (auditedRuns > run.getValue()) {
+                violations.add("the audits tell of more runs than there were of " + run.getKey());
             }
-            if (told < each.getValue()) {
+            if (auditedRuns < run.getValue()) {
                 missing++;
             }
         }
-        need(missing <= LOST, missing + " of " + runs.size() + " runs are in no audit");
-        need(runs.size() > 50, "too few runs to tell anything: " + runs.size());
-        long from =
-                found.values().stream()
-                        .flatMap(each -> each.decodedRecords().stream())
+        check(
+                missing <= MAX_MISSING_RUNS,
+                missing + " of " + runCounts.size() + " runs are in no audit");
+        check(runCounts.size() > 50, "too few runs to tell anything: " + runCounts.size());
+        long startMillis =
+                auditLogs.values().stream()
+                        .flatMap(log -> log.decodedRecords().stream())
                         .mapToLong(AuditRecord::startMillis)
                         .min()
                         .orElse(0);
-        long until =
-                found.values().stream()
-                        .flatMap(each -> each.decodedRecords().stream())
+        long endMillis =
+                auditLogs.values().stream()
+                        .flatMap(log -> log.decodedRecords().stream())
                         .mapToLong(AuditRecord::endMillis)
                         .max()
                         .orElse(0);
-        need(
-                line.stragglerMillis(from, until).getOrDefault("m4", 0L) > 0,
+        check(
+                timeline.stragglerMillis(startMillis, endMillis).getOrDefault("m4", 0L) > 0,
                 "it is not told that m4 was behind");
-        need(
-                line.intervals(from, until).stream()
+        check(
+                timeline.intervals(startMillis, endMillis).stream()
                         .anyMatch(
-                                each ->
-                                        each.server().equals("m1")
-                                                && each.status() == VersionStatus.UNKNOWN),
+                                interval ->
+                                        interval.server().equals("m1")
+                                                && interval.status() == VersionStatus.UNKNOWN),
                 "it is not told that m1 was away");
         progress.accept(
-                runs.size()
+                runCounts.size()
                         + " runs, "
                         + missing
                         + " of them in no audit; "
-                        + found.values().stream().mapToInt(each -> each.records().size()).sum()
+                        + auditLogs.values().stream().mapToInt(log -> log.records().size()).sum()
                         + " records");
     }
 
-    // ---- what they are made of
+    // ---- helpers
 
-    private void step(String name) {
+    private void beginStep(String name) {
         progress.accept("step: " + name);
     }
 
-    private void need(boolean as, String what) {
-        if (!as) {
-            broken.add(what);
+    private void check(boolean holds, String message) {
+        if (!holds) {
+            violations.add(message);
         }
     }
 
-    private long publish(int slot, String version, String why) throws Exception {
-        JsonNode told = null;
-        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L;
-                System.nanoTime() < until;
-                Thread.sleep(LOOK_MS)) {
-            told =
-                    stage.door(
-                            stage.box(slot),
+    private long publish(int slot, String settings, String why) throws Exception {
+        JsonNode response = null;
+        for (long deadlineNanos = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
+                System.nanoTime() < deadlineNanos;
+                Thread.sleep(POLL_MS)) {
+            response =
+                    runner.door(
+                            runner.box(slot),
                             "version-publish",
-                            "drill\n" + why + "\n\n{ " + version + " }");
-            if (told != null && told.has("published")) {
-                return told.get("published").asLong();
+                            "drill\n" + why + "\n\n{ " + settings + " }");
+            if (response != null && response.has("published")) {
+                return response.get("published").asLong();
             }
         }
-        throw new IOException("it cannot be published: " + told);
+        throw new IOException(
+                "server "
+                        + slot
+                        + " published no version within "
+                        + TIMEOUT_S
+                        + " s; last response: "
+                        + response);
     }
 
     private JsonNode status(int slot) {
-        return stage.door(stage.box(slot), "version-status");
+        return runner.door(runner.box(slot), "version-status");
     }
 
-    private long acts(int slot) {
-        JsonNode told = status(slot);
-        return told == null ? -1 : told.get("acts").asLong();
+    private long appliedVersion(int slot) {
+        JsonNode status = status(slot);
+        return status == null ? -1 : status.get("acts").asLong();
     }
 
-    private boolean until(Predicate<JsonNode> enough) throws InterruptedException {
-        return until(1, enough);
+    private boolean awaitStatus(Predicate<JsonNode> condition) throws InterruptedException {
+        return awaitStatus(1, condition);
     }
 
-    private boolean until(int slot, Predicate<JsonNode> enough) throws InterruptedException {
-        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L;
-                System.nanoTime() < until;
-                Thread.sleep(LOOK_MS)) {
-            JsonNode told = status(slot);
-            if (told != null && enough.test(told)) {
+    private boolean awaitStatus(int slot, Predicate<JsonNode> condition)
+            throws InterruptedException {
+        for (long deadlineNanos = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
+                System.nanoTime() < deadlineNanos;
+                Thread.sleep(POLL_MS)) {
+            JsonNode status = status(slot);
+            if (status != null && condition.test(status)) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean all(Set<Integer> slots, long number) throws InterruptedException {
+    private boolean allApply(Set<Integer> slots, long version) throws InterruptedException {
         for (int slot : slots) {
-            if (!until(slot, told -> told.get("acts").asLong() == number)) {
+            if (!awaitStatus(slot, status -> status.get("acts").asLong() == version)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether a server comes to run keyed work. */
-    private boolean untilKeyed(int slot) throws Exception {
-        for (long until = System.nanoTime() + WITHIN_S * 1_000_000_000L;
-                System.nanoTime() < until;
-                Thread.sleep(LOOK_MS)) {
-            String how =
-                    ask(
+    /** Repeats keyed requests until one succeeds at the server; false after the timeout. */
+    private boolean awaitKeyedSuccess(int slot) throws Exception {
+        for (long deadlineNanos = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
+                System.nanoTime() < deadlineNanos;
+                Thread.sleep(POLL_MS)) {
+            String outcome =
+                    sendKeyedRequest(
                                     slot,
                                     String.format(
                                             Locale.ROOT,
                                             "%032x",
-                                            1_000_000 + numbers.incrementAndGet()))
-                            .poll(WITHIN_S, TimeUnit.SECONDS);
-            if ("succeeded".equals(how)) {
+                                            1_000_000 + counter.incrementAndGet()))
+                            .poll(TIMEOUT_S, TimeUnit.SECONDS);
+            if ("succeeded".equals(outcome)) {
                 return true;
             }
         }
         return false;
     }
 
-    private BlockingQueue<String> ask(int slot, String token) throws IOException {
+    private BlockingQueue<String> sendKeyedRequest(int slot, String token) throws IOException {
         BlockingQueue<String> answer = new LinkedBlockingQueue<>();
-        int number = numbers.incrementAndGet();
-        FakeConnection wire =
+        int number = counter.incrementAndGet();
+        FakeConnection connection =
                 new FakeConnection(
-                        new Socket(InetAddress.getLoopbackAddress(), stage.box(slot).serves));
-        wire.send(
+                        new Socket(InetAddress.getLoopbackAddress(), runner.box(slot).serves));
+        connection.send(
                 GatewayMessages.message(
                         number,
                         "order",
                         GatewayMessages.params(String.format("%016x", number), token, token)));
         DaemonThreads.start(
                 () -> {
-                    try (wire) {
-                        String line = wire.line();
+                    try (connection) {
+                        String line = connection.line();
                         answer.add(
                                 line == null
                                         ? "broken"
@@ -439,8 +453,8 @@
 
     @Override
     public void close() throws IOException {
-        over = true;
-        stage.close();
+        stopped = true;
+        runner.close();
         worker.close();
     }
 }
