--- a/drill/src/main/java/ochretiller/drill/ReplicationCost.java
+++ b/drill/src/main/java/ochretiller/drill/ReplicationCost.java
@@ -24,24 +24,26 @@
 import ochretiller.fakes.GatewayMessages;
 
 /**
- * What copies cost: keyed and idempotent invocations at servers that keep copies, on a disk or in
- * memory, and at servers that do not.
+ * Measures the cost of replication: the latency of keyed and idempotent invocations with replicas
+ * on disk, with replicas in memory and without replication.
  */
 final class ReplicationCost {
-    /** Bytes of a sealed claim and of its answer, echoed beside the load for a bare round trip. */
-    private static final int PACKET = 300;
+    /** Size of a sealed claim and of its answer, which the echo measurement sends as well. */
+    private static final int PACKET_BYTES = 300;
 
-    private static final int WARM_S = 3;
+    private static final int WARMUP_S = 3;
 
-    /** What is measured. */
+    /** The setup that is measured. */
     enum Kind {
-        /** Servers for themselves; copies in memory; copies on disk. */
+        /** No replication. */
         NONE,
+        /** Replicas in memory. */
         MEMORY,
+        /** Replicas on disk. */
         DISK,
-        /** On disk, and all that the last server says comes late. */
+        /** On disk, with all packets from the last server delayed. */
         SLOW,
-        /** On disk, with the first server cut off from all others: what its callers get. */
+        /** On disk, the first server cut off from all others; only its clients are measured. */
         MINORITY;
 
         boolean copies() {
@@ -54,36 +56,37 @@
     }
 
     /**
-     * @param callers of each server: half of them send keyed invocations, half idempotent ones
-     * @param pauseMs between two of a caller
-     * @param links whether the drill's links lie between the servers, as they do for faults in any
-     *     case
-     * @param slowMs by how much words of a slow keeper come late
+     * @param callers clients of each server; half of them send keyed invocations, half idempotent
+     *     ones
+     * @param pauseMs pause between two invocations of a client
+     * @param links whether the fault proxy is used even for setups without network faults
+     * @param slowMs delay of packets from the slow replica
      */
     record Asked(
             int members, int callers, int seconds, int pauseMs, boolean links, double slowMs) {}
 
-    private final Asked asked;
+    private final Asked workload;
     private final Consumer<String> progress;
 
-    ReplicationCost(Asked asked, Consumer<String> progress) {
-        this.asked = asked;
+    ReplicationCost(Asked workload, Consumer<String> progress) {
+        this.workload = workload;
         this.progress = progress;
     }
 
-    /** Times of one kind, microseconds. */
-    private static final class Times {
+    /** A thread-safe list of latencies. */
+    private static final class Latencies {
         private final List<Long> micros = new ArrayList<>();
 
         synchronized void add(long nanos) {
             micros.add(nanos / 1000);
         }
 
-        synchronized double ms(double percentile) {
-            long[] all = micros.stream().mapToLong(Long::longValue).sorted().toArray();
-            return all.length == 0
+        synchronized double percentileMs(double percentile) {
+            long[] sorted = micros.stream().mapToLong(Long::longValue).sorted().toArray();
+            return sorted.length == 0
                     ? Double.NaN
-                    : all[(int) Math.min(all.length - 1, all.length * percentile / 100)] / 1e3;
+                    : sorted[(int) Math.min(sorted.length - 1, sorted.length * percentile / 100)]
+                            / 1e3;
         }
 
         synchronized int count() {
@@ -91,15 +94,15 @@
         }
     }
 
-    /** One row: how copies are kept, and what came of the load. */
+    /** Runs the load on one setup and returns its CSV row, with the columns of {@link #HEAD}. */
     String row(Path folder, Kind kind) throws Exception {
-        int members = asked.members;
-        String slow =
+        int members = workload.members;
+        String incidents =
                 kind == Kind.SLOW
                         ? ", incidents: [ { at_s: 0, for_s: 900, what: 'delay', from: '"
                                 + members
                                 + "', strength: "
-                                + asked.slowMs
+                                + workload.slowMs
                                 + " } ]"
                         : "";
         FleetScenario script =
@@ -108,124 +111,128 @@
                                 + members
                                 + ", zones: 3, seeds: 3, copies: true, store: "
                                 + kind.store()
-                                + slow
+                                + incidents
                                 + " }",
                         "cost");
-        Times keyed = new Times();
-        Times throttled = new Times();
-        Times reads = new Times();
-        Times bare = new Times();
-        Times handed = new Times();
-        AtomicLong refused = new AtomicLong();
-        boolean minority = kind == Kind.MINORITY;
-        boolean links = asked.links || minority || kind == Kind.SLOW;
-        try (ScenarioRunner stage =
+        Latencies keyedLatencies = new Latencies();
+        Latencies throttledLatencies = new Latencies();
+        Latencies readLatencies = new Latencies();
+        Latencies echoLatencies = new Latencies();
+        Latencies handoverLatencies = new Latencies();
+        AtomicLong refusedCount = new AtomicLong();
+        boolean isolateFirst = kind == Kind.MINORITY;
+        boolean useProxy = workload.links || isolateFirst || kind == Kind.SLOW;
+        try (ScenarioRunner runner =
                 new ScenarioRunner(script, 1, folder, true, kind.copies(), progress)) {
-            if (!links) {
-                stage.direct();
+            if (!useProxy) {
+                runner.direct();
             }
-            stage.forLoad();
-            stage.raise((slot, body) -> {});
-            if (minority) {
-                stage.cut(Set.of(1));
+            runner.forLoad();
+            runner.raise((slot, body) -> {});
+            if (isolateFirst) {
+                runner.cut(Set.of(1));
             }
-            AtomicInteger numbers = new AtomicInteger();
-            long begins = System.nanoTime() + WARM_S * 1_000_000_000L;
-            long ends = begins + asked.seconds * 1_000_000_000L;
+            AtomicInteger counter = new AtomicInteger();
+            long startNanos = System.nanoTime() + WARMUP_S * 1_000_000_000L;
+            long endNanos = startNanos + workload.seconds * 1_000_000_000L;
             List<Thread> threads = new ArrayList<>();
-            for (int i = 0; i < asked.callers * members; i++) {
+            for (int i = 0; i < workload.callers * members; i++) {
                 int slot = 1 + i % members;
-                boolean isKeyed = i / members % 2 == 0;
-                // What a keeper that is slow costs others is asked for, not what its own callers
-                // wait.
-                if (minority && slot != 1 || kind == Kind.SLOW && slot == members) {
+                boolean keyed = i / members % 2 == 0;
+                // Measures how a slow replica affects other servers, not its own clients.
+                if (isolateFirst && slot != 1 || kind == Kind.SLOW && slot == members) {
                     continue;
                 }
                 threads.add(
-                        thread(
+                        startThread(
                                 () -> {
-                                    try (FakeConnection wire =
+                                    try (FakeConnection connection =
                                             new FakeConnection(
                                                     new Socket(
                                                             InetAddress.getLoopbackAddress(),
-                                                            stage.box(slot).serves))) {
-                                        while (System.nanoTime() < ends) {
-                                            int number = numbers.incrementAndGet();
-                                            long at = System.nanoTime();
-                                            wire.send(
+                                                            runner.box(slot).serves))) {
+                                        while (System.nanoTime() < endNanos) {
+                                            int number = counter.incrementAndGet();
+                                            long sentNanos = System.nanoTime();
+                                            connection.send(
                                                     GatewayMessages.message(
                                                             number,
-                                                            isKeyed ? "order" : "read",
+                                                            keyed ? "order" : "read",
                                                             GatewayMessages.params(
                                                                     String.format("%016x", number),
-                                                                    isKeyed
+                                                                    keyed
                                                                             ? String.format(
                                                                                     "%032x", number)
                                                                             : null,
                                                                     "b" + number)));
-                                            String line = wire.line();
+                                            String line = connection.line();
                                             if (line == null) {
                                                 return;
                                             }
-                                            if (at >= begins) {
+                                            if (sentNanos >= startNanos) {
                                                 if (line.contains("\"result\"")) {
-                                                    (isKeyed ? keyed : reads)
-                                                            .add(System.nanoTime() - at);
-                                                } else if (isKeyed && line.contains("-32014")) {
-                                                    throttled.add(System.nanoTime() - at);
+                                                    (keyed ? keyedLatencies : readLatencies)
+                                                            .add(System.nanoTime() - sentNanos);
+                                                } else if (keyed && line.contains("-32014")) {
+                                                    throttledLatencies.add(
+                                                            System.nanoTime() - sentNanos);
                                                 } else {
-                                                    refused.incrementAndGet();
+                                                    refusedCount.incrementAndGet();
                                                 }
                                             }
-                                            if (asked.pauseMs > 0) {
-                                                Thread.sleep(asked.pauseMs);
+                                            if (workload.pauseMs > 0) {
+                                                Thread.sleep(workload.pauseMs);
                                             }
                                         }
                                     }
                                 }));
             }
-            threads.add(thread(() -> echo(bare, begins, ends, false)));
-            threads.add(thread(() -> echo(handed, begins, ends, true)));
+            threads.add(startThread(() -> measureEcho(echoLatencies, startNanos, endNanos, false)));
+            threads.add(
+                    startThread(() -> measureEcho(handoverLatencies, startNanos, endNanos, true)));
             for (Thread thread : threads) {
-                thread.join((WARM_S + asked.seconds + 15) * 1000L);
+                thread.join((WARMUP_S + workload.seconds + 15) * 1000L);
             }
-            Thread.sleep(1_500); // figures are written each second
+            Thread.sleep(1_500); // metrics files are written every second
             double forces = 0;
             double records = 0;
-            double p50 = 0;
-            double p99 = 0;
+            double claimP50Ms = 0;
+            double claimP99Ms = 0;
             for (int i = 1; i <= members; i++) {
-                Path file = folder.resolve("server-" + i).resolve("metrics.prom");
-                forces += figure(file, "ochretiller_store_forces_total");
-                records += figure(file, "ochretiller_store_records_total");
-                p50 += figure(file, "fleet_claim_p50_seconds") * 1e3 / members;
-                p99 = Math.max(p99, figure(file, "fleet_claim_p99_seconds") * 1e3);
+                Path metricsFile = folder.resolve("server-" + i).resolve("metrics.prom");
+                forces += readMetric(metricsFile, "ochretiller_store_forces_total");
+                records += readMetric(metricsFile, "ochretiller_store_records_total");
+                claimP50Ms += readMetric(metricsFile, "fleet_claim_p50_seconds") * 1e3 / members;
+                claimP99Ms =
+                        Math.max(
+                                claimP99Ms,
+                                readMetric(metricsFile, "fleet_claim_p99_seconds") * 1e3);
             }
             return String.format(
                     Locale.ROOT,
                     "%d,%s,%d,%d,%.0f,%.2f,%.2f,%.2f,%d,%.2f,%.2f,%.0f,%.2f,%.2f,%.2f,%.2f,%.3f,%.3f,%.3f,%.3f,%.1f,%d",
                     members,
                     kind.name().toLowerCase(Locale.ROOT),
-                    asked.callers * members,
-                    asked.pauseMs,
-                    keyed.count() / (double) asked.seconds,
-                    keyed.ms(50),
-                    keyed.ms(99),
-                    keyed.ms(99.9),
-                    throttled.count(),
-                    throttled.ms(50),
-                    throttled.ms(99),
-                    reads.count() / (double) asked.seconds,
-                    reads.ms(50),
-                    reads.ms(99),
-                    p50,
-                    p99,
-                    bare.ms(50),
-                    bare.ms(99),
-                    handed.ms(50),
-                    handed.ms(99),
+                    workload.callers * members,
+                    workload.pauseMs,
+                    keyedLatencies.count() / (double) workload.seconds,
+                    keyedLatencies.percentileMs(50),
+                    keyedLatencies.percentileMs(99),
+                    keyedLatencies.percentileMs(99.9),
+                    throttledLatencies.count(),
+                    throttledLatencies.percentileMs(50),
+                    throttledLatencies.percentileMs(99),
+                    readLatencies.count() / (double) workload.seconds,
+                    readLatencies.percentileMs(50),
+                    readLatencies.percentileMs(99),
+                    claimP50Ms,
+                    claimP99Ms,
+                    echoLatencies.percentileMs(50),
+                    echoLatencies.percentileMs(99),
+                    handoverLatencies.percentileMs(50),
+                    handoverLatencies.percentileMs(99),
                     forces == 0 ? 0 : records / forces,
-                    refused.get());
+                    refusedCount.get());
         }
     }
 
@@ -236,18 +243,18 @@
                 + " server),bare round trip p50 ms,bare p99 ms,handed over p50 ms,handed over p99"
                 + " ms,records a force,refused";
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private static Thread thread(Work work) {
+    private static Thread startThread(Task task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                work.run();
+                                task.run();
                             } catch (Exception e) {
-                                // its row tells by what is missing
+                                // missing invocations show up in the counts of the row
                             }
                         },
                         "cost");
@@ -257,74 +264,76 @@
     }
 
     /**
-     * Round trips of as many bytes as a claim has, beside the load.
+     * Measures UDP round trips of packets as large as a claim while the load runs.
      *
-     * @param handsOver whether each end hands what it has read to another thread, as a server's
-     *     reader does to its loop
+     * @param handOver whether each end passes packets to another thread, as a server's reader
+     *     passes them to its event loop
      */
-    private static void echo(Times times, long begins, long ends, boolean handsOver)
+    private static void measureEcho(
+            Latencies latencies, long startNanos, long endNanos, boolean handOver)
             throws IOException, InterruptedException {
-        try (DatagramSocket one = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramSocket two = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            BlockingQueue<DatagramPacket> there = new LinkedBlockingQueue<>();
-            BlockingQueue<DatagramPacket> back = new LinkedBlockingQueue<>();
+        try (DatagramSocket client = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+                DatagramSocket server = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            BlockingQueue<DatagramPacket> requests = new LinkedBlockingQueue<>();
+            BlockingQueue<DatagramPacket> replies = new LinkedBlockingQueue<>();
             DaemonThreads.start(
                     () -> {
-                        while (!two.isClosed()) {
-                            DatagramPacket packet = new DatagramPacket(new byte[PACKET], PACKET);
-                            two.receive(packet);
-                            if (handsOver) {
-                                there.add(packet);
+                        while (!server.isClosed()) {
+                            DatagramPacket packet =
+                                    new DatagramPacket(new byte[PACKET_BYTES], PACKET_BYTES);
+                            server.receive(packet);
+                            if (handOver) {
+                                requests.add(packet);
                             } else {
-                                two.send(packet);
+                                server.send(packet);
                             }
                         }
                     });
-            if (handsOver) {
+            if (handOver) {
                 DaemonThreads.start(
                         () -> {
-                            while (!two.isClosed()) {
-                                two.send(there.take());
+                            while (!server.isClosed()) {
+                                server.send(requests.take());
                             }
                         });
             }
-            one.setSoTimeout(1_000);
-            if (handsOver) {
+            client.setSoTimeout(1_000);
+            if (handOver) {
                 DaemonThreads.start(
                         () -> {
-                            while (!one.isClosed()) {
+                            while (!client.isClosed()) {
                                 DatagramPacket packet =
-                                        new DatagramPacket(new byte[PACKET], PACKET);
-                                one.receive(packet);
-                                back.add(packet);
+                                        new DatagramPacket(new byte[PACKET_BYTES], PACKET_BYTES);
+                                client.receive(packet);
+                                replies.add(packet);
                             }
                         });
             }
             DatagramPacket packet =
                     new DatagramPacket(
-                            new byte[PACKET],
-                            PACKET,
+                            new byte[PACKET_BYTES],
+                            PACKET_BYTES,
                             InetAddress.getLoopbackAddress(),
-                            two.getLocalPort());
-            while (System.nanoTime() < ends) {
-                long at = System.nanoTime();
-                one.send(packet);
-                if (handsOver) {
-                    back.poll(1, TimeUnit.SECONDS);
+                            server.getLocalPort());
+            while (System.nanoTime() < endNanos) {
+                long sentNanos = System.nanoTime();
+                client.send(packet);
+                if (handOver) {
+                    replies.poll(1, TimeUnit.SECONDS);
                 } else {
-                    one.receive(new DatagramPacket(new byte[PACKET], PACKET));
+                    client.receive(new DatagramPacket(new byte[PACKET_BYTES], PACKET_BYTES));
                 }
-                if (at > begins) {
-                    times.add(System.nanoTime() - at);
+                if (sentNanos > startNanos) {
+                    latencies.add(System.nanoTime() - sentNanos);
                 }
                 Thread.sleep(5);
             }
         }
     }
 
-    private static double figure(Path file, String name) throws IOException {
-        return Files.exists(file)
-                ? Files.readAllLines(file).stream()
+    private static double readMetric(Path metricsFile, String name) throws IOException {
+        return Files.exists(metricsFile)
+                ? Files.readAllLines(metricsFile).stream()
                         .filter(line -> line.startsWith(name + " "))
                         .mapToDouble(line -> Double.parseDouble(line.split(" ")[1]))
                         .findFirst()
--- a/drill/src/main/java/ochretiller/drill/RolloutScenario.java
+++ b/drill/src/main/java/ochretiller/drill/RolloutScenario.java
@@ -64,7 +64,7 @@
 
     RolloutScenario(Path folder, Consumer<String> progress) throws IOException {
         this.progress = progress;
-        worker = new FakeWorker("127.0.0.1", 0, ran -> FakeWorker.Manner.ANSWERS);
+        worker = new FakeWorker("127.0.0.1", 0, request -> FakeWorker.Manner.ANSWERS);
         FleetScenario script =
                 FleetScenarioReader.of(
                         "{ name: 'versions', seconds: 1000, members: "
--- a/drill/src/main/java/ochretiller/drill/package-info.java
+++ b/drill/src/main/java/ochretiller/drill/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Several packaged servers with their stand-ins, faults on them and between them, one history of it
- * all, and checkers that read nothing else. Scripts are those of the emulator's fleets.
+ * Drills, which run the emulator's fleet scripts on several packaged servers with fake services.
+ * They inject process and network faults, record a history of events and check it by that alone.
  */
 package ochretiller.drill;
--- a/drill/src/test/java/ochretiller/drill/DrillTest.java
+++ b/drill/src/test/java/ochretiller/drill/DrillTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Short drills of packaged servers, with fixed seeds; their ends are seen in the views, not waited
- * for by the clock.
+ * Short drills of packaged servers with fixed seeds. They wait for the membership views to converge
+ * and not for a fixed time.
  */
 class DrillTest {
     private static final Path SCRIPTS =
             Path.of(System.getProperty("drill.root"), "emulator", "scripts", "fleet");
 
-    /** A machine that is too busy to carry a script out is no verdict: it is played again. */
-    private static final int TRIES = 3;
+    /** A run is void if the machine was too busy to carry out the script; it is then repeated. */
+    private static final int MAX_ATTEMPTS = 3;
 
     @TempDir private Path folder;
 
@@ -32,15 +32,15 @@
                 "copies/owner-killed",
                 "copies/disks"
             })
-    void comesOutAsTheScriptExpects(String name) throws Exception {
+    void runMeetsTheExpectationsOfItsScript(String name) throws Exception {
         FleetScenario script = FleetScenarioReader.read(SCRIPTS.resolve(name + ".json5"));
         HistoryChecker checker = null;
-        for (int i = 0; i < TRIES && (checker == null || checker.voided()); i++) {
+        for (int i = 0; i < MAX_ATTEMPTS && (checker == null || checker.voided()); i++) {
             checker = Drill.play(script, 1, folder.resolve("try-" + i), true, true, true);
         }
-        assertThat(checker.voided()).as("carried out").isFalse();
+        assertThat(checker.voided()).as("script could not be carried out").isFalse();
         assertThat(checker.broken()).isEmpty();
-        assertThat(checker.asked()).as("callers asked meanwhile").isPositive();
+        assertThat(checker.asked()).as("requests sent").isPositive();
         assertThat(Files.size(folder.resolve("try-0").resolve("views.svg"))).isPositive();
     }
 }
--- a/drill/src/test/java/ochretiller/drill/FailoverScenarioTest.java
+++ b/drill/src/test/java/ochretiller/drill/FailoverScenarioTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Servers that are killed and paused at each step of an invocation. */
+/** Kills, pauses or cuts off servers at each step of an invocation and checks the outcomes. */
 class FailoverScenarioTest {
     @TempDir private Path folder;
 
     @Test
-    void eachStepComesOutAsItHasTo() throws Exception {
-        try (FailoverScenario steps = new FailoverScenario(folder, true, line -> {})) {
-            assertThat(steps.play()).isEmpty();
+    void eachCaseHasTheExpectedOutcome() throws Exception {
+        try (FailoverScenario scenario = new FailoverScenario(folder, true, line -> {})) {
+            assertThat(scenario.play()).isEmpty();
         }
     }
 }
--- a/drill/src/test/java/ochretiller/drill/HistoryCheckerTest.java
+++ b/drill/src/test/java/ochretiller/drill/HistoryCheckerTest.java
@@ -11,7 +11,7 @@
 import ochretiller.emulator.fleet.FleetScenarioReader;
 import org.junit.jupiter.api.Test;
 
-/** The checker finds each planted fault, and none where there is none. */
+/** The checker finds each injected violation and none in a valid history. */
 class HistoryCheckerTest {
     private final FleetScenario script =
             FleetScenarioReader.of(
@@ -30,38 +30,38 @@
     }
 
     private static History.Event event(
-            double at, History.What what, int slot, String id, String text) {
-        return new History.Event(at, what, slot, id, text, null);
+            double atS, History.What type, int slot, String id, String text) {
+        return new History.Event(atS, type, slot, id, text, null);
     }
 
-    private static History.Event sees(double at, int slot, String digest, String... words) {
-        return new History.Event(at, History.What.VIEW, slot, "", digest, view(words));
+    private static History.Event viewEvent(double atS, int slot, String digest, String... words) {
+        return new History.Event(atS, History.What.VIEW, slot, "", digest, view(words));
     }
 
-    private static List<History.Event> good() {
-        List<History.Event> all = new ArrayList<>();
+    private static List<History.Event> validHistory() {
+        List<History.Event> events = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
-            all.add(event(1, History.What.STARTED, i, "s" + i, "m" + i));
+            events.add(event(1, History.What.STARTED, i, "s" + i, "m" + i));
         }
         for (int i = 1; i <= 3; i++) {
-            all.add(sees(1.5, i, "d1", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
+            events.add(viewEvent(1.5, i, "d1", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
         }
         for (int i = 1; i <= 10; i++) {
-            all.add(event(2, History.What.ASKED, 1, "r" + i, "body" + i));
-            all.add(event(2.1, History.What.RAN, 1, "body" + i, ""));
-            all.add(event(2.2, History.What.ANSWERED, 1, "r" + i, "succeeded"));
+            events.add(event(2, History.What.ASKED, 1, "r" + i, "body" + i));
+            events.add(event(2.1, History.What.RAN, 1, "body" + i, ""));
+            events.add(event(2.2, History.What.ANSWERED, 1, "r" + i, "succeeded"));
         }
-        all.add(event(4, History.What.KILLED, 3, "s3", ""));
+        events.add(event(4, History.What.KILLED, 3, "s3", ""));
         for (int i = 1; i <= 2; i++) {
-            all.add(sees(6, i, "d2", "s1", "HERE", "s2", "HERE", "s3", "SILENT"));
+            events.add(viewEvent(6, i, "d2", "s1", "HERE", "s2", "HERE", "s3", "SILENT"));
         }
-        all.add(event(12, History.What.OVER, 0, "", ""));
-        return all;
+        events.add(event(12, History.What.OVER, 0, "", ""));
+        return events;
     }
 
-    private void finds(String rule, Consumer<List<History.Event>> plant) {
-        List<History.Event> events = good();
-        plant.accept(events);
+    private void assertFinds(String rule, Consumer<List<History.Event>> injectFault) {
+        List<History.Event> events = validHistory();
+        injectFault.accept(events);
         events.sort(java.util.Comparator.comparingDouble(History.Event::atS));
         assertThat(new HistoryChecker(script, events).broken())
                 .as(rule)
@@ -69,8 +69,8 @@
     }
 
     @Test
-    void aGoodHistoryIsGood() {
-        HistoryChecker checker = new HistoryChecker(script, good());
+    void validHistoryHasNoViolations() {
+        HistoryChecker checker = new HistoryChecker(script, validHistory());
         assertThat(checker.broken()).isEmpty();
         assertThat(checker.settledS()).isEqualTo(2);
         assertThat(checker.knownMs(99)).isEqualTo(2000);
@@ -78,54 +78,65 @@
     }
 
     @Test
-    void eachPlantedFaultIsFound() {
-        finds("settled", all -> all.removeIf(each -> each.atS() == 6 && each.slot() == 2));
-        finds(
+    void findsEachInjectedViolation() {
+        assertFinds(
+                "settled", events -> events.removeIf(each -> each.atS() == 6 && each.slot() == 2));
+        assertFinds(
                 "settled",
-                all -> all.add(sees(11, 1, "d3", "s1", "HERE", "s2", "HERE", "s3", "SILENT")));
-        finds(
+                events ->
+                        events.add(
+                                viewEvent(11, 1, "d3", "s1", "HERE", "s2", "HERE", "s3", "SILENT")));
+        assertFinds(
                 "settled",
-                all -> all.add(sees(7, 2, "d2", "s1", "HERE", "s2", "HERE", "s3", "HERE")));
-        finds(
+                events ->
+                        events.add(
+                                viewEvent(7, 2, "d2", "s1", "HERE", "s2", "HERE", "s3", "HERE")));
+        assertFinds(
                 "verdicts",
-                all -> all.add(sees(3, 1, "d3", "s1", "HERE", "s2", "SILENT", "s3", "HERE")));
-        finds(
+                events ->
+                        events.add(
+                                viewEvent(3, 1, "d3", "s1", "HERE", "s2", "SILENT", "s3", "HERE")));
+        assertFinds(
                 "changes",
-                all -> {
-                    all.add(sees(3, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
-                    all.add(sees(3.2, 1, "d", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
-                    all.add(sees(3.4, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
+                events -> {
+                    events.add(viewEvent(3, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
+                    events.add(viewEvent(3.2, 1, "d", "s1", "HERE", "s2", "HERE", "s3", "HERE"));
+                    events.add(viewEvent(3.4, 1, "d", "s1", "HERE", "s2", "SILENT", "s3", "HERE"));
                 });
-        finds("answers", all -> all.add(event(3, History.What.ANSWERED, 1, "r1", "throttled")));
-        finds(
+        assertFinds(
                 "answers",
-                all ->
-                        all.removeIf(
+                events -> events.add(event(3, History.What.ANSWERED, 1, "r1", "throttled")));
+        assertFinds(
+                "answers",
+                events ->
+                        events.removeIf(
                                 each ->
                                         each.what() == History.What.ANSWERED
                                                 && each.id().equals("r4")));
-        finds("answers", all -> all.add(event(3, History.What.ANSWERED, 1, "r99", "succeeded")));
-        finds(
+        assertFinds(
+                "answers",
+                events -> events.add(event(3, History.What.ANSWERED, 1, "r99", "succeeded")));
+        assertFinds(
                 "answers",
-                all ->
-                        all.replaceAll(
+                events ->
+                        events.replaceAll(
                                 each ->
                                         each.what() == History.What.ANSWERED
                                                         && each.id().equals("r4")
                                                 ? event(9, each.what(), 1, "r4", "errored")
                                                 : each));
-        finds("twice", all -> all.add(event(3, History.What.RAN, 1, "body2", "")));
-        finds(
+        assertFinds("twice", events -> events.add(event(3, History.What.RAN, 1, "body2", "")));
+        assertFinds(
                 "explained",
-                all ->
-                        all.removeIf(
+                events ->
+                        events.removeIf(
                                 each ->
                                         each.what() == History.What.RAN
                                                 && each.id().equals("body3")));
-        finds(
+        assertFinds(
                 "value",
-                all ->
-                        all.replaceAll(
+                events ->
+                        events.replaceAll(
                                 each ->
                                         each.what() == History.What.ANSWERED
                                                         && each.id().compareTo("r5") > 0
@@ -139,8 +150,8 @@
     }
 
     @Test
-    void aRunThatCouldNotBeCarriedOutCountsForNothing() {
-        List<History.Event> events = good();
+    void voidRunHasNoViolations() {
+        List<History.Event> events = validHistory();
         events.add(event(3, History.What.RAN, 1, "body2", ""));
         events.add(event(3, History.What.VOID, 1, "", "came late"));
         HistoryChecker checker = new HistoryChecker(script, events);
--- a/drill/src/test/java/ochretiller/drill/LoadGeneratorTest.java
+++ b/drill/src/test/java/ochretiller/drill/LoadGeneratorTest.java
@@ -17,35 +17,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What callers note of their ends: an end that they miss would be held against the servers. */
+/** Guards against outcomes that go unrecorded, which a drill would count as server failures. */
 class LoadGeneratorTest {
     private static final int SLOW_MS = 700;
 
     @TempDir private Path folder;
 
     /**
-     * Every other connection is answered late, so that some are left behind by newer ones with
-     * requests still open.
+     * Answers slowly on every second connection, so that some connections are retired with requests
+     * still open.
      */
-    private static void answers(ServerSocket server) {
+    private static void serveRequests(ServerSocket listener) {
         AtomicInteger connections = new AtomicInteger();
         DaemonThreads.start(
                 () -> {
-                    while (!server.isClosed()) {
-                        Socket socket = server.accept();
+                    while (!listener.isClosed()) {
+                        Socket socket = listener.accept();
                         boolean slow = connections.getAndIncrement() % 2 == 0;
                         DaemonThreads.start(
                                 () -> {
-                                    try (FakeConnection wire = new FakeConnection(socket)) {
-                                        for (String line = wire.line();
+                                    try (FakeConnection connection = new FakeConnection(socket)) {
+                                        for (String line = connection.line();
                                                 line != null;
-                                                line = wire.line()) {
-                                            int at = line.indexOf("\"id\":") + 5;
-                                            String id = line.substring(at, line.indexOf(',', at));
+                                                line = connection.line()) {
+                                            int start = line.indexOf("\"id\":") + 5;
+                                            String id = line.substring(start, line.indexOf(',', start));
                                             if (slow) {
                                                 Thread.sleep(SLOW_MS / 24);
                                             }
-                                            wire.send(
+                                            connection.send(
                                                     "{\"jsonrpc\":\"2.0\",\"id\":"
                                                             + id
                                                             + ",\"result\":{\"data\":\"\"}}\n");
@@ -57,40 +57,40 @@
     }
 
     @Test
-    void allThatWasAskedHasItsEndNoted() throws Exception {
+    void recordsOneOutcomeForEachRequest() throws Exception {
         History history = new History(System.nanoTime());
-        ServerProcess box =
+        ServerProcess server =
                 new ServerProcess(
                         new FaultSchedule.Slot(1, "m1", 1, 1),
                         folder,
                         history,
                         (rid, operation, body) -> {});
-        try (ServerSocket server =
-                new ServerSocket(box.serves, 50, InetAddress.getLoopbackAddress())) {
-            answers(server);
-            box.up = true;
+        try (ServerSocket listener =
+                new ServerSocket(server.serves, 50, InetAddress.getLoopbackAddress())) {
+            serveRequests(listener);
+            server.up = true;
             for (int i = 0; i < 4; i++) {
-                LoadGenerator load = new LoadGenerator(history, List.of(box), 800, i, false);
+                LoadGenerator load = new LoadGenerator(history, List.of(server), 800, i, false);
                 load.start();
                 Thread.sleep(300);
                 load.end();
             }
         } finally {
-            box.close();
+            server.close();
         }
-        List<String> asked = new ArrayList<>();
-        List<String> answered = new ArrayList<>();
+        List<String> sent = new ArrayList<>();
+        List<String> succeeded = new ArrayList<>();
         for (History.Event event : history.all()) {
             if (event.what() == History.What.ASKED) {
-                asked.add(event.id());
+                sent.add(event.id());
             }
             if (event.what() == History.What.ANSWERED && event.text().startsWith("succeeded")) {
-                answered.add(event.id());
+                succeeded.add(event.id());
             }
         }
-        assertThat(asked).hasSizeGreaterThan(100);
-        assertThat(answered).hasSameSizeAs(asked);
-        Set<String> ids = new HashSet<>(answered);
-        assertThat(ids).containsAll(asked);
+        assertThat(sent).hasSizeGreaterThan(100);
+        assertThat(succeeded).hasSameSizeAs(sent);
+        Set<String> succeededIds = new HashSet<>(succeeded);
+        assertThat(succeededIds).containsAll(sent);
     }
 }
--- a/drill/src/test/java/ochretiller/drill/RolloutScenarioTest.java
+++ b/drill/src/test/java/ochretiller/drill/RolloutScenarioTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Versions brought out to packaged servers, with a fault at a step of each. */
+/** Rolls out versions to packaged servers with a fault in most rollouts and checks the outcomes. */
 class RolloutScenarioTest {
     @TempDir private Path folder;
 
     @Test
-    void eachVersionComesOutAsItHasTo() throws Exception {
-        try (RolloutScenario steps = new RolloutScenario(folder, line -> {})) {
-            assertThat(steps.play()).isEmpty();
+    void eachRolloutHasTheExpectedOutcome() throws Exception {
+        try (RolloutScenario scenario = new RolloutScenario(folder, line -> {})) {
+            assertThat(scenario.play()).isEmpty();
         }
     }
 }
