--- a/drill/src/main/java/ochretiller/drill/FaultProxy.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -69,7 +69,7 @@
     }
 
     /** Opens the relay of an address and returns the relay's port. */
-    int open(int address, int realPort) throws IOException {
+    int open(int address, int serverPort) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
         channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         channel.configureBlocking(false);
@@ -77,9 +77,9 @@
                 new Relay(
                         address,
                         channel,
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), realPort));
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), serverPort));
         relays.put(address, relay);
-        addressByPort.put(realPort, address);
+        addressByPort.put(serverPort, address);
         selector.wakeup();
         channel.register(selector, SelectionKey.OP_READ, relay);
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
--- a/drill/src/main/java/ochretiller/drill/History.java
+++ b/drill/src/main/java/ochretiller/drill/History.java
@@ -46,12 +46,10 @@
     }
 
     /**
-     * An event, stored as one JSON object.
+     * An event, stored as a JSON object. {@code view} is null except for a {@link What#VIEW}.
      *
-     * @param atS seconds of script time
      * @param id a request's number or body, or the incarnation of a process
      * @param text details that depend on the event type
-     * @param view member states by incarnation; null unless the event is a {@link What#VIEW}
      */
     record Event(
             double atS, What what, int slot, String id, String text, Map<String, String> view) {}
--- a/drill/src/main/java/ochretiller/drill/HistoryChecker.java
+++ b/drill/src/main/java/ochretiller/drill/HistoryChecker.java
@@ -19,7 +19,7 @@
 final class HistoryChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A verdict of silence is excused for so long after a pause or a network fault ended. */
+    /** A verdict of silence is excused for this long after a pause or a network fault ended. */
     private static final double VERDICT_GRACE_S = 2;
 
     /** A result counts towards the billed value if it arrives within this time. */
--- a/drill/src/main/java/ochretiller/drill/LoadGenerator.java
+++ b/drill/src/main/java/ochretiller/drill/LoadGenerator.java
@@ -21,7 +21,7 @@
  */
 final class LoadGenerator {
     /** One in this many requests is a keyed order; every second order is sent twice. */
-    private static final int KEYED_INTERVAL = 4;
+    private static final int ORDER_INTERVAL = 4;
 
     /** Number of tokens available for repeats, which are those of the last seconds. */
     private static final int RECENT_TOKENS = 150;
@@ -97,7 +97,7 @@
         long number = numbers.incrementAndGet();
         try {
             Connection connection = connectionTo(server);
-            boolean keyed = number % KEYED_INTERVAL == 0 || repeatsAnywhere;
+            boolean keyed = number % ORDER_INTERVAL == 0 || repeatsAnywhere;
             String token = keyed ? String.format("%032x", number) : null;
             connection.send(server.slot.number(), number, token);
             if (repeatsAnywhere && !tokens.isEmpty() && random.nextInt(2) == 0) {
@@ -106,10 +106,10 @@
                         random.nextInt(4) == 0 ? token : tokens.get(random.nextInt(tokens.size()));
                 ServerProcess other = available.get(random.nextInt(available.size()));
                 connectionTo(other).send(other.slot.number(), numbers.incrementAndGet(), repeat);
-            } else if (!repeatsAnywhere && keyed && number % (2 * KEYED_INTERVAL) == 0) {
+            } else if (!repeatsAnywhere && keyed && number % (2 * ORDER_INTERVAL) == 0) {
                 connection.send(
                         server.slot.number(),
-                        numbers.addAndGet(2L * KEYED_INTERVAL) - 2 * KEYED_INTERVAL + 1,
+                        numbers.addAndGet(2L * ORDER_INTERVAL) - 2 * ORDER_INTERVAL + 1,
                         token);
             }
             if (token != null) {
--- a/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
+++ b/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
@@ -211,11 +211,7 @@
         return this;
     }
 
-    /**
-     * Enables configuration rollouts.
-     *
-     * @param operatorSettings JSON5 members that are added to each server's operator file
-     */
+    /** Enables rollouts; {@code operatorSettings} are JSON5 members for the operator files. */
     ScenarioRunner versions(String operatorSettings) {
         extraOperatorSettings = operatorSettings;
         return this;
@@ -231,9 +227,8 @@
     }
 
     /**
-     * Starts all servers of the script and waits until they are ready; runs no other action.
-     *
-     * @param onRun called with the slot and the request body for each run that a processor begins
+     * Starts all servers of the script and waits until they are ready. {@code onRun} gets the slot
+     * and the request body of each run that a processor begins.
      */
     void raise(BiConsumer<Integer, String> onRun) throws IOException, InterruptedException {
         for (FaultSchedule.Slot slot : schedule.slots()) {
@@ -289,7 +284,7 @@
      * script time anew.
      */
     private void awaitEpochOfAllMembers() throws InterruptedException, IOException {
-        // The epoch's number does not matter.
+        // The number of the epoch is not checked.
         String epochOfAll = "of \\[" + "[^, ]+, ".repeat(script.members() - 1) + "[^, ]+\\]";
         for (ServerProcess server : servers.values()) {
             if (server.slot.number() <= script.members()
@@ -564,10 +559,7 @@
         }
     }
 
-    /**
-     * Sends random bytes, corrupted packets and replayed packets at the fault's rate, in packets a
-     * second.
-     */
+    /** Sends random, corrupted and replayed packets at the fault's rate, in packets a second. */
     private void flood(FaultSchedule.Fault fault, int slot)
             throws IOException, InterruptedException {
         sleepUntil(fault.atS());
@@ -655,9 +647,9 @@
             polled.add(poller.start);
             Set<String> members = new TreeSet<>();
             poller.states.forEach(
-                    (start, state) -> {
+                    (incarnation, state) -> {
                         if (state.equals("HERE")) {
-                            members.add(start);
+                            members.add(incarnation);
                         }
                     });
             if (!members.equals(expected) || digest != null && !digest.equals(poller.digest)) {
--- a/drill/src/main/java/ochretiller/drill/ServerProcess.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -28,7 +28,7 @@
 import ochretiller.fakes.FakeServices;
 import ochretiller.fakes.GatewayMessages;
 
-/** A packaged server with its own fake services, started and stopped as the script requires. */
+/** The packaged server in one slot of the script, with its own fake services; restartable. */
 final class ServerProcess {
     private static final Pattern JOINED = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
 
--- a/drill/src/test/java/ochretiller/drill/HistoryCheckerTest.java
+++ b/drill/src/test/java/ochretiller/drill/HistoryCheckerTest.java
@@ -21,10 +21,10 @@
                     """,
                     "s");
 
-    private static Map<String, String> view(String... words) {
+    private static Map<String, String> view(String... statesByIncarnation) {
         Map<String, String> view = new TreeMap<>();
-        for (int i = 0; i < words.length; i += 2) {
-            view.put(words[i], words[i + 1]);
+        for (int i = 0; i < statesByIncarnation.length; i += 2) {
+            view.put(statesByIncarnation[i], statesByIncarnation[i + 1]);
         }
         return view;
     }
@@ -34,8 +34,10 @@
         return new History.Event(atS, type, slot, id, text, null);
     }
 
-    private static History.Event viewEvent(double atS, int slot, String digest, String... words) {
-        return new History.Event(atS, History.What.VIEW, slot, "", digest, view(words));
+    private static History.Event viewEvent(
+            double atS, int slot, String digest, String... statesByIncarnation) {
+        return new History.Event(
+                atS, History.What.VIEW, slot, "", digest, view(statesByIncarnation));
     }
 
     private static List<History.Event> validHistory() {
@@ -85,7 +87,8 @@
                 "settled",
                 events ->
                         events.add(
-                                viewEvent(11, 1, "d3", "s1", "HERE", "s2", "HERE", "s3", "SILENT")));
+                                viewEvent(
+                                        11, 1, "d3", "s1", "HERE", "s2", "HERE", "s3", "SILENT")));
         assertFinds(
                 "settled",
                 events ->
--- a/drill/src/test/java/ochretiller/drill/LoadGeneratorTest.java
+++ b/drill/src/test/java/ochretiller/drill/LoadGeneratorTest.java
@@ -40,8 +40,8 @@
                                         for (String line = connection.line();
                                                 line != null;
                                                 line = connection.line()) {
-                                            int start = line.indexOf("\"id\":") + 5;
-                                            String id = line.substring(start, line.indexOf(',', start));
+                                            int pos = line.indexOf("\"id\":") + 5;
+                                            String id = line.substring(pos, line.indexOf(',', pos));
                                             if (slow) {
                                                 Thread.sleep(SLOW_MS / 24);
                                             }
