--- a/drill/src/main/java/ochretiller/drill/HistoryChecker.java
+++ b/drill/src/main/java/ochretiller/drill/HistoryChecker.java
@@ -163,10 +163,10 @@
                 case VIEW -> {
                     Map<String, String> previousView = views.getOrDefault(slot, Map.of());
                     for (Map.Entry<String, String> member : event.view().entrySet()) {
-                        boolean wasKnown =
+                        boolean wasPresent =
                                 !"SILENT".equals(previousView.get(member.getKey()))
                                         && previousView.containsKey(member.getKey());
-                        if (!member.getValue().equals("SILENT") || !wasKnown) {
+                        if (!member.getValue().equals("SILENT") || !wasPresent) {
                             continue;
                         }
                         Integer memberSlot = slotByIncarnation.get(member.getKey());
