--- a/tools/src/main/java/ochretiller/tools/Charts.java
+++ b/tools/src/main/java/ochretiller/tools/Charts.java
@@ -7,16 +7,16 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Charts in one plain form. */
+/** Draws charts, all in the same plain style. */
 final class Charts {
     private Charts() {}
 
-    /** A line for each series: x values and y values of the same length. */
+    /** Saves an SVG with one line for each series, which is a label and its {x, y} points. */
     static void lines(
-            String name,
+            String fileName,
             String title,
-            String x,
-            String y,
+            String xTitle,
+            String yTitle,
             boolean logarithmic,
             Map<String, List<double[]>> series)
             throws IOException {
@@ -25,8 +25,8 @@
                         .width(760)
                         .height(440)
                         .title(title)
-                        .xAxisTitle(x)
-                        .yAxisTitle(y)
+                        .xAxisTitle(xTitle)
+                        .yAxisTitle(yTitle)
                         .build();
         chart.getStyler()
                 .setXAxisLogarithmic(logarithmic)
@@ -36,11 +36,11 @@
                 (label, points) ->
                         chart.addSeries(
                                 label,
-                                points.stream().mapToDouble(p -> p[0]).toArray(),
-                                points.stream().mapToDouble(p -> p[1]).toArray()));
+                                points.stream().mapToDouble(point -> point[0]).toArray(),
+                                points.stream().mapToDouble(point -> point[1]).toArray()));
         VectorGraphicsEncoder.saveVectorGraphic(
                 chart,
-                ToolsCommand.FIGURES.resolve(name).toString(),
+                ToolsCommand.FIGURES.resolve(fileName).toString(),
                 VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/DecoderBench.java
+++ b/tools/src/main/java/ochretiller/tools/DecoderBench.java
@@ -24,17 +24,17 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 
 /**
- * One request of a front end through the decoder, whole or in pieces, beside a copy of its bytes.
+ * Compares decoding one request of a front end, whole or in pieces, with a plain copy of its bytes.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class DecoderBench {
-    /** Bytes that come at once. */
+    /** Bytes that are passed to the decoder at a time. */
     @Param({"65536", "100", "1"})
     public int piece;
 
-    private byte[] packet;
+    private byte[] encodedRequest;
 
     @Setup
     public void packet() {
@@ -59,29 +59,38 @@
                         .encode()) {
             out.writeBytes(part);
         }
-        packet = out.toByteArray();
+        encodedRequest = out.toByteArray();
     }
 
     @Benchmark
-    public void decode(Blackhole seen) {
+    public void decode(Blackhole blackhole) {
         UwsgiRequestDecoder decoder =
                 new UwsgiRequestDecoder(
-                        2_048); // one request on a connection, as front ends have it
-        for (int at = 0; at < packet.length; at += piece) {
-            decoder.read(packet, at, Math.min(packet.length, at + piece), seen::consume);
+                        2_048); // one per request: front ends open a connection for each
+        for (int at = 0; at < encodedRequest.length; at += piece) {
+            decoder.read(
+                    encodedRequest,
+                    at,
+                    Math.min(encodedRequest.length, at + piece),
+                    blackhole::consume);
         }
     }
 
     @Benchmark
-    public void copy(Blackhole seen) {
-        byte[] all = new byte[packet.length];
-        for (int at = 0; at < packet.length; at += piece) {
-            System.arraycopy(packet, at, all, at, Math.min(packet.length, at + piece) - at);
+    public void copy(Blackhole blackhole) {
+        byte[] target = new byte[encodedRequest.length];
+        for (int at = 0; at < encodedRequest.length; at += piece) {
+            System.arraycopy(
+                    encodedRequest,
+                    at,
+                    target,
+                    at,
+                    Math.min(encodedRequest.length, at + piece) - at);
         }
-        seen.consume(all);
+        blackhole.consume(target);
     }
 
-    @SuppressWarnings("rawtypes") // the results that JMH hands out are raw
+    @SuppressWarnings("rawtypes") // JMH declares its secondary results with the raw type Result
     static void measure() throws Exception {
         Collection<RunResult> results =
                 new Runner(
--- a/tools/src/main/java/ochretiller/tools/FakeProcessor.java
+++ b/tools/src/main/java/ochretiller/tools/FakeProcessor.java
@@ -10,11 +10,11 @@
 import ochretiller.fakes.FakeServices;
 
 /**
- * What the processor's stand-in runs, with a bound on how much it gets done, and the note of it
- * that rules are checked by.
+ * Executes the runs of the fake services' processor on a limited number of cores, and records them
+ * for the checks of the rules.
  */
 final class FakeProcessor implements AutoCloseable {
-    /** A run of a token: when it began, and how many there were. */
+    /** The runs of one token: how many there were, and when the first one began. */
     static final class Note {
         volatile long firstAt;
         final AtomicInteger runs = new AtomicInteger();
@@ -23,53 +23,54 @@
     final Map<String, Note> tokens = new ConcurrentHashMap<>();
     final LongAdder runs = new LongAdder();
     final AtomicInteger most = new AtomicInteger();
-    private final AtomicInteger at = new AtomicInteger();
-    private final ExecutorService cores;
-    private final FakeServices outside;
+    private final AtomicInteger activeRuns = new AtomicInteger();
+    private final ExecutorService executor;
+    private final FakeServices services;
     private final long runNanos;
 
     /**
-     * One that does {@code cores} runs at a time.
+     * Takes over the runs of the fake services.
      *
-     * @param runMs time that a run takes a core
+     * @param cores runs that are executed at a time
+     * @param runMs milliseconds for which a run takes a core
      */
-    FakeProcessor(FakeServices outside, int cores, double runMs) {
-        this.outside = outside;
+    FakeProcessor(FakeServices services, int cores, double runMs) {
+        this.services = services;
         this.runNanos = (long) (runMs * 1e6);
-        this.cores =
+        this.executor =
                 Executors.newFixedThreadPool(
                         cores,
-                        work -> {
-                            Thread thread = new Thread(work);
+                        task -> {
+                            Thread thread = new Thread(task);
                             thread.setDaemon(true);
                             return thread;
                         });
-        outside.runs = this::begun;
+        services.runs = this::startRun;
     }
 
-    private void begun(String rid, String operation, String body) {
+    private void startRun(String rid, String operation, String body) {
         runs.increment();
-        most.accumulateAndGet(at.incrementAndGet(), Math::max);
+        most.accumulateAndGet(activeRuns.incrementAndGet(), Math::max);
         if (operation.equals("order")) {
-            Note note = tokens.computeIfAbsent(body, x -> new Note());
-            if (note.runs.getAndIncrement() == 0) {
-                note.firstAt = System.nanoTime();
+            Note tokenRuns = tokens.computeIfAbsent(body, token -> new Note());
+            if (tokenRuns.runs.getAndIncrement() == 0) {
+                tokenRuns.firstAt = System.nanoTime();
             }
         }
-        cores.execute(
+        executor.execute(
                 () -> {
                     PreciseTimer.until(System.nanoTime() + runNanos);
-                    at.decrementAndGet();
+                    activeRuns.decrementAndGet();
                     try {
-                        outside.complete(rid, "result of " + rid);
+                        services.complete(rid, "result of " + rid);
                     } catch (IOException e) {
-                        // the server is gone
+                        // the server has exited
                     }
                 });
     }
 
     @Override
     public void close() {
-        cores.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/tools/src/main/java/ochretiller/tools/FloodBench.java
+++ b/tools/src/main/java/ochretiller/tools/FloodBench.java
@@ -8,17 +8,17 @@
 import java.util.stream.Stream;
 
 /**
- * Keys that pour in ten times faster than they age: what the server takes must stay level, and all
- * throttles are unrun.
+ * Sends new keys ten times faster than old ones expire: the memory, files and descriptors of the
+ * server must stay level, and throttled requests must not have run.
  */
 final class FloodBench {
     /**
-     * Entries that fit, and the window that they stay for: a tenth of the rate below is what ages
-     * out a second.
+     * Entries that the store may have. With their idempotency window, this lets a tenth of the rate
+     * below expire each second.
      */
-    private static final int ENTRIES = 800;
+    private static final int MAX_ENTRIES = 800;
 
-    private static final double PER_SECOND = 500;
+    private static final double KEYS_PER_SECOND = 500;
 
     private final int seconds;
 
@@ -29,13 +29,13 @@
     void run() throws Exception {
         Path folder = Files.createTempDirectory(Path.of("target").toAbsolutePath(), "flood");
         Path store = folder.resolve("store");
-        Path operator = folder.resolve("operator.json5");
+        Path operatorFile = folder.resolve("operator.json5");
         Files.writeString(
-                operator,
+                operatorFile,
                 "{ remember: { folder: '"
                         + store
                         + "', most_entries: "
-                        + ENTRIES
+                        + MAX_ENTRIES
                         + ", most_mb: 4 } }");
         ResultTable table =
                 new ResultTable(
@@ -49,35 +49,35 @@
                         "throttled",
                         "errored");
         List<double[]> memory = new ArrayList<>();
-        List<double[]> bytes = new ArrayList<>();
-        try (MeasuredServer served = new MeasuredServer(operator, json -> json)) {
+        List<double[]> storeSize = new ArrayList<>();
+        try (MeasuredServer server = new MeasuredServer(operatorFile, json -> json)) {
             long start = System.nanoTime();
-            int step = Math.max(5, seconds / 40);
-            LoadGenerator load = new LoadGenerator(served.port, 4, 1);
-            for (int at = step; at <= seconds; at += step) {
-                load.send(PER_SECOND, step, 1);
-                long size = 0;
-                long files = 0;
-                try (Stream<Path> all = Files.list(store)) {
-                    for (Path file : all.toList()) {
-                        files++;
+            int stepSeconds = Math.max(5, seconds / 40);
+            LoadGenerator load = new LoadGenerator(server.port, 4, 1);
+            for (int at = stepSeconds; at <= seconds; at += stepSeconds) {
+                load.send(KEYS_PER_SECOND, stepSeconds, 1);
+                long bytes = 0;
+                long fileCount = 0;
+                try (Stream<Path> files = Files.list(store)) {
+                    for (Path file : files.toList()) {
+                        fileCount++;
                         if (Files.exists(file)) {
-                            size += Files.size(file);
+                            bytes += Files.size(file);
                         }
                     }
                 }
-                double now = (System.nanoTime() - start) / 1e9;
+                double elapsed = (System.nanoTime() - start) / 1e9;
                 table.row(
-                        now,
-                        served.residentKb() / 1024.0,
-                        files,
-                        served.descriptors(),
-                        size / 1024,
+                        elapsed,
+                        server.residentKb() / 1024.0,
+                        fileCount,
+                        server.descriptors(),
+                        bytes / 1024,
                         load.succeeded.sum(),
                         load.throttled.sum(),
                         load.errored.sum());
-                memory.add(new double[] {now, served.residentKb() / 1024.0});
-                bytes.add(new double[] {now, size / 1024.0 / 10});
+                memory.add(new double[] {elapsed, server.residentKb() / 1024.0});
+                storeSize.add(new double[] {elapsed, bytes / 1024.0 / 10});
             }
             load.close();
         }
@@ -88,6 +88,6 @@
                 "seconds",
                 "",
                 false,
-                Map.of("resident MB", memory, "store, 10 KB", bytes));
+                Map.of("resident MB", memory, "store, 10 KB", storeSize));
     }
 }
--- a/tools/src/main/java/ochretiller/tools/JsonRpcClient.java
+++ b/tools/src/main/java/ochretiller/tools/JsonRpcClient.java
@@ -10,34 +10,34 @@
 import ochretiller.fakes.FakeConnection;
 import ochretiller.fakes.GatewayMessages;
 
-/** JSON-RPC over a few connections, as gateways send it. */
+/** Sends JSON-RPC requests over a few shared connections, as gateways do. */
 final class JsonRpcClient implements ProtocolClient {
-    /** Fewer than a server lets be open on one connection. */
-    private static final int OPEN = 30;
+    /** Less than the number of open requests that a server allows on one connection. */
+    private static final int MAX_OPEN_PER_CONNECTION = 30;
 
     private final int port;
-    private final int most;
-    private final String run;
-    private final List<Line> lines = new ArrayList<>();
-    private final LongAdder surplus = new LongAdder();
-    private final LongAdder again = new LongAdder();
+    private final int maxConnections;
+    private final String runId;
+    private final List<Connection> connections = new ArrayList<>();
+    private final LongAdder unexpectedAnswers = new LongAdder();
+    private final LongAdder resentRequests = new LongAdder();
     private boolean closed;
 
     /**
-     * A side without connections yet.
+     * Creates a client, which opens its connections as it needs them.
      *
-     * @param run eight hex digits that tell its requests from those of other runs
+     * @param runId eight hex digits, the prefix of this client's request IDs
      */
-    JsonRpcClient(int port, int most, String run) {
+    JsonRpcClient(int port, int maxConnections, String runId) {
         this.port = port;
-        this.most = most;
-        this.run = run;
+        this.maxConnections = maxConnections;
+        this.runId = runId;
     }
 
-    /** The number of the request that a line answers, or -1 where it bears none. */
+    /** Returns the number of the request that a line answers, or -1 if the line has none. */
     static long id(String line) {
-        int at = line.indexOf("\"id\":") + 5;
-        return at < 5 ? -1 : Long.parseLong(line.substring(at, line.indexOf(',', at)));
+        int start = line.indexOf("\"id\":") + 5;
+        return start < 5 ? -1 : Long.parseLong(line.substring(start, line.indexOf(',', start)));
     }
 
     static MeasuredRequest.Outcome outcome(String line) {
@@ -48,11 +48,11 @@
                         : MeasuredRequest.Outcome.ERRORED;
     }
 
-    private final class Line {
-        private final FakeConnection wire = new FakeConnection(new Socket("127.0.0.1", port));
-        private final Map<Long, MeasuredRequest> open = new ConcurrentHashMap<>();
+    private final class Connection {
+        private final FakeConnection socket = new FakeConnection(new Socket("127.0.0.1", port));
+        private final Map<Long, MeasuredRequest> openRequests = new ConcurrentHashMap<>();
 
-        Line() throws IOException {
+        Connection() throws IOException {
             Thread reader = new Thread(this::read);
             reader.setDaemon(true);
             reader.start();
@@ -60,28 +60,28 @@
 
         private void read() {
             try {
-                for (String line = wire.line(); line != null; line = wire.line()) {
-                    MeasuredRequest ask = open.remove(id(line));
-                    if (ask == null || !ask.ends(outcome(line))) {
-                        surplus.increment();
+                for (String line = socket.line(); line != null; line = socket.line()) {
+                    MeasuredRequest request = openRequests.remove(id(line));
+                    if (request == null || !request.ends(outcome(line))) {
+                        unexpectedAnswers.increment();
                     }
                 }
             } catch (IOException e) {
-                // the server has ended, or the load has
+                // the server has exited, or this client was closed
             }
-            // A server closes what has long been silent: what crossed that close was not read, and
-            // goes again.
+            // The server closes idle connections. It has not read the requests that were sent
+            // during such a close: they are sent again.
             synchronized (JsonRpcClient.this) {
-                lines.remove(this);
+                connections.remove(this);
                 if (closed) {
                     return;
                 }
-                for (MeasuredRequest ask : open.values()) {
-                    again.increment();
+                for (MeasuredRequest request : openRequests.values()) {
+                    resentRequests.increment();
                     try {
-                        send(ask);
+                        send(request);
                     } catch (IOException e) {
-                        ask.ends(MeasuredRequest.Outcome.NONE);
+                        request.ends(MeasuredRequest.Outcome.NONE);
                     }
                 }
             }
@@ -89,58 +89,66 @@
     }
 
     @Override
-    public synchronized void send(MeasuredRequest ask) throws IOException {
-        Line free = null;
-        for (Line line : lines) {
-            if (line.open.size() < OPEN && (free == null || line.open.size() < free.open.size())) {
-                free = line;
+    public synchronized void send(MeasuredRequest request) throws IOException {
+        Connection target = null;
+        for (Connection connection : connections) {
+            if (connection.openRequests.size() < MAX_OPEN_PER_CONNECTION
+                    && (target == null
+                            || connection.openRequests.size() < target.openRequests.size())) {
+                target = connection;
             }
         }
-        if (free == null) {
-            if (lines.size() == most) {
-                throw new IOException(most + " connections are full: the server is far behind");
+        if (target == null) {
+            if (connections.size() == maxConnections) {
+                throw new IOException(
+                        "all "
+                                + maxConnections
+                                + " connections have the maximum of open requests: the server"
+                                + " cannot keep up");
             }
-            lines.add(free = new Line());
+            connections.add(target = new Connection());
         }
-        free.open.put(ask.number, ask);
-        ask.sentAt = System.nanoTime();
-        String text =
+        target.openRequests.put(request.number, request);
+        request.sentAt = System.nanoTime();
+        String message =
                 GatewayMessages.message(
-                        ask.number,
-                        ask.operation,
+                        request.number,
+                        request.operation,
                         GatewayMessages.params(
-                                run + String.format("%08x", ask.number), ask.token, ask.body));
+                                runId + String.format("%08x", request.number),
+                                request.token,
+                                request.body));
         try {
-            free.wire.send(text);
+            target.socket.send(message);
         } catch (IOException e) {
-            lines.remove(free); // its reader sends again what was open on it
+            connections.remove(target); // its reader thread sends its open requests again
         }
     }
 
-    /** Requests that are open now. */
+    /** Returns the number of requests that are open now, on all connections. */
     synchronized int openNow() {
-        int open = 0;
-        for (Line line : lines) {
-            open += line.open.size();
+        int count = 0;
+        for (Connection connection : connections) {
+            count += connection.openRequests.size();
         }
-        return open;
+        return count;
     }
 
-    /** Requests that crossed the close of their connection. */
+    /** Returns how many requests were sent again because their connection was closed. */
     long again() {
-        return again.sum();
+        return resentRequests.sum();
     }
 
     @Override
     public long surplus() {
-        return surplus.sum();
+        return unexpectedAnswers.sum();
     }
 
     @Override
     public synchronized void close() throws IOException {
         closed = true;
-        for (Line line : lines) {
-            line.wire.close();
+        for (Connection connection : connections) {
+            connection.socket.close();
         }
     }
 }
--- a/tools/src/main/java/ochretiller/tools/LatencyBench.java
+++ b/tools/src/main/java/ochretiller/tools/LatencyBench.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import org.HdrHistogram.Histogram;
 
-/** The same load on the same server with results remembered and not, in turn. */
+/** Measures latency under the same load, once with results remembered and once without. */
 final class LatencyBench {
     private final int seconds;
     private final int rounds;
@@ -15,12 +15,12 @@
     }
 
     /**
-     * Closed: as many a second as come back with sixteen in flight; the run limit of two cores is
-     * the stand-in's bound.
+     * Returns how many requests a second the server completes when it is offered more, 1500 at
+     * most. The fake processor is limited only by the run limit of two cores.
      */
-    private double full(Path operator) throws Exception {
-        try (MeasuredServer served = new MeasuredServer(operator, json -> json)) {
-            LoadGenerator load = new LoadGenerator(served.port, 4, 1);
+    private double measureFullLoad(Path operatorFile) throws Exception {
+        try (MeasuredServer server = new MeasuredServer(operatorFile, json -> json)) {
+            LoadGenerator load = new LoadGenerator(server.port, 4, 1);
             load.send(2_000, 3, 0.5);
             load.close();
             return Math.min(1_500, load.succeeded.sum() / 3.0);
@@ -29,9 +29,10 @@
 
     void run() throws Exception {
         Path folder = Files.createTempDirectory(Path.of("target").toAbsolutePath(), "latency");
-        Path operator = folder.resolve("operator.json5");
-        Files.writeString(operator, "{ remember: { folder: '" + folder.resolve("store") + "' } }");
-        double full = full(null);
+        Path operatorFile = folder.resolve("operator.json5");
+        Files.writeString(
+                operatorFile, "{ remember: { folder: '" + folder.resolve("store") + "' } }");
+        double fullLoad = measureFullLoad(null);
         ResultTable table =
                 new ResultTable(
                         "remember-latency",
@@ -50,13 +51,13 @@
                 Histogram reads = new Histogram(3);
                 long[] counts = new long[3];
                 for (int round = 0; round < rounds; round++) {
-                    try (MeasuredServer served =
-                            new MeasuredServer(remembered ? operator : null, json -> json)) {
-                        LoadGenerator warm = new LoadGenerator(served.port, 4, 100 + round);
-                        warm.send(full * share / 2, 2, 0.5);
-                        warm.close();
-                        LoadGenerator load = new LoadGenerator(served.port, 4, round);
-                        load.send(full * share, seconds, 0.5);
+                    try (MeasuredServer server =
+                            new MeasuredServer(remembered ? operatorFile : null, json -> json)) {
+                        LoadGenerator warmUp = new LoadGenerator(server.port, 4, 100 + round);
+                        warmUp.send(fullLoad * share / 2, 2, 0.5);
+                        warmUp.close();
+                        LoadGenerator load = new LoadGenerator(server.port, 4, round);
+                        load.send(fullLoad * share, seconds, 0.5);
                         load.close();
                         keyed.add(load.keyed);
                         reads.add(load.reads);
@@ -66,14 +67,14 @@
                     }
                 }
                 for (boolean isKeyed : new boolean[] {true, false}) {
-                    Histogram told = isKeyed ? keyed : reads;
+                    Histogram latencies = isKeyed ? keyed : reads;
                     table.row(
                             share,
                             remembered ? "on" : "off",
                             isKeyed ? "keyed" : "idempotent",
-                            told.getValueAtPercentile(50) / 1e3,
-                            told.getValueAtPercentile(99) / 1e3,
-                            told.getValueAtPercentile(99.9) / 1e3,
+                            latencies.getValueAtPercentile(50) / 1e3,
+                            latencies.getValueAtPercentile(99) / 1e3,
+                            latencies.getValueAtPercentile(99.9) / 1e3,
                             counts[0],
                             counts[1],
                             counts[2]);
--- a/tools/src/main/java/ochretiller/tools/LiveServer.java
+++ b/tools/src/main/java/ochretiller/tools/LiveServer.java
@@ -12,36 +12,36 @@
 import ochretiller.emulator.scenario.Scenario;
 
 /**
- * One packaged server with stand-ins that take the time which a script says; it can be stopped,
- * slowed, killed.
+ * A packaged server for {@link LiveBench}, whose runs take the time that the scenario gives. It can
+ * be slowed down, made to fail, stopped by signals and killed.
  */
 final class LiveServer implements AutoCloseable {
-    /** A run that fails fast takes so long. */
-    private static final double FAST_S = 0.001;
+    /** Time that a run takes if it fails. */
+    private static final double FAILED_RUN_S = 0.001;
 
     final MeasuredServer served;
     final JsonRpcClient side;
     final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    private final ScheduledThreadPoolExecutor cores;
-    private final SplittableRandom chance;
-    private volatile double slower = 1;
-    private volatile double failing;
+    private final ScheduledThreadPoolExecutor executor;
+    private final SplittableRandom random;
+    private volatile double slowdown = 1;
+    private volatile double failureShare;
 
-    LiveServer(Scenario script, int place, int life, long seed) throws Exception {
-        chance = new RandomStreams(seed).of("live box " + place + "." + life);
-        cores = new ScheduledThreadPoolExecutor(script.fleet().cores());
+    LiveServer(Scenario scenario, int index, int incarnation, long seed) throws Exception {
+        random = new RandomStreams(seed).of("live box " + index + "." + incarnation);
+        executor = new ScheduledThreadPoolExecutor(scenario.fleet().cores());
         Map<String, Scenario.Operation> operations =
-                script.operations().stream()
+                scenario.operations().stream()
                         .collect(Collectors.toMap(Scenario.Operation::name, each -> each));
-        served = new MeasuredServer(null, json -> configured(json, script));
-        served.outside.runs = (rid, name, body) -> begun(operations.get(name), rid, name, body);
-        side = new JsonRpcClient(served.port, 30, String.format("%04x%04x", place, life));
+        served = new MeasuredServer(null, json -> adaptConfig(json, scenario));
+        served.outside.runs = (rid, name, body) -> startRun(operations.get(name), rid, name, body);
+        side = new JsonRpcClient(served.port, 30, String.format("%04x%04x", index, incarnation));
     }
 
-    /** The test configuration with the script's operations and boxes in the place of its own. */
-    private static String configured(String json, Scenario script) {
+    /** Returns the test configuration with the operations and the cores of the scenario. */
+    private static String adaptConfig(String json, Scenario scenario) {
         StringBuilder classes = new StringBuilder();
-        for (Scenario.Operation each : script.operations()) {
+        for (Scenario.Operation each : scenario.operations()) {
             if (classes.length() > 0) {
                 classes.append(',');
             }
@@ -58,35 +58,38 @@
                             each.value(),
                             (long) (each.windowMs() * 1e6)));
         }
-        String no =
-                script.operations().stream().map(each -> "false").collect(Collectors.joining(","));
-        String zero =
-                script.operations().stream().map(each -> "0").collect(Collectors.joining(","));
+        String falses =
+                scenario.operations().stream()
+                        .map(each -> "false")
+                        .collect(Collectors.joining(","));
+        String zeros =
+                scenario.operations().stream().map(each -> "0").collect(Collectors.joining(","));
         return json.replaceFirst(
                         "(?s)\"classes\":\\[.*?\\],\\s*\"familyInfo\"",
                         "\"classes\":[" + classes + "],\"familyInfo\"")
-                .replace("\"callsByClass\":[true,true]", "\"callsByClass\":[" + no + "]")
-                .replace("\"degradedWorth\":[0,0]", "\"degradedWorth\":[" + zero + "]")
-                .replace("\"cpus\":2", "\"cpus\":" + script.fleet().cores());
+                .replace("\"callsByClass\":[true,true]", "\"callsByClass\":[" + falses + "]")
+                .replace("\"degradedWorth\":[0,0]", "\"degradedWorth\":[" + zeros + "]")
+                .replace("\"cpus\":2", "\"cpus\":" + scenario.fleet().cores());
     }
 
-    private void begun(Scenario.Operation plan, String rid, String name, String body) {
-        if (plan.effect().equals("tokened")) {
+    private void startRun(Scenario.Operation operation, String rid, String name, String body) {
+        if (operation.effect().equals("tokened")) {
             runs.computeIfAbsent(body, token -> new AtomicInteger()).incrementAndGet();
         }
-        double work;
+        double seconds;
         boolean fails;
-        synchronized (chance) {
-            fails = chance.nextDouble() < failing;
-            work =
+        synchronized (random) {
+            fails = random.nextDouble() < failureShare;
+            seconds =
                     fails
-                            ? FAST_S
-                            : RandomStreams.around(chance, plan.workMs() / 1e3, plan.spread());
+                            ? FAILED_RUN_S
+                            : RandomStreams.around(
+                                    random, operation.workMs() / 1e3, operation.spread());
         }
-        cores.execute(
+        executor.execute(
                 () -> {
                     try {
-                        TimeUnit.NANOSECONDS.sleep((long) (work * slower * 1e9));
+                        TimeUnit.NANOSECONDS.sleep((long) (seconds * slowdown * 1e9));
                         if (fails) {
                             served.outside.notice("complete", rid + " error 1 0\r\n\r\n");
                         } else {
@@ -100,12 +103,14 @@
                 });
     }
 
-    void slow(double times) {
-        slower = times;
+    /** Makes runs take this many times as long; 1 for the normal time. */
+    void slow(double factor) {
+        slowdown = factor;
     }
 
+    /** Makes this share of the runs fail, 0 to 1. */
     void fail(double share) {
-        failing = share;
+        failureShare = share;
     }
 
     void signal(String name) throws IOException, InterruptedException {
@@ -116,6 +121,6 @@
     public void close() throws IOException {
         served.close();
         side.close();
-        cores.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/tools/src/main/java/ochretiller/tools/LoadGenerator.java
+++ b/tools/src/main/java/ochretiller/tools/LoadGenerator.java
@@ -16,32 +16,34 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop arrivals by seed over a few connections of JSON-RPC. Latency counts from the moment at
- * which a request was to be sent, so that a server which stands still is not spared what would have
- * come meanwhile.
+ * Sends JSON-RPC requests over a few connections at random times of an open-loop schedule, drawn
+ * from a seed. Latency is measured from the scheduled time, so that it includes the delay of
+ * requests that fell due while the server stalled (coordinated omission).
  */
 final class LoadGenerator {
-    /** Fewer than a server lets be open on one connection. */
-    private static final int OPEN = 30;
+    /** Less than the number of open requests that a server allows on one connection. */
+    private static final int MAX_OPEN_PER_CONNECTION = 30;
 
     final Histogram keyed = new ConcurrentHistogram(3);
     final Histogram reads = new ConcurrentHistogram(3);
     final LongAdder succeeded = new LongAdder();
     final LongAdder throttled = new LongAdder();
     final LongAdder errored = new LongAdder();
-    private final List<Line> lines = new ArrayList<>();
-    private final SplittableRandom chance;
-    private final String run;
+    private final List<Connection> connections = new ArrayList<>();
+    private final SplittableRandom random;
+    private final String runId;
     private long sent;
 
-    /** One connection, with what is open on it. */
-    private final class Line {
-        private final FakeConnection wire;
-        private final Semaphore open = new Semaphore(OPEN);
-        private final ConcurrentHashMap<Long, long[]> since = new ConcurrentHashMap<>();
+    /** A connection with its open requests. */
+    private final class Connection {
+        private final FakeConnection socket;
+        private final Semaphore permits = new Semaphore(MAX_OPEN_PER_CONNECTION);
 
-        Line(int port) throws IOException {
-            wire = new FakeConnection(new Socket("127.0.0.1", port));
+        /** By request number: the due time in nanoseconds, and 1 for a keyed request, else 0. */
+        private final ConcurrentHashMap<Long, long[]> openRequests = new ConcurrentHashMap<>();
+
+        Connection(int port) throws IOException {
+            socket = new FakeConnection(new Socket("127.0.0.1", port));
             Thread reader = new Thread(this::read);
             reader.setDaemon(true);
             reader.start();
@@ -49,66 +51,66 @@
 
         private void read() {
             try {
-                for (String line = wire.line(); line != null; line = wire.line()) {
-                    long[] asked = since.remove(JsonRpcClient.id(line));
-                    if (asked == null) {
+                for (String line = socket.line(); line != null; line = socket.line()) {
+                    long[] request = openRequests.remove(JsonRpcClient.id(line));
+                    if (request == null) {
                         continue;
                     }
-                    open.release();
-                    long took = Math.max(1, (System.nanoTime() - asked[0]) / 1_000);
+                    permits.release();
+                    long latencyMicros = Math.max(1, (System.nanoTime() - request[0]) / 1_000);
                     switch (JsonRpcClient.outcome(line)) {
                         case SUCCEEDED -> {
                             succeeded.increment();
-                            (asked[1] == 1 ? keyed : reads).recordValue(took);
+                            (request[1] == 1 ? keyed : reads).recordValue(latencyMicros);
                         }
                         case THROTTLED -> throttled.increment();
                         default -> errored.increment();
                     }
                 }
             } catch (IOException e) {
-                // the server has ended, or the load has
+                // the server has exited, or this generator was closed
             }
         }
     }
 
-    LoadGenerator(int port, int connections, long seed) throws IOException {
-        chance = new SplittableRandom(seed);
-        run = String.format("%08x", chance.nextInt());
-        for (int i = 0; i < connections; i++) {
-            lines.add(new Line(port));
+    LoadGenerator(int port, int connectionCount, long seed) throws IOException {
+        random = new SplittableRandom(seed);
+        runId = String.format("%08x", random.nextInt());
+        for (int i = 0; i < connectionCount; i++) {
+            connections.add(new Connection(port));
         }
     }
 
     /**
-     * Sends so many a second for so long; {@code keyedShare} of them are keyed, each under a token
-     * of its own.
+     * Sends requests for this time and waits up to 6 s on each connection for their answers. The
+     * keyed requests, a share of 0 to 1, each have a token of their own.
      */
     void send(double perSecond, double seconds, double keyedShare)
             throws IOException, InterruptedException {
         long start = System.nanoTime();
         double at = 0;
         while (true) {
-            at += RandomStreams.exponential(chance, 1 / perSecond);
+            at += RandomStreams.exponential(random, 1 / perSecond);
             if (at > seconds) {
                 break;
             }
             long due = start + (long) (at * 1e9);
             PreciseTimer.until(due);
-            boolean isKeyed = chance.nextDouble() < keyedShare;
-            Line line = lines.get((int) (++sent % lines.size()));
-            line.open.acquire();
-            String rid = run + String.format("%08x", sent);
-            line.since.put(sent, new long[] {due, isKeyed ? 1 : 0});
-            String token = isKeyed ? run + run + String.format("%016x", sent) : null;
-            line.wire.send(
+            boolean isKeyed = random.nextDouble() < keyedShare;
+            Connection connection = connections.get((int) (++sent % connections.size()));
+            connection.permits.acquire();
+            String rid = runId + String.format("%08x", sent);
+            connection.openRequests.put(sent, new long[] {due, isKeyed ? 1 : 0});
+            String token = isKeyed ? runId + runId + String.format("%016x", sent) : null;
+            connection.socket.send(
                     GatewayMessages.message(
                             sent,
                             isKeyed ? "order" : "read",
                             GatewayMessages.params(rid, token, "load")));
         }
-        for (Line line : lines) {
-            if (line.open.tryAcquire(OPEN, 6, TimeUnit.SECONDS)) {
-                line.open.release(OPEN);
+        for (Connection connection : connections) {
+            if (connection.permits.tryAcquire(MAX_OPEN_PER_CONNECTION, 6, TimeUnit.SECONDS)) {
+                connection.permits.release(MAX_OPEN_PER_CONNECTION);
             }
         }
     }
@@ -118,8 +120,8 @@
     }
 
     void close() throws IOException {
-        for (Line line : lines) {
-            line.wire.close();
+        for (Connection connection : connections) {
+            connection.socket.close();
         }
     }
 }
--- a/tools/src/main/java/ochretiller/tools/MeasuredRequest.java
+++ b/tools/src/main/java/ochretiller/tools/MeasuredRequest.java
@@ -2,9 +2,9 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** One request that a side sends, and what came of it. */
+/** A request to the measured server, with its times and its outcome. */
 final class MeasuredRequest {
-    /** What its caller saw. */
+    /** How the request ended for its client. */
     enum Outcome {
         SUCCEEDED,
         THROTTLED,
@@ -18,44 +18,49 @@
     final String body;
 
     /**
-     * When it was to be sent, nanoseconds: latency counts from here, so that a server that stands
-     * still is not spared.
+     * When the request was to be sent, on the clock of {@link System#nanoTime}. Latency is measured
+     * from here, so that it includes the time for which a stalled server delays the sender.
      */
     final long due;
 
-    /** The token of a keyed one, else null. */
+    /** The idempotency token of a keyed request; null for other requests. */
     final String token;
 
-    /** Its caller leaves without waiting for the answer. */
+    /** Whether the client disconnects without waiting for the answer. */
     final boolean vanishes;
 
     final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
     volatile long sentAt;
     volatile long answeredAt;
 
-    MeasuredRequest(long number, long due, String token, boolean vanishes) {
+    MeasuredRequest(long number, long dueNanos, String token, boolean disconnectsEarly) {
         this(
                 number,
-                due,
+                dueNanos,
                 token,
-                vanishes,
+                disconnectsEarly,
                 token == null ? "read" : "order",
                 token == null ? "load" : token);
     }
 
     MeasuredRequest(
-            long number, long due, String token, boolean vanishes, String operation, String body) {
+            long number,
+            long dueNanos,
+            String token,
+            boolean disconnectsEarly,
+            String operation,
+            String body) {
         this.operation = operation;
         this.body = body;
         this.number = number;
-        this.due = due;
+        this.due = dueNanos;
         this.token = token;
-        this.vanishes = vanishes;
+        this.vanishes = disconnectsEarly;
     }
 
-    /** Whether this is the first answer that it gets. */
-    boolean ends(Outcome with) {
+    /** Ends the request; returns false if it had an outcome before, which then stays. */
+    boolean ends(Outcome finalOutcome) {
         answeredAt = System.nanoTime();
-        return outcome.complete(with);
+        return outcome.complete(finalOutcome);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/MeasuredServer.java
+++ b/tools/src/main/java/ochretiller/tools/MeasuredServer.java
@@ -14,30 +14,31 @@
 import ochretiller.fakes.FakeServices;
 import ochretiller.fakes.GatewayMessages;
 
-/** The packaged server with stand-ins round it, for a measurement. */
+/** A process of the packaged server, connected to fake services, for measurements. */
 final class MeasuredServer implements AutoCloseable {
     final int port;
     final Process process;
     final FakeServices outside;
 
-    /** Connections that ended, by their close codes. */
+    /** How many connections the server has closed, by close code, from its log. */
     final Map<String, Integer> ends = new ConcurrentHashMap<>();
 
     /**
-     * Starts one.
+     * Starts a server and waits until it is connected to the fake processor.
      *
-     * @param operator the operators' file, or null
+     * @param operatorFile the operator's configuration file, or null for none
+     * @param configEditor changes the server's JSON configuration before the start
      */
-    MeasuredServer(Path operator, java.util.function.UnaryOperator<String> change)
+    MeasuredServer(Path operatorFile, java.util.function.UnaryOperator<String> configEditor)
             throws Exception {
-        CountDownLatch linked = new CountDownLatch(1);
+        CountDownLatch connected = new CountDownLatch(1);
         outside =
                 new FakeServices(
                         "127.0.0.1",
                         new int[3],
                         line -> {
                             if (line.equals("usage fence")) {
-                                linked.countDown();
+                                connected.countDown();
                             }
                         },
                         report -> {});
@@ -45,10 +46,10 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        Path config = Files.createTempFile("served", ".json");
+        Path configFile = Files.createTempFile("served", ".json");
         Files.writeString(
-                config,
-                change.apply(
+                configFile,
+                configEditor.apply(
                         GatewayMessages.config(
                                 port,
                                 outside.processorPort(),
@@ -56,12 +57,12 @@
                                 outside.rosterPort())));
         ProcessBuilder builder =
                 new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
-        builder.environment().put("EDGE_CONFIG", config.toString());
-        if (operator != null) {
-            builder.environment().put("OPERATOR_FILE", operator.toString());
+        builder.environment().put("EDGE_CONFIG", configFile.toString());
+        if (operatorFile != null) {
+            builder.environment().put("OPERATOR_FILE", operatorFile.toString());
         }
         process = builder.start();
-        Thread reader =
+        Thread logReader =
                 new Thread(
                         () -> {
                             try (BufferedReader lines =
@@ -76,28 +77,29 @@
                                     }
                                 }
                             } catch (IOException e) {
-                                // it has ended
+                                // the server has exited
                             }
                         });
-        reader.setDaemon(true);
-        reader.start();
-        if (!linked.await(20, TimeUnit.SECONDS)) {
-            throw new IOException("the server has not found its processor");
+        logReader.setDaemon(true);
+        logReader.start();
+        if (!connected.await(20, TimeUnit.SECONDS)) {
+            throw new IOException("the server did not connect to the fake processor within 20 s");
         }
     }
 
-    /** Resident memory in KiB. */
+    /** Returns the resident memory of the server process in KiB. */
     long residentKb() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmRSS:")) {
                 return Long.parseLong(line.replaceAll("\\D", ""));
             }
         }
-        throw new IOException("no VmRSS");
+        throw new IOException("/proc status of the server process has no VmRSS line");
     }
 
     /**
-     * Seconds of CPU that the server has taken, of all its threads, from the kernel's hundredths.
+     * Returns the CPU seconds that all threads of the server have used, in steps of 0.01 s, as the
+     * kernel counts them.
      */
     double cpuSeconds() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
--- a/tools/src/main/java/ochretiller/tools/MixedTraffic.java
+++ b/tools/src/main/java/ochretiller/tools/MixedTraffic.java
@@ -14,97 +14,94 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop arrivals by seed on one side, with keyed ones, repeats on the other side, and callers
- * that vanish.
+ * Sends open-loop traffic, drawn from a seed, over one protocol. Some keyed requests are retried
+ * over the other protocol, and some clients disconnect early.
  */
 final class MixedTraffic {
-    /** What is sent, as shares. */
+    /** Shares, 0 to 1: of keyed requests, and of retries and early disconnects among those. */
     record Mix(double keyed, double repeated, double vanishing) {}
 
-    private static final AtomicLong NUMBERS = new AtomicLong();
+    private static final AtomicLong LAST_NUMBER = new AtomicLong();
 
     /**
-     * A request is lost that has no answer so long after it was sent: twice the client timeout of
-     * the load's configuration.
+     * Time to wait for open requests, after which they are lost: twice the client timeout in the
+     * configuration of the measured server.
      */
-    private static final long LOST_S = 8;
+    private static final long LOST_AFTER_S = 8;
 
     final Histogram took = new ConcurrentHistogram(3);
     final Queue<MeasuredRequest> asks = new ConcurrentLinkedQueue<>();
-    private final ProtocolClient side;
-    private final ProtocolClient other;
+    private final ProtocolClient client;
+    private final ProtocolClient retryClient;
     private final Mix mix;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
 
-    MixedTraffic(ProtocolClient side, ProtocolClient other, Mix mix, long seed) {
-        this.side = side;
-        this.other = other;
+    MixedTraffic(ProtocolClient client, ProtocolClient retryClient, Mix mix, long seed) {
+        this.client = client;
+        this.retryClient = retryClient;
         this.mix = mix;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
     }
 
-    /** Sends so many a second for so long, from now. */
+    /** Sends requests for this time, without waiting for the last of them to end. */
     void send(double perSecond, double seconds) throws IOException {
         long start = System.nanoTime();
-        for (double at = gap(perSecond); at < seconds; at += gap(perSecond)) {
+        for (double at = nextGapSeconds(perSecond); at < seconds; at += nextGapSeconds(perSecond)) {
             long due = start + (long) (at * 1e9);
             PreciseTimer.until(due);
-            boolean keyed = chance.nextDouble() < mix.keyed;
+            boolean isKeyed = random.nextDouble() < mix.keyed;
             String token =
-                    keyed
-                            ? String.format("%016x%016x", chance.nextLong(), chance.nextLong())
+                    isKeyed
+                            ? String.format("%016x%016x", random.nextLong(), random.nextLong())
                             : null;
-            boolean repeats = keyed && chance.nextDouble() < mix.repeated;
-            MeasuredRequest ask =
+            boolean isRetried = isKeyed && random.nextDouble() < mix.repeated;
+            MeasuredRequest request =
                     new MeasuredRequest(
-                            NUMBERS.incrementAndGet(),
+                            LAST_NUMBER.incrementAndGet(),
                             due,
                             token,
-                            keyed && chance.nextDouble() < mix.vanishing);
-            asks.add(ask);
-            ask.outcome.thenAccept(
+                            isKeyed && random.nextDouble() < mix.vanishing);
+            asks.add(request);
+            request.outcome.thenAccept(
                     outcome -> {
                         if (outcome == MeasuredRequest.Outcome.SUCCEEDED) {
-                            took.recordValue(Math.max(1, (ask.answeredAt - due) / 1_000));
+                            took.recordValue(Math.max(1, (request.answeredAt - due) / 1_000));
                         }
-                        if (repeats) {
-                            repeat(ask);
+                        if (isRetried) {
+                            retry(request);
                         }
                     });
-            side.send(ask);
+            client.send(request);
         }
     }
 
-    private double gap(double perSecond) {
-        return RandomStreams.exponential(chance, 1 / perSecond);
+    private double nextGapSeconds(double perSecond) {
+        return RandomStreams.exponential(random, 1 / perSecond);
     }
 
-    /**
-     * Under the same key by the other protocol, once the first has its answer or its caller has
-     * gone.
-     */
-    private void repeat(MeasuredRequest first) {
-        MeasuredRequest again =
+    /** Retries a request, which has an outcome by now, under its token over the other protocol. */
+    private void retry(MeasuredRequest first) {
+        MeasuredRequest second =
                 new MeasuredRequest(
-                        NUMBERS.incrementAndGet(), System.nanoTime(), first.token, false);
-        asks.add(again);
+                        LAST_NUMBER.incrementAndGet(), System.nanoTime(), first.token, false);
+        asks.add(second);
         try {
-            other.send(again);
+            retryClient.send(second);
         } catch (IOException e) {
-            again.ends(MeasuredRequest.Outcome.NONE);
+            second.ends(MeasuredRequest.Outcome.NONE);
         }
     }
 
-    /** Waits for what is open; what stays without an answer is lost. */
+    /** Waits for the open requests and counts all by outcome; unanswered ones are lost. */
     Map<MeasuredRequest.Outcome, Long> outcomes() throws Exception {
         Map<MeasuredRequest.Outcome, Long> counts = new EnumMap<>(MeasuredRequest.Outcome.class);
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOST_S);
-        for (MeasuredRequest ask : asks) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOST_AFTER_S);
+        for (MeasuredRequest request : asks) {
             MeasuredRequest.Outcome outcome;
             try {
                 outcome =
-                        ask.outcome.get(
-                                Math.max(1, until - System.nanoTime()), TimeUnit.NANOSECONDS);
+                        request.outcome.get(
+                                Math.max(1, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
             } catch (TimeoutException e) {
                 outcome = MeasuredRequest.Outcome.NONE;
             }
--- a/tools/src/main/java/ochretiller/tools/PreciseTimer.java
+++ b/tools/src/main/java/ochretiller/tools/PreciseTimer.java
@@ -2,14 +2,16 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** Waits that end on time, as far as the machine lets them. */
+/** Waits until a given time, as precisely as the scheduler of the machine allows. */
 final class PreciseTimer {
     private PreciseTimer() {}
 
-    /** Returns once the clock of {@link System#nanoTime} has come to this. */
-    static void until(long nanos) {
-        for (long left = nanos - System.nanoTime(); left > 0; left = nanos - System.nanoTime()) {
-            LockSupport.parkNanos(left);
+    /** Returns when {@link System#nanoTime} has reached the deadline. */
+    static void until(long deadlineNanos) {
+        for (long remaining = deadlineNanos - System.nanoTime();
+                remaining > 0;
+                remaining = deadlineNanos - System.nanoTime()) {
+            LockSupport.parkNanos(remaining);
         }
     }
 }
--- a/tools/src/main/java/ochretiller/tools/ProtocolClient.java
+++ b/tools/src/main/java/ochretiller/tools/ProtocolClient.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** One protocol that requests are sent by. */
+/** A client of the measured server for one protocol. */
 interface ProtocolClient extends AutoCloseable {
-    /** Sends it; its outcome follows. Returns at once. */
-    void send(MeasuredRequest ask) throws IOException;
+    /** Sends a request without waiting for its end, which {@code request.outcome} reports. */
+    void send(MeasuredRequest request) throws IOException;
 
-    /** Answers that belong to no open request: each breaks the rule of one answer. */
+    /** Returns how many answers had no open request; each violates the rule of one answer. */
     long surplus();
 
     @Override
--- a/tools/src/main/java/ochretiller/tools/ResultTable.java
+++ b/tools/src/main/java/ochretiller/tools/ResultTable.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Rows of one measurement: shown as they come, and kept as CSV. */
+/** The rows of one measurement: printed as they are added, and saved as a CSV file. */
 final class ResultTable {
     private final Path file;
     private final List<String> lines = new ArrayList<>();
@@ -19,15 +19,15 @@
     }
 
     void row(Object... values) {
-        List<String> texts = new ArrayList<>();
+        List<String> cells = new ArrayList<>();
         for (Object value : values) {
-            texts.add(
+            cells.add(
                     value instanceof Double number
                             ? String.format(Locale.ROOT, number < 100 ? "%.3f" : "%.0f", number)
                             : String.valueOf(value));
         }
-        lines.add(String.join(",", texts));
-        System.out.println(String.join("  ", texts));
+        lines.add(String.join(",", cells));
+        System.out.println(String.join("  ", cells));
     }
 
     void keep() throws IOException {
--- a/tools/src/main/java/ochretiller/tools/StoreBench.java
+++ b/tools/src/main/java/ochretiller/tools/StoreBench.java
@@ -24,153 +24,156 @@
 import ochretiller.store.StoreLimits;
 
 /**
- * Appends and recovery, beside bare writes of the same bytes on the same disk, in turn within one
- * run.
+ * Measures appends and recovery of the store. Appends are compared with plain writes of the same
+ * bytes to the same disk, alternating within one run.
  */
 final class StoreBench {
-    private static final int[] IN_FLIGHT = {1, 8, 32, 256};
-    private static final int META = 90;
-    private static final int VALUE = 300;
-    private static final int KEY = 32;
+    private static final int[] IN_FLIGHT_COUNTS = {1, 8, 32, 256};
+    private static final int METADATA_BYTES = 90;
+    private static final int VALUE_BYTES = 300;
+    private static final int KEY_BYTES = 32;
 
-    /** A record as the store writes it, frame included. */
-    private static final int RECORD = 36 + KEY + META + VALUE;
+    /** A record as the store writes it, including 36 bytes of framing. */
+    private static final int RECORD_BYTES = 36 + KEY_BYTES + METADATA_BYTES + VALUE_BYTES;
 
-    private final Path folder;
+    private final Path directory;
     private final boolean quick;
-    private long keys;
+    private long lastKey;
 
-    /** Records a force, of the last round. */
-    private double group;
+    /** Mean number of records that one force made durable in the last round. */
+    private double recordsPerForce;
 
-    StoreBench(Path folder, boolean quick) {
-        this.folder = folder;
+    StoreBench(Path directory, boolean quick) {
+        this.directory = directory;
         this.quick = quick;
     }
 
-    private Store open(Path at, int entries) throws IOException {
+    private Store open(Path storeDirectory, int maxEntries) throws IOException {
         StoreLimits limits =
                 StoreLimits.builder()
-                        .maxEntries(entries)
+                        .maxEntries(maxEntries)
                         .maxBytes(16L << 30)
                         .maxIndexBytes(16L << 30)
                         .compactionBytesPerSecond(8 << 20)
                         .compactionMinRemainingLife(Duration.ofDays(1))
                         .maxRecordLife(Duration.ofDays(1))
                         .build();
-        return Store.open(new LocalDirectory(at), limits, BootClock.ofKernel(), Runnable::run);
+        return Store.open(
+                new LocalDirectory(storeDirectory), limits, BootClock.ofKernel(), Runnable::run);
     }
 
-    private static void empty(Path at) throws IOException {
-        if (!Files.exists(at)) {
+    private static void deleteRecursively(Path root) throws IOException {
+        if (!Files.exists(root)) {
             return;
         }
-        try (Stream<Path> files = Files.walk(at)) {
+        try (Stream<Path> files = Files.walk(root)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         }
     }
 
-    private byte[] key() {
-        return String.format("%032x", ++keys).getBytes();
+    private byte[] nextKey() {
+        return String.format("%032x", ++lastKey).getBytes();
     }
 
-    private double store(int inFlight, long nanos) throws Exception {
-        empty(folder);
-        AtomicLong done = new AtomicLong();
-        try (Store store = open(folder, 1 << 30)) {
+    /** Returns the appends a second of a thread that waits for one to end before it adds another. */
+    private double appendFromThread(int inFlight, long durationNanos) throws Exception {
+        deleteRecursively(directory);
+        AtomicLong durable = new AtomicLong();
+        try (Store store = open(directory, 1 << 30)) {
             store.start();
-            Semaphore free = new Semaphore(inFlight);
+            Semaphore permits = new Semaphore(inFlight);
             long start = System.nanoTime();
-            while (System.nanoTime() - start < nanos) {
-                free.acquire();
+            while (System.nanoTime() - start < durationNanos) {
+                permits.acquire();
                 store.putNew(
-                        key(),
-                        new byte[META],
-                        new byte[VALUE],
+                        nextKey(),
+                        new byte[METADATA_BYTES],
+                        new byte[VALUE_BYTES],
                         store.nowMillis() + 60_000,
-                        ack -> {
-                            if (ack == AppendResult.DURABLE) {
-                                done.incrementAndGet();
+                        result -> {
+                            if (result == AppendResult.DURABLE) {
+                                durable.incrementAndGet();
                             }
-                            free.release();
+                            permits.release();
                         });
             }
-            free.acquire(inFlight);
-            return done.get() / ((System.nanoTime() - start) / 1e9);
+            permits.acquire(inFlight);
+            return durable.get() / ((System.nanoTime() - start) / 1e9);
         }
     }
 
     /**
-     * The same with the next append handed over from the acknowledgement of the last, as a busy
-     * loop does.
+     * Returns the appends a second where the callback of each append submits the next one, as a
+     * busy event loop does.
      */
-    private double looped(int inFlight, long nanos) throws Exception {
-        empty(folder);
-        AtomicLong done = new AtomicLong();
-        try (Store store = open(folder, 1 << 30)) {
+    private double appendFromCallbacks(int inFlight, long durationNanos) throws Exception {
+        deleteRecursively(directory);
+        AtomicLong submitted = new AtomicLong();
+        try (Store store = open(directory, 1 << 30)) {
             store.start();
-            CountDownLatch ended = new CountDownLatch(inFlight);
+            CountDownLatch finished = new CountDownLatch(inFlight);
             long start = System.nanoTime();
             for (int i = 0; i < inFlight; i++) {
-                again(store, start + nanos, done, ended);
+                appendUntil(store, start + durationNanos, submitted, finished);
             }
-            ended.await();
-            group = store.stats().appendedRecords() / (double) store.stats().forces();
-            return done.get() / ((System.nanoTime() - start) / 1e9);
+            finished.await();
+            recordsPerForce = store.stats().appendedRecords() / (double) store.stats().forces();
+            return submitted.get() / ((System.nanoTime() - start) / 1e9);
         }
     }
 
-    private void again(Store store, long until, AtomicLong done, CountDownLatch ended) {
-        if (System.nanoTime() >= until) {
-            ended.countDown();
+    private void appendUntil(
+            Store store, long deadlineNanos, AtomicLong submitted, CountDownLatch finished) {
+        if (System.nanoTime() >= deadlineNanos) {
+            finished.countDown();
             return;
         }
         store.putNew(
-                String.format("%032x", done.incrementAndGet()).getBytes(),
-                new byte[META],
-                new byte[VALUE],
+                String.format("%032x", submitted.incrementAndGet()).getBytes(),
+                new byte[METADATA_BYTES],
+                new byte[VALUE_BYTES],
                 store.nowMillis() + 60_000,
-                ack -> again(store, until, done, ended));
+                result -> appendUntil(store, deadlineNanos, submitted, finished));
     }
 
     /**
-     * So many records in one write and one force, one behind another: what the disk gives without a
-     * store.
+     * Returns the records a second that the disk takes without a store: this many in each write,
+     * followed by a force, one write after the other.
      */
-    private double bare(int records, long nanos) throws IOException {
-        Files.createDirectories(folder);
-        Path file = folder.resolve("bare");
+    private double writePlain(int recordsPerWrite, long durationNanos) throws IOException {
+        Files.createDirectories(directory);
+        Path file = directory.resolve("bare");
         Files.deleteIfExists(file);
-        long done = 0;
+        long written = 0;
         try (FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
-            ByteBuffer bytes = ByteBuffer.allocate(records * RECORD);
+            ByteBuffer buffer = ByteBuffer.allocate(recordsPerWrite * RECORD_BYTES);
             long start = System.nanoTime();
             long now = start;
-            while (now - start < nanos) {
-                bytes.clear();
-                while (bytes.hasRemaining()) {
-                    channel.write(bytes);
+            while (now - start < durationNanos) {
+                buffer.clear();
+                while (buffer.hasRemaining()) {
+                    channel.write(buffer);
                 }
                 channel.force(false);
-                done += records;
+                written += recordsPerWrite;
                 now = System.nanoTime();
             }
-            return done / ((now - start) / 1e9);
+            return written / ((now - start) / 1e9);
         }
     }
 
     private static double median(List<Double> values) {
-        double[] sorted = values.stream().mapToDouble(v -> v).sorted().toArray();
+        double[] sorted = values.stream().mapToDouble(value -> value).sorted().toArray();
         return sorted[sorted.length / 2];
     }
 
     void appends() throws Exception {
-        long nanos = (quick ? 1 : 2) * 1_000_000_000L;
+        long roundNanos = (quick ? 1 : 2) * 1_000_000_000L;
         int rounds = 3;
-        store(256, nanos); // compiled before it counts
+        appendFromThread(256, roundNanos); // warm-up, so that the code is compiled
         ResultTable table =
                 new ResultTable(
                         "store-appends",
@@ -182,45 +185,45 @@
                         "times one force a record",
                         "share of bare groups",
                         "records a force");
-        List<double[]> woken = new ArrayList<>();
-        List<double[]> appends = new ArrayList<>();
-        List<double[]> single = new ArrayList<>();
-        List<double[]> groups = new ArrayList<>();
-        for (int inFlight : IN_FLIGHT) {
-            List<Double> store = new ArrayList<>();
-            List<Double> threaded = new ArrayList<>();
-            List<Double> one = new ArrayList<>();
-            List<Double> bare = new ArrayList<>();
-            List<Double> times = new ArrayList<>();
-            List<Double> share = new ArrayList<>();
+        List<double[]> threadPoints = new ArrayList<>();
+        List<double[]> callbackPoints = new ArrayList<>();
+        List<double[]> singlePoints = new ArrayList<>();
+        List<double[]> groupPoints = new ArrayList<>();
+        for (int inFlight : IN_FLIGHT_COUNTS) {
+            List<Double> fromCallbacks = new ArrayList<>();
+            List<Double> fromThread = new ArrayList<>();
+            List<Double> plainSingle = new ArrayList<>();
+            List<Double> plainGroups = new ArrayList<>();
+            List<Double> speedups = new ArrayList<>();
+            List<Double> shares = new ArrayList<>();
             for (int round = 0; round < rounds; round++) {
-                one.add(bare(1, nanos));
-                store.add(looped(inFlight, nanos));
-                threaded.add(store(inFlight, nanos));
-                bare.add(bare(inFlight, nanos));
-                times.add(store.get(round) / one.get(round));
-                share.add(store.get(round) / bare.get(round));
+                plainSingle.add(writePlain(1, roundNanos));
+                fromCallbacks.add(appendFromCallbacks(inFlight, roundNanos));
+                fromThread.add(appendFromThread(inFlight, roundNanos));
+                plainGroups.add(writePlain(inFlight, roundNanos));
+                speedups.add(fromCallbacks.get(round) / plainSingle.get(round));
+                shares.add(fromCallbacks.get(round) / plainGroups.get(round));
             }
             table.row(
                     inFlight,
-                    median(store),
-                    median(threaded),
-                    median(one),
-                    median(bare),
-                    median(times),
-                    median(share),
-                    group);
-            appends.add(new double[] {inFlight, median(store)});
-            woken.add(new double[] {inFlight, median(threaded)});
-            single.add(new double[] {inFlight, median(one)});
-            groups.add(new double[] {inFlight, median(bare)});
+                    median(fromCallbacks),
+                    median(fromThread),
+                    median(plainSingle),
+                    median(plainGroups),
+                    median(speedups),
+                    median(shares),
+                    recordsPerForce);
+            callbackPoints.add(new double[] {inFlight, median(fromCallbacks)});
+            threadPoints.add(new double[] {inFlight, median(fromThread)});
+            singlePoints.add(new double[] {inFlight, median(plainSingle)});
+            groupPoints.add(new double[] {inFlight, median(plainGroups)});
         }
         table.keep();
         Map<String, List<double[]>> series = new LinkedHashMap<>();
-        series.put("store, from a busy loop", appends);
-        series.put("store, from a woken thread", woken);
-        series.put("bare groups of as many", groups);
-        series.put("one force a record", single);
+        series.put("store, from a busy loop", callbackPoints);
+        series.put("store, from a woken thread", threadPoints);
+        series.put("bare groups of as many", groupPoints);
+        series.put("one force a record", singlePoints);
         Charts.lines(
                 "store-appends",
                 "Durable appends (own bench)",
@@ -228,7 +231,7 @@
                 "a second",
                 true,
                 series);
-        empty(folder);
+        deleteRecursively(directory);
     }
 
     void recovery() throws Exception {
@@ -241,77 +244,79 @@
                         "bytes an entry on disk",
                         "heap bytes an entry",
                         "reckoned bytes an entry");
-        List<double[]> whole = new ArrayList<>();
-        List<double[]> hinted = new ArrayList<>();
+        List<double[]> pointsWithoutHints = new ArrayList<>();
+        List<double[]> pointsWithHints = new ArrayList<>();
         for (int entries :
                 quick ? new int[] {10_000, 100_000} : new int[] {10_000, 100_000, 1_000_000}) {
-            empty(folder);
+            deleteRecursively(directory);
             long bytes;
-            try (Store store = open(folder, 1 << 30)) {
+            try (Store store = open(directory, 1 << 30)) {
                 store.start();
-                Semaphore free = new Semaphore(2_000);
+                Semaphore permits = new Semaphore(2_000);
                 for (int i = 0; i < entries; i++) {
-                    free.acquire();
+                    permits.acquire();
                     store.putNew(
-                            key(),
-                            new byte[META],
-                            new byte[VALUE],
+                            nextKey(),
+                            new byte[METADATA_BYTES],
+                            new byte[VALUE_BYTES],
                             store.nowMillis() + 3_600_000,
-                            ack -> free.release());
+                            result -> permits.release());
                 }
-                free.acquire(2_000);
+                permits.acquire(2_000);
                 bytes = store.stats().bytes();
             }
-            double[] withHints = times(entries);
-            try (Stream<Path> files = Files.list(folder)) {
+            double[] withHints = measureOpen(entries);
+            try (Stream<Path> files = Files.list(directory)) {
                 for (Path file : files.filter(f -> f.toString().endsWith(".hint")).toList()) {
                     Files.delete(file);
                 }
             }
-            double[] without = times(entries);
+            double[] withoutHints = measureOpen(entries);
             table.row(
                     entries,
-                    without[0],
+                    withoutHints[0],
                     withHints[0],
                     bytes / (double) entries,
                     withHints[1],
                     withHints[2]);
-            whole.add(new double[] {entries, without[0]});
-            hinted.add(new double[] {entries, withHints[0]});
+            pointsWithoutHints.add(new double[] {entries, withoutHints[0]});
+            pointsWithHints.add(new double[] {entries, withHints[0]});
         }
         table.keep();
         Map<String, List<double[]>> series = new LinkedHashMap<>();
-        series.put("segments read whole", whole);
-        series.put("with hints", hinted);
+        series.put("segments read whole", pointsWithoutHints);
+        series.put("with hints", pointsWithHints);
         Charts.lines("store-recovery", "Recovery (own bench)", "entries", "seconds", true, series);
-        empty(folder);
+        deleteRecursively(directory);
     }
 
     /**
-     * Median of three starts in seconds, the heap that an entry takes, and what the store reckons.
+     * Returns the median seconds of three recoveries, the heap bytes of an entry, and the bytes of
+     * an entry as the store estimates them.
      */
-    private double[] times(int entries) throws IOException {
+    private double[] measureOpen(int entries) throws IOException {
         double[] seconds = new double[3];
-        double heap = 0;
-        double reckoned = 0;
+        double heapBytes = 0;
+        double estimatedBytes = 0;
         for (int i = 0; i < seconds.length; i++) {
-            long before = used();
+            long heapBefore = usedHeap();
             long start = System.nanoTime();
-            try (Store store = open(folder, 1 << 30)) {
+            try (Store store = open(directory, 1 << 30)) {
                 seconds[i] = (System.nanoTime() - start) / 1e9;
                 if (store.stats().entries() != entries) {
-                    throw new IOException("entries: " + store.stats().entries());
+                    throw new IOException(
+                            "number of recovered entries is wrong: " + store.stats().entries());
                 }
-                store.start(); // lets the list of what was kept go
-                heap = (used() - before) / (double) entries;
-                reckoned = store.stats().indexBytes() / (double) entries;
+                store.start(); // releases the list of recovered entries, which is not measured
+                heapBytes = (usedHeap() - heapBefore) / (double) entries;
+                estimatedBytes = store.stats().indexBytes() / (double) entries;
             }
         }
         Arrays.sort(seconds);
-        return new double[] {seconds[1], heap, reckoned};
+        return new double[] {seconds[1], heapBytes, estimatedBytes};
     }
 
-    private static long used() {
+    private static long usedHeap() {
         System.gc();
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/tools/src/main/java/ochretiller/tools/ToolsCommand.java
+++ b/tools/src/main/java/ochretiller/tools/ToolsCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measurements, each a command of its own; their tables and charts are kept in docs/figures. */
+/** The command line of the benches: a subcommand each, with tables and charts in docs/figures. */
 @Command(
         name = "tools",
         mixinStandardHelpOptions = true,
@@ -114,10 +114,10 @@
         return 0;
     }
 
-    public static void main(String[] words) {
-        if (List.of(words).isEmpty()) {
-            words = new String[] {"--help"};
+    public static void main(String[] args) {
+        if (List.of(args).isEmpty()) {
+            args = new String[] {"--help"};
         }
-        System.exit(new CommandLine(new ToolsCommand()).execute(words));
+        System.exit(new CommandLine(new ToolsCommand()).execute(args));
     }
 }
--- a/tools/src/main/java/ochretiller/tools/UwsgiClient.java
+++ b/tools/src/main/java/ochretiller/tools/UwsgiClient.java
@@ -17,112 +17,114 @@
 import ochretiller.uwsgi.UwsgiResponse;
 import ochretiller.uwsgi.UwsgiResponseDecoder;
 
-/** uwsgi with a connection for each request, as front ends send it. */
+/** Sends uwsgi requests over a new connection each, as front ends do. */
 final class UwsgiClient implements ProtocolClient {
-    /** Longer than any client timeout of the load's configuration. */
-    private static final int TIMEOUT_MS = 8_000;
+    /** Longer than any client timeout in the configuration of the measured server. */
+    private static final int READ_TIMEOUT_MS = 8_000;
 
-    private static final int LONGEST = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private final int port;
-    private final String caller;
-    private final ThreadPoolExecutor threads;
-    private final LongAdder surplus = new LongAdder();
+    private final String remoteAddress;
+    private final ThreadPoolExecutor executor;
+    private final LongAdder unexpectedAnswers = new LongAdder();
 
     /**
-     * A side without connections yet.
+     * Creates a client without connections.
      *
-     * @param most requests at once
+     * @param maxConcurrent requests in progress at a time; as many more wait in a queue
      */
-    UwsgiClient(int port, int most, String caller) {
+    UwsgiClient(int port, int maxConcurrent, String remoteAddress) {
         this.port = port;
-        this.caller = caller;
-        threads =
+        this.remoteAddress = remoteAddress;
+        executor =
                 new ThreadPoolExecutor(
-                        most,
-                        most,
+                        maxConcurrent,
+                        maxConcurrent,
                         5,
                         TimeUnit.SECONDS,
-                        new LinkedBlockingQueue<>(most),
-                        work -> {
-                            Thread thread = new Thread(work);
+                        new LinkedBlockingQueue<>(maxConcurrent),
+                        task -> {
+                            Thread thread = new Thread(task);
                             thread.setDaemon(true);
                             return thread;
                         });
-        threads.allowCoreThreadTimeOut(true);
+        executor.allowCoreThreadTimeOut(true);
     }
 
     @Override
-    public void send(MeasuredRequest ask) throws IOException {
+    public void send(MeasuredRequest request) throws IOException {
         try {
-            threads.execute(() -> ask(ask));
+            executor.execute(() -> exchange(request));
         } catch (RejectedExecutionException e) {
-            throw new IOException("as many requests as allowed are open: the server is far behind");
+            throw new IOException(
+                    "all threads are busy and the queue is full: the server cannot keep up");
         }
     }
 
-    private void ask(MeasuredRequest ask) {
+    private void exchange(MeasuredRequest request) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(TIMEOUT_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
             byte[] body =
-                    (ask.token == null ? "load" : ask.token).getBytes(StandardCharsets.ISO_8859_1);
+                    (request.token == null ? "load" : request.token)
+                            .getBytes(StandardCharsets.ISO_8859_1);
             Map<String, String> vars = new LinkedHashMap<>();
-            vars.put("REQUEST_METHOD", ask.token == null ? "GET" : "POST");
-            vars.put("PATH_INFO", ask.token == null ? "/parts/7" : "/orders");
+            vars.put("REQUEST_METHOD", request.token == null ? "GET" : "POST");
+            vars.put("PATH_INFO", request.token == null ? "/parts/7" : "/orders");
             vars.put("CONTENT_LENGTH", "" + body.length);
-            vars.put("REMOTE_ADDR", caller);
-            if (ask.token != null) {
-                vars.put("HTTP_IDEMPOTENCY_KEY", ask.token);
+            vars.put("REMOTE_ADDR", remoteAddress);
+            if (request.token != null) {
+                vars.put("HTTP_IDEMPOTENCY_KEY", request.token);
             }
-            ask.sentAt = System.nanoTime();
+            request.sentAt = System.nanoTime();
             for (byte[] part : new UwsgiRequest(vars, body, false).encode()) {
                 socket.getOutputStream().write(part);
             }
-            if (ask.vanishes) {
-                ask.ends(MeasuredRequest.Outcome.VANISHED);
+            if (request.vanishes) {
+                request.ends(MeasuredRequest.Outcome.VANISHED);
                 return;
             }
-            ask.ends(answer(socket.getInputStream()));
+            request.ends(readOutcome(socket.getInputStream()));
         } catch (IOException e) {
-            ask.ends(MeasuredRequest.Outcome.NONE);
+            request.ends(MeasuredRequest.Outcome.NONE);
         }
     }
 
-    private MeasuredRequest.Outcome answer(InputStream in) throws IOException {
-        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(LONGEST);
+    private MeasuredRequest.Outcome readOutcome(InputStream in) throws IOException {
+        UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
         byte[] buffer = new byte[4_096];
-        UwsgiResponse answer = null;
+        UwsgiResponse response = null;
         try {
-            for (int got = in.read(buffer); got > 0 && answer == null; ) {
-                answer = decoder.read(buffer, 0, got);
-                if (answer == null) {
-                    got = in.read(buffer);
+            for (int count = in.read(buffer); count > 0 && response == null; ) {
+                response = decoder.read(buffer, 0, count);
+                if (response == null) {
+                    count = in.read(buffer);
                 }
             }
         } catch (SocketTimeoutException | SocketException e) {
             return MeasuredRequest.Outcome.NONE;
         }
-        if (answer == null) {
+        if (response == null) {
             return MeasuredRequest.Outcome.NONE;
         }
         if (in.read() >= 0) {
-            surplus.increment();
+            unexpectedAnswers.increment();
         }
-        return answer.status() == 200
+        return response.status() == 200
                 ? MeasuredRequest.Outcome.SUCCEEDED
-                : answer.status() == 503
+                : response.status() == 503
                         ? MeasuredRequest.Outcome.THROTTLED
                         : MeasuredRequest.Outcome.ERRORED;
     }
 
     @Override
     public long surplus() {
-        return surplus.sum();
+        return unexpectedAnswers.sum();
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
