--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -30,30 +30,30 @@
 import ochretiller.fleet.transport.PacketCodec;
 
 /**
- * What it takes to make copies equal: three keepers, one of which lacks some or all, exchange
- * sealed packets in one process, without a wire between them. Bytes are those of whole packets
- * beside the entries that differ, encoded by themselves.
+ * Measures how a replica that lacks some or all entries catches up with two others. They exchange
+ * sealed packets within one process, without a network. The bytes of all packets are compared with
+ * those of the missing entries, each encoded alone.
  */
 final class CopiesBench {
     private static final Duration WINDOW = Duration.ofHours(1);
-    private static final Duration BEAT = Duration.ofMillis(20);
+    private static final Duration TICK = Duration.ofMillis(20);
 
-    /** No allowance: what the exchange itself takes is measured. */
-    private static final double FREE = 1e12;
+    /** A rate that does not limit the transfer: the cost of the exchange itself is measured. */
+    private static final double UNLIMITED_BYTES_PER_SECOND = 1e12;
 
-    private static final int RESULT = 200;
+    private static final int RESULT_CHARS = 200;
 
-    /** Beats without a word: what was not answered would have been asked again by then. */
-    private static final int QUIET = 20;
+    /** Ticks without a message that end an exchange; an unanswered request is repeated sooner. */
+    private static final int QUIET_TICKS = 20;
 
-    private static final List<ReplicaServer> THREE =
+    private static final List<ReplicaServer> SERVERS =
             List.of(
                     new ReplicaServer("a", "1"),
                     new ReplicaServer("b", "2"),
                     new ReplicaServer("c", "3"));
-    private static final ReplicaPlacement LAYOUT = new ReplicaPlacement(3, THREE, THREE, 3);
+    private static final ReplicaPlacement PLACEMENT = new ReplicaPlacement(3, SERVERS, SERVERS, 3);
 
-    private final SplittableRandom chance = new SplittableRandom(11);
+    private final SplittableRandom random = new SplittableRandom(11);
     private final PacketCodec codec;
     private final Member member =
             new Member(
@@ -68,65 +68,71 @@
     private long bytes;
 
     CopiesBench() throws Exception {
-        Path key = Files.createTempFile("copies", "key");
-        Files.writeString(key, "a key that only benches have");
-        codec = new PacketCodec("bench", FleetKeys.read(key));
-        Files.delete(key);
+        Path keyFile = Files.createTempFile("copies", "key");
+        Files.writeString(keyFile, "a key that only benches have");
+        codec = new PacketCodec("bench", FleetKeys.read(keyFile));
+        Files.delete(keyFile);
     }
 
-    private int sealed(Object message) {
+    private int sealedBytes(Object message) {
         return codec.seal(member, message, 1).length;
     }
 
-    private Replica keeper(String name, Map<String, ReplicaEntry> entries) {
+    private Replica newReplica(String name, Map<String, ReplicaEntry> entries) {
         return Replica.recover(
                 name,
-                new ReplicaSnapshot(LAYOUT, entries),
-                new ReplicaLimits(10_000_000, Long.MAX_VALUE, FREE, WINDOW),
+                new ReplicaSnapshot(PLACEMENT, entries),
+                new ReplicaLimits(
+                        10_000_000, Long.MAX_VALUE, UNLIMITED_BYTES_PER_SECOND, WINDOW),
                 Duration.ZERO);
     }
 
-    private Map<String, ReplicaEntry> entries(int count) {
-        Map<String, ReplicaEntry> all = new HashMap<>();
+    private Map<String, ReplicaEntry> randomEntries(int count) {
+        Map<String, ReplicaEntry> entries = new HashMap<>();
         for (int i = 0; i < count; i++) {
-            ClaimId id = new ClaimId("server-" + chance.nextInt(5), chance.nextLong(), i);
-            String body =
+            ClaimId id = new ClaimId("server-" + random.nextInt(5), random.nextLong(), i);
+            String fingerprint =
                     "order "
-                            + Long.toHexString(chance.nextLong())
-                            + Long.toHexString(chance.nextLong())
-                            + Long.toHexString(chance.nextLong());
+                            + Long.toHexString(random.nextLong())
+                            + Long.toHexString(random.nextLong())
+                            + Long.toHexString(random.nextLong());
             ClaimOutcome outcome =
                     new ClaimOutcome(
-                            true, body, "r".repeat(RESULT - 20) + String.format("%020d", i));
-            all.put(
-                    String.format("%016x%016x", chance.nextLong(), chance.nextLong()),
+                            true,
+                            fingerprint,
+                            "r".repeat(RESULT_CHARS - 20) + String.format("%020d", i));
+            entries.put(
+                    String.format("%016x%016x", random.nextLong(), random.nextLong()),
                     new ReplicaEntry(
-                            Map.of(id, body), java.util.Set.of(), Map.of(id, outcome), WINDOW));
+                            Map.of(id, fingerprint),
+                            java.util.Set.of(),
+                            Map.of(id, outcome),
+                            WINDOW));
         }
-        return all;
+        return entries;
     }
 
-    private long encoded(Map<String, ReplicaEntry> entries) {
-        long all = 0;
-        int empty = page(List.of());
+    private long encodedBytes(Map<String, ReplicaEntry> entries) {
+        long total = 0;
+        int emptyPageBytes = pageBytes(List.of());
         for (Map.Entry<String, ReplicaEntry> each : entries.entrySet()) {
-            all +=
-                    page(
+            total +=
+                    pageBytes(
                                     List.of(
                                             new ReplicationMessage.TransferredEntry(
                                                     each.getKey(), each.getValue(), WINDOW)))
-                            - empty;
+                            - emptyPageBytes;
         }
-        return all;
+        return total;
     }
 
-    private int page(List<ReplicationMessage.TransferredEntry> items) {
-        return sealed(
+    private int pageBytes(List<ReplicationMessage.TransferredEntry> entries) {
+        return sealedBytes(
                 new ReplicationMessage.RangePage(
                         3,
                         1,
                         1,
-                        items,
+                        entries,
                         new ReplicationMessage.RangeCursor(1, ""),
                         true,
                         true,
@@ -136,40 +142,43 @@
                         1));
     }
 
-    private record Sent(String from, OutboundMessage out) {}
+    private record InTransit(String sender, OutboundMessage outbound) {}
 
-    /** Until nothing more is said; the asker has to have all by then. */
-    private void exchange(Map<String, Replica> keepers, Replica asker, int size) {
+    /** Exchanges messages until none follow; the incomplete replica must then have all entries. */
+    private void exchange(Map<String, Replica> replicas, Replica incomplete, int expectedEntries) {
         packets = 0;
         bytes = 0;
-        Deque<Sent> underWay = new ArrayDeque<>();
+        Deque<InTransit> inTransit = new ArrayDeque<>();
         Duration now = Duration.ZERO;
-        int beats = 0;
-        int quiet = 0;
-        while (quiet < QUIET && beats < 1_000_000) {
-            now = now.plus(BEAT);
-            beats++;
-            asker.tick(now);
-            int said = 0;
-            for (OutboundMessage out : asker.takeOutbound()) {
-                underWay.add(new Sent("a", out));
+        int ticks = 0;
+        int quietTicks = 0;
+        while (quietTicks < QUIET_TICKS && ticks < 1_000_000) {
+            now = now.plus(TICK);
+            ticks++;
+            incomplete.tick(now);
+            int delivered = 0;
+            for (OutboundMessage outbound : incomplete.takeOutbound()) {
+                inTransit.add(new InTransit("a", outbound));
             }
-            while (!underWay.isEmpty()) {
-                Sent sent = underWay.poll();
-                said++;
+            while (!inTransit.isEmpty()) {
+                InTransit next = inTransit.poll();
+                delivered++;
                 packets++;
-                bytes += sealed(sent.out.message());
-                Replica to = keepers.get(sent.out.recipient());
-                to.receive(sent.from, sent.out.message(), now);
-                for (OutboundMessage back : to.takeOutbound()) {
-                    underWay.add(new Sent(sent.out.recipient(), back));
+                bytes += sealedBytes(next.outbound.message());
+                Replica recipient = replicas.get(next.outbound.recipient());
+                recipient.receive(next.sender, next.outbound.message(), now);
+                for (OutboundMessage reply : recipient.takeOutbound()) {
+                    inTransit.add(new InTransit(next.outbound.recipient(), reply));
                 }
             }
-            quiet = said == 0 ? quiet + 1 : 0;
+            quietTicks = delivered == 0 ? quietTicks + 1 : 0;
         }
-        if (asker.statistics().entries() != size) {
+        if (incomplete.statistics().entries() != expectedEntries) {
             throw new IllegalStateException(
-                    "it has " + asker.statistics().entries() + " of " + size);
+                    "the replica has "
+                            + incomplete.statistics().entries()
+                            + " entries instead of "
+                            + expectedEntries);
         }
     }
 
@@ -187,38 +196,38 @@
                         "ratio");
         Map<String, List<double[]>> series = new HashMap<>();
         for (int count : quick ? new int[] {10_000} : new int[] {10_000, 100_000}) {
-            Map<String, ReplicaEntry> all = entries(count);
-            Replica b = keeper("b", all);
-            Replica c = keeper("c", all);
-            for (double lacks : new double[] {0, 0.0001, 0.001, 0.01, 0.1, 1}) {
-                Map<String, ReplicaEntry> some = new HashMap<>(all);
-                Map<String, ReplicaEntry> differ = new HashMap<>();
+            Map<String, ReplicaEntry> all = randomEntries(count);
+            Replica b = newReplica("b", all);
+            Replica c = newReplica("c", all);
+            for (double missingShare : new double[] {0, 0.0001, 0.001, 0.01, 0.1, 1}) {
+                Map<String, ReplicaEntry> present = new HashMap<>(all);
+                Map<String, ReplicaEntry> missing = new HashMap<>();
                 List<String> tokens = new ArrayList<>(all.keySet());
-                int missing = (int) Math.round(count * lacks);
-                for (int i = 0; i < missing; i++) {
+                int missingCount = (int) Math.round(count * missingShare);
+                for (int i = 0; i < missingCount; i++) {
                     String token = tokens.get(i);
-                    differ.put(token, some.remove(token));
+                    missing.put(token, present.remove(token));
                 }
-                // One that was away asks whoever has something else, as comparisons of all ranges
-                // find it.
-                Replica a = keeper("a", some);
-                long differing = encoded(differ);
-                long began = System.nanoTime();
+                // A replica that was away compares all its ranges with the other replicas, and
+                // fetches entries from those that differ.
+                Replica a = newReplica("a", present);
+                long missingBytes = encodedBytes(missing);
+                long start = System.nanoTime();
                 a.compareAllRanges();
                 exchange(Map.of("a", a, "b", b, "c", c), a, count);
-                double seconds = (System.nanoTime() - began) / 1e9;
+                double seconds = (System.nanoTime() - start) / 1e9;
                 table.row(
                         count,
-                        String.format(Locale.ROOT, "%.4f", lacks),
+                        String.format(Locale.ROOT, "%.4f", missingShare),
                         a.statistics().receivedEntries(),
-                        missing == 0 ? 0.0 : missing / seconds,
+                        missingCount == 0 ? 0.0 : missingCount / seconds,
                         packets,
                         bytes,
-                        differing,
-                        differing == 0 ? 0.0 : (double) bytes / differing);
-                if (missing > 0) {
+                        missingBytes,
+                        missingBytes == 0 ? 0.0 : (double) bytes / missingBytes);
+                if (missingCount > 0) {
                     series.computeIfAbsent(count + " entries", ignored -> new ArrayList<>())
-                            .add(new double[] {lacks * 100, (double) bytes / differing});
+                            .add(new double[] {missingShare * 100, (double) bytes / missingBytes});
                 }
             }
         }
--- a/tools/src/main/java/ochretiller/tools/JsonRpcClient.java
+++ b/tools/src/main/java/ochretiller/tools/JsonRpcClient.java
@@ -19,8 +19,8 @@
     private final int maxConnections;
     private final String runId;
     private final List<Connection> connections = new ArrayList<>();
-    private final LongAdder unexpectedAnswers = new LongAdder();
-    private final LongAdder resentRequests = new LongAdder();
+    private final LongAdder unexpectedAnswerCount = new LongAdder();
+    private final LongAdder resendCount = new LongAdder();
     private boolean closed;
 
     /**
@@ -63,7 +63,7 @@
                 for (String line = socket.line(); line != null; line = socket.line()) {
                     MeasuredRequest request = openRequests.remove(id(line));
                     if (request == null || !request.ends(outcome(line))) {
-                        unexpectedAnswers.increment();
+                        unexpectedAnswerCount.increment();
                     }
                 }
             } catch (IOException e) {
@@ -77,7 +77,7 @@
                     return;
                 }
                 for (MeasuredRequest request : openRequests.values()) {
-                    resentRequests.increment();
+                    resendCount.increment();
                     try {
                         send(request);
                     } catch (IOException e) {
@@ -136,12 +136,12 @@
 
     /** Returns how many requests were sent again because their connection was closed. */
     long again() {
-        return resentRequests.sum();
+        return resendCount.sum();
     }
 
     @Override
     public long surplus() {
-        return unexpectedAnswers.sum();
+        return unexpectedAnswerCount.sum();
     }
 
     @Override
--- a/tools/src/main/java/ochretiller/tools/LiveBench.java
+++ b/tools/src/main/java/ochretiller/tools/LiveBench.java
@@ -22,79 +22,79 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A script of the emulator, scaled down, in real time round packaged servers. Calls below, cuts,
- * disks and drains are not played: scripts with such incidents are refused.
+ * Plays an emulator scenario, scaled down, in real time against packaged servers, without calls to
+ * the records service. Scenarios with network cuts, disk stalls or drains are rejected.
  */
 final class LiveBench {
-    private static final List<String> PLAYED = List.of("die", "pause", "slow", "fail", "burst");
+    private static final List<String> SUPPORTED = List.of("die", "pause", "slow", "fail", "burst");
 
-    private final Scenario script;
+    private final Scenario scenario;
     private final long seed;
-    private final SplittableRandom arrivals;
-    private final SplittableRandom choices;
+    private final SplittableRandom arrivalRandom;
+    private final SplittableRandom choiceRandom;
     private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(8);
-    private final List<LiveServer> boxes = new CopyOnWriteArrayList<>();
-    private final List<LiveServer> all = new CopyOnWriteArrayList<>();
-    private final AtomicLong numbers = new AtomicLong();
-    private final DoubleAdder offered = new DoubleAdder();
-    private final DoubleAdder earned = new DoubleAdder();
-    private final LongAdder ended = new LongAdder();
-    private final Histogram took = new ConcurrentHistogram(3);
-    private volatile double rate = 1;
-    private long asked;
-    private long tokens;
+    private final List<LiveServer> activeServers = new CopyOnWriteArrayList<>();
+    private final List<LiveServer> allServers = new CopyOnWriteArrayList<>();
+    private final AtomicLong lastNumber = new AtomicLong();
+    private final DoubleAdder offeredValue = new DoubleAdder();
+    private final DoubleAdder earnedValue = new DoubleAdder();
+    private final LongAdder endedCount = new LongAdder();
+    private final Histogram latencyMicros = new ConcurrentHistogram(3);
+    private volatile double rateFactor = 1;
+    private long startedCount;
+    private long lastToken;
 
-    LiveBench(Path file, int count, long seed) {
-        Scenario whole = ScenarioReader.read(file);
-        this.script = whole.scaled((double) count / whole.fleet().boxes());
+    LiveBench(Path file, int serverCount, long seed) {
+        Scenario original = ScenarioReader.read(file);
+        this.scenario = original.scaled((double) serverCount / original.fleet().boxes());
         this.seed = seed;
-        for (Scenario.Incident each : script.incidents()) {
-            if (!PLAYED.contains(each.what())) {
+        for (Scenario.Incident each : scenario.incidents()) {
+            if (!SUPPORTED.contains(each.what())) {
                 throw new MalformedException(
-                        each.what() + " is not played live; " + PLAYED + " are");
+                        "incident " + each.what() + " is not supported, only " + SUPPORTED);
             }
         }
-        arrivals = new RandomStreams(seed).of("arrivals");
-        choices = new RandomStreams(seed).of("gateways");
+        arrivalRandom = new RandomStreams(seed).of("arrivals");
+        choiceRandom = new RandomStreams(seed).of("gateways");
         timers.setRemoveOnCancelPolicy(true);
     }
 
     void run() throws Exception {
-        for (int place = 0; place < script.fleet().boxes(); place++) {
-            add(new LiveServer(script, place, 0, seed));
+        for (int index = 0; index < scenario.fleet().boxes(); index++) {
+            add(new LiveServer(scenario, index, 0, seed));
         }
         try {
-            for (int i = 0; i < script.incidents().size(); i++) {
-                Scenario.Incident each = script.incidents().get(i);
-                SplittableRandom chance = new RandomStreams(seed).of("incident " + i);
-                after(each.atS(), () -> happens(each, chance));
+            for (int i = 0; i < scenario.incidents().size(); i++) {
+                Scenario.Incident each = scenario.incidents().get(i);
+                SplittableRandom random = new RandomStreams(seed).of("incident " + i);
+                schedule(each.atS(), () -> startIncident(each, random));
             }
             send();
-            double longest =
-                    script.operations().stream()
+            double maxTimeoutSeconds =
+                    scenario.operations().stream()
                                     .mapToDouble(Scenario.Operation::timeoutMs)
                                     .max()
                                     .orElse(0)
                             / 1e3;
-            for (long until = System.nanoTime() + (long) ((longest + 2) * 1e9);
-                    ended.sum() < asked && System.nanoTime() < until; ) {
+            for (long deadline = System.nanoTime() + (long) ((maxTimeoutSeconds + 2) * 1e9);
+                    endedCount.sum() < startedCount && System.nanoTime() < deadline; ) {
                 Thread.sleep(20);
             }
         } finally {
             timers.shutdownNow();
-            for (LiveServer box : all) {
-                box.close();
+            for (LiveServer server : allServers) {
+                server.close();
             }
         }
-        long twice =
-                all.stream()
-                        .flatMap(box -> box.runs.values().stream())
+        long ranTwice =
+                allServers.stream()
+                        .flatMap(server -> server.runs.values().stream())
                         .filter(count -> count.get() > 1)
                         .count();
-        SimulationResult simulated = new Simulation(script, seed).play();
+        SimulationResult simulated = new Simulation(scenario, seed).play();
         ResultTable table =
                 new ResultTable(
-                        "live-" + script.name(),
+                        "live-" + scenario.name(),
                         "boxes",
                         "asked",
                         "never ended",
@@ -106,183 +106,188 @@
                         "p95 ms (sockets)",
                         "p95 ms (simulated)");
         table.row(
-                script.fleet().boxes(),
-                asked,
-                asked - ended.sum(),
-                earned.sum() / offered.sum(),
+                scenario.fleet().boxes(),
+                startedCount,
+                startedCount - endedCount.sum(),
+                earnedValue.sum() / offeredValue.sum(),
                 simulated.valueShare(),
-                twice,
-                took.getMean() / 1e3,
+                ranTwice,
+                latencyMicros.getMean() / 1e3,
                 simulated.took().getMean() / 1e3,
-                took.getValueAtPercentile(95) / 1e3,
+                latencyMicros.getValueAtPercentile(95) / 1e3,
                 simulated.tookMs(95));
         table.keep();
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private void after(double seconds, Work work) {
+    private void schedule(double delaySeconds, Task task) {
         timers.schedule(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (Exception e) {
                         if (!timers.isShutdown()) {
                             e.printStackTrace();
                         }
                     }
                 },
-                (long) (seconds * 1e9),
+                (long) (delaySeconds * 1e9),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void add(LiveServer box) {
-        all.add(box);
-        boxes.add(box);
+    private void add(LiveServer server) {
+        allServers.add(server);
+        activeServers.add(server);
     }
 
     private void send() {
         long start = System.nanoTime();
-        for (double at = 0; at < script.seconds(); ) {
-            at += RandomStreams.exponential(arrivals, 1 / script.traffic().perSecond()) / rate;
+        for (double at = 0; at < scenario.seconds(); ) {
+            at +=
+                    RandomStreams.exponential(arrivalRandom, 1 / scenario.traffic().perSecond())
+                            / rateFactor;
             long due = start + (long) (at * 1e9);
             PreciseTimer.until(due);
-            Scenario.Operation plan = script.at(arrivals.nextDouble());
-            asked++;
-            offered.add(plan.value());
+            Scenario.Operation operation = scenario.at(arrivalRandom.nextDouble());
+            startedCount++;
+            offeredValue.add(operation.value());
             String token =
-                    plan.effect().equals("tokened")
-                            ? String.format("%016x%016x", seed, ++tokens)
+                    operation.effect().equals("tokened")
+                            ? String.format("%016x%016x", seed, ++lastToken)
                             : null;
-            attempt(plan, token, due, 1, null);
+            attempt(operation, token, due, 1, null);
         }
     }
 
-    /** One try at one box, and what follows from its end. */
+    /** Sends one attempt to one server; when it ends, retries it or records the result. */
     private void attempt(
-            Scenario.Operation plan, String token, long due, int tries, LiveServer not) {
-        LiveServer box = choose(token, not);
-        MeasuredRequest ask =
+            Scenario.Operation operation,
+            String token,
+            long due,
+            int attemptNumber,
+            LiveServer previous) {
+        LiveServer server = choose(token, previous);
+        MeasuredRequest request =
                 new MeasuredRequest(
-                        numbers.incrementAndGet(),
+                        lastNumber.incrementAndGet(),
                         due,
                         token,
                         false,
-                        plan.name(),
+                        operation.name(),
                         token == null ? "load" : token);
-        CompletableFuture<MeasuredRequest.Outcome> end = ask.outcome;
-        double left = plan.timeoutMs() / 1e3 - (System.nanoTime() - due) / 1e9;
-        if (box == null) {
-            ask.ends(MeasuredRequest.Outcome.NONE);
+        CompletableFuture<MeasuredRequest.Outcome> end = request.outcome;
+        double secondsLeft = operation.timeoutMs() / 1e3 - (System.nanoTime() - due) / 1e9;
+        if (server == null) {
+            request.ends(MeasuredRequest.Outcome.NONE);
         } else {
             try {
-                box.side.send(ask);
+                server.side.send(request);
             } catch (java.io.IOException e) {
-                ask.ends(MeasuredRequest.Outcome.NONE);
+                request.ends(MeasuredRequest.Outcome.NONE);
             }
         }
-        after(
-                Math.max(0, left),
-                () ->
-                        ask.ends(
-                                MeasuredRequest.Outcome
-                                        .VANISHED)); // its caller gives up; a late answer is a
-        // surplus one
+        // The client times out: an answer after this counts as unexpected.
+        schedule(Math.max(0, secondsLeft), () -> request.ends(MeasuredRequest.Outcome.VANISHED));
         end.thenAccept(
                 outcome -> {
-                    double spent = (System.nanoTime() - due) / 1e9;
-                    boolean again =
+                    double spentSeconds = (System.nanoTime() - due) / 1e9;
+                    boolean mayRetry =
                             outcome != MeasuredRequest.Outcome.SUCCEEDED
                                     && outcome != MeasuredRequest.Outcome.VANISHED
                                     && (outcome != MeasuredRequest.Outcome.ERRORED
                                             || token == null);
-                    double pause = script.gateways().pauseMs() / 1e3;
-                    if (again
-                            && (script.gateways().tries() == 0 || tries < script.gateways().tries())
-                            && spent + pause < plan.timeoutMs() / 1e3) {
-                        after(pause, () -> attempt(plan, token, due, tries + 1, box));
+                    double pauseSeconds = scenario.gateways().pauseMs() / 1e3;
+                    if (mayRetry
+                            && (scenario.gateways().tries() == 0
+                                    || attemptNumber < scenario.gateways().tries())
+                            && spentSeconds + pauseSeconds < operation.timeoutMs() / 1e3) {
+                        schedule(
+                                pauseSeconds,
+                                () -> attempt(operation, token, due, attemptNumber + 1, server));
                         return;
                     }
                     if (outcome == MeasuredRequest.Outcome.SUCCEEDED) {
-                        took.recordValue(Math.max(1, (long) (spent * 1e6)));
-                        earned.add(
-                                plan.value()
-                                        * (spent <= plan.objectiveMs() / 1e3
+                        latencyMicros.recordValue(Math.max(1, (long) (spentSeconds * 1e6)));
+                        earnedValue.add(
+                                operation.value()
+                                        * (spentSeconds <= operation.objectiveMs() / 1e3
                                                 ? 1
-                                                : plan.lateShare()));
+                                                : operation.lateShare()));
                     }
-                    ended.increment();
+                    endedCount.increment();
                 });
     }
 
-    private synchronized LiveServer choose(String token, LiveServer not) {
-        List<LiveServer> now = new ArrayList<>(boxes);
-        if (now.isEmpty()) {
+    private synchronized LiveServer choose(String token, LiveServer previous) {
+        List<LiveServer> candidates = new ArrayList<>(activeServers);
+        if (candidates.isEmpty()) {
             return null;
         }
         if (token != null) {
-            return now.get(Math.floorMod(token.hashCode(), now.size()));
+            return candidates.get(Math.floorMod(token.hashCode(), candidates.size()));
         }
-        if (now.size() > 1) {
-            now.remove(not);
+        if (candidates.size() > 1) {
+            candidates.remove(previous);
         }
-        LiveServer one = now.get(choices.nextInt(now.size()));
-        LiveServer other = now.get(choices.nextInt(now.size()));
-        return script.gateways().choice().equals("random")
-                        || one.side.openNow() <= other.side.openNow()
-                ? one
-                : other;
+        LiveServer first = candidates.get(choiceRandom.nextInt(candidates.size()));
+        LiveServer second = candidates.get(choiceRandom.nextInt(candidates.size()));
+        return scenario.gateways().choice().equals("random")
+                        || first.side.openNow() <= second.side.openNow()
+                ? first
+                : second;
     }
 
-    private void happens(Scenario.Incident incident, SplittableRandom chance) throws Exception {
-        List<LiveServer> some = new ArrayList<>(boxes);
-        int count = (int) Math.ceil(incident.share() * script.fleet().boxes());
-        while (some.size() > count) {
-            some.remove(chance.nextInt(some.size()));
+    private void startIncident(Scenario.Incident incident, SplittableRandom random)
+            throws Exception {
+        List<LiveServer> affected = new ArrayList<>(activeServers);
+        int count = (int) Math.ceil(incident.share() * scenario.fleet().boxes());
+        while (affected.size() > count) {
+            affected.remove(random.nextInt(affected.size()));
         }
-        Map<String, Runnable[]> plain =
+        Map<String, Runnable[]> startAndEnd =
                 Map.of(
                         "slow",
                                 new Runnable[] {
-                                    () -> some.forEach(box -> box.slow(incident.strength())),
-                                    () -> some.forEach(box -> box.slow(1))
+                                    () -> affected.forEach(each -> each.slow(incident.strength())),
+                                    () -> affected.forEach(each -> each.slow(1))
                                 },
                         "fail",
                                 new Runnable[] {
-                                    () -> some.forEach(box -> box.fail(incident.strength())),
-                                    () -> some.forEach(box -> box.fail(0))
+                                    () -> affected.forEach(each -> each.fail(incident.strength())),
+                                    () -> affected.forEach(each -> each.fail(0))
                                 },
                         "burst",
                                 new Runnable[] {
-                                    () -> rate *= incident.strength(),
-                                    () -> rate /= incident.strength()
+                                    () -> rateFactor *= incident.strength(),
+                                    () -> rateFactor /= incident.strength()
                                 });
-        if (plain.containsKey(incident.what())) {
-            plain.get(incident.what())[0].run();
-            after(incident.forS(), plain.get(incident.what())[1]::run);
+        if (startAndEnd.containsKey(incident.what())) {
+            startAndEnd.get(incident.what())[0].run();
+            schedule(incident.forS(), startAndEnd.get(incident.what())[1]::run);
         } else if (incident.what().equals("pause")) {
-            for (LiveServer box : some) {
-                box.signal("STOP");
+            for (LiveServer server : affected) {
+                server.signal("STOP");
             }
-            after(
+            schedule(
                     incident.forS(),
                     () -> {
-                        for (LiveServer box : some) {
-                            box.signal("CONT");
+                        for (LiveServer server : affected) {
+                            server.signal("CONT");
                         }
                     });
         } else {
-            for (LiveServer box : some) {
-                boxes.remove(box);
-                box.close();
+            for (LiveServer server : affected) {
+                activeServers.remove(server);
+                server.close();
             }
-            for (int i = 0; i < some.size(); i++) {
-                int place = i;
-                after(
-                        incident.forS() + script.fleet().bootS(),
-                        () -> add(new LiveServer(script, place, all.size(), seed)));
+            for (int i = 0; i < affected.size(); i++) {
+                int index = i;
+                schedule(
+                        incident.forS() + scenario.fleet().bootS(),
+                        () -> add(new LiveServer(scenario, index, allServers.size(), seed)));
             }
         }
     }
--- a/tools/src/main/java/ochretiller/tools/LoadGenerator.java
+++ b/tools/src/main/java/ochretiller/tools/LoadGenerator.java
@@ -32,7 +32,7 @@
     private final List<Connection> connections = new ArrayList<>();
     private final SplittableRandom random;
     private final String runId;
-    private long sent;
+    private long lastNumber;
 
     /** A connection with its open requests. */
     private final class Connection {
@@ -97,14 +97,14 @@
             long due = start + (long) (at * 1e9);
             PreciseTimer.until(due);
             boolean isKeyed = random.nextDouble() < keyedShare;
-            Connection connection = connections.get((int) (++sent % connections.size()));
+            Connection connection = connections.get((int) (++lastNumber % connections.size()));
             connection.permits.acquire();
-            String rid = runId + String.format("%08x", sent);
-            connection.openRequests.put(sent, new long[] {due, isKeyed ? 1 : 0});
-            String token = isKeyed ? runId + runId + String.format("%016x", sent) : null;
+            String rid = runId + String.format("%08x", lastNumber);
+            connection.openRequests.put(lastNumber, new long[] {due, isKeyed ? 1 : 0});
+            String token = isKeyed ? runId + runId + String.format("%016x", lastNumber) : null;
             connection.socket.send(
                     GatewayMessages.message(
-                            sent,
+                            lastNumber,
                             isKeyed ? "order" : "read",
                             GatewayMessages.params(rid, token, "load")));
         }
@@ -116,7 +116,7 @@
     }
 
     long sent() {
-        return sent;
+        return lastNumber;
     }
 
     void close() throws IOException {
--- a/tools/src/main/java/ochretiller/tools/MeasuredServer.java
+++ b/tools/src/main/java/ochretiller/tools/MeasuredServer.java
@@ -27,7 +27,6 @@
      * Starts a server and waits until it is connected to the fake processor.
      *
      * @param operatorFile the operator's configuration file, or null for none
-     * @param configEditor changes the server's JSON configuration before the start
      */
     MeasuredServer(Path operatorFile, java.util.function.UnaryOperator<String> configEditor)
             throws Exception {
--- a/tools/src/main/java/ochretiller/tools/MixBench.java
+++ b/tools/src/main/java/ochretiller/tools/MixBench.java
@@ -10,31 +10,28 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/**
- * Both protocols on one packaged server round its full load: the rules, and what a burst of one
- * side takes from the other.
- */
+/** Measures rules, fairness and CPU cost of both protocols on a server around its full load. */
 final class MixBench {
-    /** Runs a second that the stand-in's two cores get done at eight milliseconds each. */
-    private static final double FULL = 250;
+    /** Full load, in runs a second that the fake processor completes: 2 cores at 8 ms a run. */
+    private static final double FULL_RPS = 250;
 
     private static final double RUN_MS = 8;
     private static final int CORES = 2;
 
-    /** The configuration's run limit: cores times the crowd that it allows. */
+    /** Concurrent runs that the configuration allows: cores times {@code fallMultiple}. */
     private static final int RUN_LIMIT = 10;
 
-    /** Descriptors, so that callers beyond full load find room to be told so. */
+    /** Descriptor limit: clients beyond full load need a connection on which to be throttled. */
     private static final int SOCKETS = 8192;
 
-    private static final MixedTraffic.Mix MIX = new MixedTraffic.Mix(0.3, 0.3, 0.05);
-    private static final MixedTraffic.Mix EQUAL = new MixedTraffic.Mix(0, 0, 0);
-    private static final MixedTraffic.Mix CALM = new MixedTraffic.Mix(0.25, 0, 0);
+    private static final MixedTraffic.Mix WITH_RETRIES = new MixedTraffic.Mix(0.3, 0.3, 0.05);
+    private static final MixedTraffic.Mix READS_ONLY = new MixedTraffic.Mix(0, 0, 0);
+    private static final MixedTraffic.Mix READS_AND_ORDERS = new MixedTraffic.Mix(0.25, 0, 0);
 
-    /** The objective of both operations. */
+    /** The latency objective of both operations. */
     private static final long OBJECTIVE_NS = 2_000_000_000L;
 
-    private static final double WARM_S = 6;
+    private static final double WARM_UP_S = 6;
     private static final double READ_VALUE = 1;
     private static final double ORDER_VALUE = 3;
 
@@ -44,48 +41,48 @@
         this.seconds = seconds;
     }
 
-    /** One server with both sides. */
-    private static final class Bench implements AutoCloseable {
-        final MeasuredServer served;
+    /** A server with a client of each protocol. */
+    private static final class TestSetup implements AutoCloseable {
+        final MeasuredServer server;
         final FakeProcessor processor;
-        final JsonRpcClient rpc;
+        final JsonRpcClient jsonRpc;
         final ProtocolClient uwsgi;
 
-        Bench(long seed) throws Exception {
-            int port;
+        TestSetup(long seed) throws Exception {
+            int uwsgiPort;
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                port = free.getLocalPort();
+                uwsgiPort = free.getLocalPort();
             }
-            Path operator = Files.createTempFile("mix", ".json5");
+            Path operatorFile = Files.createTempFile("mix", ".json5");
             Files.writeString(
-                    operator,
+                    operatorFile,
                     "{ uwsgi: { listen: '127.0.0.1:"
-                            + port
+                            + uwsgiPort
                             + "', routes: [{ path: '/parts/{id}', operation: 'read' }, { method:"
                             + " 'POST', path: '/orders', operation: 'order' } ] } }");
-            served =
+            server =
                     new MeasuredServer(
-                            operator,
+                            operatorFile,
                             json ->
                                     json.replace(
                                                     "callsByClass\":[true,true]",
                                                     "callsByClass\":[false,false]")
                                             .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS));
-            processor = new FakeProcessor(served.outside, CORES, RUN_MS);
-            rpc = new JsonRpcClient(served.port, 60, String.format("%08x", seed));
-            uwsgi = new UwsgiClient(port, 1_000, "10.1.2.3");
+            processor = new FakeProcessor(server.outside, CORES, RUN_MS);
+            jsonRpc = new JsonRpcClient(server.port, 60, String.format("%08x", seed));
+            uwsgi = new UwsgiClient(uwsgiPort, 1_000, "10.1.2.3");
         }
 
         @Override
         public void close() throws IOException {
-            rpc.close();
+            jsonRpc.close();
             uwsgi.close();
             processor.close();
-            served.close();
+            server.close();
         }
     }
 
-    private static CompletableFuture<Void> sends(
+    private static CompletableFuture<Void> sendAsync(
             MixedTraffic traffic, double perSecond, double seconds) {
         return CompletableFuture.runAsync(
                 () -> {
@@ -97,8 +94,8 @@
                 });
     }
 
-    /** All rules, counted: each column but the first three has to be zero. */
-    private void rules() throws Exception {
+    /** Counts outcomes and violations of the rules; the columns after "errored" must be zero. */
+    private void measureRules() throws Exception {
         ResultTable table =
                 new ResultTable(
                         "mix-rules",
@@ -113,91 +110,92 @@
                         "throttled after a run",
                         "most at once over the limit");
         for (double load : new double[] {0.7, 1, 1.5, 3}) {
-            try (Bench bench = new Bench((long) (load * 10))) {
-                MixedTraffic one = new MixedTraffic(bench.rpc, bench.uwsgi, MIX, 1);
-                MixedTraffic other = new MixedTraffic(bench.uwsgi, bench.rpc, MIX, 2);
-                CompletableFuture<Void> first = sends(one, load * FULL / 2, seconds);
-                CompletableFuture<Void> second = sends(other, load * FULL / 2, seconds);
-                first.get();
-                second.get();
-                Map<MeasuredRequest.Outcome, Long> all = one.outcomes();
-                other.outcomes().forEach((outcome, count) -> all.merge(outcome, count, Long::sum));
-                List<MeasuredRequest> asks = new ArrayList<>(one.asks);
-                asks.addAll(other.asks);
-                long twice =
-                        bench.processor.tokens.values().stream()
-                                .filter(note -> note.runs.get() > 1)
+            try (TestSetup setup = new TestSetup((long) (load * 10))) {
+                MixedTraffic rpc = new MixedTraffic(setup.jsonRpc, setup.uwsgi, WITH_RETRIES, 1);
+                MixedTraffic uwsgi = new MixedTraffic(setup.uwsgi, setup.jsonRpc, WITH_RETRIES, 2);
+                CompletableFuture<Void> rpcSent = sendAsync(rpc, load * FULL_RPS / 2, seconds);
+                CompletableFuture<Void> uwsgiSent = sendAsync(uwsgi, load * FULL_RPS / 2, seconds);
+                rpcSent.get();
+                uwsgiSent.get();
+                Map<MeasuredRequest.Outcome, Long> counts = rpc.outcomes();
+                uwsgi.outcomes()
+                        .forEach((outcome, count) -> counts.merge(outcome, count, Long::sum));
+                List<MeasuredRequest> requests = new ArrayList<>(rpc.asks);
+                requests.addAll(uwsgi.asks);
+                long ranTwice =
+                        setup.processor.tokens.values().stream()
+                                .filter(tokenRuns -> tokenRuns.runs.get() > 1)
                                 .count();
-                // A repeat is sent only behind the answer of the try before it, so what ran by then
-                // ran under an earlier try.
-                long untrue =
-                        asks.stream()
+                // A retry is sent after the previous attempt has ended, so a run that began before
+                // the retry was sent belongs to the previous attempt.
+                long throttledAfterRun =
+                        requests.stream()
                                 .filter(
-                                        ask ->
-                                                ask.token != null
-                                                        && ask.outcome.getNow(null)
+                                        request ->
+                                                request.token != null
+                                                        && request.outcome.getNow(null)
                                                                 == MeasuredRequest.Outcome
                                                                         .THROTTLED)
                                 .filter(
-                                        ask ->
-                                                bench.processor.tokens.containsKey(ask.token)
-                                                        && bench.processor.tokens.get(ask.token)
+                                        request ->
+                                                setup.processor.tokens.containsKey(request.token)
+                                                        && setup.processor.tokens.get(request.token)
                                                                         .firstAt
-                                                                < ask.sentAt)
+                                                                < request.sentAt)
                                 .count();
                 table.row(
                         load,
-                        asks.size(),
-                        all.getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L),
-                        all.getOrDefault(MeasuredRequest.Outcome.THROTTLED, 0L),
-                        all.getOrDefault(MeasuredRequest.Outcome.ERRORED, 0L),
-                        all.getOrDefault(MeasuredRequest.Outcome.NONE, 0L),
-                        bench.rpc.surplus() + bench.uwsgi.surplus(),
-                        twice,
-                        untrue,
-                        Math.max(0, bench.processor.most.get() - RUN_LIMIT));
+                        requests.size(),
+                        counts.getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L),
+                        counts.getOrDefault(MeasuredRequest.Outcome.THROTTLED, 0L),
+                        counts.getOrDefault(MeasuredRequest.Outcome.ERRORED, 0L),
+                        counts.getOrDefault(MeasuredRequest.Outcome.NONE, 0L),
+                        setup.jsonRpc.surplus() + setup.uwsgi.surplus(),
+                        ranTwice,
+                        throttledAfterRun,
+                        Math.max(0, setup.processor.most.get() - RUN_LIMIT));
                 System.out.println(
                         "  connections ended: "
-                                + bench.served.ends
+                                + setup.server.ends
                                 + ", sent again over another: "
-                                + bench.rpc.again());
+                                + setup.jsonRpc.again());
             }
         }
         table.keep();
     }
 
-    private static double value(MixedTraffic traffic) throws Exception {
+    private static double earnedShare(MixedTraffic traffic) throws Exception {
         traffic.outcomes();
-        double value = 0;
-        double all = 0;
-        for (MeasuredRequest ask : traffic.asks) {
-            double worth = ask.token == null ? READ_VALUE : ORDER_VALUE;
-            all += worth;
-            if (ask.outcome.getNow(null) == MeasuredRequest.Outcome.SUCCEEDED
-                    && ask.answeredAt - ask.due < OBJECTIVE_NS) {
-                value += worth;
+        double earned = 0;
+        double offered = 0;
+        for (MeasuredRequest request : traffic.asks) {
+            double value = request.token == null ? READ_VALUE : ORDER_VALUE;
+            offered += value;
+            if (request.outcome.getNow(null) == MeasuredRequest.Outcome.SUCCEEDED
+                    && request.answeredAt - request.due < OBJECTIVE_NS) {
+                earned += value;
             }
         }
-        return value / all;
+        return earned / offered;
     }
 
-    /** Share of all asked that succeeded behind their objective. */
-    private static double late(MixedTraffic traffic) {
+    /** Returns the share of all requests that succeeded, but later than the objective. */
+    private static double lateShare(MixedTraffic traffic) {
         return traffic.asks.stream()
                         .filter(
-                                ask ->
-                                        ask.outcome.getNow(null)
+                                request ->
+                                        request.outcome.getNow(null)
                                                         == MeasuredRequest.Outcome.SUCCEEDED
-                                                && ask.answeredAt - ask.due >= OBJECTIVE_NS)
+                                                && request.answeredAt - request.due >= OBJECTIVE_NS)
                         .count()
                 / (double) traffic.asks.size();
     }
 
     /**
-     * What one side gets beside a calm neighbour and beside one at six times its rate, on the same
-     * arrivals.
+     * Measures the value that one protocol's clients earn while the other's send at the same rate,
+     * and at six times that rate. Their own arrivals are the same in both cases.
      */
-    private void fairness() throws Exception {
+    private void measureFairness() throws Exception {
         ResultTable table =
                 new ResultTable(
                         "mix-fairness",
@@ -210,43 +208,51 @@
                         "bursting side's value",
                         "other's late",
                         "bursting side's late");
-        for (MixedTraffic.Mix mix : new MixedTraffic.Mix[] {EQUAL, CALM}) {
+        for (MixedTraffic.Mix mix : new MixedTraffic.Mix[] {READS_ONLY, READS_AND_ORDERS}) {
             for (boolean rpcBursts : new boolean[] {true, false}) {
                 int seed = rpcBursts ? 1 : 2;
-                double[] got = new double[2];
-                double bursting = 0;
+                double[] steadyEarned = new double[2];
+                double burstEarned = 0;
                 double[] late = new double[2];
-                for (int times : new int[] {1, 6}) {
-                    try (Bench bench = new Bench(seed)) {
-                        ProtocolClient bursts = rpcBursts ? bench.rpc : bench.uwsgi;
-                        ProtocolClient calm = rpcBursts ? bench.uwsgi : bench.rpc;
-                        // Both protocols' ways are compiled by then, as they are in a server that
-                        // has served for a while.
-                        CompletableFuture<Void> warm =
-                                sends(new MixedTraffic(bursts, calm, mix, 30 + seed), FULL, WARM_S);
-                        sends(new MixedTraffic(calm, bursts, mix, 40 + seed), FULL, WARM_S).get();
-                        warm.get();
+                for (int factor : new int[] {1, 6}) {
+                    try (TestSetup setup = new TestSetup(seed)) {
+                        ProtocolClient bursting = rpcBursts ? setup.jsonRpc : setup.uwsgi;
+                        ProtocolClient steady = rpcBursts ? setup.uwsgi : setup.jsonRpc;
+                        // Warm-up: a server that has run for a while has compiled both protocols.
+                        CompletableFuture<Void> warmUp =
+                                sendAsync(
+                                        new MixedTraffic(bursting, steady, mix, 30 + seed),
+                                        FULL_RPS,
+                                        WARM_UP_S);
+                        sendAsync(
+                                        new MixedTraffic(steady, bursting, mix, 40 + seed),
+                                        FULL_RPS,
+                                        WARM_UP_S)
+                                .get();
+                        warmUp.get();
                         Thread.sleep(1_000);
-                        MixedTraffic burst = new MixedTraffic(bursts, calm, mix, 10 + seed);
-                        MixedTraffic other = new MixedTraffic(calm, bursts, mix, 20 + seed);
-                        CompletableFuture<Void> first = sends(burst, times * FULL * 0.35, seconds);
-                        CompletableFuture<Void> second = sends(other, FULL * 0.35, seconds);
-                        first.get();
-                        second.get();
-                        got[times == 1 ? 0 : 1] = value(other);
-                        bursting = value(burst);
-                        late[0] = late(other);
-                        late[1] = late(burst);
+                        MixedTraffic burst = new MixedTraffic(bursting, steady, mix, 10 + seed);
+                        MixedTraffic other = new MixedTraffic(steady, bursting, mix, 20 + seed);
+                        CompletableFuture<Void> burstSent =
+                                sendAsync(burst, factor * FULL_RPS * 0.35, seconds);
+                        CompletableFuture<Void> otherSent =
+                                sendAsync(other, FULL_RPS * 0.35, seconds);
+                        burstSent.get();
+                        otherSent.get();
+                        steadyEarned[factor == 1 ? 0 : 1] = earnedShare(other);
+                        burstEarned = earnedShare(burst);
+                        late[0] = lateShare(other);
+                        late[1] = lateShare(burst);
                     }
                 }
                 table.row(
-                        mix == EQUAL ? "one operation" : "reads and orders",
+                        mix == READS_ONLY ? "one operation" : "reads and orders",
                         rpcBursts ? "JSON-RPC" : "uwsgi",
                         seed,
-                        got[0],
-                        got[1],
-                        got[0] - got[1],
-                        bursting,
+                        steadyEarned[0],
+                        steadyEarned[1],
+                        steadyEarned[0] - steadyEarned[1],
+                        burstEarned,
                         late[0],
                         late[1]);
             }
@@ -256,35 +262,35 @@
 
     void run(boolean onlyFairness) throws Exception {
         if (!onlyFairness) {
-            rules();
+            measureRules();
         }
-        fairness();
+        measureFairness();
     }
 
-    /** CPU that one invocation of each protocol costs the server, in turn on the same process. */
+    /** Measures the server's CPU per invocation of each protocol, in turn in one process. */
     void cpu(int rounds) throws Exception {
         ResultTable table = new ResultTable("mix-cpu", "round", "JSON-RPC us", "uwsgi us", "ratio");
-        try (Bench bench = new Bench(7)) {
-            bench.served.outside.runs =
+        try (TestSetup setup = new TestSetup(7)) {
+            setup.server.outside.runs =
                     (rid, operation, body) ->
-                            bench.served.outside.complete(rid, "result of " + rid);
+                            setup.server.outside.complete(rid, "result of " + rid);
             for (int round = 0; round <= rounds; round++) {
-                double rpc = cpu(bench, bench.rpc, bench.uwsgi, round);
-                double uwsgi = cpu(bench, bench.uwsgi, bench.rpc, round);
-                if (round > 0) {
-                    table.row(round, rpc, uwsgi, uwsgi / rpc); // the first warms both
+                double rpcMicros = cpuMicros(setup, setup.jsonRpc, setup.uwsgi, round);
+                double uwsgiMicros = cpuMicros(setup, setup.uwsgi, setup.jsonRpc, round);
+                if (round > 0) { // round 0 is the warm-up
+                    table.row(round, rpcMicros, uwsgiMicros, uwsgiMicros / rpcMicros);
                 }
             }
         }
         table.keep();
     }
 
-    private double cpu(Bench bench, ProtocolClient side, ProtocolClient other, int seed)
+    private double cpuMicros(TestSetup setup, ProtocolClient client, ProtocolClient other, int seed)
             throws Exception {
-        MixedTraffic traffic = new MixedTraffic(side, other, CALM, seed);
-        double before = bench.served.cpuSeconds();
+        MixedTraffic traffic = new MixedTraffic(client, other, READS_AND_ORDERS, seed);
+        double before = setup.server.cpuSeconds();
         traffic.send(400, seconds);
         long succeeded = traffic.outcomes().getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L);
-        return (bench.served.cpuSeconds() - before) * 1e6 / Math.max(1, succeeded);
+        return (setup.server.cpuSeconds() - before) * 1e6 / Math.max(1, succeeded);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/PoolsBench.java
+++ b/tools/src/main/java/ochretiller/tools/PoolsBench.java
@@ -14,27 +14,27 @@
 import ochretiller.pools.WorkerSelector;
 
 /**
- * The decisions on pools in virtual time, beside requests by turns and least connections, on the
- * same arrivals.
+ * Compares the choice of workers by {@link WorkerSelector} with round-robin and least connections:
+ * a simulation in virtual time, on the same arrivals for each.
  */
 final class PoolsBench {
     private static final int WORKERS = 8;
 
-    /** Requests that one worker does at a time; others wait in it. */
-    private static final int PLACES = 4;
+    /** Requests that one worker processes at a time; further ones wait in its queue. */
+    private static final int CORES = 4;
 
-    private static final double MEAN_S = 0.02;
+    private static final double MEAN_WORK_S = 0.02;
     private static final int REQUESTS = 60_000;
     private static final int SEEDS = 5;
 
-    /** Who chooses. */
+    /** The algorithm that chooses workers: {@code POOL} is {@link WorkerSelector}. */
     private enum Chooser {
         POOL,
         TURNS,
         LEAST
     }
 
-    /** What is wrong with the last worker. */
+    /** The fault of the last worker. */
     private enum Fault {
         NONE,
         SLOW,
@@ -42,25 +42,28 @@
         GONE
     }
 
-    private record Event(double at, int worker, double since, double took, boolean good)
-            implements Comparable<Event> {
+    /** The end of a request; times are in seconds. */
+    private record Completion(
+            double at, int worker, double startedAt, double latency, boolean succeeded)
+            implements Comparable<Completion> {
         @Override
-        public int compareTo(Event other) {
+        public int compareTo(Completion other) {
             return Double.compare(at, other.at);
         }
     }
 
-    /** What one run shows. */
-    private record Seen(double p50, double p99, double failed, double share) {}
+    /** Latencies of a simulation, and the shares of failed requests and of the last worker's. */
+    private record Result(double p50Ms, double p99Ms, double failedShare, double lastWorkerShare) {}
 
-    private static Duration span(double seconds) {
+    private static Duration duration(double seconds) {
         return Duration.ofNanos((long) (seconds * 1e9));
     }
 
-    /** {@code load} is the share of what healthy workers could do, all of them. */
-    private static Seen play(Chooser chooser, Fault fault, double load, int workers, long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        SplittableRandom sizes = chance.split();
+    /** Runs one simulation; {@code load} is a share of what eight healthy workers can process. */
+    private static Result simulate(
+            Chooser chooser, Fault fault, double load, int workers, long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        SplittableRandom workRandom = random.split();
         WorkerSelector pool =
                 new WorkerSelector(
                         new PoolSettings(
@@ -73,90 +76,91 @@
                                 Duration.ofSeconds(5),
                                 0.1,
                                 10),
-                        chance.split());
+                        random.split());
         List<WorkerId> ids = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
             ids.add(new WorkerId("" + i));
         }
         pool.become(ids, Duration.ZERO);
-        List<PriorityQueue<Double>> cores = new ArrayList<>();
+        List<PriorityQueue<Double>> coreFreeTimes = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
-            PriorityQueue<Double> own = new PriorityQueue<>();
-            for (int j = 0; j < PLACES; j++) {
-                own.add(0.0);
+            PriorityQueue<Double> freeTimes = new PriorityQueue<>();
+            for (int j = 0; j < CORES; j++) {
+                freeTimes.add(0.0);
             }
-            cores.add(own);
+            coreFreeTimes.add(freeTimes);
         }
-        int[] open = new int[workers];
-        PriorityQueue<Event> running = new PriorityQueue<>();
-        List<Double> took = new ArrayList<>();
+        int[] inFlight = new int[workers];
+        PriorityQueue<Completion> completions = new PriorityQueue<>();
+        List<Double> latencies = new ArrayList<>();
         double now = 0;
         int failed = 0;
-        int toLast = 0;
+        int toLastWorker = 0;
         for (int i = 0; i < REQUESTS; i++) {
-            now += RandomStreams.exponential(chance, MEAN_S / (load * WORKERS * PLACES));
-            while (!running.isEmpty() && running.peek().at <= now) {
-                Event over = running.poll();
-                open[over.worker]--;
+            now += RandomStreams.exponential(random, MEAN_WORK_S / (load * WORKERS * CORES));
+            while (!completions.isEmpty() && completions.peek().at <= now) {
+                Completion next = completions.poll();
+                inFlight[next.worker]--;
                 if (chooser == Chooser.POOL) {
                     pool.ended(
-                            ids.get(over.worker),
-                            over.good ? RequestOutcome.ANSWERED : RequestOutcome.FAILED,
-                            span(over.took),
-                            span(over.at));
+                            ids.get(next.worker),
+                            next.succeeded ? RequestOutcome.ANSWERED : RequestOutcome.FAILED,
+                            duration(next.latency),
+                            duration(next.at));
                 }
             }
-            double work = RandomStreams.exponential(sizes, MEAN_S);
-            int to = choose(chooser, pool, ids, open, i, now);
-            if (to < 0) {
+            double work = RandomStreams.exponential(workRandom, MEAN_WORK_S);
+            int worker = choose(chooser, pool, ids, inFlight, i, now);
+            if (worker < 0) {
                 failed++;
                 continue;
             }
-            boolean sick = fault != Fault.NONE && to == workers - 1;
-            if (to == workers - 1) {
-                toLast++;
+            boolean isFaulty = fault != Fault.NONE && worker == workers - 1;
+            if (worker == workers - 1) {
+                toLastWorker++;
             }
-            open[to]++;
-            if (sick && fault == Fault.FAILS_FAST) {
-                running.add(new Event(now + 0.001, to, now, 0.001, false));
+            inFlight[worker]++;
+            if (isFaulty && fault == Fault.FAILS_FAST) {
+                completions.add(new Completion(now + 0.001, worker, now, 0.001, false));
                 failed++;
                 continue;
             }
-            double end = Math.max(now, cores.get(to).poll()) + work * (sick ? 10 : 1);
-            cores.get(to).add(end);
-            running.add(new Event(end, to, now, end - now, true));
+            double end =
+                    Math.max(now, coreFreeTimes.get(worker).poll()) + work * (isFaulty ? 10 : 1);
+            coreFreeTimes.get(worker).add(end);
+            completions.add(new Completion(end, worker, now, end - now, true));
             if (i > REQUESTS / 10) {
-                took.add(end - now); // the first tenth fills an empty system
+                latencies.add(end - now); // the first tenth fills the empty queues
             }
         }
-        Collections.sort(took);
-        return new Seen(
-                took.get(took.size() / 2) * 1e3,
-                took.get((int) (took.size() * 0.99)) * 1e3,
+        Collections.sort(latencies);
+        return new Result(
+                latencies.get(latencies.size() / 2) * 1e3,
+                latencies.get((int) (latencies.size() * 0.99)) * 1e3,
                 failed / (double) REQUESTS,
-                toLast / (double) REQUESTS);
+                toLastWorker / (double) REQUESTS);
     }
 
     private static int choose(
             Chooser chooser,
             WorkerSelector pool,
             List<WorkerId> ids,
-            int[] open,
-            int turn,
+            int[] inFlight,
+            int requestIndex,
             double now) {
         switch (chooser) {
             case POOL -> {
-                Optional<WorkerId> chosen = pool.choose(span(now));
+                Optional<WorkerId> chosen = pool.choose(duration(now));
                 return chosen.map(ids::indexOf).orElse(-1);
             }
             case TURNS -> {
-                return turn % ids.size();
+                return requestIndex % ids.size();
             }
             case LEAST -> {
-                int least = turn % ids.size(); // ties go by turns
+                int least = requestIndex % ids.size(); // ties are broken round-robin
                 for (int i = 0; i < ids.size(); i++) {
-                    int next = (turn + i) % ids.size();
-                    if (open[next] < open[least]) {
+                    int next = (requestIndex + i) % ids.size();
+                    if (inFlight[next] < inFlight[least]) {
                         least = next;
                     }
                 }
@@ -179,28 +183,37 @@
                         "share of the faulty");
         for (Fault fault : new Fault[] {Fault.NONE, Fault.SLOW, Fault.FAILS_FAST}) {
             for (Chooser chooser : Chooser.values()) {
-                double p50 = 0;
-                double p99 = 0;
-                double healthy = 0;
-                double failed = 0;
-                double share = 0;
+                double p50Ms = 0;
+                double p99Ms = 0;
+                double healthyP99Ms = 0;
+                double failedShare = 0;
+                double lastWorkerShare = 0;
                 for (int seed = 0; seed < SEEDS; seed++) {
-                    Seen seen = play(chooser, fault, 0.6, WORKERS, seed);
-                    p50 += seen.p50 / SEEDS;
-                    p99 += seen.p99 / SEEDS;
-                    failed += seen.failed / SEEDS;
-                    share += seen.share / SEEDS;
-                    // The seven that are well, with the best of the baselines.
-                    healthy += play(Chooser.LEAST, Fault.NONE, 0.6, WORKERS - 1, seed).p99 / SEEDS;
+                    Result result = simulate(chooser, fault, 0.6, WORKERS, seed);
+                    p50Ms += result.p50Ms / SEEDS;
+                    p99Ms += result.p99Ms / SEEDS;
+                    failedShare += result.failedShare / SEEDS;
+                    lastWorkerShare += result.lastWorkerShare / SEEDS;
+                    // Reference: only the seven healthy workers, with the better baseline.
+                    healthyP99Ms +=
+                            simulate(Chooser.LEAST, Fault.NONE, 0.6, WORKERS - 1, seed).p99Ms
+                                    / SEEDS;
                 }
-                table.row(fault, chooser, p50, p99, p99 / healthy, failed, share);
+                table.row(
+                        fault,
+                        chooser,
+                        p50Ms,
+                        p99Ms,
+                        p99Ms / healthyP99Ms,
+                        failedShare,
+                        lastWorkerShare);
             }
         }
         table.keep();
         ResultTable retries =
                 new ResultTable(
                         "pools-retries", "refused share", "first tries", "second tries", "share");
-        for (double refused : new double[] {0.01, 0.05, 0.2, 1}) {
+        for (double refusedShare : new double[] {0.01, 0.05, 0.2, 1}) {
             WorkerSelector pool =
                     new WorkerSelector(
                             new PoolSettings(
@@ -217,23 +230,23 @@
             for (int i = 0; i < WORKERS; i++) {
                 pool.add(new WorkerId("" + i), Duration.ZERO);
             }
-            SplittableRandom chance = new SplittableRandom(2);
-            long second = 0;
+            SplittableRandom random = new SplittableRandom(2);
+            long retryCount = 0;
             for (int i = 0; i < REQUESTS; i++) {
                 Duration now = Duration.ofMillis(i);
-                WorkerId at = pool.choose(now).orElse(null);
-                while (at != null && chance.nextDouble() < refused) {
-                    pool.ended(at, RequestOutcome.NEVER_BEGUN, Duration.ZERO, now);
-                    at = pool.chooseAgain(at, RequestOutcome.NEVER_BEGUN, now).orElse(null);
-                    if (at != null) {
-                        second++;
+                WorkerId worker = pool.choose(now).orElse(null);
+                while (worker != null && random.nextDouble() < refusedShare) {
+                    pool.ended(worker, RequestOutcome.NEVER_BEGUN, Duration.ZERO, now);
+                    worker = pool.chooseAgain(worker, RequestOutcome.NEVER_BEGUN, now).orElse(null);
+                    if (worker != null) {
+                        retryCount++;
                     }
                 }
-                if (at != null) {
-                    pool.ended(at, RequestOutcome.ANSWERED, span(MEAN_S), now);
+                if (worker != null) {
+                    pool.ended(worker, RequestOutcome.ANSWERED, duration(MEAN_WORK_S), now);
                 }
             }
-            retries.row(refused, REQUESTS, second, second / (double) REQUESTS);
+            retries.row(refusedShare, REQUESTS, retryCount, retryCount / (double) REQUESTS);
         }
         retries.keep();
     }
--- a/tools/src/main/java/ochretiller/tools/StoreBench.java
+++ b/tools/src/main/java/ochretiller/tools/StoreBench.java
@@ -77,7 +77,7 @@
         return String.format("%032x", ++lastKey).getBytes();
     }
 
-    /** Returns the appends a second of a thread that waits for one to end before it adds another. */
+    /** Returns the appends a second of a thread that each finished append wakes up. */
     private double appendFromThread(int inFlight, long durationNanos) throws Exception {
         deleteRecursively(directory);
         AtomicLong durable = new AtomicLong();
@@ -305,7 +305,10 @@
                 seconds[i] = (System.nanoTime() - start) / 1e9;
                 if (store.stats().entries() != entries) {
                     throw new IOException(
-                            "number of recovered entries is wrong: " + store.stats().entries());
+                            "recovered "
+                                    + store.stats().entries()
+                                    + " entries instead of "
+                                    + entries);
                 }
                 store.start(); // releases the list of recovered entries, which is not measured
                 heapBytes = (usedHeap() - heapBefore) / (double) entries;
--- a/tools/src/main/java/ochretiller/tools/UwsgiClient.java
+++ b/tools/src/main/java/ochretiller/tools/UwsgiClient.java
@@ -27,7 +27,7 @@
     private final int port;
     private final String remoteAddress;
     private final ThreadPoolExecutor executor;
-    private final LongAdder unexpectedAnswers = new LongAdder();
+    private final LongAdder unexpectedAnswerCount = new LongAdder();
 
     /**
      * Creates a client without connections.
@@ -109,7 +109,7 @@
             return MeasuredRequest.Outcome.NONE;
         }
         if (in.read() >= 0) {
-            unexpectedAnswers.increment();
+            unexpectedAnswerCount.increment();
         }
         return response.status() == 200
                 ? MeasuredRequest.Outcome.SUCCEEDED
@@ -120,7 +120,7 @@
 
     @Override
     public long surplus() {
-        return unexpectedAnswers.sum();
+        return unexpectedAnswerCount.sum();
     }
 
     @Override
