--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -82,8 +82,7 @@
         return Replica.recover(
                 name,
                 new ReplicaSnapshot(PLACEMENT, entries),
-                new ReplicaLimits(
-                        10_000_000, Long.MAX_VALUE, UNLIMITED_BYTES_PER_SECOND, WINDOW),
+                new ReplicaLimits(10_000_000, Long.MAX_VALUE, UNLIMITED_BYTES_PER_SECOND, WINDOW),
                 Duration.ZERO);
     }
 
--- a/tools/src/main/java/ochretiller/tools/FakeProcessor.java
+++ b/tools/src/main/java/ochretiller/tools/FakeProcessor.java
@@ -11,7 +11,7 @@
 
 /**
  * Executes the runs of the fake services' processor on a limited number of cores, and records them
- * for the checks of the rules.
+ * so that a bench can check the rules.
  */
 final class FakeProcessor implements AutoCloseable {
     /** The runs of one token: how many there were, and when the first one began. */
--- a/tools/src/main/java/ochretiller/tools/FloodBench.java
+++ b/tools/src/main/java/ochretiller/tools/FloodBench.java
@@ -13,8 +13,8 @@
  */
 final class FloodBench {
     /**
-     * Entries that the store may have. With their idempotency window, this lets a tenth of the rate
-     * below expire each second.
+     * Limit of stored entries. With their idempotency window, it lets a tenth of {@link
+     * #KEYS_PER_SECOND} expire each second.
      */
     private static final int MAX_ENTRIES = 800;
 
--- a/tools/src/main/java/ochretiller/tools/LatencyBench.java
+++ b/tools/src/main/java/ochretiller/tools/LatencyBench.java
@@ -15,8 +15,8 @@
     }
 
     /**
-     * Returns how many requests a second the server completes when it is offered more, 1500 at
-     * most. The fake processor is limited only by the run limit of two cores.
+     * Returns the full load in requests a second, at most 1500: what the server completes when it
+     * is offered 2000 a second. Only the run limit of two cores bounds the fake processor.
      */
     private double measureFullLoad(Path operatorFile) throws Exception {
         try (MeasuredServer server = new MeasuredServer(operatorFile, json -> json)) {
--- a/tools/src/main/java/ochretiller/tools/LoadGenerator.java
+++ b/tools/src/main/java/ochretiller/tools/LoadGenerator.java
@@ -16,9 +16,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends JSON-RPC requests over a few connections at random times of an open-loop schedule, drawn
- * from a seed. Latency is measured from the scheduled time, so that it includes the delay of
- * requests that fell due while the server stalled (coordinated omission).
+ * Sends JSON-RPC requests over a few connections in open loop, at random times drawn from a seed.
+ * Latency is measured from the time at which a request was due, so that requests that fall due
+ * while the server stalls count with their whole delay (no coordinated omission).
  */
 final class LoadGenerator {
     /** Less than the number of open requests that a server allows on one connection. */
--- a/tools/src/main/java/ochretiller/tools/PoolsBench.java
+++ b/tools/src/main/java/ochretiller/tools/PoolsBench.java
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Latencies of a simulation, and the shares of failed requests and of the last worker's. */
+    /** The result of a simulation; the shares are shares of all requests. */
     private record Result(double p50Ms, double p99Ms, double failedShare, double lastWorkerShare) {}
 
     private static Duration duration(double seconds) {
--- a/tools/src/main/java/ochretiller/tools/StoreBench.java
+++ b/tools/src/main/java/ochretiller/tools/StoreBench.java
@@ -77,7 +77,7 @@
         return String.format("%032x", ++lastKey).getBytes();
     }
 
-    /** Returns the appends a second of a thread that each finished append wakes up. */
+    /** Returns the appends a second of one thread, which waits for a free slot before each. */
     private double appendFromThread(int inFlight, long durationNanos) throws Exception {
         deleteRecursively(directory);
         AtomicLong durable = new AtomicLong();
