--- a/emulator/src/main/java/ochretiller/emulator/core/EventQueue.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/EventQueue.java
@@ -4,77 +4,82 @@
 import java.util.PriorityQueue;
 
 /**
- * What is to happen, in the order of its time and, at one time, in the order in which it was said.
+ * Executes actions in virtual time, ordered by due time; actions due at the same time run in the
+ * order in which they were scheduled. Not thread-safe.
  */
 public final class EventQueue {
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
-    private long numbers;
+    private long lastSequenceNumber;
     private long now;
-    private long done;
+    private long executed;
 
-    /** One that may still be called off. */
+    /** A scheduled action, which can be cancelled until it runs. */
     public static final class Event implements Comparable<Event> {
-        private final long at;
-        private final long number;
-        private Runnable work;
+        private final long atNanos;
+        private final long sequenceNumber;
+        private Runnable action;
 
-        private Event(long at, long number, Runnable work) {
-            this.at = at;
-            this.number = number;
-            this.work = work;
+        private Event(long atNanos, long sequenceNumber, Runnable action) {
+            this.atNanos = atNanos;
+            this.sequenceNumber = sequenceNumber;
+            this.action = action;
         }
 
-        /** It does not happen; its place in the queue is kept until its time. */
+        /** Prevents the action from running; the event stays in the queue until it is due. */
         public void cancel() {
-            work = null;
+            action = null;
         }
 
         @Override
         public int compareTo(Event other) {
-            int byTime = Long.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            int byTime = Long.compare(atNanos, other.atNanos);
+            return byTime != 0 ? byTime : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
+    /** Returns the virtual time since the start. */
     public Duration now() {
         return Duration.ofNanos(now);
     }
 
+    /** Returns the virtual time since the start, seconds. */
     public double seconds() {
         return now / 1e9;
     }
 
-    /** Events that have happened. */
+    /** Returns the number of executed events; cancelled ones are not counted. */
     public long done() {
-        return done;
+        return executed;
     }
 
-    public Event after(Duration span, Runnable work) {
-        return in(span.toNanos(), work);
+    /** Schedules an action; a negative delay counts as zero. */
+    public Event after(Duration delay, Runnable action) {
+        return scheduleInNanos(delay.toNanos(), action);
     }
 
-    public Event after(double seconds, Runnable work) {
-        return in((long) (seconds * 1e9), work);
+    /** Schedules an action after a delay in seconds, truncated to whole nanoseconds. */
+    public Event after(double seconds, Runnable action) {
+        return scheduleInNanos((long) (seconds * 1e9), action);
     }
 
-    private Event in(long nanos, Runnable work) {
-        Event event = new Event(now + Math.max(0, nanos), ++numbers, work);
+    private Event scheduleInNanos(long nanos, Runnable action) {
+        Event event = new Event(now + Math.max(0, nanos), ++lastSequenceNumber, action);
         queue.add(event);
         return event;
     }
 
-    /** Lets all happen that is due by then. */
+    /** Executes all events due at or before {@code untilSeconds} and advances the clock to it. */
     public void run(double untilSeconds) {
-        long until = (long) (untilSeconds * 1e9);
-        while (!queue.isEmpty() && queue.peek().at <= until) {
+        long untilNanos = (long) (untilSeconds * 1e9);
+        while (!queue.isEmpty() && queue.peek().atNanos <= untilNanos) {
             Event event = queue.poll();
-            if (event.work == null) {
+            if (event.action == null) {
                 continue;
             }
-            now = event.at;
-            done++;
-            event.work.run();
+            now = event.atNanos;
+            executed++;
+            event.action.run();
         }
-        now = Math.max(now, until);
+        now = Math.max(now, untilNanos);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/core/RandomStreams.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/RandomStreams.java
@@ -3,36 +3,42 @@
 import java.util.SplittableRandom;
 
 /**
- * Chance for each part by its name: one part more, or one that draws more often, changes nothing
- * for the others.
+ * Derives an independent random stream for each named component of a simulation. Adding a
+ * component, or drawing more often from one stream, does not change the other streams.
  */
 public record RandomStreams(long seed) {
-    public SplittableRandom of(String part) {
-        long hash = 0xcbf29ce484222325L; // FNV-1a: names that differ in one character are far apart
-        // behind the mixing below
-        for (int i = 0; i < part.length(); i++) {
-            hash = (hash ^ part.charAt(i)) * 0x100000001b3L;
+    /** Returns a new stream; equal seeds and names give equal streams. */
+    public SplittableRandom of(String name) {
+        // FNV-1a; the mixing below separates names that differ in a single character.
+        long hash = 0xcbf29ce484222325L;
+        for (int i = 0; i < name.length(); i++) {
+            hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
         }
         return new SplittableRandom(new SplittableRandom(seed ^ hash).nextLong());
     }
 
-    /** Exponential by its mean. */
-    public static double exponential(SplittableRandom chance, double mean) {
-        return -Math.log(1 - chance.nextDouble()) * mean;
+    /** Draws from an exponential distribution. */
+    public static double exponential(SplittableRandom random, double mean) {
+        return -Math.log(1 - random.nextDouble()) * mean;
     }
 
-    /** Log-normal by its mean and the spread of its logarithm; no spread, no chance. */
-    public static double around(SplittableRandom chance, double mean, double spread) {
+    /**
+     * Draws from a log-normal distribution.
+     *
+     * @param spread standard deviation of the logarithm; with zero, nothing is drawn and the mean
+     *     is returned
+     */
+    public static double around(SplittableRandom random, double mean, double spread) {
         if (spread == 0) {
             return mean;
         }
-        // Box and Muller's polar form, one of its two; drawn anew each time so that draws do not
-        // depend on one another.
+        // Marsaglia's polar form of the Box-Muller transform. The second of its two values is not
+        // cached, so that draws do not depend on one another.
         double x;
         double square;
         do {
-            x = 2 * chance.nextDouble() - 1;
-            double y = 2 * chance.nextDouble() - 1;
+            x = 2 * random.nextDouble() - 1;
+            double y = 2 * random.nextDouble() - 1;
             square = x * x + y * y;
         } while (square >= 1 || square == 0);
         double normal = x * Math.sqrt(-2 * Math.log(square) / square);
--- a/emulator/src/main/java/ochretiller/emulator/core/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/package-info.java
@@ -1,2 +1,5 @@
-/** Discrete events in virtual time, and chance split by part. No wall clock, no threads. */
+/**
+ * Discrete events in virtual time, and a random stream for each component. Uses no wall clock and
+ * no threads.
+ */
 package ochretiller.emulator.core;
--- a/emulator/src/main/java/ochretiller/emulator/experiment/ConfidenceInterval.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ConfidenceInterval.java
@@ -6,41 +6,42 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * A mean with its confidence interval, by Student's t.
+ * A mean with its 95 % confidence interval, by Student's t distribution.
  *
+ * @param mean NaN if there are no values
  * @param half half of the interval's width; infinite for fewer than two values
  */
 public record ConfidenceInterval(double mean, double half, long count) {
     private static final double CONFIDENCE = 0.95;
 
     public static ConfidenceInterval of(List<Double> values) {
-        SummaryStatistics sums = new SummaryStatistics();
-        values.forEach(sums::addValue);
-        long n = sums.getN();
+        SummaryStatistics statistics = new SummaryStatistics();
+        values.forEach(statistics::addValue);
+        long n = statistics.getN();
         if (n < 2) {
             return new ConfidenceInterval(
-                    n == 0 ? Double.NaN : sums.getMean(), Double.POSITIVE_INFINITY, n);
+                    n == 0 ? Double.NaN : statistics.getMean(), Double.POSITIVE_INFINITY, n);
         }
         double t = new TDistribution(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2);
         return new ConfidenceInterval(
-                sums.getMean(), t * sums.getStandardDeviation() / Math.sqrt(n), n);
+                statistics.getMean(), t * statistics.getStandardDeviation() / Math.sqrt(n), n);
     }
 
     /**
-     * Chance of so large a mean of paired differences, or a larger one, where there is none;
-     * two-sided.
+     * Returns the two-sided p-value of a paired t-test: the probability of a mean at least this far
+     * from zero if the true mean difference is zero. It is 1 for fewer than two values.
      */
     public static double chance(List<Double> differences) {
-        SummaryStatistics sums = new SummaryStatistics();
-        differences.forEach(sums::addValue);
-        long n = sums.getN();
+        SummaryStatistics statistics = new SummaryStatistics();
+        differences.forEach(statistics::addValue);
+        long n = statistics.getN();
         if (n < 2) {
             return 1;
         }
-        if (sums.getStandardDeviation() == 0) {
-            return sums.getMean() == 0 ? 1 : 0;
+        if (statistics.getStandardDeviation() == 0) {
+            return statistics.getMean() == 0 ? 1 : 0;
         }
-        double t = sums.getMean() / (sums.getStandardDeviation() / Math.sqrt(n));
+        double t = statistics.getMean() / (statistics.getStandardDeviation() / Math.sqrt(n));
         return 2 * new TDistribution(n - 1).cumulativeProbability(-Math.abs(t));
     }
 
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
@@ -8,123 +8,126 @@
 import ochretiller.emulator.simulation.SimulationResult;
 
 /**
- * Variants of a script on the same seeds, so that the same chance meets each, until the differences
- * from the first are known well enough or the seeds are spent.
+ * Runs variants of a scenario with the same seeds, so that they draw the same random numbers, until
+ * the differences from the first variant are precise enough or all seeds are used.
  */
 public final class Experiment {
-    /** Seeds that are played before the interval is looked at: fewer make it too narrow by luck. */
-    private static final int FEWEST = 5;
+    /** Seeds before the first check of the interval; with fewer it may be narrow by chance. */
+    private static final int MIN_SEEDS = 5;
 
     private final List<Scenario> variants;
     private final long firstSeed;
-    private final int mostSeeds;
-    private final double halfWidth;
-    private final ToDoubleFunction<SimulationResult> figure;
-    private final List<List<SimulationResult>> outcomes = new ArrayList<>();
+    private final int maxSeeds;
+    private final double targetHalfWidth;
+    private final ToDoubleFunction<SimulationResult> stoppingMetric;
+    private final List<List<SimulationResult>> results = new ArrayList<>();
 
     /**
-     * An experiment that has not begun.
+     * Creates an experiment without results.
      *
-     * @param halfWidth half of an interval's width that is narrow enough; zero to play all seeds
-     * @param figure what is compared, for stopping
+     * @param targetHalfWidth half of the interval's width at which to stop; zero to run all seeds
+     * @param stoppingMetric the metric whose interval is checked
      */
     public Experiment(
             List<Scenario> variants,
             long firstSeed,
-            int mostSeeds,
-            double halfWidth,
-            ToDoubleFunction<SimulationResult> figure) {
+            int maxSeeds,
+            double targetHalfWidth,
+            ToDoubleFunction<SimulationResult> stoppingMetric) {
         this.variants = List.copyOf(variants);
         this.firstSeed = firstSeed;
-        this.mostSeeds = mostSeeds;
-        this.halfWidth = halfWidth;
-        this.figure = figure;
+        this.maxSeeds = maxSeeds;
+        this.targetHalfWidth = targetHalfWidth;
+        this.stoppingMetric = stoppingMetric;
         for (int i = 0; i < variants.size(); i++) {
-            outcomes.add(new ArrayList<>());
+            results.add(new ArrayList<>());
         }
     }
 
     /**
-     * Plays rounds of as many seeds as there are cores for. The number of seeds that count follows
-     * from their outcomes alone: whether to go on is asked after each seed in turn, whatever was
-     * played beyond it.
+     * Runs the seeds in batches. The interval is checked after each seed in order, and results of
+     * later seeds in the batch are discarded, so the number of seeds used depends on the results
+     * alone and not on the batch size.
      */
-    public void play(ParallelRunner runs, int round, Consumer<String> progress)
+    public void play(ParallelRunner runner, int seedsPerBatch, Consumer<String> progress)
             throws InterruptedException {
-        for (int seeds = 0; seeds < mostSeeds; ) {
-            int more = Math.min(round, mostSeeds - seeds);
-            List<ParallelRunner.Run> next = new ArrayList<>();
-            for (int i = 0; i < more; i++) {
+        for (int seeds = 0; seeds < maxSeeds; ) {
+            int batchSeeds = Math.min(seedsPerBatch, maxSeeds - seeds);
+            List<ParallelRunner.Run> batch = new ArrayList<>();
+            for (int i = 0; i < batchSeeds; i++) {
                 for (Scenario variant : variants) {
-                    next.add(new ParallelRunner.Run(variant, firstSeed + seeds + i));
+                    batch.add(new ParallelRunner.Run(variant, firstSeed + seeds + i));
                 }
             }
-            List<SimulationResult> played = runs.play(next);
-            for (int i = 0; i < more; i++) {
+            List<SimulationResult> batchResults = runner.play(batch);
+            for (int i = 0; i < batchSeeds; i++) {
                 for (int v = 0; v < variants.size(); v++) {
-                    outcomes.get(v).add(played.get(i * variants.size() + v));
+                    results.get(v).add(batchResults.get(i * variants.size() + v));
                 }
                 seeds++;
-                if (narrow(seeds)) {
+                if (isPreciseEnough(seeds)) {
                     progress.accept(seeds + " seeds: narrow enough");
                     return;
                 }
             }
-            progress.accept(seeds + " of " + mostSeeds + " seeds");
+            progress.accept(seeds + " of " + maxSeeds + " seeds");
         }
     }
 
-    private boolean narrow(int seeds) {
-        if (halfWidth <= 0 || seeds < FEWEST) {
+    private boolean isPreciseEnough(int seeds) {
+        if (targetHalfWidth <= 0 || seeds < MIN_SEEDS) {
             return false;
         }
         if (variants.size() == 1) {
-            return estimate(0, figure).half() <= halfWidth;
+            return estimate(0, stoppingMetric).half() <= targetHalfWidth;
         }
         for (int v = 1; v < variants.size(); v++) {
-            if (difference(v, figure).half() > halfWidth) {
+            if (difference(v, stoppingMetric).half() > targetHalfWidth) {
                 return false;
             }
         }
         return true;
     }
 
+    /** Returns the number of seeds used. */
     public int seeds() {
-        return outcomes.get(0).size();
+        return results.get(0).size();
     }
 
+    /** Returns the results of a variant in the order of the seeds. */
     public List<SimulationResult> outcomes(int variant) {
-        return outcomes.get(variant);
+        return results.get(variant);
     }
 
-    public ConfidenceInterval estimate(int variant, ToDoubleFunction<SimulationResult> of) {
+    public ConfidenceInterval estimate(int variant, ToDoubleFunction<SimulationResult> metric) {
         return ConfidenceInterval.of(
-                outcomes.get(variant).stream().map(each -> of.applyAsDouble(each)).toList());
+                results.get(variant).stream().map(each -> metric.applyAsDouble(each)).toList());
     }
 
-    private List<Double> differences(int variant, ToDoubleFunction<SimulationResult> of) {
+    private List<Double> differences(int variant, ToDoubleFunction<SimulationResult> metric) {
         List<Double> differences = new ArrayList<>();
         for (int i = 0; i < seeds(); i++) {
             differences.add(
-                    of.applyAsDouble(outcomes.get(variant).get(i))
-                            - of.applyAsDouble(outcomes.get(0).get(i)));
+                    metric.applyAsDouble(results.get(variant).get(i))
+                            - metric.applyAsDouble(results.get(0).get(i)));
         }
         return differences;
     }
 
-    /** Of a variant from the first, seed by seed. */
-    public ConfidenceInterval difference(int variant, ToDoubleFunction<SimulationResult> of) {
-        return ConfidenceInterval.of(differences(variant, of));
+    /** Returns the mean difference of a variant from the first one, paired by seed. */
+    public ConfidenceInterval difference(int variant, ToDoubleFunction<SimulationResult> metric) {
+        return ConfidenceInterval.of(differences(variant, metric));
     }
 
-    public double chance(int variant, ToDoubleFunction<SimulationResult> of) {
-        return ConfidenceInterval.chance(differences(variant, of));
+    /** Returns the p-value of a variant's mean difference from the first one, paired by seed. */
+    public double chance(int variant, ToDoubleFunction<SimulationResult> metric) {
+        return ConfidenceInterval.chance(differences(variant, metric));
     }
 
-    /** The seed of the first run of a variant that broke a rule, or null. */
+    /** Returns the first seed with which a variant broke a rule, null if there is none. */
     public Long broken(int variant) {
         for (int i = 0; i < seeds(); i++) {
-            if (outcomes.get(variant).get(i).rules().count() > 0) {
+            if (results.get(variant).get(i).rules().count() > 0) {
                 return firstSeed + i;
             }
         }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/ParallelRunner.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ParallelRunner.java
@@ -11,46 +11,50 @@
 import ochretiller.emulator.simulation.SimulationResult;
 
 /**
- * Plays scripts on cores of their own. A run shares nothing with another, so that order and number
- * of threads change nothing.
+ * Executes simulation runs on a fixed number of threads. Runs share no state, so the number of
+ * threads and the order of execution do not change the results.
  */
 public final class ParallelRunner implements AutoCloseable {
-    private final ExecutorService threads;
+    private final ExecutorService executor;
 
-    public ParallelRunner(int cores) {
-        threads =
+    public ParallelRunner(int threads) {
+        executor =
                 Executors.newFixedThreadPool(
-                        cores,
-                        work -> {
-                            Thread thread = new Thread(work, "run");
+                        threads,
+                        task -> {
+                            Thread thread = new Thread(task, "run");
                             thread.setDaemon(true);
                             return thread;
                         });
     }
 
-    /** One run. */
+    /** A scenario and the seed that it is run with. */
     public record Run(Scenario script, long seed) {}
 
-    /** The outcomes of all, in the order of the runs. */
+    /**
+     * Executes all runs and returns their results in the order of {@code runs}.
+     *
+     * @throws IllegalStateException if a run failed; its cause is the exception of that run
+     */
     public List<SimulationResult> play(List<Run> runs) throws InterruptedException {
-        List<Future<SimulationResult>> playing = new ArrayList<>();
+        List<Future<SimulationResult>> futures = new ArrayList<>();
         for (Run run : runs) {
-            playing.add(threads.submit(() -> new Simulation(run.script, run.seed).play()));
+            futures.add(executor.submit(() -> new Simulation(run.script, run.seed).play()));
         }
-        List<SimulationResult> outcomes = new ArrayList<>();
+        List<SimulationResult> results = new ArrayList<>();
         try {
-            for (Future<SimulationResult> each : playing) {
-                outcomes.add(each.get());
+            for (Future<SimulationResult> future : futures) {
+                results.add(future.get());
             }
         } catch (ExecutionException e) {
             throw new IllegalStateException(
-                    "a run has failed: seed " + runs.get(outcomes.size()).seed, e.getCause());
+                    "the run with seed " + runs.get(results.size()).seed + " failed", e.getCause());
         }
-        return outcomes;
+        return results;
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
@@ -21,106 +21,111 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * A folder with what an experiment shows: figures as CSV and JSON, charts as SVG, a page that holds
- * them together.
+ * Writes the results of an experiment to a folder: metrics as CSV and JSON, charts as SVG, and an
+ * HTML page with a table and the charts.
  */
 public final class Report {
-    /** What is told of each variant, by the name of its column. */
-    public static final Map<String, ToDoubleFunction<SimulationResult>> FIGURES = figures();
+    /** Metrics of one run by the names of their columns, in column order. */
+    public static final Map<String, ToDoubleFunction<SimulationResult>> FIGURES = metrics();
 
     private final Path folder;
     private final Experiment experiment;
-    private final List<String> names;
-    private final List<Scenario> scripts;
+    private final List<String> variantNames;
+    private final List<Scenario> scenarios;
     private final long firstSeed;
     private final List<String> charts = new ArrayList<>();
 
     public Report(
             Path folder,
             Experiment experiment,
-            List<String> names,
-            List<Scenario> scripts,
+            List<String> variantNames,
+            List<Scenario> scenarios,
             long firstSeed) {
         this.folder = folder;
         this.experiment = experiment;
-        this.names = names;
-        this.scripts = scripts;
+        this.variantNames = variantNames;
+        this.scenarios = scenarios;
         this.firstSeed = firstSeed;
     }
 
-    private static Map<String, ToDoubleFunction<SimulationResult>> figures() {
-        Map<String, ToDoubleFunction<SimulationResult>> figures = new LinkedHashMap<>();
-        figures.put("value share", SimulationResult::valueShare);
-        figures.put("loud callers", SimulationResult::loudShare);
-        figures.put("other callers", SimulationResult::othersShare);
-        figures.put("worst 10 s", SimulationResult::worstTen);
-        figures.put("p50 ms", outcome -> outcome.tookMs(50));
-        figures.put("p99 ms", outcome -> outcome.tookMs(99));
-        figures.put("tries each", SimulationResult::triesEach);
-        figures.put("deaths", SimulationResult::deaths);
-        figures.put("broken rules", outcome -> outcome.rules().count());
-        return figures;
+    private static Map<String, ToDoubleFunction<SimulationResult>> metrics() {
+        Map<String, ToDoubleFunction<SimulationResult>> metrics = new LinkedHashMap<>();
+        metrics.put("value share", SimulationResult::valueShare);
+        metrics.put("loud callers", SimulationResult::loudShare);
+        metrics.put("other callers", SimulationResult::othersShare);
+        metrics.put("worst 10 s", SimulationResult::worstTen);
+        metrics.put("p50 ms", result -> result.tookMs(50));
+        metrics.put("p99 ms", result -> result.tookMs(99));
+        metrics.put("tries each", SimulationResult::triesEach);
+        metrics.put("deaths", SimulationResult::deaths);
+        metrics.put("broken rules", result -> result.rules().count());
+        return metrics;
     }
 
+    /** Writes all files; files of the same names are overwritten. */
     public void write() throws IOException {
         Files.createDirectories(folder);
-        csv();
-        timeLines();
-        json();
-        timeLineChart(
+        writeRunsCsv();
+        writeSecondsCsv();
+        writeJson();
+        addSecondsChart(
                 "value",
                 "Share of the billed value that was earned",
                 second -> second.offered == 0 ? 1 : second.earned / second.offered);
-        timeLineChart(
+        addSecondsChart(
                 "tries",
                 "Tries for each that was asked",
                 second -> second.asked == 0 ? 0 : (double) second.tries / second.asked);
-        looksChart("held", "Invocations at the boxes", SimulationResult.Look::held);
-        looksChart("running", "Runs on cores", SimulationResult.Look::running);
-        looksChart("boxes", "Boxes that serve", SimulationResult.Look::boxes);
-        looksChart("ledger", "Calls at the records service", SimulationResult.Look::ledger);
-        distribution();
-        variants();
-        page();
+        addSamplesChart("held", "Invocations at the boxes", SimulationResult.Look::held);
+        addSamplesChart("running", "Runs on cores", SimulationResult.Look::running);
+        addSamplesChart("boxes", "Boxes that serve", SimulationResult.Look::boxes);
+        addSamplesChart("ledger", "Calls at the records service", SimulationResult.Look::ledger);
+        addLatencyChart();
+        addVariantCharts();
+        writePage();
     }
 
-    /** The variants beside one another, with their intervals. */
-    private void variants() throws IOException {
-        if (names.size() < 2) {
+    /** Adds charts that compare the variants' means, with their confidence intervals. */
+    private void addVariantCharts() throws IOException {
+        if (variantNames.size() < 2) {
             return;
         }
         for (String name : List.of("value share", "worst 10 s", "p99 ms")) {
             XYChart chart =
-                    chart(name + ", intervals of 95 %, in the order of the table", "variant", "");
+                    newChart(
+                            name + ", intervals of 95 %, in the order of the table",
+                            "variant",
+                            "");
             chart.getStyler()
                     .setXAxisMin(0.0)
-                    .setXAxisMax((double) names.size() + 1)
+                    .setXAxisMax((double) variantNames.size() + 1)
                     .setXAxisDecimalPattern("0");
-            for (int v = 0; v < names.size(); v++) {
+            for (int v = 0; v < variantNames.size(); v++) {
                 ConfidenceInterval estimate = experiment.estimate(v, FIGURES.get(name));
                 chart.addSeries(
-                        names.get(v),
+                        variantNames.get(v),
                         new double[] {v + 1},
                         new double[] {estimate.mean()},
                         new double[] {Double.isFinite(estimate.half()) ? estimate.half() : 0});
             }
-            keep(chart, "variants-" + name.replace(' ', '-'));
+            saveChart(chart, "variants-" + name.replace(' ', '-'));
         }
     }
 
-    private void csv() throws IOException {
+    private void writeRunsCsv() throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add("variant,seed," + String.join(",", FIGURES.keySet()));
-        for (int v = 0; v < names.size(); v++) {
+        for (int v = 0; v < variantNames.size(); v++) {
             for (int i = 0; i < experiment.seeds(); i++) {
-                SimulationResult outcome = experiment.outcomes(v).get(i);
+                SimulationResult result = experiment.outcomes(v).get(i);
                 StringBuilder line =
-                        new StringBuilder(names.get(v).replace(',', ';') + ',' + (firstSeed + i));
-                for (ToDoubleFunction<SimulationResult> figure : FIGURES.values()) {
+                        new StringBuilder(
+                                variantNames.get(v).replace(',', ';') + ',' + (firstSeed + i));
+                for (ToDoubleFunction<SimulationResult> metric : FIGURES.values()) {
                     line.append(',')
                             .append(
                                     String.format(
-                                            Locale.ROOT, "%.5f", figure.applyAsDouble(outcome)));
+                                            Locale.ROOT, "%.5f", metric.applyAsDouble(result)));
                 }
                 lines.add(line.toString());
             }
@@ -128,16 +133,16 @@
         Files.write(folder.resolve("runs.csv"), lines);
     }
 
-    private void timeLines() throws IOException {
+    private void writeSecondsCsv() throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add(
                 "variant,second,asked,succeeded,throttled,errored,timed out,tries,offered,earned");
-        for (int v = 0; v < names.size(); v++) {
+        for (int v = 0; v < variantNames.size(); v++) {
             int seconds = experiment.outcomes(v).get(0).seconds().size();
             for (int s = 0; s < seconds; s++) {
                 double[] sums = new double[8];
-                for (SimulationResult outcome : experiment.outcomes(v)) {
-                    SimulationResult.Second each = outcome.seconds().get(s);
+                for (SimulationResult result : experiment.outcomes(v)) {
+                    SimulationResult.Second each = result.seconds().get(s);
                     double[] values = {
                         each.asked,
                         each.succeeded,
@@ -152,7 +157,8 @@
                         sums[i] += values[i] / experiment.seeds();
                     }
                 }
-                StringBuilder line = new StringBuilder(names.get(v).replace(',', ';') + ',' + s);
+                StringBuilder line =
+                        new StringBuilder(variantNames.get(v).replace(',', ';') + ',' + s);
                 for (double sum : sums) {
                     line.append(',').append(String.format(Locale.ROOT, "%.3f", sum));
                 }
@@ -162,44 +168,44 @@
         Files.write(folder.resolve("seconds.csv"), lines);
     }
 
-    private void json() throws IOException {
+    private void writeJson() throws IOException {
         ObjectMapper mapper =
                 JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
-        Map<String, Object> told = new LinkedHashMap<>();
-        told.put("seeds", Map.of("first", firstSeed, "count", experiment.seeds()));
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("seeds", Map.of("first", firstSeed, "count", experiment.seeds()));
         String version = Report.class.getPackage().getImplementationVersion();
-        told.put("version", version == null ? "unpackaged" : version);
+        root.put("version", version == null ? "unpackaged" : version);
         List<Object> variants = new ArrayList<>();
-        for (int v = 0; v < names.size(); v++) {
+        for (int v = 0; v < variantNames.size(); v++) {
             Map<String, Object> variant = new LinkedHashMap<>();
-            variant.put("name", names.get(v));
-            variant.put("script", scripts.get(v));
-            for (Map.Entry<String, ToDoubleFunction<SimulationResult>> figure :
+            variant.put("name", variantNames.get(v));
+            variant.put("script", scenarios.get(v));
+            for (Map.Entry<String, ToDoubleFunction<SimulationResult>> metric :
                     FIGURES.entrySet()) {
-                ConfidenceInterval estimate = experiment.estimate(v, figure.getValue());
+                ConfidenceInterval estimate = experiment.estimate(v, metric.getValue());
                 Map<String, Object> value = new LinkedHashMap<>();
                 value.put("mean", estimate.mean());
-                value.put("half", finite(estimate.half()));
+                value.put("half", finiteOrNull(estimate.half()));
                 if (v > 0) {
-                    ConfidenceInterval difference = experiment.difference(v, figure.getValue());
+                    ConfidenceInterval difference = experiment.difference(v, metric.getValue());
                     value.put("difference", difference.mean());
-                    value.put("difference half", finite(difference.half()));
-                    value.put("chance", experiment.chance(v, figure.getValue()));
+                    value.put("difference half", finiteOrNull(difference.half()));
+                    value.put("chance", experiment.chance(v, metric.getValue()));
                 }
-                variant.put(figure.getKey(), value);
+                variant.put(metric.getKey(), value);
             }
             variants.add(variant);
         }
-        told.put("variants", variants);
-        mapper.writeValue(folder.resolve("report.json").toFile(), told);
+        root.put("variants", variants);
+        mapper.writeValue(folder.resolve("report.json").toFile(), root);
     }
 
-    /** JSON knows no infinity: an interval of one run is none. */
-    private static Double finite(double value) {
+    /** Replaces infinity, the interval of a single run, by null: JSON cannot represent it. */
+    private static Double finiteOrNull(double value) {
         return Double.isFinite(value) ? value : null;
     }
 
-    private static XYChart chart(String title, String x, String y) {
+    private static XYChart newChart(String title, String x, String y) {
         XYChart chart =
                 new XYChartBuilder()
                         .width(820)
@@ -214,7 +220,7 @@
         return chart;
     }
 
-    private void keep(XYChart chart, String name) throws IOException {
+    private void saveChart(XYChart chart, String name) throws IOException {
         VectorGraphicsEncoder.saveVectorGraphic(
                 chart,
                 folder.resolve(name).toString(),
@@ -222,69 +228,77 @@
         charts.add(name + ".svg");
     }
 
-    private void timeLineChart(
-            String name, String title, ToDoubleFunction<SimulationResult.Second> of)
+    private void addSecondsChart(
+            String name, String title, ToDoubleFunction<SimulationResult.Second> valueOf)
             throws IOException {
-        XYChart chart = chart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
-        for (int v = 0; v < names.size(); v++) {
-            int count =
-                    experiment.outcomes(v).get(0).seconds().size() - 1; // the last is a part of one
+        XYChart chart =
+                newChart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
+        for (int v = 0; v < variantNames.size(); v++) {
+            // The last second is incomplete.
+            int count = experiment.outcomes(v).get(0).seconds().size() - 1;
             double[] x = new double[count];
             double[] y = new double[count];
             for (int s = 0; s < count; s++) {
                 x[s] = s;
-                for (SimulationResult outcome : experiment.outcomes(v)) {
-                    y[s] += of.applyAsDouble(outcome.seconds().get(s)) / experiment.seeds();
+                for (SimulationResult result : experiment.outcomes(v)) {
+                    y[s] += valueOf.applyAsDouble(result.seconds().get(s)) / experiment.seeds();
                 }
             }
-            chart.addSeries(names.get(v), x, y).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(variantNames.get(v), x, y).setMarker(SeriesMarkers.NONE);
         }
-        keep(chart, name);
+        saveChart(chart, name);
     }
 
-    private void looksChart(String name, String title, ToDoubleFunction<SimulationResult.Look> of)
+    private void addSamplesChart(
+            String name, String title, ToDoubleFunction<SimulationResult.Look> valueOf)
             throws IOException {
-        XYChart chart = chart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
-        for (int v = 0; v < names.size(); v++) {
+        XYChart chart =
+                newChart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
+        for (int v = 0; v < variantNames.size(); v++) {
             int count = experiment.outcomes(v).get(0).looks().size();
             double[] x = new double[count];
             double[] y = new double[count];
             for (int s = 0; s < count; s++) {
                 x[s] = experiment.outcomes(v).get(0).looks().get(s).at();
-                for (SimulationResult outcome : experiment.outcomes(v)) {
-                    y[s] += of.applyAsDouble(outcome.looks().get(s)) / experiment.seeds();
+                for (SimulationResult result : experiment.outcomes(v)) {
+                    y[s] += valueOf.applyAsDouble(result.looks().get(s)) / experiment.seeds();
                 }
             }
-            chart.addSeries(names.get(v), x, y).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(variantNames.get(v), x, y).setMarker(SeriesMarkers.NONE);
         }
-        keep(chart, name);
+        saveChart(chart, name);
     }
 
-    private void distribution() throws IOException {
+    private void addLatencyChart() throws IOException {
         XYChart chart =
-                chart("Time of those that succeeded, all seeds", "ms", "share that took no longer");
+                newChart(
+                        "Time of those that succeeded, all seeds",
+                        "ms",
+                        "share that took no longer");
         chart.getStyler().setXAxisLogarithmic(true);
-        for (int v = 0; v < names.size(); v++) {
+        for (int v = 0; v < variantNames.size(); v++) {
             List<Double> x = new ArrayList<>();
             List<Double> y = new ArrayList<>();
             for (double percent = 1; percent < 100; percent += percent < 99 ? 1 : 0.1) {
-                double at = percent;
+                double percentile = percent;
                 x.add(
                         Math.max(
                                 0.001,
-                                experiment.estimate(v, outcome -> outcome.tookMs(at)).mean()));
+                                experiment
+                                        .estimate(v, result -> result.tookMs(percentile))
+                                        .mean()));
                 y.add(percent / 100);
             }
-            chart.addSeries(names.get(v), x, y).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(variantNames.get(v), x, y).setMarker(SeriesMarkers.NONE);
         }
-        keep(chart, "times");
+        saveChart(chart, "times");
     }
 
-    private static String escaped(String text) {
+    private static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
-    private void page() throws IOException {
+    private void writePage() throws IOException {
         StringBuilder page =
                 new StringBuilder(
                         "<!doctype html><html lang=\"en\"><meta"
@@ -293,7 +307,7 @@
                             + " .7em;text-align:right}td:first-child,th:first-child{text-align:left}table{border-collapse:collapse}tr+tr{border-top:1px"
                             + " solid #ccc}.bad{color:#b00}</style>");
         page.append("<h1>")
-                .append(escaped(scripts.get(0).name()))
+                .append(escapeHtml(scenarios.get(0).name()))
                 .append("</h1><p>Simulated; ")
                 .append(experiment.seeds())
                 .append(" seeds from ")
@@ -301,14 +315,14 @@
                 .append(
                         "; means with intervals of 95 %, differences seed by"
                                 + " seed.</p><table><tr><th>");
-        for (String name : names) {
-            page.append("<th>").append(escaped(name));
+        for (String name : variantNames) {
+            page.append("<th>").append(escapeHtml(name));
         }
         page.append("</tr>");
-        for (Map.Entry<String, ToDoubleFunction<SimulationResult>> figure : FIGURES.entrySet()) {
-            page.append("<tr><td>").append(figure.getKey());
-            for (int v = 0; v < names.size(); v++) {
-                ConfidenceInterval estimate = experiment.estimate(v, figure.getValue());
+        for (Map.Entry<String, ToDoubleFunction<SimulationResult>> metric : FIGURES.entrySet()) {
+            page.append("<tr><td>").append(metric.getKey());
+            for (int v = 0; v < variantNames.size(); v++) {
+                ConfidenceInterval estimate = experiment.estimate(v, metric.getValue());
                 page.append("<td>").append(String.format(Locale.ROOT, "%.4g", estimate.mean()));
                 if (Double.isFinite(estimate.half())) {
                     page.append(String.format(Locale.ROOT, " ± %.2g", estimate.half()));
@@ -316,7 +330,7 @@
                 if (v == 0) {
                     continue;
                 }
-                ConfidenceInterval difference = experiment.difference(v, figure.getValue());
+                ConfidenceInterval difference = experiment.difference(v, metric.getValue());
                 page.append(String.format(Locale.ROOT, "<br>%+.4g", difference.mean()));
                 if (Double.isFinite(difference.half())) {
                     page.append(
@@ -324,23 +338,23 @@
                                     Locale.ROOT,
                                     " ± %.2g, chance %.2g",
                                     difference.half(),
-                                    experiment.chance(v, figure.getValue())));
+                                    experiment.chance(v, metric.getValue())));
                 }
             }
             page.append("</tr>");
         }
         page.append("</table>");
-        for (int v = 0; v < names.size(); v++) {
+        for (int v = 0; v < variantNames.size(); v++) {
             for (int i = 0; i < experiment.seeds(); i++) {
-                for (String missed : experiment.outcomes(v).get(i).missed()) {
+                for (String message : experiment.outcomes(v).get(i).missed()) {
                     page.append("<p class=\"bad\">")
                             .append(
-                                    escaped(
-                                            names.get(v)
+                                    escapeHtml(
+                                            variantNames.get(v)
                                                     + ", seed "
                                                     + (firstSeed + i)
                                                     + ": "
-                                                    + missed))
+                                                    + message))
                             .append("</p>");
                 }
             }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Many runs of scripts: in parallel with the same outcome as one after another, compared on the
- * same chance, and reported.
+ * Experiments: many runs of scenarios, executed in parallel with the same results as in sequence,
+ * compared on common random numbers, and reported.
  */
 package ochretiller.emulator.experiment;
--- a/emulator/src/main/java/ochretiller/emulator/faultsearch/FaultSearch.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/FaultSearch.java
@@ -9,55 +9,63 @@
 import ochretiller.emulator.scenario.Scenario;
 import ochretiller.emulator.simulation.SimulationResult;
 
-/** Plays drawn time lines and keeps the worst; a find is cut down while it stays one. */
+/**
+ * Runs a scenario with random incidents, finds the run with the worst result and shrinks its
+ * incidents while the result stays about as bad.
+ */
 public final class FaultSearch {
-    /** Rounds of cutting down: each halves or drops something, so that few are needed. */
-    private static final int ROUNDS = 30;
+    /** Most shrinking steps; few are needed, as each drops an incident or halves a value of it. */
+    private static final int MAX_SHRINK_ROUNDS = 30;
 
-    private final ParallelRunner runs;
+    private final ParallelRunner runner;
     private final Scenario base;
     private final long seed;
 
-    public FaultSearch(ParallelRunner runs, Scenario base, long seed) {
-        this.runs = runs;
+    public FaultSearch(ParallelRunner runner, Scenario base, long seed) {
+        this.runner = runner;
         this.base = base;
         this.seed = seed;
     }
 
     /**
-     * What was found.
+     * The worst run of a search.
      *
-     * @param broken a rule is broken; else it is the greatest loss
-     * @param value share of the billed value that was left
+     * @param broken whether the run broke a rule; if not, no run of the search earned less value
+     * @param value share of the billed value that was earned
+     * @param line the first violation, empty if no rule was broken
      */
     public record Find(Scenario script, long seed, boolean broken, double value, String line) {}
 
-    /** The first time line that breaks a rule, or else the one with the least value. */
-    public Find search(int tries, int round, Consumer<String> progress)
+    /**
+     * Runs random incidents in batches up to the first batch that breaks a rule. Returns the worst
+     * run: one that broke a rule or, if none did, the one that earned the least value.
+     */
+    public Find search(int runCount, int batchSize, Consumer<String> progress)
             throws InterruptedException {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         Find worst = null;
-        for (int done = 0; done < tries; ) {
-            List<ParallelRunner.Run> next = new ArrayList<>();
-            for (int i = 0; i < Math.min(round, tries - done); i++) {
-                next.add(
+        for (int completed = 0; completed < runCount; ) {
+            List<ParallelRunner.Run> batch = new ArrayList<>();
+            for (int i = 0; i < Math.min(batchSize, runCount - completed); i++) {
+                batch.add(
                         new ParallelRunner.Run(
-                                base.with(RandomIncidents.draw(base, chance)), seed + done + i));
+                                base.with(RandomIncidents.draw(base, random)),
+                                seed + completed + i));
             }
-            List<SimulationResult> outcomes = runs.play(next);
-            for (int i = 0; i < next.size(); i++) {
-                Find find = find(next.get(i), outcomes.get(i));
+            List<SimulationResult> results = runner.play(batch);
+            for (int i = 0; i < batch.size(); i++) {
+                Find candidate = evaluate(batch.get(i), results.get(i));
                 if (worst == null
-                        || find.broken && !worst.broken
-                        || find.broken == worst.broken && find.value < worst.value) {
-                    worst = find;
+                        || candidate.broken && !worst.broken
+                        || candidate.broken == worst.broken && candidate.value < worst.value) {
+                    worst = candidate;
                 }
             }
-            done += next.size();
+            completed += batch.size();
             progress.accept(
-                    done
+                    completed
                             + " of "
-                            + tries
+                            + runCount
                             + ": "
                             + (worst.broken
                                     ? "a broken rule: " + worst.line
@@ -69,44 +77,46 @@
         return worst;
     }
 
-    private static Find find(ParallelRunner.Run run, SimulationResult outcome) {
-        boolean broken = outcome.rules().count() > 0;
+    private static Find evaluate(ParallelRunner.Run run, SimulationResult result) {
+        boolean broken = result.rules().count() > 0;
         return new Find(
                 run.script(),
                 run.seed(),
                 broken,
-                outcome.valueShare(),
-                broken ? outcome.rules().broken().get(0) : "");
+                result.valueShare(),
+                broken ? result.rules().broken().get(0) : "");
     }
 
     /**
-     * A smaller time line that still breaks a rule, or still loses nine tenths of what this one
-     * loses.
+     * Shrinks the incidents of a run while it still breaks a rule or, if it broke none, while it
+     * still loses at least nine tenths of the value that it lost.
      */
-    public Find cut(Find found, Consumer<String> progress) throws InterruptedException {
-        Predicate<Find> still =
-                found.broken ? Find::broken : find -> 1 - find.value >= 0.9 * (1 - found.value);
-        Find best = found;
-        for (int round = 0; round < ROUNDS; round++) {
-            List<ParallelRunner.Run> next = new ArrayList<>();
-            for (List<Scenario.Incident> smaller :
-                    RandomIncidents.smaller(best.script.incidents())) {
-                next.add(new ParallelRunner.Run(base.with(smaller), found.seed));
+    public Find cut(Find finding, Consumer<String> progress) throws InterruptedException {
+        Predicate<Find> isStillInteresting =
+                finding.broken
+                        ? Find::broken
+                        : candidate -> 1 - candidate.value >= 0.9 * (1 - finding.value);
+        Find smallest = finding;
+        for (int round = 0; round < MAX_SHRINK_ROUNDS; round++) {
+            List<ParallelRunner.Run> batch = new ArrayList<>();
+            for (List<Scenario.Incident> incidents :
+                    RandomIncidents.smaller(smallest.script.incidents())) {
+                batch.add(new ParallelRunner.Run(base.with(incidents), finding.seed));
             }
-            List<SimulationResult> outcomes = runs.play(next);
+            List<SimulationResult> results = runner.play(batch);
             Find smaller = null;
-            for (int i = 0; i < next.size() && smaller == null; i++) {
-                Find each = find(next.get(i), outcomes.get(i));
-                if (still.test(each)) {
-                    smaller = each;
+            for (int i = 0; i < batch.size() && smaller == null; i++) {
+                Find candidate = evaluate(batch.get(i), results.get(i));
+                if (isStillInteresting.test(candidate)) {
+                    smaller = candidate;
                 }
             }
             if (smaller == null) {
-                return best;
+                return smallest;
             }
-            best = smaller;
-            progress.accept("cut down to " + best.script.incidents().size() + " incidents");
+            smallest = smaller;
+            progress.accept("cut down to " + smallest.script.incidents().size() + " incidents");
         }
-        return best;
+        return smallest;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/faultsearch/RandomIncidents.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/RandomIncidents.java
@@ -6,20 +6,17 @@
 import java.util.SplittableRandom;
 import ochretiller.emulator.scenario.Scenario;
 
-/** Draws time lines of incidents, and makes smaller ones of them. */
+/** Draws random lists of incidents and derives smaller lists from a given one. */
 public final class RandomIncidents {
-    /** Incidents in one time line: more cannot be told apart in what they do. */
-    private static final int MOST = 5;
+    /** Most incidents in one run; the effects of more could not be told apart. */
+    private static final int MAX_INCIDENTS = 5;
 
-    /** Part of the run in which they begin: what follows shows how it comes back. */
-    private static final double FIRST = 0.1;
+    /** Earliest start as a share of the run. The part after the latest one shows the recovery. */
+    private static final double EARLIEST_START = 0.1;
 
-    private static final double LAST = 0.6;
+    private static final double LATEST_START = 0.6;
 
-    /**
-     * Kinds, with the least and greatest span in seconds and strength that are still an
-     * afternoon's, not the end of the world.
-     */
+    /** Kinds of incidents, with the ranges of durations and strengths that occur in practice. */
     private enum Kind {
         DIE("die", 0, 5, 1, 1),
         PAUSE("pause", 0.2, 8, 1, 1),
@@ -33,72 +30,80 @@
         DISK_STALL("disk-stall", 0.5, 8, 1, 1),
         RETRY_STORM("retry-storm", 2, 15, 1, 1);
 
-        private final String what;
-        private final double leastS;
-        private final double mostS;
-        private final double weakest;
-        private final double strongest;
+        private final String name;
+        private final double minSeconds;
+        private final double maxSeconds;
+        private final double minStrength;
+        private final double maxStrength;
 
-        Kind(String what, double leastS, double mostS, double weakest, double strongest) {
-            this.what = what;
-            this.leastS = leastS;
-            this.mostS = mostS;
-            this.weakest = weakest;
-            this.strongest = strongest;
+        Kind(
+                String name,
+                double minSeconds,
+                double maxSeconds,
+                double minStrength,
+                double maxStrength) {
+            this.name = name;
+            this.minSeconds = minSeconds;
+            this.maxSeconds = maxSeconds;
+            this.minStrength = minStrength;
+            this.maxStrength = maxStrength;
         }
     }
 
     private RandomIncidents() {}
 
-    /** A time line for a script; a stalled disk only where one is kept. */
-    public static List<Scenario.Incident> draw(Scenario script, SplittableRandom chance) {
+    /**
+     * Draws incidents, ordered by their start. The disk stalls only in a scenario whose servers
+     * keep durable records.
+     */
+    public static List<Scenario.Incident> draw(Scenario scenario, SplittableRandom random) {
         List<Scenario.Incident> drawn = new ArrayList<>();
-        int count = 1 + chance.nextInt(MOST);
+        int count = 1 + random.nextInt(MAX_INCIDENTS);
         while (drawn.size() < count) {
-            Kind kind = Kind.values()[chance.nextInt(Kind.values().length)];
-            if (kind == Kind.DISK_STALL && !script.fleet().remembers()) {
+            Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
+            if (kind == Kind.DISK_STALL && !scenario.fleet().remembers()) {
                 continue;
             }
             drawn.add(
                     new Scenario.Incident(
-                            round(script.seconds() * chance.nextDouble(FIRST, LAST)),
-                            round(between(chance, kind.leastS, kind.mostS)),
-                            kind.what,
-                            round(chance.nextDouble(0.05, 1)),
-                            round(between(chance, kind.weakest, kind.strongest))));
+                            round(
+                                    scenario.seconds()
+                                            * random.nextDouble(EARLIEST_START, LATEST_START)),
+                            round(uniform(random, kind.minSeconds, kind.maxSeconds)),
+                            kind.name,
+                            round(random.nextDouble(0.05, 1)),
+                            round(uniform(random, kind.minStrength, kind.maxStrength))));
         }
         drawn.sort(Comparator.comparingDouble(Scenario.Incident::atS));
         return drawn;
     }
 
-    private static double between(SplittableRandom chance, double least, double most) {
-        return least == most ? least : chance.nextDouble(least, most);
+    private static double uniform(SplittableRandom random, double min, double max) {
+        return min == max ? min : random.nextDouble(min, max);
     }
 
-    /**
-     * Three digits are enough, and a script that was found can be written down as it was played.
-     */
+    /** Rounds to three decimals, so that a saved script has exactly the values that were run. */
     private static double round(double value) {
         return Math.round(value * 1000) / 1000.0;
     }
 
     /**
-     * Each time line that is one step smaller: one incident less, or one that is shorter, weaker or
-     * takes fewer.
+     * Returns every list that is one step smaller: without one incident, or with one incident that
+     * is shorter, weaker or affects a smaller share.
      */
-    static List<List<Scenario.Incident>> smaller(List<Scenario.Incident> line) {
-        List<List<Scenario.Incident>> all = new ArrayList<>();
-        for (int i = 0; i < line.size(); i++) {
-            List<Scenario.Incident> without = new ArrayList<>(line);
+    static List<List<Scenario.Incident>> smaller(List<Scenario.Incident> incidents) {
+        List<List<Scenario.Incident>> candidates = new ArrayList<>();
+        for (int i = 0; i < incidents.size(); i++) {
+            List<Scenario.Incident> without = new ArrayList<>(incidents);
             without.remove(i);
-            all.add(without);
+            candidates.add(without);
         }
-        for (int i = 0; i < line.size(); i++) {
-            Scenario.Incident each = line.get(i);
+        for (int i = 0; i < incidents.size(); i++) {
+            Scenario.Incident each = incidents.get(i);
             if (each.forS() > 0.5) {
-                all.add(
-                        with(
-                                line,
+                candidates.add(
+                        replace(
+                                incidents,
                                 i,
                                 new Scenario.Incident(
                                         each.atS(),
@@ -108,9 +113,9 @@
                                         each.strength())));
             }
             if (each.share() > 0.1) {
-                all.add(
-                        with(
-                                line,
+                candidates.add(
+                        replace(
+                                incidents,
                                 i,
                                 new Scenario.Incident(
                                         each.atS(),
@@ -120,9 +125,9 @@
                                         each.strength())));
             }
             if (each.strength() > 1.5) {
-                all.add(
-                        with(
-                                line,
+                candidates.add(
+                        replace(
+                                incidents,
                                 i,
                                 new Scenario.Incident(
                                         each.atS(),
@@ -132,13 +137,13 @@
                                         round(1 + (each.strength() - 1) / 2))));
             }
         }
-        return all;
+        return candidates;
     }
 
-    private static List<Scenario.Incident> with(
-            List<Scenario.Incident> line, int at, Scenario.Incident other) {
-        List<Scenario.Incident> changed = new ArrayList<>(line);
-        changed.set(at, other);
+    private static List<Scenario.Incident> replace(
+            List<Scenario.Incident> incidents, int index, Scenario.Incident replacement) {
+        List<Scenario.Incident> changed = new ArrayList<>(incidents);
+        changed.set(index, replacement);
         return changed;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/faultsearch/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Random incidents within stated ranges, hunted for broken rules and for the worst loss; what is
- * found is cut down. Pure.
+ * Random search for incidents, within given ranges, that break a rule or lose the most value; the
+ * incidents found are shrunk. Does no I/O.
  */
 package ochretiller.emulator.faultsearch;
--- a/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
+++ b/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
@@ -6,157 +6,169 @@
 import java.util.Map;
 
 /**
- * Holds what happened on boxes against the rules. Each break is a line; the first are kept, all are
- * counted.
+ * Checks the events on emulated servers against the rules. All violations are counted; the first
+ * {@value #MAX_REPORTED_VIOLATIONS} are recorded as text. All times are seconds since the start.
  */
 public final class RuleChecker {
-    /** Lines that are kept: the first show the cause. */
-    private static final int KEPT = 20;
-
-    /**
-     * An answer may be this late behind its due time, seconds: it is written when a beat comes
-     * round.
-     */
-    private static final double SLACK = 0.01;
-
-    private final List<String> broken = new ArrayList<>();
-    private final Map<Long, Seen> open = new HashMap<>();
-
-    /** When a token began to run on a box, and until when it must not again. */
-    private final Map<String, double[]> ran = new HashMap<>();
-
-    private long count;
-    private long read;
-    private long answered;
-    private long runs;
-
-    /** One that was read and has no answer yet. */
-    private static final class Seen {
-        private final String what;
-        private final double due;
-        private final boolean once;
-        private boolean runs;
-        private boolean gone;
-
-        private Seen(String what, double due, boolean once) {
-            this.what = what;
-            this.due = due;
-            this.once = once;
+    /** Recorded violations; the first ones are enough to find the cause. */
+    private static final int MAX_REPORTED_VIOLATIONS = 20;
+
+    /** Seconds by which an answer may miss its deadline: answers are sent on a periodic timer. */
+    private static final double DEADLINE_TOLERANCE_S = 0.01;
+
+    private final List<String> violations = new ArrayList<>();
+    private final Map<Long, OpenAttempt> openAttempts = new HashMap<>();
+
+    /** Start of the last run of each server and token, and the end of its deduplication window. */
+    private final Map<String, double[]> keyedRuns = new HashMap<>();
+
+    private long violationCount;
+    private long readCount;
+    private long answerCount;
+    private long runCount;
+
+    /** An attempt that was read and has no answer yet. */
+    private static final class OpenAttempt {
+        private final String operation;
+        private final double deadline;
+        private final boolean nonIdempotent;
+        private boolean started;
+        private boolean clientGone;
+
+        private OpenAttempt(String operation, double deadline, boolean nonIdempotent) {
+            this.operation = operation;
+            this.deadline = deadline;
+            this.nonIdempotent = nonIdempotent;
         }
     }
 
-    private void breaks(double now, String line) {
-        count++;
-        if (broken.size() < KEPT) {
-            broken.add(String.format(java.util.Locale.ROOT, "%.3f s: %s", now, line));
+    private void addViolation(double now, String description) {
+        violationCount++;
+        if (violations.size() < MAX_REPORTED_VIOLATIONS) {
+            violations.add(String.format(java.util.Locale.ROOT, "%.3f s: %s", now, description));
         }
     }
 
     /**
-     * A try was read; {@code once}: it must not be throttled behind a run. One that is read past
-     * its due time is due at once.
+     * Records that a server has read an attempt. A deadline that has passed counts as {@code now};
+     * a {@code nonIdempotent} attempt must not be throttled once its run has started.
      */
-    public void read(double now, long id, String what, double due, boolean once) {
-        read++;
-        open.put(id, new Seen(what, Math.max(due, now), once));
+    public void read(
+            double now, long id, String operation, double deadline, boolean nonIdempotent) {
+        readCount++;
+        openAttempts.put(id, new OpenAttempt(operation, Math.max(deadline, now), nonIdempotent));
     }
 
-    /** It begins to run on a box. */
+    /**
+     * Records the start of a run. Its token, null if the operation is not keyed, must not run again
+     * on this server before {@code windowEnd}; what arrived after {@code graceEnd} must not run.
+     */
     public void runs(
             double now,
             long id,
-            String box,
+            String server,
             String token,
-            double until,
-            double grace,
-            double arrived) {
-        runs++;
-        Seen seen = open.get(id);
-        if (seen != null) {
-            seen.runs = true;
+            double windowEnd,
+            double graceEnd,
+            double arrivedAt) {
+        runCount++;
+        OpenAttempt attempt = openAttempts.get(id);
+        if (attempt != null) {
+            attempt.started = true;
         }
-        if (arrived > grace) {
-            breaks(now, "what arrived behind the grace runs on " + box);
+        if (arrivedAt > graceEnd) {
+            addViolation(now, "what arrived behind the grace runs on " + server);
         }
         if (token == null) {
             return;
         }
-        double[] before = ran.put(box + ' ' + token, new double[] {now, until});
-        if (before != null && before[1] > now) {
-            breaks(now, "a token ran twice on " + box + ", first at " + before[0]);
+        double[] previous = keyedRuns.put(server + ' ' + token, new double[] {now, windowEnd});
+        if (previous != null && previous[1] > now) {
+            addViolation(now, "a token ran twice on " + server + ", first at " + previous[0]);
         }
     }
 
     /**
-     * It got a final answer.
-     *
-     * @param stoodFrom when its box last stood still, and {@code stoodTo} until when: nobody
-     *     answers meanwhile
+     * Records the final answer to an attempt. A deadline during the server's last pause, from
+     * {@code pausedFrom} to {@code pausedTo} (-1 if there was none), moves to the end of that
+     * pause, because a paused server cannot answer.
      */
-    public void answered(double now, long id, boolean throttled, double stoodFrom, double stoodTo) {
-        Seen seen = open.remove(id);
-        if (seen == null) {
-            breaks(now, "a second answer, or one that nobody asked for: " + id);
+    public void answered(
+            double now, long id, boolean throttled, double pausedFrom, double pausedTo) {
+        OpenAttempt attempt = openAttempts.remove(id);
+        if (attempt == null) {
+            addViolation(now, "a second answer, or one that nobody asked for: " + id);
             return;
         }
-        answered++;
-        if (throttled && seen.runs && seen.once) {
-            breaks(now, "throttled behind its run: " + seen.what);
+        answerCount++;
+        if (throttled && attempt.started && attempt.nonIdempotent) {
+            addViolation(now, "throttled behind its run: " + attempt.operation);
         }
-        double due = seen.due >= stoodFrom - SLACK && seen.due <= stoodTo ? stoodTo : seen.due;
-        if (now > due + SLACK && !seen.gone) {
-            breaks(now, "answered " + (now - seen.due) + " s past its due time: " + seen.what);
+        double deadline =
+                attempt.deadline >= pausedFrom - DEADLINE_TOLERANCE_S
+                                && attempt.deadline <= pausedTo
+                        ? pausedTo
+                        : attempt.deadline;
+        if (now > deadline + DEADLINE_TOLERANCE_S && !attempt.clientGone) {
+            addViolation(
+                    now,
+                    "answered "
+                            + (now - attempt.deadline)
+                            + " s past its due time: "
+                            + attempt.operation);
         }
     }
 
-    /** Its caller is known gone: no answer is owed. */
+    /** Records that the server knows that the client has gone: it need not answer. */
     public void gone(long id) {
-        Seen seen = open.get(id);
-        if (seen != null) {
-            seen.gone = true;
+        OpenAttempt attempt = openAttempts.get(id);
+        if (attempt != null) {
+            attempt.clientGone = true;
         }
     }
 
-    /** The box that had it has died: its connection tells the caller. */
+    /** Drops an attempt whose connection was lost: the client learns that without an answer. */
     public void died(long id) {
-        open.remove(id);
+        openAttempts.remove(id);
     }
 
-    /** A box ended with one that it had read and not answered. */
-    public void unanswered(double now, long id, String box) {
-        Seen seen = open.remove(id);
-        if (seen != null && !seen.gone) {
-            breaks(now, box + " left without an answer to " + seen.what);
+    /** Records that a server shut down without answering an attempt that it had read. */
+    public void unanswered(double now, long id, String server) {
+        OpenAttempt attempt = openAttempts.remove(id);
+        if (attempt != null && !attempt.clientGone) {
+            addViolation(now, server + " left without an answer to " + attempt.operation);
         }
     }
 
-    /** Nothing happens any more: what is still open was lost. */
+    /** Ends the check: every attempt that is still open was never answered. */
     public void over(double now) {
-        open.forEach(
-                (id, seen) -> {
-                    if (!seen.gone) {
-                        breaks(now, "never answered: " + seen.what);
+        openAttempts.forEach(
+                (id, attempt) -> {
+                    if (!attempt.clientGone) {
+                        addViolation(now, "never answered: " + attempt.operation);
                     }
                 });
     }
 
+    /** Returns the first violations, each with its time. */
     public List<String> broken() {
-        return List.copyOf(broken);
+        return List.copyOf(violations);
     }
 
+    /** Returns the number of all violations. */
     public long count() {
-        return count;
+        return violationCount;
     }
 
     public long reads() {
-        return read;
+        return readCount;
     }
 
     public long answers() {
-        return answered;
+        return answerCount;
     }
 
     public long runs() {
-        return runs;
+        return runCount;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/rules/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/rules/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Whether the four rules held in a run. It hears of what happened from the world, never from the
- * decisions.
+ * Checks whether the four rules held in a run. The checker receives events from the simulation,
+ * never from the admission decisions.
  */
 package ochretiller.emulator.rules;
--- a/emulator/src/main/java/ochretiller/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/Scenario.java
@@ -4,11 +4,12 @@
 import java.util.Map;
 
 /**
- * What is played. Times are seconds since the start unless they say otherwise.
+ * A fleet, its load and its incidents. Times count from the start of the run; the suffix of a name
+ * is its unit: S for seconds, Ms for milliseconds, Kb for kilobytes.
  *
- * @param seconds how long callers ask; what is open then is played to its end
- * @param settings values that go over those derived from the fleet, by the names of the simulator's
- *     wire
+ * @param seconds how long clients send requests; requests that are open then run to their end
+ * @param settings server settings that override those derived from the fleet, by the names that the
+ *     simulator protocol uses
  */
 public record Scenario(
         String name,
@@ -23,17 +24,17 @@
         Expect expect,
         Map<String, String> settings) {
     /**
-     * The boxes.
+     * The emulated servers.
      *
-     * @param crowd runs a core up to which nothing is lost
-     * @param loss share of the speed that is lost for each further {@code crowd}
-     * @param fallsAt runs a core at which a box dies of its crowd
-     * @param coldShare speed of a box that has just been started
-     * @param coldS time until it is warm
-     * @param bootS time from a start to serving
+     * @param crowd concurrent runs per core up to which no speed is lost
+     * @param loss slowdown that each further {@code crowd} runs per core add
+     * @param fallsAt runs per core above which a server crashes
+     * @param coldShare speed of a restarted server as a share of its full speed
+     * @param coldS time from the restart to full speed
+     * @param bootS time that a server takes to start
      * @param readMs core time that reading one invocation takes
-     * @param remembers marks and results outlive a restart
-     * @param forceMs time that the disk takes to make a mark or a result durable
+     * @param remembers whether in-flight markers and results survive a restart
+     * @param forceMs time that the disk takes to make a marker or a result durable
      */
     public record Fleet(
             int boxes,
@@ -56,15 +57,16 @@
     public record Network(double delayMs, double jitterMs) {}
 
     /**
-     * Whoever chooses a box.
+     * The gateways, which choose a server for each attempt.
      *
-     * @param choice random, turns, least or two
-     * @param tries for one invocation; 0 for as many as its time allows
-     * @param tryMs time-out of one try; 0 for what is left
-     * @param pauseMs pause in front of a further try
-     * @param heeds share of them that heed advice
-     * @param listS how late they learn which boxes there are
-     * @param healthMs how often they look at health
+     * @param choice random, turns (round robin), least (fewest open attempts) or two (the better of
+     *     two random servers)
+     * @param tries most attempts per request; 0 for as many as its timeout allows
+     * @param tryMs timeout of one attempt; 0 for the remaining time of the request
+     * @param pauseMs mean pause before a retry
+     * @param heeds share of the gateways that follow the servers' backoff advice
+     * @param listS longest delay until a gateway learns of a change in the list of servers
+     * @param healthMs interval of the health checks
      */
     public record Gateways(
             int count,
@@ -77,21 +79,22 @@
             double healthMs) {}
 
     /**
-     * The records service that calls go to.
+     * The records service that runs call.
      *
-     * @param waits calls that it lets wait; further ones are turned away
-     * @param fallsAt calls that wait at which it falls over; 0 for never
-     * @param downS time that it is down then
+     * @param waits most calls that may queue for a slot; further ones are rejected
+     * @param fallsAt number of queued calls at which the service goes down; 0 for never
+     * @param downS how long it is down then
      */
     public record Ledger(int slots, double workMs, int waits, int fallsAt, double downS) {}
 
     /**
-     * A kind of work.
+     * An operation that clients invoke.
      *
-     * @param share of all arrivals, among the other shares
-     * @param spread spread of the logarithm of its work
-     * @param repeats share of callers of a keyed one that gave up and come back
-     * @param backS longest time until they do
+     * @param share weight of the operation among all requests
+     * @param spread standard deviation of the logarithm of its work
+     * @param repeats share of the failed keyed requests that the client sends again with the same
+     *     token
+     * @param backS longest time until it does
      */
     public record Operation(
             String name,
@@ -110,46 +113,47 @@
             double backS) {}
 
     /**
-     * Arrivals.
+     * The arrival process of requests.
      *
-     * @param callers how many there are; each comes through one gateway
-     * @param skew part of all arrivals that the first tenth of callers makes, beyond its even part
+     * @param callers number of clients; each uses one gateway
+     * @param skew share of all requests that the first tenth of the clients sends on top of its
+     *     even share
      */
     public record Traffic(double perSecond, int callers, double skew) {}
 
     /**
-     * One that happens.
+     * A fault or a change of load.
      *
      * @param what its kind
-     * @param share part of the boxes (or of the gateways, for a cut) that it takes
-     * @param strength times slower, times the rate, or what its kind says
+     * @param share share of the servers that it affects; of the gateways for a retry storm
+     * @param strength factor of a slowdown or of the arrival rate, or share of failing runs
      */
     public record Incident(double atS, double forS, String what, double share, double strength) {}
 
-    /** What is to come out; what is not asked for is zero, or no bound. */
+    /** Expected results; a number is zero if it is not bounded. */
     public record Expect(double valueShare, double p99Ms, boolean rules) {}
 
-    /** The operation at this part of all shares, 0 to 1. */
-    public Operation at(double part) {
-        double left = part * operations.stream().mapToDouble(Operation::share).sum();
+    /** Selects an operation by its share, for a position from 0 to 1 in the sum of all shares. */
+    public Operation at(double position) {
+        double remaining = position * operations.stream().mapToDouble(Operation::share).sum();
         for (Operation each : operations) {
-            left -= each.share;
-            if (left < 0) {
+            remaining -= each.share;
+            if (remaining < 0) {
                 return each;
             }
         }
         return operations.get(operations.size() - 1);
     }
 
-    /** As many times the boxes, gateways, callers, arrivals and slots. */
-    public Scenario scaled(double times) {
+    /** Multiplies the numbers of servers, gateways, clients, requests and records service slots. */
+    public Scenario scaled(double factor) {
         Fleet f = fleet;
         Gateways g = gateways;
         return new Scenario(
                 name,
                 seconds,
                 new Fleet(
-                        (int) Math.round(f.boxes * times),
+                        (int) Math.round(f.boxes * factor),
                         f.cores,
                         f.memoryKb,
                         f.runFactor,
@@ -167,7 +171,7 @@
                         f.forceMs),
                 network,
                 new Gateways(
-                        Math.max(1, (int) Math.round(g.count * times)),
+                        Math.max(1, (int) Math.round(g.count * factor)),
                         g.choice,
                         g.tries,
                         g.tryMs,
@@ -176,21 +180,22 @@
                         g.listS,
                         g.healthMs),
                 new Ledger(
-                        Math.max(1, (int) Math.round(ledger.slots * times)),
+                        Math.max(1, (int) Math.round(ledger.slots * factor)),
                         ledger.workMs,
-                        (int) Math.round(ledger.waits * times),
-                        (int) Math.round(ledger.fallsAt * times),
+                        (int) Math.round(ledger.waits * factor),
+                        (int) Math.round(ledger.fallsAt * factor),
                         ledger.downS),
                 operations,
                 new Traffic(
-                        traffic.perSecond * times,
-                        Math.max(1, (int) Math.round(traffic.callers * times)),
+                        traffic.perSecond * factor,
+                        Math.max(1, (int) Math.round(traffic.callers * factor)),
                         traffic.skew),
                 incidents,
                 expect,
                 settings);
     }
 
+    /** Returns this scenario with other incidents. */
     public Scenario with(List<Incident> other) {
         return new Scenario(
                 name,
--- a/emulator/src/main/java/ochretiller/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/ScenarioReader.java
@@ -20,59 +20,67 @@
 import ochretiller.settings.MalformedException;
 
 /**
- * Reads scripts; each fault is told with its place, or in one line where the parts do not fit one
- * another.
+ * Reads scenarios from JSON5 scripts. An error of the schema is reported with its line and column,
+ * an inconsistency between sections in one line.
  */
 public final class ScenarioReader {
-    private static final Json5 FILE =
+    private static final Json5 SCRIPT_FORMAT =
             new Json5(ScenarioReader.class, "/ochretiller/emulator/script.schema.json");
 
-    private static final Set<String> MEMBERS =
+    private static final Set<String> SECTIONS =
             Set.of("fleet", "network", "gateways", "ledger", "traffic");
 
     private ScenarioReader() {}
 
+    /**
+     * Reads a scenario from a file.
+     *
+     * @throws MalformedException if the file cannot be read or is not a valid scenario
+     */
     public static Scenario read(Path file) {
-        return script(FILE.read(file, "the script"), Json5.name(file));
+        return toScenario(SCRIPT_FORMAT.read(file, "the script"), Json5.name(file));
     }
 
+    /** Parses a scenario; {@code name} stands for the file name in error messages. */
     public static Scenario of(String text, String name) {
-        return script(FILE.of(text, name), name);
+        return toScenario(SCRIPT_FORMAT.of(text, name), name);
     }
 
-    /** A script's members as they are written, for one that is to be written again with others. */
+    /** Returns the members of a script as written, to write a changed copy of it. */
     public static Map<String, Object> members(Path file) {
         return new ObjectMapper()
                 .convertValue(
-                        FILE.read(file, "the script"),
+                        SCRIPT_FORMAT.read(file, "the script"),
                         new TypeReference<LinkedHashMap<String, Object>>() {});
     }
 
     /**
-     * The script with other values, as {@code name=value,name=value}: of a member where the name
-     * begins with one of the script's ({@code gateways.choice=least}), else of the server's
-     * settings.
+     * Reads a scenario and overrides values, given as {@code name=value,name=value}. A name that
+     * begins with a section of the script ({@code gateways.choice=least}) sets a member of that
+     * section; any other name is a server setting.
      */
-    public static Scenario variant(Path file, String told) {
-        JsonNode root = FILE.read(file, "the script");
+    public static Scenario variant(Path file, String overrides) {
+        JsonNode root = SCRIPT_FORMAT.read(file, "the script");
         ObjectNode changed = new ObjectMapper().valueToTree(root);
-        for (String each : told.split(",")) {
+        for (String each : overrides.split(",")) {
             int at = each.indexOf('=');
             int dot = each.indexOf('.');
             if (at < 1 || dot < 1 || dot > at) {
-                throw new MalformedException("no change: '" + each + "'; part.name=value is one");
+                throw new MalformedException(
+                        "invalid override '" + each + "': expected section.name=value");
             }
-            boolean member = MEMBERS.contains(each.substring(0, dot));
-            JsonNode value = value(each.substring(at + 1));
-            changed.withObjectProperty(member ? each.substring(0, dot) : "settings")
-                    .set(member ? each.substring(dot + 1, at) : each.substring(0, at), value);
+            boolean isSection = SECTIONS.contains(each.substring(0, dot));
+            JsonNode value = toJsonValue(each.substring(at + 1));
+            changed.withObjectProperty(isSection ? each.substring(0, dot) : "settings")
+                    .set(isSection ? each.substring(dot + 1, at) : each.substring(0, at), value);
         }
-        String name = file.getFileName() + " with " + told;
-        return script(FILE.of(changed.toString(), name), file.getFileName().toString());
+        String name = file.getFileName() + " with " + overrides;
+        return toScenario(
+                SCRIPT_FORMAT.of(changed.toString(), name), file.getFileName().toString());
     }
 
-    /** As JSON would have it written: a number, a truth or a text. */
-    private static JsonNode value(String text) {
+    /** Converts a value to a JSON boolean, a number or, if it is neither, a string. */
+    private static JsonNode toJsonValue(String text) {
         if (text.equals("true") || text.equals("false")) {
             return BooleanNode.valueOf(Boolean.parseBoolean(text));
         }
@@ -85,7 +93,7 @@
         }
     }
 
-    private static Scenario script(JsonNode root, String file) {
+    private static Scenario toScenario(JsonNode root, String file) {
         JsonNode fleet = root.path("fleet");
         JsonNode net = root.path("network");
         JsonNode gateways = root.path("gateways");
@@ -93,7 +101,7 @@
         JsonNode traffic = root.path("traffic");
         JsonNode expect = root.path("expect");
         List<Scenario.Operation> operations = new ArrayList<>();
-        root.path("operations").forEach(each -> operations.add(operation(each)));
+        root.path("operations").forEach(each -> operations.add(toOperation(each)));
         List<Scenario.Incident> incidents = new ArrayList<>();
         root.path("incidents")
                 .forEach(
@@ -109,7 +117,7 @@
         root.path("settings")
                 .properties()
                 .forEach(each -> settings.put(each.getKey(), each.getValue().asText()));
-        Scenario script =
+        Scenario scenario =
                 new Scenario(
                         root.path("name").asText(file),
                         root.path("seconds").asDouble(),
@@ -159,11 +167,11 @@
                                 expect.path("p99_ms").asDouble(0),
                                 expect.path("rules").asBoolean(true)),
                         Map.copyOf(settings));
-        check(script);
-        return script;
+        checkConsistency(scenario);
+        return scenario;
     }
 
-    private static Scenario.Operation operation(JsonNode node) {
+    private static Scenario.Operation toOperation(JsonNode node) {
         String effect = node.path("effect").asText("idempotent");
         return new Scenario.Operation(
                 node.path("name").asText(),
@@ -182,41 +190,42 @@
                 node.path("back_s").asDouble(5));
     }
 
-    /** What no schema can say: whether the parts fit one another. */
-    private static void check(Scenario script) {
+    /** Checks the constraints between members that the schema cannot express. */
+    private static void checkConsistency(Scenario scenario) {
         Set<String> names = new HashSet<>();
-        for (Scenario.Operation each : script.operations()) {
+        for (Scenario.Operation each : scenario.operations()) {
             if (!names.add(each.name())) {
-                throw new MalformedException(script.name() + ": two operations " + each.name());
+                throw new MalformedException(
+                        scenario.name() + ": duplicate operation " + each.name());
             }
             if (each.objectiveMs() > each.timeoutMs()) {
                 throw new MalformedException(
-                        script.name()
-                                + ": the objective of "
+                        scenario.name()
+                                + ": objective_ms of "
                                 + each.name()
-                                + " is behind its timeout");
+                                + " must not exceed its timeout_ms");
             }
             if (each.effect().equals("tokened") == (each.windowMs() == 0)) {
                 throw new MalformedException(
-                        script.name()
+                        scenario.name()
                                 + ": "
                                 + each.name()
-                                + " needs a window if, and only if, it is tokened");
+                                + " must have a window_ms above 0 if and only if it is tokened");
             }
         }
-        for (Scenario.Incident each : script.incidents()) {
-            if (each.atS() >= script.seconds()) {
+        for (Scenario.Incident each : scenario.incidents()) {
+            if (each.atS() >= scenario.seconds()) {
                 throw new MalformedException(
-                        script.name()
+                        scenario.name()
                                 + ": "
                                 + each.what()
                                 + " at "
                                 + each.atS()
-                                + " s is behind the end");
+                                + " s is not before the end of the run");
             }
         }
-        if (script.fleet().graceS() >= script.fleet().stopS()) {
-            throw new MalformedException(script.name() + ": grace_s has to be under stop_s");
+        if (scenario.fleet().graceS() >= scenario.fleet().stopS()) {
+            throw new MalformedException(scenario.name() + ": grace_s must be less than stop_s");
         }
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/scenario/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Scripts of rehearsals: JSON5, checked against a schema and as a whole, and read into plain
- * values.
+ * Scenario scripts in JSON5: validated against a schema and for consistency, then read into
+ * immutable records.
  */
 package ochretiller.emulator.scenario;
--- a/emulator/src/test/java/ochretiller/emulator/ScenarioTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/ScenarioTest.java
@@ -151,14 +151,14 @@
     @Test
     void partsThatDoNotFitAreTold() {
         assertThatThrownBy(() -> small("{ at_s: 9, what: 'die' }"))
-                .hasMessageContaining("behind the end");
+                .hasMessageContaining("not before the end of the run");
         assertThatThrownBy(
                         () ->
                                 ScenarioReader.of(
                                         SMALL.formatted("")
                                                 .replace("name: 'order'", "name: 'read'"),
                                         "x"))
-                .hasMessageContaining("two operations");
+                .hasMessageContaining("duplicate operation");
     }
 
     @Test
@@ -195,7 +195,7 @@
         assertThatThrownBy(() -> ScenarioReader.variant(file, "gateways.choice=best"))
                 .hasMessageContaining("choice");
         assertThatThrownBy(() -> ScenarioReader.variant(file, "nothing"))
-                .hasMessageContaining("no change");
+                .hasMessageContaining("invalid override");
     }
 
     @Test
