--- a/emulator/src/main/java/ochretiller/emulator/simulation/ClientRequest.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/ClientRequest.java
@@ -4,9 +4,9 @@
 import ochretiller.emulator.scenario.Scenario;
 import ochretiller.model.Operation;
 
-/** What one caller wants, over all its tries. */
+/** A request of a client, with all its attempts. */
 final class ClientRequest {
-    /** How it ended for the caller. */
+    /** The result for the client. */
     enum End {
         SUCCEEDED,
         THROTTLED,
@@ -21,40 +21,43 @@
     final double work;
     final double askedAt;
     final double dueAt;
-    private final Consumer<End> then;
+    private final Consumer<End> onEnd;
+
+    /** Attempts made so far, including those for which no server was known. */
     int tries;
     int throttled;
     boolean over;
     EmulatedServer at;
 
-    /** Where the last try failed: the next goes elsewhere where there is a choice. */
+    /** Server of the failed last attempt, which the next one avoids if it can; may be null. */
     EmulatedServer not;
 
     RequestAttempt message;
 
     ClientRequest(
-            Scenario.Operation plan,
+            Scenario.Operation spec,
             Operation operation,
             String token,
             long caller,
-            double work,
-            double askedAt,
-            Consumer<End> then) {
-        this.plan = plan;
+            double workSeconds,
+            double sentAt,
+            Consumer<End> onEnd) {
+        this.plan = spec;
         this.operation = operation;
         this.token = token;
         this.caller = caller;
-        this.work = work;
-        this.askedAt = askedAt;
-        this.dueAt = askedAt + plan.timeoutMs() / 1e3;
-        this.then = then;
+        this.work = workSeconds;
+        this.askedAt = sentAt;
+        this.dueAt = sentAt + spec.timeoutMs() / 1e3;
+        this.onEnd = onEnd;
     }
 
-    void ends(End end) {
+    /** Ends the request; later calls have no effect. */
+    void ends(End outcome) {
         if (over) {
             return;
         }
         over = true;
-        then.accept(end);
+        onEnd.accept(outcome);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/CpuModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/CpuModel.java
@@ -5,157 +5,173 @@
 import ochretiller.emulator.core.EventQueue;
 
 /**
- * Cores that all work on them shares evenly. Past a crowd a part of the speed is lost, as caches
- * and locks take it; a cold box is slower and warms up; it may be slowed or stand still.
+ * Models cores under processor sharing: all jobs progress at the same speed. Many concurrent jobs
+ * reduce that speed, as cache misses and lock contention do; a cold server starts slower and warms
+ * up; a server may be slowed down or paused.
  */
 final class CpuModel {
-    /** How often the speed of a warming box is looked at, seconds. */
-    private static final double WARMS = 0.1;
+    /** Interval at which the speed is updated during warm-up, seconds. */
+    private static final double WARM_UP_STEP_S = 0.1;
 
     private final EventQueue events;
     private final int cores;
-    private final double crowd;
-    private final double loss;
-    private final double coldShare;
-    private final double coldS;
+
+    /** Jobs per core above which each job slows down. */
+    private final double overloadThreshold;
+
+    /** Slowdown that each further {@code overloadThreshold} jobs per core add. */
+    private final double overloadLoss;
+
+    private final double coldSpeed;
+    private final double warmUpSeconds;
     private final double startedAt;
     private final PriorityQueue<Job> jobs =
             new PriorityQueue<>(
-                    Comparator.comparingDouble((Job job) -> job.ends)
+                    Comparator.comparingDouble((Job job) -> job.endsAtServed)
                             .thenComparing(job -> job.number));
-    private long numbers;
+    private long lastJobNumber;
 
-    /** Work that each job has had since the start, seconds on a whole core. */
-    private double served;
+    /** Core time that a job present since the start would have received, seconds. */
+    private double servedSeconds;
 
-    private double servedAt;
+    private double updatedAt;
     private double speed;
-    private double slower = 1;
+    private double slowdown = 1;
     private boolean paused;
-    private EventQueue.Event next;
-    private double busy;
-    private double lookedAt;
-    private double lookedBusy;
+    private EventQueue.Event nextCompletion;
+    private double busySeconds;
+    private double sampledAt;
+    private double sampledBusySeconds;
 
     /** Work on the cores. */
     final class Job {
-        private final double ends;
-        private final long number = ++numbers;
-        private final Runnable then;
-
-        private Job(double ends, Runnable then) {
-            this.ends = ends;
-            this.then = then;
+        /** Value of {@code servedSeconds} at which the job is complete. */
+        private final double endsAtServed;
+        private final long number = ++lastJobNumber;
+        private final Runnable onCompletion;
+
+        private Job(double endsAtServed, Runnable onCompletion) {
+            this.endsAtServed = endsAtServed;
+            this.onCompletion = onCompletion;
         }
     }
 
     CpuModel(
             EventQueue events,
             int cores,
-            double crowd,
-            double loss,
-            double coldShare,
-            double coldS,
+            double overloadThreshold,
+            double overloadLoss,
+            double coldSpeed,
+            double warmUpSeconds,
             boolean cold) {
         this.events = events;
         this.cores = cores;
-        this.crowd = crowd;
-        this.loss = loss;
-        this.coldShare = coldShare;
-        this.coldS = cold ? coldS : 0;
-        this.startedAt = servedAt = lookedAt = events.seconds();
-        if (this.coldS > 0) {
-            warm();
+        this.overloadThreshold = overloadThreshold;
+        this.overloadLoss = overloadLoss;
+        this.coldSpeed = coldSpeed;
+        this.warmUpSeconds = cold ? warmUpSeconds : 0;
+        this.startedAt = updatedAt = sampledAt = events.seconds();
+        if (this.warmUpSeconds > 0) {
+            warmUp();
         }
     }
 
-    private void warm() {
-        change(() -> {});
-        if (events.seconds() < startedAt + coldS) {
-            events.after(WARMS, this::warm);
+    private void warmUp() {
+        applyChange(() -> {});
+        if (events.seconds() < startedAt + warmUpSeconds) {
+            events.after(WARM_UP_STEP_S, this::warmUp);
         }
     }
 
-    /** Adds work of so many seconds. */
-    Job add(double seconds, Runnable then) {
-        Job[] made = new Job[1];
-        change(() -> jobs.add(made[0] = new Job(served + seconds, then)));
-        return made[0];
+    /** Adds a job that takes {@code seconds} of core time. */
+    Job add(double seconds, Runnable onCompletion) {
+        Job[] job = new Job[1];
+        applyChange(() -> jobs.add(job[0] = new Job(servedSeconds + seconds, onCompletion)));
+        return job[0];
     }
 
     void remove(Job job) {
-        change(() -> jobs.remove(job));
+        applyChange(() -> jobs.remove(job));
     }
 
-    void slow(double times) {
-        change(() -> slower = times);
+    void slow(double factor) {
+        applyChange(() -> slowdown = factor);
     }
 
-    void pause(boolean stands) {
-        change(() -> paused = stands);
+    void pause(boolean isPaused) {
+        applyChange(() -> paused = isPaused);
     }
 
     void clear() {
-        change(jobs::clear);
+        applyChange(jobs::clear);
     }
 
     int running() {
         return jobs.size();
     }
 
-    /** Speed of one job, in whole cores. */
+    /** Returns the core time per second that each job receives. */
     private double speed() {
-        int n = jobs.size();
-        if (n == 0 || paused) {
+        int jobCount = jobs.size();
+        if (jobCount == 0 || paused) {
             return 0;
         }
-        double lost = Math.max(0, (double) n / cores / crowd - 1) * loss;
-        double warmth = coldS == 0 ? 1 : Math.min(1, (events.seconds() - startedAt) / coldS);
-        return Math.min(1, (double) cores / n)
-                / (1 + lost)
-                * (coldShare + (1 - coldShare) * warmth)
-                / slower;
+        double overloadSlowdown =
+                Math.max(0, (double) jobCount / cores / overloadThreshold - 1) * overloadLoss;
+        double warmUpProgress =
+                warmUpSeconds == 0
+                        ? 1
+                        : Math.min(1, (events.seconds() - startedAt) / warmUpSeconds);
+        return Math.min(1, (double) cores / jobCount)
+                / (1 + overloadSlowdown)
+                * (coldSpeed + (1 - coldSpeed) * warmUpProgress)
+                / slowdown;
     }
 
     private void advance() {
         double now = events.seconds();
-        served += (now - servedAt) * speed;
-        busy += (now - servedAt) * (paused ? 1 : Math.min(1, (double) jobs.size() / cores));
-        servedAt = now;
+        servedSeconds += (now - updatedAt) * speed;
+        busySeconds += (now - updatedAt) * (paused ? 1 : Math.min(1, (double) jobs.size() / cores));
+        updatedAt = now;
     }
 
-    private void change(Runnable what) {
+    private void applyChange(Runnable update) {
         advance();
-        what.run();
+        update.run();
         speed = speed();
-        if (next != null) {
-            next.cancel();
+        if (nextCompletion != null) {
+            nextCompletion.cancel();
         }
-        next =
+        nextCompletion =
                 jobs.isEmpty() || speed == 0
                         ? null
                         : events.after(
-                                Math.max(0, (jobs.peek().ends - served) / speed) + 1e-9, this::end);
+                                Math.max(0, (jobs.peek().endsAtServed - servedSeconds) / speed)
+                                        + 1e-9,
+                                this::completeFirstJob);
     }
 
-    private void end() {
-        next = null;
+    private void completeFirstJob() {
+        nextCompletion = null;
         advance();
-        // A little room for what rounding leaves.
-        Job over = !jobs.isEmpty() && jobs.peek().ends <= served + 1e-9 ? jobs.poll() : null;
-        change(() -> {});
-        if (over != null) {
-            over.then.run();
+        // The tolerance covers rounding errors.
+        Job completed =
+                !jobs.isEmpty() && jobs.peek().endsAtServed <= servedSeconds + 1e-9
+                        ? jobs.poll()
+                        : null;
+        applyChange(() -> {});
+        if (completed != null) {
+            completed.onCompletion.run();
         }
     }
 
-    /** Share of the cores that was busy since the last look. */
+    /** Returns the mean share of busy cores since the previous call; when paused, all are busy. */
     double use() {
         advance();
-        double span = events.seconds() - lookedAt;
-        double use = span <= 0 ? 0 : (busy - lookedBusy) / span;
-        lookedAt = events.seconds();
-        lookedBusy = busy;
-        return use;
+        double elapsed = events.seconds() - sampledAt;
+        double utilization = elapsed <= 0 ? 0 : (busySeconds - sampledBusySeconds) / elapsed;
+        sampledAt = events.seconds();
+        sampledBusySeconds = busySeconds;
+        return utilization;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/DurableStorageModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/DurableStorageModel.java
@@ -8,57 +8,57 @@
 import ochretiller.idempotency.durable.IdempotencyRecord;
 
 /**
- * What outlives a box where results are remembered: marks and results by token, durable once
- * forced.
+ * Models the disk of a server whose in-flight markers and results survive a restart. A write is
+ * durable after the sync time.
  */
 final class DurableStorageModel {
     private final EventQueue events;
-    private final double forceS;
+    private final double syncSeconds;
 
-    /** What is durable, by token; times of marks are milliseconds since the start of all. */
+    /** Durable records by token; their times are milliseconds since the start of the simulation. */
     final Map<String, IdempotencyRecord> kept = new HashMap<>();
 
-    private final List<Runnable> stalled = new ArrayList<>();
-    private boolean stalls;
+    private final List<Runnable> stalledWrites = new ArrayList<>();
+    private boolean stalled;
 
-    /** Writes of a box that has died do not become durable. */
+    /** Incremented when the server crashes: writes of an earlier epoch are lost. */
     private long epoch;
 
-    DurableStorageModel(EventQueue events, double forceS) {
+    DurableStorageModel(EventQueue events, double syncSeconds) {
         this.events = events;
-        this.forceS = forceS;
+        this.syncSeconds = syncSeconds;
     }
 
-    /** Once the write is durable. */
-    void write(Runnable durable) {
-        long mine = epoch;
+    /** Calls {@code onDurable} once a write that starts now is durable. */
+    void write(Runnable onDurable) {
+        long writeEpoch = epoch;
         events.after(
-                forceS,
+                syncSeconds,
                 () -> {
-                    if (mine != epoch) {
+                    if (writeEpoch != epoch) {
                         return;
                     }
-                    if (stalls) {
-                        stalled.add(durable);
+                    if (stalled) {
+                        stalledWrites.add(onDurable);
                     } else {
-                        durable.run();
+                        onDurable.run();
                     }
                 });
     }
 
-    void stall(boolean now) {
-        stalls = now;
-        if (now) {
+    void stall(boolean isStalled) {
+        stalled = isStalled;
+        if (isStalled) {
             return;
         }
-        List<Runnable> waiting = new ArrayList<>(stalled);
-        stalled.clear();
-        waiting.forEach(Runnable::run);
+        List<Runnable> writes = new ArrayList<>(stalledWrites);
+        stalledWrites.clear();
+        writes.forEach(Runnable::run);
     }
 
-    /** The box has died: what was not forced is forgotten. */
+    /** Discards the writes that are not durable yet, because the server has crashed. */
     void died() {
         epoch++;
-        stalled.clear();
+        stalledWrites.clear();
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
@@ -36,14 +36,14 @@
 import ochretiller.settings.Settings;
 
 /**
- * One box from its start to its end: the server's decisions and its table of results, on modelled
- * cores.
+ * One incarnation of an emulated server: the real admission decisions and idempotency cache, with
+ * modelled cores and storage.
  */
 final class EmulatedServer implements ServerActions {
     private static final byte[] RESULT = new byte[64];
 
-    /** As an operators' file has it by default. */
-    private static final DurabilityTimeouts PATIENCE =
+    /** The defaults of the operator configuration. */
+    private static final DurabilityTimeouts DURABILITY_TIMEOUTS =
             new DurabilityTimeouts(
                     Duration.ofSeconds(1),
                     Duration.ofSeconds(1),
@@ -51,18 +51,18 @@
                     Duration.ofMillis(200),
                     Duration.ofSeconds(5));
 
-    private static final byte[] HASH = IdempotencyCache.bodyDigest(new byte[0]);
+    private static final byte[] EMPTY_BODY_DIGEST = IdempotencyCache.bodyDigest(new byte[0]);
 
-    /** Part of a run's work that a replay takes. */
-    private static final double REPLAY_PART = 0.05;
+    /** Core time of a replay as a share of the core time of its run. */
+    private static final double REPLAY_WORK_SHARE = 0.05;
 
-    /** What is known to be a fast error takes so long, seconds. */
-    private static final double FAST_S = 0.001;
+    /** Core time of a run that fails in a {@code fail} incident, seconds. */
+    private static final double FAST_FAILURE_S = 0.001;
 
-    /** Part of the memory that kept results may take. */
-    private static final int KEYS_PART = 8;
+    /** The cache of results may take the server's memory divided by this. */
+    private static final int CACHE_MEMORY_DIVISOR = 8;
 
-    /** How it stands. */
+    /** Lifecycle state; a server that is shutting down first answers its open attempts. */
     enum State {
         UP,
         LEAVING,
@@ -71,157 +71,170 @@
 
     final String name;
 
-    /** Its place in the fleet, which its successors take over. */
+    /** Position in the fleet, which a replacement takes over. */
     final int place;
 
-    private final Simulation world;
+    private final Simulation simulation;
     private final EventQueue events;
-    private final Scenario.Fleet plan;
+    private final Scenario.Fleet fleet;
     private final RuleChecker rules;
-    private final DurableStorageModel disk;
-    private final DurabilityPolicy memory;
-    private long appends;
-    private final double startedAt;
+
+    /** Null if nothing survives a restart. */
+    private final DurableStorageModel storage;
+
+    private final DurabilityPolicy durability;
+    private long lastAppendNumber;
+    private final double serverStartS;
     private final AdmissionController admission;
-    private final IdempotencyCache keys;
-    private final CpuModel cores;
-    private final Map<InvocationId, RequestAttempt> tries = new HashMap<>();
-    private final Map<InvocationId, InvocationId> forerunners = new HashMap<>();
-    private final Set<InvocationId> halted = new HashSet<>();
-    private final ArrayDeque<RequestAttempt> unread = new ArrayDeque<>();
-    private final SplittableRandom chance;
-    private final List<Runnable> standing = new ArrayList<>();
+    private final IdempotencyCache cache;
+    private final CpuModel cpu;
+    private final Map<InvocationId, RequestAttempt> attempts = new HashMap<>();
+
+    /** Original attempts of the retries in {@code attempts}. */
+    private final Map<InvocationId, InvocationId> originals = new HashMap<>();
+
+    private final Set<InvocationId> stopRequests = new HashSet<>();
+    private final ArrayDeque<RequestAttempt> inbox = new ArrayDeque<>();
+    private final SplittableRandom random;
+
+    /** Actions that came due during a pause, in order. */
+    private final List<Runnable> deferred = new ArrayList<>();
+
     private boolean reading;
     private boolean paused;
-    private double stoodFrom = -1;
-    private double stoodTo = -1;
-    private double failing;
-    private double slower = 1;
-    private Duration grace = Duration.ofDays(10_000);
+    private double pausedFrom = -1;
+    private double pausedTo = -1;
+    private double failureShare;
+    private double slowdown = 1;
+    private Duration graceEnd = Duration.ofDays(10_000);
     private double memoryKb;
     State state = State.UP;
     boolean healthy = true;
 
     EmulatedServer(
-            Simulation world,
-            int place,
-            int life,
+            Simulation simulation,
+            int index,
+            int incarnation,
             SettingLookup settings,
             boolean cold,
-            DurableStorageModel disk) {
-        this.world = world;
-        this.place = place;
-        this.name = "box " + place + (life == 0 ? "" : "." + life);
-        this.events = world.events;
-        this.plan = world.script.fleet();
-        this.rules = world.rules;
-        this.disk = disk;
-        this.startedAt = events.seconds();
-        this.chance = world.seeds.of(name);
-        this.admission = Settings.admissionController(settings, chance.split(), cold);
-        this.keys =
-                new IdempotencyCache((long) (plan.memoryKb() * 1024 / KEYS_PART), Duration.ZERO);
-        this.memory = new DurabilityPolicy(PATIENCE, chance.split());
-        this.cores =
+            DurableStorageModel storage) {
+        this.simulation = simulation;
+        this.place = index;
+        this.name = "box " + index + (incarnation == 0 ? "" : "." + incarnation);
+        this.events = simulation.events;
+        this.fleet = simulation.script.fleet();
+        this.rules = simulation.rules;
+        this.storage = storage;
+        this.serverStartS = events.seconds();
+        this.random = simulation.seeds.of(name);
+        this.admission = Settings.admissionController(settings, random.split(), cold);
+        this.cache =
+                new IdempotencyCache(
+                        (long) (fleet.memoryKb() * 1024 / CACHE_MEMORY_DIVISOR), Duration.ZERO);
+        this.durability = new DurabilityPolicy(DURABILITY_TIMEOUTS, random.split());
+        this.cpu =
                 new CpuModel(
                         events,
-                        plan.cores(),
-                        plan.crowd(),
-                        plan.loss(),
-                        plan.coldShare(),
-                        plan.coldS(),
+                        fleet.cores(),
+                        fleet.crowd(),
+                        fleet.loss(),
+                        fleet.coldShare(),
+                        fleet.coldS(),
                         cold);
         admission.onStarted().execute(this);
-        if (disk != null) {
+        if (storage != null) {
             restore();
         }
     }
 
     private void restore() {
         long id = 0;
-        disk.kept.values().removeIf(mark -> mark.windowEndsAtMillis() <= millis());
-        for (IdempotencyRecord mark : disk.kept.values()) {
-            Operation operation = world.operations.get(mark.operation());
-            InvocationId kept = new InvocationId(--id);
-            Duration until = now().plusMillis(mark.windowEndsAtMillis() - millis());
-            // What runs on a box's cores has ended with it: nobody tells of it any more.
-            boolean succeeded = RecoveryDecision.of(mark, millis() + 1) == RecoveryDecision.REPLAY;
-            keys.restore(
-                    new RestoredAttempt(kept, operation, mark.token(), mark.bodyDigest(), true),
-                    until);
-            restored.put(kept, succeeded);
+        storage.kept.values().removeIf(record -> record.windowEndsAtMillis() <= nowMillis());
+        for (IdempotencyRecord record : storage.kept.values()) {
+            Operation operation = simulation.operations.get(record.operation());
+            InvocationId restoredId = new InvocationId(--id);
+            Duration expiresAt = now().plusMillis(record.windowEndsAtMillis() - nowMillis());
+            // The runs ended with the previous incarnation, so a marker in flight has no outcome.
+            boolean succeeded =
+                    RecoveryDecision.of(record, nowMillis() + 1) == RecoveryDecision.REPLAY;
+            cache.restore(
+                    new RestoredAttempt(
+                            restoredId, operation, record.token(), record.bodyDigest(), true),
+                    expiresAt);
+            restoredResults.put(restoredId, succeeded);
             admission
                     .onEntryRestored(
-                            kept,
-                            until,
+                            restoredId,
+                            expiresAt,
                             succeeded ? RunOutcome.Status.SUCCEEDED : RunOutcome.Status.FAILED)
                     .execute(this);
         }
     }
 
-    /** Those of a former life, and whether their results are at hand. */
-    private final Map<InvocationId, Boolean> restored = new HashMap<>();
+    /** Invocations restored from storage, with true for those that have a result to replay. */
+    private final Map<InvocationId, Boolean> restoredResults = new HashMap<>();
 
-    /** The disk's time. */
-    private long millis() {
+    /** Returns the time since the start of the simulation, as stored records use it. */
+    private long nowMillis() {
         return events.now().toMillis();
     }
 
-    private static Duration span(double seconds) {
+    private static Duration toDuration(double seconds) {
         return Duration.ofNanos((long) (seconds * 1e9));
     }
 
     @Override
     public Duration now() {
-        return events.now().minus(span(startedAt));
+        return events.now().minus(toDuration(serverStartS));
     }
 
     int held() {
-        return tries.size();
+        return attempts.size();
     }
 
     int running() {
-        return cores.running();
+        return cpu.running();
     }
 
-    // What comes from outside.
+    // Events from outside the server.
 
-    /** A message has reached the machine. */
-    void receive(RequestAttempt message) {
+    /** Accepts an attempt that has arrived at the server; a stopped server resets it. */
+    void receive(RequestAttempt attempt) {
         if (state == State.DEAD) {
-            message.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
+            attempt.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
             return;
         }
-        message.arrived = now();
-        unread.add(message);
+        attempt.arrived = now();
+        inbox.add(attempt);
         if (!reading) {
-            read();
+            readNext();
         }
     }
 
-    /** Messages are read one after another, on a core that the runs share. */
-    private void read() {
-        if (unread.isEmpty() || state == State.DEAD) {
+    /** Reads attempts one after another, on a core that is shared with the runs. */
+    private void readNext() {
+        if (inbox.isEmpty() || state == State.DEAD) {
             return;
         }
         reading = true;
-        double crowded = Math.max(1, (double) (cores.running() + 1) / plan.cores());
-        later(
-                plan.readMs() / 1e3 * slower * Math.min(crowded, 4),
+        double contention = Math.max(1, (double) (cpu.running() + 1) / fleet.cores());
+        runAfter(
+                fleet.readMs() / 1e3 * slowdown * Math.min(contention, 4),
                 () -> {
                     reading = false;
-                    RequestAttempt message = unread.poll();
-                    if (message != null && !message.gone) {
-                        arrived(message);
+                    RequestAttempt attempt = inbox.poll();
+                    if (attempt != null && !attempt.gone) {
+                        handleArrival(attempt);
                     }
-                    read();
+                    readNext();
                 });
     }
 
     /**
-     * Behind a span and, where the box stands still then, once it goes on; never after its death.
+     * Runs an action after a delay or, if the server is paused then, at the end of the pause. The
+     * action is dropped if the server has stopped.
      */
-    private void later(double seconds, Runnable work) {
+    private void runAfter(double seconds, Runnable action) {
         events.after(
                 seconds,
                 () -> {
@@ -229,67 +242,67 @@
                         return;
                     }
                     if (paused) {
-                        standing.add(work);
+                        deferred.add(action);
                     } else {
-                        work.run();
+                        action.run();
                     }
                 });
     }
 
-    private static Attempt attempt(RequestAttempt message) {
+    private static Attempt toAttempt(RequestAttempt attempt) {
         return new Attempt(
-                message.id,
-                message.operation,
-                Optional.ofNullable(message.token),
+                attempt.id,
+                attempt.operation,
+                Optional.ofNullable(attempt.token),
                 Optional.empty(),
-                message.arrived,
+                attempt.arrived,
                 IdempotencyCache.NO_CLIENT_TIMESTAMP);
     }
 
-    private void arrived(RequestAttempt message) {
+    private void handleArrival(RequestAttempt attempt) {
         rules.read(
                 events.seconds(),
-                message.id.value(),
-                message.operation.name(),
-                startedAt
-                        + message.arrived.toNanos() / 1e9
-                        + message.operation.clientTimeout().toNanos() / 1e9,
-                !message.operation.isIdempotent());
-        InvocationId forerunner = keys.findOriginalOrTrack(attempt(message), now()).orElse(null);
-        tries.put(message.id, message);
-        if (forerunner != null) {
-            forerunners.put(message.id, forerunner);
+                attempt.id.value(),
+                attempt.operation.name(),
+                serverStartS
+                        + attempt.arrived.toNanos() / 1e9
+                        + attempt.operation.clientTimeout().toNanos() / 1e9,
+                !attempt.operation.isIdempotent());
+        InvocationId originalId = cache.findOriginalOrTrack(toAttempt(attempt), now()).orElse(null);
+        attempts.put(attempt.id, attempt);
+        if (originalId != null) {
+            originals.put(attempt.id, originalId);
         }
         admission
                 .onInvocationReceived(
                         new Invocation(
-                                message.id,
-                                forerunner,
-                                message.operation,
-                                message.kb,
-                                message.arrived,
-                                message.arrived.plus(message.operation.clientTimeout()),
+                                attempt.id,
+                                originalId,
+                                attempt.operation,
+                                attempt.kb,
+                                attempt.arrived,
+                                attempt.arrived.plus(attempt.operation.clientTimeout()),
                                 null,
-                                new ClientId(message.caller),
+                                new ClientId(attempt.caller),
                                 null,
-                                message.resent))
+                                attempt.resent))
                 .execute(this);
     }
 
-    /** Its caller waits no more. */
-    void gone(RequestAttempt message) {
-        message.gone = true;
-        rules.gone(message.id.value());
-        if (state == State.DEAD || !tries.containsKey(message.id)) {
+    /** Handles that the gateway no longer waits for an attempt. */
+    void gone(RequestAttempt attempt) {
+        attempt.gone = true;
+        rules.gone(attempt.id.value());
+        if (state == State.DEAD || !attempts.containsKey(attempt.id)) {
             return;
         }
-        boolean open = !message.answered;
-        message.answered = true;
-        if (open) {
-            rules.died(message.id.value());
+        boolean wasOpen = !attempt.answered;
+        attempt.answered = true;
+        if (wasOpen) {
+            rules.died(attempt.id.value());
         }
-        admission.onClientGone(message.id).execute(this);
-        settle(message);
+        admission.onClientGone(attempt.id).execute(this);
+        removeIfDone(attempt);
     }
 
     void die() {
@@ -297,50 +310,50 @@
             return;
         }
         state = State.DEAD;
-        cores.clear();
-        if (disk != null) {
-            disk.died();
-        }
-        List<RequestAttempt> open = new ArrayList<>(unread);
-        for (RequestAttempt message : tries.values()) {
-            if (!message.answered) {
-                open.add(message);
+        cpu.clear();
+        if (storage != null) {
+            storage.died();
+        }
+        List<RequestAttempt> unanswered = new ArrayList<>(inbox);
+        for (RequestAttempt attempt : attempts.values()) {
+            if (!attempt.answered) {
+                unanswered.add(attempt);
             }
         }
-        for (RequestAttempt message : open) {
-            rules.died(message.id.value());
-            message.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
+        for (RequestAttempt attempt : unanswered) {
+            rules.died(attempt.id.value());
+            attempt.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
         }
-        unread.clear();
-        tries.clear();
+        inbox.clear();
+        attempts.clear();
     }
 
-    void pause(boolean stands) {
-        if (state == State.DEAD || paused == stands) {
+    void pause(boolean shouldPause) {
+        if (state == State.DEAD || paused == shouldPause) {
             return;
         }
-        paused = stands;
-        cores.pause(stands);
-        if (stands) {
-            stoodFrom = events.seconds();
+        paused = shouldPause;
+        cpu.pause(shouldPause);
+        if (shouldPause) {
+            pausedFrom = events.seconds();
         } else {
-            stoodTo = events.seconds();
+            pausedTo = events.seconds();
         }
-        if (stands) {
+        if (shouldPause) {
             return;
         }
-        List<Runnable> waited = new ArrayList<>(standing);
-        standing.clear();
-        waited.forEach(Runnable::run);
+        List<Runnable> actions = new ArrayList<>(deferred);
+        deferred.clear();
+        actions.forEach(Runnable::run);
     }
 
-    void slow(double times) {
-        slower = times;
-        cores.slow(times);
+    void slow(double factor) {
+        slowdown = factor;
+        cpu.slow(factor);
     }
 
     void fail(double share) {
-        failing = share;
+        failureShare = share;
     }
 
     void leave() {
@@ -348,399 +361,430 @@
             return;
         }
         state = State.LEAVING;
-        grace = now().plus(span(plan.graceS()));
-        admission.onShutdownNotice(now().plus(span(plan.stopS()))).execute(this);
+        graceEnd = now().plus(toDuration(fleet.graceS()));
+        admission.onShutdownNotice(now().plus(toDuration(fleet.stopS()))).execute(this);
         events.after(
-                plan.stopS(),
+                fleet.stopS(),
                 () -> {
                     if (state != State.LEAVING) {
                         return;
                     }
-                    List<RequestAttempt> late =
-                            tries.values().stream().filter(message -> !message.answered).toList();
-                    for (RequestAttempt message : late) {
-                        rules.unanswered(events.seconds(), message.id.value(), name);
+                    List<RequestAttempt> unanswered =
+                            attempts.values().stream()
+                                    .filter(attempt -> !attempt.answered)
+                                    .toList();
+                    for (RequestAttempt attempt : unanswered) {
+                        rules.unanswered(events.seconds(), attempt.id.value(), name);
                     }
                     die();
                 });
     }
 
-    // What the decisions say.
+    // Actions of the admission decisions.
 
-    private void settle(RequestAttempt message) {
-        if (!message.answered || message.running) {
+    private void removeIfDone(RequestAttempt attempt) {
+        if (!attempt.answered || attempt.running) {
             return;
         }
-        if (tries.remove(message.id) == null) {
+        if (attempts.remove(attempt.id) == null) {
             return;
         }
-        forerunners.remove(message.id);
-        keys.complete(message.id, Optional.empty(), now());
+        originals.remove(attempt.id);
+        cache.complete(attempt.id, Optional.empty(), now());
     }
 
-    private void answer(
-            RequestAttempt message, RequestAttempt.Answer answer, Duration backoff, boolean last) {
-        if (message.answered) {
+    private void sendAnswer(
+            RequestAttempt attempt, RequestAttempt.Answer answer, Duration backoff, boolean last) {
+        if (attempt.answered) {
             return;
         }
-        message.answered = true;
+        attempt.answered = true;
         rules.answered(
                 events.seconds(),
-                message.id.value(),
+                attempt.id.value(),
                 answer == RequestAttempt.Answer.THROTTLED,
-                stoodFrom,
-                stoodTo);
-        message.heard.answer(answer, backoff, last);
+                pausedFrom,
+                pausedTo);
+        attempt.heard.answer(answer, backoff, last);
     }
 
     @Override
-    public void startRun(InvocationId id, Function<RunOutcome, Action> then) {
-        RequestAttempt message = tries.get(id);
-        message.running = true;
-        if (disk == null || !message.operation.isKeyed()) {
-            begin(message, then);
+    public void startRun(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        RequestAttempt attempt = attempts.get(id);
+        attempt.running = true;
+        if (storage == null || !attempt.operation.isKeyed()) {
+            beginRun(attempt, onOutcome);
             return;
         }
-        Duration due = message.arrived.plus(message.operation.clientTimeout());
-        long until =
-                millis()
+        Duration deadline = attempt.arrived.plus(attempt.operation.clientTimeout());
+        long windowEndMillis =
+                nowMillis()
                         + Math.max(
                                 0,
-                                message.arrived
-                                        .plus(message.operation.deduplicationWindow())
+                                attempt.arrived
+                                        .plus(attempt.operation.deduplicationWindow())
                                         .minus(now())
                                         .toMillis())
                         + 1;
-        IdempotencyRecord mark =
+        IdempotencyRecord record =
                 new IdempotencyRecord(
                         InvocationProgress.IN_FLIGHT,
-                        message.token,
-                        message.operation.name(),
+                        attempt.token,
+                        attempt.operation.name(),
                         "" + id.value(),
-                        HASH,
-                        millis(),
-                        until);
-        boolean[] over = {false};
-        write(
+                        EMPTY_BODY_DIGEST,
+                        nowMillis(),
+                        windowEndMillis);
+        boolean[] done = {false};
+        writeDurably(
                 () -> {
-                    disk.kept.put(message.token, mark);
+                    storage.kept.put(attempt.token, record);
                     if (state == State.DEAD) {
                         return;
                     }
-                    if (over[0]) {
-                        // It was throttled meanwhile and never ran: its mark must not stop a repeat
-                        // after a restart.
-                        write(() -> disk.kept.remove(message.token, mark));
+                    if (done[0]) {
+                        // The attempt was throttled in the meantime and never ran, so its marker
+                        // must not block a retry after a restart.
+                        writeDurably(() -> storage.kept.remove(attempt.token, record));
                         return;
                     }
-                    over[0] = true;
-                    begin(message, then);
+                    done[0] = true;
+                    beginRun(attempt, onOutcome);
                 });
-        later(
-                memory.markerTimeout(due, now()).toNanos() / 1e9,
+        runAfter(
+                durability.markerTimeout(deadline, now()).toNanos() / 1e9,
                 () -> {
-                    if (over[0]) {
+                    if (done[0]) {
                         return;
                     }
-                    over[0] = true;
-                    message.running = false;
-                    then.apply(new RunOutcome(RunOutcome.Status.NOT_DISPATCHED, Duration.ZERO))
+                    done[0] = true;
+                    attempt.running = false;
+                    onOutcome
+                            .apply(
+                                    new RunOutcome(
+                                            RunOutcome.Status.NOT_DISPATCHED, Duration.ZERO))
                             .execute(this);
-                    settle(message);
+                    removeIfDone(attempt);
                 });
     }
 
-    /** A write that the decisions on memory hear of. */
-    private void write(Runnable durable) {
-        long number = ++appends;
-        memory.appendStarted(number, now());
-        disk.write(
+    /** Writes to the disk and reports the append to the durability policy. */
+    private void writeDurably(Runnable onDurable) {
+        long appendNumber = ++lastAppendNumber;
+        durability.appendStarted(appendNumber, now());
+        storage.write(
                 () -> {
-                    memory.appendCompleted(number);
-                    durable.run();
+                    durability.appendCompleted(appendNumber);
+                    onDurable.run();
                 });
     }
 
-    private void begin(RequestAttempt message, Function<RunOutcome, Action> then) {
-        double at = events.seconds();
+    private void beginRun(RequestAttempt attempt, Function<RunOutcome, Action> onOutcome) {
+        double runStartS = events.seconds();
         rules.runs(
-                at,
-                message.id.value(),
-                disk == null ? name : "place " + place,
-                message.operation.isKeyed() ? message.token : null,
-                startedAt
-                        + message.arrived.plus(message.operation.deduplicationWindow()).toNanos()
+                runStartS,
+                attempt.id.value(),
+                storage == null ? name : "place " + place,
+                attempt.operation.isKeyed() ? attempt.token : null,
+                serverStartS
+                        + attempt.arrived.plus(attempt.operation.deduplicationWindow()).toNanos()
                                 / 1e9,
-                startedAt + grace.toNanos() / 1e9,
-                startedAt + message.arrived.toNanos() / 1e9);
-        memoryKb += message.kb * plan.runFactor();
-        boolean fails = failing > 0 && chance.nextDouble() < failing;
-        boolean calls = message.operation.makesCalls() && !fails;
-        message.job =
-                cores.add(
-                        fails ? FAST_S : calls ? message.work / 2 : message.work,
+                serverStartS + graceEnd.toNanos() / 1e9,
+                serverStartS + attempt.arrived.toNanos() / 1e9);
+        memoryKb += attempt.kb * fleet.runFactor();
+        boolean willFail = failureShare > 0 && random.nextDouble() < failureShare;
+        boolean makesCall = attempt.operation.makesCalls() && !willFail;
+        attempt.job =
+                cpu.add(
+                        willFail ? FAST_FAILURE_S : makesCall ? attempt.work / 2 : attempt.work,
                         () -> {
-                            message.job = null;
-                            if (!calls) {
-                                ended(
-                                        message,
-                                        then,
-                                        at,
-                                        fails
+                            attempt.job = null;
+                            if (!makesCall) {
+                                handleRunEnd(
+                                        attempt,
+                                        onOutcome,
+                                        runStartS,
+                                        willFail
                                                 ? RunOutcome.Status.FAILED
                                                 : RunOutcome.Status.SUCCEEDED);
                                 return;
                             }
-                            waiting.put(
-                                    message.id,
-                                    () -> ended(message, then, at, RunOutcome.Status.SUCCEEDED));
-                            stopping.put(
-                                    message.id,
-                                    () -> ended(message, then, at, RunOutcome.Status.STOPPED));
-                            admission.onCallRequested(message.id).execute(this);
-                            if (message.answered && !message.called) {
-                                stopped(message.id); // nobody wants its call any more
+                            callContinuations.put(
+                                    attempt.id,
+                                    () ->
+                                            handleRunEnd(
+                                                    attempt,
+                                                    onOutcome,
+                                                    runStartS,
+                                                    RunOutcome.Status.SUCCEEDED));
+                            stopActions.put(
+                                    attempt.id,
+                                    () ->
+                                            handleRunEnd(
+                                                    attempt,
+                                                    onOutcome,
+                                                    runStartS,
+                                                    RunOutcome.Status.STOPPED));
+                            admission.onCallRequested(attempt.id).execute(this);
+                            // The client was answered and no call was started, so nobody needs
+                            // the rest of the run.
+                            if (attempt.answered && !attempt.called) {
+                                stopNow(attempt.id);
                             }
                         });
-        stopping.put(message.id, () -> ended(message, then, at, RunOutcome.Status.STOPPED));
-        // A crowd on the cores takes the whole box down.
-        if (cores.running() > plan.fallsAt() * plan.cores()) {
-            world.dies(this);
+        stopActions.put(
+                attempt.id,
+                () -> handleRunEnd(attempt, onOutcome, runStartS, RunOutcome.Status.STOPPED));
+        // Too many concurrent runs crash the server.
+        if (cpu.running() > fleet.fallsAt() * fleet.cores()) {
+            simulation.dies(this);
         }
     }
 
-    /** What goes on once the call of a run is over, and what ends it early. */
-    private final Map<InvocationId, Runnable> waiting = new HashMap<>();
+    /** What each run does once its call has ended. */
+    private final Map<InvocationId, Runnable> callContinuations = new HashMap<>();
 
-    private final Map<InvocationId, Runnable> stopping = new HashMap<>();
+    /** Ends each run early. */
+    private final Map<InvocationId, Runnable> stopActions = new HashMap<>();
 
-    private void ended(
-            RequestAttempt message,
-            Function<RunOutcome, Action> then,
-            double at,
-            RunOutcome.Status end) {
-        if (stopping.remove(message.id) == null) {
+    private void handleRunEnd(
+            RequestAttempt attempt,
+            Function<RunOutcome, Action> onOutcome,
+            double runStartS,
+            RunOutcome.Status status) {
+        if (stopActions.remove(attempt.id) == null) {
             return;
         }
-        waiting.remove(message.id);
-        memoryKb -= message.kb * plan.runFactor();
-        boolean succeeded = end == RunOutcome.Status.SUCCEEDED;
-        IdempotencyRecord mark =
-                disk == null || !message.operation.isKeyed() ? null : disk.kept.get(message.token);
-        boolean[] over = {false};
-        Runnable told =
+        callContinuations.remove(attempt.id);
+        memoryKb -= attempt.kb * fleet.runFactor();
+        boolean succeeded = status == RunOutcome.Status.SUCCEEDED;
+        IdempotencyRecord record =
+                storage == null || !attempt.operation.isKeyed()
+                        ? null
+                        : storage.kept.get(attempt.token);
+        boolean[] done = {false};
+        Runnable answerClient =
                 () -> {
-                    if (over[0] || state == State.DEAD) {
+                    if (done[0] || state == State.DEAD) {
                         return;
                     }
-                    over[0] = true;
-                    message.running = false;
+                    done[0] = true;
+                    attempt.running = false;
                     if (succeeded) {
-                        keys.complete(message.id, Optional.of(RESULT), now());
+                        cache.complete(attempt.id, Optional.of(RESULT), now());
                     }
-                    answer(
-                            message,
+                    sendAnswer(
+                            attempt,
                             succeeded
                                     ? RequestAttempt.Answer.SUCCEEDED
                                     : RequestAttempt.Answer.ERRORED,
                             Duration.ZERO,
                             false);
-                    settle(message);
+                    removeIfDone(attempt);
                 };
-        if (mark != null) {
-            write(
+        if (record != null) {
+            writeDurably(
                     () -> {
-                        disk.kept.put(
-                                message.token,
-                                mark.withProgress(
+                        storage.kept.put(
+                                attempt.token,
+                                record.withProgress(
                                         succeeded
                                                 ? InvocationProgress.SUCCEEDED
                                                 : InvocationProgress.ENDED_WITHOUT_RESULT));
                         if (succeeded) {
-                            told.run();
+                            answerClient.run();
                         }
                     });
         }
-        if (mark == null || !succeeded) {
-            told.run();
+        if (record == null || !succeeded) {
+            answerClient.run();
         } else {
-            later(
-                    memory.answerTimeout(
-                                            message.arrived.plus(message.operation.clientTimeout()),
+            runAfter(
+                    durability.answerTimeout(
+                                            attempt.arrived.plus(attempt.operation.clientTimeout()),
                                             now())
                                     .toNanos()
                             / 1e9,
-                    told);
+                    answerClient);
         }
-        then.apply(new RunOutcome(end, span(events.seconds() - at))).execute(this);
-        settle(message);
+        onOutcome
+                .apply(new RunOutcome(status, toDuration(events.seconds() - runStartS)))
+                .execute(this);
+        removeIfDone(attempt);
     }
 
     @Override
     public boolean acceptsIdempotencyEntries() {
-        return disk == null || memory.acceptsNewKeys(now());
+        return storage == null || durability.acceptsNewKeys(now());
     }
 
     @Override
-    public void replayResult(InvocationId id, Function<RunOutcome, Action> then) {
-        RequestAttempt message = tries.get(id);
-        InvocationId kept =
-                message.token == null
-                        ? forerunners.get(id)
-                        : keys.findByToken(message.token).orElse(null);
-        keys.whenCompleted(
-                Optional.ofNullable(kept),
+    public void replayResult(InvocationId id, Function<RunOutcome, Action> onOutcome) {
+        RequestAttempt attempt = attempts.get(id);
+        InvocationId originalId =
+                attempt.token == null
+                        ? originals.get(id)
+                        : cache.findByToken(attempt.token).orElse(null);
+        cache.whenCompleted(
+                Optional.ofNullable(originalId),
                 result ->
-                        cores.add(
-                                message.work * REPLAY_PART,
+                        cpu.add(
+                                attempt.work * REPLAY_WORK_SHARE,
                                 () -> {
-                                    boolean there =
+                                    boolean hasResult =
                                             result.isPresent()
-                                                    || restored.getOrDefault(kept, false);
-                                    answer(
-                                            message,
-                                            there
+                                                    || restoredResults.getOrDefault(
+                                                            originalId, false);
+                                    sendAnswer(
+                                            attempt,
+                                            hasResult
                                                     ? RequestAttempt.Answer.SUCCEEDED
                                                     : RequestAttempt.Answer.ERRORED,
                                             Duration.ZERO,
                                             false);
-                                    then.apply(
+                                    onOutcome
+                                            .apply(
                                                     new RunOutcome(
-                                                            there
+                                                            hasResult
                                                                     ? RunOutcome.Status.SUCCEEDED
                                                                     : RunOutcome.Status.FAILED,
                                                             Duration.ZERO))
                                             .execute(this);
-                                    settle(message);
+                                    removeIfDone(attempt);
                                 }));
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryIn, boolean last) {
-        RequestAttempt message = tries.get(id);
-        if (message == null) {
+    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
+        RequestAttempt attempt = attempts.get(id);
+        if (attempt == null) {
             return;
         }
-        answer(message, RequestAttempt.Answer.THROTTLED, retryIn, last);
-        settle(message);
+        sendAnswer(attempt, RequestAttempt.Answer.THROTTLED, retryAfter, last);
+        removeIfDone(attempt);
     }
 
     @Override
     public void fail(InvocationId id) {
-        RequestAttempt message = tries.get(id);
-        if (message == null) {
+        RequestAttempt attempt = attempts.get(id);
+        if (attempt == null) {
             return;
         }
-        answer(message, RequestAttempt.Answer.ERRORED, Duration.ZERO, false);
-        settle(message);
+        sendAnswer(attempt, RequestAttempt.Answer.ERRORED, Duration.ZERO, false);
+        removeIfDone(attempt);
     }
 
     @Override
     public void stopRun(InvocationId id) {
-        // In an event of its own: the decisions are at work on what made them say so.
-        if (halted.add(id)) {
-            later(0, () -> stopped(id));
+        // Stops the run in a later event, because the decisions are still handling this one.
+        if (stopRequests.add(id)) {
+            runAfter(0, () -> stopNow(id));
         }
     }
 
-    private void stopped(InvocationId id) {
-        halted.remove(id);
-        RequestAttempt message = tries.get(id);
-        Runnable end = stopping.get(id);
-        if (message == null || end == null) {
+    private void stopNow(InvocationId id) {
+        stopRequests.remove(id);
+        RequestAttempt attempt = attempts.get(id);
+        Runnable onStop = stopActions.get(id);
+        if (attempt == null || onStop == null) {
             return;
         }
-        if (message.job != null) {
-            cores.remove(message.job);
+        if (attempt.job != null) {
+            cpu.remove(attempt.job);
         }
-        message.job = null;
-        end.run();
+        attempt.job = null;
+        onStop.run();
     }
 
     @Override
-    public void startCall(InvocationId id, Duration patience, Function<CallOutcome, Action> then) {
-        double at = events.seconds();
-        RequestAttempt message = tries.get(id);
-        if (message != null) {
-            message.called = true;
-        }
-        boolean[] over = {false};
-        Function<CallOutcome.Status, Runnable> end =
-                result ->
+    public void startCall(
+            InvocationId id, Duration timeout, Function<CallOutcome, Action> onOutcome) {
+        double callStartS = events.seconds();
+        RequestAttempt attempt = attempts.get(id);
+        if (attempt != null) {
+            attempt.called = true;
+        }
+        boolean[] done = {false};
+        Function<CallOutcome.Status, Runnable> onCallEnd =
+                status ->
                         () -> {
-                            if (over[0] || state == State.DEAD) {
+                            if (done[0] || state == State.DEAD) {
                                 return;
                             }
-                            over[0] = true;
-                            if (message != null) {
-                                message.called = false;
+                            done[0] = true;
+                            if (attempt != null) {
+                                attempt.called = false;
                             }
-                            Runnable on = waiting.get(id);
-                            then.apply(new CallOutcome(result, span(events.seconds() - at)))
+                            Runnable continueRun = callContinuations.get(id);
+                            onOutcome
+                                    .apply(
+                                            new CallOutcome(
+                                                    status,
+                                                    toDuration(events.seconds() - callStartS)))
                                     .execute(this);
-                            if (on != null && result == CallOutcome.Status.SUCCEEDED) {
-                                message.job = cores.add(message.work / 2, on);
-                            } else if (on != null && message.answered) {
-                                stopped(id);
+                            if (continueRun != null && status == CallOutcome.Status.SUCCEEDED) {
+                                attempt.job = cpu.add(attempt.work / 2, continueRun);
+                            } else if (continueRun != null && attempt.answered) {
+                                stopNow(id);
                             }
                         };
-        world.toLedger(result -> later(0, end.apply(result)));
-        later(patience.toNanos() / 1e9, end.apply(CallOutcome.Status.TIMED_OUT));
+        simulation.toLedger(status -> runAfter(0, onCallEnd.apply(status)));
+        runAfter(timeout.toNanos() / 1e9, onCallEnd.apply(CallOutcome.Status.TIMED_OUT));
     }
 
     @Override
     public void skipCall(InvocationId id) {
-        Runnable on = waiting.get(id);
-        RequestAttempt message = tries.get(id);
-        if (on != null && message != null) {
-            message.job = cores.add(message.work / 2, on);
+        Runnable continueRun = callContinuations.get(id);
+        RequestAttempt attempt = attempts.get(id);
+        if (continueRun != null && attempt != null) {
+            attempt.job = cpu.add(attempt.work / 2, continueRun);
         }
     }
 
     @Override
-    public void putIdempotencyEntry(InvocationId id, Duration span) {
-        RequestAttempt message = tries.get(id);
-        keys.track(attempt(message), new byte[0], now().plus(span));
+    public void putIdempotencyEntry(InvocationId id, Duration window) {
+        RequestAttempt attempt = attempts.get(id);
+        cache.track(toAttempt(attempt), new byte[0], now().plus(window));
     }
 
     @Override
     public void removeIdempotencyEntry(InvocationId id) {
-        keys.forget(id);
+        cache.forget(id);
     }
 
     @Override
-    public void schedule(Duration span, Function<ResourceGauges, Action> then) {
-        later(span.toNanos() / 1e9, () -> then.apply(gauges()).execute(this));
+    public void schedule(Duration delay, Function<ResourceGauges, Action> onTimer) {
+        runAfter(delay.toNanos() / 1e9, () -> onTimer.apply(currentGauges()).execute(this));
     }
 
-    private double useAt = -1;
-    private double use;
+    private double utilizationAt = -1;
+    private double utilization;
 
-    private ResourceGauges gauges() {
-        if (events.seconds() - useAt >= 0.1) {
-            use = cores.use();
-            useAt = events.seconds();
+    private ResourceGauges currentGauges() {
+        if (events.seconds() - utilizationAt >= 0.1) {
+            utilization = cpu.use();
+            utilizationAt = events.seconds();
         }
-        return new ResourceGauges(use, cores.running(), memoryKb / plan.memoryKb(), 0);
+        return new ResourceGauges(utilization, cpu.running(), memoryKb / fleet.memoryKb(), 0);
     }
 
     @Override
-    public void setHealth(boolean good, boolean stored) {
-        healthy = good;
+    public void setHealth(boolean isHealthy, boolean stored) {
+        healthy = isHealthy;
     }
 
     @Override
     public void advertiseCapacity(double value) {
-        // gateways make nothing of it
+        // the modelled gateways ignore it
     }
 
     @Override
-    public void setIdleTimeout(Duration span) {
+    public void setIdleTimeout(Duration timeout) {
         // connections are not modelled
     }
 
     @Override
     public void logNote(String text) {
-        // nobody reads it
+        // the simulation has no log
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
@@ -9,221 +9,232 @@
 import ochretiller.emulator.scenario.Scenario;
 
 /**
- * One that chooses boxes for its callers, with habits of its own: how it picks, retries, waits and
- * heeds.
+ * Models a gateway, which chooses a server for each request of its clients and retries failed
+ * attempts. Gateways differ in whether they follow backoff advice.
  */
 final class GatewayModel {
-    /** Draws for a good box: with half of them good, one in 256 finds none. */
-    private static final int DRAWS = 8;
+    /** Draws for an eligible server: if half of them are, all draws fail once in 256 times. */
+    private static final int MAX_DRAWS = 8;
 
-    /** Pause where it knows of no box at all. */
-    private static final int NO_BOX_PAUSE_MS = 100;
+    /** Least pause before a retry if the gateway knows no server. */
+    private static final int NO_SERVER_PAUSE_MS = 100;
 
-    private final Simulation world;
+    private final Simulation simulation;
     private final EventQueue events;
-    private final Scenario.Gateways plan;
-    private final SplittableRandom chance;
-    private final boolean heeds;
-    private ServiceDirectory known;
-    private final Map<EmulatedServer, Integer> open = new HashMap<>();
-    private final Map<EmulatedServer, Double> backAt = new HashMap<>();
-    private int turn;
+    private final Scenario.Gateways config;
+    private final SplittableRandom random;
+    private final boolean followsBackoff;
+    private ServiceDirectory directory;
+    private final Map<EmulatedServer, Integer> openAttempts = new HashMap<>();
+    private final Map<EmulatedServer, Double> backoffUntil = new HashMap<>();
+    private int nextTurn;
 
-    /** While it lasts, it retries as often as it can and heeds nothing. */
+    /** During a retry storm, the gateway ignores advice and retries without limit. */
     boolean storms;
 
-    GatewayModel(Simulation world, int number, ServiceDirectory known) {
-        this.world = world;
-        this.events = world.events;
-        this.plan = world.script.gateways();
-        this.chance = world.seeds.of("gateway " + number);
-        this.heeds = chance.nextDouble() < plan.heeds();
-        this.known = known;
-        this.turn = chance.nextInt(1 << 20);
+    GatewayModel(Simulation simulation, int number, ServiceDirectory directory) {
+        this.simulation = simulation;
+        this.events = simulation.events;
+        this.config = simulation.script.gateways();
+        this.random = simulation.seeds.of("gateway " + number);
+        this.followsBackoff = random.nextDouble() < config.heeds();
+        this.directory = directory;
+        this.nextTurn = random.nextInt(1 << 20);
     }
 
-    /** It has learnt which boxes there are. */
-    void learns(ServiceDirectory now) {
-        known = now;
-        open.keySet().removeIf(box -> box.state == EmulatedServer.State.DEAD);
-        backAt.keySet().removeIf(box -> box.state == EmulatedServer.State.DEAD);
+    /** Replaces the directory, and forgets the state of servers that have stopped. */
+    void learns(ServiceDirectory newDirectory) {
+        directory = newDirectory;
+        openAttempts.keySet().removeIf(server -> server.state == EmulatedServer.State.DEAD);
+        backoffUntil.keySet().removeIf(server -> server.state == EmulatedServer.State.DEAD);
     }
 
     /**
-     * Passes an invocation on; {@code now} is told of its end, and the caller's part of it is over
-     * then.
+     * Sends the next attempt of a request to a server. On an error or the attempt's timeout, the
+     * request is retried or ends.
      */
-    void send(ClientRequest ask) {
-        if (ask.over) {
+    void send(ClientRequest request) {
+        if (request.over) {
             return;
         }
-        EmulatedServer box = choose(ask);
-        if (box == null) {
-            ask.tries++;
-            again(ask, null, Duration.ofMillis(NO_BOX_PAUSE_MS));
+        EmulatedServer server = choose(request);
+        if (server == null) {
+            request.tries++;
+            retry(request, null, Duration.ofMillis(NO_SERVER_PAUSE_MS));
             return;
         }
-        ask.tries++;
-        open.merge(box, 1, Integer::sum);
-        boolean[] ended = {false};
-        RequestAttempt[] sent = new RequestAttempt[1];
-        sent[0] =
+        request.tries++;
+        openAttempts.merge(server, 1, Integer::sum);
+        boolean[] done = {false};
+        RequestAttempt[] attempt = new RequestAttempt[1];
+        attempt[0] =
                 new RequestAttempt(
-                        world.nextId(),
-                        ask.operation,
-                        ask.token,
-                        ask.caller,
-                        ask.plan.kb(),
-                        ask.work,
-                        ask.tries > 1,
+                        simulation.nextId(),
+                        request.operation,
+                        request.token,
+                        request.caller,
+                        request.plan.kb(),
+                        request.work,
+                        request.tries > 1,
                         (answer, backoff, last) ->
-                                world.travel(
-                                        box,
+                                simulation.travel(
+                                        server,
                                         () -> {
-                                            if (ended[0]) {
+                                            if (done[0]) {
                                                 return;
                                             }
-                                            ended[0] = true;
-                                            open.computeIfPresent(box, (b, count) -> count - 1);
-                                            heard(ask, box, answer, backoff, last);
+                                            done[0] = true;
+                                            openAttempts.computeIfPresent(
+                                                    server, (key, count) -> count - 1);
+                                            handleAnswer(request, server, answer, backoff, last);
                                         }));
-        ask.at = box;
-        ask.message = sent[0];
-        world.travel(box, () -> box.receive(sent[0]));
-        double left = ask.dueAt - events.seconds();
-        double patience = plan.tryMs() == 0 ? left : Math.min(left, plan.tryMs() / 1e3);
+        request.at = server;
+        request.message = attempt[0];
+        simulation.travel(server, () -> server.receive(attempt[0]));
+        double remaining = request.dueAt - events.seconds();
+        double timeout =
+                config.tryMs() == 0 ? remaining : Math.min(remaining, config.tryMs() / 1e3);
         events.after(
-                patience,
+                timeout,
                 () -> {
-                    if (ended[0]) {
+                    if (done[0]) {
                         return;
                     }
-                    ended[0] = true;
-                    open.computeIfPresent(box, (b, count) -> count - 1);
-                    world.travel(box, () -> box.gone(sent[0]));
-                    if (events.seconds() >= ask.dueAt - 1e-6) {
-                        ask.ends(ClientRequest.End.TIMED_OUT);
+                    done[0] = true;
+                    openAttempts.computeIfPresent(server, (key, count) -> count - 1);
+                    simulation.travel(server, () -> server.gone(attempt[0]));
+                    if (events.seconds() >= request.dueAt - 1e-6) {
+                        request.ends(ClientRequest.End.TIMED_OUT);
                     } else {
-                        again(ask, box, Duration.ZERO);
+                        retry(request, server, Duration.ZERO);
                     }
                 });
     }
 
-    private void heard(
-            ClientRequest ask,
-            EmulatedServer box,
+    private void handleAnswer(
+            ClientRequest request,
+            EmulatedServer server,
             RequestAttempt.Answer answer,
             Duration backoff,
             boolean last) {
         switch (answer) {
-            case SUCCEEDED -> ask.ends(ClientRequest.End.SUCCEEDED);
+            case SUCCEEDED -> request.ends(ClientRequest.End.SUCCEEDED);
             case ERRORED -> {
-                if (ask.operation.isIdempotent()) {
-                    again(ask, box, Duration.ZERO);
+                if (request.operation.isIdempotent()) {
+                    retry(request, server, Duration.ZERO);
                 } else {
-                    ask.ends(ClientRequest.End.ERRORED);
+                    request.ends(ClientRequest.End.ERRORED);
                 }
             }
             case THROTTLED -> {
-                if (heeds && !storms) {
-                    backAt.put(box, events.seconds() + backoff.toNanos() / 1e9);
+                if (followsBackoff && !storms) {
+                    backoffUntil.put(server, events.seconds() + backoff.toNanos() / 1e9);
                 }
-                ask.throttled++;
-                if (last && heeds && !storms) {
-                    ask.ends(ClientRequest.End.THROTTLED);
+                request.throttled++;
+                if (last && followsBackoff && !storms) {
+                    request.ends(ClientRequest.End.THROTTLED);
                 } else {
-                    again(ask, box, heeds && !storms ? backoff : Duration.ZERO);
+                    retry(request, server, followsBackoff && !storms ? backoff : Duration.ZERO);
                 }
             }
             case RESET -> {
-                if (ask.operation.isIdempotent() || ask.operation.isKeyed()) {
-                    again(ask, box, Duration.ZERO);
+                if (request.operation.isIdempotent() || request.operation.isKeyed()) {
+                    retry(request, server, Duration.ZERO);
                 } else {
-                    ask.ends(ClientRequest.End.ERRORED);
+                    request.ends(ClientRequest.End.ERRORED);
                 }
             }
             default -> throw new IllegalStateException();
         }
     }
 
-    private void again(ClientRequest ask, EmulatedServer not, Duration advised) {
+    private void retry(
+            ClientRequest request, EmulatedServer failedServer, Duration advisedBackoff) {
         double pause =
                 storms
                         ? 0.001
                         : Math.max(
-                                plan.pauseMs() / 1e3 * chance.nextDouble(0.5, 1.5),
-                                not == null || ask.operation.isKeyed()
-                                        ? advised.toNanos() / 1e9
+                                config.pauseMs() / 1e3 * random.nextDouble(0.5, 1.5),
+                                failedServer == null || request.operation.isKeyed()
+                                        ? advisedBackoff.toNanos() / 1e9
                                         : 0);
-        boolean spent = !storms && plan.tries() > 0 && ask.tries >= plan.tries();
-        if (spent || events.seconds() + pause >= ask.dueAt) {
-            ask.ends(ask.throttled > 0 ? ClientRequest.End.THROTTLED : ClientRequest.End.ERRORED);
+        boolean attemptsExhausted =
+                !storms && config.tries() > 0 && request.tries >= config.tries();
+        if (attemptsExhausted || events.seconds() + pause >= request.dueAt) {
+            request.ends(
+                    request.throttled > 0
+                            ? ClientRequest.End.THROTTLED
+                            : ClientRequest.End.ERRORED);
             return;
         }
-        ask.not = not;
-        events.after(pause, () -> send(ask));
+        request.not = failedServer;
+        events.after(pause, () -> send(request));
     }
 
     /**
-     * A keyed one goes where its key belongs, so that its repeat finds its mark; any other by the
-     * habit of this gateway.
+     * Chooses a server, null if none is known. A keyed request goes to the owner of its token, so
+     * that a retry finds its in-flight marker; any other follows the configured choice.
      */
-    private EmulatedServer choose(ClientRequest ask) {
-        List<EmulatedServer> boxes = known.boxes;
-        if (boxes.isEmpty()) {
+    private EmulatedServer choose(ClientRequest request) {
+        List<EmulatedServer> servers = directory.boxes;
+        if (servers.isEmpty()) {
             return null;
         }
-        if (ask.token != null) {
-            return known.owner(ask.token);
+        if (request.token != null) {
+            return directory.owner(request.token);
         }
-        return switch (plan.choice()) {
+        return switch (config.choice()) {
             case "turns" -> {
-                for (int i = 0; i < boxes.size(); i++) {
-                    EmulatedServer next = boxes.get(Math.floorMod(turn++, boxes.size()));
-                    if (good(next, ask)) {
+                for (int i = 0; i < servers.size(); i++) {
+                    EmulatedServer next = servers.get(Math.floorMod(nextTurn++, servers.size()));
+                    if (isEligible(next, request)) {
                         yield next;
                     }
                 }
-                yield boxes.get(Math.floorMod(turn++, boxes.size()));
+                yield servers.get(Math.floorMod(nextTurn++, servers.size()));
             }
             case "least" -> {
                 EmulatedServer least = null;
-                int first = Math.floorMod(turn++, boxes.size());
-                for (int i = 0; i < boxes.size(); i++) {
-                    EmulatedServer box = boxes.get((first + i) % boxes.size());
-                    if (good(box, ask) && (least == null || opened(box) < opened(least))) {
-                        least = box;
+                int first = Math.floorMod(nextTurn++, servers.size());
+                for (int i = 0; i < servers.size(); i++) {
+                    EmulatedServer server = servers.get((first + i) % servers.size());
+                    if (isEligible(server, request)
+                            && (least == null || openCount(server) < openCount(least))) {
+                        least = server;
                     }
                 }
-                yield least == null ? boxes.get(first) : least;
+                yield least == null ? servers.get(first) : least;
             }
             case "two" -> {
-                EmulatedServer one = any(ask);
-                EmulatedServer other = any(ask);
-                yield opened(one) <= opened(other) ? one : other;
+                EmulatedServer first = randomServer(request);
+                EmulatedServer second = randomServer(request);
+                yield openCount(first) <= openCount(second) ? first : second;
             }
-            default -> any(ask);
+            default -> randomServer(request);
         };
     }
 
-    private int opened(EmulatedServer box) {
-        return open.getOrDefault(box, 0);
+    private int openCount(EmulatedServer server) {
+        return openAttempts.getOrDefault(server, 0);
     }
 
-    /** One by chance; a good one unless a few draws find none. */
-    private EmulatedServer any(ClientRequest ask) {
-        EmulatedServer box = null;
-        for (int i = 0; i < DRAWS; i++) {
-            box = known.boxes.get(chance.nextInt(known.boxes.size()));
-            if (good(box, ask)) {
-                return box;
+    /** Draws a random server, an ineligible one only if {@link #MAX_DRAWS} draws find no other. */
+    private EmulatedServer randomServer(ClientRequest request) {
+        EmulatedServer server = null;
+        for (int i = 0; i < MAX_DRAWS; i++) {
+            server = directory.boxes.get(random.nextInt(directory.boxes.size()));
+            if (isEligible(server, request)) {
+                return server;
             }
         }
-        return box;
+        return server;
     }
 
-    private boolean good(EmulatedServer box, ClientRequest ask) {
-        boolean back = !heeds || storms || backAt.getOrDefault(box, 0.0) <= events.seconds();
-        return back && box != ask.not && world.seenHealthy(box);
+    private boolean isEligible(EmulatedServer server, ClientRequest request) {
+        boolean backoffOver =
+                !followsBackoff
+                        || storms
+                        || backoffUntil.getOrDefault(server, 0.0) <= events.seconds();
+        return backoffOver && server != request.not && simulation.seenHealthy(server);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/RecordsServiceModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/RecordsServiceModel.java
@@ -9,79 +9,80 @@
 import ochretiller.model.CallOutcome;
 
 /**
- * The records service: some slots, some that wait, the rest turned away; where too many wait it
- * falls over.
+ * Models the records service: a fixed number of slots and a bounded queue; further calls are
+ * rejected. The service goes down if the queue grows too long.
  */
 final class RecordsServiceModel {
     private final EventQueue events;
-    private final Scenario.Ledger plan;
-    private final SplittableRandom chance;
-    private final ArrayDeque<Consumer<CallOutcome.Status>> waiting = new ArrayDeque<>();
+    private final Scenario.Ledger config;
+    private final SplittableRandom random;
+    private final ArrayDeque<Consumer<CallOutcome.Status>> queue = new ArrayDeque<>();
     private int busy;
-    private double slower = 1;
+    private double slowdown = 1;
     private double downUntil;
     private long epoch;
     private long calls;
     private long falls;
 
-    RecordsServiceModel(EventQueue events, Scenario.Ledger plan, SplittableRandom chance) {
+    RecordsServiceModel(EventQueue events, Scenario.Ledger config, SplittableRandom random) {
         this.events = events;
-        this.plan = plan;
-        this.chance = chance;
+        this.config = config;
+        this.random = random;
     }
 
-    void call(Consumer<CallOutcome.Status> then) {
+    void call(Consumer<CallOutcome.Status> onOutcome) {
         calls++;
         if (events.seconds() < downUntil) {
-            then.accept(CallOutcome.Status.UNREACHABLE);
-        } else if (busy < plan.slots()) {
-            serve(then);
-        } else if (waiting.size() >= plan.waits()) {
-            then.accept(CallOutcome.Status.REJECTED);
+            onOutcome.accept(CallOutcome.Status.UNREACHABLE);
+        } else if (busy < config.slots()) {
+            serve(onOutcome);
+        } else if (queue.size() >= config.waits()) {
+            onOutcome.accept(CallOutcome.Status.REJECTED);
         } else {
-            waiting.add(then);
+            queue.add(onOutcome);
         }
-        if (plan.fallsAt() > 0 && waiting.size() >= plan.fallsAt()) {
+        if (config.fallsAt() > 0 && queue.size() >= config.fallsAt()) {
             falls++;
-            down(plan.downS());
+            down(config.downS());
         }
     }
 
-    private void serve(Consumer<CallOutcome.Status> then) {
+    private void serve(Consumer<CallOutcome.Status> onOutcome) {
         busy++;
-        long mine = epoch;
+        long callEpoch = epoch;
         events.after(
-                RandomStreams.exponential(chance, plan.workMs() / 1e3) * slower,
+                RandomStreams.exponential(random, config.workMs() / 1e3) * slowdown,
                 () -> {
-                    if (mine != epoch) {
-                        return; // it fell over meanwhile
+                    if (callEpoch != epoch) {
+                        return; // the service has gone down since
                     }
                     busy--;
-                    if (!waiting.isEmpty()) {
-                        serve(waiting.poll());
+                    if (!queue.isEmpty()) {
+                        serve(queue.poll());
                     }
-                    then.accept(CallOutcome.Status.SUCCEEDED);
+                    onOutcome.accept(CallOutcome.Status.SUCCEEDED);
                 });
     }
 
-    void slow(double times) {
-        slower = times;
+    void slow(double factor) {
+        slowdown = factor;
     }
 
     /**
-     * What is at work in it breaks off; what only waited never ran, but who asked cannot know that.
+     * Takes the service down. Calls in a slot get no outcome and time out at the caller. Queued
+     * calls never ran, but are reset: the caller cannot know whether they ran.
      */
     void down(double seconds) {
         downUntil = Math.max(downUntil, events.seconds() + seconds);
         epoch++;
         busy = 0;
-        ArrayDeque<Consumer<CallOutcome.Status>> cut = new ArrayDeque<>(waiting);
-        waiting.clear();
-        cut.forEach(then -> then.accept(CallOutcome.Status.RESET));
+        ArrayDeque<Consumer<CallOutcome.Status>> interrupted = new ArrayDeque<>(queue);
+        queue.clear();
+        interrupted.forEach(onOutcome -> onOutcome.accept(CallOutcome.Status.RESET));
     }
 
     int inUse() {
-        return busy + waiting.size();
+        return busy + queue.size();
     }
 
     long calls() {
--- a/emulator/src/main/java/ochretiller/emulator/simulation/RequestAttempt.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/RequestAttempt.java
@@ -4,9 +4,9 @@
 import ochretiller.model.InvocationId;
 import ochretiller.model.Operation;
 
-/** One try on its way to a box and back. */
+/** One attempt of a request, from a gateway to a server and back. */
 final class RequestAttempt {
-    /** What its caller's side hears. */
+    /** The answer that the gateway receives; a reset is a lost connection. */
     enum Answer {
         SUCCEEDED,
         ERRORED,
@@ -14,14 +14,14 @@
         RESET
     }
 
-    /** Who hears of its end. */
+    /** Receives the answer of an attempt. */
     @FunctionalInterface
     interface Heard {
         /**
-         * The end.
+         * Handles the answer.
          *
-         * @param backoff when to come back, zero for no word
-         * @param last no other box should be tried
+         * @param backoff advised pause before a retry, zero if no advice is given
+         * @param last whether the gateway is asked not to try another server
          */
         void answer(Answer answer, Duration backoff, boolean last);
     }
@@ -32,13 +32,13 @@
     final long caller;
     final double kb;
 
-    /** Core time that its run takes, seconds. */
+    /** Core time of its run, seconds. */
     final double work;
 
     final boolean resent;
     final Heard heard;
 
-    /** On the box's clock. */
+    /** Arrival time on the server's clock, null before it. */
     Duration arrived;
 
     boolean answered;
@@ -52,17 +52,17 @@
             Operation operation,
             String token,
             long caller,
-            double kb,
-            double work,
-            boolean resent,
-            Heard heard) {
+            double sizeKb,
+            double workSeconds,
+            boolean retry,
+            Heard listener) {
         this.id = new InvocationId(id);
         this.operation = operation;
         this.token = token;
         this.caller = caller;
-        this.kb = kb;
-        this.work = work;
-        this.resent = resent;
-        this.heard = heard;
+        this.kb = sizeKb;
+        this.work = workSeconds;
+        this.resent = retry;
+        this.heard = listener;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/ServiceDirectory.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/ServiceDirectory.java
@@ -6,32 +6,33 @@
 import java.util.TreeMap;
 
 /**
- * Which boxes there are, as a gateway may know it, and who owns which key: a change moves only keys
- * of the places that change.
+ * A gateway's view of the servers and of the owner of each token. Owners are chosen by consistent
+ * hashing, so a change of the servers moves only the tokens of the servers that change.
  */
 final class ServiceDirectory {
-    /** Points of a place on the ring: with these the parts of places differ by a few tenths. */
-    private static final int POINTS = 32;
+    /** Points of a server on the hash ring; with 32, shares differ by a few tenths. */
+    private static final int POINTS_PER_SERVER = 32;
 
     final List<EmulatedServer> boxes;
     private final TreeMap<Long, EmulatedServer> ring = new TreeMap<>();
 
-    ServiceDirectory(List<EmulatedServer> boxes) {
-        this.boxes = List.copyOf(boxes);
-        for (EmulatedServer box : boxes) {
-            SplittableRandom points = new SplittableRandom(box.place);
-            for (int i = 0; i < POINTS; i++) {
-                ring.put(points.nextLong(), box);
+    ServiceDirectory(List<EmulatedServer> servers) {
+        this.boxes = List.copyOf(servers);
+        for (EmulatedServer server : servers) {
+            SplittableRandom points = new SplittableRandom(server.place);
+            for (int i = 0; i < POINTS_PER_SERVER; i++) {
+                ring.put(points.nextLong(), server);
             }
         }
     }
 
+    /** Returns the server that owns a token, null if there are no servers. */
     EmulatedServer owner(String token) {
         if (ring.isEmpty()) {
             return null;
         }
-        Map.Entry<Long, EmulatedServer> next =
+        Map.Entry<Long, EmulatedServer> entry =
                 ring.ceilingEntry(new SplittableRandom(token.hashCode()).nextLong());
-        return (next == null ? ring.firstEntry() : next).getValue();
+        return (entry == null ? ring.firstEntry() : entry).getValue();
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
@@ -18,15 +18,12 @@
 import ochretiller.settings.SettingLookup;
 
 /**
- * All of one run: what there is, and what befalls it. One thread; the same script and seed give the
- * same run.
+ * Simulates one run of a scenario: its servers, gateways, records service and clients, and its
+ * incidents. Runs on one thread; the same scenario and seed give the same results.
  */
 public final class Simulation {
-    /**
-     * Time behind the last arrival in which all must come to its end: beyond the longest client
-     * timeout.
-     */
-    private static final double AFTER_S = 2;
+    /** Extra seconds after the last possible timeout, by when every request must have ended. */
+    private static final double SETTLE_S = 2;
 
     final EventQueue events = new EventQueue();
     final RandomStreams seeds;
@@ -34,52 +31,56 @@
     final RuleChecker rules = new RuleChecker();
     final Map<String, Operation> operations = new LinkedHashMap<>();
     private final SettingLookup settings;
-    private final List<EmulatedServer> boxes = new ArrayList<>();
-    private final Map<Integer, Integer> lives = new HashMap<>();
-    private final List<DurableStorageModel> disks = new ArrayList<>();
+    private final List<EmulatedServer> servers = new ArrayList<>();
+    private final Map<Integer, Integer> incarnations = new HashMap<>();
+
+    /** By server index; null if nothing survives a restart. */
+    private final List<DurableStorageModel> storages = new ArrayList<>();
+
     private final List<GatewayModel> gateways = new ArrayList<>();
-    private final RecordsServiceModel ledger;
-    private final SplittableRandom delays;
-    private final SplittableRandom ledgerDelays;
-    private final SplittableRandom arrivals;
-    private final SplittableRandom returns;
-    private final Map<EmulatedServer, boolean[]> seen = new HashMap<>();
-    private final SimulationResult outcome;
-    private double rate = 1;
-
-    /** Boxes of lower place are cut off. */
-    private int cut;
-
-    private long ids;
-    private long tokens;
-
-    public Simulation(Scenario script, long seed) {
-        this.script = script;
+    private final RecordsServiceModel recordsService;
+    private final SplittableRandom delayRandom;
+    private final SplittableRandom recordsServiceDelayRandom;
+    private final SplittableRandom arrivalRandom;
+    private final SplittableRandom returnRandom;
+    private final Map<EmulatedServer, boolean[]> observedHealth = new HashMap<>();
+    private final SimulationResult result;
+    private double rateFactor = 1;
+
+    /** Servers with a lower index are disconnected from the gateways. */
+    private int disconnectedBelow;
+
+    private long lastId;
+    private long lastToken;
+
+    public Simulation(Scenario scenario, long seed) {
+        this.script = scenario;
         this.seeds = new RandomStreams(seed);
-        this.outcome = new SimulationResult(script);
-        this.ledger = new RecordsServiceModel(events, script.ledger(), seeds.of("ledger"));
-        this.delays = seeds.of("network");
-        this.ledgerDelays = seeds.of("network to the ledger");
-        this.arrivals = seeds.of("arrivals");
-        this.returns = seeds.of("returns");
-        for (Scenario.Operation each : script.operations()) {
+        this.result = new SimulationResult(scenario);
+        this.recordsService =
+                new RecordsServiceModel(events, scenario.ledger(), seeds.of("ledger"));
+        this.delayRandom = seeds.of("network");
+        this.recordsServiceDelayRandom = seeds.of("network to the ledger");
+        this.arrivalRandom = seeds.of("arrivals");
+        this.returnRandom = seeds.of("returns");
+        for (Scenario.Operation spec : scenario.operations()) {
             operations.put(
-                    each.name(),
+                    spec.name(),
                     new Operation(
-                            each.name(),
-                            effect(each.effect()),
-                            millis(each.objectiveMs()),
-                            millis(each.timeoutMs()),
-                            each.value(),
-                            each.lateShare(),
-                            millis(each.windowMs()),
-                            each.calls(),
+                            spec.name(),
+                            toSideEffect(spec.effect()),
+                            millis(spec.objectiveMs()),
+                            millis(spec.timeoutMs()),
+                            spec.value(),
+                            spec.lateShare(),
+                            millis(spec.windowMs()),
+                            spec.calls(),
                             0));
         }
-        this.settings = settings();
+        this.settings = serverSettings();
     }
 
-    private static SideEffect effect(String name) {
+    private static SideEffect toSideEffect(String name) {
         return switch (name) {
             case "idempotent" -> SideEffect.IDEMPOTENT;
             case "tokened" -> SideEffect.KEYED;
@@ -92,10 +93,10 @@
     }
 
     /**
-     * What an installation of this kind would have in its configuration, and over it what the
-     * script says.
+     * Returns the settings that a server of such a fleet would have, overridden by the settings of
+     * the scenario.
      */
-    private SettingLookup settings() {
+    private SettingLookup serverSettings() {
         Scenario.Fleet fleet = script.fleet();
         Map<String, String> values = new HashMap<>();
         values.put("familyInfo.cpus", "" + fleet.cores());
@@ -117,296 +118,338 @@
         return values::get;
     }
 
-    /** Seconds since its start. */
+    /** Returns the virtual time since the start, seconds. */
     public double time() {
         return events.seconds();
     }
 
-    /** Plays it to its end. */
+    /** Runs the simulation until all requests have ended and returns its results. */
     public SimulationResult play() {
-        int places = script.fleet().boxes();
-        for (int place = 0; place < places; place++) {
-            disks.add(
+        int serverCount = script.fleet().boxes();
+        for (int index = 0; index < serverCount; index++) {
+            storages.add(
                     script.fleet().remembers()
                             ? new DurableStorageModel(events, script.fleet().forceMs() / 1e3)
                             : null);
-            boxes.add(box(place, false));
+            servers.add(newServer(index, false));
         }
-        ServiceDirectory first = new ServiceDirectory(boxes);
+        ServiceDirectory directory = new ServiceDirectory(servers);
         for (int i = 0; i < script.gateways().count(); i++) {
-            gateways.add(new GatewayModel(this, i, first));
+            gateways.add(new GatewayModel(this, i, directory));
         }
-        look();
+        observeHealth();
         for (int i = 0; i < script.incidents().size(); i++) {
             Scenario.Incident incident = script.incidents().get(i);
-            SplittableRandom chance = seeds.of("incident " + i);
-            events.after(incident.atS(), () -> happens(incident, chance));
+            SplittableRandom random = seeds.of("incident " + i);
+            events.after(incident.atS(), () -> applyIncident(incident, random));
         }
-        arrives();
-        sample();
-        double longest =
+        scheduleNextRequest();
+        recordSample();
+        double longestTimeout =
                 script.operations().stream()
                                 .mapToDouble(Scenario.Operation::timeoutMs)
                                 .max()
                                 .orElse(0)
                         / 1e3;
-        double back =
+        double longestReturnDelay =
                 script.operations().stream().mapToDouble(Scenario.Operation::backS).max().orElse(0);
-        events.run(script.seconds() + 2 * longest + back + AFTER_S + script.fleet().stopS());
+        events.run(
+                script.seconds()
+                        + 2 * longestTimeout
+                        + longestReturnDelay
+                        + SETTLE_S
+                        + script.fleet().stopS());
         rules.over(events.seconds());
-        outcome.over(rules, events.done(), ledger.calls(), ledger.falls());
-        return outcome;
+        result.over(rules, events.done(), recordsService.calls(), recordsService.falls());
+        return result;
     }
 
-    private EmulatedServer box(int place, boolean cold) {
-        int life = lives.merge(place, 1, Integer::sum) - 1;
-        return new EmulatedServer(this, place, life, settings, cold, disks.get(place));
+    private EmulatedServer newServer(int index, boolean cold) {
+        int incarnation = incarnations.merge(index, 1, Integer::sum) - 1;
+        return new EmulatedServer(this, index, incarnation, settings, cold, storages.get(index));
     }
 
     long nextId() {
-        return ++ids;
+        return ++lastId;
     }
 
     /**
-     * Something goes from a gateway to a box or back; what is cut off comes late or never, as a
-     * lost packet's sender sees it.
+     * Delivers a message between a gateway and a server after the network delay. A message from or
+     * to a disconnected server is lost without notice to its sender.
      */
-    void travel(EmulatedServer box, Runnable then) {
-        double span =
-                (script.network().delayMs() + script.network().jitterMs() * delays.nextDouble())
+    void travel(EmulatedServer server, Runnable onArrival) {
+        double delay =
+                (script.network().delayMs()
+                                + script.network().jitterMs() * delayRandom.nextDouble())
                         / 1e3;
-        if (box.place < cut) {
+        if (server.place < disconnectedBelow) {
             return;
         }
-        events.after(span, then);
+        events.after(delay, onArrival);
     }
 
-    void toLedger(Consumer<CallOutcome.Status> then) {
-        double there =
+    /** Calls the records service; the network delay is the same in both directions. */
+    void toLedger(Consumer<CallOutcome.Status> onOutcome) {
+        double delay =
                 (script.network().delayMs()
-                                + script.network().jitterMs() * ledgerDelays.nextDouble())
+                                + script.network().jitterMs()
+                                        * recordsServiceDelayRandom.nextDouble())
                         / 1e3;
         events.after(
-                there, () -> ledger.call(result -> events.after(there, () -> then.accept(result))));
+                delay,
+                () ->
+                        recordsService.call(
+                                status -> events.after(delay, () -> onOutcome.accept(status))));
     }
 
-    /** Health as it was last looked at. */
-    boolean seenHealthy(EmulatedServer box) {
-        boolean[] was = seen.get(box);
-        return was == null || was[0];
+    /** Returns the result of the last health check, true if there was none yet. */
+    boolean seenHealthy(EmulatedServer server) {
+        boolean[] healthy = observedHealth.get(server);
+        return healthy == null || healthy[0];
     }
 
-    private void look() {
-        for (EmulatedServer box : boxes) {
-            seen.computeIfAbsent(box, b -> new boolean[1])[0] =
-                    box.state == EmulatedServer.State.UP && box.healthy && box.place >= cut;
+    private void observeHealth() {
+        for (EmulatedServer server : servers) {
+            observedHealth.computeIfAbsent(server, key -> new boolean[1])[0] =
+                    server.state == EmulatedServer.State.UP
+                            && server.healthy
+                            && server.place >= disconnectedBelow;
         }
-        seen.keySet().retainAll(boxes);
-        events.after(script.gateways().healthMs() / 1e3, this::look);
+        observedHealth.keySet().retainAll(servers);
+        events.after(script.gateways().healthMs() / 1e3, this::observeHealth);
     }
 
-    // Arrivals.
+    // Client requests.
 
-    private void arrives() {
-        double gap = RandomStreams.exponential(arrivals, 1 / script.traffic().perSecond());
-        // A burst draws no more chance than a calm spell does, so that two runs differ by the burst
-        // alone.
+    private void scheduleNextRequest() {
+        double gap = RandomStreams.exponential(arrivalRandom, 1 / script.traffic().perSecond());
+        // A burst scales the gap instead of drawing more random numbers, so that runs with and
+        // without it stay comparable.
         events.after(
-                gap / rate,
+                gap / rateFactor,
                 () -> {
                     if (events.seconds() >= script.seconds()) {
                         return;
                     }
-                    ask();
-                    arrives();
+                    sendNewRequest();
+                    scheduleNextRequest();
                 });
     }
 
-    private void ask() {
-        Scenario.Operation plan = script.at(arrivals.nextDouble());
-        int callers = script.traffic().callers();
-        boolean loud = arrivals.nextDouble() < script.traffic().skew();
+    private void sendNewRequest() {
+        Scenario.Operation spec = script.at(arrivalRandom.nextDouble());
+        int callerCount = script.traffic().callers();
+        boolean fromHeavyCaller = arrivalRandom.nextDouble() < script.traffic().skew();
         long caller =
-                loud ? arrivals.nextInt(Math.max(1, callers / 10)) : arrivals.nextInt(callers);
-        double work = RandomStreams.around(arrivals, plan.workMs() / 1e3, plan.spread());
-        boolean comesBack = arrivals.nextDouble() < plan.repeats();
-        double back = arrivals.nextDouble() * plan.backS();
-        Operation operation = operations.get(plan.name());
-        String token = operation.isKeyed() ? "t" + ++tokens : null;
-        send(plan, operation, token, caller, work, comesBack ? back : -1, true);
+                fromHeavyCaller
+                        ? arrivalRandom.nextInt(Math.max(1, callerCount / 10))
+                        : arrivalRandom.nextInt(callerCount);
+        double work = RandomStreams.around(arrivalRandom, spec.workMs() / 1e3, spec.spread());
+        boolean returnsAfterFailure = arrivalRandom.nextDouble() < spec.repeats();
+        double returnDelay = arrivalRandom.nextDouble() * spec.backS();
+        Operation operation = operations.get(spec.name());
+        String token = operation.isKeyed() ? "t" + ++lastToken : null;
+        send(spec, operation, token, caller, work, returnsAfterFailure ? returnDelay : -1, true);
     }
 
     private void send(
-            Scenario.Operation plan,
+            Scenario.Operation spec,
             Operation operation,
             String token,
             long caller,
             double work,
-            double back,
+            double returnDelay,
             boolean first) {
-        double at = events.seconds();
-        ClientRequest[] made = new ClientRequest[1];
-        made[0] =
+        double sentAt = events.seconds();
+        ClientRequest[] request = new ClientRequest[1];
+        request[0] =
                 new ClientRequest(
-                        plan,
+                        spec,
                         operation,
                         token,
                         caller,
                         work,
-                        at,
-                        end -> {
-                            outcome.ended(
-                                    plan, caller, at, events.seconds(), end, made[0].tries, first);
-                            if (end != ClientRequest.End.SUCCEEDED && token != null && back >= 0) {
+                        sentAt,
+                        requestOutcome -> {
+                            result.ended(
+                                    spec,
+                                    caller,
+                                    sentAt,
+                                    events.seconds(),
+                                    requestOutcome,
+                                    request[0].tries,
+                                    first);
+                            if (requestOutcome != ClientRequest.End.SUCCEEDED
+                                    && token != null
+                                    && returnDelay >= 0) {
                                 events.after(
-                                        back,
+                                        returnDelay,
                                         () ->
                                                 send(
-                                                        plan, operation, token, caller, work, -1,
+                                                        spec, operation, token, caller, work, -1,
                                                         false));
                             }
                         });
-        outcome.asked(plan, caller, at, first);
-        gateways.get((int) (caller % gateways.size())).send(made[0]);
+        result.asked(spec, caller, sentAt, first);
+        gateways.get((int) (caller % gateways.size())).send(request[0]);
     }
 
     // Incidents.
 
-    private List<EmulatedServer> some(double share, SplittableRandom chance) {
-        List<EmulatedServer> all = new ArrayList<>(boxes);
+    private List<EmulatedServer> pickServers(double share, SplittableRandom random) {
+        List<EmulatedServer> shuffled = new ArrayList<>(servers);
         int count = (int) Math.ceil(share * script.fleet().boxes());
-        for (int i = all.size() - 1; i > 0; i--) {
-            int other = chance.nextInt(i + 1);
-            EmulatedServer kept = all.get(i);
-            all.set(i, all.get(other));
-            all.set(other, kept);
+        for (int i = shuffled.size() - 1; i > 0; i--) {
+            int j = random.nextInt(i + 1);
+            EmulatedServer swapped = shuffled.get(i);
+            shuffled.set(i, shuffled.get(j));
+            shuffled.set(j, swapped);
         }
-        return all.subList(0, Math.min(count, all.size()));
+        return shuffled.subList(0, Math.min(count, shuffled.size()));
     }
 
-    private void happens(Scenario.Incident incident, SplittableRandom chance) {
-        List<EmulatedServer> some = some(incident.share(), chance);
+    private void applyIncident(Scenario.Incident incident, SplittableRandom random) {
+        List<EmulatedServer> affected = pickServers(incident.share(), random);
         switch (incident.what()) {
-            case "die" -> some.forEach(box -> dies(box, incident.forS()));
+            case "die" -> affected.forEach(server -> dies(server, incident.forS()));
             case "pause" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> box.pause(true)),
-                            () -> some.forEach(box -> box.pause(false)));
+                            () -> affected.forEach(server -> server.pause(true)),
+                            () -> affected.forEach(server -> server.pause(false)));
             case "slow" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> box.slow(incident.strength())),
-                            () -> some.forEach(box -> box.slow(1)));
+                            () -> affected.forEach(server -> server.slow(incident.strength())),
+                            () -> affected.forEach(server -> server.slow(1)));
             case "fail" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> box.fail(Math.min(1, incident.strength()))),
-                            () -> some.forEach(box -> box.fail(0)));
+                            () ->
+                                    affected.forEach(
+                                            server ->
+                                                    server.fail(Math.min(1, incident.strength()))),
+                            () -> affected.forEach(server -> server.fail(0)));
             case "release" -> {
-                for (int i = 0; i < some.size(); i++) {
-                    EmulatedServer box = some.get(i);
-                    events.after(incident.forS() * i / some.size(), () -> release(box));
+                for (int i = 0; i < affected.size(); i++) {
+                    EmulatedServer server = affected.get(i);
+                    events.after(
+                            incident.forS() * i / affected.size(), () -> drainAndReplace(server));
                 }
             }
             case "burst" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> rate *= incident.strength(),
-                            () -> rate /= incident.strength());
+                            () -> rateFactor *= incident.strength(),
+                            () -> rateFactor /= incident.strength());
             case "ledger-slow" ->
-                    during(incident, () -> ledger.slow(incident.strength()), () -> ledger.slow(1));
-            case "ledger-down" -> ledger.down(incident.forS());
+                    applyDuring(
+                            incident,
+                            () -> recordsService.slow(incident.strength()),
+                            () -> recordsService.slow(1));
+            case "ledger-down" -> recordsService.down(incident.forS());
             case "cut" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> cut = (int) Math.ceil(incident.share() * script.fleet().boxes()),
-                            () -> cut = 0);
+                            () ->
+                                    disconnectedBelow =
+                                            (int)
+                                                    Math.ceil(
+                                                            incident.share()
+                                                                    * script.fleet().boxes()),
+                            () -> disconnectedBelow = 0);
             case "disk-stall" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> stall(box, true)),
-                            () -> some.forEach(box -> stall(box, false)));
+                            () -> affected.forEach(server -> setDiskStalled(server, true)),
+                            () -> affected.forEach(server -> setDiskStalled(server, false)));
             case "retry-storm" ->
-                    during(incident, () -> storm(incident.share(), true), () -> storm(1, false));
-            default -> throw new IllegalStateException(incident.what());
+                    applyDuring(
+                            incident,
+                            () -> setRetryStorm(incident.share(), true),
+                            () -> setRetryStorm(1, false));
+            default ->
+                    throw new IllegalStateException(
+                            "unknown kind of incident: " + incident.what());
         }
     }
 
-    private void during(Scenario.Incident incident, Runnable begins, Runnable ends) {
-        begins.run();
-        events.after(incident.forS(), ends);
+    private void applyDuring(Scenario.Incident incident, Runnable onStart, Runnable onEnd) {
+        onStart.run();
+        events.after(incident.forS(), onEnd);
     }
 
-    private void stall(EmulatedServer box, boolean now) {
-        if (disks.get(box.place) != null) {
-            disks.get(box.place).stall(now);
+    private void setDiskStalled(EmulatedServer server, boolean stalled) {
+        if (storages.get(server.place) != null) {
+            storages.get(server.place).stall(stalled);
         }
     }
 
-    private void storm(double share, boolean now) {
+    private void setRetryStorm(double share, boolean active) {
         int count = (int) Math.ceil(share * gateways.size());
         for (int i = 0; i < count; i++) {
-            gateways.get(i).storms = now;
+            gateways.get(i).storms = active;
         }
     }
 
-    void dies(EmulatedServer box) {
-        dies(box, 0);
+    void dies(EmulatedServer server) {
+        dies(server, 0);
     }
 
-    /** It dies at once, and its successor comes up cold; gateways hear of both late. */
-    private void dies(EmulatedServer box, double away) {
-        if (box.state == EmulatedServer.State.DEAD) {
+    /** Crashes a server and schedules its replacement, which starts cold. */
+    private void dies(EmulatedServer server, double downSeconds) {
+        if (server.state == EmulatedServer.State.DEAD) {
             return;
         }
-        outcome.died(events.seconds());
-        box.die();
-        succeeds(box, away + script.fleet().bootS());
+        result.died(events.seconds());
+        server.die();
+        scheduleReplacement(server, downSeconds + script.fleet().bootS());
     }
 
-    private void release(EmulatedServer box) {
-        if (box.state != EmulatedServer.State.UP) {
+    private void drainAndReplace(EmulatedServer server) {
+        if (server.state != EmulatedServer.State.UP) {
             return;
         }
-        box.leave();
-        succeeds(box, script.fleet().stopS() + script.fleet().bootS());
+        server.leave();
+        scheduleReplacement(server, script.fleet().stopS() + script.fleet().bootS());
     }
 
-    private void succeeds(EmulatedServer box, double later) {
-        boxes.remove(box);
-        tell();
+    private void scheduleReplacement(EmulatedServer server, double delaySeconds) {
+        servers.remove(server);
+        publishDirectory();
         events.after(
-                later,
+                delaySeconds,
                 () -> {
-                    // Whoever still has the place (a drain that took its whole time) has ended by
-                    // now.
-                    box.die();
-                    boxes.add(box(box.place, true));
-                    tell();
+                    // A drain that took its whole time has ended by now.
+                    server.die();
+                    servers.add(newServer(server.place, true));
+                    publishDirectory();
                 });
     }
 
-    private void tell() {
-        ServiceDirectory now = new ServiceDirectory(boxes);
+    /** Sends the current list of servers to each gateway, each with a delay of its own. */
+    private void publishDirectory() {
+        ServiceDirectory directory = new ServiceDirectory(servers);
         for (GatewayModel gateway : gateways) {
             events.after(
-                    script.gateways().listS() * delays.nextDouble(), () -> gateway.learns(now));
+                    script.gateways().listS() * delayRandom.nextDouble(),
+                    () -> gateway.learns(directory));
         }
     }
 
-    // What is looked at.
+    // Samples.
 
-    private void sample() {
-        int held = 0;
-        int running = 0;
-        for (EmulatedServer box : boxes) {
-            held += box.held();
-            running += box.running();
+    private void recordSample() {
+        int attempts = 0;
+        int runningJobs = 0;
+        for (EmulatedServer server : servers) {
+            attempts += server.held();
+            runningJobs += server.running();
         }
-        outcome.sample(events.seconds(), boxes.size(), held, running, ledger.inUse());
+        result.sample(
+                events.seconds(), servers.size(), attempts, runningJobs, recordsService.inUse());
         if (events.seconds() < script.seconds()) {
-            events.after(SimulationResult.SAMPLE_S, this::sample);
+            events.after(SimulationResult.SAMPLE_S, this::recordSample);
         }
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
@@ -8,20 +8,23 @@
 import ochretiller.emulator.scenario.Scenario;
 import org.HdrHistogram.Histogram;
 
-/** What came of one run: billed value, answers, waits, and how they went over time. */
+/**
+ * The results of one run: billed value, outcomes and latencies of requests, in total, by operation
+ * and over time. Only first requests count, not those that a client sends again after a failure.
+ */
 public final class SimulationResult {
-    /** Time between two looks at the fleet, seconds. */
+    /** Interval between two samples of the fleet's state, seconds. */
     static final double SAMPLE_S = 0.5;
 
     private static final double BUCKET_S = 1;
 
     /**
-     * Longest time that is told apart, microseconds: beyond any client timeout that a script may
-     * have is counted as this.
+     * Longest recorded latency, microseconds, beyond any client timeout that a script may set;
+     * longer latencies are recorded as this value.
      */
-    private static final long LONGEST_US = 3_600_000_000L;
+    private static final long MAX_LATENCY_US = 3_600_000_000L;
 
-    /** One second of arrivals: what they could earn, what they earned, and how they ended. */
+    /** Totals over a group of requests: their possible and earned value, and their outcomes. */
     public static final class Second {
         public double offered;
         public double earned;
@@ -33,129 +36,146 @@
         public int tries;
     }
 
-    /** A look at the fleet. */
+    /**
+     * A sample of the fleet's state.
+     *
+     * @param at seconds since the start
+     * @param boxes servers that are up
+     * @param held attempts at the servers that are not finished
+     * @param ledger calls in progress or queued at the records service
+     */
     public record Look(double at, int boxes, int held, int running, int ledger) {}
 
-    private final Scenario script;
+    private final Scenario scenario;
     private final List<Second> seconds = new ArrayList<>();
-    private final List<Look> looks = new ArrayList<>();
-    private final Second loud = new Second();
-    private final Second others = new Second();
+    private final List<Look> samples = new ArrayList<>();
+    private final Second heavyCallers = new Second();
+    private final Second otherCallers = new Second();
     private final Map<String, Second> byOperation = new LinkedHashMap<>();
-    private final Histogram took = new Histogram(LONGEST_US, 3);
-    private double deaths;
+    private final Histogram latencies = new Histogram(MAX_LATENCY_US, 3);
+    private double serverCrashes;
     private RuleChecker rules;
-    private long events;
-    private long calls;
-    private long falls;
+    private long executedEvents;
+    private long recordsServiceCalls;
+    private long recordsServiceOutages;
 
-    SimulationResult(Scenario script) {
-        this.script = script;
-        for (int i = 0; i <= script.seconds() / BUCKET_S; i++) {
+    SimulationResult(Scenario scenario) {
+        this.scenario = scenario;
+        for (int i = 0; i <= scenario.seconds() / BUCKET_S; i++) {
             seconds.add(new Second());
         }
-        for (Scenario.Operation each : script.operations()) {
-            byOperation.put(each.name(), new Second());
+        for (Scenario.Operation operation : scenario.operations()) {
+            byOperation.put(operation.name(), new Second());
         }
     }
 
-    private Second at(double askedAt) {
-        return seconds.get((int) Math.min(seconds.size() - 1, askedAt / BUCKET_S));
+    private Second totalsOfSecond(double sentAt) {
+        return seconds.get((int) Math.min(seconds.size() - 1, sentAt / BUCKET_S));
     }
 
-    /** The first tenth of the callers, who may be loud, and all others. */
-    private Second side(long caller) {
-        return caller < Math.max(1, script.traffic().callers() / 10) ? loud : others;
+    /** Returns the totals for the first tenth of the callers, or those for all other callers. */
+    private Second callerGroup(long caller) {
+        return caller < Math.max(1, scenario.traffic().callers() / 10)
+                ? heavyCallers
+                : otherCallers;
     }
 
-    void asked(Scenario.Operation plan, long caller, double at, boolean first) {
+    void asked(Scenario.Operation operation, long caller, double sentAt, boolean first) {
         if (!first) {
             return;
         }
-        for (Second each : List.of(at(at), byOperation.get(plan.name()), side(caller))) {
-            each.asked++;
-            each.offered += plan.value();
+        for (Second totals :
+                List.of(
+                        totalsOfSecond(sentAt),
+                        byOperation.get(operation.name()),
+                        callerGroup(caller))) {
+            totals.asked++;
+            totals.offered += operation.value();
         }
     }
 
     /**
-     * A caller's part is over; only what it asked first earns, a return under the same key only
-     * shows what became of it.
+     * Counts the outcome of a request. Only a first request earns value; one that is sent again
+     * with the same token is ignored.
      */
     void ended(
-            Scenario.Operation plan,
+            Scenario.Operation operation,
             long caller,
-            double askedAt,
-            double now,
-            ClientRequest.End end,
-            int tries,
+            double sentAt,
+            double endedAt,
+            ClientRequest.End outcome,
+            int attempts,
             boolean first) {
         if (!first) {
             return;
         }
-        double spent = now - askedAt;
-        double worth =
-                end != ClientRequest.End.SUCCEEDED
+        double elapsed = endedAt - sentAt;
+        double valueFactor =
+                outcome != ClientRequest.End.SUCCEEDED
                         ? 0
-                        : spent <= plan.objectiveMs() / 1e3 ? 1 : plan.lateShare();
-        if (end == ClientRequest.End.SUCCEEDED) {
-            took.recordValue(Math.min(LONGEST_US, Math.max(1, (long) (spent * 1e6))));
+                        : elapsed <= operation.objectiveMs() / 1e3 ? 1 : operation.lateShare();
+        if (outcome == ClientRequest.End.SUCCEEDED) {
+            latencies.recordValue(Math.min(MAX_LATENCY_US, Math.max(1, (long) (elapsed * 1e6))));
         }
-        for (Second each : List.of(at(askedAt), byOperation.get(plan.name()), side(caller))) {
-            each.earned += worth * plan.value();
-            each.tries += tries;
-            switch (end) {
-                case SUCCEEDED -> each.succeeded++;
-                case THROTTLED -> each.throttled++;
-                case ERRORED -> each.errored++;
-                case TIMED_OUT -> each.timedOut++;
+        for (Second totals :
+                List.of(
+                        totalsOfSecond(sentAt),
+                        byOperation.get(operation.name()),
+                        callerGroup(caller))) {
+            totals.earned += valueFactor * operation.value();
+            totals.tries += attempts;
+            switch (outcome) {
+                case SUCCEEDED -> totals.succeeded++;
+                case THROTTLED -> totals.throttled++;
+                case ERRORED -> totals.errored++;
+                case TIMED_OUT -> totals.timedOut++;
                 default -> throw new IllegalStateException();
             }
         }
     }
 
     void died(double at) {
-        deaths++;
+        serverCrashes++;
     }
 
-    void sample(double at, int boxes, int held, int running, int ledger) {
-        looks.add(new Look(at, boxes, held, running, ledger));
+    void sample(double at, int servers, int attempts, int runningJobs, int callsInProgress) {
+        samples.add(new Look(at, servers, attempts, runningJobs, callsInProgress));
     }
 
-    void over(RuleChecker held, long done, long called, long fell) {
-        rules = held;
-        events = done;
-        calls = called;
-        falls = fell;
+    void over(RuleChecker checker, long events, long calls, long outages) {
+        rules = checker;
+        executedEvents = events;
+        recordsServiceCalls = calls;
+        recordsServiceOutages = outages;
     }
 
-    /** Billed value earned, as a share of what could be earned. */
+    /** Returns the earned share of the billed value that could be earned, 1 if there is none. */
     public double valueShare() {
-        double offered = seconds.stream().mapToDouble(each -> each.offered).sum();
-        return offered == 0 ? 1 : seconds.stream().mapToDouble(each -> each.earned).sum() / offered;
+        double offered = seconds.stream().mapToDouble(totals -> totals.offered).sum();
+        return offered == 0
+                ? 1
+                : seconds.stream().mapToDouble(totals -> totals.earned).sum() / offered;
     }
 
-    /**
-     * The same of the first tenth of the callers, to whom {@code skew} gives more than their part.
-     */
+    /** Returns the value share of the first tenth of the callers, who send more under skew. */
     public double loudShare() {
-        return loud.offered == 0 ? 1 : loud.earned / loud.offered;
+        return heavyCallers.offered == 0 ? 1 : heavyCallers.earned / heavyCallers.offered;
     }
 
-    /** The same of all other callers. */
+    /** Returns the value share of all other callers. */
     public double othersShare() {
-        return others.offered == 0 ? 1 : others.earned / others.offered;
+        return otherCallers.offered == 0 ? 1 : otherCallers.earned / otherCallers.offered;
     }
 
-    /** The same over the worst ten seconds on end. */
+    /** Returns the lowest value share of any ten consecutive seconds. */
     public double worstTen() {
         double worst = 1;
         for (int i = 0; i + 10 <= seconds.size(); i++) {
             double offered = 0;
             double earned = 0;
-            for (Second each : seconds.subList(i, i + 10)) {
-                offered += each.offered;
-                earned += each.earned;
+            for (Second totals : seconds.subList(i, i + 10)) {
+                offered += totals.offered;
+                earned += totals.earned;
             }
             if (offered > 0) {
                 worst = Math.min(worst, earned / offered);
@@ -164,26 +184,28 @@
         return worst;
     }
 
-    /** Milliseconds within which this percentage of those that succeeded did. */
+    /** Returns a percentile, 0 to 100, of the latency of successful requests, milliseconds. */
     public double tookMs(double percentile) {
-        return took.getValueAtPercentile(percentile) / 1e3;
+        return latencies.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** Tries for each that was asked. */
+    /** Returns the mean number of attempts per request. */
     public double triesEach() {
-        return seconds.stream().mapToInt(each -> each.tries).sum() / (double) Math.max(1, asked());
+        return seconds.stream().mapToInt(totals -> totals.tries).sum()
+                / (double) Math.max(1, asked());
     }
 
     public int asked() {
-        return seconds.stream().mapToInt(each -> each.asked).sum();
+        return seconds.stream().mapToInt(totals -> totals.asked).sum();
     }
 
+    /** Returns the totals of the requests that were sent in each second of the run. */
     public List<Second> seconds() {
         return seconds;
     }
 
     public List<Look> looks() {
-        return looks;
+        return samples;
     }
 
     public Map<String, Second> byOperation() {
@@ -191,11 +213,11 @@
     }
 
     public Histogram took() {
-        return took;
+        return latencies;
     }
 
     public double deaths() {
-        return deaths;
+        return serverCrashes;
     }
 
     public RuleChecker rules() {
@@ -203,39 +225,41 @@
     }
 
     public long events() {
-        return events;
+        return executedEvents;
     }
 
+    /** Returns the number of calls to the records service. */
     public long calls() {
-        return calls;
+        return recordsServiceCalls;
     }
 
+    /** Returns how often too many queued calls took the records service down. */
     public long falls() {
-        return falls;
+        return recordsServiceOutages;
     }
 
-    /** What the script asks for and this run does not have, a line each. */
+    /** Returns one line for each expectation of the scenario that this run misses. */
     public List<String> missed() {
-        List<String> missed = new ArrayList<>();
-        if (valueShare() < script.expect().valueShare()) {
-            missed.add(
+        List<String> messages = new ArrayList<>();
+        if (valueShare() < scenario.expect().valueShare()) {
+            messages.add(
                     String.format(
                             java.util.Locale.ROOT,
                             "value share %.3f under %.3f",
                             valueShare(),
-                            script.expect().valueShare()));
+                            scenario.expect().valueShare()));
         }
-        if (script.expect().p99Ms() > 0 && tookMs(99) > script.expect().p99Ms()) {
-            missed.add(
+        if (scenario.expect().p99Ms() > 0 && tookMs(99) > scenario.expect().p99Ms()) {
+            messages.add(
                     String.format(
                             java.util.Locale.ROOT,
                             "p99 of %.0f ms over %.0f",
                             tookMs(99),
-                            script.expect().p99Ms()));
+                            scenario.expect().p99Ms()));
         }
-        if (script.expect().rules() && rules.count() > 0) {
-            missed.add(rules.count() + " broken rules, first " + rules.broken().get(0));
+        if (scenario.expect().rules() && rules.count() > 0) {
+            messages.add(rules.count() + " broken rules, first " + rules.broken().get(0));
         }
-        return missed;
+        return messages;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/package-info.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Models of what is round the decisions: boxes with their cores, the ledger, the network, gateways
- * and callers.
+ * Models of what surrounds the admission decisions: servers with their cores and disks, the records
+ * service, the network, gateways and clients.
  */
 package ochretiller.emulator.simulation;
