--- a/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
+++ b/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Checks the events on emulated servers against the rules. All violations are counted; the first
- * {@value #MAX_REPORTED_VIOLATIONS} are recorded as text. All times are seconds since the start.
+ * Checks the events on emulated servers against the rules. Counts all violations and records the
+ * first ones as text. All times are seconds since the start.
  */
 public final class RuleChecker {
     /** Recorded violations; the first ones are enough to find the cause. */
--- a/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
@@ -305,6 +305,7 @@
         removeIfDone(attempt);
     }
 
+    /** Stops the server at once and resets its open attempts. */
     void die() {
         if (state == State.DEAD) {
             return;
@@ -352,10 +353,12 @@
         cpu.slow(factor);
     }
 
+    /** Sets the share of new runs that fail at once. */
     void fail(double share) {
         failureShare = share;
     }
 
+    /** Starts a graceful shutdown, at whose end every attempt must have been answered. */
     void leave() {
         if (state != State.UP) {
             return;
--- a/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
@@ -218,7 +218,7 @@
         return openAttempts.getOrDefault(server, 0);
     }
 
-    /** Draws a random server, an ineligible one only if {@link #MAX_DRAWS} draws find no other. */
+    /** Draws a random server; it is ineligible only if no draw found an eligible one. */
     private EmulatedServer randomServer(ClientRequest request) {
         EmulatedServer server = null;
         for (int i = 0; i < MAX_DRAWS; i++) {
--- a/emulator/src/test/java/ochretiller/emulator/RuleCheckerTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/RuleCheckerTest.java
@@ -5,7 +5,7 @@
 import ochretiller.emulator.rules.RuleChecker;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is seen to break where it is broken, and only there. */
+/** Checks that each rule reports exactly its own violations. */
 class RuleCheckerTest {
     private final RuleChecker rules = new RuleChecker();
 
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void oneAnswerInTimeBreaksNothing() {
+    void oneAnswerInTimeIsNoViolation() {
         read(1);
         runs(1, "t");
         rules.answered(2, 1, false, -1, -1);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void noAnswerASecondOneAndALateOneBreakTheFirst() {
+    void missingSecondAndLateAnswersAreViolations() {
         read(1);
         rules.over(30);
         assertThat(rules.broken()).singleElement().asString().contains("never answered");
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aSecondRunInItsWindowAndAThrottleBehindOneBreakTheSecond() {
+    void secondRunInWindowAndThrottlingAfterRunAreViolations() {
         read(1);
         runs(1, "t");
         rules.answered(2, 1, true, -1, -1);
@@ -52,13 +52,13 @@
         assertThat(rules.broken().get(1)).contains("ran twice");
         read(3);
         rules.runs(21, 3, "box", "t", 40, 100, 20);
-        assertThat(rules.count()).as("its window is over").isEqualTo(2);
+        assertThat(rules.count()).as("after the end of the deduplication window").isEqualTo(2);
         rules.runs(21, 3, "another", "t", 40, 100, 20);
-        assertThat(rules.count()).as("another box has a table of its own").isEqualTo(2);
+        assertThat(rules.count()).as("tokens are tracked per server").isEqualTo(2);
     }
 
     @Test
-    void aRunOfWhatCameBehindTheGraceAndAnEndWithoutAnswerBreakTheThird() {
+    void runOfArrivalAfterGraceAndShutdownWithoutAnswerAreViolations() {
         read(1);
         rules.runs(9, 1, "box", null, 0, 7, 8);
         assertThat(rules.broken()).singleElement().asString().contains("grace");
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void whoIsGoneOrDeadIsOwedNothing() {
+    void noAnswerIsOwedAfterClientLeftOrServerDied() {
         read(1);
         rules.gone(1);
         read(2);
@@ -77,12 +77,12 @@
     }
 
     @Test
-    void whoStandsStillAtADueTimeAnswersOnceItGoesOn() {
+    void deadlineDuringPauseMovesToItsEnd() {
         read(1);
         rules.answered(7, 1, false, 4, 7);
         assertThat(rules.broken()).isEmpty();
         read(2);
         rules.answered(7, 2, false, 5.5, 7);
-        assertThat(rules.broken()).as("it stood still behind the due time only").hasSize(1);
+        assertThat(rules.broken()).as("the pause began after the deadline").hasSize(1);
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/ScenarioTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/ScenarioTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ScenarioTest {
-    private static final String SMALL =
+    private static final String SMALL_SCRIPT =
             """
             { seconds: 8, fleet: { boxes: 3, boot_s: 1, cold_s: 2 }, gateways: { count: 3, list_s: 0.5 },
               operations: [ { name: 'read', work_ms: 20, objective_ms: 500, timeout_ms: 1500 },
@@ -35,77 +35,81 @@
               traffic: { per_second: 60, callers: 20 }, incidents: [ %s ] }\
             """;
 
-    private static Scenario small(String incidents) {
-        return ScenarioReader.of(SMALL.formatted(incidents), "small");
+    private static Scenario smallScenario(String incidents) {
+        return ScenarioReader.of(SMALL_SCRIPT.formatted(incidents), "small");
     }
 
-    private static String told(SimulationResult outcome) {
-        StringBuilder told =
+    private static String summary(SimulationResult result) {
+        StringBuilder summary =
                 new StringBuilder()
-                        .append(outcome.valueShare())
+                        .append(result.valueShare())
                         .append(' ')
-                        .append(outcome.events());
-        outcome.seconds()
+                        .append(result.events());
+        result.seconds()
                 .forEach(
                         each ->
-                                told.append(' ')
+                                summary.append(' ')
                                         .append(each.succeeded)
                                         .append('/')
                                         .append(each.tries));
-        return told.toString();
+        return summary.toString();
     }
 
     @Test
-    void sameSeedGivesTheSameRunByOneThreadAndByMany() throws Exception {
-        Scenario script =
-                small("{ at_s: 3, what: 'die', share: 0.4 }, { at_s: 4, what: 'burst', for_s: 2 }");
-        List<ParallelRunner.Run> all =
+    void sameSeedGivesSameResultOnOneThreadAndOnMany() throws Exception {
+        Scenario scenario =
+                smallScenario(
+                        "{ at_s: 3, what: 'die', share: 0.4 },"
+                                + " { at_s: 4, what: 'burst', for_s: 2 }");
+        List<ParallelRunner.Run> runs =
                 Stream.iterate(1L, seed -> seed + 1)
                         .limit(12)
-                        .map(seed -> new ParallelRunner.Run(script, seed))
+                        .map(seed -> new ParallelRunner.Run(scenario, seed))
                         .toList();
-        try (ParallelRunner one = new ParallelRunner(1);
-                ParallelRunner many = new ParallelRunner(8)) {
-            List<String> alone = one.play(all).stream().map(ScenarioTest::told).toList();
-            assertThat(many.play(all).stream().map(ScenarioTest::told).toList()).isEqualTo(alone);
-            assertThat(alone).doesNotHaveDuplicates();
+        try (ParallelRunner singleThreaded = new ParallelRunner(1);
+                ParallelRunner multiThreaded = new ParallelRunner(8)) {
+            List<String> expected =
+                    singleThreaded.play(runs).stream().map(ScenarioTest::summary).toList();
+            assertThat(multiThreaded.play(runs).stream().map(ScenarioTest::summary).toList())
+                    .isEqualTo(expected);
+            assertThat(expected).doesNotHaveDuplicates();
         }
     }
 
     @Test
-    void incidentThatTakesNobodyChangesNothing() {
+    void incidentWithZeroShareChangesNothing() {
         assertThat(
-                        told(new Simulation(
-                                                small(
-                                                        "{ at_s: 3, what: 'slow', share: 0, for_s:"
-                                                                + " 3 }"),
-                                                5)
-                                        .play())
+                        summary(
+                                        new Simulation(
+                                                        smallScenario(
+                                                                "{ at_s: 3, what: 'slow', share: 0,"
+                                                                        + " for_s: 3 }"),
+                                                        5)
+                                                .play())
                                 .replaceAll(" \\d+ ", " "))
-                .isEqualTo(told(new Simulation(small(""), 5).play()).replaceAll(" \\d+ ", " "));
+                .isEqualTo(
+                        summary(new Simulation(smallScenario(""), 5).play())
+                                .replaceAll(" \\d+ ", " "));
     }
 
     static Stream<Path> scripts() throws IOException {
         return Files.list(Path.of("scripts")).filter(Files::isRegularFile).sorted();
     }
 
-    /**
-     * The short rehearsal of CI: each script of the folder, cut to its first incidents, with a
-     * fixed seed.
-     */
+    /** Runs each script of the folder with a fixed seed, as the short rehearsal of CI. */
     @ParameterizedTest
     @MethodSource("scripts")
     void rulesHoldInEachScript(Path file) {
-        SimulationResult outcome = new Simulation(ScenarioReader.read(file), 3).play();
-        assertThat(outcome.rules().broken()).isEmpty();
-        assertThat(outcome.rules().runs()).isGreaterThan(1_000);
-        assertThat(outcome.valueShare()).isBetween(0.3, 1.0);
+        SimulationResult result = new Simulation(ScenarioReader.read(file), 3).play();
+        assertThat(result.rules().broken()).isEmpty();
+        assertThat(result.rules().runs()).isGreaterThan(1_000);
+        assertThat(result.valueShare()).isBetween(0.3, 1.0);
     }
 
     @Test
-    void incidentsCostValueAndItComesBack() {
-        SimulationResult calm = new Simulation(small(""), 1).play();
-        assertThat(calm.valueShare()).isGreaterThan(0.95);
+    void incidentsReduceValueAndServiceRecovers() {
+        SimulationResult undisturbed = new Simulation(smallScenario(""), 1).play();
+        assertThat(undisturbed.valueShare()).isGreaterThan(0.95);
         for (String incident :
                 List.of(
                         "{ at_s: 2, what: 'pause', share: 1, for_s: 2 }",
@@ -115,23 +119,27 @@
                         "{ at_s: 2, what: 'slow', share: 1, for_s: 2, strength: 8 }",
                         "{ at_s: 2, what: 'ledger-down', for_s: 2 }",
                         "{ at_s: 2, what: 'ledger-slow', for_s: 2, strength: 200 }")) {
-            SimulationResult hit = new Simulation(small(incident), 1).play();
-            assertThat(hit.valueShare()).as(incident).isLessThan(calm.valueShare() - 0.02);
-            assertThat(hit.seconds().get(7).succeeded).as(incident).isPositive();
+            SimulationResult disturbed = new Simulation(smallScenario(incident), 1).play();
+            assertThat(disturbed.valueShare())
+                    .as(incident)
+                    .isLessThan(undisturbed.valueShare() - 0.02);
+            assertThat(disturbed.seconds().get(7).succeeded).as(incident).isPositive();
         }
     }
 
     @Test
-    void keyedRepeatsBehindARestartAreAnsweredFromWhatIsRemembered() {
+    void keyedRetriesAfterRestartAreAnsweredFromDurableRecords() {
         String incidents =
                 "{ at_s: 2, what: 'die', share: 0.4 }, { at_s: 4, what: 'die', share: 0.4 }";
-        Scenario remembers =
+        Scenario durableScenario =
                 ScenarioReader.of(
-                        SMALL.formatted(incidents).replace("boxes: 3", "boxes: 3, remembers: true"),
+                        SMALL_SCRIPT
+                                .formatted(incidents)
+                                .replace("boxes: 3", "boxes: 3, remembers: true"),
                         "small");
-        SimulationResult outcome = new Simulation(remembers, 2).play();
-        assertThat(outcome.deaths()).isEqualTo(4);
-        assertThat(outcome.rules().broken()).isEmpty();
+        SimulationResult result = new Simulation(durableScenario, 2).play();
+        assertThat(result.deaths()).isEqualTo(4);
+        assertThat(result.rules().broken()).isEmpty();
     }
 
     @ParameterizedTest
@@ -141,50 +149,53 @@
                 "{ at_s: 1, what: 'flood' }",
                 "{ at_s: 1, what: 'die', share: 2 }"
             })
-    void faultIsToldWithItsPlace(String fault) {
-        String text = fault.startsWith("{ seconds") ? fault : SMALL.formatted(fault);
+    void schemaErrorIsReportedWithLineAndColumn(String scriptOrIncident) {
+        String text =
+                scriptOrIncident.startsWith("{ seconds")
+                        ? scriptOrIncident
+                        : SMALL_SCRIPT.formatted(scriptOrIncident);
         assertThatThrownBy(() -> ScenarioReader.of(text, "x"))
                 .isInstanceOf(MalformedException.class)
                 .hasMessageMatching("(?s)x:\\d+:\\d+: .*");
     }
 
     @Test
-    void partsThatDoNotFitAreTold() {
-        assertThatThrownBy(() -> small("{ at_s: 9, what: 'die' }"))
+    void inconsistentScriptIsRejected() {
+        assertThatThrownBy(() -> smallScenario("{ at_s: 9, what: 'die' }"))
                 .hasMessageContaining("not before the end of the run");
         assertThatThrownBy(
                         () ->
                                 ScenarioReader.of(
-                                        SMALL.formatted("")
+                                        SMALL_SCRIPT.formatted("")
                                                 .replace("name: 'order'", "name: 'read'"),
                                         "x"))
                 .hasMessageContaining("duplicate operation");
     }
 
     @Test
-    void drawnIncidentsMakeGoodScriptsAndTheWorstIsCutDown(@TempDir Path folder) throws Exception {
-        Scenario base = small("");
-        SplittableRandom chance = new SplittableRandom(4);
+    void drawnIncidentsAreValidAndTheWorstRunIsShrunk(@TempDir Path folder) throws Exception {
+        Scenario base = smallScenario("");
+        SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 200; i++) {
-            for (Scenario.Incident each : RandomIncidents.draw(base, chance)) {
+            for (Scenario.Incident each : RandomIncidents.draw(base, random)) {
                 assertThat(each.atS()).isBetween(0.0, 8.0);
                 assertThat(each.what()).isNotEqualTo("disk-stall");
             }
         }
-        try (ParallelRunner runs = new ParallelRunner(4)) {
-            FaultSearch hunt = new FaultSearch(runs, base, 1);
-            FaultSearch.Find found = hunt.search(8, 8, said -> {});
-            FaultSearch.Find cut = hunt.cut(found, said -> {});
-            assertThat(cut.script().incidents().size())
-                    .isLessThanOrEqualTo(found.script().incidents().size());
-            assertThat(new Simulation(cut.script(), cut.seed()).play().valueShare())
-                    .isEqualTo(cut.value());
+        try (ParallelRunner runner = new ParallelRunner(4)) {
+            FaultSearch search = new FaultSearch(runner, base, 1);
+            FaultSearch.Find finding = search.search(8, 8, message -> {});
+            FaultSearch.Find shrunk = search.cut(finding, message -> {});
+            assertThat(shrunk.script().incidents().size())
+                    .isLessThanOrEqualTo(finding.script().incidents().size());
+            assertThat(new Simulation(shrunk.script(), shrunk.seed()).play().valueShare())
+                    .isEqualTo(shrunk.value());
         }
     }
 
     @Test
-    void variantsChangeMembersOrSettings(@TempDir Path folder) throws Exception {
-        Path file = Files.writeString(folder.resolve("small.json5"), SMALL.formatted(""));
+    void variantOverridesSectionMembersOrSettings(@TempDir Path folder) throws Exception {
+        Path file = Files.writeString(folder.resolve("small.json5"), SMALL_SCRIPT.formatted(""));
         Scenario variant =
                 ScenarioReader.variant(
                         file, "gateways.choice=least,fleet.cores=4,familyInfo.advert=window");
@@ -199,36 +210,37 @@
     }
 
     @Test
-    void experimentsStopOnceTheyKnowEnoughWhateverTheCores() throws Exception {
-        Scenario script = small("");
-        List<Integer> seeds = new java.util.ArrayList<>();
+    void experimentStopsAtTargetPrecisionForAnyThreadCount() throws Exception {
+        Scenario scenario = smallScenario("");
+        List<Integer> seedCounts = new java.util.ArrayList<>();
         for (int cores : new int[] {1, 4}) {
-            try (ParallelRunner runs = new ParallelRunner(cores)) {
+            try (ParallelRunner runner = new ParallelRunner(cores)) {
                 Experiment experiment =
-                        new Experiment(List.of(script), 1, 30, 0.01, SimulationResult::valueShare);
-                experiment.play(runs, cores * 2, said -> {});
-                seeds.add(experiment.seeds());
+                        new Experiment(
+                                List.of(scenario), 1, 30, 0.01, SimulationResult::valueShare);
+                experiment.play(runner, cores * 2, message -> {});
+                seedCounts.add(experiment.seeds());
                 assertThat(experiment.estimate(0, SimulationResult::valueShare).half())
                         .isLessThanOrEqualTo(0.01);
             }
         }
-        assertThat(seeds.get(0)).isBetween(5, 29).isEqualTo(seeds.get(1));
+        assertThat(seedCounts.get(0)).isBetween(5, 29).isEqualTo(seedCounts.get(1));
     }
 
     @Test
-    void estimatesAreStudents() {
-        ConfidenceInterval estimate = ConfidenceInterval.of(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
-        assertThat(estimate.mean()).isEqualTo(3);
-        assertThat(estimate.half())
-                .isBetween(1.962, 1.964); // 2.776 times 1.5811 over the root of 5
+    void intervalAndPValueFollowStudentsT() {
+        ConfidenceInterval interval = ConfidenceInterval.of(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
+        assertThat(interval.mean()).isEqualTo(3);
+        assertThat(interval.half())
+                .isBetween(1.962, 1.964); // 2.776 * 1.5811 / sqrt(5)
         assertThat(ConfidenceInterval.chance(List.of(1.0, 2.0, 3.0, 4.0, 5.0)))
                 .isBetween(0.0130, 0.0135);
         assertThat(ConfidenceInterval.of(List.of(1.0)).half()).isInfinite();
     }
 
     @Test
-    void commandLineTellsFaultsByItsExitCode(@TempDir Path folder) throws Exception {
-        Path script = Files.writeString(folder.resolve("small.json5"), SMALL.formatted(""));
+    void exitCodeReportsFailures(@TempDir Path folder) throws Exception {
+        Path script = Files.writeString(folder.resolve("small.json5"), SMALL_SCRIPT.formatted(""));
         assertThat(SimulateCommand.execute("check", script.toString())).isZero();
         assertThat(
                         SimulateCommand.execute(
@@ -246,11 +258,12 @@
                                 "check",
                                 Files.writeString(folder.resolve("bad.json5"), "{").toString()))
                 .isEqualTo(2);
-        Path strict =
+        Path strictScript =
                 Files.writeString(
                         folder.resolve("strict.json5"),
-                        SMALL.formatted("{ at_s: 1, what: 'die' }")
+                        SMALL_SCRIPT.formatted("{ at_s: 1, what: 'die' }")
                                 .replace("seconds: 8", "seconds: 8, expect: { value_share: 1 }"));
-        assertThat(SimulateCommand.execute("run", strict.toString(), "--seeds", "1")).isEqualTo(1);
+        assertThat(SimulateCommand.execute("run", strictScript.toString(), "--seeds", "1"))
+                .isEqualTo(1);
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/simulation/QueueingTheoryTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/simulation/QueueingTheoryTest.java
@@ -17,85 +17,89 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The models of cores and records service against what queueing theory has for them. Seeds are
- * fixed: the verdict is, too.
+ * Checks the models of cores and of the records service against queueing theory. Seeds are fixed,
+ * so the result is the same in every run.
  */
 class QueueingTheoryTest {
-    private static final int BATCHES = 30;
+    private static final int BATCH_COUNT = 30;
 
-    /** Enough that intervals are under three hundredths at loads of 0.9. */
-    private static final int COUNT = 4_000_000;
+    /** Keeps the relative half-width of the interval below 0.03 at a load of 0.9. */
+    private static final int SAMPLE_COUNT = 4_000_000;
 
-    private static final double NARROW = 0.03;
+    private static final double MAX_RELATIVE_HALF_WIDTH = 0.03;
     private final EventQueue events = new EventQueue();
 
-    /** Mean of batches of times, and half of its 99 % interval. */
-    private record Mean(double mean, double half) {
-        private void holds(double theory) {
-            assertThat(theory)
-                    .as("theory beside %.4f ± %.4f", mean, half)
-                    .isBetween(mean - half, mean + half);
-            assertThat(half / mean).as("an interval that can tell").isLessThan(NARROW);
+    /** Mean of the batch means, and half the width of its 99 % confidence interval. */
+    private record Mean(double mean, double halfWidth) {
+        private void assertContains(double expected) {
+            assertThat(expected)
+                    .as("expected mean, measured %.4f ± %.4f", mean, halfWidth)
+                    .isBetween(mean - halfWidth, mean + halfWidth);
+            assertThat(halfWidth / mean)
+                    .as("relative half-width of the interval")
+                    .isLessThan(MAX_RELATIVE_HALF_WIDTH);
         }
     }
 
-    /** Times as they come. */
-    private static final class Times {
-        private final double[] all = new double[COUNT];
+    /** Measured durations in the order in which they ended, seconds. */
+    private static final class Durations {
+        private final double[] values = new double[SAMPLE_COUNT];
         private int count;
 
         private void add(double time) {
-            all[count++] = time;
+            values[count++] = time;
         }
     }
 
-    private static Mean mean(Times times) {
-        SummaryStatistics batches = new SummaryStatistics();
-        int first = times.count / 10; // the system fills
-        int size = (times.count - first) / BATCHES;
-        for (int batch = 0; batch < BATCHES; batch++) {
+    private static Mean mean(Durations durations) {
+        SummaryStatistics batchMeans = new SummaryStatistics();
+        int warmUp = durations.count / 10; // until the system is in a steady state
+        int batchSize = (durations.count - warmUp) / BATCH_COUNT;
+        for (int batch = 0; batch < BATCH_COUNT; batch++) {
             double sum = 0;
-            for (int i = first + batch * size; i < first + (batch + 1) * size; i++) {
-                sum += times.all[i];
+            for (int i = warmUp + batch * batchSize; i < warmUp + (batch + 1) * batchSize; i++) {
+                sum += durations.values[i];
             }
-            batches.addValue(sum / size);
+            batchMeans.addValue(sum / batchSize);
         }
-        double t = new TDistribution(BATCHES - 1).inverseCumulativeProbability(0.995);
-        return new Mean(batches.getMean(), t * batches.getStandardDeviation() / Math.sqrt(BATCHES));
+        double t = new TDistribution(BATCH_COUNT - 1).inverseCumulativeProbability(0.995);
+        return new Mean(
+                batchMeans.getMean(),
+                t * batchMeans.getStandardDeviation() / Math.sqrt(BATCH_COUNT));
     }
 
-    private void arrive(int count, double rate, SplittableRandom chance, Runnable each) {
+    private void arrive(int count, double rate, SplittableRandom random, Runnable onArrival) {
         if (count == 0) {
             return;
         }
         events.after(
-                RandomStreams.exponential(chance, 1 / rate),
+                RandomStreams.exponential(random, 1 / rate),
                 () -> {
-                    each.run();
-                    arrive(count - 1, rate, chance, each);
+                    onArrival.run();
+                    arrive(count - 1, rate, random, onArrival);
                 });
     }
 
-    /** Times in the system of jobs on shared cores. */
-    private Mean sojourn(int cores, double load, DoubleSupplier work) {
-        CpuModel shared = new CpuModel(events, cores, 1e9, 0, 1, 0, false);
-        Times times = new Times();
+    /** Simulates jobs on shared cores and returns the mean of their sojourn times. */
+    private Mean meanSojournTime(int cores, double load, DoubleSupplier work) {
+        CpuModel cpu = new CpuModel(events, cores, 1e9, 0, 1, 0, false);
+        Durations durations = new Durations();
         arrive(
-                COUNT,
+                SAMPLE_COUNT,
                 load * cores,
                 new SplittableRandom(1),
                 () -> {
-                    double began = events.seconds();
-                    shared.add(work.getAsDouble(), () -> times.add(events.seconds() - began));
+                    double startedAt = events.seconds();
+                    cpu.add(work.getAsDouble(), () -> durations.add(events.seconds() - startedAt));
                 });
         events.run(1e8);
-        assertThat(times.count).isEqualTo(COUNT);
-        return mean(times);
+        assertThat(durations.count).isEqualTo(SAMPLE_COUNT);
+        return mean(durations);
     }
 
     /**
-     * Shared by turns without loss, the mean time depends on the mean of the work alone: 1 over 1
-     * less the load.
+     * Under processor sharing without overload losses, the mean sojourn time depends only on the
+     * mean of the work and the load: it is 1 / (1 - load) for a mean of 1.
      */
     @ParameterizedTest
     @CsvSource({
@@ -108,19 +112,19 @@
         "spread, 0.3",
         "spread, 0.8"
     })
-    void oneSharedCore(String kind, double load) {
-        SplittableRandom chance = new SplittableRandom(2);
+    void oneSharedCoreMatchesProcessorSharing(String kind, double load) {
+        SplittableRandom random = new SplittableRandom(2);
         DoubleSupplier work =
                 kind.equals("fixed")
                         ? () -> 1
                         : kind.equals("spread")
-                                ? () -> RandomStreams.around(chance, 1, 1)
-                                : () -> RandomStreams.exponential(chance, 1);
-        sojourn(1, load, work).holds(1 / (1 - load));
+                                ? () -> RandomStreams.around(random, 1, 1)
+                                : () -> RandomStreams.exponential(random, 1);
+        meanSojournTime(1, load, work).assertContains(1 / (1 - load));
     }
 
-    /** The chance that one has to wait at c servers, by Erlang's second formula. */
-    private static double waits(int servers, double offered) {
+    /** Returns the probability of having to wait for a server, by the Erlang C formula. */
+    private static double waitProbability(int servers, double offered) {
         double term = 1;
         double sum = 1;
         for (int i = 1; i < servers; i++) {
@@ -132,103 +136,105 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.6, 0.9})
-    void fourSharedCores(double load) {
-        SplittableRandom chance = new SplittableRandom(3);
-        // As many are there as with four servers and one queue, and so, by Little, the mean time is
-        // the same.
-        sojourn(4, load, () -> RandomStreams.exponential(chance, 1))
-                .holds(1 + waits(4, 4 * load) / (4 * (1 - load)));
+    void fourSharedCoresMatchErlangC(double load) {
+        SplittableRandom random = new SplittableRandom(3);
+        // The number of jobs in the system is distributed as with four servers and one queue, so by
+        // Little's law the mean sojourn time is the same.
+        meanSojournTime(4, load, () -> RandomStreams.exponential(random, 1))
+                .assertContains(1 + waitProbability(4, 4 * load) / (4 * (1 - load)));
     }
 
-    private record Called(Times times, int turnedAway) {}
+    private record CallResults(Durations durations, int rejectedCount) {}
 
-    private Called calls(int slots, double load, int waits) {
-        RecordsServiceModel ledger =
+    private CallResults simulateCalls(int slots, double load, int queueCapacity) {
+        RecordsServiceModel service =
                 new RecordsServiceModel(
                         events,
-                        new Scenario.Ledger(slots, 1_000, waits, 0, 0),
+                        new Scenario.Ledger(slots, 1_000, queueCapacity, 0, 0),
                         new SplittableRandom(4));
-        Times times = new Times();
-        int[] away = {0};
+        Durations durations = new Durations();
+        int[] rejected = {0};
         arrive(
-                COUNT,
+                SAMPLE_COUNT,
                 load * slots,
                 new SplittableRandom(5),
                 () -> {
-                    double began = events.seconds();
-                    Consumer<CallOutcome.Status> then =
+                    double startedAt = events.seconds();
+                    Consumer<CallOutcome.Status> onOutcome =
                             result -> {
                                 if (result == CallOutcome.Status.REJECTED) {
-                                    away[0]++;
+                                    rejected[0]++;
                                 } else {
-                                    times.add(events.seconds() - began);
+                                    durations.add(events.seconds() - startedAt);
                                 }
                             };
-                    ledger.call(then);
+                    service.call(onOutcome);
                 });
         events.run(1e8);
-        return new Called(times, away[0]);
+        return new CallResults(durations, rejected[0]);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.6, 0.9})
-    void recordsServiceWithRoomForAll(double load) {
-        mean(calls(3, load, 1_000_000).times).holds(1 + waits(3, 3 * load) / (3 * (1 - load)));
+    void recordsServiceWithLongQueueMatchesErlangC(double load) {
+        mean(simulateCalls(3, load, 1_000_000).durations)
+                .assertContains(1 + waitProbability(3, 3 * load) / (3 * (1 - load)));
     }
 
     @Test
-    void recordsServiceThatTurnsAway() {
+    void recordsServiceRejectsTheExpectedShare() {
         int slots = 3;
-        int waits = 4;
+        int queueCapacity = 4;
         double offered = 3 * 0.9;
         double term = 1;
         double sum = 1;
-        for (int i = 1; i <= slots + waits; i++) {
+        for (int i = 1; i <= slots + queueCapacity; i++) {
             sum += term *= offered / Math.min(i, slots);
         }
-        double lost = calls(slots, 0.9, waits).turnedAway / (double) COUNT;
-        assertThat(lost).isBetween(term / sum * 0.98, term / sum * 1.02);
+        double rejectedShare =
+                simulateCalls(slots, 0.9, queueCapacity).rejectedCount / (double) SAMPLE_COUNT;
+        assertThat(rejectedShare).isBetween(term / sum * 0.98, term / sum * 1.02);
     }
 
     @Test
-    void hundredThousandsThatAreCalledOffTakeNoTimeAndHappenNever() {
-        int[] happened = {0};
+    void manyCancelledEventsAreNotExecuted() {
+        int[] executed = {0};
         for (int i = 0; i < 300_000; i++) {
-            EventQueue.Event off = events.after(i * 1e-5, () -> happened[0]++);
+            EventQueue.Event event = events.after(i * 1e-5, () -> executed[0]++);
             if (i % 100 != 0) {
-                off.cancel();
+                event.cancel();
             }
         }
         events.run(10);
-        assertThat(happened[0]).isEqualTo(3_000);
+        assertThat(executed[0]).isEqualTo(3_000);
         assertThat(events.done()).isEqualTo(3_000);
     }
 
     @Test
-    void coldAndCrowdedCoresAreSlower() {
+    void coldCrowdedAndPausedCoresAreSlower() {
         CpuModel cold = new CpuModel(events, 1, 2, 0.5, 0.25, 10, true);
-        double[] ended = new double[3];
-        cold.add(0.25, () -> ended[0] = events.seconds());
+        double[] elapsed = new double[3];
+        cold.add(0.25, () -> elapsed[0] = events.seconds());
         events.run(20);
-        assertThat(ended[0])
-                .as("at a quarter of its speed, and a little more")
+        assertThat(elapsed[0])
+                .as("duration at a quarter of full speed or slightly more")
                 .isBetween(0.85, 1.0);
         CpuModel crowded = new CpuModel(events, 1, 2, 0.5, 1, 0, false);
-        double from = events.seconds();
+        double crowdedStart = events.seconds();
         for (int i = 0; i < 4; i++) {
-            crowded.add(1, () -> ended[1] = events.seconds() - from);
+            crowded.add(1, () -> elapsed[1] = events.seconds() - crowdedStart);
         }
         events.run(60);
-        assertThat(ended[1])
-                .as("four on one core, past a crowd of two: a third of the speed is lost")
+        assertThat(elapsed[1])
+                .as("four jobs on one core, with an overload slowdown of 1.5")
                 .isBetween(5.99, 6.01);
-        CpuModel stands = new CpuModel(events, 1, 2, 0, 1, 0, false);
-        double then = events.seconds();
-        stands.add(1, () -> ended[2] = events.seconds() - then);
-        stands.pause(true);
-        events.run(then + 5);
-        stands.pause(false);
-        events.run(then + 9);
-        assertThat(ended[2]).isBetween(5.999, 6.001);
+        CpuModel paused = new CpuModel(events, 1, 2, 0, 1, 0, false);
+        double pausedStart = events.seconds();
+        paused.add(1, () -> elapsed[2] = events.seconds() - pausedStart);
+        paused.pause(true);
+        events.run(pausedStart + 5);
+        paused.pause(false);
+        events.run(pausedStart + 9);
+        assertThat(elapsed[2]).isBetween(5.999, 6.001);
     }
 }
