--- a/emulator/src/main/java/ochretiller/emulator/experiment/ConfidenceInterval.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ConfidenceInterval.java
@@ -14,6 +14,7 @@
 public record ConfidenceInterval(double mean, double half, long count) {
     private static final double CONFIDENCE = 0.95;
 
+    /** Computes the interval of the mean of independent values. */
     public static ConfidenceInterval of(List<Double> values) {
         SummaryStatistics statistics = new SummaryStatistics();
         values.forEach(statistics::addValue);
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
@@ -99,6 +99,7 @@
         return results.get(variant);
     }
 
+    /** Returns the mean of a metric over the seeds used. */
     public ConfidenceInterval estimate(int variant, ToDoubleFunction<SimulationResult> metric) {
         return ConfidenceInterval.of(
                 results.get(variant).stream().map(each -> metric.applyAsDouble(each)).toList());
--- a/emulator/src/main/java/ochretiller/emulator/experiment/ParallelRunner.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ParallelRunner.java
@@ -17,6 +17,7 @@
 public final class ParallelRunner implements AutoCloseable {
     private final ExecutorService executor;
 
+    /** Creates a runner whose daemon threads end with {@link #close}. */
     public ParallelRunner(int threads) {
         executor =
                 Executors.newFixedThreadPool(
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
@@ -35,6 +35,12 @@
     private final long firstSeed;
     private final List<String> charts = new ArrayList<>();
 
+    /**
+     * Creates a report on an experiment that has been run.
+     *
+     * @param variantNames names of the variants, in the order of {@code scenarios}
+     * @param firstSeed the experiment's first seed
+     */
     public Report(
             Path folder,
             Experiment experiment,
--- a/emulator/src/main/java/ochretiller/emulator/faultsearch/FaultSearch.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/FaultSearch.java
@@ -21,6 +21,12 @@
     private final Scenario base;
     private final long seed;
 
+    /**
+     * Creates a search.
+     *
+     * @param base scenario whose incidents are replaced by random ones
+     * @param seed seed of the incidents, and of the first run
+     */
     public FaultSearch(ParallelRunner runner, Scenario base, long seed) {
         this.runner = runner;
         this.base = base;
--- a/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
+++ b/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
@@ -160,14 +160,17 @@
         return violationCount;
     }
 
+    /** Returns the number of attempts read. */
     public long reads() {
         return readCount;
     }
 
+    /** Returns the number of attempts that got a final answer. */
     public long answers() {
         return answerCount;
     }
 
+    /** Returns the number of runs started. */
     public long runs() {
         return runCount;
     }
--- a/emulator/src/main/java/ochretiller/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/Scenario.java
@@ -54,6 +54,12 @@
             boolean remembers,
             double forceMs) {}
 
+    /**
+     * The network between gateways, servers and the records service.
+     *
+     * @param delayMs least delay of a message in one direction
+     * @param jitterMs longest extra delay; the extra is uniformly distributed
+     */
     public record Network(double delayMs, double jitterMs) {}
 
     /**
--- a/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
@@ -53,6 +53,7 @@
     private long lastId;
     private long lastToken;
 
+    /** Creates a simulation that can be run once. */
     public Simulation(Scenario scenario, long seed) {
         this.script = scenario;
         this.seeds = new RandomStreams(seed);
--- a/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
@@ -80,6 +80,7 @@
                 : otherCallers;
     }
 
+    /** Counts a request when it is sent; one that is sent again is ignored. */
     void asked(Scenario.Operation operation, long caller, double sentAt, boolean first) {
         if (!first) {
             return;
@@ -195,6 +196,7 @@
                 / (double) Math.max(1, asked());
     }
 
+    /** Returns the number of first requests. */
     public int asked() {
         return seconds.stream().mapToInt(totals -> totals.asked).sum();
     }
@@ -204,26 +206,32 @@
         return seconds;
     }
 
+    /** Returns the samples of the fleet's state in the order of time. */
     public List<Look> looks() {
         return samples;
     }
 
+    /** Returns the totals by the name of the operation, in the order of the scenario. */
     public Map<String, Second> byOperation() {
         return byOperation;
     }
 
+    /** Returns the latencies of successful requests, microseconds. */
     public Histogram took() {
         return latencies;
     }
 
+    /** Returns the number of server crashes; graceful shutdowns are not counted. */
     public double deaths() {
         return serverCrashes;
     }
 
+    /** Returns the rule checker, null before the end of the run. */
     public RuleChecker rules() {
         return rules;
     }
 
+    /** Returns the number of simulation events executed. */
     public long events() {
         return executedEvents;
     }
