--- a/src/main/java/ochretiller/collections/BoundedMap.java
+++ b/src/main/java/ochretiller/collections/BoundedMap.java
@@ -12,15 +12,15 @@
 
     /** Returns an empty map that evicts the least recently accessed entry (LRU). */
     public static <K, V> Map<K, V> evictingLeastRecentlyUsed(int capacity) {
-        return new Evicting<>(capacity, true);
+        return new EvictingMap<>(capacity, true);
     }
 
     /** Returns an empty map that evicts the entry that was added first (FIFO). */
     public static <K, V> Map<K, V> evictingOldest(int capacity) {
-        return new Evicting<>(capacity, false);
+        return new EvictingMap<>(capacity, false);
     }
 
-    private static final class Evicting<K, V> extends LinkedHashMap<K, V> {
+    private static final class EvictingMap<K, V> extends LinkedHashMap<K, V> {
         private static final long serialVersionUID = 1;
 
         private static final int INITIAL_SIZE = 16;
@@ -28,7 +28,7 @@
 
         private final int capacity;
 
-        Evicting(int capacity, boolean orderedByAccess) {
+        EvictingMap(int capacity, boolean orderedByAccess) {
             super(INITIAL_SIZE, LOAD_FACTOR, orderedByAccess);
             this.capacity = capacity;
         }
--- a/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
+++ b/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
@@ -17,7 +17,7 @@
  * 4.3); the handling of states lost by all acceptors is an addition.
  */
 final class AcceptorRecovery {
-    /** Rounds to wait when all have lost their states, so that servers can report an epoch. */
+    /** Rounds of lost states before voting resumes; servers can report an epoch meanwhile. */
     private static final int LOST_ROUNDS = 4;
 
     private final String name;
@@ -25,7 +25,7 @@
     private final long instanceId;
     private final int quorum;
     private final Map<String, Long> highestEpochs = new HashMap<>();
-    private final Map<String, Long> lostInstances = new HashMap<>();
+    private final Map<String, Long> lostStartIds = new HashMap<>();
     private int roundsAllLost;
     private long nonce;
 
@@ -33,12 +33,12 @@
      * Creates the recovery of one acceptor.
      *
      * @param acceptors the names of all acceptors, this one included
-     * @param instanceId a random number that identifies this start of the process
+     * @param startId a random number that identifies this start of the process
      */
-    AcceptorRecovery(String name, Set<String> acceptors, long instanceId) {
+    AcceptorRecovery(String name, Set<String> acceptors, long startId) {
         this.name = name;
         this.acceptors = acceptors;
-        this.instanceId = instanceId;
+        this.instanceId = startId;
         this.quorum = ReplicaPlacement.quorumSize(acceptors.size());
     }
 
@@ -48,12 +48,12 @@
 
     /** Starts a round; answers to earlier rounds are ignored from now on. */
     ConsensusMessage.RecoveryQuery startRound() {
-        if (lostInstances.size() < acceptors.size()) {
+        if (lostStartIds.size() < acceptors.size()) {
             roundsAllLost = 0;
         }
         highestEpochs.clear();
-        lostInstances.clear();
-        lostInstances.put(name, instanceId);
+        lostStartIds.clear();
+        lostStartIds.put(name, instanceId);
         nonce++;
         return new ConsensusMessage.RecoveryQuery(nonce);
     }
@@ -82,16 +82,16 @@
      * @return the message for all acceptors; empty until all have lost their states in {@value
      *     #LOST_ROUNDS} rounds
      */
-    Optional<ConsensusMessage> stateLost(String from, long peerInstanceId) {
-        boolean isRepeated = lostInstances.put(from, peerInstanceId) != null;
-        if (isRepeated || lostInstances.size() < acceptors.size()) {
+    Optional<ConsensusMessage> stateLost(String from, long peerStartId) {
+        boolean isRepeated = lostStartIds.put(from, peerStartId) != null;
+        if (isRepeated || lostStartIds.size() < acceptors.size()) {
             return Optional.empty();
         }
         roundsAllLost++;
         if (roundsAllLost < LOST_ROUNDS) {
             return Optional.empty();
         }
-        return Optional.of(new ConsensusMessage.AllStateLost(Map.copyOf(lostInstances)));
+        return Optional.of(new ConsensusMessage.AllStateLost(Map.copyOf(lostStartIds)));
     }
 
     /** Whether a message applies to this start of the process, not to an earlier one. */
--- a/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
+++ b/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
@@ -65,8 +65,8 @@
      * All acceptors have lost their states at the same time, so no promise can still matter and
      * they resume voting.
      *
-     * @param instanceIds the instance IDs of all acceptors by name; an acceptor with a different ID
-     *     has restarted since and ignores the message
+     * @param instanceIds by acceptor name, the number that identifies the start of its process; an
+     *     acceptor with a different number has restarted since and ignores the message
      */
     record AllStateLost(Map<String, Long> instanceIds) implements ConsensusMessage {}
 
--- a/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
@@ -21,23 +21,23 @@
     private final List<OutboundConsensusMessage> outbound = new ArrayList<>();
 
     private EpochConsensus(
-            String name, Set<String> acceptors, EpochAcceptor acceptor, long instanceId) {
+            String name, Set<String> acceptors, EpochAcceptor acceptor, long startId) {
         this.name = name;
         this.acceptors = Set.copyOf(acceptors);
         this.acceptor = acceptor;
         this.proposer = new EpochProposer(name, ReplicaPlacement.quorumSize(this.acceptors.size()));
-        this.recovery = new AcceptorRecovery(name, this.acceptors, instanceId);
+        this.recovery = new AcceptorRecovery(name, this.acceptors, startId);
     }
 
     /**
      * Creates an acceptor that restarts with its stored state.
      *
      * @param acceptors the names of all acceptors, this one included
-     * @param instanceId a random number that identifies this start of the process
+     * @param startId a random number that identifies this start of the process
      */
     public static EpochConsensus resume(
-            String name, Set<String> acceptors, AcceptorState state, long instanceId) {
-        return new EpochConsensus(name, acceptors, new EpochAcceptor(state, false), instanceId);
+            String name, Set<String> acceptors, AcceptorState state, long startId) {
+        return new EpochConsensus(name, acceptors, new EpochAcceptor(state, false), startId);
     }
 
     /**
@@ -45,15 +45,15 @@
      * other acceptors have reported which epochs it may have made promises for.
      */
     public static EpochConsensus recover(
-            String name, Set<String> acceptors, int replicationFactor, long instanceId) {
+            String name, Set<String> acceptors, int replicationFactor, long startId) {
         AcceptorState state = AcceptorState.initial(replicationFactor);
-        return new EpochConsensus(name, acceptors, new EpochAcceptor(state, true), instanceId);
+        return new EpochConsensus(name, acceptors, new EpochAcceptor(state, true), startId);
     }
 
     /** Creates an acceptor of a new fleet without any epochs, which may vote at once. */
     public static EpochConsensus startFresh(
-            String name, Set<String> acceptors, int replicationFactor, long instanceId) {
-        return resume(name, acceptors, AcceptorState.initial(replicationFactor), instanceId);
+            String name, Set<String> acceptors, int replicationFactor, long startId) {
+        return resume(name, acceptors, AcceptorState.initial(replicationFactor), startId);
     }
 
     /** The state to write to disk before the messages of {@link #takeOutbound} are sent. */
@@ -83,7 +83,7 @@
         return all;
     }
 
-    /** Starts a round of recovery if the state is lost; to be called until it is recovered. */
+    /** Starts a recovery round if the state is lost; the caller repeats it until recovered. */
     public void requestRecovery() {
         if (acceptor.hasLostState()) {
             broadcast(recovery.startRound());
--- a/src/main/java/ochretiller/fleet/consensus/EpochProposer.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochProposer.java
@@ -69,7 +69,7 @@
         phase = Phase.IDLE;
     }
 
-    /** Processes a promise; returns the message for all acceptors if it makes a majority. */
+    /** Processes a promise; returns the message for all acceptors if it completes a majority. */
     Optional<ConsensusMessage> promised(String from, ConsensusMessage.Promise promise) {
         if (phase != Phase.PREPARING || !promise.ballot().equals(ballot)) {
             return Optional.empty();
@@ -92,7 +92,7 @@
         return highestAccepted.or(() -> proposed).orElseThrow();
     }
 
-    /** Processes an acceptance; returns the message for all servers if it makes a majority. */
+    /** Processes an acceptance; returns the message for all servers if it completes a majority. */
     Optional<ConsensusMessage> accepted(String from, ConsensusMessage.Accepted accepted) {
         if (phase != Phase.ACCEPTING || !accepted.ballot().equals(ballot)) {
             return Optional.empty();
--- a/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
+++ b/src/main/java/ochretiller/fleet/consensus/PlacementPlanner.java
@@ -36,8 +36,8 @@
      *     only after it has been gone for four times as long
      * @param maxWindow the longest idempotency window; entries missing from a replica for longer
      *     have expired
-     * @param minServers the number of servers that are never removed, since departed servers may
-     *     hold the only replicas
+     * @param minServers no server is removed from a placement of this size or smaller, since
+     *     departed servers may hold the only replicas
      */
     public PlacementPlanner(Duration settlingTime, Duration maxWindow, int minServers) {
         this.settlingTime = settlingTime;
--- a/src/main/java/ochretiller/fleet/consensus/RolloutPhase.java
+++ b/src/main/java/ochretiller/fleet/consensus/RolloutPhase.java
@@ -2,11 +2,11 @@
 
 /** The phase of a rollout. */
 public enum RolloutPhase {
-    /** It advances from stage to stage automatically. */
+    /** The rollout advances from stage to stage automatically. */
     RUNNING("RUNS"),
-    /** An operator has stopped it and may resume it or roll it back. */
+    /** An operator has stopped the rollout and may resume it or roll it back. */
     PAUSED("PAUSED"),
-    /** It stopped automatically because harmful effects of the version were detected. */
+    /** The rollout stopped automatically because harmful effects of the version were detected. */
     HALTED("HALTED"),
     /** All servers are to use its target version. */
     DONE("DONE");
--- a/src/main/java/ochretiller/fleet/consensus/package-info.java
+++ b/src/main/java/ochretiller/fleet/consensus/package-info.java
@@ -2,14 +2,14 @@
  * Consensus on numbered epochs: which servers hold replicas of which token ranges, and which
  * published version the servers use.
  *
- * <p><b>Job.</b> {@link ochretiller.fleet.consensus.EpochConsensus} runs one acceptor of a sequence
- * of single-decree Paxos instances (Lamport, "Paxos Made Simple", 2001), one per epoch. A value is
- * committed when a majority of the configured acceptors has accepted it under one ballot; only then
- * does the next epoch begin. The value is a {@link ochretiller.fleet.consensus.ReplicaPlacement},
- * which assigns ranges to servers by rendezvous hashing and contains a {@link
- * ochretiller.fleet.consensus.RolloutState}. {@link ochretiller.fleet.consensus.PlacementPlanner}
- * derives the placement to propose from the local membership view; views may disagree, but the
- * committed placement is the same everywhere.
+ * <p><b>Purpose.</b> {@link ochretiller.fleet.consensus.EpochConsensus} runs one acceptor of a
+ * sequence of single-decree Paxos instances (Lamport, "Paxos Made Simple", 2001), one per epoch. A
+ * value is committed when a majority of the configured acceptors has accepted it under one ballot;
+ * only then does the next epoch begin. The value is a {@link
+ * ochretiller.fleet.consensus.ReplicaPlacement}, which assigns ranges to servers by rendezvous
+ * hashing and contains a {@link ochretiller.fleet.consensus.RolloutState}. {@link
+ * ochretiller.fleet.consensus.PlacementPlanner} derives the placement to propose from the local
+ * membership view; views may disagree, but the committed placement is the same everywhere.
  *
  * <p><b>Departures from the papers.</b>
  *
@@ -28,7 +28,7 @@
  * passes in messages, the time and random numbers, and takes out messages to send. Before sending
  * them, it must write {@link ochretiller.fleet.consensus.EpochConsensus#durableState} to disk.
  *
- * <p><b>Neighbours.</b> {@code fleet.service} runs the protocol over sockets and files, the
+ * <p><b>Dependencies.</b> {@code fleet.service} runs the protocol over sockets and files, the
  * emulator in virtual time; {@code fleet.replication} and {@code fleet.rollout} act on committed
  * epochs; {@code fleet.transport} encodes the messages.
  */
--- a/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
+++ b/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
@@ -20,7 +20,7 @@
  * Not thread-safe.
  */
 public final class BootstrapPeers {
-    /** Maximum stored addresses. One live peer is enough, and so many rarely all move at once. */
+    /** Maximum stored addresses. One live peer is enough; so many rarely change address at once. */
     public static final int MAX_PEERS = 32;
 
     /** Minimum time between two lists to store. */
--- a/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
+++ b/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
@@ -36,19 +36,19 @@
                         zone -> !zone.equals(targetZone) && !zone.equals(ownZone));
         Set<Long> excluded = new HashSet<>(Set.of(probe.target()));
         for (Predicate<String> preferred : zonePreferences) {
-            Optional<Member> helper = chooseHelper(preferred, excluded, 2 * zonePreferences.size());
-            if (helper.isPresent()) {
-                excluded.add(helper.get().incarnation());
+            Optional<Member> prober = chooseProber(preferred, excluded, 2 * zonePreferences.size());
+            if (prober.isPresent()) {
+                excluded.add(prober.get().incarnation());
                 context.send(
-                        helper.get().address(),
+                        prober.get().address(),
                         new MembershipMessage.PingRequest(
                                 probe.nonce(), probe.target(), probe.address()));
             }
         }
     }
 
-    /** Draws members at random: the first in the preferred zone, or else the first suitable one. */
-    private Optional<Member> chooseHelper(
+    /** Draws random members; returns one in the preferred zone, else the first suitable one. */
+    private Optional<Member> chooseProber(
             Predicate<String> preferredZone, Set<Long> excluded, int attempts) {
         Optional<Member> fallback = Optional.empty();
         for (int attempt = 0; attempt < attempts; attempt++) {
--- a/src/main/java/ochretiller/fleet/membership/MemberRecord.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberRecord.java
@@ -51,7 +51,7 @@
         return member.state() == MemberState.UNRESPONSIVE;
     }
 
-    /** When it entered its state or its suspicion started anew, on the {@link AwakeClock}. */
+    /** When its state, or its restarted suspicion, began, on the {@link AwakeClock}. */
     Duration stateSince() {
         return stateSince;
     }
--- a/src/main/java/ochretiller/fleet/membership/MembershipCounter.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipCounter.java
@@ -8,7 +8,7 @@
     FAILED_PROBES,
     /** Scheduled probes for which indirect probes were requested. */
     INDIRECT_PROBES,
-    /** Times that a suspicion started, also of a suspect with a new state version. */
+    /** Suspicions started, including those restarted for a higher state version. */
     SUSPICIONS,
     /** Accusations that this server refuted. */
     REFUTATIONS,
--- a/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
@@ -117,7 +117,7 @@
         duplicates.forgetOldReports();
     }
 
-    /** Processes a packet whose seal the caller has verified: its sender belongs to the fleet. */
+    /** Processes a packet whose seal (HMAC with the fleet's key) the caller has verified. */
     public void receive(MembershipPacket packet, Duration now) {
         clock.advance(now);
         Member sender = packet.sender();
--- a/src/main/java/ochretiller/fleet/membership/PeerAddress.java
+++ b/src/main/java/ochretiller/fleet/membership/PeerAddress.java
@@ -4,7 +4,7 @@
  * A network address of a server.
  *
  * @param host an IP address as text, so that no name has to be resolved
- * @param port from 1 to 65,535; in a message, 0 may stand for no address
+ * @param port from 1 to 65,535; 0 in a message means that there is no address
  */
 public record PeerAddress(String host, int port) {
     /** Maximum length of a host in characters: an IPv6 address with an embedded IPv4 address. */
--- a/src/main/java/ochretiller/fleet/membership/ProtocolTiming.java
+++ b/src/main/java/ochretiller/fleet/membership/ProtocolTiming.java
@@ -54,7 +54,7 @@
     /** Probe timeout, in probe intervals. */
     private static final double PROBE_TIMEOUT_INTERVALS = 1.66;
 
-    /** Smaller fleets use the timeout of this size, as pauses do not get shorter with the size. */
+    /** Smaller fleets use the timeout of this size, as pauses are as long in a small fleet. */
     private static final int MIN_SUSPICION_FLEET_SIZE = 24;
 
     /** Transmissions of each update, times the decimal logarithm of the fleet size. */
--- a/src/main/java/ochretiller/fleet/membership/SeedJoiner.java
+++ b/src/main/java/ochretiller/fleet/membership/SeedJoiner.java
@@ -54,8 +54,8 @@
             return;
         }
         contactOneOf(seeds);
-        // A separate ping: many bootstrap peers that have moved must not delay the ping to the one
-        // seed that is up.
+        // A separate ping: many bootstrap peers with outdated addresses must not delay the ping to
+        // the one seed that is up.
         if (context.table().liveCount() == 0) {
             contactOneOf(bootstrapPeers);
         }
--- a/src/main/java/ochretiller/fleet/membership/ViewSynchronizer.java
+++ b/src/main/java/ochretiller/fleet/membership/ViewSynchronizer.java
@@ -26,7 +26,7 @@
     /** Protocol periods for which digests must differ before a comparison starts. */
     private static final int DIFFERENCE_PERIODS = 3;
 
-    /** Protocol periods between two comparisons started by this server. */
+    /** Minimum protocol periods between two comparisons started because of differing digests. */
     private static final int COMPARISON_PERIODS = 9;
 
     /** Comparisons answered per second, so that a large fleet cannot overload one server. */
@@ -129,7 +129,7 @@
     private void sendPages(List<MembershipUpdate> updates, PeerAddress destination) {
         int pageSize = MembershipMessage.MAX_PAGE_UPDATES;
         if (updates.size() > MAX_PAGES * pageSize) {
-            // Not all updates can be sent: start at a random one, so that each is sent at times.
+            // Not all updates fit; a random start varies which of them are sent.
             Collections.rotate(updates, -context.random().nextInt(updates.size()));
         }
         int needed = (updates.size() + pageSize - 1) / pageSize;
--- a/src/main/java/ochretiller/fleet/membership/package-info.java
+++ b/src/main/java/ochretiller/fleet/membership/package-info.java
@@ -2,12 +2,12 @@
  * Group membership and failure detection: one server's view of which servers of the fleet are
  * alive.
  *
- * <p><b>Job.</b> {@link ochretiller.fleet.membership.MembershipProtocol} maintains an eventually
- * consistent view of the fleet without a registry. It follows SWIM (Das, Gupta, Motivala: "SWIM:
- * Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002) with
- * Lifeguard's local health awareness (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness
- * for More Accurate Failure Detection", 2017). Views of different servers may disagree, so nothing
- * that must happen at most once may depend on a view; such decisions belong to {@code
+ * <p><b>Purpose.</b> {@link ochretiller.fleet.membership.MembershipProtocol} maintains an
+ * eventually consistent view of the fleet without a registry. It follows SWIM (Das, Gupta,
+ * Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
+ * 2002) with Lifeguard's local health awareness (Dadgar, Phillips, Currey: "Lifeguard: Local Health
+ * Awareness for More Accurate Failure Detection", 2017). Views of different servers may disagree,
+ * so nothing that must happen at most once may depend on a view; such decisions belong to {@code
  * fleet.consensus}.
  *
  * <p><b>Departures from the papers.</b>
@@ -36,7 +36,7 @@
  * the caller passes in received messages, the time and a random generator, and takes out messages
  * to send and changes of the view. This package has no I/O, clock, lock or thread.
  *
- * <p><b>Neighbours.</b> {@code fleet.service} runs the protocol over sockets, the emulator in
+ * <p><b>Dependencies.</b> {@code fleet.service} runs the protocol over sockets, the emulator in
  * virtual time; {@code fleet.transport} encodes its messages. The package depends on {@code
  * ochretiller.time} only.
  */
--- a/src/main/java/ochretiller/idempotency/IdempotencyCache.java
+++ b/src/main/java/ochretiller/idempotency/IdempotencyCache.java
@@ -39,7 +39,7 @@
     private final Map<InvocationId, CacheEntry> entriesById = new HashMap<>();
     private final PriorityQueue<CacheEntry> entriesByExpiry =
             new PriorityQueue<>(Comparator.comparing(CacheEntry::forgetAt));
-    private long bytes;
+    private long sizeBytes;
 
     /**
      * Creates an empty cache.
@@ -182,9 +182,9 @@
             return;
         }
         // Even without a stored result, the entry prevents repeats from running: they get an error.
-        Optional<byte[]> storedResult = result.filter(each -> bytes + each.length <= maxBytes);
+        Optional<byte[]> storedResult = result.filter(each -> sizeBytes + each.length <= maxBytes);
         entry.complete(storedResult);
-        bytes += storedResult.map(each -> each.length).orElse(0);
+        sizeBytes += storedResult.map(each -> each.length).orElse(0);
         entry.notifyWaiters(result);
         if (entry.key() instanceof CacheKey.Read) {
             completeRead(entry, result.isPresent(), now);
@@ -221,14 +221,14 @@
         entriesByKey.put(entry.key(), entry);
         entriesById.put(entry.id(), entry);
         entriesByExpiry.add(entry);
-        bytes += entry.sizeBytes();
+        sizeBytes += entry.sizeBytes();
     }
 
     private void remove(CacheEntry entry) {
         entriesByKey.remove(entry.key(), entry);
         entriesById.remove(entry.id(), entry);
         entriesByExpiry.remove(entry);
-        bytes -= entry.sizeBytes();
+        sizeBytes -= entry.sizeBytes();
         entry.notifyWaiters(Optional.empty());
     }
 }
--- a/src/main/java/ochretiller/idempotency/durable/ProbeBackoff.java
+++ b/src/main/java/ochretiller/idempotency/durable/ProbeBackoff.java
@@ -22,7 +22,7 @@
     private final SplittableRandom random;
     private Duration delay;
     private Duration nextProbeAt = Duration.ZERO;
-    private boolean probing;
+    private boolean probeInProgress;
 
     ProbeBackoff(Duration initialDelay, Duration maxDelay, SplittableRandom random) {
         this.initialDelay = initialDelay;
@@ -33,7 +33,7 @@
 
     /** Resets the delay to its initial value after the disk has recovered. */
     void reset() {
-        probing = false;
+        probeInProgress = false;
         delay = initialDelay;
     }
 
@@ -44,16 +44,16 @@
 
     /** Returns whether a probe is due, and if so marks it as started. */
     boolean startIfDue(Duration now) {
-        if (probing || now.compareTo(nextProbeAt) < 0) {
+        if (probeInProgress || now.compareTo(nextProbeAt) < 0) {
             return false;
         }
-        probing = true;
+        probeInProgress = true;
         return true;
     }
 
     /** Schedules the next probe after a failed one, with twice the delay up to the maximum. */
     void probeFailed(Duration now) {
-        probing = false;
+        probeInProgress = false;
         delay = min(delay.multipliedBy(2), maxDelay);
         nextProbeAt = now.plus(withJitter(delay));
     }
--- a/src/main/java/ochretiller/idempotency/durable/package-info.java
+++ b/src/main/java/ochretiller/idempotency/durable/package-info.java
@@ -1,7 +1,7 @@
 /**
  * The persistent state of keyed invocations, and how long runs and answers wait for the disk.
  *
- * <p><b>Job.</b> {@link ochretiller.idempotency.durable.DurabilityPolicy} decides whether a new
+ * <p><b>Purpose.</b> {@link ochretiller.idempotency.durable.DurabilityPolicy} decides whether a new
  * keyed invocation may run, how long its run waits for a durable in-flight marker and its answer
  * for a durable result, and when a failed disk is probed. {@link
  * ochretiller.idempotency.durable.RecoveryDecision} decides how repeats of an invocation found at a
@@ -13,7 +13,7 @@
  * <p><b>Threads.</b> Confined to the event loop. Uses no files, clocks or threads; callers pass
  * time and random numbers.
  *
- * <p><b>Neighbours.</b> {@code store} holds the records; {@code node} executes the decisions;
+ * <p><b>Dependencies.</b> {@code store} holds the records; {@code node} executes the decisions;
  * {@code admission} checks whether new keys are accepted.
  *
  * <p><b>Format.</b> Records are keys and metadata of the store ({@code docs/store-format.md}); the
--- a/src/main/java/ochretiller/idempotency/package-info.java
+++ b/src/main/java/ochretiller/idempotency/package-info.java
@@ -2,7 +2,7 @@
  * Idempotency within one process: recognizes repeated attempts and answers them with the result of
  * the original attempt.
  *
- * <p><b>Job.</b> {@link ochretiller.idempotency.IdempotencyCache} looks up the original of each
+ * <p><b>Purpose.</b> {@link ochretiller.idempotency.IdempotencyCache} looks up the original of each
  * attempt, detects a repeat that uses the same key for a different request, and passes results to
  * repeats.
  *
@@ -12,7 +12,7 @@
  *
  * <p><b>Threads.</b> Owned by the event loop; no I/O, no clock.
  *
- * <p><b>Neighbours.</b> {@code admission} decides how a repeat is handled; {@code
+ * <p><b>Dependencies.</b> {@code admission} decides how a repeat is handled; {@code
  * idempotency.durable} decides what is persisted beyond the process; {@code node} executes both
  * decisions.
  *
--- a/src/main/java/ochretiller/store/AppendQueue.java
+++ b/src/main/java/ochretiller/store/AppendQueue.java
@@ -13,7 +13,7 @@
  * time offers tasks; the writer thread polls them and releases their capacity.
  */
 final class AppendQueue {
-    /** Maximum number of tasks: several seconds of one task per millisecond. */
+    /** Maximum number of queued tasks: several seconds' worth at one task per millisecond. */
     private static final int MAX_TASKS = 16 * 1024;
 
     /** Maximum total size of the records that wait for the disk. */
--- a/src/main/java/ochretiller/store/Recovery.java
+++ b/src/main/java/ochretiller/store/Recovery.java
@@ -19,8 +19,8 @@
  * index.
  *
  * <p>A record that extends past the end of its file is a torn write: it was never acknowledged and
- * is ignored. Bytes that are not a valid record, or that are missing before existing bytes, are
- * damage.
+ * is ignored. Bytes that are not a valid record, and a missing end of an earlier segment that was
+ * not abandoned, are damage.
  */
 final class Recovery {
     private final StorageDirectory directory;
--- a/src/main/java/ochretiller/store/SegmentCleaner.java
+++ b/src/main/java/ochretiller/store/SegmentCleaner.java
@@ -66,8 +66,8 @@
     void deleteExpired(long nowMillis) throws IOException {
         List<Segment> expired = new ArrayList<>();
         for (Segment segment : log.segments()) {
-            // Its header marks the previous segment as abandoned, which would otherwise look
-            // damaged.
+            // Its header marks the previous segment as abandoned; without it that segment would
+            // look damaged.
             boolean isNeeded =
                     segment.followsAbandoned()
                             && log.before(segment)
--- a/src/main/java/ochretiller/store/SegmentedLog.java
+++ b/src/main/java/ochretiller/store/SegmentedLog.java
@@ -44,7 +44,7 @@
      *     if the disk failed, so that the contents of the medium are unknown
      */
     private record UnsealedSegment(Segment segment, OptionalLong validEnd) {
-        UnsealedSegment abandoned() {
+        UnsealedSegment asAbandoned() {
             return new UnsealedSegment(segment, OptionalLong.empty());
         }
     }
@@ -192,7 +192,7 @@
             writeSeal(file, segment);
         } catch (IOException e) {
             // One unusable file must not prevent the store from starting a new segment.
-            unsealed = Optional.of(recovered.abandoned());
+            unsealed = Optional.of(recovered.asAbandoned());
             throw e;
         }
         writeHint(segment);
--- a/src/main/java/ochretiller/store/Store.java
+++ b/src/main/java/ochretiller/store/Store.java
@@ -43,7 +43,8 @@
     private final List<String> damageReports;
 
     /**
-     * Until then damage may hide acknowledged records; on the store's clock, empty without damage.
+     * Time until which damage may hide acknowledged records, on the store's clock; empty without
+     * damage.
      */
     private final OptionalLong incompleteUntilMillis;
 
--- a/src/main/java/ochretiller/store/StoreInspector.java
+++ b/src/main/java/ochretiller/store/StoreInspector.java
@@ -25,7 +25,7 @@
         long tornBytes = 0;
         for (RecoveredSegment recovered : recovery.segments()) {
             Segment segment = recovered.segment();
-            reports.add(report(segment));
+            reports.add(toReport(segment));
             if (!segment.isDamaged() && !segment.isSealed()) {
                 tornBytes += segment.sizeBytes() - recovered.validEnd();
             }
@@ -41,7 +41,7 @@
                 recovery.unknownFiles());
     }
 
-    private static SegmentReport report(Segment segment) {
+    private static SegmentReport toReport(Segment segment) {
         return new SegmentReport(
                 segment.fileName(),
                 segment.sizeBytes(),
@@ -60,12 +60,12 @@
                 .forEach(
                         entry -> {
                             if (entry.isPut()) {
-                                visitor.accept(stored(entry));
+                                visitor.accept(toStoredEntry(entry));
                             }
                         });
     }
 
-    private static StoredEntry stored(IndexEntry entry) {
+    private static StoredEntry toStoredEntry(IndexEntry entry) {
         return new StoredEntry(
                 entry.key().bytes(),
                 entry.metadata(),
--- a/src/main/java/ochretiller/store/StoreLimits.java
+++ b/src/main/java/ochretiller/store/StoreLimits.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Builds {@link StoreLimits}. What is not set is unlimited or has the default named below. Not
-     * thread-safe.
+     * Builds {@link StoreLimits}. A limit that is not set is unlimited or has the default named at
+     * its setter. Not thread-safe.
      */
     public static final class Builder {
         private static final int DEFAULT_SEGMENT_BYTES = 64 << 20;
--- a/src/main/java/ochretiller/store/StoreReport.java
+++ b/src/main/java/ochretiller/store/StoreReport.java
@@ -10,8 +10,7 @@
  * @param bytes total size of all segments in bytes
  * @param tornBytes bytes of a torn write at the end of the last segment, which was never
  *     acknowledged and is harmless
- * @param damage descriptions of bytes that are no valid record or are missing before existing
- *     bytes; one line each
+ * @param damage descriptions of invalid bytes and of missing ends of segments; one line each
  * @param leftoverFiles obsolete files that the next start deletes
  * @param unknownFiles files that do not belong to the store
  */
--- a/src/main/java/ochretiller/store/package-info.java
+++ b/src/main/java/ochretiller/store/package-info.java
@@ -2,8 +2,8 @@
  * A durable key-value store on an append-only log, modelled on Bitcask (Sheehy and Smith 2010). It
  * does not depend on invocations.
  *
- * <p><b>Job.</b> Preserves small records until they expire, across crashes of the process and of
- * the machine: group commit, an in-memory index, recovery that distinguishes torn writes from
+ * <p><b>Purpose.</b> Preserves small records until they expire, across crashes of the process and
+ * of the machine: group commit, an in-memory index, recovery that distinguishes torn writes from
  * damage, deletion of expired segments, compaction.
  *
  * <p><b>State.</b> One directory of segment files; in memory the index (keys, metadata, positions)
@@ -17,7 +17,7 @@
  * (expiry, compaction). Before {@link ochretiller.store.Store#start} and in {@link
  * ochretiller.store.StoreInspector} the calling thread owns them instead.
  *
- * <p><b>Neighbours.</b> {@code idempotency.durable} defines what the records mean and how long
+ * <p><b>Dependencies.</b> {@code idempotency.durable} defines what the records mean and how long
  * callers wait for them; {@code node} and {@code fleet.service} apply it. Files are accessed
  * through {@link ochretiller.store.StorageDirectory}.
  *
--- a/src/test/java/ochretiller/fleet/consensus/EpochConsensusTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/EpochConsensusTest.java
@@ -142,10 +142,10 @@
 
     @Test
     void acceptorsResumeWhenAllHaveLostTheirStates() {
-        int instanceId = 0;
+        int startId = 0;
         for (String name : ORDERED_NAMES) {
-            instanceId++;
-            acceptors.put(name, EpochConsensus.recover(name, NAMES, FACTOR, instanceId));
+            startId++;
+            acceptors.put(name, EpochConsensus.recover(name, NAMES, FACTOR, startId));
         }
         proposeAndDeliverAll("a", firstEpochOf("x"));
         assertThat(committedBy("b").epoch()).as("no acceptor votes before recovery").isZero();
--- a/src/test/java/ochretiller/store/CrashPointTest.java
+++ b/src/test/java/ochretiller/store/CrashPointTest.java
@@ -97,8 +97,7 @@
     }
 
     @Test
-    void crashBeforeAnyOperationLosesNoAcknowledgedRecord()
-            throws IOException {
+    void crashBeforeAnyOperationLosesNoAcknowledgedRecord() throws IOException {
         VolatileDirectory directory = new VolatileDirectory();
         CrashPoints crashes = new CrashPoints(directory);
         directory.fault = crashes::before;
--- a/src/test/java/ochretiller/store/CrashRecoveryTest.java
+++ b/src/test/java/ochretiller/store/CrashRecoveryTest.java
@@ -21,7 +21,7 @@
  */
 class CrashRecoveryTest {
     /** The files of a store, the current value of each key, and all values that it ever had. */
-    private record Written(
+    private record Snapshot(
             Map<String, byte[]> files,
             Map<String, String> currentValues,
             Map<String, Set<String>> allValues) {
@@ -44,7 +44,7 @@
      * Writes a store and kills its process: the last segment has no seal, and a compaction may be
      * incomplete.
      */
-    private static Written write(int records) throws IOException {
+    private static Snapshot write(int records) throws IOException {
         VolatileDirectory directory = new VolatileDirectory();
         Map<String, String> currentValues = new TreeMap<>();
         Map<String, Set<String>> allValues = new HashMap<>();
@@ -63,7 +63,7 @@
                     allValues.computeIfAbsent(key, ignored -> new HashSet<>()).add(value);
                 }
             }
-            return new Written(directory.afterProcessKill().contents(), currentValues, allValues);
+            return new Snapshot(directory.afterProcessKill().contents(), currentValues, allValues);
         }
     }
 
@@ -72,7 +72,7 @@
      * damage was reported.
      */
     private static boolean reopen(
-            VolatileDirectory directory, Written written, String context, boolean expectsAllKeys)
+            VolatileDirectory directory, Snapshot written, String context, boolean expectsAllKeys)
             throws IOException {
         boolean damaged;
         try (StoreFixture fixture = new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, 100)) {
@@ -100,7 +100,7 @@
 
     @Test
     void truncationAtAnyByteIsReportedUnlessItIsATornWrite() throws IOException {
-        Written written = write(120);
+        Snapshot written = write(120);
         assertThat(written.logs()).hasSizeGreaterThan(3);
         for (Map.Entry<String, byte[]> file : written.files.entrySet()) {
             String name = file.getKey();
@@ -155,7 +155,7 @@
 
     @Test
     void flippedBitIsReportedAndAffectsNoOtherRecord() throws IOException {
-        Written written = write(60);
+        Snapshot written = write(60);
         SplittableRandom random = new SplittableRandom(11);
         int reported = 0;
         int flips = 0;
@@ -175,7 +175,7 @@
                     reported++;
                 } else {
                     boolean mustBeReported = name.endsWith(".log") && !isHeaderEnd && offset != 9;
-                    assertThat(mustBeReported).as(context + " was reported").isFalse();
+                    assertThat(mustBeReported).as(context + " must be reported").isFalse();
                 }
             }
         }
@@ -184,7 +184,7 @@
 
     @Test
     void corruptValueIsNotReturnedThoughItsHintIsValid() throws IOException {
-        Written written = write(60);
+        Snapshot written = write(60);
         String first = written.logs().get(0);
         byte[] corrupt = written.files.get(first).clone();
         for (int offset = SegmentHeader.BYTES;
--- a/src/test/java/ochretiller/store/RandomLifeTest.java
+++ b/src/test/java/ochretiller/store/RandomLifeTest.java
@@ -66,7 +66,7 @@
         }
 
         private String describe(int session) {
-            return "seed " + seed + ", life " + session;
+            return "seed " + seed + ", session " + session;
         }
 
         /** Compares the recovered values with the model, which then adopts them. */
