--- a/src/main/java/ochretiller/fleet/membership/ProbeRequest.java
+++ b/src/main/java/ochretiller/fleet/membership/ProbeRequest.java
@@ -14,7 +14,7 @@
 
     /** The purpose of a probe. */
     enum Kind {
-        /** A probe of the round or of a suspect (SWIM 3.1): failure makes the target suspect. */
+        /** A probe of the round or of a suspect (SWIM, section 3.1); failure causes suspicion. */
         SCHEDULED,
         /** Checks whether a process that does not count as alive answers; failure has no effect. */
         VERIFICATION,
