--- a/src/main/java/ochretiller/Main.java
+++ b/src/main/java/ochretiller/Main.java
@@ -181,13 +181,13 @@
                         : Optional.empty();
         if (operator.isPresent()) {
             configuration.ifPresent(
-                    present -> OperatorConfigResolver.check(operator.get(), present));
+                    server -> OperatorConfigResolver.check(operator.get(), server));
             operator.get().fleet().ifPresent(fleet -> FleetKeys.read(fleet.keyFile()));
             System.out.println("the operators' file " + operatorFile + " is good");
         }
         configuration.ifPresent(
-                present ->
-                        System.out.println("the configuration of " + present.name() + " is good"));
+                server ->
+                        System.out.println("the configuration of " + server.name() + " is good"));
         return EXIT_OK;
     }
 
--- a/src/main/java/ochretiller/audit/ChainHead.java
+++ b/src/main/java/ochretiller/audit/ChainHead.java
@@ -1,7 +1,7 @@
 package ochretiller.audit;
 
 /**
- * The last record of a hash chain at some time. Immutable.
+ * The last record of a hash chain at some point in time. Immutable.
  *
  * @param number number of that record, 0 for an empty chain
  * @param hash hash of that record in hexadecimal, empty for an empty chain
--- a/src/main/java/ochretiller/audit/ServerIntervals.java
+++ b/src/main/java/ochretiller/audit/ServerIntervals.java
@@ -21,7 +21,7 @@
     /** End of the last interval; all time before it is covered. */
     private long coveredUntilMillis;
 
-    /** Reason that is stated for the gap, if there is one before the next period. */
+    /** Reason to report if there is a gap before the next period. */
     private String reasonForGap = NOTHING_RECORDED;
 
     private boolean fenced;
@@ -33,7 +33,7 @@
         this.coveredUntilMillis = fromMillis;
     }
 
-    /** Returns the intervals between the two times, oldest first. */
+    /** Returns the intervals between {@code fromMillis} and {@code toMillis}, oldest first. */
     List<TimelineInterval> build(List<AuditRecord> records) {
         for (AuditRecord record : records) {
             if (record instanceof AuditEvent event) {
--- a/src/main/java/ochretiller/audit/files/AuditFileFormat.java
+++ b/src/main/java/ochretiller/audit/files/AuditFileFormat.java
@@ -19,7 +19,7 @@
     private static final String PREFIX = "audit-";
     private static final String SUFFIX = ".log";
 
-    /** Size in bytes of body length, record number, previous hash and hash. */
+    /** Size in bytes of a frame: body length, record number, previous hash and hash. */
     private static final int FRAME_BYTES = Integer.BYTES + Long.BYTES + 2 * HashChain.HASH_BYTES;
 
     /** Maximum length of a body: fits a period with the maximum number of operations. */
--- a/src/main/java/ochretiller/audit/files/AuditLogWriter.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogWriter.java
@@ -34,13 +34,13 @@
     private static final int MAX_GROUP_RECORDS = 200;
 
     /** Maximum time to wait for a record before checking whether the writer is closed. */
-    private static final long IDLE_MILLIS = 200;
+    private static final long POLL_TIMEOUT_MILLIS = 200;
 
     /** Pause after a group, during which more records are queued for the next force. */
-    private static final long GROUPING_PAUSE_MILLIS = IDLE_MILLIS / 4;
+    private static final long GROUPING_PAUSE_MILLIS = POLL_TIMEOUT_MILLIS / 4;
 
     /** Pause after a failed write. */
-    private static final long FAILURE_PAUSE_MILLIS = 5 * IDLE_MILLIS;
+    private static final long FAILURE_PAUSE_MILLIS = 5 * POLL_TIMEOUT_MILLIS;
 
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
@@ -142,7 +142,7 @@
      */
     private boolean writeNextGroup() throws InterruptedException {
         Optional<AuditRecord> first =
-                Optional.ofNullable(queue.poll(IDLE_MILLIS, TimeUnit.MILLISECONDS));
+                Optional.ofNullable(queue.poll(POLL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         if (first.isEmpty()) {
             return !closing;
         }
--- a/src/main/java/ochretiller/fleet/transport/AdminClient.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminClient.java
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Returns the name that the server has sent when the connection was opened. */
+    /** Returns the name that the server sent when the connection was opened. */
     public String serverName() {
         return serverName;
     }
--- a/src/main/java/ochretiller/fleet/transport/AdminConnection.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminConnection.java
@@ -45,7 +45,7 @@
         return isGreeted ? readRequest() : readGreeting();
     }
 
-    /** Seals and sends the challenge only to a peer that has sent the greeting byte. */
+    /** Sends the challenge only after the greeting byte, so that a silent peer costs no seal. */
     private Runnable readGreeting() throws BadInputException {
         byte[] bytes = pendingBytes.toByteArray();
         if (bytes.length == 0 || bytes[0] != AdminEndpoint.GREETING) {
--- a/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
@@ -32,7 +32,7 @@
      * Creates the endpoint.
      *
      * @param codec provides the name and the keys of the fleet
-     * @param handlers handlers by command name
+     * @param handlers handlers of the commands, by command name
      */
     public AdminEndpoint(
             PacketCodec codec, String serverName, Map<String, CommandHandler> handlers) {
--- a/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
@@ -33,17 +33,17 @@
                             RANGE_REQUEST,
                             RangeRequest.class,
                             AntiEntropyCodec::encode,
-                            AntiEntropyCodec::rangeRequest),
+                            AntiEntropyCodec::readRangeRequest),
                     MessageFormat.of(
                             RANGE_PAGE,
                             RangePage.class,
                             AntiEntropyCodec::encode,
-                            AntiEntropyCodec::rangePage),
+                            AntiEntropyCodec::readRangePage),
                     MessageFormat.of(
                             RANGE_DIGEST,
                             RangeDigest.class,
                             AntiEntropyCodec::encode,
-                            AntiEntropyCodec::rangeDigest));
+                            AntiEntropyCodec::readRangeDigest));
 
     private AntiEntropyCodec() {}
 
@@ -58,7 +58,7 @@
         PlacementCodec.writeOptionalPlacement(out, message.placement());
     }
 
-    private static RangeRequest rangeRequest(CborReader in) throws IOException {
+    private static RangeRequest readRangeRequest(CborReader in) throws IOException {
         return new RangeRequest(
                 in.readLong(),
                 readRange(in),
@@ -84,7 +84,7 @@
         out.writeNumber(message.rangeDigest());
     }
 
-    private static RangePage rangePage(CborReader in) throws IOException {
+    private static RangePage readRangePage(CborReader in) throws IOException {
         return new RangePage(
                 in.readLong(),
                 readRange(in),
@@ -107,7 +107,7 @@
         out.writeBoolean(message.reply());
     }
 
-    private static RangeDigest rangeDigest(CborReader in) throws IOException {
+    private static RangeDigest readRangeDigest(CborReader in) throws IOException {
         return new RangeDigest(
                 in.readLong(), readRange(in), in.readLong(), (int) in.readLong(), in.readBoolean());
     }
--- a/src/main/java/ochretiller/fleet/transport/ConsensusCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ConsensusCodec.java
@@ -32,45 +32,57 @@
 
     static final List<MessageFormat<?>> FORMATS =
             List.of(
-                    format(PREPARE, Prepare.class, ConsensusCodec::encode, ConsensusCodec::prepare),
-                    format(PROMISE, Promise.class, ConsensusCodec::encode, ConsensusCodec::promise),
-                    format(ACCEPT, Accept.class, ConsensusCodec::encode, ConsensusCodec::accept),
+                    format(
+                            PREPARE,
+                            Prepare.class,
+                            ConsensusCodec::encode,
+                            ConsensusCodec::readPrepare),
+                    format(
+                            PROMISE,
+                            Promise.class,
+                            ConsensusCodec::encode,
+                            ConsensusCodec::readPromise),
+                    format(
+                            ACCEPT,
+                            Accept.class,
+                            ConsensusCodec::encode,
+                            ConsensusCodec::readAccept),
                     format(
                             ACCEPTED,
                             Accepted.class,
                             ConsensusCodec::encode,
-                            ConsensusCodec::accepted),
-                    format(NACK, Nack.class, ConsensusCodec::encode, ConsensusCodec::nack),
+                            ConsensusCodec::readAccepted),
+                    format(NACK, Nack.class, ConsensusCodec::encode, ConsensusCodec::readNack),
                     format(
                             COMMITTED,
                             Committed.class,
                             ConsensusCodec::encode,
-                            ConsensusCodec::committed),
+                            ConsensusCodec::readCommitted),
                     format(
                             RECOVERY_QUERY,
                             RecoveryQuery.class,
                             ConsensusCodec::encode,
-                            ConsensusCodec::recoveryQuery),
+                            ConsensusCodec::readRecoveryQuery),
                     format(
                             RECOVERY_REPLY,
                             RecoveryReply.class,
                             ConsensusCodec::encode,
-                            ConsensusCodec::recoveryReply),
+                            ConsensusCodec::readRecoveryReply),
                     format(
                             STATE_LOST,
                             StateLost.class,
                             ConsensusCodec::encode,
-                            ConsensusCodec::stateLost),
+                            ConsensusCodec::readStateLost),
                     format(
                             ALL_STATE_LOST,
                             AllStateLost.class,
                             ConsensusCodec::encode,
-                            ConsensusCodec::allStateLost),
+                            ConsensusCodec::readAllStateLost),
                     format(
                             REPLICA_PROGRESS,
                             ReplicaProgress.class,
                             ConsensusCodec::encode,
-                            ConsensusCodec::replicaProgress));
+                            ConsensusCodec::readReplicaProgress));
 
     private ConsensusCodec() {}
 
@@ -87,7 +99,7 @@
         PlacementCodec.writeBallot(out, message.ballot());
     }
 
-    private static Prepare prepare(CborReader in) throws IOException {
+    private static Prepare readPrepare(CborReader in) throws IOException {
         return new Prepare(in.readLong(), PlacementCodec.readBallot(in));
     }
 
@@ -98,7 +110,7 @@
         PlacementCodec.writeOptionalPlacement(out, message.acceptedPlacement());
     }
 
-    private static Promise promise(CborReader in) throws IOException {
+    private static Promise readPromise(CborReader in) throws IOException {
         return new Promise(
                 in.readLong(),
                 PlacementCodec.readBallot(in),
@@ -112,7 +124,7 @@
         PlacementCodec.writePlacement(out, message.placement());
     }
 
-    private static Accept accept(CborReader in) throws IOException {
+    private static Accept readAccept(CborReader in) throws IOException {
         return new Accept(
                 in.readLong(), PlacementCodec.readBallot(in), PlacementCodec.readPlacement(in));
     }
@@ -122,7 +134,7 @@
         PlacementCodec.writeBallot(out, message.ballot());
     }
 
-    private static Accepted accepted(CborReader in) throws IOException {
+    private static Accepted readAccepted(CborReader in) throws IOException {
         return new Accepted(in.readLong(), PlacementCodec.readBallot(in));
     }
 
@@ -132,7 +144,7 @@
         PlacementCodec.writeBallot(out, message.promisedBallot());
     }
 
-    private static Nack nack(CborReader in) throws IOException {
+    private static Nack readNack(CborReader in) throws IOException {
         return new Nack(
                 in.readLong(), PlacementCodec.readBallot(in), PlacementCodec.readBallot(in));
     }
@@ -141,7 +153,7 @@
         PlacementCodec.writePlacement(out, message.placement());
     }
 
-    private static Committed committed(CborReader in) throws IOException {
+    private static Committed readCommitted(CborReader in) throws IOException {
         return new Committed(PlacementCodec.readPlacement(in));
     }
 
@@ -149,7 +161,7 @@
         out.writeNumber(message.nonce());
     }
 
-    private static RecoveryQuery recoveryQuery(CborReader in) throws IOException {
+    private static RecoveryQuery readRecoveryQuery(CborReader in) throws IOException {
         return new RecoveryQuery(in.readLong());
     }
 
@@ -159,7 +171,7 @@
         PlacementCodec.writePlacement(out, message.placement());
     }
 
-    private static RecoveryReply recoveryReply(CborReader in) throws IOException {
+    private static RecoveryReply readRecoveryReply(CborReader in) throws IOException {
         return new RecoveryReply(in.readLong(), in.readLong(), PlacementCodec.readPlacement(in));
     }
 
@@ -168,7 +180,7 @@
         out.writeNumber(message.instanceId());
     }
 
-    private static StateLost stateLost(CborReader in) throws IOException {
+    private static StateLost readStateLost(CborReader in) throws IOException {
         return new StateLost(in.readLong(), in.readLong());
     }
 
@@ -176,7 +188,7 @@
         CborWriter.writeNumbersByName(out, message.instanceIds());
     }
 
-    private static AllStateLost allStateLost(CborReader in) throws IOException {
+    private static AllStateLost readAllStateLost(CborReader in) throws IOException {
         return new AllStateLost(new HashMap<>(in.readNumbersByName()));
     }
 
@@ -185,7 +197,7 @@
         out.writeNumber(message.laggingRanges());
     }
 
-    private static ReplicaProgress replicaProgress(CborReader in) throws IOException {
+    private static ReplicaProgress readReplicaProgress(CborReader in) throws IOException {
         return new ReplicaProgress(in.readLong(), (int) in.readLong());
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/MembershipCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/MembershipCodec.java
@@ -26,45 +26,49 @@
     static final List<MessageFormat<?>> FORMATS =
             List.of(
                     MessageFormat.sized(
-                            PING, Ping.class, 5, MembershipCodec::encode, MembershipCodec::ping),
+                            PING,
+                            Ping.class,
+                            5,
+                            MembershipCodec::encode,
+                            MembershipCodec::readPing),
                     MessageFormat.sized(
-                            ACK, Ack.class, 4, MembershipCodec::encode, MembershipCodec::ack),
+                            ACK, Ack.class, 4, MembershipCodec::encode, MembershipCodec::readAck),
                     MessageFormat.sized(
                             PING_REQUEST,
                             PingRequest.class,
                             4,
                             MembershipCodec::encode,
-                            MembershipCodec::pingRequest),
+                            MembershipCodec::readPingRequest),
                     MessageFormat.sized(
                             INDIRECT_ACK,
                             IndirectAck.class,
                             2,
                             MembershipCodec::encode,
-                            MembershipCodec::indirectAck),
+                            MembershipCodec::readIndirectAck),
                     MessageFormat.sized(
                             DIGEST_SYNC,
                             DigestSync.class,
                             2,
                             MembershipCodec::encode,
-                            MembershipCodec::digestSync),
+                            MembershipCodec::readDigestSync),
                     MessageFormat.sized(
                             UPDATE_PAGE,
                             UpdatePage.class,
                             1,
                             MembershipCodec::encode,
-                            MembershipCodec::updatePage),
+                            MembershipCodec::readUpdatePage),
                     MessageFormat.sized(
                             MEMBER_REQUEST,
                             MemberRequest.class,
                             1,
                             MembershipCodec::encode,
-                            MembershipCodec::memberRequest),
+                            MembershipCodec::readMemberRequest),
                     MessageFormat.sized(
                             MEMBER_PAGE,
                             MemberPage.class,
                             1,
                             MembershipCodec::encode,
-                            MembershipCodec::memberPage));
+                            MembershipCodec::readMemberPage));
 
     private MembershipCodec() {}
 
@@ -75,7 +79,7 @@
         out.writeNumber(message.digest());
     }
 
-    private static Ping ping(CborReader in) throws IOException {
+    private static Ping readPing(CborReader in) throws IOException {
         return new Ping(in.readLong(), in.readLong(), MemberCodec.readGossip(in), in.readLong());
     }
 
@@ -85,7 +89,7 @@
         out.writeNumber(message.digest());
     }
 
-    private static Ack ack(CborReader in) throws IOException {
+    private static Ack readAck(CborReader in) throws IOException {
         return new Ack(in.readLong(), MemberCodec.readGossip(in), in.readLong());
     }
 
@@ -95,7 +99,7 @@
         MemberCodec.writeAddress(out, message.address());
     }
 
-    private static PingRequest pingRequest(CborReader in) throws IOException {
+    private static PingRequest readPingRequest(CborReader in) throws IOException {
         return new PingRequest(in.readLong(), in.readLong(), MemberCodec.readAddress(in));
     }
 
@@ -104,7 +108,7 @@
         MemberCodec.writeUpdate(out, message.target());
     }
 
-    private static IndirectAck indirectAck(CborReader in) throws IOException {
+    private static IndirectAck readIndirectAck(CborReader in) throws IOException {
         return new IndirectAck(in.readLong(), MemberCodec.readUpdate(in));
     }
 
@@ -113,7 +117,7 @@
         out.writeBoolean(message.reciprocal());
     }
 
-    private static DigestSync digestSync(CborReader in) throws IOException {
+    private static DigestSync readDigestSync(CborReader in) throws IOException {
         return new DigestSync(in.readLongs(), in.readBoolean());
     }
 
@@ -121,7 +125,7 @@
         MemberCodec.writeUpdates(out, message.updates());
     }
 
-    private static UpdatePage updatePage(CborReader in) throws IOException {
+    private static UpdatePage readUpdatePage(CborReader in) throws IOException {
         return new UpdatePage(MemberCodec.readUpdates(in));
     }
 
@@ -129,7 +133,7 @@
         CborWriter.writeLongs(out, message.incarnations());
     }
 
-    private static MemberRequest memberRequest(CborReader in) throws IOException {
+    private static MemberRequest readMemberRequest(CborReader in) throws IOException {
         return new MemberRequest(in.readLongs());
     }
 
@@ -137,7 +141,7 @@
         MemberCodec.writeMembers(out, message.members());
     }
 
-    private static MemberPage memberPage(CborReader in) throws IOException {
+    private static MemberPage readMemberPage(CborReader in) throws IOException {
         return new MemberPage(MemberCodec.readMembers(in));
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/MessageFormats.java
+++ b/src/main/java/ochretiller/fleet/transport/MessageFormats.java
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Returns the format of a kind; empty if only a newer version knows the kind. */
+    /** Returns the format of a kind; empty if this version does not support the kind. */
     Optional<MessageFormat<?>> ofKind(long kind) {
         return Optional.ofNullable(byKind.get(kind));
     }
--- a/src/main/java/ochretiller/fleet/transport/PacketCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/PacketCodec.java
@@ -15,7 +15,7 @@
  * <p>Thread-safe.
  */
 public final class PacketCodec {
-    /** Protocol version of sent packets, and the minimum version that can read them. */
+    /** Protocol version of sent packets, and the minimum version that a receiver needs. */
     static final int PROTOCOL_VERSION = 1;
 
     /** Maximum length of a packet in bytes: fits a page of members with the longest names. */
--- a/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerRateLimiter.java
@@ -18,7 +18,7 @@
 
     private static final double BYTES_PER_SECOND = 2_000_000;
 
-    /** Limit for all addresses together: verifying their seals takes a tenth of a core. */
+    /** Limit for all addresses together: at this rate, seals take a tenth of a core to verify. */
     private static final double TOTAL_PACKETS_PER_SECOND = 12_000;
 
     private static final double TOTAL_BYTES_PER_SECOND =
--- a/src/main/java/ochretiller/fleet/transport/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerSocket.java
@@ -24,7 +24,7 @@
 public final class PeerSocket {
     private static final Logger LOG = Logger.getLogger(PeerSocket.class.getName());
 
-    /** Maximum number of packets queued for the event loop: many times what a view sync sends. */
+    /** Maximum number of packets queued for the event loop: many times a membership sync. */
     private static final int MAX_QUEUED_PACKETS = 1024;
 
     /** Kernel receive buffer: covers a pause of one second while views are synchronized. */
--- a/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
@@ -19,7 +19,7 @@
  * the replica's files. Stateless.
  */
 public final class ReplicaEntryCodec {
-    /** Maximum length of an idempotency key in bytes; a store key also holds a claim ID. */
+    /** Maximum idempotency key length in bytes: a store key must also fit the claim ID. */
     private static final int MAX_TOKEN_BYTES = 200;
 
     private ReplicaEntryCodec() {}
@@ -30,7 +30,7 @@
                 && token.getBytes(StandardCharsets.UTF_8).length <= MAX_TOKEN_BYTES;
     }
 
-    /** Rejects an idempotency key that is longer than this version can store. */
+    /** Reads an idempotency key; rejects one that is longer than this version can store. */
     static String readToken(CborReader in) throws IOException {
         String token = in.readText();
         if (!tokenFits(token)) {
--- a/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
@@ -43,54 +43,57 @@
                             CLAIM_REQUEST,
                             ClaimRequest.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimRequest),
+                            ReplicationCodec::readClaimRequest),
                     MessageFormat.of(
                             CLAIM_QUERY,
                             ClaimQuery.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimQuery),
+                            ReplicationCodec::readClaimQuery),
                     MessageFormat.of(
                             CLAIM_REPLY,
                             ClaimReply.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimReply),
+                            ReplicationCodec::readClaimReply),
                     MessageFormat.of(
                             CLAIM_COMPLETED,
                             ClaimCompleted.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimCompleted),
+                            ReplicationCodec::readClaimCompleted),
                     MessageFormat.of(
                             OUTCOME_STORED,
                             OutcomeStored.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::outcomeStored),
+                            ReplicationCodec::readOutcomeStored),
                     MessageFormat.of(
                             CLAIM_RELEASE,
                             ClaimRelease.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimRelease),
+                            ReplicationCodec::readClaimRelease),
                     MessageFormat.of(
                             OWNER_QUERY,
                             OwnerQuery.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::ownerQuery),
+                            ReplicationCodec::readOwnerQuery),
                     MessageFormat.of(
                             CHANGE_NUMBER_QUERY,
                             ChangeNumberQuery.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::changeNumberQuery),
+                            ReplicationCodec::readChangeNumberQuery),
                     MessageFormat.of(
                             CHANGE_NUMBER_REPLY,
                             ChangeNumberReply.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::changeNumberReply),
+                            ReplicationCodec::readChangeNumberReply),
                     MessageFormat.of(
                             CHUNK_REQUEST,
                             ChunkRequest.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::chunkRequest),
+                            ReplicationCodec::readChunkRequest),
                     MessageFormat.of(
-                            CHUNK, Chunk.class, ReplicationCodec::encode, ReplicationCodec::chunk));
+                            CHUNK,
+                            Chunk.class,
+                            ReplicationCodec::encode,
+                            ReplicationCodec::readChunk));
 
     private ReplicationCodec() {}
 
@@ -103,7 +106,7 @@
         out.writeBoolean(message.transitional());
     }
 
-    private static ClaimRequest claimRequest(CborReader in) throws IOException {
+    private static ClaimRequest readClaimRequest(CborReader in) throws IOException {
         return new ClaimRequest(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -119,7 +122,7 @@
         ReplicaEntryCodec.writeClaimId(out, message.claimId());
     }
 
-    private static ClaimQuery claimQuery(CborReader in) throws IOException {
+    private static ClaimQuery readClaimQuery(CborReader in) throws IOException {
         return new ClaimQuery(
                 in.readLong(), ReplicaEntryCodec.readToken(in), ReplicaEntryCodec.readClaimId(in));
     }
@@ -140,7 +143,7 @@
         out.writeNumber(message.changeNumber());
     }
 
-    private static ClaimReply claimReply(CborReader in) throws IOException {
+    private static ClaimReply readClaimReply(CborReader in) throws IOException {
         return new ClaimReply(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -164,7 +167,7 @@
         CborWriter.writeNumbersByName(out, message.changeNumbers());
     }
 
-    private static ClaimCompleted claimCompleted(CborReader in) throws IOException {
+    private static ClaimCompleted readClaimCompleted(CborReader in) throws IOException {
         return new ClaimCompleted(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -181,7 +184,7 @@
         out.writeNumber(message.changeNumber());
     }
 
-    private static OutcomeStored outcomeStored(CborReader in) throws IOException {
+    private static OutcomeStored readOutcomeStored(CborReader in) throws IOException {
         return new OutcomeStored(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -195,7 +198,7 @@
         ReplicaEntryCodec.writeDuration(out, message.remaining());
     }
 
-    private static ClaimRelease claimRelease(CborReader in) throws IOException {
+    private static ClaimRelease readClaimRelease(CborReader in) throws IOException {
         return new ClaimRelease(
                 ReplicaEntryCodec.readToken(in),
                 ReplicaEntryCodec.readClaimId(in),
@@ -207,7 +210,7 @@
         ReplicaEntryCodec.writeClaimId(out, message.claimId());
     }
 
-    private static OwnerQuery ownerQuery(CborReader in) throws IOException {
+    private static OwnerQuery readOwnerQuery(CborReader in) throws IOException {
         return new OwnerQuery(ReplicaEntryCodec.readToken(in), ReplicaEntryCodec.readClaimId(in));
     }
 
@@ -215,7 +218,7 @@
         out.writeNumber(message.nonce());
     }
 
-    private static ChangeNumberQuery changeNumberQuery(CborReader in) throws IOException {
+    private static ChangeNumberQuery readChangeNumberQuery(CborReader in) throws IOException {
         return new ChangeNumberQuery(in.readLong());
     }
 
@@ -224,7 +227,7 @@
         out.writeNumber(message.changeNumber());
     }
 
-    private static ChangeNumberReply changeNumberReply(CborReader in) throws IOException {
+    private static ChangeNumberReply readChangeNumberReply(CborReader in) throws IOException {
         return new ChangeNumberReply(in.readLong(), in.readLong());
     }
 
@@ -234,7 +237,7 @@
         out.writeNumber(message.offset());
     }
 
-    private static ChunkRequest chunkRequest(CborReader in) throws IOException {
+    private static ChunkRequest readChunkRequest(CborReader in) throws IOException {
         return new ChunkRequest(
                 ReplicaEntryCodec.readToken(in),
                 ReplicaEntryCodec.readClaimId(in),
@@ -248,7 +251,7 @@
         ReplicaEntryCodec.writeByteText(out, message.data());
     }
 
-    private static Chunk chunk(CborReader in) throws IOException {
+    private static Chunk readChunk(CborReader in) throws IOException {
         return new Chunk(
                 ReplicaEntryCodec.readToken(in),
                 ReplicaEntryCodec.readClaimId(in),
--- a/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
@@ -27,28 +27,28 @@
                             STATUS_REPORT,
                             StatusReport.class,
                             RolloutCodec::encode,
-                            RolloutCodec::statusReport),
+                            RolloutCodec::readStatusReport),
                     format(
                             LEASE_REPLY,
                             LeaseReply.class,
                             RolloutCodec::encode,
-                            RolloutCodec::leaseReply),
+                            RolloutCodec::readLeaseReply),
                     format(
                             CHUNK_REQUEST,
                             ChunkRequest.class,
                             RolloutCodec::encode,
-                            RolloutCodec::chunkRequest),
-                    format(CHUNK, Chunk.class, RolloutCodec::encode, RolloutCodec::chunk),
+                            RolloutCodec::readChunkRequest),
+                    format(CHUNK, Chunk.class, RolloutCodec::encode, RolloutCodec::readChunk),
                     format(
                             VERSION_OFFER,
                             VersionOffer.class,
                             RolloutCodec::encode,
-                            RolloutCodec::versionOffer),
+                            RolloutCodec::readVersionOffer),
                     format(
                             VERSION_STORED,
                             VersionStored.class,
                             RolloutCodec::encode,
-                            RolloutCodec::versionStored));
+                            RolloutCodec::readVersionStored));
 
     private RolloutCodec() {}
 
@@ -76,7 +76,7 @@
         out.writeString(message.auditHash());
     }
 
-    private static StatusReport statusReport(CborReader in) throws IOException {
+    private static StatusReport readStatusReport(CborReader in) throws IOException {
         return new StatusReport(in.readLong(), readReport(in), in.readLong(), in.readText());
     }
 
@@ -85,7 +85,7 @@
         out.writeBoolean(message.granted());
     }
 
-    private static LeaseReply leaseReply(CborReader in) throws IOException {
+    private static LeaseReply readLeaseReply(CborReader in) throws IOException {
         return new LeaseReply(in.readLong(), in.readBoolean());
     }
 
@@ -94,7 +94,7 @@
         out.writeNumber(message.offset());
     }
 
-    private static ChunkRequest chunkRequest(CborReader in) throws IOException {
+    private static ChunkRequest readChunkRequest(CborReader in) throws IOException {
         return new ChunkRequest(in.readText(), in.readInt());
     }
 
@@ -104,7 +104,7 @@
         out.writeBinary(message.data());
     }
 
-    private static Chunk chunk(CborReader in) throws IOException {
+    private static Chunk readChunk(CborReader in) throws IOException {
         return new Chunk(in.readText(), in.readInt(), in.readBytes());
     }
 
@@ -113,7 +113,7 @@
         out.writeNumber(message.size());
     }
 
-    private static VersionOffer versionOffer(CborReader in) throws IOException {
+    private static VersionOffer readVersionOffer(CborReader in) throws IOException {
         return new VersionOffer(in.readText(), in.readInt());
     }
 
@@ -121,7 +121,7 @@
         out.writeString(message.hash());
     }
 
-    private static VersionStored versionStored(CborReader in) throws IOException {
+    private static VersionStored readVersionStored(CborReader in) throws IOException {
         return new VersionStored(in.readText());
     }
 
--- a/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
+++ b/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
@@ -7,8 +7,8 @@
     private final LongAdder sentPackets = new LongAdder();
     private final LongAdder sentBytes = new LongAdder();
     private final LongAdder droppedPackets = new LongAdder();
-    private final LongAdder readPackets = new LongAdder();
-    private final LongAdder readBytes = new LongAdder();
+    private final LongAdder receivedPackets = new LongAdder();
+    private final LongAdder receivedBytes = new LongAdder();
 
     void packetSent(int size) {
         sentPackets.increment();
@@ -20,8 +20,8 @@
     }
 
     void packetRead(int size) {
-        readPackets.increment();
-        readBytes.add(size);
+        receivedPackets.increment();
+        receivedBytes.add(size);
     }
 
     /** Returns the number of packets that were handed to the kernel. */
@@ -41,11 +41,11 @@
 
     /** Returns the number of received packets, including rejected ones. */
     public long readPackets() {
-        return readPackets.sum();
+        return receivedPackets.sum();
     }
 
     /** Returns the number of received bytes, including those of rejected packets. */
     public long readBytes() {
-        return readBytes.sum();
+        return receivedBytes.sum();
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/package-info.java
+++ b/src/main/java/ochretiller/fleet/transport/package-info.java
@@ -2,7 +2,7 @@
  * Transport between the servers of a fleet: UDP packets between peers, and TCP frames for the
  * operators' commands. Protocol decisions are made in other packages.
  *
- * <p><b>Job.</b> {@link ochretiller.fleet.transport.PacketCodec} encodes, seals, verifies and
+ * <p><b>Purpose.</b> {@link ochretiller.fleet.transport.PacketCodec} encodes, seals, verifies and
  * decodes the envelope of a packet; one codec per message family handles the bodies, with a pair of
  * methods per message. {@link ochretiller.fleet.transport.PeerSocket} sends and receives packets,
  * limits the rate of each peer and drops replayed packets. {@link
@@ -16,7 +16,7 @@
  * <p><b>Threads.</b> A reader thread named {@code fleet} verifies and decodes packets and posts
  * them to the event loop, which also sends packets.
  *
- * <p><b>Neighbours.</b> Used by {@code fleet.service}. Depends on the message types of {@code
+ * <p><b>Dependencies.</b> Used by {@code fleet.service}. Depends on the message types of {@code
  * fleet.membership}, {@code fleet.consensus}, {@code fleet.replication} and {@code fleet.rollout},
  * and on {@code net} for connections and scheduling.
  *
--- a/src/main/java/ochretiller/frontend/ClientConnection.java
+++ b/src/main/java/ochretiller/frontend/ClientConnection.java
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Returns whether requests are queued behind an earlier unanswered one, in protocols that
+     * Returns whether requests are queued after an earlier unanswered one, in protocols that
      * answer in order.
      */
     protected boolean waits() {
@@ -174,13 +174,13 @@
         return true;
     }
 
-    /** Closes a connection whose client was asked to send nothing more, with that code. */
+    /** Closes a connection, with the code of {@link #part}, after its client could react. */
     void close() {
         connection.close(closingReason.orElseThrow());
     }
 
     /**
-     * Drops a connection that is closing, or whose client was asked to send nothing more, unless
+     * Drops a connection that is closing, or whose client was asked to leave, unless
      * that would lose a request or a response.
      *
      * @param maxAge the age from which no client waits for an incomplete message
--- a/src/main/java/ochretiller/frontend/ClientConnections.java
+++ b/src/main/java/ochretiller/frontend/ClientConnections.java
@@ -14,7 +14,7 @@
 /**
  * All client connections of the server, over all protocols. Passes arriving attempts to a listener
  * and ensures that each is answered at most once. Confined to the event loop, except for {@link
- * #accepted}.
+ * #accepted} and {@link #closed}.
  */
 public final class ClientConnections {
     private final Scheduler scheduler;
@@ -103,8 +103,8 @@
     }
 
     /** Returns whether an attempt with this request id is open or still running. */
-    public boolean knows(String rid) {
-        return attempts.containsKey(rid);
+    public boolean knows(String requestId) {
+        return attempts.containsKey(requestId);
     }
 
     /** Returns an attempt id that is unique within this process. */
@@ -132,11 +132,11 @@
     /**
      * Finds an attempt that is open or still running.
      *
-     * @param rid its request id
+     * @param requestId the request id of the attempt
      * @return the attempt, or null if there is none
      */
-    public RequestAttempt find(String rid) {
-        return attempts.get(rid);
+    public RequestAttempt find(String requestId) {
+        return attempts.get(requestId);
     }
 
     /** Removes an attempt that is answered and whose run has ended. */
--- a/src/main/java/ochretiller/frontend/ConnectionTable.java
+++ b/src/main/java/ochretiller/frontend/ConnectionTable.java
@@ -53,13 +53,13 @@
     private final Duration longestWait;
 
     /** Connections that have not been asked to leave, the oldest first. */
-    private final Set<ClientConnection> staying = new LinkedHashSet<>();
+    private final Set<ClientConnection> stayingConnections = new LinkedHashSet<>();
 
-    /** Those of {@link #staying} that have sent no valid message yet, the oldest first. */
+    /** The {@link #stayingConnections} that have sent no valid message yet, the oldest first. */
     private final Set<ClientConnection> newcomers = new LinkedHashSet<>();
 
     /** Connections that were asked to leave, violated the protocol, or are closing. */
-    private final Set<ClientConnection> leaving = new LinkedHashSet<>();
+    private final Set<ClientConnection> leavingConnections = new LinkedHashSet<>();
 
     /** The number of connections that hold a file descriptor. */
     private final AtomicInteger descriptorCount = new AtomicInteger();
@@ -103,9 +103,9 @@
         if (!peer.connection.open()) {
             return; // remove is called next
         }
-        staying.add(peer);
+        stayingConnections.add(peer);
         newcomers.add(peer);
-        makeRoom(peer);
+        enforceLimit(peer);
         if (draining && peer.part(CloseCode.LEAVING)) {
             startLeaving(peer);
         }
@@ -115,9 +115,9 @@
      * If there are too many connections, closes the oldest newcomer or else the one that has been
      * idle longest. If all are busy, marks the new one as surplus.
      */
-    private void makeRoom(ClientConnection newcomer) {
+    private void enforceLimit(ClientConnection newcomer) {
         dropOneLeaving();
-        boolean full = staying.size() > limit;
+        boolean full = stayingConnections.size() > limit;
         boolean manyNewcomers = newcomers.size() > limit / NEWCOMER_DIVISOR;
         if (manyNewcomers || full) {
             Optional<ClientConnection> oldest =
@@ -138,7 +138,7 @@
         if (descriptorCount.get() <= limit) {
             return;
         }
-        for (ClientConnection peer : leaving) {
+        for (ClientConnection peer : leavingConnections) {
             if (peer.hurry(longestWait)) {
                 return;
             }
@@ -159,7 +159,7 @@
 
     private void closeLongestIdle(ClientConnection newcomer) {
         Optional<ClientConnection> longestIdle =
-                staying.stream()
+                stayingConnections.stream()
                         .filter(peer -> peer != newcomer && peer.shown() && isClosable(peer))
                         .min(Comparator.comparing(peer -> peer.connection.usedAt()));
         if (longestIdle.isPresent()) {
@@ -185,8 +185,8 @@
     /** Called when a connection is about to be closed. */
     void startLeaving(ClientConnection peer) {
         newcomers.remove(peer);
-        if (staying.remove(peer)) {
-            leaving.add(peer);
+        if (stayingConnections.remove(peer)) {
+            leavingConnections.add(peer);
         }
     }
 
@@ -219,9 +219,9 @@
 
     /** Removes a connection that has been closed. */
     void remove(ClientConnection peer) {
-        staying.remove(peer);
+        stayingConnections.remove(peer);
         newcomers.remove(peer);
-        leaving.remove(peer);
+        leavingConnections.remove(peer);
     }
 
     /** Sets how long a connection may be idle. */
@@ -231,7 +231,7 @@
 
     private void sweep() {
         scheduler.after(SWEEP_INTERVAL, this::sweep);
-        for (ClientConnection peer : List.copyOf(staying)) {
+        for (ClientConnection peer : List.copyOf(stayingConnections)) {
             if (!isClosable(peer)) {
                 continue; // a close could lose unprocessed input
             }
@@ -250,7 +250,7 @@
     /** Asks all current and future clients to send no further requests. */
     void startDrain() {
         draining = true;
-        for (ClientConnection peer : List.copyOf(staying)) {
+        for (ClientConnection peer : List.copyOf(stayingConnections)) {
             if (peer.part(CloseCode.LEAVING)) {
                 startLeaving(peer);
             }
@@ -259,13 +259,13 @@
 
     /** Returns the number of connections that are open or closing. */
     int size() {
-        return staying.size() + leaving.size();
+        return stayingConnections.size() + leavingConnections.size();
     }
 
     /** Returns all connections that are open or closing. */
     List<ClientConnection> all() {
-        List<ClientConnection> all = new ArrayList<>(staying);
-        all.addAll(leaving);
+        List<ClientConnection> all = new ArrayList<>(stayingConnections);
+        all.addAll(leavingConnections);
         return all;
     }
 }
--- a/src/main/java/ochretiller/frontend/RequestAttempt.java
+++ b/src/main/java/ochretiller/frontend/RequestAttempt.java
@@ -59,7 +59,7 @@
      */
     public RequestAttempt(
             InvocationId id,
-            String rid,
+            String requestId,
             Operation operation,
             double memoryKb,
             long clientId,
@@ -71,7 +71,7 @@
             ClientConnection peer,
             long number) {
         this.id = id;
-        this.rid = rid;
+        this.rid = requestId;
         this.operation = operation;
         this.kb = memoryKb;
         this.caller = clientId;
--- a/src/main/java/ochretiller/jsonrpc/InvocationParams.java
+++ b/src/main/java/ochretiller/jsonrpc/InvocationParams.java
@@ -18,7 +18,7 @@
         String rid, long t0, long caller, double kb, String token, String object, byte[] body) {
     private static final int MAX_BODY_BYTES = 2 * 1024;
 
-    /** Exclusive limit, in KB. */
+    /** Upper bound of the memory to reserve, exclusive. */
     private static final double MAX_MEMORY_KB = 2_000;
 
     private static final int REQUEST_ID_DIGITS = 16;
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
@@ -37,7 +37,7 @@
                 throw new BadInputException("no JSON-RPC object");
             }
             id = id(json);
-            return call(id, json.members());
+            return parseCall(id, json.members());
         } catch (BadInputException e) {
             id = id(json);
             if (id.isEmpty()) {
@@ -60,7 +60,7 @@
     }
 
     @SuppressWarnings("unchecked") // the parser creates only maps with string keys
-    private static JsonRpcMessage call(OptionalLong id, Map<String, Object> members) {
+    private static JsonRpcMessage parseCall(OptionalLong id, Map<String, Object> members) {
         if (!"2.0".equals(members.get("jsonrpc"))) {
             throw new JsonRpcException(JsonRpcException.REQUEST, "not JSON-RPC 2.0");
         }
@@ -77,7 +77,7 @@
         return new JsonRpcMessage.Call(id, method, (Map<String, Object>) params);
     }
 
-    private static StringBuilder open(long id, String member) {
+    private static StringBuilder startResponse(long id, String member) {
         return new StringBuilder(TYPICAL_RESPONSE_CHARS)
                 .append("{\"jsonrpc\":\"2.0\",\"id\":")
                 .append(id)
@@ -87,33 +87,33 @@
     }
 
     /** Appends a separator and the advertised capacity, if present. */
-    private static StringBuilder appendHint(
-            StringBuilder out, OptionalDouble hint, String separator) {
-        if (hint.isPresent()) {
-            out.append(separator).append("\"hint\":").append(hint.getAsDouble());
+    private static StringBuilder appendCapacity(
+            StringBuilder out, OptionalDouble capacity, String separator) {
+        if (capacity.isPresent()) {
+            out.append(separator).append("\"hint\":").append(capacity.getAsDouble());
         }
         return out;
     }
 
     /** Formats the response with a result. */
-    static String result(long id, byte[] result, OptionalDouble hint) {
+    static String result(long id, byte[] result, OptionalDouble capacity) {
         StringBuilder out =
-                open(id, "result")
+                startResponse(id, "result")
                         .append("\"data\":\"")
                         .append(Base64.getEncoder().encodeToString(result))
                         .append('"');
-        return appendHint(out, hint, ",").append("}}\n").toString();
+        return appendCapacity(out, capacity, ",").append("}}\n").toString();
     }
 
     /** Formats the response to a health check. */
-    static String health(long id, boolean healthy, OptionalDouble hint) {
-        StringBuilder out = open(id, "result").append("\"green\":").append(healthy);
-        return appendHint(out, hint, ",").append("}}\n").toString();
+    static String health(long id, boolean healthy, OptionalDouble capacity) {
+        StringBuilder out = startResponse(id, "result").append("\"green\":").append(healthy);
+        return appendCapacity(out, capacity, ",").append("}}\n").toString();
     }
 
     /** Formats the response to a request that has no result. */
     static String done(long id) {
-        return open(id, "result").append("}}\n").toString();
+        return startResponse(id, "result").append("}}\n").toString();
     }
 
     /**
@@ -123,8 +123,8 @@
      * @param isFinal whether a retry is of no use
      */
     static String throttled(
-            long id, Duration retryAfter, boolean isFinal, OptionalDouble hint) {
-        StringBuilder out = error(id, THROTTLED, "throttled").append(",\"data\":{");
+            long id, Duration retryAfter, boolean isFinal, OptionalDouble capacity) {
+        StringBuilder out = startError(id, THROTTLED, "throttled").append(",\"data\":{");
         String separator = "";
         if (!retryAfter.isZero()) {
             out.append("\"backoff\":").append(Math.max(1, retryAfter.toMillis()));
@@ -134,26 +134,26 @@
             out.append(separator).append("\"final\":1");
             separator = ",";
         }
-        return appendHint(out, hint, separator).append("}}}\n").toString();
+        return appendCapacity(out, capacity, separator).append("}}}\n").toString();
     }
 
     /** Formats the response to an attempt that failed. */
-    static String failed(long id, String message, OptionalDouble hint) {
-        StringBuilder out = error(id, FAILED, message);
-        if (hint.isPresent()) {
-            appendHint(out.append(",\"data\":{"), hint, "").append('}');
+    static String failed(long id, String message, OptionalDouble capacity) {
+        StringBuilder out = startError(id, FAILED, message);
+        if (capacity.isPresent()) {
+            appendCapacity(out.append(",\"data\":{"), capacity, "").append('}');
         }
         return out.append("}}\n").toString();
     }
 
     /** Formats the response to a request that violates the protocol. */
     static String fault(long id, JsonRpcException violation) {
-        return error(id, violation.code, violation.getMessage()).append("}}\n").toString();
+        return startError(id, violation.code, violation.getMessage()).append("}}\n").toString();
     }
 
     /** The message is not escaped, so it must be a constant of this server. */
-    private static StringBuilder error(long id, int code, String message) {
-        return open(id, "error")
+    private static StringBuilder startError(long id, int code, String message) {
+        return startResponse(id, "error")
                 .append("\"code\":")
                 .append(code)
                 .append(",\"message\":\"")
--- a/src/main/java/ochretiller/net/AcceptedSessionHandler.java
+++ b/src/main/java/ochretiller/net/AcceptedSessionHandler.java
@@ -45,7 +45,7 @@
         return true;
     }
 
-    /** Under memory pressure, only connections with much queued input are no longer read. */
+    /** Under memory pressure, stops reading those with much queued input; others are still read. */
     @Override
     boolean enqueue(int queuedBytes, long queuedBytesOfAll) {
         return queuedBytes <= MAX_QUEUED_BYTES
--- a/src/main/java/ochretiller/net/Connection.java
+++ b/src/main/java/ochretiller/net/Connection.java
@@ -16,8 +16,8 @@
  */
 public final class Connection {
     /**
-     * A peer with more unread output than this is disconnected. Room for the longest response to
-     * each of the requests that a connection may have open.
+     * A peer with more unread output than this is disconnected. The limit fits the longest
+     * response to each of the requests that a connection may have open.
      */
     private static final long MAX_UNREAD_BYTES = 192 * 1024;
 
@@ -25,8 +25,8 @@
     private static final long MAX_UNREAD_BYTES_UNDER_PRESSURE = 16 * 1024;
 
     /**
-     * Interval between checks whether a closing connection can be closed for good. Twice the time
-     * for which a request of the peer may still be in transit.
+     * Interval between checks whether a closing connection can be closed for good. The first
+     * check never closes it: two intervals are twice the time that a request may be in transit.
      */
     private static final Duration LINGER_INTERVAL = Duration.ofMillis(100);
 
@@ -40,7 +40,7 @@
 
     private final IoSession session;
     private final Network network;
-    private final boolean lingers;
+    private final boolean isLingering;
     private final ByteArrayOutputStream output = new ByteArrayOutputStream(INITIAL_OUTPUT_BYTES);
     private final AtomicInteger queuedBytes = new AtomicInteger();
     private volatile Optional<CloseCode> closeCode = Optional.empty();
@@ -53,12 +53,12 @@
     /**
      * Wraps an open session.
      *
-     * @param lingers whether a close waits until the peer has read its output and closed its side,
-     *     as client connections require
+     * @param isLingering whether a close waits until the peer has read its output and closed its
+     *     side, as client connections require
      */
-    Connection(IoSession session, Network network, boolean lingers, Duration now) {
+    Connection(IoSession session, Network network, boolean isLingering, Duration now) {
         this.session = session;
-        this.lingers = lingers;
+        this.isLingering = isLingering;
         this.network = network;
         this.lastUsedAt = now;
     }
@@ -142,14 +142,14 @@
         reason(reason);
         // Closing a socket with unread input resets the connection, and the peer would lose the
         // responses that it has not read yet.
-        if (!lingers || inputEnded) {
+        if (!isLingering || inputEnded) {
             session.closeOnFlush();
         } else if (lastWrite.isEmpty()) {
             shutDownOutput();
         } else {
             lastWrite.get().addListener(written -> shutDownOutput());
         }
-        if (lingers) {
+        if (isLingering) {
             scheduleForcedClose(0);
         }
     }
@@ -178,7 +178,7 @@
         return output.size() == 0 && session.getScheduledWriteBytes() == 0;
     }
 
-    /** The peer has shut down its output. Called on the I/O thread. */
+    /** Records that the peer has shut down its output. Called on the I/O thread. */
     void inputEnds() {
         inputEnded = true;
         if (!open()) {
--- a/src/main/java/ochretiller/net/Network.java
+++ b/src/main/java/ochretiller/net/Network.java
@@ -41,7 +41,7 @@
     private static final int QUEUED_MEMORY_DIVISOR = 96;
 
     private static final int BACKLOG = 1024;
-    private static final long CONNECT_TIMEOUT_MS = 2_000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2_000;
 
     private final Scheduler scheduler;
     private final ExecutorService threads = Executors.newCachedThreadPool(Network::daemonThread);
@@ -51,7 +51,7 @@
     private final AtomicLong queuedBytes = new AtomicLong();
     private final long memoryBytes;
     private final Set<Connection> dirtyConnections = new LinkedHashSet<>();
-    private final Set<InetSocketAddress> unreachable = ConcurrentHashMap.newKeySet();
+    private final Set<InetSocketAddress> unreachableAddresses = ConcurrentHashMap.newKeySet();
     private final List<Acceptor> acceptors = new ArrayList<>();
 
     /**
@@ -64,7 +64,7 @@
         this.scheduler = scheduler;
         this.memoryBytes = memoryBytes;
         configure(connector.getSessionConfig());
-        connector.setConnectTimeoutMillis(CONNECT_TIMEOUT_MS);
+        connector.setConnectTimeoutMillis(CONNECT_TIMEOUT_MILLIS);
         connector.setHandler(new OutboundSessionHandler(this, scheduler));
     }
 
@@ -156,11 +156,11 @@
     private void onConnectFinished(
             boolean succeeded, String kind, InetSocketAddress address, Runnable onFailure) {
         if (succeeded) {
-            unreachable.remove(address);
+            unreachableAddresses.remove(address);
             return;
         }
         // Connects to a peer that is down are retried: only the first failure is logged.
-        if (unreachable.add(address)) {
+        if (unreachableAddresses.add(address)) {
             SessionHandler.logEnd(kind, address, CloseCode.REFUSED);
         }
         scheduler.post(onFailure);
--- a/src/main/java/ochretiller/net/OutboundSessionHandler.java
+++ b/src/main/java/ochretiller/net/OutboundSessionHandler.java
@@ -70,7 +70,7 @@
         connection.drop(code);
     }
 
-    /** Not logged after a completed run, which would fill the log; pool metrics count those. */
+    /** Excludes closes after a completed run, which would fill the log; pool metrics count them. */
     @Override
     boolean isLogged(CloseCode code) {
         return code != CloseCode.ANSWERED;
--- a/src/main/java/ochretiller/net/Scheduler.java
+++ b/src/main/java/ochretiller/net/Scheduler.java
@@ -11,8 +11,8 @@
     Duration now();
 
     /**
-     * Returns the time since the server's start, read from the clock at this call, for decisions
-     * that the start time of the round, {@link #now}, is too old for.
+     * Returns the time since the server's start, read from the clock at this call. Used for
+     * decisions that need a more recent time than the start of the round.
      */
     default Duration exact() {
         return now();
--- a/src/main/java/ochretiller/net/SessionHandler.java
+++ b/src/main/java/ochretiller/net/SessionHandler.java
@@ -51,7 +51,7 @@
     /** Called on the event loop when input has been taken from the queue. */
     abstract void dequeue();
 
-    /** Stops reading from a peer that violated the protocol or a limit, and closes. */
+    /** Stops reading from a peer that violated the protocol or a limit, and disconnects. */
     abstract void disconnect(Connection connection, ConnectionHandler handler, CloseCode code);
 
     /** Returns whether a connection that was closed with this code is logged. */
@@ -96,7 +96,7 @@
             disconnect(connection, handler, CloseCode.BAD_INPUT);
             return;
         }
-        notePartialMessage(connection, handler, work != null);
+        updateIncompleteSince(connection, handler, work != null);
         if (work != null) {
             post(connection, handler, buffer.remaining(), work);
         }
@@ -107,19 +107,19 @@
     }
 
     /** The age of an incomplete message counts from the read that completed the one before. */
-    private void notePartialMessage(
-            Connection connection, ConnectionHandler handler, boolean completed) {
+    private void updateIncompleteSince(
+            Connection connection, ConnectionHandler handler, boolean hasCompletedMessage) {
         Optional<Duration> incompleteSince = connection.within();
         if (!handler.within()) {
             connection.within(Optional.empty());
-        } else if (incompleteSince.isEmpty() || completed) {
+        } else if (incompleteSince.isEmpty() || hasCompletedMessage) {
             connection.within(Optional.of(schedule.now()));
         }
     }
 
     private void post(Connection connection, ConnectionHandler handler, int bytes, Runnable work) {
         int queuedBytes = connection.queued(bytes);
-        boolean withinLimit = enqueue(queuedBytes, network.countQueued(bytes));
+        boolean isWithinLimit = enqueue(queuedBytes, network.countQueued(bytes));
         schedule.post(
                 () -> {
                     dequeue();
@@ -128,7 +128,7 @@
                     connection.used(schedule.now());
                     work.run();
                 });
-        if (!withinLimit) {
+        if (!isWithinLimit) {
             disconnect(connection, handler, CloseCode.FLOOD);
         }
     }
--- a/src/main/java/ochretiller/net/package-info.java
+++ b/src/main/java/ochretiller/net/package-info.java
@@ -11,8 +11,8 @@
  * ochretiller.net.Scheduler}; everything else runs on the event loop. Methods document the thread
  * that may call them.
  *
- * <p>Neighbours: {@code frontend} (client connections), {@code processor}, {@code records} and
- * {@code workers} (outbound connections) build on this package; it depends on {@code text} only for
- * the exception that reports malformed input.
+ * <p>Dependencies: used by {@code frontend} (client connections), {@code processor}, {@code
+ * records} and {@code workers} (outbound connections); depends on {@code text} only for the
+ * exception that reports malformed input.
  */
 package ochretiller.net;
--- a/src/main/java/ochretiller/processor/NoticeSequence.java
+++ b/src/main/java/ochretiller/processor/NoticeSequence.java
@@ -7,12 +7,12 @@
  * notices from repeated ones and detects gaps. Confined to the event loop.
  */
 final class NoticeSequence {
-    private long last;
+    private long lastNumber;
     private boolean hasGap;
 
     /** Returns the number of the last notice; 0 before the first. */
     long last() {
-        return last;
+        return lastNumber;
     }
 
     /**
@@ -25,17 +25,17 @@
      * @throws BadInputException if numbers were skipped that a new connection may still receive
      */
     boolean accept(long number, boolean isCaughtUp) {
-        if (number <= last) {
+        if (number <= lastNumber) {
             return false;
         }
-        if (number > last + 1) {
+        if (number > lastNumber + 1) {
             if (isCaughtUp) {
                 throw new BadInputException(
-                        "received notice " + number + " directly after notice " + last);
+                        "received notice " + number + " directly after notice " + lastNumber);
             }
             hasGap = true;
         }
-        last = number;
+        lastNumber = number;
         return true;
     }
 
--- a/src/main/java/ochretiller/processor/ProcessorClient.java
+++ b/src/main/java/ochretiller/processor/ProcessorClient.java
@@ -118,7 +118,7 @@
             return;
         }
         gaugesRequestedAt = scheduler.now();
-        ready().ifPresent(current -> current.requestGauges("g" + ++lastTag));
+        readyConnection().ifPresent(current -> current.requestGauges("g" + ++lastTag));
     }
 
     /**
@@ -133,7 +133,7 @@
         }
         String tag = "t" + ++lastTag;
         deepChecks.put(tag, callback);
-        ready().ifPresent(current -> current.startDeepCheck(tag));
+        readyConnection().ifPresent(current -> current.startDeepCheck(tag));
     }
 
     @Override
@@ -146,48 +146,48 @@
                         request.isRetryable(),
                         listener);
         runs.put(run.requestId, run);
-        ready().ifPresent(current -> current.begin(run));
+        readyConnection().ifPresent(current -> current.begin(run));
     }
 
     /**
      * Resumes a run that a previous process has started. It is never started here; its end is
      * reported if the processor still knows the run.
      *
-     * @param rid the run's request id
+     * @param requestId the request id of the run
      * @param operation the name of its operation
      * @param listener receives the end of the run
      */
-    public void adopt(String rid, String operation, RunListener listener) {
-        runs.put(rid, ActiveRun.resumed(rid, operation, listener));
+    public void adopt(String requestId, String operation, RunListener listener) {
+        runs.put(requestId, ActiveRun.resumed(requestId, operation, listener));
     }
 
     @Override
-    public void cancelRun(String rid) {
-        ActiveRun run = runs.get(rid);
+    public void cancelRun(String requestId) {
+        ActiveRun run = runs.get(requestId);
         if (run == null) {
             return;
         }
         run.isCancelled = true;
-        ready().ifPresent(current -> current.interrupt(rid));
+        readyConnection().ifPresent(current -> current.interrupt(requestId));
     }
 
     /**
      * Sends the reply to the call that a run waits for; does nothing if the run has ended.
      *
-     * @param rid the run's request id
+     * @param requestId the request id of the run
      * @param reply the reply's bytes
      */
-    public void answer(String rid, byte[] reply) {
-        ActiveRun run = runs.get(rid);
+    public void answer(String requestId, byte[] reply) {
+        ActiveRun run = runs.get(requestId);
         if (run == null) {
             return;
         }
         run.callReply = Optional.of(reply);
-        ready().ifPresent(current -> current.answerCall(rid, reply));
+        readyConnection().ifPresent(current -> current.answerCall(requestId, reply));
     }
 
     /** Returns the connection for commands; empty until it has repeated all missed notices. */
-    private Optional<ProcessorConnection> ready() {
+    private Optional<ProcessorConnection> readyConnection() {
         return isCaughtUp ? connection : Optional.empty();
     }
 
@@ -247,7 +247,7 @@
                 // Its end may be among the lost notices; a second run would repeat its effect.
                 onRunFinished(run.requestId, RunOutcome.Status.FAILED, Duration.ZERO, null);
             } else {
-                ready().ifPresent(current -> repeatCommands(current, run));
+                readyConnection().ifPresent(current -> repeatCommands(current, run));
             }
         }
     }
--- a/src/main/java/ochretiller/processor/ProcessorConnection.java
+++ b/src/main/java/ochretiller/processor/ProcessorConnection.java
@@ -27,12 +27,12 @@
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     /** The tag of the gauge request whose reply marks the end of the repeated notices. */
-    private static final String FENCE = "fence";
+    private static final String CAUGHT_UP_TAG = "fence";
 
     private static final double NANOS_PER_MILLI = 1e6;
 
     /** Limit for durations, about 30 years; larger values are malformed. */
-    private static final double MAX_MILLIS = 1e12;
+    private static final double MAX_DURATION_MILLIS = 1e12;
 
     private static final int COMPLETE_WORDS_WITH_BODY = 6;
     private static final int ASK_WORDS_WITH_BODY = 4;
@@ -138,7 +138,7 @@
         switch (words.get(0)) {
             case "hi" -> {
                 client.onProcessorUp(words.get(1).equals("chilly"), duration(words.get(2)));
-                requestGauges(FENCE);
+                requestGauges(CAUGHT_UP_TAG);
             }
             case "complete" -> onRunFinished(words, body);
             case "ask" -> {
@@ -148,7 +148,7 @@
             }
             case "used" -> {
                 client.onGauges(words.subList(2, words.size()));
-                if (words.get(1).equals(FENCE)) {
+                if (words.get(1).equals(CAUGHT_UP_TAG)) {
                     client.onCaughtUp();
                 }
             }
@@ -224,7 +224,7 @@
     private static Duration duration(String millis) {
         try {
             double value = Double.parseDouble(millis);
-            if (value >= 0 && value < MAX_MILLIS) {
+            if (value >= 0 && value < MAX_DURATION_MILLIS) {
                 return Duration.ofNanos((long) (value * NANOS_PER_MILLI));
             }
         } catch (NumberFormatException e) {
--- a/src/main/java/ochretiller/processor/package-info.java
+++ b/src/main/java/ochretiller/processor/package-info.java
@@ -9,6 +9,7 @@
  * to the event loop; {@link ochretiller.processor.ProcessorConnection} splits lines on the I/O
  * thread.
  *
- * <p>Neighbours: {@code execution} (the port that this implements), {@code net}, {@code text}.
+ * <p>Dependencies: {@code execution} (this package implements its run backend), {@code net}, {@code
+ * text}.
  */
 package ochretiller.processor;
--- a/src/main/java/ochretiller/records/RecordsClient.java
+++ b/src/main/java/ochretiller/records/RecordsClient.java
@@ -37,11 +37,11 @@
     private final Network network;
     private final int maxConnections;
     private final Map<String, PendingCall> pendingCalls = new LinkedHashMap<>();
-    private final Set<PendingCall> unsent = new LinkedHashSet<>();
+    private final Set<PendingCall> unsentCalls = new LinkedHashSet<>();
     private final Set<RecordsConnection> connections = new LinkedHashSet<>();
 
     /** Connections without a call, the most recently used first. */
-    private final Deque<RecordsConnection> idle = new ArrayDeque<>();
+    private final Deque<RecordsConnection> idleConnections = new ArrayDeque<>();
 
     private Optional<InetSocketAddress> address;
 
@@ -71,15 +71,15 @@
     /**
      * Makes a call.
      *
-     * @param rid the request id of the run that makes the call; a run has one call at a time
+     * @param requestId the request id of the run that makes the call; a run has one call at a time
      * @param timeout how long to wait for the reply
      * @param body the call's body
      * @param listener receives the outcome, unless the call is cancelled by {@link #abandon}
      */
-    public void call(String rid, Duration timeout, byte[] body, CallListener listener) {
-        PendingCall call = new PendingCall(rid, timeout, body, scheduler.now(), listener);
-        pendingCalls.put(rid, call);
-        unsent.add(call);
+    public void call(String requestId, Duration timeout, byte[] body, CallListener listener) {
+        PendingCall call = new PendingCall(requestId, timeout, body, scheduler.now(), listener);
+        pendingCalls.put(requestId, call);
+        unsentCalls.add(call);
         scheduler.after(
                 timeout,
                 () -> {
@@ -104,7 +104,7 @@
         // Calls must not wait for connects to the old address, which may be out of service.
         generation++;
         connectCount = 0;
-        for (RecordsConnection connection : new ArrayList<>(idle)) {
+        for (RecordsConnection connection : new ArrayList<>(idleConnections)) {
             close(connection, CloseCode.MOVED);
         }
         sendUnsent();
@@ -120,17 +120,17 @@
             scheduler.post(this::failUnsent);
             return;
         }
-        while (!unsent.isEmpty() && !idle.isEmpty()) {
-            send(idle.poll(), unsent.iterator().next());
+        while (!unsentCalls.isEmpty() && !idleConnections.isEmpty()) {
+            send(idleConnections.poll(), unsentCalls.iterator().next());
         }
-        while (connectCount < unsent.size()
+        while (connectCount < unsentCalls.size()
                 && connections.size() + connectCount < maxConnections) {
             connect(address.get());
         }
     }
 
     private void send(RecordsConnection connection, PendingCall call) {
-        unsent.remove(call);
+        unsentCalls.remove(call);
         call.connection = Optional.of(connection);
         connection.send(call);
     }
@@ -152,8 +152,8 @@
 
     /** Fails all queued calls as unreachable: none of them was written, so none has run. */
     private void failUnsent() {
-        List<PendingCall> failed = new ArrayList<>(unsent);
-        unsent.clear();
+        List<PendingCall> failed = new ArrayList<>(unsentCalls);
+        unsentCalls.clear();
         failed.forEach(call -> finish(call, CallOutcome.Status.UNREACHABLE, NO_REPLY));
     }
 
@@ -170,17 +170,17 @@
     /**
      * Cancels the call of a run that has ended; its listener is not called.
      *
-     * @param rid the run's request id; ignored if the run has no call
+     * @param requestId the request id of the run; ignored if the run has no call
      */
-    public void abandon(String rid) {
-        PendingCall call = pendingCalls.remove(rid);
-        if (call == null || unsent.remove(call)) {
+    public void abandon(String requestId) {
+        PendingCall call = pendingCalls.remove(requestId);
+        if (call == null || unsentCalls.remove(call)) {
             return;
         }
         // The connection is not reused: a late reply could be mistaken for that of another call.
         call.connection.ifPresent(
                 connection -> {
-                    connection.cancel(rid);
+                    connection.cancel(requestId);
                     close(connection, CloseCode.GIVEN_UP);
                 });
     }
@@ -193,8 +193,8 @@
 
     private void sweep() {
         scheduler.after(SWEEP_INTERVAL, this::sweep);
-        while (!idle.isEmpty() && isIdleTooLong(idle.peekLast())) {
-            close(idle.peekLast(), CloseCode.IDLE);
+        while (!idleConnections.isEmpty() && isIdleTooLong(idleConnections.peekLast())) {
+            close(idleConnections.peekLast(), CloseCode.IDLE);
         }
     }
 
@@ -211,7 +211,7 @@
 
     private void close(RecordsConnection connection, CloseCode code) {
         connections.remove(connection);
-        idle.remove(connection);
+        idleConnections.remove(connection);
         connection.close(code);
     }
 
@@ -219,7 +219,7 @@
     private void release(RecordsConnection connection) {
         connection.clearCall();
         if (address.filter(connection.address()::equals).isPresent()) {
-            idle.push(connection);
+            idleConnections.push(connection);
         } else {
             close(connection, CloseCode.MOVED);
         }
@@ -247,22 +247,22 @@
             String requestId,
             CallOutcome.Status status,
             byte[] reply) {
-        Optional<PendingCall> answered =
+        Optional<PendingCall> answeredCall =
                 connection
                         .call()
                         .filter(call -> call.requestId.equals(requestId))
                         .filter(this::isPending);
-        if (answered.isEmpty()) {
+        if (answeredCall.isEmpty()) {
             return;
         }
         release(connection);
-        finish(answered.get(), status, reply);
+        finish(answeredCall.get(), status, reply);
         sendUnsent();
     }
 
     void onDisconnected(RecordsConnection connection) {
         connections.remove(connection);
-        idle.remove(connection);
+        idleConnections.remove(connection);
         // It is unknown whether a call on a broken connection has run.
         connection
                 .call()
--- a/src/main/java/ochretiller/records/package-info.java
+++ b/src/main/java/ochretiller/records/package-info.java
@@ -4,7 +4,7 @@
  * once: with a reply, a timeout, or a connection failure.
  *
  * <p>State: the pending calls and the open connections. Everything is confined to the event loop;
- * {@link ochretiller.records.RecordsConnection} splits lines on the I/O thread. Neighbours: {@code
- * net}, {@code text}.
+ * {@link ochretiller.records.RecordsConnection} splits lines on the I/O thread. Dependencies:
+ * {@code net}, {@code text}.
  */
 package ochretiller.records;
--- a/src/main/java/ochretiller/text/Frames.java
+++ b/src/main/java/ochretiller/text/Frames.java
@@ -13,7 +13,7 @@
     public static final int NONE = -1;
 
     /** Bytes that a message may have in addition to the maximum body. */
-    private static final int MAX_LINE_OVERHEAD = 256;
+    private static final int MAX_LINE_OVERHEAD_BYTES = 256;
 
     private static final int LINE_END_BYTES = 2;
 
@@ -25,28 +25,31 @@
     private byte[] rest = Slice.EMPTY.bytes();
 
     /** The number of bytes in {@link #rest} that are in use. */
-    private int filled;
+    private int restLength;
 
     /** The number of bytes of {@link #rest} already searched for the end of the line. */
-    private int scanned;
+    private int scannedLength;
 
-    /** A position in a buffer that is being split: the next message begins at {@code at}. */
+    /**
+     * A position in a buffer that is being split: the next message begins at {@code at}, and its
+     * line end is searched from {@code scanFrom}.
+     */
     private static final class Cursor {
         private final byte[] buffer;
         private final int end;
         private int at;
-        private int scanned;
+        private int scanFrom;
 
-        Cursor(byte[] buffer, int at, int end, int scanned) {
+        Cursor(byte[] buffer, int at, int end, int scanFrom) {
             this.buffer = buffer;
             this.at = at;
             this.end = end;
-            this.scanned = scanned;
+            this.scanFrom = scanFrom;
         }
 
         /** Returns the index of the next line feed, or {@code end} if there is none. */
         int findLineFeed() {
-            int index = scanned;
+            int index = scanFrom;
             while (index < end && buffer[index] != '\n') {
                 index++;
             }
@@ -55,7 +58,7 @@
     }
 
     /**
-     * Creates a splitter for the input of one connection.
+     * Creates a decoder for the input of one connection.
      *
      * @param maxBytes the maximum length of a line or a body, in bytes
      * @param requiresCrLf whether lines must end in CR LF; otherwise LF alone is also accepted
@@ -77,12 +80,13 @@
      * @throws BadInputException if the input is malformed or too long
      */
     public void read(byte[] bytes, int from, int to, BiConsumer<Slice, Slice> consumer) {
-        Cursor cursor = filled > 0 ? append(bytes, from, to) : new Cursor(bytes, from, to, from);
+        Cursor cursor =
+                restLength > 0 ? append(bytes, from, to) : new Cursor(bytes, from, to, from);
         boolean hasConsumed = false;
         while (consumeMessage(cursor, consumer)) {
             hasConsumed = true;
         }
-        if (cursor.end - cursor.at > maxBytes + MAX_LINE_OVERHEAD) {
+        if (cursor.end - cursor.at > maxBytes + MAX_LINE_OVERHEAD_BYTES) {
             throw new BadInputException("message is longer than " + maxBytes + " bytes");
         }
         retainRest(cursor, hasConsumed);
@@ -90,23 +94,23 @@
 
     /** Returns whether a message is partially received. */
     public boolean within() {
-        return filled > 0;
+        return restLength > 0;
     }
 
     private Cursor append(byte[] bytes, int from, int to) {
-        int length = filled + to - from;
+        int length = restLength + to - from;
         if (rest.length < length) {
             rest = Arrays.copyOf(rest, length * 2);
         }
-        System.arraycopy(bytes, from, rest, filled, to - from);
-        return new Cursor(rest, 0, length, scanned);
+        System.arraycopy(bytes, from, rest, restLength, to - from);
+        return new Cursor(rest, 0, length, scannedLength);
     }
 
     /** Passes the next message to the consumer; returns false if it is not complete. */
     private boolean consumeMessage(Cursor cursor, BiConsumer<Slice, Slice> consumer) {
         int lineFeed = cursor.findLineFeed();
         if (lineFeed == cursor.end) {
-            cursor.scanned = lineFeed;
+            cursor.scanFrom = lineFeed;
             return false;
         }
         Slice line = line(cursor.buffer, cursor.at, lineFeed);
@@ -119,7 +123,7 @@
         Slice body = Slice.EMPTY;
         if (length >= 0) {
             if (cursor.end - next < length + LINE_END_BYTES) {
-                cursor.scanned = lineFeed; // the line is parsed again when its body has arrived
+                cursor.scanFrom = lineFeed; // the line is parsed again when its body has arrived
                 return false;
             }
             body = body(cursor.buffer, next, length);
@@ -127,7 +131,7 @@
         }
         consumer.accept(line, body);
         cursor.at = next;
-        cursor.scanned = next;
+        cursor.scanFrom = next;
         return true;
     }
 
@@ -155,7 +159,7 @@
                             ? Slice.EMPTY.bytes()
                             : Arrays.copyOfRange(cursor.buffer, cursor.at, cursor.end);
         }
-        filled = cursor.end - cursor.at;
-        scanned = cursor.scanned - cursor.at;
+        restLength = cursor.end - cursor.at;
+        scannedLength = cursor.scanFrom - cursor.at;
     }
 }
--- a/src/main/java/ochretiller/text/Json.java
+++ b/src/main/java/ochretiller/text/Json.java
@@ -47,10 +47,10 @@
      * @throws BadInputException if the text is malformed
      */
     public Object read() {
-        Object value = value();
+        Object value = parseValue();
         skipBlanks();
         if (at < end) {
-            throw bad("more behind the value");
+            throw malformed("more behind the value");
         }
         return value;
     }
@@ -60,7 +60,7 @@
         return members;
     }
 
-    private BadInputException bad(String problem) {
+    private BadInputException malformed(String problem) {
         return new BadInputException(problem + " at byte " + at);
     }
 
@@ -74,41 +74,41 @@
         }
     }
 
-    private int next() {
+    private int peek() {
         skipBlanks();
         return at < end ? bytes[at] : 0;
     }
 
     private void expect(char expected) {
-        if (next() != expected) {
-            throw bad("no '" + expected + "'");
+        if (peek() != expected) {
+            throw malformed("no '" + expected + "'");
         }
         at++;
     }
 
-    private Object value() {
-        switch (next()) {
+    private Object parseValue() {
+        switch (peek()) {
             case '{':
-                return object();
+                return parseObject();
             case '[':
-                return list();
+                return parseList();
             case '"':
-                return string();
+                return parseString();
             case 't':
-                return word("true", Boolean.TRUE);
+                return parseLiteral("true", Boolean.TRUE);
             case 'f':
-                return word("false", Boolean.FALSE);
+                return parseLiteral("false", Boolean.FALSE);
             case 'n':
-                return word("null", NULL);
+                return parseLiteral("null", NULL);
             default:
-                return number();
+                return parseNumber();
         }
     }
 
-    private Object word(String word, Object value) {
+    private Object parseLiteral(String word, Object value) {
         for (int i = 0; i < word.length(); i++, at++) {
             if (at >= end || bytes[at] != word.charAt(i)) {
-                throw bad("unknown word");
+                throw malformed("unknown word");
             }
         }
         return value;
@@ -116,7 +116,7 @@
 
     private void enter() {
         if (++depth > MAX_DEPTH) {
-            throw bad("nested too deep");
+            throw malformed("nested too deep");
         }
         at++;
     }
@@ -126,59 +126,59 @@
         at++;
     }
 
-    private Map<String, Object> object() {
+    private Map<String, Object> parseObject() {
         Map<String, Object> object = depth == 0 ? members : new LinkedHashMap<>();
         enter();
-        for (boolean first = true; next() != '}'; first = false) {
+        for (boolean first = true; peek() != '}'; first = false) {
             if (!first) {
                 expect(',');
             }
-            if (next() != '"') {
-                throw bad("no name");
+            if (peek() != '"') {
+                throw malformed("no name");
             }
-            String name = string();
+            String name = parseString();
             expect(':');
-            object.put(name, value());
+            object.put(name, parseValue());
         }
         leave();
         return object;
     }
 
-    private List<Object> list() {
+    private List<Object> parseList() {
         List<Object> list = new ArrayList<>();
         enter();
-        for (boolean first = true; next() != ']'; first = false) {
+        for (boolean first = true; peek() != ']'; first = false) {
             if (!first) {
                 expect(',');
             }
-            list.add(value());
+            list.add(parseValue());
         }
         leave();
         return list;
     }
 
-    private String string() {
+    private String parseString() {
         int from = ++at;
         boolean isPlainAscii = true;
         while (at < end && bytes[at] != '"') {
             if (bytes[at] >= 0 && bytes[at] < ' ') {
-                throw bad("a control character in a string");
+                throw malformed("a control character in a string");
             }
             isPlainAscii &= bytes[at] > 0 && bytes[at] != '\\';
             at += bytes[at] == '\\' ? 2 : 1;
         }
         if (at >= end) {
-            throw bad("a string without its end");
+            throw malformed("a string without its end");
         }
         String text =
                 isPlainAscii
                         ? new String(bytes, from, at - from, StandardCharsets.ISO_8859_1)
-                        : decoded(from);
+                        : decodeString(from);
         at++;
         return text;
     }
 
-    private String decoded(int from) {
+    private String decodeString(int from) {
         String raw;
         try {
             raw =
@@ -188,7 +188,7 @@
                             .decode(ByteBuffer.wrap(bytes, from, at - from))
                             .toString();
         } catch (CharacterCodingException e) {
-            throw bad("a string that is not UTF-8");
+            throw malformed("a string that is not UTF-8");
         }
         if (raw.indexOf('\\') < 0) {
             return raw;
@@ -210,13 +210,13 @@
                 out.append((char) Integer.parseInt(raw.substring(i + 1, i + 5), 16));
                 i += 4;
             } else {
-                throw bad("unknown escape");
+                throw malformed("unknown escape");
             }
         }
         return out.toString();
     }
 
-    private boolean digits() {
+    private boolean skipDigits() {
         int from = at;
         while (at < end && bytes[at] >= '0' && bytes[at] <= '9') {
             at++;
@@ -224,21 +224,21 @@
         return at > from;
     }
 
-    private Object number() {
+    private Object parseNumber() {
         int from = at;
         if (at < end && bytes[at] == '-') {
             at++;
         }
         int first = at;
-        if (!digits() || bytes[first] == '0' && at > first + 1) {
-            throw bad("no value");
+        if (!skipDigits() || bytes[first] == '0' && at > first + 1) {
+            throw malformed("no value");
         }
         boolean isInteger = true;
         if (at < end && bytes[at] == '.') {
             at++;
             isInteger = false;
-            if (!digits()) {
-                throw bad("no digits");
+            if (!skipDigits()) {
+                throw malformed("no digits");
             }
         }
         if (at < end && (bytes[at] == 'e' || bytes[at] == 'E')) {
@@ -247,8 +247,8 @@
             if (at < end && (bytes[at] == '+' || bytes[at] == '-')) {
                 at++;
             }
-            if (!digits()) {
-                throw bad("no digits");
+            if (!skipDigits()) {
+                throw malformed("no digits");
             }
         }
         String text = new String(bytes, from, at - from, StandardCharsets.ISO_8859_1);
--- a/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
+++ b/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
@@ -218,7 +218,8 @@
     }
 
     @Test
-    void otherMessagesAreDecodedAsEncodedAndAlteredOnesDoNoHarm() throws RejectedPacketException {
+    void otherMessagesAreDecodedAsEncodedAndAlteredOnesAreDecodedOrRejected()
+            throws RejectedPacketException {
         for (Object message : otherMessages()) {
             byte[] bytes = codec.seal(sender, message, 5);
             assertThat(codec.open(bytes, bytes.length).message()).isEqualTo(message);
@@ -346,7 +347,7 @@
     }
 
     @Test
-    void randomBytesWithValidSealDoNoHarm() {
+    void randomBytesWithValidSealAreDecodedOrRejected() {
         SplittableRandom random = new SplittableRandom(3);
         List<byte[]> packets = new ArrayList<>();
         for (MembershipMessage message : membershipMessages()) {
