--- a/src/main/java/ochretiller/admission/package-info.java
+++ b/src/main/java/ochretiller/admission/package-info.java
@@ -2,7 +2,7 @@
  * Admission control: what one server accepts, in which order it runs, what it rejects and what it
  * advertises to its clients.
  *
- * <p><b>Job.</b> {@link ochretiller.admission.AdmissionController} turns events (an invocation was
+ * <p><b>Purpose.</b> {@link ochretiller.admission.AdmissionController} turns events (an invocation was
  * read, a run ended, a timer fired) into an {@link ochretiller.server.Action} for the host. Every
  * decision obeys four rules: each invocation that was read gets exactly one final answer in time;
  * an effect that must not be repeated happens at most once; after a shutdown notice no late arrival
@@ -34,7 +34,7 @@
  * the time comes from {@link ochretiller.server.ServerActions#now} and the random source is passed
  * in, so that a simulation is exactly reproducible.
  *
- * <p><b>Neighbours.</b> Above: {@code settings} builds the controller, the hosts in {@code node},
+ * <p><b>Dependencies.</b> Above: {@code settings} builds the controller, the hosts in {@code node},
  * {@code sim} and the emulator drive it. Below: {@code server} (the port), {@code model} (values),
  * {@code time} (durations and sliding windows). The reasons for each rule are in {@code
  * docs/design.md}.
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -89,11 +89,11 @@
     private void logRecovery(double recoverySeconds) {
         LOG.info(
                 () ->
-                        "remembers "
+                        "idempotency store has "
                                 + previousRuns.size()
-                                + " keyed invocations, the ends of "
+                                + " keyed invocations, "
                                 + previousRuns.countInFlight()
-                                + " unknown, read in "
+                                + " of them with unknown outcome, read in "
                                 + Math.round(recoverySeconds * MILLIS_PER_SECOND)
                                 + " ms");
         store.damageReports().forEach(line -> LOG.severe("idempotency store is damaged: " + line));
--- a/src/main/java/ochretiller/node/EventLoop.java
+++ b/src/main/java/ochretiller/node/EventLoop.java
@@ -109,7 +109,7 @@
         try {
             work.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "fault", e);
+            LOG.log(Level.SEVERE, "uncaught exception in an event loop task", e);
         }
     }
 }
--- a/src/main/java/ochretiller/node/GracefulShutdown.java
+++ b/src/main/java/ochretiller/node/GracefulShutdown.java
@@ -67,7 +67,7 @@
             return;
         }
         started = true;
-        LOG.info("leaves");
+        LOG.info("server is draining, shutdown timeout " + timeout.toMillis() + " ms");
         Duration remaining = timeout.minus(TERMINATION_TIME);
         registry.leave();
         features.fleet().leave();
@@ -117,7 +117,7 @@
     }
 
     private void stop() {
-        LOG.info("ends");
+        LOG.info("server has stopped");
         resources.network().stop();
         loop.stop();
     }
--- a/src/main/java/ochretiller/node/PreviousRunRecovery.java
+++ b/src/main/java/ochretiller/node/PreviousRunRecovery.java
@@ -18,7 +18,7 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Restores the keyed invocations of previous processes, so that their retries are recognised.
+ * Restores the keyed invocations of previous processes, so that their retries are recognized.
  * Retries of an invocation with a known outcome are replayed or failed. A run that the processor
  * may still execute is adopted: its retries wait until the processor reports the outcome.
  *
--- a/src/main/java/ochretiller/node/ReloadSignal.java
+++ b/src/main/java/ochretiller/node/ReloadSignal.java
@@ -27,7 +27,7 @@
             // If the parent process ignores SIGHUP, the JVM returns SIG_IGN and installs nothing.
             if (previous == handlerType.getField("SIG_IGN").get(null)) {
                 LOG.warning(
-                        "SIGHUP is ignored by whoever started this server: it takes no new"
+                        "the parent process ignores SIGHUP: this server cannot reload its"
                                 + " configuration");
             }
         } catch (ReflectiveOperationException e) {
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -107,10 +107,10 @@
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
+    public void throttle(InvocationId id, Duration retryAfter, boolean isFinal) {
         Optional<RequestAttempt> found = attempts.find(id);
         if (found.isPresent()) {
-            resources.connections().throttle(found.get(), retryAfter, last);
+            resources.connections().throttle(found.get(), retryAfter, isFinal);
             attempts.forgetIfDone(found.get());
         }
     }
@@ -161,8 +161,8 @@
     }
 
     @Override
-    public void setHealth(boolean healthy, boolean stored) {
-        resources.health().set(healthy, stored);
+    public void setHealth(boolean healthy, boolean answersDeepChecks) {
+        resources.health().set(healthy, answersDeepChecks);
     }
 
     @Override
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -195,13 +195,20 @@
             poolsReload = features.pools().prepareReload(reloaded);
             features.fleet().reload();
         } catch (MalformedException e) {
-            LOG.warning("stays with its configuration: " + e.getMessage());
+            LOG.warning(
+                    "configuration not reloaded, keeping the current one: " + e.getMessage());
             return;
         }
         loop.post(
                 () -> {
                     poolsReload.run();
-                    LOG.info("takes the addresses of its configuration again");
+                    LOG.info(
+                            "configuration reloaded: processor="
+                                    + reloaded.processorAddress()
+                                    + ", records="
+                                    + reloaded.recordsAddress()
+                                    + ", registry="
+                                    + reloaded.registryAddress());
                     resources.processor().move(reloaded.processorAddress());
                     resources.records().move(reloaded.recordsAddress());
                     registry.move(reloaded.registryAddress());
@@ -244,7 +251,7 @@
         }
         LOG.info(
                 () ->
-                        "the processor is up, "
+                        "processor is available, "
                                 + (cold ? "cold" : "warm")
                                 + ", started "
                                 + age.toMillis()
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
+    public void throttle(InvocationId id, Duration retryAfter, boolean isFinal) {
         // simulated clients read no answers
     }
 
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public void setHealth(boolean healthy, boolean stored) {
+    public void setHealth(boolean healthy, boolean answersDeepChecks) {
         // simulated invocations have no health checks
     }
 
--- a/src/main/java/ochretiller/server/package-info.java
+++ b/src/main/java/ochretiller/server/package-info.java
@@ -5,7 +5,7 @@
  * idempotency entries, timers and published health.
  *
  * <p>State: none. Thread: everything is called on the one thread that owns the decisions.
- * Neighbours: {@code admission} returns actions; {@code node}, {@code sim} and the emulator
+ * Dependencies: {@code admission} returns actions; {@code node}, {@code sim} and the emulator
  * implement them; {@code model} holds the values that are passed.
  */
 package ochretiller.server;
--- a/src/main/java/ochretiller/sim/SimulatedServer.java
+++ b/src/main/java/ochretiller/sim/SimulatedServer.java
@@ -121,12 +121,12 @@
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
+    public void throttle(InvocationId id, Duration retryAfter, boolean isFinal) {
         write("overload_reply", id);
         if (!retryAfter.isZero()) {
             out.append("\tretryInNs=").append(retryAfter.toNanos());
         }
-        out.append(last ? "\tlast=1\n" : "\n");
+        out.append(isFinal ? "\tlast=1\n" : "\n");
     }
 
     @Override
@@ -174,12 +174,12 @@
     }
 
     @Override
-    public void setHealth(boolean healthy, boolean stored) {
+    public void setHealth(boolean healthy, boolean answersDeepChecks) {
         write("set_health")
                 .append("\tactive=")
                 .append(asDigit(healthy))
                 .append("\tstored=")
-                .append(asDigit(stored))
+                .append(asDigit(answersDeepChecks))
                 .append('\n');
     }
 
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -188,7 +188,7 @@
                 first.write(GatewayMessages.config(port, 2, 3, 4));
             }
             List<String> lines = new ArrayList<>();
-            while (lines.stream().noneMatch(line -> line.contains("takes the addresses"))) {
+            while (lines.stream().noneMatch(line -> line.contains("configuration reloaded"))) {
                 lines.add(log.readLine());
             }
             signal(process, "TERM");
--- a/src/test/java/ochretiller/RaceConditionsIT.java
+++ b/src/test/java/ochretiller/RaceConditionsIT.java
@@ -157,7 +157,7 @@
         gateway.send(read(1, "good"));
         assertThat(gateway.line()).contains("\"id\":1,").contains("-32014");
         deployment.terminate();
-        await(deployment.log, "leaves$");
+        await(deployment.log, "server is draining, shutdown timeout \\d+ ms$");
         deployment.outside.speak();
         await(deployment.heard, "usage fence");
         gateway.send(order(2, "good"));
@@ -210,7 +210,7 @@
         deployment.move(
                 json -> json.replace("\"sockets\":1024", "\"sockets\":" + maxDescriptors));
         deployment.signal("HUP"); // needs descriptors for a file and a connection
-        await(deployment.log, "takes the addresses");
+        await(deployment.log, "configuration reloaded");
         await(deployment.heard, "usage fence");
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
@@ -227,7 +227,7 @@
         await(deployment.heard, "usage fence");
         deployment.move(json -> json);
         deployment.signal("HUP");
-        await(deployment.log, "takes the addresses");
+        await(deployment.log, "configuration reloaded");
         await(deployment.heard, "usage fence");
         gateway = deployment.dial();
         gateway.send(read(1, "call DONE"));
@@ -244,6 +244,6 @@
         await(deployment.heard, "usage fence");
         assertThat(deployment.said)
                 .anyMatch(
-                        line -> line.contains("SIGHUP is ignored by whoever started this server"));
+                        line -> line.contains("the parent process ignores SIGHUP: this server"));
     }
 }
--- a/src/test/java/ochretiller/ServeIT.java
+++ b/src/test/java/ochretiller/ServeIT.java
@@ -427,7 +427,7 @@
         for (String invalid : List.of("{", "{}")) {
             deployment.move(json -> invalid);
             deployment.signal("HUP");
-            await(deployment.log, "WARNING stays with its configuration: ");
+            await(deployment.log, "WARNING configuration not reloaded, keeping the current one: ");
         }
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -333,7 +333,7 @@
             gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait two")));
             String second = await(deployment.heard, "begin .* order").split(" ")[1];
             deployment.terminate();
-            await(deployment.log, "leaves");
+            await(deployment.log, "server is draining");
             deployment.outside.complete(first, "done one");
             deployment.outside.complete(second, "done two");
             expect(call.answer(), 200, "done one");
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -320,7 +320,7 @@
         Thread.sleep(300);
         writeOperatorFile(List.of(2, 3));
         deployment.signal("HUP");
-        await(deployment.log, "takes the addresses");
+        await(deployment.log, "configuration reloaded");
         int countBefore = workers.get(3).ran().size();
         int countAtRemoval = workers.get(0).ran().size();
         for (int i = 0; i < 500 && workers.get(3).ran().size() <= countBefore; i++) {
@@ -331,7 +331,7 @@
         assertThat(workers.get(0).ran().size()).isLessThanOrEqualTo(countAtRemoval + 4);
         Files.writeString(folder.resolve("operator.json5"), "{ pools: 7 }");
         deployment.signal("HUP");
-        await(deployment.log, "stays with its configuration.*pools");
+        await(deployment.log, "configuration not reloaded.*pools");
         isStopped.set(true);
         for (Future<Integer> each : pending) {
             assertThat(each.get()).isPositive();
--- a/src/test/java/ochretiller/golden/LogLinesTest.java
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -67,8 +67,9 @@
             expect(
                     server,
                     "n1 listens on /127\\.0\\.0\\.1:\\d+",
-                    "remembers 0 keyed invocations, the ends of 0 unknown, read in .*",
-                    "the processor is up, warm, started \\d+ ms ago",
+                    "idempotency store has 0 keyed invocations, 0 of them with unknown outcome,"
+                            + " read in .*",
+                    "processor is available, warm, started \\d+ ms ago",
                     "n1/[0-9a-f]+ takes part in fleet parts at 127\\.0\\.0\\.1:\\d+",
                     "fleet: joined, with 0 others");
             try (FakeConnection gateway = server.dial()) {
@@ -77,12 +78,19 @@
             }
             expect(server, "connection gateway /127\\.0\\.0\\.1:\\d+ ended: [A-Z_]+");
             server.node.reload();
-            expect(server, "takes the addresses of its configuration again");
+            expect(
+                    server,
+                    "configuration reloaded: processor=/127\\.0\\.0\\.1:\\d+,"
+                            + " records=/127\\.0\\.0\\.1:\\d+, registry=/127\\.0\\.0\\.1:\\d+");
             Files.writeString(server.config, "[]");
             server.node.reload();
-            expect(server, "stays with its configuration: .*");
+            expect(server, "configuration not reloaded, keeping the current one: .*");
         }
-        expect(server, "leaves", "ends", "connection link /127\\.0\\.0\\.1:\\d+ ended: LEAVING");
+        expect(
+                server,
+                "server is draining, shutdown timeout 500 ms",
+                "server has stopped",
+                "connection link /127\\.0\\.0\\.1:\\d+ ended: LEAVING");
     }
 
     @Test
--- a/src/test/java/ochretiller/golden/WholeServer.java
+++ b/src/test/java/ochretiller/golden/WholeServer.java
@@ -86,7 +86,7 @@
         loop = new Thread(node::run, "loop");
         loop.setDaemon(true);
         loop.start();
-        until(() -> logged("the processor is up.*"));
+        until(() -> logged("processor is available.*"));
     }
 
     private String operator(Path folder) throws IOException {
