--- a/src/main/java/ochretiller/admission/IdleTimeoutPolicy.java
+++ b/src/main/java/ochretiller/admission/IdleTimeoutPolicy.java
@@ -53,11 +53,11 @@
     }
 
     private Duration nextTimeout(double openConnections) {
-        double many = MANY_CONNECTIONS_PER_CORE * cores;
-        if (openConnections > many) {
+        double threshold = MANY_CONNECTIONS_PER_CORE * cores;
+        if (openConnections > threshold) {
             return max(AdmissionTiming.TICK_INTERVAL, timeout.dividedBy(2));
         }
-        if (openConnections < many / 2) {
+        if (openConnections < threshold / 2) {
             return min(maxTimeout, timeout.multipliedBy(2));
         }
         return timeout;
--- a/src/main/java/ochretiller/admission/RetryAfterPolicy.java
+++ b/src/main/java/ochretiller/admission/RetryAfterPolicy.java
@@ -19,7 +19,7 @@
     /** Upper bound of the delay, as a share of the expected wait. */
     private static final double MAX_SHARE_OF_WAIT = 0.75;
 
-    private final Duration longest;
+    private final Duration maxDelay;
     private final SplittableRandom random;
 
     /**
@@ -29,19 +29,19 @@
      * @param random source of the jitter
      */
     RetryAfterPolicy(Duration maxDelay, SplittableRandom random) {
-        this.longest = maxDelay;
+        this.maxDelay = maxDelay;
         this.random = random;
     }
 
     /** Returns the longest delay that clients respect, for those that should use other servers. */
     Duration longest() {
-        return longest;
+        return maxDelay;
     }
 
     /** Returns a random delay for a client that would wait {@code expectedWait} here. */
     Duration draw(Duration expectedWait) {
         double seconds = inSeconds(max(AdmissionTiming.TICK_INTERVAL, expectedWait));
         double waitShare = random.nextDouble(MIN_SHARE_OF_WAIT, MAX_SHARE_OF_WAIT);
-        return min(longest, ofSeconds(seconds * waitShare));
+        return min(maxDelay, ofSeconds(seconds * waitShare));
     }
 }
--- a/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
+++ b/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
@@ -35,7 +35,7 @@
 
     /**
      * Decides at random, by the estimated load, whether to assume that the other servers are full.
-     * For a marked retry, which one server has rejected, the estimated availability is squared.
+     * A marked retry was already rejected by another server, so for it the estimate is squared.
      */
     boolean drawFleetIsFull(Duration now, boolean isRetry) {
         double read = Math.max(1, reads.sum(now));
--- a/src/main/java/ochretiller/admission/package-info.java
+++ b/src/main/java/ochretiller/admission/package-info.java
@@ -2,11 +2,11 @@
  * Admission control: what one server accepts, in which order it runs, what it rejects and what it
  * advertises to its clients.
  *
- * <p><b>Purpose.</b> {@link ochretiller.admission.AdmissionController} turns events (an invocation was
- * read, a run ended, a timer fired) into an {@link ochretiller.server.Action} for the host. Every
- * decision obeys four rules: each invocation that was read gets exactly one final answer in time;
- * an effect that must not be repeated happens at most once; after a shutdown notice no late arrival
- * runs and all invocations that were read are answered (safe drain); memory, cores and the
+ * <p><b>Purpose.</b> {@link ochretiller.admission.AdmissionController} turns events (an invocation
+ * was read, a run ended, a timer fired) into an {@link ochretiller.server.Action} for the host.
+ * Every decision obeys four rules: each invocation that was read gets exactly one final answer in
+ * time; an effect that must not be repeated happens at most once; after a shutdown notice no late
+ * arrival runs and all invocations that were read are answered (safe drain); memory, cores and the
  * downstream service are never loaded beyond what they survive.
  *
  * <p><b>Parts.</b> Each policy or estimate has its own class, which can be read and tested
--- a/src/main/java/ochretiller/metrics/MetricsFile.java
+++ b/src/main/java/ochretiller/metrics/MetricsFile.java
@@ -55,6 +55,7 @@
         }
     }
 
+    /** Writes the file now and after each interval, on the exporter's own thread. */
     public MetricsFile start(Duration interval) {
         executor.scheduleAtFixedRate(this::write, 0, interval.toMillis(), TimeUnit.MILLISECONDS);
         return this;
--- a/src/main/java/ochretiller/node/AdmissionSession.java
+++ b/src/main/java/ochretiller/node/AdmissionSession.java
@@ -77,7 +77,8 @@
         }
         attempts.add(attempt, original);
         if (conflicts) {
-            // If the processor rejects the original without running it, this request may run.
+            // Another client may have used the key first: if the processor rejects that request
+            // without running it, this one may run.
             resources
                     .scheduler()
                     .after(CONFLICT_WAIT, () -> recheckConflict(attempt, original.get()));
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -26,7 +26,7 @@
 final class AuditRecorder implements AuditTrail {
     private static final Logger LOG = Logger.getLogger(AuditRecorder.class.getName());
 
-    /** Interval between the checks whether the current period is over. */
+    /** Time between two checks for the end of the current period. */
     private static final Duration PERIOD_CHECK_INTERVAL = Duration.ofSeconds(1);
 
     /** Limit on the logged faults of existing files; all of them count in the metric. */
--- a/src/main/java/ochretiller/node/FleetRollout.java
+++ b/src/main/java/ochretiller/node/FleetRollout.java
@@ -38,14 +38,14 @@
         boolean succeeded = kind == AnswerKind.SUCCEEDED || kind == AnswerKind.REPLAYED;
         Duration elapsed = scheduler.now().minus(attempt.arrived);
         boolean isLate = succeeded && elapsed.compareTo(operation.latencyObjective()) > 0;
-        double value = operation.billedValue();
-        double earned = isLate ? value * operation.lateValueShare() : value;
+        double billedValue = operation.billedValue();
+        double earnedValue = isLate ? billedValue * operation.lateValueShare() : billedValue;
         return new VersionCounters(
                 1,
                 kind == AnswerKind.THROTTLED ? 1 : 0,
                 kind == AnswerKind.ERRORED ? 1 : 0,
                 isLate ? 1 : 0,
-                succeeded ? earned : 0,
-                value);
+                succeeded ? earnedValue : 0,
+                billedValue);
     }
 }
--- a/src/main/java/ochretiller/node/GracefulShutdown.java
+++ b/src/main/java/ochretiller/node/GracefulShutdown.java
@@ -37,7 +37,7 @@
     private final OperatorFeatures features;
     private final RegistryReporter registry;
     private final Duration timeout;
-    private boolean started;
+    private boolean isStarted;
 
     /**
      * Creates a shutdown; {@link #start} starts it.
@@ -58,15 +58,15 @@
     }
 
     boolean isStarted() {
-        return started;
+        return isStarted;
     }
 
     /** Starts the shutdown; further calls do nothing. */
     void start(RequestHandler requests) {
-        if (started) {
+        if (isStarted) {
             return;
         }
-        started = true;
+        isStarted = true;
         LOG.info("server is draining, shutdown timeout " + timeout.toMillis() + " ms");
         Duration remaining = timeout.minus(TERMINATION_TIME);
         registry.leave();
@@ -100,15 +100,15 @@
         features.fleet().close();
         resources.network().flush();
         Duration exitBy = drainEnd.plus(TERMINATION_TIME).minus(PROCESS_EXIT_TIME);
-        loop.after(POLL_INTERVAL, () -> stopWhenRead(exitBy));
+        loop.after(POLL_INTERVAL, () -> stopWhenClientsClosed(exitBy));
     }
 
     /**
      * Keeps connections open until their clients, having read the last answers, have closed them.
      */
-    private void stopWhenRead(Duration exitBy) {
+    private void stopWhenClientsClosed(Duration exitBy) {
         if (resources.connections().connections() > 0 && loop.now().compareTo(exitBy) < 0) {
-            loop.after(POLL_INTERVAL, () -> stopWhenRead(exitBy));
+            loop.after(POLL_INTERVAL, () -> stopWhenClientsClosed(exitBy));
             return;
         }
         resources.connections().drop();
--- a/src/main/java/ochretiller/node/InvocationExecutor.java
+++ b/src/main/java/ochretiller/node/InvocationExecutor.java
@@ -68,7 +68,7 @@
         private final Consumer<RunOutcome> onOutcome;
         private RunState state = RunState.ADMITTED;
         private int pendingStores = OUTCOME_STORES;
-        private boolean outcomeReported;
+        private boolean isOutcomeReported;
 
         Execution(RequestAttempt attempt, Consumer<RunOutcome> onOutcome) {
             this.attempt = attempt;
@@ -181,7 +181,7 @@
                             });
             // Reported before the answer is sent, since the backend has free capacity again.
             onOutcome.accept(new RunOutcome(status, elapsed));
-            outcomeReported = true;
+            isOutcomeReported = true;
             attempts.forgetIfDone(attempt);
         }
 
@@ -202,7 +202,7 @@
                 // Includes runs that were stopped unasked: every client request gets an answer.
                 resources.connections().fail(attempt, FailureReason.FAILED);
             }
-            if (outcomeReported) {
+            if (isOutcomeReported) {
                 attempts.forgetIfDone(attempt);
             }
         }
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -36,14 +36,14 @@
     /**
      * Whether the store was read without damage, so that a key without a record was never run.
      */
-    private final boolean storeComplete;
+    private final boolean isStoreComplete;
 
     /** Decodes the entries that the store recovered. */
     PreviousRuns(Scheduler scheduler, Store store, StoredResults results) {
         this.scheduler = scheduler;
         this.store = store;
         this.results = results;
-        storeComplete = store.incompleteFor().isZero();
+        isStoreComplete = store.incompleteFor().isZero();
         for (RecoveredEntry entry : store.recoveredEntries()) {
             IdempotencyRecord.decode(entry.key(), entry.metadata())
                     .ifPresent(record -> recoveredRecords.put(record.token(), record));
@@ -110,7 +110,7 @@
     public void lookUp(String token, Consumer<PreviousRun> onAnswer) {
         IdempotencyRecord record = retainedRecords.get(token);
         if (record == null) {
-            onAnswer.accept(storeComplete ? PreviousRun.NEVER : PreviousRun.UNKNOWN);
+            onAnswer.accept(isStoreComplete ? PreviousRun.NEVER : PreviousRun.UNKNOWN);
             return;
         }
         switch (record.progress()) {
--- a/src/main/java/ochretiller/node/ProcessLifecycle.java
+++ b/src/main/java/ochretiller/node/ProcessLifecycle.java
@@ -13,7 +13,7 @@
 
     private Optional<ServerNode> server = Optional.empty();
     private boolean hasStartFailed;
-    private boolean reloadRequested;
+    private boolean isReloadRequested;
 
     private ProcessLifecycle() {}
 
@@ -28,7 +28,7 @@
     /** Reports that the server is ready to listen; from now on it receives the signals. */
     public synchronized void serverReady(ServerNode ready) {
         server = Optional.of(ready);
-        if (reloadRequested) {
+        if (isReloadRequested) {
             ready.reload(); // it may have read its configuration before the signal
         }
     }
@@ -45,7 +45,7 @@
         Optional<ServerNode> current;
         synchronized (this) {
             current = server;
-            reloadRequested = true;
+            isReloadRequested = true;
         }
         current.ifPresent(ServerNode::reload);
     }
--- a/src/main/java/ochretiller/node/ServerConfiguration.java
+++ b/src/main/java/ochretiller/node/ServerConfiguration.java
@@ -74,7 +74,7 @@
                     "the configuration " + file + " is not JSON: " + e.getMessage());
         }
         if (!(value instanceof Map)) {
-            throw new MalformedException("the configuration " + file + " is no JSON object");
+            throw new MalformedException("the configuration " + file + " is not a JSON object");
         }
         return of(asObject(value));
     }
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -121,7 +121,7 @@
                         longestClientTimeout(),
                         configuration.settings().duration("familyInfo.idleNs", Duration.ZERO),
                         this::onRequestRead,
-                        this::onClientGone);
+                        this::onClientDisconnected);
         return new ServerResources(loop, network, connections, health, processor, records);
     }
 
@@ -233,7 +233,7 @@
         requestHandler().onRequestRead(attempt);
     }
 
-    private void onClientGone(RequestAttempt attempt) {
+    private void onClientDisconnected(RequestAttempt attempt) {
         requestHandler().onClientGone(attempt);
     }
 
--- a/src/main/java/ochretiller/node/StartupRequestHandler.java
+++ b/src/main/java/ochretiller/node/StartupRequestHandler.java
@@ -43,10 +43,10 @@
     }
 
     private void onRetryRead(RequestAttempt retry, IdempotencyRecord previous) {
-        boolean sameRequest =
+        boolean isSameRequest =
                 previous.operation().equals(retry.operation.name())
                         && previous.hasBodyDigest(IdempotencyCache.bodyDigest(retry.body));
-        if (!sameRequest) {
+        if (!isSameRequest) {
             fail(retry, FailureReason.OTHER_BODY);
             return;
         }
--- a/src/main/java/ochretiller/node/StoreHealthMonitor.java
+++ b/src/main/java/ochretiller/node/StoreHealthMonitor.java
@@ -38,7 +38,7 @@
         this.metrics = metrics;
     }
 
-    /** Checks the store now and then at each interval. */
+    /** Checks the store, and schedules the next check. */
     void start() {
         scheduler.after(CHECK_INTERVAL, this::start);
         Duration now = scheduler.now();
--- a/src/main/java/ochretiller/server/AnswerActions.java
+++ b/src/main/java/ochretiller/server/AnswerActions.java
@@ -17,7 +17,7 @@
     /**
      * Rejects an invocation that has not run.
      *
-     * @param retryAfter when the client should send it again; zero if no advice is given
+     * @param retryAfter time from now after which the client should retry; zero for no advice
      * @param isFinal whether to ask the client not to try another server
      */
     void throttle(InvocationId id, Duration retryAfter, boolean isFinal);
--- a/src/main/java/ochretiller/settings/package-info.java
+++ b/src/main/java/ochretiller/settings/package-info.java
@@ -8,7 +8,7 @@
  *
  * <p><b>State and thread.</b> Lookups are immutable; there is no other state and no thread.
  *
- * <p><b>Dependencies.</b> Used by the hosts in {@code node}, {@code sim} and the emulator; builds on
- * {@code admission} and {@code model}.
+ * <p><b>Dependencies.</b> Used by the hosts in {@code node}, {@code sim} and the emulator; builds
+ * on {@code admission} and {@code model}.
  */
 package ochretiller.settings;
--- a/src/main/java/ochretiller/sim/package-info.java
+++ b/src/main/java/ochretiller/sim/package-info.java
@@ -4,7 +4,7 @@
  *
  * <p>State: {@link ochretiller.sim.SimulatorHost} holds one {@code SimulatedServer} for each server
  * of the simulator, each with its own admission controller. Thread: the one that reads the input.
- * Dependencies: {@code admission} makes the decisions, {@code settings} decodes a server's settings,
- * and {@code server} has the interfaces that are implemented here.
+ * Dependencies: {@code admission} makes the decisions, {@code settings} decodes a server's
+ * settings, and {@code server} has the interfaces that are implemented here.
  */
 package ochretiller.sim;
--- a/src/main/java/ochretiller/time/Durations.java
+++ b/src/main/java/ochretiller/time/Durations.java
@@ -26,7 +26,7 @@
         return duration.toNanos() / NANOS_PER_SECOND;
     }
 
-    /** Returns a duration truncated to whole nanoseconds and limited to eleven days. */
+    /** Converts seconds to a duration, truncated to whole nanoseconds, at most eleven days. */
     public static Duration ofSeconds(double seconds) {
         return Duration.ofNanos((long) (Math.min(seconds, MAX_SECONDS) * NANOS_PER_SECOND));
     }
--- a/src/test/java/ochretiller/DegradedDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -29,7 +29,7 @@
 
 /** Runs a server in this process, over sockets, on a disk that stalls, fills up or fails. */
 class DegradedDiskTest {
-    private static final OperatorConfig.Remember REMEMBER =
+    private static final OperatorConfig.Remember DURABILITY =
             new OperatorConfig.Remember(
                     Path.of("unused"),
                     1_000,
@@ -85,7 +85,7 @@
                 new OperatorConfig(
                         false,
                         Optional.empty(),
-                        Optional.of(REMEMBER),
+                        Optional.of(DURABILITY),
                         Optional.empty(),
                         List.of(),
                         Optional.empty(),
@@ -134,7 +134,7 @@
     private String orderUntilServed(int token, String body) throws Exception {
         String answer = order(token, body);
         for (int retries = 0; answer.contains("-32014") && retries < 200; retries++) {
-            Thread.sleep(20); // a client that honours the backoff waits too
+            Thread.sleep(20); // a client that honors the backoff waits too
             answer = order(token, body);
         }
         return answer;
@@ -200,12 +200,12 @@
                 };
         assertThat(order(1, "run")).contains(result("run"));
         assertThat(order(1, "run")).contains(result("run"));
-        VolatileDirectory survivor = disk.afterPowerLoss(new java.util.SplittableRandom(4));
+        VolatileDirectory diskAfterCrash = disk.afterPowerLoss(new java.util.SplittableRandom(4));
         released.countDown();
         gateway.close();
         node.drain();
         services.close();
-        disk = survivor;
+        disk = diskAfterCrash;
         start();
         assertThat(order(1, "run")).containsAnyOf(result("run"), "-32000");
     }
@@ -227,11 +227,11 @@
         assertThat(orderUntilServed(2, "next")).contains(result("next"));
         assertThat(orderUntilServed(3, "last"))
                 .contains(result("last")); // forced after the deferred writes
-        VolatileDirectory survivor = disk.afterProcessKill();
+        VolatileDirectory diskAfterCrash = disk.afterProcessKill();
         gateway.close();
         node.drain();
         services.close();
-        disk = survivor;
+        disk = diskAfterCrash;
         start();
         assertThat(order(1, "run")).contains(result("run"));
     }
--- a/src/test/java/ochretiller/Deployment.java
+++ b/src/test/java/ochretiller/Deployment.java
@@ -100,15 +100,16 @@
                         .start());
     }
 
-    private void readOutput(Process started) {
-        process = started;
+    private void readOutput(Process newProcess) {
+        process = newProcess;
         log.clear();
         said.clear();
         heard.clear();
         DaemonThreads.start(
                 () -> {
                     try (BufferedReader lines =
-                            new BufferedReader(new InputStreamReader(started.getInputStream()))) {
+                            new BufferedReader(
+                                    new InputStreamReader(newProcess.getInputStream()))) {
                         for (String line = lines.readLine();
                                 line != null;
                                 line = lines.readLine()) {
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -103,7 +103,7 @@
         expectInvalid(Deployment.start(null, "serve"), "EDGE_CONFIG");
         expectInvalid(Deployment.start(folder.resolve("none"), "serve"), "cannot read");
         expectInvalid(Deployment.start(config("{\"name\":"), "serve"), "not JSON");
-        expectInvalid(Deployment.start(config("[]"), "serve"), "no JSON object");
+        expectInvalid(Deployment.start(config("[]"), "serve"), " is not a JSON object");
     }
 
     @ParameterizedTest
--- a/src/test/java/ochretiller/RaceConditionsIT.java
+++ b/src/test/java/ochretiller/RaceConditionsIT.java
@@ -150,7 +150,7 @@
         deployment =
                 new Deployment(
                         json -> json,
-                        created -> created.outside.silent = true,
+                        newDeployment -> newDeployment.outside.silent = true,
                         "exec sh deploy/serve.sh");
         await(deployment.heard, "hello 0");
         gateway = deployment.dial();
@@ -190,7 +190,7 @@
                         json ->
                                 json.replace(
                                         "\"sockets\":1024", "\"sockets\":" + maxDescriptors),
-                        created -> {},
+                        newDeployment -> {},
                         "ulimit -n " + maxDescriptors + "; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         gateway = deployment.dial();
@@ -223,7 +223,10 @@
     @Test
     void hangupIgnoredByTheParentIsHandledWhenStartedByTheScript() throws Exception {
         deployment =
-                new Deployment(json -> json, created -> {}, "trap '' HUP; exec sh deploy/serve.sh");
+                new Deployment(
+                        json -> json,
+                        newDeployment -> {},
+                        "trap '' HUP; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         deployment.move(json -> json);
         deployment.signal("HUP");
@@ -239,7 +242,7 @@
         deployment =
                 new Deployment(
                         json -> json,
-                        created -> {},
+                        newDeployment -> {},
                         "trap '' HUP; exec java -jar target/ochretiller.jar serve");
         await(deployment.heard, "usage fence");
         assertThat(deployment.said)
--- a/src/test/java/ochretiller/RestartIT.java
+++ b/src/test/java/ochretiller/RestartIT.java
@@ -53,17 +53,17 @@
     }
 
     /** Scripts a processor that survives restarts of the server and counts runs. */
-    private void scriptServices(Deployment created) {
-        created.outside.keepsNotices = true;
-        created.outside.runs =
+    private void scriptServices(Deployment newDeployment) {
+        newDeployment.outside.keepsNotices = true;
+        newDeployment.outside.runs =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     if (body.startsWith("done")) {
-                        created.outside.complete(rid, "result of " + body);
+                        newDeployment.outside.complete(rid, "result of " + body);
                     } else if (body.startsWith("bad")) {
-                        created.outside.notice("complete", rid + " error 5 0\r\n\r\n");
+                        newDeployment.outside.notice("complete", rid + " error 5 0\r\n\r\n");
                     } else if (body.startsWith("call")) {
-                        created.outside.notice("ask", rid + " 4\r\nwhat\r\n");
+                        newDeployment.outside.notice("ask", rid + " 4\r\nwhat\r\n");
                     }
                 };
     }
--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -53,16 +53,17 @@
         deployment =
                 new Deployment(
                         operator,
-                        prepared ->
-                                prepared.outside.runs =
+                        newDeployment ->
+                                newDeployment.outside.runs =
                                         (rid, operation, body) -> {
                                             if (operation.equals("order")) {
                                                 runs.merge(body, 1, Integer::sum);
                                             }
                                             if (body.startsWith("done")) {
-                                                prepared.outside.complete(rid, "result of " + body);
+                                                newDeployment.outside.complete(
+                                                        rid, "result of " + body);
                                             } else if (body.startsWith("bad")) {
-                                                prepared.outside.notice(
+                                                newDeployment.outside.notice(
                                                         "complete", rid + " error 5 0\r\n\r\n");
                                             }
                                         });
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -51,9 +51,9 @@
     void start() throws Exception {
         port = Deployment.freePort();
         for (int i = 0; i < 4; i++) {
-            workers.add(new FakeWorker("127.0.0.1", 0, ran -> Manner.ANSWERS));
+            workers.add(new FakeWorker("127.0.0.1", 0, request -> Manner.ANSWERS));
         }
-        deployment = new Deployment(writeOperatorFile(List.of(0, 1, 2)), prepared -> {});
+        deployment = new Deployment(writeOperatorFile(List.of(0, 1, 2)), newDeployment -> {});
         await(deployment.heard, "usage fence");
     }
 
@@ -83,9 +83,9 @@
         Map<String, Integer> runs = new HashMap<>();
         for (FakeWorker worker : workers) {
             worker.close();
-            for (FakeWorker.Ran ran : worker.ran()) {
-                if (ran.vars().get("PATH_INFO").equals("/order")) {
-                    runs.merge(ran.body(), 1, Integer::sum);
+            for (FakeWorker.Ran request : worker.ran()) {
+                if (request.vars().get("PATH_INFO").equals("/order")) {
+                    runs.merge(request.body(), 1, Integer::sum);
                 }
             }
         }
@@ -145,20 +145,20 @@
     }
 
     /** Sends reads from several threads and returns the number of answers by status. */
-    private Map<Integer, Integer> reads(int count, int threads) throws Exception {
-        ExecutorService callers = Executors.newFixedThreadPool(threads);
+    private Map<Integer, Integer> sendReads(int count, int threads) throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(threads);
         try {
             List<Callable<Integer>> calls =
                     IntStream.range(0, count)
                             .<Callable<Integer>>mapToObj(i -> () -> read("r" + i).status())
                             .toList();
             Map<Integer, Integer> statuses = new HashMap<>();
-            for (Future<Integer> each : callers.invokeAll(calls)) {
+            for (Future<Integer> each : executor.invokeAll(calls)) {
                 statuses.merge(each.get(), 1, Integer::sum);
             }
             return statuses;
         } finally {
-            callers.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
@@ -190,17 +190,18 @@
                     .contains("\"id\":1")
                     .contains(ochretiller.fakes.GatewayMessages.base64("result of two"));
         }
-        FakeWorker.Ran ran =
+        FakeWorker.Ran request =
                 workers.stream()
                         .flatMap(w -> w.ran().stream())
                         .filter(r -> r.body().equals("two"))
                         .findFirst()
                         .orElseThrow();
-        assertThat(ran.vars())
+        assertThat(request.vars())
                 .containsEntry("PATH_INFO", "/order")
                 .containsEntry("REQUEST_METHOD", "POST")
                 .containsEntry("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-        assertThat(Integer.parseInt(ran.vars().get("HTTP_X_TIME_LEFT_MS"))).isBetween(3_000, 4_000);
+        assertThat(Integer.parseInt(request.vars().get("HTTP_X_TIME_LEFT_MS")))
+                .isBetween(3_000, 4_000);
     }
 
     @ParameterizedTest
@@ -208,7 +209,7 @@
             value = Manner.class,
             names = {"FAILS", "HALF", "RESETS", "GARBAGE", "WRONG_LENGTH", "TOO_LONG", "ENDS"})
     void malformedAnswerIsAnErrorAndIsNotRetried(Manner manner) throws Exception {
-        scriptAll(ran -> ran.body().startsWith("bad") ? manner : Manner.ANSWERS);
+        scriptAll(request -> request.body().startsWith("bad") ? manner : Manner.ANSWERS);
         expect(order("k", "bad"), 500, "failed");
         expect(order("k", "bad"), 500, "failed");
         expect(order("l", "good"), 200, "result of good");
@@ -219,20 +220,20 @@
     void refusedConnectionsAreRetriedElsewhereWithoutErrors() throws Exception {
         workers.get(0).die();
         workers.get(1).die();
-        Map<Integer, Integer> ended = reads(100, 4);
-        assertThat(ended.keySet())
+        Map<Integer, Integer> statusCounts = sendReads(100, 4);
+        assertThat(statusCounts.keySet())
                 .isSubsetOf(200, 503); // 503 if the retry budget was spent
-        assertThat(ended.get(200)).isGreaterThan(70);
+        assertThat(statusCounts.get(200)).isGreaterThan(70);
         assertThat(metric("second_tries_total")).isPositive();
         Thread.sleep(400); // both are ejected by now and get only probes
         workers.get(0).rise();
         workers.get(1).rise();
         Thread.sleep(700);
         for (int i = 0; i < 3; i++) {
-            reads(40, 8);
+            sendReads(40, 8);
         }
         assertThat(workers.get(0).ran()).isNotEmpty();
-        assertThat(reads(50, 4)).isEqualTo(Map.of(200, 50));
+        assertThat(sendReads(50, 4)).isEqualTo(Map.of(200, 50));
     }
 
     @Test
@@ -240,8 +241,8 @@
         for (FakeWorker worker : workers) {
             worker.die();
         }
-        Map<Integer, Integer> ended = reads(60, 4);
-        assertThat(ended).isEqualTo(Map.of(503, 60));
+        Map<Integer, Integer> statusCounts = sendReads(60, 4);
+        assertThat(statusCounts).isEqualTo(Map.of(503, 60));
         UwsgiResponse throttled = order("k", "kept");
         assertThat(throttled.status()).isEqualTo(503);
         assertThat(Integer.parseInt(throttled.headers().get("retry-after"))).isPositive();
@@ -257,7 +258,7 @@
 
     @Test
     void orderOnASilentWorkerFailsInTime() throws Exception {
-        scriptAll(ran -> ran.body().equals("silent") ? Manner.SILENT : Manner.ANSWERS);
+        scriptAll(request -> request.body().equals("silent") ? Manner.SILENT : Manner.ANSWERS);
         long startNanos = System.nanoTime();
         UwsgiResponse answer = order("k", "silent");
         assertThat((System.nanoTime() - startNanos) / 1e9).isBetween(3.0, 4.8);
@@ -270,8 +271,8 @@
     @Test
     void lateAnswerOfAnOrderIsStoredForItsRetry() throws Exception {
         scriptAll(
-                ran -> {
-                    if (ran.body().equals("slow")) {
+                request -> {
+                    if (request.body().equals("slow")) {
                         Thread.sleep(4_600);
                     }
                     return Manner.ANSWERS;
@@ -283,23 +284,23 @@
 
     @Test
     void fastFailingWorkerDoesNotAttractLoad() throws Exception {
-        workers.get(1).script = ran -> Manner.FAILS;
+        workers.get(1).script = request -> Manner.FAILS;
         for (int i : new int[] {0, 2}) {
             workers.get(i).script =
-                    ran -> {
+                    request -> {
                         Thread.sleep(20);
                         return Manner.ANSWERS;
                     };
         }
-        Map<Integer, Integer> ended = reads(300, 4);
-        assertThat(ended.getOrDefault(500, 0)).isLessThan(40);
-        assertThat(ended.get(200)).isGreaterThan(260);
+        Map<Integer, Integer> statusCounts = sendReads(300, 4);
+        assertThat(statusCounts.getOrDefault(500, 0)).isLessThan(40);
+        assertThat(statusCounts.get(200)).isGreaterThan(260);
     }
 
     @Test
     void workersAreReplacedUnderLoadWithoutErrors() throws Exception {
         scriptAll(
-                ran -> {
+                request -> {
                     Thread.sleep(5);
                     return Manner.ANSWERS;
                 });
@@ -342,7 +343,7 @@
     @Test
     void orderCompletesAfterDisconnectAndAnswersItsRetry() throws Exception {
         scriptAll(
-                ran -> {
+                request -> {
                     Thread.sleep(400);
                     return Manner.ANSWERS;
                 });
@@ -365,7 +366,7 @@
     @Test
     void drainAnswersRunsOnWorkers() throws Exception {
         scriptAll(
-                ran -> {
+                request -> {
                     Thread.sleep(600);
                     return Manner.ANSWERS;
                 });
@@ -398,7 +399,7 @@
         await(deployment.heard, "usage fence");
         String completedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30213";
         String interruptedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30214";
-        scriptAll(ran -> ran.body().equals("cut") ? Manner.SILENT : Manner.ANSWERS);
+        scriptAll(request -> request.body().equals("cut") ? Manner.SILENT : Manner.ANSWERS);
         try (FakeConnection gateway = deployment.dial()) {
             gateway.send(message(1, "order", params("0000000000000011", completedKey, "kept")));
             assertThat(gateway.line()).contains("\"result\"");
--- a/src/test/java/ochretiller/admission/DrainStateTest.java
+++ b/src/test/java/ochretiller/admission/DrainStateTest.java
@@ -9,7 +9,7 @@
 import ochretiller.model.CapacityAdvertisement;
 import org.junit.jupiter.api.Test;
 
-/** Tests the behaviour after a shutdown notice. */
+/** Tests the behavior after a shutdown notice. */
 class DrainStateTest {
     private final AdmissionFixture server = new AdmissionFixture();
 
--- a/src/test/java/ochretiller/node/AttemptFixture.java
+++ b/src/test/java/ochretiller/node/AttemptFixture.java
@@ -75,7 +75,7 @@
         }
 
         @Override
-        protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean last) {
+        protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
             events.add("throttle");
         }
 
