--- a/src/main/java/ochretiller/settings/SettingLookup.java
+++ b/src/main/java/ochretiller/settings/SettingLookup.java
@@ -38,7 +38,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " is not a whole number: '" + value + "'", e);
+            throw new MalformedException(name + " must be a whole number, but is '" + value + "'", e);
         }
     }
 
@@ -55,7 +55,7 @@
         try {
             return Double.parseDouble(text(name));
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " is not a number: '" + text(name) + "'", e);
+            throw new MalformedException(name + " must be a number, but is '" + text(name) + "'", e);
         }
     }
 
--- a/src/test/java/ochretiller/DegradedDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -249,16 +249,16 @@
     @Test
     void fullStoreThrottlesNewKeysWithoutRunAndKeepsLiveOnes() throws Exception {
         start();
-        int served = 0;
+        int orderCount = 0;
         String answer = "\"result\"";
-        while (answer.contains("\"result\"") && served < 2_000) {
-            answer = order(++served, "k" + served);
+        while (answer.contains("\"result\"") && orderCount < 2_000) {
+            answer = order(++orderCount, "k" + orderCount);
         }
         assertThat(answer).contains("-32014").contains("\"backoff\":");
-        assertThat(served)
+        assertThat(orderCount)
                 // 7/8 of 1,000 entries, or fewer if the limit on index memory is reached first
                 .isBetween(700, 900);
-        assertThat(runs).doesNotContainKey("k" + served);
+        assertThat(runs).doesNotContainKey("k" + orderCount);
         assertThat(order(1, "k1")).contains(result("k1"));
         assertThat(read()).contains("\"result\"");
     }
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -124,12 +124,13 @@
         "stopSendingWithinNs"
     })
     void missingOrInvalidSettingIsNamed(String name) throws Exception {
-        String good = GatewayMessages.config(1, 2, 3, 4);
+        String validConfig = GatewayMessages.config(1, 2, 3, 4);
         expectInvalid(
-                Deployment.start(config(good.replace("\"" + name + "\":", "\"x\":")), "serve"),
+                Deployment.start(
+                        config(validConfig.replace("\"" + name + "\":", "\"x\":")), "serve"),
                 name);
         String invalid =
-                good.replaceFirst(
+                validConfig.replaceFirst(
                         "\"" + name + "\":(\"[^\"]*\"|[^,{}]*)", "\"" + name + "\":\"%\"");
         if (!name.equals("name") && !name.equals("settings")) {
             expectInvalid(Deployment.start(config(invalid), "check"), name);
@@ -239,10 +240,11 @@
 
     @Test
     void memorySizeThatTheScriptMisreadsIsReported() throws Exception {
-        String good = GatewayMessages.config(1, 2, 3, 4);
+        String validConfig = GatewayMessages.config(1, 2, 3, 4);
         expectInvalid(
                 Deployment.start(
-                        config(good.replace("\"memory_mb\":192", "\"memory_mb\":\n192")), "serve"),
+                        config(validConfig.replace("\"memory_mb\":192", "\"memory_mb\":\n192")),
+                        "serve"),
                 "memory_mb");
     }
 }
--- a/src/test/java/ochretiller/ServeIT.java
+++ b/src/test/java/ochretiller/ServeIT.java
@@ -90,7 +90,7 @@
     }
 
     /** Expects that the server still answers a valid request on a new connection. */
-    private void expectServes() throws IOException {
+    private void expectServerStillServes() throws IOException {
         gateway.close();
         gateway = deployment.dial();
         gateway.send(read(1, "good"));
@@ -181,7 +181,7 @@
         gateway.reset();
         await(deployment.heard, "interrupt " + rid(1));
         await(deployment.log, "connection gateway .* ended: BROKEN");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
@@ -290,7 +290,7 @@
         await(deployment.log, "connection link .* ended: BAD_INPUT");
         deployment.outside.complete(rid(1), "once");
         expectResult(1, "once");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
@@ -405,7 +405,7 @@
         deployment.signal("CONT");
         expectResult(1, "once");
         expectResult(2, "result of " + rid(2));
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
@@ -437,12 +437,13 @@
     void malformedReplyEndsNoOtherCall() throws IOException {
         gateway.send(read(1, "call silence"));
         await(deployment.heard, "^OP");
-        FakeConnection good = deployment.outside.calls;
+        FakeConnection firstCallConnection = deployment.outside.calls;
         gateway.send(read(2, "call silence"));
         await(deployment.heard, "^OP");
         deployment.outside.calls.send("\u00e1\u0007 noise\r\n");
         expectError(2, -32000);
-        good.send(rid(7) + " DONE 4\r\nelse\r\n" + (rid(1) + " DONE 4\r\nmine\r\n").repeat(2));
+        firstCallConnection.send(
+                rid(7) + " DONE 4\r\nelse\r\n" + (rid(1) + " DONE 4\r\nmine\r\n").repeat(2));
         expectResult(1, "after mine");
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
@@ -494,7 +495,7 @@
         expectResult(1, "owed");
         expectClosed("BAD_INPUT");
         assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin " + rid(3)));
-        expectServes();
+        expectServerStillServes();
     }
 
     @ParameterizedTest
@@ -514,7 +515,8 @@
                 "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"ping\",\"params\":{\"full\":\"yes\"}}|-32602",
                 "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{\"more\":1e999}}|-32602"
             })
-    void invalidMessageWithAnIdIsAnsweredWithTheStandardError(String input, int code) throws IOException {
+    void invalidMessageWithAnIdIsAnsweredWithTheStandardError(String input, int code)
+            throws IOException {
         gateway.send(input + "\n");
         expectError(5, code);
         gateway.send(read(6, "good")); // the connection stays open
@@ -553,7 +555,7 @@
         assertThat(gateway.line())
                 .startsWith("{\"jsonrpc\":\"2.0\",\"id\":5,\"error\":{\"code\":-32")
                 .contains(value.equals("NaN") ? "-32700" : "missing or wrong: " + name);
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
@@ -607,7 +609,7 @@
     void inputWithoutAnIdClosesTheConnection(String input) throws IOException {
         gateway.send(input);
         expectClosed("BAD_INPUT");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
@@ -617,7 +619,7 @@
         gateway = deployment.dial();
         gateway.send("[".repeat(5000) + "\n");
         expectClosed("BAD_INPUT");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
@@ -664,7 +666,7 @@
         for (FakeConnection client : silent) {
             client.close();
         }
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
@@ -714,6 +716,6 @@
         assertThat(gateway.sendsUntilItEnds(request, 4000)).isTrue();
         await(deployment.log, "connection gateway .* ended: (NOT_READING|FLOOD)");
         gateway = deployment.dial();
-        expectServes();
+        expectServerStillServes();
     }
 }
--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -198,7 +198,7 @@
     @Test
     void retryGetsTheResultAfterTheClientDisconnected() throws Exception {
         Call call = new Call().send("POST", "/orders", TOKEN, "wait");
-        String started = await(deployment.heard, "begin .* order");
+        String beginLine = await(deployment.heard, "begin .* order");
         call.socket.setSoLinger(true, 0);
         call.close();
         await(deployment.log, "connection uwsgi .* ended: BROKEN");
@@ -206,7 +206,7 @@
             gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait")));
             gateway.send(message(2, "ping", "{}"));
             assertThat(gateway.line()).contains("\"id\":2");
-            deployment.outside.complete(started.split(" ")[1], "done in the end");
+            deployment.outside.complete(beginLine.split(" ")[1], "done in the end");
             assertThat(gateway.line()).contains(GatewayMessages.base64("done in the end"));
         }
     }
@@ -263,8 +263,8 @@
     })
     void invalidRequestIsAnsweredWithItsStatus(
             String method, String path, String key, String body, int status) throws Exception {
-        String sent = body == null ? "" : body.equals("BIG") ? "x".repeat(2_049) : body;
-        assertThat(exchange(method, path, key, sent).status()).isEqualTo(status);
+        String requestBody = body == null ? "" : body.equals("BIG") ? "x".repeat(2_049) : body;
+        assertThat(exchange(method, path, key, requestBody).status()).isEqualTo(status);
         expect(exchange("GET", "/parts/7", null, "done read"), 200, "result of done read");
     }
 
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -305,17 +305,17 @@
                     return Manner.ANSWERS;
                 });
         AtomicBoolean isStopped = new AtomicBoolean();
-        ExecutorService load = Executors.newFixedThreadPool(4);
+        ExecutorService executor = Executors.newFixedThreadPool(4);
         List<Future<Integer>> pending = new ArrayList<>();
         for (int index = 0; index < 4; index++) {
             pending.add(
-                    load.submit(
+                    executor.submit(
                             () -> {
-                                int done = 0;
-                                for (; !isStopped.get(); done++) {
+                                int readCount = 0;
+                                for (; !isStopped.get(); readCount++) {
                                     expect(read("x"), 200, "result of x");
                                 }
-                                return done;
+                                return readCount;
                             }));
         }
         Thread.sleep(300);
@@ -337,7 +337,7 @@
         for (Future<Integer> each : pending) {
             assertThat(each.get()).isPositive();
         }
-        load.shutdown();
+        executor.shutdown();
     }
 
     @Test
