--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -207,7 +207,7 @@
                                     + reloaded.processorAddress()
                                     + ", records="
                                     + reloaded.recordsAddress()
-                                    + ", registry="
+                                    + ", roster="
                                     + reloaded.registryAddress());
                     resources.processor().move(reloaded.processorAddress());
                     resources.records().move(reloaded.recordsAddress());
--- a/src/main/java/ochretiller/settings/SettingLookup.java
+++ b/src/main/java/ochretiller/settings/SettingLookup.java
@@ -38,7 +38,8 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " must be a whole number, but is '" + value + "'", e);
+            throw new MalformedException(
+                    name + " must be a whole number, but is '" + value + "'", e);
         }
     }
 
@@ -55,7 +56,8 @@
         try {
             return Double.parseDouble(text(name));
         } catch (NumberFormatException e) {
-            throw new MalformedException(name + " must be a number, but is '" + text(name) + "'", e);
+            throw new MalformedException(
+                    name + " must be a number, but is '" + text(name) + "'", e);
         }
     }
 
--- a/src/test/java/ochretiller/golden/LogLinesTest.java
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -81,7 +81,7 @@
             expect(
                     server,
                     "configuration reloaded: processor=/127\\.0\\.0\\.1:\\d+,"
-                            + " records=/127\\.0\\.0\\.1:\\d+, registry=/127\\.0\\.0\\.1:\\d+");
+                            + " records=/127\\.0\\.0\\.1:\\d+, roster=/127\\.0\\.0\\.1:\\d+");
             Files.writeString(server.config, "[]");
             server.node.reload();
             expect(server, "configuration not reloaded, keeping the current one: .*");
