--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -195,8 +195,7 @@
             poolsReload = features.pools().prepareReload(reloaded);
             features.fleet().reload();
         } catch (MalformedException e) {
-            LOG.warning(
-                    "configuration not reloaded, keeping the current one: " + e.getMessage());
+            LOG.warning("configuration not reloaded, keeping the current one: " + e.getMessage());
             return;
         }
         loop.post(
