--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -121,7 +121,7 @@
                         longestClientTimeout(),
                         configuration.settings().duration("familyInfo.idleNs", Duration.ZERO),
                         this::onRequestRead,
-                        this::onClientGone);
+                        this::onClientDisconnected);
         return new ServerResources(loop, network, connections, health, processor, records);
     }
 
@@ -195,13 +195,19 @@
             poolsReload = features.pools().prepareReload(reloaded);
             features.fleet().reload();
         } catch (MalformedException e) {
-            LOG.warning("stays with its configuration: " + e.getMessage());
+            LOG.warning("configuration not reloaded, keeping the current one: " + e.getMessage());
             return;
         }
         loop.post(
                 () -> {
                     poolsReload.run();
-                    LOG.info("takes the addresses of its configuration again");
+                    LOG.info(
+                            "configuration reloaded: processor="
+                                    + reloaded.processorAddress()
+                                    + ", records="
+                                    + reloaded.recordsAddress()
+                                    + ", roster="
+                                    + reloaded.registryAddress());
                     resources.processor().move(reloaded.processorAddress());
                     resources.records().move(reloaded.recordsAddress());
                     registry.move(reloaded.registryAddress());
@@ -226,7 +232,7 @@
         requestHandler().onRequestRead(attempt);
     }
 
-    private void onClientGone(RequestAttempt attempt) {
+    private void onClientDisconnected(RequestAttempt attempt) {
         requestHandler().onClientGone(attempt);
     }
 
@@ -244,7 +250,7 @@
         }
         LOG.info(
                 () ->
-                        "the processor is up, "
+                        "processor is available, "
                                 + (cold ? "cold" : "warm")
                                 + ", started "
                                 + age.toMillis()
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -103,7 +103,7 @@
         expectInvalid(Deployment.start(null, "serve"), "EDGE_CONFIG");
         expectInvalid(Deployment.start(folder.resolve("none"), "serve"), "cannot read");
         expectInvalid(Deployment.start(config("{\"name\":"), "serve"), "not JSON");
-        expectInvalid(Deployment.start(config("[]"), "serve"), "no JSON object");
+        expectInvalid(Deployment.start(config("[]"), "serve"), " is not a JSON object");
     }
 
     @ParameterizedTest
@@ -124,12 +124,13 @@
         "stopSendingWithinNs"
     })
     void missingOrInvalidSettingIsNamed(String name) throws Exception {
-        String good = GatewayMessages.config(1, 2, 3, 4);
+        String validConfig = GatewayMessages.config(1, 2, 3, 4);
         expectInvalid(
-                Deployment.start(config(good.replace("\"" + name + "\":", "\"x\":")), "serve"),
+                Deployment.start(
+                        config(validConfig.replace("\"" + name + "\":", "\"x\":")), "serve"),
                 name);
         String invalid =
-                good.replaceFirst(
+                validConfig.replaceFirst(
                         "\"" + name + "\":(\"[^\"]*\"|[^,{}]*)", "\"" + name + "\":\"%\"");
         if (!name.equals("name") && !name.equals("settings")) {
             expectInvalid(Deployment.start(config(invalid), "check"), name);
@@ -188,7 +189,7 @@
                 first.write(GatewayMessages.config(port, 2, 3, 4));
             }
             List<String> lines = new ArrayList<>();
-            while (lines.stream().noneMatch(line -> line.contains("takes the addresses"))) {
+            while (lines.stream().noneMatch(line -> line.contains("configuration reloaded"))) {
                 lines.add(log.readLine());
             }
             signal(process, "TERM");
@@ -239,10 +240,11 @@
 
     @Test
     void memorySizeThatTheScriptMisreadsIsReported() throws Exception {
-        String good = GatewayMessages.config(1, 2, 3, 4);
+        String validConfig = GatewayMessages.config(1, 2, 3, 4);
         expectInvalid(
                 Deployment.start(
-                        config(good.replace("\"memory_mb\":192", "\"memory_mb\":\n192")), "serve"),
+                        config(validConfig.replace("\"memory_mb\":192", "\"memory_mb\":\n192")),
+                        "serve"),
                 "memory_mb");
     }
 }
--- a/src/test/java/ochretiller/RaceConditionsIT.java
+++ b/src/test/java/ochretiller/RaceConditionsIT.java
@@ -150,14 +150,14 @@
         deployment =
                 new Deployment(
                         json -> json,
-                        created -> created.outside.silent = true,
+                        newDeployment -> newDeployment.outside.silent = true,
                         "exec sh deploy/serve.sh");
         await(deployment.heard, "hello 0");
         gateway = deployment.dial();
         gateway.send(read(1, "good"));
         assertThat(gateway.line()).contains("\"id\":1,").contains("-32014");
         deployment.terminate();
-        await(deployment.log, "leaves$");
+        await(deployment.log, "server is draining, shutdown timeout \\d+ ms$");
         deployment.outside.speak();
         await(deployment.heard, "usage fence");
         gateway.send(order(2, "good"));
@@ -190,7 +190,7 @@
                         json ->
                                 json.replace(
                                         "\"sockets\":1024", "\"sockets\":" + maxDescriptors),
-                        created -> {},
+                        newDeployment -> {},
                         "ulimit -n " + maxDescriptors + "; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         gateway = deployment.dial();
@@ -210,7 +210,7 @@
         deployment.move(
                 json -> json.replace("\"sockets\":1024", "\"sockets\":" + maxDescriptors));
         deployment.signal("HUP"); // needs descriptors for a file and a connection
-        await(deployment.log, "takes the addresses");
+        await(deployment.log, "configuration reloaded");
         await(deployment.heard, "usage fence");
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
@@ -223,11 +223,14 @@
     @Test
     void hangupIgnoredByTheParentIsHandledWhenStartedByTheScript() throws Exception {
         deployment =
-                new Deployment(json -> json, created -> {}, "trap '' HUP; exec sh deploy/serve.sh");
+                new Deployment(
+                        json -> json,
+                        newDeployment -> {},
+                        "trap '' HUP; exec sh deploy/serve.sh");
         await(deployment.heard, "usage fence");
         deployment.move(json -> json);
         deployment.signal("HUP");
-        await(deployment.log, "takes the addresses");
+        await(deployment.log, "configuration reloaded");
         await(deployment.heard, "usage fence");
         gateway = deployment.dial();
         gateway.send(read(1, "call DONE"));
@@ -239,11 +242,11 @@
         deployment =
                 new Deployment(
                         json -> json,
-                        created -> {},
+                        newDeployment -> {},
                         "trap '' HUP; exec java -jar target/ochretiller.jar serve");
         await(deployment.heard, "usage fence");
         assertThat(deployment.said)
                 .anyMatch(
-                        line -> line.contains("SIGHUP is ignored by whoever started this server"));
+                        line -> line.contains("the parent process ignores SIGHUP: this server"));
     }
 }
--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -53,16 +53,17 @@
         deployment =
                 new Deployment(
                         operator,
-                        prepared ->
-                                prepared.outside.runs =
+                        newDeployment ->
+                                newDeployment.outside.runs =
                                         (rid, operation, body) -> {
                                             if (operation.equals("order")) {
                                                 runs.merge(body, 1, Integer::sum);
                                             }
                                             if (body.startsWith("done")) {
-                                                prepared.outside.complete(rid, "result of " + body);
+                                                newDeployment.outside.complete(
+                                                        rid, "result of " + body);
                                             } else if (body.startsWith("bad")) {
-                                                prepared.outside.notice(
+                                                newDeployment.outside.notice(
                                                         "complete", rid + " error 5 0\r\n\r\n");
                                             }
                                         });
@@ -197,7 +198,7 @@
     @Test
     void retryGetsTheResultAfterTheClientDisconnected() throws Exception {
         Call call = new Call().send("POST", "/orders", TOKEN, "wait");
-        String started = await(deployment.heard, "begin .* order");
+        String beginLine = await(deployment.heard, "begin .* order");
         call.socket.setSoLinger(true, 0);
         call.close();
         await(deployment.log, "connection uwsgi .* ended: BROKEN");
@@ -205,7 +206,7 @@
             gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait")));
             gateway.send(message(2, "ping", "{}"));
             assertThat(gateway.line()).contains("\"id\":2");
-            deployment.outside.complete(started.split(" ")[1], "done in the end");
+            deployment.outside.complete(beginLine.split(" ")[1], "done in the end");
             assertThat(gateway.line()).contains(GatewayMessages.base64("done in the end"));
         }
     }
@@ -262,8 +263,8 @@
     })
     void invalidRequestIsAnsweredWithItsStatus(
             String method, String path, String key, String body, int status) throws Exception {
-        String sent = body == null ? "" : body.equals("BIG") ? "x".repeat(2_049) : body;
-        assertThat(exchange(method, path, key, sent).status()).isEqualTo(status);
+        String requestBody = body == null ? "" : body.equals("BIG") ? "x".repeat(2_049) : body;
+        assertThat(exchange(method, path, key, requestBody).status()).isEqualTo(status);
         expect(exchange("GET", "/parts/7", null, "done read"), 200, "result of done read");
     }
 
@@ -333,7 +334,7 @@
             gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait two")));
             String second = await(deployment.heard, "begin .* order").split(" ")[1];
             deployment.terminate();
-            await(deployment.log, "leaves");
+            await(deployment.log, "server is draining");
             deployment.outside.complete(first, "done one");
             deployment.outside.complete(second, "done two");
             expect(call.answer(), 200, "done one");
