--- a/src/main/java/ochretiller/budgets/Budgets.java
+++ b/src/main/java/ochretiller/budgets/Budgets.java
@@ -10,7 +10,7 @@
 /**
  * Divides the capacity of a broker among teams. Each has a token bucket, filled at its guaranteed
  * rate. Overflow, and capacity that is guaranteed to no team, is idle work and shared by weight. No
- * team can use the bucket of another, so that a guarantee holds at once whatever others do.
+ * team can use the bucket of another, so that each guarantee holds immediately, whatever others do.
  */
 public final class Budgets {
     /** Maximum teams of one broker; each takes a few hundred bytes. */
@@ -20,8 +20,8 @@
     private static final double MAX_IDLE_SECONDS = 0.05;
 
     /**
-     * How much more idle work a team may get than the other teams that want some, in seconds at the
-     * full capacity divided by its weight.
+     * Maximum lead of a team over others that want idle work too, in seconds at the full capacity.
+     * Divided by the weight of the team, because {@link TokenBucket#lent} is.
      */
     private static final double MAX_LEAD_SECONDS = 0.01;
 
@@ -97,7 +97,7 @@
         idleBalance = Math.min(idleBalance, capacity * MAX_IDLE_SECONDS);
     }
 
-    /** Decides on a first attempt by its expected work, with reading; rejects unknown teams. */
+    /** Decides on a first attempt; the expected work includes reading it. Rejects unknown teams. */
     public BudgetDecision ask(TeamId team, double work, Duration now) {
         refill(now);
         TokenBucket bucket = buckets.get(team);
@@ -127,7 +127,8 @@
         }
         BudgetDecision decision = ask(team, work, now);
         if (decision.given()) {
-            bucket.takesRetry(work * (1 + bucket.promise.retryShare())); // a retry earns no retries
+            // Also takes back the retry work that was just earned: a retry earns no retries.
+            bucket.takesRetry(work * (1 + bucket.promise.retryShare()));
         }
         return decision;
     }
@@ -181,13 +182,13 @@
         bucket.settles(cost - expected);
     }
 
-    /** Returns the available guaranteed work of a team; negative if it is in debt. */
+    /** Returns the available guaranteed work of a team in core seconds; negative if in debt. */
     public double inHand(TeamId team, Duration now) {
         refill(now);
         return buckets.containsKey(team) ? buckets.get(team).own() : 0;
     }
 
-    /** Returns the idle work that is available to all teams. */
+    /** Returns the idle work available to all teams, in core seconds. */
     public double idle(Duration now) {
         refill(now);
         return idleBalance;
--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -29,7 +29,7 @@
 
 /**
  * Reports from servers' audit logs which versions the servers acted on, and when. Exit codes: 0
- * success, 2 bad arguments or files, 3 an audit log is damaged or does not know the whole answer.
+ * success, 2 bad arguments or files, 3 an audit log is damaged or the answer is incomplete.
  */
 @Command(
         name = "audit",
--- a/src/main/java/ochretiller/commands/CopiesCommand.java
+++ b/src/main/java/ochretiller/commands/CopiesCommand.java
@@ -36,10 +36,10 @@
     /** Time between two status requests during a repair. */
     private static final int POLL_INTERVAL_MS = 250;
 
-    /** Ranges compared between two lines of progress. */
+    /** Number of ranges compared between two lines of progress. */
     private static final int RANGES_PER_PROGRESS_LINE = 90;
 
-    /** Most differing tokens that are printed as text; JSON has all of them. */
+    /** Maximum number of differing tokens printed as text; JSON output has all of them. */
     private static final int MAX_PRINTED_TOKENS = 50;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -122,13 +122,13 @@
             @CommandLine.Mixin FleetCommand.Whom target,
             @Parameters(paramLabel = "TOKEN") String token)
             throws IOException {
-        JsonNode asked = request(target, "copies-show", token);
+        JsonNode targetReplica = request(target, "copies-show", token);
         Map<String, String> addressByName = aliveAddresses(target);
         ArrayNode replicas = JSON.createArrayNode();
-        for (JsonNode keeper : asked.get("keepers")) {
+        for (JsonNode keeper : targetReplica.get("keepers")) {
             String name = keeper.asText();
-            if (name.equals(asked.get("name").asText())) {
-                replicas.add(asked);
+            if (name.equals(targetReplica.get("name").asText())) {
+                replicas.add(targetReplica);
                 continue;
             }
             try {
@@ -147,13 +147,13 @@
             out.println(
                     JSON.createObjectNode()
                             .put("token", token)
-                            .put("range", asked.get("range").asInt())
-                            .put("epoch", asked.get("epoch").asLong())
+                            .put("range", targetReplica.get("range").asInt())
+                            .put("epoch", targetReplica.get("epoch").asLong())
                             .set("keepers", replicas));
         } else {
             out.printf(
                     "token %s, range %d, epoch %d%n",
-                    token, asked.get("range").asInt(), asked.get("epoch").asLong());
+                    token, targetReplica.get("range").asInt(), targetReplica.get("epoch").asLong());
             for (JsonNode replica : replicas) {
                 printReplica(out, replica);
             }
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -500,7 +500,7 @@
             } catch (IOException e) {
                 boolean isGone = e.getCause() instanceof ConnectException;
                 if (!isGone) {
-                    continue; // a connection cut in mid-answer does not prove the server gone
+                    continue; // a connection cut during an answer does not prove that it is gone
                 }
                 out.println(
                         target.json
--- a/src/main/java/ochretiller/commands/TryCommand.java
+++ b/src/main/java/ochretiller/commands/TryCommand.java
@@ -68,14 +68,14 @@
             Logger.getLogger("").setLevel(Level.WARNING);
         }
         int listenPort = port != 0 ? port : freePort();
-        CountDownLatch linked = new CountDownLatch(1);
+        CountDownLatch linkLatch = new CountDownLatch(1);
         FakeServices services =
                 new FakeServices(
                         "127.0.0.1",
                         new int[3],
                         line -> {
                             if (line.equals("usage fence")) {
-                                linked.countDown();
+                                linkLatch.countDown();
                             }
                         },
                         report -> {});
@@ -97,9 +97,9 @@
                                 services.rosterPort())
                         .replace("\"windowNs\":10000000000", "\"windowNs\":600000000000"));
         configFile.toFile().deleteOnExit();
-        OperatorConfig operator = operator();
-        ServerNodeBuilder builder = ServerNode.builder(configFile).operator(operator);
-        operator.remember()
+        OperatorConfig operatorConfig = createOperatorConfig();
+        ServerNodeBuilder builder = ServerNode.builder(configFile).operator(operatorConfig);
+        operatorConfig.remember()
                 .ifPresent(remember -> builder.storage(new LocalDirectory(remember.folder())));
         ServerNode node = builder.build();
         node.prepare();
@@ -111,7 +111,7 @@
                         },
                         "loop");
         serverThread.start();
-        if (!linked.await(10, TimeUnit.SECONDS)) {
+        if (!linkLatch.await(10, TimeUnit.SECONDS)) {
             throw new IOException(
                     "the server has not linked to the stand-in processor within 10 s");
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    private OperatorConfig operator() throws IOException {
+    private OperatorConfig createOperatorConfig() throws IOException {
         if (folder == null) {
             return OperatorConfig.NONE;
         }
--- a/src/main/java/ochretiller/fakes/ClassArchiveRun.java
+++ b/src/main/java/ochretiller/fakes/ClassArchiveRun.java
@@ -14,6 +14,7 @@
 
     private ClassArchiveRun() {}
 
+    /** Exchanges the messages; waits up to five seconds for the port of the server to open. */
     public static void main(String[] ports) throws Exception {
         int[] servicePorts = {Integer.parseInt(ports[0]), Integer.parseInt(ports[1]), 0};
         int serverPort = Integer.parseInt(ports[2]);
--- a/src/main/java/ochretiller/fakes/DaemonThreads.java
+++ b/src/main/java/ochretiller/fakes/DaemonThreads.java
@@ -7,11 +7,13 @@
     /** The work of one thread. */
     @FunctionalInterface
     public interface Work {
+        /** Does the work; an exception that it declares ends the thread silently. */
         void run() throws IOException, InterruptedException;
     }
 
     private DaemonThreads() {}
 
+    /** Starts a thread that does not keep its process from exiting. */
     public static void start(Work work) {
         Thread thread =
                 new Thread(
--- a/src/main/java/ochretiller/fakes/FakeConnection.java
+++ b/src/main/java/ochretiller/fakes/FakeConnection.java
@@ -12,6 +12,7 @@
     private final Socket socket;
     private final InputStream in;
 
+    /** Wraps a connected socket, which is closed with this connection. */
     public FakeConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(10_000);
@@ -19,10 +20,12 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
+    /** Sends a text in ISO 8859-1, one byte per char. */
     public FakeConnection send(String text) throws IOException {
         return send(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Sends bytes; blocks while the receive buffer of the peer is full. */
     public FakeConnection send(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
@@ -57,9 +60,10 @@
         return line.toString();
     }
 
+    /** Reads a text of {@code length} bytes and skips the line end after it. */
     public String bytes(int length) throws IOException {
         String text = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-        in.readNBytes(2); // the line end
+        in.readNBytes(2); // CR and LF
         return text;
     }
 
@@ -75,6 +79,7 @@
         }
     }
 
+    /** Shuts down the output of the socket; input can still be read. */
     public void halfClose() throws IOException {
         socket.shutdownOutput();
     }
--- a/src/main/java/ochretiller/fakes/FakeServices.java
+++ b/src/main/java/ochretiller/fakes/FakeServices.java
@@ -14,11 +14,11 @@
 import java.util.function.Consumer;
 
 /**
- * A fake processor, records service and roster on loopback sockets. The body of a request selects
- * what becomes of it, unless {@link #runs} is replaced.
+ * A fake processor, records service and roster on loopback sockets. The body of a request
+ * determines its outcome, unless {@link #runs} is replaced.
  */
 public final class FakeServices implements AutoCloseable {
-    /** Most notices resent over a new link; the number is from the protocol's specification. */
+    /** Maximum notices resent over a new link; the number is from the protocol's specification. */
     private static final int MAX_RESENT_NOTICES = 4_000;
 
     private final InetAddress host;
@@ -49,12 +49,13 @@
     private FakeConnection waitingLink;
     private long waitingLinkLastRead;
 
-    /** Decides what becomes of a run; by default its body does. */
+    /** Determines the outcome of each run; by default the body of its request does. */
     public volatile Runs runs = this::followBody;
 
     /** Handles a begun run: calls {@link #complete} or {@link #notice}, or leaves the run open. */
     @FunctionalInterface
     public interface Runs {
+        /** Called on the thread that reads the link, which it blocks until it returns. */
         void begun(String rid, String operation, String body) throws IOException;
     }
 
@@ -115,14 +116,17 @@
         return socket;
     }
 
+    /** Returns the TCP port of the processor, which {@link #move} changes. */
     public int processorPort() {
         return processor.getLocalPort();
     }
 
+    /** Returns the TCP port of the records service, which {@link #move} changes. */
     public int recordsPort() {
         return records.getLocalPort();
     }
 
+    /** Returns the UDP port of the roster, which {@link #move} changes. */
     public int rosterPort() {
         return roster.getLocalPort();
     }
@@ -221,6 +225,7 @@
         }
     }
 
+    /** Sends the notice that a run has completed with this result. */
     public void complete(String rid, String result) throws IOException {
         notice("complete", rid + " complete 5 " + result.length() + "\r\n" + result + "\r\n");
     }
@@ -233,6 +238,7 @@
         greeting = "hi hot 0\r\n";
     }
 
+    /** Stops accepting connections to the records service; open ones stay open. */
     public void closeRecords() throws IOException {
         records.close();
     }
--- a/src/main/java/ochretiller/fakes/FakeWorker.java
+++ b/src/main/java/ochretiller/fakes/FakeWorker.java
@@ -20,25 +20,35 @@
  * of its own, written from the published specification, to detect faults of the server's encoder.
  */
 public final class FakeWorker implements AutoCloseable {
-    /** How the worker responds to a request that it has run. */
+    /** How the worker responds to a request. */
     public enum Manner {
+        /** Status 200 with a result. */
         ANSWERS,
+        /** Status 500. */
         FAILS,
+        /** No response; the connection stays open until the server closes it. */
         SILENT,
+        /** Half of a body, then the end of the connection. */
         HALF,
+        /** A TCP reset without a response. */
         RESETS,
+        /** Bytes that are not a response. */
         GARBAGE,
+        /** A content length that is one byte too small. */
         WRONG_LENGTH,
+        /** A content length over the limit of the server. */
         TOO_LONG,
+        /** The end of the connection without a response. */
         ENDS
     }
 
-    /** A request that the worker has run. */
+    /** A request that the worker has received, with its variables by name. */
     public record Ran(Map<String, String> vars, String body) {}
 
     /** Selects how to respond to a request; may block, which delays the response. */
     @FunctionalInterface
     public interface Script {
+        /** Returns how to respond; called on the thread of the connection. */
         Manner play(Ran request) throws InterruptedException;
     }
 
@@ -47,6 +57,7 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final List<Ran> receivedRequests = new ArrayList<>();
     private volatile ServerSocket listener;
+    /** Selects the responses; a replacement applies to requests that arrive later. */
     public volatile Script script;
 
     /** Starts a worker on a port; 0 selects a free one. */
@@ -72,10 +83,12 @@
         return socket;
     }
 
+    /** Returns the TCP port, which stays the same after {@link #rise}. */
     public int port() {
         return port;
     }
 
+    /** Returns a copy of the requests in the order in which they were received. */
     public synchronized List<Ran> ran() {
         return List.copyOf(receivedRequests);
     }
--- a/src/main/java/ochretiller/fakes/FaultyDirectory.java
+++ b/src/main/java/ochretiller/fakes/FaultyDirectory.java
@@ -13,7 +13,7 @@
 
 /**
  * Injects the fault that a file names, for as long as the file exists: {@code full} fails every
- * change, and any other text, such as {@code stall}, blocks it. Reads and deletions go on.
+ * change, and any other text, such as {@code stall}, blocks it. Reads and deletions still work.
  */
 public final class FaultyDirectory implements StorageDirectory {
     private static final long POLL_INTERVAL_NANOS = 5_000_000;
@@ -21,12 +21,17 @@
     private final StorageDirectory directory;
     private final Path faultFile;
 
+    /**
+     * Wraps a directory.
+     *
+     * @param faultFile read before each change; while it does not exist, no fault is injected
+     */
     public FaultyDirectory(StorageDirectory directory, Path faultFile) {
         this.directory = directory;
         this.faultFile = faultFile;
     }
 
-    /** Returns as soon as a change is permitted; throws while the disk is to be full. */
+    /** Blocks until changes are permitted; throws if the injected fault is a full disk. */
     private void awaitWritable() throws IOException {
         for (String fault = currentFault(); fault != null; fault = currentFault()) {
             if (fault.equals("full")) {
@@ -90,14 +95,14 @@
         }
 
         @Override
-        public void write(ByteBuffer bytes, long offset) throws IOException {
+        public void write(ByteBuffer bytes, long position) throws IOException {
             awaitWritable();
-            file.write(bytes, offset);
+            file.write(bytes, position);
         }
 
         @Override
-        public int read(ByteBuffer into, long offset) throws IOException {
-            return file.read(into, offset);
+        public int read(ByteBuffer target, long position) throws IOException {
+            return file.read(target, position);
         }
 
         @Override
--- a/src/main/java/ochretiller/fakes/GatewayMessages.java
+++ b/src/main/java/ochretiller/fakes/GatewayMessages.java
@@ -7,6 +7,7 @@
 public final class GatewayMessages {
     private GatewayMessages() {}
 
+    /** Returns a line with a JSON-RPC request; {@code params} is a JSON value. */
     public static String message(long id, String method, String params) {
         return "{\"jsonrpc\":\"2.0\",\"id\":"
                 + id
@@ -22,6 +23,7 @@
         return params(rid, System.currentTimeMillis(), token, body);
     }
 
+    /** Returns the parameters of a request that arrived at {@code t0}, in Unix milliseconds. */
     public static String params(String rid, long t0, String token, String body) {
         return "{\"rid\":\""
                 + rid
@@ -34,6 +36,7 @@
                 + "\"}";
     }
 
+    /** Encodes a text in ISO 8859-1 as Base64. */
     public static String base64(String text) {
         return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/src/main/java/ochretiller/operator/ContractFiles.java
+++ b/src/main/java/ochretiller/operator/ContractFiles.java
@@ -30,7 +30,7 @@
     /** Maximum contracts in one folder. */
     private static final int MAX_CONTRACTS = 10_000;
 
-    /** Default of a burst, of work as of retries, in seconds at the guaranteed rate. */
+    /** Default burst of work and default burst of retries, in seconds at the guaranteed rate. */
     private static final double DEFAULT_BURST_SECONDS = 0.1;
 
     private static final double DEFAULT_RETRY_RATIO = 0.1;
@@ -54,10 +54,10 @@
                             .sorted()
                             .toList();
         } catch (IOException e) {
-            throw new MalformedException("cannot read the contracts' folder " + folder);
+            throw new MalformedException("cannot read the folder of contracts " + folder);
         }
         if (files.size() > MAX_CONTRACTS) {
-            throw new MalformedException(folder + " has over " + MAX_CONTRACTS + " contracts");
+            throw new MalformedException(folder + " has more than " + MAX_CONTRACTS + " contracts");
         }
         double capacity =
                 BROKER_FORMAT.read(folder.resolve(BROKER_FILE), "the broker's file")
@@ -89,13 +89,13 @@
     }
 
     private static Contract parseContract(JsonNode root) {
-        List<String> known = new ArrayList<>();
-        root.path("known").forEach(node -> known.add(node.asText()));
-        List<Contract.Service> publishes = new ArrayList<>();
+        List<String> clientAddresses = new ArrayList<>();
+        root.path("known").forEach(node -> clientAddresses.add(node.asText()));
+        List<Contract.Service> services = new ArrayList<>();
         root.path("publishes")
                 .forEach(
                         node ->
-                                publishes.add(
+                                services.add(
                                         new Contract.Service(
                                                 node.get("service").asText(),
                                                 node.get("pool").asText(),
@@ -114,19 +114,19 @@
                                                         node.get("objective_ms").asLong()),
                                                 Duration.ofMillis(node.get("timeout_ms").asLong()),
                                                 node.path("value").asDouble(1))));
-        JsonNode promise = root.get("promise");
-        double rate = promise.get("work_per_s").asDouble();
+        JsonNode guarantee = root.get("promise");
+        double rate = guarantee.get("work_per_s").asDouble();
         return new Contract(
                 new TeamId(root.get("team").asText()),
                 root.get("version").asInt(),
-                List.copyOf(known),
-                List.copyOf(publishes),
+                List.copyOf(clientAddresses),
+                List.copyOf(services),
                 List.copyOf(calls),
                 new GuaranteedRate(
                         rate,
-                        promise.path("burst").asDouble(rate * DEFAULT_BURST_SECONDS),
-                        promise.path("weight").asDouble(rate),
-                        promise.path("retry_share").asDouble(DEFAULT_RETRY_RATIO),
-                        promise.path("retry_burst").asDouble(rate * DEFAULT_BURST_SECONDS)));
+                        guarantee.path("burst").asDouble(rate * DEFAULT_BURST_SECONDS),
+                        guarantee.path("weight").asDouble(rate),
+                        guarantee.path("retry_share").asDouble(DEFAULT_RETRY_RATIO),
+                        guarantee.path("retry_burst").asDouble(rate * DEFAULT_BURST_SECONDS)));
     }
 }
--- a/src/main/java/ochretiller/operator/OperatorConfigReader.java
+++ b/src/main/java/ochretiller/operator/OperatorConfigReader.java
@@ -43,7 +43,7 @@
 
     private static OperatorConfig parseOperator(JsonNode root) {
         JsonNode metrics = root.path("metrics");
-        JsonNode remember = root.path("remember");
+        JsonNode durability = root.path("remember");
         return new OperatorConfig(
                 root.path("log").path("format").asText("text").equals("json"),
                 metrics.isMissingNode()
@@ -52,12 +52,14 @@
                                 new OperatorConfig.Figures(
                                         Path.of(metrics.get("file").asText()),
                                         millis(metrics, "every_ms", 5_000))),
-                remember.isMissingNode() ? Optional.empty() : Optional.of(parseRemember(remember)),
+                durability.isMissingNode()
+                        ? Optional.empty()
+                        : Optional.of(parseDurability(durability)),
                 root.has("uwsgi") ? Optional.of(parseUwsgi(root.get("uwsgi"))) : Optional.empty(),
                 parsePools(root.path("pools")),
                 root.has("fleet") ? Optional.of(parseFleet(root.get("fleet"))) : Optional.empty(),
                 root.has("audit") ? Optional.of(parseAudit(root.get("audit"))) : Optional.empty(),
-                parseDrill(root.path("drill")));
+                parseSimulatedFaults(root.path("drill")));
     }
 
     private static List<OperatorConfig.Workers> parsePools(JsonNode pools) {
@@ -80,7 +82,8 @@
         for (JsonNode worker : node.get("workers")) {
             InetSocketAddress address = parseAddress(worker.asText());
             if (addresses.contains(address)) {
-                throw new MalformedException("pool " + name + ": twice " + worker.asText());
+                throw new MalformedException(
+                        "pool " + name + ": worker " + worker.asText() + " is listed twice");
             }
             addresses.add(address);
         }
@@ -89,7 +92,7 @@
             String operation = run.get("operation").asText();
             if (!assignedOperations.add(operation)) {
                 throw new MalformedException(
-                        "pool " + name + ": " + operation + " has a pool already");
+                        "pool " + name + ": operation " + operation + " already has a pool");
             }
             runs.add(
                     new OperatorConfig.Run(
@@ -106,7 +109,7 @@
                         Math.max(initialEjection.toMillis(), defaults.mostLeftOut().toMillis()));
         if (maxEjection.compareTo(initialEjection) < 0) {
             throw new MalformedException(
-                    "pool " + name + ": most_left_out_ms is under left_out_ms");
+                    "pool " + name + ": most_left_out_ms must not be less than left_out_ms");
         }
         return new OperatorConfig.Workers(
                 name,
@@ -154,13 +157,13 @@
     }
 
     private static ReplicationSettings parseReplication(JsonNode node) {
-        List<String> voters = new ArrayList<>();
-        node.get("voters").forEach(voter -> voters.add(voter.asText()));
-        if (new HashSet<>(voters).size() < voters.size()) {
+        List<String> acceptors = new ArrayList<>();
+        node.get("voters").forEach(voter -> acceptors.add(voter.asText()));
+        if (new HashSet<>(acceptors).size() < acceptors.size()) {
             throw new MalformedException("fleet: a name is listed twice in voters");
         }
         return new ReplicationSettings(
-                List.copyOf(voters),
+                List.copyOf(acceptors),
                 node.has("voter_file") ? Path.of(node.get("voter_file").asText()) : null,
                 node.path("factor").asInt(3),
                 node.path("most_entries").asInt(20_000),
@@ -234,7 +237,7 @@
      * Parses the simulated faults of the clock and disk. They are only allowed in drills, since
      * elsewhere nobody would notice that they are set.
      */
-    private static OperatorConfig.Drill parseDrill(JsonNode drill) {
+    private static OperatorConfig.Drill parseSimulatedFaults(JsonNode drill) {
         if (drill.isMissingNode()) {
             return OperatorConfig.Drill.NONE;
         }
@@ -263,18 +266,18 @@
                 node.path("time_var").asText("HTTP_X_REQUEST_START"));
     }
 
-    private static OperatorConfig.Remember parseRemember(JsonNode node) {
-        long mostBytes = node.path("most_mb").asLong(64) << 20;
+    private static OperatorConfig.Remember parseDurability(JsonNode node) {
+        long maxBytes = node.path("most_mb").asLong(64) << 20;
         return new OperatorConfig.Remember(
                 Path.of(node.get("folder").asText()),
                 node.path("most_entries").asInt(50_000),
-                mostBytes,
+                maxBytes,
                 (int)
                         (node.path("segment_kb")
                                         .asLong(
                                                 Math.max(
                                                         64,
-                                                        Math.min(mostBytes / 16, 64 << 20) >> 10))
+                                                        Math.min(maxBytes / 16, 64 << 20) >> 10))
                                 << 10),
                 millis(node, "roll_after_ms", 5_000),
                 node.path("compact_kb_per_s").asLong(8 << 10) << 10,
--- a/src/main/java/ochretiller/pools/PoolSettings.java
+++ b/src/main/java/ochretiller/pools/PoolSettings.java
@@ -26,7 +26,7 @@
         Duration slowStart,
         double retryShare,
         double retryBurst) {
-    /** Defaults, for workers that take tens to hundreds of milliseconds. */
+    /** Default settings, for workers that answer within tens to hundreds of milliseconds. */
     public static final PoolSettings USUAL =
             new PoolSettings(
                     32,
--- a/src/main/java/ochretiller/pools/WorkerHealth.java
+++ b/src/main/java/ochretiller/pools/WorkerHealth.java
@@ -117,7 +117,7 @@
         if (outcome == RequestOutcome.GIVEN_UP) {
             return; // no evidence about the worker; a cancelled probe only frees its slot
         }
-        // Failures other than timeouts are not counted: quick ones would make the worker look fast.
+        // Of the failures, only timeouts are latency samples: quick ones would make it look fast.
         if (outcome.good() || outcome == RequestOutcome.SILENT) {
             latencies.add(now, inSeconds(elapsed), 1);
             lastMeanSeconds = latencies.mean(now, MIN_LATENCY_SECONDS);
--- a/src/main/java/ochretiller/pools/WorkerSelector.java
+++ b/src/main/java/ochretiller/pools/WorkerSelector.java
@@ -161,7 +161,7 @@
         WorkerHealth chosen =
                 candidates.stream()
                         .filter(worker -> worker.state == WorkerHealth.State.TRIED)
-                        .findFirst() // first, or faster workers would keep it from being readmitted
+                        .findFirst() // preferred over faster workers, or it is never readmitted
                         .orElseGet(() -> betterOfTwo(candidates, now));
         chosen.inFlight++;
         return Optional.of(chosen.id);
@@ -172,7 +172,7 @@
         if (candidates.size() == 1) {
             return candidates.get(firstIndex);
         }
-        // Two different workers: a slow one that is drawn twice would be chosen.
+        // Two different workers: one that is drawn twice would be chosen however slow it is.
         int secondIndex =
                 (firstIndex + 1 + random.nextInt(candidates.size() - 1)) % candidates.size();
         WorkerHealth first = candidates.get(firstIndex);
--- a/src/main/java/ochretiller/pools/package-info.java
+++ b/src/main/java/ochretiller/pools/package-info.java
@@ -4,8 +4,9 @@
  * retry budget.
  *
  * <p>{@link ochretiller.pools.WorkerSelector} decides from the {@link
- * ochretiller.pools.WorkerHealth} of each worker. No sockets, clocks or threads: time and random
- * numbers are passed in, and one thread of the caller owns the state. {@code docs/pools.md} gives
- * the reasons. Neighbours: {@code workers} sends the requests, {@code time} has the windows.
+ * ochretiller.pools.WorkerHealth} of each worker. The package has no sockets, clocks or threads:
+ * time and random numbers are passed in, and one thread of the caller owns the state. {@code
+ * docs/pools.md} gives the reasons. Dependency: {@code time}, for the sliding windows. {@code
+ * workers} sends the requests.
  */
 package ochretiller.pools;
--- a/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Serves waiting requests in order, up to the first that is not answered at once. */
+    /** Serves waiting requests in order, up to the first that is not answered immediately. */
     private void serveWaiting() {
         while (connection.open() && open().isEmpty() && !waitingInputs.isEmpty()) {
             Input input = waitingInputs.poll();
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Answers malformed input if its status allows that, and closes the connection. */
+    /** Answers malformed input with its HTTP status, if it has one, and closes the connection. */
     private void closeMalformed(UwsgiException fault) {
         frontend.bad(connection.peer(), fault);
         if (fault.status == 0) {
--- a/src/main/java/ochretiller/uwsgi/UwsgiException.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiException.java
@@ -7,7 +7,7 @@
     /** The HTTP status of the answer, or 0 if the connection is closed without one. */
     public final int status;
 
-    /** Has no stack trace: peers can cause any number of exceptions, and it is most of the cost. */
+    /** Omits the stack trace, which costs the most: peers can cause any number of exceptions. */
     UwsgiException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
@@ -31,8 +31,8 @@
 
     private static final int MAX_KEY_CHARS = 255;
 
-    /** Hex digits of an idempotency key on the JSON-RPC frontend. */
-    private static final int TOKEN_HEX_DIGITS = 32;
+    /** Number of hex digits of an idempotency key on the JSON-RPC frontend. */
+    private static final int KEY_HEX_DIGITS = 32;
 
     private final ClientConnections connections;
     private final Scheduler scheduler;
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Turns a request into an attempt and passes it on.
+     * Opens an attempt for a request.
      *
      * @param number the number of the request on its connection
      * @throws UwsgiException with the HTTP status of the answer, if the request is invalid
@@ -132,7 +132,7 @@
                                 ? scheduler.now()
                                 : toServerTime.apply(sentAtMillis),
                         sentAtMillis,
-                        key == null ? null : token(client, method, route, key),
+                        key == null ? null : internalKey(client, method, route, key),
                         null,
                         request.body(),
                         peer,
@@ -168,18 +168,18 @@
     }
 
     /**
-     * Returns the key under which the result is stored. A key in the JSON-RPC frontend's format is
-     * used as it is, so that a retry over that protocol is recognized. Any other key is scoped to
-     * client, method and route: clients with the same key never see each other's results.
+     * Returns the idempotency key used within the server. A key in the format of the JSON-RPC
+     * frontend is used unchanged, so that a retry over that protocol is recognized. Any other is
+     * scoped to client, method and route: clients with the same key never see each other's results.
      */
-    private static String token(String client, String method, Route route, String key) {
-        if (key.length() == TOKEN_HEX_DIGITS
+    private static String internalKey(String client, String method, Route route, String key) {
+        if (key.length() == KEY_HEX_DIGITS
                 && key.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
             return key;
         }
         return HexFormat.of()
                 .formatHex(hash(client + '\n' + method + '\n' + route.path().text() + '\n' + key))
-                .substring(0, TOKEN_HEX_DIGITS);
+                .substring(0, KEY_HEX_DIGITS);
     }
 
     private static byte[] hash(String text) {
--- a/src/main/java/ochretiller/uwsgi/UwsgiRequest.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequest.java
@@ -10,7 +10,7 @@
  * @param ping whether this is a ping (modifier 100), which has neither variables nor a body
  */
 public record UwsgiRequest(Map<String, String> vars, byte[] body, boolean ping) {
-    /** Returns the packets to send to a worker: the block of variables, then the body. */
+    /** Returns what is written to a worker, in order: the block of variables, then the body. */
     public byte[][] encode() {
         return new byte[][] {UwsgiVariables.write(vars), body};
     }
--- a/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
@@ -25,7 +25,7 @@
     /** Initial size of the buffer. */
     private static final int MIN_BUFFER_BYTES = 512;
 
-    /** A larger buffer is released after the request. */
+    /** Maximum size of a buffer that is kept after the request. */
     private static final int MAX_RETAINED_BUFFER_BYTES = 8 * 1024;
 
     /** The part of a request that is read next. */
@@ -38,7 +38,7 @@
     private final int maxBodyBytes;
     private Part part = Part.HEADER;
     private byte[] buffer = {};
-    private int filled;
+    private int bufferedBytes;
     private int partLength = HEADER_BYTES;
     private Map<String, String> vars;
 
@@ -51,9 +51,9 @@
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Returns whether a request has been received in part. */
+    /** Returns whether a request is partially received. */
     public boolean within() {
-        return part != Part.HEADER || filled > 0;
+        return part != Part.HEADER || bufferedBytes > 0;
     }
 
     /**
@@ -68,10 +68,10 @@
      */
     public void read(byte[] bytes, int from, int to, Consumer<UwsgiRequest> consumer) {
         for (int offset = from; offset < to; ) {
-            int count = Math.min(partLength - filled, to - offset);
+            int count = Math.min(partLength - bufferedBytes, to - offset);
             append(bytes, offset, count);
             offset += count;
-            if (filled == partLength) {
+            if (bufferedBytes == partLength) {
                 onPartComplete(consumer);
             }
         }
@@ -79,15 +79,16 @@
 
     /** Grows the buffer with the bytes received, not with the length that the peer announces. */
     private void append(byte[] bytes, int offset, int count) {
-        if (buffer.length < filled + count) {
+        if (buffer.length < bufferedBytes + count) {
             buffer =
                     Arrays.copyOf(
                             buffer,
                             Math.max(
-                                    MIN_BUFFER_BYTES, Math.min(partLength, (filled + count) * 2)));
+                                    MIN_BUFFER_BYTES,
+                                    Math.min(partLength, (bufferedBytes + count) * 2)));
         }
-        System.arraycopy(bytes, offset, buffer, filled, count);
-        filled += count;
+        System.arraycopy(bytes, offset, buffer, bufferedBytes, count);
+        bufferedBytes += count;
     }
 
     private void onPartComplete(Consumer<UwsgiRequest> consumer) {
@@ -95,7 +96,9 @@
             case HEADER -> parseHeader(consumer);
             case VARS -> parseVariables(consumer);
             case BODY ->
-                    deliver(consumer, new UwsgiRequest(vars, Arrays.copyOf(buffer, filled), false));
+                    deliver(
+                            consumer,
+                            new UwsgiRequest(vars, Arrays.copyOf(buffer, bufferedBytes), false));
             default -> throw new IllegalStateException();
         }
     }
@@ -103,7 +106,7 @@
     private void startPart(Part next, int length) {
         part = next;
         partLength = length;
-        filled = 0;
+        bufferedBytes = 0;
     }
 
     private void parseHeader(Consumer<UwsgiRequest> consumer) {
@@ -124,7 +127,7 @@
     }
 
     private void parseVariables(Consumer<UwsgiRequest> consumer) {
-        vars = UwsgiVariables.read(new Slice(buffer, 0, filled));
+        vars = UwsgiVariables.read(new Slice(buffer, 0, bufferedBytes));
         startPart(Part.BODY, parseBodyLength(vars.get("CONTENT_LENGTH")));
         if (partLength == 0) {
             onPartComplete(consumer);
--- a/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
@@ -8,7 +8,8 @@
 
 /**
  * Decodes the response of a worker on one connection. It has the form of an HTTP response and ends
- * at its content length or at the end of the connection. The size is limited. Not thread-safe.
+ * at its content length or at the end of the connection. The sizes of its head and its body are
+ * limited. Not thread-safe.
  */
 public final class UwsgiResponseDecoder {
     private static final int MAX_HEAD_BYTES = 16 * 1024;
@@ -26,10 +27,10 @@
 
     private final int maxBodyBytes;
     private byte[] buffer = {};
-    private int filled;
+    private int bufferedBytes;
 
     /** Number of bytes already searched for the end of the head. */
-    private int searched;
+    private int searchedBytes;
 
     private int bodyOffset = UNKNOWN;
     private int bodyLength = UNKNOWN;
@@ -53,21 +54,21 @@
      */
     public UwsgiResponse read(byte[] bytes, int from, int to) {
         int maxBytes = MAX_HEAD_BYTES + maxBodyBytes;
-        if (filled + to - from > maxBytes) {
+        if (bufferedBytes + to - from > maxBytes) {
             throw new UwsgiException(0, "response is longer than " + maxBytes + " bytes");
         }
-        if (buffer.length < filled + to - from) {
-            buffer = Arrays.copyOf(buffer, Math.min(maxBytes, (filled + to - from) * 2));
+        if (buffer.length < bufferedBytes + to - from) {
+            buffer = Arrays.copyOf(buffer, Math.min(maxBytes, (bufferedBytes + to - from) * 2));
         }
-        System.arraycopy(bytes, from, buffer, filled, to - from);
-        filled += to - from;
+        System.arraycopy(bytes, from, buffer, bufferedBytes, to - from);
+        bufferedBytes += to - from;
         if (bodyOffset < 0) {
             decodeHead();
         }
-        if (bodyOffset < 0 || bodyLength < 0 || filled - bodyOffset < bodyLength) {
+        if (bodyOffset < 0 || bodyLength < 0 || bufferedBytes - bodyOffset < bodyLength) {
             return null;
         }
-        if (filled - bodyOffset > bodyLength) {
+        if (bufferedBytes - bodyOffset > bodyLength) {
             throw new UwsgiException(
                     0, "response is longer than its content length of " + bodyLength + " bytes");
         }
@@ -84,13 +85,14 @@
     }
 
     private UwsgiResponse response() {
-        return new UwsgiResponse(status, headers, Arrays.copyOfRange(buffer, bodyOffset, filled));
+        return new UwsgiResponse(
+                status, headers, Arrays.copyOfRange(buffer, bodyOffset, bufferedBytes));
     }
 
     private void decodeHead() {
         int end = findHeadEnd();
         if (end < 0) {
-            if (filled > MAX_HEAD_BYTES) {
+            if (bufferedBytes > MAX_HEAD_BYTES) {
                 throw new UwsgiException(
                         0, "response headers are longer than " + MAX_HEAD_BYTES + " bytes");
             }
@@ -102,9 +104,9 @@
 
     /** Returns the offset of the end of the head, or {@link #UNKNOWN}. */
     private int findHeadEnd() {
-        int index = Math.max(0, searched - (HEAD_END_BYTES - 1));
-        searched = filled;
-        for (; index + HEAD_END_BYTES <= filled; index++) {
+        int index = Math.max(0, searchedBytes - (HEAD_END_BYTES - 1));
+        searchedBytes = bufferedBytes;
+        for (; index + HEAD_END_BYTES <= bufferedBytes; index++) {
             if (buffer[index] == '\r'
                     && buffer[index + 1] == '\n'
                     && buffer[index + 2] == '\r'
--- a/src/main/java/ochretiller/uwsgi/UwsgiVariables.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiVariables.java
@@ -13,7 +13,7 @@
     /** Maximum size of a block, whose length is a 16-bit number. */
     static final int LONGEST = 65_535;
 
-    /** Maximum variables of a block: in a map, short ones take a hundred times their size. */
+    /** Maximum variables of a block: a map of short ones takes a hundred times their size. */
     private static final int MAX_VARIABLES = 512;
 
     private UwsgiVariables() {}
@@ -70,7 +70,7 @@
         return length;
     }
 
-    /** Decodes one char per byte; rejects NUL and line breaks, which could later end a text. */
+    /** Decodes one char per byte; rejects NUL and line breaks, which could end a line or text. */
     private static String readText(byte[] bytes, int from, int length) {
         for (int i = from; i < from + length; i++) {
             if (bytes[i] == 0 || bytes[i] == '\r' || bytes[i] == '\n') {
@@ -99,13 +99,13 @@
         out[2] = (byte) (size >> 8);
         int offset = 4;
         for (Map.Entry<String, String> variable : vars.entrySet()) {
-            offset = write(out, offset, variable.getKey());
-            offset = write(out, offset, variable.getValue());
+            offset = writeText(out, offset, variable.getKey());
+            offset = writeText(out, offset, variable.getValue());
         }
         return out;
     }
 
-    private static int write(byte[] out, int offset, String text) {
+    private static int writeText(byte[] out, int offset, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         out[offset] = (byte) bytes.length;
         out[offset + 1] = (byte) (bytes.length >> 8);
--- a/src/main/java/ochretiller/uwsgi/package-info.java
+++ b/src/main/java/ochretiller/uwsgi/package-info.java
@@ -8,7 +8,7 @@
  *
  * <p>Frontend: {@link ochretiller.uwsgi.UwsgiFrontend} turns requests into attempts according to
  * its {@link ochretiller.uwsgi.Route}s; {@link ochretiller.uwsgi.UwsgiConnection} answers them in
- * order. The frontend runs on the event loop thread, decoding on the I/O thread. Neighbours: {@code
- * frontend}, {@code paths}, {@code net}.
+ * order. The frontend runs on the event loop thread, decoding on the I/O thread. Dependencies:
+ * {@code frontend}, {@code paths}, {@code net}.
  */
 package ochretiller.uwsgi;
--- a/src/main/java/ochretiller/workers/UwsgiRunBackend.java
+++ b/src/main/java/ochretiller/workers/UwsgiRunBackend.java
@@ -105,7 +105,7 @@
         return pool == null ? null : pool.name;
     }
 
-    /** Returns how many runs the workers of a pool may have at once. */
+    /** Returns the maximum of concurrent runs on the workers of a pool. */
     public int places(String pool) {
         return pools.get(pool).capacity(scheduler.now());
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Closes all connections at once. */
+    /** Closes all connections immediately. */
     public void close() {
         List.copyOf(connections).forEach(connection -> connection.drop(CloseCode.LEAVING));
     }
--- a/src/main/java/ochretiller/workers/WorkerConnection.java
+++ b/src/main/java/ochretiller/workers/WorkerConnection.java
@@ -17,7 +17,7 @@
 final class WorkerConnection implements ConnectionHandler {
     private static final Logger LOG = Logger.getLogger(UwsgiRunBackend.class.getName());
 
-    /** The same limit as for a result on the connection to the processor. */
+    /** Maximum size of an answer, the same as for a result of the processor. */
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
     private final WorkerRun run;
@@ -42,12 +42,12 @@
         this.attempt = attempt;
         this.connection = connection;
         this.backend = backend;
-        scheduler.post(this::opened);
+        scheduler.post(this::onEstablished);
     }
 
-    private void opened() {
+    private void onEstablished() {
         if (!connection.open()) {
-            return; // ended() is called next
+            return; // the network reports the end of the connection next
         }
         backend.add(this);
         run.onConnected(this);
@@ -70,7 +70,7 @@
         scheduler.after(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
     }
 
-    /** Closes the connection at once. */
+    /** Closes the connection immediately. */
     void drop(CloseCode code) {
         if (connection.open()) {
             connection.drop(code);
--- a/src/main/java/ochretiller/workers/WorkerPool.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -64,7 +64,7 @@
     /** The last computed capacity; read by the metrics thread. */
     private volatile int capacity;
 
-    /** The free slots at {@link #freeSlotsAt}, cached because one round asks for them often. */
+    /** The free slots at {@link #freeSlotsAt}, cached as one event loop round reads them often. */
     private int freeSlots;
 
     private Optional<Duration> freeSlotsAt = Optional.empty();
@@ -125,7 +125,7 @@
         return addresses.get(id);
     }
 
-    /** Returns how many runs the workers may have at once in their current state. */
+    /** Returns the maximum of concurrent runs on the workers in their current state. */
     int capacity(Duration now) {
         int current = selector.places(now);
         capacity = current;
--- a/src/main/java/ochretiller/workers/WorkerPoolConfig.java
+++ b/src/main/java/ochretiller/workers/WorkerPoolConfig.java
@@ -29,7 +29,7 @@
      */
     public record Target(String operation, String method, String path) {}
 
-    /** Returns how many connections this pool may have open at once. */
+    /** Returns the maximum of concurrently open connections of this pool. */
     public long connections() {
         return (long) settings.mostInFlight() * workers.size() + WorkerPool.MAX_LATE_LISTENERS;
     }
--- a/src/main/java/ochretiller/workers/WorkerRun.java
+++ b/src/main/java/ochretiller/workers/WorkerRun.java
@@ -21,7 +21,7 @@
  * loop thread.
  */
 final class WorkerRun {
-    /** A worker that takes longer to accept a connection counts as down; most take milliseconds. */
+    /** A worker that accepts no connection in this time is down; most accept in milliseconds. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     /** Maximum attempts of one run; the retry budget of the pool limits those of all runs. */
@@ -123,7 +123,7 @@
         return !isOver && !isWritten && attempt == currentAttempt;
     }
 
-    /** Handles the end of an attempt before its request was written; ignored if not current. */
+    /** Handles the end of an attempt before its request was written, if it is the current one. */
     void onNeverStarted(int attempt) {
         if (!isCurrent(attempt)) {
             return;
@@ -205,7 +205,7 @@
     }
 
     /**
-     * Ends the run because nobody waits for it any more.
+     * Ends the run because its result is no longer awaited.
      *
      * @param outcome whether the run timed out or was cancelled
      */
@@ -214,7 +214,7 @@
             return;
         }
         if (!isWritten) {
-            // The client is told that the run never started, so nothing may be sent any more.
+            // The client is told that the run never started, so no request may be sent afterwards.
             if (worker.isPresent()) {
                 reportOutcome(RequestOutcome.NEVER_BEGUN);
             }
--- a/src/main/java/ochretiller/workers/package-info.java
+++ b/src/main/java/ochretiller/workers/package-info.java
@@ -3,10 +3,11 @@
  * timeouts, and retries of requests that provably never started. {@code pools} decides which worker
  * gets a request.
  *
- * <p>{@link ochretiller.workers.UwsgiRunBackend} implements the interface of {@code execution}; a
- * {@link ochretiller.workers.WorkerRun} is one run, a {@link ochretiller.workers.WorkerConnection}
- * one connection. State: the pools, the unfinished runs and the open connections. Runs on the event
- * loop thread; only decoding runs on the I/O thread. Neighbours: {@code uwsgi} (the protocol),
- * {@code pools}, {@code net}, {@code metrics}.
+ * <p>{@link ochretiller.workers.UwsgiRunBackend} implements {@link
+ * ochretiller.execution.RunBackend}; a {@link ochretiller.workers.WorkerRun} is one run, a {@link
+ * ochretiller.workers.WorkerConnection} one connection. The backend holds the pools, the unfinished
+ * runs and the open connections. All code runs on the event loop thread except decoding, which runs
+ * on the I/O thread. Dependencies: {@code uwsgi} (the protocol), {@code pools}, {@code net}, {@code
+ * metrics}.
  */
 package ochretiller.workers;
--- a/src/test/java/ochretiller/budgets/BudgetsTest.java
+++ b/src/test/java/ochretiller/budgets/BudgetsTest.java
@@ -36,11 +36,16 @@
      * pieces of 0.01 between two times in milliseconds, while another team does the same.
      */
     private double grantedWork(
-            TeamId team, double rate, int from, int to, TeamId other, double otherRate) {
+            TeamId team,
+            double rate,
+            int fromMillis,
+            int toMillis,
+            TeamId other,
+            double otherRate) {
         double granted = 0;
         double due = 0;
         double otherDue = 0;
-        for (int nowMillis = from; nowMillis < to; nowMillis++) {
+        for (int nowMillis = fromMillis; nowMillis < toMillis; nowMillis++) {
             for (due += rate / 1e3; due >= 0.01; due -= 0.01) {
                 if (budgets.ask(team, 0.01, ms(nowMillis)).given()) {
                     granted += 0.01;
@@ -76,8 +81,8 @@
     void idleWorkIsSharedByWeight() {
         setThreeTeams();
         double fit = grantedWork(FIT, 50, 0, 4_000, PARTS, 50);
-        // Idle are 1 core second per second that no team is guaranteed and 1 that ordering does not
-        // use; three quarters of that go to this team.
+        // The idle work is 1 core second per second that is guaranteed to no team and 1 that
+        // ordering does not use; three quarters of it go to fit.
         assertThat(fit).isBetween(3 * 4 + 2 * 4 * 0.75 - 0.6, 3 * 4 + 2 * 4 * 0.75 + 0.6);
     }
 
