--- a/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
+++ b/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
@@ -8,11 +8,11 @@
 import ochretiller.fleet.consensus.ReplicaPlacement;
 
 /**
- * Pulls missing entries from other replicas, range by range. Lagging ranges come first: their votes
- * do not count until enough sources have been pulled completely. The rest of the transfer rate is
- * used to repair differences that comparisons have found. Anti-entropy in the sense of Demers et
- * al. 1987 ("Epidemic Algorithms for Replicated Database Maintenance"), with set sketches in place
- * of Merkle trees. Not thread-safe; callers pass the time.
+ * Pulls missing entries from other replicas, range by range. Lagging ranges come first: the replica
+ * must not vote on them until it has pulled them completely from enough sources. The rest of the
+ * transfer rate is used to repair differences that comparisons have found. Anti-entropy in the
+ * sense of Demers et al. 1987 ("Epidemic Algorithms for Replicated Database Maintenance"), with set
+ * sketches in place of Merkle trees. Not thread-safe; callers pass the time.
  */
 final class AntiEntropy {
     /** Number of pulls at which new repairs are left to a later comparison. */
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Returns whether this replica's copy of a range is a complete source: the range does not lag,
-     * or its catch-up counts the local copy as complete.
+     * Returns whether this replica's copy of a range is complete: the range does not lag, or its
+     * catch-up counts the local copy as a complete source.
      */
     boolean ownCopyCounts(int range) {
         return lagging.get(range).map(catchUp -> catchUp.hasHeard(self)).orElse(true);
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
@@ -9,9 +9,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides keyed invocations: collects the replicas' replies to each attempt, and decides once they
- * suffice or the attempt times out. {@code docs/copies.md} has a table of the decision for each
- * combination of replies. Not thread-safe; the caller passes the time and random numbers.
+ * Decides whether keyed invocations may run: collects the replicas' replies to each attempt, and
+ * decides once they suffice or the attempt times out. {@code docs/copies.md} has a table of the
+ * decision for each combination of replies. Not thread-safe; the caller passes the time and random
+ * numbers.
  */
 final class ClaimAttempts {
     /** Interval after which unanswered requests are repeated. */
--- a/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
@@ -1,7 +1,7 @@
 package ochretiller.fleet.replication;
 
 /**
- * Adaptive limit on claims in flight (AIMD, as in TCP congestion avoidance, RFC 5681): increases
+ * Adaptive limit on claims in flight (AIMD, as in TCP congestion avoidance, RFC 5681): it increases
  * additively while claims that fill the limit are answered in time, and is halved when a claim gets
  * no majority. Not thread-safe.
  */
--- a/src/main/java/ochretiller/fleet/replication/CompletedClaim.java
+++ b/src/main/java/ochretiller/fleet/replication/CompletedClaim.java
@@ -7,7 +7,7 @@
  * A claimed run that has ended.
  *
  * @param claimId the claim under which it ran
- * @param outcome how it ended
+ * @param outcome the outcome of the run
  * @param chunkedResult the result for replicas to request in chunks, if the outcome does not
  *     contain it
  * @param replyDeadline monotonic time by which the client has to be answered
--- a/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
+++ b/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
@@ -31,7 +31,7 @@
     private static final int MAX_WRITES_PER_RETRY = 1_000;
 
     private final RandomGenerator random;
-    private final Deque<WaitingMessages> waiting = new ArrayDeque<>();
+    private final Deque<WaitingMessages> waitingBatches = new ArrayDeque<>();
     private final Deque<PendingWrite> outstandingWrites = new ArrayDeque<>();
     private final Set<String> unsavedTokens = new LinkedHashSet<>();
     private boolean metadataUnsaved;
@@ -94,7 +94,7 @@
             return new SubmittedChange(writes, messages);
         }
         if (!messages.isEmpty()) {
-            waiting.add(new WaitingMessages(lastSequence, messages));
+            waitingBatches.add(new WaitingMessages(lastSequence, messages));
             waitingMessages += messages.size();
         }
         return new SubmittedChange(writes, List.of());
@@ -151,8 +151,8 @@
 
     private List<OutboundMessage> takeSendable(long durableSequence) {
         List<OutboundMessage> sendable = new ArrayList<>();
-        while (!waiting.isEmpty() && waiting.peek().sequence <= durableSequence) {
-            List<OutboundMessage> messages = waiting.poll().messages;
+        while (!waitingBatches.isEmpty() && waitingBatches.peek().sequence <= durableSequence) {
+            List<OutboundMessage> messages = waitingBatches.poll().messages;
             waitingMessages -= messages.size();
             sendable.addAll(messages);
         }
@@ -173,7 +173,7 @@
         }
         droppedMessages += waitingMessages;
         outstandingWrites.clear();
-        waiting.clear();
+        waitingBatches.clear();
         waitingMessages = 0;
         generation++;
         degraded = true;
--- a/src/main/java/ochretiller/fleet/replication/EpochHandover.java
+++ b/src/main/java/ochretiller/fleet/replication/EpochHandover.java
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Returns whether this replica is a complete source of a range that it replicates in this epoch
-     * or replicated in the previous one.
+     * Returns whether other replicas may rely on this one to have a complete copy of a range, as a
+     * replica of the range in this epoch or in the previous one.
      */
     boolean isReliableSource(int range) {
         if (state.unreliableRanges().contains(range) || diskCheck.isInProgress()) {
--- a/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
+++ b/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
@@ -53,6 +53,7 @@
         return lostGrants;
     }
 
+    /** Returns the ranges whose catch-up has passed its deadline. */
     List<Integer> overdue(Duration now) {
         return catchUps.entrySet().stream()
                 .filter(each -> each.getValue().isOverdue(now))
--- a/src/main/java/ochretiller/fleet/replication/ObservedChangeNumbers.java
+++ b/src/main/java/ochretiller/fleet/replication/ObservedChangeNumbers.java
@@ -10,7 +10,7 @@
  * has a stale disk ({@link DiskFreshnessCheck}). Bounded; not thread-safe.
  */
 final class ObservedChangeNumbers {
-    /** Maximum number of replicas tracked; bounds memory if ever new names appear. */
+    /** Maximum number of replicas tracked; bounds memory if new names keep appearing. */
     private static final int MAX_TRACKED = 4_096;
 
     private final Map<String, Long> highest = new HashMap<>();
--- a/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
+++ b/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
@@ -23,8 +23,8 @@
     private static final long MAX_RETAINED_RESULT_CHARACTERS = 8L << 20;
 
     private final CoordinatorState state;
-    private final Map<ClaimId, GrantedClaim> granted = new LinkedHashMap<>();
-    private final Map<ClaimId, PendingOutcome> pending = new LinkedHashMap<>();
+    private final Map<ClaimId, GrantedClaim> grantedClaims = new LinkedHashMap<>();
+    private final Map<ClaimId, PendingOutcome> pendingOutcomes = new LinkedHashMap<>();
     private long retainedResultCharacters;
 
     /** A claim that may run, and the replicas' change numbers when they granted it. */
@@ -35,11 +35,11 @@
     }
 
     int pendingCount() {
-        return pending.size();
+        return pendingOutcomes.size();
     }
 
     void recordGrant(ClaimId claimId, String token, Map<String, Long> changeNumbers) {
-        granted.put(claimId, new GrantedClaim(token, changeNumbers));
+        grantedClaims.put(claimId, new GrantedClaim(token, changeNumbers));
     }
 
     /**
@@ -47,7 +47,7 @@
      * or has ended.
      */
     Optional<String> cancelGrant(ClaimId claimId) {
-        return Optional.ofNullable(granted.remove(claimId)).map(GrantedClaim::token);
+        return Optional.ofNullable(grantedClaims.remove(claimId)).map(GrantedClaim::token);
     }
 
     /**
@@ -55,8 +55,8 @@
      * not possible.
      */
     void start(CompletedClaim completed, Duration now, Consumer<Boolean> onStored) {
-        GrantedClaim claim = granted.remove(completed.claimId());
-        if (claim == null || pending.size() >= MAX_PENDING) {
+        GrantedClaim claim = grantedClaims.remove(completed.claimId());
+        if (claim == null || pendingOutcomes.size() >= MAX_PENDING) {
             onStored.accept(false);
             return;
         }
@@ -64,7 +64,7 @@
         retainedResultCharacters += retained.chunkedResult().map(String::length).orElse(0);
         PendingOutcome outcome =
                 new PendingOutcome(claim.token, retained, claim.changeNumbers, onStored, now);
-        pending.put(completed.claimId(), outcome);
+        pendingOutcomes.put(completed.claimId(), outcome);
         send(outcome, now);
     }
 
@@ -73,7 +73,7 @@
      * already in progress.
      */
     void startPrevious(String token, CompletedClaim completed, Duration now) {
-        if (!pending.containsKey(completed.claimId())) {
+        if (!pendingOutcomes.containsKey(completed.claimId())) {
             recordGrant(completed.claimId(), token, Map.of());
             start(completed, now, stored -> {});
         }
@@ -88,7 +88,8 @@
 
     /** Returns the chunked result of a claim of this server while replicas may still request it. */
     Optional<String> heldResult(ClaimId claimId) {
-        return Optional.ofNullable(pending.get(claimId)).flatMap(PendingOutcome::chunkedResult);
+        return Optional.ofNullable(pendingOutcomes.get(claimId))
+                .flatMap(PendingOutcome::chunkedResult);
     }
 
     private void send(PendingOutcome outcome, Duration now) {
@@ -102,7 +103,8 @@
 
     /** Restarts the replication of all pending outcomes in a later epoch. */
     void onEpochChange(Duration now) {
-        pending.values()
+        pendingOutcomes
+                .values()
                 .forEach(
                         outcome -> {
                             outcome.forgetStored();
@@ -111,7 +113,7 @@
     }
 
     void onStored(String from, ReplicationMessage.OutcomeStored message, Duration now) {
-        PendingOutcome outcome = pending.get(message.claimId());
+        PendingOutcome outcome = pendingOutcomes.get(message.claimId());
         boolean countsTowardsQuorum =
                 outcome != null
                         && message.epoch() == state.epoch()
@@ -136,14 +138,14 @@
     }
 
     private void remove(ClaimId claimId) {
-        PendingOutcome removed = pending.remove(claimId);
+        PendingOutcome removed = pendingOutcomes.remove(claimId);
         if (removed != null) {
             retainedResultCharacters -= removed.chunkedResult().map(String::length).orElse(0);
         }
     }
 
     void tick(Duration now) {
-        for (Map.Entry<ClaimId, PendingOutcome> each : List.copyOf(pending.entrySet())) {
+        for (Map.Entry<ClaimId, PendingOutcome> each : List.copyOf(pendingOutcomes.entrySet())) {
             tick(each.getKey(), each.getValue(), now);
         }
     }
@@ -168,8 +170,8 @@
 
     /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
-        StringBuilder text = new StringBuilder().append(granted);
-        pending.forEach(
+        StringBuilder text = new StringBuilder().append(grantedClaims);
+        pendingOutcomes.forEach(
                 (claimId, outcome) ->
                         text.append('e').append(claimId).append(outcome.describeState(now)));
         return text.toString();
--- a/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
+++ b/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
@@ -29,7 +29,7 @@
     private final Set<String> storedBy = new HashSet<>();
     private Duration sentAt;
     private int retriesAfterQuorum;
-    private boolean reported;
+    private boolean isReported;
 
     /**
      * @param changeNumbers the replicas' change numbers when they granted the claim
@@ -94,8 +94,8 @@
 
     /** Reports whether the outcome is stored, unless that was reported before. */
     void answer(boolean stored) {
-        if (!reported) {
-            reported = true;
+        if (!isReported) {
+            isReported = true;
             onStored.accept(stored);
         }
     }
@@ -110,7 +110,7 @@
     }
 
     boolean isRetryDue(Duration now) {
-        Duration interval = reported ? LATE_RETRY_INTERVAL : RETRY_INTERVAL;
+        Duration interval = isReported ? LATE_RETRY_INTERVAL : RETRY_INTERVAL;
         return sinceSent(now).compareTo(interval) >= 0;
     }
 
@@ -120,6 +120,6 @@
 
     /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
-        return "" + storedBy + retriesAfterQuorum + sinceSent(now) + reported;
+        return "" + storedBy + retriesAfterQuorum + sinceSent(now) + isReported;
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/RangePager.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePager.java
@@ -41,7 +41,7 @@
     /**
      * Returns the next page for a request of the current epoch; empty if the rate is exceeded.
      *
-     * @param reliableSource whether this replica is a complete source of the range
+     * @param reliableSource whether the receiver may rely on a complete copy of the range here
      */
     Optional<ReplicationMessage.RangePage> page(
             ReplicationMessage.RangeRequest request, boolean reliableSource, Duration now) {
--- a/src/main/java/ochretiller/fleet/replication/Replica.java
+++ b/src/main/java/ochretiller/fleet/replication/Replica.java
@@ -31,7 +31,7 @@
     private final EpochHandover handover;
     private final ChunkAssembler chunks = new ChunkAssembler();
     private final RangeComparison comparison;
-    private final ReplicaMessageHandler messages;
+    private final ReplicaMessageHandler messageHandler;
 
     private Replica(ReplicaState state, boolean checkDisk, Duration now) {
         this.state = state;
@@ -42,7 +42,7 @@
         antiEntropy = new AntiEntropy(state.name(), state.entries(), receiveLimiter);
         handover = new EpochHandover(state, antiEntropy, diskCheck);
         comparison = new RangeComparison(state, antiEntropy);
-        messages =
+        messageHandler =
                 new ReplicaMessageHandler(
                         state, antiEntropy, handover, diskCheck, comparison, chunks, sendLimiter);
     }
@@ -112,7 +112,7 @@
 
     /** Returns the chunked results that have become complete since the last call. */
     public List<AssembledResult> takeAssembledResults() {
-        return messages.takeAssembledResults();
+        return messageHandler.takeAssembledResults();
     }
 
     /** Returns the placement of the adopted epoch. */
@@ -188,7 +188,7 @@
                 state.hints().count(),
                 antiEntropy.receivedEntries(),
                 antiEntropy.receivedBytes(),
-                messages.sentBytes(),
+                messageHandler.sentBytes(),
                 comparison.comparisons(),
                 comparison.differences(),
                 diskCheck.staleDisks());
@@ -205,8 +205,8 @@
     }
 
     /**
-     * Updates the reachable servers according to the membership view, so that changes that the
-     * others miss are recorded.
+     * Updates which servers are reachable according to the membership view, so that changes that
+     * unreachable replicas miss are recorded.
      */
     public void observeLivePeers(Set<String> live) {
         state.hints().observeLivePeers(live, state.name(), state.placement());
@@ -226,7 +226,7 @@
      */
     public void tick(Duration now) {
         if (diskCheck.isInProgress()) {
-            messages.checkDisk(now);
+            messageHandler.checkDisk(now);
         }
         int laggingBefore = laggingRangeCount();
         state.outbox().sendAll(antiEntropy.tick(state.placement(), now));
@@ -240,12 +240,12 @@
 
     /** Processes a message from another server; messages for other components are ignored. */
     public void receive(String from, ReplicationMessage message, Duration now) {
-        messages.receive(from, message, now);
+        messageHandler.receive(from, message, now);
     }
 
     /** Records that the host has stored a chunked result, so that its outcome counts as stored. */
     public void resultStored(AssembledResult result) {
-        messages.onResultStored(result);
+        messageHandler.onResultStored(result);
     }
 
     /** Compares a random range with another replica of it, if this server replicates the range. */
--- a/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
@@ -17,7 +17,7 @@
     /** Weight of the latest response in mean and deviation. */
     private static final double LATEST_WEIGHT = 0.1;
 
-    /** Number of deviations above the mean from which on a reply counts as late. */
+    /** Number of deviations above the mean at which a reply counts as late. */
     private static final double LATE_DEVIATIONS = 4;
 
     /** Minimum hedge delay, to stay above the timer resolution of the host's event loop. */
@@ -25,7 +25,7 @@
 
     private static final Duration MAX_HEDGE_DELAY = Duration.ofMillis(50);
 
-    /** Maximum number of replicas tracked; bounds memory if ever new names appear. */
+    /** Maximum number of replicas tracked; bounds memory if new names keep appearing. */
     private static final int MAX_TRACKED = 4_096;
 
     private final Map<String, Estimate> estimates = new HashMap<>();
--- a/src/main/java/ochretiller/fleet/replication/ReplicaLimits.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLimits.java
@@ -10,11 +10,11 @@
  *     of granted claims
  * @param bytesPerSecond rate limit for entries sent to other replicas, and, separately, for entries
  *     received from them
- * @param maxWindow longest idempotency window; data lost earlier than that does not matter
+ * @param maxWindow longest idempotency window; all entries that were lost longer ago have expired
  */
 public record ReplicaLimits(
         int maxEntries, long maxBytes, double bytesPerSecond, Duration maxWindow) {
-    /** The byte limit divided by this is not available to new claims. */
+    /** Divisor of the byte limit; the quotient is reserved for outcomes of granted claims. */
     private static final int RESERVED_DIVISOR = 8;
 
     private static final double DEFAULT_BYTES_PER_SECOND = 8 << 20;
@@ -24,7 +24,7 @@
         return new ReplicaLimits(maxEntries, Long.MAX_VALUE, DEFAULT_BYTES_PER_SECOND, maxWindow);
     }
 
-    /** Returns the estimated size of all entries from which on new claims are rejected. */
+    /** Returns the estimated size of all entries, in bytes, at which new claims are rejected. */
     long claimableBytes() {
         return maxBytes - maxBytes / RESERVED_DIVISOR;
     }
--- a/src/main/java/ochretiller/fleet/replication/ReplicaSnapshot.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaSnapshot.java
@@ -13,8 +13,8 @@
  * @param laggingRanges ranges that the replica was still catching up on
  * @param forgottenRanges those lagging ranges that the replica had replicated, and in which it may
  *     have lost claims that it granted
- * @param unreliableRanges ranges that the replica had in the previous epoch, but of which it is not
- *     a reliable source
+ * @param unreliableRanges ranges that the replica had in the previous epoch, but of which its copy
+ *     may be incomplete
  * @param changeNumber number of the last stored change
  * @param mayBeStale whether the disk may be older than the replica's last message, so that the
  *     peers have to be queried first
--- a/src/main/java/ochretiller/fleet/replication/ReplicaState.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaState.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Returns the ranges that the replica had in the previous epoch, but of which it is not a
-     * reliable source. Mutable.
+     * Returns the ranges that the replica had in the previous epoch, but of which its copy may be
+     * incomplete. The set is mutable.
      */
     Set<Integer> unreliableRanges() {
         return unreliableRanges;
@@ -125,8 +125,8 @@
                 remaining.compareTo(limits.maxWindow()) < 0 ? remaining : limits.maxWindow());
     }
 
-    ReplicationMessage.RangeDigest rangeDigest(int range, boolean reply) {
+    ReplicationMessage.RangeDigest rangeDigest(int range, boolean isReply) {
         return new ReplicationMessage.RangeDigest(
-                epoch(), range, entries.rangeDigest(range), entries.entryCount(range), reply);
+                epoch(), range, entries.rangeDigest(range), entries.entryCount(range), isReply);
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
@@ -43,7 +43,7 @@
     record ClaimQuery(long epoch, String token, ClaimId claimId) implements ReplicationMessage {}
 
     /**
-     * A replica's answer to a {@link ClaimRequest} or a {@link ClaimQuery}.
+     * A replica's reply to a {@link ClaimRequest} or a {@link ClaimQuery}.
      *
      * @param otherClaim the completed claim, or else another claim that may be running
      * @param outcome the token's outcome, if the replica has one
@@ -106,7 +106,7 @@
     record ClaimRelease(String token, ClaimId claimId, Duration remaining)
             implements ReplicationMessage {}
 
-    /** Asks the owner of a claim whether it runs; the owner releases the claim if it never will. */
+    /** Asks the owner of a claim about its run; the owner releases a claim that will never run. */
     record OwnerQuery(String token, ClaimId claimId) implements ReplicationMessage {}
 
     /**
@@ -196,10 +196,10 @@
             implements ReplicationMessage {}
 
     /**
-     * The digest of a range. A receiver whose digest differs pulls what it lacks and answers with
-     * its own.
+     * The digest of a range. A receiver whose digest differs pulls the entries that it lacks and
+     * replies with its own digest.
      *
-     * @param reply whether this answers a digest message, and is not answered itself
+     * @param reply whether this message is itself a reply, to which no reply is sent
      */
     record RangeDigest(long epoch, int range, long digest, int entryCount, boolean reply)
             implements ReplicationMessage {}
@@ -207,7 +207,7 @@
     /** Asks a peer, after a restart, for the highest change number observed from the sender. */
     record ChangeNumberQuery(long nonce) implements ReplicationMessage {}
 
-    /** Answers a {@link ChangeNumberQuery}; 0 if the peer has observed none. */
+    /** The reply to a {@link ChangeNumberQuery}; the number is 0 if none was observed. */
     record ChangeNumberReply(long nonce, long changeNumber) implements ReplicationMessage {}
 
     /** Asks for the chunk of a result at this byte offset. */
--- a/src/main/java/ochretiller/fleet/replication/SetSketch.java
+++ b/src/main/java/ochretiller/fleet/replication/SetSketch.java
@@ -29,7 +29,7 @@
      */
     static final int CELL_BYTES = 14;
 
-    /** Hash functions; each maps into its own partition, so that a key's cells are distinct. */
+    /** Number of hash functions. Each has its own partition, so a key's cells are distinct. */
     private static final int HASH_COUNT = 3;
 
     private final int cells;
@@ -115,7 +115,7 @@
         for (int cell = 0; cell < cells; cell++) {
             candidates.add(cell);
         }
-        // Decoding a forged sketch might never end: no valid sketch contains more keys than cells.
+        // Ends the loop for a forged sketch: no valid one decodes to more keys than it has cells.
         while (!candidates.isEmpty() && positive.size() + negative.size() <= cells) {
             int cell = candidates.poll();
             if (!isPure(cell)) {
--- a/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
+++ b/src/main/java/ochretiller/fleet/replication/UnresponsivePeers.java
@@ -5,10 +5,10 @@
 
 /** Peers that have left several consecutive requests unanswered. Bounded; not thread-safe. */
 final class UnresponsivePeers {
-    /** Number of consecutive unanswered requests from which on a peer counts as unresponsive. */
+    /** Number of consecutive unanswered requests after which a peer counts as unresponsive. */
     private static final int UNRESPONSIVE_THRESHOLD = 3;
 
-    /** Maximum number of peers tracked; bounds memory if ever new names appear. */
+    /** Maximum number of peers tracked; bounds memory if new names keep appearing. */
     private static final int MAX_TRACKED = 4_096;
 
     private final Map<String, Integer> unansweredRequests = new HashMap<>();
--- a/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
+++ b/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
@@ -17,7 +17,7 @@
     /** Bound on the probability of ever stopping a harmless version, for all metrics together. */
     static final double FALSE_ALARM_PROBABILITY = 0.01;
 
-    private static final int METRICS = 4;
+    private static final int METRIC_COUNT = 4;
 
     /** Standard deviation of the mixture: the difference to which the test is most sensitive. */
     private static final double MIXTURE_DEVIATION = 0.2;
@@ -65,14 +65,14 @@
 
     private static Regression compare(
             String metric,
-            double candidatePart,
+            double candidateCount,
             VersionCounters candidate,
-            double baselinePart,
+            double baselineCount,
             VersionCounters baseline) {
         return new Regression(
                 metric,
-                new Share(candidatePart, candidate.answered()),
-                new Share(baselinePart, baseline.answered()));
+                new Share(candidateCount, candidate.answered()),
+                new Share(baselineCount, baseline.answered()));
     }
 
     /** Returns the lost share of the billed value, scaled to a number of invocations. */
@@ -106,6 +106,6 @@
                                 * difference
                                 * mixtureVariance
                                 / (2 * variance * (variance + mixtureVariance));
-        return logLikelihoodRatio > Math.log(METRICS / FALSE_ALARM_PROBABILITY);
+        return logLikelihoodRatio > Math.log(METRIC_COUNT / FALSE_ALARM_PROBABILITY);
     }
 }
--- a/src/main/java/ochretiller/fleet/rollout/Lease.java
+++ b/src/main/java/ochretiller/fleet/rollout/Lease.java
@@ -22,7 +22,7 @@
     private final Set<String> acceptors;
     private final Duration duration;
     private final Map<Long, Duration> requestedAt = new HashMap<>();
-    private final Map<String, Duration> grantedAsOf = new HashMap<>();
+    private final Map<String, Duration> grantedRequestTimes = new HashMap<>();
     private long lastRequestId;
 
     /**
@@ -64,7 +64,7 @@
     public void recordGrant(String acceptor, long requestId) {
         Duration at = requestedAt.get(requestId);
         if (at != null && acceptors.contains(acceptor)) {
-            grantedAsOf.merge(
+            grantedRequestTimes.merge(
                     acceptor, at, (one, other) -> one.compareTo(other) >= 0 ? one : other);
         }
     }
@@ -72,10 +72,10 @@
     /** Returns when the lease expires, in monotonic time; zero if no majority ever granted it. */
     public Duration expiresAt() {
         int majority = ReplicaPlacement.quorumSize(acceptors.size());
-        if (grantedAsOf.size() < majority) {
+        if (grantedRequestTimes.size() < majority) {
             return Duration.ZERO;
         }
-        List<Duration> latestFirst = new ArrayList<>(grantedAsOf.values());
+        List<Duration> latestFirst = new ArrayList<>(grantedRequestTimes.values());
         latestFirst.sort(Comparator.reverseOrder());
         return latestFirst.get(majority - 1).plus(duration);
     }
--- a/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
+++ b/src/main/java/ochretiller/fleet/rollout/LeaseGrantor.java
@@ -31,14 +31,14 @@
 
     private final Duration gracePeriod;
     private final RandomGenerator random;
-    private final Set<String> fenced = new HashSet<>();
+    private final Set<String> fencedServers = new HashSet<>();
     private final Map<String, Assignment> assignments = new HashMap<>();
     private Optional<ReplicaPlacement> adoptedPlacement = Optional.empty();
     private double readmissionTokens = READMISSION_BURST;
     private Duration refilledAt = Duration.ZERO;
 
     /** The version that a server has to run, and since when this acceptor knows of it. */
-    private record Assignment(PublishedVersion version, Duration since) {}
+    private record Assignment(PublishedVersion version, Duration knownSince) {}
 
     /**
      * Creates a grantor that has fenced no server.
@@ -53,17 +53,17 @@
 
     /** Returns the names of the servers that are fenced. */
     public Set<String> fencedServers() {
-        return Set.copyOf(fenced);
+        return Set.copyOf(fencedServers);
     }
 
     /**
      * Decides whether to renew a server's lease.
      *
-     * @param reports the latest report of each reachable server by name, including the named one
+     * @param reports the latest report of each reachable server by name, including this server
      */
     public boolean renew(
             ReplicaPlacement placement,
-            String name,
+            String server,
             Map<String, VersionReport> reports,
             Duration now) {
         adoptPlacement(placement, now);
@@ -72,19 +72,19 @@
         // Includes the placement, so that an acceptor with few reports does not mistake their
         // senders for the whole fleet.
         int servers = Math.max(reports.size(), placement.servers().size());
-        boolean isStraggler = stragglers.contains(name);
+        boolean isStraggler = stragglers.contains(server);
         if (isStraggler && stragglers.size() <= Math.max(1, MAX_FENCED_SHARE * servers)) {
-            fenced.add(name);
+            fencedServers.add(server);
             return false;
         }
-        if (isStraggler || !fenced.contains(name)) {
+        if (isStraggler || !fencedServers.contains(server)) {
             return true;
         }
-        return tryReadmit(name, now);
+        return tryReadmit(server, now);
     }
 
     private void removeUnknown(ReplicaPlacement placement, Set<String> reporting) {
-        fenced.retainAll(reporting);
+        fencedServers.retainAll(reporting);
         assignments
                 .keySet()
                 .removeIf(name -> !reporting.contains(name) && !placement.contains(name));
@@ -106,11 +106,11 @@
             ReplicaPlacement placement, String name, VersionReport report, Duration now) {
         Assignment assignment = assign(placement, name, now);
         return !report.isRunning(assignment.version)
-                && now.minus(assignment.since).compareTo(gracePeriod) >= 0;
+                && now.minus(assignment.knownSince).compareTo(gracePeriod) >= 0;
     }
 
     /** Spreads the readmission of servers that were fenced together, by tokens and at random. */
-    private boolean tryReadmit(String name, Duration now) {
+    private boolean tryReadmit(String server, Duration now) {
         double seconds = Math.max(0, now.minus(refilledAt).toNanos() / 1e9);
         readmissionTokens =
                 Math.min(READMISSION_BURST, readmissionTokens + seconds * READMISSION_RATE);
@@ -119,7 +119,7 @@
             return false;
         }
         readmissionTokens--;
-        fenced.remove(name);
+        fencedServers.remove(server);
         return true;
     }
 
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -53,7 +53,7 @@
         this.rollsBack = rollsBack;
     }
 
-    /** Records a server's latest report; {@link #nextState} drops reports of servers not live. */
+    /** Records a server's latest report; {@link #nextState} drops reports of dead servers. */
     public void recordReport(String server, VersionReport report) {
         reports.put(server, report);
         recordBaselineStart(server, report);
@@ -146,7 +146,7 @@
     }
 
     private boolean isStageComplete(RolloutState rollout, Set<String> included, Duration now) {
-        long behind =
+        long laggingServers =
                 included.stream()
                         .filter(
                                 server ->
@@ -155,8 +155,9 @@
                                                 rollout.target()))
                         .count();
         boolean isTimedOut = now.minus(stageStartedAt).compareTo(activationTimeout) >= 0;
-        boolean hasFewStragglers = isTimedOut && behind <= MAX_STRAGGLER_SHARE * included.size();
-        return !included.isEmpty() && (behind == 0 || hasFewStragglers);
+        boolean hasFewStragglers =
+                isTimedOut && laggingServers <= MAX_STRAGGLER_SHARE * included.size();
+        return !included.isEmpty() && (laggingServers == 0 || hasFewStragglers);
     }
 
     private static RolloutState nextStage(RolloutState rollout) {
--- a/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutStages.java
@@ -67,7 +67,7 @@
         }
         String canary = order.get(0).name();
         if (rollout.stage() > 0) {
-            early.addAll(partOfEachZone(order));
+            early.addAll(earlyServersOfEachZone(order));
         }
         early.add(canary);
         if (rollout.stage() > 0) {
@@ -84,16 +84,16 @@
         return order;
     }
 
-    private static Set<String> partOfEachZone(List<ReplicaServer> order) {
+    private static Set<String> earlyServersOfEachZone(List<ReplicaServer> order) {
         Map<String, List<String>> zones = new TreeMap<>();
         for (ReplicaServer server : order) {
             zones.computeIfAbsent(server.zone(), ignored -> new ArrayList<>()).add(server.name());
         }
-        Set<String> part = new HashSet<>();
+        Set<String> selected = new HashSet<>();
         for (List<String> zone : zones.values()) {
-            part.addAll(zone.subList(0, zone.size() / PARTIAL_STAGE_DIVISOR));
+            selected.addAll(zone.subList(0, zone.size() / PARTIAL_STAGE_DIVISOR));
         }
-        return part;
+        return selected;
     }
 
     /** Adds servers in hash order up to a quarter of all, since small zones contribute none. */
--- a/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionDownload.java
@@ -18,8 +18,8 @@
     /** Size of a chunk in bytes; it fits into a datagram together with the envelope. */
     public static final int CHUNK_BYTES = 4 * 1024;
 
-    /** Number of chunks that are requested at once. */
-    private static final int WINDOW = 4;
+    /** Maximum number of chunks that are requested per tick. */
+    private static final int MAX_REQUESTS_PER_TICK = 4;
 
     /** Number of top sources to choose from at random, so that servers spread their requests. */
     private static final int SOURCE_CHOICES = 4;
@@ -101,7 +101,9 @@
 
     private List<OutboundChunkRequest> requestsTo(String recipient) {
         List<OutboundChunkRequest> requests = new ArrayList<>();
-        for (int chunk = 0; chunk < chunks.length && requests.size() < WINDOW; chunk++) {
+        for (int chunk = 0;
+                chunk < chunks.length && requests.size() < MAX_REQUESTS_PER_TICK;
+                chunk++) {
             if (isMissing(chunk)) {
                 requests.add(
                         new OutboundChunkRequest(
--- a/src/main/java/ochretiller/fleet/rollout/VersionReport.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionReport.java
@@ -6,7 +6,7 @@
  * A server's report to the acceptors about its active version.
  *
  * @param activeVersion number of the active version
- * @param activeHash SHA-256 of that version's bytes in hex; two hashes of one number are a fork
+ * @param activeHash SHA-256 of that version's bytes in hex; two hashes of one number reveal a fork
  * @param rejectedVersion number of the version that the server cannot activate, or 0
  * @param rejectionReason reason of that rejection; empty if there is none
  * @param rolloutVersion number of the version in the latest rollout that the server knows, to which
--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -25,7 +25,8 @@
      * Reads the state.
      *
      * @return the state, or empty if there is no file
-     * @throws MalformedException if the file cannot be read, since it may contain a promise
+     * @throws MalformedException if the file cannot be read; without it the acceptor might break a
+     *     promise
      */
     Optional<AcceptorState> read() {
         try {
@@ -37,7 +38,8 @@
                             + " is corrupt; remove it to let this voter recover its state from the"
                             + " other servers");
         } catch (IOException e) {
-            throw new MalformedException("cannot read the voter file " + file);
+            throw new MalformedException(
+                    "cannot read the voter file " + file + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
+++ b/src/main/java/ochretiller/fleet/service/BackgroundWriter.java
@@ -24,9 +24,9 @@
                         TimeUnit.SECONDS,
                         new ArrayBlockingQueue<>(maxQueuedWrites),
                         work -> {
-                            Thread each = new Thread(work, name);
-                            each.setDaemon(true);
-                            return each;
+                            Thread thread = new Thread(work, name);
+                            thread.setDaemon(true);
+                            return thread;
                         });
     }
 
--- a/src/main/java/ochretiller/fleet/service/ClaimLatency.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimLatency.java
@@ -16,7 +16,7 @@
         nanos[(int) (count++ % WINDOW_SIZE)] = latency.toNanos();
     }
 
-    /** Updates the percentiles with all latencies added so far. */
+    /** Updates the percentiles with the latencies in the window. */
     void publish() {
         long[] all = Arrays.copyOf(nanos, (int) Math.min(count, WINDOW_SIZE));
         Arrays.sort(all);
--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -28,25 +28,25 @@
     private final ClaimModes modes;
     private final ClaimMetrics metrics;
     private final ClaimLatency latency = new ClaimLatency();
-    private final Runnable publisher;
+    private final Runnable flushMessages;
     private final Map<String, ClaimOutcome> localOutcomes =
             BoundedMap.evictingLeastRecentlyUsed(MAX_LOCAL_OUTCOMES);
 
     /**
      * Creates the service.
      *
-     * @param publisher sends the coordinator's queued messages
+     * @param flushMessages sends the coordinator's queued messages
      */
     ClaimService(
             FleetContext context,
             ClaimCoordinator coordinator,
             ClaimModes modes,
-            Runnable publisher) {
+            Runnable flushMessages) {
         this.scheduler = context.scheduler();
         this.coordinator = coordinator;
         this.modes = modes;
         this.metrics = new ClaimMetrics(context.metrics());
-        this.publisher = publisher;
+        this.flushMessages = flushMessages;
     }
 
     /** Returns the counters of claims. */
@@ -98,7 +98,7 @@
                 new ClaimIntent(token, fingerprint, isTransitional, deadline, windowEnd),
                 now,
                 decision -> handleDecision(token, now, windowEnd, decision, completion));
-        publisher.run();
+        flushMessages.run();
     }
 
     private Optional<ClaimOutcome> localOutcome(String token, String fingerprint) {
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Caches an outcome unless its result is long, which would fill the memory. It may stay cached
-     * for one window too long, which is harmless: clients must not retry after the window.
+     * Caches an outcome unless its result is chunked, which would fill the memory. It may stay
+     * cached for one window too long, which is harmless: clients must not retry after the window.
      */
     private void cacheOutcome(String token, ClaimOutcome outcome, Duration windowEnd) {
         if (outcome.isChunked()) {
@@ -150,7 +150,7 @@
     /** Reports that a claimed run was never started, so that its token is released. */
     void releaseClaim(ClaimId claimId, Duration windowEnd) {
         coordinator.releaseClaim(claimId, windowEnd, scheduler.now());
-        publisher.run();
+        flushMessages.run();
     }
 
     /** Reports that a claimed run has ended; see {@link ReplicationService#reportOutcome}. */
@@ -170,6 +170,6 @@
                     }
                     completion.accept(isStored);
                 });
-        publisher.run();
+        flushMessages.run();
     }
 }
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -237,7 +237,7 @@
         }
         if (change instanceof MembershipChange.DuplicateName) {
             // Two replicas with one name would be counted as one. This one stops sending until an
-            // operator resolves the conflict.
+            // operator resolves the conflict and restarts it.
             replication.ifPresent(ReplicationService::stopSending);
         }
         membershipLog.log(change, membership.liveCount());
--- a/src/main/java/ochretiller/fleet/service/FleetSettings.java
+++ b/src/main/java/ochretiller/fleet/service/FleetSettings.java
@@ -12,7 +12,7 @@
  * @param fleet name of the fleet; packets of other fleets are rejected
  * @param listen address for packets from peers and for admin connections
  * @param advertise address that peers send to; null if it is the listen address
- * @param serves address for clients that peers are sent; null for the server's default
+ * @param serves address for clients, announced to peers; null for the server's default
  * @param keyFile file of the keys that authenticate packets
  * @param peersFile file of known peers for the next start; null for none
  * @param seeds addresses of members through which the server joins the fleet
--- a/src/main/java/ochretiller/fleet/service/PreviousClaims.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousClaims.java
@@ -11,11 +11,11 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Resolves claims of previous incarnations of this server when replicas ask about them.
+ * Resolves claims of previous incarnations of this server when replicas query them.
  *
  * <p>The in-flight marker of a run was durable before the run began. A disk that is complete and as
  * recent as this server's last message therefore proves whether a claim ever ran. A disk that may
- * lack records proves nothing, and the question is ignored. Confined to the event loop.
+ * lack records proves nothing, and the query is ignored. Confined to the event loop.
  */
 final class PreviousClaims {
     private final Scheduler scheduler;
@@ -24,16 +24,16 @@
     private final RecoveredReplica recovered;
     private final ClaimCoordinator coordinator;
     private final ClaimMetrics metrics;
-    private final Runnable publisher;
+    private final Runnable flushMessages;
     private Optional<PreviousIncarnation> previousRunLookup = Optional.empty();
     private boolean isClosed;
 
     /**
-     * Creates an instance that ignores all questions until {@link #use} is called.
+     * Creates an instance that ignores all queries until {@link #use} is called.
      *
      * @param ownClaim any claim ID of this incarnation; gives its server name and incarnation
      * @param maxWindow longest idempotency window
-     * @param publisher sends the coordinator's queued messages
+     * @param flushMessages sends the coordinator's queued messages
      */
     PreviousClaims(
             Scheduler scheduler,
@@ -42,14 +42,14 @@
             RecoveredReplica recovered,
             ClaimCoordinator coordinator,
             ClaimMetrics metrics,
-            Runnable publisher) {
+            Runnable flushMessages) {
         this.scheduler = scheduler;
         this.ownClaim = ownClaim;
         this.maxWindow = maxWindow;
         this.recovered = recovered;
         this.coordinator = coordinator;
         this.metrics = metrics;
-        this.publisher = publisher;
+        this.flushMessages = flushMessages;
     }
 
     /** Sets the lookup of previous runs. */
@@ -57,7 +57,7 @@
         previousRunLookup = Optional.of(lookup);
     }
 
-    /** Handles a replica's question about a claim of this server, if the disk proves its state. */
+    /** Handles a replica's query for a claim of this server, if the disk proves its state. */
     void receive(ReplicationMessage.OwnerQuery query, Optional<Replica> replica) {
         boolean isProvable =
                 isOfPreviousIncarnation(query.claimId())
@@ -94,7 +94,7 @@
             metrics.previousCompleted.add();
             reportOutcome(query, run);
         }
-        publisher.run();
+        flushMessages.run();
     }
 
     private void reportOutcome(
--- a/src/main/java/ochretiller/fleet/service/ReplicaHost.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaHost.java
@@ -90,7 +90,7 @@
                                 + restored.placement()
                                 + ", "
                                 + restored.laggingRangeCount()
-                                + " ranges lagging; asking other replicas for later changes");
+                                + " ranges lagging; asking peers whether the disk lacks changes");
     }
 
     /** Returns the state that was found on the disk at the start. */
@@ -98,7 +98,7 @@
         return recovered;
     }
 
-    /** Returns the long results that the replica stores. */
+    /** Returns the chunked results that the replica stores. */
     ResultCache results() {
         return results;
     }
--- a/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
@@ -26,7 +26,7 @@
     private final Duration now;
     private final long storeNowMillis;
     private final Map<String, ReplicaEntry> entries = new TreeMap<>();
-    private Optional<ReplicaSnapshot> storedPlacement = Optional.empty();
+    private Optional<ReplicaSnapshot> storedSnapshot = Optional.empty();
     private ReplicaMetadata metadata = ReplicaMetadata.NONE;
     private long changeNumber;
     private boolean isComplete;
@@ -51,7 +51,7 @@
             isComplete = false;
             LOG.warning("fleet: cannot read the replica's entries: " + e.getMessage());
         }
-        if (!isComplete && storedPlacement.isPresent()) {
+        if (!isComplete && storedSnapshot.isPresent()) {
             LOG.severe(
                     "fleet: the replica's entries on disk may be incomplete; fetching them from"
                             + " other replicas");
@@ -75,7 +75,7 @@
     }
 
     private void recoverMetadata(CborReader in) throws IOException {
-        storedPlacement =
+        storedSnapshot =
                 Optional.of(
                         new ReplicaSnapshot(
                                 PlacementCodec.readPlacement(in),
@@ -104,7 +104,7 @@
         if (!isComplete) {
             return Optional.empty();
         }
-        return storedPlacement.map(
+        return storedSnapshot.map(
                 stored ->
                         new ReplicaSnapshot(
                                 stored.placement(),
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -22,8 +22,8 @@
 import ochretiller.store.Store;
 
 /**
- * Stores a replica's entries, metadata and long results in the store of idempotency records. Their
- * keys begin with bytes that never occur in UTF-8, so that they cannot equal a token. {@code
+ * Stores a replica's entries, metadata and chunked results in the store of idempotency records.
+ * Their keys begin with bytes that never occur in UTF-8, so that they cannot equal a token. {@code
  * docs/store-format.md} specifies the values.
  *
  * <p>Confined to the event loop, which also runs the completions of writes.
@@ -32,7 +32,7 @@
     /** First byte of the keys of entries and of the metadata key. */
     static final byte ENTRY_KEY_PREFIX = (byte) 0xFF;
 
-    /** First byte of the keys of long results. */
+    /** First byte of the keys of chunked results. */
     static final byte RESULT_KEY_PREFIX = (byte) 0xFE;
 
     private static final CBORFactory CBOR = new CBORFactory();
@@ -121,7 +121,7 @@
     }
 
     /**
-     * Stores a long result until its entry expires.
+     * Stores a chunked result as a whole until its entry expires.
      *
      * @param completion called with whether the write is durable
      */
@@ -136,7 +136,7 @@
     }
 
     /**
-     * Reads a long result.
+     * Reads the whole of a chunked result.
      *
      * @param completion called with the result, or empty if there is none
      */
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -30,13 +30,16 @@
     /** Approximate interval of replicas' reports and of acceptors' announcements and proposals. */
     private static final Duration PROGRESS_REPORT_INTERVAL = Duration.ofMillis(500);
 
-    /** Divisor of the interval; reports are early by up to the quotient, at random. */
+    /**
+     * Divisor of the interval. Each report is early by a random time of up to the quotient, so that
+     * servers do not report in step.
+     */
     private static final int REPORT_JITTER_DIVISOR = 2;
 
     /** Interval at which the replica's view of live peers and the gauges are updated. */
     private static final Duration OBSERVATION_INTERVAL = Duration.ofMillis(500);
 
-    /** Incarnations that are recorded on the disk, including the current one. */
+    /** Maximum number of incarnations recorded on the disk, including the current one. */
     private static final int MAX_REMEMBERED_INCARNATIONS = 64;
 
     private final FleetContext context;
@@ -280,7 +283,7 @@
         }
         Duration now = context.scheduler().now();
         if (placement.epoch() > epoch) {
-            LOG.info(() -> "fleet: " + placement + " is in force");
+            LOG.info(() -> "fleet: this server adopted " + placement);
         }
         epoch = Math.max(epoch, placement.epoch());
         replicaHost.adoptPlacement(placement, now);
@@ -311,11 +314,11 @@
         return new ReplicationStatusJson(context, coordinator, replicaHost);
     }
 
-    /** Starts comparing all ranges with all other replicas; returns the number, as JSON. */
+    /** Schedules a comparison of each range with each other replica; returns the number as JSON. */
     String repair() {
         int comparisons = replicaHost.replica().map(Replica::compareAllRanges).orElse(0);
         LOG.info(
-                "fleet: admin command starts a comparison of all ranges, "
+                "fleet: admin command requests a comparison of all ranges: "
                         + comparisons
                         + " comparisons");
         return "{\"compares\":" + comparisons + "}";
--- a/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
@@ -12,13 +12,13 @@
  * @param voterFile file of this server's acceptor state; null if it is not an acceptor
  * @param replicationFactor number of replicas of each token
  * @param maxEntries maximum number of entries that this server stores
- * @param maxBytes maximum estimated size of those entries in bytes; long results in memory may use
- *     half as much in addition
+ * @param maxBytes maximum estimated size of those entries in bytes; chunked results in memory may
+ *     use half as much in addition
  * @param calm time that a server must be live before the placement adds it, or not live before the
  *     placement removes it
  * @param antiEntropyBytesPerSecond rate limit for entries that this server fetches while catching
  *     up, and the same limit for entries that it sends to others
- * @param modes operations whose invocations the fleet runs only once
+ * @param modes claim modes of operations
  * @param versions settings of rollouts; null if there are none
  */
 public record ReplicationSettings(
--- a/src/main/java/ochretiller/fleet/service/ResultCache.java
+++ b/src/main/java/ochretiller/fleet/service/ResultCache.java
@@ -10,12 +10,13 @@
 import ochretiller.fleet.replication.ClaimId;
 
 /**
- * Stores the long results of this server's replica. With a storage, results are on disk and the
- * most recently used ones are cached in memory. Without one, they are in memory only, and a new
- * result is rejected rather than evicting an unexpired one. Confined to the event loop.
+ * Stores the chunked results of this server's replica, each as a whole. With a storage, results are
+ * on disk and the most recently used ones are cached in memory. Without one, they are in memory
+ * only, and a new result is rejected rather than evicting an unexpired one. Confined to the event
+ * loop.
  */
 final class ResultCache {
-    /** Cache limit if there is a storage; a retry fetches a result in many small chunks. */
+    /** Cache limit if there is a storage; without a cache, each chunk would read a whole result. */
     private static final long MAX_CACHED_BYTES = 2L << 20;
 
     private static final int INITIAL_CAPACITY = 16;
@@ -25,7 +26,7 @@
     private final long maxBytes;
 
     /** In order of access, least recently used first. */
-    private final Map<String, CachedResult> cached =
+    private final Map<String, CachedResult> cachedResults =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
     private long cachedBytes;
@@ -84,7 +85,7 @@
     }
 
     private void removeExpired(Duration now) {
-        Iterator<CachedResult> results = cached.values().iterator();
+        Iterator<CachedResult> results = cachedResults.values().iterator();
         while (results.hasNext()) {
             CachedResult each = results.next();
             if (each.expiresAt().compareTo(now) <= 0) {
@@ -96,10 +97,10 @@
 
     private void cache(String token, ClaimId claimId, String result, Duration expiresAt) {
         CachedResult replaced =
-                cached.put(keyOf(token, claimId), new CachedResult(result, expiresAt));
+                cachedResults.put(keyOf(token, claimId), new CachedResult(result, expiresAt));
         int replacedBytes = replaced == null ? 0 : replaced.result().length();
         cachedBytes += result.length() - replacedBytes;
-        Iterator<CachedResult> results = cached.values().iterator();
+        Iterator<CachedResult> results = cachedResults.values().iterator();
         while (cachedBytes > maxBytes && results.hasNext()) {
             cachedBytes -= results.next().result().length();
             results.remove();
@@ -116,7 +117,7 @@
      * @param completion called with the result, or empty if it is not stored here
      */
     void get(String token, ClaimId claimId, Consumer<Optional<String>> completion) {
-        CachedResult known = cached.get(keyOf(token, claimId));
+        CachedResult known = cachedResults.get(keyOf(token, claimId));
         if (known != null || storage.isEmpty()) {
             completion.accept(Optional.ofNullable(known).map(CachedResult::result));
             return;
--- a/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
+++ b/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
@@ -6,7 +6,7 @@
 import ochretiller.fleet.replication.ReplicationMessage;
 
 /**
- * Sends chunks of long results to the servers that request them. The results are those of this
+ * Sends chunks of results to the servers that request them. The results are those of this
  * server's own runs and those that its replica stores. Confined to the event loop.
  */
 final class ResultChunkSender {
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -24,7 +24,10 @@
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
-    /** Divisor of the interval; reports are early by up to the quotient, at random. */
+    /**
+     * Divisor of the interval. Each report is early by a random time of up to the quotient, so that
+     * servers do not report in step.
+     */
     private static final int REPORT_JITTER_DIVISOR = 4;
 
     private final FleetContext context;
--- a/src/main/java/ochretiller/fleet/service/RolloutSettings.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutSettings.java
@@ -12,7 +12,7 @@
  * @param fencingGrace how long a server may take to activate its committed version before it is
  *     fenced
  * @param observationTime how long each stage is observed
- * @param stageTimeout how long the servers of a stage may take to activate the version
+ * @param stageTimeout how long servers may take to activate the version of their stage
  * @param rollsBackAutomatically whether a harmful version is rolled back; otherwise its rollout is
  *     halted
  */
--- a/src/main/java/ochretiller/fleet/service/VersionFiles.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFiles.java
@@ -18,8 +18,9 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Stores the bytes of the versions used last, in memory and in files, and the description of the
- * active version in a file of its own. Files of versions are named by the SHA-256 of their bytes.
+ * Stores the bytes of the most recently used versions, in memory and in files, and the description
+ * of the active version in a file of its own. Files of versions are named by the SHA-256 of their
+ * bytes.
  *
  * <p>Confined to the event loop; files are written on a thread named {@code versions}.
  */
--- a/src/main/java/ochretiller/fleet/service/VersionFollower.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFollower.java
@@ -189,7 +189,7 @@
         activateOrDownload();
     }
 
-    /** Returns the acceptors and early-stage servers, with those of this server's zone first. */
+    /** Returns the live servers that may have the version, those of this server's zone first. */
     private List<String> sources() {
         if (!download.isIncomplete()) {
             return List.of();
--- a/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
@@ -24,7 +24,7 @@
         modes.claimObserved("order", false, now.plusSeconds(15));
         modes.claimObserved("other", true, now.plusSeconds(15));
         assertThat(modes.requirementFor("other", now.plus(WINDOW)))
-                .as("neither an operation in fleet mode nor a leaving server prolongs it")
+                .as("neither a claim in fleet mode nor a transitional claim prolongs it")
                 .isEqualTo(ClaimRequirement.NOT_REQUIRED);
         modes.claimObserved("other", false, now.plusSeconds(15));
         assertThat(modes.requirementFor("other", now.plus(WINDOW)))
--- a/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
@@ -15,7 +15,7 @@
 import ochretiller.fleet.consensus.ReplicaServer;
 import org.junit.jupiter.api.Test;
 
-/** Checks which messages are sent, and when. */
+/** Checks that a message is sent only once the changes that it depends on are durable. */
 class DurabilityBarrierTest {
     private final DurabilityBarrier barrier = new DurabilityBarrier(new SplittableRandom(3));
     private final List<OutboundMessage> sent = new ArrayList<>();
--- a/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
@@ -30,13 +30,13 @@
         return Replica.recover(name, snapshot, ReplicaLimits.ofEntries(maxEntries, WINDOW), now);
     }
 
-    private ReplicationMessage.ClaimReply reply(Replica to, ReplicationMessage message) {
-        to.receive("s", message, now);
-        return (ReplicationMessage.ClaimReply) to.takeOutbound().get(0).message();
+    private ReplicationMessage.ClaimReply reply(Replica target, ReplicationMessage message) {
+        target.receive("s", message, now);
+        return (ReplicationMessage.ClaimReply) target.takeOutbound().get(0).message();
     }
 
-    private ClaimVote claim(Replica at, ClaimId id, long epoch) {
-        return reply(at, new ReplicationMessage.ClaimRequest(epoch, TOKEN, id, "body", WINDOW))
+    private ClaimVote claim(Replica target, ClaimId id, long epoch) {
+        return reply(target, new ReplicationMessage.ClaimRequest(epoch, TOKEN, id, "body", WINDOW))
                 .vote();
     }
 
@@ -177,10 +177,11 @@
         return tokens;
     }
 
-    private void claim(Replica at, String token) {
+    private void claim(Replica target, String token) {
         ClaimId id = new ClaimId("s", 1, token.hashCode());
-        at.receive("s", new ReplicationMessage.ClaimRequest(EPOCH, token, id, "body", WINDOW), now);
-        at.takeOutbound();
+        target.receive(
+                "s", new ReplicationMessage.ClaimRequest(EPOCH, token, id, "body", WINDOW), now);
+        target.takeOutbound();
     }
 
     /**
--- a/src/test/java/ochretiller/fleet/replication/SetSketchTest.java
+++ b/src/test/java/ochretiller/fleet/replication/SetSketchTest.java
@@ -32,16 +32,16 @@
         int decoded = 0;
         for (int i = 0; i < 400; i++) {
             Set<Long> common = randomKeys(random.nextInt(2_000));
-            Set<Long> onlyHere = randomKeys(random.nextInt(60));
-            Set<Long> onlyThere = randomKeys(random.nextInt(60));
-            SetSketch here = sketch(192, common, onlyHere);
-            SetSketch there = SetSketch.fromBytes(sketch(192, common, onlyThere).toBytes());
-            Optional<SetDifference> difference = here.subtract(there);
+            Set<Long> onlyInFirst = randomKeys(random.nextInt(60));
+            Set<Long> onlyInSecond = randomKeys(random.nextInt(60));
+            SetSketch first = sketch(192, common, onlyInFirst);
+            SetSketch second = SetSketch.fromBytes(sketch(192, common, onlyInSecond).toBytes());
+            Optional<SetDifference> difference = first.subtract(second);
             if (difference.isEmpty()) {
                 continue;
             }
             decoded++;
-            assertThat(difference.get()).isEqualTo(new SetDifference(onlyHere, onlyThere));
+            assertThat(difference.get()).isEqualTo(new SetDifference(onlyInFirst, onlyInSecond));
         }
         assertThat(decoded)
                 .as("two thirds of a key per cell are nearly always decoded")
--- a/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
@@ -48,8 +48,8 @@
     }
 
     private static Optional<RolloutState> next(
-            RolloutController of, ReplicaPlacement fleet, Duration at) {
-        return of.nextState(fleet, names(fleet), at);
+            RolloutController target, ReplicaPlacement fleet, Duration at) {
+        return target.nextState(fleet, names(fleet), at);
     }
 
     private static String firstIncluded(ReplicaPlacement fleet) {
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void serverWithAnotherHashOfTheSameNumberIsBehind() {
+    void serverWithAnotherHashOfTheSameNumberIsLagging() {
         VersionReport fork =
                 new VersionReport(
                         2, "c".repeat(64), 0, "", 2, VersionCounters.ZERO, VersionCounters.ZERO);
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -160,7 +160,7 @@
                         "a",
                         new SplittableRandom(1),
                         new Metrics(),
-                        (to, message) -> {},
+                        (server, message) -> {},
                         List::of),
                 settings,
                 "1.2",
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -78,16 +78,16 @@
                 NOW.plus(REMAINING_WINDOW));
     }
 
-    private static ReplicaSnapshot previousSnapshot(Set<Integer> forgottenRanges) {
+    private static ReplicaSnapshot previousSnapshot(Set<Integer> lostGrantRanges) {
         return new ReplicaSnapshot(
-                PLACEMENT, Map.of(), Set.of(3), forgottenRanges, Set.of(7), 41, false);
+                PLACEMENT, Map.of(), Set.of(3), lostGrantRanges, Set.of(7), 41, false);
     }
 
-    private static Replica createReplica(Set<Integer> forgottenRanges) {
+    private static Replica createReplica(Set<Integer> lostGrantRanges) {
         Replica replica =
                 Replica.recover(
                         "a",
-                        previousSnapshot(forgottenRanges),
+                        previousSnapshot(lostGrantRanges),
                         ReplicaLimits.ofEntries(100, MAX_LIFETIME),
                         NOW);
         replica.restore(TOKEN, entry());
@@ -100,10 +100,10 @@
         assertThat(acknowledged.get(10, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** Writes metadata, an entry and a long result; returns their keys and values in the store. */
+    /** Writes metadata, an entry and a chunked result; returns their keys and values. */
     @SuppressWarnings("ArrayAsKeyOfSetOrMap") // a list of pairs in order; no key is looked up
-    private Map<byte[], byte[]> writeRecords(Set<Integer> forgottenRanges) throws Exception {
-        Replica replica = createReplica(forgottenRanges);
+    private Map<byte[], byte[]> writeRecords(Set<Integer> lostGrantRanges) throws Exception {
+        Replica replica = createReplica(lostGrantRanges);
         try (Store store = open()) {
             store.start();
             ReplicaStorage storage = new ReplicaStorage(store, MAX_LIFETIME);
@@ -131,11 +131,11 @@
         return all;
     }
 
-    private Map<String, byte[]> recordsByName(Set<Integer> forgottenRanges, String... names)
+    private Map<String, byte[]> recordsByName(Set<Integer> lostGrantRanges, String... names)
             throws Exception {
         Map<String, byte[]> records = new LinkedHashMap<>();
         List<Map.Entry<byte[], byte[]>> all =
-                new ArrayList<>(writeRecords(forgottenRanges).entrySet());
+                new ArrayList<>(writeRecords(lostGrantRanges).entrySet());
         assertThat(all).hasSize(3);
         for (int i = 0; i < names.length; i++) {
             records.put(names[i] + "-key", all.get(i).getKey());
@@ -155,7 +155,7 @@
         assertThat(acknowledged.get(10, TimeUnit.SECONDS)).isEqualTo(AppendResult.DURABLE);
     }
 
-    private void assertReadBack(String metadataName, Set<Integer> forgottenRanges)
+    private void assertReadBack(String metadataName, Set<Integer> lostGrantRanges)
             throws Exception {
         try (Store store = open()) {
             store.start();
@@ -174,7 +174,7 @@
                                                     PLACEMENT,
                                                     entries,
                                                     Set.of(3),
-                                                    forgottenRanges,
+                                                    lostGrantRanges,
                                                     Set.of(7),
                                                     42,
                                                     true)),
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void replicaWithForgottenRangesReadsGoldenRecords() throws Exception {
+    void replicaWithLostGrantsReadsGoldenRecords() throws Exception {
         assertReadBack("place-that-forgot", Set.of(3));
     }
 
--- a/src/test/java/ochretiller/fleet/service/SealedFileTest.java
+++ b/src/test/java/ochretiller/fleet/service/SealedFileTest.java
@@ -22,7 +22,7 @@
         Path path = folder.resolve("small");
         SealedFile file = new SealedFile(path);
         assertThat(file.<String>read(CborReader::readText)).as("no file").isEmpty();
-        file.write(to -> to.writeString("what was kept"));
+        file.write(out -> out.writeString("what was kept"));
         assertThat(file.read(CborReader::readText)).contains("what was kept");
         byte[] bytes = Files.readAllBytes(path);
         for (int i = 0; i < bytes.length; i++) {
