--- a/src/main/java/ochretiller/fleet/replication/ClaimId.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimId.java
@@ -4,7 +4,7 @@
  * The unique ID of a claim or query; never reused. Its order is the same on every server, and
  * selects one outcome if a token has several by mistake.
  *
- * @param server name of the claiming server
+ * @param server name of the claiming server, which owns the claim
  * @param incarnation identifies the start of that server's process
  * @param sequence position among the claims of that incarnation
  */
--- a/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaLatency.java
@@ -44,7 +44,7 @@
             meanNanos += LATEST_WEIGHT * (nanos - meanNanos);
         }
 
-        double lateNanos() {
+        double lateThresholdNanos() {
             return meanNanos + LATE_DEVIATIONS * deviationNanos;
         }
     }
@@ -86,7 +86,7 @@
         for (String replica : replicas) {
             Estimate estimate = estimates.get(replica);
             if (estimate != null) {
-                nanos = Math.max(nanos, estimate.lateNanos());
+                nanos = Math.max(nanos, estimate.lateThresholdNanos());
             }
         }
         return Duration.ofNanos((long) Math.min(MAX_HEDGE_DELAY.toNanos(), nanos));
--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -14,11 +14,11 @@
 /** The file of an acceptor's durable state, which operators know as the voter file. */
 final class AcceptorFile {
     private final Path file;
-    private final SealedFile sealedFile;
+    private final SealedFile checksummedFile;
 
     AcceptorFile(Path file) {
         this.file = file;
-        this.sealedFile = new SealedFile(file);
+        this.checksummedFile = new SealedFile(file);
     }
 
     /**
@@ -30,7 +30,7 @@
      */
     Optional<AcceptorState> read() {
         try {
-            return sealedFile.read(AcceptorFile::readState);
+            return checksummedFile.read(AcceptorFile::readState);
         } catch (CorruptFileException e) {
             throw new MalformedException(
                     "the voter file "
@@ -55,7 +55,7 @@
 
     /** Writes the state durably. Blocks on the disk, so it must not run on the event loop. */
     void write(AcceptorState state) throws IOException {
-        sealedFile.write(out -> writeState(out, state));
+        checksummedFile.write(out -> writeState(out, state));
     }
 
     private static void writeState(CBORGenerator out, AcceptorState state) throws IOException {
--- a/src/main/java/ochretiller/fleet/service/LeaseHolder.java
+++ b/src/main/java/ochretiller/fleet/service/LeaseHolder.java
@@ -9,8 +9,8 @@
 
 /**
  * Holds this server's lease (Gray and Cheriton 1989). Without a lease from a majority of the
- * acceptors, this server throttles invocations with an idempotency key, since it may have missed a
- * version. Confined to the event loop.
+ * acceptors, this server throttles keyed invocations, since it may have missed a version. Confined
+ * to the event loop.
  */
 final class LeaseHolder {
     private static final Logger LOG = Logger.getLogger(RolloutService.class.getName());
--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -16,19 +16,19 @@
     private static final Logger LOG = Logger.getLogger(PeersFile.class.getName());
 
     private final Path file;
-    private final SealedFile sealedFile;
+    private final SealedFile checksummedFile;
     private final BackgroundWriter writer = new BackgroundWriter("peers", 1);
     private volatile boolean lastWriteFailed;
 
     PeersFile(Path file) {
         this.file = file;
-        this.sealedFile = new SealedFile(file);
+        this.checksummedFile = new SealedFile(file);
     }
 
     List<PeerAddress> read() {
         try {
             List<PeerAddress> addresses =
-                    sealedFile.read(in -> in.readTexts().stream().map(PeerAddress::parse).toList())
+                    checksummedFile.read(in -> in.readTexts().stream().map(PeerAddress::parse).toList())
                             .orElse(List.of());
             return addresses;
         } catch (IOException e) {
@@ -49,7 +49,7 @@
         writer.submit(
                 () -> {
                     try {
-                        sealedFile.write(
+                        checksummedFile.write(
                                 out -> {
                                     out.writeStartArray();
                                     for (PeerAddress each : addresses) {
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -153,7 +153,7 @@
                 result -> completion.accept(result == AppendResult.DURABLE));
     }
 
-    /** Returns the expiry on the store's clock, limited to what the store accepts. */
+    /** Returns the expiry on the store's clock, capped because a peer may report any window. */
     private long expiryMillis(Duration expiresAt, Duration now) {
         long remainingMillis = expiresAt.minus(now).toMillis();
         long maxMillis = maxLifetime.toMillis() - 1;
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -40,7 +40,7 @@
     private static final Duration OBSERVATION_INTERVAL = Duration.ofMillis(500);
 
     /** Maximum number of incarnations recorded on the disk, including the current one. */
-    private static final int MAX_REMEMBERED_INCARNATIONS = 64;
+    private static final int MAX_RECORDED_INCARNATIONS = 64;
 
     private final FleetContext context;
     private final FleetLink link;
@@ -112,7 +112,7 @@
     private static List<Long> appendIncarnation(List<Long> previous, long incarnation) {
         List<Long> all = new ArrayList<>(previous);
         all.add(incarnation);
-        int first = Math.max(0, all.size() - MAX_REMEMBERED_INCARNATIONS);
+        int first = Math.max(0, all.size() - MAX_RECORDED_INCARNATIONS);
         return List.copyOf(all.subList(first, all.size()));
     }
 
@@ -330,7 +330,7 @@
     }
 
     /**
-     * Asks the fleet whether an invocation with an idempotency key may run here.
+     * Asks the fleet whether a keyed invocation may run here.
      *
      * @param fingerprint {@link #requestFingerprint} of the request
      * @param deadline latest time at which its run may begin
--- a/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationSettings.java
@@ -6,7 +6,7 @@
 import ochretiller.fleet.replication.ClaimModeSettings;
 
 /**
- * Settings for replicating claims and results of invocations with an idempotency key.
+ * Settings for replicating claims and outcomes of keyed invocations.
  *
  * @param voters names of the acceptors, which agree on epochs; the same on all servers
  * @param voterFile file of this server's acceptor state; null if it is not an acceptor
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -92,7 +92,7 @@
 
     /**
      * Returns whether this server's lease allows it to serve. Must be checked immediately before a
-     * run with an idempotency key starts.
+     * keyed run starts.
      */
     public boolean isAllowedToServe() {
         return leaseHolder.isAllowedToServe();
--- a/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
@@ -13,7 +13,7 @@
 import ochretiller.golden.GoldenFile;
 import org.junit.jupiter.api.Test;
 
-/** Pins the servers that each stage selects, since servers of different releases must agree. */
+/** Compares each stage's servers with a golden file, since different releases must agree. */
 class StagesGoldenTest {
     private static final GoldenFile SELECTIONS = new GoldenFile("stage-draws");
     private static final int SERVERS = 12;
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
@@ -35,8 +35,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins a replica's keys and values in the store; {@code docs/store-format.md} specifies them. Range
- * sets have one element each, since the order of several ranges differs from run to run.
+ * Compares a replica's keys and values in the store, as specified in {@code docs/store-format.md},
+ * with golden bytes. Range sets have one element each, since the order of several ranges differs
+ * from run to run.
  */
 class KeeperGoldenTest {
     private static final GoldenFile RECORDS = new GoldenFile("keeper-records");
--- a/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
@@ -321,17 +321,17 @@
 
     @Test
     void eachKindOfMessageHasAGoldenPacket() {
-        Set<Class<?>> pinned =
+        Set<Class<?>> covered =
                 messages().values().stream().map(Object::getClass).collect(Collectors.toSet());
         for (Class<?> family : FAMILIES) {
-            assertThat(pinned).as(family.getName()).contains(family.getPermittedSubclasses());
+            assertThat(covered).as(family.getName()).contains(family.getPermittedSubclasses());
         }
     }
 
     @Test
     void eachEnumValueSentByNumberHasAGoldenPacket() {
         Map<String, Object> all = messages();
-        Set<Enum<?>> pinned =
+        Set<Enum<?>> covered =
                 all.values().stream()
                         .flatMap(
                                 message -> {
@@ -352,7 +352,7 @@
                                     return Stream.<Enum<?>>empty();
                                 })
                         .collect(Collectors.toSet());
-        assertThat(pinned)
+        assertThat(covered)
                 .contains(ReplicationMessage.ClaimVote.values())
                 .contains(ReplicationMessage.WalkOrder.values())
                 .contains(RolloutPhase.values())
