--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -28,7 +28,8 @@
     List<PeerAddress> read() {
         try {
             List<PeerAddress> addresses =
-                    checksummedFile.read(in -> in.readTexts().stream().map(PeerAddress::parse).toList())
+                    checksummedFile
+                            .read(in -> in.readTexts().stream().map(PeerAddress::parse).toList())
                             .orElse(List.of());
             return addresses;
         } catch (IOException e) {
