--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -14,22 +14,23 @@
 /** The file of an acceptor's durable state, which operators know as the voter file. */
 final class AcceptorFile {
     private final Path file;
-    private final SealedFile sealedFile;
+    private final SealedFile checksummedFile;
 
     AcceptorFile(Path file) {
         this.file = file;
-        this.sealedFile = new SealedFile(file);
+        this.checksummedFile = new SealedFile(file);
     }
 
     /**
      * Reads the state.
      *
      * @return the state, or empty if there is no file
-     * @throws MalformedException if the file cannot be read, since it may contain a promise
+     * @throws MalformedException if the file cannot be read; without it the acceptor might break a
+     *     promise
      */
     Optional<AcceptorState> read() {
         try {
-            return sealedFile.read(AcceptorFile::readState);
+            return checksummedFile.read(AcceptorFile::readState);
         } catch (CorruptFileException e) {
             throw new MalformedException(
                     "the voter file "
@@ -37,7 +38,8 @@
                             + " is corrupt; remove it to let this voter recover its state from the"
                             + " other servers");
         } catch (IOException e) {
-            throw new MalformedException("cannot read the voter file " + file);
+            throw new MalformedException(
+                    "cannot read the voter file " + file + ": " + e.getMessage());
         }
     }
 
@@ -53,7 +55,7 @@
 
     /** Writes the state durably. Blocks on the disk, so it must not run on the event loop. */
     void write(AcceptorState state) throws IOException {
-        sealedFile.write(out -> writeState(out, state));
+        checksummedFile.write(out -> writeState(out, state));
     }
 
     private static void writeState(CBORGenerator out, AcceptorState state) throws IOException {
