--- a/drill/src/main/java/ochretiller/drill/Drill.java
+++ b/drill/src/main/java/ochretiller/drill/Drill.java
@@ -19,7 +19,7 @@
 
 /**
  * The command line of the drills. Exit codes: 0 if all rules hold, 1 if a rule was broken, 2 for
- * invalid arguments or an invalid script, 4 for a void run, whose script could not be carried out.
+ * invalid arguments or an invalid script, 4 for a void run: its scenario could not be carried out.
  */
 @Command(
         name = "drill",
@@ -69,15 +69,15 @@
                             description = "No progress on standard error.")
                     boolean quiet)
             throws Exception {
-        FleetScenario scenario = FleetScenarioReader.read(file);
-        FleetScenario script = members == null ? scenario : scenario.sized(members);
+        FleetScenario original = FleetScenarioReader.read(file);
+        FleetScenario scenario = members == null ? original : original.sized(members);
         Path folder = out != null ? out : Files.createTempDirectory("drill");
-        HistoryChecker checker = play(script, seed, folder, !noView, !noCopies, quiet);
-        return report(script, seed, checker, noView);
+        HistoryChecker checker = play(scenario, seed, folder, !noView, !noCopies, quiet);
+        return report(scenario, seed, checker, noView);
     }
 
     static HistoryChecker play(
-            FleetScenario script,
+            FleetScenario scenario,
             long seed,
             Path folder,
             boolean fleetEnabled,
@@ -87,7 +87,7 @@
         Files.createDirectories(folder);
         try (ScenarioRunner runner =
                 new ScenarioRunner(
-                        script,
+                        scenario,
                         seed,
                         folder,
                         fleetEnabled,
@@ -99,19 +99,19 @@
                         })) {
             History history = runner.play();
             history.write(folder.resolve("history.jsonl"));
-            MembershipChart.write(folder.resolve("views.svg"), script.name(), history.all());
-            return new HistoryChecker(script, history.all());
+            MembershipChart.write(folder.resolve("views.svg"), scenario.name(), history.all());
+            return new HistoryChecker(scenario, history.all());
         }
     }
 
     private static int report(
-            FleetScenario script, long seed, HistoryChecker checker, boolean noView) {
+            FleetScenario scenario, long seed, HistoryChecker checker, boolean noView) {
         System.out.printf(
                 Locale.ROOT,
                 "%s, seed %d%s: settled %.1f s, false verdicts %d, changes of one at most %d, known"
                     + " p50 %.0f p99 %.0f ms, asked %d, value %.4f, lost with their connection %d,"
                     + " throttled %d, run twice %d%n",
-                script.name(),
+                scenario.name(),
                 seed,
                 noView ? ", without a view" : "",
                 checker.settledS(),
@@ -258,7 +258,7 @@
                 return scenario.example(System.out::println) ? 0 : EXIT_RULE_BROKEN;
             }
         }
-        FleetScenario script =
+        FleetScenario scenario =
                 FleetScenarioReader.of(
                         """
                         { name: 'example', seconds: 12, members: 3, zones: 3, incidents: [ { at_s: 5, what: 'kill', who: '3' } ],
@@ -266,7 +266,7 @@
                         """,
                         "example");
         Path folder = Files.createTempDirectory("drill");
-        HistoryChecker checker = play(script, 1, folder, true, true, false);
+        HistoryChecker checker = play(scenario, 1, folder, true, true, false);
         Map<Integer, String> lastViews = new TreeMap<>();
         Map<String, String> names = new HashMap<>();
         for (History.Event event : History.read(folder.resolve("history.jsonl"))) {
@@ -291,7 +291,7 @@
             }
         }
         System.out.println("a picture of who sees whom: " + folder.resolve("views.svg"));
-        return report(script, 1, checker, false);
+        return report(scenario, 1, checker, false);
     }
 
     @Command(
--- a/drill/src/main/java/ochretiller/drill/FailoverScenario.java
+++ b/drill/src/main/java/ochretiller/drill/FailoverScenario.java
@@ -30,7 +30,7 @@
  * repeated at each server, at once and later. Each case checks the outcomes that it expects.
  */
 final class FailoverScenario implements AutoCloseable {
-    /** Covers a server start under load and the window for which replicas keep a token. */
+    /** Limit of each wait: a server start under load, or the time until a token expires. */
     private static final long TIMEOUT_S = 40;
 
     /** Delay before a request is sent again. */
@@ -55,13 +55,13 @@
     FailoverScenario(Path folder, boolean replicationEnabled, Consumer<String> progress)
             throws IOException {
         this.progress = progress;
-        FleetScenario script =
+        FleetScenario scenario =
                 FleetScenarioReader.of(
                         """
                         { name: 'steps', seconds: 1, members: 3, zones: 3, seeds: 3, copies: true, store: true }\
                         """,
                         "steps");
-        runner = new ScenarioRunner(script, 1, folder, true, replicationEnabled, progress);
+        runner = new ScenarioRunner(scenario, 1, folder, true, replicationEnabled, progress);
     }
 
     /** Runs all cases and returns the violations, one line each. */
@@ -257,33 +257,33 @@
         String token = beginStep("window ends in a cut");
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         for (int slot : new int[] {1, 2, 3}) {
-            check(token, awaitHolds(slot, token, true), "not kept at " + slot);
+            check(token, awaitTokenState(slot, token, true), "not kept at " + slot);
         }
         runner.cut(Set.of(3));
         for (int slot : new int[] {1, 2, 3}) {
-            check(token, awaitHolds(slot, token, false), "kept past its window at " + slot);
+            check(token, awaitTokenState(slot, token, false), "kept past its window at " + slot);
         }
         runner.cut(Set.of());
         runner.compared();
         for (int slot : new int[] {1, 2, 3}) {
-            check(token, !holds(slot, token), "back to life at " + slot);
+            check(token, !hasTokenState(slot, token), "back to life at " + slot);
         }
         check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
 
     /** Waits until a server has state of the token, or has none; false after the timeout. */
-    private boolean awaitHolds(int slot, String token, boolean expected) throws Exception {
+    private boolean awaitTokenState(int slot, String token, boolean expected) throws Exception {
         for (long deadlineNanos = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
                 System.nanoTime() < deadlineNanos;
                 Thread.sleep(RETRY_MS)) {
-            if (holds(slot, token) == expected) {
+            if (hasTokenState(slot, token) == expected) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean holds(int slot, String token) {
+    private boolean hasTokenState(int slot, String token) {
         JsonNode response = runner.door(runner.box(slot), "copies-show", token);
         if (response == null) {
             violations.add(token + ": server " + slot + " did not tell what it keeps");
@@ -379,8 +379,8 @@
         return String.format(Locale.ROOT, "%032x", counter.incrementAndGet() * 0x9E3779B97F4AL);
     }
 
-    private void check(String token, boolean holds, String message) {
-        if (!holds) {
+    private void check(String token, boolean condition, String message) {
+        if (!condition) {
             violations.add(token + ": " + message);
         }
     }
--- a/drill/src/main/java/ochretiller/drill/FaultProxy.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -20,7 +20,7 @@
 import ochretiller.emulator.fleet.LinkFaults;
 
 /**
- * Relays UDP packets between servers and applies the script's network faults. Each server
+ * Relays UDP packets between servers and applies the scenario's network faults. Each server
  * advertises the port of its relay, and a fault depends on the packet's sender and receiver.
  */
 final class FaultProxy implements AutoCloseable {
@@ -42,7 +42,7 @@
     private final Map<Integer, Integer> slotByAddress = new ConcurrentHashMap<>();
     private final List<byte[]> packetHistory = new ArrayList<>();
 
-    /** Slots that are cut off from all others, in addition to the script's faults. */
+    /** Slots that are cut off from all others, in addition to the scenario's faults. */
     private volatile Set<Integer> isolatedSlots = Set.of();
 
     final AtomicLong passed = new AtomicLong();
@@ -118,7 +118,7 @@
                     InetSocketAddress from;
                     while ((from = (InetSocketAddress) relay.channel.receive(buffer.clear()))
                             != null) {
-                        pass(relay, from, buffer.flip());
+                        forward(relay, from, buffer.flip());
                     }
                 }
                 selector.selectedKeys().clear();
@@ -133,7 +133,7 @@
         }
     }
 
-    private void pass(Relay relay, InetSocketAddress from, ByteBuffer packet) {
+    private void forward(Relay relay, InetSocketAddress from, ByteBuffer packet) {
         Integer sender = addressByPort.get(from.getPort());
         byte[] bytes = new byte[packet.remaining()];
         packet.get(bytes);
--- a/drill/src/main/java/ochretiller/drill/History.java
+++ b/drill/src/main/java/ochretiller/drill/History.java
@@ -39,9 +39,9 @@
          * the range is complete.
          */
         COPIES,
-        /** The script could not be run as written, so that the run proves nothing. */
+        /** The scenario could not be run as written, so that the run proves nothing. */
         VOID,
-        /** The script has ended. */
+        /** The scenario has ended. */
         OVER
     }
 
@@ -62,17 +62,17 @@
         this.zeroNanos = zeroNanos;
     }
 
-    /** Returns the script time in seconds. */
+    /** Returns the scenario time in seconds. */
     double now() {
         return (System.nanoTime() - zeroNanos) / 1e9;
     }
 
-    void add(What what, int slot, String id, String text) {
-        put(new Event(now(), what, slot, id, text, null));
+    void add(What type, int slot, String id, String text) {
+        put(new Event(now(), type, slot, id, text, null));
     }
 
-    void view(int slot, String start, String digest, Map<String, String> states) {
-        put(new Event(now(), What.VIEW, slot, start, digest, states));
+    void view(int slot, String incarnation, String digest, Map<String, String> states) {
+        put(new Event(now(), What.VIEW, slot, incarnation, digest, states));
     }
 
     synchronized void put(Event event) {
--- a/drill/src/main/java/ochretiller/drill/HistoryChecker.java
+++ b/drill/src/main/java/ochretiller/drill/HistoryChecker.java
@@ -15,11 +15,11 @@
 import ochretiller.emulator.fleet.FaultSchedule;
 import ochretiller.emulator.fleet.FleetScenario;
 
-/** Checks a history against the rules, from the history and the script alone. */
+/** Checks a history against the rules, from the history and the scenario alone. */
 final class HistoryChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A verdict of silence is excused for this long after a pause or a network fault ended. */
+    /** A verdict of silence is excused for this long after the end of a pause or network fault. */
     private static final double VERDICT_GRACE_S = 2;
 
     /** A result counts towards the billed value if it arrives within this time. */
@@ -28,7 +28,7 @@
     /** An answer that takes longer than this breaks a rule. */
     private static final double ANSWER_TIMEOUT_S = 4.5;
 
-    private final FleetScenario script;
+    private final FleetScenario scenario;
     private final FaultSchedule schedule;
     private final List<History.Event> events;
     private final List<String> ruleViolations = new ArrayList<>();
@@ -43,9 +43,9 @@
     private int throttledCount;
     private boolean hasVoidEvent;
 
-    HistoryChecker(FleetScenario script, List<History.Event> events) {
-        this.script = script;
-        this.schedule = FaultSchedule.of(script);
+    HistoryChecker(FleetScenario scenario, List<History.Event> events) {
+        this.scenario = scenario;
+        this.schedule = FaultSchedule.of(scenario);
         this.events = events;
         for (History.Event event : events) {
             hasVoidEvent |= event.what() == History.What.VOID;
@@ -53,13 +53,13 @@
         checkViews();
         checkAnswers();
         checkReplicas();
-        if (script.expect().valueShare() > 0 && valueShare() < script.expect().valueShare()) {
+        if (scenario.expect().valueShare() > 0 && valueShare() < scenario.expect().valueShare()) {
             ruleViolations.add(
                     String.format(
                             Locale.ROOT,
                             "value: %.4f of the billed value, under %.4f",
                             valueShare(),
-                            script.expect().valueShare()));
+                            scenario.expect().valueShare()));
         }
     }
 
@@ -176,7 +176,7 @@
                                         && !leaving.contains(memberSlot);
                         if (!memberRunning) {
                             Double killedS = killedAtS.get(member.getKey());
-                            if (killedS != null && event.atS() - killedS < script.seconds()) {
+                            if (killedS != null && event.atS() - killedS < scenario.seconds()) {
                                 detectionTimesMs.add((event.atS() - killedS) * 1e3);
                             }
                             continue;
@@ -199,8 +199,8 @@
                             continue;
                         }
                         falseVerdicts++;
-                        if (script.expect().falseVerdicts() >= 0
-                                && falseVerdicts > script.expect().falseVerdicts()) {
+                        if (scenario.expect().falseVerdicts() >= 0
+                                && falseVerdicts > scenario.expect().falseVerdicts()) {
                             ruleViolations.add(
                                     String.format(
                                             Locale.ROOT,
@@ -226,22 +226,22 @@
         if (!Double.isNaN(convergedSinceS)) {
             settledS = Math.max(0, convergedSinceS - lastFaultS);
         }
-        if (script.expect().settledS() > 0 && settledS > script.expect().settledS()) {
+        if (scenario.expect().settledS() > 0 && settledS > scenario.expect().settledS()) {
             ruleViolations.add(
                     String.format(
                             Locale.ROOT,
                             "settled: views were equal and right %.1f s behind the last fault, not"
                                     + " within %.1f; watched until %.1f s",
                             settledS,
-                            script.expect().settledS(),
+                            scenario.expect().settledS(),
                             endS));
         }
-        if (script.expect().changesEach() >= 0 && changesEach > script.expect().changesEach()) {
+        if (scenario.expect().changesEach() >= 0 && changesEach > scenario.expect().changesEach()) {
             ruleViolations.add(
                     "changes: one member was judged silent "
                             + changesEach
                             + " times, over "
-                            + script.expect().changesEach());
+                            + scenario.expect().changesEach());
         }
     }
 
@@ -350,9 +350,9 @@
                 }
                 case RAN -> {
                     bodiesRun.add(event.id());
-                    // At most once on a server within the token's window. Without replication a
-                    // killed process loses its results, so runs are counted by incarnation.
-                    boolean keyed = script.copies() && event.id().startsWith("order ");
+                    // A token may run only once within its window. Without replication, a killed
+                    // process loses its results, so runs are counted by incarnation.
+                    boolean keyed = scenario.copies() && event.id().startsWith("order ");
                     int runCount =
                             runCounts.merge(
                                     keyed
@@ -392,7 +392,7 @@
                         ruleViolations.add("answers: " + event.id() + " was answered late");
                     }
                     if (event.text().startsWith("succeeded")) {
-                        if (script.copies() && request.text().startsWith("order ")) {
+                        if (scenario.copies() && request.text().startsWith("order ")) {
                             String other = results.putIfAbsent(request.text(), event.text());
                             if (other != null && !other.equals(event.text())) {
                                 ruleViolations.add(
--- a/drill/src/main/java/ochretiller/drill/LoadGenerator.java
+++ b/drill/src/main/java/ochretiller/drill/LoadGenerator.java
@@ -23,7 +23,7 @@
     /** One in this many requests is a keyed order; every second order is sent twice. */
     private static final int ORDER_INTERVAL = 4;
 
-    /** Number of tokens available for repeats, which are those of the last seconds. */
+    /** Number of latest tokens from which repeats are drawn: those of the last few seconds. */
     private static final int RECENT_TOKENS = 150;
 
     /** Open requests on one connection, below the server's limit. */
@@ -37,7 +37,7 @@
     private final boolean repeatsAnywhere;
 
     private final SplittableRandom random;
-    private final AtomicLong numbers = new AtomicLong();
+    private final AtomicLong lastNumber = new AtomicLong();
     private final Map<Integer, Connection> connections = new ConcurrentHashMap<>();
     private final List<String> tokens = new ArrayList<>();
 
@@ -94,7 +94,7 @@
             return;
         }
         ServerProcess server = available.get(random.nextInt(available.size()));
-        long number = numbers.incrementAndGet();
+        long number = lastNumber.incrementAndGet();
         try {
             Connection connection = connectionTo(server);
             boolean keyed = number % ORDER_INTERVAL == 0 || repeatsAnywhere;
@@ -105,11 +105,11 @@
                 String repeat =
                         random.nextInt(4) == 0 ? token : tokens.get(random.nextInt(tokens.size()));
                 ServerProcess other = available.get(random.nextInt(available.size()));
-                connectionTo(other).send(other.slot.number(), numbers.incrementAndGet(), repeat);
+                connectionTo(other).send(other.slot.number(), lastNumber.incrementAndGet(), repeat);
             } else if (!repeatsAnywhere && keyed && number % (2 * ORDER_INTERVAL) == 0) {
                 connection.send(
                         server.slot.number(),
-                        numbers.addAndGet(2L * ORDER_INTERVAL) - 2 * ORDER_INTERVAL + 1,
+                        lastNumber.addAndGet(2L * ORDER_INTERVAL) - 2 * ORDER_INTERVAL + 1,
                         token);
             }
             if (token != null) {
--- a/drill/src/main/java/ochretiller/drill/ReplicationCost.java
+++ b/drill/src/main/java/ochretiller/drill/ReplicationCost.java
@@ -105,7 +105,7 @@
                                 + workload.slowMs
                                 + " } ]"
                         : "";
-        FleetScenario script =
+        FleetScenario scenario =
                 FleetScenarioReader.of(
                         "{ name: 'cost', seconds: 1000, members: "
                                 + members
@@ -123,7 +123,7 @@
         boolean isolateFirst = kind == Kind.MINORITY;
         boolean useProxy = workload.links || isolateFirst || kind == Kind.SLOW;
         try (ScenarioRunner runner =
-                new ScenarioRunner(script, 1, folder, true, kind.copies(), progress)) {
+                new ScenarioRunner(scenario, 1, folder, true, kind.copies(), progress)) {
             if (!useProxy) {
                 runner.direct();
             }
--- a/drill/src/main/java/ochretiller/drill/RolloutScenario.java
+++ b/drill/src/main/java/ochretiller/drill/RolloutScenario.java
@@ -49,7 +49,7 @@
     /** One in this many requests is a keyed order; the others are reads. */
     private static final int ORDER_INTERVAL = 8;
 
-    /** The last runs of a killed process may not have reached its audit log on disk. */
+    /** Limit of unaudited runs: the last ones of a killed process may not have reached its disk. */
     private static final int MAX_MISSING_RUNS = 12;
 
     private final ScenarioRunner runner;
@@ -65,7 +65,7 @@
     RolloutScenario(Path folder, Consumer<String> progress) throws IOException {
         this.progress = progress;
         worker = new FakeWorker("127.0.0.1", 0, request -> FakeWorker.Manner.ANSWERS);
-        FleetScenario script =
+        FleetScenario scenario =
                 FleetScenarioReader.of(
                         "{ name: 'versions', seconds: 1000, members: "
                                 + SERVER_COUNT
@@ -74,7 +74,7 @@
                                 + ", copies: true, store: true }",
                         "versions");
         runner =
-                new ScenarioRunner(script, 1, folder, true, true, progress)
+                new ScenarioRunner(scenario, 1, folder, true, true, progress)
                         .versions(poolSettings(worker.port(), 50) + ",");
     }
 
@@ -339,13 +339,13 @@
         progress.accept("step: " + name);
     }
 
-    private void check(boolean holds, String message) {
-        if (!holds) {
+    private void check(boolean condition, String message) {
+        if (!condition) {
             violations.add(message);
         }
     }
 
-    private long publish(int slot, String settings, String why) throws Exception {
+    private long publish(int slot, String settings, String reason) throws Exception {
         JsonNode response = null;
         for (long deadlineNanos = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
                 System.nanoTime() < deadlineNanos;
@@ -354,7 +354,7 @@
                     runner.door(
                             runner.box(slot),
                             "version-publish",
-                            "drill\n" + why + "\n\n{ " + settings + " }");
+                            "drill\n" + reason + "\n\n{ " + settings + " }");
             if (response != null && response.has("published")) {
                 return response.get("published").asLong();
             }
--- a/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
+++ b/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
@@ -39,7 +39,7 @@
     /** The views have converged once they have been equal and correct for this long. */
     private static final double STABLE_S = 2.5;
 
-    /** A crowd fault starts one busy loop per core for each such step of its strength. */
+    /** A crowd fault starts one busy loop per core for each such step of its strength in ms. */
     private static final double CROWD_STEP_MS = 50;
 
     private static final int POLL_MS = 100;
@@ -56,7 +56,7 @@
     private static final int COMPARE_POLL_MS = 250;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final FleetScenario script;
+    private final FleetScenario scenario;
     private final FaultSchedule schedule;
     private final Path folder;
     private final boolean fleetEnabled;
@@ -81,27 +81,27 @@
     private String extraOperatorSettings;
 
     /**
-     * Starts no process yet.
+     * Creates a runner without starting any process.
      *
      * @param fleetEnabled whether the servers form a fleet; if not, the same scenario measures what
      *     clients get from independent servers
-     * @param replicationEnabled whether the servers replicate results, if the script has it
+     * @param replicationEnabled whether the servers replicate results, if the scenario has it
      */
     ScenarioRunner(
-            FleetScenario script,
+            FleetScenario scenario,
             long seed,
             Path folder,
             boolean fleetEnabled,
             boolean replicationEnabled,
             Consumer<String> progress)
             throws IOException {
-        this.script = script;
+        this.scenario = scenario;
         this.seed = seed;
-        this.schedule = FaultSchedule.of(script);
+        this.schedule = FaultSchedule.of(scenario);
         this.folder = folder;
         this.fleetEnabled = fleetEnabled;
-        this.replicationEnabled = replicationEnabled && fleetEnabled && script.copies();
-        this.storeEnabled = this.replicationEnabled && script.store();
+        this.replicationEnabled = replicationEnabled && fleetEnabled && scenario.copies();
+        this.storeEnabled = this.replicationEnabled && scenario.store();
         this.progress = progress;
         RandomStreams seeds = new RandomStreams(seed);
         this.random = seeds.of("floods");
@@ -110,10 +110,10 @@
                 new FaultProxy(new LinkFaults(schedule, seeds.of("faults")), () -> history.now());
     }
 
-    /** Runs the whole script and returns the history of its events. */
+    /** Runs the whole scenario and returns the history of its events. */
     History play() throws IOException, InterruptedException {
-        // Script time begins once all initial members are ready, whatever their scheduled start
-        // times. Until then zero lies an hour ahead.
+        // Scenario time begins once all initial members are ready, whatever their scheduled start
+        // times. Until then, its zero point is an hour ahead.
         history = new History(System.nanoTime() + 3_600_000_000_000L);
         for (FaultSchedule.Slot slot : schedule.slots()) {
             createServer(slot, this::recordRun);
@@ -129,11 +129,11 @@
                 throw new IOException("server " + action.slot() + " was not ready in time");
             }
         }
-        History started = new History(System.nanoTime() - (long) (script.startS() * 1e9));
+        History started = new History(System.nanoTime() - (long) (scenario.startS() * 1e9));
         for (History.Event event : history.all()) {
             started.put(
                     new History.Event(
-                            script.startS(),
+                            scenario.startS(),
                             event.what(),
                             event.slot(),
                             event.id(),
@@ -141,7 +141,7 @@
                             null));
         }
         switchHistory(started);
-        progress.accept(script.members() + " servers are there");
+        progress.accept(scenario.members() + " servers are there");
         if (replicationEnabled) {
             awaitEpochOfAllMembers();
         }
@@ -149,9 +149,9 @@
                 new LoadGenerator(
                         history,
                         List.copyOf(servers.values()),
-                        script.load().perSecond(),
+                        scenario.load().perSecond(),
                         seed,
-                        script.copies());
+                        scenario.copies());
         load.start();
         for (FaultSchedule.Fault fault : schedule.faults()) {
             scheduleFault(fault);
@@ -191,8 +191,8 @@
         progress.accept(String.format(Locale.ROOT, "%.1f s: all faults are over", lastFaultS));
         double deadlineS =
                 Math.max(
-                        script.seconds(),
-                        lastFaultS + Math.max(script.expect().settledS(), 5) + STABLE_S);
+                        scenario.seconds(),
+                        lastFaultS + Math.max(scenario.expect().settledS(), 5) + STABLE_S);
         awaitConvergence(deadlineS, lastFaultS);
         load.end();
         if (replicationEnabled) {
@@ -227,8 +227,8 @@
     }
 
     /**
-     * Starts all servers of the script and waits until they are ready. {@code onRun} gets the slot
-     * and the request body of each run that a processor begins.
+     * Starts all servers of the scenario and waits until they are ready. {@code onRun} gets the
+     * slot and the request body of each run that a processor begins.
      */
     void raise(BiConsumer<Integer, String> onRun) throws IOException, InterruptedException {
         for (FaultSchedule.Slot slot : schedule.slots()) {
@@ -267,7 +267,7 @@
         }
     }
 
-    /** Records all further events in {@code started}, whose time is script time. */
+    /** Records all further events in {@code started}, whose time is scenario time. */
     private void switchHistory(History started) {
         history = started;
         Map<Integer, ServerProcess> currentServers = new TreeMap<>(servers);
@@ -281,15 +281,15 @@
 
     /**
      * Waits for an epoch of all members, since keyed requests are throttled until then, and starts
-     * script time anew.
+     * scenario time anew.
      */
     private void awaitEpochOfAllMembers() throws InterruptedException, IOException {
         // The number of the epoch is not checked.
-        String epochOfAll = "of \\[" + "[^, ]+, ".repeat(script.members() - 1) + "[^, ]+\\]";
+        String epochOfAll = "of \\[" + "[^, ]+, ".repeat(scenario.members() - 1) + "[^, ]+\\]";
         for (ServerProcess server : servers.values()) {
-            if (server.slot.number() <= script.members()
+            if (server.slot.number() <= scenario.members()
                     && !server.awaitLine(
-                            Pattern.compile(epochOfAll), JOIN_S_PER_MEMBER * script.members())) {
+                            Pattern.compile(epochOfAll), JOIN_S_PER_MEMBER * scenario.members())) {
                 throw new IOException(
                         "server "
                                 + server.slot.number()
@@ -297,12 +297,12 @@
             }
         }
         Thread.sleep((long) (EPOCH_SETTLE_S * 1000));
-        History started = new History(System.nanoTime() - (long) (script.startS() * 1e9));
+        History started = new History(System.nanoTime() - (long) (scenario.startS() * 1e9));
         for (History.Event event : history.all()) {
             if (event.what() == History.What.STARTED) {
                 started.put(
                         new History.Event(
-                                script.startS(),
+                                scenario.startS(),
                                 event.what(),
                                 event.slot(),
                                 event.id(),
@@ -319,8 +319,8 @@
 
     private boolean isInitialStart(FaultSchedule.Action action) {
         return action.act() == FaultSchedule.Act.START
-                && action.slot() <= script.members()
-                && action.atS() <= script.startS()
+                && action.slot() <= scenario.members()
+                && action.atS() <= scenario.startS()
                 && !isRestart(action);
     }
 
@@ -379,7 +379,7 @@
         proxy.at(action.address(), action.slot());
         addressBySlot.put(action.slot(), action.address());
         List<Integer> seeds = new ArrayList<>();
-        for (int i = 1; i <= script.seeds(); i++) {
+        for (int i = 1; i <= scenario.seeds(); i++) {
             serverPort(i);
             seeds.add(advertisedPort(i));
         }
@@ -387,10 +387,10 @@
                 listenPort,
                 advertisedPort(action.address()),
                 seeds,
-                script.probeMs(),
+                scenario.probeMs(),
                 fleetEnabled,
                 clockSetbackS(action),
-                replicationEnabled ? Math.min(3, script.members()) : 0,
+                replicationEnabled ? Math.min(3, scenario.members()) : 0,
                 storeEnabled);
     }
 
@@ -618,12 +618,12 @@
             }
             if (converged
                     && history.now() - convergedSinceS > STABLE_S
-                    && history.now() >= script.seconds()) {
+                    && history.now() >= scenario.seconds()) {
                 return;
             }
             if (converged
                     && history.now() - convergedSinceS > STABLE_S
-                    && script.expect().settledS() > 0
+                    && scenario.expect().settledS() > 0
                     && history.now() > lastFaultS + STABLE_S) {
                 return;
             }
--- a/drill/src/main/java/ochretiller/drill/ServerProcess.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -28,7 +28,7 @@
 import ochretiller.fakes.FakeServices;
 import ochretiller.fakes.GatewayMessages;
 
-/** The packaged server in one slot of the script, with its own fake services; restartable. */
+/** The packaged server in one slot of a scenario, with its own fake services; restartable. */
 final class ServerProcess {
     private static final Pattern JOINED = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
 
@@ -94,7 +94,7 @@
         this.slot = slot;
         this.folder = Files.createDirectories(folder.resolve("server-" + slot.number()));
         this.history = history;
-        // Left over from an earlier run in the same folder.
+        // These files may be left over from an earlier run in the same folder.
         Files.deleteIfExists(this.folder.resolve("voter"));
         Files.deleteIfExists(this.folder.resolve("peers"));
         DiskFaults.delete(this.folder.resolve("versions"));
--- a/drill/src/main/java/ochretiller/drill/package-info.java
+++ b/drill/src/main/java/ochretiller/drill/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Drills, which run the emulator's fleet scripts on several packaged servers with fake services.
+ * Drills, which run the emulator's fleet scenarios on several packaged servers with fake services.
  * They inject process and network faults, record a history of events and check only that history.
  */
 package ochretiller.drill;
--- a/drill/src/test/java/ochretiller/drill/DrillTest.java
+++ b/drill/src/test/java/ochretiller/drill/DrillTest.java
@@ -18,7 +18,7 @@
     private static final Path SCRIPTS =
             Path.of(System.getProperty("drill.root"), "emulator", "scripts", "fleet");
 
-    /** A run is void if the machine was too busy to carry out the script; it is then repeated. */
+    /** A run is void if the machine was too busy to carry out the scenario; it is then repeated. */
     private static final int MAX_ATTEMPTS = 3;
 
     @TempDir private Path folder;
@@ -32,13 +32,13 @@
                 "copies/owner-killed",
                 "copies/disks"
             })
-    void runMeetsTheExpectationsOfItsScript(String name) throws Exception {
-        FleetScenario script = FleetScenarioReader.read(SCRIPTS.resolve(name + ".json5"));
+    void runMeetsTheExpectationsOfItsScenario(String name) throws Exception {
+        FleetScenario scenario = FleetScenarioReader.read(SCRIPTS.resolve(name + ".json5"));
         HistoryChecker checker = null;
         for (int i = 0; i < MAX_ATTEMPTS && (checker == null || checker.voided()); i++) {
-            checker = Drill.play(script, 1, folder.resolve("try-" + i), true, true, true);
+            checker = Drill.play(scenario, 1, folder.resolve("try-" + i), true, true, true);
         }
-        assertThat(checker.voided()).as("script could not be carried out").isFalse();
+        assertThat(checker.voided()).as("scenario could not be carried out").isFalse();
         assertThat(checker.broken()).isEmpty();
         assertThat(checker.asked()).as("requests sent").isPositive();
         assertThat(Files.size(folder.resolve("try-0").resolve("views.svg"))).isPositive();
--- a/drill/src/test/java/ochretiller/drill/HistoryCheckerTest.java
+++ b/drill/src/test/java/ochretiller/drill/HistoryCheckerTest.java
@@ -13,7 +13,7 @@
 
 /** The checker finds each injected violation and none in a valid history. */
 class HistoryCheckerTest {
-    private final FleetScenario script =
+    private final FleetScenario scenario =
             FleetScenarioReader.of(
                     """
                     { seconds: 20, members: 3, incidents: [ { at_s: 4, what: 'kill', who: '3' } ],
@@ -65,14 +65,14 @@
         List<History.Event> events = validHistory();
         injectFault.accept(events);
         events.sort(java.util.Comparator.comparingDouble(History.Event::atS));
-        assertThat(new HistoryChecker(script, events).broken())
+        assertThat(new HistoryChecker(scenario, events).broken())
                 .as(rule)
                 .anyMatch(line -> line.startsWith(rule));
     }
 
     @Test
     void validHistoryHasNoViolations() {
-        HistoryChecker checker = new HistoryChecker(script, validHistory());
+        HistoryChecker checker = new HistoryChecker(scenario, validHistory());
         assertThat(checker.broken()).isEmpty();
         assertThat(checker.settledS()).isEqualTo(2);
         assertThat(checker.knownMs(99)).isEqualTo(2000);
@@ -157,7 +157,7 @@
         List<History.Event> events = validHistory();
         events.add(event(3, History.What.RAN, 1, "body2", ""));
         events.add(event(3, History.What.VOID, 1, "", "came late"));
-        HistoryChecker checker = new HistoryChecker(script, events);
+        HistoryChecker checker = new HistoryChecker(scenario, events);
         assertThat(checker.voided()).isTrue();
         assertThat(checker.broken()).isEmpty();
     }
