--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -43,7 +43,7 @@
 
     private static final int RESULT_CHARS = 200;
 
-    /** Ticks without a message that end an exchange; an unanswered request is repeated sooner. */
+    /** An exchange is over after so many idle ticks; unanswered requests are repeated sooner. */
     private static final int QUIET_TICKS = 20;
 
     private static final List<ReplicaServer> SERVERS =
--- a/tools/src/main/java/ochretiller/tools/FakeProcessor.java
+++ b/tools/src/main/java/ochretiller/tools/FakeProcessor.java
@@ -20,7 +20,7 @@
         final AtomicInteger runs = new AtomicInteger();
     }
 
-    /** By token, which is the body of an order. */
+    /** Runs of each token; the body of an order is its token. */
     final Map<String, Note> tokens = new ConcurrentHashMap<>();
     final LongAdder runs = new LongAdder();
     final AtomicInteger most = new AtomicInteger();
--- a/tools/src/main/java/ochretiller/tools/LiveBench.java
+++ b/tools/src/main/java/ochretiller/tools/LiveBench.java
@@ -22,7 +22,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays an emulator scenario, scaled down, in real time against packaged servers, without calls to
+ * Runs an emulator scenario, scaled down, in real time against packaged servers, without calls to
  * the records service. Scenarios with network cuts, disk stalls or drains are rejected.
  */
 final class LiveBench {
--- a/tools/src/main/java/ochretiller/tools/LoadGenerator.java
+++ b/tools/src/main/java/ochretiller/tools/LoadGenerator.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Sends requests for this time and waits up to 6 s on each connection for their answers. The
-     * keyed requests, a share of 0 to 1, each have a token of their own.
+     * Sends requests for this time and waits up to 6 s on each connection for their answers. A
+     * share of them, 0 to 1, is keyed, each with a token of its own.
      */
     void send(double perSecond, double seconds, double keyedShare)
             throws IOException, InterruptedException {
--- a/tools/src/main/java/ochretiller/tools/MixedTraffic.java
+++ b/tools/src/main/java/ochretiller/tools/MixedTraffic.java
@@ -24,10 +24,10 @@
     private static final AtomicLong LAST_NUMBER = new AtomicLong();
 
     /**
-     * Time to wait for open requests, after which they are lost: twice the client timeout in the
-     * configuration of the measured server.
+     * Time to wait for the answers to open requests, which are counted as lost after it: twice the
+     * client timeout in the configuration of the measured server.
      */
-    private static final long LOST_AFTER_S = 8;
+    private static final long ANSWER_WAIT_S = 8;
 
     final Histogram took = new ConcurrentHistogram(3);
     final Queue<MeasuredRequest> asks = new ConcurrentLinkedQueue<>();
@@ -95,7 +95,7 @@
     /** Waits for the open requests and counts all by outcome; unanswered ones are lost. */
     Map<MeasuredRequest.Outcome, Long> outcomes() throws Exception {
         Map<MeasuredRequest.Outcome, Long> counts = new EnumMap<>(MeasuredRequest.Outcome.class);
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOST_AFTER_S);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(ANSWER_WAIT_S);
         for (MeasuredRequest request : asks) {
             MeasuredRequest.Outcome outcome;
             try {
--- a/tools/src/main/java/ochretiller/tools/PoolsBench.java
+++ b/tools/src/main/java/ochretiller/tools/PoolsBench.java
@@ -64,7 +64,7 @@
             Chooser chooser, Fault fault, double load, int workers, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SplittableRandom workRandom = random.split();
-        WorkerSelector pool =
+        WorkerSelector selector =
                 new WorkerSelector(
                         new PoolSettings(
                                 64,
@@ -81,7 +81,7 @@
         for (int i = 0; i < workers; i++) {
             ids.add(new WorkerId("" + i));
         }
-        pool.become(ids, Duration.ZERO);
+        selector.become(ids, Duration.ZERO);
         List<PriorityQueue<Double>> coreFreeTimes = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
             PriorityQueue<Double> freeTimes = new PriorityQueue<>();
@@ -102,7 +102,7 @@
                 Completion next = completions.poll();
                 inFlight[next.worker]--;
                 if (chooser == Chooser.POOL) {
-                    pool.ended(
+                    selector.ended(
                             ids.get(next.worker),
                             next.succeeded ? RequestOutcome.ANSWERED : RequestOutcome.FAILED,
                             duration(next.latency),
@@ -110,7 +110,7 @@
                 }
             }
             double work = RandomStreams.exponential(workRandom, MEAN_WORK_S);
-            int worker = choose(chooser, pool, ids, inFlight, i, now);
+            int worker = choose(chooser, selector, ids, inFlight, i, now);
             if (worker < 0) {
                 failed++;
                 continue;
@@ -143,14 +143,14 @@
 
     private static int choose(
             Chooser chooser,
-            WorkerSelector pool,
+            WorkerSelector selector,
             List<WorkerId> ids,
             int[] inFlight,
             int requestIndex,
             double now) {
         switch (chooser) {
             case POOL -> {
-                Optional<WorkerId> chosen = pool.choose(duration(now));
+                Optional<WorkerId> chosen = selector.choose(duration(now));
                 return chosen.map(ids::indexOf).orElse(-1);
             }
             case TURNS -> {
@@ -214,7 +214,7 @@
                 new ResultTable(
                         "pools-retries", "refused share", "first tries", "second tries", "share");
         for (double refusedShare : new double[] {0.01, 0.05, 0.2, 1}) {
-            WorkerSelector pool =
+            WorkerSelector selector =
                     new WorkerSelector(
                             new PoolSettings(
                                     64,
@@ -228,22 +228,24 @@
                                     10),
                             new SplittableRandom(1));
             for (int i = 0; i < WORKERS; i++) {
-                pool.add(new WorkerId("" + i), Duration.ZERO);
+                selector.add(new WorkerId("" + i), Duration.ZERO);
             }
             SplittableRandom random = new SplittableRandom(2);
             long retryCount = 0;
             for (int i = 0; i < REQUESTS; i++) {
                 Duration now = Duration.ofMillis(i);
-                WorkerId worker = pool.choose(now).orElse(null);
+                WorkerId worker = selector.choose(now).orElse(null);
                 while (worker != null && random.nextDouble() < refusedShare) {
-                    pool.ended(worker, RequestOutcome.NEVER_BEGUN, Duration.ZERO, now);
-                    worker = pool.chooseAgain(worker, RequestOutcome.NEVER_BEGUN, now).orElse(null);
+                    selector.ended(worker, RequestOutcome.NEVER_BEGUN, Duration.ZERO, now);
+                    worker =
+                            selector.chooseAgain(worker, RequestOutcome.NEVER_BEGUN, now)
+                                    .orElse(null);
                     if (worker != null) {
                         retryCount++;
                     }
                 }
                 if (worker != null) {
-                    pool.ended(worker, RequestOutcome.ANSWERED, duration(MEAN_WORK_S), now);
+                    selector.ended(worker, RequestOutcome.ANSWERED, duration(MEAN_WORK_S), now);
                 }
             }
             retries.row(refusedShare, REQUESTS, retryCount, retryCount / (double) REQUESTS);
--- a/tools/src/main/java/ochretiller/tools/ToolsCommand.java
+++ b/tools/src/main/java/ochretiller/tools/ToolsCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line of the benches: a subcommand each, with tables and charts in docs/figures. */
+/** Command line of the benches, one subcommand each; it saves tables and charts in docs/figures. */
 @Command(
         name = "tools",
         mixinStandardHelpOptions = true,
