--- a/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
@@ -118,19 +118,19 @@
             throws Exception {
         Scenario first = ScenarioReader.read(script);
         List<String> names = new ArrayList<>(List.of(first.name()));
-        List<Scenario> scripts = new ArrayList<>(List.of(first));
+        List<Scenario> scenarios = new ArrayList<>(List.of(first));
         for (String settings : with == null ? List.<String>of() : with) {
             names.add(settings);
-            scripts.add(ScenarioReader.variant(script, settings));
+            scenarios.add(ScenarioReader.variant(script, settings));
         }
         for (Path other : beside == null ? List.<Path>of() : beside) {
-            scripts.add(ScenarioReader.read(other));
-            names.add(scripts.get(scripts.size() - 1).name());
+            scenarios.add(ScenarioReader.read(other));
+            names.add(scenarios.get(scenarios.size() - 1).name());
         }
-        if (scripts.size() < 2) {
+        if (scenarios.size() < 2) {
             throw new MalformedException("nothing to compare with: --with or --beside is required");
         }
-        return experiment(names, scripts, options);
+        return experiment(names, scenarios, options);
     }
 
     @Command(
@@ -150,29 +150,29 @@
             @CommandLine.Mixin Shared options)
             throws Exception {
         List<String> names = new ArrayList<>();
-        List<Scenario> scripts = new ArrayList<>();
+        List<Scenario> scenarios = new ArrayList<>();
         for (String value : values) {
             names.add(setting + '=' + value);
-            scripts.add(ScenarioReader.variant(script, setting + '=' + value));
+            scenarios.add(ScenarioReader.variant(script, setting + '=' + value));
         }
-        return experiment(names, scripts, options);
+        return experiment(names, scenarios, options);
     }
 
-    private static int experiment(List<String> names, List<Scenario> scripts, Shared options)
+    private static int experiment(List<String> names, List<Scenario> scenarios, Shared options)
             throws Exception {
         Experiment experiment =
                 new Experiment(
-                        scripts,
+                        scenarios,
                         options.seed,
                         options.seeds,
                         options.within,
                         SimulationResult::valueShare);
         long startNanos = System.nanoTime();
         try (ParallelRunner runner = new ParallelRunner(options.cores())) {
-            int runsPerRound = Math.max(1, options.cores() / scripts.size());
+            int seedsPerBatch = Math.max(1, options.cores() / scenarios.size());
             experiment.play(
                     runner,
-                    runsPerRound,
+                    seedsPerBatch,
                     progress -> {
                         double elapsedS = (System.nanoTime() - startNanos) / 1e9;
                         double remainingS =
@@ -192,7 +192,7 @@
             missedCount += printVariant(System.out, experiment, names, variant, options.seed);
         }
         if (options.out != null) {
-            new Report(options.out, experiment, names, scripts, options.seed).write();
+            new Report(options.out, experiment, names, scenarios, options.seed).write();
         }
         return missedCount == 0 ? 0 : EXIT_FAILED;
     }
@@ -235,9 +235,9 @@
     int replay(
             @Parameters(description = SCRIPT_DESCRIPTION) Path file,
             @Option(names = "--seed", required = true) long seed) {
-        Scenario script = ScenarioReader.read(file);
+        Scenario scenario = ScenarioReader.read(file);
         long startNanos = System.nanoTime();
-        SimulationResult outcome = new Simulation(script, seed).play();
+        SimulationResult outcome = new Simulation(scenario, seed).play();
         double elapsedS = (System.nanoTime() - startNanos) / 1e9;
         Report.FIGURES.forEach(
                 (name, figure) ->
@@ -269,7 +269,7 @@
                 Locale.ROOT,
                 "%d events, %.0f times real time%n",
                 outcome.events(),
-                script.seconds() / elapsedS);
+                scenario.seconds() / elapsedS);
         outcome.rules().broken().forEach(System.out::println);
         return outcome.missed().isEmpty() ? 0 : EXIT_FAILED;
     }
@@ -330,9 +330,9 @@
         System.out.println("boxes,events,events a second,times real time,MB");
         for (int pass = 0; pass < 2; pass++) { // the first pass warms the JIT up
             for (int count : boxes) {
-                Scenario script = base.scaled((double) count / base.fleet().boxes());
+                Scenario scenario = base.scaled((double) count / base.fleet().boxes());
                 long startNanos = System.nanoTime();
-                Simulation simulation = new Simulation(script, 1);
+                Simulation simulation = new Simulation(scenario, 1);
                 SimulationResult outcome = simulation.play();
                 double elapsedS = (System.nanoTime() - startNanos) / 1e9;
                 System.gc();
@@ -344,12 +344,12 @@
                             count,
                             outcome.events(),
                             outcome.events() / elapsedS,
-                            script.seconds() / elapsedS,
+                            scenario.seconds() / elapsedS,
                             usedBytes >> 20);
                 }
-                if (simulation.time() < script.seconds()) {
+                if (simulation.time() < scenario.seconds()) {
                     throw new IllegalStateException(
-                            "simulation ended early"); // keeps it reachable to here
+                            "simulation ended early"); // also keeps it on the heap until here
                 }
             }
         }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
@@ -12,7 +12,7 @@
  * the differences from the first variant are precise enough or all seeds are used.
  */
 public final class Experiment {
-    /** Seeds before the first check of the interval; with fewer it may be narrow by chance. */
+    /** Seeds before the first check of the interval; fewer may make it too narrow by accident. */
     private static final int MIN_SEEDS = 5;
 
     private final List<Scenario> variants;
--- a/emulator/src/main/java/ochretiller/emulator/faultsearch/RandomIncidents.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/RandomIncidents.java
@@ -11,7 +11,7 @@
     /** Most incidents in one run; the effects of more could not be told apart. */
     private static final int MAX_INCIDENTS = 5;
 
-    /** Earliest start as a share of the run. The part after the latest one shows the recovery. */
+    /** Range of starts, as shares of the run; the part after the latest one shows the recovery. */
     private static final double EARLIEST_START = 0.1;
 
     private static final double LATEST_START = 0.6;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
@@ -89,7 +89,7 @@
         private final List<Slot> slots = new ArrayList<>();
         private final List<Action> actions = new ArrayList<>();
         private final List<Fault> faults = new ArrayList<>();
-        private int addresses;
+        private int lastAddress;
         private double lastEndS;
 
         Builder(FleetScenario scenario) {
@@ -127,7 +127,7 @@
 
         FaultSchedule build() {
             for (int i = 1; i <= scenario.members(); i++) {
-                addSlot("m" + i, scenario.zone(i), ++addresses);
+                addSlot("m" + i, scenario.zone(i), ++lastAddress);
                 actions.add(
                         new Action(
                                 scenario.members() == 1
@@ -169,7 +169,7 @@
                         who.forEach(
                                 i -> {
                                     addAction(at, Act.KILL, i, i);
-                                    addAction(end, Act.START, i, ++addresses);
+                                    addAction(end, Act.START, i, ++lastAddress);
                                 });
                 case "take" ->
                         who.forEach(
@@ -221,17 +221,17 @@
                         addAction(
                                 at + incident.forS() * i / Math.max(1, count),
                                 Act.START,
-                                addSlot("j" + (slots.size() + 1), zone, ++addresses).number(),
-                                addresses);
+                                addSlot("j" + (slots.size() + 1), zone, ++lastAddress).number(),
+                                lastAddress);
                     }
                 }
                 case "twin" ->
                         who.forEach(
                                 i -> {
-                                    Slot twin = addSlot("m" + i, scenario.zone(i), ++addresses);
-                                    addAction(at, Act.START, twin.number(), addresses);
+                                    Slot twin = addSlot("m" + i, scenario.zone(i), ++lastAddress);
+                                    addAction(at, Act.START, twin.number(), lastAddress);
                                     if (incident.forS() > 0) {
-                                        addAction(end, Act.KILL, twin.number(), addresses);
+                                        addAction(end, Act.KILL, twin.number(), lastAddress);
                                     }
                                 });
                 case "cut" -> {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
@@ -30,13 +30,13 @@
         boolean isPaused;
         double stoppedS = Double.NaN;
         double resumedS = Double.NEGATIVE_INFINITY;
-        final double[] lastHeardS;
+        final double[] lastHeartbeatS;
         final boolean[] isSilent;
 
         Host(int members) {
-            lastHeardS = new double[members];
+            lastHeartbeatS = new double[members];
             isSilent = new boolean[members];
-            Arrays.fill(lastHeardS, 0);
+            Arrays.fill(lastHeartbeatS, 0);
         }
     }
 
@@ -110,7 +110,7 @@
         if (!hosts[recipient].isUp || hosts[recipient].isPaused) {
             return;
         }
-        hosts[recipient].lastHeardS[sender] = events.seconds();
+        hosts[recipient].lastHeartbeatS[sender] = events.seconds();
         hosts[recipient].isSilent[sender] = false;
     }
 
@@ -121,7 +121,9 @@
         }
         double now = events.seconds();
         for (int subject = 0; subject < hosts.length && !host.isPaused; subject++) {
-            if (subject == observer || host.isSilent[subject] || now - host.lastHeardS[subject] < SILENCE_TIMEOUT_S) {
+            if (subject == observer
+                    || host.isSilent[subject]
+                    || now - host.lastHeartbeatS[subject] < SILENCE_TIMEOUT_S) {
                 continue;
             }
             host.isSilent[subject] = true;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
@@ -96,9 +96,9 @@
                     perKnown = heapBytesPerMember(simulation);
                 }
                 double faultStartS = JOIN_DURATION_S + IDLE_DURATION_S - 5;
-                int victims = 3;
+                int killCount = 3;
                 List<FleetScenario.Incident> kills = new ArrayList<>();
-                for (int i = 0; i < victims; i++) {
+                for (int i = 0; i < killCount; i++) {
                     kills.add(incident(faultStartS + 6 * i, 0, "kill", "" + (members - i), 1));
                 }
                 new MembershipSimulation(scenario("kill", members, faultStartS + 30, kills), seed, true, 0)
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -255,7 +255,7 @@
         if (!Double.isNaN(settledSinceS)) {
             outcome.settledS = Math.max(0, settledSinceS - schedule.lastS());
         } else {
-            note("unsettled");
+            addNote("unsettled");
         }
         for (Host host : hostsByIncarnation.values()) {
             outcome.refuted += host.protocol.counters().get(MembershipCounter.REFUTATIONS);
@@ -416,11 +416,11 @@
                         || unreachable.contains(observer.slot.number());
         if (!isExcused) {
             outcome.falseVerdicts++;
-            note(observerAndSubject + " falsely silent");
+            addNote(observerAndSubject + " falsely silent");
         }
     }
 
-    private void note(String text) {
+    private void addNote(String text) {
         if (outcome.notes.size() < 20) {
             outcome.notes.add(
                     String.format(java.util.Locale.ROOT, "%.2f s: %s", events.seconds(), text));
@@ -432,7 +432,7 @@
         if (mismatch != null) {
             settledSinceS = Double.NaN;
             if (events.seconds() > scenario.seconds() - CHECK_INTERVAL_S * 1.5) {
-                note(mismatch);
+                addNote(mismatch);
             }
         } else if (Double.isNaN(settledSinceS)) {
             settledSinceS = events.seconds();
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
@@ -76,7 +76,7 @@
             links.add(new ArrayList<>());
         }
         for (int i = 0; i < STARTUP_ROUNDS; i++) {
-            runCalmRound();
+            runFaultFreeRound();
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** Ticks each member's clock once and then delivers all packets in order. */
-    private void runCalmRound() {
+    private void runFaultFreeRound() {
         for (int i = 0; i < memberCount; i++) {
             if (!isCrashed[i]) {
                 advanceClock(i);
@@ -251,7 +251,7 @@
             if (hasSettled()) {
                 return i;
             }
-            runCalmRound();
+            runFaultFreeRound();
         }
         return -1;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
@@ -33,7 +33,7 @@
                     "twin");
 
     /** Latest start of a fault, in seconds after the first second. */
-    private static final double START_WITHIN_S = 12;
+    private static final double MAX_START_OFFSET_S = 12;
 
     private static final double MAX_DURATION_S = 10;
     private static final int SEED_COUNT = 3;
@@ -139,7 +139,7 @@
 
     private static FleetScenario.Incident randomIncident(SplittableRandom random, int members) {
         String what = KINDS.get(random.nextInt(KINDS.size()));
-        double startS = 1 + random.nextDouble() * START_WITHIN_S;
+        double startS = 1 + random.nextDouble() * MAX_START_OFFSET_S;
         double durationS = 0.2 + random.nextDouble() * MAX_DURATION_S;
         double strength = 1;
         String who = randomMembers(random, members);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationMeasurement.java
@@ -33,10 +33,10 @@
     }
 
     private static FleetScenario scenario(int members) {
-        FleetScenario.Incident third =
+        FleetScenario.Incident killThird =
                 new FleetScenario.Incident(KILL_S, RESTART_DELAY_S, "kill", "1/3", "", "", 1);
         // A delay of zero has no effect; it extends the load until well after the restart.
-        FleetScenario.Incident last =
+        FleetScenario.Incident loadExtension =
                 new FleetScenario.Incident(END_S, 0.1, "delay", "", "1", "1", 0);
         return new FleetScenario(
                 "third",
@@ -51,7 +51,7 @@
                 true,
                 true,
                 new FleetScenario.Load(0, 0),
-                List.of(third, last),
+                List.of(killThird, loadExtension),
                 FleetScenario.Expect.NOTHING);
     }
 
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -81,7 +81,7 @@
     private final Outcomes outcomes = new Outcomes();
     private final ReplicaPlacement initialPlacement;
     private final boolean enforcesLeases;
-    private long publications;
+    private long publicationCount;
 
     /** Counts and rule violations of a simulation run. */
     public static final class Outcomes {
@@ -519,7 +519,7 @@
         double lastPublicationS = 3 + 24.0 * versionCount;
         double endS = Math.max(lastFaultS, lastPublicationS) + 60;
         events.after(Math.max(lastFaultS, lastPublicationS), this::checkSettled);
-        lastEventS = Math.max(lastFaultS, lastPublicationS);
+        lastFaultOrPublicationS = Math.max(lastFaultS, lastPublicationS);
         events.run(endS);
         if (Double.isInfinite(outcomes.settledS)) {
             StringBuilder text =
@@ -544,7 +544,7 @@
         return outcomes;
     }
 
-    private double lastEventS;
+    private double lastFaultOrPublicationS;
 
     private void checkSettled() {
         ReplicaPlacement now = committedPlacements.isEmpty() ? initialPlacement : committedPlacements.lastEntry().getValue();
@@ -558,13 +558,13 @@
             }
         }
         if (isSettled) {
-            outcomes.settledS = events.seconds() - lastEventS;
+            outcomes.settledS = events.seconds() - lastFaultOrPublicationS;
             return;
         }
         events.after(0.1, this::checkSettled);
     }
 
-    private void publish(boolean isHarmful, int remainingTries) {
+    private void publish(boolean isHarmful, int remainingAttempts) {
         List<Host> voters = new ArrayList<>();
         for (Host each : hosts.values()) {
             if (each.isUp && !each.isPaused && each.voter != null) {
@@ -580,16 +580,21 @@
             if (voter != null && halted && voter.requestedState == null) {
                 voter.requestedState = voter.placement.rollout().rolledBack("person", "halted");
             }
-            if (remainingTries > 0) {
-                events.after(1, () -> publish(isHarmful, remainingTries - 1));
+            if (remainingAttempts > 0) {
+                events.after(1, () -> publish(isHarmful, remainingAttempts - 1));
             }
             return;
         }
         long number = voter.placement.rollout().target().number() + 1;
-        publications++;
+        publicationCount++;
         PublishedVersion next =
                 new PublishedVersion(
-                        number, String.format("%064x", publications), VERSION_BYTES, "", "person", "why");
+                        number,
+                        String.format("%064x", publicationCount),
+                        VERSION_BYTES,
+                        "",
+                        "person",
+                        "why");
         // A majority of the voters must hold the content before the rollout is requested.
         int holders = 0;
         for (Host each : voters) {
@@ -597,8 +602,8 @@
             holders++;
         }
         if (holders < ReplicaPlacement.quorumSize(Math.min(VOTER_COUNT, scenario.members()))) {
-            if (remainingTries > 0) {
-                events.after(1, () -> publish(isHarmful, remainingTries - 1));
+            if (remainingAttempts > 0) {
+                events.after(1, () -> publish(isHarmful, remainingAttempts - 1));
             }
             return;
         }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
@@ -11,12 +11,12 @@
     /** Performs an action; returns false if it is not possible in this state. */
     boolean act(int action);
 
-    /** A hash that is equal for states with the same behaviour from here on. */
+    /** Returns a hash that is equal for states that behave the same from then on. */
     long fingerprint();
 
     /** The rule that this state violates, or null. */
     String broken();
 
-    /** Runs on without faults; returns the steps until the model settles, or -1 if it does not. */
+    /** Continues without faults; returns the steps until the model settles, -1 if it does not. */
     int settles();
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
@@ -43,10 +43,10 @@
     }
 
     /** A state that was reached, by the path of actions that leads to it. */
-    private record Reached(long fingerprint, byte[] path, String violation) {}
+    private record ReachedState(long fingerprint, byte[] path, String violation) {}
 
-    private List<Reached> expand(byte[] path, int actions) {
-        List<Reached> reached = new ArrayList<>();
+    private List<ReachedState> expand(byte[] path, int actions) {
+        List<ReachedState> reached = new ArrayList<>();
         for (int action = 0; action < actions; action++) {
             StateModel model = replay(path);
             if (!model.act(action)) {
@@ -55,7 +55,7 @@
             byte[] next = Arrays.copyOf(path, path.length + 1);
             next[path.length] = (byte) action;
             long fingerprint = model.fingerprint();
-            reached.add(new Reached(fingerprint, next, model.broken()));
+            reached.add(new ReachedState(fingerprint, next, model.broken()));
         }
         return reached;
     }
@@ -81,13 +81,13 @@
                         });
         try {
             for (int level = 1; level <= depth; level++) {
-                List<Callable<List<Reached>>> work = new ArrayList<>();
+                List<Callable<List<ReachedState>>> work = new ArrayList<>();
                 for (byte[] path : frontier) {
                     work.add(() -> expand(path, replay(path).actions()));
                 }
                 List<byte[]> next = new ArrayList<>();
-                for (Future<List<Reached>> each : executor.invokeAll(work)) {
-                    for (Reached reached : each.get()) {
+                for (Future<List<ReachedState>> each : executor.invokeAll(work)) {
+                    for (ReachedState reached : each.get()) {
                         transitions++;
                         if (reached.violation != null) {
                             return new Found(
--- a/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
@@ -98,7 +98,7 @@
     private final SplittableRandom random;
 
     /** Actions that came due during a pause, in order. */
-    private final List<Runnable> deferred = new ArrayList<>();
+    private final List<Runnable> deferredActions = new ArrayList<>();
 
     private boolean reading;
     private boolean paused;
@@ -242,7 +242,7 @@
                         return;
                     }
                     if (paused) {
-                        deferred.add(action);
+                        deferredActions.add(action);
                     } else {
                         action.run();
                     }
@@ -343,8 +343,8 @@
         if (shouldPause) {
             return;
         }
-        List<Runnable> actions = new ArrayList<>(deferred);
-        deferred.clear();
+        List<Runnable> actions = new ArrayList<>(deferredActions);
+        deferredActions.clear();
         actions.forEach(Runnable::run);
     }
 
@@ -397,7 +397,10 @@
     }
 
     private void sendAnswer(
-            RequestAttempt attempt, RequestAttempt.Answer answer, Duration backoff, boolean last) {
+            RequestAttempt attempt,
+            RequestAttempt.Answer answer,
+            Duration backoff,
+            boolean isFinal) {
         if (attempt.answered) {
             return;
         }
@@ -408,7 +411,7 @@
                 answer == RequestAttempt.Answer.THROTTLED,
                 pausedFrom,
                 pausedTo);
-        attempt.heard.answer(answer, backoff, last);
+        attempt.heard.answer(answer, backoff, isFinal);
     }
 
     @Override
@@ -544,10 +547,10 @@
         }
     }
 
-    /** What each run does once its call has ended. */
+    /** Actions that continue each run after its call. */
     private final Map<InvocationId, Runnable> callContinuations = new HashMap<>();
 
-    /** Ends each run early. */
+    /** Actions that end each run early. */
     private final Map<InvocationId, Runnable> stopActions = new HashMap<>();
 
     private void handleRunEnd(
@@ -658,12 +661,12 @@
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
+    public void throttle(InvocationId id, Duration retryAfter, boolean isFinal) {
         RequestAttempt attempt = attempts.get(id);
         if (attempt == null) {
             return;
         }
-        sendAnswer(attempt, RequestAttempt.Answer.THROTTLED, retryAfter, last);
+        sendAnswer(attempt, RequestAttempt.Answer.THROTTLED, retryAfter, isFinal);
         removeIfDone(attempt);
     }
 
@@ -772,8 +775,8 @@
     }
 
     @Override
-    public void setHealth(boolean isHealthy, boolean stored) {
-        healthy = isHealthy;
+    public void setHealth(boolean healthy, boolean answersDeepChecks) {
+        this.healthy = healthy;
     }
 
     @Override
--- a/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
@@ -76,7 +76,7 @@
                         request.plan.kb(),
                         request.work,
                         request.tries > 1,
-                        (answer, backoff, last) ->
+                        (answer, backoff, isFinal) ->
                                 simulation.travel(
                                         server,
                                         () -> {
@@ -86,7 +86,7 @@
                                             done[0] = true;
                                             openAttempts.computeIfPresent(
                                                     server, (key, count) -> count - 1);
-                                            handleAnswer(request, server, answer, backoff, last);
+                                            handleAnswer(request, server, answer, backoff, isFinal);
                                         }));
         request.at = server;
         request.message = attempt[0];
@@ -116,7 +116,7 @@
             EmulatedServer server,
             RequestAttempt.Answer answer,
             Duration backoff,
-            boolean last) {
+            boolean isFinal) {
         switch (answer) {
             case SUCCEEDED -> request.ends(ClientRequest.End.SUCCEEDED);
             case ERRORED -> {
@@ -131,7 +131,7 @@
                     backoffUntil.put(server, events.seconds() + backoff.toNanos() / 1e9);
                 }
                 request.throttled++;
-                if (last && followsBackoff && !storms) {
+                if (isFinal && followsBackoff && !storms) {
                     request.ends(ClientRequest.End.THROTTLED);
                 } else {
                     retry(request, server, followsBackoff && !storms ? backoff : Duration.ZERO);
--- a/emulator/src/main/java/ochretiller/emulator/simulation/RequestAttempt.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/RequestAttempt.java
@@ -21,9 +21,9 @@
          * Handles the answer.
          *
          * @param backoff advised pause before a retry, zero if no advice is given
-         * @param last whether the gateway is asked not to try another server
+         * @param isFinal whether the gateway is asked not to try another server
          */
-        void answer(Answer answer, Duration backoff, boolean last);
+        void answer(Answer answer, Duration backoff, boolean isFinal);
     }
 
     final InvocationId id;
--- a/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
@@ -421,7 +421,7 @@
         events.after(
                 delaySeconds,
                 () -> {
-                    // A drain that took its whole time has ended by now.
+                    // The old server has stopped by now, even if its drain took the whole time.
                     server.die();
                     servers.add(newServer(server.place, true));
                     publishDirectory();
--- a/emulator/src/test/java/ochretiller/emulator/RuleCheckerTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/RuleCheckerTest.java
@@ -9,18 +9,18 @@
 class RuleCheckerTest {
     private final RuleChecker rules = new RuleChecker();
 
-    private void read(long id) {
+    private void recordRead(long id) {
         rules.read(0, id, "order", 5, true);
     }
 
-    private void runs(long id, String token) {
+    private void recordRun(long id, String token) {
         rules.runs(1, id, "box", token, 20, 100, 0);
     }
 
     @Test
     void oneAnswerInTimeIsNoViolation() {
-        read(1);
-        runs(1, "t");
+        recordRead(1);
+        recordRun(1, "t");
         rules.answered(2, 1, false, -1, -1);
         rules.over(30);
         assertThat(rules.broken()).isEmpty();
@@ -29,28 +29,28 @@
 
     @Test
     void missingSecondAndLateAnswersAreViolations() {
-        read(1);
+        recordRead(1);
         rules.over(30);
         assertThat(rules.broken()).singleElement().asString().contains("never answered");
-        read(2);
+        recordRead(2);
         rules.answered(2, 2, false, -1, -1);
         rules.answered(2, 2, false, -1, -1);
         assertThat(rules.broken().get(1)).contains("second answer");
-        read(3);
+        recordRead(3);
         rules.answered(5.2, 3, false, -1, -1);
         assertThat(rules.broken().get(2)).contains("past its due time");
     }
 
     @Test
     void secondRunInWindowAndThrottlingAfterRunAreViolations() {
-        read(1);
-        runs(1, "t");
+        recordRead(1);
+        recordRun(1, "t");
         rules.answered(2, 1, true, -1, -1);
         assertThat(rules.broken()).singleElement().asString().contains("throttled behind its run");
-        read(2);
-        runs(2, "t");
+        recordRead(2);
+        recordRun(2, "t");
         assertThat(rules.broken().get(1)).contains("ran twice");
-        read(3);
+        recordRead(3);
         rules.runs(21, 3, "box", "t", 40, 100, 20);
         assertThat(rules.count()).as("after the end of the deduplication window").isEqualTo(2);
         rules.runs(21, 3, "another", "t", 40, 100, 20);
@@ -59,7 +59,7 @@
 
     @Test
     void runOfArrivalAfterGraceAndShutdownWithoutAnswerAreViolations() {
-        read(1);
+        recordRead(1);
         rules.runs(9, 1, "box", null, 0, 7, 8);
         assertThat(rules.broken()).singleElement().asString().contains("grace");
         rules.unanswered(9, 1, "box");
@@ -68,9 +68,9 @@
 
     @Test
     void noAnswerIsOwedAfterClientLeftOrServerDied() {
-        read(1);
+        recordRead(1);
         rules.gone(1);
-        read(2);
+        recordRead(2);
         rules.died(2);
         rules.over(30);
         assertThat(rules.broken()).isEmpty();
@@ -78,10 +78,10 @@
 
     @Test
     void deadlineDuringPauseMovesToItsEnd() {
-        read(1);
+        recordRead(1);
         rules.answered(7, 1, false, 4, 7);
         assertThat(rules.broken()).isEmpty();
-        read(2);
+        recordRead(2);
         rules.answered(7, 2, false, 5.5, 7);
         assertThat(rules.broken()).as("the pause began after the deadline").hasSize(1);
     }
