--- a/drill/src/main/java/ochretiller/drill/DiskFaults.java
+++ b/drill/src/main/java/ochretiller/drill/DiskFaults.java
@@ -14,7 +14,7 @@
 /** Copies, deletes and truncates the store folders of servers. */
 final class DiskFaults {
     /** Bytes removed from the end of a store: a few records. */
-    private static final long CUT_BYTES = 700;
+    private static final long TRUNCATED_BYTES = 700;
 
     /** Retries of a copy that failed because a file was deleted meanwhile. */
     private static final int MAX_COPY_RETRIES = 5;
@@ -61,12 +61,12 @@
             long size = Files.size(logs.get(i));
             // The hint does not match a truncated file; without it the server reads the log.
             Files.deleteIfExists(Path.of(logs.get(i).toString().replace(".log", ".hint")));
-            if (size < 2 * CUT_BYTES) {
+            if (size < 2 * TRUNCATED_BYTES) {
                 Files.delete(logs.get(i));
                 continue;
             }
             try (FileChannel file = FileChannel.open(logs.get(i), StandardOpenOption.WRITE)) {
-                file.truncate(size - CUT_BYTES);
+                file.truncate(size - TRUNCATED_BYTES);
             }
             return;
         }
--- a/drill/src/main/java/ochretiller/drill/FailoverScenario.java
+++ b/drill/src/main/java/ochretiller/drill/FailoverScenario.java
@@ -92,7 +92,7 @@
                     recordRun(body);
                     out.accept("m" + slot + "'s processor runs " + body);
                 });
-        String token = beginStep("example");
+        String token = beginCase("example");
         String firstOutcome = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         out.accept("m1 answers: " + describe(firstOutcome));
         runner.box(1).kill();
@@ -121,7 +121,7 @@
      * proves that no run was begun.
      */
     private void ownerKilledWithClaimInTransit() throws Exception {
-        String token = beginStep("claim on the way");
+        String token = beginCase("claim on the way");
         runner.box(2).pause();
         runner.box(3).pause();
         sendRequest(1, token, token);
@@ -143,7 +143,7 @@
     }
 
     private void ownerKilledDuringRun() throws Exception {
-        String token = beginStep("run under way");
+        String token = beginCase("run under way");
         startRunAt(1, token);
         runner.box(1).kill();
         for (int slot : new int[] {2, 3}) {
@@ -157,7 +157,7 @@
     }
 
     private void ownerKilledAfterAnswer() throws Exception {
-        String token = beginStep("answered");
+        String token = beginCase("answered");
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         check(token, first.startsWith("succeeded"), "the first: " + first);
         runner.box(1).kill();
@@ -174,7 +174,7 @@
      * the same answer.
      */
     private void ownerKilledAsRunCompletes() throws Exception {
-        String token = beginStep("ends");
+        String token = beginCase("ends");
         startRunAt(1, token);
         completion.run();
         runner.box(1).kill();
@@ -191,7 +191,7 @@
     }
 
     private void ownerPausedDuringRun() throws Exception {
-        String token = beginStep("paused");
+        String token = beginCase("paused");
         BlockingQueue<String> ownerAnswer = startRunAt(1, token);
         runner.box(1).pause();
         String duringPause = awaitOutcome(sendRequest(2, token, token));
@@ -209,7 +209,7 @@
     }
 
     private void concurrentRequests(boolean differentBodies) throws Exception {
-        String token = beginStep(differentBodies ? "two bodies at once" : "two at once");
+        String token = beginCase(differentBodies ? "two bodies at once" : "two at once");
         BlockingQueue<String> firstAnswer = sendRequest(2, token, token);
         BlockingQueue<String> secondAnswer =
                 sendRequest(3, token, differentBodies ? "other" : token);
@@ -234,7 +234,7 @@
 
     /** All servers replay a result that is sent in fragments, also after the owner was killed. */
     private void longResult() throws Exception {
-        String token = beginStep("long result");
+        String token = beginCase("long result");
         runner.box(1).longer = 60_000;
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         runner.box(1).longer = 0;
@@ -254,7 +254,7 @@
      * that received its last update.
      */
     private void windowExpiresDuringPartition() throws Exception {
-        String token = beginStep("window ends in a cut");
+        String token = beginCase("window ends in a cut");
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         for (int slot : new int[] {1, 2, 3}) {
             check(token, awaitTokenState(slot, token, true), "not kept at " + slot);
@@ -297,9 +297,9 @@
      * It must respect tokens that the fleet knows and run nothing without a claim.
      */
     private void serverClaimMode() throws Exception {
-        String oldToken = beginStep("server mode, a token of the fleet");
+        String oldToken = beginCase("server mode, a token of the fleet");
         String first = retry(1, oldToken, oldToken, outcome -> outcome.startsWith("succeeded"));
-        String openToken = beginStep("server mode, a run under way");
+        String openToken = beginCase("server mode, a run under way");
         startRunAt(1, openToken);
         Runnable runCompletion = completion;
         runner.box(3).kill();
@@ -315,12 +315,12 @@
         retry(3, openToken, openToken, outcome -> outcome.startsWith("succeeded"));
         check(openToken, runCount(openToken) == 1, "runs: " + runCount(openToken));
         check(oldToken, runCount(oldToken) == 1, "runs: " + runCount(oldToken));
-        String newToken = beginStep("server mode, a new token");
+        String newToken = beginCase("server mode, a new token");
         String newResult = retry(3, newToken, newToken, outcome -> outcome.startsWith("succeeded"));
         checkSameResult(newToken, newResult, 3);
         checkSameResult(newToken, newResult, 1);
         check(newToken, runCount(newToken) == 1, "runs: " + runCount(newToken));
-        String cutToken = beginStep("server mode, keepers that do not answer");
+        String cutToken = beginCase("server mode, keepers that do not answer");
         runner.cut(Set.of(3));
         String duringCut = awaitOutcome(sendRequest(3, cutToken, cutToken));
         check(
@@ -331,7 +331,7 @@
         runner.box(3).kill();
         runner.box(3).mode = "fleet";
         restart(3);
-        retry(3, beginStep("server mode, over"), "over", result -> result.startsWith("succeeded"));
+        retry(3, beginCase("server mode, over"), "over", result -> result.startsWith("succeeded"));
     }
 
     /**
@@ -339,7 +339,7 @@
      * before stays valid.
      */
     private void replicaDiskFillsDuringRun() throws Exception {
-        String token = beginStep("a keeper's disk is full");
+        String token = beginCase("a keeper's disk is full");
         startRunAt(1, token);
         Runnable runCompletion = completion;
         runner.box(2).diskIs("full");
@@ -354,7 +354,7 @@
     }
 
     private void allServersKilledAfterAnswer() throws Exception {
-        String token = beginStep("all killed");
+        String token = beginCase("all killed");
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         check(token, first.startsWith("succeeded"), "the first: " + first);
         for (int slot : new int[] {1, 2, 3}) {
@@ -374,7 +374,7 @@
 
     // ---- helpers
 
-    private String beginStep(String name) {
+    private String beginCase(String name) {
         progress.accept("step: " + name);
         return String.format(Locale.ROOT, "%032x", counter.incrementAndGet() * 0x9E3779B97F4AL);
     }
--- a/drill/src/main/java/ochretiller/drill/FaultProxy.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -29,7 +29,7 @@
     /** Limit on delayed packets at one time; packets beyond it are lost. */
     private static final int MAX_DELAYED_PACKETS = 100_000;
 
-    /** Packets of all relays that are kept for replays. */
+    /** Limit on the latest packets of all relays, which floods replay. */
     private static final int MAX_RECENT_PACKETS = 256;
 
     private final LinkFaults faults;
@@ -37,7 +37,7 @@
     private final Selector selector = Selector.open();
     private final Map<Integer, Relay> relays = new ConcurrentHashMap<>();
     private final Map<Integer, Integer> addressByPort = new ConcurrentHashMap<>();
-    private final PriorityQueue<DelayedPacket> delayed =
+    private final PriorityQueue<DelayedPacket> delayedPackets =
             new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
     private final Map<Integer, Integer> slotByAddress = new ConcurrentHashMap<>();
     private final List<byte[]> packetHistory = new ArrayList<>();
@@ -107,11 +107,12 @@
         try {
             while (selector.isOpen()) {
                 long waitMs =
-                        delayed.isEmpty()
+                        delayedPackets.isEmpty()
                                 ? 50
                                 : Math.max(
                                         1,
-                                        (delayed.peek().dueNanos - System.nanoTime()) / 1_000_000);
+                                        (delayedPackets.peek().dueNanos - System.nanoTime())
+                                                / 1_000_000);
                 selector.select(Math.min(waitMs, 50));
                 for (SelectionKey key : selector.selectedKeys()) {
                     Relay relay = (Relay) key.attachment();
@@ -122,8 +123,9 @@
                     }
                 }
                 selector.selectedKeys().clear();
-                while (!delayed.isEmpty() && delayed.peek().dueNanos <= System.nanoTime()) {
-                    send(delayed.poll());
+                while (!delayedPackets.isEmpty()
+                        && delayedPackets.peek().dueNanos <= System.nanoTime()) {
+                    send(delayedPackets.poll());
                 }
             }
         } catch (ClosedSelectorException | ClosedChannelException e) {
@@ -160,8 +162,8 @@
             passed.incrementAndGet();
             if (copy.delayMs() <= 0) {
                 send(new DelayedPacket(0, relay, sent));
-            } else if (delayed.size() < MAX_DELAYED_PACKETS) {
-                delayed.add(
+            } else if (delayedPackets.size() < MAX_DELAYED_PACKETS) {
+                delayedPackets.add(
                         new DelayedPacket(
                                 System.nanoTime() + (long) (copy.delayMs() * 1e6), relay, sent));
             }
--- a/drill/src/main/java/ochretiller/drill/LoadGenerator.java
+++ b/drill/src/main/java/ochretiller/drill/LoadGenerator.java
@@ -24,7 +24,7 @@
     private static final int ORDER_INTERVAL = 4;
 
     /** Number of latest tokens from which repeats are drawn: those of the last few seconds. */
-    private static final int RECENT_TOKENS = 150;
+    private static final int MAX_RECENT_TOKENS = 150;
 
     /** Open requests on one connection, below the server's limit. */
     private static final int MAX_OPEN_REQUESTS = 24;
@@ -113,7 +113,7 @@
                         token);
             }
             if (token != null) {
-                if (tokens.size() == RECENT_TOKENS) {
+                if (tokens.size() == MAX_RECENT_TOKENS) {
                     tokens.remove(0);
                 }
                 tokens.add(token);
--- a/drill/src/main/java/ochretiller/drill/MembershipChart.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipChart.java
@@ -97,7 +97,7 @@
                             || event.what() == History.What.OVER;
             if (event.what() == History.What.OVER) {
                 for (int slot : List.copyOf(views.keySet())) {
-                    appendStrips(
+                    appendCells(
                             svg,
                             slot,
                             views.get(slot),
@@ -109,7 +109,7 @@
                 }
             } else if (hasView || stopped) {
                 if (views.containsKey(event.slot())) {
-                    appendStrips(
+                    appendCells(
                             svg,
                             event.slot(),
                             views.get(event.slot()),
@@ -129,7 +129,7 @@
         Files.writeString(file, svg.append("</svg>\n").toString());
     }
 
-    private static void appendStrips(
+    private static void appendCells(
             StringBuilder svg,
             int observer,
             Map<String, String> states,
--- a/drill/src/main/java/ochretiller/drill/RolloutScenario.java
+++ b/drill/src/main/java/ochretiller/drill/RolloutScenario.java
@@ -154,7 +154,7 @@
     // ---- the cases
 
     private void versionReachesAllServers() throws Exception {
-        beginStep("a version comes to all");
+        beginCase("a version comes to all");
         long version = publish(1, poolSettings(worker.port(), 60), "more in flight");
         check(
                 awaitStatus(
@@ -166,7 +166,7 @@
     }
 
     private void invalidVersionsAreRefused() throws Exception {
-        beginStep("one that cannot be acted on is refused on the spot");
+        beginCase("one that cannot be acted on is refused on the spot");
         JsonNode response =
                 runner.door(
                         runner.box(1),
@@ -192,7 +192,7 @@
 
     /** Resumes a server after a rollout that it missed, with a keyed request already sent to it. */
     private void pausedServerCatchesUp() throws Exception {
-        beginStep("paused through a version");
+        beginCase("paused through a version");
         runner.box(4).pause();
         long version = publish(2, poolSettings(worker.port(), 70), "while one sleeps");
         check(
@@ -214,7 +214,7 @@
     }
 
     private void publisherIsKilled() throws Exception {
-        beginStep("whoever published it is killed");
+        beginCase("whoever published it is killed");
         long version = publish(1, poolSettings(worker.port(), 80), "and then its publisher dies");
         awaitStatus(2, status -> status.get("version").asLong() == version);
         runner.box(1).kill();
@@ -232,7 +232,7 @@
     }
 
     private void harmfulVersionIsRolledBack() throws Exception {
-        beginStep("a version that does harm");
+        beginCase("a version that does harm");
         long previousVersion = appliedVersion(1);
         String previousHash = status(1).get("hash").asText();
         int unusedPort = ServerProcess.freePort();
@@ -263,7 +263,7 @@
 
     /** Checks that all audit logs are intact and together have the runs of the fake processors. */
     private void auditLogsMatchRuns() throws Exception {
-        beginStep("audits held against what was run");
+        beginCase("audits held against what was run");
         for (int slot = 1; slot <= SERVER_COUNT; slot++) {
             runner.box(slot).leave();
         }
@@ -335,7 +335,7 @@
 
     // ---- helpers
 
-    private void beginStep(String name) {
+    private void beginCase(String name) {
         progress.accept("step: " + name);
     }
 
--- a/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
+++ b/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
@@ -39,7 +39,7 @@
     /** The views have converged once they have been equal and correct for this long. */
     private static final double STABLE_S = 2.5;
 
-    /** A crowd fault starts one busy loop per core for each such step of its strength in ms. */
+    /** Strength of a crowd fault, in ms, for which one busy loop per core is started. */
     private static final double CROWD_STEP_MS = 50;
 
     private static final int POLL_MS = 100;
--- a/drill/src/main/java/ochretiller/drill/ServerProcess.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -30,7 +30,8 @@
 
 /** The packaged server in one slot of a scenario, with its own fake services; restartable. */
 final class ServerProcess {
-    private static final Pattern JOINED = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
+    private static final Pattern JOINED_LOG_LINE =
+            Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
 
     /** Low enough for two dozen servers and the drill itself on one machine. */
     private static final int MEMORY_MB = 64;
@@ -311,7 +312,7 @@
                                 fleetLogLines.add(line);
                             }
                             log.flush();
-                            Matcher joined = JOINED.matcher(line);
+                            Matcher joined = JOINED_LOG_LINE.matcher(line);
                             boolean listening = !fleetEnabled && line.contains(" listens on ");
                             if (!joined.find() && !listening) {
                                 continue;
@@ -416,7 +417,7 @@
                         });
     }
 
-    /** Waits at most 10 s for a process that was asked to leave to exit. */
+    /** Waits at most 10 s for the exit of a process that was asked to leave. */
     void awaitEnd() throws InterruptedException {
         if (process != null && process.isAlive() && leaves) {
             process.waitFor(10, TimeUnit.SECONDS);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -414,8 +414,8 @@
             if (voter.committed().epoch() > placement.epoch()) {
                 adoptPlacement(voter.committed());
             }
-            // A majority may accept a placement before any voter learns so: it counts as committed
-            // from when the first voter knows.
+            // A majority may accept a placement before any voter learns of that; the placement
+            // counts as committed once the first voter knows.
             ReplicaPlacement known = voter.committed();
             if (committedPlacements.isEmpty() || known.epoch() > committedPlacements.lastEntry().getValue().epoch()) {
                 recordCommitted(known);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
@@ -19,7 +19,7 @@
  * model must settle if no further fault occurs.
  */
 public final class StateSpaceExplorer {
-    private final Supplier<StateModel> models;
+    private final Supplier<StateModel> modelFactory;
 
     /**
      * The result of an exploration.
@@ -30,12 +30,12 @@
      */
     public record Found(int depth, long states, long edges, int worstSettles, String broken) {}
 
-    public StateSpaceExplorer(Supplier<StateModel> models) {
-        this.models = models;
+    public StateSpaceExplorer(Supplier<StateModel> modelFactory) {
+        this.modelFactory = modelFactory;
     }
 
     private StateModel replay(byte[] path) {
-        StateModel model = models.get();
+        StateModel model = modelFactory.get();
         for (byte action : path) {
             model.act(action);
         }
@@ -67,7 +67,7 @@
     public Found explore(int depth, long maxStates, Consumer<String> progress) throws Exception {
         Set<Long> fingerprints = new HashSet<>();
         List<byte[]> frontier = List.of(new byte[0]);
-        fingerprints.add(models.get().fingerprint());
+        fingerprints.add(modelFactory.get().fingerprint());
         long transitions = 0;
         int maxRounds = 0;
         int completedDepth = 0;
--- a/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
+++ b/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
@@ -61,7 +61,7 @@
 
     /**
      * Records the start of a run. Its token, null if the operation is not keyed, must not run again
-     * on this server before {@code windowEnd}; what arrived after {@code graceEnd} must not run.
+     * on this server before {@code windowEnd}. An arrival after {@code graceEnd} must not run.
      */
     public void runs(
             double now,
