--- a/drill/src/main/java/ochretiller/drill/FailoverScenario.java
+++ b/drill/src/main/java/ochretiller/drill/FailoverScenario.java
@@ -30,7 +30,7 @@
  * repeated at each server, at once and later. Each case checks the outcomes that it expects.
  */
 final class FailoverScenario implements AutoCloseable {
-    /** Limit of each wait: a server start under load, or the time until a token expires. */
+    /** Limit of each wait; longer than a server start under load and than a token is kept. */
     private static final long TIMEOUT_S = 40;
 
     /** Delay before a request is sent again. */
--- a/drill/src/main/java/ochretiller/drill/FaultProxy.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -29,7 +29,7 @@
     /** Limit on delayed packets at one time; packets beyond it are lost. */
     private static final int MAX_DELAYED_PACKETS = 100_000;
 
-    /** Limit on the latest packets of all relays, which floods replay. */
+    /** Number of latest packets, of all relays, that floods can replay. */
     private static final int MAX_RECENT_PACKETS = 256;
 
     private final LinkFaults faults;
