--- a/drill/src/main/java/ochretiller/drill/ServerProcess.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -28,9 +28,10 @@
 import ochretiller.fakes.FakeServices;
 import ochretiller.fakes.GatewayMessages;
 
-/** The packaged server in one slot of the script, with its own fake services; restartable. */
+/** The packaged server in one slot of a scenario, with its own fake services; restartable. */
 final class ServerProcess {
-    private static final Pattern JOINED = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
+    private static final Pattern JOINED_LOG_LINE =
+            Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
 
     /** Low enough for two dozen servers and the drill itself on one machine. */
     private static final int MEMORY_MB = 64;
@@ -94,7 +95,7 @@
         this.slot = slot;
         this.folder = Files.createDirectories(folder.resolve("server-" + slot.number()));
         this.history = history;
-        // Left over from an earlier run in the same folder.
+        // These files may be left over from an earlier run in the same folder.
         Files.deleteIfExists(this.folder.resolve("voter"));
         Files.deleteIfExists(this.folder.resolve("peers"));
         DiskFaults.delete(this.folder.resolve("versions"));
@@ -311,7 +312,7 @@
                                 fleetLogLines.add(line);
                             }
                             log.flush();
-                            Matcher joined = JOINED.matcher(line);
+                            Matcher joined = JOINED_LOG_LINE.matcher(line);
                             boolean listening = !fleetEnabled && line.contains(" listens on ");
                             if (!joined.find() && !listening) {
                                 continue;
@@ -416,7 +417,7 @@
                         });
     }
 
-    /** Waits at most 10 s for a process that was asked to leave to exit. */
+    /** Waits at most 10 s for the exit of a process that was asked to leave. */
     void awaitEnd() throws InterruptedException {
         if (process != null && process.isAlive() && leaves) {
             process.waitFor(10, TimeUnit.SECONDS);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
@@ -19,7 +19,7 @@
  * model must settle if no further fault occurs.
  */
 public final class StateSpaceExplorer {
-    private final Supplier<StateModel> models;
+    private final Supplier<StateModel> modelFactory;
 
     /**
      * The result of an exploration.
@@ -30,12 +30,12 @@
      */
     public record Found(int depth, long states, long edges, int worstSettles, String broken) {}
 
-    public StateSpaceExplorer(Supplier<StateModel> models) {
-        this.models = models;
+    public StateSpaceExplorer(Supplier<StateModel> modelFactory) {
+        this.modelFactory = modelFactory;
     }
 
     private StateModel replay(byte[] path) {
-        StateModel model = models.get();
+        StateModel model = modelFactory.get();
         for (byte action : path) {
             model.act(action);
         }
@@ -43,10 +43,10 @@
     }
 
     /** A state that was reached, by the path of actions that leads to it. */
-    private record Reached(long fingerprint, byte[] path, String violation) {}
+    private record ReachedState(long fingerprint, byte[] path, String violation) {}
 
-    private List<Reached> expand(byte[] path, int actions) {
-        List<Reached> reached = new ArrayList<>();
+    private List<ReachedState> expand(byte[] path, int actions) {
+        List<ReachedState> reached = new ArrayList<>();
         for (int action = 0; action < actions; action++) {
             StateModel model = replay(path);
             if (!model.act(action)) {
@@ -55,7 +55,7 @@
             byte[] next = Arrays.copyOf(path, path.length + 1);
             next[path.length] = (byte) action;
             long fingerprint = model.fingerprint();
-            reached.add(new Reached(fingerprint, next, model.broken()));
+            reached.add(new ReachedState(fingerprint, next, model.broken()));
         }
         return reached;
     }
@@ -67,7 +67,7 @@
     public Found explore(int depth, long maxStates, Consumer<String> progress) throws Exception {
         Set<Long> fingerprints = new HashSet<>();
         List<byte[]> frontier = List.of(new byte[0]);
-        fingerprints.add(models.get().fingerprint());
+        fingerprints.add(modelFactory.get().fingerprint());
         long transitions = 0;
         int maxRounds = 0;
         int completedDepth = 0;
@@ -81,13 +81,13 @@
                         });
         try {
             for (int level = 1; level <= depth; level++) {
-                List<Callable<List<Reached>>> work = new ArrayList<>();
+                List<Callable<List<ReachedState>>> work = new ArrayList<>();
                 for (byte[] path : frontier) {
                     work.add(() -> expand(path, replay(path).actions()));
                 }
                 List<byte[]> next = new ArrayList<>();
-                for (Future<List<Reached>> each : executor.invokeAll(work)) {
-                    for (Reached reached : each.get()) {
+                for (Future<List<ReachedState>> each : executor.invokeAll(work)) {
+                    for (ReachedState reached : each.get()) {
                         transitions++;
                         if (reached.violation != null) {
                             return new Found(
