--- a/drill/src/main/java/ochretiller/drill/DiskFaults.java
+++ b/drill/src/main/java/ochretiller/drill/DiskFaults.java
@@ -54,7 +54,7 @@
     }
 
     /** Truncates the newest log file that is large enough and deletes shorter, newer ones. */
-    static void cut(Path folder) throws IOException {
+    static void truncate(Path folder) throws IOException {
         List<Path> logs =
                 files(folder).stream().filter(file -> file.toString().endsWith(".log")).toList();
         for (int i = logs.size() - 1; i >= 0; i--) {
--- a/drill/src/main/java/ochretiller/drill/Drill.java
+++ b/drill/src/main/java/ochretiller/drill/Drill.java
@@ -70,13 +70,13 @@
                     boolean quiet)
             throws Exception {
         FleetScenario original = FleetScenarioReader.read(file);
-        FleetScenario scenario = members == null ? original : original.sized(members);
+        FleetScenario scenario = members == null ? original : original.withMembers(members);
         Path folder = out != null ? out : Files.createTempDirectory("drill");
-        HistoryChecker checker = play(scenario, seed, folder, !noView, !noCopies, quiet);
+        HistoryChecker checker = runScenario(scenario, seed, folder, !noView, !noCopies, quiet);
         return report(scenario, seed, checker, noView);
     }
 
-    static HistoryChecker play(
+    static HistoryChecker runScenario(
             FleetScenario scenario,
             long seed,
             Path folder,
@@ -97,10 +97,10 @@
                                 System.err.println(line);
                             }
                         })) {
-            History history = runner.play();
+            History history = runner.run();
             history.write(folder.resolve("history.jsonl"));
-            MembershipChart.write(folder.resolve("views.svg"), scenario.name(), history.all());
-            return new HistoryChecker(scenario, history.all());
+            MembershipChart.write(folder.resolve("views.svg"), scenario.name(), history.snapshot());
+            return new HistoryChecker(scenario, history.snapshot());
         }
     }
 
@@ -114,22 +114,22 @@
                 scenario.name(),
                 seed,
                 noView ? ", without a view" : "",
-                checker.settledS(),
+                checker.settleTimeS(),
                 checker.falseVerdicts(),
-                checker.changesEach(),
-                checker.knownMs(50),
-                checker.knownMs(99),
-                checker.asked(),
+                checker.maxVerdictsPerPair(),
+                checker.detectionMs(50),
+                checker.detectionMs(99),
+                checker.requestCount(),
                 checker.valueShare(),
-                checker.lost(),
-                checker.throttled(),
-                checker.ranTwice());
-        if (checker.voided()) {
+                checker.lostRequests(),
+                checker.throttledRequests(),
+                checker.tokensRunTwice());
+        if (checker.isVoid()) {
             System.out.println(
                     "void: the script could not be carried out; this run counts for nothing");
             return EXIT_VOID;
         }
-        List<String> violations = checker.broken();
+        List<String> violations = checker.violations();
         violations.stream().limit(20).forEach(line -> System.out.println("broken: " + line));
         if (!violations.isEmpty()) {
             System.out.println("play it again with --seed " + seed);
@@ -154,7 +154,7 @@
         Path folder = out != null ? out : Files.createTempDirectory("steps");
         try (FailoverScenario scenario =
                 new FailoverScenario(folder, !noCopies, System.err::println)) {
-            List<String> violations = scenario.play();
+            List<String> violations = scenario.run();
             violations.forEach(line -> System.out.println("broken: " + line));
             if (violations.isEmpty()) {
                 System.out.println("each step came out as it has to");
@@ -173,7 +173,7 @@
             throws Exception {
         Path folder = out != null ? out : Files.createTempDirectory("versions");
         try (RolloutScenario scenario = new RolloutScenario(folder, System.err::println)) {
-            List<String> violations = scenario.play();
+            List<String> violations = scenario.run();
             violations.forEach(line -> System.out.println("broken: " + line));
             if (violations.isEmpty()) {
                 System.out.println("each step came out as it has to");
@@ -217,16 +217,16 @@
                     double slowMs,
             @Option(names = "--out", description = "A file for the table.") Path out)
             throws Exception {
-        List<String> rows = new ArrayList<>(List.of(ReplicationCost.HEAD));
-        System.out.println(ReplicationCost.HEAD);
+        List<String> rows = new ArrayList<>(List.of(ReplicationCost.CSV_HEADER));
+        System.out.println(ReplicationCost.CSV_HEADER);
         for (int size : members) {
             for (ReplicationCost.Kind kind : kinds) {
                 ReplicationCost cost =
                         new ReplicationCost(
-                                new ReplicationCost.Asked(
+                                new ReplicationCost.Workload(
                                         size, callers, seconds, pauseMs, links, slowMs),
                                 System.err::println);
-                String row = cost.row(Files.createTempDirectory("cost"), kind);
+                String row = cost.measure(Files.createTempDirectory("cost"), kind);
                 System.out.println(row);
                 rows.add(row);
             }
@@ -255,29 +255,29 @@
             try (FailoverScenario scenario =
                     new FailoverScenario(
                             Files.createTempDirectory("example"), true, System.err::println)) {
-                return scenario.example(System.out::println) ? 0 : EXIT_RULE_BROKEN;
+                return scenario.runExample(System.out::println) ? 0 : EXIT_RULE_BROKEN;
             }
         }
         FleetScenario scenario =
-                FleetScenarioReader.of(
+                FleetScenarioReader.parse(
                         """
                         { name: 'example', seconds: 12, members: 3, zones: 3, incidents: [ { at_s: 5, what: 'kill', who: '3' } ],
                           expect: { settled_s: 10, false_verdicts: 0 } }\
                         """,
                         "example");
         Path folder = Files.createTempDirectory("drill");
-        HistoryChecker checker = play(scenario, 1, folder, true, true, false);
+        HistoryChecker checker = runScenario(scenario, 1, folder, true, true, false);
         Map<Integer, String> lastViews = new TreeMap<>();
         Map<String, String> names = new HashMap<>();
         for (History.Event event : History.read(folder.resolve("history.jsonl"))) {
-            if (event.what() == History.What.STARTED) {
+            if (event.what() == History.EventType.STARTED) {
                 names.put(event.id(), event.text());
             }
-            if (event.what() == History.What.KILLED) {
+            if (event.what() == History.EventType.KILLED) {
                 System.out.printf(
                         Locale.ROOT, "%5.1f s  m%d is killed%n", event.atS(), event.slot());
             }
-            if (event.what() != History.What.VIEW) {
+            if (event.what() != History.EventType.VIEW) {
                 continue;
             }
             Map<String, String> view = new TreeMap<>();
@@ -305,10 +305,10 @@
             throws IOException {
         FleetScenario scenario = FleetScenarioReader.read(script);
         return report(
-                members == null ? scenario : scenario.sized(members),
+                members == null ? scenario : scenario.withMembers(members),
                 0,
                 new HistoryChecker(
-                        members == null ? scenario : scenario.sized(members),
+                        members == null ? scenario : scenario.withMembers(members),
                         History.read(history)),
                 false);
     }
--- a/drill/src/main/java/ochretiller/drill/FailoverScenario.java
+++ b/drill/src/main/java/ochretiller/drill/FailoverScenario.java
@@ -56,7 +56,7 @@
             throws IOException {
         this.progress = progress;
         FleetScenario scenario =
-                FleetScenarioReader.of(
+                FleetScenarioReader.parse(
                         """
                         { name: 'steps', seconds: 1, members: 3, zones: 3, seeds: 3, copies: true, store: true }\
                         """,
@@ -65,8 +65,8 @@
     }
 
     /** Runs all cases and returns the violations, one line each. */
-    List<String> play() throws Exception {
-        runner.raise((slot, body) -> recordRun(body));
+    List<String> run() throws Exception {
+        runner.startServers((slot, body) -> recordRun(body));
         ownerKilledWithClaimInTransit();
         ownerKilledDuringRun();
         ownerKilledAfterAnswer();
@@ -86,8 +86,8 @@
      * Sends a keyed request to one server, kills it and repeats the request at another, printing
      * each event. Returns whether both results were equal and the request was run once.
      */
-    boolean example(Consumer<String> out) throws Exception {
-        runner.raise(
+    boolean runExample(Consumer<String> out) throws Exception {
+        runner.startServers(
                 (slot, body) -> {
                     recordRun(body);
                     out.accept("m" + slot + "'s processor runs " + body);
@@ -95,7 +95,7 @@
         String token = beginCase("example");
         String firstOutcome = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         out.accept("m1 answers: " + describe(firstOutcome));
-        runner.box(1).kill();
+        runner.server(1).kill();
         out.accept("m1 is killed with SIGKILL");
         String secondOutcome = retry(2, token, token, outcome -> outcome.startsWith("succeeded"));
         out.accept("m2 answers the repeat: " + describe(secondOutcome));
@@ -122,15 +122,15 @@
      */
     private void ownerKilledWithClaimInTransit() throws Exception {
         String token = beginCase("claim on the way");
-        runner.box(2).pause();
-        runner.box(3).pause();
+        runner.server(2).pause();
+        runner.server(3).pause();
         sendRequest(1, token, token);
         // The claim may or may not have reached the replicas' sockets by then; the outcome must be
         // right in both cases.
         Thread.sleep(RETRY_MS / 4);
-        runner.box(1).kill();
-        runner.box(2).resume();
-        runner.box(3).resume();
+        runner.server(1).kill();
+        runner.server(2).resume();
+        runner.server(3).resume();
         String repeat = awaitOutcome(sendRequest(2, token, token));
         check(
                 token,
@@ -145,7 +145,7 @@
     private void ownerKilledDuringRun() throws Exception {
         String token = beginCase("run under way");
         startRunAt(1, token);
-        runner.box(1).kill();
+        runner.server(1).kill();
         for (int slot : new int[] {2, 3}) {
             String repeat = awaitOutcome(sendRequest(slot, token, token));
             check(token, repeat.equals("errored"), "the repeat at " + slot + ": " + repeat);
@@ -160,7 +160,7 @@
         String token = beginCase("answered");
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         check(token, first.startsWith("succeeded"), "the first: " + first);
-        runner.box(1).kill();
+        runner.server(1).kill();
         for (int slot : new int[] {2, 3}) {
             checkSameResult(token, first, slot);
         }
@@ -177,7 +177,7 @@
         String token = beginCase("ends");
         startRunAt(1, token);
         completion.run();
-        runner.box(1).kill();
+        runner.server(1).kill();
         String afterKill = retry(2, token, token, outcome -> !outcome.equals("throttled"));
         restart(1);
         for (int slot : new int[] {1, 2, 3}) {
@@ -193,11 +193,11 @@
     private void ownerPausedDuringRun() throws Exception {
         String token = beginCase("paused");
         BlockingQueue<String> ownerAnswer = startRunAt(1, token);
-        runner.box(1).pause();
+        runner.server(1).pause();
         String duringPause = awaitOutcome(sendRequest(2, token, token));
         check(token, duringPause.equals("errored"), "the repeat meanwhile: " + duringPause);
         completion.run();
-        runner.box(1).resume();
+        runner.server(1).resume();
         String ownerOutcome = awaitOutcome(ownerAnswer);
         check(
                 token,
@@ -235,15 +235,15 @@
     /** All servers replay a result that is sent in fragments, also after the owner was killed. */
     private void longResult() throws Exception {
         String token = beginCase("long result");
-        runner.box(1).longer = 60_000;
+        runner.server(1).resultPaddingChars = 60_000;
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
-        runner.box(1).longer = 0;
+        runner.server(1).resultPaddingChars = 0;
         check(
                 token,
                 first.startsWith("succeeded") && first.length() > 60_000,
                 "the first: " + first.length() + " characters");
         checkSameResult(token, first, 2);
-        runner.box(1).kill();
+        runner.server(1).kill();
         checkSameResult(token, first, 3);
         restart(1);
         check(token, runCount(token) == 1, "runs: " + runCount(token));
@@ -259,12 +259,12 @@
         for (int slot : new int[] {1, 2, 3}) {
             check(token, awaitTokenState(slot, token, true), "not kept at " + slot);
         }
-        runner.cut(Set.of(3));
+        runner.isolate(Set.of(3));
         for (int slot : new int[] {1, 2, 3}) {
             check(token, awaitTokenState(slot, token, false), "kept past its window at " + slot);
         }
-        runner.cut(Set.of());
-        runner.compared();
+        runner.isolate(Set.of());
+        runner.compareReplicas();
         for (int slot : new int[] {1, 2, 3}) {
             check(token, !hasTokenState(slot, token), "back to life at " + slot);
         }
@@ -284,7 +284,7 @@
     }
 
     private boolean hasTokenState(int slot, String token) {
-        JsonNode response = runner.door(runner.box(slot), "copies-show", token);
+        JsonNode response = runner.adminRequest(runner.server(slot), "copies-show", token);
         if (response == null) {
             violations.add(token + ": server " + slot + " did not tell what it keeps");
         }
@@ -302,8 +302,8 @@
         String openToken = beginCase("server mode, a run under way");
         startRunAt(1, openToken);
         Runnable runCompletion = completion;
-        runner.box(3).kill();
-        runner.box(3).mode = "server";
+        runner.server(3).kill();
+        runner.server(3).claimMode = "server";
         restart(3);
         checkSameResult(oldToken, first, 3);
         String repeat = awaitOutcome(sendRequest(3, openToken, openToken));
@@ -321,15 +321,15 @@
         checkSameResult(newToken, newResult, 1);
         check(newToken, runCount(newToken) == 1, "runs: " + runCount(newToken));
         String cutToken = beginCase("server mode, keepers that do not answer");
-        runner.cut(Set.of(3));
+        runner.isolate(Set.of(3));
         String duringCut = awaitOutcome(sendRequest(3, cutToken, cutToken));
         check(
                 cutToken,
                 duringCut.equals("throttled") && runCount(cutToken) == 0,
                 "cut off from the keepers: " + duringCut);
-        runner.cut(Set.of());
-        runner.box(3).kill();
-        runner.box(3).mode = "fleet";
+        runner.isolate(Set.of());
+        runner.server(3).kill();
+        runner.server(3).claimMode = "fleet";
         restart(3);
         retry(3, beginCase("server mode, over"), "over", result -> result.startsWith("succeeded"));
     }
@@ -342,13 +342,13 @@
         String token = beginCase("a keeper's disk is full");
         startRunAt(1, token);
         Runnable runCompletion = completion;
-        runner.box(2).diskIs("full");
+        runner.server(2).setDiskFault("full");
         runCompletion.run();
         String whileFull = retry(3, token, token, outcome -> outcome.startsWith("succeeded"));
         check(token, whileFull.startsWith("succeeded"), "while it is full: " + whileFull);
-        runner.box(2).diskIs("stall");
+        runner.server(2).setDiskFault("stall");
         checkSameResult(token, whileFull, 3);
-        runner.box(2).diskIs(null);
+        runner.server(2).setDiskFault(null);
         checkSameResult(token, whileFull, 2);
         check(token, runCount(token) == 1, "runs: " + runCount(token));
     }
@@ -358,13 +358,13 @@
         String first = retry(1, token, token, outcome -> outcome.startsWith("succeeded"));
         check(token, first.startsWith("succeeded"), "the first: " + first);
         for (int slot : new int[] {1, 2, 3}) {
-            runner.box(slot).kill();
+            runner.server(slot).kill();
         }
         for (int slot : new int[] {1, 2, 3}) {
-            runner.again(slot);
+            runner.restart(slot);
         }
         for (int slot : new int[] {1, 2, 3}) {
-            runner.box(slot).awaitPart();
+            runner.server(slot).awaitReady();
         }
         for (int slot : new int[] {3, 2, 1}) {
             checkSameResult(token, first, slot);
@@ -396,7 +396,7 @@
     /** Sends a request whose run begins but completes only when {@link #completion} is run. */
     private BlockingQueue<String> startRunAt(int slot, String token) throws Exception {
         pendingCompletions.clear();
-        runner.box(slot).ends = pendingCompletions::add;
+        runner.server(slot).completionHandler = pendingCompletions::add;
         BlockingQueue<String> answer = sendRequest(slot, token, token);
         // A server that was just restarted may throttle the first request; it began no run then,
         // and the request is sent again.
@@ -408,7 +408,7 @@
                 answer = sendRequest(slot, token, token);
             }
         }
-        runner.box(slot).ends = Runnable::run;
+        runner.server(slot).completionHandler = Runnable::run;
         if (completion == null) {
             throw new IOException("server " + slot + " began no run of token " + token);
         }
@@ -416,8 +416,8 @@
     }
 
     private void restart(int slot) throws Exception {
-        runner.again(slot);
-        if (!runner.box(slot).awaitPart()) {
+        runner.restart(slot);
+        if (!runner.server(slot).awaitReady()) {
             throw new IOException("server " + slot + " was not ready in time");
         }
     }
@@ -463,7 +463,8 @@
         int number = counter.incrementAndGet();
         FakeConnection connection =
                 new FakeConnection(
-                        new Socket(InetAddress.getLoopbackAddress(), runner.box(slot).serves));
+                        new Socket(
+                                InetAddress.getLoopbackAddress(), runner.server(slot).clientPort));
         connection.send(
                 GatewayMessages.message(
                         number,
@@ -473,7 +474,7 @@
                 new Thread(
                         () -> {
                             try (connection) {
-                                String line = connection.line();
+                                String line = connection.readLine();
                                 int dataAt = line == null ? -1 : line.indexOf("\"data\":\"");
                                 if (line == null) {
                                     answer.add("broken");
--- a/drill/src/main/java/ochretiller/drill/FaultProxy.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -45,7 +45,7 @@
     /** Slots that are cut off from all others, in addition to the scenario's faults. */
     private volatile Set<Integer> isolatedSlots = Set.of();
 
-    final AtomicLong passed = new AtomicLong();
+    final AtomicLong forwarded = new AtomicLong();
     final AtomicLong dropped = new AtomicLong();
 
     private record DelayedPacket(long dueNanos, Relay relay, byte[] bytes) {}
@@ -69,7 +69,7 @@
     }
 
     /** Opens the relay of an address and returns the relay's port. */
-    int open(int address, int serverPort) throws IOException {
+    int openRelay(int address, int serverPort) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
         channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         channel.configureBlocking(false);
@@ -86,12 +86,12 @@
     }
 
     /** Sets the slot of the server that now uses an address. */
-    void at(int address, int slot) {
+    void assignSlot(int address, int slot) {
         slotByAddress.put(address, slot);
     }
 
     /** Cuts these slots off from all others until the next call; an empty set ends the cut. */
-    void cut(Set<Integer> slots) {
+    void isolate(Set<Integer> slots) {
         isolatedSlots = Set.copyOf(slots);
     }
 
@@ -149,17 +149,17 @@
         int toSlot = slotByAddress.getOrDefault(relay.address, 0);
         boolean isolated = isolatedSlots.contains(fromSlot) != isolatedSlots.contains(toSlot);
         List<LinkFaults.Copy> copies =
-                isolated ? List.of() : faults.fate(fromSlot, toSlot, now.getAsDouble());
+                isolated ? List.of() : faults.deliveredCopies(fromSlot, toSlot, now.getAsDouble());
         if (copies.isEmpty()) {
             dropped.incrementAndGet();
         }
         for (LinkFaults.Copy copy : copies) {
             byte[] sent = bytes;
-            if (copy.spoilt()) {
+            if (copy.isCorrupted()) {
                 sent = bytes.clone();
-                sent[(int) (passed.get() % sent.length)] ^= 0x20;
+                sent[(int) (forwarded.get() % sent.length)] ^= 0x20;
             }
-            passed.incrementAndGet();
+            forwarded.incrementAndGet();
             if (copy.delayMs() <= 0) {
                 send(new DelayedPacket(0, relay, sent));
             } else if (delayedPackets.size() < MAX_DELAYED_PACKETS) {
@@ -179,7 +179,7 @@
     }
 
     /** Returns the packets received last, for floods that replay them. */
-    List<byte[]> heard() {
+    List<byte[]> recentPackets() {
         synchronized (packetHistory) {
             return List.copyOf(packetHistory);
         }
--- a/drill/src/main/java/ochretiller/drill/History.java
+++ b/drill/src/main/java/ochretiller/drill/History.java
@@ -18,7 +18,7 @@
     /** Enough for 15 minutes of a large fleet under load; later events are dropped. */
     private static final int MAX_EVENTS = 4_000_000;
 
-    enum What {
+    enum EventType {
         /** A process has joined the fleet; {@code id} is its incarnation, {@code text} its name. */
         STARTED,
         /** A process was killed, paused, resumed or asked to leave, or has exited. */
@@ -46,13 +46,18 @@
     }
 
     /**
-     * An event, stored as a JSON object. {@code view} is null except for a {@link What#VIEW}.
+     * An event, stored as a JSON object. {@code view} is null except for a {@link EventType#VIEW}.
      *
      * @param id a request's number or body, or the incarnation of a process
      * @param text details that depend on the event type
      */
     record Event(
-            double atS, What what, int slot, String id, String text, Map<String, String> view) {}
+            double atS,
+            EventType what,
+            int slot,
+            String id,
+            String text,
+            Map<String, String> view) {}
 
     private final List<Event> events = new ArrayList<>();
     private final long zeroNanos;
@@ -67,27 +72,27 @@
         return (System.nanoTime() - zeroNanos) / 1e9;
     }
 
-    void add(What type, int slot, String id, String text) {
-        put(new Event(now(), type, slot, id, text, null));
+    void add(EventType type, int slot, String id, String text) {
+        append(new Event(now(), type, slot, id, text, null));
     }
 
-    void view(int slot, String incarnation, String digest, Map<String, String> states) {
-        put(new Event(now(), What.VIEW, slot, incarnation, digest, states));
+    void addView(int slot, String incarnation, String digest, Map<String, String> states) {
+        append(new Event(now(), EventType.VIEW, slot, incarnation, digest, states));
     }
 
-    synchronized void put(Event event) {
+    synchronized void append(Event event) {
         if (events.size() < MAX_EVENTS) {
             events.add(event);
         }
     }
 
-    synchronized List<Event> all() {
+    synchronized List<Event> snapshot() {
         return List.copyOf(events);
     }
 
     void write(Path file) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            for (Event event : all()) {
+            for (Event event : snapshot()) {
                 out.append(JSON.writeValueAsString(event)).append('\n');
             }
         }
--- a/drill/src/main/java/ochretiller/drill/HistoryChecker.java
+++ b/drill/src/main/java/ochretiller/drill/HistoryChecker.java
@@ -33,9 +33,9 @@
     private final List<History.Event> events;
     private final List<String> ruleViolations = new ArrayList<>();
     private final List<Double> detectionTimesMs = new ArrayList<>();
-    private double settledS = Double.POSITIVE_INFINITY;
+    private double settleTimeS = Double.POSITIVE_INFINITY;
     private int falseVerdicts;
-    private int changesEach;
+    private int maxVerdictsPerPair;
     private int sentCount;
     private int onTimeCount;
     private int lostCount;
@@ -48,7 +48,7 @@
         this.schedule = FaultSchedule.of(scenario);
         this.events = events;
         for (History.Event event : events) {
-            hasVoidEvent |= event.what() == History.What.VOID;
+            hasVoidEvent |= event.what() == History.EventType.VOID;
         }
         checkViews();
         checkAnswers();
@@ -64,40 +64,40 @@
     }
 
     /** Returns the violations, each starting with its rule; none if the run is void. */
-    List<String> broken() {
+    List<String> violations() {
         return hasVoidEvent ? List.of() : ruleViolations;
     }
 
-    boolean voided() {
+    boolean isVoid() {
         return hasVoidEvent;
     }
 
-    double settledS() {
-        return settledS;
+    double settleTimeS() {
+        return settleTimeS;
     }
 
     int falseVerdicts() {
         return falseVerdicts;
     }
 
-    int changesEach() {
-        return changesEach;
+    int maxVerdictsPerPair() {
+        return maxVerdictsPerPair;
     }
 
-    int asked() {
+    int requestCount() {
         return sentCount;
     }
 
     /** Returns how many tokens were run more than once. */
-    int ranTwice() {
+    int tokensRunTwice() {
         return runTwiceCount;
     }
 
-    int throttled() {
+    int throttledRequests() {
         return throttledCount;
     }
 
-    int lost() {
+    int lostRequests() {
         return lostCount;
     }
 
@@ -106,7 +106,7 @@
     }
 
     /** Returns a percentile of the times from a kill to each survivor's verdict, in ms, or NaN. */
-    double knownMs(double percentile) {
+    double detectionMs(double percentile) {
         if (detectionTimesMs.isEmpty()) {
             return Double.NaN;
         }
@@ -131,7 +131,7 @@
         Map<Integer, Map<String, String>> views = new TreeMap<>();
         Map<Integer, String> digests = new TreeMap<>();
         Map<String, Integer> silentCounts = new TreeMap<>();
-        double lastFaultS = schedule.lastS();
+        double lastFaultS = schedule.lastFaultEndS();
         double convergedSinceS = Double.NaN;
         double endS = 0;
         for (History.Event event : events) {
@@ -146,7 +146,7 @@
                 }
                 case KILLED, ENDED -> {
                     String incarnation = running.remove(slot);
-                    if (incarnation != null && event.what() == History.What.KILLED) {
+                    if (incarnation != null && event.what() == History.EventType.KILLED) {
                         killedAtS.put(incarnation, event.atS());
                     }
                     views.remove(slot);
@@ -181,14 +181,16 @@
                             }
                             continue;
                         }
-                        changesEach =
+                        maxVerdictsPerPair =
                                 Math.max(
-                                        changesEach,
+                                        maxVerdictsPerPair,
                                         silentCounts.merge(
                                                 slot + " of " + memberSlot, 1, Integer::sum));
-                        Set<Integer> unreachable = new HashSet<>(schedule.unheard(event.atS()));
+                        Set<Integer> unreachable =
+                                new HashSet<>(schedule.unreachableSlots(event.atS()));
                         unreachable.addAll(
-                                schedule.unheard(Math.max(0, event.atS() - VERDICT_GRACE_S)));
+                                schedule.unreachableSlots(
+                                        Math.max(0, event.atS() - VERDICT_GRACE_S)));
                         boolean excused =
                                 paused.contains(memberSlot)
                                         || event.atS() - resumedAtS.getOrDefault(memberSlot, -1e9)
@@ -224,22 +226,23 @@
             }
         }
         if (!Double.isNaN(convergedSinceS)) {
-            settledS = Math.max(0, convergedSinceS - lastFaultS);
+            settleTimeS = Math.max(0, convergedSinceS - lastFaultS);
         }
-        if (scenario.expect().settledS() > 0 && settledS > scenario.expect().settledS()) {
+        if (scenario.expect().settledS() > 0 && settleTimeS > scenario.expect().settledS()) {
             ruleViolations.add(
                     String.format(
                             Locale.ROOT,
                             "settled: views were equal and right %.1f s behind the last fault, not"
                                     + " within %.1f; watched until %.1f s",
-                            settledS,
+                            settleTimeS,
                             scenario.expect().settledS(),
                             endS));
         }
-        if (scenario.expect().changesEach() >= 0 && changesEach > scenario.expect().changesEach()) {
+        if (scenario.expect().changesEach() >= 0
+                && maxVerdictsPerPair > scenario.expect().changesEach()) {
             ruleViolations.add(
                     "changes: one member was judged silent "
-                            + changesEach
+                            + maxVerdictsPerPair
                             + " times, over "
                             + scenario.expect().changesEach());
         }
@@ -299,7 +302,7 @@
     private void checkReplicas() {
         Map<String, String> firstDigests = new HashMap<>();
         for (History.Event event : events) {
-            if (event.what() != History.What.COPIES) {
+            if (event.what() != History.EventType.COPIES) {
                 continue;
             }
             if (event.text().equals("none")) {
--- a/drill/src/main/java/ochretiller/drill/LoadGenerator.java
+++ b/drill/src/main/java/ochretiller/drill/LoadGenerator.java
@@ -86,7 +86,7 @@
     private void sendRequest() {
         List<ServerProcess> available = new ArrayList<>();
         for (ServerProcess server : servers) {
-            if (server.up && !server.paused && !server.leaves) {
+            if (server.ready && !server.paused && !server.leaving) {
                 available.add(server);
             }
         }
@@ -131,14 +131,14 @@
             if (connection != null && !connection.disconnected) {
                 connection.retired = true;
             }
-            connection = new Connection(server.serves);
+            connection = new Connection(server.clientPort);
             connections.put(server.slot.number(), connection);
         }
         return connection;
     }
 
     /** Stops sending, waits at most 5 s for open requests and closes all connections. */
-    void end() throws InterruptedException {
+    void stop() throws InterruptedException {
         stopped = true;
         // A request that is being sent now could otherwise miss the wait below and have its
         // connection closed before the answer.
@@ -174,7 +174,7 @@
             String id = "r" + number;
             String body = token == null ? id : "order " + token;
             openRequests.put(number, slot);
-            history.add(History.What.ASKED, slot, id, body);
+            history.add(History.EventType.ASKED, slot, id, body);
             try {
                 transport.send(
                         GatewayMessages.message(
@@ -194,13 +194,15 @@
         private void complete(long number, String outcome) {
             Integer slot = openRequests.remove(number);
             if (slot != null) {
-                history.add(History.What.ANSWERED, slot, "r" + number, outcome);
+                history.add(History.EventType.ANSWERED, slot, "r" + number, outcome);
             }
         }
 
         private void readAnswers() {
             try {
-                for (String line = transport.line(); line != null; line = transport.line()) {
+                for (String line = transport.readLine();
+                        line != null;
+                        line = transport.readLine()) {
                     int idAt = line.indexOf("\"id\":");
                     if (idAt < 0) {
                         continue;
--- a/drill/src/main/java/ochretiller/drill/MembershipChart.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipChart.java
@@ -31,7 +31,7 @@
         double startS = Double.POSITIVE_INFINITY;
         double endS = 0;
         for (History.Event event : events) {
-            if (event.what() == History.What.STARTED) {
+            if (event.what() == History.EventType.STARTED) {
                 slotByIncarnation.put(event.id(), event.slot());
                 nameBySlot.put(event.slot(), event.text());
             }
@@ -90,12 +90,12 @@
         Map<Integer, Map<String, String>> views = new HashMap<>();
         Map<Integer, Double> viewSince = new HashMap<>();
         for (History.Event event : events) {
-            boolean hasView = event.what() == History.What.VIEW;
+            boolean hasView = event.what() == History.EventType.VIEW;
             boolean stopped =
-                    event.what() == History.What.KILLED
-                            || event.what() == History.What.ENDED
-                            || event.what() == History.What.OVER;
-            if (event.what() == History.What.OVER) {
+                    event.what() == History.EventType.KILLED
+                            || event.what() == History.EventType.ENDED
+                            || event.what() == History.EventType.OVER;
+            if (event.what() == History.EventType.OVER) {
                 for (int slot : List.copyOf(views.keySet())) {
                     appendCells(
                             svg,
--- a/drill/src/main/java/ochretiller/drill/MembershipPoller.java
+++ b/drill/src/main/java/ochretiller/drill/MembershipPoller.java
@@ -16,7 +16,7 @@
     private static final int REQUESTS_PER_CONNECTION = 90;
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    static final FleetKeys KEYS = FleetKeys.of("a key that only drills have");
+    static final FleetKeys DRILL_KEYS = FleetKeys.of("a key that only drills have");
 
     private final ServerProcess server;
     private final int port;
@@ -30,7 +30,7 @@
     volatile String digest = "";
 
     /** The incarnation that answered last; null before the first answer. */
-    volatile String start;
+    volatile String incarnation;
 
     MembershipPoller(ServerProcess server, int port, History history, int intervalMs) {
         this.server = server;
@@ -43,19 +43,19 @@
     }
 
     /** Records further changes in {@code next}, beginning with the whole current view. */
-    void become(History next) {
+    void setHistory(History next) {
         history = next;
         digest = "";
     }
 
-    void end() {
+    void stop() {
         stopped = true;
     }
 
     private void poll() {
         try {
             while (!stopped) {
-                if (!server.up || server.paused) {
+                if (!server.ready || server.paused) {
                     Thread.sleep(intervalMs);
                     continue;
                 }
@@ -63,11 +63,11 @@
                         new AdminClient(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                                 "drill",
-                                KEYS)) {
+                                DRILL_KEYS)) {
                     for (int i = 0;
                             i < REQUESTS_PER_CONNECTION
                                     && !stopped
-                                    && server.up
+                                    && server.ready
                                     && !server.paused;
                             i++) {
                         recordChange(JSON.readTree(client.request("view")));
@@ -92,12 +92,14 @@
             }
         }
         String newDigest = view.get("digest").asText();
-        if (newStates.equals(states) && newDigest.equals(digest) && ownIncarnation.equals(start)) {
+        if (newStates.equals(states)
+                && newDigest.equals(digest)
+                && ownIncarnation.equals(incarnation)) {
             return;
         }
         states = newStates;
         digest = newDigest;
-        start = ownIncarnation;
-        history.view(server.slot.number(), ownIncarnation, newDigest, newStates);
+        incarnation = ownIncarnation;
+        history.addView(server.slot.number(), ownIncarnation, newDigest, newStates);
     }
 }
--- a/drill/src/main/java/ochretiller/drill/ReplicationCost.java
+++ b/drill/src/main/java/ochretiller/drill/ReplicationCost.java
@@ -46,29 +46,34 @@
         /** On disk, the first server cut off from all others; only its clients are measured. */
         MINORITY;
 
-        boolean copies() {
+        boolean isReplicated() {
             return this != NONE;
         }
 
-        boolean store() {
+        boolean usesDisk() {
             return this != NONE && this != MEMORY;
         }
     }
 
     /**
-     * @param callers clients of each server; half of them send keyed invocations, half idempotent
-     *     ones
+     * @param clientsPerServer clients of each server; half of them send keyed invocations, half
+     *     idempotent ones
      * @param pauseMs pause between two invocations of a client
-     * @param links whether the fault proxy is used even for setups without network faults
+     * @param throughProxy whether the fault proxy is used even for setups without network faults
      * @param slowMs delay of packets from the slow replica
      */
-    record Asked(
-            int members, int callers, int seconds, int pauseMs, boolean links, double slowMs) {}
+    record Workload(
+            int members,
+            int clientsPerServer,
+            int seconds,
+            int pauseMs,
+            boolean throughProxy,
+            double slowMs) {}
 
-    private final Asked workload;
+    private final Workload workload;
     private final Consumer<String> progress;
 
-    ReplicationCost(Asked workload, Consumer<String> progress) {
+    ReplicationCost(Workload workload, Consumer<String> progress) {
         this.workload = workload;
         this.progress = progress;
     }
@@ -94,8 +99,10 @@
         }
     }
 
-    /** Runs the load on one setup and returns its CSV row, with the columns of {@link #HEAD}. */
-    String row(Path folder, Kind kind) throws Exception {
+    /**
+     * Runs the load on one setup and returns its CSV row, with the columns of {@link #CSV_HEADER}.
+     */
+    String measure(Path folder, Kind kind) throws Exception {
         int members = workload.members;
         String incidents =
                 kind == Kind.SLOW
@@ -106,11 +113,11 @@
                                 + " } ]"
                         : "";
         FleetScenario scenario =
-                FleetScenarioReader.of(
+                FleetScenarioReader.parse(
                         "{ name: 'cost', seconds: 1000, members: "
                                 + members
                                 + ", zones: 3, seeds: 3, copies: true, store: "
-                                + kind.store()
+                                + kind.usesDisk()
                                 + incidents
                                 + " }",
                         "cost");
@@ -121,22 +128,22 @@
         Latencies handoverLatencies = new Latencies();
         AtomicLong refusedCount = new AtomicLong();
         boolean isolateFirst = kind == Kind.MINORITY;
-        boolean useProxy = workload.links || isolateFirst || kind == Kind.SLOW;
+        boolean useProxy = workload.throughProxy || isolateFirst || kind == Kind.SLOW;
         try (ScenarioRunner runner =
-                new ScenarioRunner(scenario, 1, folder, true, kind.copies(), progress)) {
+                new ScenarioRunner(scenario, 1, folder, true, kind.isReplicated(), progress)) {
             if (!useProxy) {
-                runner.direct();
+                runner.bypassProxy();
             }
-            runner.forLoad();
-            runner.raise((slot, body) -> {});
+            runner.useBenchmarkLimits();
+            runner.startServers((slot, body) -> {});
             if (isolateFirst) {
-                runner.cut(Set.of(1));
+                runner.isolate(Set.of(1));
             }
             AtomicInteger counter = new AtomicInteger();
             long startNanos = System.nanoTime() + WARMUP_S * 1_000_000_000L;
             long endNanos = startNanos + workload.seconds * 1_000_000_000L;
             List<Thread> threads = new ArrayList<>();
-            for (int i = 0; i < workload.callers * members; i++) {
+            for (int i = 0; i < workload.clientsPerServer * members; i++) {
                 int slot = 1 + i % members;
                 boolean keyed = i / members % 2 == 0;
                 // Measures how a slow replica affects other servers, not its own clients.
@@ -150,7 +157,7 @@
                                             new FakeConnection(
                                                     new Socket(
                                                             InetAddress.getLoopbackAddress(),
-                                                            runner.box(slot).serves))) {
+                                                            runner.server(slot).clientPort))) {
                                         while (System.nanoTime() < endNanos) {
                                             int number = counter.incrementAndGet();
                                             long sentNanos = System.nanoTime();
@@ -165,7 +172,7 @@
                                                                                     "%032x", number)
                                                                             : null,
                                                                     "b" + number)));
-                                            String line = connection.line();
+                                            String line = connection.readLine();
                                             if (line == null) {
                                                 return;
                                             }
@@ -213,7 +220,7 @@
                     "%d,%s,%d,%d,%.0f,%.2f,%.2f,%.2f,%d,%.2f,%.2f,%.0f,%.2f,%.2f,%.2f,%.2f,%.3f,%.3f,%.3f,%.3f,%.1f,%d",
                     members,
                     kind.name().toLowerCase(Locale.ROOT),
-                    workload.callers * members,
+                    workload.clientsPerServer * members,
                     workload.pauseMs,
                     keyedLatencies.count() / (double) workload.seconds,
                     keyedLatencies.percentileMs(50),
@@ -236,7 +243,7 @@
         }
     }
 
-    static final String HEAD =
+    static final String CSV_HEADER =
             "servers,copies,callers,pause ms,keyed a second,keyed p50 ms,keyed p99 ms,keyed p99.9"
                 + " ms,throttled,throttled p50 ms,throttled p99 ms,idempotent a second,idempotent"
                 + " p50 ms,idempotent p99 ms,claim p50 ms (mean of servers),claim p99 ms (worst"
--- a/drill/src/main/java/ochretiller/drill/RolloutScenario.java
+++ b/drill/src/main/java/ochretiller/drill/RolloutScenario.java
@@ -64,9 +64,9 @@
 
     RolloutScenario(Path folder, Consumer<String> progress) throws IOException {
         this.progress = progress;
-        worker = new FakeWorker("127.0.0.1", 0, request -> FakeWorker.Manner.ANSWERS);
+        worker = new FakeWorker("127.0.0.1", 0, request -> FakeWorker.ResponseMode.ANSWERS);
         FleetScenario scenario =
-                FleetScenarioReader.of(
+                FleetScenarioReader.parse(
                         "{ name: 'versions', seconds: 1000, members: "
                                 + SERVER_COUNT
                                 + ", zones: 2, seeds: "
@@ -75,7 +75,7 @@
                         "versions");
         runner =
                 new ScenarioRunner(scenario, 1, folder, true, true, progress)
-                        .versions(poolSettings(worker.port(), 50) + ",");
+                        .enableRollouts(poolSettings(worker.port(), 50) + ",");
     }
 
     private static String poolSettings(int port, int inFlight) {
@@ -87,8 +87,8 @@
     }
 
     /** Runs all cases and returns the violations, one line each. */
-    List<String> play() throws Exception {
-        runner.raise((slot, body) -> runCounts.merge(body, 1, Integer::sum));
+    List<String> run() throws Exception {
+        runner.startServers((slot, body) -> runCounts.merge(body, 1, Integer::sum));
         for (int slot = 1; slot <= SERVER_COUNT; slot++) {
             startRequests(slot);
         }
@@ -108,15 +108,16 @@
                 () -> {
                     while (!stopped) {
                         Thread.sleep(1000 / REQUESTS_PER_SECOND);
-                        ServerProcess server = runner.box(slot);
-                        if (!server.up || server.paused) {
+                        ServerProcess server = runner.server(slot);
+                        if (!server.ready || server.paused) {
                             continue;
                         }
                         try (FakeConnection connection =
                                 new FakeConnection(
                                         new Socket(
-                                                InetAddress.getLoopbackAddress(), server.serves))) {
-                            while (!stopped && server.up && !server.paused) {
+                                                InetAddress.getLoopbackAddress(),
+                                                server.clientPort))) {
+                            while (!stopped && server.ready && !server.paused) {
                                 int number = counter.incrementAndGet();
                                 boolean keyed = number % ORDER_INTERVAL == 0;
                                 String token =
@@ -132,7 +133,7 @@
                                                         String.format("%016x", number),
                                                         token,
                                                         keyed ? token : "r" + number)));
-                                String line = connection.line();
+                                String line = connection.readLine();
                                 if (line == null) {
                                     break;
                                 }
@@ -168,8 +169,8 @@
     private void invalidVersionsAreRefused() throws Exception {
         beginCase("one that cannot be acted on is refused on the spot");
         JsonNode response =
-                runner.door(
-                        runner.box(1),
+                runner.adminRequest(
+                        runner.server(1),
                         "version-publish",
                         "drill\n"
                             + "wrong\n\n"
@@ -177,12 +178,12 @@
                             + " 'read', path: '/' } ] } } }");
         check(response.path("refused").asText().contains("lookups"), "another pool: " + response);
         response =
-                runner.door(
-                        runner.box(1), "version-publish", "drill\nwrong\n\nno version at all");
+                runner.adminRequest(
+                        runner.server(1), "version-publish", "drill\nwrong\n\nno version at all");
         check(!response.path("refused").asText().isEmpty(), "no JSON5: " + response);
         response =
-                runner.door(
-                        runner.box(4),
+                runner.adminRequest(
+                        runner.server(4),
                         "version-publish",
                         "drill\nnot here\n\n{ " + poolSettings(worker.port(), 61) + " }");
         check(
@@ -193,7 +194,7 @@
     /** Resumes a server after a rollout that it missed, with a keyed request already sent to it. */
     private void pausedServerCatchesUp() throws Exception {
         beginCase("paused through a version");
-        runner.box(4).pause();
+        runner.server(4).pause();
         long version = publish(2, poolSettings(worker.port(), 70), "while one sleeps");
         check(
                 awaitStatus(
@@ -203,7 +204,7 @@
                 "it is not in force without the one that sleeps: " + status(1));
         String token = String.format(Locale.ROOT, "%032x", 77_000 + version);
         BlockingQueue<String> answer = sendKeyedRequest(4, token);
-        runner.box(4).resume();
+        runner.server(4).resume();
         String outcome = answer.poll(TIMEOUT_S, TimeUnit.SECONDS);
         check(
                 !"succeeded".equals(outcome) || appliedVersion(4) == version,
@@ -217,7 +218,7 @@
         beginCase("whoever published it is killed");
         long version = publish(1, poolSettings(worker.port(), 80), "and then its publisher dies");
         awaitStatus(2, status -> status.get("version").asLong() == version);
-        runner.box(1).kill();
+        runner.server(1).kill();
         check(
                 awaitStatus(
                         2,
@@ -225,9 +226,9 @@
                                 status.get("version").asLong() == version
                                         && status.get("state").asText().equals("DONE")),
                 "nobody carried it on: " + status(2));
-        runner.again(1);
+        runner.restart(1);
         check(
-                runner.box(1).awaitPart() && allApply(Set.of(1), version),
+                runner.server(1).awaitReady() && allApply(Set.of(1), version),
                 "its publisher does not act on it once it is back");
     }
 
@@ -265,14 +266,15 @@
     private void auditLogsMatchRuns() throws Exception {
         beginCase("audits held against what was run");
         for (int slot = 1; slot <= SERVER_COUNT; slot++) {
-            runner.box(slot).leave();
+            runner.server(slot).leave();
         }
         Map<String, List<ChainHead>> witnessedHeads = new HashMap<>();
         Map<String, AuditLog> auditLogs = new TreeMap<>();
         for (int slot = 1; slot <= SERVER_COUNT; slot++) {
-            runner.box(slot).awaitEnd();
+            runner.server(slot).awaitExit();
             FleetTimeline.collectWitnessedHeads(
-                    AuditLogReader.read(runner.box(slot).audit(), List.of()).decodedRecords(),
+                    AuditLogReader.read(runner.server(slot).auditFolder(), List.of())
+                            .decodedRecords(),
                     witnessedHeads);
         }
         FleetTimeline timeline = new FleetTimeline();
@@ -280,7 +282,8 @@
             String name = "m" + slot;
             AuditLog log =
                     AuditLogReader.read(
-                            runner.box(slot).audit(), witnessedHeads.getOrDefault(name, List.of()));
+                            runner.server(slot).auditFolder(),
+                            witnessedHeads.getOrDefault(name, List.of()));
             auditLogs.put(name, log);
             timeline.addServer(name, log.decodedRecords());
             check(log.faults().isEmpty(), "the audit of " + name + ": " + log.faults());
@@ -351,8 +354,8 @@
                 System.nanoTime() < deadlineNanos;
                 Thread.sleep(POLL_MS)) {
             response =
-                    runner.door(
-                            runner.box(slot),
+                    runner.adminRequest(
+                            runner.server(slot),
                             "version-publish",
                             "drill\n" + reason + "\n\n{ " + settings + " }");
             if (response != null && response.has("published")) {
@@ -369,7 +372,7 @@
     }
 
     private JsonNode status(int slot) {
-        return runner.door(runner.box(slot), "version-status");
+        return runner.adminRequest(runner.server(slot), "version-status");
     }
 
     private long appliedVersion(int slot) {
@@ -428,7 +431,8 @@
         int number = counter.incrementAndGet();
         FakeConnection connection =
                 new FakeConnection(
-                        new Socket(InetAddress.getLoopbackAddress(), runner.box(slot).serves));
+                        new Socket(
+                                InetAddress.getLoopbackAddress(), runner.server(slot).clientPort));
         connection.send(
                 GatewayMessages.message(
                         number,
@@ -437,7 +441,7 @@
         DaemonThreads.start(
                 () -> {
                     try (connection) {
-                        String line = connection.line();
+                        String line = connection.readLine();
                         answer.add(
                                 line == null
                                         ? "broken"
--- a/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
+++ b/drill/src/main/java/ochretiller/drill/ScenarioRunner.java
@@ -104,14 +104,15 @@
         this.storeEnabled = this.replicationEnabled && scenario.store();
         this.progress = progress;
         RandomStreams seeds = new RandomStreams(seed);
-        this.random = seeds.of("floods");
+        this.random = seeds.stream("floods");
         this.history = new History(System.nanoTime());
         this.proxy =
-                new FaultProxy(new LinkFaults(schedule, seeds.of("faults")), () -> history.now());
+                new FaultProxy(
+                        new LinkFaults(schedule, seeds.stream("faults")), () -> history.now());
     }
 
     /** Runs the whole scenario and returns the history of its events. */
-    History play() throws IOException, InterruptedException {
+    History run() throws IOException, InterruptedException {
         // Scenario time begins once all initial members are ready, whatever their scheduled start
         // times. Until then, its zero point is an hour ahead.
         history = new History(System.nanoTime() + 3_600_000_000_000L);
@@ -125,13 +126,13 @@
             }
         }
         for (FaultSchedule.Action action : schedule.actions()) {
-            if (isInitialStart(action) && !servers.get(action.slot()).awaitPart()) {
+            if (isInitialStart(action) && !servers.get(action.slot()).awaitReady()) {
                 throw new IOException("server " + action.slot() + " was not ready in time");
             }
         }
         History started = new History(System.nanoTime() - (long) (scenario.startS() * 1e9));
-        for (History.Event event : history.all()) {
-            started.put(
+        for (History.Event event : history.snapshot()) {
+            started.append(
                     new History.Event(
                             scenario.startS(),
                             event.what(),
@@ -164,27 +165,27 @@
             double lateS = history.now() - action.atS();
             if (lateS > MAX_ACTION_DELAY_S) {
                 history.add(
-                        History.What.VOID,
+                        History.EventType.VOID,
                         action.slot(),
                         "",
-                        String.format(Locale.ROOT, "%s came %.1f s late", action.act(), lateS));
+                        String.format(Locale.ROOT, "%s came %.1f s late", action.kind(), lateS));
             }
             progress.accept(
                     String.format(
                             Locale.ROOT,
                             "%.1f s: %s %d",
                             history.now(),
-                            action.act(),
+                            action.kind(),
                             action.slot()));
             apply(action);
         }
-        sleepUntil(schedule.lastS());
+        sleepUntil(schedule.lastFaultEndS());
         for (FaultSchedule.Action action : schedule.actions()) {
             ServerProcess server = servers.get(action.slot());
-            if (action.act() == FaultSchedule.Act.START
+            if (action.kind() == FaultSchedule.ActionKind.START
                     && !isInitialStart(action)
-                    && !server.awaitPart()) {
-                history.add(History.What.VOID, action.slot(), "", "it did not start");
+                    && !server.awaitReady()) {
+                history.add(History.EventType.VOID, action.slot(), "", "it did not start");
             }
         }
         double lastFaultS = history.now();
@@ -194,11 +195,11 @@
                         scenario.seconds(),
                         lastFaultS + Math.max(scenario.expect().settledS(), 5) + STABLE_S);
         awaitConvergence(deadlineS, lastFaultS);
-        load.end();
+        load.stop();
         if (replicationEnabled) {
             recordReplicaDigests();
         }
-        history.add(History.What.OVER, 0, "", "");
+        history.add(History.EventType.OVER, 0, "", "");
         return history;
     }
 
@@ -206,13 +207,13 @@
      * Lets the servers talk to one another without the fault proxy, for measurements of the servers
      * alone.
      */
-    ScenarioRunner direct() {
+    ScenarioRunner bypassProxy() {
         bypassesProxy = true;
         return this;
     }
 
     /** Enables rollouts; {@code operatorSettings} are JSON5 members for the operator files. */
-    ScenarioRunner versions(String operatorSettings) {
+    ScenarioRunner enableRollouts(String operatorSettings) {
         extraOperatorSettings = operatorSettings;
         return this;
     }
@@ -221,7 +222,7 @@
      * Raises the servers' memory and entry limits for a benchmark, which would otherwise measure
      * those limits.
      */
-    ScenarioRunner forLoad() {
+    ScenarioRunner useBenchmarkLimits() {
         benchmarkLimits = true;
         return this;
     }
@@ -230,7 +231,7 @@
      * Starts all servers of the scenario and waits until they are ready. {@code onRun} gets the
      * slot and the request body of each run that a processor begins.
      */
-    void raise(BiConsumer<Integer, String> onRun) throws IOException, InterruptedException {
+    void startServers(BiConsumer<Integer, String> onRun) throws IOException, InterruptedException {
         for (FaultSchedule.Slot slot : schedule.slots()) {
             createServer(slot, onRun);
         }
@@ -239,9 +240,8 @@
             start(action);
         }
         for (ServerProcess server : servers.values()) {
-            if (!server.awaitPart()) {
-                throw new IOException(
-                        "server " + server.slot.number() + " was not ready in time");
+            if (!server.awaitReady()) {
+                throw new IOException("server " + server.slot.number() + " was not ready in time");
             }
         }
         if (replicationEnabled) {
@@ -250,18 +250,18 @@
     }
 
     /** Cuts these servers off from all others until the next call; an empty set ends the cut. */
-    void cut(Set<Integer> slots) {
-        proxy.cut(slots);
+    void isolate(Set<Integer> slots) {
+        proxy.isolate(slots);
     }
 
-    ServerProcess box(int number) {
+    ServerProcess server(int number) {
         return servers.get(number);
     }
 
     /** Starts a stopped server again, on its current disk. */
-    void again(int number) throws IOException, InterruptedException {
+    void restart(int number) throws IOException, InterruptedException {
         for (FaultSchedule.Action action : schedule.actions()) {
-            if (action.slot() == number && action.act() == FaultSchedule.Act.START) {
+            if (action.slot() == number && action.kind() == FaultSchedule.ActionKind.START) {
                 start(action);
             }
         }
@@ -271,7 +271,7 @@
     private void switchHistory(History started) {
         history = started;
         Map<Integer, ServerProcess> currentServers = new TreeMap<>(servers);
-        currentServers.forEach((number, server) -> server.become(started));
+        currentServers.forEach((number, server) -> server.setHistory(started));
         for (ServerProcess server : servers.values()) {
             if (fleetEnabled) {
                 startPoller(server);
@@ -288,7 +288,7 @@
         String epochOfAll = "of \\[" + "[^, ]+, ".repeat(scenario.members() - 1) + "[^, ]+\\]";
         for (ServerProcess server : servers.values()) {
             if (server.slot.number() <= scenario.members()
-                    && !server.awaitLine(
+                    && !server.awaitLogLine(
                             Pattern.compile(epochOfAll), JOIN_S_PER_MEMBER * scenario.members())) {
                 throw new IOException(
                         "server "
@@ -298,9 +298,9 @@
         }
         Thread.sleep((long) (EPOCH_SETTLE_S * 1000));
         History started = new History(System.nanoTime() - (long) (scenario.startS() * 1e9));
-        for (History.Event event : history.all()) {
-            if (event.what() == History.What.STARTED) {
-                started.put(
+        for (History.Event event : history.snapshot()) {
+            if (event.what() == History.EventType.STARTED) {
+                started.append(
                         new History.Event(
                                 scenario.startS(),
                                 event.what(),
@@ -311,14 +311,14 @@
             }
         }
         for (MembershipPoller poller : pollers) {
-            poller.become(started);
+            poller.setHistory(started);
         }
         history = started;
-        servers.forEach((number, server) -> server.become(started));
+        servers.forEach((number, server) -> server.setHistory(started));
     }
 
     private boolean isInitialStart(FaultSchedule.Action action) {
-        return action.act() == FaultSchedule.Act.START
+        return action.kind() == FaultSchedule.ActionKind.START
                 && action.slot() <= scenario.members()
                 && action.atS() <= scenario.startS()
                 && !isRestart(action);
@@ -329,7 +329,7 @@
             if (each == action) {
                 return false;
             }
-            if (each.slot() == action.slot() && each.act() == FaultSchedule.Act.START) {
+            if (each.slot() == action.slot() && each.kind() == FaultSchedule.ActionKind.START) {
                 return true;
             }
         }
@@ -344,14 +344,14 @@
                         folder,
                         history,
                         (rid, operation, body) -> onRun.accept(slot.number(), body));
-        server.forLoad = benchmarkLimits;
-        server.versions = extraOperatorSettings != null;
-        server.more = extraOperatorSettings == null ? "" : extraOperatorSettings;
+        server.benchmarkLimits = benchmarkLimits;
+        server.rolloutsEnabled = extraOperatorSettings != null;
+        server.extraOperatorSettings = extraOperatorSettings == null ? "" : extraOperatorSettings;
         servers.put(slot.number(), server);
     }
 
     private void recordRun(int slot, String body) {
-        history.add(History.What.RAN, slot, body, "");
+        history.add(History.EventType.RAN, slot, body, "");
     }
 
     private int serverPort(int address) throws IOException {
@@ -361,7 +361,7 @@
         }
         int newPort = ServerProcess.freePort();
         serverPorts.put(address, newPort);
-        proxyPorts.put(address, proxy.open(address, newPort));
+        proxyPorts.put(address, proxy.openRelay(address, newPort));
         return newPort;
     }
 
@@ -374,9 +374,9 @@
 
     private void start(FaultSchedule.Action action) throws IOException, InterruptedException {
         ServerProcess server = servers.get(action.slot());
-        server.awaitEnd();
+        server.awaitExit();
         int listenPort = serverPort(action.address());
-        proxy.at(action.address(), action.slot());
+        proxy.assignSlot(action.address(), action.slot());
         addressBySlot.put(action.slot(), action.address());
         List<Integer> seeds = new ArrayList<>();
         for (int i = 1; i <= scenario.seeds(); i++) {
@@ -398,7 +398,7 @@
         double setbackS = 0;
         for (FaultSchedule.Fault fault : schedule.faults()) {
             boolean active = action.atS() >= fault.atS() && action.atS() <= fault.untilS();
-            if (fault.what() == FaultSchedule.Link.CLOCK
+            if (fault.kind() == FaultSchedule.FaultKind.CLOCK
                     && active
                     && fault.to().contains(action.slot())) {
                 setbackS += fault.strength();
@@ -417,12 +417,12 @@
 
     private void apply(FaultSchedule.Action action) throws IOException, InterruptedException {
         ServerProcess server = servers.get(action.slot());
-        switch (action.act()) {
+        switch (action.kind()) {
             case START -> {
                 Integer previousAddress = addressBySlot.get(action.slot());
-                server.awaitEnd();
+                server.awaitExit();
                 if (storeEnabled) {
-                    server.disk(action.disk());
+                    server.prepareDisk(action.disk());
                 }
                 start(action);
                 if (fleetEnabled
@@ -445,13 +445,13 @@
 
     /** Records the replica digests of each server, equal or not, for the checker. */
     private void recordReplicaDigests() throws InterruptedException {
-        compared()
+        compareReplicas()
                 .forEach(
                         (slot, digests) ->
                                 history.add(
-                                        History.What.COPIES,
+                                        History.EventType.COPIES,
                                         slot,
-                                        servers.get(slot).start,
+                                        servers.get(slot).incarnation,
                                         digests == null
                                                 ? "none"
                                                 : digests.get("ranges").toString()));
@@ -461,19 +461,19 @@
      * Lets all servers compare their replicas and returns each server's digests by slot, once they
      * are equal or the timeout has passed. The value of a server that did not answer is null.
      */
-    Map<Integer, JsonNode> compared() throws InterruptedException {
+    Map<Integer, JsonNode> compareReplicas() throws InterruptedException {
         double deadlineS = history.now() + COMPARE_TIMEOUT_S;
         Map<Integer, JsonNode> digests = new TreeMap<>();
         for (ServerProcess server : servers.values()) {
-            if (server.up) {
-                door(server, "copies-repair");
+            if (server.ready) {
+                adminRequest(server, "copies-repair");
             }
         }
         while (history.now() < deadlineS) {
             digests.clear();
             for (ServerProcess server : servers.values()) {
-                if (server.up) {
-                    digests.put(server.slot.number(), door(server, "copies-digests"));
+                if (server.ready) {
+                    digests.put(server.slot.number(), adminRequest(server, "copies-digests"));
                 }
             }
             if (!digests.containsValue(null) && digestsMatch(digests.values())) {
@@ -485,18 +485,18 @@
     }
 
     /** Returns the answer to an operator command, or null if the server cannot be reached. */
-    JsonNode door(ServerProcess server, String command) {
-        return door(server, command, "");
+    JsonNode adminRequest(ServerProcess server, String command) {
+        return adminRequest(server, command, "");
     }
 
-    JsonNode door(ServerProcess server, String command, String arguments) {
+    JsonNode adminRequest(ServerProcess server, String command, String arguments) {
         Integer address = addressBySlot.get(server.slot.number());
         try (AdminClient client =
                 new AdminClient(
                         new InetSocketAddress(
                                 InetAddress.getLoopbackAddress(), serverPorts.get(address)),
                         "drill",
-                        MembershipPoller.KEYS)) {
+                        MembershipPoller.DRILL_KEYS)) {
             return JSON.readTree(client.request(command, arguments));
         } catch (IOException e) {
             progress.accept(
@@ -521,7 +521,7 @@
 
     /** Starts threads for faults outside the network links: CPU load, disk faults and floods. */
     private void scheduleFault(FaultSchedule.Fault fault) {
-        if (fault.what() == FaultSchedule.Link.CROWD) {
+        if (fault.kind() == FaultSchedule.FaultKind.CROWD) {
             DaemonThreads.start(
                     () -> {
                         sleepUntil(fault.atS());
@@ -539,20 +539,21 @@
                         sleepUntil(fault.untilS());
                         started.forEach(Process::destroyForcibly);
                     });
-        } else if (fault.what() == FaultSchedule.Link.FULL
-                || fault.what() == FaultSchedule.Link.STALL) {
+        } else if (fault.kind() == FaultSchedule.FaultKind.FULL
+                || fault.kind() == FaultSchedule.FaultKind.STALL) {
             DaemonThreads.start(
                     () -> {
                         sleepUntil(fault.atS());
                         for (int slot : fault.to()) {
-                            servers.get(slot).diskIs(fault.what().name().toLowerCase(Locale.ROOT));
+                            servers.get(slot)
+                                    .setDiskFault(fault.kind().name().toLowerCase(Locale.ROOT));
                         }
                         sleepUntil(fault.untilS());
                         for (int slot : fault.to()) {
-                            servers.get(slot).diskIs(null);
+                            servers.get(slot).setDiskFault(null);
                         }
                     });
-        } else if (fault.what() == FaultSchedule.Link.FLOOD) {
+        } else if (fault.kind() == FaultSchedule.FaultKind.FLOOD) {
             for (int slot : fault.to()) {
                 DaemonThreads.start(() -> flood(fault, slot));
             }
@@ -572,7 +573,7 @@
             long sentPackets = 0;
             long startNanos = System.nanoTime();
             while (!closed && history.now() < fault.untilS()) {
-                List<byte[]> recentPackets = proxy.heard();
+                List<byte[]> recentPackets = proxy.recentPackets();
                 for (int i = 0; i < 20; i++) {
                     byte[] bytes = new byte[1 + floodRandom.nextInt(1400)];
                     floodRandom.nextBytes(bytes);
@@ -634,17 +635,17 @@
     private boolean hasConverged() {
         Set<String> expected = new TreeSet<>();
         for (ServerProcess server : servers.values()) {
-            if (server.up && !server.leaves) {
-                expected.add(server.start);
+            if (server.ready && !server.leaving) {
+                expected.add(server.incarnation);
             }
         }
         String digest = null;
         Set<String> polled = new TreeSet<>();
         for (MembershipPoller poller : pollers) {
-            if (poller.start == null || !expected.contains(poller.start)) {
+            if (poller.incarnation == null || !expected.contains(poller.incarnation)) {
                 continue;
             }
-            polled.add(poller.start);
+            polled.add(poller.incarnation);
             Set<String> members = new TreeSet<>();
             poller.states.forEach(
                     (incarnation, state) -> {
@@ -660,15 +661,15 @@
         return polled.equals(expected);
     }
 
-    long passed() {
-        return proxy.passed.get();
+    long forwardedPackets() {
+        return proxy.forwarded.get();
     }
 
     @Override
     public void close() throws IOException {
         closed = true;
         for (MembershipPoller poller : pollers) {
-            poller.end();
+            poller.stop();
         }
         synchronized (busyLoops) {
             busyLoops.forEach(Process::destroyForcibly);
--- a/drill/src/main/java/ochretiller/drill/ServerProcess.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -55,7 +55,7 @@
             new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORT_COUNT));
 
     final FaultSchedule.Slot slot;
-    final int serves;
+    final int clientPort;
     private final Path folder;
     private final FakeServices services;
     private volatile History history;
@@ -66,31 +66,32 @@
     private final Queue<String> fleetLogLines = new ConcurrentLinkedQueue<>();
 
     /** The incarnation of the process, or its pid in hexadecimal if it is not in a fleet. */
-    volatile String start;
+    volatile String incarnation;
 
-    volatile boolean up;
+    volatile boolean ready;
     volatile boolean paused;
-    volatile boolean leaves;
+    volatile boolean leaving;
 
     /** Receives the action that completes a run; runs it at once by default. */
-    volatile Consumer<Runnable> ends = Runnable::run;
+    volatile Consumer<Runnable> completionHandler = Runnable::run;
 
     /** Whether memory and entry limits are raised for a benchmark. */
-    boolean forLoad;
+    boolean benchmarkLimits;
 
     /** Additional JSON5 members of the operator file, each with a trailing comma. */
-    String more = "";
+    String extraOperatorSettings = "";
 
     /** Whether configuration rollouts and the audit log are enabled. */
-    boolean versions;
+    boolean rolloutsEnabled;
 
     /** The claim mode of the next process: {@code fleet} or {@code server}. */
-    volatile String mode = "fleet";
+    volatile String claimMode = "fleet";
 
     /** Number of characters appended to each result. */
-    volatile int longer;
+    volatile int resultPaddingChars;
 
-    ServerProcess(FaultSchedule.Slot slot, Path folder, History history, FakeServices.Runs runs)
+    ServerProcess(
+            FaultSchedule.Slot slot, Path folder, History history, FakeServices.RunHandler runs)
             throws IOException {
         this.slot = slot;
         this.folder = Files.createDirectories(folder.resolve("server-" + slot.number()));
@@ -99,16 +100,16 @@
         Files.deleteIfExists(this.folder.resolve("voter"));
         Files.deleteIfExists(this.folder.resolve("peers"));
         DiskFaults.delete(this.folder.resolve("versions"));
-        DiskFaults.delete(audit());
-        diskIs(null);
+        DiskFaults.delete(auditFolder());
+        setDiskFault(null);
         DiskFaults.delete(storeFolder());
         DiskFaults.delete(imageFolder());
-        this.serves = freePort();
+        this.clientPort = freePort();
         services = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
-        services.runs =
+        services.runHandler =
                 (rid, operation, body) -> {
-                    runs.begun(rid, operation, body);
-                    ends.accept(
+                    runs.onBegin(rid, operation, body);
+                    completionHandler.accept(
                             () -> {
                                 try {
                                     services.complete(
@@ -119,7 +120,7 @@
                                                     + slot.number()
                                                     + " as "
                                                     + rid
-                                                    + ".".repeat(longer));
+                                                    + ".".repeat(resultPaddingChars));
                                 } catch (IOException e) {
                                     throw new UncheckedIOException(e);
                                 }
@@ -145,20 +146,20 @@
      * Puts the store into the given state while the server is down. The voter file is kept, as if
      * it were on another disk.
      */
-    void disk(FleetScenario.Disk disk) throws IOException {
+    void prepareDisk(FleetScenario.Disk disk) throws IOException {
         switch (disk) {
             case EMPTY -> DiskFaults.delete(storeFolder());
             case OLD -> {
                 DiskFaults.delete(storeFolder());
                 DiskFaults.copy(imageFolder(), storeFolder());
             }
-            case CUT -> DiskFaults.cut(storeFolder());
+            case CUT -> DiskFaults.truncate(storeFolder());
             default -> {}
         }
     }
 
     /** Returns the folder of the audit log. */
-    Path audit() {
+    Path auditFolder() {
         return folder.resolve("audit");
     }
 
@@ -170,7 +171,7 @@
      * Sets the disk fault: {@code full} makes writes fail, {@code stall} makes them wait, null ends
      * the fault.
      */
-    void diskIs(String fault) throws IOException {
+    void setDiskFault(String fault) throws IOException {
         if (fault == null) {
             Files.deleteIfExists(diskFaultFile());
             return;
@@ -181,7 +182,7 @@
     }
 
     /** Records further events in {@code next}. */
-    void become(History next) {
+    void setHistory(History next) {
         history = next;
     }
 
@@ -231,18 +232,19 @@
         Files.writeString(
                 configFile,
                 GatewayMessages.config(
-                                serves,
+                                clientPort,
                                 services.processorPort(),
                                 services.recordsPort(),
                                 services.rosterPort())
                         .replace("\"name\":\"n1\"", "\"name\":\"" + slot.name() + "\"")
                         .replace(
                                 "\"memory_mb\":192",
-                                "\"memory_mb\":" + (forLoad ? BENCHMARK_MEMORY_MB : MEMORY_MB))
-                        .replace("\"keyKb\":10", "\"keyKb\":" + (forLoad ? 1 : 10))
+                                "\"memory_mb\":"
+                                        + (benchmarkLimits ? BENCHMARK_MEMORY_MB : MEMORY_MB))
+                        .replace("\"keyKb\":10", "\"keyKb\":" + (benchmarkLimits ? 1 : 10))
                         .replace(
                                 "\"windowNs\":10000000000",
-                                "\"windowNs\":" + (forLoad ? 1 : 10) + "000000000"));
+                                "\"windowNs\":" + (benchmarkLimits ? 1 : 10) + "000000000"));
         Path keyFile = folder.resolve("key");
         Files.writeString(keyFile, "a key that only drills have\n");
         Path operatorFile = folder.resolve("operator.json5");
@@ -251,12 +253,14 @@
             seedAddresses.add("'127.0.0.1:" + port + "'");
         }
         String auditSettings =
-                versions ? "audit: { folder: '" + audit() + "', span_ms: 2000 }, " : "";
+                rolloutsEnabled
+                        ? "audit: { folder: '" + auditFolder() + "', span_ms: 2000 }, "
+                        : "";
         Files.writeString(
                 operatorFile,
                 "{ "
                         + auditSettings
-                        + more
+                        + extraOperatorSettings
                         + " metrics: { file: '"
                         + folder.resolve("metrics.prom")
                         + "', every_ms: 1000 },"
@@ -287,14 +291,14 @@
         builder.environment().put("OPERATOR_FILE", operatorFile.toString());
         // The processor restarts together with the server: it then knows no earlier runs and
         // numbers its notices from the start.
-        services.keepsNotices = true;
+        services.resendsNotices = true;
         if (process != null) {
-            services.restarted();
+            services.restartProcessor();
         }
         readyLatch = new CountDownLatch(1);
         Process newProcess = process = builder.start();
         CountDownLatch newReadyLatch = readyLatch;
-        leaves = false;
+        leaving = false;
         paused = false;
         DaemonThreads.start(
                 () -> {
@@ -317,12 +321,16 @@
                             if (!joined.find() && !listening) {
                                 continue;
                             }
-                            start =
+                            incarnation =
                                     listening
                                             ? Long.toHexString(newProcess.pid())
                                             : joined.group(2);
-                            up = true;
-                            history.add(History.What.STARTED, slot.number(), start, slot.name());
+                            ready = true;
+                            history.add(
+                                    History.EventType.STARTED,
+                                    slot.number(),
+                                    incarnation,
+                                    slot.name());
                             newReadyLatch.countDown();
                         }
                     }
@@ -342,16 +350,16 @@
                 + "], voter_file: '"
                 + folder.resolve("voter")
                 + "', calm_ms: 1500, "
-                + (forLoad ? "most_entries: 100000, most_mb: 64, " : "")
+                + (benchmarkLimits ? "most_entries: 100000, most_mb: 64, " : "")
                 + "mode: '"
-                + mode
+                + claimMode
                 + "'"
-                + (versions ? ROLLOUT_SETTINGS.formatted(folder.resolve("versions")) : "")
+                + (rolloutsEnabled ? ROLLOUT_SETTINGS.formatted(folder.resolve("versions")) : "")
                 + " }";
     }
 
     /** Waits for a log line about the fleet that contains the pattern; false after the timeout. */
-    boolean awaitLine(Pattern pattern, int timeoutS) throws InterruptedException {
+    boolean awaitLogLine(Pattern pattern, int timeoutS) throws InterruptedException {
         for (int i = 0; i < timeoutS * 20; i++) {
             if (fleetLogLines.stream().anyMatch(line -> pattern.matcher(line).find())) {
                 return true;
@@ -362,7 +370,7 @@
     }
 
     /** Waits until the server has joined the fleet, or listens if it has none; false if late. */
-    boolean awaitPart() throws InterruptedException {
+    boolean awaitReady() throws InterruptedException {
         return readyLatch.await(START_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
@@ -374,8 +382,8 @@
         if (process == null || !process.isAlive()) {
             return;
         }
-        up = false;
-        history.add(History.What.KILLED, slot.number(), start, "");
+        ready = false;
+        history.add(History.EventType.KILLED, slot.number(), incarnation, "");
         process.destroyForcibly().waitFor();
         paused = false;
     }
@@ -385,7 +393,7 @@
             return;
         }
         paused = true;
-        history.add(History.What.PAUSED, slot.number(), start, "");
+        history.add(History.EventType.PAUSED, slot.number(), incarnation, "");
         signal("STOP");
     }
 
@@ -394,7 +402,7 @@
             return;
         }
         signal("CONT");
-        history.add(History.What.RESUMED, slot.number(), start, "");
+        history.add(History.EventType.RESUMED, slot.number(), incarnation, "");
         paused = false;
     }
 
@@ -402,8 +410,8 @@
         if (process == null || !process.isAlive()) {
             return;
         }
-        leaves = true;
-        history.add(History.What.LEAVES, slot.number(), start, "");
+        leaving = true;
+        history.add(History.EventType.LEAVES, slot.number(), incarnation, "");
         Process exiting = process;
         exiting.toHandle().destroy();
         exiting.onExit()
@@ -412,20 +420,20 @@
                             if (exiting != process) {
                                 return;
                             }
-                            up = false;
-                            history.add(History.What.ENDED, slot.number(), start, "");
+                            ready = false;
+                            history.add(History.EventType.ENDED, slot.number(), incarnation, "");
                         });
     }
 
     /** Waits at most 10 s for the exit of a process that was asked to leave. */
-    void awaitEnd() throws InterruptedException {
-        if (process != null && process.isAlive() && leaves) {
+    void awaitExit() throws InterruptedException {
+        if (process != null && process.isAlive() && leaving) {
             process.waitFor(10, TimeUnit.SECONDS);
         }
     }
 
     void close() throws IOException {
-        up = false;
+        ready = false;
         if (process != null) {
             process.destroyForcibly();
         }
--- a/drill/src/test/java/ochretiller/drill/DrillTest.java
+++ b/drill/src/test/java/ochretiller/drill/DrillTest.java
@@ -35,12 +35,12 @@
     void runMeetsTheExpectationsOfItsScenario(String name) throws Exception {
         FleetScenario scenario = FleetScenarioReader.read(SCRIPTS.resolve(name + ".json5"));
         HistoryChecker checker = null;
-        for (int i = 0; i < MAX_ATTEMPTS && (checker == null || checker.voided()); i++) {
-            checker = Drill.play(scenario, 1, folder.resolve("try-" + i), true, true, true);
+        for (int i = 0; i < MAX_ATTEMPTS && (checker == null || checker.isVoid()); i++) {
+            checker = Drill.runScenario(scenario, 1, folder.resolve("try-" + i), true, true, true);
         }
-        assertThat(checker.voided()).as("scenario could not be carried out").isFalse();
-        assertThat(checker.broken()).isEmpty();
-        assertThat(checker.asked()).as("requests sent").isPositive();
+        assertThat(checker.isVoid()).as("scenario could not be carried out").isFalse();
+        assertThat(checker.violations()).isEmpty();
+        assertThat(checker.requestCount()).as("requests sent").isPositive();
         assertThat(Files.size(folder.resolve("try-0").resolve("views.svg"))).isPositive();
     }
 }
--- a/drill/src/test/java/ochretiller/drill/FailoverScenarioTest.java
+++ b/drill/src/test/java/ochretiller/drill/FailoverScenarioTest.java
@@ -13,7 +13,7 @@
     @Test
     void eachCaseHasTheExpectedOutcome() throws Exception {
         try (FailoverScenario scenario = new FailoverScenario(folder, true, line -> {})) {
-            assertThat(scenario.play()).isEmpty();
+            assertThat(scenario.run()).isEmpty();
         }
     }
 }
--- a/drill/src/test/java/ochretiller/drill/LoadGeneratorTest.java
+++ b/drill/src/test/java/ochretiller/drill/LoadGeneratorTest.java
@@ -37,9 +37,9 @@
                         DaemonThreads.start(
                                 () -> {
                                     try (FakeConnection connection = new FakeConnection(socket)) {
-                                        for (String line = connection.line();
+                                        for (String line = connection.readLine();
                                                 line != null;
-                                                line = connection.line()) {
+                                                line = connection.readLine()) {
                                             int pos = line.indexOf("\"id\":") + 5;
                                             String id = line.substring(pos, line.indexOf(',', pos));
                                             if (slow) {
@@ -66,25 +66,26 @@
                         history,
                         (rid, operation, body) -> {});
         try (ServerSocket listener =
-                new ServerSocket(server.serves, 50, InetAddress.getLoopbackAddress())) {
+                new ServerSocket(server.clientPort, 50, InetAddress.getLoopbackAddress())) {
             serveRequests(listener);
-            server.up = true;
+            server.ready = true;
             for (int i = 0; i < 4; i++) {
                 LoadGenerator load = new LoadGenerator(history, List.of(server), 800, i, false);
                 load.start();
                 Thread.sleep(300);
-                load.end();
+                load.stop();
             }
         } finally {
             server.close();
         }
         List<String> sent = new ArrayList<>();
         List<String> succeeded = new ArrayList<>();
-        for (History.Event event : history.all()) {
-            if (event.what() == History.What.ASKED) {
+        for (History.Event event : history.snapshot()) {
+            if (event.what() == History.EventType.ASKED) {
                 sent.add(event.id());
             }
-            if (event.what() == History.What.ANSWERED && event.text().startsWith("succeeded")) {
+            if (event.what() == History.EventType.ANSWERED
+                    && event.text().startsWith("succeeded")) {
                 succeeded.add(event.id());
             }
         }
--- a/drill/src/test/java/ochretiller/drill/RolloutScenarioTest.java
+++ b/drill/src/test/java/ochretiller/drill/RolloutScenarioTest.java
@@ -13,7 +13,7 @@
     @Test
     void eachRolloutHasTheExpectedOutcome() throws Exception {
         try (RolloutScenario scenario = new RolloutScenario(folder, line -> {})) {
-            assertThat(scenario.play()).isEmpty();
+            assertThat(scenario.run()).isEmpty();
         }
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
@@ -54,11 +54,11 @@
                     Integer members)
             throws Exception {
         FleetScenario read = FleetScenarioReader.read(file);
-        FleetScenario scenario = members == null ? read : read.sized(members);
+        FleetScenario scenario = members == null ? read : read.withMembers(members);
         List<Callable<FleetOutcome>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
             long runSeed = seed + i;
-            runs.add(() -> new MembershipSimulation(scenario, runSeed, true, 0).play());
+            runs.add(() -> new MembershipSimulation(scenario, runSeed, true, 0).run());
         }
         int missedCount = 0;
         int index = 0;
@@ -70,19 +70,19 @@
                         + " known p50 %.0f p99 %.0f ms, packets a member a second %.1f, bytes %.0f,"
                         + " most packets %d, refuted %d of %d suspicions, twins %d%n",
                     seed + index,
-                    outcome.settledS,
+                    outcome.settleTimeS,
                     outcome.verdicts,
                     outcome.falseVerdicts,
-                    outcome.changesEach,
-                    outcome.knownMs(50),
-                    outcome.knownMs(99),
+                    outcome.maxVerdictsPerPair,
+                    outcome.detectionMs(50),
+                    outcome.detectionMs(99),
                     outcome.packets / outcome.memberSeconds,
                     outcome.bytes / outcome.memberSeconds,
-                    outcome.mostPackets,
-                    outcome.refuted,
-                    outcome.suspected,
-                    outcome.twins);
-            List<String> missedExpectations = outcome.missed(scenario.expect());
+                    outcome.maxPacketsPerSecond,
+                    outcome.refutations,
+                    outcome.suspicions,
+                    outcome.duplicateNames);
+            List<String> missedExpectations = outcome.unmetExpectations(scenario.expect());
             for (String line : missedExpectations) {
                 System.out.println("  missed: " + line);
             }
@@ -113,8 +113,10 @@
             long runSeed = seed + i;
             runs.add(
                     () ->
-                            new MembershipSimulation(RandomScenarios.script(runSeed, settled), runSeed)
-                                    .play());
+                            new MembershipSimulation(
+                                            RandomScenarios.forMembership(runSeed, settled),
+                                            runSeed)
+                                    .run());
         }
         List<Double> settleTimesS = new ArrayList<>();
         int failed = 0;
@@ -123,15 +125,19 @@
         for (Future<FleetOutcome> future : submitAll(runs)) {
             FleetOutcome outcome = future.get();
             falseVerdicts += outcome.falseVerdicts;
-            settleTimesS.add(outcome.settledS);
-            if (outcome.settledS > settled) {
+            settleTimesS.add(outcome.settleTimeS);
+            if (outcome.settleTimeS > settled) {
                 failed++;
                 System.out.printf(
-                        Locale.ROOT, "seed %d: settled %.1f s%n", seed + index, outcome.settledS);
+                        Locale.ROOT,
+                        "seed %d: settled %.1f s%n",
+                        seed + index,
+                        outcome.settleTimeS);
                 outcome.notes.forEach(line -> System.out.println("  " + line));
             }
             if (seeds == 1) {
-                System.out.println(RandomScenarios.script(seed, settled) + "\n" + outcome.notes);
+                System.out.println(
+                        RandomScenarios.forMembership(seed, settled) + "\n" + outcome.notes);
             }
             if (++index % 1000 == 0) {
                 System.err.println(index + " of " + seeds);
@@ -190,48 +196,50 @@
             runs.add(
                     () ->
                             new ReplicationSimulation(
-                                            RandomScenarios.copies(runSeed),
+                                            RandomScenarios.forReplication(runSeed),
                                             runSeed,
                                             runSeed % 3 * 0.4,
                                             runSeed / 3 % 2 * oldDisks,
                                             runSeed % 4 == 0,
                                             !isServerMode)
                                     .trace(trace)
-                                    .switching(
-                                            modeSwitchS == null ? Double.NEGATIVE_INFINITY : modeSwitchS,
+                                    .withModeSwitch(
+                                            modeSwitchS == null
+                                                    ? Double.NEGATIVE_INFINITY
+                                                    : modeSwitchS,
                                             runSeed % 5 * 0.5)
-                                    .play(tokens, 25));
+                                    .run(tokens, 25));
         }
         ReplicationSimulation.Outcomes total = new ReplicationSimulation.Outcomes();
         int brokenCount = 0;
         int index = 0;
         for (Future<ReplicationSimulation.Outcomes> future : submitAll(runs)) {
             ReplicationSimulation.Outcomes outcomes = future.get();
-            total.tries += outcomes.tries;
+            total.attempts += outcomes.attempts;
             total.succeeded += outcomes.succeeded;
             total.replayed += outcomes.replayed;
             total.throttled += outcomes.throttled;
             total.errored += outcomes.errored;
-            total.otherBody += outcomes.otherBody;
+            total.fingerprintMismatches += outcomes.fingerprintMismatches;
             total.unanswered += outcomes.unanswered;
             total.runs += outcomes.runs;
             total.conflicts += outcomes.conflicts;
-            total.oldFound += outcomes.oldFound;
-            total.unclaimed += outcomes.unclaimed;
-            total.excused += outcomes.excused;
-            total.oldPutBack += outcomes.oldPutBack;
-            total.unsaid += outcomes.unsaid;
+            total.staleDisksDetected += outcomes.staleDisksDetected;
+            total.runsWithoutClaim += outcomes.runsWithoutClaim;
+            total.excusedReruns += outcomes.excusedReruns;
+            total.staleDisksRestored += outcomes.staleDisksRestored;
+            total.droppedMessages += outcomes.droppedMessages;
             total.messages += outcomes.messages;
-            total.epochs = Math.max(total.epochs, outcomes.epochs);
-            total.claimMs.addAll(outcomes.claimMs);
-            if (!outcomes.broken.isEmpty() && brokenCount++ < 10) {
+            total.highestEpoch = Math.max(total.highestEpoch, outcomes.highestEpoch);
+            total.claimLatencyMs.addAll(outcomes.claimLatencyMs);
+            if (!outcomes.violations.isEmpty() && brokenCount++ < 10) {
                 System.out.println(
                         "seed "
                                 + (seed + index)
                                 + ": "
-                                + outcomes.broken.get(0)
-                                + (outcomes.broken.size() > 1
-                                        ? " and " + (outcomes.broken.size() - 1) + " more"
+                                + outcomes.violations.get(0)
+                                + (outcomes.violations.size() > 1
+                                        ? " and " + (outcomes.violations.size() - 1) + " more"
                                         : ""));
             }
             index++;
@@ -245,23 +253,23 @@
                     + " lost its disks %d, runs without a claim %d%n",
                 seeds,
                 brokenCount,
-                total.tries,
+                total.attempts,
                 total.succeeded,
                 total.replayed,
                 total.throttled,
                 total.errored,
-                total.otherBody,
+                total.fingerprintMismatches,
                 total.unanswered,
                 total.runs,
                 total.conflicts,
-                total.epochs,
-                total.claimMs(50),
-                total.claimMs(99),
-                total.oldPutBack,
-                total.oldFound,
-                total.unsaid,
-                total.excused,
-                total.unclaimed);
+                total.highestEpoch,
+                total.claimLatencyMs(50),
+                total.claimLatencyMs(99),
+                total.staleDisksRestored,
+                total.staleDisksDetected,
+                total.droppedMessages,
+                total.excusedReruns,
+                total.runsWithoutClaim);
         return brokenCount == 0 ? 0 : EXIT_FAILED;
     }
 
@@ -310,7 +318,7 @@
             long runSeed = seed + i;
             runs.add(
                     () -> {
-                        FleetScenario randomScenario = RandomScenarios.copies(runSeed);
+                        FleetScenario randomScenario = RandomScenarios.forReplication(runSeed);
                         FleetScenario scenario =
                                 withoutFaults
                                         ? new FleetScenario(
@@ -329,7 +337,8 @@
                                                 List.of(),
                                                 randomScenario.expect())
                                         : randomScenario;
-                        return new RolloutSimulation(scenario, runSeed, !withoutLeases).play(publish, harmful);
+                        return new RolloutSimulation(scenario, runSeed, !withoutLeases)
+                                .run(publish, harmful);
                     });
         }
         RolloutSimulation.Outcomes total = new RolloutSimulation.Outcomes();
@@ -339,33 +348,33 @@
         int index = 0;
         for (Future<RolloutSimulation.Outcomes> future : submitAll(runs)) {
             RolloutSimulation.Outcomes outcomes = future.get();
-            total.published += outcomes.published;
-            total.harmless += outcomes.harmless;
-            total.harmlessStopped += outcomes.harmlessStopped;
-            total.harmfulOnes += outcomes.harmfulOnes;
-            total.harmfulStopped += outcomes.harmfulStopped;
-            total.stoppedEarly += outcomes.stoppedEarly;
+            total.publishedVersions += outcomes.publishedVersions;
+            total.harmlessVersions += outcomes.harmlessVersions;
+            total.stoppedHarmlessVersions += outcomes.stoppedHarmlessVersions;
+            total.harmfulVersions += outcomes.harmfulVersions;
+            total.stoppedHarmfulVersions += outcomes.stoppedHarmfulVersions;
+            total.harmfulVersionsStoppedEarly += outcomes.harmfulVersionsStoppedEarly;
             total.runs += outcomes.runs;
-            total.refusedRuns += outcomes.refusedRuns;
-            total.rolloutS.addAll(outcomes.rolloutS);
-            settled.add(outcomes.settledS);
-            if (Double.isInfinite(outcomes.settledS) && unsettledCount++ < 5) {
+            total.runsWithoutLease += outcomes.runsWithoutLease;
+            total.rolloutDurationsS.addAll(outcomes.rolloutDurationsS);
+            settled.add(outcomes.settleTimeS);
+            if (Double.isInfinite(outcomes.settleTimeS) && unsettledCount++ < 5) {
                 System.out.println("seed " + (seed + index) + ": " + outcomes.notes);
             }
-            if (!outcomes.broken.isEmpty() && brokenCount++ < 10) {
+            if (!outcomes.violations.isEmpty() && brokenCount++ < 10) {
                 System.out.println(
                         "seed "
                                 + (seed + index)
                                 + ": "
-                                + outcomes.broken.get(0)
-                                + (outcomes.broken.size() > 1
-                                        ? " and " + (outcomes.broken.size() - 1) + " more"
+                                + outcomes.violations.get(0)
+                                + (outcomes.violations.size() > 1
+                                        ? " and " + (outcomes.violations.size() - 1) + " more"
                                         : ""));
             }
             index++;
         }
         settled.sort(null);
-        total.rolloutS.sort(null);
+        total.rolloutDurationsS.sort(null);
         System.out.printf(
                 Locale.ROOT,
                 "%d schedules, %d broken, %d unsettled: %d versions, harmless %d of which stopped"
@@ -374,17 +383,19 @@
                 seeds,
                 brokenCount,
                 unsettledCount,
-                total.published,
-                total.harmless,
-                total.harmlessStopped,
-                total.harmfulOnes,
-                total.harmfulStopped,
-                total.stoppedEarly,
+                total.publishedVersions,
+                total.harmlessVersions,
+                total.stoppedHarmlessVersions,
+                total.harmfulVersions,
+                total.stoppedHarmfulVersions,
+                total.harmfulVersionsStoppedEarly,
                 total.runs,
-                total.refusedRuns,
+                total.runsWithoutLease,
                 settled.get(seeds / 2),
                 settled.get(seeds * 99 / 100),
-                total.rolloutS.isEmpty() ? Double.NaN : total.rolloutS.get(total.rolloutS.size() / 2));
+                total.rolloutDurationsS.isEmpty()
+                        ? Double.NaN
+                        : total.rolloutDurationsS.get(total.rolloutDurationsS.size() / 2));
         return brokenCount + unsettledCount == 0 ? 0 : EXIT_FAILED;
     }
 
@@ -429,7 +440,7 @@
                             description = "With a planted fault, which has to be found.")
                     boolean planted)
             throws Exception {
-        StateSpaceExplorer.Found result =
+        StateSpaceExplorer.Result result =
                 new StateSpaceExplorer(
                                 () ->
                                         claims
@@ -444,13 +455,16 @@
                 crashes,
                 result.depth(),
                 result.states(),
-                result.edges(),
-                result.worstSettles(),
-                result.broken() == null ? "; nothing broken" : "; BROKEN: " + result.broken());
-        return result.broken() == null ? 0 : EXIT_FAILED;
+                result.transitions(),
+                result.maxRoundsToSettle(),
+                result.violation() == null
+                        ? "; nothing broken"
+                        : "; BROKEN: " + result.violation());
+        return result.violation() == null ? 0 : EXIT_FAILED;
     }
 
-    private static <T> List<Future<T>> submitAll(List<Callable<T>> runs) throws InterruptedException {
+    private static <T> List<Future<T>> submitAll(List<Callable<T>> runs)
+            throws InterruptedException {
         ExecutorService executor =
                 Executors.newFixedThreadPool(
                         Runtime.getRuntime().availableProcessors(),
--- a/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
@@ -45,7 +45,7 @@
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** Options of the commands that run an experiment. */
-    static final class Shared {
+    static final class ExperimentOptions {
         @Option(
                 names = "--seed",
                 defaultValue = "1",
@@ -93,7 +93,9 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description = "Play a script with some seeds.")
-    int run(@Parameters(description = SCRIPT_DESCRIPTION) Path script, @CommandLine.Mixin Shared options)
+    int run(
+            @Parameters(description = SCRIPT_DESCRIPTION) Path script,
+            @CommandLine.Mixin ExperimentOptions options)
             throws Exception {
         return experiment(List.of("as written"), List.of(ScenarioReader.read(script)), options);
     }
@@ -114,7 +116,7 @@
                     List<String> with,
             @Option(names = "--beside", description = "Another script; may be given often.")
                     List<Path> beside,
-            @CommandLine.Mixin Shared options)
+            @CommandLine.Mixin ExperimentOptions options)
             throws Exception {
         Scenario first = ScenarioReader.read(script);
         List<String> names = new ArrayList<>(List.of(first.name()));
@@ -147,7 +149,7 @@
                     String setting,
             @Option(names = "--values", required = true, split = ",", description = "Its values.")
                     List<String> values,
-            @CommandLine.Mixin Shared options)
+            @CommandLine.Mixin ExperimentOptions options)
             throws Exception {
         List<String> names = new ArrayList<>();
         List<Scenario> scenarios = new ArrayList<>();
@@ -158,7 +160,8 @@
         return experiment(names, scenarios, options);
     }
 
-    private static int experiment(List<String> names, List<Scenario> scenarios, Shared options)
+    private static int experiment(
+            List<String> names, List<Scenario> scenarios, ExperimentOptions options)
             throws Exception {
         Experiment experiment =
                 new Experiment(
@@ -170,15 +173,15 @@
         long startNanos = System.nanoTime();
         try (ParallelRunner runner = new ParallelRunner(options.cores())) {
             int seedsPerBatch = Math.max(1, options.cores() / scenarios.size());
-            experiment.play(
+            experiment.run(
                     runner,
                     seedsPerBatch,
                     progress -> {
                         double elapsedS = (System.nanoTime() - startNanos) / 1e9;
                         double remainingS =
                                 elapsedS
-                                        / Math.max(1, experiment.seeds())
-                                        * (options.seeds - experiment.seeds());
+                                        / Math.max(1, experiment.seedCount())
+                                        * (options.seeds - experiment.seedCount());
                         System.err.printf(
                                 Locale.ROOT,
                                 "%s, %.0f s spent, at most %.0f s left%n",
@@ -200,7 +203,7 @@
     private static int printVariant(
             PrintStream out, Experiment experiment, List<String> names, int variant, long seed) {
         out.println(names.get(variant));
-        Report.FIGURES.forEach(
+        Report.METRICS.forEach(
                 (name, figure) -> {
                     ConfidenceInterval difference =
                             variant == 0 ? null : experiment.difference(variant, figure);
@@ -215,12 +218,12 @@
                                             Locale.ROOT,
                                             "   difference %+.4f ± %.4f, chance %.3f",
                                             difference.mean(),
-                                            difference.half(),
-                                            experiment.chance(variant, figure)));
+                                            difference.halfWidth(),
+                                            experiment.pValue(variant, figure)));
                 });
         int missedCount = 0;
-        for (int i = 0; i < experiment.seeds(); i++) {
-            for (String line : experiment.outcomes(variant).get(i).missed()) {
+        for (int i = 0; i < experiment.seedCount(); i++) {
+            for (String line : experiment.results(variant).get(i).missedExpectations()) {
                 out.println("  missed, seed " + (seed + i) + ": " + line);
                 missedCount++;
             }
@@ -237,9 +240,9 @@
             @Option(names = "--seed", required = true) long seed) {
         Scenario scenario = ScenarioReader.read(file);
         long startNanos = System.nanoTime();
-        SimulationResult outcome = new Simulation(scenario, seed).play();
+        SimulationResult outcome = new Simulation(scenario, seed).run();
         double elapsedS = (System.nanoTime() - startNanos) / 1e9;
-        Report.FIGURES.forEach(
+        Report.METRICS.forEach(
                 (name, figure) ->
                         System.out.printf(
                                 Locale.ROOT, "%-14s %.4f%n", name, figure.applyAsDouble(outcome)));
@@ -251,27 +254,29 @@
                                         "%-14s asked %d, succeeded %d, throttled %d, errored %d,"
                                                 + " timed out %d, value %.3f%n",
                                         name,
-                                        counts.asked,
+                                        counts.requests,
                                         counts.succeeded,
                                         counts.throttled,
                                         counts.errored,
                                         counts.timedOut,
-                                        counts.offered == 0 ? 1 : counts.earned / counts.offered));
+                                        counts.offeredValue == 0
+                                                ? 1
+                                                : counts.earnedValue / counts.offeredValue));
         System.out.printf(
                 Locale.ROOT,
                 "read %d, answered %d, run %d; calls %d, falls of the records service %d%n",
                 outcome.rules().reads(),
                 outcome.rules().answers(),
                 outcome.rules().runs(),
-                outcome.calls(),
-                outcome.falls());
+                outcome.recordsServiceCalls(),
+                outcome.recordsServiceOutages());
         System.out.printf(
                 Locale.ROOT,
                 "%d events, %.0f times real time%n",
-                outcome.events(),
+                outcome.executedEvents(),
                 scenario.seconds() / elapsedS);
-        outcome.rules().broken().forEach(System.out::println);
-        return outcome.missed().isEmpty() ? 0 : EXIT_FAILED;
+        outcome.rules().violations().forEach(System.out::println);
+        return outcome.missedExpectations().isEmpty() ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -292,15 +297,17 @@
         int cores = atOnce == null ? Runtime.getRuntime().availableProcessors() : atOnce;
         try (ParallelRunner runner = new ParallelRunner(cores)) {
             FaultSearch search = new FaultSearch(runner, base, seed);
-            FaultSearch.Find finding = search.search(tries, cores * 2, System.err::println);
-            FaultSearch.Find reduced = search.cut(finding, System.err::println);
+            FaultSearch.Finding finding = search.search(tries, cores * 2, System.err::println);
+            FaultSearch.Finding reduced = search.shrink(finding, System.err::println);
             System.out.printf(
                     Locale.ROOT,
                     "%s, seed %d, value %.4f%n",
-                    reduced.broken() ? "a rule is broken: " + reduced.line() : "greatest loss",
+                    reduced.ruleBroken()
+                            ? "a rule is broken: " + reduced.violation()
+                            : "greatest loss",
                     reduced.seed(),
-                    reduced.value());
-            for (Scenario.Incident each : reduced.script().incidents()) {
+                    reduced.valueShare());
+            for (Scenario.Incident each : reduced.scenario().incidents()) {
                 System.out.printf(
                         Locale.ROOT,
                         "  { at_s: %s, for_s: %s, what: '%s', share: %s, strength: %s },%n",
@@ -313,7 +320,7 @@
             if (save != null) {
                 save(file, reduced, save);
             }
-            return reduced.broken() ? EXIT_FAILED : 0;
+            return reduced.ruleBroken() ? EXIT_FAILED : 0;
         }
     }
 
@@ -330,24 +337,25 @@
         System.out.println("boxes,events,events a second,times real time,MB");
         for (int pass = 0; pass < 2; pass++) { // the first pass warms the JIT up
             for (int count : boxes) {
-                Scenario scenario = base.scaled((double) count / base.fleet().boxes());
+                Scenario scenario = base.scaledBy((double) count / base.fleet().boxes());
                 long startNanos = System.nanoTime();
                 Simulation simulation = new Simulation(scenario, 1);
-                SimulationResult outcome = simulation.play();
+                SimulationResult outcome = simulation.run();
                 double elapsedS = (System.nanoTime() - startNanos) / 1e9;
                 System.gc();
-                long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+                long usedBytes =
+                        Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
                 if (pass > 0) {
                     System.out.printf(
                             Locale.ROOT,
                             "%d,%d,%.0f,%.2f,%d%n",
                             count,
-                            outcome.events(),
-                            outcome.events() / elapsedS,
+                            outcome.executedEvents(),
+                            outcome.executedEvents() / elapsedS,
                             scenario.seconds() / elapsedS,
                             usedBytes >> 20);
                 }
-                if (simulation.time() < scenario.seconds()) {
+                if (simulation.nowSeconds() < scenario.seconds()) {
                     throw new IllegalStateException(
                             "simulation ended early"); // also keeps it on the heap until here
                 }
@@ -357,12 +365,12 @@
     }
 
     /** Writes a copy of the script file in which the found incidents replace its own. */
-    private static void save(Path file, FaultSearch.Find finding, Path to) throws IOException {
+    private static void save(Path file, FaultSearch.Finding finding, Path to) throws IOException {
         ObjectMapper mapper =
                 JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
         Map<String, Object> root = ScenarioReader.members(file);
         List<Object> incidents = new ArrayList<>();
-        for (Scenario.Incident each : finding.script().incidents()) {
+        for (Scenario.Incident each : finding.scenario().incidents()) {
             Map<String, Object> incident = new LinkedHashMap<>();
             incident.put("at_s", each.atS());
             incident.put("for_s", each.forS());
@@ -394,7 +402,8 @@
         return commandLine.execute(args);
     }
 
-    private static int reportInvalidInput(Exception exception, Callable<Integer> rethrow) throws Exception {
+    private static int reportInvalidInput(Exception exception, Callable<Integer> rethrow)
+            throws Exception {
         if (!(exception instanceof MalformedException)) {
             return rethrow.call();
         }
--- a/emulator/src/main/java/ochretiller/emulator/core/EventQueue.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/EventQueue.java
@@ -43,22 +43,22 @@
     }
 
     /** Returns the virtual time since the start, seconds. */
-    public double seconds() {
+    public double nowSeconds() {
         return now / 1e9;
     }
 
     /** Returns the number of executed events; cancelled ones are not counted. */
-    public long done() {
+    public long executedEvents() {
         return executed;
     }
 
     /** Schedules an action; a negative delay counts as zero. */
-    public Event after(Duration delay, Runnable action) {
+    public Event schedule(Duration delay, Runnable action) {
         return scheduleInNanos(delay.toNanos(), action);
     }
 
     /** Schedules an action after a delay in seconds, truncated to whole nanoseconds. */
-    public Event after(double seconds, Runnable action) {
+    public Event schedule(double seconds, Runnable action) {
         return scheduleInNanos((long) (seconds * 1e9), action);
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Executes all events due at or before {@code untilSeconds} and advances the clock to it. */
-    public void run(double untilSeconds) {
+    public void runUntil(double untilSeconds) {
         long untilNanos = (long) (untilSeconds * 1e9);
         while (!queue.isEmpty() && queue.peek().atNanos <= untilNanos) {
             Event event = queue.poll();
--- a/emulator/src/main/java/ochretiller/emulator/core/RandomStreams.java
+++ b/emulator/src/main/java/ochretiller/emulator/core/RandomStreams.java
@@ -8,7 +8,7 @@
  */
 public record RandomStreams(long seed) {
     /** Returns a new stream; equal seeds and names give equal streams. */
-    public SplittableRandom of(String name) {
+    public SplittableRandom stream(String name) {
         // FNV-1a; the mixing below separates names that differ in a single character.
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < name.length(); i++) {
@@ -28,7 +28,7 @@
      * @param spread standard deviation of the logarithm; with zero, nothing is drawn and the mean
      *     is returned
      */
-    public static double around(SplittableRandom random, double mean, double spread) {
+    public static double logNormal(SplittableRandom random, double mean, double spread) {
         if (spread == 0) {
             return mean;
         }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/ConfidenceInterval.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ConfidenceInterval.java
@@ -9,9 +9,9 @@
  * A mean with its 95 % confidence interval, by Student's t distribution.
  *
  * @param mean NaN if there are no values
- * @param half half of the interval's width; infinite for fewer than two values
+ * @param halfWidth half of the interval's width; infinite for fewer than two values
  */
-public record ConfidenceInterval(double mean, double half, long count) {
+public record ConfidenceInterval(double mean, double halfWidth, long count) {
     private static final double CONFIDENCE = 0.95;
 
     /** Computes the interval of the mean of independent values. */
@@ -32,7 +32,7 @@
      * Returns the two-sided p-value of a paired t-test: the probability of a mean at least this far
      * from zero if the true mean difference is zero. It is 1 for fewer than two values.
      */
-    public static double chance(List<Double> differences) {
+    public static double pValue(List<Double> differences) {
         SummaryStatistics statistics = new SummaryStatistics();
         differences.forEach(statistics::addValue);
         long n = statistics.getN();
@@ -48,6 +48,6 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%.4f ± %.4f (%d)", mean, half, count);
+        return String.format(Locale.ROOT, "%.4f ± %.4f (%d)", mean, halfWidth, count);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Experiment.java
@@ -49,7 +49,7 @@
      * later seeds in the batch are discarded, so the number of seeds used depends on the results
      * alone and not on the batch size.
      */
-    public void play(ParallelRunner runner, int seedsPerBatch, Consumer<String> progress)
+    public void run(ParallelRunner runner, int seedsPerBatch, Consumer<String> progress)
             throws InterruptedException {
         for (int seeds = 0; seeds < maxSeeds; ) {
             int batchSeeds = Math.min(seedsPerBatch, maxSeeds - seeds);
@@ -59,7 +59,7 @@
                     batch.add(new ParallelRunner.Run(variant, firstSeed + seeds + i));
                 }
             }
-            List<SimulationResult> batchResults = runner.play(batch);
+            List<SimulationResult> batchResults = runner.runAll(batch);
             for (int i = 0; i < batchSeeds; i++) {
                 for (int v = 0; v < variants.size(); v++) {
                     results.get(v).add(batchResults.get(i * variants.size() + v));
@@ -79,10 +79,10 @@
             return false;
         }
         if (variants.size() == 1) {
-            return estimate(0, stoppingMetric).half() <= targetHalfWidth;
+            return estimate(0, stoppingMetric).halfWidth() <= targetHalfWidth;
         }
         for (int v = 1; v < variants.size(); v++) {
-            if (difference(v, stoppingMetric).half() > targetHalfWidth) {
+            if (difference(v, stoppingMetric).halfWidth() > targetHalfWidth) {
                 return false;
             }
         }
@@ -90,12 +90,12 @@
     }
 
     /** Returns the number of seeds used. */
-    public int seeds() {
+    public int seedCount() {
         return results.get(0).size();
     }
 
     /** Returns the results of a variant in the order of the seeds. */
-    public List<SimulationResult> outcomes(int variant) {
+    public List<SimulationResult> results(int variant) {
         return results.get(variant);
     }
 
@@ -107,7 +107,7 @@
 
     private List<Double> differences(int variant, ToDoubleFunction<SimulationResult> metric) {
         List<Double> differences = new ArrayList<>();
-        for (int i = 0; i < seeds(); i++) {
+        for (int i = 0; i < seedCount(); i++) {
             differences.add(
                     metric.applyAsDouble(results.get(variant).get(i))
                             - metric.applyAsDouble(results.get(0).get(i)));
@@ -121,14 +121,14 @@
     }
 
     /** Returns the p-value of a variant's mean difference from the first one, paired by seed. */
-    public double chance(int variant, ToDoubleFunction<SimulationResult> metric) {
-        return ConfidenceInterval.chance(differences(variant, metric));
+    public double pValue(int variant, ToDoubleFunction<SimulationResult> metric) {
+        return ConfidenceInterval.pValue(differences(variant, metric));
     }
 
     /** Returns the first seed with which a variant broke a rule, null if there is none. */
-    public Long broken(int variant) {
-        for (int i = 0; i < seeds(); i++) {
-            if (results.get(variant).get(i).rules().count() > 0) {
+    public Long firstSeedWithViolation(int variant) {
+        for (int i = 0; i < seedCount(); i++) {
+            if (results.get(variant).get(i).rules().violationCount() > 0) {
                 return firstSeed + i;
             }
         }
--- a/emulator/src/main/java/ochretiller/emulator/experiment/ParallelRunner.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/ParallelRunner.java
@@ -30,17 +30,17 @@
     }
 
     /** A scenario and the seed that it is run with. */
-    public record Run(Scenario script, long seed) {}
+    public record Run(Scenario scenario, long seed) {}
 
     /**
      * Executes all runs and returns their results in the order of {@code runs}.
      *
      * @throws IllegalStateException if a run failed; its cause is the exception of that run
      */
-    public List<SimulationResult> play(List<Run> runs) throws InterruptedException {
+    public List<SimulationResult> runAll(List<Run> runs) throws InterruptedException {
         List<Future<SimulationResult>> futures = new ArrayList<>();
         for (Run run : runs) {
-            futures.add(executor.submit(() -> new Simulation(run.script, run.seed).play()));
+            futures.add(executor.submit(() -> new Simulation(run.scenario, run.seed).run()));
         }
         List<SimulationResult> results = new ArrayList<>();
         try {
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
@@ -26,7 +26,7 @@
  */
 public final class Report {
     /** Metrics of one run by the names of their columns, in column order. */
-    public static final Map<String, ToDoubleFunction<SimulationResult>> FIGURES = metrics();
+    public static final Map<String, ToDoubleFunction<SimulationResult>> METRICS = metrics();
 
     private final Path folder;
     private final Experiment experiment;
@@ -57,14 +57,14 @@
     private static Map<String, ToDoubleFunction<SimulationResult>> metrics() {
         Map<String, ToDoubleFunction<SimulationResult>> metrics = new LinkedHashMap<>();
         metrics.put("value share", SimulationResult::valueShare);
-        metrics.put("loud callers", SimulationResult::loudShare);
-        metrics.put("other callers", SimulationResult::othersShare);
-        metrics.put("worst 10 s", SimulationResult::worstTen);
-        metrics.put("p50 ms", result -> result.tookMs(50));
-        metrics.put("p99 ms", result -> result.tookMs(99));
-        metrics.put("tries each", SimulationResult::triesEach);
-        metrics.put("deaths", SimulationResult::deaths);
-        metrics.put("broken rules", result -> result.rules().count());
+        metrics.put("loud callers", SimulationResult::heavyCallersValueShare);
+        metrics.put("other callers", SimulationResult::otherCallersValueShare);
+        metrics.put("worst 10 s", SimulationResult::worstTenSecondsValueShare);
+        metrics.put("p50 ms", result -> result.latencyMs(50));
+        metrics.put("p99 ms", result -> result.latencyMs(99));
+        metrics.put("tries each", SimulationResult::attemptsPerRequest);
+        metrics.put("deaths", SimulationResult::serverCrashes);
+        metrics.put("broken rules", result -> result.rules().violationCount());
         return metrics;
     }
 
@@ -77,15 +77,16 @@
         addSecondsChart(
                 "value",
                 "Share of the billed value that was earned",
-                second -> second.offered == 0 ? 1 : second.earned / second.offered);
+                second -> second.offeredValue == 0 ? 1 : second.earnedValue / second.offeredValue);
         addSecondsChart(
                 "tries",
                 "Tries for each that was asked",
-                second -> second.asked == 0 ? 0 : (double) second.tries / second.asked);
-        addSamplesChart("held", "Invocations at the boxes", SimulationResult.Look::held);
-        addSamplesChart("running", "Runs on cores", SimulationResult.Look::running);
-        addSamplesChart("boxes", "Boxes that serve", SimulationResult.Look::boxes);
-        addSamplesChart("ledger", "Calls at the records service", SimulationResult.Look::ledger);
+                second -> second.requests == 0 ? 0 : (double) second.attempts / second.requests);
+        addSamplesChart("held", "Invocations at the boxes", SimulationResult.Sample::attempts);
+        addSamplesChart("running", "Runs on cores", SimulationResult.Sample::runningJobs);
+        addSamplesChart("boxes", "Boxes that serve", SimulationResult.Sample::servers);
+        addSamplesChart(
+                "ledger", "Calls at the records service", SimulationResult.Sample::callsInProgress);
         addLatencyChart();
         addVariantCharts();
         writePage();
@@ -99,20 +100,20 @@
         for (String name : List.of("value share", "worst 10 s", "p99 ms")) {
             XYChart chart =
                     newChart(
-                            name + ", intervals of 95 %, in the order of the table",
-                            "variant",
-                            "");
+                            name + ", intervals of 95 %, in the order of the table", "variant", "");
             chart.getStyler()
                     .setXAxisMin(0.0)
                     .setXAxisMax((double) variantNames.size() + 1)
                     .setXAxisDecimalPattern("0");
             for (int v = 0; v < variantNames.size(); v++) {
-                ConfidenceInterval estimate = experiment.estimate(v, FIGURES.get(name));
+                ConfidenceInterval estimate = experiment.estimate(v, METRICS.get(name));
                 chart.addSeries(
                         variantNames.get(v),
                         new double[] {v + 1},
                         new double[] {estimate.mean()},
-                        new double[] {Double.isFinite(estimate.half()) ? estimate.half() : 0});
+                        new double[] {
+                            Double.isFinite(estimate.halfWidth()) ? estimate.halfWidth() : 0
+                        });
             }
             saveChart(chart, "variants-" + name.replace(' ', '-'));
         }
@@ -120,14 +121,14 @@
 
     private void writeRunsCsv() throws IOException {
         List<String> lines = new ArrayList<>();
-        lines.add("variant,seed," + String.join(",", FIGURES.keySet()));
+        lines.add("variant,seed," + String.join(",", METRICS.keySet()));
         for (int v = 0; v < variantNames.size(); v++) {
-            for (int i = 0; i < experiment.seeds(); i++) {
-                SimulationResult result = experiment.outcomes(v).get(i);
+            for (int i = 0; i < experiment.seedCount(); i++) {
+                SimulationResult result = experiment.results(v).get(i);
                 StringBuilder line =
                         new StringBuilder(
                                 variantNames.get(v).replace(',', ';') + ',' + (firstSeed + i));
-                for (ToDoubleFunction<SimulationResult> metric : FIGURES.values()) {
+                for (ToDoubleFunction<SimulationResult> metric : METRICS.values()) {
                     line.append(',')
                             .append(
                                     String.format(
@@ -144,23 +145,23 @@
         lines.add(
                 "variant,second,asked,succeeded,throttled,errored,timed out,tries,offered,earned");
         for (int v = 0; v < variantNames.size(); v++) {
-            int seconds = experiment.outcomes(v).get(0).seconds().size();
+            int seconds = experiment.results(v).get(0).totalsPerSecond().size();
             for (int s = 0; s < seconds; s++) {
                 double[] sums = new double[8];
-                for (SimulationResult result : experiment.outcomes(v)) {
-                    SimulationResult.Second each = result.seconds().get(s);
+                for (SimulationResult result : experiment.results(v)) {
+                    SimulationResult.Totals each = result.totalsPerSecond().get(s);
                     double[] values = {
-                        each.asked,
+                        each.requests,
                         each.succeeded,
                         each.throttled,
                         each.errored,
                         each.timedOut,
-                        each.tries,
-                        each.offered,
-                        each.earned
+                        each.attempts,
+                        each.offeredValue,
+                        each.earnedValue
                     };
                     for (int i = 0; i < sums.length; i++) {
-                        sums[i] += values[i] / experiment.seeds();
+                        sums[i] += values[i] / experiment.seedCount();
                     }
                 }
                 StringBuilder line =
@@ -178,7 +179,7 @@
         ObjectMapper mapper =
                 JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
         Map<String, Object> root = new LinkedHashMap<>();
-        root.put("seeds", Map.of("first", firstSeed, "count", experiment.seeds()));
+        root.put("seeds", Map.of("first", firstSeed, "count", experiment.seedCount()));
         String version = Report.class.getPackage().getImplementationVersion();
         root.put("version", version == null ? "unpackaged" : version);
         List<Object> variants = new ArrayList<>();
@@ -187,16 +188,16 @@
             variant.put("name", variantNames.get(v));
             variant.put("script", scenarios.get(v));
             for (Map.Entry<String, ToDoubleFunction<SimulationResult>> metric :
-                    FIGURES.entrySet()) {
+                    METRICS.entrySet()) {
                 ConfidenceInterval estimate = experiment.estimate(v, metric.getValue());
                 Map<String, Object> value = new LinkedHashMap<>();
                 value.put("mean", estimate.mean());
-                value.put("half", finiteOrNull(estimate.half()));
+                value.put("half", finiteOrNull(estimate.halfWidth()));
                 if (v > 0) {
                     ConfidenceInterval difference = experiment.difference(v, metric.getValue());
                     value.put("difference", difference.mean());
-                    value.put("difference half", finiteOrNull(difference.half()));
-                    value.put("chance", experiment.chance(v, metric.getValue()));
+                    value.put("difference half", finiteOrNull(difference.halfWidth()));
+                    value.put("chance", experiment.pValue(v, metric.getValue()));
                 }
                 variant.put(metric.getKey(), value);
             }
@@ -235,19 +236,21 @@
     }
 
     private void addSecondsChart(
-            String name, String title, ToDoubleFunction<SimulationResult.Second> valueOf)
+            String name, String title, ToDoubleFunction<SimulationResult.Totals> valueOf)
             throws IOException {
         XYChart chart =
-                newChart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
+                newChart(title + ", mean of " + experiment.seedCount() + " seeds", "seconds", "");
         for (int v = 0; v < variantNames.size(); v++) {
             // The last second is incomplete.
-            int count = experiment.outcomes(v).get(0).seconds().size() - 1;
+            int count = experiment.results(v).get(0).totalsPerSecond().size() - 1;
             double[] x = new double[count];
             double[] y = new double[count];
             for (int s = 0; s < count; s++) {
                 x[s] = s;
-                for (SimulationResult result : experiment.outcomes(v)) {
-                    y[s] += valueOf.applyAsDouble(result.seconds().get(s)) / experiment.seeds();
+                for (SimulationResult result : experiment.results(v)) {
+                    y[s] +=
+                            valueOf.applyAsDouble(result.totalsPerSecond().get(s))
+                                    / experiment.seedCount();
                 }
             }
             chart.addSeries(variantNames.get(v), x, y).setMarker(SeriesMarkers.NONE);
@@ -256,18 +259,18 @@
     }
 
     private void addSamplesChart(
-            String name, String title, ToDoubleFunction<SimulationResult.Look> valueOf)
+            String name, String title, ToDoubleFunction<SimulationResult.Sample> valueOf)
             throws IOException {
         XYChart chart =
-                newChart(title + ", mean of " + experiment.seeds() + " seeds", "seconds", "");
+                newChart(title + ", mean of " + experiment.seedCount() + " seeds", "seconds", "");
         for (int v = 0; v < variantNames.size(); v++) {
-            int count = experiment.outcomes(v).get(0).looks().size();
+            int count = experiment.results(v).get(0).samples().size();
             double[] x = new double[count];
             double[] y = new double[count];
             for (int s = 0; s < count; s++) {
-                x[s] = experiment.outcomes(v).get(0).looks().get(s).at();
-                for (SimulationResult result : experiment.outcomes(v)) {
-                    y[s] += valueOf.applyAsDouble(result.looks().get(s)) / experiment.seeds();
+                x[s] = experiment.results(v).get(0).samples().get(s).atSeconds();
+                for (SimulationResult result : experiment.results(v)) {
+                    y[s] += valueOf.applyAsDouble(result.samples().get(s)) / experiment.seedCount();
                 }
             }
             chart.addSeries(variantNames.get(v), x, y).setMarker(SeriesMarkers.NONE);
@@ -291,7 +294,7 @@
                         Math.max(
                                 0.001,
                                 experiment
-                                        .estimate(v, result -> result.tookMs(percentile))
+                                        .estimate(v, result -> result.latencyMs(percentile))
                                         .mean()));
                 y.add(percent / 100);
             }
@@ -315,7 +318,7 @@
         page.append("<h1>")
                 .append(escapeHtml(scenarios.get(0).name()))
                 .append("</h1><p>Simulated; ")
-                .append(experiment.seeds())
+                .append(experiment.seedCount())
                 .append(" seeds from ")
                 .append(firstSeed)
                 .append(
@@ -325,34 +328,34 @@
             page.append("<th>").append(escapeHtml(name));
         }
         page.append("</tr>");
-        for (Map.Entry<String, ToDoubleFunction<SimulationResult>> metric : FIGURES.entrySet()) {
+        for (Map.Entry<String, ToDoubleFunction<SimulationResult>> metric : METRICS.entrySet()) {
             page.append("<tr><td>").append(metric.getKey());
             for (int v = 0; v < variantNames.size(); v++) {
                 ConfidenceInterval estimate = experiment.estimate(v, metric.getValue());
                 page.append("<td>").append(String.format(Locale.ROOT, "%.4g", estimate.mean()));
-                if (Double.isFinite(estimate.half())) {
-                    page.append(String.format(Locale.ROOT, " ± %.2g", estimate.half()));
+                if (Double.isFinite(estimate.halfWidth())) {
+                    page.append(String.format(Locale.ROOT, " ± %.2g", estimate.halfWidth()));
                 }
                 if (v == 0) {
                     continue;
                 }
                 ConfidenceInterval difference = experiment.difference(v, metric.getValue());
                 page.append(String.format(Locale.ROOT, "<br>%+.4g", difference.mean()));
-                if (Double.isFinite(difference.half())) {
+                if (Double.isFinite(difference.halfWidth())) {
                     page.append(
                             String.format(
                                     Locale.ROOT,
                                     " ± %.2g, chance %.2g",
-                                    difference.half(),
-                                    experiment.chance(v, metric.getValue())));
+                                    difference.halfWidth(),
+                                    experiment.pValue(v, metric.getValue())));
                 }
             }
             page.append("</tr>");
         }
         page.append("</table>");
         for (int v = 0; v < variantNames.size(); v++) {
-            for (int i = 0; i < experiment.seeds(); i++) {
-                for (String message : experiment.outcomes(v).get(i).missed()) {
+            for (int i = 0; i < experiment.seedCount(); i++) {
+                for (String message : experiment.results(v).get(i).missedExpectations()) {
                     page.append("<p class=\"bad\">")
                             .append(
                                     escapeHtml(
--- a/emulator/src/main/java/ochretiller/emulator/faultsearch/FaultSearch.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/FaultSearch.java
@@ -36,34 +36,41 @@
     /**
      * The worst run of a search.
      *
-     * @param broken whether the run broke a rule; if not, no run of the search earned less value
-     * @param value share of the billed value that was earned
-     * @param line the first violation, empty if no rule was broken
+     * @param ruleBroken whether the run broke a rule; if not, no run of the search earned less
+     *     value
+     * @param valueShare share of the billed value that was earned
+     * @param violation the first violation, empty if no rule was broken
      */
-    public record Find(Scenario script, long seed, boolean broken, double value, String line) {}
+    public record Finding(
+            Scenario scenario,
+            long seed,
+            boolean ruleBroken,
+            double valueShare,
+            String violation) {}
 
     /**
      * Runs random incidents in batches up to the first batch that breaks a rule. Returns the worst
      * run: one that broke a rule or, if none did, the one that earned the least value.
      */
-    public Find search(int runCount, int batchSize, Consumer<String> progress)
+    public Finding search(int runCount, int batchSize, Consumer<String> progress)
             throws InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
-        Find worst = null;
+        Finding worst = null;
         for (int completed = 0; completed < runCount; ) {
             List<ParallelRunner.Run> batch = new ArrayList<>();
             for (int i = 0; i < Math.min(batchSize, runCount - completed); i++) {
                 batch.add(
                         new ParallelRunner.Run(
-                                base.with(RandomIncidents.draw(base, random)),
+                                base.withIncidents(RandomIncidents.draw(base, random)),
                                 seed + completed + i));
             }
-            List<SimulationResult> results = runner.play(batch);
+            List<SimulationResult> results = runner.runAll(batch);
             for (int i = 0; i < batch.size(); i++) {
-                Find candidate = evaluate(batch.get(i), results.get(i));
+                Finding candidate = evaluate(batch.get(i), results.get(i));
                 if (worst == null
-                        || candidate.broken && !worst.broken
-                        || candidate.broken == worst.broken && candidate.value < worst.value) {
+                        || candidate.ruleBroken && !worst.ruleBroken
+                        || candidate.ruleBroken == worst.ruleBroken
+                                && candidate.valueShare < worst.valueShare) {
                     worst = candidate;
                 }
             }
@@ -73,46 +80,46 @@
                             + " of "
                             + runCount
                             + ": "
-                            + (worst.broken
-                                    ? "a broken rule: " + worst.line
-                                    : "least value " + worst.value));
-            if (worst.broken) {
+                            + (worst.ruleBroken
+                                    ? "a broken rule: " + worst.violation
+                                    : "least value " + worst.valueShare));
+            if (worst.ruleBroken) {
                 break;
             }
         }
         return worst;
     }
 
-    private static Find evaluate(ParallelRunner.Run run, SimulationResult result) {
-        boolean broken = result.rules().count() > 0;
-        return new Find(
-                run.script(),
+    private static Finding evaluate(ParallelRunner.Run run, SimulationResult result) {
+        boolean broken = result.rules().violationCount() > 0;
+        return new Finding(
+                run.scenario(),
                 run.seed(),
                 broken,
                 result.valueShare(),
-                broken ? result.rules().broken().get(0) : "");
+                broken ? result.rules().violations().get(0) : "");
     }
 
     /**
      * Shrinks the incidents of a run while it still breaks a rule or, if it broke none, while it
      * still loses at least nine tenths of the value that it lost.
      */
-    public Find cut(Find finding, Consumer<String> progress) throws InterruptedException {
-        Predicate<Find> isStillInteresting =
-                finding.broken
-                        ? Find::broken
-                        : candidate -> 1 - candidate.value >= 0.9 * (1 - finding.value);
-        Find smallest = finding;
+    public Finding shrink(Finding finding, Consumer<String> progress) throws InterruptedException {
+        Predicate<Finding> isStillInteresting =
+                finding.ruleBroken
+                        ? Finding::ruleBroken
+                        : candidate -> 1 - candidate.valueShare >= 0.9 * (1 - finding.valueShare);
+        Finding smallest = finding;
         for (int round = 0; round < MAX_SHRINK_ROUNDS; round++) {
             List<ParallelRunner.Run> batch = new ArrayList<>();
             for (List<Scenario.Incident> incidents :
-                    RandomIncidents.smaller(smallest.script.incidents())) {
-                batch.add(new ParallelRunner.Run(base.with(incidents), finding.seed));
+                    RandomIncidents.shrinkCandidates(smallest.scenario.incidents())) {
+                batch.add(new ParallelRunner.Run(base.withIncidents(incidents), finding.seed));
             }
-            List<SimulationResult> results = runner.play(batch);
-            Find smaller = null;
+            List<SimulationResult> results = runner.runAll(batch);
+            Finding smaller = null;
             for (int i = 0; i < batch.size() && smaller == null; i++) {
-                Find candidate = evaluate(batch.get(i), results.get(i));
+                Finding candidate = evaluate(batch.get(i), results.get(i));
                 if (isStillInteresting.test(candidate)) {
                     smaller = candidate;
                 }
@@ -121,7 +128,7 @@
                 return smallest;
             }
             smallest = smaller;
-            progress.accept("cut down to " + smallest.script.incidents().size() + " incidents");
+            progress.accept("cut down to " + smallest.scenario.incidents().size() + " incidents");
         }
         return smallest;
     }
--- a/emulator/src/main/java/ochretiller/emulator/faultsearch/RandomIncidents.java
+++ b/emulator/src/main/java/ochretiller/emulator/faultsearch/RandomIncidents.java
@@ -91,7 +91,7 @@
      * Returns every list that is one step smaller: without one incident, or with one incident that
      * is shorter, weaker or affects a smaller share.
      */
-    static List<List<Scenario.Incident>> smaller(List<Scenario.Incident> incidents) {
+    static List<List<Scenario.Incident>> shrinkCandidates(List<Scenario.Incident> incidents) {
         List<List<Scenario.Incident>> candidates = new ArrayList<>();
         for (int i = 0; i < incidents.size(); i++) {
             List<Scenario.Incident> without = new ArrayList<>(incidents);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ClaimStateModel.java
@@ -42,10 +42,12 @@
     private static final int MAX_IN_FLIGHT = 14;
 
     private static final int MAX_SETTLE_ROUNDS = 60;
-    private static final List<ReplicaServer> INITIAL_SERVERS = List.of(server(0), server(1), server(2));
+    private static final List<ReplicaServer> INITIAL_SERVERS =
+            List.of(server(0), server(1), server(2));
 
     /** Computed once, since each path of actions is replayed from the start. */
-    private static final ReplicaPlacement FIRST_PLACEMENT = new ReplicaPlacement(1, INITIAL_SERVERS, List.of(), 3);
+    private static final ReplicaPlacement FIRST_PLACEMENT =
+            new ReplicaPlacement(1, INITIAL_SERVERS, List.of(), 3);
 
     private static final ReplicaPlacement SECOND_PLACEMENT =
             new ReplicaPlacement(2, List.of(server(0), server(1), server(3)), INITIAL_SERVERS, 3);
@@ -87,7 +89,8 @@
         }
         for (int i = 0; i < SERVER_COUNT; i++) {
             int serverIndex = i;
-            coordinators[i] = new ClaimCoordinator("s" + i, 1, FIRST_PLACEMENT, new ConstantRandom());
+            coordinators[i] =
+                    new ClaimCoordinator("s" + i, 1, FIRST_PLACEMENT, new ConstantRandom());
             runningClaims.add(null);
             decisions.add("");
             coordinators[i].claim(
@@ -146,7 +149,8 @@
             coordinators[receiver].receive(message.from, message.message, clocks[receiver]);
             collectOutbound(receiver);
         } else {
-            replicas[receiver].receive(message.from, message.message, clocks[SERVER_COUNT + receiver]);
+            replicas[receiver].receive(
+                    message.from, message.message, clocks[SERVER_COUNT + receiver]);
             collectOutbound(SERVER_COUNT + receiver);
         }
     }
@@ -191,12 +195,13 @@
      * of runs, server crashes, replica restarts, deliveries of messages.
      */
     @Override
-    public boolean act(int action) {
+    public boolean perform(int action) {
         int nodes = SERVER_COUNT + REPLICA_COUNT;
         int offset = action;
         if (offset < nodes) {
             if (offset < SERVER_COUNT && isCrashed[offset]
-                    || offset >= SERVER_COUNT && replicas[offset - SERVER_COUNT].laggingRangeCount() == 0) {
+                    || offset >= SERVER_COUNT
+                            && replicas[offset - SERVER_COUNT].laggingRangeCount() == 0) {
                 return false;
             }
             advanceClock(offset);
@@ -243,7 +248,10 @@
             replicas[offset] =
                     losesGrants
                             ? Replica.recover(
-                                    "k" + offset, new ReplicaSnapshot(placement, Map.of()), limits, now)
+                                    "k" + offset,
+                                    new ReplicaSnapshot(placement, Map.of()),
+                                    limits,
+                                    now)
                             : Replica.withoutDisk("k" + offset, placement, 0, limits, now);
             return true;
         }
@@ -256,8 +264,11 @@
     }
 
     @Override
-    public int actions() {
-        return 2 * (SERVER_COUNT + REPLICA_COUNT) + 2 * SERVER_COUNT + REPLICA_COUNT + inFlight.size();
+    public int actionCount() {
+        return 2 * (SERVER_COUNT + REPLICA_COUNT)
+                + 2 * SERVER_COUNT
+                + REPLICA_COUNT
+                + inFlight.size();
     }
 
     @Override
@@ -267,7 +278,8 @@
             text.append(
                             isCrashed[i]
                                     ? "dead"
-                                    : coordinators[i].describeState(clocks[i]) + DEADLINE.minus(clocks[i]))
+                                    : coordinators[i].describeState(clocks[i])
+                                            + DEADLINE.minus(clocks[i]))
                     .append(decisions.get(i))
                     .append(runningClaims.get(i) != null);
         }
@@ -281,13 +293,13 @@
     }
 
     @Override
-    public String broken() {
+    public String violation() {
         return violation;
     }
 
     /** Settled means that each attempt has a decision, which it must have after its deadline. */
     @Override
-    public int settles() {
+    public int roundsToSettle() {
         for (int i = 0; i < MAX_SETTLE_ROUNDS; i++) {
             boolean hasUndecided = false;
             for (int server = 0; server < SERVER_COUNT; server++) {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FaultSchedule.java
@@ -14,12 +14,12 @@
  *
  * @param slots all servers that are started at any time, including those that join later
  * @param actions sorted by time
- * @param lastS end of the last fault, in seconds
+ * @param lastFaultEndS end of the last fault, in seconds
  */
 public record FaultSchedule(
-        List<Slot> slots, List<Action> actions, List<Fault> faults, double lastS) {
+        List<Slot> slots, List<Action> actions, List<Fault> faults, double lastFaultEndS) {
     /** An action on a process. */
-    public enum Act {
+    public enum ActionKind {
         START,
         KILL,
         PAUSE,
@@ -29,7 +29,7 @@
     }
 
     /** A kind of fault of links, or of a server's clock, disk, CPU or inbound traffic. */
-    public enum Link {
+    public enum FaultKind {
         CUT,
         LOSS,
         DELAY,
@@ -55,11 +55,13 @@
      * An action on a process at a time.
      *
      * @param slot number of the slot
-     * @param address index of the address on which the process listens after {@link Act#START}
-     * @param disk disk contents at {@link Act#START}; {@link FleetScenario.Disk#OLD} restores the
-     *     image that an earlier {@link Act#IMAGE} took
+     * @param address index of the address on which the process listens after {@link
+     *     ActionKind#START}
+     * @param disk disk contents at {@link ActionKind#START}; {@link FleetScenario.Disk#OLD}
+     *     restores the image that an earlier {@link ActionKind#IMAGE} took
      */
-    public record Action(double atS, Act act, int slot, int address, FleetScenario.Disk disk) {}
+    public record Action(
+            double atS, ActionKind kind, int slot, int address, FleetScenario.Disk disk) {}
 
     /**
      * A fault of the links from some slots to others; a fault of servers affects those in {@code
@@ -68,17 +70,17 @@
     public record Fault(
             double atS,
             double untilS,
-            Link what,
+            FaultKind kind,
             Set<Integer> from,
             Set<Integer> to,
             double strength) {
-        boolean on(double seconds) {
+        boolean isActiveAt(double seconds) {
             return seconds >= atS && seconds < untilS;
         }
     }
 
     /** Seconds within which a server that was asked to leave terminates. */
-    public static final double LEAVES_S = 1.2;
+    public static final double LEAVE_DURATION_S = 1.2;
 
     public static FaultSchedule of(FleetScenario scenario) {
         return new Builder(scenario).build();
@@ -102,20 +104,29 @@
             return slot;
         }
 
-        private void addAction(double atS, Act kind, int slot, int address) {
+        private void addAction(double atS, ActionKind kind, int slot, int address) {
             addAction(atS, kind, slot, address, FleetScenario.Disk.KEPT);
         }
 
-        private void addAction(double atS, Act kind, int slot, int address, FleetScenario.Disk disk) {
+        private void addAction(
+                double atS, ActionKind kind, int slot, int address, FleetScenario.Disk disk) {
             actions.add(new Action(atS, kind, slot, address, disk));
             lastEndS = Math.max(lastEndS, atS);
         }
 
         private void addFault(
-                FleetScenario.Incident incident, Link kind, Set<Integer> from, Set<Integer> to) {
+                FleetScenario.Incident incident,
+                FaultKind kind,
+                Set<Integer> from,
+                Set<Integer> to) {
             faults.add(
                     new Fault(
-                            incident.atS(), incident.atS() + incident.forS(), kind, from, to, incident.strength()));
+                            incident.atS(),
+                            incident.atS() + incident.forS(),
+                            kind,
+                            from,
+                            to,
+                            incident.strength()));
             lastEndS = Math.max(lastEndS, incident.atS() + incident.forS());
         }
 
@@ -127,13 +138,13 @@
 
         FaultSchedule build() {
             for (int i = 1; i <= scenario.members(); i++) {
-                addSlot("m" + i, scenario.zone(i), ++lastAddress);
+                addSlot("m" + i, scenario.zoneOf(i), ++lastAddress);
                 actions.add(
                         new Action(
                                 scenario.members() == 1
                                         ? 0
                                         : scenario.startS() * (i - 1) / (scenario.members() - 1),
-                                Act.START,
+                                ActionKind.START,
                                 i,
                                 i,
                                 FleetScenario.Disk.KEPT));
@@ -158,51 +169,61 @@
                         who.forEach(
                                 i -> {
                                     if (incident.disk() == FleetScenario.Disk.OLD) {
-                                        addAction(Math.max(0, at - incident.strength()), Act.IMAGE, i, i);
+                                        addAction(
+                                                Math.max(0, at - incident.strength()),
+                                                ActionKind.IMAGE,
+                                                i,
+                                                i);
                                     }
-                                    addAction(at, Act.KILL, i, i);
+                                    addAction(at, ActionKind.KILL, i, i);
                                     if (incident.forS() > 0) {
-                                        addAction(end, Act.START, i, i, incident.disk());
+                                        addAction(end, ActionKind.START, i, i, incident.disk());
                                     }
                                 });
                 case "move" ->
                         who.forEach(
                                 i -> {
-                                    addAction(at, Act.KILL, i, i);
-                                    addAction(end, Act.START, i, ++lastAddress);
+                                    addAction(at, ActionKind.KILL, i, i);
+                                    addAction(end, ActionKind.START, i, ++lastAddress);
                                 });
                 case "take" ->
                         who.forEach(
                                 i -> {
-                                    addAction(at, Act.KILL, i, i);
+                                    addAction(at, ActionKind.KILL, i, i);
                                     addAction(
                                             end,
-                                            Act.START,
-                                            addSlot("x" + i, scenario.zone(i), i).number(),
+                                            ActionKind.START,
+                                            addSlot("x" + i, scenario.zoneOf(i), i).number(),
                                             i);
                                 });
                 case "pause" ->
                         who.forEach(
                                 i -> {
-                                    addAction(at, Act.PAUSE, i, i);
-                                    addAction(end, Act.RESUME, i, i);
+                                    addAction(at, ActionKind.PAUSE, i, i);
+                                    addAction(end, ActionKind.RESUME, i, i);
                                 });
                 case "leave" ->
                         who.forEach(
                                 i -> {
-                                    addAction(at, Act.LEAVE, i, i);
+                                    addAction(at, ActionKind.LEAVE, i, i);
                                     if (incident.forS() > 0) {
-                                        addAction(Math.max(end, at + LEAVES_S + 0.1), Act.START, i, i);
+                                        addAction(
+                                                Math.max(end, at + LEAVE_DURATION_S + 0.1),
+                                                ActionKind.START,
+                                                i,
+                                                i);
                                     }
                                 });
                 case "release" -> {
                     double spacingS = who.isEmpty() ? 0 : incident.forS() / who.size();
                     int index = 0;
                     for (int i : who) {
-                        addAction(at + spacingS * index, Act.LEAVE, i, i);
+                        addAction(at + spacingS * index, ActionKind.LEAVE, i, i);
                         addAction(
-                                at + spacingS * index++ + Math.max(spacingS, LEAVES_S + 0.1),
-                                Act.START,
+                                at
+                                        + spacingS * index++
+                                        + Math.max(spacingS, LEAVE_DURATION_S + 0.1),
+                                ActionKind.START,
                                 i,
                                 i,
                                 incident.disk());
@@ -212,7 +233,7 @@
                     int count = (int) incident.strength();
                     for (int i = 0; i < count; i++) {
                         int zone =
-                                scenario.zone(
+                                scenario.zoneOf(
                                         1
                                                 + i
                                                         * scenario.members()
@@ -220,7 +241,7 @@
                                                         % scenario.members());
                         addAction(
                                 at + incident.forS() * i / Math.max(1, count),
-                                Act.START,
+                                ActionKind.START,
                                 addSlot("j" + (slots.size() + 1), zone, ++lastAddress).number(),
                                 lastAddress);
                     }
@@ -228,30 +249,32 @@
                 case "twin" ->
                         who.forEach(
                                 i -> {
-                                    Slot twin = addSlot("m" + i, scenario.zone(i), ++lastAddress);
-                                    addAction(at, Act.START, twin.number(), lastAddress);
+                                    Slot twin = addSlot("m" + i, scenario.zoneOf(i), ++lastAddress);
+                                    addAction(at, ActionKind.START, twin.number(), lastAddress);
                                     if (incident.forS() > 0) {
-                                        addAction(end, Act.KILL, twin.number(), lastAddress);
+                                        addAction(end, ActionKind.KILL, twin.number(), lastAddress);
                                     }
                                 });
                 case "cut" -> {
-                    addFault(incident, Link.CUT, who, others(who));
-                    addFault(incident, Link.CUT, others(who), who);
+                    addFault(incident, FaultKind.CUT, who, others(who));
+                    addFault(incident, FaultKind.CUT, others(who), who);
                 }
-                case "deaf" -> addFault(incident, Link.CUT, others(who), who);
-                case "mute" -> addFault(incident, Link.CUT, who, others(who));
-                case "one-way" -> addFault(incident, Link.CUT, from, to);
-                case "loss" -> addFault(incident, Link.LOSS, from, to);
-                case "delay" -> addFault(incident, Link.DELAY, from, to);
-                case "duplicate" -> addFault(incident, Link.DUPLICATE, from, to);
-                case "reorder" -> addFault(incident, Link.REORDER, from, to);
-                case "corrupt" -> addFault(incident, Link.CORRUPT, from, to);
-                case "crowd" -> addFault(incident, Link.CROWD, Set.of(), who);
-                case "flood" -> addFault(incident, Link.FLOOD, Set.of(), who);
-                case "full" -> addFault(incident, Link.FULL, Set.of(), who);
-                case "stall" -> addFault(incident, Link.STALL, Set.of(), who);
-                case "clock" -> addFault(incident, Link.CLOCK, Set.of(), who);
-                default -> throw new MalformedException(scenario.name() + ": unknown incident kind " + incident.what());
+                case "deaf" -> addFault(incident, FaultKind.CUT, others(who), who);
+                case "mute" -> addFault(incident, FaultKind.CUT, who, others(who));
+                case "one-way" -> addFault(incident, FaultKind.CUT, from, to);
+                case "loss" -> addFault(incident, FaultKind.LOSS, from, to);
+                case "delay" -> addFault(incident, FaultKind.DELAY, from, to);
+                case "duplicate" -> addFault(incident, FaultKind.DUPLICATE, from, to);
+                case "reorder" -> addFault(incident, FaultKind.REORDER, from, to);
+                case "corrupt" -> addFault(incident, FaultKind.CORRUPT, from, to);
+                case "crowd" -> addFault(incident, FaultKind.CROWD, Set.of(), who);
+                case "flood" -> addFault(incident, FaultKind.FLOOD, Set.of(), who);
+                case "full" -> addFault(incident, FaultKind.FULL, Set.of(), who);
+                case "stall" -> addFault(incident, FaultKind.STALL, Set.of(), who);
+                case "clock" -> addFault(incident, FaultKind.CLOCK, Set.of(), who);
+                default ->
+                        throw new MalformedException(
+                                scenario.name() + ": unknown incident kind " + incident.what());
             }
         }
     }
@@ -260,13 +283,13 @@
      * Slots at either end of a cut link at this time. Others cannot distinguish them from failed
      * servers, so verdicts that involve them are not counted as false.
      */
-    public Set<Integer> unheard(double seconds) {
+    public Set<Integer> unreachableSlots(double seconds) {
         Set<Integer> all = new HashSet<>();
         for (Fault fault : faults) {
-            if (!fault.on(seconds)) {
+            if (!fault.isActiveAt(seconds)) {
                 continue;
             }
-            if (fault.what == Link.CUT) {
+            if (fault.kind == FaultKind.CUT) {
                 all.addAll(fault.from);
                 all.addAll(fault.to);
             }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetOutcome.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetOutcome.java
@@ -10,45 +10,45 @@
      * Seconds from the last fault until all views stayed equal and correct; infinite if they never
      * did.
      */
-    public double settledS = Double.POSITIVE_INFINITY;
+    public double settleTimeS = Double.POSITIVE_INFINITY;
 
     /** Verdicts that a member is unresponsive although it was alive and reachable. */
     public int falseVerdicts;
 
     /** Most verdicts of one member that the same other member is unresponsive. */
-    public int changesEach;
+    public int maxVerdictsPerPair;
 
     /** Milliseconds from each kill until a survivor detected it, one value for each survivor. */
-    public final List<Double> knownMs = new ArrayList<>();
+    public final List<Double> detectionMs = new ArrayList<>();
 
     public int verdicts;
     public long packets;
     public long bytes;
     public long ticks;
-    public long refuted;
-    public long suspected;
+    public long refutations;
+    public long suspicions;
     public double memberSeconds;
 
     /** Most packets that any server sent in one second. */
-    public int mostPackets;
+    public int maxPacketsPerSecond;
 
-    public double mostBytes;
+    public double maxBytesPerSecond;
 
     /** Processing time of the protocol code, in nanoseconds of real time. */
-    public long decisionNanos;
+    public long protocolNanos;
 
-    public int twins;
+    public int duplicateNames;
     public final List<String> notes = new ArrayList<>();
 
     /** Describes each expectation that was not met; empty if all were. */
-    public List<String> missed(FleetScenario.Expect expect) {
+    public List<String> unmetExpectations(FleetScenario.Expect expect) {
         List<String> missed = new ArrayList<>();
-        if (expect.settledS() > 0 && settledS > expect.settledS()) {
+        if (expect.settledS() > 0 && settleTimeS > expect.settledS()) {
             missed.add(
                     String.format(
                             Locale.ROOT,
                             "settled %.1f s behind the last fault, not within %.1f",
-                            settledS,
+                            settleTimeS,
                             expect.settledS()));
         }
         if (expect.falseVerdicts() >= 0 && falseVerdicts > expect.falseVerdicts()) {
@@ -57,9 +57,9 @@
                             + " verdicts on members that were alive and could be heard, over "
                             + expect.falseVerdicts());
         }
-        if (expect.changesEach() >= 0 && changesEach > expect.changesEach()) {
+        if (expect.changesEach() >= 0 && maxVerdictsPerPair > expect.changesEach()) {
             missed.add(
-                    changesEach
+                    maxVerdictsPerPair
                             + " changes of verdict on one member, over "
                             + expect.changesEach());
         }
@@ -67,11 +67,11 @@
     }
 
     /** Returns a percentile of the detection times, in milliseconds; NaN if there are none. */
-    public double knownMs(double percentile) {
-        if (knownMs.isEmpty()) {
+    public double detectionMs(double percentile) {
+        if (detectionMs.isEmpty()) {
             return Double.NaN;
         }
-        List<Double> sorted = new ArrayList<>(knownMs);
+        List<Double> sorted = new ArrayList<>(detectionMs);
         sorted.sort(null);
         return sorted.get(
                 (int) Math.min(sorted.size() - 1, Math.ceil(percentile / 100 * sorted.size()) - 1));
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
@@ -94,11 +94,11 @@
      * @param valueShare minimum share of the billed value
      */
     public record Expect(double settledS, int falseVerdicts, int changesEach, double valueShare) {
-        public static final Expect NOTHING = new Expect(0, -1, -1, 0);
+        public static final Expect UNBOUNDED = new Expect(0, -1, -1, 0);
     }
 
     /** The zone of a member, from 1; each zone is a contiguous range of members. */
-    public int zone(int member) {
+    public int zoneOf(int member) {
         return 1 + (member - 1) % members * zones / members;
     }
 
@@ -119,7 +119,7 @@
             if (part.startsWith("z")) {
                 int zone = Integer.parseInt(part.substring(1));
                 for (int i = 1; i <= members; i++) {
-                    if (zone(i) == zone) {
+                    if (zoneOf(i) == zone) {
                         numbers.add(i);
                     }
                 }
@@ -142,14 +142,16 @@
                 }
             }
         }
-        if (numbers.isEmpty() || numbers.iterator().next() < 1 || numbers.stream().anyMatch(i -> i > members)) {
+        if (numbers.isEmpty()
+                || numbers.iterator().next() < 1
+                || numbers.stream().anyMatch(i -> i > members)) {
             throw new MalformedException(name + ": no members '" + who + "' among " + members);
         }
         return numbers;
     }
 
     /** Returns this scenario with another number of members. */
-    public FleetScenario sized(int count) {
+    public FleetScenario withMembers(int count) {
         return new FleetScenario(
                 name, seconds, count, zones, seeds, startS, probeMs, delayMs, jitterMs, copies,
                 store, load, incidents, expect);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenarioReader.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenarioReader.java
@@ -16,11 +16,11 @@
     private FleetScenarioReader() {}
 
     public static FleetScenario read(Path file) {
-        return toScenario(SCHEMA.read(file, "the script"), Json5.name(file));
+        return toScenario(SCHEMA.read(file, "the script"), Json5.baseName(file));
     }
 
-    public static FleetScenario of(String text, String name) {
-        return toScenario(SCHEMA.of(text, name), name);
+    public static FleetScenario parse(String text, String name) {
+        return toScenario(SCHEMA.parse(text, name), name);
     }
 
     private static FleetScenario toScenario(JsonNode root, String file) {
@@ -68,11 +68,11 @@
                                 expect.path("changes_each").asInt(-1),
                                 expect.path("value_share").asDouble(0)));
         FaultSchedule schedule = FaultSchedule.of(scenario);
-        if (schedule.lastS() > scenario.seconds()) {
+        if (schedule.lastFaultEndS() > scenario.seconds()) {
             throw new MalformedException(
                     scenario.name()
                             + ": its last fault ends at "
-                            + schedule.lastS()
+                            + schedule.lastFaultEndS()
                             + " s, after the scenario ends");
         }
         return scenario;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/HeartbeatBaseline.java
@@ -44,45 +44,51 @@
         this.scenario = scenario;
         this.schedule = FaultSchedule.of(scenario);
         RandomStreams streams = new RandomStreams(seed);
-        faults = new LinkFaults(schedule, streams.of("faults"));
+        faults = new LinkFaults(schedule, streams.stream("faults"));
         hosts = new Host[scenario.members()];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = new Host(hosts.length);
             int host = i;
-            events.after(streams.of("phase " + i).nextDouble() * HEARTBEAT_INTERVAL_S, () -> sendHeartbeats(host));
-            events.after(streams.of("look " + i).nextDouble() * CHECK_INTERVAL_S, () -> checkSilence(host));
+            events.schedule(
+                    streams.stream("phase " + i).nextDouble() * HEARTBEAT_INTERVAL_S,
+                    () -> sendHeartbeats(host));
+            events.schedule(
+                    streams.stream("look " + i).nextDouble() * CHECK_INTERVAL_S,
+                    () -> checkSilence(host));
         }
         for (FaultSchedule.Action action : schedule.actions()) {
-            if (action.act() != FaultSchedule.Act.START) {
-                events.after(action.atS(), () -> perform(action));
+            if (action.kind() != FaultSchedule.ActionKind.START) {
+                events.schedule(action.atS(), () -> perform(action));
             }
         }
     }
 
-    FleetOutcome play() {
-        events.run(scenario.seconds());
+    FleetOutcome run() {
+        events.runUntil(scenario.seconds());
         outcome.memberSeconds = scenario.seconds() * scenario.members();
         return outcome;
     }
 
     private void perform(FaultSchedule.Action action) {
         Host host = hosts[action.slot() - 1];
-        switch (action.act()) {
+        switch (action.kind()) {
             case KILL -> {
                 host.isUp = false;
-                host.stoppedS = events.seconds();
+                host.stoppedS = events.nowSeconds();
             }
             case PAUSE -> host.isPaused = true;
             case RESUME -> {
                 host.isPaused = false;
-                host.resumedS = events.seconds();
+                host.resumedS = events.nowSeconds();
             }
-            default -> throw new IllegalArgumentException("unsupported action in heartbeat baseline: " + action.act());
+            default ->
+                    throw new IllegalArgumentException(
+                            "unsupported action in heartbeat baseline: " + action.kind());
         }
     }
 
     private double delayS(int host) {
-        return faults.lateMs(host + 1, events.seconds()) / 1e3;
+        return faults.processingDelayMs(host + 1, events.nowSeconds()) / 1e3;
     }
 
     private void sendHeartbeats(int sender) {
@@ -96,21 +102,22 @@
                 }
                 outcome.packets++;
                 int receiver = recipient;
-                for (LinkFaults.Copy copy : faults.fate(sender + 1, recipient + 1, events.seconds())) {
-                    events.after(
+                for (LinkFaults.Copy copy :
+                        faults.deliveredCopies(sender + 1, recipient + 1, events.nowSeconds())) {
+                    events.schedule(
                             (scenario.delayMs() + copy.delayMs()) / 1e3 + delayS(recipient),
                             () -> receiveHeartbeat(receiver, sender));
                 }
             }
         }
-        events.after(HEARTBEAT_INTERVAL_S + delayS(sender), () -> sendHeartbeats(sender));
+        events.schedule(HEARTBEAT_INTERVAL_S + delayS(sender), () -> sendHeartbeats(sender));
     }
 
     private void receiveHeartbeat(int recipient, int sender) {
         if (!hosts[recipient].isUp || hosts[recipient].isPaused) {
             return;
         }
-        hosts[recipient].lastHeartbeatS[sender] = events.seconds();
+        hosts[recipient].lastHeartbeatS[sender] = events.nowSeconds();
         hosts[recipient].isSilent[sender] = false;
     }
 
@@ -119,7 +126,7 @@
         if (!host.isUp) {
             return;
         }
-        double now = events.seconds();
+        double now = events.nowSeconds();
         for (int subject = 0; subject < hosts.length && !host.isPaused; subject++) {
             if (subject == observer
                     || host.isSilent[subject]
@@ -129,11 +136,11 @@
             host.isSilent[subject] = true;
             outcome.verdicts++;
             if (!hosts[subject].isUp) {
-                outcome.knownMs.add((now - hosts[subject].stoppedS) * 1e3);
+                outcome.detectionMs.add((now - hosts[subject].stoppedS) * 1e3);
                 continue;
             }
-            Set<Integer> unreachable = schedule.unheard(now);
-            unreachable.addAll(schedule.unheard(Math.max(0, now - 1)));
+            Set<Integer> unreachable = schedule.unreachableSlots(now);
+            unreachable.addAll(schedule.unreachableSlots(Math.max(0, now - 1)));
             List<Integer> observerAndSubject = List.of(observer + 1, subject + 1);
             boolean isExcused =
                     hosts[subject].isPaused
@@ -143,6 +150,6 @@
                 outcome.falseVerdicts++;
             }
         }
-        events.after(CHECK_INTERVAL_S + delayS(observer), () -> checkSilence(observer));
+        events.schedule(CHECK_INTERVAL_S + delayS(observer), () -> checkSilence(observer));
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/LinkFaults.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/LinkFaults.java
@@ -19,9 +19,9 @@
      * A copy of a packet that arrives.
      *
      * @param delayMs milliseconds in addition to the link's normal latency
-     * @param spoilt whether one of its bytes is corrupted
+     * @param isCorrupted whether one of its bytes is corrupted
      */
-    public record Copy(double delayMs, boolean spoilt) {}
+    public record Copy(double delayMs, boolean isCorrupted) {}
 
     public LinkFaults(FaultSchedule schedule, SplittableRandom random) {
         this.faults = schedule.faults();
@@ -29,15 +29,17 @@
     }
 
     /** Returns the copies of a packet sent now that arrive; empty if it is lost. */
-    public List<Copy> fate(int from, int to, double seconds) {
+    public List<Copy> deliveredCopies(int from, int to, double seconds) {
         double delay = 0;
         boolean isCorrupted = false;
         int copies = 1;
         for (FaultSchedule.Fault fault : faults) {
-            if (!fault.on(seconds) || !fault.to().contains(to) || !fault.from().contains(from)) {
+            if (!fault.isActiveAt(seconds)
+                    || !fault.to().contains(to)
+                    || !fault.from().contains(from)) {
                 continue;
             }
-            switch (fault.what()) {
+            switch (fault.kind()) {
                 case CUT -> {
                     return List.of();
                 }
@@ -62,7 +64,8 @@
         }
         List<Copy> deliveries = new ArrayList<>();
         for (int i = 0; i < copies; i++) {
-            deliveries.add(new Copy(delay + i * random.nextDouble() * MAX_REORDER_DELAY_MS, isCorrupted));
+            deliveries.add(
+                    new Copy(delay + i * random.nextDouble() * MAX_REORDER_DELAY_MS, isCorrupted));
         }
         return deliveries;
     }
@@ -71,11 +74,11 @@
      * Returns a random delay of a server's processing now, in milliseconds; 0 if its core is not
      * crowded.
      */
-    public double lateMs(int slot, double seconds) {
+    public double processingDelayMs(int slot, double seconds) {
         double late = 0;
         for (FaultSchedule.Fault fault : faults) {
-            if (fault.what() == FaultSchedule.Link.CROWD
-                    && fault.on(seconds)
+            if (fault.kind() == FaultSchedule.FaultKind.CROWD
+                    && fault.isActiveAt(seconds)
                     && fault.to().contains(slot)) {
                 late += -Math.log(1 - random.nextDouble()) * fault.strength();
             }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipMeasurement.java
@@ -48,7 +48,7 @@
                 false,
                 new FleetScenario.Load(0, 0),
                 incidents,
-                FleetScenario.Expect.NOTHING);
+                FleetScenario.Expect.UNBOUNDED);
     }
 
     private static FleetScenario.Incident incident(
@@ -73,10 +73,15 @@
             double heal,
             double perKnown) {}
 
-    private void measureSizes(List<Integer> memberCounts, Consumer<String> progress) throws IOException {
+    private void measureSizes(List<Integer> memberCounts, Consumer<String> progress)
+            throws IOException {
         List<Size> sizes = new ArrayList<>();
-        new MembershipSimulation(scenario("warm", 100, JOIN_DURATION_S + IDLE_DURATION_S, List.of()), 1, true, COUNTING_START_S)
-                .play();
+        new MembershipSimulation(
+                        scenario("warm", 100, JOIN_DURATION_S + IDLE_DURATION_S, List.of()),
+                        1,
+                        true,
+                        COUNTING_START_S)
+                .run();
         for (int members : memberCounts) {
             int runs = members >= 300 ? 1 : seeds;
             DescriptiveStatistics known = new DescriptiveStatistics();
@@ -87,11 +92,15 @@
             for (int seed = 1; seed <= runs; seed++) {
                 MembershipSimulation simulation =
                         new MembershipSimulation(
-                                scenario("calm", members, JOIN_DURATION_S + IDLE_DURATION_S, List.of()),
+                                scenario(
+                                        "calm",
+                                        members,
+                                        JOIN_DURATION_S + IDLE_DURATION_S,
+                                        List.of()),
                                 seed,
                                 true,
                                 COUNTING_START_S);
-                idleOutcomes.add(simulation.play());
+                idleOutcomes.add(simulation.run());
                 if (seed == runs) {
                     perKnown = heapBytesPerMember(simulation);
                 }
@@ -101,9 +110,10 @@
                 for (int i = 0; i < killCount; i++) {
                     kills.add(incident(faultStartS + 6 * i, 0, "kill", "" + (members - i), 1));
                 }
-                new MembershipSimulation(scenario("kill", members, faultStartS + 30, kills), seed, true, 0)
-                        .play()
-                        .knownMs
+                new MembershipSimulation(
+                                scenario("kill", members, faultStartS + 30, kills), seed, true, 0)
+                        .run()
+                        .detectionMs
                         .forEach(known::addValue);
                 maxPacketsAfterMassKill =
                         Math.max(
@@ -113,12 +123,18 @@
                                                         "third",
                                                         members,
                                                         faultStartS + 25,
-                                                        List.of(incident(faultStartS, 0, "kill", "1/3", 1))),
+                                                        List.of(
+                                                                incident(
+                                                                        faultStartS,
+                                                                        0,
+                                                                        "kill",
+                                                                        "1/3",
+                                                                        1))),
                                                 seed,
                                                 true,
                                                 faultStartS)
-                                        .play()
-                                        .mostPackets);
+                                        .run()
+                                        .maxPacketsPerSecond);
                 maxPacketsAfterHeal =
                         Math.max(
                                 maxPacketsAfterHeal,
@@ -127,19 +143,25 @@
                                                         "heal",
                                                         members,
                                                         faultStartS + 40,
-                                                        List.of(incident(faultStartS, 15, "cut", "z2", 1))),
+                                                        List.of(
+                                                                incident(
+                                                                        faultStartS,
+                                                                        15,
+                                                                        "cut",
+                                                                        "z2",
+                                                                        1))),
                                                 seed,
                                                 true,
                                                 faultStartS + 15)
-                                        .play()
-                                        .mostPackets);
+                                        .run()
+                                        .maxPacketsPerSecond);
             }
             sizes.add(
                     new Size(
                             members,
                             mean(idleOutcomes, o -> o.packets / o.memberSeconds),
                             mean(idleOutcomes, o -> o.bytes / o.memberSeconds),
-                            mean(idleOutcomes, o -> o.decisionNanos / 1e3 / o.memberSeconds),
+                            mean(idleOutcomes, o -> o.protocolNanos / 1e3 / o.memberSeconds),
                             known.getPercentile(50),
                             known.getPercentile(99),
                             maxPacketsAfterMassKill,
@@ -195,7 +217,7 @@
         Runtime runtime = Runtime.getRuntime();
         System.gc();
         long usedBytes = runtime.totalMemory() - runtime.freeMemory();
-        return (double) usedBytes / Math.max(1, simulation.views());
+        return (double) usedBytes / Math.max(1, simulation.knownMemberCount());
     }
 
     private static XYChart chart(String title, String y) {
@@ -235,7 +257,9 @@
         double endS = JOIN_DURATION_S + 5 + seconds;
         List<FleetScenario.Incident> pauses = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(5);
-        for (double atS = JOIN_DURATION_S + 5; atS < endS - 4; atS += 0.5 + 2 * random.nextDouble()) {
+        for (double atS = JOIN_DURATION_S + 5;
+                atS < endS - 4;
+                atS += 0.5 + 2 * random.nextDouble()) {
             pauses.add(incident(atS, 1, "pause", "" + (1 + random.nextInt(VERDICT_MEMBERS)), 1));
         }
         List<FleetScenario> scenarios =
@@ -244,29 +268,58 @@
                                 "a fifth of all packets lost",
                                 VERDICT_MEMBERS,
                                 endS,
-                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "loss", "", 0.2))),
+                                List.of(
+                                        incident(
+                                                JOIN_DURATION_S + 5,
+                                                seconds - 1,
+                                                "loss",
+                                                "",
+                                                0.2))),
                         scenario(
                                 "three in ten lost",
                                 VERDICT_MEMBERS,
                                 endS,
-                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "loss", "", 0.3))),
+                                List.of(
+                                        incident(
+                                                JOIN_DURATION_S + 5,
+                                                seconds - 1,
+                                                "loss",
+                                                "",
+                                                0.3))),
                         scenario(
                                 "cores crowded: 50 ms late on average",
                                 VERDICT_MEMBERS,
                                 endS,
-                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "crowd", "all", 50))),
+                                List.of(
+                                        incident(
+                                                JOIN_DURATION_S + 5,
+                                                seconds - 1,
+                                                "crowd",
+                                                "all",
+                                                50))),
                         scenario(
                                 "cores crowded: 150 ms late on average",
                                 VERDICT_MEMBERS,
                                 endS,
-                                List.of(incident(JOIN_DURATION_S + 5, seconds - 1, "crowd", "all", 150))),
-                        scenario("pauses of a second", VERDICT_MEMBERS, endS, withoutOverlaps(pauses)));
+                                List.of(
+                                        incident(
+                                                JOIN_DURATION_S + 5,
+                                                seconds - 1,
+                                                "crowd",
+                                                "all",
+                                                150))),
+                        scenario(
+                                "pauses of a second",
+                                VERDICT_MEMBERS,
+                                endS,
+                                withoutOverlaps(pauses)));
         for (FleetScenario scenario : scenarios) {
             List<FleetOutcome> membershipOutcomes = new ArrayList<>();
             List<FleetOutcome> heartbeatOutcomes = new ArrayList<>();
             for (int seed = 1; seed <= seeds; seed++) {
-                membershipOutcomes.add(new MembershipSimulation(scenario, seed, true, COUNTING_START_S).play());
-                heartbeatOutcomes.add(new HeartbeatBaseline(scenario, seed).play());
+                membershipOutcomes.add(
+                        new MembershipSimulation(scenario, seed, true, COUNTING_START_S).run());
+                heartbeatOutcomes.add(new HeartbeatBaseline(scenario, seed).run());
             }
             csv.append(
                     String.format(
@@ -276,7 +329,7 @@
                             seconds,
                             seeds,
                             membershipOutcomes.stream().mapToInt(o -> o.falseVerdicts).sum(),
-                            membershipOutcomes.stream().mapToLong(o -> o.suspected).sum(),
+                            membershipOutcomes.stream().mapToLong(o -> o.suspicions).sum(),
                             mean(membershipOutcomes, o -> o.packets / o.memberSeconds),
                             heartbeatOutcomes.stream().mapToInt(o -> o.falseVerdicts).sum(),
                             mean(heartbeatOutcomes, o -> o.packets / o.memberSeconds)));
@@ -291,7 +344,8 @@
     }
 
     /** Drops pauses that overlap another one of the same member, which is already paused then. */
-    private static List<FleetScenario.Incident> withoutOverlaps(List<FleetScenario.Incident> pauses) {
+    private static List<FleetScenario.Incident> withoutOverlaps(
+            List<FleetScenario.Incident> pauses) {
         List<FleetScenario.Incident> separate = new ArrayList<>();
         for (FleetScenario.Incident each : pauses) {
             if (separate.stream()
