--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipSimulation.java
@@ -78,7 +78,7 @@
         final BootstrapPeers bootstrapPeers;
         final Deque<MembershipPacket> queuedPackets = new ArrayDeque<>();
         final Set<Long> detectedIncarnations = new HashSet<>();
-        final double startedS = events.seconds();
+        final double startedS = events.nowSeconds();
         boolean isUp = true;
         boolean isPaused;
         boolean isLeaving;
@@ -110,12 +110,12 @@
                             self,
                             seedAddresses,
                             protocolTiming(),
-                            streams.of("host " + slot.number() + " " + events.done()),
+                            streams.stream("host " + slot.number() + " " + events.executedEvents()),
                             events.now());
             List<PeerAddress> previousPeers = savedPeers.getOrDefault(slot.number(), List.of());
             bootstrapPeers = new BootstrapPeers(address, previousPeers);
-            protocol.addBootstrapPeers(previousPeers);
-            events.after(PEER_SAVE_INTERVAL_S, this::savePeers);
+            protocol.setBootstrapPeers(previousPeers);
+            events.schedule(PEER_SAVE_INTERVAL_S, this::savePeers);
         }
 
         /** Saves the addresses of known peers for the next start, as the server does. */
@@ -125,9 +125,11 @@
             }
             if (!isPaused) {
                 bootstrapPeers.observe(protocol.snapshot(), events.now());
-                bootstrapPeers.takeDue(events.now()).ifPresent(peers -> savedPeers.put(slot.number(), peers));
+                bootstrapPeers
+                        .takeListToStore(events.now())
+                        .ifPresent(peers -> savedPeers.put(slot.number(), peers));
             }
-            events.after(PEER_SAVE_INTERVAL_S, this::savePeers);
+            events.schedule(PEER_SAVE_INTERVAL_S, this::savePeers);
         }
 
         void tick() {
@@ -144,10 +146,13 @@
 
         void scheduleTick() {
             Duration wait = protocol.nextTick().minus(events.now());
-            events.after(
+            events.schedule(
                     wait.plus(
                             Duration.ofNanos(
-                                    (long) (faults.lateMs(slot.number(), events.seconds()) * 1e6))),
+                                    (long)
+                                            (faults.processingDelayMs(
+                                                            slot.number(), events.nowSeconds())
+                                                    * 1e6))),
                     this::tick);
         }
 
@@ -168,8 +173,8 @@
         }
 
         private void recordProtocolTime(long startNanos) {
-            if (measuresCost && events.seconds() >= countingStartS) {
-                outcome.decisionNanos += System.nanoTime() - startNanos;
+            if (measuresCost && events.nowSeconds() >= countingStartS) {
+                outcome.protocolNanos += System.nanoTime() - startNanos;
             }
         }
 
@@ -183,7 +188,7 @@
         }
 
         boolean hasRunUnpausedFor(double durationS) {
-            return !isPaused && events.seconds() - resumedS > durationS;
+            return !isPaused && events.nowSeconds() - resumedS > durationS;
         }
     }
 
@@ -193,20 +198,21 @@
     }
 
     /**
-     * Creates a simulation; {@link #play} starts it.
+     * Creates a simulation; {@link #run} starts it.
      *
      * @param measuresCost whether packet sizes, by sealing each packet, and the processing time of
      *     the protocol are measured
      * @param countingStartS virtual time in seconds from which they are measured
      */
-    public MembershipSimulation(FleetScenario scenario, long seed, boolean measuresCost, double countingStartS) {
+    public MembershipSimulation(
+            FleetScenario scenario, long seed, boolean measuresCost, double countingStartS) {
         this.countingStartS = countingStartS;
         this.scenario = scenario;
         this.schedule = FaultSchedule.of(scenario);
         this.streams = new RandomStreams(seed);
-        this.faults = new LinkFaults(schedule, streams.of("faults"));
-        this.linkRandom = streams.of("links");
-        this.incarnationRandom = streams.of("starts");
+        this.faults = new LinkFaults(schedule, streams.stream("faults"));
+        this.linkRandom = streams.stream("links");
+        this.incarnationRandom = streams.stream("starts");
         this.measuresCost = measuresCost;
     }
 
@@ -222,7 +228,7 @@
     }
 
     /** Number of members in the views of all running servers, to calculate memory per member. */
-    public int views() {
+    public int knownMemberCount() {
         int known = 0;
         for (Host host : hostsByIncarnation.values()) {
             if (host.isUp) {
@@ -236,50 +242,52 @@
      * Runs to the end of the scenario; without cost measurement only until all faults are over and
      * the views have settled.
      */
-    public FleetOutcome play() {
+    public FleetOutcome run() {
         for (FaultSchedule.Action action : schedule.actions()) {
-            events.after(action.atS(), () -> perform(action));
+            events.schedule(action.atS(), () -> perform(action));
         }
-        events.after(CHECK_INTERVAL_S, this::checkViews);
+        events.schedule(CHECK_INTERVAL_S, this::checkViews);
         double endS = scenario.seconds();
         for (double startS = 0; startS < endS; startS += 1) {
-            events.run(Math.min(endS, startS + 1));
+            events.runUntil(Math.min(endS, startS + 1));
             // The views have settled and no fault is left: the rest of the scenario is idle.
-            if (events.seconds() > schedule.lastS()
+            if (events.nowSeconds() > schedule.lastFaultEndS()
                     && !Double.isNaN(settledSinceS)
-                    && events.seconds() - settledSinceS > STABLE_S
+                    && events.nowSeconds() - settledSinceS > STABLE_S
                     && !measuresCost) {
                 break;
             }
         }
         if (!Double.isNaN(settledSinceS)) {
-            outcome.settledS = Math.max(0, settledSinceS - schedule.lastS());
+            outcome.settleTimeS = Math.max(0, settledSinceS - schedule.lastFaultEndS());
         } else {
             addNote("unsettled");
         }
         for (Host host : hostsByIncarnation.values()) {
-            outcome.refuted += host.protocol.counters().get(MembershipCounter.REFUTATIONS);
-            outcome.suspected += host.protocol.counters().get(MembershipCounter.SUSPICIONS);
-            outcome.twins += (int) host.protocol.counters().get(MembershipCounter.DUPLICATE_NAMES);
+            outcome.refutations += host.protocol.counters().get(MembershipCounter.REFUTATIONS);
+            outcome.suspicions += host.protocol.counters().get(MembershipCounter.SUSPICIONS);
+            outcome.duplicateNames +=
+                    (int) host.protocol.counters().get(MembershipCounter.DUPLICATE_NAMES);
             outcome.memberSeconds +=
-                    (Double.isNaN(host.stoppedS) ? events.seconds() : host.stoppedS)
+                    (Double.isNaN(host.stoppedS) ? events.nowSeconds() : host.stoppedS)
                             - Math.max(countingStartS, host.startedS);
         }
         for (int times : verdictCounts.values()) {
-            outcome.changesEach = Math.max(outcome.changesEach, times);
+            outcome.maxVerdictsPerPair = Math.max(outcome.maxVerdictsPerPair, times);
         }
         return outcome;
     }
 
     private void perform(FaultSchedule.Action action) {
         Host host = hostsBySlot.get(action.slot());
-        switch (action.act()) {
+        switch (action.kind()) {
             case START -> {
                 if (host != null && host.isUp) {
                     stop(host);
                 }
                 Host started =
-                        new Host(schedule.slots().get(action.slot() - 1), address(action.address()));
+                        new Host(
+                                schedule.slots().get(action.slot() - 1), address(action.address()));
                 hostsBySlot.put(action.slot(), started);
                 Host previous = hostsByAddress.put(started.protocol.self().address(), started);
                 if (previous != null && previous.isUp) {
@@ -293,7 +301,7 @@
                     return;
                 }
                 stop(host);
-                lastKillS = events.seconds();
+                lastKillS = events.nowSeconds();
             }
             case IMAGE -> {}
             case PAUSE -> {
@@ -301,14 +309,14 @@
                     return;
                 }
                 host.isPaused = true;
-                host.pausedS = events.seconds();
+                host.pausedS = events.nowSeconds();
             }
             case RESUME -> {
                 if (host == null || !host.isUp || !host.isPaused) {
                     return;
                 }
                 host.isPaused = false;
-                host.resumedS = events.seconds();
+                host.resumedS = events.nowSeconds();
                 // The overdue timers of a resumed process fire before it reads a packet.
                 host.tick();
                 while (!host.queuedPackets.isEmpty() && host.isUp) {
@@ -322,8 +330,8 @@
                 host.isLeaving = true;
                 host.protocol.leave(events.now());
                 host.processOutputs();
-                events.after(
-                        FaultSchedule.LEAVES_S,
+                events.schedule(
+                        FaultSchedule.LEAVE_DURATION_S,
                         () -> {
                             if (host.isUp) {
                                 stop(host);
@@ -336,14 +344,14 @@
 
     private void stop(Host host) {
         host.isUp = false;
-        host.stoppedS = events.seconds();
+        host.stoppedS = events.nowSeconds();
         if (hostsByAddress.get(host.protocol.self().address()) == host) {
             hostsByAddress.remove(host.protocol.self().address());
         }
     }
 
     private void deliver(Host sender, OutboundPacket outbound) {
-        if (measuresCost && events.seconds() >= countingStartS) {
+        if (measuresCost && events.nowSeconds() >= countingStartS) {
             countPacket(sender, outbound);
         }
         Host receiver = hostsByAddress.get(outbound.destination());
@@ -351,16 +359,17 @@
             return;
         }
         for (LinkFaults.Copy copy :
-                faults.fate(sender.slot.number(), receiver.slot.number(), events.seconds())) {
-            if (copy.spoilt()) {
+                faults.deliveredCopies(
+                        sender.slot.number(), receiver.slot.number(), events.nowSeconds())) {
+            if (copy.isCorrupted()) {
                 continue; // the receiver rejects a packet with an invalid seal
             }
             double ms =
                     scenario.delayMs()
                             + scenario.jitterMs() * linkRandom.nextDouble()
                             + copy.delayMs()
-                            + faults.lateMs(receiver.slot.number(), events.seconds());
-            events.after(
+                            + faults.processingDelayMs(receiver.slot.number(), events.nowSeconds());
+            events.schedule(
                     ms / 1e3,
                     () -> {
                         Host currentReceiver = hostsByAddress.get(outbound.destination());
@@ -374,15 +383,15 @@
     private void countPacket(Host sender, OutboundPacket outbound) {
         int length = codec.seal(outbound.packet(), ++outcome.packets).length;
         outcome.bytes += length;
-        if (sender.currentSecond != (int) events.seconds()) {
-            sender.currentSecond = (int) events.seconds();
+        if (sender.currentSecond != (int) events.nowSeconds()) {
+            sender.currentSecond = (int) events.nowSeconds();
             sender.packetsInSecond = 0;
             sender.bytesInSecond = 0;
         }
         sender.packetsInSecond++;
         sender.bytesInSecond += length;
-        outcome.mostPackets = Math.max(outcome.mostPackets, sender.packetsInSecond);
-        outcome.mostBytes = Math.max(outcome.mostBytes, sender.bytesInSecond);
+        outcome.maxPacketsPerSecond = Math.max(outcome.maxPacketsPerSecond, sender.packetsInSecond);
+        outcome.maxBytesPerSecond = Math.max(outcome.maxBytesPerSecond, sender.bytesInSecond);
     }
 
     private void recordChange(Host observer, MembershipChange change) {
@@ -396,19 +405,19 @@
         if (subject == null) {
             return;
         }
-        double now = events.seconds();
+        double now = events.nowSeconds();
         if (!subject.isUp) {
             if (subject.stoppedS <= lastKillS
                     && observer.detectedIncarnations.add(change.member().incarnation())
                     && !subject.isLeaving) {
-                outcome.knownMs.add((now - subject.stoppedS) * 1e3);
+                outcome.detectionMs.add((now - subject.stoppedS) * 1e3);
             }
             return;
         }
         String observerAndSubject = observer.slot.number() + " of " + change.member().id();
         verdictCounts.merge(observerAndSubject, 1, Integer::sum);
-        Set<Integer> unreachable = schedule.unheard(now);
-        unreachable.addAll(schedule.unheard(Math.max(0, now - 1)));
+        Set<Integer> unreachable = schedule.unreachableSlots(now);
+        unreachable.addAll(schedule.unreachableSlots(Math.max(0, now - 1)));
         boolean isExcused =
                 subject.isPaused
                         || !subject.hasRunUnpausedFor(1)
@@ -423,7 +432,7 @@
     private void addNote(String text) {
         if (outcome.notes.size() < 20) {
             outcome.notes.add(
-                    String.format(java.util.Locale.ROOT, "%.2f s: %s", events.seconds(), text));
+                    String.format(java.util.Locale.ROOT, "%.2f s: %s", events.nowSeconds(), text));
         }
     }
 
@@ -431,13 +440,13 @@
         String mismatch = describeMismatch();
         if (mismatch != null) {
             settledSinceS = Double.NaN;
-            if (events.seconds() > scenario.seconds() - CHECK_INTERVAL_S * 1.5) {
+            if (events.nowSeconds() > scenario.seconds() - CHECK_INTERVAL_S * 1.5) {
                 addNote(mismatch);
             }
         } else if (Double.isNaN(settledSinceS)) {
-            settledSinceS = events.seconds();
+            settledSinceS = events.nowSeconds();
         }
-        events.after(CHECK_INTERVAL_S, this::checkViews);
+        events.schedule(CHECK_INTERVAL_S, this::checkViews);
     }
 
     /** Describes why the views are not equal and correct; null if they are. */
@@ -459,8 +468,13 @@
             if (host.protocol.self().state() != MemberState.ALIVE) {
                 return host.slot.name() + " is " + host.protocol.self().state();
             }
-            if (host.protocol.digest() != digest || host.protocol.liveCount() != liveIncarnations.size() - 1) {
-                return host.slot.name() + " sees " + describeView(host) + " of " + liveIncarnations.size();
+            if (host.protocol.digest() != digest
+                    || host.protocol.liveCount() != liveIncarnations.size() - 1) {
+                return host.slot.name()
+                        + " sees "
+                        + describeView(host)
+                        + " of "
+                        + liveIncarnations.size();
             }
         }
         if (hosts.isEmpty()) {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/MembershipStateModel.java
@@ -70,7 +70,9 @@
                             1,
                             MemberState.JOINING);
             clocks[i] = Duration.ZERO;
-            protocols[i] = new MembershipProtocol(self, seeds, TIMING, new ConstantRandom(), Duration.ZERO);
+            protocols[i] =
+                    new MembershipProtocol(
+                            self, seeds, TIMING, new ConstantRandom(), Duration.ZERO);
         }
         for (int i = 0; i < memberCount * memberCount; i++) {
             links.add(new ArrayList<>());
@@ -86,7 +88,8 @@
 
     private void collectOutbound(int from) {
         for (OutboundPacket outbound : protocols[from].takeOutbound()) {
-            List<OutboundPacket> link = links.get(from * memberCount + outbound.destination().port() - 1);
+            List<OutboundPacket> link =
+                    links.get(from * memberCount + outbound.destination().port() - 1);
             if (link.size() == MAX_IN_FLIGHT_PER_LINK) {
                 link.remove(0);
             }
@@ -115,7 +118,9 @@
             return;
         }
         // The planted fault: the last member never refutes what the first one reports about it.
-        if (hasPlantedFault && to == memberCount - 1 && outbound.packet().sender().incarnation() == 1) {
+        if (hasPlantedFault
+                && to == memberCount - 1
+                && outbound.packet().sender().incarnation() == 1) {
             return;
         }
         protocols[to].receive(outbound.packet(), clocks[to]);
@@ -142,7 +147,7 @@
 
     /** Numbered from 0: first the clock ticks, then crashes, then deliveries and losses. */
     @Override
-    public boolean act(int action) {
+    public boolean perform(int action) {
         int offset = action;
         if (offset < memberCount) {
             if (isCrashed[offset]) {
@@ -177,7 +182,7 @@
     }
 
     @Override
-    public int actions() {
+    public int actionCount() {
         int count = 2 * memberCount;
         for (List<OutboundPacket> link : links) {
             count += 2 * link.size();
@@ -204,7 +209,7 @@
     }
 
     @Override
-    public String broken() {
+    public String violation() {
         for (int i = 0; i < memberCount && violation == null; i++) {
             if (isCrashed[i]) {
                 continue;
@@ -231,7 +236,8 @@
                 return false;
             }
             for (MemberSnapshot seen : protocols[i].snapshot()) {
-                if (isCrashed[(int) seen.member().incarnation() - 1] && seen.member().state().isLive()) {
+                if (isCrashed[(int) seen.member().incarnation() - 1]
+                        && seen.member().state().isLive()) {
                     return false;
                 }
             }
@@ -246,7 +252,7 @@
 
     /** Returns the number of rounds without faults until all views are equal and correct, or -1. */
     @Override
-    public int settles() {
+    public int roundsToSettle() {
         for (int i = 0; i <= MAX_SETTLE_ROUNDS; i++) {
             if (hasSettled()) {
                 return i;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
@@ -45,8 +45,8 @@
      *
      * @param settledS bound on the settling time, in seconds
      */
-    public static FleetScenario script(long seed, double settledS) {
-        SplittableRandom random = new RandomStreams(seed).of("schedule");
+    public static FleetScenario forMembership(long seed, double settledS) {
+        SplittableRandom random = new RandomStreams(seed).stream("schedule");
         int members = 5 + random.nextInt(46);
         int zones = 1 + random.nextInt(4);
         List<FleetScenario.Incident> incidents = new ArrayList<>();
@@ -69,8 +69,8 @@
                         false,
                         new FleetScenario.Load(0, 0),
                         incidents,
-                        FleetScenario.Expect.NOTHING);
-        double lastEndS = FaultSchedule.of(unbounded).lastS();
+                        FleetScenario.Expect.UNBOUNDED);
+        double lastEndS = FaultSchedule.of(unbounded).lastFaultEndS();
         return new FleetScenario(
                 unbounded.name(),
                 lastEndS + settledS + 15,
@@ -92,8 +92,8 @@
      * Returns a scenario for a fleet that replicates claims: 3 to 9 members and up to six faults,
      * of the kinds that change neither names nor addresses; a member that leaves is restarted.
      */
-    public static FleetScenario copies(long seed) {
-        SplittableRandom random = new RandomStreams(seed).of("copies");
+    public static FleetScenario forReplication(long seed) {
+        SplittableRandom random = new RandomStreams(seed).stream("copies");
         int members = 3 + random.nextInt(7);
         int zones = 1 + random.nextInt(3);
         List<FleetScenario.Incident> incidents = new ArrayList<>();
@@ -134,7 +134,7 @@
                 true,
                 new FleetScenario.Load(0, 0),
                 incidents,
-                FleetScenario.Expect.NOTHING);
+                FleetScenario.Expect.UNBOUNDED);
     }
 
     private static FleetScenario.Incident randomIncident(SplittableRandom random, int members) {
@@ -170,7 +170,13 @@
             default -> {}
         }
         return new FleetScenario.Incident(
-                startS, durationS, what, who, randomMembers(random, members), randomMembers(random, members), strength);
+                startS,
+                durationS,
+                what,
+                who,
+                randomMembers(random, members),
+                randomMembers(random, members),
+                strength);
     }
 
     private static String randomMembers(SplittableRandom random, int members) {
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationMeasurement.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationMeasurement.java
@@ -52,7 +52,7 @@
                 true,
                 new FleetScenario.Load(0, 0),
                 List.of(killThird, loadExtension),
-                FleetScenario.Expect.NOTHING);
+                FleetScenario.Expect.UNBOUNDED);
     }
 
     public void write(List<Integer> sizes, Consumer<String> progress) throws IOException {
@@ -76,41 +76,44 @@
                 .setMarkerSize(0);
         for (int size : sizes) {
             ReplicationSimulation simulation =
-                    new ReplicationSimulation(scenario(size), 1, 1, 0, false, true).formed();
-            ReplicationSimulation.Counts traffic = simulation.counting();
+                    new ReplicationSimulation(scenario(size), 1, 1, 0, false, true)
+                            .withFormedFleet();
+            ReplicationSimulation.TrafficCounts traffic = simulation.recordTraffic();
             ReplicationSimulation.Outcomes outcomes =
-                    simulation.play((int) (INVOCATIONS_PER_SERVER_PER_S * size * (END_S + 8)), FORMATION_S);
-            double[] packets = traffic.each(0, IDLE_START_S, KILL_S, size);
-            double[] bytes = traffic.each(1, IDLE_START_S, KILL_S, size);
+                    simulation.run(
+                            (int) (INVOCATIONS_PER_SERVER_PER_S * size * (END_S + 8)), FORMATION_S);
+            double[] packets = traffic.meanAndMaxPerServer(0, IDLE_START_S, KILL_S, size);
+            double[] bytes = traffic.meanAndMaxPerServer(1, IDLE_START_S, KILL_S, size);
             double recoveryS =
-                    traffic.behindAt.stream()
+                    traffic.laggingTimesS.stream()
                             .filter(at -> at > KILL_S + RESTART_DELAY_S)
                             .mapToDouble(at -> at - KILL_S - RESTART_DELAY_S)
                             .max()
                             .orElse(0);
-            double[] packetsAfterKill = traffic.each(0, KILL_S, (int) END_S, size);
-            double[] bytesAfterKill = traffic.each(1, KILL_S, (int) END_S, size);
+            double[] packetsAfterKill = traffic.meanAndMaxPerServer(0, KILL_S, (int) END_S, size);
+            double[] bytesAfterKill = traffic.meanAndMaxPerServer(1, KILL_S, (int) END_S, size);
             String row =
                     String.format(
                             Locale.ROOT,
                             "%d,%d,%.1f,%.0f,%.0f,%.2f,%.0f,%.0f,%.4f,%d,%d",
                             size,
-                            simulation.layout().orElseThrow().servers().size(),
+                            simulation.latestPlacement().orElseThrow().servers().size(),
                             packets[0],
                             bytes[0],
                             packets[1],
                             recoveryS,
                             packetsAfterKill[1],
                             bytesAfterKill[1],
-                            (double) outcomes.throttled / outcomes.tries,
-                            outcomes.excused,
-                            outcomes.broken.size());
+                            (double) outcomes.throttled / outcomes.attempts,
+                            outcomes.excusedReruns,
+                            outcomes.violations.size());
             csv.append(row).append('\n');
             progress.accept(row);
             List<Double> x = new ArrayList<>();
             List<Double> y = new ArrayList<>();
-            double maxLaggingRanges = traffic.behind.stream().mapToDouble(each -> each[1]).max().orElse(1);
-            for (double[] each : traffic.behind) {
+            double maxLaggingRanges =
+                    traffic.laggingSamples.stream().mapToDouble(each -> each[1]).max().orElse(1);
+            for (double[] each : traffic.laggingSamples) {
                 if (each[0] < KILL_S || each[0] > KILL_S + RESTART_DELAY_S + 15) {
                     continue;
                 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -121,41 +121,44 @@
 
     /** Counts and rule violations of a simulation run. */
     public static final class Outcomes {
-        public int tries;
+        public int attempts;
         public int succeeded;
         public int replayed;
         public int throttled;
         public int errored;
-        public int otherBody;
+        public int fingerprintMismatches;
         public int unanswered;
         public int runs;
-        public int epochs;
-        public int behind;
+        public int highestEpoch;
+        public int maxLaggingRanges;
         public long messages;
         public int conflicts;
-        public int oldFound;
+        public int staleDisksDetected;
 
-        public int unclaimed;
+        public int runsWithoutClaim;
 
         /** Repeated runs of tokens for which a majority of replicas had lost their disks. */
-        public int excused;
+        public int excusedReruns;
 
-        public int oldPutBack;
-        public long unsaid;
+        public int staleDisksRestored;
+        public long droppedMessages;
         public long fetchedBytes;
 
         /** Milliseconds from the start of each claim until a majority granted it. */
-        public final List<Double> claimMs = new ArrayList<>();
+        public final List<Double> claimLatencyMs = new ArrayList<>();
 
-        public final List<String> broken = new ArrayList<>();
+        public final List<String> violations = new ArrayList<>();
 
-        public double claimMs(double percentile) {
-            if (claimMs.isEmpty()) {
+        public double claimLatencyMs(double percentile) {
+            if (claimLatencyMs.isEmpty()) {
                 return Double.NaN;
             }
-            claimMs.sort(null);
-            return claimMs.get(
-                    (int) Math.min(claimMs.size() - 1, claimMs.size() * percentile / 100));
+            claimLatencyMs.sort(null);
+            return claimLatencyMs.get(
+                    (int)
+                            Math.min(
+                                    claimLatencyMs.size() - 1,
+                                    claimLatencyMs.size() * percentile / 100));
         }
     }
 
@@ -176,7 +179,8 @@
         }
 
         void recordClaim(boolean isPermanent, double now) {
-            if (runTimesS.isEmpty() || now - runTimesS.get(runTimesS.size() - 1) >= TOKEN_WINDOW.toSeconds()) {
+            if (runTimesS.isEmpty()
+                    || now - runTimesS.get(runTimesS.size() - 1) >= TOKEN_WINDOW.toSeconds()) {
                 hasClaim = isPermanent;
             }
         }
@@ -219,12 +223,15 @@
             long maxChangeNumber =
                     Math.max(
                             metadata.changeNumber(),
-                            changeNumbers.values().stream().mapToLong(Long::longValue).max().orElse(0));
+                            changeNumbers.values().stream()
+                                    .mapToLong(Long::longValue)
+                                    .max()
+                                    .orElse(0));
             return new ReplicaSnapshot(
                     metadata.placement(),
                     live,
                     metadata.laggingRanges(),
-                    metadata.forgottenRanges(),
+                    metadata.lostGrantRanges(),
                     metadata.unreliableRanges(),
                     maxChangeNumber,
                     true);
@@ -261,7 +268,7 @@
         Host(int number) {
             this.number = number;
             this.name = "m" + number;
-            this.server = new ReplicaServer(name, "z" + scenario.zone(number));
+            this.server = new ReplicaServer(name, "z" + scenario.zoneOf(number));
         }
 
         /** Whether the server's mode was switched; servers are switched one after the other. */
@@ -272,7 +279,7 @@
         void start(boolean keepsDisk) {
             isUp = true;
             isPaused = false;
-            stateChangedS = events.seconds();
+            stateChangedS = events.nowSeconds();
             incarnation++;
             queuedMessages.clear();
             localResults.clear();
@@ -292,10 +299,11 @@
                                 new TreeMap<>(),
                                 new TreeMap<>());
                 voterDisk =
-                        new AcceptorState(initialPlacement, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
+                        new AcceptorState(
+                                initialPlacement, Ballot.NONE, Ballot.NONE, Optional.empty(), 0);
             }
             if (!keepsDisk) {
-                diskLossTimesS.add(events.seconds());
+                diskLossTimesS.add(events.nowSeconds());
                 disk = DiskImage.empty();
                 images.clear();
                 voterDisk = null;
@@ -303,7 +311,7 @@
                 List<DiskImage> all = new ArrayList<>(images);
                 disk = all.get(random.nextInt(all.size()));
                 disk = disk.copy(disk.metadata);
-                outcomes.oldPutBack++;
+                outcomes.staleDisksRestored++;
             }
             if (number <= VOTER_COUNT) {
                 Set<String> voterNames = new HashSet<>();
@@ -316,18 +324,21 @@
             ReplicaPlacement knownPlacement =
                     recovered != null
                             ? recovered.placement()
-                            : voter != null ? voter.committed() : ReplicaPlacement.empty(REPLICATION_FACTOR);
+                            : voter != null
+                                    ? voter.committedPlacement()
+                                    : ReplicaPlacement.empty(REPLICATION_FACTOR);
             // A server that lost its disk knows no epoch: it treats the first placement it learns
             // as one in which it may already have been a replica.
             replica =
                     recovered != null
                             ? Replica.recover(name, recovered, LIMITS, events.now())
                             : first
-                                    ? Replica.withoutDisk(name, knownPlacement, 1, LIMITS, events.now())
+                                    ? Replica.withoutDisk(
+                                            name, knownPlacement, 1, LIMITS, events.now())
                                     : null;
             barrier = new DurabilityBarrier(random.split());
             if (injectsDiskFailures && random.nextInt(6) == 0) {
-                diskFailsUntilS = events.seconds() + 30 * random.nextDouble() + DISK_FAILURE_S;
+                diskFailsUntilS = events.nowSeconds() + 30 * random.nextDouble() + DISK_FAILURE_S;
             }
             coordinator = new ClaimCoordinator(name, incarnation, knownPlacement, random.split());
             coordinator.restoreChangeNumbers(disk.observedChanges);
@@ -360,28 +371,32 @@
             pendingWrites.clear();
             voterDisk = voter == null || voter.hasLostState() ? null : voter.durableState();
             isUp = false;
-            stateChangedS = events.seconds();
+            stateChangedS = events.nowSeconds();
         }
 
         private final Deque<Runnable> pendingWrites = new ArrayDeque<>();
 
         private boolean isDiskFailing() {
-            return events.seconds() < diskFailsUntilS && events.seconds() > diskFailsUntilS - DISK_FAILURE_S;
+            return events.nowSeconds() < diskFailsUntilS
+                    && events.nowSeconds() > diskFailsUntilS - DISK_FAILURE_S;
         }
 
         /** Writes asynchronously; forces run one at a time, and one on a failing disk fails. */
-        private void forceWrite(long expectedIncarnation, Runnable applyWrite, java.util.function.Consumer<Boolean> onDone) {
+        private void forceWrite(
+                long expectedIncarnation,
+                Runnable applyWrite,
+                java.util.function.Consumer<Boolean> onDone) {
             double completionS =
-                    Math.max(events.seconds(), forceCompletionS)
+                    Math.max(events.nowSeconds(), forceCompletionS)
                             + MIN_FORCE_S
                             + FORCE_JITTER_S * random.nextDouble();
-            if (forceCompletionS > events.seconds()) {
+            if (forceCompletionS > events.nowSeconds()) {
                 completionS = forceCompletionS; // joins the pending force
             }
             forceCompletionS = completionS;
             pendingWrites.add(applyWrite);
-            events.after(
-                    completionS - events.seconds(),
+            events.schedule(
+                    completionS - events.nowSeconds(),
                     () -> {
                         if (incarnation != expectedIncarnation || !isUp) {
                             return;
@@ -406,7 +421,8 @@
             String token = write.token().orElse(null);
             ReplicaSnapshot metadata = token == null ? source.metadataSnapshot() : null;
             ReplicaEntry entry = token == null ? null : source.entry(token);
-            Map<String, Long> observedChanges = token == null ? coordinator.observedChangeNumbers() : Map.of();
+            Map<String, Long> observedChanges =
+                    token == null ? coordinator.observedChangeNumbers() : Map.of();
             long changeNumber = token == null ? 0 : source.changeNumber(token);
             forceWrite(
                     currentIncarnation,
@@ -437,12 +453,15 @@
                 long currentIncarnation = incarnation;
                 forceWrite(
                         currentIncarnation,
-                        () -> disk.results.put(assembled.token() + assembled.claimId(), assembled.result()),
+                        () ->
+                                disk.results.put(
+                                        assembled.token() + assembled.claimId(),
+                                        assembled.result()),
                         durable -> {
                             if (!durable) {
                                 return;
                             }
-                            replica.resultStored(assembled);
+                            replica.recordResultStored(assembled);
                             processOutputs();
                         });
             }
@@ -464,22 +483,27 @@
                         replica.observeLivePeers(liveServers());
                     }
                     barrier.retryWrites(now).forEach(this::write);
-                    if (events.seconds() - lastImageS > IMAGE_INTERVAL_S) {
-                        lastImageS = events.seconds();
+                    if (events.nowSeconds() - lastImageS > IMAGE_INTERVAL_S) {
+                        lastImageS = events.nowSeconds();
                         images.add(disk.copy(disk.metadata));
                         if (images.size() > MAX_IMAGES) {
                             images.poll();
                         }
                     }
-                    outcomes.behind = Math.max(outcomes.behind, replica.laggingRangeCount());
+                    outcomes.maxLaggingRanges =
+                            Math.max(outcomes.maxLaggingRanges, replica.laggingRangeCount());
                 }
                 if (voter != null) {
                     proposePlacement(now);
                 }
                 processOutputs();
             }
-            events.after(
-                    TICK_INTERVAL.plus(Duration.ofNanos((long) (faults.lateMs(number, scenarioSeconds()) * 1e6))),
+            events.schedule(
+                    TICK_INTERVAL.plus(
+                            Duration.ofNanos(
+                                    (long)
+                                            (faults.processingDelayMs(number, scenarioSeconds())
+                                                    * 1e6))),
                     () -> tick(expectedIncarnation));
         }
 
@@ -507,19 +531,19 @@
                     continue;
                 }
                 boolean isLive = each.isUp && !each.isPaused;
-                boolean changedRecently = events.seconds() - each.stateChangedS < VIEW_DELAY_S;
+                boolean changedRecently = events.nowSeconds() - each.stateChangedS < VIEW_DELAY_S;
                 view.put(each.name, changedRecently ? !isLive : isLive);
                 servers.add(each.server);
             }
             planner.observe(view, now);
-            if (voter.isProposing() && events.done() - lastProposalEvent < 2_000
+            if (voter.isProposing() && events.executedEvents() - lastProposalEvent < 2_000
                     || random.nextInt(10) != 0) {
                 return;
             }
-            planner.nextPlacement(voter.committed(), servers, now)
+            planner.nextPlacement(voter.committedPlacement(), servers, now)
                     .ifPresent(
                             placement -> {
-                                lastProposalEvent = events.done();
+                                lastProposalEvent = events.executedEvents();
                                 voter.propose(placement);
                             });
         }
@@ -531,18 +555,18 @@
             if (!isPaused
                     && voter != null
                     && !voter.hasLostState()
-                    && voter.committed().epoch() > 0) {
+                    && voter.committedPlacement().epoch() > 0) {
                 for (int i = 0; i < ANNOUNCEMENT_RECIPIENTS; i++) {
                     int to = 1 + random.nextInt(hosts.size());
                     if (to != number) {
-                        send(to, new ConsensusMessage.Committed(voter.committed()));
+                        send(to, new ConsensusMessage.Committed(voter.committedPlacement()));
                     }
                 }
             }
             if (!isPaused) {
                 reportProgress();
             }
-            events.after(ANNOUNCEMENT_INTERVAL, () -> announce(expectedIncarnation));
+            events.schedule(ANNOUNCEMENT_INTERVAL, () -> announce(expectedIncarnation));
         }
 
         private void reportProgress() {
@@ -554,7 +578,8 @@
                                     ? ReplicaPlacement.RANGE_COUNT
                                     : replica.laggingRangeCount();
             ConsensusMessage.ReplicaProgress progress =
-                    new ConsensusMessage.ReplicaProgress(coordinator.placement().epoch(), laggingRanges);
+                    new ConsensusMessage.ReplicaProgress(
+                            coordinator.placement().epoch(), laggingRanges);
             int voterCount = Math.min(VOTER_COUNT, scenario.members());
             if (!isReplica) {
                 send(1 + random.nextInt(voterCount), progress);
@@ -569,7 +594,8 @@
             if (!isUp) {
                 return;
             }
-            if (tracedToken != null && delivery.message.toString().contains("token=" + tracedToken + ",")) {
+            if (tracedToken != null
+                    && delivery.message.toString().contains("token=" + tracedToken + ",")) {
                 System.out.printf(
                         Locale.ROOT,
                         "%9.4f %s -> %s%s (epoch %d): %s%n",
@@ -596,9 +622,11 @@
                     boolean missedEpoch =
                             voter != null
                                     && !voter.hasLostState()
-                                    && progress.epoch() < voter.committed().epoch();
+                                    && progress.epoch() < voter.committedPlacement().epoch();
                     if (missedEpoch && !delivery.from.equals(name)) {
-                        send(numberOf(delivery.from), new ConsensusMessage.Committed(voter.committed()));
+                        send(
+                                numberOf(delivery.from),
+                                new ConsensusMessage.Committed(voter.committedPlacement()));
                     }
                 }
                 if (message instanceof ConsensusMessage.Committed committed) {
@@ -609,25 +637,33 @@
                         message instanceof ConsensusMessage.RecoveryQuery
                                 || message instanceof ConsensusMessage.Committed committed
                                         && committed.placement().epoch() < ownEpoch;
-                if (needsPlacement && ownEpoch > 0 && numberOf(delivery.from) <= VOTER_COUNT && !delivery.from.equals(name)) {
-                    send(numberOf(delivery.from), new ConsensusMessage.Committed(coordinator.placement()));
+                if (needsPlacement
+                        && ownEpoch > 0
+                        && numberOf(delivery.from) <= VOTER_COUNT
+                        && !delivery.from.equals(name)) {
+                    send(
+                            numberOf(delivery.from),
+                            new ConsensusMessage.Committed(coordinator.placement()));
                 }
             } else if (delivery.message instanceof ReplicationMessage message) {
                 if (message instanceof ReplicationMessage.ClaimRequest claimRequest
                         && !delivery.from.equals(name)) {
-                    claimModes.claimObserved(OPERATION, claimRequest.transitional(), now);
+                    claimModes.recordObservedClaim(OPERATION, claimRequest.transitional(), now);
                 }
                 if (message instanceof ReplicationMessage.RangeRequest rangeRequest
                         && rangeRequest.placement().isPresent()) {
                     applyPlacement(rangeRequest.placement().get());
                 }
                 if (message instanceof ReplicationMessage.ChunkRequest chunkRequest) {
-                    String result = coordinator.pendingResult(chunkRequest.claimId()).orElse(null);
+                    String result =
+                            coordinator.pendingChunkedResult(chunkRequest.claimId()).orElse(null);
                     if (result == null) {
                         result = disk.results.get(chunkRequest.token() + chunkRequest.claimId());
                     }
                     ReplicationMessage.Chunk chunk =
-                            result == null ? null : ChunkAssembler.slice(chunkRequest, result).orElse(null);
+                            result == null
+                                    ? null
+                                    : ChunkAssembler.slice(chunkRequest, result).orElse(null);
                     if (chunk != null) {
                         send(numberOf(delivery.from), chunk);
                     }
@@ -646,12 +682,16 @@
             if (replica == null) {
                 replica =
                         Replica.withoutDisk(
-                                name, placement, events.now().toNanos() / 1000, LIMITS, events.now());
+                                name,
+                                placement,
+                                events.now().toNanos() / 1000,
+                                LIMITS,
+                                events.now());
             } else {
                 replica.adoptPlacement(placement, events.now());
             }
             coordinator.adoptPlacement(placement, events.now());
-            outcomes.epochs = (int) Math.max(outcomes.epochs, placement.epoch());
+            outcomes.highestEpoch = (int) Math.max(outcomes.highestEpoch, placement.epoch());
         }
 
         void processOutputs() {
@@ -673,18 +713,23 @@
                 storeAssembledResults();
                 List<String> tokens = replica.takeChangedTokens();
                 boolean saveMetadata = replica.takeMetadataChanged();
-                if (events.seconds() - metadataSavedS > 1) {
-                    metadataSavedS = events.seconds();
+                if (events.nowSeconds() - metadataSavedS > 1) {
+                    metadataSavedS = events.nowSeconds();
                     saveMetadata = true;
                 }
-                SubmittedChange change = barrier.submit(tokens, saveMetadata, replica.takeOutbound());
+                SubmittedChange change =
+                        barrier.submit(tokens, saveMetadata, replica.takeOutbound());
                 change.writes().forEach(this::write);
-                for (OutboundMessage outbound : change.sendable()) {
+                for (OutboundMessage outbound : change.sendableMessages()) {
                     send(numberOf(outbound.recipient()), outbound.message());
                 }
-                outcomes.oldFound =
-                        (int) Math.max(outcomes.oldFound, replica.statistics().staleDisks());
-                outcomes.unsaid = Math.max(outcomes.unsaid, barrier.droppedMessages());
+                outcomes.staleDisksDetected =
+                        (int)
+                                Math.max(
+                                        outcomes.staleDisksDetected,
+                                        replica.statistics().staleDisks());
+                outcomes.droppedMessages =
+                        Math.max(outcomes.droppedMessages, barrier.droppedMessages());
                 outcomes.fetchedBytes =
                         Math.max(outcomes.fetchedBytes, replica.statistics().receivedBytes());
                 outcomes.conflicts =
@@ -696,11 +741,12 @@
         }
 
         private void applyCommittedPlacement() {
-            if (voter.committed().epoch() > 0
+            if (voter.committedPlacement().epoch() > 0
                     && (replica == null
-                            || replica.placement().epoch() < voter.committed().epoch()
-                            || coordinator.placement().epoch() < voter.committed().epoch())) {
-                applyPlacement(voter.committed());
+                            || replica.placement().epoch() < voter.committedPlacement().epoch()
+                            || coordinator.placement().epoch()
+                                    < voter.committedPlacement().epoch())) {
+                applyPlacement(voter.committedPlacement());
             }
         }
 
@@ -711,7 +757,7 @@
         private void send(int to, Object message) {
             outcomes.messages++;
             if (to != number && trafficCounts != null) {
-                trafficCounts.sent(number, scenarioSeconds(), message);
+                trafficCounts.recordSent(number, scenarioSeconds(), message);
             }
             Host receiver = hosts.get(to);
             if (receiver == null) {
@@ -720,9 +766,9 @@
             List<LinkFaults.Copy> copies =
                     to == number
                             ? List.of(new LinkFaults.Copy(0, false))
-                            : faults.fate(number, to, scenarioSeconds());
+                            : faults.deliveredCopies(number, to, scenarioSeconds());
             for (LinkFaults.Copy copy : copies) {
-                if (copy.spoilt()) {
+                if (copy.isCorrupted()) {
                     continue;
                 }
                 double ms =
@@ -731,8 +777,8 @@
                                 : scenario.delayMs()
                                         + scenario.jitterMs() * linkRandom.nextDouble()
                                         + copy.delayMs()
-                                        + faults.lateMs(to, scenarioSeconds());
-                events.after(ms / 1e3, () -> hosts.get(to).deliver(new Delivery(name, message)));
+                                        + faults.processingDelayMs(to, scenarioSeconds());
+                events.schedule(ms / 1e3, () -> hosts.get(to).deliver(new Delivery(name, message)));
             }
         }
     }
@@ -753,9 +799,9 @@
         this.scenario = scenario;
         this.schedule = FaultSchedule.of(scenario);
         RandomStreams streams = new RandomStreams(seed);
-        this.faults = new LinkFaults(schedule, streams.of("faults"));
-        this.linkRandom = streams.of("links");
-        this.random = streams.of("chance");
+        this.faults = new LinkFaults(schedule, streams.stream("faults"));
+        this.linkRandom = streams.stream("links");
+        this.random = streams.stream("chance");
         this.lostDiskShare = lostDiskShare;
         this.staleDiskShare = staleDiskShare;
         this.injectsDiskFailures = injectsDiskFailures;
@@ -768,19 +814,21 @@
      *
      * @param formationS seconds before the scenario starts, in which the fleet forms
      */
-    public Outcomes play(int tokenCount, double formationS) {
+    public Outcomes run(int tokenCount, double formationS) {
         scenarioStartS = formationS;
         for (FaultSchedule.Slot slot : schedule.slots()) {
             hosts.put(slot.number(), new Host(slot.number()));
         }
         for (FaultSchedule.Action action : schedule.actions()) {
             double startS =
-                    action.act() == FaultSchedule.Act.START && action.atS() <= scenario.startS()
+                    action.kind() == FaultSchedule.ActionKind.START
+                                    && action.atS() <= scenario.startS()
                             ? action.atS()
                             : action.atS() + formationS;
-            events.after(startS, () -> perform(action));
+            events.schedule(startS, () -> perform(action));
         }
-        double durationS = Math.max(schedule.lastS(), modeSwitchS + MODE_SWITCH_DURATION_S) + 8;
+        double durationS =
+                Math.max(schedule.lastFaultEndS(), modeSwitchS + MODE_SWITCH_DURATION_S) + 8;
         for (int i = 0; i < tokenCount; i++) {
             String token = "token-" + i;
             double startS = formationS + random.nextDouble() * durationS;
@@ -797,18 +845,18 @@
                                     default -> 12 * random.nextDouble();
                                 };
                 String body = random.nextInt(20) == 0 ? "other" : history.body;
-                events.after(startS + delayS, () -> submitAttempt(token, body));
+                events.schedule(startS + delayS, () -> submitAttempt(token, body));
             }
         }
         if (trafficCounts != null) {
-            events.after(formationS, this::sampleLaggingRanges);
+            events.schedule(formationS, this::sampleLaggingRanges);
         }
-        events.run(formationS + durationS + 25);
+        events.runUntil(formationS + durationS + 25);
         return outcomes;
     }
 
     /** Traffic per server and second, and the number of lagging ranges over time. */
-    static final class Counts {
+    static final class TrafficCounts {
         private static final double SAMPLE_INTERVAL_S = 0.05;
 
         private final PacketCodec codec =
@@ -822,16 +870,17 @@
                         Optional.empty(),
                         1,
                         MemberState.ALIVE);
-        final Map<Integer, Map<Integer, long[]>> bySecond = new TreeMap<>();
+        final Map<Integer, Map<Integer, long[]>> sentBySecond = new TreeMap<>();
 
         /** Scenario times in seconds at which at least one range lagged. */
-        final List<Double> behindAt = new ArrayList<>();
+        final List<Double> laggingTimesS = new ArrayList<>();
 
-        final List<double[]> behind = new ArrayList<>();
+        final List<double[]> laggingSamples = new ArrayList<>();
 
-        void sent(int serverNumber, double atS, Object message) {
+        void recordSent(int serverNumber, double atS, Object message) {
             long[] totals =
-                    bySecond.computeIfAbsent((int) Math.floor(atS), ignored -> new HashMap<>())
+                    sentBySecond
+                            .computeIfAbsent((int) Math.floor(atS), ignored -> new HashMap<>())
                             .computeIfAbsent(serverNumber, ignored -> new long[2]);
             totals[0]++;
             totals[1] += codec.seal(sender, message, 1L << 40).length;
@@ -843,11 +892,11 @@
          *
          * @param index 0 for packets, 1 for bytes
          */
-        double[] each(int index, int startS, int endS, int servers) {
+        double[] meanAndMaxPerServer(int index, int startS, int endS, int servers) {
             double sum = 0;
             double max = 0;
             for (int second = startS; second < endS; second++) {
-                for (long[] totals : bySecond.getOrDefault(second, Map.of()).values()) {
+                for (long[] totals : sentBySecond.getOrDefault(second, Map.of()).values()) {
                     sum += totals[index];
                     max = Math.max(max, totals[index]);
                 }
@@ -856,34 +905,34 @@
         }
     }
 
-    private Counts trafficCounts;
+    private TrafficCounts trafficCounts;
 
     /** Enables the traffic counts and the sampling of lagging ranges. */
-    Counts counting() {
-        trafficCounts = new Counts();
+    TrafficCounts recordTraffic() {
+        trafficCounts = new TrafficCounts();
         return trafficCounts;
     }
 
     private void sampleLaggingRanges() {
-        int laggingRanges = behind();
+        int laggingRanges = laggingRangeCount();
         if (laggingRanges > 0) {
-            trafficCounts.behindAt.add(scenarioSeconds());
+            trafficCounts.laggingTimesS.add(scenarioSeconds());
         }
-        trafficCounts.behind.add(new double[] {scenarioSeconds(), laggingRanges});
-        events.after(Counts.SAMPLE_INTERVAL_S, this::sampleLaggingRanges);
+        trafficCounts.laggingSamples.add(new double[] {scenarioSeconds(), laggingRanges});
+        events.schedule(TrafficCounts.SAMPLE_INTERVAL_S, this::sampleLaggingRanges);
     }
 
     /**
      * Starts with a formed fleet: a placement with as many servers as allowed is committed, and the
      * replicas are empty.
      */
-    ReplicationSimulation formed() {
+    ReplicationSimulation withFormedFleet() {
         List<ReplicaServer> servers = new ArrayList<>();
         int memberCount = scenario.members();
         int replicaServerCount = Math.min(memberCount, ReplicaPlacement.MAX_SERVERS);
         for (int i = 0; i < replicaServerCount; i++) {
             int number = 1 + (int) ((long) i * memberCount / replicaServerCount);
-            servers.add(new ReplicaServer("m" + number, "z" + scenario.zone(number)));
+            servers.add(new ReplicaServer("m" + number, "z" + scenario.zoneOf(number)));
         }
         servers.sort(Comparator.comparing(ReplicaServer::name));
         initialPlacement = new ReplicaPlacement(1, servers, servers, REPLICATION_FACTOR);
@@ -894,7 +943,7 @@
 
     /** Seconds since the start of the scenario, which starts when the fleet has formed. */
     private double scenarioSeconds() {
-        return events.seconds() - scenarioStartS;
+        return events.nowSeconds() - scenarioStartS;
     }
 
     private double scenarioStartS;
@@ -913,7 +962,7 @@
      * @param startS scenario time in seconds of the first switch; negative infinity for no switch
      * @param stepS seconds between the switches of two servers
      */
-    public ReplicationSimulation switching(double startS, double stepS) {
+    public ReplicationSimulation withModeSwitch(double startS, double stepS) {
         modeSwitchS = startS;
         modeSwitchStepS = stepS;
         return this;
@@ -925,12 +974,15 @@
     private void perform(FaultSchedule.Action action) {
         Host host = hosts.get(action.slot());
         if (tracedToken != null) {
-            System.out.printf(Locale.ROOT, "%9.4f %s %s%n", scenarioSeconds(), action.act(), host.name);
+            System.out.printf(
+                    Locale.ROOT, "%9.4f %s %s%n", scenarioSeconds(), action.kind(), host.name);
         }
-        switch (action.act()) {
+        switch (action.kind()) {
             case START -> {
                 if (!host.isUp) {
-                    host.start(host.hasStarted && random.nextDouble() >= lostDiskShare || !host.hasStarted);
+                    host.start(
+                            host.hasStarted && random.nextDouble() >= lostDiskShare
+                                    || !host.hasStarted);
                 }
             }
             case IMAGE -> {}
@@ -942,7 +994,7 @@
             case PAUSE -> {
                 if (host.isUp) {
                     host.isPaused = true;
-                    host.stateChangedS = events.seconds();
+                    host.stateChangedS = events.nowSeconds();
                 }
             }
             case RESUME -> {
@@ -950,7 +1002,7 @@
                     return;
                 }
                 host.isPaused = false;
-                host.stateChangedS = events.seconds();
+                host.stateChangedS = events.nowSeconds();
                 host.coordinator.tick(events.now());
                 host.processOutputs();
                 while (!host.queuedMessages.isEmpty() && host.isUp) {
@@ -973,13 +1025,13 @@
         }
         Host host = available.get(random.nextInt(available.size()));
         long incarnation = host.incarnation;
-        outcomes.tries++;
-        double submittedS = events.seconds();
+        outcomes.attempts++;
+        double submittedS = events.nowSeconds();
         Duration deadline = events.now().plus(ATTEMPT_TIMEOUT);
         boolean[] isAnswered = {false};
         // An attempt without an outcome at its deadline is answered with an error, provided that
         // its server is still up; a later outcome is ignored.
-        events.after(
+        events.schedule(
                 ATTEMPT_TIMEOUT,
                 () -> {
                     if (isAnswered[0]) {
@@ -1012,7 +1064,7 @@
                 } else if (localResult.startsWith(body + " by ")) {
                     recordSuccess(token, body, localResult);
                 } else {
-                    outcomes.otherBody++;
+                    outcomes.fingerprintMismatches++;
                 }
                 return;
             }
@@ -1033,10 +1085,13 @@
                     }
                     switch (decision.kind()) {
                         case RUN -> {
-                            outcomes.claimMs.add((events.seconds() - submittedS) * 1e3);
+                            outcomes.claimLatencyMs.add((events.nowSeconds() - submittedS) * 1e3);
                             tokens.get(token)
-                                    .recordClaim(requirement == ClaimRequirement.REQUIRED, events.seconds());
-                            startRun(host, incarnation, token, body, decision, deadline, isAnswered);
+                                    .recordClaim(
+                                            requirement == ClaimRequirement.REQUIRED,
+                                            events.nowSeconds());
+                            startRun(
+                                    host, incarnation, token, body, decision, deadline, isAnswered);
                         }
                         case REPLAY -> {
                             isAnswered[0] = true;
@@ -1049,7 +1104,7 @@
                         }
                         case FINGERPRINT_MISMATCH -> {
                             isAnswered[0] = true;
-                            outcomes.otherBody++;
+                            outcomes.fingerprintMismatches++;
                         }
                         default -> {
                             isAnswered[0] = true;
@@ -1082,28 +1137,42 @@
         for (int i = 0; i < history.runTimesS.size(); i++) {
             double runS = history.runTimesS.get(i);
             // Only tokens whose first run was claimed are guaranteed to run once.
-            if (events.seconds() - runS >= TOKEN_WINDOW.toSeconds() || usesClaims && !history.hasClaim) {
+            if (events.nowSeconds() - runS >= TOKEN_WINDOW.toSeconds()
+                    || usesClaims && !history.hasClaim) {
                 continue;
             }
             if (isExcused(history.replicasAtRun.get(i), runS)) {
-                outcomes.excused++;
+                outcomes.excusedReruns++;
             } else {
                 recordViolation(token + " was run again by " + host.name + ", " + decision);
             }
         }
         if (decision == null && usesClaims) {
-            history.recordClaim(false, events.seconds());
-            outcomes.unclaimed++;
+            history.recordClaim(false, events.nowSeconds());
+            outcomes.runsWithoutClaim++;
         }
-        history.runTimesS.add(events.seconds());
-        history.replicasAtRun.add(host.coordinator.placement().replicasOf(ReplicaPlacement.rangeOf(token)));
-        double durationS = random.nextInt(8) == 0 ? 3 * random.nextDouble() : 0.05 * random.nextDouble();
+        history.runTimesS.add(events.nowSeconds());
+        history.replicasAtRun.add(
+                host.coordinator.placement().replicasOf(ReplicaPlacement.rangeOf(token)));
+        double durationS =
+                random.nextInt(8) == 0 ? 3 * random.nextDouble() : 0.05 * random.nextDouble();
         String result = body + " by " + host.name + " " + incarnation + " " + outcomes.runs;
         if (token.hashCode() % TOKENS_PER_CHUNKED_RESULT == 0) {
             result += ".".repeat(ClaimOutcome.MAX_INLINE_BYTES + random.nextInt(20_000));
         }
         String finalResult = result;
-        events.after(durationS, () -> finishRun(host, incarnation, token, body, finalResult, decision, deadline, isAnswered));
+        events.schedule(
+                durationS,
+                () ->
+                        finishRun(
+                                host,
+                                incarnation,
+                                token,
+                                body,
+                                finalResult,
+                                decision,
+                                deadline,
+                                isAnswered));
     }
 
     /**
@@ -1126,7 +1195,8 @@
                         .filter(
                                 each ->
                                         names.contains(each.name)
-                                                && each.diskLossTimesS.stream().anyMatch(at -> at >= sinceS))
+                                                && each.diskLossTimesS.stream()
+                                                        .anyMatch(at -> at >= sinceS))
                         .count();
         return !names.isEmpty() && lostCount >= ReplicaPlacement.quorumSize(names.size());
     }
@@ -1136,7 +1206,9 @@
         boolean isChunked = result.length() > ClaimOutcome.MAX_INLINE_BYTES;
         return new CompletedClaim(
                 decision.claimId().orElseThrow(),
-                isChunked ? ClaimOutcome.chunked(body, result) : new ClaimOutcome(true, body, result),
+                isChunked
+                        ? ClaimOutcome.chunked(body, result)
+                        : new ClaimOutcome(true, body, result),
                 isChunked ? Optional.of(result) : Optional.empty(),
                 deadline,
                 events.now().plus(TOKEN_WINDOW));
@@ -1155,8 +1227,18 @@
             return;
         }
         if (host.isPaused) {
-            events.after(
-                    0.1, () -> finishRun(host, incarnation, token, body, result, decision, deadline, isAnswered));
+            events.schedule(
+                    0.1,
+                    () ->
+                            finishRun(
+                                    host,
+                                    incarnation,
+                                    token,
+                                    body,
+                                    result,
+                                    decision,
+                                    deadline,
+                                    isAnswered));
             return;
         }
         if (decision == null) {
@@ -1202,14 +1284,15 @@
     }
 
     private void recordViolation(String text) {
-        if (outcomes.broken.size() < 20) {
-            outcomes.broken.add(
-                    String.format(Locale.ROOT, "%.3f s: %s", events.seconds() - scenarioStartS, text));
+        if (outcomes.violations.size() < 20) {
+            outcomes.violations.add(
+                    String.format(
+                            Locale.ROOT, "%.3f s: %s", events.nowSeconds() - scenarioStartS, text));
         }
     }
 
     /** The placement with the highest epoch known to a running server; empty if there is none. */
-    public Optional<ReplicaPlacement> layout() {
+    public Optional<ReplicaPlacement> latestPlacement() {
         return hosts.values().stream()
                 .filter(each -> each.isUp && each.replica != null)
                 .map(each -> each.replica.placement())
@@ -1217,7 +1300,7 @@
     }
 
     /** Number of lagging ranges, summed over the running servers. */
-    public int behind() {
+    public int laggingRangeCount() {
         return hosts.values().stream()
                 .filter(each -> each.isUp && each.replica != null)
                 .mapToInt(each -> each.replica.laggingRangeCount())
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RolloutSimulation.java
@@ -85,29 +85,29 @@
 
     /** Counts and rule violations of a simulation run. */
     public static final class Outcomes {
-        public int published;
-        public int harmless;
-        public int harmlessStopped;
-        public int harmfulOnes;
-        public int harmfulStopped;
+        public int publishedVersions;
+        public int harmlessVersions;
+        public int stoppedHarmlessVersions;
+        public int harmfulVersions;
+        public int stoppedHarmfulVersions;
 
         /** Harmful versions that were stopped before the stage that includes all servers. */
-        public int stoppedEarly;
+        public int harmfulVersionsStoppedEarly;
 
         public long runs;
-        public long refusedRuns;
+        public long runsWithoutLease;
         public long messages;
 
         /**
          * Seconds from the last fault or publication until every live server runs its target
          * version and holds a lease; infinite if that never happens.
          */
-        public double settledS = Double.POSITIVE_INFINITY;
+        public double settleTimeS = Double.POSITIVE_INFINITY;
 
         /** Seconds from each publication until its rollout was complete. */
-        public final List<Double> rolloutS = new ArrayList<>();
+        public final List<Double> rolloutDurationsS = new ArrayList<>();
 
-        public final List<String> broken = new ArrayList<>();
+        public final List<String> violations = new ArrayList<>();
 
         /** Description of the fleet's final state if it did not settle. */
         public final List<String> notes = new ArrayList<>();
@@ -165,9 +165,9 @@
                     voterNames.contains(name)
                             ? EpochConsensus.resume(name, voterNames, disk, random.nextLong())
                             : null;
-            placement = voter != null ? voter.committed() : placement;
+            placement = voter != null ? voter.committedPlacement() : placement;
             epochKnownS.clear();
-            epochKnownS.put(placement.epoch(), events.seconds());
+            epochKnownS.put(placement.epoch(), events.nowSeconds());
             lease = new Lease(voterNames, LEASE_DURATION, random.nextLong() >>> 16);
             leaseGrantor = new LeaseGrantor(GRACE_PERIOD, random.split());
             rolloutController = new RolloutController(OBSERVATION_TIME, ACTIVATION_TIMEOUT, true);
@@ -197,10 +197,12 @@
                     proposeRollout();
                 }
             }
-            events.after(
+            events.schedule(
                     TICK_INTERVAL.plus(
                             Duration.ofNanos(
-                                    (long) (faults.lateMs(number, events.seconds()) * 1e6))),
+                                    (long)
+                                            (faults.processingDelayMs(number, events.nowSeconds())
+                                                    * 1e6))),
                     () -> tick(expectedIncarnation));
         }
 
@@ -210,7 +212,8 @@
                 for (Host each : hosts.values()) {
                     if (each.isUp
                             && each != this
-                            && (each.voter != null || RolloutStages.includes(placement, each.name))) {
+                            && (each.voter != null
+                                    || RolloutStages.includes(placement, each.name))) {
                         all.add(each.name);
                     }
                 }
@@ -226,19 +229,21 @@
                 }
             }
             reports.keySet().retainAll(live);
-            if (voter.isProposing() && events.seconds() - lastProposalS < 1
+            if (voter.isProposing() && events.nowSeconds() - lastProposalS < 1
                     || random.nextInt(10) != 0) {
                 return;
             }
-            ReplicaPlacement committed = voter.committed();
+            ReplicaPlacement committed = voter.committedPlacement();
             RolloutState proposed =
                     requestedState != null
                             ? requestedState
-                            : rolloutController.nextState(committed, live, events.now()).orElse(null);
+                            : rolloutController
+                                    .nextState(committed, live, events.now())
+                                    .orElse(null);
             if (proposed == null) {
                 return;
             }
-            lastProposalS = events.seconds();
+            lastProposalS = events.nowSeconds();
             voter.propose(committed.with(proposed));
             processOutputs();
         }
@@ -249,9 +254,10 @@
             }
             if (!committedPlacements.isEmpty()
                     && activeVersion.number()
-                            != RolloutStages.targetVersion(committedPlacements.lastEntry().getValue(), name)
+                            != RolloutStages.targetVersion(
+                                            committedPlacements.lastEntry().getValue(), name)
                                     .number()) {
-                lastOutdatedS = events.seconds();
+                lastOutdatedS = events.nowSeconds();
             }
             if (!isPaused) {
                 RolloutState rollout = placement.rollout();
@@ -284,12 +290,14 @@
                     for (int i = 0; i < 4; i++) {
                         Host to = hosts.get(1 + random.nextInt(hosts.size()));
                         if (to != this) {
-                            send(to.name, new ConsensusMessage.Committed(voter.committed()));
+                            send(
+                                    to.name,
+                                    new ConsensusMessage.Committed(voter.committedPlacement()));
                         }
                     }
                 }
             }
-            events.after(REPORT_INTERVAL, () -> report(expectedIncarnation));
+            events.schedule(REPORT_INTERVAL, () -> report(expectedIncarnation));
         }
 
         /** Receives a keyed invocation and runs it if the server holds a lease. */
@@ -302,23 +310,29 @@
                 if (mayRun) {
                     recordRun();
                 } else {
-                    outcomes.refusedRuns++;
+                    outcomes.runsWithoutLease++;
                 }
             }
-            events.after(INVOCATION_INTERVAL_S * (0.5 + random.nextDouble()), () -> attemptRun(expectedIncarnation));
+            events.schedule(
+                    INVOCATION_INTERVAL_S * (0.5 + random.nextDouble()),
+                    () -> attemptRun(expectedIncarnation));
         }
 
         private void recordRun() {
             outcomes.runs++;
-            boolean isErrored = random.nextDouble() < (harmfulVersions.contains(activeVersion.number()) ? HARMFUL_ERROR_SHARE : BASE_ERROR_SHARE);
+            boolean isErrored =
+                    random.nextDouble()
+                            < (harmfulVersions.contains(activeVersion.number())
+                                    ? HARMFUL_ERROR_SHARE
+                                    : BASE_ERROR_SHARE);
             countersByVersion.merge(
                     activeVersion.number(),
                     new VersionCounters(1, 0, isErrored ? 1 : 0, 0, isErrored ? 0 : 1, 1),
                     VersionCounters::plus);
             String violation = describeViolation(this);
-            if (violation != null && outcomes.broken.size() < 20) {
-                outcomes.broken.add(
-                        String.format(Locale.ROOT, "%.3f s: %s", events.seconds(), violation));
+            if (violation != null && outcomes.violations.size() < 20) {
+                outcomes.violations.add(
+                        String.format(Locale.ROOT, "%.3f s: %s", events.nowSeconds(), violation));
             }
         }
 
@@ -355,7 +369,8 @@
                 } else {
                     send(from, new RolloutMessage.LeaseReply(statusReport.requestId(), isGranted));
                     // A report for an older rollout shows that its sender missed an epoch.
-                    if (statusReport.report().rolloutVersion() < placement.rollout().target().number()) {
+                    if (statusReport.report().rolloutVersion()
+                            < placement.rollout().target().number()) {
                         send(from, new ConsensusMessage.Committed(placement));
                     }
                 }
@@ -388,7 +403,7 @@
             }
             placement = next;
             leaseGrantor.adoptPlacement(next, events.now());
-            epochKnownS.put(next.epoch(), events.seconds());
+            epochKnownS.put(next.epoch(), events.nowSeconds());
             if (next.rollout().equals(requestedState)) {
                 requestedState = null;
             }
@@ -411,13 +426,14 @@
             if (voter == null) {
                 return;
             }
-            if (voter.committed().epoch() > placement.epoch()) {
-                adoptPlacement(voter.committed());
+            if (voter.committedPlacement().epoch() > placement.epoch()) {
+                adoptPlacement(voter.committedPlacement());
             }
             // A majority may accept a placement before any voter learns of that; the placement
             // counts as committed once the first voter knows.
-            ReplicaPlacement known = voter.committed();
-            if (committedPlacements.isEmpty() || known.epoch() > committedPlacements.lastEntry().getValue().epoch()) {
+            ReplicaPlacement known = voter.committedPlacement();
+            if (committedPlacements.isEmpty()
+                    || known.epoch() > committedPlacements.lastEntry().getValue().epoch()) {
                 recordCommitted(known);
             }
             for (OutboundConsensusMessage outbound : voter.takeOutbound()) {
@@ -427,7 +443,8 @@
                     for (Host each : hosts.values()) {
                         if (each != this
                                 && (each.voter != null
-                                        || outbound.message() instanceof ConsensusMessage.Committed)) {
+                                        || outbound.message()
+                                                instanceof ConsensusMessage.Committed)) {
                             send(each.name, outbound.message());
                         }
                     }
@@ -438,16 +455,18 @@
         private void send(String to, Object message) {
             outcomes.messages++;
             int receiver = Integer.parseInt(to.substring(1));
-            for (LinkFaults.Copy copy : faults.fate(number, receiver, events.seconds())) {
-                if (copy.spoilt()) {
+            for (LinkFaults.Copy copy :
+                    faults.deliveredCopies(number, receiver, events.nowSeconds())) {
+                if (copy.isCorrupted()) {
                     continue;
                 }
                 double ms =
                         scenario.delayMs()
                                 + scenario.jitterMs() * linkRandom.nextDouble()
                                 + copy.delayMs()
-                                + faults.lateMs(receiver, events.seconds());
-                events.after(ms / 1e3, () -> hosts.get(receiver).deliver(new Delivery(name, message)));
+                                + faults.processingDelayMs(receiver, events.nowSeconds());
+                events.schedule(
+                        ms / 1e3, () -> hosts.get(receiver).deliver(new Delivery(name, message)));
             }
         }
     }
@@ -461,12 +480,12 @@
         this.schedule = FaultSchedule.of(scenario);
         this.enforcesLeases = enforcesLeases;
         RandomStreams streams = new RandomStreams(seed);
-        this.faults = new LinkFaults(schedule, streams.of("faults"));
-        this.linkRandom = streams.of("links");
-        this.random = streams.of("versions");
+        this.faults = new LinkFaults(schedule, streams.stream("faults"));
+        this.linkRandom = streams.stream("links");
+        this.random = streams.stream("versions");
         List<ReplicaServer> servers = new ArrayList<>();
         for (int i = 1; i <= Math.min(scenario.members(), ReplicaPlacement.MAX_SERVERS); i++) {
-            servers.add(new ReplicaServer("m" + i, "z" + scenario.zone(i)));
+            servers.add(new ReplicaServer("m" + i, "z" + scenario.zoneOf(i)));
         }
         servers.sort(Comparator.comparing(ReplicaServer::name));
         this.initialPlacement = new ReplicaPlacement(1, servers, servers, REPLICATION_FACTOR);
@@ -474,26 +493,29 @@
 
     private void recordCommitted(ReplicaPlacement placement) {
         RolloutState before =
-                committedPlacements.isEmpty() ? RolloutState.NONE : committedPlacements.lastEntry().getValue().rollout();
+                committedPlacements.isEmpty()
+                        ? RolloutState.NONE
+                        : committedPlacements.lastEntry().getValue().rollout();
         RolloutState now = placement.rollout();
-        committedPlacements.put(events.seconds(), placement);
+        committedPlacements.put(events.nowSeconds(), placement);
         boolean isRolledBack =
                 now.isComplete()
                         && now.target().number() == before.target().number() + 1
                         && !before.isComplete();
-        if (isRolledBack || now.phase() == RolloutPhase.HALTED && before.phase() == RolloutPhase.RUNNING) {
+        if (isRolledBack
+                || now.phase() == RolloutPhase.HALTED && before.phase() == RolloutPhase.RUNNING) {
             boolean isHarmful = harmfulVersions.contains(before.target().number());
             if (!isHarmful) {
-                outcomes.harmlessStopped++;
+                outcomes.stoppedHarmlessVersions++;
             } else {
-                outcomes.harmfulStopped++;
+                outcomes.stoppedHarmfulVersions++;
             }
             if (isHarmful && before.stage() < RolloutStages.ALL_SERVERS) {
-                outcomes.stoppedEarly++;
+                outcomes.harmfulVersionsStoppedEarly++;
             }
         }
         if (now.isComplete() && !before.isComplete() && !isRolledBack) {
-            outcomes.rolloutS.add(events.seconds() - rolloutStartS);
+            outcomes.rolloutDurationsS.add(events.nowSeconds() - rolloutStartS);
         }
     }
 
@@ -505,27 +527,29 @@
      *
      * @param harmfulShare probability that a version is harmful
      */
-    public Outcomes play(int versionCount, double harmfulShare) {
+    public Outcomes run(int versionCount, double harmfulShare) {
         for (FaultSchedule.Slot slot : schedule.slots()) {
             hosts.put(slot.number(), new Host(slot.number()));
         }
         for (FaultSchedule.Action action : schedule.actions()) {
-            events.after(action.atS(), () -> perform(action));
+            events.schedule(action.atS(), () -> perform(action));
         }
-        double lastFaultS = schedule.lastS();
+        double lastFaultS = schedule.lastFaultEndS();
         for (int i = 0; i < versionCount; i++) {
-            events.after(3 + 24.0 * i, () -> publish(random.nextDouble() < harmfulShare, 40));
+            events.schedule(3 + 24.0 * i, () -> publish(random.nextDouble() < harmfulShare, 40));
         }
         double lastPublicationS = 3 + 24.0 * versionCount;
         double endS = Math.max(lastFaultS, lastPublicationS) + 60;
-        events.after(Math.max(lastFaultS, lastPublicationS), this::checkSettled);
+        events.schedule(Math.max(lastFaultS, lastPublicationS), this::checkSettled);
         lastFaultOrPublicationS = Math.max(lastFaultS, lastPublicationS);
-        events.run(endS);
-        if (Double.isInfinite(outcomes.settledS)) {
+        events.runUntil(endS);
+        if (Double.isInfinite(outcomes.settleTimeS)) {
             StringBuilder text =
                     new StringBuilder(
                             "unsettled: "
-                                    + (committedPlacements.isEmpty() ? initialPlacement : committedPlacements.lastEntry().getValue()));
+                                    + (committedPlacements.isEmpty()
+                                            ? initialPlacement
+                                            : committedPlacements.lastEntry().getValue()));
             for (Host each : hosts.values()) {
                 text.append("; ")
                         .append(each.name)
@@ -547,21 +571,25 @@
     private double lastFaultOrPublicationS;
 
     private void checkSettled() {
-        ReplicaPlacement now = committedPlacements.isEmpty() ? initialPlacement : committedPlacements.lastEntry().getValue();
+        ReplicaPlacement now =
+                committedPlacements.isEmpty()
+                        ? initialPlacement
+                        : committedPlacements.lastEntry().getValue();
         boolean isSettled =
                 now.rollout().isComplete() || now.rollout().phase() == RolloutPhase.HALTED;
         for (Host each : hosts.values()) {
             if (each.isUp && !each.isPaused) {
                 isSettled &=
-                        each.activeVersion.number() == RolloutStages.targetVersion(now, each.name).number()
+                        each.activeVersion.number()
+                                        == RolloutStages.targetVersion(now, each.name).number()
                                 && each.lease.isHeld(events.now());
             }
         }
         if (isSettled) {
-            outcomes.settledS = events.seconds() - lastFaultOrPublicationS;
+            outcomes.settleTimeS = events.nowSeconds() - lastFaultOrPublicationS;
             return;
         }
-        events.after(0.1, this::checkSettled);
+        events.schedule(0.1, this::checkSettled);
     }
 
     private void publish(boolean isHarmful, int remainingAttempts) {
@@ -575,13 +603,15 @@
                 voters.stream()
                         .anyMatch(each -> each.placement.rollout().phase() == RolloutPhase.HALTED);
         Host voter = voters.isEmpty() ? null : voters.get(random.nextInt(voters.size()));
-        if (voter == null || !voter.placement.rollout().isComplete() || voter.requestedState != null) {
+        if (voter == null
+                || !voter.placement.rollout().isComplete()
+                || voter.requestedState != null) {
             // The operator rolls a halted rollout back and tries again later.
             if (voter != null && halted && voter.requestedState == null) {
                 voter.requestedState = voter.placement.rollout().rolledBack("person", "halted");
             }
             if (remainingAttempts > 0) {
-                events.after(1, () -> publish(isHarmful, remainingAttempts - 1));
+                events.schedule(1, () -> publish(isHarmful, remainingAttempts - 1));
             }
             return;
         }
@@ -603,23 +633,23 @@
         }
         if (holders < ReplicaPlacement.quorumSize(Math.min(VOTER_COUNT, scenario.members()))) {
             if (remainingAttempts > 0) {
-                events.after(1, () -> publish(isHarmful, remainingAttempts - 1));
+                events.schedule(1, () -> publish(isHarmful, remainingAttempts - 1));
             }
             return;
         }
         if (isHarmful) {
             harmfulVersions.add(number);
         }
-        outcomes.published++;
+        outcomes.publishedVersions++;
         if (isHarmful) {
-            outcomes.harmfulOnes++;
+            outcomes.harmfulVersions++;
         } else {
-            outcomes.harmless++;
+            outcomes.harmlessVersions++;
         }
-        rolloutStartS = events.seconds();
+        rolloutStartS = events.nowSeconds();
         RolloutState requested = voter.placement.rollout().startRollout(next);
         voter.requestedState = requested;
-        events.after(
+        events.schedule(
                 10,
                 () -> {
                     if (requested.equals(voter.requestedState)) {
@@ -630,7 +660,7 @@
 
     private void perform(FaultSchedule.Action action) {
         Host host = hosts.get(action.slot());
-        switch (action.act()) {
+        switch (action.kind()) {
             case START -> {
                 if (!host.isUp) {
                     host.start();
@@ -670,7 +700,7 @@
      */
     private String describeViolation(Host host) {
         double boundS = LEASE_DURATION.toSeconds() + GRACE_PERIOD.toSeconds() + PROPAGATION_S;
-        double sinceS = events.seconds() - boundS;
+        double sinceS = events.nowSeconds() - boundS;
         List<ReplicaPlacement> permitted = new ArrayList<>();
         permitted.add(initialPlacement);
         for (ReplicaPlacement each : committedPlacements.values()) {
@@ -689,23 +719,31 @@
                                                             .stream()
                                                             .anyMatch(at -> at <= sinceS))
                             .count();
-            if (informedVoters >= ReplicaPlacement.quorumSize(Math.min(VOTER_COUNT, scenario.members()))) {
+            if (informedVoters
+                    >= ReplicaPlacement.quorumSize(Math.min(VOTER_COUNT, scenario.members()))) {
                 permitted.clear();
             }
             permitted.add(each);
         }
         for (ReplicaPlacement each : permitted) {
-            if (RolloutStages.targetVersion(each, host.name).number() == host.activeVersion.number()) {
+            if (RolloutStages.targetVersion(each, host.name).number()
+                    == host.activeVersion.number()) {
                 return null;
             }
         }
         // By rule, no server is fenced while too many are outdated; a lease renewed during that
         // time remains valid for its full duration.
-        ReplicaPlacement now = committedPlacements.isEmpty() ? initialPlacement : committedPlacements.lastEntry().getValue();
+        ReplicaPlacement now =
+                committedPlacements.isEmpty()
+                        ? initialPlacement
+                        : committedPlacements.lastEntry().getValue();
         long liveCount = hosts.values().stream().filter(each -> each.isUp).count();
         long lateCount =
                 hosts.values().stream()
-                        .filter(each -> events.seconds() - each.lastOutdatedS < LEASE_DURATION.toSeconds() + PROPAGATION_S)
+                        .filter(
+                                each ->
+                                        events.nowSeconds() - each.lastOutdatedS
+                                                < LEASE_DURATION.toSeconds() + PROPAGATION_S)
                         .count();
         if (lateCount > 0.25 * liveCount) {
             return null;
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
@@ -6,17 +6,17 @@
  */
 public interface StateModel {
     /** Number of actions in this state, numbered from 0; some of them may not be possible. */
-    int actions();
+    int actionCount();
 
     /** Performs an action; returns false if it is not possible in this state. */
-    boolean act(int action);
+    boolean perform(int action);
 
     /** Returns a hash that is equal for states that behave the same from then on. */
     long fingerprint();
 
     /** The rule that this state violates, or null. */
-    String broken();
+    String violation();
 
     /** Continues without faults; returns the steps until the model settles, -1 if it does not. */
-    int settles();
+    int roundsToSettle();
 }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateSpaceExplorer.java
@@ -25,10 +25,11 @@
      * The result of an exploration.
      *
      * @param depth last depth that was explored completely, or at which a violation was found
-     * @param worstSettles most steps without faults until a state settled
-     * @param broken the violation with the path of actions to it; null if there is none
+     * @param maxRoundsToSettle most steps without faults until a state settled
+     * @param violation the violation with the path of actions to it; null if there is none
      */
-    public record Found(int depth, long states, long edges, int worstSettles, String broken) {}
+    public record Result(
+            int depth, long states, long transitions, int maxRoundsToSettle, String violation) {}
 
     public StateSpaceExplorer(Supplier<StateModel> modelFactory) {
         this.modelFactory = modelFactory;
@@ -37,7 +38,7 @@
     private StateModel replay(byte[] path) {
         StateModel model = modelFactory.get();
         for (byte action : path) {
-            model.act(action);
+            model.perform(action);
         }
         return model;
     }
@@ -49,13 +50,13 @@
         List<ReachedState> reached = new ArrayList<>();
         for (int action = 0; action < actions; action++) {
             StateModel model = replay(path);
-            if (!model.act(action)) {
+            if (!model.perform(action)) {
                 continue;
             }
             byte[] next = Arrays.copyOf(path, path.length + 1);
             next[path.length] = (byte) action;
             long fingerprint = model.fingerprint();
-            reached.add(new ReachedState(fingerprint, next, model.broken()));
+            reached.add(new ReachedState(fingerprint, next, model.violation()));
         }
         return reached;
     }
@@ -64,7 +65,7 @@
      * Explores depth by depth until there are no new states, the first violation, or a completed
      * depth with more than {@code maxStates} states in all. Uses one thread per processor.
      */
-    public Found explore(int depth, long maxStates, Consumer<String> progress) throws Exception {
+    public Result explore(int depth, long maxStates, Consumer<String> progress) throws Exception {
         Set<Long> fingerprints = new HashSet<>();
         List<byte[]> frontier = List.of(new byte[0]);
         fingerprints.add(modelFactory.get().fingerprint());
@@ -83,14 +84,14 @@
             for (int level = 1; level <= depth; level++) {
                 List<Callable<List<ReachedState>>> work = new ArrayList<>();
                 for (byte[] path : frontier) {
-                    work.add(() -> expand(path, replay(path).actions()));
+                    work.add(() -> expand(path, replay(path).actionCount()));
                 }
                 List<byte[]> next = new ArrayList<>();
                 for (Future<List<ReachedState>> each : executor.invokeAll(work)) {
                     for (ReachedState reached : each.get()) {
                         transitions++;
                         if (reached.violation != null) {
-                            return new Found(
+                            return new Result(
                                     level,
                                     fingerprints.size(),
                                     transitions,
@@ -104,12 +105,12 @@
                 }
                 List<Callable<Integer>> settleTasks = new ArrayList<>();
                 for (byte[] path : next) {
-                    settleTasks.add(() -> replay(path).settles());
+                    settleTasks.add(() -> replay(path).roundsToSettle());
                 }
                 int index = 0;
                 for (Future<Integer> each : executor.invokeAll(settleTasks)) {
                     if (each.get() < 0) {
-                        return new Found(
+                        return new Result(
                                 level,
                                 fingerprints.size(),
                                 transitions,
@@ -136,6 +137,6 @@
         } finally {
             executor.shutdownNow();
         }
-        return new Found(completedDepth, fingerprints.size(), transitions, maxRounds, null);
+        return new Result(completedDepth, fingerprints.size(), transitions, maxRounds, null);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
+++ b/emulator/src/main/java/ochretiller/emulator/rules/RuleChecker.java
@@ -53,7 +53,7 @@
      * Records that a server has read an attempt. A deadline that has passed counts as {@code now};
      * a {@code nonIdempotent} attempt must not be throttled once its run has started.
      */
-    public void read(
+    public void attemptRead(
             double now, long id, String operation, double deadline, boolean nonIdempotent) {
         readCount++;
         openAttempts.put(id, new OpenAttempt(operation, Math.max(deadline, now), nonIdempotent));
@@ -93,7 +93,7 @@
      * {@code pausedFrom} to {@code pausedTo} (-1 if there was none), moves to the end of that
      * pause, because a paused server cannot answer.
      */
-    public void answered(
+    public void attemptAnswered(
             double now, long id, boolean throttled, double pausedFrom, double pausedTo) {
         OpenAttempt attempt = openAttempts.remove(id);
         if (attempt == null) {
@@ -120,7 +120,7 @@
     }
 
     /** Records that the server knows that the client has gone: it need not answer. */
-    public void gone(long id) {
+    public void clientGone(long id) {
         OpenAttempt attempt = openAttempts.get(id);
         if (attempt != null) {
             attempt.clientGone = true;
@@ -128,12 +128,12 @@
     }
 
     /** Drops an attempt whose connection was lost: the client learns that without an answer. */
-    public void died(long id) {
+    public void connectionLost(long id) {
         openAttempts.remove(id);
     }
 
     /** Records that a server shut down without answering an attempt that it had read. */
-    public void unanswered(double now, long id, String server) {
+    public void serverStoppedWithoutAnswer(double now, long id, String server) {
         OpenAttempt attempt = openAttempts.remove(id);
         if (attempt != null && !attempt.clientGone) {
             addViolation(now, server + " left without an answer to " + attempt.operation);
@@ -141,7 +141,7 @@
     }
 
     /** Ends the check: every attempt that is still open was never answered. */
-    public void over(double now) {
+    public void finish(double now) {
         openAttempts.forEach(
                 (id, attempt) -> {
                     if (!attempt.clientGone) {
@@ -151,12 +151,12 @@
     }
 
     /** Returns the first violations, each with its time. */
-    public List<String> broken() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 
     /** Returns the number of all violations. */
-    public long count() {
+    public long violationCount() {
         return violationCount;
     }
 
--- a/emulator/src/main/java/ochretiller/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/Scenario.java
@@ -17,11 +17,11 @@
         Fleet fleet,
         Network network,
         Gateways gateways,
-        Ledger ledger,
+        RecordsService ledger,
         List<Operation> operations,
         Traffic traffic,
         List<Incident> incidents,
-        Expect expect,
+        Expectations expect,
         Map<String, String> settings) {
     /**
      * The emulated servers.
@@ -91,7 +91,7 @@
      * @param fallsAt number of queued calls at which the service goes down; 0 for never
      * @param downS how long it is down then
      */
-    public record Ledger(int slots, double workMs, int waits, int fallsAt, double downS) {}
+    public record RecordsService(int slots, double workMs, int waits, int fallsAt, double downS) {}
 
     /**
      * An operation that clients invoke.
@@ -137,10 +137,10 @@
     public record Incident(double atS, double forS, String what, double share, double strength) {}
 
     /** Expected results; a number is zero if it is not bounded. */
-    public record Expect(double valueShare, double p99Ms, boolean rules) {}
+    public record Expectations(double valueShare, double p99Ms, boolean rules) {}
 
     /** Selects an operation by its share, for a position from 0 to 1 in the sum of all shares. */
-    public Operation at(double position) {
+    public Operation operationAt(double position) {
         double remaining = position * operations.stream().mapToDouble(Operation::share).sum();
         for (Operation each : operations) {
             remaining -= each.share;
@@ -152,7 +152,7 @@
     }
 
     /** Multiplies the numbers of servers, gateways, clients, requests and records service slots. */
-    public Scenario scaled(double factor) {
+    public Scenario scaledBy(double factor) {
         Fleet f = fleet;
         Gateways g = gateways;
         return new Scenario(
@@ -185,7 +185,7 @@
                         g.heeds,
                         g.listS,
                         g.healthMs),
-                new Ledger(
+                new RecordsService(
                         Math.max(1, (int) Math.round(ledger.slots * factor)),
                         ledger.workMs,
                         (int) Math.round(ledger.waits * factor),
@@ -202,7 +202,7 @@
     }
 
     /** Returns this scenario with other incidents. */
-    public Scenario with(List<Incident> other) {
+    public Scenario withIncidents(List<Incident> other) {
         return new Scenario(
                 name,
                 seconds,
--- a/emulator/src/main/java/ochretiller/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/ochretiller/emulator/scenario/ScenarioReader.java
@@ -38,12 +38,12 @@
      * @throws MalformedException if the file cannot be read or is not a valid scenario
      */
     public static Scenario read(Path file) {
-        return toScenario(SCRIPT_FORMAT.read(file, "the script"), Json5.name(file));
+        return toScenario(SCRIPT_FORMAT.read(file, "the script"), Json5.baseName(file));
     }
 
     /** Parses a scenario; {@code name} stands for the file name in error messages. */
-    public static Scenario of(String text, String name) {
-        return toScenario(SCRIPT_FORMAT.of(text, name), name);
+    public static Scenario parse(String text, String name) {
+        return toScenario(SCRIPT_FORMAT.parse(text, name), name);
     }
 
     /** Returns the members of a script as written, to write a changed copy of it. */
@@ -76,7 +76,7 @@
         }
         String name = file.getFileName() + " with " + overrides;
         return toScenario(
-                SCRIPT_FORMAT.of(changed.toString(), name), file.getFileName().toString());
+                SCRIPT_FORMAT.parse(changed.toString(), name), file.getFileName().toString());
     }
 
     /** Converts a value to a JSON boolean, a number or, if it is neither, a string. */
@@ -150,7 +150,7 @@
                                 gateways.path("heeds").asDouble(0.5),
                                 gateways.path("list_s").asDouble(2),
                                 gateways.path("health_ms").asDouble(250)),
-                        new Scenario.Ledger(
+                        new Scenario.RecordsService(
                                 ledger.path("slots").asInt(64),
                                 ledger.path("work_ms").asDouble(20),
                                 ledger.path("waits").asInt(256),
@@ -162,7 +162,7 @@
                                 traffic.path("callers").asInt(100),
                                 traffic.path("skew").asDouble(0)),
                         List.copyOf(incidents),
-                        new Scenario.Expect(
+                        new Scenario.Expectations(
                                 expect.path("value_share").asDouble(0),
                                 expect.path("p99_ms").asDouble(0),
                                 expect.path("rules").asBoolean(true)),
--- a/emulator/src/main/java/ochretiller/emulator/simulation/ClientRequest.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/ClientRequest.java
@@ -7,32 +7,33 @@
 /** A request of a client, with all its attempts. */
 final class ClientRequest {
     /** The result for the client. */
-    enum End {
+    enum Outcome {
         SUCCEEDED,
         THROTTLED,
         ERRORED,
         TIMED_OUT
     }
 
-    final Scenario.Operation plan;
+    final Scenario.Operation spec;
     final Operation operation;
     final String token;
     final long caller;
-    final double work;
-    final double askedAt;
-    final double dueAt;
-    private final Consumer<End> onEnd;
+    final double workSeconds;
+    final double sentAt;
+    final double deadline;
+    private final Consumer<Outcome> onEnd;
 
     /** Attempts made so far, including those for which no server was known. */
-    int tries;
-    int throttled;
-    boolean over;
-    EmulatedServer at;
+    int attempts;
+
+    int throttledAttempts;
+    boolean ended;
+    EmulatedServer server;
 
     /** Server of the failed last attempt, which the next one avoids if it can; may be null. */
-    EmulatedServer not;
+    EmulatedServer avoidedServer;
 
-    RequestAttempt message;
+    RequestAttempt lastAttempt;
 
     ClientRequest(
             Scenario.Operation spec,
@@ -41,23 +42,23 @@
             long caller,
             double workSeconds,
             double sentAt,
-            Consumer<End> onEnd) {
-        this.plan = spec;
+            Consumer<Outcome> onEnd) {
+        this.spec = spec;
         this.operation = operation;
         this.token = token;
         this.caller = caller;
-        this.work = workSeconds;
-        this.askedAt = sentAt;
-        this.dueAt = sentAt + spec.timeoutMs() / 1e3;
+        this.workSeconds = workSeconds;
+        this.sentAt = sentAt;
+        this.deadline = sentAt + spec.timeoutMs() / 1e3;
         this.onEnd = onEnd;
     }
 
     /** Ends the request; later calls have no effect. */
-    void ends(End outcome) {
-        if (over) {
+    void end(Outcome outcome) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         onEnd.accept(outcome);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/CpuModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/CpuModel.java
@@ -47,6 +47,7 @@
     final class Job {
         /** Value of {@code servedSeconds} at which the job is complete. */
         private final double endsAtServed;
+
         private final long number = ++lastJobNumber;
         private final Runnable onCompletion;
 
@@ -70,7 +71,7 @@
         this.overloadLoss = overloadLoss;
         this.coldSpeed = coldSpeed;
         this.warmUpSeconds = cold ? warmUpSeconds : 0;
-        this.startedAt = updatedAt = sampledAt = events.seconds();
+        this.startedAt = updatedAt = sampledAt = events.nowSeconds();
         if (this.warmUpSeconds > 0) {
             warmUp();
         }
@@ -78,8 +79,8 @@
 
     private void warmUp() {
         applyChange(() -> {});
-        if (events.seconds() < startedAt + warmUpSeconds) {
-            events.after(WARM_UP_STEP_S, this::warmUp);
+        if (events.nowSeconds() < startedAt + warmUpSeconds) {
+            events.schedule(WARM_UP_STEP_S, this::warmUp);
         }
     }
 
@@ -94,11 +95,11 @@
         applyChange(() -> jobs.remove(job));
     }
 
-    void slow(double factor) {
+    void setSlowdown(double factor) {
         applyChange(() -> slowdown = factor);
     }
 
-    void pause(boolean isPaused) {
+    void setPaused(boolean isPaused) {
         applyChange(() -> paused = isPaused);
     }
 
@@ -106,7 +107,7 @@
         applyChange(jobs::clear);
     }
 
-    int running() {
+    int jobCount() {
         return jobs.size();
     }
 
@@ -121,7 +122,7 @@
         double warmUpProgress =
                 warmUpSeconds == 0
                         ? 1
-                        : Math.min(1, (events.seconds() - startedAt) / warmUpSeconds);
+                        : Math.min(1, (events.nowSeconds() - startedAt) / warmUpSeconds);
         return Math.min(1, (double) cores / jobCount)
                 / (1 + overloadSlowdown)
                 * (coldSpeed + (1 - coldSpeed) * warmUpProgress)
@@ -129,7 +130,7 @@
     }
 
     private void advance() {
-        double now = events.seconds();
+        double now = events.nowSeconds();
         servedSeconds += (now - updatedAt) * speed;
         busySeconds += (now - updatedAt) * (paused ? 1 : Math.min(1, (double) jobs.size() / cores));
         updatedAt = now;
@@ -145,7 +146,7 @@
         nextCompletion =
                 jobs.isEmpty() || speed == 0
                         ? null
-                        : events.after(
+                        : events.schedule(
                                 Math.max(0, (jobs.peek().endsAtServed - servedSeconds) / speed)
                                         + 1e-9,
                                 this::completeFirstJob);
@@ -166,11 +167,11 @@
     }
 
     /** Returns the mean share of busy cores since the previous call; when paused, all are busy. */
-    double use() {
+    double sampleUtilization() {
         advance();
-        double elapsed = events.seconds() - sampledAt;
+        double elapsed = events.nowSeconds() - sampledAt;
         double utilization = elapsed <= 0 ? 0 : (busySeconds - sampledBusySeconds) / elapsed;
-        sampledAt = events.seconds();
+        sampledAt = events.nowSeconds();
         sampledBusySeconds = busySeconds;
         return utilization;
     }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/DurableStorageModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/DurableStorageModel.java
@@ -16,7 +16,7 @@
     private final double syncSeconds;
 
     /** Durable records by token; their times are milliseconds since the start of the simulation. */
-    final Map<String, IdempotencyRecord> kept = new HashMap<>();
+    final Map<String, IdempotencyRecord> records = new HashMap<>();
 
     private final List<Runnable> stalledWrites = new ArrayList<>();
     private boolean stalled;
@@ -32,7 +32,7 @@
     /** Calls {@code onDurable} once a write that starts now is durable. */
     void write(Runnable onDurable) {
         long writeEpoch = epoch;
-        events.after(
+        events.schedule(
                 syncSeconds,
                 () -> {
                     if (writeEpoch != epoch) {
@@ -46,7 +46,7 @@
                 });
     }
 
-    void stall(boolean isStalled) {
+    void setStalled(boolean isStalled) {
         stalled = isStalled;
         if (isStalled) {
             return;
@@ -57,7 +57,7 @@
     }
 
     /** Discards the writes that are not durable yet, because the server has crashed. */
-    void died() {
+    void discardPendingWrites() {
         epoch++;
         stalledWrites.clear();
     }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/EmulatedServer.java
@@ -65,14 +65,14 @@
     /** Lifecycle state; a server that is shutting down first answers its open attempts. */
     enum State {
         UP,
-        LEAVING,
-        DEAD
+        SHUTTING_DOWN,
+        STOPPED
     }
 
     final String name;
 
     /** Position in the fleet, which a replacement takes over. */
-    final int place;
+    final int index;
 
     private final Simulation simulation;
     private final EventQueue events;
@@ -119,14 +119,14 @@
             boolean cold,
             DurableStorageModel storage) {
         this.simulation = simulation;
-        this.place = index;
+        this.index = index;
         this.name = "box " + index + (incarnation == 0 ? "" : "." + incarnation);
         this.events = simulation.events;
-        this.fleet = simulation.script.fleet();
+        this.fleet = simulation.scenario.fleet();
         this.rules = simulation.rules;
         this.storage = storage;
-        this.serverStartS = events.seconds();
-        this.random = simulation.seeds.of(name);
+        this.serverStartS = events.nowSeconds();
+        this.random = simulation.randomStreams.stream(name);
         this.admission = Settings.admissionController(settings, random.split(), cold);
         this.cache =
                 new IdempotencyCache(
@@ -149,8 +149,8 @@
 
     private void restore() {
         long id = 0;
-        storage.kept.values().removeIf(record -> record.windowEndsAtMillis() <= nowMillis());
-        for (IdempotencyRecord record : storage.kept.values()) {
+        storage.records.values().removeIf(record -> record.windowEndsAtMillis() <= nowMillis());
+        for (IdempotencyRecord record : storage.records.values()) {
             Operation operation = simulation.operations.get(record.operation());
             InvocationId restoredId = new InvocationId(--id);
             Duration expiresAt = now().plusMillis(record.windowEndsAtMillis() - nowMillis());
@@ -188,23 +188,23 @@
         return events.now().minus(toDuration(serverStartS));
     }
 
-    int held() {
+    int attemptCount() {
         return attempts.size();
     }
 
-    int running() {
-        return cpu.running();
+    int runningJobs() {
+        return cpu.jobCount();
     }
 
     // Events from outside the server.
 
     /** Accepts an attempt that has arrived at the server; a stopped server resets it. */
     void receive(RequestAttempt attempt) {
-        if (state == State.DEAD) {
-            attempt.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
+        if (state == State.STOPPED) {
+            attempt.listener.onAnswer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
             return;
         }
-        attempt.arrived = now();
+        attempt.arrivedAt = now();
         inbox.add(attempt);
         if (!reading) {
             readNext();
@@ -213,17 +213,17 @@
 
     /** Reads attempts one after another, on a core that is shared with the runs. */
     private void readNext() {
-        if (inbox.isEmpty() || state == State.DEAD) {
+        if (inbox.isEmpty() || state == State.STOPPED) {
             return;
         }
         reading = true;
-        double contention = Math.max(1, (double) (cpu.running() + 1) / fleet.cores());
+        double contention = Math.max(1, (double) (cpu.jobCount() + 1) / fleet.cores());
         runAfter(
                 fleet.readMs() / 1e3 * slowdown * Math.min(contention, 4),
                 () -> {
                     reading = false;
                     RequestAttempt attempt = inbox.poll();
-                    if (attempt != null && !attempt.gone) {
+                    if (attempt != null && !attempt.clientGone) {
                         handleArrival(attempt);
                     }
                     readNext();
@@ -235,10 +235,10 @@
      * action is dropped if the server has stopped.
      */
     private void runAfter(double seconds, Runnable action) {
-        events.after(
+        events.schedule(
                 seconds,
                 () -> {
-                    if (state == State.DEAD) {
+                    if (state == State.STOPPED) {
                         return;
                     }
                     if (paused) {
@@ -255,17 +255,17 @@
                 attempt.operation,
                 Optional.ofNullable(attempt.token),
                 Optional.empty(),
-                attempt.arrived,
+                attempt.arrivedAt,
                 IdempotencyCache.NO_CLIENT_TIMESTAMP);
     }
 
     private void handleArrival(RequestAttempt attempt) {
-        rules.read(
-                events.seconds(),
+        rules.attemptRead(
+                events.nowSeconds(),
                 attempt.id.value(),
                 attempt.operation.name(),
                 serverStartS
-                        + attempt.arrived.toNanos() / 1e9
+                        + attempt.arrivedAt.toNanos() / 1e9
                         + attempt.operation.clientTimeout().toNanos() / 1e9,
                 !attempt.operation.isIdempotent());
         InvocationId originalId = cache.findOriginalOrTrack(toAttempt(attempt), now()).orElse(null);
@@ -279,41 +279,41 @@
                                 attempt.id,
                                 originalId,
                                 attempt.operation,
-                                attempt.kb,
-                                attempt.arrived,
-                                attempt.arrived.plus(attempt.operation.clientTimeout()),
+                                attempt.sizeKb,
+                                attempt.arrivedAt,
+                                attempt.arrivedAt.plus(attempt.operation.clientTimeout()),
                                 null,
                                 new ClientId(attempt.caller),
                                 null,
-                                attempt.resent))
+                                attempt.retry))
                 .execute(this);
     }
 
     /** Handles that the gateway no longer waits for an attempt. */
-    void gone(RequestAttempt attempt) {
-        attempt.gone = true;
-        rules.gone(attempt.id.value());
-        if (state == State.DEAD || !attempts.containsKey(attempt.id)) {
+    void clientGone(RequestAttempt attempt) {
+        attempt.clientGone = true;
+        rules.clientGone(attempt.id.value());
+        if (state == State.STOPPED || !attempts.containsKey(attempt.id)) {
             return;
         }
         boolean wasOpen = !attempt.answered;
         attempt.answered = true;
         if (wasOpen) {
-            rules.died(attempt.id.value());
+            rules.connectionLost(attempt.id.value());
         }
-        admission.onClientGone(attempt.id).execute(this);
+        admission.onClientDisconnected(attempt.id).execute(this);
         removeIfDone(attempt);
     }
 
     /** Stops the server at once and resets its open attempts. */
-    void die() {
-        if (state == State.DEAD) {
+    void terminate() {
+        if (state == State.STOPPED) {
             return;
         }
-        state = State.DEAD;
+        state = State.STOPPED;
         cpu.clear();
         if (storage != null) {
-            storage.died();
+            storage.discardPendingWrites();
         }
         List<RequestAttempt> unanswered = new ArrayList<>(inbox);
         for (RequestAttempt attempt : attempts.values()) {
@@ -322,23 +322,23 @@
             }
         }
         for (RequestAttempt attempt : unanswered) {
-            rules.died(attempt.id.value());
-            attempt.heard.answer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
+            rules.connectionLost(attempt.id.value());
+            attempt.listener.onAnswer(RequestAttempt.Answer.RESET, Duration.ZERO, false);
         }
         inbox.clear();
         attempts.clear();
     }
 
-    void pause(boolean shouldPause) {
-        if (state == State.DEAD || paused == shouldPause) {
+    void setPaused(boolean shouldPause) {
+        if (state == State.STOPPED || paused == shouldPause) {
             return;
         }
         paused = shouldPause;
-        cpu.pause(shouldPause);
+        cpu.setPaused(shouldPause);
         if (shouldPause) {
-            pausedFrom = events.seconds();
+            pausedFrom = events.nowSeconds();
         } else {
-            pausedTo = events.seconds();
+            pausedTo = events.nowSeconds();
         }
         if (shouldPause) {
             return;
@@ -348,9 +348,9 @@
         actions.forEach(Runnable::run);
     }
 
-    void slow(double factor) {
+    void setSlowdown(double factor) {
         slowdown = factor;
-        cpu.slow(factor);
+        cpu.setSlowdown(factor);
     }
 
     /** Sets the share of new runs that fail at once. */
@@ -359,17 +359,17 @@
     }
 
     /** Starts a graceful shutdown, at whose end every attempt must have been answered. */
-    void leave() {
+    void shutDown() {
         if (state != State.UP) {
             return;
         }
-        state = State.LEAVING;
+        state = State.SHUTTING_DOWN;
         graceEnd = now().plus(toDuration(fleet.graceS()));
         admission.onShutdownNotice(now().plus(toDuration(fleet.stopS()))).execute(this);
-        events.after(
+        events.schedule(
                 fleet.stopS(),
                 () -> {
-                    if (state != State.LEAVING) {
+                    if (state != State.SHUTTING_DOWN) {
                         return;
                     }
                     List<RequestAttempt> unanswered =
@@ -377,9 +377,10 @@
                                     .filter(attempt -> !attempt.answered)
                                     .toList();
                     for (RequestAttempt attempt : unanswered) {
-                        rules.unanswered(events.seconds(), attempt.id.value(), name);
+                        rules.serverStoppedWithoutAnswer(
+                                events.nowSeconds(), attempt.id.value(), name);
                     }
-                    die();
+                    terminate();
                 });
     }
 
@@ -405,13 +406,13 @@
             return;
         }
         attempt.answered = true;
-        rules.answered(
-                events.seconds(),
+        rules.attemptAnswered(
+                events.nowSeconds(),
                 attempt.id.value(),
                 answer == RequestAttempt.Answer.THROTTLED,
                 pausedFrom,
                 pausedTo);
-        attempt.heard.answer(answer, backoff, isFinal);
+        attempt.listener.onAnswer(answer, backoff, isFinal);
     }
 
     @Override
@@ -422,12 +423,12 @@
             beginRun(attempt, onOutcome);
             return;
         }
-        Duration deadline = attempt.arrived.plus(attempt.operation.clientTimeout());
+        Duration deadline = attempt.arrivedAt.plus(attempt.operation.clientTimeout());
         long windowEndMillis =
                 nowMillis()
                         + Math.max(
                                 0,
-                                attempt.arrived
+                                attempt.arrivedAt
                                         .plus(attempt.operation.deduplicationWindow())
                                         .minus(now())
                                         .toMillis())
@@ -444,14 +445,14 @@
         boolean[] done = {false};
         writeDurably(
                 () -> {
-                    storage.kept.put(attempt.token, record);
-                    if (state == State.DEAD) {
+                    storage.records.put(attempt.token, record);
+                    if (state == State.STOPPED) {
                         return;
                     }
                     if (done[0]) {
                         // The attempt was throttled in the meantime and never ran, so its marker
                         // must not block a retry after a restart.
-                        writeDurably(() -> storage.kept.remove(attempt.token, record));
+                        writeDurably(() -> storage.records.remove(attempt.token, record));
                         return;
                     }
                     done[0] = true;
@@ -466,9 +467,7 @@
                     done[0] = true;
                     attempt.running = false;
                     onOutcome
-                            .apply(
-                                    new RunOutcome(
-                                            RunOutcome.Status.NOT_DISPATCHED, Duration.ZERO))
+                            .apply(new RunOutcome(RunOutcome.Status.NOT_DISPATCHED, Duration.ZERO))
                             .execute(this);
                     removeIfDone(attempt);
                 });
@@ -486,23 +485,25 @@
     }
 
     private void beginRun(RequestAttempt attempt, Function<RunOutcome, Action> onOutcome) {
-        double runStartS = events.seconds();
+        double runStartS = events.nowSeconds();
         rules.runs(
                 runStartS,
                 attempt.id.value(),
-                storage == null ? name : "place " + place,
+                storage == null ? name : "place " + index,
                 attempt.operation.isKeyed() ? attempt.token : null,
                 serverStartS
-                        + attempt.arrived.plus(attempt.operation.deduplicationWindow()).toNanos()
+                        + attempt.arrivedAt.plus(attempt.operation.deduplicationWindow()).toNanos()
                                 / 1e9,
                 serverStartS + graceEnd.toNanos() / 1e9,
-                serverStartS + attempt.arrived.toNanos() / 1e9);
-        memoryKb += attempt.kb * fleet.runFactor();
+                serverStartS + attempt.arrivedAt.toNanos() / 1e9);
+        memoryKb += attempt.sizeKb * fleet.runFactor();
         boolean willFail = failureShare > 0 && random.nextDouble() < failureShare;
         boolean makesCall = attempt.operation.makesCalls() && !willFail;
         attempt.job =
                 cpu.add(
-                        willFail ? FAST_FAILURE_S : makesCall ? attempt.work / 2 : attempt.work,
+                        willFail
+                                ? FAST_FAILURE_S
+                                : makesCall ? attempt.workSeconds / 2 : attempt.workSeconds,
                         () -> {
                             attempt.job = null;
                             if (!makesCall) {
@@ -534,7 +535,7 @@
                             admission.onCallRequested(attempt.id).execute(this);
                             // The client was answered and no call was started, so nobody needs
                             // the rest of the run.
-                            if (attempt.answered && !attempt.called) {
+                            if (attempt.answered && !attempt.callInProgress) {
                                 stopNow(attempt.id);
                             }
                         });
@@ -542,8 +543,8 @@
                 attempt.id,
                 () -> handleRunEnd(attempt, onOutcome, runStartS, RunOutcome.Status.STOPPED));
         // Too many concurrent runs crash the server.
-        if (cpu.running() > fleet.fallsAt() * fleet.cores()) {
-            simulation.dies(this);
+        if (cpu.jobCount() > fleet.fallsAt() * fleet.cores()) {
+            simulation.crash(this);
         }
     }
 
@@ -562,16 +563,16 @@
             return;
         }
         callContinuations.remove(attempt.id);
-        memoryKb -= attempt.kb * fleet.runFactor();
+        memoryKb -= attempt.sizeKb * fleet.runFactor();
         boolean succeeded = status == RunOutcome.Status.SUCCEEDED;
         IdempotencyRecord record =
                 storage == null || !attempt.operation.isKeyed()
                         ? null
-                        : storage.kept.get(attempt.token);
+                        : storage.records.get(attempt.token);
         boolean[] done = {false};
         Runnable answerClient =
                 () -> {
-                    if (done[0] || state == State.DEAD) {
+                    if (done[0] || state == State.STOPPED) {
                         return;
                     }
                     done[0] = true;
@@ -591,7 +592,7 @@
         if (record != null) {
             writeDurably(
                     () -> {
-                        storage.kept.put(
+                        storage.records.put(
                                 attempt.token,
                                 record.withProgress(
                                         succeeded
@@ -606,15 +607,17 @@
             answerClient.run();
         } else {
             runAfter(
-                    durability.answerTimeout(
-                                            attempt.arrived.plus(attempt.operation.clientTimeout()),
+                    durability
+                                    .answerTimeout(
+                                            attempt.arrivedAt.plus(
+                                                    attempt.operation.clientTimeout()),
                                             now())
                                     .toNanos()
                             / 1e9,
                     answerClient);
         }
         onOutcome
-                .apply(new RunOutcome(status, toDuration(events.seconds() - runStartS)))
+                .apply(new RunOutcome(status, toDuration(events.nowSeconds() - runStartS)))
                 .execute(this);
         removeIfDone(attempt);
     }
@@ -635,7 +638,7 @@
                 Optional.ofNullable(originalId),
                 result ->
                         cpu.add(
-                                attempt.work * REPLAY_WORK_SHARE,
+                                attempt.workSeconds * REPLAY_WORK_SHARE,
                                 () -> {
                                     boolean hasResult =
                                             result.isPresent()
@@ -705,36 +708,36 @@
     @Override
     public void startCall(
             InvocationId id, Duration timeout, Function<CallOutcome, Action> onOutcome) {
-        double callStartS = events.seconds();
+        double callStartS = events.nowSeconds();
         RequestAttempt attempt = attempts.get(id);
         if (attempt != null) {
-            attempt.called = true;
+            attempt.callInProgress = true;
         }
         boolean[] done = {false};
         Function<CallOutcome.Status, Runnable> onCallEnd =
                 status ->
                         () -> {
-                            if (done[0] || state == State.DEAD) {
+                            if (done[0] || state == State.STOPPED) {
                                 return;
                             }
                             done[0] = true;
                             if (attempt != null) {
-                                attempt.called = false;
+                                attempt.callInProgress = false;
                             }
                             Runnable continueRun = callContinuations.get(id);
                             onOutcome
                                     .apply(
                                             new CallOutcome(
                                                     status,
-                                                    toDuration(events.seconds() - callStartS)))
+                                                    toDuration(events.nowSeconds() - callStartS)))
                                     .execute(this);
                             if (continueRun != null && status == CallOutcome.Status.SUCCEEDED) {
-                                attempt.job = cpu.add(attempt.work / 2, continueRun);
+                                attempt.job = cpu.add(attempt.workSeconds / 2, continueRun);
                             } else if (continueRun != null && attempt.answered) {
                                 stopNow(id);
                             }
                         };
-        simulation.toLedger(status -> runAfter(0, onCallEnd.apply(status)));
+        simulation.callRecordsService(status -> runAfter(0, onCallEnd.apply(status)));
         runAfter(timeout.toNanos() / 1e9, onCallEnd.apply(CallOutcome.Status.TIMED_OUT));
     }
 
@@ -743,7 +746,7 @@
         Runnable continueRun = callContinuations.get(id);
         RequestAttempt attempt = attempts.get(id);
         if (continueRun != null && attempt != null) {
-            attempt.job = cpu.add(attempt.work / 2, continueRun);
+            attempt.job = cpu.add(attempt.workSeconds / 2, continueRun);
         }
     }
 
@@ -755,7 +758,7 @@
 
     @Override
     public void removeIdempotencyEntry(InvocationId id) {
-        cache.forget(id);
+        cache.discard(id);
     }
 
     @Override
@@ -767,11 +770,11 @@
     private double utilization;
 
     private ResourceGauges currentGauges() {
-        if (events.seconds() - utilizationAt >= 0.1) {
-            utilization = cpu.use();
-            utilizationAt = events.seconds();
+        if (events.nowSeconds() - utilizationAt >= 0.1) {
+            utilization = cpu.sampleUtilization();
+            utilizationAt = events.nowSeconds();
         }
-        return new ResourceGauges(utilization, cpu.running(), memoryKb / fleet.memoryKb(), 0);
+        return new ResourceGauges(utilization, cpu.jobCount(), memoryKb / fleet.memoryKb(), 0);
     }
 
     @Override
--- a/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/GatewayModel.java
@@ -30,23 +30,23 @@
     private int nextTurn;
 
     /** During a retry storm, the gateway ignores advice and retries without limit. */
-    boolean storms;
+    boolean retryStorm;
 
     GatewayModel(Simulation simulation, int number, ServiceDirectory directory) {
         this.simulation = simulation;
         this.events = simulation.events;
-        this.config = simulation.script.gateways();
-        this.random = simulation.seeds.of("gateway " + number);
+        this.config = simulation.scenario.gateways();
+        this.random = simulation.randomStreams.stream("gateway " + number);
         this.followsBackoff = random.nextDouble() < config.heeds();
         this.directory = directory;
         this.nextTurn = random.nextInt(1 << 20);
     }
 
     /** Replaces the directory, and forgets the state of servers that have stopped. */
-    void learns(ServiceDirectory newDirectory) {
+    void updateDirectory(ServiceDirectory newDirectory) {
         directory = newDirectory;
-        openAttempts.keySet().removeIf(server -> server.state == EmulatedServer.State.DEAD);
-        backoffUntil.keySet().removeIf(server -> server.state == EmulatedServer.State.DEAD);
+        openAttempts.keySet().removeIf(server -> server.state == EmulatedServer.State.STOPPED);
+        backoffUntil.keySet().removeIf(server -> server.state == EmulatedServer.State.STOPPED);
     }
 
     /**
@@ -54,16 +54,16 @@
      * request is retried or ends.
      */
     void send(ClientRequest request) {
-        if (request.over) {
+        if (request.ended) {
             return;
         }
         EmulatedServer server = choose(request);
         if (server == null) {
-            request.tries++;
+            request.attempts++;
             retry(request, null, Duration.ofMillis(NO_SERVER_PAUSE_MS));
             return;
         }
-        request.tries++;
+        request.attempts++;
         openAttempts.merge(server, 1, Integer::sum);
         boolean[] done = {false};
         RequestAttempt[] attempt = new RequestAttempt[1];
@@ -73,11 +73,11 @@
                         request.operation,
                         request.token,
                         request.caller,
-                        request.plan.kb(),
-                        request.work,
-                        request.tries > 1,
+                        request.spec.kb(),
+                        request.workSeconds,
+                        request.attempts > 1,
                         (answer, backoff, isFinal) ->
-                                simulation.travel(
+                                simulation.transmit(
                                         server,
                                         () -> {
                                             if (done[0]) {
@@ -88,13 +88,13 @@
                                                     server, (key, count) -> count - 1);
                                             handleAnswer(request, server, answer, backoff, isFinal);
                                         }));
-        request.at = server;
-        request.message = attempt[0];
-        simulation.travel(server, () -> server.receive(attempt[0]));
-        double remaining = request.dueAt - events.seconds();
+        request.server = server;
+        request.lastAttempt = attempt[0];
+        simulation.transmit(server, () -> server.receive(attempt[0]));
+        double remaining = request.deadline - events.nowSeconds();
         double timeout =
                 config.tryMs() == 0 ? remaining : Math.min(remaining, config.tryMs() / 1e3);
-        events.after(
+        events.schedule(
                 timeout,
                 () -> {
                     if (done[0]) {
@@ -102,9 +102,9 @@
                     }
                     done[0] = true;
                     openAttempts.computeIfPresent(server, (key, count) -> count - 1);
-                    simulation.travel(server, () -> server.gone(attempt[0]));
-                    if (events.seconds() >= request.dueAt - 1e-6) {
-                        request.ends(ClientRequest.End.TIMED_OUT);
+                    simulation.transmit(server, () -> server.clientGone(attempt[0]));
+                    if (events.nowSeconds() >= request.deadline - 1e-6) {
+                        request.end(ClientRequest.Outcome.TIMED_OUT);
                     } else {
                         retry(request, server, Duration.ZERO);
                     }
@@ -118,30 +118,30 @@
             Duration backoff,
             boolean isFinal) {
         switch (answer) {
-            case SUCCEEDED -> request.ends(ClientRequest.End.SUCCEEDED);
+            case SUCCEEDED -> request.end(ClientRequest.Outcome.SUCCEEDED);
             case ERRORED -> {
                 if (request.operation.isIdempotent()) {
                     retry(request, server, Duration.ZERO);
                 } else {
-                    request.ends(ClientRequest.End.ERRORED);
+                    request.end(ClientRequest.Outcome.ERRORED);
                 }
             }
             case THROTTLED -> {
-                if (followsBackoff && !storms) {
-                    backoffUntil.put(server, events.seconds() + backoff.toNanos() / 1e9);
+                if (followsBackoff && !retryStorm) {
+                    backoffUntil.put(server, events.nowSeconds() + backoff.toNanos() / 1e9);
                 }
-                request.throttled++;
-                if (isFinal && followsBackoff && !storms) {
-                    request.ends(ClientRequest.End.THROTTLED);
+                request.throttledAttempts++;
+                if (isFinal && followsBackoff && !retryStorm) {
+                    request.end(ClientRequest.Outcome.THROTTLED);
                 } else {
-                    retry(request, server, followsBackoff && !storms ? backoff : Duration.ZERO);
+                    retry(request, server, followsBackoff && !retryStorm ? backoff : Duration.ZERO);
                 }
             }
             case RESET -> {
                 if (request.operation.isIdempotent() || request.operation.isKeyed()) {
                     retry(request, server, Duration.ZERO);
                 } else {
-                    request.ends(ClientRequest.End.ERRORED);
+                    request.end(ClientRequest.Outcome.ERRORED);
                 }
             }
             default -> throw new IllegalStateException();
@@ -151,7 +151,7 @@
     private void retry(
             ClientRequest request, EmulatedServer failedServer, Duration advisedBackoff) {
         double pause =
-                storms
+                retryStorm
                         ? 0.001
                         : Math.max(
                                 config.pauseMs() / 1e3 * random.nextDouble(0.5, 1.5),
@@ -159,16 +159,16 @@
                                         ? advisedBackoff.toNanos() / 1e9
                                         : 0);
         boolean attemptsExhausted =
-                !storms && config.tries() > 0 && request.tries >= config.tries();
-        if (attemptsExhausted || events.seconds() + pause >= request.dueAt) {
-            request.ends(
-                    request.throttled > 0
-                            ? ClientRequest.End.THROTTLED
-                            : ClientRequest.End.ERRORED);
+                !retryStorm && config.tries() > 0 && request.attempts >= config.tries();
+        if (attemptsExhausted || events.nowSeconds() + pause >= request.deadline) {
+            request.end(
+                    request.throttledAttempts > 0
+                            ? ClientRequest.Outcome.THROTTLED
+                            : ClientRequest.Outcome.ERRORED);
             return;
         }
-        request.not = failedServer;
-        events.after(pause, () -> send(request));
+        request.avoidedServer = failedServer;
+        events.schedule(pause, () -> send(request));
     }
 
     /**
@@ -176,7 +176,7 @@
      * that a retry finds its in-flight marker; any other follows the configured choice.
      */
     private EmulatedServer choose(ClientRequest request) {
-        List<EmulatedServer> servers = directory.boxes;
+        List<EmulatedServer> servers = directory.servers;
         if (servers.isEmpty()) {
             return null;
         }
@@ -222,7 +222,7 @@
     private EmulatedServer randomServer(ClientRequest request) {
         EmulatedServer server = null;
         for (int i = 0; i < MAX_DRAWS; i++) {
-            server = directory.boxes.get(random.nextInt(directory.boxes.size()));
+            server = directory.servers.get(random.nextInt(directory.servers.size()));
             if (isEligible(server, request)) {
                 return server;
             }
@@ -233,8 +233,10 @@
     private boolean isEligible(EmulatedServer server, ClientRequest request) {
         boolean backoffOver =
                 !followsBackoff
-                        || storms
-                        || backoffUntil.getOrDefault(server, 0.0) <= events.seconds();
-        return backoffOver && server != request.not && simulation.seenHealthy(server);
+                        || retryStorm
+                        || backoffUntil.getOrDefault(server, 0.0) <= events.nowSeconds();
+        return backoffOver
+                && server != request.avoidedServer
+                && simulation.isObservedHealthy(server);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/RecordsServiceModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/RecordsServiceModel.java
@@ -14,25 +14,26 @@
  */
 final class RecordsServiceModel {
     private final EventQueue events;
-    private final Scenario.Ledger config;
+    private final Scenario.RecordsService config;
     private final SplittableRandom random;
     private final ArrayDeque<Consumer<CallOutcome.Status>> queue = new ArrayDeque<>();
     private int busy;
     private double slowdown = 1;
     private double downUntil;
     private long epoch;
-    private long calls;
-    private long falls;
+    private long callCount;
+    private long overloadOutages;
 
-    RecordsServiceModel(EventQueue events, Scenario.Ledger config, SplittableRandom random) {
+    RecordsServiceModel(
+            EventQueue events, Scenario.RecordsService config, SplittableRandom random) {
         this.events = events;
         this.config = config;
         this.random = random;
     }
 
     void call(Consumer<CallOutcome.Status> onOutcome) {
-        calls++;
-        if (events.seconds() < downUntil) {
+        callCount++;
+        if (events.nowSeconds() < downUntil) {
             onOutcome.accept(CallOutcome.Status.UNREACHABLE);
         } else if (busy < config.slots()) {
             serve(onOutcome);
@@ -42,15 +43,15 @@
             queue.add(onOutcome);
         }
         if (config.fallsAt() > 0 && queue.size() >= config.fallsAt()) {
-            falls++;
-            down(config.downS());
+            overloadOutages++;
+            goDown(config.downS());
         }
     }
 
     private void serve(Consumer<CallOutcome.Status> onOutcome) {
         busy++;
         long callEpoch = epoch;
-        events.after(
+        events.schedule(
                 RandomStreams.exponential(random, config.workMs() / 1e3) * slowdown,
                 () -> {
                     if (callEpoch != epoch) {
@@ -64,7 +65,7 @@
                 });
     }
 
-    void slow(double factor) {
+    void setSlowdown(double factor) {
         slowdown = factor;
     }
 
@@ -72,8 +73,8 @@
      * Takes the service down. Calls in a slot get no outcome and time out at the caller. Queued
      * calls never ran, but are reset: the caller cannot know whether they ran.
      */
-    void down(double seconds) {
-        downUntil = Math.max(downUntil, events.seconds() + seconds);
+    void goDown(double seconds) {
+        downUntil = Math.max(downUntil, events.nowSeconds() + seconds);
         epoch++;
         busy = 0;
         ArrayDeque<Consumer<CallOutcome.Status>> interrupted = new ArrayDeque<>(queue);
@@ -81,15 +82,15 @@
         interrupted.forEach(onOutcome -> onOutcome.accept(CallOutcome.Status.RESET));
     }
 
-    int inUse() {
+    int callsInProgress() {
         return busy + queue.size();
     }
 
-    long calls() {
-        return calls;
+    long callCount() {
+        return callCount;
     }
 
-    long falls() {
-        return falls;
+    long overloadOutages() {
+        return overloadOutages;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/RequestAttempt.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/RequestAttempt.java
@@ -16,35 +16,35 @@
 
     /** Receives the answer of an attempt. */
     @FunctionalInterface
-    interface Heard {
+    interface AnswerListener {
         /**
          * Handles the answer.
          *
          * @param backoff advised pause before a retry, zero if no advice is given
          * @param isFinal whether the gateway is asked not to try another server
          */
-        void answer(Answer answer, Duration backoff, boolean isFinal);
+        void onAnswer(Answer answer, Duration backoff, boolean isFinal);
     }
 
     final InvocationId id;
     final Operation operation;
     final String token;
     final long caller;
-    final double kb;
+    final double sizeKb;
 
     /** Core time of its run, seconds. */
-    final double work;
+    final double workSeconds;
 
-    final boolean resent;
-    final Heard heard;
+    final boolean retry;
+    final AnswerListener listener;
 
     /** Arrival time on the server's clock, null before it. */
-    Duration arrived;
+    Duration arrivedAt;
 
     boolean answered;
     boolean running;
-    boolean gone;
-    boolean called;
+    boolean clientGone;
+    boolean callInProgress;
     CpuModel.Job job;
 
     RequestAttempt(
@@ -55,14 +55,14 @@
             double sizeKb,
             double workSeconds,
             boolean retry,
-            Heard listener) {
+            AnswerListener listener) {
         this.id = new InvocationId(id);
         this.operation = operation;
         this.token = token;
         this.caller = caller;
-        this.kb = sizeKb;
-        this.work = workSeconds;
-        this.resent = retry;
-        this.heard = listener;
+        this.sizeKb = sizeKb;
+        this.workSeconds = workSeconds;
+        this.retry = retry;
+        this.listener = listener;
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/ServiceDirectory.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/ServiceDirectory.java
@@ -13,13 +13,13 @@
     /** Points of a server on the hash ring; with 32, shares differ by a few tenths. */
     private static final int POINTS_PER_SERVER = 32;
 
-    final List<EmulatedServer> boxes;
+    final List<EmulatedServer> servers;
     private final TreeMap<Long, EmulatedServer> ring = new TreeMap<>();
 
     ServiceDirectory(List<EmulatedServer> servers) {
-        this.boxes = List.copyOf(servers);
+        this.servers = List.copyOf(servers);
         for (EmulatedServer server : servers) {
-            SplittableRandom points = new SplittableRandom(server.place);
+            SplittableRandom points = new SplittableRandom(server.index);
             for (int i = 0; i < POINTS_PER_SERVER; i++) {
                 ring.put(points.nextLong(), server);
             }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
@@ -26,8 +26,8 @@
     private static final double SETTLE_S = 2;
 
     final EventQueue events = new EventQueue();
-    final RandomStreams seeds;
-    final Scenario script;
+    final RandomStreams randomStreams;
+    final Scenario scenario;
     final RuleChecker rules = new RuleChecker();
     final Map<String, Operation> operations = new LinkedHashMap<>();
     private final SettingLookup settings;
@@ -55,15 +55,15 @@
 
     /** Creates a simulation that can be run once. */
     public Simulation(Scenario scenario, long seed) {
-        this.script = scenario;
-        this.seeds = new RandomStreams(seed);
+        this.scenario = scenario;
+        this.randomStreams = new RandomStreams(seed);
         this.result = new SimulationResult(scenario);
         this.recordsService =
-                new RecordsServiceModel(events, scenario.ledger(), seeds.of("ledger"));
-        this.delayRandom = seeds.of("network");
-        this.recordsServiceDelayRandom = seeds.of("network to the ledger");
-        this.arrivalRandom = seeds.of("arrivals");
-        this.returnRandom = seeds.of("returns");
+                new RecordsServiceModel(events, scenario.ledger(), randomStreams.stream("ledger"));
+        this.delayRandom = randomStreams.stream("network");
+        this.recordsServiceDelayRandom = randomStreams.stream("network to the ledger");
+        this.arrivalRandom = randomStreams.stream("arrivals");
+        this.returnRandom = randomStreams.stream("returns");
         for (Scenario.Operation spec : scenario.operations()) {
             operations.put(
                     spec.name(),
@@ -98,15 +98,15 @@
      * the scenario.
      */
     private SettingLookup serverSettings() {
-        Scenario.Fleet fleet = script.fleet();
+        Scenario.Fleet fleet = scenario.fleet();
         Map<String, String> values = new HashMap<>();
         values.put("familyInfo.cpus", "" + fleet.cores());
         values.put("familyInfo.memoryKb", "" + fleet.memoryKb());
         values.put("familyInfo.runFactor", "" + fleet.runFactor());
         values.put("familyInfo.keyKb", "" + fleet.keyKb());
-        values.put("familyInfo.callers", "" + script.gateways().count());
+        values.put("familyInfo.callers", "" + scenario.gateways().count());
         values.put("familyInfo.halt", "abort");
-        values.put("familyInfo.callsOut", "" + (double) script.ledger().slots() / fleet.boxes());
+        values.put("familyInfo.callsOut", "" + (double) scenario.ledger().slots() / fleet.boxes());
         values.put("familyInfo.shareSpanNs", "1000000000");
         values.put("peersTotal", "" + fleet.boxes());
         values.put("guarantees.fallMultiple", "" + fleet.fallsAt());
@@ -115,53 +115,60 @@
         values.put("guarantees.stopSendingWithinNs", "" + (long) (fleet.graceS() * 1e9));
         values.put("permissions.retryAfter", "true");
         values.put("permissions.maxRetryAfterNs", "2000000000");
-        values.putAll(script.settings());
+        values.putAll(scenario.settings());
         return values::get;
     }
 
     /** Returns the virtual time since the start, seconds. */
-    public double time() {
-        return events.seconds();
+    public double nowSeconds() {
+        return events.nowSeconds();
     }
 
     /** Runs the simulation until all requests have ended and returns its results. */
-    public SimulationResult play() {
-        int serverCount = script.fleet().boxes();
+    public SimulationResult run() {
+        int serverCount = scenario.fleet().boxes();
         for (int index = 0; index < serverCount; index++) {
             storages.add(
-                    script.fleet().remembers()
-                            ? new DurableStorageModel(events, script.fleet().forceMs() / 1e3)
+                    scenario.fleet().remembers()
+                            ? new DurableStorageModel(events, scenario.fleet().forceMs() / 1e3)
                             : null);
             servers.add(newServer(index, false));
         }
         ServiceDirectory directory = new ServiceDirectory(servers);
-        for (int i = 0; i < script.gateways().count(); i++) {
+        for (int i = 0; i < scenario.gateways().count(); i++) {
             gateways.add(new GatewayModel(this, i, directory));
         }
         observeHealth();
-        for (int i = 0; i < script.incidents().size(); i++) {
-            Scenario.Incident incident = script.incidents().get(i);
-            SplittableRandom random = seeds.of("incident " + i);
-            events.after(incident.atS(), () -> applyIncident(incident, random));
+        for (int i = 0; i < scenario.incidents().size(); i++) {
+            Scenario.Incident incident = scenario.incidents().get(i);
+            SplittableRandom random = randomStreams.stream("incident " + i);
+            events.schedule(incident.atS(), () -> applyIncident(incident, random));
         }
         scheduleNextRequest();
         recordSample();
         double longestTimeout =
-                script.operations().stream()
+                scenario.operations().stream()
                                 .mapToDouble(Scenario.Operation::timeoutMs)
                                 .max()
                                 .orElse(0)
                         / 1e3;
         double longestReturnDelay =
-                script.operations().stream().mapToDouble(Scenario.Operation::backS).max().orElse(0);
-        events.run(
-                script.seconds()
+                scenario.operations().stream()
+                        .mapToDouble(Scenario.Operation::backS)
+                        .max()
+                        .orElse(0);
+        events.runUntil(
+                scenario.seconds()
                         + 2 * longestTimeout
                         + longestReturnDelay
                         + SETTLE_S
-                        + script.fleet().stopS());
-        rules.over(events.seconds());
-        result.over(rules, events.done(), recordsService.calls(), recordsService.falls());
+                        + scenario.fleet().stopS());
+        rules.finish(events.nowSeconds());
+        result.finish(
+                rules,
+                events.executedEvents(),
+                recordsService.callCount(),
+                recordsService.overloadOutages());
         return result;
     }
 
@@ -178,33 +185,33 @@
      * Delivers a message between a gateway and a server after the network delay. A message from or
      * to a disconnected server is lost without notice to its sender.
      */
-    void travel(EmulatedServer server, Runnable onArrival) {
+    void transmit(EmulatedServer server, Runnable onArrival) {
         double delay =
-                (script.network().delayMs()
-                                + script.network().jitterMs() * delayRandom.nextDouble())
+                (scenario.network().delayMs()
+                                + scenario.network().jitterMs() * delayRandom.nextDouble())
                         / 1e3;
-        if (server.place < disconnectedBelow) {
+        if (server.index < disconnectedBelow) {
             return;
         }
-        events.after(delay, onArrival);
+        events.schedule(delay, onArrival);
     }
 
     /** Calls the records service; the network delay is the same in both directions. */
-    void toLedger(Consumer<CallOutcome.Status> onOutcome) {
+    void callRecordsService(Consumer<CallOutcome.Status> onOutcome) {
         double delay =
-                (script.network().delayMs()
-                                + script.network().jitterMs()
+                (scenario.network().delayMs()
+                                + scenario.network().jitterMs()
                                         * recordsServiceDelayRandom.nextDouble())
                         / 1e3;
-        events.after(
+        events.schedule(
                 delay,
                 () ->
                         recordsService.call(
-                                status -> events.after(delay, () -> onOutcome.accept(status))));
+                                status -> events.schedule(delay, () -> onOutcome.accept(status))));
     }
 
     /** Returns the result of the last health check, true if there was none yet. */
-    boolean seenHealthy(EmulatedServer server) {
+    boolean isObservedHealthy(EmulatedServer server) {
         boolean[] healthy = observedHealth.get(server);
         return healthy == null || healthy[0];
     }
@@ -214,22 +221,22 @@
             observedHealth.computeIfAbsent(server, key -> new boolean[1])[0] =
                     server.state == EmulatedServer.State.UP
                             && server.healthy
-                            && server.place >= disconnectedBelow;
+                            && server.index >= disconnectedBelow;
         }
         observedHealth.keySet().retainAll(servers);
-        events.after(script.gateways().healthMs() / 1e3, this::observeHealth);
+        events.schedule(scenario.gateways().healthMs() / 1e3, this::observeHealth);
     }
 
     // Client requests.
 
     private void scheduleNextRequest() {
-        double gap = RandomStreams.exponential(arrivalRandom, 1 / script.traffic().perSecond());
+        double gap = RandomStreams.exponential(arrivalRandom, 1 / scenario.traffic().perSecond());
         // A burst scales the gap instead of drawing more random numbers, so that runs with and
         // without it stay comparable.
-        events.after(
+        events.schedule(
                 gap / rateFactor,
                 () -> {
-                    if (events.seconds() >= script.seconds()) {
+                    if (events.nowSeconds() >= scenario.seconds()) {
                         return;
                     }
                     sendNewRequest();
@@ -238,14 +245,14 @@
     }
 
     private void sendNewRequest() {
-        Scenario.Operation spec = script.at(arrivalRandom.nextDouble());
-        int callerCount = script.traffic().callers();
-        boolean fromHeavyCaller = arrivalRandom.nextDouble() < script.traffic().skew();
+        Scenario.Operation spec = scenario.operationAt(arrivalRandom.nextDouble());
+        int callerCount = scenario.traffic().callers();
+        boolean fromHeavyCaller = arrivalRandom.nextDouble() < scenario.traffic().skew();
         long caller =
                 fromHeavyCaller
                         ? arrivalRandom.nextInt(Math.max(1, callerCount / 10))
                         : arrivalRandom.nextInt(callerCount);
-        double work = RandomStreams.around(arrivalRandom, spec.workMs() / 1e3, spec.spread());
+        double work = RandomStreams.logNormal(arrivalRandom, spec.workMs() / 1e3, spec.spread());
         boolean returnsAfterFailure = arrivalRandom.nextDouble() < spec.repeats();
         double returnDelay = arrivalRandom.nextDouble() * spec.backS();
         Operation operation = operations.get(spec.name());
@@ -261,7 +268,7 @@
             double work,
             double returnDelay,
             boolean first) {
-        double sentAt = events.seconds();
+        double sentAt = events.nowSeconds();
         ClientRequest[] request = new ClientRequest[1];
         request[0] =
                 new ClientRequest(
@@ -272,18 +279,18 @@
                         work,
                         sentAt,
                         requestOutcome -> {
-                            result.ended(
+                            result.countOutcome(
                                     spec,
                                     caller,
                                     sentAt,
-                                    events.seconds(),
+                                    events.nowSeconds(),
                                     requestOutcome,
-                                    request[0].tries,
+                                    request[0].attempts,
                                     first);
-                            if (requestOutcome != ClientRequest.End.SUCCEEDED
+                            if (requestOutcome != ClientRequest.Outcome.SUCCEEDED
                                     && token != null
                                     && returnDelay >= 0) {
-                                events.after(
+                                events.schedule(
                                         returnDelay,
                                         () ->
                                                 send(
@@ -291,7 +298,7 @@
                                                         false));
                             }
                         });
-        result.asked(spec, caller, sentAt, first);
+        result.countRequests(spec, caller, sentAt, first);
         gateways.get((int) (caller % gateways.size())).send(request[0]);
     }
 
@@ -299,7 +306,7 @@
 
     private List<EmulatedServer> pickServers(double share, SplittableRandom random) {
         List<EmulatedServer> shuffled = new ArrayList<>(servers);
-        int count = (int) Math.ceil(share * script.fleet().boxes());
+        int count = (int) Math.ceil(share * scenario.fleet().boxes());
         for (int i = shuffled.size() - 1; i > 0; i--) {
             int j = random.nextInt(i + 1);
             EmulatedServer swapped = shuffled.get(i);
@@ -312,17 +319,19 @@
     private void applyIncident(Scenario.Incident incident, SplittableRandom random) {
         List<EmulatedServer> affected = pickServers(incident.share(), random);
         switch (incident.what()) {
-            case "die" -> affected.forEach(server -> dies(server, incident.forS()));
+            case "die" -> affected.forEach(server -> crash(server, incident.forS()));
             case "pause" ->
                     applyDuring(
                             incident,
-                            () -> affected.forEach(server -> server.pause(true)),
-                            () -> affected.forEach(server -> server.pause(false)));
+                            () -> affected.forEach(server -> server.setPaused(true)),
+                            () -> affected.forEach(server -> server.setPaused(false)));
             case "slow" ->
                     applyDuring(
                             incident,
-                            () -> affected.forEach(server -> server.slow(incident.strength())),
-                            () -> affected.forEach(server -> server.slow(1)));
+                            () ->
+                                    affected.forEach(
+                                            server -> server.setSlowdown(incident.strength())),
+                            () -> affected.forEach(server -> server.setSlowdown(1)));
             case "fail" ->
                     applyDuring(
                             incident,
@@ -334,7 +343,7 @@
             case "release" -> {
                 for (int i = 0; i < affected.size(); i++) {
                     EmulatedServer server = affected.get(i);
-                    events.after(
+                    events.schedule(
                             incident.forS() * i / affected.size(), () -> drainAndReplace(server));
                 }
             }
@@ -346,9 +355,9 @@
             case "ledger-slow" ->
                     applyDuring(
                             incident,
-                            () -> recordsService.slow(incident.strength()),
-                            () -> recordsService.slow(1));
-            case "ledger-down" -> recordsService.down(incident.forS());
+                            () -> recordsService.setSlowdown(incident.strength()),
+                            () -> recordsService.setSlowdown(1));
+            case "ledger-down" -> recordsService.goDown(incident.forS());
             case "cut" ->
                     applyDuring(
                             incident,
@@ -357,7 +366,7 @@
                                             (int)
                                                     Math.ceil(
                                                             incident.share()
-                                                                    * script.fleet().boxes()),
+                                                                    * scenario.fleet().boxes()),
                             () -> disconnectedBelow = 0);
             case "disk-stall" ->
                     applyDuring(
@@ -370,60 +379,59 @@
                             () -> setRetryStorm(incident.share(), true),
                             () -> setRetryStorm(1, false));
             default ->
-                    throw new IllegalStateException(
-                            "unknown kind of incident: " + incident.what());
+                    throw new IllegalStateException("unknown kind of incident: " + incident.what());
         }
     }
 
     private void applyDuring(Scenario.Incident incident, Runnable onStart, Runnable onEnd) {
         onStart.run();
-        events.after(incident.forS(), onEnd);
+        events.schedule(incident.forS(), onEnd);
     }
 
     private void setDiskStalled(EmulatedServer server, boolean stalled) {
-        if (storages.get(server.place) != null) {
-            storages.get(server.place).stall(stalled);
+        if (storages.get(server.index) != null) {
+            storages.get(server.index).setStalled(stalled);
         }
     }
 
     private void setRetryStorm(double share, boolean active) {
         int count = (int) Math.ceil(share * gateways.size());
         for (int i = 0; i < count; i++) {
-            gateways.get(i).storms = active;
+            gateways.get(i).retryStorm = active;
         }
     }
 
-    void dies(EmulatedServer server) {
-        dies(server, 0);
+    void crash(EmulatedServer server) {
+        crash(server, 0);
     }
 
     /** Crashes a server and schedules its replacement, which starts cold. */
-    private void dies(EmulatedServer server, double downSeconds) {
-        if (server.state == EmulatedServer.State.DEAD) {
+    private void crash(EmulatedServer server, double downSeconds) {
+        if (server.state == EmulatedServer.State.STOPPED) {
             return;
         }
-        result.died(events.seconds());
-        server.die();
-        scheduleReplacement(server, downSeconds + script.fleet().bootS());
+        result.countServerCrash(events.nowSeconds());
+        server.terminate();
+        scheduleReplacement(server, downSeconds + scenario.fleet().bootS());
     }
 
     private void drainAndReplace(EmulatedServer server) {
         if (server.state != EmulatedServer.State.UP) {
             return;
         }
-        server.leave();
-        scheduleReplacement(server, script.fleet().stopS() + script.fleet().bootS());
+        server.shutDown();
+        scheduleReplacement(server, scenario.fleet().stopS() + scenario.fleet().bootS());
     }
 
     private void scheduleReplacement(EmulatedServer server, double delaySeconds) {
         servers.remove(server);
         publishDirectory();
-        events.after(
+        events.schedule(
                 delaySeconds,
                 () -> {
                     // The old server has stopped by now, even if its drain took the whole time.
-                    server.die();
-                    servers.add(newServer(server.place, true));
+                    server.terminate();
+                    servers.add(newServer(server.index, true));
                     publishDirectory();
                 });
     }
@@ -432,9 +440,9 @@
     private void publishDirectory() {
         ServiceDirectory directory = new ServiceDirectory(servers);
         for (GatewayModel gateway : gateways) {
-            events.after(
-                    script.gateways().listS() * delayRandom.nextDouble(),
-                    () -> gateway.learns(directory));
+            events.schedule(
+                    scenario.gateways().listS() * delayRandom.nextDouble(),
+                    () -> gateway.updateDirectory(directory));
         }
     }
 
@@ -444,13 +452,17 @@
         int attempts = 0;
         int runningJobs = 0;
         for (EmulatedServer server : servers) {
-            attempts += server.held();
-            runningJobs += server.running();
+            attempts += server.attemptCount();
+            runningJobs += server.runningJobs();
         }
-        result.sample(
-                events.seconds(), servers.size(), attempts, runningJobs, recordsService.inUse());
-        if (events.seconds() < script.seconds()) {
-            events.after(SimulationResult.SAMPLE_S, this::recordSample);
+        result.addSample(
+                events.nowSeconds(),
+                servers.size(),
+                attempts,
+                runningJobs,
+                recordsService.callsInProgress());
+        if (events.nowSeconds() < scenario.seconds()) {
+            events.schedule(SimulationResult.SAMPLE_INTERVAL_S, this::recordSample);
         }
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
@@ -14,7 +14,7 @@
  */
 public final class SimulationResult {
     /** Interval between two samples of the fleet's state, seconds. */
-    static final double SAMPLE_S = 0.5;
+    static final double SAMPLE_INTERVAL_S = 0.5;
 
     private static final double BUCKET_S = 1;
 
@@ -25,33 +25,34 @@
     private static final long MAX_LATENCY_US = 3_600_000_000L;
 
     /** Totals over a group of requests: their possible and earned value, and their outcomes. */
-    public static final class Second {
-        public double offered;
-        public double earned;
-        public int asked;
+    public static final class Totals {
+        public double offeredValue;
+        public double earnedValue;
+        public int requests;
         public int succeeded;
         public int throttled;
         public int errored;
         public int timedOut;
-        public int tries;
+        public int attempts;
     }
 
     /**
      * A sample of the fleet's state.
      *
-     * @param at seconds since the start
-     * @param boxes servers that are up
-     * @param held attempts at the servers that are not finished
-     * @param ledger calls in progress or queued at the records service
+     * @param atSeconds seconds since the start
+     * @param servers servers that are up
+     * @param attempts attempts at the servers that are not finished
+     * @param callsInProgress calls in progress or queued at the records service
      */
-    public record Look(double at, int boxes, int held, int running, int ledger) {}
+    public record Sample(
+            double atSeconds, int servers, int attempts, int runningJobs, int callsInProgress) {}
 
     private final Scenario scenario;
-    private final List<Second> seconds = new ArrayList<>();
-    private final List<Look> samples = new ArrayList<>();
-    private final Second heavyCallers = new Second();
-    private final Second otherCallers = new Second();
-    private final Map<String, Second> byOperation = new LinkedHashMap<>();
+    private final List<Totals> totalsPerSecond = new ArrayList<>();
+    private final List<Sample> samples = new ArrayList<>();
+    private final Totals heavyCallers = new Totals();
+    private final Totals otherCallers = new Totals();
+    private final Map<String, Totals> byOperation = new LinkedHashMap<>();
     private final Histogram latencies = new Histogram(MAX_LATENCY_US, 3);
     private double serverCrashes;
     private RuleChecker rules;
@@ -62,36 +63,36 @@
     SimulationResult(Scenario scenario) {
         this.scenario = scenario;
         for (int i = 0; i <= scenario.seconds() / BUCKET_S; i++) {
-            seconds.add(new Second());
+            totalsPerSecond.add(new Totals());
         }
         for (Scenario.Operation operation : scenario.operations()) {
-            byOperation.put(operation.name(), new Second());
+            byOperation.put(operation.name(), new Totals());
         }
     }
 
-    private Second totalsOfSecond(double sentAt) {
-        return seconds.get((int) Math.min(seconds.size() - 1, sentAt / BUCKET_S));
+    private Totals totalsOfSecond(double sentAt) {
+        return totalsPerSecond.get((int) Math.min(totalsPerSecond.size() - 1, sentAt / BUCKET_S));
     }
 
     /** Returns the totals for the first tenth of the callers, or those for all other callers. */
-    private Second callerGroup(long caller) {
+    private Totals callerGroup(long caller) {
         return caller < Math.max(1, scenario.traffic().callers() / 10)
                 ? heavyCallers
                 : otherCallers;
     }
 
     /** Counts a request when it is sent; one that is sent again is ignored. */
-    void asked(Scenario.Operation operation, long caller, double sentAt, boolean first) {
+    void countRequests(Scenario.Operation operation, long caller, double sentAt, boolean first) {
         if (!first) {
             return;
         }
-        for (Second totals :
+        for (Totals totals :
                 List.of(
                         totalsOfSecond(sentAt),
                         byOperation.get(operation.name()),
                         callerGroup(caller))) {
-            totals.asked++;
-            totals.offered += operation.value();
+            totals.requests++;
+            totals.offeredValue += operation.value();
         }
     }
 
@@ -99,12 +100,12 @@
      * Counts the outcome of a request. Only a first request earns value; one that is sent again
      * with the same token is ignored.
      */
-    void ended(
+    void countOutcome(
             Scenario.Operation operation,
             long caller,
             double sentAt,
             double endedAt,
-            ClientRequest.End outcome,
+            ClientRequest.Outcome outcome,
             int attempts,
             boolean first) {
         if (!first) {
@@ -112,19 +113,19 @@
         }
         double elapsed = endedAt - sentAt;
         double valueFactor =
-                outcome != ClientRequest.End.SUCCEEDED
+                outcome != ClientRequest.Outcome.SUCCEEDED
                         ? 0
                         : elapsed <= operation.objectiveMs() / 1e3 ? 1 : operation.lateShare();
-        if (outcome == ClientRequest.End.SUCCEEDED) {
+        if (outcome == ClientRequest.Outcome.SUCCEEDED) {
             latencies.recordValue(Math.min(MAX_LATENCY_US, Math.max(1, (long) (elapsed * 1e6))));
         }
-        for (Second totals :
+        for (Totals totals :
                 List.of(
                         totalsOfSecond(sentAt),
                         byOperation.get(operation.name()),
                         callerGroup(caller))) {
-            totals.earned += valueFactor * operation.value();
-            totals.tries += attempts;
+            totals.earnedValue += valueFactor * operation.value();
+            totals.attempts += attempts;
             switch (outcome) {
                 case SUCCEEDED -> totals.succeeded++;
                 case THROTTLED -> totals.throttled++;
@@ -135,15 +136,15 @@
         }
     }
 
-    void died(double at) {
+    void countServerCrash(double at) {
         serverCrashes++;
     }
 
-    void sample(double at, int servers, int attempts, int runningJobs, int callsInProgress) {
-        samples.add(new Look(at, servers, attempts, runningJobs, callsInProgress));
+    void addSample(double at, int servers, int attempts, int runningJobs, int callsInProgress) {
+        samples.add(new Sample(at, servers, attempts, runningJobs, callsInProgress));
     }
 
-    void over(RuleChecker checker, long events, long calls, long outages) {
+    void finish(RuleChecker checker, long events, long calls, long outages) {
         rules = checker;
         executedEvents = events;
         recordsServiceCalls = calls;
@@ -152,31 +153,36 @@
 
     /** Returns the earned share of the billed value that could be earned, 1 if there is none. */
     public double valueShare() {
-        double offered = seconds.stream().mapToDouble(totals -> totals.offered).sum();
+        double offered = totalsPerSecond.stream().mapToDouble(totals -> totals.offeredValue).sum();
         return offered == 0
                 ? 1
-                : seconds.stream().mapToDouble(totals -> totals.earned).sum() / offered;
+                : totalsPerSecond.stream().mapToDouble(totals -> totals.earnedValue).sum()
+                        / offered;
     }
 
     /** Returns the value share of the first tenth of the callers, who send more under skew. */
-    public double loudShare() {
-        return heavyCallers.offered == 0 ? 1 : heavyCallers.earned / heavyCallers.offered;
+    public double heavyCallersValueShare() {
+        return heavyCallers.offeredValue == 0
+                ? 1
+                : heavyCallers.earnedValue / heavyCallers.offeredValue;
     }
 
     /** Returns the value share of all other callers. */
-    public double othersShare() {
-        return otherCallers.offered == 0 ? 1 : otherCallers.earned / otherCallers.offered;
+    public double otherCallersValueShare() {
+        return otherCallers.offeredValue == 0
+                ? 1
+                : otherCallers.earnedValue / otherCallers.offeredValue;
     }
 
     /** Returns the lowest value share of any ten consecutive seconds. */
-    public double worstTen() {
+    public double worstTenSecondsValueShare() {
         double worst = 1;
-        for (int i = 0; i + 10 <= seconds.size(); i++) {
+        for (int i = 0; i + 10 <= totalsPerSecond.size(); i++) {
             double offered = 0;
             double earned = 0;
-            for (Second totals : seconds.subList(i, i + 10)) {
-                offered += totals.offered;
-                earned += totals.earned;
+            for (Totals totals : totalsPerSecond.subList(i, i + 10)) {
+                offered += totals.offeredValue;
+                earned += totals.earnedValue;
             }
             if (offered > 0) {
                 worst = Math.min(worst, earned / offered);
@@ -186,43 +192,43 @@
     }
 
     /** Returns a percentile, 0 to 100, of the latency of successful requests, milliseconds. */
-    public double tookMs(double percentile) {
+    public double latencyMs(double percentile) {
         return latencies.getValueAtPercentile(percentile) / 1e3;
     }
 
     /** Returns the mean number of attempts per request. */
-    public double triesEach() {
-        return seconds.stream().mapToInt(totals -> totals.tries).sum()
-                / (double) Math.max(1, asked());
+    public double attemptsPerRequest() {
+        return totalsPerSecond.stream().mapToInt(totals -> totals.attempts).sum()
+                / (double) Math.max(1, countRequests());
     }
 
     /** Returns the number of first requests. */
-    public int asked() {
-        return seconds.stream().mapToInt(totals -> totals.asked).sum();
+    public int countRequests() {
+        return totalsPerSecond.stream().mapToInt(totals -> totals.requests).sum();
     }
 
     /** Returns the totals of the requests that were sent in each second of the run. */
-    public List<Second> seconds() {
-        return seconds;
+    public List<Totals> totalsPerSecond() {
+        return totalsPerSecond;
     }
 
     /** Returns the samples of the fleet's state in the order of time. */
-    public List<Look> looks() {
+    public List<Sample> samples() {
         return samples;
     }
 
     /** Returns the totals by the name of the operation, in the order of the scenario. */
-    public Map<String, Second> byOperation() {
+    public Map<String, Totals> byOperation() {
         return byOperation;
     }
 
     /** Returns the latencies of successful requests, microseconds. */
-    public Histogram took() {
+    public Histogram latencies() {
         return latencies;
     }
 
     /** Returns the number of server crashes; graceful shutdowns are not counted. */
-    public double deaths() {
+    public double serverCrashes() {
         return serverCrashes;
     }
 
@@ -232,22 +238,22 @@
     }
 
     /** Returns the number of simulation events executed. */
-    public long events() {
+    public long executedEvents() {
         return executedEvents;
     }
 
     /** Returns the number of calls to the records service. */
-    public long calls() {
+    public long recordsServiceCalls() {
         return recordsServiceCalls;
     }
 
     /** Returns how often too many queued calls took the records service down. */
-    public long falls() {
+    public long recordsServiceOutages() {
         return recordsServiceOutages;
     }
 
     /** Returns one line for each expectation of the scenario that this run misses. */
-    public List<String> missed() {
+    public List<String> missedExpectations() {
         List<String> messages = new ArrayList<>();
         if (valueShare() < scenario.expect().valueShare()) {
             messages.add(
@@ -257,16 +263,17 @@
                             valueShare(),
                             scenario.expect().valueShare()));
         }
-        if (scenario.expect().p99Ms() > 0 && tookMs(99) > scenario.expect().p99Ms()) {
+        if (scenario.expect().p99Ms() > 0 && latencyMs(99) > scenario.expect().p99Ms()) {
             messages.add(
                     String.format(
                             java.util.Locale.ROOT,
                             "p99 of %.0f ms over %.0f",
-                            tookMs(99),
+                            latencyMs(99),
                             scenario.expect().p99Ms()));
         }
-        if (scenario.expect().rules() && rules.count() > 0) {
-            messages.add(rules.count() + " broken rules, first " + rules.broken().get(0));
+        if (scenario.expect().rules() && rules.violationCount() > 0) {
+            messages.add(
+                    rules.violationCount() + " broken rules, first " + rules.violations().get(0));
         }
         return messages;
     }
--- a/emulator/src/test/java/ochretiller/emulator/CoreTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/CoreTest.java
@@ -15,36 +15,36 @@
 
     @Test
     void eventsRunByTimeAndThenInSchedulingOrder() {
-        events.after(2.0, () -> executed.add("c"));
-        events.after(1.0, () -> executed.add("a"));
-        events.after(
+        events.schedule(2.0, () -> executed.add("c"));
+        events.schedule(1.0, () -> executed.add("a"));
+        events.schedule(
                 1.0,
                 () -> {
                     executed.add("b");
-                    events.after(0.0, () -> executed.add("at once"));
+                    events.schedule(0.0, () -> executed.add("at once"));
                 });
-        events.run(1.5);
+        events.runUntil(1.5);
         assertThat(executed).containsExactly("a", "b", "at once");
-        assertThat(events.seconds()).isEqualTo(1.5);
-        events.run(3);
+        assertThat(events.nowSeconds()).isEqualTo(1.5);
+        events.runUntil(3);
         assertThat(executed).endsWith("c");
     }
 
     @Test
     void cancelledEventIsNotExecuted() {
-        events.after(1.0, () -> executed.add("a")).cancel();
-        events.run(2);
+        events.schedule(1.0, () -> executed.add("a")).cancel();
+        events.runUntil(2);
         assertThat(executed).isEmpty();
-        assertThat(events.done()).isZero();
+        assertThat(events.executedEvents()).isZero();
     }
 
     @Test
     void streamsDependOnSeedAndNameOnly() {
         RandomStreams streams = new RandomStreams(7);
-        assertThat(streams.of("box 1").nextLong())
-                .isEqualTo(streams.of("box 1").nextLong())
-                .isNotEqualTo(streams.of("box 2").nextLong())
-                .isNotEqualTo(new RandomStreams(8).of("box 1").nextLong());
+        assertThat(streams.stream("box 1").nextLong())
+                .isEqualTo(streams.stream("box 1").nextLong())
+                .isNotEqualTo(streams.stream("box 2").nextLong())
+                .isNotEqualTo(new RandomStreams(8).stream("box 1").nextLong());
     }
 
     @Test
@@ -54,10 +54,10 @@
         double logNormalMean = 0;
         for (int i = 0; i < 200_000; i++) {
             exponentialMean += RandomStreams.exponential(random, 3) / 200_000;
-            logNormalMean += RandomStreams.around(random, 3, 0.8) / 200_000;
+            logNormalMean += RandomStreams.logNormal(random, 3, 0.8) / 200_000;
         }
         assertThat(exponentialMean).isBetween(2.95, 3.05);
         assertThat(logNormalMean).isBetween(2.95, 3.05);
-        assertThat(RandomStreams.around(random, 3, 0)).isEqualTo(3);
+        assertThat(RandomStreams.logNormal(random, 3, 0)).isEqualTo(3);
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/FleetTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/FleetTest.java
@@ -39,7 +39,10 @@
     void everyScenarioMeetsItsExpectations(Path file) {
         FleetScenario scenario = FleetScenarioReader.read(file);
         for (long seed = 1; seed <= 3; seed++) {
-            assertThat(new MembershipSimulation(scenario, seed).play().missed(scenario.expect()))
+            assertThat(
+                            new MembershipSimulation(scenario, seed)
+                                    .run()
+                                    .unmetExpectations(scenario.expect()))
                     .as("seed " + seed)
                     .isEmpty();
         }
@@ -49,8 +52,10 @@
     void randomScenariosSettleWithinTheBound() {
         for (long seed = 1; seed <= 120; seed++) {
             FleetOutcome outcome =
-                    new MembershipSimulation(RandomScenarios.script(seed, MAX_SETTLE_TIME_S), seed).play();
-            assertThat(outcome.settledS)
+                    new MembershipSimulation(
+                                    RandomScenarios.forMembership(seed, MAX_SETTLE_TIME_S), seed)
+                            .run();
+            assertThat(outcome.settleTimeS)
                     .as("seed " + seed + ": " + outcome.notes)
                     .isLessThanOrEqualTo(MAX_SETTLE_TIME_S);
         }
@@ -58,22 +63,22 @@
 
     @Test
     void sameSeedGivesTheSameOutcome() {
-        FleetScenario scenario = RandomScenarios.script(7, MAX_SETTLE_TIME_S);
-        FleetOutcome first = new MembershipSimulation(scenario, 7).play();
-        FleetOutcome second = new MembershipSimulation(scenario, 7).play();
-        assertThat(first.settledS).isEqualTo(second.settledS);
+        FleetScenario scenario = RandomScenarios.forMembership(7, MAX_SETTLE_TIME_S);
+        FleetOutcome first = new MembershipSimulation(scenario, 7).run();
+        FleetOutcome second = new MembershipSimulation(scenario, 7).run();
+        assertThat(first.settleTimeS).isEqualTo(second.settleTimeS);
         assertThat(first.ticks).isEqualTo(second.ticks);
-        assertThat(first.knownMs).isEqualTo(second.knownMs);
+        assertThat(first.detectionMs).isEqualTo(second.detectionMs);
     }
 
     @Test
     void viewsDoNotSettleWhileACutLasts() {
         FleetScenario scenario =
-                FleetScenarioReader.of(
+                FleetScenarioReader.parse(
                         "{ seconds: 40, members: 6, zones: 2, incidents: [ { at_s: 5, for_s: 5,"
                                 + " what: 'cut', who: 'z1' } ] }",
                         "cut");
-        assertThat(new MembershipSimulation(scenario, 1).play().settledS).isFinite();
+        assertThat(new MembershipSimulation(scenario, 1).run().settleTimeS).isFinite();
         FleetScenario cutUntilEnd =
                 new FleetScenario(
                         "never",
@@ -90,7 +95,10 @@
                         scenario.load(),
                         List.of(new FleetScenario.Incident(5, 100, "cut", "z1", "", "", 1)),
                         new FleetScenario.Expect(MAX_SETTLE_TIME_S, 0, 0, 0));
-        assertThat(new MembershipSimulation(cutUntilEnd, 1).play().missed(cutUntilEnd.expect()))
+        assertThat(
+                        new MembershipSimulation(cutUntilEnd, 1)
+                                .run()
+                                .unmetExpectations(cutUntilEnd.expect()))
                 .anyMatch(line -> line.startsWith("settled"))
                 .anyMatch(line -> line.contains("changes of verdict"));
     }
@@ -100,17 +108,17 @@
         assertThat(
                         new StateSpaceExplorer(() -> new MembershipStateModel(2, 1, false))
                                 .explore(7, 10_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNull();
         assertThat(
                         new StateSpaceExplorer(() -> new MembershipStateModel(3, 1, false))
                                 .explore(5, 10_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNull();
         assertThat(
                         new StateSpaceExplorer(() -> new MembershipStateModel(3, 1, true))
                                 .explore(3, 10_000, line -> {})
-                                .broken())
+                                .violation())
                 .contains("does not settle");
     }
 
@@ -120,22 +128,23 @@
         for (long seed = 1; seed <= 16; seed++) {
             ReplicationSimulation.Outcomes outcome =
                     new ReplicationSimulation(
-                                    RandomScenarios.copies(seed),
+                                    RandomScenarios.forReplication(seed),
                                     seed,
                                     seed % 3 * 0.4,
                                     seed / 3 % 2 * 0.3,
                                     seed % 4 == 0,
                                     true)
-                            .play(60, 25);
-            assertThat(outcome.broken).as("seed " + seed).isEmpty();
+                            .run(60, 25);
+            assertThat(outcome.violations).as("seed " + seed).isEmpty();
             assertThat(outcome.conflicts).as("seed " + seed).isZero();
             replayed += outcome.replayed;
         }
         assertThat(replayed).isPositive();
         assertThat(
-                        new ReplicationSimulation(RandomScenarios.copies(1), 1, 0, 0, false, false)
-                                .play(60, 25)
-                                .broken)
+                        new ReplicationSimulation(
+                                        RandomScenarios.forReplication(1), 1, 0, 0, false, false)
+                                .run(60, 25)
+                                .violations)
                 .as("without claims")
                 .anyMatch(line -> line.contains("run again"));
     }
@@ -145,12 +154,12 @@
         assertThat(
                         new StateSpaceExplorer(() -> new ClaimStateModel(1, false))
                                 .explore(3, 100_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNull();
         assertThat(
                         new StateSpaceExplorer(() -> new ClaimStateModel(1, true))
                                 .explore(3, 100_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNotNull();
     }
 
@@ -160,17 +169,18 @@
         int stopped = 0;
         for (long seed = 1; seed <= 80; seed++) {
             RolloutSimulation.Outcomes outcome =
-                    new RolloutSimulation(RandomScenarios.copies(seed), seed, true).play(3, 0.3);
-            assertThat(outcome.broken).as("seed " + seed).isEmpty();
-            assertThat(outcome.settledS).as("seed " + seed + ": " + outcome.notes).isFinite();
-            harmful += outcome.harmfulOnes;
-            stopped += outcome.harmfulStopped;
+                    new RolloutSimulation(RandomScenarios.forReplication(seed), seed, true)
+                            .run(3, 0.3);
+            assertThat(outcome.violations).as("seed " + seed).isEmpty();
+            assertThat(outcome.settleTimeS).as("seed " + seed + ": " + outcome.notes).isFinite();
+            harmful += outcome.harmfulVersions;
+            stopped += outcome.stoppedHarmfulVersions;
         }
         assertThat(stopped).isGreaterThan(harmful * 3 / 4);
         assertThat(
-                        new RolloutSimulation(RandomScenarios.copies(290), 290, false)
-                                .play(3, 0.3)
-                                .broken)
+                        new RolloutSimulation(RandomScenarios.forReplication(290), 290, false)
+                                .run(3, 0.3)
+                                .violations)
                 .as("without leases")
                 .isNotEmpty();
     }
@@ -179,7 +189,7 @@
     void invalidScenarioIsRejected() {
         assertThatThrownBy(
                         () ->
-                                FleetScenarioReader.of(
+                                FleetScenarioReader.parse(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, for_s:"
                                                 + " 9, what: 'cut', who: '1' } ] }",
                                         "s"))
@@ -187,14 +197,14 @@
                 .hasMessageContaining("after the scenario ends");
         assertThatThrownBy(
                         () ->
-                                FleetScenarioReader.of(
+                                FleetScenarioReader.parse(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
                                                 + " 'kill', who: '7' } ] }",
                                         "s"))
                 .hasMessageContaining("no members '7'");
         assertThatThrownBy(
                         () ->
-                                FleetScenarioReader.of(
+                                FleetScenarioReader.parse(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
                                                 + " 'burn' } ] }",
                                         "s"))
