--- a/emulator/src/test/java/ochretiller/emulator/ScenarioTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/ScenarioTest.java
@@ -36,7 +36,7 @@
             """;
 
     private static Scenario smallScenario(String incidents) {
-        return ScenarioReader.of(SMALL_SCRIPT.formatted(incidents), "small");
+        return ScenarioReader.parse(SMALL_SCRIPT.formatted(incidents), "small");
     }
 
     private static String summary(SimulationResult result) {
@@ -44,14 +44,14 @@
                 new StringBuilder()
                         .append(result.valueShare())
                         .append(' ')
-                        .append(result.events());
-        result.seconds()
+                        .append(result.executedEvents());
+        result.totalsPerSecond()
                 .forEach(
                         each ->
                                 summary.append(' ')
                                         .append(each.succeeded)
                                         .append('/')
-                                        .append(each.tries));
+                                        .append(each.attempts));
         return summary.toString();
     }
 
@@ -69,8 +69,8 @@
         try (ParallelRunner singleThreaded = new ParallelRunner(1);
                 ParallelRunner multiThreaded = new ParallelRunner(8)) {
             List<String> expected =
-                    singleThreaded.play(runs).stream().map(ScenarioTest::summary).toList();
-            assertThat(multiThreaded.play(runs).stream().map(ScenarioTest::summary).toList())
+                    singleThreaded.runAll(runs).stream().map(ScenarioTest::summary).toList();
+            assertThat(multiThreaded.runAll(runs).stream().map(ScenarioTest::summary).toList())
                     .isEqualTo(expected);
             assertThat(expected).doesNotHaveDuplicates();
         }
@@ -85,10 +85,10 @@
                                                                 "{ at_s: 3, what: 'slow', share: 0,"
                                                                         + " for_s: 3 }"),
                                                         5)
-                                                .play())
+                                                .run())
                                 .replaceAll(" \\d+ ", " "))
                 .isEqualTo(
-                        summary(new Simulation(smallScenario(""), 5).play())
+                        summary(new Simulation(smallScenario(""), 5).run())
                                 .replaceAll(" \\d+ ", " "));
     }
 
@@ -100,15 +100,15 @@
     @ParameterizedTest
     @MethodSource("scripts")
     void rulesHoldInEachScript(Path file) {
-        SimulationResult result = new Simulation(ScenarioReader.read(file), 3).play();
-        assertThat(result.rules().broken()).isEmpty();
+        SimulationResult result = new Simulation(ScenarioReader.read(file), 3).run();
+        assertThat(result.rules().violations()).isEmpty();
         assertThat(result.rules().runs()).isGreaterThan(1_000);
         assertThat(result.valueShare()).isBetween(0.3, 1.0);
     }
 
     @Test
     void incidentsReduceValueAndServiceRecovers() {
-        SimulationResult undisturbed = new Simulation(smallScenario(""), 1).play();
+        SimulationResult undisturbed = new Simulation(smallScenario(""), 1).run();
         assertThat(undisturbed.valueShare()).isGreaterThan(0.95);
         for (String incident :
                 List.of(
@@ -119,11 +119,11 @@
                         "{ at_s: 2, what: 'slow', share: 1, for_s: 2, strength: 8 }",
                         "{ at_s: 2, what: 'ledger-down', for_s: 2 }",
                         "{ at_s: 2, what: 'ledger-slow', for_s: 2, strength: 200 }")) {
-            SimulationResult disturbed = new Simulation(smallScenario(incident), 1).play();
+            SimulationResult disturbed = new Simulation(smallScenario(incident), 1).run();
             assertThat(disturbed.valueShare())
                     .as(incident)
                     .isLessThan(undisturbed.valueShare() - 0.02);
-            assertThat(disturbed.seconds().get(7).succeeded).as(incident).isPositive();
+            assertThat(disturbed.totalsPerSecond().get(7).succeeded).as(incident).isPositive();
         }
     }
 
@@ -132,14 +132,14 @@
         String incidents =
                 "{ at_s: 2, what: 'die', share: 0.4 }, { at_s: 4, what: 'die', share: 0.4 }";
         Scenario durableScenario =
-                ScenarioReader.of(
+                ScenarioReader.parse(
                         SMALL_SCRIPT
                                 .formatted(incidents)
                                 .replace("boxes: 3", "boxes: 3, remembers: true"),
                         "small");
-        SimulationResult result = new Simulation(durableScenario, 2).play();
-        assertThat(result.deaths()).isEqualTo(4);
-        assertThat(result.rules().broken()).isEmpty();
+        SimulationResult result = new Simulation(durableScenario, 2).run();
+        assertThat(result.serverCrashes()).isEqualTo(4);
+        assertThat(result.rules().violations()).isEmpty();
     }
 
     @ParameterizedTest
@@ -154,7 +154,7 @@
                 scriptOrIncident.startsWith("{ seconds")
                         ? scriptOrIncident
                         : SMALL_SCRIPT.formatted(scriptOrIncident);
-        assertThatThrownBy(() -> ScenarioReader.of(text, "x"))
+        assertThatThrownBy(() -> ScenarioReader.parse(text, "x"))
                 .isInstanceOf(MalformedException.class)
                 .hasMessageMatching("(?s)x:\\d+:\\d+: .*");
     }
@@ -165,8 +165,9 @@
                 .hasMessageContaining("not before the end of the run");
         assertThatThrownBy(
                         () ->
-                                ScenarioReader.of(
-                                        SMALL_SCRIPT.formatted("")
+                                ScenarioReader.parse(
+                                        SMALL_SCRIPT
+                                                .formatted("")
                                                 .replace("name: 'order'", "name: 'read'"),
                                         "x"))
                 .hasMessageContaining("duplicate operation");
@@ -184,12 +185,12 @@
         }
         try (ParallelRunner runner = new ParallelRunner(4)) {
             FaultSearch search = new FaultSearch(runner, base, 1);
-            FaultSearch.Find finding = search.search(8, 8, message -> {});
-            FaultSearch.Find shrunk = search.cut(finding, message -> {});
-            assertThat(shrunk.script().incidents().size())
-                    .isLessThanOrEqualTo(finding.script().incidents().size());
-            assertThat(new Simulation(shrunk.script(), shrunk.seed()).play().valueShare())
-                    .isEqualTo(shrunk.value());
+            FaultSearch.Finding finding = search.search(8, 8, message -> {});
+            FaultSearch.Finding shrunk = search.shrink(finding, message -> {});
+            assertThat(shrunk.scenario().incidents().size())
+                    .isLessThanOrEqualTo(finding.scenario().incidents().size());
+            assertThat(new Simulation(shrunk.scenario(), shrunk.seed()).run().valueShare())
+                    .isEqualTo(shrunk.valueShare());
         }
     }
 
@@ -218,9 +219,9 @@
                 Experiment experiment =
                         new Experiment(
                                 List.of(scenario), 1, 30, 0.01, SimulationResult::valueShare);
-                experiment.play(runner, cores * 2, message -> {});
-                seedCounts.add(experiment.seeds());
-                assertThat(experiment.estimate(0, SimulationResult::valueShare).half())
+                experiment.run(runner, cores * 2, message -> {});
+                seedCounts.add(experiment.seedCount());
+                assertThat(experiment.estimate(0, SimulationResult::valueShare).halfWidth())
                         .isLessThanOrEqualTo(0.01);
             }
         }
@@ -231,11 +232,10 @@
     void intervalAndPValueFollowStudentsT() {
         ConfidenceInterval interval = ConfidenceInterval.of(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
         assertThat(interval.mean()).isEqualTo(3);
-        assertThat(interval.half())
-                .isBetween(1.962, 1.964); // 2.776 * 1.5811 / sqrt(5)
-        assertThat(ConfidenceInterval.chance(List.of(1.0, 2.0, 3.0, 4.0, 5.0)))
+        assertThat(interval.halfWidth()).isBetween(1.962, 1.964); // 2.776 * 1.5811 / sqrt(5)
+        assertThat(ConfidenceInterval.pValue(List.of(1.0, 2.0, 3.0, 4.0, 5.0)))
                 .isBetween(0.0130, 0.0135);
-        assertThat(ConfidenceInterval.of(List.of(1.0)).half()).isInfinite();
+        assertThat(ConfidenceInterval.of(List.of(1.0)).halfWidth()).isInfinite();
     }
 
     @Test
@@ -261,7 +261,8 @@
         Path strictScript =
                 Files.writeString(
                         folder.resolve("strict.json5"),
-                        SMALL_SCRIPT.formatted("{ at_s: 1, what: 'die' }")
+                        SMALL_SCRIPT
+                                .formatted("{ at_s: 1, what: 'die' }")
                                 .replace("seconds: 8", "seconds: 8, expect: { value_share: 1 }"));
         assertThat(SimulateCommand.execute("run", strictScript.toString(), "--seeds", "1"))
                 .isEqualTo(1);
--- a/emulator/src/test/java/ochretiller/emulator/simulation/QueueingTheoryTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/simulation/QueueingTheoryTest.java
@@ -72,7 +72,7 @@
         if (count == 0) {
             return;
         }
-        events.after(
+        events.schedule(
                 RandomStreams.exponential(random, 1 / rate),
                 () -> {
                     onArrival.run();
@@ -89,10 +89,12 @@
                 load * cores,
                 new SplittableRandom(1),
                 () -> {
-                    double startedAt = events.seconds();
-                    cpu.add(work.getAsDouble(), () -> durations.add(events.seconds() - startedAt));
+                    double startedAt = events.nowSeconds();
+                    cpu.add(
+                            work.getAsDouble(),
+                            () -> durations.add(events.nowSeconds() - startedAt));
                 });
-        events.run(1e8);
+        events.runUntil(1e8);
         assertThat(durations.count).isEqualTo(SAMPLE_COUNT);
         return mean(durations);
     }
@@ -118,7 +120,7 @@
                 kind.equals("fixed")
                         ? () -> 1
                         : kind.equals("spread")
-                                ? () -> RandomStreams.around(random, 1, 1)
+                                ? () -> RandomStreams.logNormal(random, 1, 1)
                                 : () -> RandomStreams.exponential(random, 1);
         meanSojournTime(1, load, work).assertContains(1 / (1 - load));
     }
@@ -150,7 +152,7 @@
         RecordsServiceModel service =
                 new RecordsServiceModel(
                         events,
-                        new Scenario.Ledger(slots, 1_000, queueCapacity, 0, 0),
+                        new Scenario.RecordsService(slots, 1_000, queueCapacity, 0, 0),
                         new SplittableRandom(4));
         Durations durations = new Durations();
         int[] rejected = {0};
@@ -159,18 +161,18 @@
                 load * slots,
                 new SplittableRandom(5),
                 () -> {
-                    double startedAt = events.seconds();
+                    double startedAt = events.nowSeconds();
                     Consumer<CallOutcome.Status> onOutcome =
                             result -> {
                                 if (result == CallOutcome.Status.REJECTED) {
                                     rejected[0]++;
                                 } else {
-                                    durations.add(events.seconds() - startedAt);
+                                    durations.add(events.nowSeconds() - startedAt);
                                 }
                             };
                     service.call(onOutcome);
                 });
-        events.run(1e8);
+        events.runUntil(1e8);
         return new CallResults(durations, rejected[0]);
     }
 
@@ -200,41 +202,41 @@
     void manyCancelledEventsAreNotExecuted() {
         int[] executed = {0};
         for (int i = 0; i < 300_000; i++) {
-            EventQueue.Event event = events.after(i * 1e-5, () -> executed[0]++);
+            EventQueue.Event event = events.schedule(i * 1e-5, () -> executed[0]++);
             if (i % 100 != 0) {
                 event.cancel();
             }
         }
-        events.run(10);
+        events.runUntil(10);
         assertThat(executed[0]).isEqualTo(3_000);
-        assertThat(events.done()).isEqualTo(3_000);
+        assertThat(events.executedEvents()).isEqualTo(3_000);
     }
 
     @Test
     void coldCrowdedAndPausedCoresAreSlower() {
         CpuModel cold = new CpuModel(events, 1, 2, 0.5, 0.25, 10, true);
         double[] elapsed = new double[3];
-        cold.add(0.25, () -> elapsed[0] = events.seconds());
-        events.run(20);
+        cold.add(0.25, () -> elapsed[0] = events.nowSeconds());
+        events.runUntil(20);
         assertThat(elapsed[0])
                 .as("duration at a quarter of full speed or slightly more")
                 .isBetween(0.85, 1.0);
         CpuModel crowded = new CpuModel(events, 1, 2, 0.5, 1, 0, false);
-        double crowdedStart = events.seconds();
+        double crowdedStart = events.nowSeconds();
         for (int i = 0; i < 4; i++) {
-            crowded.add(1, () -> elapsed[1] = events.seconds() - crowdedStart);
+            crowded.add(1, () -> elapsed[1] = events.nowSeconds() - crowdedStart);
         }
-        events.run(60);
+        events.runUntil(60);
         assertThat(elapsed[1])
                 .as("four jobs on one core, with an overload slowdown of 1.5")
                 .isBetween(5.99, 6.01);
         CpuModel paused = new CpuModel(events, 1, 2, 0, 1, 0, false);
-        double pausedStart = events.seconds();
-        paused.add(1, () -> elapsed[2] = events.seconds() - pausedStart);
-        paused.pause(true);
-        events.run(pausedStart + 5);
-        paused.pause(false);
-        events.run(pausedStart + 9);
+        double pausedStart = events.nowSeconds();
+        paused.add(1, () -> elapsed[2] = events.nowSeconds() - pausedStart);
+        paused.setPaused(true);
+        events.runUntil(pausedStart + 5);
+        paused.setPaused(false);
+        events.runUntil(pausedStart + 9);
         assertThat(elapsed[2]).isBetween(5.999, 6.001);
     }
 }
--- a/src/main/java/ochretiller/Main.java
+++ b/src/main/java/ochretiller/Main.java
@@ -127,12 +127,12 @@
         ProcessLifecycle lifecycle = ProcessLifecycle.install();
         try {
             ServerNode node = prepareNode(file, operatorFile);
-            lifecycle.serverReady(node);
+            lifecycle.onServerReady(node);
             node.listen();
             node.run();
             return EXIT_OK;
         } catch (IOException | RuntimeException e) {
-            lifecycle.startFailed();
+            lifecycle.onStartFailed();
             throw e;
         }
     }
@@ -150,8 +150,8 @@
         ServerNodeBuilder builder =
                 ServerNode.builder(configurationFile(file))
                         .operator(operator)
-                        .operatorReload(operatorReload);
-        if (operator.remember().isPresent()) {
+                        .operatorConfigSupplier(operatorReload);
+        if (operator.durability().isPresent()) {
             builder.storage(storage(operator));
         }
         ServerNode node = builder.build();
@@ -160,8 +160,9 @@
     }
 
     private static StorageDirectory storage(OperatorConfig operator) {
-        StorageDirectory directory = new LocalDirectory(operator.remember().orElseThrow().folder());
-        Path faultFile = operator.drill().diskFault();
+        StorageDirectory directory =
+                new LocalDirectory(operator.durability().orElseThrow().folder());
+        Path faultFile = operator.simulatedFaults().diskFaultFile();
         return faultFile == null ? directory : new FaultyDirectory(directory, faultFile);
     }
 
@@ -180,14 +181,12 @@
                         ? Optional.of(ServerConfiguration.read(configurationFile(file)))
                         : Optional.empty();
         if (operator.isPresent()) {
-            configuration.ifPresent(
-                    server -> OperatorConfigResolver.check(operator.get(), server));
+            configuration.ifPresent(server -> OperatorConfigResolver.check(operator.get(), server));
             operator.get().fleet().ifPresent(fleet -> FleetKeys.read(fleet.keyFile()));
             System.out.println("the operators' file " + operatorFile + " is good");
         }
         configuration.ifPresent(
-                server ->
-                        System.out.println("the configuration of " + server.name() + " is good"));
+                server -> System.out.println("the configuration of " + server.name() + " is good"));
         return EXIT_OK;
     }
 
--- a/src/main/java/ochretiller/admission/AdmissionController.java
+++ b/src/main/java/ochretiller/admission/AdmissionController.java
@@ -74,7 +74,7 @@
     public Action onInvocationReceived(Invocation invocation) {
         return server -> {
             TrackedInvocation tracked = intake.register(server, invocation);
-            gate.accept(server, tracked);
+            gate.decide(server, tracked);
             shedder.shed(server);
             dispatcher.dispatchQueued(server);
             deadlines.scheduleTimers(server, tracked);
@@ -95,7 +95,7 @@
             if (status == null) {
                 state.idempotency().update(id, IdempotencyEntry.State.RUNNING);
             } else {
-                outcomes.settleRestored(server, id, status);
+                outcomes.onRestoredRunEnded(server, id, status);
             }
         };
     }
@@ -111,7 +111,7 @@
     }
 
     /** Handles the disconnection of the client of an invocation, which then needs no answer. */
-    public Action onClientGone(InvocationId id) {
+    public Action onClientDisconnected(InvocationId id) {
         return server -> {
             Optional<TrackedInvocation> found = state.registry().find(id);
             if (found.isPresent()) {
@@ -136,13 +136,13 @@
             // The server still runs work in the grace period, and clients may know no replacement.
             server.schedule(
                     timeUntil(limits.drain().graceEndsAt(), now),
-                    gauges -> signals.advertiser()::closeCapacity);
+                    gauges -> signals.advertiser()::advertiseNoCapacity);
         };
     }
 
     private Action onRunEnded(TrackedInvocation tracked, RunOutcome outcome) {
         return server -> {
-            outcomes.settle(server, tracked, outcome);
+            outcomes.onRunEnded(server, tracked, outcome);
             calls.dispatchCalls(server);
             dispatcher.dispatchQueued(server);
         };
@@ -156,9 +156,9 @@
             limits.calls().remove(tracked); // its run is closed when it ends
         } else {
             state.queue().remove(tracked);
-            state.idempotency().stopWaiting(tracked);
+            state.idempotency().removeWaitingRetry(tracked);
             gate.discardEntry(server, tracked);
-            state.registry().close(tracked);
+            state.registry().remove(tracked);
         }
     }
 
@@ -180,7 +180,7 @@
 
     private void adaptLimits(Duration now, ResourceGauges gauges) {
         boolean isLimiting =
-                state.queue().isAnyQueuedFor(ExecutionSite.LOCAL_CORES)
+                state.queue().hasQueuedFor(ExecutionSite.LOCAL_CORES)
                         && limits.slots().freeOnCores(now) <= 0;
         limits.concurrency().onTick(now, gauges, isLimiting);
         double longestExpectedSeconds =
@@ -196,6 +196,6 @@
             Duration wait = responder.expectedWait(server, ExecutionSite.LOCAL_CORES);
             signals.advertiser().onTick(server, wait, state.costs().shortestObjective());
         }
-        signals.advertiser().onConnections(server, gauges.openConnections());
+        signals.advertiser().adaptIdleTimeout(server, gauges.openConnections());
     }
 }
--- a/src/main/java/ochretiller/admission/AdmissionGate.java
+++ b/src/main/java/ochretiller/admission/AdmissionGate.java
@@ -33,9 +33,9 @@
     }
 
     /** Decides on an invocation that was just read. */
-    void accept(ServerActions server, TrackedInvocation tracked) {
+    void decide(ServerActions server, TrackedInvocation tracked) {
         Optional<IdempotencyEntry> original = state.idempotency().findOriginal(tracked);
-        boolean neverRan = original.map(entry -> entry.isIn(State.DISCARDED)).orElse(false);
+        boolean neverRan = original.map(entry -> entry.hasState(State.DISCARDED)).orElse(false);
         if (tracked.isKeyedRetry() && !neverRan) {
             followOriginal(server, tracked, original);
         } else {
@@ -51,11 +51,11 @@
      */
     void followOriginal(
             ServerActions server, TrackedInvocation retry, Optional<IdempotencyEntry> original) {
-        if (original.isEmpty() || original.get().isIn(State.SUCCEEDED)) {
+        if (original.isEmpty() || original.get().hasState(State.SUCCEEDED)) {
             // An unknown attempt may have run: the host answers with its result or with an error.
             retry.startReplay();
-            server.replayResult(retry.id(), outcome -> unused -> state.registry().close(retry));
-        } else if (original.get().isIn(State.INDETERMINATE)) {
+            server.replayResult(retry.id(), outcome -> unused -> state.registry().remove(retry));
+        } else if (original.get().hasState(State.INDETERMINATE)) {
             responder.fail(server, retry); // the failed run may have had its effect
         } else {
             retry.awaitOriginal();
@@ -86,7 +86,9 @@
      */
     void discardEntry(ServerActions server, TrackedInvocation tracked) {
         Optional<IdempotencyEntry> entry =
-                state.idempotency().find(tracked.id()).filter(found -> found.isIn(State.PENDING));
+                state.idempotency()
+                        .find(tracked.id())
+                        .filter(found -> found.hasState(State.PENDING));
         if (entry.isEmpty()) {
             return;
         }
@@ -97,7 +99,7 @@
             Optional<IdempotencyEntry> successor =
                     state.idempotency()
                             .find(retries.get(0).id())
-                            .filter(found -> !found.isIn(State.DISCARDED));
+                            .filter(found -> !found.hasState(State.DISCARDED));
             if (successor.isPresent()) {
                 followOriginal(server, retry, successor);
             } else {
--- a/src/main/java/ochretiller/admission/AdmissionQueue.java
+++ b/src/main/java/ochretiller/admission/AdmissionQueue.java
@@ -36,7 +36,7 @@
         return queued.isEmpty();
     }
 
-    boolean isAnyQueuedFor(ExecutionSite site) {
+    boolean hasQueuedFor(ExecutionSite site) {
         return queued.stream().anyMatch(tracked -> tracked.runsAt(site));
     }
 
--- a/src/main/java/ochretiller/admission/AdvertisedCapacity.java
+++ b/src/main/java/ochretiller/admission/AdvertisedCapacity.java
@@ -44,7 +44,7 @@
     }
 
     /** Sets the fraction to zero, for a draining server. Returns the value to publish. */
-    OptionalDouble close() {
+    OptionalDouble dropToZero() {
         return update(0);
     }
 
--- a/src/main/java/ochretiller/admission/BackpressureAdvertiser.java
+++ b/src/main/java/ochretiller/admission/BackpressureAdvertiser.java
@@ -36,8 +36,8 @@
     }
 
     /** Advertises zero capacity. */
-    void closeCapacity(ServerActions server) {
-        capacity.close().ifPresent(server::advertiseCapacity);
+    void advertiseNoCapacity(ServerActions server) {
+        capacity.dropToZero().ifPresent(server::advertiseCapacity);
     }
 
     /**
@@ -71,7 +71,7 @@
     }
 
     /** Adapts the idle timeout to the number of open connections, NaN if unknown. */
-    void onConnections(ServerActions server, double openConnections) {
+    void adaptIdleTimeout(ServerActions server, double openConnections) {
         idleTimeout.adapt(server.now(), openConnections).ifPresent(server::setIdleTimeout);
     }
 }
--- a/src/main/java/ochretiller/admission/CostEstimator.java
+++ b/src/main/java/ochretiller/admission/CostEstimator.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns {@link #expectedSeconds}, at least a microsecond, for use as a divisor. */
-    double expectedSecondsAboveZero(Invocation invocation, Duration now) {
+    double positiveExpectedSeconds(Invocation invocation, Duration now) {
         return Math.max(MIN_COST_S, expectedSeconds(invocation, now));
     }
 
@@ -49,22 +49,22 @@
     void onRunSucceeded(TrackedInvocation tracked, Duration onCores, Duration now) {
         Invocation invocation = tracked.invocation();
         double measured = inSeconds(onCores);
-        double error = measured / expectedSecondsAboveZero(invocation, now) - 1;
+        double error = measured / positiveExpectedSeconds(invocation, now) - 1;
         squaredErrors.add(now, Math.min(error * error, MAX_SQUARED_ERROR), 1);
         ratioOf(invocation.operation()).add(now, measured, priorSeconds(invocation));
         overallRatio.add(now, measured, priorSeconds(invocation));
         if (invocation.operation().makesCalls()) {
-            callTimes.add(now, inSeconds(tracked.timeAtCalls()), 1);
+            callTimes.add(now, inSeconds(tracked.timeInCalls()), 1);
         }
     }
 
     /** Returns the factor that adds the safety margin to an expected cost. */
-    double spreadFactor(Duration now) {
+    double safetyFactor(Duration now) {
         return 1 + MARGIN_DEVIATIONS * Math.sqrt(squaredErrors.mean(now, 0));
     }
 
     /** Returns the recent mean time of calling operations in downstream calls, seconds. */
-    double meanSecondsAtCalls(Duration now) {
+    double meanSecondsInCalls(Duration now) {
         return callTimes.mean(now, 0);
     }
 
--- a/src/main/java/ochretiller/admission/DeadlineEnforcer.java
+++ b/src/main/java/ochretiller/admission/DeadlineEnforcer.java
@@ -51,7 +51,7 @@
 
     /** Answers one invocation if its answer is due or its result would come too late. */
     private void enforce(ServerActions server, TrackedInvocation tracked) {
-        if (tracked.isAnswered() || !state.registry().isOpen(tracked)) {
+        if (tracked.isAnswered() || !state.registry().contains(tracked)) {
             return;
         }
         Duration now = server.now();
@@ -59,7 +59,7 @@
         boolean isDue = now.compareTo(lastAnswerAt(end)) >= 0;
         if (isWaitingToStart(tracked) && (isDue || cannotStartInTime(tracked, now))) {
             state.queue().remove(tracked);
-            state.idempotency().stopWaiting(tracked);
+            state.idempotency().removeWaitingRetry(tracked);
             gate.reject(server, tracked, false);
         } else if (isDue) {
             failAtDeadline(server, tracked);
@@ -84,7 +84,7 @@
         return tracked.isAwaitingOriginal()
                 && state.idempotency()
                         .findOriginal(tracked)
-                        .filter(original -> original.isIn(State.PENDING))
+                        .filter(original -> original.hasState(State.PENDING))
                         .isPresent();
     }
 
@@ -99,7 +99,7 @@
 
     private void failAtDeadline(ServerActions server, TrackedInvocation tracked) {
         // Includes a retry whose original attempt has started, which must not be rejected.
-        state.idempotency().stopWaiting(tracked);
+        state.idempotency().removeWaitingRetry(tracked);
         responder.fail(server, tracked);
         if (tracked.isRunning()) {
             limits.cancellation().cancel(server, tracked);
@@ -116,7 +116,7 @@
         return tracked.isStarted()
                 && tracked.operation().lateValueShare() == 0
                 && limits.cancellation().allows(tracked)
-                && state.queue().isAnyQueuedFor(tracked.site())
+                && state.queue().hasQueuedFor(tracked.site())
                 && tracked.isPastCompletionDeadline(earliestEnd);
     }
 }
--- a/src/main/java/ochretiller/admission/Dispatcher.java
+++ b/src/main/java/ochretiller/admission/Dispatcher.java
@@ -57,7 +57,7 @@
     private boolean mayMakeCalls(TrackedInvocation tracked, Duration now) {
         return !tracked.site().isLocal()
                 || !tracked.operation().makesCalls()
-                || limits.calls().hasRoomForCaller(now);
+                || limits.calls().canAdmitCaller(now);
     }
 
     private void start(ServerActions server, TrackedInvocation tracked) {
--- a/src/main/java/ochretiller/admission/DownstreamCallLimiter.java
+++ b/src/main/java/ochretiller/admission/DownstreamCallLimiter.java
@@ -16,8 +16,8 @@
  * survives, averaged over a period; each server knows only its own share.
  *
  * <p>A token bucket of call-seconds (one call in flight for one second consumes one) fills at a
- * fraction of the server's share and is charged while calls are in flight. Its capacity is
- * the fill of half a second, because under overload all servers spend their reserves at once.
+ * fraction of the server's share and is charged while calls are in flight. Its capacity is the fill
+ * of half a second, because under overload all servers spend their reserves at once.
  */
 final class DownstreamCallLimiter {
     /** Fraction of the server's share that its calls may use on average. */
@@ -70,7 +70,7 @@
     }
 
     /** Returns whether a run that will make a call may start; waiting runs have priority. */
-    boolean hasRoomForCaller(Duration now) {
+    boolean canAdmitCaller(Duration now) {
         double neededByBlocked = blocked.size() * meanSeconds(now);
         return blocked.size() < (available(now) > neededByBlocked ? maxBlocked : 1);
     }
--- a/src/main/java/ochretiller/admission/FeasibilityCheck.java
+++ b/src/main/java/ochretiller/admission/FeasibilityCheck.java
@@ -49,7 +49,7 @@
         }
         double runningSeconds = secondsUntilFree(slots, now);
         double aheadSeconds = runningSeconds;
-        double safetyFactor = costs.spreadFactor(now);
+        double safetyFactor = costs.safetyFactor(now);
         for (int i = 0; i < ordered.size(); i++) {
             TrackedInvocation tracked = ordered.get(i);
             double expected = costs.expectedSeconds(tracked.invocation(), now);
@@ -82,7 +82,7 @@
         if (!tracked.operation().makesCalls()) {
             return 0;
         }
-        double seconds = costs.meanSecondsAtCalls(now);
+        double seconds = costs.meanSecondsInCalls(now);
         double objective = inSeconds(tracked.operation().latencyObjective());
         return seconds > objective * LONG_CALL_SHARE ? seconds : 0;
     }
--- a/src/main/java/ochretiller/admission/IdempotencyEntry.java
+++ b/src/main/java/ochretiller/admission/IdempotencyEntry.java
@@ -52,7 +52,7 @@
         return expiresAt.compareTo(now) <= 0;
     }
 
-    boolean isIn(State expected) {
+    boolean hasState(State expected) {
         return state == expected;
     }
 
--- a/src/main/java/ochretiller/admission/IdempotencyTable.java
+++ b/src/main/java/ochretiller/admission/IdempotencyTable.java
@@ -108,7 +108,7 @@
     }
 
     /** Removes a retry from those that wait for its original attempt. */
-    void stopWaiting(TrackedInvocation retry) {
+    void removeWaitingRetry(TrackedInvocation retry) {
         findOriginal(retry).ifPresent(entry -> entry.removeWaitingRetry(retry));
     }
 }
--- a/src/main/java/ochretiller/admission/InvocationIntake.java
+++ b/src/main/java/ochretiller/admission/InvocationIntake.java
@@ -22,7 +22,7 @@
                 ExecutionSite.of(Optional.ofNullable(server.poolOf(invocation.operation())));
         double weight = state.quotas().priorityWeight(invocation, now);
         TrackedInvocation tracked = new TrackedInvocation(invocation, site, weight);
-        state.registry().open(tracked);
+        state.registry().add(tracked);
         signals.overload().onRead(now, now.minus(invocation.arrivedAt()));
         signals.retryElsewhere().onRead(now, invocation.isRetry());
         return tracked;
--- a/src/main/java/ochretiller/admission/InvocationRegistry.java
+++ b/src/main/java/ochretiller/admission/InvocationRegistry.java
@@ -23,7 +23,7 @@
     }
 
     /** Adds an invocation that was read, and reserves its memory. */
-    void open(TrackedInvocation invocation) {
+    void add(TrackedInvocation invocation) {
         openInvocations.put(invocation.id(), invocation);
         if (!invocation.site().isLocal()) {
             workerPools.add(invocation.site());
@@ -37,16 +37,14 @@
         memory.reserve(memory.runOverheadKb(invocation.invocation().memoryKb()));
     }
 
-    /**
-     * Removes a finished invocation and releases its memory. Does nothing if it is not open.
-     */
-    void close(TrackedInvocation invocation) {
+    /** Removes a finished invocation and releases its memory. Does nothing if it is not open. */
+    void remove(TrackedInvocation invocation) {
         if (openInvocations.remove(invocation.id()) != null) {
             memory.release(invocation.invocation().memoryKb(), invocation.isStarted());
         }
     }
 
-    boolean isOpen(TrackedInvocation invocation) {
+    boolean contains(TrackedInvocation invocation) {
         return openInvocations.containsKey(invocation.id());
     }
 
--- a/src/main/java/ochretiller/admission/QueueOrder.java
+++ b/src/main/java/ochretiller/admission/QueueOrder.java
@@ -49,7 +49,7 @@
         double value = tracked.operation().billedValue() * tracked.priorityWeight();
         return billing == BillingBasis.PER_UNIT_OF_WORK
                 ? value
-                : value / costs.expectedSecondsAboveZero(tracked.invocation(), now);
+                : value / costs.positiveExpectedSeconds(tracked.invocation(), now);
     }
 
     /** A queued invocation with its sort keys; {@code round} is its round-robin position. */
--- a/src/main/java/ochretiller/admission/Responder.java
+++ b/src/main/java/ochretiller/admission/Responder.java
@@ -30,15 +30,15 @@
         boolean isRetry = tracked.invocation().isRetry();
         Duration retryAfter =
                 limits.drain().isGraceOver(now)
-                        ? signals.retryAfter().longest()
+                        ? signals.retryAfter().maxDelay()
                         : randomRetryAfter(server, tracked);
         boolean avoidOtherServers =
                 !limits.drain().isDraining()
-                        && (isFinal || signals.retryElsewhere().drawFleetIsFull(now, isRetry));
+                        && (isFinal || signals.retryElsewhere().isFleetAssumedFull(now, isRetry));
         server.throttle(tracked.id(), retryAfter, avoidOtherServers);
         signals.retryElsewhere().onRejected(now);
         tracked.markAnswered();
-        registry.close(tracked);
+        registry.remove(tracked);
     }
 
     /** Rejects an idempotent run that cannot meet its objective, and cancels it. */
@@ -56,7 +56,7 @@
             limits.calls().remove(tracked);
         }
         if (!tracked.isStarted()) {
-            registry.close(tracked);
+            registry.remove(tracked);
         }
     }
 
@@ -70,6 +70,6 @@
 
     private Duration randomRetryAfter(ServerActions server, TrackedInvocation tracked) {
         Duration wait = expectedWait(server, tracked.site());
-        return signals.retryAfter().draw(wait.plus(signals.overload().readDelay()));
+        return signals.retryAfter().randomDelay(wait.plus(signals.overload().readDelay()));
     }
 }
--- a/src/main/java/ochretiller/admission/RetryAfterPolicy.java
+++ b/src/main/java/ochretiller/admission/RetryAfterPolicy.java
@@ -34,12 +34,12 @@
     }
 
     /** Returns the longest delay that clients respect, for those that should use other servers. */
-    Duration longest() {
+    Duration maxDelay() {
         return maxDelay;
     }
 
     /** Returns a random delay for a client that would wait {@code expectedWait} here. */
-    Duration draw(Duration expectedWait) {
+    Duration randomDelay(Duration expectedWait) {
         double seconds = inSeconds(max(AdmissionTiming.TICK_INTERVAL, expectedWait));
         double waitShare = random.nextDouble(MIN_SHARE_OF_WAIT, MAX_SHARE_OF_WAIT);
         return min(maxDelay, ofSeconds(seconds * waitShare));
--- a/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
+++ b/src/main/java/ochretiller/admission/RetryElsewherePolicy.java
@@ -37,7 +37,7 @@
      * Decides at random, by the estimated load, whether to assume that the other servers are full.
      * A marked retry was already rejected by another server, so for it the estimate is squared.
      */
-    boolean drawFleetIsFull(Duration now, boolean isRetry) {
+    boolean isFleetAssumedFull(Duration now, boolean isRetry) {
         double read = Math.max(1, reads.sum(now));
         double accepted = 1 - rejections.sum(now) / read;
         double firstAttempts = 1 - retries.sum(now) / read;
--- a/src/main/java/ochretiller/admission/RunOutcomeHandler.java
+++ b/src/main/java/ochretiller/admission/RunOutcomeHandler.java
@@ -29,7 +29,7 @@
     }
 
     /** Handles the end of a run that {@link Dispatcher} started. */
-    void settle(ServerActions server, TrackedInvocation tracked, RunOutcome outcome) {
+    void onRunEnded(ServerActions server, TrackedInvocation tracked, RunOutcome outcome) {
         Duration now = server.now();
         if (tracked.site().isLocal()) {
             overload.onProgress(now); // a worker pool's run is no progress on the cores
@@ -38,7 +38,7 @@
             limits.calls().onCallEnded(tracked, now, true);
         }
         limits.calls().remove(tracked);
-        state.registry().close(tracked);
+        state.registry().remove(tracked);
         if (outcome.status() == RunOutcome.Status.SUCCEEDED) {
             recordSuccess(tracked, outcome, now);
         }
@@ -51,7 +51,7 @@
     }
 
     /** Handles the end of a run of a previous process; without a result its effect is uncertain. */
-    void settleRestored(ServerActions server, InvocationId id, RunOutcome.Status status) {
+    void onRestoredRunEnded(ServerActions server, InvocationId id, RunOutcome.Status status) {
         boolean hasResult = status == RunOutcome.Status.SUCCEEDED;
         state.idempotency()
                 .update(id, hasResult ? State.SUCCEEDED : State.INDETERMINATE)
@@ -62,7 +62,7 @@
         if (tracked.site().isLocal()) {
             limits.concurrency().onRunSucceeded();
         }
-        Duration onCores = outcome.elapsed().minus(tracked.timeAtCalls());
+        Duration onCores = outcome.elapsed().minus(tracked.timeInCalls());
         state.costs().onRunSucceeded(tracked, onCores, now);
     }
 
--- a/src/main/java/ochretiller/admission/TrackedInvocation.java
+++ b/src/main/java/ochretiller/admission/TrackedInvocation.java
@@ -50,7 +50,7 @@
     private Duration startedAt = Duration.ZERO;
     private Duration blockedAt = Duration.ZERO;
     private Duration callStartedAt = Duration.ZERO;
-    private Duration timeAtCalls = Duration.ZERO;
+    private Duration timeInCalls = Duration.ZERO;
 
     /**
      * Starts to track an invocation that was just read.
@@ -159,7 +159,7 @@
 
     /** Resumes its run after a downstream call that succeeded. */
     void resumeAfterCall(Duration now) {
-        timeAtCalls = timeAtCalls.plus(now.minus(blockedAt));
+        timeInCalls = timeInCalls.plus(now.minus(blockedAt));
         state = State.RUNNING;
     }
 
@@ -213,12 +213,12 @@
     }
 
     /** Returns the time that its run was blocked for downstream calls that succeeded. */
-    Duration timeAtCalls() {
-        return timeAtCalls;
+    Duration timeInCalls() {
+        return timeInCalls;
     }
 
     /** Returns the time that its run has spent on the cores until now. */
     Duration timeOnCores(Duration now) {
-        return now.minus(startedAt).minus(timeAtCalls);
+        return now.minus(startedAt).minus(timeInCalls);
     }
 }
--- a/src/main/java/ochretiller/admission/package-info.java
+++ b/src/main/java/ochretiller/admission/package-info.java
@@ -30,9 +30,9 @@
  * <p><b>State.</b> All in memory, owned by one controller; nothing is persisted here.
  *
  * <p><b>Thread.</b> Not thread-safe: the host calls the controller, and executes the actions that
- * it returns, on one thread. This package has no I/O, no clock and no random source of its own;
- * the time comes from {@link ochretiller.server.ServerActions#now} and the random source is passed
- * in, so that a simulation is exactly reproducible.
+ * it returns, on one thread. This package has no I/O, no clock and no random source of its own; the
+ * time comes from {@link ochretiller.server.ServerActions#now} and the random source is passed in,
+ * so that a simulation is exactly reproducible.
  *
  * <p><b>Dependencies.</b> Above: {@code settings} builds the controller, the hosts in {@code node},
  * {@code sim} and the emulator drive it. Below: {@code server} (the port), {@code model} (values),
--- a/src/main/java/ochretiller/audit/ChainVerifier.java
+++ b/src/main/java/ochretiller/audit/ChainVerifier.java
@@ -43,7 +43,7 @@
 
     private static Optional<ChainFault> checkFirst(ChainedRecord record) {
         boolean isFirstOfChain = record.number() == 1;
-        return isFirstOfChain && !HashChain.isNoPreviousHash(record.previousHash())
+        return isFirstOfChain && !HashChain.isInitialPreviousHash(record.previousHash())
                 ? Optional.of(new ChainFault(1, "is no first record"))
                 : Optional.empty();
     }
--- a/src/main/java/ochretiller/audit/HashChain.java
+++ b/src/main/java/ochretiller/audit/HashChain.java
@@ -33,13 +33,13 @@
     }
 
     /** Returns a chain that continues after this record. */
-    public static HashChain continuing(ChainedRecord last) {
+    public static HashChain resumeAfter(ChainedRecord last) {
         return new HashChain(last.number(), last.hash());
     }
 
     /** Returns a chain that continues after the last record, or an empty chain without one. */
-    public static HashChain continuing(Optional<ChainedRecord> last) {
-        return last.map(HashChain::continuing).orElseGet(HashChain::empty);
+    public static HashChain resumeAfter(Optional<ChainedRecord> last) {
+        return last.map(HashChain::resumeAfter).orElseGet(HashChain::empty);
     }
 
     /** Returns a copy of a chain; appending to either does not change the other. */
@@ -65,7 +65,7 @@
     }
 
     /** Returns whether this is the previous hash that the first record of a chain has. */
-    static boolean isNoPreviousHash(byte[] hash) {
+    static boolean isInitialPreviousHash(byte[] hash) {
         return Arrays.equals(hash, INITIAL_PREVIOUS_HASH);
     }
 
--- a/src/main/java/ochretiller/audit/files/AuditLog.java
+++ b/src/main/java/ochretiller/audit/files/AuditLog.java
@@ -38,7 +38,7 @@
 
     /** Returns the head of the chain. */
     public ChainHead head() {
-        return HashChain.continuing(lastRecord()).head();
+        return HashChain.resumeAfter(lastRecord()).head();
     }
 
     Optional<ChainedRecord> lastRecord() {
--- a/src/main/java/ochretiller/audit/files/AuditLogFile.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogFile.java
@@ -39,7 +39,7 @@
     AuditLogFile(Path directory, AuditLog existing, long maxBytes) throws IOException {
         this.directory = directory;
         this.maxFileBytes = Math.max(MIN_FILE_BYTES, maxBytes / MAX_FILES);
-        this.chain = HashChain.continuing(existing.lastRecord());
+        this.chain = HashChain.resumeAfter(existing.lastRecord());
         List<Path> files = AuditFileFormat.listFiles(directory);
         if (!files.isEmpty()) {
             FileChannel newest =
--- a/src/main/java/ochretiller/audit/files/AuditLogReader.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogReader.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Reports an incomplete record. At the end of the last file it is a torn write, which was
-     * never reported to a peer; elsewhere it is damage.
+     * Reports an incomplete record. At the end of the last file it is a torn write, which was never
+     * reported to a peer; elsewhere it is damage.
      */
     private void reportIncompleteRecord(Path file, boolean isLast) {
         long number = records.isEmpty() ? 1 : records.get(records.size() - 1).number() + 1;
--- a/src/main/java/ochretiller/audit/files/AuditLogWriter.java
+++ b/src/main/java/ochretiller/audit/files/AuditLogWriter.java
@@ -46,7 +46,7 @@
 
     private final LongSupplier unixMillis;
     private final AuditLogFile log;
-    private final List<ChainFault> recoveredFaults;
+    private final List<ChainFault> initialFaults;
     private final BlockingQueue<AuditRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED_RECORDS);
     private final Thread thread = new Thread(this::run, "audit");
 
@@ -77,15 +77,15 @@
         this.unixMillis = unixMillis;
         Files.createDirectories(directory);
         AuditLog existing = AuditLogReader.read(directory, List.of());
-        recoveredFaults = existing.faults();
+        initialFaults = existing.faults();
         log = new AuditLogFile(directory, existing, maxBytes);
         head = log.head();
         thread.setDaemon(true);
     }
 
     /** Returns the faults found in the directory when it was opened. */
-    public List<ChainFault> recoveredFaults() {
-        return recoveredFaults;
+    public List<ChainFault> initialFaults() {
+        return initialFaults;
     }
 
     /** Starts the writer thread. Records may be added before. */
--- a/src/main/java/ochretiller/budgets/BudgetDecision.java
+++ b/src/main/java/ochretiller/budgets/BudgetDecision.java
@@ -12,15 +12,15 @@
     /** Whether a request is granted, and from which capacity. */
     public enum Kind {
         /** Granted from the guaranteed rate of the team, which no other team can use up. */
-        PROMISED,
+        GUARANTEED,
         /** Granted from idle capacity, to which no team is entitled. */
-        LENT,
+        IDLE_CAPACITY,
         /** Rejected: the request is throttled before it runs. */
-        REFUSED
+        REJECTED
     }
 
     /** Returns whether the work may be done. */
-    public boolean given() {
-        return kind != Kind.REFUSED;
+    public boolean isGranted() {
+        return kind != Kind.REJECTED;
     }
 }
--- a/src/main/java/ochretiller/budgets/Budgets.java
+++ b/src/main/java/ochretiller/budgets/Budgets.java
@@ -21,7 +21,7 @@
 
     /**
      * Maximum lead of a team over others that want idle work too, in seconds at the full capacity.
-     * Divided by the weight of the team, because {@link TokenBucket#lent} is.
+     * Divided by the weight of the team, because {@link TokenBucket#idlePerWeight} is.
      */
     private static final double MAX_LEAD_SECONDS = 0.01;
 
@@ -60,7 +60,7 @@
      * @throws IllegalArgumentException if there are too many teams, or their rates exceed the
      *     capacity; nothing has changed then
      */
-    public void become(Map<TeamId, GuaranteedRate> guarantees, Duration now) {
+    public void setGuaranteedRates(Map<TeamId, GuaranteedRate> guarantees, Duration now) {
         if (guarantees.size() > MAX_TEAMS) {
             throw new IllegalArgumentException("more than " + MAX_TEAMS + " teams");
         }
@@ -79,8 +79,8 @@
                 (team, guarantee) -> {
                     TokenBucket bucket =
                             buckets.computeIfAbsent(team, key -> new TokenBucket(guarantee, now));
-                    bucket.promise = guarantee;
-                    bucket.fill(now);
+                    bucket.guarantee = guarantee;
+                    bucket.refill(now);
                 });
         guaranteedSum = sum;
     }
@@ -92,43 +92,43 @@
         idleBalance += Math.max(0, inSeconds(now.minus(refilledAt))) * (capacity - guaranteedSum);
         refilledAt = now;
         for (TokenBucket bucket : buckets.values()) {
-            idleBalance += bucket.fill(now);
+            idleBalance += bucket.refill(now);
         }
         idleBalance = Math.min(idleBalance, capacity * MAX_IDLE_SECONDS);
     }
 
     /** Decides on a first attempt; the expected work includes reading it. Rejects unknown teams. */
-    public BudgetDecision ask(TeamId team, double work, Duration now) {
+    public BudgetDecision request(TeamId team, double work, Duration now) {
         refill(now);
         TokenBucket bucket = buckets.get(team);
         if (bucket == null) {
-            return new BudgetDecision(BudgetDecision.Kind.REFUSED, MAX_BACKOFF);
+            return new BudgetDecision(BudgetDecision.Kind.REJECTED, MAX_BACKOFF);
         }
-        if (bucket.affords(work)) {
-            bucket.takes(work);
-            return new BudgetDecision(BudgetDecision.Kind.PROMISED, Duration.ZERO);
+        if (bucket.canAfford(work)) {
+            bucket.take(work);
+            return new BudgetDecision(BudgetDecision.Kind.GUARANTEED, Duration.ZERO);
         }
         if (canUseIdle(team, bucket, work, now)) {
             idleBalance -= work;
-            bucket.takesLent(work);
-            return new BudgetDecision(BudgetDecision.Kind.LENT, Duration.ZERO);
+            bucket.takeIdle(work);
+            return new BudgetDecision(BudgetDecision.Kind.IDLE_CAPACITY, Duration.ZERO);
         }
         return reject(bucket, work);
     }
 
     /** Decides on a retry, which needs retry budget and is also charged like a first attempt. */
-    public BudgetDecision askAgain(TeamId team, double work, Duration now) {
+    public BudgetDecision requestRetry(TeamId team, double work, Duration now) {
         TokenBucket bucket = buckets.get(team);
-        if (bucket == null || !bucket.affordsRetry(work)) {
+        if (bucket == null || !bucket.canAffordRetry(work)) {
             refill(now);
             return bucket == null
-                    ? new BudgetDecision(BudgetDecision.Kind.REFUSED, MAX_BACKOFF)
+                    ? new BudgetDecision(BudgetDecision.Kind.REJECTED, MAX_BACKOFF)
                     : reject(bucket, work);
         }
-        BudgetDecision decision = ask(team, work, now);
-        if (decision.given()) {
+        BudgetDecision decision = request(team, work, now);
+        if (decision.isGranted()) {
             // Also takes back the retry work that was just earned: a retry earns no retries.
-            bucket.takesRetry(work * (1 + bucket.promise.retryShare()));
+            bucket.takeRetry(work * (1 + bucket.guarantee.retryRatio()));
         }
         return decision;
     }
@@ -138,7 +138,7 @@
      * proportion to their weights: one whose lead over another is too large has to wait.
      */
     private boolean canUseIdle(TeamId team, TokenBucket bucket, double work, Duration now) {
-        if (bucket.promise.weight() == 0) {
+        if (bucket.guarantee.weight() == 0) {
             return false;
         }
         boolean isNewDemand =
@@ -151,24 +151,24 @@
         double leastIdlePerWeight = Double.POSITIVE_INFINITY;
         for (TeamId other : lastDemandAt.keySet()) {
             if (!other.equals(team)) {
-                leastIdlePerWeight = Math.min(leastIdlePerWeight, buckets.get(other).lent);
+                leastIdlePerWeight = Math.min(leastIdlePerWeight, buckets.get(other).idlePerWeight);
             }
         }
         // A team that returns starts level with the others: it is owed nothing for its absence.
         if (isNewDemand && leastIdlePerWeight < Double.POSITIVE_INFINITY) {
-            bucket.lent = Math.max(bucket.lent, leastIdlePerWeight);
+            bucket.idlePerWeight = Math.max(bucket.idlePerWeight, leastIdlePerWeight);
         }
         return idleBalance >= Math.min(work, capacity * MAX_IDLE_SECONDS)
-                && bucket.lent
+                && bucket.idlePerWeight
                         <= leastIdlePerWeight
-                                + capacity * MAX_LEAD_SECONDS / bucket.promise.weight();
+                                + capacity * MAX_LEAD_SECONDS / bucket.guarantee.weight();
     }
 
     private BudgetDecision reject(TokenBucket bucket, double work) {
-        double seconds = bucket.wait(work);
+        double seconds = bucket.secondsUntilAffordable(work);
         Duration backoff = seconds > inSeconds(MAX_BACKOFF) ? MAX_BACKOFF : ofSeconds(seconds);
         return new BudgetDecision(
-                BudgetDecision.Kind.REFUSED,
+                BudgetDecision.Kind.REJECTED,
                 backoff.compareTo(MIN_BACKOFF) < 0 ? MIN_BACKOFF : backoff);
     }
 
@@ -179,17 +179,17 @@
             return;
         }
         refill(now);
-        bucket.settles(cost - expected);
+        bucket.charge(cost - expected);
     }
 
     /** Returns the available guaranteed work of a team in core seconds; negative if in debt. */
-    public double inHand(TeamId team, Duration now) {
+    public double balance(TeamId team, Duration now) {
         refill(now);
-        return buckets.containsKey(team) ? buckets.get(team).own() : 0;
+        return buckets.containsKey(team) ? buckets.get(team).balance() : 0;
     }
 
     /** Returns the idle work available to all teams, in core seconds. */
-    public double idle(Duration now) {
+    public double idleWork(Duration now) {
         refill(now);
         return idleBalance;
     }
--- a/src/main/java/ochretiller/budgets/TokenBucket.java
+++ b/src/main/java/ochretiller/budgets/TokenBucket.java
@@ -6,7 +6,7 @@
 
 /** The token bucket of one team: its available work and retries, in core seconds. */
 final class TokenBucket {
-    GuaranteedRate promise;
+    GuaranteedRate guarantee;
 
     /** Available guaranteed work; negative after work that cost more than expected. */
     private double availableWork;
@@ -15,21 +15,21 @@
     private Duration refilledAt;
 
     /** Idle work granted, divided by the weight; the team with the least has precedence. */
-    double lent;
+    double idlePerWeight;
 
     TokenBucket(GuaranteedRate guarantee, Duration now) {
-        this.promise = guarantee;
+        this.guarantee = guarantee;
         this.availableWork = guarantee.burst();
         this.availableRetryWork = guarantee.retryBurst();
         this.refilledAt = now;
     }
 
     /** Adds the work for the elapsed time; returns the part over the burst, which is idle. */
-    double fill(Duration now) {
+    double refill(Duration now) {
         double elapsedSeconds = Math.max(0, inSeconds(now.minus(refilledAt)));
         refilledAt = now;
-        double uncapped = availableWork + elapsedSeconds * promise.rate();
-        availableWork = Math.min(uncapped, promise.burst());
+        double uncapped = availableWork + elapsedSeconds * guarantee.rate();
+        availableWork = Math.min(uncapped, guarantee.burst());
         return uncapped - availableWork;
     }
 
@@ -38,49 +38,49 @@
      * the balance reaches the burst.
      */
     private double requiredBalance(double work) {
-        return Math.min(work, promise.burst());
+        return Math.min(work, guarantee.burst());
     }
 
-    boolean affords(double work) {
-        return promise.rate() > 0 && availableWork >= requiredBalance(work);
+    boolean canAfford(double work) {
+        return guarantee.rate() > 0 && availableWork >= requiredBalance(work);
     }
 
-    void takes(double work) {
+    void take(double work) {
         availableWork -= work;
         availableRetryWork =
                 Math.min(
-                        promise.retryBurst(), availableRetryWork + work * promise.retryShare());
+                        guarantee.retryBurst(), availableRetryWork + work * guarantee.retryRatio());
     }
 
     /** Takes idle work, which earns retries as guaranteed work does. */
-    void takesLent(double work) {
-        lent += work / promise.weight();
+    void takeIdle(double work) {
+        idlePerWeight += work / guarantee.weight();
         availableRetryWork =
                 Math.min(
-                        promise.retryBurst(), availableRetryWork + work * promise.retryShare());
+                        guarantee.retryBurst(), availableRetryWork + work * guarantee.retryRatio());
     }
 
-    boolean affordsRetry(double work) {
+    boolean canAffordRetry(double work) {
         return availableRetryWork >= work;
     }
 
-    void takesRetry(double work) {
+    void takeRetry(double work) {
         availableRetryWork -= work;
     }
 
     /** Charges the cost over the expected work; an overestimate is refunded, up to the burst. */
-    void settles(double excess) {
-        availableWork = Math.min(promise.burst(), availableWork - excess);
+    void charge(double excess) {
+        availableWork = Math.min(guarantee.burst(), availableWork - excess);
     }
 
     /** Returns the seconds until the work is affordable; infinity if the rate is 0. */
-    double wait(double work) {
-        return promise.rate() == 0
+    double secondsUntilAffordable(double work) {
+        return guarantee.rate() == 0
                 ? Double.POSITIVE_INFINITY
-                : Math.max(0, requiredBalance(work) - availableWork) / promise.rate();
+                : Math.max(0, requiredBalance(work) - availableWork) / guarantee.rate();
     }
 
-    double own() {
+    double balance() {
         return availableWork;
     }
 }
--- a/src/main/java/ochretiller/commands/AuditCommand.java
+++ b/src/main/java/ochretiller/commands/AuditCommand.java
@@ -47,7 +47,7 @@
     }
 
     /** Options that select the audit logs to read and the period to report on. */
-    static final class What {
+    static final class AuditSelection {
         @Parameters(
                 paramLabel = "NAME=FOLDER",
                 arity = "1..*",
@@ -74,7 +74,7 @@
         private final Map<String, AuditLog> logs = new LinkedHashMap<>();
 
         /** Reads all logs, and checks each against the chain heads that its peers recorded. */
-        What read() throws IOException {
+        AuditSelection read() throws IOException {
             Map<String, List<ChainHead>> witnessedHeads = new LinkedHashMap<>();
             for (Map.Entry<String, Path> log : directories.entrySet()) {
                 if (!Files.isDirectory(log.getValue())) {
@@ -98,17 +98,17 @@
             return this;
         }
 
-        FleetTimeline line() {
+        FleetTimeline timeline() {
             FleetTimeline timeline = new FleetTimeline();
             logs.forEach((name, log) -> timeline.addServer(name, log.decodedRecords()));
             return timeline;
         }
 
-        int faults() {
+        int faultCount() {
             return logs.values().stream().mapToInt(log -> log.faults().size()).sum();
         }
 
-        long from() {
+        long fromMillis() {
             if (fromOption != null) {
                 return parseTimeMillis(fromOption);
             }
@@ -119,7 +119,7 @@
                     .orElse(0);
         }
 
-        long until() {
+        long untilMillis() {
             if (untilOption != null) {
                 return parseTimeMillis(untilOption);
             }
@@ -148,11 +148,12 @@
     }
 
     /** Reports damage, which makes every answer incomplete, and returns the exit code. */
-    private int exitCode(What selection, boolean hasUnknown) {
-        if (selection.faults() > 0) {
-            System.err.println(selection.faults() + " faults in these audits: see audit verify");
+    private int exitCode(AuditSelection selection, boolean hasUnknown) {
+        if (selection.faultCount() > 0) {
+            System.err.println(
+                    selection.faultCount() + " faults in these audits: see audit verify");
         }
-        return selection.faults() > 0 || hasUnknown ? EXIT_FAULTS : 0;
+        return selection.faultCount() > 0 || hasUnknown ? EXIT_FAULTS : 0;
     }
 
     @Command(
@@ -160,10 +161,11 @@
             mixinStandardHelpOptions = true,
             description =
                     "Hold audits against themselves and against what the others know of them.")
-    int verify(@CommandLine.Mixin What selection) throws IOException {
+    int verify(@CommandLine.Mixin AuditSelection selection) throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         ObjectNode json = JSON.createObjectNode();
-        selection.read()
+        selection
+                .read()
                 .logs
                 .forEach(
                         (name, log) -> {
@@ -202,7 +204,7 @@
             out.println(json);
         }
         out.flush();
-        return selection.faults() > 0 ? EXIT_FAULTS : 0;
+        return selection.faultCount() > 0 ? EXIT_FAULTS : 0;
     }
 
     @Command(
@@ -212,13 +214,13 @@
     int who(
             @Option(names = "--version-number", required = true, description = "The version.")
                     long version,
-            @CommandLine.Mixin What selection)
+            @CommandLine.Mixin AuditSelection selection)
             throws IOException {
         Map<String, VersionStatus> statusByServer =
                 selection
                         .read()
-                        .line()
-                        .serversOnVersion(version, selection.from(), selection.until());
+                        .timeline()
+                        .serversOnVersion(version, selection.fromMillis(), selection.untilMillis());
         PrintWriter out = spec.commandLine().getOut();
         if (selection.json) {
             ObjectNode json = JSON.createObjectNode();
@@ -246,24 +248,31 @@
             name = "when",
             mixinStandardHelpOptions = true,
             description = "What each server acted on, stretch by stretch.")
-    int when(@CommandLine.Mixin What selection) throws IOException {
+    int when(@CommandLine.Mixin AuditSelection selection) throws IOException {
         List<TimelineInterval> intervals =
-                selection.read().line().intervals(selection.from(), selection.until());
+                selection
+                        .read()
+                        .timeline()
+                        .intervals(selection.fromMillis(), selection.untilMillis());
         printIntervals(selection, intervals);
         return exitCode(selection, false);
     }
 
     @Command(name = "gaps", mixinStandardHelpOptions = true, description = "What is not known.")
-    int gaps(@CommandLine.Mixin What selection) throws IOException {
+    int gaps(@CommandLine.Mixin AuditSelection selection) throws IOException {
         List<TimelineInterval> gaps =
-                selection.read().line().intervals(selection.from(), selection.until()).stream()
+                selection
+                        .read()
+                        .timeline()
+                        .intervals(selection.fromMillis(), selection.untilMillis())
+                        .stream()
                         .filter(interval -> interval.status() == VersionStatus.UNKNOWN)
                         .toList();
         printIntervals(selection, gaps);
         return exitCode(selection, !gaps.isEmpty());
     }
 
-    private void printIntervals(What selection, List<TimelineInterval> intervals) {
+    private void printIntervals(AuditSelection selection, List<TimelineInterval> intervals) {
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode json = JSON.createArrayNode();
         for (TimelineInterval interval : intervals) {
@@ -305,9 +314,9 @@
             description = "Under which version a token ran.")
     int token(
             @Option(names = "--token", required = true) String token,
-            @CommandLine.Mixin What selection)
+            @CommandLine.Mixin AuditSelection selection)
             throws IOException {
-        List<TokenRun> runs = selection.read().line().runsOfToken(token);
+        List<TokenRun> runs = selection.read().timeline().runsOfToken(token);
         PrintWriter out = spec.commandLine().getOut();
         ArrayNode json = JSON.createArrayNode();
         for (TokenRun run : runs) {
@@ -337,9 +346,12 @@
             name = "behind",
             mixinStandardHelpOptions = true,
             description = "Who acted on something older than others did, and for how long.")
-    int behind(@CommandLine.Mixin What selection) throws IOException {
+    int behind(@CommandLine.Mixin AuditSelection selection) throws IOException {
         Map<String, Long> lagByServer =
-                selection.read().line().stragglerMillis(selection.from(), selection.until());
+                selection
+                        .read()
+                        .timeline()
+                        .stragglerMillis(selection.fromMillis(), selection.untilMillis());
         PrintWriter out = spec.commandLine().getOut();
         if (selection.json) {
             out.println(JSON.valueToTree(lagByServer).toString());
@@ -359,12 +371,17 @@
             description = "A lane a server, in an HTML page.")
     int chart(
             @Option(names = "--out", required = true, description = "The page.") Path file,
-            @CommandLine.Mixin What selection)
+            @CommandLine.Mixin AuditSelection selection)
             throws IOException {
         List<TimelineInterval> intervals =
-                selection.read().line().intervals(selection.from(), selection.until());
+                selection
+                        .read()
+                        .timeline()
+                        .intervals(selection.fromMillis(), selection.untilMillis());
         Files.writeString(
-                file, VersionTimelineChart.page(intervals, selection.from(), selection.until()));
+                file,
+                VersionTimelineChart.toHtml(
+                        intervals, selection.fromMillis(), selection.untilMillis()));
         return exitCode(selection, false);
     }
 }
--- a/src/main/java/ochretiller/commands/ContractCommand.java
+++ b/src/main/java/ochretiller/commands/ContractCommand.java
@@ -44,7 +44,7 @@
     int diff(
             @Parameters(description = FOLDER_HELP) Path from,
             @Parameters(description = FOLDER_HELP) Path to) {
-        List<String> changes = ContractFiles.read(from).changes(ContractFiles.read(to));
+        List<String> changes = ContractFiles.read(from).describeChanges(ContractFiles.read(to));
         changes.forEach(out()::println);
         if (changes.isEmpty()) {
             out().println("nothing changes");
@@ -62,7 +62,7 @@
                         Locale.ROOT,
                         "capacity %.3f core seconds a second, %.3f promised%n",
                         contracts.capacity(),
-                        contracts.promised());
+                        contracts.guaranteedRateSum());
         for (Contract contract : contracts.byTeam().values()) {
             out().printf(
                             Locale.ROOT,
@@ -70,11 +70,11 @@
                                     + " %.3f%n",
                             contract.team(),
                             contract.version(),
-                            contract.promise().rate(),
-                            contract.promise().burst(),
-                            contract.promise().weight(),
-                            contract.promise().retryShare());
-            for (Contract.Service service : contract.publishes()) {
+                            contract.guarantee().rate(),
+                            contract.guarantee().burst(),
+                            contract.guarantee().weight(),
+                            contract.guarantee().retryRatio());
+            for (Contract.Service service : contract.services()) {
                 out().printf(
                                 "  publishes %s on %s within %d ms%n",
                                 service.name(), service.pool(), service.objective().toMillis());
@@ -85,8 +85,8 @@
                                 "  calls %s: %.3f a second, %d at once, objective %d ms, timeout %d"
                                         + " ms, value %s%n",
                                 call.service(),
-                                call.work(),
-                                call.inFlight(),
+                                call.expectedWorkRate(),
+                                call.maxInFlight(),
                                 call.objective().toMillis(),
                                 call.timeout().toMillis(),
                                 call.value());
--- a/src/main/java/ochretiller/commands/CopiesCommand.java
+++ b/src/main/java/ochretiller/commands/CopiesCommand.java
@@ -49,9 +49,9 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
-    private static JsonNode request(FleetCommand.Whom target, String command, String arguments)
-            throws IOException {
-        try (AdminClient client = target.dial()) {
+    private static JsonNode request(
+            FleetCommand.TargetServer target, String command, String arguments) throws IOException {
+        try (AdminClient client = target.connect()) {
             return sendRequest(client, command, arguments);
         }
     }
@@ -70,7 +70,7 @@
             name = "status",
             mixinStandardHelpOptions = true,
             description = "What a server keeps, and whether it is whole.")
-    int status(@CommandLine.Mixin FleetCommand.Whom target) throws IOException {
+    int status(@CommandLine.Mixin FleetCommand.TargetServer target) throws IOException {
         JsonNode status = request(target, "copies-status", "");
         PrintWriter out = spec.commandLine().getOut();
         if (target.json) {
@@ -119,7 +119,7 @@
             mixinStandardHelpOptions = true,
             description = "What each keeper of a token has of it.")
     int show(
-            @CommandLine.Mixin FleetCommand.Whom target,
+            @CommandLine.Mixin FleetCommand.TargetServer target,
             @Parameters(paramLabel = "TOKEN") String token)
             throws IOException {
         JsonNode targetReplica = request(target, "copies-show", token);
@@ -135,7 +135,8 @@
                 if (!addressByName.containsKey(name)) {
                     throw new IOException("it is not there");
                 }
-                replicas.add(request(target.at(addressByName.get(name)), "copies-show", token));
+                replicas.add(
+                        request(target.atAddress(addressByName.get(name)), "copies-show", token));
             } catch (IOException e) {
                 // An unreachable replica is unknown; it must not look like one without an entry.
                 replicas.add(
@@ -198,8 +199,9 @@
         }
     }
 
-    private static Map<String, String> aliveAddresses(FleetCommand.Whom target) throws IOException {
-        try (AdminClient client = target.dial()) {
+    private static Map<String, String> aliveAddresses(FleetCommand.TargetServer target)
+            throws IOException {
+        try (AdminClient client = target.connect()) {
             Map<String, String> addressByName = new HashMap<>();
             for (JsonNode member : JSON.readTree(client.request("view")).get("members")) {
                 if (member.get("state").asText().equals(MemberState.ALIVE.externalName())) {
@@ -215,7 +217,7 @@
             mixinStandardHelpOptions = true,
             description = "What two servers have otherwise, of the ranges that both keep.")
     int diff(
-            @CommandLine.Mixin FleetCommand.Whom target,
+            @CommandLine.Mixin FleetCommand.TargetServer target,
             @Option(
                             names = "--with",
                             required = true,
@@ -224,7 +226,7 @@
                     String otherAddress)
             throws IOException {
         JsonNode here = request(target, "copies-digests", "");
-        JsonNode there = request(target.at(otherAddress), "copies-digests", "");
+        JsonNode there = request(target.atAddress(otherAddress), "copies-digests", "");
         PrintWriter out = spec.commandLine().getOut();
         int commonRanges = 0;
         TreeSet<Integer> differingRanges = new TreeSet<>();
@@ -286,13 +288,19 @@
     }
 
     private static void addDifferingTokens(
-            FleetCommand.Whom target, String otherAddress, int range, ArrayNode differingTokens)
+            FleetCommand.TargetServer target,
+            String otherAddress,
+            int range,
+            ArrayNode differingTokens)
             throws IOException {
         Map<String, JsonNode> entriesHere =
                 entriesByToken(request(target, "copies-range", Integer.toString(range)));
         Map<String, JsonNode> entriesThere =
                 entriesByToken(
-                        request(target.at(otherAddress), "copies-range", Integer.toString(range)));
+                        request(
+                                target.atAddress(otherAddress),
+                                "copies-range",
+                                Integer.toString(range)));
         TreeSet<String> allTokens = new TreeSet<>(entriesHere.keySet());
         allTokens.addAll(entriesThere.keySet());
         for (String token : allTokens) {
@@ -301,7 +309,8 @@
             if (here != null && there != null && here.get(1).equals(there.get(1))) {
                 continue;
             }
-            differingTokens.addObject()
+            differingTokens
+                    .addObject()
                     .put("token", token)
                     .put("range", range)
                     .put("here", here == null ? "nothing" : here.get(2).asText())
@@ -322,7 +331,7 @@
                     "Let a server compare all it keeps with the other keepers, and wait until that"
                             + " is over.")
     int repair(
-            @CommandLine.Mixin FleetCommand.Whom target,
+            @CommandLine.Mixin FleetCommand.TargetServer target,
             @Option(names = "--within", defaultValue = "300", description = "Seconds to wait.")
                     int timeoutSeconds)
             throws IOException, InterruptedException {
--- a/src/main/java/ochretiller/commands/FleetCommand.java
+++ b/src/main/java/ochretiller/commands/FleetCommand.java
@@ -45,7 +45,7 @@
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** Options that select the server to send requests to. */
-    static final class Whom {
+    static final class TargetServer {
         @Option(
                 names = "--operator",
                 paramLabel = "<operator>",
@@ -53,45 +53,45 @@
                 description =
                         "An operators' file of this fleet: its name, its keys, and the server to"
                                 + " ask.")
-        Path operator;
+        Path operatorFile;
 
         @Option(
                 names = "--at",
                 paramLabel = "ADDRESS",
                 description = "Ask the server at this address of the fleet instead.")
-        String at;
+        String atAddress;
 
         @Option(names = "--json", description = "Say it as JSON.")
         boolean json;
 
         /** Returns these options for the server at another address of the fleet. */
-        Whom at(String address) {
-            Whom other = new Whom();
-            other.operator = operator;
+        TargetServer atAddress(String address) {
+            TargetServer other = new TargetServer();
+            other.operatorFile = operatorFile;
             other.json = json;
-            other.at = address;
+            other.atAddress = address;
             return other;
         }
 
-        AdminClient dial() throws IOException {
+        AdminClient connect() throws IOException {
             FleetSettings settings =
-                    OperatorConfigReader.read(operator)
+                    OperatorConfigReader.read(operatorFile)
                             .fleet()
                             .orElseThrow(
-                                    () -> new MalformedException(operator + " has no 'fleet'"));
-            InetSocketAddress address = settings.listen();
-            if (at != null) {
+                                    () -> new MalformedException(operatorFile + " has no 'fleet'"));
+            InetSocketAddress address = settings.listenAddress();
+            if (atAddress != null) {
                 try {
-                    PeerAddress peer = PeerAddress.parse(at);
+                    PeerAddress peer = PeerAddress.parse(atAddress);
                     address = new InetSocketAddress(peer.host(), peer.port());
                 } catch (IllegalArgumentException e) {
                     throw new MalformedException(
-                            "--at must be an IP address and a port, not '" + at + "'");
+                            "--at must be an IP address and a port, not '" + atAddress + "'");
                 }
             }
             try {
                 return new AdminClient(
-                        address, settings.fleet(), FleetKeys.read(settings.keyFile()));
+                        address, settings.fleetName(), FleetKeys.read(settings.keyFile()));
             } catch (IOException e) {
                 throw new IOException(
                         "cannot connect to the server at " + address + ": " + e.getMessage(), e);
@@ -109,7 +109,7 @@
             mixinStandardHelpOptions = true,
             description = "How a server sees its fleet.")
     int view(
-            @CommandLine.Mixin Whom target,
+            @CommandLine.Mixin TargetServer target,
             @Option(
                             names = "--watch",
                             paramLabel = "SECONDS",
@@ -142,8 +142,8 @@
         return 0;
     }
 
-    private static JsonNode request(Whom target, String command) throws IOException {
-        try (AdminClient client = target.dial()) {
+    private static JsonNode request(TargetServer target, String command) throws IOException {
+        try (AdminClient client = target.connect()) {
             return JSON.readTree(client.request(command));
         }
     }
@@ -224,7 +224,7 @@
             mixinStandardHelpOptions = true,
             description = "How fast a server answers at its fleet's door.")
     int ping(
-            @CommandLine.Mixin Whom target,
+            @CommandLine.Mixin TargetServer target,
             @Option(
                             names = "--times",
                             defaultValue = "10",
@@ -232,7 +232,7 @@
                     int times)
             throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        try (AdminClient client = target.dial()) {
+        try (AdminClient client = target.connect()) {
             long[] micros = new long[Math.max(1, Math.min(99, times))];
             for (int i = 0; i < micros.length; i++) {
                 long startNanos = System.nanoTime();
@@ -269,7 +269,7 @@
                     "Bring a version out to the fleet, by stages; one of its voters has to be"
                         + " asked. A version is an operators' file with pools and nothing else.")
     int publish(
-            @CommandLine.Mixin Whom target,
+            @CommandLine.Mixin TargetServer target,
             @CommandLine.Parameters(description = "The version.") Path file,
             @Option(names = "--why", required = true, description = "Why, in a line.")
                     String reason,
@@ -293,7 +293,7 @@
             }
         }
         JsonNode response;
-        try (AdminClient client = target.dial()) {
+        try (AdminClient client = target.connect()) {
             response =
                     JSON.readTree(
                             client.request(
@@ -313,7 +313,7 @@
     }
 
     /** Prints each state of a rollout until it has ended, and returns the exit code. */
-    private int follow(Whom target, long number) throws InterruptedException {
+    private int follow(TargetServer target, long number) throws InterruptedException {
         String lastLine = "";
         while (true) {
             Thread.sleep(POLL_INTERVAL_MS);
@@ -362,7 +362,7 @@
         }
     }
 
-    private void printResult(Whom target, JsonNode response, String text) {
+    private void printResult(TargetServer target, JsonNode response, String text) {
         PrintWriter out = spec.commandLine().getOut();
         out.println(target.json ? response.toString() : text);
         out.flush();
@@ -372,7 +372,7 @@
      * Prints the response and returns true if it is a refusal. A version status is not one: its
      * {@code refused} says why a version was rejected, and only a status has {@code servers}.
      */
-    private boolean reportRefusal(Whom target, JsonNode response) {
+    private boolean reportRefusal(TargetServer target, JsonNode response) {
         String reason = response.path("refused").asText();
         if (reason.isEmpty() || response.has("servers")) {
             return false;
@@ -390,7 +390,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Which version is in force, how far the next has come, and who acts on which.")
-    int versions(@CommandLine.Mixin Whom target) throws IOException {
+    int versions(@CommandLine.Mixin TargetServer target) throws IOException {
         JsonNode status = request(target, "version-status");
         if (reportRefusal(target, status)) {
             return EXIT_FAILED;
@@ -439,7 +439,7 @@
             name = "pause",
             mixinStandardHelpOptions = true,
             description = "Stop a rollout where it is.")
-    int pause(@CommandLine.Mixin Whom target) throws IOException {
+    int pause(@CommandLine.Mixin TargetServer target) throws IOException {
         return requestRolloutChange(target, "pause");
     }
 
@@ -447,7 +447,7 @@
             name = "go-on",
             mixinStandardHelpOptions = true,
             description = "Let a rollout go on that was paused or halted.")
-    int goOn(@CommandLine.Mixin Whom target) throws IOException {
+    int goOn(@CommandLine.Mixin TargetServer target) throws IOException {
         return requestRolloutChange(target, "go-on");
     }
 
@@ -455,13 +455,13 @@
             name = "take-back",
             mixinStandardHelpOptions = true,
             description = "Bring back what was before, for all at once, as a version of its own.")
-    int takeBack(@CommandLine.Mixin Whom target) throws IOException {
+    int takeBack(@CommandLine.Mixin TargetServer target) throws IOException {
         return requestRolloutChange(target, "take-back");
     }
 
-    private int requestRolloutChange(Whom target, String change) throws IOException {
+    private int requestRolloutChange(TargetServer target, String change) throws IOException {
         JsonNode response;
-        try (AdminClient client = target.dial()) {
+        try (AdminClient client = target.connect()) {
             response =
                     JSON.readTree(
                             client.request("version-" + change, System.getProperty("user.name")));
@@ -479,13 +479,13 @@
             description =
                     "Tell a server to drain and end, as SIGTERM does; waits until it is gone.")
     int leave(
-            @CommandLine.Mixin Whom target,
+            @CommandLine.Mixin TargetServer target,
             @Option(names = "--within", defaultValue = "60", description = "Seconds to wait.")
                     int timeoutSeconds)
             throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         String name;
-        try (AdminClient client = target.dial()) {
+        try (AdminClient client = target.connect()) {
             name = client.serverName();
             client.request("leave");
         }
--- a/src/main/java/ochretiller/commands/StoreCommand.java
+++ b/src/main/java/ochretiller/commands/StoreCommand.java
@@ -29,14 +29,14 @@
         mixinStandardHelpOptions = true)
 public final class StoreCommand implements Runnable {
     /** Exit code for a store with a damaged file. */
-    public static final int DAMAGED = 3;
+    public static final int EXIT_DAMAGED = 3;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** Options that all sub-commands share. */
-    static final class Common {
+    static final class StoreOptions {
         @Parameters(index = "0", paramLabel = "DIR", description = "The store's folder.")
         Path folder;
 
@@ -48,7 +48,7 @@
                 description = "No progress on standard error.")
         boolean quiet;
 
-        StorageDirectory disk() {
+        StorageDirectory storageDirectory() {
             return new LocalDirectory(folder);
         }
 
@@ -100,8 +100,9 @@
             name = "verify",
             description = "Read every byte; 0 where all is good, 3 where something is damaged.",
             mixinStandardHelpOptions = true)
-    int verify(@CommandLine.Mixin Common common) throws IOException {
-        StoreReport report = StoreInspector.verify(common.disk(), common.progress("reads"));
+    int verify(@CommandLine.Mixin StoreOptions common) throws IOException {
+        StoreReport report =
+                StoreInspector.verify(common.storageDirectory(), common.progress("reads"));
         if (common.json) {
             print(toJson(report));
         } else {
@@ -121,15 +122,16 @@
                             + report.segments().size()
                             + " files");
         }
-        return report.isUndamaged() ? 0 : DAMAGED;
+        return report.isUndamaged() ? 0 : EXIT_DAMAGED;
     }
 
     @Command(
             name = "stat",
             description = "Sizes of the files and of what is dead in them.",
             mixinStandardHelpOptions = true)
-    int stat(@CommandLine.Mixin Common common) throws IOException {
-        StoreReport report = StoreInspector.verify(common.disk(), common.progress("reads"));
+    int stat(@CommandLine.Mixin StoreOptions common) throws IOException {
+        StoreReport report =
+                StoreInspector.verify(common.storageDirectory(), common.progress("reads"));
         if (common.json) {
             print(toJson(report));
             return 0;
@@ -155,9 +157,9 @@
             name = "list",
             description = "What is remembered, a line each.",
             mixinStandardHelpOptions = true)
-    int list(@CommandLine.Mixin Common common) throws IOException {
+    int list(@CommandLine.Mixin StoreOptions common) throws IOException {
         StoreInspector.list(
-                common.disk(),
+                common.storageDirectory(),
                 entry -> {
                     IdempotencyRecord record =
                             IdempotencyRecord.decode(entry.key(), entry.metadata()).orElse(null);
@@ -217,8 +219,9 @@
             name = "compact",
             description = "Copy what is live and drop the rest; the store must not be in use.",
             mixinStandardHelpOptions = true)
-    int compact(@CommandLine.Mixin Common common) throws IOException {
-        CompactionReport report = StoreInspector.compact(common.disk(), common.progress("copies"));
+    int compact(@CommandLine.Mixin StoreOptions common) throws IOException {
+        CompactionReport report =
+                StoreInspector.compact(common.storageDirectory(), common.progress("copies"));
         if (common.json) {
             print(
                     JSON.createObjectNode()
--- a/src/main/java/ochretiller/commands/TryCommand.java
+++ b/src/main/java/ochretiller/commands/TryCommand.java
@@ -79,7 +79,7 @@
                             }
                         },
                         report -> {});
-        services.runs =
+        services.runHandler =
                 (rid, operation, body) ->
                         services.complete(
                                 rid,
@@ -99,7 +99,8 @@
         configFile.toFile().deleteOnExit();
         OperatorConfig operatorConfig = createOperatorConfig();
         ServerNodeBuilder builder = ServerNode.builder(configFile).operator(operatorConfig);
-        operatorConfig.remember()
+        operatorConfig
+                .durability()
                 .ifPresent(remember -> builder.storage(new LocalDirectory(remember.folder())));
         ServerNode node = builder.build();
         node.prepare();
@@ -167,7 +168,7 @@
                                 id, "order", GatewayMessages.params(rid, TOKEN, "two bolts, M8"));
                 System.out.println(
                         (id == 1 ? "a keyed request:   " : "its repeat:        ") + request.trim());
-                String answer = gateway.send(request).line();
+                String answer = gateway.send(request).readLine();
                 System.out.println("the answer:        " + answer);
                 System.out.println("the run's result:  " + decodeResult(answer));
             }
--- a/src/main/java/ochretiller/commands/VersionTimelineChart.java
+++ b/src/main/java/ochretiller/commands/VersionTimelineChart.java
@@ -39,7 +39,7 @@
                 .replace("\"", "&quot;");
     }
 
-    static String page(List<TimelineInterval> intervals, long fromMillis, long untilMillis) {
+    static String toHtml(List<TimelineInterval> intervals, long fromMillis, long untilMillis) {
         Set<String> servers = new LinkedHashSet<>();
         Set<Long> versions = new TreeSet<>();
         for (TimelineInterval interval : intervals) {
--- a/src/main/java/ochretiller/contracts/AddressPrefix.java
+++ b/src/main/java/ochretiller/contracts/AddressPrefix.java
@@ -12,7 +12,7 @@
      *
      * @return the prefix, or null if the text is neither or has non-zero host bits
      */
-    static AddressPrefix of(String text) {
+    static AddressPrefix parse(String text) {
         int slash = text.indexOf('/');
         String[] octets = (slash < 0 ? text : text.substring(0, slash)).split("\\.", -1);
         if (octets.length != 4) {
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether one prefix contains the other. */
-    boolean meets(AddressPrefix other) {
+    boolean overlaps(AddressPrefix other) {
         int mask = mask(Math.min(length, other.length));
         return (bits & mask) == (other.bits & mask);
     }
--- a/src/main/java/ochretiller/contracts/Contract.java
+++ b/src/main/java/ochretiller/contracts/Contract.java
@@ -10,18 +10,18 @@
  *
  * @param version increases with each change; an invocation is bound to the version that was in
  *     force when it was read
- * @param known addresses and prefixes of the team's clients, such as {@code 10.1.0.0/16}
- * @param publishes the services that the team provides
+ * @param clientAddresses addresses and prefixes of the team's clients, such as {@code 10.1.0.0/16}
+ * @param services the services that the team provides
  * @param calls the services that the team uses
- * @param promise the capacity that the team is guaranteed
+ * @param guarantee the capacity that the team is guaranteed
  */
 public record Contract(
         TeamId team,
         int version,
-        List<String> known,
-        List<Service> publishes,
+        List<String> clientAddresses,
+        List<Service> services,
         List<Call> calls,
-        GuaranteedRate promise) {
+        GuaranteedRate guarantee) {
     /**
      * A service that the team provides.
      *
@@ -33,16 +33,16 @@
     /**
      * A service that the team uses.
      *
-     * @param work core seconds per second that the team expects to use there
-     * @param inFlight maximum requests of the team in flight there
+     * @param expectedWorkRate core seconds per second that the team expects to use there
+     * @param maxInFlight maximum requests of the team in flight there
      * @param objective time within which an answer earns its value
      * @param timeout time after which the client no longer waits
      * @param value billed value of one answer
      */
     public record Call(
             String service,
-            double work,
-            int inFlight,
+            double expectedWorkRate,
+            int maxInFlight,
             Duration objective,
             Duration timeout,
             double value) {}
--- a/src/main/java/ochretiller/contracts/Contracts.java
+++ b/src/main/java/ochretiller/contracts/Contracts.java
@@ -32,21 +32,21 @@
     }
 
     /** Returns the guaranteed rate of each team, for the budgets. */
-    public Map<TeamId, GuaranteedRate> promises() {
+    public Map<TeamId, GuaranteedRate> guaranteedRates() {
         Map<TeamId, GuaranteedRate> rates = new LinkedHashMap<>();
-        byTeam.forEach((team, contract) -> rates.put(team, contract.promise()));
+        byTeam.forEach((team, contract) -> rates.put(team, contract.guarantee()));
         return rates;
     }
 
     /** Returns the sum of all guaranteed rates in core seconds per second. */
-    public double promised() {
-        return byTeam.values().stream().mapToDouble(contract -> contract.promise().rate()).sum();
+    public double guaranteedRateSum() {
+        return byTeam.values().stream().mapToDouble(contract -> contract.guarantee().rate()).sum();
     }
 
     private Map<String, Contract> publishers() {
         Map<String, Contract> publishers = new TreeMap<>();
         for (Contract contract : byTeam.values()) {
-            for (Contract.Service service : contract.publishes()) {
+            for (Contract.Service service : contract.services()) {
                 publishers.put(service.name(), contract);
             }
         }
@@ -56,7 +56,7 @@
     /** Returns the faults of the contracts as a whole, one line each; empty if they are valid. */
     public List<String> faults() {
         List<String> faults = new ArrayList<>();
-        double sum = promised();
+        double sum = guaranteedRateSum();
         if (sum > capacity * (1 + ROUNDING)) {
             faults.add(
                     String.format(
@@ -78,7 +78,7 @@
     private void checkPublishers(List<String> faults) {
         Map<String, TeamId> publisherByService = new HashMap<>();
         for (Contract contract : byTeam.values()) {
-            for (Contract.Service service : contract.publishes()) {
+            for (Contract.Service service : contract.services()) {
                 TeamId other = publisherByService.putIfAbsent(service.name(), contract.team());
                 if (other != null) {
                     faults.add(
@@ -100,14 +100,15 @@
         List<AddressPrefix> prefixes = new ArrayList<>();
         List<TeamId> owners = new ArrayList<>();
         for (Contract contract : byTeam.values()) {
-            for (String text : contract.known()) {
-                AddressPrefix prefix = AddressPrefix.of(text);
+            for (String text : contract.clientAddresses()) {
+                AddressPrefix prefix = AddressPrefix.parse(text);
                 if (prefix == null) {
                     faults.add(contract.team() + ": '" + text + "' is no address or prefix");
                     continue;
                 }
                 for (int i = 0; i < prefixes.size(); i++) {
-                    if (owners.get(i).equals(contract.team()) || !prefixes.get(i).meets(prefix)) {
+                    if (owners.get(i).equals(contract.team())
+                            || !prefixes.get(i).overlaps(prefix)) {
                         continue;
                     }
                     faults.add(
@@ -141,7 +142,7 @@
             if (call.objective().compareTo(call.timeout()) > 0) {
                 faults.add(description + " with an objective behind its timeout");
             }
-            for (Contract.Service service : publisher.publishes()) {
+            for (Contract.Service service : publisher.services()) {
                 if (service.name().equals(call.service())
                         && service.objective().compareTo(call.objective()) > 0) {
                     faults.add(
@@ -154,15 +155,16 @@
                 }
             }
         }
-        double expectedWork = contract.calls().stream().mapToDouble(Contract.Call::work).sum();
-        if (expectedWork > contract.promise().rate() * (1 + ROUNDING)) {
+        double expectedWork =
+                contract.calls().stream().mapToDouble(Contract.Call::expectedWorkRate).sum();
+        if (expectedWork > contract.guarantee().rate() * (1 + ROUNDING)) {
             faults.add(
                     String.format(
                             Locale.ROOT,
                             "%s expects to cause %.3f core seconds a second and is promised %.3f",
                             contract.team(),
                             expectedWork,
-                            contract.promise().rate()));
+                            contract.guarantee().rate()));
         }
     }
 
@@ -214,7 +216,7 @@
      * Describes the effect of replacing these contracts with others, one line per change; a team
      * that is not affected has none.
      */
-    public List<String> changes(Contracts replacement) {
+    public List<String> describeChanges(Contracts replacement) {
         List<String> lines = new ArrayList<>();
         if (capacity != replacement.capacity) {
             lines.add(
@@ -230,7 +232,7 @@
             Contract previous = byTeam.get(team);
             Contract updated = replacement.byTeam.get(team);
             if (previous == null) {
-                lines.add(team + " comes, promised " + formatRate(updated.promise().rate()));
+                lines.add(team + " comes, promised " + formatRate(updated.guarantee().rate()));
             } else if (updated == null) {
                 lines.add(
                         team
@@ -258,13 +260,13 @@
                             + " -> "
                             + updated.version());
         }
-        if (previous.promise().rate() != updated.promise().rate()) {
+        if (previous.guarantee().rate() != updated.guarantee().rate()) {
             lines.add(
                     team
                             + "promised "
-                            + formatRate(previous.promise().rate())
+                            + formatRate(previous.guarantee().rate())
                             + " -> "
-                            + formatRate(updated.promise().rate()));
+                            + formatRate(updated.guarantee().rate()));
         }
         double oldFraction = idleFraction(previous);
         double newFraction = replacement.idleFraction(updated);
@@ -277,23 +279,23 @@
                             oldFraction,
                             newFraction));
         }
-        if (previous.promise().burst() != updated.promise().burst()) {
+        if (previous.guarantee().burst() != updated.guarantee().burst()) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "%sburst %.3f -> %.3f core seconds",
                             team,
-                            previous.promise().burst(),
-                            updated.promise().burst()));
+                            previous.guarantee().burst(),
+                            updated.guarantee().burst()));
         }
-        if (previous.promise().retryShare() != updated.promise().retryShare()) {
+        if (previous.guarantee().retryRatio() != updated.guarantee().retryRatio()) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "%sretries %.3f -> %.3f of first tries",
                             team,
-                            previous.promise().retryShare(),
-                            updated.promise().retryShare()));
+                            previous.guarantee().retryRatio(),
+                            updated.guarantee().retryRatio()));
         }
         addListChanges(
                 team,
@@ -304,8 +306,8 @@
         addListChanges(
                 team,
                 "publishes",
-                previous.publishes().stream().map(Contract.Service::name).toList(),
-                updated.publishes().stream().map(Contract.Service::name).toList(),
+                previous.services().stream().map(Contract.Service::name).toList(),
+                updated.services().stream().map(Contract.Service::name).toList(),
                 lines);
     }
 
@@ -329,7 +331,8 @@
 
     /** Returns the fraction of idle capacity that a team gets if all teams want some, 0 to 1. */
     private double idleFraction(Contract contract) {
-        double sum = byTeam.values().stream().mapToDouble(other -> other.promise().weight()).sum();
-        return sum == 0 ? 0 : contract.promise().weight() / sum;
+        double sum =
+                byTeam.values().stream().mapToDouble(other -> other.guarantee().weight()).sum();
+        return sum == 0 ? 0 : contract.guarantee().weight() / sum;
     }
 }
--- a/src/main/java/ochretiller/fakes/ClassArchiveRun.java
+++ b/src/main/java/ochretiller/fakes/ClassArchiveRun.java
@@ -23,7 +23,7 @@
         int id = 0;
         for (boolean isReady = false; !isReady; ) {
             gateway.send(GatewayMessages.message(++id, "ping", "{\"full\":true}"));
-            isReady = gateway.line().contains("true");
+            isReady = gateway.readLine().contains("true");
         }
         for (int round = 0; round < ROUNDS; round++) {
             String token = String.format("%032x", round);
@@ -52,7 +52,7 @@
         exchange(gateway, GatewayMessages.message(++id, "ping", "{}"));
         try (FakeConnection badGateway = new FakeConnection(new Socket(HOST, serverPort))) {
             badGateway.send("not JSON\n");
-            if (badGateway.line() != null) {
+            if (badGateway.readLine() != null) {
                 throw new IOException("the server answered a line that is not JSON");
             }
         }
@@ -65,7 +65,7 @@
     }
 
     private static void exchange(FakeConnection gateway, String message) throws IOException {
-        gateway.send(message).line();
+        gateway.send(message).readLine();
     }
 
     private static FakeConnection connect(int port) throws Exception {
--- a/src/main/java/ochretiller/fakes/DaemonThreads.java
+++ b/src/main/java/ochretiller/fakes/DaemonThreads.java
@@ -6,7 +6,7 @@
 public final class DaemonThreads {
     /** The work of one thread. */
     @FunctionalInterface
-    public interface Work {
+    public interface Task {
         /** Does the work; an exception that it declares ends the thread silently. */
         void run() throws IOException, InterruptedException;
     }
@@ -14,7 +14,7 @@
     private DaemonThreads() {}
 
     /** Starts a thread that does not keep its process from exiting. */
-    public static void start(Work work) {
+    public static void start(Task work) {
         Thread thread =
                 new Thread(
                         () -> {
--- a/src/main/java/ochretiller/fakes/FakeConnection.java
+++ b/src/main/java/ochretiller/fakes/FakeConnection.java
@@ -32,18 +32,18 @@
     }
 
     /** Returns what one read delivers, at most {@code maxBytes} bytes; empty at end of input. */
-    public String some(int maxBytes) throws IOException {
+    public String readAvailable(int maxBytes) throws IOException {
         byte[] bytes = new byte[maxBytes];
         return new String(bytes, 0, Math.max(0, in.read(bytes)), StandardCharsets.ISO_8859_1);
     }
 
     /** Removes the read timeout, for a fake service that reads until its peer closes. */
-    void patient() throws IOException {
+    void disableReadTimeout() throws IOException {
         socket.setSoTimeout(0);
     }
 
     /** Returns the next line without its line end, or null at the end of the connection. */
-    public String line() throws IOException {
+    public String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         try {
             for (int c = in.read(); c != '\n'; c = in.read()) {
@@ -61,14 +61,14 @@
     }
 
     /** Reads a text of {@code length} bytes and skips the line end after it. */
-    public String bytes(int length) throws IOException {
+    public String readBytes(int length) throws IOException {
         String text = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
         in.readNBytes(2); // CR and LF
         return text;
     }
 
     /** Writes a text repeatedly without reading; returns whether a write failed. */
-    public boolean sendsUntilItEnds(String text, int times) {
+    public boolean sendUntilClosed(String text, int times) {
         try {
             for (int i = 0; i < times; i++) {
                 send(text);
--- a/src/main/java/ochretiller/fakes/FakeServices.java
+++ b/src/main/java/ochretiller/fakes/FakeServices.java
@@ -15,7 +15,7 @@
 
 /**
  * A fake processor, records service and roster on loopback sockets. The body of a request
- * determines its outcome, unless {@link #runs} is replaced.
+ * determines its outcome, unless {@link #runHandler} is replaced.
  */
 public final class FakeServices implements AutoCloseable {
     /** Maximum notices resent over a new link; the number is from the protocol's specification. */
@@ -32,31 +32,33 @@
     private long noticeCount;
 
     /** The latest greeted link to the processor; null before the first. */
-    public volatile FakeConnection link;
+    public volatile FakeConnection processorLink;
 
     /** The latest connection to the records service; null before the first. */
-    public volatile FakeConnection calls;
+    public volatile FakeConnection recordsConnection;
 
     /** The text with which the processor greets a new link. */
     public volatile String greeting = "hi hot 3600000\r\n";
 
     /** Whether unread notices are resent over a new link and a repeated begin is ignored. */
-    public volatile boolean keepsNotices;
+    public volatile boolean resendsNotices;
 
-    /** Whether the processor is still starting: it greets no link until {@link #speak}. */
-    public volatile boolean silent;
+    /** Whether the processor is still starting: it greets no link until {@link #finishStarting}. */
+    public volatile boolean isStarting;
 
     private FakeConnection waitingLink;
     private long waitingLinkLastRead;
 
     /** Determines the outcome of each run; by default the body of its request does. */
-    public volatile Runs runs = this::followBody;
+    public volatile RunHandler runHandler = this::followBody;
 
-    /** Handles a begun run: calls {@link #complete} or {@link #notice}, or leaves the run open. */
+    /**
+     * Handles a begun run: calls {@link #complete} or {@link #sendNotice}, or leaves the run open.
+     */
     @FunctionalInterface
-    public interface Runs {
+    public interface RunHandler {
         /** Called on the thread that reads the link, which it blocks until it returns. */
-        void begun(String rid, String operation, String body) throws IOException;
+        void onBegin(String rid, String operation, String body) throws IOException;
     }
 
     /**
@@ -79,7 +81,7 @@
     }
 
     /** Opens all three services on new free ports; the old connections stay open. */
-    public void move() throws IOException {
+    public void moveToNewPorts() throws IOException {
         open(new int[] {0, 0, 0});
     }
 
@@ -92,7 +94,7 @@
                         DaemonThreads.start(() -> serveProcessor(connection));
                     }
                 });
-        openRecords(ports[1]);
+        openRecordsService(ports[1]);
         DatagramSocket rosterSocket = roster = new DatagramSocket(ports[2], host);
         DaemonThreads.start(
                 () -> {
@@ -116,24 +118,24 @@
         return socket;
     }
 
-    /** Returns the TCP port of the processor, which {@link #move} changes. */
+    /** Returns the TCP port of the processor, which {@link #moveToNewPorts} changes. */
     public int processorPort() {
         return processor.getLocalPort();
     }
 
-    /** Returns the TCP port of the records service, which {@link #move} changes. */
+    /** Returns the TCP port of the records service, which {@link #moveToNewPorts} changes. */
     public int recordsPort() {
         return records.getLocalPort();
     }
 
-    /** Returns the UDP port of the roster, which {@link #move} changes. */
+    /** Returns the UDP port of the roster, which {@link #moveToNewPorts} changes. */
     public int rosterPort() {
         return roster.getLocalPort();
     }
 
     private void serveProcessor(FakeConnection connection) throws IOException {
-        connection.patient();
-        for (String line = connection.line(); line != null; line = connection.line()) {
+        connection.disableReadTimeout();
+        for (String line = connection.readLine(); line != null; line = connection.readLine()) {
             String[] words = line.split(" ");
             switch (words[0]) {
                 case "hello" -> greet(connection, Long.parseLong(words[1]));
@@ -145,15 +147,17 @@
                 }
                 case "trial" -> connection.send("tried " + words[1] + " complete\r\n");
                 case "begin" -> {
-                    String body = connection.bytes(Integer.parseInt(words[3]));
+                    String body = connection.readBytes(Integer.parseInt(words[3]));
                     commandListener.accept(line);
                     if (shouldRun(words[1])) {
-                        runs.begun(words[1], words[2], body);
+                        runHandler.onBegin(words[1], words[2], body);
                     }
                     continue;
                 }
                 case "answer" ->
-                        complete(words[1], "after " + connection.bytes(Integer.parseInt(words[2])));
+                        complete(
+                                words[1],
+                                "after " + connection.readBytes(Integer.parseInt(words[2])));
                 default -> {} // an interrupt is only passed to the listener
             }
             commandListener.accept(line);
@@ -161,18 +165,18 @@
     }
 
     private synchronized boolean shouldRun(String rid) {
-        return begunRuns.add(rid) || !keepsNotices;
+        return begunRuns.add(rid) || !resendsNotices;
     }
 
     private synchronized void greet(FakeConnection connection, long lastRead) throws IOException {
-        if (silent) {
+        if (isStarting) {
             waitingLink = connection;
             waitingLinkLastRead = lastRead;
             return;
         }
-        link = connection;
+        processorLink = connection;
         connection.send(greeting);
-        if (!keepsNotices) {
+        if (!resendsNotices) {
             return;
         }
         long droppedCount = noticeCount - notices.size();
@@ -184,8 +188,8 @@
     }
 
     /** Ends the start of the processor: it greets the waiting link, if any, and all later ones. */
-    public synchronized void speak() throws IOException {
-        silent = false;
+    public synchronized void finishStarting() throws IOException {
+        isStarting = false;
         if (waitingLink != null) {
             greet(waitingLink, waitingLinkLastRead);
         }
@@ -197,10 +201,10 @@
             complete(rid, "result of " + rid);
         }
         if (body.equals("bad")) {
-            notice("complete", rid + " error 5 0\r\n\r\n");
+            sendNotice("complete", rid + " error 5 0\r\n\r\n");
         }
         if (body.startsWith("call ")) {
-            notice("ask", rid + " " + body.length() + "\r\n" + body + "\r\n");
+            sendNotice("ask", rid + " " + body.length() + "\r\n" + body + "\r\n");
         }
     }
 
@@ -208,30 +212,30 @@
      * Sends the next notice over the latest link. If notices are resent, one that cannot be sent is
      * kept for the next link.
      */
-    public synchronized void notice(String verb, String rest) throws IOException {
+    public synchronized void sendNotice(String verb, String rest) throws IOException {
         String text = verb + " " + ++noticeCount + " " + rest;
-        if (keepsNotices) {
+        if (resendsNotices) {
             notices.add(text);
             if (notices.size() > MAX_RESENT_NOTICES) {
                 notices.remove(0);
             }
             try {
-                link.send(text);
+                processorLink.send(text);
             } catch (IOException e) {
                 // it is resent over the next link
             }
         } else {
-            link.send(text);
+            processorLink.send(text);
         }
     }
 
     /** Sends the notice that a run has completed with this result. */
     public void complete(String rid, String result) throws IOException {
-        notice("complete", rid + " complete 5 " + result.length() + "\r\n" + result + "\r\n");
+        sendNotice("complete", rid + " complete 5 " + result.length() + "\r\n" + result + "\r\n");
     }
 
     /** Makes the processor forget all runs and notices, as a restart does. */
-    public synchronized void restarted() {
+    public synchronized void restartProcessor() {
         notices.clear();
         begunRuns.clear();
         noticeCount = 0;
@@ -239,12 +243,12 @@
     }
 
     /** Stops accepting connections to the records service; open ones stay open. */
-    public void closeRecords() throws IOException {
+    public void closeRecordsService() throws IOException {
         records.close();
     }
 
-    /** Opens the records service on a port, after {@link #closeRecords}. */
-    public void openRecords(int port) throws IOException {
+    /** Opens the records service on a port, after {@link #closeRecordsService}. */
+    public void openRecordsService(int port) throws IOException {
         ServerSocket recordsSocket = records = listen(port);
         DaemonThreads.start(
                 () -> {
@@ -256,15 +260,15 @@
     }
 
     private void serveRecords(FakeConnection connection) throws IOException {
-        connection.patient();
-        calls = connection;
-        for (String line = connection.line(); line != null; line = connection.line()) {
+        connection.disableReadTimeout();
+        recordsConnection = connection;
+        for (String line = connection.readLine(); line != null; line = connection.readLine()) {
             commandListener.accept(line);
             String[] words = line.split(" ");
             if (!words[0].equals("OP")) {
                 continue;
             }
-            String body = connection.bytes(Integer.parseInt(words[3]));
+            String body = connection.readBytes(Integer.parseInt(words[3]));
             String outcome = body.startsWith("call ") ? body.substring("call ".length()) : "DONE";
             if (outcome.equals("DONE")) {
                 connection.send(words[1] + " DONE 5\r\nreply\r\n");
--- a/src/main/java/ochretiller/fakes/FakeWorker.java
+++ b/src/main/java/ochretiller/fakes/FakeWorker.java
@@ -21,7 +21,7 @@
  */
 public final class FakeWorker implements AutoCloseable {
     /** How the worker responds to a request. */
-    public enum Manner {
+    public enum ResponseMode {
         /** Status 200 with a result. */
         ANSWERS,
         /** Status 500. */
@@ -43,20 +43,21 @@
     }
 
     /** A request that the worker has received, with its variables by name. */
-    public record Ran(Map<String, String> vars, String body) {}
+    public record ReceivedRequest(Map<String, String> vars, String body) {}
 
     /** Selects how to respond to a request; may block, which delays the response. */
     @FunctionalInterface
     public interface Script {
         /** Returns how to respond; called on the thread of the connection. */
-        Manner play(Ran request) throws InterruptedException;
+        ResponseMode selectResponse(ReceivedRequest request) throws InterruptedException;
     }
 
     private final InetAddress host;
     private final int port;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final List<Ran> receivedRequests = new ArrayList<>();
+    private final List<ReceivedRequest> receivedRequests = new ArrayList<>();
     private volatile ServerSocket listener;
+
     /** Selects the responses; a replacement applies to requests that arrive later. */
     public volatile Script script;
 
@@ -83,17 +84,17 @@
         return socket;
     }
 
-    /** Returns the TCP port, which stays the same after {@link #rise}. */
+    /** Returns the TCP port, which stays the same after {@link #restart}. */
     public int port() {
         return port;
     }
 
     /** Returns a copy of the requests in the order in which they were received. */
-    public synchronized List<Ran> ran() {
+    public synchronized List<ReceivedRequest> requests() {
         return List.copyOf(receivedRequests);
     }
 
-    private synchronized void addRequest(Ran request) {
+    private synchronized void addRequest(ReceivedRequest request) {
         receivedRequests.add(request);
     }
 
@@ -124,15 +125,17 @@
             }
             byte[] body = new byte[Integer.parseInt(vars.getOrDefault("CONTENT_LENGTH", "0"))];
             in.readFully(body);
-            Ran request = new Ran(vars, new String(body, StandardCharsets.ISO_8859_1));
+            ReceivedRequest request =
+                    new ReceivedRequest(vars, new String(body, StandardCharsets.ISO_8859_1));
             addRequest(request);
-            respond(script.play(request), request, socket, out);
+            respond(script.selectResponse(request), request, socket, out);
         } finally {
             sockets.remove(socket);
         }
     }
 
-    private static void respond(Manner mode, Ran request, Socket socket, OutputStream out)
+    private static void respond(
+            ResponseMode mode, ReceivedRequest request, Socket socket, OutputStream out)
             throws IOException {
         String result = "result of " + request.body;
         String head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: ";
@@ -165,7 +168,7 @@
     }
 
     /** Stops listening and resets all open connections, as a killed process does. */
-    public void die() throws IOException {
+    public void kill() throws IOException {
         listener.close();
         for (Socket socket : sockets) {
             socket.setSoLinger(true, 0);
@@ -174,12 +177,12 @@
     }
 
     /** Listens on the same port again. */
-    public void rise() throws IOException {
+    public void restart() throws IOException {
         listener = listen(port);
     }
 
     @Override
     public void close() throws IOException {
-        die();
+        kill();
     }
 }
--- a/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
+++ b/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
@@ -22,7 +22,7 @@
 
     private final String name;
     private final Set<String> acceptors;
-    private final long instanceId;
+    private final long startId;
     private final int quorum;
     private final Map<String, Long> highestEpochs = new HashMap<>();
     private final Map<String, Long> lostStartIds = new HashMap<>();
@@ -38,12 +38,12 @@
     AcceptorRecovery(String name, Set<String> acceptors, long startId) {
         this.name = name;
         this.acceptors = acceptors;
-        this.instanceId = startId;
+        this.startId = startId;
         this.quorum = ReplicaPlacement.quorumSize(acceptors.size());
     }
 
-    long instanceId() {
-        return instanceId;
+    long startId() {
+        return startId;
     }
 
     /** Starts a round; answers to earlier rounds are ignored from now on. */
@@ -53,7 +53,7 @@
         }
         highestEpochs.clear();
         lostStartIds.clear();
-        lostStartIds.put(name, instanceId);
+        lostStartIds.put(name, startId);
         nonce++;
         return new ConsensusMessage.RecoveryQuery(nonce);
     }
@@ -68,7 +68,7 @@
      *
      * @return the highest epoch that may have been promised; empty until a majority has answered
      */
-    OptionalLong replied(String from, long highestEpoch) {
+    OptionalLong receiveReply(String from, long highestEpoch) {
         highestEpochs.put(from, highestEpoch);
         if (highestEpochs.size() < quorum) {
             return OptionalLong.empty();
@@ -82,7 +82,7 @@
      * @return the message for all acceptors; empty until all have lost their states in {@value
      *     #LOST_ROUNDS} rounds
      */
-    Optional<ConsensusMessage> stateLost(String from, long peerStartId) {
+    Optional<ConsensusMessage> receiveStateLost(String from, long peerStartId) {
         boolean isRepeated = lostStartIds.put(from, peerStartId) != null;
         if (isRepeated || lostStartIds.size() < acceptors.size()) {
             return Optional.empty();
@@ -95,7 +95,7 @@
     }
 
     /** Whether a message applies to this start of the process, not to an earlier one. */
-    boolean includes(ConsensusMessage.AllStateLost allLost) {
-        return Long.valueOf(instanceId).equals(allLost.instanceIds().get(name));
+    boolean isIncludedIn(ConsensusMessage.AllStateLost allLost) {
+        return Long.valueOf(startId).equals(allLost.startIds().get(name));
     }
 }
--- a/src/main/java/ochretiller/fleet/consensus/AcceptorState.java
+++ b/src/main/java/ochretiller/fleet/consensus/AcceptorState.java
@@ -6,7 +6,7 @@
  * The durable state of an acceptor, which must be on disk before any message that depends on it is
  * sent.
  *
- * @param committed the latest known committed placement
+ * @param committedPlacement the latest known committed placement
  * @param promisedBallot the highest ballot promised for the next epoch
  * @param acceptedBallot the ballot of the accepted placement; {@link Ballot#NONE} if there is none
  * @param acceptedPlacement the placement accepted for the next epoch, if any
@@ -14,7 +14,7 @@
  *     if there is none
  */
 public record AcceptorState(
-        ReplicaPlacement committed,
+        ReplicaPlacement committedPlacement,
         Ballot promisedBallot,
         Ballot acceptedBallot,
         Optional<ReplicaPlacement> acceptedPlacement,
@@ -31,7 +31,7 @@
 
     /** The only epoch that the acceptor may vote on. */
     long nextEpoch() {
-        return committed.epoch() + 1;
+        return committedPlacement.epoch() + 1;
     }
 
     /** Whether the acceptor has promised or accepted anything for the next epoch. */
@@ -41,12 +41,12 @@
 
     AcceptorState promise(Ballot ballot) {
         return new AcceptorState(
-                committed, ballot, acceptedBallot, acceptedPlacement, abstainsThrough);
+                committedPlacement, ballot, acceptedBallot, acceptedPlacement, abstainsThrough);
     }
 
     AcceptorState accept(Ballot ballot, ReplicaPlacement placement) {
         return new AcceptorState(
-                committed, ballot, ballot, Optional.of(placement), abstainsThrough);
+                committedPlacement, ballot, ballot, Optional.of(placement), abstainsThrough);
     }
 
     /** Replaces the committed placement and discards the votes, which a commit makes obsolete. */
@@ -57,6 +57,6 @@
 
     AcceptorState abstainThrough(long epoch) {
         return new AcceptorState(
-                committed, promisedBallot, acceptedBallot, acceptedPlacement, epoch);
+                committedPlacement, promisedBallot, acceptedBallot, acceptedPlacement, epoch);
     }
 }
--- a/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
+++ b/src/main/java/ochretiller/fleet/consensus/ConsensusMessage.java
@@ -57,18 +57,18 @@
     /**
      * Answers a {@link RecoveryQuery}: the sender has lost its state too.
      *
-     * @param instanceId a random number that identifies the start of the sender's process
+     * @param startId a random number that identifies the start of the sender's process
      */
-    record StateLost(long nonce, long instanceId) implements ConsensusMessage {}
+    record StateLost(long nonce, long startId) implements ConsensusMessage {}
 
     /**
      * All acceptors have lost their states at the same time, so no promise can still matter and
      * they resume voting.
      *
-     * @param instanceIds by acceptor name, the number that identifies the start of its process; an
+     * @param startIds by acceptor name, the number that identifies the start of its process; an
      *     acceptor with a different number has restarted since and ignores the message
      */
-    record AllStateLost(Map<String, Long> instanceIds) implements ConsensusMessage {}
+    record AllStateLost(Map<String, Long> startIds) implements ConsensusMessage {}
 
     /**
      * Reports to the acceptors how far a replica has caught up.
--- a/src/main/java/ochretiller/fleet/consensus/EpochAcceptor.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochAcceptor.java
@@ -33,7 +33,8 @@
 
     /** The highest epoch that it has promised, accepted, learned or abstains from. */
     long highestEpoch() {
-        long highest = state.hasOpenEpoch() ? state.nextEpoch() : state.committed().epoch();
+        long highest =
+                state.hasOpenEpoch() ? state.nextEpoch() : state.committedPlacement().epoch();
         return Math.max(highest, state.abstainsThrough());
     }
 
@@ -50,7 +51,7 @@
 
     /** Learns a committed placement; returns false if it is not newer than the known one. */
     boolean learn(ReplicaPlacement placement) {
-        if (placement.epoch() <= state.committed().epoch()) {
+        if (placement.epoch() <= state.committedPlacement().epoch()) {
             return false;
         }
         state = state.commit(placement);
@@ -86,8 +87,8 @@
 
     /** The answer to a proposal for an old epoch or under a ballot lower than the promised one. */
     private Optional<ConsensusMessage> reject(long epoch, Ballot ballot) {
-        if (epoch <= state.committed().epoch()) {
-            return Optional.of(new ConsensusMessage.Committed(state.committed()));
+        if (epoch <= state.committedPlacement().epoch()) {
+            return Optional.of(new ConsensusMessage.Committed(state.committedPlacement()));
         }
         if (mayVoteOn(epoch) && ballot.compareTo(state.promisedBallot()) < 0) {
             return Optional.of(new ConsensusMessage.Nack(epoch, ballot, state.promisedBallot()));
--- a/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochConsensus.java
@@ -62,8 +62,8 @@
     }
 
     /** The latest committed placement known to this acceptor. */
-    public ReplicaPlacement committed() {
-        return acceptor.state().committed();
+    public ReplicaPlacement committedPlacement() {
+        return acceptor.state().committedPlacement();
     }
 
     /** Whether this acceptor may have lost its state and does not vote yet. */
@@ -109,7 +109,7 @@
         } else if (message instanceof ConsensusMessage.StateLost lost) {
             receiveStateLost(from, lost);
         } else if (message instanceof ConsensusMessage.AllStateLost allLost) {
-            if (recovery.includes(allLost)) {
+            if (recovery.isIncludedIn(allLost)) {
                 acceptor.resume();
             }
         } else if (acceptors.contains(from) && acceptors.contains(name)) {
@@ -125,15 +125,15 @@
             acceptor.accept(accept).ifPresent(answer -> reply(from, answer));
         } else if (message instanceof ConsensusMessage.Promise promise) {
             if (promise.epoch() == acceptor.state().nextEpoch()) {
-                proposer.promised(from, promise).ifPresent(this::broadcastAndReceive);
+                proposer.receivePromise(from, promise).ifPresent(this::broadcastAndReceive);
             }
         } else if (message instanceof ConsensusMessage.Accepted accepted) {
             if (accepted.epoch() == acceptor.state().nextEpoch()) {
-                proposer.accepted(from, accepted).ifPresent(this::broadcastAndReceive);
+                proposer.receiveAccepted(from, accepted).ifPresent(this::broadcastAndReceive);
             }
         } else if (message instanceof ConsensusMessage.Nack nack) {
             if (nack.epoch() == acceptor.state().nextEpoch()) {
-                proposer.rejected(nack);
+                proposer.receiveNack(nack);
             }
         }
     }
@@ -146,10 +146,10 @@
 
     private ConsensusMessage answer(ConsensusMessage.RecoveryQuery query) {
         if (acceptor.hasLostState()) {
-            return new ConsensusMessage.StateLost(query.nonce(), recovery.instanceId());
+            return new ConsensusMessage.StateLost(query.nonce(), recovery.startId());
         }
         return new ConsensusMessage.RecoveryReply(
-                query.nonce(), acceptor.highestEpoch(), committed());
+                query.nonce(), acceptor.highestEpoch(), committedPlacement());
     }
 
     private void receiveRecoveryReply(String from, ConsensusMessage.RecoveryReply reply) {
@@ -157,14 +157,15 @@
             return;
         }
         learn(reply.placement());
-        recovery.replied(from, reply.highestEpoch()).ifPresent(acceptor::resumeAbstainingThrough);
+        recovery.receiveReply(from, reply.highestEpoch())
+                .ifPresent(acceptor::resumeAbstainingThrough);
     }
 
     private void receiveStateLost(String from, ConsensusMessage.StateLost lost) {
         if (!acceptor.hasLostState() || !recovery.isCurrent(from, lost.nonce())) {
             return;
         }
-        recovery.stateLost(from, lost.instanceId())
+        recovery.receiveStateLost(from, lost.startId())
                 .ifPresent(
                         allLost -> {
                             acceptor.resume();
--- a/src/main/java/ochretiller/fleet/consensus/EpochProposer.java
+++ b/src/main/java/ochretiller/fleet/consensus/EpochProposer.java
@@ -70,7 +70,7 @@
     }
 
     /** Processes a promise; returns the message for all acceptors if it completes a majority. */
-    Optional<ConsensusMessage> promised(String from, ConsensusMessage.Promise promise) {
+    Optional<ConsensusMessage> receivePromise(String from, ConsensusMessage.Promise promise) {
         if (phase != Phase.PREPARING || !promise.ballot().equals(ballot)) {
             return Optional.empty();
         }
@@ -93,7 +93,7 @@
     }
 
     /** Processes an acceptance; returns the message for all servers if it completes a majority. */
-    Optional<ConsensusMessage> accepted(String from, ConsensusMessage.Accepted accepted) {
+    Optional<ConsensusMessage> receiveAccepted(String from, ConsensusMessage.Accepted accepted) {
         if (phase != Phase.ACCEPTING || !accepted.ballot().equals(ballot)) {
             return Optional.empty();
         }
@@ -105,7 +105,7 @@
     }
 
     /** Processes a rejection; the next ballot will be higher than the promised one. */
-    void rejected(ConsensusMessage.Nack nack) {
+    void receiveNack(ConsensusMessage.Nack nack) {
         if (phase == Phase.IDLE || !nack.ballot().equals(ballot)) {
             return;
         }
--- a/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
+++ b/src/main/java/ochretiller/fleet/membership/BootstrapPeers.java
@@ -16,8 +16,8 @@
  * Chooses the peers whose addresses a server stores for its next start, spread over all zones. By
  * then the configured seeds may all be gone while other peers are still up.
  *
- * <p>The caller passes in snapshots of the view and stores the list that {@link #takeDue} returns.
- * Not thread-safe.
+ * <p>The caller passes in snapshots of the view and stores the list that {@link #takeListToStore}
+ * returns. Not thread-safe.
  */
 public final class BootstrapPeers {
     /** Maximum stored addresses. One live peer is enough; so many rarely change address at once. */
@@ -69,7 +69,7 @@
     }
 
     /** The list to store now; empty if it is unchanged or the last one was stored recently. */
-    public Optional<List<PeerAddress>> takeDue(Duration now) {
+    public Optional<List<PeerAddress>> takeListToStore(Duration now) {
         if (now.compareTo(nextStore) < 0) {
             return Optional.empty();
         }
--- a/src/main/java/ochretiller/fleet/membership/FailureDetector.java
+++ b/src/main/java/ochretiller/fleet/membership/FailureDetector.java
@@ -37,7 +37,7 @@
         this.probes = probes;
         this.transitions = transitions;
         this.indirectProbers = new IndirectProbers(context, schedule);
-        this.nextProbeAt = context.randomPartOf(context.timing().probeInterval());
+        this.nextProbeAt = context.randomFractionOf(context.timing().probeInterval());
     }
 
     /** Repeats pings, requests indirect probes and handles probes that have timed out. */
@@ -57,7 +57,7 @@
         context.counters().increment(MembershipCounter.FAILED_PROBES);
         // A server that receives nothing may itself be cut off: it must not announce to the fleet
         // that all other members are gone.
-        boolean receivedNothing = probes.nothingReceivedSince(probe);
+        boolean receivedNothing = probes.hasReceivedNothingSince(probe);
         if (receivedNothing) {
             context.health().degrade();
         }
@@ -85,7 +85,7 @@
 
     private Duration suspicionTimeout(MemberRecord suspect) {
         ProtocolTiming timing = context.timing();
-        if (suspect.isCondemnedByPeer()) {
+        if (suspect.isReportedUnresponsive()) {
             return timing.minSuspicionTimeout(context.fleetSize());
         }
         return timing.suspicionTimeout(context.fleetSize(), suspect.accusers().size());
@@ -97,7 +97,7 @@
             return;
         }
         ProtocolTiming timing = context.timing();
-        Duration jitter = context.randomPartOf(timing.tickInterval()).dividedBy(2);
+        Duration jitter = context.randomFractionOf(timing.tickInterval()).dividedBy(2);
         nextProbeAt = context.clock().now().plus(timing.probeInterval()).minus(jitter);
         reprobeSuspects();
         probeNextInRound();
@@ -109,7 +109,7 @@
             if (started == REPROBED_SUSPECTS) {
                 return;
             }
-            if (suspect.ownProbeFailed() && !probes.isProbing(suspect.incarnation())) {
+            if (suspect.hasOwnProbeFailed() && !probes.isProbing(suspect.incarnation())) {
                 started++;
                 probes.start(ProbeRequest.scheduled(suspect.member()));
             }
@@ -129,7 +129,7 @@
     }
 
     /** Completes a probe that was answered from the probed address. */
-    void probeAnswered(Probe probe, Member responder) {
+    void completeProbe(Probe probe, Member responder) {
         probes.remove(probe);
         if (!probe.isAnsweredBy(responder.incarnation())) {
             markReplaced(probe.target());
@@ -165,7 +165,7 @@
     }
 
     /** Completes a probe whose target has answered another member. */
-    void indirectAck(MembershipMessage.IndirectAck ack) {
+    void receiveIndirectAck(MembershipMessage.IndirectAck ack) {
         MembershipUpdate target = ack.target();
         Optional<Probe> found =
                 probes.find(ack.nonce()).filter(probe -> probe.target() == target.incarnation());
--- a/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
+++ b/src/main/java/ochretiller/fleet/membership/GossipBuffer.java
@@ -52,7 +52,10 @@
      * @param first an update to include in any case
      */
     Gossip take(
-            MemberTable table, Member self, GossipTerms options, Optional<MembershipUpdate> first) {
+            MemberTable table,
+            Member self,
+            GossipOptions options,
+            Optional<MembershipUpdate> first) {
         if (items.isEmpty() && first.isEmpty()) {
             return Gossip.NONE;
         }
@@ -95,7 +98,7 @@
         return order;
     }
 
-    private void countAsSent(Item item, GossipTerms options) {
+    private void countAsSent(Item item, GossipOptions options) {
         item.timesSent++;
         if (item.timesSent >= options.transmitLimit()) {
             items.remove(item.incarnation);
--- a/src/main/java/ochretiller/fleet/membership/GossipTerms.java
+++ b/src/main/java/ochretiller/fleet/membership/GossipOptions.java
@@ -7,4 +7,4 @@
  * @param digestsAgree whether the recipient has just sent an equal digest: then its view has the
  *     same live members, and only suspicions may be new to it
  */
-record GossipTerms(int transmitLimit, boolean digestsAgree) {}
+record GossipOptions(int transmitLimit, boolean digestsAgree) {}
--- a/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
+++ b/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
@@ -54,7 +54,7 @@
         for (int attempt = 0; attempt < attempts; attempt++) {
             Optional<Member> drawn =
                     context.table()
-                            .find(schedule.drawAny())
+                            .find(schedule.randomMember())
                             .map(MemberRecord::member)
                             .filter(member -> member.state() == MemberState.ALIVE)
                             .filter(member -> !excluded.contains(member.incarnation()));
--- a/src/main/java/ochretiller/fleet/membership/MemberRecord.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberRecord.java
@@ -51,7 +51,7 @@
         return member.state() == MemberState.UNRESPONSIVE;
     }
 
-    /** When its state, or its restarted suspicion, began, on the {@link AwakeClock}. */
+    /** When its state, or its restarted suspicion, began, on the {@link PauseExcludingClock}. */
     Duration stateSince() {
         return stateSince;
     }
@@ -110,7 +110,7 @@
     }
 
     /** Whether this server's own probe failed, so that it keeps probing the suspect. */
-    boolean ownProbeFailed() {
+    boolean hasOwnProbeFailed() {
         return probeFailed;
     }
 
@@ -132,11 +132,11 @@
     }
 
     /** Whether a peer reported it unresponsive, so that the shortest suspicion timeout applies. */
-    boolean isCondemnedByPeer() {
+    boolean isReportedUnresponsive() {
         return reportedUnresponsive;
     }
 
-    void markCondemnedByPeer() {
+    void markReportedUnresponsive() {
         reportedUnresponsive = true;
     }
 
--- a/src/main/java/ochretiller/fleet/membership/MemberTable.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberTable.java
@@ -28,10 +28,10 @@
     private final Map<Long, MemberRecord> byIncarnation = new TreeMap<>();
 
     private final Set<MemberRecord> suspects = new LinkedHashSet<>();
-    private final Set<MemberRecord> unresponsive = new LinkedHashSet<>();
+    private final Set<MemberRecord> unresponsiveMembers = new LinkedHashSet<>();
 
     /** Members that are unresponsive or have left; the first has been departed the longest. */
-    private final Set<MemberRecord> departed = new LinkedHashSet<>();
+    private final Set<MemberRecord> departedMembers = new LinkedHashSet<>();
 
     private final long[] bucketDigests = new long[MembershipMessage.DIGEST_BUCKETS];
     private long digest;
@@ -69,7 +69,7 @@
     }
 
     /** Whether a live member serves callers at this address. */
-    boolean anyLiveServesAt(PeerAddress address) {
+    boolean hasLiveMemberServingAt(PeerAddress address) {
         Optional<PeerAddress> expected = Optional.of(address);
         for (MemberRecord record : byIncarnation.values()) {
             if (record.isLive() && record.member().serviceAddress().equals(expected)) {
@@ -107,13 +107,13 @@
         }
         excludeFromDigests(record.member());
         suspects.remove(record);
-        unresponsive.remove(record);
-        departed.remove(record);
+        unresponsiveMembers.remove(record);
+        departedMembers.remove(record);
     }
 
     /** Removes the member that departed first; returns false if none has departed. */
     boolean removeLongestDeparted() {
-        Iterator<MemberRecord> oldestFirst = departed.iterator();
+        Iterator<MemberRecord> oldestFirst = departedMembers.iterator();
         if (!oldestFirst.hasNext()) {
             return false;
         }
@@ -156,16 +156,16 @@
         return suspects;
     }
 
-    Set<MemberRecord> unresponsive() {
-        return unresponsive;
+    Set<MemberRecord> unresponsiveMembers() {
+        return unresponsiveMembers;
     }
 
-    Set<MemberRecord> departed() {
-        return departed;
+    Set<MemberRecord> departedMembers() {
+        return departedMembers;
     }
 
     /** Snapshots of all members, in a new list that the caller may modify. */
-    List<MemberSnapshot> snapshots(AwakeClock clock) {
+    List<MemberSnapshot> snapshots(PauseExcludingClock clock) {
         List<MemberSnapshot> all = new ArrayList<>();
         for (MemberRecord record : byIncarnation.values()) {
             Duration timeInState = clock.now().minus(record.stateSince());
@@ -175,15 +175,15 @@
     }
 
     /** Appends the state of all members as text, with times relative to now. */
-    void describe(StringBuilder text, AwakeClock clock) {
+    void describe(StringBuilder text, PauseExcludingClock clock) {
         for (MemberRecord record : byIncarnation.values()) {
             text.append('|').append(record.incarnation());
             text.append(record.state()).append(record.stateVersion());
             if (record.isSuspect()) {
                 text.append(record.accusers())
                         .append(clock.nanosSince(record.stateSince()))
-                        .append(record.ownProbeFailed())
-                        .append(record.isCondemnedByPeer());
+                        .append(record.hasOwnProbeFailed())
+                        .append(record.isReportedUnresponsive());
             }
             if (record.isLocalOnly()) {
                 text.append('u');
@@ -213,8 +213,8 @@
 
     private void updateIndexes(MemberRecord record) {
         setContained(suspects, record, record.isSuspect());
-        setContained(unresponsive, record, record.isUnresponsive());
-        setContained(departed, record, !record.isLive());
+        setContained(unresponsiveMembers, record, record.isUnresponsive());
+        setContained(departedMembers, record, !record.isLive());
     }
 
     private static void setContained(
--- a/src/main/java/ochretiller/fleet/membership/MemberTransitions.java
+++ b/src/main/java/ochretiller/fleet/membership/MemberTransitions.java
@@ -127,13 +127,13 @@
         MemberTable table = context.table();
         ProtocolTiming timing = context.timing();
         Set<MemberRecord> forgotten = new LinkedHashSet<>();
-        for (MemberRecord record : table.departed()) {
+        for (MemberRecord record : table.departedMembers()) {
             if (context.clock().hasElapsed(record.stateSince(), timing.departedRetention())) {
                 forgotten.add(record);
             }
         }
-        int excess = table.departed().size() - forgotten.size() - timing.maxDeparted();
-        Iterator<MemberRecord> oldestFirst = table.departed().iterator();
+        int excess = table.departedMembers().size() - forgotten.size() - timing.maxDeparted();
+        Iterator<MemberRecord> oldestFirst = table.departedMembers().iterator();
         while (excess > 0 && oldestFirst.hasNext()) {
             if (forgotten.add(oldestFirst.next())) {
                 excess--;
--- a/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/ochretiller/fleet/membership/MembershipProtocol.java
@@ -12,7 +12,7 @@
  * <p>Usage: call {@link #tick} when {@link #nextTick} is due and {@link #receive} for each packet.
  * After each call, send the packets of {@link #takeOutbound} and process {@link #takeChanges}. The
  * caller's time is monotonic. A long gap between calls counts as a pause of this process, not as
- * time in which other members could have answered ({@link AwakeClock}).
+ * time in which other members could have answered ({@link PauseExcludingClock}).
  *
  * <p>All methods must be called on the thread that owns the protocol. The given random generator is
  * the only source of nondeterminism, so that simulations can be replayed. The package documentation
@@ -22,7 +22,7 @@
     private static final Duration CLEANUP_INTERVAL = Duration.ofSeconds(1);
 
     private final ProtocolContext context;
-    private final AwakeClock clock;
+    private final PauseExcludingClock clock;
     private final ProbeSchedule schedule;
     private final PendingProbes probes;
     private final ReachabilityVerifier verifier;
@@ -54,11 +54,11 @@
             ProtocolTiming timing,
             RandomGenerator random,
             Duration now) {
-        clock = new AwakeClock(timing.tickInterval(), now);
+        clock = new PauseExcludingClock(timing.tickInterval(), now);
         Member joining = self.withState(MemberState.JOINING, self.stateVersion());
         context = new ProtocolContext(joining, timing, random, clock);
         // The first tick is random: servers that start at the same time must not tick in step.
-        nextTick = now.plus(context.randomPartOf(timing.tickInterval()));
+        nextTick = now.plus(context.randomFractionOf(timing.tickInterval()));
         schedule = new ProbeSchedule(random);
         probes = new PendingProbes(context);
         verifier = new ReachabilityVerifier(context, probes);
@@ -73,8 +73,8 @@
     }
 
     /** Sets the stored peers to contact in addition to the seeds while no member is live. */
-    public void addBootstrapPeers(List<PeerAddress> peers) {
-        joiner.addBootstrapPeers(peers);
+    public void setBootstrapPeers(List<PeerAddress> peers) {
+        joiner.setBootstrapPeers(peers);
     }
 
     /** Returns when {@link #tick} is due, on the caller's clock. */
@@ -87,7 +87,7 @@
         ProtocolTiming timing = context.timing();
         Duration delay = now.minus(nextTick);
         clock.advance(now);
-        Duration tolerance = timing.tickInterval().multipliedBy(AwakeClock.MAX_GAP_TICKS);
+        Duration tolerance = timing.tickInterval().multipliedBy(PauseExcludingClock.MAX_GAP_TICKS);
         if (delay.compareTo(tolerance) > 0) {
             context.counters().increment(MembershipCounter.LATE_TICKS);
             context.health().degrade();
@@ -129,7 +129,7 @@
             duplicates.report(sender);
             return;
         }
-        probes.packetReceived();
+        probes.countReceivedPacket();
         Optional<Probe> answered = answeredProbe(packet);
         boolean isTrusted =
                 senders.observe(sender, answered.isPresent())
@@ -153,12 +153,12 @@
             answerPing(ping, sender, isTrusted);
         } else if (message instanceof MembershipMessage.Ack ack) {
             merger.merge(ack.gossip(), isTrusted);
-            answered.ifPresent(probe -> detector.probeAnswered(probe, sender));
+            answered.ifPresent(probe -> detector.completeProbe(probe, sender));
             synchronizer.compareDigest(sender, ack.digest(), isTrusted);
         } else if (message instanceof MembershipMessage.PingRequest request) {
             detector.relay(request, sender);
         } else if (message instanceof MembershipMessage.IndirectAck ack) {
-            detector.indirectAck(ack);
+            detector.receiveIndirectAck(ack);
         } else if (message instanceof MembershipMessage.DigestSync request) {
             synchronizer.answerSync(request, sender);
         } else if (message instanceof MembershipMessage.UpdatePage page) {
@@ -227,13 +227,13 @@
     }
 
     /** The number of members with updates that are still being gossiped. */
-    public int pendingGossip() {
+    public int pendingGossipCount() {
         return context.gossip().size();
     }
 
     /** Whether any live member, of whatever incarnation, serves callers at this address. */
     public boolean isServedByLiveMember(PeerAddress address) {
-        return context.table().anyLiveServesAt(address);
+        return context.table().hasLiveMemberServingAt(address);
     }
 
     /** The address of the live member with this name, which may be this server itself. */
--- a/src/main/java/ochretiller/fleet/membership/AwakeClock.java
+++ b/src/main/java/ochretiller/fleet/membership/PauseExcludingClock.java
@@ -8,7 +8,7 @@
  * counts as that many ticks only: a paused process receives nothing, so its timeouts must not
  * expire.
  */
-final class AwakeClock {
+final class PauseExcludingClock {
     /** Longest gap between two readings that counts fully, in ticks. */
     static final int MAX_GAP_TICKS = 2;
 
@@ -22,7 +22,7 @@
      * @param tick expected time between two readings
      * @param reading the caller's monotonic time
      */
-    AwakeClock(Duration tick, Duration reading) {
+    PauseExcludingClock(Duration tick, Duration reading) {
         this.maxGap = tick.multipliedBy(MAX_GAP_TICKS);
         this.lastReading = reading;
     }
--- a/src/main/java/ochretiller/fleet/membership/PeerAddress.java
+++ b/src/main/java/ochretiller/fleet/membership/PeerAddress.java
@@ -8,7 +8,7 @@
  */
 public record PeerAddress(String host, int port) {
     /** Maximum length of a host in characters: an IPv6 address with an embedded IPv4 address. */
-    public static final int MAX_LENGTH = 45;
+    public static final int MAX_HOST_LENGTH = 45;
 
     private static final int MAX_PORT = 0xffff;
 
@@ -19,7 +19,7 @@
      */
     public static PeerAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        if (colon < 1 || colon > MAX_LENGTH) {
+        if (colon < 1 || colon > MAX_HOST_LENGTH) {
             throw new IllegalArgumentException("expected host:port, got '" + text + "'");
         }
         int port = Integer.parseInt(text.substring(colon + 1));
--- a/src/main/java/ochretiller/fleet/membership/PendingProbes.java
+++ b/src/main/java/ochretiller/fleet/membership/PendingProbes.java
@@ -74,12 +74,12 @@
     }
 
     /** Counts a packet received from any other server. */
-    void packetReceived() {
+    void countReceivedPacket() {
         packetsReceived++;
     }
 
     /** Whether no packet from any other server has arrived since a probe started. */
-    boolean nothingReceivedSince(Probe probe) {
+    boolean hasReceivedNothingSince(Probe probe) {
         return packetsReceived == probe.packetsReceivedAtStart();
     }
 
@@ -91,7 +91,7 @@
      */
     List<Probe> advance(Consumer<Probe> needsIndirect) {
         ProtocolTiming timing = context.timing();
-        AwakeClock clock = context.clock();
+        PauseExcludingClock clock = context.clock();
         Duration timeout = context.health().stretch(timing.probeTimeout());
         List<Probe> expired = new ArrayList<>();
         for (Iterator<Probe> i = byNonce.values().iterator(); i.hasNext(); ) {
@@ -103,11 +103,11 @@
             }
             boolean retryDue = clock.hasElapsed(probe.lastSentAt(), timing.pingRetryInterval());
             if (probe.sendCount() < MAX_PINGS && retryDue) {
-                probe.resentAt(clock.now());
+                probe.markResent(clock.now());
                 ping(probe);
             }
             boolean indirectDue = clock.hasElapsed(probe.startedAt(), timing.indirectProbeDelay());
-            if (probe.isScheduled() && !probe.indirectProbesRequested() && indirectDue) {
+            if (probe.isScheduled() && !probe.hasRequestedIndirectProbes() && indirectDue) {
                 probe.markIndirectProbesRequested();
                 needsIndirect.accept(probe);
             }
@@ -117,7 +117,7 @@
 
     /** Appends the state as text, with times relative to now. */
     void describe(StringBuilder text) {
-        AwakeClock clock = context.clock();
+        PauseExcludingClock clock = context.clock();
         for (Probe probe : byNonce.values()) {
             text.append('?')
                     .append(probe.kind())
@@ -125,8 +125,8 @@
                     .append(clock.nanosSince(probe.startedAt()))
                     .append(clock.nanosSince(probe.lastSentAt()))
                     .append(probe.sendCount())
-                    .append(probe.indirectProbesRequested())
-                    .append(nothingReceivedSince(probe))
+                    .append(probe.hasRequestedIndirectProbes())
+                    .append(hasReceivedNothingSince(probe))
                     .append(probe.nonce() - nonceBase() - lastNonceOffset);
         }
     }
--- a/src/main/java/ochretiller/fleet/membership/Probe.java
+++ b/src/main/java/ochretiller/fleet/membership/Probe.java
@@ -16,7 +16,7 @@
     /**
      * Creates a probe whose first ping is sent now.
      *
-     * @param startedAt on the {@link AwakeClock}
+     * @param startedAt on the {@link PauseExcludingClock}
      * @param packetsReceivedAtStart packets that this server had received by then from all others
      */
     Probe(ProbeRequest request, long nonce, Duration startedAt, long packetsReceivedAtStart) {
@@ -63,12 +63,12 @@
         return sendCount;
     }
 
-    void resentAt(Duration now) {
+    void markResent(Duration now) {
         sendCount++;
         lastSentAt = now;
     }
 
-    boolean indirectProbesRequested() {
+    boolean hasRequestedIndirectProbes() {
         return indirectRequested;
     }
 
--- a/src/main/java/ochretiller/fleet/membership/ProbeSchedule.java
+++ b/src/main/java/ochretiller/fleet/membership/ProbeSchedule.java
@@ -59,13 +59,13 @@
         round.add(Math.min(round.size(), position), incarnation);
     }
 
-    /** Whether the round has no members, so that {@link #drawAny} must not be called. */
+    /** Whether the round has no members, so that {@link #randomMember} must not be called. */
     boolean isEmpty() {
         return round.isEmpty();
     }
 
     /** A random member of the round, whether probed already or not; it may no longer be live. */
-    long drawAny() {
+    long randomMember() {
         return round.get(random.nextInt(round.size()));
     }
 
--- a/src/main/java/ochretiller/fleet/membership/ProtocolContext.java
+++ b/src/main/java/ochretiller/fleet/membership/ProtocolContext.java
@@ -14,7 +14,7 @@
 final class ProtocolContext {
     private final ProtocolTiming timing;
     private final RandomGenerator random;
-    private final AwakeClock clock;
+    private final PauseExcludingClock clock;
     private final MemberTable table = new MemberTable();
     private final GossipBuffer gossip = new GossipBuffer();
     private final LocalHealth health = new LocalHealth();
@@ -23,7 +23,8 @@
     private final List<MembershipChange> changes = new ArrayList<>();
     private Member self;
 
-    ProtocolContext(Member self, ProtocolTiming timing, RandomGenerator random, AwakeClock clock) {
+    ProtocolContext(
+            Member self, ProtocolTiming timing, RandomGenerator random, PauseExcludingClock clock) {
         this.self = self;
         this.timing = timing;
         this.random = random;
@@ -38,7 +39,7 @@
         return random;
     }
 
-    AwakeClock clock() {
+    PauseExcludingClock clock() {
         return clock;
     }
 
@@ -89,7 +90,7 @@
     }
 
     /** A random duration below a span, which keeps timers of servers from firing in step. */
-    Duration randomPartOf(Duration span) {
+    Duration randomFractionOf(Duration span) {
         return Duration.ofNanos((long) (span.toNanos() * random.nextDouble()));
     }
 
@@ -109,7 +110,7 @@
                         .filter(record -> record.isSuspect() || record.isUnresponsive())
                         .map(MemberRecord::toUpdate);
         int limit = timing.retransmitLimit(fleetSize());
-        return gossip.take(table, self, new GossipTerms(limit, digestsAgree), accusation);
+        return gossip.take(table, self, new GossipOptions(limit, digestsAgree), accusation);
     }
 
     /** Queues a change of the view, for log lines and for other components of the server. */
--- a/src/main/java/ochretiller/fleet/membership/ReachabilityVerifier.java
+++ b/src/main/java/ochretiller/fleet/membership/ReachabilityVerifier.java
@@ -53,7 +53,7 @@
      * second, whatever the fleet size.
      */
     void pingUnresponsive() {
-        int count = context.table().unresponsive().size();
+        int count = context.table().unresponsiveMembers().size();
         if (count == 0) {
             return;
         }
@@ -64,7 +64,7 @@
             return;
         }
         int index = context.random().nextInt(count);
-        for (MemberRecord record : context.table().unresponsive()) {
+        for (MemberRecord record : context.table().unresponsiveMembers()) {
             if (index == 0) {
                 probes.start(ProbeRequest.verification(record.member()));
                 return;
--- a/src/main/java/ochretiller/fleet/membership/SeedJoiner.java
+++ b/src/main/java/ochretiller/fleet/membership/SeedJoiner.java
@@ -40,7 +40,7 @@
     }
 
     /** Sets the peers to ping in addition to the seeds while no member is live. */
-    void addBootstrapPeers(List<PeerAddress> peers) {
+    void setBootstrapPeers(List<PeerAddress> peers) {
         bootstrapPeers = List.copyOf(peers);
         if (!bootstrapPeers.isEmpty()) {
             nextAttemptAt = Duration.ZERO;
@@ -64,7 +64,7 @@
     }
 
     private Duration jitter() {
-        return context.randomPartOf(pause);
+        return context.randomFractionOf(pause);
     }
 
     /** Grows with the fleet size, so that a returning seed is not pinged by all members at once. */
@@ -99,7 +99,7 @@
     }
 
     /** Completes the join when a view has arrived; does nothing if it is complete already. */
-    void viewReceived() {
+    void onViewReceived() {
         if (context.isJoining()) {
             completeJoin();
         }
--- a/src/main/java/ochretiller/fleet/membership/UpdateMerger.java
+++ b/src/main/java/ochretiller/fleet/membership/UpdateMerger.java
@@ -35,7 +35,7 @@
     void merge(Gossip gossip, boolean isTrusted) {
         for (MembershipUpdate update : gossip.updates()) {
             if (context.isSelf(update.incarnation())) {
-                mergeOfSelf(update);
+                refuteIfAccused(update);
             } else if (isTrusted) {
                 merge(update);
             }
@@ -49,7 +49,7 @@
      * Refutes an accusation against this server by raising its state version (SWIM, section 4.2). A
      * suspicion also counts as a sign of poor local health (Lifeguard).
      */
-    void mergeOfSelf(MembershipUpdate update) {
+    void refuteIfAccused(MembershipUpdate update) {
         Member self = context.self();
         boolean isSuspected = update.state() == MemberState.SUSPECT;
         boolean isAccusation = isSuspected || update.state() == MemberState.UNRESPONSIVE;
@@ -125,7 +125,7 @@
             transitions.suspect(record, stateVersion, UNKNOWN_ACCUSER, true);
             verifier.enqueue(record.member());
         }
-        record.markCondemnedByPeer();
+        record.markReportedUnresponsive();
     }
 
     /** Whether a member has been suspect for at least half of the shortest timeout. */
@@ -144,7 +144,7 @@
     void merge(Member member, boolean announce) {
         boolean isLive = member.state().isLive();
         if (context.isSelf(member.incarnation())) {
-            mergeOfSelf(member.toUpdate(0));
+            refuteIfAccused(member.toUpdate(0));
         } else if (context.table().contains(member.incarnation())) {
             merge(member.toUpdate(0));
         } else if (isLive && member.address().equals(context.self().address())) {
--- a/src/main/java/ochretiller/fleet/membership/ViewSynchronizer.java
+++ b/src/main/java/ochretiller/fleet/membership/ViewSynchronizer.java
@@ -63,7 +63,7 @@
             differentSince = Optional.empty();
             return;
         }
-        AwakeClock clock = context.clock();
+        PauseExcludingClock clock = context.clock();
         ProtocolTiming timing = context.timing();
         Duration since = differentSince.orElse(clock.now());
         differentSince = Optional.of(since);
@@ -72,7 +72,7 @@
                 clock.hasElapsed(since, timing.probeIntervals(DIFFERENCE_PERIODS))
                         && clock.hasElapsed(comparisonPauseStart, comparisonPause);
         if (isTrusted && isDue) {
-            comparisonPauseStart = clock.now().plus(context.randomPartOf(comparisonPause));
+            comparisonPauseStart = clock.now().plus(context.randomFractionOf(comparisonPause));
             startSync(sender);
         }
     }
@@ -147,7 +147,7 @@
         for (MembershipUpdate update : page.updates()) {
             long incarnation = update.incarnation();
             if (context.isSelf(incarnation)) {
-                merger.mergeOfSelf(update);
+                merger.refuteIfAccused(update);
             } else if (isTrusted && context.table().contains(incarnation)) {
                 merger.merge(update);
             } else if (isTrusted && update.state().isLive()) {
@@ -157,7 +157,7 @@
         if (!unknown.isEmpty()) {
             context.send(sender.address(), new MemberRequest(unknown));
         } else if (isTrusted) {
-            joiner.viewReceived();
+            joiner.onViewReceived();
         }
     }
 
@@ -183,12 +183,12 @@
     /** Merges full records sent by a member that is live in this view. */
     void receiveMembers(MemberPage page) {
         page.members().forEach(member -> merger.merge(member, false));
-        joiner.viewReceived();
+        joiner.onViewReceived();
     }
 
     /** Appends the state as text, with times relative to now. */
     void describe(StringBuilder text) {
-        AwakeClock clock = context.clock();
+        PauseExcludingClock clock = context.clock();
         text.append(" c").append(clock.nanosUntil(comparisonPauseStart));
         differentSince.ifPresent(since -> text.append(" f").append(clock.nanosSince(since)));
     }
--- a/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
+++ b/src/main/java/ochretiller/fleet/replication/AntiEntropy.java
@@ -24,7 +24,7 @@
     private final String self;
     private final ReplicaEntries entries;
     private final ByteRateLimiter rateLimiter;
-    private final LaggingRanges lagging = new LaggingRanges();
+    private final LaggingRanges laggingRanges = new LaggingRanges();
     private final Map<PullTarget, RangePull> pulls = new LinkedHashMap<>();
     private final PullSources sources = new PullSources();
     private long lastNonce;
@@ -45,8 +45,8 @@
     }
 
     /** Returns the ranges that this replica is still catching up on. */
-    LaggingRanges lagging() {
-        return lagging;
+    LaggingRanges laggingRanges() {
+        return laggingRanges;
     }
 
     /** Returns the estimated size of all received entries, in bytes. */
@@ -62,8 +62,8 @@
      * Returns whether this replica's copy of a range is complete: the range does not lag, or its
      * catch-up counts the local copy as a complete source.
      */
-    boolean ownCopyCounts(int range) {
-        return lagging.get(range).map(catchUp -> catchUp.hasHeard(self)).orElse(true);
+    boolean isOwnCopyReliable(int range) {
+        return laggingRanges.get(range).map(catchUp -> catchUp.isSourceComplete(self)).orElse(true);
     }
 
     /** Drops all pulls, and marks all sources as not knowing the new epoch. */
@@ -74,7 +74,7 @@
 
     /** Ends the catch-up of a range and drops its pulls. */
     void markComplete(int range) {
-        lagging.remove(range);
+        laggingRanges.remove(range);
         pulls.keySet().removeIf(target -> target.range == range);
     }
 
@@ -89,7 +89,7 @@
             catchUp.addCompleteSource(self);
         }
         if (!catchUp.isComplete()) {
-            lagging.put(range, catchUp);
+            laggingRanges.put(range, catchUp);
         }
     }
 
@@ -99,7 +99,7 @@
      */
     void requestRepair(int range, String source, int sourceEntryCount) {
         PullTarget target = new PullTarget(range, source);
-        if (!lagging.contains(range)
+        if (!laggingRanges.contains(range)
                 && !pulls.containsKey(target)
                 && pulls.size() < MAX_PULLS_FOR_REPAIR) {
             pulls.put(target, RangePull.forRepair(range, entries, sourceEntryCount));
@@ -108,7 +108,7 @@
 
     /** Returns the requests that are due. */
     List<OutboundMessage> tick(ReplicaPlacement placement, Duration now) {
-        lagging.overdue(now).forEach(this::markComplete);
+        laggingRanges.overdueRanges(now).forEach(this::markComplete);
         pulls.values().removeIf(RangePull::isAbandonedRepair);
         TickContext tick = new TickContext(placement, now, occupiedSlots(now), new Outbox());
         addCatchUpPulls();
@@ -129,13 +129,13 @@
     }
 
     private void addCatchUpPulls() {
-        lagging.forEach(
+        laggingRanges.forEach(
                 (range, catchUp) -> {
                     for (String source : catchUp.sources()) {
                         PullTarget target = new PullTarget(range, source);
                         boolean wanted =
                                 !source.equals(self)
-                                        && !catchUp.hasHeard(source)
+                                        && !catchUp.isSourceComplete(source)
                                         && !pulls.containsKey(target);
                         if (wanted && pulls.size() < MAX_PULLS_FOR_CATCH_UP) {
                             pulls.put(target, RangePull.forCatchUp(range, entries));
@@ -158,7 +158,7 @@
                 }
                 pull.chooseFirstMethod();
             }
-            if (!tick.slots.hasRoom(repairs) || !rateLimiter.hasTokens(tick.now)) {
+            if (!tick.slots.hasFreeSlot(repairs) || !rateLimiter.hasTokens(tick.now)) {
                 break;
             }
             send(entry.getKey(), pull, tick);
@@ -196,7 +196,7 @@
             Duration now) {
         PullTarget target = new PullTarget(page.range(), from);
         RangePull pull = pulls.get(target);
-        if (pull == null || !pull.expects(page.nonce())) {
+        if (pull == null || !pull.matchesNonce(page.nonce())) {
             return Optional.empty();
         }
         sources.recordReply(from);
@@ -224,7 +224,7 @@
     private void finish(
             PullTarget target, RangePull pull, ReplicationMessage.RangePage page, Duration now) {
         pulls.remove(target);
-        Optional<RangeCatchUp> catchUp = lagging.get(target.range);
+        Optional<RangeCatchUp> catchUp = laggingRanges.get(target.range);
         if (catchUp.isEmpty() || pull.isRepair()) {
             return;
         }
@@ -247,7 +247,7 @@
      */
     String describeState() {
         StringBuilder text = new StringBuilder();
-        lagging.forEach(
+        laggingRanges.forEach(
                 (range, catchUp) ->
                         text.append('c').append(range).append(catchUp.completeSources()));
         pulls.forEach(
--- a/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
+++ b/src/main/java/ochretiller/fleet/replication/ChunkAssembler.java
@@ -48,7 +48,7 @@
         ResultKey key = new ResultKey(token, claimId);
         ResultDownload existing = downloads.get(key);
         if (existing != null) {
-            existing.askFrom(source, epoch);
+            existing.switchSource(source, epoch);
         } else if (bytesInProgress + size <= MAX_BYTES_IN_PROGRESS) {
             bytesInProgress += size;
             downloads.put(key, new ResultDownload(outcome, source, epoch));
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
@@ -80,7 +80,7 @@
     }
 
     /** Returns the decision implied by an outcome of the token. */
-    ClaimDecision.Kind kindOf(ClaimOutcome outcome) {
+    ClaimDecision.Kind decisionKindOf(ClaimOutcome outcome) {
         if (!outcome.fingerprint().equals(intent.fingerprint())) {
             return ClaimDecision.Kind.FINGERPRINT_MISMATCH;
         }
@@ -90,7 +90,7 @@
     }
 
     /** Returns the decision to report when the start deadline has passed. */
-    ClaimDecision.Kind kindAtDeadline() {
+    ClaimDecision.Kind decisionKindAtDeadline() {
         return competitorSeen ? ClaimDecision.Kind.OUTCOME_UNKNOWN : ClaimDecision.Kind.THROTTLED;
     }
 
@@ -111,7 +111,7 @@
         claiming = false;
     }
 
-    Duration claimingFor(Duration now) {
+    Duration claimingDuration(Duration now) {
         return now.minus(claimingSince);
     }
 
@@ -149,7 +149,7 @@
         return replicas.stream().filter(replica -> !replies.containsKey(replica)).toList();
     }
 
-    Duration sinceRequest(Duration now) {
+    Duration timeSinceRequest(Duration now) {
         return now.minus(requestedAt);
     }
 
@@ -172,12 +172,12 @@
         return replies;
     }
 
-    void forgetReplies() {
+    void clearReplies() {
         replies.clear();
     }
 
     /** Discards replies of replicas that may since have caught up with the range or the epoch. */
-    void forgetLaggingReplies() {
+    void clearLaggingReplies() {
         replies.values()
                 .removeIf(
                         reply ->
@@ -195,18 +195,18 @@
 
     // Competitors
 
-    boolean isCompetitorSeen() {
+    boolean hasCompetitor() {
         return competitorSeen;
     }
 
-    void noteCompetitor() {
+    void recordCompetitor() {
         competitorSeen = true;
     }
 
     /**
      * Records the owner of a competing claim as queried; returns false if it was queried before.
      */
-    boolean shouldQueryOwner(ClaimId competitor) {
+    boolean markOwnerQueried(ClaimId competitor) {
         return queriedOwners.add(competitor);
     }
 
@@ -224,7 +224,7 @@
         awaitedResult = Optional.of(completed);
     }
 
-    boolean awaits(AssembledResult result) {
+    boolean isAwaiting(AssembledResult result) {
         return token().equals(result.token())
                 && awaitedResult.equals(Optional.of(result.claimId()));
     }
@@ -238,8 +238,8 @@
                 + replicas
                 + contactedCount
                 + awaitedResult
-                + sinceRequest(now)
-                + claimingFor(now)
+                + timeSinceRequest(now)
+                + claimingDuration(now)
                 + nextQueryAt.map(at -> at.minus(now));
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
@@ -68,8 +68,8 @@
             onDecision.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.THROTTLED));
             return;
         }
-        concurrency.started();
-        dispatcher.earnRetries();
+        concurrency.recordStart();
+        dispatcher.depositRetries();
         ClaimAttempt attempt = new ClaimAttempt(intent, state.newClaimId(), onDecision, now);
         attempts.put(attempt.claimId(), attempt);
         dispatcher.startRound(attempt, now);
@@ -78,7 +78,7 @@
     /** Restarts all attempts at the replicas of a new epoch. */
     void onEpochChange(Duration now) {
         for (ClaimAttempt attempt : List.copyOf(attempts.values())) {
-            attempt.forgetReplies();
+            attempt.clearReplies();
             dispatcher.startRound(attempt, now);
         }
     }
@@ -105,7 +105,7 @@
             boolean answeredInTime) {
         attempts.remove(attempt.claimId());
         if (attempt.isClaiming()) {
-            concurrency.finished(answeredInTime);
+            concurrency.recordFinish(answeredInTime);
         }
         attempt.decide(kind, outcome);
     }
@@ -126,7 +126,7 @@
             return;
         }
         if (attempt.addReply(from, reply)) {
-            state.latency().record(from, attempt.sinceRequest(now));
+            state.replicaLatency().record(from, attempt.timeSinceRequest(now));
         }
         evaluate(attempt, now);
     }
@@ -147,15 +147,15 @@
         }
         int quorum = state.quorumOf(attempt.token());
         if (tally.needsAnotherReplica(attempt.missingReplies(), quorum)) {
-            dispatcher.askOneMore(attempt, now);
+            dispatcher.contactNextReplica(attempt, now);
         }
         if (!attempt.isClaiming()) {
-            if (tally.unclaimed() >= quorum) {
+            if (tally.unclaimedCount() >= quorum) {
                 claimAgain(attempt, now);
             }
-        } else if (tally.granted() >= quorum) {
+        } else if (tally.grantCount() >= quorum) {
             startRun(attempt, now);
-        } else if (tally.excludesQuorum(state.replicasOf(attempt.token()).size(), quorum)) {
+        } else if (tally.isQuorumImpossible(state.replicasOf(attempt.token()).size(), quorum)) {
             yieldToCompetitor(attempt, now);
         }
     }
@@ -172,11 +172,11 @@
 
     private void recordCompetitor(ClaimAttempt attempt, ReplicationMessage.ClaimReply reply) {
         if (reply.vote() == ReplicationMessage.ClaimVote.COMPLETED) {
-            attempt.noteCompetitor();
-        } else if (reply.vote() == ReplicationMessage.ClaimVote.HELD) {
-            attempt.noteCompetitor();
+            attempt.recordCompetitor();
+        } else if (reply.vote() == ReplicationMessage.ClaimVote.CLAIMED_BY_OTHER) {
+            attempt.recordCompetitor();
             reply.otherClaim()
-                    .filter(attempt::shouldQueryOwner)
+                    .filter(attempt::markOwnerQueried)
                     .ifPresent(
                             other ->
                                     state.outbox()
@@ -195,7 +195,7 @@
 
     private void onAssembled(AssembledResult result, Duration now) {
         for (ClaimAttempt attempt : List.copyOf(attempts.values())) {
-            if (attempt.awaits(result)) {
+            if (attempt.isAwaiting(result)) {
                 complete(
                         attempt,
                         new ClaimOutcome(true, attempt.intent().fingerprint(), result.result()),
@@ -206,7 +206,7 @@
 
     private void complete(ClaimAttempt attempt, ClaimOutcome outcome, Duration now) {
         releaseIfClaiming(attempt, now);
-        decide(attempt, attempt.kindOf(outcome), Optional.of(outcome), true);
+        decide(attempt, attempt.decisionKindOf(outcome), Optional.of(outcome), true);
     }
 
     private void startRun(ClaimAttempt attempt, Duration now) {
@@ -226,14 +226,14 @@
     private void yieldToCompetitor(ClaimAttempt attempt, Duration now) {
         releaseIfClaiming(attempt, now);
         attempt.stopClaiming();
-        concurrency.finished(true);
+        concurrency.recordFinish(true);
         renew(attempt);
         attempt.scheduleQuery(random, now);
     }
 
     /** Claims again after a quorum has reported the token as unclaimed. */
     private void claimAgain(ClaimAttempt attempt, Duration now) {
-        concurrency.started();
+        concurrency.recordStart();
         renew(attempt);
         attempt.startClaiming(now);
         dispatcher.startRound(attempt, now);
@@ -251,12 +251,13 @@
 
     private void tick(ClaimAttempt attempt, Duration now) {
         if (attempt.isPastDeadline(now)) {
-            timeOut(attempt, attempt.kindAtDeadline(), now);
-        } else if (attempt.isClaiming() && attempt.claimingFor(now).compareTo(CLAIM_TIMEOUT) >= 0) {
+            timeOut(attempt, attempt.decisionKindAtDeadline(), now);
+        } else if (attempt.isClaiming()
+                && attempt.claimingDuration(now).compareTo(CLAIM_TIMEOUT) >= 0) {
             onClaimTimeout(attempt, now);
         } else if (attempt.isClaiming()
-                && attempt.sinceRequest(now).compareTo(RETRY_INTERVAL) >= 0) {
-            attempt.forgetLaggingReplies();
+                && attempt.timeSinceRequest(now).compareTo(RETRY_INTERVAL) >= 0) {
+            attempt.clearLaggingReplies();
             dispatcher.retryUnanswered(attempt, now);
         } else if (!attempt.isClaiming() && attempt.isQueryDue(now)) {
             renew(attempt);
@@ -272,7 +273,7 @@
      * after random pauses.
      */
     private void onClaimTimeout(ClaimAttempt attempt, Duration now) {
-        if (attempt.isCompetitorSeen()) {
+        if (attempt.hasCompetitor()) {
             yieldToCompetitor(attempt, now);
         } else {
             timeOut(attempt, ClaimDecision.Kind.THROTTLED, now);
--- a/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimConcurrencyLimit.java
@@ -20,14 +20,14 @@
         return inFlight < (int) limit;
     }
 
-    void started() {
+    void recordStart() {
         inFlight++;
     }
 
     /**
      * @param answeredInTime whether a majority answered in time, whatever the decision
      */
-    void finished(boolean answeredInTime) {
+    void recordFinish(boolean answeredInTime) {
         boolean full = inFlight >= (int) limit - 1;
         inFlight--;
         if (!answeredInTime) {
--- a/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimCoordinator.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns the number of invocations and outcomes that await replies of replicas. */
-    public int inFlight() {
+    public int inFlightCount() {
         return attempts.count() + outcomes.pendingCount();
     }
 
@@ -115,7 +115,7 @@
             attempts.onReply(from, reply, now);
         } else if (message instanceof ReplicationMessage.OutcomeStored stored) {
             recordReply(from, stored.changeNumber());
-            outcomes.onStored(from, stored, now);
+            outcomes.onOutcomeStored(from, stored, now);
         } else if (message instanceof ReplicationMessage.ClaimCompleted completed) {
             completed.changeNumbers().forEach(changeNumbers::record);
         } else if (message instanceof ReplicationMessage.ChangeNumberQuery query) {
@@ -130,7 +130,7 @@
     }
 
     private void recordReply(String replica, long changeNumber) {
-        state.unresponsive().recordReply(replica);
+        state.unresponsivePeers().recordReply(replica);
         changeNumbers.record(replica, changeNumber);
     }
 
@@ -164,8 +164,8 @@
     }
 
     /** Returns the chunked result of a claim of this server while replicas may still request it. */
-    public Optional<String> pendingResult(ClaimId claimId) {
-        return outcomes.heldResult(claimId);
+    public Optional<String> pendingChunkedResult(ClaimId claimId) {
+        return outcomes.retainedResult(claimId);
     }
 
     /** Repeats, hedges and times out requests. To be called a few dozen times per second. */
@@ -181,7 +181,7 @@
     public String describeState(Duration now) {
         return ""
                 + state.epoch()
-                + releases.released()
+                + releases.releasedClaims()
                 + attempts.describeState(now)
                 + outcomes.describeState(now);
     }
--- a/src/main/java/ochretiller/fleet/replication/ClaimDispatcher.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimDispatcher.java
@@ -35,8 +35,8 @@
         return retriedRequests;
     }
 
-    void earnRetries() {
-        budget.earnForClaim();
+    void depositRetries() {
+        budget.depositForClaim();
     }
 
     /** Returns whether enough replicas of a token are responsive for a quorum. */
@@ -44,7 +44,7 @@
         List<String> replicas = state.replicasOf(token);
         long responsive =
                 replicas.stream()
-                        .filter(replica -> !state.unresponsive().isUnresponsive(replica))
+                        .filter(replica -> !state.unresponsivePeers().isUnresponsive(replica))
                         .count();
         return !replicas.isEmpty() && responsive >= state.quorumOf(token);
     }
@@ -60,7 +60,7 @@
         lastProbe = now;
         ClaimId probe = state.newClaimId();
         for (String replica : state.replicasOf(token)) {
-            if (state.unresponsive().isUnresponsive(replica)) {
+            if (state.unresponsivePeers().isUnresponsive(replica)) {
                 state.outbox()
                         .send(
                                 replica,
@@ -72,35 +72,35 @@
     /** Starts a round of requests to the fastest replicas that form a quorum. */
     void startRound(ClaimAttempt attempt, Duration now) {
         List<String> ordered =
-                state.latency()
-                        .fastestFirst(state.replicasOf(attempt.token()), state.unresponsive());
+                state.replicaLatency()
+                        .fastestFirst(state.replicasOf(attempt.token()), state.unresponsivePeers());
         for (String replica : attempt.startRound(ordered, state.quorumOf(attempt.token()), now)) {
             send(attempt, replica, now);
         }
     }
 
     /** Contacts one more replica, if any has not been contacted yet. */
-    void askOneMore(ClaimAttempt attempt, Duration now) {
+    void contactNextReplica(ClaimAttempt attempt, Duration now) {
         attempt.contactNext().ifPresent(replica -> send(attempt, replica, now));
     }
 
     /** Contacts one more replica if a reply is late and the retry budget allows it. */
     void hedgeIfLate(ClaimAttempt attempt, Duration now) {
-        if (attempt.hasUncontacted() && isLate(attempt, now) && budget.trySpend()) {
+        if (attempt.hasUncontacted() && isLate(attempt, now) && budget.tryWithdraw()) {
             hedgedRequests++;
-            askOneMore(attempt, now);
+            contactNextReplica(attempt, now);
         }
     }
 
     private boolean isLate(ClaimAttempt attempt, Duration now) {
-        Duration delay = state.latency().hedgeDelay(attempt.contactedReplicas());
-        return attempt.sinceRequest(now).compareTo(delay) >= 0;
+        Duration delay = state.replicaLatency().hedgeDelay(attempt.contactedReplicas());
+        return attempt.timeSinceRequest(now).compareTo(delay) >= 0;
     }
 
     /** Repeats the request to replicas whose replies are missing, within the budget. */
     void retryUnanswered(ClaimAttempt attempt, Duration now) {
         for (String replica : attempt.startRetry(now)) {
-            if (!budget.trySpend()) {
+            if (!budget.tryWithdraw()) {
                 return;
             }
             retriedRequests++;
--- a/src/main/java/ochretiller/fleet/replication/ClaimModes.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimModes.java
@@ -36,7 +36,7 @@
      * @param transitional whether that server is leaving fleet mode itself, so that its claim does
      *     not prolong the transition
      */
-    public void claimObserved(String operation, boolean transitional, Duration now) {
+    public void recordObservedClaim(String operation, boolean transitional, Duration now) {
         // Claims of operations that stay in fleet mode do not affect those that leave it.
         if (!transitional && settings.modeOf(operation) == ClaimMode.SERVER) {
             transitionEnd = now.plus(maxWindow);
--- a/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimReleases.java
@@ -44,7 +44,7 @@
         state.outbox().send(to, new ReplicationMessage.ClaimRelease(token, claimId, remaining));
     }
 
-    Set<ClaimId> released() {
+    Set<ClaimId> releasedClaims() {
         return windowEnds.keySet();
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ClaimVoter.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimVoter.java
@@ -102,7 +102,7 @@
             return ReplicationMessage.ClaimVote.RELEASED;
         }
         return entry.competingClaim(claimId).isPresent()
-                ? ReplicationMessage.ClaimVote.HELD
+                ? ReplicationMessage.ClaimVote.CLAIMED_BY_OTHER
                 : ReplicationMessage.ClaimVote.UNCLAIMED;
     }
 
--- a/src/main/java/ochretiller/fleet/replication/CoordinatorState.java
+++ b/src/main/java/ochretiller/fleet/replication/CoordinatorState.java
@@ -11,8 +11,8 @@
     private final String name;
     private final long incarnation;
     private final Outbox outbox = new Outbox();
-    private final UnresponsivePeers unresponsive = new UnresponsivePeers();
-    private final ReplicaLatency latency = new ReplicaLatency();
+    private final UnresponsivePeers unresponsivePeers = new UnresponsivePeers();
+    private final ReplicaLatency replicaLatency = new ReplicaLatency();
     private ReplicaPlacement placement;
     private long lastSequence;
 
@@ -51,12 +51,12 @@
         return outbox;
     }
 
-    UnresponsivePeers unresponsive() {
-        return unresponsive;
+    UnresponsivePeers unresponsivePeers() {
+        return unresponsivePeers;
     }
 
-    ReplicaLatency latency() {
-        return latency;
+    ReplicaLatency replicaLatency() {
+        return replicaLatency;
     }
 
     /**
@@ -64,7 +64,7 @@
      * replies.
      */
     void sendRequest(String replica, ReplicationMessage request) {
-        unresponsive.recordUnanswered(replica);
+        unresponsivePeers.recordUnanswered(replica);
         outbox.send(replica, request);
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/DiskFreshnessCheck.java
+++ b/src/main/java/ochretiller/fleet/replication/DiskFreshnessCheck.java
@@ -30,7 +30,7 @@
     private final Map<String, Long> reportedNumbers = new HashMap<>();
     private boolean inProgress;
     private Duration nextQuery;
-    private long staleDisks;
+    private long staleDiskCount;
 
     /** Results of evaluating the replies. */
     enum Progress {
@@ -58,8 +58,8 @@
     }
 
     /** Returns how often the disk was found to be stale. */
-    long staleDisks() {
-        return staleDisks;
+    long staleDiskCount() {
+        return staleDiskCount;
     }
 
     /** Records a peer's reply; returns whether it belongs to this check. */
@@ -75,7 +75,7 @@
     Progress advance(Duration now) {
         long highest = reportedNumbers.values().stream().mapToLong(Long::longValue).max().orElse(0);
         if (highest > state.changeNumber()) {
-            staleDisks++;
+            staleDiskCount++;
             state.advanceChangeNumber(highest + 1);
             inProgress = false;
             return Progress.STALE;
--- a/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
+++ b/src/main/java/ochretiller/fleet/replication/DurabilityBarrier.java
@@ -79,7 +79,7 @@
             List<String> changedTokens, boolean metadataChanged, List<OutboundMessage> messages) {
         if (degraded || waitingMessages + messages.size() > MAX_WAITING_MESSAGES) {
             postpone(changedTokens, metadataChanged, messages.size());
-            return SubmittedChange.NOTHING;
+            return SubmittedChange.EMPTY;
         }
         List<PendingWrite> writes = new ArrayList<>();
         for (String token : changedTokens) {
--- a/src/main/java/ochretiller/fleet/replication/EpochHandover.java
+++ b/src/main/java/ochretiller/fleet/replication/EpochHandover.java
@@ -33,7 +33,7 @@
         boolean consecutive = next.epoch() == state.epoch() + 1;
         state.adopt(next);
         state.unreliableRanges().clear();
-        Set<Integer> laggingBefore = antiEntropy.lagging().all();
+        Set<Integer> laggingBefore = antiEntropy.laggingRanges().all();
         antiEntropy.resetForEpoch();
         for (int range = 0; range < ReplicaPlacement.RANGE_COUNT; range++) {
             // A replica whose disk check has not ended may have lost claims that it granted.
@@ -117,8 +117,8 @@
         if (state.unreliableRanges().contains(range) || diskCheck.isInProgress()) {
             return false;
         }
-        if (antiEntropy.lagging().contains(range)) {
-            return antiEntropy.ownCopyCounts(range);
+        if (antiEntropy.laggingRanges().contains(range)) {
+            return antiEntropy.isOwnCopyReliable(range);
         }
         return state.replicates(range)
                 || state.placement().previousReplicasOf(range).contains(state.name());
--- a/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
+++ b/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
@@ -42,11 +42,11 @@
     }
 
     /** Returns the ranges in which this replica may have lost claims that it granted. */
-    Set<Integer> forgotten() {
+    Set<Integer> withLostGrants() {
         Set<Integer> lostGrants = new HashSet<>();
         catchUps.forEach(
                 (range, catchUp) -> {
-                    if (catchUp.mayHaveForgotten()) {
+                    if (catchUp.mayHaveLostGrants()) {
                         lostGrants.add(range);
                     }
                 });
@@ -54,7 +54,7 @@
     }
 
     /** Returns the ranges whose catch-up has passed its deadline. */
-    List<Integer> overdue(Duration now) {
+    List<Integer> overdueRanges(Duration now) {
         return catchUps.entrySet().stream()
                 .filter(each -> each.getValue().isOverdue(now))
                 .map(Map.Entry::getKey)
@@ -62,7 +62,7 @@
     }
 
     /** Returns how long the longest-lagging range has been lagging; zero if none lags. */
-    Duration oldestLag(Duration now) {
+    Duration longestLag(Duration now) {
         return catchUps.values().stream()
                 .map(catchUp -> catchUp.lag(now))
                 .max(Duration::compareTo)
--- a/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
+++ b/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
@@ -87,7 +87,7 @@
     }
 
     /** Returns the chunked result of a claim of this server while replicas may still request it. */
-    Optional<String> heldResult(ClaimId claimId) {
+    Optional<String> retainedResult(ClaimId claimId) {
         return Optional.ofNullable(pendingOutcomes.get(claimId))
                 .flatMap(PendingOutcome::chunkedResult);
     }
@@ -96,7 +96,7 @@
         outcome.recordSent(now);
         for (String replica : state.replicasOf(outcome.token())) {
             if (!outcome.isStoredBy(replica)) {
-                state.sendRequest(replica, outcome.message(state.epoch(), now));
+                state.sendRequest(replica, outcome.toMessage(state.epoch(), now));
             }
         }
     }
@@ -107,12 +107,12 @@
                 .values()
                 .forEach(
                         outcome -> {
-                            outcome.forgetStored();
+                            outcome.clearConfirmations();
                             send(outcome, now);
                         });
     }
 
-    void onStored(String from, ReplicationMessage.OutcomeStored message, Duration now) {
+    void onOutcomeStored(String from, ReplicationMessage.OutcomeStored message, Duration now) {
         PendingOutcome outcome = pendingOutcomes.get(message.claimId());
         boolean countsTowardsQuorum =
                 outcome != null
@@ -122,19 +122,19 @@
             return;
         }
         // The time to transfer a chunked result is no measure of claim latency.
-        if (outcome.addStored(from) && outcome.chunkedResult().isEmpty()) {
-            state.latency().record(from, outcome.sinceSent(now));
+        if (outcome.addConfirmation(from) && outcome.chunkedResult().isEmpty()) {
+            state.replicaLatency().record(from, outcome.timeSinceSent(now));
         }
         if (hasQuorum(outcome)) {
-            outcome.answer(true);
+            outcome.reportStored(true);
         }
-        if (outcome.storedCount() == state.replicasOf(outcome.token()).size()) {
+        if (outcome.confirmationCount() == state.replicasOf(outcome.token()).size()) {
             remove(message.claimId());
         }
     }
 
     private boolean hasQuorum(PendingOutcome outcome) {
-        return outcome.storedCount() >= state.quorumOf(outcome.token());
+        return outcome.confirmationCount() >= state.quorumOf(outcome.token());
     }
 
     private void remove(ClaimId claimId) {
@@ -152,10 +152,10 @@
 
     private void tick(ClaimId claimId, PendingOutcome outcome, Duration now) {
         if (outcome.isPastReplyDeadline(now)) {
-            outcome.answer(false);
+            outcome.reportStored(false);
         }
         boolean quorum = hasQuorum(outcome);
-        if (outcome.isOver(quorum, now)) {
+        if (outcome.isFinished(quorum, now)) {
             remove(claimId);
             return;
         }
--- a/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
+++ b/src/main/java/ochretiller/fleet/replication/PendingOutcome.java
@@ -56,7 +56,7 @@
         return completed.chunkedResult();
     }
 
-    ReplicationMessage.ClaimCompleted message(long epoch, Duration now) {
+    ReplicationMessage.ClaimCompleted toMessage(long epoch, Duration now) {
         return new ReplicationMessage.ClaimCompleted(
                 epoch,
                 token,
@@ -70,12 +70,12 @@
         sentAt = now;
     }
 
-    Duration sinceSent(Duration now) {
+    Duration timeSinceSent(Duration now) {
         return now.minus(sentAt);
     }
 
     /** Records that a replica has stored the outcome; returns false if that was known. */
-    boolean addStored(String replica) {
+    boolean addConfirmation(String replica) {
         return storedBy.add(replica);
     }
 
@@ -83,17 +83,17 @@
         return storedBy.contains(replica);
     }
 
-    int storedCount() {
+    int confirmationCount() {
         return storedBy.size();
     }
 
     /** Discards all confirmations, since those of an older epoch belong to another quorum. */
-    void forgetStored() {
+    void clearConfirmations() {
         storedBy.clear();
     }
 
     /** Reports whether the outcome is stored, unless that was reported before. */
-    void answer(boolean stored) {
+    void reportStored(boolean stored) {
         if (!isReported) {
             isReported = true;
             onStored.accept(stored);
@@ -104,14 +104,14 @@
         return now.compareTo(completed.replyDeadline()) >= 0;
     }
 
-    boolean isOver(boolean hasQuorum, Duration now) {
+    boolean isFinished(boolean hasQuorum, Duration now) {
         boolean expired = now.compareTo(completed.windowEnd()) >= 0;
         return expired || hasQuorum && retriesAfterQuorum >= MAX_RETRIES_AFTER_QUORUM;
     }
 
     boolean isRetryDue(Duration now) {
         Duration interval = isReported ? LATE_RETRY_INTERVAL : RETRY_INTERVAL;
-        return sinceSent(now).compareTo(interval) >= 0;
+        return timeSinceSent(now).compareTo(interval) >= 0;
     }
 
     void countRetryAfterQuorum() {
@@ -120,6 +120,6 @@
 
     /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
-        return "" + storedBy + retriesAfterQuorum + sinceSent(now) + isReported;
+        return "" + storedBy + retriesAfterQuorum + timeSinceSent(now) + isReported;
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/PullSlots.java
+++ b/src/main/java/ochretiller/fleet/replication/PullSlots.java
@@ -29,7 +29,7 @@
         return busyRanges.contains(range);
     }
 
-    boolean hasRoom(boolean repair) {
+    boolean hasFreeSlot(boolean repair) {
         return catchUps + repairs < MAX_OUTSTANDING
                 && (!repair || repairs < MAX_OUTSTANDING_REPAIRS);
     }
--- a/src/main/java/ochretiller/fleet/replication/RangeCatchUp.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeCatchUp.java
@@ -12,7 +12,7 @@
 final class RangeCatchUp {
     private final List<String> sources;
     private final int requiredSources;
-    private final boolean mayHaveForgotten;
+    private final boolean mayHaveLostGrants;
     private final Duration startedAt;
     private final Duration deadline;
     private final Set<String> completeSources = new HashSet<>();
@@ -32,7 +32,7 @@
             Duration deadline) {
         this.sources = sources;
         this.requiredSources = requiredSources;
-        this.mayHaveForgotten = mayHaveLostGrants;
+        this.mayHaveLostGrants = mayHaveLostGrants;
         this.startedAt = startedAt;
         this.deadline = deadline;
     }
@@ -41,8 +41,8 @@
         return sources;
     }
 
-    boolean mayHaveForgotten() {
-        return mayHaveForgotten;
+    boolean mayHaveLostGrants() {
+        return mayHaveLostGrants;
     }
 
     Duration lag(Duration now) {
@@ -58,7 +58,7 @@
         completeSources.add(source);
     }
 
-    boolean hasHeard(String source) {
+    boolean isSourceComplete(String source) {
         return completeSources.contains(source);
     }
 
--- a/src/main/java/ochretiller/fleet/replication/RangeComparison.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeComparison.java
@@ -77,7 +77,7 @@
         }
         differences++;
         antiEntropy.requestRepair(range, from, received.entryCount());
-        if (!received.reply()) {
+        if (!received.isReply()) {
             state.outbox().send(from, state.rangeDigest(range, true));
         }
     }
--- a/src/main/java/ochretiller/fleet/replication/RangePager.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePager.java
@@ -73,7 +73,7 @@
         int range = request.range();
         if (request.sketch().isPresent()) {
             return difference
-                    .map(decoded -> entries.tokensWithDigests(range, decoded.onlyHere()))
+                    .map(decoded -> entries.tokensWithDigests(range, decoded.onlyInFirst()))
                     .orElse(List.of());
         }
         if (!request.entryDigests().isEmpty()) {
--- a/src/main/java/ochretiller/fleet/replication/RangePull.java
+++ b/src/main/java/ochretiller/fleet/replication/RangePull.java
@@ -101,7 +101,7 @@
         return requestedAt.isPresent() && !isAwaitingReply(now);
     }
 
-    boolean expects(long replyNonce) {
+    boolean matchesNonce(long replyNonce) {
         return nonce == replyNonce;
     }
 
@@ -193,7 +193,7 @@
             requestRemaining(page);
             // If there is no capacity for the received entries, nothing changes and the pull would
             // never end.
-            return page.last() || isUnchangedSinceRequest();
+            return page.isLast() || isUnchangedSinceRequest();
         }
         boolean sourceHasFarMore = page.entryCount() > WALK_FACTOR * entries.entryCount(range);
         if (!sourceHasFarMore && sketchCells < SetSketch.MAX_CELLS) {
@@ -206,7 +206,7 @@
     }
 
     private boolean advanceAfterDigests(ReplicationMessage.RangePage page) {
-        if (isUnchangedSinceRequest() || page.last() && isEqualTo(page)) {
+        if (isUnchangedSinceRequest() || page.isLast() && isEqualTo(page)) {
             return true;
         }
         // Entries that have changed meanwhile have new digests: a sketch finds them after the
@@ -217,7 +217,7 @@
 
     private boolean advanceAfterWalk(ReplicationMessage.RangePage page) {
         cursor = page.cursor();
-        if (!page.last()) {
+        if (!page.isLast()) {
             return false;
         }
         if (method == Method.WALK_BY_TOKEN || isEqualTo(page)) {
