--- a/src/main/java/ochretiller/fleet/replication/RangeReceiver.java
+++ b/src/main/java/ochretiller/fleet/replication/RangeReceiver.java
@@ -24,16 +24,16 @@
         for (ReplicationMessage.TransferredEntry item : page.entries()) {
             mergeEntry(from, item, now);
         }
-        int laggingBefore = antiEntropy.lagging().count();
+        int laggingBefore = antiEntropy.laggingRanges().count();
         antiEntropy
                 .acceptPage(from, page, state.placement(), now)
                 .ifPresent(next -> state.outbox().send(next.recipient(), next.message()));
         // Request the next range at once: until it is complete, clients cannot claim tokens in it,
         // and waiting for the host's tick would prolong that.
-        if (antiEntropy.lagging().count() > 0) {
+        if (antiEntropy.laggingRanges().count() > 0) {
             state.outbox().sendAll(antiEntropy.tick(state.placement(), now));
         }
-        if (antiEntropy.lagging().count() != laggingBefore) {
+        if (antiEntropy.laggingRanges().count() != laggingBefore) {
             state.markMetadataChanged();
         }
     }
@@ -50,7 +50,7 @@
         }
         ReplicaEntry received = item.entry().withExpiry(state.expiryAfter(item.remaining(), now));
         ReplicaEntry merged = existing.merge(received);
-        if (existing.lacksAnyOf(merged)) {
+        if (existing.differsBesidesExpiry(merged)) {
             state.put(item.token(), merged);
         }
         state.entries()
--- a/src/main/java/ochretiller/fleet/replication/Replica.java
+++ b/src/main/java/ochretiller/fleet/replication/Replica.java
@@ -17,7 +17,7 @@
  * <p>After each call the host stores the entries of {@link #takeChangedTokens} and, if {@link
  * #takeMetadataChanged} returns true, {@link #metadataSnapshot}; when both are durable, it sends
  * the messages of {@link #takeOutbound} ({@link DurabilityBarrier}). It stores the results of
- * {@link #takeAssembledResults} and then reports each with {@link #resultStored}.
+ * {@link #takeAssembledResults} and then reports each with {@link #recordResultStored}.
  *
  * <p>Not thread-safe; confined to the fleet's decision thread.
  */
@@ -56,7 +56,7 @@
         state.entries().takeChangedTokens(); // they are on disk already
         state.unreliableRanges().addAll(snapshot.unreliableRanges());
         Replica replica = new Replica(state, snapshot.mayBeStale(), now);
-        replica.handover.resume(snapshot.laggingRanges(), snapshot.forgottenRanges(), now);
+        replica.handover.resume(snapshot.laggingRanges(), snapshot.lostGrantRanges(), now);
         return replica;
     }
 
@@ -84,12 +84,12 @@
      * before {@link #takeOutbound} may be sent.
      */
     public ReplicaSnapshot metadataSnapshot() {
-        LaggingRanges lagging = antiEntropy.lagging();
+        LaggingRanges lagging = antiEntropy.laggingRanges();
         return new ReplicaSnapshot(
                 state.placement(),
                 Map.of(),
                 lagging.all(),
-                lagging.forgotten(),
+                lagging.withLostGrants(),
                 Set.copyOf(state.unreliableRanges()),
                 state.changeNumber(),
                 true);
@@ -122,17 +122,17 @@
 
     /** Returns how many ranges the replica is still catching up on. */
     public int laggingRangeCount() {
-        return antiEntropy.lagging().count();
+        return antiEntropy.laggingRanges().count();
     }
 
     /** Returns whether the replica is still catching up on a range. */
     public boolean isLagging(int range) {
-        return antiEntropy.lagging().contains(range);
+        return antiEntropy.laggingRanges().contains(range);
     }
 
     /** Returns how long the longest-lagging range has been lagging; zero if none lags. */
-    public Duration oldestLag(Duration now) {
-        return antiEntropy.lagging().oldestLag(now);
+    public Duration longestLag(Duration now) {
+        return antiEntropy.laggingRanges().longestLag(now);
     }
 
     /** Returns whether the check for a stale disk is still in progress. */
@@ -191,7 +191,7 @@
                 messageHandler.sentBytes(),
                 comparison.comparisons(),
                 comparison.differences(),
-                diskCheck.staleDisks());
+                diskCheck.staleDiskCount());
     }
 
     /**
@@ -244,7 +244,7 @@
     }
 
     /** Records that the host has stored a chunked result, so that its outcome counts as stored. */
-    public void resultStored(AssembledResult result) {
+    public void recordResultStored(AssembledResult result) {
         messageHandler.onResultStored(result);
     }
 
--- a/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaEntry.java
@@ -101,7 +101,7 @@
     }
 
     /** Returns whether the merged entry differs from this one in more than its expiry. */
-    boolean lacksAnyOf(ReplicaEntry merged) {
+    boolean differsBesidesExpiry(ReplicaEntry merged) {
         return !merged.claims.equals(claims)
                 || !merged.releasedClaims.equals(releasedClaims)
                 || !merged.outcomes.equals(outcomes);
--- a/src/main/java/ochretiller/fleet/replication/ReplicaMessageHandler.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaMessageHandler.java
@@ -32,7 +32,7 @@
         this.diskCheck = diskCheck;
         this.comparison = comparison;
         this.chunks = chunks;
-        this.voter = new ClaimVoter(state, antiEntropy.lagging(), diskCheck, chunks);
+        this.voter = new ClaimVoter(state, antiEntropy.laggingRanges(), diskCheck, chunks);
         this.pager = new RangePager(state, sendLimiter);
         this.receiver = new RangeReceiver(state, antiEntropy, chunks);
     }
--- a/src/main/java/ochretiller/fleet/replication/ReplicaSnapshot.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicaSnapshot.java
@@ -11,7 +11,7 @@
  * @param placement the placement of the adopted epoch
  * @param entries entries by token; empty in a snapshot of the metadata alone
  * @param laggingRanges ranges that the replica was still catching up on
- * @param forgottenRanges those lagging ranges that the replica had replicated, and in which it may
+ * @param lostGrantRanges those lagging ranges that the replica had replicated, and in which it may
  *     have lost claims that it granted
  * @param unreliableRanges ranges that the replica had in the previous epoch, but of which its copy
  *     may be incomplete
@@ -23,7 +23,7 @@
         ReplicaPlacement placement,
         Map<String, ReplicaEntry> entries,
         Set<Integer> laggingRanges,
-        Set<Integer> forgottenRanges,
+        Set<Integer> lostGrantRanges,
         Set<Integer> unreliableRanges,
         long changeNumber,
         boolean mayBeStale) {
--- a/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplicationMessage.java
@@ -66,7 +66,7 @@
         /** No other claim of the token is active at the replica. This vote grants nothing. */
         UNCLAIMED,
         /** Another claim of the token is active at the replica, which has no outcome. */
-        HELD,
+        CLAIMED_BY_OTHER,
         /** The token has an outcome. */
         COMPLETED,
         /** The sender's epoch is older than that of the replica. */
@@ -173,7 +173,7 @@
      * A page of entries of a range.
      *
      * @param cursor position at which the page ended
-     * @param last whether the sender knows of no further entries that the receiver lacks
+     * @param isLast whether the sender knows of no further entries that the receiver lacks
      * @param sourceComplete whether the sender has the complete range
      * @param sketchDecoded false if the sketch could not be decoded because too much differs
      * @param remainingDigests digests of further entries that the receiver lacks, possibly not of
@@ -187,7 +187,7 @@
             long nonce,
             List<TransferredEntry> entries,
             RangeCursor cursor,
-            boolean last,
+            boolean isLast,
             boolean sourceComplete,
             boolean sketchDecoded,
             List<Long> remainingDigests,
@@ -199,9 +199,9 @@
      * The digest of a range. A receiver whose digest differs pulls the entries that it lacks and
      * replies with its own digest.
      *
-     * @param reply whether this message is itself a reply, to which no reply is sent
+     * @param isReply whether this message is itself a reply, to which no reply is sent
      */
-    record RangeDigest(long epoch, int range, long digest, int entryCount, boolean reply)
+    record RangeDigest(long epoch, int range, long digest, int entryCount, boolean isReply)
             implements ReplicationMessage {}
 
     /** Asks a peer, after a restart, for the highest change number observed from the sender. */
--- a/src/main/java/ochretiller/fleet/replication/ReplyTally.java
+++ b/src/main/java/ochretiller/fleet/replication/ReplyTally.java
@@ -3,8 +3,8 @@
 /** Counts the replies to one claim or query towards a quorum. A missing reply is never counted. */
 final class ReplyTally {
     private final long epoch;
-    private int granted;
-    private int unclaimed;
+    private int grantCount;
+    private int unclaimedCount;
     private int refusals;
 
     /**
@@ -16,8 +16,8 @@
 
     void add(ReplicationMessage.ClaimReply reply) {
         switch (reply.vote()) {
-            case GRANTED -> granted += currentEpochCount(reply);
-            case UNCLAIMED -> unclaimed += currentEpochCount(reply);
+            case GRANTED -> grantCount += currentEpochCount(reply);
+            case UNCLAIMED -> unclaimedCount += currentEpochCount(reply);
             default -> refusals++;
         }
     }
@@ -26,22 +26,22 @@
         return reply.epoch() == epoch ? 1 : 0;
     }
 
-    int granted() {
-        return granted;
+    int grantCount() {
+        return grantCount;
     }
 
-    int unclaimed() {
-        return unclaimed;
+    int unclaimedCount() {
+        return unclaimedCount;
     }
 
     /** Returns whether too many replicas refused for the others to form a quorum. */
-    boolean excludesQuorum(int replicas, int quorum) {
+    boolean isQuorumImpossible(int replicas, int quorum) {
         return replicas - refusals < quorum;
     }
 
     /** Returns whether the contacted replicas cannot decide, so that one more is needed. */
     boolean needsAnotherReplica(int missingReplies, int quorum) {
         return refusals > 0
-                && (granted + unclaimed + missingReplies < quorum || missingReplies == 0);
+                && (grantCount + unclaimedCount + missingReplies < quorum || missingReplies == 0);
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/ResultDownload.java
+++ b/src/main/java/ochretiller/fleet/replication/ResultDownload.java
@@ -67,7 +67,7 @@
     }
 
     /** Requests missing chunks from another source; chunks that have arrived are kept. */
-    void askFrom(String newSource, long newEpoch) {
+    void switchSource(String newSource, long newEpoch) {
         if (!newSource.equals(source)) {
             Arrays.fill(requestedAt, NOT_REQUESTED);
         }
--- a/src/main/java/ochretiller/fleet/replication/RetryBudget.java
+++ b/src/main/java/ochretiller/fleet/replication/RetryBudget.java
@@ -13,12 +13,12 @@
 
     private double available = CAPACITY;
 
-    void earnForClaim() {
+    void depositForClaim() {
         available = Math.min(CAPACITY, available + DEPOSIT_PER_CLAIM);
     }
 
     /** Takes one extra request from the budget; returns false if it is exhausted. */
-    boolean trySpend() {
+    boolean tryWithdraw() {
         if (available < 1) {
             return false;
         }
--- a/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
+++ b/src/main/java/ochretiller/fleet/rollout/CanaryComparison.java
@@ -92,7 +92,7 @@
         }
         // Laplace smoothing adds one invocation of each kind, so that the variance is never zero.
         double pooled =
-                (candidate.part() + baseline.part() + 1)
+                (candidate.count() + baseline.count() + 1)
                         / (candidate.total() + baseline.total() + 2);
         double variance =
                 pooled
--- a/src/main/java/ochretiller/fleet/rollout/Regression.java
+++ b/src/main/java/ochretiller/fleet/rollout/Regression.java
@@ -13,12 +13,12 @@
     /**
      * A share of all invocations.
      *
-     * @param part number of counted invocations, possibly weighted by billed value
+     * @param count number of counted invocations, possibly weighted by billed value
      * @param total number of all invocations
      */
-    record Share(double part, double total) {
+    record Share(double count, double total) {
         double ratio() {
-            return part / total;
+            return count / total;
         }
     }
 
--- a/src/main/java/ochretiller/fleet/rollout/RolloutController.java
+++ b/src/main/java/ochretiller/fleet/rollout/RolloutController.java
@@ -150,7 +150,7 @@
                 included.stream()
                         .filter(
                                 server ->
-                                        isBehind(
+                                        isLagging(
                                                 Optional.ofNullable(reports.get(server)),
                                                 rollout.target()))
                         .count();
@@ -167,7 +167,7 @@
     }
 
     /** Returns whether a server has not reported that it runs the version. */
-    static boolean isBehind(Optional<VersionReport> report, PublishedVersion version) {
+    static boolean isLagging(Optional<VersionReport> report, PublishedVersion version) {
         return report.isEmpty() || !report.get().isRunning(version);
     }
 
@@ -184,7 +184,7 @@
         Map<String, VersionReport> rejections = new TreeMap<>();
         for (String server : included) {
             VersionReport report = reports.get(server);
-            if (report != null && report.rejects(rollout.target())) {
+            if (report != null && report.hasRejected(rollout.target())) {
                 rejections.put(server, report);
             }
         }
@@ -212,7 +212,7 @@
             }
             VersionCounters start = baselineStarts.getOrDefault(server, VersionCounters.ZERO);
             candidate = candidate.plus(report.candidate());
-            baseline = baseline.plus(report.baseline().since(start));
+            baseline = baseline.plus(report.baseline().increaseSince(start));
         }
         return CanaryComparison.findRegression(candidate, baseline).map(Regression::describe);
     }
--- a/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionCounters.java
@@ -67,7 +67,7 @@
      * Returns the difference to earlier counters, or these counters if the server has restarted
      * since then.
      */
-    public VersionCounters since(VersionCounters earlier) {
+    public VersionCounters increaseSince(VersionCounters earlier) {
         if (!isContinuationOf(earlier)) {
             return this;
         }
--- a/src/main/java/ochretiller/fleet/rollout/VersionReport.java
+++ b/src/main/java/ochretiller/fleet/rollout/VersionReport.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns whether the server has rejected this version. */
-    boolean rejects(PublishedVersion version) {
+    boolean hasRejected(PublishedVersion version) {
         return rejectedVersion == version.number();
     }
 }
--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -14,11 +14,11 @@
 /** The file of an acceptor's durable state, which operators know as the voter file. */
 final class AcceptorFile {
     private final Path file;
-    private final SealedFile checksummedFile;
+    private final ChecksummedFile checksummedFile;
 
     AcceptorFile(Path file) {
         this.file = file;
-        this.checksummedFile = new SealedFile(file);
+        this.checksummedFile = new ChecksummedFile(file);
     }
 
     /**
@@ -62,7 +62,7 @@
         out.writeNumber(state.abstainsThrough());
         PlacementCodec.writeBallot(out, state.promisedBallot());
         PlacementCodec.writeBallot(out, state.acceptedBallot());
-        PlacementCodec.writePlacement(out, state.committed());
+        PlacementCodec.writePlacement(out, state.committedPlacement());
         PlacementCodec.writeOptionalPlacement(out, state.acceptedPlacement());
     }
 }
--- a/src/main/java/ochretiller/fleet/service/AdminCommands.java
+++ b/src/main/java/ochretiller/fleet/service/AdminCommands.java
@@ -30,7 +30,7 @@
             MembershipProtocol membership,
             PeerSocket socket,
             Runnable leaveRequest) {
-        handlers.put("view", arguments -> MembershipJson.json(fleetName, membership, socket));
+        handlers.put("view", arguments -> MembershipJson.viewJson(fleetName, membership, socket));
         handlers.put("ping", arguments -> "{}");
         handlers.put("leave", arguments -> leave(leaveRequest));
         return this;
@@ -50,7 +50,7 @@
             addRollout(
                     rollout,
                     "version-" + command,
-                    (service, operator) -> service.steer(command, operator));
+                    (service, operator) -> service.executeCommand(command, operator));
         }
         return this;
     }
@@ -73,13 +73,17 @@
                 "copies-status",
                 (service, arguments) -> service.statusJson().status());
         addReplication(
-                replication, "copies-show", (service, token) -> service.statusJson().show(token));
+                replication,
+                "copies-show",
+                (service, token) -> service.statusJson().tokenStatus(token));
         addReplication(
                 replication,
                 "copies-digests",
-                (service, arguments) -> service.statusJson().digests());
+                (service, arguments) -> service.statusJson().rangeDigests());
         addReplication(
-                replication, "copies-range", (service, range) -> service.statusJson().range(range));
+                replication,
+                "copies-range",
+                (service, range) -> service.statusJson().rangeTokens(range));
         addReplication(replication, "copies-repair", (service, arguments) -> service.repair());
         return this;
     }
--- a/src/main/java/ochretiller/fleet/service/AuditWitness.java
+++ b/src/main/java/ochretiller/fleet/service/AuditWitness.java
@@ -35,8 +35,8 @@
             return;
         }
         witnessedAt.put(server, now);
-        activator.told(
-                RolloutEvent.WITNESSED,
+        activator.recordEvent(
+                RolloutEvent.PEER_AUDIT_WITNESSED,
                 active,
                 server + ' ' + report.auditRecordNumber() + ' ' + report.auditHash());
     }
--- a/src/main/java/ochretiller/fleet/service/SealedFile.java
+++ b/src/main/java/ochretiller/fleet/service/ChecksummedFile.java
@@ -20,14 +20,14 @@
  *
  * <p>Methods block on the disk and must not be called on the event loop, except during startup.
  */
-final class SealedFile {
+final class ChecksummedFile {
     private static final CBORFactory CBOR = new CBORFactory();
     private static final int MAX_FILE_BYTES = 1 << 20;
     private static final int CHECKSUM_BYTES = Long.BYTES;
 
     private final Path file;
 
-    SealedFile(Path file) {
+    ChecksummedFile(Path file) {
         this.file = file;
     }
 
--- a/src/main/java/ochretiller/fleet/service/ClaimLatency.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimLatency.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns a percentile, given from 0 to 100, in seconds; zero if there are no latencies. */
-    double seconds(double percentile) {
+    double percentileSeconds(double percentile) {
         long[] all = sorted;
         return all.length == 0
                 ? 0
--- a/src/main/java/ochretiller/fleet/service/ClaimMetrics.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimMetrics.java
@@ -4,7 +4,7 @@
 
 /** Counters of claims and their outcomes. Incremented on the event loop. */
 final class ClaimMetrics {
-    final Metrics.Counter asked;
+    final Metrics.Counter requested;
     final Metrics.Counter granted;
     final Metrics.Counter replayed;
     final Metrics.Counter throttled;
@@ -15,7 +15,7 @@
     final Metrics.Counter previousCompleted;
 
     ClaimMetrics(Metrics metrics) {
-        asked =
+        requested =
                 metrics.counter(
                         "fleet_claims_total", "Tokened invocations whose claim was asked for");
         granted =
--- a/src/main/java/ochretiller/fleet/service/ClaimOutcomes.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimOutcomes.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns the completed claim of a run that has ended. */
-    static CompletedClaim completed(
+    static CompletedClaim completedClaim(
             ClaimId claimId,
             String fingerprint,
             Optional<byte[]> result,
--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -61,7 +61,7 @@
 
     /** Records that another server claims invocations of the fingerprint's operation. */
     void observeClaim(String fingerprint, boolean isTransitional, Duration now) {
-        modes.claimObserved(RequestFingerprint.operationOf(fingerprint), isTransitional, now);
+        modes.recordObservedClaim(RequestFingerprint.operationOf(fingerprint), isTransitional, now);
     }
 
     /** Decides whether an invocation may run; see {@link ReplicationService#claim}. */
@@ -79,11 +79,11 @@
             return;
         }
         boolean isTransitional = requirement == ClaimRequirement.REQUIRED_TRANSITIONALLY;
-        metrics.asked.add();
+        metrics.requested.add();
         if (isTransitional) {
             metrics.transitional.add();
         }
-        if (!ReplicaEntryCodec.tokenFits(token)) {
+        if (!ReplicaEntryCodec.canReplicateToken(token)) {
             metrics.throttled.add();
             completion.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.THROTTLED));
             return;
@@ -142,7 +142,7 @@
         }
         localOutcomes.put(token, outcome);
         Duration remaining = windowEnd.minus(scheduler.now());
-        scheduler.after(
+        scheduler.runAfter(
                 remaining.isNegative() ? Duration.ZERO : remaining,
                 () -> localOutcomes.remove(token));
     }
@@ -162,7 +162,7 @@
             Duration windowEnd,
             Consumer<Boolean> completion) {
         coordinator.reportOutcome(
-                ClaimOutcomes.completed(claimId, fingerprint, result, deadline, windowEnd),
+                ClaimOutcomes.completedClaim(claimId, fingerprint, result, deadline, windowEnd),
                 scheduler.now(),
                 isStored -> {
                     if (!isStored) {
--- a/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
+++ b/src/main/java/ochretiller/fleet/service/ConsensusDriver.java
@@ -60,9 +60,11 @@
             Duration maxWindow) {
         this.context = context;
         this.link = link;
-        acceptors = settings.voters();
-        planner = new PlacementPlanner(settings.calm(), maxWindow, settings.replicationFactor());
-        file = new AcceptorFile(settings.voterFile());
+        acceptors = settings.acceptors();
+        planner =
+                new PlacementPlanner(
+                        settings.stabilityPeriod(), maxWindow, settings.replicationFactor());
+        file = new AcceptorFile(settings.acceptorFile());
         durableState = file.read();
         consensus = createConsensus(settings.replicationFactor());
     }
@@ -77,8 +79,10 @@
     }
 
     /** Returns the committed placement, or empty while the acceptor has lost its state. */
-    Optional<ReplicaPlacement> committed() {
-        return consensus.hasLostState() ? Optional.empty() : Optional.of(consensus.committed());
+    Optional<ReplicaPlacement> committedPlacement() {
+        return consensus.hasLostState()
+                ? Optional.empty()
+                : Optional.of(consensus.committedPlacement());
     }
 
     /** Handles a message from another server or from this one. */
@@ -90,9 +94,10 @@
     void receiveProgress(String sender, ConsensusMessage.ReplicaProgress progress) {
         planner.recordProgress(sender, progress);
         boolean hasMissedEpoch =
-                !consensus.hasLostState() && progress.epoch() < consensus.committed().epoch();
+                !consensus.hasLostState()
+                        && progress.epoch() < consensus.committedPlacement().epoch();
         if (hasMissedEpoch && !sender.equals(context.serverName())) {
-            link.send(sender, new ConsensusMessage.Committed(consensus.committed()));
+            link.send(sender, new ConsensusMessage.Committed(consensus.committedPlacement()));
         }
     }
 
@@ -116,7 +121,7 @@
         if (isPending) {
             return;
         }
-        ReplicaPlacement committed = consensus.committed();
+        ReplicaPlacement committed = consensus.committedPlacement();
         planner.nextPlacement(committed, liveServers, now)
                 .or(() -> rolloutProposal.apply(committed))
                 .ifPresent(placement -> propose(placement, now));
@@ -147,14 +152,14 @@
                     each.member().id().name(), each.member().state().isLive(), Boolean::logicalOr);
         }
         // A server of the placement that the view no longer contains is dead.
-        for (ReplicaServer each : consensus.committed().servers()) {
+        for (ReplicaServer each : consensus.committedPlacement().servers()) {
             liveness.putIfAbsent(each.name(), false);
         }
         return liveness;
     }
 
     private void announce(List<ReplicaServer> liveServers) {
-        ReplicaPlacement committed = consensus.committed();
+        ReplicaPlacement committed = consensus.committedPlacement();
         if (committed.epoch() == 0) {
             return;
         }
@@ -169,7 +174,7 @@
     }
 
     /** Sends the acceptor's messages once the state that they depend on is durable. */
-    void publish() {
+    void flush() {
         List<OutboundConsensusMessage> messages = consensus.takeOutbound();
         AcceptorState state = consensus.durableState();
         if (consensus.hasLostState() || isSame(durableState, state)) {
--- a/src/main/java/ochretiller/fleet/service/FleetLink.java
+++ b/src/main/java/ochretiller/fleet/service/FleetLink.java
@@ -35,7 +35,7 @@
     }
 
     /** Disables sending and receiving for good, because another process uses this server's name. */
-    void silence() {
+    void disable() {
         isDisabled = true;
     }
 
--- a/src/main/java/ochretiller/fleet/service/FleetMetrics.java
+++ b/src/main/java/ochretiller/fleet/service/FleetMetrics.java
@@ -63,82 +63,84 @@
     }
 
     private static void registerProbes(Metrics metrics, MembershipCounters counters) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_probes_total",
                 "Members that were asked in turn",
                 () -> counters.get(MembershipCounter.PROBES));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_probes_missed_total",
                 "Members that answered neither directly nor through others",
                 () -> counters.get(MembershipCounter.FAILED_PROBES));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_probes_indirect_total",
                 "Probes that others were asked to carry on",
                 () -> counters.get(MembershipCounter.INDIRECT_PROBES));
     }
 
     private static void registerTransitions(Metrics metrics, MembershipCounters counters) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_suspicions_total",
                 "Members that became suspect",
                 () -> counters.get(MembershipCounter.SUSPICIONS));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_silenced_total",
                 "Members that were judged silent",
                 () -> counters.get(MembershipCounter.BECAME_UNRESPONSIVE));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_returned_total",
                 "Members that came back",
                 () -> counters.get(MembershipCounter.RETURNED));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_refuted_total",
                 "Times that this server said that it is there",
                 () -> counters.get(MembershipCounter.REFUTATIONS));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_twins_total",
                 "Other processes that bear this server's name",
                 () -> counters.get(MembershipCounter.DUPLICATE_NAMES));
     }
 
     private static void registerSynchronization(Metrics metrics, MembershipCounters counters) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_late_timers_total",
                 "Timers that came late",
                 () -> counters.get(MembershipCounter.LATE_TICKS));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_views_compared_total",
                 "Comparisons of views that this server began",
                 () -> counters.get(MembershipCounter.SYNCS));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_views_refused_total",
                 "Comparisons that were too many",
                 () -> counters.get(MembershipCounter.SYNCS_REJECTED));
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_full_total",
                 "Newcomers and questions for which there was no room",
                 () -> counters.get(MembershipCounter.CAPACITY_REJECTIONS));
     }
 
     private static void registerTraffic(Metrics metrics, TrafficCounters traffic) {
-        metrics.counted("fleet_sent_packets_total", "Packets sent to peers", traffic::sentPackets);
-        metrics.counted("fleet_sent_bytes_total", "Bytes sent to peers", traffic::sentBytes);
-        metrics.counted(
+        metrics.counterWithCallback(
+                "fleet_sent_packets_total", "Packets sent to peers", traffic::sentPackets);
+        metrics.counterWithCallback(
+                "fleet_sent_bytes_total", "Bytes sent to peers", traffic::sentBytes);
+        metrics.counterWithCallback(
                 "fleet_unsent_packets_total",
                 "Packets that the socket did not take",
                 traffic::droppedPackets);
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_read_packets_total",
                 "Packets read, refused ones among them",
-                traffic::readPackets);
-        metrics.counted(
+                traffic::receivedPackets);
+        metrics.counterWithCallback(
                 "fleet_read_bytes_total",
                 "Bytes read, refused ones among them",
-                traffic::readBytes);
+                traffic::receivedBytes);
     }
 
     private static void registerRejections(Metrics metrics, PeerSocket socket) {
         for (RejectReason reason : RejectReason.values()) {
-            metrics.counted(
+            metrics.counterWithCallback(
                     "fleet_refused_" + reason.lowerCaseName() + "_total",
                     "Packets refused: " + reason.externalName(),
                     () -> socket.rejectedCount(reason));
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -72,16 +72,20 @@
         this.settings = settings;
         this.callbacks = callbacks;
         scheduler = runtime.scheduler();
-        codec = new PacketCodec(settings.fleet(), FleetKeys.read(settings.keyFile()));
-        socket = new PeerSocket(scheduler, codec, settings.listen(), this::receive);
+        codec = new PacketCodec(settings.fleetName(), FleetKeys.read(settings.keyFile()));
+        socket = new PeerSocket(scheduler, codec, settings.listenAddress(), this::receive);
         Member self = createSelf(settings, server);
         membership =
                 new MembershipProtocol(
-                        self, settings.seeds(), settings.pace(), runtime.random(), scheduler.now());
+                        self,
+                        settings.seeds(),
+                        settings.timing(),
+                        runtime.random(),
+                        scheduler.now());
         peersFile = Optional.ofNullable(settings.peersFile()).map(PeersFile::new);
         List<PeerAddress> knownPeers = peersFile.map(PeersFile::read).orElse(List.of());
         bootstrapPeers = new BootstrapPeers(self.address(), knownPeers);
-        membership.addBootstrapPeers(knownPeers);
+        membership.setBootstrapPeers(knownPeers);
         sender = new PacketSender(membership, codec, socket);
         FleetContext context =
                 new FleetContext(
@@ -91,7 +95,8 @@
                         runtime.metrics(),
                         sender,
                         membership::snapshot);
-        Optional<ReplicationSettings> replicationSettings = Optional.ofNullable(settings.copies());
+        Optional<ReplicationSettings> replicationSettings =
+                Optional.ofNullable(settings.replication());
         replication =
                 replicationSettings.map(
                         configured ->
@@ -110,14 +115,14 @@
         long incarnation = new SecureRandom().nextLong() | 1;
         PeerAddress listenAddress =
                 new PeerAddress(
-                        settings.listen().getAddress().getHostAddress(),
-                        settings.listen().getPort());
+                        settings.listenAddress().getAddress().getHostAddress(),
+                        settings.listenAddress().getPort());
         return new Member(
                 new MemberId(server.name(), incarnation),
-                Optional.ofNullable(settings.advertise()).orElse(listenAddress),
+                Optional.ofNullable(settings.advertisedAddress()).orElse(listenAddress),
                 settings.zone(),
                 server.build(),
-                Optional.ofNullable(settings.serves())
+                Optional.ofNullable(settings.serviceAddress())
                         .or(() -> Optional.of(server.serviceAddress())),
                 FIRST_STATE_VERSION,
                 MemberState.JOINING);
@@ -125,14 +130,14 @@
 
     private Optional<RolloutService> createRollout(
             FleetContext context, ReplicationSettings replicationSettings, LocalServer server) {
-        return Optional.ofNullable(replicationSettings.versions())
+        return Optional.ofNullable(replicationSettings.rollout())
                 .map(
                         rolloutSettings ->
                                 new RolloutService(
                                         context,
                                         rolloutSettings,
                                         server.build(),
-                                        replicationSettings.voters(),
+                                        replicationSettings.acceptors(),
                                         callbacks.versionActivator()));
     }
 
@@ -140,11 +145,11 @@
         AdminCommands commands =
                 new AdminCommands()
                         .withMembership(
-                                settings.fleet(), membership, socket, callbacks.leaveRequest())
+                                settings.fleetName(), membership, socket, callbacks.leaveRequest())
                         .withRollout(rollout)
                         .withReplication(replication);
         AdminEndpoint endpoint = new AdminEndpoint(codec, server.name(), commands.handlers());
-        runtime.network().listen("fleet", settings.listen(), endpoint::accepted);
+        runtime.network().listen("fleet", settings.listenAddress(), endpoint::createHandler);
     }
 
     /** Starts the socket and joins the fleet. Callable from any thread. */
@@ -158,7 +163,7 @@
                 () ->
                         membership.self().id()
                                 + " takes part in fleet "
-                                + settings.fleet()
+                                + settings.fleetName()
                                 + " at "
                                 + membership.self().address());
         tick();
@@ -175,7 +180,7 @@
             flush();
         }
         Duration wait = membership.nextTick().minus(scheduler.now());
-        scheduler.after(wait.isNegative() ? Duration.ZERO : wait, this::tick);
+        scheduler.runAfter(wait.isNegative() ? Duration.ZERO : wait, this::tick);
     }
 
     private void publishView() {
@@ -185,12 +190,12 @@
         List<MemberSnapshot> view = membership.snapshot();
         peersFile.ifPresent(file -> storePeers(file, view));
         metrics.publish(view, membership.localHealthScore());
-        scheduler.after(METRICS_INTERVAL, this::publishView);
+        scheduler.runAfter(METRICS_INTERVAL, this::publishView);
     }
 
     private void storePeers(PeersFile file, List<MemberSnapshot> view) {
         bootstrapPeers.observe(view, scheduler.now());
-        bootstrapPeers.takeDue(scheduler.now()).ifPresent(file::write);
+        bootstrapPeers.takeListToStore(scheduler.now()).ifPresent(file::write);
     }
 
     private void receive(ReceivedPacket packet) {
@@ -198,7 +203,7 @@
             return;
         }
         if (packet.message() instanceof MembershipMessage) {
-            membership.receive(packet.packet(), scheduler.now());
+            membership.receive(packet.asMembershipPacket(), scheduler.now());
             flush();
         } else if (isFromLiveMember(packet)) {
             String server = packet.sender().id().name();
@@ -238,7 +243,7 @@
         if (change instanceof MembershipChange.DuplicateName) {
             // Two replicas with one name would be counted as one. This one stops sending until an
             // operator resolves the conflict and restarts it.
-            replication.ifPresent(ReplicationService::stopSending);
+            replication.ifPresent(ReplicationService::disableMessaging);
         }
         membershipLog.log(change, membership.liveCount());
     }
--- a/src/main/java/ochretiller/fleet/service/FleetSettings.java
+++ b/src/main/java/ochretiller/fleet/service/FleetSettings.java
@@ -9,25 +9,25 @@
 /**
  * Operators' settings for a server's membership in a fleet.
  *
- * @param fleet name of the fleet; packets of other fleets are rejected
- * @param listen address for packets from peers and for admin connections
- * @param advertise address that peers send to; null if it is the listen address
- * @param serves address for clients, announced to peers; null for the server's default
+ * @param fleetName name of the fleet; packets of other fleets are rejected
+ * @param listenAddress address for packets from peers and for admin connections
+ * @param advertisedAddress address that peers send to; null if it is the listen address
+ * @param serviceAddress address for clients, announced to peers; null for the server's default
  * @param keyFile file of the keys that authenticate packets
  * @param peersFile file of known peers for the next start; null for none
  * @param seeds addresses of members through which the server joins the fleet
  * @param zone failure domain of this server
- * @param pace intervals and timeouts of the membership protocol
- * @param copies settings of replication; null if there is none
+ * @param timing intervals and timeouts of the membership protocol
+ * @param replication settings of replication; null if there is none
  */
 public record FleetSettings(
-        String fleet,
-        InetSocketAddress listen,
-        PeerAddress advertise,
-        PeerAddress serves,
+        String fleetName,
+        InetSocketAddress listenAddress,
+        PeerAddress advertisedAddress,
+        PeerAddress serviceAddress,
         Path keyFile,
         Path peersFile,
         List<PeerAddress> seeds,
         String zone,
-        ProtocolTiming pace,
-        ReplicationSettings copies) {}
+        ProtocolTiming timing,
+        ReplicationSettings replication) {}
--- a/src/main/java/ochretiller/fleet/service/JsonText.java
+++ b/src/main/java/ochretiller/fleet/service/JsonText.java
@@ -13,15 +13,15 @@
 
     /** Writes the members of the object. */
     @FunctionalInterface
-    interface Members {
-        void to(JsonGenerator generator) throws IOException;
+    interface MemberWriter {
+        void write(JsonGenerator generator) throws IOException;
     }
 
-    static String object(Members members) {
+    static String object(MemberWriter members) {
         StringWriter out = new StringWriter(1024);
         try (JsonGenerator generator = JSON.createGenerator(out)) {
             generator.writeStartObject();
-            members.to(generator);
+            members.write(generator);
             generator.writeEndObject();
         } catch (IOException e) {
             throw new IllegalStateException(e); // cannot occur when writing to memory
--- a/src/main/java/ochretiller/fleet/service/LeaseHolder.java
+++ b/src/main/java/ochretiller/fleet/service/LeaseHolder.java
@@ -49,7 +49,7 @@
 
     /** Returns whether this server may serve now, by its own monotonic clock. */
     boolean isAllowedToServe() {
-        return !isRequired || lease.isHeld(context.scheduler().exact());
+        return !isRequired || lease.isHeld(context.scheduler().exactNow());
     }
 
     /** Logs and audits when the lease expires and when it is renewed after that. */
@@ -62,10 +62,10 @@
                 LOG.warning(
                         "fleet: this server's lease was not renewed and has expired; throttling"
                                 + " keyed invocations");
-                activator.told(RolloutEvent.SHUT_OUT, active, "its lease has ended");
+                activator.recordEvent(RolloutEvent.FENCED, active, "its lease has ended");
             } else {
                 LOG.warning("fleet: this server's lease is valid; accepting keyed invocations");
-                activator.told(RolloutEvent.LET_IN, active, "its lease holds");
+                activator.recordEvent(RolloutEvent.UNFENCED, active, "its lease holds");
             }
         }
         wasFenced = isFenced;
--- a/src/main/java/ochretiller/fleet/service/MembershipJson.java
+++ b/src/main/java/ochretiller/fleet/service/MembershipJson.java
@@ -9,15 +9,15 @@
 final class MembershipJson {
     private MembershipJson() {}
 
-    static String json(String fleetName, MembershipProtocol protocol, PeerSocket socket) {
+    static String viewJson(String fleetName, MembershipProtocol protocol, PeerSocket socket) {
         return JsonText.object(
                 out -> {
                     out.writeStringField("fleet", fleetName);
                     out.writeStringField("digest", Long.toHexString(protocol.digest()));
                     out.writeNumberField("doubt", protocol.localHealthScore());
-                    out.writeNumberField("news", protocol.pendingGossip());
+                    out.writeNumberField("news", protocol.pendingGossipCount());
                     out.writeNumberField("sent_bytes", socket.traffic().sentBytes());
-                    out.writeNumberField("read_bytes", socket.traffic().readBytes());
+                    out.writeNumberField("read_bytes", socket.traffic().receivedBytes());
                     out.writeObjectFieldStart("refused");
                     for (RejectReason reason : RejectReason.values()) {
                         if (socket.rejectedCount(reason) > 0) {
--- a/src/main/java/ochretiller/fleet/service/PeersFile.java
+++ b/src/main/java/ochretiller/fleet/service/PeersFile.java
@@ -16,13 +16,13 @@
     private static final Logger LOG = Logger.getLogger(PeersFile.class.getName());
 
     private final Path file;
-    private final SealedFile checksummedFile;
+    private final ChecksummedFile checksummedFile;
     private final BackgroundWriter writer = new BackgroundWriter("peers", 1);
     private volatile boolean lastWriteFailed;
 
     PeersFile(Path file) {
         this.file = file;
-        this.checksummedFile = new SealedFile(file);
+        this.checksummedFile = new ChecksummedFile(file);
     }
 
     List<PeerAddress> read() {
--- a/src/main/java/ochretiller/fleet/service/PreviousClaims.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousClaims.java
@@ -25,11 +25,11 @@
     private final ClaimCoordinator coordinator;
     private final ClaimMetrics metrics;
     private final Runnable flushMessages;
-    private Optional<PreviousIncarnation> previousRunLookup = Optional.empty();
+    private Optional<PreviousRunLookup> previousRunLookup = Optional.empty();
     private boolean isClosed;
 
     /**
-     * Creates an instance that ignores all queries until {@link #use} is called.
+     * Creates an instance that ignores all queries until {@link #setPreviousRunLookup} is called.
      *
      * @param ownClaim any claim ID of this incarnation; gives its server name and incarnation
      * @param maxWindow longest idempotency window
@@ -53,7 +53,7 @@
     }
 
     /** Sets the lookup of previous runs. */
-    void use(PreviousIncarnation lookup) {
+    void setPreviousRunLookup(PreviousRunLookup lookup) {
         previousRunLookup = Optional.of(lookup);
     }
 
@@ -62,7 +62,7 @@
         boolean isProvable =
                 isOfPreviousIncarnation(query.claimId())
                         && isDiskConclusive(replica)
-                        && ReplicaEntryCodec.tokenFits(query.token());
+                        && ReplicaEntryCodec.canReplicateToken(query.token());
         if (isProvable) {
             previousRunLookup.ifPresent(
                     lookup -> lookup.lookUp(query.token(), run -> resolve(query, run)));
@@ -82,15 +82,15 @@
                 && replica.get().statistics().staleDisks() == 0;
     }
 
-    private void resolve(ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
+    private void resolve(ReplicationMessage.OwnerQuery query, PreviousRunLookup.PreviousRun run) {
         if (isClosed) {
             return;
         }
-        if (run.kind() == PreviousIncarnation.Finding.NEVER) {
+        if (run.progress() == PreviousRunLookup.Progress.NEVER_STARTED) {
             metrics.previousNeverRan.add();
             Duration now = scheduler.now();
             coordinator.releaseClaim(query.token(), query.claimId(), now.plus(maxWindow), now);
-        } else if (run.kind() == PreviousIncarnation.Finding.ENDED) {
+        } else if (run.progress() == PreviousRunLookup.Progress.COMPLETED) {
             metrics.previousCompleted.add();
             reportOutcome(query, run);
         }
@@ -98,15 +98,15 @@
     }
 
     private void reportOutcome(
-            ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
+            ReplicationMessage.OwnerQuery query, PreviousRunLookup.PreviousRun run) {
         Duration now = scheduler.now();
         CompletedClaim completed =
-                ClaimOutcomes.completed(
+                ClaimOutcomes.completedClaim(
                         query.claimId(),
-                        run.body(),
+                        run.fingerprint(),
                         Optional.ofNullable(run.result()),
                         now,
-                        run.windowEnds());
+                        run.windowEnd());
         coordinator.reportPreviousOutcome(query.token(), completed, now);
     }
 
--- a/src/main/java/ochretiller/fleet/service/RecoveredReplica.java
+++ b/src/main/java/ochretiller/fleet/service/RecoveredReplica.java
@@ -18,6 +18,6 @@
         long changeNumber,
         ReplicaMetadata metadata) {
     /** The state without a disk, or with an empty one. */
-    static final RecoveredReplica NOTHING =
+    static final RecoveredReplica EMPTY =
             new RecoveredReplica(Optional.empty(), Map.of(), 0, ReplicaMetadata.NONE);
 }
--- a/src/main/java/ochretiller/fleet/service/ReplicaHost.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaHost.java
@@ -38,7 +38,7 @@
     private final FleetLink link;
     private final ReplicaLimits limits;
     private final Optional<ReplicaStorage> storage;
-    private final RecoveredReplica recovered;
+    private final RecoveredReplica recoveredState;
     private final ResultCache results;
     private final Supplier<ReplicaMetadata> metadata;
     private final DurabilityBarrier barrier;
@@ -72,10 +72,10 @@
                         settings.antiEntropyBytesPerSecond(),
                         maxWindow);
         Duration now = context.scheduler().now();
-        recovered = storage.map(opened -> opened.recover(now)).orElse(RecoveredReplica.NOTHING);
+        recoveredState = storage.map(opened -> opened.recover(now)).orElse(RecoveredReplica.EMPTY);
         results = new ResultCache(storage, settings.maxBytes() / 2);
         barrier = new DurabilityBarrier(context.random());
-        recovered.snapshot().ifPresent(this::restore);
+        recoveredState.snapshot().ifPresent(this::restore);
     }
 
     private void restore(ReplicaSnapshot snapshot) {
@@ -94,8 +94,8 @@
     }
 
     /** Returns the state that was found on the disk at the start. */
-    RecoveredReplica recovered() {
-        return recovered;
+    RecoveredReplica recoveredState() {
+        return recoveredState;
     }
 
     /** Returns the chunked results that the replica stores. */
@@ -136,9 +136,9 @@
      */
     private Replica create(ReplicaPlacement placement, Duration now) {
         long clockNumber = System.currentTimeMillis() * CHANGE_NUMBERS_PER_MILLISECOND;
-        long first = Math.max(recovered.changeNumber() + 1, clockNumber);
+        long first = Math.max(recoveredState.changeNumber() + 1, clockNumber);
         Replica created = Replica.withoutDisk(context.serverName(), placement, first, limits, now);
-        recovered.entries().forEach(created::restore);
+        recoveredState.entries().forEach(created::restore);
         return created;
     }
 
@@ -157,7 +157,7 @@
     void observeLivePeers(Set<String> live) {
         if (replica.isPresent()) {
             replica.get().observeLivePeers(live);
-            statusLog.reportConflicts(replica.get());
+            statusLog.logConflicts(replica.get());
         }
     }
 
@@ -170,7 +170,7 @@
 
     /** Logs changes of the replica's status. */
     void logStatus(Duration now) {
-        replica.ifPresent(existing -> statusLog.update(existing, barrier, now));
+        replica.ifPresent(existing -> statusLog.logChanges(existing, barrier, now));
     }
 
     /** Handles a message from another replica or from a coordinator. */
@@ -179,11 +179,11 @@
     }
 
     /** Stores assembled results and changed entries, and sends messages that may be sent. */
-    void publish() {
-        replica.ifPresent(this::publish);
+    void flush() {
+        replica.ifPresent(this::flush);
     }
 
-    private void publish(Replica source) {
+    private void flush(Replica source) {
         source.takeAssembledResults().forEach(result -> storeResult(source, result));
         List<String> changedTokens = source.takeChangedTokens();
         boolean isMetadataChanged = source.takeMetadataChanged();
@@ -200,7 +200,7 @@
         SubmittedChange submitted =
                 barrier.submit(changedTokens, isMetadataDue, source.takeOutbound());
         submitted.writes().forEach(this::write);
-        sendAll(submitted.sendable());
+        sendAll(submitted.sendableMessages());
     }
 
     /**
@@ -221,8 +221,8 @@
                 context.scheduler().now(),
                 isStored -> {
                     if (isStored && !link.isClosed()) {
-                        source.resultStored(result);
-                        publish();
+                        source.recordResultStored(result);
+                        flush();
                     }
                 });
     }
--- a/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
@@ -40,7 +40,7 @@
         this.store = store;
         this.now = now;
         this.storeNowMillis = store.nowMillis();
-        this.isComplete = store.incompleteFor().isZero();
+        this.isComplete = store.timeUntilComplete().isZero();
     }
 
     /** Reads all entries and the metadata. */
@@ -90,7 +90,7 @@
 
     private void recoverEntry(CborReader in, long expiresAtMillis) throws IOException {
         in.readStartArray();
-        ReplicationMessage.TransferredEntry stored = ReplicaEntryCodec.readStartedEntry(in);
+        ReplicationMessage.TransferredEntry stored = ReplicaEntryCodec.readEntryFields(in);
         ReplicaEntry entry =
                 new ReplicaEntry(
                         stored.entry().claims(),
@@ -110,7 +110,7 @@
                                 stored.placement(),
                                 entries,
                                 stored.laggingRanges(),
-                                stored.forgottenRanges(),
+                                stored.lostGrantRanges(),
                                 stored.unreliableRanges(),
                                 changeNumber,
                                 true));
--- a/src/main/java/ochretiller/fleet/service/ReplicaStatusLog.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStatusLog.java
@@ -22,7 +22,7 @@
     private int conflictLines;
 
     /** Logs conditions that have changed since the last call. */
-    void update(Replica replica, DurabilityBarrier barrier, Duration now) {
+    void logChanges(Replica replica, DurabilityBarrier barrier, Duration now) {
         logDiskCheck(replica);
         logLagging(replica, now);
         logDegraded(barrier);
@@ -72,7 +72,7 @@
     }
 
     /** Logs each new conflict, up to a limit. */
-    void reportConflicts(Replica replica) {
+    void logConflicts(Replica replica) {
         for (String token : replica.takeConflictingTokens()) {
             conflictLines++;
             if (conflictLines > MAX_CONFLICT_LOG_LINES) {
--- a/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaStorage.java
@@ -93,7 +93,7 @@
         out.writeNumber(snapshot.changeNumber());
         PlacementCodec.writePlacement(out, snapshot.placement());
         writeRanges(out, snapshot.laggingRanges());
-        writeRanges(out, snapshot.forgottenRanges());
+        writeRanges(out, snapshot.lostGrantRanges());
         writeRanges(out, snapshot.unreliableRanges());
         CborWriter.writeNumbersByName(out, metadata.observedChangeNumbers());
         CborWriter.writeLongs(out, metadata.incarnations());
@@ -172,7 +172,7 @@
         return key;
     }
 
-    private static byte[] encode(SealedFile.ContentWriter writer) {
+    private static byte[] encode(ChecksummedFile.ContentWriter writer) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(TYPICAL_VALUE_BYTES);
         try (CBORGenerator generator = CBOR.createGenerator(out)) {
             generator.writeStartArray();
--- a/src/main/java/ochretiller/fleet/service/ReplicationFigures.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationMetricValues.java
@@ -7,7 +7,7 @@
 import ochretiller.fleet.replication.ReplicaStatistics;
 
 /** Values of the replication metrics at one moment. Immutable, since other threads read them. */
-record ReplicationFigures(
+record ReplicationMetricValues(
         long epoch,
         int laggingRanges,
         int entries,
@@ -26,19 +26,19 @@
         long retriedRequests,
         long staleDisks) {
     /** The values before an epoch is known. */
-    static final ReplicationFigures NONE =
-            new ReplicationFigures(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+    static final ReplicationMetricValues NONE =
+            new ReplicationMetricValues(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    static ReplicationFigures of(
+    static ReplicationMetricValues of(
             long epoch,
             Replica replica,
             DurabilityBarrier barrier,
             ClaimCoordinator claims,
             Duration now) {
         ReplicaStatistics statistics = replica.statistics();
-        return new ReplicationFigures(
+        return new ReplicationMetricValues(
                 epoch,
                 replica.laggingRangeCount(),
                 statistics.entries(),
@@ -46,7 +46,7 @@
                 statistics.conflicts(),
                 claims.concurrencyLimit(),
                 statistics.hints(),
-                replica.oldestLag(now).toNanos() / NANOS_PER_SECOND,
+                replica.longestLag(now).toNanos() / NANOS_PER_SECOND,
                 statistics.receivedBytes(),
                 statistics.sentBytes(),
                 statistics.comparisons(),
--- a/src/main/java/ochretiller/fleet/service/ReplicationMetrics.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationMetrics.java
@@ -8,7 +8,7 @@
  */
 final class ReplicationMetrics {
     private final ClaimLatency claimLatency;
-    private volatile ReplicationFigures current = ReplicationFigures.NONE;
+    private volatile ReplicationMetricValues current = ReplicationMetricValues.NONE;
 
     ReplicationMetrics(Metrics metrics, ClaimLatency claimLatency) {
         this.claimLatency = claimLatency;
@@ -20,7 +20,7 @@
     }
 
     /** Publishes new values of all metrics. */
-    void publish(ReplicationFigures next) {
+    void publish(ReplicationMetricValues next) {
         current = next;
     }
 
@@ -49,9 +49,11 @@
         metrics.gauge(
                 "fleet_claim_p50_seconds",
                 "Half of the last 1,024 granted claims had their majority within this",
-                () -> claimLatency.seconds(50));
+                () -> claimLatency.percentileSeconds(50));
         metrics.gauge(
-                "fleet_claim_p99_seconds", "Of those, 99 of 100", () -> claimLatency.seconds(99));
+                "fleet_claim_p99_seconds",
+                "Of those, 99 of 100",
+                () -> claimLatency.percentileSeconds(99));
         metrics.gauge(
                 "fleet_claim_limit", "Claims that may be under way", () -> current.claimLimit());
         metrics.gauge(
@@ -65,46 +67,46 @@
                 "fleet_words_waiting",
                 "A keeper's words that wait for the disk",
                 () -> current.waitingMessages());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_words_unsaid_total",
                 "A keeper's words that were not said, since the disk did not take what they rest"
                         + " on",
                 () -> current.droppedMessages());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_conflicts_total",
                 "Tokens with two ends, which must not be",
                 () -> current.conflicts());
     }
 
     private void registerAntiEntropyMetrics(Metrics metrics) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_repair_fetched_bytes_total",
                 "Bytes of entries fetched from other keepers, as reckoned",
                 () -> current.fetchedBytes());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_repair_sent_bytes_total",
                 "Bytes of entries sent to other keepers, as reckoned",
                 () -> current.sentBytes());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_compares_total",
                 "Ranges compared with another keeper",
                 () -> current.comparisons());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_compares_differed_total",
                 "Ranges that another keeper had otherwise",
                 () -> current.differences());
     }
 
     private void registerRequestMetrics(Metrics metrics) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_claims_hedged_total",
                 "Keepers asked beyond a majority, since another was late",
                 () -> current.hedgedRequests());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_claims_again_total",
                 "Questions to keepers that were said again",
                 () -> current.retriedRequests());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "fleet_old_disks_total",
                 "Times that this server's disk was found older than its word",
                 () -> current.staleDisks());
--- a/src/main/java/ochretiller/fleet/service/ReplicationService.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationService.java
@@ -72,9 +72,10 @@
             Duration maxWindow,
             Optional<Store> store) {
         this.context = context;
-        acceptors = settings.voters();
+        acceptors = settings.acceptors();
         link = new FleetLink(context, this::receive);
-        ClaimModes modes = new ClaimModes(settings.modes(), maxWindow, context.scheduler().now());
+        ClaimModes modes =
+                new ClaimModes(settings.claimModes(), maxWindow, context.scheduler().now());
         consensus =
                 acceptors.contains(context.serverName())
                         ? Optional.of(new ConsensusDriver(context, link, settings, maxWindow))
@@ -82,7 +83,7 @@
         Optional<ReplicaStorage> storage =
                 store.map(opened -> new ReplicaStorage(opened, maxWindow));
         replicaHost = new ReplicaHost(context, link, settings, maxWindow, storage, this::metadata);
-        RecoveredReplica recovered = replicaHost.recovered();
+        RecoveredReplica recovered = replicaHost.recoveredState();
         incarnations = appendIncarnation(recovered.metadata().incarnations(), incarnation);
         ReplicaPlacement placement =
                 replicaHost
@@ -136,13 +137,13 @@
                                     context.serverName(),
                                     new ConsensusMessage.Committed(recovered)));
         }
-        consensus.flatMap(ConsensusDriver::committed).ifPresent(this::adoptPlacement);
+        consensus.flatMap(ConsensusDriver::committedPlacement).ifPresent(this::adoptPlacement);
         tick();
     }
 
     /** Stops sending and receiving, because another process uses this server's name. */
-    void stopSending() {
-        link.silence();
+    void disableMessaging() {
+        link.disable();
     }
 
     /** Stops all parts; operations that complete later have no effect. */
@@ -169,7 +170,7 @@
             consensus.ifPresent(driver -> driver.tick(now, this::rolloutProposal));
         }
         flush();
-        context.scheduler().after(TICK_INTERVAL, this::tick);
+        context.scheduler().runAfter(TICK_INTERVAL, this::tick);
     }
 
     private void tickReplica(Duration now) {
@@ -182,7 +183,7 @@
             replicaHost.observeLivePeers(context.liveServers());
             claims.latency().publish();
             metrics.publish(
-                    ReplicationFigures.of(
+                    ReplicationMetricValues.of(
                             epoch,
                             replicaHost.replica().get(),
                             replicaHost.barrier(),
@@ -294,19 +295,19 @@
     /** Adopts a newly committed placement, sends queued messages and starts pending writes. */
     private void flush() {
         consensus
-                .flatMap(ConsensusDriver::committed)
+                .flatMap(ConsensusDriver::committedPlacement)
                 .filter(committed -> committed.epoch() > epoch)
                 .ifPresent(this::adoptPlacement);
-        consensus.ifPresent(ConsensusDriver::publish);
+        consensus.ifPresent(ConsensusDriver::flush);
         for (OutboundMessage each : coordinator.takeOutbound()) {
             link.send(each.recipient(), each.message());
         }
-        replicaHost.publish();
+        replicaHost.flush();
     }
 
     /** Sets the lookup of runs by previous processes of this server. */
-    public void usePreviousIncarnation(PreviousIncarnation lookup) {
-        previousClaims.use(lookup);
+    public void setPreviousRunLookup(PreviousRunLookup lookup) {
+        previousClaims.setPreviousRunLookup(lookup);
     }
 
     /** Returns the source of the JSON for admin commands. */
--- a/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicationStatusJson.java
@@ -53,7 +53,7 @@
                     out.writeBooleanField(
                             "returning", replica.map(Replica::isCheckingDisk).orElse(false));
                     writeReplica(out, replica);
-                    out.writeNumberField("claims_under_way", coordinator.inFlight());
+                    out.writeNumberField("claims_under_way", coordinator.inFlightCount());
                     out.writeNumberField("claim_limit", Math.round(coordinator.concurrencyLimit()));
                     out.writeNumberField("words_waiting", replicaHost.barrier().waitingMessages());
                 });
@@ -69,7 +69,7 @@
         Duration now = context.scheduler().now();
         out.writeNumberField(
                 "oldest_gap_ms",
-                replica.map(existing -> existing.oldestLag(now).toMillis()).orElse(0L));
+                replica.map(existing -> existing.longestLag(now).toMillis()).orElse(0L));
         out.writeNumberField("hints", statistics.hints());
         out.writeNumberField("conflicts", statistics.conflicts());
         out.writeNumberField("fetched", statistics.receivedEntries());
@@ -88,7 +88,7 @@
     }
 
     /** Returns a token's range, replicas and local entry. */
-    String show(String token) {
+    String tokenStatus(String token) {
         Optional<Replica> replica = replicaHost.replica();
         int range = ReplicaPlacement.rangeOf(token);
         ReplicaPlacement placement = coordinator.placement();
@@ -146,7 +146,7 @@
     }
 
     /** Returns the entry count, digest and completeness of each range of this server. */
-    String digests() {
+    String rangeDigests() {
         return JsonText.object(
                 out -> {
                     out.writeStringField("name", context.serverName());
@@ -174,7 +174,7 @@
      *
      * @param number decimal number of the range; no tokens are listed if it is invalid
      */
-    String range(String number) {
+    String rangeTokens(String number) {
         int range = parseRange(number);
         List<TokenSummary> tokens =
                 range == NO_RANGE
--- a/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
+++ b/src/main/java/ochretiller/fleet/service/ResultChunkSender.java
@@ -6,8 +6,8 @@
 import ochretiller.fleet.replication.ReplicationMessage;
 
 /**
- * Sends chunks of results to the servers that request them. The results are those of this
- * server's own runs and those that its replica stores. Confined to the event loop.
+ * Sends chunks of results to the servers that request them. The results are those of this server's
+ * own runs and those that its replica stores. Confined to the event loop.
  */
 final class ResultChunkSender {
     private final FleetLink link;
@@ -22,7 +22,7 @@
 
     /** Sends the requested chunk; ignores the request if the result is not stored here. */
     void receive(String sender, ReplicationMessage.ChunkRequest request) {
-        Optional<String> ownResult = coordinator.pendingResult(request.claimId());
+        Optional<String> ownResult = coordinator.pendingChunkedResult(request.claimId());
         if (ownResult.isPresent()) {
             send(sender, request, ownResult);
         } else {
--- a/src/main/java/ochretiller/fleet/service/RolloutAcceptor.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutAcceptor.java
@@ -30,7 +30,7 @@
         controller =
                 new RolloutController(
                         settings.observationTime(),
-                        settings.stageTimeout(),
+                        settings.activationTimeout(),
                         settings.rollsBackAutomatically());
         witness = new AuditWitness(context.serverName(), activator);
     }
--- a/src/main/java/ochretiller/fleet/service/RolloutEvent.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutEvent.java
@@ -3,17 +3,17 @@
 /** Events of a rollout that are recorded in the audit log. */
 public enum RolloutEvent {
     /** This server activated another version. */
-    CHANGED,
+    VERSION_CHANGED,
     /** This server cannot activate its committed version. */
-    REFUSED,
+    VERSION_REJECTED,
     /** This server's lease expired, so the server is fenced. */
-    SHUT_OUT,
+    FENCED,
     /** This server's lease is valid again. */
-    LET_IN,
+    UNFENCED,
     /** A version was published through this server. */
-    PUBLISHED,
+    VERSION_PUBLISHED,
     /** The rollout reached another stage or phase. */
-    ROLLOUT,
+    ROLLOUT_CHANGED,
     /** Another server reported the head of its audit chain. */
-    WITNESSED
+    PEER_AUDIT_WITNESSED
 }
--- a/src/main/java/ochretiller/fleet/service/RolloutProposals.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutProposals.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns the state to propose, if an operator has requested one. */
-    Optional<RolloutState> proposed() {
+    Optional<RolloutState> nextProposal() {
         return pendingProposal;
     }
 
@@ -96,7 +96,7 @@
             return rejection(e.getMessage());
         }
         startOffering(committed.startRollout(next), version);
-        activator.told(RolloutEvent.PUBLISHED, next, publisher + ": " + reason);
+        activator.recordEvent(RolloutEvent.VERSION_PUBLISHED, next, publisher + ": " + reason);
         return JsonText.object(out -> out.writeNumberField("published", next.number()));
     }
 
@@ -133,14 +133,14 @@
         serversWithBytes.clear();
         String hash = offer.target().hash();
         files.store(hash, version, follower.active().hash(), () -> onStoredLocally(offer));
-        context.scheduler().after(PROPOSAL_LIFETIME, () -> expireOffer(offer));
+        context.scheduler().runAfter(PROPOSAL_LIFETIME, () -> expireOffer(offer));
     }
 
     private void onStoredLocally(RolloutState offer) {
         if (!isOffered(offer)) {
             return;
         }
-        receiveStored(context.serverName(), offer.target().hash());
+        receiveConfirmation(context.serverName(), offer.target().hash());
         if (isOffered(offer)) {
             offerToOthers();
         }
@@ -177,7 +177,7 @@
     }
 
     /** Handles an acceptor's confirmation that it has stored the bytes of a version. */
-    void receiveStored(String server, String hash) {
+    void receiveConfirmation(String server, String hash) {
         boolean isExpected =
                 pendingOffer.isPresent()
                         && acceptors.contains(server)
@@ -195,7 +195,7 @@
     private void propose(RolloutState next) {
         pendingProposal = Optional.of(next);
         // If another proposal was committed instead, the operator has to decide again.
-        context.scheduler().after(PROPOSAL_LIFETIME, () -> expireProposal(next));
+        context.scheduler().runAfter(PROPOSAL_LIFETIME, () -> expireProposal(next));
     }
 
     private void expireProposal(RolloutState next) {
@@ -211,7 +211,7 @@
      * @param operator name of the operator who issued the command
      * @return the result as JSON
      */
-    String steer(String command, String operator) {
+    String executeCommand(String command, String operator) {
         if (!isAcceptor()) {
             return rejection(notAnAcceptor());
         }
--- a/src/main/java/ochretiller/fleet/service/RolloutService.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutService.java
@@ -59,10 +59,10 @@
         this.context = context;
         this.acceptors = List.copyOf(acceptors);
         this.activator = activator;
-        files = new VersionFiles(settings.folder(), context.scheduler());
+        files = new VersionFiles(settings.directory(), context.scheduler());
         follower = new VersionFollower(context, build, this.acceptors, files, activator);
         offeredVersions = new OfferedVersionReceiver(context, this.acceptors, files, follower);
-        leaseHolder = new LeaseHolder(context, this.acceptors, settings.lease(), activator);
+        leaseHolder = new LeaseHolder(context, this.acceptors, settings.leaseDuration(), activator);
         acceptor = new RolloutAcceptor(context, settings, activator);
         proposals = new RolloutProposals(context, this.acceptors, files, follower, activator);
         statusJson = new RolloutStatusJson(context.serverName(), follower, leaseHolder, acceptor);
@@ -128,7 +128,7 @@
                                 + rollout.phase().externalName();
         String text = "version " + rollout.target().number() + progress;
         LOG.info("fleet: " + text + ": " + rollout.target().reason());
-        activator.told(RolloutEvent.ROLLOUT, rollout.target(), text);
+        activator.recordEvent(RolloutEvent.ROLLOUT_CHANGED, rollout.target(), text);
     }
 
     /** Requests missing chunks, logs lease changes, and reports to the acceptors when due. */
@@ -148,7 +148,7 @@
     }
 
     private void reportToAcceptors(Duration now) {
-        ChainHead auditHead = activator.audited();
+        ChainHead auditHead = activator.auditHead();
         RolloutMessage.StatusReport report =
                 new RolloutMessage.StatusReport(
                         leaseHolder.startRenewal(now),
@@ -179,7 +179,7 @@
         } else if (message instanceof RolloutMessage.VersionOffer offer) {
             offeredVersions.receiveOffer(sender, offer, now);
         } else if (message instanceof RolloutMessage.VersionStored stored) {
-            proposals.receiveStored(sender, stored.hash());
+            proposals.receiveConfirmation(sender, stored.hash());
         } else if (message instanceof RolloutMessage.Chunk chunk) {
             offeredVersions.receive(chunk, now);
             follower.receive(chunk, now);
@@ -214,7 +214,7 @@
         Set<String> live = context.liveServers();
         acceptor.observeLiveServers(live);
         return proposals
-                .proposed()
+                .nextProposal()
                 .or(() -> acceptor.nextState(committed, live, context.scheduler().now()))
                 .map(committed::with);
     }
@@ -230,8 +230,8 @@
     }
 
     /** Pauses, resumes or rolls back the rollout for an admin command; returns JSON. */
-    String steer(String command, String operator) {
-        return proposals.steer(command, operator);
+    String executeCommand(String command, String operator) {
+        return proposals.executeCommand(command, operator);
     }
 
     /** Returns the state of the rollout, as JSON. */
--- a/src/main/java/ochretiller/fleet/service/RolloutSettings.java
+++ b/src/main/java/ochretiller/fleet/service/RolloutSettings.java
@@ -6,20 +6,20 @@
 /**
  * Settings for the rollout of versions.
  *
- * @param folder directory of the files of versions, which outlive a restart
- * @param lease how long a server may serve without a renewal by a majority of the acceptors; zero
- *     if no lease is required
+ * @param directory directory of the files of versions, which outlive a restart
+ * @param leaseDuration how long a server may serve without a renewal by a majority of the
+ *     acceptors; zero if no lease is required
  * @param fencingGrace how long a server may take to activate its committed version before it is
  *     fenced
  * @param observationTime how long each stage is observed
- * @param stageTimeout how long servers may take to activate the version of their stage
+ * @param activationTimeout how long servers may take to activate the version of their stage
  * @param rollsBackAutomatically whether a harmful version is rolled back; otherwise its rollout is
  *     halted
  */
 public record RolloutSettings(
-        Path folder,
-        Duration lease,
+        Path directory,
+        Duration leaseDuration,
         Duration fencingGrace,
         Duration observationTime,
-        Duration stageTimeout,
+        Duration activationTimeout,
         boolean rollsBackAutomatically) {}
--- a/src/main/java/ochretiller/fleet/service/VersionActivator.java
+++ b/src/main/java/ochretiller/fleet/service/VersionActivator.java
@@ -18,11 +18,11 @@
      * @param version bytes of the version, or null to use the server's local files
      * @return why the version cannot be activated, in which case nothing has changed; or null
      */
-    String become(byte[] version);
+    String activate(byte[] version);
 
     /** Returns the head of this server's audit chain, or the empty head if there is no log. */
-    ChainHead audited();
+    ChainHead auditHead();
 
     /** Records a rollout event in the audit log. */
-    void told(RolloutEvent event, PublishedVersion version, String text);
+    void recordEvent(RolloutEvent event, PublishedVersion version, String text);
 }
--- a/src/main/java/ochretiller/fleet/service/VersionFiles.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFiles.java
@@ -35,7 +35,7 @@
 
     private final Path directory;
     private final Scheduler scheduler;
-    private final SealedFile activeFile;
+    private final ChecksummedFile activeFile;
     private final BackgroundWriter writer = new BackgroundWriter("versions", MAX_QUEUED_WRITES);
     private final Map<String, byte[]> versions =
             BoundedMap.evictingLeastRecentlyUsed(MAX_CACHED_VERSIONS);
@@ -43,7 +43,7 @@
     VersionFiles(Path directory, Scheduler scheduler) {
         this.directory = directory;
         this.scheduler = scheduler;
-        this.activeFile = new SealedFile(directory.resolve("acting"));
+        this.activeFile = new ChecksummedFile(directory.resolve("acting"));
     }
 
     /** Returns the SHA-256 of a version in hex. */
@@ -102,7 +102,7 @@
         writer.submit(
                 () -> {
                     try {
-                        SealedFile.replaceAtomically(fileOf(hash), version);
+                        ChecksummedFile.replaceAtomically(fileOf(hash), version);
                         scheduler.post(completion);
                         deleteOthers(neededHashes);
                     } catch (IOException e) {
--- a/src/main/java/ochretiller/fleet/service/VersionFollower.java
+++ b/src/main/java/ochretiller/fleet/service/VersionFollower.java
@@ -79,7 +79,7 @@
         }
         byte[] version = files.find(previous.hash()).orElse(null);
         String fault =
-                version == null ? "its bytes are missing or corrupt" : activator.become(version);
+                version == null ? "its bytes are missing or corrupt" : activator.activate(version);
         if (fault != null) {
             LOG.severe(
                     "fleet: cannot reactivate version "
@@ -141,7 +141,7 @@
         String fault =
                 needsNewerBuild(target)
                         ? "this build is " + build + ", and it needs " + target.minimumBuild()
-                        : activator.become(version);
+                        : activator.activate(version);
         if (fault != null) {
             reject(target, fault);
             return;
@@ -150,7 +150,7 @@
         activeNumberGauge = target.number();
         rejectionReason = "";
         LOG.info("fleet: activated version " + target.number());
-        activator.told(RolloutEvent.CHANGED, target, "");
+        activator.recordEvent(RolloutEvent.VERSION_CHANGED, target, "");
         files.storeActive(target);
     }
 
@@ -164,7 +164,7 @@
         rejectionReason =
                 fault.substring(0, Math.min(fault.length(), VersionReport.MAX_REASON_LENGTH));
         LOG.severe("fleet: rejected version " + target.number() + ": " + fault);
-        activator.told(RolloutEvent.REFUSED, target, rejectionReason);
+        activator.recordEvent(RolloutEvent.VERSION_REJECTED, target, rejectionReason);
     }
 
     /** Requests missing chunks. */
--- a/src/main/java/ochretiller/fleet/transport/AdminClient.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminClient.java
@@ -88,7 +88,7 @@
         DataInputStream in = new DataInputStream(socket.getInputStream());
         byte[] prefix = new byte[SealedFrame.LENGTH_PREFIX_BYTES];
         in.readFully(prefix);
-        int length = SealedFrame.length(prefix, prefix.length);
+        int length = SealedFrame.frameLength(prefix, prefix.length);
         if (length < prefix.length || length > SealedFrame.MAX_RESPONSE_BYTES) {
             throw new IOException(
                     "the server's answer has an invalid length: " + length + " bytes");
--- a/src/main/java/ochretiller/fleet/transport/AdminConnection.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminConnection.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Runnable received(byte[] bytes, int from, int to) throws BadInputException {
+    public Runnable decode(byte[] bytes, int from, int to) throws BadInputException {
         if (isOverLimit) {
             connection.drop(CloseCode.TOO_MANY);
             return null;
@@ -59,7 +59,7 @@
 
     private Runnable readRequest() throws BadInputException {
         byte[] bytes = pendingBytes.toByteArray();
-        int length = SealedFrame.length(bytes, bytes.length);
+        int length = SealedFrame.frameLength(bytes, bytes.length);
         if (length < 0 || length > SealedFrame.MAX_REQUEST_BYTES) {
             throw new BadInputException(
                     "an admin request has an invalid length: " + length + " bytes");
@@ -98,12 +98,12 @@
     }
 
     @Override
-    public void inputEnded() {
+    public void onInputEnded() {
         connection.close(CloseCode.PEER_CLOSED);
     }
 
     @Override
-    public void ended(CloseCode code) {
-        endpoint.connectionEnded();
+    public void onClosed(CloseCode code) {
+        endpoint.onConnectionClosed();
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
+++ b/src/main/java/ochretiller/fleet/transport/AdminEndpoint.java
@@ -42,14 +42,14 @@
     }
 
     /** Returns the handler of a new connection. */
-    public ConnectionHandler accepted(Connection connection) {
+    public ConnectionHandler createHandler(Connection connection) {
         boolean isOverLimit = openConnections.incrementAndGet() > MAX_CONNECTIONS;
         String challenge =
                 Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
         return new AdminConnection(this, connection, challenge, isOverLimit);
     }
 
-    void connectionEnded() {
+    void onConnectionClosed() {
         openConnections.decrementAndGet();
     }
 
--- a/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/AntiEntropyCodec.java
@@ -29,17 +29,17 @@
 
     static final List<MessageFormat<?>> FORMATS =
             List.of(
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             RANGE_REQUEST,
                             RangeRequest.class,
                             AntiEntropyCodec::encode,
                             AntiEntropyCodec::readRangeRequest),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             RANGE_PAGE,
                             RangePage.class,
                             AntiEntropyCodec::encode,
                             AntiEntropyCodec::readRangePage),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             RANGE_DIGEST,
                             RangeDigest.class,
                             AntiEntropyCodec::encode,
@@ -76,7 +76,7 @@
         out.writeNumber(message.nonce());
         ReplicaEntryCodec.writeEntries(out, message.entries());
         writeCursor(out, message.cursor());
-        out.writeBoolean(message.last());
+        out.writeBoolean(message.isLast());
         out.writeBoolean(message.sourceComplete());
         out.writeBoolean(message.sketchDecoded());
         CborWriter.writeLongs(out, message.remainingDigests());
@@ -104,7 +104,7 @@
         out.writeNumber(message.range());
         out.writeNumber(message.digest());
         out.writeNumber(message.entryCount());
-        out.writeBoolean(message.reply());
+        out.writeBoolean(message.isReply());
     }
 
     private static RangeDigest readRangeDigest(CborReader in) throws IOException {
--- a/src/main/java/ochretiller/fleet/transport/CborReader.java
+++ b/src/main/java/ochretiller/fleet/transport/CborReader.java
@@ -173,11 +173,11 @@
     }
 
     /** Consumes the next token and returns whether it ends the array. */
-    boolean readIsEndOfArray() throws IOException {
+    boolean nextTokenEndsArray() throws IOException {
         return parser.nextToken() == JsonToken.END_ARRAY;
     }
 
-    /** Returns the integer whose token {@link #readIsEndOfArray()} has consumed. */
+    /** Returns the integer whose token {@link #nextTokenEndsArray()} has consumed. */
     long currentLong() throws IOException {
         return parser.getLongValue();
     }
--- a/src/main/java/ochretiller/fleet/transport/CborWriter.java
+++ b/src/main/java/ochretiller/fleet/transport/CborWriter.java
@@ -16,8 +16,8 @@
     }
 
     /** Writes a definite-length array. */
-    static <T> void writeSizedList(CBORGenerator out, List<T> elements, ElementWriter<T> writer)
-            throws IOException {
+    static <T> void writeDefiniteLengthList(
+            CBORGenerator out, List<T> elements, ElementWriter<T> writer) throws IOException {
         out.writeStartArray(null, elements.size());
         for (T element : elements) {
             writer.write(out, element);
@@ -37,7 +37,7 @@
 
     /** Writes integers as a definite-length array. */
     public static void writeLongs(CBORGenerator out, List<Long> numbers) throws IOException {
-        writeSizedList(out, numbers, CBORGenerator::writeNumber);
+        writeDefiniteLengthList(out, numbers, CBORGenerator::writeNumber);
     }
 
     /** Writes a list of name-number pairs in the iteration order of the map. */
--- a/src/main/java/ochretiller/fleet/transport/ConsensusCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ConsensusCodec.java
@@ -91,7 +91,7 @@
             Class<T> type,
             MessageFormat.Encoder<T> encoder,
             MessageFormat.Decoder<T> decoder) {
-        return MessageFormat.of(kind, type, encoder, decoder);
+        return MessageFormat.ofIndefiniteLength(kind, type, encoder, decoder);
     }
 
     private static void encode(CBORGenerator out, Prepare message) throws IOException {
@@ -177,7 +177,7 @@
 
     private static void encode(CBORGenerator out, StateLost message) throws IOException {
         out.writeNumber(message.nonce());
-        out.writeNumber(message.instanceId());
+        out.writeNumber(message.startId());
     }
 
     private static StateLost readStateLost(CborReader in) throws IOException {
@@ -185,7 +185,7 @@
     }
 
     private static void encode(CBORGenerator out, AllStateLost message) throws IOException {
-        CborWriter.writeNumbersByName(out, message.instanceIds());
+        CborWriter.writeNumbersByName(out, message.startIds());
     }
 
     private static AllStateLost readAllStateLost(CborReader in) throws IOException {
--- a/src/main/java/ochretiller/fleet/transport/FleetKeys.java
+++ b/src/main/java/ochretiller/fleet/transport/FleetKeys.java
@@ -79,11 +79,7 @@
         byte[] key = line.strip().getBytes(StandardCharsets.UTF_8);
         if (key.length < MIN_KEY_BYTES) {
             throw new MalformedException(
-                    "fleet key file "
-                            + file
-                            + " has a key of under "
-                            + MIN_KEY_BYTES
-                            + " bytes");
+                    "fleet key file " + file + " has a key of under " + MIN_KEY_BYTES + " bytes");
         }
         return key;
     }
--- a/src/main/java/ochretiller/fleet/transport/MemberCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/MemberCodec.java
@@ -89,7 +89,7 @@
     static PeerAddress readAddress(CborReader in) throws IOException {
         String host = in.readText();
         long port = in.readLong();
-        if (host.length() > PeerAddress.MAX_LENGTH || port < 0 || port > MAX_PORT) {
+        if (host.length() > PeerAddress.MAX_HOST_LENGTH || port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException("invalid address: " + host + ":" + port);
         }
         return new PeerAddress(host, (int) port);
@@ -120,7 +120,7 @@
         if (stateVersion < 0) {
             throw new IllegalArgumentException("state version is negative: " + stateVersion);
         }
-        if (in.readIsEndOfArray()) {
+        if (in.nextTokenEndsArray()) {
             return new MembershipUpdate(incarnation, stateVersion, state, NO_ACCUSER);
         }
         long accuser = in.currentLong();
@@ -129,7 +129,7 @@
     }
 
     static void writeMembers(CBORGenerator out, List<Member> members) throws IOException {
-        CborWriter.writeSizedList(out, members, MemberCodec::writeMember);
+        CborWriter.writeDefiniteLengthList(out, members, MemberCodec::writeMember);
     }
 
     static List<Member> readMembers(CborReader in) throws IOException {
@@ -137,7 +137,7 @@
     }
 
     static void writeUpdates(CBORGenerator out, List<MembershipUpdate> updates) throws IOException {
-        CborWriter.writeSizedList(out, updates, MemberCodec::writeUpdate);
+        CborWriter.writeDefiniteLengthList(out, updates, MemberCodec::writeUpdate);
     }
 
     static List<MembershipUpdate> readUpdates(CborReader in) throws IOException {
--- a/src/main/java/ochretiller/fleet/transport/MembershipCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/MembershipCodec.java
@@ -25,45 +25,45 @@
 
     static final List<MessageFormat<?>> FORMATS =
             List.of(
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             PING,
                             Ping.class,
                             5,
                             MembershipCodec::encode,
                             MembershipCodec::readPing),
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             ACK, Ack.class, 4, MembershipCodec::encode, MembershipCodec::readAck),
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             PING_REQUEST,
                             PingRequest.class,
                             4,
                             MembershipCodec::encode,
                             MembershipCodec::readPingRequest),
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             INDIRECT_ACK,
                             IndirectAck.class,
                             2,
                             MembershipCodec::encode,
                             MembershipCodec::readIndirectAck),
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             DIGEST_SYNC,
                             DigestSync.class,
                             2,
                             MembershipCodec::encode,
                             MembershipCodec::readDigestSync),
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             UPDATE_PAGE,
                             UpdatePage.class,
                             1,
                             MembershipCodec::encode,
                             MembershipCodec::readUpdatePage),
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             MEMBER_REQUEST,
                             MemberRequest.class,
                             1,
                             MembershipCodec::encode,
                             MembershipCodec::readMemberRequest),
-                    MessageFormat.sized(
+                    MessageFormat.ofDefiniteLength(
                             MEMBER_PAGE,
                             MemberPage.class,
                             1,
--- a/src/main/java/ochretiller/fleet/transport/MessageFormat.java
+++ b/src/main/java/ochretiller/fleet/transport/MessageFormat.java
@@ -26,13 +26,13 @@
     }
 
     /** Returns a format whose body is an indefinite-length array. */
-    static <T> MessageFormat<T> of(
+    static <T> MessageFormat<T> ofIndefiniteLength(
             int kind, Class<T> type, Encoder<T> encoder, Decoder<T> decoder) {
         return new MessageFormat<>(kind, type, INDEFINITE, encoder, decoder);
     }
 
     /** Returns a format whose body is a definite-length array. */
-    static <T> MessageFormat<T> sized(
+    static <T> MessageFormat<T> ofDefiniteLength(
             int kind, Class<T> type, int fieldCount, Encoder<T> encoder, Decoder<T> decoder) {
         return new MessageFormat<>(kind, type, fieldCount, encoder, decoder);
     }
--- a/src/main/java/ochretiller/fleet/transport/MessageFormats.java
+++ b/src/main/java/ochretiller/fleet/transport/MessageFormats.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the format of a kind; empty if this version does not support the kind. */
-    Optional<MessageFormat<?>> ofKind(long kind) {
+    Optional<MessageFormat<?>> forKind(long kind) {
         return Optional.ofNullable(byKind.get(kind));
     }
 
@@ -44,7 +44,7 @@
      *
      * @throws IllegalArgumentException if its class has no format
      */
-    MessageFormat<?> ofMessage(Object message) {
+    MessageFormat<?> forMessage(Object message) {
         MessageFormat<?> format = byType.get(message.getClass());
         if (format == null) {
             throw new IllegalArgumentException(
--- a/src/main/java/ochretiller/fleet/transport/PacketCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/PacketCodec.java
@@ -94,7 +94,7 @@
 
     private void writeContent(CBORGenerator out, Member sender, Object message, long sequence)
             throws IOException {
-        MessageFormat<?> format = MessageFormats.ALL.ofMessage(message);
+        MessageFormat<?> format = MessageFormats.ALL.forMessage(message);
         out.writeStartArray(null, ENVELOPE_FIELDS);
         out.writeString(fleetName);
         out.writeNumber(sequence);
@@ -115,7 +115,7 @@
         checkHeader(bytes, length);
         int unsealedLength = length - FleetKeys.SEAL_BYTES;
         if (!keys.isAuthentic(bytes, unsealedLength)) {
-            throw new RejectedPacketException(RejectReason.FORGED);
+            throw new RejectedPacketException(RejectReason.INVALID_SEAL);
         }
         try (CborReader in = CborReader.of(bytes, HEADER_BYTES, unsealedLength - HEADER_BYTES)) {
             return readContent(in);
@@ -126,19 +126,19 @@
 
     private static void checkHeader(byte[] bytes, int length) throws RejectedPacketException {
         if (length < HEADER_BYTES + FleetKeys.SEAL_BYTES || length > MAX_PACKET_BYTES) {
-            throw new RejectedPacketException(RejectReason.LENGTH);
+            throw new RejectedPacketException(RejectReason.INVALID_LENGTH);
         }
         if (bytes[0] != FIRST_MAGIC_BYTE || bytes[1] != SECOND_MAGIC_BYTE) {
-            throw new RejectedPacketException(RejectReason.NOT_OURS);
+            throw new RejectedPacketException(RejectReason.WRONG_MAGIC);
         }
         if (Byte.toUnsignedInt(bytes[MIN_VERSION_OFFSET]) > PROTOCOL_VERSION) {
-            throw new RejectedPacketException(RejectReason.NEWER);
+            throw new RejectedPacketException(RejectReason.UNSUPPORTED_VERSION);
         }
         int statedLength =
                 Byte.toUnsignedInt(bytes[LENGTH_OFFSET]) << 8
                         | Byte.toUnsignedInt(bytes[LENGTH_OFFSET + 1]);
         if (statedLength != length) {
-            throw new RejectedPacketException(RejectReason.LENGTH);
+            throw new RejectedPacketException(RejectReason.INVALID_LENGTH);
         }
     }
 
@@ -153,8 +153,8 @@
         Member sender = MemberCodec.readMember(in);
         MessageFormat<?> format =
                 MessageFormats.ALL
-                        .ofKind(kind)
-                        .orElseThrow(() -> new RejectedPacketException(RejectReason.KIND));
+                        .forKind(kind)
+                        .orElseThrow(() -> new RejectedPacketException(RejectReason.UNKNOWN_KIND));
         return new ReceivedPacket(sender, format.read(in), sequence, epoch);
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/PeerSocket.java
+++ b/src/main/java/ochretiller/fleet/transport/PeerSocket.java
@@ -126,9 +126,9 @@
 
     private void accept(ByteBuffer buffer, InetSocketAddress source, PeerRateLimiter rateLimiter) {
         int length = buffer.flip().remaining();
-        traffic.packetRead(length);
+        traffic.countReceived(length);
         if (!rateLimiter.tryAcquire(source, length, System.nanoTime())) {
-            reject(RejectReason.OVER_BUDGET);
+            reject(RejectReason.RATE_LIMITED);
             return;
         }
         ReceivedPacket packet;
@@ -138,13 +138,13 @@
             reject(e.reason());
             return;
         }
-        if (!replayWindow.take(packet.sender().incarnation(), packet.sequence())) {
+        if (!replayWindow.markReceived(packet.sender().incarnation(), packet.sequence())) {
             reject(RejectReason.REPLAYED);
             return;
         }
         if (queuedPackets.incrementAndGet() > MAX_QUEUED_PACKETS) {
             queuedPackets.decrementAndGet();
-            reject(RejectReason.BEHIND);
+            reject(RejectReason.QUEUE_FULL);
             return;
         }
         scheduler.post(() -> deliver(packet));
@@ -162,13 +162,13 @@
     public void send(InetSocketAddress destination, byte[] packet) {
         try {
             if (channel.send(ByteBuffer.wrap(packet), destination) == packet.length) {
-                traffic.packetSent(packet.length);
+                traffic.countSent(packet.length);
                 return;
             }
         } catch (IOException | RuntimeException e) {
             LOG.fine(() -> "cannot send a packet to " + destination + ": " + e.getMessage());
         }
-        traffic.packetDropped();
+        traffic.countDropped();
     }
 
     /** Closes the socket and thereby ends the reader thread. */
--- a/src/main/java/ochretiller/fleet/transport/ReceivedPacket.java
+++ b/src/main/java/ochretiller/fleet/transport/ReceivedPacket.java
@@ -18,7 +18,7 @@
      *
      * @throws ClassCastException if the message is of another family
      */
-    public MembershipPacket packet() {
+    public MembershipPacket asMembershipPacket() {
         return new MembershipPacket(sender, (MembershipMessage) message);
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/RejectReason.java
+++ b/src/main/java/ochretiller/fleet/transport/RejectReason.java
@@ -5,13 +5,13 @@
 /** Reasons for rejecting a packet or frame. Rejected packets are counted by reason. */
 public enum RejectReason {
     /** The packet is shorter than an envelope, too long, or differs from its stated length. */
-    LENGTH("LENGTH"),
+    INVALID_LENGTH("LENGTH"),
     /** The packet does not start with the magic bytes. */
-    NOT_OURS("NOT_OURS"),
+    WRONG_MAGIC("NOT_OURS"),
     /** The packet requires a newer protocol version. */
-    NEWER("NEWER"),
+    UNSUPPORTED_VERSION("NEWER"),
     /** The packet is not sealed with a key of this fleet. */
-    FORGED("FORGED"),
+    INVALID_SEAL("FORGED"),
     /** The packet names another fleet. */
     OTHER_FLEET("OTHER_FLEET"),
     /** The packet is authentic, but its content violates the protocol. */
@@ -19,11 +19,11 @@
     /** The packet was received before, or is older than the replay window. */
     REPLAYED("REPLAYED"),
     /** The message kind is unknown, as in packets of a newer version. */
-    KIND("KIND"),
+    UNKNOWN_KIND("KIND"),
     /** The source address exceeds its rate limit, or all addresses exceed the total limit. */
-    OVER_BUDGET("OVER_BUDGET"),
+    RATE_LIMITED("OVER_BUDGET"),
     /** Too many packets are queued for the event loop. */
-    BEHIND("BEHIND");
+    QUEUE_FULL("BEHIND");
 
     private final String externalName;
 
--- a/src/main/java/ochretiller/fleet/transport/ReplayWindow.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplayWindow.java
@@ -19,7 +19,7 @@
             BoundedMap.evictingLeastRecentlyUsed(MAX_INCARNATIONS);
 
     /** Records a packet as received; false if it is a replay or older than the window. */
-    boolean take(long incarnation, long sequence) {
+    boolean markReceived(long incarnation, long sequence) {
         if (sequence <= 0) {
             return false;
         }
--- a/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
@@ -25,7 +25,7 @@
     private ReplicaEntryCodec() {}
 
     /** Returns whether an idempotency key is short enough to be replicated. */
-    public static boolean tokenFits(String token) {
+    public static boolean canReplicateToken(String token) {
         return token.length() <= MAX_TOKEN_BYTES
                 && token.getBytes(StandardCharsets.UTF_8).length <= MAX_TOKEN_BYTES;
     }
@@ -33,7 +33,7 @@
     /** Reads an idempotency key; rejects one that is longer than this version can store. */
     static String readToken(CborReader in) throws IOException {
         String token = in.readText();
-        if (!tokenFits(token)) {
+        if (!canReplicateToken(token)) {
             throw new IllegalArgumentException(
                     "idempotency key exceeds " + MAX_TOKEN_BYTES + " bytes");
         }
@@ -62,7 +62,7 @@
     static void writeOutcome(CBORGenerator out, ClaimOutcome outcome) throws IOException {
         out.writeBoolean(outcome.succeeded());
         out.writeString(outcome.fingerprint());
-        writeByteText(out, outcome.result());
+        writeLatin1(out, outcome.result());
         out.writeNumber(outcome.resultSize());
         out.writeNumber(outcome.checksum());
         out.writeBoolean(outcome.resultPresent());
@@ -73,7 +73,7 @@
                 new ClaimOutcome(
                         in.readBoolean(),
                         in.readText(),
-                        readByteText(in),
+                        readLatin1(in),
                         (int) in.readLong(),
                         in.readLong(),
                         in.readBoolean());
@@ -88,11 +88,11 @@
     }
 
     /** Writes a text of ISO 8859-1 characters, each of which is one byte, as a byte string. */
-    static void writeByteText(CBORGenerator out, String text) throws IOException {
+    static void writeLatin1(CBORGenerator out, String text) throws IOException {
         out.writeBinary(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    static String readByteText(CborReader in) throws IOException {
+    static String readLatin1(CborReader in) throws IOException {
         return new String(in.readBytes(), StandardCharsets.ISO_8859_1);
     }
 
@@ -101,7 +101,7 @@
     }
 
     static List<TransferredEntry> readEntries(CborReader in) throws IOException {
-        return in.readList(() -> readStartedEntry(in));
+        return in.readList(() -> readEntryFields(in));
     }
 
     /** Writes an entry as an array. */
@@ -119,7 +119,7 @@
     }
 
     /** Reads an entry after the start of its array. */
-    public static TransferredEntry readStartedEntry(CborReader in) throws IOException {
+    public static TransferredEntry readEntryFields(CborReader in) throws IOException {
         String token = readToken(in);
         Duration remaining = readDuration(in);
         Map<ClaimId, String> claims = readClaims(in);
--- a/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
@@ -39,57 +39,57 @@
 
     static final List<MessageFormat<?>> FORMATS =
             List.of(
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_REQUEST,
                             ClaimRequest.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readClaimRequest),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_QUERY,
                             ClaimQuery.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readClaimQuery),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_REPLY,
                             ClaimReply.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readClaimReply),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_COMPLETED,
                             ClaimCompleted.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readClaimCompleted),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             OUTCOME_STORED,
                             OutcomeStored.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readOutcomeStored),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_RELEASE,
                             ClaimRelease.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readClaimRelease),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             OWNER_QUERY,
                             OwnerQuery.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readOwnerQuery),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CHANGE_NUMBER_QUERY,
                             ChangeNumberQuery.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readChangeNumberQuery),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CHANGE_NUMBER_REPLY,
                             ChangeNumberReply.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readChangeNumberReply),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CHUNK_REQUEST,
                             ChunkRequest.class,
                             ReplicationCodec::encode,
                             ReplicationCodec::readChunkRequest),
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CHUNK,
                             Chunk.class,
                             ReplicationCodec::encode,
@@ -248,7 +248,7 @@
         out.writeString(message.token());
         ReplicaEntryCodec.writeClaimId(out, message.claimId());
         out.writeNumber(message.offset());
-        ReplicaEntryCodec.writeByteText(out, message.data());
+        ReplicaEntryCodec.writeLatin1(out, message.data());
     }
 
     private static Chunk readChunk(CborReader in) throws IOException {
@@ -256,6 +256,6 @@
                 ReplicaEntryCodec.readToken(in),
                 ReplicaEntryCodec.readClaimId(in),
                 (int) in.readLong(),
-                ReplicaEntryCodec.readByteText(in));
+                ReplicaEntryCodec.readLatin1(in));
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/RolloutCodec.java
@@ -58,7 +58,7 @@
             Class<T> type,
             MessageFormat.Encoder<T> encoder,
             MessageFormat.Decoder<T> decoder) {
-        return MessageFormat.of(
+        return MessageFormat.ofIndefiniteLength(
                 kind,
                 type,
                 encoder,
--- a/src/main/java/ochretiller/fleet/transport/SealedFrame.java
+++ b/src/main/java/ochretiller/fleet/transport/SealedFrame.java
@@ -47,7 +47,7 @@
      * Returns the length in bytes of the frame at the start of the buffer, including its prefix, or
      * 0 if the prefix is incomplete. The length comes from the peer and may be negative.
      */
-    public static int length(byte[] bytes, int count) {
+    public static int frameLength(byte[] bytes, int count) {
         if (count < LENGTH_PREFIX_BYTES) {
             return 0;
         }
@@ -63,10 +63,10 @@
         byte[] sealed = Arrays.copyOfRange(frame, LENGTH_PREFIX_BYTES, frame.length);
         int textLength = sealed.length - FleetKeys.SEAL_BYTES;
         if (textLength < 0) {
-            throw new RejectedPacketException(RejectReason.LENGTH);
+            throw new RejectedPacketException(RejectReason.INVALID_LENGTH);
         }
         if (!keys.isAuthentic(sealed, textLength)) {
-            throw new RejectedPacketException(RejectReason.FORGED);
+            throw new RejectedPacketException(RejectReason.INVALID_SEAL);
         }
         String[] fields =
                 new String(sealed, 0, textLength, StandardCharsets.UTF_8)
--- a/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
+++ b/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
@@ -10,16 +10,16 @@
     private final LongAdder receivedPackets = new LongAdder();
     private final LongAdder receivedBytes = new LongAdder();
 
-    void packetSent(int size) {
+    void countSent(int size) {
         sentPackets.increment();
         sentBytes.add(size);
     }
 
-    void packetDropped() {
+    void countDropped() {
         droppedPackets.increment();
     }
 
-    void packetRead(int size) {
+    void countReceived(int size) {
         receivedPackets.increment();
         receivedBytes.add(size);
     }
@@ -40,12 +40,12 @@
     }
 
     /** Returns the number of received packets, including rejected ones. */
-    public long readPackets() {
+    public long receivedPackets() {
         return receivedPackets.sum();
     }
 
     /** Returns the number of received bytes, including those of rejected packets. */
-    public long readBytes() {
+    public long receivedBytes() {
         return receivedBytes.sum();
     }
 }
--- a/src/main/java/ochretiller/frontend/ClientConnection.java
+++ b/src/main/java/ochretiller/frontend/ClientConnection.java
@@ -10,8 +10,8 @@
 
 /**
  * One client connection and its open requests. Each frontend has a subclass that decodes its
- * protocol and writes the responses. Confined to the event loop, except for {@link #received},
- * {@link #within} and {@link #closed}, which are called on the I/O thread.
+ * protocol and writes the responses. Confined to the event loop, except for {@link #decode}, {@link
+ * #hasPartialMessage} and {@link #onDescriptorReleased}, which are called on the I/O thread.
  */
 public abstract class ClientConnection implements ConnectionHandler {
     /** The underlying TCP connection. */
@@ -31,7 +31,7 @@
     private Optional<CloseCode> closingReason = Optional.empty();
 
     /**
-     * Creates a connection, which the caller must pass to {@link ClientConnections#accepted}.
+     * Creates a connection, which the caller must pass to {@link ClientConnections#register}.
      *
      * @param connection the underlying TCP connection
      * @param clients all client connections of the server
@@ -49,7 +49,7 @@
      * @param result the result's bytes
      * @param replayed whether this is the stored result of an earlier attempt
      */
-    protected abstract void succeeds(RequestAttempt attempt, byte[] result, boolean replayed);
+    protected abstract void writeResult(RequestAttempt attempt, byte[] result, boolean replayed);
 
     /**
      * Writes that the attempt was rejected before it ran.
@@ -58,7 +58,7 @@
      * @param retryAfter the delay to advise before a retry; zero to advise none
      * @param isFinal whether to tell the client that a retry is of no use
      */
-    protected abstract void throttles(
+    protected abstract void writeThrottled(
             RequestAttempt attempt, Duration retryAfter, boolean isFinal);
 
     /**
@@ -67,49 +67,49 @@
      * @param attempt the attempt to answer
      * @param reason why it failed
      */
-    protected abstract void fails(RequestAttempt attempt, FailureReason reason);
+    protected abstract void writeError(RequestAttempt attempt, FailureReason reason);
 
     /**
      * Asks the client to send no further requests on this connection.
      *
      * @return false if the protocol has no message for this
      */
-    protected boolean leaves() {
+    protected boolean writeShutdown() {
         return false;
     }
 
     /** Returns whether the protocol allows no further request, so the connection can be closed. */
-    protected boolean done() {
+    protected boolean isFinished() {
         return false;
     }
 
     /** Records that the client has sent a valid request or health check. */
-    public void shows() {
+    public void markValidMessage() {
         hasSentValidMessage = true;
-        clients.shows(this);
+        clients.markActive(this);
     }
 
     /** Returns whether the client has ever sent a valid request or health check. */
-    boolean shown() {
+    boolean hasSentValidMessage() {
         return hasSentValidMessage;
     }
 
     /** Returns whether the connection exceeds the limit, so that its requests are rejected. */
-    boolean surplus() {
+    boolean isSurplus() {
         return isSurplus;
     }
 
-    void makeSurplus() {
+    void markSurplus() {
         isSurplus = true;
     }
 
     /** Returns when the connection was accepted, measured from the start of the server. */
-    Duration madeAt() {
+    Duration acceptedAt() {
         return acceptedAt;
     }
 
     /** Returns the unanswered attempts on this connection by request number, the oldest first. */
-    public Map<Long, RequestAttempt> open() {
+    public Map<Long, RequestAttempt> openAttempts() {
         return openAttempts;
     }
 
@@ -118,26 +118,26 @@
      *
      * @param change the number of checks that were started; negative if they have ended
      */
-    public void checks(int change) {
+    public void addPendingChecks(int change) {
         pendingChecks += change;
     }
 
     private boolean isBusy() {
-        return !openAttempts.isEmpty() || pendingChecks > 0 || waits();
+        return !openAttempts.isEmpty() || pendingChecks > 0 || hasQueuedRequests();
     }
 
     /**
-     * Returns whether requests are queued after an earlier unanswered one, in protocols that
-     * answer in order.
+     * Returns whether requests are queued after an earlier unanswered one, in protocols that answer
+     * in order.
      */
-    protected boolean waits() {
+    protected boolean hasQueuedRequests() {
         return false;
     }
 
     @Override
-    public void inputEnded() {
+    public void onInputEnded() {
         inputEnded = true;
-        settle();
+        closeIfDone();
     }
 
     /**
@@ -147,14 +147,14 @@
      *
      * @param maxAge the age from which no client waits for an incomplete message
      */
-    boolean quiet(Duration maxAge) {
+    boolean isClosable(Duration maxAge) {
         boolean isSending =
                 hasSentValidMessage
                         && connection
-                                .within()
+                                .incompleteSince()
                                 .filter(since -> clients.now().minus(since).compareTo(maxAge) < 0)
                                 .isPresent();
-        return !isBusy() && connection.quiet() && !isSending;
+        return !isBusy() && connection.isInputProcessed() && !isSending;
     }
 
     /**
@@ -163,32 +163,32 @@
      * @param code the code to close the connection with later
      * @return false if the protocol has no message for this
      */
-    boolean part(CloseCode code) {
+    boolean askToLeave(CloseCode code) {
         if (closingReason.isPresent()) {
             return true;
         }
-        if (!leaves()) {
+        if (!writeShutdown()) {
             return false;
         }
         closingReason = Optional.of(code);
         return true;
     }
 
-    /** Closes a connection, with the code of {@link #part}, after its client could react. */
+    /** Closes a connection, with the code of {@link #askToLeave}, after its client could react. */
     void close() {
         connection.close(closingReason.orElseThrow());
     }
 
     /**
-     * Drops a connection that is closing, or whose client was asked to leave, unless
-     * that would lose a request or a response.
+     * Drops a connection that is closing, or whose client was asked to leave, unless that would
+     * lose a request or a response.
      *
      * @param maxAge the age from which no client waits for an incomplete message
      * @return whether this call dropped the connection
      */
-    boolean hurry(Duration maxAge) {
-        boolean isLeaving = closingReason.isPresent() || !connection.open();
-        if (isDropped || !isLeaving || !quiet(maxAge) || !connection.sent()) {
+    boolean dropIfLeaving(Duration maxAge) {
+        boolean isLeaving = closingReason.isPresent() || !connection.isOpen();
+        if (isDropped || !isLeaving || !isClosable(maxAge) || !connection.isOutputSent()) {
             return false;
         }
         isDropped = true;
@@ -198,28 +198,28 @@
 
     /** Answers the requests that were read before the violation, then closes the connection. */
     @Override
-    public boolean spoilt(CloseCode code) {
+    public boolean onProtocolViolation(CloseCode code) {
         hasViolatedProtocol = true;
         closingReason = Optional.of(code);
-        clients.goes(this);
-        settle();
+        clients.startLeaving(this);
+        closeIfDone();
         return true;
     }
 
     /** Returns whether the client has violated the protocol and is no longer read from. */
-    protected boolean unreadable() {
+    protected boolean hasViolatedProtocol() {
         return hasViolatedProtocol;
     }
 
     /** Closes the connection if everything is answered and no further request can arrive. */
-    public void settle() {
+    public void closeIfDone() {
         if (isBusy()) {
             return;
         }
         finalCloseCode()
                 .ifPresent(
                         code -> {
-                            clients.goes(this);
+                            clients.startLeaving(this);
                             connection.close(code);
                         });
     }
@@ -235,16 +235,16 @@
         if (isSurplus) {
             return Optional.of(CloseCode.TOO_MANY);
         }
-        return done() ? Optional.of(CloseCode.ANSWERED) : Optional.empty();
+        return isFinished() ? Optional.of(CloseCode.ANSWERED) : Optional.empty();
     }
 
     @Override
-    public void closed() {
-        clients.closed();
+    public void onDescriptorReleased() {
+        clients.onDescriptorReleased();
     }
 
     @Override
-    public void ended(CloseCode code) {
-        clients.ended(this);
+    public void onClosed(CloseCode code) {
+        clients.onClosed(this);
     }
 }
--- a/src/main/java/ochretiller/frontend/ClientConnections.java
+++ b/src/main/java/ochretiller/frontend/ClientConnections.java
@@ -14,7 +14,7 @@
 /**
  * All client connections of the server, over all protocols. Passes arriving attempts to a listener
  * and ensures that each is answered at most once. Confined to the event loop, except for {@link
- * #accepted} and {@link #closed}.
+ * #register} and {@link #onDescriptorReleased}.
  */
 public final class ClientConnections {
     private final Scheduler scheduler;
@@ -33,7 +33,7 @@
      * @param limit the maximum number of open connections, over all frontends
      * @param longestWait the longest time for which a client waits for a response; an incomplete
      *     message that is older is ignored
-     * @param idleTimeout initial value for {@link #idleAfter}
+     * @param idleTimeout initial value for {@link #setIdleTimeout}
      * @param onArrived called with each attempt that was read
      * @param onAborted called with each attempt whose client no longer waits
      */
@@ -55,7 +55,7 @@
      *
      * @param listener called once for each attempt that is answered
      */
-    public void ends(BiConsumer<RequestAttempt, AnswerKind> listener) {
+    public void setAnswerListener(BiConsumer<RequestAttempt, AnswerKind> listener) {
         answerListener = listener;
     }
 
@@ -68,30 +68,30 @@
      *
      * @return {@code peer}
      */
-    public ConnectionHandler accepted(ClientConnection peer) {
+    public ConnectionHandler register(ClientConnection peer) {
         table.accept(peer);
         return peer;
     }
 
     /** Called when a connection has sent a valid message. */
-    void shows(ClientConnection peer) {
+    void markActive(ClientConnection peer) {
         table.markActive(peer);
     }
 
     /** Called when a connection is about to be closed. */
-    void goes(ClientConnection peer) {
+    void startLeaving(ClientConnection peer) {
         table.startLeaving(peer);
     }
 
     /** Called on the I/O thread when a connection has released its file descriptor. */
-    void closed() {
+    void onDescriptorReleased() {
         table.countReleased();
     }
 
     /** Called when a connection has been closed: aborts its open attempts. */
-    void ended(ClientConnection peer) {
+    void onClosed(ClientConnection peer) {
         table.remove(peer);
-        for (RequestAttempt attempt : List.copyOf(peer.open().values())) {
+        for (RequestAttempt attempt : List.copyOf(peer.openAttempts().values())) {
             abort(attempt);
         }
     }
@@ -103,7 +103,7 @@
     }
 
     /** Returns whether an attempt with this request id is open or still running. */
-    public boolean knows(String requestId) {
+    public boolean hasAttempt(String requestId) {
         return attempts.containsKey(requestId);
     }
 
@@ -113,19 +113,19 @@
     }
 
     /** Registers an attempt that was read; throttles it at once on a surplus connection. */
-    public void opened(RequestAttempt attempt) {
-        ClientConnection peer = attempt.peer;
-        peer.shows();
-        peer.open().put(attempt.number, attempt);
-        attempts.put(attempt.rid, attempt);
+    public void addAttempt(RequestAttempt attempt) {
+        ClientConnection peer = attempt.clientConnection;
+        peer.markValidMessage();
+        peer.openAttempts().put(attempt.number, attempt);
+        attempts.put(attempt.requestId, attempt);
         openAttemptCount++;
-        if (peer.surplus()) {
+        if (peer.isSurplus()) {
             throttle(attempt, Duration.ZERO, false); // another server may have capacity
         } else {
             onArrived.accept(attempt);
         }
-        if (attempt.answered() && !attempt.running()) {
-            forget(attempt);
+        if (attempt.isAnswered() && !attempt.isRunning()) {
+            removeAttempt(attempt);
         }
     }
 
@@ -135,30 +135,30 @@
      * @param requestId the request id of the attempt
      * @return the attempt, or null if there is none
      */
-    public RequestAttempt find(String requestId) {
+    public RequestAttempt findAttempt(String requestId) {
         return attempts.get(requestId);
     }
 
     /** Removes an attempt that is answered and whose run has ended. */
-    public void forget(RequestAttempt attempt) {
-        attempts.remove(attempt.rid, attempt);
+    public void removeAttempt(RequestAttempt attempt) {
+        attempts.remove(attempt.requestId, attempt);
     }
 
     /** Marks an attempt as answered; returns false if it already was. */
     private boolean markAnswered(RequestAttempt attempt) {
-        if (attempt.answered()) {
+        if (attempt.isAnswered()) {
             return false;
         }
-        attempt.settle();
-        attempt.peer.open().remove(attempt.number);
+        attempt.markAnswered();
+        attempt.clientConnection.openAttempts().remove(attempt.number);
         openAttemptCount--;
         return true;
     }
 
     private void onAnswered(RequestAttempt attempt, AnswerKind kind) {
         answerListener.accept(attempt, kind);
-        attempt.peer.connection.used(scheduler.now());
-        attempt.peer.settle();
+        attempt.clientConnection.connection.markUsed(scheduler.now());
+        attempt.clientConnection.closeIfDone();
     }
 
     /** Answers with the result of the attempt's own run, unless already answered. */
@@ -175,7 +175,7 @@
         if (!markAnswered(attempt)) {
             return;
         }
-        attempt.peer.succeeds(attempt, result, replayed);
+        attempt.clientConnection.writeResult(attempt, result, replayed);
         onAnswered(attempt, replayed ? AnswerKind.REPLAYED : AnswerKind.SUCCEEDED);
     }
 
@@ -189,7 +189,7 @@
         if (!markAnswered(attempt)) {
             return;
         }
-        attempt.peer.throttles(attempt, retryAfter, isFinal);
+        attempt.clientConnection.writeThrottled(attempt, retryAfter, isFinal);
         onAnswered(attempt, AnswerKind.THROTTLED);
     }
 
@@ -198,39 +198,39 @@
         if (!markAnswered(attempt)) {
             return;
         }
-        attempt.peer.fails(attempt, reason);
+        attempt.clientConnection.writeError(attempt, reason);
         onAnswered(attempt, AnswerKind.ERRORED);
     }
 
     /** Returns the number of unanswered attempts. */
-    public int openTries() {
+    public int openAttemptCount() {
         return openAttemptCount;
     }
 
     /** Sets how long a connection may be idle before it is closed. */
-    public void idleAfter(Duration timeout) {
+    public void setIdleTimeout(Duration timeout) {
         table.setIdleTimeout(timeout);
     }
 
     /** Asks all current and future clients to send no further requests. */
-    public void leave() {
+    public void startDrain() {
         table.startDrain();
     }
 
     /** Returns the number of connections that are open or closing. */
-    public int connections() {
+    public int connectionCount() {
         return table.size();
     }
 
     /** Closes all connections at once and discards unsent responses. */
-    public void drop() {
+    public void dropAll() {
         for (ClientConnection peer : table.all()) {
             peer.connection.drop(CloseCode.LEAVING);
         }
     }
 
     /** Closes all connections after their output has been sent. */
-    public void close() {
+    public void closeAll() {
         for (ClientConnection peer : table.all()) {
             peer.connection.close(CloseCode.LEAVING);
         }
--- a/src/main/java/ochretiller/frontend/ConnectionTable.java
+++ b/src/main/java/ochretiller/frontend/ConnectionTable.java
@@ -80,7 +80,7 @@
         this.limit = limit;
         this.longestWait = longestWait;
         this.idleTimeout = idleTimeout;
-        scheduler.after(SWEEP_INTERVAL, this::sweep);
+        scheduler.runAfter(SWEEP_INTERVAL, this::sweep);
     }
 
     /** Adds an accepted connection, or drops it above the limit. Called on the I/O thread. */
@@ -100,13 +100,13 @@
     }
 
     private void add(ClientConnection peer) {
-        if (!peer.connection.open()) {
+        if (!peer.connection.isOpen()) {
             return; // remove is called next
         }
         stayingConnections.add(peer);
         newcomers.add(peer);
         enforceLimit(peer);
-        if (draining && peer.part(CloseCode.LEAVING)) {
+        if (draining && peer.askToLeave(CloseCode.LEAVING)) {
             startLeaving(peer);
         }
     }
@@ -139,7 +139,7 @@
             return;
         }
         for (ClientConnection peer : leavingConnections) {
-            if (peer.hurry(longestWait)) {
+            if (peer.dropIfLeaving(longestWait)) {
                 return;
             }
         }
@@ -160,21 +160,25 @@
     private void closeLongestIdle(ClientConnection newcomer) {
         Optional<ClientConnection> longestIdle =
                 stayingConnections.stream()
-                        .filter(peer -> peer != newcomer && peer.shown() && isClosable(peer))
-                        .min(Comparator.comparing(peer -> peer.connection.usedAt()));
+                        .filter(
+                                peer ->
+                                        peer != newcomer
+                                                && peer.hasSentValidMessage()
+                                                && isClosable(peer))
+                        .min(Comparator.comparing(peer -> peer.connection.lastUsedAt()));
         if (longestIdle.isPresent()) {
             release(longestIdle.get(), CloseCode.TOO_MANY, REQUEST_TRANSIT_TIME);
         } else {
-            newcomer.makeSurplus();
+            newcomer.markSurplus();
         }
     }
 
     private boolean isClosable(ClientConnection peer) {
-        return peer.quiet(longestWait);
+        return peer.isClosable(longestWait);
     }
 
     private boolean isOlderThan(ClientConnection peer, Duration age) {
-        return scheduler.now().minus(peer.madeAt()).compareTo(age) > 0;
+        return scheduler.now().minus(peer.acceptedAt()).compareTo(age) > 0;
     }
 
     /** Called when a connection has sent a valid message: it is no newcomer any more. */
@@ -197,9 +201,9 @@
      */
     private void release(ClientConnection peer, CloseCode code, Duration timeout) {
         startLeaving(peer);
-        if (peer.part(code)) {
-            scheduler.after(timeout, () -> closeWhenClosable(peer, timeout));
-        } else if (peer.shown()) {
+        if (peer.askToLeave(code)) {
+            scheduler.runAfter(timeout, () -> closeWhenClosable(peer, timeout));
+        } else if (peer.hasSentValidMessage()) {
             peer.connection.close(code);
         } else {
             peer.connection.drop(code); // nothing was written on it that could be lost
@@ -207,13 +211,13 @@
     }
 
     private void closeWhenClosable(ClientConnection peer, Duration interval) {
-        if (!peer.connection.open()) {
+        if (!peer.connection.isOpen()) {
             return;
         }
         if (isClosable(peer)) {
             peer.close();
         } else {
-            scheduler.after(interval, () -> closeWhenClosable(peer, interval));
+            scheduler.runAfter(interval, () -> closeWhenClosable(peer, interval));
         }
     }
 
@@ -230,12 +234,12 @@
     }
 
     private void sweep() {
-        scheduler.after(SWEEP_INTERVAL, this::sweep);
+        scheduler.runAfter(SWEEP_INTERVAL, this::sweep);
         for (ClientConnection peer : List.copyOf(stayingConnections)) {
             if (!isClosable(peer)) {
                 continue; // a close could lose unprocessed input
             }
-            if (!peer.shown() && isOlderThan(peer, FIRST_MESSAGE_TIMEOUT)) {
+            if (!peer.hasSentValidMessage() && isOlderThan(peer, FIRST_MESSAGE_TIMEOUT)) {
                 release(peer, CloseCode.SILENT, REQUEST_TRANSIT_TIME);
             } else if (isIdle(peer)) {
                 release(peer, CloseCode.IDLE, IDLE_CLOSE_TIMEOUT);
@@ -244,14 +248,14 @@
     }
 
     private boolean isIdle(ClientConnection peer) {
-        return scheduler.now().minus(peer.connection.usedAt()).compareTo(idleTimeout) > 0;
+        return scheduler.now().minus(peer.connection.lastUsedAt()).compareTo(idleTimeout) > 0;
     }
 
     /** Asks all current and future clients to send no further requests. */
     void startDrain() {
         draining = true;
         for (ClientConnection peer : List.copyOf(stayingConnections)) {
-            if (peer.part(CloseCode.LEAVING)) {
+            if (peer.askToLeave(CloseCode.LEAVING)) {
                 startLeaving(peer);
             }
         }
--- a/src/main/java/ochretiller/frontend/RequestAttempt.java
+++ b/src/main/java/ochretiller/frontend/RequestAttempt.java
@@ -13,25 +13,25 @@
     public final InvocationId id;
 
     /** The request id, which identifies the attempt to the processor and the records service. */
-    public final String rid;
+    public final String requestId;
 
     /** The operation to run. */
     public final Operation operation;
 
     /** Memory to reserve for the attempt, in KB. */
-    public final double kb;
+    public final double memoryKb;
 
     /** The id of the client. */
-    public final long caller;
+    public final long clientId;
 
     /** When the attempt reached this machine, measured from the start of the server. */
-    public final Duration arrived;
+    public final Duration arrivedAt;
 
     /**
      * When the client sent the attempt, in Unix milliseconds, or {@code
      * IdempotencyCache.NO_CLIENT_TIMESTAMP}.
      */
-    public final long t0;
+    public final long sentAtMillis;
 
     /** The idempotency key; null unless the operation is keyed. */
     public final String token;
@@ -45,7 +45,7 @@
     /** The number of the request on its connection. */
     public final long number;
 
-    final ClientConnection peer;
+    final ClientConnection clientConnection;
     private boolean isAnswered;
     private boolean isRunning;
     private long version;
@@ -71,31 +71,31 @@
             ClientConnection peer,
             long number) {
         this.id = id;
-        this.rid = requestId;
+        this.requestId = requestId;
         this.operation = operation;
-        this.kb = memoryKb;
-        this.caller = clientId;
-        this.arrived = arrivedAt;
-        this.t0 = sentAtMillis;
+        this.memoryKb = memoryKb;
+        this.clientId = clientId;
+        this.arrivedAt = arrivedAt;
+        this.sentAtMillis = sentAtMillis;
         this.token = operation.isKeyed() ? token : null;
         this.object = operation.isKeyed() ? null : object;
         this.body = body;
-        this.peer = peer;
+        this.clientConnection = peer;
         this.number = number;
     }
 
     /** Returns whether the client has been answered or no longer waits. */
-    public boolean answered() {
+    public boolean isAnswered() {
         return isAnswered;
     }
 
     /** Returns whether a run of this attempt is in progress. */
-    public boolean running() {
+    public boolean isRunning() {
         return isRunning;
     }
 
     /** Sets whether a run of this attempt is in progress. */
-    public void runs(boolean nowRunning) {
+    public void setRunning(boolean nowRunning) {
         isRunning = nowRunning;
     }
 
@@ -105,11 +105,11 @@
     }
 
     /** Binds the attempt to a version of the fleet configuration until it ends. */
-    public void bind(long fleetVersion) {
+    public void bindToVersion(long fleetVersion) {
         version = fleetVersion;
     }
 
-    void settle() {
+    void markAnswered() {
         isAnswered = true;
     }
 }
--- a/src/main/java/ochretiller/idempotency/CacheEntry.java
+++ b/src/main/java/ochretiller/idempotency/CacheEntry.java
@@ -24,7 +24,7 @@
     private final OptionalLong windowEndsUnixMillis;
     private final List<Consumer<Optional<byte[]>>> waiters = new ArrayList<>();
     private Duration windowEnds;
-    private Duration forgetAt;
+    private Duration expiresAt;
     private boolean completed;
     private Optional<byte[]> result = Optional.empty();
 
@@ -50,7 +50,7 @@
         this.windowEndsUnixMillis = windowEndsUnixMillis;
         // A repeat may be read long after it arrived, so the entry is retained for one client
         // timeout after its window.
-        this.forgetAt = windowEnds.plus(operation.clientTimeout());
+        this.expiresAt = windowEnds.plus(operation.clientTimeout());
     }
 
     /** The id and the requested operation of an original attempt. */
@@ -65,8 +65,8 @@
     }
 
     /** Time at which the entry is removed, on the monotonic clock. */
-    Duration forgetAt() {
-        return forgetAt;
+    Duration expiresAt() {
+        return expiresAt;
     }
 
     boolean isCompleted() {
@@ -86,7 +86,7 @@
      * Returns whether an attempt is within the window by either clock, as the client's clock may
      * have been set back since the original.
      */
-    boolean coversArrivalOf(Attempt attempt) {
+    boolean isInWindow(Attempt attempt) {
         boolean sentWithinWindow =
                 windowEndsUnixMillis.isPresent()
                         && attempt.sentUnixMillis() < windowEndsUnixMillis.getAsLong();
@@ -95,7 +95,7 @@
 
     /** Returns whether a repeat's operation or body differs from the original's. */
     boolean conflictsWith(Operation otherOperation, byte[] otherBody) {
-        if (body instanceof RequestBody.Irrelevant) {
+        if (body instanceof RequestBody.NotCompared) {
             return false;
         }
         return !operation.equals(otherOperation) || !body.matches(otherBody);
@@ -112,11 +112,11 @@
 
     /**
      * Sets the end of both the window and the entry. The caller must first remove the entry from
-     * any queue that is ordered by {@link #forgetAt}.
+     * any queue that is ordered by {@link #expiresAt}.
      */
     void expireAt(Duration end) {
         windowEnds = end;
-        forgetAt = end;
+        expiresAt = end;
     }
 
     void addWaiter(Consumer<Optional<byte[]>> waiter) {
--- a/src/main/java/ochretiller/idempotency/IdempotencyCache.java
+++ b/src/main/java/ochretiller/idempotency/IdempotencyCache.java
@@ -38,7 +38,7 @@
     private final Map<CacheKey, CacheEntry> entriesByKey = new HashMap<>();
     private final Map<InvocationId, CacheEntry> entriesById = new HashMap<>();
     private final PriorityQueue<CacheEntry> entriesByExpiry =
-            new PriorityQueue<>(Comparator.comparing(CacheEntry::forgetAt));
+            new PriorityQueue<>(Comparator.comparing(CacheEntry::expiresAt));
     private long sizeBytes;
 
     /**
@@ -73,14 +73,14 @@
         }
         Optional<CacheEntry> original =
                 Optional.ofNullable(entriesByKey.get(key.get()))
-                        .filter(entry -> entry.coversArrivalOf(attempt));
+                        .filter(entry -> entry.isInWindow(attempt));
         if (original.isEmpty() && !attempt.operation().isKeyed()) {
             CacheEntry.Original read = new CacheEntry.Original(attempt.id(), attempt.operation());
             put(
                     new CacheEntry(
                             key.get(),
                             read,
-                            new RequestBody.Irrelevant(),
+                            new RequestBody.NotCompared(),
                             RUNNING_READ_WINDOW,
                             OptionalLong.empty()));
         }
@@ -89,7 +89,7 @@
 
     private void removeExpired(Duration now) {
         while (!entriesByExpiry.isEmpty()
-                && entriesByExpiry.peek().forgetAt().compareTo(now) <= 0) {
+                && entriesByExpiry.peek().expiresAt().compareTo(now) <= 0) {
             remove(entriesByExpiry.peek());
         }
     }
@@ -115,7 +115,7 @@
                 new CacheEntry(
                         new CacheKey.Token(attempt.token().get()),
                         new CacheEntry.Original(attempt.id(), operation),
-                        new RequestBody.Known(body),
+                        new RequestBody.Full(body),
                         windowEnds.plus(CLOCK_SLACK),
                         windowEndsUnixMillis));
     }
@@ -132,7 +132,7 @@
                 new CacheEntry(
                         new CacheKey.Token(restored.token()),
                         new CacheEntry.Original(restored.id(), restored.operation()),
-                        new RequestBody.Digested(restored.bodyDigest()),
+                        new RequestBody.Digest(restored.bodyDigest()),
                         windowEnds,
                         OptionalLong.empty());
         if (restored.isCompleted()) {
@@ -165,7 +165,7 @@
     }
 
     /** Removes an original that never ran; its waiters receive an empty result. */
-    public void forget(InvocationId id) {
+    public void discard(InvocationId id) {
         Optional.ofNullable(entriesById.get(id)).ifPresent(this::remove);
     }
 
--- a/src/main/java/ochretiller/idempotency/RequestBody.java
+++ b/src/main/java/ochretiller/idempotency/RequestBody.java
@@ -11,7 +11,7 @@
 sealed interface RequestBody {
     /**
      * Returns whether a repeat with this body is the same request; always true for {@link
-     * Irrelevant}.
+     * NotCompared}.
      */
     boolean matches(byte[] other);
 
@@ -19,7 +19,7 @@
     int sizeBytes();
 
     /** The complete body. */
-    record Known(byte[] body) implements RequestBody {
+    record Full(byte[] body) implements RequestBody {
         @Override
         public boolean matches(byte[] other) {
             return Arrays.equals(body, other);
@@ -32,7 +32,7 @@
     }
 
     /** The SHA-256 of a body that a previous process received. */
-    record Digested(byte[] digest) implements RequestBody {
+    record Digest(byte[] digest) implements RequestBody {
         @Override
         public boolean matches(byte[] other) {
             return Arrays.equals(digest, sha256(other));
@@ -45,7 +45,7 @@
     }
 
     /** The body of a read, which is not compared because the key identifies the request. */
-    record Irrelevant() implements RequestBody {
+    record NotCompared() implements RequestBody {
         @Override
         public boolean matches(byte[] other) {
             return true;
--- a/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
+++ b/src/main/java/ochretiller/idempotency/durable/IdempotencyRecord.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns whether a record with these names fits the store's metadata. */
-    public static boolean namesFit(String operation, String runId) {
+    public static boolean canStoreNames(String operation, String runId) {
         return operation.length() <= MAX_OPERATION_CHARS && runId.length() <= MAX_RUN_ID_CHARS;
     }
 
--- a/src/main/java/ochretiller/json5/Json5.java
+++ b/src/main/java/ochretiller/json5/Json5.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the name of a file up to its first dot. */
-    public static String name(Path file) {
+    public static String baseName(Path file) {
         String name = file.getFileName().toString();
         int dot = name.indexOf('.');
         return dot < 0 ? name : name.substring(0, dot);
@@ -88,14 +88,13 @@
         String text;
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new MalformedException(
-                        file + " is longer than " + MAX_FILE_BYTES + " bytes");
+                throw new MalformedException(file + " is longer than " + MAX_FILE_BYTES + " bytes");
             }
             text = Files.readString(file);
         } catch (IOException e) {
             throw new MalformedException("cannot read " + description + ' ' + file);
         }
-        return of(text, file.toString());
+        return parse(text, file.toString());
     }
 
     /**
@@ -104,7 +103,7 @@
      * @param name the name of the text, for error messages
      * @throws MalformedException if the text is invalid
      */
-    public JsonNode of(String text, String name) {
+    public JsonNode parse(String text, String name) {
         JsonNode root;
         try {
             root = JsonNodes.readTree(mapper(), text, new LocationJsonNodeFactoryFactory());
@@ -125,7 +124,8 @@
                 JsonLocation at = exception.getLocation();
                 return (at == null ? "" : ":" + at.getLineNr() + ":" + at.getColumnNr())
                         + ": "
-                        + exception.getOriginalMessage()
+                        + exception
+                                .getOriginalMessage()
                                 .replaceAll("\\s+", " ")
                                 .replaceAll(" (for `ObjectNode`|\\(bound as).*", "");
             }
--- a/src/main/java/ochretiller/jsonrpc/HealthChecks.java
+++ b/src/main/java/ochretiller/jsonrpc/HealthChecks.java
@@ -14,7 +14,7 @@
     private OptionalDouble advertisedCapacity = OptionalDouble.empty();
 
     /**
-     * Creates an instance whose checks fail until {@link #set} is called.
+     * Creates an instance whose checks fail until {@link #setStatus} is called.
      *
      * @param deepCheck starts a deep check and passes its result to the callback
      */
@@ -29,7 +29,7 @@
      * @param nowAnswersFullChecks whether a full check is also answered with {@code nowHealthy};
      *     otherwise a full check of a healthy server starts a deep check
      */
-    public void set(boolean nowHealthy, boolean nowAnswersFullChecks) {
+    public void setStatus(boolean nowHealthy, boolean nowAnswersFullChecks) {
         healthy = nowHealthy;
         answersFullChecks = nowAnswersFullChecks;
     }
@@ -40,12 +40,12 @@
     }
 
     /** Returns whether the server is healthy. */
-    public boolean good() {
+    public boolean isHealthy() {
         return healthy;
     }
 
     /** Returns the advertised capacity; empty until it is first set. */
-    OptionalDouble hint() {
+    OptionalDouble advertisedCapacity() {
         return advertisedCapacity;
     }
 
--- a/src/main/java/ochretiller/jsonrpc/InvocationParams.java
+++ b/src/main/java/ochretiller/jsonrpc/InvocationParams.java
@@ -6,16 +6,22 @@
 /**
  * The validated parameters of an invocation.
  *
- * @param rid the request id, 16 hex digits
- * @param t0 when the client sent the request, in Unix milliseconds
- * @param caller the client's id
- * @param kb the memory to reserve, in KB
+ * @param requestId the request id, 16 hex digits
+ * @param sentAtMillis when the client sent the request, in Unix milliseconds
+ * @param clientId the client's id
+ * @param memoryKb the memory to reserve, in KB
  * @param token the idempotency key, 32 hex digits; null if absent
  * @param object the object that is read, 16 hex digits; null if absent
  * @param body the request body, decoded from Base64
  */
 record InvocationParams(
-        String rid, long t0, long caller, double kb, String token, String object, byte[] body) {
+        String requestId,
+        long sentAtMillis,
+        long clientId,
+        double memoryKb,
+        String token,
+        String object,
+        byte[] body) {
     private static final int MAX_BODY_BYTES = 2 * 1024;
 
     /** Upper bound of the memory to reserve, exclusive. */
@@ -30,7 +36,7 @@
      *
      * @throws JsonRpcException if a parameter is missing or invalid
      */
-    static InvocationParams of(Map<String, Object> members) {
+    static InvocationParams parse(Map<String, Object> members) {
         InvocationParams params =
                 new InvocationParams(
                         hex(members, "rid", REQUEST_ID_DIGITS),
@@ -40,7 +46,7 @@
                         optionalHex(members, "token", KEY_DIGITS),
                         optionalHex(members, "obj", OBJECT_DIGITS),
                         body(members));
-        if (params.kb == 0) {
+        if (params.memoryKb == 0) {
             throw invalid("mem");
         }
         number(members, "prio", 1);
@@ -48,7 +54,7 @@
     }
 
     private static JsonRpcException invalid(String name) {
-        return new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: " + name);
+        return new JsonRpcException(JsonRpcException.INVALID_PARAMS, "missing or wrong: " + name);
     }
 
     private static String hex(Map<String, Object> members, String name, int digits) {
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcCodec.java
@@ -29,11 +29,11 @@
      *
      * @throws BadInputException if the id cannot be read, so that no response is possible
      */
-    static JsonRpcMessage read(Slice line) {
+    static JsonRpcMessage parse(Slice line) {
         Json json = new Json(line);
         OptionalLong id = OptionalLong.empty();
         try {
-            if (!(json.read() instanceof Map)) {
+            if (!(json.parse() instanceof Map)) {
                 throw new BadInputException("no JSON-RPC object");
             }
             id = id(json);
@@ -44,7 +44,8 @@
                 throw e;
             }
             return new JsonRpcMessage.Invalid(
-                    id.getAsLong(), new JsonRpcException(JsonRpcException.PARSE, e.getMessage()));
+                    id.getAsLong(),
+                    new JsonRpcException(JsonRpcException.PARSE_ERROR, e.getMessage()));
         } catch (JsonRpcException e) {
             if (id.isEmpty()) {
                 throw new BadInputException(e.getMessage());
@@ -62,17 +63,18 @@
     @SuppressWarnings("unchecked") // the parser creates only maps with string keys
     private static JsonRpcMessage parseCall(OptionalLong id, Map<String, Object> members) {
         if (!"2.0".equals(members.get("jsonrpc"))) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "not JSON-RPC 2.0");
+            throw new JsonRpcException(JsonRpcException.INVALID_REQUEST, "not JSON-RPC 2.0");
         }
         if (id.isEmpty() && members.containsKey("id")) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "wrong id");
+            throw new JsonRpcException(JsonRpcException.INVALID_REQUEST, "wrong id");
         }
         if (!(members.get("method") instanceof String method)) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "missing or wrong: method");
+            throw new JsonRpcException(
+                    JsonRpcException.INVALID_REQUEST, "missing or wrong: method");
         }
         Object params = members.getOrDefault("params", Map.of());
         if (!(params instanceof Map)) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "params is no object");
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "params is no object");
         }
         return new JsonRpcMessage.Call(id, method, (Map<String, Object>) params);
     }
@@ -112,7 +114,7 @@
     }
 
     /** Formats the response to a request that has no result. */
-    static String done(long id) {
+    static String emptyResult(long id) {
         return startResponse(id, "result").append("}}\n").toString();
     }
 
@@ -122,7 +124,7 @@
      * @param retryAfter the delay before a retry, sent as at least 1 ms; zero to omit it
      * @param isFinal whether a retry is of no use
      */
-    static String throttled(
+    static String throttledResponse(
             long id, Duration retryAfter, boolean isFinal, OptionalDouble capacity) {
         StringBuilder out = startError(id, THROTTLED, "throttled").append(",\"data\":{");
         String separator = "";
@@ -138,7 +140,7 @@
     }
 
     /** Formats the response to an attempt that failed. */
-    static String failed(long id, String message, OptionalDouble capacity) {
+    static String failureResponse(long id, String message, OptionalDouble capacity) {
         StringBuilder out = startError(id, FAILED, message);
         if (capacity.isPresent()) {
             appendCapacity(out.append(",\"data\":{"), capacity, "").append('}');
@@ -147,7 +149,7 @@
     }
 
     /** Formats the response to a request that violates the protocol. */
-    static String fault(long id, JsonRpcException violation) {
+    static String protocolError(long id, JsonRpcException violation) {
         return startError(id, violation.code, violation.getMessage()).append("}}\n").toString();
     }
 
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
@@ -10,14 +10,15 @@
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.net.Connection;
 import ochretiller.text.BadInputException;
-import ochretiller.text.Frames;
+import ochretiller.text.FrameDecoder;
 
 /** One gateway connection: splits its input into messages and writes the responses. */
 final class JsonRpcConnection extends ClientConnection {
     private static final int MAX_LINE_BYTES = 8 * 1024;
 
     private final JsonRpcFrontend frontend;
-    private final Frames decoder = new Frames(MAX_LINE_BYTES, false, line -> Frames.NONE);
+    private final FrameDecoder decoder =
+            new FrameDecoder(MAX_LINE_BYTES, false, line -> FrameDecoder.NO_BODY);
     private boolean hasSentBadInput;
 
     JsonRpcConnection(
@@ -28,17 +29,17 @@
 
     /** Messages that precede a protocol violation are still processed. */
     @Override
-    public Runnable received(byte[] bytes, int from, int to) {
+    public Runnable decode(byte[] bytes, int from, int to) {
         List<JsonRpcMessage> messages = new ArrayList<>(1);
         Optional<BadInputException> violation = Optional.empty();
         try {
-            decoder.read(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.read(line)));
+            decoder.decode(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.parse(line)));
         } catch (BadInputException e) {
             if (messages.isEmpty()) {
                 throw e;
             }
             violation = Optional.of(e);
-            connection.deafen();
+            connection.stopReading();
         }
         return messages.isEmpty() ? null : processingTask(messages, violation);
     }
@@ -46,23 +47,23 @@
     private Runnable processingTask(
             List<JsonRpcMessage> messages, Optional<BadInputException> violation) {
         return () -> {
-            messages.forEach(message -> frontend.read(this, message));
-            violation.ifPresent(exception -> frontend.unreadable(this, exception));
+            messages.forEach(message -> frontend.handle(this, message));
+            violation.ifPresent(exception -> frontend.onUnparsableInput(this, exception));
         };
     }
 
     @Override
-    public boolean within() {
-        return decoder.within();
+    public boolean hasPartialMessage() {
+        return decoder.hasPartialMessage();
     }
 
     boolean isOpen() {
-        return connection.open() && !unreadable();
+        return connection.isOpen() && !hasViolatedProtocol();
     }
 
     /** Returns the peer's address, for log lines. */
-    String name() {
-        return connection.peer();
+    String peerAddress() {
+        return connection.peerAddress();
     }
 
     void write(String text) {
@@ -70,29 +71,33 @@
     }
 
     /** Records bad input and returns whether it is the first on this connection. */
-    boolean isFirstBadInput() {
+    boolean recordFirstBadInput() {
         boolean first = !hasSentBadInput;
         hasSentBadInput = true;
         return first;
     }
 
     @Override
-    protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
-        write(JsonRpcCodec.result(attempt.number, result, frontend.hint()));
+    protected void writeResult(RequestAttempt attempt, byte[] result, boolean replayed) {
+        write(JsonRpcCodec.result(attempt.number, result, frontend.advertisedCapacity()));
     }
 
     @Override
-    protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
-        write(JsonRpcCodec.throttled(attempt.number, retryAfter, isFinal, frontend.hint()));
+    protected void writeThrottled(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
+        write(
+                JsonRpcCodec.throttledResponse(
+                        attempt.number, retryAfter, isFinal, frontend.advertisedCapacity()));
     }
 
     @Override
-    protected void fails(RequestAttempt attempt, FailureReason reason) {
-        write(JsonRpcCodec.failed(attempt.number, reason.text, frontend.hint()));
+    protected void writeError(RequestAttempt attempt, FailureReason reason) {
+        write(
+                JsonRpcCodec.failureResponse(
+                        attempt.number, reason.wireMessage, frontend.advertisedCapacity()));
     }
 
     @Override
-    protected boolean leaves() {
+    protected boolean writeShutdown() {
         write(JsonRpcCodec.SHUTDOWN);
         return true;
     }
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcException.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcException.java
@@ -5,16 +5,16 @@
     private static final long serialVersionUID = 1L;
 
     /** Parse error. */
-    static final int PARSE = -32700;
+    static final int PARSE_ERROR = -32700;
 
     /** Invalid request. */
-    static final int REQUEST = -32600;
+    static final int INVALID_REQUEST = -32600;
 
     /** Method not found. */
-    static final int METHOD = -32601;
+    static final int METHOD_NOT_FOUND = -32601;
 
     /** Invalid params. */
-    static final int PARAMS = -32602;
+    static final int INVALID_PARAMS = -32602;
 
     /** The error code in the response. */
     final int code;
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
@@ -17,7 +17,7 @@
 
 /**
  * The JSON-RPC frontend: turns messages from gateways into request attempts, health checks and
- * aborts. Confined to the event loop, except for {@link #accepted}.
+ * aborts. Confined to the event loop, except for {@link #onAccepted}.
  */
 public final class JsonRpcFrontend {
     private static final Logger LOG = Logger.getLogger(JsonRpcFrontend.class.getName());
@@ -31,7 +31,7 @@
     private final HealthChecks health;
 
     /**
-     * Creates a frontend that serves the connections passed to {@link #accepted}.
+     * Creates a frontend that serves the connections passed to {@link #onAccepted}.
      *
      * @param clientConnections all client connections of the server
      * @param operations the operations that can be invoked, by name
@@ -54,18 +54,18 @@
      *
      * @return the handler of the connection
      */
-    public ConnectionHandler accepted(Connection connection) {
-        return clientConnections.accepted(
+    public ConnectionHandler onAccepted(Connection connection) {
+        return clientConnections.register(
                 new JsonRpcConnection(connection, clientConnections, this));
     }
 
     /** Returns the advertised capacity, which every response includes. */
-    OptionalDouble hint() {
-        return health.hint();
+    OptionalDouble advertisedCapacity() {
+        return health.advertisedCapacity();
     }
 
     /** Handles one message. */
-    void read(JsonRpcConnection peer, JsonRpcMessage message) {
+    void handle(JsonRpcConnection peer, JsonRpcMessage message) {
         if (!peer.isOpen()) {
             return;
         }
@@ -92,48 +92,56 @@
     /** Answers with an error, or closes the connection if the message was a notification. */
     private void reject(JsonRpcConnection peer, OptionalLong id, JsonRpcException error) {
         // Only the first error of a connection is logged at INFO, else a peer could fill the log.
-        Level level = peer.isFirstBadInput() ? Level.INFO : Level.FINE;
+        Level level = peer.recordFirstBadInput() ? Level.INFO : Level.FINE;
         LOG.log(
                 level,
                 () ->
                         "bad input from gateway "
-                                + peer.name()
+                                + peer.peerAddress()
                                 + ": "
                                 + error.code
                                 + ' '
                                 + error.getMessage());
         if (id.isEmpty()) {
-            peer.spoilt(CloseCode.BAD_INPUT);
+            peer.onProtocolViolation(CloseCode.BAD_INPUT);
             return;
         }
-        peer.write(JsonRpcCodec.fault(id.getAsLong(), error));
-        peer.settle();
+        peer.write(JsonRpcCodec.protocolError(id.getAsLong(), error));
+        peer.closeIfDone();
     }
 
     /** Closes a connection on which unparsable input followed valid messages. */
-    void unreadable(JsonRpcConnection peer, BadInputException violation) {
-        LOG.info(() -> "bad input from gateway " + peer.name() + ": " + violation.getMessage());
-        peer.spoilt(CloseCode.BAD_INPUT);
+    void onUnparsableInput(JsonRpcConnection peer, BadInputException violation) {
+        LOG.info(
+                () ->
+                        "bad input from gateway "
+                                + peer.peerAddress()
+                                + ": "
+                                + violation.getMessage());
+        peer.onProtocolViolation(CloseCode.BAD_INPUT);
     }
 
     private static long requiredId(JsonRpcMessage.Call call) {
         return call.id()
-                .orElseThrow(() -> new JsonRpcException(JsonRpcException.REQUEST, "missing: id"));
+                .orElseThrow(
+                        () ->
+                                new JsonRpcException(
+                                        JsonRpcException.INVALID_REQUEST, "missing: id"));
     }
 
     private void ping(JsonRpcConnection peer, JsonRpcMessage.Call call) {
         long id = requiredId(call);
         if (!(call.params().getOrDefault("full", Boolean.FALSE) instanceof Boolean full)) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: full");
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "missing or wrong: full");
         }
-        peer.shows();
-        peer.checks(1);
+        peer.markValidMessage();
+        peer.addPendingChecks(1);
         health.check(
                 full,
                 healthy -> {
-                    peer.checks(-1);
-                    peer.write(JsonRpcCodec.health(id, healthy, health.hint()));
-                    peer.settle();
+                    peer.addPendingChecks(-1);
+                    peer.write(JsonRpcCodec.health(id, healthy, health.advertisedCapacity()));
+                    peer.closeIfDone();
                 });
     }
 
@@ -150,51 +158,51 @@
         if (attempt != null) {
             clientConnections.abort(attempt);
         } else if (!(targetId instanceof Long) && !isByRequestId) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: id");
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "missing or wrong: id");
         }
         if (call.id().isPresent() && !ownId.equals(targetId)) {
-            peer.write(JsonRpcCodec.done(call.id().getAsLong()));
+            peer.write(JsonRpcCodec.emptyResult(call.id().getAsLong()));
         }
-        peer.settle();
+        peer.closeIfDone();
     }
 
     /** Finds an open attempt of this connection by number or else request id; null if none. */
     private RequestAttempt findOpen(JsonRpcConnection peer, Object number, Object requestId) {
-        RequestAttempt attempt = peer.open().get(number);
+        RequestAttempt attempt = peer.openAttempts().get(number);
         if (attempt == null && requestId instanceof String rid) {
-            attempt = clientConnections.find(rid);
+            attempt = clientConnections.findAttempt(rid);
         }
-        return peer.open().containsValue(attempt) ? attempt : null;
+        return peer.openAttempts().containsValue(attempt) ? attempt : null;
     }
 
     private void invoke(JsonRpcConnection peer, JsonRpcMessage.Call call) {
         long id = requiredId(call);
         Operation operation = operations.get(call.method());
         if (operation == null) {
-            throw new JsonRpcException(JsonRpcException.METHOD, "unknown method");
+            throw new JsonRpcException(JsonRpcException.METHOD_NOT_FOUND, "unknown method");
         }
-        InvocationParams params = InvocationParams.of(call.params());
+        InvocationParams params = InvocationParams.parse(call.params());
         if (operation.isKeyed() && params.token() == null) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: token");
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "missing or wrong: token");
         }
-        if (peer.open().containsKey(id)) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "id is in use");
+        if (peer.openAttempts().containsKey(id)) {
+            throw new JsonRpcException(JsonRpcException.INVALID_REQUEST, "id is in use");
         }
-        if (peer.open().size() >= MAX_OPEN_REQUESTS) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "too many open requests");
+        if (peer.openAttempts().size() >= MAX_OPEN_REQUESTS) {
+            throw new JsonRpcException(JsonRpcException.INVALID_REQUEST, "too many open requests");
         }
-        if (clientConnections.knows(params.rid())) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "rid is in use");
+        if (clientConnections.hasAttempt(params.requestId())) {
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "rid is in use");
         }
-        clientConnections.opened(
+        clientConnections.addAttempt(
                 new RequestAttempt(
                         clientConnections.nextId(),
-                        params.rid(),
+                        params.requestId(),
                         operation,
-                        params.kb(),
-                        params.caller(),
-                        sinceStart.apply(params.t0()),
-                        params.t0(),
+                        params.memoryKb(),
+                        params.clientId(),
+                        sinceStart.apply(params.sentAtMillis()),
+                        params.sentAtMillis(),
                         params.token(),
                         params.object(),
                         params.body(),
--- a/src/main/java/ochretiller/metrics/Metrics.java
+++ b/src/main/java/ochretiller/metrics/Metrics.java
@@ -11,7 +11,7 @@
  */
 public final class Metrics {
     /** Bounded, since names come only from constants and from the operators' configuration. */
-    private final List<Figure> metrics = new ArrayList<>();
+    private final List<Metric> metrics = new ArrayList<>();
 
     /**
      * One metric.
@@ -19,10 +19,11 @@
      * @param name lower-case words joined by underscores, including the unit if any; the name of a
      *     counter ends in {@code _total}
      * @param help description for people
-     * @param counts whether it is a counter, which only grows; otherwise it is a gauge
-     * @param current returns the current value; called on any thread
+     * @param isCounter whether it is a counter, which only grows; otherwise it is a gauge
+     * @param valueSupplier returns the current value; called on any thread
      */
-    public record Figure(String name, String help, boolean counts, DoubleSupplier current) {}
+    public record Metric(
+            String name, String help, boolean isCounter, DoubleSupplier valueSupplier) {}
 
     /** Counts events. Any thread. */
     public static final class Counter {
@@ -47,22 +48,22 @@
     /** Registers and returns a counter; its name must end in {@code _total}. */
     public synchronized Counter counter(String name, String help) {
         Counter counter = new Counter();
-        metrics.add(new Figure(name, help, true, counter::value));
+        metrics.add(new Metric(name, help, true, counter::value));
         return counter;
     }
 
     /** Registers a counter whose value is read from a callback, on any thread. */
-    public synchronized void counted(String name, String help, DoubleSupplier current) {
-        metrics.add(new Figure(name, help, true, current));
+    public synchronized void counterWithCallback(String name, String help, DoubleSupplier current) {
+        metrics.add(new Metric(name, help, true, current));
     }
 
     /** Registers a gauge whose value is read from a callback, on any thread. */
     public synchronized void gauge(String name, String help, DoubleSupplier current) {
-        metrics.add(new Figure(name, help, false, current));
+        metrics.add(new Metric(name, help, false, current));
     }
 
     /** Returns a copy of all metrics, in the order of their registration. */
-    public synchronized List<Figure> all() {
+    public synchronized List<Metric> all() {
         return List.copyOf(metrics);
     }
 }
--- a/src/main/java/ochretiller/metrics/MetricsFile.java
+++ b/src/main/java/ochretiller/metrics/MetricsFile.java
@@ -33,23 +33,21 @@
                     });
     private boolean lastWriteFailed;
 
-    /**
-     * Creates an exporter of the metrics that are registered now; later ones are not exported.
-     */
+    /** Creates an exporter of the metrics that are registered now; later ones are not exported. */
     public MetricsFile(Metrics metrics, Path file) {
         this.file = file;
-        for (Metrics.Figure metric : metrics.all()) {
-            if (metric.counts()) {
+        for (Metrics.Metric metric : metrics.all()) {
+            if (metric.isCounter()) {
                 CounterWithCallback.builder()
                         .name(metric.name())
                         .help(metric.help())
-                        .callback(callback -> callback.call(metric.current().getAsDouble()))
+                        .callback(callback -> callback.call(metric.valueSupplier().getAsDouble()))
                         .register(registry);
             } else {
                 GaugeWithCallback.builder()
                         .name(metric.name())
                         .help(metric.help())
-                        .callback(callback -> callback.call(metric.current().getAsDouble()))
+                        .callback(callback -> callback.call(metric.valueSupplier().getAsDouble()))
                         .register(registry);
             }
         }
--- a/src/main/java/ochretiller/model/RunOutcome.java
+++ b/src/main/java/ochretiller/model/RunOutcome.java
@@ -20,9 +20,7 @@
          * disconnected.
          */
         STOPPED("STOPPED"),
-        /**
-         * The backend knows that nothing was executed: the request ended before it could start.
-         */
+        /** The backend knows that nothing was executed: the request ended before it could start. */
         NEVER_STARTED("NOTHING"),
         /**
          * Nothing was sent to a backend: the in-flight marker could not be made durable in time, or
@@ -36,9 +34,7 @@
             this.externalName = externalName;
         }
 
-        /**
-         * Returns the name used in log lines; it must not change when the constant is renamed.
-         */
+        /** Returns the name used in log lines; it must not change when the constant is renamed. */
         public String externalName() {
             return externalName;
         }
--- a/src/main/java/ochretiller/net/AcceptedSessionHandler.java
+++ b/src/main/java/ochretiller/net/AcceptedSessionHandler.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    boolean lingers() {
+    boolean isLingering() {
         return true;
     }
 
@@ -50,7 +50,7 @@
     boolean enqueue(int queuedBytes, long queuedBytesOfAll) {
         return queuedBytes <= MAX_QUEUED_BYTES
                 && (queuedBytes <= MAX_QUEUED_BYTES_UNDER_PRESSURE
-                        || !network.isQueueLong(queuedBytesOfAll));
+                        || !network.isQueuedInputHigh(queuedBytesOfAll));
     }
 
     @Override
@@ -60,10 +60,10 @@
 
     @Override
     void disconnect(Connection connection, ConnectionHandler handler, CloseCode code) {
-        connection.deafen();
-        schedule.post(
+        connection.stopReading();
+        scheduler.post(
                 () -> {
-                    if (!handler.spoilt(code)) {
+                    if (!handler.onProtocolViolation(code)) {
                         connection.drop(code);
                     }
                 });
--- a/src/main/java/ochretiller/net/Connection.java
+++ b/src/main/java/ochretiller/net/Connection.java
@@ -16,8 +16,8 @@
  */
 public final class Connection {
     /**
-     * A peer with more unread output than this is disconnected. The limit fits the longest
-     * response to each of the requests that a connection may have open.
+     * A peer with more unread output than this is disconnected. The limit fits the longest response
+     * to each of the requests that a connection may have open.
      */
     private static final long MAX_UNREAD_BYTES = 192 * 1024;
 
@@ -25,8 +25,8 @@
     private static final long MAX_UNREAD_BYTES_UNDER_PRESSURE = 16 * 1024;
 
     /**
-     * Interval between checks whether a closing connection can be closed for good. The first
-     * check never closes it: two intervals are twice the time that a request may be in transit.
+     * Interval between checks whether a closing connection can be closed for good. The first check
+     * never closes it: two intervals are twice the time that a request may be in transit.
      */
     private static final Duration LINGER_INTERVAL = Duration.ofMillis(100);
 
@@ -64,34 +64,34 @@
     }
 
     /** Returns why the connection is closed or closing; empty while it is open. Any thread. */
-    Optional<CloseCode> code() {
+    Optional<CloseCode> closeCode() {
         return closeCode;
     }
 
     /** Records why the connection is closed, unless a reason is already recorded. Any thread. */
-    void reason(CloseCode reason) {
+    void recordCloseCode(CloseCode reason) {
         if (closeCode.isEmpty()) {
             closeCode = Optional.of(reason);
         }
     }
 
     /** Returns whether the connection is neither closed nor closing. Any thread. */
-    public boolean open() {
+    public boolean isOpen() {
         return closeCode.isEmpty();
     }
 
     /** Returns the peer's address as text, for log lines. Any thread. */
-    public String peer() {
+    public String peerAddress() {
         return String.valueOf(session.getRemoteAddress());
     }
 
     /** Returns the time of the last read or write, measured from the start of the server. */
-    public Duration usedAt() {
+    public Duration lastUsedAt() {
         return lastUsedAt;
     }
 
     /** Records a read or write at time {@code now}. */
-    public void used(Duration now) {
+    public void markUsed(Duration now) {
         lastUsedAt = now;
     }
 
@@ -102,11 +102,11 @@
 
     /** Buffers bytes to be sent. Does nothing on a closed connection. */
     public Connection write(byte[] bytes) {
-        if (!open()) {
+        if (!isOpen()) {
             return this;
         }
         if (output.size() == 0) {
-            network.dirty(this);
+            network.markDirty(this);
         }
         output.write(bytes, 0, bytes.length);
         return this;
@@ -114,12 +114,12 @@
 
     /** Sends the buffered output, or disconnects a peer whose unread output exceeds the limit. */
     void flush() {
-        if (!open() || output.size() == 0) {
+        if (!isOpen() || output.size() == 0) {
             return;
         }
         long unread = session.getScheduledWriteBytes() + output.size();
         if (unread > MAX_UNREAD_BYTES
-                || unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && network.crowded()) {
+                || unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && network.isUnreadOutputHigh()) {
             drop(CloseCode.NOT_READING);
             return;
         }
@@ -136,10 +136,10 @@
      */
     public void close(CloseCode reason) {
         flush();
-        if (!open()) {
+        if (!isOpen()) {
             return;
         }
-        reason(reason);
+        recordCloseCode(reason);
         // Closing a socket with unread input resets the connection, and the peer would lose the
         // responses that it has not read yet.
         if (!isLingering || inputEnded) {
@@ -155,13 +155,13 @@
     }
 
     private void shutDownOutput() {
-        if (!HalfClose.end(session)) {
+        if (!HalfClose.shutDownOutput(session)) {
             session.closeNow();
         }
     }
 
     private void scheduleForcedClose(int earlierChecks) {
-        network.after(
+        network.runAfter(
                 LINGER_INTERVAL,
                 () -> {
                     boolean flushed = session.getScheduledWriteBytes() == 0;
@@ -174,20 +174,20 @@
     }
 
     /** Returns whether all output has been sent. */
-    public boolean sent() {
+    public boolean isOutputSent() {
         return output.size() == 0 && session.getScheduledWriteBytes() == 0;
     }
 
     /** Records that the peer has shut down its output. Called on the I/O thread. */
-    void inputEnds() {
+    void markInputEnded() {
         inputEnded = true;
-        if (!open()) {
+        if (!isOpen()) {
             session.closeOnFlush();
         }
     }
 
     /** Stops reading from the peer permanently. Any thread. */
-    public void deafen() {
+    public void stopReading() {
         readingStopped = true;
         // Never resumed: suspendRead and resumeRead of MINA, called on two threads, can undo each
         // other's effect.
@@ -195,28 +195,28 @@
     }
 
     /** Returns whether reading was stopped. Any thread. */
-    public boolean deaf() {
+    public boolean isReadingStopped() {
         return readingStopped;
     }
 
     /** Records when the current incomplete message began. Called on the I/O thread. */
-    void within(Optional<Duration> since) {
+    void incompleteSince(Optional<Duration> since) {
         incompleteSince = since;
     }
 
     /** Returns when the current incomplete message began; empty between messages. Any thread. */
-    public Optional<Duration> within() {
+    public Optional<Duration> incompleteSince() {
         return incompleteSince;
     }
 
     /** Closes the connection at once and discards unsent output. Any thread. */
     public void drop(CloseCode reason) {
-        reason(reason);
+        recordCloseCode(reason);
         session.closeNow();
     }
 
     /** Returns whether the event loop has processed all input that was read. */
-    public boolean quiet() {
+    public boolean isInputProcessed() {
         return queuedBytes.get() == 0;
     }
 
@@ -226,7 +226,7 @@
      * @param bytes the bytes that were added; negative if they have been processed
      * @return the number of bytes now queued
      */
-    int queued(int bytes) {
+    int addQueuedBytes(int bytes) {
         return queuedBytes.addAndGet(bytes);
     }
 }
--- a/src/main/java/ochretiller/net/ConnectionHandler.java
+++ b/src/main/java/ochretiller/net/ConnectionHandler.java
@@ -14,10 +14,10 @@
      * @return work for the event loop, or null if no message is complete
      * @throws ochretiller.text.BadInputException if the bytes violate the protocol
      */
-    Runnable received(byte[] bytes, int from, int to);
+    Runnable decode(byte[] bytes, int from, int to);
 
     /** Returns whether a message is partially received. Called on the I/O thread. */
-    default boolean within() {
+    default boolean hasPartialMessage() {
         return false;
     }
 
@@ -29,15 +29,15 @@
      * @return true if this handler closes the connection itself after it has sent all pending
      *     responses; false if the network is to close it at once
      */
-    default boolean spoilt(CloseCode code) {
+    default boolean onProtocolViolation(CloseCode code) {
         return false;
     }
 
     /** Called on the event loop when the peer has shut down its output; it may still read. */
-    void inputEnded();
+    void onInputEnded();
 
     /** Called on the I/O thread when the file descriptor of the connection is released. */
-    default void closed() {
+    default void onDescriptorReleased() {
         // Needed only by handlers that count connections.
     }
 
@@ -46,5 +46,5 @@
      *
      * @param code why the connection was closed
      */
-    void ended(CloseCode code);
+    void onClosed(CloseCode code);
 }
--- a/src/main/java/ochretiller/net/HalfClose.java
+++ b/src/main/java/ochretiller/net/HalfClose.java
@@ -22,8 +22,7 @@
             return field;
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(
-                    "NioSession has no accessible field 'channel': not the pinned MINA release",
-                    e);
+                    "NioSession has no accessible field 'channel': not the pinned MINA release", e);
         }
     }
 
@@ -32,7 +31,7 @@
      *
      * @return false if the connection is already broken
      */
-    static boolean end(IoSession session) {
+    static boolean shutDownOutput(IoSession session) {
         try {
             ((SocketChannel) CHANNEL.get(session)).shutdownOutput();
             return true;
--- a/src/main/java/ochretiller/net/Network.java
+++ b/src/main/java/ochretiller/net/Network.java
@@ -144,13 +144,11 @@
                 connector.connect(
                         address,
                         (session, future) ->
-                                OutboundSessionHandler.initialize(
-                                        session, kind, handlerFactory));
+                                OutboundSessionHandler.initialize(session, kind, handlerFactory));
         connecting.addListener(
                 (IoFutureListener<ConnectFuture>)
                         future ->
-                                onConnectFinished(
-                                        future.isConnected(), kind, address, onFailure));
+                                onConnectFinished(future.isConnected(), kind, address, onFailure));
     }
 
     private void onConnectFinished(
@@ -161,23 +159,23 @@
         }
         // Connects to a peer that is down are retried: only the first failure is logged.
         if (unreachableAddresses.add(address)) {
-            SessionHandler.logEnd(kind, address, CloseCode.REFUSED);
+            SessionHandler.logClosed(kind, address, CloseCode.REFUSED);
         }
         scheduler.post(onFailure);
     }
 
     /** Runs work on the event loop after a delay. */
-    void after(Duration delay, Runnable work) {
-        scheduler.after(delay, work);
+    void runAfter(Duration delay, Runnable work) {
+        scheduler.runAfter(delay, work);
     }
 
     /** Marks a connection as having output for the next {@link #flush}. */
-    void dirty(Connection connection) {
+    void markDirty(Connection connection) {
         dirtyConnections.add(connection);
     }
 
     /** Returns whether the output that clients have not read exceeds its share of the memory. */
-    boolean crowded() {
+    boolean isUnreadOutputHigh() {
         long unread = 0;
         for (Acceptor acceptor : acceptors) {
             unread += acceptor.getScheduledWriteBytes();
@@ -191,12 +189,12 @@
      * @param bytes the bytes that were added; negative if they have been processed
      * @return the number of bytes now queued
      */
-    long countQueued(int bytes) {
+    long addQueuedBytes(int bytes) {
         return queuedBytes.addAndGet(bytes);
     }
 
     /** Returns whether this much queued input exceeds its share of the memory. Any thread. */
-    boolean isQueueLong(long queued) {
+    boolean isQueuedInputHigh(long queued) {
         return queued > memoryBytes / QUEUED_MEMORY_DIVISOR;
     }
 
--- a/src/main/java/ochretiller/net/OutboundSessionHandler.java
+++ b/src/main/java/ochretiller/net/OutboundSessionHandler.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    boolean lingers() {
+    boolean isLingering() {
         return false;
     }
 
--- a/src/main/java/ochretiller/net/Scheduler.java
+++ b/src/main/java/ochretiller/net/Scheduler.java
@@ -14,7 +14,7 @@
      * Returns the time since the server's start, read from the clock at this call. Used for
      * decisions that need a more recent time than the start of the round.
      */
-    default Duration exact() {
+    default Duration exactNow() {
         return now();
     }
 
@@ -31,5 +31,5 @@
      * @param delay the delay
      * @param work the task
      */
-    void after(Duration delay, Runnable work);
+    void runAfter(Duration delay, Runnable work);
 }
--- a/src/main/java/ochretiller/net/SessionHandler.java
+++ b/src/main/java/ochretiller/net/SessionHandler.java
@@ -23,11 +23,11 @@
     final Network network;
 
     /** The event loop. */
-    final Scheduler schedule;
+    final Scheduler scheduler;
 
     SessionHandler(Network network, Scheduler scheduler) {
         this.network = network;
-        this.schedule = scheduler;
+        this.scheduler = scheduler;
     }
 
     /** Returns the purpose of the connection, for log lines. */
@@ -37,7 +37,7 @@
     abstract Function<Connection, ConnectionHandler> handlerFactory(IoSession session);
 
     /** Returns whether {@link Connection#close} waits until the peer has read its output. */
-    abstract boolean lingers();
+    abstract boolean isLingering();
 
     /**
      * Called before input is queued for the event loop; may block the I/O thread.
@@ -60,7 +60,7 @@
     }
 
     /** Logs that a connection was closed or could not be established. */
-    static void logEnd(String kind, Object peer, CloseCode code) {
+    static void logClosed(String kind, Object peer, CloseCode code) {
         LOG.info(() -> "connection " + kind + ' ' + peer + " ended: " + code.externalName());
     }
 
@@ -74,7 +74,7 @@
 
     @Override
     public void sessionCreated(IoSession session) {
-        Connection connection = new Connection(session, network, lingers(), schedule.now());
+        Connection connection = new Connection(session, network, isLingering(), scheduler.now());
         session.setAttribute(Connection.class, connection);
         session.setAttribute(ConnectionHandler.class, handlerFactory(session).apply(connection));
     }
@@ -82,7 +82,7 @@
     @Override
     public void messageReceived(IoSession session, Object message) {
         Connection connection = connection(session);
-        if (!connection.open() || connection.deaf()) {
+        if (!connection.isOpen() || connection.isReadingStopped()) {
             return;
         }
         IoBuffer buffer = (IoBuffer) message;
@@ -90,9 +90,9 @@
         ConnectionHandler handler = handler(session);
         Runnable work;
         try {
-            work = handler.received(buffer.array(), from, from + buffer.remaining());
+            work = handler.decode(buffer.array(), from, from + buffer.remaining());
         } catch (BadInputException e) {
-            logBadInput(kind(session), connection.peer(), e);
+            logBadInput(kind(session), connection.peerAddress(), e);
             disconnect(connection, handler, CloseCode.BAD_INPUT);
             return;
         }
@@ -109,23 +109,23 @@
     /** The age of an incomplete message counts from the read that completed the one before. */
     private void updateIncompleteSince(
             Connection connection, ConnectionHandler handler, boolean hasCompletedMessage) {
-        Optional<Duration> incompleteSince = connection.within();
-        if (!handler.within()) {
-            connection.within(Optional.empty());
+        Optional<Duration> incompleteSince = connection.incompleteSince();
+        if (!handler.hasPartialMessage()) {
+            connection.incompleteSince(Optional.empty());
         } else if (incompleteSince.isEmpty() || hasCompletedMessage) {
-            connection.within(Optional.of(schedule.now()));
+            connection.incompleteSince(Optional.of(scheduler.now()));
         }
     }
 
     private void post(Connection connection, ConnectionHandler handler, int bytes, Runnable work) {
-        int queuedBytes = connection.queued(bytes);
-        boolean isWithinLimit = enqueue(queuedBytes, network.countQueued(bytes));
-        schedule.post(
+        int queuedBytes = connection.addQueuedBytes(bytes);
+        boolean isWithinLimit = enqueue(queuedBytes, network.addQueuedBytes(bytes));
+        scheduler.post(
                 () -> {
                     dequeue();
-                    connection.queued(-bytes);
-                    network.countQueued(-bytes);
-                    connection.used(schedule.now());
+                    connection.addQueuedBytes(-bytes);
+                    network.addQueuedBytes(-bytes);
+                    connection.markUsed(scheduler.now());
                     work.run();
                 });
         if (!isWithinLimit) {
@@ -136,23 +136,23 @@
     @Override
     public void inputClosed(IoSession session) {
         session.suspendRead(); // else the selector would report the end of input repeatedly
-        connection(session).inputEnds();
+        connection(session).markInputEnded();
         ConnectionHandler handler = handler(session);
-        schedule.post(handler::inputEnded);
+        scheduler.post(handler::onInputEnded);
     }
 
     @Override
     public void sessionClosed(IoSession session) {
         Connection connection = connection(session);
         ConnectionHandler handler = handler(session);
-        connection.reason(CloseCode.PEER_CLOSED);
-        handler.closed();
-        schedule.post(
+        connection.recordCloseCode(CloseCode.PEER_CLOSED);
+        handler.onDescriptorReleased();
+        scheduler.post(
                 () -> {
-                    CloseCode code = connection.code().orElse(CloseCode.PEER_CLOSED);
-                    handler.ended(code);
+                    CloseCode code = connection.closeCode().orElse(CloseCode.PEER_CLOSED);
+                    handler.onClosed(code);
                     if (isLogged(code)) {
-                        logEnd(kind(session), connection.peer(), code);
+                        logClosed(kind(session), connection.peerAddress(), code);
                     }
                 });
     }
@@ -164,7 +164,7 @@
             return; // the session failed before sessionCreated
         }
         if (!(cause instanceof IOException)) {
-            LOG.log(Level.WARNING, "unexpected exception from " + connection.peer(), cause);
+            LOG.log(Level.WARNING, "unexpected exception from " + connection.peerAddress(), cause);
         }
         connection.drop(CloseCode.BROKEN);
     }
--- a/src/main/java/ochretiller/node/AdmissionSession.java
+++ b/src/main/java/ochretiller/node/AdmissionSession.java
@@ -64,15 +64,15 @@
     @Override
     public void onRequestRead(RequestAttempt attempt) {
         Optional<InvocationId> original =
-                cache.findOriginalOrTrack(attempts.describe(attempt), clock.now());
+                cache.findOriginalOrTrack(attempts.toCacheAttempt(attempt), clock.now());
         boolean conflicts = original.isPresent() && conflicts(attempt, original.get());
-        if (recovery.isAdopted(attempt.rid)) {
+        if (recovery.isAdopted(attempt.requestId)) {
             // Otherwise it would be answered with the result of the adopted run.
             resources.connections().fail(attempt, FailureReason.RID_IN_USE);
             return;
         }
         if (conflicts && cache.isCompleted(original.get())) {
-            resources.connections().fail(attempt, FailureReason.OTHER_BODY);
+            resources.connections().fail(attempt, FailureReason.BODY_MISMATCH);
             return;
         }
         attempts.add(attempt, original);
@@ -81,7 +81,7 @@
             // without running it, this one may run.
             resources
                     .scheduler()
-                    .after(CONFLICT_WAIT, () -> recheckConflict(attempt, original.get()));
+                    .runAfter(CONFLICT_WAIT, () -> recheckConflict(attempt, original.get()));
         }
         execute(admission.onInvocationReceived(invocation(attempt, original)));
     }
@@ -91,30 +91,30 @@
     }
 
     private Invocation invocation(RequestAttempt attempt, Optional<InvocationId> original) {
-        Duration arrivedAt = clock.toAdmissionTime(attempt.arrived);
+        Duration arrivedAt = clock.toAdmissionTime(attempt.arrivedAt);
         return new Invocation(
                 attempt.id,
                 original.orElse(null),
                 attempt.operation,
-                attempt.kb,
+                attempt.memoryKb,
                 arrivedAt,
                 arrivedAt.plus(attempt.operation.clientTimeout()),
                 null,
-                new ClientId(attempt.caller),
+                new ClientId(attempt.clientId),
                 null,
                 false);
     }
 
     private void recheckConflict(RequestAttempt attempt, InvocationId original) {
-        if (!attempt.answered() && conflicts(attempt, original)) {
-            resources.connections().fail(attempt, FailureReason.OTHER_BODY);
-            onClientGone(attempt);
+        if (!attempt.isAnswered() && conflicts(attempt, original)) {
+            resources.connections().fail(attempt, FailureReason.BODY_MISMATCH);
+            onClientDisconnected(attempt);
         }
     }
 
     @Override
-    public void onClientGone(RequestAttempt attempt) {
-        execute(admission.onClientGone(attempt.id));
+    public void onClientDisconnected(RequestAttempt attempt) {
+        execute(admission.onClientDisconnected(attempt.id));
         attempts.forgetIfDone(attempt);
     }
 
@@ -130,7 +130,7 @@
             resources.processor().cancelRun(requestId);
             return;
         }
-        RequestAttempt attempt = resources.connections().find(requestId);
+        RequestAttempt attempt = resources.connections().findAttempt(requestId);
         if (attempt != null) {
             attempts.putCallBody(attempt, body);
             execute(admission.onCallRequested(attempt.id));
--- a/src/main/java/ochretiller/node/AttemptTable.java
+++ b/src/main/java/ochretiller/node/AttemptTable.java
@@ -75,14 +75,14 @@
     }
 
     /** Converts an attempt to the type that the idempotency cache uses. */
-    Attempt describe(RequestAttempt attempt) {
+    Attempt toCacheAttempt(RequestAttempt attempt) {
         return new Attempt(
                 attempt.id,
                 attempt.operation,
                 Optional.ofNullable(attempt.token),
                 Optional.ofNullable(attempt.object),
-                clock.toAdmissionTime(attempt.arrived),
-                attempt.t0);
+                clock.toAdmissionTime(attempt.arrivedAt),
+                attempt.sentAtMillis);
     }
 
     /** Stores the body of the call that a run waits for. */
@@ -106,10 +106,10 @@
 
     /** Forgets an attempt that was answered and is not running; otherwise does nothing. */
     void forgetIfDone(RequestAttempt attempt) {
-        if (!attempt.answered() || attempt.running() || entries.remove(attempt.id) == null) {
+        if (!attempt.isAnswered() || attempt.isRunning() || entries.remove(attempt.id) == null) {
             return;
         }
         cache.complete(attempt.id, Optional.empty(), clock.now());
-        connections.forget(attempt);
+        connections.removeAttempt(attempt);
     }
 }
