--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -54,10 +54,10 @@
             throws IOException {
         this.scheduler = scheduler;
         this.unixMillis = unixMillis;
-        this.recordsRuns = settings.runs();
-        this.usage = new VersionUsage(settings.span());
-        writer = new AuditLogWriter(settings.folder(), settings.mostBytes(), unixMillis);
-        writer.recoveredFaults().stream().limit(MAX_LOGGED_FAULTS).forEach(AuditRecorder::logFault);
+        this.recordsRuns = settings.recordsRuns();
+        this.usage = new VersionUsage(settings.maxPeriod());
+        writer = new AuditLogWriter(settings.folder(), settings.maxBytes(), unixMillis);
+        writer.initialFaults().stream().limit(MAX_LOGGED_FAULTS).forEach(AuditRecorder::logFault);
         registerMetrics(metrics);
         usage.startPeriod(unixMillis.getAsLong(), scheduler.now());
         addEvent(
@@ -71,11 +71,11 @@
     }
 
     private void registerMetrics(Metrics metrics) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_audit_records_total",
                 "Records of the audit that are on the disk",
                 writer::writtenRecords);
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_audit_lost_total",
                 "Records that the disk did not take; the audit says so itself",
                 writer::lostRecords);
@@ -86,7 +86,7 @@
         metrics.gauge(
                 "ochretiller_audit_faults",
                 "Faults found at the start in what was there",
-                () -> writer.recoveredFaults().size());
+                () -> writer.initialFaults().size());
     }
 
     @Override
@@ -96,7 +96,7 @@
     }
 
     private void closePeriodIfDue() {
-        scheduler.after(PERIOD_CHECK_INTERVAL, this::closePeriodIfDue);
+        scheduler.runAfter(PERIOD_CHECK_INTERVAL, this::closePeriodIfDue);
         usage.closeIfDue(unixMillis.getAsLong(), scheduler.now()).ifPresent(writer::add);
     }
 
@@ -109,10 +109,10 @@
     @Override
     public void recordRolloutEvent(RolloutEvent event, long version, String hash, String text) {
         // A period covers one version and is either fenced or not, so each change starts a new one.
-        if (event == RolloutEvent.CHANGED) {
+        if (event == RolloutEvent.VERSION_CHANGED) {
             usage.switchVersion(version, hash, unixMillis.getAsLong(), scheduler.now())
                     .ifPresent(writer::add);
-        } else if (event == RolloutEvent.SHUT_OUT || event == RolloutEvent.LET_IN) {
+        } else if (event == RolloutEvent.FENCED || event == RolloutEvent.UNFENCED) {
             writer.add(usage.closePeriod(unixMillis.getAsLong(), scheduler.now()));
         }
         addEvent(kind(event), version, text);
@@ -120,13 +120,13 @@
 
     private static AuditEventKind kind(RolloutEvent event) {
         return switch (event) {
-            case CHANGED -> AuditEventKind.VERSION_CHANGED;
-            case REFUSED -> AuditEventKind.VERSION_REJECTED;
-            case SHUT_OUT -> AuditEventKind.FENCED;
-            case LET_IN -> AuditEventKind.UNFENCED;
-            case PUBLISHED -> AuditEventKind.VERSION_PUBLISHED;
-            case ROLLOUT -> AuditEventKind.ROLLOUT_CHANGED;
-            case WITNESSED -> AuditEventKind.PEER_AUDIT_WITNESSED;
+            case VERSION_CHANGED -> AuditEventKind.VERSION_CHANGED;
+            case VERSION_REJECTED -> AuditEventKind.VERSION_REJECTED;
+            case FENCED -> AuditEventKind.FENCED;
+            case UNFENCED -> AuditEventKind.UNFENCED;
+            case VERSION_PUBLISHED -> AuditEventKind.VERSION_PUBLISHED;
+            case ROLLOUT_CHANGED -> AuditEventKind.ROLLOUT_CHANGED;
+            case PEER_AUDIT_WITNESSED -> AuditEventKind.PEER_AUDIT_WITNESSED;
         };
     }
 
--- a/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
+++ b/src/main/java/ochretiller/node/ConfiguredWorkerPools.java
@@ -27,30 +27,30 @@
 
     @Override
     public Optional<String> poolOf(Operation operation) {
-        return Optional.ofNullable(backend.pool(operation.name()));
+        return Optional.ofNullable(backend.poolOf(operation.name()));
     }
 
     @Override
     public int capacity(String pool) {
-        return backend.places(pool);
+        return backend.capacity(pool);
     }
 
     @Override
     public int freeSlots(String pool) {
-        return backend.free(pool);
+        return backend.freeSlots(pool);
     }
 
     @Override
     public void reserveSlot(Operation operation) {
         if (poolOf(operation).isPresent()) {
-            backend.expect(operation.name(), 1);
+            backend.addExpectedRuns(operation.name(), 1);
         }
     }
 
     @Override
     public void cancelReservation(Operation operation) {
         if (poolOf(operation).isPresent()) {
-            backend.expect(operation.name(), -1);
+            backend.addExpectedRuns(operation.name(), -1);
         }
     }
 
@@ -66,19 +66,17 @@
         return () -> reconfigure(configs);
     }
 
-    /**
-     * Applies the workers and settings of a changed configuration; the set of pools is fixed.
-     */
+    /** Applies the workers and settings of a changed configuration; the set of pools is fixed. */
     void reconfigure(List<WorkerPoolConfig> configs) {
-        backend.become(configs);
+        backend.reconfigure(configs);
     }
 
     /**
      * Handles a change in the fleet: the member at this address, which may be a worker of a pool,
      * has joined or left.
      */
-    void onFleetMemberSeen(String address, boolean isPresent) {
-        backend.seen(address, isPresent);
+    void onFleetMemberChanged(String address, boolean isPresent) {
+        backend.setReachable(address, isPresent);
     }
 
     @Override
--- a/src/main/java/ochretiller/node/DeferredWrites.java
+++ b/src/main/java/ochretiller/node/DeferredWrites.java
@@ -36,7 +36,7 @@
     }
 
     /** Executes all writes, in the order in which their keys were first deferred. */
-    void makeAll() {
+    void executeAll() {
         List<Runnable> deferred = new ArrayList<>(writes.values());
         writes.clear();
         deferred.forEach(Runnable::run);
--- a/src/main/java/ochretiller/node/DurabilityMetrics.java
+++ b/src/main/java/ochretiller/node/DurabilityMetrics.java
@@ -12,11 +12,11 @@
     private static final double MILLIS_PER_SECOND = 1e3;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    final Metrics.Counter throttled;
-    final Metrics.Counter answeredEarly;
-    final Metrics.Counter stalls;
+    final Metrics.Counter throttledInvocations;
+    final Metrics.Counter earlyAnswers;
+    final Metrics.Counter diskStalls;
     final Metrics.Counter lostWrites;
-    final Metrics.Counter readBack;
+    final Metrics.Counter replaysFromDisk;
     private volatile double unknownOutcomes;
     private volatile double oldestAppendSeconds;
 
@@ -26,16 +26,16 @@
      * @param recoverySeconds duration of reading the store at startup
      */
     DurabilityMetrics(Metrics metrics, Store store, double recoverySeconds) {
-        throttled =
+        throttledInvocations =
                 metrics.counter(
                         "ochretiller_remember_unmarked_total",
                         "Keyed invocations that were not begun since their mark was not durable in"
                                 + " time");
-        answeredEarly =
+        earlyAnswers =
                 metrics.counter(
                         "ochretiller_remember_answered_early_total",
                         "Results that were answered before they were durable; their marks stand");
-        stalls =
+        diskStalls =
                 metrics.counter(
                         "ochretiller_remember_stalls_total",
                         "Times that the disk came to count as stalled or sick");
@@ -44,7 +44,7 @@
                         "ochretiller_remember_writes_lost_total",
                         "Ends that a sick disk did not take and that found no room to wait for it;"
                                 + " their marks stand");
-        readBack =
+        replaysFromDisk =
                 metrics.counter(
                         "ochretiller_remember_read_back_total",
                         "Replays whose result came from the disk");
@@ -98,40 +98,40 @@
     }
 
     private static void registerStoreActivity(Metrics metrics, Store store) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_store_forces_total",
                 "Forces of the disk",
                 () -> store.stats().forces());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_store_records_total",
                 "Records appended",
                 () -> store.stats().appendedRecords());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_store_appended_bytes_total",
                 "Bytes appended",
                 () -> store.stats().appendedBytes());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_store_copied_bytes_total",
                 "Bytes copied by compaction",
                 () -> store.stats().compactedBytes());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_store_dropped_segments_total",
                 "Files that were past their time",
                 () -> store.stats().expiredSegments());
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_store_failures_total",
                 "Failures of the disk",
                 () -> store.stats().diskFailures());
     }
 
     /** Sets the number of previous runs whose outcome is unknown. */
-    void setInDoubt(long count) {
+    void setUnknownOutcomes(long count) {
         unknownOutcomes = count;
     }
 
     /** Decrements the number of previous runs whose outcome is unknown. */
     @SuppressWarnings("NonAtomicVolatileUpdate") // only the event loop thread writes it
-    void previousRunSettled() {
+    void decrementUnknownOutcomes() {
         unknownOutcomes--;
     }
 
--- a/src/main/java/ochretiller/node/DurableIdempotency.java
+++ b/src/main/java/ochretiller/node/DurableIdempotency.java
@@ -67,23 +67,23 @@
         deferredWrites = new DeferredWrites(this.metrics.lostWrites);
         writer =
                 new IdempotencyRecordWriter(scheduler, store, policy, deferredWrites, this.metrics);
-        results = new StoredResults(store, this.metrics.readBack);
+        results = new StoredResults(store, this.metrics.replaysFromDisk);
         previousRuns = new PreviousRuns(scheduler, store, results);
-        this.metrics.setInDoubt(previousRuns.countInFlight());
+        this.metrics.setUnknownOutcomes(previousRuns.countInFlight());
         if (setup.replication().isPresent()) {
-            previousRuns.retainForFleet(setup.recordLife());
+            previousRuns.retainForFleet(setup.recordLifetime());
         }
         logRecovery(recoverySeconds);
         suspendWhileIncomplete();
     }
 
-    private static DurabilityTimeouts timeouts(OperatorConfig.Remember settings) {
+    private static DurabilityTimeouts timeouts(OperatorConfig.Durability settings) {
         return new DurabilityTimeouts(
-                settings.markWait(),
+                settings.markerWait(),
                 settings.answerWait(),
-                settings.stall(),
-                settings.probe(),
-                settings.mostProbe());
+                settings.stallThreshold(),
+                settings.initialProbeInterval(),
+                settings.maxProbeInterval());
     }
 
     private void logRecovery(double recoverySeconds) {
@@ -104,7 +104,7 @@
      * damage, since its invocation could run twice.
      */
     private void suspendWhileIncomplete() {
-        Duration suspension = store.incompleteFor();
+        Duration suspension = store.timeUntilComplete();
         if (suspension.isZero()) {
             return;
         }
@@ -144,9 +144,9 @@
             return;
         }
         Duration now = scheduler.now();
-        if (!IdempotencyRecord.namesFit(attempt.operation.name(), attempt.rid)
+        if (!IdempotencyRecord.canStoreNames(attempt.operation.name(), attempt.requestId)
                 || !policy.acceptsNewKeys(now)) {
-            metrics.throttled.add();
+            metrics.throttledInvocations.add();
             listener.onMarkerFailed();
             return;
         }
@@ -159,13 +159,14 @@
     }
 
     private IdempotencyRecord createMarker(RequestAttempt attempt, Duration now) {
-        Duration window = attempt.arrived.plus(attempt.operation.deduplicationWindow()).minus(now);
+        Duration window =
+                attempt.arrivedAt.plus(attempt.operation.deduplicationWindow()).minus(now);
         long storeNowMillis = store.nowMillis();
         return new IdempotencyRecord(
                 InvocationProgress.IN_FLIGHT,
                 attempt.token,
                 attempt.operation.name(),
-                attempt.rid,
+                attempt.requestId,
                 IdempotencyCache.bodyDigest(attempt.body),
                 storeNowMillis,
                 storeNowMillis + Math.max(0, window.toMillis()) + 1);
@@ -191,7 +192,7 @@
 
         @Override
         public void onMarkerFailed() {
-            metrics.throttled.add();
+            metrics.throttledInvocations.add();
             next.onMarkerFailed();
         }
     }
@@ -211,7 +212,7 @@
     }
 
     private static Duration deadline(RequestAttempt attempt) {
-        return attempt.arrived.plus(attempt.operation.clientTimeout());
+        return attempt.arrivedAt.plus(attempt.operation.clientTimeout());
     }
 
     @Override
@@ -246,9 +247,9 @@
             RunOutcome.Status status,
             byte[] result,
             Runnable onStored) {
-        metrics.previousRunSettled();
+        metrics.decrementUnknownOutcomes();
         boolean succeeded = status == RunOutcome.Status.SUCCEEDED;
-        previousRuns.settle(
+        previousRuns.recordOutcome(
                 previous,
                 succeeded ? InvocationProgress.SUCCEEDED : InvocationProgress.ENDED_WITHOUT_RESULT);
         Duration deadline = scheduler.now().plus(operation.clientTimeout());
--- a/src/main/java/ochretiller/node/EventLoop.java
+++ b/src/main/java/ochretiller/node/EventLoop.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public Duration exact() {
+    public Duration exactNow() {
         return Duration.ofNanos(elapsedNanos());
     }
 
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable work) {
+    public void runAfter(Duration delay, Runnable work) {
         timerSequence++;
         timers.add(new Timer(now.plus(delay), timerSequence, work));
     }
--- a/src/main/java/ochretiller/node/FleetRollout.java
+++ b/src/main/java/ochretiller/node/FleetRollout.java
@@ -20,7 +20,7 @@
 
     @Override
     public void bindVersion(RequestAttempt attempt) {
-        attempt.bind(rollouts.activeVersion());
+        attempt.bindToVersion(rollouts.activeVersion());
     }
 
     @Override
@@ -36,7 +36,7 @@
     private VersionCounters counters(RequestAttempt attempt, AnswerKind kind) {
         Operation operation = attempt.operation;
         boolean succeeded = kind == AnswerKind.SUCCEEDED || kind == AnswerKind.REPLAYED;
-        Duration elapsed = scheduler.now().minus(attempt.arrived);
+        Duration elapsed = scheduler.now().minus(attempt.arrivedAt);
         boolean isLate = succeeded && elapsed.compareTo(operation.latencyObjective()) > 0;
         double billedValue = operation.billedValue();
         double earnedValue = isLate ? billedValue * operation.lateValueShare() : billedValue;
--- a/src/main/java/ochretiller/node/FleetRunClaims.java
+++ b/src/main/java/ochretiller/node/FleetRunClaims.java
@@ -63,7 +63,7 @@
                                     .result()
                                     .getBytes(StandardCharsets.ISO_8859_1),
                             true);
-            case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.OTHER_BODY);
+            case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.BODY_MISMATCH);
             case COMPLETED_WITHOUT_RESULT -> connections.fail(attempt, FailureReason.FAILED);
             case THROTTLED -> {
                 // the admission controller throttles it when the outcome is NOT_DISPATCHED
@@ -76,7 +76,7 @@
     private void onGranted(RequestAttempt attempt, ClaimDecision decision, ClaimListener listener) {
         decision.claimId().ifPresent(claim -> grantedClaims.put(attempt.id, claim));
         // A late decision must not start a run for a client that was answered or no longer waits.
-        if (!attempt.answered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
+        if (!attempt.isAnswered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
             listener.onClaimGranted();
             return;
         }
@@ -130,10 +130,10 @@
     }
 
     private static Duration deadline(RequestAttempt attempt) {
-        return attempt.arrived.plus(attempt.operation.clientTimeout()).minus(ANSWER_MARGIN);
+        return attempt.arrivedAt.plus(attempt.operation.clientTimeout()).minus(ANSWER_MARGIN);
     }
 
     private static Duration windowEnd(RequestAttempt attempt) {
-        return attempt.arrived.plus(attempt.operation.deduplicationWindow());
+        return attempt.arrivedAt.plus(attempt.operation.deduplicationWindow());
     }
 }
--- a/src/main/java/ochretiller/node/GracefulShutdown.java
+++ b/src/main/java/ochretiller/node/GracefulShutdown.java
@@ -69,29 +69,29 @@
         isStarted = true;
         LOG.info("server is draining, shutdown timeout " + timeout.toMillis() + " ms");
         Duration remaining = timeout.minus(TERMINATION_TIME);
-        registry.leave();
+        registry.reportLeaving();
         features.fleet().leave();
-        resources.health().set(false, true);
+        resources.health().setStatus(false, true);
         requests.onShutdownNotice(remaining);
         Duration servingTime = remaining.minus(DRAIN_TIME);
-        loop.after(
+        loop.runAfter(
                 servingTime.isNegative() ? Duration.ZERO : servingTime,
                 () -> stopListening(remaining.minus(servingTime)));
     }
 
     private void stopListening(Duration remaining) {
         resources.network().closeListeners();
-        resources.connections().leave();
+        resources.connections().startDrain();
         Duration drainEnd = loop.now().plus(remaining);
-        loop.after(TRANSIT_TIME, () -> closeWhenAnswered(drainEnd));
+        loop.runAfter(TRANSIT_TIME, () -> closeWhenAnswered(drainEnd));
     }
 
     private void closeWhenAnswered(Duration drainEnd) {
-        if (resources.connections().openTries() > 0 && loop.now().compareTo(drainEnd) < 0) {
-            loop.after(POLL_INTERVAL, () -> closeWhenAnswered(drainEnd));
+        if (resources.connections().openAttemptCount() > 0 && loop.now().compareTo(drainEnd) < 0) {
+            loop.runAfter(POLL_INTERVAL, () -> closeWhenAnswered(drainEnd));
             return;
         }
-        resources.connections().close();
+        resources.connections().closeAll();
         resources.processor().close();
         resources.records().close();
         features.pools().close();
@@ -100,20 +100,20 @@
         features.fleet().close();
         resources.network().flush();
         Duration exitBy = drainEnd.plus(TERMINATION_TIME).minus(PROCESS_EXIT_TIME);
-        loop.after(POLL_INTERVAL, () -> stopWhenClientsClosed(exitBy));
+        loop.runAfter(POLL_INTERVAL, () -> stopWhenClientsClosed(exitBy));
     }
 
     /**
      * Keeps connections open until their clients, having read the last answers, have closed them.
      */
     private void stopWhenClientsClosed(Duration exitBy) {
-        if (resources.connections().connections() > 0 && loop.now().compareTo(exitBy) < 0) {
-            loop.after(POLL_INTERVAL, () -> stopWhenClientsClosed(exitBy));
+        if (resources.connections().connectionCount() > 0 && loop.now().compareTo(exitBy) < 0) {
+            loop.runAfter(POLL_INTERVAL, () -> stopWhenClientsClosed(exitBy));
             return;
         }
-        resources.connections().drop();
+        resources.connections().dropAll();
         // Delayed, so that each connection can log its end first.
-        loop.after(POLL_INTERVAL, this::stop);
+        loop.runAfter(POLL_INTERVAL, this::stop);
     }
 
     private void stop() {
--- a/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
+++ b/src/main/java/ochretiller/node/IdempotencyRecordWriter.java
@@ -98,7 +98,7 @@
                         policy.appendCompleted(append);
                         onAppended(result);
                     });
-            scheduler.after(policy.markerTimeout(deadline, now), this::onTimeout);
+            scheduler.runAfter(policy.markerTimeout(deadline, now), this::onTimeout);
         }
 
         private void onAppended(AppendResult result) {
@@ -152,7 +152,7 @@
                         policy.appendCompleted(append);
                         onAppended(result == AppendResult.DURABLE);
                     });
-            scheduler.after(policy.answerTimeout(deadline, now), () -> notifyStored(false));
+            scheduler.runAfter(policy.answerTimeout(deadline, now), () -> notifyStored(false));
         }
 
         private void onAppended(boolean durable) {
@@ -168,7 +168,7 @@
             }
             isNotified = true;
             if (!durable) {
-                metrics.answeredEarly.add();
+                metrics.earlyAnswers.add();
             }
             onStored.run();
         }
--- a/src/main/java/ochretiller/node/InvocationExecutor.java
+++ b/src/main/java/ochretiller/node/InvocationExecutor.java
@@ -50,7 +50,7 @@
 
     /** Asks the backend to stop a run; the backend still reports the outcome. */
     void cancel(RequestAttempt attempt) {
-        backendOf(attempt).cancelRun(attempt.rid);
+        backendOf(attempt).cancelRun(attempt.requestId);
     }
 
     private RunBackend backendOf(RequestAttempt attempt) {
@@ -78,13 +78,13 @@
         private void enter(RunState next) {
             if (!next.canFollow(state)) {
                 throw new IllegalStateException(
-                        "run " + attempt.rid + " cannot go from " + state + " to " + next);
+                        "run " + attempt.requestId + " cannot go from " + state + " to " + next);
             }
             state = next;
         }
 
         void start() {
-            attempt.runs(true);
+            attempt.setRunning(true);
             features.pools().reserveSlot(attempt.operation);
             if (!features.rollout().mayRun(attempt)) {
                 // Posted, since the admission controller is still executing the start action.
@@ -138,7 +138,7 @@
         private void abandon() {
             enter(RunState.NOT_DISPATCHED);
             features.pools().cancelReservation(attempt.operation);
-            attempt.runs(false);
+            attempt.setRunning(false);
             onOutcome.accept(new RunOutcome(Status.NOT_DISPATCHED, Duration.ZERO));
             attempts.forgetIfDone(attempt);
         }
@@ -148,19 +148,19 @@
             features.audit().recordRunStarted(attempt);
             RunRequest request =
                     new RunRequest(
-                            attempt.rid,
+                            attempt.requestId,
                             attempt.operation.name(),
                             attempt.body,
                             attempt.operation.isIdempotent(),
                             attempt.token,
-                            attempt.arrived.plus(attempt.operation.clientTimeout()));
+                            attempt.arrivedAt.plus(attempt.operation.clientTimeout()));
             backendOf(attempt).startRun(request, this);
         }
 
         @Override
         public void onRunFinished(Status status, Duration elapsed, byte[] result) {
             enter(RunState.STORING_OUTCOME);
-            resources.records().abandon(attempt.rid);
+            resources.records().cancel(attempt.requestId);
             // Both stores write concurrently; the answer waits for both.
             features.idempotencyStore()
                     .onRunFinished(attempt, status, result, () -> onOutcomeStored(status, result));
@@ -194,7 +194,7 @@
 
         private void answer(Status status, byte[] result) {
             enter(RunState.ANSWERED);
-            attempt.runs(false);
+            attempt.setRunning(false);
             if (status == Status.SUCCEEDED) {
                 cache.complete(attempt.id, Optional.of(result), clock.now());
                 resources.connections().succeed(attempt, result);
--- a/src/main/java/ochretiller/node/LoggingSetup.java
+++ b/src/main/java/ochretiller/node/LoggingSetup.java
@@ -38,9 +38,7 @@
         }
     }
 
-    /**
-     * A log manager that never closes its handlers. The JDK instantiates it by name.
-     */
+    /** A log manager that never closes its handlers. The JDK instantiates it by name. */
     public static final class NonResettingLogManager extends LogManager {
         @Override
         public void reset() {
--- a/src/main/java/ochretiller/node/NodeSettings.java
+++ b/src/main/java/ochretiller/node/NodeSettings.java
@@ -12,12 +12,12 @@
  * @param configFile the configuration file, which is read again at each reload
  * @param configuration content of the configuration file at startup
  * @param operator content of the operators' file at startup, or {@code OperatorConfig.NONE}
- * @param operatorReload reads the operators' file again
+ * @param operatorConfigSupplier reads the operators' file again
  * @param storage directory for idempotency records; present if their storage is configured
  */
 record NodeSettings(
         Path configFile,
         ServerConfiguration configuration,
         OperatorConfig operator,
-        Supplier<OperatorConfig> operatorReload,
+        Supplier<OperatorConfig> operatorConfigSupplier,
         Optional<StorageDirectory> storage) {}
--- a/src/main/java/ochretiller/node/OperatorConfigResolver.java
+++ b/src/main/java/ochretiller/node/OperatorConfigResolver.java
@@ -45,16 +45,16 @@
      * @throws MalformedException if a voter has no voter file, or an operation is not configured
      */
     static void checkFleet(FleetSettings fleet, ServerConfiguration configuration) {
-        ReplicationSettings replication = fleet.copies();
+        ReplicationSettings replication = fleet.replication();
         if (replication == null) {
             return;
         }
-        if (replication.voters().contains(configuration.name())
-                && replication.voterFile() == null) {
+        if (replication.acceptors().contains(configuration.name())
+                && replication.acceptorFile() == null) {
             throw new MalformedException(
                     "fleet: " + configuration.name() + " is a voter and needs voter_file");
         }
-        for (String operation : replication.modes().byOperation().keySet()) {
+        for (String operation : replication.claimModes().modesByOperation().keySet()) {
             if (!configuration.operations().containsKey(operation)) {
                 throw new MalformedException("fleet: modes: no operation " + operation);
             }
@@ -79,7 +79,11 @@
                         "route " + route.path() + ": no operation " + route.operation());
             }
             routes.add(
-                    new Route(route.method(), PathPattern.of(route.path()), operation, route.kb()));
+                    new Route(
+                            route.method(),
+                            PathPattern.parse(route.path()),
+                            operation,
+                            route.memoryKb()));
         }
         Route.check(routes).forEach(LOG::warning);
         return routes;
@@ -96,9 +100,9 @@
         Map<String, Operation> operations = configuration.operations();
         List<WorkerPoolConfig> configs = new ArrayList<>();
         long connections = 0;
-        for (OperatorConfig.Workers pool : operator.pools()) {
+        for (OperatorConfig.Pool pool : operator.pools()) {
             WorkerPoolConfig config = workerPoolConfig(pool, operations);
-            connections += config.connections();
+            connections += config.maxConnections();
             configs.add(config);
         }
         if (connections > configuration.maxDescriptors() / POOL_DESCRIPTORS_DIVISOR) {
@@ -115,9 +119,9 @@
     }
 
     private static WorkerPoolConfig workerPoolConfig(
-            OperatorConfig.Workers pool, Map<String, Operation> operations) {
+            OperatorConfig.Pool pool, Map<String, Operation> operations) {
         List<WorkerPoolConfig.Target> targets = new ArrayList<>();
-        for (OperatorConfig.Run run : pool.runs()) {
+        for (OperatorConfig.Target run : pool.targets()) {
             if (!operations.containsKey(run.operation())) {
                 throw new MalformedException(
                         "pool " + pool.name() + ": no operation " + run.operation());
@@ -125,6 +129,10 @@
             targets.add(new WorkerPoolConfig.Target(run.operation(), run.method(), run.path()));
         }
         return new WorkerPoolConfig(
-                pool.name(), pool.settings(), pool.late(), pool.addresses(), List.copyOf(targets));
+                pool.name(),
+                pool.settings(),
+                pool.lateAnswerTime(),
+                pool.addresses(),
+                List.copyOf(targets));
     }
 }
--- a/src/main/java/ochretiller/node/OperatorWiring.java
+++ b/src/main/java/ochretiller/node/OperatorWiring.java
@@ -64,7 +64,8 @@
         if (operator.audit().isPresent() || rollout instanceof FleetRollout) {
             resources
                     .connections()
-                    .ends((attempt, kind) -> recordAnswer(attempt, kind, audit, rollout));
+                    .setAnswerListener(
+                            (attempt, kind) -> recordAnswer(attempt, kind, audit, rollout));
         }
         return new OperatorFeatures(
                 durableStore
@@ -83,10 +84,10 @@
                 resources.connections(),
                 resources.scheduler(),
                 OperatorConfigResolver.uwsgiRoutes(operator, configuration),
-                uwsgi.callerVar(),
-                uwsgi.timeVar(),
+                uwsgi.clientVariable(),
+                uwsgi.timestampVariable(),
                 clock::toLoopTime,
-                resources.health()::good,
+                resources.health()::isHealthy,
                 new SplittableRandom(configuration.seed()).split());
     }
 
@@ -101,17 +102,17 @@
                         OperatorConfigResolver.workerPoolConfigs(operator, configuration),
                         new SplittableRandom(configuration.seed() + 1).split(),
                         metrics);
-        return Optional.of(new ConfiguredWorkerPools(backend, settings.operatorReload()));
+        return Optional.of(new ConfiguredWorkerPools(backend, settings.operatorConfigSupplier()));
     }
 
     private Optional<DurableIdempotency> durableIdempotency() throws IOException {
-        if (operator.remember().isEmpty()) {
+        if (operator.durability().isEmpty()) {
             return Optional.empty();
         }
         StoreSetup setup =
                 new StoreSetup(
-                        operator.remember().get(),
-                        operator.fleet().map(FleetSettings::copies),
+                        operator.durability().get(),
+                        operator.fleet().map(FleetSettings::replication),
                         settings.storage().orElseThrow(),
                         recordLifetime().plus(RECORD_LIFETIME_SLACK));
         SplittableRandom random = new SplittableRandom(configuration.seed()).split();
@@ -155,7 +156,8 @@
                 (member, isPresent) -> {
                     if (pools.isPresent() && member.serviceAddress() != null) {
                         pools.get()
-                                .onFleetMemberSeen(member.serviceAddress().toString(), isPresent);
+                                .onFleetMemberChanged(
+                                        member.serviceAddress().toString(), isPresent);
                     }
                 },
                 new PoolVersionApplier(settings, configs -> reconfigure(pools, configs), audit),
@@ -185,7 +187,7 @@
                         durableStore.map(DurableIdempotency::store),
                         fleetCallbacks(pools, audit));
         if (fleet.replication() != null && durableStore.isPresent()) {
-            fleet.replication().usePreviousIncarnation(durableStore.get().previousRuns());
+            fleet.replication().setPreviousRunLookup(durableStore.get().previousRuns());
         }
         return Optional.of(fleet);
     }
--- a/src/main/java/ochretiller/node/PoolVersionApplier.java
+++ b/src/main/java/ochretiller/node/PoolVersionApplier.java
@@ -42,7 +42,7 @@
                         operatorConfig(version), settings.configuration());
         Set<String> startedPools =
                 settings.operator().pools().stream()
-                        .map(OperatorConfig.Workers::name)
+                        .map(OperatorConfig.Pool::name)
                         .collect(Collectors.toSet());
         Set<String> versionPools =
                 configs.stream().map(WorkerPoolConfig::name).collect(Collectors.toSet());
@@ -58,10 +58,11 @@
 
     private OperatorConfig operatorConfig(byte[] version) {
         if (version == null) {
-            return settings.operatorReload().get();
+            return settings.operatorConfigSupplier().get();
         }
         String text = new String(version, StandardCharsets.UTF_8);
-        return settings.operator().with(OperatorConfigReader.version(text, "the version"));
+        return settings.operator()
+                .withPools(OperatorConfigReader.parseVersion(text, "the version"));
     }
 
     @Override
@@ -75,7 +76,7 @@
     }
 
     @Override
-    public String become(byte[] version) {
+    public String activate(byte[] version) {
         List<WorkerPoolConfig> configs;
         try {
             configs = resolve(version);
@@ -87,12 +88,12 @@
     }
 
     @Override
-    public void told(RolloutEvent event, PublishedVersion version, String text) {
+    public void recordEvent(RolloutEvent event, PublishedVersion version, String text) {
         audit.recordRolloutEvent(event, version.number(), version.hash(), text);
     }
 
     @Override
-    public ChainHead audited() {
+    public ChainHead auditHead() {
         return audit.chainHead();
     }
 }
--- a/src/main/java/ochretiller/node/PreviousRunRecovery.java
+++ b/src/main/java/ochretiller/node/PreviousRunRecovery.java
@@ -36,9 +36,7 @@
     /** Request ids of the adopted runs whose outcome has not been reported. */
     private final Set<String> adoptedRequestIds = new HashSet<>();
 
-    /**
-     * Last id of a restored invocation. These count down from -1, new ones count up from 1.
-     */
+    /** Last id of a restored invocation. These count down from -1, new ones count up from 1. */
     private long lastId;
 
     PreviousRunRecovery(
@@ -107,7 +105,7 @@
     private void adopt(
             IdempotencyRecord record, Operation operation, InvocationId id, Duration windowEnd) {
         adoptedRequestIds.add(record.runId());
-        processor.adopt(
+        processor.resumeRun(
                 record.runId(),
                 record.operation(),
                 (status, elapsed, result) -> {
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import ochretiller.fleet.service.PreviousIncarnation;
+import ochretiller.fleet.service.PreviousRunLookup;
 import ochretiller.fleet.service.ReplicationService;
 import ochretiller.idempotency.durable.IdempotencyRecord;
 import ochretiller.idempotency.durable.InvocationProgress;
@@ -22,7 +22,7 @@
  * are answered from here until the admission controller has taken the records over; the fleet may
  * query them until the longest window has ended. Event loop thread only.
  */
-final class PreviousRuns implements PreviousIncarnation {
+final class PreviousRuns implements PreviousRunLookup {
     private final Scheduler scheduler;
     private final Store store;
     private final StoredResults results;
@@ -33,9 +33,7 @@
     /** Records that the fleet may query, by key. */
     private final Map<String, IdempotencyRecord> retainedRecords = new HashMap<>();
 
-    /**
-     * Whether the store was read without damage, so that a key without a record was never run.
-     */
+    /** Whether the store was read without damage, so that a key without a record was never run. */
     private final boolean isStoreComplete;
 
     /** Decodes the entries that the store recovered. */
@@ -43,7 +41,7 @@
         this.scheduler = scheduler;
         this.store = store;
         this.results = results;
-        isStoreComplete = store.incompleteFor().isZero();
+        isStoreComplete = store.timeUntilComplete().isZero();
         for (RecoveredEntry entry : store.recoveredEntries()) {
             IdempotencyRecord.decode(entry.key(), entry.metadata())
                     .ifPresent(record -> recoveredRecords.put(record.token(), record));
@@ -53,7 +51,7 @@
     /** Retains all records for the fleet's queries until the longest of their windows has ended. */
     void retainForFleet(Duration recordLifetime) {
         retainedRecords.putAll(recoveredRecords);
-        scheduler.after(recordLifetime, retainedRecords::clear);
+        scheduler.runAfter(recordLifetime, retainedRecords::clear);
     }
 
     int size() {
@@ -98,7 +96,7 @@
     }
 
     /** Records the outcome of a previous run that was still in flight when the store was read. */
-    void settle(IdempotencyRecord record, InvocationProgress outcome) {
+    void recordOutcome(IdempotencyRecord record, InvocationProgress outcome) {
         retainedRecords.replace(record.token(), record.withProgress(outcome));
     }
 
@@ -110,7 +108,7 @@
     public void lookUp(String token, Consumer<PreviousRun> onAnswer) {
         IdempotencyRecord record = retainedRecords.get(token);
         if (record == null) {
-            onAnswer.accept(isStoreComplete ? PreviousRun.NEVER : PreviousRun.UNKNOWN);
+            onAnswer.accept(isStoreComplete ? PreviousRun.NEVER_STARTED : PreviousRun.UNKNOWN);
             return;
         }
         switch (record.progress()) {
@@ -125,10 +123,10 @@
                                         result.map(
                                                         bytes ->
                                                                 new PreviousRun(
-                                                                        finished.kind(),
-                                                                        finished.body(),
+                                                                        finished.progress(),
+                                                                        finished.fingerprint(),
                                                                         bytes,
-                                                                        finished.windowEnds()))
+                                                                        finished.windowEnd()))
                                                 .orElse(PreviousRun.UNKNOWN)));
             }
             default -> throw new IllegalStateException("unknown progress " + record.progress());
@@ -139,6 +137,9 @@
         String fingerprint =
                 ReplicationService.requestFingerprint(record.operation(), record.bodyDigest());
         return new PreviousRun(
-                Finding.ENDED, fingerprint, result, scheduler.now().plus(remainingWindow(record)));
+                Progress.COMPLETED,
+                fingerprint,
+                result,
+                scheduler.now().plus(remainingWindow(record)));
     }
 }
--- a/src/main/java/ochretiller/node/ProcessLifecycle.java
+++ b/src/main/java/ochretiller/node/ProcessLifecycle.java
@@ -26,7 +26,7 @@
     }
 
     /** Reports that the server is ready to listen; from now on it receives the signals. */
-    public synchronized void serverReady(ServerNode ready) {
+    public synchronized void onServerReady(ServerNode ready) {
         server = Optional.of(ready);
         if (isReloadRequested) {
             ready.reload(); // it may have read its configuration before the signal
@@ -37,7 +37,7 @@
      * Reports that the server could not be started; the shutdown hook then leaves the exit code to
      * the caller.
      */
-    public synchronized void startFailed() {
+    public synchronized void onStartFailed() {
         hasStartFailed = true;
     }
 
--- a/src/main/java/ochretiller/node/RequestHandler.java
+++ b/src/main/java/ochretiller/node/RequestHandler.java
@@ -9,7 +9,7 @@
     void onRequestRead(RequestAttempt attempt);
 
     /** Handles the disconnect of a client whose request was not answered. */
-    void onClientGone(RequestAttempt attempt);
+    void onClientDisconnected(RequestAttempt attempt);
 
     /**
      * Handles the notice that the server will shut down.
--- a/src/main/java/ochretiller/node/ResultReplayer.java
+++ b/src/main/java/ochretiller/node/ResultReplayer.java
@@ -59,7 +59,7 @@
         if (result.isPresent()) {
             resources.connections().succeed(retry, result.get(), true);
         } else {
-            resources.connections().fail(retry, FailureReason.NO_RESULT);
+            resources.connections().fail(retry, FailureReason.RESULT_LOST);
         }
         RunOutcome.Status status =
                 result.isPresent() ? RunOutcome.Status.SUCCEEDED : RunOutcome.Status.FAILED;
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -68,13 +68,13 @@
         resources
                 .records()
                 .call(
-                        attempt.rid,
+                        attempt.requestId,
                         timeout,
                         attempts.callBody(attempt),
                         (outcome, reply) -> {
                             if (outcome.status() == CallOutcome.Status.SUCCEEDED) {
                                 attempts.removeCallBody(attempt);
-                                resources.processor().answer(attempt.rid, reply);
+                                resources.processor().replyToCall(attempt.requestId, reply);
                             }
                             onOutcome.apply(outcome).execute(this);
                         });
@@ -127,7 +127,7 @@
     private FailureReason failureReason(RequestAttempt attempt) {
         Optional<InvocationId> original = attempts.originalOf(attempt);
         if (!attempt.operation.isKeyed() || original.isEmpty()) {
-            return FailureReason.GIVEN_UP;
+            return FailureReason.DEADLINE_EXCEEDED;
         }
         return cache.isCompleted(original.get()) ? FailureReason.FAILED : FailureReason.IN_FLIGHT;
     }
@@ -140,29 +140,29 @@
     @Override
     public void putIdempotencyEntry(InvocationId id, Duration window) {
         RequestAttempt attempt = attempts.get(id);
-        cache.track(attempts.describe(attempt), attempt.body, clock.now().plus(window));
+        cache.track(attempts.toCacheAttempt(attempt), attempt.body, clock.now().plus(window));
     }
 
     @Override
     public void removeIdempotencyEntry(InvocationId id) {
-        cache.forget(id);
+        cache.discard(id);
     }
 
     @Override
     public void schedule(Duration delay, Function<ResourceGauges, Action> onTimer) {
         resources
                 .scheduler()
-                .after(
+                .runAfter(
                         delay,
                         () -> {
                             onTimer.apply(resources.processor().gauges()).execute(this);
-                            resources.processor().askGauges(); // for the next timer
+                            resources.processor().requestGauges(); // for the next timer
                         });
     }
 
     @Override
     public void setHealth(boolean healthy, boolean answersDeepChecks) {
-        resources.health().set(healthy, answersDeepChecks);
+        resources.health().setStatus(healthy, answersDeepChecks);
     }
 
     @Override
@@ -172,7 +172,7 @@
 
     @Override
     public void setIdleTimeout(Duration timeout) {
-        resources.connections().idleAfter(timeout);
+        resources.connections().setIdleTimeout(timeout);
     }
 
     @Override
--- a/src/main/java/ochretiller/node/ServerConfiguration.java
+++ b/src/main/java/ochretiller/node/ServerConfiguration.java
@@ -66,7 +66,7 @@
     public static ServerConfiguration read(Path file) {
         Object value;
         try {
-            value = new Json(slice(Files.readAllBytes(file))).read();
+            value = new Json(slice(Files.readAllBytes(file))).parse();
         } catch (IOException e) {
             throw new MalformedException("cannot read the configuration " + file);
         } catch (BadInputException e) {
--- a/src/main/java/ochretiller/node/ServerNode.java
+++ b/src/main/java/ochretiller/node/ServerNode.java
@@ -78,7 +78,7 @@
         resources = createResources();
         registry =
                 new RegistryReporter(loop, configuration.registryAddress(), configuration.name());
-        WallClock clock = new WallClock(loop, settings.operator().drill().clock());
+        WallClock clock = new WallClock(loop, settings.operator().simulatedFaults().clockError());
         jsonRpc =
                 new JsonRpcFrontend(
                         resources.connections(),
@@ -113,7 +113,7 @@
                         network,
                         configuration.recordsAddress(),
                         configuration.maxDescriptors() / CALL_DESCRIPTORS_DIVISOR);
-        HealthChecks health = new HealthChecks(processor::trial);
+        HealthChecks health = new HealthChecks(processor::startDeepCheck);
         ClientConnections connections =
                 new ClientConnections(
                         loop,
@@ -151,8 +151,8 @@
 
     private void startMetricsFile() {
         if (settings.operator().metrics().isPresent()) {
-            OperatorConfig.Figures export = settings.operator().metrics().get();
-            new MetricsFile(metrics, export.file()).start(export.every());
+            OperatorConfig.MetricsFile export = settings.operator().metrics().get();
+            new MetricsFile(metrics, export.file()).start(export.interval());
         }
     }
 
@@ -163,12 +163,12 @@
      */
     public void listen() throws IOException {
         Network network = resources.network();
-        network.listen("gateway", configuration.listenAddress(), jsonRpc::accepted);
+        network.listen("gateway", configuration.listenAddress(), jsonRpc::onAccepted);
         if (features.uwsgi().isPresent()) {
             network.listen(
                     "uwsgi",
                     settings.operator().uwsgi().orElseThrow().listen(),
-                    features.uwsgi().get()::accepted);
+                    features.uwsgi().get()::onAccepted);
         }
         resources.processor().connect();
         features.fleet().start();
@@ -208,9 +208,9 @@
                                     + reloaded.recordsAddress()
                                     + ", roster="
                                     + reloaded.registryAddress());
-                    resources.processor().move(reloaded.processorAddress());
-                    resources.records().move(reloaded.recordsAddress());
-                    registry.move(reloaded.registryAddress());
+                    resources.processor().changeAddress(reloaded.processorAddress());
+                    resources.records().changeAddress(reloaded.recordsAddress());
+                    registry.changeAddress(reloaded.registryAddress());
                 });
     }
 
@@ -233,7 +233,7 @@
     }
 
     private void onClientDisconnected(RequestAttempt attempt) {
-        requestHandler().onClientGone(attempt);
+        requestHandler().onClientDisconnected(attempt);
     }
 
     private void onCallRequested(String requestId, byte[] body) {
@@ -274,8 +274,8 @@
         if (shutdown.isStarted()) {
             newSession.onShutdownNotice(Duration.ZERO);
         }
-        for (RequestAttempt attempt : startupRequests.takeWaiting()) {
-            if (!attempt.answered()) {
+        for (RequestAttempt attempt : startupRequests.takeWaitingRetries()) {
+            if (!attempt.isAnswered()) {
                 newSession.onRequestRead(attempt);
             }
         }
--- a/src/main/java/ochretiller/node/ServerNodeBuilder.java
+++ b/src/main/java/ochretiller/node/ServerNodeBuilder.java
@@ -29,7 +29,7 @@
     }
 
     /** Sets how a reload reads the operators' file; by default it returns the initial one. */
-    public ServerNodeBuilder operatorReload(Supplier<OperatorConfig> supplier) {
+    public ServerNodeBuilder operatorConfigSupplier(Supplier<OperatorConfig> supplier) {
         configSupplier = supplier;
         return this;
     }
--- a/src/main/java/ochretiller/node/StartupRequestHandler.java
+++ b/src/main/java/ochretiller/node/StartupRequestHandler.java
@@ -47,7 +47,7 @@
                 previous.operation().equals(retry.operation.name())
                         && previous.hasBodyDigest(IdempotencyCache.bodyDigest(retry.body));
         if (!isSameRequest) {
-            fail(retry, FailureReason.OTHER_BODY);
+            fail(retry, FailureReason.BODY_MISMATCH);
             return;
         }
         switch (previous.progress()) {
@@ -61,18 +61,18 @@
     private void answer(RequestAttempt retry, Optional<byte[]> result) {
         if (result.isPresent()) {
             connections.succeed(retry, result.get(), true);
-            connections.forget(retry);
+            connections.removeAttempt(retry);
         } else {
-            fail(retry, FailureReason.NO_RESULT);
+            fail(retry, FailureReason.RESULT_LOST);
         }
     }
 
     private void awaitProcessor(RequestAttempt retry) {
         waitingRetries.add(retry);
         Duration deadline =
-                retry.arrived.plus(retry.operation.clientTimeout()).minus(ANSWER_MARGIN);
+                retry.arrivedAt.plus(retry.operation.clientTimeout()).minus(ANSWER_MARGIN);
         Duration wait = deadline.minus(scheduler.now());
-        scheduler.after(
+        scheduler.runAfter(
                 wait.isNegative() ? Duration.ZERO : wait,
                 () -> {
                     if (waitingRetries.remove(retry)) {
@@ -83,18 +83,18 @@
 
     private void fail(RequestAttempt retry, FailureReason reason) {
         connections.fail(retry, reason);
-        connections.forget(retry);
+        connections.removeAttempt(retry);
     }
 
     /** Removes and returns the retries that wait for the processor. */
-    List<RequestAttempt> takeWaiting() {
+    List<RequestAttempt> takeWaitingRetries() {
         List<RequestAttempt> allWaiting = List.copyOf(waitingRetries);
         waitingRetries.clear();
         return allWaiting;
     }
 
     @Override
-    public void onClientGone(RequestAttempt attempt) {
+    public void onClientDisconnected(RequestAttempt attempt) {
         // a waiting retry is removed at its deadline
     }
 
--- a/src/main/java/ochretiller/node/StoreHealthMonitor.java
+++ b/src/main/java/ochretiller/node/StoreHealthMonitor.java
@@ -40,17 +40,17 @@
 
     /** Checks the store, and schedules the next check. */
     void start() {
-        scheduler.after(CHECK_INTERVAL, this::start);
+        scheduler.runAfter(CHECK_INTERVAL, this::start);
         Duration now = scheduler.now();
         boolean wasUnavailable = policy.diskHealth(now) == DiskHealth.UNAVAILABLE;
-        policy.storeStatusChanged(store.stats().isHealthy(), store.hasRoomForNewKey(), now);
+        policy.storeStatusChanged(store.stats().isHealthy(), store.hasCapacityForNewKey(), now);
         metrics.setOldestAppendAge(policy.oldestAppendAge(now));
         DiskHealth health = policy.diskHealth(now);
         if (health != lastReported) {
             report(health);
         }
         if (wasUnavailable && health != DiskHealth.UNAVAILABLE) {
-            deferredWrites.makeAll();
+            deferredWrites.executeAll();
         }
         if (policy.startProbeIfDue(now)) {
             store.probe(this::onProbed);
@@ -65,7 +65,7 @@
 
     private void report(DiskHealth health) {
         if (lastReported == DiskHealth.HEALTHY) {
-            metrics.stalls.add();
+            metrics.diskStalls.add();
         }
         String cause =
                 health == DiskHealth.UNAVAILABLE ? ": " + store.stats().fault().orElse("") : "";
--- a/src/main/java/ochretiller/node/StoreSetup.java
+++ b/src/main/java/ochretiller/node/StoreSetup.java
@@ -13,14 +13,14 @@
  * @param settings the operators' settings of the store
  * @param replication replication settings, if the store also holds the fleet's replica entries
  * @param directory directory of the store's files
- * @param recordLife longest time for which a record is needed: the longest deduplication window
+ * @param recordLifetime longest time for which a record is needed: the longest deduplication window
  *     plus client timeouts
  */
 record StoreSetup(
-        OperatorConfig.Remember settings,
+        OperatorConfig.Durability settings,
         Optional<ReplicationSettings> replication,
         StorageDirectory directory,
-        Duration recordLife) {
+        Duration recordLifetime) {
     /** Index memory to reserve for each key, in bytes. */
     private static final long INDEX_BYTES_PER_ENTRY = 600;
 
@@ -36,12 +36,12 @@
     /** Returns the limits of the store: the configured ones plus those for replica entries. */
     StoreLimits limits() {
         int maxEntries =
-                settings.mostEntries()
+                settings.maxEntries()
                         + replication
                                 .map(fleet -> KEYS_PER_REPLICA_ENTRY * fleet.maxEntries())
                                 .orElse(0);
         long maxBytes =
-                settings.mostBytes()
+                settings.maxBytes()
                         + replication
                                 .map(fleet -> BYTES_PER_REPLICA_BYTE * fleet.maxBytes())
                                 .orElse(0L);
@@ -50,10 +50,11 @@
                 .maxBytes(maxBytes)
                 .maxIndexBytes(maxEntries * INDEX_BYTES_PER_ENTRY)
                 .segmentBytes(settings.segmentBytes())
-                .maxSegmentAge(settings.rollAfter())
-                .compactionBytesPerSecond(settings.copyRate())
-                .compactionMinRemainingLife(recordLife.multipliedBy(MIN_REMAINING_LIFETIMES))
-                .maxRecordLife(recordLife)
+                .maxSegmentAge(settings.maxSegmentAge())
+                .compactionBytesPerSecond(settings.compactionBytesPerSecond())
+                .compactionMinRemainingLifetime(
+                        recordLifetime.multipliedBy(MIN_REMAINING_LIFETIMES))
+                .maxRecordLifetime(recordLifetime)
                 .build();
     }
 }
--- a/src/main/java/ochretiller/node/WarmUp.java
+++ b/src/main/java/ochretiller/node/WarmUp.java
@@ -14,7 +14,7 @@
 import ochretiller.model.RunOutcome;
 import ochretiller.server.Action;
 import ochretiller.server.ServerActions;
-import ochretiller.text.Frames;
+import ochretiller.text.FrameDecoder;
 import ochretiller.text.Json;
 import ochretiller.text.Slice;
 
@@ -38,9 +38,10 @@
     private static final int NOTICE_LENGTH_WORD_INDEX = 5;
 
     private final AdmissionController admission;
-    private final Frames requests = new Frames(REQUEST.length(), false, line -> Frames.NONE);
-    private final Frames notices =
-            new Frames(
+    private final FrameDecoder requests =
+            new FrameDecoder(REQUEST.length(), false, line -> FrameDecoder.NO_BODY);
+    private final FrameDecoder notices =
+            new FrameDecoder(
                     NOTICE.length(),
                     true,
                     line -> Integer.parseInt(line.words().get(NOTICE_LENGTH_WORD_INDEX)));
@@ -81,13 +82,13 @@
 
     private void decodeMessages() {
         Slice request = Slice.of(REQUEST);
-        requests.read(
+        requests.decode(
                 request.bytes(),
                 request.from(),
                 request.to(),
-                (line, body) -> new Json(line).read());
+                (line, body) -> new Json(line).parse());
         Slice notice = Slice.of(NOTICE);
-        notices.read(notice.bytes(), notice.from(), notice.to(), (line, body) -> body.copy());
+        notices.decode(notice.bytes(), notice.from(), notice.to(), (line, body) -> body.copy());
     }
 
     private Invocation invocation(long id, Operation operation) {
--- a/src/main/java/ochretiller/operator/ContractFiles.java
+++ b/src/main/java/ochretiller/operator/ContractFiles.java
@@ -60,7 +60,8 @@
             throw new MalformedException(folder + " has more than " + MAX_CONTRACTS + " contracts");
         }
         double capacity =
-                BROKER_FORMAT.read(folder.resolve(BROKER_FILE), "the broker's file")
+                BROKER_FORMAT
+                        .read(folder.resolve(BROKER_FILE), "the broker's file")
                         .get("work_per_s")
                         .asDouble();
         List<Contract> contracts = new ArrayList<>();
--- a/src/main/java/ochretiller/operator/OperatorConfigReader.java
+++ b/src/main/java/ochretiller/operator/OperatorConfigReader.java
@@ -37,8 +37,8 @@
         return parseOperator(FORMAT.read(file, "the operators' file"));
     }
 
-    static OperatorConfig of(String text, String name) {
-        return parseOperator(FORMAT.of(text, name));
+    static OperatorConfig parse(String text, String name) {
+        return parseOperator(FORMAT.parse(text, name));
     }
 
     private static OperatorConfig parseOperator(JsonNode root) {
@@ -49,7 +49,7 @@
                 metrics.isMissingNode()
                         ? Optional.empty()
                         : Optional.of(
-                                new OperatorConfig.Figures(
+                                new OperatorConfig.MetricsFile(
                                         Path.of(metrics.get("file").asText()),
                                         millis(metrics, "every_ms", 5_000))),
                 durability.isMissingNode()
@@ -62,8 +62,8 @@
                 parseSimulatedFaults(root.path("drill")));
     }
 
-    private static List<OperatorConfig.Workers> parsePools(JsonNode pools) {
-        List<OperatorConfig.Workers> result = new ArrayList<>();
+    private static List<OperatorConfig.Pool> parsePools(JsonNode pools) {
+        List<OperatorConfig.Pool> result = new ArrayList<>();
         Set<String> assignedOperations = new HashSet<>();
         pools.properties()
                 .forEach(
@@ -76,7 +76,7 @@
         return List.copyOf(result);
     }
 
-    private static OperatorConfig.Workers parsePool(
+    private static OperatorConfig.Pool parsePool(
             String name, JsonNode node, Set<String> assignedOperations) {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (JsonNode worker : node.get("workers")) {
@@ -87,7 +87,7 @@
             }
             addresses.add(address);
         }
-        List<OperatorConfig.Run> runs = new ArrayList<>();
+        List<OperatorConfig.Target> runs = new ArrayList<>();
         for (JsonNode run : node.get("runs")) {
             String operation = run.get("operation").asText();
             if (!assignedOperations.add(operation)) {
@@ -95,35 +95,36 @@
                         "pool " + name + ": operation " + operation + " already has a pool");
             }
             runs.add(
-                    new OperatorConfig.Run(
+                    new OperatorConfig.Target(
                             operation,
                             run.path("method").asText("POST"),
                             run.get("path").asText()));
         }
-        PoolSettings defaults = PoolSettings.USUAL;
-        Duration initialEjection = millis(node, "left_out_ms", defaults.leftOut().toMillis());
+        PoolSettings defaults = PoolSettings.DEFAULT;
+        Duration initialEjection =
+                millis(node, "left_out_ms", defaults.initialEjection().toMillis());
         Duration maxEjection =
                 millis(
                         node,
                         "most_left_out_ms",
-                        Math.max(initialEjection.toMillis(), defaults.mostLeftOut().toMillis()));
+                        Math.max(initialEjection.toMillis(), defaults.maxEjection().toMillis()));
         if (maxEjection.compareTo(initialEjection) < 0) {
             throw new MalformedException(
                     "pool " + name + ": most_left_out_ms must not be less than left_out_ms");
         }
-        return new OperatorConfig.Workers(
+        return new OperatorConfig.Pool(
                 name,
                 List.copyOf(addresses),
                 List.copyOf(runs),
                 new PoolSettings(
-                        node.path("most_in_flight").asInt(defaults.mostInFlight()),
-                        node.path("failures_in_row").asInt(defaults.failuresInRow()),
-                        node.path("bad_share").asDouble(defaults.badShare()),
+                        node.path("most_in_flight").asInt(defaults.maxInFlight()),
+                        node.path("failures_in_row").asInt(defaults.consecutiveFailureLimit()),
+                        node.path("bad_share").asDouble(defaults.failureRatioLimit()),
                         initialEjection,
                         maxEjection,
                         node.path("probes").asInt(defaults.probes()),
                         millis(node, "slow_start_ms", defaults.slowStart().toMillis()),
-                        node.path("retry_share").asDouble(defaults.retryShare()),
+                        node.path("retry_share").asDouble(defaults.retryRatio()),
                         node.path("retry_burst").asDouble(defaults.retryBurst())),
                 millis(node, "late_ms", 10_000));
     }
@@ -193,11 +194,11 @@
     }
 
     /** Parses a version that the fleet rolls out: an operators' file that has only pools. */
-    public static List<OperatorConfig.Workers> version(String text, String name) {
-        OperatorConfig operator = of(text, name);
+    public static List<OperatorConfig.Pool> parseVersion(String text, String name) {
+        OperatorConfig operator = parse(text, name);
         boolean isInvalid =
                 operator.metrics().isPresent()
-                        || operator.remember().isPresent()
+                        || operator.durability().isPresent()
                         || operator.uwsgi().isPresent()
                         || operator.fleet().isPresent()
                         || operator.jsonLog()
@@ -237,14 +238,14 @@
      * Parses the simulated faults of the clock and disk. They are only allowed in drills, since
      * elsewhere nobody would notice that they are set.
      */
-    private static OperatorConfig.Drill parseSimulatedFaults(JsonNode drill) {
+    private static OperatorConfig.SimulatedFaults parseSimulatedFaults(JsonNode drill) {
         if (drill.isMissingNode()) {
-            return OperatorConfig.Drill.NONE;
+            return OperatorConfig.SimulatedFaults.NONE;
         }
         if (System.getenv("OCHRETILLER_DRILL") == null) {
             throw new MalformedException("drill: only drills may set clock_ms and disk_fault");
         }
-        return new OperatorConfig.Drill(
+        return new OperatorConfig.SimulatedFaults(
                 Duration.ofMillis(drill.path("clock_ms").asLong(0)),
                 drill.has("disk_fault") ? Path.of(drill.get("disk_fault").asText()) : null);
     }
@@ -266,9 +267,9 @@
                 node.path("time_var").asText("HTTP_X_REQUEST_START"));
     }
 
-    private static OperatorConfig.Remember parseDurability(JsonNode node) {
+    private static OperatorConfig.Durability parseDurability(JsonNode node) {
         long maxBytes = node.path("most_mb").asLong(64) << 20;
-        return new OperatorConfig.Remember(
+        return new OperatorConfig.Durability(
                 Path.of(node.get("folder").asText()),
                 node.path("most_entries").asInt(50_000),
                 maxBytes,
--- a/src/main/java/ochretiller/paths/PathPattern.java
+++ b/src/main/java/ochretiller/paths/PathPattern.java
@@ -15,9 +15,9 @@
  *
  * @param text the pattern as it was written
  * @param parts one entry per segment: a literal, or {@code {}} for a name in braces
- * @param tail whether the pattern ends with two stars
+ * @param hasTail whether the pattern ends with two stars
  */
-public record PathPattern(String text, List<String> parts, boolean tail) {
+public record PathPattern(String text, List<String> parts, boolean hasTail) {
     /** Marks a segment of a pattern that matches any non-empty segment. */
     private static final String ANY_SEGMENT = "{}";
 
@@ -39,7 +39,7 @@
      *
      * @throws MalformedException if the pattern is invalid, with the column of a syntax error
      */
-    public static PathPattern of(String text) {
+    public static PathPattern parse(String text) {
         List<String> parsed;
         try {
             parsed = PATH.parse(text);
@@ -60,8 +60,7 @@
         if (tailIndex >= 0 && tailIndex < parsed.size() - 1) {
             throw new MalformedException("path '" + text + "': ** is allowed only at the end");
         }
-        List<String> parts =
-                new ArrayList<>(tailIndex < 0 ? parsed : parsed.subList(0, tailIndex));
+        List<String> parts = new ArrayList<>(tailIndex < 0 ? parsed : parsed.subList(0, tailIndex));
         return new PathPattern(text, List.copyOf(parts), tailIndex >= 0);
     }
 
@@ -75,7 +74,7 @@
             return false;
         }
         List<String> segments = path.equals("/") ? List.of() : split(path);
-        if (segments.size() < parts.size() || segments.size() > parts.size() && !tail) {
+        if (segments.size() < parts.size() || segments.size() > parts.size() && !hasTail) {
             return false;
         }
         for (int i = 0; i < parts.size(); i++) {
@@ -92,14 +91,13 @@
 
     /** Returns whether this pattern matches every path that the other one matches. */
     public boolean covers(PathPattern other) {
-        if (tail
+        if (hasTail
                 ? other.parts.size() < parts.size()
-                : other.tail || other.parts.size() != parts.size()) {
+                : other.hasTail || other.parts.size() != parts.size()) {
             return false;
         }
         for (int i = 0; i < parts.size(); i++) {
-            if (!parts.get(i).equals(ANY_SEGMENT)
-                    && !parts.get(i).equals(other.parts.get(i))) {
+            if (!parts.get(i).equals(ANY_SEGMENT) && !parts.get(i).equals(other.parts.get(i))) {
                 return false;
             }
         }
@@ -109,7 +107,7 @@
     /** Returns whether at least one path is matched by both patterns. */
     public boolean overlaps(PathPattern other) {
         int common = Math.min(parts.size(), other.parts.size());
-        if (parts.size() > common && !other.tail || other.parts.size() > common && !tail) {
+        if (parts.size() > common && !other.hasTail || other.parts.size() > common && !hasTail) {
             return false;
         }
         for (int i = 0; i < common; i++) {
--- a/src/main/java/ochretiller/pools/PoolSettings.java
+++ b/src/main/java/ochretiller/pools/PoolSettings.java
@@ -5,29 +5,30 @@
 /**
  * The settings of a worker pool.
  *
- * @param mostInFlight maximum requests in flight of one worker
- * @param failuresInRow consecutive failures after which a worker is ejected
- * @param badShare ratio of failures among recent requests, 0 to 1, that also ejects a worker
- * @param leftOut duration of the first ejection; doubled each time that a probe fails
- * @param mostLeftOut maximum duration of an ejection
+ * @param maxInFlight maximum requests in flight of one worker
+ * @param consecutiveFailureLimit consecutive failures after which a worker is ejected
+ * @param failureRatioLimit ratio of failures among recent requests, 0 to 1, that also ejects a
+ *     worker
+ * @param initialEjection duration of the first ejection; doubled each time that a probe fails
+ * @param maxEjection maximum duration of an ejection
  * @param probes maximum probes in flight of a worker whose ejection has ended, and the number that
  *     must succeed to readmit it
  * @param slowStart time in which a new or readmitted worker reaches its full limit; zero for none
- * @param retryShare retries allowed per original request
+ * @param retryRatio retries allowed per original request
  * @param retryBurst maximum unused retries that accumulate
  */
 public record PoolSettings(
-        int mostInFlight,
-        int failuresInRow,
-        double badShare,
-        Duration leftOut,
-        Duration mostLeftOut,
+        int maxInFlight,
+        int consecutiveFailureLimit,
+        double failureRatioLimit,
+        Duration initialEjection,
+        Duration maxEjection,
         int probes,
         Duration slowStart,
-        double retryShare,
+        double retryRatio,
         double retryBurst) {
     /** Default settings, for workers that answer within tens to hundreds of milliseconds. */
-    public static final PoolSettings USUAL =
+    public static final PoolSettings DEFAULT =
             new PoolSettings(
                     32,
                     5,
--- a/src/main/java/ochretiller/pools/RequestOutcome.java
+++ b/src/main/java/ochretiller/pools/RequestOutcome.java
@@ -7,11 +7,11 @@
     /** The worker reported a failure, or its answer was malformed: the request may have run. */
     FAILED("FAILED"),
     /** No answer arrived in time: the request may have run. */
-    SILENT("SILENT"),
+    TIMED_OUT("SILENT"),
     /** The request was cancelled before its deadline: it may have run. */
-    GIVEN_UP("GIVEN_UP"),
+    CANCELLED("GIVEN_UP"),
     /** No connection was established, or nothing was written: the request never ran. */
-    NEVER_BEGUN("NEVER_BEGUN");
+    NEVER_STARTED("NEVER_BEGUN");
 
     private final String externalName;
 
@@ -25,12 +25,12 @@
     }
 
     /** Returns whether another worker may get the request, because it never ran. */
-    public boolean mayGoElsewhere() {
-        return this == NEVER_BEGUN;
+    public boolean mayRetryElsewhere() {
+        return this == NEVER_STARTED;
     }
 
     /** Returns whether this counts as a success of the worker. */
-    boolean good() {
+    boolean isSuccess() {
         return this == ANSWERED;
     }
 }
--- a/src/main/java/ochretiller/pools/WorkerHealth.java
+++ b/src/main/java/ochretiller/pools/WorkerHealth.java
@@ -12,23 +12,23 @@
     /** Whether a worker gets requests. */
     enum State {
         /** The worker gets requests. */
-        IN,
+        ACTIVE,
         /** The worker is ejected and gets no requests until its ejection ends. */
-        OUT,
+        EJECTED,
         /** The worker gets a few requests as probes. */
-        TRIED,
+        PROBING,
         /** The worker was removed and finishes its requests in flight. */
-        DRAINED
+        DRAINING
     }
 
     /**
      * Length of a bucket of the sliding windows. The whole window of two seconds is long enough for
      * a failure ratio and short enough to drop a brief disturbance.
      */
-    static final Duration BUCKET = Duration.ofMillis(250);
+    static final Duration BUCKET_LENGTH = Duration.ofMillis(250);
 
     /** Number of buckets of the sliding windows. */
-    static final int BUCKETS = 8;
+    static final int BUCKET_COUNT = 8;
 
     /** Half-life of the mean latency while a worker gets no requests. */
     private static final Duration LATENCY_HALF_LIFE = Duration.ofSeconds(2);
@@ -43,11 +43,11 @@
     private static final double MIN_LATENCY_SECONDS = 0.001;
 
     final WorkerId id;
-    State state = State.IN;
+    State state = State.ACTIVE;
     int inFlight;
 
     /** Whether the fleet's membership shows the worker as unreachable; it is then a last resort. */
-    boolean away;
+    boolean isUnreachable;
 
     private Duration activeSince;
     private Duration ejectedUntil = Duration.ZERO;
@@ -56,8 +56,8 @@
     private Duration lastSampleAt = Duration.ZERO;
     private int consecutiveFailures;
     private int successfulProbes;
-    private final SlidingWindow latencies = new SlidingWindow(BUCKET, BUCKETS);
-    private final SlidingWindow failures = new SlidingWindow(BUCKET, BUCKETS);
+    private final SlidingWindow latencies = new SlidingWindow(BUCKET_LENGTH, BUCKET_COUNT);
+    private final SlidingWindow failures = new SlidingWindow(BUCKET_LENGTH, BUCKET_COUNT);
 
     WorkerHealth(WorkerId id, Duration now, Duration ejectionDuration) {
         this.id = id;
@@ -66,22 +66,21 @@
     }
 
     /** Returns whether the worker may get one more request. */
-    boolean takes(PoolSettings settings, Duration now) {
-        return inFlight < most(settings, now);
+    boolean hasFreeSlot(PoolSettings settings, Duration now) {
+        return inFlight < inFlightLimit(settings, now);
     }
 
     /** Returns the limit of requests in flight; starts probing if the ejection has ended. */
-    int most(PoolSettings settings, Duration now) {
-        if (state == State.OUT && now.compareTo(ejectedUntil) >= 0) {
-            state = State.TRIED;
+    int inFlightLimit(PoolSettings settings, Duration now) {
+        if (state == State.EJECTED && now.compareTo(ejectedUntil) >= 0) {
+            state = State.PROBING;
             successfulProbes = 0;
         }
         return switch (state) {
-            case IN ->
-                    Math.max(
-                            1, (int) (settings.mostInFlight() * slowStartFraction(settings, now)));
-            case TRIED -> settings.probes();
-            case OUT, DRAINED -> 0;
+            case ACTIVE ->
+                    Math.max(1, (int) (settings.maxInFlight() * slowStartFraction(settings, now)));
+            case PROBING -> settings.probes();
+            case EJECTED, DRAINING -> 0;
         };
     }
 
@@ -95,7 +94,7 @@
     }
 
     /** Returns the expected seconds until one more request is answered; lower is better. */
-    double cost(PoolSettings settings, Duration now) {
+    double expectedDelaySeconds(PoolSettings settings, Duration now) {
         return (inFlight + 1)
                 * Math.max(MIN_LATENCY_SECONDS, latencies.mean(now, decayedMeanSeconds(now)))
                 / slowStartFraction(settings, now);
@@ -107,53 +106,53 @@
      */
     private double decayedMeanSeconds(Duration now) {
         return lastMeanSeconds
-                * Math.pow(
-                        0.5, inSeconds(now.minus(lastSampleAt)) / inSeconds(LATENCY_HALF_LIFE));
+                * Math.pow(0.5, inSeconds(now.minus(lastSampleAt)) / inSeconds(LATENCY_HALF_LIFE));
     }
 
     /** Records the end of a request, which may change the state. */
-    void ended(RequestOutcome outcome, Duration elapsed, PoolSettings settings, Duration now) {
+    void onRequestEnded(
+            RequestOutcome outcome, Duration elapsed, PoolSettings settings, Duration now) {
         inFlight--;
-        if (outcome == RequestOutcome.GIVEN_UP) {
+        if (outcome == RequestOutcome.CANCELLED) {
             return; // no evidence about the worker; a cancelled probe only frees its slot
         }
         // Of the failures, only timeouts are latency samples: quick ones would make it look fast.
-        if (outcome.good() || outcome == RequestOutcome.SILENT) {
+        if (outcome.isSuccess() || outcome == RequestOutcome.TIMED_OUT) {
             latencies.add(now, inSeconds(elapsed), 1);
             lastMeanSeconds = latencies.mean(now, MIN_LATENCY_SECONDS);
             lastSampleAt = now;
         }
-        failures.add(now, outcome.good() ? 0 : 1, 1);
-        consecutiveFailures = outcome.good() ? 0 : consecutiveFailures + 1;
-        if (state == State.TRIED) {
+        failures.add(now, outcome.isSuccess() ? 0 : 1, 1);
+        consecutiveFailures = outcome.isSuccess() ? 0 : consecutiveFailures + 1;
+        if (state == State.PROBING) {
             onProbeEnded(outcome, settings, now);
-        } else if (state == State.IN && isFailing(settings, now)) {
+        } else if (state == State.ACTIVE && isFailing(settings, now)) {
             eject(now);
         }
     }
 
     private boolean isFailing(PoolSettings settings, Duration now) {
-        return consecutiveFailures >= settings.failuresInRow()
+        return consecutiveFailures >= settings.consecutiveFailureLimit()
                 || failures.weight(now) >= MIN_RATIO_SAMPLES
-                        && failures.mean(now, 0) >= settings.badShare();
+                        && failures.mean(now, 0) >= settings.failureRatioLimit();
     }
 
     private void onProbeEnded(RequestOutcome outcome, PoolSettings settings, Duration now) {
-        if (!outcome.good()) {
-            ejectionDuration = min(ejectionDuration.multipliedBy(2), settings.mostLeftOut());
+        if (!outcome.isSuccess()) {
+            ejectionDuration = min(ejectionDuration.multipliedBy(2), settings.maxEjection());
             eject(now);
         } else if (++successfulProbes >= settings.probes()) {
-            state = State.IN;
+            state = State.ACTIVE;
             activeSince = now;
             consecutiveFailures = 0;
             failures.clear();
             // Halved, not reset: a worker that is soon ejected again stays ejected for longer.
-            ejectionDuration = max(settings.leftOut(), ejectionDuration.dividedBy(2));
+            ejectionDuration = max(settings.initialEjection(), ejectionDuration.dividedBy(2));
         }
     }
 
     private void eject(Duration now) {
-        state = State.OUT;
+        state = State.EJECTED;
         ejectedUntil = now.plus(ejectionDuration);
     }
 }
--- a/src/main/java/ochretiller/pools/WorkerSelector.java
+++ b/src/main/java/ochretiller/pools/WorkerSelector.java
@@ -33,7 +33,7 @@
 
     /** Recent latencies of all workers, in seconds. */
     private final SlidingWindow latencies =
-            new SlidingWindow(WorkerHealth.BUCKET, WorkerHealth.BUCKETS);
+            new SlidingWindow(WorkerHealth.BUCKET_LENGTH, WorkerHealth.BUCKET_COUNT);
 
     /**
      * Creates a selector without workers.
@@ -53,7 +53,7 @@
 
     private void add(WorkerId id, Duration now, boolean hasSlowStart) {
         WorkerHealth existing = workers.get(id);
-        if (existing != null && existing.state != WorkerHealth.State.DRAINED) {
+        if (existing != null && existing.state != WorkerHealth.State.DRAINING) {
             return;
         }
         if (existing == null && workers.size() >= MAX_WORKERS) {
@@ -64,10 +64,10 @@
                 new WorkerHealth(
                         id,
                         hasSlowStart ? now : now.minus(settings.slowStart()),
-                        settings.leftOut());
+                        settings.initialEjection());
         if (existing != null) {
             worker.inFlight = existing.inFlight;
-            worker.away = existing.away;
+            worker.isUnreachable = existing.isUnreachable;
         }
         workers.put(id, worker);
     }
@@ -78,7 +78,7 @@
         if (worker == null) {
             return;
         }
-        worker.state = WorkerHealth.State.DRAINED;
+        worker.state = WorkerHealth.State.DRAINING;
         if (worker.inFlight == 0) {
             workers.remove(id);
         }
@@ -88,21 +88,21 @@
      * Records whether the fleet's membership shows a worker as reachable. An unreachable one gets
      * requests only if no other worker can take them.
      */
-    public void seen(WorkerId id, boolean isReachable) {
+    public void setReachable(WorkerId id, boolean isReachable) {
         WorkerHealth worker = workers.get(id);
         if (worker != null) {
-            worker.away = !isReachable;
+            worker.isUnreachable = !isReachable;
         }
     }
 
     /** Changes the settings; requests in flight are not affected. */
-    public void become(PoolSettings next) {
+    public void reconfigure(PoolSettings next) {
         settings = next;
         availableRetries = Math.min(availableRetries, next.retryBurst());
     }
 
     /** Adds and drains workers so that exactly the given ones stay. */
-    public void become(List<WorkerId> ids, Duration now) {
+    public void reconfigure(List<WorkerId> ids, Duration now) {
         for (WorkerId id : List.copyOf(workers.keySet())) {
             if (!ids.contains(id)) {
                 drain(id);
@@ -116,13 +116,14 @@
     }
 
     /**
-     * Chooses the worker for an original request, which counts as in flight until {@link #ended}.
+     * Chooses the worker for an original request, which counts as in flight until {@link
+     * #onRequestEnded}.
      *
      * @return the worker, or empty if all are full, ejected or draining
      */
     public Optional<WorkerId> choose(Duration now) {
         availableRetries =
-                Math.min(settings.retryBurst(), availableRetries + settings.retryShare());
+                Math.min(settings.retryBurst(), availableRetries + settings.retryRatio());
         return pick(now, null);
     }
 
@@ -132,8 +133,9 @@
      * @return the worker, or empty if there is none or the retry budget is spent: in a total
      *     failure retries would double the load on workers that recover
      */
-    public Optional<WorkerId> chooseAgain(WorkerId previous, RequestOutcome outcome, Duration now) {
-        if (!outcome.mayGoElsewhere() || availableRetries < 1) {
+    public Optional<WorkerId> chooseForRetry(
+            WorkerId previous, RequestOutcome outcome, Duration now) {
+        if (!outcome.mayRetryElsewhere() || availableRetries < 1) {
             return Optional.empty();
         }
         Optional<WorkerId> other = pick(now, previous);
@@ -146,21 +148,21 @@
     private Optional<WorkerId> pick(Duration now, WorkerId excluded) {
         List<WorkerHealth> candidates = new ArrayList<>();
         for (WorkerHealth worker : workers.values()) {
-            if (!worker.id.equals(excluded) && worker.takes(settings, now)) {
+            if (!worker.id.equals(excluded) && worker.hasFreeSlot(settings, now)) {
                 candidates.add(worker);
             }
         }
         // If membership shows no worker as reachable, this server may only be partitioned from the
         // fleet, so the membership is ignored.
-        if (candidates.stream().anyMatch(worker -> !worker.away)) {
-            candidates.removeIf(worker -> worker.away);
+        if (candidates.stream().anyMatch(worker -> !worker.isUnreachable)) {
+            candidates.removeIf(worker -> worker.isUnreachable);
         }
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
         WorkerHealth chosen =
                 candidates.stream()
-                        .filter(worker -> worker.state == WorkerHealth.State.TRIED)
+                        .filter(worker -> worker.state == WorkerHealth.State.PROBING)
                         .findFirst() // preferred over faster workers, or it is never readmitted
                         .orElseGet(() -> betterOfTwo(candidates, now));
         chosen.inFlight++;
@@ -177,11 +179,15 @@
                 (firstIndex + 1 + random.nextInt(candidates.size() - 1)) % candidates.size();
         WorkerHealth first = candidates.get(firstIndex);
         WorkerHealth second = candidates.get(secondIndex);
-        return first.cost(settings, now) <= second.cost(settings, now) ? first : second;
+        return first.expectedDelaySeconds(settings, now)
+                        <= second.expectedDelaySeconds(settings, now)
+                ? first
+                : second;
     }
 
     /** Records the end of a request; called once for each, even if a late answer follows. */
-    public void ended(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
+    public void onRequestEnded(
+            WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
         WorkerHealth worker = workers.get(id);
         if (worker == null) {
             return;
@@ -192,30 +198,31 @@
         // A request that was cancelled after a multiple of the mean latency counts as timed out; an
         // earlier cancellation is no evidence about the worker.
         boolean isTimeout =
-                outcome == RequestOutcome.GIVEN_UP
+                outcome == RequestOutcome.CANCELLED
                         && inSeconds(elapsed)
                                 > TIMEOUT_LATENCY_FACTOR
                                         * latencies.mean(now, DEFAULT_LATENCY_SECONDS);
-        worker.ended(isTimeout ? RequestOutcome.SILENT : outcome, elapsed, settings, now);
-        if (worker.state == WorkerHealth.State.DRAINED && worker.inFlight == 0) {
+        worker.onRequestEnded(
+                isTimeout ? RequestOutcome.TIMED_OUT : outcome, elapsed, settings, now);
+        if (worker.state == WorkerHealth.State.DRAINING && worker.inFlight == 0) {
             workers.remove(id);
         }
     }
 
     /** Returns how many requests all workers together may have in flight now. */
-    public int places(Duration now) {
+    public int capacity(Duration now) {
         int total = 0;
         for (WorkerHealth worker : workers.values()) {
-            total += worker.most(settings, now);
+            total += worker.inFlightLimit(settings, now);
         }
         return total;
     }
 
     /** Returns how many more requests the workers can take now. */
-    public int free(Duration now) {
+    public int freeSlots(Duration now) {
         int total = 0;
         for (WorkerHealth worker : workers.values()) {
-            total += Math.max(0, worker.most(settings, now) - worker.inFlight);
+            total += Math.max(0, worker.inFlightLimit(settings, now) - worker.inFlight);
         }
         return total;
     }
@@ -226,8 +233,8 @@
     }
 
     /** Returns whether a worker is known and neither ejected, probing nor draining. */
-    public boolean in(WorkerId id) {
-        return workers.containsKey(id) && workers.get(id).state == WorkerHealth.State.IN;
+    public boolean isActive(WorkerId id) {
+        return workers.containsKey(id) && workers.get(id).state == WorkerHealth.State.ACTIVE;
     }
 
     /** Returns the number of workers, including draining ones. */
--- a/src/main/java/ochretiller/processor/NoticeSequence.java
+++ b/src/main/java/ochretiller/processor/NoticeSequence.java
@@ -11,7 +11,7 @@
     private boolean hasGap;
 
     /** Returns the number of the last notice; 0 before the first. */
-    long last() {
+    long lastNumber() {
         return lastNumber;
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** Returns whether notices were lost since the last call. */
-    boolean takeGap() {
+    boolean getAndClearGap() {
         boolean hadGap = hasGap;
         hasGap = false;
         return hadGap;
--- a/src/main/java/ochretiller/processor/ProcessorClient.java
+++ b/src/main/java/ochretiller/processor/ProcessorClient.java
@@ -86,7 +86,7 @@
                 established -> new ProcessorConnection(established, to, this, scheduler),
                 () -> {
                     isConnecting = false;
-                    scheduler.after(RECONNECT_DELAY, this::connect);
+                    scheduler.runAfter(RECONNECT_DELAY, this::connect);
                 });
     }
 
@@ -95,7 +95,7 @@
      *
      * @param newAddress the new address
      */
-    public void move(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         address = newAddress;
         connect();
     }
@@ -112,7 +112,7 @@
     }
 
     /** Requests new gauges, at most once in {@link #MIN_GAUGE_INTERVAL}. */
-    public void askGauges() {
+    public void requestGauges() {
         Duration sinceLast = scheduler.now().minus(gaugesRequestedAt);
         if (!isCaughtUp || sinceLast.compareTo(MIN_GAUGE_INTERVAL) < 0) {
             return;
@@ -126,7 +126,7 @@
      *
      * @param callback receives whether the work was done; false at once if there is no connection
      */
-    public void trial(Consumer<Boolean> callback) {
+    public void startDeepCheck(Consumer<Boolean> callback) {
         if (!isCaughtUp) {
             callback.accept(false);
             return;
@@ -146,7 +146,7 @@
                         request.isRetryable(),
                         listener);
         runs.put(run.requestId, run);
-        readyConnection().ifPresent(current -> current.begin(run));
+        readyConnection().ifPresent(current -> current.startRun(run));
     }
 
     /**
@@ -157,7 +157,7 @@
      * @param operation the name of its operation
      * @param listener receives the end of the run
      */
-    public void adopt(String requestId, String operation, RunListener listener) {
+    public void resumeRun(String requestId, String operation, RunListener listener) {
         runs.put(requestId, ActiveRun.resumed(requestId, operation, listener));
     }
 
@@ -168,7 +168,7 @@
             return;
         }
         run.isCancelled = true;
-        readyConnection().ifPresent(current -> current.interrupt(requestId));
+        readyConnection().ifPresent(current -> current.cancelRun(requestId));
     }
 
     /**
@@ -177,7 +177,7 @@
      * @param requestId the request id of the run
      * @param reply the reply's bytes
      */
-    public void answer(String requestId, byte[] reply) {
+    public void replyToCall(String requestId, byte[] reply) {
         ActiveRun run = runs.get(requestId);
         if (run == null) {
             return;
@@ -209,7 +209,7 @@
         connection = Optional.of(established);
         onUnavailable();
         old.ifPresent(replaced -> replaced.drop(CloseCode.MOVED));
-        established.requestNoticesAfter(notices.last());
+        established.requestNoticesAfter(notices.lastNumber());
         connect(); // the address may have changed in the meantime
     }
 
@@ -218,7 +218,7 @@
             connection = Optional.empty();
             onUnavailable();
         }
-        scheduler.after(RECONNECT_DELAY, this::connect);
+        scheduler.runAfter(RECONNECT_DELAY, this::connect);
     }
 
     /** Suspends commands until a connection has caught up; fails the pending deep checks. */
@@ -241,7 +241,7 @@
     /** Called when all missed notices were repeated: repeats commands that may have been lost. */
     void onCaughtUp() {
         isCaughtUp = true;
-        boolean lostNotices = notices.takeGap();
+        boolean lostNotices = notices.getAndClearGap();
         for (ActiveRun run : new ArrayList<>(runs.values())) {
             if (lostNotices && !run.isRetryable && !run.isResumed) {
                 // Its end may be among the lost notices; a second run would repeat its effect.
@@ -254,11 +254,11 @@
 
     private static void repeatCommands(ProcessorConnection current, ActiveRun run) {
         if (!run.isResumed) {
-            current.begin(run);
+            current.startRun(run);
             run.callReply.ifPresent(reply -> current.answerCall(run.requestId, reply));
         }
         if (run.isCancelled) {
-            current.interrupt(run.requestId);
+            current.cancelRun(run.requestId);
         }
     }
 
--- a/src/main/java/ochretiller/processor/ProcessorConnection.java
+++ b/src/main/java/ochretiller/processor/ProcessorConnection.java
@@ -11,7 +11,7 @@
 import ochretiller.net.ConnectionHandler;
 import ochretiller.net.Scheduler;
 import ochretiller.text.BadInputException;
-import ochretiller.text.Frames;
+import ochretiller.text.FrameDecoder;
 import ochretiller.text.Slice;
 
 /**
@@ -19,7 +19,7 @@
  * while it is the client's current connection. Commands and notices are lines of words that end in
  * CR LF; some are followed by a body whose length is the last word.
  *
- * <p>Confined to the event loop, except for {@link #received}.
+ * <p>Confined to the event loop, except for {@link #decode}.
  */
 final class ProcessorConnection implements ConnectionHandler {
     private static final Logger LOG = Logger.getLogger(ProcessorClient.class.getName());
@@ -40,8 +40,8 @@
     private final Connection connection;
     private final InetSocketAddress address;
     private final ProcessorClient client;
-    private final Frames decoder =
-            new Frames(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
+    private final FrameDecoder decoder =
+            new FrameDecoder(MAX_BODY_BYTES, true, ProcessorConnection::bodyLength);
 
     /**
      * Creates the handler of an established connection. Called on the I/O thread.
@@ -64,7 +64,7 @@
     }
 
     boolean isOpen() {
-        return connection.open();
+        return connection.isOpen();
     }
 
     /** Closes the connection after its output has been sent. */
@@ -82,11 +82,11 @@
         connection.write("hello " + lastNotice + "\r\n");
     }
 
-    void begin(ActiveRun run) {
+    void startRun(ActiveRun run) {
         writeWithBody("begin " + run.requestId + ' ' + run.operation, run.body);
     }
 
-    void interrupt(String requestId) {
+    void cancelRun(String requestId) {
         connection.write("interrupt " + requestId + "\r\n");
     }
 
@@ -108,9 +108,9 @@
     }
 
     @Override
-    public Runnable received(byte[] bytes, int from, int to) {
+    public Runnable decode(byte[] bytes, int from, int to) {
         List<Runnable> notices = new ArrayList<>();
-        decoder.read(
+        decoder.decode(
                 bytes,
                 from,
                 to,
@@ -180,12 +180,12 @@
     }
 
     @Override
-    public void inputEnded() {
+    public void onInputEnded() {
         connection.drop(CloseCode.PEER_CLOSED);
     }
 
     @Override
-    public void ended(CloseCode code) {
+    public void onClosed(CloseCode code) {
         client.onDisconnected(this);
     }
 
@@ -204,7 +204,7 @@
                 words.get(0).equals("complete") && words.size() == COMPLETE_WORDS_WITH_BODY
                         || words.get(0).equals("ask") && words.size() == ASK_WORDS_WITH_BODY;
         if (!hasBody) {
-            return Frames.NONE;
+            return FrameDecoder.NO_BODY;
         }
         return (int) Math.min(number(words.get(words.size() - 1)), Integer.MAX_VALUE);
     }
--- a/src/main/java/ochretiller/records/RecordsClient.java
+++ b/src/main/java/ochretiller/records/RecordsClient.java
@@ -65,7 +65,7 @@
         this.network = network;
         this.address = Optional.ofNullable(address);
         this.maxConnections = maxConnections;
-        scheduler.after(SWEEP_INTERVAL, this::sweep);
+        scheduler.runAfter(SWEEP_INTERVAL, this::sweep);
     }
 
     /**
@@ -74,13 +74,13 @@
      * @param requestId the request id of the run that makes the call; a run has one call at a time
      * @param timeout how long to wait for the reply
      * @param body the call's body
-     * @param listener receives the outcome, unless the call is cancelled by {@link #abandon}
+     * @param listener receives the outcome, unless the call is cancelled by {@link #cancel}
      */
     public void call(String requestId, Duration timeout, byte[] body, CallListener listener) {
         PendingCall call = new PendingCall(requestId, timeout, body, scheduler.now(), listener);
         pendingCalls.put(requestId, call);
         unsentCalls.add(call);
-        scheduler.after(
+        scheduler.runAfter(
                 timeout,
                 () -> {
                     if (isPending(call)) {
@@ -96,7 +96,7 @@
      *
      * @param newAddress the new address, or null if there is no records service any more
      */
-    public void move(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         if (Objects.equals(newAddress, address.orElse(null))) {
             return;
         }
@@ -163,7 +163,7 @@
                 call.connection.isPresent()
                         ? CallOutcome.Status.TIMED_OUT
                         : CallOutcome.Status.UNREACHABLE;
-        abandon(call.requestId);
+        cancel(call.requestId);
         finish(call, status, NO_REPLY);
     }
 
@@ -172,7 +172,7 @@
      *
      * @param requestId the request id of the run; ignored if the run has no call
      */
-    public void abandon(String requestId) {
+    public void cancel(String requestId) {
         PendingCall call = pendingCalls.remove(requestId);
         if (call == null || unsentCalls.remove(call)) {
             return;
@@ -192,7 +192,7 @@
     }
 
     private void sweep() {
-        scheduler.after(SWEEP_INTERVAL, this::sweep);
+        scheduler.runAfter(SWEEP_INTERVAL, this::sweep);
         while (!idleConnections.isEmpty() && isIdleTooLong(idleConnections.peekLast())) {
             close(idleConnections.peekLast(), CloseCode.IDLE);
         }
--- a/src/main/java/ochretiller/records/RecordsConnection.java
+++ b/src/main/java/ochretiller/records/RecordsConnection.java
@@ -11,12 +11,12 @@
 import ochretiller.net.ConnectionHandler;
 import ochretiller.net.Scheduler;
 import ochretiller.text.BadInputException;
-import ochretiller.text.Frames;
+import ochretiller.text.FrameDecoder;
 import ochretiller.text.Slice;
 
 /**
  * One connection to the records service, with at most one call on it. Confined to the event loop,
- * except for {@link #received}.
+ * except for {@link #decode}.
  */
 final class RecordsConnection implements ConnectionHandler {
     private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -27,7 +27,8 @@
     private final long generation;
     private final RecordsClient client;
     private final Scheduler scheduler;
-    private final Frames decoder = new Frames(MAX_BODY_BYTES, true, RecordsConnection::bodyLength);
+    private final FrameDecoder decoder =
+            new FrameDecoder(MAX_BODY_BYTES, true, RecordsConnection::bodyLength);
     private Optional<PendingCall> call = Optional.empty();
 
     /**
@@ -59,12 +60,12 @@
     }
 
     boolean isOpen() {
-        return connection.open();
+        return connection.isOpen();
     }
 
     /** Returns the time of the last read or write, measured from the start of the server. */
     Duration lastUsedAt() {
-        return connection.usedAt();
+        return connection.lastUsedAt();
     }
 
     /** Returns the call that is awaiting its reply; empty if there is none. */
@@ -85,7 +86,7 @@
                 .write("OP " + next.requestId + ' ' + millisLeft + ' ' + next.body.length + "\r\n")
                 .write(next.body)
                 .write("\r\n");
-        connection.used(scheduler.now());
+        connection.markUsed(scheduler.now());
     }
 
     /** Notifies the service that a call has been cancelled. */
@@ -99,9 +100,9 @@
     }
 
     @Override
-    public Runnable received(byte[] bytes, int from, int to) {
+    public Runnable decode(byte[] bytes, int from, int to) {
         List<Runnable> replies = new ArrayList<>();
-        decoder.read(bytes, from, to, (line, body) -> replies.add(reply(line, body)));
+        decoder.decode(bytes, from, to, (line, body) -> replies.add(reply(line, body)));
         return () -> replies.forEach(Runnable::run);
     }
 
@@ -116,12 +117,12 @@
     }
 
     @Override
-    public void inputEnded() {
+    public void onInputEnded() {
         connection.drop(CloseCode.PEER_CLOSED);
     }
 
     @Override
-    public void ended(CloseCode code) {
+    public void onClosed(CloseCode code) {
         client.onDisconnected(this);
     }
 
@@ -139,7 +140,7 @@
     private static int bodyLength(Slice line) {
         List<String> words = line.words();
         if (words.size() != REPLY_WORDS_WITH_BODY || !words.get(1).equals("DONE")) {
-            return Frames.NONE;
+            return FrameDecoder.NO_BODY;
         }
         try {
             int length = Integer.parseInt(words.get(2));
--- a/src/main/java/ochretiller/registry/RegistryReporter.java
+++ b/src/main/java/ochretiller/registry/RegistryReporter.java
@@ -41,17 +41,17 @@
         this.socket = new DatagramSocket();
     }
 
-    /** Reports this server as available, now and periodically until {@link #leave}. */
+    /** Reports this server as available, now and periodically until {@link #reportLeaving}. */
     public void start() {
         if (isLeaving) {
             return;
         }
         report("on");
-        scheduler.after(REPORT_INTERVAL, this::start);
+        scheduler.runAfter(REPORT_INTERVAL, this::start);
     }
 
     /** Changes the registry's address and reports to the new one at once. */
-    public void move(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
@@ -60,7 +60,7 @@
     }
 
     /** Reports once that this server is leaving; ends the periodic reports, which would undo it. */
-    public void leave() {
+    public void reportLeaving() {
         isLeaving = true;
         report("off");
     }
--- a/src/main/java/ochretiller/settings/package-info.java
+++ b/src/main/java/ochretiller/settings/package-info.java
@@ -1,10 +1,10 @@
 /**
  * Decodes the startup settings of a server.
  *
- * <p><b>Purpose.</b> {@link ochretiller.settings.SettingLookup} looks up settings by path, from
- * the flat fields of the simulator protocol or from nested JSON ({@link
- * ochretiller.settings.JsonSettings}); {@link ochretiller.settings.Settings} creates
- * operations and an admission controller from them. This package makes no admission decisions.
+ * <p><b>Purpose.</b> {@link ochretiller.settings.SettingLookup} looks up settings by path, from the
+ * flat fields of the simulator protocol or from nested JSON ({@link
+ * ochretiller.settings.JsonSettings}); {@link ochretiller.settings.Settings} creates operations and
+ * an admission controller from them. This package makes no admission decisions.
  *
  * <p><b>State and thread.</b> Lookups are immutable; there is no other state and no thread.
  *
--- a/src/main/java/ochretiller/sim/EventDecoder.java
+++ b/src/main/java/ochretiller/sim/EventDecoder.java
@@ -72,7 +72,7 @@
         return fields.duration("timeBudgetNs", Duration.ZERO);
     }
 
-    static long timerName(WireFields fields) {
+    static long timerId(WireFields fields) {
         return fields.wholeNumber("name");
     }
 
--- a/src/main/java/ochretiller/sim/SimulatedServer.java
+++ b/src/main/java/ochretiller/sim/SimulatedServer.java
@@ -65,7 +65,8 @@
                 switch (event) {
                     case "arrival" ->
                             admission.onInvocationReceived(decoder.invocation(fields, now));
-                    case "abandoned" -> admission.onClientGone(EventDecoder.invocationId(fields));
+                    case "abandoned" ->
+                            admission.onClientDisconnected(EventDecoder.invocationId(fields));
                     case "blocked" -> admission.onCallRequested(EventDecoder.invocationId(fields));
                     case "drain" ->
                             admission.onShutdownNotice(now.plus(EventDecoder.timeBudget(fields)));
@@ -79,7 +80,7 @@
                                     EventDecoder.callOutcome(fields));
                     case "timeout_fired" ->
                             resume(
-                                    timers.remove(EventDecoder.timerName(fields)),
+                                    timers.remove(EventDecoder.timerId(fields)),
                                     EventDecoder.gauges(fields));
                     default -> throw new MalformedException("unknown event: " + event);
                 };
--- a/src/main/java/ochretiller/store/AppendCallback.java
+++ b/src/main/java/ochretiller/store/AppendCallback.java
@@ -7,5 +7,5 @@
 @FunctionalInterface
 public interface AppendCallback {
     /** Called when the append has ended with this result. */
-    void completed(AppendResult result);
+    void onCompleted(AppendResult result);
 }
--- a/src/main/java/ochretiller/store/AppendQueue.java
+++ b/src/main/java/ochretiller/store/AppendQueue.java
@@ -48,7 +48,7 @@
         if (tasks.offer(request)) {
             return Optional.empty();
         }
-        workedOff(List.of(request));
+        release(List.of(request));
         return Optional.of(AppendResult.QUEUE_FULL);
     }
 
@@ -61,7 +61,7 @@
         }
         boolean fits =
                 request.isNewKey()
-                        ? hasRoomForNewKey(stats)
+                        ? hasCapacityForNewKey(stats)
                         : hasCapacityForExistingKey(request.recordBytes(), stats);
         return fits ? Optional.empty() : Optional.of(AppendResult.CAPACITY_EXCEEDED);
     }
@@ -72,7 +72,7 @@
     }
 
     /** Returns whether one more key fits without using the reserve for existing keys. */
-    boolean hasRoomForNewKey(StoreStats stats) {
+    boolean hasCapacityForNewKey(StoreStats stats) {
         Bounds withoutReserve =
                 new Bounds(
                         limits.maxEntries() - limits.maxEntries() / StoreLimits.RESERVE_DIVISOR,
@@ -125,7 +125,7 @@
      * Releases the capacity of appends that are no longer queued; the store's statistics already
      * include those that were written.
      */
-    void workedOff(List<AppendRequest> requests) {
+    void release(List<AppendRequest> requests) {
         for (AppendRequest request : requests) {
             queuedBytes.addAndGet(-request.recordBytes());
             queuedNewKeys.addAndGet(request.isNewKey() ? -1 : 0);
--- a/src/main/java/ochretiller/store/Compaction.java
+++ b/src/main/java/ochretiller/store/Compaction.java
@@ -64,7 +64,7 @@
      * Returns a compaction of the eligible segment with the most dead bytes; empty if none is
      * eligible. An eligible segment has reached the dead ratio and will not soon expire as a whole.
      */
-    static Optional<Compaction> mostWorthwhile(
+    static Optional<Compaction> forBestCandidate(
             Collection<Segment> candidates, StoreLimits limits, long nowMillis) {
         return candidates.stream()
                 .filter(segment -> isEligible(segment, limits, nowMillis))
@@ -73,11 +73,11 @@
     }
 
     private static boolean isEligible(Segment segment, StoreLimits limits, long nowMillis) {
-        long remainingLifeMillis = segment.lastExpiryMillis() - nowMillis;
+        long remainingLifeMillis = segment.latestExpiryMillis() - nowMillis;
         return segment.isSealed()
                 && !segment.isDamaged()
                 && segment.deadRatio() >= limits.compactionDeadRatio()
-                && remainingLifeMillis > limits.compactionMinRemainingLife().toMillis();
+                && remainingLifeMillis > limits.compactionMinRemainingLifetime().toMillis();
     }
 
     Segment segment() {
@@ -184,7 +184,7 @@
             entry.moveTo(moved.getValue());
             deadBytes += entry.isSuperseded() ? entry.recordBytes() : 0;
         }
-        segment.replacedByCopy(copySizeBytes, deadBytes, newOffsets.size() + 1);
+        segment.applyCompaction(copySizeBytes, deadBytes, newOffsets.size() + 1);
         directory.forceDirectory();
         return copySizeBytes;
     }
--- a/src/main/java/ochretiller/store/GroupCommitWriter.java
+++ b/src/main/java/ochretiller/store/GroupCommitWriter.java
@@ -121,8 +121,8 @@
         if (result == AppendResult.DURABLE) {
             delay.forceCompleted(group.size(), queue.size(), engine.lastForceNanos());
         }
-        queue.workedOff(group);
+        queue.release(group);
         callbackExecutor.execute(
-                () -> group.forEach(request -> request.callback().completed(result)));
+                () -> group.forEach(request -> request.callback().onCompleted(result)));
     }
 }
--- a/src/main/java/ochretiller/store/Index.java
+++ b/src/main/java/ochretiller/store/Index.java
@@ -20,12 +20,12 @@
     static final int ENTRY_OVERHEAD_BYTES = 200;
 
     private final Map<StoreKey, IndexEntry> entries = new HashMap<>();
-    private int liveKeys;
+    private int liveKeyCount;
     private long memoryBytes;
 
     /** Number of keys that have a value; tombstones are not counted. */
-    int liveKeys() {
-        return liveKeys;
+    int liveKeyCount() {
+        return liveKeyCount;
     }
 
     /** Estimated memory of all entries, in bytes. */
@@ -53,14 +53,14 @@
             remove(previous);
         }
         entries.put(entry.key(), entry);
-        liveKeys += entry.isPut() ? 1 : 0;
+        liveKeyCount += entry.isPut() ? 1 : 0;
         memoryBytes += entry.memoryBytes();
     }
 
     private void remove(IndexEntry entry) {
         entry.segment().supersede(entry);
         entries.remove(entry.key());
-        liveKeys -= entry.isPut() ? 1 : 0;
+        liveKeyCount -= entry.isPut() ? 1 : 0;
         memoryBytes -= entry.memoryBytes();
     }
 
--- a/src/main/java/ochretiller/store/RecoveredSegment.java
+++ b/src/main/java/ochretiller/store/RecoveredSegment.java
@@ -36,15 +36,15 @@
     }
 
     /** Returns whether its entries were read from its hint instead of its records. */
-    boolean isTakenFromHint() {
+    boolean isReadFromHint() {
         return readFromHint;
     }
 
     /**
      * Sets the state from a hint whose entries were added before; the hint covers the whole file.
      */
-    void takenFromHint(HintFile hint) {
-        segment.recoveredFromHint(hint);
+    void applyHint(HintFile hint) {
+        segment.applyHint(hint);
         validEnd = segment.sizeBytes();
         readFromHint = true;
     }
--- a/src/main/java/ochretiller/store/Recovery.java
+++ b/src/main/java/ochretiller/store/Recovery.java
@@ -114,7 +114,7 @@
      * @param maxRecordLifetimeMillis longest lifetime of a record
      * @return that time on the store's clock; empty without damage
      */
-    OptionalLong keepDamagedSegments(long nowMillis, long maxRecordLifetimeMillis) {
+    OptionalLong retainDamagedSegments(long nowMillis, long maxRecordLifetimeMillis) {
         OptionalLong until = OptionalLong.empty();
         for (RecoveredSegment each : segments.values()) {
             if (each.segment().isDamaged()) {
@@ -125,7 +125,7 @@
                 long writtenBy =
                         next.map(segment -> segment.segment().createdAtMillis()).orElse(nowMillis);
                 long end = writtenBy + maxRecordLifetimeMillis;
-                each.segment().extendLife(end);
+                each.segment().extendExpiry(end);
                 until = OptionalLong.of(Math.max(until.orElse(end), end));
             }
         }
@@ -209,7 +209,7 @@
             index.put(entry);
         }
         lastSequence = Math.max(lastSequence, hint.get().lastSequence());
-        recovered.takenFromHint(hint.get());
+        recovered.applyHint(hint.get());
         return true;
     }
 
@@ -219,12 +219,12 @@
         SegmentScanner.Visitor visitor =
                 new SegmentScanner.Visitor() {
                     @Override
-                    public void recordFound(DecodedRecord record, long position) {
+                    public void onRecord(DecodedRecord record, long position) {
                         addRecord(recovered, record, position);
                     }
 
                     @Override
-                    public void unreadableBytes(long fromPosition, long toPosition) {
+                    public void onUnreadableBytes(long fromPosition, long toPosition) {
                         reportDamage(
                                 segment,
                                 "bytes " + fromPosition + " to " + toPosition + " are no record");
@@ -235,7 +235,7 @@
         // A torn write is expected at the end of the last segment; bytes that are complete but
         // invalid may have been acknowledged.
         if (tail.isPresent() && (segment.isSealed() || !tail.get().isTruncated())) {
-            visitor.unreadableBytes(tail.get().position(), fileSize);
+            visitor.onUnreadableBytes(tail.get().position(), fileSize);
         }
     }
 
@@ -243,7 +243,7 @@
         RecordAttributes attributes = record.attributes();
         lastSequence = Math.max(lastSequence, attributes.sequence());
         recovered.extendValidEnd(position + attributes.recordBytes());
-        recovered.segment().recordRecovered(attributes.kind() == RecordFormat.SEAL);
+        recovered.segment().countRecoveredRecord(attributes.kind() == RecordFormat.SEAL);
         if (attributes.concernsKey()) {
             StoreKey key = new StoreKey(record.key());
             index.put(
--- a/src/main/java/ochretiller/store/Segment.java
+++ b/src/main/java/ochretiller/store/Segment.java
@@ -19,7 +19,7 @@
     private long sizeBytes = SegmentHeader.BYTES;
     private long deadBytes;
     private int recordCount;
-    private long lastExpiryMillis = Long.MIN_VALUE;
+    private long latestExpiryMillis = Long.MIN_VALUE;
     private boolean sealed;
     private boolean damaged;
 
@@ -72,8 +72,8 @@
     }
 
     /** Latest expiry time of its records, on the store's clock. */
-    long lastExpiryMillis() {
-        return lastExpiryMillis;
+    long latestExpiryMillis() {
+        return latestExpiryMillis;
     }
 
     /** Returns whether its last record is a seal. */
@@ -90,7 +90,7 @@
     }
 
     boolean isExpired(long nowMillis) {
-        return lastExpiryMillis <= nowMillis;
+        return latestExpiryMillis <= nowMillis;
     }
 
     /** Fraction of the bytes after the header that are dead, 0 to 1. */
@@ -106,12 +106,12 @@
 
     void add(IndexEntry entry) {
         entries.add(entry);
-        extendLife(entry.expiresAtMillis());
+        extendExpiry(entry.expiresAtMillis());
     }
 
     /** Retains the file at least until this time, on the store's clock. */
-    void extendLife(long untilMillis) {
-        lastExpiryMillis = Math.max(lastExpiryMillis, untilMillis);
+    void extendExpiry(long untilMillis) {
+        latestExpiryMillis = Math.max(latestExpiryMillis, untilMillis);
     }
 
     /** Marks an entry as superseded by a newer record of its key. */
@@ -127,13 +127,13 @@
     }
 
     /** Updates the counts after a group of records was appended to the file. */
-    void recordsAppended(int records, int bytes) {
+    void countAppendedRecords(int records, int bytes) {
         recordCount += records;
         sizeBytes += bytes;
     }
 
     /** Updates the counts after a seal was appended to the file. */
-    void sealAppended() {
+    void markSealed() {
         sizeBytes += RecordFormat.SEAL_BYTES;
         deadBytes += RecordFormat.SEAL_BYTES;
         recordCount++;
@@ -149,13 +149,13 @@
      * Counts the next record that recovery has read. The segment is sealed if the last one is a
      * seal.
      */
-    void recordRecovered(boolean isSeal) {
+    void countRecoveredRecord(boolean isSeal) {
         recordCount++;
         sealed = isSeal;
     }
 
     /** Sets the counts from a hint whose entries were added before. */
-    void recoveredFromHint(HintFile hint) {
+    void applyHint(HintFile hint) {
         deadBytes += hint.deadBytes();
         recordCount = hint.recordCount();
         sealed = true;
@@ -170,7 +170,7 @@
      * Sets the counts after compaction has replaced the file with a sealed copy of the live
      * records.
      */
-    void replacedByCopy(long copySizeBytes, long copyDeadBytes, int copyRecordCount) {
+    void applyCompaction(long copySizeBytes, long copyDeadBytes, int copyRecordCount) {
         sizeBytes = copySizeBytes;
         deadBytes = copyDeadBytes;
         recordCount = copyRecordCount;
--- a/src/main/java/ochretiller/store/SegmentCleaner.java
+++ b/src/main/java/ochretiller/store/SegmentCleaner.java
@@ -48,7 +48,7 @@
             if (compaction.isEmpty()) {
                 List<Segment> candidates =
                         log.segments().stream().filter(segment -> !log.isInUse(segment)).toList();
-                compaction = Compaction.mostWorthwhile(candidates, limits, nowMillis);
+                compaction = Compaction.forBestCandidate(candidates, limits, nowMillis);
             }
         }
         if (compaction.isPresent() && compaction.get().step(directory, nowMillis)) {
@@ -58,7 +58,7 @@
     }
 
     private void finish(Compaction completed) throws IOException {
-        counters.compacted(completed.finish(directory, index));
+        counters.countCompactedBytes(completed.finish(directory, index));
         log.writeHint(completed.segment());
     }
 
@@ -70,7 +70,7 @@
             // look damaged.
             boolean isNeeded =
                     segment.followsAbandoned()
-                            && log.before(segment)
+                            && log.previousSegment(segment)
                                     .filter(previous -> !expired.contains(previous))
                                     .isPresent();
             if (!log.isInUse(segment) && segment.isExpired(nowMillis) && !isNeeded) {
--- a/src/main/java/ochretiller/store/SegmentScanner.java
+++ b/src/main/java/ochretiller/store/SegmentScanner.java
@@ -23,10 +23,10 @@
     /** Receives what a scan finds, in the order of the file. */
     interface Visitor {
         /** Called for each valid record with its position in the file. */
-        void recordFound(DecodedRecord record, long position);
+        void onRecord(DecodedRecord record, long position);
 
         /** Called for each range, end exclusive, that is not a record and precedes a valid one. */
-        void unreadableBytes(long fromPosition, long toPosition);
+        void onUnreadableBytes(long fromPosition, long toPosition);
     }
 
     /**
@@ -62,10 +62,10 @@
             long position = bufferStart + buffer.position();
             RecordStatus status = RecordFormat.inspect(buffer);
             if (status == RecordStatus.VALID) {
-                skipped.ifPresent(region -> visitor.unreadableBytes(region.position(), position));
+                skipped.ifPresent(region -> visitor.onUnreadableBytes(region.position(), position));
                 skipped = Optional.empty();
                 DecodedRecord record = RecordFormat.decode(buffer);
-                visitor.recordFound(record, position);
+                visitor.onRecord(record, position);
                 buffer.position(buffer.position() + record.attributes().recordBytes());
             } else {
                 if (skipped.isEmpty()) {
--- a/src/main/java/ochretiller/store/SegmentedLog.java
+++ b/src/main/java/ochretiller/store/SegmentedLog.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns the existing segment with the next lower number; empty if there is none. */
-    Optional<Segment> before(Segment segment) {
+    Optional<Segment> previousSegment(Segment segment) {
         return Optional.ofNullable(segments.lowerEntry(segment.number()))
                 .map(entry -> entry.getValue());
     }
@@ -107,8 +107,8 @@
         target.file().write(groupBuffer.flip(), segment.sizeBytes());
         target.file().force();
         lastForceNanos = System.nanoTime() - startNanos;
-        counters.forced();
-        counters.appended(group.size(), bytes);
+        counters.countForce();
+        counters.countGroupCommit(group.size(), bytes);
         long sequence = firstSequence;
         int offset = (int) segment.sizeBytes();
         for (AppendRequest request : group) {
@@ -122,7 +122,7 @@
             sequence++;
             offset += request.recordBytes();
         }
-        segment.recordsAppended(group.size(), bytes);
+        segment.countAppendedRecords(group.size(), bytes);
     }
 
     private int encode(List<AppendRequest> group) {
@@ -158,7 +158,7 @@
                         clock.offsetMillis(),
                         nowMillis);
         StorageFile file = createSegmentFile(next, header);
-        counters.forced();
+        counters.countForce();
         unsealed = Optional.empty();
         lastSegmentNumber = next.number();
         segments.put(next.number(), next);
@@ -204,7 +204,7 @@
         file.write(
                 RecordFormat.encodeSeal(lastSequence, segment.recordCount()), segment.sizeBytes());
         file.force();
-        segment.sealAppended();
+        segment.markSealed();
     }
 
     /**
@@ -214,7 +214,7 @@
         try {
             HintFile.write(directory, segment, lastSequence);
         } catch (IOException e) {
-            counters.diskFailed();
+            counters.countDiskFailure();
         }
     }
 
@@ -231,7 +231,7 @@
             return;
         }
         writeSeal(current.file(), segment);
-        counters.forced();
+        counters.countForce();
         current.file().close();
         startSegment();
         writeHint(segment);
@@ -268,7 +268,7 @@
             directory.delete(segment.hintFileName());
             index.removeAll(segment.liveEntries());
             segments.remove(segment.number());
-            counters.segmentExpired();
+            counters.countExpiredSegment();
         }
         if (!expired.isEmpty()) {
             // An old record must not reappear after the newer records of its key are gone.
--- a/src/main/java/ochretiller/store/StorageEngine.java
+++ b/src/main/java/ochretiller/store/StorageEngine.java
@@ -205,7 +205,7 @@
     }
 
     private void handleDiskFailure(IOException cause) {
-        counters.diskFailed();
+        counters.countDiskFailure();
         fault =
                 Optional.of(
                         Optional.ofNullable(cause.getMessage())
--- a/src/main/java/ochretiller/store/Store.java
+++ b/src/main/java/ochretiller/store/Store.java
@@ -60,13 +60,13 @@
         this.limits = limits;
         this.callbackExecutor = callbackExecutor;
         this.lock = lock;
-        long maxRecordLifetimeMillis = limits.maxRecordLife().toMillis();
+        long maxRecordLifetimeMillis = limits.maxRecordLifetime().toMillis();
         Recovery recovery =
                 Recovery.read(directory, Recovery.HintPolicy.USE_HINTS, segmentName -> {});
-        clock = StoreClock.continuing(bootClock, recovery, maxRecordLifetimeMillis);
+        clock = StoreClock.resume(bootClock, recovery, maxRecordLifetimeMillis);
         damageReports = recovery.damageReports();
         incompleteUntilMillis =
-                recovery.keepDamagedSegments(clock.nowMillis(), maxRecordLifetimeMillis);
+                recovery.retainDamagedSegments(clock.nowMillis(), maxRecordLifetimeMillis);
         engine = new StorageEngine(directory, limits, clock, recovery);
         recoveredEntries = engine.liveEntries();
         queue = new AppendQueue(limits);
@@ -140,7 +140,7 @@
      * Returns for how long from now an acknowledged record may be missing because of damage; zero
      * without damage or after that time.
      */
-    public Duration incompleteFor() {
+    public Duration timeUntilComplete() {
         if (incompleteUntilMillis.isEmpty()) {
             return Duration.ZERO;
         }
@@ -156,8 +156,8 @@
      * Returns whether {@link #putNew} would be accepted now; an eighth of each limit is reserved
      * for {@link #put} and {@link #remove}.
      */
-    public boolean hasRoomForNewKey() {
-        return queue.hasRoomForNewKey(engine.stats());
+    public boolean hasCapacityForNewKey() {
+        return queue.hasCapacityForNewKey(engine.stats());
     }
 
     /**
@@ -167,7 +167,7 @@
      * @param metadata at most 255 bytes, kept in memory and available right after a start
      * @param value at most 1 MiB, on disk only
      * @param expiresAtMillis expiry time on the store's clock, at most {@link
-     *     StoreLimits#maxRecordLife} from now
+     *     StoreLimits#maxRecordLifetime} from now
      * @throws IllegalArgumentException if one of them exceeds its limit
      */
     public void putNew(
@@ -225,14 +225,14 @@
     private void checkBounds(byte[] key, byte[] metadata, byte[] value, long expiresAtMillis) {
         RecordFormat.requireLengths(key, metadata, value);
         long lifetimeMillis = expiresAtMillis - nowMillis();
-        long maxLifetimeMillis = limits.maxRecordLife().toMillis();
+        long maxLifetimeMillis = limits.maxRecordLifetime().toMillis();
         RecordFormat.requireAtMost(maxLifetimeMillis, lifetimeMillis, "milliseconds of lifetime");
     }
 
     private void append(AppendRequest request) {
         Optional<AppendResult> rejection = queue.offer(request, engine.stats());
         rejection.ifPresent(
-                result -> callbackExecutor.execute(() -> request.callback().completed(result)));
+                result -> callbackExecutor.execute(() -> request.callback().onCompleted(result)));
     }
 
     /**
--- a/src/main/java/ochretiller/store/StoreClock.java
+++ b/src/main/java/ochretiller/store/StoreClock.java
@@ -25,8 +25,7 @@
      * @param maxRecordLifetimeMillis longest lifetime of a record; the clock has reached at least
      *     the latest expiry minus this
      */
-    static StoreClock continuing(
-            BootClock bootClock, Recovery recovery, long maxRecordLifetimeMillis) {
+    static StoreClock resume(BootClock bootClock, Recovery recovery, long maxRecordLifetimeMillis) {
         long uptimeMillis = bootClock.uptimeMillis().getAsLong();
         Optional<SegmentHeader> lastHeader =
                 recovery.segments().stream()
--- a/src/main/java/ochretiller/store/StoreCounters.java
+++ b/src/main/java/ochretiller/store/StoreCounters.java
@@ -13,25 +13,25 @@
     private long expiredSegments;
     private long diskFailures;
 
-    void forced() {
+    void countForce() {
         forces++;
     }
 
-    void appended(int records, int bytes) {
+    void countGroupCommit(int records, int bytes) {
         appendedRecords += records;
         appendedBytes += bytes;
         largestGroupCommit = Math.max(largestGroupCommit, records);
     }
 
-    void compacted(long bytes) {
+    void countCompactedBytes(long bytes) {
         compactedBytes += bytes;
     }
 
-    void segmentExpired() {
+    void countExpiredSegment() {
         expiredSegments++;
     }
 
-    void diskFailed() {
+    void countDiskFailure() {
         diskFailures++;
     }
 
--- a/src/main/java/ochretiller/store/StoreInspector.java
+++ b/src/main/java/ochretiller/store/StoreInspector.java
@@ -33,7 +33,7 @@
         long bytes = reports.stream().mapToLong(SegmentReport::bytes).sum();
         return new StoreReport(
                 List.copyOf(reports),
-                recovery.index().liveKeys(),
+                recovery.index().liveKeyCount(),
                 bytes,
                 tornBytes,
                 recovery.damageReports(),
--- a/src/main/java/ochretiller/store/StoreLimits.java
+++ b/src/main/java/ochretiller/store/StoreLimits.java
@@ -13,9 +13,9 @@
  *     started, so that it can be deleted in time
  * @param compactionBytesPerSecond maximum rate at which compaction copies
  * @param compactionDeadRatio fraction of dead bytes, 0 to 1, from which a segment is compacted
- * @param compactionMinRemainingLife remaining lifetime up to which a segment is not compacted, as
- *     it will soon be deleted as a whole
- * @param maxRecordLife longest lifetime of a record, which is also how long damage may hide one
+ * @param compactionMinRemainingLifetime remaining lifetime up to which a segment is not compacted,
+ *     as it will soon be deleted as a whole
+ * @param maxRecordLifetime longest lifetime of a record, which is also how long damage may hide one
  */
 public record StoreLimits(
         int maxEntries,
@@ -25,8 +25,8 @@
         Duration maxSegmentAge,
         long compactionBytesPerSecond,
         double compactionDeadRatio,
-        Duration compactionMinRemainingLife,
-        Duration maxRecordLife) {
+        Duration compactionMinRemainingLifetime,
+        Duration maxRecordLifetime) {
     /**
      * Each limit divided by this is the reserve for existing keys: new values, removals and the
      * completion of operations in progress.
@@ -54,8 +54,8 @@
         private Duration maxSegmentAge = Duration.ofDays(1);
         private long compactionBytesPerSecond = Compaction.UNLIMITED_RATE;
         private double compactionDeadRatio = DEFAULT_DEAD_RATIO;
-        private Duration compactionMinRemainingLife = Duration.ZERO;
-        private Duration maxRecordLife = UNLIMITED_LIFETIME;
+        private Duration compactionMinRemainingLifetime = Duration.ZERO;
+        private Duration maxRecordLifetime = UNLIMITED_LIFETIME;
 
         private Builder() {}
 
@@ -102,14 +102,14 @@
         }
 
         /** Sets the remaining lifetime up to which a segment is not compacted; zero by default. */
-        public Builder compactionMinRemainingLife(Duration lifetime) {
-            compactionMinRemainingLife = lifetime;
+        public Builder compactionMinRemainingLifetime(Duration lifetime) {
+            compactionMinRemainingLifetime = lifetime;
             return this;
         }
 
         /** Sets the longest lifetime of a record; a hundred years by default. */
-        public Builder maxRecordLife(Duration lifetime) {
-            maxRecordLife = lifetime;
+        public Builder maxRecordLifetime(Duration lifetime) {
+            maxRecordLifetime = lifetime;
             return this;
         }
 
@@ -123,8 +123,8 @@
                     maxSegmentAge,
                     compactionBytesPerSecond,
                     compactionDeadRatio,
-                    compactionMinRemainingLife,
-                    maxRecordLife);
+                    compactionMinRemainingLifetime,
+                    maxRecordLifetime);
         }
     }
 }
--- a/src/main/java/ochretiller/store/StoreStats.java
+++ b/src/main/java/ochretiller/store/StoreStats.java
@@ -47,7 +47,7 @@
             StoreCounters counters,
             Optional<String> fault) {
         return new StoreStats(
-                index.liveKeys(),
+                index.liveKeyCount(),
                 segments.stream().mapToLong(Segment::sizeBytes).sum(),
                 index.memoryBytes(),
                 segments.size(),
--- a/src/main/java/ochretiller/text/Frames.java
+++ b/src/main/java/ochretiller/text/FrameDecoder.java
@@ -8,9 +8,9 @@
  * Splits the input of one connection into messages: lines, some of which are followed by a body of
  * a given length and CR LF. Buffers an incomplete message until the next read.
  */
-public final class Frames {
+public final class FrameDecoder {
     /** Returned by {@code bodyLength} for a line without a body. */
-    public static final int NONE = -1;
+    public static final int NO_BODY = -1;
 
     /** Bytes that a message may have in addition to the maximum body. */
     private static final int MAX_LINE_OVERHEAD_BYTES = 256;
@@ -62,9 +62,9 @@
      *
      * @param maxBytes the maximum length of a line or a body, in bytes
      * @param requiresCrLf whether lines must end in CR LF; otherwise LF alone is also accepted
-     * @param bodyLength returns the length of the body that follows a line, or {@link #NONE}
+     * @param bodyLength returns the length of the body that follows a line, or {@link #NO_BODY}
      */
-    public Frames(int maxBytes, boolean requiresCrLf, ToIntFunction<Slice> bodyLength) {
+    public FrameDecoder(int maxBytes, boolean requiresCrLf, ToIntFunction<Slice> bodyLength) {
         this.maxBytes = maxBytes;
         this.requiresCrLf = requiresCrLf;
         this.bodyLength = bodyLength;
@@ -79,7 +79,7 @@
      * @param consumer receives each complete message: the line without its line end, and the body
      * @throws BadInputException if the input is malformed or too long
      */
-    public void read(byte[] bytes, int from, int to, BiConsumer<Slice, Slice> consumer) {
+    public void decode(byte[] bytes, int from, int to, BiConsumer<Slice, Slice> consumer) {
         Cursor cursor =
                 restLength > 0 ? append(bytes, from, to) : new Cursor(bytes, from, to, from);
         boolean hasConsumed = false;
@@ -93,7 +93,7 @@
     }
 
     /** Returns whether a message is partially received. */
-    public boolean within() {
+    public boolean hasPartialMessage() {
         return restLength > 0;
     }
 
@@ -146,8 +146,7 @@
     private static Slice body(byte[] buffer, int from, int length) {
         int to = from + length;
         if (buffer[to] != '\r' || buffer[to + 1] != '\n') {
-            throw new BadInputException(
-                    "body of " + length + " bytes is not followed by CR LF");
+            throw new BadInputException("body of " + length + " bytes is not followed by CR LF");
         }
         return new Slice(buffer, from, to);
     }
--- a/src/main/java/ochretiller/text/Json.java
+++ b/src/main/java/ochretiller/text/Json.java
@@ -46,7 +46,7 @@
      *
      * @throws BadInputException if the text is malformed
      */
-    public Object read() {
+    public Object parse() {
         Object value = parseValue();
         skipBlanks();
         if (at < end) {
@@ -55,7 +55,7 @@
         return value;
     }
 
-    /** Returns the outermost object's members parsed so far, even if {@link #read} has failed. */
+    /** Returns the outermost object's members parsed so far, even if {@link #parse} has failed. */
     public Map<String, Object> members() {
         return members;
     }
--- a/src/main/java/ochretiller/uwsgi/Route.java
+++ b/src/main/java/ochretiller/uwsgi/Route.java
@@ -12,9 +12,9 @@
  * @param method the HTTP method
  * @param path the pattern that the request path must match
  * @param operation the operation to run
- * @param kb memory to reserve for an attempt, in KB
+ * @param memoryKb memory to reserve for an attempt, in KB
  */
-public record Route(String method, PathPattern path, Operation operation, double kb) {
+public record Route(String method, PathPattern path, Operation operation, double memoryKb) {
     /**
      * Checks the routes of one frontend against each other.
      *
--- a/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiConnection.java
@@ -24,7 +24,8 @@
     private static final int MAX_WAITING_REQUESTS = 32;
 
     private final UwsgiFrontend frontend;
-    private final UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(UwsgiFrontend.LONGEST_BODY);
+    private final UwsgiRequestDecoder decoder =
+            new UwsgiRequestDecoder(UwsgiFrontend.MAX_BODY_BYTES);
     private final Queue<Input> waitingInputs = new ArrayDeque<>();
 
     /** Whether malformed input was received, after which decoding stops. I/O thread only. */
@@ -46,20 +47,20 @@
     }
 
     /** Returns the peer's address without its port. */
-    String name() {
-        String address = connection.peer();
+    String peerHost() {
+        String address = connection.peerAddress();
         int colon = address.lastIndexOf(':');
         return colon < 0 ? address : address.substring(0, colon);
     }
 
     @Override
-    public Runnable received(byte[] bytes, int from, int to) {
+    public Runnable decode(byte[] bytes, int from, int to) {
         if (isInputMalformed) {
             return null;
         }
         List<Input> inputs = new ArrayList<>(1);
         try {
-            decoder.read(bytes, from, to, request -> inputs.add(new Input.Valid(request)));
+            decoder.decode(bytes, from, to, request -> inputs.add(new Input.Valid(request)));
         } catch (UwsgiException e) {
             isInputMalformed = true;
             inputs.add(new Input.Malformed(e));
@@ -68,12 +69,12 @@
     }
 
     @Override
-    public boolean within() {
-        return decoder.within();
+    public boolean hasPartialMessage() {
+        return decoder.hasPartialRequest();
     }
 
     private void enqueue(List<Input> inputs) {
-        if (!connection.open()) {
+        if (!connection.isOpen()) {
             return;
         }
         waitingInputs.addAll(inputs);
@@ -86,7 +87,7 @@
 
     /** Serves waiting requests in order, up to the first that is not answered immediately. */
     private void serveWaiting() {
-        while (connection.open() && open().isEmpty() && !waitingInputs.isEmpty()) {
+        while (connection.isOpen() && openAttempts().isEmpty() && !waitingInputs.isEmpty()) {
             Input input = waitingInputs.poll();
             if (input instanceof Input.Malformed malformed) {
                 closeMalformed(malformed.fault());
@@ -97,23 +98,23 @@
     }
 
     private void serveRequest(UwsgiRequest request) {
-        if (request.ping()) {
+        if (request.isPing()) {
             answerPing();
             return;
         }
         try {
-            frontend.invoke(this, request, ++lastRequestNumber);
+            frontend.openAttempt(this, request, ++lastRequestNumber);
         } catch (UwsgiException e) {
             // The request was complete, so the requests after it can still be decoded.
-            frontend.bad(connection.peer(), e);
+            frontend.logBadInput(connection.peerAddress(), e);
             writeText(e.status, e.getMessage());
-            settle();
+            closeIfDone();
         }
     }
 
     /** Answers malformed input with its HTTP status, if it has one, and closes the connection. */
     private void closeMalformed(UwsgiException fault) {
-        frontend.bad(connection.peer(), fault);
+        frontend.logBadInput(connection.peerAddress(), fault);
         if (fault.status == 0) {
             connection.drop(CloseCode.BAD_INPUT);
             return;
@@ -124,14 +125,14 @@
 
     /** Answers a ping; an unhealthy server drops the connection instead, as if it were down. */
     private void answerPing() {
-        if (!frontend.healthy()) {
+        if (!frontend.isHealthy()) {
             connection.drop(CloseCode.ANSWERED);
             return;
         }
-        shows();
+        markValidMessage();
         hasAnswered = true;
         connection.write(UwsgiResponse.pong());
-        settle();
+        closeIfDone();
     }
 
     private static byte[] encodeText(String message) {
@@ -146,12 +147,12 @@
         hasAnswered = true;
         connection.write(answer.encode());
         if (!waitingInputs.isEmpty()) {
-            frontend.later(this::serveWaiting);
+            frontend.post(this::serveWaiting);
         }
     }
 
     @Override
-    protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
+    protected void writeResult(RequestAttempt attempt, byte[] result, boolean replayed) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "application/octet-stream");
         if (replayed) {
@@ -161,7 +162,7 @@
     }
 
     @Override
-    protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
+    protected void writeThrottled(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Content-Type", "text/plain");
         if (!retryAfter.isZero()) {
@@ -176,24 +177,24 @@
     }
 
     @Override
-    protected void fails(RequestAttempt attempt, FailureReason reason) {
+    protected void writeError(RequestAttempt attempt, FailureReason reason) {
         int status =
                 switch (reason) {
-                    case FAILED, NO_RESULT, RID_IN_USE -> 500;
-                    case GIVEN_UP -> 504;
-                    case OTHER_BODY -> 422;
+                    case FAILED, RESULT_LOST, RID_IN_USE -> 500;
+                    case DEADLINE_EXCEEDED -> 504;
+                    case BODY_MISMATCH -> 422;
                     case IN_FLIGHT, UNKNOWN_END -> 409;
                 };
-        writeText(status, reason.text);
+        writeText(status, reason.wireMessage);
     }
 
     @Override
-    protected boolean waits() {
+    protected boolean hasQueuedRequests() {
         return !waitingInputs.isEmpty();
     }
 
     @Override
-    protected boolean done() {
+    protected boolean isFinished() {
         return hasAnswered;
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
@@ -21,13 +21,13 @@
 
 /**
  * The uwsgi frontend: turns requests from web servers into attempts of the operations that the
- * routes select. Confined to the event loop thread, except for {@link #accepted}.
+ * routes select. Confined to the event loop thread, except for {@link #onAccepted}.
  */
 public final class UwsgiFrontend {
     private static final Logger LOG = Logger.getLogger(UwsgiFrontend.class.getName());
 
     /** Maximum size of a request body, as on the JSON-RPC frontend: both feed one processor. */
-    static final int LONGEST_BODY = 2 * 1024;
+    static final int MAX_BODY_BYTES = 2 * 1024;
 
     private static final int MAX_KEY_CHARS = 255;
 
@@ -44,7 +44,7 @@
     private final SplittableRandom random;
 
     /**
-     * Creates a frontend that serves each connection passed to {@link #accepted}.
+     * Creates a frontend that serves each connection passed to {@link #onAccepted}.
      *
      * @param connections the server's client connections
      * @param scheduler the event loop
@@ -80,21 +80,21 @@
      *
      * @return the handler of the connection
      */
-    public ConnectionHandler accepted(Connection connection) {
-        return connections.accepted(new UwsgiConnection(connection, connections, this));
+    public ConnectionHandler onAccepted(Connection connection) {
+        return connections.register(new UwsgiConnection(connection, connections, this));
     }
 
     /** Runs a task in the next iteration of the event loop. */
-    void later(Runnable task) {
+    void post(Runnable task) {
         scheduler.post(task);
     }
 
-    boolean healthy() {
+    boolean isHealthy() {
         return healthCheck.getAsBoolean();
     }
 
     /** Logs a request or packet that is rejected. */
-    void bad(String peer, UwsgiException fault) {
+    void logBadInput(String peer, UwsgiException fault) {
         LOG.info(() -> "bad input from uwsgi client " + peer + ": " + fault.getMessage());
     }
 
@@ -104,14 +104,14 @@
      * @param number the number of the request on its connection
      * @throws UwsgiException with the HTTP status of the answer, if the request is invalid
      */
-    void invoke(UwsgiConnection peer, UwsgiRequest request, long number) {
+    void openAttempt(UwsgiConnection peer, UwsgiRequest request, long number) {
         Map<String, String> vars = request.vars();
         String method = vars.getOrDefault("REQUEST_METHOD", "");
         Route route = findRoute(method, requestPath(vars));
         if (route == null) {
             throw new UwsgiException(404, "no such route");
         }
-        String client = vars.getOrDefault(clientVariable, peer.name());
+        String client = vars.getOrDefault(clientVariable, peer.peerHost());
         String key = vars.get("HTTP_IDEMPOTENCY_KEY");
         if (route.operation().isKeyed() && (key == null || key.isEmpty())) {
             throw new UwsgiException(400, "no Idempotency-Key");
@@ -121,12 +121,12 @@
         }
         byte[] clientHash = hash(client);
         long sentAtMillis = parseTimestamp(vars.get(timestampVariable));
-        connections.opened(
+        connections.addAttempt(
                 new RequestAttempt(
                         connections.nextId(),
                         newRequestId(),
                         route.operation(),
-                        route.kb(),
+                        route.memoryKb(),
                         ByteBuffer.wrap(clientHash).getLong() & Long.MAX_VALUE,
                         sentAtMillis == IdempotencyCache.NO_CLIENT_TIMESTAMP
                                 ? scheduler.now()
@@ -196,7 +196,7 @@
         String rid;
         do {
             rid = HexFormat.of().toHexDigits(random.nextLong());
-        } while (connections.knows(rid));
+        } while (connections.hasAttempt(rid));
         return rid;
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiRequest.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequest.java
@@ -7,11 +7,11 @@
  *
  * @param vars the variables by name; each char of a name or value is one byte (ISO 8859-1)
  * @param body the request body
- * @param ping whether this is a ping (modifier 100), which has neither variables nor a body
+ * @param isPing whether this is a ping (modifier 100), which has neither variables nor a body
  */
-public record UwsgiRequest(Map<String, String> vars, byte[] body, boolean ping) {
+public record UwsgiRequest(Map<String, String> vars, byte[] body, boolean isPing) {
     /** Returns what is written to a worker, in order: the block of variables, then the body. */
     public byte[][] encode() {
-        return new byte[][] {UwsgiVariables.write(vars), body};
+        return new byte[][] {UwsgiVariables.encode(vars), body};
     }
 }
--- a/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiRequestDecoder.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns whether a request is partially received. */
-    public boolean within() {
+    public boolean hasPartialRequest() {
         return part != Part.HEADER || bufferedBytes > 0;
     }
 
@@ -66,7 +66,7 @@
      * @throws UwsgiException if the input is malformed. The connection must be closed, because the
      *     start of the next request is unknown
      */
-    public void read(byte[] bytes, int from, int to, Consumer<UwsgiRequest> consumer) {
+    public void decode(byte[] bytes, int from, int to, Consumer<UwsgiRequest> consumer) {
         for (int offset = from; offset < to; ) {
             int count = Math.min(partLength - bufferedBytes, to - offset);
             append(bytes, offset, count);
@@ -127,7 +127,7 @@
     }
 
     private void parseVariables(Consumer<UwsgiRequest> consumer) {
-        vars = UwsgiVariables.read(new Slice(buffer, 0, bufferedBytes));
+        vars = UwsgiVariables.decode(new Slice(buffer, 0, bufferedBytes));
         startPart(Part.BODY, parseBodyLength(vars.get("CONTENT_LENGTH")));
         if (partLength == 0) {
             onPartComplete(consumer);
--- a/src/main/java/ochretiller/uwsgi/UwsgiResponse.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponse.java
@@ -43,7 +43,8 @@
                         .append(REASONS.getOrDefault(status, "Status"))
                         .append("\r\n");
         Map<String, String> allHeaders = new LinkedHashMap<>(headers);
-        allHeaders.keySet()
+        allHeaders
+                .keySet()
                 .removeIf(
                         name ->
                                 name.equalsIgnoreCase("content-length")
--- a/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiResponseDecoder.java
@@ -52,7 +52,7 @@
      * @return the response once it is complete, else null
      * @throws UwsgiException if the response is malformed, too long or followed by more input
      */
-    public UwsgiResponse read(byte[] bytes, int from, int to) {
+    public UwsgiResponse decode(byte[] bytes, int from, int to) {
         int maxBytes = MAX_HEAD_BYTES + maxBodyBytes;
         if (bufferedBytes + to - from > maxBytes) {
             throw new UwsgiException(0, "response is longer than " + maxBytes + " bytes");
@@ -80,7 +80,7 @@
      *
      * @return the response, or null if it is incomplete
      */
-    public UwsgiResponse ended() {
+    public UwsgiResponse finish() {
         return bodyOffset >= 0 && bodyLength < 0 ? response() : null;
     }
 
--- a/src/main/java/ochretiller/uwsgi/UwsgiVariables.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiVariables.java
@@ -11,7 +11,7 @@
  */
 final class UwsgiVariables {
     /** Maximum size of a block, whose length is a 16-bit number. */
-    static final int LONGEST = 65_535;
+    static final int MAX_BLOCK_BYTES = 65_535;
 
     /** Maximum variables of a block: a map of short ones takes a hundred times their size. */
     private static final int MAX_VARIABLES = 512;
@@ -23,7 +23,7 @@
      *
      * @throws UwsgiException if the block is malformed
      */
-    static Map<String, String> read(Slice block) {
+    static Map<String, String> decode(Slice block) {
         Map<String, String> vars = new LinkedHashMap<>();
         byte[] bytes = block.bytes();
         int offset = block.from();
@@ -85,14 +85,19 @@
      *
      * @throws UwsgiException if the variables do not fit one block
      */
-    static byte[] write(Map<String, String> vars) {
+    static byte[] encode(Map<String, String> vars) {
         int size = 0;
         for (Map.Entry<String, String> variable : vars.entrySet()) {
             size += 4 + variable.getKey().length() + variable.getValue().length();
         }
-        if (size > LONGEST) {
+        if (size > MAX_BLOCK_BYTES) {
             throw new UwsgiException(
-                    0, "variables of " + size + " bytes exceed the limit of " + LONGEST + " bytes");
+                    0,
+                    "variables of "
+                            + size
+                            + " bytes exceed the limit of "
+                            + MAX_BLOCK_BYTES
+                            + " bytes");
         }
         byte[] out = new byte[4 + size];
         out[1] = (byte) size;
--- a/src/main/java/ochretiller/workers/UwsgiRunBackend.java
+++ b/src/main/java/ochretiller/workers/UwsgiRunBackend.java
@@ -53,7 +53,7 @@
             WorkerPool pool = new WorkerPool(config, random.split(), metrics);
             pool.reconfigure(config, scheduler.now());
             pools.put(config.name(), pool);
-            for (WorkerPoolConfig.Target target : config.runs()) {
+            for (WorkerPoolConfig.Target target : config.targets()) {
                 poolsByOperation.put(target.operation(), pool);
                 targets.put(target.operation(), target);
             }
@@ -66,7 +66,7 @@
      *
      * @param configs the new configuration
      */
-    public void become(List<WorkerPoolConfig> configs) {
+    public void reconfigure(List<WorkerPoolConfig> configs) {
         Duration now = scheduler.now();
         for (WorkerPoolConfig config : configs) {
             WorkerPool pool = pools.get(config.name());
@@ -92,26 +92,26 @@
      * @param address the worker's address
      * @param isReachable whether it is reachable
      */
-    public void seen(String address, boolean isReachable) {
-        pools.values().forEach(pool -> pool.observe(new WorkerId(address), isReachable));
+    public void setReachable(String address, boolean isReachable) {
+        pools.values().forEach(pool -> pool.setReachable(new WorkerId(address), isReachable));
     }
 
     /**
      * Returns the name of the pool that runs an operation, or null if the operation runs on the
      * processor.
      */
-    public String pool(String operation) {
+    public String poolOf(String operation) {
         WorkerPool pool = poolsByOperation.get(operation);
         return pool == null ? null : pool.name;
     }
 
     /** Returns the maximum of concurrent runs on the workers of a pool. */
-    public int places(String pool) {
+    public int capacity(String pool) {
         return pools.get(pool).capacity(scheduler.now());
     }
 
     /** Returns how many more runs the workers of a pool can take. */
-    public int free(String pool) {
+    public int freeSlots(String pool) {
         return pools.get(pool).freeSlots(scheduler.now());
     }
 
@@ -122,7 +122,7 @@
      * @param delta runs to add; negative for runs that will not be started. {@link #startRun}
      *     itself subtracts the run that it starts
      */
-    public void expect(String operation, int delta) {
+    public void addExpectedRuns(String operation, int delta) {
         poolsByOperation.get(operation).expectedRuns += delta;
     }
 
@@ -140,7 +140,7 @@
     public void cancelRun(String requestId) {
         WorkerRun run = runs.get(requestId);
         if (run != null) {
-            run.abandon(RequestOutcome.GIVEN_UP);
+            run.abandon(RequestOutcome.CANCELLED);
         }
     }
 
--- a/src/main/java/ochretiller/workers/WorkerConnection.java
+++ b/src/main/java/ochretiller/workers/WorkerConnection.java
@@ -12,7 +12,7 @@
 
 /**
  * One connection to a worker, which carries one request. Confined to the event loop thread, except
- * for {@link #received}.
+ * for {@link #decode}.
  */
 final class WorkerConnection implements ConnectionHandler {
     private static final Logger LOG = Logger.getLogger(UwsgiRunBackend.class.getName());
@@ -46,7 +46,7 @@
     }
 
     private void onEstablished() {
-        if (!connection.open()) {
+        if (!connection.isOpen()) {
             return; // the network reports the end of the connection next
         }
         backend.add(this);
@@ -66,21 +66,21 @@
     /** Keeps the connection of a timed-out run open for a while, to count a late answer. */
     void awaitLateAnswer(Scheduler scheduler) {
         awaitsLateAnswer = true;
-        run.pool().lateListeners++;
-        scheduler.after(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
+        run.pool().lateAnswerConnections++;
+        scheduler.runAfter(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
     }
 
     /** Closes the connection immediately. */
     void drop(CloseCode code) {
-        if (connection.open()) {
+        if (connection.isOpen()) {
             connection.drop(code);
         }
     }
 
     @Override
-    public Runnable received(byte[] bytes, int from, int to) {
+    public Runnable decode(byte[] bytes, int from, int to) {
         try {
-            UwsgiResponse answer = decoder.read(bytes, from, to);
+            UwsgiResponse answer = decoder.decode(bytes, from, to);
             return answer == null ? null : () -> onAnswer(answer);
         } catch (UwsgiException e) {
             String fault = e.getMessage();
@@ -89,7 +89,7 @@
     }
 
     private void onMalformedAnswer(String fault) {
-        if (!connection.open()) {
+        if (!connection.isOpen()) {
             return;
         }
         LOG.warning("malformed response from worker " + run.workerName() + ": " + fault);
@@ -97,7 +97,7 @@
     }
 
     private void onAnswer(UwsgiResponse answer) {
-        if (!connection.open()) {
+        if (!connection.isOpen()) {
             return;
         }
         if (!run.isServedBy(this)) {
@@ -110,8 +110,8 @@
 
     /** Handles the end of the input, which completes an answer without a content length. */
     @Override
-    public void inputEnded() {
-        UwsgiResponse answer = run.isServedBy(this) ? decoder.ended() : null;
+    public void onInputEnded() {
+        UwsgiResponse answer = run.isServedBy(this) ? decoder.finish() : null;
         if (answer != null) {
             run.onAnswer(answer);
         }
@@ -119,10 +119,10 @@
     }
 
     @Override
-    public void ended(CloseCode code) {
+    public void onClosed(CloseCode code) {
         backend.remove(this);
         if (awaitsLateAnswer) {
-            run.pool().lateListeners--;
+            run.pool().lateAnswerConnections--;
         }
         if (run.isServedBy(this)) {
             run.onDisconnected();
--- a/src/main/java/ochretiller/workers/WorkerPool.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -23,7 +23,7 @@
      * Maximum connections of timed-out runs that are kept open to count late answers; a few are
      * enough to show that late answers occur.
      */
-    static final int MAX_LATE_LISTENERS = 16;
+    static final int MAX_LATE_ANSWER_CONNECTIONS = 16;
 
     private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
 
@@ -31,19 +31,19 @@
     final String name;
 
     /** Runs that were started, including those that no worker could take. */
-    final Metrics.Counter runs;
+    final Metrics.Counter startedRuns;
 
     /** Runs that were retried on another worker because the first one never started them. */
-    final Metrics.Counter retriedElsewhere;
+    final Metrics.Counter retriedRuns;
 
     /** Runs that no worker could take. */
-    final Metrics.Counter neverStarted;
+    final Metrics.Counter neverStartedRuns;
 
     /** Runs that failed, or whose answer was malformed. */
-    final Metrics.Counter failed;
+    final Metrics.Counter failedRuns;
 
     /** Runs that were not answered in time. */
-    final Metrics.Counter timedOut;
+    final Metrics.Counter timedOutRuns;
 
     /** Answers that arrived after their run had timed out. */
     final Metrics.Counter lateAnswers;
@@ -52,7 +52,7 @@
     int expectedRuns;
 
     /** Number of connections of timed-out runs that are kept open for late answers. */
-    int lateListeners;
+    int lateAnswerConnections;
 
     private final WorkerSelector selector;
 
@@ -72,22 +72,22 @@
     /** Creates a pool without workers; {@link #reconfigure} adds them. */
     WorkerPool(WorkerPoolConfig config, SplittableRandom random, Metrics metrics) {
         name = config.name();
-        lateAnswerTime = config.late();
+        lateAnswerTime = config.lateAnswerTime();
         selector = new WorkerSelector(config.settings(), random);
         String prefix = "pool_" + name + "_";
-        runs = metrics.counter(prefix + "runs_total", "Runs that were handed to workers");
-        retriedElsewhere =
+        startedRuns = metrics.counter(prefix + "runs_total", "Runs that were handed to workers");
+        retriedRuns =
                 metrics.counter(
                         prefix + "second_tries_total",
                         "Runs tried on another worker, the first not having begun");
-        neverStarted =
+        neverStartedRuns =
                 metrics.counter(
                         prefix + "not_begun_total",
                         "Runs that no worker could take; they are throttled");
-        failed =
+        failedRuns =
                 metrics.counter(
                         prefix + "failed_total", "Runs that failed, or whose answer was spoilt");
-        timedOut = metrics.counter(prefix + "silent_total", "Runs without an answer in time");
+        timedOutRuns = metrics.counter(prefix + "silent_total", "Runs without an answer in time");
         lateAnswers =
                 metrics.counter(
                         prefix + "late_answers_total",
@@ -98,8 +98,8 @@
     /** Changes settings and workers; removed workers finish their requests in flight. */
     void reconfigure(WorkerPoolConfig config, Duration now) {
         freeSlotsAt = Optional.empty();
-        lateAnswerTime = config.late();
-        selector.become(config.settings());
+        lateAnswerTime = config.lateAnswerTime();
+        selector.reconfigure(config.settings());
         List<WorkerId> ids = new ArrayList<>();
         for (InetSocketAddress address : config.workers()) {
             WorkerId id =
@@ -107,7 +107,7 @@
             ids.add(id);
             addresses.put(id, address);
         }
-        selector.become(ids, now);
+        selector.reconfigure(ids, now);
         addresses.keySet().removeIf(id -> !ids.contains(id) && selector.inFlight(id) == 0);
     }
 
@@ -117,8 +117,8 @@
     }
 
     /** Records whether the fleet's membership shows a worker as reachable. */
-    void observe(WorkerId id, boolean isReachable) {
-        selector.seen(id, isReachable);
+    void setReachable(WorkerId id, boolean isReachable) {
+        selector.setReachable(id, isReachable);
     }
 
     InetSocketAddress addressOf(WorkerId id) {
@@ -127,7 +127,7 @@
 
     /** Returns the maximum of concurrent runs on the workers in their current state. */
     int capacity(Duration now) {
-        int current = selector.places(now);
+        int current = selector.capacity(now);
         capacity = current;
         return current;
     }
@@ -135,13 +135,13 @@
     /** Returns how many more runs the workers can take; negative if too many are admitted. */
     int freeSlots(Duration now) {
         if (!Optional.of(now).equals(freeSlotsAt)) {
-            freeSlots = selector.free(now);
+            freeSlots = selector.freeSlots(now);
             freeSlotsAt = Optional.of(now);
         }
         return freeSlots - expectedRuns;
     }
 
-    /** Chooses the worker for a run, which counts as in flight until {@link #requestEnded}. */
+    /** Chooses the worker for a run, which counts as in flight until {@link #onRequestEnded}. */
     Optional<WorkerId> choose(Duration now) {
         freeSlotsAt = Optional.empty();
         return selector.choose(now);
@@ -150,15 +150,15 @@
     /** Chooses another worker for a run that provably never started on the previous one. */
     Optional<WorkerId> chooseForRetry(WorkerId previous, RequestOutcome outcome, Duration now) {
         freeSlotsAt = Optional.empty();
-        return selector.chooseAgain(previous, outcome, now);
+        return selector.chooseForRetry(previous, outcome, now);
     }
 
     /** Records the end of a request; logs if it causes the worker to be ejected or readmitted. */
-    void requestEnded(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
+    void onRequestEnded(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
         freeSlotsAt = Optional.empty();
-        boolean wasActive = selector.in(id);
-        selector.ended(id, outcome, elapsed, now);
-        boolean isActive = selector.in(id);
+        boolean wasActive = selector.isActive(id);
+        selector.onRequestEnded(id, outcome, elapsed, now);
+        boolean isActive = selector.isActive(id);
         if (wasActive && !isActive) {
             LOG.warning(
                     "pool "
--- a/src/main/java/ochretiller/workers/WorkerPoolConfig.java
+++ b/src/main/java/ochretiller/workers/WorkerPoolConfig.java
@@ -10,16 +10,16 @@
  *
  * @param name the pool's name
  * @param settings how workers are selected
- * @param late how long after its deadline the answer of a keyed run is still awaited
+ * @param lateAnswerTime how long after its deadline the answer of a keyed run is still awaited
  * @param workers the workers' addresses
- * @param runs the operations that the pool runs
+ * @param targets the operations that the pool runs
  */
 public record WorkerPoolConfig(
         String name,
         PoolSettings settings,
-        Duration late,
+        Duration lateAnswerTime,
         List<InetSocketAddress> workers,
-        List<Target> runs) {
+        List<Target> targets) {
     /**
      * The request that is sent to a worker to run an operation.
      *
@@ -30,7 +30,8 @@
     public record Target(String operation, String method, String path) {}
 
     /** Returns the maximum of concurrently open connections of this pool. */
-    public long connections() {
-        return (long) settings.mostInFlight() * workers.size() + WorkerPool.MAX_LATE_LISTENERS;
+    public long maxConnections() {
+        return (long) settings.maxInFlight() * workers.size()
+                + WorkerPool.MAX_LATE_ANSWER_CONNECTIONS;
     }
 }
--- a/src/main/java/ochretiller/workers/WorkerRun.java
+++ b/src/main/java/ochretiller/workers/WorkerRun.java
@@ -88,21 +88,21 @@
 
     /** Starts the run and its timeout. */
     void start() {
-        pool.runs.add();
+        pool.startedRuns.add();
         Duration timeout = request.deadline().minus(startedAt);
         if (request.idempotencyKey() != null) {
             // A keyed run may complete after its deadline; its result then answers the retries.
             timeout = timeout.plus(pool.lateAnswerTime());
         }
-        scheduler.after(
+        scheduler.runAfter(
                 timeout.isNegative() ? Duration.ZERO : timeout,
-                () -> abandon(RequestOutcome.SILENT));
+                () -> abandon(RequestOutcome.TIMED_OUT));
         offerTo(pool.choose(startedAt));
     }
 
     private void offerTo(Optional<WorkerId> next) {
         if (next.isEmpty()) {
-            pool.neverStarted.add();
+            pool.neverStartedRuns.add();
             finish(RunOutcome.Status.NOT_DISPATCHED, null);
             return;
         }
@@ -116,7 +116,7 @@
                 pool.addressOf(next.get()),
                 established -> new WorkerConnection(this, attempt, established, backend, scheduler),
                 () -> onNeverStarted(attempt));
-        scheduler.after(CONNECT_TIMEOUT, () -> onNeverStarted(attempt));
+        scheduler.runAfter(CONNECT_TIMEOUT, () -> onNeverStarted(attempt));
     }
 
     private boolean isCurrent(int attempt) {
@@ -131,14 +131,14 @@
         currentAttempt++;
         Duration now = scheduler.now();
         WorkerId previous = worker.orElseThrow();
-        reportOutcome(RequestOutcome.NEVER_BEGUN);
+        reportOutcome(RequestOutcome.NEVER_STARTED);
         boolean mayRetry = attempts < MAX_ATTEMPTS && now.compareTo(request.deadline()) < 0;
         Optional<WorkerId> next =
                 mayRetry
-                        ? pool.chooseForRetry(previous, RequestOutcome.NEVER_BEGUN, now)
+                        ? pool.chooseForRetry(previous, RequestOutcome.NEVER_STARTED, now)
                         : Optional.empty();
         if (next.isPresent()) {
-            pool.retriedElsewhere.add();
+            pool.retriedRuns.add();
         }
         offerTo(next);
     }
@@ -183,11 +183,10 @@
         }
         boolean isWorkerHealthy = answer.status() < MIN_SERVER_ERROR_STATUS;
         if (!isWorkerHealthy) {
-            pool.failed.add();
+            pool.failedRuns.add();
         }
         reportOutcome(isWorkerHealthy ? RequestOutcome.ANSWERED : RequestOutcome.FAILED);
-        if (answer.status() >= MIN_SUCCESS_STATUS
-                && answer.status() < MIN_REDIRECTION_STATUS) {
+        if (answer.status() >= MIN_SUCCESS_STATUS && answer.status() < MIN_REDIRECTION_STATUS) {
             finish(RunOutcome.Status.SUCCEEDED, answer.body());
         } else {
             finish(RunOutcome.Status.FAILED, null);
@@ -199,7 +198,7 @@
         if (isOver) {
             return;
         }
-        pool.failed.add();
+        pool.failedRuns.add();
         reportOutcome(RequestOutcome.FAILED);
         finish(RunOutcome.Status.FAILED, null);
     }
@@ -216,20 +215,20 @@
         if (!isWritten) {
             // The client is told that the run never started, so no request may be sent afterwards.
             if (worker.isPresent()) {
-                reportOutcome(RequestOutcome.NEVER_BEGUN);
+                reportOutcome(RequestOutcome.NEVER_STARTED);
             }
             finish(RunOutcome.Status.NOT_DISPATCHED, null);
             return;
         }
-        pool.timedOut.add();
+        pool.timedOutRuns.add();
         reportOutcome(outcome);
-        boolean isCancelled = outcome == RequestOutcome.GIVEN_UP;
+        boolean isCancelled = outcome == RequestOutcome.CANCELLED;
         finish(isCancelled ? RunOutcome.Status.STOPPED : RunOutcome.Status.FAILED, null);
         connection.ifPresent(this::releaseAfterTimeout);
     }
 
     private void releaseAfterTimeout(WorkerConnection serving) {
-        if (pool.lateListeners >= WorkerPool.MAX_LATE_LISTENERS) {
+        if (pool.lateAnswerConnections >= WorkerPool.MAX_LATE_ANSWER_CONNECTIONS) {
             serving.drop(CloseCode.GIVEN_UP);
         } else {
             serving.awaitLateAnswer(scheduler);
@@ -238,7 +237,7 @@
 
     private void reportOutcome(RequestOutcome outcome) {
         Duration now = scheduler.now();
-        pool.requestEnded(worker.orElseThrow(), outcome, now.minus(attemptStartedAt), now);
+        pool.onRequestEnded(worker.orElseThrow(), outcome, now.minus(attemptStartedAt), now);
     }
 
     private void finish(RunOutcome.Status status, byte[] result) {
--- a/src/test/java/ochretiller/CrashingServer.java
+++ b/src/test/java/ochretiller/CrashingServer.java
@@ -27,7 +27,8 @@
         LoggingSetup.install();
         OperatorConfig operator = OperatorConfigReader.read(Path.of(args[2]));
         String[] point = args[0].split(":");
-        StorageDirectory directory = new LocalDirectory(operator.remember().orElseThrow().folder());
+        StorageDirectory directory =
+                new LocalDirectory(operator.durability().orElseThrow().folder());
         ServerNode node =
                 ServerNode.builder(Path.of(args[1]))
                         .operator(operator)
--- a/src/test/java/ochretiller/DegradedDiskTest.java
+++ b/src/test/java/ochretiller/DegradedDiskTest.java
@@ -29,8 +29,8 @@
 
 /** Runs a server in this process, over sockets, on a disk that stalls, fills up or fails. */
 class DegradedDiskTest {
-    private static final OperatorConfig.Remember DURABILITY =
-            new OperatorConfig.Remember(
+    private static final OperatorConfig.Durability DURABILITY =
+            new OperatorConfig.Durability(
                     Path.of("unused"),
                     1_000,
                     1 << 20,
@@ -63,7 +63,7 @@
                             }
                         },
                         report -> {});
-        services.runs =
+        services.runHandler =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     services.complete(rid, "result of " + body);
@@ -90,7 +90,7 @@
                         List.of(),
                         Optional.empty(),
                         Optional.empty(),
-                        OperatorConfig.Drill.NONE);
+                        OperatorConfig.SimulatedFaults.NONE);
         node = ServerNode.builder(config).operator(operator).storage(disk).build();
         node.prepare();
         node.listen();
@@ -117,13 +117,13 @@
                         lastRid,
                         "order",
                         GatewayMessages.params(rid, String.format("%032x", token), body)));
-        return gateway.line();
+        return gateway.readLine();
     }
 
     private String read() throws Exception {
         String rid = String.format("%016x", ++lastRid);
         gateway.send(message(lastRid, "read", GatewayMessages.params(rid, null, "read " + rid)));
-        return gateway.line();
+        return gateway.readLine();
     }
 
     private static String result(String body) {
@@ -172,7 +172,7 @@
         start();
         order(1, "before");
         CountDownLatch released = new CountDownLatch(1);
-        disk.fault = VolatileDirectory.stalling("force", released);
+        disk.fault = VolatileDirectory.stallOn("force", released);
         long startNanos = System.nanoTime();
         assertThat(order(2, "slow")).contains("-32014").contains("\"backoff\":");
         assertThat(System.nanoTime() - startNanos)
@@ -189,11 +189,11 @@
     void answerIsSentInTimeBeforeItsResultIsDurableAndTheMarkerRemains() throws Exception {
         start();
         CountDownLatch released = new CountDownLatch(1);
-        services.runs =
+        services.runHandler =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     disk.fault =
-                            VolatileDirectory.stalling(
+                            VolatileDirectory.stallOn(
                                     "force",
                                     released); // the marker is durable, later writes are not
                     services.complete(rid, "result of " + body);
@@ -213,11 +213,11 @@
     @Test
     void resultThatAFailedDiskRejectedIsStoredAfterRecovery() throws Exception {
         start();
-        services.runs =
+        services.runHandler =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     if (body.equals("run")) {
-                        disk.fault = VolatileDirectory.failing("force", "Input/output error");
+                        disk.fault = VolatileDirectory.failOn("force", "Input/output error");
                     }
                     services.complete(rid, "result of " + body);
                 };
@@ -238,7 +238,7 @@
 
     @Test
     void readOnlyDiskAtStartupThrottlesOnlyKeyedInvocations() throws Exception {
-        disk.fault = VolatileDirectory.failing("create", "Read-only file system");
+        disk.fault = VolatileDirectory.failOn("create", "Read-only file system");
         start();
         assertThat(order(1, "early")).contains("-32014");
         assertThat(read()).contains("\"result\"");
--- a/src/test/java/ochretiller/Deployment.java
+++ b/src/test/java/ochretiller/Deployment.java
@@ -27,15 +27,15 @@
  * which were written from the protocol documentation.
  */
 final class Deployment implements AutoCloseable {
-    final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> received = new LinkedBlockingQueue<>();
     final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     /** The complete log since the start, including lines already taken from {@link #log}. */
-    final List<String> said = new CopyOnWriteArrayList<>();
+    final List<String> allLogLines = new CopyOnWriteArrayList<>();
 
     final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
-    final FakeServices outside =
-            new FakeServices("127.0.0.1", new int[3], heard::add, reports::add);
+    final FakeServices services =
+            new FakeServices("127.0.0.1", new int[3], received::add, reports::add);
     final int port = freePort();
     private final Path config = Files.createTempFile("node", ".json");
     private final Path operator;
@@ -103,8 +103,8 @@
     private void readOutput(Process newProcess) {
         process = newProcess;
         log.clear();
-        said.clear();
-        heard.clear();
+        allLogLines.clear();
+        received.clear();
         DaemonThreads.start(
                 () -> {
                     try (BufferedReader lines =
@@ -113,7 +113,7 @@
                         for (String line = lines.readLine();
                                 line != null;
                                 line = lines.readLine()) {
-                            said.add(line);
+                            allLogLines.add(line);
                             log.add(line);
                         }
                     }
@@ -131,23 +131,23 @@
                 configChange.apply(
                         GatewayMessages.config(
                                 port,
-                                outside.processorPort(),
-                                outside.recordsPort(),
-                                outside.rosterPort())));
+                                services.processorPort(),
+                                services.recordsPort(),
+                                services.rosterPort())));
     }
 
     /** Moves the fakes to new addresses and writes these to the configuration file. */
-    void move(UnaryOperator<String> configChange) throws IOException {
-        outside.move();
+    void moveServices(UnaryOperator<String> configChange) throws IOException {
+        services.moveToNewPorts();
         configure(configChange);
     }
 
-    static ServerSocket open() throws IOException {
+    static ServerSocket openServerSocket() throws IOException {
         return new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     }
 
     static int freePort() throws IOException {
-        try (ServerSocket free = open()) {
+        try (ServerSocket free = openServerSocket()) {
             return free.getLocalPort();
         }
     }
@@ -167,7 +167,7 @@
         return builder.start();
     }
 
-    FakeConnection dial() throws IOException {
+    FakeConnection connect() throws IOException {
         return new FakeConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
@@ -207,7 +207,7 @@
     }
 
     /** Waits until the process exits, for at most 10 s, and returns its exit code. */
-    int exit() throws InterruptedException {
+    int awaitExit() throws InterruptedException {
         if (!process.waitFor(10, TimeUnit.SECONDS)) {
             throw new AssertionError("the process still runs after 10 s");
         }
@@ -217,7 +217,7 @@
     @Override
     public void close() throws IOException {
         process.destroyForcibly();
-        outside.close();
+        services.close();
         Files.delete(config);
     }
 }
--- a/src/test/java/ochretiller/FleetIT.java
+++ b/src/test/java/ochretiller/FleetIT.java
@@ -62,7 +62,8 @@
                             new DatagramPacket(
                                     bytes, bytes.length, InetAddress.getLoopbackAddress(), port));
                 }
-                adminConnection.getOutputStream()
+                adminConnection
+                        .getOutputStream()
                         .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertThat(adminConnection.getInputStream().read())
                         .as("connection is closed")
@@ -91,7 +92,7 @@
                     .contains("not sealed with this key");
             assertThat(runCommand(0, "fleet", "leave", "--operator", operatorConfig.toString()))
                     .contains("n1 is gone");
-            assertThat(server.exit()).isZero();
+            assertThat(server.awaitExit()).isZero();
         }
     }
 
--- a/src/test/java/ochretiller/MainIT.java
+++ b/src/test/java/ochretiller/MainIT.java
@@ -61,8 +61,7 @@
     @ValueSource(strings = {"unknown", "serve --unknown", "version more", ""})
     void invalidArgumentsPrintUsageAndExitWithTwo(String arguments) throws Exception {
         expect(
-                Deployment.start(
-                        null, arguments.isEmpty() ? new String[0] : arguments.split(" ")),
+                Deployment.start(null, arguments.isEmpty() ? new String[0] : arguments.split(" ")),
                 2,
                 "Usage: ochretiller");
     }
--- a/src/test/java/ochretiller/ManualEventLoop.java
+++ b/src/test/java/ochretiller/ManualEventLoop.java
@@ -33,12 +33,12 @@
     }
 
     @Override
-    public void after(Duration span, Runnable work) {
+    public void runAfter(Duration span, Runnable work) {
         timers.add(new Timer(now.plus(span), ++lastSequence, work));
     }
 
     /** Waits until at least this many tasks are posted, without running them. */
-    public void await(int count) throws InterruptedException {
+    public void awaitPosted(int count) throws InterruptedException {
         for (long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
                 postedTasks.size() < count;
                 Thread.onSpinWait()) {
@@ -50,7 +50,7 @@
     }
 
     /** Waits for the next posted task and runs it. */
-    public void one() throws InterruptedException {
+    public void runNext() throws InterruptedException {
         Runnable work = postedTasks.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         if (work == null) {
             throw new AssertionError("no task was posted within " + MAX_WAIT_S + " s");
@@ -59,14 +59,14 @@
     }
 
     /** Runs all posted tasks, including those posted meanwhile. */
-    public void all() {
+    public void runPosted() {
         for (Runnable work = postedTasks.poll(); work != null; work = postedTasks.poll()) {
             work.run();
         }
     }
 
     /** Advances the time and runs the timers that fall due, but no posted tasks. */
-    public void due(Duration span) {
+    public void advanceTimers(Duration span) {
         Duration end = now.plus(span);
         while (!timers.isEmpty() && timers.peek().dueAt.compareTo(end) <= 0) {
             now = timers.peek().dueAt;
@@ -76,9 +76,9 @@
     }
 
     /** Advances the time and runs all due timers, and the posted tasks before and after them. */
-    public void pass(Duration span) {
-        all();
-        due(span);
-        all();
+    public void advance(Duration span) {
+        runPosted();
+        advanceTimers(span);
+        runPosted();
     }
 }
--- a/src/test/java/ochretiller/RaceConditionsIT.java
+++ b/src/test/java/ochretiller/RaceConditionsIT.java
@@ -27,8 +27,8 @@
 
     private void start() throws Exception {
         deployment = new Deployment();
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
     }
 
     @AfterEach
@@ -52,7 +52,7 @@
     }
 
     private void expectResult(int id, String result) throws Exception {
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .contains(
                         "\"id\":"
                                 + id
@@ -62,7 +62,7 @@
     }
 
     private long beginCount(int id) {
-        return deployment.heard.stream()
+        return deployment.received.stream()
                 .filter(line -> line.startsWith("begin " + rid(id)))
                 .count();
     }
@@ -71,17 +71,17 @@
     void keyedRunThatEndsWhileItIsAbortedAndRetriedRunsOnceAndIsReplayed() throws Exception {
         start();
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.signal("STOP");
         gateway.send(
                 "{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n"
                         + order(2, "wait"));
-        deployment.outside.complete(rid(1), "once");
+        deployment.services.complete(rid(1), "once");
         deployment.signal("CONT");
-        String answer = gateway.line();
+        String answer = gateway.readLine();
         // If the end of the run is read before the abort, the first attempt is answered too.
         if (answer.contains("\"id\":1,")) {
-            answer = gateway.line();
+            answer = gateway.readLine();
         }
         assertThat(answer)
                 .contains(
@@ -93,14 +93,14 @@
     void retriesOfAnAbortedAttemptGetTheResultOfItsRun() throws Exception {
         start();
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send(
                 order(2, "wait")
                         + "{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n"
                         + order(3, "wait"));
         gateway.send(message(9, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"id\":9,"); // all earlier messages are processed
-        deployment.outside.complete(rid(1), "once");
+        assertThat(gateway.readLine()).contains("\"id\":9,"); // all earlier messages are processed
+        deployment.services.complete(rid(1), "once");
         expectResult(2, "once");
         expectResult(3, "once");
         assertThat(beginCount(2) + beginCount(3)).isZero();
@@ -110,18 +110,18 @@
     void noticeInTransitDuringAReconnectIsProcessedOnce() throws Exception {
         start();
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.signal("STOP");
-        deployment.outside.greeting =
+        deployment.services.greeting =
                 "hi hot 3600000\r\ncomplete 1 " + rid(1) + " complete 5 4\r\nkept\r\n";
-        deployment.outside.complete(rid(1), "kept");
-        deployment.outside.link.reset();
+        deployment.services.complete(rid(1), "kept");
+        deployment.services.processorLink.reset();
         deployment.signal("CONT");
         expectResult(1, "kept");
         gateway.send(order(2, "wait"));
         expectResult(2, "kept");
         gateway.send(message(3, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"id\":3,"); // no response is repeated before it
+        assertThat(gateway.readLine()).contains("\"id\":3,"); // no response is repeated before it
         assertThat(beginCount(1) + beginCount(2)).isZero();
     }
 
@@ -129,20 +129,20 @@
     void simultaneousTerminationAndReloadLoseNothing() throws Exception {
         start();
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.move(json -> json);
+        await(deployment.received, "begin " + rid(1));
+        deployment.moveServices(json -> json);
         deployment.signal("STOP");
         deployment.signal("TERM");
         deployment.signal("HUP");
         gateway.send(read(2, "good"));
         deployment.signal("CONT");
-        await(deployment.heard, "begin " + rid(1)); // repeated on the new connection
-        deployment.outside.complete(rid(1), "moved");
-        Stream.of(gateway.line(), gateway.line())
+        await(deployment.received, "begin " + rid(1)); // repeated on the new connection
+        deployment.services.complete(rid(1), "moved");
+        Stream.of(gateway.readLine(), gateway.readLine())
                 .forEach(line -> assertThat(line).contains("\"result\":"));
-        assertThat(gateway.line()).contains(SHUTDOWN);
+        assertThat(gateway.readLine()).contains(SHUTDOWN);
         gateway.close();
-        assertThat(deployment.exit()).isZero();
+        assertThat(deployment.awaitExit()).isZero();
     }
 
     @Test
@@ -150,36 +150,36 @@
         deployment =
                 new Deployment(
                         json -> json,
-                        newDeployment -> newDeployment.outside.silent = true,
+                        newDeployment -> newDeployment.services.isStarting = true,
                         "exec sh deploy/serve.sh");
-        await(deployment.heard, "hello 0");
-        gateway = deployment.dial();
+        await(deployment.received, "hello 0");
+        gateway = deployment.connect();
         gateway.send(read(1, "good"));
-        assertThat(gateway.line()).contains("\"id\":1,").contains("-32014");
+        assertThat(gateway.readLine()).contains("\"id\":1,").contains("-32014");
         deployment.terminate();
         await(deployment.log, "server is draining, shutdown timeout \\d+ ms$");
-        deployment.outside.speak();
-        await(deployment.heard, "usage fence");
+        deployment.services.finishStarting();
+        await(deployment.received, "usage fence");
         gateway.send(order(2, "good"));
-        assertThat(gateway.line()).contains("\"id\":2,").contains("-32014");
-        assertThat(gateway.line()).contains(SHUTDOWN);
+        assertThat(gateway.readLine()).contains("\"id\":2,").contains("-32014");
+        assertThat(gateway.readLine()).contains(SHUTDOWN);
         gateway.close();
-        assertThat(deployment.exit()).isZero();
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.awaitExit()).isZero();
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
     void requestInTransitAtTheEndOfADrainIsThrottled() throws Exception {
         start();
         gateway.send(message(1, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"id\":1,");
+        assertThat(gateway.readLine()).contains("\"id\":1,");
         deployment.terminate();
-        assertThat(gateway.line()).contains(SHUTDOWN);
+        assertThat(gateway.readLine()).contains(SHUTDOWN);
         gateway.send(order(2, "good")); // as if sent before the shutdown message arrived
-        assertThat(gateway.line()).contains("\"id\":2,").contains("-32014");
-        assertThat(gateway.line()).isNull();
-        assertThat(deployment.exit()).isZero();
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(gateway.readLine()).contains("\"id\":2,").contains("-32014");
+        assertThat(gateway.readLine()).isNull();
+        assertThat(deployment.awaitExit()).isZero();
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
@@ -187,19 +187,17 @@
         int maxDescriptors = 128;
         deployment =
                 new Deployment(
-                        json ->
-                                json.replace(
-                                        "\"sockets\":1024", "\"sockets\":" + maxDescriptors),
+                        json -> json.replace("\"sockets\":1024", "\"sockets\":" + maxDescriptors),
                         newDeployment -> {},
                         "ulimit -n " + maxDescriptors + "; exec sh deploy/serve.sh");
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
         gateway.send(read(1, "good"));
         expectResult(1, "result of " + rid(1));
         List<FakeConnection> idle = new ArrayList<>();
         long maxUsed = 0;
         for (int i = 0; i < 2 * maxDescriptors; i++) {
-            idle.add(deployment.dial());
+            idle.add(deployment.connect());
             try (Stream<Path> files = Files.list(Path.of("/proc/" + deployment.pid() + "/fd"))) {
                 maxUsed = Math.max(maxUsed, files.count());
             }
@@ -207,11 +205,11 @@
         await(deployment.log, "connection gateway .* ended: TOO_MANY");
         gateway.send(read(2, "call DONE")); // needs a descriptor for a call
         expectResult(2, "after reply");
-        deployment.move(
+        deployment.moveServices(
                 json -> json.replace("\"sockets\":1024", "\"sockets\":" + maxDescriptors));
         deployment.signal("HUP"); // needs descriptors for a file and a connection
         await(deployment.log, "configuration reloaded");
-        await(deployment.heard, "usage fence");
+        await(deployment.received, "usage fence");
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
         assertThat(maxUsed).isLessThanOrEqualTo(maxDescriptors);
@@ -224,15 +222,13 @@
     void hangupIgnoredByTheParentIsHandledWhenStartedByTheScript() throws Exception {
         deployment =
                 new Deployment(
-                        json -> json,
-                        newDeployment -> {},
-                        "trap '' HUP; exec sh deploy/serve.sh");
-        await(deployment.heard, "usage fence");
-        deployment.move(json -> json);
+                        json -> json, newDeployment -> {}, "trap '' HUP; exec sh deploy/serve.sh");
+        await(deployment.received, "usage fence");
+        deployment.moveServices(json -> json);
         deployment.signal("HUP");
         await(deployment.log, "configuration reloaded");
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
         gateway.send(read(1, "call DONE"));
         expectResult(1, "after reply");
     }
@@ -244,9 +240,8 @@
                         json -> json,
                         newDeployment -> {},
                         "trap '' HUP; exec java -jar target/ochretiller.jar serve");
-        await(deployment.heard, "usage fence");
-        assertThat(deployment.said)
-                .anyMatch(
-                        line -> line.contains("the parent process ignores SIGHUP: this server"));
+        await(deployment.received, "usage fence");
+        assertThat(deployment.allLogLines)
+                .anyMatch(line -> line.contains("the parent process ignores SIGHUP: this server"));
     }
 }
