--- a/src/test/java/ochretiller/RestartIT.java
+++ b/src/test/java/ochretiller/RestartIT.java
@@ -54,23 +54,23 @@
 
     /** Scripts a processor that survives restarts of the server and counts runs. */
     private void scriptServices(Deployment newDeployment) {
-        newDeployment.outside.keepsNotices = true;
-        newDeployment.outside.runs =
+        newDeployment.services.resendsNotices = true;
+        newDeployment.services.runHandler =
                 (rid, operation, body) -> {
                     runs.merge(body, 1, Integer::sum);
                     if (body.startsWith("done")) {
-                        newDeployment.outside.complete(rid, "result of " + body);
+                        newDeployment.services.complete(rid, "result of " + body);
                     } else if (body.startsWith("bad")) {
-                        newDeployment.outside.notice("complete", rid + " error 5 0\r\n\r\n");
+                        newDeployment.services.sendNotice("complete", rid + " error 5 0\r\n\r\n");
                     } else if (body.startsWith("call")) {
-                        newDeployment.outside.notice("ask", rid + " 4\r\nwhat\r\n");
+                        newDeployment.services.sendNotice("ask", rid + " 4\r\nwhat\r\n");
                     }
                 };
     }
 
     private void awaitProcessorAndConnect() throws IOException {
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
     }
 
     @AfterEach
@@ -106,12 +106,12 @@
     private String startOrder(long id) throws IOException {
         gateway.send(order(id, "wait"));
         String rid = String.format("%016x", lastRid);
-        await(deployment.heard, "begin " + rid);
+        await(deployment.received, "begin " + rid);
         return rid;
     }
 
     private void expectResult(long id, String result) throws IOException {
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith(
                         "{\"jsonrpc\":\"2.0\",\"id\":"
                                 + id
@@ -121,7 +121,7 @@
     }
 
     private void expectError(long id) throws IOException {
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":-32000,");
     }
 
@@ -148,7 +148,7 @@
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
         deployment.terminate();
-        assertThat(deployment.exit()).isZero();
+        assertThat(deployment.awaitExit()).isZero();
         restart();
         gateway.send(order(2, "done once"));
         expectResult(2, "result of done once");
@@ -172,7 +172,7 @@
     void outcomeOfARunThatEndsDuringTheDowntimeIsReplayed() throws Exception {
         String rid = startOrder(1);
         kill();
-        deployment.outside.complete(rid, "done meanwhile");
+        deployment.services.complete(rid, "done meanwhile");
         restart();
         gateway.send(order(2, "wait"));
         expectResult(2, "done meanwhile");
@@ -190,8 +190,9 @@
         restart();
         gateway.send(order(3, "wait") + order(4, "wait"));
         gateway.send(message(5, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"id\":5"); // both orders were read before, and wait
-        deployment.outside.complete(rid, "done at last");
+        assertThat(gateway.readLine())
+                .contains("\"id\":5"); // both orders were read before, and wait
+        deployment.services.complete(rid, "done at last");
         expectResult(3, "done at last");
         expectResult(4, "done at last");
     }
@@ -199,7 +200,7 @@
     @Test
     void retryOfARunWithUnknownOutcomeFailsInTimeAndIsNotRun() throws Exception {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin");
+        await(deployment.received, "begin");
         kill();
         restart();
         gateway.send(order(2, "wait"));
@@ -209,9 +210,9 @@
     @Test
     void retryFailsIfTheProcessorWasRestartedToo() throws Exception {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin");
+        await(deployment.received, "begin");
         kill();
-        deployment.outside.restarted();
+        deployment.services.restartProcessor();
         restart();
         gateway.send(order(2, "wait"));
         expectError(2);
@@ -223,12 +224,12 @@
     @Test
     void runThatWaitsForACallIsCancelledAfterARestart() throws Exception {
         gateway.send(order(1, "call"));
-        await(deployment.heard, "^OP");
+        await(deployment.received, "^OP");
         String rid = String.format("%016x", lastRid);
         kill();
         restart();
-        await(deployment.heard, "interrupt " + rid);
-        deployment.outside.notice("complete", rid + " cancelled 5 0\r\n\r\n");
+        await(deployment.received, "interrupt " + rid);
+        deployment.services.sendNotice("complete", rid + " cancelled 5 0\r\n\r\n");
         gateway.send(order(2, "call"));
         expectError(2);
         kill();
@@ -285,7 +286,7 @@
         if (stepMillis > 0) {
             expectResult(2, "result of done once");
         } else {
-            assertThat(gateway.line()).contains("\"id\":2").doesNotContain("-32014");
+            assertThat(gateway.readLine()).contains("\"id\":2").doesNotContain("-32014");
         }
     }
 
@@ -294,12 +295,12 @@
         gateway.send(order(1, "done once"));
         expectResult(1, "result of done once");
         gateway.send(message(2, "order", GatewayMessages.params(rid(), "2".repeat(32), "wait")));
-        await(deployment.heard, "begin .*" + String.format("%016x", lastRid));
+        await(deployment.received, "begin .*" + String.format("%016x", lastRid));
         String rid = String.format("%016x", lastRid);
         kill();
-        deployment.outside.silent = true;
+        deployment.services.isStarting = true;
         deployment.restart();
-        gateway = deployment.dial();
+        gateway = deployment.connect();
         gateway.send(order(3, "done once"));
         expectResult(3, "result of done once");
         gateway.send(order(4, "done other"));
@@ -307,9 +308,9 @@
         gateway.send(message(5, "order", GatewayMessages.params(rid(), "2".repeat(32), "wait")));
         gateway.send(
                 message(6, "order", GatewayMessages.params(rid(), "3".repeat(32), "done new")));
-        assertThat(gateway.line()).contains("\"id\":6").contains("\"code\":-32014");
-        deployment.outside.complete(rid, "done now");
-        deployment.outside.speak();
+        assertThat(gateway.readLine()).contains("\"id\":6").contains("\"code\":-32014");
+        deployment.services.complete(rid, "done now");
+        deployment.services.finishStarting();
         expectResult(5, "done now");
     }
 
@@ -358,7 +359,7 @@
     @Test
     void resultIsReplayedInFullAfterAPartialAnswer() throws Exception {
         gateway.send(order(1, "done once"));
-        assertThat(gateway.some(20)).startsWith("{\"jsonrpc\"");
+        assertThat(gateway.readAvailable(20)).startsWith("{\"jsonrpc\"");
         kill();
         restart();
         gateway.send(order(2, "done once"));
@@ -368,10 +369,10 @@
     @Test
     void reloadDuringARunLosesNoResult() throws Exception {
         String rid = startOrder(1);
-        deployment.move(json -> json);
+        deployment.moveServices(json -> json);
         deployment.signal("HUP");
-        await(deployment.heard, "hello 0");
-        deployment.outside.complete(rid, "done moved");
+        await(deployment.received, "hello 0");
+        deployment.services.complete(rid, "done moved");
         expectResult(1, "done moved");
         kill();
         restart();
@@ -396,8 +397,8 @@
             throws Exception {
         startCrashingAt(crashPoint);
         gateway.send(order(1, "done once"));
-        assertThat(deployment.exit()).isEqualTo(137);
-        assertThat(gateway.line()).isNull();
+        assertThat(deployment.awaitExit()).isEqualTo(137);
+        assertThat(gateway.readLine()).isNull();
         gateway.close();
         restart();
         gateway.send(order(2, "done once"));
@@ -418,7 +419,7 @@
         kill();
         for (String point : List.of(crashPoint, "create:1")) {
             deployment.start(point);
-            assertThat(deployment.exit()).isEqualTo(137);
+            assertThat(deployment.awaitExit()).isEqualTo(137);
         }
         restart();
         gateway.send(order(2, "done once"));
@@ -428,7 +429,7 @@
     private void startCrashingAt(String crashPoint) throws Exception {
         // A graceful shutdown, so that the next record to be written is the marker of the test.
         deployment.terminate();
-        assertThat(deployment.exit()).isZero();
+        assertThat(deployment.awaitExit()).isZero();
         gateway.close();
         deployment.start(crashPoint);
         await(deployment.log, "listens");
--- a/src/test/java/ochretiller/ServeIT.java
+++ b/src/test/java/ochretiller/ServeIT.java
@@ -29,8 +29,8 @@
     @BeforeEach
     void start() throws Exception {
         deployment = new Deployment();
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
     }
 
     @AfterEach
@@ -74,7 +74,7 @@
     }
 
     private void expectResult(long id, String result) throws IOException {
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith(
                         "{\"jsonrpc\":\"2.0\",\"id\":"
                                 + id
@@ -84,7 +84,7 @@
     }
 
     private void expectError(long id, int code) throws IOException {
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith(
                         "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",");
     }
@@ -92,14 +92,14 @@
     /** Expects that the server still answers a valid request on a new connection. */
     private void expectServerStillServes() throws IOException {
         gateway.close();
-        gateway = deployment.dial();
+        gateway = deployment.connect();
         gateway.send(read(1, "good"));
         expectResult(1, "result of " + rid(lastRid));
     }
 
     /** Expects that the connection is closed without further output, and logged with the code. */
     private void expectClosed(String code) throws IOException {
-        assertThat(gateway.line()).isNull();
+        assertThat(gateway.readLine()).isNull();
         await(deployment.log, "connection gateway .* ended: " + code + "$");
     }
 
@@ -113,7 +113,7 @@
     void requestsAreAnsweredInTheOrderInWhichRunsEnd() throws IOException {
         gateway.send(read(1, "wait") + read(2, "good"));
         expectResult(2, "result of " + rid(2));
-        deployment.outside.complete(rid(1), "late");
+        deployment.services.complete(rid(1), "late");
         expectResult(1, "late");
     }
 
@@ -129,11 +129,11 @@
                 read(1, "good")
                         .replaceFirst(
                                 "\"t0\":\\d+", "\"t0\":" + (System.currentTimeMillis() - 3_000)));
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .contains("\"code\":-32014")
                 .contains("\"backoff\":")
                 .contains("\"final\":1");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
@@ -142,17 +142,17 @@
         expectResult(1, "result of " + rid(1));
         gateway.send(order(2, "good"));
         expectResult(2, "result of " + rid(1));
-        assertThat(deployment.heard).filteredOn(line -> line.startsWith("begin")).hasSize(1);
+        assertThat(deployment.received).filteredOn(line -> line.startsWith("begin")).hasSize(1);
     }
 
     @Test
     void retryReadTogetherWithTheOriginalWaitsForItsRun() throws IOException {
         gateway.send(order(1, "wait") + order(2, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.complete(rid(1), "one");
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.complete(rid(1), "one");
         expectResult(1, "one");
         expectResult(2, "one");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
@@ -166,10 +166,10 @@
     @Test
     void abortedRequestIsNotAnsweredAndItsIdempotentRunIsCancelled() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n");
-        await(deployment.heard, "interrupt " + rid(1));
-        deployment.outside.notice("complete", rid(1) + " cancelled 5 0\r\n\r\n");
+        await(deployment.received, "interrupt " + rid(1));
+        deployment.services.sendNotice("complete", rid(1) + " cancelled 5 0\r\n\r\n");
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(2));
     }
@@ -177,9 +177,9 @@
     @Test
     void resetConnectionCancelsTheRunsOfItsRequests() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.reset();
-        await(deployment.heard, "interrupt " + rid(1));
+        await(deployment.received, "interrupt " + rid(1));
         await(deployment.log, "connection gateway .* ended: BROKEN");
         expectServerStillServes();
     }
@@ -187,9 +187,9 @@
     @Test
     void openRequestOnAHalfClosedConnectionIsAnswered() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.halfClose();
-        deployment.outside.complete(rid(1), "owed");
+        deployment.services.complete(rid(1), "owed");
         expectResult(1, "owed");
         expectClosed("PEER_CLOSED");
     }
@@ -198,7 +198,7 @@
     void replyToACallIsSentToTheRun() throws IOException {
         gateway.send(read(1, "call DONE"));
         expectResult(1, "after reply");
-        assertThat(await(deployment.heard, "^OP")).matches("OP " + rid(1) + " \\d+ 9");
+        assertThat(await(deployment.received, "^OP")).matches("OP " + rid(1) + " \\d+ 9");
     }
 
     @ParameterizedTest
@@ -206,65 +206,65 @@
     void callThatMayHaveRunIsNotRetried(String ending) throws IOException {
         gateway.send(read(1, "call " + ending));
         expectError(1, -32000);
-        await(deployment.heard, "^OP");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("OP"));
+        await(deployment.received, "^OP");
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("OP"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"WAIT", "EMPTY"})
     void callThatNeverRanIsRetried(String ending) throws IOException {
         gateway.send(read(1, "call " + ending));
-        await(deployment.heard, "^OP");
-        await(deployment.heard, "^OP");
+        await(deployment.received, "^OP");
+        await(deployment.received, "^OP");
     }
 
     @Test
     void timedOutCallIsCancelledAtTheRecordsService() throws IOException {
         gateway.send(read(1, "call silence"));
-        await(deployment.heard, "^UNOP " + rid(1));
+        await(deployment.received, "^UNOP " + rid(1));
         expectError(1, -32000);
     }
 
     @Test
     void callIsRetriedWhenTheRecordsServiceRefusesConnections() throws IOException {
-        int port = deployment.outside.recordsPort();
-        deployment.outside.closeRecords();
+        int port = deployment.services.recordsPort();
+        deployment.services.closeRecordsService();
         gateway.send(read(1, "call DONE"));
         await(deployment.log, "connection link .* ended: REFUSED");
-        deployment.outside.openRecords(port);
+        deployment.services.openRecordsService(port);
         expectResult(1, "after reply");
     }
 
     @Test
     void endOfARunWhileDisconnectedIsReceivedAfterTheReconnect() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.greeting =
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.greeting =
                 "hi hot 3600000\r\ncomplete 1 " + rid(1) + " complete 5 4\r\nkept\r\n";
-        deployment.outside.link.reset();
-        await(deployment.heard, "hello 0");
+        deployment.services.processorLink.reset();
+        await(deployment.received, "hello 0");
         expectResult(1, "kept");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
     void runThatMayHaveBeenLostIsStartedAgainAfterTheReconnect() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.link.reset();
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.complete(rid(1), "again");
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.processorLink.reset();
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.complete(rid(1), "again");
         expectResult(1, "again");
     }
 
     @Test
     void keyedRunIsNotStartedAgainIfNoticesAreLost() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.greeting = "hi hot 3600000\r\nremark 9 lost\r\n";
-        deployment.outside.link.reset();
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.greeting = "hi hot 3600000\r\nremark 9 lost\r\n";
+        deployment.services.processorLink.reset();
         expectError(1, -32000);
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @ParameterizedTest
@@ -284,11 +284,11 @@
             })
     void badInputFromTheProcessorCausesAReconnectAndOneAnswer(String input) throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.link.send(input.replace("ID", rid(1)));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.processorLink.send(input.replace("ID", rid(1)));
+        await(deployment.received, "begin " + rid(1));
         await(deployment.log, "connection link .* ended: BAD_INPUT");
-        deployment.outside.complete(rid(1), "once");
+        deployment.services.complete(rid(1), "once");
         expectResult(1, "once");
         expectServerStillServes();
     }
@@ -296,24 +296,24 @@
     @Test
     void unknownAndRepeatedNoticesAreIgnored() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.complete(rid(99), "nobody");
-        deployment.outside.link.send(
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.complete(rid(99), "nobody");
+        deployment.services.processorLink.send(
                 "complete 1 "
                         + rid(1)
                         + " complete 5 3\r\nold\r\nreject answer "
                         + rid(1)
                         + "\r\n");
-        deployment.outside.complete(rid(1), "new");
+        deployment.services.complete(rid(1), "new");
         expectResult(1, "new");
     }
 
     @Test
     void rejectedBeginIsAnsweredWithAnErrorAndTheRetryRuns() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send(order(2, "good") + order(3, "good"));
-        deployment.outside.link.send("reject begin " + rid(1) + "\r\n");
+        deployment.services.processorLink.send("reject begin " + rid(1) + "\r\n");
         expectError(1, -32000);
         expectResult(2, "result of " + rid(2));
         expectResult(3, "result of " + rid(2));
@@ -322,15 +322,15 @@
     @Test
     void otherBodyWithTheSameTokenIsAnsweredWithAnErrorAndNeverRuns() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send(order(2, "good"));
         expectError(2, -32000);
-        deployment.outside.complete(rid(1), "mine");
+        deployment.services.complete(rid(1), "mine");
         expectResult(1, "mine");
         gateway.send(order(3, "good") + order(4, "wait"));
         expectError(3, -32000);
         expectResult(4, "mine");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @ParameterizedTest
@@ -343,8 +343,8 @@
             })
     void badInputFromTheRecordsServiceEndsTheCallOnce(String reply) throws IOException {
         gateway.send(read(1, "call silence"));
-        await(deployment.heard, "^OP");
-        deployment.outside.calls.send(reply + "\r\n");
+        await(deployment.received, "^OP");
+        deployment.services.recordsConnection.send(reply + "\r\n");
         expectError(1, -32000);
         await(deployment.log, "connection link .* ended: BAD_INPUT");
         gateway.send(read(2, "call DONE"));
@@ -354,52 +354,52 @@
     @Test
     void healthCheckReportsAHealthyServer() throws IOException {
         gateway.send(message(1, "ping", "{\"full\":true}"));
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith("{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"green\":true");
     }
 
     @Test
     void drainAnswersAllRequestsAndExits() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.terminate();
         await(deployment.reports, "HERE n1 off");
         deployment.terminate();
         gateway.send(message(2, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":false");
-        deployment.outside.complete(rid(1), "late");
+        assertThat(gateway.readLine()).contains("\"green\":false");
+        deployment.services.complete(rid(1), "late");
         expectResult(1, "late");
         String answer = "\"result\"";
         for (int id = 3; answer.contains("\"result\""); id++) {
             gateway.send(read(id, "good")); // until the grace period ends
-            answer = gateway.line();
+            answer = gateway.readLine();
         }
         assertThat(answer)
                 .contains("\"code\":-32014")
                 .contains("\"backoff\":1000")
                 .doesNotContain("final");
-        deployment.dial().close(); // the server still listens, to send clients elsewhere
-        assertThat(gateway.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
-        assertThat(deployment.exit()).isZero();
+        deployment.connect().close(); // the server still listens, to send clients elsewhere
+        assertThat(gateway.readLine()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
+        assertThat(deployment.awaitExit()).isZero();
         await(deployment.log, "connection gateway .* ended: LEAVING");
     }
 
     @Test
     void drainAnswersPendingRequestsBeforeTheShutdownTimeout() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.terminate();
-        assertThat(gateway.line()).contains("\"shutdown\"");
+        assertThat(gateway.readLine()).contains("\"shutdown\"");
         expectError(1, -32000);
-        assertThat(deployment.exit()).isZero();
+        assertThat(deployment.awaitExit()).isZero();
     }
 
     @Test
     void pauseOfTheProcessNeitherLosesNorRepeatsAnAnswer() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.signal("STOP");
-        deployment.outside.complete(rid(1), "once");
+        deployment.services.complete(rid(1), "once");
         gateway.send(read(2, "good"));
         Thread.sleep(500); // the length of the pause, during which timers become due
         deployment.signal("CONT");
@@ -411,21 +411,21 @@
     @Test
     void reloadMovesAllConnectionsDuringARunAndAnInvalidConfigurationIsIgnored() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.closeRecords();
-        deployment.move(json -> json.replace("\"n1\"", "\"n2\""));
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.closeRecordsService();
+        deployment.moveServices(json -> json.replace("\"n1\"", "\"n2\""));
         deployment.signal("HUP");
-        await(deployment.heard, "hello 0");
-        await(deployment.heard, "begin " + rid(1)); // may have been lost, so it is repeated
+        await(deployment.received, "hello 0");
+        await(deployment.received, "begin " + rid(1)); // may have been lost, so it is repeated
         await(deployment.log, "connection link .* ended: MOVED");
-        deployment.outside.complete(rid(1), "moved");
+        deployment.services.complete(rid(1), "moved");
         expectResult(1, "moved");
         gateway.send(read(2, "call DONE"));
         expectResult(2, "after reply");
         deployment.reports.clear();
         await(deployment.reports, "HERE n1 on"); // a reload does not change the name
         for (String invalid : List.of("{", "{}")) {
-            deployment.move(json -> invalid);
+            deployment.moveServices(json -> invalid);
             deployment.signal("HUP");
             await(deployment.log, "WARNING configuration not reloaded, keeping the current one: ");
         }
@@ -436,11 +436,11 @@
     @Test
     void malformedReplyEndsNoOtherCall() throws IOException {
         gateway.send(read(1, "call silence"));
-        await(deployment.heard, "^OP");
-        FakeConnection firstCallConnection = deployment.outside.calls;
+        await(deployment.received, "^OP");
+        FakeConnection firstCallConnection = deployment.services.recordsConnection;
         gateway.send(read(2, "call silence"));
-        await(deployment.heard, "^OP");
-        deployment.outside.calls.send("\u00e1\u0007 noise\r\n");
+        await(deployment.received, "^OP");
+        deployment.services.recordsConnection.send("\u00e1\u0007 noise\r\n");
         expectError(2, -32000);
         firstCallConnection.send(
                 rid(7) + " DONE 4\r\nelse\r\n" + (rid(1) + " DONE 4\r\nmine\r\n").repeat(2));
@@ -457,18 +457,18 @@
 
     /** Expects the shutdown message, followed by the close of the connection. */
     private static void expectShutdown(FakeConnection client) throws IOException {
-        assertThat(client.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
-        assertThat(client.line()).isNull();
+        assertThat(client.readLine()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
+        assertThat(client.readLine()).isNull();
     }
 
     @Test
     void silentConnectionIsClosedBeforeAnIdleOne() throws IOException {
-        FakeConnection other = deployment.dial();
+        FakeConnection other = deployment.connect();
         other.send(message(1, "ping", "{}"));
         gateway.send(read(1, "good").substring(0, 40));
         expectShutdown(gateway);
         await(deployment.log, "connection gateway .* ended: SILENT$");
-        assertThat(other.line()).contains("\"green\":true");
+        assertThat(other.readLine()).contains("\"green\":true");
         expectShutdown(other);
         // The idle timeout is 2 s.
         await(deployment.log, "connection gateway .* ended: IDLE");
@@ -477,8 +477,8 @@
     @Test
     void requestInTransitOnAnIdleConnectionIsAnswered() throws IOException {
         gateway.send(message(1, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":true");
-        assertThat(gateway.line()).contains("\"shutdown\"");
+        assertThat(gateway.readLine()).contains("\"green\":true");
+        assertThat(gateway.readLine()).contains("\"shutdown\"");
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(1));
         gateway.halfClose();
@@ -488,13 +488,13 @@
     @Test
     void openRequestsAndThoseBeforeUnparsableInputAreAnswered() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send(read(2, "good") + "not JSON\n" + read(3, "good") + "x".repeat(5_000));
         expectResult(2, "result of " + rid(2));
-        deployment.outside.complete(rid(1), "owed");
+        deployment.services.complete(rid(1), "owed");
         expectResult(1, "owed");
         expectClosed("BAD_INPUT");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin " + rid(3)));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin " + rid(3)));
         expectServerStillServes();
     }
 
@@ -552,7 +552,7 @@
                         valid.replaceFirst(
                                 "\"" + name + "\":(\"[^\"]*\"|[^,}]*)",
                                 "\"" + name + "\":" + value)));
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith("{\"jsonrpc\":\"2.0\",\"id\":5,\"error\":{\"code\":-32")
                 .contains(value.equals("NaN") ? "-32700" : "missing or wrong: " + name);
         expectServerStillServes();
@@ -565,7 +565,7 @@
         gateway.send(message(2, "order", params("good", "")));
         expectError(2, -32602);
         gateway.send(read(3, "x".repeat(2048).replaceFirst("x{5}", "good ")));
-        await(deployment.heard, "begin " + rid(3) + " read 2048");
+        await(deployment.received, "begin " + rid(3) + " read 2048");
     }
 
     @Test
@@ -587,7 +587,7 @@
         String request = message(1, "ping", "{}");
         gateway.send(request.repeat(1_000));
         for (int i = 0; i < 1_000; i++) {
-            assertThat(gateway.line()).contains("\"green\":true");
+            assertThat(gateway.readLine()).contains("\"green\":true");
         }
     }
 
@@ -616,7 +616,7 @@
     void tooLongLineAndDeepNestingCloseTheConnection() throws IOException {
         gateway.send("x".repeat(9000));
         expectClosed("BAD_INPUT");
-        gateway = deployment.dial();
+        gateway = deployment.connect();
         gateway.send("[".repeat(5000) + "\n");
         expectClosed("BAD_INPUT");
         expectServerStillServes();
@@ -631,35 +631,35 @@
         expectResult(1, "result of " + rid(1));
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n");
         gateway.send(message(2, "abort", "{\"rid\":\"" + rid(1) + "\"}"));
-        assertThat(gateway.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"id\":2,\"result\":{}}");
+        assertThat(gateway.readLine()).isEqualTo("{\"jsonrpc\":\"2.0\",\"id\":2,\"result\":{}}");
     }
 
     private void restartWithFewSockets() throws IOException {
         deployment.close();
         deployment = new Deployment(json -> json.replace("\"sockets\":1024", "\"sockets\":64"));
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
     }
 
     @Test
     void silentConnectionsAreClosedBeforeActiveOnes() throws Exception {
         restartWithFewSockets();
         gateway.send(message(1, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":true");
+        assertThat(gateway.readLine()).contains("\"green\":true");
         List<FakeConnection> silent = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
-            silent.add(deployment.dial());
+            silent.add(deployment.connect());
             if (i < 8) {
                 continue;
             }
             // Each connection beyond the eighth closes the oldest, in a flood without a message.
-            String line = silent.get(i - 8).line();
+            String line = silent.get(i - 8).readLine();
             if (line != null) {
                 assertThat(line).contains("\"shutdown\"");
             }
         }
         for (int i = 0; i < 72; i++) {
-            assertThat(silent.get(i).line()).isNull();
+            assertThat(silent.get(i).readLine()).isNull();
         }
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(1));
@@ -673,11 +673,11 @@
     void longestIdleConnectionIsClosedAtTheConnectionLimit() throws Exception {
         restartWithFewSockets();
         gateway.send(message(1, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":true");
+        assertThat(gateway.readLine()).contains("\"green\":true");
         for (int i = 0; i < 32; i++) {
-            FakeConnection client = deployment.dial();
+            FakeConnection client = deployment.connect();
             client.send(message(1, "ping", "{}"));
-            assertThat(client.line()).contains("\"green\":true");
+            assertThat(client.readLine()).contains("\"green\":true");
         }
         expectShutdown(gateway);
         await(deployment.log, "connection gateway .* ended: TOO_MANY$");
@@ -689,22 +689,22 @@
         gateway.close();
         List<FakeConnection> clients = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
-            FakeConnection busy = deployment.dial();
+            FakeConnection busy = deployment.connect();
             busy.send(message(1, "ping", "{}") + order(2, "wait")); // wait for the first run
-            assertThat(busy.line()).contains("\"green\":true");
+            assertThat(busy.readLine()).contains("\"green\":true");
             clients.add(busy);
         }
         for (String request : List.of(message(1, "ping", "{}"), read(1, "good"))) {
-            gateway = deployment.dial();
+            gateway = deployment.connect();
             gateway.send(request);
-            assertThat(gateway.line())
+            assertThat(gateway.readLine())
                     .contains(request.contains("ping") ? "\"green\":true" : "\"code\":-32014");
             expectClosed("TOO_MANY");
         }
         for (int i = 0; i < 9; i++) {
-            clients.add(deployment.dial());
+            clients.add(deployment.connect());
         }
-        assertThat(clients.get(40).line()).isNull();
+        assertThat(clients.get(40).readLine()).isNull();
         for (FakeConnection client : clients) {
             client.close();
         }
@@ -713,9 +713,9 @@
     @Test
     void peerThatDoesNotReadIsClosed() throws IOException {
         String request = message(1, "ping", "{}").replace("\n", " ".repeat(100) + "\n").repeat(500);
-        assertThat(gateway.sendsUntilItEnds(request, 4000)).isTrue();
+        assertThat(gateway.sendUntilClosed(request, 4000)).isTrue();
         await(deployment.log, "connection gateway .* ended: (NOT_READING|FLOOD)");
-        gateway = deployment.dial();
+        gateway = deployment.connect();
         expectServerStillServes();
     }
 }
--- a/src/test/java/ochretiller/UwsgiIT.java
+++ b/src/test/java/ochretiller/UwsgiIT.java
@@ -54,20 +54,20 @@
                 new Deployment(
                         operator,
                         newDeployment ->
-                                newDeployment.outside.runs =
+                                newDeployment.services.runHandler =
                                         (rid, operation, body) -> {
                                             if (operation.equals("order")) {
                                                 runs.merge(body, 1, Integer::sum);
                                             }
                                             if (body.startsWith("done")) {
-                                                newDeployment.outside.complete(
+                                                newDeployment.services.complete(
                                                         rid, "result of " + body);
                                             } else if (body.startsWith("bad")) {
-                                                newDeployment.outside.notice(
+                                                newDeployment.services.sendNotice(
                                                         "complete", rid + " error 5 0\r\n\r\n");
                                             }
                                         });
-        await(deployment.heard, "usage fence");
+        await(deployment.received, "usage fence");
     }
 
     @AfterEach
@@ -113,7 +113,7 @@
             byte[] buffer = new byte[1];
             try {
                 while (socket.getInputStream().read(buffer) > 0) {
-                    UwsgiResponse response = decoder.read(buffer, 0, 1);
+                    UwsgiResponse response = decoder.decode(buffer, 0, 1);
                     if (response != null) {
                         return response;
                     }
@@ -121,7 +121,7 @@
             } catch (java.net.SocketException e) {
                 return null; // the connection was reset
             }
-            return decoder.ended();
+            return decoder.finish();
         }
 
         @Override
@@ -182,13 +182,13 @@
     @Test
     void retryOverTheOtherProtocolGetsTheStoredResult() throws Exception {
         expect(order(TOKEN, "done one"), 200, "result of done one");
-        try (FakeConnection gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.connect()) {
             gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "done one")));
-            assertThat(gateway.line()).contains(GatewayMessages.base64("result of done one"));
+            assertThat(gateway.readLine()).contains(GatewayMessages.base64("result of done one"));
             String otherToken = "0".repeat(32);
             gateway.send(
                     message(2, "order", GatewayMessages.params(nextRid(), otherToken, "done two")));
-            assertThat(gateway.line()).contains(GatewayMessages.base64("result of done two"));
+            assertThat(gateway.readLine()).contains(GatewayMessages.base64("result of done two"));
             UwsgiResponse replay = order(otherToken, "done two");
             expect(replay, 200, "result of done two");
             assertThat(replay.headers()).containsEntry("x-idempotent-replay", "true");
@@ -198,23 +198,23 @@
     @Test
     void retryGetsTheResultAfterTheClientDisconnected() throws Exception {
         Call call = new Call().send("POST", "/orders", TOKEN, "wait");
-        String beginLine = await(deployment.heard, "begin .* order");
+        String beginLine = await(deployment.received, "begin .* order");
         call.socket.setSoLinger(true, 0);
         call.close();
         await(deployment.log, "connection uwsgi .* ended: BROKEN");
-        try (FakeConnection gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.connect()) {
             gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait")));
             gateway.send(message(2, "ping", "{}"));
-            assertThat(gateway.line()).contains("\"id\":2");
-            deployment.outside.complete(beginLine.split(" ")[1], "done in the end");
-            assertThat(gateway.line()).contains(GatewayMessages.base64("done in the end"));
+            assertThat(gateway.readLine()).contains("\"id\":2");
+            deployment.services.complete(beginLine.split(" ")[1], "done in the end");
+            assertThat(gateway.readLine()).contains(GatewayMessages.base64("done in the end"));
         }
     }
 
     @Test
     void retryOfAnUnfinishedRunIsAnsweredAsInFlight() throws Exception {
         try (Call first = new Call().send("POST", "/orders", TOKEN, "wait")) {
-            await(deployment.heard, "begin .* order");
+            await(deployment.received, "begin .* order");
             long sentAtMillis = System.currentTimeMillis() - 2_500;
             expect(
                     exchange(
@@ -292,8 +292,8 @@
         }
         await(deployment.log, "connection uwsgi .* ended: BAD_INPUT");
         for (int i = 0; i < 2; i++) { // on two cores two requests run and the others are queued
-            String rid = await(deployment.heard, "begin .* read").split(" ")[1];
-            deployment.outside.complete(rid, "result");
+            String rid = await(deployment.received, "begin .* read").split(" ")[1];
+            deployment.services.complete(rid, "result");
         }
         int successes = 0;
         for (Call call : others) {
@@ -328,36 +328,35 @@
 
     @Test
     void drainAnswersRequestsOfBothFrontends() throws Exception {
-        try (FakeConnection gateway = deployment.dial();
+        try (FakeConnection gateway = deployment.connect();
                 Call call = new Call().send("POST", "/orders", "key 1", "wait one")) {
-            String first = await(deployment.heard, "begin .* order").split(" ")[1];
+            String first = await(deployment.received, "begin .* order").split(" ")[1];
             gateway.send(message(1, "order", GatewayMessages.params(nextRid(), TOKEN, "wait two")));
-            String second = await(deployment.heard, "begin .* order").split(" ")[1];
+            String second = await(deployment.received, "begin .* order").split(" ")[1];
             deployment.terminate();
             await(deployment.log, "server is draining");
-            deployment.outside.complete(first, "done one");
-            deployment.outside.complete(second, "done two");
+            deployment.services.complete(first, "done one");
+            deployment.services.complete(second, "done two");
             expect(call.answer(), 200, "done one");
-            assertThat(gateway.line()).contains(GatewayMessages.base64("done two"));
-            assertThat(deployment.exit()).isZero();
+            assertThat(gateway.readLine()).contains(GatewayMessages.base64("done two"));
+            assertThat(deployment.awaitExit()).isZero();
         }
     }
 
     @Test
     void floodOfIdleConnectionsBlocksNoOtherClient() throws Exception {
         List<Socket> flood = new ArrayList<>();
-        try (FakeConnection gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.connect()) {
             gateway.send(
                     message(1, "read", GatewayMessages.params(nextRid(), null, "done before")));
-            assertThat(gateway.line()).contains("\"result\"");
+            assertThat(gateway.readLine()).contains("\"result\"");
             for (int i = 0; i < 700; i++) {
-                flood.add(
-                        new Socket("127.0.0.1", port)); // clients may use 512 of 1024 descriptors
+                flood.add(new Socket("127.0.0.1", port)); // clients may use 512 of 1024 descriptors
             }
             expect(order("k", "done meanwhile"), 200, "result of done meanwhile");
             gateway.send(
                     message(2, "read", GatewayMessages.params(nextRid(), null, "done behind")));
-            assertThat(gateway.line()).contains("\"result\"");
+            assertThat(gateway.readLine()).contains("\"result\"");
             await(deployment.log, "connection uwsgi .* ended: (TOO_MANY|SILENT)");
         } finally {
             for (Socket each : flood) {
@@ -410,10 +409,9 @@
 
     private int[] sendMixedRequests(SplittableRandom random, int clientIndex) throws IOException {
         int[] counts = new int[3];
-        try (FakeConnection gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.connect()) {
             for (int i = 1; i <= 60; i++) {
-                int number =
-                        random.nextInt(100); // tokens are shared by all threads and protocols
+                int number = random.nextInt(100); // tokens are shared by all threads and protocols
                 String token = String.format("%032x", number);
                 String body = "done " + number;
                 if (random.nextInt(10) == 0) {
@@ -442,7 +440,7 @@
                                             String.format("%08x%08x", clientIndex, i),
                                             token,
                                             body)));
-                    String line = gateway.line();
+                    String line = gateway.readLine();
                     if (line == null) {
                         continue;
                     }
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -24,7 +24,7 @@
 import java.util.stream.IntStream;
 import ochretiller.fakes.FakeConnection;
 import ochretiller.fakes.FakeWorker;
-import ochretiller.fakes.FakeWorker.Manner;
+import ochretiller.fakes.FakeWorker.ResponseMode;
 import ochretiller.uwsgi.UwsgiRequest;
 import ochretiller.uwsgi.UwsgiResponse;
 import ochretiller.uwsgi.UwsgiResponseDecoder;
@@ -51,10 +51,10 @@
     void start() throws Exception {
         port = Deployment.freePort();
         for (int i = 0; i < 4; i++) {
-            workers.add(new FakeWorker("127.0.0.1", 0, request -> Manner.ANSWERS));
+            workers.add(new FakeWorker("127.0.0.1", 0, request -> ResponseMode.ANSWERS));
         }
         deployment = new Deployment(writeOperatorFile(List.of(0, 1, 2)), newDeployment -> {});
-        await(deployment.heard, "usage fence");
+        await(deployment.received, "usage fence");
     }
 
     private Path writeOperatorFile(List<Integer> indices) throws IOException {
@@ -83,7 +83,7 @@
         Map<String, Integer> runs = new HashMap<>();
         for (FakeWorker worker : workers) {
             worker.close();
-            for (FakeWorker.Ran request : worker.ran()) {
+            for (FakeWorker.ReceivedRequest request : worker.requests()) {
                 if (request.vars().get("PATH_INFO").equals("/order")) {
                     runs.merge(request.body(), 1, Integer::sum);
                 }
@@ -97,7 +97,7 @@
     }
 
     private int runCount() {
-        return workers.stream().mapToInt(worker -> worker.ran().size()).sum();
+        return workers.stream().mapToInt(worker -> worker.requests().size()).sum();
     }
 
     private UwsgiResponse exchange(String method, String path, String key, String body)
@@ -127,12 +127,12 @@
             for (int length = socket.getInputStream().read(buffer);
                     length > 0;
                     length = socket.getInputStream().read(buffer)) {
-                UwsgiResponse response = decoder.read(buffer, 0, length);
+                UwsgiResponse response = decoder.decode(buffer, 0, length);
                 if (response != null) {
                     return response;
                 }
             }
-            return decoder.ended();
+            return decoder.finish();
         }
     }
 
@@ -180,19 +180,19 @@
     void bothFrontendsRunOnWorkersAndShareKeys() throws Exception {
         expect(read("one"), 200, "result of one");
         expect(order("5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two"), 200, "result of two");
-        try (FakeConnection gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.connect()) {
             gateway.send(
                     message(
                             1,
                             "order",
                             params("0000000000000001", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two")));
-            assertThat(gateway.line())
+            assertThat(gateway.readLine())
                     .contains("\"id\":1")
                     .contains(ochretiller.fakes.GatewayMessages.base64("result of two"));
         }
-        FakeWorker.Ran request =
+        FakeWorker.ReceivedRequest request =
                 workers.stream()
-                        .flatMap(w -> w.ran().stream())
+                        .flatMap(w -> w.requests().stream())
                         .filter(r -> r.body().equals("two"))
                         .findFirst()
                         .orElseThrow();
@@ -206,10 +206,10 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Manner.class,
+            value = ResponseMode.class,
             names = {"FAILS", "HALF", "RESETS", "GARBAGE", "WRONG_LENGTH", "TOO_LONG", "ENDS"})
-    void malformedAnswerIsAnErrorAndIsNotRetried(Manner manner) throws Exception {
-        scriptAll(request -> request.body().startsWith("bad") ? manner : Manner.ANSWERS);
+    void malformedAnswerIsAnErrorAndIsNotRetried(ResponseMode manner) throws Exception {
+        scriptAll(request -> request.body().startsWith("bad") ? manner : ResponseMode.ANSWERS);
         expect(order("k", "bad"), 500, "failed");
         expect(order("k", "bad"), 500, "failed");
         expect(order("l", "good"), 200, "result of good");
@@ -218,28 +218,27 @@
 
     @Test
     void refusedConnectionsAreRetriedElsewhereWithoutErrors() throws Exception {
-        workers.get(0).die();
-        workers.get(1).die();
+        workers.get(0).kill();
+        workers.get(1).kill();
         Map<Integer, Integer> statusCounts = sendReads(100, 4);
-        assertThat(statusCounts.keySet())
-                .isSubsetOf(200, 503); // 503 if the retry budget was spent
+        assertThat(statusCounts.keySet()).isSubsetOf(200, 503); // 503 if the retry budget was spent
         assertThat(statusCounts.get(200)).isGreaterThan(70);
         assertThat(metric("second_tries_total")).isPositive();
         Thread.sleep(400); // both are ejected by now and get only probes
-        workers.get(0).rise();
-        workers.get(1).rise();
+        workers.get(0).restart();
+        workers.get(1).restart();
         Thread.sleep(700);
         for (int i = 0; i < 3; i++) {
             sendReads(40, 8);
         }
-        assertThat(workers.get(0).ran()).isNotEmpty();
+        assertThat(workers.get(0).requests()).isNotEmpty();
         assertThat(sendReads(50, 4)).isEqualTo(Map.of(200, 50));
     }
 
     @Test
     void withoutWorkersClientsAreThrottledAndServedAfterRecovery() throws Exception {
         for (FakeWorker worker : workers) {
-            worker.die();
+            worker.kill();
         }
         Map<Integer, Integer> statusCounts = sendReads(60, 4);
         assertThat(statusCounts).isEqualTo(Map.of(503, 60));
@@ -247,7 +246,7 @@
         assertThat(throttled.status()).isEqualTo(503);
         assertThat(Integer.parseInt(throttled.headers().get("retry-after"))).isPositive();
         for (FakeWorker worker : workers) {
-            worker.rise();
+            worker.restart();
         }
         Thread.sleep(700);
         for (int i = 0; i < 20 && read("again").status() != 200; i++) {
@@ -258,7 +257,11 @@
 
     @Test
     void orderOnASilentWorkerFailsInTime() throws Exception {
-        scriptAll(request -> request.body().equals("silent") ? Manner.SILENT : Manner.ANSWERS);
+        scriptAll(
+                request ->
+                        request.body().equals("silent")
+                                ? ResponseMode.SILENT
+                                : ResponseMode.ANSWERS);
         long startNanos = System.nanoTime();
         UwsgiResponse answer = order("k", "silent");
         assertThat((System.nanoTime() - startNanos) / 1e9).isBetween(3.0, 4.8);
@@ -275,7 +278,7 @@
                     if (request.body().equals("slow")) {
                         Thread.sleep(4_600);
                     }
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
         assertThat(order("k", "slow").status()).isIn(409, 504);
         Thread.sleep(1_000);
@@ -284,12 +287,12 @@
 
     @Test
     void fastFailingWorkerDoesNotAttractLoad() throws Exception {
-        workers.get(1).script = request -> Manner.FAILS;
+        workers.get(1).script = request -> ResponseMode.FAILS;
         for (int i : new int[] {0, 2}) {
             workers.get(i).script =
                     request -> {
                         Thread.sleep(20);
-                        return Manner.ANSWERS;
+                        return ResponseMode.ANSWERS;
                     };
         }
         Map<Integer, Integer> statusCounts = sendReads(300, 4);
@@ -302,7 +305,7 @@
         scriptAll(
                 request -> {
                     Thread.sleep(5);
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
         AtomicBoolean isStopped = new AtomicBoolean();
         ExecutorService executor = Executors.newFixedThreadPool(4);
@@ -322,14 +325,14 @@
         writeOperatorFile(List.of(2, 3));
         deployment.signal("HUP");
         await(deployment.log, "configuration reloaded");
-        int countBefore = workers.get(3).ran().size();
-        int countAtRemoval = workers.get(0).ran().size();
-        for (int i = 0; i < 500 && workers.get(3).ran().size() <= countBefore; i++) {
+        int countBefore = workers.get(3).requests().size();
+        int countAtRemoval = workers.get(0).requests().size();
+        for (int i = 0; i < 500 && workers.get(3).requests().size() <= countBefore; i++) {
             Thread.sleep(20); // until the new worker has a request
         }
-        assertThat(workers.get(3).ran().size()).isGreaterThan(countBefore);
+        assertThat(workers.get(3).requests().size()).isGreaterThan(countBefore);
         // At most four requests were in flight at the reload.
-        assertThat(workers.get(0).ran().size()).isLessThanOrEqualTo(countAtRemoval + 4);
+        assertThat(workers.get(0).requests().size()).isLessThanOrEqualTo(countAtRemoval + 4);
         Files.writeString(folder.resolve("operator.json5"), "{ pools: 7 }");
         deployment.signal("HUP");
         await(deployment.log, "configuration not reloaded.*pools");
@@ -345,9 +348,9 @@
         scriptAll(
                 request -> {
                     Thread.sleep(400);
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
-        try (FakeConnection gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.connect()) {
             gateway.send(
                     message(
                             1,
@@ -368,7 +371,7 @@
         scriptAll(
                 request -> {
                     Thread.sleep(600);
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
         ExecutorService executor = Executors.newSingleThreadExecutor();
         Future<UwsgiResponse> pending = executor.submit(() -> order("k", "last"));
@@ -377,7 +380,7 @@
         }
         deployment.terminate();
         expect(pending.get(), 200, "result of last");
-        assertThat(deployment.exit()).isZero();
+        assertThat(deployment.awaitExit()).isZero();
         executor.shutdown();
     }
 
@@ -396,13 +399,15 @@
                         + "' } }");
         deployment.kill();
         deployment.restart();
-        await(deployment.heard, "usage fence");
+        await(deployment.received, "usage fence");
         String completedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30213";
         String interruptedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30214";
-        scriptAll(request -> request.body().equals("cut") ? Manner.SILENT : Manner.ANSWERS);
-        try (FakeConnection gateway = deployment.dial()) {
+        scriptAll(
+                request ->
+                        request.body().equals("cut") ? ResponseMode.SILENT : ResponseMode.ANSWERS);
+        try (FakeConnection gateway = deployment.connect()) {
             gateway.send(message(1, "order", params("0000000000000011", completedKey, "kept")));
-            assertThat(gateway.line()).contains("\"result\"");
+            assertThat(gateway.readLine()).contains("\"result\"");
             gateway.send(message(2, "order", params("0000000000000012", interruptedKey, "cut")));
             for (int i = 0; i < 200 && runCount() < 2; i++) {
                 Thread.sleep(10);
@@ -410,14 +415,14 @@
         }
         deployment.kill();
         deployment.restart();
-        await(deployment.heard, "usage fence");
+        await(deployment.received, "usage fence");
         UwsgiResponse replayed = order(completedKey, "kept");
         expect(replayed, 200, "result of kept");
         assertThat(replayed.headers()).containsEntry("x-idempotent-replay", "true");
         expect(order(interruptedKey, "cut"), 500, "failed");
-        try (FakeConnection gateway = deployment.dial()) {
+        try (FakeConnection gateway = deployment.connect()) {
             gateway.send(message(3, "order", params("0000000000000013", interruptedKey, "cut")));
-            assertThat(gateway.line()).contains("\"error\"");
+            assertThat(gateway.readLine()).contains("\"error\"");
         }
         assertThat(runCount()).isEqualTo(2);
     }
--- a/src/test/java/ochretiller/admission/AdmissionFixture.java
+++ b/src/test/java/ochretiller/admission/AdmissionFixture.java
@@ -81,7 +81,7 @@
 
     /** Reads an attempt that repeats another, and returns the resulting actions. */
     List<String> receiveRetry(long id, Operation operation, long originalId) {
-        return receive(invocation(id, operation).repeating(originalId).arrivedAt(now).build());
+        return receive(invocation(id, operation).retryOf(originalId).arrivedAt(now).build());
     }
 
     List<String> receive(Invocation invocation) {
@@ -113,10 +113,10 @@
     }
 
     List<String> disconnectClient(long id) {
-        return execute(controller().onClientGone(new InvocationId(id)));
+        return execute(controller().onClientDisconnected(new InvocationId(id)));
     }
 
-    List<String> noticeShutdown(Duration killAt) {
+    List<String> announceShutdown(Duration killAt) {
         return execute(controller().onShutdownNotice(killAt));
     }
 
--- a/src/test/java/ochretiller/admission/BackpressureAdvertiserTest.java
+++ b/src/test/java/ochretiller/admission/BackpressureAdvertiserTest.java
@@ -20,9 +20,9 @@
                         new AdvertisedCapacity(CapacityAdvertisement.NONE, 1, CORES),
                         new IdleTimeoutPolicy(CORES, SECOND),
                         new OverloadDetector());
-        advertiser.onConnections(server, 99);
+        advertiser.adaptIdleTimeout(server, 99);
         server.now = SECOND;
-        advertiser.onConnections(server, 1);
+        advertiser.adaptIdleTimeout(server, 1);
         assertThat(server.actions).containsExactly("idleTimeout PT0.5S", "idleTimeout PT1S");
     }
 
--- a/src/test/java/ochretiller/admission/DrainStateTest.java
+++ b/src/test/java/ochretiller/admission/DrainStateTest.java
@@ -15,7 +15,7 @@
 
     @Test
     void drainingServerRunsNothingThatArrivedAfterTheGracePeriod() {
-        assertThat(server.noticeShutdown(SECOND.multipliedBy(5))).contains("unhealthy");
+        assertThat(server.announceShutdown(SECOND.multipliedBy(5))).contains("unhealthy");
         server.now = Duration.ofMillis(900);
         assertThat(server.receive(1, READ)).contains("startRun 1");
         server.now = Duration.ofMillis(1_001);
@@ -26,7 +26,7 @@
     void drainingServerAnswersAllBeforeItIsKilled() {
         server.occupyBothCores();
         server.receive(1, ORDER);
-        server.noticeShutdown(SECOND);
+        server.announceShutdown(SECOND);
         assertThat(server.advanceTo(Duration.ofMillis(930)))
                 .contains("fail 101", "fail 102", "throttle 1", "removeEntry 1");
     }
@@ -34,7 +34,7 @@
     @Test
     void drainingServerAdvertisesCapacityUntilTheGracePeriodIsOver() {
         server.settings.advertisement(CapacityAdvertisement.ROUTING_PROBABILITY);
-        assertThat(server.noticeShutdown(SECOND.multipliedBy(3))).containsExactly("unhealthy");
+        assertThat(server.announceShutdown(SECOND.multipliedBy(3))).containsExactly("unhealthy");
         assertThat(server.advanceTo(Duration.ofMillis(800)))
                 .noneMatch(action -> action.startsWith("advertise"));
         assertThat(server.advanceTo(SECOND)).contains("advertise 0.0");
@@ -42,7 +42,7 @@
 
     @Test
     void drainingServerSendsTheLongestRetryAfter() {
-        server.noticeShutdown(SECOND.multipliedBy(3));
+        server.announceShutdown(SECOND.multipliedBy(3));
         server.now = SECOND.multipliedBy(2);
         assertThat(server.receive(1, READ)).containsExactly("throttle 1");
         assertThat(server.lastRetryAfter).isEqualTo(SECOND);
--- a/src/test/java/ochretiller/admission/EvictionPolicyTest.java
+++ b/src/test/java/ochretiller/admission/EvictionPolicyTest.java
@@ -17,7 +17,7 @@
         EvictionPolicy eviction = new EvictionPolicy(List.of());
         List<TrackedInvocation> queued = new ArrayList<>();
         for (long id : new long[] {1, 3, 5, 2}) {
-            queued.add(invocation(id, READ).track());
+            queued.add(invocation(id, READ).buildTracked());
         }
         List<TrackedInvocation> ordered = order.sort(queued, Duration.ZERO);
         assertThat(eviction.chooseVictim(ordered, queued).id()).isEqualTo(new InvocationId(5));
--- a/src/test/java/ochretiller/admission/InvocationBuilder.java
+++ b/src/test/java/ochretiller/admission/InvocationBuilder.java
@@ -29,7 +29,7 @@
         return new InvocationBuilder(id, operation);
     }
 
-    InvocationBuilder repeating(long originalId) {
+    InvocationBuilder retryOf(long originalId) {
         this.originalAttempt = new InvocationId(originalId);
         return this;
     }
@@ -75,7 +75,7 @@
     }
 
     /** Builds the invocation and tracks it, to run on the local cores. */
-    TrackedInvocation track() {
+    TrackedInvocation buildTracked() {
         return new TrackedInvocation(build(), ExecutionSite.LOCAL_CORES, 1);
     }
 }
--- a/src/test/java/ochretiller/admission/QueueOrderTest.java
+++ b/src/test/java/ochretiller/admission/QueueOrderTest.java
@@ -26,10 +26,10 @@
         QueueOrder order = new QueueOrder(new CostEstimator(), BillingBasis.PER_REQUEST);
         List<TrackedInvocation> queued = new ArrayList<>();
         for (long id : new long[] {2, 4, 6, 1, 8, 3}) {
-            queued.add(invocation(id, READ).track()); // even and odd ids: two clients
+            queued.add(invocation(id, READ).buildTracked()); // even and odd ids: two clients
         }
         assertThat(ids(order.sort(queued, Duration.ZERO))).containsExactly(1L, 2L, 3L, 4L, 6L, 8L);
-        queued.add(invocation(10, ORDER).track());
+        queued.add(invocation(10, ORDER).buildTracked());
         assertThat(ids(order.sort(queued, Duration.ZERO)).get(0))
                 .as("a higher value density goes first whichever client sent it")
                 .isEqualTo(10);
--- a/src/test/java/ochretiller/admission/RetryAfterPolicyTest.java
+++ b/src/test/java/ochretiller/admission/RetryAfterPolicyTest.java
@@ -11,7 +11,7 @@
     @Test
     void retryAfterIsNeverLongerThanClientsRespect() {
         RetryAfterPolicy policy = new RetryAfterPolicy(SECOND, new SplittableRandom(1));
-        assertThat(policy.draw(SECOND.multipliedBy(9))).isEqualTo(SECOND);
-        assertThat(policy.draw(Duration.ZERO)).isPositive().isLessThan(SECOND);
+        assertThat(policy.randomDelay(SECOND.multipliedBy(9))).isEqualTo(SECOND);
+        assertThat(policy.randomDelay(Duration.ZERO)).isPositive().isLessThan(SECOND);
     }
 }
--- a/src/test/java/ochretiller/audit/HashChainTest.java
+++ b/src/test/java/ochretiller/audit/HashChainTest.java
@@ -23,7 +23,7 @@
     }
 
     private static ChainHead head(ChainedRecord record) {
-        return HashChain.continuing(record).head();
+        return HashChain.resumeAfter(record).head();
     }
 
     private static byte[] flipped(byte[] bytes, int index) {
@@ -41,7 +41,7 @@
         assertThat(ChainVerifier.verify(records.subList(3, 6), olderKnown))
                 .as("old records may be deleted")
                 .isEmpty();
-        HashChain continued = HashChain.continuing(records.get(5));
+        HashChain continued = HashChain.resumeAfter(records.get(5));
         records.add(continued.append(new byte[] {7}));
         assertThat(ChainVerifier.verify(records, List.of(continued.head())))
                 .as("the chain continues after a restart")
--- a/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
@@ -69,7 +69,7 @@
     void eachRecordIsEncodedAsItsGoldenBytes() {
         Map<String, byte[]> written = new LinkedHashMap<>();
         records().forEach((name, record) -> written.put(name, AuditRecordCodec.encode(record)));
-        RECORDS.assertHolds(written);
+        RECORDS.assertMatches(written);
     }
 
     @Test
@@ -100,7 +100,7 @@
         writer.start();
         records().values().forEach(writer::add);
         writer.close();
-        FILES.assertHolds(Map.of(FILE, Files.readAllBytes(directory.resolve(FILE))));
+        FILES.assertMatches(Map.of(FILE, Files.readAllBytes(directory.resolve(FILE))));
     }
 
     @Test
--- a/src/test/java/ochretiller/budgets/BudgetsTest.java
+++ b/src/test/java/ochretiller/budgets/BudgetsTest.java
@@ -26,7 +26,7 @@
     }
 
     private void setThreeTeams() {
-        budgets.become(
+        budgets.setGuaranteedRates(
                 Map.of(PARTS, guarantee(5, 1), FIT, guarantee(3, 3), ORDERING, guarantee(1, 0)),
                 Duration.ZERO);
     }
@@ -47,12 +47,12 @@
         double otherDue = 0;
         for (int nowMillis = fromMillis; nowMillis < toMillis; nowMillis++) {
             for (due += rate / 1e3; due >= 0.01; due -= 0.01) {
-                if (budgets.ask(team, 0.01, ms(nowMillis)).given()) {
+                if (budgets.request(team, 0.01, ms(nowMillis)).isGranted()) {
                     granted += 0.01;
                 }
             }
             for (otherDue += otherRate / 1e3; otherDue >= 0.01; otherDue -= 0.01) {
-                budgets.ask(other, 0.01, ms(nowMillis));
+                budgets.request(other, 0.01, ms(nowMillis));
             }
         }
         return granted;
@@ -89,8 +89,8 @@
     @Test
     void unusedGuaranteeAccumulatesUpToTheBurst() {
         setThreeTeams();
-        assertThat(budgets.inHand(ORDERING, ms(60_000))).isEqualTo(0.1);
-        assertThat(budgets.idle(ms(60_000)))
+        assertThat(budgets.balance(ORDERING, ms(60_000))).isEqualTo(0.1);
+        assertThat(budgets.idleWork(ms(60_000)))
                 .as("idle work is limited as well")
                 .isLessThanOrEqualTo(0.5);
     }
@@ -98,23 +98,24 @@
     @Test
     void teamRepaysWorkThatCostMoreThanExpected() {
         setThreeTeams();
-        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).kind())
-                .isEqualTo(BudgetDecision.Kind.PROMISED);
+        assertThat(budgets.request(ORDERING, 0.01, ms(0)).kind())
+                .isEqualTo(BudgetDecision.Kind.GUARANTEED);
         budgets.settle(ORDERING, 0.01, 1.01, ms(0));
-        BudgetDecision rejection = budgets.ask(ORDERING, 0.01, ms(1));
-        assertThat(rejection.kind()).isEqualTo(BudgetDecision.Kind.REFUSED);
+        BudgetDecision rejection = budgets.request(ORDERING, 0.01, ms(1));
+        assertThat(rejection.kind()).isEqualTo(BudgetDecision.Kind.REJECTED);
         assertThat(rejection.backoff()).isBetween(ms(900), ms(930));
-        assertThat(budgets.ask(PARTS, 0.01, ms(1)).kind()).isEqualTo(BudgetDecision.Kind.PROMISED);
-        assertThat(budgets.ask(ORDERING, 0.01, ms(930)).kind())
-                .isEqualTo(BudgetDecision.Kind.PROMISED);
+        assertThat(budgets.request(PARTS, 0.01, ms(1)).kind())
+                .isEqualTo(BudgetDecision.Kind.GUARANTEED);
+        assertThat(budgets.request(ORDERING, 0.01, ms(930)).kind())
+                .isEqualTo(BudgetDecision.Kind.GUARANTEED);
     }
 
     @Test
     void workLargerThanTheBurstStartsAtFullBurstAndLeavesDebt() {
         setThreeTeams();
-        assertThat(budgets.ask(ORDERING, 0.5, ms(0)).kind())
-                .isEqualTo(BudgetDecision.Kind.PROMISED);
-        assertThat(budgets.inHand(ORDERING, ms(0))).isEqualTo(-0.4);
+        assertThat(budgets.request(ORDERING, 0.5, ms(0)).kind())
+                .isEqualTo(BudgetDecision.Kind.GUARANTEED);
+        assertThat(budgets.balance(ORDERING, ms(0))).isEqualTo(-0.4);
     }
 
     @Test
@@ -123,11 +124,11 @@
         double firstAttempts = 0;
         double retries = 0;
         for (int nowMillis = 0; nowMillis < 10_000; nowMillis++) {
-            if (nowMillis % 10 == 0 && budgets.ask(PARTS, 0.01, ms(nowMillis)).given()) {
+            if (nowMillis % 10 == 0 && budgets.request(PARTS, 0.01, ms(nowMillis)).isGranted()) {
                 firstAttempts += 0.01;
             }
             for (int i = 0; i < 5; i++) {
-                if (budgets.askAgain(PARTS, 0.01, ms(nowMillis)).given()) {
+                if (budgets.requestRetry(PARTS, 0.01, ms(nowMillis)).isGranted()) {
                     retries += 0.01;
                 }
             }
@@ -139,14 +140,14 @@
     @Test
     void unknownTeamAndExcessiveGuaranteesAreRejected() {
         setThreeTeams();
-        assertThat(budgets.ask(new TeamId("stranger"), 0.01, ms(0)).given()).isFalse();
+        assertThat(budgets.request(new TeamId("stranger"), 0.01, ms(0)).isGranted()).isFalse();
         assertThatThrownBy(
                         () ->
-                                budgets.become(
+                                budgets.setGuaranteedRates(
                                         Map.of(PARTS, guarantee(8, 1), FIT, guarantee(3, 1)),
                                         ms(0)))
                 .hasMessageContaining("exceed the capacity");
-        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given())
+        assertThat(budgets.request(ORDERING, 0.01, ms(0)).isGranted())
                 .as("the previous guarantees still apply")
                 .isTrue();
     }
@@ -157,9 +158,9 @@
         budgets.settle(FIT, 0, 2, ms(0));
         Map<TeamId, GuaranteedRate> nextGuarantees =
                 new LinkedHashMap<>(Map.of(PARTS, guarantee(5, 1), FIT, guarantee(4, 3)));
-        budgets.become(nextGuarantees, ms(0));
-        assertThat(budgets.inHand(FIT, ms(0))).isEqualTo(-1.9);
-        assertThat(budgets.ask(ORDERING, 0.01, ms(0)).given())
+        budgets.setGuaranteedRates(nextGuarantees, ms(0));
+        assertThat(budgets.balance(FIT, ms(0))).isEqualTo(-1.9);
+        assertThat(budgets.request(ORDERING, 0.01, ms(0)).isGranted())
                 .as("it has no guarantee any more")
                 .isFalse();
     }
@@ -181,21 +182,21 @@
             guarantees.put(
                     team, new GuaranteedRate(rate, 0.2, random.nextDouble(0.1, 5), 0.1, 0.1));
         }
-        budgets.become(guarantees, Duration.ZERO);
+        budgets.setGuaranteedRates(guarantees, Duration.ZERO);
         double grantedTotal = 0;
         double due = 0;
         double requestedRate = guarantees.get(PARTS).rate() * 0.98;
         for (int nowMillis = 0; nowMillis < 5_000; nowMillis++) {
             for (due += requestedRate / 1e3; due >= 0.02; due -= 0.02) {
-                assertThat(budgets.ask(PARTS, 0.02, ms(nowMillis)).kind())
+                assertThat(budgets.request(PARTS, 0.02, ms(nowMillis)).kind())
                         .as("seed %d at %d ms", seed, nowMillis)
-                        .isEqualTo(BudgetDecision.Kind.PROMISED);
+                        .isEqualTo(BudgetDecision.Kind.GUARANTEED);
                 grantedTotal += 0.02;
             }
             for (int i = random.nextInt(8); i > 0; i--) {
                 TeamId team = teams[1 + random.nextInt(3)];
                 double work = random.nextDouble(0.001, 0.1);
-                if (budgets.ask(team, work, ms(nowMillis)).given()) {
+                if (budgets.request(team, work, ms(nowMillis)).isGranted()) {
                     grantedTotal += work;
                 }
             }
--- a/src/test/java/ochretiller/contracts/ContractsTest.java
+++ b/src/test/java/ochretiller/contracts/ContractsTest.java
@@ -124,9 +124,9 @@
         "10.128.0.0/8, false"
     })
     void parsesPrefixesStrictly(String text, boolean isValid) {
-        assertThat(AddressPrefix.of(text) != null).isEqualTo(isValid);
+        assertThat(AddressPrefix.parse(text) != null).isEqualTo(isValid);
         if (isValid) {
-            assertThat(AddressPrefix.of(text)).hasToString(text);
+            assertThat(AddressPrefix.parse(text)).hasToString(text);
         }
     }
 
@@ -147,7 +147,7 @@
                         new GuaranteedRate(5, 0.1, 3, 0.1, 0.1)));
         addTeam("fit", 3, "10.2.0.0/16");
         addTeam("new", 1, "10.4.0.0/16");
-        assertThat(previous.changes(Contracts.of(10, contracts)))
+        assertThat(previous.describeChanges(Contracts.of(10, contracts)))
                 .containsExactly(
                         "parts promised 4.000 core seconds a second -> 5.000 core seconds a second",
                         "parts has 0.333 -> 0.600 of what is idle where all want it",
@@ -157,6 +157,6 @@
                         "ordering goes: what it asks from then on is refused, what was read is"
                                 + " answered",
                         "new comes, promised 1.000 core seconds a second");
-        assertThat(previous.changes(previous)).isEmpty();
+        assertThat(previous.describeChanges(previous)).isEmpty();
     }
 }
--- a/src/test/java/ochretiller/fleet/consensus/EpochConsensusTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/EpochConsensusTest.java
@@ -73,7 +73,7 @@
     }
 
     private ReplicaPlacement committedBy(String name) {
-        return acceptors.get(name).committed();
+        return acceptors.get(name).committedPlacement();
     }
 
     private static List<String> names(ReplicaPlacement placement) {
@@ -89,7 +89,7 @@
         }
 
         for (EpochConsensus acceptor : acceptors.values()) {
-            assertThat(names(acceptor.committed())).containsExactly("x", "y");
+            assertThat(names(acceptor.committedPlacement())).containsExactly("x", "y");
         }
         assertThat(committedBy("c").epoch()).isEqualTo(2);
     }
@@ -135,9 +135,9 @@
         assertThat(recovered.takeOutbound()).as("it may have voted on the first epoch").isEmpty();
 
         proposeAndDeliverAll("a", firstEpochOf("x"));
-        assertThat(recovered.committed().epoch()).isEqualTo(1);
+        assertThat(recovered.committedPlacement().epoch()).isEqualTo(1);
         proposeAndDeliverAll("c", committedBy("c").with(server("y")));
-        assertThat(recovered.committed().epoch()).as("it votes again").isEqualTo(2);
+        assertThat(recovered.committedPlacement().epoch()).as("it votes again").isEqualTo(2);
     }
 
     @Test
@@ -220,7 +220,7 @@
             EpochConsensus acceptor = acceptors.get(name);
             int action = random.nextInt(12);
             if (action == 0) {
-                acceptor.propose(acceptor.committed().with(server(name + step)));
+                acceptor.propose(acceptor.committedPlacement().with(server(name + step)));
             } else if (action == 1) {
                 restart(name, step);
             } else if (action == 2) {
@@ -256,7 +256,7 @@
 
         private void checkThatCommittedPlacementsAgree() {
             for (EpochConsensus acceptor : acceptors.values()) {
-                ReplicaPlacement committed = acceptor.committed();
+                ReplicaPlacement committed = acceptor.committedPlacement();
                 if (committed.epoch() > 0) {
                     ReplicaPlacement first =
                             committedByEpoch.computeIfAbsent(committed.epoch(), epoch -> committed);
--- a/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/consensus/ReplicaPlacementGoldenTest.java
@@ -32,6 +32,6 @@
             actual.put("keepers-of-" + range, text(placement.replicasOf(range)));
             actual.put("former-keepers-of-" + range, text(placement.previousReplicasOf(range)));
         }
-        PLACEMENTS.assertHolds(actual);
+        PLACEMENTS.assertMatches(actual);
     }
 }
--- a/src/test/java/ochretiller/fleet/membership/BootstrapPeersTest.java
+++ b/src/test/java/ochretiller/fleet/membership/BootstrapPeersTest.java
@@ -44,8 +44,8 @@
                 List.of(alive(1, "a"), alive(2, "a"), snapshot(3, "b", MemberState.UNRESPONSIVE)),
                 seconds(1));
 
-        assertThat(peers.takeDue(seconds(1))).contains(List.of(address(2)));
-        assertThat(peers.takeDue(seconds(60))).as("nothing has changed").isEmpty();
+        assertThat(peers.takeListToStore(seconds(1))).contains(List.of(address(2)));
+        assertThat(peers.takeListToStore(seconds(60))).as("nothing has changed").isEmpty();
     }
 
     @Test
@@ -53,11 +53,16 @@
         BootstrapPeers peers = new BootstrapPeers(SELF, List.of(address(9)));
 
         peers.observe(List.of(alive(2, "a"), alive(3, "a")), seconds(1));
-        assertThat(peers.takeDue(seconds(1)).orElseThrow()).hasSize(3).last().isEqualTo(address(9));
+        assertThat(peers.takeListToStore(seconds(1)).orElseThrow())
+                .hasSize(3)
+                .last()
+                .isEqualTo(address(9));
 
         peers.observe(List.of(alive(3, "a")), seconds(2));
         peers.observe(List.of(), seconds(3));
-        assertThat(peers.takeDue(seconds(20))).as("departed peers are still listed").isEmpty();
+        assertThat(peers.takeListToStore(seconds(20)))
+                .as("departed peers are still listed")
+                .isEmpty();
     }
 
     @Test
@@ -70,7 +75,7 @@
 
         peers.observe(view, seconds(1));
 
-        List<PeerAddress> stored = peers.takeDue(seconds(1)).orElseThrow();
+        List<PeerAddress> stored = peers.takeListToStore(seconds(1)).orElseThrow();
         assertThat(stored).hasSize(BootstrapPeers.MAX_PEERS);
         for (int i = 90; i < 100; i++) {
             assertThat(stored).contains(address(i));
@@ -85,7 +90,7 @@
         for (int i = 2; i < 32; i++) {
             view.add(alive(i, "a"));
             peers.observe(view, seconds(i));
-            if (peers.takeDue(seconds(i)).isPresent()) {
+            if (peers.takeListToStore(seconds(i)).isPresent()) {
                 storedLists++;
             }
         }
--- a/src/test/java/ochretiller/fleet/membership/DigestGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/membership/DigestGoldenTest.java
@@ -44,7 +44,7 @@
             table.add(member(incarnation, incarnation, MemberState.ALIVE), Duration.ZERO);
         }
         actual.put("parts", bytes(table.bucketDigests(self)));
-        DIGESTS.assertHolds(actual);
+        DIGESTS.assertMatches(actual);
     }
 
     /** The code of a state in the wire format. */
--- a/src/test/java/ochretiller/fleet/membership/MemberTableTest.java
+++ b/src/test/java/ochretiller/fleet/membership/MemberTableTest.java
@@ -31,7 +31,7 @@
         for (int i = 2; i < 30; i++) {
             table.add(unresponsive(i), NOW);
         }
-        assertThat(table.departed()).hasSize(28);
+        assertThat(table.departedMembers()).hasSize(28);
 
         assertThat(table.removeLongestDeparted()).isTrue();
 
--- a/src/test/java/ochretiller/fleet/replication/AntiEntropyTest.java
+++ b/src/test/java/ochretiller/fleet/replication/AntiEntropyTest.java
@@ -64,7 +64,8 @@
     @Test
     void replicaWithLostDiskRecoversDespiteMessageLossWithFewDuplicates() {
         Map<String, ReplicaEntry> all = cluster.entries(3_000, "result ");
-        cluster.replicas.put("a", cluster.withoutDisk("a", ReplicationCluster.FAST));
+        cluster.replicas.put(
+                "a", cluster.withoutDisk("a", ReplicationCluster.FAST_BYTES_PER_SECOND));
         cluster.replicas.put("b", cluster.recovered("b", all));
         cluster.replicas.put("c", cluster.recovered("c", all));
         cluster.lossRate = 0.1;
--- a/src/test/java/ochretiller/fleet/replication/ClaimCoordinatorTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ClaimCoordinatorTest.java
@@ -56,7 +56,7 @@
                         EPOCH,
                         TOKEN,
                         id,
-                        ClaimVote.HELD,
+                        ClaimVote.CLAIMED_BY_OTHER,
                         Optional.of(competitor),
                         Optional.empty(),
                         1),
--- a/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ClaimModesTest.java
@@ -21,12 +21,12 @@
                 .isEqualTo(ClaimRequirement.REQUIRED_TRANSITIONALLY);
         assertThat(modes.requirementFor("other", now.plus(WINDOW)))
                 .isEqualTo(ClaimRequirement.NOT_REQUIRED);
-        modes.claimObserved("order", false, now.plusSeconds(15));
-        modes.claimObserved("other", true, now.plusSeconds(15));
+        modes.recordObservedClaim("order", false, now.plusSeconds(15));
+        modes.recordObservedClaim("other", true, now.plusSeconds(15));
         assertThat(modes.requirementFor("other", now.plus(WINDOW)))
                 .as("neither a claim in fleet mode nor a transitional claim prolongs it")
                 .isEqualTo(ClaimRequirement.NOT_REQUIRED);
-        modes.claimObserved("other", false, now.plusSeconds(15));
+        modes.recordObservedClaim("other", false, now.plusSeconds(15));
         assertThat(modes.requirementFor("other", now.plus(WINDOW)))
                 .as("another server still claims the operation")
                 .isEqualTo(ClaimRequirement.REQUIRED_TRANSITIONALLY);
--- a/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
+++ b/src/test/java/ochretiller/fleet/replication/DurabilityBarrierTest.java
@@ -30,7 +30,7 @@
     private List<PendingWrite> submit(
             List<String> tokens, boolean metadata, OutboundMessage... messages) {
         SubmittedChange change = barrier.submit(tokens, metadata, List.of(messages));
-        sent.addAll(change.sendable());
+        sent.addAll(change.sendableMessages());
         return change.writes();
     }
 
@@ -118,7 +118,7 @@
                             replica.takeOutbound());
             outstanding.addAll(change.writes());
             outstanding.addAll(ownBarrier.retryWrites(now));
-            List<OutboundMessage> sendable = new ArrayList<>(change.sendable());
+            List<OutboundMessage> sendable = new ArrayList<>(change.sendableMessages());
             sendable.addAll(acknowledgeSome(ownBarrier, outstanding, disk, random));
             granted.addAll(grantedTokens(sendable));
             assertThat(disk).as("seed " + seed).containsAll(granted);
--- a/src/test/java/ochretiller/fleet/replication/MarkGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/replication/EntryDigestGoldenTest.java
@@ -17,7 +17,7 @@
  * Compares digests and sketches with golden values, since replicas of different releases exchange
  * them. An entry digest covers its claims as {@link ClaimId#toString} formats them, in claim order.
  */
-class MarkGoldenTest {
+class EntryDigestGoldenTest {
     private static final GoldenFile GOLDEN = new GoldenFile("entry-marks");
     private static final String TOKEN = "a token";
     private static final ClaimId FIRST = new ClaimId("s", -7, 3);
@@ -73,7 +73,7 @@
         replicaEntries.put(TOKEN, entries().get("ended"), 1);
         actual.put("digest-of-range", bytes(replicaEntries.rangeDigest(range)));
         actual.put("sketch-of-range", replicaEntries.sketch(range, 6).toBytes());
-        GOLDEN.assertHolds(actual);
+        GOLDEN.assertMatches(actual);
     }
 
     @Test
--- a/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicaTest.java
@@ -51,7 +51,7 @@
         assertThat(claim(replica, first, EPOCH))
                 .as("a repeated request")
                 .isEqualTo(ClaimVote.GRANTED);
-        assertThat(claim(replica, second, EPOCH)).isEqualTo(ClaimVote.HELD);
+        assertThat(claim(replica, second, EPOCH)).isEqualTo(ClaimVote.CLAIMED_BY_OTHER);
         replica.receive("s", new ReplicationMessage.ClaimRelease(TOKEN, first, WINDOW), now);
         assertThat(claim(replica, second, EPOCH)).isEqualTo(ClaimVote.GRANTED);
         assertThat(claim(replica, first, EPOCH))
@@ -130,7 +130,7 @@
             exchange(diskless, Map.of("b", b, "c", c));
         }
         assertThat(diskless.laggingRangeCount()).isZero();
-        assertThat(claim(diskless, second, EPOCH)).isEqualTo(ClaimVote.HELD);
+        assertThat(claim(diskless, second, EPOCH)).isEqualTo(ClaimVote.CLAIMED_BY_OTHER);
     }
 
     @Test
--- a/src/test/java/ochretiller/fleet/replication/ReplicationCluster.java
+++ b/src/test/java/ochretiller/fleet/replication/ReplicationCluster.java
@@ -17,7 +17,7 @@
 /** Three replicas and one claiming server on a network that may lose messages, in virtual time. */
 final class ReplicationCluster {
     static final Duration WINDOW = Duration.ofSeconds(60);
-    static final double FAST = 64 << 20;
+    static final double FAST_BYTES_PER_SECOND = 64 << 20;
     private static final String OWNER = "s";
 
     final Map<String, Replica> replicas = new TreeMap<>();
@@ -39,7 +39,7 @@
         ReplicaSnapshot snapshot =
                 new ReplicaSnapshot(
                         PLACEMENT, entries, Set.of(), Set.of(), Set.of(), changeNumber, mayBeStale);
-        return Replica.recover(name, snapshot, limits(FAST), now);
+        return Replica.recover(name, snapshot, limits(FAST_BYTES_PER_SECOND), now);
     }
 
     Replica recovered(String name, Map<String, ReplicaEntry> entries) {
@@ -108,7 +108,7 @@
         Replica replica = replicas.get(recipient);
         if (replica != null) {
             replica.receive(message.sender, content, now);
-            replica.takeAssembledResults().forEach(replica::resultStored);
+            replica.takeAssembledResults().forEach(replica::recordResultStored);
             sendAll(network, recipient, replica.takeOutbound());
         }
     }
@@ -116,7 +116,7 @@
     private void deliverToOwner(
             String sender, ReplicationMessage content, Deque<InFlight> network) {
         if (content instanceof ReplicationMessage.ChunkRequest request) {
-            owner.pendingResult(request.claimId())
+            owner.pendingChunkedResult(request.claimId())
                     .flatMap(result -> ChunkAssembler.slice(request, result))
                     .ifPresent(
                             chunk ->
--- a/src/test/java/ochretiller/fleet/rollout/LeaseGrantorTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/LeaseGrantorTest.java
@@ -1,11 +1,11 @@
 package ochretiller.fleet.rollout;
 
-import static ochretiller.fleet.rollout.RolloutFixture.ONE;
-import static ochretiller.fleet.rollout.RolloutFixture.TWO;
+import static ochretiller.fleet.rollout.RolloutFixture.FIRST_VERSION;
+import static ochretiller.fleet.rollout.RolloutFixture.SECOND_VERSION;
 import static ochretiller.fleet.rollout.RolloutFixture.fleet;
-import static ochretiller.fleet.rollout.RolloutFixture.names;
-import static ochretiller.fleet.rollout.RolloutFixture.running;
-import static ochretiller.fleet.rollout.RolloutFixture.second;
+import static ochretiller.fleet.rollout.RolloutFixture.reportRunning;
+import static ochretiller.fleet.rollout.RolloutFixture.rolloutOfSecond;
+import static ochretiller.fleet.rollout.RolloutFixture.serverNames;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.time.Duration;
@@ -27,11 +27,11 @@
     }
 
     private static ReplicaPlacement lastStage(int servers) {
-        return fleet(servers, second(RolloutStages.ALL_SERVERS));
+        return fleet(servers, rolloutOfSecond(RolloutStages.ALL_SERVERS));
     }
 
     private void reportAllRunningSecondVersion(ReplicaPlacement fleet) {
-        names(fleet).forEach(server -> reports.put(server, running(TWO)));
+        serverNames(fleet).forEach(server -> reports.put(server, reportRunning(SECOND_VERSION)));
     }
 
     @Test
@@ -39,14 +39,14 @@
         LeaseGrantor grantor = grantor(Duration.ofSeconds(3));
         ReplicaPlacement fleet = lastStage(9);
         reportAllRunningSecondVersion(fleet);
-        reports.put("m4", running(ONE));
+        reports.put("m4", reportRunning(FIRST_VERSION));
         assertThat(grantor.renew(fleet, "m5", reports, now)).isTrue();
         assertThat(grantor.renew(fleet, "m4", reports, now.plusSeconds(2)))
                 .as("within the grace period")
                 .isTrue();
         assertThat(grantor.renew(fleet, "m4", reports, now.plusSeconds(4))).isFalse();
         assertThat(grantor.renew(fleet, "m5", reports, now.plusSeconds(4))).isTrue();
-        reports.put("m4", running(TWO));
+        reports.put("m4", reportRunning(SECOND_VERSION));
         boolean isReadmitted = false;
         for (int i = 0; i < 20 && !isReadmitted; i++) {
             isReadmitted = grantor.renew(fleet, "m4", reports, now.plusSeconds(5));
@@ -59,8 +59,10 @@
     void noServerIsFencedIfManyAreStragglers() {
         LeaseGrantor grantor = grantor(Duration.ofSeconds(3));
         ReplicaPlacement fleet = lastStage(9);
-        for (String server : names(fleet)) {
-            reports.put(server, running(server.compareTo("m5") < 0 ? ONE : TWO));
+        for (String server : serverNames(fleet)) {
+            reports.put(
+                    server,
+                    reportRunning(server.compareTo("m5") < 0 ? FIRST_VERSION : SECOND_VERSION));
         }
         grantor.renew(fleet, "m1", reports, now);
         assertThat(grantor.renew(fleet, "m1", reports, now.plusSeconds(10)))
@@ -73,11 +75,11 @@
         LeaseGrantor grantor = grantor(Duration.ZERO);
         ReplicaPlacement fleet = lastStage(40);
         reportAllRunningSecondVersion(fleet);
-        List<String> stragglers = new ArrayList<>(names(fleet)).subList(0, 12);
-        stragglers.forEach(server -> reports.put(server, running(ONE)));
+        List<String> stragglers = new ArrayList<>(serverNames(fleet)).subList(0, 12);
+        stragglers.forEach(server -> reports.put(server, reportRunning(FIRST_VERSION)));
         stragglers.forEach(server -> grantor.renew(fleet, server, reports, now));
         assertThat(grantor.fencedServers()).hasSize(12);
-        stragglers.forEach(server -> reports.put(server, running(TWO)));
+        stragglers.forEach(server -> reports.put(server, reportRunning(SECOND_VERSION)));
         renewRepeatedly(grantor, fleet, stragglers, 10);
         assertThat(grantor.fencedServers().size())
                 .as("fenced after the first second")
--- a/src/test/java/ochretiller/fleet/rollout/LeaseTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/LeaseTest.java
@@ -21,9 +21,7 @@
         assertThat(lease.isHeld(now)).as("duplicates and other servers do not count").isFalse();
         lease.recordGrant("b", request);
         assertThat(lease.isHeld(now.plusSeconds(4))).isTrue();
-        assertThat(lease.isHeld(now.plusSeconds(5)))
-                .as("after its duration")
-                .isFalse();
+        assertThat(lease.isHeld(now.plusSeconds(5))).as("after its duration").isFalse();
         lease.recordGrant("a", 7);
         lease.recordGrant("c", 7);
         assertThat(lease.expiresAt())
--- a/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutControllerTest.java
@@ -1,12 +1,12 @@
 package ochretiller.fleet.rollout;
 
-import static ochretiller.fleet.rollout.RolloutFixture.ONE;
-import static ochretiller.fleet.rollout.RolloutFixture.TWO;
+import static ochretiller.fleet.rollout.RolloutFixture.FIRST_VERSION;
+import static ochretiller.fleet.rollout.RolloutFixture.SECOND_VERSION;
 import static ochretiller.fleet.rollout.RolloutFixture.counters;
 import static ochretiller.fleet.rollout.RolloutFixture.fleet;
-import static ochretiller.fleet.rollout.RolloutFixture.names;
-import static ochretiller.fleet.rollout.RolloutFixture.running;
-import static ochretiller.fleet.rollout.RolloutFixture.second;
+import static ochretiller.fleet.rollout.RolloutFixture.reportRunning;
+import static ochretiller.fleet.rollout.RolloutFixture.rolloutOfSecond;
+import static ochretiller.fleet.rollout.RolloutFixture.serverNames;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.time.Duration;
@@ -30,11 +30,12 @@
             ReplicaPlacement fleet,
             VersionCounters candidate,
             VersionCounters baseline) {
-        for (String server : names(fleet)) {
+        for (String server : serverNames(fleet)) {
             VersionCounters own =
                     RolloutStages.includes(fleet, server) ? candidate : VersionCounters.ZERO;
             target.recordReport(
-                    server, running(RolloutStages.targetVersion(fleet, server), own, baseline));
+                    server,
+                    reportRunning(RolloutStages.targetVersion(fleet, server), own, baseline));
         }
     }
 
@@ -44,16 +45,17 @@
 
     private static void reportAllRunningFirstVersion(
             RolloutController target, ReplicaPlacement fleet) {
-        names(fleet).forEach(server -> target.recordReport(server, running(ONE)));
+        serverNames(fleet)
+                .forEach(server -> target.recordReport(server, reportRunning(FIRST_VERSION)));
     }
 
     private static Optional<RolloutState> next(
             RolloutController target, ReplicaPlacement fleet, Duration at) {
-        return target.nextState(fleet, names(fleet), at);
+        return target.nextState(fleet, serverNames(fleet), at);
     }
 
     private static String firstIncluded(ReplicaPlacement fleet) {
-        return names(fleet).stream()
+        return serverNames(fleet).stream()
                 .filter(server -> RolloutStages.includes(fleet, server))
                 .findFirst()
                 .orElseThrow();
@@ -61,24 +63,24 @@
 
     @Test
     void eachStageIsObservedOnceItsServersRunTheVersion() {
-        ReplicaPlacement fleet = fleet(6, second(0));
+        ReplicaPlacement fleet = fleet(6, rolloutOfSecond(0));
         reportAllRunningFirstVersion(controller, fleet);
         assertThat(next(controller, fleet, now)).as("no server runs the version yet").isEmpty();
         assertThat(next(controller, fleet, now.plusSeconds(20))).isEmpty();
-        controller.recordReport(firstIncluded(fleet), running(TWO));
+        controller.recordReport(firstIncluded(fleet), reportRunning(SECOND_VERSION));
         assertThat(next(controller, fleet, now.plusSeconds(21))).isEmpty();
         RolloutState next = next(controller, fleet, now.plusSeconds(31)).orElseThrow();
         assertThat(next.stage()).isEqualTo(1);
-        ReplicaPlacement last = fleet(6, second(RolloutStages.ALL_SERVERS));
+        ReplicaPlacement last = fleet(6, rolloutOfSecond(RolloutStages.ALL_SERVERS));
         reportAllIdle(controller, last);
         assertThat(next(controller, last, now.plusSeconds(40))).isEmpty();
         assertThat(next(controller, last, now.plusSeconds(51)).orElseThrow())
-                .isEqualTo(second(RolloutStages.ALL_SERVERS).completed());
+                .isEqualTo(rolloutOfSecond(RolloutStages.ALL_SERVERS).completed());
     }
 
     @Test
     void anotherAcceptorContinuesFromTheCommittedState() {
-        ReplicaPlacement fleet = fleet(6, second(1));
+        ReplicaPlacement fleet = fleet(6, rolloutOfSecond(1));
         RolloutController fresh = new RolloutController(OBSERVATION, OBSERVATION, true);
         reportAllIdle(fresh, fleet);
         assertThat(next(fresh, fleet, now)).isEmpty();
@@ -88,7 +90,7 @@
 
     @Test
     void harmfulVersionIsRolledBackByANewVersionOrHalted() {
-        ReplicaPlacement fleet = fleet(12, second(1));
+        ReplicaPlacement fleet = fleet(12, rolloutOfSecond(1));
         reportAll(controller, fleet, VersionCounters.ZERO, counters(5_000, 900));
         assertThat(next(controller, fleet, now))
                 .as("counters from before the rollout do not count")
@@ -96,7 +98,7 @@
         reportAll(controller, fleet, counters(400, 120), counters(5_400, 904));
         RolloutState rolledBack = next(controller, fleet, now.plusSeconds(1)).orElseThrow();
         assertThat(rolledBack.target().number()).isEqualTo(3);
-        assertThat(rolledBack.target().hash()).isEqualTo(ONE.hash());
+        assertThat(rolledBack.target().hash()).isEqualTo(FIRST_VERSION.hash());
         assertThat(rolledBack.isComplete()).isTrue();
         assertThat(controller.haltReason()).contains("errored 0.3000");
         RolloutController halting = new RolloutController(OBSERVATION, OBSERVATION, false);
@@ -109,20 +111,20 @@
     @Test
     void rejectionStopsAnEarlyStage() {
         for (int stage = 0; stage < RolloutStages.ALL_SERVERS; stage++) {
-            ReplicaPlacement fleet = fleet(12, second(stage));
+            ReplicaPlacement fleet = fleet(12, rolloutOfSecond(stage));
             RolloutController freshController =
                     new RolloutController(OBSERVATION, OBSERVATION, true);
             String rejecting = reportAllWithOneRejection(freshController, fleet);
             next(freshController, fleet, now);
             RolloutState next = next(freshController, fleet, now.plusSeconds(11)).orElseThrow();
-            assertThat(next.target().hash()).isEqualTo(ONE.hash());
+            assertThat(next.target().hash()).isEqualTo(FIRST_VERSION.hash());
             assertThat(freshController.haltReason()).contains(rejecting).contains("too old");
         }
     }
 
     @Test
     void rejectionOfOneServerDoesNotStopTheLastStage() {
-        ReplicaPlacement fleet = fleet(12, second(RolloutStages.ALL_SERVERS));
+        ReplicaPlacement fleet = fleet(12, rolloutOfSecond(RolloutStages.ALL_SERVERS));
         RolloutController freshController = new RolloutController(OBSERVATION, OBSERVATION, true);
         reportAllWithOneRejection(freshController, fleet);
         next(freshController, fleet, now);
@@ -140,7 +142,7 @@
                 rejecting,
                 new VersionReport(
                         1,
-                        ONE.hash(),
+                        FIRST_VERSION.hash(),
                         2,
                         "its build is too old",
                         2,
@@ -151,7 +153,7 @@
 
     @Test
     void rolloutHaltsIfNoServerActivatesTheVersion() {
-        ReplicaPlacement fleet = fleet(6, second(0));
+        ReplicaPlacement fleet = fleet(6, rolloutOfSecond(0));
         reportAllRunningFirstVersion(controller, fleet);
         next(controller, fleet, now);
         assertThat(next(controller, fleet, now.plusSeconds(100))).isEmpty();
@@ -161,7 +163,7 @@
 
     @Test
     void pausedRolloutDoesNotAdvance() {
-        ReplicaPlacement fleet = fleet(6, second(0).withPhase(RolloutPhase.PAUSED));
+        ReplicaPlacement fleet = fleet(6, rolloutOfSecond(0).withPhase(RolloutPhase.PAUSED));
         reportAll(controller, fleet, counters(1_000, 900), counters(1_000, 0));
         assertThat(next(controller, fleet, now.plusSeconds(1_000))).isEmpty();
     }
@@ -171,8 +173,11 @@
         VersionReport fork =
                 new VersionReport(
                         2, "c".repeat(64), 0, "", 2, VersionCounters.ZERO, VersionCounters.ZERO);
-        assertThat(RolloutController.isBehind(Optional.of(fork), TWO)).isTrue();
-        assertThat(RolloutController.isBehind(Optional.of(running(TWO)), TWO)).isFalse();
-        assertThat(RolloutController.isBehind(Optional.empty(), TWO)).isTrue();
+        assertThat(RolloutController.isLagging(Optional.of(fork), SECOND_VERSION)).isTrue();
+        assertThat(
+                        RolloutController.isLagging(
+                                Optional.of(reportRunning(SECOND_VERSION)), SECOND_VERSION))
+                .isFalse();
+        assertThat(RolloutController.isLagging(Optional.empty(), SECOND_VERSION)).isTrue();
     }
 }
--- a/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutFixture.java
@@ -12,9 +12,9 @@
 
 /** Test data of this package: two versions, and fleets in which the second one is rolled out. */
 final class RolloutFixture {
-    static final PublishedVersion ONE =
+    static final PublishedVersion FIRST_VERSION =
             new PublishedVersion(1, "a".repeat(64), 10, "", "ann", "first");
-    static final PublishedVersion TWO =
+    static final PublishedVersion SECOND_VERSION =
             new PublishedVersion(2, "b".repeat(64), 10, "", "ann", "second");
 
     private RolloutFixture() {}
@@ -29,23 +29,23 @@
     }
 
     /** Returns a running rollout of the second version at a stage. */
-    static RolloutState second(int stage) {
-        return new RolloutState(TWO, ONE, stage, RolloutPhase.RUNNING);
+    static RolloutState rolloutOfSecond(int stage) {
+        return new RolloutState(SECOND_VERSION, FIRST_VERSION, stage, RolloutPhase.RUNNING);
     }
 
-    static Set<String> names(ReplicaPlacement placement) {
+    static Set<String> serverNames(ReplicaPlacement placement) {
         Set<String> names = new TreeSet<>();
         placement.servers().forEach(server -> names.add(server.name()));
         return names;
     }
 
-    static VersionReport running(
+    static VersionReport reportRunning(
             PublishedVersion version, VersionCounters candidate, VersionCounters baseline) {
         return new VersionReport(version.number(), version.hash(), 0, "", 2, candidate, baseline);
     }
 
-    static VersionReport running(PublishedVersion version) {
-        return running(version, VersionCounters.ZERO, VersionCounters.ZERO);
+    static VersionReport reportRunning(PublishedVersion version) {
+        return reportRunning(version, VersionCounters.ZERO, VersionCounters.ZERO);
     }
 
     static VersionCounters counters(long answered, long errored) {
--- a/src/test/java/ochretiller/fleet/rollout/StagesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutStagesGoldenTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Compares each stage's servers with a golden file, since different releases must agree. */
-class StagesGoldenTest {
+class RolloutStagesGoldenTest {
     private static final GoldenFile SELECTIONS = new GoldenFile("stage-draws");
     private static final int SERVERS = 12;
 
@@ -49,6 +49,6 @@
                         flags.toString().getBytes(StandardCharsets.US_ASCII));
             }
         }
-        SELECTIONS.assertHolds(selections);
+        SELECTIONS.assertMatches(selections);
     }
 }
--- a/src/test/java/ochretiller/fleet/rollout/RolloutStagesTest.java
+++ b/src/test/java/ochretiller/fleet/rollout/RolloutStagesTest.java
@@ -1,8 +1,8 @@
 package ochretiller.fleet.rollout;
 
 import static ochretiller.fleet.rollout.RolloutFixture.fleet;
-import static ochretiller.fleet.rollout.RolloutFixture.names;
-import static ochretiller.fleet.rollout.RolloutFixture.second;
+import static ochretiller.fleet.rollout.RolloutFixture.rolloutOfSecond;
+import static ochretiller.fleet.rollout.RolloutFixture.serverNames;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.HashSet;
@@ -16,8 +16,8 @@
 class RolloutStagesTest {
     @Test
     void stagesAreOneCanaryThenAQuarterOfEachZoneThenAll() {
-        ReplicaPlacement canaryStage = fleet(24, second(0));
-        ReplicaPlacement partialStage = fleet(24, second(1));
+        ReplicaPlacement canaryStage = fleet(24, rolloutOfSecond(0));
+        ReplicaPlacement partialStage = fleet(24, rolloutOfSecond(1));
         Set<String> canaries = new HashSet<>();
         Map<String, Integer> zones = new TreeMap<>();
         canaryStage
@@ -37,13 +37,13 @@
                 .allMatch(server -> RolloutStages.includes(partialStage, server));
         assertThat(zones).containsOnlyKeys("z0", "z1", "z2");
         assertThat(zones.values()).allMatch(count -> count == 2 || count == 3);
-        ReplicaPlacement lastStage = fleet(24, second(RolloutStages.ALL_SERVERS));
-        assertThat(names(canaryStage))
+        ReplicaPlacement lastStage = fleet(24, rolloutOfSecond(RolloutStages.ALL_SERVERS));
+        assertThat(serverNames(canaryStage))
                 .allMatch(server -> RolloutStages.includes(lastStage, server));
         for (int size = 1; size < 12; size++) {
-            ReplicaPlacement small = fleet(size, second(1));
+            ReplicaPlacement small = fleet(size, rolloutOfSecond(1));
             long included =
-                    names(small).stream()
+                    serverNames(small).stream()
                             .filter(server -> RolloutStages.includes(small, server))
                             .count();
             assertThat(included).as(size + " servers").isBetween(1L, Math.max(1, size / 2L));
--- a/src/test/java/ochretiller/fleet/service/SealedFileTest.java
+++ b/src/test/java/ochretiller/fleet/service/ChecksummedFileTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests that truncated and altered files are detected. */
-class SealedFileTest {
+class ChecksummedFileTest {
     @TempDir private Path folder;
 
     @Test
     void eachTruncationAndEachAlteredByteIsDetected() throws IOException {
         Path path = folder.resolve("small");
-        SealedFile file = new SealedFile(path);
+        ChecksummedFile file = new ChecksummedFile(path);
         assertThat(file.<String>read(CborReader::readText)).as("no file").isEmpty();
         file.write(out -> out.writeString("what was kept"));
         assertThat(file.read(CborReader::readText)).contains("what was kept");
--- a/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/FleetFilesGoldenTest.java
@@ -91,7 +91,7 @@
             new AcceptorFile(file).write(each.getValue());
             written.put(each.getKey(), Files.readAllBytes(file));
         }
-        VOTERS.assertHolds(written);
+        VOTERS.assertMatches(written);
     }
 
     @Test
@@ -107,7 +107,7 @@
     void knownPeersAreWrittenAsGoldenBytes() throws Exception {
         PeersFile peers = new PeersFile(folder.resolve("peers"));
         peers.write(addresses());
-        PEERS.assertHolds(Map.of("peers", awaitFile(folder.resolve("peers"))));
+        PEERS.assertMatches(Map.of("peers", awaitFile(folder.resolve("peers"))));
         peers.close();
     }
 
@@ -129,18 +129,18 @@
         }
 
         @Override
-        public String become(byte[] version) {
+        public String activate(byte[] version) {
             activated.add(version);
             return null;
         }
 
         @Override
-        public ChainHead audited() {
+        public ChainHead auditHead() {
             return ChainHead.EMPTY;
         }
 
         @Override
-        public void told(RolloutEvent event, PublishedVersion version, String text) {
+        public void recordEvent(RolloutEvent event, PublishedVersion version, String text) {
             // these tests do not check audit events
         }
     }
@@ -182,7 +182,7 @@
                         1,
                         new RolloutState(VERSION, VERSION, 0, RolloutPhase.DONE)));
         written.put("acting", awaitFile(folder.resolve("acting")));
-        VERSIONS.assertHolds(written);
+        VERSIONS.assertMatches(written);
         service.close();
     }
 
@@ -201,7 +201,7 @@
     @Test
     void activeVersionIsReadBack() throws IOException {
         Files.write(folder.resolve("acting"), VERSIONS.bytes("acting"));
-        SealedFile file = new SealedFile(folder.resolve("acting"));
+        ChecksummedFile file = new ChecksummedFile(folder.resolve("acting"));
         assertThat(file.<PublishedVersion>read(PlacementCodec::readVersion)).contains(VERSION);
     }
 }
--- a/src/test/java/ochretiller/fleet/service/KeeperGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/ReplicaRecordsGoldenTest.java
@@ -39,7 +39,7 @@
  * with golden bytes. Range sets have one element each, since the order of several ranges differs
  * from run to run.
  */
-class KeeperGoldenTest {
+class ReplicaRecordsGoldenTest {
     private static final GoldenFile RECORDS = new GoldenFile("keeper-records");
     private static final Duration MAX_LIFETIME = Duration.ofMinutes(10);
     private static final Duration NOW = Duration.ofSeconds(100);
@@ -64,7 +64,7 @@
                 StoreLimits.builder()
                         .maxEntries(100)
                         .maxBytes(1 << 20)
-                        .maxRecordLife(MAX_LIFETIME)
+                        .maxRecordLifetime(MAX_LIFETIME)
                         .build(),
                 new BootClock(Optional.of(new UUID(1, 2)), () -> 5_000),
                 Runnable::run);
@@ -192,8 +192,9 @@
     @Test
     void replicaWritesGoldenRecords() throws Exception {
         Map<String, byte[]> written = recordsByName(Set.of(), "place", "entry", "result");
-        written.putAll(new KeeperGoldenTest().recordsByName(Set.of(3), "place-that-forgot"));
-        RECORDS.assertHolds(written);
+        written.putAll(
+                new ReplicaRecordsGoldenTest().recordsByName(Set.of(3), "place-that-forgot"));
+        RECORDS.assertMatches(written);
     }
 
     @Test
--- a/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
+++ b/src/test/java/ochretiller/fleet/service/WireGoldenTest.java
@@ -182,7 +182,7 @@
                         4,
                         "x",
                         id,
-                        ReplicationMessage.ClaimVote.HELD,
+                        ReplicationMessage.ClaimVote.CLAIMED_BY_OTHER,
                         Optional.of(other),
                         Optional.empty(),
                         17));
@@ -306,7 +306,7 @@
                 .forEach(
                         (name, message) ->
                                 written.put(name, codec.seal(SENDER, message, SEQUENCE)));
-        PACKETS.assertHolds(written);
+        PACKETS.assertMatches(written);
     }
 
     @Test
@@ -360,14 +360,13 @@
     }
 
     @Test
-    void adminFramesAreWrittenAsGoldenBytesAndReadBack()
-            throws RejectedPacketException {
+    void adminFramesAreWrittenAsGoldenBytesAndReadBack() throws RejectedPacketException {
         Map<String, byte[]> written = new LinkedHashMap<>();
         frames().forEach((name, frame) -> written.put(name, SealedFrame.seal(KEYS, frame)));
-        FRAMES.assertHolds(written);
+        FRAMES.assertMatches(written);
         for (Map.Entry<String, AdminMessage> each : frames().entrySet()) {
             byte[] bytes = FRAMES.bytes(each.getKey());
-            assertThat(SealedFrame.length(bytes, bytes.length)).isEqualTo(bytes.length);
+            assertThat(SealedFrame.frameLength(bytes, bytes.length)).isEqualTo(bytes.length);
             assertThat(SealedFrame.open(KEYS, bytes)).as(each.getKey()).isEqualTo(each.getValue());
         }
     }
--- a/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
+++ b/src/test/java/ochretiller/fleet/transport/PacketCodecTest.java
@@ -89,7 +89,8 @@
         for (MembershipMessage message : membershipMessages()) {
             byte[] bytes = codec.seal(new MembershipPacket(sender, message), 77);
             ReceivedPacket opened = codec.open(bytes, bytes.length);
-            assertThat(opened.packet()).isEqualTo(new MembershipPacket(sender, message));
+            assertThat(opened.asMembershipPacket())
+                    .isEqualTo(new MembershipPacket(sender, message));
             assertThat(opened.sequence()).isEqualTo(77);
         }
     }
@@ -133,7 +134,7 @@
                         4,
                         "x",
                         id,
-                        ReplicationMessage.ClaimVote.HELD,
+                        ReplicationMessage.ClaimVote.CLAIMED_BY_OTHER,
                         Optional.of(id),
                         Optional.empty(),
                         17),
@@ -233,7 +234,7 @@
                     assertThat(e.reason())
                             .isIn(
                                     RejectReason.MALFORMED,
-                                    RejectReason.KIND,
+                                    RejectReason.UNKNOWN_KIND,
                                     RejectReason.OTHER_FLEET);
                 }
             }
@@ -310,7 +311,7 @@
         byte[] otherKey =
                 new PacketCodec("parts", FleetKeys.of("a key of somebody else's"))
                         .seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
-        assertRejected(() -> codec.open(otherKey, otherKey.length), RejectReason.FORGED);
+        assertRejected(() -> codec.open(otherKey, otherKey.length), RejectReason.INVALID_SEAL);
         byte[] otherFleet =
                 new PacketCodec("orders", FleetKeys.of(KEY))
                         .seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
@@ -322,12 +323,14 @@
         PacketCodec newKeyFirst =
                 new PacketCodec("parts", FleetKeys.of("the key that comes next", KEY));
         byte[] oldSeal = codec.seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
-        assertThat(newKeyFirst.open(oldSeal, oldSeal.length).packet().sender()).isEqualTo(sender);
+        assertThat(newKeyFirst.open(oldSeal, oldSeal.length).asMembershipPacket().sender())
+                .isEqualTo(sender);
         PacketCodec newKeyLast =
                 new PacketCodec("parts", FleetKeys.of(KEY, "the key that comes next"));
         byte[] newSeal =
                 newKeyFirst.seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
-        assertThat(newKeyLast.open(newSeal, newSeal.length).packet().sender()).isEqualTo(sender);
+        assertThat(newKeyLast.open(newSeal, newSeal.length).asMembershipPacket().sender())
+                .isEqualTo(sender);
     }
 
     /** Replaces the seal of an altered packet, as only a holder of the key can. */
@@ -341,9 +344,11 @@
     void newerPacketIsAcceptedIfItsMinimumVersionIsSupported() throws RejectedPacketException {
         byte[] newer = codec.seal(new MembershipPacket(sender, membershipMessages().get(0)), 1);
         newer[2] = 9;
-        assertThat(codec.open(reseal(newer), newer.length).packet().sender()).isEqualTo(sender);
+        assertThat(codec.open(reseal(newer), newer.length).asMembershipPacket().sender())
+                .isEqualTo(sender);
         newer[3] = 9;
-        assertRejected(() -> codec.open(reseal(newer), newer.length), RejectReason.NEWER);
+        assertRejected(
+                () -> codec.open(reseal(newer), newer.length), RejectReason.UNSUPPORTED_VERSION);
     }
 
     @Test
@@ -366,7 +371,10 @@
                 accepted++;
             } catch (RejectedPacketException e) {
                 assertThat(e.reason())
-                        .isIn(RejectReason.MALFORMED, RejectReason.KIND, RejectReason.OTHER_FLEET);
+                        .isIn(
+                                RejectReason.MALFORMED,
+                                RejectReason.UNKNOWN_KIND,
+                                RejectReason.OTHER_FLEET);
             }
         }
         assertThat(accepted).as("some changes alter only a number").isPositive();
@@ -381,15 +389,15 @@
         }
         java.util.Collections.shuffle(sequences, new java.util.Random(1));
         for (long i : sequences) {
-            assertThat(window.take(5, i)).isTrue();
+            assertThat(window.markReceived(5, i)).isTrue();
         }
         for (long i : sequences) {
-            assertThat(window.take(5, i)).isFalse();
+            assertThat(window.markReceived(5, i)).isFalse();
         }
-        assertThat(window.take(6, 3)).as("another incarnation").isTrue();
-        assertThat(window.take(5, 100_000)).isTrue();
-        assertThat(window.take(5, 501)).as("older than the window").isFalse();
-        assertThat(window.take(5, 0)).isFalse();
+        assertThat(window.markReceived(6, 3)).as("another incarnation").isTrue();
+        assertThat(window.markReceived(5, 100_000)).isTrue();
+        assertThat(window.markReceived(5, 501)).as("older than the window").isFalse();
+        assertThat(window.markReceived(5, 0)).isFalse();
     }
 
     @Test
--- a/src/test/java/ochretiller/frontend/ClientConnectionsTest.java
+++ b/src/test/java/ochretiller/frontend/ClientConnectionsTest.java
@@ -67,22 +67,22 @@
         }
 
         @Override
-        public Runnable received(byte[] bytes, int from, int to) {
+        public Runnable decode(byte[] bytes, int from, int to) {
             String text = new String(bytes, from, to - from);
             hasPartial = text.endsWith(".");
             String requests = text.replaceAll("[^R]", "");
             if (text.contains("!")) {
-                connection.deafen();
+                connection.stopReading();
             }
             if (text.equals(".")) {
                 return null;
             }
             return () -> {
                 for (int i = 0; i < requests.length(); i++) {
-                    clientConnections.opened(
+                    clientConnections.addAttempt(
                             new RequestAttempt(
                                     clientConnections.nextId(),
-                                    connection.peer() + '/' + ++lastNumber,
+                                    connection.peerAddress() + '/' + ++lastNumber,
                                     READ,
                                     1,
                                     1,
@@ -95,41 +95,41 @@
                                     lastNumber));
                 }
                 if (text.contains("!")) {
-                    spoilt(CloseCode.BAD_INPUT);
+                    onProtocolViolation(CloseCode.BAD_INPUT);
                 }
             };
         }
 
         @Override
-        public boolean within() {
+        public boolean hasPartialMessage() {
             return hasPartial;
         }
 
         @Override
-        public boolean spoilt(CloseCode code) {
+        public boolean onProtocolViolation(CloseCode code) {
             violations.add(code);
-            return super.spoilt(code);
+            return super.onProtocolViolation(code);
         }
 
         @Override
-        protected boolean leaves() {
+        protected boolean writeShutdown() {
             connection.write("shutdown\n");
             return true;
         }
 
         @Override
-        protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
+        protected void writeResult(RequestAttempt attempt, byte[] result, boolean replayed) {
             connection.write("done\n");
         }
 
         @Override
-        protected void throttles(
+        protected void writeThrottled(
                 RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
             connection.write("throttled\n");
         }
 
         @Override
-        protected void fails(RequestAttempt attempt, FailureReason reason) {
+        protected void writeError(RequestAttempt attempt, FailureReason reason) {
             connection.write("failed\n");
         }
     }
@@ -146,7 +146,7 @@
                 "test",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 connection -> {
-                    var peer = clientConnections.accepted(new LetterProtocol(connection));
+                    var peer = clientConnections.register(new LetterProtocol(connection));
                     acceptedCount.incrementAndGet();
                     return peer;
                 });
@@ -168,7 +168,7 @@
         while (acceptedCount.get() == before) {
             Thread.onSpinWait();
         }
-        loop.all();
+        loop.runPosted();
         return client;
     }
 
@@ -182,7 +182,7 @@
     private void expectServed(FakeConnection client) throws Exception {
         sendRequest(client);
         answer();
-        assertThat(client.line()).isEqualTo("done");
+        assertThat(client.readLine()).isEqualTo("done");
     }
 
     /** Sends a request and waits until its attempt arrives on the event loop. */
@@ -190,7 +190,7 @@
         int before = arrived.size();
         client.send("R");
         while (arrived.size() == before) {
-            loop.one();
+            loop.runNext();
         }
     }
 
@@ -204,7 +204,7 @@
         for (Duration left = duration;
                 !left.isZero() && !left.isNegative();
                 left = left.minusMillis(50)) {
-            loop.pass(ONE_MS.multipliedBy(50));
+            loop.advance(ONE_MS.multipliedBy(50));
             network.flush();
         }
     }
@@ -213,10 +213,10 @@
     void idleConnectionIsShutDownAndARequestInTransitIsAnswered() throws Exception {
         FakeConnection idle = connectActive();
         advanceTime(IDLE_TIMEOUT.plusMillis(150));
-        assertThat(idle.line()).isEqualTo("shutdown");
+        assertThat(idle.readLine()).isEqualTo("shutdown");
         expectServed(idle);
         advanceTime(Duration.ofMillis(1_200));
-        assertThat(idle.line()).isNull();
+        assertThat(idle.readLine()).isNull();
     }
 
     @Test
@@ -224,12 +224,13 @@
         FakeConnection idle = connectActive();
         advanceTime(IDLE_TIMEOUT);
         idle.send("R");
-        loop.await(1);
-        loop.due(Duration.ofMillis(1_500)); // runs the sweeps before the request is processed
+        loop.awaitPosted(1);
+        loop.advanceTimers(
+                Duration.ofMillis(1_500)); // runs the sweeps before the request is processed
         network.flush();
-        loop.all();
+        loop.runPosted();
         answer();
-        assertThat(idle.line()).isEqualTo("done");
+        assertThat(idle.readLine()).isEqualTo("done");
     }
 
     @Test
@@ -239,12 +240,12 @@
         slow.send(".");
         awaitEarlierReads();
         advanceTime(IDLE_TIMEOUT.plusMillis(300));
-        assertThat(idle.line()).isEqualTo("shutdown");
+        assertThat(idle.readLine()).isEqualTo("shutdown");
         expectServed(slow);
         slow.send(".");
         awaitEarlierReads();
         advanceTime(LONGEST_WAIT.plusMillis(300));
-        assertThat(slow.line()).isEqualTo("shutdown");
+        assertThat(slow.readLine()).isEqualTo("shutdown");
     }
 
     /**
@@ -260,15 +261,15 @@
         FakeConnection bad = connect();
         bad.send("RR!");
         while (arrived.size() < 2) {
-            loop.one();
+            loop.runNext();
         }
         answer();
         bad.send("R"); // after the violation, so it is ignored
         answer();
-        assertThat(bad.line()).isEqualTo("done");
-        assertThat(bad.line()).isEqualTo("done");
-        assertThat(bad.line()).isNull();
-        loop.all();
+        assertThat(bad.readLine()).isEqualTo("done");
+        assertThat(bad.readLine()).isEqualTo("done");
+        assertThat(bad.readLine()).isNull();
+        loop.runPosted();
         assertThat(arrived).isEmpty();
     }
 
@@ -276,19 +277,19 @@
     void requestBeforeAFloodIsAnswered() throws Exception {
         FakeConnection flooding = connect();
         sendRequest(flooding);
-        assertThat(flooding.sendsUntilItEnds("o".repeat(64 * 1024), 4)).isFalse();
-        while (!lastAccepted.deaf()) {
+        assertThat(flooding.sendUntilClosed("o".repeat(64 * 1024), 4)).isFalse();
+        while (!lastAccepted.isReadingStopped()) {
             Thread.onSpinWait(); // no input is processed until the queue limit is exceeded
         }
         while (violations.isEmpty()) {
-            loop.one();
+            loop.runNext();
         }
         assertThat(violations).containsExactly(CloseCode.FLOOD);
         network.flush();
         assertThat(aborted).isEmpty();
         answer();
-        assertThat(flooding.line()).isEqualTo("done");
-        assertThat(flooding.line()).isNull();
+        assertThat(flooding.readLine()).isEqualTo("done");
+        assertThat(flooding.readLine()).isNull();
     }
 
     @Test
@@ -296,12 +297,12 @@
         FakeConnection bad = connect();
         bad.send("R!");
         while (arrived.isEmpty()) {
-            loop.one();
+            loop.runNext();
         }
         bad.send("x".repeat(4_096)); // never read
         answer();
-        assertThat(bad.line()).isEqualTo("done");
-        assertThat(bad.line()).isNull();
+        assertThat(bad.readLine()).isEqualTo("done");
+        assertThat(bad.readLine()).isNull();
     }
 
     @Test
@@ -315,10 +316,10 @@
         for (FakeConnection client : newcomers) {
             sendRequest(client);
             answer();
-            String line = client.line();
+            String line = client.readLine();
             if (line.equals("shutdown")) {
                 shutdowns++;
-                line = client.line();
+                line = client.readLine();
             }
             assertThat(line).isEqualTo("done");
         }
@@ -335,8 +336,8 @@
         }
         advanceTime(Duration.ofMillis(250));
         for (int i = 0; i < LIMIT / 4 - 1; i++) {
-            assertThat(silent.get(i).line()).isEqualTo("shutdown");
-            assertThat(silent.get(i).line()).isNull();
+            assertThat(silent.get(i).readLine()).isEqualTo("shutdown");
+            assertThat(silent.get(i).readLine()).isNull();
         }
         for (FakeConnection client : List.of(active, silent.get(LIMIT / 2 - 2))) {
             expectServed(client);
@@ -351,8 +352,8 @@
             flood.add(connect());
         }
         expectServed(active);
-        while (clientConnections.connections() > LIMIT / 2 + 1) {
-            loop.one(); // processes the ends of the dropped connections
+        while (clientConnections.connectionCount() > LIMIT / 2 + 1) {
+            loop.runNext(); // processes the ends of the dropped connections
         }
         expectServed(connect());
     }
@@ -361,18 +362,18 @@
     void drainAsksClientsToLeaveAndClosesAfterAllIsAnswered() throws Exception {
         FakeConnection busy = connectActive();
         sendRequest(busy);
-        clientConnections.leave();
+        clientConnections.startDrain();
         network.flush();
-        assertThat(busy.line()).isEqualTo("shutdown");
+        assertThat(busy.readLine()).isEqualTo("shutdown");
         answer();
-        assertThat(busy.line()).isEqualTo("done");
-        clientConnections.close();
+        assertThat(busy.readLine()).isEqualTo("done");
+        clientConnections.closeAll();
         network.flush();
-        assertThat(busy.line()).isNull();
-        assertThat(clientConnections.connections()).isOne(); // until the client closes its side
+        assertThat(busy.readLine()).isNull();
+        assertThat(clientConnections.connectionCount()).isOne(); // until the client closes its side
         busy.close();
-        while (clientConnections.connections() > 0) {
-            loop.one();
+        while (clientConnections.connectionCount() > 0) {
+            loop.runNext();
         }
     }
 }
--- a/src/test/java/ochretiller/golden/AuditJsonTest.java
+++ b/src/test/java/ochretiller/golden/AuditJsonTest.java
@@ -47,7 +47,7 @@
         writer.close();
     }
 
-    private Cli audit(String command, String... options) {
+    private CommandResult audit(String command, String... options) {
         String[] arguments = new String[6 + options.length];
         arguments[0] = "audit";
         arguments[1] = command;
@@ -56,21 +56,21 @@
         for (int i = 1; i <= 3; i++) {
             arguments[2 + options.length + i] = "m" + i + "=" + folder.resolve("m" + i);
         }
-        return Cli.run(arguments);
+        return CommandResult.run(arguments);
     }
 
     @Test
     void whoPrintsTheStatusOfEachServer() {
-        Cli cli = audit("who", "--version-number", "1");
-        assertThat(cli.out())
+        CommandResult cli = audit("who", "--version-number", "1");
+        assertThat(cli.output())
                 .isEqualTo("{\"m1\":\"ACTED\",\"m2\":\"SHUT_OUT\",\"m3\":\"UNKNOWN\"}\n");
-        assertThat(cli.code()).isEqualTo(EXIT_FAULTS);
+        assertThat(cli.exitCode()).isEqualTo(EXIT_FAULTS);
     }
 
     @Test
     void whenAndGapsPrintPeriods() {
-        Cli cli = audit("when", "--until", "3000");
-        assertThat(cli.out())
+        CommandResult cli = audit("when", "--until", "3000");
+        assertThat(cli.output())
                 .isEqualTo(
                         "["
                                 + String.join(
@@ -83,9 +83,9 @@
                                                 0,
                                                 "nothing is recorded yet, or it is lost"))
                                 + "]\n");
-        assertThat(cli.code()).isZero();
-        Cli gaps = audit("gaps", "--until", "3000");
-        assertThat(gaps.out())
+        assertThat(cli.exitCode()).isZero();
+        CommandResult gaps = audit("gaps", "--until", "3000");
+        assertThat(gaps.output())
                 .isEqualTo(
                         "["
                                 + period(
@@ -94,7 +94,7 @@
                                         0,
                                         "nothing is recorded yet, or it is lost")
                                 + "]\n");
-        assertThat(gaps.code()).isEqualTo(EXIT_FAULTS);
+        assertThat(gaps.exitCode()).isEqualTo(EXIT_FAULTS);
     }
 
     private static String period(String server, String known, long version, String text) {
@@ -111,23 +111,23 @@
 
     @Test
     void tokenPrintsTheRunsOfAToken() {
-        assertThat(audit("token", "--token", "token").out())
+        assertThat(audit("token", "--token", "token").output())
                 .isEqualTo("[{\"server\":\"m1\",\"version\":1,\"at\":1500}]\n");
-        assertThat(audit("token", "--token", "other").code()).isEqualTo(EXIT_FAULTS);
+        assertThat(audit("token", "--token", "other").exitCode()).isEqualTo(EXIT_FAULTS);
     }
 
     @Test
     void behindPrintsLaggingServers() {
-        assertThat(audit("behind").out()).isEqualTo("{}\n");
+        assertThat(audit("behind").output()).isEqualTo("{}\n");
     }
 
     @Test
     void verifyPrintsFaults() throws Exception {
         String hash = AuditLogReader.read(folder.resolve("m3"), List.of()).head().hash();
-        Cli good = audit("verify");
+        CommandResult good = audit("verify");
         assertThat(good.json().get("m3").toString())
                 .isEqualTo("{\"records\":1,\"last\":1,\"hash\":\"" + hash + "\",\"faults\":[]}");
-        assertThat(good.code()).isZero();
+        assertThat(good.exitCode()).isZero();
         Path file;
         try (var files = Files.list(folder.resolve("m3"))) {
             file = files.findFirst().orElseThrow();
@@ -135,9 +135,9 @@
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 1;
         Files.write(file, bytes);
-        Cli bad = audit("verify");
-        assertThat(Cli.members(bad.json().get("m3").get("faults").get(0)))
+        CommandResult bad = audit("verify");
+        assertThat(CommandResult.memberNames(bad.json().get("m3").get("faults").get(0)))
                 .containsExactly("record", "what");
-        assertThat(bad.code()).isEqualTo(EXIT_FAULTS);
+        assertThat(bad.exitCode()).isEqualTo(EXIT_FAULTS);
     }
 }
--- a/src/test/java/ochretiller/golden/Cli.java
+++ b/src/test/java/ochretiller/golden/CommandResult.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine;
 
 /** The exit code and standard output of a command that was run in this process. */
-record Cli(int code, String out) {
+record CommandResult(int exitCode, String output) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    static Cli run(String... arguments) {
+    static CommandResult run(String... arguments) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         PrintStream originalOut = System.out;
         try (PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8)) {
@@ -25,7 +25,7 @@
                     new CommandLine(Main.class)
                             .setOut(new PrintWriter(out, true))
                             .execute(arguments);
-            return new Cli(code, bytes.toString(StandardCharsets.UTF_8));
+            return new CommandResult(code, bytes.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(originalOut);
         }
@@ -33,11 +33,11 @@
 
     /** Parses the first line of the output as JSON. */
     JsonNode json() throws IOException {
-        return JSON.readTree(out.lines().findFirst().orElseThrow());
+        return JSON.readTree(output.lines().findFirst().orElseThrow());
     }
 
     /** Returns the names of an object's members in document order. */
-    static List<String> members(JsonNode object) {
+    static List<String> memberNames(JsonNode object) {
         List<String> names = new ArrayList<>();
         object.fieldNames().forEachRemaining(names::add);
         return names;
--- a/src/test/java/ochretiller/golden/ContractTextTest.java
+++ b/src/test/java/ochretiller/golden/ContractTextTest.java
@@ -33,7 +33,7 @@
 
     @Test
     void contractsAreShown() {
-        assertThat(Cli.run("contract", "show", folder.toString()).out())
+        assertThat(CommandResult.run("contract", "show", folder.toString()).output())
                 .isEqualTo(
                         """
                         capacity 10.000 core seconds a second, 6.000 promised
@@ -47,7 +47,9 @@
     @Test
     void contractsAreCheckedAndCompared() {
         String path = folder.toString();
-        assertThat(Cli.run("contract", "check", path).out()).isEqualTo("2 contracts are good\n");
-        assertThat(Cli.run("contract", "diff", path, path).out()).isEqualTo("nothing changes\n");
+        assertThat(CommandResult.run("contract", "check", path).output())
+                .isEqualTo("2 contracts are good\n");
+        assertThat(CommandResult.run("contract", "diff", path, path).output())
+                .isEqualTo("nothing changes\n");
     }
 }
--- a/src/test/java/ochretiller/golden/FleetJsonTest.java
+++ b/src/test/java/ochretiller/golden/FleetJsonTest.java
@@ -27,7 +27,7 @@
         server.close();
     }
 
-    private static Cli run(String command, String subCommand, String... options) {
+    private static CommandResult run(String command, String subCommand, String... options) {
         String[] arguments = new String[5 + options.length];
         arguments[0] = command;
         arguments[1] = subCommand;
@@ -35,13 +35,13 @@
         arguments[3] = server.operator.toString();
         arguments[4] = "--json";
         System.arraycopy(options, 0, arguments, 5, options.length);
-        return Cli.run(arguments);
+        return CommandResult.run(arguments);
     }
 
     private static JsonNode json(String command, String subCommand, String... options)
             throws Exception {
-        Cli cli = run(command, subCommand, options);
-        assertThat(cli.code()).as(cli.out()).isZero();
+        CommandResult cli = run(command, subCommand, options);
+        assertThat(cli.exitCode()).as(cli.output()).isZero();
         return cli.json();
     }
 
@@ -56,10 +56,10 @@
                             InetAddress.getLoopbackAddress(),
                             server.fleetPort));
         }
-        WholeServer.until(() -> json("fleet", "view").get("refused").size() > 0);
-        WholeServer.until(() -> state(json("fleet", "view")).equals("HERE"));
+        WholeServer.await(() -> json("fleet", "view").get("refused").size() > 0);
+        WholeServer.await(() -> state(json("fleet", "view")).equals("HERE"));
         JsonNode view = json("fleet", "view");
-        assertThat(Cli.members(view))
+        assertThat(CommandResult.memberNames(view))
                 .containsExactly(
                         "fleet",
                         "digest",
@@ -69,8 +69,8 @@
                         "read_bytes",
                         "refused",
                         "members");
-        assertThat(Cli.members(view.get("refused"))).containsExactly("not_ours");
-        assertThat(Cli.members(view.get("members").get(0)))
+        assertThat(CommandResult.memberNames(view.get("refused"))).containsExactly("not_ours");
+        assertThat(CommandResult.memberNames(view.get("members").get(0)))
                 .containsExactly(
                         "name", "start", "state", "address", "zone", "build", "serves", "number",
                         "for_ms", "self");
@@ -83,15 +83,15 @@
 
     @Test
     void pingPrintsAllMembers() throws Exception {
-        assertThat(Cli.members(json("fleet", "ping")))
+        assertThat(CommandResult.memberNames(json("fleet", "ping")))
                 .containsExactly("name", "times", "least_us", "p50_us", "most_us");
     }
 
     @Test
     void versionsPrintsAllMembers() throws Exception {
-        WholeServer.until(() -> json("fleet", "versions").get("servers").has("n1"));
+        WholeServer.await(() -> json("fleet", "versions").get("servers").has("n1"));
         JsonNode versions = json("fleet", "versions");
-        assertThat(Cli.members(versions))
+        assertThat(CommandResult.memberNames(versions))
                 .containsExactly(
                         "name",
                         "acts",
@@ -108,16 +108,16 @@
                         "refused",
                         "servers");
         assertThat(versions.get("state").asText()).isEqualTo("DONE");
-        assertThat(Cli.members(versions.get("servers").get("n1")))
+        assertThat(CommandResult.memberNames(versions.get("servers").get("n1")))
                 .containsExactly("acts", "read", "refused", "out");
     }
 
     @Test
     void rejectedRolloutStepsNameTheRolloutState() {
         for (String step : new String[] {"pause", "go-on", "take-back"}) {
-            Cli cli = run("fleet", step);
-            assertThat(cli.code()).isEqualTo(1);
-            assertThat(cli.out())
+            CommandResult cli = run("fleet", step);
+            assertThat(cli.exitCode()).isEqualTo(1);
+            assertThat(cli.output())
                     .isEqualTo(
                             "{\"refused\":\"there is nothing to "
                                     + step
@@ -128,7 +128,7 @@
     @Test
     void copiesStatusPrintsAllMembers() throws Exception {
         JsonNode status = json("copies", "status");
-        assertThat(Cli.members(status))
+        assertThat(CommandResult.memberNames(status))
                 .containsExactly(
                         "name",
                         "epoch",
@@ -157,14 +157,14 @@
     @Test
     void copiesDiffPrintsAllMembers() throws Exception {
         JsonNode difference = json("copies", "diff", "--with", "127.0.0.1:" + server.fleetPort);
-        assertThat(Cli.members(difference))
+        assertThat(CommandResult.memberNames(difference))
                 .containsExactly(
                         "here", "there", "epoch_here", "epoch_there", "ranges", "differ", "tokens");
     }
 
     @Test
     void copiesRepairPrintsAllMembers() throws Exception {
-        assertThat(Cli.members(json("copies", "repair")))
+        assertThat(CommandResult.memberNames(json("copies", "repair")))
                 .containsExactly("name", "compares", "fetched");
     }
 }
--- a/src/test/java/ochretiller/golden/GoldenFile.java
+++ b/src/test/java/ochretiller/golden/GoldenFile.java
@@ -27,7 +27,7 @@
     }
 
     /** Fails unless the file has exactly these entries, in this order. */
-    public void assertHolds(Map<String, byte[]> actual) {
+    public void assertMatches(Map<String, byte[]> actual) {
         if (Boolean.getBoolean("golden.write")) {
             write(actual);
         }
--- a/src/test/java/ochretiller/golden/LogLinesTest.java
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -28,7 +28,7 @@
     private static void expect(WholeServer server, String... patterns) throws Exception {
         for (String pattern : patterns) {
             try {
-                WholeServer.until(() -> server.logged(pattern));
+                WholeServer.await(() -> server.hasLogged(pattern));
             } catch (AssertionError e) {
                 throw new AssertionError("no line matches '" + pattern + "': " + server.log, e);
             }
@@ -72,8 +72,8 @@
                     "processor is available, warm, started \\d+ ms ago",
                     "n1/[0-9a-f]+ takes part in fleet parts at 127\\.0\\.0\\.1:\\d+",
                     "fleet: joined, with 0 others");
-            try (FakeConnection gateway = server.dial()) {
-                gateway.send(GatewayMessages.message(1, "read", "{}")).line();
+            try (FakeConnection gateway = server.connect()) {
+                gateway.send(GatewayMessages.message(1, "read", "{}")).readLine();
                 expect(server, "bad input from gateway /127\\.0\\.0\\.1:\\d+: -32602 .*");
             }
             expect(server, "connection gateway /127\\.0\\.0\\.1:\\d+ ended: [A-Z_]+");
@@ -110,7 +110,8 @@
         } finally {
             originalFormatters.forEach(Handler::setFormatter);
         }
-        assertThat(Cli.members(line)).isEqualTo(List.of("at", "level", "part", "message", "trace"));
+        assertThat(CommandResult.memberNames(line))
+                .isEqualTo(List.of("at", "level", "part", "message", "trace"));
         assertThat(line.get("level").asText()).isEqualTo("WARNING");
         assertThat(line.get("part").asText()).isEqualTo("Part");
     }
--- a/src/test/java/ochretiller/golden/MetricNamesTest.java
+++ b/src/test/java/ochretiller/golden/MetricNamesTest.java
@@ -16,7 +16,7 @@
 
     private List<String> writtenMetrics() throws Exception {
         try (WholeServer server = new WholeServer(folder)) {
-            WholeServer.until(() -> Files.exists(server.metrics));
+            WholeServer.await(() -> Files.exists(server.metrics));
             return Files.readAllLines(server.metrics);
         }
     }
--- a/src/test/java/ochretiller/golden/WholeServer.java
+++ b/src/test/java/ochretiller/golden/WholeServer.java
@@ -68,7 +68,7 @@
         metrics = Path.of("target", "whole-server-" + port + ".prom").toAbsolutePath();
         LOG.addHandler(handler);
         services = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
-        services.runs = (rid, operation, body) -> services.complete(rid, "done");
+        services.runHandler = (rid, operation, body) -> services.complete(rid, "done");
         config =
                 Files.writeString(
                         folder.resolve("config.json"),
@@ -86,7 +86,7 @@
         loop = new Thread(node::run, "loop");
         loop.setDaemon(true);
         loop.start();
-        until(() -> logged("processor is available.*"));
+        await(() -> hasLogged("processor is available.*"));
     }
 
     private String operator(Path folder) throws IOException {
@@ -113,7 +113,7 @@
     }
 
     /** Waits until a condition is true; fails after 30 s. */
-    static void until(Callable<Boolean> condition) throws Exception {
+    static void await(Callable<Boolean> condition) throws Exception {
         long deadline = System.nanoTime() + TIMEOUT_NS;
         while (!condition.call()) {
             if (System.nanoTime() > deadline) {
@@ -123,25 +123,25 @@
         }
     }
 
-    boolean logged(String pattern) {
+    boolean hasLogged(String pattern) {
         return log.stream().anyMatch(line -> line.matches(pattern));
     }
 
-    FakeConnection dial() throws IOException {
+    FakeConnection connect() throws IOException {
         return new FakeConnection(new Socket("127.0.0.1", port));
     }
 
     /** Sends a keyed request and returns the response. */
-    String order(FakeConnection gateway, String token) throws IOException {
+    String sendOrder(FakeConnection gateway, String token) throws IOException {
         String rid = String.format("%016x", ++requestCount);
         String params = GatewayMessages.params(rid, token, "two bolts");
-        return gateway.send(GatewayMessages.message(requestCount, "order", params)).line();
+        return gateway.send(GatewayMessages.message(requestCount, "order", params)).readLine();
     }
 
     /** Repeats a keyed request until it succeeds, once the server has joined the fleet. */
-    void ran(String token) throws Exception {
-        try (FakeConnection gateway = dial()) {
-            until(() -> order(gateway, token).contains("\"result\""));
+    void runOrder(String token) throws Exception {
+        try (FakeConnection gateway = connect()) {
+            await(() -> sendOrder(gateway, token).contains("\"result\""));
         }
     }
 
--- a/src/test/java/ochretiller/idempotency/IdempotencyCacheTest.java
+++ b/src/test/java/ochretiller/idempotency/IdempotencyCacheTest.java
@@ -150,7 +150,7 @@
     @Test
     void repeatOfARemovedEntryHasNoOriginal() {
         track(1);
-        cache.forget(id(1));
+        cache.discard(id(1));
         assertThat(findOriginal(2, 0, 0)).isEmpty();
     }
 
--- a/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordGoldenTest.java
+++ b/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordGoldenTest.java
@@ -32,7 +32,7 @@
     void recordsEncodeToTheirGoldenBytes() {
         Map<String, byte[]> encoded = new LinkedHashMap<>();
         records().forEach((name, record) -> encoded.put(name, record.encodeMetadata()));
-        RECORDS.assertHolds(encoded);
+        RECORDS.assertMatches(encoded);
         assertThat(record(InvocationProgress.IN_FLIGHT).encodeKey())
                 .asHexString()
                 .isEqualTo("6120746F6B656E");
--- a/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordTest.java
+++ b/src/test/java/ochretiller/idempotency/durable/IdempotencyRecordTest.java
@@ -66,9 +66,9 @@
 
     @Test
     void recordWithTheLongestNamesFitsTheStoreMetadata() {
-        assertThat(IdempotencyRecord.namesFit("o".repeat(100), "r".repeat(50))).isTrue();
-        assertThat(IdempotencyRecord.namesFit("o".repeat(101), "r")).isFalse();
-        assertThat(IdempotencyRecord.namesFit("o", "r".repeat(51))).isFalse();
+        assertThat(IdempotencyRecord.canStoreNames("o".repeat(100), "r".repeat(50))).isTrue();
+        assertThat(IdempotencyRecord.canStoreNames("o".repeat(101), "r")).isFalse();
+        assertThat(IdempotencyRecord.canStoreNames("o", "r".repeat(51))).isFalse();
         IdempotencyRecord longest =
                 new IdempotencyRecord(
                         InvocationProgress.IN_FLIGHT,
--- a/src/test/java/ochretiller/node/AttemptFixture.java
+++ b/src/test/java/ochretiller/node/AttemptFixture.java
@@ -65,22 +65,23 @@
         }
 
         @Override
-        public Runnable received(byte[] bytes, int from, int to) {
+        public Runnable decode(byte[] bytes, int from, int to) {
             return null;
         }
 
         @Override
-        protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
+        protected void writeResult(RequestAttempt attempt, byte[] result, boolean replayed) {
             events.add((replayed ? "replay " : "answer ") + new String(result));
         }
 
         @Override
-        protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
+        protected void writeThrottled(
+                RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
             events.add("throttle");
         }
 
         @Override
-        protected void fails(RequestAttempt attempt, FailureReason reason) {
+        protected void writeError(RequestAttempt attempt, FailureReason reason) {
             events.add("error " + reason);
         }
     }
@@ -104,17 +105,17 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 connection -> {
                     Client newClient = new Client(connection);
-                    connections.accepted(newClient);
+                    connections.register(newClient);
                     acceptedClients.add(newClient);
                     return newClient;
                 });
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         client = acceptedClients.poll(MAX_WAIT_S, TimeUnit.SECONDS);
-        loop.all();
+        loop.runPosted();
     }
 
     /** Opens a request of the client; that of a keyed operation has a token. */
-    RequestAttempt read(Operation operation, String body) {
+    RequestAttempt receive(Operation operation, String body) {
         requestCount++;
         RequestAttempt attempt =
                 new RequestAttempt(
@@ -130,7 +131,7 @@
                         body.getBytes(),
                         client,
                         requestCount);
-        connections.opened(attempt);
+        connections.addAttempt(attempt);
         return attempt;
     }
 
--- a/src/test/java/ochretiller/node/AuditRecorderTest.java
+++ b/src/test/java/ochretiller/node/AuditRecorderTest.java
@@ -19,13 +19,13 @@
 class AuditRecorderTest {
     private static final List<RolloutEvent> EVENTS =
             List.of(
-                    RolloutEvent.CHANGED,
-                    RolloutEvent.REFUSED,
-                    RolloutEvent.SHUT_OUT,
-                    RolloutEvent.LET_IN,
-                    RolloutEvent.PUBLISHED,
-                    RolloutEvent.ROLLOUT,
-                    RolloutEvent.WITNESSED);
+                    RolloutEvent.VERSION_CHANGED,
+                    RolloutEvent.VERSION_REJECTED,
+                    RolloutEvent.FENCED,
+                    RolloutEvent.UNFENCED,
+                    RolloutEvent.VERSION_PUBLISHED,
+                    RolloutEvent.ROLLOUT_CHANGED,
+                    RolloutEvent.PEER_AUDIT_WITNESSED);
     @TempDir private Path folder;
 
     private Stream<Integer> recordedKinds() throws Exception {
--- a/src/test/java/ochretiller/node/InvocationExecutorTest.java
+++ b/src/test/java/ochretiller/node/InvocationExecutorTest.java
@@ -68,7 +68,7 @@
     }
 
     private RequestAttempt execute(Operation operation) {
-        RequestAttempt attempt = fixture.read(operation, "body");
+        RequestAttempt attempt = fixture.receive(operation, "body");
         attempts.add(attempt, Optional.empty());
         executor.execute(attempt, outcome -> events.add("outcome " + outcome.status()));
         return attempt;
@@ -106,7 +106,7 @@
         claims.onStored.accept(true);
         assertThat(events).last().isEqualTo("answer done");
         assertThat(attempts.find(attempt.id)).isEmpty();
-        assertThat(fixture.connections.knows(attempt.rid)).isFalse();
+        assertThat(fixture.connections.hasAttempt(attempt.requestId)).isFalse();
     }
 
     @Test
@@ -134,7 +134,7 @@
         RequestAttempt attempt = execute(ORDER);
         claims.listener.onClaimDenied();
         assertThat(events).containsExactly("reserve", "claim", "cancel", "outcome NOT_DISPATCHED");
-        assertThat(attempt.running()).isFalse();
+        assertThat(attempt.isRunning()).isFalse();
     }
 
     @Test
@@ -163,7 +163,7 @@
         rollout.hasLease = false;
         execute(ORDER);
         assertThat(events).containsExactly("reserve");
-        fixture.loop.all();
+        fixture.loop.runPosted();
         assertThat(events).containsExactly("reserve", "cancel", "outcome NOT_DISPATCHED");
     }
 
--- a/src/test/java/ochretiller/operator/OperatorConfigReaderTest.java
+++ b/src/test/java/ochretiller/operator/OperatorConfigReaderTest.java
@@ -16,17 +16,17 @@
     void readsTheExample() {
         OperatorConfig example = OperatorConfigReader.read(Path.of("deploy/operator.json5"));
         assertThat(example.jsonLog()).isTrue();
-        assertThat(example.remember())
+        assertThat(example.durability())
                 .hasValueSatisfying(
                         remember -> {
-                            assertThat(remember.mostBytes()).isEqualTo(64L << 20);
-                            assertThat(remember.stall()).isEqualTo(Duration.ofMillis(250));
+                            assertThat(remember.maxBytes()).isEqualTo(64L << 20);
+                            assertThat(remember.stallThreshold()).isEqualTo(Duration.ofMillis(250));
                         });
     }
 
     @Test
     void emptyFileEnablesNothing() {
-        assertThat(OperatorConfigReader.of("{ /* nothing */ }", "f"))
+        assertThat(OperatorConfigReader.parse("{ /* nothing */ }", "f"))
                 .isEqualTo(OperatorConfig.NONE);
     }
 
@@ -53,7 +53,7 @@
             })
     void reportsFaultWithItsPosition(String text, String expected) {
         String[] parts = expected.split(" ; ");
-        assertThatThrownBy(() -> OperatorConfigReader.of(text.replace("\\n", "\n"), "f"))
+        assertThatThrownBy(() -> OperatorConfigReader.parse(text.replace("\\n", "\n"), "f"))
                 .isInstanceOf(MalformedException.class)
                 .message()
                 .startsWith(parts[0].trim())
@@ -64,7 +64,7 @@
     @Test
     void readsFleetWithDefaults() {
         OperatorConfig config =
-                OperatorConfigReader.of(
+                OperatorConfigReader.parse(
                         "{ fleet: { name: 'parts', listen: '127.0.0.1:4200', key_file: '/k', seeds:"
                                 + " ['10.0.0.2:4200'], forget_s: 60 } }",
                         "f");
@@ -73,9 +73,9 @@
                         fleet -> {
                             assertThat(fleet.seeds())
                                     .containsExactly(new PeerAddress("10.0.0.2", 4200));
-                            assertThat(fleet.pace().probeInterval())
+                            assertThat(fleet.timing().probeInterval())
                                     .isEqualTo(Duration.ofMillis(100));
-                            assertThat(fleet.pace().departedRetention())
+                            assertThat(fleet.timing().departedRetention())
                                     .isEqualTo(Duration.ofSeconds(60));
                         });
     }
--- a/src/test/java/ochretiller/pages/MessageTemplates.java
+++ b/src/test/java/ochretiller/pages/MessageTemplates.java
@@ -56,7 +56,7 @@
      * Returns whether a message matches the quotation, in which {@code ...} or a word in capitals
      * replaces a variable part, and {@code ...} at the end replaces the rest of the message.
      */
-    boolean contain(String quotation) {
+    boolean matches(String quotation) {
         boolean isShortened = quotation.endsWith(ELLIPSIS);
         String prefix =
                 isShortened
--- a/src/test/java/ochretiller/pages/OnCallPageTest.java
+++ b/src/test/java/ochretiller/pages/OnCallPageTest.java
@@ -43,7 +43,7 @@
 
     private static List<String> missing(MessageTemplates templates, List<String> quoted) {
         assertThat(templates.size()).as("messages found in the sources").isGreaterThan(20);
-        return quoted.stream().filter(line -> !templates.contain(line)).toList();
+        return quoted.stream().filter(line -> !templates.matches(line)).toList();
     }
 
     @Test
@@ -104,13 +104,13 @@
                                 "LOG.info(() -> \"link \" + peer + \" is \" + (up ? \"up\" :"
                                         + " \"down\"));",
                                 "LOG.log(Level.SEVERE, \"fault\", e);"));
-        assertThat(templates.contain("link ... is up")).isTrue();
-        assertThat(templates.contain("link ADDRESS is down")).isTrue();
-        assertThat(templates.contain("link ... is ...")).isTrue();
-        assertThat(templates.contain("fault")).isTrue();
-        assertThat(templates.contain("link ... is idle")).isFalse();
-        assertThat(templates.contain("link ... went ...")).isFalse();
-        assertThat(templates.contain("faults")).isFalse();
-        assertThat(templates.contain("...")).isFalse();
+        assertThat(templates.matches("link ... is up")).isTrue();
+        assertThat(templates.matches("link ADDRESS is down")).isTrue();
+        assertThat(templates.matches("link ... is ...")).isTrue();
+        assertThat(templates.matches("fault")).isTrue();
+        assertThat(templates.matches("link ... is idle")).isFalse();
+        assertThat(templates.matches("link ... went ...")).isFalse();
+        assertThat(templates.matches("faults")).isFalse();
+        assertThat(templates.matches("...")).isFalse();
     }
 }
--- a/src/test/java/ochretiller/paths/PathPatternTest.java
+++ b/src/test/java/ochretiller/paths/PathPatternTest.java
@@ -33,7 +33,7 @@
         "/{a}/{b},/x/y,true"
     })
     void matches(String pattern, String path, boolean matches) {
-        assertThat(PathPattern.of(pattern).matches(path)).isEqualTo(matches);
+        assertThat(PathPattern.parse(pattern).matches(path)).isEqualTo(matches);
     }
 
     @ParameterizedTest
@@ -53,7 +53,7 @@
                 "/a/"
             })
     void errorForAnInvalidPatternNamesIt(String pattern) {
-        assertThatThrownBy(() -> PathPattern.of(pattern))
+        assertThatThrownBy(() -> PathPattern.parse(pattern))
                 .isInstanceOf(MalformedException.class)
                 .hasMessageContaining("'" + pattern + "'");
     }
@@ -70,7 +70,7 @@
             for (int n = 0; n < length; n++) {
                 text.append('/').append(parts[random.nextInt(n == length - 1 ? 4 : 3)]);
             }
-            patterns.add(PathPattern.of(text.length() == 0 ? "/" : text.toString()));
+            patterns.add(PathPattern.parse(text.length() == 0 ? "/" : text.toString()));
         }
         List<String> paths = new ArrayList<>(List.of("/"));
         for (int from = 0, depth = 0; depth < 5; depth++) {
--- a/src/test/java/ochretiller/pools/WorkerSelectorTest.java
+++ b/src/test/java/ochretiller/pools/WorkerSelectorTest.java
@@ -25,35 +25,35 @@
     private void failRequests(WorkerId id, int times, Duration now) {
         for (int i = 0; i < times; i++) {
             assertThat(selector.choose(now)).contains(id);
-            selector.ended(id, RequestOutcome.FAILED, ms(1), now);
+            selector.onRequestEnded(id, RequestOutcome.FAILED, ms(1), now);
         }
     }
 
     @Test
     void choosesNoWorkerIfAllAreFull() {
-        selector.become(List.of(a, b), ms(0));
+        selector.reconfigure(List.of(a, b), ms(0));
         for (int i = 0; i < 8; i++) {
             assertThat(selector.choose(ms(0))).isPresent();
         }
         assertThat(selector.inFlight(a)).isEqualTo(4);
         assertThat(selector.choose(ms(0))).isEmpty();
-        selector.ended(b, RequestOutcome.ANSWERED, ms(10), ms(10));
+        selector.onRequestEnded(b, RequestOutcome.ANSWERED, ms(10), ms(10));
         assertThat(selector.choose(ms(10))).contains(b);
     }
 
     @Test
     void unreachableWorkerIsOnlyALastResort() {
-        selector.become(List.of(a, b), ms(0));
-        selector.seen(a, false);
+        selector.reconfigure(List.of(a, b), ms(0));
+        selector.setReachable(a, false);
         for (int i = 0; i < 4; i++) {
             assertThat(selector.choose(ms(0))).contains(b);
         }
         assertThat(selector.choose(ms(0)))
                 .as("last resort while the other worker is full")
                 .contains(a);
-        selector.seen(b, false);
-        selector.ended(b, RequestOutcome.ANSWERED, ms(1), ms(1));
-        selector.seen(a, true);
+        selector.setReachable(b, false);
+        selector.onRequestEnded(b, RequestOutcome.ANSWERED, ms(1), ms(1));
+        selector.setReachable(a, true);
         assertThat(selector.choose(ms(1))).contains(a);
     }
 
@@ -65,10 +65,10 @@
         assertThat(selector.choose(ms(1_000))).contains(a);
         assertThat(selector.choose(ms(1_000))).contains(a);
         assertThat(selector.choose(ms(1_000))).as("at most two probes in flight").isEmpty();
-        selector.ended(a, RequestOutcome.ANSWERED, ms(10), ms(1_010));
-        assertThat(selector.in(a)).isFalse();
-        selector.ended(a, RequestOutcome.ANSWERED, ms(10), ms(1_010));
-        assertThat(selector.in(a)).isTrue();
+        selector.onRequestEnded(a, RequestOutcome.ANSWERED, ms(10), ms(1_010));
+        assertThat(selector.isActive(a)).isFalse();
+        selector.onRequestEnded(a, RequestOutcome.ANSWERED, ms(10), ms(1_010));
+        assertThat(selector.isActive(a)).isTrue();
     }
 
     @Test
@@ -78,7 +78,7 @@
         long nowMillis = 1_000;
         for (long ejectionMillis : new long[] {2_000, 4_000, 4_000}) {
             assertThat(selector.choose(ms(nowMillis))).contains(a);
-            selector.ended(a, RequestOutcome.SILENT, ms(10), ms(nowMillis));
+            selector.onRequestEnded(a, RequestOutcome.TIMED_OUT, ms(10), ms(nowMillis));
             assertThat(selector.choose(ms(nowMillis + ejectionMillis - 1))).isEmpty();
             nowMillis += ejectionMillis;
         }
@@ -88,36 +88,39 @@
     void drainedWorkerIsRemovedAfterItsLastRequest() {
         selector.add(a, ms(0));
         selector.choose(ms(0));
-        selector.become(List.of(b), ms(0));
+        selector.reconfigure(List.of(b), ms(0));
         assertThat(selector.size()).isEqualTo(2);
         assertThat(selector.choose(ms(0))).contains(b);
-        selector.ended(a, RequestOutcome.ANSWERED, ms(10), ms(10));
+        selector.onRequestEnded(a, RequestOutcome.ANSWERED, ms(10), ms(10));
         assertThat(selector.size()).isEqualTo(1);
     }
 
     @Test
     void onlyRequestsThatNeverStartedAreRetriedWithinTheBudget() {
-        selector.become(List.of(a, b), ms(0));
+        selector.reconfigure(List.of(a, b), ms(0));
         selector.choose(ms(0));
         for (RequestOutcome outcome :
                 new RequestOutcome[] {
-                    RequestOutcome.ANSWERED, RequestOutcome.FAILED, RequestOutcome.SILENT
+                    RequestOutcome.ANSWERED, RequestOutcome.FAILED, RequestOutcome.TIMED_OUT
                 }) {
-            assertThat(selector.chooseAgain(a, outcome, ms(0))).isEmpty();
+            assertThat(selector.chooseForRetry(a, outcome, ms(0))).isEmpty();
         }
-        assertThat(selector.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(0))).contains(b);
-        assertThat(selector.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(0))).contains(b);
-        assertThat(selector.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(0)))
+        assertThat(selector.chooseForRetry(a, RequestOutcome.NEVER_STARTED, ms(0))).contains(b);
+        assertThat(selector.chooseForRetry(a, RequestOutcome.NEVER_STARTED, ms(0))).contains(b);
+        assertThat(selector.chooseForRetry(a, RequestOutcome.NEVER_STARTED, ms(0)))
                 .as("the burst allows two retries")
                 .isEmpty();
         int retriedCount = 0;
         for (int i = 0; i < 1_000; i++) {
             selector.choose(ms(i))
-                    .ifPresent(id -> selector.ended(id, RequestOutcome.ANSWERED, ms(1), ms(1)));
-            if (selector.chooseAgain(a, RequestOutcome.NEVER_BEGUN, ms(i)).isPresent()) {
+                    .ifPresent(
+                            id ->
+                                    selector.onRequestEnded(
+                                            id, RequestOutcome.ANSWERED, ms(1), ms(1)));
+            if (selector.chooseForRetry(a, RequestOutcome.NEVER_STARTED, ms(i)).isPresent()) {
                 retriedCount++;
             }
-            selector.ended(b, RequestOutcome.ANSWERED, ms(1), ms(i));
+            selector.onRequestEnded(b, RequestOutcome.ANSWERED, ms(1), ms(i));
         }
         assertThat(retriedCount).isBetween(90, 101);
     }
@@ -143,12 +146,12 @@
 
     @Test
     void capacityExcludesDrainingWorkers() {
-        selector.become(List.of(a, b), ms(0));
-        assertThat(selector.places(ms(0))).isEqualTo(8);
+        selector.reconfigure(List.of(a, b), ms(0));
+        assertThat(selector.capacity(ms(0))).isEqualTo(8);
         selector.choose(ms(0));
-        assertThat(selector.free(ms(0))).isEqualTo(7);
+        assertThat(selector.freeSlots(ms(0))).isEqualTo(7);
         selector.drain(b);
-        assertThat(selector.places(ms(0))).isEqualTo(4);
+        assertThat(selector.capacity(ms(0))).isEqualTo(4);
     }
 
     @Test
@@ -157,12 +160,12 @@
                 new WorkerSelector(
                         new PoolSettings(10, 3, 0.5, ms(1_000), ms(4_000), 2, ms(1_000), 0.1, 2),
                         new SplittableRandom(1));
-        slowStarting.become(List.of(a), ms(0));
-        assertThat(slowStarting.places(ms(0))).isEqualTo(10);
-        slowStarting.become(List.of(a, b), ms(100));
-        assertThat(slowStarting.places(ms(100))).isEqualTo(11);
-        assertThat(slowStarting.places(ms(600))).isEqualTo(15);
-        assertThat(slowStarting.places(ms(1_100))).isEqualTo(20);
+        slowStarting.reconfigure(List.of(a), ms(0));
+        assertThat(slowStarting.capacity(ms(0))).isEqualTo(10);
+        slowStarting.reconfigure(List.of(a, b), ms(100));
+        assertThat(slowStarting.capacity(ms(100))).isEqualTo(11);
+        assertThat(slowStarting.capacity(ms(600))).isEqualTo(15);
+        assertThat(slowStarting.capacity(ms(1_100))).isEqualTo(20);
     }
 
     @Test
@@ -170,34 +173,34 @@
         selector.add(a, ms(0));
         for (int i = 0; i < 20; i++) {
             selector.choose(ms(0));
-            selector.ended(a, RequestOutcome.ANSWERED, ms(10), ms(0));
+            selector.onRequestEnded(a, RequestOutcome.ANSWERED, ms(10), ms(0));
         }
         for (int i = 0; i < 6; i++) {
             selector.choose(ms(0));
-            selector.ended(a, RequestOutcome.GIVEN_UP, ms(39), ms(0));
+            selector.onRequestEnded(a, RequestOutcome.CANCELLED, ms(39), ms(0));
         }
-        assertThat(selector.in(a)).isTrue();
+        assertThat(selector.isActive(a)).isTrue();
         for (int i = 0; i < 3; i++) {
             selector.choose(ms(0));
-            selector.ended(a, RequestOutcome.GIVEN_UP, ms(41), ms(0));
+            selector.onRequestEnded(a, RequestOutcome.CANCELLED, ms(41), ms(0));
         }
-        assertThat(selector.in(a)).isFalse();
+        assertThat(selector.isActive(a)).isFalse();
     }
 
     @Test
     void lowerLimitKeepsRequestsInFlight() {
-        selector.become(List.of(a), ms(0));
+        selector.reconfigure(List.of(a), ms(0));
         for (int i = 0; i < 3; i++) {
             selector.choose(ms(0));
         }
-        selector.become(
+        selector.reconfigure(
                 new PoolSettings(1, 3, 0.5, ms(1_000), ms(4_000), 2, Duration.ZERO, 0.1, 2));
-        assertThat(selector.free(ms(0))).isZero();
+        assertThat(selector.freeSlots(ms(0))).isZero();
         assertThat(selector.inFlight(a)).isEqualTo(3);
         for (int i = 0; i < 3; i++) {
-            selector.ended(a, RequestOutcome.ANSWERED, ms(10), ms(0));
+            selector.onRequestEnded(a, RequestOutcome.ANSWERED, ms(10), ms(0));
         }
-        assertThat(selector.free(ms(0))).isEqualTo(1);
+        assertThat(selector.freeSlots(ms(0))).isEqualTo(1);
     }
 
     /**
@@ -227,7 +230,7 @@
             while (!running.isEmpty() && running.peek().endsAt <= now) {
                 Running finished = running.poll();
                 if (usesSelector) {
-                    selector.ended(
+                    selector.onRequestEnded(
                             new WorkerId("" + finished.worker),
                             RequestOutcome.ANSWERED,
                             ms((long) (finished.latency * 1e3)),
--- a/src/test/java/ochretiller/records/RecordsClientTest.java
+++ b/src/test/java/ochretiller/records/RecordsClientTest.java
@@ -39,10 +39,7 @@
 
     private void call(RecordsClient records, String rid) {
         records.call(
-                rid,
-                TIMEOUT,
-                new byte[] {1},
-                (outcome, reply) -> outcomes.add(outcome.status()));
+                rid, TIMEOUT, new byte[] {1}, (outcome, reply) -> outcomes.add(outcome.status()));
     }
 
     /** Creates a service whose backlog is full, so that further connects hang. */
@@ -67,14 +64,14 @@
                 ServerSocket next = service(50)) {
             RecordsClient records = client(old);
             call(records, "a");
-            records.move(address(next));
+            records.changeAddress(address(next));
             FakeConnection connection = new FakeConnection(next.accept());
-            loop.one(); // processes the new connection
+            loop.runNext(); // processes the new connection
             network.flush();
-            assertThat(connection.line()).startsWith("OP a ");
-            assertThat(connection.bytes(1)).isEqualTo("\u0001");
+            assertThat(connection.readLine()).startsWith("OP a ");
+            assertThat(connection.readBytes(1)).isEqualTo("\u0001");
             connection.send("a DONE 0\r\n\r\n");
-            loop.one();
+            loop.runNext();
             assertThat(outcomes).containsExactly(CallOutcome.Status.SUCCEEDED);
             connection.close();
         } finally {
@@ -92,25 +89,25 @@
             RecordsClient records = client(old);
             call(records, "written");
             FakeConnection first = new FakeConnection(old.accept());
-            loop.one();
+            loop.runNext();
             network.flush();
-            assertThat(first.line()).startsWith("OP written ");
-            first.bytes(1);
+            assertThat(first.readLine()).startsWith("OP written ");
+            first.readBytes(1);
             call(records, "connecting");
             FakeConnection second = new FakeConnection(old.accept());
-            loop.await(1); // connected, but not yet processed on the event loop
-            records.move(address(next));
+            loop.awaitPosted(1); // connected, but not yet processed on the event loop
+            records.changeAddress(address(next));
             FakeConnection third = new FakeConnection(next.accept());
-            loop.await(2);
-            loop.all();
+            loop.awaitPosted(2);
+            loop.runPosted();
             network.flush();
-            assertThat(third.line()).startsWith("OP connecting ");
-            third.bytes(1);
-            assertThat(second.line()).isNull(); // closed without a call
+            assertThat(third.readLine()).startsWith("OP connecting ");
+            third.readBytes(1);
+            assertThat(second.readLine()).isNull(); // closed without a call
             first.send("written DONE 0\r\n\r\n");
             third.send("connecting DONE 0\r\n\r\n");
             for (int i = 0; outcomes.size() < 2 && i < 10; i++) {
-                loop.one();
+                loop.runNext();
             }
             assertThat(outcomes)
                     .containsExactly(CallOutcome.Status.SUCCEEDED, CallOutcome.Status.SUCCEEDED);
@@ -122,9 +119,9 @@
     @Test
     void callWithoutARecordsServiceIsUnreachable() throws Exception {
         RecordsClient records = new RecordsClient(loop, network, null, 8);
-        records.move(null);
+        records.changeAddress(null);
         call(records, "a");
-        loop.one();
+        loop.runNext();
         assertThat(outcomes).containsExactly(CallOutcome.Status.UNREACHABLE);
         network.stop();
     }
@@ -135,18 +132,18 @@
         RecordsClient records = client(service);
         call(records, "a");
         FakeConnection connection = new FakeConnection(service.accept());
-        loop.one();
+        loop.runNext();
         network.flush();
-        assertThat(connection.line()).startsWith("OP a ");
+        assertThat(connection.readLine()).startsWith("OP a ");
         service.close();
         connection.reset();
         for (int i = 0; outcomes.isEmpty() && i < 10; i++) {
-            loop.one();
+            loop.runNext();
         }
         assertThat(outcomes).containsExactly(CallOutcome.Status.RESET);
         call(records, "b");
         for (int i = 0; outcomes.size() < 2 && i < 10; i++) {
-            loop.one();
+            loop.runNext();
         }
         assertThat(outcomes)
                 .containsExactly(CallOutcome.Status.RESET, CallOutcome.Status.UNREACHABLE);
@@ -159,27 +156,27 @@
             RecordsClient records = client(service);
             call(records, "a");
             FakeConnection first = new FakeConnection(service.accept());
-            loop.one();
+            loop.runNext();
             network.flush();
-            first.line();
-            first.bytes(1);
+            first.readLine();
+            first.readBytes(1);
             first.send("a DONE 0\r\n\r\n");
-            loop.await(1); // the reply is read but not processed
-            records.abandon("a");
+            loop.awaitPosted(1); // the reply is read but not processed
+            records.cancel("a");
             call(records, "b");
             FakeConnection second = new FakeConnection(service.accept());
-            loop.one(); // processes the late reply
+            loop.runNext(); // processes the late reply
             assertThat(outcomes).isEmpty();
-            assertThat(first.line()).isEqualTo("UNOP a");
-            assertThat(first.line()).isNull();
+            assertThat(first.readLine()).isEqualTo("UNOP a");
+            assertThat(first.readLine()).isNull();
             for (int i = 0; i < 2; i++) {
-                loop.one(); // processes the close of the first and the connect of the second
+                loop.runNext(); // processes the close of the first and the connect of the second
             }
             network.flush();
-            assertThat(second.line()).startsWith("OP b ");
-            second.bytes(1);
+            assertThat(second.readLine()).startsWith("OP b ");
+            second.readBytes(1);
             second.send("b DONE 0\r\n\r\n");
-            loop.one();
+            loop.runNext();
             assertThat(outcomes).containsExactly(CallOutcome.Status.SUCCEEDED);
         } finally {
             network.stop();
--- a/src/test/java/ochretiller/registry/RegistryReporterTest.java
+++ b/src/test/java/ochretiller/registry/RegistryReporterTest.java
@@ -31,16 +31,16 @@
         assertThat(receive(registry)).isEqualTo("HERE n1 on");
         registry.close();
         // No socket listens: each report is answered by an ICMP error.
-        loop.pass(REPORT_INTERVAL.multipliedBy(4));
-        reporter.move(new InetSocketAddress(host, 0));
-        loop.pass(REPORT_INTERVAL.multipliedBy(2)); // sending to port 0 fails
+        loop.advance(REPORT_INTERVAL.multipliedBy(4));
+        reporter.changeAddress(new InetSocketAddress(host, 0));
+        loop.advance(REPORT_INTERVAL.multipliedBy(2)); // sending to port 0 fails
         DatagramSocket newRegistry = new DatagramSocket(0, host);
         newRegistry.setSoTimeout(10_000);
-        reporter.move(new InetSocketAddress(host, newRegistry.getLocalPort()));
+        reporter.changeAddress(new InetSocketAddress(host, newRegistry.getLocalPort()));
         assertThat(receive(newRegistry)).isEqualTo("HERE n1 on");
-        loop.pass(REPORT_INTERVAL);
+        loop.advance(REPORT_INTERVAL);
         assertThat(receive(newRegistry)).isEqualTo("HERE n1 on");
-        reporter.leave();
+        reporter.reportLeaving();
         assertThat(receive(newRegistry)).isEqualTo("HERE n1 off");
         newRegistry.close();
     }
--- a/src/test/java/ochretiller/store/CrashPointTest.java
+++ b/src/test/java/ochretiller/store/CrashPointTest.java
@@ -35,7 +35,7 @@
         void check() {
             try (StoreFixture fixture =
                     new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, uptimeMillis)) {
-                Map<String, String> recovered = fixture.recovered();
+                Map<String, String> recovered = fixture.recoveredValues();
                 // Pages written out of order may look like damage after the acknowledged records,
                 // none of which may be lost.
                 assertThat(recovered.keySet()).as(context).containsAll(acknowledged.keySet());
--- a/src/test/java/ochretiller/store/CrashRecoveryTest.java
+++ b/src/test/java/ochretiller/store/CrashRecoveryTest.java
@@ -77,15 +77,15 @@
         boolean damaged;
         try (StoreFixture fixture = new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, 100)) {
             damaged = !fixture.store.damageReports().isEmpty();
-            assertThat(!fixture.store.incompleteFor().isZero()).as(context).isEqualTo(damaged);
-            fixture.recovered()
+            assertThat(!fixture.store.timeUntilComplete().isZero()).as(context).isEqualTo(damaged);
+            fixture.recoveredValues()
                     .forEach(
                             (key, value) ->
                                     assertThat(written.allValues.get(key))
                                             .as(context)
                                             .contains(value));
             if (!damaged && expectsAllKeys) {
-                assertThat(fixture.recovered()).as(context).isEqualTo(written.currentValues);
+                assertThat(fixture.recoveredValues()).as(context).isEqualTo(written.currentValues);
             }
             fixture.start();
             assertThat(fixture.put("next", "works")).as(context).isEqualTo(AppendResult.DURABLE);
@@ -93,7 +93,7 @@
         }
         try (StoreFixture fixture =
                 new StoreFixture(directory.afterProcessKill(), StoreFixture.SMALL_SEGMENTS, 200)) {
-            assertThat(fixture.recovered()).as(context).containsEntry("next", "works");
+            assertThat(fixture.recoveredValues()).as(context).containsEntry("next", "works");
         }
         return damaged;
     }
@@ -127,7 +127,7 @@
                 StoreFixture.limits()
                         .segmentBytes(1 << 20)
                         .compactionBytesPerSecond(1 << 20)
-                        .compactionMinRemainingLife(Duration.ofDays(1))
+                        .compactionMinRemainingLifetime(Duration.ofDays(1))
                         .build();
         List<Integer> recordEnds = new ArrayList<>();
         byte[] file;
@@ -145,7 +145,7 @@
             Map<String, byte[]> truncated = Map.of(segment, Arrays.copyOf(file, length));
             try (StoreFixture fixture =
                     new StoreFixture(VolatileDirectory.withContents(truncated), oneSegment, 0)) {
-                assertThat(fixture.recovered())
+                assertThat(fixture.recoveredValues())
                         .as("cut to " + length)
                         .hasSize((int) completeRecords);
                 assertThat(fixture.store.damageReports()).isEmpty();
@@ -195,7 +195,7 @@
         VolatileDirectory directory =
                 VolatileDirectory.withContents(written.filesWith(first, corrupt));
         try (StoreFixture fixture = new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, 100)) {
-            Map<String, String> recovered = fixture.recovered();
+            Map<String, String> recovered = fixture.recoveredValues();
             fixture.start();
             recovered.forEach(
                     (key, value) ->
--- a/src/test/java/ochretiller/store/RandomLifeTest.java
+++ b/src/test/java/ochretiller/store/RandomOperationsTest.java
@@ -16,7 +16,7 @@
  * Compares a store with a map over random puts, removals, expiry, disk failures, process kills and
  * power losses.
  */
-class RandomLifeTest {
+class RandomOperationsTest {
     private static final int SESSIONS = 6;
     private static final int APPENDS = 60;
     private static final int NO_FAILURE = -1;
@@ -72,8 +72,8 @@
         /** Compares the recovered values with the model, which then adopts them. */
         void compareAfterRecovery(StoreFixture fixture, int session) {
             String context = describe(session);
-            Map<String, String> recovered = fixture.recovered();
-            boolean incomplete = !fixture.store.incompleteFor().isZero();
+            Map<String, String> recovered = fixture.recoveredValues();
+            boolean incomplete = !fixture.store.timeUntilComplete().isZero();
             long nowMillis = fixture.store.nowMillis();
             possibleValues.forEach(
                     (key, values) -> {
@@ -99,7 +99,7 @@
             for (int i = 0; i < APPENDS; i++) {
                 if (i == failingAppend) {
                     String operation = random.nextBoolean() ? "force" : "write";
-                    directory.fault = VolatileDirectory.failing(operation, "I/O error");
+                    directory.fault = VolatileDirectory.failOn(operation, "I/O error");
                 }
                 if (i == failingAppend + 5) {
                     directory.fault = VolatileDirectory.NO_FAULT;
--- a/src/test/java/ochretiller/store/StoreFixture.java
+++ b/src/test/java/ochretiller/store/StoreFixture.java
@@ -13,7 +13,7 @@
 /** A store in a test directory, with blocking operations and a clock that the test advances. */
 final class StoreFixture implements AutoCloseable {
     static final UUID BOOT_ID = new UUID(1, 2);
-    static final long LIFE_MILLIS = 1_000_000;
+    static final long LIFETIME_MILLIS = 1_000_000;
 
     /** Small segments, so that few records fill one; compaction starts at a dead ratio of 0.4. */
     static final StoreLimits SMALL_SEGMENTS = limits().build();
@@ -51,8 +51,8 @@
                 .maxSegmentAge(Duration.ofDays(1))
                 .compactionBytesPerSecond(1 << 30)
                 .compactionDeadRatio(0.4)
-                .compactionMinRemainingLife(Duration.ZERO)
-                .maxRecordLife(Duration.ofMillis(LIFE_MILLIS));
+                .compactionMinRemainingLifetime(Duration.ZERO)
+                .maxRecordLifetime(Duration.ofMillis(LIFETIME_MILLIS));
     }
 
     StoreFixture start() {
@@ -85,12 +85,12 @@
     }
 
     AppendResult put(String key, String value) {
-        return put(key, value, LIFE_MILLIS);
+        return put(key, value, LIFETIME_MILLIS);
     }
 
     AppendResult remove(String key) {
         CompletableFuture<AppendResult> result = new CompletableFuture<>();
-        store.remove(key.getBytes(), store.nowMillis() + LIFE_MILLIS, result::complete);
+        store.remove(key.getBytes(), store.nowMillis() + LIFETIME_MILLIS, result::complete);
         return await(result);
     }
 
@@ -118,7 +118,7 @@
      * Returns the recovered keys and the values that their metadata records; only before {@link
      * #start}.
      */
-    Map<String, String> recovered() {
+    Map<String, String> recoveredValues() {
         Map<String, String> valuesByKey = new TreeMap<>();
         for (RecoveredEntry entry : store.recoveredEntries()) {
             String value = new String(entry.metadata()).substring("meta of ".length());
--- a/src/test/java/ochretiller/store/StoreGoldenTest.java
+++ b/src/test/java/ochretiller/store/StoreGoldenTest.java
@@ -96,7 +96,7 @@
             fixture.put("a", "3", 20_000);
             fixture.remove("b");
         }
-        FILES.assertHolds(directory.contents());
+        FILES.assertMatches(directory.contents());
     }
 
     @Test
@@ -117,7 +117,7 @@
             assertThat(fixture.store.recoveredEntries())
                     .singleElement()
                     .satisfies(entry -> assertThat(entry.expiresAtMillis()).isEqualTo(20_000));
-            assertThat(fixture.recovered()).isEqualTo(Map.of("a", "3"));
+            assertThat(fixture.recoveredValues()).isEqualTo(Map.of("a", "3"));
             assertThat(fixture.start().read("a")).contains("3");
         }
     }
@@ -130,7 +130,7 @@
         Recovery scanned =
                 Recovery.read(directory, Recovery.HintPolicy.READ_EVERYTHING, segmentName -> {});
         RecoveredSegment hinted = fromHint.lastSegment().orElseThrow();
-        assertThat(hinted.isTakenFromHint()).isTrue();
+        assertThat(hinted.isReadFromHint()).isTrue();
         assertThat(fromHint.lastSequence()).isEqualTo(RECORDS).isEqualTo(scanned.lastSequence());
         assertThat(hinted.segment().recordCount()).isEqualTo(RECORDS);
         // A scan does not count the seal among the dead bytes.
@@ -178,7 +178,7 @@
 
     @Test
     void headersAndRecordsEncodeToTheirGoldenBytes() {
-        PARTS.assertHolds(parts());
+        PARTS.assertMatches(parts());
     }
 
     @Test
--- a/src/test/java/ochretiller/store/StoreTest.java
+++ b/src/test/java/ochretiller/store/StoreTest.java
@@ -40,7 +40,7 @@
         }
         directory = directory.afterProcessKill();
         try (StoreFixture fixture = open()) {
-            assertThat(fixture.recovered()).isEqualTo(Map.of("a", "3"));
+            assertThat(fixture.recoveredValues()).isEqualTo(Map.of("a", "3"));
             assertThat(fixture.store.damageReports()).isEmpty();
             assertThat(fixture.start().read("a")).contains("3");
         }
@@ -52,7 +52,7 @@
             CountDownLatch forceBegun = new CountDownLatch(1);
             CountDownLatch forceReleased = new CountDownLatch(1);
             VolatileDirectory.Fault stallingFault =
-                    VolatileDirectory.stalling("force", forceReleased);
+                    VolatileDirectory.stallOn("force", forceReleased);
             directory.fault =
                     (operation, name) -> {
                         if (operation.equals("force")) {
@@ -61,11 +61,11 @@
                         }
                     };
             CompletableFuture<AppendResult> first =
-                    fixture.startPut("first", "0", StoreFixture.LIFE_MILLIS);
+                    fixture.startPut("first", "0", StoreFixture.LIFETIME_MILLIS);
             forceBegun.await();
             List<CompletableFuture<AppendResult>> results = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                results.add(fixture.startPut("k" + i, "v", StoreFixture.LIFE_MILLIS));
+                results.add(fixture.startPut("k" + i, "v", StoreFixture.LIFETIME_MILLIS));
             }
             assertThat(first).isNotDone();
             forceReleased.countDown();
@@ -116,7 +116,7 @@
         }
         directory = directory.afterProcessKill();
         try (StoreFixture fixture = open()) {
-            assertThat(fixture.recovered())
+            assertThat(fixture.recoveredValues())
                     .hasSize(5)
                     .containsEntry("live29", "value of 29")
                     .containsEntry("again3", "round 29");
@@ -128,7 +128,7 @@
     void afterADiskFailureNothingIsWrittenUntilAProbeSucceeds(String operation) throws IOException {
         try (StoreFixture fixture = open().start()) {
             fixture.put("before", "1");
-            directory.fault = VolatileDirectory.failing(operation, "No space left on device");
+            directory.fault = VolatileDirectory.failOn(operation, "No space left on device");
             assertThat(fixture.put("lost", "2")).isEqualTo(AppendResult.UNKNOWN);
             assertThat(fixture.put("refused", "3")).isEqualTo(AppendResult.UNAVAILABLE);
             assertThat(fixture.store.stats().fault())
@@ -142,7 +142,7 @@
         }
         directory = directory.afterProcessKill();
         try (StoreFixture fixture = open()) {
-            assertThat(fixture.recovered())
+            assertThat(fixture.recoveredValues())
                     .containsEntry("before", "1")
                     .containsEntry("after", "4")
                     .doesNotContainKey("refused");
@@ -173,10 +173,10 @@
     void appendsAreRejectedAtTheLimitWhileTheDiskStalls() throws IOException {
         CountDownLatch forceReleased = new CountDownLatch(1);
         try (StoreFixture fixture = open().start()) {
-            directory.fault = VolatileDirectory.stalling("force", forceReleased);
+            directory.fault = VolatileDirectory.stallOn("force", forceReleased);
             List<CompletableFuture<AppendResult>> results = new ArrayList<>();
             for (int i = 0; i < 2_000; i++) {
-                results.add(fixture.startPut("k" + i, "v", StoreFixture.LIFE_MILLIS));
+                results.add(fixture.startPut("k" + i, "v", StoreFixture.LIFETIME_MILLIS));
             }
             assertThat(results.get(1_999)).isCompletedWithValue(AppendResult.CAPACITY_EXCEEDED);
             assertThat(results.get(0)).isNotDone();
@@ -216,7 +216,7 @@
         directory = directory.afterProcessKill();
         try (StoreFixture fixture =
                 new StoreFixture(directory, StoreFixture.SMALL_SEGMENTS, 5_000 + 30_000)) {
-            assertThat(fixture.recovered()).isEqualTo(Map.of("long", "2"));
+            assertThat(fixture.recoveredValues()).isEqualTo(Map.of("long", "2"));
         }
     }
 
@@ -229,7 +229,7 @@
             VolatileDirectory afterKill = directory.afterProcessKill();
             try (StoreFixture fixture =
                     new StoreFixture(afterKill, StoreFixture.SMALL_SEGMENTS, 99_000_000, bootId)) {
-                assertThat(fixture.recovered()).isEqualTo(Map.of("short", "1"));
+                assertThat(fixture.recoveredValues()).isEqualTo(Map.of("short", "1"));
                 fixture.uptimeMillis.addAndGet(1_001);
                 fixture.start().awaitMaintenance();
                 assertThat(fixture.store.stats().entries()).isZero();
@@ -269,7 +269,7 @@
                     .hasMessageContaining("in use");
         }
         try (StoreFixture fixture = new StoreFixture(local, StoreFixture.SMALL_SEGMENTS, 0)) {
-            assertThat(fixture.recovered()).isEqualTo(Map.of("a", "1"));
+            assertThat(fixture.recoveredValues()).isEqualTo(Map.of("a", "1"));
         }
         try (Stream<Path> files = Files.list(folder.resolve("made"))) {
             assertThat(files).isNotEmpty();
@@ -282,9 +282,9 @@
             fixture.put("a", "1");
         }
         directory = directory.afterProcessKill();
-        directory.fault = VolatileDirectory.failing("create", "Read-only file system");
+        directory.fault = VolatileDirectory.failOn("create", "Read-only file system");
         try (StoreFixture fixture = open()) {
-            assertThat(fixture.recovered()).isEqualTo(Map.of("a", "1"));
+            assertThat(fixture.recoveredValues()).isEqualTo(Map.of("a", "1"));
             assertThat(fixture.start().read("a")).contains("1");
             assertThat(fixture.put("b", "2")).isEqualTo(AppendResult.UNAVAILABLE);
             directory.fault = VolatileDirectory.NO_FAULT;
--- a/src/test/java/ochretiller/store/VolatileDirectory.java
+++ b/src/test/java/ochretiller/store/VolatileDirectory.java
@@ -114,7 +114,7 @@
     }
 
     /** Returns a fault that fails an operation each time. */
-    public static Fault failing(String operation, String message) {
+    public static Fault failOn(String operation, String message) {
         return (each, name) -> {
             if (each.equals(operation)) {
                 throw new IOException(message);
@@ -123,7 +123,7 @@
     }
 
     /** Returns a fault that blocks an operation until the latch opens. */
-    public static Fault stalling(String operation, CountDownLatch released) {
+    public static Fault stallOn(String operation, CountDownLatch released) {
         return (each, name) -> {
             if (!each.equals(operation)) {
                 return;
--- a/src/test/java/ochretiller/text/FramesTest.java
+++ b/src/test/java/ochretiller/text/FrameDecoderTest.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FramesTest {
+class FrameDecoderTest {
     private final List<String> messages = new ArrayList<>();
-    private final Frames frames =
-            new Frames(
+    private final FrameDecoder frames =
+            new FrameDecoder(
                     100,
                     true,
                     line -> {
                         List<String> words = line.words();
                         return words.get(0).equals("body")
                                 ? Integer.parseInt(words.get(1))
-                                : Frames.NONE;
+                                : FrameDecoder.NO_BODY;
                     });
 
-    private List<String> feed(Frames target, String text) {
+    private List<String> feed(FrameDecoder target, String text) {
         messages.clear();
         Slice slice = Slice.of(text);
-        target.read(
+        target.decode(
                 slice.bytes(),
                 slice.from(),
                 slice.to(),
@@ -51,14 +51,18 @@
         List<Slice> lines = new ArrayList<>();
         for (String text : List.of("fi", "rst\r\nse", "cond\r\nthi")) {
             Slice slice = Slice.of(text);
-            frames.read(slice.bytes(), slice.from(), slice.to(), (line, body) -> lines.add(line));
+            frames.decode(slice.bytes(), slice.from(), slice.to(), (line, body) -> lines.add(line));
         }
         assertThat(lines).extracting(Slice::text).containsExactly("first", "second");
     }
 
     @Test
     void rejectsTooLongOrMalformedInput() {
-        assertThatThrownBy(() -> feed(new Frames(10, false, line -> Frames.NONE), "x".repeat(400)))
+        assertThatThrownBy(
+                        () ->
+                                feed(
+                                        new FrameDecoder(10, false, line -> FrameDecoder.NO_BODY),
+                                        "x".repeat(400)))
                 .isInstanceOf(BadInputException.class);
         assertThatThrownBy(() -> feed(frames, "body 101\r\n"))
                 .isInstanceOf(BadInputException.class);
--- a/src/test/java/ochretiller/text/JsonTest.java
+++ b/src/test/java/ochretiller/text/JsonTest.java
@@ -11,7 +11,7 @@
 
 class JsonTest {
     private static Object read(String text) {
-        return new Json(Slice.of(text)).read();
+        return new Json(Slice.of(text)).parse();
     }
 
     @Test
@@ -34,13 +34,13 @@
     @Test
     void parsesOnlyTheSlice() {
         Slice text = Slice.of("xx[1]yy");
-        assertThat(new Json(new Slice(text.bytes(), 2, 5)).read()).isEqualTo(List.of(1L));
+        assertThat(new Json(new Slice(text.bytes(), 2, 5)).parse()).isEqualTo(List.of(1L));
     }
 
     @Test
     void membersParsedBeforeAnErrorAreAvailable() {
         Json json = new Json(Slice.of("{\"id\":7,\"inner\":{\"id\":8},\"x\":"));
-        assertThatThrownBy(json::read).isInstanceOf(BadInputException.class);
+        assertThatThrownBy(json::parse).isInstanceOf(BadInputException.class);
         assertThat(json.members()).containsEntry("id", 7L);
     }
 
@@ -79,7 +79,7 @@
     @Test
     void rejectsInvalidUtf8() {
         assertThatThrownBy(
-                        () -> new Json(new Slice(new byte[] {'"', (byte) 0xff, '"'}, 0, 3)).read())
+                        () -> new Json(new Slice(new byte[] {'"', (byte) 0xff, '"'}, 0, 3)).parse())
                 .isInstanceOf(BadInputException.class);
     }
 
